--- a/cmd/expediter/status.go
+++ b/cmd/expediter/status.go
@@ -50,10 +50,6 @@
 }
 
 // String writes the status for people.
-//
-// Example:
-//
-//	fmt.Print(status)
 func (status statusAnswer) String() string {
 	var text strings.Builder
 	line := func(format string, values ...any) { _, _ = fmt.Fprintf(&text, format+"\n", values...) }
--- a/core.go
+++ b/core.go
@@ -38,10 +38,6 @@
 }
 
 // New makes a core.
-//
-// Example:
-//
-//	core := seamloom.New(seamloom.Options{Courier: "courier-1", District: "north", Supported: seamloom.Supported(nil)})
 func New(options Options) *Core {
 	if options.MostInquiries <= 0 {
 		options.MostInquiries = DefaultMostInquiries
@@ -53,10 +49,6 @@
 }
 
 // Apply takes one event and returns what is to be done now.
-//
-// Example:
-//
-//	for _, decision := range core.Apply(seamloom.Event{Kind: "ticked", At: now}) { carryOut(decision) }
 func (core *Core) Apply(event Event) []Decision {
 	switch event.Kind {
 	case pass.Ticked:
@@ -148,10 +140,6 @@
 
 // Calls is the part of the core that follows opaque calls. A program that serves each
 // call in a thread of its own asks it directly; it needs no call events then.
-//
-// Example:
-//
-//	ticket, decision := core.Calls().Arrive(now, call)
 func (core *Core) Calls() *scheduler.Window { return core.calls }
 
 func (core *Core) callArrived(event Event) []Decision {
@@ -181,39 +169,19 @@
 }
 
 // InForce is the version of the configuration in force, as epoch and number.
-//
-// Example:
-//
-//	epoch, number := core.InForce()
 func (core *Core) InForce() (epoch, number uint64) { return core.desk.InForce() }
 
 // HoldEnds is when the courier's hold runs out.
-//
-// Example:
-//
-//	left := core.HoldEnds().Sub(now)
 func (core *Core) HoldEnds() time.Time { return core.desk.HoldEnds() }
 
 // SetServeWithoutHold chooses how long the courier goes on letting in after its last
 // hold, with its last configuration. Duties always need a hold.
-//
-// Example:
-//
-//	core.SetServeWithoutHold(time.Minute)
 func (core *Core) SetServeWithoutHold(length time.Duration) { core.desk.SetServeWithoutHold(length) }
 
 // ServesUntil is until when the courier lets in.
-//
-// Example:
-//
-//	ready := now.Before(core.ServesUntil())
 func (core *Core) ServesUntil() time.Time { return core.desk.ServesUntil() }
 
 // Enabled is the enabled set that the core has read.
-//
-// Example:
-//
-//	record, failure := formats.WritePair(pair, name, core.Enabled())
 func (core *Core) Enabled() FlagList {
 	if enabled := core.enabled.Load(); enabled != nil {
 		return *enabled
@@ -223,35 +191,19 @@
 
 // Restricted tells whether the node lacks an enabled flag, or has not read the
 // enabled set yet: it then writes no records and takes no duties.
-//
-// Example:
-//
-//	if core.Restricted() { ... }
 func (core *Core) Restricted() bool {
 	enabled := core.enabled.Load()
 	return enabled == nil || len(core.options.Supported.Lacks(*enabled)) > 0
 }
 
 // InFlight counts the inquiries that have no final line yet.
-//
-// Example:
-//
-//	drained := core.InFlight() == 0
 func (core *Core) InFlight() int { return core.desk.InFlight() }
 
 // InFlightRequests counts the requests of both kinds, inquiries and opaque calls, that
 // have not ended.
-//
-// Example:
-//
-//	drained := core.InFlightRequests() == 0
 func (core *Core) InFlightRequests() int { return core.desk.InFlight() + core.calls.InFlight() }
 
 // Dutiful tells whether the courier has duties.
-//
-// Example:
-//
-//	if core.Dutiful() { pause = 200 * time.Millisecond }
 func (core *Core) Dutiful() bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -259,17 +211,9 @@
 }
 
 // Draining tells whether the core lets nothing in any more.
-//
-// Example:
-//
-//	ready := !core.Draining()
 func (core *Core) Draining() bool { return core.desk.Draining() }
 
 // Counts tells what the core has done, by name, for metrics.
-//
-// Example:
-//
-//	core.Counts()["complete"]
 func (core *Core) Counts() map[string]int64 {
 	tallies := core.desk.Tallies()
 	first, extra := core.desk.Budget().Counts()
@@ -355,10 +299,6 @@
 }
 
 // ReadOrders decodes the standing orders' records with the core's own list.
-//
-// Example:
-//
-//	orders := core.ReadOrders(records)
 func (core *Core) ReadOrders(records map[string]formats.Record) map[string]Order {
 	orders := map[string]Order{}
 	for server, record := range records {
--- a/internal/adapters/calls/circuit.go
+++ b/internal/adapters/calls/circuit.go
@@ -68,10 +68,6 @@
 var errShut = failure.New(failure.Unreachable, "the circuit takes no more calls")
 
 // Write sends, unless the circuit was shut before.
-//
-// Example:
-//
-//	written, failure := circuit.Write(head)
 func (circuit *circuit) Write(content []byte) (int, error) {
 	circuit.mutex.Lock()
 	if circuit.shut {
@@ -89,10 +85,6 @@
 }
 
 // Read receives.
-//
-// Example:
-//
-//	read, failure := circuit.Read(buffer)
 func (circuit *circuit) Read(buffer []byte) (int, error) {
 	read, err := circuit.Conn.Read(buffer)
 	if read > 0 {
--- a/internal/adapters/calls/circuits.go
+++ b/internal/adapters/calls/circuits.go
@@ -64,10 +64,6 @@
 type circuitKey struct{}
 
 // NewCircuits makes the circuits of a courier. Detours replace addresses when dialling.
-//
-// Example:
-//
-//	circuits := calls.NewCircuits(nil)
 func NewCircuits(detours map[string]string) *Circuits {
 	dialer := &net.Dialer{Timeout: dialPatience, Control: shortPatience,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
@@ -192,10 +188,6 @@
 }
 
 // SetServers drops the circuits to lives that are listed no more.
-//
-// Example:
-//
-//	circuits.SetServers(servers)
 func (circuits *Circuits) SetServers(servers []membership.Server) {
 	listed := make(map[life]bool, len(servers))
 	for _, server := range servers {
@@ -217,10 +209,6 @@
 }
 
 // Opened counts the circuits that came up.
-//
-// Example:
-//
-//	before := circuits.Opened()
 func (circuits *Circuits) Opened() uint64 {
 	circuits.mutex.Lock()
 	defer circuits.mutex.Unlock()
--- a/internal/adapters/calls/exchange.go
+++ b/internal/adapters/calls/exchange.go
@@ -264,10 +264,6 @@
 }
 
 // Read has a server read the prompt.
-//
-// Example:
-//
-//	outcome := exchange.Read(decision)
 func (exchange *exchange) Read(decision scheduler.Decision) scheduler.Outcome {
 	words := &exchange.intake.words
 	exchange.reader = decision.Server
@@ -294,10 +290,6 @@
 }
 
 // Run has a server make the answer, which is passed on.
-//
-// Example:
-//
-//	outcome := exchange.Run(route, decision, began)
 func (exchange *exchange) Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
 	words := &exchange.intake.words
 	if exchange.begun.Load() && exchange.lastEvent == "" {
--- a/internal/adapters/calls/gate.go
+++ b/internal/adapters/calls/gate.go
@@ -43,10 +43,6 @@
 
 // Open listens on the address for calls and on the one for readiness; either may be
 // empty.
-//
-// Example:
-//
-//	gate, failure := calls.Open(&process.tomb, intake, chosen.CallsAddress, chosen.ReadyAddress)
 func Open(owner *tomb.Tomb, intake *Intake, address, readyAddress string) (*Gate, error) {
 	return open(owner, intake, address, readyAddress, time.Now)
 }
@@ -96,10 +92,6 @@
 }
 
 // Close ends all circuits; those under way get a moment.
-//
-// Example:
-//
-//	gate.Close()
 func (gate *Gate) Close() {
 	lifetime, cancel := context.WithTimeout(context.Background(), closePatience)
 	defer cancel()
@@ -145,10 +137,6 @@
 
 // DismissIdle ends the connections that rest, as dismiss does. The node is leaving: its
 // clients find another one now, instead of being refused when they next ask.
-//
-// Example:
-//
-//	conduct.Retire(grace, gate.DismissIdle)
 func (gate *Gate) DismissIdle() {
 	var resting []net.Conn
 	gate.mutex.Lock()
--- a/internal/adapters/calls/intake.go
+++ b/internal/adapters/calls/intake.go
@@ -49,10 +49,6 @@
 }
 
 // NewIntake makes the handler of opaque calls.
-//
-// Example:
-//
-//	intake, failure := calls.NewIntake(lifetime, calls.DefaultWords(), circuits, conduct, turns.Now)
 func NewIntake(lifetime context.Context, words Words, circuits *Circuits, conduct Conduct, now func() time.Time) (*Intake, error) {
 	if err := words.Check(); err != nil {
 		return nil, err
@@ -81,10 +77,6 @@
 }
 
 // ServeHTTP serves one call.
-//
-// Example:
-//
-//	server := &http.Server{Handler: intake}
 func (intake *Intake) ServeHTTP(writer http.ResponseWriter, inbound *http.Request) {
 	began := time.Now()
 	how := intake.serve(writer, inbound, began)
--- a/internal/adapters/calls/lastword.go
+++ b/internal/adapters/calls/lastword.go
@@ -11,10 +11,6 @@
 )
 
 // Refuse ends the call with a word of our own.
-//
-// Example:
-//
-//	exchange.Refuse(hatch.Refusal{Cause: scheduler.Full, Status: 503, RetryAfter: 100 * time.Millisecond})
 func (exchange *exchange) Refuse(refusal hatch.Refusal) {
 	if exchange.begun.Load() {
 		exchange.Break()
@@ -42,10 +38,6 @@
 }
 
 // GivenUp counts why the call is tried no more.
-//
-// Example:
-//
-//	exchange.GivenUp(scheduler.BudgetUsed)
 func (exchange *exchange) GivenUp(reason scheduler.Reason) {
 	if counter, found := exchange.intake.meter.givenUp[reason]; found {
 		counter.Inc()
@@ -53,10 +45,6 @@
 }
 
 // Through passes the failing answer of the last dispatch on.
-//
-// Example:
-//
-//	if !exchange.Through() { exchange.Refuse(refusal) }
 func (exchange *exchange) Through() bool {
 	kept := exchange.kept
 	if kept == nil || exchange.begun.Load() {
@@ -74,17 +62,9 @@
 }
 
 // Break ends the answer so that it does not look complete.
-//
-// Example:
-//
-//	exchange.Break()
 func (exchange *exchange) Break() { exchange.ending = cut }
 
 // Free gives a prompt's memory back, in a thread of its own.
-//
-// Example:
-//
-//	exchange.Free(source)
 func (exchange *exchange) Free(source scheduler.Source) {
 	server := exchange.reader
 	if server.Address != source.Address {
--- a/internal/adapters/calls/meter.go
+++ b/internal/adapters/calls/meter.go
@@ -76,8 +76,4 @@
 }
 
 // WriteMetrics writes what was counted in the text format of Prometheus.
-//
-// Example:
-//
-//	intake.WriteMetrics(writer)
 func (intake *Intake) WriteMetrics(target io.Writer) { intake.meter.set.WritePrometheus(target) }
--- a/internal/adapters/calls/words.go
+++ b/internal/adapters/calls/words.go
@@ -49,10 +49,6 @@
 }
 
 // DefaultWords are the product's own, as docs/protocol.md has them.
-//
-// Example:
-//
-//	words := calls.DefaultWords()
 func DefaultWords() Words {
 	return Words{ID: "Seamloom-Call", Limit: "Seamloom-Limit-Milliseconds", Model: "Seamloom-Model", Tokens: "Seamloom-Tokens",
 		Parts: "Seamloom-Parts", Target: "Seamloom-Server", Stage: "Seamloom-Stage", StageRead: "prefill", Source: "Seamloom-Source",
@@ -61,10 +57,6 @@
 }
 
 // Check names every word that is missing. Headers must be in HTTP's canonical case.
-//
-// Example:
-//
-//	if failure := words.Check(); failure != nil { return nil, failure }
 func (words Words) Check() error {
 	var mistakes error
 	fields := reflect.ValueOf(words)
--- a/internal/adapters/courier/commands.go
+++ b/internal/adapters/courier/commands.go
@@ -25,10 +25,6 @@
 
 // Command has a server take a part. One that is late is worse than none: it ends
 // with the duty's hold.
-//
-// Example:
-//
-//	failure := orderly.Command(decision, may)
 func (orderly *orderly) Command(decision pass.Decision, may func() bool) error {
 	return orderly.Within(decision, func(lifetime context.Context) error { return orderly.orders.Order(lifetime, decision, may) })
 }
--- a/internal/adapters/courier/passing.go
+++ b/internal/adapters/courier/passing.go
@@ -35,10 +35,6 @@
 }
 
 // Pass sends an inquiry on and gives the records of its reply to take.
-//
-// Example:
-//
-//	begun := passing.Pass(address, passage, body, reply.WhenLeft, take)
 func (passing *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record formats.Record) bool) bool {
 	var touched atomic.Bool
 	// The circuit closes when the reply is over or its origin is gone.
--- a/internal/adapters/courier/process.go
+++ b/internal/adapters/courier/process.go
@@ -64,10 +64,6 @@
 }
 
 // Start listens and begins to work.
-//
-// Example:
-//
-//	process, failure := courier.Start(chosen, logger, wallclock.New(), courier.Ports{})
 func Start(chosen settings.Settings, logger *log.Logger, clock *wallclock.Clock, reached Ports) (*Process, error) {
 	supported := chosen.Supported()
 	process := &Process{logger: logger, clock: clock, chosen: chosen, supported: supported, ledger: usage.NewLedger()}
@@ -106,17 +102,9 @@
 func (process *Process) observe(event string, detail ...any) { process.logger.Info(event, detail...) }
 
 // Conduct is what the courier does, for who mounts further ways in.
-//
-// Example:
-//
-//	conduct := process.Conduct()
 func (process *Process) Conduct() *hatch.Courier { return process.conduct }
 
 // Answer listens on a further address for as long as the process lives.
-//
-// Example:
-//
-//	failure := process.Answer(chosen.ReadyAddress, handler)
 func (process *Process) Answer(address string, handler http.Handler) error {
 	return program.Serve(&process.tomb, address, handler)
 }
@@ -136,10 +124,6 @@
 
 // Drain stops letting in, waits for what runs until the patience ends, and
 // ends the process.
-//
-// Example:
-//
-//	failure := process.Drain(10 * time.Second)
 func (process *Process) Drain(patience time.Duration) error {
 	process.conduct.Apply(pass.Event{Kind: pass.DrainStarted})
 	process.logger.Info("draining", "in_flight", process.conduct.Core().InFlightRequests())
@@ -156,17 +140,9 @@
 }
 
 // Dead is closed when the process has ended by itself.
-//
-// Example:
-//
-//	<-process.Dead()
 func (process *Process) Dead() <-chan struct{} { return process.tomb.Dead() }
 
 // Reload takes settings that may change while the process runs.
-//
-// Example:
-//
-//	process.Reload(next)
 func (process *Process) Reload(next settings.Settings) {
 	process.mutex.Lock()
 	stays := process.chosen.Reload(next)
@@ -181,10 +157,6 @@
 }
 
 // Grace is how long what runs may go on after the process was told to end.
-//
-// Example:
-//
-//	failure := process.Drain(process.Grace())
 func (process *Process) Grace() time.Duration {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
--- a/internal/adapters/courier/reply.go
+++ b/internal/adapters/courier/reply.go
@@ -14,10 +14,6 @@
 }
 
 // Begin gives status and headers.
-//
-// Example:
-//
-//	reply.Begin(http.StatusOK, 0)
 func (reply *reply) Begin(status, retrySeconds int) {
 	kind := "application/jsonl"
 	if status != http.StatusOK {
@@ -33,10 +29,6 @@
 }
 
 // Line sends one line.
-//
-// Example:
-//
-//	failure := reply.Line(line)
 func (reply *reply) Line(line []byte) error {
 	if _, err := reply.writer.Write(line); err != nil {
 		return err
@@ -45,8 +37,4 @@
 }
 
 // WhenLeft has act called when the origin closes its circuit.
-//
-// Example:
-//
-//	reply.WhenLeft(stream.leave)
 func (reply *reply) WhenLeft(act func()) { context.AfterFunc(reply.inbound.Context(), act) }
--- a/internal/adapters/directory/directory.go
+++ b/internal/adapters/directory/directory.go
@@ -22,19 +22,11 @@
 const patience = time.Second
 
 // New makes a directory over a transport.
-//
-// Example:
-//
-//	platform := directory.New(rpc.Transport(nil))
 func New(transport http.RoundTripper) *Directory {
 	return &Directory{client: &http.Client{Transport: transport}}
 }
 
 // Servers reads the server list.
-//
-// Example:
-//
-//	servers, failure := platform.Servers(lifetime, "127.0.0.1:7000")
 func (directory *Directory) Servers(lifetime context.Context, address string) ([]membership.Server, error) {
 	var list struct {
 		Servers []membership.Server `json:"servers"`
@@ -44,10 +36,6 @@
 }
 
 // Nodes reads the node list.
-//
-// Example:
-//
-//	nodes, failure := platform.Nodes(lifetime, "127.0.0.1:7000")
 func (directory *Directory) Nodes(lifetime context.Context, address string) ([]membership.Node, error) {
 	var list struct {
 		Nodes []membership.Node `json:"nodes"`
--- a/internal/adapters/expediter/fleet.go
+++ b/internal/adapters/expediter/fleet.go
@@ -10,20 +10,12 @@
 
 // Edit changes the configuration if this expediter is primary, and returns once the
 // change is in force.
-//
-// Example:
-//
-//	version, failure := process.Edit(hatch.Edit{Builds: &revision, Digest: digest, Apply: replace})
 func (process *Process) Edit(edit hatch.Edit) (replication.Version, error) {
 	return process.conduct.Edit(edit)
 }
 
 // Configuration is the newest configuration that was acknowledged, if this expediter
 // is primary.
-//
-// Example:
-//
-//	text, failure := process.Configuration()
 func (process *Process) Configuration() ([]byte, error) {
 	_, _, state, err := process.conduct.Read()
 	if err != nil {
@@ -34,10 +26,6 @@
 
 // Leads tells whether this expediter is primary at this moment, and else the hotline
 // address of the one that is, as far as it has heard; empty if it has heard of none.
-//
-// Example:
-//
-//	if leads, elsewhere := process.Leads(); !leads && elsewhere != "" { ... }
 func (process *Process) Leads() (leads bool, elsewhere string) {
 	if _, _, err := process.conduct.Ruling(); err == nil {
 		return true, ""
@@ -50,10 +38,6 @@
 }
 
 // Answer listens on a further address for as long as the process lives.
-//
-// Example:
-//
-//	failure := process.Answer(chosen.ControlAddress, handler)
 func (process *Process) Answer(address string, handler http.Handler) error {
 	return program.Serve(&process.tomb, address, handler)
 }
--- a/internal/adapters/expediter/process.go
+++ b/internal/adapters/expediter/process.go
@@ -48,10 +48,6 @@
 }
 
 // Start opens the disk, listens and begins to work.
-//
-// Example:
-//
-//	process, failure := expediter.Start(chosen, logger, storage.RealDisk{}, wallclock.New(), expediter.Ports{})
 func Start(chosen settings.Settings, logger *log.Logger, disk storage.Disk, clock *wallclock.Clock, reached Ports) (*Process, error) {
 	process := &Process{logger: logger, clock: clock, chosen: chosen,
 		operatorsClient: rpc.NewClient(rpc.Transport(chosen.Detours))}
@@ -100,10 +96,6 @@
 }
 
 // Conduct is what the expediter does, for who mounts further ways in.
-//
-// Example:
-//
-//	version, failure := process.Conduct().Edit(edit)
 func (process *Process) Conduct() *hatch.Expediter { return process.conduct }
 
 // platform is the address of the platform's lists.
@@ -121,10 +113,6 @@
 // Stop hands over the lead, the copy and the witness's seat, goes on as before until that
 // is done or the grace is nearly over, and ends the process. What was not answered yet has
 // no known outcome.
-//
-// Example:
-//
-//	failure := process.Stop()
 func (process *Process) Stop() error {
 	process.mutex.Lock()
 	grace := process.chosen.Grace
@@ -135,17 +123,9 @@
 }
 
 // Dead is closed when the process has ended by itself.
-//
-// Example:
-//
-//	<-process.Dead()
 func (process *Process) Dead() <-chan struct{} { return process.tomb.Dead() }
 
 // Reload takes settings that may change while the process runs.
-//
-// Example:
-//
-//	process.Reload(next)
 func (process *Process) Reload(next settings.Settings) {
 	process.mutex.Lock()
 	stays := process.chosen.Reload(next)
--- a/internal/adapters/expediter/signpost.go
+++ b/internal/adapters/expediter/signpost.go
@@ -25,10 +25,6 @@
 }
 
 // StartSignpost makes a signpost.
-//
-// Example:
-//
-//	signpost := expediter.StartSignpost(chosen, logger, wallclock.New())
 func StartSignpost(chosen settings.Settings, logger *log.Logger, clock *wallclock.Clock) *Signpost {
 	signpost := &Signpost{}
 	lifetime := signpost.tomb.Context(context.Background())
@@ -43,60 +39,32 @@
 }
 
 // Answer listens on an address for as long as the process lives.
-//
-// Example:
-//
-//	failure := signpost.Answer(chosen.ControlAddress, handler)
 func (signpost *Signpost) Answer(address string, handler http.Handler) error {
 	return program.Serve(&signpost.tomb, address, handler)
 }
 
 // Edit changes nothing here.
-//
-// Example:
-//
-//	_, failure := signpost.Edit(edit) // no_primary
 func (signpost *Signpost) Edit(hatch.Edit) (replication.Version, error) {
 	return replication.Version{}, failure.New(failure.NoPrimary, "nothing is kept here")
 }
 
 // Configuration is not kept here.
-//
-// Example:
-//
-//	_, failure := signpost.Configuration() // no_primary
 func (signpost *Signpost) Configuration() ([]byte, error) {
 	return nil, failure.New(failure.NoPrimary, "nothing is kept here")
 }
 
 // Leads is never true; it gives the hotline address of the primary, if one is found.
-//
-// Example:
-//
-//	_, elsewhere := signpost.Leads()
 func (signpost *Signpost) Leads() (leads bool, elsewhere string) {
 	return false, signpost.conduct.Leader()
 }
 
 // Reload takes the seeds.
-//
-// Example:
-//
-//	signpost.Reload(next)
 func (signpost *Signpost) Reload(next settings.Settings) { signpost.conduct.SetSeeds(next.Seeds) }
 
 // Dead is closed when the process has ended by itself.
-//
-// Example:
-//
-//	<-signpost.Dead()
 func (signpost *Signpost) Dead() <-chan struct{} { return signpost.tomb.Dead() }
 
 // Stop ends the process.
-//
-// Example:
-//
-//	failure := signpost.Stop()
 func (signpost *Signpost) Stop() error {
 	signpost.tomb.Kill(nil)
 	return signpost.tomb.Wait()
--- a/internal/adapters/modelserver/guardedbody.go
+++ b/internal/adapters/modelserver/guardedbody.go
@@ -20,10 +20,6 @@
 var tooLate = failure.New(failure.LimitPassed, "the order may not go any more")
 
 // Read gives the next bytes, the first of them only if they may still go.
-//
-// Example:
-//
-//	count, failure := body.Read(buffer)
 func (body *guardedBody) Read(buffer []byte) (int, error) {
 	if !body.begun.Load() {
 		if !body.may() {
@@ -35,10 +31,6 @@
 }
 
 // Close ends the body.
-//
-// Example:
-//
-//	_ = body.Close()
 func (body *guardedBody) Close() error { return nil }
 
 // renew starts the order anew: the transport asks for it only when nothing of
--- a/internal/adapters/modelserver/loadreport.go
+++ b/internal/adapters/modelserver/loadreport.go
@@ -33,10 +33,6 @@
 
 // Check refuses a report that can't be true, so that the market never trades on
 // it.
-//
-// Example:
-//
-//	if failure := report.Check(); failure != nil { ... }
 func (report LoadReport) Check() error {
 	numbers := map[string]int{"age_milliseconds": report.AgeMilliseconds, "prefill_queue_tokens": report.PrefillQueueTokens, "prefill_tokens_per_second": report.PrefillRate,
 		"prefill_waiting": report.PrefillWaiting, "prefill_room": report.PrefillRoom, "decode_active": report.DecodeActive, "decode_slots": report.DecodeSlots,
@@ -60,10 +56,6 @@
 }
 
 // Load is the report in the core's terms.
-//
-// Example:
-//
-//	event := seamloom.Event{Kind: "load_reported", Load: &load}
 func (report LoadReport) Load() pass.Load {
 	return pass.Load{Server: report.Server, Incarnation: report.Incarnation, Part: pass.Part(report.Part), Leaving: report.Leaving,
 		Age: time.Duration(report.AgeMilliseconds) * time.Millisecond, PrefillQueueTokens: report.PrefillQueueTokens,
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -31,10 +31,6 @@
 }
 
 // New makes a client over a transport, for as long as a process lives.
-//
-// Example:
-//
-//	stove := modelserver.New(lifetime, turns, rpc.Transport(nil))
 func New(lifetime context.Context, turns lease.Turns, transport http.RoundTripper) *Stove {
 	return &Stove{client: rpc.NewClient(transport), lifetime: lifetime, turns: turns, running: map[string]context.CancelFunc{}}
 }
@@ -55,10 +51,6 @@
 }
 
 // EndRun ends whatever a run still has under way.
-//
-// Example:
-//
-//	modelserver.EndRun("inquiry-1", 1)
 func (stove *Stove) EndRun(id string, run int) {
 	stove.mutex.Lock()
 	defer stove.mutex.Unlock()
@@ -83,10 +75,6 @@
 
 // Post sends an order. May is asked at once and again when its body is taken, after
 // every wait for a circuit; begun tells whether any of it may have reached the server.
-//
-// Example:
-//
-//	inbound, begun, failure := modelserver.Post(lifetime, client, "http://127.0.0.1:7201/v1/part", header, content, may)
 func Post(lifetime context.Context, client *http.Client, location string, header http.Header, content []byte, may func() bool) (inbound *http.Response, begun bool, err error) {
 	if !may() {
 		return nil, false, tooLate
@@ -124,10 +112,6 @@
 }
 
 // Prefill has a server read a prompt, and returns the handle of its memory.
-//
-// Example:
-//
-//	outcome, handle, detail := modelserver.Prefill(decision, may)
 func (stove *Stove) Prefill(decision pass.Decision, may func() bool) (pass.Outcome, string, string) {
 	inquiry := decision.Inquiry
 	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run,
@@ -155,10 +139,6 @@
 
 // Decode has a server take up a prompt's memory and answer; each piece goes to
 // take as it comes.
-//
-// Example:
-//
-//	outcome, pieces, detail := modelserver.Decode(decision, may, func(piece int, text string) { ... })
 func (stove *Stove) Decode(decision pass.Decision, may func() bool, take func(piece int, text string)) (pass.Outcome, int, string) {
 	inquiry := decision.Inquiry
 	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run,
@@ -193,10 +173,6 @@
 }
 
 // Cancel breaks a run's circuit and has the server stop it.
-//
-// Example:
-//
-//	modelserver.Cancel(decision)
 func (stove *Stove) Cancel(decision pass.Decision) {
 	stove.EndRun(decision.ID, decision.Run)
 	stove.turns.Go(func() {
@@ -211,10 +187,6 @@
 
 // Command has a server take a part, under the fence of its key's holder. One
 // that is late is worse than none: it ends with the duty's hold.
-//
-// Example:
-//
-//	failure := modelserver.Command(decision, may)
 func (stove *Stove) Command(decision pass.Decision, may func() bool) error {
 	order := PartOrder{Part: string(decision.Part), Fence: decision.Duty.Fence, Holder: decision.Duty.Holder}
 	if decision.Order != nil {
@@ -236,10 +208,6 @@
 
 // Within has a command given in a lifetime that ends with the duty's hold, and soon
 // in any case.
-//
-// Example:
-//
-//	failure := modelserver.Within(decision, func(lifetime context.Context) error { return send(lifetime) })
 func (stove *Stove) Within(decision pass.Decision, act func(lifetime context.Context) error) error {
 	lifetime, end := context.WithTimeout(stove.lifetime, min(time.Second, decision.NotAfter.Sub(stove.turns.Now())))
 	defer end()
@@ -247,10 +215,6 @@
 }
 
 // Pressure reads a server's pressure within a patience, for the market of inquiries.
-//
-// Example:
-//
-//	load, failure := modelserver.Pressure(server, 700*time.Millisecond)
 func (stove *Stove) Pressure(server membership.Server, patience time.Duration) (pass.Load, error) {
 	lifetime, end := context.WithTimeout(stove.lifetime, patience)
 	defer end()
@@ -258,10 +222,6 @@
 }
 
 // Load reads a server's pressure.
-//
-// Example:
-//
-//	load, failure := modelserver.Load(lifetime, "127.0.0.1:7201")
 func (stove *Stove) Load(lifetime context.Context, address string) (pass.Load, error) {
 	var load pass.Load
 	outbound, err := http.NewRequestWithContext(lifetime, http.MethodGet, "http://"+address+"/v1/load", nil)
--- a/internal/adapters/ports/ports.go
+++ b/internal/adapters/ports/ports.go
@@ -38,19 +38,11 @@
 }
 
 // Servers reads the list of servers.
-//
-// Example:
-//
-//	servers, failure := here.Servers()
 func (here Here) Servers() ([]membership.Server, error) {
 	return here.Directory.Servers(here.Lifetime, here.Address())
 }
 
 // Nodes reads the list of nodes.
-//
-// Example:
-//
-//	nodes, failure := here.Nodes()
 func (here Here) Nodes() ([]membership.Node, error) {
 	return here.Directory.Nodes(here.Lifetime, here.Address())
 }
@@ -62,10 +54,6 @@
 }
 
 // Report asks one server, within the patience.
-//
-// Example:
-//
-//	load, failure := asking.Report(server, 700*time.Millisecond)
 func (asking Asking) Report(server membership.Server, patience time.Duration) (scheduler.Load, error) {
 	lifetime, end := context.WithTimeout(asking.Lifetime, patience)
 	defer end()
--- a/internal/adapters/program/program.go
+++ b/internal/adapters/program/program.go
@@ -32,10 +32,6 @@
 }
 
 // AddFlags gives a command the settings flags.
-//
-// Example:
-//
-//	flags := program.AddFlags(command, membership.Courier)
 func AddFlags(command *cobra.Command, kind membership.NodeKind) *Flags {
 	flags := &Flags{kind: kind, command: command}
 	defaults := settings.Defaults(kind)
@@ -78,17 +74,9 @@
 }
 
 // File is the settings file that the flags name, if any.
-//
-// Example:
-//
-//	signals.Wait(process.Dead(), flags.File(), reload)
 func (flags *Flags) File() string { return flags.file }
 
 // Read makes the settings of file and flags and names all mistakes at once.
-//
-// Example:
-//
-//	chosen, failure := flags.Read()
 func (flags *Flags) Read() (settings.Settings, error) {
 	chosen := settings.Defaults(flags.kind)
 	var mistakes error
@@ -140,10 +128,6 @@
 }
 
 // Logger writes JSON lines.
-//
-// Example:
-//
-//	logger := program.Logger(os.Stderr, "info", "courier-1")
 func Logger(target io.Writer, level, node string) *log.Logger {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -155,10 +139,6 @@
 }
 
 // Explain writes each mistake on a line of its own.
-//
-// Example:
-//
-//	program.Explain(os.Stderr, mistakes)
 func Explain(target io.Writer, mistakes error) {
 	for _, mistake := range multierr.Errors(mistakes) {
 		_, _ = io.WriteString(target, mistake.Error()+"\n")
@@ -168,10 +148,6 @@
 // ExitCode is what a program ends with that did not start: 2 for wrong use and
 // settings, 1 for what the machine or others did not give, such as a busy address
 // or a disk.
-//
-// Example:
-//
-//	os.Exit(program.ExitCode(failure))
 func ExitCode(err error) int {
 	switch failure.KindOf(err) {
 	case failure.Disk, failure.Unreachable, failure.Damaged:
@@ -181,10 +157,6 @@
 }
 
 // Every runs a task over and over, with a pause between, until the tomb dies.
-//
-// Example:
-//
-//	program.Every(&process.tomb, time.Second, process.sweep)
 func Every(owner *tomb.Tomb, pause time.Duration, task func()) {
 	owner.Go(func() error {
 		ticker := time.NewTicker(pause)
@@ -202,10 +174,6 @@
 
 // Serve listens and answers until the tomb dies; then circuits get a moment to
 // end by themselves.
-//
-// Example:
-//
-//	failure := program.Serve(&process.tomb, "127.0.0.1:7101", mux)
 func Serve(owner *tomb.Tomb, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/adapters/program/signals.go
+++ b/internal/adapters/program/signals.go
@@ -15,10 +15,6 @@
 }
 
 // CatchSignals is called first of all.
-//
-// Example:
-//
-//	signals := program.CatchSignals()
 func CatchSignals() *Signals {
 	signals := &Signals{caught: make(chan os.Signal, 8)}
 	signal.Notify(signals.caught, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
@@ -32,10 +28,6 @@
 // SIGINT return true. A settings file, if one is named, is also looked at now and
 // then, and a change of it reloads. It returns false when the process ended by
 // itself. What is caught after that has no effect: the process ends within its grace.
-//
-// Example:
-//
-//	if signals.Wait(process.Dead(), "courier.json", reload) { process.Stop() }
 func (signals *Signals) Wait(dead <-chan struct{}, file string, reload func()) bool {
 	var looks <-chan time.Time
 	seen := lookAt(file)
@@ -81,10 +73,6 @@
 }
 
 // Wait is Signals.Wait for a process that has no settings file to look at.
-//
-// Example:
-//
-//	if program.Wait(process.Dead(), reload) { process.Stop() }
 func Wait(dead <-chan struct{}, reload func()) bool {
 	return CatchSignals().Wait(dead, "", reload)
 }
--- a/internal/adapters/rpc/answerer.go
+++ b/internal/adapters/rpc/answerer.go
@@ -11,10 +11,6 @@
 )
 
 // Answerer makes an HTTP handler of what answers encoded messages.
-//
-// Example:
-//
-//	mux.Handle(pat.Post(path), rpc.Answerer(answer))
 func Answerer(answer func(body []byte) ([]byte, error)) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, MostBytes))
--- a/internal/adapters/rpc/caller.go
+++ b/internal/adapters/rpc/caller.go
@@ -31,10 +31,6 @@
 
 // NewCaller makes a caller. Detours replace addresses when dialling: the
 // rehearsal's relays stand there.
-//
-// Example:
-//
-//	caller := rpc.NewCaller(nil)
 func NewCaller(detours map[string]string) *Caller {
 	return &Caller{client: NewClient(Transport(detours))}
 }
@@ -42,19 +38,11 @@
 // NewClient makes the HTTP client for calls between processes and to model servers. It
 // sends nothing twice: a redirection is an answer like any other, and the transport sends
 // a POST again only when nothing of it was written.
-//
-// Example:
-//
-//	client := rpc.NewClient(rpc.Transport(nil))
 func NewClient(transport http.RoundTripper) *http.Client {
 	return &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
 // Transport is a plain HTTP/1.1 transport that follows the detours.
-//
-// Example:
-//
-//	client := &http.Client{Transport: rpc.Transport(nil)}
 func Transport(detours map[string]string) *http.Transport {
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second}
 	return &http.Transport{
@@ -71,10 +59,6 @@
 
 // CallRaw sends an encoded message and returns the encoded answer, as relays
 // do for others.
-//
-// Example:
-//
-//	answer, failure := caller.CallRaw(lifetime, address, path, body, time.Second)
 func (caller *Caller) CallRaw(lifetime context.Context, address, path string, body []byte, patience time.Duration) ([]byte, error) {
 	lifetime, end := context.WithTimeout(lifetime, patience)
 	defer end()
--- a/internal/adapters/rpc/line.go
+++ b/internal/adapters/rpc/line.go
@@ -12,11 +12,6 @@
 }
 
 // CallRaw sends an encoded message and returns the encoded answer.
-//
-// Example:
-//
-//	line := rpc.Line{Caller: rpc.NewCaller(nil), Lifetime: lifetime}
-//	answer, failure := line.CallRaw(address, path, body, time.Second)
 func (line Line) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
 	return line.Caller.CallRaw(line.Lifetime, address, path, body, patience)
 }
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -81,19 +81,11 @@
 const shortestCatchUp = 500 * time.Millisecond
 
 // Defaults are the settings before file and flags.
-//
-// Example:
-//
-//	chosen := settings.Defaults(membership.Courier)
 func Defaults(kind membership.NodeKind) Settings {
 	return Settings{Kind: kind, LogLevel: "info", Market: "pair", MostInquiries: 512, FlagSettle: 5000, BorneLosses: 1, Bootstrap: true, CatchUp: replication.DefaultCatchUp, ApplyWithin: defaultApplyWithin, Grace: DefaultGrace}
 }
 
 // ReadFile takes the settings of a JSON file over those given.
-//
-// Example:
-//
-//	failure := chosen.ReadFile("courier.json")
 func (settings *Settings) ReadFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -196,10 +188,6 @@
 var nameShape = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 // Check names all mistakes at once.
-//
-// Example:
-//
-//	if failure := chosen.Check(); failure != nil { fmt.Fprintln(os.Stderr, failure) }
 func (settings *Settings) Check() error {
 	var mistakes error
 	wrong := func(kind failure.Kind, path, detail string) {
@@ -300,10 +288,6 @@
 }
 
 // Supported is the build's list less what the settings withhold.
-//
-// Example:
-//
-//	core := seamloom.New(seamloom.Options{Supported: chosen.Supported()})
 func (settings *Settings) Supported() formats.List {
 	var withheld formats.List
 	for _, flag := range settings.Withhold {
@@ -314,10 +298,6 @@
 
 // Reload takes from the next settings what may change while the process runs,
 // and names what may not and has changed.
-//
-// Example:
-//
-//	stays := chosen.Reload(next)
 func (settings *Settings) Reload(next Settings) []string {
 	var stays []string
 	old, fresh := reflect.ValueOf(settings).Elem(), reflect.ValueOf(next)
--- a/internal/adapters/storage/folder.go
+++ b/internal/adapters/storage/folder.go
@@ -27,10 +27,6 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // OpenFolder makes the folder if it is missing.
-//
-// Example:
-//
-//	shelf, failure := storage.OpenFolder(storage.RealDisk{}, "/var/lib/seamloom/larder")
 func OpenFolder(disk Disk, path string) (*Folder, error) {
 	if err := disk.MakeFolder(path); err != nil {
 		return nil, failure.Wrap(failure.Disk, err)
@@ -39,10 +35,6 @@
 }
 
 // Save writes a file aside, syncs it, renames it and syncs the folder.
-//
-// Example:
-//
-//	failure := folder.Save("version-1", content)
 func (folder *Folder) Save(name string, content []byte) error {
 	framed := make([]byte, headerSize, headerSize+len(content))
 	copy(framed, magic)
@@ -60,10 +52,6 @@
 
 // Load reads every file; those with a wrong checksum are named as damaged.
 // What was written aside and never renamed is removed.
-//
-// Example:
-//
-//	files, damaged, failure := folder.Load()
 func (folder *Folder) Load() (map[string][]byte, []string, error) {
 	names, err := folder.disk.List(folder.path)
 	if err != nil {
@@ -89,10 +77,6 @@
 }
 
 // Remove deletes files; one that is gone already is no failure.
-//
-// Example:
-//
-//	failure := folder.Remove([]string{"version-1"})
 func (folder *Folder) Remove(names []string) error {
 	for _, name := range names {
 		if err := folder.disk.Remove(filepath.Join(folder.path, name)); err != nil && !os.IsNotExist(err) {
--- a/internal/adapters/threads/bell.go
+++ b/internal/adapters/threads/bell.go
@@ -20,10 +20,6 @@
 }
 
 // Ring wakes all who wait.
-//
-// Example:
-//
-//	bell.Ring()
 func (bell *bell) Ring() {
 	bell.mutex.Lock()
 	defer bell.mutex.Unlock()
@@ -32,10 +28,6 @@
 }
 
 // Wait waits until over is true, the patience ends or the process does.
-//
-// Example:
-//
-//	answered := bell.Wait(time.Second, func() bool { return answer != nil })
 func (bell *bell) Wait(patience time.Duration, over func() bool) bool {
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
--- a/internal/adapters/threads/threads.go
+++ b/internal/adapters/threads/threads.go
@@ -16,47 +16,23 @@
 }
 
 // New makes the threads of a process.
-//
-// Example:
-//
-//	turns := threads.New(lifetime, wallclock.New())
 func New(lifetime context.Context, clock *wallclock.Clock) *Threads {
 	return &Threads{clock: clock, lifetime: lifetime}
 }
 
 // Now is the clock's time.
-//
-// Example:
-//
-//	asked := turns.Now()
 func (threads *Threads) Now() time.Time { return threads.clock.Now() }
 
 // Wall is the machine's wall clock.
-//
-// Example:
-//
-//	made := turns.Wall()
 func (threads *Threads) Wall() time.Time { return threads.clock.Wall() }
 
 // Alive tells whether the process goes on.
-//
-// Example:
-//
-//	for turns.Alive() { ... }
 func (threads *Threads) Alive() bool { return threads.lifetime.Err() == nil }
 
 // Go starts a thread.
-//
-// Example:
-//
-//	turns.Go(func() { ... })
 func (threads *Threads) Go(act func()) { go act() }
 
 // NewBell makes a bell.
-//
-// Example:
-//
-//	news := turns.NewBell()
 func (threads *Threads) NewBell() lease.Bell {
 	return &bell{lifetime: threads.lifetime, next: make(chan struct{})}
 }
--- a/internal/adapters/usage/export.go
+++ b/internal/adapters/usage/export.go
@@ -14,10 +14,6 @@
 var Columns = []string{"minute", "courier", "service", "origin", "final", "inquiries", "prompt_tokens", "pieces"}
 
 // WriteCSV writes rows with a line of names first.
-//
-// Example:
-//
-//	failure := usage.WriteCSV(file, rows)
 func WriteCSV(target io.Writer, rows []Row) error {
 	writer := csv.NewWriter(target)
 	if err := writer.Write(Columns); err != nil {
@@ -34,10 +30,6 @@
 }
 
 // WriteParquet writes rows with their schema.
-//
-// Example:
-//
-//	failure := usage.WriteParquet(file, rows)
 func WriteParquet(target io.Writer, rows []Row) error {
 	return failure.Wrap(failure.Disk, parquet.Write(target, rows))
 }
--- a/internal/adapters/usage/ledger.go
+++ b/internal/adapters/usage/ledger.go
@@ -16,17 +16,9 @@
 }
 
 // NewLedger starts an empty ledger.
-//
-// Example:
-//
-//	ledger := usage.NewLedger()
 func NewLedger() *Ledger { return &Ledger{rows: map[Row]*Row{}} }
 
 // Note adds one inquiry that has ended.
-//
-// Example:
-//
-//	ledger.Note(now, usage.Row{Courier: "courier-1", Service: "chat", Final: "complete", PromptTokens: 80, Pieces: 12})
 func (ledger *Ledger) Note(now time.Time, ended Row) {
 	ended.Minute = now.UTC().Truncate(time.Minute).Format(time.RFC3339)
 	key := Row{Minute: ended.Minute, Courier: ended.Courier, Service: ended.Service, Origin: ended.Origin, Final: ended.Final}
@@ -61,10 +53,6 @@
 }
 
 // Rows lists the ledger in order.
-//
-// Example:
-//
-//	rows := ledger.Rows()
 func (ledger *Ledger) Rows() []Row {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -77,10 +65,6 @@
 }
 
 // Sort orders rows by minute, courier, service, origin and end.
-//
-// Example:
-//
-//	usage.Sort(rows)
 func Sort(rows []Row) {
 	name := func(row Row) string {
 		return row.Minute + "\x00" + row.Courier + "\x00" + row.Service + "\x00" + row.Origin + "\x00" + row.Final
--- a/internal/adapters/wallclock/clock.go
+++ b/internal/adapters/wallclock/clock.go
@@ -17,34 +17,18 @@
 }
 
 // New starts a clock.
-//
-// Example:
-//
-//	clock := wallclock.New()
 func New() *Clock { return Over(time.Now) }
 
 // Over starts a clock over another source of the wall clock's time, such as
 // one that jumps in rehearsals.
-//
-// Example:
-//
-//	clock := wallclock.Over(jumping.Now)
 func Over(wall func() time.Time) *Clock {
 	return &Clock{began: wall().Round(0), boot: sinceBoot(), wall: wall}
 }
 
 // Now is the time, for holds, limits and patience.
-//
-// Example:
-//
-//	ends := clock.Now().Add(hold)
 func (clock *Clock) Now() time.Time { return clock.began.Add(sinceBoot() - clock.boot) }
 
 // Wall is what the machine's wall clock says, which may jump.
-//
-// Example:
-//
-//	goal := clock.Wall().Add(-retention)
 func (clock *Clock) Wall() time.Time { return clock.wall().Round(0) }
 
 func sinceBoot() time.Duration {
--- a/internal/backlog/ledger.go
+++ b/internal/backlog/ledger.go
@@ -27,10 +27,6 @@
 }
 
 // Apply counts a question's changes, answers it and counts its intent.
-//
-// Example:
-//
-//	answer := ledger.Apply(now, backlog.Question{Router: "router-1", Group: "desk/north/0", Asks: true})
 func (ledger *Ledger) Apply(now time.Time, question Question) Answer {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -26,10 +26,6 @@
 
 // Check reads a whole configuration; it returns either the configuration or
 // *Findings with every failure's path and type.
-//
-// Example:
-//
-//	configuration, failure := config.Check([]byte(`{"services":{"chat":{}}}`))
 func Check(text []byte) (*Configuration, error) {
 	findings := &Findings{}
 	if len(text) > MostBytes {
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -35,19 +35,11 @@
 
 // Empty is the configuration of a fleet that was given none: it has no
 // services, so every inquiry is refused as unknown.
-//
-// Example:
-//
-//	configuration := config.Empty()
 func Empty() *Configuration {
 	return &Configuration{Text: []byte(`{}`), Services: map[string]Service{}, Evacuations: map[string]Evacuation{}}
 }
 
 // Evacuated tells whether a district is evacuated.
-//
-// Example:
-//
-//	if configuration.Evacuated("north") { ... }
 func (configuration *Configuration) Evacuated(district string) bool {
 	_, found := configuration.Evacuations[district]
 	return found
@@ -55,10 +47,6 @@
 
 // Evacuate is the configuration's text with the district evacuated: the very text
 // if it is so for that reason already.
-//
-// Example:
-//
-//	text, failure := config.Evacuate(configuration.Text, "north", "power work")
 func Evacuate(text []byte, district, reason string) ([]byte, error) {
 	if current, evacuated, err := evacuationOf(text, district); err != nil || evacuated && current == reason {
 		return text, err
@@ -71,10 +59,6 @@
 
 // Restore is the configuration's text with the district's evacuation lifted: the
 // very text if there is none.
-//
-// Example:
-//
-//	text, failure := config.Restore(configuration.Text, "north")
 func Restore(text []byte, district string) ([]byte, error) {
 	if _, evacuated, err := evacuationOf(text, district); err != nil || !evacuated {
 		return text, err
--- a/internal/config/findings.go
+++ b/internal/config/findings.go
@@ -11,10 +11,6 @@
 const MostFindings = 100
 
 // Error says how many failures there are, and the first.
-//
-// Example:
-//
-//	findings.Error() // "2 failures, the first: wrong_type at /services"
 func (findings *Findings) Error() string {
 	if len(findings.Troubles) == 1 {
 		return findings.Troubles[0].Error()
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -8,10 +8,6 @@
 
 // Merge applies a JSON merge patch (RFC 7396) to a configuration's text. The
 // result still has to be checked.
-//
-// Example:
-//
-//	text, failure := config.Merge(current, []byte(`{"routes":{"chat":null}}`))
 func Merge(text, patch []byte) ([]byte, error) {
 	targetParser, patchParser := parsers.Get(), parsers.Get()
 	defer parsers.Put(targetParser)
--- a/internal/config/place.go
+++ b/internal/config/place.go
@@ -12,10 +12,6 @@
 func (at place) field(name string) place { return place{parent: &at, name: name} }
 
 // String is the place as a JSON pointer.
-//
-// Example:
-//
-//	place{}.field("routes").field("a/b").String() // "/routes/a~1b"
 func (at place) String() string {
 	if at.parent == nil {
 		return "/"
--- a/internal/config/revise.go
+++ b/internal/config/revise.go
@@ -11,10 +11,6 @@
 // Revise makes the next revision of a configuration's text: the edit is made only
 // if the text has the revision that it builds on, and must give a higher one. A new
 // text that says nothing of evacuations keeps those in force.
-//
-// Example:
-//
-//	next, failure := config.Revise(current, 5, func([]byte) ([]byte, error) { return proposed, nil })
 func Revise(text []byte, builds uint64, edit func(text []byte) ([]byte, error)) ([]byte, error) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
--- a/internal/config/taste.go
+++ b/internal/config/taste.go
@@ -24,10 +24,6 @@
 
 // Taste checks a proposed configuration against the fleet as it is and the
 // configuration in force. It changes nothing.
-//
-// Example:
-//
-//	remarks := config.Taste(proposed, current, facts)
 func Taste(proposed []byte, current *Configuration, facts Facts) []Remark {
 	configuration, err := Check(proposed)
 	var findings *Findings
--- a/internal/failure/trouble.go
+++ b/internal/failure/trouble.go
@@ -16,10 +16,6 @@
 }
 
 // Error says the trouble in one line.
-//
-// Example:
-//
-//	failure.New(failure.NoPrimary, "ask again").Error() // "no_primary: ask again"
 func (trouble *Trouble) Error() string {
 	text := string(trouble.Kind)
 	if trouble.Path != "" {
@@ -32,26 +28,14 @@
 }
 
 // New makes a trouble of a kind.
-//
-// Example:
-//
-//	return failure.New(failure.NoHold, "the courier's hold ran out")
 func New(kind Kind, detail string) *Trouble { return &Trouble{Kind: kind, Detail: detail} }
 
 // At makes a trouble about the value at a path.
-//
-// Example:
-//
-//	return failure.At(failure.WrongType, "/routes/chat/order", "a whole number is needed")
 func At(kind Kind, path, detail string) *Trouble {
 	return &Trouble{Kind: kind, Path: path, Detail: detail}
 }
 
 // Wrap keeps the cause's text under a kind, and traces where it was met.
-//
-// Example:
-//
-//	return failure.Wrap(failure.Disk, cause)
 func Wrap(kind Kind, cause error) error {
 	if cause == nil {
 		return nil
@@ -64,10 +48,6 @@
 }
 
 // KindOf finds the kind of a failure, or Unsorted when it has none.
-//
-// Example:
-//
-//	if failure.KindOf(failure) == failure.VersionConflict { ... }
 func KindOf(err error) Kind {
 	var typed *Trouble
 	if stderrors.As(err, &typed) {
@@ -77,10 +57,6 @@
 }
 
 // DetailOf finds the detail of a failure, or nothing when it has none.
-//
-// Example:
-//
-//	if failure.DetailOf(failure) == "status 404" { ... }
 func DetailOf(err error) string {
 	var typed *Trouble
 	if stderrors.As(err, &typed) {
--- a/internal/formats/description.go
+++ b/internal/formats/description.go
@@ -14,8 +14,4 @@
 }
 
 // Book lists the flags that this build knows, in order of name.
-//
-// Example:
-//
-//	for _, description := range formats.Book() { fmt.Println(description.Name) }
 func Book() []Description { return append([]Description(nil), book...) }
--- a/internal/formats/entry.go
+++ b/internal/formats/entry.go
@@ -13,20 +13,12 @@
 }
 
 // WriteEntry makes a retry or recover record.
-//
-// Example:
-//
-//	record, failure := formats.WriteEntry(formats.RecoverRecord, entry)
 func WriteEntry(kind RecordKind, entry Entry) (Record, error) {
 	record := NewRecord(kind, entry.Inquiry, entry.Courier, uint64(entry.Run))
 	return record, record.Put("entry", entry)
 }
 
 // ReadEntry reads a retry or recover record.
-//
-// Example:
-//
-//	entry, failure := formats.ReadEntry(record)
 func ReadEntry(record Record) (Entry, error) {
 	var entry Entry
 	_, err := record.readNewest(nil, format{"", "entry", &entry})
--- a/internal/formats/list.go
+++ b/internal/formats/list.go
@@ -7,11 +7,6 @@
 
 // Supported is this build's list, less the flags that are withheld by a test
 // setting so that an older release can be run beside a newer one.
-//
-// Example:
-//
-//	formats.Supported(nil)                                // every flag of the build
-//	formats.Supported(formats.List{formats.OrderPatience})  // the release before it
 func Supported(withheld List) List {
 	supported := List{}
 	for _, description := range book {
@@ -23,10 +18,6 @@
 }
 
 // Has tells whether the flag is in the list.
-//
-// Example:
-//
-//	enabled.Has(formats.PairPrice)
 func (list List) Has(flag Flag) bool {
 	for _, entry := range list {
 		if entry == flag {
@@ -37,10 +28,6 @@
 }
 
 // Lacks lists the wanted flags that are not in the list.
-//
-// Example:
-//
-//	restricted := len(supported.Lacks(enabled)) > 0
 func (list List) Lacks(wanted List) List {
 	var lacking List
 	for _, flag := range wanted {
@@ -52,10 +39,6 @@
 }
 
 // With is a new list that has the flags as well.
-//
-// Example:
-//
-//	enabled = enabled.With(formats.PairPrice)
 func (list List) With(flags ...Flag) List {
 	joined := append(List(nil), list...)
 	for _, flag := range flags {
--- a/internal/formats/order.go
+++ b/internal/formats/order.go
@@ -21,20 +21,12 @@
 
 // WriteOrder makes the order's record in the format that the enabled flags
 // allow: the first format always, the second beside it under OrderPatience.
-//
-// Example:
-//
-//	record, failure := formats.WriteOrder(order, "courier-1", 9, enabled)
 func WriteOrder(order Order, writer string, number uint64, enabled List) (Record, error) {
 	record := NewRecord(OrderRecord, order.Server, writer, number)
 	return record, record.putFormats(enabled, format{"", "order", orderFirst{Server: order.Server, Part: order.Part}}, format{OrderPatience, "order_v2", order})
 }
 
 // ReadOrder reads the newest key that this build supports and falls back.
-//
-// Example:
-//
-//	order, failure := formats.ReadOrder(record, supported)
 func ReadOrder(record Record, supported List) (Order, error) {
 	var order Order
 	var first orderFirst
--- a/internal/formats/pair.go
+++ b/internal/formats/pair.go
@@ -21,10 +21,6 @@
 }
 
 // WritePair makes the pair's record in the format that the flags allow.
-//
-// Example:
-//
-//	record, failure := formats.WritePair(pair, "courier-1", enabled)
 func WritePair(pair Pair, writer string, enabled List) (Record, error) {
 	record := NewRecord(PairRecord, pair.Inquiry, writer, uint64(pair.Run))
 	first := pairFirst{Inquiry: pair.Inquiry, Run: pair.Run, Prefill: pair.Prefill, Decode: pair.Decode}
@@ -32,10 +28,6 @@
 }
 
 // ReadPair reads the newest key that this build supports and falls back.
-//
-// Example:
-//
-//	pair, failure := formats.ReadPair(record, supported)
 func ReadPair(record Record, supported List) (Pair, error) {
 	var pair Pair
 	var first pairFirst
--- a/internal/formats/record.go
+++ b/internal/formats/record.go
@@ -20,19 +20,11 @@
 }
 
 // NewRecord starts a record with an empty features map.
-//
-// Example:
-//
-//	record := formats.NewRecord(formats.OrderRecord, "stove-1", "courier-2", 7)
 func NewRecord(kind RecordKind, key, writer string, number uint64) Record {
 	return Record{Kind: kind, Key: key, Writer: writer, Number: number, Features: map[string]msgpack.RawMessage{}}
 }
 
 // Put writes one key of the features map.
-//
-// Example:
-//
-//	failure := record.Put("order", formats.Order{Part: "decode"})
 func (record *Record) Put(key string, value any) error {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
@@ -44,10 +36,6 @@
 
 // Read decodes one key of the features map; it tells false when the record
 // does not have the key, as an older record does not.
-//
-// Example:
-//
-//	found, failure := record.Read("order_v2", &order)
 func (record Record) Read(key string, value any) (bool, error) {
 	encoded, found := record.Features[key]
 	if !found {
--- a/internal/formats/streammessage.go
+++ b/internal/formats/streammessage.go
@@ -9,20 +9,12 @@
 }
 
 // WriteStreamMessage makes the message's record.
-//
-// Example:
-//
-//	record, failure := formats.WriteStreamMessage(message, "courier-1", 4)
 func WriteStreamMessage(message StreamMessage, writer string, number uint64) (Record, error) {
 	record := NewRecord(StreamRecord, message.Inquiry, writer, number)
 	return record, record.Put("stream", message)
 }
 
 // ReadStreamMessage reads the message's record.
-//
-// Example:
-//
-//	message, failure := formats.ReadStreamMessage(record)
 func ReadStreamMessage(record Record) (StreamMessage, error) {
 	var message StreamMessage
 	_, err := record.readNewest(nil, format{"", "stream", &message})
--- a/internal/hatch/ask.go
+++ b/internal/hatch/ask.go
@@ -19,10 +19,6 @@
 // Ask sends a message to the primary, wherever it is, or through a neighbour
 // when it can't be reached. The answer must say whether its giver leads. Each
 // address is given the patience; altogether it ends by a moment, if one is given.
-//
-// Example:
-//
-//	failure := followed.Ask(hatch.ClaimPath, question, &answer, time.Second, ends)
 func (follower *Follower) Ask(path string, question, answer any, patience time.Duration, ends time.Time) error {
 	body, err := msgpack.Marshal(question)
 	if err != nil {
@@ -49,10 +45,6 @@
 }
 
 // AskRaw sends an encoded message to the primary without a neighbour's help.
-//
-// Example:
-//
-//	reply, failure := followed.AskRaw(path, body, time.Second, time.Time{})
 func (follower *Follower) AskRaw(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
 	asked := map[string]bool{}
 	var last error = failure.New(failure.NoPrimary, "no expediter is known")
@@ -167,10 +159,6 @@
 }
 
 // Relay passes another node's message to the primary that this node knows.
-//
-// Example:
-//
-//	reply, failure := followed.Relay(question)
 func (follower *Follower) Relay(question RelayQuestion) ([]byte, error) {
 	switch question.Path {
 	case NewsPath, ClaimPath, OrdersPath:
--- a/internal/hatch/calls.go
+++ b/internal/hatch/calls.go
@@ -29,36 +29,20 @@
 }
 
 // NewCalls makes the conduct over a window. Listed is told which servers there are.
-//
-// Example:
-//
-//	conduct := hatch.NewCalls(turns, scheduler.New(options), circuits.SetServers)
 func NewCalls(turns lease.Turns, window *scheduler.Window, listed func(servers []membership.Server)) *Calls {
 	return &Calls{turns: turns, window: window, listed: listed}
 }
 
 // SetConfiguration puts a configuration in force, unless a newer one is.
-//
-// Example:
-//
-//	conduct.SetConfiguration(configuration, version)
 func (calls *Calls) SetConfiguration(configuration *config.Configuration, version replication.Version) {
 	calls.window.SetProgram(scheduler.Compile(configuration, version.Epoch, version.Number))
 }
 
 // SetServing bounds until when calls are let in.
-//
-// Example:
-//
-//	conduct.SetServing(holdEnds)
 func (calls *Calls) SetServing(until time.Time) { calls.serving.Store(&until) }
 
 // SetKeepers gives the way to those who keep counts of what servers read, before any call
 // comes.
-//
-// Example:
-//
-//	conduct.SetKeepers(keepers)
 func (calls *Calls) SetKeepers(keepers *CountKeepers) { calls.keepers = keepers }
 
 // serves tells whether calls may be let in now.
@@ -72,10 +56,6 @@
 const unheldRetry = 300 * time.Millisecond
 
 // SetServers takes the list of servers.
-//
-// Example:
-//
-//	conduct.SetServers(turns.Now(), servers)
 func (calls *Calls) SetServers(now time.Time, servers []membership.Server) {
 	calls.listed(servers)
 	calls.window.SetServers(now, servers)
@@ -83,27 +63,15 @@
 }
 
 // SetLoads takes what the servers reported of themselves.
-//
-// Example:
-//
-//	conduct.SetLoads(turns.Now(), loads)
 func (calls *Calls) SetLoads(now time.Time, loads []scheduler.Load) {
 	calls.window.SetLoads(now, loads)
 }
 
 // SetCouriers tells how many couriers share the servers.
-//
-// Example:
-//
-//	conduct.SetCouriers(9)
 func (calls *Calls) SetCouriers(count int) { calls.window.SetCouriers(count) }
 
 // Ready tells whether calls are welcome: a configuration is in force, servers are
 // known, and the courier is not leaving.
-//
-// Example:
-//
-//	if !conduct.Ready() { status = http.StatusServiceUnavailable }
 func (calls *Calls) Ready() bool {
 	epoch, number := calls.window.InForce()
 	return (epoch > 0 || number > 0) && calls.servers.Load() > 0 && !calls.leaving.Load() && calls.serves()
@@ -111,17 +79,9 @@
 
 // Leave says that the courier is leaving. Calls that still come are served until
 // Drain.
-//
-// Example:
-//
-//	conduct.Leave()
 func (calls *Calls) Leave() { calls.leaving.Store(true) }
 
 // Leaving tells whether the courier is leaving.
-//
-// Example:
-//
-//	if conduct.Leaving() { header.Set("Connection", "close") }
 func (calls *Calls) Leaving() bool { return calls.leaving.Load() }
 
 // The pauses of leaving. The values are ours.
@@ -140,10 +100,6 @@
 // until that is noticed, refuses after that, and returns when nothing is under way or
 // the grace is over. Noticed is told when those who look have noticed: clients whose
 // connections rest had better not come back on them.
-//
-// Example:
-//
-//	conduct.Retire(8*time.Second, gate.DismissIdle)
 func (calls *Calls) Retire(grace time.Duration, noticed func()) {
 	ends := calls.turns.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
 	calls.Leave()
@@ -156,17 +112,9 @@
 }
 
 // Limits bound what an origin may send.
-//
-// Example:
-//
-//	most := conduct.Limits().BodyBytes
 func (calls *Calls) Limits() config.Limits { return calls.window.Limits() }
 
 // Serve serves one call and returns when it is over.
-//
-// Example:
-//
-//	conduct.Serve(call, exchange)
 func (calls *Calls) Serve(call *scheduler.Call, exchange Exchange) {
 	if !calls.serves() {
 		exchange.Refuse(Refusal{Cause: scheduler.NotReady, Status: statusOf(scheduler.NotReady), RetryAfter: unheldRetry})
--- a/internal/hatch/counter.go
+++ b/internal/hatch/counter.go
@@ -18,10 +18,6 @@
 )
 
 // Answers is what the expediter answers on the hotline.
-//
-// Example:
-//
-//	encoded, failure := core.Answers().Answer(path, body)
 func (expediter *Expediter) Answers() Answers { return expediter.answers }
 
 func (expediter *Expediter) table() Answers {
--- a/internal/hatch/countkeepers.go
+++ b/internal/hatch/countkeepers.go
@@ -42,20 +42,12 @@
 )
 
 // NewCountKeepers makes the keepers' side and the asking side of one life of a node.
-//
-// Example:
-//
-//	keepers := hatch.NewCountKeepers(turns, line, core.Calls(), "courier-1", nonce())
 func NewCountKeepers(turns lease.Turns, line Hotline, window *scheduler.Window, self, life string) *CountKeepers {
 	return &CountKeepers{turns: turns, line: line, window: window, self: self, life: life, changed: turns.NewBell(),
 		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
 }
 
 // SetNodes tells which nodes of the data plane are recorded.
-//
-// Example:
-//
-//	keepers.SetNodes(members)
 func (keepers *CountKeepers) SetNodes(members map[string]membership.Member) {
 	nodes := map[string]membership.Member{}
 	for name, member := range members {
@@ -70,20 +62,12 @@
 }
 
 // Answer answers a question of another node.
-//
-// Example:
-//
-//	answer, failure := keepers.Answer(question)
 func (keepers *CountKeepers) Answer(question backlog.Question) (backlog.Answer, error) {
 	return keepers.ledger.Apply(keepers.turns.Now(), question), nil
 }
 
 // Ask brings questions to their keepers, all at once, and gives the answers that come in
 // time, by group.
-//
-// Example:
-//
-//	decision = window.Told(turns.Now(), ticket, keepers.Ask(decision.Questions))
 func (keepers *CountKeepers) Ask(questions []backlog.Question) map[string]backlog.Answer {
 	answers := make(map[string]backlog.Answer, len(questions))
 	var mutex sync.Mutex
@@ -189,10 +173,6 @@
 }
 
 // Tell brings changes to the keepers whenever there are any.
-//
-// Example:
-//
-//	turns.Go(keepers.Tell)
 func (keepers *CountKeepers) Tell() {
 	for keepers.turns.Alive() {
 		keepers.changed.Wait(restTick, keepers.window.HasChanges)
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -71,10 +71,6 @@
 )
 
 // NewCourier makes the conduct of one courier.
-//
-// Example:
-//
-//	courier := hatch.NewCourier(turns, line, stove, passing, options, observe)
 func NewCourier(turns lease.Turns, line Hotline, stove Stove, passing Passing, options CourierOptions, observe func(string, ...any)) *Courier {
 	courier := &Courier{turns: turns, line: line, stove: stove, passing: passing, options: options, observe: observe,
 		core: seamloom.New(options.Options), stirred: turns.NewBell(), crumbs: turns.NewBell(), journal: newJournal(), incarnation: options.Nonce(),
@@ -96,10 +92,6 @@
 }
 
 // Rounds are what a courier does over and over, each in a thread of its own.
-//
-// Example:
-//
-//	for _, round := range courier.Rounds() { turns.Go(round) }
 func (courier *Courier) Rounds() []func() {
 	rounds := []func(){
 		courier.tick,
@@ -145,39 +137,19 @@
 }
 
 // Core is the deciding core.
-//
-// Example:
-//
-//	ready := turns.Now().Before(courier.Core().HoldEnds())
 func (courier *Courier) Core() *seamloom.Core { return courier.core }
 
 // Journal is what is known of recent inquiries.
-//
-// Example:
-//
-//	trace, found := courier.Journal().Fold(id, supported)
 func (courier *Courier) Journal() *Journal { return courier.journal }
 
 // Heard is when a primary answered last.
-//
-// Example:
-//
-//	silence := now.Sub(courier.Heard())
 func (courier *Courier) Heard() time.Time { return courier.followed.Heard() }
 
 // SetSeeds exchanges the seeds, after a reload.
-//
-// Example:
-//
-//	courier.SetSeeds(chosen.Seeds)
 func (courier *Courier) SetSeeds(seeds []string) { courier.followed.SetSeeds(seeds) }
 
 // SetServeWithoutHold chooses how long the courier goes on letting in after its last
 // hold. Duties always need a hold.
-//
-// Example:
-//
-//	courier.SetServeWithoutHold(time.Minute)
 func (courier *Courier) SetServeWithoutHold(length time.Duration) {
 	courier.core.SetServeWithoutHold(length)
 	courier.followed.SetProvisional(length > 0)
@@ -192,20 +164,12 @@
 }
 
 // InForce is the version of the configuration in force.
-//
-// Example:
-//
-//	version := courier.InForce()
 func (courier *Courier) InForce() replication.Version {
 	epoch, number := courier.core.InForce()
 	return replication.Version{Epoch: epoch, Number: number}
 }
 
 // Apply feeds one event to the core and carries its decisions out.
-//
-// Example:
-//
-//	courier.Apply(pass.Event{Kind: pass.ServersListed, Servers: servers})
 func (courier *Courier) Apply(event pass.Event) {
 	if event.At.IsZero() {
 		event.At = courier.turns.Now()
@@ -216,10 +180,6 @@
 }
 
 // Answers is what the courier answers on the hotline.
-//
-// Example:
-//
-//	encoded, failure := courier.Answers().Answer(path, body)
 func (courier *Courier) Answers() Answers { return courier.answers }
 
 func (courier *Courier) table() Answers {
@@ -422,10 +382,6 @@
 
 // Serve takes one inquiry and answers its origin; it returns when the reply is
 // over.
-//
-// Example:
-//
-//	courier.Serve(hatch.Arrival{Inquiry: inquiry, Body: body}, reply)
 func (courier *Courier) Serve(arrival Arrival, reply Reply) {
 	inquiry := arrival.Inquiry
 	if !courier.meant(arrival) {
--- a/internal/hatch/edit.go
+++ b/internal/hatch/edit.go
@@ -34,10 +34,6 @@
 
 // Edit changes the configuration and returns the version once it is in force
 // everywhere. A failure of kind Unknown says that it may have been accepted.
-//
-// Example:
-//
-//	version, failure := core.Edit(hatch.Edit{Change: id, Digest: digest, Apply: evacuate})
 func (expediter *Expediter) Edit(edit Edit) (replication.Version, error) {
 	if edit.Builds != nil {
 		edit = edit.revising()
@@ -141,10 +137,6 @@
 
 // SetAcknowledgeWait chooses how long a committed change waits for couriers that are
 // not heard from; zero: for as long as their holds run.
-//
-// Example:
-//
-//	core.SetAcknowledgeWait(time.Second)
 func (expediter *Expediter) SetAcknowledgeWait(length time.Duration) {
 	expediter.acknowledgeWait.Store(int64(length))
 }
@@ -188,10 +180,6 @@
 }
 
 // Retire takes a stopped member out of the record.
-//
-// Example:
-//
-//	version, failure := core.Retire("courier-9")
 func (expediter *Expediter) Retire(name string) (replication.Version, error) {
 	current, _, err := expediter.Ruling()
 	if err != nil {
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -71,10 +71,6 @@
 
 // OpenExpediter opens what the disk holds. A blank or damaged keeper's shelf is
 // a new identity, for which the copy that may lie there is emptied.
-//
-// Example:
-//
-//	core, blank, failure := hatch.OpenExpediter(turns, line, keeping, copies, options, observe)
 func OpenExpediter(turns lease.Turns, line Hotline, keeping, copies replication.Shelf, options ExpediterOptions, observe func(string, ...any)) (*Expediter, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(turns.Now(), keeping, replica, options.Fresh)
@@ -129,10 +125,6 @@
 }
 
 // Rounds are what an expediter does over and over, each in a thread of its own.
-//
-// Example:
-//
-//	for _, round := range core.Rounds() { turns.Go(round) }
 func (expediter *Expediter) Rounds() []func() {
 	every := func(pause time.Duration, task func()) func() {
 		return func() { lease.Every(expediter.turns, pause, task) }
@@ -151,10 +143,6 @@
 // Leave hands over what this expediter has, the lead, its copy and its witness's seat, and
 // returns when nothing depends on it any more or the patience ends. It goes on as before
 // until then. What was not answered yet has no known outcome.
-//
-// Example:
-//
-//	core.Leave(5 * time.Second)
 func (expediter *Expediter) Leave(patience time.Duration) {
 	ends := expediter.turns.Now().Add(patience)
 	expediter.coordinator.Leave()
@@ -165,20 +153,12 @@
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-//
-// Example:
-//
-//	core.SetSeeds(chosen.Seeds)
 func (expediter *Expediter) SetSeeds(seeds []string) {
 	expediter.coordinator.SetSeeds(seeds)
 	expediter.followed.SetSeeds(seeds)
 }
 
 // Servers is the platform's list as it was read last.
-//
-// Example:
-//
-//	servers := core.Servers()
 func (expediter *Expediter) Servers() []membership.Server {
 	return expediter.lists.servers(expediter.turns.Now())
 }
@@ -233,39 +213,19 @@
 }
 
 // Witness is the epoch keeper on this disk.
-//
-// Example:
-//
-//	identity := core.Witness().Seat().Identity
 func (expediter *Expediter) Witness() *replication.Witness { return expediter.witness }
 
 // Store is this disk's part in the larder.
-//
-// Example:
-//
-//	batches, changes := core.Store().Work()
 func (expediter *Expediter) Store() *replication.Store { return expediter.store }
 
 // Coordinator decides who is primary, from this node's point of view.
-//
-// Example:
-//
-//	leads := core.Coordinator().Holds()
 func (expediter *Expediter) Coordinator() *replication.Coordinator { return expediter.coordinator }
 
 // Heard is when a primary answered this node last.
-//
-// Example:
-//
-//	silence := now.Sub(core.Heard())
 func (expediter *Expediter) Heard() time.Time { return expediter.followed.Heard() }
 
 // NewsCounts tells how many answers, bytes of drawers and configurations went
 // out.
-//
-// Example:
-//
-//	answers, bytes, menus := core.NewsCounts()
 func (expediter *Expediter) NewsCounts() (answers, bytes, menus uint64) {
 	return expediter.newsAnswers.Load(), expediter.newsBytes.Load(), expediter.menusSent.Load()
 }
@@ -300,10 +260,6 @@
 
 // Ruling gives the reign and the committed view if this expediter is primary at
 // this moment.
-//
-// Example:
-//
-//	reign, view, failure := core.Ruling()
 func (expediter *Expediter) Ruling() (*Reign, *replication.View, error) {
 	expediter.mutex.Lock()
 	current := expediter.reign
@@ -318,10 +274,6 @@
 // Read is the committed state for a reader: the hold is checked after the view
 // was taken, so that it was the newest at some moment of the call. The copies
 // that it finds old are mended.
-//
-// Example:
-//
-//	reign, view, state, failure := core.Read()
 func (expediter *Expediter) Read() (*Reign, *replication.View, *replication.State, error) {
 	current, view, err := expediter.Ruling()
 	if err != nil {
@@ -531,8 +483,4 @@
 }
 
 // Supported is the node's own list of flags.
-//
-// Example:
-//
-//	order, failure := formats.ReadOrder(record, core.Supported())
 func (expediter *Expediter) Supported() formats.List { return expediter.options.Supported }
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -97,10 +97,6 @@
 
 // NewFollower makes a follower for a member. Take is called for every answer,
 // in turn.
-//
-// Example:
-//
-//	followed := hatch.NewFollower(turns, line, member, seeds, inForce, take)
 func NewFollower(turns lease.Turns, line Hotline, member membership.Member, seeds []string, inForce func() replication.Version, take func(News)) *Follower {
 	return &Follower{turns: turns, line: line, member: member, seeds: seeds, inForce: inForce, take: take,
 		drawers: map[string]replication.Section{}, dark: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
@@ -112,10 +108,6 @@
 // SetApplyWithin tells how soon after its acknowledgement a change has to be in force: a
 // primary's silence is noticed within eleven twentieths of that, 1.1 s at most, and the rest
 // is left to find the next one. Zero means the default.
-//
-// Example:
-//
-//	followed.SetApplyWithin(time.Second)
 func (follower *Follower) SetApplyWithin(bound time.Duration) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -136,10 +128,6 @@
 }
 
 // Follow chooses whether the list of servers and their reports are followed, too.
-//
-// Example:
-//
-//	followed.Follow(true, true)
 func (follower *Follower) Follow(lists, loads bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -147,10 +135,6 @@
 }
 
 // TellFailing gives the way to the servers that failed requests lately: each is told once.
-//
-// Example:
-//
-//	followed.TellFailing(core.Calls().TakeFailing)
 func (follower *Follower) TellFailing(failing func() []string) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -158,10 +142,6 @@
 }
 
 // ForgetList has the primary tell its list of servers anew.
-//
-// Example:
-//
-//	followed.ForgetList()
 func (follower *Follower) ForgetList() {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -170,10 +150,6 @@
 
 // SetContacts gives the expediters' addresses that the platform or the record lists,
 // and the other couriers, the nearest first: they may relay, and tell where the core is.
-//
-// Example:
-//
-//	followed.SetContacts(expediters, couriers)
 func (follower *Follower) SetContacts(contacts, peers []string) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -181,10 +157,6 @@
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-//
-// Example:
-//
-//	followed.SetSeeds(chosen.Seeds)
 func (follower *Follower) SetSeeds(seeds []string) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -192,10 +164,6 @@
 }
 
 // Charter is the newest charter heard of.
-//
-// Example:
-//
-//	charter := followed.Charter()
 func (follower *Follower) Charter() replication.Membership {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -203,10 +171,6 @@
 }
 
 // Heard is when the primary answered last.
-//
-// Example:
-//
-//	silence := clock.Now().Sub(followed.Heard())
 func (follower *Follower) Heard() time.Time {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -214,10 +178,6 @@
 }
 
 // Drawer is the newest content of a drawer that the node has.
-//
-// Example:
-//
-//	content := followed.Drawer(replication.OrdersDrawer).Content
 func (follower *Follower) Drawer(name string) replication.Section {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -226,10 +186,6 @@
 
 // Run asks until the process ends: the primary while it answers, and all that may know
 // it while it does not.
-//
-// Example:
-//
-//	turns.Go(followed.Run)
 func (follower *Follower) Run() {
 	for follower.turns.Alive() {
 		if address, known := follower.knownPrimary(); known {
--- a/internal/hatch/hotline.go
+++ b/internal/hatch/hotline.go
@@ -19,10 +19,6 @@
 }
 
 // Call sends a message and reads the answer, within the patience.
-//
-// Example:
-//
-//	failure := hatch.Call(line, address, hatch.HelloPath, own, &answer, time.Second)
 func Call(line Hotline, address, path string, question, answer any, patience time.Duration) error {
 	body, err := msgpack.Marshal(question)
 	if err != nil {
@@ -57,10 +53,6 @@
 type Answers map[string]answerer
 
 // Answer answers one message.
-//
-// Example:
-//
-//	encoded, failure := expediter.Answers().Answer(hatch.NewsPath, body)
 func (answers Answers) Answer(path string, body []byte) ([]byte, error) {
 	answer, found := answers[path]
 	if !found {
--- a/internal/hatch/housekeeping.go
+++ b/internal/hatch/housekeeping.go
@@ -114,10 +114,6 @@
 
 // Settling tells whether the members changed too short a time ago for a flag to
 // be enabled.
-//
-// Example:
-//
-//	if core.Settling(reign) { ... }
 func (expediter *Expediter) Settling(current *Reign) bool {
 	expediter.mutex.Lock()
 	defer expediter.mutex.Unlock()
--- a/internal/hatch/inquirybody.go
+++ b/internal/hatch/inquirybody.go
@@ -21,10 +21,6 @@
 const tokenBytes = 4
 
 // ReadInquiry checks an inquiry's body and names all its mistakes.
-//
-// Example:
-//
-//	inquiry, failure := hatch.ReadInquiry(turns.Now(), body)
 func ReadInquiry(now time.Time, body []byte) (*pass.Inquiry, error) {
 	root, err := fastjson.ParseBytes(body)
 	if err != nil || !utf8.Valid(body) {
@@ -96,10 +92,6 @@
 
 // MadeAt reads from an id when it was made: ids of inquiries that may not be
 // repeated are UUIDs of version 7, so that old ones can be told and refused.
-//
-// Example:
-//
-//	made, failure := hatch.MadeAt(id)
 func MadeAt(id string) (time.Time, error) {
 	parsed, err := uuid.Parse(id)
 	if err != nil || parsed.Version() != 7 {
@@ -110,8 +102,4 @@
 }
 
 // NewInquiryID makes an id that tells when it was made.
-//
-// Example:
-//
-//	id := hatch.NewInquiryID()
 func NewInquiryID() string { return uuid.Must(uuid.NewV7()).String() }
--- a/internal/hatch/journal.go
+++ b/internal/hatch/journal.go
@@ -57,10 +57,6 @@
 }
 
 // Fold tells what is known of one inquiry.
-//
-// Example:
-//
-//	folded, found := journal.Fold("inquiry-1", supported)
 func (journal *Journal) Fold(inquiry string, supported formats.List) (Trace, bool) {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -28,10 +28,6 @@
 )
 
 // Servers is the list of servers as the courier knows it.
-//
-// Example:
-//
-//	ready := len(courier.Servers()) > 0
 func (courier *Courier) Servers() []membership.Server {
 	courier.listMutex.Lock()
 	defer courier.listMutex.Unlock()
--- a/internal/hatch/recordreply.go
+++ b/internal/hatch/recordreply.go
@@ -18,19 +18,11 @@
 }
 
 // Begin keeps the status for the records.
-//
-// Example:
-//
-//	reply.Begin(http.StatusTooManyRequests, 2)
 func (reply *RecordReply) Begin(status, retrySeconds int) {
 	reply.status, reply.retry = status, retrySeconds
 }
 
 // Line sends one line as a record.
-//
-// Example:
-//
-//	failure := reply.Line(line)
 func (reply *RecordReply) Line(line []byte) error {
 	reply.number++
 	record, err := formats.WriteStreamMessage(formats.StreamMessage{Inquiry: reply.Inquiry, Line: line, Status: reply.status, Retry: reply.retry}, reply.Writer, reply.number)
@@ -41,8 +33,4 @@
 }
 
 // WhenLeft has act called when the origin closes its circuit.
-//
-// Example:
-//
-//	reply.WhenLeft(stream.leave)
 func (reply *RecordReply) WhenLeft(act func()) { reply.Left(act) }
--- a/internal/hatch/reign.go
+++ b/internal/hatch/reign.go
@@ -129,10 +129,6 @@
 
 // Lagging lists the couriers that may still let in under a configuration older
 // than the version.
-//
-// Example:
-//
-//	everywhere := len(reign.Lagging(now, version, state)) == 0
 func (reign *Reign) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
 	return reign.Holds.Lagging(now, version.Number, couriersOf(state.Members))
 }
--- a/internal/hatch/replyline.go
+++ b/internal/hatch/replyline.go
@@ -53,10 +53,6 @@
 }
 
 // Status is that of a reply whose first line this is.
-//
-// Example:
-//
-//	writer.WriteHeader(line.Status())
 func (line ReplyLine) Status() int {
 	switch line.Final {
 	case pass.Complete, "":
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -164,10 +164,6 @@
 
 // SetProvisional chooses whether a node without any configuration takes one from the
 // copies while there is no primary.
-//
-// Example:
-//
-//	followed.SetProvisional(options.ServeWithoutHold > 0)
 func (follower *Follower) SetProvisional(may bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
--- a/internal/hatch/signpost.go
+++ b/internal/hatch/signpost.go
@@ -36,19 +36,11 @@
 )
 
 // NewSignpost makes a signpost that begins its search at the seeds.
-//
-// Example:
-//
-//	signpost := hatch.NewSignpost(turns, line, chosen.Seeds)
 func NewSignpost(turns lease.Turns, line Hotline, seeds []string) *Signpost {
 	return &Signpost{turns: turns, line: line, seeds: seeds}
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-//
-// Example:
-//
-//	signpost.SetSeeds(chosen.Seeds)
 func (signpost *Signpost) SetSeeds(seeds []string) {
 	signpost.mutex.Lock()
 	defer signpost.mutex.Unlock()
@@ -56,19 +48,11 @@
 }
 
 // Run follows the membership until the process ends.
-//
-// Example:
-//
-//	turns.Go(signpost.Run)
 func (signpost *Signpost) Run() {
 	lease.Every(signpost.turns, signpostRefresh, func() { signpost.Leader() })
 }
 
 // Leader is the address of the expediter that is primary, or empty if none says so.
-//
-// Example:
-//
-//	address := signpost.Leader()
 func (signpost *Signpost) Leader() string {
 	signpost.mutex.Lock()
 	known, fresh := signpost.leader, signpost.turns.Now().Sub(signpost.asked) < signpostFresh
--- a/internal/lease/bell.go
+++ b/internal/lease/bell.go
@@ -13,20 +13,12 @@
 }
 
 // Pause waits for a length of time, or until the process ends.
-//
-// Example:
-//
-//	lease.Pause(turns, 80*time.Millisecond)
 func Pause(turns Turns, length time.Duration) {
 	turns.NewBell().Wait(length, func() bool { return false })
 }
 
 // Every does a task over and over, with a pause between, until the process
 // ends.
-//
-// Example:
-//
-//	turns.Go(func() { lease.Every(turns, time.Second, sweep) })
 func Every(turns Turns, pause time.Duration, task func()) {
 	for turns.Alive() {
 		next := turns.Now().Add(pause)
--- a/internal/lease/duty.go
+++ b/internal/lease/duty.go
@@ -11,8 +11,4 @@
 const PartsKey = "parts"
 
 // ServerKey is the duty of commanding one server.
-//
-// Example:
-//
-//	lease.ServerKey("stove-1") // "server/stove-1"
 func ServerKey(server string) string { return "server/" + server }
--- a/internal/lease/holds.go
+++ b/internal/lease/holds.go
@@ -24,20 +24,12 @@
 }
 
 // NewHolds starts the memory at the moment its owner became primary.
-//
-// Example:
-//
-//	holds := lease.NewHolds(lease.DefaultTerms(), now)
 func NewHolds(terms Terms, since time.Time) *Holds {
 	return &Holds{terms: terms, since: since, holders: map[string]*holderState{}}
 }
 
 // Grant notes that the holder was given a hold now, and the number of the
 // configuration that it says it has in force.
-//
-// Example:
-//
-//	holds.Grant(now, "courier-1", 12)
 func (holds *Holds) Grant(now time.Time, holder string, inForce uint64) {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
@@ -56,10 +48,6 @@
 // Lagging lists the holders whose hold may still let in under a configuration
 // older than the number. While the old primary's holds may run it also names
 // the holders of that time that have not confirmed to this one.
-//
-// Example:
-//
-//	accepted := len(holds.Lagging(now, 12, couriers)) == 0
 func (holds *Holds) Lagging(now time.Time, number uint64, recorded []string) []string {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
@@ -81,10 +69,6 @@
 }
 
 // Live lists the nodes whose hold runs, with how long each has been live.
-//
-// Example:
-//
-//	for name, age := range holds.Live(now) { ... }
 func (holds *Holds) Live(now time.Time) map[string]time.Duration {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
@@ -98,10 +82,6 @@
 }
 
 // Note takes what a holder says it has in force, without renewing its hold.
-//
-// Example:
-//
-//	holds.Note(now, "courier-1", 12)
 func (holds *Holds) Note(now time.Time, holder string, inForce uint64) {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
@@ -117,10 +97,6 @@
 }
 
 // HeardWithin lists the holders that asked within a time.
-//
-// Example:
-//
-//	count := len(holds.HeardWithin(now, 10*time.Second))
 func (holds *Holds) HeardWithin(now time.Time, length time.Duration) []string {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
@@ -136,10 +112,6 @@
 
 // Behind lists the holders that asked within a time and have not confirmed the
 // number.
-//
-// Example:
-//
-//	told := len(holds.Behind(now, 12, time.Second)) == 0
 func (holds *Holds) Behind(now time.Time, number uint64, within time.Duration) []string {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
--- a/internal/lease/keys.go
+++ b/internal/lease/keys.go
@@ -23,10 +23,6 @@
 }
 
 // NewKeys starts the memory at the moment its owner became primary.
-//
-// Example:
-//
-//	keys := lease.NewKeys(lease.DefaultTerms())
 func NewKeys(terms Terms) *Keys {
 	return &Keys{terms: terms, renewed: map[string]time.Time{}, released: map[string]time.Time{}, given: map[string]bool{}}
 }
@@ -34,10 +30,6 @@
 // Renew tells which of the recorded duties the node may go on holding, and
 // marks them renewed. A duty that another settled node should have is left
 // out, so that the node lets go of it.
-//
-// Example:
-//
-//	mine := keys.Renew(now, "courier-1", recorded, candidates)
 func (keys *Keys) Renew(now time.Time, node string, recorded map[string]Duty, candidates map[string]time.Duration) []Duty {
 	keys.mutex.Lock()
 	defer keys.mutex.Unlock()
@@ -64,10 +56,6 @@
 
 // Release notes that the holder has let go of a duty by itself; it is not
 // renewed again under that fence.
-//
-// Example:
-//
-//	keys.Release(now, duty)
 func (keys *Keys) Release(now time.Time, duty Duty) {
 	keys.mutex.Lock()
 	defer keys.mutex.Unlock()
@@ -79,10 +67,6 @@
 
 // Vacant lists the grants to make now: wanted keys with no recorded holder,
 // or whose holder's hold ended, plus the rest between two holders.
-//
-// Example:
-//
-//	grants := keys.Vacant(now, wanted, recorded, candidates)
 func (keys *Keys) Vacant(now time.Time, wanted []string, recorded map[string]Duty, candidates map[string]time.Duration) []Duty {
 	keys.mutex.Lock()
 	defer keys.mutex.Unlock()
--- a/internal/lease/locks.go
+++ b/internal/lease/locks.go
@@ -11,10 +11,6 @@
 }
 
 // NewLock makes a lock for whoever waits for a disk.
-//
-// Example:
-//
-//	lock := lease.NewLock(turns)
 func NewLock(turns Turns) sync.Locker {
 	if locks, offered := turns.(Locks); offered {
 		return locks.NewLock()
--- a/internal/lease/terms.go
+++ b/internal/lease/terms.go
@@ -20,10 +20,6 @@
 }
 
 // DefaultTerms are the lengths that the deployments use.
-//
-// Example:
-//
-//	holds := lease.NewHolds(lease.DefaultTerms())
 func DefaultTerms() Terms {
 	return Terms{Hold: 4 * time.Second, Drift: 200 * time.Millisecond, Rest: 3300 * time.Millisecond, Settled: 8 * time.Second}
 }
--- a/internal/membership/listing.go
+++ b/internal/membership/listing.go
@@ -31,10 +31,6 @@
 // Take takes a list that was read at a moment and tells whether anything changed
 // that matters to who offers work to servers. One that is older than what is known
 // changes nothing.
-//
-// Example:
-//
-//	if listing.Take(now, servers) { scheduler.SetServers(now, listing.Servers(now)) }
 func (listing *Listing) Take(at time.Time, servers []Server) bool {
 	if !listing.at.IsZero() && at.Before(listing.at) {
 		return false
@@ -90,10 +86,6 @@
 }
 
 // Confirm notes that the list was read again at a moment and had not changed.
-//
-// Example:
-//
-//	listing.Confirm(answered.Add(-age))
 func (listing *Listing) Confirm(at time.Time) {
 	if !listing.at.IsZero() && at.After(listing.at) {
 		listing.at = at
@@ -101,17 +93,9 @@
 }
 
 // At is when the list was read; zero if it never was.
-//
-// Example:
-//
-//	age := now.Sub(listing.At())
 func (listing *Listing) At() time.Time { return listing.at }
 
 // Servers is the list, with each server's warming as it is now.
-//
-// Example:
-//
-//	for _, server := range listing.Servers(now) { ... }
 func (listing *Listing) Servers(now time.Time) []Server {
 	servers := slices.Clone(listing.servers)
 	for position := range servers {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -17,19 +17,11 @@
 }
 
 // Restricted tells whether the member lacks an enabled flag.
-//
-// Example:
-//
-//	if member.Restricted(enabled) { ... }
 func (member Member) Restricted(enabled formats.List) bool {
 	return len(member.Supported.Lacks(enabled)) > 0
 }
 
 // Same tells whether recording the other member would change nothing.
-//
-// Example:
-//
-//	if recorded.Same(asked) { return nil }
 func (member Member) Same(other Member) bool {
 	return member.Name == other.Name && member.Kind == other.Kind && member.Address == other.Address &&
 		member.District == other.District && len(member.Supported.Lacks(other.Supported)) == 0 &&
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -7,10 +7,6 @@
 )
 
 // Weight is the rendezvous weight of a name for a key.
-//
-// Example:
-//
-//	membership.Weight("server/stove-1", "courier-2")
 func Weight(key, name string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(key))
@@ -30,10 +26,6 @@
 
 // Ranked orders the names by their weight for the key, heaviest first. Each is weighed
 // once.
-//
-// Example:
-//
-//	neighbours := membership.Ranked("courier-1", names)[:3]
 func Ranked(key string, names []string) []string {
 	ranked := append([]string(nil), names...)
 	weights := make([]uint64, len(ranked))
@@ -68,10 +60,6 @@
 }
 
 // Heaviest is the name that Ranked puts first, or nothing if there is none.
-//
-// Example:
-//
-//	holder := membership.Heaviest("server/stove-1", maps.Keys(live))
 func Heaviest(key string, names iter.Seq[string]) string {
 	heaviest, most := "", uint64(0)
 	for name := range names {
@@ -83,10 +71,6 @@
 }
 
 // Neighbours names the small set of others that a node knows and watches.
-//
-// Example:
-//
-//	membership.Neighbours("courier-1", names, 3)
 func Neighbours(self string, names []string, count int) []string {
 	var others []string
 	for _, name := range names {
--- a/internal/membership/weigher.go
+++ b/internal/membership/weigher.go
@@ -9,10 +9,6 @@
 type Weigher struct{ keyed hash.Cloner }
 
 // NewWeigher digests the key.
-//
-// Example:
-//
-//	weigher := membership.NewWeigher("server/stove-1")
 func NewWeigher(key string) Weigher {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(key))
@@ -21,10 +17,6 @@
 }
 
 // Weight is the rendezvous weight of a name for the key.
-//
-// Example:
-//
-//	weigher.Weight("courier-2") == membership.Weight("server/stove-1", "courier-2")
 func (weigher Weigher) Weight(name string) uint64 {
 	cloned, err := weigher.keyed.Clone()
 	if err != nil {
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -55,10 +55,6 @@
 }
 
 // Seen notes that a router is there, whether it reports anything or not.
-//
-// Example:
-//
-//	detector.Seen(outlier.Reporter{Name: "router-1", Zone: "north"})
 func (detector *Detector) Seen(reporter Reporter) {
 	detector.mutex.Lock()
 	defer detector.mutex.Unlock()
@@ -70,10 +66,6 @@
 
 // Report takes which servers failed a router's requests lately. Listed is how many servers
 // there are.
-//
-// Example:
-//
-//	detector.Report(now, reporter, []string{"server-7"}, 90)
 func (detector *Detector) Report(now time.Time, reporter Reporter, failing []string, listed int) {
 	detector.mutex.Lock()
 	defer detector.mutex.Unlock()
@@ -135,10 +127,6 @@
 }
 
 // Advice tells what routers should do now.
-//
-// Example:
-//
-//	answer.Outliers = detector.Advice(now)
 func (detector *Detector) Advice(now time.Time) Advice {
 	detector.mutex.Lock()
 	defer detector.mutex.Unlock()
--- a/internal/pass/balance.go
+++ b/internal/pass/balance.go
@@ -35,26 +35,14 @@
 
 // NewBalance starts without memory. A fixed one changes no part that a server
 // has, save that there must be one of each, for comparison.
-//
-// Example:
-//
-//	balance := pass.NewBalance(false)
 func NewBalance(fixed bool) *Balance { return &Balance{needs: map[Part]int{}, fixed: fixed} }
 
 // Due tells whether enough time has passed since Decide was asked last for it to look
 // at the servers again.
-//
-// Example:
-//
-//	if balance.Due(now) { orders = balance.Decide(now, servers, loads, standing, evacuated) }
 func (balance *Balance) Due(now time.Time) bool { return now.Sub(balance.lastAsked) >= balanceBeat }
 
 // Decide gives the orders that are needed now. Evacuated and leaving servers
 // count for nothing; a leaving one is told to drain.
-//
-// Example:
-//
-//	orders := balance.Decide(now, servers, loads, standing, evacuated)
 func (balance *Balance) Decide(now time.Time, servers []membership.Server, loads map[string]Load, standing map[string]formats.Order, evacuated func(string) bool) []formats.Order {
 	if !balance.Due(now) {
 		return nil
--- a/internal/pass/budget.go
+++ b/internal/pass/budget.go
@@ -19,10 +19,6 @@
 )
 
 // First earns a fifth of an extra try.
-//
-// Example:
-//
-//	budget.First()
 func (budget *Budget) First() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -31,10 +27,6 @@
 }
 
 // Extra spends so many extra tries, if there are as many.
-//
-// Example:
-//
-//	if !budget.Extra(1) { return failure.BudgetSpent }
 func (budget *Budget) Extra(count int) bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -47,10 +39,6 @@
 }
 
 // Counts tells how many first dispatches and extra tries there were.
-//
-// Example:
-//
-//	first, extra := budget.Counts()
 func (budget *Budget) Counts() (first, extra int) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/internal/pass/desk.go
+++ b/internal/pass/desk.go
@@ -47,10 +47,6 @@
 )
 
 // NewDesk makes the desk of a courier that holds at most so many inquiries.
-//
-// Example:
-//
-//	desk := pass.NewDesk(market, "north", 512)
 func NewDesk(market *Market, district string, most int) *Desk {
 	desk := &Desk{market: market, budget: &Budget{}, district: district, most: int64(most)}
 	for position := range desk.shards {
@@ -61,10 +57,6 @@
 
 // SetProgram puts a configuration in force. An older one is passed over: what
 // was in force never comes back.
-//
-// Example:
-//
-//	inForce := desk.SetProgram(program)
 func (desk *Desk) SetProgram(program *Program) bool {
 	for {
 		current := desk.program.Load()
@@ -78,10 +70,6 @@
 }
 
 // InForce is the version of the configuration in force.
-//
-// Example:
-//
-//	epoch, number := desk.InForce()
 func (desk *Desk) InForce() (epoch, number uint64) {
 	if program := desk.program.Load(); program != nil {
 		return program.epoch, program.number
@@ -91,10 +79,6 @@
 
 // Renew takes a hold that confirms a configuration's version. A hold for
 // another version than the one in force lets nothing in.
-//
-// Example:
-//
-//	desk.Renew(holdEnds, version.Epoch, version.Number)
 func (desk *Desk) Renew(holdEnds time.Time, epoch, number uint64) bool {
 	program := desk.program.Load()
 	if program == nil || program.epoch != epoch || program.number != number {
@@ -107,10 +91,6 @@
 }
 
 // HoldEnds is when the courier's hold runs out.
-//
-// Example:
-//
-//	left := desk.HoldEnds().Sub(now)
 func (desk *Desk) HoldEnds() time.Time {
 	if ends := desk.holdEnds.Load(); ends != nil {
 		return *ends
@@ -120,26 +100,14 @@
 
 // SetServeWithoutHold chooses how long the desk goes on after its last hold, with the
 // configuration that is in force.
-//
-// Example:
-//
-//	desk.SetServeWithoutHold(time.Minute)
 func (desk *Desk) SetServeWithoutHold(length time.Duration) { desk.withoutHold.Store(int64(length)) }
 
 // ServeFrom has the desk let in before its first hold, under a configuration that no
 // primary has confirmed in its life, for as long as it goes on without a hold.
-//
-// Example:
-//
-//	desk.ServeFrom(now)
 func (desk *Desk) ServeFrom(now time.Time) { desk.lentAt.CompareAndSwap(nil, &now) }
 
 // ServesUntil is until when the desk lets in; without any hold in its life, and no
 // configuration lent to it, it lets nothing in.
-//
-// Example:
-//
-//	if now.Before(desk.ServesUntil()) { ... }
 func (desk *Desk) ServesUntil() time.Time {
 	ends := desk.HoldEnds()
 	if lent := desk.lentAt.Load(); ends.IsZero() && lent != nil && desk.withoutHold.Load() > 0 {
@@ -153,45 +121,21 @@
 
 // SetPassOn tells whether the courier lacks an enabled flag and passes its
 // inquiries to a capable node.
-//
-// Example:
-//
-//	desk.SetPassOn(true)
 func (desk *Desk) SetPassOn(restricted bool) { desk.passOn.Store(restricted) }
 
 // Drain stops letting in.
-//
-// Example:
-//
-//	desk.Drain()
 func (desk *Desk) Drain() { desk.draining.Store(true) }
 
 // Draining tells whether the desk lets nothing in any more.
-//
-// Example:
-//
-//	if desk.Draining() { ... }
 func (desk *Desk) Draining() bool { return desk.draining.Load() }
 
 // InFlight counts the inquiries that have no final line yet.
-//
-// Example:
-//
-//	for desk.InFlight() > 0 { ... }
 func (desk *Desk) InFlight() int { return int(desk.inFlight.Load()) }
 
 // Tallies counts what the desk has done.
-//
-// Example:
-//
-//	desk.Tallies().Complete.Load()
 func (desk *Desk) Tallies() *Tallies { return &desk.tallies }
 
 // Budget is the desk's budget of extra tries.
-//
-// Example:
-//
-//	first, extra := desk.Budget().Counts()
 func (desk *Desk) Budget() *Budget { return desk.budget }
 
 func (desk *Desk) shard(id string) *shard {
@@ -206,10 +150,6 @@
 }
 
 // Arrive lets an inquiry in or refuses it at once.
-//
-// Example:
-//
-//	decisions := desk.Arrive(now, inquiry)
 func (desk *Desk) Arrive(now time.Time, inquiry *Inquiry) []Decision {
 	desk.tallies.Arrived.Add(1)
 	if desk.draining.Load() {
@@ -272,10 +212,6 @@
 }
 
 // Claimed takes the answer to a claim.
-//
-// Example:
-//
-//	decisions := desk.Claimed(now, "inquiry-1", pass.Done, "")
 func (desk *Desk) Claimed(now time.Time, id string, outcome Outcome, detail string) []Decision {
 	shard, entry := desk.find(id, 0)
 	if entry == nil || entry.stage != claiming {
@@ -301,10 +237,6 @@
 }
 
 // Prefilled takes the answer to a prefill dispatch.
-//
-// Example:
-//
-//	decisions := desk.Prefilled(now, "inquiry-1", 1, pass.Done, "handle-1")
 func (desk *Desk) Prefilled(now time.Time, id string, run int, outcome Outcome, handle string) []Decision {
 	shard, entry := desk.find(id, run)
 	if entry == nil {
@@ -331,10 +263,6 @@
 
 // Piece takes one piece of the stream. Pieces that are not the next one of the
 // present run end the stream: it is never spliced.
-//
-// Example:
-//
-//	decisions := desk.Piece(now, "inquiry-1", 1, 1, "text")
 func (desk *Desk) Piece(now time.Time, id string, run, piece int, text string) []Decision {
 	shard, entry := desk.find(id, run)
 	if entry == nil {
@@ -355,10 +283,6 @@
 }
 
 // Decoded takes the end of a decode.
-//
-// Example:
-//
-//	decisions := desk.Decoded(now, "inquiry-1", 1, pass.Done, 20)
 func (desk *Desk) Decoded(now time.Time, id string, run int, outcome Outcome, pieces int) []Decision {
 	shard, entry := desk.find(id, run)
 	if entry == nil {
--- a/internal/pass/ending.go
+++ b/internal/pass/ending.go
@@ -53,10 +53,6 @@
 }
 
 // Leave takes the news that the origin closed its circuit.
-//
-// Example:
-//
-//	decisions := desk.Leave(now, "inquiry-1")
 func (desk *Desk) Leave(now time.Time, id string) []Decision {
 	shard, entry := desk.find(id, -1)
 	if entry == nil {
@@ -69,10 +65,6 @@
 
 // Tick ends what has lost its limit or its patience, and goes on with what
 // waited for a hold.
-//
-// Example:
-//
-//	decisions := desk.Tick(now)
 func (desk *Desk) Tick(now time.Time) []Decision {
 	var decisions []Decision
 	for position := range desk.shards {
--- a/internal/pass/market.go
+++ b/internal/pass/market.go
@@ -30,10 +30,6 @@
 
 // NewMarket makes a courier's market. A plain one picks the least loaded
 // servers one by one, for comparison.
-//
-// Example:
-//
-//	market := pass.NewMarket("courier-1", "north", false)
 func NewMarket(courier, district string, plain bool) *Market {
 	market := &Market{courier: courier, district: district, plain: plain}
 	market.board.Store(&board{byName: map[string]*Stall{}})
@@ -41,10 +37,6 @@
 }
 
 // SetCouriers tells how many couriers share the servers.
-//
-// Example:
-//
-//	market.SetCouriers(7)
 func (market *Market) SetCouriers(count int) { market.couriers.Store(int64(count)) }
 
 // share is how much of the room left this courier may fill before it sees the
@@ -59,10 +51,6 @@
 }
 
 // List takes the platform's server list.
-//
-// Example:
-//
-//	market.List(servers)
 func (market *Market) List(servers []membership.Server) {
 	market.mutex.Lock()
 	defer market.mutex.Unlock()
@@ -83,10 +71,6 @@
 }
 
 // Report takes a server's load report.
-//
-// Example:
-//
-//	market.Report(now, load)
 func (market *Market) Report(now time.Time, load Load) {
 	if stall, found := market.board.Load().byName[load.Server]; found {
 		stall.report.Store(&report{load: load, at: now})
@@ -105,10 +89,6 @@
 }
 
 // Avoid keeps a server out of the market for a while, after trouble with it.
-//
-// Example:
-//
-//	market.Avoid(now, "stove-1")
 func (market *Market) Avoid(now time.Time, server string) {
 	if stall, found := market.board.Load().byName[server]; found {
 		stall.avoid.Store(now.Add(avoidTime).UnixNano())
@@ -134,10 +114,6 @@
 // Choose finds the pair with the lowest price, among servers that allowed says
 // may be used and whose names are not in tried. Each server is asked once; pairs
 // are priced from the lowest asks on, until none that is left can be cheaper.
-//
-// Example:
-//
-//	bid, found := market.Choose(now, inquiry, ruling, allowed, nil)
 func (market *Market) Choose(now time.Time, inquiry *Inquiry, ruling *Ruling, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
 	asked := offers.Get().(*offerBook)
 	defer offers.Put(asked)
@@ -160,10 +136,6 @@
 }
 
 // ChooseDecode finds another decode server for a prompt that is already read.
-//
-// Example:
-//
-//	bid, found := market.ChooseDecode(now, inquiry, prefill, allowed, tried)
 func (market *Market) ChooseDecode(now time.Time, inquiry *Inquiry, source string, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
 	current := market.board.Load()
 	prefill, found := current.byName[source]
@@ -244,10 +216,6 @@
 
 // Reserve counts a bid's prefill until the server's next report shows it, and
 // keeps the decode server's room until the prompt is read.
-//
-// Example:
-//
-//	market.Reserve(bid, inquiry)
 func (market *Market) Reserve(bid Bid, inquiry *Inquiry) {
 	if current := bid.Prefill.report.Load(); current != nil {
 		uncached := inquiry.PromptTokens - min(inquiry.PrefixTokens, current.load.Prefixes[inquiry.Prefix])
@@ -258,17 +226,9 @@
 }
 
 // Release gives a reserved decode room back.
-//
-// Example:
-//
-//	market.Release(bid)
 func (market *Market) Release(bid Bid) { bid.Decode.promised.Add(-1) }
 
 // Take counts a decode until the server's next report shows it.
-//
-// Example:
-//
-//	market.Take(bid, inquiry)
 func (market *Market) Take(bid Bid, inquiry *Inquiry) {
 	if current := bid.Decode.report.Load(); current != nil {
 		current.decodes.Add(1)
@@ -277,10 +237,6 @@
 }
 
 // Relief estimates when there may be room again.
-//
-// Example:
-//
-//	retry := market.Relief(now)
 func (market *Market) Relief(now time.Time) time.Duration {
 	relief := time.Second
 	for _, stall := range market.board.Load().stalls {
@@ -292,17 +248,9 @@
 }
 
 // Listing is the platform's list as it was taken last.
-//
-// Example:
-//
-//	servers := market.Listing()
 func (market *Market) Listing() []membership.Server { return market.board.Load().listing }
 
 // Load is the report that counts now of one server, if it has one.
-//
-// Example:
-//
-//	load, reported := market.Load(now, "stove-1")
 func (market *Market) Load(now time.Time, server string) (Load, bool) {
 	stall, found := market.board.Load().byName[server]
 	if !found {
@@ -316,10 +264,6 @@
 }
 
 // Loads lists the servers with the reports that count now.
-//
-// Example:
-//
-//	for _, load := range market.Loads(now) { ... }
 func (market *Market) Loads(now time.Time) ([]membership.Server, map[string]Load) {
 	current := market.board.Load()
 	loads := map[string]Load{}
--- a/internal/pass/program.go
+++ b/internal/pass/program.go
@@ -32,10 +32,6 @@
 }
 
 // Compile makes the program of a configuration.
-//
-// Example:
-//
-//	program := pass.Compile(configuration, version.Epoch, version.Number)
 func Compile(configuration *config.Configuration, epoch, number uint64) *Program {
 	program := &Program{epoch: epoch, number: number, services: map[string]*compiledService{}, evacuations: map[string]bool{}}
 	for district := range configuration.Evacuations {
@@ -90,10 +86,6 @@
 }
 
 // Rule interprets the program for one inquiry that arrived in a district.
-//
-// Example:
-//
-//	ruling, failure := program.Rule(inquiry, "north")
 func (program *Program) Rule(inquiry *Inquiry, district string) (*Ruling, *failure.Trouble) {
 	compiled, found := program.services[inquiry.Service]
 	if !found {
@@ -134,10 +126,6 @@
 }
 
 // Allows tells whether work may go to a server under the ruling.
-//
-// Example:
-//
-//	if program.Allows(ruling, server) { ... }
 func (program *Program) Allows(ruling *Ruling, server membership.Server) bool {
 	return !program.evacuations[server.District] && (ruling.Districts == nil || ruling.Districts[server.District])
 }
--- a/internal/rehearsal/book.go
+++ b/internal/rehearsal/book.go
@@ -23,10 +23,6 @@
 }
 
 // Note writes an entry down, at this moment unless it says another.
-//
-// Example:
-//
-//	book.Note(rehearsal.Entry{Kind: rehearsal.ServerBorn, Server: "stove-1"})
 func (book *Book) Note(entry Entry) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
@@ -40,10 +36,6 @@
 }
 
 // Entries gives all entries in the order of their time.
-//
-// Example:
-//
-//	verdict := rehearsal.Judge(book.Entries())
 func (book *Book) Entries() []Entry {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
@@ -53,10 +45,6 @@
 }
 
 // Save writes the book as JSON lines.
-//
-// Example:
-//
-//	failure := book.Save("book.jsonl")
 func (book *Book) Save(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/rehearsal/callers.go
+++ b/internal/rehearsal/callers.go
@@ -35,30 +35,18 @@
 
 // NewCallers makes callers with a seed. The share once of the inquiries may
 // not be repeated.
-//
-// Example:
-//
-//	callers := rehearsal.NewCallers(fleet, 1, 0.3)
 func NewCallers(fleet *Fleet, seed uint64, once float64) *Callers {
 	return &Callers{fleet: fleet, random: rand.New(rand.NewPCG(seed, 77)), Once: once,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}}
 }
 
 // SetRates sets how many inquiries of each kind come in a second.
-//
-// Example:
-//
-//	callers.SetRates(8, 10)
 func (callers *Callers) SetRates(long, short float64) {
 	callers.longRate.Store(int64(long * 1000))
 	callers.shortRate.Store(int64(short * 1000))
 }
 
 // Run sends inquiries until the lifetime ends, then waits for the replies.
-//
-// Example:
-//
-//	callers.Run(lifetime)
 func (callers *Callers) Run(lifetime context.Context) {
 	defer callers.waiting.Wait()
 	for lifetime.Err() == nil {
@@ -171,10 +159,6 @@
 
 // Send sends one inquiry and writes down its reply, word for word. A reply
 // that breaks off without a final line is noted without one.
-//
-// Example:
-//
-//	reply := callers.Send(lifetime, address, question, entry)
 func (callers *Callers) Send(lifetime context.Context, address string, question Question, entry Entry) Entry {
 	reply, _ := callers.send(lifetime, address, question, entry, -1)
 	return reply
--- a/internal/rehearsal/circuit.go
+++ b/internal/rehearsal/circuit.go
@@ -15,17 +15,9 @@
 }
 
 // NewCircuit opens a circuit.
-//
-// Example:
-//
-//	circuit := rehearsal.NewCircuit(turns)
 func NewCircuit(turns lease.Turns) *Circuit { return &Circuit{bell: turns.NewBell()} }
 
 // Close ends what is done for the circuit.
-//
-// Example:
-//
-//	circuit.Close()
 func (circuit *Circuit) Close() {
 	circuit.mutex.Lock()
 	circuit.closed = true
@@ -34,10 +26,6 @@
 }
 
 // Closed tells whether the circuit is closed.
-//
-// Example:
-//
-//	if circuit.Closed() { return }
 func (circuit *Circuit) Closed() bool {
 	circuit.mutex.Lock()
 	defer circuit.mutex.Unlock()
@@ -45,10 +33,6 @@
 }
 
 // Pause lets work take its time; false means that the circuit was closed.
-//
-// Example:
-//
-//	if !circuit.Pause(8*time.Millisecond) { return }
 func (circuit *Circuit) Pause(length time.Duration) bool {
 	circuit.bell.Wait(length, circuit.Closed)
 	return !circuit.Closed()
--- a/internal/rehearsal/compare/compare.go
+++ b/internal/rehearsal/compare/compare.go
@@ -26,10 +26,6 @@
 }
 
 // Clear tells whether the interval leaves out zero.
-//
-// Example:
-//
-//	if difference.Clear() { fmt.Println(difference.Figure) }
 func (difference Difference) Clear() bool { return math.Abs(difference.Mean) > difference.Margin }
 
 // Comparison is that of all figures, and of the days that one side alone broke.
@@ -43,10 +39,6 @@
 }
 
 // Compare pairs the days that both sides played.
-//
-// Example:
-//
-//	comparison := compare.Compare(before, after)
 func Compare(before, after map[string]*Report) Comparison {
 	var comparison Comparison
 	pairs := map[string][][2]float64{}
--- a/internal/rehearsal/compare/plot.go
+++ b/internal/rehearsal/compare/plot.go
@@ -15,10 +15,6 @@
 )
 
 // SavePlot draws the difference of each day's worth.
-//
-// Example:
-//
-//	failure := comparison.SavePlot("worth.png")
 func (comparison Comparison) SavePlot(file string) error {
 	drawing := plot.New()
 	drawing.Title.Text = "worth, after less before, day by day"
--- a/internal/rehearsal/compare/report.go
+++ b/internal/rehearsal/compare/report.go
@@ -50,10 +50,6 @@
 
 // Figures are the report's figures by name: the worth, its parts, what prices took off, and
 // for each kind of request the shares in aim, late and not served.
-//
-// Example:
-//
-//	worth := report.Figures()["worth"]
 func (report *Report) Figures() map[string]float64 {
 	figures := map[string]float64{"worth": report.Worth, "served": report.Served, "unserved": report.Unserved}
 	for _, part := range report.Parts {
@@ -76,17 +72,9 @@
 }
 
 // Broken tells whether a rule was broken or the day counts for nothing.
-//
-// Example:
-//
-//	if report.Broken() { failed = append(failed, day) }
 func (report *Report) Broken() bool { return len(report.Breaks) > 0 || report.Fault != nil }
 
 // ReadReports reads a folder of reports, by day: the files' names without their ending.
-//
-// Example:
-//
-//	before, failure := compare.ReadReports("before")
 func ReadReports(folder string) (map[string]*Report, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -28,20 +28,12 @@
 }
 
 // NewDay prepares a day over a fleet that is ready.
-//
-// Example:
-//
-//	day := rehearsal.NewDay(fleet, 1, os.Stdout)
 func NewDay(fleet *Fleet, seed uint64, log io.Writer) *Day {
 	return &Day{Fleet: fleet, Callers: NewCallers(fleet, seed, 0.3), Operators: NewOperators(fleet), Long: 8, Short: 10,
 		random: rand.New(rand.NewPCG(seed, 11)), log: log}
 }
 
 // Say notes on the day's log what the rehearsal does.
-//
-// Example:
-//
-//	day.Say("kill %s", name)
 func (day *Day) Say(format string, values ...any) {
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
@@ -49,10 +41,6 @@
 }
 
 // Open puts the first edition, so that there is a configuration.
-//
-// Example:
-//
-//	failure := day.Open()
 func (day *Day) Open() error {
 	if Await(15*time.Second, func() bool { return day.NextEdition() }) {
 		return nil
@@ -62,10 +50,6 @@
 
 // NextEdition reads the configuration at any expediter and puts the next
 // edition over it; it tells whether that was accepted.
-//
-// Example:
-//
-//	accepted := day.NextEdition()
 func (day *Day) NextEdition() bool {
 	node := day.anyExpediter()
 	if node == nil {
@@ -98,10 +82,6 @@
 // Run lets traffic flow for the length of the day, with a swing towards long
 // prompts and one towards long answers, editions every other second, and the
 // faults spread evenly.
-//
-// Example:
-//
-//	verdict := day.Run(lifetime, 40*time.Second, faults)
 func (day *Day) Run(lifetime context.Context, length time.Duration, faults []Fault) Verdict {
 	lifetime, end := context.WithTimeout(lifetime, length)
 	defer end()
@@ -131,10 +111,6 @@
 
 // Close ends the day with a fault under traffic, and lets the checkers see
 // whether service returns in time.
-//
-// Example:
-//
-//	verdict := day.Close(lifetime, fault)
 func (day *Day) Close(lifetime context.Context, fault Fault) Verdict {
 	lifetime, end := context.WithTimeout(lifetime, returnLimit+8*time.Second)
 	defer end()
@@ -151,10 +127,6 @@
 }
 
 // EndOfDayRead reads the configuration at every expediter that answers.
-//
-// Example:
-//
-//	day.EndOfDayRead()
 func (day *Day) EndOfDayRead() {
 	for _, node := range day.Fleet.Running(membership.Expediter) {
 		Await(12*time.Second, func() bool {
--- a/internal/rehearsal/deployment.go
+++ b/internal/rehearsal/deployment.go
@@ -24,10 +24,6 @@
 }
 
 // Sahil is the desk for zones: nine servers, three expediters, seven couriers.
-//
-// Example:
-//
-//	day := rehearsal.NewDay(rehearsal.Sahil(), 1)
 func Sahil() Deployment {
 	return Deployment{Name: "sahil", Districts: []string{"harbour", "medina", "dunes"}, Couriers: 7, Servers: 9,
 		Long:  Kind{Service: "zone-verdict", LeastTokens: 2500, MostTokens: 6000, PrefixTokens: 1800, Prefixes: 6, LeastPieces: 6, MostPieces: 16},
@@ -35,10 +31,6 @@
 }
 
 // Kochloeffel is the pantry desk: twelve servers on the same three zones.
-//
-// Example:
-//
-//	day := rehearsal.NewDay(rehearsal.Kochloeffel(), 1)
 func Kochloeffel() Deployment {
 	return Deployment{Name: "kochloeffel", Districts: []string{"nord", "mitte", "sued"}, Couriers: 7, Servers: 12,
 		Long:  Kind{Service: "pantry-check", LeastTokens: 1500, MostTokens: 5000, PrefixTokens: 1000, Prefixes: 8, LeastPieces: 5, MostPieces: 12},
@@ -46,10 +38,6 @@
 }
 
 // DeploymentNamed finds a deployment, or tells false.
-//
-// Example:
-//
-//	deployment, found := rehearsal.DeploymentNamed("sahil")
 func DeploymentNamed(name string) (Deployment, bool) {
 	for _, deployment := range []Deployment{Sahil(), Kochloeffel()} {
 		if deployment.Name == name {
@@ -62,10 +50,6 @@
 // Configuration is the deployment's first configuration. Each edition of it
 // has a route whose name tells the edition, so that any caller can see which
 // one is in force at a courier.
-//
-// Example:
-//
-//	text := deployment.Configuration(1)
 func (deployment Deployment) Configuration(edition int) string {
 	return `{"services":{"` + deployment.Long.Service + `":{"limit_milliseconds":20000},"` + deployment.Short.Service +
 		`":{"limit_milliseconds":20000},"edition":{}},"routes":{"edition-` + strconv.Itoa(edition) +
--- a/internal/rehearsal/faults.go
+++ b/internal/rehearsal/faults.go
@@ -79,10 +79,6 @@
 }
 
 // FaultNamed finds a fault.
-//
-// Example:
-//
-//	fault, found := rehearsal.FaultNamed("kill-primary")
 func FaultNamed(name string) (Fault, bool) {
 	fault, found := faults[name]
 	fault.Name = name
@@ -90,10 +86,6 @@
 }
 
 // FaultNames lists all faults in order.
-//
-// Example:
-//
-//	fmt.Println(strings.Join(rehearsal.FaultNames(), " "))
 func FaultNames() []string {
 	var names []string
 	for name := range faults {
--- a/internal/rehearsal/faultydisk.go
+++ b/internal/rehearsal/faultydisk.go
@@ -24,10 +24,6 @@
 }
 
 // NewFaultyDisk makes a disk whose faults are asked for before each act.
-//
-// Example:
-//
-//	disk := rehearsal.NewFaultyDisk(func() rehearsal.NodeFaults { return rehearsal.ReadNodeFaults(path) })
 func NewFaultyDisk(faults func() NodeFaults) *FaultyDisk {
 	return &FaultyDisk{faults: faults, renamed: map[string]string{}, removed: map[string]bool{}}
 }
@@ -51,17 +47,9 @@
 }
 
 // MakeFolder makes a folder.
-//
-// Example:
-//
-//	failure := disk.MakeFolder("larder")
 func (disk *FaultyDisk) MakeFolder(path string) error { return disk.real.MakeFolder(path) }
 
 // WriteSynced writes and syncs a file.
-//
-// Example:
-//
-//	failure := disk.WriteSynced("note", content)
 func (disk *FaultyDisk) WriteSynced(path string, content []byte) error {
 	if err := disk.act(true); err != nil {
 		return err
@@ -70,10 +58,6 @@
 }
 
 // Rename waits in memory for the folder's sync.
-//
-// Example:
-//
-//	failure := disk.Rename("note.aside", "note")
 func (disk *FaultyDisk) Rename(from, to string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -83,10 +67,6 @@
 }
 
 // SyncFolder makes the folder's renames and removals last.
-//
-// Example:
-//
-//	failure := disk.SyncFolder("larder")
 func (disk *FaultyDisk) SyncFolder(path string) error {
 	if err := disk.act(true); err != nil {
 		return err
@@ -111,10 +91,6 @@
 }
 
 // List names the files as the process sees them.
-//
-// Example:
-//
-//	names, failure := disk.List("larder")
 func (disk *FaultyDisk) List(path string) ([]string, error) {
 	names, err := disk.real.List(path)
 	disk.mutex.Lock()
@@ -139,10 +115,6 @@
 }
 
 // Read reads a file; a damaged disk gives the larder's files with a wrong byte.
-//
-// Example:
-//
-//	content, failure := disk.Read("note")
 func (disk *FaultyDisk) Read(path string) ([]byte, error) {
 	if err := disk.act(false); err != nil {
 		return nil, err
@@ -161,10 +133,6 @@
 }
 
 // Remove waits in memory for the folder's sync.
-//
-// Example:
-//
-//	failure := disk.Remove("note")
 func (disk *FaultyDisk) Remove(path string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
--- a/internal/rehearsal/finding.go
+++ b/internal/rehearsal/finding.go
@@ -16,10 +16,6 @@
 }
 
 // Violate counts one broken rule, and keeps some as examples.
-//
-// Example:
-//
-//	finding.Violate("try 1 ran at two servers")
 func (finding *Finding) Violate(example string) {
 	finding.Violations++
 	if len(finding.Examples) < 5 {
--- a/internal/rehearsal/fleet.go
+++ b/internal/rehearsal/fleet.go
@@ -36,10 +36,6 @@
 
 // NewFleet lays a fleet out in a folder; binaries is where courier and
 // expediter are. Extra settings go to every courier and expediter.
-//
-// Example:
-//
-//	fleet, failure := rehearsal.NewFleet(rehearsal.Sahil(), folder, "bin", nil)
 func NewFleet(deployment Deployment, folder, binaries string, extra map[string]any) (*Fleet, error) {
 	book := &Book{}
 	platform, err := StartPlatform(book)
@@ -89,10 +85,6 @@
 }
 
 // AddServer starts a stand-in server and lists it with the platform.
-//
-// Example:
-//
-//	server, failure := fleet.AddServer(rehearsal.DefaultPlan("stove-10", "north"))
 func (fleet *Fleet) AddServer(plan ServerPlan) (*StandIn, error) {
 	standIn, err := StartStandIn(plan, "127.0.0.1:0", fleet.Book)
 	if err != nil {
@@ -107,10 +99,6 @@
 }
 
 // AddNode lays out a node and lists it with the platform; it does not start it.
-//
-// Example:
-//
-//	node := fleet.AddNode(membership.Courier, "courier-8", address, "north", seeds)
 func (fleet *Fleet) AddNode(kind membership.NodeKind, name, address, district string, seeds []string) *NodeProcess {
 	node := &NodeProcess{Node: membership.Node{Name: name, Kind: kind, Address: address, District: district}, folder: fleet.folder,
 		binary: filepath.Join(fleet.binaries, string(kind)), settings: map[string]any{"name": name, "address": address, "district": district,
@@ -134,10 +122,6 @@
 }
 
 // Mix has every other node run an older build, whose programs are in a folder.
-//
-// Example:
-//
-//	fleet.Mix("older/bin")
 func (fleet *Fleet) Mix(older string) {
 	for position, node := range fleet.Nodes() {
 		if position%2 == 0 {
@@ -147,10 +131,6 @@
 }
 
 // Stage makes the nodes run with a faulty disk and a faulty clock.
-//
-// Example:
-//
-//	fleet.Stage()
 func (fleet *Fleet) Stage() {
 	for _, node := range fleet.Nodes() {
 		node.staged = true
@@ -159,10 +139,6 @@
 
 // Begin starts every node and waits until all are ready and every server has a
 // part.
-//
-// Example:
-//
-//	failure := fleet.Begin(20 * time.Second)
 func (fleet *Fleet) Begin(patience time.Duration) error {
 	for _, node := range fleet.Nodes() {
 		if err := node.Begin(); err != nil {
@@ -186,10 +162,6 @@
 }
 
 // Nodes lists expediters and couriers.
-//
-// Example:
-//
-//	for _, node := range fleet.Nodes() { node.Kill() }
 func (fleet *Fleet) Nodes() []*NodeProcess {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -197,10 +169,6 @@
 }
 
 // Running lists the nodes of a kind, or of any, that have not ended.
-//
-// Example:
-//
-//	for _, node := range fleet.Running(membership.Courier) { ... }
 func (fleet *Fleet) Running(kind membership.NodeKind) []*NodeProcess {
 	var running []*NodeProcess
 	for _, node := range fleet.Nodes() {
@@ -213,10 +181,6 @@
 
 // AwaitReady waits until every running node is ready and every server has a
 // part.
-//
-// Example:
-//
-//	failure := fleet.AwaitReady(20 * time.Second)
 func (fleet *Fleet) AwaitReady(patience time.Duration) error {
 	missing := ""
 	if Await(patience, func() bool {
@@ -243,10 +207,6 @@
 }
 
 // Await looks again and again until the condition holds or the patience ends.
-//
-// Example:
-//
-//	ready := rehearsal.Await(5*time.Second, node.Ready)
 func Await(patience time.Duration, condition func() bool) bool {
 	ends := time.NewTimer(patience)
 	defer ends.Stop()
@@ -265,10 +225,6 @@
 }
 
 // Primary finds the expediter that leads at this moment, or nil.
-//
-// Example:
-//
-//	fleet.Primary().Kill()
 func (fleet *Fleet) Primary() *NodeProcess {
 	for _, node := range fleet.Nodes() {
 		var ready struct {
@@ -285,10 +241,6 @@
 }
 
 // Replace starts a server in the place of one that crashed, cold.
-//
-// Example:
-//
-//	failure := fleet.Replace("stove-1")
 func (fleet *Fleet) Replace(name string) error {
 	fleet.mutex.Lock()
 	plan, found := fleet.plans[name]
@@ -307,10 +259,6 @@
 }
 
 // ServerNames lists the stand-in servers.
-//
-// Example:
-//
-//	name := fleet.ServerNames()[0]
 func (fleet *Fleet) ServerNames() []string {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -322,10 +270,6 @@
 }
 
 // ServersOf lists the stand-in servers of a district.
-//
-// Example:
-//
-//	names := fleet.ServersOf("harbour")
 func (fleet *Fleet) ServersOf(district string) []string {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -339,10 +283,6 @@
 }
 
 // Server finds a stand-in by name.
-//
-// Example:
-//
-//	fleet.Server("stove-1").Crash()
 func (fleet *Fleet) Server(name string) *StandIn {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -355,10 +295,6 @@
 }
 
 // Close ends all nodes and stand-ins that this fleet started.
-//
-// Example:
-//
-//	defer fleet.Close()
 func (fleet *Fleet) Close() {
 	for _, node := range fleet.Nodes() {
 		node.Kill()
@@ -376,10 +312,6 @@
 }
 
 // Describe says where everything listens.
-//
-// Example:
-//
-//	fmt.Print(fleet.Describe())
 func (fleet *Fleet) Describe() string {
 	text := fmt.Sprintf("deployment %s in %s\nplatform   %s\n", fleet.Deployment.Name, fleet.folder, fleet.Platform.Address())
 	for _, node := range fleet.Nodes() {
@@ -395,10 +327,6 @@
 
 // CoreIsWhole tells whether the primary has a backup, and each keeper seat is
 // held by a running expediter's present disk.
-//
-// Example:
-//
-//	whole := rehearsal.Await(20*time.Second, fleet.CoreIsWhole)
 func (fleet *Fleet) CoreIsWhole() bool {
 	primary := fleet.Primary()
 	if primary == nil {
--- a/internal/rehearsal/floors.go
+++ b/internal/rehearsal/floors.go
@@ -15,10 +15,6 @@
 
 // FloorOf is the share of complete replies that a day with this fault alone keeps
 // at least.
-//
-// Example:
-//
-//	if verdict.Share < rehearsal.FloorOf("kill-primary") { ... }
 func FloorOf(fault string) float64 {
 	if floor, found := lowerFloors[fault]; found {
 		return floor
--- a/internal/rehearsal/links.go
+++ b/internal/rehearsal/links.go
@@ -11,10 +11,6 @@
 // LinkNodes puts a relay on every link between nodes, and from each courier to
 // each model server. It is called before the nodes begin; whoever is added later
 // is reached directly.
-//
-// Example:
-//
-//	failure := fleet.LinkNodes()
 func (fleet *Fleet) LinkNodes() error {
 	fleet.Links = &Links{relays: map[[2]string]*Relay{}}
 	for _, from := range fleet.Nodes() {
@@ -44,10 +40,6 @@
 }
 
 // Each does something to every link that chosen picks.
-//
-// Example:
-//
-//	links.Each(func(from, to string) bool { return from == "courier-1" }, func(relay *rehearsal.Relay) { relay.SetDark(true) })
 func (links *Links) Each(chosen func(from, to string) bool, act func(relay *Relay)) {
 	for ends, relay := range links.relays {
 		if chosen(ends[0], ends[1]) {
@@ -57,10 +49,6 @@
 }
 
 // Heal ends all faults of all links.
-//
-// Example:
-//
-//	links.Heal()
 func (links *Links) Heal() {
 	links.Each(func(string, string) bool { return true }, func(relay *Relay) {
 		relay.SetDark(false)
@@ -70,10 +58,6 @@
 }
 
 // Close ends all relays.
-//
-// Example:
-//
-//	links.Close()
 func (links *Links) Close() {
 	links.Each(func(string, string) bool { return true }, func(relay *Relay) { relay.Close() })
 }
--- a/internal/rehearsal/nodefaults.go
+++ b/internal/rehearsal/nodefaults.go
@@ -20,10 +20,6 @@
 }
 
 // ReadNodeFaults reads a faults file; a missing one has no faults.
-//
-// Example:
-//
-//	faults := rehearsal.ReadNodeFaults("expediter-1.faults")
 func ReadNodeFaults(path string) NodeFaults {
 	var faults NodeFaults
 	if text, err := os.ReadFile(path); err == nil {
@@ -33,10 +29,6 @@
 }
 
 // Write puts the faults into a file, whole at once.
-//
-// Example:
-//
-//	failure := rehearsal.NodeFaults{Disk: "full"}.Write("expediter-1.faults")
 func (faults NodeFaults) Write(path string) error {
 	text, err := json.Marshal(faults)
 	if err != nil {
--- a/internal/rehearsal/nodeprocess.go
+++ b/internal/rehearsal/nodeprocess.go
@@ -33,10 +33,6 @@
 var probe = &http.Client{Timeout: 700 * time.Millisecond}
 
 // Begin starts the process with its settings file; its log goes to a file.
-//
-// Example:
-//
-//	failure := node.Begin()
 func (node *NodeProcess) Begin() error {
 	if err := node.WriteSettings(); err != nil {
 		return err
@@ -75,10 +71,6 @@
 
 // WriteSettings writes the settings file, which a running process reads again
 // at SIGHUP.
-//
-// Example:
-//
-//	failure := node.WriteSettings()
 func (node *NodeProcess) WriteSettings() error {
 	text, err := json.MarshalIndent(node.settings, "", "  ")
 	if err != nil {
@@ -88,10 +80,6 @@
 }
 
 // LogPath is the file that the process logs to.
-//
-// Example:
-//
-//	text, failure := os.ReadFile(node.LogPath())
 func (node *NodeProcess) LogPath() string {
 	return filepath.Join(node.folder, node.Node.Name+".log")
 }
@@ -101,17 +89,9 @@
 }
 
 // SetFaults tells a staged node the faults of its disk and clock.
-//
-// Example:
-//
-//	node.SetFaults(rehearsal.NodeFaults{Disk: "stall"})
 func (node *NodeProcess) SetFaults(faults NodeFaults) error { return faults.Write(node.faultsPath()) }
 
 // Running tells whether the process has not ended.
-//
-// Example:
-//
-//	if node.Running() { ... }
 func (node *NodeProcess) Running() bool {
 	_, ended := node.present()
 	select {
@@ -135,10 +115,6 @@
 }
 
 // Signal sends the process a signal.
-//
-// Example:
-//
-//	node.Signal(syscall.SIGSTOP)
 func (node *NodeProcess) Signal(signal syscall.Signal) {
 	if command, _ := node.present(); node.Running() {
 		_ = command.Process.Signal(signal)
@@ -146,10 +122,6 @@
 }
 
 // Number is the running process's number, or zero.
-//
-// Example:
-//
-//	path := "/proc/" + strconv.Itoa(node.Number()) + "/stat"
 func (node *NodeProcess) Number() int {
 	if command, _ := node.present(); node.Running() {
 		return command.Process.Pid
@@ -158,10 +130,6 @@
 }
 
 // Kill ends the process at once and waits until it is gone.
-//
-// Example:
-//
-//	node.Kill()
 func (node *NodeProcess) Kill() {
 	if command, ended := node.present(); node.Running() {
 		_ = command.Process.Kill()
@@ -170,10 +138,6 @@
 }
 
 // Stop asks the process to drain, and waits for its end.
-//
-// Example:
-//
-//	ended := node.Stop(20 * time.Second)
 func (node *NodeProcess) Stop(patience time.Duration) bool {
 	if !node.Running() {
 		return true
@@ -192,10 +156,6 @@
 }
 
 // WipeDisk takes the whole data folder away; the process must have ended.
-//
-// Example:
-//
-//	failure := node.WipeDisk()
 func (node *NodeProcess) WipeDisk() error {
 	folder, found := node.settings["data_folder"].(string)
 	if !found || !strings.HasPrefix(folder, node.folder) {
@@ -205,17 +165,9 @@
 }
 
 // Set changes a setting for the next start.
-//
-// Example:
-//
-//	node.Set("withhold_flags", []string{"order_patience"})
 func (node *NodeProcess) Set(name string, value any) { node.settings[name] = value }
 
 // Ready asks the process whether it is ready.
-//
-// Example:
-//
-//	if node.Ready() { ... }
 func (node *NodeProcess) Ready() bool {
 	inbound, err := probe.Get("http://" + node.Node.Address + "/v1/ready")
 	if err != nil {
@@ -226,10 +178,6 @@
 }
 
 // ReadJSON reads one of the process's pages.
-//
-// Example:
-//
-//	failure := node.ReadJSON("/v1/status", &status)
 func (node *NodeProcess) ReadJSON(path string, target any) (int, error) {
 	inbound, err := probe.Get("http://" + node.Node.Address + path)
 	if err != nil {
@@ -240,10 +188,6 @@
 }
 
 // Metric reads one of the process's metrics; -1 when it can't be had.
-//
-// Example:
-//
-//	batches := node.Metric("seamloom_synced_batches_total")
 func (node *NodeProcess) Metric(name string) int {
 	inbound, err := probe.Get("http://" + node.Node.Address + "/v1/metrics")
 	if err != nil {
--- a/internal/rehearsal/operators.go
+++ b/internal/rehearsal/operators.go
@@ -24,10 +24,6 @@
 }
 
 // NewOperators makes operators for a fleet.
-//
-// Example:
-//
-//	operators := rehearsal.NewOperators(fleet)
 func NewOperators(fleet *Fleet) *Operators {
 	return &Operators{fleet: fleet, client: &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 }
@@ -43,10 +39,6 @@
 }
 
 // Call sends one operator's call to an expediter.
-//
-// Example:
-//
-//	answer, failure := operators.Call(node, http.MethodGet, "/v1/configuration", nil, "")
 func (operators *Operators) Call(node *NodeProcess, method, path string, query url.Values, body string) (Answer, error) {
 	outbound, err := http.NewRequest(method, "http://"+node.Node.Address+path+"?"+query.Encode(), bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -68,10 +60,6 @@
 // PutEdition puts the deployment's configuration of an edition over the current
 // one, and notes how it was answered. The current edition's route goes and the
 // new one's comes; evacuations stay.
-//
-// Example:
-//
-//	answer := operators.PutEdition(node, 2, current)
 func (operators *Operators) PutEdition(node *NodeProcess, edition int, current Answer) Answer {
 	operators.fleet.Book.Note(Entry{Kind: EditionAsked, Edition: edition, Courier: node.Node.Name})
 	query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
@@ -95,10 +83,6 @@
 }
 
 // ReadEdition reads the configuration, and notes which edition it is.
-//
-// Example:
-//
-//	answer, edition := operators.ReadEdition(node)
 func (operators *Operators) ReadEdition(node *NodeProcess) (Answer, int) {
 	began := time.Now()
 	answer, err := operators.Call(node, http.MethodGet, "/v1/configuration", nil, "")
@@ -112,10 +96,6 @@
 }
 
 // EditionOf tells which edition a configuration is.
-//
-// Example:
-//
-//	edition := rehearsal.EditionOf(text)
 func EditionOf(configuration []byte) int {
 	var parsed struct {
 		Routes map[string]json.RawMessage `json:"routes"`
@@ -134,10 +114,6 @@
 }
 
 // Evacuate evacuates a district and notes the moment of acceptance.
-//
-// Example:
-//
-//	accepted := operators.Evacuate(node, "north")
 func (operators *Operators) Evacuate(node *NodeProcess, district string) bool {
 	operators.fleet.Book.Note(Entry{Kind: EvacuationAsked, District: district})
 	answer, err := operators.Call(node, http.MethodPost, "/v1/evacuations/"+url.PathEscape(district), nil, `{"reason":"rehearsal"}`)
@@ -150,10 +126,6 @@
 
 // Restore lifts an evacuation; the asking is noted, since it may take effect
 // before it is answered.
-//
-// Example:
-//
-//	operators.Restore(node, "north")
 func (operators *Operators) Restore(node *NodeProcess, district string) bool {
 	operators.fleet.Book.Note(Entry{Kind: RestoreAsked, District: district})
 	answer, err := operators.Call(node, http.MethodDelete, "/v1/evacuations/"+url.PathEscape(district), nil, "")
@@ -162,10 +134,6 @@
 
 // LookAtEditions asks every running courier, as a caller, which edition is in
 // force there: the route that refuses the service "edition" is named by it.
-//
-// Example:
-//
-//	operators.LookAtEditions()
 func (operators *Operators) LookAtEditions() {
 	for _, node := range operators.fleet.Running(membership.Courier) {
 		operators.lookAtEdition(node)
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -27,10 +27,6 @@
 }
 
 // StartPlatform begins the platform at any port.
-//
-// Example:
-//
-//	platform, failure := rehearsal.StartPlatform(book)
 func StartPlatform(book *Book) (*Platform, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,10 +46,6 @@
 }
 
 // SetDown makes the platform answer nothing but that it is down, or end that.
-//
-// Example:
-//
-//	platform.SetDown(true)
 func (platform *Platform) SetDown(down bool) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
@@ -74,24 +66,12 @@
 }
 
 // Address is where the platform listens.
-//
-// Example:
-//
-//	address := platform.Address()
 func (platform *Platform) Address() string { return platform.address }
 
 // Close ends the platform.
-//
-// Example:
-//
-//	platform.Close()
 func (platform *Platform) Close() { _ = platform.server.Close() }
 
 // ListServer adds a server or changes it.
-//
-// Example:
-//
-//	platform.ListServer(membership.Server{Name: "stove-1", Address: address, District: "north"})
 func (platform *Platform) ListServer(server membership.Server) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
@@ -102,10 +82,6 @@
 }
 
 // UnlistServer takes a server off the list.
-//
-// Example:
-//
-//	platform.UnlistServer("stove-1")
 func (platform *Platform) UnlistServer(name string) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
@@ -114,10 +90,6 @@
 }
 
 // ListNode adds a node or changes it.
-//
-// Example:
-//
-//	platform.ListNode(membership.Node{Name: "courier-1", Kind: membership.Courier, Address: address})
 func (platform *Platform) ListNode(node membership.Node) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
@@ -125,10 +97,6 @@
 }
 
 // UnlistNode takes a node off the list.
-//
-// Example:
-//
-//	platform.UnlistNode("courier-1")
 func (platform *Platform) UnlistNode(name string) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
--- a/internal/rehearsal/platformday/book.go
+++ b/internal/rehearsal/platformday/book.go
@@ -21,10 +21,6 @@
 }
 
 // Note writes an event down, at this moment unless it says another.
-//
-// Example:
-//
-//	book.Note(platformday.Event{Kind: platformday.ServerBorn, Server: "i-1"})
 func (book *Book) Note(event Event) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
@@ -35,10 +31,6 @@
 }
 
 // Events gives all events in the order of their time.
-//
-// Example:
-//
-//	verdict := platformday.Judge(book.Events(), site)
 func (book *Book) Events() []Event {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
@@ -48,10 +40,6 @@
 }
 
 // Save writes the book as JSON lines.
-//
-// Example:
-//
-//	failure := book.Save("book.jsonl")
 func (book *Book) Save(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/rehearsal/platformday/day.go
+++ b/internal/rehearsal/platformday/day.go
@@ -45,10 +45,6 @@
 
 // NewDay lays out a deployment; nothing of the product runs yet. What its processes write
 // goes into a folder.
-//
-// Example:
-//
-//	day, failure := platformday.NewDay(platformday.SmallSite(), roles, 7, folder, os.Stderr)
 func NewDay(site Site, roles []Role, seed uint64, folder string, log io.Writer) (*Day, error) {
 	if left, _ := filepath.Glob(filepath.Join(folder, "edge-*")); len(left) > 0 {
 		return nil, failure.New(failure.Contradictory, folder+" holds the disks of another day")
@@ -146,10 +142,6 @@
 
 // Begin starts every machine, has the operators send the first configuration until it is
 // taken, and waits until all machines are ready.
-//
-// Example:
-//
-//	failure := day.Begin(30 * time.Second)
 func (day *Day) Begin(patience time.Duration) error {
 	for _, machine := range day.all() {
 		if err := machine.up(); err != nil {
@@ -184,10 +176,6 @@
 
 // Run plays a plan: traffic, its faults, its closing fault, and the reading at its end.
 // It gives the verdict.
-//
-// Example:
-//
-//	verdict := day.Run(plan)
 func (day *Day) Run(plan Plan) Verdict {
 	if plan.Rate > 0 {
 		day.Clients.site.Rate = plan.Rate
@@ -245,10 +233,6 @@
 }
 
 // Close ends everything that this day started.
-//
-// Example:
-//
-//	defer day.Close()
 func (day *Day) Close() {
 	for _, machine := range day.all() {
 		for _, process := range machine.processes {
@@ -262,10 +246,6 @@
 }
 
 // Crashed names the processes whose logs hold a panic or a race.
-//
-// Example:
-//
-//	names := day.Crashed()
 func (day *Day) Crashed() []string {
 	var names []string
 	day.mutex.Lock()
@@ -281,10 +261,6 @@
 }
 
 // Logs gives the last lines of every process's log.
-//
-// Example:
-//
-//	for name, text := range day.Logs(12) { ... }
 func (day *Day) Logs(lines int) map[string]string {
 	logs := map[string]string{}
 	day.mutex.Lock()
--- a/internal/rehearsal/platformday/drawn.go
+++ b/internal/rehearsal/platformday/drawn.go
@@ -26,10 +26,6 @@
 }
 
 // DrawPlan draws a day with so many faults: the same seed gives the same day.
-//
-// Example:
-//
-//	plan := platformday.DrawPlan(7, 5)
 func DrawPlan(seed uint64, faults int) Plan {
 	random := rand.New(rand.NewPCG(seed, 19))
 	plan := Plan{Name: fmt.Sprintf("drawn-%d", seed), Seed: seed, Length: 24}
@@ -67,10 +63,6 @@
 // machines with a disk asked for at once, processes stopped in turn while all are told to
 // read their settings again, and anything else that a day may have beside them. The same
 // seed gives the same day.
-//
-// Example:
-//
-//	plan := platformday.DrawHardPlan(7)
 func DrawHardPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 23))
 	plan := Plan{Name: fmt.Sprintf("hard-%d", seed), Seed: seed, Length: hardLength}
@@ -96,20 +88,12 @@
 }
 
 // Text writes a plan as a day file, so that it can be played again.
-//
-// Example:
-//
-//	text, failure := plan.Text()
 func (plan Plan) Text() (string, error) {
 	text, err := toml.Marshal(plan)
 	return string(text), failure.Wrap(failure.Malformed, err)
 }
 
 // Title names the faults of a day in one line.
-//
-// Example:
-//
-//	fmt.Println(plan.Title())
 func (plan Plan) Title() string {
 	var words []string
 	for _, fault := range plan.Faults {
--- a/internal/rehearsal/platformday/edition.go
+++ b/internal/rehearsal/platformday/edition.go
@@ -30,10 +30,6 @@
 
 // FirstEdition is the configuration that a day begins with: a route for each kind of
 // request, and some without traffic.
-//
-// Example:
-//
-//	edition := platformday.FirstEdition(site)
 func FirstEdition(site Site) Edition {
 	edition := Edition{Revision: 3, Routes: map[string]RouteRule{}}
 	for _, class := range site.Classes {
@@ -54,10 +50,6 @@
 }
 
 // Next copies an edition under another number.
-//
-// Example:
-//
-//	next := edition.Next(edition.Revision + 2)
 func (edition Edition) Next(revision int) Edition {
 	routes := make(map[string]RouteRule, len(edition.Routes))
 	for name, rule := range edition.Routes {
@@ -68,10 +60,6 @@
 }
 
 // Allows tells whether a request on a route may go to a service.
-//
-// Example:
-//
-//	edition.Allows("r-chat", "desk")
 func (edition Edition) Allows(route, service string) bool {
 	return edition.Routes[route].Services[service] > 0
 }
--- a/internal/rehearsal/platformday/faults.go
+++ b/internal/rehearsal/platformday/faults.go
@@ -29,10 +29,6 @@
 }
 
 // FaultKinds lists the kinds of faults that a day may have.
-//
-// Example:
-//
-//	fmt.Println(platformday.FaultKinds())
 func FaultKinds() []string { return slices.Sorted(maps.Keys(faultBodies)) }
 
 // burst presses for a while.
--- a/internal/rehearsal/platformday/figures.go
+++ b/internal/rehearsal/platformday/figures.go
@@ -137,19 +137,11 @@
 }
 
 // Served is the share of the requests owed that were served at all.
-//
-// Example:
-//
-//	if verdict.Figures.Served() < 0.8 { ... }
 func (figures Figures) Served() float64 {
 	return float64(figures.InTime+figures.Late) / float64(max(1, figures.Owed))
 }
 
 // String writes the figures for people.
-//
-// Example:
-//
-//	fmt.Print(verdict.Figures)
 func (figures Figures) String() string {
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, "owed %d: in time %d, late %d, refused %d, failed %d; served %.3f; first event after %s, 95th of 100 %s; refusals within %s\n", figures.Owed, figures.InTime, figures.Late, figures.Refused, figures.Failed,
--- a/internal/rehearsal/platformday/plan.go
+++ b/internal/rehearsal/platformday/plan.go
@@ -48,10 +48,6 @@
 }
 
 // ReadPlan reads a day from a file. Every mistake in it is named.
-//
-// Example:
-//
-//	plan, mistakes := platformday.ReadPlan("day.toml")
 func ReadPlan(path string) (Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,10 +57,6 @@
 }
 
 // ParsePlan reads a day. Every mistake in it is named.
-//
-// Example:
-//
-//	plan, mistakes := platformday.ParsePlan([]byte("name = \"quiet\"\nlength_s = 15"))
 func ParsePlan(text []byte) (Plan, error) {
 	var plan Plan
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -83,10 +75,6 @@
 }
 
 // Check names every mistake of a plan.
-//
-// Example:
-//
-//	mistakes := plan.Check()
 func (plan Plan) Check() (mistakes error) {
 	wrong := func(kind failure.Kind, path, detail string) {
 		mistakes = multierr.Append(mistakes, failure.At(kind, path, detail))
--- a/internal/rehearsal/platformday/plots.go
+++ b/internal/rehearsal/platformday/plots.go
@@ -19,10 +19,6 @@
 }
 
 // Marks lists when a day's faults began, from the start of its traffic.
-//
-// Example:
-//
-//	marks := platformday.Marks(book.Events())
 func Marks(events []Event) []Mark {
 	var marks []Mark
 	var began time.Time
@@ -39,10 +35,6 @@
 
 // Plot draws what became of the requests, and how soon their first event came, second by
 // second, into two PNG files of a folder.
-//
-// Example:
-//
-//	failure := verdict.Figures.Plot(folder, platformday.Marks(book.Events()))
 func (figures Figures) Plot(folder string, marks []Mark) error {
 	count := func(name string, value func(second Second) float64, shade color.Color) series {
 		points := make(plotter.XYs, len(figures.Seconds))
--- a/internal/rehearsal/platformday/role.go
+++ b/internal/rehearsal/platformday/role.go
@@ -27,10 +27,6 @@
 }
 
 // ReadRoles reads the roles of a deploy file; their programs are in a folder.
-//
-// Example:
-//
-//	roles, failure := platformday.ReadRoles("deploy/system.toml", "target")
 func ReadRoles(path, binaries string) ([]Role, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/rehearsal/platformday/running.go
+++ b/internal/rehearsal/platformday/running.go
@@ -8,10 +8,6 @@
 }
 
 // Running lists the processes of all machines that have not ended.
-//
-// Example:
-//
-//	for _, one := range day.Running() { fmt.Println(one.Role, one.Number) }
 func (day *Day) Running() []Running {
 	var running []Running
 	for _, machine := range day.all() {
--- a/internal/rehearsal/platformday/site.go
+++ b/internal/rehearsal/platformday/site.go
@@ -57,10 +57,6 @@
 
 // SmallSite is a light deployment close to the users' small ones: three zones, a
 // machine with a disk and one without in each, two services.
-//
-// Example:
-//
-//	site := platformday.SmallSite()
 func SmallSite() Site {
 	engine := Shape{
 		Slots: 24, Queue: 48, Connections: 200, Step: 3100 * time.Microsecond, StepPerSlot: 100 * time.Microsecond, TokensPerMillisecond: 57,
--- a/internal/rehearsal/platformday/terms.go
+++ b/internal/rehearsal/platformday/terms.go
@@ -12,10 +12,6 @@
 
 // UsualTerms are those that the users' small deployments state, save for the
 // times that make a day long.
-//
-// Example:
-//
-//	terms := platformday.UsualTerms()
 func UsualTerms() Terms {
 	return Terms{
 		SeedLag: 3 * time.Second, AddressReuse: 2 * time.Second, Contact: 3 * time.Second, Acknowledge: 4 * time.Second,
--- a/internal/rehearsal/platformday/verdict.go
+++ b/internal/rehearsal/platformday/verdict.go
@@ -14,10 +14,6 @@
 }
 
 // Judge holds every rule against what was seen.
-//
-// Example:
-//
-//	verdict := platformday.Judge(book.Events(), platformday.SmallSite())
 func Judge(events []Event, site Site) Verdict {
 	record, verdict := newRecord(events, site), Verdict{}
 	for _, checker := range checkers {
@@ -30,10 +26,6 @@
 }
 
 // Violations counts the broken rules.
-//
-// Example:
-//
-//	if verdict.Violations() > 0 { os.Exit(1) }
 func (verdict Verdict) Violations() int {
 	count := 0
 	for _, finding := range verdict.Findings {
@@ -43,10 +35,6 @@
 }
 
 // Finding is what one checker says.
-//
-// Example:
-//
-//	verdict.Finding("TWICE").Violations
 func (verdict Verdict) Finding(checker string) rehearsal.Finding {
 	for _, finding := range verdict.Findings {
 		if finding.Checker == checker {
@@ -57,10 +45,6 @@
 }
 
 // String writes the verdict for people.
-//
-// Example:
-//
-//	fmt.Print(verdict)
 func (verdict Verdict) String() string {
 	var text strings.Builder
 	for _, finding := range verdict.Findings {
--- a/internal/rehearsal/relay.go
+++ b/internal/rehearsal/relay.go
@@ -23,10 +23,6 @@
 }
 
 // StartRelay begins a relay towards an address.
-//
-// Example:
-//
-//	relay, failure := rehearsal.StartRelay("127.0.0.1:7101")
 func StartRelay(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,17 +35,9 @@
 }
 
 // Address is where the relay listens.
-//
-// Example:
-//
-//	detours[target] = relay.Address()
 func (relay *Relay) Address() string { return relay.listener.Addr().String() }
 
 // SetDark stops the link in silence: circuits stay open and carry nothing.
-//
-// Example:
-//
-//	relay.SetDark(true)
 func (relay *Relay) SetDark(dark bool) {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
@@ -58,10 +46,6 @@
 }
 
 // SetDelay holds everything back for a while.
-//
-// Example:
-//
-//	relay.SetDelay(200 * time.Millisecond)
 func (relay *Relay) SetDelay(delay time.Duration) {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
@@ -69,10 +53,6 @@
 }
 
 // SetDuplicate sends every message of new circuits twice.
-//
-// Example:
-//
-//	relay.SetDuplicate(true)
 func (relay *Relay) SetDuplicate(duplicate bool) {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
@@ -80,10 +60,6 @@
 }
 
 // Drop breaks every open circuit.
-//
-// Example:
-//
-//	relay.Drop()
 func (relay *Relay) Drop() {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
@@ -93,10 +69,6 @@
 }
 
 // Close ends the relay.
-//
-// Example:
-//
-//	defer relay.Close()
 func (relay *Relay) Close() {
 	_ = relay.listener.Close()
 	relay.SetDark(false)
--- a/internal/rehearsal/removals/removal.go
+++ b/internal/rehearsal/removals/removal.go
@@ -36,10 +36,6 @@
 
 // Apply makes the edits in a copy of the source. One that does not fit any more
 // is a failure.
-//
-// Example:
-//
-//	failure := removal.Apply(folder)
 func (removal Removal) Apply(folder string) error {
 	for _, edit := range removal.Edits {
 		path := filepath.Join(folder, edit.File)
--- a/internal/rehearsal/serverplan.go
+++ b/internal/rehearsal/serverplan.go
@@ -18,10 +18,6 @@
 }
 
 // DefaultPlan is a server of middling speed.
-//
-// Example:
-//
-//	plan := rehearsal.DefaultPlan("stove-1", "north")
 func DefaultPlan(name, district string) ServerPlan {
 	return ServerPlan{Name: name, District: district, PrefillRate: 20_000, PrefillRoom: 12, DecodeSlots: 16, PieceTime: 8 * time.Millisecond,
 		Memory: 200_000, LinkRate: 400_000, HandleLife: 5 * time.Second, ColdTime: 4 * time.Second, Prefixes: 8}
--- a/internal/rehearsal/standin.go
+++ b/internal/rehearsal/standin.go
@@ -32,10 +32,6 @@
 }
 
 // StartStandIn begins a stand-in at an address; an empty one means any port.
-//
-// Example:
-//
-//	server, failure := rehearsal.StartStandIn(plan, "127.0.0.1:0", book)
 func StartStandIn(plan ServerPlan, address string, book *Book) (*StandIn, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -86,17 +82,9 @@
 }
 
 // Address is where the stand-in listens.
-//
-// Example:
-//
-//	address := server.Address()
 func (standIn *StandIn) Address() string { return standIn.address }
 
 // Crash ends the stand-in at once, with all its memory.
-//
-// Example:
-//
-//	server.Crash()
 func (standIn *StandIn) Crash() {
 	standIn.Die()
 	standIn.end()
--- a/internal/rehearsal/stovetop.go
+++ b/internal/rehearsal/stovetop.go
@@ -74,10 +74,6 @@
 }
 
 // NewStovetop starts a server, cold.
-//
-// Example:
-//
-//	top := rehearsal.NewStovetop(plan, book, turns, uuid.NewString, fetch)
 func NewStovetop(plan ServerPlan, book *Book, turns lease.Turns, nonce func() string, fetch Fetch) *Stovetop {
 	book.Note(Entry{Kind: ServerBorn, Server: plan.Name, District: plan.District})
 	return &Stovetop{plan: plan, book: book, turns: turns, fetch: fetch, nonce: nonce, incarnation: nonce(), free: turns.NewBell(), born: turns.Now(),
@@ -85,10 +81,6 @@
 }
 
 // Die notes the crash, with which all memory is gone.
-//
-// Example:
-//
-//	top.Die()
 func (top *Stovetop) Die() {
 	top.book.Note(Entry{Kind: ServerCrashed, Server: top.plan.Name})
 	top.mutex.Lock()
@@ -105,10 +97,6 @@
 }
 
 // SetDark makes the stand-in accept circuits and never answer, or end that.
-//
-// Example:
-//
-//	top.SetDark(true)
 func (top *Stovetop) SetDark(dark bool) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -116,10 +104,6 @@
 }
 
 // SetLeaving makes the load reports say that the server leaves.
-//
-// Example:
-//
-//	top.SetLeaving(true)
 func (top *Stovetop) SetLeaving(leaving bool) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -127,10 +111,6 @@
 }
 
 // SetHandleLife makes handles lapse after another time.
-//
-// Example:
-//
-//	top.SetHandleLife(time.Millisecond)
 func (top *Stovetop) SetHandleLife(life time.Duration) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -138,10 +118,6 @@
 }
 
 // SlowLink makes the link so many times slower.
-//
-// Example:
-//
-//	top.SlowLink(10)
 func (top *Stovetop) SlowLink(times int) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -149,10 +125,6 @@
 }
 
 // Part is the part that the server has.
-//
-// Example:
-//
-//	if top.Part() == "decode" { ... }
 func (top *Stovetop) Part() string {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -160,10 +132,6 @@
 }
 
 // Active counts the answers under way.
-//
-// Example:
-//
-//	if top.Active() == 0 { ... }
 func (top *Stovetop) Active() int {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -171,10 +139,6 @@
 }
 
 // Dark tells whether the server takes circuits and never answers.
-//
-// Example:
-//
-//	if top.Dark() { ... }
 func (top *Stovetop) Dark() bool {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -182,10 +146,6 @@
 }
 
 // Dead tells whether the server has crashed.
-//
-// Example:
-//
-//	if top.Dead() { ... }
 func (top *Stovetop) Dead() bool {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -193,10 +153,6 @@
 }
 
 // Load is the server's report.
-//
-// Example:
-//
-//	report := top.Load()
 func (top *Stovetop) Load() modelserver.LoadReport {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -256,10 +212,6 @@
 }
 
 // Prefill reads a prompt, and answers with its handle or a refusal.
-//
-// Example:
-//
-//	status, content := top.Prefill(circuit, order)
 func (top *Stovetop) Prefill(circuit *Circuit, order modelserver.PrefillOrder) (int, any) {
 	top.mutex.Lock()
 	if top.again("prefill", order.Order, order.Inquiry, order.Run) {
@@ -355,10 +307,6 @@
 }
 
 // GiveMemory hands a prompt's memory over, once and to its own inquiry and run.
-//
-// Example:
-//
-//	status, content := top.GiveMemory(question)
 func (top *Stovetop) GiveMemory(question MemoryQuestion) (int, any) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
@@ -376,10 +324,6 @@
 
 // Decode takes a prompt's memory up and answers, line by line; with another
 // status than 200 there is a refusal and no line.
-//
-// Example:
-//
-//	status, content := top.Decode(circuit, order, send)
 func (top *Stovetop) Decode(circuit *Circuit, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) (int, any) {
 	top.mutex.Lock()
 	if top.again("decode", order.Order, order.Inquiry, order.Run) {
@@ -434,10 +378,6 @@
 
 // PieceText is the text of one piece, by which its reader can tell whose it is
 // and which run made it.
-//
-// Example:
-//
-//	text := rehearsal.PieceText("inquiry-1", "1", 3)
 func PieceText(inquiry, run string, piece int) string {
 	return inquiry + "/" + run + "/" + strconv.Itoa(piece)
 }
@@ -462,10 +402,6 @@
 }
 
 // Cancel stops a run and lets go of its memory.
-//
-// Example:
-//
-//	top.Cancel(order)
 func (top *Stovetop) Cancel(order modelserver.CancelOrder) {
 	top.mutex.Lock()
 	circuit := top.runs[runName(order.Inquiry, order.Run, order.Order)]
@@ -482,10 +418,6 @@
 }
 
 // TakePart takes a part from the holder of the server's key.
-//
-// Example:
-//
-//	status, content := top.TakePart(order)
 func (top *Stovetop) TakePart(order modelserver.PartOrder) (int, any) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
--- a/internal/rehearsal/verdict.go
+++ b/internal/rehearsal/verdict.go
@@ -21,10 +21,6 @@
 }
 
 // Judge runs every checker over the entries.
-//
-// Example:
-//
-//	verdict := rehearsal.Judge(book.Entries())
 func Judge(entries []Entry) Verdict {
 	verdict := Verdict{Replies: map[string]int{}}
 	for _, check := range checkers {
@@ -70,10 +66,6 @@
 }
 
 // Violations counts the broken rules of all checkers.
-//
-// Example:
-//
-//	if verdict.Violations() > 0 { os.Exit(1) }
 func (verdict Verdict) Violations() int {
 	count := 0
 	for _, finding := range verdict.Findings {
@@ -83,10 +75,6 @@
 }
 
 // Finding is what one checker says.
-//
-// Example:
-//
-//	verdict.Finding("no second run").Violations
 func (verdict Verdict) Finding(checker string) Finding {
 	for _, finding := range verdict.Findings {
 		if finding.Checker == checker {
@@ -97,10 +85,6 @@
 }
 
 // String writes the verdict for people.
-//
-// Example:
-//
-//	fmt.Print(verdict)
 func (verdict Verdict) String() string {
 	var text strings.Builder
 	for _, finding := range verdict.Findings {
--- a/internal/rehearsal/world/campaign.go
+++ b/internal/rehearsal/world/campaign.go
@@ -42,10 +42,6 @@
 
 // DeploymentOf is the deployment of a seed in a campaign: its own, or each in
 // turn when it names none.
-//
-// Example:
-//
-//	deployment, found := campaign.DeploymentOf(7)
 func (campaign *Campaign) DeploymentOf(seed uint64) (rehearsal.Deployment, bool) {
 	name := campaign.Deployment
 	if name == "" {
@@ -55,10 +51,6 @@
 }
 
 // Run runs all days; told is called for each, one at a time.
-//
-// Example:
-//
-//	tally := (&world.Campaign{First: 1, Count: 1000, Day: world.DefaultDay()}).Run(func(uint64, world.Result) {})
 func (campaign *Campaign) Run(told func(seed uint64, result Result)) Tally {
 	tally := Tally{Violations: map[string]int{}, Temptations: map[string]int{}, Tempted: map[string]int{}, Lowest: 1, Longest: map[string]float64{}}
 	var mutex sync.Mutex
--- a/internal/rehearsal/world/core.go
+++ b/internal/rehearsal/world/core.go
@@ -13,10 +13,6 @@
 // CoreLayouts are the cores that are rehearsed by themselves, with a few couriers: one
 // that bears one loss, and two that bear two machines or one zone.
 //
-// Example:
-//
-//	layout := world.CoreLayouts()["six in three zones"]
-//
 // leavePatience is how long an expediter that is stopped may hand over.
 const leavePatience = 3 * time.Second
 
@@ -45,10 +41,6 @@
 }
 
 // Failed tells whether something happened that must not.
-//
-// Example:
-//
-//	if trial.Failed() { test.Error(trial) }
 func (trial CoreTrial) Failed() bool {
 	return trial.Took < 0 || len(trial.Lost) > 0 || trial.Twice > 0 || !trial.Whole
 }
@@ -190,10 +182,6 @@
 }
 
 // CoreTroubles names the troubles that a core of so many borne losses is to bear.
-//
-// Example:
-//
-//	for _, name := range world.CoreTroubles(2) { ... }
 func CoreTroubles(losses int) []string {
 	var names []string
 	for _, trouble := range coreTroubles() {
@@ -206,10 +194,6 @@
 
 // TryCore lets a core form, brings the trouble about right after an acknowledged change,
 // and tells how it went.
-//
-// Example:
-//
-//	trial := world.NewLaidOut(world.CoreLayouts()["six in three zones"], 7).TryCore("all power is lost")
 func (world *World) TryCore(trouble string) CoreTrial {
 	world.diskSync = time.Duration(2+3*world.random.IntN(2)) * time.Millisecond
 	world.ways.AcknowledgeWait, world.ways.FormOnce = time.Second, true
--- a/internal/rehearsal/world/day.go
+++ b/internal/rehearsal/world/day.go
@@ -28,10 +28,6 @@
 }
 
 // DefaultDay is a day of moderate length.
-//
-// Example:
-//
-//	result := fleet.Run(world.DefaultDay())
 func DefaultDay() Day { return Day{Faulty: 28 * time.Second, Long: 4, Short: 6} }
 
 // The parts of a day beside the faulty one.
@@ -60,20 +56,12 @@
 }
 
 // Failed tells whether something happened that must not.
-//
-// Example:
-//
-//	if result.Failed() { os.Exit(1) }
 func (result Result) Failed() bool {
 	return result.Verdict.Violations() > 0 || !result.Whole || result.Twice > 0
 }
 
 // Broke tells whether a rule was broken whose name has the text in it; with no
 // text, whether the day failed at all.
-//
-// Example:
-//
-//	if result.Broke("no second run") { ... }
 func (result Result) Broke(text string) bool {
 	if text == "" {
 		return result.Failed()
@@ -91,10 +79,6 @@
 }
 
 // Run lets a day pass and judges it.
-//
-// Example:
-//
-//	result := world.New(rehearsal.Sahil(), 7).Run(world.DefaultDay())
 func (world *World) Run(day Day) Result {
 	world.long, world.short = day.Long, day.Short
 	world.fixedParts = day.FixedParts
--- a/internal/rehearsal/world/faults.go
+++ b/internal/rehearsal/world/faults.go
@@ -616,10 +616,6 @@
 }
 
 // FaultNames lists the faults that a day may draw.
-//
-// Example:
-//
-//	fmt.Println(world.FaultNames())
 func FaultNames() []string {
 	var names []string
 	for _, fault := range faults() {
--- a/internal/rehearsal/world/incident.go
+++ b/internal/rehearsal/world/incident.go
@@ -37,10 +37,6 @@
 // Incidents lets a laid-out fleet start and meet, one after another, what a year
 // brings; lost is how long machines and links stay away, losses how many machines of
 // nodes are lost one after another.
-//
-// Example:
-//
-//	incidents := world.NewLaidOut(world.FutureLayout(), 1).Incidents(2*time.Minute, 8)
 func (world *World) Incidents(lost time.Duration, losses int) []Incident {
 	var incidents []Incident
 	var rest, none Traffic
@@ -342,10 +338,6 @@
 }
 
 // WriteIncidents writes incidents as a table.
-//
-// Example:
-//
-//	failure := world.WriteIncidents(os.Stdout, incidents)
 func WriteIncidents(target io.Writer, incidents []Incident) error {
 	if _, err := fmt.Fprintln(target, "| what | times | led again | duties moved | change in force, mean | longest | all held | core whole | looked at | messages | bytes | at rest in this time, messages | bytes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"); err != nil {
 		return err
--- a/internal/rehearsal/world/layout.go
+++ b/internal/rehearsal/world/layout.go
@@ -27,10 +27,6 @@
 }
 
 // FutureLayout is the fleet of two years from now.
-//
-// Example:
-//
-//	layout := world.FutureLayout()
 func FutureLayout() Layout {
 	return Layout{Zones: [][]string{{"east-1", "east-2", "east-3"}, {"west-1", "west-2", "west-3"}, {"north-1", "north-2", "north-3"}, {"south-1", "south-2"}},
 		Between: 20 * time.Millisecond, Couriers: 324, Servers: 1100, Expediters: 6, BorneLosses: 1, Routes: 300}
@@ -65,10 +61,6 @@
 }
 
 // NewLaidOut lays out a fleet of several regions.
-//
-// Example:
-//
-//	fleet := world.NewLaidOut(world.FutureLayout(), 1)
 func NewLaidOut(layout Layout, seed uint64) *World {
 	zones := layout.zones()
 	world := New(rehearsal.Deployment{Name: "regions", Districts: zones, Long: rehearsal.Sahil().Long, Short: rehearsal.Sahil().Short}, seed)
--- a/internal/rehearsal/world/repair.go
+++ b/internal/rehearsal/world/repair.go
@@ -15,10 +15,6 @@
 // Repair brings about one loss in a calm fleet, with an operator reading five
 // times a second or not at all, and tells how long it took until every copy was
 // whole and new, and how many bytes of snapshots went to it.
-//
-// Example:
-//
-//	took, bytes, mended := world.New(rehearsal.Sahil(), 1).Repair("a wiped disk", true)
 func (world *World) Repair(loss string, reads bool) (took time.Duration, bytes int, mended bool) {
 	world.long, world.short = 2, 3
 	for _, machine := range world.machines {
--- a/internal/rehearsal/world/ways.go
+++ b/internal/rehearsal/world/ways.go
@@ -35,17 +35,9 @@
 func (deaf) SetServers(time.Time, []membership.Server) {}
 
 // PlatformWays are those of the users' platform.
-//
-// Example:
-//
-//	fleet.SetWays(world.PlatformWays())
 func PlatformWays() Ways {
 	return Ways{AcknowledgeWait: 600 * time.Millisecond, ServeWithoutHold: 24 * time.Hour, RetireAfter: 20 * time.Second, FormOnce: true, NoNodes: true, Calls: true}
 }
 
 // SetWays chooses them, before the fleet starts.
-//
-// Example:
-//
-//	fleet.SetWays(world.Ways{AcknowledgeWait: time.Second})
 func (world *World) SetWays(ways Ways) { world.ways = ways }
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -97,10 +97,6 @@
 var epoch = time.Unix(1_800_000_000, 0).UTC()
 
 // New lays a world out: the deployment's machines and servers, all cold.
-//
-// Example:
-//
-//	fleet := world.New(rehearsal.Sahil(), 7)
 func New(deployment rehearsal.Deployment, seed uint64) *World {
 	world := &World{deployment: deployment, random: rand.New(rand.NewPCG(seed, 0x5ea)), byAddress: map[string]string{}, lives: map[string]*life{},
 		servers: map[string]*server{}, links: map[[2]string]*link{}, temptations: map[string]int{}, seenKeys: map[string]bool{}, claiming: map[string]int{}, evacuating: map[string]bool{},
@@ -147,10 +143,6 @@
 
 // Trace is a digest of everything that happened: the world's steps and the
 // book.
-//
-// Example:
-//
-//	same := first.Trace() == second.Trace()
 func (world *World) Trace() string {
 	whole := sha256.New()
 	_, _ = whole.Write(world.trace.Sum(nil))
@@ -166,10 +158,6 @@
 func (world *World) tempt(what string) { world.temptations[what]++ }
 
 // Temptations tells how often each really occurred.
-//
-// Example:
-//
-//	world.Temptations()["a claim in flight at a kill"]
 func (world *World) Temptations() map[string]int { return world.temptations }
 
 func (world *World) nameAt(address string) string { return world.byAddress[address] }
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -8,10 +8,6 @@
 )
 
 // Own is the hello that this expediter says.
-//
-// Example:
-//
-//	answer := steward.Own()
 func (coordinator *Coordinator) Own() Hello {
 	// These may wait for the disk, and nobody may wait for them.
 	charter, replica := coordinator.witness.Charter(), coordinator.witness.Replica()
@@ -33,10 +29,6 @@
 }
 
 // Greet takes another's hello and answers it.
-//
-// Example:
-//
-//	answer := steward.Greet(hello)
 func (coordinator *Coordinator) Greet(hello Hello) Hello {
 	if hello.Seat.Empty() {
 		// Somebody who only wants to know who leads.
@@ -178,10 +170,6 @@
 }
 
 // Address is where the seat's identity was heard from last.
-//
-// Example:
-//
-//	address := steward.Address(charter.Backup)
 func (coordinator *Coordinator) Address(replica Replica) string {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -192,10 +180,6 @@
 }
 
 // Sees tells whether an expediter at the address was heard a moment ago.
-//
-// Example:
-//
-//	running := steward.Sees("127.0.0.1:7102")
 func (coordinator *Coordinator) Sees(address string) bool {
 	if address == coordinator.witness.Replica().Address {
 		return true
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -10,12 +10,6 @@
 )
 
 // OwnDisk tells the steward that a write to the own disk begins or has ended.
-//
-// Example:
-//
-//	steward.OwnDisk(true)
-//	failure := store.KeepOwn(batch)
-//	steward.OwnDisk(failure != nil)
 func (coordinator *Coordinator) OwnDisk(busy bool) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -33,10 +27,6 @@
 }
 
 // BackupAnswered tells the steward how the last write to a backup ended.
-//
-// Example:
-//
-//	steward.BackupAnswered(backup.Identity, failure == nil)
 func (coordinator *Coordinator) BackupAnswered(backup Identity, well bool) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -442,10 +432,6 @@
 
 // OldCopies lists the expediters out of the pair whose copies were older than
 // the version when they were heard last.
-//
-// Example:
-//
-//	for _, seat := range steward.OldCopies(view.Version) { mend(seat) }
 func (coordinator *Coordinator) OldCopies(version Version) []Replica {
 	charter := coordinator.Charter()
 	coordinator.mutex.Lock()
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -19,11 +19,6 @@
 // that was prepared for the version it meets is not made again, so that a large
 // configuration is not checked in the changes' turn; one that was prepared for
 // another version is told that the configuration has moved.
-//
-// Example:
-//
-//	prepared := replication.PrepareMenu(menuVersion, text, edit, false)
-//	store.Submit(replication.ChangeMenu("change-1", digest, &expected, prepared, edit), done)
 func ChangeMenu(id, digest string, expected *Version, prepared PreparedMenu, edit func(text []byte) ([]byte, error)) Change {
 	return func(state *State, version, menuVersion Version) error {
 		for _, note := range state.Changes {
@@ -67,10 +62,6 @@
 }
 
 // Register records a member with its supported list, as it says now.
-//
-// Example:
-//
-//	store.Submit(replication.Register(member), done)
 func Register(member membership.Member) Change {
 	return func(state *State, _, _ Version) error {
 		if recorded, found := state.Members[member.Name]; found && recorded.Same(member) {
@@ -83,10 +74,6 @@
 }
 
 // Retire takes a stopped member out of the record, as an operator asks.
-//
-// Example:
-//
-//	store.Submit(replication.Retire("courier-9"), done)
 func Retire(name string) Change {
 	return func(state *State, _, _ Version) error {
 		if _, found := state.Members[name]; !found {
@@ -100,10 +87,6 @@
 
 // EnableFlags enables every flag of this build that all recorded members
 // support. It is serialized with registrations, and flags are never disabled.
-//
-// Example:
-//
-//	store.Submit(replication.EnableFlags(supported), done)
 func EnableFlags(supported formats.List) Change {
 	return func(state *State, _, _ Version) error {
 		enabled := state.Flags.Enabled
@@ -121,10 +104,6 @@
 }
 
 // Lacking names the recorded members that do not support a flag.
-//
-// Example:
-//
-//	blockers := state.Lacking(formats.PairPrice)
 func (state *State) Lacking(flag formats.Flag) []string {
 	var lacking []string
 	for name, member := range state.Members {
@@ -137,10 +116,6 @@
 
 // GrantDuties records new holders, each under a new fence. A grant made from a
 // record that has changed since is passed over.
-//
-// Example:
-//
-//	store.Submit(replication.GrantDuties(grants, recorded), done)
 func GrantDuties(grants []lease.Duty, seen map[string]lease.Duty) Change {
 	return func(state *State, _, _ Version) error {
 		for _, grant := range grants {
@@ -162,10 +137,6 @@
 
 // ForgetServers takes the duties and orders of servers out of the record that are gone
 // for good. A duty that has changed hands since it was looked at stays.
-//
-// Example:
-//
-//	store.Submit(replication.ForgetServers([]string{"stove-9"}, recorded), done)
 func ForgetServers(names []string, seen map[string]lease.Duty) Change {
 	return func(state *State, _, _ Version) error {
 		for _, name := range names {
@@ -189,10 +160,6 @@
 
 // GiveOrders records orders from the holder of the parts duty. Orders under an
 // older fence are refused.
-//
-// Example:
-//
-//	store.Submit(replication.GiveOrders(duty, orders, supported), done)
 func GiveOrders(duty lease.Duty, orders []formats.Order, supported formats.List) Change {
 	return func(state *State, _, _ Version) error {
 		if state.Rota.Duties[lease.PartsKey] != duty {
@@ -222,10 +189,6 @@
 // Claim takes an inquiry id for one arrival at a courier, once. The entry's
 // cause is a nonce of that arrival: with it the courier may ask again, since an
 // answer can be lost. The same id arriving again has another nonce.
-//
-// Example:
-//
-//	store.Submit(replication.Claim(made, entry), done)
 func Claim(made time.Time, entry formats.Entry) Change {
 	return func(state *State, _, _ Version) error {
 		if state.Horizon.IsZero() {
@@ -264,10 +227,6 @@
 // MoveHorizon forgets claims that are older than the retention. It moves at
 // most by step, which the caller draws from monotonic time, so that a clock
 // that jumps forward neither forgets claims nor refuses new ones.
-//
-// Example:
-//
-//	store.Submit(replication.MoveHorizon(wallClock, 2*elapsed), done)
 func MoveHorizon(wall time.Time, step time.Duration) Change {
 	return func(state *State, _, _ Version) error {
 		goal := wall.Add(-Retention)
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -98,10 +98,6 @@
 }
 
 // NewCoordinator makes the steward of one expediter.
-//
-// Example:
-//
-//	steward := replication.NewCoordinator(turns, seeds, keeper, store, peers, observe)
 func NewCoordinator(turns lease.Turns, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
 	return &Coordinator{turns: turns, seeds: seeds, kind: membership.Expediter, witness: witness, store: store, peers: peers,
 		observe: observe, timing: TimingFor(DefaultCatchUp), known: map[Identity]*acquaintance{}, borne: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
@@ -109,10 +105,6 @@
 
 // Holds tells whether this expediter is primary at this moment: its own hold
 // runs. It is asked just before every answer.
-//
-// Example:
-//
-//	if !steward.Holds() { return failure.New(failure.NoPrimary, "") }
 func (coordinator *Coordinator) Holds() bool {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -121,10 +113,6 @@
 
 // SetRestricted tells the steward whether its node lacks an enabled flag; a
 // restricted node keeps epochs but stands for nothing.
-//
-// Example:
-//
-//	steward.SetRestricted(true)
 func (coordinator *Coordinator) SetRestricted(restricted bool) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -133,11 +121,6 @@
 
 // Leave makes this expediter hand over what it has, and stand no more while another can:
 // its process is about to end. The primary is told at once.
-//
-// Example:
-//
-//	steward.Leave()
-//	for !steward.Released() { pause() }
 func (coordinator *Coordinator) Leave() {
 	coordinator.mutex.Lock()
 	coordinator.leaving = true
@@ -154,10 +137,6 @@
 // Released tells whether nothing depends on this expediter any more: it leads not, no
 // charter counts its copy, and another has its witness's seat. A seat for which nobody
 // came for a while goes with it.
-//
-// Example:
-//
-//	if steward.Released() { end() }
 func (coordinator *Coordinator) Released() bool {
 	own, charter := coordinator.witness.Replica().Identity, coordinator.Charter()
 	if coordinator.store.Leading() || charter.InSync(own) {
@@ -182,10 +161,6 @@
 
 // JoinOnly keeps this expediter from forming a first core: there is one already,
 // which a blank disk joins, whatever the seeds are.
-//
-// Example:
-//
-//	steward.JoinOnly()
 func (coordinator *Coordinator) JoinOnly() {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -194,10 +169,6 @@
 
 // SetContacts gives addresses besides the seeds and the charter's to say hello
 // to, as the platform lists them.
-//
-// Example:
-//
-//	steward.SetContacts(addresses)
 func (coordinator *Coordinator) SetContacts(addresses []string) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -206,10 +177,6 @@
 
 // SetRecorded gives the addresses of the recorded members, the likeliest to know the
 // core first. They are greeted while no majority of the witnesses answers.
-//
-// Example:
-//
-//	steward.SetRecorded(addresses)
 func (coordinator *Coordinator) SetRecorded(addresses []string) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -217,10 +184,6 @@
 }
 
 // Charter is the newest charter that this expediter has heard of.
-//
-// Example:
-//
-//	primary := steward.Charter().Primary
 func (coordinator *Coordinator) Charter() Membership {
 	own := coordinator.witness.Charter()
 	coordinator.mutex.Lock()
@@ -232,10 +195,6 @@
 }
 
 // Tick does the next thing that is due.
-//
-// Example:
-//
-//	for alive { steward.Tick(); pause() }
 func (coordinator *Coordinator) Tick() {
 	coordinator.greetAll()
 	switch {
@@ -287,20 +246,12 @@
 }
 
 // SetTiming chooses the waits of the core. It comes before any other use.
-//
-// Example:
-//
-//	steward.SetTiming(replication.TimingFor(2 * time.Second))
 func (coordinator *Coordinator) SetTiming(timing Timing) {
 	coordinator.timing = timing
 	coordinator.witness.SetLease(timing.Lease)
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-//
-// Example:
-//
-//	steward.SetSeeds(chosen.Seeds)
 func (coordinator *Coordinator) SetSeeds(seeds []string) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
--- a/internal/replication/copy.go
+++ b/internal/replication/copy.go
@@ -28,10 +28,6 @@
 
 // OpenCopy reads a copy from its shelf. A copy with a damaged or missing file
 // opens, but says so, and must be replaced from the other.
-//
-// Example:
-//
-//	copied, failure := replication.OpenCopy(shelf)
 func OpenCopy(shelf Shelf) (*Copy, error) {
 	files, damaged, err := shelf.Load()
 	if err != nil {
@@ -98,17 +94,9 @@
 
 // Guard chooses the copy's lock, which is held while it waits for the disk. It comes
 // before any other use.
-//
-// Example:
-//
-//	copied.Guard(lease.NewLock(turns))
 func (copied *Copy) Guard(lock sync.Locker) { copied.mutex = lock }
 
 // Damage says what is wrong with the copy, or nothing.
-//
-// Example:
-//
-//	if copied.Damage() != "" { /* fetch the other copy */ }
 func (copied *Copy) Damage() string {
 	copied.mutex.Lock()
 	defer copied.mutex.Unlock()
@@ -116,10 +104,6 @@
 }
 
 // Version is the newest version that the copy holds.
-//
-// Example:
-//
-//	base := copied.Version()
 func (copied *Copy) Version() Version {
 	copied.mutex.Lock()
 	defer copied.mutex.Unlock()
@@ -127,10 +111,6 @@
 }
 
 // Drawers is the copy's content. The map is the caller's, the bytes are not.
-//
-// Example:
-//
-//	drawers := copied.Drawers()
 func (copied *Copy) Drawers() map[string]Section {
 	copied.mutex.Lock()
 	defer copied.mutex.Unlock()
@@ -143,10 +123,6 @@
 
 // Write syncs a batch to disk and takes it up. The same batch again changes
 // nothing; one that does not follow the copy's version is refused as Behind.
-//
-// Example:
-//
-//	failure := copied.Write(batch)
 func (copied *Copy) Write(batch Batch) error {
 	copied.mutex.Lock()
 	defer copied.mutex.Unlock()
@@ -163,10 +139,6 @@
 }
 
 // Rewrite replaces the whole copy by a snapshot, in one file.
-//
-// Example:
-//
-//	failure := copied.Rewrite(snapshot)
 func (copied *Copy) Rewrite(snapshot Snapshot) error {
 	copied.mutex.Lock()
 	defer copied.mutex.Unlock()
@@ -191,10 +163,6 @@
 
 // Refresh replaces a copy that is older than the snapshot; one that is as new
 // is left as it is. It is how copies that are not in sync are mended.
-//
-// Example:
-//
-//	failure := copied.Refresh(snapshot)
 func (copied *Copy) Refresh(snapshot Snapshot) error {
 	copied.mutex.Lock()
 	older := copied.version.Before(snapshot.Version)
@@ -207,10 +175,6 @@
 
 // Sweep reads the copy's files again. One that has become damaged or is gone
 // is written anew from memory; the sweep tells how many there were.
-//
-// Example:
-//
-//	mended, failure := copied.Sweep()
 func (copied *Copy) Sweep() (int, error) {
 	copied.mutex.Lock()
 	defer copied.mutex.Unlock()
--- a/internal/replication/losses.go
+++ b/internal/replication/losses.go
@@ -7,10 +7,6 @@
 // is one backup and there are three keepers; with more, as many backups as losses,
 // and two keepers for each loss and one more, spread over the districts so that a
 // whole one may go.
-//
-// Example:
-//
-//	steward.Bear(2, "medina")
 func (coordinator *Coordinator) Bear(losses int, district string) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -19,10 +15,6 @@
 
 // SetBackupList tells whether the flag backup_list is enabled: whether every
 // recorded member reads charters with more than one backup.
-//
-// Example:
-//
-//	steward.SetBackupList(enabled.Has(formats.BackupList))
 func (coordinator *Coordinator) SetBackupList(enabled bool) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -14,26 +14,14 @@
 }
 
 // Blank tells whether there is no charter yet.
-//
-// Example:
-//
-//	if keeper.Charter().Blank() { ... }
 func (charter Membership) Blank() bool { return charter.Epoch == 0 }
 
 // InSync tells whether the copy of the identity has everything answered.
-//
-// Example:
-//
-//	if charter.InSync(identity) { /* it may take over */ }
 func (charter Membership) InSync(identity Identity) bool {
 	return identity != "" && hasReplica(charter.Copies(), identity)
 }
 
 // Backups lists the copies that every write is synced on besides the primary's.
-//
-// Example:
-//
-//	for _, backup := range charter.Backups() { replicate(backup) }
 func (charter Membership) Backups() []Replica {
 	if charter.Backup.Empty() {
 		return nil
@@ -42,10 +30,6 @@
 }
 
 // Copies lists all copies in sync, the primary's first.
-//
-// Example:
-//
-//	several := len(charter.Copies()) > 2
 func (charter Membership) Copies() []Replica {
 	if charter.Primary.Empty() {
 		return nil
@@ -54,10 +38,6 @@
 }
 
 // With is the charter with other copies.
-//
-// Example:
-//
-//	next := charter.With(own, []replication.Seat{first, second})
 func (charter Membership) With(primary Replica, backups []Replica) Membership {
 	charter.Primary, charter.Backup, charter.Further = primary, Replica{}, nil
 	if len(backups) > 0 {
@@ -70,10 +50,6 @@
 }
 
 // Electors lists the keepers of both sets, each once.
-//
-// Example:
-//
-//	for _, seat := range charter.Electors() { ask(seat) }
 func (charter Membership) Electors() []Replica {
 	electors := append([]Replica(nil), charter.Witnesses...)
 	for _, replica := range charter.Incoming {
@@ -85,19 +61,11 @@
 }
 
 // Keeps tells whether the identity is a keeper of either set.
-//
-// Example:
-//
-//	if charter.Keeps(identity) { ... }
 func (charter Membership) Keeps(identity Identity) bool {
 	return hasReplica(charter.Witnesses, identity) || hasReplica(charter.Incoming, identity)
 }
 
 // Quorum tells whether those who granted are a majority of each set.
-//
-// Example:
-//
-//	won := charter.Quorum(map[replication.Identity]bool{"a": true, "b": true})
 func (charter Membership) Quorum(granted map[Identity]bool) bool {
 	return majority(charter.Witnesses, granted) && (len(charter.Incoming) == 0 || majority(charter.Incoming, granted))
 }
--- a/internal/replication/preparedmenu.go
+++ b/internal/replication/preparedmenu.go
@@ -17,10 +17,6 @@
 
 // PrepareMenu edits and checks one version of the configuration. A sound edit
 // makes a sound text of a sound one, and needs no check of the whole.
-//
-// Example:
-//
-//	prepared := replication.PrepareMenu(menuVersion, text, edit, false)
 func PrepareMenu(base Version, text []byte, edit func(text []byte) ([]byte, error), sound bool) PreparedMenu {
 	edited, err := edit(text)
 	if err == nil && !sound {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -13,8 +13,4 @@
 }
 
 // Empty tells whether nobody has the seat.
-//
-// Example:
-//
-//	solo := charter.Backup.Empty()
 func (replica Replica) Empty() bool { return replica.Identity == "" }
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -29,20 +29,12 @@
 }
 
 // NewState is the content of a larder that was just formed.
-//
-// Example:
-//
-//	state := replication.NewState()
 func NewState() *State {
 	return &State{Menu: []byte(`{}`), Members: map[string]membership.Member{}, Rota: Duties{Duties: map[string]lease.Duty{}},
 		Orders: Orders{Records: map[string]formats.Record{}}, Claims: map[string]map[string]formats.Record{}, dirty: map[string]bool{}}
 }
 
 // ReadState decodes the drawers of a copy.
-//
-// Example:
-//
-//	state, failure := replication.ReadState(copied.Drawers())
 func ReadState(sections map[string]Section) (*State, error) {
 	state := NewState()
 	for name, section := range sections {
@@ -80,11 +72,6 @@
 }
 
 // Touch marks a drawer as changed.
-//
-// Example:
-//
-//	state.Menu = text
-//	state.Touch(replication.MenuDrawer)
 func (state *State) Touch(section string) { state.dirty[section] = true }
 
 // pack encodes the changed drawers and forgets that they were changed.
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -38,36 +38,20 @@
 }
 
 // NewStore joins a copy and the keeper of the same disk.
-//
-// Example:
-//
-//	store := replication.NewStore(copied, keeper)
 func NewStore(copied *Copy, witness *Witness) *Store {
 	return &Store{mutex: &sync.Mutex{}, copied: copied, witness: witness}
 }
 
 // Guard chooses the store's lock, which is held while it waits for the disk. It comes
 // before any other use.
-//
-// Example:
-//
-//	store.Guard(lease.NewLock(turns))
 func (store *Store) Guard(lock sync.Locker) { store.mutex = lock }
 
 // Lead makes the store the primary of an epoch: it takes its own copy as the
 // committed state, under a first version of the new epoch, and shows it.
-//
-// Example:
-//
-//	failure := store.Lead(charter.Epoch)
 func (store *Store) Lead(epoch uint64) error { return store.lead(epoch, false) }
 
 // LeadHidden does so while other copies count as in sync: nothing is shown or
 // committed until they are made the same, or no longer count, and Thaw says so.
-//
-// Example:
-//
-//	failure := store.LeadHidden(charter.Epoch)
 func (store *Store) LeadHidden(epoch uint64) error { return store.lead(epoch, true) }
 
 func (store *Store) lead(epoch uint64, hidden bool) error {
@@ -97,10 +81,6 @@
 }
 
 // Leading tells whether the store is a primary's.
-//
-// Example:
-//
-//	if store.Leading() { ... }
 func (store *Store) Leading() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -109,10 +89,6 @@
 
 // StepDown ends being primary. What was under way has an unknown outcome;
 // what still waited was not accepted.
-//
-// Example:
-//
-//	store.StepDown()
 func (store *Store) StepDown() {
 	store.mutex.Lock()
 	riding, pending := store.riding, store.pending
@@ -130,10 +106,6 @@
 
 // View is the committed state while the store is a primary's, else nil. Who
 // reads it must hold the primary's hold.
-//
-// Example:
-//
-//	view := store.View()
 func (store *Store) View() *View {
 	if store.hidden.Load() {
 		return nil
@@ -142,17 +114,9 @@
 }
 
 // Hidden tells whether the store leads and does not show its state yet.
-//
-// Example:
-//
-//	if store.Hidden() { /* the copies are not the same yet */ }
 func (store *Store) Hidden() bool { return store.hidden.Load() }
 
 // Submit queues a change; done is called once, from another thread or this.
-//
-// Example:
-//
-//	store.Submit(replication.Register(member), func(version replication.Version, failure error) { ... })
 func (store *Store) Submit(change Change, done Done) {
 	store.mutex.Lock()
 	if !store.leading {
@@ -166,10 +130,6 @@
 
 // Begin gives the batch to be synced on both copies now: the one under way,
 // stamped with the present epoch, or a new one made of all waiting changes.
-//
-// Example:
-//
-//	if batch, found := store.Begin(); found { ... }
 func (store *Store) Begin() (Batch, bool) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -211,17 +171,9 @@
 }
 
 // Empty tells whether a batch changes nothing and needs no sync.
-//
-// Example:
-//
-//	if batch.Empty() { store.Commit(batch) }
 func (batch Batch) Empty() bool { return len(batch.Drawers) == 0 && len(batch.Removed) == 0 }
 
 // KeepOwn syncs the batch on this store's own copy.
-//
-// Example:
-//
-//	failure := store.KeepOwn(batch)
 func (store *Store) KeepOwn(batch Batch) error {
 	batch.Base = store.copied.Version()
 	return store.copied.Write(batch)
@@ -229,10 +181,6 @@
 
 // Commit shows a batch that is synced on both copies and tells its changes. It
 // returns false when the store no longer leads the batch's epoch.
-//
-// Example:
-//
-//	store.Commit(batch)
 func (store *Store) Commit(batch Batch) bool {
 	store.mutex.Lock()
 	if !store.leading || store.frozen || store.batch == nil || store.batch.Version != batch.Version {
@@ -270,10 +218,6 @@
 }
 
 // Work counts the synced batches and the changes answered by them.
-//
-// Example:
-//
-//	batches, changes := store.Work()
 func (store *Store) Work() (batches, changes uint64) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -281,10 +225,6 @@
 }
 
 // Waiting tells whether a change waits to be committed or is under way.
-//
-// Example:
-//
-//	if !store.Waiting() { pause = time.Second }
 func (store *Store) Waiting() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -293,10 +233,6 @@
 
 // Freeze stops commits while a new pair is being granted, and cuts the
 // snapshot that the new backup starts from.
-//
-// Example:
-//
-//	snapshot, leading := store.Freeze()
 func (store *Store) Freeze() (Snapshot, bool) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -308,10 +244,6 @@
 }
 
 // Snapshot is the committed state, while commits go on.
-//
-// Example:
-//
-//	snapshot, leading := store.Snapshot()
 func (store *Store) Snapshot() (Snapshot, bool) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -327,10 +259,6 @@
 }
 
 // Thaw lets commits go on, with the granted pair.
-//
-// Example:
-//
-//	store.Thaw(charter.Epoch)
 func (store *Store) Thaw(epoch uint64) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -341,10 +269,6 @@
 
 // Show shows the state of a store that has become the only copy, while commits
 // stay stopped.
-//
-// Example:
-//
-//	store.Show(charter.Epoch)
 func (store *Store) Show(epoch uint64) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -353,10 +277,6 @@
 }
 
 // Renumber takes a newly granted epoch while commits stay stopped.
-//
-// Example:
-//
-//	store.Renumber(charter.Epoch)
 func (store *Store) Renumber(epoch uint64) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -365,10 +285,6 @@
 
 // Replicate is the backup's side of a write: it refuses an older epoch than it
 // has promised, and a batch that does not follow its copy.
-//
-// Example:
-//
-//	failure := store.Replicate(epoch, batch)
 func (store *Store) Replicate(epoch uint64, batch Batch) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -379,10 +295,6 @@
 }
 
 // Install is the new backup's side of a snapshot.
-//
-// Example:
-//
-//	failure := store.Install(snapshot)
 func (store *Store) Install(snapshot Snapshot) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -393,10 +305,6 @@
 }
 
 // Refresh mends this store's copy when it is old and not in sync.
-//
-// Example:
-//
-//	failure := store.Refresh(snapshot)
 func (store *Store) Refresh(snapshot Snapshot) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -415,10 +323,6 @@
 
 // Vow promises the epoch on the store's own disk, between two writes of an
 // older primary and never during one.
-//
-// Example:
-//
-//	failure := store.Vow(now, epoch, identity)
 func (store *Store) Vow(now time.Time, epoch uint64, candidate Identity) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -426,8 +330,4 @@
 }
 
 // Copy is the store's copy, for status and for candidates' checks.
-//
-// Example:
-//
-//	store.Copy().Damage()
 func (store *Store) Copy() *Copy { return store.copied }
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -45,10 +45,6 @@
 
 // TimingFor derives the waits from a bound; zero or less means the default one. A longer
 // bound than the default changes nothing but the margin.
-//
-// Example:
-//
-//	timing := replication.TimingFor(2 * time.Second)
 func TimingFor(catchUp time.Duration) Timing {
 	if catchUp <= 0 {
 		catchUp = DefaultCatchUp
--- a/internal/replication/version.go
+++ b/internal/replication/version.go
@@ -10,10 +10,6 @@
 }
 
 // Before tells whether the version is older than the other.
-//
-// Example:
-//
-//	replication.Version{Epoch: 2, Number: 9}.Before(replication.Version{Epoch: 3, Number: 1}) // true
 func (version Version) Before(other Version) bool {
 	if version.Epoch != other.Epoch {
 		return version.Epoch < other.Epoch
@@ -22,10 +18,6 @@
 }
 
 // String writes the version as operators see it.
-//
-// Example:
-//
-//	replication.Version{Epoch: 2, Number: 9}.String() // "2.9"
 func (version Version) String() string {
 	return strconv.FormatUint(version.Epoch, 10) + "." + strconv.FormatUint(version.Number, 10)
 }
--- a/internal/replication/view.go
+++ b/internal/replication/view.go
@@ -7,15 +7,7 @@
 }
 
 // VersionOf is the version that a drawer had its last change in.
-//
-// Example:
-//
-//	view.VersionOf(replication.MenuDrawer)
 func (view *View) VersionOf(section string) Version { return view.Drawers[section].Version }
 
 // State decodes the view.
-//
-// Example:
-//
-//	state, failure := view.State()
 func (view *View) State() (*State, error) { return ReadState(view.Drawers) }
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -38,10 +38,6 @@
 // the newest is damaged, the disk counts as blank and fresh is the identity
 // that it takes. A keeper that starts holds still for one hold, since it may
 // have confirmed a primary just before it stopped.
-//
-// Example:
-//
-//	keeper, blank, failure := replication.OpenWitness(now, shelf, seat, fresh)
 func OpenWitness(now time.Time, shelf Shelf, replica Replica, fresh Identity) (*Witness, bool, error) {
 	files, damaged, err := shelf.Load()
 	if err != nil {
@@ -72,18 +68,10 @@
 
 // Guard chooses the keeper's lock, which is held while it waits for the disk. It comes
 // before any other use.
-//
-// Example:
-//
-//	keeper.Guard(lease.NewLock(turns))
 func (witness *Witness) Guard(lock sync.Locker) { witness.mutex = lock }
 
 // SetLease chooses how long the keeper holds still for a primary, no longer than
 // PrimaryHold: for that long it keeps still at its start, whatever it was told before.
-//
-// Example:
-//
-//	keeper.SetLease(timing.Lease)
 func (witness *Witness) SetLease(lease time.Duration) {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -91,17 +79,9 @@
 }
 
 // Replica is the keeper's own seat, which stays.
-//
-// Example:
-//
-//	keeper.Replica().Identity
 func (witness *Witness) Replica() Replica { return witness.self }
 
 // Charter is the newest charter that the keeper has accepted.
-//
-// Example:
-//
-//	charter := keeper.Charter()
 func (witness *Witness) Charter() Membership {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -109,10 +89,6 @@
 }
 
 // Promised is the highest epoch that the keeper has promised.
-//
-// Example:
-//
-//	next := keeper.Promised() + 1
 func (witness *Witness) Promised() uint64 {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -120,10 +96,6 @@
 }
 
 // HoldEnds tells when the hold that the keeper gave a primary runs out.
-//
-// Example:
-//
-//	if keeper.HoldEnds().Before(now) { /* nobody is primary here */ }
 func (witness *Witness) HoldEnds() time.Time {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -131,10 +103,6 @@
 }
 
 // Holder is whom the hold that runs was given to.
-//
-// Example:
-//
-//	if keeper.Holder() == candidate { /* it may stand at once */ }
 func (witness *Witness) Holder() Identity {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -143,10 +111,6 @@
 
 // Prepare promises an epoch to a candidate, unless a higher or equal one is
 // promised or another primary's hold runs.
-//
-// Example:
-//
-//	promise := keeper.Prepare(now, 4, candidate)
 func (witness *Witness) Prepare(now time.Time, epoch uint64, candidate Identity) (Promise, error) {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -172,10 +136,6 @@
 
 // Accept takes a charter, unless a higher epoch is promised. A blank keeper
 // takes only one that names it: that is how it is admitted.
-//
-// Example:
-//
-//	promise, failure := keeper.Accept(now, charter)
 func (witness *Witness) Accept(now time.Time, charter Membership) (Promise, error) {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -209,10 +169,6 @@
 // Confirm gives the primary of the epoch its hold: for that long the keeper
 // promises no other epoch to another candidate. A charter that it has not accepted
 // must be brought first, so that its disk tells after a restart whom it held still for.
-//
-// Example:
-//
-//	promise := keeper.Confirm(now, 4, primary)
 func (witness *Witness) Confirm(now time.Time, epoch uint64, primary Identity) Promise {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -240,10 +196,6 @@
 
 // Vow promises an epoch on the candidate's own disk, by the same rule as for
 // another candidate, whether or not this disk is a keeper's.
-//
-// Example:
-//
-//	failure := keeper.Vow(now, 4, keeper.Seat().Identity)
 func (witness *Witness) Vow(now time.Time, epoch uint64, candidate Identity) error {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -260,10 +212,6 @@
 
 // Sweep reads the keeper's note again, and writes it anew when the file has
 // become damaged or is gone.
-//
-// Example:
-//
-//	mended, failure := keeper.Sweep()
 func (witness *Witness) Sweep() (bool, error) {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
@@ -279,10 +227,6 @@
 
 // Learn takes the identity's promise as a backup: it must never again serve an
 // older epoch.
-//
-// Example:
-//
-//	failure := keeper.Learn(message.Epoch)
 func (witness *Witness) Learn(epoch uint64) error {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
--- a/internal/scheduler/arrive.go
+++ b/internal/scheduler/arrive.go
@@ -8,10 +8,6 @@
 )
 
 // Arrive lets a call in, or refuses it; then there is no ticket.
-//
-// Example:
-//
-//	ticket, decision := calls.Arrive(now, &scheduler.Call{ID: id, Host: host, Path: path, Ends: ends})
 func (window *Window) Arrive(now time.Time, call *Call) (*Ticket, Decision) {
 	left := call.Ends.Sub(now)
 	if window.draining.Load() {
--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlogs.go
@@ -55,17 +55,9 @@
 
 // SetAsks has the window ask for counts before reads: its conduct then answers decisions
 // of the kind Ask with Told, and brings TakeChanges to the keepers.
-//
-// Example:
-//
-//	calls.SetAsks(true)
 func (window *Window) SetAsks(asks bool) { window.asks.Store(asks) }
 
 // TakeChanges are the changes that the keepers have not been told of, by group.
-//
-// Example:
-//
-//	for group, changes := range calls.TakeChanges() { tell(group, changes) }
 func (window *Window) TakeChanges() map[string][]backlog.Change {
 	window.outbox.mutex.Lock()
 	defer window.outbox.mutex.Unlock()
@@ -75,10 +67,6 @@
 }
 
 // HasChanges tells whether keepers are to be told of changes.
-//
-// Example:
-//
-//	bell.Wait(pause, calls.HasChanges)
 func (window *Window) HasChanges() bool {
 	window.outbox.mutex.Lock()
 	defer window.outbox.mutex.Unlock()
@@ -118,10 +106,6 @@
 
 // Told takes the keepers' answers to a decision of the kind Ask, by group, and tells what
 // is next. A keeper that did not answer is left out.
-//
-// Example:
-//
-//	decision = calls.Told(now, ticket, answers)
 func (window *Window) Told(now time.Time, ticket *Ticket, answers map[string]backlog.Answer) Decision {
 	if ticket.ended || ticket.dispatch.backend != nil {
 		return Decision{Kind: Done}
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -3,10 +3,6 @@
 import "time"
 
 // Ended takes how the call's dispatch ended and tells what is next.
-//
-// Example:
-//
-//	decision = calls.Ended(now, ticket, scheduler.Outcome{Result: scheduler.Complete, Handle: handle})
 func (window *Window) Ended(now time.Time, ticket *Ticket, outcome Outcome) Decision {
 	if ticket.ended || ticket.dispatch.backend == nil {
 		return Decision{Kind: Done}
@@ -38,10 +34,6 @@
 
 // Began tells that the first event of a run's answer came. A courier that tells it
 // notices servers that are stuck before their calls end.
-//
-// Example:
-//
-//	calls.Began(now, ticket)
 func (window *Window) Began(now time.Time, ticket *Ticket) {
 	sent := &ticket.dispatch
 	if sent.backend == nil || sent.kind != Run || sent.began {
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -21,10 +21,6 @@
 }
 
 // DefaultAllowance is what holds where nobody said otherwise.
-//
-// Example:
-//
-//	options.FurtherTries = scheduler.DefaultAllowance()
 func DefaultAllowance() Allowance { return Allowance{Ratio: 0.2, Slack: 10, Span: 10 * time.Second} }
 
 func (options Options) checked() Options {
--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -28,10 +28,6 @@
 )
 
 // MayHaveRun tells whether the server may have begun the call.
-//
-// Example:
-//
-//	ran = ran || outcome.Result.MayHaveRun()
 func (result Result) MayHaveRun() bool {
 	switch result {
 	case Unreached, NotStarted, Misdirected:
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -35,10 +35,6 @@
 }
 
 // TakeFailing are the servers that failed calls since it was last asked, in order.
-//
-// Example:
-//
-//	question.Failing = calls.TakeFailing()
 func (window *Window) TakeFailing() []string {
 	window.failures.mutex.Lock()
 	defer window.failures.mutex.Unlock()
@@ -55,10 +51,6 @@
 }
 
 // SetOutliers takes the advice that comes of what all routers met.
-//
-// Example:
-//
-//	calls.SetOutliers(now, answer.Outliers)
 func (window *Window) SetOutliers(now time.Time, advice outlier.Advice) {
 	board := window.board.Load()
 	until := now.Add(adviceLasts).UnixNano()
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -63,25 +63,13 @@
 )
 
 // NewPools starts without memory.
-//
-// Example:
-//
-//	pools := scheduler.NewPools()
 func NewPools() *Pools { return &Pools{services: map[string]*pool{}} }
 
 // Divided tells whether the list says of servers what part they have.
-//
-// Example:
-//
-//	if calls.Divided() { orders = pools.Decide(now, calls) }
 func (window *Window) Divided() bool { return window.board.Load().divided }
 
 // Part is what a listed server does, and whether it changes that now. Listed is false
 // for a server that isn't listed or has no part.
-//
-// Example:
-//
-//	part, changing, listed := calls.Part("stove-1")
 func (window *Window) Part(server string) (part string, changing, listed bool) {
 	backend, found := window.board.Load().byName[server]
 	if !found || backend.server.Part == "" {
@@ -91,10 +79,6 @@
 }
 
 // Decide gives the orders that are needed now, by what the window knows of its servers.
-//
-// Example:
-//
-//	orders := pools.Decide(now, calls)
 func (pools *Pools) Decide(now time.Time, window *Window) []formats.Order {
 	pools.mutex.Lock()
 	defer pools.mutex.Unlock()
