--- a/internal/scheduler/program.go
+++ b/internal/scheduler/program.go
@@ -53,10 +53,6 @@
 }
 
 // Compile makes the program of a configuration.
-//
-// Example:
-//
-//	program := scheduler.Compile(configuration, version.Epoch, version.Number)
 func Compile(configuration *config.Configuration, epoch, number uint64) *Program {
 	program := &Program{epoch: epoch, number: number, hosts: map[string][]step{}, services: map[string]*config.Service{},
 		evacuations: map[string]bool{}, limits: configuration.Limits, gaps: map[string]time.Duration{}}
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -64,10 +64,6 @@
 }
 
 // Route is the route that the call came on.
-//
-// Example:
-//
-//	gap := ticket.Route().Calls.Gap
 func (ticket *Ticket) Route() *config.Route { return ticket.routeRule.route }
 
 func (ticket *Ticket) avoids(backend *backend) bool {
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -53,10 +53,6 @@
 const unknownRouters = 100
 
 // New makes a window that knows nothing yet.
-//
-// Example:
-//
-//	calls := scheduler.New(scheduler.Options{Courier: "courier-1", District: "north"})
 func New(options Options) *Window {
 	window := &Window{options: options.checked(), costs: standardCosts()}
 	first := newBoard()
@@ -68,10 +64,6 @@
 
 // SetProgram puts a later version in force; an older one, or the same, is left aside
 // and the answer is false.
-//
-// Example:
-//
-//	if calls.SetProgram(scheduler.Compile(configuration, epoch, number)) { ... }
 func (window *Window) SetProgram(program *Program) bool {
 	for {
 		current := window.program.Load()
@@ -86,10 +78,6 @@
 }
 
 // InForce is the version of the configuration in force, as epoch and number.
-//
-// Example:
-//
-//	epoch, number := calls.InForce()
 func (window *Window) InForce() (epoch, number uint64) {
 	if program := window.program.Load(); program != nil {
 		return program.epoch, program.number
@@ -98,10 +86,6 @@
 }
 
 // Limits bound what a caller may send, by the configuration in force.
-//
-// Example:
-//
-//	most := calls.Limits().BodyBytes
 func (window *Window) Limits() config.Limits {
 	if program := window.program.Load(); program != nil {
 		return program.limits
@@ -110,10 +94,6 @@
 }
 
 // SetServers takes the list of servers.
-//
-// Example:
-//
-//	calls.SetServers(now, servers)
 func (window *Window) SetServers(now time.Time, servers []membership.Server) {
 	window.mutex.Lock()
 	defer window.mutex.Unlock()
@@ -121,10 +101,6 @@
 }
 
 // SetLoads takes what the servers reported of themselves.
-//
-// Example:
-//
-//	calls.SetLoads(now, loads)
 func (window *Window) SetLoads(now time.Time, loads []Load) {
 	board := window.board.Load()
 	var services []string
@@ -149,10 +125,6 @@
 
 // SetOrders takes the parts that servers were ordered to take: one that is to take
 // another begins nothing until that is done, and no call is sent to it.
-//
-// Example:
-//
-//	calls.SetOrders(now, map[string]string{"stove-3": "prefill"})
 func (window *Window) SetOrders(now time.Time, parts map[string]string) {
 	board := window.board.Load()
 	for _, backend := range board.all {
@@ -170,10 +142,6 @@
 const orderShows = 4 * time.Second
 
 // SetCouriers tells how many couriers share the servers.
-//
-// Example:
-//
-//	calls.SetCouriers(9)
 func (window *Window) SetCouriers(count int) { window.couriers.Store(int64(count)) }
 
 func (window *Window) routerCount() int {
@@ -184,17 +152,9 @@
 }
 
 // Drain lets no further calls in.
-//
-// Example:
-//
-//	calls.Drain()
 func (window *Window) Drain() { window.draining.Store(true) }
 
 // InFlight counts the calls that have not ended.
-//
-// Example:
-//
-//	drained := calls.InFlight() == 0
 func (window *Window) InFlight() int { return int(window.inFlight.Load()) }
 
 // serviceState is the service's; it is made once.
--- a/seamloom.go
+++ b/seamloom.go
@@ -47,17 +47,9 @@
 )
 
 // Supported is the list of flags that this build supports, less the withheld.
-//
-// Example:
-//
-//	core := seamloom.New(seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)})
 func Supported(withheld FlagList) FlagList { return formats.Supported(withheld) }
 
 // CheckConfiguration tells every failure of a configuration's text, or nil.
-//
-// Example:
-//
-//	if failure := seamloom.CheckConfiguration(text); failure != nil { ... }
 func CheckConfiguration(text []byte) error {
 	_, err := config.Check(text)
 	return err
