--- a/cmd/courier/main.go
+++ b/cmd/courier/main.go
@@ -38,7 +38,7 @@
 		}
 		program.LimitMemory(chosen.MostMemory)
 		logger := program.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
-		process, err := courier.Start(chosen, logger, wallclock.New(), courier.Ports{})
+		process, err := courier.Start(chosen, logger, wallclock.NewClock(), courier.Ports{})
 		if err != nil {
 			return err
 		}
--- a/cmd/expediter/main.go
+++ b/cmd/expediter/main.go
@@ -44,7 +44,7 @@
 		}
 		program.LimitMemory(chosen.MostMemory)
 		logger := program.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
-		process, err := expediter.Start(chosen, logger, storage.RealDisk{}, wallclock.New(), expediter.Ports{})
+		process, err := expediter.Start(chosen, logger, storage.RealDisk{}, wallclock.NewClock(), expediter.Ports{})
 		if err != nil {
 			return err
 		}
--- a/cmd/rehearsal/main.go
+++ b/cmd/rehearsal/main.go
@@ -91,28 +91,28 @@
 	} else if err := os.MkdirAll(chosen.folder, 0o755); err != nil {
 		return nil, failure.Wrap(failure.Disk, err)
 	}
-	fleet, err := rehearsal.NewFleet(deployment, chosen.folder, chosen.binaries, map[string]any{"market": chosen.market})
+	running, err := rehearsal.NewFleet(deployment, chosen.folder, chosen.binaries, map[string]any{"market": chosen.market})
 	if err != nil {
 		return nil, err
 	}
 	if chosen.linked {
-		if err := fleet.LinkNodes(); err != nil {
+		if err := running.LinkNodes(); err != nil {
 			return nil, err
 		}
 	}
 	if chosen.staged {
-		fleet.Stage()
+		running.Stage()
 	}
 	if chosen.older != "" {
-		fleet.Mix(chosen.older)
+		running.Mix(chosen.older)
 	}
 	began := time.Now()
-	if err := fleet.Begin(30 * time.Second); err != nil {
-		fleet.Close()
+	if err := running.Begin(30 * time.Second); err != nil {
+		running.Close()
 		return nil, err
 	}
 	_, _ = fmt.Fprintf(os.Stderr, "the fleet was ready in %s\n", time.Since(began).Round(time.Millisecond))
-	return fleet, nil
+	return running, nil
 }
 
 func interrupted() (context.Context, context.CancelFunc) {
@@ -126,24 +126,24 @@
 	configured := command.Flags().Bool("configured", true, "put the deployment's first configuration")
 	load := command.Flags().Bool("load", false, "let callers send inquiries")
 	command.RunE = func(*cobra.Command, []string) error {
-		fleet, err := chosen.start()
+		running, err := chosen.start()
 		if err != nil {
 			return err
 		}
-		defer fleet.Close()
-		day := rehearsal.NewDay(fleet, chosen.seed, os.Stderr)
+		defer running.Close()
+		day := rehearsal.NewDay(running, chosen.seed, os.Stderr)
 		if *configured {
 			if err := day.Open(); err != nil {
 				return err
 			}
 		}
-		fmt.Print(fleet.Describe())
+		fmt.Print(running.Describe())
 		lifetime, end := interrupted()
 		defer end()
 		if *load {
 			day.Callers.SetRates(chosen.long, chosen.short)
 			day.Callers.Run(lifetime)
-			fmt.Print(rehearsal.Judge(fleet.Book.Entries()))
+			fmt.Print(rehearsal.Judge(running.Book.Entries()))
 		}
 		<-lifetime.Done()
 		return nil
@@ -206,12 +206,12 @@
 		chosen.linked = chosen.linked || fault.Links
 		chosen.staged = chosen.staged || fault.Staged
 	}
-	fleet, err := chosen.start()
+	running, err := chosen.start()
 	if err != nil {
 		return verdict, err
 	}
-	defer fleet.Close()
-	day := rehearsal.NewDay(fleet, chosen.seed, log)
+	defer running.Close()
+	day := rehearsal.NewDay(running, chosen.seed, log)
 	day.Long, day.Short = chosen.long, chosen.short
 	day.Callers.Once = chosen.once
 	if err := day.Open(); err != nil {
@@ -223,10 +223,10 @@
 	if closes {
 		verdict = day.Close(lifetime, closing)
 	}
-	if primary := fleet.Primary(); primary != nil {
+	if primary := running.Primary(); primary != nil {
 		_, _ = fmt.Fprintf(log, "the primary answered %d changes with %d synced versions; %d configurations and %d bytes of news went out in %d answers\n",
 			primary.Metric("seamloom_answered_changes_total"), primary.Metric("seamloom_synced_batches_total"), primary.Metric("seamloom_configurations_sent_total"),
 			primary.Metric("seamloom_news_drawer_bytes_total"), primary.Metric("seamloom_news_answers_total"))
 	}
-	return verdict, fleet.Book.Save(filepath.Join(chosen.folder, "book.jsonl"))
+	return verdict, running.Book.Save(filepath.Join(chosen.folder, "book.jsonl"))
 }
--- a/cmd/rehearsal/stage.go
+++ b/cmd/rehearsal/stage.go
@@ -28,7 +28,7 @@
 		}
 		logger := program.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
 		faults := func() rehearsal.NodeFaults { return rehearsal.ReadNodeFaults(*path) }
-		clock := wallclock.Over(func() time.Time { return time.Now().Add(faults().Jump) })
+		clock := wallclock.NewClockOver(func() time.Time { return time.Now().Add(faults().Jump) })
 		if kind == membership.Courier {
 			process, err := courier.Start(chosen, logger, clock, courier.Ports{})
 			if err != nil {
--- a/cmd/taster/main.go
+++ b/cmd/taster/main.go
@@ -208,7 +208,7 @@
 	}
 	lifetime, end := context.WithTimeout(context.Background(), 2*time.Second)
 	defer end()
-	stoves := modelserver.New(lifetime, threads.New(lifetime, wallclock.New()), rpc.Transport(nil))
+	stoves := modelserver.New(lifetime, threads.New(lifetime, wallclock.NewClock()), rpc.Transport(nil))
 	facts.Servers = make([]config.ServerFacts, len(fleet.Servers))
 	var asking sync.WaitGroup
 	for position, server := range fleet.Servers {
--- a/internal/adapters/calls/fleet_test.go
+++ b/internal/adapters/calls/fleet_test.go
@@ -163,7 +163,7 @@
 	}
 	configuration := twoRoutes()
 	lifetime, cancel := context.WithCancel(t.Context())
-	turns := threads.New(lifetime, wallclock.New())
+	turns := threads.New(lifetime, wallclock.NewClock())
 	circuits := NewCircuits(nil)
 	deciding := scheduler.New(scheduler.Options{Courier: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
 	conduct := hatch.NewCalls(turns, deciding, circuits.SetServers)
@@ -272,7 +272,7 @@
 	})
 	standin.server.Service, standin.server.Slots, standin.server.Models = "desk", 64, []string{"m"}
 	owner := &tomb.Tomb{}
-	turns := threads.New(owner.Context(context.Background()), wallclock.New())
+	turns := threads.New(owner.Context(context.Background()), wallclock.NewClock())
 	circuits := NewCircuits(nil)
 	conduct := hatch.NewCalls(turns, scheduler.New(scheduler.Options{Courier: "courier-1", District: "north"}), circuits.SetServers)
 	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
--- a/internal/adapters/courier/calls.go
+++ b/internal/adapters/courier/calls.go
@@ -19,7 +19,7 @@
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
-func (process *Process) prepareCalls(turns *threads.Threads) func(deciding *scheduler.Window) hatch.Board {
+func (process *Process) prepareCalls(turns *threads.Runtime) func(deciding *scheduler.Window) hatch.Board {
 	chosen := process.chosen
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
@@ -32,7 +32,7 @@
 }
 
 // takeCalls makes the intake of calls; nothing listens yet.
-func (process *Process) takeCalls(turns *threads.Threads, reached Ports) error {
+func (process *Process) takeCalls(turns *threads.Runtime, reached Ports) error {
 	if process.calls.conduct == nil {
 		return nil
 	}
--- a/internal/adapters/courier/calls_test.go
+++ b/internal/adapters/courier/calls_test.go
@@ -44,7 +44,7 @@
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), freeAddress(t)
 	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	chosen.Platform = freeAddress(t)
-	process, err := Start(chosen, program.Logger(io.Discard, "error", "courier-1"), wallclock.New(), Ports{})
+	process, err := Start(chosen, program.Logger(io.Discard, "error", "courier-1"), wallclock.NewClock(), Ports{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	chosen.Platform = freeAddress(t)
 	var logged strings.Builder
-	process, err := Start(chosen, program.Logger(&logged, "info", "courier-1"), wallclock.New(), Ports{})
+	process, err := Start(chosen, program.Logger(&logged, "info", "courier-1"), wallclock.NewClock(), Ports{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	chosen := settings.Defaults(membership.Courier)
 	chosen.Name, chosen.District, chosen.Address = "courier-1", "north", freeAddress(t)
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), taken.Addr().String()
-	if _, err := Start(chosen, program.Logger(io.Discard, "error", "courier-1"), wallclock.New(), Ports{}); err == nil {
+	if _, err := Start(chosen, program.Logger(io.Discard, "error", "courier-1"), wallclock.NewClock(), Ports{}); err == nil {
 		t.Fatal("started at an address that is taken")
 	}
 	if _, err := net.Dial("tcp", chosen.CallsAddress); err == nil {
--- a/internal/adapters/modelserver/fuzz_test.go
+++ b/internal/adapters/modelserver/fuzz_test.go
@@ -27,7 +27,7 @@
 		_, _ = writer.Write(body)
 	}))
 	fuzzing.Cleanup(server.Close)
-	client := New(context.Background(), threads.New(context.Background(), wallclock.New()), &http.Transport{})
+	client := New(context.Background(), threads.New(context.Background(), wallclock.NewClock()), &http.Transport{})
 	decision := pass.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &pass.Inquiry{ID: "one"}}
 	may := func() bool { return true }
 	fuzzing.Fuzz(func(t *testing.T, said int, content []byte) {
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -24,14 +24,14 @@
 type Stove struct {
 	client   *http.Client
 	lifetime context.Context
-	turns    lease.Turns
+	turns    lease.Runtime
 
 	mutex   sync.Mutex
 	running map[string]context.CancelFunc
 }
 
 // New makes a client over a transport, for as long as a process lives.
-func New(lifetime context.Context, turns lease.Turns, transport http.RoundTripper) *Stove {
+func New(lifetime context.Context, turns lease.Runtime, transport http.RoundTripper) *Stove {
 	return &Stove{client: rpc.NewClient(transport), lifetime: lifetime, turns: turns, running: map[string]context.CancelFunc{}}
 }
 
--- a/internal/adapters/modelserver/stove_test.go
+++ b/internal/adapters/modelserver/stove_test.go
@@ -36,7 +36,7 @@
 		}
 		return circuit, err
 	}}
-	stove := New(context.Background(), threads.New(context.Background(), wallclock.New()), transport)
+	stove := New(context.Background(), threads.New(context.Background(), wallclock.NewClock()), transport)
 	decision := pass.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &pass.Inquiry{ID: "one"}}
 	for _, order := range []func() pass.Outcome{
 		func() pass.Outcome { outcome, _, _ := stove.Prefill(decision, may.Load); return outcome },
--- a/internal/adapters/threads/bell.go
+++ b/internal/adapters/threads/bell.go
@@ -7,20 +7,20 @@
 )
 
 // bell wakes everybody who waits for it.
-type bell struct {
+type cond struct {
 	lifetime context.Context
 	mutex    sync.Mutex
 	next     chan struct{}
 }
 
-func (bell *bell) rung() <-chan struct{} {
+func (bell *cond) rung() <-chan struct{} {
 	bell.mutex.Lock()
 	defer bell.mutex.Unlock()
 	return bell.next
 }
 
-// Ring wakes all who wait.
-func (bell *bell) Ring() {
+// Broadcast wakes all who wait.
+func (bell *cond) Broadcast() {
 	bell.mutex.Lock()
 	defer bell.mutex.Unlock()
 	close(bell.next)
@@ -28,7 +28,7 @@
 }
 
 // Wait waits until over is true, the patience ends or the process does.
-func (bell *bell) Wait(patience time.Duration, over func() bool) bool {
+func (bell *cond) Wait(patience time.Duration, over func() bool) bool {
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	for {
--- a/internal/adapters/wallclock/clock.go
+++ b/internal/adapters/wallclock/clock.go
@@ -16,12 +16,12 @@
 	wall  func() time.Time
 }
 
-// New starts a clock.
-func New() *Clock { return Over(time.Now) }
+// NewClock starts a clock.
+func NewClock() *Clock { return NewClockOver(time.Now) }
 
-// Over starts a clock over another source of the wall clock's time, such as
+// NewClockOver starts a clock over another source of the wall clock's time, such as
 // one that jumps in rehearsals.
-func Over(wall func() time.Time) *Clock {
+func NewClockOver(wall func() time.Time) *Clock {
 	return &Clock{began: wall().Round(0), boot: sinceBoot(), wall: wall}
 }
 
--- a/internal/hatch/calls_test.go
+++ b/internal/hatch/calls_test.go
@@ -54,9 +54,9 @@
 	exchange.freed = append(exchange.freed, source)
 }
 
-func newCalls(t *testing.T, parts ...string) (*Calls, *threads.Threads) {
+func newCalls(t *testing.T, parts ...string) (*Calls, *threads.Runtime) {
 	t.Helper()
-	turns := threads.New(t.Context(), wallclock.New())
+	turns := threads.New(t.Context(), wallclock.NewClock())
 	calls := NewCalls(turns, scheduler.New(scheduler.Options{Courier: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Circuits: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
--- a/internal/hatch/counter.go
+++ b/internal/hatch/counter.go
@@ -114,7 +114,7 @@
 	if courier {
 		expediter.lists.noteFailing(arrived, question)
 		current.Holds.Note(arrived, name, question.InForce.Number)
-		expediter.confirmed.Ring()
+		expediter.confirmed.Broadcast()
 	}
 	state, err := expediter.state(current, view)
 	if err != nil {
--- a/internal/hatch/countkeepers.go
+++ b/internal/hatch/countkeepers.go
@@ -16,13 +16,13 @@
 // zone that rendezvous hashing puts first, but for those that did not answer lately. Two
 // nodes may take different ones for the keeper for a while: the counts are hints.
 type CountKeepers struct {
-	turns  lease.Turns
+	turns  lease.Runtime
 	line   Hotline
 	window *scheduler.Window
 	// self is this node's name, life this life of it.
 	self, life string
 	ledger     backlog.Ledger
-	changed    lease.Bell
+	changed    lease.Cond
 
 	mutex  sync.Mutex
 	nodes  map[string]membership.Member
@@ -42,8 +42,8 @@
 )
 
 // NewCountKeepers makes the keepers' side and the asking side of one life of a node.
-func NewCountKeepers(turns lease.Turns, line Hotline, window *scheduler.Window, self, life string) *CountKeepers {
-	return &CountKeepers{turns: turns, line: line, window: window, self: self, life: life, changed: turns.NewBell(),
+func NewCountKeepers(turns lease.Runtime, line Hotline, window *scheduler.Window, self, life string) *CountKeepers {
+	return &CountKeepers{turns: turns, line: line, window: window, self: self, life: life, changed: turns.NewCond(),
 		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
 }
 
@@ -72,7 +72,7 @@
 	answers := make(map[string]backlog.Answer, len(questions))
 	var mutex sync.Mutex
 	left := len(questions) - 1
-	done := keepers.turns.NewBell()
+	done := keepers.turns.NewCond()
 	ask := func(question backlog.Question) {
 		answer, answered := keepers.bring(question)
 		mutex.Lock()
@@ -87,7 +87,7 @@
 			mutex.Lock()
 			left--
 			mutex.Unlock()
-			done.Ring()
+			done.Broadcast()
 		})
 	}
 	ask(questions[0])
@@ -168,7 +168,7 @@
 // NoteChanges has the keepers told, soon, of what changed by a decision.
 func (keepers *CountKeepers) NoteChanges() {
 	if keepers.window.HasChanges() {
-		keepers.changed.Ring()
+		keepers.changed.Broadcast()
 	}
 }
 
@@ -176,7 +176,7 @@
 func (keepers *CountKeepers) Tell() {
 	for keepers.turns.Alive() {
 		keepers.changed.Wait(restTick, keepers.window.HasChanges)
-		lease.Pause(keepers.turns, changesPause)
+		lease.Sleep(keepers.turns, changesPause)
 		for group, changes := range keepers.window.TakeChanges() {
 			keepers.bring(backlog.Question{Group: group, Changes: changes})
 		}
--- a/internal/hatch/countkeepers_test.go
+++ b/internal/hatch/countkeepers_test.go
@@ -46,7 +46,7 @@
 // keeperFleet is six nodes in two zones.
 func keeperFleet(t *testing.T) (*keeperLine, map[string]*CountKeepers) {
 	t.Helper()
-	turns := threads.New(t.Context(), wallclock.New())
+	turns := threads.New(t.Context(), wallclock.NewClock())
 	line := &keeperLine{keepers: map[string]*CountKeepers{}, down: map[string]bool{}}
 	members := map[string]membership.Member{"expediter-1": {Name: "expediter-1", Kind: membership.Expediter, Address: "e1", District: "north"}}
 	all := map[string]*CountKeepers{}
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -18,7 +18,7 @@
 // Courier is the data plane's conduct at one node: it follows the primary, has
 // inquiries decided by the core, and carries the decisions out.
 type Courier struct {
-	turns   lease.Turns
+	turns   lease.Runtime
 	line    Hotline
 	stove   Stove
 	passing Passing
@@ -28,11 +28,11 @@
 	board   Board
 	// stirred rings when there is more to do than before, crumbs when records are to
 	// go to a neighbour.
-	stirred lease.Bell
+	stirred lease.Cond
 	resting atomic.Int64
 	// couriers is how many share the servers.
 	couriers    atomic.Int64
-	crumbs      lease.Bell
+	crumbs      lease.Cond
 	followed    *Follower
 	journal     *Journal
 	answers     Answers
@@ -71,9 +71,9 @@
 )
 
 // NewCourier makes the conduct of one courier.
-func NewCourier(turns lease.Turns, line Hotline, stove Stove, passing Passing, options CourierOptions, observe func(string, ...any)) *Courier {
+func NewCourier(turns lease.Runtime, line Hotline, stove Stove, passing Passing, options CourierOptions, observe func(string, ...any)) *Courier {
 	courier := &Courier{turns: turns, line: line, stove: stove, passing: passing, options: options, observe: observe,
-		core: seamloom.New(options.Options), stirred: turns.NewBell(), crumbs: turns.NewBell(), journal: newJournal(), incarnation: options.Nonce(),
+		core: seamloom.New(options.Options), stirred: turns.NewCond(), crumbs: turns.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
 	member := membership.Member{Name: options.Courier, Kind: membership.Courier, Address: options.Address, District: options.District, Supported: options.Supported}
 	courier.followed = NewFollower(turns, line, member, options.Seeds, courier.InForce, courier.takeNews)
@@ -122,7 +122,7 @@
 // stir wakes the ticking if it rests for longer than it should.
 func (courier *Courier) stir() {
 	if int64(courier.tickPause()) < courier.resting.Load() {
-		courier.stirred.Ring()
+		courier.stirred.Broadcast()
 	}
 }
 
@@ -359,7 +359,7 @@
 	for courier.turns.Alive() {
 		courier.crumbs.Wait(restTick, courier.journal.outgoing)
 		courier.dropCrumbs()
-		lease.Pause(courier.turns, crumbsPause)
+		lease.Sleep(courier.turns, crumbsPause)
 	}
 }
 
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -20,7 +20,7 @@
 )
 
 // hookless are turns that only tell the time.
-type hookless struct{ lease.Turns }
+type hookless struct{ lease.Runtime }
 
 func (hookless) Now() time.Time  { return time.Unix(2_000_000, 0) }
 func (hookless) Wall() time.Time { return time.Unix(2_000_000, 0) }
@@ -44,7 +44,7 @@
 	t.Cleanup(end)
 	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
 		Ended: func(*pass.Inquiry, pass.Decision) {}}
-	courier := NewCourier(threads.New(lifetime, wallclock.New()), nil, nil, nil, options, func(string, ...any) {})
+	courier := NewCourier(threads.New(lifetime, wallclock.NewClock()), nil, nil, nil, options, func(string, ...any) {})
 	courier.Apply(pass.Event{Kind: pass.FlagsRead, Enabled: formats.List{}})
 	return courier
 }
@@ -97,7 +97,7 @@
 // TestBoardIsToldUntilWhenItMayServe brings news with and without a hold, and settings.
 func TestBoardIsToldUntilWhenItMayServe(t *testing.T) {
 	board := &noted{until: atNoon(time.Hour)}
-	turns := &movingTurns{Turns: threads.New(context.Background(), wallclock.New()), now: atNoon(0)}
+	turns := &movingTurns{Runtime: threads.New(context.Background(), wallclock.NewClock()), now: atNoon(0)}
 	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
 		Ended: func(*pass.Inquiry, pass.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
 	courier := NewCourier(turns, nil, nil, nil, options, func(string, ...any) {})
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -97,7 +97,7 @@
 	record, err := formats.WritePair(*decision.Pair, courier.options.Courier, courier.core.Enabled())
 	if err == nil {
 		courier.journal.append(record, true)
-		courier.crumbs.Ring()
+		courier.crumbs.Broadcast()
 	}
 }
 
@@ -108,7 +108,7 @@
 	record, err := formats.WriteEntry(formats.RetryRecord, formats.Entry{Inquiry: decision.ID, Courier: courier.options.Courier, Run: decision.Run, At: courier.turns.Wall()})
 	if err == nil {
 		courier.journal.append(record, true)
-		courier.crumbs.Ring()
+		courier.crumbs.Broadcast()
 	}
 }
 
@@ -155,7 +155,7 @@
 		case kind == failure.TooOld || kind == failure.TooNew:
 			event.Outcome, event.Detail = pass.TooOld, err.Error()
 		default:
-			lease.Pause(courier.turns, claimPause)
+			lease.Sleep(courier.turns, claimPause)
 			continue
 		}
 		break
--- a/internal/hatch/edit.go
+++ b/internal/hatch/edit.go
@@ -132,7 +132,7 @@
 	expediter.mutex.Lock()
 	expediter.editing = false
 	expediter.mutex.Unlock()
-	expediter.edits.Ring()
+	expediter.edits.Broadcast()
 }
 
 // SetAcknowledgeWait chooses how long a committed change waits for couriers that are
--- a/internal/hatch/edit_test.go
+++ b/internal/hatch/edit_test.go
@@ -98,7 +98,7 @@
 	}
 	primary.Leave(5 * time.Second)
 	var next *Expediter
-	waited := primary.turns.NewBell()
+	waited := primary.turns.NewCond()
 	for range 200 {
 		waited.Wait(20*time.Millisecond, func() bool { return false })
 		for _, node := range formed.nodes {
@@ -165,19 +165,19 @@
 
 // leapingTurns is a clock that can be moved ahead, as a process that was frozen finds it.
 type leapingTurns struct {
-	lease.Turns
+	lease.Runtime
 	ahead *atomic.Int64
 }
 
 func (turns leapingTurns) Now() time.Time {
-	return turns.Turns.Now().Add(time.Duration(turns.ahead.Load()))
+	return turns.Runtime.Now().Add(time.Duration(turns.ahead.Load()))
 }
 
 // TestARefusalNeedsTheLease freezes the primary after it began a batch and before it
 // answers: whatever it found, its state may be an old one by then.
 func TestARefusalNeedsTheLease(t *testing.T) {
 	ahead := &atomic.Int64{}
-	_, primary := newCore(t, func(turns lease.Turns) lease.Turns { return leapingTurns{Turns: turns, ahead: ahead} })
+	_, primary := newCore(t, func(turns lease.Runtime) lease.Runtime { return leapingTurns{Runtime: turns, ahead: ahead} })
 	refusal := failure.New(failure.RevisionConflict, "7")
 	if _, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error { return refusal }, time.Second); failure.KindOf(err) != failure.RevisionConflict {
 		t.Fatalf("with the lease: %v", err)
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -20,7 +20,7 @@
 // keeper on its disk, and, while it is primary, the answers to nodes and
 // operators.
 type Expediter struct {
-	turns       lease.Turns
+	turns       lease.Runtime
 	line        Hotline
 	options     ExpediterOptions
 	observe     func(event string, detail ...any)
@@ -29,12 +29,12 @@
 	coordinator *replication.Coordinator
 	followed    *Follower
 	answers     Answers
-	news        lease.Bell
-	reigns      lease.Bell
+	news        lease.Cond
+	reigns      lease.Cond
 	lists       lists
-	work        lease.Bell
-	confirmed   lease.Bell
-	edits       lease.Bell
+	work        lease.Cond
+	confirmed   lease.Cond
+	edits       lease.Cond
 
 	submitted   atomic.Uint64
 	newsAnswers atomic.Uint64
@@ -71,7 +71,7 @@
 
 // OpenExpediter opens what the disk holds. A blank or damaged keeper's shelf is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenExpediter(turns lease.Turns, line Hotline, keeping, copies replication.Shelf, options ExpediterOptions, observe func(string, ...any)) (*Expediter, bool, error) {
+func OpenExpediter(turns lease.Runtime, line Hotline, keeping, copies replication.Shelf, options ExpediterOptions, observe func(string, ...any)) (*Expediter, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(turns.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -93,7 +93,7 @@
 	witness.Guard(lease.NewLock(turns))
 	copied.Guard(lease.NewLock(turns))
 	expediter := &Expediter{turns: turns, line: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
-		news: turns.NewBell(), reigns: turns.NewBell(), work: turns.NewBell(), confirmed: turns.NewBell(), edits: turns.NewBell()}
+		news: turns.NewCond(), reigns: turns.NewCond(), work: turns.NewCond(), confirmed: turns.NewCond(), edits: turns.NewCond()}
 	expediter.store.Guard(lease.NewLock(turns))
 	expediter.coordinator = replication.NewCoordinator(turns, options.Seeds, witness, expediter.store, &peers{line: line}, observe)
 	if options.JoinsOnly {
@@ -147,7 +147,7 @@
 	ends := expediter.turns.Now().Add(patience)
 	expediter.coordinator.Leave()
 	for !expediter.coordinator.Released() && expediter.turns.Now().Before(ends) {
-		lease.Pause(expediter.turns, leavePause)
+		lease.Sleep(expediter.turns, leavePause)
 	}
 	expediter.observe("left", "released", expediter.coordinator.Released())
 }
@@ -248,13 +248,13 @@
 	expediter.mutex.Unlock()
 	if begun {
 		expediter.lists.begin(expediter.coordinator.Charter().Epoch)
-		expediter.reigns.Ring()
+		expediter.reigns.Broadcast()
 	}
 	if ended {
 		expediter.lists.end()
 	}
 	if ended || moved {
-		expediter.news.Ring()
+		expediter.news.Broadcast()
 	}
 }
 
@@ -343,7 +343,7 @@
 		return false
 	}
 	if !batch.Empty() {
-		expediter.news.Ring()
+		expediter.news.Broadcast()
 	}
 	return true
 }
@@ -353,7 +353,7 @@
 	var mutex sync.Mutex
 	var own error
 	kept := false
-	bell := expediter.turns.NewBell()
+	bell := expediter.turns.NewCond()
 	expediter.turns.Go(func() {
 		expediter.coordinator.OwnDisk(true)
 		err := expediter.store.KeepOwn(batch)
@@ -361,7 +361,7 @@
 		mutex.Lock()
 		own, kept = err, true
 		mutex.Unlock()
-		bell.Ring()
+		bell.Broadcast()
 	})
 	var missing error
 	waits := 0
@@ -379,7 +379,7 @@
 			mutex.Lock()
 			waits--
 			mutex.Unlock()
-			bell.Ring()
+			bell.Broadcast()
 		})
 	}
 	replicate(charter.Backup)
@@ -408,7 +408,7 @@
 func (expediter *Expediter) queue(change replication.Change, done replication.Done) {
 	expediter.store.Submit(change, done)
 	expediter.submitted.Add(1)
-	expediter.work.Ring()
+	expediter.work.Broadcast()
 }
 
 // submit waits until a change is synced on every copy in sync. When that can't be
@@ -418,12 +418,12 @@
 	var version replication.Version
 	var err error
 	answered := false
-	bell := expediter.turns.NewBell()
+	bell := expediter.turns.NewCond()
 	expediter.queue(change, func(committed replication.Version, ended error) {
 		mutex.Lock()
 		version, err, answered = committed, ended, true
 		mutex.Unlock()
-		bell.Ring()
+		bell.Broadcast()
 	})
 	bell.Wait(patience, func() bool {
 		mutex.Lock()
--- a/internal/hatch/expediter_test.go
+++ b/internal/hatch/expediter_test.go
@@ -13,7 +13,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-func plain(turns lease.Turns) lease.Turns { return turns }
+func plain(turns lease.Runtime) lease.Runtime { return turns }
 
 func edition(name string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) { return []byte(`{"routes":{"` + name + `":{"to":{"refuse":true}}}}`), nil }
@@ -36,9 +36,9 @@
 // the look at the newest one and the noting of the grant: the answer must
 // confirm the newer one, or the change would not wait for this courier.
 func TestGrantSeesAConfigurationThatComesMeanwhile(t *testing.T) {
-	hooks := map[lease.Turns]*hookedTurns{}
-	_, primary := newCore(t, func(turns lease.Turns) lease.Turns {
-		hooked := &hookedTurns{Turns: turns}
+	hooks := map[lease.Runtime]*hookedTurns{}
+	_, primary := newCore(t, func(turns lease.Runtime) lease.Runtime {
+		hooked := &hookedTurns{Runtime: turns}
 		hooks[hooked] = hooked
 		return hooked
 	})
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -74,7 +74,7 @@
 
 // hookedTurns has something done whenever the time is asked for.
 type hookedTurns struct {
-	lease.Turns
+	lease.Runtime
 	hook atomic.Pointer[func()]
 }
 
@@ -82,22 +82,22 @@
 	if act := turns.hook.Load(); act != nil {
 		(*act)()
 	}
-	return turns.Turns.Now()
+	return turns.Runtime.Now()
 }
 
 // newCore forms a core and returns its primary.
-func newCore(t *testing.T, wrap func(lease.Turns) lease.Turns) (*core, *Expediter) {
+func newCore(t *testing.T, wrap func(lease.Runtime) lease.Runtime) (*core, *Expediter) {
 	t.Helper()
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	formed := &core{nodes: map[string]*Expediter{}, shelfs: map[string]*memoryShelf{}, keeping: map[string]*memoryShelf{}}
-	turns := threads.New(lifetime, wallclock.New())
-	changed := turns.NewBell()
+	turns := threads.New(lifetime, wallclock.NewClock())
+	changed := turns.NewCond()
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
 		copies, keeping := &memoryShelf{files: map[string][]byte{}}, &memoryShelf{files: map[string][]byte{}}
 		options := ExpediterOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: formats.Supported(nil), Fresh: replication.Identity("disk-" + address)}
-		node, _, err := OpenExpediter(wrap(turns), formed, keeping, copies, options, func(string, ...any) { changed.Ring() })
+		node, _, err := OpenExpediter(wrap(turns), formed, keeping, copies, options, func(string, ...any) { changed.Broadcast() })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -85,7 +85,7 @@
 			t.Parallel()
 			line := &darkLine{answers: map[string]NewsAnswer{}, closed: make(chan struct{})}
 			defer close(line.closed)
-			turns := threads.New(t.Context(), wallclock.New())
+			turns := threads.New(t.Context(), wallclock.NewClock())
 			taken := make(chan replication.Version, 1000)
 			follower := NewFollower(turns, line, membership.Member{Name: "courier-1", Kind: membership.Courier}, []string{"old0", "old1", "old2"},
 				func() replication.Version { return replication.Version{} }, func(news News) { taken <- news.Answer.Menu })
--- a/internal/hatch/fuzz_test.go
+++ b/internal/hatch/fuzz_test.go
@@ -43,7 +43,7 @@
 	end()
 	lone := &core{nodes: map[string]*Expediter{}, shelfs: map[string]*memoryShelf{}}
 	keeping := &memoryShelf{files: map[string][]byte{}}
-	node, _, err := OpenExpediter(threads.New(ended, wallclock.New()), lone, keeping, &memoryShelf{files: map[string][]byte{}}, ExpediterOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
+	node, _, err := OpenExpediter(threads.New(ended, wallclock.NewClock()), lone, keeping, &memoryShelf{files: map[string][]byte{}}, ExpediterOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
--- a/internal/hatch/housekeeping.go
+++ b/internal/hatch/housekeeping.go
@@ -18,7 +18,7 @@
 		next := expediter.turns.Now().Add(housekeepingPause)
 		expediter.housekeep()
 		if left := next.Sub(expediter.turns.Now()); left > 0 {
-			lease.Pause(expediter.turns, left)
+			lease.Sleep(expediter.turns, left)
 		}
 	}
 }
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -56,7 +56,7 @@
 	for reads := 0; courier.turns.Alive(); {
 		if left := courier.listDue(began).Sub(courier.turns.Now()); left > 0 {
 			// Clocks are coarse: a pause of nothing would be made over and over.
-			lease.Pause(courier.turns, max(left, time.Millisecond))
+			lease.Sleep(courier.turns, max(left, time.Millisecond))
 			continue
 		}
 		asked := courier.turns.Now()
@@ -68,7 +68,7 @@
 		}
 		courier.observe("list_read_itself", "servers", len(servers), "trouble", err)
 		reads++
-		lease.Pause(courier.turns, ownListPause+time.Duration(courier.couriers.Load())*ownListShare+courier.spread(reads))
+		lease.Sleep(courier.turns, ownListPause+time.Duration(courier.couriers.Load())*ownListShare+courier.spread(reads))
 	}
 }
 
@@ -97,7 +97,7 @@
 		if err == nil {
 			courier.setNodes(nodes)
 		}
-		lease.Pause(courier.turns, nodesPause)
+		lease.Sleep(courier.turns, nodesPause)
 	}
 }
 
@@ -137,7 +137,7 @@
 			courier.Apply(pass.Event{Kind: pass.LoadReported, Load: &load})
 		}
 		if left := pressurePause - courier.turns.Now().Sub(began); left > 0 {
-			lease.Pause(courier.turns, left)
+			lease.Sleep(courier.turns, left)
 		}
 	}
 }
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -263,11 +263,11 @@
 		servers, err := expediter.options.Directory.Servers()
 		// A list that could not be read leaves what is known as it is.
 		if err == nil && expediter.lists.take(asked, servers) {
-			expediter.news.Ring()
+			expediter.news.Broadcast()
 		}
 		expediter.noteListTrouble(err)
 		if left := listPause - expediter.turns.Now().Sub(asked); left > 0 {
-			lease.Pause(expediter.turns, left)
+			lease.Sleep(expediter.turns, left)
 		}
 	}
 }
@@ -289,7 +289,7 @@
 			servers, err := expediter.options.Directory.Servers()
 			if err == nil {
 				expediter.lists.take(asked, servers)
-				expediter.news.Ring()
+				expediter.news.Broadcast()
 			}
 			expediter.noteListTrouble(err)
 		})
@@ -332,14 +332,14 @@
 		if wanted := expediter.lists.wanted(began); len(wanted) > 0 {
 			expediter.askAll(wanted)
 			expediter.lists.round(expediter.turns.Now())
-			expediter.news.Ring()
+			expediter.news.Broadcast()
 		}
 		pause := reportPause
 		if expediter.lists.calm(expediter.turns.Now()) {
 			pause = calmReportPause
 		}
 		if left := pause - expediter.turns.Now().Sub(began); left > 0 {
-			lease.Pause(expediter.turns, left)
+			lease.Sleep(expediter.turns, left)
 		}
 	}
 }
@@ -349,7 +349,7 @@
 	expediter.lists.mutex.Lock()
 	epoch := expediter.lists.epoch
 	expediter.lists.mutex.Unlock()
-	bell := expediter.turns.NewBell()
+	bell := expediter.turns.NewCond()
 	var mutex sync.Mutex
 	left := len(servers)
 	for _, server := range servers {
@@ -362,7 +362,7 @@
 			last := left == 0
 			mutex.Unlock()
 			if last {
-				bell.Ring()
+				bell.Broadcast()
 			}
 		})
 	}
@@ -383,6 +383,6 @@
 		if err == nil {
 			expediter.setNodes(nodes)
 		}
-		lease.Pause(expediter.turns, nodesPause)
+		lease.Sleep(expediter.turns, nodesPause)
 	}
 }
--- a/internal/hatch/lists_test.go
+++ b/internal/hatch/lists_test.go
@@ -111,7 +111,7 @@
 
 // movingTurns tell a time that the test moves.
 type movingTurns struct {
-	lease.Turns
+	lease.Runtime
 	now time.Time
 }
 
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -14,7 +14,7 @@
 // All known addresses are asked at once, since any of them may be dark.
 type search struct {
 	mutex   sync.Mutex
-	bell    lease.Bell
+	bell    lease.Cond
 	asking  map[string]*asking
 	copies  copies
 	leading *ledNews
@@ -63,8 +63,8 @@
 	relayRounds = 4
 )
 
-func newSearch(turns lease.Turns) *search {
-	return &search{bell: turns.NewBell(), asking: map[string]*asking{}}
+func newSearch(turns lease.Runtime) *search {
+	return &search{bell: turns.NewCond(), asking: map[string]*asking{}}
 }
 
 // begin notes that an address is asked, unless it was asked just now.
@@ -114,7 +114,7 @@
 	if err == nil {
 		search.note(address, asked, now, answer)
 	}
-	search.bell.Ring()
+	search.bell.Broadcast()
 }
 
 // answeredWithin tells whether one of the addresses has answered a moment ago.
@@ -213,7 +213,7 @@
 		}
 	}
 	if left := retryPause - follower.turns.Now().Sub(began); left > 0 {
-		lease.Pause(follower.turns, left)
+		lease.Sleep(follower.turns, left)
 	}
 	return false
 }
@@ -290,7 +290,7 @@
 	}
 	follower.learnCharter(answer.Charter)
 	search.note(address, asked, follower.turns.Now(), answer)
-	search.bell.Ring()
+	search.bell.Broadcast()
 }
 
 // fetch takes the configuration of a version from the copy at an address. It gives no
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -27,7 +27,7 @@
 
 // restarted opens a core's disks again, in expediters that do nothing by themselves:
 // all have just started and nobody is primary. The blank ones have lost their disks.
-func restarted(t *testing.T, turns lease.Turns, before *core, blank ...string) *core {
+func restarted(t *testing.T, turns lease.Runtime, before *core, blank ...string) *core {
 	t.Helper()
 	after := &core{nodes: map[string]*Expediter{}}
 	for address, copies := range before.shelfs {
@@ -47,10 +47,10 @@
 }
 
 // newCourierAt starts a courier that follows a core; told rings with its events.
-func newCourierAt(turns lease.Turns, line Hotline, without time.Duration, told lease.Bell) *Courier {
+func newCourierAt(turns lease.Runtime, line Hotline, without time.Duration, told lease.Cond) *Courier {
 	courier := NewCourier(turns, line, nil, nil, CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
-		Directory: oneServer{}, Ended: func(*pass.Inquiry, pass.Decision) {}}, func(string, ...any) { told.Ring() })
+		Directory: oneServer{}, Ended: func(*pass.Inquiry, pass.Decision) {}}, func(string, ...any) { told.Broadcast() })
 	turns.Go(courier.followed.Run)
 	return courier
 }
@@ -67,7 +67,7 @@
 // TestCourierServesByTheCopiesBeforeThereIsAPrimary restarts a courier and a whole core
 // that has no primary yet.
 func TestCourierServesByTheCopiesBeforeThereIsAPrimary(t *testing.T) {
-	before, primary := newCore(t, func(turns lease.Turns) lease.Turns { return turns })
+	before, primary := newCore(t, func(turns lease.Runtime) lease.Runtime { return turns })
 	version := setConfiguration(t, primary, `{"routes":{"a":{"to":{"refuse":true}}}}`)
 	charter := primary.Coordinator().Charter()
 	for _, row := range []struct {
@@ -83,12 +83,12 @@
 		{"the primary is dark", time.Minute, nil, charter.Primary.Address, false},
 	} {
 		lifetime, end := context.WithCancel(context.Background())
-		turns := threads.New(lifetime, wallclock.New())
+		turns := threads.New(lifetime, wallclock.NewClock())
 		core := restarted(t, turns, before, row.blank...)
 		if row.dark != "" {
 			core.nodes[row.dark] = nil
 		}
-		told := turns.NewBell()
+		told := turns.NewCond()
 		courier := newCourierAt(turns, core, row.without, told)
 		patience := 5 * time.Second
 		if !row.served {
@@ -113,7 +113,7 @@
 // with the configuration that was lent, a newer one, or an older one, which nobody may
 // go back to.
 func TestPrimaryConfirmsOrReplacesAProvisionalConfiguration(t *testing.T) {
-	turns := threads.New(t.Context(), wallclock.New())
+	turns := threads.New(t.Context(), wallclock.NewClock())
 	lent := replication.Section{Version: replication.Version{Epoch: 3, Number: 7}, Content: []byte(`{"routes":{"a":{"to":{"refuse":true}}}}`)}
 	newer := replication.Section{Version: replication.Version{Epoch: 4, Number: 9}, Content: []byte(`{"routes":{"b":{"to":{"refuse":true}}}}`)}
 	for _, row := range []struct {
--- a/internal/hatch/signpost.go
+++ b/internal/hatch/signpost.go
@@ -12,7 +12,7 @@
 // Signpost is the control plane's conduct at a node without a disk: it keeps nothing
 // and belongs to no core, but knows which expediter is primary when it is asked.
 type Signpost struct {
-	turns lease.Turns
+	turns lease.Runtime
 	line  Hotline
 
 	mutex      sync.Mutex
@@ -36,7 +36,7 @@
 )
 
 // NewSignpost makes a signpost that begins its search at the seeds.
-func NewSignpost(turns lease.Turns, line Hotline, seeds []string) *Signpost {
+func NewSignpost(turns lease.Runtime, line Hotline, seeds []string) *Signpost {
 	return &Signpost{turns: turns, line: line, seeds: seeds}
 }
 
@@ -94,7 +94,7 @@
 // askAll asks all addresses at once, and gives the first that leads.
 func (signpost *Signpost) askAll(addresses []string) string {
 	var mutex sync.Mutex
-	bell := signpost.turns.NewBell()
+	bell := signpost.turns.NewCond()
 	left, leader := len(addresses), ""
 	for _, address := range addresses {
 		signpost.turns.Go(func() {
@@ -108,7 +108,7 @@
 				leader = address
 			}
 			mutex.Unlock()
-			bell.Ring()
+			bell.Broadcast()
 		})
 	}
 	bell.Wait(signpostPatience, func() bool {
--- a/internal/hatch/signpost_test.go
+++ b/internal/hatch/signpost_test.go
@@ -23,7 +23,7 @@
 	formed.mutex.Lock()
 	delete(formed.nodes, address)
 	formed.mutex.Unlock()
-	waited := primary.turns.NewBell()
+	waited := primary.turns.NewCond()
 	found := ""
 	for range 200 {
 		waited.Wait(20*time.Millisecond, func() bool { return false })
--- a/internal/hatch/stream.go
+++ b/internal/hatch/stream.go
@@ -16,11 +16,11 @@
 	last   *pass.Decision
 	sent   int
 	left   bool
-	bell   lease.Bell
+	bell   lease.Cond
 }
 
-func newStream(turns lease.Turns) *stream {
-	return &stream{pieces: map[int]pass.Decision{}, bell: turns.NewBell()}
+func newStream(turns lease.Runtime) *stream {
+	return &stream{pieces: map[int]pass.Decision{}, bell: turns.NewCond()}
 }
 
 func (stream *stream) put(decision pass.Decision) {
@@ -32,7 +32,7 @@
 		stream.last = &final
 	}
 	stream.mutex.Unlock()
-	stream.bell.Ring()
+	stream.bell.Broadcast()
 }
 
 // leave notes that the origin is gone.
@@ -40,7 +40,7 @@
 	stream.mutex.Lock()
 	stream.left = true
 	stream.mutex.Unlock()
-	stream.bell.Ring()
+	stream.bell.Broadcast()
 }
 
 // news tells whether there is anything to do for the thread that answers.
--- a/internal/lease/bell.go
+++ b/internal/lease/bell.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Bell lets threads wait for what others bring about. No thread holds a mutex
+// Cond lets threads wait for what others bring about. No thread holds a mutex
 // while it waits.
-type Bell interface {
+type Cond interface {
 	// Wait returns true as soon as over does, which is asked at first and after
 	// each ring, or false when the patience ends or the process does.
 	Wait(patience time.Duration, over func() bool) bool
-	// Ring has all who wait ask again.
-	Ring()
+	// Broadcast has all who wait ask again.
+	Broadcast()
 }
 
-// Pause waits for a length of time, or until the process ends.
-func Pause(turns Turns, length time.Duration) {
-	turns.NewBell().Wait(length, func() bool { return false })
+// Sleep waits for a length of time, or until the process ends.
+func Sleep(turns Runtime, length time.Duration) {
+	turns.NewCond().Wait(length, func() bool { return false })
 }
 
 // Every does a task over and over, with a pause between, until the process
 // ends.
-func Every(turns Turns, pause time.Duration, task func()) {
+func Every(turns Runtime, pause time.Duration, task func()) {
 	for turns.Alive() {
 		next := turns.Now().Add(pause)
 		task()
 		if left := next.Sub(turns.Now()); left > 0 {
-			Pause(turns, left)
+			Sleep(turns, left)
 		}
 	}
 }
--- a/internal/lease/turns.go
+++ b/internal/lease/turns.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Turns is the port to time and threads. The core packages read no clock and
+// Runtime is the port to time and threads. The core packages read no clock and
 // start no threads themselves: a process gives them its own, a simulation a
 // clock that it moves and threads that it lets run one at a time.
-type Turns interface {
+type Runtime interface {
 	// Now is the time for holds, limits and patience; it never jumps.
 	Now() time.Time
 	// Wall is what the machine's wall clock says, which may jump.
@@ -14,6 +14,6 @@
 	Go(act func())
 	// Alive is false when the process ends: loops then end too.
 	Alive() bool
-	// NewBell makes a bell that threads can wait for.
-	NewBell() Bell
+	// NewCond makes a bell that threads can wait for.
+	NewCond() Cond
 }
--- a/internal/rehearsal/circuit.go
+++ b/internal/rehearsal/circuit.go
@@ -9,20 +9,20 @@
 
 // Circuit is one call under way at a stand-in: it may be closed by either side.
 type Circuit struct {
-	bell   lease.Bell
+	bell   lease.Cond
 	mutex  sync.Mutex
 	closed bool
 }
 
 // NewCircuit opens a circuit.
-func NewCircuit(turns lease.Turns) *Circuit { return &Circuit{bell: turns.NewBell()} }
+func NewCircuit(turns lease.Runtime) *Circuit { return &Circuit{bell: turns.NewCond()} }
 
 // Close ends what is done for the circuit.
 func (circuit *Circuit) Close() {
 	circuit.mutex.Lock()
 	circuit.closed = true
 	circuit.mutex.Unlock()
-	circuit.bell.Ring()
+	circuit.bell.Broadcast()
 }
 
 // Closed tells whether the circuit is closed.
--- a/internal/rehearsal/standin.go
+++ b/internal/rehearsal/standin.go
@@ -25,7 +25,7 @@
 	*Stovetop
 	address  string
 	client   *http.Client
-	turns    lease.Turns
+	turns    lease.Runtime
 	lifetime context.Context
 	end      context.CancelFunc
 	server   *http.Server
@@ -39,7 +39,7 @@
 	}
 	standIn := &StandIn{address: listener.Addr().String(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	standIn.lifetime, standIn.end = context.WithCancel(context.Background())
-	standIn.turns = threads.New(standIn.lifetime, wallclock.New())
+	standIn.turns = threads.New(standIn.lifetime, wallclock.NewClock())
 	standIn.Stovetop = NewStovetop(plan, book, standIn.turns, uuid.NewString, standIn.fetchMemory)
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { say(writer, http.StatusOK, standIn.Load()) })
--- a/internal/rehearsal/stovetop.go
+++ b/internal/rehearsal/stovetop.go
@@ -17,11 +17,11 @@
 type Stovetop struct {
 	plan        ServerPlan
 	book        *Book
-	turns       lease.Turns
+	turns       lease.Runtime
 	fetch       Fetch
 	nonce       func() string
 	incarnation string
-	free        lease.Bell
+	free        lease.Cond
 
 	mutex       sync.Mutex
 	born        time.Time
@@ -74,9 +74,9 @@
 }
 
 // NewStovetop starts a server, cold.
-func NewStovetop(plan ServerPlan, book *Book, turns lease.Turns, nonce func() string, fetch Fetch) *Stovetop {
+func NewStovetop(plan ServerPlan, book *Book, turns lease.Runtime, nonce func() string, fetch Fetch) *Stovetop {
 	book.Note(Entry{Kind: ServerBorn, Server: plan.Name, District: plan.District})
-	return &Stovetop{plan: plan, book: book, turns: turns, fetch: fetch, nonce: nonce, incarnation: nonce(), free: turns.NewBell(), born: turns.Now(),
+	return &Stovetop{plan: plan, book: book, turns: turns, fetch: fetch, nonce: nonce, incarnation: nonce(), free: turns.NewCond(), born: turns.Now(),
 		handles: map[string]*promptMemory{}, prefixes: map[string]int{}, runs: map[string]*Circuit{}, taken: map[string]bool{}, slowLink: 1}
 }
 
@@ -93,7 +93,7 @@
 	for _, circuit := range circuits {
 		circuit.Close()
 	}
-	top.free.Ring()
+	top.free.Broadcast()
 }
 
 // SetDark makes the stand-in accept circuits and never answer, or end that.
@@ -259,7 +259,7 @@
 		finished = circuit.Pause(cost)
 	}
 	top.mutex.Lock()
-	defer top.free.Ring()
+	defer top.free.Broadcast()
 	defer top.mutex.Unlock()
 	if mine {
 		top.reading = false
--- a/internal/rehearsal/world/callers.go
+++ b/internal/rehearsal/world/callers.go
@@ -17,7 +17,7 @@
 func (world *World) callers(until time.Duration) {
 	for world.now < until {
 		total := world.long + world.short
-		world.outside.NewBell().Wait(min(time.Second, time.Duration(world.random.ExpFloat64()/total*float64(time.Second))), never)
+		world.outside.NewCond().Wait(min(time.Second, time.Duration(world.random.ExpFloat64()/total*float64(time.Second))), never)
 		kind := world.deployment.Short
 		if world.random.Float64()*total < world.long {
 			kind = world.deployment.Long
@@ -57,7 +57,7 @@
 		default:
 			return
 		}
-		world.outside.NewBell().Wait(pause, never)
+		world.outside.NewCond().Wait(pause, never)
 	}
 }
 
--- a/internal/rehearsal/world/calls.go
+++ b/internal/rehearsal/world/calls.go
@@ -84,7 +84,7 @@
 // originsOfCalls send opaque calls until the moment.
 func (world *World) originsOfCalls(until time.Duration) {
 	for number := 0; world.now < until; number++ {
-		world.outside.NewBell().Wait(min(time.Second, time.Duration(world.random.ExpFloat64()/20*float64(time.Second))), never)
+		world.outside.NewCond().Wait(min(time.Second, time.Duration(world.random.ExpFloat64()/20*float64(time.Second))), never)
 		call := &worldCall{world: world, repeatable: world.random.IntN(2) == 0, pieces: 3 + world.random.IntN(40)}
 		call.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + world.random.IntN(12_000), OutputTokens: 400,
 			Parts: []scheduler.Part{{ID: 1, Tokens: 50}, {ID: uint64(10 + world.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
@@ -132,7 +132,7 @@
 		if !found || leaves && passed > 1 {
 			exchange.left = true
 			if exchange.under != nil {
-				exchange.under.replies.bell.Ring()
+				exchange.under.replies.bell.Broadcast()
 			}
 			tally.Broken++
 			return
--- a/internal/rehearsal/world/calls_test.go
+++ b/internal/rehearsal/world/calls_test.go
@@ -16,14 +16,14 @@
 	first, count := seeds(t, 10)
 	tempted := map[string]int{}
 	for seed := first; seed < first+count; seed++ {
-		fleet := New(rehearsal.Sahil(), seed)
+		w := New(rehearsal.Sahil(), seed)
 		ways := Ways{Calls: true}
 		if seed%2 == 0 {
 			ways = PlatformWays()
 			ways.Calls = true
 		}
-		fleet.SetWays(ways)
-		result := fleet.Run(DefaultDay())
+		w.SetWays(ways)
+		result := w.Run(DefaultDay())
 		calls := result.Calls
 		t.Logf("seed %d: %d sent, %d complete, %d refused, %d failed, %d broken, %d runs, last %d of %d", seed, calls.Sent, calls.Complete, calls.Refused, calls.Failed, calls.Broken, calls.Runs, calls.Returned, calls.Last)
 		for _, violation := range calls.Violations {
--- a/internal/rehearsal/world/callservers.go
+++ b/internal/rehearsal/world/callservers.go
@@ -165,7 +165,7 @@
 	if !world.carry(here.name, to, nil, arrive) {
 		if world.random.IntN(2) == 0 {
 			// The circuit did not come up.
-			here.NewBell().Wait(300*time.Millisecond, never)
+			here.NewCond().Wait(300*time.Millisecond, never)
 			return nil
 		}
 		world.tempt("a call lost on a circuit that was up")
--- a/internal/rehearsal/world/day.go
+++ b/internal/rehearsal/world/day.go
@@ -173,12 +173,12 @@
 // swing lets traffic swing, twelve seconds each way, until the moment.
 func (world *World) swing(from, until time.Duration) {
 	long, short := world.long, world.short
-	world.outside.NewBell().Wait(from-world.now, never)
+	world.outside.NewCond().Wait(from-world.now, never)
 	for world.now < until {
 		world.long, world.short = long*2.2, short*0.2
-		world.outside.NewBell().Wait(12*time.Second, never)
+		world.outside.NewCond().Wait(12*time.Second, never)
 		world.long, world.short = long*0.1, short*3
-		world.outside.NewBell().Wait(12*time.Second, never)
+		world.outside.NewCond().Wait(12*time.Second, never)
 	}
 }
 
@@ -223,7 +223,7 @@
 			world.twice++
 			world.say("%d expediters hold at once", holders)
 		}
-		world.outside.NewBell().Wait(20*time.Millisecond, never)
+		world.outside.NewCond().Wait(20*time.Millisecond, never)
 	}
 }
 
@@ -234,7 +234,7 @@
 	for _, fault := range all {
 		total += fault.weight
 	}
-	world.outside.NewBell().Wait(from-world.now, never)
+	world.outside.NewCond().Wait(from-world.now, never)
 	for world.now < until {
 		drawn := world.random.IntN(total)
 		for _, fault := range all {
--- a/internal/rehearsal/world/disk.go
+++ b/internal/rehearsal/world/disk.go
@@ -43,7 +43,7 @@
 	if length <= 0 || thread == nil || disk.owner != thread.life {
 		return
 	}
-	disk.owner.NewBell().Wait(length, never)
+	disk.owner.NewCond().Wait(length, never)
 }
 
 // lose forgets what was not synced.
--- a/internal/rehearsal/world/faults.go
+++ b/internal/rehearsal/world/faults.go
@@ -153,7 +153,7 @@
 
 // wait lets an outside thread wait for a drawn length.
 func (world *World) wait(least, most int) {
-	world.outside.NewBell().Wait(time.Duration(least+world.random.IntN(most-least+1))*time.Millisecond, never)
+	world.outside.NewCond().Wait(time.Duration(least+world.random.IntN(most-least+1))*time.Millisecond, never)
 }
 
 func (world *World) anyDistrict() string {
@@ -409,7 +409,7 @@
 	for _, link := range links {
 		act(link)
 	}
-	world.outside.NewBell().Wait(length, never)
+	world.outside.NewCond().Wait(length, never)
 	for _, link := range links {
 		link.delay, link.loss, link.duplicate = 0, 0, 0
 	}
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -191,11 +191,11 @@
 		return
 	}
 	lock.held = false
-	lock.bell.Ring()
+	lock.bell.Broadcast()
 }
 
-// NewBell makes a bell.
-func (life *life) NewBell() lease.Bell { return &bell{life: life} }
+// NewCond makes a bell.
+func (life *life) NewCond() lease.Cond { return &bell{life: life} }
 
 // bell is a bell under the world's clock.
 type bell struct {
@@ -209,8 +209,8 @@
 	late   bool
 }
 
-// Ring has all who wait ask again.
-func (bell *bell) Ring() {
+// Broadcast has all who wait ask again.
+func (bell *bell) Broadcast() {
 	for _, waiting := range bell.waiters {
 		if !waiting.rung {
 			waiting.rung = true
--- a/internal/rehearsal/world/links.go
+++ b/internal/rehearsal/world/links.go
@@ -75,7 +75,7 @@
 		return
 	}
 	call.over, call.content, call.err = true, content, err
-	call.bell.Ring()
+	call.bell.Broadcast()
 }
 
 // ask has serve answered by the process that runs at the machine when the
--- a/internal/rehearsal/world/operators.go
+++ b/internal/rehearsal/world/operators.go
@@ -95,14 +95,14 @@
 	}
 	accepted := false
 	left := racers
-	bell := world.outside.NewBell()
+	bell := world.outside.NewCond()
 	for range racers {
 		world.edition++
 		edition := world.edition
 		world.outside.Go(func() {
 			accepted = world.putEdition(edition, read) || accepted
 			left--
-			bell.Ring()
+			bell.Broadcast()
 		})
 	}
 	bell.Wait(time.Minute, func() bool { return left == 0 })
@@ -146,13 +146,13 @@
 	if outcome == "accepted" {
 		world.Book.Note(rehearsal.Entry{Kind: rehearsal.Evacuated, District: district})
 	}
-	world.outside.NewBell().Wait(length, never)
+	world.outside.NewCond().Wait(length, never)
 	for range 40 {
 		world.Book.Note(rehearsal.Entry{Kind: rehearsal.RestoreAsked, District: district})
 		if world.edit(hatch.Edit{Change: "restore-" + world.nonce(), Digest: district, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, district) }}) == "accepted" {
 			return
 		}
-		world.outside.NewBell().Wait(700*time.Millisecond, never)
+		world.outside.NewCond().Wait(700*time.Millisecond, never)
 	}
 }
 
@@ -166,13 +166,13 @@
 					world.lookAtEdition(machine)
 				}
 			}
-			world.outside.NewBell().Wait(200*time.Millisecond, never)
+			world.outside.NewCond().Wait(200*time.Millisecond, never)
 		}
 	})
 	world.outside.Go(func() {
 		for world.now < until {
 			world.nextEdition(1)
-			world.outside.NewBell().Wait(time.Second, never)
+			world.outside.NewCond().Wait(time.Second, never)
 		}
 	})
 }
--- a/internal/rehearsal/world/passing.go
+++ b/internal/rehearsal/world/passing.go
@@ -67,7 +67,7 @@
 	}
 	whenLeft(func() {
 		left = true
-		replies.bell.Ring()
+		replies.bell.Broadcast()
 	})
 	for {
 		message, found := replies.take(time.Minute, func() bool { return left })
--- a/internal/rehearsal/world/pipe.go
+++ b/internal/rehearsal/world/pipe.go
@@ -37,7 +37,7 @@
 	pipe.world.after(pipe.last-pipe.world.now, pipe.reader, func() {
 		if !pipe.broken {
 			pipe.waiting = append(pipe.waiting, message)
-			pipe.bell.Ring()
+			pipe.bell.Broadcast()
 		}
 	})
 	return true
@@ -51,7 +51,7 @@
 	pipe.last = max(pipe.last, pipe.world.now)
 	pipe.world.after(pipe.last-pipe.world.now, pipe.reader, func() {
 		pipe.broken = true
-		pipe.bell.Ring()
+		pipe.bell.Broadcast()
 	})
 }
 
--- a/internal/rehearsal/world/repair.go
+++ b/internal/rehearsal/world/repair.go
@@ -24,7 +24,7 @@
 	world.outside.Go(func() { world.callers(patience) })
 	world.outside.Go(func() {
 		for range 6 {
-			world.outside.NewBell().Wait(time.Second, never)
+			world.outside.NewCond().Wait(time.Second, never)
 			world.nextEdition(1)
 		}
 	})
@@ -63,7 +63,7 @@
 		world.outside.Go(func() {
 			for world.now < patience {
 				world.readMenu(false)
-				world.outside.NewBell().Wait(200*time.Millisecond, never)
+				world.outside.NewCond().Wait(200*time.Millisecond, never)
 			}
 		})
 	}
--- a/internal/rehearsal/world/stoves.go
+++ b/internal/rehearsal/world/stoves.go
@@ -28,7 +28,7 @@
 // stop closes the courier's side.
 func (exchange *exchange) stop() {
 	exchange.quit = true
-	exchange.replies.bell.Ring()
+	exchange.replies.bell.Broadcast()
 	if exchange.hangUp != nil {
 		exchange.hangUp()
 	}
@@ -49,7 +49,7 @@
 	if world.slowDials > 0 && world.random.Float64() < world.slowDials {
 		length = time.Duration(world.random.IntN(2500)) * time.Millisecond
 	}
-	stoves.life.NewBell().Wait(length, func() bool { return false })
+	stoves.life.NewCond().Wait(length, func() bool { return false })
 }
 
 // order sends one order to a server and returns its exchange, or nil when it
--- a/internal/rehearsal/world/taps.go
+++ b/internal/rehearsal/world/taps.go
@@ -80,7 +80,7 @@
 func (world *World) noteOldMember(machine *machine, begun *life, heard func() time.Time) {
 	begun.Go(func() {
 		for heard().IsZero() {
-			begun.NewBell().Wait(5*time.Millisecond, never)
+			begun.NewCond().Wait(5*time.Millisecond, never)
 		}
 		world.noteMember(machine)
 	})
--- a/internal/rehearsal/world/waydays_test.go
+++ b/internal/rehearsal/world/waydays_test.go
@@ -58,7 +58,7 @@
 				world.say("%s is in touch and has %s, %s is due", machine.name, has, due)
 			}
 		}
-		world.outside.NewBell().Wait(50*time.Millisecond, never)
+		world.outside.NewCond().Wait(50*time.Millisecond, never)
 	}
 }
 
@@ -77,12 +77,12 @@
 			if seed%2 == 1 {
 				deployment = rehearsal.Kochloeffel()
 			}
-			fleet := New(deployment, seed)
-			fleet.SetWays(ways)
-			touching := &touch{world: fleet, answered: map[replication.Version]time.Duration{}}
-			fleet.Log = touching.take
-			fleet.outside.Go(touching.watch)
-			result := fleet.Run(DefaultDay())
+			w := New(deployment, seed)
+			w.SetWays(ways)
+			touching := &touch{world: w, answered: map[replication.Version]time.Duration{}}
+			w.Log = touching.take
+			w.outside.Go(touching.watch)
+			result := w.Run(DefaultDay())
 			if touching.late > 0 || !result.Whole || result.Twice > 0 || len(touching.answered) < 5 {
 				t.Errorf("seed %d: %d looks at a courier in touch without an answered change, whole %v, two primaries at once %d times, %d changes", seed, touching.late, result.Whole, result.Twice, len(touching.answered))
 			}
--- a/internal/rehearsal/world/ways_test.go
+++ b/internal/rehearsal/world/ways_test.go
@@ -15,16 +15,16 @@
 // begun is a fleet whose nodes all run, with a core and holds.
 func begun(t *testing.T, seed uint64, ways Ways) *World {
 	t.Helper()
-	fleet := New(rehearsal.Sahil(), seed)
-	fleet.SetWays(ways)
-	for _, machine := range fleet.machines {
-		fleet.outside.Go(func() { fleet.start(machine) })
+	w := New(rehearsal.Sahil(), seed)
+	w.SetWays(ways)
+	for _, machine := range w.machines {
+		w.outside.Go(func() { w.start(machine) })
 	}
-	if fleet.since(0, func() bool { return fleet.led() && fleet.held() && fleet.primary().control != nil && fleet.whole() }) < 0 {
+	if w.since(0, func() bool { return w.led() && w.held() && w.primary().control != nil && w.whole() }) < 0 {
 		t.Fatal("the fleet did not begin")
 	}
-	fleet.run(fleet.now + 5*time.Second)
-	return fleet
+	w.run(w.now + 5*time.Second)
+	return w
 }
 
 // cutOff cuts a machine from everybody but those named, both ways.
@@ -55,13 +55,13 @@
 // have it in force in both, and the one that comes back has it soon.
 func TestAcknowledgementOfAChange(t *testing.T) {
 	for name, ways := range map[string]Ways{"strict": {}, "platform": PlatformWays()} {
-		fleet := begun(t, 3, ways)
-		alone := fleet.machineNamed("courier-2")
-		fleet.cutOff(alone.name, true)
-		fleet.run(fleet.now + 700*time.Millisecond)
-		took := fleet.changed(fleet.now, fleet.nowhere("nowhere", 0))
-		version := fleet.newest()
-		for _, machine := range fleet.nodes(membership.Courier) {
+		w := begun(t, 3, ways)
+		alone := w.machineNamed("courier-2")
+		w.cutOff(alone.name, true)
+		w.run(w.now + 700*time.Millisecond)
+		took := w.changed(w.now, w.nowhere("nowhere", 0))
+		version := w.newest()
+		for _, machine := range w.nodes(membership.Courier) {
 			if machine != alone && machine.courier.InForce() != version {
 				t.Errorf("%s: %s has %s, and %s was acknowledged", name, machine.name, machine.courier.InForce(), version)
 			}
@@ -75,9 +75,9 @@
 		}
 		t.Logf("%s: acknowledged after %s", name, took)
 		// A calm change takes milliseconds, and so does its way to one that is back.
-		fleet.cutOff(alone.name, false)
-		back := fleet.since(fleet.now, func() bool { return alone.courier.InForce() == version })
-		calm := fleet.changed(fleet.now, fleet.nowhere("nowhere", 1))
+		w.cutOff(alone.name, false)
+		back := w.since(w.now, func() bool { return alone.courier.InForce() == version })
+		calm := w.changed(w.now, w.nowhere("nowhere", 1))
 		if back < 0 || back > 2*time.Second || calm > 300*time.Millisecond {
 			t.Errorf("%s: back after %s, a calm change took %s", name, back, calm)
 		}
@@ -86,34 +86,34 @@
 
 // TestDutiesNeedAHold: a courier that serves without a hold has no duties.
 func TestDutiesNeedAHold(t *testing.T) {
-	fleet := begun(t, 4, PlatformWays())
-	holder := fleet.holder()
+	w := begun(t, 4, PlatformWays())
+	holder := w.holder()
 	if !holder.courier.Core().Dutiful() {
 		t.Fatal("the holder has no duties")
 	}
-	fleet.cutOff(holder.name, true)
-	fleet.run(fleet.now + 9*time.Second)
+	w.cutOff(holder.name, true)
+	w.run(w.now + 9*time.Second)
 	if now := holder.life.Now(); !now.Before(holder.courier.Core().ServesUntil()) || now.Before(holder.courier.Core().HoldEnds()) {
 		t.Error("it should serve, without a hold")
 	}
-	if took := fleet.since(fleet.now, func() bool { return fleet.dutiesSettled([]*machine{holder}) }); took < 0 {
+	if took := w.since(w.now, func() bool { return w.dutiesSettled([]*machine{holder}) }); took < 0 {
 		t.Error("its duties did not move")
 	}
 	// The commands since then are judged: none by the one without a hold.
-	if verdict := rehearsal.Judge(fleet.Book.Entries()); verdict.Violations() > 0 {
+	if verdict := rehearsal.Judge(w.Book.Entries()); verdict.Violations() > 0 {
 		t.Error(verdict)
 	}
 }
 
 // TestBlankDisksThatOnlyJoinFormNothing starts a whole fleet of them.
 func TestBlankDisksThatOnlyJoinFormNothing(t *testing.T) {
-	fleet := New(rehearsal.Sahil(), 5)
-	fleet.SetWays(Ways{JoinOnly: true})
-	for _, machine := range fleet.machines {
-		fleet.outside.Go(func() { fleet.start(machine) })
+	w := New(rehearsal.Sahil(), 5)
+	w.SetWays(Ways{JoinOnly: true})
+	for _, machine := range w.machines {
+		w.outside.Go(func() { w.start(machine) })
 	}
-	fleet.run(30 * time.Second)
-	for _, machine := range fleet.nodes(membership.Expediter) {
+	w.run(30 * time.Second)
+	for _, machine := range w.nodes(membership.Expediter) {
 		if !machine.control.Witness().Charter().Blank() {
 			t.Errorf("%s has the charter %+v", machine.name, machine.control.Witness().Charter())
 		}
@@ -126,20 +126,20 @@
 // those who are gone end by themselves.
 func TestReplacedExpediterIsTakenIn(t *testing.T) {
 	ways := PlatformWays()
-	fleet := begun(t, 6, ways)
-	seeds := fleet.machines[0].seeds
+	w := begun(t, 6, ways)
+	seeds := w.machines[0].seeds
 	for number, gone := range []string{"expediter-1", "expediter-2"} {
-		leaving := fleet.machineNamed(gone)
-		fleet.powerOff(gone)
+		leaving := w.machineNamed(gone)
+		w.powerOff(gone)
 		leaving.gone = true
 		address := "10.0.9." + string(rune('1'+number)) + ":1"
-		joined := fleet.addMachine(membership.Expediter, "newcomer-"+string(rune('1'+number)), address, leaving.district, seeds)
-		fleet.start(joined)
-		took := fleet.since(fleet.now, func() bool {
-			if joined.control == nil || !fleet.led() {
+		joined := w.addMachine(membership.Expediter, "newcomer-"+string(rune('1'+number)), address, leaving.district, seeds)
+		w.start(joined)
+		took := w.since(w.now, func() bool {
+			if joined.control == nil || !w.led() {
 				return false
 			}
-			charter := fleet.primary().control.Coordinator().Charter()
+			charter := w.primary().control.Coordinator().Charter()
 			return charter.Keeps(joined.control.Witness().Replica().Identity) && len(charter.Incoming) == 0
 		})
 		if took < 0 || took > 15*time.Second {
@@ -147,24 +147,24 @@
 		}
 		t.Logf("%s is a keeper after %s", joined.name, took)
 		// One loss is borne at a time: the machine counts as lost for the catch-up.
-		fleet.run(fleet.now + replication.DefaultCatchUp)
+		w.run(w.now + replication.DefaultCatchUp)
 	}
-	late := fleet.machineNamed("courier-3")
-	fleet.kill(late)
-	fleet.start(late)
-	found := fleet.since(fleet.now, func() bool { return late.life.Now().Before(late.courier.Core().HoldEnds()) })
+	late := w.machineNamed("courier-3")
+	w.kill(late)
+	w.start(late)
+	found := w.since(w.now, func() bool { return late.life.Now().Before(late.courier.Core().HoldEnds()) })
 	if found < 0 || found > 4*time.Second {
 		t.Errorf("a courier whose two seeds are gone found the core after %s", found)
 	}
 	t.Logf("a courier with one seed left found the core after %s", found)
-	retired := fleet.since(fleet.now, func() bool {
-		_, _, state, err := fleet.primary().control.Read()
-		return err == nil && len(state.Members) == len(fleet.nodes(""))
+	retired := w.since(w.now, func() bool {
+		_, _, state, err := w.primary().control.Read()
+		return err == nil && len(state.Members) == len(w.nodes(""))
 	})
 	if retired < 0 || retired > 2*ways.RetireAfter {
 		t.Errorf("the record still has those who are gone after %s", retired)
 	}
-	if took := fleet.changed(fleet.now, fleet.nowhere("nowhere", 0)); took > time.Second {
+	if took := w.changed(w.now, w.nowhere("nowhere", 0)); took > time.Second {
 		t.Errorf("a change took %s", took)
 	}
 }
@@ -173,22 +173,22 @@
 // server leave meanwhile: each courier hears of it, without reading often. When
 // nobody can read it, nothing is forgotten.
 func TestCouriersReadTheListThemselves(t *testing.T) {
-	fleet := begun(t, 7, PlatformWays())
-	if reads := len(fleet.listReads); reads > 2*len(fleet.nodes(membership.Courier)) {
+	w := begun(t, 7, PlatformWays())
+	if reads := len(w.listReads); reads > 2*len(w.nodes(membership.Courier)) {
 		t.Errorf("couriers read the list %d times before the fleet was calm", reads)
 	}
-	before := len(fleet.listReads)
-	fleet.run(fleet.now + 10*time.Second)
-	if reads := len(fleet.listReads) - before; reads > 0 {
+	before := len(w.listReads)
+	w.run(w.now + 10*time.Second)
+	if reads := len(w.listReads) - before; reads > 0 {
 		t.Errorf("couriers read the list %d times though they have news of it", reads)
 	}
-	for _, machine := range fleet.nodes(membership.Expediter) {
-		fleet.link("platform", machine.name).cut = true
+	for _, machine := range w.nodes(membership.Expediter) {
+		w.link("platform", machine.name).cut = true
 	}
-	name := fleet.plans[0].Name
-	leaving := fleet.platform.servers[name]
+	name := w.plans[0].Name
+	leaving := w.platform.servers[name]
 	leaving.Leaving = true
-	fleet.platform.servers[name] = leaving
+	w.platform.servers[name] = leaving
 	knows := func(machine *machine) bool {
 		for _, server := range machine.courier.Servers() {
 			if server.Name == name {
@@ -198,43 +198,43 @@
 		return false
 	}
 	all := func() bool {
-		for _, machine := range fleet.nodes(membership.Courier) {
+		for _, machine := range w.nodes(membership.Courier) {
 			if !knows(machine) {
 				return false
 			}
 		}
 		return true
 	}
-	took := fleet.since(fleet.now, all)
+	took := w.since(w.now, all)
 	if took < 0 || took > 2500*time.Millisecond {
 		t.Errorf("the leaving server was known everywhere after %s", took)
 	}
 	t.Logf("the leaving server was known everywhere after %s", took)
-	before = len(fleet.listReads)
-	fleet.run(fleet.now + 10*time.Second)
-	if reads, most := len(fleet.listReads)-before, 11*len(fleet.nodes(membership.Courier)); reads > most {
+	before = len(w.listReads)
+	w.run(w.now + 10*time.Second)
+	if reads, most := len(w.listReads)-before, 11*len(w.nodes(membership.Courier)); reads > most {
 		t.Errorf("couriers read the list %d times in ten seconds", reads)
 	}
 	// The reads are spread: in no tenth of a second do all read.
 	busiest, count := 0, map[time.Duration]int{}
-	for _, at := range fleet.listReads[before:] {
+	for _, at := range w.listReads[before:] {
 		count[at/(100*time.Millisecond)]++
 		busiest = max(busiest, count[at/(100*time.Millisecond)])
 	}
-	if busiest >= len(fleet.nodes(membership.Courier)) {
+	if busiest >= len(w.nodes(membership.Courier)) {
 		t.Errorf("%d couriers read within a tenth of a second", busiest)
 	}
 	// The expediters come back with an older word, and then nobody reads at all.
 	leaving.Leaving = false
-	fleet.platform.servers[name] = leaving
-	for _, machine := range fleet.nodes(membership.Expediter) {
-		fleet.link("platform", machine.name).cut = false
+	w.platform.servers[name] = leaving
+	for _, machine := range w.nodes(membership.Expediter) {
+		w.link("platform", machine.name).cut = false
 	}
-	fleet.run(fleet.now + 5*time.Second)
-	fleet.platform.down = true
-	fleet.run(fleet.now + 10*time.Second)
-	if !all() || len(fleet.machines[4].courier.Servers()) != len(fleet.plans) {
-		t.Errorf("the list is %v", fleet.machines[4].courier.Servers())
+	w.run(w.now + 5*time.Second)
+	w.platform.down = true
+	w.run(w.now + 10*time.Second)
+	if !all() || len(w.machines[4].courier.Servers()) != len(w.plans) {
+		t.Errorf("the list is %v", w.machines[4].courier.Servers())
 	}
 }
 
@@ -242,10 +242,10 @@
 // the primary alone, and only while a courier follows reports.
 func TestReportsAreReadOnceForTheFleet(t *testing.T) {
 	for name, ways := range map[string]Ways{"calls": PlatformWays(), "no calls": {}} {
-		fleet := begun(t, 8, ways)
-		before := fleet.reportReads
-		fleet.run(fleet.now + 10*time.Second)
-		each := float64(fleet.reportReads-before) / 10 / float64(len(fleet.plans))
+		w := begun(t, 8, ways)
+		before := w.reportReads
+		w.run(w.now + 10*time.Second)
+		each := float64(w.reportReads-before) / 10 / float64(len(w.plans))
 		t.Logf("%s: %.2f reports a second from each server", name, each)
 		if ways.Calls && (each < 1.4 || each > 3.2) || !ways.Calls && each > 0 {
 			t.Errorf("%s: %.2f reports a second from each server", name, each)
@@ -256,42 +256,42 @@
 // TestChangesAndNewsAfterThePrimary is lost in each way: how long until a change is
 // acknowledged, and until every courier in touch has news again.
 func TestChangesAndNewsAfterThePrimary(t *testing.T) {
-	ways := map[string]func(fleet *World, primary *machine){
-		"killed":     func(fleet *World, primary *machine) { fleet.kill(primary) },
-		"power lost": func(fleet *World, primary *machine) { fleet.powerOff(primary.name) },
+	ways := map[string]func(w *World, primary *machine){
+		"killed":     func(w *World, primary *machine) { w.kill(primary) },
+		"power lost": func(w *World, primary *machine) { w.powerOff(primary.name) },
 		"frozen":     func(_ *World, primary *machine) { primary.life.freeze() },
-		"cut off":    func(fleet *World, primary *machine) { fleet.cutOff(primary.name, true) },
-		"cut from the core": func(fleet *World, primary *machine) {
-			fleet.cutOff(primary.name, true, "courier-1", "courier-2", "courier-3", "courier-4", "courier-5", "courier-6", "courier-7")
+		"cut off":    func(w *World, primary *machine) { w.cutOff(primary.name, true) },
+		"cut from the core": func(w *World, primary *machine) {
+			w.cutOff(primary.name, true, "courier-1", "courier-2", "courier-3", "courier-4", "courier-5", "courier-6", "courier-7")
 		},
-		"its answers lost": func(fleet *World, primary *machine) {
-			for _, other := range fleet.machines {
-				fleet.link(primary.name, other.name).cut = true
+		"its answers lost": func(w *World, primary *machine) {
+			for _, other := range w.machines {
+				w.link(primary.name, other.name).cut = true
 			}
 		},
-		"nobody reaches it": func(fleet *World, primary *machine) {
-			for _, other := range fleet.machines {
-				fleet.link(other.name, primary.name).cut = true
+		"nobody reaches it": func(w *World, primary *machine) {
+			for _, other := range w.machines {
+				w.link(other.name, primary.name).cut = true
 			}
 		},
-		"stopped": func(fleet *World, primary *machine) {
+		"stopped": func(w *World, primary *machine) {
 			control, life := primary.control, primary.life
-			life.Go(func() { control.Leave(leavePatience); life.world.outside.Go(func() { fleet.kill(primary) }) })
+			life.Go(func() { control.Leave(leavePatience); life.world.outside.Go(func() { w.kill(primary) }) })
 		},
 	}
 	for name, lose := range ways {
 		var worstChange, worstNews time.Duration
 		for seed := range uint64(6) {
-			fleet := begun(t, 20+seed, PlatformWays())
-			began, primary := fleet.now, fleet.primary()
-			lose(fleet, primary)
+			w := begun(t, 20+seed, PlatformWays())
+			began, primary := w.now, w.primary()
+			lose(w, primary)
 			heard := map[string]time.Time{}
-			for _, machine := range fleet.nodes(membership.Courier) {
+			for _, machine := range w.nodes(membership.Courier) {
 				heard[machine.name] = machine.courier.Heard()
 			}
-			change := fleet.changedWhereLed(began, fleet.nowhere("nowhere", 0))
-			news := fleet.since(began, func() bool {
-				for _, machine := range fleet.nodes(membership.Courier) {
+			change := w.changedWhereLed(began, w.nowhere("nowhere", 0))
+			news := w.since(began, func() bool {
+				for _, machine := range w.nodes(membership.Courier) {
 					if !machine.courier.Heard().After(heard[machine.name].Add(700 * time.Millisecond)) {
 						return false
 					}
--- a/internal/rehearsal/world/world_test.go
+++ b/internal/rehearsal/world/world_test.go
@@ -68,10 +68,10 @@
 		var lines [2][]string
 		var traces [2]string
 		for run := range 2 {
-			fleet := New(rehearsal.Sahil(), seed)
-			fleet.Log = func(line string) { lines[run] = append(lines[run], line) }
-			fleet.Run(DefaultDay())
-			traces[run] = fleet.Trace()
+			w := New(rehearsal.Sahil(), seed)
+			w.Log = func(line string) { lines[run] = append(lines[run], line) }
+			w.Run(DefaultDay())
+			traces[run] = w.Trace()
 		}
 		if traces[0] == traces[1] {
 			continue
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -233,7 +233,7 @@
 func (coordinator *Coordinator) install(charter Membership, snapshot Snapshot, candidates []Replica, wanted int) []Replica {
 	var mutex sync.Mutex
 	ended := map[Identity]error{}
-	bell := coordinator.turns.NewBell()
+	bell := coordinator.turns.NewCond()
 	begun := 0
 	begin := func() {
 		replica := candidates[begun]
@@ -243,7 +243,7 @@
 			mutex.Lock()
 			ended[replica.Identity] = err
 			mutex.Unlock()
-			bell.Ring()
+			bell.Broadcast()
 		})
 	}
 	installed := func() []Replica {
--- a/internal/replication/gather.go
+++ b/internal/replication/gather.go
@@ -12,14 +12,14 @@
 
 // gather calls ask for each seat at once and returns when enough is true, or
 // when all have answered. Answers that come later are passed over.
-func gather[Answer any](turns lease.Turns, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
+func gather[Answer any](turns lease.Runtime, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
 	gatherWithin(turns, gatherPatience, replicas, ask, take, enough)
 }
 
 // gatherWithin does so for no longer than a patience.
-func gatherWithin[Answer any](turns lease.Turns, patience time.Duration, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
+func gatherWithin[Answer any](turns lease.Runtime, patience time.Duration, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
 	var mutex sync.Mutex
-	bell := turns.NewBell()
+	bell := turns.NewCond()
 	left := len(replicas)
 	closed := false
 	for _, replica := range replicas {
@@ -31,7 +31,7 @@
 			}
 			left--
 			mutex.Unlock()
-			bell.Ring()
+			bell.Broadcast()
 		})
 	}
 	bell.Wait(patience, func() bool {
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -62,7 +62,7 @@
 func (threads threads) Wall() time.Time { return threads.now() }
 func (threads threads) Go(act func())   { go act() }
 func (threads threads) Alive() bool     { return true }
-func (threads threads) NewBell() lease.Bell {
+func (threads threads) NewCond() lease.Cond {
 	bell := &condition{}
 	bell.rung = sync.NewCond(&bell.mutex)
 	return bell
@@ -83,7 +83,7 @@
 	return true
 }
 
-func (condition *condition) Ring() {
+func (condition *condition) Broadcast() {
 	condition.mutex.Lock()
 	defer condition.mutex.Unlock()
 	condition.rung.Broadcast()
