--- a/core.go
+++ b/core.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -18,9 +18,9 @@
 // threads; fed from one, the same events give the same decisions.
 type Core struct {
 	options  Options
-	market   *pass.Market
-	desk     *pass.Desk
-	balance  *pass.Balance
+	market   *auction.Market
+	desk     *auction.Desk
+	balance  *auction.Balance
 	calls    *scheduler.Window
 	pools    *scheduler.Pools
 	enabled  atomic.Pointer[FlagList]
@@ -42,36 +42,36 @@
 	if options.MostInquiries <= 0 {
 		options.MostInquiries = DefaultMostInquiries
 	}
-	market := pass.NewMarket(options.Courier, options.District, options.LeastLoaded)
-	return &Core{options: options, market: market, desk: pass.NewDesk(market, options.District, options.MostInquiries),
+	market := auction.NewMarket(options.Courier, options.District, options.LeastLoaded)
+	return &Core{options: options, market: market, desk: auction.NewDesk(market, options.District, options.MostInquiries),
 		calls: scheduler.New(scheduler.Options{Courier: options.Courier, District: options.District, FurtherTries: options.FurtherTries}), pools: scheduler.NewPools(), tickets: map[string]*scheduler.Ticket{},
-		balance: pass.NewBalance(options.FixedParts), orders: map[string]Order{}, evacuated: config.Empty(), commanded: map[string]time.Time{}, announced: map[string]uint64{}}
+		balance: auction.NewBalance(options.FixedParts), orders: map[string]Order{}, evacuated: config.Empty(), commanded: map[string]time.Time{}, announced: map[string]uint64{}}
 }
 
 // Apply takes one event and returns what is to be done now.
 func (core *Core) Apply(event Event) []Decision {
 	switch event.Kind {
-	case pass.Ticked:
+	case auction.Ticked:
 		return append(core.desk.Tick(event.At), core.dutiful(event.At)...)
-	case pass.ServersListed:
+	case auction.ServersListed:
 		core.market.List(event.Servers)
 		core.calls.SetServers(event.At, event.Servers)
-	case pass.LoadReported:
+	case auction.LoadReported:
 		if event.Load != nil {
 			core.market.Report(event.At, *event.Load)
 		}
-	case pass.MenuReceived:
+	case auction.MenuReceived:
 		core.applyMenu(event)
-	case pass.MenuLent:
+	case auction.MenuLent:
 		core.applyMenu(event)
 		core.desk.ServeFrom(event.At)
-	case pass.HoldRenewed:
+	case auction.HoldRenewed:
 		core.applyHold(event)
-	case pass.FlagsRead:
+	case auction.FlagsRead:
 		enabled := event.Enabled
 		core.enabled.Store(&enabled)
 		core.desk.SetPassOn(core.Restricted())
-	case pass.OrdersRead:
+	case auction.OrdersRead:
 		core.mutex.Lock()
 		core.orders = event.Orders
 		core.mutex.Unlock()
@@ -80,34 +80,34 @@
 			parts[server] = order.Part
 		}
 		core.calls.SetOrders(event.At, parts)
-	case pass.LoadsReported:
+	case auction.LoadsReported:
 		core.calls.SetLoads(event.At, event.Loads)
-	case pass.CallArrived:
+	case auction.CallArrived:
 		if event.Call != nil {
 			return core.callArrived(event)
 		}
-	case pass.CallEnded:
+	case auction.CallEnded:
 		if event.Result != nil {
 			return core.callEnded(event)
 		}
-	case pass.InquiryArrived:
+	case auction.InquiryArrived:
 		if event.Inquiry != nil {
 			return core.desk.Arrive(event.At, event.Inquiry)
 		}
-	case pass.ClaimAnswered:
+	case auction.ClaimAnswered:
 		return core.desk.Claimed(event.At, event.ID, event.Outcome, event.Detail)
-	case pass.PrefillAnswered:
+	case auction.PrefillAnswered:
 		return core.desk.Prefilled(event.At, event.ID, event.Run, event.Outcome, event.Handle)
-	case pass.PieceReceived:
+	case auction.PieceReceived:
 		return core.desk.Piece(event.At, event.ID, event.Run, event.Piece, event.Text)
-	case pass.DecodeEnded:
+	case auction.DecodeEnded:
 		return core.desk.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Piece)
-	case pass.OriginLeft:
+	case auction.OriginLeft:
 		return core.desk.Leave(event.At, event.ID)
-	case pass.CouriersCounted:
+	case auction.CouriersCounted:
 		core.market.SetCouriers(int(event.Number))
 		core.calls.SetCouriers(int(event.Number))
-	case pass.DrainStarted:
+	case auction.DrainStarted:
 		core.desk.Drain()
 		core.calls.Drain()
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	core.calls.SetProgram(scheduler.Compile(configuration, event.Epoch, event.Number))
-	if core.desk.SetProgram(pass.Compile(configuration, event.Epoch, event.Number)) {
+	if core.desk.SetProgram(auction.Compile(configuration, event.Epoch, event.Number)) {
 		core.mutex.Lock()
 		core.evacuated = configuration
 		core.mutex.Unlock()
@@ -149,7 +149,7 @@
 		core.tickets[event.Call.ID] = ticket
 		core.mutex.Unlock()
 	}
-	return []Decision{{Kind: pass.CallDecided, ID: event.Call.ID, Call: &decision}}
+	return []Decision{{Kind: auction.CallDecided, ID: event.Call.ID, Call: &decision}}
 }
 
 func (core *Core) callEnded(event Event) []Decision {
@@ -165,7 +165,7 @@
 		delete(core.tickets, event.ID)
 		core.mutex.Unlock()
 	}
-	return []Decision{{Kind: pass.CallDecided, ID: event.ID, Call: &decision}}
+	return []Decision{{Kind: auction.CallDecided, ID: event.ID, Call: &decision}}
 }
 
 // InForce is the version of the configuration in force, as epoch and number.
@@ -237,7 +237,7 @@
 	for _, duty := range core.duties {
 		if duty.Key == lease.PartsKey {
 			if orders := core.balanced(now); len(orders) > 0 {
-				decisions = append(decisions, Decision{Kind: pass.GiveOrders, Duty: duty, Orders: orders, NotAfter: core.dutyEnds})
+				decisions = append(decisions, Decision{Kind: auction.GiveOrders, Duty: duty, Orders: orders, NotAfter: core.dutyEnds})
 			}
 			continue
 		}
@@ -275,8 +275,8 @@
 	for _, server := range servers {
 		if server.Name == name {
 			core.commanded[name], core.announced[name] = now, duty.Fence
-			return []Decision{{Kind: pass.Command, Server: name, Address: server.Address, Duty: duty,
-				Part: pass.Part(order.Part), Order: &order, NotAfter: core.dutyEnds}}
+			return []Decision{{Kind: auction.Command, Server: name, Address: server.Address, Duty: duty,
+				Part: auction.Part(order.Part), Order: &order, NotAfter: core.dutyEnds}}
 		}
 	}
 	return nil
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/lease"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -31,10 +31,10 @@
 
 func callCore(now time.Time) *Core {
 	core := New(Options{Courier: "courier-1", District: "north", Supported: Supported(nil)})
-	core.Apply(Event{Kind: pass.FlagsRead, At: now})
-	core.Apply(Event{Kind: pass.CouriersCounted, At: now, Number: 3})
-	core.Apply(Event{Kind: pass.ServersListed, At: now, Servers: callServers(callServerCount)})
-	core.Apply(Event{Kind: pass.MenuReceived, At: now, Epoch: 1, Number: 1, Menu: []byte(callMenu)})
+	core.Apply(Event{Kind: auction.FlagsRead, At: now})
+	core.Apply(Event{Kind: auction.CouriersCounted, At: now, Number: 3})
+	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: callServers(callServerCount)})
+	core.Apply(Event{Kind: auction.MenuReceived, At: now, Epoch: 1, Number: 1, Menu: []byte(callMenu)})
 	return core
 }
 
@@ -46,26 +46,26 @@
 		now = now.Add(10 * time.Millisecond)
 		event.At = now
 		decisions := core.Apply(event)
-		if len(decisions) != 1 || decisions[0].Kind != pass.CallDecided || decisions[0].ID != "one" || decisions[0].Call == nil {
+		if len(decisions) != 1 || decisions[0].Kind != auction.CallDecided || decisions[0].ID != "one" || decisions[0].Call == nil {
 			t.Fatalf("%s: %+v", event.Kind, decisions)
 		}
 		return *decisions[0].Call
 	}
 	call := &Call{ID: "one", Host: "ask.example", Path: "/x", PromptTokens: 9000, OutputTokens: 50, Parts: []CallPart{{ID: 1, Tokens: 6000}, {ID: 2, Tokens: 3000}}}
-	if decision := step(Event{Kind: pass.CallArrived, Call: call}); decision.Kind != scheduler.Read {
+	if decision := step(Event{Kind: auction.CallArrived, Call: call}); decision.Kind != scheduler.Read {
 		t.Fatalf("arrived: %+v", decision)
 	}
-	if decision := step(Event{Kind: pass.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete, Handle: "h"}}); decision.Kind != scheduler.Run || decision.Source == nil {
+	if decision := step(Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete, Handle: "h"}}); decision.Kind != scheduler.Run || decision.Source == nil {
 		t.Fatalf("read: %+v", decision)
 	}
-	if decision := step(Event{Kind: pass.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete}}); decision.Kind != scheduler.Done {
+	if decision := step(Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete}}); decision.Kind != scheduler.Done {
 		t.Fatalf("run: %+v", decision)
 	}
-	if decisions := core.Apply(Event{Kind: pass.CallEnded, At: now, ID: "one", Result: &CallOutcome{Result: scheduler.Complete}}); decisions != nil || core.Calls().InFlight() != 0 {
+	if decisions := core.Apply(Event{Kind: auction.CallEnded, At: now, ID: "one", Result: &CallOutcome{Result: scheduler.Complete}}); decisions != nil || core.Calls().InFlight() != 0 {
 		t.Fatalf("a call that is over: %+v", decisions)
 	}
 	call.Host = "nobody.example"
-	if decision := step(Event{Kind: pass.CallArrived, Call: call}); decision.Cause != scheduler.NoRoute {
+	if decision := step(Event{Kind: auction.CallArrived, Call: call}); decision.Cause != scheduler.NoRoute {
 		t.Fatalf("no route: %+v", decision)
 	}
 }
@@ -92,16 +92,16 @@
 			loads = append(loads, load)
 			duties = append(duties, Duty{Key: lease.ServerKey(server.Name), Holder: "courier-1", Fence: 9})
 		}
-		core.Apply(Event{Kind: pass.LoadsReported, At: now, Loads: loads})
-		core.Apply(Event{Kind: pass.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Duties: duties})
-		for _, decision := range core.Apply(Event{Kind: pass.Ticked, At: now}) {
+		core.Apply(Event{Kind: auction.LoadsReported, At: now, Loads: loads})
+		core.Apply(Event{Kind: auction.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Duties: duties})
+		for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
 			switch decision.Kind {
-			case pass.GiveOrders:
+			case auction.GiveOrders:
 				for _, order := range decision.Orders {
 					orders[order.Server] = order
 				}
-				core.Apply(Event{Kind: pass.OrdersRead, At: now, Orders: orders})
-			case pass.Command:
+				core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: orders})
+			case auction.Command:
 				commands[decision.Server]++
 				if decision.Duty.Fence != 9 || string(decision.Part) != orders[decision.Server].Part || !decision.NotAfter.Equal(now.Add(time.Second)) {
 					t.Fatalf("%+v", decision)
--- a/core_test.go
+++ b/core_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/lease"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // TestSameEventsGiveTheSameDecisions feeds two cores one long random stream.
@@ -25,7 +25,7 @@
 	}
 	runs := map[string]int{}
 	var dispatched []string
-	seen := map[pass.DecisionKind]int{}
+	seen := map[auction.DecisionKind]int{}
 	feed := func(event Event) {
 		event.At = now
 		var texts []string
@@ -39,7 +39,7 @@
 			if core == cores[0] {
 				for _, decision := range decisions {
 					seen[decision.Kind]++
-					if decision.Kind == pass.DispatchPrefill || decision.Kind == pass.DispatchDecode {
+					if decision.Kind == auction.DispatchPrefill || decision.Kind == auction.DispatchDecode {
 						runs[decision.ID] = decision.Run
 						dispatched = append(dispatched, decision.ID)
 					}
@@ -50,17 +50,17 @@
 			t.Fatalf("%+v:\n%s\n%s", event, texts[0], texts[1])
 		}
 	}
-	feed(Event{Kind: pass.ServersListed, Servers: servers})
-	feed(Event{Kind: pass.FlagsRead})
-	feed(Event{Kind: pass.MenuReceived, Epoch: 1, Number: 1, Menu: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)})
-	outcomes := []pass.Outcome{pass.Done, pass.Done, pass.Done, pass.NotStarted, pass.Broken, pass.Uncertain, pass.Lapsed}
+	feed(Event{Kind: auction.ServersListed, Servers: servers})
+	feed(Event{Kind: auction.FlagsRead})
+	feed(Event{Kind: auction.MenuReceived, Epoch: 1, Number: 1, Menu: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)})
+	outcomes := []auction.Outcome{auction.Done, auction.Done, auction.Done, auction.NotStarted, auction.Broken, auction.Uncertain, auction.Lapsed}
 	for number := range 4000 {
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 		if number%20 == 0 {
-			feed(Event{Kind: pass.HoldRenewed, HoldEnds: now.Add(4 * time.Second), Epoch: 1, Number: 1, Duties: []Duty{{Key: lease.PartsKey, Holder: "courier-1", Fence: 1}}})
+			feed(Event{Kind: auction.HoldRenewed, HoldEnds: now.Add(4 * time.Second), Epoch: 1, Number: 1, Duties: []Duty{{Key: lease.PartsKey, Holder: "courier-1", Fence: 1}}})
 			for position, server := range servers {
-				part := []pass.Part{pass.Prefill, pass.Decode}[position/2%2]
-				feed(Event{Kind: pass.LoadReported, Load: &Load{Server: server.Name, Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8,
+				part := []auction.Part{auction.Prefill, auction.Decode}[position/2%2]
+				feed(Event{Kind: auction.LoadReported, Load: &Load{Server: server.Name, Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8,
 					DecodeSlots: 16, PieceTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000, PrefillQueueTokens: random.IntN(4000)}})
 			}
 		}
@@ -70,20 +70,20 @@
 		}
 		switch random.IntN(7) {
 		case 0, 1:
-			feed(Event{Kind: pass.InquiryArrived, Inquiry: &Inquiry{ID: fmt.Sprint("inquiry-", number), Service: "chat", Repeatable: random.IntN(3) > 0, PromptTokens: 100 + random.IntN(900), Pieces: 2}})
+			feed(Event{Kind: auction.InquiryArrived, Inquiry: &Inquiry{ID: fmt.Sprint("inquiry-", number), Service: "chat", Repeatable: random.IntN(3) > 0, PromptTokens: 100 + random.IntN(900), Pieces: 2}})
 		case 2:
-			feed(Event{Kind: pass.ClaimAnswered, ID: id, Outcome: pass.Done})
+			feed(Event{Kind: auction.ClaimAnswered, ID: id, Outcome: auction.Done})
 		case 3:
-			feed(Event{Kind: pass.PrefillAnswered, ID: id, Run: runs[id], Outcome: outcomes[random.IntN(len(outcomes))], Handle: "handle"})
+			feed(Event{Kind: auction.PrefillAnswered, ID: id, Run: runs[id], Outcome: outcomes[random.IntN(len(outcomes))], Handle: "handle"})
 		case 4:
-			feed(Event{Kind: pass.PieceReceived, ID: id, Run: runs[id], Piece: 1 + random.IntN(2), Text: "text"})
+			feed(Event{Kind: auction.PieceReceived, ID: id, Run: runs[id], Piece: 1 + random.IntN(2), Text: "text"})
 		case 5:
-			feed(Event{Kind: pass.DecodeEnded, ID: id, Run: runs[id], Piece: 2, Outcome: outcomes[random.IntN(len(outcomes))]})
+			feed(Event{Kind: auction.DecodeEnded, ID: id, Run: runs[id], Piece: 2, Outcome: outcomes[random.IntN(len(outcomes))]})
 		case 6:
-			feed(Event{Kind: pass.Ticked})
+			feed(Event{Kind: auction.Ticked})
 		}
 	}
-	for _, kind := range []pass.DecisionKind{pass.ClaimInquiry, pass.DispatchPrefill, pass.DispatchDecode, pass.SendPiece, pass.Finish, pass.Cancel, pass.NoteRetry, pass.GiveOrders} {
+	for _, kind := range []auction.DecisionKind{auction.ClaimInquiry, auction.DispatchPrefill, auction.DispatchDecode, auction.SendPiece, auction.Finish, auction.Cancel, auction.NoteRetry, auction.GiveOrders} {
 		if seen[kind] == 0 {
 			t.Errorf("the stream brought about no %s", kind)
 		}
@@ -95,18 +95,18 @@
 func TestNewHolderTellsTheServerItsFence(t *testing.T) {
 	core := New(Options{Courier: "courier-1", District: "north", Supported: Supported(nil)})
 	now := time.Unix(3_000_000, 0)
-	core.Apply(Event{Kind: pass.ServersListed, At: now, Servers: []Server{{Name: "s", Address: "s", District: "north"}}})
-	core.Apply(Event{Kind: pass.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "decode"}}})
+	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: []Server{{Name: "s", Address: "s", District: "north"}}})
+	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "decode"}}})
 	commands := func(fence uint64) int {
 		count := 0
 		for range 30 {
 			now = now.Add(200 * time.Millisecond)
-			core.Apply(Event{Kind: pass.LoadReported, At: now, Load: &Load{Server: "s", Part: pass.Decode}})
+			core.Apply(Event{Kind: auction.LoadReported, At: now, Load: &Load{Server: "s", Part: auction.Decode}})
 			if fence > 0 {
-				core.Apply(Event{Kind: pass.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Duties: []Duty{{Key: lease.ServerKey("s"), Holder: "courier-1", Fence: fence}}})
+				core.Apply(Event{Kind: auction.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Duties: []Duty{{Key: lease.ServerKey("s"), Holder: "courier-1", Fence: fence}}})
 			}
-			for _, decision := range core.Apply(Event{Kind: pass.Ticked, At: now}) {
-				if decision.Kind == pass.Command && decision.Duty.Fence == fence && decision.NotAfter.Equal(now.Add(time.Second)) {
+			for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
+				if decision.Kind == auction.Command && decision.Duty.Fence == fence && decision.NotAfter.Equal(now.Add(time.Second)) {
 					count++
 				}
 			}
@@ -116,7 +116,7 @@
 	if first, second := commands(4), commands(9); first != 1 || second != 1 {
 		t.Errorf("%d commands under the first fence, %d under the second", first, second)
 	}
-	core.Apply(Event{Kind: pass.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "prefill"}}})
+	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "prefill"}}})
 	now = now.Add(5 * time.Second)
 	if late := commands(0); late != 0 {
 		t.Errorf("%d commands after the hold ran out", late)
--- a/internal/adapters/courier/commands.go
+++ b/internal/adapters/courier/commands.go
@@ -5,8 +5,8 @@
 
 	"seamloom.example/seamloom/internal/adapters/modelserver"
 	"seamloom.example/seamloom/internal/adapters/ports"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/hatch"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // commanding has servers commanded by a platform's own orders, if there are any.
@@ -25,6 +25,6 @@
 
 // Command has a server take a part. One that is late is worse than none: it ends
 // with the duty's hold.
-func (orderly *orderly) Command(decision pass.Decision, may func() bool) error {
+func (orderly *orderly) Command(decision auction.Decision, may func() bool) error {
 	return orderly.Within(decision, func(lifetime context.Context) error { return orderly.orders.Order(lifetime, decision, may) })
 }
--- a/internal/adapters/courier/counter.go
+++ b/internal/adapters/courier/counter.go
@@ -12,10 +12,10 @@
 	"goji.io/pat"
 
 	"seamloom.example/seamloom/internal/adapters/rpc"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/hatch"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 func (process *Process) mux() http.Handler {
@@ -73,7 +73,7 @@
 // refuse answers what is no inquiry.
 func refuse(writer http.ResponseWriter, err error) {
 	never := false
-	line := hatch.ReplyLine{Final: pass.Refused, Ran: &never, Type: failure.KindOf(err), Detail: err.Error()}
+	line := hatch.ReplyLine{Final: auction.Refused, Ran: &never, Type: failure.KindOf(err), Detail: err.Error()}
 	status := http.StatusBadRequest
 	if line.Type == failure.Oversize {
 		status = http.StatusRequestEntityTooLarge
--- a/internal/adapters/courier/process.go
+++ b/internal/adapters/courier/process.go
@@ -24,9 +24,9 @@
 	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/usage"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/hatch"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -117,7 +117,7 @@
 }
 
 // noteEnd counts an inquiry's use.
-func (process *Process) noteEnd(inquiry *pass.Inquiry, decision pass.Decision) {
+func (process *Process) noteEnd(inquiry *auction.Inquiry, decision auction.Decision) {
 	process.ledger.Note(process.clock.Wall(), usage.Row{Courier: process.chosen.Name, Service: inquiry.Service, Origin: inquiry.Origin,
 		Final: string(decision.Final), PromptTokens: int64(inquiry.PromptTokens), Pieces: int64(decision.Pieces)})
 }
@@ -125,7 +125,7 @@
 // Drain stops letting in, waits for what runs until the patience ends, and
 // ends the process.
 func (process *Process) Drain(patience time.Duration) error {
-	process.conduct.Apply(pass.Event{Kind: pass.DrainStarted})
+	process.conduct.Apply(auction.Event{Kind: auction.DrainStarted})
 	process.logger.Info("draining", "in_flight", process.conduct.Core().InFlightRequests())
 	ends := process.clock.Now().Add(patience)
 	ticker := time.NewTicker(tickPause)
--- a/internal/adapters/modelserver/fuzz_test.go
+++ b/internal/adapters/modelserver/fuzz_test.go
@@ -8,8 +8,8 @@
 
 	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // FuzzServerAnswers has a server answer anything with any status: no panic, a
@@ -28,7 +28,7 @@
 	}))
 	fuzzing.Cleanup(server.Close)
 	client := New(context.Background(), threads.New(context.Background(), wallclock.NewClock()), &http.Transport{})
-	decision := pass.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &pass.Inquiry{ID: "one"}}
+	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &auction.Inquiry{ID: "one"}}
 	may := func() bool { return true }
 	fuzzing.Fuzz(func(t *testing.T, said int, content []byte) {
 		status, body = said, content
@@ -39,7 +39,7 @@
 		} else if load.PrefillRoom < 0 || load.DecodeSlots < 0 || load.MemoryFree < 0 {
 			t.Fatalf("%q passed as %+v", content, load)
 		}
-		if outcome, handle, _ := client.Prefill(decision, may); outcome == pass.Done && handle == "" {
+		if outcome, handle, _ := client.Prefill(decision, may); outcome == auction.Done && handle == "" {
 			t.Fatalf("%q is done without memory", content)
 		}
 		_, _, _ = client.Decode(decision, may, func(piece int, text string) {})
--- a/internal/adapters/modelserver/loadreport.go
+++ b/internal/adapters/modelserver/loadreport.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // LoadReport is the answer to GET /v1/load.
@@ -48,16 +48,16 @@
 			return failure.At(failure.OutOfRange, "/prefixes/"+prefix, strconv.Itoa(tokens))
 		}
 	}
-	switch pass.Part(report.Part) {
-	case pass.Prefill, pass.Decode, pass.Drain, pass.NoPart:
+	switch auction.Part(report.Part) {
+	case auction.Prefill, auction.Decode, auction.Drain, auction.NoPart:
 		return nil
 	}
 	return failure.At(failure.OutOfRange, "/part", report.Part)
 }
 
 // Load is the report in the core's terms.
-func (report LoadReport) Load() pass.Load {
-	return pass.Load{Server: report.Server, Incarnation: report.Incarnation, Part: pass.Part(report.Part), Leaving: report.Leaving,
+func (report LoadReport) Load() auction.Load {
+	return auction.Load{Server: report.Server, Incarnation: report.Incarnation, Part: auction.Part(report.Part), Leaving: report.Leaving,
 		Age: time.Duration(report.AgeMilliseconds) * time.Millisecond, PrefillQueueTokens: report.PrefillQueueTokens,
 		PrefillRate: report.PrefillRate, PrefillWaiting: report.PrefillWaiting, PrefillRoom: report.PrefillRoom,
 		DecodeActive: report.DecodeActive, DecodeSlots: report.DecodeSlots,
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/adapters/rpc"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // Stove is the client to all model servers.
@@ -38,7 +38,7 @@
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
 // beginRun makes the lifetime of a run's dispatch, which ends with its cancel.
-func (stove *Stove) beginRun(decision pass.Decision) context.Context {
+func (stove *Stove) beginRun(decision auction.Decision) context.Context {
 	lifetime, end := context.WithCancel(stove.lifetime)
 	stove.mutex.Lock()
 	defer stove.mutex.Unlock()
@@ -97,30 +97,30 @@
 	Type    string `json:"type"`
 }
 
-func readRefusal(inbound *http.Response) (pass.Outcome, string) {
+func readRefusal(inbound *http.Response) (auction.Outcome, string) {
 	var said refusal
 	if json.NewDecoder(io.LimitReader(inbound.Body, MostLine)).Decode(&said) != nil || said.Started == nil {
-		return pass.Uncertain, "status " + strconv.Itoa(inbound.StatusCode)
+		return auction.Uncertain, "status " + strconv.Itoa(inbound.StatusCode)
 	}
 	switch {
 	case said.Type == "handle_lapsed":
-		return pass.Lapsed, said.Type
+		return auction.Lapsed, said.Type
 	case !*said.Started:
-		return pass.NotStarted, said.Type
+		return auction.NotStarted, said.Type
 	}
-	return pass.Broken, said.Type
+	return auction.Broken, said.Type
 }
 
 // Prefill has a server read a prompt, and returns the handle of its memory.
-func (stove *Stove) Prefill(decision pass.Decision, may func() bool) (pass.Outcome, string, string) {
+func (stove *Stove) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	inquiry := decision.Inquiry
 	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run,
 		Prompt: inquiry.Prompt, PromptTokens: inquiry.PromptTokens, Prefix: inquiry.Prefix, PrefixTokens: inquiry.PrefixTokens}, may)
 	if err != nil {
 		if !written {
-			return pass.NotStarted, "", err.Error()
+			return auction.NotStarted, "", err.Error()
 		}
-		return pass.Uncertain, "", err.Error()
+		return auction.Uncertain, "", err.Error()
 	}
 	defer func() { _ = inbound.Body.Close() }()
 	if inbound.StatusCode != http.StatusOK {
@@ -129,25 +129,25 @@
 	}
 	var answer PrefillAnswer
 	if err := json.NewDecoder(io.LimitReader(inbound.Body, MostLine)).Decode(&answer); err != nil || answer.Handle == "" {
-		return pass.Uncertain, "", "the answer broke off"
+		return auction.Uncertain, "", "the answer broke off"
 	}
 	if answer.Inquiry != inquiry.ID || answer.Run != decision.Run {
-		return pass.Uncertain, "", "the answer is another inquiry's"
+		return auction.Uncertain, "", "the answer is another inquiry's"
 	}
-	return pass.Done, answer.Handle, ""
+	return auction.Done, answer.Handle, ""
 }
 
 // Decode has a server take up a prompt's memory and answer; each piece goes to
 // take as it comes.
-func (stove *Stove) Decode(decision pass.Decision, may func() bool, take func(piece int, text string)) (pass.Outcome, int, string) {
+func (stove *Stove) Decode(decision auction.Decision, may func() bool, take func(piece int, text string)) (auction.Outcome, int, string) {
 	inquiry := decision.Inquiry
 	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run,
 		Handle: decision.Handle, Source: decision.SourceAddress, Pieces: inquiry.Pieces}, may)
 	if err != nil {
 		if !written {
-			return pass.NotStarted, 0, err.Error()
+			return auction.NotStarted, 0, err.Error()
 		}
-		return pass.Uncertain, 0, err.Error()
+		return auction.Uncertain, 0, err.Error()
 	}
 	defer func() { _ = inbound.Body.Close() }()
 	if inbound.StatusCode != http.StatusOK {
@@ -159,21 +159,21 @@
 	for lines.Scan() {
 		var line StreamLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
-			return pass.Uncertain, 0, "a line that is no JSON"
+			return auction.Uncertain, 0, "a line that is no JSON"
 		}
 		if line.Inquiry != inquiry.ID || line.Run != decision.Run {
-			return pass.Uncertain, 0, "a line of another inquiry"
+			return auction.Uncertain, 0, "a line of another inquiry"
 		}
 		if line.Done {
-			return pass.Done, line.Pieces, ""
+			return auction.Done, line.Pieces, ""
 		}
 		take(line.Piece, line.Text)
 	}
-	return pass.Uncertain, 0, "the stream broke off"
+	return auction.Uncertain, 0, "the stream broke off"
 }
 
 // Cancel breaks a run's circuit and has the server stop it.
-func (stove *Stove) Cancel(decision pass.Decision) {
+func (stove *Stove) Cancel(decision auction.Decision) {
 	stove.EndRun(decision.ID, decision.Run)
 	stove.turns.Go(func() {
 		lifetime, end := context.WithTimeout(stove.lifetime, time.Second)
@@ -187,7 +187,7 @@
 
 // Command has a server take a part, under the fence of its key's holder. One
 // that is late is worse than none: it ends with the duty's hold.
-func (stove *Stove) Command(decision pass.Decision, may func() bool) error {
+func (stove *Stove) Command(decision auction.Decision, may func() bool) error {
 	order := PartOrder{Part: string(decision.Part), Fence: decision.Duty.Fence, Holder: decision.Duty.Holder}
 	if decision.Order != nil {
 		order.PatienceMilliseconds = int(decision.Order.Patience / time.Millisecond)
@@ -208,22 +208,22 @@
 
 // Within has a command given in a lifetime that ends with the duty's hold, and soon
 // in any case.
-func (stove *Stove) Within(decision pass.Decision, act func(lifetime context.Context) error) error {
+func (stove *Stove) Within(decision auction.Decision, act func(lifetime context.Context) error) error {
 	lifetime, end := context.WithTimeout(stove.lifetime, min(time.Second, decision.NotAfter.Sub(stove.turns.Now())))
 	defer end()
 	return act(lifetime)
 }
 
 // Pressure reads a server's pressure within a patience, for the market of inquiries.
-func (stove *Stove) Pressure(server membership.Server, patience time.Duration) (pass.Load, error) {
+func (stove *Stove) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
 	lifetime, end := context.WithTimeout(stove.lifetime, patience)
 	defer end()
 	return stove.Load(lifetime, server.Address)
 }
 
 // Load reads a server's pressure.
-func (stove *Stove) Load(lifetime context.Context, address string) (pass.Load, error) {
-	var load pass.Load
+func (stove *Stove) Load(lifetime context.Context, address string) (auction.Load, error) {
+	var load auction.Load
 	outbound, err := http.NewRequestWithContext(lifetime, http.MethodGet, "http://"+address+"/v1/load", nil)
 	if err != nil {
 		return load, failure.Wrap(failure.Garbage, err)
--- a/internal/adapters/modelserver/stove_test.go
+++ b/internal/adapters/modelserver/stove_test.go
@@ -10,7 +10,7 @@
 
 	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
-	"seamloom.example/seamloom/internal/pass"
+	"seamloom.example/seamloom/internal/auction"
 )
 
 // TestOrderThatWaitedTooLongDoesNotLeave has the circuit come about only after
@@ -37,22 +37,22 @@
 		return circuit, err
 	}}
 	stove := New(context.Background(), threads.New(context.Background(), wallclock.NewClock()), transport)
-	decision := pass.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &pass.Inquiry{ID: "one"}}
-	for _, order := range []func() pass.Outcome{
-		func() pass.Outcome { outcome, _, _ := stove.Prefill(decision, may.Load); return outcome },
-		func() pass.Outcome {
+	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &auction.Inquiry{ID: "one"}}
+	for _, order := range []func() auction.Outcome{
+		func() auction.Outcome { outcome, _, _ := stove.Prefill(decision, may.Load); return outcome },
+		func() auction.Outcome {
 			outcome, _, _ := stove.Decode(decision, may.Load, func(int, string) {})
 			return outcome
 		},
 	} {
 		may.Store(true)
-		if outcome := order(); outcome != pass.NotStarted || orders.Load() != 0 {
+		if outcome := order(); outcome != auction.NotStarted || orders.Load() != 0 {
 			t.Errorf("the outcome is %s, and %d orders came", outcome, orders.Load())
 		}
 	}
 	waits = false
 	may.Store(true)
-	if outcome, _, _ := stove.Prefill(decision, may.Load); outcome == pass.NotStarted || orders.Load() != 1 {
+	if outcome, _, _ := stove.Prefill(decision, may.Load); outcome == auction.NotStarted || orders.Load() != 1 {
 		t.Errorf("an order in time: %s, and %d orders came", outcome, orders.Load())
 	}
 }
--- a/internal/adapters/ports/ports.go
+++ b/internal/adapters/ports/ports.go
@@ -6,8 +6,8 @@
 	"context"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -26,7 +26,7 @@
 // Orders commands a model server to take a part, under the fence of its key's
 // holder. May is asked at the last moment before anything leaves.
 type Orders interface {
-	Order(lifetime context.Context, decision pass.Decision, may func() bool) error
+	Order(lifetime context.Context, decision auction.Decision, may func() bool) error
 }
 
 // Here reads a platform's lists for as long as one process lives, at the address
--- a/internal/pass/decisionkind.go
+++ b/internal/auction/decisionkind.go
@@ -1,4 +1,4 @@
-package pass
+package auction
 
 // DecisionKind names a sort of decision.
 type DecisionKind string
--- a/internal/pass/desk.go
+++ b/internal/auction/desk.go
@@ -1,4 +1,4 @@
-package pass
+package auction
 
 import (
 	"hash/fnv"
--- a/internal/pass/eventkind.go
+++ b/internal/auction/eventkind.go
@@ -1,4 +1,4 @@
-package pass
+package auction
 
 // EventKind names a sort of event.
 type EventKind string
--- a/internal/pass/final.go
+++ b/internal/auction/final.go
@@ -1,4 +1,4 @@
-package pass
+package auction
 
 // Final is how a reply ends.
 type Final string
--- a/internal/pass/market.go
+++ b/internal/auction/market.go
@@ -1,6 +1,6 @@
 // Package pass owns the market in which inquiries bid for prefill and decode
 // servers, the dispatch of the chosen pair, and what is done in trouble.
-package pass
+package auction
 
 import (
 	"sort"
--- a/internal/pass/opcode.go
+++ b/internal/auction/opcode.go
@@ -1,4 +1,4 @@
-package pass
+package auction
 
 // opcode is one step of a compiled route.
 type opcode uint8
--- a/internal/pass/outcome.go
+++ b/internal/auction/outcome.go
@@ -1,4 +1,4 @@
-package pass
+package auction
 
 // Outcome is how a step outside the core ended.
 type Outcome string
--- a/internal/pass/part.go
+++ b/internal/auction/part.go
@@ -1,4 +1,4 @@
-package pass
+package auction
 
 // Part is what a model server does.
 type Part string
--- a/internal/pass/stage.go
+++ b/internal/auction/stage.go
@@ -1,4 +1,4 @@
-package pass
+package auction
 
 // stage is where an inquiry stands.
 type stage uint8
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"seamloom.example/seamloom"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/replication"
 )
 
@@ -111,7 +111,7 @@
 // while there are only duties, and hardly ever otherwise.
 func (courier *Courier) tick() {
 	for courier.turns.Alive() {
-		courier.Apply(pass.Event{Kind: pass.Ticked})
+		courier.Apply(auction.Event{Kind: auction.Ticked})
 		pause := courier.tickPause()
 		// Whoever gives the core more to do looks at this after it has, and rings.
 		courier.resting.Store(int64(pause))
@@ -170,7 +170,7 @@
 }
 
 // Apply feeds one event to the core and carries its decisions out.
-func (courier *Courier) Apply(event pass.Event) {
+func (courier *Courier) Apply(event auction.Event) {
 	if event.At.IsZero() {
 		event.At = courier.turns.Now()
 	}
@@ -217,7 +217,7 @@
 		return
 	}
 	if section, found := news.Changed[replication.ConfigurationSection]; found {
-		courier.Apply(pass.Event{Kind: pass.MenuReceived, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+		courier.Apply(auction.Event{Kind: auction.MenuReceived, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
 		courier.observe("configuration_in_force", "version", section.Version.String())
 	}
 	state, err := replication.ReadState(news.Changed)
@@ -226,16 +226,16 @@
 		return
 	}
 	if _, found := news.Changed[replication.FlagsSection]; found {
-		courier.Apply(pass.Event{Kind: pass.FlagsRead, Enabled: state.Flags.Enabled})
+		courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
 		courier.observe("flags_read", "enabled", state.Flags.Enabled, "restricted", courier.core.Restricted())
 	}
 	if _, found := news.Changed[replication.OrdersSection]; found {
-		courier.Apply(pass.Event{Kind: pass.OrdersRead, Orders: courier.core.ReadOrders(state.Orders.Records)})
+		courier.Apply(auction.Event{Kind: auction.OrdersRead, Orders: courier.core.ReadOrders(state.Orders.Records)})
 	}
 	courier.takeMembers(news, state)
 	courier.takeLists(news)
 	if news.Answer.Hold > 0 {
-		courier.Apply(pass.Event{Kind: pass.HoldRenewed, HoldEnds: news.Asked.Add(news.Answer.Hold), Epoch: news.Answer.Menu.Epoch,
+		courier.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: news.Asked.Add(news.Answer.Hold), Epoch: news.Answer.Menu.Epoch,
 			Number: news.Answer.Menu.Number, Duties: news.Answer.Duties})
 		courier.showServing()
 		courier.stir()
@@ -250,11 +250,11 @@
 		courier.observe("news_unreadable", "cause", err)
 		return
 	}
-	courier.Apply(pass.Event{Kind: pass.FlagsRead, Enabled: state.Flags.Enabled})
+	courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
 	courier.takeMembers(news, state)
 	courier.takeLists(news)
 	section := news.Changed[replication.ConfigurationSection]
-	courier.Apply(pass.Event{Kind: pass.MenuLent, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+	courier.Apply(auction.Event{Kind: auction.MenuLent, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
 	courier.showServing()
 	courier.stir()
 	courier.observe("configuration_lent", "version", section.Version.String())
@@ -273,7 +273,7 @@
 	}
 	if news.Answer.Couriers == 0 {
 		// Nobody counts them: an older release's primary, or a copy.
-		courier.Apply(pass.Event{Kind: pass.CouriersCounted, Number: uint64(len(couriersOf(state.Members)))})
+		courier.Apply(auction.Event{Kind: auction.CouriersCounted, Number: uint64(len(couriersOf(state.Members)))})
 	}
 	courier.setContacts()
 }
@@ -282,14 +282,14 @@
 func (courier *Courier) takeLists(news News) {
 	if count := news.Answer.Couriers; count > 0 {
 		courier.couriers.Store(int64(count))
-		courier.Apply(pass.Event{Kind: pass.CouriersCounted, Number: uint64(count)})
+		courier.Apply(auction.Event{Kind: auction.CouriersCounted, Number: uint64(count)})
 	}
 	if news.Servers != nil {
 		courier.takeServers(news.Servers.At, news.Servers.Servers)
 	}
 	if len(news.Loads) > 0 {
 		courier.core.Calls().SetOutliers(courier.turns.Now(), news.Outliers)
-		courier.Apply(pass.Event{Kind: pass.LoadsReported, Loads: news.Loads})
+		courier.Apply(auction.Event{Kind: auction.LoadsReported, Loads: news.Loads})
 	}
 }
 
@@ -385,7 +385,7 @@
 func (courier *Courier) Serve(arrival Arrival, reply Reply) {
 	inquiry := arrival.Inquiry
 	if !courier.meant(arrival) {
-		sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: pass.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
+		sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
 		return
 	}
 	stream := newStream(courier.turns)
@@ -396,7 +396,7 @@
 	}
 	courier.mutex.Unlock()
 	if busy {
-		sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: pass.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
+		sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: auction.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
 		return
 	}
 	defer func() {
@@ -405,7 +405,7 @@
 		delete(courier.streams, inquiry.ID)
 	}()
 	reply.WhenLeft(stream.leave)
-	courier.Apply(pass.Event{Kind: pass.InquiryArrived, Inquiry: inquiry})
+	courier.Apply(auction.Event{Kind: auction.InquiryArrived, Inquiry: inquiry})
 	courier.stir()
 	courier.answer(arrival, reply, stream)
 }
@@ -429,7 +429,7 @@
 		decision, found := stream.next()
 		if !found {
 			if stream.gone() {
-				courier.Apply(pass.Event{Kind: pass.OriginLeft, ID: inquiry.ID})
+				courier.Apply(auction.Event{Kind: auction.OriginLeft, ID: inquiry.ID})
 				return
 			}
 			stream.bell.Wait(time.Minute, stream.news)
@@ -437,20 +437,20 @@
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
 				if stream.sent == 0 {
-					sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: pass.Unknown, Type: failure.Draining})
+					sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: auction.Unknown, Type: failure.Draining})
 				} else {
-					_ = reply.Line(ReplyLine{Inquiry: inquiry.ID, Final: pass.Failed, Type: failure.Draining, Pieces: stream.sent}.encode())
+					_ = reply.Line(ReplyLine{Inquiry: inquiry.ID, Final: auction.Failed, Type: failure.Draining, Pieces: stream.sent}.encode())
 				}
 				return
 			}
 			continue
 		}
-		if decision.Kind == pass.PassOn {
+		if decision.Kind == auction.PassOn {
 			courier.passOn(arrival, reply)
 			return
 		}
 		line := lineOf(decision)
-		if decision.Kind == pass.SendPiece {
+		if decision.Kind == auction.SendPiece {
 			if decision.Piece == 1 {
 				reply.Begin(line.Status(), 0)
 			}
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -9,12 +9,12 @@
 	"seamloom.example/seamloom"
 	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -43,9 +43,9 @@
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
-		Ended: func(*pass.Inquiry, pass.Decision) {}}
+		Ended: func(*auction.Inquiry, auction.Decision) {}}
 	courier := NewCourier(threads.New(lifetime, wallclock.NewClock()), nil, nil, nil, options, func(string, ...any) {})
-	courier.Apply(pass.Event{Kind: pass.FlagsRead, Enabled: formats.List{}})
+	courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: formats.List{}})
 	return courier
 }
 
@@ -56,14 +56,14 @@
 	courier := newTestCourier(t, "this life")
 	serve := func(passage Passage) ReplyLine {
 		reply := &lines{}
-		courier.Serve(Arrival{Inquiry: &pass.Inquiry{ID: "one", Service: "chat"}, Passage: &passage}, reply)
+		courier.Serve(Arrival{Inquiry: &auction.Inquiry{ID: "one", Service: "chat"}, Passage: &passage}, reply)
 		return reply.said[0]
 	}
-	if first := serve(Passage{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != pass.Refused {
+	if first := serve(Passage{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != auction.Refused {
 		t.Errorf("the first was not decided on: %+v", first)
 	}
 	for name, passage := range map[string]Passage{"again": {Nonce: "first", Incarnation: "this life"}, "another life": {Nonce: "second", Incarnation: "an earlier life"}} {
-		if line := serve(passage); line.Final != pass.Unknown || line.Type != failure.Duplicate {
+		if line := serve(passage); line.Final != auction.Unknown || line.Type != failure.Duplicate {
 			t.Errorf("%s: %+v", name, line)
 		}
 	}
@@ -75,10 +75,10 @@
 // TestTakenIDIsNotSaidToHaveNeverRun wants no word on whether an id ran that
 // another arrival took, and the word where it is certain.
 func TestTakenIDIsNotSaidToHaveNeverRun(t *testing.T) {
-	if line := lineOf(pass.Decision{Kind: pass.Finish, Final: pass.Refused, Cause: failure.Duplicate}); line.Ran != nil {
+	if line := lineOf(auction.Decision{Kind: auction.Finish, Final: auction.Refused, Cause: failure.Duplicate}); line.Ran != nil {
 		t.Errorf("an id that is taken is said to have run or not: %+v", line)
 	}
-	if line := lineOf(pass.Decision{Kind: pass.Finish, Final: pass.Refused, Cause: failure.Busy}); line.Ran == nil || *line.Ran {
+	if line := lineOf(auction.Decision{Kind: auction.Finish, Final: auction.Refused, Cause: failure.Busy}); line.Ran == nil || *line.Ran {
 		t.Errorf("a refused inquiry is not said to never run: %+v", line)
 	}
 }
@@ -99,7 +99,7 @@
 	board := &noted{until: atNoon(time.Hour)}
 	turns := &movingTurns{Runtime: threads.New(context.Background(), wallclock.NewClock()), now: atNoon(0)}
 	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
-		Ended: func(*pass.Inquiry, pass.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
+		Ended: func(*auction.Inquiry, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
 	courier := NewCourier(turns, nil, nil, nil, options, func(string, ...any) {})
 	if !board.until.IsZero() {
 		t.Errorf("before any hold it serves until %s", board.until)
--- a/internal/hatch/courieroptions.go
+++ b/internal/hatch/courieroptions.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"seamloom.example/seamloom"
-	"seamloom.example/seamloom/internal/pass"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -28,5 +28,5 @@
 	// Nonce gives a text that is new each time.
 	Nonce func() string
 	// Ended is told how each inquiry ended that this courier decided on.
-	Ended func(inquiry *pass.Inquiry, decision pass.Decision)
+	Ended func(inquiry *auction.Inquiry, decision auction.Decision)
 }
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -4,54 +4,54 @@
 	"strconv"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // carryOut does one decision. What waits for others runs in its own thread and
 // comes back as an event.
-func (courier *Courier) carryOut(decision pass.Decision) {
+func (courier *Courier) carryOut(decision auction.Decision) {
 	switch decision.Kind {
-	case pass.SendPiece, pass.Finish, pass.PassOn:
+	case auction.SendPiece, auction.Finish, auction.PassOn:
 		courier.mutex.Lock()
 		stream := courier.streams[decision.ID]
 		courier.mutex.Unlock()
 		if stream != nil {
 			stream.put(decision)
 		}
-		if decision.Kind == pass.Finish {
+		if decision.Kind == auction.Finish {
 			for run := 1; run <= decision.Run; run++ {
 				courier.stove.EndRun(decision.ID, run)
 				courier.forgetToken(decision.ID, run)
 			}
 		}
-	case pass.ClaimInquiry:
+	case auction.ClaimInquiry:
 		courier.turns.Go(func() { courier.claim(decision) })
-	case pass.DispatchPrefill:
+	case auction.DispatchPrefill:
 		decision.Token = courier.newToken(decision)
 		courier.turns.Go(func() { courier.prefill(decision) })
-	case pass.DispatchDecode:
+	case auction.DispatchDecode:
 		decision.Token = courier.newToken(decision)
 		courier.turns.Go(func() { courier.decode(decision) })
-	case pass.Cancel:
+	case auction.Cancel:
 		decision.Token = courier.tokenOf(decision)
 		courier.stove.Cancel(decision)
-	case pass.NotePair:
+	case auction.NotePair:
 		courier.notePair(decision)
-	case pass.NoteRetry:
+	case auction.NoteRetry:
 		courier.noteRetry(decision)
-	case pass.GiveOrders:
+	case auction.GiveOrders:
 		courier.turns.Go(func() { courier.giveOrders(decision) })
-	case pass.Command:
+	case auction.Command:
 		courier.turns.Go(func() { courier.command(decision) })
 	}
 }
 
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
-func (courier *Courier) newToken(decision pass.Decision) string {
+func (courier *Courier) newToken(decision auction.Decision) string {
 	token := courier.nonce()
 	courier.mutex.Lock()
 	defer courier.mutex.Unlock()
@@ -59,7 +59,7 @@
 	return token
 }
 
-func (courier *Courier) tokenOf(decision pass.Decision) string {
+func (courier *Courier) tokenOf(decision auction.Decision) string {
 	courier.mutex.Lock()
 	defer courier.mutex.Unlock()
 	return courier.tokens[runKey(decision.ID, decision.Run)]
@@ -72,25 +72,25 @@
 }
 
 // mayAct is asked just before the act, after every wait.
-func (courier *Courier) mayAct(decision pass.Decision) bool {
+func (courier *Courier) mayAct(decision auction.Decision) bool {
 	return courier.turns.Now().Before(decision.NotAfter)
 }
 
-func (courier *Courier) prefill(decision pass.Decision) {
-	event := pass.Event{Kind: pass.PrefillAnswered, ID: decision.ID, Run: decision.Run}
+func (courier *Courier) prefill(decision auction.Decision) {
+	event := auction.Event{Kind: auction.PrefillAnswered, ID: decision.ID, Run: decision.Run}
 	event.Outcome, event.Handle, event.Detail = courier.stove.Prefill(decision, func() bool { return courier.mayAct(decision) })
 	courier.Apply(event)
 }
 
-func (courier *Courier) decode(decision pass.Decision) {
-	event := pass.Event{Kind: pass.DecodeEnded, ID: decision.ID, Run: decision.Run}
+func (courier *Courier) decode(decision auction.Decision) {
+	event := auction.Event{Kind: auction.DecodeEnded, ID: decision.ID, Run: decision.Run}
 	event.Outcome, event.Piece, event.Detail = courier.stove.Decode(decision, func() bool { return courier.mayAct(decision) }, func(piece int, text string) {
-		courier.Apply(pass.Event{Kind: pass.PieceReceived, ID: decision.ID, Run: decision.Run, Piece: piece, Text: text})
+		courier.Apply(auction.Event{Kind: auction.PieceReceived, ID: decision.ID, Run: decision.Run, Piece: piece, Text: text})
 	})
 	courier.Apply(event)
 }
 
-func (courier *Courier) notePair(decision pass.Decision) {
+func (courier *Courier) notePair(decision auction.Decision) {
 	if courier.core.Restricted() {
 		return
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-func (courier *Courier) noteRetry(decision pass.Decision) {
+func (courier *Courier) noteRetry(decision auction.Decision) {
 	if courier.core.Restricted() {
 		return
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-func (courier *Courier) giveOrders(decision pass.Decision) {
+func (courier *Courier) giveOrders(decision auction.Decision) {
 	if !courier.mayAct(decision) || courier.core.Restricted() {
 		return
 	}
@@ -121,7 +121,7 @@
 	courier.observe("orders_given", "orders", decision.Orders, "trouble", err)
 }
 
-func (courier *Courier) command(decision pass.Decision) {
+func (courier *Courier) command(decision auction.Decision) {
 	if courier.core.Restricted() {
 		return
 	}
@@ -132,9 +132,9 @@
 // claim asks the primary for an inquiry's id until it is answered, its limit
 // comes, or its origin has had the final word. Asking again is safe: the nonce
 // tells this arrival's own claim.
-func (courier *Courier) claim(decision pass.Decision) {
+func (courier *Courier) claim(decision auction.Decision) {
 	made, err := MadeAt(decision.ID)
-	event := pass.Event{Kind: pass.ClaimAnswered, ID: decision.ID, Outcome: pass.NotStarted}
+	event := auction.Event{Kind: auction.ClaimAnswered, ID: decision.ID, Outcome: auction.NotStarted}
 	if err != nil {
 		courier.Apply(event)
 		return
@@ -149,11 +149,11 @@
 		err := courier.followed.Ask(ClaimPath, question, &answer, time.Second, ends)
 		switch kind := failure.KindOf(err); {
 		case err == nil && answer.Leads:
-			event.Outcome = pass.Done
+			event.Outcome = auction.Done
 		case kind == failure.Duplicate:
-			event.Outcome, event.Detail = pass.Duplicate, err.Error()
+			event.Outcome, event.Detail = auction.Duplicate, err.Error()
 		case kind == failure.TooOld || kind == failure.TooNew:
-			event.Outcome, event.Detail = pass.TooOld, err.Error()
+			event.Outcome, event.Detail = auction.TooOld, err.Error()
 		default:
 			lease.Sleep(courier.turns, claimPause)
 			continue
--- a/internal/hatch/inquirybody.go
+++ b/internal/hatch/inquirybody.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fastjson"
 	"go.uber.org/multierr"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // MostInquiryBytes bounds an inquiry's body.
@@ -21,7 +21,7 @@
 const tokenBytes = 4
 
 // ReadInquiry checks an inquiry's body and names all its mistakes.
-func ReadInquiry(now time.Time, body []byte) (*pass.Inquiry, error) {
+func ReadInquiry(now time.Time, body []byte) (*auction.Inquiry, error) {
 	root, err := fastjson.ParseBytes(body)
 	if err != nil || !utf8.Valid(body) {
 		return nil, failure.At(failure.Malformed, "/", "the body is no JSON")
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, failure.At(failure.WrongType, "/", "an object is needed")
 	}
-	inquiry := &pass.Inquiry{Repeatable: true, PromptTokens: -1, Pieces: 1}
+	inquiry := &auction.Inquiry{Repeatable: true, PromptTokens: -1, Pieces: 1}
 	limit := 0
 	texts := map[string]*string{"id": &inquiry.ID, "service": &inquiry.Service, "origin": &inquiry.Origin, "prompt": &inquiry.Prompt, "prefix": &inquiry.Prefix}
 	numbers := map[string]*int{"limit_milliseconds": &limit, "prompt_tokens": &inquiry.PromptTokens, "prefix_tokens": &inquiry.PrefixTokens, "pieces": &inquiry.Pieces}
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -4,10 +4,10 @@
 	"strconv"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // A courier has the list of servers from the primary. The values are ours.
@@ -46,7 +46,7 @@
 	if courier.board != nil {
 		courier.board.SetServers(now, listed)
 	}
-	courier.Apply(pass.Event{Kind: pass.ServersListed, At: now, Servers: listed})
+	courier.Apply(auction.Event{Kind: auction.ServersListed, At: now, Servers: listed})
 	courier.watchPressures(listed)
 }
 
@@ -134,7 +134,7 @@
 		began := courier.turns.Now()
 		load, err := courier.options.Pressures.Pressure(server, pressurePatience)
 		if err == nil && load.Server == server.Name {
-			courier.Apply(pass.Event{Kind: pass.LoadReported, Load: &load})
+			courier.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
 		}
 		if left := pressurePause - courier.turns.Now().Sub(began); left > 0 {
 			lease.Sleep(courier.turns, left)
--- a/internal/hatch/passing.go
+++ b/internal/hatch/passing.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // Passing is the port by which an inquiry goes on to another courier.
@@ -61,7 +61,7 @@
 // begun.
 func (courier *Courier) passOn(arrival Arrival, reply Reply) {
 	never := false
-	refused := ReplyLine{Inquiry: arrival.Inquiry.ID, Final: pass.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
+	refused := ReplyLine{Inquiry: arrival.Inquiry.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
 	if arrival.Passage == nil {
 		for _, member := range courier.capable(arrival.Inquiry.ID) {
 			passage := Passage{Nonce: courier.nonce()}
@@ -123,10 +123,10 @@
 func (copied *recordCopy) breakOff() {
 	broken := ReplyLine{Inquiry: copied.inquiry, Type: failure.Unreachable, Detail: "the reply broke off between two couriers"}
 	if copied.lines == 0 {
-		broken.Final = pass.Unknown
+		broken.Final = auction.Unknown
 		copied.reply.Begin(http.StatusGatewayTimeout, 0)
 	} else {
-		broken.Final, broken.Pieces = pass.Failed, copied.lines
+		broken.Final, broken.Pieces = auction.Failed, copied.lines
 	}
 	_ = copied.reply.Line(broken.encode())
 }
--- a/internal/hatch/reply.go
+++ b/internal/hatch/reply.go
@@ -1,6 +1,8 @@
 package hatch
 
-import "seamloom.example/seamloom/internal/pass"
+import (
+	"seamloom.example/seamloom/internal/auction"
+)
 
 // Reply is the port to the origin of one inquiry.
 type Reply interface {
@@ -14,7 +16,7 @@
 
 // Arrival is one inquiry as it came to a courier.
 type Arrival struct {
-	Inquiry *pass.Inquiry
+	Inquiry *auction.Inquiry
 	// Body is what the origin sent, to be passed on as it is.
 	Body []byte
 	// Passage is set when another courier passed it on.
--- a/internal/hatch/replyline.go
+++ b/internal/hatch/replyline.go
@@ -6,39 +6,39 @@
 	"net/http"
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // ReplyLine is one line of a reply: a numbered piece, or the final line.
 type ReplyLine struct {
-	Inquiry string       `json:"inquiry"`
-	Piece   int          `json:"piece,omitempty"`
-	Text    string       `json:"text,omitempty"`
-	Final   pass.Final   `json:"final,omitempty"`
-	Pieces  int          `json:"pieces,omitempty"`
-	Ran     *bool        `json:"ran,omitempty"`
-	Type    failure.Kind `json:"type,omitempty"`
-	Detail  string       `json:"detail,omitempty"`
+	Inquiry string        `json:"inquiry"`
+	Piece   int           `json:"piece,omitempty"`
+	Text    string        `json:"text,omitempty"`
+	Final   auction.Final `json:"final,omitempty"`
+	Pieces  int           `json:"pieces,omitempty"`
+	Ran     *bool         `json:"ran,omitempty"`
+	Type    failure.Kind  `json:"type,omitempty"`
+	Detail  string        `json:"detail,omitempty"`
 	// RetryAfterSeconds says when to come back; it stands in the header too.
 	RetryAfterSeconds int `json:"retry_after_seconds,omitempty"`
 }
 
-func lineOf(decision pass.Decision) ReplyLine {
-	if decision.Kind == pass.SendPiece {
+func lineOf(decision auction.Decision) ReplyLine {
+	if decision.Kind == auction.SendPiece {
 		return ReplyLine{Inquiry: decision.ID, Piece: decision.Piece, Text: decision.Text}
 	}
 	line := ReplyLine{Inquiry: decision.ID, Final: decision.Final, Pieces: decision.Pieces, Type: decision.Cause, Detail: decision.Detail,
 		RetryAfterSeconds: retrySeconds(decision.Retry)}
 	switch decision.Final {
-	case pass.Refused:
+	case auction.Refused:
 		// Of an id that is taken nobody says here whether it ran: the arrival
 		// that took it may have.
 		if decision.Cause != failure.Duplicate {
 			never := false
 			line.Ran = &never
 		}
-	case pass.Complete, pass.Failed:
+	case auction.Complete, auction.Failed:
 		did := true
 		line.Ran = &did
 	}
@@ -55,11 +55,11 @@
 // Status is that of a reply whose first line this is.
 func (line ReplyLine) Status() int {
 	switch line.Final {
-	case pass.Complete, "":
+	case auction.Complete, "":
 		return http.StatusOK
-	case pass.Unknown:
+	case auction.Unknown:
 		return http.StatusGatewayTimeout
-	case pass.Failed:
+	case auction.Failed:
 		return http.StatusBadGateway
 	}
 	switch line.Type {
--- a/internal/hatch/reports.go
+++ b/internal/hatch/reports.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -17,5 +17,5 @@
 // Pressures is the port by which a courier asks a model server itself, for the
 // market of inquiries.
 type Pressures interface {
-	Pressure(server membership.Server, patience time.Duration) (pass.Load, error)
+	Pressure(server membership.Server, patience time.Duration) (auction.Load, error)
 }
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -9,11 +9,11 @@
 	"seamloom.example/seamloom"
 	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/replication"
 )
 
@@ -50,7 +50,7 @@
 func newCourierAt(turns lease.Runtime, line Hotline, without time.Duration, told lease.Cond) *Courier {
 	courier := NewCourier(turns, line, nil, nil, CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
-		Directory: oneServer{}, Ended: func(*pass.Inquiry, pass.Decision) {}}, func(string, ...any) { told.Broadcast() })
+		Directory: oneServer{}, Ended: func(*auction.Inquiry, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
 	turns.Go(courier.followed.Run)
 	return courier
 }
--- a/internal/hatch/stove.go
+++ b/internal/hatch/stove.go
@@ -1,16 +1,18 @@
 package hatch
 
-import "seamloom.example/seamloom/internal/pass"
+import (
+	"seamloom.example/seamloom/internal/auction"
+)
 
 // Stove is the port to the model servers. May is asked at the last moment
 // before anything of an order leaves: if it says no, nothing does and the
 // outcome is NotStarted.
 type Stove interface {
-	Prefill(decision pass.Decision, may func() bool) (outcome pass.Outcome, handle, detail string)
-	Decode(decision pass.Decision, may func() bool, take func(piece int, text string)) (outcome pass.Outcome, pieces int, detail string)
-	Command(decision pass.Decision, may func() bool) error
+	Prefill(decision auction.Decision, may func() bool) (outcome auction.Outcome, handle, detail string)
+	Decode(decision auction.Decision, may func() bool, take func(piece int, text string)) (outcome auction.Outcome, pieces int, detail string)
+	Command(decision auction.Decision, may func() bool) error
 	// Cancel breaks a run's circuit and has the server stop it.
-	Cancel(decision pass.Decision)
+	Cancel(decision auction.Decision)
 	// EndRun lets go of what a run has left behind.
 	EndRun(id string, run int)
 }
--- a/internal/hatch/stream.go
+++ b/internal/hatch/stream.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/lease"
-	"seamloom.example/seamloom/internal/pass"
 )
 
 // stream carries one inquiry's decisions to the thread that answers its
@@ -12,20 +12,20 @@
 // whichever threads they came from.
 type stream struct {
 	mutex  sync.Mutex
-	pieces map[int]pass.Decision
-	last   *pass.Decision
+	pieces map[int]auction.Decision
+	last   *auction.Decision
 	sent   int
 	left   bool
 	bell   lease.Cond
 }
 
 func newStream(turns lease.Runtime) *stream {
-	return &stream{pieces: map[int]pass.Decision{}, bell: turns.NewCond()}
+	return &stream{pieces: map[int]auction.Decision{}, bell: turns.NewCond()}
 }
 
-func (stream *stream) put(decision pass.Decision) {
+func (stream *stream) put(decision auction.Decision) {
 	stream.mutex.Lock()
-	if decision.Kind == pass.SendPiece {
+	if decision.Kind == auction.SendPiece {
 		stream.pieces[decision.Piece] = decision
 	} else {
 		final := decision
@@ -58,7 +58,7 @@
 }
 
 // next gives the next decision that may be sent, if it is there.
-func (stream *stream) next() (pass.Decision, bool) {
+func (stream *stream) next() (auction.Decision, bool) {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
 	if decision, found := stream.pieces[stream.sent+1]; found {
@@ -69,5 +69,5 @@
 	if stream.last != nil && stream.sent >= stream.last.Pieces {
 		return *stream.last, true
 	}
-	return pass.Decision{}, false
+	return auction.Decision{}, false
 }
--- a/internal/rehearsal/world/passing.go
+++ b/internal/rehearsal/world/passing.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/hatch"
-	"seamloom.example/seamloom/internal/pass"
 )
 
-func endedHere(*pass.Inquiry, pass.Decision) {}
+func endedHere(*auction.Inquiry, auction.Decision) {}
 
 // passing carries inquiries from one courier to another.
 type passing struct{ life *life }
--- a/internal/rehearsal/world/platform.go
+++ b/internal/rehearsal/world/platform.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/adapters/modelserver"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -70,18 +70,18 @@
 	return lists.world.listNodes(), nil
 }
 
-func (lists lists) ask(server membership.Server, patience time.Duration) (pass.Load, error) {
+func (lists lists) ask(server membership.Server, patience time.Duration) (auction.Load, error) {
 	content, err := lists.life.askServer(server.Address, patience, func(top *rehearsal.Stovetop) (int, any) {
 		return http.StatusOK, top.Load()
 	})
 	if err != nil {
-		return pass.Load{}, err
+		return auction.Load{}, err
 	}
 	return content.(modelserver.LoadReport).Load(), nil
 }
 
 // Pressure reads a server's load for the market of inquiries.
-func (lists lists) Pressure(server membership.Server, patience time.Duration) (pass.Load, error) {
+func (lists lists) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
 	return lists.ask(server, patience)
 }
 
--- a/internal/rehearsal/world/stoves.go
+++ b/internal/rehearsal/world/stoves.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/adapters/modelserver"
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/rehearsal"
 )
 
@@ -54,7 +54,7 @@
 
 // order sends one order to a server and returns its exchange, or nil when it
 // certainly did not go.
-func (stoves *stoves) order(decision pass.Decision, may func() bool, serve func(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, send func(any) bool) (int, any)) *exchange {
+func (stoves *stoves) order(decision auction.Decision, may func() bool, serve func(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, send func(any) bool) (int, any)) *exchange {
 	world := stoves.life.world
 	stoves.dial()
 	if !may() {
@@ -121,53 +121,53 @@
 	return begun
 }
 
-func refusalOf(message ended) (pass.Outcome, string) {
+func refusalOf(message ended) (auction.Outcome, string) {
 	said, told := message.content.(rehearsal.Refusal)
 	switch {
 	case !told:
-		return pass.Uncertain, "status " + strconv.Itoa(message.status)
+		return auction.Uncertain, "status " + strconv.Itoa(message.status)
 	case said.Type == "handle_lapsed":
-		return pass.Lapsed, said.Type
+		return auction.Lapsed, said.Type
 	case !said.Started:
-		return pass.NotStarted, said.Type
+		return auction.NotStarted, said.Type
 	}
-	return pass.Broken, said.Type
+	return auction.Broken, said.Type
 }
 
 // lostOutcome is what a circuit without an answer means: where nobody listened
 // nothing was written.
-func (exchange *exchange) lostOutcome() pass.Outcome {
+func (exchange *exchange) lostOutcome() auction.Outcome {
 	if exchange.refused {
-		return pass.NotStarted
+		return auction.NotStarted
 	}
-	return pass.Uncertain
+	return auction.Uncertain
 }
 
 const exchangePatience = 2 * time.Minute
 
 // Prefill has a server read a prompt.
-func (stoves *stoves) Prefill(decision pass.Decision, may func() bool) (pass.Outcome, string, string) {
+func (stoves *stoves) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	inquiry := decision.Inquiry
 	order := modelserver.PrefillOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run, PromptTokens: inquiry.PromptTokens, Prefix: inquiry.Prefix, PrefixTokens: inquiry.PrefixTokens}
 	begun := stoves.order(decision, may, func(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, _ func(any) bool) (int, any) {
 		return top.Prefill(circuit, order)
 	})
 	if begun == nil {
-		return pass.NotStarted, "", "nothing was sent"
+		return auction.NotStarted, "", "nothing was sent"
 	}
 	message, found := begun.replies.take(exchangePatience, func() bool { return begun.quit })
 	if !found {
 		return begun.lostOutcome(), "", "the circuit broke"
 	}
 	if answer, well := message.(ended).content.(modelserver.PrefillAnswer); well {
-		return pass.Done, answer.Handle, ""
+		return auction.Done, answer.Handle, ""
 	}
 	outcome, detail := refusalOf(message.(ended))
 	return outcome, "", detail
 }
 
 // Decode has a server answer.
-func (stoves *stoves) Decode(decision pass.Decision, may func() bool, take func(piece int, text string)) (pass.Outcome, int, string) {
+func (stoves *stoves) Decode(decision auction.Decision, may func() bool, take func(piece int, text string)) (auction.Outcome, int, string) {
 	inquiry := decision.Inquiry
 	order := modelserver.DecodeOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Pieces: inquiry.Pieces}
 	begun := stoves.order(decision, may, func(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, send func(any) bool) (int, any) {
@@ -179,7 +179,7 @@
 		})
 	})
 	if begun == nil {
-		return pass.NotStarted, 0, "nothing was sent"
+		return auction.NotStarted, 0, "nothing was sent"
 	}
 	for {
 		message, found := begun.replies.take(exchangePatience, func() bool { return begun.quit })
@@ -189,12 +189,12 @@
 		switch said := message.(type) {
 		case modelserver.StreamLine:
 			if said.Done {
-				return pass.Done, said.Pieces, ""
+				return auction.Done, said.Pieces, ""
 			}
 			take(said.Piece, said.Text)
 		case ended:
 			if said.status == http.StatusOK {
-				return pass.Uncertain, 0, "the stream broke off"
+				return auction.Uncertain, 0, "the stream broke off"
 			}
 			outcome, detail := refusalOf(said)
 			return outcome, 0, detail
@@ -203,7 +203,7 @@
 }
 
 // Command has a server take a part.
-func (stoves *stoves) Command(decision pass.Decision, may func() bool) error {
+func (stoves *stoves) Command(decision auction.Decision, may func() bool) error {
 	stoves.dial()
 	if !may() {
 		return failure.New(failure.LimitPassed, "the command may not go any more")
@@ -217,7 +217,7 @@
 }
 
 // Cancel breaks a run's circuit and has the server stop it.
-func (stoves *stoves) Cancel(decision pass.Decision) {
+func (stoves *stoves) Cancel(decision auction.Decision) {
 	stoves.EndRun(decision.ID, decision.Run)
 	order := modelserver.CancelOrder{Inquiry: decision.ID, Order: decision.Token, Run: decision.Run}
 	stoves.life.Go(func() {
--- a/seamloom.go
+++ b/seamloom.go
@@ -5,24 +5,24 @@
 package seamloom
 
 import (
+	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/pass"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
 // The types of the stream. They are documented where they are made.
 type (
 	// Event is one thing that happened.
-	Event = pass.Event
+	Event = auction.Event
 	// Decision is one thing to be done.
-	Decision = pass.Decision
+	Decision = auction.Decision
 	// Inquiry is one caller's request.
-	Inquiry = pass.Inquiry
+	Inquiry = auction.Inquiry
 	// Load is a model server's report of its pressure.
-	Load = pass.Load
+	Load = auction.Load
 	// Server is a model server as the platform lists it.
 	Server = membership.Server
 	// Duty is a key that this node holds, with its fence.
