--- a/cmd/taster/main.go
+++ b/cmd/taster/main.go
@@ -22,7 +22,7 @@
 	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -107,8 +107,8 @@
 		Restricted bool                `json:"restricted"`
 	} `json:"members"`
 	Flags []struct {
-		Name    formats.Flag `json:"name"`
-		Enabled bool         `json:"enabled"`
+		Name    features.Flag `json:"name"`
+		Enabled bool          `json:"enabled"`
 	} `json:"flags"`
 }
 
--- a/core.go
+++ b/core.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -299,10 +299,10 @@
 }
 
 // ReadOrders decodes the standing orders' records with the core's own list.
-func (core *Core) ReadOrders(records map[string]formats.Record) map[string]Order {
+func (core *Core) ReadOrders(records map[string]codec.Record) map[string]Order {
 	orders := map[string]Order{}
 	for server, record := range records {
-		if order, err := formats.ReadOrder(record, core.options.Supported); err == nil {
+		if order, err := codec.ReadOrder(record, core.options.Supported); err == nil {
 			orders[server] = order
 		}
 	}
--- a/internal/adapters/courier/counter.go
+++ b/internal/adapters/courier/counter.go
@@ -13,8 +13,8 @@
 
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/hatch"
 )
 
@@ -62,7 +62,7 @@
 	}
 	writer.Header().Set("Content-Type", "application/msgpack")
 	encoder := msgpack.NewEncoder(writer)
-	process.conduct.Serve(arrival, &hatch.RecordReply{Inquiry: inquiry.ID, Writer: process.chosen.Name, Left: origin.WhenLeft, Send: func(record formats.Record) error {
+	process.conduct.Serve(arrival, &hatch.RecordReply{Inquiry: inquiry.ID, Writer: process.chosen.Name, Left: origin.WhenLeft, Send: func(record codec.Record) error {
 		if err := encoder.Encode(record); err != nil {
 			return err
 		}
--- a/internal/adapters/courier/passing.go
+++ b/internal/adapters/courier/passing.go
@@ -12,7 +12,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"seamloom.example/seamloom/internal/adapters/rpc"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/hatch"
 )
 
@@ -35,7 +35,7 @@
 }
 
 // Pass sends an inquiry on and gives the records of its reply to take.
-func (passing *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record formats.Record) bool) bool {
+func (passing *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	var touched atomic.Bool
 	// The circuit closes when the reply is over or its origin is gone.
 	lifetime, end := context.WithCancel(passing.lifetime)
@@ -55,7 +55,7 @@
 	defer func() { _ = answered.Body.Close() }()
 	decoder := msgpack.NewDecoder(io.LimitReader(answered.Body, rpc.MostBytes))
 	for {
-		var record formats.Record
+		var record codec.Record
 		if decoder.Decode(&record) != nil || !take(record) {
 			return true
 		}
--- a/internal/adapters/courier/process.go
+++ b/internal/adapters/courier/process.go
@@ -25,7 +25,7 @@
 	"seamloom.example/seamloom/internal/adapters/usage"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/auction"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -37,7 +37,7 @@
 	logger    *log.Logger
 	clock     *wallclock.Clock
 	conduct   *hatch.Courier
-	supported formats.List
+	supported features.List
 	ledger    *usage.Ledger
 	calls     counterCalls
 
--- a/internal/adapters/expediter/flags.go
+++ b/internal/adapters/expediter/flags.go
@@ -4,7 +4,7 @@
 	"net/http"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -15,7 +15,7 @@
 	live := current.Holds.Live(now)
 	settling := process.conduct.Settling(current)
 	var answers []flagAnswer
-	for _, description := range formats.Book() {
+	for _, description := range features.Book() {
 		answer := flagAnswer{Description: description, Enabled: state.Flags.Enabled.Has(description.Name), Lacking: state.Lacking(description.Name)}
 		for _, name := range answer.Lacking {
 			if _, running := live[name]; !running && state.Members[name].Kind == membership.Courier {
--- a/internal/adapters/expediter/operators.go
+++ b/internal/adapters/expediter/operators.go
@@ -18,7 +18,7 @@
 
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -250,7 +250,7 @@
 
 // flagAnswer is what operators read of a flag.
 type flagAnswer struct {
-	formats.Description
+	features.Description
 	Enabled  bool     `json:"enabled"`
 	Lacking  []string `json:"lacking,omitempty"`
 	Stopped  []string `json:"lacking_and_stopped,omitempty"`
--- a/internal/adapters/expediter/status.go
+++ b/internal/adapters/expediter/status.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 )
@@ -27,9 +27,9 @@
 		}
 		members[name] = memberAnswer{Member: member, Running: running, Restricted: member.Restricted(state.Flags.Enabled)}
 	}
-	orders := map[string]formats.Order{}
+	orders := map[string]codec.Order{}
 	for server, record := range state.Orders.Records {
-		if order, err := formats.ReadOrder(record, process.conduct.Supported()); err == nil {
+		if order, err := codec.ReadOrder(record, process.conduct.Supported()); err == nil {
 			orders[server] = order
 		}
 	}
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -14,7 +14,7 @@
 	"go.uber.org/multierr"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 )
@@ -254,7 +254,7 @@
 		wrong(failure.OutOfRange, "catch_up", "must be at least "+shortestCatchUp.String())
 	}
 	for position, flag := range settings.Withhold {
-		if !formats.Supported(nil).Has(formats.Flag(flag)) {
+		if !features.Supported(nil).Has(features.Flag(flag)) {
 			wrong(failure.OutOfRange, "withhold_flags/"+strconv.Itoa(position), "this build has no flag "+flag)
 		}
 	}
@@ -288,12 +288,12 @@
 }
 
 // Supported is the build's list less what the settings withhold.
-func (settings *Settings) Supported() formats.List {
-	var withheld formats.List
+func (settings *Settings) Supported() features.List {
+	var withheld features.List
 	for _, flag := range settings.Withhold {
-		withheld = append(withheld, formats.Flag(flag))
+		withheld = append(withheld, features.Flag(flag))
 	}
-	return formats.Supported(withheld)
+	return features.Supported(withheld)
 }
 
 // Reload takes from the next settings what may change while the process runs,
--- a/internal/auction/balance.go
+++ b/internal/auction/balance.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -43,12 +43,12 @@
 
 // Decide gives the orders that are needed now. Evacuated and leaving servers
 // count for nothing; a leaving one is told to drain.
-func (balance *Balance) Decide(now time.Time, servers []membership.Server, loads map[string]Load, standing map[string]formats.Order, evacuated func(string) bool) []formats.Order {
+func (balance *Balance) Decide(now time.Time, servers []membership.Server, loads map[string]Load, standing map[string]codec.Order, evacuated func(string) bool) []codec.Order {
 	if !balance.Due(now) {
 		return nil
 	}
 	balance.lastAsked = now
-	var orders []formats.Order
+	var orders []codec.Order
 	var prefill, decode, vacant []membership.Server
 	part := func(server membership.Server) Part {
 		if order, found := standing[server.Name]; found {
@@ -63,7 +63,7 @@
 		switch {
 		case server.Leaving || (reported && load.Leaving):
 			if reported && part(server) != Drain {
-				orders = append(orders, formats.Order{Server: server.Name, Part: string(Drain), Patience: switchPatience, Cause: "the platform takes the server away"})
+				orders = append(orders, codec.Order{Server: server.Name, Part: string(Drain), Patience: switchPatience, Cause: "the platform takes the server away"})
 			}
 		case !reported:
 		case part(server) == Prefill:
@@ -79,7 +79,7 @@
 		}
 	}
 	give := func(server membership.Server, to Part, cause string) {
-		orders = append(orders, formats.Order{Server: server.Name, Part: string(to), Patience: switchPatience, Cause: cause})
+		orders = append(orders, codec.Order{Server: server.Name, Part: string(to), Patience: switchPatience, Cause: cause})
 	}
 	// Servers without a part come first: two of five read prompts, each
 	// district in turn.
--- a/internal/auction/balance_test.go
+++ b/internal/auction/balance_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -15,7 +15,7 @@
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		servers = append(servers, membership.Server{Name: name, District: "north"})
 	}
-	standing := map[string]formats.Order{}
+	standing := map[string]codec.Order{}
 	now := noon
 	turns := 0
 	round := func(backlog int, active int) {
--- a/internal/auction/decision.go
+++ b/internal/auction/decision.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -35,11 +35,11 @@
 	// Retry is when the caller may come back.
 	Retry time.Duration `json:"retry,omitempty"`
 
-	Part   Part            `json:"part,omitempty"`
-	Duty   lease.Duty      `json:"duty,omitzero"`
-	Order  *formats.Order  `json:"order,omitempty"`
-	Orders []formats.Order `json:"orders,omitempty"`
-	Pair   *formats.Pair   `json:"pair,omitempty"`
+	Part   Part          `json:"part,omitempty"`
+	Duty   lease.Duty    `json:"duty,omitzero"`
+	Order  *codec.Order  `json:"order,omitempty"`
+	Orders []codec.Order `json:"orders,omitempty"`
+	Pair   *codec.Pair   `json:"pair,omitempty"`
 	// Call is what is next with the opaque call ID.
 	Call *scheduler.Decision `json:"call,omitempty"`
 }
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -68,7 +68,7 @@
 	entry.reserved = true
 	desk.market.Reserve(bid, inquiry)
 	entry.patience = now.Add(leastPatience + 4*bid.Price)
-	pair := &formats.Pair{Inquiry: inquiry.ID, Run: entry.run, Prefill: bid.Prefill.server.Name, Decode: bid.Decode.server.Name, Price: bid.Price, HandOver: bid.HandOver}
+	pair := &codec.Pair{Inquiry: inquiry.ID, Run: entry.run, Prefill: bid.Prefill.server.Name, Decode: bid.Decode.server.Name, Price: bid.Price, HandOver: bid.HandOver}
 	return append(decisions,
 		Decision{Kind: NotePair, ID: inquiry.ID, Run: entry.run, Pair: pair},
 		Decision{Kind: DispatchPrefill, ID: inquiry.ID, Run: entry.run, Inquiry: inquiry, NotAfter: earlier(inquiry.Limit, holdEnds),
--- a/internal/auction/event.go
+++ b/internal/auction/event.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
@@ -34,11 +35,11 @@
 	Result *scheduler.Outcome `json:"result,omitempty"`
 	Loads  []scheduler.Load   `json:"loads,omitempty"`
 
-	HoldEnds time.Time                `json:"hold_ends,omitzero"`
-	Number   uint64                   `json:"number,omitempty"`
-	Epoch    uint64                   `json:"epoch,omitempty"`
-	Menu     []byte                   `json:"menu,omitempty"`
-	Enabled  formats.List             `json:"enabled,omitempty"`
-	Duties   []lease.Duty             `json:"duties,omitempty"`
-	Orders   map[string]formats.Order `json:"orders,omitempty"`
+	HoldEnds time.Time              `json:"hold_ends,omitzero"`
+	Number   uint64                 `json:"number,omitempty"`
+	Epoch    uint64                 `json:"epoch,omitempty"`
+	Menu     []byte                 `json:"menu,omitempty"`
+	Enabled  features.List          `json:"enabled,omitempty"`
+	Duties   []lease.Duty           `json:"duties,omitempty"`
+	Orders   map[string]codec.Order `json:"orders,omitempty"`
 }
--- a/internal/formats/entry.go
+++ b/internal/codec/entry.go
@@ -1,4 +1,4 @@
-package formats
+package codec
 
 import "time"
 
--- a/internal/formats/format.go
+++ b/internal/codec/format.go
@@ -1,17 +1,20 @@
-package formats
+package codec
 
-import "seamloom.example/seamloom/internal/failure"
+import (
+	"seamloom.example/seamloom/internal/failure"
+	"seamloom.example/seamloom/internal/features"
+)
 
 // format is one key of a record's features map, with the flag that allows it;
 // the first format of a record needs none.
 type format struct {
-	flag  Flag
+	flag  features.Flag
 	key   string
 	value any
 }
 
 // putFormats writes every format that the enabled flags allow, side by side.
-func (record *Record) putFormats(enabled List, formats ...format) error {
+func (record *Record) putFormats(enabled features.List, formats ...format) error {
 	for _, format := range formats {
 		if format.flag != "" && !enabled.Has(format.flag) {
 			continue
@@ -25,7 +28,7 @@
 
 // readNewest reads the first of the formats, newest first, that the build
 // supports and the record has, and returns its key.
-func (record Record) readNewest(supported List, formats ...format) (string, error) {
+func (record Record) readNewest(supported features.List, formats ...format) (string, error) {
 	for _, format := range formats {
 		if format.flag != "" && !supported.Has(format.flag) {
 			continue
--- a/internal/formats/order.go
+++ b/internal/codec/order.go
@@ -1,6 +1,9 @@
-package formats
+package codec
 
-import "time"
+import (
+	"seamloom.example/seamloom/internal/features"
+	"time"
+)
 
 // Order tells a model server which part to take: "prefill", "decode" or
 // "drain". Patience and Cause exist only in the second format.
@@ -21,16 +24,16 @@
 
 // WriteOrder makes the order's record in the format that the enabled flags
 // allow: the first format always, the second beside it under OrderPatience.
-func WriteOrder(order Order, writer string, number uint64, enabled List) (Record, error) {
+func WriteOrder(order Order, writer string, number uint64, enabled features.List) (Record, error) {
 	record := NewRecord(OrderRecord, order.Server, writer, number)
-	return record, record.putFormats(enabled, format{"", "order", orderFirst{Server: order.Server, Part: order.Part}}, format{OrderPatience, "order_v2", order})
+	return record, record.putFormats(enabled, format{"", "order", orderFirst{Server: order.Server, Part: order.Part}}, format{features.OrderPatience, "order_v2", order})
 }
 
 // ReadOrder reads the newest key that this build supports and falls back.
-func ReadOrder(record Record, supported List) (Order, error) {
+func ReadOrder(record Record, supported features.List) (Order, error) {
 	var order Order
 	var first orderFirst
-	key, err := record.readNewest(supported, format{OrderPatience, "order_v2", &order}, format{"", "order", &first})
+	key, err := record.readNewest(supported, format{features.OrderPatience, "order_v2", &order}, format{"", "order", &first})
 	if key == "order" {
 		order = Order{Server: first.Server, Part: first.Part, Patience: DefaultPatience}
 	}
--- a/internal/formats/pair.go
+++ b/internal/codec/pair.go
@@ -1,6 +1,9 @@
-package formats
+package codec
 
-import "time"
+import (
+	"seamloom.example/seamloom/internal/features"
+	"time"
+)
 
 // Pair says which servers an inquiry's run was given. Price and HandOver exist
 // only in the second format.
@@ -21,17 +24,17 @@
 }
 
 // WritePair makes the pair's record in the format that the flags allow.
-func WritePair(pair Pair, writer string, enabled List) (Record, error) {
+func WritePair(pair Pair, writer string, enabled features.List) (Record, error) {
 	record := NewRecord(PairRecord, pair.Inquiry, writer, uint64(pair.Run))
 	first := pairFirst{Inquiry: pair.Inquiry, Run: pair.Run, Prefill: pair.Prefill, Decode: pair.Decode}
-	return record, record.putFormats(enabled, format{"", "pair", first}, format{PairPrice, "pair_v2", pair})
+	return record, record.putFormats(enabled, format{"", "pair", first}, format{features.PairPrice, "pair_v2", pair})
 }
 
 // ReadPair reads the newest key that this build supports and falls back.
-func ReadPair(record Record, supported List) (Pair, error) {
+func ReadPair(record Record, supported features.List) (Pair, error) {
 	var pair Pair
 	var first pairFirst
-	key, err := record.readNewest(supported, format{PairPrice, "pair_v2", &pair}, format{"", "pair", &first})
+	key, err := record.readNewest(supported, format{features.PairPrice, "pair_v2", &pair}, format{"", "pair", &first})
 	if key == "pair" {
 		pair = Pair{Inquiry: first.Inquiry, Run: first.Run, Prefill: first.Prefill, Decode: first.Decode}
 	}
--- a/internal/formats/record.go
+++ b/internal/codec/record.go
@@ -1,7 +1,7 @@
 // Package formats owns record formats: the flags, the supported lists and the
 // records' codecs. Every record has fixed fields, which never change, and a
 // features map, in which a new format is a new key beside the old one.
-package formats
+package codec
 
 import (
 	"github.com/vmihailenco/msgpack/v5"
--- a/internal/formats/record_test.go
+++ b/internal/codec/record_test.go
@@ -1,23 +1,24 @@
-package formats
+package codec
 
 import (
 	"testing"
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
+	"seamloom.example/seamloom/internal/features"
 )
 
 // TestNewFormatStandsBesideTheOldOne writes with the flag and reads with an
 // older and a newer build, and the other way round.
 func TestNewFormatStandsBesideTheOldOne(t *testing.T) {
 	order := Order{Server: "stove-1", Part: "decode", Patience: 7 * time.Second, Cause: "answers wait"}
-	older, newer := Supported(List{OrderPatience}), Supported(nil)
-	for _, enabled := range []List{nil, {OrderPatience}} {
+	older, newer := features.Supported(features.List{features.OrderPatience}), features.Supported(nil)
+	for _, enabled := range []features.List{nil, {features.OrderPatience}} {
 		record, err := WriteOrder(order, "courier-1", 3, enabled)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, found := record.Features["order_v2"]; found != enabled.Has(OrderPatience) {
+		if _, found := record.Features["order_v2"]; found != enabled.Has(features.OrderPatience) {
 			t.Fatalf("enabled %v, the new key is there: %v", enabled, found)
 		}
 		encoded, err := msgpack.Marshal(record)
@@ -35,7 +36,7 @@
 		if err != nil || got.Server != "stove-1" || got.Part != "decode" {
 			t.Errorf("the newer build reads %+v, %v", got, err)
 		}
-		if enabled.Has(OrderPatience) && got != order {
+		if enabled.Has(features.OrderPatience) && got != order {
 			t.Errorf("the newer build reads %+v from the new key", got)
 		}
 	}
@@ -46,17 +47,17 @@
 
 // TestOldCodeLeavesUnknownKeysAlone reads a record with a key from the future.
 func TestOldCodeLeavesUnknownKeysAlone(t *testing.T) {
-	record, err := WritePair(Pair{Inquiry: "one", Run: 2, Prefill: "a", Decode: "b", Price: time.Second}, "courier-1", List{PairPrice})
+	record, err := WritePair(Pair{Inquiry: "one", Run: 2, Prefill: "a", Decode: "b", Price: time.Second}, "courier-1", features.List{features.PairPrice})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := record.Put("pair_v9", map[string]string{"shape": "round"}); err != nil {
 		t.Fatal(err)
 	}
-	if pair, err := ReadPair(record, Supported(nil)); err != nil || pair.Price != time.Second || pair.Run != 2 {
+	if pair, err := ReadPair(record, features.Supported(nil)); err != nil || pair.Price != time.Second || pair.Run != 2 {
 		t.Errorf("%+v, %v", pair, err)
 	}
-	if pair, err := ReadPair(record, Supported(List{PairPrice})); err != nil || pair.Price != 0 || pair.Decode != "b" {
+	if pair, err := ReadPair(record, features.Supported(features.List{features.PairPrice})); err != nil || pair.Price != 0 || pair.Decode != "b" {
 		t.Errorf("%+v, %v", pair, err)
 	}
 }
--- a/internal/formats/recordkind.go
+++ b/internal/codec/recordkind.go
@@ -1,4 +1,4 @@
-package formats
+package codec
 
 // RecordKind names one of the five kinds of record whose formats roll out.
 type RecordKind string
--- a/internal/formats/streammessage.go
+++ b/internal/codec/streammessage.go
@@ -1,4 +1,4 @@
-package formats
+package codec
 
 // StreamMessage is one line of a reply on its way between two nodes.
 type StreamMessage struct {
--- a/internal/formats/description.go
+++ b/internal/features/description.go
@@ -1,4 +1,4 @@
-package formats
+package features
 
 // Description tells operators what a flag changes.
 type Description struct {
--- a/internal/formats/flag.go
+++ b/internal/features/flag.go
@@ -1,4 +1,4 @@
-package formats
+package features
 
 // Flag names one breaking change of a record format.
 type Flag string
--- a/internal/formats/list.go
+++ b/internal/features/list.go
@@ -1,4 +1,4 @@
-package formats
+package features
 
 import "sort"
 
--- a/internal/hatch/claimquestion.go
+++ b/internal/hatch/claimquestion.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
 )
 
 // ClaimQuestion takes an inquiry id before its dispatch.
 type ClaimQuestion struct {
-	Made  time.Time     `msgpack:"made"`
-	Entry formats.Entry `msgpack:"entry"`
+	Made  time.Time   `msgpack:"made"`
+	Entry codec.Entry `msgpack:"entry"`
 }
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -8,8 +8,8 @@
 
 	"seamloom.example/seamloom"
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -185,7 +185,7 @@
 func (courier *Courier) table() Answers {
 	answers := Answers{
 		RelayPath: answering(courier.followed.Relay),
-		CrumbsPath: answering(func(records []formats.Record) (bool, error) {
+		CrumbsPath: answering(func(records []codec.Record) (bool, error) {
 			for _, record := range records {
 				courier.journal.append(record, false)
 			}
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -12,7 +12,7 @@
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -45,7 +45,7 @@
 	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
 		Ended: func(*auction.Inquiry, auction.Decision) {}}
 	courier := NewCourier(threads.New(lifetime, wallclock.NewClock()), nil, nil, nil, options, func(string, ...any) {})
-	courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: formats.List{}})
+	courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: features.List{}})
 	return courier
 }
 
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 )
 
@@ -94,7 +94,7 @@
 	if courier.core.Restricted() {
 		return
 	}
-	record, err := formats.WritePair(*decision.Pair, courier.options.Courier, courier.core.Enabled())
+	record, err := codec.WritePair(*decision.Pair, courier.options.Courier, courier.core.Enabled())
 	if err == nil {
 		courier.journal.append(record, true)
 		courier.crumbs.Broadcast()
@@ -105,7 +105,7 @@
 	if courier.core.Restricted() {
 		return
 	}
-	record, err := formats.WriteEntry(formats.RetryRecord, formats.Entry{Inquiry: decision.ID, Courier: courier.options.Courier, Run: decision.Run, At: courier.turns.Wall()})
+	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Inquiry: decision.ID, Courier: courier.options.Courier, Run: decision.Run, At: courier.turns.Wall()})
 	if err == nil {
 		courier.journal.append(record, true)
 		courier.crumbs.Broadcast()
@@ -139,7 +139,7 @@
 		courier.Apply(event)
 		return
 	}
-	question := ClaimQuestion{Made: made, Entry: formats.Entry{Inquiry: decision.ID, Courier: courier.options.Courier, Run: 1,
+	question := ClaimQuestion{Made: made, Entry: codec.Entry{Inquiry: decision.ID, Courier: courier.options.Courier, Run: 1,
 		At: courier.turns.Wall(), Cause: courier.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
 	// that the inquiry never ran, and when to come back.
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -10,7 +10,7 @@
 	"go.uber.org/multierr"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -464,7 +464,7 @@
 	}
 	lacking := expediter.options.Supported.Lacks(state.Flags.Enabled)
 	expediter.coordinator.SetRestricted(len(lacking) > 0)
-	expediter.coordinator.SetBackupList(state.Flags.Enabled.Has(formats.BackupList))
+	expediter.coordinator.SetBackupList(state.Flags.Enabled.Has(features.BackupList))
 	expediter.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
 }
 
@@ -483,4 +483,4 @@
 }
 
 // Supported is the node's own list of flags.
-func (expediter *Expediter) Supported() formats.List { return expediter.options.Supported }
+func (expediter *Expediter) Supported() features.List { return expediter.options.Supported }
--- a/internal/hatch/expediteroptions.go
+++ b/internal/hatch/expediteroptions.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/replication"
 )
 
@@ -13,7 +13,7 @@
 	Address   string
 	District  string
 	Seeds     []string
-	Supported formats.List
+	Supported features.List
 	// FlagSettle is how long the members must not change before a flag is
 	// enabled.
 	FlagSettle time.Duration
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/replication"
 )
@@ -96,7 +96,7 @@
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
 		copies, keeping := &memoryShelf{files: map[string][]byte{}}, &memoryShelf{files: map[string][]byte{}}
-		options := ExpediterOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: formats.Supported(nil), Fresh: replication.Identity("disk-" + address)}
+		options := ExpediterOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
 		node, _, err := OpenExpediter(wrap(turns), formed, keeping, copies, options, func(string, ...any) { changed.Broadcast() })
 		if err != nil {
 			t.Fatal(err)
--- a/internal/hatch/fuzz_test.go
+++ b/internal/hatch/fuzz_test.go
@@ -9,8 +9,8 @@
 
 	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/replication"
 )
 
@@ -49,7 +49,7 @@
 	}
 	paths := []string{HelloPath, PreparePath, AcceptPath, ConfirmPath, ReplicatePath, InstallPath, RefreshPath, NewsPath, ClaimPath, OrdersPath}
 	for number := range paths {
-		for _, seed := range []any{replication.Hello{}, keeperQuestion{To: "disk-a", Epoch: 1}, replicateQuestion{To: "disk-a"}, NewsQuestion{}, []formats.Record{{}}} {
+		for _, seed := range []any{replication.Hello{}, keeperQuestion{To: "disk-a", Epoch: 1}, replicateQuestion{To: "disk-a"}, NewsQuestion{}, []codec.Record{{}}} {
 			body, err := msgpack.Marshal(seed)
 			if err != nil {
 				fuzzing.Fatal(err)
--- a/internal/hatch/journal.go
+++ b/internal/hatch/journal.go
@@ -3,24 +3,25 @@
 import (
 	"sync"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
+	"seamloom.example/seamloom/internal/features"
 )
 
 // Journal keeps the newest records of this courier and of those that name it
 // their neighbour, and folds what is known of one inquiry.
 type Journal struct {
 	mutex   sync.Mutex
-	records []formats.Record
+	records []codec.Record
 	next    int
-	outbox  []formats.Record
+	outbox  []codec.Record
 }
 
 const mostRecords = 16384
 
-func newJournal() *Journal { return &Journal{records: make([]formats.Record, 0, mostRecords)} }
+func newJournal() *Journal { return &Journal{records: make([]codec.Record, 0, mostRecords)} }
 
 // append notes a record; own ones also go to a neighbour.
-func (journal *Journal) append(record formats.Record, own bool) {
+func (journal *Journal) append(record codec.Record, own bool) {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
 	if len(journal.records) < mostRecords {
@@ -41,7 +42,7 @@
 	return len(journal.outbox) > 0
 }
 
-func (journal *Journal) takeOutbox() []formats.Record {
+func (journal *Journal) takeOutbox() []codec.Record {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
 	outbox := journal.outbox
@@ -51,13 +52,13 @@
 
 // Trace is what a journal knows of one inquiry.
 type Trace struct {
-	Inquiry string          `json:"inquiry"`
-	Pairs   []formats.Pair  `json:"pairs"`
-	Retries []formats.Entry `json:"retries,omitempty"`
+	Inquiry string        `json:"inquiry"`
+	Pairs   []codec.Pair  `json:"pairs"`
+	Retries []codec.Entry `json:"retries,omitempty"`
 }
 
 // Fold tells what is known of one inquiry.
-func (journal *Journal) Fold(inquiry string, supported formats.List) (Trace, bool) {
+func (journal *Journal) Fold(inquiry string, supported features.List) (Trace, bool) {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
 	folded := Trace{Inquiry: inquiry}
@@ -66,12 +67,12 @@
 			continue
 		}
 		switch record.Kind {
-		case formats.PairRecord:
-			if pair, err := formats.ReadPair(record, supported); err == nil {
+		case codec.PairRecord:
+			if pair, err := codec.ReadPair(record, supported); err == nil {
 				folded.Pairs = append(folded.Pairs, pair)
 			}
-		case formats.RetryRecord:
-			if entry, err := formats.ReadEntry(record); err == nil {
+		case codec.RetryRecord:
+			if entry, err := codec.ReadEntry(record); err == nil {
 				folded.Retries = append(folded.Retries, entry)
 			}
 		}
--- a/internal/hatch/ordersquestion.go
+++ b/internal/hatch/ordersquestion.go
@@ -1,14 +1,15 @@
 package hatch
 
 import (
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 )
 
 // OrdersQuestion gives orders under the parts duty.
 type OrdersQuestion struct {
-	Duty   lease.Duty      `msgpack:"duty"`
-	Orders []formats.Order `msgpack:"orders"`
+	Duty   lease.Duty    `msgpack:"duty"`
+	Orders []codec.Order `msgpack:"orders"`
 	// Supported is the writer's own list.
-	Supported formats.List `msgpack:"supported"`
+	Supported features.List `msgpack:"supported"`
 }
--- a/internal/hatch/passing.go
+++ b/internal/hatch/passing.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -16,7 +16,7 @@
 	// Pass sends the inquiry's body with its passage, and gives the records of
 	// the reply to take, as they come, until take says no or the origin has
 	// left. Begun is false only when certainly nothing of it has left.
-	Pass(address string, passage Passage, body []byte, whenLeft func(act func()), take func(record formats.Record) bool) (begun bool)
+	Pass(address string, passage Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
 }
 
 // Passage marks one passing-on: a link may bring it twice, and to another
@@ -100,8 +100,8 @@
 	ended   bool
 }
 
-func (copied *recordCopy) take(record formats.Record) bool {
-	message, err := formats.ReadStreamMessage(record)
+func (copied *recordCopy) take(record codec.Record) bool {
+	message, err := codec.ReadStreamMessage(record)
 	var line ReplyLine
 	if err == nil {
 		err = json.Unmarshal(message.Line, &line)
--- a/internal/hatch/recordreply.go
+++ b/internal/hatch/recordreply.go
@@ -1,6 +1,8 @@
 package hatch
 
-import "seamloom.example/seamloom/internal/formats"
+import (
+	"seamloom.example/seamloom/internal/codec"
+)
 
 // RecordReply turns the lines of a reply into stream records, for the courier
 // that passed the inquiry on.
@@ -8,7 +10,7 @@
 	Inquiry string
 	Writer  string
 	// Send brings a record to that courier.
-	Send func(record formats.Record) error
+	Send func(record codec.Record) error
 	// Left is how its origin's leaving is heard.
 	Left func(act func())
 
@@ -25,7 +27,7 @@
 // Line sends one line as a record.
 func (reply *RecordReply) Line(line []byte) error {
 	reply.number++
-	record, err := formats.WriteStreamMessage(formats.StreamMessage{Inquiry: reply.Inquiry, Line: line, Status: reply.status, Retry: reply.retry}, reply.Writer, reply.number)
+	record, err := codec.WriteStreamMessage(codec.StreamMessage{Inquiry: reply.Inquiry, Line: line, Status: reply.status, Retry: reply.retry}, reply.Writer, reply.number)
 	if err != nil {
 		return err
 	}
--- a/internal/hatch/reign_test.go
+++ b/internal/hatch/reign_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -18,7 +18,7 @@
 	reign := newReign(atNoon(0))
 	duty := lease.Duty{Key: lease.ServerKey("a"), Holder: "courier-1", Fence: 3}
 	state := &replication.State{Rota: replication.Duties{Duties: map[string]lease.Duty{duty.Key: duty, lease.PartsKey: {Key: lease.PartsKey}}},
-		Orders: replication.Orders{Records: map[string]formats.Record{"a": {}, "b": {}}}}
+		Orders: replication.Orders{Records: map[string]codec.Record{"a": {}, "b": {}}}}
 	candidates := map[string]time.Duration{"courier-1": time.Minute}
 	renewed := func(at time.Duration) bool {
 		return len(reign.keys.Renew(atNoon(at), "courier-1", map[string]lease.Duty{duty.Key: duty}, candidates)) > 0
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -35,7 +35,7 @@
 		if slices.Contains(blank, address) {
 			copies, keeping = &memoryShelf{files: map[string][]byte{}}, &memoryShelf{files: map[string][]byte{}}
 		}
-		options := ExpediterOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: formats.Supported(nil),
+		options := ExpediterOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
 			Fresh: replication.Identity("next disk-" + address), Directory: oneServer{}}
 		node, _, err := OpenExpediter(turns, after, keeping, copies, options, func(string, ...any) {})
 		if err != nil {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -3,21 +3,21 @@
 import (
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 )
 
 // Member is a node as it is recorded, running or stopped.
 type Member struct {
-	Name      string       `msgpack:"name" json:"name"`
-	Kind      NodeKind     `msgpack:"kind" json:"kind"`
-	Address   string       `msgpack:"address" json:"address"`
-	District  string       `msgpack:"district" json:"district"`
-	Supported formats.List `msgpack:"supported" json:"supported"`
-	Since     time.Time    `msgpack:"since" json:"since"`
+	Name      string        `msgpack:"name" json:"name"`
+	Kind      NodeKind      `msgpack:"kind" json:"kind"`
+	Address   string        `msgpack:"address" json:"address"`
+	District  string        `msgpack:"district" json:"district"`
+	Supported features.List `msgpack:"supported" json:"supported"`
+	Since     time.Time     `msgpack:"since" json:"since"`
 }
 
 // Restricted tells whether the member lacks an enabled flag.
-func (member Member) Restricted(enabled formats.List) bool {
+func (member Member) Restricted(enabled features.List) bool {
 	return len(member.Supported.Lacks(enabled)) > 0
 }
 
--- a/internal/rehearsal/days_test.go
+++ b/internal/rehearsal/days_test.go
@@ -1,7 +1,7 @@
 package rehearsal
 
 import (
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 
 	"context"
 	"encoding/json"
@@ -189,7 +189,7 @@
 		return command.ProcessState.ExitCode(), said
 	}
 	// The fleet enables its flags a moment after it has begun.
-	if !Await(20*time.Second, func() bool { return enabledFlags(fleet) == len(formats.Supported(nil)) }) {
+	if !Await(20*time.Second, func() bool { return enabledFlags(fleet) == len(features.Supported(nil)) }) {
 		t.Fatal("the flags were not enabled")
 	}
 	for name, want := range map[string]struct {
--- a/internal/rehearsal/fleet.go
+++ b/internal/rehearsal/fleet.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -151,7 +151,7 @@
 	withheld, _ := fleet.extra["withhold_flags"].([]string)
 	for _, node := range fleet.Nodes() {
 		var flags []string
-		for _, flag := range formats.Supported(nil) {
+		for _, flag := range features.Supported(nil) {
 			if !slices.Contains(withheld, string(flag)) {
 				flags = append(flags, string(flag))
 			}
--- a/internal/rehearsal/upgrade_test.go
+++ b/internal/rehearsal/upgrade_test.go
@@ -1,7 +1,7 @@
 package rehearsal
 
 import (
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 
 	"context"
 	"io"
@@ -123,7 +123,7 @@
 		t.Fatal("a stopped member could not be retired")
 	}
 	fleet.noteMember(newcomer, oldRelease...)
-	everyFlag := len(formats.Supported(nil))
+	everyFlag := len(features.Supported(nil))
 	if !Await(15*time.Second, func() bool { return enabledFlags(fleet) == everyFlag }) {
 		t.Fatalf("the flags were not enabled when the last member was recorded: %d", enabledFlags(fleet))
 	}
--- a/internal/rehearsal/world/day.go
+++ b/internal/rehearsal/world/day.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/replication"
@@ -91,7 +91,7 @@
 	if world.random.IntN(2) == 0 {
 		for _, machine := range world.machines {
 			if world.random.IntN(3) == 0 {
-				machine.withheld = formats.List{formats.BackupList, formats.OrderPatience, formats.PairPrice}
+				machine.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
 			}
 		}
 	}
--- a/internal/rehearsal/world/faults.go
+++ b/internal/rehearsal/world/faults.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/rehearsal"
 )
@@ -537,13 +537,13 @@
 		return
 	}
 	if len(machine.withheld) == 0 && !world.faultsOver {
-		machine.withheld = formats.List{formats.BackupList, formats.OrderPatience, formats.PairPrice}
+		machine.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
 		world.tempt("a node restarted as an older release")
 	} else {
 		machine.withheld = nil
 		world.tempt("a node restarted as a newer release")
 	}
-	if world.anyWithheld() && !world.seenKeys["flag/"+string(formats.PairPrice)] {
+	if world.anyWithheld() && !world.seenKeys["flag/"+string(features.PairPrice)] {
 		world.tempt("a member stopped while flags wait for an older one")
 	}
 	world.kill(machine)
@@ -568,7 +568,7 @@
 	number := strconv.Itoa(len(world.machines) + 1)
 	added := world.addMachine(membership.Courier, "courier-"+number, "10.0.1."+number+":1", world.anyDistrict(), world.machines[0].seeds)
 	if world.random.IntN(3) == 0 {
-		added.withheld = formats.List{formats.PairPrice}
+		added.withheld = features.List{features.PairPrice}
 	}
 	world.start(added)
 }
--- a/internal/rehearsal/world/passing.go
+++ b/internal/rehearsal/world/passing.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/hatch"
 )
 
@@ -15,7 +15,7 @@
 type passing struct{ life *life }
 
 // Pass sends an inquiry on and gives the records of its reply to take.
-func (passing *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record formats.Record) bool) bool {
+func (passing *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	here, world := passing.life, passing.life.world
 	to := world.nameAt(address)
 	replies := newPipe(world, to, here.name, here)
@@ -39,7 +39,7 @@
 				whenLeft(func() { world.carry(here.name, to, target, act) })
 				here.atEnd(func() { world.carry(here.name, to, target, act) })
 			}
-		}, Send: func(record formats.Record) error {
+		}, Send: func(record codec.Record) error {
 			world.tapRecord(record, "on a wire")
 			if first && (left || !replies.put(record)) {
 				return failure.New(failure.Unreachable, "the courier is gone")
@@ -74,7 +74,7 @@
 		if !found {
 			return !refused
 		}
-		if !take(message.(formats.Record)) {
+		if !take(message.(codec.Record)) {
 			left = true
 			return true
 		}
--- a/internal/rehearsal/world/taps.go
+++ b/internal/rehearsal/world/taps.go
@@ -6,7 +6,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/codec"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/replication"
@@ -15,7 +16,7 @@
 // The taps read records as they are written, on wires and disks, and note each
 // key of their features that is new.
 
-func (world *World) tapRecord(record formats.Record, where string) {
+func (world *World) tapRecord(record codec.Record, where string) {
 	for key := range record.Features {
 		name := string(record.Kind) + "/" + key + "/" + where
 		if world.seenKeys[name] {
@@ -30,7 +31,7 @@
 	if path != hatch.CrumbsPath {
 		return
 	}
-	var records []formats.Record
+	var records []codec.Record
 	if msgpack.Unmarshal(body, &records) == nil {
 		for _, record := range records {
 			world.tapRecord(record, "on a wire")
@@ -69,7 +70,7 @@
 // noteMember writes down what a member's release reads.
 func (world *World) noteMember(machine *machine) {
 	var flags []string
-	for _, flag := range formats.Supported(machine.withheld) {
+	for _, flag := range features.Supported(machine.withheld) {
 		flags = append(flags, string(flag))
 	}
 	world.Book.Note(rehearsal.Entry{Kind: rehearsal.MemberKnown, Holder: machine.name, Flags: flags})
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -14,7 +14,7 @@
 	"github.com/google/uuid"
 
 	"seamloom.example/seamloom/internal/adapters/storage"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/rehearsal"
@@ -80,7 +80,7 @@
 	address  string
 	district string
 	seeds    []string
-	withheld formats.List
+	withheld features.List
 	disk     *disk
 	drift    float64
 	off      bool
@@ -220,7 +220,7 @@
 	machine.starts++
 	begun := world.newLife(machine.name, machine.address, machine.drift)
 	machine.life, machine.courier, machine.control = begun, nil, nil
-	supported := formats.Supported(machine.withheld)
+	supported := features.Supported(machine.withheld)
 	world.say("%s starts, %d flags", machine.name, len(supported))
 	if len(machine.withheld) == 0 {
 		// From here on it reads the new formats.
@@ -253,7 +253,7 @@
 	}
 }
 
-func (world *World) runExpediter(machine *machine, begun *life, supported formats.List, observe func(string, ...any)) {
+func (world *World) runExpediter(machine *machine, begun *life, supported features.List, observe func(string, ...any)) {
 	machine.disk.owner = begun
 	keeping, _ := storage.OpenFolder(machine.disk, "keeper")
 	copies, _ := storage.OpenFolder(machine.disk, "larder")
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -4,8 +4,9 @@
 	"bytes"
 	"time"
 
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 )
@@ -87,7 +88,7 @@
 
 // EnableFlags enables every flag of this build that all recorded members
 // support. It is serialized with registrations, and flags are never disabled.
-func EnableFlags(supported formats.List) Change {
+func EnableFlags(supported features.List) Change {
 	return func(state *State, _, _ Version) error {
 		enabled := state.Flags.Enabled
 		for _, flag := range supported {
@@ -104,7 +105,7 @@
 }
 
 // Lacking names the recorded members that do not support a flag.
-func (state *State) Lacking(flag formats.Flag) []string {
+func (state *State) Lacking(flag features.Flag) []string {
 	var lacking []string
 	for name, member := range state.Members {
 		if !member.Supported.Has(flag) {
@@ -160,7 +161,7 @@
 
 // GiveOrders records orders from the holder of the parts duty. Orders under an
 // older fence are refused.
-func GiveOrders(duty lease.Duty, orders []formats.Order, supported formats.List) Change {
+func GiveOrders(duty lease.Duty, orders []codec.Order, supported features.List) Change {
 	return func(state *State, _, _ Version) error {
 		if state.Rota.Duties[lease.PartsKey] != duty {
 			return failure.New(failure.NotHolder, "the duty "+lease.PartsKey+" has changed hands")
@@ -170,7 +171,7 @@
 			return failure.New(failure.Restricted, "this node may not write orders")
 		}
 		for _, order := range orders {
-			record, err := formats.WriteOrder(order, duty.Holder, state.Orders.Number+1, enabled)
+			record, err := codec.WriteOrder(order, duty.Holder, state.Orders.Number+1, enabled)
 			if err != nil {
 				return err
 			}
@@ -189,7 +190,7 @@
 // Claim takes an inquiry id for one arrival at a courier, once. The entry's
 // cause is a nonce of that arrival: with it the courier may ask again, since an
 // answer can be lost. The same id arriving again has another nonce.
-func Claim(made time.Time, entry formats.Entry) Change {
+func Claim(made time.Time, entry codec.Entry) Change {
 	return func(state *State, _, _ Version) error {
 		if state.Horizon.IsZero() {
 			return failure.New(failure.NoPrimary, "the larder was formed a moment ago; ask again")
@@ -202,7 +203,7 @@
 		}
 		section := claimsDrawer(made)
 		if record, found := state.Claims[section][entry.Inquiry]; found {
-			earlier, err := formats.ReadEntry(record)
+			earlier, err := codec.ReadEntry(record)
 			if err != nil {
 				return err
 			}
@@ -211,12 +212,12 @@
 			}
 			return failure.New(failure.Duplicate, "taken by "+earlier.Courier+" at "+earlier.At.UTC().Format(time.RFC3339Nano))
 		}
-		record, err := formats.WriteEntry(formats.RecoverRecord, entry)
+		record, err := codec.WriteEntry(codec.RecoverRecord, entry)
 		if err != nil {
 			return err
 		}
 		if state.Claims[section] == nil {
-			state.Claims[section] = map[string]formats.Record{}
+			state.Claims[section] = map[string]codec.Record{}
 		}
 		state.Claims[section][entry.Inquiry] = record
 		state.Touch(section)
--- a/internal/replication/flags.go
+++ b/internal/replication/flags.go
@@ -1,8 +1,10 @@
 package replication
 
-import "seamloom.example/seamloom/internal/formats"
+import (
+	"seamloom.example/seamloom/internal/features"
+)
 
 // Flags is the durable enabled set.
 type Flags struct {
-	Enabled formats.List `msgpack:"enabled" json:"enabled"`
+	Enabled features.List `msgpack:"enabled" json:"enabled"`
 }
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -8,8 +8,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 )
@@ -24,14 +24,14 @@
 	Orders  Orders
 	Changes []ChangeNote
 	Horizon time.Time
-	Claims  map[string]map[string]formats.Record
+	Claims  map[string]map[string]codec.Record
 	dirty   map[string]bool
 }
 
 // NewState is the content of a larder that was just formed.
 func NewState() *State {
 	return &State{Menu: []byte(`{}`), Members: map[string]membership.Member{}, Rota: Duties{Duties: map[string]lease.Duty{}},
-		Orders: Orders{Records: map[string]formats.Record{}}, Claims: map[string]map[string]formats.Record{}, dirty: map[string]bool{}}
+		Orders: Orders{Records: map[string]codec.Record{}}, Claims: map[string]map[string]codec.Record{}, dirty: map[string]bool{}}
 }
 
 // ReadState decodes the drawers of a copy.
@@ -59,7 +59,7 @@
 			err = msgpack.Unmarshal(section.Content, &state.Horizon)
 		default:
 			if strings.HasPrefix(name, ClaimsPrefix) {
-				claims := map[string]formats.Record{}
+				claims := map[string]codec.Record{}
 				err = msgpack.Unmarshal(section.Content, &claims)
 				state.Claims[name] = claims
 			}
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -5,8 +5,9 @@
 	"testing"
 	"time"
 
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 )
@@ -55,7 +56,7 @@
 var evening = time.UnixMilli(1_800_000_000_000)
 
 func claim(id, nonce string) Change {
-	return Claim(evening, formats.Entry{Inquiry: id, Courier: "courier-1", Run: 1, At: evening, Cause: nonce})
+	return Claim(evening, codec.Entry{Inquiry: id, Courier: "courier-1", Run: 1, At: evening, Cause: nonce})
 }
 
 // TestClaimsShareOneSync lets a hundred claims come while one sync is under
@@ -120,7 +121,7 @@
 	if err := do(t, store, claim("one", "another arrival")); failure.KindOf(err) != failure.Duplicate {
 		t.Errorf("after the jumps a used id is taken: %v", err)
 	}
-	if err := do(t, store, Claim(evening.Add(-Retention-time.Minute), formats.Entry{Inquiry: "old"})); failure.KindOf(err) != failure.TooOld {
+	if err := do(t, store, Claim(evening.Add(-Retention-time.Minute), codec.Entry{Inquiry: "old"})); failure.KindOf(err) != failure.TooOld {
 		t.Errorf("an id older than the horizon: %v", err)
 	}
 	for range 400 {
@@ -142,16 +143,16 @@
 // turn with the enabling of flags.
 func TestFlagsWaitForEveryRecordedMember(t *testing.T) {
 	store := newLeader(t)
-	supported := formats.Supported(nil)
-	older := formats.Supported(formats.List{formats.OrderPatience})
-	enabled := func() formats.List {
+	supported := features.Supported(nil)
+	older := features.Supported(features.List{features.OrderPatience})
+	enabled := func() features.List {
 		state, err := store.View().State()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return state.Flags.Enabled
 	}
-	member := func(name string, list formats.List) Change {
+	member := func(name string, list features.List) Change {
 		return Register(membership.Member{Name: name, Kind: membership.Courier, Supported: list})
 	}
 	for _, step := range []Change{member("a", supported), member("b", older), EnableFlags(supported)} {
@@ -159,19 +160,19 @@
 			t.Fatal(err)
 		}
 	}
-	if got := enabled(); got.Has(formats.OrderPatience) || !got.Has(formats.PairPrice) {
+	if got := enabled(); got.Has(features.OrderPatience) || !got.Has(features.PairPrice) {
 		t.Errorf("with b of the older release: %v", got)
 	}
 	// Registration and enabling in one version: the one that comes first counts.
 	store.Submit(member("b", supported), func(Version, error) {})
 	store.Submit(member("c", older), func(Version, error) {})
-	if err := do(t, store, EnableFlags(supported)); err != nil || enabled().Has(formats.OrderPatience) {
+	if err := do(t, store, EnableFlags(supported)); err != nil || enabled().Has(features.OrderPatience) {
 		t.Errorf("enabled though c was recorded just before: %v", err)
 	}
 	if err := do(t, store, Retire("c")); err != nil {
 		t.Fatal(err)
 	}
-	if err := do(t, store, EnableFlags(supported)); err != nil || !enabled().Has(formats.OrderPatience) {
+	if err := do(t, store, EnableFlags(supported)); err != nil || !enabled().Has(features.OrderPatience) {
 		t.Errorf("not enabled after c was retired: %v", err)
 	}
 	if err := do(t, store, member("c", older)); err != nil || len(enabled()) != len(supported) {
@@ -185,7 +186,7 @@
 	if _, found := state.Rota.Duties[lease.PartsKey]; found {
 		t.Error("a restricted node was given a duty")
 	}
-	if err := do(t, store, GiveOrders(lease.Duty{}, []formats.Order{{Server: "s", Part: "decode"}}, older)); failure.KindOf(err) != failure.Restricted {
+	if err := do(t, store, GiveOrders(lease.Duty{}, []codec.Order{{Server: "s", Part: "decode"}}, older)); failure.KindOf(err) != failure.Restricted {
 		t.Errorf("a restricted node wrote orders: %v", err)
 	}
 	if err := do(t, store, GiveOrders(lease.Duty{Key: lease.PartsKey, Holder: "x", Fence: 9}, nil, supported)); failure.KindOf(err) != failure.NotHolder {
@@ -229,7 +230,7 @@
 func TestServersAreForgotten(t *testing.T) {
 	first, second := lease.ServerKey("a"), lease.ServerKey("b")
 	state := &State{Rota: Duties{Duties: map[string]lease.Duty{first: {Key: first, Fence: 1}, second: {Key: second, Fence: 2}}, Fence: 2},
-		Orders: Orders{Records: map[string]formats.Record{"a": {}, "b": {}, "c": {}}}, dirty: map[string]bool{}}
+		Orders: Orders{Records: map[string]codec.Record{"a": {}, "b": {}, "c": {}}}, dirty: map[string]bool{}}
 	seen := map[string]lease.Duty{first: {Key: first, Fence: 1}, second: {Key: second, Fence: 1}}
 	if err := ForgetServers([]string{"a", "b", "c", "d"}, seen)(state, Version{}, Version{}); err != nil {
 		t.Fatal(err)
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/formats"
 )
 
 // Pools decides how many servers of a service read prompts and how many make answers.
@@ -79,7 +79,7 @@
 }
 
 // Decide gives the orders that are needed now, by what the window knows of its servers.
-func (pools *Pools) Decide(now time.Time, window *Window) []formats.Order {
+func (pools *Pools) Decide(now time.Time, window *Window) []codec.Order {
 	pools.mutex.Lock()
 	defer pools.mutex.Unlock()
 	program := window.program.Load()
@@ -87,7 +87,7 @@
 		return nil
 	}
 	pools.asked = now
-	var orders []formats.Order
+	var orders []codec.Order
 	for _, name := range program.names {
 		found, known := pools.services[name]
 		if !known {
@@ -99,7 +99,7 @@
 	return orders
 }
 
-func (pool *pool) decide(now time.Time, window *Window, program *Program, service *config.Service) []formats.Order {
+func (pool *pool) decide(now time.Time, window *Window, program *Program, service *config.Service) []codec.Order {
 	var readers, runners []*backend
 	reported := window.reported.Load()
 	for _, backend := range window.board.Load().byService[service.Name] {
@@ -117,12 +117,12 @@
 	if len(readers)+len(runners) < 2 {
 		return nil
 	}
-	give := func(from []*backend, part, cause string, count int) []formats.Order {
+	give := func(from []*backend, part, cause string, count int) []codec.Order {
 		pool.seen, pool.towards, pool.ordered, pool.last = 0, "", now, part
-		var orders []formats.Order
+		var orders []codec.Order
 		for range count {
 			chosen := lightest(from, readers, part)
-			orders = append(orders, formats.Order{Server: chosen.server.Name, Part: part, Patience: partPatience, Cause: cause})
+			orders = append(orders, codec.Order{Server: chosen.server.Name, Part: part, Patience: partPatience, Cause: cause})
 			if from, readers, runners = moved(chosen, part, readers, runners); len(from) < 2 {
 				break
 			}
--- a/seamloom.go
+++ b/seamloom.go
@@ -6,8 +6,9 @@
 
 import (
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/formats"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
@@ -28,7 +29,7 @@
 	// Duty is a key that this node holds, with its fence.
 	Duty = lease.Duty
 	// Order is what a model server is to do.
-	Order = formats.Order
+	Order = codec.Order
 	// Call is one opaque inquiry: its method, path and body are passed on unchanged.
 	Call = scheduler.Call
 	// CallPart is one part of a call's prompt.
@@ -41,13 +42,13 @@
 	// Allowance bounds further tries.
 	Allowance = scheduler.Allowance
 	// Flag names one breaking change of a record format.
-	Flag = formats.Flag
+	Flag = features.Flag
 	// FlagList is a set of flags.
-	FlagList = formats.List
+	FlagList = features.List
 )
 
 // Supported is the list of flags that this build supports, less the withheld.
-func Supported(withheld FlagList) FlagList { return formats.Supported(withheld) }
+func Supported(withheld FlagList) FlagList { return features.Supported(withheld) }
 
 // CheckConfiguration tells every failure of a configuration's text, or nil.
 func CheckConfiguration(text []byte) error {
