--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -16,22 +16,22 @@
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // Stove is the client to all model servers.
 type Stove struct {
 	client   *http.Client
 	lifetime context.Context
-	turns    lease.Runtime
+	turns    runtime.Runtime
 
 	mutex   sync.Mutex
 	running map[string]context.CancelFunc
 }
 
 // New makes a client over a transport, for as long as a process lives.
-func New(lifetime context.Context, turns lease.Runtime, transport http.RoundTripper) *Stove {
+func New(lifetime context.Context, turns runtime.Runtime, transport http.RoundTripper) *Stove {
 	return &Stove{client: rpc.NewClient(transport), lifetime: lifetime, turns: turns, running: map[string]context.CancelFunc{}}
 }
 
--- a/internal/adapters/threads/threads.go
+++ b/internal/adapters/threads/threads.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/adapters/wallclock"
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // Runtime are those of one process, for as long as it lives.
@@ -33,6 +33,6 @@
 func (threads *Runtime) Go(act func()) { go act() }
 
 // NewCond makes a bell.
-func (threads *Runtime) NewCond() lease.Cond {
+func (threads *Runtime) NewCond() runtime.Cond {
 	return &cond{lifetime: threads.lifetime, next: make(chan struct{})}
 }
--- a/internal/hatch/calls.go
+++ b/internal/hatch/calls.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -16,7 +16,7 @@
 // each, carries the decisions out, and tells the window how they ended. One thread
 // serves one call.
 type Calls struct {
-	turns  lease.Runtime
+	turns  runtime.Runtime
 	window *scheduler.Window
 	// listed is told which servers there are, before any call is sent to them.
 	listed  func(servers []membership.Server)
@@ -29,7 +29,7 @@
 }
 
 // NewCalls makes the conduct over a window. Listed is told which servers there are.
-func NewCalls(turns lease.Runtime, window *scheduler.Window, listed func(servers []membership.Server)) *Calls {
+func NewCalls(turns runtime.Runtime, window *scheduler.Window, listed func(servers []membership.Server)) *Calls {
 	return &Calls{turns: turns, window: window, listed: listed}
 }
 
@@ -103,11 +103,11 @@
 func (calls *Calls) Retire(grace time.Duration, noticed func()) {
 	ends := calls.turns.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
 	calls.Leave()
-	lease.Sleep(calls.turns, min(noticePause, grace/3))
+	runtime.Sleep(calls.turns, min(noticePause, grace/3))
 	noticed()
 	calls.window.Drain()
 	for calls.turns.Alive() && calls.window.InFlight() > 0 && calls.turns.Now().Before(ends) {
-		lease.Sleep(calls.turns, leavingPause)
+		runtime.Sleep(calls.turns, leavingPause)
 	}
 }
 
--- a/internal/hatch/countkeepers.go
+++ b/internal/hatch/countkeepers.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/backlog"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -16,13 +16,13 @@
 // zone that rendezvous hashing puts first, but for those that did not answer lately. Two
 // nodes may take different ones for the keeper for a while: the counts are hints.
 type CountKeepers struct {
-	turns  lease.Runtime
+	turns  runtime.Runtime
 	line   Hotline
 	window *scheduler.Window
 	// self is this node's name, life this life of it.
 	self, life string
 	ledger     backlog.Ledger
-	changed    lease.Cond
+	changed    runtime.Cond
 
 	mutex  sync.Mutex
 	nodes  map[string]membership.Member
@@ -42,7 +42,7 @@
 )
 
 // NewCountKeepers makes the keepers' side and the asking side of one life of a node.
-func NewCountKeepers(turns lease.Runtime, line Hotline, window *scheduler.Window, self, life string) *CountKeepers {
+func NewCountKeepers(turns runtime.Runtime, line Hotline, window *scheduler.Window, self, life string) *CountKeepers {
 	return &CountKeepers{turns: turns, line: line, window: window, self: self, life: life, changed: turns.NewCond(),
 		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
 }
@@ -176,7 +176,7 @@
 func (keepers *CountKeepers) Tell() {
 	for keepers.turns.Alive() {
 		keepers.changed.Wait(restTick, keepers.window.HasChanges)
-		lease.Sleep(keepers.turns, changesPause)
+		runtime.Sleep(keepers.turns, changesPause)
 		for group, changes := range keepers.window.TakeChanges() {
 			keepers.bring(backlog.Question{Group: group, Changes: changes})
 		}
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -10,15 +10,15 @@
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // Courier is the data plane's conduct at one node: it follows the primary, has
 // inquiries decided by the core, and carries the decisions out.
 type Courier struct {
-	turns   lease.Runtime
+	turns   runtime.Runtime
 	line    Hotline
 	stove   Stove
 	passing Passing
@@ -28,11 +28,11 @@
 	board   Board
 	// stirred rings when there is more to do than before, crumbs when records are to
 	// go to a neighbour.
-	stirred lease.Cond
+	stirred runtime.Cond
 	resting atomic.Int64
 	// couriers is how many share the servers.
 	couriers    atomic.Int64
-	crumbs      lease.Cond
+	crumbs      runtime.Cond
 	followed    *Follower
 	journal     *Journal
 	answers     Answers
@@ -71,7 +71,7 @@
 )
 
 // NewCourier makes the conduct of one courier.
-func NewCourier(turns lease.Runtime, line Hotline, stove Stove, passing Passing, options CourierOptions, observe func(string, ...any)) *Courier {
+func NewCourier(turns runtime.Runtime, line Hotline, stove Stove, passing Passing, options CourierOptions, observe func(string, ...any)) *Courier {
 	courier := &Courier{turns: turns, line: line, stove: stove, passing: passing, options: options, observe: observe,
 		core: seamloom.New(options.Options), stirred: turns.NewCond(), crumbs: turns.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
@@ -359,7 +359,7 @@
 	for courier.turns.Alive() {
 		courier.crumbs.Wait(restTick, courier.journal.outgoing)
 		courier.dropCrumbs()
-		lease.Sleep(courier.turns, crumbsPause)
+		runtime.Sleep(courier.turns, crumbsPause)
 	}
 }
 
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -13,14 +13,14 @@
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
 // hookless are turns that only tell the time.
-type hookless struct{ lease.Runtime }
+type hookless struct{ runtime.Runtime }
 
 func (hookless) Now() time.Time  { return time.Unix(2_000_000, 0) }
 func (hookless) Wall() time.Time { return time.Unix(2_000_000, 0) }
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // carryOut does one decision. What waits for others runs in its own thread and
@@ -155,7 +155,7 @@
 		case kind == failure.TooOld || kind == failure.TooNew:
 			event.Outcome, event.Detail = auction.TooOld, err.Error()
 		default:
-			lease.Sleep(courier.turns, claimPause)
+			runtime.Sleep(courier.turns, claimPause)
 			continue
 		}
 		break
--- a/internal/hatch/edit_test.go
+++ b/internal/hatch/edit_test.go
@@ -11,8 +11,8 @@
 
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // revision is an edit that builds on one revision and gives the next, told from others
@@ -165,7 +165,7 @@
 
 // leapingTurns is a clock that can be moved ahead, as a process that was frozen finds it.
 type leapingTurns struct {
-	lease.Runtime
+	runtime.Runtime
 	ahead *atomic.Int64
 }
 
@@ -177,7 +177,7 @@
 // answers: whatever it found, its state may be an old one by then.
 func TestARefusalNeedsTheLease(t *testing.T) {
 	ahead := &atomic.Int64{}
-	_, primary := newCore(t, func(turns lease.Runtime) lease.Runtime { return leapingTurns{Runtime: turns, ahead: ahead} })
+	_, primary := newCore(t, func(turns runtime.Runtime) runtime.Runtime { return leapingTurns{Runtime: turns, ahead: ahead} })
 	refusal := failure.New(failure.RevisionConflict, "7")
 	if _, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error { return refusal }, time.Second); failure.KindOf(err) != failure.RevisionConflict {
 		t.Fatalf("with the lease: %v", err)
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -11,16 +11,16 @@
 
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // Expediter is the control plane's conduct at one node: the copy and the epoch
 // keeper on its disk, and, while it is primary, the answers to nodes and
 // operators.
 type Expediter struct {
-	turns       lease.Runtime
+	turns       runtime.Runtime
 	line        Hotline
 	options     ExpediterOptions
 	observe     func(event string, detail ...any)
@@ -29,12 +29,12 @@
 	coordinator *replication.Coordinator
 	followed    *Follower
 	answers     Answers
-	news        lease.Cond
-	reigns      lease.Cond
+	news        runtime.Cond
+	reigns      runtime.Cond
 	lists       lists
-	work        lease.Cond
-	confirmed   lease.Cond
-	edits       lease.Cond
+	work        runtime.Cond
+	confirmed   runtime.Cond
+	edits       runtime.Cond
 
 	submitted   atomic.Uint64
 	newsAnswers atomic.Uint64
@@ -71,7 +71,7 @@
 
 // OpenExpediter opens what the disk holds. A blank or damaged keeper's shelf is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenExpediter(turns lease.Runtime, line Hotline, keeping, copies replication.Shelf, options ExpediterOptions, observe func(string, ...any)) (*Expediter, bool, error) {
+func OpenExpediter(turns runtime.Runtime, line Hotline, keeping, copies replication.Shelf, options ExpediterOptions, observe func(string, ...any)) (*Expediter, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(turns.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -90,11 +90,11 @@
 	if damage := copied.Damage(); damage != "" {
 		observe("copy_damaged", "damage", damage)
 	}
-	witness.Guard(lease.NewLock(turns))
-	copied.Guard(lease.NewLock(turns))
+	witness.Guard(runtime.NewLock(turns))
+	copied.Guard(runtime.NewLock(turns))
 	expediter := &Expediter{turns: turns, line: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
 		news: turns.NewCond(), reigns: turns.NewCond(), work: turns.NewCond(), confirmed: turns.NewCond(), edits: turns.NewCond()}
-	expediter.store.Guard(lease.NewLock(turns))
+	expediter.store.Guard(runtime.NewLock(turns))
 	expediter.coordinator = replication.NewCoordinator(turns, options.Seeds, witness, expediter.store, &peers{line: line}, observe)
 	if options.JoinsOnly {
 		expediter.coordinator.JoinOnly()
@@ -127,7 +127,7 @@
 // Rounds are what an expediter does over and over, each in a thread of its own.
 func (expediter *Expediter) Rounds() []func() {
 	every := func(pause time.Duration, task func()) func() {
-		return func() { lease.Every(expediter.turns, pause, task) }
+		return func() { runtime.Every(expediter.turns, pause, task) }
 	}
 	rounds := []func(){every(tickPause, expediter.tick), expediter.keepHouse, every(sweepPause, expediter.sweep),
 		expediter.commit, expediter.followed.Run}
@@ -147,7 +147,7 @@
 	ends := expediter.turns.Now().Add(patience)
 	expediter.coordinator.Leave()
 	for !expediter.coordinator.Released() && expediter.turns.Now().Before(ends) {
-		lease.Sleep(expediter.turns, leavePause)
+		runtime.Sleep(expediter.turns, leavePause)
 	}
 	expediter.observe("left", "released", expediter.coordinator.Released())
 }
--- a/internal/hatch/expediter_test.go
+++ b/internal/hatch/expediter_test.go
@@ -8,12 +8,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
-func plain(turns lease.Runtime) lease.Runtime { return turns }
+func plain(turns runtime.Runtime) runtime.Runtime { return turns }
 
 func edition(name string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) { return []byte(`{"routes":{"` + name + `":{"to":{"refuse":true}}}}`), nil }
@@ -36,8 +36,8 @@
 // the look at the newest one and the noting of the grant: the answer must
 // confirm the newer one, or the change would not wait for this courier.
 func TestGrantSeesAConfigurationThatComesMeanwhile(t *testing.T) {
-	hooks := map[lease.Runtime]*hookedTurns{}
-	_, primary := newCore(t, func(turns lease.Runtime) lease.Runtime {
+	hooks := map[runtime.Runtime]*hookedTurns{}
+	_, primary := newCore(t, func(turns runtime.Runtime) runtime.Runtime {
 		hooked := &hookedTurns{Runtime: turns}
 		hooks[hooked] = hooked
 		return hooked
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -12,8 +12,8 @@
 	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // memoryShelf is a folder in memory that can be told to fail.
@@ -74,7 +74,7 @@
 
 // hookedTurns has something done whenever the time is asked for.
 type hookedTurns struct {
-	lease.Runtime
+	runtime.Runtime
 	hook atomic.Pointer[func()]
 }
 
@@ -86,7 +86,7 @@
 }
 
 // newCore forms a core and returns its primary.
-func newCore(t *testing.T, wrap func(lease.Runtime) lease.Runtime) (*core, *Expediter) {
+func newCore(t *testing.T, wrap func(runtime.Runtime) runtime.Runtime) (*core, *Expediter) {
 	t.Helper()
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -4,17 +4,17 @@
 	"sync"
 	"time"
 
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/outlier"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
 // Follower keeps one node up to date: it asks the primary with the versions that
 // it has and is answered when there is news.
 type Follower struct {
-	turns   lease.Runtime
+	turns   runtime.Runtime
 	line    Hotline
 	member  membership.Member
 	inForce func() replication.Version
@@ -97,7 +97,7 @@
 
 // NewFollower makes a follower for a member. Take is called for every answer,
 // in turn.
-func NewFollower(turns lease.Runtime, line Hotline, member membership.Member, seeds []string, inForce func() replication.Version, take func(News)) *Follower {
+func NewFollower(turns runtime.Runtime, line Hotline, member membership.Member, seeds []string, inForce func() replication.Version, take func(News)) *Follower {
 	return &Follower{turns: turns, line: line, member: member, seeds: seeds, inForce: inForce, take: take,
 		drawers: map[string]replication.Section{}, dark: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
 }
@@ -216,12 +216,12 @@
 			follower.forget(address)
 			return
 		}
-		lease.Sleep(follower.turns, retryPause)
+		runtime.Sleep(follower.turns, retryPause)
 		return
 	}
 	follower.learn(address, leadsAnswer{Leads: answer.Leads, Charter: answer.Charter})
 	if answer.Leads && !follower.takeAnswer(asked, answer) {
-		lease.Sleep(follower.turns, retryPause)
+		runtime.Sleep(follower.turns, retryPause)
 	}
 }
 
--- a/internal/hatch/housekeeping.go
+++ b/internal/hatch/housekeeping.go
@@ -6,6 +6,7 @@
 
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // keepHouse does so for as long as this expediter leads, and rests while it does not.
@@ -18,7 +19,7 @@
 		next := expediter.turns.Now().Add(housekeepingPause)
 		expediter.housekeep()
 		if left := next.Sub(expediter.turns.Now()); left > 0 {
-			lease.Sleep(expediter.turns, left)
+			runtime.Sleep(expediter.turns, left)
 		}
 	}
 }
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -6,8 +6,8 @@
 
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // A courier has the list of servers from the primary. The values are ours.
@@ -56,7 +56,7 @@
 	for reads := 0; courier.turns.Alive(); {
 		if left := courier.listDue(began).Sub(courier.turns.Now()); left > 0 {
 			// Clocks are coarse: a pause of nothing would be made over and over.
-			lease.Sleep(courier.turns, max(left, time.Millisecond))
+			runtime.Sleep(courier.turns, max(left, time.Millisecond))
 			continue
 		}
 		asked := courier.turns.Now()
@@ -68,7 +68,7 @@
 		}
 		courier.observe("list_read_itself", "servers", len(servers), "trouble", err)
 		reads++
-		lease.Sleep(courier.turns, ownListPause+time.Duration(courier.couriers.Load())*ownListShare+courier.spread(reads))
+		runtime.Sleep(courier.turns, ownListPause+time.Duration(courier.couriers.Load())*ownListShare+courier.spread(reads))
 	}
 }
 
@@ -97,7 +97,7 @@
 		if err == nil {
 			courier.setNodes(nodes)
 		}
-		lease.Sleep(courier.turns, nodesPause)
+		runtime.Sleep(courier.turns, nodesPause)
 	}
 }
 
@@ -137,7 +137,7 @@
 			courier.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
 		}
 		if left := pressurePause - courier.turns.Now().Sub(began); left > 0 {
-			lease.Sleep(courier.turns, left)
+			runtime.Sleep(courier.turns, left)
 		}
 	}
 }
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/outlier"
+	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -267,7 +267,7 @@
 		}
 		expediter.noteListTrouble(err)
 		if left := listPause - expediter.turns.Now().Sub(asked); left > 0 {
-			lease.Sleep(expediter.turns, left)
+			runtime.Sleep(expediter.turns, left)
 		}
 	}
 }
@@ -339,7 +339,7 @@
 			pause = calmReportPause
 		}
 		if left := pause - expediter.turns.Now().Sub(began); left > 0 {
-			lease.Sleep(expediter.turns, left)
+			runtime.Sleep(expediter.turns, left)
 		}
 	}
 }
@@ -383,6 +383,6 @@
 		if err == nil {
 			expediter.setNodes(nodes)
 		}
-		lease.Sleep(expediter.turns, nodesPause)
+		runtime.Sleep(expediter.turns, nodesPause)
 	}
 }
--- a/internal/hatch/lists_test.go
+++ b/internal/hatch/lists_test.go
@@ -7,9 +7,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -111,7 +111,7 @@
 
 // movingTurns tell a time that the test moves.
 type movingTurns struct {
-	lease.Runtime
+	runtime.Runtime
 	now time.Time
 }
 
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -6,15 +6,15 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // search is one look for the primary, at a node's start or after the primary was lost.
 // All known addresses are asked at once, since any of them may be dark.
 type search struct {
 	mutex   sync.Mutex
-	bell    lease.Cond
+	bell    runtime.Cond
 	asking  map[string]*asking
 	copies  copies
 	leading *ledNews
@@ -63,7 +63,7 @@
 	relayRounds = 4
 )
 
-func newSearch(turns lease.Runtime) *search {
+func newSearch(turns runtime.Runtime) *search {
 	return &search{bell: turns.NewCond(), asking: map[string]*asking{}}
 }
 
@@ -213,7 +213,7 @@
 		}
 	}
 	if left := retryPause - follower.turns.Now().Sub(began); left > 0 {
-		lease.Sleep(follower.turns, left)
+		runtime.Sleep(follower.turns, left)
 	}
 	return false
 }
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -12,9 +12,9 @@
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // oneServer is a directory.
@@ -27,7 +27,7 @@
 
 // restarted opens a core's disks again, in expediters that do nothing by themselves:
 // all have just started and nobody is primary. The blank ones have lost their disks.
-func restarted(t *testing.T, turns lease.Runtime, before *core, blank ...string) *core {
+func restarted(t *testing.T, turns runtime.Runtime, before *core, blank ...string) *core {
 	t.Helper()
 	after := &core{nodes: map[string]*Expediter{}}
 	for address, copies := range before.shelfs {
@@ -47,7 +47,7 @@
 }
 
 // newCourierAt starts a courier that follows a core; told rings with its events.
-func newCourierAt(turns lease.Runtime, line Hotline, without time.Duration, told lease.Cond) *Courier {
+func newCourierAt(turns runtime.Runtime, line Hotline, without time.Duration, told runtime.Cond) *Courier {
 	courier := NewCourier(turns, line, nil, nil, CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
 		Directory: oneServer{}, Ended: func(*auction.Inquiry, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
@@ -67,7 +67,7 @@
 // TestCourierServesByTheCopiesBeforeThereIsAPrimary restarts a courier and a whole core
 // that has no primary yet.
 func TestCourierServesByTheCopiesBeforeThereIsAPrimary(t *testing.T) {
-	before, primary := newCore(t, func(turns lease.Runtime) lease.Runtime { return turns })
+	before, primary := newCore(t, func(turns runtime.Runtime) runtime.Runtime { return turns })
 	version := setConfiguration(t, primary, `{"routes":{"a":{"to":{"refuse":true}}}}`)
 	charter := primary.Coordinator().Charter()
 	for _, row := range []struct {
--- a/internal/hatch/signpost.go
+++ b/internal/hatch/signpost.go
@@ -5,14 +5,14 @@
 	"sync"
 	"time"
 
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // Signpost is the control plane's conduct at a node without a disk: it keeps nothing
 // and belongs to no core, but knows which expediter is primary when it is asked.
 type Signpost struct {
-	turns lease.Runtime
+	turns runtime.Runtime
 	line  Hotline
 
 	mutex      sync.Mutex
@@ -36,7 +36,7 @@
 )
 
 // NewSignpost makes a signpost that begins its search at the seeds.
-func NewSignpost(turns lease.Runtime, line Hotline, seeds []string) *Signpost {
+func NewSignpost(turns runtime.Runtime, line Hotline, seeds []string) *Signpost {
 	return &Signpost{turns: turns, line: line, seeds: seeds}
 }
 
@@ -49,7 +49,7 @@
 
 // Run follows the membership until the process ends.
 func (signpost *Signpost) Run() {
-	lease.Every(signpost.turns, signpostRefresh, func() { signpost.Leader() })
+	runtime.Every(signpost.turns, signpostRefresh, func() { signpost.Leader() })
 }
 
 // Leader is the address of the expediter that is primary, or empty if none says so.
--- a/internal/hatch/stream.go
+++ b/internal/hatch/stream.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"seamloom.example/seamloom/internal/auction"
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // stream carries one inquiry's decisions to the thread that answers its
@@ -16,10 +16,10 @@
 	last   *auction.Decision
 	sent   int
 	left   bool
-	bell   lease.Cond
+	bell   runtime.Cond
 }
 
-func newStream(turns lease.Runtime) *stream {
+func newStream(turns runtime.Runtime) *stream {
 	return &stream{pieces: map[int]auction.Decision{}, bell: turns.NewCond()}
 }
 
--- a/internal/rehearsal/circuit.go
+++ b/internal/rehearsal/circuit.go
@@ -4,18 +4,18 @@
 	"sync"
 	"time"
 
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // Circuit is one call under way at a stand-in: it may be closed by either side.
 type Circuit struct {
-	bell   lease.Cond
+	bell   runtime.Cond
 	mutex  sync.Mutex
 	closed bool
 }
 
 // NewCircuit opens a circuit.
-func NewCircuit(turns lease.Runtime) *Circuit { return &Circuit{bell: turns.NewCond()} }
+func NewCircuit(turns runtime.Runtime) *Circuit { return &Circuit{bell: turns.NewCond()} }
 
 // Close ends what is done for the circuit.
 func (circuit *Circuit) Close() {
--- a/internal/rehearsal/standin.go
+++ b/internal/rehearsal/standin.go
@@ -17,7 +17,7 @@
 	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // StandIn is a model server for rehearsals behind HTTP.
@@ -25,7 +25,7 @@
 	*Stovetop
 	address  string
 	client   *http.Client
-	turns    lease.Runtime
+	turns    runtime.Runtime
 	lifetime context.Context
 	end      context.CancelFunc
 	server   *http.Server
--- a/internal/rehearsal/stovetop.go
+++ b/internal/rehearsal/stovetop.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/adapters/modelserver"
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // Stovetop is what a stand-in model server does, whatever carries its calls: a
@@ -17,11 +17,11 @@
 type Stovetop struct {
 	plan        ServerPlan
 	book        *Book
-	turns       lease.Runtime
+	turns       runtime.Runtime
 	fetch       Fetch
 	nonce       func() string
 	incarnation string
-	free        lease.Cond
+	free        runtime.Cond
 
 	mutex       sync.Mutex
 	born        time.Time
@@ -74,7 +74,7 @@
 }
 
 // NewStovetop starts a server, cold.
-func NewStovetop(plan ServerPlan, book *Book, turns lease.Runtime, nonce func() string, fetch Fetch) *Stovetop {
+func NewStovetop(plan ServerPlan, book *Book, turns runtime.Runtime, nonce func() string, fetch Fetch) *Stovetop {
 	book.Note(Entry{Kind: ServerBorn, Server: plan.Name, District: plan.District})
 	return &Stovetop{plan: plan, book: book, turns: turns, fetch: fetch, nonce: nonce, incarnation: nonce(), free: turns.NewCond(), born: turns.Now(),
 		handles: map[string]*promptMemory{}, prefixes: map[string]int{}, runs: map[string]*Circuit{}, taken: map[string]bool{}, slowLink: 1}
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // life is one process from its start to its end. It is the process's threads
@@ -195,7 +195,7 @@
 }
 
 // NewCond makes a bell.
-func (life *life) NewCond() lease.Cond { return &bell{life: life} }
+func (life *life) NewCond() runtime.Cond { return &bell{life: life} }
 
 // bell is a bell under the world's clock.
 type bell struct {
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
-	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // The steward's lengths of time. The values are ours.
@@ -45,7 +45,7 @@
 // Coordinator decides who is primary, backup and keeper, from one expediter's
 // point of view. Tick is called by one thread, over and over.
 type Coordinator struct {
-	turns   lease.Runtime
+	turns   runtime.Runtime
 	seeds   []string
 	kind    membership.NodeKind
 	witness *Witness
@@ -98,7 +98,7 @@
 }
 
 // NewCoordinator makes the steward of one expediter.
-func NewCoordinator(turns lease.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
+func NewCoordinator(turns runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
 	return &Coordinator{turns: turns, seeds: seeds, kind: membership.Expediter, witness: witness, store: store, peers: peers,
 		observe: observe, timing: TimingFor(DefaultCatchUp), known: map[Identity]*acquaintance{}, borne: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
 }
--- a/internal/replication/gather.go
+++ b/internal/replication/gather.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // gatherPatience is longer than any one call takes; every call ends by itself.
@@ -12,12 +12,12 @@
 
 // gather calls ask for each seat at once and returns when enough is true, or
 // when all have answered. Answers that come later are passed over.
-func gather[Answer any](turns lease.Runtime, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
+func gather[Answer any](turns runtime.Runtime, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
 	gatherWithin(turns, gatherPatience, replicas, ask, take, enough)
 }
 
 // gatherWithin does so for no longer than a patience.
-func gatherWithin[Answer any](turns lease.Runtime, patience time.Duration, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
+func gatherWithin[Answer any](turns runtime.Runtime, patience time.Duration, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
 	var mutex sync.Mutex
 	bell := turns.NewCond()
 	left := len(replicas)
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -13,7 +13,7 @@
 
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/lease"
+	"seamloom.example/seamloom/internal/runtime"
 )
 
 // memoryShelf is a disk in memory: what is saved is synced, unless the disk is
@@ -62,7 +62,7 @@
 func (threads threads) Wall() time.Time { return threads.now() }
 func (threads threads) Go(act func())   { go act() }
 func (threads threads) Alive() bool     { return true }
-func (threads threads) NewCond() lease.Cond {
+func (threads threads) NewCond() runtime.Cond {
 	bell := &condition{}
 	bell.rung = sync.NewCond(&bell.mutex)
 	return bell
--- a/internal/lease/turns.go
+++ b/internal/runtime/turns.go
@@ -1,4 +1,4 @@
-package lease
+package runtime
 
 import "time"
 
