--- a/cmd/courier/main.go
+++ b/cmd/courier/main.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"seamloom.example/seamloom/internal/adapters/courier"
-	"seamloom.example/seamloom/internal/adapters/program"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/daemon"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
+	"seamloom.example/seamloom/internal/adapters/router"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -20,8 +20,8 @@
 			"SIGTERM drains and ends; SIGHUP reads the settings again."}
 	root.AddCommand(serveCommand(), streamCommand())
 	if err := root.Execute(); err != nil {
-		program.Explain(os.Stderr, err)
-		os.Exit(program.ExitCode(err))
+		daemon.Explain(os.Stderr, err)
+		os.Exit(daemon.ExitCode(err))
 	}
 }
 
@@ -29,16 +29,16 @@
 	command := &cobra.Command{Use: "serve", Short: "run the daemon", Args: cobra.NoArgs,
 		Example: "  courier serve --name courier-1 --address 127.0.0.1:7201 --district north \\\n" +
 			"    --seeds 127.0.0.1:7101,127.0.0.1:7102,127.0.0.1:7103 --platform 127.0.0.1:7000"}
-	flags := program.AddFlags(command, membership.Courier)
+	flags := daemon.AddFlags(command, membership.Courier)
 	command.RunE = func(*cobra.Command, []string) error {
-		signals := program.CatchSignals()
+		signals := daemon.CatchSignals()
 		chosen, mistakes := flags.Read()
 		if mistakes != nil {
 			return mistakes
 		}
-		program.LimitMemory(chosen.MostMemory)
-		logger := program.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
-		process, err := courier.Start(chosen, logger, wallclock.NewClock(), courier.Ports{})
+		daemon.LimitMemory(chosen.MostMemory)
+		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
+		process, err := router.Start(chosen, logger, osruntime.NewClock(), router.Ports{})
 		if err != nil {
 			return err
 		}
@@ -51,10 +51,10 @@
 	return command
 }
 
-func reload(flags *program.Flags, process *courier.Process) {
+func reload(flags *daemon.Flags, process *router.Process) {
 	next, mistakes := flags.Read()
 	if mistakes != nil {
-		program.Explain(os.Stderr, mistakes)
+		daemon.Explain(os.Stderr, mistakes)
 		return
 	}
 	process.Reload(next)
--- a/cmd/expediter/main.go
+++ b/cmd/expediter/main.go
@@ -6,10 +6,10 @@
 
 	"github.com/spf13/cobra"
 
-	"seamloom.example/seamloom/internal/adapters/expediter"
-	"seamloom.example/seamloom/internal/adapters/program"
+	"seamloom.example/seamloom/internal/adapters/controller"
+	"seamloom.example/seamloom/internal/adapters/daemon"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/adapters/storage"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -20,11 +20,11 @@
 	root.AddCommand(serveCommand())
 	root.AddCommand(operatorCommands()...)
 	if err := root.Execute(); err != nil {
-		code := program.ExitCode(err)
+		code := daemon.ExitCode(err)
 		if coded, found := err.(*operatorTrouble); found {
 			code = coded.code
 		} else {
-			program.Explain(os.Stderr, err)
+			daemon.Explain(os.Stderr, err)
 		}
 		os.Exit(code)
 	}
@@ -35,23 +35,23 @@
 		Long: "serve runs one control-plane daemon. SIGTERM ends it; SIGHUP reads the settings again.",
 		Example: "  expediter serve --name expediter-1 --address 127.0.0.1:7101 --district north --data-folder /var/lib/seamloom \\\n" +
 			"    --seeds 127.0.0.1:7101,127.0.0.1:7102,127.0.0.1:7103 --platform 127.0.0.1:7000"}
-	flags := program.AddFlags(command, membership.Expediter)
+	flags := daemon.AddFlags(command, membership.Expediter)
 	command.RunE = func(*cobra.Command, []string) error {
-		signals := program.CatchSignals()
+		signals := daemon.CatchSignals()
 		chosen, mistakes := flags.Read()
 		if mistakes != nil {
 			return mistakes
 		}
-		program.LimitMemory(chosen.MostMemory)
-		logger := program.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
-		process, err := expediter.Start(chosen, logger, storage.RealDisk{}, wallclock.NewClock(), expediter.Ports{})
+		daemon.LimitMemory(chosen.MostMemory)
+		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
+		process, err := controller.Start(chosen, logger, storage.RealDisk{}, osruntime.NewClock(), controller.Ports{})
 		if err != nil {
 			return err
 		}
 		if !signals.Wait(process.Dead(), flags.File(), func() {
 			next, mistakes := flags.Read()
 			if mistakes != nil {
-				program.Explain(os.Stderr, mistakes)
+				daemon.Explain(os.Stderr, mistakes)
 				return
 			}
 			process.Reload(next)
--- a/cmd/taster/main.go
+++ b/cmd/taster/main.go
@@ -17,9 +17,8 @@
 	"github.com/valyala/fastjson"
 
 	"seamloom.example/seamloom/internal/adapters/modelserver"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/adapters/rpc"
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
@@ -208,7 +207,7 @@
 	}
 	lifetime, end := context.WithTimeout(context.Background(), 2*time.Second)
 	defer end()
-	stoves := modelserver.New(lifetime, threads.New(lifetime, wallclock.NewClock()), rpc.Transport(nil))
+	stoves := modelserver.New(lifetime, osruntime.New(lifetime, osruntime.NewClock()), rpc.Transport(nil))
 	facts.Servers = make([]config.ServerFacts, len(fleet.Servers))
 	var asking sync.WaitGroup
 	for position, server := range fleet.Servers {
--- a/internal/adapters/expediter/fleet.go
+++ b/internal/adapters/controller/fleet.go
@@ -1,9 +1,9 @@
-package expediter
+package controller
 
 import (
 	"net/http"
 
-	"seamloom.example/seamloom/internal/adapters/program"
+	"seamloom.example/seamloom/internal/adapters/daemon"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/replication"
 )
@@ -39,5 +39,5 @@
 
 // Answer listens on a further address for as long as the process lives.
 func (process *Process) Answer(address string, handler http.Handler) error {
-	return program.Serve(&process.tomb, address, handler)
+	return daemon.Serve(&process.tomb, address, handler)
 }
--- a/internal/adapters/expediter/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -1,4 +1,4 @@
-package expediter
+package controller
 
 import (
 	"crypto/sha256"
--- a/internal/adapters/expediter/process.go
+++ b/internal/adapters/controller/process.go
@@ -1,6 +1,6 @@
 // Package expediter is the control plane's process: its conduct, and the
 // adapters to its disk, to other processes and to operators.
-package expediter
+package controller
 
 import (
 	"context"
@@ -15,14 +15,13 @@
 	"goji.io/pat"
 	"gopkg.in/tomb.v2"
 
-	"seamloom.example/seamloom/internal/adapters/directory"
+	"seamloom.example/seamloom/internal/adapters/daemon"
+	"seamloom.example/seamloom/internal/adapters/discovery"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/adapters/ports"
-	"seamloom.example/seamloom/internal/adapters/program"
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/adapters/settings"
 	"seamloom.example/seamloom/internal/adapters/storage"
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/replication"
 )
@@ -32,7 +31,7 @@
 	tomb            tomb.Tomb
 	lifetime        context.Context
 	logger          *log.Logger
-	clock           *wallclock.Clock
+	clock           *osruntime.Clock
 	conduct         *hatch.Expediter
 	operatorsClient *http.Client
 
@@ -48,7 +47,7 @@
 }
 
 // Start opens the disk, listens and begins to work.
-func Start(chosen settings.Settings, logger *log.Logger, disk storage.Disk, clock *wallclock.Clock, reached Ports) (*Process, error) {
+func Start(chosen settings.Settings, logger *log.Logger, disk storage.Disk, clock *osruntime.Clock, reached Ports) (*Process, error) {
 	process := &Process{logger: logger, clock: clock, chosen: chosen,
 		operatorsClient: rpc.NewClient(rpc.Transport(chosen.Detours))}
 	process.operatorsClient.Timeout = forwardPatience
@@ -62,7 +61,7 @@
 		return nil, err
 	}
 	if reached.Directory == nil {
-		reached.Directory = directory.New(rpc.Transport(chosen.Detours))
+		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
 	options := hatch.ExpediterOptions{Name: chosen.Name, Address: chosen.Address, District: chosen.District, Seeds: chosen.Seeds, Supported: chosen.Supported(),
 		FlagSettle: time.Duration(chosen.FlagSettle) * time.Millisecond, BorneLosses: chosen.BorneLosses, CatchUp: chosen.CatchUp, JoinsOnly: !chosen.Bootstrap, Fresh: replication.Identity(uuid.NewString()),
@@ -71,12 +70,12 @@
 		options.Reports = ports.Asking{Reports: reached.Reports, Lifetime: process.lifetime}
 	}
 	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime}
-	conduct, blank, err := hatch.OpenExpediter(threads.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
+	conduct, blank, err := hatch.OpenExpediter(osruntime.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
 	if err != nil {
 		return nil, err
 	}
 	process.conduct = conduct
-	if err := program.Serve(&process.tomb, chosen.Address, process.mux()); err != nil {
+	if err := daemon.Serve(&process.tomb, chosen.Address, process.mux()); err != nil {
 		return nil, err
 	}
 	for _, round := range conduct.Rounds() {
--- a/internal/adapters/expediter/signpost.go
+++ b/internal/adapters/controller/signpost.go
@@ -1,4 +1,4 @@
-package expediter
+package controller
 
 import (
 	"context"
@@ -7,11 +7,10 @@
 	"github.com/charmbracelet/log"
 	"gopkg.in/tomb.v2"
 
-	"seamloom.example/seamloom/internal/adapters/program"
+	"seamloom.example/seamloom/internal/adapters/daemon"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/adapters/settings"
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/replication"
@@ -25,11 +24,11 @@
 }
 
 // StartSignpost makes a signpost.
-func StartSignpost(chosen settings.Settings, logger *log.Logger, clock *wallclock.Clock) *Signpost {
+func StartSignpost(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock) *Signpost {
 	signpost := &Signpost{}
 	lifetime := signpost.tomb.Context(context.Background())
 	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: lifetime}
-	signpost.conduct = hatch.NewSignpost(threads.New(lifetime, clock), line, chosen.Seeds)
+	signpost.conduct = hatch.NewSignpost(osruntime.New(lifetime, clock), line, chosen.Seeds)
 	signpost.tomb.Go(func() error {
 		signpost.conduct.Run()
 		return nil
@@ -40,7 +39,7 @@
 
 // Answer listens on an address for as long as the process lives.
 func (signpost *Signpost) Answer(address string, handler http.Handler) error {
-	return program.Serve(&signpost.tomb, address, handler)
+	return daemon.Serve(&signpost.tomb, address, handler)
 }
 
 // Edit changes nothing here.
--- a/internal/adapters/program/program.go
+++ b/internal/adapters/daemon/program.go
@@ -1,6 +1,6 @@
 // Package program is what the commands have in common: flags over a settings
 // file, JSON log lines, and signals.
-package program
+package daemon
 
 import (
 	"context"
--- a/internal/adapters/program/signals_test.go
+++ b/internal/adapters/daemon/signals_test.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"os"
--- a/internal/adapters/directory/directory.go
+++ b/internal/adapters/discovery/directory.go
@@ -1,5 +1,5 @@
 // Package directory reads the platform's lists of servers and nodes over HTTP.
-package directory
+package discovery
 
 import (
 	"context"
--- a/internal/adapters/modelserver/fuzz_test.go
+++ b/internal/adapters/modelserver/fuzz_test.go
@@ -6,8 +6,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 )
@@ -27,7 +26,7 @@
 		_, _ = writer.Write(body)
 	}))
 	fuzzing.Cleanup(server.Close)
-	client := New(context.Background(), threads.New(context.Background(), wallclock.NewClock()), &http.Transport{})
+	client := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), &http.Transport{})
 	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &auction.Inquiry{ID: "one"}}
 	may := func() bool { return true }
 	fuzzing.Fuzz(func(t *testing.T, said int, content []byte) {
--- a/internal/adapters/modelserver/stove_test.go
+++ b/internal/adapters/modelserver/stove_test.go
@@ -8,8 +8,7 @@
 	"sync/atomic"
 	"testing"
 
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/auction"
 )
 
@@ -36,7 +35,7 @@
 		}
 		return circuit, err
 	}}
-	stove := New(context.Background(), threads.New(context.Background(), wallclock.NewClock()), transport)
+	stove := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), transport)
 	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &auction.Inquiry{ID: "one"}}
 	for _, order := range []func() auction.Outcome{
 		func() auction.Outcome { outcome, _, _ := stove.Prefill(decision, may.Load); return outcome },
--- a/internal/adapters/threads/bell.go
+++ b/internal/adapters/osruntime/bell.go
@@ -1,4 +1,4 @@
-package threads
+package osruntime
 
 import (
 	"context"
--- a/internal/adapters/wallclock/clock.go
+++ b/internal/adapters/osruntime/clock.go
@@ -1,5 +1,5 @@
 // Package wallclock is the clock of the processes.
-package wallclock
+package osruntime
 
 import (
 	"time"
--- a/internal/adapters/threads/threads.go
+++ b/internal/adapters/osruntime/threads.go
@@ -1,22 +1,21 @@
 // Package threads gives the core packages real threads and a real clock.
-package threads
+package osruntime
 
 import (
 	"context"
 	"time"
 
-	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/runtime"
 )
 
 // Runtime are those of one process, for as long as it lives.
 type Runtime struct {
-	clock    *wallclock.Clock
+	clock    *Clock
 	lifetime context.Context
 }
 
 // New makes the threads of a process.
-func New(lifetime context.Context, clock *wallclock.Clock) *Runtime {
+func New(lifetime context.Context, clock *Clock) *Runtime {
 	return &Runtime{clock: clock, lifetime: lifetime}
 }
 
--- a/internal/adapters/calls/events.go
+++ b/internal/adapters/proxy/events.go
@@ -1,4 +1,4 @@
-package calls
+package proxy
 
 import "bytes"
 
--- a/internal/adapters/calls/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -1,4 +1,4 @@
-package calls
+package proxy
 
 import (
 	"context"
@@ -17,8 +17,7 @@
 
 	"gopkg.in/tomb.v2"
 
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
@@ -163,7 +162,7 @@
 	}
 	configuration := twoRoutes()
 	lifetime, cancel := context.WithCancel(t.Context())
-	turns := threads.New(lifetime, wallclock.NewClock())
+	turns := osruntime.New(lifetime, osruntime.NewClock())
 	circuits := NewCircuits(nil)
 	deciding := scheduler.New(scheduler.Options{Courier: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
 	conduct := hatch.NewCalls(turns, deciding, circuits.SetServers)
@@ -272,7 +271,7 @@
 	})
 	standin.server.Service, standin.server.Slots, standin.server.Models = "desk", 64, []string{"m"}
 	owner := &tomb.Tomb{}
-	turns := threads.New(owner.Context(context.Background()), wallclock.NewClock())
+	turns := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
 	circuits := NewCircuits(nil)
 	conduct := hatch.NewCalls(turns, scheduler.New(scheduler.Options{Courier: "courier-1", District: "north"}), circuits.SetServers)
 	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
--- a/internal/adapters/calls/words.go
+++ b/internal/adapters/proxy/words.go
@@ -1,7 +1,7 @@
 // Package calls carries opaque calls over HTTP/1.1: from their origins to a courier
 // and on to model servers, with method, path and body unchanged. What the headers are
 // called stands in Words; what is done with a call is decided by the window.
-package calls
+package proxy
 
 import (
 	"net/http"
--- a/internal/adapters/courier/calls.go
+++ b/internal/adapters/router/calls.go
@@ -1,10 +1,10 @@
-package courier
+package router
 
 import (
 	"time"
 
-	"seamloom.example/seamloom/internal/adapters/calls"
-	"seamloom.example/seamloom/internal/adapters/threads"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
+	"seamloom.example/seamloom/internal/adapters/proxy"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -12,19 +12,19 @@
 // counterCalls are what serves opaque calls in a process, if its settings name an
 // address for them.
 type counterCalls struct {
-	circuits *calls.Circuits
+	circuits *proxy.Circuits
 	conduct  *hatch.Calls
-	intake   *calls.Intake
-	gate     *calls.Gate
+	intake   *proxy.Intake
+	gate     *proxy.Gate
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
-func (process *Process) prepareCalls(turns *threads.Runtime) func(deciding *scheduler.Window) hatch.Board {
+func (process *Process) prepareCalls(turns *osruntime.Runtime) func(deciding *scheduler.Window) hatch.Board {
 	chosen := process.chosen
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
 	}
-	process.calls.circuits = calls.NewCircuits(chosen.Detours)
+	process.calls.circuits = proxy.NewCircuits(chosen.Detours)
 	return func(deciding *scheduler.Window) hatch.Board {
 		process.calls.conduct = hatch.NewCalls(turns, deciding, process.calls.circuits.SetServers)
 		return process.calls.conduct
@@ -32,15 +32,15 @@
 }
 
 // takeCalls makes the intake of calls; nothing listens yet.
-func (process *Process) takeCalls(turns *threads.Runtime, reached Ports) error {
+func (process *Process) takeCalls(turns *osruntime.Runtime, reached Ports) error {
 	if process.calls.conduct == nil {
 		return nil
 	}
-	words := calls.DefaultWords()
+	words := proxy.DefaultWords()
 	if reached.Words != nil {
 		words = *reached.Words
 	}
-	intake, err := calls.NewIntake(process.lifetime, words, process.calls.circuits, process.calls.conduct, turns.Now)
+	intake, err := proxy.NewIntake(process.lifetime, words, process.calls.circuits, process.calls.conduct, turns.Now)
 	process.calls.intake = intake
 	return err
 }
@@ -50,7 +50,7 @@
 	if process.calls.intake == nil {
 		return nil
 	}
-	gate, err := calls.Open(&process.tomb, process.calls.intake, process.chosen.CallsAddress, process.chosen.ReadyAddress)
+	gate, err := proxy.Open(&process.tomb, process.calls.intake, process.chosen.CallsAddress, process.chosen.ReadyAddress)
 	process.calls.gate = gate
 	return err
 }
--- a/internal/adapters/courier/calls_test.go
+++ b/internal/adapters/router/calls_test.go
@@ -1,4 +1,4 @@
-package courier
+package router
 
 import (
 	"io"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/adapters/program"
+	"seamloom.example/seamloom/internal/adapters/daemon"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/adapters/settings"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -44,7 +44,7 @@
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), freeAddress(t)
 	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	chosen.Platform = freeAddress(t)
-	process, err := Start(chosen, program.Logger(io.Discard, "error", "courier-1"), wallclock.NewClock(), Ports{})
+	process, err := Start(chosen, daemon.Logger(io.Discard, "error", "courier-1"), osruntime.NewClock(), Ports{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	chosen.Platform = freeAddress(t)
 	var logged strings.Builder
-	process, err := Start(chosen, program.Logger(&logged, "info", "courier-1"), wallclock.NewClock(), Ports{})
+	process, err := Start(chosen, daemon.Logger(&logged, "info", "courier-1"), osruntime.NewClock(), Ports{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	chosen := settings.Defaults(membership.Courier)
 	chosen.Name, chosen.District, chosen.Address = "courier-1", "north", freeAddress(t)
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), taken.Addr().String()
-	if _, err := Start(chosen, program.Logger(io.Discard, "error", "courier-1"), wallclock.NewClock(), Ports{}); err == nil {
+	if _, err := Start(chosen, daemon.Logger(io.Discard, "error", "courier-1"), osruntime.NewClock(), Ports{}); err == nil {
 		t.Fatal("started at an address that is taken")
 	}
 	if _, err := net.Dial("tcp", chosen.CallsAddress); err == nil {
--- a/internal/adapters/courier/process.go
+++ b/internal/adapters/router/process.go
@@ -1,6 +1,6 @@
 // Package courier is the data plane's process: its conduct and the adapters
 // that carry it out.
-package courier
+package router
 
 import (
 	"context"
@@ -14,16 +14,15 @@
 	"net/http"
 
 	"seamloom.example/seamloom"
-	"seamloom.example/seamloom/internal/adapters/calls"
-	"seamloom.example/seamloom/internal/adapters/directory"
+	"seamloom.example/seamloom/internal/adapters/daemon"
+	"seamloom.example/seamloom/internal/adapters/discovery"
 	"seamloom.example/seamloom/internal/adapters/modelserver"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/adapters/ports"
-	"seamloom.example/seamloom/internal/adapters/program"
+	"seamloom.example/seamloom/internal/adapters/proxy"
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/adapters/settings"
-	"seamloom.example/seamloom/internal/adapters/threads"
 	"seamloom.example/seamloom/internal/adapters/usage"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/hatch"
@@ -35,7 +34,7 @@
 	tomb      tomb.Tomb
 	lifetime  context.Context
 	logger    *log.Logger
-	clock     *wallclock.Clock
+	clock     *osruntime.Clock
 	conduct   *hatch.Courier
 	supported features.List
 	ledger    *usage.Ledger
@@ -54,7 +53,7 @@
 	Directory ports.Directory
 	Orders    ports.Orders
 	// Words are the headers and paths of opaque calls.
-	Words *calls.Words
+	Words *proxy.Words
 	// CallsOnly tells that servers speak no inquiries: they are not asked for what the
 	// market of inquiries needs.
 	CallsOnly bool
@@ -64,13 +63,13 @@
 }
 
 // Start listens and begins to work.
-func Start(chosen settings.Settings, logger *log.Logger, clock *wallclock.Clock, reached Ports) (*Process, error) {
+func Start(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock, reached Ports) (*Process, error) {
 	supported := chosen.Supported()
 	process := &Process{logger: logger, clock: clock, chosen: chosen, supported: supported, ledger: usage.NewLedger()}
 	process.lifetime = process.tomb.Context(context.Background())
-	turns := threads.New(process.lifetime, clock)
+	turns := osruntime.New(process.lifetime, clock)
 	if reached.Directory == nil {
-		reached.Directory = directory.New(rpc.Transport(chosen.Detours))
+		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
 	kitchen := modelserver.New(process.lifetime, turns, rpc.Transport(chosen.Detours))
 	options := hatch.CourierOptions{Options: seamloom.Options{Courier: chosen.Name, District: chosen.District, MostInquiries: chosen.MostInquiries,
@@ -86,7 +85,7 @@
 	if err := process.takeCalls(turns, reached); err != nil {
 		return nil, err
 	}
-	if err := program.Serve(&process.tomb, chosen.Address, process.mux()); err != nil {
+	if err := daemon.Serve(&process.tomb, chosen.Address, process.mux()); err != nil {
 		return nil, err
 	}
 	if err := process.openCalls(); err != nil {
@@ -106,7 +105,7 @@
 
 // Answer listens on a further address for as long as the process lives.
 func (process *Process) Answer(address string, handler http.Handler) error {
-	return program.Serve(&process.tomb, address, handler)
+	return daemon.Serve(&process.tomb, address, handler)
 }
 
 // platform is the address of the platform's lists.
--- a/internal/adapters/courier/reply.go
+++ b/internal/adapters/router/reply.go
@@ -1,4 +1,4 @@
-package courier
+package router
 
 import (
 	"context"
--- a/internal/hatch/calls_test.go
+++ b/internal/hatch/calls_test.go
@@ -4,8 +4,7 @@
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -54,9 +53,9 @@
 	exchange.freed = append(exchange.freed, source)
 }
 
-func newCalls(t *testing.T, parts ...string) (*Calls, *threads.Runtime) {
+func newCalls(t *testing.T, parts ...string) (*Calls, *osruntime.Runtime) {
 	t.Helper()
-	turns := threads.New(t.Context(), wallclock.NewClock())
+	turns := osruntime.New(t.Context(), osruntime.NewClock())
 	calls := NewCalls(turns, scheduler.New(scheduler.Options{Courier: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Circuits: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
--- a/internal/hatch/countkeepers_test.go
+++ b/internal/hatch/countkeepers_test.go
@@ -8,8 +8,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/backlog"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
@@ -46,7 +45,7 @@
 // keeperFleet is six nodes in two zones.
 func keeperFleet(t *testing.T) (*keeperLine, map[string]*CountKeepers) {
 	t.Helper()
-	turns := threads.New(t.Context(), wallclock.NewClock())
+	turns := osruntime.New(t.Context(), osruntime.NewClock())
 	line := &keeperLine{keepers: map[string]*CountKeepers{}, down: map[string]bool{}}
 	members := map[string]membership.Member{"expediter-1": {Name: "expediter-1", Kind: membership.Expediter, Address: "e1", District: "north"}}
 	all := map[string]*CountKeepers{}
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -7,8 +7,7 @@
 	"time"
 
 	"seamloom.example/seamloom"
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
@@ -44,7 +43,7 @@
 	t.Cleanup(end)
 	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
 		Ended: func(*auction.Inquiry, auction.Decision) {}}
-	courier := NewCourier(threads.New(lifetime, wallclock.NewClock()), nil, nil, nil, options, func(string, ...any) {})
+	courier := NewCourier(osruntime.New(lifetime, osruntime.NewClock()), nil, nil, nil, options, func(string, ...any) {})
 	courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: features.List{}})
 	return courier
 }
@@ -97,7 +96,7 @@
 // TestBoardIsToldUntilWhenItMayServe brings news with and without a hold, and settings.
 func TestBoardIsToldUntilWhenItMayServe(t *testing.T) {
 	board := &noted{until: atNoon(time.Hour)}
-	turns := &movingTurns{Runtime: threads.New(context.Background(), wallclock.NewClock()), now: atNoon(0)}
+	turns := &movingTurns{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), now: atNoon(0)}
 	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
 		Ended: func(*auction.Inquiry, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
 	courier := NewCourier(turns, nil, nil, nil, options, func(string, ...any) {})
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -8,8 +8,7 @@
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/replication"
@@ -91,7 +90,7 @@
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	formed := &core{nodes: map[string]*Expediter{}, shelfs: map[string]*memoryShelf{}, keeping: map[string]*memoryShelf{}}
-	turns := threads.New(lifetime, wallclock.NewClock())
+	turns := osruntime.New(lifetime, osruntime.NewClock())
 	changed := turns.NewCond()
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -8,8 +8,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -85,7 +84,7 @@
 			t.Parallel()
 			line := &darkLine{answers: map[string]NewsAnswer{}, closed: make(chan struct{})}
 			defer close(line.closed)
-			turns := threads.New(t.Context(), wallclock.NewClock())
+			turns := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
 			follower := NewFollower(turns, line, membership.Member{Name: "courier-1", Kind: membership.Courier}, []string{"old0", "old1", "old2"},
 				func() replication.Version { return replication.Version{} }, func(news News) { taken <- news.Answer.Menu })
--- a/internal/hatch/fuzz_test.go
+++ b/internal/hatch/fuzz_test.go
@@ -7,8 +7,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/replication"
@@ -43,7 +42,7 @@
 	end()
 	lone := &core{nodes: map[string]*Expediter{}, shelfs: map[string]*memoryShelf{}}
 	keeping := &memoryShelf{files: map[string][]byte{}}
-	node, _, err := OpenExpediter(threads.New(ended, wallclock.NewClock()), lone, keeping, &memoryShelf{files: map[string][]byte{}}, ExpediterOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
+	node, _, err := OpenExpediter(osruntime.New(ended, osruntime.NewClock()), lone, keeping, &memoryShelf{files: map[string][]byte{}}, ExpediterOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -7,8 +7,7 @@
 	"time"
 
 	"seamloom.example/seamloom"
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
@@ -83,7 +82,7 @@
 		{"the primary is dark", time.Minute, nil, charter.Primary.Address, false},
 	} {
 		lifetime, end := context.WithCancel(context.Background())
-		turns := threads.New(lifetime, wallclock.NewClock())
+		turns := osruntime.New(lifetime, osruntime.NewClock())
 		core := restarted(t, turns, before, row.blank...)
 		if row.dark != "" {
 			core.nodes[row.dark] = nil
@@ -113,7 +112,7 @@
 // with the configuration that was lent, a newer one, or an older one, which nobody may
 // go back to.
 func TestPrimaryConfirmsOrReplacesAProvisionalConfiguration(t *testing.T) {
-	turns := threads.New(t.Context(), wallclock.NewClock())
+	turns := osruntime.New(t.Context(), osruntime.NewClock())
 	lent := replication.Section{Version: replication.Version{Epoch: 3, Number: 7}, Content: []byte(`{"routes":{"a":{"to":{"refuse":true}}}}`)}
 	newer := replication.Section{Version: replication.Version{Epoch: 4, Number: 9}, Content: []byte(`{"routes":{"b":{"to":{"refuse":true}}}}`)}
 	for _, row := range []struct {
--- a/internal/rehearsal/standin.go
+++ b/internal/rehearsal/standin.go
@@ -14,8 +14,7 @@
 	"goji.io/pat"
 
 	"seamloom.example/seamloom/internal/adapters/modelserver"
-	"seamloom.example/seamloom/internal/adapters/threads"
-	"seamloom.example/seamloom/internal/adapters/wallclock"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/runtime"
 )
@@ -39,7 +38,7 @@
 	}
 	standIn := &StandIn{address: listener.Addr().String(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	standIn.lifetime, standIn.end = context.WithCancel(context.Background())
-	standIn.turns = threads.New(standIn.lifetime, wallclock.NewClock())
+	standIn.turns = osruntime.New(standIn.lifetime, osruntime.NewClock())
 	standIn.Stovetop = NewStovetop(plan, book, standIn.turns, uuid.NewString, standIn.fetchMemory)
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { say(writer, http.StatusOK, standIn.Load()) })
