--- a/cmd/rehearsal/compare.go
+++ b/cmd/rehearsal/compare.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/rehearsal/compare"
+	"seamloom.example/seamloom/internal/testbed/compare"
 )
 
 // comparing are the flags of the command.
--- a/cmd/rehearsal/each.go
+++ b/cmd/rehearsal/each.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // eachCommand runs every fault alone, in a day of its own.
@@ -28,7 +28,7 @@
 			return failure.Wrap(failure.Disk, err)
 		}
 		var names []string
-		for _, name := range rehearsal.FaultNames() {
+		for _, name := range fleet.FaultNames() {
 			if only, found := own[name]; (!found || only == chosen.deployment) && name != "upgrade-builds" {
 				names = append(names, name)
 			}
@@ -50,7 +50,7 @@
 					today.faults, today.folder = names[number], filepath.Join(base, names[number])
 					verdict, err := today.run(io.Discard)
 					mutex.Lock()
-					floor := rehearsal.FloorOf(names[number])
+					floor := fleet.FloorOf(names[number])
 					if err != nil || verdict.Violations() > 0 || verdict.Share < floor {
 						failed++
 					}
--- a/cmd/rehearsal/main.go
+++ b/cmd/rehearsal/main.go
@@ -20,7 +20,7 @@
 
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 type plan struct {
@@ -71,8 +71,8 @@
 	set.Float64Var(&chosen.short, "short", 10, "short chats a second")
 }
 
-func (chosen *plan) start() (*rehearsal.Fleet, error) {
-	deployment, found := rehearsal.DeploymentNamed(chosen.deployment)
+func (chosen *plan) start() (*fleet.Fleet, error) {
+	deployment, found := fleet.DeploymentNamed(chosen.deployment)
 	if !found {
 		return nil, failure.New(failure.NoSuch, "no deployment "+chosen.deployment)
 	}
@@ -91,7 +91,7 @@
 	} else if err := os.MkdirAll(chosen.folder, 0o755); err != nil {
 		return nil, failure.Wrap(failure.Disk, err)
 	}
-	running, err := rehearsal.NewFleet(deployment, chosen.folder, chosen.binaries, map[string]any{"market": chosen.market})
+	running, err := fleet.NewFleet(deployment, chosen.folder, chosen.binaries, map[string]any{"market": chosen.market})
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 			return err
 		}
 		defer running.Close()
-		day := rehearsal.NewDay(running, chosen.seed, os.Stderr)
+		day := fleet.NewDay(running, chosen.seed, os.Stderr)
 		if *configured {
 			if err := day.Open(); err != nil {
 				return err
@@ -143,7 +143,7 @@
 		if *load {
 			day.Callers.SetRates(chosen.long, chosen.short)
 			day.Callers.Run(lifetime)
-			fmt.Print(rehearsal.Judge(running.Book.Entries()))
+			fmt.Print(fleet.Judge(running.Book.Entries()))
 		}
 		<-lifetime.Done()
 		return nil
@@ -157,7 +157,7 @@
 		Example: "  rehearsal run --deployment sahil --seed 7 --seconds 40s --faults kill-courier,crash-server,kill-primary"}
 	common(command, chosen)
 	command.Flags().DurationVar(&chosen.length, "length", 30*time.Second, "how long the day is")
-	command.Flags().StringVar(&chosen.faults, "faults", "", "faults in their order, with commas between: "+strings.Join(rehearsal.FaultNames(), ", "))
+	command.Flags().StringVar(&chosen.faults, "faults", "", "faults in their order, with commas between: "+strings.Join(fleet.FaultNames(), ", "))
 	command.Flags().StringVar(&chosen.closing, "closing", "", "a fault at the end of the day, after which service must return in time")
 	command.Flags().Float64Var(&chosen.once, "once", 0.3, "the share of inquiries that may not be repeated")
 	command.Flags().BoolVar(&chosen.asJSON, "json", false, "print the verdict as JSON")
@@ -185,24 +185,24 @@
 }
 
 // run starts a fleet, runs one day on it, and judges its book.
-func (chosen *plan) run(log io.Writer) (rehearsal.Verdict, error) {
-	var verdict rehearsal.Verdict
-	var faults []rehearsal.Fault
+func (chosen *plan) run(log io.Writer) (fleet.Verdict, error) {
+	var verdict fleet.Verdict
+	var faults []fleet.Fault
 	for _, name := range strings.Split(chosen.faults, ",") {
 		if name == "" {
 			continue
 		}
-		fault, found := rehearsal.FaultNamed(name)
+		fault, found := fleet.FaultNamed(name)
 		if !found {
 			return verdict, failure.New(failure.NoSuch, "no fault "+name)
 		}
 		faults = append(faults, fault)
 	}
-	closing, closes := rehearsal.FaultNamed(chosen.closing)
+	closing, closes := fleet.FaultNamed(chosen.closing)
 	if chosen.closing != "" && !closes {
 		return verdict, failure.New(failure.NoSuch, "no fault "+chosen.closing)
 	}
-	for _, fault := range append([]rehearsal.Fault{closing}, faults...) {
+	for _, fault := range append([]fleet.Fault{closing}, faults...) {
 		chosen.linked = chosen.linked || fault.Links
 		chosen.staged = chosen.staged || fault.Staged
 	}
@@ -211,7 +211,7 @@
 		return verdict, err
 	}
 	defer running.Close()
-	day := rehearsal.NewDay(running, chosen.seed, log)
+	day := fleet.NewDay(running, chosen.seed, log)
 	day.Long, day.Short = chosen.long, chosen.short
 	day.Callers.Once = chosen.once
 	if err := day.Open(); err != nil {
--- a/cmd/rehearsal/platformday.go
+++ b/cmd/rehearsal/platformday.go
@@ -11,7 +11,7 @@
 	"go.uber.org/multierr"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/rehearsal/platformday"
+	"seamloom.example/seamloom/internal/testbed/replay"
 )
 
 // mistaken is what the caller wrote wrongly: the program ends with 2.
@@ -34,16 +34,16 @@
 		Long: "Plays a day file: model servers, the list of servers, operators, clients and machines over loopback,\n" +
 			"around the programs that the deploy file names. Writes verdict.json, verdict.txt, book.jsonl and plots.\n" +
 			"Ends with 1 when a rule is broken or the day can't begin, with 2 when the day file has mistakes.",
-		Example: "  go build -o target/ ./platform/cmd/...\n  rehearsal platform-day internal/rehearsal/platformday/days/loss.toml"}
+		Example: "  go build -o target/ ./platform/cmd/...\n  rehearsal platform-day internal/testbed/replay/days/loss.toml"}
 	command.Flags().StringVar(&deploy, "deploy", "deploy/system.toml", "the deploy file")
 	command.Flags().StringVar(&binaries, "binaries", "target", "the folder of the programs")
 	command.Flags().StringVar(&folder, "folder", "", "folder for settings, logs, disks and the report (default: a new one)")
 	command.RunE = func(_ *cobra.Command, arguments []string) error {
-		plan, mistakes := platformday.ReadPlan(arguments[0])
+		plan, mistakes := replay.ReadPlan(arguments[0])
 		if mistakes != nil {
 			return mistaken{mistakes}
 		}
-		roles, err := platformday.ReadRoles(deploy, binaries)
+		roles, err := replay.ReadRoles(deploy, binaries)
 		if err != nil {
 			return mistaken{err}
 		}
@@ -76,7 +76,7 @@
 	command.Flags().IntVar(&faults, "faults", 5, "how many faults a day has")
 	command.Flags().BoolVar(&hard, "hard", false, "dense days: storms and races, losses as soon as the budget allows, stops and reloads at once; 60 or 90 s each")
 	command.RunE = func(*cobra.Command, []string) error {
-		roles, err := platformday.ReadRoles(deploy, binaries)
+		roles, err := replay.ReadRoles(deploy, binaries)
 		if err != nil {
 			return mistaken{err}
 		}
@@ -87,9 +87,9 @@
 		}
 		failed := 0
 		for seed := from; seed < from+uint64(count); seed++ {
-			plan := platformday.DrawPlan(seed, faults)
+			plan := replay.DrawPlan(seed, faults)
 			if hard {
-				plan = platformday.DrawHardPlan(seed)
+				plan = replay.DrawHardPlan(seed)
 			}
 			if !playDrawnDay(plan, roles, filepath.Join(folder, fmt.Sprintf("day-%d", seed))) {
 				failed++
@@ -104,7 +104,7 @@
 }
 
 // playDrawnDay plays one day and keeps its folder when it fails.
-func playDrawnDay(plan platformday.Plan, roles []platformday.Role, folder string) bool {
+func playDrawnDay(plan replay.Plan, roles []replay.Role, folder string) bool {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		fmt.Println(err)
 		return false
@@ -127,14 +127,14 @@
 	return true
 }
 
-func playPlatformDay(plan platformday.Plan, roles []platformday.Role, folder string) (platformday.Verdict, error) {
-	day, err := platformday.NewDay(platformday.SmallSite(), roles, plan.Seed, folder, os.Stderr)
+func playPlatformDay(plan replay.Plan, roles []replay.Role, folder string) (replay.Verdict, error) {
+	day, err := replay.NewDay(replay.SmallSite(), roles, plan.Seed, folder, os.Stderr)
 	if err != nil {
-		return platformday.Verdict{}, err
+		return replay.Verdict{}, err
 	}
 	defer day.Close()
 	if err := day.Begin(40 * time.Second); err != nil {
-		return platformday.Verdict{}, err
+		return replay.Verdict{}, err
 	}
 	verdict := day.Run(plan)
 	fmt.Print(verdict)
@@ -143,7 +143,7 @@
 		return verdict, failure.Wrap(failure.Malformed, err)
 	}
 	err = multierr.Combine(os.WriteFile(filepath.Join(folder, "verdict.json"), text, 0o644), os.WriteFile(filepath.Join(folder, "verdict.txt"), []byte(verdict.String()), 0o644),
-		day.Book.Save(filepath.Join(folder, "book.jsonl")), verdict.Figures.Plot(folder, platformday.Marks(day.Book.Events())))
+		day.Book.Save(filepath.Join(folder, "book.jsonl")), verdict.Figures.Plot(folder, replay.Marks(day.Book.Events())))
 	if err != nil {
 		return verdict, failure.Wrap(failure.Disk, err)
 	}
--- a/cmd/rehearsal/regions.go
+++ b/cmd/rehearsal/regions.go
@@ -9,13 +9,13 @@
 	"github.com/spf13/cobra"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/rehearsal/world"
+	"seamloom.example/seamloom/internal/testbed/simulation"
 )
 
 // regionsCommand lets a large fleet of several regions meet what a year brings, in
 // virtual time.
 func regionsCommand() *cobra.Command {
-	layout := world.FutureLayout()
+	layout := simulation.FutureLayout()
 	command := &cobra.Command{Use: "regions", Short: "a large fleet of four regions in virtual time: losses, restarts, regions apart, and what each costs", Args: cobra.NoArgs,
 		Example: "  rehearsal regions\n  rehearsal regions --couriers 100 --expediters 3 --between 60ms"}
 	set := command.Flags()
@@ -35,15 +35,15 @@
 		if layout.Expediters < 3 || layout.Couriers < 1 {
 			return failure.New(failure.OutOfRange, "a fleet has three expediters at least, and a courier")
 		}
-		fleet := world.NewLaidOut(layout, *seed)
-		fleet.SetWays(world.Ways{AcknowledgeWait: *wait})
+		fleet := simulation.NewLaidOut(layout, *seed)
+		fleet.SetWays(simulation.Ways{AcknowledgeWait: *wait})
 		if *trace {
 			fleet.Log = func(line string) { _, _ = fmt.Fprintln(os.Stderr, line) }
 		}
 		began := time.Now()
 		incidents := fleet.Incidents(*lost, *losses)
 		_, _ = fmt.Fprintf(os.Stderr, "%d couriers, %d expediters, %d servers: took %s\n", layout.Couriers, layout.Expediters, layout.Servers, time.Since(began).Round(time.Second))
-		return failure.Wrap(failure.Disk, world.WriteIncidents(os.Stdout, incidents))
+		return failure.Wrap(failure.Disk, simulation.WriteIncidents(os.Stdout, incidents))
 	}
 	return command
 }
--- a/cmd/rehearsal/removals.go
+++ b/cmd/rehearsal/removals.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/rehearsal/removals"
+	"seamloom.example/seamloom/internal/testbed/mutation"
 )
 
 // removalPatience bounds one removal's test.
@@ -41,7 +41,7 @@
 		}
 		defer func() { _ = os.RemoveAll(scratch) }()
 		failed := 0
-		for number, removal := range removals.All {
+		for number, removal := range mutation.All {
 			if !chosen.MatchString(removal.Name) {
 				continue
 			}
@@ -62,7 +62,7 @@
 }
 
 // tryRemoval tells how the test saw the removal.
-func tryRemoval(removal removals.Removal, source, folder string) (string, error) {
+func tryRemoval(removal mutation.Removal, source, folder string) (string, error) {
 	if err := os.CopyFS(folder, os.DirFS(source)); err != nil {
 		return "", failure.Wrap(failure.Disk, err)
 	}
--- a/cmd/rehearsal/season.go
+++ b/cmd/rehearsal/season.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // own lists the faults that only one deployment sees.
@@ -23,7 +23,7 @@
 func draw(deployment string, seed uint64, count int) ([]string, string) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	var names []string
-	for _, name := range rehearsal.FaultNames() {
+	for _, name := range fleet.FaultNames() {
 		if only, found := own[name]; !found || only == deployment {
 			names = append(names, name)
 		}
--- a/cmd/rehearsal/stage.go
+++ b/cmd/rehearsal/stage.go
@@ -12,7 +12,7 @@
 	"seamloom.example/seamloom/internal/adapters/router"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // stageCommand runs a node with a faulty disk and a wall clock that jumps, both
@@ -27,7 +27,7 @@
 			return mistakes
 		}
 		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
-		faults := func() rehearsal.NodeFaults { return rehearsal.ReadNodeFaults(*path) }
+		faults := func() fleet.NodeFaults { return fleet.ReadNodeFaults(*path) }
 		clock := osruntime.NewClockOver(func() time.Time { return time.Now().Add(faults().Jump) })
 		if kind == membership.Courier {
 			process, err := router.Start(chosen, logger, clock, router.Ports{})
@@ -39,7 +39,7 @@
 			}
 			return failure.New(failure.Unsorted, "ended by itself")
 		}
-		process, err := controller.Start(chosen, logger, rehearsal.NewFaultyDisk(faults), clock, controller.Ports{})
+		process, err := controller.Start(chosen, logger, fleet.NewFaultyDisk(faults), clock, controller.Ports{})
 		if err != nil {
 			return err
 		}
--- a/cmd/rehearsal/worlds.go
+++ b/cmd/rehearsal/worlds.go
@@ -11,12 +11,12 @@
 	"github.com/spf13/cobra"
 
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/rehearsal/world"
+	"seamloom.example/seamloom/internal/testbed/simulation"
 )
 
 // worldsCommand runs many days in virtual time, or replays one.
 func worldsCommand() *cobra.Command {
-	campaign := &world.Campaign{Day: world.DefaultDay()}
+	campaign := &simulation.Campaign{Day: simulation.DefaultDay()}
 	command := &cobra.Command{Use: "worlds", Short: "many seeded days of whole fleets in virtual time, or the replay of one", Args: cobra.NoArgs,
 		Example: "  rehearsal worlds --from 1 --count 5000\n  rehearsal worlds --from 17 --count 1 --trace\n  rehearsal worlds --only 'a disk is lost' --count 200"}
 	set := command.Flags()
@@ -40,12 +40,12 @@
 		if _, found := campaign.DeploymentOf(campaign.First); !found {
 			return failure.New(failure.NoSuch, "no deployment "+campaign.Deployment)
 		}
-		if campaign.Day.Only != "" && !slices.Contains(world.FaultNames(), campaign.Day.Only) {
+		if campaign.Day.Only != "" && !slices.Contains(simulation.FaultNames(), campaign.Day.Only) {
 			return failure.New(failure.NoSuch, "no fault "+campaign.Day.Only)
 		}
 		if *trace {
 			deployment, _ := campaign.DeploymentOf(campaign.First)
-			fleet := world.New(deployment, campaign.First)
+			fleet := simulation.New(deployment, campaign.First)
 			fleet.Log = func(line string) { fmt.Println(line) }
 			result := fleet.Run(campaign.Day)
 			if *book != "" {
@@ -58,9 +58,9 @@
 		}
 		if *each {
 			failed := false
-			for _, name := range world.FaultNames() {
+			for _, name := range simulation.FaultNames() {
 				campaign.Day.Only = name
-				tally := campaign.Run(func(uint64, world.Result) {})
+				tally := campaign.Run(func(uint64, simulation.Result) {})
 				failed = failed || len(tally.Failed) > 0
 				fmt.Printf("%-34s days %d, failed %d, complete %.3f, lowest %.3f, longest gap %s, mean %s, service back after %.2f s at most\n", name, tally.Days, len(tally.Failed),
 					tally.Share, tally.Lowest, tally.Gap.Round(10*time.Millisecond), (tally.Gaps / time.Duration(max(tally.Days, 1))).Round(10*time.Millisecond), tally.Longest["service returns after a closing fault"])
@@ -72,7 +72,7 @@
 			ends := time.AfterFunc(*length, func() { campaign.Stop.Store(true) })
 			defer ends.Stop()
 		}
-		tally := campaign.Run(func(seed uint64, result world.Result) {
+		tally := campaign.Run(func(seed uint64, result simulation.Result) {
 			days++
 			if campaign.Day.Swings {
 				fmt.Printf("seed %d: %d complete, share %.3f, median %s, 95th %s, parts changed %d, flaps %d\n", seed, result.Verdict.Replies["complete"], result.Verdict.Share,
@@ -91,7 +91,7 @@
 }
 
 // flags are those by which a day of the campaign is replayed.
-func flags(campaign *world.Campaign) string {
+func flags(campaign *simulation.Campaign) string {
 	text := fmt.Sprintf(" --faulty %s --long %g --short %g", campaign.Day.Faulty, campaign.Day.Long, campaign.Day.Short)
 	if campaign.Deployment != "" {
 		text += " --deployment " + campaign.Deployment
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func report(tally world.Tally, took time.Duration) {
+func report(tally simulation.Tally, took time.Duration) {
 	_, _ = fmt.Fprintf(os.Stdout, "%d days in %s, %d steps, %d replies, complete %.3f (lowest day %.3f), failed days %d\n",
 		tally.Days, took.Round(time.Second), tally.Steps, tally.Replies, tally.Share, tally.Lowest, len(tally.Failed))
 	for _, checker := range slices.Sorted(maps.Keys(tally.Violations)) {
--- a/internal/rehearsal/book.go
+++ b/internal/testbed/fleet/book.go
@@ -1,7 +1,7 @@
 // Package rehearsal is the test kit: stand-ins for callers, model servers and
 // the platform, faulty links, a whole fleet on one machine, and checkers that
 // read what the stand-ins wrote down.
-package rehearsal
+package fleet
 
 import (
 	"encoding/json"
--- a/internal/rehearsal/entrykind.go
+++ b/internal/testbed/fleet/entrykind.go
@@ -1,4 +1,4 @@
-package rehearsal
+package fleet
 
 // EntryKind names a sort of entry.
 type EntryKind string
--- a/internal/rehearsal/floors.go
+++ b/internal/testbed/fleet/floors.go
@@ -1,4 +1,4 @@
-package rehearsal
+package fleet
 
 // usualFloor is the share of complete replies that a day with one fault keeps at
 // least. Of the days in docs/measurements.md most kept more than 0.95, beside two
--- a/internal/rehearsal/history_test.go
+++ b/internal/testbed/fleet/history_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package fleet
 
 import (
 	"math/rand/v2"
--- a/internal/rehearsal/removals/list.go
+++ b/internal/testbed/mutation/list.go
@@ -1,4 +1,4 @@
-package removals
+package mutation
 
 const (
 	second   = "one that may not be repeated runs twice"
@@ -132,7 +132,7 @@
 		Edits: []Edit{{"internal/replication/coordinator.go", "	if coordinator.outrun && !coordinator.unsettled {\n		coordinator.regrant(charter)\n	}\n", ""}}},
 	{Name: "a keeper that is gone is replaced", Never: returns, Worlds: true, Finds: "",
 		Edits: []Edit{{"internal/replication/coordinator.go", "	coordinator.ensureBackups()\n	coordinator.ensureWitnesses()\n}", "	coordinator.ensureBackups()\n}"}}},
-	{Name: "a call that may have run is not sent again", Never: second, Package: "./internal/rehearsal/world", Test: "TestCallsInVirtualTime",
+	{Name: "a call that may have run is not sent again", Never: second, Package: "./internal/testbed/simulation", Test: "TestCallsInVirtualTime",
 		Edits: []Edit{{"internal/scheduler/ended.go", "	case ticket.ran && !ticket.repeatable(), ticket.begun", "	case ticket.begun"}}},
 	{Name: "a circuit of which a write was begun is not unreached", Never: second, Package: "./internal/adapters/proxy", Test: "TestFailingAnswersAreSorted",
 		Edits: []Edit{{"internal/adapters/proxy/exchange.go", "		case !wrote:", "		case !wrote || true:"}}},
--- a/internal/rehearsal/removals/list_test.go
+++ b/internal/testbed/mutation/list_test.go
@@ -1,4 +1,4 @@
-package removals
+package mutation
 
 import (
 	"os"
--- a/internal/rehearsal/removals/removal.go
+++ b/internal/testbed/mutation/removal.go
@@ -1,7 +1,7 @@
 // Package removals takes the product's protections away, one at a time, in a
 // copy of the source, and runs the test that must then fail. A test that passes
 // without the protection proves nothing of it.
-package removals
+package mutation
 
 import (
 	"os"
--- a/internal/rehearsal/platformday/balancer.go
+++ b/internal/testbed/replay/balancer.go
@@ -1,4 +1,4 @@
-package platformday
+package replay
 
 import (
 	"context"
--- a/internal/rehearsal/platformday/book.go
+++ b/internal/testbed/replay/book.go
@@ -2,7 +2,7 @@
 // product's programs as they are deployed: model servers with engines, the list of
 // servers, operators, clients and the machines that the programs run on. The rules
 // are judged by what these saw.
-package platformday
+package replay
 
 import (
 	"encoding/json"
--- a/internal/rehearsal/platformday/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -1,17 +1,17 @@
-package platformday
+package replay
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // A checker holds one rule, by the rule's name, against what the stand-ins saw.
 var checkers = []struct {
 	name  string
-	check func(record *record, finding *rehearsal.Finding)
+	check func(record *record, finding *fleet.Finding)
 }{
 	{"MIXED answers", checkMixed}, {"MIXED handles", checkHandles}, {"UNASKED", checkUnasked}, {"TWICE", checkTwice}, {"REFUSED", checkRefused}, {"DENIED", checkDenied}, {"ROUTE", checkRoute},
 	{"DRAIN servers", checkDrain}, {"DRAIN readiness", checkUnready}, {"LOST", checkLost}, {"CONFIG applied", checkApplied}, {"CONFIG later routes", checkLaterRoutes}, {"CONFIG back", checkBack},
@@ -22,7 +22,7 @@
 
 // checkMixed: a success bears its server's seal and that run's own events; nothing else
 // reaches a client.
-func checkMixed(record *record, finding *rehearsal.Finding) {
+func checkMixed(record *record, finding *fleet.Finding) {
 	for _, event := range record.events {
 		if event.Kind == StrayBytes {
 			finding.Violate(event.Machine + " wrote on a circuit on which no request waited")
@@ -70,7 +70,7 @@
 }
 
 // checkHandles: a request goes on only from its own prompt's memory.
-func checkHandles(record *record, finding *rehearsal.Finding) {
+func checkHandles(record *record, finding *fleet.Finding) {
 	for _, event := range record.events {
 		if event.Kind == HandleTaken {
 			finding.Looked++
@@ -82,7 +82,7 @@
 }
 
 // checkUnasked: what runs, or is read, is what a client sent, unchanged.
-func checkUnasked(record *record, finding *rehearsal.Finding) {
+func checkUnasked(record *record, finding *fleet.Finding) {
 	for _, event := range record.events {
 		if event.Kind != RunStarted && event.Kind != PromptRead {
 			continue
@@ -99,7 +99,7 @@
 }
 
 // checkTwice: what may not be repeated runs once at most.
-func checkTwice(record *record, finding *rehearsal.Finding) {
+func checkTwice(record *record, finding *fleet.Finding) {
 	for _, seen := range record.order {
 		if seen.sent.Repeatable {
 			continue
@@ -112,7 +112,7 @@
 }
 
 // checkRefused: what may not be repeated and was answered with a promise never runs.
-func checkRefused(record *record, finding *rehearsal.Finding) {
+func checkRefused(record *record, finding *fleet.Finding) {
 	for _, seen := range record.order {
 		if seen.sent.Repeatable || !seen.over {
 			continue
@@ -125,7 +125,7 @@
 }
 
 // checkDenied: proper requests are hardly ever turned away for good.
-func checkDenied(record *record, finding *rehearsal.Finding) {
+func checkDenied(record *record, finding *fleet.Finding) {
 	touched, others := 0, 0
 	var example string
 	for _, seen := range record.order {
@@ -167,7 +167,7 @@
 }
 
 // checkRoute: a service runs only what some configuration sends to it.
-func checkRoute(record *record, finding *rehearsal.Finding) {
+func checkRoute(record *record, finding *fleet.Finding) {
 	for _, handling := range record.handlings() {
 		if handling.service == "" {
 			continue
@@ -180,7 +180,7 @@
 }
 
 // checkDrain: no request reaches a server long after the list shows it leaving.
-func checkDrain(record *record, finding *rehearsal.Finding) {
+func checkDrain(record *record, finding *fleet.Finding) {
 	worst := time.Duration(0)
 	finding.Limit = record.terms.Drain.String()
 	for _, event := range record.events {
@@ -203,7 +203,7 @@
 }
 
 // checkUnready: machines that are told to end soon call themselves unready.
-func checkUnready(record *record, finding *rehearsal.Finding) {
+func checkUnready(record *record, finding *fleet.Finding) {
 	terms, late := 0, 0
 	for _, events := range record.contact.machines {
 		for position, event := range events {
@@ -230,7 +230,7 @@
 
 // checkLost: around a planned end of a machine no request that was passed on is broken
 // off, save by its server.
-func checkLost(record *record, finding *rehearsal.Finding) {
+func checkLost(record *record, finding *fleet.Finding) {
 	grace := record.terms.Grace
 	for _, seen := range record.order {
 		if !seen.over || seen.ended.Complete || seen.ended.GaveUp || seen.sent.Probe {
--- a/internal/rehearsal/platformday/configcheckers.go
+++ b/internal/testbed/replay/configcheckers.go
@@ -1,4 +1,4 @@
-package platformday
+package replay
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"strings"
 	"time"
 
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // checkApplied: soon after a version was acknowledged nothing is handled as only an older
 // one would.
-func checkApplied(record *record, finding *rehearsal.Finding) {
+func checkApplied(record *record, finding *fleet.Finding) {
 	for _, handling := range record.handlings() {
 		if !record.contact.inTouch(handling.machine, handling.sent) || !record.contact.inTouch(handling.machine, handling.at) {
 			continue
@@ -33,7 +33,7 @@
 }
 
 // checkLaterRoutes: routes that came later are served as the first ones are.
-func checkLaterRoutes(record *record, finding *rehearsal.Finding) {
+func checkLaterRoutes(record *record, finding *fleet.Finding) {
 	counts := map[bool][2]int{}
 	for _, seen := range record.order {
 		if !seen.over || !record.contact.inTouch(seen.sent.Machine, seen.sent.At) {
@@ -66,7 +66,7 @@
 }
 
 // checkBack: in one life of its processes a machine never goes back to an older version.
-func checkBack(record *record, finding *rehearsal.Finding) {
+func checkBack(record *record, finding *fleet.Finding) {
 	type effect struct {
 		at      time.Time
 		version int
@@ -92,7 +92,7 @@
 }
 
 // checkRefusedEditions: what was refused, lost its race or is invalid takes no effect.
-func checkRefusedEditions(record *record, finding *rehearsal.Finding) {
+func checkRefusedEditions(record *record, finding *fleet.Finding) {
 	for _, handling := range record.handlings() {
 		if handling.service == "" {
 			continue
@@ -112,7 +112,7 @@
 
 // checkAcknowledged: of two changes on top of one version one is acknowledged at most, and
 // no invalid one is.
-func checkAcknowledged(record *record, finding *rehearsal.Finding) {
+func checkAcknowledged(record *record, finding *fleet.Finding) {
 	bases := map[int]int{}
 	for _, edition := range record.editions {
 		finding.Looked++
@@ -132,7 +132,7 @@
 
 // checkReadBack: what is read at the end of the day is the newest acknowledged version or
 // a newer one, and says what was sent under its number.
-func checkReadBack(record *record, finding *rehearsal.Finding) {
+func checkReadBack(record *record, finding *fleet.Finding) {
 	newest := 0
 	for _, edition := range record.editions {
 		if edition.outcome == acknowledged && !edition.invalid {
@@ -156,7 +156,7 @@
 }
 
 // checkHeld: requests have their answer by their route's own limit.
-func checkHeld(record *record, finding *rehearsal.Finding) {
+func checkHeld(record *record, finding *fleet.Finding) {
 	long, late := 0, 0
 	for _, seen := range record.order {
 		longest := time.Duration(0)
@@ -182,7 +182,7 @@
 
 // checkAcks: a proper order of the operators is acknowledged in time while the core is
 // settled.
-func checkAcks(record *record, finding *rehearsal.Finding) {
+func checkAcks(record *record, finding *fleet.Finding) {
 	worst := time.Duration(0)
 	judge := func(name string, sent, closed time.Time, routes int) {
 		finding.Looked++
--- a/internal/rehearsal/platformday/day_test.go
+++ b/internal/testbed/replay/day_test.go
@@ -1,4 +1,4 @@
-package platformday
+package replay
 
 import (
 	"os"
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	role := Role{Name: "through", Run: own, Share: 1, On: "edge", Serves: []string{"edge", "control"}, binaries: ""}
-	role.binaries = own[:len(own)-len("/platformday.test")]
+	role.binaries = filepath.Dir(own)
 	day, err := NewDay(oneMachine(), []Role{role}, 5, folder, t.Output())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/platformday/eventkind.go
+++ b/internal/testbed/replay/eventkind.go
@@ -1,4 +1,4 @@
-package platformday
+package replay
 
 // EventKind tells what a stand-in saw.
 type EventKind string
--- a/internal/rehearsal/platformday/keptparts.go
+++ b/internal/testbed/replay/keptparts.go
@@ -1,4 +1,4 @@
-package platformday
+package replay
 
 // keptParts is the memory of an engine, in tokens: parts of prompts that are kept for
 // the next request with the same beginning, and what can't give way.
--- a/internal/rehearsal/platformday/running.go
+++ b/internal/testbed/replay/running.go
@@ -1,4 +1,4 @@
-package platformday
+package replay
 
 // Running is one process of a day: its machine, its role, and its number.
 type Running struct {
--- a/internal/rehearsal/platformday/serverscheckers.go
+++ b/internal/testbed/replay/serverscheckers.go
@@ -1,4 +1,4 @@
-package platformday
+package replay
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // attempts are a try's arrivals at servers that count: all but the first reading that a
@@ -27,7 +27,7 @@
 
 // checkBudget: in no window a service gets more repeats than its share of the requests,
 // and some.
-func checkBudget(record *record, finding *rehearsal.Finding) {
+func checkBudget(record *record, finding *fleet.Finding) {
 	extras, requests := map[string][]time.Time{}, map[string][]time.Time{}
 	for _, seen := range record.order {
 		for _, service := range record.site.Services {
@@ -72,7 +72,7 @@
 }
 
 // checkServers: hardly any try runs on more servers than its route allows.
-func checkServers(record *record, finding *rehearsal.Finding) {
+func checkServers(record *record, finding *fleet.Finding) {
 	over, example := 0, ""
 	for _, seen := range record.order {
 		servers := map[string]bool{}
@@ -91,7 +91,7 @@
 }
 
 // checkDeadlines: servers are handed no more time than is left.
-func checkDeadlines(record *record, finding *rehearsal.Finding) {
+func checkDeadlines(record *record, finding *fleet.Finding) {
 	sent, wrong, example := 0, 0, ""
 	for _, seen := range record.order {
 		if !record.contact.inTouch(seen.sent.Machine, seen.sent.At) {
@@ -114,7 +114,7 @@
 
 // checkOrder: a stream's pieces come in order, none missing and none twice, and those of
 // another run only where the request may be resumed.
-func checkOrder(record *record, finding *rehearsal.Finding) {
+func checkOrder(record *record, finding *fleet.Finding) {
 	for request, tries := range record.requests {
 		last := 0
 		for _, seen := range tries {
@@ -140,7 +140,7 @@
 }
 
 // checkFailback: a cold server gets no more requests in a second than it can bear.
-func checkFailback(record *record, finding *rehearsal.Finding) {
+func checkFailback(record *record, finding *fleet.Finding) {
 	cold := map[string][]Event{}
 	for _, event := range record.events {
 		if event.Kind == ServerBorn && event.Cold {
@@ -176,7 +176,7 @@
 }
 
 // checkEvacuated: nothing reaches an evacuated zone's servers.
-func checkEvacuated(record *record, finding *rehearsal.Finding) {
+func checkEvacuated(record *record, finding *fleet.Finding) {
 	since := map[string]time.Time{}
 	for _, event := range record.events {
 		switch event.Kind {
@@ -202,7 +202,7 @@
 }
 
 // checkRecover: after the closing fault requests are served again.
-func checkRecover(record *record, finding *rehearsal.Finding) {
+func checkRecover(record *record, finding *fleet.Finding) {
 	var struck, back time.Time
 	for _, event := range record.events {
 		switch event.Kind {
@@ -246,7 +246,7 @@
 }
 
 // checkOne: one holder at a time orders a server about, with fences that rise.
-func checkOne(record *record, finding *rehearsal.Finding) {
+func checkOne(record *record, finding *fleet.Finding) {
 	last, holders := map[string]Event{}, map[string]string{}
 	for _, event := range record.events {
 		if event.Kind != Ordered || event.Status == 421 || event.Status == 400 {
@@ -271,7 +271,7 @@
 }
 
 // checkGone: what its client has left is given up.
-func checkGone(record *record, finding *rehearsal.Finding) {
+func checkGone(record *record, finding *fleet.Finding) {
 	const soon = 500 * time.Millisecond
 	late, lasting, working := 0, 0, 0
 	for _, seen := range record.order {
@@ -304,7 +304,7 @@
 }
 
 // checkEnded: no process ends by itself.
-func checkEnded(record *record, finding *rehearsal.Finding) {
+func checkEnded(record *record, finding *fleet.Finding) {
 	for _, event := range record.events {
 		if event.Kind == MachineUp {
 			finding.Looked++
--- a/internal/rehearsal/platformday/verdict.go
+++ b/internal/testbed/replay/verdict.go
@@ -1,23 +1,23 @@
-package platformday
+package replay
 
 import (
 	"fmt"
 	"strings"
 
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // Verdict is what all checkers say of a day, and its figures.
 type Verdict struct {
-	Findings []rehearsal.Finding `json:"findings"`
-	Figures  Figures             `json:"figures"`
+	Findings []fleet.Finding `json:"findings"`
+	Figures  Figures         `json:"figures"`
 }
 
 // Judge holds every rule against what was seen.
 func Judge(events []Event, site Site) Verdict {
 	record, verdict := newRecord(events, site), Verdict{}
 	for _, checker := range checkers {
-		finding := rehearsal.Finding{Checker: checker.name}
+		finding := fleet.Finding{Checker: checker.name}
 		checker.check(record, &finding)
 		verdict.Findings = append(verdict.Findings, finding)
 	}
@@ -35,13 +35,13 @@
 }
 
 // Finding is what one checker says.
-func (verdict Verdict) Finding(checker string) rehearsal.Finding {
+func (verdict Verdict) Finding(checker string) fleet.Finding {
 	for _, finding := range verdict.Findings {
 		if finding.Checker == checker {
 			return finding
 		}
 	}
-	return rehearsal.Finding{}
+	return fleet.Finding{}
 }
 
 // String writes the verdict for people.
--- a/internal/rehearsal/platformday/words.go
+++ b/internal/testbed/replay/words.go
@@ -1,4 +1,4 @@
-package platformday
+package replay
 
 // The platform's names on the wire, as its pages give them. They stand in the
 // test kit and in platform/, and nowhere else in the repository.
--- a/internal/rehearsal/world/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // callers send inquiries at the world's rates until it says stop. The platform
@@ -24,7 +24,7 @@
 		}
 		world.number++
 		district := world.deployment.Districts[world.random.IntN(len(world.deployment.Districts))]
-		question := rehearsal.Question{ID: world.inquiryID(), Service: kind.Service, Origin: "origin-" + strconv.Itoa(world.number%50), Repeatable: world.random.Float64() >= 0.4,
+		question := fleet.Question{ID: world.inquiryID(), Service: kind.Service, Origin: "origin-" + strconv.Itoa(world.number%50), Repeatable: world.random.Float64() >= 0.4,
 			Limit: 15_000, PromptTokens: kind.LeastTokens + world.random.IntN(kind.MostTokens-kind.LeastTokens),
 			Prefix: kind.Service + "-" + strconv.Itoa(world.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
 			Pieces: kind.LeastPieces + world.random.IntN(kind.MostPieces-kind.LeastPieces)}
@@ -34,7 +34,7 @@
 
 // caller sends one inquiry, and perhaps sends it again: it obeys the time to
 // come back, or ignores it, or asks elsewhere after a broken circuit.
-func (world *World) caller(question rehearsal.Question, district string) {
+func (world *World) caller(question fleet.Question, district string) {
 	for arrival := range 3 {
 		machine := world.courierFor(district)
 		if machine == nil {
@@ -112,26 +112,26 @@
 }
 
 // send sends one inquiry to a courier and writes its reply down.
-func (world *World) send(machine *machine, district string, question rehearsal.Question, arrival int) (rehearsal.Entry, time.Duration) {
+func (world *World) send(machine *machine, district string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
 	began := world.now
-	entry := rehearsal.Entry{Inquiry: question.ID, Courier: machine.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Pieces,
+	entry := fleet.Entry{Inquiry: question.ID, Courier: machine.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Pieces,
 		Arrival: arrival, District: district}
 	sent := entry
-	sent.Kind = rehearsal.Sent
+	sent.Kind = fleet.Sent
 	world.Book.Note(sent)
 	leavesAt := -1
 	if world.random.IntN(40) == 0 {
 		leavesAt = world.random.IntN(question.Pieces + 1)
 	}
 	retry := world.exchange(machine, question, leavesAt, &entry)
-	entry.Kind, entry.Took = rehearsal.Replied, world.now-began
+	entry.Kind, entry.Took = fleet.Replied, world.now-began
 	world.Book.Note(entry)
 	return entry, retry
 }
 
 // exchange carries one inquiry to a courier and reads what comes back; it tells
 // when the caller may come again.
-func (world *World) exchange(machine *machine, question rehearsal.Question, leavesAt int, entry *rehearsal.Entry) time.Duration {
+func (world *World) exchange(machine *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
 	body, _ := json.Marshal(question)
 	there, conduct := machine.life, machine.courier
 	replies := newPipe(world, machine.name, "outside", world.outside)
@@ -162,7 +162,7 @@
 		if leavesAt == len(entry.Texts) {
 			world.tempt("a caller left")
 			caller.leave()
-			entry.Cause = rehearsal.CallerLeft
+			entry.Cause = fleet.CallerLeft
 			return 0
 		}
 		message, found := replies.take(patience, never)
@@ -191,8 +191,8 @@
 // the route that refuses the service "edition" is named by it.
 func (world *World) lookAtEdition(machine *machine) {
 	began := world.now
-	entry := rehearsal.Entry{}
-	question := rehearsal.Question{ID: "look-" + world.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Pieces: 1}
+	entry := fleet.Entry{}
+	question := fleet.Question{ID: "look-" + world.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Pieces: 1}
 	body, _ := json.Marshal(question)
 	there, conduct := machine.life, machine.courier
 	// A restricted courier passes on: what one sees there is another's.
@@ -213,7 +213,7 @@
 			}
 			if number, found := strings.CutPrefix(detail, "edition-"); found {
 				edition, _ := strconv.Atoi(number)
-				entry = rehearsal.Entry{Kind: rehearsal.EditionSeen, Courier: machine.name, Edition: edition, Took: world.now - began}
+				entry = fleet.Entry{Kind: fleet.EditionSeen, Courier: machine.name, Edition: edition, Took: world.now - began}
 				world.Book.Note(entry)
 			}
 		}})
--- a/internal/rehearsal/world/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // CallTally is what became of a day's opaque calls.
@@ -219,7 +219,7 @@
 
 // Read has a server read the prompt.
 func (exchange *callExchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	sending := exchange.send(decision.Server, func(there *callServer, top *rehearsal.Stovetop, circuit *rehearsal.Circuit, _ func(any) bool) any {
+	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Stovetop, circuit *fleet.Circuit, _ func(any) bool) any {
 		return there.read(top, circuit, exchange.call, decision.Server.Name)
 	})
 	if sending == nil {
@@ -243,7 +243,7 @@
 // Run has a server make the answer and passes it on.
 func (exchange *callExchange) Run(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
 	last := exchange.passed
-	sending := exchange.send(decision.Server, func(there *callServer, top *rehearsal.Stovetop, circuit *rehearsal.Circuit, send func(any) bool) any {
+	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Stovetop, circuit *fleet.Circuit, send func(any) bool) any {
 		return there.run(top, circuit, exchange.call, decision.Server.Name, decision.Source, last, send)
 	})
 	if sending == nil {
--- a/internal/rehearsal/world/calls_test.go
+++ b/internal/testbed/simulation/calls_test.go
@@ -1,11 +1,11 @@
 //go:build !race
 
-package world
+package simulation
 
 import (
 	"testing"
 
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // TestCallsInVirtualTime lets days with all faults pass over fleets that serve opaque
@@ -16,7 +16,7 @@
 	first, count := seeds(t, 10)
 	tempted := map[string]int{}
 	for seed := first; seed < first+count; seed++ {
-		w := New(rehearsal.Sahil(), seed)
+		w := New(fleet.Sahil(), seed)
 		ways := Ways{Calls: true}
 		if seed%2 == 0 {
 			ways = PlatformWays()
--- a/internal/rehearsal/world/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -1,12 +1,12 @@
-package world
+package simulation
 
 import (
 	"net/http"
 	"time"
 
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // callServer is what a model server does for opaque calls, beside the product's own
@@ -51,7 +51,7 @@
 type callStreamEnd struct{}
 
 // read reads a prompt and keeps its memory.
-func (server *callServer) read(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, call *worldCall, name string) any {
+func (server *callServer) read(top *fleet.Stovetop, circuit *fleet.Circuit, call *worldCall, name string) any {
 	switch {
 	case name != server.name || top.Part() != "prefill":
 		return callRefusal{misdirected}
@@ -69,7 +69,7 @@
 }
 
 // run makes a stream, behind the event that its origin had last.
-func (server *callServer) run(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
+func (server *callServer) run(top *fleet.Stovetop, circuit *fleet.Circuit, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
 	switch {
 	case name != server.name || top.Part() != "decode":
 		return callRefusal{misdirected}
@@ -128,7 +128,7 @@
 
 // send sends a call to a server and gives what it answers to the pipe; nil means
 // that certainly nothing went.
-func (exchange *callExchange) send(server membership.Server, serve func(there *callServer, top *rehearsal.Stovetop, circuit *rehearsal.Circuit, send func(any) bool) any) *callSending {
+func (exchange *callExchange) send(server membership.Server, serve func(there *callServer, top *fleet.Stovetop, circuit *fleet.Circuit, send func(any) bool) any) *callSending {
 	world, here := exchange.life.world, exchange.life
 	to := world.nameAt(server.Address)
 	sending := &callSending{replies: newPipe(world, to, here.name, here)}
@@ -139,7 +139,7 @@
 			sending.replies.snap()
 			return
 		}
-		circuit := rehearsal.NewCircuit(there.life)
+		circuit := fleet.NewCircuit(there.life)
 		forgetServer := there.life.atEnd(sending.replies.snap)
 		sending.hangUp = func() { world.carry(here.name, to, there.life, circuit.Close) }
 		forgetCourier := here.atEnd(sending.hangUp)
--- a/internal/rehearsal/world/campaign.go
+++ b/internal/testbed/simulation/campaign.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"runtime"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // Campaign is many seeded days, several at once.
@@ -42,12 +42,12 @@
 
 // DeploymentOf is the deployment of a seed in a campaign: its own, or each in
 // turn when it names none.
-func (campaign *Campaign) DeploymentOf(seed uint64) (rehearsal.Deployment, bool) {
+func (campaign *Campaign) DeploymentOf(seed uint64) (fleet.Deployment, bool) {
 	name := campaign.Deployment
 	if name == "" {
 		name = []string{"sahil", "kochloeffel"}[seed%2]
 	}
-	return rehearsal.DeploymentNamed(name)
+	return fleet.DeploymentNamed(name)
 }
 
 // Run runs all days; told is called for each, one at a time.
--- a/internal/rehearsal/world/clockwork.go
+++ b/internal/testbed/simulation/clockwork.go
@@ -2,7 +2,7 @@
 // conduct of every courier and expediter, stand-in servers, callers, operators
 // and the platform, under faults drawn from a seed. One thread runs at a time,
 // so that the same seed gives the same trace.
-package world
+package simulation
 
 import (
 	"container/heap"
--- a/internal/rehearsal/world/core.go
+++ b/internal/testbed/simulation/core.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"strconv"
--- a/internal/rehearsal/world/day.go
+++ b/internal/testbed/simulation/day.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"strings"
@@ -6,8 +6,8 @@
 
 	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // Day is how a world's day goes.
@@ -40,7 +40,7 @@
 
 // Result is what a day came to.
 type Result struct {
-	Verdict rehearsal.Verdict
+	Verdict fleet.Verdict
 	// Turns counts the parts that servers changed after they had one, Flaps those
 	// that were taken back within fifteen seconds.
 	Turns, Flaps int
@@ -145,7 +145,7 @@
 			break
 		}
 	}
-	result := Result{Verdict: rehearsal.Judge(world.Book.Entries()), Whole: world.whole(), Twice: world.twice, Temptations: world.temptations, Steps: world.acted, Calls: *world.calls}
+	result := Result{Verdict: fleet.Judge(world.Book.Entries()), Whole: world.whole(), Twice: world.twice, Temptations: world.temptations, Steps: world.acted, Calls: *world.calls}
 	result.Turns, result.Flaps = turns(world.Book.Entries())
 	for _, life := range world.lives {
 		if !life.ended {
@@ -187,7 +187,7 @@
 
 // turns counts the changes of parts in a book, and those that were taken back
 // soon.
-func turns(entries []rehearsal.Entry) (changes, flaps int) {
+func turns(entries []fleet.Entry) (changes, flaps int) {
 	type part struct {
 		name  string
 		since time.Time
@@ -195,7 +195,7 @@
 	}
 	parts := map[string]part{}
 	for _, entry := range entries {
-		if entry.Kind != rehearsal.Commanded || entry.Part == parts[entry.Server].name {
+		if entry.Kind != fleet.Commanded || entry.Part == parts[entry.Server].name {
 			continue
 		}
 		before, known := parts[entry.Server]
@@ -243,7 +243,7 @@
 			}
 			if drawn -= fault.weight; drawn < 0 || only != "" {
 				world.say("fault: %s", fault.name)
-				world.Book.Note(rehearsal.Entry{Kind: rehearsal.FaultBegan, Cause: fault.name})
+				world.Book.Note(fleet.Entry{Kind: fleet.FaultBegan, Cause: fault.name})
 				world.outside.Go(func() { fault.run(world) })
 				break
 			}
@@ -275,7 +275,7 @@
 	kinds := []string{"herd of couriers", "herd of expediters", "cold start", "zone", "primary", "power"}
 	kind := kinds[world.random.IntN(len(kinds))]
 	world.say("closing fault: %s", kind)
-	world.Book.Note(rehearsal.Entry{Kind: rehearsal.ClosingFault, Cause: kind})
+	world.Book.Note(fleet.Entry{Kind: fleet.ClosingFault, Cause: kind})
 	switch kind {
 	case "herd of couriers":
 		world.herd(membership.Courier)
--- a/internal/rehearsal/world/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"strconv"
@@ -6,7 +6,7 @@
 
 	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // fault is one thing that fails, with how often it is drawn.
@@ -346,7 +346,7 @@
 	frozen, since := machine.life, world.now
 	frozen.freeze()
 	defer func() {
-		world.Book.Note(rehearsal.Entry{Kind: rehearsal.NodeWoken, Courier: machine.name, Took: world.now - since})
+		world.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Courier: machine.name, Took: world.now - since})
 	}()
 	if world.random.IntN(2) == 0 {
 		world.wait(300, 5000)
@@ -509,7 +509,7 @@
 		return
 	}
 	listed := world.platform.servers[name]
-	world.Book.Note(rehearsal.Entry{Kind: rehearsal.ServerLeaving, Server: name})
+	world.Book.Note(fleet.Entry{Kind: fleet.ServerLeaving, Server: name})
 	if server.top.Active() > 0 {
 		world.tempt("answers under way at a leaving server")
 	}
--- a/internal/rehearsal/world/layout.go
+++ b/internal/testbed/simulation/layout.go
@@ -1,11 +1,11 @@
-package world
+package simulation
 
 import (
 	"strconv"
 	"time"
 
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // Layout is a fleet of several regions, whose control alone is rehearsed: servers are
@@ -63,7 +63,7 @@
 // NewLaidOut lays out a fleet of several regions.
 func NewLaidOut(layout Layout, seed uint64) *World {
 	zones := layout.zones()
-	world := New(rehearsal.Deployment{Name: "regions", Districts: zones, Long: rehearsal.Sahil().Long, Short: rehearsal.Sahil().Short}, seed)
+	world := New(fleet.Deployment{Name: "regions", Districts: zones, Long: fleet.Sahil().Long, Short: fleet.Sahil().Short}, seed)
 	world.layout = &layout
 	// The deployment without couriers has three expediters; the layout's are others.
 	world.machines, world.byAddress = nil, map[string]string{}
--- a/internal/rehearsal/world/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package world
+package simulation
 
 import (
 	"fmt"
--- a/internal/rehearsal/world/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"strconv"
@@ -9,8 +9,8 @@
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // operatorPatience is how long an operator waits for an answer.
@@ -68,7 +68,7 @@
 	}
 	read := content.(menuRead)
 	if note {
-		world.Book.Note(rehearsal.Entry{Kind: rehearsal.EditionRead, Edition: rehearsal.EditionOf(read.text), Took: world.now - began})
+		world.Book.Note(fleet.Entry{Kind: fleet.EditionRead, Edition: fleet.EditionOf(read.text), Took: world.now - began})
 	}
 	return read, true
 }
@@ -110,9 +110,9 @@
 }
 
 func (world *World) putEdition(edition int, read menuRead) bool {
-	world.Book.Note(rehearsal.Entry{Kind: rehearsal.EditionAsked, Edition: edition})
+	world.Book.Note(fleet.Entry{Kind: fleet.EditionAsked, Edition: edition})
 	patch := world.deployment.Configuration(edition)
-	if before := rehearsal.EditionOf(read.text); before > 0 {
+	if before := fleet.EditionOf(read.text); before > 0 {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{"edition-`+strconv.Itoa(before)+`":null,`, 1)
 	}
 	if world.ways.Calls {
@@ -120,8 +120,8 @@
 	}
 	outcome := world.edit(hatch.Edit{Change: "edition-" + strconv.Itoa(edition), Digest: patch, Expected: &read.version,
 		Apply: func(text []byte) ([]byte, error) { return config.Merge(text, []byte(patch)) }})
-	kinds := map[string]rehearsal.EntryKind{"accepted": rehearsal.EditionAccepted, "refused": rehearsal.EditionRefused, "unknown": rehearsal.EditionUnknown}
-	world.Book.Note(rehearsal.Entry{Kind: kinds[outcome], Edition: edition})
+	kinds := map[string]fleet.EntryKind{"accepted": fleet.EditionAccepted, "refused": fleet.EditionRefused, "unknown": fleet.EditionUnknown}
+	world.Book.Note(fleet.Entry{Kind: kinds[outcome], Edition: edition})
 	return outcome == "accepted"
 }
 
@@ -140,15 +140,15 @@
 	if under > 0 {
 		world.tempt("answers under way at an evacuation")
 	}
-	world.Book.Note(rehearsal.Entry{Kind: rehearsal.EvacuationAsked, District: district})
+	world.Book.Note(fleet.Entry{Kind: fleet.EvacuationAsked, District: district})
 	outcome := world.edit(hatch.Edit{Change: "evacuate-" + world.nonce(), Digest: district, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, district, "rehearsal") }})
 	world.say("evacuate %s: %s", district, outcome)
 	if outcome == "accepted" {
-		world.Book.Note(rehearsal.Entry{Kind: rehearsal.Evacuated, District: district})
+		world.Book.Note(fleet.Entry{Kind: fleet.Evacuated, District: district})
 	}
 	world.outside.NewCond().Wait(length, never)
 	for range 40 {
-		world.Book.Note(rehearsal.Entry{Kind: rehearsal.RestoreAsked, District: district})
+		world.Book.Note(fleet.Entry{Kind: fleet.RestoreAsked, District: district})
 		if world.edit(hatch.Edit{Change: "restore-" + world.nonce(), Digest: district, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, district) }}) == "accepted" {
 			return
 		}
--- a/internal/rehearsal/world/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"maps"
@@ -10,8 +10,8 @@
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // platform is what lists servers and nodes.
@@ -71,7 +71,7 @@
 }
 
 func (lists lists) ask(server membership.Server, patience time.Duration) (auction.Load, error) {
-	content, err := lists.life.askServer(server.Address, patience, func(top *rehearsal.Stovetop) (int, any) {
+	content, err := lists.life.askServer(server.Address, patience, func(top *fleet.Stovetop) (int, any) {
 		return http.StatusOK, top.Load()
 	})
 	if err != nil {
--- a/internal/rehearsal/world/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/adapters/modelserver"
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // stoves are the circuits of one courier to the model servers.
@@ -54,7 +54,7 @@
 
 // order sends one order to a server and returns its exchange, or nil when it
 // certainly did not go.
-func (stoves *stoves) order(decision auction.Decision, may func() bool, serve func(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, send func(any) bool) (int, any)) *exchange {
+func (stoves *stoves) order(decision auction.Decision, may func() bool, serve func(top *fleet.Stovetop, circuit *fleet.Circuit, send func(any) bool) (int, any)) *exchange {
 	world := stoves.life.world
 	stoves.dial()
 	if !may() {
@@ -76,7 +76,7 @@
 			}
 			return
 		}
-		circuit := rehearsal.NewCircuit(there.life)
+		circuit := fleet.NewCircuit(there.life)
 		forgetServer := func() {}
 		if first {
 			forgetServer = there.life.atEnd(begun.replies.snap)
@@ -122,7 +122,7 @@
 }
 
 func refusalOf(message ended) (auction.Outcome, string) {
-	said, told := message.content.(rehearsal.Refusal)
+	said, told := message.content.(fleet.Refusal)
 	switch {
 	case !told:
 		return auction.Uncertain, "status " + strconv.Itoa(message.status)
@@ -149,7 +149,7 @@
 func (stoves *stoves) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	inquiry := decision.Inquiry
 	order := modelserver.PrefillOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run, PromptTokens: inquiry.PromptTokens, Prefix: inquiry.Prefix, PrefixTokens: inquiry.PrefixTokens}
-	begun := stoves.order(decision, may, func(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, _ func(any) bool) (int, any) {
+	begun := stoves.order(decision, may, func(top *fleet.Stovetop, circuit *fleet.Circuit, _ func(any) bool) (int, any) {
 		return top.Prefill(circuit, order)
 	})
 	if begun == nil {
@@ -170,7 +170,7 @@
 func (stoves *stoves) Decode(decision auction.Decision, may func() bool, take func(piece int, text string)) (auction.Outcome, int, string) {
 	inquiry := decision.Inquiry
 	order := modelserver.DecodeOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Pieces: inquiry.Pieces}
-	begun := stoves.order(decision, may, func(top *rehearsal.Stovetop, circuit *rehearsal.Circuit, send func(any) bool) (int, any) {
+	begun := stoves.order(decision, may, func(top *fleet.Stovetop, circuit *fleet.Circuit, send func(any) bool) (int, any) {
 		return top.Decode(circuit, order, func(line modelserver.StreamLine) error {
 			if !send(line) {
 				return failure.New(failure.Unreachable, "the courier is gone")
@@ -212,7 +212,7 @@
 	if decision.Order != nil {
 		order.Cause = decision.Order.Cause
 	}
-	_, err := stoves.life.askServer(decision.Address, time.Second, func(top *rehearsal.Stovetop) (int, any) { return top.TakePart(order) })
+	_, err := stoves.life.askServer(decision.Address, time.Second, func(top *fleet.Stovetop) (int, any) { return top.TakePart(order) })
 	return err
 }
 
@@ -221,7 +221,7 @@
 	stoves.EndRun(decision.ID, decision.Run)
 	order := modelserver.CancelOrder{Inquiry: decision.ID, Order: decision.Token, Run: decision.Run}
 	stoves.life.Go(func() {
-		_, _ = stoves.life.askServer(decision.Address, time.Second, func(top *rehearsal.Stovetop) (int, any) {
+		_, _ = stoves.life.askServer(decision.Address, time.Second, func(top *fleet.Stovetop) (int, any) {
 			top.Cancel(order)
 			return http.StatusOK, nil
 		})
@@ -237,7 +237,7 @@
 }
 
 // askServer has a server answer one short question.
-func (here *life) askServer(address string, patience time.Duration, serve func(top *rehearsal.Stovetop) (int, any)) (any, error) {
+func (here *life) askServer(address string, patience time.Duration, serve func(top *fleet.Stovetop) (int, any)) (any, error) {
 	world := here.world
 	to := world.nameAt(address)
 	return here.ask(to, patience, func(there *life) (any, error) {
@@ -246,7 +246,7 @@
 			return nil, failure.New(failure.Unreachable, "another server is there")
 		}
 		if server.top.Dark() {
-			rehearsal.NewCircuit(there).Pause(time.Minute)
+			fleet.NewCircuit(there).Pause(time.Minute)
 			return nil, failure.New(failure.Unreachable, "dark")
 		}
 		status, content := serve(server.top)
@@ -259,26 +259,26 @@
 
 // server is one model server of the world.
 type server struct {
-	plan rehearsal.ServerPlan
+	plan fleet.ServerPlan
 	life *life
-	top  *rehearsal.Stovetop
+	top  *fleet.Stovetop
 	// calls is what it does for opaque calls.
 	calls *callServer
 }
 
 // fetchFrom takes a prompt's memory over from another server.
-func (world *World) fetchFrom(here *life) rehearsal.Fetch {
-	return func(_ *rehearsal.Circuit, address string, question rehearsal.MemoryQuestion) (rehearsal.MemoryAnswer, int) {
+func (world *World) fetchFrom(here *life) fleet.Fetch {
+	return func(_ *fleet.Circuit, address string, question fleet.MemoryQuestion) (fleet.MemoryAnswer, int) {
 		status := http.StatusBadGateway
-		content, err := here.askServer(address, 2*time.Second, func(top *rehearsal.Stovetop) (int, any) {
+		content, err := here.askServer(address, 2*time.Second, func(top *fleet.Stovetop) (int, any) {
 			given, content := top.GiveMemory(question)
 			status = given
 			return http.StatusOK, content
 		})
 		if err != nil {
-			return rehearsal.MemoryAnswer{}, http.StatusBadGateway
+			return fleet.MemoryAnswer{}, http.StatusBadGateway
 		}
-		given, _ := content.(rehearsal.MemoryAnswer)
+		given, _ := content.(fleet.MemoryAnswer)
 		return given, status
 	}
 }
--- a/internal/rehearsal/world/taps.go
+++ b/internal/testbed/simulation/taps.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"strings"
@@ -9,8 +9,8 @@
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/hatch"
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // The taps read records as they are written, on wires and disks, and note each
@@ -23,7 +23,7 @@
 			continue
 		}
 		world.seenKeys[name] = true
-		world.Book.Note(rehearsal.Entry{Kind: rehearsal.RecordSeen, Cause: key, Part: where, Holder: record.Writer})
+		world.Book.Note(fleet.Entry{Kind: fleet.RecordSeen, Cause: key, Part: where, Holder: record.Writer})
 	}
 }
 
@@ -52,7 +52,7 @@
 	for _, flag := range state.Flags.Enabled {
 		if name := "flag/" + string(flag); !world.seenKeys[name] {
 			world.seenKeys[name] = true
-			world.Book.Note(rehearsal.Entry{Kind: rehearsal.FlagEnabled, Cause: string(flag)})
+			world.Book.Note(fleet.Entry{Kind: fleet.FlagEnabled, Cause: string(flag)})
 			world.tempt("a flag enabled")
 		}
 	}
@@ -73,7 +73,7 @@
 	for _, flag := range features.Supported(machine.withheld) {
 		flags = append(flags, string(flag))
 	}
-	world.Book.Note(rehearsal.Entry{Kind: rehearsal.MemberKnown, Holder: machine.name, Flags: flags})
+	world.Book.Note(fleet.Entry{Kind: fleet.MemberKnown, Holder: machine.name, Flags: flags})
 }
 
 // noteOldMember writes down what an older release lacks, once it is recorded:
--- a/internal/rehearsal/world/wanted.go
+++ b/internal/testbed/simulation/wanted.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // Wanted are the temptations without which days prove nothing: moments in which
 // something that must never happen could.
--- a/internal/rehearsal/world/waydays_test.go
+++ b/internal/testbed/simulation/waydays_test.go
@@ -1,14 +1,14 @@
 //go:build !race
 
-package world
+package simulation
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // touch is a day's record of changes that were answered, and of couriers that did
@@ -73,9 +73,9 @@
 	for seed := first; seed < first+count; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			deployment := rehearsal.Sahil()
+			deployment := fleet.Sahil()
 			if seed%2 == 1 {
-				deployment = rehearsal.Kochloeffel()
+				deployment = fleet.Kochloeffel()
 			}
 			w := New(deployment, seed)
 			w.SetWays(ways)
--- a/internal/rehearsal/world/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package world
+package simulation
 
 import (
 	"testing"
@@ -8,14 +8,14 @@
 
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // begun is a fleet whose nodes all run, with a core and holds.
 func begun(t *testing.T, seed uint64, ways Ways) *World {
 	t.Helper()
-	w := New(rehearsal.Sahil(), seed)
+	w := New(fleet.Sahil(), seed)
 	w.SetWays(ways)
 	for _, machine := range w.machines {
 		w.outside.Go(func() { w.start(machine) })
@@ -100,14 +100,14 @@
 		t.Error("its duties did not move")
 	}
 	// The commands since then are judged: none by the one without a hold.
-	if verdict := rehearsal.Judge(w.Book.Entries()); verdict.Violations() > 0 {
+	if verdict := fleet.Judge(w.Book.Entries()); verdict.Violations() > 0 {
 		t.Error(verdict)
 	}
 }
 
 // TestBlankDisksThatOnlyJoinFormNothing starts a whole fleet of them.
 func TestBlankDisksThatOnlyJoinFormNothing(t *testing.T) {
-	w := New(rehearsal.Sahil(), 5)
+	w := New(fleet.Sahil(), 5)
 	w.SetWays(Ways{JoinOnly: true})
 	for _, machine := range w.machines {
 		w.outside.Go(func() { w.start(machine) })
--- a/internal/rehearsal/world/world.go
+++ b/internal/testbed/simulation/world.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"crypto/sha256"
@@ -17,8 +17,8 @@
 	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
-	"seamloom.example/seamloom/internal/rehearsal"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 
 	"seamloom.example/seamloom"
 )
@@ -26,8 +26,8 @@
 // World is one fleet in virtual time.
 type World struct {
 	clockwork
-	Book        *rehearsal.Book
-	deployment  rehearsal.Deployment
+	Book        *fleet.Book
+	deployment  fleet.Deployment
 	random      *rand.Rand
 	running     *thread
 	dead        []*life
@@ -35,7 +35,7 @@
 	byAddress   map[string]string
 	lives       map[string]*life
 	servers     map[string]*server
-	plans       []rehearsal.ServerPlan
+	plans       []fleet.ServerPlan
 	platform    platform
 	links       map[[2]string]*link
 	slowDials   float64
@@ -97,16 +97,16 @@
 var epoch = time.Unix(1_800_000_000, 0).UTC()
 
 // New lays a world out: the deployment's machines and servers, all cold.
-func New(deployment rehearsal.Deployment, seed uint64) *World {
+func New(deployment fleet.Deployment, seed uint64) *World {
 	world := &World{deployment: deployment, random: rand.New(rand.NewPCG(seed, 0x5ea)), byAddress: map[string]string{}, lives: map[string]*life{},
 		servers: map[string]*server{}, links: map[[2]string]*link{}, temptations: map[string]int{}, seenKeys: map[string]bool{}, claiming: map[string]int{}, evacuating: map[string]bool{},
 		calls: &CallTally{}, trace: sha256.New(), traffic: map[string]Traffic{}, Log: func(string) {}}
-	world.Book = &rehearsal.Book{Clock: func() time.Time { return epoch.Add(world.now) }}
+	world.Book = &fleet.Book{Clock: func() time.Time { return epoch.Add(world.now) }}
 	world.platform.servers = map[string]membership.Server{}
 	world.outside = world.newLife("outside", "outside", 0)
 	for position := range deployment.Servers {
 		district := deployment.Districts[position%len(deployment.Districts)]
-		world.plans = append(world.plans, rehearsal.DefaultPlan("stove-"+strconv.Itoa(position+1), district))
+		world.plans = append(world.plans, fleet.DefaultPlan("stove-"+strconv.Itoa(position+1), district))
 	}
 	for _, plan := range world.plans {
 		world.startServer(plan)
@@ -194,12 +194,12 @@
 	return begun
 }
 
-func (world *World) startServer(plan rehearsal.ServerPlan) {
+func (world *World) startServer(plan fleet.ServerPlan) {
 	world.nonces++
 	address := "10.1." + strconv.FormatUint(world.nonces>>8, 10) + "." + strconv.FormatUint(world.nonces&0xff, 10) + ":1"
 	begun := world.newLife(plan.Name, address, 0)
 	world.byAddress[address] = plan.Name
-	world.servers[plan.Name] = &server{plan: plan, life: begun, top: rehearsal.NewStovetop(plan, world.Book, begun, world.nonce, world.fetchFrom(begun)),
+	world.servers[plan.Name] = &server{plan: plan, life: begun, top: fleet.NewStovetop(plan, world.Book, begun, world.nonce, world.fetchFrom(begun)),
 		calls: &callServer{world: world, name: plan.Name, handles: map[string]*callMemory{}}}
 	world.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, District: plan.District}
 }
--- a/internal/rehearsal/world/world_test.go
+++ b/internal/testbed/simulation/world_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package world
+package simulation
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/rehearsal"
+	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
 // mostMemory is what the worlds may take before the collector rests no more: without it the
@@ -68,7 +68,7 @@
 		var lines [2][]string
 		var traces [2]string
 		for run := range 2 {
-			w := New(rehearsal.Sahil(), seed)
+			w := New(fleet.Sahil(), seed)
 			w.Log = func(line string) { lines[run] = append(lines[run], line) }
 			w.Run(DefaultDay())
 			traces[run] = w.Trace()
@@ -106,7 +106,7 @@
 func TestRepairMakesEveryCopyWhole(t *testing.T) {
 	for _, loss := range Losses {
 		for _, reads := range []bool{true, false} {
-			took, bytes, mended := New(rehearsal.Sahil(), 11).Repair(loss, reads)
+			took, bytes, mended := New(fleet.Sahil(), 11).Repair(loss, reads)
 			t.Logf("%s, reads %v: whole after %s, %d bytes of snapshots", loss, reads, took, bytes)
 			// A whole copy has about 12 kB here; a handful of them mends anything.
 			if !mended || took > 15*time.Second || bytes > 100_000 {
