--- a/cmd/taster/main.go
+++ b/cmd/configcheck/main.go
@@ -56,13 +56,13 @@
 	taster := &taster{client: &http.Client{Timeout: 5 * time.Second}}
 	var to string
 	code := fine
-	root := &cobra.Command{Use: "taster FILE", Short: "check a proposed configuration against the fleet as it is", Args: cobra.ExactArgs(1), SilenceUsage: true, SilenceErrors: true,
-		Long: "taster reads a whole configuration (or, with --patch, a partial one) from FILE or, with -, from standard input,\n" +
+	root := &cobra.Command{Use: "configcheck FILE", Short: "check a proposed configuration against the fleet as it is", Args: cobra.ExactArgs(1), SilenceUsage: true, SilenceErrors: true,
+		Long: "configcheck reads a whole configuration (or, with --patch, a partial one) from FILE or, with -, from standard input,\n" +
 			"and checks it against the fleet: its servers and zones, the room that evacuations leave, and its members' formats.\n" +
 			"Nothing is changed.\n\n" +
 			"Exit codes: 0 fine, 1 errors, 2 wrong use, 3 malformed input, 4 the fleet can't be reached,\n" +
 			"5 the configuration in force changed meanwhile, 10 warnings only.",
-		Example: "  taster proposed.json --to 127.0.0.1:7101,127.0.0.1:7102\n  taster --patch change.json --expected 4.17 --json --to 127.0.0.1:7101",
+		Example: "  configcheck proposed.json --to 127.0.0.1:7101,127.0.0.1:7102\n  configcheck --patch change.json --expected 4.17 --json --to 127.0.0.1:7101",
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			taster.addresses = strings.Split(to, ",")
 			var said report
--- a/cmd/expediter/main.go
+++ b/cmd/controller/main.go
@@ -14,9 +14,9 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "expediter", Short: "seamloom's control plane and operators' tool", SilenceUsage: true, SilenceErrors: true,
-		Long: "expediter serve runs one of the three control-plane daemons.\n" +
-			"The other subcommands speak to any expediter (--to) and read or change the fleet."}
+	root := &cobra.Command{Use: "controller", Short: "seamloom's control plane and operators' tool", SilenceUsage: true, SilenceErrors: true,
+		Long: "controller serve runs one of the three control-plane daemons.\n" +
+			"The other subcommands speak to any controller (--to) and read or change the fleet."}
 	root.AddCommand(serveCommand())
 	root.AddCommand(operatorCommands()...)
 	if err := root.Execute(); err != nil {
@@ -33,7 +33,7 @@
 func serveCommand() *cobra.Command {
 	command := &cobra.Command{Use: "serve", Short: "run the daemon", Args: cobra.NoArgs,
 		Long: "serve runs one control-plane daemon. SIGTERM ends it; SIGHUP reads the settings again.",
-		Example: "  expediter serve --name expediter-1 --address 127.0.0.1:7101 --district north --data-folder /var/lib/seamloom \\\n" +
+		Example: "  controller serve --name controller-1 --address 127.0.0.1:7101 --district north --data-folder /var/lib/seamloom \\\n" +
 			"    --seeds 127.0.0.1:7101,127.0.0.1:7102,127.0.0.1:7103 --platform 127.0.0.1:7000"}
 	flags := daemon.AddFlags(command, membership.Expediter)
 	command.RunE = func(*cobra.Command, []string) error {
--- a/cmd/expediter/operator.go
+++ b/cmd/controller/operator.go
@@ -150,7 +150,7 @@
 			if method == http.MethodGet || strings.Contains(last, "connection refused") {
 				continue
 			}
-			how := "; ask with: expediter change " + query.Get("change")
+			how := "; ask with: controller change " + query.Get("change")
 			if query.Get("change") == "" {
 				how = "; send the same change again"
 			}
@@ -163,7 +163,7 @@
 		}
 		return answered{status: inbound.StatusCode, body: content}, nil
 	}
-	return answered{}, &operatorTrouble{code: 4, said: printed("no expediter was reached: " + last)}
+	return answered{}, &operatorTrouble{code: 4, said: printed("no controller was reached: " + last)}
 }
 
 func printed(text string) string {
--- a/cmd/courier/main.go
+++ b/cmd/router/main.go
@@ -14,8 +14,8 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "courier", Short: "seamloom's data plane", SilenceUsage: true, SilenceErrors: true,
-		Long: "courier lets callers' inquiries in, picks a prefill and a decode server for each, and streams the reply.\n" +
+	root := &cobra.Command{Use: "router", Short: "seamloom's data plane", SilenceUsage: true, SilenceErrors: true,
+		Long: "router lets callers' inquiries in, picks a prefill and a decode server for each, and streams the reply.\n" +
 			"Settings come from a JSON file (--settings) and from flags, which go over it.\n" +
 			"SIGTERM drains and ends; SIGHUP reads the settings again."}
 	root.AddCommand(serveCommand(), streamCommand())
@@ -27,7 +27,7 @@
 
 func serveCommand() *cobra.Command {
 	command := &cobra.Command{Use: "serve", Short: "run the daemon", Args: cobra.NoArgs,
-		Example: "  courier serve --name courier-1 --address 127.0.0.1:7201 --district north \\\n" +
+		Example: "  router serve --name router-1 --address 127.0.0.1:7201 --district north \\\n" +
 			"    --seeds 127.0.0.1:7101,127.0.0.1:7102,127.0.0.1:7103 --platform 127.0.0.1:7000"}
 	flags := daemon.AddFlags(command, membership.Courier)
 	command.RunE = func(*cobra.Command, []string) error {
--- a/cmd/rehearsal/each.go
+++ b/cmd/testbed/each.go
@@ -18,7 +18,7 @@
 func eachCommand() *cobra.Command {
 	chosen := &plan{once: 0.3}
 	command := &cobra.Command{Use: "each", Short: "every fault alone, each in a day of its own, as a table", Args: cobra.NoArgs,
-		Example: "  rehearsal each --deployment kochloeffel --length 20s --parallel 3"}
+		Example: "  testbed each --deployment kochloeffel --length 20s --parallel 3"}
 	common(command, chosen)
 	command.Flags().DurationVar(&chosen.length, "length", 20*time.Second, "how long each day is")
 	parallel := command.Flags().Int("parallel", 1, "how many fleets run at once")
--- a/cmd/rehearsal/main.go
+++ b/cmd/testbed/main.go
@@ -44,8 +44,8 @@
 }
 
 func main() {
-	root := &cobra.Command{Use: "rehearsal", Short: "seamloom's test kit", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(fleetCommand(), runCommand(), seasonCommand(), worldsCommand(), removalsCommand(), eachCommand(), regionsCommand(), compareCommand(), platformDayCommand(), platformDaysCommand(), stageCommand(membership.Courier), stageCommand(membership.Expediter))
+	root := &cobra.Command{Use: "testbed", Short: "seamloom's test kit", SilenceUsage: true, SilenceErrors: true}
+	root.AddCommand(fleetCommand(), runCommand(), seasonCommand(), worldsCommand(), removalsCommand(), eachCommand(), regionsCommand(), compareCommand(), platformDayCommand(), platformDaysCommand(), scriptCommand(membership.Courier), scriptCommand(membership.Expediter))
 	if err := root.Execute(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "rehearsal:", err)
 		var mistaken mistaken
@@ -61,7 +61,7 @@
 	set := command.Flags()
 	set.StringVar(&chosen.deployment, "deployment", "sahil", "sahil or kochloeffel")
 	set.StringVar(&chosen.folder, "folder", "", "folder for settings, logs, disks and the book (default: a new one)")
-	set.StringVar(&chosen.binaries, "binaries", filepath.Dir(own), "where courier and expediter are")
+	set.StringVar(&chosen.binaries, "binaries", filepath.Dir(own), "where router and controller are")
 	set.StringVar(&chosen.market, "market", "pair", "the couriers' market: pair or least_loaded")
 	set.StringVar(&chosen.older, "older-binaries", "", "a folder with an older build's programs, which every other node runs")
 	set.Uint64Var(&chosen.seed, "seed", 1, "the same seed gives the same inquiries and the same faults")
@@ -154,7 +154,7 @@
 func runCommand() *cobra.Command {
 	chosen := &plan{}
 	command := &cobra.Command{Use: "run", Short: "one seeded day with faults, and the checkers' verdict", Args: cobra.NoArgs,
-		Example: "  rehearsal run --deployment sahil --seed 7 --seconds 40s --faults kill-courier,crash-server,kill-primary"}
+		Example: "  testbed run --deployment sahil --seed 7 --seconds 40s --faults kill-courier,crash-server,kill-primary"}
 	common(command, chosen)
 	command.Flags().DurationVar(&chosen.length, "length", 30*time.Second, "how long the day is")
 	command.Flags().StringVar(&chosen.faults, "faults", "", "faults in their order, with commas between: "+strings.Join(fleet.FaultNames(), ", "))
--- a/cmd/rehearsal/platformday.go
+++ b/cmd/testbed/platformday.go
@@ -30,11 +30,11 @@
 // file.
 func platformDayCommand() *cobra.Command {
 	var deploy, binaries, folder string
-	command := &cobra.Command{Use: "platform-day FILE", Short: "play a day of the users' platform around the deployed programs", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{Use: "replay FILE", Aliases: []string{"platform-day"}, Short: "play a day of the users' platform around the deployed programs", Args: cobra.ExactArgs(1),
 		Long: "Plays a day file: model servers, the list of servers, operators, clients and machines over loopback,\n" +
 			"around the programs that the deploy file names. Writes verdict.json, verdict.txt, book.jsonl and plots.\n" +
 			"Ends with 1 when a rule is broken or the day can't begin, with 2 when the day file has mistakes.",
-		Example: "  go build -o target/ ./platform/cmd/...\n  rehearsal platform-day internal/testbed/replay/days/loss.toml"}
+		Example: "  go build -o target/ ./platform/cmd/...\n  testbed replay internal/testbed/replay/days/loss.toml"}
 	command.Flags().StringVar(&deploy, "deploy", "deploy/system.toml", "the deploy file")
 	command.Flags().StringVar(&binaries, "binaries", "target", "the folder of the programs")
 	command.Flags().StringVar(&folder, "folder", "", "folder for settings, logs, disks and the report (default: a new one)")
@@ -66,8 +66,8 @@
 	var from uint64
 	var count, faults int
 	var hard bool
-	command := &cobra.Command{Use: "platform-days", Short: "play drawn days of the users' platform, one after another", Args: cobra.NoArgs,
-		Example: "  rehearsal platform-days --from 1 --count 10\n  rehearsal platform-days --hard --count 3"}
+	command := &cobra.Command{Use: "replay-drawn", Aliases: []string{"platform-days"}, Short: "play drawn days of the users' platform, one after another", Args: cobra.NoArgs,
+		Example: "  testbed replay-drawn --from 1 --count 10\n  testbed replay-drawn --hard --count 3"}
 	command.Flags().StringVar(&deploy, "deploy", "deploy/system.toml", "the deploy file")
 	command.Flags().StringVar(&binaries, "binaries", "target", "the folder of the programs")
 	command.Flags().StringVar(&folder, "folder", "", "folder for the days that failed (default: a new one)")
@@ -119,7 +119,7 @@
 	}
 	verdict, err := playPlatformDay(plan, roles, folder)
 	if err != nil {
-		fmt.Printf("seed %d FAILED (%s): %s\n  replay: rehearsal platform-day %s\n", plan.Seed, plan.Title(), err, filepath.Join(folder, "day.toml"))
+		fmt.Printf("seed %d FAILED (%s): %s\n  replay: testbed replay %s\n", plan.Seed, plan.Title(), err, filepath.Join(folder, "day.toml"))
 		return false
 	}
 	fmt.Printf("seed %d held, served %.3f (%s)\n", plan.Seed, verdict.Figures.Served(), plan.Title())
--- a/cmd/rehearsal/regions.go
+++ b/cmd/testbed/regions.go
@@ -17,7 +17,7 @@
 func regionsCommand() *cobra.Command {
 	layout := simulation.FutureLayout()
 	command := &cobra.Command{Use: "regions", Short: "a large fleet of four regions in virtual time: losses, restarts, regions apart, and what each costs", Args: cobra.NoArgs,
-		Example: "  rehearsal regions\n  rehearsal regions --couriers 100 --expediters 3 --between 60ms"}
+		Example: "  testbed regions\n  testbed regions --couriers 100 --expediters 3 --between 60ms"}
 	set := command.Flags()
 	set.IntVar(&layout.Couriers, "couriers", layout.Couriers, "how many couriers")
 	set.IntVar(&layout.Servers, "servers", layout.Servers, "how many listed servers, each with a duty; none of them works")
--- a/cmd/rehearsal/removals.go
+++ b/cmd/testbed/removals.go
@@ -23,11 +23,11 @@
 // removalsCommand takes each protection away in a copy of the source and wants
 // its test to fail there.
 func removalsCommand() *cobra.Command {
-	command := &cobra.Command{Use: "removals", Short: "take each protection away in a copy of the source and run the test that must then fail", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "mutate", Aliases: []string{"removals"}, Short: "take each protection away in a copy of the source and run the test that must then fail", Args: cobra.NoArgs,
 		Long: "removals copies the source to a scratch folder, takes one protection away, and runs the test that guards it,\n" +
 			"for each protection. It must be run in the source's folder. A test that passes without its protection, and a\n" +
 			"removal that does not apply any more, are failures.",
-		Example: "  rehearsal removals\n  rehearsal removals --match 'claim'"}
+		Example: "  testbed mutate\n  testbed mutate --match 'claim'"}
 	match := command.Flags().String("match", "", "only removals whose name matches this expression")
 	source := command.Flags().String("source", ".", "the folder of the source")
 	command.RunE = func(*cobra.Command, []string) error {
@@ -83,7 +83,7 @@
 		}
 		return removal.Test + " fails", nil
 	}
-	arguments := append([]string{"run", "./cmd/rehearsal", "worlds", "--from", "1", "--count", "600", "--until-broken", removal.Finds}, removal.Flags...)
+	arguments := append([]string{"run", "./cmd/testbed", "simulate", "--from", "1", "--count", "600", "--until-broken", removal.Finds}, removal.Flags...)
 	output, err := runIn(folder, "go", arguments...)
 	found := regexp.MustCompile(`after (\d+) days seed (\d+) FAILED`).FindStringSubmatch(output)
 	if err == nil || found == nil {
--- a/cmd/rehearsal/season.go
+++ b/cmd/testbed/season.go
@@ -36,8 +36,8 @@
 // own faults; a day that fails is named with the command that replays it.
 func seasonCommand() *cobra.Command {
 	chosen := &plan{once: 0.3}
-	command := &cobra.Command{Use: "season", Short: "many seeded days with drawn faults, one after another", Args: cobra.NoArgs,
-		Example: "  rehearsal season --deployment kochloeffel --from 1 --days 20"}
+	command := &cobra.Command{Use: "soak", Aliases: []string{"season"}, Short: "many seeded days with drawn faults, one after another", Args: cobra.NoArgs,
+		Example: "  testbed soak --deployment kochloeffel --from 1 --days 20"}
 	common(command, chosen)
 	from := command.Flags().Uint64("from", 1, "the first seed")
 	days := command.Flags().Int("days", 5, "how many days")
@@ -67,7 +67,7 @@
 				failed++
 			case verdict.Violations() > 0 || verdict.Share < *floor:
 				line += fmt.Sprintf("FAILED, %d violations, complete %.3f\n%s", verdict.Violations(), verdict.Share, verdict)
-				line += fmt.Sprintf("replay: rehearsal run --deployment %s --seed %d --length %s --faults %s --closing %s", chosen.deployment, seed, today.length, today.faults, closing)
+				line += fmt.Sprintf("replay: testbed run --deployment %s --seed %d --length %s --faults %s --closing %s", chosen.deployment, seed, today.length, today.faults, closing)
 				failed++
 			default:
 				line += fmt.Sprintf("held, complete %.3f, median %s", verdict.Share, verdict.Median.Round(time.Millisecond))
--- a/cmd/rehearsal/stage.go
+++ b/cmd/testbed/stage.go
@@ -15,10 +15,10 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// stageCommand runs a node with a faulty disk and a wall clock that jumps, both
+// scriptCommand runs a node with a faulty disk and a wall clock that jumps, both
 // told by a faults file.
-func stageCommand(kind membership.NodeKind) *cobra.Command {
-	command := &cobra.Command{Use: "stage-" + string(kind), Short: "run one " + string(kind) + " with a faulty disk and clock", Args: cobra.NoArgs, Hidden: true}
+func scriptCommand(kind membership.NodeKind) *cobra.Command {
+	command := &cobra.Command{Use: "script-" + fleet.ProgramName(kind), Aliases: []string{"stage-" + string(kind)}, Short: "run one " + fleet.ProgramName(kind) + " with a faulty disk and clock", Args: cobra.NoArgs, Hidden: true}
 	flags := daemon.AddFlags(command, kind)
 	path := command.Flags().String("faults", "", "the faults file")
 	command.RunE = func(*cobra.Command, []string) error {
--- a/cmd/rehearsal/worlds.go
+++ b/cmd/testbed/worlds.go
@@ -17,8 +17,8 @@
 // worldsCommand runs many days in virtual time, or replays one.
 func worldsCommand() *cobra.Command {
 	campaign := &simulation.Campaign{Day: simulation.DefaultDay()}
-	command := &cobra.Command{Use: "worlds", Short: "many seeded days of whole fleets in virtual time, or the replay of one", Args: cobra.NoArgs,
-		Example: "  rehearsal worlds --from 1 --count 5000\n  rehearsal worlds --from 17 --count 1 --trace\n  rehearsal worlds --only 'a disk is lost' --count 200"}
+	command := &cobra.Command{Use: "simulate", Aliases: []string{"worlds"}, Short: "many seeded days of whole fleets in virtual time, or the replay of one", Args: cobra.NoArgs,
+		Example: "  testbed simulate --from 1 --count 5000\n  testbed simulate --from 17 --count 1 --trace\n  testbed simulate --only 'a disk is lost' --count 200"}
 	set := command.Flags()
 	set.StringVar(&campaign.Deployment, "deployment", "", "sahil or kochloeffel (default: each in turn)")
 	set.Uint64Var(&campaign.First, "from", 1, "the first seed")
@@ -81,7 +81,7 @@
 			until := command.Flags().Changed("until-broken")
 			if result.Failed() && (!until || (result.Broke(*untilBroken) && !campaign.Stop.Load())) {
 				campaign.Stop.Store(until)
-				fmt.Printf("after %d days seed %d FAILED, whole at the end: %v, two primaries at once: %d\n%sreplay: rehearsal worlds --from %d --count 1 --trace%s\n", days, seed, result.Whole, result.Twice, result.Verdict, seed, flags(campaign))
+				fmt.Printf("after %d days seed %d FAILED, whole at the end: %v, two primaries at once: %d\n%sreplay: testbed simulate --from %d --count 1 --trace%s\n", days, seed, result.Whole, result.Twice, result.Verdict, seed, flags(campaign))
 			}
 		})
 		report(tally, time.Since(began))
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -180,7 +180,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		command := exec.Command(filepath.Join(binaries, "taster"), append([]string{path, "--json", "--to", fleet.Expediters[1].Node.Address}, arguments...)...)
+		command := exec.Command(filepath.Join(binaries, "configcheck"), append([]string{path, "--json", "--to", fleet.Expediters[1].Node.Address}, arguments...)...)
 		output, _ := command.Output()
 		var said report
 		if err := json.Unmarshal(output, &said); err != nil {
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net/http"
 	"net/url"
-	"path/filepath"
 	"sort"
 	"strings"
 	"sync"
@@ -336,7 +335,7 @@
 // present one, one after another.
 func upgradeBuilds(_ context.Context, day *Day) {
 	for _, node := range day.running("") {
-		present := filepath.Join(day.Fleet.binaries, string(node.Node.Kind))
+		present := Program(day.Fleet.binaries, node.Node.Kind)
 		if node.binary == present {
 			continue
 		}
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -101,7 +101,7 @@
 // AddNode lays out a node and lists it with the platform; it does not start it.
 func (fleet *Fleet) AddNode(kind membership.NodeKind, name, address, district string, seeds []string) *NodeProcess {
 	node := &NodeProcess{Node: membership.Node{Name: name, Kind: kind, Address: address, District: district}, folder: fleet.folder,
-		binary: filepath.Join(fleet.binaries, string(kind)), settings: map[string]any{"name": name, "address": address, "district": district,
+		binary: Program(fleet.binaries, kind), settings: map[string]any{"name": name, "address": address, "district": district,
 			"seeds": seeds, "platform": fleet.Platform.Address()}}
 	for setting, value := range fleet.extra {
 		if setting == "market" && kind != membership.Courier {
@@ -125,7 +125,7 @@
 func (fleet *Fleet) Mix(older string) {
 	for position, node := range fleet.Nodes() {
 		if position%2 == 0 {
-			node.binary = filepath.Join(older, string(node.Node.Kind))
+			node.binary = Program(older, node.Node.Kind)
 		}
 	}
 }
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	build := exec.Command("go", "build", "-race", "-o", folder+string(filepath.Separator), "seamloom.example/seamloom/cmd/courier", "seamloom.example/seamloom/cmd/expediter", "seamloom.example/seamloom/cmd/rehearsal", "seamloom.example/seamloom/cmd/taster")
+	build := exec.Command("go", "build", "-race", "-o", folder+string(filepath.Separator), "seamloom.example/seamloom/cmd/router", "seamloom.example/seamloom/cmd/controller", "seamloom.example/seamloom/cmd/testbed", "seamloom.example/seamloom/cmd/configcheck")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -187,7 +187,7 @@
 	}
 	file := filepath.Join(t.TempDir(), "usage.parquet")
 	run := func(arguments ...string) (int, string) {
-		command := exec.Command(filepath.Join(binaries, "expediter"), append(arguments, "--to", strings.Join(addresses, ","))...)
+		command := exec.Command(filepath.Join(binaries, "controller"), append(arguments, "--to", strings.Join(addresses, ","))...)
 		output, _ := command.CombinedOutput()
 		return command.ProcessState.ExitCode(), string(output)
 	}
@@ -254,7 +254,7 @@
 
 // TestSettingsNameAllMistakesAtOnce starts programs with bad settings.
 func TestSettingsNameAllMistakesAtOnce(t *testing.T) {
-	output, err := exec.Command(filepath.Join(binaries, "courier"), "serve", "--name", "not a name", "--address", "here", "--seeds", "127.0.0.1:1,127.0.0.1:1", "--market", "bazaar").CombinedOutput()
+	output, err := exec.Command(filepath.Join(binaries, "router"), "serve", "--name", "not a name", "--address", "here", "--seeds", "127.0.0.1:1,127.0.0.1:1", "--market", "bazaar").CombinedOutput()
 	exit, ended := err.(*exec.ExitError)
 	if !ended || exit.ExitCode() != 2 {
 		t.Fatalf("bad settings ended with %v", err)
@@ -267,7 +267,7 @@
 	if strings.Contains(string(output), "panic") {
 		t.Errorf("a panic:\n%s", output)
 	}
-	if output, err := exec.Command(filepath.Join(binaries, "expediter"), "--help").CombinedOutput(); err != nil || !strings.Contains(string(output), "evacuate") {
+	if output, err := exec.Command(filepath.Join(binaries, "controller"), "--help").CombinedOutput(); err != nil || !strings.Contains(string(output), "evacuate") {
 		t.Errorf("help: %v\n%s", err, output)
 	}
 }
@@ -302,9 +302,9 @@
 		arguments []string
 		says      string
 	}{
-		"busy address":              {"courier", append([]string{"serve"}, common(busy.Addr().String())...), "address already in use"},
-		"a data folder that is one": {"expediter", append([]string{"serve", "--data-folder", file}, common(addresses[0])...), "not a directory"},
-		"a full disk":               {"rehearsal", append([]string{"stage-expediter", "--data-folder", filepath.Join(folder, "disk"), "--faults", faults}, common(addresses[0])...), "no space left"},
+		"busy address":              {"router", append([]string{"serve"}, common(busy.Addr().String())...), "address already in use"},
+		"a data folder that is one": {"controller", append([]string{"serve", "--data-folder", file}, common(addresses[0])...), "not a directory"},
+		"a full disk":               {"testbed", append([]string{"script-controller", "--data-folder", filepath.Join(folder, "disk"), "--faults", faults}, common(addresses[0])...), "no space left"},
 	} {
 		command := exec.Command(filepath.Join(binaries, want.program), want.arguments...)
 		var output strings.Builder
@@ -371,7 +371,7 @@
 	}, "\n") + "\n"
 	var outputs []string
 	for range 2 {
-		command := exec.Command(filepath.Join(binaries, "courier"), "stream", "--name", "courier-1", "--district", "north")
+		command := exec.Command(filepath.Join(binaries, "router"), "stream", "--name", "courier-1", "--district", "north")
 		command.Stdin = strings.NewReader(events)
 		output, err := command.Output()
 		if err != nil {
--- a/internal/testbed/fleet/nodeprocess.go
+++ b/internal/testbed/fleet/nodeprocess.go
@@ -44,7 +44,7 @@
 	}
 	command := exec.Command(node.binary, "serve", "--settings", settingsPath)
 	if node.staged {
-		command = exec.Command(filepath.Join(filepath.Dir(node.binary), "rehearsal"), "stage-"+string(node.Node.Kind), "--settings", settingsPath, "--faults", node.faultsPath())
+		command = exec.Command(filepath.Join(filepath.Dir(node.binary), "testbed"), "script-"+ProgramName(node.Node.Kind), "--settings", settingsPath, "--faults", node.faultsPath())
 	}
 	command.Stdout, command.Stderr = logFile, logFile
 	// The node ends with the rehearsal, however that ends.
@@ -205,3 +205,26 @@
 	}
 	return -1
 }
+
+// ProgramName is the program that runs nodes of a kind. Kinds keep the names that they
+// have on wires and on disk.
+func ProgramName(kind membership.NodeKind) string {
+	if kind == membership.Expediter {
+		return "controller"
+	}
+	return "router"
+}
+
+// Program is the path of the program for a kind of node in a folder of binaries. Releases
+// before the programs were renamed called each by its kind.
+func Program(folder string, kind membership.NodeKind) string {
+	program := filepath.Join(folder, ProgramName(kind))
+	if _, err := os.Stat(program); err == nil {
+		return program
+	}
+	former := filepath.Join(folder, string(kind))
+	if _, err := os.Stat(former); err == nil {
+		return former
+	}
+	return program
+}
