--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -189,10 +189,10 @@
 func (taster *taster) facts(fleet status) config.Facts {
 	var facts config.Facts
 	for name, member := range fleet.Members {
-		if member.Kind != membership.Courier {
+		if member.Kind != membership.Router {
 			continue
 		}
-		facts.Couriers++
+		facts.Routers++
 		if member.Restricted {
 			facts.Restricted = append(facts.Restricted, name)
 		}
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -35,7 +35,7 @@
 		Long: "serve runs one control-plane daemon. SIGTERM ends it; SIGHUP reads the settings again.",
 		Example: "  controller serve --name controller-1 --address 127.0.0.1:7101 --district north --data-folder /var/lib/seamloom \\\n" +
 			"    --seeds 127.0.0.1:7101,127.0.0.1:7102,127.0.0.1:7103 --platform 127.0.0.1:7000"}
-	flags := daemon.AddFlags(command, membership.Expediter)
+	flags := daemon.AddFlags(command, membership.Controller)
 	command.RunE = func(*cobra.Command, []string) error {
 		signals := daemon.CatchSignals()
 		chosen, mistakes := flags.Read()
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -29,7 +29,7 @@
 	command := &cobra.Command{Use: "serve", Short: "run the daemon", Args: cobra.NoArgs,
 		Example: "  router serve --name router-1 --address 127.0.0.1:7201 --district north \\\n" +
 			"    --seeds 127.0.0.1:7101,127.0.0.1:7102,127.0.0.1:7103 --platform 127.0.0.1:7000"}
-	flags := daemon.AddFlags(command, membership.Courier)
+	flags := daemon.AddFlags(command, membership.Router)
 	command.RunE = func(*cobra.Command, []string) error {
 		signals := daemon.CatchSignals()
 		chosen, mistakes := flags.Read()
--- a/cmd/router/stream.go
+++ b/cmd/router/stream.go
@@ -21,7 +21,7 @@
 		Long: "stream reads one event a line from standard input, applies it to the core, and writes each decision as a line.\n" +
 			"Nothing else happens: no clock is read and nothing is sent. The same events give the same decisions.",
 		Example: "  router stream --name router-1 --district north < events.jsonl > decisions.jsonl"}
-	command.Flags().StringVar(&options.Courier, "name", "courier", "the courier's name")
+	command.Flags().StringVar(&options.Router, "name", "courier", "the courier's name")
 	command.Flags().StringVar(&options.District, "district", "", "the courier's zone")
 	command.Flags().IntVar(&options.MostInquiries, "most-inquiries", seamloom.DefaultMostInquiries, "how many inquiries are let in at once")
 	command.RunE = func(*cobra.Command, []string) error {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -39,13 +39,13 @@
 	linked     bool
 	staged     bool
 	older      string
-	couriers   int
+	routers    int
 	servers    int
 }
 
 func main() {
 	root := &cobra.Command{Use: "testbed", Short: "seamloom's test kit", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(fleetCommand(), runCommand(), seasonCommand(), worldsCommand(), removalsCommand(), eachCommand(), regionsCommand(), compareCommand(), platformDayCommand(), platformDaysCommand(), scriptCommand(membership.Courier), scriptCommand(membership.Expediter))
+	root.AddCommand(fleetCommand(), runCommand(), seasonCommand(), worldsCommand(), removalsCommand(), eachCommand(), regionsCommand(), compareCommand(), platformDayCommand(), platformDaysCommand(), scriptCommand(membership.Router), scriptCommand(membership.Controller))
 	if err := root.Execute(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "rehearsal:", err)
 		var mistaken mistaken
@@ -65,7 +65,7 @@
 	set.StringVar(&chosen.market, "market", "pair", "the couriers' market: pair or least_loaded")
 	set.StringVar(&chosen.older, "older-binaries", "", "a folder with an older build's programs, which every other node runs")
 	set.Uint64Var(&chosen.seed, "seed", 1, "the same seed gives the same inquiries and the same faults")
-	set.IntVar(&chosen.couriers, "couriers", 0, "another number of couriers than the deployment's")
+	set.IntVar(&chosen.routers, "couriers", 0, "another number of couriers than the deployment's")
 	set.IntVar(&chosen.servers, "servers", 0, "another number of model servers than the deployment's")
 	set.Float64Var(&chosen.long, "long", 8, "long-prompt inquiries a second")
 	set.Float64Var(&chosen.short, "short", 10, "short chats a second")
@@ -76,8 +76,8 @@
 	if !found {
 		return nil, failure.New(failure.NoSuch, "no deployment "+chosen.deployment)
 	}
-	if chosen.couriers > 0 {
-		deployment.Couriers = chosen.couriers
+	if chosen.routers > 0 {
+		deployment.Routers = chosen.routers
 	}
 	if chosen.servers > 0 {
 		deployment.Servers = chosen.servers
--- a/cmd/testbed/regions.go
+++ b/cmd/testbed/regions.go
@@ -19,9 +19,9 @@
 	command := &cobra.Command{Use: "regions", Short: "a large fleet of four regions in virtual time: losses, restarts, regions apart, and what each costs", Args: cobra.NoArgs,
 		Example: "  testbed regions\n  testbed regions --couriers 100 --expediters 3 --between 60ms"}
 	set := command.Flags()
-	set.IntVar(&layout.Couriers, "couriers", layout.Couriers, "how many couriers")
+	set.IntVar(&layout.Routers, "couriers", layout.Routers, "how many couriers")
 	set.IntVar(&layout.Servers, "servers", layout.Servers, "how many listed servers, each with a duty; none of them works")
-	set.IntVar(&layout.Expediters, "expediters", layout.Expediters, "how many expediters")
+	set.IntVar(&layout.Controllers, "expediters", layout.Controllers, "how many expediters")
 	set.IntVar(&layout.BorneLosses, "borne-losses", layout.BorneLosses, "how many disks may be lost at once")
 	wait := set.Duration("acknowledge-wait", 0, "how long a change waits for nodes that are not heard from (default: for as long as their holds run)")
 	set.IntVar(&layout.Routes, "routes", layout.Routes, "how many routes the configuration has")
@@ -32,7 +32,7 @@
 	trace := set.Bool("trace", false, "print every step")
 	command.RunE = func(*cobra.Command, []string) error {
 		debug.SetGCPercent(400)
-		if layout.Expediters < 3 || layout.Couriers < 1 {
+		if layout.Controllers < 3 || layout.Routers < 1 {
 			return failure.New(failure.OutOfRange, "a fleet has three expediters at least, and a courier")
 		}
 		fleet := simulation.NewLaidOut(layout, *seed)
@@ -42,7 +42,7 @@
 		}
 		began := time.Now()
 		incidents := fleet.Incidents(*lost, *losses)
-		_, _ = fmt.Fprintf(os.Stderr, "%d couriers, %d expediters, %d servers: took %s\n", layout.Couriers, layout.Expediters, layout.Servers, time.Since(began).Round(time.Second))
+		_, _ = fmt.Fprintf(os.Stderr, "%d couriers, %d expediters, %d servers: took %s\n", layout.Routers, layout.Controllers, layout.Servers, time.Since(began).Round(time.Second))
 		return failure.Wrap(failure.Disk, simulation.WriteIncidents(os.Stdout, incidents))
 	}
 	return command
--- a/cmd/testbed/stage.go
+++ b/cmd/testbed/stage.go
@@ -29,7 +29,7 @@
 		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
 		faults := func() fleet.NodeFaults { return fleet.ReadNodeFaults(*path) }
 		clock := osruntime.NewClockOver(func() time.Time { return time.Now().Add(faults().Jump) })
-		if kind == membership.Courier {
+		if kind == membership.Router {
 			process, err := router.Start(chosen, logger, clock, router.Ports{})
 			if err != nil {
 				return err
--- a/core.go
+++ b/core.go
@@ -42,9 +42,9 @@
 	if options.MostInquiries <= 0 {
 		options.MostInquiries = DefaultMostInquiries
 	}
-	market := auction.NewMarket(options.Courier, options.District, options.LeastLoaded)
+	market := auction.NewMarket(options.Router, options.District, options.LeastLoaded)
 	return &Core{options: options, market: market, desk: auction.NewDesk(market, options.District, options.MostInquiries),
-		calls: scheduler.New(scheduler.Options{Courier: options.Courier, District: options.District, FurtherTries: options.FurtherTries}), pools: scheduler.NewPools(), tickets: map[string]*scheduler.Ticket{},
+		calls: scheduler.New(scheduler.Options{Router: options.Router, District: options.District, FurtherTries: options.FurtherTries}), pools: scheduler.NewPools(), tickets: map[string]*scheduler.Ticket{},
 		balance: auction.NewBalance(options.FixedParts), orders: map[string]Order{}, evacuated: config.Empty(), commanded: map[string]time.Time{}, announced: map[string]uint64{}}
 }
 
@@ -104,9 +104,9 @@
 		return core.desk.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Piece)
 	case auction.OriginLeft:
 		return core.desk.Leave(event.At, event.ID)
-	case auction.CouriersCounted:
-		core.market.SetCouriers(int(event.Number))
-		core.calls.SetCouriers(int(event.Number))
+	case auction.RoutersCounted:
+		core.market.SetRouters(int(event.Number))
+		core.calls.SetRouters(int(event.Number))
 	case auction.DrainStarted:
 		core.desk.Drain()
 		core.calls.Drain()
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -30,9 +30,9 @@
 }
 
 func callCore(now time.Time) *Core {
-	core := New(Options{Courier: "courier-1", District: "north", Supported: Supported(nil)})
+	core := New(Options{Router: "courier-1", District: "north", Supported: Supported(nil)})
 	core.Apply(Event{Kind: auction.FlagsRead, At: now})
-	core.Apply(Event{Kind: auction.CouriersCounted, At: now, Number: 3})
+	core.Apply(Event{Kind: auction.RoutersCounted, At: now, Number: 3})
 	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: callServers(callServerCount)})
 	core.Apply(Event{Kind: auction.MenuReceived, At: now, Epoch: 1, Number: 1, Menu: []byte(callMenu)})
 	return core
--- a/core_test.go
+++ b/core_test.go
@@ -16,7 +16,7 @@
 	random := rand.New(rand.NewPCG(8, 8))
 	cores := []*Core{}
 	for range 2 {
-		cores = append(cores, New(Options{Courier: "courier-1", District: "north", Supported: Supported(nil)}))
+		cores = append(cores, New(Options{Router: "courier-1", District: "north", Supported: Supported(nil)}))
 	}
 	now := time.Unix(3_000_000, 0)
 	servers := []Server{}
@@ -93,7 +93,7 @@
 // TestNewHolderTellsTheServerItsFence wants one command for each new fence, even
 // when the server has the part already, and none without the duty's hold.
 func TestNewHolderTellsTheServerItsFence(t *testing.T) {
-	core := New(Options{Courier: "courier-1", District: "north", Supported: Supported(nil)})
+	core := New(Options{Router: "courier-1", District: "north", Supported: Supported(nil)})
 	now := time.Unix(3_000_000, 0)
 	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: []Server{{Name: "s", Address: "s", District: "north"}}})
 	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "decode"}}})
--- a/examples/embedded/calls.go
+++ b/examples/embedded/calls.go
@@ -11,7 +11,7 @@
 // tellCall drives one opaque call: its prompt is read at one server and its answer
 // made at another, with the body that came.
 func tellCall(target io.Writer) error {
-	core := seamloom.New(seamloom.Options{Courier: "courier-1", District: "north", Supported: seamloom.Supported(nil)})
+	core := seamloom.New(seamloom.Options{Router: "courier-1", District: "north", Supported: seamloom.Supported(nil)})
 	now := time.Date(2026, 1, 2, 18, 0, 0, 0, time.UTC)
 	events := []seamloom.Event{
 		{Kind: "couriers_counted", Number: 1},
--- a/examples/embedded/main.go
+++ b/examples/embedded/main.go
@@ -23,7 +23,7 @@
 
 // tell drives one inquiry from its arrival to its final line.
 func tell(target io.Writer) error {
-	core := seamloom.New(seamloom.Options{Courier: "courier-1", District: "north", Supported: seamloom.Supported(nil)})
+	core := seamloom.New(seamloom.Options{Router: "courier-1", District: "north", Supported: seamloom.Supported(nil)})
 	now := time.Date(2026, 1, 2, 18, 0, 0, 0, time.UTC)
 	events := []seamloom.Event{
 		{Kind: "servers_listed", Servers: []seamloom.Server{
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -23,7 +23,7 @@
 		fuzzing.Add([]byte(event), []byte(`{"event":"ticked","at":"2026-01-01T00:00:01Z"}`))
 	}
 	fuzzing.Fuzz(func(_ *testing.T, first, second []byte) {
-		core := seamloom.New(seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)})
+		core := seamloom.New(seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)})
 		core.Apply(seamloom.Event{Kind: "menu_received", Menu: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), Epoch: 1, Number: 1})
 		for range 2 {
 			for _, text := range [][]byte{first, second} {
--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -18,7 +18,7 @@
 	for _, description := range features.Book() {
 		answer := flagAnswer{Description: description, Enabled: state.Flags.Enabled.Has(description.Name), Lacking: state.Lacking(description.Name)}
 		for _, name := range answer.Lacking {
-			if _, running := live[name]; !running && state.Members[name].Kind == membership.Courier {
+			if _, running := live[name]; !running && state.Members[name].Kind == membership.Router {
 				answer.Stopped = append(answer.Stopped, name)
 			}
 		}
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -32,7 +32,7 @@
 	lifetime        context.Context
 	logger          *log.Logger
 	clock           *osruntime.Clock
-	conduct         *hatch.Expediter
+	conduct         *hatch.Controller
 	operatorsClient *http.Client
 
 	mutex  sync.Mutex
@@ -63,14 +63,14 @@
 	if reached.Directory == nil {
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
-	options := hatch.ExpediterOptions{Name: chosen.Name, Address: chosen.Address, District: chosen.District, Seeds: chosen.Seeds, Supported: chosen.Supported(),
+	options := hatch.ControllerOptions{Name: chosen.Name, Address: chosen.Address, District: chosen.District, Seeds: chosen.Seeds, Supported: chosen.Supported(),
 		FlagSettle: time.Duration(chosen.FlagSettle) * time.Millisecond, BorneLosses: chosen.BorneLosses, CatchUp: chosen.CatchUp, JoinsOnly: !chosen.Bootstrap, Fresh: replication.Identity(uuid.NewString()),
 		RetireAfter: chosen.RetireAfter, AcknowledgeWait: chosen.AcknowledgeWait, Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}}
 	if reached.Reports != nil {
 		options.Reports = ports.Asking{Reports: reached.Reports, Lifetime: process.lifetime}
 	}
 	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime}
-	conduct, blank, err := hatch.OpenExpediter(osruntime.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
+	conduct, blank, err := hatch.OpenController(osruntime.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 }
 
 // Conduct is what the expediter does, for who mounts further ways in.
-func (process *Process) Conduct() *hatch.Expediter { return process.conduct }
+func (process *Process) Conduct() *hatch.Controller { return process.conduct }
 
 // platform is the address of the platform's lists.
 func (process *Process) platform() string {
--- a/internal/adapters/controller/status.go
+++ b/internal/adapters/controller/status.go
@@ -22,7 +22,7 @@
 	members := map[string]memberAnswer{}
 	for name, member := range state.Members {
 		_, running := live[name]
-		if member.Kind == membership.Expediter {
+		if member.Kind == membership.Controller {
 			running = process.conduct.Coordinator().Sees(member.Address)
 		}
 		members[name] = memberAnswer{Member: member, Running: running, Restricted: member.Restricted(state.Flags.Enabled)}
--- a/internal/adapters/daemon/program.go
+++ b/internal/adapters/daemon/program.go
@@ -53,7 +53,7 @@
 		}
 		return pflag.NormalizedName(name)
 	})
-	if kind == membership.Expediter {
+	if kind == membership.Controller {
 		set.BoolVar(&flags.flagged.Bootstrap, "bootstrap", defaults.Bootstrap, "whether a blank disk may form a first core with the other seeds")
 		set.DurationVar(&flags.flagged.AcknowledgeWait, "acknowledge-wait", defaults.AcknowledgeWait, "how long a committed change waits for couriers that are not heard from; 0: until their holds end")
 		set.DurationVar(&flags.flagged.CatchUp, "catch-up", defaults.CatchUp, "how long a machine with a disk counts as lost after its return; the core's waits are derived from it")
--- a/internal/adapters/proxy/circuits_test.go
+++ b/internal/adapters/proxy/circuits_test.go
@@ -23,8 +23,8 @@
 	})
 	var ahead atomic.Int64
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	courier := newCourier(t, scripted)
-	courier.circuits.now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
+	router := newRouter(t, scripted)
+	router.circuits.now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
 	scripted.decide = func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		decision := once(func() membership.Server { return standin.server })(number, outcome)
 		decision.Ends = decision.Ends.Add(time.Hour)
@@ -35,7 +35,7 @@
 		circuits int
 	}{{0, 1}, {time.Second, 1}, {1800 * time.Millisecond, 2}} {
 		ahead.Add(int64(step.later))
-		if got := courier.send(t, "id", ""); got.status != 200 || standin.opened() != step.circuits {
+		if got := router.send(t, "id", ""); got.status != 200 || standin.opened() != step.circuits {
 			t.Fatalf("after %v: %+v, %d circuits", step.later, got, standin.opened())
 		}
 	}
@@ -47,13 +47,13 @@
 		return false
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	courier := newCourier(t, scripted)
+	router := newRouter(t, scripted)
 	for number := range 20 {
-		got := courier.send(t, "id", "body")
+		got := router.send(t, "id", "body")
 		if got.status != 200 && scripted.last().Result != scheduler.Silent {
 			t.Fatalf("%d: %+v %+v", number, got, scripted.last())
 		}
-		until(t, "the circuit is seen closed", func() bool { return !restingGood(courier.circuits) })
+		until(t, "the circuit is seen closed", func() bool { return !restingGood(router.circuits) })
 	}
 	if standin.count() != 20 {
 		t.Fatalf("%d calls for 20", standin.count())
@@ -94,15 +94,15 @@
 				return true
 			})
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			courier := newCourier(t, scripted)
-			if got := courier.send(t, "first", "body"); string(got.body) != "mine" {
+			router := newRouter(t, scripted)
+			if got := router.send(t, "first", "body"); string(got.body) != "mine" {
 				t.Fatalf("%+v", got)
 			}
-			got := courier.send(t, "second", "body")
+			got := router.send(t, "second", "body")
 			if got.status == 200 && string(got.body) != "mine" || got.status != 200 && (extra != "late" || scripted.last().Result != scheduler.Spoilt) {
 				t.Fatalf("%+v %+v", got, scripted.last())
 			}
-			if got := courier.send(t, "third", "body"); string(got.body) != "mine" {
+			if got := router.send(t, "third", "body"); string(got.body) != "mine" {
 				t.Fatalf("%+v", got)
 			}
 		})
@@ -115,17 +115,17 @@
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	courier := newCourier(t, scripted)
-	courier.circuits.SetServers([]membership.Server{standin.server})
-	_ = courier.send(t, "id", "")
+	router := newRouter(t, scripted)
+	router.circuits.SetServers([]membership.Server{standin.server})
+	_ = router.send(t, "id", "")
 	next := standin.server
 	next.Name = "life-2"
-	courier.circuits.SetServers([]membership.Server{next})
-	if restingGood(courier.circuits) {
+	router.circuits.SetServers([]membership.Server{next})
+	if restingGood(router.circuits) {
 		t.Fatal("a circuit to a life that is gone still rests")
 	}
-	_ = courier.send(t, "id", "")
-	if standin.opened() != 2 || restingGood(courier.circuits) {
+	_ = router.send(t, "id", "")
+	if standin.opened() != 2 || restingGood(router.circuits) {
 		t.Fatalf("%d circuits", standin.opened())
 	}
 }
@@ -173,9 +173,9 @@
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	courier := newCourier(t, scripted)
+	router := newRouter(t, scripted)
 	for range 2 {
-		if got := courier.send(t, "id", ""); got.status != 421 || scripted.last().Result != scheduler.Misdirected {
+		if got := router.send(t, "id", ""); got.status != 421 || scripted.last().Result != scheduler.Misdirected {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -219,11 +219,11 @@
 	}()
 	server := membership.Server{Name: "life-1", Address: listener.Addr().String()}
 	scripted := &scripted{decide: once(func() membership.Server { return server })}
-	courier := newCourier(t, scripted)
-	if got := courier.send(t, "long", strings.Repeat("x", 8<<20)); got.status != 503 || scripted.last().Result != scheduler.NotStarted {
+	router := newRouter(t, scripted)
+	if got := router.send(t, "long", strings.Repeat("x", 8<<20)); got.status != 503 || scripted.last().Result != scheduler.NotStarted {
 		t.Fatalf("%+v", got)
 	}
-	if got := courier.send(t, "short", "y"); got.status != 503 {
+	if got := router.send(t, "short", "y"); got.status != 503 {
 		t.Fatalf("%+v", got)
 	}
 	if rest := <-rests; strings.Trim(rest, "x") != "" {
--- a/internal/adapters/proxy/exchange_test.go
+++ b/internal/adapters/proxy/exchange_test.go
@@ -19,9 +19,9 @@
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	courier := newCourier(t, scripted)
+	router := newRouter(t, scripted)
 	body := strings.Repeat("0123456789", 9000)
-	outbound := courier.request(t, http.MethodPost, "/chat//a%2fb/../c?x=%20y&&z", "id-1", body, "X-Kept", "yes", "Connection", "X-Dropped", "X-Dropped", "no",
+	outbound := router.request(t, http.MethodPost, "/chat//a%2fb/../c?x=%20y&&z", "id-1", body, "X-Kept", "yes", "Connection", "X-Dropped", "X-Dropped", "no",
 		"Seamloom-Server", "forged", "Seamloom-Stage", "prefill", "Seamloom-Source", "forged", "Seamloom-Parts", "5c1e07a2:800,91bd3f06:410", "Seamloom-Tokens", "1460,80", "Seamloom-Model", "m")
 	got := send(outbound)
 	if got.failure != nil || got.status != 200 || string(got.body) != "the body" || got.header.Get("X-Seal") != "seal-id-1" || got.header.Get("X-Other") != "7" || got.header.Get("Keep-Alive") != "" {
@@ -46,9 +46,9 @@
 		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	courier := newCourier(t, &scripted{decide: once(func() membership.Server { return standin.server })})
+	router := newRouter(t, &scripted{decide: once(func() membership.Server { return standin.server })})
 	for number, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
-		got := send(courier.request(t, method, "//twice", "id", "", "Idempotency-Key", "key"))
+		got := send(router.request(t, method, "//twice", "id", "", "Idempotency-Key", "key"))
 		if got.status != 200 {
 			t.Fatalf("%s: %+v", method, got)
 		}
@@ -57,7 +57,7 @@
 			t.Fatalf("%s went on as %s %s %v %v", method, inbound.Method, inbound.RequestURI, inbound.TransferEncoding, inbound.Header)
 		}
 	}
-	chunked := courier.request(t, http.MethodPost, "/chunks", "id", "")
+	chunked := router.request(t, http.MethodPost, "/chunks", "id", "")
 	chunked.Body, chunked.ContentLength = http.MaxBytesReader(nil, asBody("in chunks"), 100), -1
 	if got := send(chunked); got.status != 200 {
 		t.Fatalf("%+v", got)
@@ -94,7 +94,7 @@
 		t.Run(name, func(t *testing.T) {
 			standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool { circuit.say(given.answer); return false })
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			got := newCourier(t, scripted).send(t, "id", "body")
+			got := newRouter(t, scripted).send(t, "id", "body")
 			if got.failure != nil || got.status != given.status || scripted.last().Result != given.result {
 				t.Fatalf("%+v, %+v", got, scripted.last())
 			}
@@ -115,7 +115,7 @@
 	standin := newStandin(t, nil)
 	_ = standin.listener.Close()
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	newCourier(t, scripted).send(t, "id", "body")
+	newRouter(t, scripted).send(t, "id", "body")
 	if scripted.last().Result != scheduler.Unreached {
 		t.Fatalf("%+v", scripted.last())
 	}
@@ -132,11 +132,11 @@
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	courier := newCourier(t, scripted)
+	router := newRouter(t, scripted)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	answered := make(chan *http.Response)
 	go func() {
-		inbound, err := client.Do(courier.request(t, http.MethodPost, "/", "id", "body"))
+		inbound, err := client.Do(router.request(t, http.MethodPost, "/", "id", "body"))
 		if err != nil {
 			t.Error(err)
 		}
@@ -185,7 +185,7 @@
 				return false
 			})
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			got := newCourier(t, scripted).send(t, "id", "body")
+			got := newRouter(t, scripted).send(t, "id", "body")
 			if got.failure == nil || string(got.body) != joined(1, 2) || scripted.last().Result != scheduler.Cut {
 				t.Fatalf("%+v, %+v", got, scripted.last())
 			}
@@ -215,7 +215,7 @@
 		}
 		return lastWord(outcome)
 	}}
-	got := newCourier(t, scripted).send(t, "id", "body")
+	got := newRouter(t, scripted).send(t, "id", "body")
 	if got.failure != nil || string(got.body) != joined(1, 2, 3, 4) || got.header.Get("X-Seal") != "seal-id" {
 		t.Fatalf("%+v", got)
 	}
@@ -249,7 +249,7 @@
 		}
 		return scheduler.Decision{Kind: scheduler.Done, Free: []scheduler.Source{{Address: reader.server.Address, Handle: "left over"}}}
 	}}
-	got := newCourier(t, scripted).send(t, "id", "body")
+	got := newRouter(t, scripted).send(t, "id", "body")
 	if got.status != 200 || string(got.body) != "answer" {
 		t.Fatalf("%+v", got)
 	}
@@ -276,12 +276,12 @@
 				return false
 			})
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			courier := newCourier(t, scripted)
+			router := newRouter(t, scripted)
 			go func() {
 				<-begun
-				courier.CloseClientConnections()
+				router.CloseClientConnections()
 			}()
-			_ = courier.send(t, "id", "body")
+			_ = router.send(t, "id", "body")
 			<-ended
 			until(t, "the call ends", func() bool { return scripted.active.Load() == 0 && scripted.last().Result != "" })
 			if scripted.last().Result != scheduler.Gone {
@@ -305,7 +305,7 @@
 				decision.Kind, decision.Server = scheduler.Run, standin.server
 				return decision
 			}}
-			got := newCourier(t, scripted).send(t, "id", "body")
+			got := newRouter(t, scripted).send(t, "id", "body")
 			if got.status != 503 || scripted.last().Result != scheduler.Silent && scripted.last().Result != scheduler.Unreached {
 				t.Fatalf("%+v %+v", got, scripted.last())
 			}
@@ -324,8 +324,8 @@
 				return false
 			})
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			courier := newCourier(t, scripted)
-			origin, err := net.Dial("tcp", courier.Listener.Addr().String())
+			router := newRouter(t, scripted)
+			origin, err := net.Dial("tcp", router.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -369,7 +369,7 @@
 		}
 		return lastWord(outcome)
 	}}
-	got := newCourier(t, scripted).send(t, "id", "body")
+	got := newRouter(t, scripted).send(t, "id", "body")
 	if got.failure != nil || string(got.body) != joined(1, 2) {
 		t.Fatalf("%+v", got)
 	}
@@ -396,8 +396,8 @@
 		}
 		return lastWord(outcome)
 	}}
-	courier := newCourier(t, scripted)
-	origin, err := net.Dial("tcp", courier.Listener.Addr().String())
+	router := newRouter(t, scripted)
+	origin, err := net.Dial("tcp", router.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -164,10 +164,10 @@
 	lifetime, cancel := context.WithCancel(t.Context())
 	turns := osruntime.New(lifetime, osruntime.NewClock())
 	circuits := NewCircuits(nil)
-	deciding := scheduler.New(scheduler.Options{Courier: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
+	deciding := scheduler.New(scheduler.Options{Router: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
 	conduct := hatch.NewCalls(turns, deciding, circuits.SetServers)
 	conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
-	conduct.SetCouriers(1)
+	conduct.SetRouters(1)
 	conduct.SetServers(turns.Now(), servers)
 	intake, err := NewIntake(lifetime, DefaultWords(), circuits, conduct, turns.Now)
 	if err != nil {
@@ -273,9 +273,9 @@
 	owner := &tomb.Tomb{}
 	turns := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
 	circuits := NewCircuits(nil)
-	conduct := hatch.NewCalls(turns, scheduler.New(scheduler.Options{Courier: "courier-1", District: "north"}), circuits.SetServers)
+	conduct := hatch.NewCalls(turns, scheduler.New(scheduler.Options{Router: "courier-1", District: "north"}), circuits.SetServers)
 	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
-	conduct.SetCouriers(1)
+	conduct.SetRouters(1)
 	conduct.SetServers(turns.Now(), []membership.Server{standin.server})
 	intake, err := NewIntake(owner.Context(context.Background()), DefaultWords(), circuits, conduct, turns.Now)
 	if err != nil {
--- a/internal/adapters/proxy/gate_test.go
+++ b/internal/adapters/proxy/gate_test.go
@@ -148,17 +148,17 @@
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server }), limits: config.Limits{HeaderBytes: 1000, BodyBytes: 100}}
-	courier := newCourier(t, scripted)
+	router := newRouter(t, scripted)
 	for status, outbound := range map[int]*http.Request{
-		200: courier.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 100)),
-		413: courier.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 101)),
-		431: courier.request(t, http.MethodPost, "/", "id", "", "X-Long", strings.Repeat("x", 1000)),
+		200: router.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 100)),
+		413: router.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 101)),
+		431: router.request(t, http.MethodPost, "/", "id", "", "X-Long", strings.Repeat("x", 1000)),
 	} {
 		if got := send(outbound); got.status != status {
 			t.Fatalf("%+v, not %d", got, status)
 		}
 	}
-	chunked := courier.request(t, http.MethodPost, "/", "id", "")
+	chunked := router.request(t, http.MethodPost, "/", "id", "")
 	chunked.Body, chunked.ContentLength = asBody(strings.Repeat("x", 101)), -1
 	if got := send(chunked); got.status != 413 {
 		t.Fatalf("%+v", got)
--- a/internal/adapters/proxy/meter_test.go
+++ b/internal/adapters/proxy/meter_test.go
@@ -26,12 +26,12 @@
 		}
 		return true
 	})
-	courier := newCourier(t, &scripted{decide: once(func() membership.Server { return standin.server })})
+	router := newRouter(t, &scripted{decide: once(func() membership.Server { return standin.server })})
 	for range 4 {
-		_ = courier.send(t, "id", "")
+		_ = router.send(t, "id", "")
 	}
 	var text bytes.Buffer
-	courier.intake.WriteMetrics(&text)
+	router.intake.WriteMetrics(&text)
 	for _, line := range []string{`seamloom_calls_total{ending="served"} 1`, `seamloom_calls_total{ending="through"} 1`, `seamloom_calls_total{ending="cut"} 1`, `seamloom_calls_total{ending="broken"} 1`,
 		`seamloom_call_dispatches_total{kind="run",result="complete"} 1`, `seamloom_call_dispatches_total{kind="run",result="not_started"} 1`,
 		`seamloom_call_dispatches_total{kind="run",result="cut"} 1`, `seamloom_call_dispatches_total{kind="run",result="silent"} 1`,
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -251,14 +251,14 @@
 	return scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.Broken}
 }
 
-type courier struct {
+type router struct {
 	*httptest.Server
 	intake   *Intake
 	circuits *Circuits
 	scripted *scripted
 }
 
-func newCourier(t *testing.T, scripted *scripted) *courier {
+func newRouter(t *testing.T, scripted *scripted) *router {
 	t.Helper()
 	circuits := NewCircuits(nil)
 	lifetime, cancel := context.WithCancel(context.Background())
@@ -269,10 +269,10 @@
 	server := httptest.NewServer(intake)
 	server.Config.ErrorLog = nil
 	t.Cleanup(func() { cancel(); server.Close(); circuits.SetServers(nil) })
-	return &courier{Server: server, intake: intake, circuits: circuits, scripted: scripted}
+	return &router{Server: server, intake: intake, circuits: circuits, scripted: scripted}
 }
 
-func (courier *courier) request(t *testing.T, method, path, id, body string, headers ...string) *http.Request {
+func (courier *router) request(t *testing.T, method, path, id, body string, headers ...string) *http.Request {
 	t.Helper()
 	outbound, err := http.NewRequest(method, courier.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -306,7 +306,7 @@
 	return reply{status: inbound.StatusCode, header: inbound.Header, body: body, failure: err}
 }
 
-func (courier *courier) send(t *testing.T, id, body string, headers ...string) reply {
+func (courier *router) send(t *testing.T, id, body string, headers ...string) reply {
 	t.Helper()
 	return send(courier.request(t, http.MethodPost, "/chat/x", id, body, headers...))
 }
--- a/internal/adapters/router/calls_test.go
+++ b/internal/adapters/router/calls_test.go
@@ -38,8 +38,8 @@
 	return inbound
 }
 
-func TestACourierServesCallsAndSaysWhenItIsReady(t *testing.T) {
-	chosen := settings.Defaults(membership.Courier)
+func TestARouterServesCallsAndSaysWhenItIsReady(t *testing.T) {
+	chosen := settings.Defaults(membership.Router)
 	chosen.Name, chosen.District, chosen.Address = "courier-1", "north", freeAddress(t)
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), freeAddress(t)
 	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
@@ -86,7 +86,7 @@
 		_, _ = io.WriteString(writer, "done")
 	}))
 	defer server.Close()
-	chosen := settings.Defaults(membership.Courier)
+	chosen := settings.Defaults(membership.Router)
 	chosen.Name, chosen.District, chosen.Address = "courier-1", "north", freeAddress(t)
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), freeAddress(t)
 	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = taken.Close() }()
-	chosen := settings.Defaults(membership.Courier)
+	chosen := settings.Defaults(membership.Router)
 	chosen.Name, chosen.District, chosen.Address = "courier-1", "north", freeAddress(t)
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), taken.Addr().String()
 	if _, err := Start(chosen, daemon.Logger(io.Discard, "error", "courier-1"), osruntime.NewClock(), Ports{}); err == nil {
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -35,7 +35,7 @@
 	lifetime  context.Context
 	logger    *log.Logger
 	clock     *osruntime.Clock
-	conduct   *hatch.Courier
+	conduct   *hatch.Router
 	supported features.List
 	ledger    *usage.Ledger
 	calls     counterCalls
@@ -72,14 +72,14 @@
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
 	kitchen := modelserver.New(process.lifetime, turns, rpc.Transport(chosen.Detours))
-	options := hatch.CourierOptions{Options: seamloom.Options{Courier: chosen.Name, District: chosen.District, MostInquiries: chosen.MostInquiries,
+	options := hatch.RouterOptions{Options: seamloom.Options{Router: chosen.Name, District: chosen.District, MostInquiries: chosen.MostInquiries,
 		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", FurtherTries: reached.FurtherTries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.noteEnd,
 		Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}, Board: process.prepareCalls(turns),
 		ServeWithoutHold: chosen.ServeWithoutHold, ApplyWithin: chosen.ApplyWithin}
 	if !reached.CallsOnly {
 		options.Pressures = kitchen
 	}
-	process.conduct = hatch.NewCourier(turns, rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime},
+	process.conduct = hatch.NewRouter(turns, rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime},
 		commanding(kitchen, reached.Orders),
 		&passing{client: rpc.NewClient(rpc.Transport(chosen.Detours)), lifetime: process.lifetime}, options, process.observe)
 	if err := process.takeCalls(turns, reached); err != nil {
@@ -101,7 +101,7 @@
 func (process *Process) observe(event string, detail ...any) { process.logger.Info(event, detail...) }
 
 // Conduct is what the courier does, for who mounts further ways in.
-func (process *Process) Conduct() *hatch.Courier { return process.conduct }
+func (process *Process) Conduct() *hatch.Router { return process.conduct }
 
 // Answer listens on a further address for as long as the process lives.
 func (process *Process) Answer(address string, handler http.Handler) error {
@@ -117,7 +117,7 @@
 
 // noteEnd counts an inquiry's use.
 func (process *Process) noteEnd(inquiry *auction.Inquiry, decision auction.Decision) {
-	process.ledger.Note(process.clock.Wall(), usage.Row{Courier: process.chosen.Name, Service: inquiry.Service, Origin: inquiry.Origin,
+	process.ledger.Note(process.clock.Wall(), usage.Row{Router: process.chosen.Name, Service: inquiry.Service, Origin: inquiry.Origin,
 		Final: string(decision.Final), PromptTokens: int64(inquiry.PromptTokens), Pieces: int64(decision.Pieces)})
 }
 
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -224,13 +224,13 @@
 	default:
 		wrong(failure.OutOfRange, "log_level", "is debug, info, warn or error, not \""+settings.LogLevel+"\"")
 	}
-	if settings.Kind == membership.Expediter && settings.DataFolder == "" {
+	if settings.Kind == membership.Controller && settings.DataFolder == "" {
 		wrong(failure.Missing, "data_folder", "an expediter keeps files")
 	}
-	if settings.Kind != membership.Expediter && settings.DataFolder != "" {
+	if settings.Kind != membership.Controller && settings.DataFolder != "" {
 		wrong(failure.Contradictory, "data_folder", "a "+string(settings.Kind)+" keeps no files")
 	}
-	if settings.Kind == membership.Courier {
+	if settings.Kind == membership.Router {
 		if settings.Market != "pair" && settings.Market != "least_loaded" {
 			wrong(failure.OutOfRange, "market", "is pair or least_loaded, not \""+settings.Market+"\"")
 		}
@@ -267,7 +267,7 @@
 	for _, further := range []struct {
 		path, address string
 		kind          membership.NodeKind
-	}{{"calls_address", settings.CallsAddress, membership.Courier}, {"ready_address", settings.ReadyAddress, membership.Courier}, {"control_address", settings.ControlAddress, membership.Expediter}} {
+	}{{"calls_address", settings.CallsAddress, membership.Router}, {"ready_address", settings.ReadyAddress, membership.Router}, {"control_address", settings.ControlAddress, membership.Controller}} {
 		if further.address == "" {
 			continue
 		}
@@ -276,7 +276,7 @@
 			wrong(failure.Contradictory, further.path, "is the same as "+other)
 		}
 		taken[further.address] = further.path
-		if settings.Kind != further.kind && !(settings.Kind == membership.Signpost && further.kind == membership.Expediter) {
+		if settings.Kind != further.kind && !(settings.Kind == membership.Signpost && further.kind == membership.Controller) {
 			wrong(failure.Contradictory, further.path, "is for the kind "+string(further.kind))
 		}
 	}
--- a/internal/adapters/settings/settings_test.go
+++ b/internal/adapters/settings/settings_test.go
@@ -15,7 +15,7 @@
 	chosen := Defaults(kind)
 	chosen.Name, chosen.Address, chosen.District, chosen.Platform = "node-1", "127.0.0.1:7101", "north", "127.0.0.1:7000"
 	chosen.Seeds = []string{"127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"}
-	if kind == membership.Expediter {
+	if kind == membership.Controller {
 		chosen.DataFolder = "folder"
 	}
 	return chosen
@@ -24,7 +24,7 @@
 // TestDefaultsKeepTheStrictConduct wants settings that say nothing of holds to
 // mean that holds are waited for, and that nothing is let in without one.
 func TestDefaultsKeepTheStrictConduct(t *testing.T) {
-	for _, kind := range []membership.NodeKind{membership.Courier, membership.Expediter} {
+	for _, kind := range []membership.NodeKind{membership.Router, membership.Controller} {
 		chosen := sound(kind)
 		if err := chosen.Check(); err != nil {
 			t.Errorf("%s: %v", kind, err)
@@ -43,7 +43,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		chosen := sound(membership.Courier)
+		chosen := sound(membership.Router)
 		err := chosen.ReadFile(path)
 		return chosen, err
 	}
@@ -74,13 +74,13 @@
 		"control_address":    func(chosen *Settings) { chosen.ControlAddress = "127.0.0.1:9" },
 		"seeds":              func(chosen *Settings) { chosen.Bootstrap, chosen.Seeds = false, nil },
 	} {
-		chosen := sound(membership.Courier)
+		chosen := sound(membership.Router)
 		mistake(&chosen)
 		if err := chosen.Check(); err == nil || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", path, err)
 		}
 	}
-	joining := sound(membership.Expediter)
+	joining := sound(membership.Controller)
 	joining.Bootstrap, joining.Seeds = false, joining.Seeds[:1]
 	if err := joining.Check(); err != nil {
 		t.Errorf("one seed is enough to join: %v", err)
@@ -93,7 +93,7 @@
 
 // TestReloadTakesLengthsAndLeavesAddresses changes fields while the process runs.
 func TestReloadTakesLengthsAndLeavesAddresses(t *testing.T) {
-	chosen := sound(membership.Courier)
+	chosen := sound(membership.Router)
 	next := chosen
 	next.AcknowledgeWait, next.ServeWithoutHold, next.Grace, next.CallsAddress = time.Second, time.Minute, 8*time.Second, "127.0.0.1:9"
 	stays := chosen.Reload(next)
--- a/internal/adapters/usage/row.go
+++ b/internal/adapters/usage/row.go
@@ -5,7 +5,7 @@
 // by how the replies ended. Its tags are the schema of both formats.
 type Row struct {
 	Minute       string `json:"minute" parquet:"minute"`
-	Courier      string `json:"courier" parquet:"courier,dict"`
+	Router       string `json:"courier" parquet:"courier,dict"`
 	Service      string `json:"service" parquet:"service,dict"`
 	Origin       string `json:"origin" parquet:"origin,dict"`
 	Final        string `json:"final" parquet:"final,dict"`
--- a/internal/auction/desk_test.go
+++ b/internal/auction/desk_test.go
@@ -186,18 +186,18 @@
 	}
 }
 
-// TestCouriersShareAColdServersRoom: what seven couriers may send to a cold
+// TestRoutersShareAColdServersRoom: what seven couriers may send to a cold
 // server between two reports stays within its room.
-func TestCouriersShareAColdServersRoom(t *testing.T) {
+func TestRoutersShareAColdServersRoom(t *testing.T) {
 	sent := 0
-	for courier := range 7 {
+	for router := range 7 {
 		desk := newTestDesk(t)
-		desk.market.SetCouriers(7)
+		desk.market.SetRouters(7)
 		desk.market.List([]membership.Server{{Name: "p1", Address: "p1", District: "north"}, {Name: "d1", Address: "d1", District: "north"}})
 		desk.market.Report(noon, Load{Server: "p1", Part: Prefill, Age: time.Second, PrefillRate: 20_000, PrefillRoom: 12, LinkRate: 400_000})
 		desk.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, PieceTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
 		for number := range 10 {
-			if find(arrive(desk, noon, fmt.Sprint(courier, "/", number), true), DispatchPrefill) != nil {
+			if find(arrive(desk, noon, fmt.Sprint(router, "/", number), true), DispatchPrefill) != nil {
 				sent++
 			}
 		}
--- a/internal/auction/eventkind.go
+++ b/internal/auction/eventkind.go
@@ -21,7 +21,7 @@
 	DecodeEnded     EventKind = "decode_ended"
 	OriginLeft      EventKind = "origin_left"
 	DrainStarted    EventKind = "drain_started"
-	CouriersCounted EventKind = "couriers_counted"
+	RoutersCounted  EventKind = "couriers_counted"
 	// LoadsReported, CallArrived and CallEnded are about opaque calls.
 	LoadsReported EventKind = "loads_reported"
 	CallArrived   EventKind = "call_arrived"
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -16,10 +16,10 @@
 type Market struct {
 	mutex    sync.Mutex
 	board    atomic.Pointer[board]
-	courier  string
+	router   string
 	district string
 	plain    bool
-	couriers atomic.Int64
+	routers  atomic.Int64
 }
 
 type board struct {
@@ -30,24 +30,24 @@
 
 // NewMarket makes a courier's market. A plain one picks the least loaded
 // servers one by one, for comparison.
-func NewMarket(courier, district string, plain bool) *Market {
-	market := &Market{courier: courier, district: district, plain: plain}
+func NewMarket(router, district string, plain bool) *Market {
+	market := &Market{router: router, district: district, plain: plain}
 	market.board.Store(&board{byName: map[string]*Stall{}})
 	return market
 }
 
-// SetCouriers tells how many couriers share the servers.
-func (market *Market) SetCouriers(count int) { market.couriers.Store(int64(count)) }
+// SetRouters tells how many couriers share the servers.
+func (market *Market) SetRouters(count int) { market.routers.Store(int64(count)) }
 
 // share is how much of the room left this courier may fill before it sees the
 // next report: twice its own part, since not all others come at once; of a cold
 // server only its own part; but one at least.
 func (market *Market) share(left, warmth float64) int64 {
-	couriers := max(1, market.couriers.Load())
-	if couriers == 1 {
+	routers := max(1, market.routers.Load())
+	if routers == 1 {
 		return int64(left)
 	}
-	return max(1, int64(left*(1+warmth*warmth)/float64(couriers)))
+	return max(1, int64(left*(1+warmth*warmth)/float64(routers)))
 }
 
 // List takes the platform's server list.
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -17,7 +17,7 @@
 		servers = append(servers, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprint(number), District: []string{"north", "south", "east"}[number%3]})
 	}
 	market.List(servers)
-	market.SetCouriers(7)
+	market.SetRouters(7)
 	reportAll(market, count, noon)
 	return market
 }
--- a/internal/auction/offer_test.go
+++ b/internal/auction/offer_test.go
@@ -46,7 +46,7 @@
 	chosen, none := 0, 0
 	for day := range 400 {
 		market := NewMarket("courier-1", "north", day%5 == 4)
-		market.SetCouriers(1 + random.IntN(9))
+		market.SetRouters(1 + random.IntN(9))
 		var servers []membership.Server
 		for number := range 1 + random.IntN(60) {
 			servers = append(servers, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprint(number), District: []string{"north", "south", "east"}[random.IntN(3)], Leaving: random.IntN(15) == 0})
--- a/internal/codec/entry.go
+++ b/internal/codec/entry.go
@@ -6,7 +6,7 @@
 // may not be repeated (a recover record).
 type Entry struct {
 	Inquiry string    `msgpack:"inquiry" json:"inquiry"`
-	Courier string    `msgpack:"courier" json:"courier"`
+	Router  string    `msgpack:"courier" json:"courier"`
 	Run     int       `msgpack:"run" json:"run"`
 	At      time.Time `msgpack:"at" json:"at"`
 	Cause   string    `msgpack:"cause,omitempty" json:"cause,omitempty"`
@@ -14,7 +14,7 @@
 
 // WriteEntry makes a retry or recover record.
 func WriteEntry(kind RecordKind, entry Entry) (Record, error) {
-	record := NewRecord(kind, entry.Inquiry, entry.Courier, uint64(entry.Run))
+	record := NewRecord(kind, entry.Inquiry, entry.Router, uint64(entry.Run))
 	return record, record.Put("entry", entry)
 }
 
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -8,7 +8,7 @@
 	// do not run, and Couriers all that are recorded.
 	Restricted []string
 	Stopped    []string
-	Couriers   int
+	Routers    int
 	// Blocked are the flags that wait for members.
 	Blocked []string
 }
--- a/internal/config/taste.go
+++ b/internal/config/taste.go
@@ -18,7 +18,7 @@
 	NeverReached    failure.Kind = "never_reached"
 	NoRouteTo       failure.Kind = "no_route_to_service"
 	MixedFormats    failure.Kind = "mixed_formats"
-	FewCouriers     failure.Kind = "few_couriers"
+	FewRouters      failure.Kind = "few_couriers"
 	Shrinks         failure.Kind = "service_disappears"
 )
 
@@ -168,7 +168,7 @@
 	if blocked := tasting.facts.Blocked; len(blocked) > 0 {
 		tasting.warn(MixedFormats, "/", "an upgrade is under way; flags that wait: "+strings.Join(blocked, ", "))
 	}
-	if stopped := len(tasting.facts.Stopped); stopped > 0 && stopped*2 >= tasting.facts.Couriers {
-		tasting.warn(FewCouriers, "/", "half of the couriers or more do not run: "+strings.Join(tasting.facts.Stopped, ", "))
+	if stopped := len(tasting.facts.Stopped); stopped > 0 && stopped*2 >= tasting.facts.Routers {
+		tasting.warn(FewRouters, "/", "half of the couriers or more do not run: "+strings.Join(tasting.facts.Stopped, ", "))
 	}
 }
--- a/internal/config/taste_test.go
+++ b/internal/config/taste_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestTasteWarnsOfWhatTheFleetWouldTake(t *testing.T) {
-	facts := Facts{Couriers: 3, Stopped: []string{"courier-1", "courier-2"}, Restricted: []string{"courier-3"}, Blocked: []string{"pair_price"}, Servers: []ServerFacts{
+	facts := Facts{Routers: 3, Stopped: []string{"courier-1", "courier-2"}, Restricted: []string{"courier-3"}, Blocked: []string{"pair_price"}, Servers: []ServerFacts{
 		{Name: "a", District: "north", Reported: true, Part: "prefill", Slots: 10},
 		{Name: "b", District: "south", Reported: true, Part: "decode", Slots: 10, Active: 9}}}
 	current, err := Check([]byte(`{"services":{"old":{}}}`))
@@ -32,7 +32,7 @@
 			t.Errorf("no %s in %v", want, found)
 		}
 	}
-	if remarks := Taste([]byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), nil, Facts{Couriers: 3, Servers: facts.Servers}); len(remarks) != 0 {
+	if remarks := Taste([]byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), nil, Facts{Routers: 3, Servers: facts.Servers}); len(remarks) != 0 {
 		t.Errorf("a good configuration: %v", remarks)
 	}
 	if remarks := Taste([]byte(`{"x":1}`), nil, facts); len(remarks) != 1 || remarks[0].Level != ErrorLevel || remarks[0].Kind != failure.UnknownField {
--- a/internal/hatch/calls.go
+++ b/internal/hatch/calls.go
@@ -67,8 +67,8 @@
 	calls.window.SetLoads(now, loads)
 }
 
-// SetCouriers tells how many couriers share the servers.
-func (calls *Calls) SetCouriers(count int) { calls.window.SetCouriers(count) }
+// SetRouters tells how many couriers share the servers.
+func (calls *Calls) SetRouters(count int) { calls.window.SetRouters(count) }
 
 // Ready tells whether calls are welcome: a configuration is in force, servers are
 // known, and the courier is not leaving.
--- a/internal/hatch/calls_test.go
+++ b/internal/hatch/calls_test.go
@@ -56,7 +56,7 @@
 func newCalls(t *testing.T, parts ...string) (*Calls, *osruntime.Runtime) {
 	t.Helper()
 	turns := osruntime.New(t.Context(), osruntime.NewClock())
-	calls := NewCalls(turns, scheduler.New(scheduler.Options{Courier: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
+	calls := NewCalls(turns, scheduler.New(scheduler.Options{Router: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Circuits: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
 		LinkBits: 5e11, TokensAPiece: 5, HandleLife: 5 * time.Second, Models: []string{"m"}}}}
@@ -71,7 +71,7 @@
 		name := "stove-" + string(rune('a'+len(servers)))
 		servers = append(servers, membership.Server{Name: name, Address: name + ":1", District: "north", Service: "desk", Part: part, Slots: 64, Models: []string{"m"}})
 	}
-	calls.SetCouriers(1)
+	calls.SetRouters(1)
 	calls.SetServers(turns.Now(), servers)
 	return calls, turns
 }
--- a/internal/hatch/copynews.go
+++ b/internal/hatch/copynews.go
@@ -18,9 +18,9 @@
 var provisionalDrawers = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
 // copyNews tells of the own copy, with its drawers if their version is the wanted one.
-func (expediter *Expediter) copyNews(wanted replication.Version) *CopyNews {
-	copied := expediter.store.Copy()
-	news := &CopyNews{Identity: expediter.witness.Replica().Identity, Damaged: copied.Damage() != ""}
+func (controller *Controller) copyNews(wanted replication.Version) *CopyNews {
+	copied := controller.store.Copy()
+	news := &CopyNews{Identity: controller.witness.Replica().Identity, Damaged: copied.Damage() != ""}
 	sections := copied.Drawers()
 	news.Menu = sections[replication.ConfigurationSection].Version
 	if news.Damaged || wanted == (replication.Version{}) || news.Menu != wanted {
@@ -37,14 +37,14 @@
 
 // elsewhere is the answer of an expediter that is not primary. The charter is read
 // before the copy: a copy that the charter names is then no older than its grant.
-func (expediter *Expediter) elsewhere(question NewsQuestion) NewsAnswer {
-	answer := NewsAnswer{Charter: expediter.coordinator.Charter()}
+func (controller *Controller) elsewhere(question NewsQuestion) NewsAnswer {
+	answer := NewsAnswer{Charter: controller.coordinator.Charter()}
 	if !question.Provisional {
 		return answer
 	}
 	if question.Lists {
-		answer.Servers = expediter.provisionalServers(question.Wanted != (replication.Version{}))
+		answer.Servers = controller.provisionalServers(question.Wanted != (replication.Version{}))
 	}
-	answer.Copy = expediter.copyNews(question.Wanted)
+	answer.Copy = controller.copyNews(question.Wanted)
 	return answer
 }
--- a/internal/hatch/countkeepers.go
+++ b/internal/hatch/countkeepers.go
@@ -51,7 +51,7 @@
 func (keepers *CountKeepers) SetNodes(members map[string]membership.Member) {
 	nodes := map[string]membership.Member{}
 	for name, member := range members {
-		if member.Kind == membership.Courier {
+		if member.Kind == membership.Router {
 			nodes[name] = member
 		}
 	}
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -15,14 +15,14 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Courier is the data plane's conduct at one node: it follows the primary, has
+// Router is the data plane's conduct at one node: it follows the primary, has
 // inquiries decided by the core, and carries the decisions out.
-type Courier struct {
+type Router struct {
 	turns   runtime.Runtime
 	line    Hotline
 	stove   Stove
 	passing Passing
-	options CourierOptions
+	options RouterOptions
 	observe func(event string, detail ...any)
 	core    *seamloom.Core
 	board   Board
@@ -31,7 +31,7 @@
 	stirred runtime.Cond
 	resting atomic.Int64
 	// couriers is how many share the servers.
-	couriers    atomic.Int64
+	routers     atomic.Int64
 	crumbs      runtime.Cond
 	followed    *Follower
 	journal     *Journal
@@ -53,7 +53,7 @@
 
 // The pauses of a courier's rounds. The values are ours.
 const (
-	courierTick = 20 * time.Millisecond
+	routerTick = 20 * time.Millisecond
 	// dutyTick is the tick of a courier that has duties and no inquiries, and
 	// restTick of one that has neither.
 	dutyTick    = 200 * time.Millisecond
@@ -70,272 +70,272 @@
 	actPatience = time.Second
 )
 
-// NewCourier makes the conduct of one courier.
-func NewCourier(turns runtime.Runtime, line Hotline, stove Stove, passing Passing, options CourierOptions, observe func(string, ...any)) *Courier {
-	courier := &Courier{turns: turns, line: line, stove: stove, passing: passing, options: options, observe: observe,
+// NewRouter makes the conduct of one courier.
+func NewRouter(turns runtime.Runtime, line Hotline, stove Stove, passing Passing, options RouterOptions, observe func(string, ...any)) *Router {
+	router := &Router{turns: turns, line: line, stove: stove, passing: passing, options: options, observe: observe,
 		core: seamloom.New(options.Options), stirred: turns.NewCond(), crumbs: turns.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
-	member := membership.Member{Name: options.Courier, Kind: membership.Courier, Address: options.Address, District: options.District, Supported: options.Supported}
-	courier.followed = NewFollower(turns, line, member, options.Seeds, courier.InForce, courier.takeNews)
+	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, District: options.District, Supported: options.Supported}
+	router.followed = NewFollower(turns, line, member, options.Seeds, router.InForce, router.takeNews)
 	if options.Board != nil {
-		courier.board = options.Board(courier.core.Calls())
-		courier.keepers = NewCountKeepers(turns, line, courier.core.Calls(), options.Courier, courier.incarnation)
-		courier.core.Calls().SetAsks(true)
-		courier.followed.TellFailing(courier.core.Calls().TakeFailing)
-		courier.board.SetKeepers(courier.keepers)
-	}
-	courier.followed.Follow(options.Directory != nil, courier.board != nil)
-	courier.followed.SetApplyWithin(options.ApplyWithin)
-	courier.SetServeWithoutHold(options.ServeWithoutHold)
-	courier.answers = courier.table()
-	return courier
+		router.board = options.Board(router.core.Calls())
+		router.keepers = NewCountKeepers(turns, line, router.core.Calls(), options.Router, router.incarnation)
+		router.core.Calls().SetAsks(true)
+		router.followed.TellFailing(router.core.Calls().TakeFailing)
+		router.board.SetKeepers(router.keepers)
+	}
+	router.followed.Follow(options.Directory != nil, router.board != nil)
+	router.followed.SetApplyWithin(options.ApplyWithin)
+	router.SetServeWithoutHold(options.ServeWithoutHold)
+	router.answers = router.table()
+	return router
 }
 
 // Rounds are what a courier does over and over, each in a thread of its own.
-func (courier *Courier) Rounds() []func() {
+func (router *Router) Rounds() []func() {
 	rounds := []func(){
-		courier.tick,
-		courier.leaveCrumbs,
-		courier.followed.Run,
+		router.tick,
+		router.leaveCrumbs,
+		router.followed.Run,
 	}
-	if courier.options.Directory != nil {
-		rounds = append(rounds, courier.readList, courier.readNodes)
+	if router.options.Directory != nil {
+		rounds = append(rounds, router.readList, router.readNodes)
 	}
-	if courier.keepers != nil {
-		rounds = append(rounds, courier.keepers.Tell)
+	if router.keepers != nil {
+		rounds = append(rounds, router.keepers.Tell)
 	}
 	return rounds
 }
 
 // tick lets the core see the time go on: often while inquiries are under way, seldom
 // while there are only duties, and hardly ever otherwise.
-func (courier *Courier) tick() {
-	for courier.turns.Alive() {
-		courier.Apply(auction.Event{Kind: auction.Ticked})
-		pause := courier.tickPause()
+func (router *Router) tick() {
+	for router.turns.Alive() {
+		router.Apply(auction.Event{Kind: auction.Ticked})
+		pause := router.tickPause()
 		// Whoever gives the core more to do looks at this after it has, and rings.
-		courier.resting.Store(int64(pause))
-		courier.stirred.Wait(pause, func() bool { return courier.tickPause() < pause })
+		router.resting.Store(int64(pause))
+		router.stirred.Wait(pause, func() bool { return router.tickPause() < pause })
 	}
 }
 
 // stir wakes the ticking if it rests for longer than it should.
-func (courier *Courier) stir() {
-	if int64(courier.tickPause()) < courier.resting.Load() {
-		courier.stirred.Broadcast()
+func (router *Router) stir() {
+	if int64(router.tickPause()) < router.resting.Load() {
+		router.stirred.Broadcast()
 	}
 }
 
-func (courier *Courier) tickPause() time.Duration {
+func (router *Router) tickPause() time.Duration {
 	switch {
-	case courier.core.InFlight() > 0:
-		return courierTick
-	case courier.core.Dutiful():
+	case router.core.InFlight() > 0:
+		return routerTick
+	case router.core.Dutiful():
 		return dutyTick
 	}
 	return restTick
 }
 
 // Core is the deciding core.
-func (courier *Courier) Core() *seamloom.Core { return courier.core }
+func (router *Router) Core() *seamloom.Core { return router.core }
 
 // Journal is what is known of recent inquiries.
-func (courier *Courier) Journal() *Journal { return courier.journal }
+func (router *Router) Journal() *Journal { return router.journal }
 
 // Heard is when a primary answered last.
-func (courier *Courier) Heard() time.Time { return courier.followed.Heard() }
+func (router *Router) Heard() time.Time { return router.followed.Heard() }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (courier *Courier) SetSeeds(seeds []string) { courier.followed.SetSeeds(seeds) }
+func (router *Router) SetSeeds(seeds []string) { router.followed.SetSeeds(seeds) }
 
 // SetServeWithoutHold chooses how long the courier goes on letting in after its last
 // hold. Duties always need a hold.
-func (courier *Courier) SetServeWithoutHold(length time.Duration) {
-	courier.core.SetServeWithoutHold(length)
-	courier.followed.SetProvisional(length > 0)
-	courier.showServing()
+func (router *Router) SetServeWithoutHold(length time.Duration) {
+	router.core.SetServeWithoutHold(length)
+	router.followed.SetProvisional(length > 0)
+	router.showServing()
 }
 
 // showServing tells the board until when calls may be let in.
-func (courier *Courier) showServing() {
-	if courier.board != nil {
-		courier.board.SetServing(courier.core.ServesUntil())
+func (router *Router) showServing() {
+	if router.board != nil {
+		router.board.SetServing(router.core.ServesUntil())
 	}
 }
 
 // InForce is the version of the configuration in force.
-func (courier *Courier) InForce() replication.Version {
-	epoch, number := courier.core.InForce()
+func (router *Router) InForce() replication.Version {
+	epoch, number := router.core.InForce()
 	return replication.Version{Epoch: epoch, Number: number}
 }
 
 // Apply feeds one event to the core and carries its decisions out.
-func (courier *Courier) Apply(event auction.Event) {
+func (router *Router) Apply(event auction.Event) {
 	if event.At.IsZero() {
-		event.At = courier.turns.Now()
+		event.At = router.turns.Now()
 	}
-	for _, decision := range courier.core.Apply(event) {
-		courier.carryOut(decision)
+	for _, decision := range router.core.Apply(event) {
+		router.carryOut(decision)
 	}
 }
 
 // Answers is what the courier answers on the hotline.
-func (courier *Courier) Answers() Answers { return courier.answers }
+func (router *Router) Answers() Answers { return router.answers }
 
-func (courier *Courier) table() Answers {
+func (router *Router) table() Answers {
 	answers := Answers{
-		RelayPath: answering(courier.followed.Relay),
+		RelayPath: answering(router.followed.Relay),
 		CrumbsPath: answering(func(records []codec.Record) (bool, error) {
 			for _, record := range records {
-				courier.journal.append(record, false)
+				router.journal.append(record, false)
 			}
 			return true, nil
 		}),
 		// A courier may stand among another process's seeds: it says where the
 		// core is.
 		HelloPath: answering(func(replication.Hello) (replication.Hello, error) {
-			return replication.Hello{Kind: membership.Courier, Charter: courier.followed.Charter()}, nil
+			return replication.Hello{Kind: membership.Router, Charter: router.followed.Charter()}, nil
 		}),
 		NewsPath: answering(func(NewsQuestion) (NewsAnswer, error) {
-			return NewsAnswer{Charter: courier.followed.Charter()}, nil
+			return NewsAnswer{Charter: router.followed.Charter()}, nil
 		}),
 		IncarnationPath: answering(func(nothing) (Incarnation, error) {
-			return Incarnation{Incarnation: courier.incarnation}, nil
+			return Incarnation{Incarnation: router.incarnation}, nil
 		}),
 	}
-	if courier.keepers != nil {
-		answers[CountsPath] = answering(courier.keepers.Answer)
+	if router.keepers != nil {
+		answers[CountsPath] = answering(router.keepers.Answer)
 	}
 	return answers
 }
 
 // takeNews puts a configuration in force before it uses the hold that
 // confirms it.
-func (courier *Courier) takeNews(news News) {
+func (router *Router) takeNews(news News) {
 	if news.Provisional {
-		courier.takeProvisional(news)
+		router.takeProvisional(news)
 		return
 	}
 	if section, found := news.Changed[replication.ConfigurationSection]; found {
-		courier.Apply(auction.Event{Kind: auction.MenuReceived, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
-		courier.observe("configuration_in_force", "version", section.Version.String())
+		router.Apply(auction.Event{Kind: auction.MenuReceived, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+		router.observe("configuration_in_force", "version", section.Version.String())
 	}
 	state, err := replication.ReadState(news.Changed)
 	if err != nil {
-		courier.observe("news_unreadable", "cause", err)
+		router.observe("news_unreadable", "cause", err)
 		return
 	}
 	if _, found := news.Changed[replication.FlagsSection]; found {
-		courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
-		courier.observe("flags_read", "enabled", state.Flags.Enabled, "restricted", courier.core.Restricted())
+		router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
+		router.observe("flags_read", "enabled", state.Flags.Enabled, "restricted", router.core.Restricted())
 	}
 	if _, found := news.Changed[replication.OrdersSection]; found {
-		courier.Apply(auction.Event{Kind: auction.OrdersRead, Orders: courier.core.ReadOrders(state.Orders.Records)})
+		router.Apply(auction.Event{Kind: auction.OrdersRead, Orders: router.core.ReadOrders(state.Orders.Records)})
 	}
-	courier.takeMembers(news, state)
-	courier.takeLists(news)
+	router.takeMembers(news, state)
+	router.takeLists(news)
 	if news.Answer.Hold > 0 {
-		courier.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: news.Asked.Add(news.Answer.Hold), Epoch: news.Answer.Menu.Epoch,
+		router.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: news.Asked.Add(news.Answer.Hold), Epoch: news.Answer.Menu.Epoch,
 			Number: news.Answer.Menu.Number, Duties: news.Answer.Duties})
-		courier.showServing()
-		courier.stir()
+		router.showServing()
+		router.stir()
 	}
 }
 
 // takeProvisional serves by what the copies hold, before there is a primary: what the
 // configuration is read by comes first. It is no hold, and allows no duty.
-func (courier *Courier) takeProvisional(news News) {
+func (router *Router) takeProvisional(news News) {
 	state, err := replication.ReadState(news.Changed)
 	if err != nil {
-		courier.observe("news_unreadable", "cause", err)
+		router.observe("news_unreadable", "cause", err)
 		return
 	}
-	courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
-	courier.takeMembers(news, state)
-	courier.takeLists(news)
+	router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
+	router.takeMembers(news, state)
+	router.takeLists(news)
 	section := news.Changed[replication.ConfigurationSection]
-	courier.Apply(auction.Event{Kind: auction.MenuLent, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
-	courier.showServing()
-	courier.stir()
-	courier.observe("configuration_lent", "version", section.Version.String())
+	router.Apply(auction.Event{Kind: auction.MenuLent, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+	router.showServing()
+	router.stir()
+	router.observe("configuration_lent", "version", section.Version.String())
 }
 
 // takeMembers takes the recorded members, if there are others.
-func (courier *Courier) takeMembers(news News, state *replication.State) {
+func (router *Router) takeMembers(news News, state *replication.State) {
 	if _, found := news.Changed[replication.MembersSection]; !found {
 		return
 	}
-	courier.mutex.Lock()
-	courier.members = state.Members
-	courier.mutex.Unlock()
-	if courier.keepers != nil {
-		courier.keepers.SetNodes(state.Members)
+	router.mutex.Lock()
+	router.members = state.Members
+	router.mutex.Unlock()
+	if router.keepers != nil {
+		router.keepers.SetNodes(state.Members)
 	}
-	if news.Answer.Couriers == 0 {
+	if news.Answer.Routers == 0 {
 		// Nobody counts them: an older release's primary, or a copy.
-		courier.Apply(auction.Event{Kind: auction.CouriersCounted, Number: uint64(len(couriersOf(state.Members)))})
+		router.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(routersOf(state.Members)))})
 	}
-	courier.setContacts()
+	router.setContacts()
 }
 
 // takeLists takes what the news says of servers and of those who share them.
-func (courier *Courier) takeLists(news News) {
-	if count := news.Answer.Couriers; count > 0 {
-		courier.couriers.Store(int64(count))
-		courier.Apply(auction.Event{Kind: auction.CouriersCounted, Number: uint64(count)})
+func (router *Router) takeLists(news News) {
+	if count := news.Answer.Routers; count > 0 {
+		router.routers.Store(int64(count))
+		router.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(count)})
 	}
 	if news.Servers != nil {
-		courier.takeServers(news.Servers.At, news.Servers.Servers)
+		router.takeServers(news.Servers.At, news.Servers.Servers)
 	}
 	if len(news.Loads) > 0 {
-		courier.core.Calls().SetOutliers(courier.turns.Now(), news.Outliers)
-		courier.Apply(auction.Event{Kind: auction.LoadsReported, Loads: news.Loads})
+		router.core.Calls().SetOutliers(router.turns.Now(), news.Outliers)
+		router.Apply(auction.Event{Kind: auction.LoadsReported, Loads: news.Loads})
 	}
 }
 
 // setNodes takes the platform's list of nodes.
-func (courier *Courier) setNodes(nodes []membership.Node) {
-	courier.mutex.Lock()
-	courier.nodes = nodes
-	courier.mutex.Unlock()
-	courier.setContacts()
+func (router *Router) setNodes(nodes []membership.Node) {
+	router.mutex.Lock()
+	router.nodes = nodes
+	router.mutex.Unlock()
+	router.setContacts()
 }
 
 // setContacts names the expediters that the platform or the record knows, and
 // the few others that this courier knows: by rendezvous hashing over the
 // recorded couriers.
-func (courier *Courier) setContacts() {
-	courier.mutex.Lock()
+func (router *Router) setContacts() {
+	router.mutex.Lock()
 	var contacts []string
-	for _, node := range courier.nodes {
-		if node.Kind == membership.Expediter {
+	for _, node := range router.nodes {
+		if node.Kind == membership.Controller {
 			contacts = append(contacts, node.Address)
 		}
 	}
 	var names []string
-	for name := range courier.members {
+	for name := range router.members {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		member := courier.members[name]
-		if member.Kind == membership.Expediter && !slices.Contains(contacts, member.Address) {
+		member := router.members[name]
+		if member.Kind == membership.Controller && !slices.Contains(contacts, member.Address) {
 			contacts = append(contacts, member.Address)
 		}
 	}
-	courier.mutex.Unlock()
+	router.mutex.Unlock()
 	var peers []string
-	for _, member := range courier.nearest(len(names)) {
+	for _, member := range router.nearest(len(names)) {
 		peers = append(peers, member.Address)
 	}
-	courier.followed.SetContacts(contacts, peers)
+	router.followed.SetContacts(contacts, peers)
 }
 
-// couriersOf are the names of the couriers among recorded members.
-func couriersOf(members map[string]membership.Member) []string {
+// routersOf are the names of the couriers among recorded members.
+func routersOf(members map[string]membership.Member) []string {
 	var names []string
 	for name, member := range members {
-		if member.Kind == membership.Courier {
+		if member.Kind == membership.Router {
 			names = append(names, name)
 		}
 	}
@@ -343,97 +343,97 @@
 }
 
 // nearest are the other recorded couriers, by rendezvous, no more than so many.
-func (courier *Courier) nearest(most int) []membership.Member {
-	courier.mutex.Lock()
-	defer courier.mutex.Unlock()
-	names := couriersOf(courier.members)
+func (router *Router) nearest(most int) []membership.Member {
+	router.mutex.Lock()
+	defer router.mutex.Unlock()
+	names := routersOf(router.members)
 	var members []membership.Member
-	for _, name := range membership.Neighbours(courier.options.Courier, names, most) {
-		members = append(members, courier.members[name])
+	for _, name := range membership.Neighbours(router.options.Router, names, most) {
+		members = append(members, router.members[name])
 	}
 	return members
 }
 
 // leaveCrumbs does so whenever there are any.
-func (courier *Courier) leaveCrumbs() {
-	for courier.turns.Alive() {
-		courier.crumbs.Wait(restTick, courier.journal.outgoing)
-		courier.dropCrumbs()
-		runtime.Sleep(courier.turns, crumbsPause)
+func (router *Router) leaveCrumbs() {
+	for router.turns.Alive() {
+		router.crumbs.Wait(restTick, router.journal.outgoing)
+		router.dropCrumbs()
+		runtime.Sleep(router.turns, crumbsPause)
 	}
 }
 
 // dropCrumbs gives the newest records to a neighbour, which can tell of them
 // when this courier is gone.
-func (courier *Courier) dropCrumbs() {
-	records := courier.journal.takeOutbox()
+func (router *Router) dropCrumbs() {
+	records := router.journal.takeOutbox()
 	if len(records) == 0 {
 		return
 	}
-	for _, member := range courier.nearest(neighbours) {
+	for _, member := range router.nearest(neighbours) {
 		var answer bool
-		if Call(courier.line, member.Address, CrumbsPath, records, &answer, actPatience) == nil {
+		if Call(router.line, member.Address, CrumbsPath, records, &answer, actPatience) == nil {
 			return
 		}
 	}
 }
 
-func (courier *Courier) nonce() string { return courier.options.Nonce() }
+func (router *Router) nonce() string { return router.options.Nonce() }
 
 // Serve takes one inquiry and answers its origin; it returns when the reply is
 // over.
-func (courier *Courier) Serve(arrival Arrival, reply Reply) {
+func (router *Router) Serve(arrival Arrival, reply Reply) {
 	inquiry := arrival.Inquiry
-	if !courier.meant(arrival) {
+	if !router.meant(arrival) {
 		sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
 		return
 	}
-	stream := newStream(courier.turns)
-	courier.mutex.Lock()
-	_, busy := courier.streams[inquiry.ID]
+	stream := newStream(router.turns)
+	router.mutex.Lock()
+	_, busy := router.streams[inquiry.ID]
 	if !busy {
-		courier.streams[inquiry.ID] = stream
+		router.streams[inquiry.ID] = stream
 	}
-	courier.mutex.Unlock()
+	router.mutex.Unlock()
 	if busy {
 		sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: auction.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
 		return
 	}
 	defer func() {
-		courier.mutex.Lock()
-		defer courier.mutex.Unlock()
-		delete(courier.streams, inquiry.ID)
+		router.mutex.Lock()
+		defer router.mutex.Unlock()
+		delete(router.streams, inquiry.ID)
 	}()
 	reply.WhenLeft(stream.leave)
-	courier.Apply(auction.Event{Kind: auction.InquiryArrived, Inquiry: inquiry})
-	courier.stir()
-	courier.answer(arrival, reply, stream)
+	router.Apply(auction.Event{Kind: auction.InquiryArrived, Inquiry: inquiry})
+	router.stir()
+	router.answer(arrival, reply, stream)
 }
 
 // meant tells whether a passed-on inquiry was meant for this life of the
 // courier and comes for the first time.
-func (courier *Courier) meant(arrival Arrival) bool {
+func (router *Router) meant(arrival Arrival) bool {
 	passage := arrival.Passage
 	if passage == nil || passage.Nonce == "" {
 		return true
 	}
-	if passage.Incarnation != "" && passage.Incarnation != courier.incarnation {
+	if passage.Incarnation != "" && passage.Incarnation != router.incarnation {
 		return false
 	}
-	return courier.passages.first(courier.turns.Now(), passage.Nonce)
+	return router.passages.first(router.turns.Now(), passage.Nonce)
 }
 
-func (courier *Courier) answer(arrival Arrival, reply Reply, stream *stream) {
+func (router *Router) answer(arrival Arrival, reply Reply, stream *stream) {
 	inquiry := arrival.Inquiry
 	for {
 		decision, found := stream.next()
 		if !found {
 			if stream.gone() {
-				courier.Apply(auction.Event{Kind: auction.OriginLeft, ID: inquiry.ID})
+				router.Apply(auction.Event{Kind: auction.OriginLeft, ID: inquiry.ID})
 				return
 			}
 			stream.bell.Wait(time.Minute, stream.news)
-			if !courier.turns.Alive() {
+			if !router.turns.Alive() {
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
 				if stream.sent == 0 {
@@ -446,7 +446,7 @@
 			continue
 		}
 		if decision.Kind == auction.PassOn {
-			courier.passOn(arrival, reply)
+			router.passOn(arrival, reply)
 			return
 		}
 		line := lineOf(decision)
@@ -459,7 +459,7 @@
 			}
 			continue
 		}
-		courier.options.Ended(inquiry, decision)
+		router.options.Ended(inquiry, decision)
 		if decision.Pieces > 0 {
 			_ = reply.Line(line.encode())
 		} else {
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -36,26 +36,26 @@
 }
 func (lines *lines) WhenLeft(func()) {}
 
-// newTestCourier is a courier that knows its configuration's absence only: it
+// newTestRouter is a courier that knows its configuration's absence only: it
 // refuses everything, at once.
-func newTestCourier(t *testing.T, nonce string) *Courier {
+func newTestRouter(t *testing.T, nonce string) *Router {
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
+	options := RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
 		Ended: func(*auction.Inquiry, auction.Decision) {}}
-	courier := NewCourier(osruntime.New(lifetime, osruntime.NewClock()), nil, nil, nil, options, func(string, ...any) {})
-	courier.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: features.List{}})
-	return courier
+	router := NewRouter(osruntime.New(lifetime, osruntime.NewClock()), nil, nil, nil, options, func(string, ...any) {})
+	router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: features.List{}})
+	return router
 }
 
 // TestPassingOnIsTakenOnce brings one passing-on twice, and one to another life
 // of the courier than it was meant for. Only the first may be decided on; of the
 // others nobody knows here what became.
 func TestPassingOnIsTakenOnce(t *testing.T) {
-	courier := newTestCourier(t, "this life")
+	router := newTestRouter(t, "this life")
 	serve := func(passage Passage) ReplyLine {
 		reply := &lines{}
-		courier.Serve(Arrival{Inquiry: &auction.Inquiry{ID: "one", Service: "chat"}, Passage: &passage}, reply)
+		router.Serve(Arrival{Inquiry: &auction.Inquiry{ID: "one", Service: "chat"}, Passage: &passage}, reply)
 		return reply.said[0]
 	}
 	if first := serve(Passage{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != auction.Refused {
@@ -97,28 +97,28 @@
 func TestBoardIsToldUntilWhenItMayServe(t *testing.T) {
 	board := &noted{until: atNoon(time.Hour)}
 	turns := &movingTurns{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), now: atNoon(0)}
-	options := CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
+	options := RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
 		Ended: func(*auction.Inquiry, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
-	courier := NewCourier(turns, nil, nil, nil, options, func(string, ...any) {})
+	router := NewRouter(turns, nil, nil, nil, options, func(string, ...any) {})
 	if !board.until.IsZero() {
 		t.Errorf("before any hold it serves until %s", board.until)
 	}
 	version := replication.Version{Epoch: 1, Number: 4}
 	sections := map[string]replication.Section{replication.ConfigurationSection: {Version: version, Content: config.Empty().Text}}
-	courier.takeNews(News{Asked: atNoon(0), Answer: NewsAnswer{Leads: true, Menu: version}, Changed: sections})
-	if !board.until.IsZero() || courier.InForce() != version {
-		t.Errorf("a configuration without a hold: serves until %s with %s", board.until, courier.InForce())
+	router.takeNews(News{Asked: atNoon(0), Answer: NewsAnswer{Leads: true, Menu: version}, Changed: sections})
+	if !board.until.IsZero() || router.InForce() != version {
+		t.Errorf("a configuration without a hold: serves until %s with %s", board.until, router.InForce())
 	}
-	courier.takeNews(News{Asked: atNoon(time.Second), Answer: NewsAnswer{Leads: true, Menu: version, Hold: 4 * time.Second, Couriers: 9},
+	router.takeNews(News{Asked: atNoon(time.Second), Answer: NewsAnswer{Leads: true, Menu: version, Hold: 4 * time.Second, Routers: 9},
 		Servers: &Listed{At: atNoon(0), Servers: []membership.Server{{Name: "a"}}}})
-	if !board.until.Equal(atNoon(65*time.Second)) || len(board.servers) != 1 || courier.couriers.Load() != 9 {
+	if !board.until.Equal(atNoon(65*time.Second)) || len(board.servers) != 1 || router.routers.Load() != 9 {
 		t.Errorf("serves until %s, servers %v", board.until, board.servers)
 	}
-	courier.SetServeWithoutHold(0)
+	router.SetServeWithoutHold(0)
 	if !board.until.Equal(atNoon(5 * time.Second)) {
 		t.Errorf("after a reload it serves until %s", board.until)
 	}
-	if courier.core.Dutiful() {
+	if router.core.Dutiful() {
 		t.Error("it has duties that nobody gave")
 	}
 }
--- a/internal/hatch/courieroptions.go
+++ b/internal/hatch/courieroptions.go
@@ -8,8 +8,8 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// CourierOptions say which courier a core is.
-type CourierOptions struct {
+// RouterOptions say which courier a core is.
+type RouterOptions struct {
 	// ApplyWithin is how soon after its acknowledgement a change has to be in force here;
 	// zero: the default.
 	ApplyWithin time.Duration
--- a/internal/hatch/edit.go
+++ b/internal/hatch/edit.go
@@ -34,22 +34,22 @@
 
 // Edit changes the configuration and returns the version once it is in force
 // everywhere. A failure of kind Unknown says that it may have been accepted.
-func (expediter *Expediter) Edit(edit Edit) (replication.Version, error) {
+func (controller *Controller) Edit(edit Edit) (replication.Version, error) {
 	if edit.Builds != nil {
 		edit = edit.revising()
 	}
-	current, version, err := expediter.change(edit)
+	current, version, err := controller.change(edit)
 	if err != nil {
 		return version, err
 	}
 	// The same change sent again is answered with the version that holds now.
-	if _, view, err := expediter.Ruling(); err == nil && view.VersionOf(replication.ConfigurationSection).Before(version) {
+	if _, view, err := controller.Ruling(); err == nil && view.VersionOf(replication.ConfigurationSection).Before(version) {
 		version = view.VersionOf(replication.ConfigurationSection)
 	}
-	if !expediter.awaitInForce(current, version) {
+	if !controller.awaitInForce(current, version) {
 		return version, failure.New(failure.Unknown, "it can't be known yet whether the change is in force")
 	}
-	expediter.observe("configuration_accepted", "version", version.String(), "change", edit.Change)
+	controller.observe("configuration_accepted", "version", version.String(), "change", edit.Change)
 	return version, nil
 }
 
@@ -66,10 +66,10 @@
 // change prepares an edit for the newest configuration and submits it, again when
 // that has moved meanwhile. Edits of a large configuration are prepared one after
 // another, so that one whose turn it is need not be made again.
-func (expediter *Expediter) change(edit Edit) (*Reign, replication.Version, error) {
-	ends := expediter.turns.Now().Add(changePatience)
+func (controller *Controller) change(edit Edit) (*Reign, replication.Version, error) {
+	ends := controller.turns.Now().Add(changePatience)
 	for {
-		current, view, err := expediter.Ruling()
+		current, view, err := controller.Ruling()
 		if err != nil {
 			return nil, replication.Version{}, err
 		}
@@ -79,25 +79,25 @@
 		}
 		large := len(section.Content) >= replication.LargeMenu
 		if large {
-			if !expediter.takeEditTurn(ends) {
+			if !controller.takeEditTurn(ends) {
 				return nil, replication.Version{}, failure.New(failure.Busy, "other changes of this large configuration go first; ask again")
 			}
-			if _, newest, err := expediter.Ruling(); err == nil {
+			if _, newest, err := controller.Ruling(); err == nil {
 				section = newest.Drawers[replication.ConfigurationSection]
 			}
 		}
 		var prepared replication.PreparedMenu
-		if !expediter.noted(current, view, edit) {
+		if !controller.noted(current, view, edit) {
 			prepared = replication.PrepareMenu(section.Version, section.Content, edit.Apply, edit.Sound)
 		}
-		version, err := expediter.submit(replication.ChangeMenu(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changePatience)
+		version, err := controller.submit(replication.ChangeMenu(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changePatience)
 		if large {
-			expediter.giveEditTurn()
+			controller.giveEditTurn()
 		}
 		if failure.KindOf(err) != failure.Moved {
 			return current, version, err
 		}
-		if !expediter.turns.Now().Before(ends) {
+		if !controller.turns.Now().Before(ends) {
 			return nil, replication.Version{}, failure.New(failure.Busy, "the configuration changes faster than this change can be made; ask again")
 		}
 	}
@@ -105,8 +105,8 @@
 
 // noted tells whether the very change was committed before: then it is answered in
 // its turn, and need not be prepared.
-func (expediter *Expediter) noted(current *Reign, view *replication.View, edit Edit) bool {
-	state, err := expediter.state(current, view)
+func (controller *Controller) noted(current *Reign, view *replication.View, edit Edit) bool {
+	state, err := controller.state(current, view)
 	if err != nil || edit.Change == "" {
 		return false
 	}
@@ -118,52 +118,52 @@
 	return false
 }
 
-func (expediter *Expediter) takeEditTurn(ends time.Time) bool {
-	return expediter.edits.Wait(ends.Sub(expediter.turns.Now()), func() bool {
-		expediter.mutex.Lock()
-		defer expediter.mutex.Unlock()
-		taken := expediter.editing
-		expediter.editing = true
+func (controller *Controller) takeEditTurn(ends time.Time) bool {
+	return controller.edits.Wait(ends.Sub(controller.turns.Now()), func() bool {
+		controller.mutex.Lock()
+		defer controller.mutex.Unlock()
+		taken := controller.editing
+		controller.editing = true
 		return !taken
 	})
 }
 
-func (expediter *Expediter) giveEditTurn() {
-	expediter.mutex.Lock()
-	expediter.editing = false
-	expediter.mutex.Unlock()
-	expediter.edits.Broadcast()
+func (controller *Controller) giveEditTurn() {
+	controller.mutex.Lock()
+	controller.editing = false
+	controller.mutex.Unlock()
+	controller.edits.Broadcast()
 }
 
 // SetAcknowledgeWait chooses how long a committed change waits for couriers that are
 // not heard from; zero: for as long as their holds run.
-func (expediter *Expediter) SetAcknowledgeWait(length time.Duration) {
-	expediter.acknowledgeWait.Store(int64(length))
+func (controller *Controller) SetAcknowledgeWait(length time.Duration) {
+	controller.acknowledgeWait.Store(int64(length))
 }
 
 // awaitInForce waits until every courier that has a hold has confirmed the
 // version, or its hold ran out; where a wait is chosen, until every courier that was
 // heard from within it has, or the wait has passed. Its own hold is checked last.
-func (expediter *Expediter) awaitInForce(current *Reign, version replication.Version) bool {
+func (controller *Controller) awaitInForce(current *Reign, version replication.Version) bool {
 	everywhere := false
-	committed := expediter.turns.Now()
-	wait := time.Duration(expediter.acknowledgeWait.Load())
+	committed := controller.turns.Now()
+	wait := time.Duration(controller.acknowledgeWait.Load())
 	ends := committed.Add(inForcePatience)
-	for expediter.turns.Now().Before(ends) {
+	for controller.turns.Now().Before(ends) {
 		lost := false
 		// Holds run out without a ring: the wait is cut into short ones.
-		over := expediter.confirmed.Wait(50*time.Millisecond, func() bool {
-			ruling, view, err := expediter.Ruling()
+		over := controller.confirmed.Wait(50*time.Millisecond, func() bool {
+			ruling, view, err := controller.Ruling()
 			if err != nil || ruling != current {
 				lost = true
 				return true
 			}
-			state, err := expediter.state(current, view)
+			state, err := controller.state(current, view)
 			if err != nil {
 				lost = true
 				return true
 			}
-			now := expediter.turns.Now()
+			now := controller.turns.Now()
 			if wait > 0 {
 				// A question that is held back counts from when it came.
 				everywhere = now.Sub(committed) >= wait || len(current.behind(now, version, max(wait, loadsWait+roundTrip))) == 0
@@ -172,21 +172,21 @@
 			}
 			return everywhere
 		})
-		if over || !expediter.turns.Alive() {
-			return everywhere && !lost && expediter.coordinator.Holds()
+		if over || !controller.turns.Alive() {
+			return everywhere && !lost && controller.coordinator.Holds()
 		}
 	}
 	return false
 }
 
 // Retire takes a stopped member out of the record.
-func (expediter *Expediter) Retire(name string) (replication.Version, error) {
-	current, _, err := expediter.Ruling()
+func (controller *Controller) Retire(name string) (replication.Version, error) {
+	current, _, err := controller.Ruling()
 	if err != nil {
 		return replication.Version{}, err
 	}
-	if _, live := current.Holds.Live(expediter.turns.Now())[name]; live {
+	if _, live := current.Holds.Live(controller.turns.Now())[name]; live {
 		return replication.Version{}, failure.New(failure.HoldActive, name+" is running; stop it first")
 	}
-	return expediter.submit(replication.Retire(name), changePatience)
+	return controller.submit(replication.Retire(name), changePatience)
 }
--- a/internal/hatch/edit_test.go
+++ b/internal/hatch/edit_test.go
@@ -26,7 +26,7 @@
 	return Edit{Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, district, "") }}
 }
 
-func (core *core) mustBe(t *testing.T, primary *Expediter, want string) replication.Version {
+func (core *core) mustBe(t *testing.T, primary *Controller, want string) replication.Version {
 	t.Helper()
 	_, view, state, err := primary.Read()
 	if err != nil || !strings.Contains(string(state.Menu), want) {
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	primary.Leave(5 * time.Second)
-	var next *Expediter
+	var next *Controller
 	waited := primary.turns.NewCond()
 	for range 200 {
 		waited.Wait(20*time.Millisecond, func() bool { return false })
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -16,13 +16,13 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Expediter is the control plane's conduct at one node: the copy and the epoch
+// Controller is the control plane's conduct at one node: the copy and the epoch
 // keeper on its disk, and, while it is primary, the answers to nodes and
 // operators.
-type Expediter struct {
+type Controller struct {
 	turns       runtime.Runtime
 	line        Hotline
-	options     ExpediterOptions
+	options     ControllerOptions
 	observe     func(event string, detail ...any)
 	witness     *replication.Witness
 	store       *replication.Store
@@ -69,9 +69,9 @@
 	horizonPause = 10 * time.Second
 )
 
-// OpenExpediter opens what the disk holds. A blank or damaged keeper's shelf is
+// OpenController opens what the disk holds. A blank or damaged keeper's shelf is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenExpediter(turns runtime.Runtime, line Hotline, keeping, copies replication.Shelf, options ExpediterOptions, observe func(string, ...any)) (*Expediter, bool, error) {
+func OpenController(turns runtime.Runtime, line Hotline, keeping, copies replication.Shelf, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(turns.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -92,25 +92,25 @@
 	}
 	witness.Guard(runtime.NewLock(turns))
 	copied.Guard(runtime.NewLock(turns))
-	expediter := &Expediter{turns: turns, line: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
+	controller := &Controller{turns: turns, line: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
 		news: turns.NewCond(), reigns: turns.NewCond(), work: turns.NewCond(), confirmed: turns.NewCond(), edits: turns.NewCond()}
-	expediter.store.Guard(runtime.NewLock(turns))
-	expediter.coordinator = replication.NewCoordinator(turns, options.Seeds, witness, expediter.store, &peers{line: line}, observe)
+	controller.store.Guard(runtime.NewLock(turns))
+	controller.coordinator = replication.NewCoordinator(turns, options.Seeds, witness, controller.store, &peers{line: line}, observe)
 	if options.JoinsOnly {
-		expediter.coordinator.JoinOnly()
+		controller.coordinator.JoinOnly()
 	}
 	timing := replication.TimingFor(options.CatchUp)
-	expediter.coordinator.SetTiming(timing)
-	expediter.coordinator.Bear(options.BorneLosses, options.District)
+	controller.coordinator.SetTiming(timing)
+	controller.coordinator.Bear(options.BorneLosses, options.District)
 	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.Repair().String(), "margin", timing.Margin().String())
-	member := membership.Member{Name: options.Name, Kind: membership.Expediter, Address: options.Address, District: options.District, Supported: options.Supported}
-	expediter.followed = NewFollower(turns, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, expediter.takeNews)
-	expediter.followed.Follow(options.Directory != nil, false)
-	expediter.SetAcknowledgeWait(options.AcknowledgeWait)
+	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, District: options.District, Supported: options.Supported}
+	controller.followed = NewFollower(turns, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeNews)
+	controller.followed.Follow(options.Directory != nil, false)
+	controller.SetAcknowledgeWait(options.AcknowledgeWait)
 	// Who was recorded when this disk was written last may know where the core is now.
-	expediter.takeMembers(News{Changed: copied.Drawers()})
-	expediter.answers = expediter.table()
-	return expediter, blank, nil
+	controller.takeMembers(News{Changed: copied.Drawers()})
+	controller.answers = controller.table()
+	return controller, blank, nil
 }
 
 func empty(shelf replication.Shelf) error {
@@ -125,17 +125,17 @@
 }
 
 // Rounds are what an expediter does over and over, each in a thread of its own.
-func (expediter *Expediter) Rounds() []func() {
+func (controller *Controller) Rounds() []func() {
 	every := func(pause time.Duration, task func()) func() {
-		return func() { runtime.Every(expediter.turns, pause, task) }
+		return func() { runtime.Every(controller.turns, pause, task) }
 	}
-	rounds := []func(){every(tickPause, expediter.tick), expediter.keepHouse, every(sweepPause, expediter.sweep),
-		expediter.commit, expediter.followed.Run}
-	if expediter.options.Directory != nil {
-		rounds = append(rounds, expediter.readServers, expediter.readNodes)
+	rounds := []func(){every(tickPause, controller.tick), controller.keepHouse, every(sweepPause, controller.sweep),
+		controller.commit, controller.followed.Run}
+	if controller.options.Directory != nil {
+		rounds = append(rounds, controller.readServers, controller.readNodes)
 	}
-	if expediter.options.Reports != nil {
-		rounds = append(rounds, expediter.readReports)
+	if controller.options.Reports != nil {
+		rounds = append(rounds, controller.readReports)
 	}
 	return rounds
 }
@@ -143,129 +143,129 @@
 // Leave hands over what this expediter has, the lead, its copy and its witness's seat, and
 // returns when nothing depends on it any more or the patience ends. It goes on as before
 // until then. What was not answered yet has no known outcome.
-func (expediter *Expediter) Leave(patience time.Duration) {
-	ends := expediter.turns.Now().Add(patience)
-	expediter.coordinator.Leave()
-	for !expediter.coordinator.Released() && expediter.turns.Now().Before(ends) {
-		runtime.Sleep(expediter.turns, leavePause)
+func (controller *Controller) Leave(patience time.Duration) {
+	ends := controller.turns.Now().Add(patience)
+	controller.coordinator.Leave()
+	for !controller.coordinator.Released() && controller.turns.Now().Before(ends) {
+		runtime.Sleep(controller.turns, leavePause)
 	}
-	expediter.observe("left", "released", expediter.coordinator.Released())
+	controller.observe("left", "released", controller.coordinator.Released())
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (expediter *Expediter) SetSeeds(seeds []string) {
-	expediter.coordinator.SetSeeds(seeds)
-	expediter.followed.SetSeeds(seeds)
+func (controller *Controller) SetSeeds(seeds []string) {
+	controller.coordinator.SetSeeds(seeds)
+	controller.followed.SetSeeds(seeds)
 }
 
 // Servers is the platform's list as it was read last.
-func (expediter *Expediter) Servers() []membership.Server {
-	return expediter.lists.servers(expediter.turns.Now())
+func (controller *Controller) Servers() []membership.Server {
+	return controller.lists.servers(controller.turns.Now())
 }
 
 // setNodes takes the platform's list of nodes.
-func (expediter *Expediter) setNodes(nodes []membership.Node) {
+func (controller *Controller) setNodes(nodes []membership.Node) {
 	var addresses []string
 	for _, node := range nodes {
-		if node.Kind == membership.Expediter && node.Address != expediter.options.Address {
+		if node.Kind == membership.Controller && node.Address != controller.options.Address {
 			addresses = append(addresses, node.Address)
 		}
 	}
-	expediter.mutex.Lock()
-	expediter.nodes = addresses
-	expediter.mutex.Unlock()
-	expediter.setContacts()
+	controller.mutex.Lock()
+	controller.nodes = addresses
+	controller.mutex.Unlock()
+	controller.setContacts()
 }
 
 // setMembers takes the recorded members.
-func (expediter *Expediter) setMembers(members map[string]membership.Member) {
-	expediter.mutex.Lock()
-	expediter.members = members
-	expediter.mutex.Unlock()
-	expediter.setContacts()
+func (controller *Controller) setMembers(members map[string]membership.Member) {
+	controller.mutex.Lock()
+	controller.members = members
+	controller.mutex.Unlock()
+	controller.setContacts()
 }
 
 // setContacts names the other expediters that the platform or the record knows, and the
 // recorded couriers, the nearest first: when the seeds and all that this expediter knew
 // are replaced, one of these tells where the core is.
-func (expediter *Expediter) setContacts() {
-	expediter.mutex.Lock()
-	contacts := slices.Clone(expediter.nodes)
+func (controller *Controller) setContacts() {
+	controller.mutex.Lock()
+	contacts := slices.Clone(controller.nodes)
 	var recorded []string
-	for _, name := range slices.Sorted(maps.Keys(expediter.members)) {
-		if member := expediter.members[name]; member.Kind == membership.Expediter && name != expediter.options.Name {
+	for _, name := range slices.Sorted(maps.Keys(controller.members)) {
+		if member := controller.members[name]; member.Kind == membership.Controller && name != controller.options.Name {
 			recorded = append(recorded, member.Address)
 		}
 	}
 	var peers []string
-	for _, name := range membership.Ranked(expediter.options.Name, couriersOf(expediter.members)) {
-		peers = append(peers, expediter.members[name].Address)
+	for _, name := range membership.Ranked(controller.options.Name, routersOf(controller.members)) {
+		peers = append(peers, controller.members[name].Address)
 	}
-	expediter.mutex.Unlock()
-	expediter.coordinator.SetContacts(contacts)
-	expediter.coordinator.SetRecorded(append(slices.Clone(recorded), peers...))
+	controller.mutex.Unlock()
+	controller.coordinator.SetContacts(contacts)
+	controller.coordinator.SetRecorded(append(slices.Clone(recorded), peers...))
 	for _, address := range recorded {
 		if !slices.Contains(contacts, address) {
 			contacts = append(contacts, address)
 		}
 	}
-	expediter.followed.SetContacts(contacts, peers)
+	controller.followed.SetContacts(contacts, peers)
 }
 
 // Witness is the epoch keeper on this disk.
-func (expediter *Expediter) Witness() *replication.Witness { return expediter.witness }
+func (controller *Controller) Witness() *replication.Witness { return controller.witness }
 
 // Store is this disk's part in the larder.
-func (expediter *Expediter) Store() *replication.Store { return expediter.store }
+func (controller *Controller) Store() *replication.Store { return controller.store }
 
 // Coordinator decides who is primary, from this node's point of view.
-func (expediter *Expediter) Coordinator() *replication.Coordinator { return expediter.coordinator }
+func (controller *Controller) Coordinator() *replication.Coordinator { return controller.coordinator }
 
 // Heard is when a primary answered this node last.
-func (expediter *Expediter) Heard() time.Time { return expediter.followed.Heard() }
+func (controller *Controller) Heard() time.Time { return controller.followed.Heard() }
 
 // NewsCounts tells how many answers, bytes of drawers and configurations went
 // out.
-func (expediter *Expediter) NewsCounts() (answers, bytes, menus uint64) {
-	return expediter.newsAnswers.Load(), expediter.newsBytes.Load(), expediter.menusSent.Load()
+func (controller *Controller) NewsCounts() (answers, bytes, menus uint64) {
+	return controller.newsAnswers.Load(), controller.newsBytes.Load(), controller.menusSent.Load()
 }
 
-func (expediter *Expediter) tick() {
-	expediter.coordinator.Tick()
+func (controller *Controller) tick() {
+	controller.coordinator.Tick()
 	// It may wait for the disk, and nobody may wait for that here.
-	leading := expediter.store.Leading()
-	epoch := expediter.coordinator.Charter().Epoch
-	expediter.mutex.Lock()
-	moved := epoch != expediter.epoch
-	expediter.epoch = epoch
-	begun, ended := leading && expediter.reign == nil, !leading && expediter.reign != nil
+	leading := controller.store.Leading()
+	epoch := controller.coordinator.Charter().Epoch
+	controller.mutex.Lock()
+	moved := epoch != controller.epoch
+	controller.epoch = epoch
+	begun, ended := leading && controller.reign == nil, !leading && controller.reign != nil
 	if begun {
-		expediter.reign = newReign(expediter.turns.Now())
+		controller.reign = newReign(controller.turns.Now())
 	}
 	if ended {
-		expediter.reign = nil
+		controller.reign = nil
 	}
-	expediter.mutex.Unlock()
+	controller.mutex.Unlock()
 	if begun {
-		expediter.lists.begin(expediter.coordinator.Charter().Epoch)
-		expediter.reigns.Broadcast()
+		controller.lists.begin(controller.coordinator.Charter().Epoch)
+		controller.reigns.Broadcast()
 	}
 	if ended {
-		expediter.lists.end()
+		controller.lists.end()
 	}
 	if ended || moved {
-		expediter.news.Broadcast()
+		controller.news.Broadcast()
 	}
 }
 
 // Ruling gives the reign and the committed view if this expediter is primary at
 // this moment.
-func (expediter *Expediter) Ruling() (*Reign, *replication.View, error) {
-	expediter.mutex.Lock()
-	current := expediter.reign
-	expediter.mutex.Unlock()
-	view := expediter.store.View()
-	if current == nil || view == nil || !expediter.coordinator.Holds() {
+func (controller *Controller) Ruling() (*Reign, *replication.View, error) {
+	controller.mutex.Lock()
+	current := controller.reign
+	controller.mutex.Unlock()
+	view := controller.store.View()
+	if current == nil || view == nil || !controller.coordinator.Holds() {
 		return nil, nil, failure.New(failure.NoPrimary, "this expediter is not primary")
 	}
 	return current, view, nil
@@ -274,26 +274,26 @@
 // Read is the committed state for a reader: the hold is checked after the view
 // was taken, so that it was the newest at some moment of the call. The copies
 // that it finds old are mended.
-func (expediter *Expediter) Read() (*Reign, *replication.View, *replication.State, error) {
-	current, view, err := expediter.Ruling()
+func (controller *Controller) Read() (*Reign, *replication.View, *replication.State, error) {
+	current, view, err := controller.Ruling()
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	state, err := expediter.state(current, view)
+	state, err := controller.state(current, view)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if !expediter.coordinator.Holds() {
+	if !controller.coordinator.Holds() {
 		return nil, nil, nil, failure.New(failure.NoPrimary, "the hold ran out")
 	}
-	expediter.turns.Go(func() { expediter.mendCopies(view) })
+	controller.turns.Go(func() { controller.mendCopies(view) })
 	return current, view, state, nil
 }
 
 // state is the committed state, decoded once for each version.
-func (expediter *Expediter) state(current *Reign, view *replication.View) (*replication.State, error) {
-	expediter.mutex.Lock()
-	defer expediter.mutex.Unlock()
+func (controller *Controller) state(current *Reign, view *replication.View) (*replication.State, error) {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
 	if current.state != nil && current.stateAt == view.Version {
 		return current.state, nil
 	}
@@ -313,51 +313,51 @@
 }
 
 // commit syncs batches on every copy in sync, one after another.
-func (expediter *Expediter) commit() {
-	for expediter.turns.Alive() {
-		seen := expediter.submitted.Load()
-		if expediter.commitOne() {
+func (controller *Controller) commit() {
+	for controller.turns.Alive() {
+		seen := controller.submitted.Load()
+		if controller.commitOne() {
 			continue
 		}
 		pause := idlePause
-		if expediter.store.Waiting() {
+		if controller.store.Waiting() {
 			pause = commitPause
 		}
-		expediter.work.Wait(pause, func() bool { return expediter.submitted.Load() != seen })
+		controller.work.Wait(pause, func() bool { return controller.submitted.Load() != seen })
 	}
 }
 
-func (expediter *Expediter) commitOne() bool {
-	charter := expediter.coordinator.Charter()
-	if charter.Backup.Empty() || !expediter.coordinator.Holds() {
+func (controller *Controller) commitOne() bool {
+	charter := controller.coordinator.Charter()
+	if charter.Backup.Empty() || !controller.coordinator.Holds() {
 		return false
 	}
-	batch, found := expediter.store.Begin()
+	batch, found := controller.store.Begin()
 	if !found || batch.Version.Epoch != charter.Epoch {
 		return false
 	}
-	if !batch.Empty() && !expediter.sync(charter, batch) {
+	if !batch.Empty() && !controller.sync(charter, batch) {
 		return false
 	}
-	if !expediter.store.Commit(batch) {
+	if !controller.store.Commit(batch) {
 		return false
 	}
 	if !batch.Empty() {
-		expediter.news.Broadcast()
+		controller.news.Broadcast()
 	}
 	return true
 }
 
 // sync brings a batch to all disks at once and tells whether it is on each.
-func (expediter *Expediter) sync(charter replication.Membership, batch replication.Batch) bool {
+func (controller *Controller) sync(charter replication.Membership, batch replication.Batch) bool {
 	var mutex sync.Mutex
 	var own error
 	kept := false
-	bell := expediter.turns.NewCond()
-	expediter.turns.Go(func() {
-		expediter.coordinator.OwnDisk(true)
-		err := expediter.store.KeepOwn(batch)
-		expediter.coordinator.OwnDisk(err != nil)
+	bell := controller.turns.NewCond()
+	controller.turns.Go(func() {
+		controller.coordinator.OwnDisk(true)
+		err := controller.store.KeepOwn(batch)
+		controller.coordinator.OwnDisk(err != nil)
 		mutex.Lock()
 		own, kept = err, true
 		mutex.Unlock()
@@ -366,15 +366,15 @@
 	var missing error
 	waits := 0
 	replicate := func(backup replication.Replica) {
-		err := (&peers{line: expediter.line}).Replicate(expediter.coordinator.Address(backup), backup.Identity, charter.Epoch, batch)
-		expediter.coordinator.BackupAnswered(backup.Identity, err == nil)
+		err := (&peers{line: controller.line}).Replicate(controller.coordinator.Address(backup), backup.Identity, charter.Epoch, batch)
+		controller.coordinator.BackupAnswered(backup.Identity, err == nil)
 		mutex.Lock()
 		missing = multierr.Append(missing, err)
 		mutex.Unlock()
 	}
 	for _, further := range charter.Further {
 		waits++
-		expediter.turns.Go(func() {
+		controller.turns.Go(func() {
 			replicate(further)
 			mutex.Lock()
 			waits--
@@ -391,35 +391,35 @@
 	// The own disk may stall for as long as it likes: nothing else is written
 	// meanwhile.
 	for !bell.Wait(time.Second, ended) {
-		if !expediter.turns.Alive() {
+		if !controller.turns.Alive() {
 			return false
 		}
 	}
 	mutex.Lock()
 	defer mutex.Unlock()
 	if missing != nil || own != nil {
-		expediter.observe("write_not_synced", "version", batch.Version.String(), "backup", missing, "own", own)
+		controller.observe("write_not_synced", "version", batch.Version.String(), "backup", missing, "own", own)
 		return false
 	}
 	return true
 }
 
 // queue hands a change to the next batch.
-func (expediter *Expediter) queue(change replication.Change, done replication.Done) {
-	expediter.store.Submit(change, done)
-	expediter.submitted.Add(1)
-	expediter.work.Broadcast()
+func (controller *Controller) queue(change replication.Change, done replication.Done) {
+	controller.store.Submit(change, done)
+	controller.submitted.Add(1)
+	controller.work.Broadcast()
 }
 
 // submit waits until a change is synced on every copy in sync. When that can't be
 // known in time the outcome is called unknown.
-func (expediter *Expediter) submit(change replication.Change, patience time.Duration) (replication.Version, error) {
+func (controller *Controller) submit(change replication.Change, patience time.Duration) (replication.Version, error) {
 	var mutex sync.Mutex
 	var version replication.Version
 	var err error
 	answered := false
-	bell := expediter.turns.NewCond()
-	expediter.queue(change, func(committed replication.Version, ended error) {
+	bell := controller.turns.NewCond()
+	controller.queue(change, func(committed replication.Version, ended error) {
 		mutex.Lock()
 		version, err, answered = committed, ended, true
 		mutex.Unlock()
@@ -437,7 +437,7 @@
 		return replication.Version{}, failure.New(failure.Unknown, "the change was not synced on both copies in time")
 	case failure.KindOf(err) == failure.NotPrimary:
 		return version, err
-	case !expediter.coordinator.Holds():
+	case !controller.coordinator.Holds():
 		// A refusal is an answer too: without the lease it may rest on an old state.
 		return version, failure.New(failure.Unknown, "the hold ran out while the change was under way")
 	case err != nil:
@@ -448,39 +448,39 @@
 
 // takeNews follows the enabled set as every node does, and the list of servers, to
 // lead with it at once.
-func (expediter *Expediter) takeNews(news News) {
-	if news.Servers != nil && !expediter.lists.leading() {
-		expediter.lists.take(news.Servers.At, news.Servers.Servers)
+func (controller *Controller) takeNews(news News) {
+	if news.Servers != nil && !controller.lists.leading() {
+		controller.lists.take(news.Servers.At, news.Servers.Servers)
 	}
-	expediter.takeMembers(news)
+	controller.takeMembers(news)
 	section, found := news.Changed[replication.FlagsSection]
 	if !found {
 		return
 	}
 	state, err := replication.ReadState(map[string]replication.Section{replication.FlagsSection: section})
 	if err != nil {
-		expediter.observe("flags_unreadable", "cause", err)
+		controller.observe("flags_unreadable", "cause", err)
 		return
 	}
-	lacking := expediter.options.Supported.Lacks(state.Flags.Enabled)
-	expediter.coordinator.SetRestricted(len(lacking) > 0)
-	expediter.coordinator.SetBackupList(state.Flags.Enabled.Has(features.BackupList))
-	expediter.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
+	lacking := controller.options.Supported.Lacks(state.Flags.Enabled)
+	controller.coordinator.SetRestricted(len(lacking) > 0)
+	controller.coordinator.SetBackupList(state.Flags.Enabled.Has(features.BackupList))
+	controller.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
 }
 
 // takeMembers takes the recorded members from news, or from the own copy.
-func (expediter *Expediter) takeMembers(news News) {
+func (controller *Controller) takeMembers(news News) {
 	section, found := news.Changed[replication.MembersSection]
 	if !found {
 		return
 	}
 	state, err := replication.ReadState(map[string]replication.Section{replication.MembersSection: section})
 	if err != nil {
-		expediter.observe("members_unreadable", "cause", err)
+		controller.observe("members_unreadable", "cause", err)
 		return
 	}
-	expediter.setMembers(state.Members)
+	controller.setMembers(state.Members)
 }
 
 // Supported is the node's own list of flags.
-func (expediter *Expediter) Supported() features.List { return expediter.options.Supported }
+func (controller *Controller) Supported() features.List { return controller.options.Supported }
--- a/internal/hatch/expediter_test.go
+++ b/internal/hatch/expediter_test.go
@@ -42,7 +42,7 @@
 		hooks[hooked] = hooked
 		return hooked
 	})
-	question := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Courier, Address: "c1"}, Have: map[string]replication.Version{}}
+	question := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
 	if _, err := primary.answerNews(question); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hatch/expediteroptions.go
+++ b/internal/hatch/expediteroptions.go
@@ -7,8 +7,8 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// ExpediterOptions say which expediter a core is.
-type ExpediterOptions struct {
+// ControllerOptions say which expediter a core is.
+type ControllerOptions struct {
 	Name      string
 	Address   string
 	District  string
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -54,7 +54,7 @@
 // core is three expediters in one process, joined by direct calls.
 type core struct {
 	mutex  sync.Mutex
-	nodes  map[string]*Expediter
+	nodes  map[string]*Controller
 	shelfs map[string]*memoryShelf
 	// keeping are the shelves of the keepers.
 	keeping map[string]*memoryShelf
@@ -85,18 +85,18 @@
 }
 
 // newCore forms a core and returns its primary.
-func newCore(t *testing.T, wrap func(runtime.Runtime) runtime.Runtime) (*core, *Expediter) {
+func newCore(t *testing.T, wrap func(runtime.Runtime) runtime.Runtime) (*core, *Controller) {
 	t.Helper()
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	formed := &core{nodes: map[string]*Expediter{}, shelfs: map[string]*memoryShelf{}, keeping: map[string]*memoryShelf{}}
+	formed := &core{nodes: map[string]*Controller{}, shelfs: map[string]*memoryShelf{}, keeping: map[string]*memoryShelf{}}
 	turns := osruntime.New(lifetime, osruntime.NewClock())
 	changed := turns.NewCond()
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
 		copies, keeping := &memoryShelf{files: map[string][]byte{}}, &memoryShelf{files: map[string][]byte{}}
-		options := ExpediterOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
-		node, _, err := OpenExpediter(wrap(turns), formed, keeping, copies, options, func(string, ...any) { changed.Broadcast() })
+		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
+		node, _, err := OpenController(wrap(turns), formed, keeping, copies, options, func(string, ...any) { changed.Broadcast() })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 			turns.Go(round)
 		}
 	}
-	var primary *Expediter
+	var primary *Controller
 	for range 200 {
 		// The bell rings with each step of the core; a pair makes it writable.
 		changed.Wait(100*time.Millisecond, func() bool {
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -86,7 +86,7 @@
 			defer close(line.closed)
 			turns := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
-			follower := NewFollower(turns, line, membership.Member{Name: "courier-1", Kind: membership.Courier}, []string{"old0", "old1", "old2"},
+			follower := NewFollower(turns, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
 				func() replication.Version { return replication.Version{} }, func(news News) { taken <- news.Answer.Menu })
 			follower.Follow(true, true)
 			var peers []string
@@ -124,7 +124,7 @@
 func TestFollowerHearsOfAMembershipBeforeItIsNeeded(t *testing.T) {
 	_, primary := newCore(t, plain)
 	charter := primary.Coordinator().Charter()
-	known := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Courier}, Charter: charter.Epoch - 1}
+	known := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router}, Charter: charter.Epoch - 1}
 	if !primary.newerCharter(known) {
 		t.Error("a question by an older charter is held back")
 	}
@@ -142,7 +142,7 @@
 // recorded by that, no lease is given, and no configuration goes out.
 func TestABriefQuestionIsAnsweredWithoutContent(t *testing.T) {
 	_, primary := newCore(t, plain)
-	question := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Courier, Address: "c1"}, Brief: true}
+	question := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
 	answer, err := primary.answerNews(question)
 	if err != nil || !answer.Leads || answer.Charter.Blank() {
 		t.Fatalf("%+v %v", answer, err)
--- a/internal/hatch/fuzz_test.go
+++ b/internal/hatch/fuzz_test.go
@@ -40,9 +40,9 @@
 	// Its process has ended, so that no message waits for others.
 	ended, end := context.WithCancel(context.Background())
 	end()
-	lone := &core{nodes: map[string]*Expediter{}, shelfs: map[string]*memoryShelf{}}
+	lone := &core{nodes: map[string]*Controller{}, shelfs: map[string]*memoryShelf{}}
 	keeping := &memoryShelf{files: map[string][]byte{}}
-	node, _, err := OpenExpediter(osruntime.New(ended, osruntime.NewClock()), lone, keeping, &memoryShelf{files: map[string][]byte{}}, ExpediterOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
+	node, _, err := OpenController(osruntime.New(ended, osruntime.NewClock()), lone, keeping, &memoryShelf{files: map[string][]byte{}}, ControllerOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -28,116 +28,116 @@
 )
 
 // Servers is the list of servers as the courier knows it.
-func (courier *Courier) Servers() []membership.Server {
-	courier.listMutex.Lock()
-	defer courier.listMutex.Unlock()
-	return courier.listing.Servers(courier.turns.Now())
+func (router *Router) Servers() []membership.Server {
+	router.listMutex.Lock()
+	defer router.listMutex.Unlock()
+	return router.listing.Servers(router.turns.Now())
 }
 
 // takeServers takes a list that was read at a moment, by whomever.
-func (courier *Courier) takeServers(at time.Time, servers []membership.Server) {
-	courier.listMutex.Lock()
-	defer courier.listMutex.Unlock()
-	if !courier.listing.Take(at, servers) {
+func (router *Router) takeServers(at time.Time, servers []membership.Server) {
+	router.listMutex.Lock()
+	defer router.listMutex.Unlock()
+	if !router.listing.Take(at, servers) {
 		return
 	}
-	now := courier.turns.Now()
-	listed := courier.listing.Servers(now)
-	if courier.board != nil {
-		courier.board.SetServers(now, listed)
+	now := router.turns.Now()
+	listed := router.listing.Servers(now)
+	if router.board != nil {
+		router.board.SetServers(now, listed)
 	}
-	courier.Apply(auction.Event{Kind: auction.ServersListed, At: now, Servers: listed})
-	courier.watchPressures(listed)
+	router.Apply(auction.Event{Kind: auction.ServersListed, At: now, Servers: listed})
+	router.watchPressures(listed)
 }
 
 // readList reads the list itself while there is no news of it.
-func (courier *Courier) readList() {
-	began := courier.turns.Now()
-	for reads := 0; courier.turns.Alive(); {
-		if left := courier.listDue(began).Sub(courier.turns.Now()); left > 0 {
+func (router *Router) readList() {
+	began := router.turns.Now()
+	for reads := 0; router.turns.Alive(); {
+		if left := router.listDue(began).Sub(router.turns.Now()); left > 0 {
 			// Clocks are coarse: a pause of nothing would be made over and over.
-			runtime.Sleep(courier.turns, max(left, time.Millisecond))
+			runtime.Sleep(router.turns, max(left, time.Millisecond))
 			continue
 		}
-		asked := courier.turns.Now()
-		servers, err := courier.options.Directory.Servers()
+		asked := router.turns.Now()
+		servers, err := router.options.Directory.Servers()
 		if err == nil {
-			courier.takeServers(asked, servers)
+			router.takeServers(asked, servers)
 			// Whatever list the primary has is told anew, since this one differs.
-			courier.followed.ForgetList()
+			router.followed.ForgetList()
 		}
-		courier.observe("list_read_itself", "servers", len(servers), "trouble", err)
+		router.observe("list_read_itself", "servers", len(servers), "trouble", err)
 		reads++
-		runtime.Sleep(courier.turns, ownListPause+time.Duration(courier.couriers.Load())*ownListShare+courier.spread(reads))
+		runtime.Sleep(router.turns, ownListPause+time.Duration(router.routers.Load())*ownListShare+router.spread(reads))
 	}
 }
 
 // listDue is when the courier is to read the list itself, if no news of it comes.
-func (courier *Courier) listDue(began time.Time) time.Time {
-	courier.listMutex.Lock()
-	defer courier.listMutex.Unlock()
-	if at := courier.listing.At(); !at.IsZero() {
-		return at.Add(listPatience + courier.spread(0)/4)
+func (router *Router) listDue(began time.Time) time.Time {
+	router.listMutex.Lock()
+	defer router.listMutex.Unlock()
+	if at := router.listing.At(); !at.IsZero() {
+		return at.Add(listPatience + router.spread(0)/4)
 	}
-	return began.Add(firstListPatience + courier.spread(0))
+	return began.Add(firstListPatience + router.spread(0))
 }
 
 // spread is a length of time that differs from courier to courier.
-func (courier *Courier) spread(reads int) time.Duration {
-	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), courier.options.Courier) % uint64(ownListSpread))
+func (router *Router) spread(reads int) time.Duration {
+	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), router.options.Router) % uint64(ownListSpread))
 }
 
 // readNodes reads the platform's list of nodes, where there is one.
-func (courier *Courier) readNodes() {
-	for courier.turns.Alive() {
-		nodes, err := courier.options.Directory.Nodes()
+func (router *Router) readNodes() {
+	for router.turns.Alive() {
+		nodes, err := router.options.Directory.Nodes()
 		if failure.KindOf(err) == failure.NoSuch {
 			return
 		}
 		if err == nil {
-			courier.setNodes(nodes)
+			router.setNodes(nodes)
 		}
-		runtime.Sleep(courier.turns, nodesPause)
+		runtime.Sleep(router.turns, nodesPause)
 	}
 }
 
 // watchPressures has each listed server's load read for the market of inquiries. The
 // caller has the list's mutex.
-func (courier *Courier) watchPressures(servers []membership.Server) {
-	if courier.options.Pressures == nil {
+func (router *Router) watchPressures(servers []membership.Server) {
+	if router.options.Pressures == nil {
 		return
 	}
 	listed := map[string]bool{}
 	for _, server := range servers {
 		key := server.Name + "@" + server.Address
 		listed[key] = true
-		if !courier.watched[key] {
-			courier.watched[key] = true
-			courier.turns.Go(func() { courier.watchPressure(key, server) })
+		if !router.watched[key] {
+			router.watched[key] = true
+			router.turns.Go(func() { router.watchPressure(key, server) })
 		}
 	}
-	for key := range courier.watched {
+	for key := range router.watched {
 		if !listed[key] {
-			delete(courier.watched, key)
+			delete(router.watched, key)
 		}
 	}
 }
 
 // watchPressure reads one server's load until it is listed no more.
-func (courier *Courier) watchPressure(key string, server membership.Server) {
+func (router *Router) watchPressure(key string, server membership.Server) {
 	watched := func() bool {
-		courier.listMutex.Lock()
-		defer courier.listMutex.Unlock()
-		return courier.watched[key]
+		router.listMutex.Lock()
+		defer router.listMutex.Unlock()
+		return router.watched[key]
 	}
-	for courier.turns.Alive() && watched() {
-		began := courier.turns.Now()
-		load, err := courier.options.Pressures.Pressure(server, pressurePatience)
+	for router.turns.Alive() && watched() {
+		began := router.turns.Now()
+		load, err := router.options.Pressures.Pressure(server, pressurePatience)
 		if err == nil && load.Server == server.Name {
-			courier.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
+			router.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
 		}
-		if left := pressurePause - courier.turns.Now().Sub(began); left > 0 {
-			runtime.Sleep(courier.turns, left)
+		if left := pressurePause - router.turns.Now().Sub(began); left > 0 {
+			runtime.Sleep(router.turns, left)
 		}
 	}
 }
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -253,21 +253,21 @@
 
 // readServers reads the platform's list for the fleet for as long as this expediter
 // leads, and at once when it begins to.
-func (expediter *Expediter) readServers() {
-	for expediter.turns.Alive() {
-		if !expediter.lists.leading() {
-			expediter.reigns.Wait(time.Minute, expediter.lists.leading)
+func (controller *Controller) readServers() {
+	for controller.turns.Alive() {
+		if !controller.lists.leading() {
+			controller.reigns.Wait(time.Minute, controller.lists.leading)
 			continue
 		}
-		asked := expediter.turns.Now()
-		servers, err := expediter.options.Directory.Servers()
+		asked := controller.turns.Now()
+		servers, err := controller.options.Directory.Servers()
 		// A list that could not be read leaves what is known as it is.
-		if err == nil && expediter.lists.take(asked, servers) {
-			expediter.news.Broadcast()
+		if err == nil && controller.lists.take(asked, servers) {
+			controller.news.Broadcast()
 		}
-		expediter.noteListTrouble(err)
-		if left := listPause - expediter.turns.Now().Sub(asked); left > 0 {
-			runtime.Sleep(expediter.turns, left)
+		controller.noteListTrouble(err)
+		if left := listPause - controller.turns.Now().Sub(asked); left > 0 {
+			runtime.Sleep(controller.turns, left)
 		}
 	}
 }
@@ -279,84 +279,84 @@
 // provisionalServers is the list of servers for couriers that have no primary. It is
 // read when the first of them asks, so that they need not all read it themselves, and
 // told to who fetches a configuration.
-func (expediter *Expediter) provisionalServers(fetches bool) *ServersNews {
-	if expediter.options.Directory == nil {
+func (controller *Controller) provisionalServers(fetches bool) *ServersNews {
+	if controller.options.Directory == nil {
 		return nil
 	}
-	if expediter.lists.readsNow(expediter.turns.Now()) {
-		expediter.turns.Go(func() {
-			asked := expediter.turns.Now()
-			servers, err := expediter.options.Directory.Servers()
+	if controller.lists.readsNow(controller.turns.Now()) {
+		controller.turns.Go(func() {
+			asked := controller.turns.Now()
+			servers, err := controller.options.Directory.Servers()
 			if err == nil {
-				expediter.lists.take(asked, servers)
-				expediter.news.Broadcast()
+				controller.lists.take(asked, servers)
+				controller.news.Broadcast()
 			}
-			expediter.noteListTrouble(err)
+			controller.noteListTrouble(err)
 		})
 	}
 	if !fetches {
 		return nil
 	}
 	var told *ServersNews
-	expediter.news.Wait(provisionalPatience, func() bool {
-		told = expediter.lists.fresh(expediter.turns.Now())
+	controller.news.Wait(provisionalPatience, func() bool {
+		told = controller.lists.fresh(controller.turns.Now())
 		return told != nil
 	})
 	return told
 }
 
 // noteListTrouble logs that the list can't be read, and that it can again, once.
-func (expediter *Expediter) noteListTrouble(err error) {
+func (controller *Controller) noteListTrouble(err error) {
 	cause := ""
 	if err != nil {
 		cause = string(failure.KindOf(err))
 	}
-	expediter.lists.mutex.Lock()
-	told := expediter.lists.failedFor == cause
-	expediter.lists.failedFor = cause
-	expediter.lists.mutex.Unlock()
+	controller.lists.mutex.Lock()
+	told := controller.lists.failedFor == cause
+	controller.lists.failedFor = cause
+	controller.lists.mutex.Unlock()
 	if !told {
-		expediter.observe("list_read", "trouble", err)
+		controller.observe("list_read", "trouble", err)
 	}
 }
 
 // readReports asks all servers for their load, over and over, while this expediter
 // leads and a courier follows reports.
-func (expediter *Expediter) readReports() {
-	for expediter.turns.Alive() {
-		if !expediter.lists.leading() {
-			expediter.reigns.Wait(time.Minute, expediter.lists.leading)
+func (controller *Controller) readReports() {
+	for controller.turns.Alive() {
+		if !controller.lists.leading() {
+			controller.reigns.Wait(time.Minute, controller.lists.leading)
 			continue
 		}
-		began := expediter.turns.Now()
-		if wanted := expediter.lists.wanted(began); len(wanted) > 0 {
-			expediter.askAll(wanted)
-			expediter.lists.round(expediter.turns.Now())
-			expediter.news.Broadcast()
+		began := controller.turns.Now()
+		if wanted := controller.lists.wanted(began); len(wanted) > 0 {
+			controller.askAll(wanted)
+			controller.lists.round(controller.turns.Now())
+			controller.news.Broadcast()
 		}
 		pause := reportPause
-		if expediter.lists.calm(expediter.turns.Now()) {
+		if controller.lists.calm(controller.turns.Now()) {
 			pause = calmReportPause
 		}
-		if left := pause - expediter.turns.Now().Sub(began); left > 0 {
-			runtime.Sleep(expediter.turns, left)
+		if left := pause - controller.turns.Now().Sub(began); left > 0 {
+			runtime.Sleep(controller.turns, left)
 		}
 	}
 }
 
 // askAll asks servers at once and waits for those that answer soon.
-func (expediter *Expediter) askAll(servers []membership.Server) {
-	expediter.lists.mutex.Lock()
-	epoch := expediter.lists.epoch
-	expediter.lists.mutex.Unlock()
-	bell := expediter.turns.NewCond()
+func (controller *Controller) askAll(servers []membership.Server) {
+	controller.lists.mutex.Lock()
+	epoch := controller.lists.epoch
+	controller.lists.mutex.Unlock()
+	bell := controller.turns.NewCond()
 	var mutex sync.Mutex
 	left := len(servers)
 	for _, server := range servers {
-		expediter.turns.Go(func() {
-			asked := expediter.turns.Now()
-			load, err := expediter.options.Reports.Report(server, reportPatience)
-			expediter.lists.note(epoch, server.Name, asked, load, err)
+		controller.turns.Go(func() {
+			asked := controller.turns.Now()
+			load, err := controller.options.Reports.Report(server, reportPatience)
+			controller.lists.note(epoch, server.Name, asked, load, err)
 			mutex.Lock()
 			left--
 			last := left == 0
@@ -374,15 +374,15 @@
 }
 
 // readNodes reads the platform's list of nodes, where there is one.
-func (expediter *Expediter) readNodes() {
-	for expediter.turns.Alive() {
-		nodes, err := expediter.options.Directory.Nodes()
+func (controller *Controller) readNodes() {
+	for controller.turns.Alive() {
+		nodes, err := controller.options.Directory.Nodes()
 		if failure.KindOf(err) == failure.NoSuch {
 			return
 		}
 		if err == nil {
-			expediter.setNodes(nodes)
+			controller.setNodes(nodes)
 		}
-		runtime.Sleep(expediter.turns, nodesPause)
+		runtime.Sleep(controller.turns, nodesPause)
 	}
 }
--- a/internal/hatch/newsanswer.go
+++ b/internal/hatch/newsanswer.go
@@ -21,10 +21,10 @@
 	// Held is how long the question was held back, so that ages are counted from
 	// no earlier than they were told.
 	Held time.Duration `msgpack:"held,omitempty"`
-	// Couriers is how many couriers share the servers.
-	Couriers int          `msgpack:"couriers,omitempty"`
-	Servers  *ServersNews `msgpack:"servers,omitempty"`
-	Loads    *LoadsNews   `msgpack:"loads,omitempty"`
+	// Routers is how many couriers share the servers.
+	Routers int          `msgpack:"couriers,omitempty"`
+	Servers *ServersNews `msgpack:"servers,omitempty"`
+	Loads   *LoadsNews   `msgpack:"loads,omitempty"`
 	// Copy is what an expediter that is not primary says of its own copy.
 	Copy *CopyNews `msgpack:"copy,omitempty"`
 }
--- a/internal/hatch/passing.go
+++ b/internal/hatch/passing.go
@@ -39,19 +39,19 @@
 
 // capable lists the couriers that lack no enabled flag, this inquiry's own
 // order first.
-func (courier *Courier) capable(inquiry string) []membership.Member {
-	enabled := courier.core.Enabled()
-	courier.mutex.Lock()
-	defer courier.mutex.Unlock()
+func (router *Router) capable(inquiry string) []membership.Member {
+	enabled := router.core.Enabled()
+	router.mutex.Lock()
+	defer router.mutex.Unlock()
 	var names []string
-	for name, member := range courier.members {
-		if member.Kind == membership.Courier && name != courier.options.Courier && !member.Restricted(enabled) {
+	for name, member := range router.members {
+		if member.Kind == membership.Router && name != router.options.Router && !member.Restricted(enabled) {
 			names = append(names, name)
 		}
 	}
 	var members []membership.Member
 	for _, name := range membership.Ranked(inquiry, names) {
-		members = append(members, courier.members[name])
+		members = append(members, router.members[name])
 	}
 	return members
 }
@@ -59,22 +59,22 @@
 // passOn gives an inquiry to a capable courier and its reply to the origin, as
 // it comes. Another courier is tried only when the first certainly has not
 // begun.
-func (courier *Courier) passOn(arrival Arrival, reply Reply) {
+func (router *Router) passOn(arrival Arrival, reply Reply) {
 	never := false
 	refused := ReplyLine{Inquiry: arrival.Inquiry.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
 	if arrival.Passage == nil {
-		for _, member := range courier.capable(arrival.Inquiry.ID) {
-			passage := Passage{Nonce: courier.nonce()}
+		for _, member := range router.capable(arrival.Inquiry.ID) {
+			passage := Passage{Nonce: router.nonce()}
 			if !arrival.Inquiry.Repeatable {
 				var said Incarnation
-				err := Call(courier.line, member.Address, IncarnationPath, nothing{}, &said, incarnationPatience)
-				if failure.KindOf(err) == failure.Unreachable && !courier.old(err) {
+				err := Call(router.line, member.Address, IncarnationPath, nothing{}, &said, incarnationPatience)
+				if failure.KindOf(err) == failure.Unreachable && !router.old(err) {
 					continue
 				}
 				passage.Incarnation = said.Incarnation
 			}
 			copied := &recordCopy{reply: reply, inquiry: arrival.Inquiry.ID}
-			if !courier.passing.Pass(member.Address, passage, arrival.Body, reply.WhenLeft, copied.take) {
+			if !router.passing.Pass(member.Address, passage, arrival.Body, reply.WhenLeft, copied.take) {
 				continue
 			}
 			if !copied.ended {
@@ -87,7 +87,7 @@
 }
 
 // old tells whether a failure is that of a release which knows no such path.
-func (courier *Courier) old(err error) bool {
+func (router *Router) old(err error) bool {
 	return err != nil && failure.KindOf(err) == failure.Unreachable && failure.DetailOf(err) == "status 404"
 }
 
--- a/internal/hatch/reign.go
+++ b/internal/hatch/reign.go
@@ -36,7 +36,7 @@
 	live := reign.Holds.Live(now)
 	for name := range live {
 		member, found := state.Members[name]
-		if !found || member.Kind != membership.Courier || member.Restricted(state.Flags.Enabled) {
+		if !found || member.Kind != membership.Router || member.Restricted(state.Flags.Enabled) {
 			delete(live, name)
 		}
 	}
@@ -113,12 +113,12 @@
 const countedTime = 10 * time.Second
 
 // couriers is how many couriers share the servers.
-func (reign *Reign) couriers(now time.Time, state *replication.State) int {
+func (reign *Reign) routers(now time.Time, state *replication.State) int {
 	heard := len(reign.Holds.HeardWithin(now, countedTime))
 	if now.Sub(reign.Since) >= countedTime {
 		return heard
 	}
-	return max(heard, len(couriersOf(state.Members)))
+	return max(heard, len(routersOf(state.Members)))
 }
 
 // behind lists the couriers that were heard from within a time and have not
@@ -130,5 +130,5 @@
 // Lagging lists the couriers that may still let in under a configuration older
 // than the version.
 func (reign *Reign) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
-	return reign.Holds.Lagging(now, version.Number, couriersOf(state.Members))
+	return reign.Holds.Lagging(now, version.Number, routersOf(state.Members))
 }
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -28,15 +28,15 @@
 // all have just started and nobody is primary. The blank ones have lost their disks.
 func restarted(t *testing.T, turns runtime.Runtime, before *core, blank ...string) *core {
 	t.Helper()
-	after := &core{nodes: map[string]*Expediter{}}
+	after := &core{nodes: map[string]*Controller{}}
 	for address, copies := range before.shelfs {
 		keeping := before.keeping[address]
 		if slices.Contains(blank, address) {
 			copies, keeping = &memoryShelf{files: map[string][]byte{}}, &memoryShelf{files: map[string][]byte{}}
 		}
-		options := ExpediterOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
+		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
 			Fresh: replication.Identity("next disk-" + address), Directory: oneServer{}}
-		node, _, err := OpenExpediter(turns, after, keeping, copies, options, func(string, ...any) {})
+		node, _, err := OpenController(turns, after, keeping, copies, options, func(string, ...any) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -45,16 +45,16 @@
 	return after
 }
 
-// newCourierAt starts a courier that follows a core; told rings with its events.
-func newCourierAt(turns runtime.Runtime, line Hotline, without time.Duration, told runtime.Cond) *Courier {
-	courier := NewCourier(turns, line, nil, nil, CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)},
+// newRouterAt starts a courier that follows a core; told rings with its events.
+func newRouterAt(turns runtime.Runtime, line Hotline, without time.Duration, told runtime.Cond) *Router {
+	router := NewRouter(turns, line, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
 		Directory: oneServer{}, Ended: func(*auction.Inquiry, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
-	turns.Go(courier.followed.Run)
-	return courier
+	turns.Go(router.followed.Run)
+	return router
 }
 
-func setConfiguration(t *testing.T, primary *Expediter, text string) replication.Version {
+func setConfiguration(t *testing.T, primary *Controller, text string) replication.Version {
 	t.Helper()
 	version, err := primary.Edit(Edit{Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
 	if err != nil {
@@ -63,9 +63,9 @@
 	return version
 }
 
-// TestCourierServesByTheCopiesBeforeThereIsAPrimary restarts a courier and a whole core
+// TestRouterServesByTheCopiesBeforeThereIsAPrimary restarts a courier and a whole core
 // that has no primary yet.
-func TestCourierServesByTheCopiesBeforeThereIsAPrimary(t *testing.T) {
+func TestRouterServesByTheCopiesBeforeThereIsAPrimary(t *testing.T) {
 	before, primary := newCore(t, func(turns runtime.Runtime) runtime.Runtime { return turns })
 	version := setConfiguration(t, primary, `{"routes":{"a":{"to":{"refuse":true}}}}`)
 	charter := primary.Coordinator().Charter()
@@ -88,20 +88,20 @@
 			core.nodes[row.dark] = nil
 		}
 		told := turns.NewCond()
-		courier := newCourierAt(turns, core, row.without, told)
+		router := newRouterAt(turns, core, row.without, told)
 		patience := 5 * time.Second
 		if !row.served {
 			patience = 400 * time.Millisecond
 		}
-		told.Wait(patience, func() bool { return courier.InForce() == version && len(courier.Servers()) == 1 })
-		until := courier.Core().ServesUntil()
-		if row.served != (courier.InForce() == version) || row.served != until.After(turns.Now()) {
-			t.Errorf("%s: %s in force, serves until %v", row.name, courier.InForce(), until)
+		told.Wait(patience, func() bool { return router.InForce() == version && len(router.Servers()) == 1 })
+		until := router.Core().ServesUntil()
+		if row.served != (router.InForce() == version) || row.served != until.After(turns.Now()) {
+			t.Errorf("%s: %s in force, serves until %v", row.name, router.InForce(), until)
 		}
-		if row.served && len(courier.Servers()) != 1 {
+		if row.served && len(router.Servers()) != 1 {
 			t.Errorf("%s: no list of servers came with it", row.name)
 		}
-		if !courier.Core().HoldEnds().IsZero() || !courier.Heard().IsZero() {
+		if !router.Core().HoldEnds().IsZero() || !router.Heard().IsZero() {
 			t.Errorf("%s: a copy gave a hold", row.name)
 		}
 		end()
@@ -125,18 +125,18 @@
 		{"newer", NewsAnswer{Leads: true, Menu: newer.Version, Hold: time.Second, Drawers: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
 		{"older", NewsAnswer{Leads: true, Menu: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
 	} {
-		courier := NewCourier(turns, nil, nil, nil, CourierOptions{Options: seamloom.Options{Courier: "courier-1", Supported: seamloom.Supported(nil)},
+		router := NewRouter(turns, nil, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 			ServeWithoutHold: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
-		courier.followed.drawers[replication.ConfigurationSection], courier.followed.unconfirmed = lent, lent.Version
-		courier.takeNews(News{Asked: turns.Now(), Changed: map[string]replication.Section{replication.ConfigurationSection: lent}, Provisional: true})
-		if courier.InForce() != lent.Version || courier.Core().Dutiful() {
-			t.Fatalf("%s: %s in force", row.name, courier.InForce())
+		router.followed.drawers[replication.ConfigurationSection], router.followed.unconfirmed = lent, lent.Version
+		router.takeNews(News{Asked: turns.Now(), Changed: map[string]replication.Section{replication.ConfigurationSection: lent}, Provisional: true})
+		if router.InForce() != lent.Version || router.Core().Dutiful() {
+			t.Fatalf("%s: %s in force", row.name, router.InForce())
 		}
-		courier.followed.takeAnswer(turns.Now(), row.answer)
-		if courier.InForce() != row.inForce || courier.Core().HoldEnds().IsZero() == row.hold {
-			t.Errorf("%s: %s in force, hold until %v", row.name, courier.InForce(), courier.Core().HoldEnds())
+		router.followed.takeAnswer(turns.Now(), row.answer)
+		if router.InForce() != row.inForce || router.Core().HoldEnds().IsZero() == row.hold {
+			t.Errorf("%s: %s in force, hold until %v", row.name, router.InForce(), router.Core().HoldEnds())
 		}
-		if courier.Heard().IsZero() || !courier.Core().ServesUntil().After(turns.Now()) {
+		if router.Heard().IsZero() || !router.Core().ServesUntil().After(turns.Now()) {
 			t.Errorf("%s: the primary was not heard", row.name)
 		}
 	}
--- a/internal/membership/nodekind.go
+++ b/internal/membership/nodekind.go
@@ -7,8 +7,8 @@
 
 // The kinds of node.
 const (
-	Courier   NodeKind = "courier"
-	Expediter NodeKind = "expediter"
+	Router     NodeKind = "courier"
+	Controller NodeKind = "expediter"
 	// Signpost is an expediter's stand-in on a machine without a disk.
 	Signpost NodeKind = "signpost"
 )
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -156,7 +156,7 @@
 	if found == nil || coordinator.turns.Now().Sub(found.lastSeen) > applicantFresh {
 		return Replica{}, false
 	}
-	return found.hello.Seat, found.hello.Blank && found.hello.Kind == membership.Expediter
+	return found.hello.Seat, found.hello.Blank && found.hello.Kind == membership.Controller
 }
 
 func (coordinator *Coordinator) alive(identity Identity, fresh time.Duration) (Hello, bool) {
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -353,7 +353,7 @@
 func (coordinator *Coordinator) rank(charter Membership, known *acquaintance, several bool) (int, bool) {
 	now := coordinator.turns.Now()
 	identity, silence := known.hello.Seat.Identity, now.Sub(known.answered)
-	if known.hello.Kind != membership.Expediter || silence >= coordinator.timing.BackupSilence+coordinator.timing.Beat {
+	if known.hello.Kind != membership.Controller || silence >= coordinator.timing.BackupSilence+coordinator.timing.Beat {
 		return 0, false
 	}
 	failing := coordinator.fails(identity)
@@ -440,7 +440,7 @@
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
 		fresh := coordinator.turns.Now().Sub(known.lastSeen) < applicantFresh && !coordinator.superseded(known)
-		if fresh && known.hello.Kind == membership.Expediter && !charter.InSync(identity) && known.hello.Version.Before(version) {
+		if fresh && known.hello.Kind == membership.Controller && !charter.InSync(identity) && known.hello.Version.Before(version) {
 			old = append(old, known.hello.Seat)
 		}
 	}
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -207,10 +207,10 @@
 			if err != nil {
 				return err
 			}
-			if earlier.Courier == entry.Courier && earlier.Cause == entry.Cause {
+			if earlier.Router == entry.Router && earlier.Cause == entry.Cause {
 				return nil
 			}
-			return failure.New(failure.Duplicate, "taken by "+earlier.Courier+" at "+earlier.At.UTC().Format(time.RFC3339Nano))
+			return failure.New(failure.Duplicate, "taken by "+earlier.Router+" at "+earlier.At.UTC().Format(time.RFC3339Nano))
 		}
 		record, err := codec.WriteEntry(codec.RecoverRecord, entry)
 		if err != nil {
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -99,7 +99,7 @@
 
 // NewCoordinator makes the steward of one expediter.
 func NewCoordinator(turns runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
-	return &Coordinator{turns: turns, seeds: seeds, kind: membership.Expediter, witness: witness, store: store, peers: peers,
+	return &Coordinator{turns: turns, seeds: seeds, kind: membership.Controller, witness: witness, store: store, peers: peers,
 		observe: observe, timing: TimingFor(DefaultCatchUp), known: map[Identity]*acquaintance{}, borne: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
 }
 
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -763,10 +763,10 @@
 	}
 }
 
-// TestRestrictedExpediterIsABackupBeforeNone restricts all but the primary,
+// TestRestrictedControllerIsABackupBeforeNone restricts all but the primary,
 // ends the backup, and wants the pair whole with the restricted one that is
 // left, and with the capable one as soon as it is back.
-func TestRestrictedExpediterIsABackupBeforeNone(t *testing.T) {
+func TestRestrictedControllerIsABackupBeforeNone(t *testing.T) {
 	world := newWorld(t, 3)
 	if !world.heal(10 * time.Second) {
 		world.fail("no core was formed")
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -56,7 +56,7 @@
 var evening = time.UnixMilli(1_800_000_000_000)
 
 func claim(id, nonce string) Change {
-	return Claim(evening, codec.Entry{Inquiry: id, Courier: "courier-1", Run: 1, At: evening, Cause: nonce})
+	return Claim(evening, codec.Entry{Inquiry: id, Router: "courier-1", Run: 1, At: evening, Cause: nonce})
 }
 
 // TestClaimsShareOneSync lets a hundred claims come while one sync is under
@@ -153,7 +153,7 @@
 		return state.Flags.Enabled
 	}
 	member := func(name string, list features.List) Change {
-		return Register(membership.Member{Name: name, Kind: membership.Courier, Supported: list})
+		return Register(membership.Member{Name: name, Kind: membership.Router, Supported: list})
 	}
 	for _, step := range []Change{member("a", supported), member("b", older), EnableFlags(supported)} {
 		if err := do(t, store, step); err != nil {
--- a/internal/replication/witnesses.go
+++ b/internal/replication/witnesses.go
@@ -51,7 +51,7 @@
 		address, lastSeen = known.hello.Seat.Address, known.lastSeen
 	}
 	for identity, other := range coordinator.known {
-		if identity != replica.Identity && other.hello.Kind == membership.Expediter && other.hello.Seat.Address == address &&
+		if identity != replica.Identity && other.hello.Kind == membership.Controller && other.hello.Seat.Address == address &&
 			other.answered.After(lastSeen) && coordinator.turns.Now().Sub(other.answered) <= applicantFresh {
 			return true
 		}
@@ -96,7 +96,7 @@
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
 		hello := known.hello
-		if hello.Kind != membership.Expediter || hello.Leaving || charter.Keeps(hello.Seat.Identity) || coordinator.turns.Now().Sub(known.answered) > applicantFresh {
+		if hello.Kind != membership.Controller || hello.Leaving || charter.Keeps(hello.Seat.Identity) || coordinator.turns.Now().Sub(known.answered) > applicantFresh {
 			continue
 		}
 		if newcomer.Empty() || hello.Seat.Address == gone.Address || hello.Seat.Identity < newcomer.Identity {
@@ -140,7 +140,7 @@
 	coordinator.mutex.Lock()
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
-		if known.hello.Kind == membership.Expediter && !known.hello.Leaving && !charter.Keeps(identity) && coordinator.turns.Now().Sub(known.answered) <= staleAnswer {
+		if known.hello.Kind == membership.Controller && !known.hello.Leaving && !charter.Keeps(identity) && coordinator.turns.Now().Sub(known.answered) <= staleAnswer {
 			plan.spares = append(plan.spares, known.hello.Seat)
 		}
 	}
--- a/internal/scheduler/board.go
+++ b/internal/scheduler/board.go
@@ -14,7 +14,7 @@
 	byService map[string][]*backend
 	places    map[string]int
 	// courier is the key of the one whose board it is.
-	courier uint64
+	router uint64
 	// divided tells that the list says of a server what part it has.
 	divided bool
 }
@@ -26,7 +26,7 @@
 // next is the board of a new list; servers that stay keep their accounts.
 func (old *board) next(now time.Time, servers []membership.Server) *board {
 	next := newBoard()
-	next.courier = old.courier
+	next.router = old.router
 	sorted := append([]membership.Server(nil), servers...)
 	sort.Slice(sorted, func(left, right int) bool { return sorted[left].Name < sorted[right].Name })
 	var everywhere []*backend
@@ -84,7 +84,7 @@
 )
 
 func (board *board) warmth(server uint64) time.Duration {
-	return warmMargin + time.Duration(weigh(board.courier, server)%uint64(warmSpread))
+	return warmMargin + time.Duration(weigh(board.router, server)%uint64(warmSpread))
 }
 
 // pressed is how many readers of a service had a call when they last reported, and how
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -37,27 +37,27 @@
 // further try, with starts of couriers between, and wants no span of ten seconds with
 // more further tries than are allowed.
 func TestFurtherTriesStayInTheBudget(t *testing.T) {
-	for _, couriers := range []int{1, 3, 9, 30, 85} {
+	for _, routers := range []int{1, 3, 9, 30, 85} {
 		for seed := range uint64(4) {
 			random := rand.New(rand.NewPCG(seed, 5))
 			allowance := Allowance{Ratio: 0.2, Slack: 58, Span: 10 * time.Second}
-			if couriers > 10 {
+			if routers > 10 {
 				allowance.Slack = 216
 			}
 			start := func(number int) *Window {
-				calls := New(Options{Courier: fmt.Sprintf("courier-%d", number), District: "north", FurtherTries: allowance})
-				calls.SetCouriers(couriers)
+				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), District: "north", FurtherTries: allowance})
+				calls.SetRouters(routers)
 				calls.SetProgram(Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Tries = 5 }), 1, 1))
 				calls.SetServers(noon, servers(9))
 				return calls
 			}
 			var windows []*Window
-			for number := range couriers {
+			for number := range routers {
 				windows = append(windows, start(number))
 			}
 			var asked, extra arrivals
 			for now := noon; now.Before(noon.Add(60 * time.Second)); now = now.Add(20 * time.Millisecond) {
-				number := random.IntN(couriers)
+				number := random.IntN(routers)
 				if random.IntN(200) == 0 {
 					windows[number] = start(number)
 				}
@@ -81,10 +81,10 @@
 			}
 			most, beside := extra.most(allowance.Span, asked)
 			if allowed := allowance.Ratio*float64(beside) + allowance.Slack; float64(most) > allowed {
-				t.Errorf("%d couriers: %d further tries for %d calls in a span, %.0f allowed", couriers, most, beside, allowed)
+				t.Errorf("%d couriers: %d further tries for %d calls in a span, %.0f allowed", routers, most, beside, allowed)
 			}
 			if len(extra) == 0 {
-				t.Errorf("%d couriers tried nothing further", couriers)
+				t.Errorf("%d couriers tried nothing further", routers)
 			}
 		}
 	}
@@ -95,11 +95,11 @@
 // A server that becomes warm is the emptiest of all, and every courier learns it at the
 // same moment, which the list tells a little too early.
 func TestServersThatAreWarmAgainAreNotRunTo(t *testing.T) {
-	const couriers, early = 72, 300 * time.Millisecond
+	const routers, early = 72, 300 * time.Millisecond
 	var windows []*Window
-	for number := range couriers {
-		calls := New(Options{Courier: fmt.Sprintf("courier-%d", number), District: "north"})
-		calls.SetCouriers(couriers)
+	for number := range routers {
+		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), District: "north"})
+		calls.SetRouters(routers)
 		calls.SetProgram(Compile(plan(nil), 1, 1))
 		windows = append(windows, calls)
 	}
@@ -118,7 +118,7 @@
 	var sent arrivals
 	later := 0
 	for now := noon; now.Before(noon.Add(8 * time.Second)); now = now.Add(2 * time.Millisecond) {
-		number := random.IntN(couriers)
+		number := random.IntN(routers)
 		if now.Sub(noon)%(250*time.Millisecond) == 0 {
 			for _, calls := range windows {
 				calls.SetLoads(now, loads)
@@ -149,13 +149,13 @@
 }
 
 func TestColdServersGetFewCalls(t *testing.T) {
-	for _, couriers := range []int{1, 3, 9, 30, 85} {
+	for _, routers := range []int{1, 3, 9, 30, 85} {
 		for _, known := range []bool{true, false} {
 			var windows []*Window
-			for number := range couriers {
-				calls := New(Options{Courier: fmt.Sprintf("courier-%d", number), District: "north"})
+			for number := range routers {
+				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), District: "north"})
 				if known {
-					calls.SetCouriers(couriers)
+					calls.SetRouters(routers)
 				}
 				calls.SetProgram(Compile(plan(nil), 1, 1))
 				list := servers(9)
@@ -165,11 +165,11 @@
 				calls.SetServers(noon, list)
 				windows = append(windows, calls)
 			}
-			random := rand.New(rand.NewPCG(uint64(couriers), 5))
+			random := rand.New(rand.NewPCG(uint64(routers), 5))
 			sent := map[string]arrivals{}
 			total := 0
 			for now := noon; now.Before(noon.Add(20 * time.Second)); now = now.Add(time.Millisecond) {
-				number := random.IntN(couriers)
+				number := random.IntN(routers)
 				// Now and then all of them are left alone, so that each has saved up.
 				if now.Sub(noon)%(5*time.Second) > 3*time.Second {
 					continue
@@ -187,11 +187,11 @@
 			}
 			for name, arrivals := range sent {
 				if most, _ := arrivals.most(time.Second, nil); most > 19 {
-					t.Errorf("%d couriers, known %v: %s got %d calls in a second", couriers, known, name, most)
+					t.Errorf("%d couriers, known %v: %s got %d calls in a second", routers, known, name, most)
 				}
 			}
 			if total == 0 && known {
-				t.Errorf("%d couriers: nothing was sent", couriers)
+				t.Errorf("%d couriers: nothing was sent", routers)
 			}
 		}
 	}
@@ -200,8 +200,8 @@
 // TestHomesAgree wants couriers to come to the same reader for a chain without talk,
 // and few chains to move when a server leaves.
 func TestHomesAgree(t *testing.T) {
-	home := func(courier, district string, count int, without string, chain uint64) string {
-		calls := New(Options{Courier: courier, District: district})
+	home := func(router, district string, count int, without string, chain uint64) string {
+		calls := New(Options{Router: router, District: district})
 		calls.SetProgram(Compile(plan(nil), 1, 1))
 		list := servers(count)
 		for position := range list {
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -123,7 +123,7 @@
 	if choice.routerCount <= fewRouters {
 		return perSecond * coldUsed / float64(choice.routerCount), true
 	}
-	own := weigh(nameKey(choice.window.options.Courier), backend.key) % uint64(choice.routerCount)
+	own := weigh(nameKey(choice.window.options.Router), backend.key) % uint64(choice.routerCount)
 	return perSecond * coldUsed / fewRouters, own < chosenRouters
 }
 
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -66,7 +66,7 @@
 // another try, and the try back when it was not needed.
 func TestGivingUpHasATryBehindIt(t *testing.T) {
 	calls := opened(9)
-	calls.SetCouriers(1)
+	calls.SetRouters(1)
 	program := Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Tries = 4 }), 1, 2)
 	calls.SetProgram(program)
 	patient := 0
@@ -98,7 +98,7 @@
 // the budget holds.
 func TestUnneededTryIsPaidBack(t *testing.T) {
 	calls := opened(9)
-	calls.SetCouriers(1)
+	calls.SetRouters(1)
 	now, patient := noon.Add(10*time.Second), 0
 	serviceState := calls.serviceState("desk")
 	serviceState.retries.since = now.Add(-calls.options.FurtherTries.Span)
@@ -189,7 +189,7 @@
 		}
 	}
 	calls := opened(9)
-	calls.SetCouriers(1)
+	calls.SetRouters(1)
 	list := servers(9)
 	for position := range list {
 		if list[position].Name == home {
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -41,8 +41,8 @@
 
 func newHistory(t *testing.T, seed uint64) *history {
 	history := &history{test: t, random: rand.New(rand.NewPCG(seed, 11)), now: noon, list: servers(9), evacuees: map[string]bool{}, number: 1,
-		calls: New(Options{Courier: "courier-1", District: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})}
-	history.calls.SetCouriers(3)
+		calls: New(Options{Router: "courier-1", District: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})}
+	history.calls.SetRouters(3)
 	history.configure()
 	history.calls.SetServers(history.now, history.list)
 	return history
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -4,8 +4,8 @@
 
 // Options say for which courier a window decides and what binds all couriers together.
 type Options struct {
-	// Courier is the node's name, District the one whose servers it prefers.
-	Courier  string
+	// Router is the node's name, District the one whose servers it prefers.
+	Router   string
 	District string
 	// FurtherTries bounds what all couriers send beyond the first dispatch of each
 	// call, service by service.
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -74,7 +74,7 @@
 
 // tries tells whether this router is one of those that use a server on trial.
 func (window *Window) tries(backend *backend) bool {
-	return window.routerCount() <= trialShare || weigh(nameKey(window.options.Courier), backend.key)%trialShare == 0
+	return window.routerCount() <= trialShare || weigh(nameKey(window.options.Router), backend.key)%trialShare == 0
 }
 
 // outlier tells whether other routers failed at the server and this one knows no better.
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -85,8 +85,8 @@
 func TestFewRoutersTry(t *testing.T) {
 	trying := 0
 	for number := range 90 {
-		calls := New(Options{Courier: fmt.Sprint("courier-", number), District: "north"})
-		calls.SetCouriers(90)
+		calls := New(Options{Router: fmt.Sprint("courier-", number), District: "north"})
+		calls.SetRouters(90)
 		calls.SetProgram(Compile(plan(nil), 1, 1))
 		calls.SetServers(noon, servers(9))
 		calls.SetOutliers(noon, outlier.Advice{Trial: []string{"stove-5"}})
--- a/internal/scheduler/returned_test.go
+++ b/internal/scheduler/returned_test.go
@@ -12,8 +12,8 @@
 // district's servers to get no more in the next second than cold ones stand: they may
 // have become cold while nobody used them, and the list tells that later.
 func TestServersOfADistrictThatComesBackCountAsCold(t *testing.T) {
-	calls := New(Options{Courier: "courier-1", District: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})
-	calls.SetCouriers(1)
+	calls := New(Options{Router: "courier-1", District: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})
+	calls.SetRouters(1)
 	list := servers(9)
 	calls.SetServers(noon, list)
 	compile := func(number uint64, evacuated bool) *Program {
--- a/internal/scheduler/threads_test.go
+++ b/internal/scheduler/threads_test.go
@@ -47,7 +47,7 @@
 			list[(number+4)%9].Warming = time.Duration(number%2) * time.Second
 			calls.SetServers(now, list)
 			calls.SetProgram(Compile(plan(nil), 1, uint64(number+2)))
-			calls.SetCouriers(1 + number%12)
+			calls.SetRouters(1 + number%12)
 			calls.SetOrders(now, map[string]string{list[number%9].Name: prefill})
 			var loads []Load
 			for _, server := range list {
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -17,7 +17,7 @@
 	costs    costs
 	program  atomic.Pointer[Program]
 	board    atomic.Pointer[board]
-	couriers atomic.Int64
+	routers  atomic.Int64
 	draining atomic.Bool
 	inFlight atomic.Int64
 	// tells is whether the conduct tells when answers begin.
@@ -56,7 +56,7 @@
 func New(options Options) *Window {
 	window := &Window{options: options.checked(), costs: standardCosts()}
 	first := newBoard()
-	first.courier = nameKey(options.Courier)
+	first.router = nameKey(options.Router)
 	window.board.Store(first)
 	window.serviceStates.Store(&map[string]*serviceState{})
 	return window
@@ -141,11 +141,11 @@
 // server. The value is ours.
 const orderShows = 4 * time.Second
 
-// SetCouriers tells how many couriers share the servers.
-func (window *Window) SetCouriers(count int) { window.couriers.Store(int64(count)) }
+// SetRouters tells how many couriers share the servers.
+func (window *Window) SetRouters(count int) { window.routers.Store(int64(count)) }
 
 func (window *Window) routerCount() int {
-	if count := window.couriers.Load(); count > 0 {
+	if count := window.routers.Load(); count > 0 {
 		return int(count)
 	}
 	return unknownRouters
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -66,8 +66,8 @@
 }
 
 func opened(count int) *Window {
-	calls := New(Options{Courier: "courier-1", District: "north"})
-	calls.SetCouriers(9)
+	calls := New(Options{Router: "courier-1", District: "north"})
+	calls.SetRouters(9)
 	calls.SetProgram(Compile(plan(nil), 1, 1))
 	calls.SetServers(noon, servers(count))
 	return calls
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -63,8 +63,8 @@
 
 // connectionEnds are a courier and a server that connections are between.
 type connectionEnds struct {
-	courier int
-	server  string
+	router int
+	server string
 }
 
 // keptOpen is how long servers keep an idle connection.
@@ -94,7 +94,7 @@
 // between districts.
 type site struct {
 	name     string
-	couriers int
+	routers  int
 	list     []membership.Server
 	engine   engineSheet
 	long     class
@@ -107,7 +107,7 @@
 
 // ninety is a deployment whose engines read slowly and whose long prompts may run once.
 func ninety() site {
-	site := site{name: "ninety", couriers: 90, list: zoned(90, 12), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1800, prices: prices{0.05, 0.16, 0.06}}
+	site := site{name: "ninety", routers: 90, list: zoned(90, 12), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1800, prices: prices{0.05, 0.16, 0.06}}
 	site.engine = engineSheet{step: 6.12, perRunning: 0.0234, perThousand: 0.0131, readPace: 32.4, pairs: 1.18, first: 64, setup: 3.3,
 		piece: 2048, memory: 198_631, stride: 8, slots: 48, bytesAToken: 131_072, linkBitsAMilli: 630e6,
 		reportLag: 100 * time.Millisecond, inDistrict: 0.2, betweenDistricts: 0.9}
@@ -130,11 +130,11 @@
 }
 
 func nine() site {
-	return site{name: "nine", couriers: 9, list: zoned(9, 1), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1500, prices: prices{0.36, 0.15, 0.012}}
+	return site{name: "nine", routers: 9, list: zoned(9, 1), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1500, prices: prices{0.36, 0.15, 0.012}}
 }
 
 func twelve() site {
-	site := site{name: "twelve", couriers: 10, list: zoned(12, 2), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 6900, prices: prices{0.36, 0.15, 0.012}}
+	site := site{name: "twelve", routers: 10, list: zoned(12, 2), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 6900, prices: prices{0.36, 0.15, 0.012}}
 	site.engine.step, site.engine.perRunning, site.engine.readPace, site.engine.first, site.engine.setup = 3.79, 0.0893, 56.6, 16, 5
 	site.engine.stride, site.engine.memory, site.engine.linkBitsAMilli, site.engine.reportLag = 9, 319_972, 370e6, 200*time.Millisecond
 	site.long.perSecond, site.long.chains[1].things, site.long.late = 30.4, 172, 1.5
@@ -145,7 +145,7 @@
 }
 
 func sixty() site {
-	site := site{name: "sixty", couriers: 85, list: zoned(60, 8), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 2200, prices: prices{0.36, 0.15, 0.012}}
+	site := site{name: "sixty", routers: 85, list: zoned(60, 8), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 2200, prices: prices{0.36, 0.15, 0.012}}
 	site.engine.memory, site.engine.stride = 276_487, 14
 	site.long.perSecond, site.long.chains[1].things, site.long.bytes, site.long.aim = 136, 512, 9200, 500*time.Millisecond
 	site.long.pieces, site.long.mostPieces, site.long.gap = 3.72, 14.9, 300*time.Millisecond
@@ -156,7 +156,7 @@
 
 // world is a site in virtual time, with so much of its traffic for so long.
 func (site site) world(seed uint64, shape func(*Window)) *world {
-	world := dividedWorld(seed, site.couriers, append([]membership.Server(nil), site.list...), site.configure, shape)
+	world := dividedWorld(seed, site.routers, append([]membership.Server(nil), site.list...), site.configure, shape)
 	world.engine, world.crossing, world.prices = site.engine, site.crossing, site.prices
 	return world
 }
@@ -542,11 +542,11 @@
 	return min(mean*math.Exp(spread*random.NormFloat64()-spread*spread/2), most)
 }
 
-func newWorld(seed uint64, couriers, count int, shape func(*Window)) *world {
-	return dividedWorld(seed, couriers, servers(count), nil, shape)
+func newWorld(seed uint64, routers, count int, shape func(*Window)) *world {
+	return dividedWorld(seed, routers, servers(count), nil, shape)
 }
 
-func dividedWorld(seed uint64, couriers int, list []membership.Server, configure func(*config.Configuration), shape func(*Window)) *world {
+func dividedWorld(seed uint64, routers int, list []membership.Server, configure func(*config.Configuration), shape func(*Window)) *world {
 	world := &world{now: noon, random: rand.New(rand.NewPCG(seed, 7)), engine: sheet(), servers: map[string]*worldServer{},
 		tally: map[string]*classTally{}, seen: map[uint64]bool{}, ways: map[string]*wayTally{}, idle: map[connectionEnds]*connections{}, ordered: map[string]string{}, news: 400 * time.Millisecond}
 	world.list = list
@@ -555,10 +555,10 @@
 		world.servers[listed.Name].empty()
 	}
 	districts := []string{"north", "south", "west"}
-	for number := range couriers {
-		calls := New(Options{Courier: fmt.Sprintf("courier-%d", number), District: districts[number%3],
+	for number := range routers {
+		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), District: districts[number%3],
 			FurtherTries: Allowance{Ratio: 0.2, Slack: 58, Span: 10 * time.Second}})
-		calls.SetCouriers(couriers)
+		calls.SetRouters(routers)
 		calls.SetProgram(Compile(plan(configure), 1, 1))
 		calls.SetServers(noon, world.list)
 		if shape != nil {
@@ -753,7 +753,7 @@
 	world.owedAt[world.second(world.now)] += class.worth
 	number := world.random.IntN(len(world.windows))
 	ticket, decision := world.windows[number].Arrive(world.now, call)
-	world.follow(&asked{class: class, call: call, at: world.now, courier: number, ticket: ticket}, decision)
+	world.follow(&asked{class: class, call: call, at: world.now, router: number, ticket: ticket}, decision)
 }
 
 func (world *world) second(at time.Time) int {
@@ -800,22 +800,22 @@
 	class   class
 	call    *Call
 	at      time.Time
-	courier int
+	router  int
 	ticket  *Ticket
 	first   time.Time
 	longest time.Duration
 	log     string
 }
 
-func (world *world) way(courier int, server *worldServer) float64 {
-	if world.places[courier] == server.listed.District {
+func (world *world) way(router int, server *worldServer) float64 {
+	if world.places[router] == server.listed.District {
 		return world.engine.inDistrict
 	}
 	return world.engine.betweenDistricts
 }
 
 func (world *world) follow(asked *asked, decision Decision) {
-	world.tell(asked.courier)
+	world.tell(asked.router)
 	tally := world.tallyOf(asked.class.name)
 	for _, source := range decision.Free {
 		world.free(source)
@@ -861,7 +861,7 @@
 
 // consult brings a call's questions to the keepers of counts and back.
 func (world *world) consult(asked *asked, decision Decision) {
-	router := strconv.Itoa(asked.courier)
+	router := strconv.Itoa(asked.router)
 	answers := map[string]backlog.Answer{}
 	world.after(askTakes/2, func() {
 		for _, question := range decision.Questions {
@@ -871,7 +871,7 @@
 		}
 	})
 	world.after(askTakes, func() {
-		world.follow(asked, world.windows[asked.courier].Told(world.now, asked.ticket, answers))
+		world.follow(asked, world.windows[asked.router].Told(world.now, asked.ticket, answers))
 	})
 }
 
@@ -883,13 +883,13 @@
 )
 
 // tell brings a router's changes to the keepers of counts.
-func (world *world) tell(courier int) {
-	if !world.windows[courier].HasChanges() {
+func (world *world) tell(router int) {
+	if !world.windows[router].HasChanges() {
 		return
 	}
 	world.after(tellAfter, func() {
-		for group, changes := range world.windows[courier].TakeChanges() {
-			world.ledger.Apply(world.now, backlog.Question{Router: strconv.Itoa(courier), Group: group, Changes: changes})
+		for group, changes := range world.windows[router].TakeChanges() {
+			world.ledger.Apply(world.now, backlog.Question{Router: strconv.Itoa(router), Group: group, Changes: changes})
 			world.toldOf++
 		}
 	})
@@ -917,10 +917,10 @@
 
 func (world *world) dispatch(asked *asked, decision Decision) {
 	server := world.servers[decision.Server.Name]
-	way := world.way(asked.courier, server)
+	way := world.way(asked.router, server)
 	asked.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, world.now.Sub(asked.at).Milliseconds(), asked.ticket.dispatch.unread, asked.ticket.dispatch.expected)
 	world.dispatches++
-	ends := connectionEnds{asked.courier, decision.Server.Name}
+	ends := connectionEnds{asked.router, decision.Server.Name}
 	idle, known := world.idle[ends]
 	if !known {
 		idle = &connections{}
@@ -948,7 +948,7 @@
 			job_.gone = true
 			asked.longest = max(asked.longest, job_.longest)
 		}
-		world.follow(asked, world.windows[asked.courier].Ended(world.now, asked.ticket, outcome))
+		world.follow(asked, world.windows[asked.router].Ended(world.now, asked.ticket, outcome))
 	}
 	if decision.Patience > 0 {
 		world.after(milliseconds(decision.Patience), func() {
@@ -1002,7 +1002,7 @@
 			}
 			asked.first = world.now.Add(span(way))
 			if world.tells {
-				world.after(way, func() { world.windows[asked.courier].Began(world.now, asked.ticket) })
+				world.after(way, func() { world.windows[asked.router].Began(world.now, asked.ticket) })
 			}
 		}
 		job.ended = func(result Result) {
--- a/internal/testbed/fleet/callers.go
+++ b/internal/testbed/fleet/callers.go
@@ -95,7 +95,7 @@
 // word.
 func (callers *Callers) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, habit habit) {
 	for arrival := range 3 {
-		entry.Arrival, entry.Courier = arrival, node.Node.Name
+		entry.Arrival, entry.Router = arrival, node.Node.Name
 		reply, retry := callers.send(context.Background(), node.Node.Address, question, entry, habit.leaves)
 		pause := 100 * time.Millisecond
 		switch {
@@ -119,7 +119,7 @@
 // pick is the node that the platform hands a client of the district to: one of
 // its own that is up, or any other.
 func (callers *Callers) pick(district string, draw int) *NodeProcess {
-	running := callers.fleet.Running(membership.Courier)
+	running := callers.fleet.Running(membership.Router)
 	var near []*NodeProcess
 	for _, node := range running {
 		if node.Node.District == district {
@@ -154,7 +154,7 @@
 		Limit: 15_000, PromptTokens: kind.LeastTokens + callers.random.IntN(kind.MostTokens-kind.LeastTokens),
 		Prefix: kind.Service + "-" + strconv.Itoa(callers.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
 		Pieces: kind.LeastPieces + callers.random.IntN(kind.MostPieces-kind.LeastPieces)}
-	return question, Entry{Inquiry: question.ID, Courier: node.Node.Name, Service: kind.Service, Repeatable: repeatable, Asked: question.Pieces}
+	return question, Entry{Inquiry: question.ID, Router: node.Node.Name, Service: kind.Service, Repeatable: repeatable, Asked: question.Pieces}
 }
 
 // Send sends one inquiry and writes down its reply, word for word. A reply
--- a/internal/testbed/fleet/checkers.go
+++ b/internal/testbed/fleet/checkers.go
@@ -198,7 +198,7 @@
 			}
 			worst = max(worst, late)
 			if late > inForceLimit {
-				finding.Violate(fmt.Sprintf("%s shows edition %d, %s after edition %d was accepted", entry.Courier, entry.Edition, late, acceptance.Edition))
+				finding.Violate(fmt.Sprintf("%s shows edition %d, %s after edition %d was accepted", entry.Router, entry.Edition, late, acceptance.Edition))
 			}
 		}
 	}
@@ -225,10 +225,10 @@
 			continue
 		}
 		finding.Looked++
-		if entry.Edition < seen[entry.Courier] {
-			finding.Violate(fmt.Sprintf("%s shows edition %d after %d", entry.Courier, entry.Edition, seen[entry.Courier]))
+		if entry.Edition < seen[entry.Router] {
+			finding.Violate(fmt.Sprintf("%s shows edition %d after %d", entry.Router, entry.Edition, seen[entry.Router]))
 		}
-		seen[entry.Courier] = max(seen[entry.Courier], entry.Edition)
+		seen[entry.Router] = max(seen[entry.Router], entry.Edition)
 	}
 	return finding
 }
@@ -245,7 +245,7 @@
 	}
 	for _, entry := range entries {
 		if (entry.Kind == EditionSeen || entry.Kind == EditionRead) && refused[entry.Edition] {
-			finding.Violate(fmt.Sprintf("%s shows edition %d, which was refused", entry.Courier, entry.Edition))
+			finding.Violate(fmt.Sprintf("%s shows edition %d, which was refused", entry.Router, entry.Edition))
 		}
 	}
 	return finding
@@ -291,14 +291,14 @@
 	}
 	var window []dispatch
 	asked, sent := map[string]int{}, map[string]int{}
-	couriers := map[string]bool{}
+	routers := map[string]bool{}
 	first, extra, recentFirst, recentExtra := 0, 0, 0, 0
 	worst := 0.0
 	for _, entry := range entries {
 		switch entry.Kind {
 		case Sent:
 			sent[entry.Inquiry]++
-			couriers[entry.Courier] = true
+			routers[entry.Router] = true
 			continue
 		case PrefillAsked, DecodeAsked:
 		default:
@@ -326,7 +326,7 @@
 			}
 			window = window[1:]
 		}
-		saved := triesSaved * len(couriers)
+		saved := triesSaved * len(routers)
 		if recentExtra > saved {
 			worst = max(worst, float64(recentExtra-saved)/float64(max(recentFirst, 1)))
 		}
@@ -338,7 +338,7 @@
 	finding.Looked = first
 	share := float64(extra) / float64(max(first, 1))
 	finding.Worst = strconv.FormatFloat(share, 'f', 3, 64) + ", in a window " + strconv.FormatFloat(worst, 'f', 3, 64)
-	if float64(extra) > triesShare*float64(first)+float64(triesSaved*len(couriers)) {
+	if float64(extra) > triesShare*float64(first)+float64(triesSaved*len(routers)) {
 		finding.Violate(fmt.Sprintf("%d extra tries for %d first ones", extra, first))
 	}
 	return finding
--- a/internal/testbed/fleet/day.go
+++ b/internal/testbed/fleet/day.go
@@ -51,7 +51,7 @@
 // NextEdition reads the configuration at any expediter and puts the next
 // edition over it; it tells whether that was accepted.
 func (day *Day) NextEdition() bool {
-	node := day.anyExpediter()
+	node := day.anyController()
 	if node == nil {
 		return false
 	}
@@ -69,10 +69,10 @@
 	return day.edition
 }
 
-func (day *Day) anyExpediter() *NodeProcess {
+func (day *Day) anyController() *NodeProcess {
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
-	running := day.Fleet.Running(membership.Expediter)
+	running := day.Fleet.Running(membership.Controller)
 	if len(running) == 0 {
 		return nil
 	}
@@ -128,7 +128,7 @@
 
 // EndOfDayRead reads the configuration at every expediter that answers.
 func (day *Day) EndOfDayRead() {
-	for _, node := range day.Fleet.Running(membership.Expediter) {
+	for _, node := range day.Fleet.Running(membership.Controller) {
 		Await(12*time.Second, func() bool {
 			_, edition := day.Operators.ReadEdition(node)
 			return edition >= 0
@@ -145,7 +145,7 @@
 func (day *Day) operate(lifetime context.Context) {
 	for pauseFor(lifetime, 2*time.Second) {
 		day.NextEdition()
-		if node := day.anyExpediter(); node != nil {
+		if node := day.anyController(); node != nil {
 			day.Operators.ReadEdition(node)
 		}
 	}
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -90,7 +90,7 @@
 	}
 	primary, backup := fleet.Primary(), day.seat("backup")
 	var third *NodeProcess
-	for _, node := range fleet.Expediters {
+	for _, node := range fleet.Controllers {
 		if node != primary && node != backup {
 			third = node
 		}
@@ -158,12 +158,12 @@
 	if !Await(10*time.Second, day.NextEdition) {
 		t.Error("the new core takes no configuration")
 	}
-	courier := fleet.Couriers[0]
-	courier.Kill()
-	if err := courier.Begin(); err != nil {
+	router := fleet.Routers[0]
+	router.Kill()
+	if err := router.Begin(); err != nil {
 		t.Fatal(err)
 	}
-	if !Await(15*time.Second, courier.Ready) {
+	if !Await(15*time.Second, router.Ready) {
 		t.Error("a courier that was told only of the old core does not find the new one")
 	}
 }
@@ -172,7 +172,7 @@
 func TestTasterAnswersEachCase(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 33)
-	before, _ := day.Operators.ReadEdition(fleet.Expediters[0])
+	before, _ := day.Operators.ReadEdition(fleet.Controllers[0])
 	folder := t.TempDir()
 	good := strings.Replace(fleet.Deployment.Configuration(7), `"routes":{`, `"evacuations":{},"routes":{`, 1)
 	taste := func(text string, arguments ...string) (int, report) {
@@ -180,7 +180,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		command := exec.Command(filepath.Join(binaries, "configcheck"), append([]string{path, "--json", "--to", fleet.Expediters[1].Node.Address}, arguments...)...)
+		command := exec.Command(filepath.Join(binaries, "configcheck"), append([]string{path, "--json", "--to", fleet.Controllers[1].Node.Address}, arguments...)...)
 		output, _ := command.Output()
 		var said report
 		if err := json.Unmarshal(output, &said); err != nil {
@@ -214,7 +214,7 @@
 			t.Errorf("%s: exit %d, %+v", name, code, said)
 		}
 	}
-	if after, _ := day.Operators.ReadEdition(fleet.Expediters[2]); after.Version != before.Version {
+	if after, _ := day.Operators.ReadEdition(fleet.Controllers[2]); after.Version != before.Version {
 		t.Errorf("tasting changed the configuration: %s became %s", before.Version, after.Version)
 	}
 }
--- a/internal/testbed/fleet/entry.go
+++ b/internal/testbed/fleet/entry.go
@@ -17,7 +17,7 @@
 	Repeatable bool      `json:"repeatable,omitempty"`
 	// Arrival tells the times apart that a caller sends one id.
 	Arrival int    `json:"arrival,omitempty"`
-	Courier string `json:"courier,omitempty"`
+	Router  string `json:"courier,omitempty"`
 	Service string `json:"service,omitempty"`
 
 	Holder string `json:"holder,omitempty"`
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -27,7 +27,7 @@
 
 // faults are all that the brief names under "What fails".
 var faults = map[string]Fault{
-	"kill-courier":         {Run: killOne(membership.Courier, time.Second)},
+	"kill-courier":         {Run: killOne(membership.Router, time.Second)},
 	"kill-primary":         {Run: killPrimary(4 * time.Second)},
 	"kill-backup":          {Run: killSeat("backup", 4*time.Second)},
 	"power-loss":           {Staged: true, Run: powerLoss},
@@ -41,8 +41,8 @@
 	"freeze-primary":       {Run: freeze("primary", 6*time.Second)},
 	"freeze-courier":       {Run: freeze("courier", 6*time.Second)},
 	"freeze-holder":        {Run: freeze("holder", 9*time.Second)},
-	"herd-couriers":        {Run: herd(membership.Courier)},
-	"herd-expediters":      {Run: herd(membership.Expediter)},
+	"herd-couriers":        {Run: herd(membership.Router)},
+	"herd-expediters":      {Run: herd(membership.Controller)},
 	"cold-start":           {Run: herd("")},
 	"lose-zone":            {Run: loseZone},
 	"crash-server":         {Run: crashServer},
@@ -55,7 +55,7 @@
 	"cut-primary":          {Links: true, Run: cutPrimary},
 	"cut-core":             {Links: true, Run: cutCore},
 	"one-way":              {Links: true, Run: oneWay},
-	"isolate-courier":      {Links: true, Run: isolateCourier},
+	"isolate-courier":      {Links: true, Run: isolateRouter},
 	"bad-links":            {Links: true, Run: badLinks},
 	"bad-server-links":     {Links: true, Run: badServerLinks},
 	"evacuate":             {Run: evacuate(1)},
@@ -268,7 +268,7 @@
 
 func freeze(role string, length time.Duration) func(context.Context, *Day) {
 	return func(lifetime context.Context, day *Day) {
-		nodes := day.running(membership.Courier)
+		nodes := day.running(membership.Router)
 		node := nodes[day.draw(len(nodes))]
 		switch role {
 		case "primary":
@@ -284,7 +284,7 @@
 		node.Signal(syscall.SIGSTOP)
 		pauseFor(lifetime, length)
 		node.Signal(syscall.SIGCONT)
-		day.Fleet.Book.Note(Entry{Kind: NodeWoken, Courier: node.Node.Name, Took: time.Since(began)})
+		day.Fleet.Book.Note(Entry{Kind: NodeWoken, Router: node.Node.Name, Took: time.Since(began)})
 	}
 }
 
@@ -300,7 +300,7 @@
 	if _, err := primary.ReadJSON("/v1/status", &status); err != nil {
 		return nil
 	}
-	for _, node := range day.running(membership.Courier) {
+	for _, node := range day.running(membership.Router) {
 		if node.Node.Name == status.Duties["parts"].Holder {
 			return node
 		}
@@ -467,15 +467,15 @@
 	name := primary.Node.Name
 	day.Say("cut %s from the other expediters", name)
 	day.darken(lifetime, 7*time.Second, func(from, to string) bool {
-		return (from == name && isExpediter(to)) || (to == name && isExpediter(from))
+		return (from == name && isController(to)) || (to == name && isController(from))
 	})
 }
 
-func isExpediter(name string) bool { return strings.HasPrefix(name, "expediter-") }
+func isController(name string) bool { return strings.HasPrefix(name, "expediter-") }
 
 func cutCore(lifetime context.Context, day *Day) {
 	day.Say("cut the core from all couriers")
-	day.darken(lifetime, 6*time.Second, func(from, to string) bool { return isExpediter(from) != isExpediter(to) })
+	day.darken(lifetime, 6*time.Second, func(from, to string) bool { return isController(from) != isController(to) })
 }
 
 func oneWay(lifetime context.Context, day *Day) {
@@ -491,8 +491,8 @@
 	})
 }
 
-func isolateCourier(lifetime context.Context, day *Day) {
-	nodes := day.running(membership.Courier)
+func isolateRouter(lifetime context.Context, day *Day) {
+	nodes := day.running(membership.Router)
 	name := nodes[day.draw(len(nodes))].Node.Name
 	day.Say("isolate %s", name)
 	day.darken(lifetime, 7*time.Second, func(from, to string) bool { return from == name || to == name })
@@ -535,7 +535,7 @@
 		for number := range count {
 			district := districts[(first+number)%len(districts)]
 			evacuating.Go(func() {
-				node := day.anyExpediter()
+				node := day.anyController()
 				accepted := node != nil && day.Operators.Evacuate(node, district)
 				day.Say("evacuate %s: %v", district, accepted)
 			})
@@ -545,7 +545,7 @@
 		for number := range count {
 			district := districts[(first+number)%len(districts)]
 			Await(10*time.Second, func() bool {
-				node := day.anyExpediter()
+				node := day.anyController()
 				return node != nil && day.Operators.Restore(node, district)
 			})
 		}
@@ -564,7 +564,7 @@
 		storming.Go(func() {
 			for going() {
 				for _, method := range []string{http.MethodPost, http.MethodDelete} {
-					if node := day.anyExpediter(); node != nil {
+					if node := day.anyController(); node != nil {
 						if answer, err := day.Operators.Call(node, method, path, nil, ""); err == nil && answer.Outcome == "accepted" {
 							accepted.Add(1)
 						}
@@ -586,7 +586,7 @@
 // at most.
 func race(lifetime context.Context, day *Day) {
 	for range 5 {
-		node := day.anyExpediter()
+		node := day.anyController()
 		if node == nil || !pauseFor(lifetime, 100*time.Millisecond) {
 			return
 		}
@@ -598,7 +598,7 @@
 		for range 4 {
 			edition := day.takeEdition()
 			racing.Go(func() {
-				if node := day.anyExpediter(); node != nil {
+				if node := day.anyController(); node != nil {
 					day.Operators.PutEdition(node, edition, current)
 				}
 			})
@@ -633,7 +633,7 @@
 	}
 	for _, routes := range []string{many.String(), none.String()} {
 		accepted := Await(20*time.Second, func() bool {
-			node := day.anyExpediter()
+			node := day.anyController()
 			if node == nil {
 				return false
 			}
@@ -654,15 +654,15 @@
 
 // exchangeSeeds gives every node other seeds and has it read them.
 func exchangeSeeds(_ context.Context, day *Day) {
-	var expediters, couriers []string
-	for _, node := range day.running(membership.Expediter) {
-		expediters = append(expediters, node.Node.Address)
+	var controllers, routers []string
+	for _, node := range day.running(membership.Controller) {
+		controllers = append(controllers, node.Node.Address)
 	}
-	for _, node := range day.running(membership.Courier) {
-		couriers = append(couriers, node.Node.Address)
+	for _, node := range day.running(membership.Router) {
+		routers = append(routers, node.Node.Address)
 	}
 	for _, node := range day.running("") {
-		node.Set("seeds", []string{couriers[day.draw(len(couriers)/2)], couriers[len(couriers)/2+day.draw(len(couriers)/2)], expediters[day.draw(len(expediters))]})
+		node.Set("seeds", []string{routers[day.draw(len(routers)/2)], routers[len(routers)/2+day.draw(len(routers)/2)], controllers[day.draw(len(controllers))]})
 		if err := node.WriteSettings(); err != nil {
 			day.Say("%v", err)
 		}
@@ -674,14 +674,14 @@
 // replaceCore replaces every expediter by an empty one at a new address, one
 // after another.
 func replaceCore(lifetime context.Context, day *Day) {
-	for number, old := range day.running(membership.Expediter) {
+	for number, old := range day.running(membership.Controller) {
 		seeds := []string{}
-		for _, other := range day.running(membership.Expediter) {
+		for _, other := range day.running(membership.Controller) {
 			if other != old && len(seeds) < 2 {
 				seeds = append(seeds, other.Node.Address)
 			}
 		}
-		for _, other := range day.running(membership.Courier) {
+		for _, other := range day.running(membership.Router) {
 			if len(seeds) < 3 {
 				seeds = append(seeds, other.Node.Address)
 			}
@@ -694,7 +694,7 @@
 		old.Kill()
 		_ = old.WipeDisk()
 		day.Fleet.Platform.UnlistNode(old.Node.Name)
-		fresh := day.Fleet.AddNode(membership.Expediter, fmt.Sprintf("expediter-%d", 11+number), addresses[0], old.Node.District, seeds)
+		fresh := day.Fleet.AddNode(membership.Controller, fmt.Sprintf("expediter-%d", 11+number), addresses[0], old.Node.District, seeds)
 		fresh.staged = old.staged
 		day.begin(fresh)
 		day.Say("%s gives way to %s: whole again %v", old.Node.Name, fresh.Node.Name, Await(25*time.Second, day.Fleet.CoreIsWhole))
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -19,15 +19,15 @@
 // Fleet is a whole deployment on one machine: nodes as processes, and
 // stand-ins for servers and platform.
 type Fleet struct {
-	Deployment Deployment
-	Book       *Book
-	Platform   *Platform
-	Couriers   []*NodeProcess
-	Expediters []*NodeProcess
-	Links      *Links
-	folder     string
-	binaries   string
-	extra      map[string]any
+	Deployment  Deployment
+	Book        *Book
+	Platform    *Platform
+	Routers     []*NodeProcess
+	Controllers []*NodeProcess
+	Links       *Links
+	folder      string
+	binaries    string
+	extra       map[string]any
 
 	mutex    sync.Mutex
 	standIns []*StandIn
@@ -49,15 +49,15 @@
 			return nil, err
 		}
 	}
-	addresses, err := freeAddresses(3 + deployment.Couriers)
+	addresses, err := freeAddresses(3 + deployment.Routers)
 	if err != nil {
 		return nil, err
 	}
 	seeds := addresses[:3]
 	for position, address := range addresses {
-		kind, name := membership.Expediter, "expediter-"+strconv.Itoa(position+1)
+		kind, name := membership.Controller, "expediter-"+strconv.Itoa(position+1)
 		if position >= 3 {
-			kind, name = membership.Courier, "courier-"+strconv.Itoa(position-2)
+			kind, name = membership.Router, "courier-"+strconv.Itoa(position-2)
 		}
 		district := deployment.Districts[position%len(deployment.Districts)]
 		fleet.AddNode(kind, name, address, district, seeds)
@@ -104,18 +104,18 @@
 		binary: Program(fleet.binaries, kind), settings: map[string]any{"name": name, "address": address, "district": district,
 			"seeds": seeds, "platform": fleet.Platform.Address()}}
 	for setting, value := range fleet.extra {
-		if setting == "market" && kind != membership.Courier {
+		if setting == "market" && kind != membership.Router {
 			continue
 		}
 		node.settings[setting] = value
 	}
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	if kind == membership.Expediter {
+	if kind == membership.Controller {
 		node.settings["data_folder"] = filepath.Join(fleet.folder, name+"-disk")
-		fleet.Expediters = append(fleet.Expediters, node)
+		fleet.Controllers = append(fleet.Controllers, node)
 	} else {
-		fleet.Couriers = append(fleet.Couriers, node)
+		fleet.Routers = append(fleet.Routers, node)
 	}
 	fleet.Platform.ListNode(node.Node)
 	return node
@@ -165,7 +165,7 @@
 func (fleet *Fleet) Nodes() []*NodeProcess {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	return append(append([]*NodeProcess(nil), fleet.Expediters...), fleet.Couriers...)
+	return append(append([]*NodeProcess(nil), fleet.Controllers...), fleet.Routers...)
 }
 
 // Running lists the nodes of a kind, or of any, that have not ended.
@@ -230,7 +230,7 @@
 		var ready struct {
 			Leads bool `json:"leads"`
 		}
-		if node.Node.Kind != membership.Expediter || !node.Running() {
+		if node.Node.Kind != membership.Controller || !node.Running() {
 			continue
 		}
 		if _, err := node.ReadJSON("/v1/ready", &ready); err == nil && ready.Leads {
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -78,7 +78,7 @@
 	// A courier is ready before its servers have all told their pressure: the
 	// day begins when each has completed an inquiry.
 	probes := NewCallers(fleet, seed+1000, 0)
-	for _, node := range fleet.Couriers {
+	for _, node := range fleet.Routers {
 		if !Await(15*time.Second, func() bool {
 			question, entry := probes.question(fleet.Deployment.Short, node)
 			return probes.Send(context.Background(), node.Node.Address, question, entry).Final == "complete"
--- a/internal/testbed/fleet/history_test.go
+++ b/internal/testbed/fleet/history_test.go
@@ -74,7 +74,7 @@
 		operators.Go(func() {
 			random := rand.New(rand.NewPCG(5, uint64(client)))
 			for time.Now().Before(ends) {
-				node := fleet.Expediters[random.IntN(3)]
+				node := fleet.Controllers[random.IntN(3)]
 				from := time.Since(began)
 				current, err := day.Operators.Call(node, http.MethodGet, "/v1/configuration", nil, "")
 				if err != nil || current.Status != http.StatusOK {
@@ -86,7 +86,7 @@
 				next := fresh()
 				from = time.Since(began)
 				query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
-				answer, err := day.Operators.Call(fleet.Expediters[random.IntN(3)], http.MethodPut, "/v1/configuration", query, fleet.Deployment.Configuration(next))
+				answer, err := day.Operators.Call(fleet.Controllers[random.IntN(3)], http.MethodPut, "/v1/configuration", query, fleet.Deployment.Configuration(next))
 				to, outcome := time.Since(began), "unknown"
 				switch {
 				case err == nil && answer.Outcome == "accepted":
--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -37,7 +37,7 @@
 func TestBadInputIsRefusedWithItsReason(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 6)
-	front := fleet.Couriers[0].Node.Address
+	front := fleet.Routers[0].Node.Address
 	for name, want := range map[string]struct {
 		body   string
 		status int
@@ -64,7 +64,7 @@
 	if status, _, body := post(t, front, "/v1/inquiries", once); status != 200 || !strings.Contains(body, `"final":"complete"`) {
 		t.Errorf("an inquiry that may not be repeated: %d %s", status, body)
 	}
-	for _, node := range fleet.Couriers[:3] {
+	for _, node := range fleet.Routers[:3] {
 		if status, _, body := post(t, node.Node.Address, "/v1/inquiries", once); status != 409 || !strings.Contains(body, "duplicate_inquiry") {
 			t.Errorf("a used id at %s: %d %s", node.Node.Name, status, body)
 		}
@@ -73,7 +73,7 @@
 	if status, _, body := post(t, front, "/v1/inquiries", strings.Replace(once, id, old, 1)); status != 409 || !strings.Contains(body, "inquiry_too_old") {
 		t.Errorf("an id from years ago: %d %s", status, body)
 	}
-	before, edition := day.Operators.ReadEdition(fleet.Expediters[0])
+	before, edition := day.Operators.ReadEdition(fleet.Controllers[0])
 	for name, want := range map[string]struct {
 		method, body, expected string
 		status                 int
@@ -86,7 +86,7 @@
 		"no version":           {http.MethodPut, `{}`, "", 400, []string{"missing"}},
 		"too big":              {http.MethodPut, `{"services":{"a":{"` + strings.Repeat("x", 17<<20) + `":1}}}`, before.Version, 422, []string{"oversize"}},
 	} {
-		for _, node := range fleet.Expediters {
+		for _, node := range fleet.Controllers {
 			outbound, err := http.NewRequest(want.method, "http://"+node.Node.Address+"/v1/configuration?"+url.Values{"expected": {want.expected}}.Encode(), strings.NewReader(want.body))
 			if err != nil {
 				t.Fatal(err)
@@ -105,16 +105,16 @@
 			}
 		}
 	}
-	if after, still := day.Operators.ReadEdition(fleet.Expediters[1]); after.Version != before.Version || still != edition {
+	if after, still := day.Operators.ReadEdition(fleet.Controllers[1]); after.Version != before.Version || still != edition {
 		t.Errorf("refused changes took effect: %s became %s", before.Version, after.Version)
 	}
 	defer func() {
 		// Two of three are gone: no change is accepted, and that is said; callers
 		// are refused at once when the hold has run out.
-		fleet.Expediters[0].Kill()
-		fleet.Expediters[1].Kill()
+		fleet.Controllers[0].Kill()
+		fleet.Controllers[1].Kill()
 		if !Await(12*time.Second, func() bool {
-			answer, err := day.Operators.Call(fleet.Expediters[2], http.MethodPut, "/v1/configuration", url.Values{"expected": {before.Version}}, `{}`)
+			answer, err := day.Operators.Call(fleet.Controllers[2], http.MethodPut, "/v1/configuration", url.Values{"expected": {before.Version}}, `{}`)
 			return err == nil && answer.Status == http.StatusServiceUnavailable && answer.Outcome == "not_accepted" && answer.Type == "no_primary"
 		}) {
 			t.Error("without a core a change is not answered 503, not accepted")
@@ -149,7 +149,7 @@
 	lifetime, leave := context.WithCancel(context.Background())
 	defer leave()
 	body := `{"id":"leaver","service":"rider-chat","prompt_tokens":80,"pieces":500}`
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+fleet.Couriers[0].Node.Address+"/v1/inquiries", strings.NewReader(body))
+	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+fleet.Routers[0].Node.Address+"/v1/inquiries", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 8)
 	var addresses []string
-	for _, node := range fleet.Expediters {
+	for _, node := range fleet.Controllers {
 		addresses = append(addresses, node.Node.Address)
 	}
 	file := filepath.Join(t.TempDir(), "usage.parquet")
@@ -233,7 +233,7 @@
 			if argument == "VERSION" {
 				// The version before the first of the two sendings.
 				if expected == "" {
-					answer, _ := day.Operators.ReadEdition(fleet.Expediters[0])
+					answer, _ := day.Operators.ReadEdition(fleet.Controllers[0])
 					expected = answer.Version
 				}
 				step.arguments[position] = expected
--- a/internal/testbed/fleet/links.go
+++ b/internal/testbed/fleet/links.go
@@ -21,7 +21,7 @@
 				targets[to.Node.Name] = to.Node.Address
 			}
 		}
-		if from.Node.Kind == membership.Courier {
+		if from.Node.Kind == membership.Router {
 			for _, name := range fleet.ServerNames() {
 				targets[name] = fleet.Server(name).Address()
 			}
--- a/internal/testbed/fleet/nodeprocess.go
+++ b/internal/testbed/fleet/nodeprocess.go
@@ -209,7 +209,7 @@
 // ProgramName is the program that runs nodes of a kind. Kinds keep the names that they
 // have on wires and on disk.
 func ProgramName(kind membership.NodeKind) string {
-	if kind == membership.Expediter {
+	if kind == membership.Controller {
 		return "controller"
 	}
 	return "router"
