--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -61,14 +61,14 @@
 // one, and notes how it was answered. The current edition's route goes and the
 // new one's comes; evacuations stay.
 func (operators *Operators) PutEdition(node *NodeProcess, edition int, current Answer) Answer {
-	operators.fleet.Book.Note(Entry{Kind: EditionAsked, Edition: edition, Courier: node.Node.Name})
+	operators.fleet.Book.Note(Entry{Kind: EditionAsked, Edition: edition, Router: node.Node.Name})
 	query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
 	patch := operators.fleet.Deployment.Configuration(edition)
 	if before := EditionOf(current.Configuration); before > 0 {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{"edition-`+strconv.Itoa(before)+`":null,`, 1)
 	}
 	answer, err := operators.Call(node, http.MethodPatch, "/v1/configuration", query, patch)
-	entry := Entry{Kind: EditionUnknown, Edition: edition, Courier: node.Node.Name, Status: answer.Status}
+	entry := Entry{Kind: EditionUnknown, Edition: edition, Router: node.Node.Name, Status: answer.Status}
 	switch {
 	case err == nil && answer.Outcome == "accepted":
 		entry.Kind = EditionAccepted
@@ -91,7 +91,7 @@
 	}
 	edition := EditionOf(answer.Configuration)
 	// The read is as old as its asking, for those who judge it.
-	operators.fleet.Book.Note(Entry{Kind: EditionRead, At: time.Now(), Edition: edition, Courier: node.Node.Name, Took: time.Since(began)})
+	operators.fleet.Book.Note(Entry{Kind: EditionRead, At: time.Now(), Edition: edition, Router: node.Node.Name, Took: time.Since(began)})
 	return answer, edition
 }
 
@@ -135,7 +135,7 @@
 // LookAtEditions asks every running courier, as a caller, which edition is in
 // force there: the route that refuses the service "edition" is named by it.
 func (operators *Operators) LookAtEditions() {
-	for _, node := range operators.fleet.Running(membership.Courier) {
+	for _, node := range operators.fleet.Running(membership.Router) {
 		operators.lookAtEdition(node)
 	}
 }
@@ -156,6 +156,6 @@
 	}
 	if number, found := strings.CutPrefix(line.Detail, "edition-"); found {
 		edition, _ := strconv.Atoi(number)
-		operators.fleet.Book.Note(Entry{Kind: EditionSeen, Courier: node.Node.Name, Edition: edition, Took: time.Since(began)})
+		operators.fleet.Book.Note(Entry{Kind: EditionSeen, Router: node.Node.Name, Edition: edition, Took: time.Since(began)})
 	}
 }
--- a/internal/testbed/fleet/upgrade_test.go
+++ b/internal/testbed/fleet/upgrade_test.go
@@ -42,7 +42,7 @@
 
 // enabledFlags asks for the flags that are enabled, -1 when nobody can tell.
 func enabledFlags(fleet *Fleet) int {
-	for _, node := range fleet.Expediters {
+	for _, node := range fleet.Controllers {
 		var answer struct {
 			Flags []struct {
 				Enabled bool
@@ -90,7 +90,7 @@
 	for _, node := range nodes[:len(nodes)-1] {
 		restart(t, fleet, node, nil)
 	}
-	back := fleet.Couriers[1]
+	back := fleet.Routers[1]
 	restart(t, fleet, back, oldRelease)
 	restart(t, fleet, back, nil)
 	last.Kill()
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	var seeds []string
-	for _, node := range fleet.Expediters {
+	for _, node := range fleet.Controllers {
 		seeds = append(seeds, node.Node.Address)
 	}
 	newcomer := fleet.AddNode("courier", "courier-8", addresses[0], fleet.Deployment.Districts[0], seeds)
@@ -117,7 +117,7 @@
 		t.Fatalf("%d flags are enabled while a member that joined and stopped lacks them", enabled)
 	}
 	if !Await(15*time.Second, func() bool {
-		answer, err := day.Operators.Call(fleet.Expediters[0], http.MethodPost, "/v1/members/courier-8/retire", nil, "")
+		answer, err := day.Operators.Call(fleet.Controllers[0], http.MethodPost, "/v1/members/courier-8/retire", nil, "")
 		return err == nil && answer.Outcome == "accepted"
 	}) {
 		t.Fatal("a stopped member could not be retired")
--- a/internal/testbed/simulation/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -36,7 +36,7 @@
 // come back, or ignores it, or asks elsewhere after a broken circuit.
 func (world *World) caller(question fleet.Question, district string) {
 	for arrival := range 3 {
-		machine := world.courierFor(district)
+		machine := world.routerFor(district)
 		if machine == nil {
 			return
 		}
@@ -61,11 +61,11 @@
 	}
 }
 
-// courierFor is a courier of the district that runs, or any that does.
-func (world *World) courierFor(district string) *machine {
+// routerFor is a courier of the district that runs, or any that does.
+func (world *World) routerFor(district string) *machine {
 	var near, any []*machine
 	for _, machine := range world.machines {
-		if machine.kind == membership.Courier && machine.life != nil && !machine.life.ended && !machine.gone {
+		if machine.kind == membership.Router && machine.life != nil && !machine.life.ended && !machine.gone {
 			any = append(any, machine)
 			if machine.district == district {
 				near = append(near, machine)
@@ -114,7 +114,7 @@
 // send sends one inquiry to a courier and writes its reply down.
 func (world *World) send(machine *machine, district string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
 	began := world.now
-	entry := fleet.Entry{Inquiry: question.ID, Courier: machine.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Pieces,
+	entry := fleet.Entry{Inquiry: question.ID, Router: machine.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Pieces,
 		Arrival: arrival, District: district}
 	sent := entry
 	sent.Kind = fleet.Sent
@@ -133,7 +133,7 @@
 // when the caller may come again.
 func (world *World) exchange(machine *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
 	body, _ := json.Marshal(question)
-	there, conduct := machine.life, machine.courier
+	there, conduct := machine.life, machine.router
 	replies := newPipe(world, machine.name, "outside", world.outside)
 	caller := &origin{world: world, there: there, pipe: replies}
 	world.carry("outside", machine.name, nil, func() {
@@ -194,7 +194,7 @@
 	entry := fleet.Entry{}
 	question := fleet.Question{ID: "look-" + world.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Pieces: 1}
 	body, _ := json.Marshal(question)
-	there, conduct := machine.life, machine.courier
+	there, conduct := machine.life, machine.router
 	// A restricted courier passes on: what one sees there is another's.
 	if there == nil || there.ended || there.frozen || conduct == nil || conduct.Core().Restricted() {
 		return
@@ -213,7 +213,7 @@
 			}
 			if number, found := strings.CutPrefix(detail, "edition-"); found {
 				edition, _ := strconv.Atoi(number)
-				entry = fleet.Entry{Kind: fleet.EditionSeen, Courier: machine.name, Edition: edition, Took: world.now - began}
+				entry = fleet.Entry{Kind: fleet.EditionSeen, Router: machine.name, Edition: edition, Took: world.now - began}
 				world.Book.Note(entry)
 			}
 		}})
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -70,7 +70,7 @@
 }
 
 // prepareCalls gives a courier what serves opaque calls, where the world has them.
-func (world *World) prepareCalls(machine *machine, begun *life, options *hatch.CourierOptions) {
+func (world *World) prepareCalls(machine *machine, begun *life, options *hatch.RouterOptions) {
 	machine.calls = nil
 	if !world.ways.Calls {
 		return
@@ -100,7 +100,7 @@
 // originOfCall sends one call to a courier and holds what comes back against what ran.
 func (world *World) originOfCall(call *worldCall, district string, last bool) {
 	tally := world.calls
-	machine := world.courierFor(district)
+	machine := world.routerFor(district)
 	if machine == nil || machine.calls == nil {
 		return
 	}
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -142,9 +142,9 @@
 		circuit := fleet.NewCircuit(there.life)
 		forgetServer := there.life.atEnd(sending.replies.snap)
 		sending.hangUp = func() { world.carry(here.name, to, there.life, circuit.Close) }
-		forgetCourier := here.atEnd(sending.hangUp)
+		forgetRouter := here.atEnd(sending.hangUp)
 		there.life.Go(func() {
-			defer forgetCourier()
+			defer forgetRouter()
 			if there.top.Dark() {
 				circuit.Pause(time.Minute)
 				return
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -17,8 +17,8 @@
 const leavePatience = 3 * time.Second
 
 func CoreLayouts() map[string]Layout {
-	layout := func(expediters, borne int, zones ...string) Layout {
-		return Layout{Zones: [][]string{zones}, Couriers: 4, Expediters: expediters, BorneLosses: borne, Routes: 20}
+	layout := func(controllers, borne int, zones ...string) Layout {
+		return Layout{Zones: [][]string{zones}, Routers: 4, Controllers: controllers, BorneLosses: borne, Routes: 20}
 	}
 	return map[string]Layout{
 		"three in three zones": layout(3, 1, "one", "two", "three"),
@@ -62,7 +62,7 @@
 			return world.back(primary, 200, 1500)
 		}},
 		{"a new machine first, then the old one in order", 1, func(world *World) time.Duration {
-			old := world.anyNode(membership.Expediter)
+			old := world.anyNode(membership.Controller)
 			world.join(old)
 			world.run(world.now + 3*time.Second)
 			return world.leaveForGood(old)
@@ -73,7 +73,7 @@
 			world.run(world.now + 3*time.Second)
 			return world.leaveForGood(old)
 		}},
-		{"a new machine in the place of one that is gone", 1, func(world *World) time.Duration { return world.replaceGone(world.anyNode(membership.Expediter)) }},
+		{"a new machine in the place of one that is gone", 1, func(world *World) time.Duration { return world.replaceGone(world.anyNode(membership.Controller)) }},
 		{"a new machine in the place of the first seed", 1, func(world *World) time.Duration {
 			return world.replaceGone(world.machineNamed("expediter-1"))
 		}},
@@ -94,7 +94,7 @@
 		{"the backup's disk is slow", 1, func(world *World) time.Duration { return world.slowDisk(world.backup()) }},
 		{"all processes are killed at once", 1, func(world *World) time.Duration {
 			var killed []*machine
-			for _, machine := range world.nodes(membership.Expediter) {
+			for _, machine := range world.nodes(membership.Controller) {
 				world.kill(machine)
 				killed = append(killed, machine)
 			}
@@ -110,7 +110,7 @@
 			from := world.now
 			world.kill(primary)
 			var others []*machine
-			for _, machine := range world.nodes(membership.Expediter) {
+			for _, machine := range world.nodes(membership.Controller) {
 				if machine != primary {
 					others = append(others, machine)
 				}
@@ -153,7 +153,7 @@
 			world.run(world.now + time.Duration(world.random.IntN(4000))*time.Millisecond)
 			second := world.primary()
 			if world.random.IntN(2) == 0 {
-				second = world.anyNode(membership.Expediter)
+				second = world.anyNode(membership.Controller)
 			}
 			if second != primary {
 				world.wipe(second)
@@ -285,7 +285,7 @@
 
 // editSomewhere has every expediter that leads carry a change out.
 func (world *World) editSomewhere(edit hatch.Edit) bool {
-	for _, machine := range world.nodes(membership.Expediter) {
+	for _, machine := range world.nodes(membership.Controller) {
 		if machine.life == nil || machine.life.ended || machine.control == nil || !machine.control.Coordinator().Holds() {
 			continue
 		}
@@ -338,7 +338,7 @@
 // wipeAmidPowerLoss wipes some disks while all machines of the core lose their power;
 // those with their disks come back a second later, the wiped ones with them or later.
 func (world *World) wipeAmidPowerLoss(wiped int) time.Duration {
-	machines := world.nodes(membership.Expediter)
+	machines := world.nodes(membership.Controller)
 	world.random.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
 	if wiped > 0 && world.random.IntN(2) == 0 {
 		// The one that answered last is among them.
@@ -372,12 +372,12 @@
 func (world *World) join(old *machine) *machine {
 	number := strconv.Itoa(len(world.machines) + 1)
 	var seeds []string
-	for _, other := range world.nodes(membership.Expediter) {
+	for _, other := range world.nodes(membership.Controller) {
 		if other != old && len(seeds) < 3 {
 			seeds = append(seeds, other.address)
 		}
 	}
-	added := world.addMachine(membership.Expediter, "expediter-"+number, "10.0.2."+number+":1", old.district, append(seeds, old.address)[:3])
+	added := world.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.district, append(seeds, old.address)[:3])
 	world.start(added)
 	return added
 }
@@ -453,7 +453,7 @@
 }
 
 func (world *World) anyTwo() []*machine {
-	machines := world.nodes(membership.Expediter)
+	machines := world.nodes(membership.Controller)
 	world.random.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
 	return machines[:2]
 }
@@ -465,7 +465,7 @@
 		zone = world.primary().district
 	}
 	from := world.now
-	for _, machine := range world.nodes(membership.Expediter) {
+	for _, machine := range world.nodes(membership.Controller) {
 		if machine.district != zone {
 			continue
 		}
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -98,7 +98,7 @@
 	for _, machine := range world.machines {
 		world.outside.Go(func() {
 			world.wait(0, 400)
-			if day.Forming && machine.kind == membership.Expediter {
+			if day.Forming && machine.kind == membership.Controller {
 				world.wait(0, 4000)
 			}
 			world.start(machine)
@@ -278,9 +278,9 @@
 	world.Book.Note(fleet.Entry{Kind: fleet.ClosingFault, Cause: kind})
 	switch kind {
 	case "herd of couriers":
-		world.herd(membership.Courier)
+		world.herd(membership.Router)
 	case "herd of expediters":
-		world.herd(membership.Expediter)
+		world.herd(membership.Controller)
 	case "cold start":
 		world.herd("")
 	case "zone":
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -21,34 +21,34 @@
 // others.
 func faults() []fault {
 	return []fault{
-		{"kill a courier", 6, func(world *World) { world.killFor(world.anyNode(membership.Courier), 100, 4000) }},
-		{"a courier stays away", 5, func(world *World) { world.killFor(world.anyNode(membership.Courier), 8000, 12000) }},
+		{"kill a courier", 6, func(world *World) { world.killFor(world.anyNode(membership.Router), 100, 4000) }},
+		{"a courier stays away", 5, func(world *World) { world.killFor(world.anyNode(membership.Router), 8000, 12000) }},
 		{"the holder of the parts stays away", 3, func(world *World) { world.killFor(world.holder(), 8000, 12000) }},
-		{"kill an expediter", 6, func(world *World) { world.killFor(world.anyNode(membership.Expediter), 100, 5000) }},
+		{"kill an expediter", 6, func(world *World) { world.killFor(world.anyNode(membership.Controller), 100, 5000) }},
 		{"kill the primary", 4, func(world *World) { world.killFor(world.primary(), 50, 5000) }},
 		{"power off a machine", 4, func(world *World) { world.powerOffFor(world.anyNode(""), 500, 6000) }},
 		{"power fails at a disk's act", 8, powerFails},
 		{"a disk is lost", 5, loseDisk},
 		{"a full disk", 2, func(world *World) {
-			machine := world.anyNode(membership.Expediter)
+			machine := world.anyNode(membership.Controller)
 			machine.disk.full = true
 			world.wait(500, 4000)
 			machine.disk.full = false
 		}},
 		{"a damaged file", 3, func(world *World) {
-			machine := world.anyNode(membership.Expediter)
+			machine := world.anyNode(membership.Controller)
 			machine.disk.damage = 1 + world.random.IntN(2)
 			world.killFor(machine, 100, 500)
 		}},
-		{"an expediter is stopped in order", 3, func(world *World) { world.stopFor(world.anyNode(membership.Expediter), 200, 3000) }},
+		{"an expediter is stopped in order", 3, func(world *World) { world.stopFor(world.anyNode(membership.Controller), 200, 3000) }},
 		{"the primary hands over while a courier is cut off", 3, func(world *World) {
-			name := world.anyNode(membership.Courier).name
+			name := world.anyNode(membership.Router).name
 			world.outside.Go(func() { world.isolate(name, true, true) })
 			world.wait(50, 400)
 			world.stopFor(world.primary(), 200, 3000)
 		}},
-		{"freeze a courier", 6, func(world *World) { world.freezeFor(world.anyNode(membership.Courier)) }},
-		{"freeze an expediter", 3, func(world *World) { world.freezeFor(world.anyNode(membership.Expediter)) }},
+		{"freeze a courier", 6, func(world *World) { world.freezeFor(world.anyNode(membership.Router)) }},
+		{"freeze an expediter", 3, func(world *World) { world.freezeFor(world.anyNode(membership.Controller)) }},
 		{"freeze the primary", 4, func(world *World) { world.freezeFor(world.primary()) }},
 		{"freeze the holder of the parts", 4, func(world *World) { world.freezeFor(world.holder()) }},
 		{"a wall clock jumps", 3, func(world *World) {
@@ -60,12 +60,12 @@
 		{"isolate the primary", 3, func(world *World) { world.isolate(world.primary().name, true, true) }},
 		{"one way", 5, func(world *World) {
 			inwards := world.random.IntN(2) == 0
-			world.isolate(world.anyNode(membership.Expediter).name, inwards, !inwards)
+			world.isolate(world.anyNode(membership.Controller).name, inwards, !inwards)
 		}},
 		{"two expediters cut", 4, cutPair},
 		{"the core cut from the couriers", 2, func(world *World) {
 			world.cutFor(func(from, to string) bool {
-				return world.isExpediter(from) != world.isExpediter(to) && from != "outside" && to != "outside"
+				return world.isController(from) != world.isController(to) && from != "outside" && to != "outside"
 			})
 		}},
 		{"bad links", 5, badLinks},
@@ -75,8 +75,8 @@
 			world.wait(2000, 5000)
 			world.slowDials = 0
 		}},
-		{"a herd of couriers", 1, func(world *World) { world.herd(membership.Courier) }},
-		{"a herd of expediters", 1, func(world *World) { world.herd(membership.Expediter) }},
+		{"a herd of couriers", 1, func(world *World) { world.herd(membership.Router) }},
+		{"a herd of expediters", 1, func(world *World) { world.herd(membership.Controller) }},
 		{"all at once", 1, func(world *World) { world.herd("") }},
 		{"a zone is lost", 2, loseZone},
 		{"a server crashes", 5, func(world *World) { world.crashFor(world.anyServer(), 0, 2500) }},
@@ -140,7 +140,7 @@
 			world.long, world.short = long, short
 		}},
 		{"another release", 5, otherRelease},
-		{"a courier joins", 2, courierJoins},
+		{"a courier joins", 2, routerJoins},
 		{"the platform is down", 2, func(world *World) {
 			world.platform.down = true
 			world.wait(1000, 6000)
@@ -189,24 +189,24 @@
 	return names
 }
 
-func (world *World) isExpediter(name string) bool {
+func (world *World) isController(name string) bool {
 	machine := world.machineNamed(name)
-	return machine != nil && machine.kind == membership.Expediter
+	return machine != nil && machine.kind == membership.Controller
 }
 
 // primary is the expediter that holds, or any.
 func (world *World) primary() *machine {
-	for _, machine := range world.nodes(membership.Expediter) {
+	for _, machine := range world.nodes(membership.Controller) {
 		if machine.life != nil && !machine.life.ended && machine.control != nil && machine.control.Coordinator().Holds() {
 			return machine
 		}
 	}
-	return world.anyNode(membership.Expediter)
+	return world.anyNode(membership.Controller)
 }
 
 // holder is the courier that decides the parts, or any.
 func (world *World) holder() *machine {
-	for _, machine := range world.nodes(membership.Expediter) {
+	for _, machine := range world.nodes(membership.Controller) {
 		if machine.life == nil || machine.life.ended || machine.control == nil {
 			continue
 		}
@@ -216,7 +216,7 @@
 			}
 		}
 	}
-	return world.anyNode(membership.Courier)
+	return world.anyNode(membership.Router)
 }
 
 func (world *World) killFor(machine *machine, least, most int) {
@@ -261,7 +261,7 @@
 // loseOneWhileForming takes one machine away within the first moments of a core:
 // its power fails at one of its disk's first acts, or its whole disk is lost.
 func (world *World) loseOneWhileForming() {
-	machine := world.anyNode(membership.Expediter)
+	machine := world.anyNode(membership.Controller)
 	if world.random.IntN(2) == 0 {
 		machine.disk.powerFailsIn = 1 + world.random.IntN(14)
 		world.wait(1000, 6000)
@@ -284,7 +284,7 @@
 
 // powerFails has the power fail before one of the disk's next acts.
 func powerFails(world *World) {
-	machine := world.anyNode(membership.Expediter)
+	machine := world.anyNode(membership.Controller)
 	machine.disk.powerFailsIn = 1 + world.random.IntN(12)
 	world.wait(2000, 5000)
 	machine.disk.powerFailsIn = 0
@@ -295,7 +295,7 @@
 // whole tells whether a primary with a backup leads and every keeper is the
 // disk that runs at its address, so that one more disk may be lost.
 func (world *World) whole() bool {
-	for _, machine := range world.nodes(membership.Expediter) {
+	for _, machine := range world.nodes(membership.Controller) {
 		if machine.life == nil || machine.life.ended || machine.life.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
 			continue
 		}
@@ -322,7 +322,7 @@
 	if !world.whole() {
 		return
 	}
-	machine := world.anyNode(membership.Expediter)
+	machine := world.anyNode(membership.Controller)
 	if world.random.IntN(2) == 0 {
 		machine = world.primary()
 		world.nextEdition(1)
@@ -346,7 +346,7 @@
 	frozen, since := machine.life, world.now
 	frozen.freeze()
 	defer func() {
-		world.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Courier: machine.name, Took: world.now - since})
+		world.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Router: machine.name, Took: world.now - since})
 	}()
 	if world.random.IntN(2) == 0 {
 		world.wait(300, 5000)
@@ -355,7 +355,7 @@
 		world.wait(7000, 13000)
 	}
 	if !frozen.ended {
-		if machine.courier != nil && machine.courier.Core().InFlight() > 0 && frozen.Now().After(machine.courier.Core().HoldEnds()) {
+		if machine.router != nil && machine.router.Core().InFlight() > 0 && frozen.Now().After(machine.router.Core().HoldEnds()) {
 			world.tempt("a courier woken with inquiries under way, its hold over")
 		}
 		if machine.control != nil && machine.control.Store().Leading() {
@@ -395,7 +395,7 @@
 }
 
 func cutPair(world *World) {
-	found := world.nodes(membership.Expediter)
+	found := world.nodes(membership.Controller)
 	first := world.random.IntN(len(found))
 	left, right := found[first].name, found[(first+1)%len(found)].name
 	oneWay := world.random.IntN(3) == 0
@@ -435,7 +435,7 @@
 // the work.
 func badServerLinks(world *World) {
 	var links []*link
-	for _, machine := range world.nodes(membership.Courier) {
+	for _, machine := range world.nodes(membership.Router) {
 		for _, plan := range world.plans {
 			if world.random.IntN(3) == 0 {
 				links = append(links, world.link(machine.name, plan.Name), world.link(plan.Name, machine.name))
@@ -560,13 +560,13 @@
 	return false
 }
 
-// courierJoins adds a courier, of the older release at times.
-func courierJoins(world *World) {
-	if len(world.nodes(membership.Courier)) > world.deployment.Couriers+2 {
+// routerJoins adds a courier, of the older release at times.
+func routerJoins(world *World) {
+	if len(world.nodes(membership.Router)) > world.deployment.Routers+2 {
 		return
 	}
 	number := strconv.Itoa(len(world.machines) + 1)
-	added := world.addMachine(membership.Courier, "courier-"+number, "10.0.1."+number+":1", world.anyDistrict(), world.machines[0].seeds)
+	added := world.addMachine(membership.Router, "courier-"+number, "10.0.1."+number+":1", world.anyDistrict(), world.machines[0].seeds)
 	if world.random.IntN(3) == 0 {
 		added.withheld = features.List{features.PairPrice}
 	}
@@ -578,7 +578,7 @@
 	if !world.whole() {
 		return
 	}
-	old := world.anyNode(membership.Expediter)
+	old := world.anyNode(membership.Controller)
 	var seeds []string
 	for _, other := range world.nodes("") {
 		if other != old && len(seeds) < 3 {
@@ -590,7 +590,7 @@
 	world.tempt("a core machine replaced")
 	world.powerOff(old.name)
 	old.gone = true
-	added := world.addMachine(membership.Expediter, "expediter-"+number, "10.0.2."+number+":1", old.district, seeds)
+	added := world.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.district, seeds)
 	world.start(added)
 }
 
@@ -599,15 +599,15 @@
 	for _, machine := range world.nodes("") {
 		var seeds []string
 		for range 2 {
-			seeds = append(seeds, world.anyNode(membership.Courier).address)
+			seeds = append(seeds, world.anyNode(membership.Router).address)
 		}
-		seeds = append(seeds, world.anyNode(membership.Expediter).address)
+		seeds = append(seeds, world.anyNode(membership.Controller).address)
 		machine.seeds = seeds
 		if machine.life == nil || machine.life.ended {
 			continue
 		}
-		if machine.courier != nil {
-			machine.courier.SetSeeds(seeds)
+		if machine.router != nil {
+			machine.router.SetSeeds(seeds)
 		}
 		if machine.control != nil {
 			machine.control.SetSeeds(seeds)
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -102,7 +102,7 @@
 	})
 	record(Incident{Name: "a node restarted", Times: 2 * losses}, func(incident *Incident) {
 		for range incident.Times {
-			machine := world.anyNode(membership.Courier)
+			machine := world.anyNode(membership.Router)
 			world.kill(machine)
 			world.run(world.now + 300*time.Millisecond)
 			began := world.now
@@ -113,14 +113,14 @@
 	})
 	record(Incident{Name: "a node's machine lost", Times: losses}, func(incident *Incident) {
 		for range incident.Times {
-			world.lose(incident, []*machine{world.anyNode(membership.Courier)}, 15*time.Second)
+			world.lose(incident, []*machine{world.anyNode(membership.Router)}, 15*time.Second)
 		}
 	})
 	record(Incident{Name: "the primary's machine lost"}, func(incident *Incident) { world.lose(incident, []*machine{world.primary()}, lost) })
 	record(Incident{Name: "the backup's machine lost"}, func(incident *Incident) { world.lose(incident, []*machine{world.backup()}, lost) })
 	record(Incident{Name: "a rack of ten nodes and the backup lost"}, func(incident *Incident) {
 		gone := []*machine{world.backup()}
-		for _, machine := range world.nodes(membership.Courier) {
+		for _, machine := range world.nodes(membership.Router) {
 			if machine.district == gone[0].district && len(gone) < 11 {
 				gone = append(gone, machine)
 			}
@@ -171,7 +171,7 @@
 
 // led tells whether an expediter leads.
 func (world *World) led() bool {
-	for _, machine := range world.nodes(membership.Expediter) {
+	for _, machine := range world.nodes(membership.Controller) {
 		if machine.life != nil && !machine.life.ended && machine.control != nil {
 			if _, _, err := machine.control.Ruling(); err == nil {
 				return true
@@ -187,13 +187,13 @@
 	if machine := world.machineNamed(world.nameAt(charter.Backup.Address)); machine != nil {
 		return machine
 	}
-	return world.anyNode(membership.Expediter)
+	return world.anyNode(membership.Controller)
 }
 
 // held tells whether every courier that runs has a hold.
 func (world *World) held() bool {
-	for _, machine := range world.nodes(membership.Courier) {
-		if machine.life != nil && !machine.life.ended && !machine.life.Now().Before(machine.courier.Core().HoldEnds()) {
+	for _, machine := range world.nodes(membership.Router) {
+		if machine.life != nil && !machine.life.ended && !machine.life.Now().Before(machine.router.Core().HoldEnds()) {
 			return false
 		}
 	}
--- a/internal/testbed/simulation/layout.go
+++ b/internal/testbed/simulation/layout.go
@@ -15,12 +15,12 @@
 	Zones [][]string
 	// Between is how long a message takes from one region to another, beside what it
 	// takes within one.
-	Between  time.Duration
-	Couriers int
-	Servers  int
-	// Expediters are the machines set aside for control; the first three are seeds and
+	Between time.Duration
+	Routers int
+	Servers int
+	// Controllers are the machines set aside for control; the first three are seeds and
 	// lie in three regions, if there are so many.
-	Expediters  int
+	Controllers int
 	BorneLosses int
 	// Routes is how many routes the configuration has.
 	Routes int
@@ -29,7 +29,7 @@
 // FutureLayout is the fleet of two years from now.
 func FutureLayout() Layout {
 	return Layout{Zones: [][]string{{"east-1", "east-2", "east-3"}, {"west-1", "west-2", "west-3"}, {"north-1", "north-2", "north-3"}, {"south-1", "south-2"}},
-		Between: 20 * time.Millisecond, Couriers: 324, Servers: 1100, Expediters: 6, BorneLosses: 1, Routes: 300}
+		Between: 20 * time.Millisecond, Routers: 324, Servers: 1100, Controllers: 6, BorneLosses: 1, Routes: 300}
 }
 
 // zones are all zones, one of each region in turn.
@@ -68,15 +68,15 @@
 	// The deployment without couriers has three expediters; the layout's are others.
 	world.machines, world.byAddress = nil, map[string]string{}
 	var seeds []string
-	for position := range min(3, layout.Expediters) {
+	for position := range min(3, layout.Controllers) {
 		seeds = append(seeds, "10.0.0."+strconv.Itoa(position+1)+":1")
 	}
-	for position := range layout.Expediters {
-		world.addMachine(membership.Expediter, "expediter-"+strconv.Itoa(position+1), "10.0.0."+strconv.Itoa(position+1)+":1", zones[position%len(zones)], seeds)
+	for position := range layout.Controllers {
+		world.addMachine(membership.Controller, "expediter-"+strconv.Itoa(position+1), "10.0.0."+strconv.Itoa(position+1)+":1", zones[position%len(zones)], seeds)
 	}
-	for position := range layout.Couriers {
+	for position := range layout.Routers {
 		address := "10.2." + strconv.Itoa(position/250) + "." + strconv.Itoa(position%250+1) + ":1"
-		world.addMachine(membership.Courier, "courier-"+strconv.Itoa(position+1), address, zones[position%len(zones)], seeds)
+		world.addMachine(membership.Router, "courier-"+strconv.Itoa(position+1), address, zones[position%len(zones)], seeds)
 	}
 	for position := range layout.Servers {
 		name := "stove-" + strconv.Itoa(position+1)
@@ -104,12 +104,12 @@
 	return world.layout.BorneLosses
 }
 
-// listExpediters are the nodes that the expediters of a laid-out fleet are told of;
+// listControllers are the nodes that the expediters of a laid-out fleet are told of;
 // couriers are told of none.
-func (world *World) listExpediters() []membership.Node {
+func (world *World) listControllers() []membership.Node {
 	var nodes []membership.Node
 	for _, node := range world.listNodes() {
-		if node.Kind == membership.Expediter {
+		if node.Kind == membership.Controller {
 			nodes = append(nodes, node)
 		}
 	}
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -92,7 +92,7 @@
 
 // anyControl is an expediter that runs, whether it leads or not.
 func (history *operatorsHistory) anyControl() *machine {
-	return history.world.anyNode(membership.Expediter)
+	return history.world.anyNode(membership.Controller)
 }
 
 // read asks one expediter for the configuration; who can't be sure gives no answer.
@@ -217,7 +217,7 @@
 	"all power lost": func(fleet *World, until time.Duration) {
 		for fleet.now < until {
 			fleet.wait(3000, 7000)
-			fleet.herd(membership.Expediter)
+			fleet.herd(membership.Controller)
 		}
 	},
 }
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -18,10 +18,10 @@
 
 // atPrimary has an operator ask the expediters, one after another, until one
 // leads. Whoever asks is outside, with a whole link to each.
-func (world *World) atPrimary(serve func(control *hatch.Expediter) (any, error)) (any, error) {
+func (world *World) atPrimary(serve func(control *hatch.Controller) (any, error)) (any, error) {
 	var last error = failure.New(failure.NoPrimary, "no expediter runs")
 	for _, machine := range world.machines {
-		if machine.kind != membership.Expediter || machine.gone {
+		if machine.kind != membership.Controller || machine.gone {
 			continue
 		}
 		content, err := world.outside.ask(machine.name, operatorPatience, func(*life) (any, error) {
@@ -56,7 +56,7 @@
 // readMenu reads the configuration as an operator does, and notes its edition.
 func (world *World) readMenu(note bool) (menuRead, bool) {
 	began := world.now
-	content, err := world.atPrimary(func(control *hatch.Expediter) (any, error) {
+	content, err := world.atPrimary(func(control *hatch.Controller) (any, error) {
 		_, view, state, err := control.Read()
 		if err != nil {
 			return nil, err
@@ -75,7 +75,7 @@
 
 // edit asks for a change, and tells "accepted", "refused" or "unknown".
 func (world *World) edit(edit hatch.Edit) string {
-	_, err := world.atPrimary(func(control *hatch.Expediter) (any, error) { return control.Edit(edit) })
+	_, err := world.atPrimary(func(control *hatch.Controller) (any, error) { return control.Edit(edit) })
 	switch {
 	case err == nil:
 		return "accepted"
@@ -162,7 +162,7 @@
 	world.outside.Go(func() {
 		for world.now < until {
 			for _, machine := range world.machines {
-				if machine.kind == membership.Courier {
+				if machine.kind == membership.Router {
 					world.lookAtEdition(machine)
 				}
 			}
--- a/internal/testbed/simulation/passing.go
+++ b/internal/testbed/simulation/passing.go
@@ -22,7 +22,7 @@
 	left, refused := false, false
 	arrive := func(first bool) {
 		there := world.machineNamed(to)
-		if there == nil || there.life == nil || there.life.ended || there.courier == nil {
+		if there == nil || there.life == nil || there.life.ended || there.router == nil {
 			if first && world.powered(to) {
 				refused = true
 				replies.snap()
@@ -33,7 +33,7 @@
 		if first {
 			forget = there.life.atEnd(replies.snap)
 		}
-		conduct, target := there.courier, there.life
+		conduct, target := there.router, there.life
 		reply := &hatch.RecordReply{Writer: to, Left: func(act func()) {
 			if first {
 				whenLeft(func() { world.carry(here.name, to, target, act) })
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -44,7 +44,7 @@
 
 // Servers reads the list of servers.
 func (lists lists) Servers() ([]membership.Server, error) {
-	if !lists.world.isExpediter(lists.life.name) {
+	if !lists.world.isController(lists.life.name) {
 		lists.world.listReads = append(lists.world.listReads, lists.world.now)
 	}
 	if err := lists.reached(); err != nil {
@@ -62,10 +62,10 @@
 		return nil, err
 	}
 	if lists.world.layout != nil {
-		if !lists.world.isExpediter(lists.life.name) {
+		if !lists.world.isController(lists.life.name) {
 			return nil, failure.New(failure.NoSuch, "a list of nodes")
 		}
-		return lists.world.listExpediters(), nil
+		return lists.world.listControllers(), nil
 	}
 	return lists.world.listNodes(), nil
 }
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -32,7 +32,7 @@
 	var out *machine
 	primary := world.primary()
 	charter := primary.control.Coordinator().Charter()
-	for _, machine := range world.nodes(membership.Expediter) {
+	for _, machine := range world.nodes(membership.Controller) {
 		backup := machine.control.Witness().Replica().Identity == charter.Backup.Identity
 		if machine != primary && backup == (loss == "the backup's wiped disk") {
 			out = machine
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -85,9 +85,9 @@
 		if first {
 			begun.hangUp = hangUp
 		}
-		forgetCourier := stoves.life.atEnd(hangUp)
+		forgetRouter := stoves.life.atEnd(hangUp)
 		there.life.Go(func() {
-			defer forgetCourier()
+			defer forgetRouter()
 			if there.top.Dark() {
 				circuit.Pause(time.Minute)
 				return
--- a/internal/testbed/simulation/waydays_test.go
+++ b/internal/testbed/simulation/waydays_test.go
@@ -50,10 +50,10 @@
 			}
 		}
 		for _, machine := range world.machines {
-			if machine.courier == nil || machine.gone || machine.life.ended || machine.life.frozen || machine.life.Now().Sub(machine.courier.Heard()) > newsTime {
+			if machine.router == nil || machine.gone || machine.life.ended || machine.life.frozen || machine.life.Now().Sub(machine.router.Heard()) > newsTime {
 				continue
 			}
-			if has := machine.courier.InForce(); has != (replication.Version{}) && has.Before(due) {
+			if has := machine.router.InForce(); has != (replication.Version{}) && has.Before(due) {
 				touch.late++
 				world.say("%s is in touch and has %s, %s is due", machine.name, has, due)
 			}
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -61,12 +61,12 @@
 		w.run(w.now + 700*time.Millisecond)
 		took := w.changed(w.now, w.nowhere("nowhere", 0))
 		version := w.newest()
-		for _, machine := range w.nodes(membership.Courier) {
-			if machine != alone && machine.courier.InForce() != version {
-				t.Errorf("%s: %s has %s, and %s was acknowledged", name, machine.name, machine.courier.InForce(), version)
+		for _, machine := range w.nodes(membership.Router) {
+			if machine != alone && machine.router.InForce() != version {
+				t.Errorf("%s: %s has %s, and %s was acknowledged", name, machine.name, machine.router.InForce(), version)
 			}
 		}
-		serves := alone.life.Now().Before(alone.courier.Core().ServesUntil())
+		serves := alone.life.Now().Before(alone.router.Core().ServesUntil())
 		switch {
 		case name == "strict" && (serves || took < 2*time.Second || took > 5*time.Second):
 			t.Errorf("%s: acknowledged after %s while a courier without the change serves: %v", name, took, serves)
@@ -76,7 +76,7 @@
 		t.Logf("%s: acknowledged after %s", name, took)
 		// A calm change takes milliseconds, and so does its way to one that is back.
 		w.cutOff(alone.name, false)
-		back := w.since(w.now, func() bool { return alone.courier.InForce() == version })
+		back := w.since(w.now, func() bool { return alone.router.InForce() == version })
 		calm := w.changed(w.now, w.nowhere("nowhere", 1))
 		if back < 0 || back > 2*time.Second || calm > 300*time.Millisecond {
 			t.Errorf("%s: back after %s, a calm change took %s", name, back, calm)
@@ -88,12 +88,12 @@
 func TestDutiesNeedAHold(t *testing.T) {
 	w := begun(t, 4, PlatformWays())
 	holder := w.holder()
-	if !holder.courier.Core().Dutiful() {
+	if !holder.router.Core().Dutiful() {
 		t.Fatal("the holder has no duties")
 	}
 	w.cutOff(holder.name, true)
 	w.run(w.now + 9*time.Second)
-	if now := holder.life.Now(); !now.Before(holder.courier.Core().ServesUntil()) || now.Before(holder.courier.Core().HoldEnds()) {
+	if now := holder.life.Now(); !now.Before(holder.router.Core().ServesUntil()) || now.Before(holder.router.Core().HoldEnds()) {
 		t.Error("it should serve, without a hold")
 	}
 	if took := w.since(w.now, func() bool { return w.dutiesSettled([]*machine{holder}) }); took < 0 {
@@ -113,18 +113,18 @@
 		w.outside.Go(func() { w.start(machine) })
 	}
 	w.run(30 * time.Second)
-	for _, machine := range w.nodes(membership.Expediter) {
+	for _, machine := range w.nodes(membership.Controller) {
 		if !machine.control.Witness().Charter().Blank() {
 			t.Errorf("%s has the charter %+v", machine.name, machine.control.Witness().Charter())
 		}
 	}
 }
 
-// TestReplacedExpediterIsTakenIn replaces an expediter by an empty one elsewhere, which
+// TestReplacedControllerIsTakenIn replaces an expediter by an empty one elsewhere, which
 // knows the old seeds; then another, so that two seeds are gone. There is no list of
 // nodes. Couriers that start with the old seeds find the core, and the records of
 // those who are gone end by themselves.
-func TestReplacedExpediterIsTakenIn(t *testing.T) {
+func TestReplacedControllerIsTakenIn(t *testing.T) {
 	ways := PlatformWays()
 	w := begun(t, 6, ways)
 	seeds := w.machines[0].seeds
@@ -133,7 +133,7 @@
 		w.powerOff(gone)
 		leaving.gone = true
 		address := "10.0.9." + string(rune('1'+number)) + ":1"
-		joined := w.addMachine(membership.Expediter, "newcomer-"+string(rune('1'+number)), address, leaving.district, seeds)
+		joined := w.addMachine(membership.Controller, "newcomer-"+string(rune('1'+number)), address, leaving.district, seeds)
 		w.start(joined)
 		took := w.since(w.now, func() bool {
 			if joined.control == nil || !w.led() {
@@ -152,7 +152,7 @@
 	late := w.machineNamed("courier-3")
 	w.kill(late)
 	w.start(late)
-	found := w.since(w.now, func() bool { return late.life.Now().Before(late.courier.Core().HoldEnds()) })
+	found := w.since(w.now, func() bool { return late.life.Now().Before(late.router.Core().HoldEnds()) })
 	if found < 0 || found > 4*time.Second {
 		t.Errorf("a courier whose two seeds are gone found the core after %s", found)
 	}
@@ -169,12 +169,12 @@
 	}
 }
 
-// TestCouriersReadTheListThemselves keeps the list from the expediters, and has a
+// TestRoutersReadTheListThemselves keeps the list from the expediters, and has a
 // server leave meanwhile: each courier hears of it, without reading often. When
 // nobody can read it, nothing is forgotten.
-func TestCouriersReadTheListThemselves(t *testing.T) {
+func TestRoutersReadTheListThemselves(t *testing.T) {
 	w := begun(t, 7, PlatformWays())
-	if reads := len(w.listReads); reads > 2*len(w.nodes(membership.Courier)) {
+	if reads := len(w.listReads); reads > 2*len(w.nodes(membership.Router)) {
 		t.Errorf("couriers read the list %d times before the fleet was calm", reads)
 	}
 	before := len(w.listReads)
@@ -182,7 +182,7 @@
 	if reads := len(w.listReads) - before; reads > 0 {
 		t.Errorf("couriers read the list %d times though they have news of it", reads)
 	}
-	for _, machine := range w.nodes(membership.Expediter) {
+	for _, machine := range w.nodes(membership.Controller) {
 		w.link("platform", machine.name).cut = true
 	}
 	name := w.plans[0].Name
@@ -190,7 +190,7 @@
 	leaving.Leaving = true
 	w.platform.servers[name] = leaving
 	knows := func(machine *machine) bool {
-		for _, server := range machine.courier.Servers() {
+		for _, server := range machine.router.Servers() {
 			if server.Name == name {
 				return server.Leaving
 			}
@@ -198,7 +198,7 @@
 		return false
 	}
 	all := func() bool {
-		for _, machine := range w.nodes(membership.Courier) {
+		for _, machine := range w.nodes(membership.Router) {
 			if !knows(machine) {
 				return false
 			}
@@ -212,7 +212,7 @@
 	t.Logf("the leaving server was known everywhere after %s", took)
 	before = len(w.listReads)
 	w.run(w.now + 10*time.Second)
-	if reads, most := len(w.listReads)-before, 11*len(w.nodes(membership.Courier)); reads > most {
+	if reads, most := len(w.listReads)-before, 11*len(w.nodes(membership.Router)); reads > most {
 		t.Errorf("couriers read the list %d times in ten seconds", reads)
 	}
 	// The reads are spread: in no tenth of a second do all read.
@@ -221,20 +221,20 @@
 		count[at/(100*time.Millisecond)]++
 		busiest = max(busiest, count[at/(100*time.Millisecond)])
 	}
-	if busiest >= len(w.nodes(membership.Courier)) {
+	if busiest >= len(w.nodes(membership.Router)) {
 		t.Errorf("%d couriers read within a tenth of a second", busiest)
 	}
 	// The expediters come back with an older word, and then nobody reads at all.
 	leaving.Leaving = false
 	w.platform.servers[name] = leaving
-	for _, machine := range w.nodes(membership.Expediter) {
+	for _, machine := range w.nodes(membership.Controller) {
 		w.link("platform", machine.name).cut = false
 	}
 	w.run(w.now + 5*time.Second)
 	w.platform.down = true
 	w.run(w.now + 10*time.Second)
-	if !all() || len(w.machines[4].courier.Servers()) != len(w.plans) {
-		t.Errorf("the list is %v", w.machines[4].courier.Servers())
+	if !all() || len(w.machines[4].router.Servers()) != len(w.plans) {
+		t.Errorf("the list is %v", w.machines[4].router.Servers())
 	}
 }
 
@@ -286,13 +286,13 @@
 			began, primary := w.now, w.primary()
 			lose(w, primary)
 			heard := map[string]time.Time{}
-			for _, machine := range w.nodes(membership.Courier) {
-				heard[machine.name] = machine.courier.Heard()
+			for _, machine := range w.nodes(membership.Router) {
+				heard[machine.name] = machine.router.Heard()
 			}
 			change := w.changedWhereLed(began, w.nowhere("nowhere", 0))
 			news := w.since(began, func() bool {
-				for _, machine := range w.nodes(membership.Courier) {
-					if !machine.courier.Heard().After(heard[machine.name].Add(700 * time.Millisecond)) {
+				for _, machine := range w.nodes(membership.Router) {
+					if !machine.router.Heard().After(heard[machine.name].Add(700 * time.Millisecond)) {
 						return false
 					}
 				}
@@ -316,7 +316,7 @@
 	over := false
 	world.outside.Go(func() {
 		for ends := world.now + incidentPatience; world.now < ends && !over; world.wait(20, 20) {
-			for _, machine := range world.nodes(membership.Expediter) {
+			for _, machine := range world.nodes(membership.Controller) {
 				if machine.life == nil || machine.life.ended || machine.life.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
 					continue
 				}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -86,8 +86,8 @@
 	off      bool
 	gone     bool
 	life     *life
-	courier  *hatch.Courier
-	control  *hatch.Expediter
+	router   *hatch.Router
+	control  *hatch.Controller
 	// calls serves opaque calls, where the world has them.
 	calls *hatch.Calls
 	// starts counts its processes.
@@ -112,13 +112,13 @@
 		world.startServer(plan)
 	}
 	seeds := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
-	for position := range 3 + deployment.Couriers {
+	for position := range 3 + deployment.Routers {
 		district := deployment.Districts[position%len(deployment.Districts)]
 		address := "10.0.0." + strconv.Itoa(position+1) + ":1"
 		if position < 3 {
-			world.addMachine(membership.Expediter, "expediter-"+strconv.Itoa(position+1), address, district, seeds)
+			world.addMachine(membership.Controller, "expediter-"+strconv.Itoa(position+1), address, district, seeds)
 		} else {
-			world.addMachine(membership.Courier, "courier-"+strconv.Itoa(position-2), address, district, seeds)
+			world.addMachine(membership.Router, "courier-"+strconv.Itoa(position-2), address, district, seeds)
 		}
 	}
 	return world
@@ -126,7 +126,7 @@
 
 func (world *World) addMachine(kind membership.NodeKind, name, address, district string, seeds []string) *machine {
 	added := &machine{name: name, kind: kind, address: address, district: district, seeds: seeds, drift: (world.random.Float64() - 0.5) / 25}
-	if kind == membership.Expediter {
+	if kind == membership.Controller {
 		added.disk = newDisk(world)
 	}
 	world.machines = append(world.machines, added)
@@ -219,7 +219,7 @@
 	machine.off = false
 	machine.starts++
 	begun := world.newLife(machine.name, machine.address, machine.drift)
-	machine.life, machine.courier, machine.control = begun, nil, nil
+	machine.life, machine.router, machine.control = begun, nil, nil
 	supported := features.Supported(machine.withheld)
 	world.say("%s starts, %d flags", machine.name, len(supported))
 	if len(machine.withheld) == 0 {
@@ -227,12 +227,12 @@
 		world.noteMember(machine)
 	}
 	observe := func(event string, detail ...any) { world.say("%s %s %v", machine.name, event, detail) }
-	if machine.kind == membership.Expediter {
-		begun.Go(func() { world.runExpediter(machine, begun, supported, observe) })
+	if machine.kind == membership.Controller {
+		begun.Go(func() { world.runController(machine, begun, supported, observe) })
 		return
 	}
 	stoves := &stoves{life: begun, running: map[string]*exchange{}}
-	options := hatch.CourierOptions{Options: seamloom.Options{Courier: machine.name, District: machine.district, Supported: supported, FixedParts: world.fixedParts}, Address: machine.address,
+	options := hatch.RouterOptions{Options: seamloom.Options{Router: machine.name, District: machine.district, Supported: supported, FixedParts: world.fixedParts}, Address: machine.address,
 		Seeds: machine.seeds, Nonce: world.nonce, Ended: endedHere, Directory: lists{world, begun}}
 	options.ServeWithoutHold = world.ways.ServeWithoutHold
 	if world.ways.Calls {
@@ -242,26 +242,26 @@
 		options.Pressures = lists{world, begun}
 	}
 	world.prepareCalls(machine, begun, &options)
-	courier := hatch.NewCourier(begun, wire{begun}, stoves, &passing{life: begun}, options, observe)
-	machine.courier = courier
-	begun.answer = courier.Answers().Answer
-	for _, round := range courier.Rounds() {
+	router := hatch.NewRouter(begun, wire{begun}, stoves, &passing{life: begun}, options, observe)
+	machine.router = router
+	begun.answer = router.Answers().Answer
+	for _, round := range router.Rounds() {
 		begun.Go(round)
 	}
 	if len(machine.withheld) > 0 {
-		world.noteOldMember(machine, begun, courier.Heard)
+		world.noteOldMember(machine, begun, router.Heard)
 	}
 }
 
-func (world *World) runExpediter(machine *machine, begun *life, supported features.List, observe func(string, ...any)) {
+func (world *World) runController(machine *machine, begun *life, supported features.List, observe func(string, ...any)) {
 	machine.disk.owner = begun
 	keeping, _ := storage.OpenFolder(machine.disk, "keeper")
 	copies, _ := storage.OpenFolder(machine.disk, "larder")
-	options := hatch.ExpediterOptions{Name: machine.name, Address: machine.address, District: machine.district, Seeds: machine.seeds, Supported: supported,
+	options := hatch.ControllerOptions{Name: machine.name, Address: machine.address, District: machine.district, Seeds: machine.seeds, Supported: supported,
 		FlagSettle: 2 * time.Second, BorneLosses: world.borneLosses(), Fresh: newIdentity(world, machine), Directory: lists{world, begun}, Reports: lists{world, begun}}
 	options.AcknowledgeWait, options.RetireAfter = world.ways.AcknowledgeWait, world.ways.RetireAfter
 	options.JoinsOnly = world.ways.JoinOnly || world.ways.FormOnce && machine.starts > 1 || world.ways.FormOnce && world.now > opening
-	control, blank, err := hatch.OpenExpediter(begun, wire{begun}, keeping, copies, options, observe)
+	control, blank, err := hatch.OpenController(begun, wire{begun}, keeping, copies, options, observe)
 	if err != nil {
 		world.say("%s can't open its disk: %v", machine.name, err)
 		begun.end()
@@ -283,10 +283,10 @@
 	if machine.life == nil || machine.life.ended {
 		return
 	}
-	if machine.courier != nil && world.claiming[machine.name] > 0 {
+	if machine.router != nil && world.claiming[machine.name] > 0 {
 		world.tempt("a claim in flight at a kill")
 	}
-	if machine.courier != nil && machine.courier.Core().InFlight() > 0 {
+	if machine.router != nil && machine.router.Core().InFlight() > 0 {
 		world.tempt("inquiries under way at a kill")
 	}
 	if machine.control != nil && machine.control.Coordinator().Holds() {
--- a/options.go
+++ b/options.go
@@ -4,8 +4,8 @@
 
 // Options say which courier a core decides for.
 type Options struct {
-	// Courier is the node's name, and District the zone that it serves first.
-	Courier  string
+	// Router is the node's name, and District the zone that it serves first.
+	Router   string
 	District string
 	// MostInquiries bounds the inquiries that are let in at once.
 	MostInquiries int
