--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -212,7 +212,7 @@
 	var asking sync.WaitGroup
 	for position, server := range fleet.Servers {
 		asking.Go(func() {
-			known := config.ServerFacts{Name: server.Name, District: server.District, Leaving: server.Leaving}
+			known := config.ServerFacts{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
 			if load, err := stoves.Load(lifetime, server.Address); err == nil {
 				known.Reported, known.Part, known.Active, known.Slots = true, string(load.Part), load.DecodeActive, load.DecodeSlots
 				known.Leaving = known.Leaving || load.Leaving
--- a/cmd/router/stream.go
+++ b/cmd/router/stream.go
@@ -22,8 +22,8 @@
 			"Nothing else happens: no clock is read and nothing is sent. The same events give the same decisions.",
 		Example: "  router stream --name router-1 --district north < events.jsonl > decisions.jsonl"}
 	command.Flags().StringVar(&options.Router, "name", "courier", "the courier's name")
-	command.Flags().StringVar(&options.District, "district", "", "the courier's zone")
-	command.Flags().IntVar(&options.MostInquiries, "most-inquiries", seamloom.DefaultMostInquiries, "how many inquiries are let in at once")
+	command.Flags().StringVar(&options.Zone, "district", "", "the courier's zone")
+	command.Flags().IntVar(&options.MostRequests, "most-inquiries", seamloom.DefaultMostRequests, "how many inquiries are let in at once")
 	command.RunE = func(*cobra.Command, []string) error {
 		return streamCore(seamloom.New(options), os.Stdin, os.Stdout)
 	}
--- a/core.go
+++ b/core.go
@@ -39,12 +39,12 @@
 
 // New makes a core.
 func New(options Options) *Core {
-	if options.MostInquiries <= 0 {
-		options.MostInquiries = DefaultMostInquiries
+	if options.MostRequests <= 0 {
+		options.MostRequests = DefaultMostRequests
 	}
-	market := auction.NewMarket(options.Router, options.District, options.LeastLoaded)
-	return &Core{options: options, market: market, desk: auction.NewDesk(market, options.District, options.MostInquiries),
-		calls: scheduler.New(scheduler.Options{Router: options.Router, District: options.District, FurtherTries: options.FurtherTries}), pools: scheduler.NewPools(), tickets: map[string]*scheduler.Ticket{},
+	market := auction.NewMarket(options.Router, options.Zone, options.LeastLoaded)
+	return &Core{options: options, market: market, desk: auction.NewDesk(market, options.Zone, options.MostRequests),
+		calls: scheduler.New(scheduler.Options{Router: options.Router, Zone: options.Zone, FurtherTries: options.FurtherTries}), pools: scheduler.NewPools(), tickets: map[string]*scheduler.Ticket{},
 		balance: auction.NewBalance(options.FixedParts), orders: map[string]Order{}, evacuated: config.Empty(), commanded: map[string]time.Time{}, announced: map[string]uint64{}}
 }
 
@@ -90,19 +90,19 @@
 		if event.Result != nil {
 			return core.callEnded(event)
 		}
-	case auction.InquiryArrived:
-		if event.Inquiry != nil {
-			return core.desk.Arrive(event.At, event.Inquiry)
+	case auction.RequestArrived:
+		if event.Request != nil {
+			return core.desk.Arrive(event.At, event.Request)
 		}
 	case auction.ClaimAnswered:
 		return core.desk.Claimed(event.At, event.ID, event.Outcome, event.Detail)
 	case auction.PrefillAnswered:
 		return core.desk.Prefilled(event.At, event.ID, event.Run, event.Outcome, event.Handle)
-	case auction.PieceReceived:
-		return core.desk.Piece(event.At, event.ID, event.Run, event.Piece, event.Text)
+	case auction.ChunkReceived:
+		return core.desk.Chunk(event.At, event.ID, event.Run, event.Chunk, event.Text)
 	case auction.DecodeEnded:
-		return core.desk.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Piece)
-	case auction.OriginLeft:
+		return core.desk.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Chunk)
+	case auction.ClientLeft:
 		return core.desk.Leave(event.At, event.ID)
 	case auction.RoutersCounted:
 		core.market.SetRouters(int(event.Number))
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -24,13 +24,13 @@
 			part = "prefill"
 		}
 		servers = append(servers, Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprintf("10.0.0.%d:80", number),
-			District: []string{"north", "south"}[number%2], Service: "desk", Part: part, Slots: 64})
+			Zone: []string{"north", "south"}[number%2], Service: "desk", Part: part, Slots: 64})
 	}
 	return servers
 }
 
 func callCore(now time.Time) *Core {
-	core := New(Options{Router: "courier-1", District: "north", Supported: Supported(nil)})
+	core := New(Options{Router: "courier-1", Zone: "north", Supported: Supported(nil)})
 	core.Apply(Event{Kind: auction.FlagsRead, At: now})
 	core.Apply(Event{Kind: auction.RoutersCounted, At: now, Number: 3})
 	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: callServers(callServerCount)})
--- a/core_test.go
+++ b/core_test.go
@@ -16,12 +16,12 @@
 	random := rand.New(rand.NewPCG(8, 8))
 	cores := []*Core{}
 	for range 2 {
-		cores = append(cores, New(Options{Router: "courier-1", District: "north", Supported: Supported(nil)}))
+		cores = append(cores, New(Options{Router: "courier-1", Zone: "north", Supported: Supported(nil)}))
 	}
 	now := time.Unix(3_000_000, 0)
 	servers := []Server{}
 	for number := range 6 {
-		servers = append(servers, Server{Name: fmt.Sprint("s", number), Address: fmt.Sprint("s", number), District: []string{"north", "south"}[number%2]})
+		servers = append(servers, Server{Name: fmt.Sprint("s", number), Address: fmt.Sprint("s", number), Zone: []string{"north", "south"}[number%2]})
 	}
 	runs := map[string]int{}
 	var dispatched []string
@@ -61,7 +61,7 @@
 			for position, server := range servers {
 				part := []auction.Part{auction.Prefill, auction.Decode}[position/2%2]
 				feed(Event{Kind: auction.LoadReported, Load: &Load{Server: server.Name, Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8,
-					DecodeSlots: 16, PieceTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000, PrefillQueueTokens: random.IntN(4000)}})
+					DecodeSlots: 16, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000, PrefillQueueTokens: random.IntN(4000)}})
 			}
 		}
 		id := fmt.Sprint("inquiry-", random.IntN(number+1))
@@ -70,20 +70,20 @@
 		}
 		switch random.IntN(7) {
 		case 0, 1:
-			feed(Event{Kind: auction.InquiryArrived, Inquiry: &Inquiry{ID: fmt.Sprint("inquiry-", number), Service: "chat", Repeatable: random.IntN(3) > 0, PromptTokens: 100 + random.IntN(900), Pieces: 2}})
+			feed(Event{Kind: auction.RequestArrived, Request: &Request{ID: fmt.Sprint("inquiry-", number), Service: "chat", Repeatable: random.IntN(3) > 0, PromptTokens: 100 + random.IntN(900), Chunks: 2}})
 		case 2:
 			feed(Event{Kind: auction.ClaimAnswered, ID: id, Outcome: auction.Done})
 		case 3:
 			feed(Event{Kind: auction.PrefillAnswered, ID: id, Run: runs[id], Outcome: outcomes[random.IntN(len(outcomes))], Handle: "handle"})
 		case 4:
-			feed(Event{Kind: auction.PieceReceived, ID: id, Run: runs[id], Piece: 1 + random.IntN(2), Text: "text"})
+			feed(Event{Kind: auction.ChunkReceived, ID: id, Run: runs[id], Chunk: 1 + random.IntN(2), Text: "text"})
 		case 5:
-			feed(Event{Kind: auction.DecodeEnded, ID: id, Run: runs[id], Piece: 2, Outcome: outcomes[random.IntN(len(outcomes))]})
+			feed(Event{Kind: auction.DecodeEnded, ID: id, Run: runs[id], Chunk: 2, Outcome: outcomes[random.IntN(len(outcomes))]})
 		case 6:
 			feed(Event{Kind: auction.Ticked})
 		}
 	}
-	for _, kind := range []auction.DecisionKind{auction.ClaimInquiry, auction.DispatchPrefill, auction.DispatchDecode, auction.SendPiece, auction.Finish, auction.Cancel, auction.NoteRetry, auction.GiveOrders} {
+	for _, kind := range []auction.DecisionKind{auction.ClaimRequest, auction.DispatchPrefill, auction.DispatchDecode, auction.SendChunk, auction.Finish, auction.Cancel, auction.NoteRetry, auction.GiveOrders} {
 		if seen[kind] == 0 {
 			t.Errorf("the stream brought about no %s", kind)
 		}
@@ -93,9 +93,9 @@
 // TestNewHolderTellsTheServerItsFence wants one command for each new fence, even
 // when the server has the part already, and none without the duty's hold.
 func TestNewHolderTellsTheServerItsFence(t *testing.T) {
-	core := New(Options{Router: "courier-1", District: "north", Supported: Supported(nil)})
+	core := New(Options{Router: "courier-1", Zone: "north", Supported: Supported(nil)})
 	now := time.Unix(3_000_000, 0)
-	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: []Server{{Name: "s", Address: "s", District: "north"}}})
+	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: []Server{{Name: "s", Address: "s", Zone: "north"}}})
 	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "decode"}}})
 	commands := func(fence uint64) int {
 		count := 0
--- a/examples/embedded/calls.go
+++ b/examples/embedded/calls.go
@@ -11,13 +11,13 @@
 // tellCall drives one opaque call: its prompt is read at one server and its answer
 // made at another, with the body that came.
 func tellCall(target io.Writer) error {
-	core := seamloom.New(seamloom.Options{Router: "courier-1", District: "north", Supported: seamloom.Supported(nil)})
+	core := seamloom.New(seamloom.Options{Router: "courier-1", Zone: "north", Supported: seamloom.Supported(nil)})
 	now := time.Date(2026, 1, 2, 18, 0, 0, 0, time.UTC)
 	events := []seamloom.Event{
 		{Kind: "couriers_counted", Number: 1},
 		{Kind: "servers_listed", Servers: []seamloom.Server{
-			{Name: "stove-1", Address: "10.0.0.1:80", District: "north", Service: "desk", Part: "prefill", Slots: 64},
-			{Name: "stove-2", Address: "10.0.0.2:80", District: "north", Service: "desk", Part: "decode", Slots: 64}}},
+			{Name: "stove-1", Address: "10.0.0.1:80", Zone: "north", Service: "desk", Part: "prefill", Slots: 64},
+			{Name: "stove-2", Address: "10.0.0.2:80", Zone: "north", Service: "desk", Part: "decode", Slots: 64}}},
 		{Kind: "menu_received", Epoch: 1, Number: 1, Menu: []byte(`{"services":{"desk":{}},"routes":{"ask":{"match":{"host":"ask.example","path_prefix":"/"},` +
 			`"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":3000,"tries":2,"streams":true,"resumable":true}}}}`)},
 		{Kind: "call_arrived", Call: &seamloom.Call{ID: "one", Host: "ask.example", Path: "/today", PromptTokens: 9000, OutputTokens: 50, Bytes: 18_000,
--- a/examples/embedded/main.go
+++ b/examples/embedded/main.go
@@ -23,22 +23,22 @@
 
 // tell drives one inquiry from its arrival to its final line.
 func tell(target io.Writer) error {
-	core := seamloom.New(seamloom.Options{Router: "courier-1", District: "north", Supported: seamloom.Supported(nil)})
+	core := seamloom.New(seamloom.Options{Router: "courier-1", Zone: "north", Supported: seamloom.Supported(nil)})
 	now := time.Date(2026, 1, 2, 18, 0, 0, 0, time.UTC)
 	events := []seamloom.Event{
 		{Kind: "servers_listed", Servers: []seamloom.Server{
-			{Name: "stove-1", Address: "10.0.0.1:80", District: "north"},
-			{Name: "stove-2", Address: "10.0.0.2:80", District: "north"}}},
+			{Name: "stove-1", Address: "10.0.0.1:80", Zone: "north"},
+			{Name: "stove-2", Address: "10.0.0.2:80", Zone: "north"}}},
 		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-1", Part: "prefill", Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8, LinkRate: 400_000}},
-		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-2", Part: "decode", Age: time.Hour, DecodeSlots: 8, PieceTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000}},
+		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-2", Part: "decode", Age: time.Hour, DecodeSlots: 8, ChunkTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000}},
 		{Kind: "flags_read"},
 		{Kind: "menu_received", Epoch: 1, Number: 1, Menu: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)},
 		{Kind: "hold_renewed", Epoch: 1, Number: 1, HoldEnds: now.Add(4 * time.Second)},
-		{Kind: "inquiry_arrived", Inquiry: &seamloom.Inquiry{ID: "one", Service: "chat", Repeatable: true, PromptTokens: 120, Pieces: 2}},
+		{Kind: "inquiry_arrived", Request: &seamloom.Request{ID: "one", Service: "chat", Repeatable: true, PromptTokens: 120, Chunks: 2}},
 		{Kind: "prefill_answered", ID: "one", Run: 1, Outcome: "done", Handle: "memory-7"},
-		{Kind: "piece_received", ID: "one", Run: 1, Piece: 1, Text: "on its "},
-		{Kind: "piece_received", ID: "one", Run: 1, Piece: 2, Text: "way"},
-		{Kind: "decode_ended", ID: "one", Run: 1, Outcome: "done", Piece: 2},
+		{Kind: "piece_received", ID: "one", Run: 1, Chunk: 1, Text: "on its "},
+		{Kind: "piece_received", ID: "one", Run: 1, Chunk: 2, Text: "way"},
+		{Kind: "decode_ended", ID: "one", Run: 1, Outcome: "done", Chunk: 2},
 	}
 	encoder := json.NewEncoder(target)
 	for _, event := range events {
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -127,16 +127,16 @@
 }
 
 func (process *Process) evacuate(writer http.ResponseWriter, inbound *http.Request) {
-	district := pat.Param(inbound, "district")
+	zone := pat.Param(inbound, "district")
 	process.edit(writer, inbound, false, func(text, body []byte) ([]byte, error) {
 		reason := fastjson.GetString(body, "reason")
-		return config.Evacuate(text, district, reason)
+		return config.Evacuate(text, zone, reason)
 	})
 }
 
 func (process *Process) restore(writer http.ResponseWriter, inbound *http.Request) {
-	district := pat.Param(inbound, "district")
-	process.edit(writer, inbound, false, func(text, _ []byte) ([]byte, error) { return config.Restore(text, district) })
+	zone := pat.Param(inbound, "district")
+	process.edit(writer, inbound, false, func(text, _ []byte) ([]byte, error) { return config.Restore(text, zone) })
 }
 
 // edit changes the configuration and answers "accepted" only when it is in
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -63,7 +63,7 @@
 	if reached.Directory == nil {
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
-	options := hatch.ControllerOptions{Name: chosen.Name, Address: chosen.Address, District: chosen.District, Seeds: chosen.Seeds, Supported: chosen.Supported(),
+	options := hatch.ControllerOptions{Name: chosen.Name, Address: chosen.Address, Zone: chosen.Zone, Seeds: chosen.Seeds, Supported: chosen.Supported(),
 		FlagSettle: time.Duration(chosen.FlagSettle) * time.Millisecond, BorneLosses: chosen.BorneLosses, CatchUp: chosen.CatchUp, JoinsOnly: !chosen.Bootstrap, Fresh: replication.Identity(uuid.NewString()),
 		RetireAfter: chosen.RetireAfter, AcknowledgeWait: chosen.AcknowledgeWait, Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}}
 	if reached.Reports != nil {
--- a/internal/adapters/daemon/program.go
+++ b/internal/adapters/daemon/program.go
@@ -39,7 +39,7 @@
 	set.StringVar(&flags.file, "settings", "", "settings file (JSON); flags go over it")
 	set.StringVar(&flags.flagged.Name, "name", "", "this node's name")
 	set.StringVar(&flags.flagged.Address, "address", "", "IP number and port to listen on, such as 127.0.0.1:7101")
-	set.StringVar(&flags.flagged.District, "district", "", "the zone that this node is in")
+	set.StringVar(&flags.flagged.Zone, "district", "", "the zone that this node is in")
 	set.StringVar(&flags.seeds, "seeds", "", "three addresses of other processes, with commas between")
 	set.StringVar(&flags.flagged.Platform, "platform", "", "address of the platform's lists of servers and nodes")
 	set.StringVar(&flags.flagged.LogLevel, "log-level", defaults.LogLevel, "debug, info, warn or error")
@@ -68,7 +68,7 @@
 		set.StringVar(&flags.flagged.CallsAddress, "calls-address", "", "a further address for opaque calls")
 		set.StringVar(&flags.flagged.ReadyAddress, "ready-address", "", "a further address that tells whether the courier is ready")
 		set.StringVar(&flags.flagged.Market, "market", defaults.Market, "pair, or least_loaded for comparison")
-		set.IntVar(&flags.flagged.MostInquiries, "most-inquiries", defaults.MostInquiries, "how many inquiries are let in at once")
+		set.IntVar(&flags.flagged.MostRequests, "most-inquiries", defaults.MostRequests, "how many inquiries are let in at once")
 	}
 	return flags
 }
@@ -85,7 +85,7 @@
 	}
 	changed := flags.command.Flags().Changed
 	texts := map[string][2]*string{"name": {&chosen.Name, &flags.flagged.Name}, "address": {&chosen.Address, &flags.flagged.Address},
-		"district": {&chosen.District, &flags.flagged.District}, "platform": {&chosen.Platform, &flags.flagged.Platform},
+		"district": {&chosen.Zone, &flags.flagged.Zone}, "platform": {&chosen.Platform, &flags.flagged.Platform},
 		"log-level": {&chosen.LogLevel, &flags.flagged.LogLevel}, "data-folder": {&chosen.DataFolder, &flags.flagged.DataFolder},
 		"market": {&chosen.Market, &flags.flagged.Market}, "calls-address": {&chosen.CallsAddress, &flags.flagged.CallsAddress},
 		"ready-address": {&chosen.ReadyAddress, &flags.flagged.ReadyAddress}, "control-address": {&chosen.ControlAddress, &flags.flagged.ControlAddress}}
@@ -107,7 +107,7 @@
 		chosen.Bootstrap = flags.flagged.Bootstrap
 	}
 	if changed("most-inquiries") {
-		chosen.MostInquiries = flags.flagged.MostInquiries
+		chosen.MostRequests = flags.flagged.MostRequests
 	}
 	if changed("most-memory-megabytes") {
 		chosen.MostMemory = flags.flagged.MostMemory
--- a/internal/adapters/modelserver/cancelorder.go
+++ b/internal/adapters/modelserver/cancelorder.go
@@ -2,7 +2,7 @@
 
 // CancelOrder is the body of POST /v1/cancel.
 type CancelOrder struct {
-	Inquiry string `json:"inquiry"`
+	Request string `json:"inquiry"`
 	Order   string `json:"order,omitempty"`
 	Run     int    `json:"run"`
 }
--- a/internal/adapters/modelserver/fuzz_test.go
+++ b/internal/adapters/modelserver/fuzz_test.go
@@ -27,7 +27,7 @@
 	}))
 	fuzzing.Cleanup(server.Close)
 	client := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), &http.Transport{})
-	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &auction.Inquiry{ID: "one"}}
+	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Request: &auction.Request{ID: "one"}}
 	may := func() bool { return true }
 	fuzzing.Fuzz(func(t *testing.T, said int, content []byte) {
 		status, body = said, content
@@ -41,6 +41,6 @@
 		if outcome, handle, _ := client.Prefill(decision, may); outcome == auction.Done && handle == "" {
 			t.Fatalf("%q is done without memory", content)
 		}
-		_, _, _ = client.Decode(decision, may, func(piece int, text string) {})
+		_, _, _ = client.Decode(decision, may, func(chunk int, text string) {})
 	})
 }
--- a/internal/adapters/modelserver/loadreport.go
+++ b/internal/adapters/modelserver/loadreport.go
@@ -21,7 +21,7 @@
 	PrefillRoom           int            `json:"prefill_room"`
 	DecodeActive          int            `json:"decode_active"`
 	DecodeSlots           int            `json:"decode_slots"`
-	PieceTimeMicroseconds int            `json:"piece_time_microseconds"`
+	ChunkTimeMicroseconds int            `json:"piece_time_microseconds"`
 	MemoryFree            int            `json:"memory_free_tokens"`
 	MemoryTotal           int            `json:"memory_total_tokens"`
 	LinkRate              int            `json:"link_tokens_per_second"`
@@ -36,7 +36,7 @@
 func (report LoadReport) Check() error {
 	numbers := map[string]int{"age_milliseconds": report.AgeMilliseconds, "prefill_queue_tokens": report.PrefillQueueTokens, "prefill_tokens_per_second": report.PrefillRate,
 		"prefill_waiting": report.PrefillWaiting, "prefill_room": report.PrefillRoom, "decode_active": report.DecodeActive, "decode_slots": report.DecodeSlots,
-		"piece_time_microseconds": report.PieceTimeMicroseconds, "memory_free_tokens": report.MemoryFree, "memory_total_tokens": report.MemoryTotal,
+		"piece_time_microseconds": report.ChunkTimeMicroseconds, "memory_free_tokens": report.MemoryFree, "memory_total_tokens": report.MemoryTotal,
 		"link_tokens_per_second": report.LinkRate}
 	for name, number := range numbers {
 		if number < 0 || number > mostReported {
@@ -61,6 +61,6 @@
 		Age: time.Duration(report.AgeMilliseconds) * time.Millisecond, PrefillQueueTokens: report.PrefillQueueTokens,
 		PrefillRate: report.PrefillRate, PrefillWaiting: report.PrefillWaiting, PrefillRoom: report.PrefillRoom,
 		DecodeActive: report.DecodeActive, DecodeSlots: report.DecodeSlots,
-		PieceTime:  time.Duration(report.PieceTimeMicroseconds) * time.Microsecond,
+		ChunkTime:  time.Duration(report.ChunkTimeMicroseconds) * time.Microsecond,
 		MemoryFree: report.MemoryFree, MemoryTotal: report.MemoryTotal, LinkRate: report.LinkRate, Prefixes: report.Prefixes}
 }
--- a/internal/adapters/modelserver/prefillanswer.go
+++ b/internal/adapters/modelserver/prefillanswer.go
@@ -2,7 +2,7 @@
 
 // PrefillAnswer is the answer to POST /v1/prefill.
 type PrefillAnswer struct {
-	Inquiry string `json:"inquiry"`
+	Request string `json:"inquiry"`
 	Run     int    `json:"run"`
 	Handle  string `json:"handle"`
 }
--- a/internal/adapters/modelserver/prefillorder.go
+++ b/internal/adapters/modelserver/prefillorder.go
@@ -2,7 +2,7 @@
 
 // PrefillOrder is the body of POST /v1/prefill.
 type PrefillOrder struct {
-	Inquiry      string `json:"inquiry"`
+	Request      string `json:"inquiry"`
 	Order        string `json:"order,omitempty"`
 	Run          int    `json:"run"`
 	Prompt       string `json:"prompt,omitempty"`
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -113,9 +113,9 @@
 
 // Prefill has a server read a prompt, and returns the handle of its memory.
 func (stove *Stove) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
-	inquiry := decision.Inquiry
-	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run,
-		Prompt: inquiry.Prompt, PromptTokens: inquiry.PromptTokens, Prefix: inquiry.Prefix, PrefixTokens: inquiry.PrefixTokens}, may)
+	request := decision.Request
+	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
+		Prompt: request.Prompt, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}, may)
 	if err != nil {
 		if !written {
 			return auction.NotStarted, "", err.Error()
@@ -131,7 +131,7 @@
 	if err := json.NewDecoder(io.LimitReader(inbound.Body, MostLine)).Decode(&answer); err != nil || answer.Handle == "" {
 		return auction.Uncertain, "", "the answer broke off"
 	}
-	if answer.Inquiry != inquiry.ID || answer.Run != decision.Run {
+	if answer.Request != request.ID || answer.Run != decision.Run {
 		return auction.Uncertain, "", "the answer is another inquiry's"
 	}
 	return auction.Done, answer.Handle, ""
@@ -139,10 +139,10 @@
 
 // Decode has a server take up a prompt's memory and answer; each piece goes to
 // take as it comes.
-func (stove *Stove) Decode(decision auction.Decision, may func() bool, take func(piece int, text string)) (auction.Outcome, int, string) {
-	inquiry := decision.Inquiry
-	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run,
-		Handle: decision.Handle, Source: decision.SourceAddress, Pieces: inquiry.Pieces}, may)
+func (stove *Stove) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+	request := decision.Request
+	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
+		Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}, may)
 	if err != nil {
 		if !written {
 			return auction.NotStarted, 0, err.Error()
@@ -161,13 +161,13 @@
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
 			return auction.Uncertain, 0, "a line that is no JSON"
 		}
-		if line.Inquiry != inquiry.ID || line.Run != decision.Run {
+		if line.Request != request.ID || line.Run != decision.Run {
 			return auction.Uncertain, 0, "a line of another inquiry"
 		}
 		if line.Done {
-			return auction.Done, line.Pieces, ""
+			return auction.Done, line.Chunks, ""
 		}
-		take(line.Piece, line.Text)
+		take(line.Chunk, line.Text)
 	}
 	return auction.Uncertain, 0, "the stream broke off"
 }
@@ -178,7 +178,7 @@
 	stove.turns.Go(func() {
 		lifetime, end := context.WithTimeout(stove.lifetime, time.Second)
 		defer end()
-		inbound, _, err := stove.post(lifetime, decision.Address, "/v1/cancel", CancelOrder{Inquiry: decision.ID, Order: decision.Token, Run: decision.Run}, func() bool { return true })
+		inbound, _, err := stove.post(lifetime, decision.Address, "/v1/cancel", CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}, func() bool { return true })
 		if err == nil {
 			_ = inbound.Body.Close()
 		}
--- a/internal/adapters/modelserver/stove_test.go
+++ b/internal/adapters/modelserver/stove_test.go
@@ -29,14 +29,14 @@
 	may.Store(true)
 	waits := true
 	transport := &http.Transport{DialContext: func(lifetime context.Context, network, address string) (net.Conn, error) {
-		circuit, err := (&net.Dialer{}).DialContext(lifetime, network, address)
+		connection, err := (&net.Dialer{}).DialContext(lifetime, network, address)
 		if waits {
 			may.Store(false)
 		}
-		return circuit, err
+		return connection, err
 	}}
 	stove := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), transport)
-	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Inquiry: &auction.Inquiry{ID: "one"}}
+	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Request: &auction.Request{ID: "one"}}
 	for _, order := range []func() auction.Outcome{
 		func() auction.Outcome { outcome, _, _ := stove.Prefill(decision, may.Load); return outcome },
 		func() auction.Outcome {
--- a/internal/adapters/proxy/bench_test.go
+++ b/internal/adapters/proxy/bench_test.go
@@ -17,7 +17,7 @@
 
 // scan answers calls on raw circuits with as little work as possible, so that what is
 // measured is the courier.
-func scan(listener net.Listener, answer []byte, pieces int) {
+func scan(listener net.Listener, answer []byte, chunks int) {
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -43,12 +43,12 @@
 				if _, err := reader.Discard(length); err != nil {
 					return
 				}
-				if pieces == 0 {
+				if chunks == 0 {
 					_, _ = connection.Write(answer)
 					continue
 				}
 				_, _ = connection.Write(answer)
-				for piece := range pieces {
+				for piece := range chunks {
 					_, _ = io.WriteString(connection, chunk(event(piece+1)))
 				}
 				_, _ = io.WriteString(connection, "0\r\n\r\n")
@@ -76,7 +76,7 @@
 	}
 }
 
-func benchmarkCalls(b *testing.B, read bool, pieces, size int) {
+func benchmarkCalls(b *testing.B, read bool, chunks, size int) {
 	open := func(answer string, pieces int) membership.Server {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -86,15 +86,15 @@
 		go scan(listener, []byte(answer), pieces)
 		return membership.Server{Name: "life", Address: listener.Addr().String()}
 	}
-	conduct := &halves{runner: open(stream("id", "Keep-Alive: timeout=9", "X-Weight: 1"), pieces)}
-	if pieces == 0 {
+	conduct := &halves{runner: open(stream("id", "Keep-Alive: timeout=9", "X-Weight: 1"), chunks)}
+	if chunks == 0 {
 		conduct.runner = open(whole(200, "id", "answer", "Keep-Alive: timeout=9"), 0)
 	}
 	if read {
 		conduct.reader = open(whole(200, "id", `{"handle":"3fa09c41b7d5","tokens":3}`, "Keep-Alive: timeout=9"), 0)
 	}
-	circuits := NewCircuits(nil)
-	intake, err := NewIntake(b.Context(), DefaultWords(), circuits, conduct, time.Now)
+	connections := NewConnections(nil)
+	intake, err := NewIntake(b.Context(), DefaultWords(), connections, conduct, time.Now)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -105,16 +105,16 @@
 	server := &http.Server{Handler: intake}
 	go func() { _ = server.Serve(listener) }()
 	b.Cleanup(func() { _ = server.Close() })
-	origin, err := net.Dial("tcp", listener.Addr().String())
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
 	request := "POST /chat/x HTTP/1.1\r\nHost: calls.example\r\nSeamloom-Call: id\r\nSeamloom-Model: m\r\nSeamloom-Tokens: 1460,80\r\nSeamloom-Parts: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n" +
 		"Seamloom-Limit-Milliseconds: 3000\r\nContent-Length: " + strconv.Itoa(size) + "\r\n\r\n" + strings.Repeat("x", size)
-	reader := bufio.NewReaderSize(origin, 64<<10)
+	reader := bufio.NewReaderSize(client, 64<<10)
 	b.ReportAllocs()
 	for b.Loop() {
-		_, _ = io.WriteString(origin, request)
+		_, _ = io.WriteString(client, request)
 		inbound, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/adapters/proxy/circuit.go
+++ b/internal/adapters/proxy/circuit.go
@@ -11,7 +11,7 @@
 // circuit is one connection to a model server. It knows for certain whether anything
 // of the present call was written, and takes nothing once its server may have closed
 // it for having rested too long.
-type circuit struct {
+type conn struct {
 	net.Conn
 	now func() time.Time
 
@@ -29,68 +29,68 @@
 }
 
 // begin tells whether the circuit can take a call. If not, nothing of it is written.
-func (circuit *circuit) begin(ends time.Time) bool {
-	circuit.mutex.Lock()
-	defer circuit.mutex.Unlock()
-	now := circuit.now()
-	if !now.Before(ends) || (!circuit.restedAt.IsZero() && now.Sub(circuit.restedAt) > circuit.rests) {
-		circuit.shut = true
+func (connection *conn) begin(ends time.Time) bool {
+	connection.mutex.Lock()
+	defer connection.mutex.Unlock()
+	now := connection.now()
+	if !now.Before(ends) || (!connection.restedAt.IsZero() && now.Sub(connection.restedAt) > connection.rests) {
+		connection.shut = true
 	}
-	circuit.wrote, circuit.heard = false, false
-	return !circuit.shut
+	connection.wrote, connection.heard = false, false
+	return !connection.shut
 }
 
 // rested tells whether the circuit rested for as long as its server keeps it.
-func (circuit *circuit) rested(now time.Time) bool {
-	circuit.mutex.Lock()
-	defer circuit.mutex.Unlock()
-	return now.Sub(circuit.restedAt) > circuit.rests
+func (connection *conn) rested(now time.Time) bool {
+	connection.mutex.Lock()
+	defer connection.mutex.Unlock()
+	return now.Sub(connection.restedAt) > connection.rests
 }
 
 // rest notes the end of a call, and how long the server then keeps the circuit.
-func (circuit *circuit) rest(length time.Duration) {
-	circuit.mutex.Lock()
-	defer circuit.mutex.Unlock()
-	circuit.restedAt, circuit.rests = circuit.now(), length
+func (connection *conn) rest(length time.Duration) {
+	connection.mutex.Lock()
+	defer connection.mutex.Unlock()
+	connection.restedAt, connection.rests = connection.now(), length
 }
 
 // end closes the circuit. After it the circuit certainly takes nothing more; it tells
 // whether anything of the call may have left, and whether anything came.
-func (circuit *circuit) end() (wrote, heard bool) {
-	circuit.mutex.Lock()
-	circuit.shut = true
-	wrote, heard = circuit.wrote || circuit.writing, circuit.heard
-	circuit.mutex.Unlock()
-	_ = circuit.Conn.Close()
+func (connection *conn) end() (wrote, heard bool) {
+	connection.mutex.Lock()
+	connection.shut = true
+	wrote, heard = connection.wrote || connection.writing, connection.heard
+	connection.mutex.Unlock()
+	_ = connection.Conn.Close()
 	return wrote, heard
 }
 
 var errShut = failure.New(failure.Unreachable, "the circuit takes no more calls")
 
 // Write sends, unless the circuit was shut before.
-func (circuit *circuit) Write(content []byte) (int, error) {
-	circuit.mutex.Lock()
-	if circuit.shut {
-		circuit.mutex.Unlock()
+func (connection *conn) Write(content []byte) (int, error) {
+	connection.mutex.Lock()
+	if connection.shut {
+		connection.mutex.Unlock()
 		return 0, errShut
 	}
-	circuit.writing = true
-	circuit.mutex.Unlock()
-	written, err := circuit.Conn.Write(content)
-	circuit.mutex.Lock()
-	circuit.writing = false
-	circuit.wrote = circuit.wrote || written > 0
-	circuit.mutex.Unlock()
+	connection.writing = true
+	connection.mutex.Unlock()
+	written, err := connection.Conn.Write(content)
+	connection.mutex.Lock()
+	connection.writing = false
+	connection.wrote = connection.wrote || written > 0
+	connection.mutex.Unlock()
 	return written, err
 }
 
 // Read receives.
-func (circuit *circuit) Read(buffer []byte) (int, error) {
-	read, err := circuit.Conn.Read(buffer)
+func (connection *conn) Read(buffer []byte) (int, error) {
+	read, err := connection.Conn.Read(buffer)
 	if read > 0 {
-		circuit.mutex.Lock()
-		circuit.heard = true
-		circuit.mutex.Unlock()
+		connection.mutex.Lock()
+		connection.heard = true
+		connection.mutex.Unlock()
 	}
 	return read, err
 }
--- a/internal/adapters/proxy/circuits.go
+++ b/internal/adapters/proxy/circuits.go
@@ -21,9 +21,9 @@
 	// dialPatience is how long a circuit may take to come up: a server that is there
 	// takes a millisecond.
 	dialPatience = 300 * time.Millisecond
-	// circuitPatience is how long what was sent may go unacknowledged, and how long a
+	// connectionPatience is how long what was sent may go unacknowledged, and how long a
 	// circuit on which nothing is said may be dead before it shows.
-	circuitPatience = 1500 * time.Millisecond
+	connectionPatience = 1500 * time.Millisecond
 	// restsUnsaid is how long a circuit is kept when its server does not say how long
 	// it keeps it; restsMargin what is taken off when it does.
 	restsUnsaid = 700 * time.Millisecond
@@ -35,10 +35,10 @@
 	mostHead   = 256 << 10
 )
 
-// Circuits are the connections to model servers that rest between calls, each for one
+// Connections are the connections to model servers that rest between calls, each for one
 // life of a server. A call takes one alone; whether it is used again is decided when
 // the call is over.
-type Circuits struct {
+type Connections struct {
 	transport *http.Transport
 	now       func() time.Time
 
@@ -56,19 +56,19 @@
 
 // line is a circuit with its HTTP/1.1 client.
 type line struct {
-	life    life
-	circuit *circuit
-	client  *http.ClientConn
+	life       life
+	connection *conn
+	client     *http.ClientConn
 }
 
-type circuitKey struct{}
+type connectionKey struct{}
 
-// NewCircuits makes the circuits of a courier. Detours replace addresses when dialling.
-func NewCircuits(detours map[string]string) *Circuits {
+// NewConnections makes the circuits of a courier. Detours replace addresses when dialling.
+func NewConnections(detours map[string]string) *Connections {
 	dialer := &net.Dialer{Timeout: dialPatience, Control: shortPatience,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
-	circuits := &Circuits{now: time.Now, resting: map[life][]*line{}}
-	circuits.transport = &http.Transport{DisableCompression: true, MaxResponseHeaderBytes: mostHead,
+	connections := &Connections{now: time.Now, resting: map[life][]*line{}}
+	connections.transport = &http.Transport{DisableCompression: true, MaxResponseHeaderBytes: mostHead,
 		DialContext: func(lifetime context.Context, network, address string) (net.Conn, error) {
 			if detour, found := detours[address]; found {
 				address = detour
@@ -77,18 +77,18 @@
 			if err != nil {
 				return nil, err
 			}
-			circuit := lifetime.Value(circuitKey{}).(*circuit)
+			circuit := lifetime.Value(connectionKey{}).(*conn)
 			circuit.Conn = connection
 			return circuit, nil
 		}}
-	return circuits
+	return connections
 }
 
 // shortPatience has a dead circuit show soon.
 func shortPatience(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if outer := raw.Control(func(descriptor uintptr) {
-		err = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(circuitPatience/time.Millisecond))
+		err = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(connectionPatience/time.Millisecond))
 	}); outer != nil {
 		return outer
 	}
@@ -97,68 +97,68 @@
 
 // take gives a resting circuit that is still good, or opens one. Failing means that
 // nothing was sent.
-func (circuits *Circuits) take(lifetime context.Context, server membership.Server, ends time.Time) (*line, error) {
+func (connections *Connections) take(lifetime context.Context, server membership.Server, ends time.Time) (*line, error) {
 	key := lifeOf(server)
 	for {
-		rested := circuits.pop(key)
+		rested := connections.pop(key)
 		if rested == nil {
 			break
 		}
-		if rested.client.Err() == nil && rested.circuit.begin(ends) {
+		if rested.client.Err() == nil && rested.connection.begin(ends) {
 			return rested, nil
 		}
 		rested.close()
 	}
-	circuit := &circuit{now: circuits.now}
-	client, err := circuits.transport.NewClientConn(context.WithValue(lifetime, circuitKey{}, circuit), "http", server.Address)
+	connection := &conn{now: connections.now}
+	client, err := connections.transport.NewClientConn(context.WithValue(lifetime, connectionKey{}, connection), "http", server.Address)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	circuits.mutex.Lock()
-	circuits.opened++
-	circuits.mutex.Unlock()
-	opened := &line{life: key, circuit: circuit, client: client}
-	if !circuit.begin(ends) {
+	connections.mutex.Lock()
+	connections.opened++
+	connections.mutex.Unlock()
+	opened := &line{life: key, connection: connection, client: client}
+	if !connection.begin(ends) {
 		opened.close()
 		return nil, errShut
 	}
 	return opened, nil
 }
 
-func (circuits *Circuits) pop(key life) *line {
-	circuits.mutex.Lock()
-	defer circuits.mutex.Unlock()
-	resting := circuits.resting[key]
+func (connections *Connections) pop(key life) *line {
+	connections.mutex.Lock()
+	defer connections.mutex.Unlock()
+	resting := connections.resting[key]
 	if len(resting) == 0 {
 		return nil
 	}
 	last := resting[len(resting)-1]
 	resting[len(resting)-1] = nil
-	circuits.resting[key] = resting[:len(resting)-1]
+	connections.resting[key] = resting[:len(resting)-1]
 	return last
 }
 
 // give takes a circuit back after a whole answer. Rests is what the answer said of how
 // long the server keeps it.
-func (circuits *Circuits) give(used *line, rests time.Duration) {
+func (connections *Connections) give(used *line, rests time.Duration) {
 	if used.client.Err() != nil || used.client.Available() == 0 {
 		used.close()
 		return
 	}
-	used.circuit.rest(rests)
-	now := circuits.now()
+	used.connection.rest(rests)
+	now := connections.now()
 	var surplus []*line
-	circuits.mutex.Lock()
-	if circuits.listed != nil && !circuits.listed[used.life] {
+	connections.mutex.Lock()
+	if connections.listed != nil && !connections.listed[used.life] {
 		surplus = append(surplus, used)
 	} else {
-		circuits.resting[used.life] = append(circuits.resting[used.life], used)
+		connections.resting[used.life] = append(connections.resting[used.life], used)
 	}
-	if now.Sub(circuits.swept) >= sweepPause {
-		circuits.swept = now
-		surplus = append(surplus, circuits.sweep(now)...)
+	if now.Sub(connections.swept) >= sweepPause {
+		connections.swept = now
+		surplus = append(surplus, connections.sweep(now)...)
 	}
-	circuits.mutex.Unlock()
+	connections.mutex.Unlock()
 	for _, line := range surplus {
 		line.close()
 	}
@@ -166,12 +166,12 @@
 
 // sweep takes out the circuits that rested too long, that their servers closed or that
 // are too many.
-func (circuits *Circuits) sweep(now time.Time) []*line {
+func (connections *Connections) sweep(now time.Time) []*line {
 	var surplus []*line
-	for key, resting := range circuits.resting {
+	for key, resting := range connections.resting {
 		kept := resting[:0]
 		for position, line := range resting {
-			if line.client.Err() != nil || line.circuit.rested(now) || len(resting)-position > mostResting {
+			if line.client.Err() != nil || line.connection.rested(now) || len(resting)-position > mostResting {
 				surplus = append(surplus, line)
 			} else {
 				kept = append(kept, line)
@@ -179,44 +179,44 @@
 		}
 		clear(resting[len(kept):])
 		if len(kept) == 0 {
-			delete(circuits.resting, key)
+			delete(connections.resting, key)
 		} else {
-			circuits.resting[key] = kept
+			connections.resting[key] = kept
 		}
 	}
 	return surplus
 }
 
 // SetServers drops the circuits to lives that are listed no more.
-func (circuits *Circuits) SetServers(servers []membership.Server) {
+func (connections *Connections) SetServers(servers []membership.Server) {
 	listed := make(map[life]bool, len(servers))
 	for _, server := range servers {
 		listed[lifeOf(server)] = true
 	}
 	var surplus []*line
-	circuits.mutex.Lock()
-	circuits.listed = listed
-	for key, resting := range circuits.resting {
+	connections.mutex.Lock()
+	connections.listed = listed
+	for key, resting := range connections.resting {
 		if !listed[key] {
 			surplus = append(surplus, resting...)
-			delete(circuits.resting, key)
+			delete(connections.resting, key)
 		}
 	}
-	circuits.mutex.Unlock()
+	connections.mutex.Unlock()
 	for _, line := range surplus {
 		line.close()
 	}
 }
 
 // Opened counts the circuits that came up.
-func (circuits *Circuits) Opened() uint64 {
-	circuits.mutex.Lock()
-	defer circuits.mutex.Unlock()
-	return circuits.opened
+func (connections *Connections) Opened() uint64 {
+	connections.mutex.Lock()
+	defer connections.mutex.Unlock()
+	return connections.opened
 }
 
 func (line *line) close() {
-	_, _ = line.circuit.end()
+	_, _ = line.connection.end()
 	_ = line.client.Close()
 }
 
--- a/internal/adapters/proxy/circuits_test.go
+++ b/internal/adapters/proxy/circuits_test.go
@@ -16,34 +16,34 @@
 
 func asBody(text string) io.ReadCloser { return io.NopCloser(strings.NewReader(text)) }
 
-func TestACircuitThatRestedTooLongIsNotUsed(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=2"))
+func TestAConnectionThatRestedTooLongIsNotUsed(t *testing.T) {
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=2"))
 		return true
 	})
 	var ahead atomic.Int64
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
 	router := newRouter(t, scripted)
-	router.circuits.now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
+	router.connections.now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
 	scripted.decide = func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		decision := once(func() membership.Server { return standin.server })(number, outcome)
 		decision.Ends = decision.Ends.Add(time.Hour)
 		return decision
 	}
 	for _, step := range []struct {
-		later    time.Duration
-		circuits int
+		later       time.Duration
+		connections int
 	}{{0, 1}, {time.Second, 1}, {1800 * time.Millisecond, 2}} {
 		ahead.Add(int64(step.later))
-		if got := router.send(t, "id", ""); got.status != 200 || standin.opened() != step.circuits {
+		if got := router.send(t, "id", ""); got.status != 200 || standin.opened() != step.connections {
 			t.Fatalf("after %v: %+v, %d circuits", step.later, got, standin.opened())
 		}
 	}
 }
 
-func TestACircuitThatItsServerClosedIsNotUsed(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+func TestAConnectionThatItsServerClosedIsNotUsed(t *testing.T) {
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return false
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
@@ -53,7 +53,7 @@
 		if got.status != 200 && scripted.last().Result != scheduler.Silent {
 			t.Fatalf("%d: %+v %+v", number, got, scripted.last())
 		}
-		until(t, "the circuit is seen closed", func() bool { return !restingGood(router.circuits) })
+		until(t, "the circuit is seen closed", func() bool { return !restingGood(router.connections) })
 	}
 	if standin.count() != 20 {
 		t.Fatalf("%d calls for 20", standin.count())
@@ -61,10 +61,10 @@
 }
 
 // restingGood tells whether any circuit rests that looks good.
-func restingGood(circuits *Circuits) bool {
-	circuits.mutex.Lock()
-	defer circuits.mutex.Unlock()
-	for _, resting := range circuits.resting {
+func restingGood(connections *Connections) bool {
+	connections.mutex.Lock()
+	defer connections.mutex.Unlock()
+	for _, resting := range connections.resting {
 		for _, line := range resting {
 			if line.client.Err() == nil {
 				return true
@@ -78,19 +78,19 @@
 	for name, extra := range map[string]string{"bytes": "more bytes", "an answer": whole(200, "id", "again"), "a late answer": "late"} {
 		t.Run(name, func(t *testing.T) {
 			var number atomic.Int64
-			standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
+			standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 				id := inbound.Header.Get("Seamloom-Call")
 				if number.Add(1) > 1 {
-					circuit.say(whole(200, id, "mine"))
+					connection.say(whole(200, id, "mine"))
 					return true
 				}
 				if extra != "late" {
-					circuit.say(whole(200, id, "mine") + extra)
+					connection.say(whole(200, id, "mine") + extra)
 					return true
 				}
-				circuit.say(whole(200, id, "mine"))
-				_, _ = circuit.reader.Peek(1)
-				circuit.say(whole(200, id, "again"))
+				connection.say(whole(200, id, "mine"))
+				_, _ = connection.reader.Peek(1)
+				connection.say(whole(200, id, "again"))
 				return true
 			})
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
@@ -109,67 +109,67 @@
 	}
 }
 
-func TestCircuitsToAnEarlierLifeAreDropped(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=9"))
+func TestConnectionsToAnEarlierLifeAreDropped(t *testing.T) {
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=9"))
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
 	router := newRouter(t, scripted)
-	router.circuits.SetServers([]membership.Server{standin.server})
+	router.connections.SetServers([]membership.Server{standin.server})
 	_ = router.send(t, "id", "")
 	next := standin.server
 	next.Name = "life-2"
-	router.circuits.SetServers([]membership.Server{next})
-	if restingGood(router.circuits) {
+	router.connections.SetServers([]membership.Server{next})
+	if restingGood(router.connections) {
 		t.Fatal("a circuit to a life that is gone still rests")
 	}
 	_ = router.send(t, "id", "")
-	if standin.opened() != 2 || restingGood(router.circuits) {
+	if standin.opened() != 2 || restingGood(router.connections) {
 		t.Fatalf("%d circuits", standin.opened())
 	}
 }
 
 func TestNothingWrittenIsCertain(t *testing.T) {
-	standin := newStandin(t, func(*callerCircuit, *http.Request) bool { return false })
-	circuits := NewCircuits(nil)
-	line, err := circuits.take(t.Context(), standin.server, time.Now().Add(time.Second))
+	standin := newStandin(t, func(*callerConnection, *http.Request) bool { return false })
+	connections := NewConnections(nil)
+	line, err := connections.take(t.Context(), standin.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wrote, _ := line.circuit.end(); wrote {
+	if wrote, _ := line.connection.end(); wrote {
 		t.Fatal("nothing was written")
 	}
-	if _, err := line.circuit.Write([]byte("x")); err == nil {
+	if _, err := line.connection.Write([]byte("x")); err == nil {
 		t.Fatal("an ended circuit took bytes")
 	}
-	line, err = circuits.take(t.Context(), standin.server, time.Now().Add(time.Second))
+	line, err = connections.take(t.Context(), standin.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = line.circuit.Write([]byte("GET"))
-	if wrote, _ := line.circuit.end(); !wrote {
+	_, _ = line.connection.Write([]byte("GET"))
+	if wrote, _ := line.connection.end(); !wrote {
 		t.Fatal("something was written")
 	}
 	// One whose call's end has come takes nothing, though it is up.
-	line, err = circuits.take(t.Context(), standin.server, time.Now().Add(time.Second))
+	line, err = connections.take(t.Context(), standin.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if line.circuit.begin(time.Now().Add(-time.Second)) {
+	if line.connection.begin(time.Now().Add(-time.Second)) {
 		t.Fatal("a call began after its end")
 	}
-	if _, err := line.circuit.Write([]byte("GET")); err == nil {
+	if _, err := line.connection.Write([]byte("GET")); err == nil {
 		t.Fatal("a circuit that was not begun took bytes")
 	}
-	if wrote, _ := line.circuit.end(); wrote {
+	if wrote, _ := line.connection.end(); wrote {
 		t.Fatal("nothing was written")
 	}
 }
 
-func TestACircuitThatAnotherLifeAnsweredOnIsNotUsedAgain(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(421, inbound.Header.Get("Seamloom-Call"), "", "Keep-Alive: timeout=9"))
+func TestAConnectionThatAnotherLifeAnsweredOnIsNotUsedAgain(t *testing.T) {
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(421, inbound.Header.Get("Seamloom-Call"), "", "Keep-Alive: timeout=9"))
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -93,7 +93,7 @@
 		patience = min(patience, decision.Patience)
 	}
 	sent.timer = time.AfterFunc(patience, sent.expire)
-	line, err := exchange.intake.circuits.take(lifetime, decision.Server, sent.until)
+	line, err := exchange.intake.connections.take(lifetime, decision.Server, sent.until)
 	if err != nil {
 		return sent, sent.fail(scheduler.Unreached)
 	}
@@ -119,7 +119,7 @@
 	}
 	sent.response, err = line.client.RoundTrip(outbound)
 	if err != nil {
-		wrote, heard := line.circuit.end()
+		wrote, heard := line.connection.end()
 		switch {
 		case !wrote:
 			return sent, sent.fail(scheduler.Unreached)
@@ -174,7 +174,7 @@
 		sent.line.close()
 	} else {
 		sent.outcome.Rests = readRests(sent.response.Header)
-		sent.exchange.intake.circuits.give(sent.line, sent.outcome.Rests)
+		sent.exchange.intake.connections.give(sent.line, sent.outcome.Rests)
 	}
 	sent.cancel()
 }
--- a/internal/adapters/proxy/exchange_test.go
+++ b/internal/adapters/proxy/exchange_test.go
@@ -14,8 +14,8 @@
 )
 
 func TestACallGoesOnUnchangedAndItsAnswerComesBackUnchanged(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "the body", "Keep-Alive: timeout=4", "X-Other: 7"))
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "the body", "Keep-Alive: timeout=4", "X-Other: 7"))
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
@@ -42,8 +42,8 @@
 }
 
 func TestMethodsWithAndWithoutBodies(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
 	router := newRouter(t, &scripted{decide: once(func() membership.Server { return standin.server })})
@@ -92,7 +92,7 @@
 		"a failing one breaks": {"HTTP/1.1 500 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.Silent, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
-			standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool { circuit.say(given.answer); return false })
+			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool { connection.say(given.answer); return false })
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
 			got := newRouter(t, scripted).send(t, "id", "body")
 			if got.failure != nil || got.status != given.status || scripted.last().Result != given.result {
@@ -123,12 +123,12 @@
 
 func TestAStreamIsPassedOnEventByEvent(t *testing.T) {
 	further := make(chan string)
-	standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-		circuit.say(stream("id"))
+	standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+		connection.say(stream("id"))
 		for text := range further {
-			circuit.say(text)
+			connection.say(text)
 		}
-		circuit.say("0\r\n\r\n")
+		connection.say("0\r\n\r\n")
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
@@ -180,8 +180,8 @@
 func TestAStreamThatBreaksOffDoesNotLookComplete(t *testing.T) {
 	for name, ending := range map[string]string{"between events": "", "in an event": chunk("id: 3\nda"), "in a chunk": "20\r\nid: 3"} {
 		t.Run(name, func(t *testing.T) {
-			standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-				circuit.say(stream("id") + chunk(joined(1, 2)) + ending)
+			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+				connection.say(stream("id") + chunk(joined(1, 2)) + ending)
 				return false
 			})
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
@@ -194,14 +194,14 @@
 }
 
 func TestAStreamGoesOnAtAnotherServer(t *testing.T) {
-	first := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-		circuit.say(stream("id") + chunk(joined(1, 2)+"id: 3\nda"))
-		circuit.reset()
+	first := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+		connection.say(stream("id") + chunk(joined(1, 2)+"id: 3\nda"))
+		connection.reset()
 		return false
 	})
-	second := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
+	second := newStandin(t, func(conn *callerConnection, _ *http.Request) bool {
 		// The second one repeats an event: it is passed on once.
-		circuit.say(strings.Replace(stream("id"), "seal-id", "other", 1) + chunk(joined(2, 3, 4)) + "0\r\n\r\n")
+		conn.say(strings.Replace(stream("id"), "seal-id", "other", 1) + chunk(joined(2, 3, 4)) + "0\r\n\r\n")
 		return true
 	})
 	scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
@@ -226,17 +226,17 @@
 
 func TestTwoHalves(t *testing.T) {
 	freed := make(chan string, 1)
-	reader := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
+	reader := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		if inbound.Method == http.MethodDelete {
 			freed <- inbound.RequestURI
-			circuit.say(whole(200, "", ""))
+			connection.say(whole(200, "", ""))
 			return true
 		}
-		circuit.say(whole(200, "id", `{"handle":"3fa09c41b7d5","tokens":3}`))
+		connection.say(whole(200, "id", `{"handle":"3fa09c41b7d5","tokens":3}`))
 		return true
 	})
-	runner := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-		circuit.say(whole(200, "id", "answer"))
+	runner := newStandin(t, func(conn *callerConnection, _ *http.Request) bool {
+		conn.say(whole(200, "id", "answer"))
 		return true
 	})
 	scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
@@ -264,14 +264,14 @@
 	}
 }
 
-func TestServersWorkEndsWhenTheOriginLeaves(t *testing.T) {
+func TestServersWorkEndsWhenTheClientLeaves(t *testing.T) {
 	for name, text := range map[string]string{"before the head": "", "within the stream": stream("id") + chunk(event(1))} {
 		t.Run(name, func(t *testing.T) {
 			begun, ended := make(chan bool, 1), make(chan bool, 1)
-			standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-				circuit.say(text)
+			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+				connection.say(text)
 				begun <- true
-				_, _ = circuit.reader.Peek(1)
+				_, _ = connection.reader.Peek(1)
 				ended <- true
 				return false
 			})
@@ -297,7 +297,10 @@
 		"ends":     {Ends: time.Now().Add(50 * time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool { _, _ = circuit.reader.Peek(1); return false })
+			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+				_, _ = connection.reader.Peek(1)
+				return false
+			})
 			scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 				if number > 0 {
 					return lastWord(outcome)
@@ -313,31 +316,31 @@
 	}
 }
 
-// TestAnOriginThatClosedItsHalfGetsNoAnswerMadeUp: an origin that looks gone must not
+// TestAnClientThatClosedItsHalfGetsNoAnswerMadeUp: an origin that looks gone must not
 // read an empty success.
-func TestAnOriginThatClosedItsHalfGetsNoAnswerMadeUp(t *testing.T) {
+func TestAnClientThatClosedItsHalfGetsNoAnswerMadeUp(t *testing.T) {
 	for name, text := range map[string]string{"before the head": "", "within the stream": stream("id") + chunk(event(1))} {
 		t.Run(name, func(t *testing.T) {
-			standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-				circuit.say(text)
-				_, _ = circuit.reader.Peek(1)
+			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+				connection.say(text)
+				_, _ = connection.reader.Peek(1)
 				return false
 			})
 			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
 			router := newRouter(t, scripted)
-			origin, err := net.Dial("tcp", router.Listener.Addr().String())
+			client, err := net.Dial("tcp", router.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = origin.Close() }()
-			_, _ = io.WriteString(origin, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
-			reader := bufio.NewReader(origin)
+			defer func() { _ = client.Close() }()
+			_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
+			reader := bufio.NewReader(client)
 			if text == "" {
 				until(t, "the call reaches the server", func() bool { return standin.count() == 1 })
 			} else if _, err := reader.Peek(1); err != nil {
 				t.Fatal(err)
 			}
-			_ = origin.(*net.TCPConn).CloseWrite()
+			_ = client.(*net.TCPConn).CloseWrite()
 			if got, _ := io.ReadAll(reader); text == "" && len(got) != 0 || strings.HasSuffix(string(got), "0\r\n\r\n") {
 				t.Fatalf("got %q", got)
 			}
@@ -349,13 +352,13 @@
 }
 
 func TestASilentStreamGoesOnElsewhere(t *testing.T) {
-	first := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-		circuit.say(stream("id") + chunk(joined(1)))
-		_, _ = circuit.reader.Peek(1)
+	first := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+		connection.say(stream("id") + chunk(joined(1)))
+		_, _ = connection.reader.Peek(1)
 		return false
 	})
-	second := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-		circuit.say(stream("id") + chunk(joined(2)) + "0\r\n\r\n")
+	second := newStandin(t, func(conn *callerConnection, _ *http.Request) bool {
+		conn.say(stream("id") + chunk(joined(2)) + "0\r\n\r\n")
 		return true
 	})
 	scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
@@ -375,14 +378,14 @@
 	}
 }
 
-// TestAnOriginThatDoesNotReadIsNotWaitedFor past the call's end, and its server is not
+// TestAnClientThatDoesNotReadIsNotWaitedFor past the call's end, and its server is not
 // taken to be silent meanwhile.
-func TestAnOriginThatDoesNotReadIsNotWaitedFor(t *testing.T) {
+func TestAnClientThatDoesNotReadIsNotWaitedFor(t *testing.T) {
 	piece := "id: 1\ndata: " + strings.Repeat("x", 1<<16) + "\n\n"
-	standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
-		circuit.say(stream("id"))
+	standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+		connection.say(stream("id"))
 		for range 1000 {
-			if _, err := io.WriteString(circuit, chunk(piece)); err != nil {
+			if _, err := io.WriteString(connection, chunk(piece)); err != nil {
 				return false
 			}
 		}
@@ -397,12 +400,12 @@
 		return lastWord(outcome)
 	}}
 	router := newRouter(t, scripted)
-	origin, err := net.Dial("tcp", router.Listener.Addr().String())
+	client, err := net.Dial("tcp", router.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = origin.Close() }()
-	_, _ = io.WriteString(origin, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
+	defer func() { _ = client.Close() }()
+	_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
 	until(t, "the call begins", func() bool { return scripted.active.Load() == 1 })
 	until(t, "the call ends", func() bool { return scripted.active.Load() == 0 })
 	if time.Now().Before(ends) {
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -44,7 +44,7 @@
 	return ledger.ran[id]
 }
 
-const pieces = 6
+const chunks = 6
 
 // unruly is a model server that misbehaves by a seed.
 func unruly(t *testing.T, name, part string, ledger *ledger, seed uint64) *standin {
@@ -56,11 +56,11 @@
 		return chance.IntN(most)
 	}
 	server := newStandin(t, nil)
-	server.server.Name, server.server.Part, server.server.Service, server.server.District, server.server.Slots = name, part, "desk", "north", 64
+	server.server.Name, server.server.Part, server.server.Service, server.server.Zone, server.server.Slots = name, part, "desk", "north", 64
 	server.server.Models = []string{"m"}
-	server.act = func(circuit *callerCircuit, inbound *http.Request) bool {
+	server.act = func(connection *callerConnection, inbound *http.Request) bool {
 		id := inbound.Header.Get("Seamloom-Call")
-		answer := func(text string) bool { circuit.say(text); return true }
+		answer := func(text string) bool { connection.say(text); return true }
 		switch {
 		case inbound.Method == http.MethodDelete:
 			return answer(whole(200, id, ""))
@@ -75,7 +75,7 @@
 			return answer(whole(421, id, ""))
 		case 2:
 			// Dropped before it began.
-			circuit.reset()
+			connection.reset()
 			return false
 		}
 		if inbound.Header.Get("Seamloom-Stage") != "" {
@@ -83,7 +83,7 @@
 			case 3:
 				return answer(whole(500, id, "?"))
 			case 4:
-				circuit.say(whole(200, id, `{"handle":"h-`+id+`"}`)[:40])
+				connection.say(whole(200, id, `{"handle":"h-`+id+`"}`)[:40])
 				return false
 			}
 			return answer(whole(200, id, `{"handle":"h-`+id+`"}`))
@@ -96,7 +96,7 @@
 		ledger.run(id)
 		first, _ := strconv.Atoi(inbound.Header.Get("Last-Event-Id"))
 		text := stream(id)
-		for piece := first + 1; piece <= pieces; piece++ {
+		for piece := first + 1; piece <= chunks; piece++ {
 			text += chunk("id: " + strconv.Itoa(piece) + "\ndata: " + id + " piece " + strconv.Itoa(piece) + "\n\n")
 		}
 		text += "0\r\n\r\n"
@@ -104,14 +104,14 @@
 		case 3:
 			return answer(whole(500, id, "oops"))
 		case 4:
-			circuit.reset()
+			connection.reset()
 			return false
 		case 5:
-			circuit.say(text[:draw(len(text))])
+			connection.say(text[:draw(len(text))])
 			return false
 		case 6:
-			circuit.say(text[:draw(len(text))])
-			circuit.reset()
+			connection.say(text[:draw(len(text))])
+			connection.reset()
 			return false
 		case 7:
 			return answer("\x16\x03 garbage \r\n\r\n" + text)
@@ -120,19 +120,19 @@
 		case 9:
 			return answer(text + text)
 		case 10:
-			circuit.say(text)
+			connection.say(text)
 			return false
 		case 11:
-			circuit.say(text)
+			connection.say(text)
 			// A late second answer, in the place of the next.
-			go func() { circuit.say(text) }()
+			go func() { connection.say(text) }()
 			return true
 		case 12:
-			circuit.say(whole(200, "another", "not yours"))
+			connection.say(whole(200, "another", "not yours"))
 			return true
 		case 13:
 			middle := draw(len(text))
-			circuit.say(text[:middle])
+			connection.say(text[:middle])
 			time.Sleep(time.Millisecond)
 			return answer(text[middle:])
 		}
@@ -163,13 +163,13 @@
 	configuration := twoRoutes()
 	lifetime, cancel := context.WithCancel(t.Context())
 	turns := osruntime.New(lifetime, osruntime.NewClock())
-	circuits := NewCircuits(nil)
-	deciding := scheduler.New(scheduler.Options{Router: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
-	conduct := hatch.NewCalls(turns, deciding, circuits.SetServers)
+	connections := NewConnections(nil)
+	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
+	conduct := hatch.NewCalls(turns, deciding, connections.SetServers)
 	conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
 	conduct.SetServers(turns.Now(), servers)
-	intake, err := NewIntake(lifetime, DefaultWords(), circuits, conduct, turns.Now)
+	intake, err := NewIntake(lifetime, DefaultWords(), connections, conduct, turns.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,8 +225,8 @@
 		t.Errorf("%s ran %d times", id, runs)
 	case got.failure == nil && got.status == 200:
 		var expected string
-		for piece := 1; piece <= pieces; piece++ {
-			expected += "id: " + strconv.Itoa(piece) + "\ndata: " + id + " piece " + strconv.Itoa(piece) + "\n\n"
+		for chunk := 1; chunk <= chunks; chunk++ {
+			expected += "id: " + strconv.Itoa(chunk) + "\ndata: " + id + " piece " + strconv.Itoa(chunk) + "\n\n"
 		}
 		if text != expected || got.header.Get("X-Seal") != "seal-"+id {
 			t.Errorf("%s got %q, %v", id, text, got.header)
@@ -249,8 +249,8 @@
 // streams that may go on elsewhere.
 func twoRoutes() *config.Configuration {
 	configuration := config.Empty()
-	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Circuits: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
-		LinkBits: 5e11, TokensAPiece: 5, HandleLife: 5 * time.Second, Models: []string{"m"}}}}
+	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
+		LinkBits: 5e11, TokensAChunk: 5, HandleLife: 5 * time.Second, Models: []string{"m"}}}}
 	shares := []config.Share{{Service: "desk", Weight: 1}}
 	configuration.Routes = []config.Route{
 		{Name: "once", Match: config.Match{Host: "calls.example", PathPrefix: "/once/"}, Calls: &config.CallRoute{Shares: shares, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Tries: 3, Streams: true}},
@@ -262,22 +262,22 @@
 // TestLeavingUnderTraffic: while a courier leaves, no call that was read is cut, and
 // after it takes no more, origins are told when to come back.
 func TestLeavingUnderTraffic(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		id := inbound.Header.Get("Seamloom-Call")
-		circuit.say(stream(id) + chunk(event(1)))
+		connection.say(stream(id) + chunk(event(1)))
 		time.Sleep(30 * time.Millisecond)
-		circuit.say(chunk(event(2)) + "0\r\n\r\n")
+		connection.say(chunk(event(2)) + "0\r\n\r\n")
 		return true
 	})
 	standin.server.Service, standin.server.Slots, standin.server.Models = "desk", 64, []string{"m"}
 	owner := &tomb.Tomb{}
 	turns := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
-	circuits := NewCircuits(nil)
-	conduct := hatch.NewCalls(turns, scheduler.New(scheduler.Options{Router: "courier-1", District: "north"}), circuits.SetServers)
+	connections := NewConnections(nil)
+	conduct := hatch.NewCalls(turns, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), connections.SetServers)
 	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
 	conduct.SetServers(turns.Now(), []membership.Server{standin.server})
-	intake, err := NewIntake(owner.Context(context.Background()), DefaultWords(), circuits, conduct, turns.Now)
+	intake, err := NewIntake(owner.Context(context.Background()), DefaultWords(), connections, conduct, turns.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/adapters/proxy/gate_test.go
+++ b/internal/adapters/proxy/gate_test.go
@@ -30,7 +30,7 @@
 func openGate(t *testing.T, scripted *scripted, now func() time.Time) (gate *Gate, address, readyAddress string) {
 	t.Helper()
 	address, readyAddress = freeAddress(t), freeAddress(t)
-	intake, err := NewIntake(t.Context(), DefaultWords(), NewCircuits(nil), scripted, time.Now)
+	intake, err := NewIntake(t.Context(), DefaultWords(), NewConnections(nil), scripted, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 }
 
 func TestReadinessAndLeaving(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
@@ -62,15 +62,15 @@
 		}
 	}
 	ask(200)
-	circuit, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = circuit.Close() }()
-	reader := bufio.NewReader(circuit)
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
 	call := func() *http.Response {
 		t.Helper()
-		_, _ = io.WriteString(circuit, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
+		_, _ = io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
 		inbound, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -89,8 +89,8 @@
 }
 
 func TestOriginsThatTakeOrRestTooLongAreDismissed(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
@@ -142,9 +142,9 @@
 	}
 }
 
-func TestLimitsOnWhatAnOriginSends(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+func TestLimitsOnWhatAnClientSends(t *testing.T) {
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server }), limits: config.Limits{HeaderBytes: 1000, BodyBytes: 100}}
@@ -172,8 +172,8 @@
 // request on it that the gate has read whole when the connection is dismissed: it gets
 // the promise that it never runs, and no server sees it.
 func TestARequestThatCrossesADismissalIsRefused(t *testing.T) {
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
-		circuit.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
--- a/internal/adapters/proxy/headers.go
+++ b/internal/adapters/proxy/headers.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// oneCircuit are the headers that concern one circuit only.
-var oneCircuit = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
+// oneConnection are the headers that concern one circuit only.
+var oneConnection = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
 
 // copyEndToEnd copies the headers that are not one circuit's own, and leaves the
 // content's length to who writes the body.
 func copyEndToEnd(target, source http.Header, protected ...string) {
 	for name, values := range source {
-		if !oneCircuit[name] && name != "Content-Length" {
+		if !oneConnection[name] && name != "Content-Length" {
 			target[name] = values
 		}
 	}
--- a/internal/adapters/proxy/intake.go
+++ b/internal/adapters/proxy/intake.go
@@ -39,21 +39,21 @@
 
 // Intake takes calls from their origins.
 type Intake struct {
-	words    Words
-	circuits *Circuits
-	conduct  Conduct
-	now      func() time.Time
-	lifetime context.Context
-	buffers  sync.Pool
-	meter    *meter
+	words       Words
+	connections *Connections
+	conduct     Conduct
+	now         func() time.Time
+	lifetime    context.Context
+	buffers     sync.Pool
+	meter       *meter
 }
 
 // NewIntake makes the handler of opaque calls.
-func NewIntake(lifetime context.Context, words Words, circuits *Circuits, conduct Conduct, now func() time.Time) (*Intake, error) {
+func NewIntake(lifetime context.Context, words Words, connections *Connections, conduct Conduct, now func() time.Time) (*Intake, error) {
 	if err := words.Check(); err != nil {
 		return nil, err
 	}
-	intake := &Intake{words: words, circuits: circuits, conduct: conduct, now: now, lifetime: lifetime, meter: newMeter(circuits)}
+	intake := &Intake{words: words, connections: connections, conduct: conduct, now: now, lifetime: lifetime, meter: newMeter(connections)}
 	intake.buffers.New = func() any { buffer := make([]byte, copyBuffer); return &buffer }
 	return intake, nil
 }
@@ -162,7 +162,7 @@
 func (intake *Intake) free(server membership.Server, handle string) {
 	lifetime, cancel := context.WithTimeout(intake.lifetime, freePatience)
 	defer cancel()
-	line, err := intake.circuits.take(lifetime, server, time.Now().Add(freePatience))
+	line, err := intake.connections.take(lifetime, server, time.Now().Add(freePatience))
 	if err != nil {
 		return
 	}
@@ -183,5 +183,5 @@
 		line.close()
 		return
 	}
-	intake.circuits.give(line, readRests(response.Header))
+	intake.connections.give(line, readRests(response.Header))
 }
--- a/internal/adapters/proxy/leaving_test.go
+++ b/internal/adapters/proxy/leaving_test.go
@@ -17,13 +17,13 @@
 // second has its answer.
 func TestRestingConnectionsEndWhenTheNodeLeaves(t *testing.T) {
 	arrived, answer := make(chan struct{}), make(chan struct{})
-	standin := newStandin(t, func(circuit *callerCircuit, inbound *http.Request) bool {
+	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		id := inbound.Header.Get("Seamloom-Call")
 		if id == "slow" {
 			close(arrived)
 			<-answer
 		}
-		circuit.say(whole(200, id, "x"))
+		connection.say(whole(200, id, "x"))
 		return true
 	})
 	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
--- a/internal/adapters/proxy/meter.go
+++ b/internal/adapters/proxy/meter.go
@@ -36,7 +36,7 @@
 // bounds are of the times in seconds that are told apart.
 var bounds = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 3, 5, 8, 15}
 
-func newMeter(circuits *Circuits) *meter {
+func newMeter(connections *Connections) *meter {
 	set := metrics.NewSet()
 	meter := &meter{set: set, endings: map[ending]*metrics.Counter{}, dispatches: map[scheduler.DecisionKind]map[scheduler.Result]*metrics.Counter{},
 		first: set.NewPrometheusHistogramExt("seamloom_call_first_seconds", bounds), whole: set.NewPrometheusHistogramExt("seamloom_call_seconds", bounds)}
@@ -54,7 +54,7 @@
 	for _, reason := range []scheduler.Reason{scheduler.NoPlace, scheduler.TriesUsed, scheduler.BudgetUsed, scheduler.MayHaveRun, scheduler.TooDear, scheduler.TimeUsed} {
 		meter.givenUp[reason] = set.NewCounter(`seamloom_calls_given_up_total{reason="` + string(reason) + `"}`)
 	}
-	set.NewGauge("seamloom_call_circuits_opened_total", func() float64 { return float64(circuits.Opened()) })
+	set.NewGauge("seamloom_call_circuits_opened_total", func() float64 { return float64(connections.Opened()) })
 	return meter
 }
 
--- a/internal/adapters/proxy/meter_test.go
+++ b/internal/adapters/proxy/meter_test.go
@@ -12,14 +12,14 @@
 
 func TestWhatBecomesOfCallsIsCounted(t *testing.T) {
 	var number atomic.Int64
-	standin := newStandin(t, func(circuit *callerCircuit, _ *http.Request) bool {
+	standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
 		switch number.Add(1) {
 		case 1:
-			circuit.say(whole(200, "id", "x"))
+			connection.say(whole(200, "id", "x"))
 		case 2:
-			circuit.say(whole(503, "id", "", "Seamloom-Not-Started: 1"))
+			connection.say(whole(503, "id", "", "Seamloom-Not-Started: 1"))
 		case 3:
-			circuit.say(stream("id") + chunk(event(1)))
+			connection.say(stream("id") + chunk(event(1)))
 			return false
 		case 4:
 			return false
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -26,30 +26,30 @@
 	listener net.Listener
 	server   membership.Server
 	// act answers one call on a circuit; false closes the circuit.
-	act func(circuit *callerCircuit, inbound *http.Request) bool
+	act func(connection *callerConnection, inbound *http.Request) bool
 
-	mutex    sync.Mutex
-	calls    []*http.Request
-	bodies   [][]byte
-	circuits int
-	open     []net.Conn
+	mutex       sync.Mutex
+	calls       []*http.Request
+	bodies      [][]byte
+	connections int
+	open        []net.Conn
 }
 
-type callerCircuit struct {
+type callerConnection struct {
 	net.Conn
 	reader *bufio.Reader
 	number int
 }
 
-func (circuit *callerCircuit) say(text string) { _, _ = io.WriteString(circuit, text) }
+func (connection *callerConnection) say(text string) { _, _ = io.WriteString(connection, text) }
 
 // reset closes the circuit so that what is on its way is lost.
-func (circuit *callerCircuit) reset() {
-	_ = circuit.Conn.(*net.TCPConn).SetLinger(0)
-	_ = circuit.Close()
+func (connection *callerConnection) reset() {
+	_ = connection.Conn.(*net.TCPConn).SetLinger(0)
+	_ = connection.Close()
 }
 
-func newStandin(t *testing.T, act func(circuit *callerCircuit, inbound *http.Request) bool) *standin {
+func newStandin(t *testing.T, act func(conn *callerConnection, inbound *http.Request) bool) *standin {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,8 +64,8 @@
 				return
 			}
 			standin.mutex.Lock()
-			standin.circuits++
-			circuit := &callerCircuit{Conn: connection, reader: bufio.NewReader(connection), number: standin.circuits}
+			standin.connections++
+			circuit := &callerConnection{Conn: connection, reader: bufio.NewReader(connection), number: standin.connections}
 			standin.open = append(standin.open, connection)
 			standin.mutex.Unlock()
 			workers.Go(func() { standin.serve(circuit) })
@@ -83,10 +83,10 @@
 	return standin
 }
 
-func (standin *standin) serve(circuit *callerCircuit) {
-	defer func() { _ = circuit.Close() }()
+func (standin *standin) serve(connection *callerConnection) {
+	defer func() { _ = connection.Close() }()
 	for {
-		inbound, err := http.ReadRequest(circuit.reader)
+		inbound, err := http.ReadRequest(connection.reader)
 		if err != nil {
 			return
 		}
@@ -98,7 +98,7 @@
 		standin.calls = append(standin.calls, inbound)
 		standin.bodies = append(standin.bodies, body)
 		standin.mutex.Unlock()
-		if !standin.act(circuit, inbound) {
+		if !standin.act(connection, inbound) {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 func (standin *standin) opened() int {
 	standin.mutex.Lock()
 	defer standin.mutex.Unlock()
-	return standin.circuits
+	return standin.connections
 }
 
 func (standin *standin) call(number int) (*http.Request, []byte) {
@@ -253,23 +253,23 @@
 
 type router struct {
 	*httptest.Server
-	intake   *Intake
-	circuits *Circuits
-	scripted *scripted
+	intake      *Intake
+	connections *Connections
+	scripted    *scripted
 }
 
 func newRouter(t *testing.T, scripted *scripted) *router {
 	t.Helper()
-	circuits := NewCircuits(nil)
+	connections := NewConnections(nil)
 	lifetime, cancel := context.WithCancel(context.Background())
-	intake, err := NewIntake(lifetime, DefaultWords(), circuits, scripted, time.Now)
+	intake, err := NewIntake(lifetime, DefaultWords(), connections, scripted, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := httptest.NewServer(intake)
 	server.Config.ErrorLog = nil
-	t.Cleanup(func() { cancel(); server.Close(); circuits.SetServers(nil) })
-	return &router{Server: server, intake: intake, circuits: circuits, scripted: scripted}
+	t.Cleanup(func() { cancel(); server.Close(); connections.SetServers(nil) })
+	return &router{Server: server, intake: intake, connections: connections, scripted: scripted}
 }
 
 func (courier *router) request(t *testing.T, method, path, id, body string, headers ...string) *http.Request {
--- a/internal/adapters/router/calls.go
+++ b/internal/adapters/router/calls.go
@@ -12,10 +12,10 @@
 // counterCalls are what serves opaque calls in a process, if its settings name an
 // address for them.
 type counterCalls struct {
-	circuits *proxy.Circuits
-	conduct  *hatch.Calls
-	intake   *proxy.Intake
-	gate     *proxy.Gate
+	connections *proxy.Connections
+	conduct     *hatch.Calls
+	intake      *proxy.Intake
+	gate        *proxy.Gate
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
@@ -24,9 +24,9 @@
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
 	}
-	process.calls.circuits = proxy.NewCircuits(chosen.Detours)
+	process.calls.connections = proxy.NewConnections(chosen.Detours)
 	return func(deciding *scheduler.Window) hatch.Board {
-		process.calls.conduct = hatch.NewCalls(turns, deciding, process.calls.circuits.SetServers)
+		process.calls.conduct = hatch.NewCalls(turns, deciding, process.calls.connections.SetServers)
 		return process.calls.conduct
 	}
 }
@@ -40,7 +40,7 @@
 	if reached.Words != nil {
 		words = *reached.Words
 	}
-	intake, err := proxy.NewIntake(process.lifetime, words, process.calls.circuits, process.calls.conduct, turns.Now)
+	intake, err := proxy.NewIntake(process.lifetime, words, process.calls.connections, process.calls.conduct, turns.Now)
 	process.calls.intake = intake
 	return err
 }
--- a/internal/adapters/router/calls_test.go
+++ b/internal/adapters/router/calls_test.go
@@ -40,7 +40,7 @@
 
 func TestARouterServesCallsAndSaysWhenItIsReady(t *testing.T) {
 	chosen := settings.Defaults(membership.Router)
-	chosen.Name, chosen.District, chosen.Address = "courier-1", "north", freeAddress(t)
+	chosen.Name, chosen.Zone, chosen.Address = "courier-1", "north", freeAddress(t)
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), freeAddress(t)
 	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	chosen.Platform = freeAddress(t)
@@ -87,7 +87,7 @@
 	}))
 	defer server.Close()
 	chosen := settings.Defaults(membership.Router)
-	chosen.Name, chosen.District, chosen.Address = "courier-1", "north", freeAddress(t)
+	chosen.Name, chosen.Zone, chosen.Address = "courier-1", "north", freeAddress(t)
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), freeAddress(t)
 	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	chosen.Platform = freeAddress(t)
@@ -143,7 +143,7 @@
 	}
 	defer func() { _ = taken.Close() }()
 	chosen := settings.Defaults(membership.Router)
-	chosen.Name, chosen.District, chosen.Address = "courier-1", "north", freeAddress(t)
+	chosen.Name, chosen.Zone, chosen.Address = "courier-1", "north", freeAddress(t)
 	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), taken.Addr().String()
 	if _, err := Start(chosen, daemon.Logger(io.Discard, "error", "courier-1"), osruntime.NewClock(), Ports{}); err == nil {
 		t.Fatal("started at an address that is taken")
--- a/internal/adapters/router/counter.go
+++ b/internal/adapters/router/counter.go
@@ -21,10 +21,10 @@
 func (process *Process) mux() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Post("/v1/inquiries"), func(writer http.ResponseWriter, inbound *http.Request) {
-		process.serveInquiry(writer, inbound, nil)
+		process.serveRequest(writer, inbound, nil)
 	})
 	mux.HandleFunc(pat.Post(hatch.PassPath), func(writer http.ResponseWriter, inbound *http.Request) {
-		process.serveInquiry(writer, inbound, &hatch.Passage{Nonce: inbound.Header.Get(passageHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
+		process.serveRequest(writer, inbound, &hatch.Passage{Nonce: inbound.Header.Get(passageHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
 	})
 	mux.HandleFunc(pat.Get("/v1/inquiries/:id"), process.getTrace)
 	mux.HandleFunc(pat.Get("/v1/health"), func(writer http.ResponseWriter, _ *http.Request) {
@@ -41,32 +41,32 @@
 	return mux
 }
 
-// serveInquiry takes an inquiry from its origin, or from a restricted courier
+// serveRequest takes an inquiry from its origin, or from a restricted courier
 // that passed it on; one that was passed on is not passed on again.
-func (process *Process) serveInquiry(writer http.ResponseWriter, inbound *http.Request, passage *hatch.Passage) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, hatch.MostInquiryBytes))
+func (process *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, passage *hatch.Passage) {
+	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, hatch.MostRequestBytes))
 	if err != nil {
 		refuse(writer, failure.At(failure.Oversize, "/", err.Error()))
 		return
 	}
-	inquiry, err := hatch.ReadInquiry(process.clock.Now(), body)
+	request, err := hatch.ReadRequest(process.clock.Now(), body)
 	if err != nil {
 		refuse(writer, err)
 		return
 	}
-	origin := &reply{writer: writer, flusher: http.NewResponseController(writer), inbound: inbound}
-	arrival := hatch.Arrival{Inquiry: inquiry, Body: body, Passage: passage}
+	client := &reply{writer: writer, flusher: http.NewResponseController(writer), inbound: inbound}
+	arrival := hatch.Arrival{Request: request, Body: body, Passage: passage}
 	if passage == nil {
-		process.conduct.Serve(arrival, origin)
+		process.conduct.Serve(arrival, client)
 		return
 	}
 	writer.Header().Set("Content-Type", "application/msgpack")
 	encoder := msgpack.NewEncoder(writer)
-	process.conduct.Serve(arrival, &hatch.RecordReply{Inquiry: inquiry.ID, Writer: process.chosen.Name, Left: origin.WhenLeft, Send: func(record codec.Record) error {
+	process.conduct.Serve(arrival, &hatch.RecordReply{Request: request.ID, Writer: process.chosen.Name, Left: client.WhenLeft, Send: func(record codec.Record) error {
 		if err := encoder.Encode(record); err != nil {
 			return err
 		}
-		return origin.flusher.Flush()
+		return client.flusher.Flush()
 	}})
 }
 
@@ -84,7 +84,7 @@
 func (process *Process) getTrace(writer http.ResponseWriter, inbound *http.Request) {
 	folded, found := process.conduct.Journal().Fold(pat.Param(inbound, "id"), process.supported)
 	if !found {
-		answerJSON(writer, http.StatusNotFound, hatch.ReplyLine{Inquiry: folded.Inquiry, Type: failure.NoSuch, Detail: "this courier's journal has nothing of it"})
+		answerJSON(writer, http.StatusNotFound, hatch.ReplyLine{Request: folded.Request, Type: failure.NoSuch, Detail: "this courier's journal has nothing of it"})
 		return
 	}
 	answerJSON(writer, http.StatusOK, folded)
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -72,7 +72,7 @@
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
 	kitchen := modelserver.New(process.lifetime, turns, rpc.Transport(chosen.Detours))
-	options := hatch.RouterOptions{Options: seamloom.Options{Router: chosen.Name, District: chosen.District, MostInquiries: chosen.MostInquiries,
+	options := hatch.RouterOptions{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MostRequests: chosen.MostRequests,
 		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", FurtherTries: reached.FurtherTries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.noteEnd,
 		Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}, Board: process.prepareCalls(turns),
 		ServeWithoutHold: chosen.ServeWithoutHold, ApplyWithin: chosen.ApplyWithin}
@@ -116,9 +116,9 @@
 }
 
 // noteEnd counts an inquiry's use.
-func (process *Process) noteEnd(inquiry *auction.Inquiry, decision auction.Decision) {
-	process.ledger.Note(process.clock.Wall(), usage.Row{Router: process.chosen.Name, Service: inquiry.Service, Origin: inquiry.Origin,
-		Final: string(decision.Final), PromptTokens: int64(inquiry.PromptTokens), Pieces: int64(decision.Pieces)})
+func (process *Process) noteEnd(request *auction.Request, decision auction.Decision) {
+	process.ledger.Note(process.clock.Wall(), usage.Row{Router: process.chosen.Name, Service: request.Service, Client: request.Client,
+		Final: string(decision.Final), PromptTokens: int64(request.PromptTokens), Chunks: int64(decision.Chunks)})
 }
 
 // Drain stops letting in, waits for what runs until the patience ends, and
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -21,17 +21,17 @@
 
 // Settings are what a process is told of its place.
 type Settings struct {
-	Kind          membership.NodeKind
-	Name          string
-	Address       string
-	District      string
-	Seeds         []string
-	Platform      string
-	DataFolder    string
-	LogLevel      string
-	Market        string
-	MostInquiries int
-	FlagSettle    int
+	Kind         membership.NodeKind
+	Name         string
+	Address      string
+	Zone         string
+	Seeds        []string
+	Platform     string
+	DataFolder   string
+	LogLevel     string
+	Market       string
+	MostRequests int
+	FlagSettle   int
 	// MostMemory is how many megabytes the process may take; zero: nobody said.
 	MostMemory int
 	// BorneLosses is how many machines with a disk may be lost at once.
@@ -82,7 +82,7 @@
 
 // Defaults are the settings before file and flags.
 func Defaults(kind membership.NodeKind) Settings {
-	return Settings{Kind: kind, LogLevel: "info", Market: "pair", MostInquiries: 512, FlagSettle: 5000, BorneLosses: 1, Bootstrap: true, CatchUp: replication.DefaultCatchUp, ApplyWithin: defaultApplyWithin, Grace: DefaultGrace}
+	return Settings{Kind: kind, LogLevel: "info", Market: "pair", MostRequests: 512, FlagSettle: 5000, BorneLosses: 1, Bootstrap: true, CatchUp: replication.DefaultCatchUp, ApplyWithin: defaultApplyWithin, Grace: DefaultGrace}
 }
 
 // ReadFile takes the settings of a JSON file over those given.
@@ -107,11 +107,11 @@
 }
 
 func (settings *Settings) readField(name string, value *fastjson.Value) error {
-	texts := map[string]*string{"name": &settings.Name, "address": &settings.Address, "district": &settings.District,
+	texts := map[string]*string{"name": &settings.Name, "address": &settings.Address, "district": &settings.Zone,
 		"platform": &settings.Platform, "data_folder": &settings.DataFolder, "log_level": &settings.LogLevel, "market": &settings.Market,
 		"calls_address": &settings.CallsAddress, "ready_address": &settings.ReadyAddress, "control_address": &settings.ControlAddress}
 	lists := map[string]*[]string{"seeds": &settings.Seeds, "withhold_flags": &settings.Withhold}
-	numbers := map[string]*int{"most_inquiries": &settings.MostInquiries, "flag_settle_milliseconds": &settings.FlagSettle, "borne_losses": &settings.BorneLosses,
+	numbers := map[string]*int{"most_inquiries": &settings.MostRequests, "flag_settle_milliseconds": &settings.FlagSettle, "borne_losses": &settings.BorneLosses,
 		"most_memory_megabytes": &settings.MostMemory}
 	lengths := map[string]*time.Duration{"acknowledge_wait": &settings.AcknowledgeWait, "serve_without_hold": &settings.ServeWithoutHold, "grace": &settings.Grace, "retire_after": &settings.RetireAfter, "catch_up": &settings.CatchUp, "apply_within": &settings.ApplyWithin}
 	if target, found := texts[name]; found {
@@ -193,7 +193,7 @@
 	wrong := func(kind failure.Kind, path, detail string) {
 		mistakes = multierr.Append(mistakes, failure.At(kind, path, detail))
 	}
-	for path, name := range map[string]string{"name": settings.Name, "district": settings.District} {
+	for path, name := range map[string]string{"name": settings.Name, "district": settings.Zone} {
 		if !nameShape.MatchString(name) {
 			wrong(failure.Missing, path, "needs a name of letters, digits, dots, dashes and underscores, 64 at most")
 		}
@@ -234,7 +234,7 @@
 		if settings.Market != "pair" && settings.Market != "least_loaded" {
 			wrong(failure.OutOfRange, "market", "is pair or least_loaded, not \""+settings.Market+"\"")
 		}
-		if settings.MostInquiries < 1 {
+		if settings.MostRequests < 1 {
 			wrong(failure.OutOfRange, "most_inquiries", "must be at least 1")
 		}
 	}
--- a/internal/adapters/settings/settings_test.go
+++ b/internal/adapters/settings/settings_test.go
@@ -13,7 +13,7 @@
 
 func sound(kind membership.NodeKind) Settings {
 	chosen := Defaults(kind)
-	chosen.Name, chosen.Address, chosen.District, chosen.Platform = "node-1", "127.0.0.1:7101", "north", "127.0.0.1:7000"
+	chosen.Name, chosen.Address, chosen.Zone, chosen.Platform = "node-1", "127.0.0.1:7101", "north", "127.0.0.1:7000"
 	chosen.Seeds = []string{"127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"}
 	if kind == membership.Controller {
 		chosen.DataFolder = "folder"
--- a/internal/adapters/usage/export.go
+++ b/internal/adapters/usage/export.go
@@ -20,8 +20,8 @@
 		return failure.Wrap(failure.Disk, err)
 	}
 	for _, row := range rows {
-		if err := writer.Write([]string{row.Minute, row.Router, row.Service, row.Origin, row.Final, strconv.FormatInt(row.Inquiries, 10),
-			strconv.FormatInt(row.PromptTokens, 10), strconv.FormatInt(row.Pieces, 10)}); err != nil {
+		if err := writer.Write([]string{row.Minute, row.Router, row.Service, row.Client, row.Final, strconv.FormatInt(row.Requests, 10),
+			strconv.FormatInt(row.PromptTokens, 10), strconv.FormatInt(row.Chunks, 10)}); err != nil {
 			return failure.Wrap(failure.Disk, err)
 		}
 	}
--- a/internal/adapters/usage/ledger.go
+++ b/internal/adapters/usage/ledger.go
@@ -21,7 +21,7 @@
 // Note adds one inquiry that has ended.
 func (ledger *Ledger) Note(now time.Time, ended Row) {
 	ended.Minute = now.UTC().Truncate(time.Minute).Format(time.RFC3339)
-	key := Row{Minute: ended.Minute, Router: ended.Router, Service: ended.Service, Origin: ended.Origin, Final: ended.Final}
+	key := Row{Minute: ended.Minute, Router: ended.Router, Service: ended.Service, Client: ended.Client, Final: ended.Final}
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	row, found := ledger.rows[key]
@@ -33,9 +33,9 @@
 		row = &fresh
 		ledger.rows[key] = row
 	}
-	row.Inquiries++
+	row.Requests++
 	row.PromptTokens += ended.PromptTokens
-	row.Pieces += ended.Pieces
+	row.Chunks += ended.Chunks
 }
 
 func (ledger *Ledger) dropOldest() {
@@ -67,7 +67,7 @@
 // Sort orders rows by minute, courier, service, origin and end.
 func Sort(rows []Row) {
 	name := func(row Row) string {
-		return row.Minute + "\x00" + row.Router + "\x00" + row.Service + "\x00" + row.Origin + "\x00" + row.Final
+		return row.Minute + "\x00" + row.Router + "\x00" + row.Service + "\x00" + row.Client + "\x00" + row.Final
 	}
 	sort.Slice(rows, func(left, right int) bool { return name(rows[left]) < name(rows[right]) })
 }
--- a/internal/adapters/usage/row.go
+++ b/internal/adapters/usage/row.go
@@ -7,9 +7,9 @@
 	Minute       string `json:"minute" parquet:"minute"`
 	Router       string `json:"courier" parquet:"courier,dict"`
 	Service      string `json:"service" parquet:"service,dict"`
-	Origin       string `json:"origin" parquet:"origin,dict"`
+	Client       string `json:"origin" parquet:"origin,dict"`
 	Final        string `json:"final" parquet:"final,dict"`
-	Inquiries    int64  `json:"inquiries" parquet:"inquiries"`
+	Requests     int64  `json:"inquiries" parquet:"inquiries"`
 	PromptTokens int64  `json:"prompt_tokens" parquet:"prompt_tokens"`
-	Pieces       int64  `json:"pieces" parquet:"pieces"`
+	Chunks       int64  `json:"pieces" parquet:"pieces"`
 }
--- a/internal/auction/balance.go
+++ b/internal/auction/balance.go
@@ -67,11 +67,11 @@
 			}
 		case !reported:
 		case part(server) == Prefill:
-			if !evacuated(server.District) {
+			if !evacuated(server.Zone) {
 				prefill = append(prefill, server)
 			}
 		case part(server) == Decode:
-			if !evacuated(server.District) {
+			if !evacuated(server.Zone) {
 				decode = append(decode, server)
 			}
 		default:
@@ -87,17 +87,17 @@
 		return membership.Weight("first part", vacant[left].Name) > membership.Weight("first part", vacant[right].Name)
 	})
 	prefills, decodes := len(prefill), len(decode)
-	inDistrict := map[string]int{}
+	inZone := map[string]int{}
 	for _, server := range prefill {
-		inDistrict[server.District]++
+		inZone[server.Zone]++
 	}
 	for len(vacant) > 0 {
 		if prefills*3 < decodes*2 || prefills == 0 {
 			sort.SliceStable(vacant, func(left, right int) bool {
-				return inDistrict[vacant[left].District] < inDistrict[vacant[right].District]
+				return inZone[vacant[left].Zone] < inZone[vacant[right].Zone]
 			})
 			give(vacant[0], Prefill, "a server without a part")
-			inDistrict[vacant[0].District]++
+			inZone[vacant[0].Zone]++
 			prefills++
 		} else {
 			give(vacant[0], Decode, "a server without a part")
--- a/internal/auction/balance_test.go
+++ b/internal/auction/balance_test.go
@@ -13,7 +13,7 @@
 	balance := NewBalance(false)
 	var servers []membership.Server
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
-		servers = append(servers, membership.Server{Name: name, District: "north"})
+		servers = append(servers, membership.Server{Name: name, Zone: "north"})
 	}
 	standing := map[string]codec.Order{}
 	now := noon
--- a/internal/auction/decision.go
+++ b/internal/auction/decision.go
@@ -15,7 +15,7 @@
 	Kind     DecisionKind `json:"decision"`
 	ID       string       `json:"id,omitempty"`
 	Run      int          `json:"run,omitempty"`
-	Inquiry  *Inquiry     `json:"inquiry,omitempty"`
+	Request  *Request     `json:"inquiry,omitempty"`
 	NotAfter time.Time    `json:"not_after,omitzero"`
 
 	Server        string `json:"server,omitempty"`
@@ -26,12 +26,12 @@
 	// twice is told. The core leaves it to who carries the decision out.
 	Token string `json:"token,omitempty"`
 
-	Piece  int          `json:"piece,omitempty"`
+	Chunk  int          `json:"piece,omitempty"`
 	Text   string       `json:"text,omitempty"`
 	Final  Final        `json:"final,omitempty"`
 	Cause  failure.Kind `json:"cause,omitempty"`
 	Detail string       `json:"detail,omitempty"`
-	Pieces int          `json:"pieces,omitempty"`
+	Chunks int          `json:"pieces,omitempty"`
 	// Retry is when the caller may come back.
 	Retry time.Duration `json:"retry,omitempty"`
 
--- a/internal/auction/decisionkind.go
+++ b/internal/auction/decisionkind.go
@@ -5,10 +5,10 @@
 
 // The kinds of decision.
 const (
-	ClaimInquiry    DecisionKind = "claim"
+	ClaimRequest    DecisionKind = "claim"
 	DispatchPrefill DecisionKind = "prefill"
 	DispatchDecode  DecisionKind = "decode"
-	SendPiece       DecisionKind = "send_piece"
+	SendChunk       DecisionKind = "send_piece"
 	Finish          DecisionKind = "finish"
 	Cancel          DecisionKind = "cancel"
 	GiveOrders      DecisionKind = "give_orders"
--- a/internal/auction/desk.go
+++ b/internal/auction/desk.go
@@ -15,7 +15,7 @@
 type Desk struct {
 	market   *Market
 	budget   *Budget
-	district string
+	zone     string
 	most     int64
 	shards   [16]shard
 	program  atomic.Pointer[Program]
@@ -40,15 +40,15 @@
 // ours.
 const (
 	leastPatience = 2 * time.Second
-	piecePatience = 3 * time.Second
+	chunkPatience = 3 * time.Second
 	// holdPatience is how long an inquiry that was let in waits for the next
 	// hold.
 	holdPatience = 2 * time.Second
 )
 
 // NewDesk makes the desk of a courier that holds at most so many inquiries.
-func NewDesk(market *Market, district string, most int) *Desk {
-	desk := &Desk{market: market, budget: &Budget{}, district: district, most: int64(most)}
+func NewDesk(market *Market, zone string, most int) *Desk {
+	desk := &Desk{market: market, budget: &Budget{}, zone: zone, most: int64(most)}
 	for position := range desk.shards {
 		desk.shards[position].tickets = map[string]*ticket{}
 	}
@@ -150,50 +150,50 @@
 }
 
 // Arrive lets an inquiry in or refuses it at once.
-func (desk *Desk) Arrive(now time.Time, inquiry *Inquiry) []Decision {
+func (desk *Desk) Arrive(now time.Time, request *Request) []Decision {
 	desk.tallies.Arrived.Add(1)
 	if desk.draining.Load() {
-		return desk.refuse(inquiry, failure.Draining, "this courier is leaving", time.Second)
+		return desk.refuse(request, failure.Draining, "this courier is leaving", time.Second)
 	}
 	if desk.passOn.Load() {
-		return []Decision{{Kind: PassOn, ID: inquiry.ID, Inquiry: inquiry}}
+		return []Decision{{Kind: PassOn, ID: request.ID, Request: request}}
 	}
 	program := desk.program.Load()
 	if program == nil || !now.Before(desk.ServesUntil()) {
-		return desk.refuse(inquiry, failure.NoHold, "the configuration in force is not confirmed", time.Second)
+		return desk.refuse(request, failure.NoHold, "the configuration in force is not confirmed", time.Second)
 	}
-	ruling, err := program.Rule(inquiry, desk.district)
+	ruling, err := program.Rule(request, desk.zone)
 	if err != nil {
-		return desk.refuse(inquiry, err.Kind, err.Detail, 0)
+		return desk.refuse(request, err.Kind, err.Detail, 0)
 	}
-	if desk.inFlight.Load() >= desk.most || desk.serviceCount(inquiry.Service).Load() >= int64(ruling.Service.InFlight) {
-		return desk.refuse(inquiry, failure.Busy, "the courier has as many inquiries as it takes", desk.market.Relief(now))
+	if desk.inFlight.Load() >= desk.most || desk.serviceCount(request.Service).Load() >= int64(ruling.Service.InFlight) {
+		return desk.refuse(request, failure.Busy, "the courier has as many inquiries as it takes", desk.market.Relief(now))
 	}
-	settled := *inquiry
-	settled.Limit = ruling.limit(now, inquiry.Limit)
-	entry := &ticket{inquiry: &settled, ruling: ruling, tried: map[string]bool{}, stage: ready}
+	settled := *request
+	settled.Limit = ruling.limit(now, request.Limit)
+	entry := &ticket{request: &settled, ruling: ruling, tried: map[string]bool{}, stage: ready}
 	bid, found := desk.choose(now, entry)
 	if !found {
 		if desk.nowhere(program, ruling) {
-			return desk.refuse(inquiry, failure.Evacuated, "every district that the route names is evacuated", 5*time.Second)
+			return desk.refuse(request, failure.Evacuated, "every district that the route names is evacuated", 5*time.Second)
 		}
-		return desk.refuse(inquiry, failure.Busy, "no pair of servers has room", desk.market.Relief(now))
+		return desk.refuse(request, failure.Busy, "no pair of servers has room", desk.market.Relief(now))
 	}
 	if now.Add(bid.Price).After(settled.Limit) {
-		return desk.refuse(inquiry, failure.Busy, "no pair of servers would be in time", desk.market.Relief(now))
+		return desk.refuse(request, failure.Busy, "no pair of servers would be in time", desk.market.Relief(now))
 	}
-	shard := desk.shard(inquiry.ID)
+	shard := desk.shard(request.ID)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	if _, found := shard.tickets[inquiry.ID]; found {
-		return desk.refuse(inquiry, failure.Duplicate, "the inquiry is under way", 0)
+	if _, found := shard.tickets[request.ID]; found {
+		return desk.refuse(request, failure.Duplicate, "the inquiry is under way", 0)
 	}
-	shard.tickets[inquiry.ID] = entry
+	shard.tickets[request.ID] = entry
 	desk.inFlight.Add(1)
-	desk.serviceCount(inquiry.Service).Add(1)
+	desk.serviceCount(request.Service).Add(1)
 	if !settled.Repeatable {
 		entry.stage = claiming
-		return []Decision{{Kind: ClaimInquiry, ID: inquiry.ID, Inquiry: &settled, NotAfter: settled.Limit}}
+		return []Decision{{Kind: ClaimRequest, ID: request.ID, Request: &settled, NotAfter: settled.Limit}}
 	}
 	return desk.takeUp(now, shard, entry, bid, desk.ServesUntil())
 }
@@ -261,9 +261,9 @@
 	return desk.again(now, shard, entry, outcome)
 }
 
-// Piece takes one piece of the stream. Pieces that are not the next one of the
+// Chunk takes one piece of the stream. Pieces that are not the next one of the
 // present run end the stream: it is never spliced.
-func (desk *Desk) Piece(now time.Time, id string, run, piece int, text string) []Decision {
+func (desk *Desk) Chunk(now time.Time, id string, run, chunk int, text string) []Decision {
 	shard, entry := desk.find(id, run)
 	if entry == nil {
 		return nil
@@ -273,17 +273,17 @@
 		return nil
 	}
 	entry.everRan = true
-	if piece != entry.pieces+1 {
+	if chunk != entry.chunks+1 {
 		desk.market.Avoid(now, entry.bid.Decode.server.Name)
 		return append(desk.cancelCurrent(entry), desk.finish(now, shard, entry, Failed, failure.ServerFailed)...)
 	}
-	entry.pieces = piece
-	entry.patience = now.Add(piecePatience)
-	return []Decision{{Kind: SendPiece, ID: id, Run: run, Piece: piece, Text: text}}
+	entry.chunks = chunk
+	entry.patience = now.Add(chunkPatience)
+	return []Decision{{Kind: SendChunk, ID: id, Run: run, Chunk: chunk, Text: text}}
 }
 
 // Decoded takes the end of a decode.
-func (desk *Desk) Decoded(now time.Time, id string, run int, outcome Outcome, pieces int) []Decision {
+func (desk *Desk) Decoded(now time.Time, id string, run int, outcome Outcome, chunks int) []Decision {
 	shard, entry := desk.find(id, run)
 	if entry == nil {
 		return nil
@@ -294,7 +294,7 @@
 	}
 	server := entry.bid.Decode.server.Name
 	if outcome == Done {
-		if pieces != entry.pieces {
+		if chunks != entry.chunks {
 			return desk.finish(now, shard, entry, Failed, failure.ServerFailed)
 		}
 		return desk.finish(now, shard, entry, Complete, "")
@@ -302,7 +302,7 @@
 	if outcome != NotStarted {
 		desk.market.Avoid(now, server)
 	}
-	if entry.pieces > 0 {
+	if entry.chunks > 0 {
 		return desk.finish(now, shard, entry, Failed, failure.ServerFailed)
 	}
 	entry.tried[server] = true
--- a/internal/auction/desk_test.go
+++ b/internal/auction/desk_test.go
@@ -16,8 +16,8 @@
 func newTestDesk(t *testing.T) *Desk {
 	t.Helper()
 	market := NewMarket("courier-1", "north", false)
-	market.List([]membership.Server{{Name: "p1", Address: "p1", District: "north"}, {Name: "p2", Address: "p2", District: "south"},
-		{Name: "d1", Address: "d1", District: "north"}, {Name: "d2", Address: "d2", District: "south"}})
+	market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "p2", Address: "p2", Zone: "south"},
+		{Name: "d1", Address: "d1", Zone: "north"}, {Name: "d2", Address: "d2", Zone: "south"}})
 	desk := NewDesk(market, "north", 100)
 	reportLoads(desk, noon)
 	configure(t, desk, 1, `{"services":{"chat":{"tries":3}},"routes":{"all":{"to":{}}}}`)
@@ -30,7 +30,7 @@
 		desk.market.Report(now, Load{Server: name, Part: Prefill, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8, LinkRate: 400_000})
 	}
 	for _, name := range []string{"d1", "d2"} {
-		desk.market.Report(now, Load{Server: name, Part: Decode, Age: time.Hour, DecodeSlots: 16, PieceTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+		desk.market.Report(now, Load{Server: name, Part: Decode, Age: time.Hour, DecodeSlots: 16, ChunkTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
 	}
 }
 
@@ -44,7 +44,7 @@
 }
 
 func arrive(desk *Desk, now time.Time, id string, repeatable bool) []Decision {
-	return desk.Arrive(now, &Inquiry{ID: id, Service: "chat", Repeatable: repeatable, PromptTokens: 500, Pieces: 3})
+	return desk.Arrive(now, &Request{ID: id, Service: "chat", Repeatable: repeatable, PromptTokens: 500, Chunks: 3})
 }
 
 func find(decisions []Decision, kind DecisionKind) *Decision {
@@ -63,11 +63,11 @@
 	}
 }
 
-func TestInquiryThatMayNotBeRepeatedIsDispatchedAgainOnlyIfCertainlyNotStarted(t *testing.T) {
+func TestRequestThatMayNotBeRepeatedIsDispatchedAgainOnlyIfCertainlyNotStarted(t *testing.T) {
 	for outcome, want := range map[Outcome]Final{Uncertain: Unknown, Broken: Failed} {
 		desk := newTestDesk(t)
 		earn(desk)
-		if find(arrive(desk, noon, "one", false), ClaimInquiry) == nil {
+		if find(arrive(desk, noon, "one", false), ClaimRequest) == nil {
 			t.Fatal("not claimed before its dispatch")
 		}
 		if find(desk.Claimed(noon, "one", Done, ""), DispatchPrefill) == nil {
@@ -93,8 +93,8 @@
 	if final := find(arrive(desk, noon.Add(4*time.Second), "late", true), Finish); final == nil || final.Cause != failure.NoHold {
 		t.Errorf("let in without a hold: %+v", final)
 	}
-	inquiry := &Inquiry{ID: "one", Service: "chat", Repeatable: false, PromptTokens: 500, Pieces: 3, Limit: noon.Add(time.Second)}
-	desk.Arrive(noon, inquiry)
+	request := &Request{ID: "one", Service: "chat", Repeatable: false, PromptTokens: 500, Chunks: 3, Limit: noon.Add(time.Second)}
+	desk.Arrive(noon, request)
 	decisions := desk.Claimed(noon.Add(time.Second), "one", Done, "")
 	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Refused {
 		t.Errorf("after the limit: %+v", decisions)
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestGivenUpInquiryIsAnsweredAtOnce lets the hold stay away: the caller is told
+// TestGivenUpRequestIsAnsweredAtOnce lets the hold stay away: the caller is told
 // soon, long before the limit, and when to come back.
-func TestGivenUpInquiryIsAnsweredAtOnce(t *testing.T) {
+func TestGivenUpRequestIsAnsweredAtOnce(t *testing.T) {
 	desk := newTestDesk(t)
 	arrive(desk, noon, "one", false)
 	after := noon.Add(4 * time.Second)
@@ -130,24 +130,24 @@
 	}
 }
 
-func TestStreamIsNeverSplicedAndNeverRunAgainAfterItsFirstPiece(t *testing.T) {
+func TestStreamIsNeverSplicedAndNeverRunAgainAfterItsFirstChunk(t *testing.T) {
 	desk := newTestDesk(t)
 	earn(desk)
 	arrive(desk, noon, "one", true)
 	desk.Prefilled(noon, "one", 1, Done, "handle")
-	if piece := find(desk.Piece(noon, "one", 1, 1, "a"), SendPiece); piece == nil {
+	if chunk := find(desk.Chunk(noon, "one", 1, 1, "a"), SendChunk); chunk == nil {
 		t.Fatal("the first piece was not sent")
 	}
-	if late := desk.Piece(noon, "one", 2, 2, "b"); len(late) != 0 {
+	if late := desk.Chunk(noon, "one", 2, 2, "b"); len(late) != 0 {
 		t.Errorf("a piece of another run was taken: %+v", late)
 	}
 	decisions := desk.Decoded(noon, "one", 1, Uncertain, 0)
-	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Failed || final.Pieces != 1 {
+	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Failed || final.Chunks != 1 {
 		t.Errorf("after the first piece: %+v", decisions)
 	}
 	arrive(desk, noon, "two", true)
 	desk.Prefilled(noon, "two", 1, Done, "handle")
-	if final := find(desk.Piece(noon, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
+	if final := find(desk.Chunk(noon, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
 		t.Errorf("a stream with a missing piece went on: %+v", final)
 	}
 }
@@ -193,9 +193,9 @@
 	for router := range 7 {
 		desk := newTestDesk(t)
 		desk.market.SetRouters(7)
-		desk.market.List([]membership.Server{{Name: "p1", Address: "p1", District: "north"}, {Name: "d1", Address: "d1", District: "north"}})
+		desk.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "d1", Address: "d1", Zone: "north"}})
 		desk.market.Report(noon, Load{Server: "p1", Part: Prefill, Age: time.Second, PrefillRate: 20_000, PrefillRoom: 12, LinkRate: 400_000})
-		desk.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, PieceTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+		desk.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
 		for number := range 10 {
 			if find(arrive(desk, noon, fmt.Sprint(router, "/", number), true), DispatchPrefill) != nil {
 				sent++
@@ -233,8 +233,8 @@
 	if decode := find(desk.Prefilled(noon, "one", 1, Done, "handle"), DispatchDecode); decode == nil || decode.Server != "d2" {
 		t.Errorf("with north evacuated: %+v", decode)
 	}
-	desk.market.List([]membership.Server{{Name: "p1", Address: "p1", District: "north"}, {Name: "p2", Address: "p2", District: "south", Leaving: true},
-		{Name: "d1", Address: "d1", District: "north"}, {Name: "d2", Address: "d2", District: "south"}})
+	desk.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "p2", Address: "p2", Zone: "south", Leaving: true},
+		{Name: "d1", Address: "d1", Zone: "north"}, {Name: "d2", Address: "d2", Zone: "south"}})
 	if final := find(arrive(desk, noon, "two", true), Finish); final == nil || final.Final != Refused {
 		t.Errorf("with the last server leaving: %+v", final)
 	}
@@ -254,20 +254,20 @@
 		t.Fatal(err)
 	}
 	program := Compile(configuration, 1, 1)
-	for origin, tokens := range map[string]int{"vip": 10, "other": 10, "long": 1000} {
-		ruling, refusal := program.Rule(&Inquiry{Service: "chat", Origin: origin, PromptTokens: tokens}, "north")
-		want := map[string]string{"vip": "a-second", "other": "b-third", "long": "z-first"}[origin]
-		if ruling == nil || ruling.Route != want || (refusal != nil) != (origin == "long") {
-			t.Errorf("%s: %+v, %v", origin, ruling, refusal)
+	for client, tokens := range map[string]int{"vip": 10, "other": 10, "long": 1000} {
+		ruling, refusal := program.Rule(&Request{Service: "chat", Client: client, PromptTokens: tokens}, "north")
+		want := map[string]string{"vip": "a-second", "other": "b-third", "long": "z-first"}[client]
+		if ruling == nil || ruling.Route != want || (refusal != nil) != (client == "long") {
+			t.Errorf("%s: %+v, %v", client, ruling, refusal)
 		}
 	}
 }
 
 func TestColdServerIsOfferedLittle(t *testing.T) {
 	desk := newTestDesk(t)
-	desk.market.List([]membership.Server{{Name: "p1", Address: "p1", District: "north"}, {Name: "d1", Address: "d1", District: "north"}})
+	desk.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "d1", Address: "d1", Zone: "north"}})
 	desk.market.Report(noon, Load{Server: "p1", Part: Prefill, PrefillRate: 20_000, PrefillRoom: 20, LinkRate: 400_000})
-	desk.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, PieceTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+	desk.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
 	dispatched := 0
 	for number := range 20 {
 		if find(arrive(desk, noon, fmt.Sprint(number), true), DispatchPrefill) != nil {
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -21,7 +21,7 @@
 
 func (desk *Desk) choose(now time.Time, entry *ticket) (Bid, bool) {
 	program := desk.program.Load()
-	return desk.market.Choose(now, entry.inquiry, entry.ruling, func(server membership.Server) bool {
+	return desk.market.Choose(now, entry.request, entry.ruling, func(server membership.Server) bool {
 		return program.Allows(entry.ruling, server)
 	}, entry.tried)
 }
@@ -29,8 +29,8 @@
 // dispatchPrefill sends a run's prompt to the pair's first server. Each run
 // after the first is an extra try.
 func (desk *Desk) dispatchPrefill(now time.Time, shard *shard, entry *ticket) []Decision {
-	inquiry := entry.inquiry
-	if !now.Before(inquiry.Limit) {
+	request := entry.request
+	if !now.Before(request.Limit) {
 		return desk.giveUp(now, shard, entry, failure.LimitPassed)
 	}
 	holdEnds := desk.ServesUntil()
@@ -47,7 +47,7 @@
 
 // takeUp sends a run's prompt to the first server of a pair that was chosen now.
 func (desk *Desk) takeUp(now time.Time, shard *shard, entry *ticket, bid Bid, holdEnds time.Time) []Decision {
-	inquiry := entry.inquiry
+	request := entry.request
 	var decisions []Decision
 	if entry.dispatches == 0 {
 		desk.budget.First()
@@ -60,18 +60,18 @@
 			return desk.giveUp(now, shard, entry, failure.BudgetSpent)
 		}
 		entry.answering = false
-		decisions = append(decisions, Decision{Kind: NoteRetry, ID: inquiry.ID, Run: entry.run + 1})
+		decisions = append(decisions, Decision{Kind: NoteRetry, ID: request.ID, Run: entry.run + 1})
 	}
 	entry.dispatches++
 	entry.run++
 	entry.bid, entry.stage, entry.handle = bid, prefilling, ""
 	entry.reserved = true
-	desk.market.Reserve(bid, inquiry)
+	desk.market.Reserve(bid, request)
 	entry.patience = now.Add(leastPatience + 4*bid.Price)
-	pair := &codec.Pair{Inquiry: inquiry.ID, Run: entry.run, Prefill: bid.Prefill.server.Name, Decode: bid.Decode.server.Name, Price: bid.Price, HandOver: bid.HandOver}
+	pair := &codec.Pair{Request: request.ID, Run: entry.run, Prefill: bid.Prefill.server.Name, Decode: bid.Decode.server.Name, Price: bid.Price, HandOver: bid.HandOver}
 	return append(decisions,
-		Decision{Kind: NotePair, ID: inquiry.ID, Run: entry.run, Pair: pair},
-		Decision{Kind: DispatchPrefill, ID: inquiry.ID, Run: entry.run, Inquiry: inquiry, NotAfter: earlier(inquiry.Limit, holdEnds),
+		Decision{Kind: NotePair, ID: request.ID, Run: entry.run, Pair: pair},
+		Decision{Kind: DispatchPrefill, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Limit, holdEnds),
 			Server: bid.Prefill.server.Name, Address: bid.Prefill.server.Address})
 }
 
@@ -98,8 +98,8 @@
 // dispatchDecode hands the prompt's memory over to the pair's second server,
 // or to another when that one has no room any more.
 func (desk *Desk) dispatchDecode(now time.Time, shard *shard, entry *ticket, extra bool) []Decision {
-	inquiry := entry.inquiry
-	if !now.Before(inquiry.Limit) {
+	request := entry.request
+	if !now.Before(request.Limit) {
 		return desk.giveUp(now, shard, entry, failure.LimitPassed)
 	}
 	holdEnds := desk.ServesUntil()
@@ -115,10 +115,10 @@
 	var bid Bid
 	found := false
 	if !entry.tried[planned] {
-		bid, found = desk.market.ChooseDecode(now, inquiry, source.Name, func(server membership.Server) bool { return server.Name == planned && allowed(server) }, nil)
+		bid, found = desk.market.ChooseDecode(now, request, source.Name, func(server membership.Server) bool { return server.Name == planned && allowed(server) }, nil)
 	}
 	if !found {
-		bid, found = desk.market.ChooseDecode(now, inquiry, source.Name, allowed, entry.tried)
+		bid, found = desk.market.ChooseDecode(now, request, source.Name, allowed, entry.tried)
 	}
 	if !found {
 		// A prompt that was read is worth a short wait for room.
@@ -134,12 +134,12 @@
 	var decisions []Decision
 	if extra {
 		entry.dispatches++
-		decisions = append(decisions, Decision{Kind: NoteRetry, ID: inquiry.ID, Run: entry.run})
+		decisions = append(decisions, Decision{Kind: NoteRetry, ID: request.ID, Run: entry.run})
 	}
 	entry.bid, entry.stage, entry.answering = bid, decoding, true
-	desk.market.Take(bid, inquiry)
+	desk.market.Take(bid, request)
 	entry.patience = now.Add(leastPatience + 4*bid.HandOver)
-	return append(decisions, Decision{Kind: DispatchDecode, ID: inquiry.ID, Run: entry.run, Inquiry: inquiry, NotAfter: earlier(inquiry.Limit, holdEnds),
+	return append(decisions, Decision{Kind: DispatchDecode, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Limit, holdEnds),
 		Server: bid.Decode.server.Name, Address: bid.Decode.server.Address, SourceAddress: source.Address, Handle: entry.handle})
 }
 
@@ -153,7 +153,7 @@
 // again tries an inquiry anew if that is allowed: one that may not be repeated
 // only when the server certainly did not start.
 func (desk *Desk) again(now time.Time, shard *shard, entry *ticket, outcome Outcome) []Decision {
-	if !entry.inquiry.Repeatable && entry.everRan {
+	if !entry.request.Repeatable && entry.everRan {
 		final := Failed
 		if outcome == Uncertain {
 			final = Unknown
--- a/internal/auction/ending.go
+++ b/internal/auction/ending.go
@@ -6,9 +6,9 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-func (desk *Desk) refuse(inquiry *Inquiry, cause failure.Kind, detail string, retry time.Duration) []Decision {
+func (desk *Desk) refuse(request *Request, cause failure.Kind, detail string, retry time.Duration) []Decision {
 	desk.tallies.Refused.Add(1)
-	return []Decision{{Kind: Finish, ID: inquiry.ID, Final: Refused, Cause: cause, Detail: detail, Retry: retry}}
+	return []Decision{{Kind: Finish, ID: request.ID, Final: Refused, Cause: cause, Detail: detail, Retry: retry}}
 }
 
 // giveUp ends an inquiry that gets no further dispatch, with the word that is
@@ -18,7 +18,7 @@
 	switch {
 	case !entry.everRan && !entry.started:
 		final = Refused
-	case entry.started && !entry.inquiry.Repeatable && entry.pieces == 0:
+	case entry.started && !entry.request.Repeatable && entry.chunks == 0:
 		final = Unknown
 	}
 	var decisions []Decision
@@ -36,16 +36,16 @@
 	if stall == nil {
 		return nil
 	}
-	return []Decision{{Kind: Cancel, ID: entry.inquiry.ID, Run: entry.run, Server: stall.server.Name, Address: stall.server.Address}}
+	return []Decision{{Kind: Cancel, ID: entry.request.ID, Run: entry.run, Server: stall.server.Name, Address: stall.server.Address}}
 }
 
 func (desk *Desk) finish(now time.Time, shard *shard, entry *ticket, final Final, cause failure.Kind) []Decision {
 	desk.release(entry)
-	delete(shard.tickets, entry.inquiry.ID)
+	delete(shard.tickets, entry.request.ID)
 	desk.inFlight.Add(-1)
-	desk.serviceCount(entry.inquiry.Service).Add(-1)
+	desk.serviceCount(entry.request.Service).Add(-1)
 	desk.tallies.count(final)
-	decision := Decision{Kind: Finish, ID: entry.inquiry.ID, Run: entry.run, Final: final, Cause: cause, Pieces: entry.pieces}
+	decision := Decision{Kind: Finish, ID: entry.request.ID, Run: entry.run, Final: final, Cause: cause, Chunks: entry.chunks}
 	if final == Refused || final == Failed {
 		decision.Retry = desk.market.Relief(now)
 	}
@@ -60,7 +60,7 @@
 	}
 	defer shard.mutex.Unlock()
 	entry.started = entry.started || entry.stage == prefilling || entry.stage == decoding
-	return desk.giveUp(now, shard, entry, failure.OriginLeft)
+	return desk.giveUp(now, shard, entry, failure.ClientLeft)
 }
 
 // Tick ends what has lost its limit or its patience, and goes on with what
@@ -80,7 +80,7 @@
 
 func (desk *Desk) tickOne(now time.Time, shard *shard, entry *ticket) []Decision {
 	dispatched := entry.stage == prefilling || entry.stage == decoding
-	if !now.Before(entry.inquiry.Limit) {
+	if !now.Before(entry.request.Limit) {
 		entry.started = entry.started || dispatched
 		return desk.giveUp(now, shard, entry, failure.LimitPassed)
 	}
@@ -100,7 +100,7 @@
 	if entry.stage == decoding {
 		stall = entry.bid.Decode
 	}
-	if entry.pieces == 0 && !entry.inquiry.Repeatable {
+	if entry.chunks == 0 && !entry.request.Repeatable {
 		if desk.market.reports(now, stall.server) {
 			// It is slow, but there; nothing else could be tried.
 			return nil
@@ -112,7 +112,7 @@
 	desk.market.Avoid(now, stall.server.Name)
 	decisions := desk.cancelCurrent(entry)
 	entry.everRan = true
-	if entry.pieces > 0 {
+	if entry.chunks > 0 {
 		return append(decisions, desk.finish(now, shard, entry, Failed, failure.ServerFailed)...)
 	}
 	desk.release(entry)
--- a/internal/auction/event.go
+++ b/internal/auction/event.go
@@ -15,14 +15,14 @@
 type Event struct {
 	Kind    EventKind `json:"event"`
 	At      time.Time `json:"at"`
-	Inquiry *Inquiry  `json:"inquiry,omitempty"`
+	Request *Request  `json:"inquiry,omitempty"`
 	ID      string    `json:"id,omitempty"`
 	Run     int       `json:"run,omitempty"`
 	Outcome Outcome   `json:"outcome,omitempty"`
 	Detail  string    `json:"detail,omitempty"`
 
 	Handle string `json:"handle,omitempty"`
-	Piece  int    `json:"piece,omitempty"`
+	Chunk  int    `json:"piece,omitempty"`
 	Text   string `json:"text,omitempty"`
 
 	Servers []membership.Server `json:"servers,omitempty"`
--- a/internal/auction/load.go
+++ b/internal/auction/load.go
@@ -15,7 +15,7 @@
 	PrefillRoom        int            `json:"prefill_room"`
 	DecodeActive       int            `json:"decode_active"`
 	DecodeSlots        int            `json:"decode_slots"`
-	PieceTime          time.Duration  `json:"piece_time"`
+	ChunkTime          time.Duration  `json:"piece_time"`
 	MemoryFree         int            `json:"memory_free"`
 	MemoryTotal        int            `json:"memory_total"`
 	LinkRate           int            `json:"link_rate"`
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -14,12 +14,12 @@
 // Market finds the pair of servers for an inquiry as a whole: the prefill
 // server's ask, the hand-over between the two, and the decode server's ask.
 type Market struct {
-	mutex    sync.Mutex
-	board    atomic.Pointer[board]
-	router   string
-	district string
-	plain    bool
-	routers  atomic.Int64
+	mutex   sync.Mutex
+	board   atomic.Pointer[board]
+	router  string
+	zone    string
+	plain   bool
+	routers atomic.Int64
 }
 
 type board struct {
@@ -30,8 +30,8 @@
 
 // NewMarket makes a courier's market. A plain one picks the least loaded
 // servers one by one, for comparison.
-func NewMarket(router, district string, plain bool) *Market {
-	market := &Market{router: router, district: district, plain: plain}
+func NewMarket(router, zone string, plain bool) *Market {
+	market := &Market{router: router, zone: zone, plain: plain}
 	market.board.Store(&board{byName: map[string]*Stall{}})
 	return market
 }
@@ -114,7 +114,7 @@
 // Choose finds the pair with the lowest price, among servers that allowed says
 // may be used and whose names are not in tried. Each server is asked once; pairs
 // are priced from the lowest asks on, until none that is left can be cheaper.
-func (market *Market) Choose(now time.Time, inquiry *Inquiry, ruling *Ruling, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
+func (market *Market) Choose(now time.Time, request *Request, ruling *Ruling, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
 	asked := offers.Get().(*offerBook)
 	defer offers.Put(asked)
 	asked.clear()
@@ -122,21 +122,21 @@
 		if !allowed(stall.server) || tried[stall.server.Name] {
 			continue
 		}
-		if ask, offered := market.askPrefill(now, stall, inquiry, ruling); offered {
+		if ask, offered := market.askPrefill(now, stall, request, ruling); offered {
 			asked.prefill = append(asked.prefill, newOffer(stall, position, ask))
 		}
-		if ask, offered := market.askDecode(now, stall, inquiry); offered {
+		if ask, offered := market.askDecode(now, stall, request); offered {
 			asked.decode = append(asked.decode, newOffer(stall, position, ask))
 		}
 	}
 	if market.plain {
-		return asked.leastLoaded(now, inquiry)
+		return asked.leastLoaded(now, request)
 	}
-	return asked.cheapest(inquiry)
+	return asked.cheapest(request)
 }
 
 // ChooseDecode finds another decode server for a prompt that is already read.
-func (market *Market) ChooseDecode(now time.Time, inquiry *Inquiry, source string, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
+func (market *Market) ChooseDecode(now time.Time, request *Request, source string, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
 	current := market.board.Load()
 	prefill, found := current.byName[source]
 	if !found {
@@ -148,11 +148,11 @@
 		if decode == prefill || !allowed(decode.server) || tried[decode.server.Name] {
 			continue
 		}
-		ask, offered := market.askDecode(now, decode, inquiry)
+		ask, offered := market.askDecode(now, decode, request)
 		if !offered {
 			continue
 		}
-		handOver := newOffer(prefill, 0, 0).handOver(newOffer(decode, 0, 0), inquiry)
+		handOver := newOffer(prefill, 0, 0).handOver(newOffer(decode, 0, 0), request)
 		if !found || ask+handOver < best.Price {
 			best, found = Bid{Prefill: prefill, Decode: decode, Price: ask + handOver, HandOver: handOver}, true
 		}
@@ -164,7 +164,7 @@
 	return time.Duration(float64(amount) / float64(max(rate, 1)) * float64(time.Second))
 }
 
-func (market *Market) askPrefill(now time.Time, stall *Stall, inquiry *Inquiry, ruling *Ruling) (time.Duration, bool) {
+func (market *Market) askPrefill(now time.Time, stall *Stall, request *Request, ruling *Ruling) (time.Duration, bool) {
 	current := stall.fresh(now)
 	if current == nil || current.load.Part != Prefill || stall.avoided(now) {
 		return 0, false
@@ -181,16 +181,16 @@
 	if left < 1 || int64(still*float64(current.prefills.Load())) >= market.share(left, warmth) {
 		return 0, false
 	}
-	uncached := inquiry.PromptTokens - min(inquiry.PrefixTokens, current.load.Prefixes[inquiry.Prefix])
+	uncached := request.PromptTokens - min(request.PrefixTokens, current.load.Prefixes[request.Prefix])
 	ask := seconds(int(still*queued)+max(uncached, 1), current.load.PrefillRate)
 	ask = time.Duration(float64(ask) / warmth)
-	if ruling.HomeFirst && stall.server.District != market.district {
+	if ruling.HomeFirst && stall.server.Zone != market.zone {
 		ask += crossing
 	}
 	return ask, true
 }
 
-func (market *Market) askDecode(now time.Time, decode *Stall, inquiry *Inquiry) (time.Duration, bool) {
+func (market *Market) askDecode(now time.Time, decode *Stall, request *Request) (time.Duration, bool) {
 	current := decode.fresh(now)
 	if current == nil || current.load.Part != Decode || decode.avoided(now) {
 		return 0, false
@@ -200,7 +200,7 @@
 	busy := current.load.DecodeActive + int(mine)
 	slots := max(1, int(float64(current.load.DecodeSlots)*warmth))
 	left := float64(slots - current.load.DecodeActive)
-	need := inquiry.PromptTokens + inquiry.Pieces
+	need := request.PromptTokens + request.Chunks
 	full := busy >= slots
 	if warmth < 1 {
 		full = left < 1 || mine >= market.share(left, warmth)
@@ -211,14 +211,14 @@
 	// A fuller server makes pieces more slowly, and leaves less room for the
 	// inquiries that come next.
 	fullness := float64(busy) / float64(slots)
-	return time.Duration(float64(inquiry.Pieces) * float64(current.load.PieceTime) * (0.25 + fullness*fullness)), true
+	return time.Duration(float64(request.Chunks) * float64(current.load.ChunkTime) * (0.25 + fullness*fullness)), true
 }
 
 // Reserve counts a bid's prefill until the server's next report shows it, and
 // keeps the decode server's room until the prompt is read.
-func (market *Market) Reserve(bid Bid, inquiry *Inquiry) {
+func (market *Market) Reserve(bid Bid, request *Request) {
 	if current := bid.Prefill.report.Load(); current != nil {
-		uncached := inquiry.PromptTokens - min(inquiry.PrefixTokens, current.load.Prefixes[inquiry.Prefix])
+		uncached := request.PromptTokens - min(request.PrefixTokens, current.load.Prefixes[request.Prefix])
 		current.prefillTokens.Add(int64(uncached))
 		current.prefills.Add(1)
 	}
@@ -229,10 +229,10 @@
 func (market *Market) Release(bid Bid) { bid.Decode.promised.Add(-1) }
 
 // Take counts a decode until the server's next report shows it.
-func (market *Market) Take(bid Bid, inquiry *Inquiry) {
+func (market *Market) Take(bid Bid, request *Request) {
 	if current := bid.Decode.report.Load(); current != nil {
 		current.decodes.Add(1)
-		current.memory.Add(int64(inquiry.PromptTokens + inquiry.Pieces))
+		current.memory.Add(int64(request.PromptTokens + request.Chunks))
 	}
 }
 
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -14,7 +14,7 @@
 	market := NewMarket("courier-1", "north", false)
 	var servers []membership.Server
 	for number := range count {
-		servers = append(servers, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprint(number), District: []string{"north", "south", "east"}[number%3]})
+		servers = append(servers, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprint(number), Zone: []string{"north", "south", "east"}[number%3]})
 	}
 	market.List(servers)
 	market.SetRouters(7)
@@ -29,7 +29,7 @@
 			part = Prefill
 		}
 		market.Report(now, Load{Server: fmt.Sprintf("stove-%d", number), Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 12, DecodeSlots: 16,
-			PieceTime: 8 * time.Millisecond, MemoryFree: 200_000, LinkRate: 400_000})
+			ChunkTime: 8 * time.Millisecond, MemoryFree: 200_000, LinkRate: 400_000})
 	}
 }
 
@@ -40,10 +40,10 @@
 	for _, count := range []int{9, 12, 100, 300, 1100} {
 		benchmark.Run(fmt.Sprintf("%d servers", count), func(benchmark *testing.B) {
 			market := newTestMarket(count)
-			inquiry := &Inquiry{ID: "one", Service: "chat", PromptTokens: 500, Pieces: 20}
+			request := &Request{ID: "one", Service: "chat", PromptTokens: 500, Chunks: 20}
 			benchmark.ReportAllocs()
 			for range benchmark.N {
-				if _, found := market.Choose(noon, inquiry, &Ruling{HomeFirst: true}, anywhere, nil); !found {
+				if _, found := market.Choose(noon, request, &Ruling{HomeFirst: true}, anywhere, nil); !found {
 					benchmark.Fatal("no pair")
 				}
 			}
@@ -60,14 +60,14 @@
 	for thread := range 8 {
 		trading.Go(func() {
 			for number := range 400 {
-				inquiry := &Inquiry{ID: fmt.Sprintf("%d-%d", thread, number), PromptTokens: 100, Pieces: 5}
-				bid, found := market.Choose(noon, inquiry, &Ruling{}, anywhere, nil)
+				request := &Request{ID: fmt.Sprintf("%d-%d", thread, number), PromptTokens: 100, Chunks: 5}
+				bid, found := market.Choose(noon, request, &Ruling{}, anywhere, nil)
 				if !found {
 					continue
 				}
-				market.Reserve(bid, inquiry)
-				if other, found := market.ChooseDecode(noon, inquiry, bid.Prefill.server.Name, anywhere, nil); found {
-					market.Take(other, inquiry)
+				market.Reserve(bid, request)
+				if other, found := market.ChooseDecode(noon, request, bid.Prefill.server.Name, anywhere, nil); found {
+					market.Take(other, request)
 				}
 				market.Release(bid)
 			}
--- a/internal/auction/offer.go
+++ b/internal/auction/offer.go
@@ -28,19 +28,19 @@
 
 // least is the least time that the prompt's memory takes from this server to any
 // other: over its own link, and within its district.
-func (prefill offer) least(inquiry *Inquiry) time.Duration {
-	return seconds(inquiry.PromptTokens, prefill.linkRate)
+func (prefill offer) least(request *Request) time.Duration {
+	return seconds(request.PromptTokens, prefill.linkRate)
 }
 
 // handOver is the time that the prompt's memory takes from one server to the
 // other.
-func (prefill offer) handOver(decode offer, inquiry *Inquiry) time.Duration {
+func (prefill offer) handOver(decode offer, request *Request) time.Duration {
 	rate := decode.linkRate
 	if prefill.report != nil && prefill.linkRate < rate {
 		rate = prefill.linkRate
 	}
-	took := seconds(inquiry.PromptTokens, rate)
-	if prefill.stall.server.District != decode.stall.server.District {
+	took := seconds(request.PromptTokens, rate)
+	if prefill.stall.server.Zone != decode.stall.server.Zone {
 		took += took/2 + crossing/2
 	}
 	return took
@@ -74,7 +74,7 @@
 // cheapest is the pair with the lowest price; of equal ones that which stands
 // first in the list. A price is never below the sum of what it is made of, so that
 // the lowest sum that is left bounds all prices that are left.
-func (book *offerBook) cheapest(inquiry *Inquiry) (Bid, bool) {
+func (book *offerBook) cheapest(request *Request) (Bid, bool) {
 	sortByAsk(book.prefill)
 	sortByAsk(book.decode)
 	var best Bid
@@ -88,20 +88,20 @@
 		return lowest > bestPrice || (lowest == bestPrice && (prefill > bestPrefill || (prefill == bestPrefill && decode > bestDecode)))
 	}
 	for _, prefill := range book.prefill {
-		least := prefill.ask + prefill.least(inquiry)
+		least := prefill.ask + prefill.least(request)
 		var weigher membership.Weigher
 		weighs := false
 		for _, decode := range book.decode {
 			if worse(least+decode.ask, prefill.position, decode.position) {
 				break
 			}
-			handOver := prefill.handOver(decode, inquiry)
+			handOver := prefill.handOver(decode, request)
 			sum := prefill.ask + handOver + decode.ask
 			if decode.stall == prefill.stall || worse(sum, prefill.position, decode.position) {
 				continue
 			}
 			if !weighs {
-				weigher, weighs = membership.NewWeigher(inquiry.ID+"/"+prefill.stall.server.Name), true
+				weigher, weighs = membership.NewWeigher(request.ID+"/"+prefill.stall.server.Name), true
 			}
 			noise := float64(weigher.Weight(decode.stall.server.Name)%1024) / 1024
 			price := float64(sum+floor) * (1 + spread*noise)
@@ -117,7 +117,7 @@
 // leastLoaded is the plain choice: the first server with the shortest queue and
 // the first with the fewest answers under way, without prefixes, hand-over,
 // districts or own work in flight.
-func (book *offerBook) leastLoaded(_ time.Time, inquiry *Inquiry) (Bid, bool) {
+func (book *offerBook) leastLoaded(_ time.Time, request *Request) (Bid, bool) {
 	if len(book.prefill) == 0 || len(book.decode) == 0 {
 		return Bid{}, false
 	}
@@ -127,6 +127,6 @@
 	decode := slices.MinFunc(book.decode, func(left, right offer) int {
 		return left.report.load.DecodeActive - right.report.load.DecodeActive
 	})
-	handOver := prefill.handOver(decode, inquiry)
+	handOver := prefill.handOver(decode, request)
 	return Bid{Prefill: prefill.stall, Decode: decode.stall, Price: prefill.ask + handOver + decode.ask, HandOver: handOver}, true
 }
--- a/internal/auction/offer_test.go
+++ b/internal/auction/offer_test.go
@@ -11,23 +11,23 @@
 
 // everyPair is the choice as its definition says it: every pair is priced, and the
 // first of the lowest is taken.
-func everyPair(market *Market, now time.Time, inquiry *Inquiry, ruling *Ruling, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
+func everyPair(market *Market, now time.Time, request *Request, ruling *Ruling, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
 	var best Bid
 	bestPrice, found := 0.0, false
 	stalls := market.board.Load().stalls
 	for _, prefill := range stalls {
-		prefillAsk, offered := market.askPrefill(now, prefill, inquiry, ruling)
+		prefillAsk, offered := market.askPrefill(now, prefill, request, ruling)
 		if !offered || !allowed(prefill.server) || tried[prefill.server.Name] {
 			continue
 		}
 		for _, decode := range stalls {
-			decodeAsk, offered := market.askDecode(now, decode, inquiry)
+			decodeAsk, offered := market.askDecode(now, decode, request)
 			if !offered || decode == prefill || !allowed(decode.server) || tried[decode.server.Name] {
 				continue
 			}
-			handOver := newOffer(prefill, 0, 0).handOver(newOffer(decode, 0, 0), inquiry)
+			handOver := newOffer(prefill, 0, 0).handOver(newOffer(decode, 0, 0), request)
 			sum := prefillAsk + handOver + decodeAsk
-			price := float64(sum+5*time.Millisecond) * (1 + spread*float64(membership.Weight(inquiry.ID+"/"+prefill.server.Name, decode.server.Name)%1024)/1024)
+			price := float64(sum+5*time.Millisecond) * (1 + spread*float64(membership.Weight(request.ID+"/"+prefill.server.Name, decode.server.Name)%1024)/1024)
 			if market.plain {
 				price = float64(prefill.fresh(now).load.PrefillWaiting)*1000 + float64(decode.fresh(now).load.DecodeActive)
 			}
@@ -49,7 +49,7 @@
 		market.SetRouters(1 + random.IntN(9))
 		var servers []membership.Server
 		for number := range 1 + random.IntN(60) {
-			servers = append(servers, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprint(number), District: []string{"north", "south", "east"}[random.IntN(3)], Leaving: random.IntN(15) == 0})
+			servers = append(servers, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprint(number), Zone: []string{"north", "south", "east"}[random.IntN(3)], Leaving: random.IntN(15) == 0})
 		}
 		market.List(servers)
 		alike := day%2 == 0
@@ -62,17 +62,17 @@
 		for _, server := range servers {
 			part := []Part{Prefill, Prefill, Decode, Decode, Decode, Drain}[random.IntN(6)]
 			market.Report(noon, Load{Server: server.Name, Part: part, Age: time.Hour - time.Duration(draw(2))*time.Hour, PrefillRate: 20_000 + draw(9000), PrefillRoom: 12,
-				PrefillWaiting: draw(14), PrefillQueueTokens: draw(40_000), DecodeSlots: 16, DecodeActive: draw(17), PieceTime: 8 * time.Millisecond,
+				PrefillWaiting: draw(14), PrefillQueueTokens: draw(40_000), DecodeSlots: 16, DecodeActive: draw(17), ChunkTime: 8 * time.Millisecond,
 				MemoryFree: 200_000 - draw(205_000), LinkRate: 400_000 - draw(390_000), Prefixes: map[string]int{"shared": draw(900)}})
 		}
 		for number := range 12 {
 			now := noon.Add(time.Duration(random.IntN(1600)) * time.Millisecond)
-			inquiry := &Inquiry{ID: fmt.Sprintf("%d-%d", day, number), PromptTokens: 1 + random.IntN(6000), Prefix: "shared", PrefixTokens: 800, Pieces: 1 + random.IntN(40)}
+			request := &Request{ID: fmt.Sprintf("%d-%d", day, number), PromptTokens: 1 + random.IntN(6000), Prefix: "shared", PrefixTokens: 800, Chunks: 1 + random.IntN(40)}
 			ruling := &Ruling{HomeFirst: number%2 == 0}
-			allowed := func(server membership.Server) bool { return number%3 != 0 || server.District != "east" }
+			allowed := func(server membership.Server) bool { return number%3 != 0 || server.Zone != "east" }
 			tried := map[string]bool{"stove-1": number%4 == 0}
-			want, wanted := everyPair(market, now, inquiry, ruling, allowed, tried)
-			got, found := market.Choose(now, inquiry, ruling, allowed, tried)
+			want, wanted := everyPair(market, now, request, ruling, allowed, tried)
+			got, found := market.Choose(now, request, ruling, allowed, tried)
 			if found != wanted || got != want {
 				t.Fatalf("day %d, inquiry %d: got %v, want %v", day, number, got, want)
 			}
@@ -81,8 +81,8 @@
 				continue
 			}
 			chosen++
-			market.Reserve(got, inquiry)
-			market.Take(got, inquiry)
+			market.Reserve(got, request)
+			market.Take(got, request)
 		}
 	}
 	if chosen < 1000 || none < 100 {
--- a/internal/auction/opcode.go
+++ b/internal/auction/opcode.go
@@ -5,8 +5,8 @@
 
 const (
 	// needs skip to the next route when the inquiry is otherwise.
-	needDistrict opcode = iota
-	needOrigin
+	needZone opcode = iota
+	needClient
 	needPrefix
 	needAtLeast
 	needBelow
--- a/internal/auction/program.go
+++ b/internal/auction/program.go
@@ -34,8 +34,8 @@
 // Compile makes the program of a configuration.
 func Compile(configuration *config.Configuration, epoch, number uint64) *Program {
 	program := &Program{epoch: epoch, number: number, services: map[string]*compiledService{}, evacuations: map[string]bool{}}
-	for district := range configuration.Evacuations {
-		program.evacuations[district] = true
+	for zone := range configuration.Evacuations {
+		program.evacuations[zone] = true
 	}
 	for name, service := range configuration.Services {
 		program.services[name] = &compiledService{service: service}
@@ -63,8 +63,8 @@
 		}
 	}
 	match := route.Match
-	need(match.District != "", needDistrict, match.District, 0)
-	need(match.Origin != "", needOrigin, match.Origin, 0)
+	need(match.Zone != "", needZone, match.Zone, 0)
+	need(match.Client != "", needClient, match.Client, 0)
 	need(match.Prefix != "", needPrefix, match.Prefix, 0)
 	need(match.PromptTokensAtLeast > 0, needAtLeast, "", match.PromptTokensAtLeast)
 	need(match.PromptTokensBelow > 0, needBelow, "", match.PromptTokensBelow)
@@ -73,10 +73,10 @@
 	if route.To.Refuse {
 		code = actRefuse
 	}
-	if len(route.To.Districts) > 0 {
-		ruling.Districts = map[string]bool{}
-		for _, district := range route.To.Districts {
-			ruling.Districts[district] = true
+	if len(route.To.Zones) > 0 {
+		ruling.Zones = map[string]bool{}
+		for _, zone := range route.To.Zones {
+			ruling.Zones[zone] = true
 		}
 	}
 	compiled.steps = append(compiled.steps, step{code: code, ruling: ruling})
@@ -86,31 +86,31 @@
 }
 
 // Rule interprets the program for one inquiry that arrived in a district.
-func (program *Program) Rule(inquiry *Inquiry, district string) (*Ruling, *failure.Trouble) {
-	compiled, found := program.services[inquiry.Service]
+func (program *Program) Rule(request *Request, zone string) (*Ruling, *failure.Trouble) {
+	compiled, found := program.services[request.Service]
 	if !found {
-		return nil, failure.New(failure.UnknownService, inquiry.Service)
+		return nil, failure.New(failure.UnknownService, request.Service)
 	}
-	if inquiry.PromptTokens > compiled.service.MaxPromptTokens {
+	if request.PromptTokens > compiled.service.MaxPromptTokens {
 		return nil, failure.At(failure.OutOfRange, "/prompt_tokens", "the service takes fewer tokens")
 	}
-	if inquiry.Pieces > compiled.service.MaxPieces {
+	if request.Chunks > compiled.service.MaxChunks {
 		return nil, failure.At(failure.OutOfRange, "/pieces", "the service makes fewer pieces")
 	}
 	for position := 0; position < len(compiled.steps); {
 		step := &compiled.steps[position]
 		holds := true
 		switch step.code {
-		case needDistrict:
-			holds = district == step.text
-		case needOrigin:
-			holds = inquiry.Origin == step.text
+		case needZone:
+			holds = zone == step.text
+		case needClient:
+			holds = request.Client == step.text
 		case needPrefix:
-			holds = inquiry.Prefix == step.text
+			holds = request.Prefix == step.text
 		case needAtLeast:
-			holds = inquiry.PromptTokens >= step.number
+			holds = request.PromptTokens >= step.number
 		case needBelow:
-			holds = inquiry.PromptTokens < step.number
+			holds = request.PromptTokens < step.number
 		case actRefuse:
 			return step.ruling, failure.New(failure.RouteRefuses, step.ruling.Route)
 		case actSend:
@@ -127,7 +127,7 @@
 
 // Allows tells whether work may go to a server under the ruling.
 func (program *Program) Allows(ruling *Ruling, server membership.Server) bool {
-	return !program.evacuations[server.District] && (ruling.Districts == nil || ruling.Districts[server.District])
+	return !program.evacuations[server.Zone] && (ruling.Zones == nil || ruling.Zones[server.Zone])
 }
 
 // limit is the latest moment of an inquiry that came now.
--- a/internal/auction/program_test.go
+++ b/internal/auction/program_test.go
@@ -36,10 +36,10 @@
 			}
 		})
 		program := Compile(configuration, 1, 1)
-		inquiry := &Inquiry{Service: "chat", Origin: "nobody"}
+		request := &Request{Service: "chat", Client: "nobody"}
 		benchmark.Run(fmt.Sprintf("rule-%d", count), func(benchmark *testing.B) {
 			for benchmark.Loop() {
-				if _, refusal := program.Rule(inquiry, "north"); refusal != nil {
+				if _, refusal := program.Rule(request, "north"); refusal != nil {
 					benchmark.Fatal(refusal)
 				}
 			}
--- a/internal/auction/ruling.go
+++ b/internal/auction/ruling.go
@@ -6,6 +6,6 @@
 type Ruling struct {
 	Route     string
 	Service   config.Service
-	Districts map[string]bool
+	Zones     map[string]bool
 	HomeFirst bool
 }
--- a/internal/auction/ticket.go
+++ b/internal/auction/ticket.go
@@ -4,7 +4,7 @@
 
 // ticket is what the desk knows of one inquiry that was let in.
 type ticket struct {
-	inquiry    *Inquiry
+	request    *Request
 	ruling     *Ruling
 	stage      stage
 	run        int
@@ -17,7 +17,7 @@
 	started   bool
 	everRan   bool
 	handle    string
-	pieces    int
+	chunks    int
 	patience  time.Time
 	holdless  time.Time
 }
--- a/internal/codec/entry.go
+++ b/internal/codec/entry.go
@@ -5,7 +5,7 @@
 // Entry notes an extra try (a retry record) or who has taken an inquiry that
 // may not be repeated (a recover record).
 type Entry struct {
-	Inquiry string    `msgpack:"inquiry" json:"inquiry"`
+	Request string    `msgpack:"inquiry" json:"inquiry"`
 	Router  string    `msgpack:"courier" json:"courier"`
 	Run     int       `msgpack:"run" json:"run"`
 	At      time.Time `msgpack:"at" json:"at"`
@@ -14,7 +14,7 @@
 
 // WriteEntry makes a retry or recover record.
 func WriteEntry(kind RecordKind, entry Entry) (Record, error) {
-	record := NewRecord(kind, entry.Inquiry, entry.Router, uint64(entry.Run))
+	record := NewRecord(kind, entry.Request, entry.Router, uint64(entry.Run))
 	return record, record.Put("entry", entry)
 }
 
--- a/internal/codec/pair.go
+++ b/internal/codec/pair.go
@@ -8,7 +8,7 @@
 // Pair says which servers an inquiry's run was given. Price and HandOver exist
 // only in the second format.
 type Pair struct {
-	Inquiry  string        `msgpack:"inquiry" json:"inquiry"`
+	Request  string        `msgpack:"inquiry" json:"inquiry"`
 	Run      int           `msgpack:"run" json:"run"`
 	Prefill  string        `msgpack:"prefill" json:"prefill"`
 	Decode   string        `msgpack:"decode" json:"decode"`
@@ -17,7 +17,7 @@
 }
 
 type pairFirst struct {
-	Inquiry string `msgpack:"inquiry"`
+	Request string `msgpack:"inquiry"`
 	Run     int    `msgpack:"run"`
 	Prefill string `msgpack:"prefill"`
 	Decode  string `msgpack:"decode"`
@@ -25,8 +25,8 @@
 
 // WritePair makes the pair's record in the format that the flags allow.
 func WritePair(pair Pair, writer string, enabled features.List) (Record, error) {
-	record := NewRecord(PairRecord, pair.Inquiry, writer, uint64(pair.Run))
-	first := pairFirst{Inquiry: pair.Inquiry, Run: pair.Run, Prefill: pair.Prefill, Decode: pair.Decode}
+	record := NewRecord(PairRecord, pair.Request, writer, uint64(pair.Run))
+	first := pairFirst{Request: pair.Request, Run: pair.Run, Prefill: pair.Prefill, Decode: pair.Decode}
 	return record, record.putFormats(enabled, format{"", "pair", first}, format{features.PairPrice, "pair_v2", pair})
 }
 
@@ -36,7 +36,7 @@
 	var first pairFirst
 	key, err := record.readNewest(supported, format{features.PairPrice, "pair_v2", &pair}, format{"", "pair", &first})
 	if key == "pair" {
-		pair = Pair{Inquiry: first.Inquiry, Run: first.Run, Prefill: first.Prefill, Decode: first.Decode}
+		pair = Pair{Request: first.Request, Run: first.Run, Prefill: first.Prefill, Decode: first.Decode}
 	}
 	return pair, err
 }
--- a/internal/codec/record_test.go
+++ b/internal/codec/record_test.go
@@ -47,7 +47,7 @@
 
 // TestOldCodeLeavesUnknownKeysAlone reads a record with a key from the future.
 func TestOldCodeLeavesUnknownKeysAlone(t *testing.T) {
-	record, err := WritePair(Pair{Inquiry: "one", Run: 2, Prefill: "a", Decode: "b", Price: time.Second}, "courier-1", features.List{features.PairPrice})
+	record, err := WritePair(Pair{Request: "one", Run: 2, Prefill: "a", Decode: "b", Price: time.Second}, "courier-1", features.List{features.PairPrice})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/codec/streammessage.go
+++ b/internal/codec/streammessage.go
@@ -2,7 +2,7 @@
 
 // StreamMessage is one line of a reply on its way between two nodes.
 type StreamMessage struct {
-	Inquiry string `msgpack:"inquiry"`
+	Request string `msgpack:"inquiry"`
 	Line    []byte `msgpack:"line"`
 	Status  int    `msgpack:"status"`
 	Retry   int    `msgpack:"retry"`
@@ -10,7 +10,7 @@
 
 // WriteStreamMessage makes the message's record.
 func WriteStreamMessage(message StreamMessage, writer string, number uint64) (Record, error) {
-	record := NewRecord(StreamRecord, message.Inquiry, writer, number)
+	record := NewRecord(StreamRecord, message.Request, writer, number)
 	return record, record.Put("stream", message)
 }
 
--- a/internal/config/calls_test.go
+++ b/internal/config/calls_test.go
@@ -23,10 +23,10 @@
 		t.Errorf("revision %d, limits %+v", configuration.Revision, configuration.Limits)
 	}
 	service := configuration.Services["desk"]
-	if service.Health != "/health" || service.Circuits != 360 || service.Warming != (Warming{Length: 3 * time.Second, PerSecond: 12.5}) || !service.IDsUsedOnce {
+	if service.Health != "/health" || service.Connections != 360 || service.Warming != (Warming{Length: 3 * time.Second, PerSecond: 12.5}) || !service.IDsUsedOnce {
 		t.Errorf("service %+v", service)
 	}
-	if engine := service.Engine; engine.Slots != 64 || engine.MemoryTokens != 319972 || engine.TokenBytes != 18432 || engine.LinkBits != 370e9 || engine.TokensAPiece != 9 ||
+	if engine := service.Engine; engine.Slots != 64 || engine.MemoryTokens != 319972 || engine.TokenBytes != 18432 || engine.LinkBits != 370e9 || engine.TokensAChunk != 9 ||
 		engine.HandleLife != 5*time.Second || engine.PartChange != 1700*time.Millisecond || len(engine.Models) != 1 || engine.Models[0] != "m/1" {
 		t.Errorf("engine %+v", engine)
 	}
@@ -87,7 +87,7 @@
 func TestTasteKnowsRoutesOfCalls(t *testing.T) {
 	remarks := Taste([]byte(`{"services":{"desk":{}},"routes":{"all":{"order":0,"match":{"service":"desk"},"to":{}},
 		"a":{"order":1,"match":{"host":"h","path_prefix":"/"},"calls":{"limit_milliseconds":1,"shares":[{"service":"desk"}]}}}}`), nil,
-		Facts{Servers: []ServerFacts{{Name: "s", District: "north"}}})
+		Facts{Servers: []ServerFacts{{Name: "s", Zone: "north"}}})
 	if len(remarks) != 0 {
 		t.Errorf("remarks %v", remarks)
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -211,7 +211,7 @@
 
 func (checker *checker) service(name string, value *fastjson.Value, at place) {
 	service := Service{Name: name, Limit: DefaultLimit, MaxPromptTokens: DefaultMaxPromptTokens,
-		MaxPieces: DefaultMaxPieces, InFlight: DefaultInFlight, Tries: DefaultTries}
+		MaxChunks: DefaultMaxChunks, InFlight: DefaultInFlight, Tries: DefaultTries}
 	var milliseconds int
 	checker.fields(value, at, func(name string, value *fastjson.Value, at place) bool {
 		switch name {
@@ -220,7 +220,7 @@
 		case "max_prompt_tokens":
 			checker.whole(&service.MaxPromptTokens, 1, 10_000_000, value, at)
 		case "max_pieces":
-			checker.whole(&service.MaxPieces, 1, 1_000_000, value, at)
+			checker.whole(&service.MaxChunks, 1, 1_000_000, value, at)
 		case "in_flight":
 			checker.whole(&service.InFlight, 1, 1_000_000, value, at)
 		case "tries":
@@ -228,7 +228,7 @@
 		case "health":
 			checker.path(&service.Health, value, at)
 		case "circuits":
-			checker.whole(&service.Circuits, 0, 1_000_000, value, at)
+			checker.whole(&service.Connections, 0, 1_000_000, value, at)
 		case "warming":
 			checker.warming(&service.Warming, value, at)
 		case "engine":
@@ -274,7 +274,7 @@
 		case "link_bits":
 			checker.fraction(&engine.LinkBits, value, at)
 		case "tokens_a_piece":
-			checker.whole(&engine.TokensAPiece, 0, 1_000_000, value, at)
+			checker.whole(&engine.TokensAChunk, 0, 1_000_000, value, at)
 		case "handle_life_milliseconds":
 			checker.milliseconds(&engine.HandleLife, 0, LongestCallLimit, value, at)
 		case "part_change_milliseconds":
@@ -315,7 +315,7 @@
 	if !seenTo && route.Calls == nil {
 		checker.findings.add(failure.Missing, at.field("to").String(), "a route says where its inquiries go")
 	}
-	if route.To.Refuse && len(route.To.Districts) > 0 {
+	if route.To.Refuse && len(route.To.Zones) > 0 {
 		checker.findings.add(failure.Contradictory, at.field("to").String(), "a route that refuses names no districts")
 	}
 	if below := route.Match.PromptTokensBelow; below > 0 && route.Match.PromptTokensAtLeast >= below {
@@ -342,7 +342,7 @@
 	if match.PathPrefix == "" {
 		checker.findings.add(failure.Missing, at.field("match").field("path_prefix").String(), "a route of calls names a path prefix")
 	}
-	if match.Service != "" || match.District != "" || match.Origin != "" || match.Prefix != "" || match.PromptTokensAtLeast > 0 || match.PromptTokensBelow > 0 {
+	if match.Service != "" || match.Zone != "" || match.Client != "" || match.Prefix != "" || match.PromptTokensAtLeast > 0 || match.PromptTokensBelow > 0 {
 		checker.findings.add(failure.Contradictory, at.field("match").String(), "a route of calls matches by host and path prefix only")
 	}
 	if match.Host == "" || match.PathPrefix == "" {
@@ -436,9 +436,9 @@
 		case "service":
 			checker.name(&match.Service, value, at)
 		case "district":
-			checker.name(&match.District, value, at)
+			checker.name(&match.Zone, value, at)
 		case "origin":
-			checker.name(&match.Origin, value, at)
+			checker.name(&match.Client, value, at)
 		case "prefix":
 			checker.name(&match.Prefix, value, at)
 		case "host":
@@ -460,7 +460,7 @@
 	checker.fields(value, at, func(name string, value *fastjson.Value, at place) bool {
 		switch name {
 		case "districts":
-			checker.names(&target.Districts, value, at)
+			checker.names(&target.Zones, value, at)
 		case "home_first":
 			checker.boolean(&target.HomeFirst, value, at)
 		case "refuse":
@@ -473,7 +473,7 @@
 }
 
 func (checker *checker) evacuation(name string, value *fastjson.Value, at place) {
-	evacuation := Evacuation{District: name}
+	evacuation := Evacuation{Zone: name}
 	checker.fields(value, at, func(name string, value *fastjson.Value, at place) bool {
 		if name == "annotations" {
 			checker.annotations(value, at)
@@ -489,7 +489,7 @@
 		evacuation.Reason = string(text)
 		return true
 	})
-	checker.configuration.Evacuations[evacuation.District] = evacuation
+	checker.configuration.Evacuations[evacuation.Zone] = evacuation
 }
 
 func (checker *checker) whole(target *int, least, most int, value *fastjson.Value, at place) {
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -40,48 +40,48 @@
 }
 
 // Evacuated tells whether a district is evacuated.
-func (configuration *Configuration) Evacuated(district string) bool {
-	_, found := configuration.Evacuations[district]
+func (configuration *Configuration) Evacuated(zone string) bool {
+	_, found := configuration.Evacuations[zone]
 	return found
 }
 
 // Evacuate is the configuration's text with the district evacuated: the very text
 // if it is so for that reason already.
-func Evacuate(text []byte, district, reason string) ([]byte, error) {
-	if current, evacuated, err := evacuationOf(text, district); err != nil || evacuated && current == reason {
+func Evacuate(text []byte, zone, reason string) ([]byte, error) {
+	if current, evacuated, err := evacuationOf(text, zone); err != nil || evacuated && current == reason {
 		return text, err
 	}
 	arena := &fastjson.Arena{}
 	evacuation := arena.NewObject()
 	evacuation.Set("reason", arena.NewString(reason))
-	return mergeOne(text, arena, district, evacuation)
+	return mergeOne(text, arena, zone, evacuation)
 }
 
 // Restore is the configuration's text with the district's evacuation lifted: the
 // very text if there is none.
-func Restore(text []byte, district string) ([]byte, error) {
-	if _, evacuated, err := evacuationOf(text, district); err != nil || !evacuated {
+func Restore(text []byte, zone string) ([]byte, error) {
+	if _, evacuated, err := evacuationOf(text, zone); err != nil || !evacuated {
 		return text, err
 	}
 	arena := &fastjson.Arena{}
-	return mergeOne(text, arena, district, arena.NewNull())
+	return mergeOne(text, arena, zone, arena.NewNull())
 }
 
 // evacuationOf tells whether the text has the district evacuated, and why.
-func evacuationOf(text []byte, district string) (reason string, evacuated bool, err error) {
+func evacuationOf(text []byte, zone string) (reason string, evacuated bool, err error) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
 	root, err := parser.ParseBytes(text)
 	if err != nil {
 		return "", false, failure.At(failure.Malformed, "/", err.Error())
 	}
-	found := root.Get("evacuations", district)
+	found := root.Get("evacuations", zone)
 	return string(found.GetStringBytes("reason")), found != nil, nil
 }
 
-func mergeOne(text []byte, arena *fastjson.Arena, district string, value *fastjson.Value) ([]byte, error) {
+func mergeOne(text []byte, arena *fastjson.Arena, zone string, value *fastjson.Value) ([]byte, error) {
 	evacuations := arena.NewObject()
-	evacuations.Set(district, value)
+	evacuations.Set(zone, value)
 	patch := arena.NewObject()
 	patch.Set("evacuations", evacuations)
 	// Only what is added is checked: the rest was, when it was taken.
--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -2,6 +2,6 @@
 
 // Evacuation keeps work out of a district's servers until it is lifted.
 type Evacuation struct {
-	District string
-	Reason   string
+	Zone   string
+	Reason string
 }
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -16,7 +16,7 @@
 // ServerFacts is one server in the facts.
 type ServerFacts struct {
 	Name     string
-	District string
+	Zone     string
 	Leaving  bool
 	Reported bool
 	Part     string
--- a/internal/config/match.go
+++ b/internal/config/match.go
@@ -3,8 +3,8 @@
 // Match is the condition of a route. An empty field matches everything.
 type Match struct {
 	Service             string
-	District            string
-	Origin              string
+	Zone                string
+	Client              string
 	Prefix              string
 	PromptTokensAtLeast int
 	PromptTokensBelow   int
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -7,7 +7,7 @@
 	Name            string
 	Limit           time.Duration
 	MaxPromptTokens int
-	MaxPieces       int
+	MaxChunks       int
 	InFlight        int
 	Tries           int
 	// IDsUsedOnce tells that origins give every try an id of its own: at most one
@@ -15,9 +15,9 @@
 	IDsUsedOnce bool
 	// Health is the path at which a server answers whether it is well.
 	Health string
-	// Circuits is how many circuits each server takes from all callers together;
+	// Connections is how many circuits each server takes from all callers together;
 	// zero means that nobody said.
-	Circuits int
+	Connections int
 	// Warming is what a server stands after its start.
 	Warming Warming
 	// Engine is what each server of the service is made of.
@@ -38,7 +38,7 @@
 	MemoryTokens int
 	TokenBytes   int
 	LinkBits     float64
-	TokensAPiece int
+	TokensAChunk int
 	HandleLife   time.Duration
 	PartChange   time.Duration
 	Models       []string
@@ -50,7 +50,7 @@
 	LongestLimit           = 10 * time.Minute
 	LongestCallLimit       = 24 * time.Hour
 	DefaultMaxPromptTokens = 32_000
-	DefaultMaxPieces       = 512
+	DefaultMaxChunks       = 512
 	DefaultInFlight        = 128
 	DefaultTries           = 3
 )
--- a/internal/config/target.go
+++ b/internal/config/target.go
@@ -4,7 +4,7 @@
 // named means all), whether the courier's own district is preferred, or that
 // the inquiry is refused.
 type Target struct {
-	Districts []string
+	Zones     []string
 	HomeFirst bool
 	Refuse    bool
 }
--- a/internal/config/taste.go
+++ b/internal/config/taste.go
@@ -11,15 +11,15 @@
 
 // The kinds of warning.
 const (
-	UnknownDistrict failure.Kind = "unknown_district"
-	NoServersLeft   failure.Kind = "no_servers_left"
-	NoPartLeft      failure.Kind = "no_part_left"
-	LittleRoom      failure.Kind = "little_room"
-	NeverReached    failure.Kind = "never_reached"
-	NoRouteTo       failure.Kind = "no_route_to_service"
-	MixedFormats    failure.Kind = "mixed_formats"
-	FewRouters      failure.Kind = "few_couriers"
-	Shrinks         failure.Kind = "service_disappears"
+	UnknownZone   failure.Kind = "unknown_district"
+	NoServersLeft failure.Kind = "no_servers_left"
+	NoPartLeft    failure.Kind = "no_part_left"
+	LittleRoom    failure.Kind = "little_room"
+	NeverReached  failure.Kind = "never_reached"
+	NoRouteTo     failure.Kind = "no_route_to_service"
+	MixedFormats  failure.Kind = "mixed_formats"
+	FewRouters    failure.Kind = "few_couriers"
+	Shrinks       failure.Kind = "service_disappears"
 )
 
 // Taste checks a proposed configuration against the fleet as it is and the
@@ -34,10 +34,10 @@
 		}
 		return remarks
 	}
-	tasting := &tasting{configuration: configuration, facts: facts, districts: map[string]int{}}
+	tasting := &tasting{configuration: configuration, facts: facts, zones: map[string]int{}}
 	for _, server := range facts.Servers {
 		if !server.Leaving {
-			tasting.districts[server.District]++
+			tasting.zones[server.Zone]++
 		}
 	}
 	tasting.evacuations()
@@ -52,7 +52,7 @@
 type tasting struct {
 	configuration *Configuration
 	facts         Facts
-	districts     map[string]int
+	zones         map[string]int
 	remarks       []Remark
 }
 
@@ -61,9 +61,9 @@
 }
 
 func (tasting *tasting) evacuations() {
-	for district := range tasting.configuration.Evacuations {
-		if tasting.districts[district] == 0 {
-			tasting.warn(UnknownDistrict, "/evacuations/"+escape(district), "no listed server is in this district")
+	for zone := range tasting.configuration.Evacuations {
+		if tasting.zones[zone] == 0 {
+			tasting.warn(UnknownZone, "/evacuations/"+escape(zone), "no listed server is in this district")
 		}
 	}
 }
@@ -91,16 +91,16 @@
 			continue
 		}
 		left := 0
-		for position, district := range route.To.Districts {
-			if tasting.districts[district] == 0 {
-				tasting.warn(UnknownDistrict, path+"/to/districts/"+strconv.Itoa(position), "no listed server is in the district "+district)
+		for position, zone := range route.To.Zones {
+			if tasting.zones[zone] == 0 {
+				tasting.warn(UnknownZone, path+"/to/districts/"+strconv.Itoa(position), "no listed server is in the district "+zone)
 			}
-			if !tasting.configuration.Evacuated(district) {
-				left += tasting.districts[district]
+			if !tasting.configuration.Evacuated(zone) {
+				left += tasting.zones[zone]
 			}
 		}
-		if len(route.To.Districts) == 0 {
-			for district, count := range tasting.districts {
+		if len(route.To.Zones) == 0 {
+			for district, count := range tasting.zones {
 				if !tasting.configuration.Evacuated(district) {
 					left += count
 				}
@@ -123,7 +123,7 @@
 		reported++
 		parts[server.Part]++
 		active += server.Active
-		if !tasting.configuration.Evacuated(server.District) {
+		if !tasting.configuration.Evacuated(server.Zone) {
 			leftParts[server.Part]++
 			slots += server.Slots
 		}
--- a/internal/config/taste_test.go
+++ b/internal/config/taste_test.go
@@ -8,8 +8,8 @@
 
 func TestTasteWarnsOfWhatTheFleetWouldTake(t *testing.T) {
 	facts := Facts{Routers: 3, Stopped: []string{"courier-1", "courier-2"}, Restricted: []string{"courier-3"}, Blocked: []string{"pair_price"}, Servers: []ServerFacts{
-		{Name: "a", District: "north", Reported: true, Part: "prefill", Slots: 10},
-		{Name: "b", District: "south", Reported: true, Part: "decode", Slots: 10, Active: 9}}}
+		{Name: "a", Zone: "north", Reported: true, Part: "prefill", Slots: 10},
+		{Name: "b", Zone: "south", Reported: true, Part: "decode", Slots: 10, Active: 9}}}
 	current, err := Check([]byte(`{"services":{"old":{}}}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/failure/kind.go
+++ b/internal/failure/kind.go
@@ -46,6 +46,6 @@
 	ServerFailed   Kind = "server_failed"
 	BudgetSpent    Kind = "extra_tries_spent"
 	LimitPassed    Kind = "limit_passed"
-	OriginLeft     Kind = "origin_left"
+	ClientLeft     Kind = "origin_left"
 	Draining       Kind = "draining"
 )
--- a/internal/hatch/calls_test.go
+++ b/internal/hatch/calls_test.go
@@ -56,10 +56,10 @@
 func newCalls(t *testing.T, parts ...string) (*Calls, *osruntime.Runtime) {
 	t.Helper()
 	turns := osruntime.New(t.Context(), osruntime.NewClock())
-	calls := NewCalls(turns, scheduler.New(scheduler.Options{Router: "courier-1", District: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
+	calls := NewCalls(turns, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
 	configuration := config.Empty()
-	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Circuits: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
-		LinkBits: 5e11, TokensAPiece: 5, HandleLife: 5 * time.Second, Models: []string{"m"}}}}
+	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
+		LinkBits: 5e11, TokensAChunk: 5, HandleLife: 5 * time.Second, Models: []string{"m"}}}}
 	configuration.Limits.BodyBytes = 7
 	for name, repeatable := range map[string]bool{"once": false, "again": true} {
 		configuration.Routes = append(configuration.Routes, config.Route{Name: name, Match: config.Match{Host: "h", PathPrefix: "/" + name + "/"},
@@ -69,7 +69,7 @@
 	var servers []membership.Server
 	for _, part := range parts {
 		name := "stove-" + string(rune('a'+len(servers)))
-		servers = append(servers, membership.Server{Name: name, Address: name + ":1", District: "north", Service: "desk", Part: part, Slots: 64, Models: []string{"m"}})
+		servers = append(servers, membership.Server{Name: name, Address: name + ":1", Zone: "north", Service: "desk", Part: part, Slots: 64, Models: []string{"m"}})
 	}
 	calls.SetRouters(1)
 	calls.SetServers(turns.Now(), servers)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestAHandleIsGivenBackWhenItsOriginLeft(t *testing.T) {
+func TestAHandleIsGivenBackWhenItsClientLeft(t *testing.T) {
 	calls, _ := newCalls(t, "prefill", "decode")
 	call := arriving("/once/")
 	call.PromptTokens = 9000
--- a/internal/hatch/countkeepers.go
+++ b/internal/hatch/countkeepers.go
@@ -151,7 +151,7 @@
 	var near, all []string
 	for name, node := range keepers.nodes {
 		all = append(all, name)
-		if node.District == zone {
+		if node.Zone == zone {
 			near = append(near, name)
 		}
 	}
--- a/internal/hatch/countkeepers_test.go
+++ b/internal/hatch/countkeepers_test.go
@@ -47,12 +47,12 @@
 	t.Helper()
 	turns := osruntime.New(t.Context(), osruntime.NewClock())
 	line := &keeperLine{keepers: map[string]*CountKeepers{}, down: map[string]bool{}}
-	members := map[string]membership.Member{"expediter-1": {Name: "expediter-1", Kind: membership.Controller, Address: "e1", District: "north"}}
+	members := map[string]membership.Member{"expediter-1": {Name: "expediter-1", Kind: membership.Controller, Address: "e1", Zone: "north"}}
 	all := map[string]*CountKeepers{}
 	for position, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		zone := []string{"north", "south"}[position%2]
-		members[name] = membership.Member{Name: name, Kind: membership.Router, Address: "at-" + name, District: zone}
-		all[name] = NewCountKeepers(turns, line, scheduler.New(scheduler.Options{Router: name, District: zone}), name, "life-of-"+name)
+		members[name] = membership.Member{Name: name, Kind: membership.Router, Address: "at-" + name, Zone: zone}
+		all[name] = NewCountKeepers(turns, line, scheduler.New(scheduler.Options{Router: name, Zone: zone}), name, "life-of-"+name)
 		line.keepers["at-"+name] = all[name]
 	}
 	for _, keepers := range all {
@@ -92,7 +92,7 @@
 func TestKeeperInTheZone(t *testing.T) {
 	_, all := keeperFleet(t)
 	for _, group := range []string{"desk/north/0", "desk/north/1", "desk/north/2"} {
-		if keeper, found := all["b"].keeper(group); !found || keeper.District != "north" || keeper.Kind != membership.Router {
+		if keeper, found := all["b"].keeper(group); !found || keeper.Zone != "north" || keeper.Kind != membership.Router {
 			t.Errorf("%s is kept by %+v", group, keeper)
 		}
 	}
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -75,7 +75,7 @@
 	router := &Router{turns: turns, line: line, stove: stove, passing: passing, options: options, observe: observe,
 		core: seamloom.New(options.Options), stirred: turns.NewCond(), crumbs: turns.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
-	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, District: options.District, Supported: options.Supported}
+	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
 	router.followed = NewFollower(turns, line, member, options.Seeds, router.InForce, router.takeNews)
 	if options.Board != nil {
 		router.board = options.Board(router.core.Calls())
@@ -383,29 +383,29 @@
 // Serve takes one inquiry and answers its origin; it returns when the reply is
 // over.
 func (router *Router) Serve(arrival Arrival, reply Reply) {
-	inquiry := arrival.Inquiry
+	request := arrival.Request
 	if !router.meant(arrival) {
-		sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
+		sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
 		return
 	}
 	stream := newStream(router.turns)
 	router.mutex.Lock()
-	_, busy := router.streams[inquiry.ID]
+	_, busy := router.streams[request.ID]
 	if !busy {
-		router.streams[inquiry.ID] = stream
+		router.streams[request.ID] = stream
 	}
 	router.mutex.Unlock()
 	if busy {
-		sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: auction.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
+		sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
 		return
 	}
 	defer func() {
 		router.mutex.Lock()
 		defer router.mutex.Unlock()
-		delete(router.streams, inquiry.ID)
+		delete(router.streams, request.ID)
 	}()
 	reply.WhenLeft(stream.leave)
-	router.Apply(auction.Event{Kind: auction.InquiryArrived, Inquiry: inquiry})
+	router.Apply(auction.Event{Kind: auction.RequestArrived, Request: request})
 	router.stir()
 	router.answer(arrival, reply, stream)
 }
@@ -424,12 +424,12 @@
 }
 
 func (router *Router) answer(arrival Arrival, reply Reply, stream *stream) {
-	inquiry := arrival.Inquiry
+	request := arrival.Request
 	for {
 		decision, found := stream.next()
 		if !found {
 			if stream.gone() {
-				router.Apply(auction.Event{Kind: auction.OriginLeft, ID: inquiry.ID})
+				router.Apply(auction.Event{Kind: auction.ClientLeft, ID: request.ID})
 				return
 			}
 			stream.bell.Wait(time.Minute, stream.news)
@@ -437,9 +437,9 @@
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
 				if stream.sent == 0 {
-					sayLine(reply, ReplyLine{Inquiry: inquiry.ID, Final: auction.Unknown, Type: failure.Draining})
+					sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Draining})
 				} else {
-					_ = reply.Line(ReplyLine{Inquiry: inquiry.ID, Final: auction.Failed, Type: failure.Draining, Pieces: stream.sent}.encode())
+					_ = reply.Line(ReplyLine{Request: request.ID, Final: auction.Failed, Type: failure.Draining, Chunks: stream.sent}.encode())
 				}
 				return
 			}
@@ -450,8 +450,8 @@
 			return
 		}
 		line := lineOf(decision)
-		if decision.Kind == auction.SendPiece {
-			if decision.Piece == 1 {
+		if decision.Kind == auction.SendChunk {
+			if decision.Chunk == 1 {
 				reply.Begin(line.Status(), 0)
 			}
 			if reply.Line(line.encode()) != nil {
@@ -459,8 +459,8 @@
 			}
 			continue
 		}
-		router.options.Ended(inquiry, decision)
-		if decision.Pieces > 0 {
+		router.options.Ended(request, decision)
+		if decision.Chunks > 0 {
 			_ = reply.Line(line.encode())
 		} else {
 			sayLine(reply, line)
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -42,7 +42,7 @@
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	options := RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
-		Ended: func(*auction.Inquiry, auction.Decision) {}}
+		Ended: func(*auction.Request, auction.Decision) {}}
 	router := NewRouter(osruntime.New(lifetime, osruntime.NewClock()), nil, nil, nil, options, func(string, ...any) {})
 	router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: features.List{}})
 	return router
@@ -55,7 +55,7 @@
 	router := newTestRouter(t, "this life")
 	serve := func(passage Passage) ReplyLine {
 		reply := &lines{}
-		router.Serve(Arrival{Inquiry: &auction.Inquiry{ID: "one", Service: "chat"}, Passage: &passage}, reply)
+		router.Serve(Arrival{Request: &auction.Request{ID: "one", Service: "chat"}, Passage: &passage}, reply)
 		return reply.said[0]
 	}
 	if first := serve(Passage{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != auction.Refused {
@@ -98,7 +98,7 @@
 	board := &noted{until: atNoon(time.Hour)}
 	turns := &movingTurns{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), now: atNoon(0)}
 	options := RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
-		Ended: func(*auction.Inquiry, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
+		Ended: func(*auction.Request, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
 	router := NewRouter(turns, nil, nil, nil, options, func(string, ...any) {})
 	if !board.until.IsZero() {
 		t.Errorf("before any hold it serves until %s", board.until)
--- a/internal/hatch/courieroptions.go
+++ b/internal/hatch/courieroptions.go
@@ -28,5 +28,5 @@
 	// Nonce gives a text that is new each time.
 	Nonce func() string
 	// Ended is told how each inquiry ended that this courier decided on.
-	Ended func(inquiry *auction.Inquiry, decision auction.Decision)
+	Ended func(request *auction.Request, decision auction.Decision)
 }
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -14,7 +14,7 @@
 // comes back as an event.
 func (router *Router) carryOut(decision auction.Decision) {
 	switch decision.Kind {
-	case auction.SendPiece, auction.Finish, auction.PassOn:
+	case auction.SendChunk, auction.Finish, auction.PassOn:
 		router.mutex.Lock()
 		stream := router.streams[decision.ID]
 		router.mutex.Unlock()
@@ -27,7 +27,7 @@
 				router.forgetToken(decision.ID, run)
 			}
 		}
-	case auction.ClaimInquiry:
+	case auction.ClaimRequest:
 		router.turns.Go(func() { router.claim(decision) })
 	case auction.DispatchPrefill:
 		decision.Token = router.newToken(decision)
@@ -84,8 +84,8 @@
 
 func (router *Router) decode(decision auction.Decision) {
 	event := auction.Event{Kind: auction.DecodeEnded, ID: decision.ID, Run: decision.Run}
-	event.Outcome, event.Piece, event.Detail = router.stove.Decode(decision, func() bool { return router.mayAct(decision) }, func(piece int, text string) {
-		router.Apply(auction.Event{Kind: auction.PieceReceived, ID: decision.ID, Run: decision.Run, Piece: piece, Text: text})
+	event.Outcome, event.Chunk, event.Detail = router.stove.Decode(decision, func() bool { return router.mayAct(decision) }, func(chunk int, text string) {
+		router.Apply(auction.Event{Kind: auction.ChunkReceived, ID: decision.ID, Run: decision.Run, Chunk: chunk, Text: text})
 	})
 	router.Apply(event)
 }
@@ -105,7 +105,7 @@
 	if router.core.Restricted() {
 		return
 	}
-	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Inquiry: decision.ID, Router: router.options.Router, Run: decision.Run, At: router.turns.Wall()})
+	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Request: decision.ID, Router: router.options.Router, Run: decision.Run, At: router.turns.Wall()})
 	if err == nil {
 		router.journal.append(record, true)
 		router.crumbs.Broadcast()
@@ -139,7 +139,7 @@
 		router.Apply(event)
 		return
 	}
-	question := ClaimQuestion{Made: made, Entry: codec.Entry{Inquiry: decision.ID, Router: router.options.Router, Run: 1,
+	question := ClaimQuestion{Made: made, Entry: codec.Entry{Request: decision.ID, Router: router.options.Router, Run: 1,
 		At: router.turns.Wall(), Cause: router.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
 	// that the inquiry never ran, and when to come back.
--- a/internal/hatch/edit_test.go
+++ b/internal/hatch/edit_test.go
@@ -22,8 +22,8 @@
 	return Edit{Builds: &builds, Digest: fmt.Sprintf("%d %s", builds, text), Apply: func([]byte) ([]byte, error) { return []byte(text), nil }}
 }
 
-func evacuation(district string) Edit {
-	return Edit{Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, district, "") }}
+func evacuation(zone string) Edit {
+	return Edit{Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "") }}
 }
 
 func (core *core) mustBe(t *testing.T, primary *Controller, want string) replication.Version {
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -101,9 +101,9 @@
 	}
 	timing := replication.TimingFor(options.CatchUp)
 	controller.coordinator.SetTiming(timing)
-	controller.coordinator.Bear(options.BorneLosses, options.District)
+	controller.coordinator.Bear(options.BorneLosses, options.Zone)
 	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.Repair().String(), "margin", timing.Margin().String())
-	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, District: options.District, Supported: options.Supported}
+	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
 	controller.followed = NewFollower(turns, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeNews)
 	controller.followed.Follow(options.Directory != nil, false)
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
--- a/internal/hatch/expediteroptions.go
+++ b/internal/hatch/expediteroptions.go
@@ -11,7 +11,7 @@
 type ControllerOptions struct {
 	Name      string
 	Address   string
-	District  string
+	Zone      string
 	Seeds     []string
 	Supported features.List
 	// FlagSettle is how long the members must not change before a flag is
--- a/internal/hatch/inquirybody.go
+++ b/internal/hatch/inquirybody.go
@@ -13,15 +13,15 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// MostInquiryBytes bounds an inquiry's body.
-const MostInquiryBytes = 4 << 20
+// MostRequestBytes bounds an inquiry's body.
+const MostRequestBytes = 4 << 20
 
 // tokenBytes is how many bytes of a prompt count as one token when the caller
 // does not say how many there are.
 const tokenBytes = 4
 
-// ReadInquiry checks an inquiry's body and names all its mistakes.
-func ReadInquiry(now time.Time, body []byte) (*auction.Inquiry, error) {
+// ReadRequest checks an inquiry's body and names all its mistakes.
+func ReadRequest(now time.Time, body []byte) (*auction.Request, error) {
 	root, err := fastjson.ParseBytes(body)
 	if err != nil || !utf8.Valid(body) {
 		return nil, failure.At(failure.Malformed, "/", "the body is no JSON")
@@ -30,10 +30,10 @@
 	if err != nil {
 		return nil, failure.At(failure.WrongType, "/", "an object is needed")
 	}
-	inquiry := &auction.Inquiry{Repeatable: true, PromptTokens: -1, Pieces: 1}
+	request := &auction.Request{Repeatable: true, PromptTokens: -1, Chunks: 1}
 	limit := 0
-	texts := map[string]*string{"id": &inquiry.ID, "service": &inquiry.Service, "origin": &inquiry.Origin, "prompt": &inquiry.Prompt, "prefix": &inquiry.Prefix}
-	numbers := map[string]*int{"limit_milliseconds": &limit, "prompt_tokens": &inquiry.PromptTokens, "prefix_tokens": &inquiry.PrefixTokens, "pieces": &inquiry.Pieces}
+	texts := map[string]*string{"id": &request.ID, "service": &request.Service, "origin": &request.Client, "prompt": &request.Prompt, "prefix": &request.Prefix}
+	numbers := map[string]*int{"limit_milliseconds": &limit, "prompt_tokens": &request.PromptTokens, "prefix_tokens": &request.PrefixTokens, "pieces": &request.Chunks}
 	var mistakes error
 	object.Visit(func(key []byte, value *fastjson.Value) {
 		name := string(key)
@@ -57,7 +57,7 @@
 				mistakes = multierr.Append(mistakes, failure.At(failure.WrongType, "/repeatable", "true or false is needed"))
 				return
 			}
-			inquiry.Repeatable = repeatable
+			request.Repeatable = repeatable
 		} else {
 			mistakes = multierr.Append(mistakes, failure.At(failure.UnknownField, "/"+name, "no such field"))
 		}
@@ -65,29 +65,29 @@
 	if mistakes != nil {
 		return nil, mistakes
 	}
-	if inquiry.Service == "" {
+	if request.Service == "" {
 		mistakes = multierr.Append(mistakes, failure.At(failure.Missing, "/service", "the service is needed"))
 	}
-	if inquiry.ID == "" || len(inquiry.ID) > 128 {
+	if request.ID == "" || len(request.ID) > 128 {
 		mistakes = multierr.Append(mistakes, failure.At(failure.Missing, "/id", "an id of at most 128 bytes is needed"))
-	} else if !inquiry.Repeatable {
-		if _, err := MadeAt(inquiry.ID); err != nil {
+	} else if !request.Repeatable {
+		if _, err := MadeAt(request.ID); err != nil {
 			mistakes = multierr.Append(mistakes, err)
 		}
 	}
-	if inquiry.PromptTokens < 0 {
-		inquiry.PromptTokens = len(inquiry.Prompt)/tokenBytes + 1
+	if request.PromptTokens < 0 {
+		request.PromptTokens = len(request.Prompt)/tokenBytes + 1
 	}
-	if inquiry.PrefixTokens > inquiry.PromptTokens {
-		mistakes = multierr.Append(mistakes, failure.At(failure.Contradictory, "/prefix_tokens", "the prefix is longer than the prompt, "+strconv.Itoa(inquiry.PromptTokens)))
+	if request.PrefixTokens > request.PromptTokens {
+		mistakes = multierr.Append(mistakes, failure.At(failure.Contradictory, "/prefix_tokens", "the prefix is longer than the prompt, "+strconv.Itoa(request.PromptTokens)))
 	}
-	if inquiry.Pieces < 1 {
+	if request.Chunks < 1 {
 		mistakes = multierr.Append(mistakes, failure.At(failure.OutOfRange, "/pieces", "at least one piece is needed"))
 	}
 	if limit > 0 {
-		inquiry.Limit = now.Add(time.Duration(limit) * time.Millisecond)
+		request.Limit = now.Add(time.Duration(limit) * time.Millisecond)
 	}
-	return inquiry, mistakes
+	return request, mistakes
 }
 
 // MadeAt reads from an id when it was made: ids of inquiries that may not be
@@ -101,5 +101,5 @@
 	return time.Unix(seconds, nanoseconds), nil
 }
 
-// NewInquiryID makes an id that tells when it was made.
-func NewInquiryID() string { return uuid.Must(uuid.NewV7()).String() }
+// NewRequestID makes an id that tells when it was made.
+func NewRequestID() string { return uuid.Must(uuid.NewV7()).String() }
--- a/internal/hatch/journal.go
+++ b/internal/hatch/journal.go
@@ -52,18 +52,18 @@
 
 // Trace is what a journal knows of one inquiry.
 type Trace struct {
-	Inquiry string        `json:"inquiry"`
+	Request string        `json:"inquiry"`
 	Pairs   []codec.Pair  `json:"pairs"`
 	Retries []codec.Entry `json:"retries,omitempty"`
 }
 
 // Fold tells what is known of one inquiry.
-func (journal *Journal) Fold(inquiry string, supported features.List) (Trace, bool) {
+func (journal *Journal) Fold(request string, supported features.List) (Trace, bool) {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
-	folded := Trace{Inquiry: inquiry}
+	folded := Trace{Request: request}
 	for _, record := range journal.records {
-		if record.Key != inquiry {
+		if record.Key != request {
 			continue
 		}
 		switch record.Kind {
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -182,7 +182,7 @@
 	if !question.Loads {
 		return
 	}
-	reporter := outlier.Reporter{Name: question.Member.Name, Zone: question.Member.District}
+	reporter := outlier.Reporter{Name: question.Member.Name, Zone: question.Member.Zone}
 	lists.outliers.Seen(reporter)
 	if len(question.Failing) > 0 {
 		lists.outliers.Report(now, reporter, question.Failing, len(lists.servers(now)))
--- a/internal/hatch/passing.go
+++ b/internal/hatch/passing.go
@@ -39,7 +39,7 @@
 
 // capable lists the couriers that lack no enabled flag, this inquiry's own
 // order first.
-func (router *Router) capable(inquiry string) []membership.Member {
+func (router *Router) capable(request string) []membership.Member {
 	enabled := router.core.Enabled()
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -50,7 +50,7 @@
 		}
 	}
 	var members []membership.Member
-	for _, name := range membership.Ranked(inquiry, names) {
+	for _, name := range membership.Ranked(request, names) {
 		members = append(members, router.members[name])
 	}
 	return members
@@ -61,11 +61,11 @@
 // begun.
 func (router *Router) passOn(arrival Arrival, reply Reply) {
 	never := false
-	refused := ReplyLine{Inquiry: arrival.Inquiry.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
+	refused := ReplyLine{Request: arrival.Request.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
 	if arrival.Passage == nil {
-		for _, member := range router.capable(arrival.Inquiry.ID) {
+		for _, member := range router.capable(arrival.Request.ID) {
 			passage := Passage{Nonce: router.nonce()}
-			if !arrival.Inquiry.Repeatable {
+			if !arrival.Request.Repeatable {
 				var said Incarnation
 				err := Call(router.line, member.Address, IncarnationPath, nothing{}, &said, incarnationPatience)
 				if failure.KindOf(err) == failure.Unreachable && !router.old(err) {
@@ -73,7 +73,7 @@
 				}
 				passage.Incarnation = said.Incarnation
 			}
-			copied := &recordCopy{reply: reply, inquiry: arrival.Inquiry.ID}
+			copied := &recordCopy{reply: reply, request: arrival.Request.ID}
 			if !router.passing.Pass(member.Address, passage, arrival.Body, reply.WhenLeft, copied.take) {
 				continue
 			}
@@ -95,7 +95,7 @@
 // breaks off ends with a line that says what is known.
 type recordCopy struct {
 	reply   Reply
-	inquiry string
+	request string
 	lines   int
 	ended   bool
 }
@@ -106,7 +106,7 @@
 	if err == nil {
 		err = json.Unmarshal(message.Line, &line)
 	}
-	if err != nil || record.Number != uint64(copied.lines+1) || message.Inquiry != copied.inquiry {
+	if err != nil || record.Number != uint64(copied.lines+1) || message.Request != copied.request {
 		return false
 	}
 	if copied.lines == 0 {
@@ -121,12 +121,12 @@
 }
 
 func (copied *recordCopy) breakOff() {
-	broken := ReplyLine{Inquiry: copied.inquiry, Type: failure.Unreachable, Detail: "the reply broke off between two couriers"}
+	broken := ReplyLine{Request: copied.request, Type: failure.Unreachable, Detail: "the reply broke off between two couriers"}
 	if copied.lines == 0 {
 		broken.Final = auction.Unknown
 		copied.reply.Begin(http.StatusGatewayTimeout, 0)
 	} else {
-		broken.Final, broken.Pieces = auction.Failed, copied.lines
+		broken.Final, broken.Chunks = auction.Failed, copied.lines
 	}
 	_ = copied.reply.Line(broken.encode())
 }
--- a/internal/hatch/recordreply.go
+++ b/internal/hatch/recordreply.go
@@ -7,7 +7,7 @@
 // RecordReply turns the lines of a reply into stream records, for the courier
 // that passed the inquiry on.
 type RecordReply struct {
-	Inquiry string
+	Request string
 	Writer  string
 	// Send brings a record to that courier.
 	Send func(record codec.Record) error
@@ -27,7 +27,7 @@
 // Line sends one line as a record.
 func (reply *RecordReply) Line(line []byte) error {
 	reply.number++
-	record, err := codec.WriteStreamMessage(codec.StreamMessage{Inquiry: reply.Inquiry, Line: line, Status: reply.status, Retry: reply.retry}, reply.Writer, reply.number)
+	record, err := codec.WriteStreamMessage(codec.StreamMessage{Request: reply.Request, Line: line, Status: reply.status, Retry: reply.retry}, reply.Writer, reply.number)
 	if err != nil {
 		return err
 	}
--- a/internal/hatch/reply.go
+++ b/internal/hatch/reply.go
@@ -16,7 +16,7 @@
 
 // Arrival is one inquiry as it came to a courier.
 type Arrival struct {
-	Inquiry *auction.Inquiry
+	Request *auction.Request
 	// Body is what the origin sent, to be passed on as it is.
 	Body []byte
 	// Passage is set when another courier passed it on.
--- a/internal/hatch/replyline.go
+++ b/internal/hatch/replyline.go
@@ -12,11 +12,11 @@
 
 // ReplyLine is one line of a reply: a numbered piece, or the final line.
 type ReplyLine struct {
-	Inquiry string        `json:"inquiry"`
-	Piece   int           `json:"piece,omitempty"`
+	Request string        `json:"inquiry"`
+	Chunk   int           `json:"piece,omitempty"`
 	Text    string        `json:"text,omitempty"`
 	Final   auction.Final `json:"final,omitempty"`
-	Pieces  int           `json:"pieces,omitempty"`
+	Chunks  int           `json:"pieces,omitempty"`
 	Ran     *bool         `json:"ran,omitempty"`
 	Type    failure.Kind  `json:"type,omitempty"`
 	Detail  string        `json:"detail,omitempty"`
@@ -25,10 +25,10 @@
 }
 
 func lineOf(decision auction.Decision) ReplyLine {
-	if decision.Kind == auction.SendPiece {
-		return ReplyLine{Inquiry: decision.ID, Piece: decision.Piece, Text: decision.Text}
+	if decision.Kind == auction.SendChunk {
+		return ReplyLine{Request: decision.ID, Chunk: decision.Chunk, Text: decision.Text}
 	}
-	line := ReplyLine{Inquiry: decision.ID, Final: decision.Final, Pieces: decision.Pieces, Type: decision.Cause, Detail: decision.Detail,
+	line := ReplyLine{Request: decision.ID, Final: decision.Final, Chunks: decision.Chunks, Type: decision.Cause, Detail: decision.Detail,
 		RetryAfterSeconds: retrySeconds(decision.Retry)}
 	switch decision.Final {
 	case auction.Refused:
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -49,7 +49,7 @@
 func newRouterAt(turns runtime.Runtime, line Hotline, without time.Duration, told runtime.Cond) *Router {
 	router := NewRouter(turns, line, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
-		Directory: oneServer{}, Ended: func(*auction.Inquiry, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
+		Directory: oneServer{}, Ended: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
 	turns.Go(router.followed.Run)
 	return router
 }
--- a/internal/hatch/stove.go
+++ b/internal/hatch/stove.go
@@ -9,7 +9,7 @@
 // outcome is NotStarted.
 type Stove interface {
 	Prefill(decision auction.Decision, may func() bool) (outcome auction.Outcome, handle, detail string)
-	Decode(decision auction.Decision, may func() bool, take func(piece int, text string)) (outcome auction.Outcome, pieces int, detail string)
+	Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (outcome auction.Outcome, chunks int, detail string)
 	Command(decision auction.Decision, may func() bool) error
 	// Cancel breaks a run's circuit and has the server stop it.
 	Cancel(decision auction.Decision)
--- a/internal/hatch/stream.go
+++ b/internal/hatch/stream.go
@@ -12,7 +12,7 @@
 // whichever threads they came from.
 type stream struct {
 	mutex  sync.Mutex
-	pieces map[int]auction.Decision
+	chunks map[int]auction.Decision
 	last   *auction.Decision
 	sent   int
 	left   bool
@@ -20,13 +20,13 @@
 }
 
 func newStream(turns runtime.Runtime) *stream {
-	return &stream{pieces: map[int]auction.Decision{}, bell: turns.NewCond()}
+	return &stream{chunks: map[int]auction.Decision{}, bell: turns.NewCond()}
 }
 
 func (stream *stream) put(decision auction.Decision) {
 	stream.mutex.Lock()
-	if decision.Kind == auction.SendPiece {
-		stream.pieces[decision.Piece] = decision
+	if decision.Kind == auction.SendChunk {
+		stream.chunks[decision.Chunk] = decision
 	} else {
 		final := decision
 		stream.last = &final
@@ -47,8 +47,8 @@
 func (stream *stream) news() bool {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
-	_, found := stream.pieces[stream.sent+1]
-	return found || stream.left || (stream.last != nil && stream.sent >= stream.last.Pieces)
+	_, found := stream.chunks[stream.sent+1]
+	return found || stream.left || (stream.last != nil && stream.sent >= stream.last.Chunks)
 }
 
 func (stream *stream) gone() bool {
@@ -61,12 +61,12 @@
 func (stream *stream) next() (auction.Decision, bool) {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
-	if decision, found := stream.pieces[stream.sent+1]; found {
-		delete(stream.pieces, decision.Piece)
+	if decision, found := stream.chunks[stream.sent+1]; found {
+		delete(stream.chunks, decision.Chunk)
 		stream.sent++
 		return decision, true
 	}
-	if stream.last != nil && stream.sent >= stream.last.Pieces {
+	if stream.last != nil && stream.sent >= stream.last.Chunks {
 		return *stream.last, true
 	}
 	return auction.Decision{}, false
--- a/internal/membership/listing.go
+++ b/internal/membership/listing.go
@@ -106,6 +106,6 @@
 
 // same tells whether two entries of one server say the same, its warming aside.
 func (server Server) same(other Server) bool {
-	return server.Name == other.Name && server.Address == other.Address && server.District == other.District && server.Leaving == other.Leaving &&
+	return server.Name == other.Name && server.Address == other.Address && server.Zone == other.Zone && server.Leaving == other.Leaving &&
 		server.Service == other.Service && server.Part == other.Part && server.Slots == other.Slots && slices.Equal(server.Models, other.Models)
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -11,7 +11,7 @@
 	Name      string        `msgpack:"name" json:"name"`
 	Kind      NodeKind      `msgpack:"kind" json:"kind"`
 	Address   string        `msgpack:"address" json:"address"`
-	District  string        `msgpack:"district" json:"district"`
+	Zone      string        `msgpack:"district" json:"district"`
 	Supported features.List `msgpack:"supported" json:"supported"`
 	Since     time.Time     `msgpack:"since" json:"since"`
 }
@@ -24,6 +24,6 @@
 // Same tells whether recording the other member would change nothing.
 func (member Member) Same(other Member) bool {
 	return member.Name == other.Name && member.Kind == other.Kind && member.Address == other.Address &&
-		member.District == other.District && len(member.Supported.Lacks(other.Supported)) == 0 &&
+		member.Zone == other.Zone && len(member.Supported.Lacks(other.Supported)) == 0 &&
 		len(other.Supported.Lacks(member.Supported)) == 0
 }
