--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -2,8 +2,8 @@
 
 // Node is a node as the platform lists it.
 type Node struct {
-	Name     string   `json:"name"`
-	Kind     NodeKind `json:"kind"`
-	Address  string   `json:"address"`
-	District string   `json:"district"`
+	Name    string   `json:"name"`
+	Kind    NodeKind `json:"kind"`
+	Address string   `json:"address"`
+	Zone    string   `json:"district"`
 }
--- a/internal/membership/server.go
+++ b/internal/membership/server.go
@@ -4,10 +4,10 @@
 
 // Server is a model server as the platform lists it.
 type Server struct {
-	Name     string `json:"name" msgpack:"name"`
-	Address  string `json:"address" msgpack:"address"`
-	District string `json:"district" msgpack:"district"`
-	Leaving  bool   `json:"leaving" msgpack:"leaving"`
+	Name    string `json:"name" msgpack:"name"`
+	Address string `json:"address" msgpack:"address"`
+	Zone    string `json:"district" msgpack:"district"`
+	Leaving bool   `json:"leaving" msgpack:"leaving"`
 	// Service is the service that the server works for; empty: for all.
 	Service string `json:"service,omitempty" msgpack:"service,omitempty"`
 	// Part is what the list says that the server does: prefill or decode.
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -21,7 +21,7 @@
 		charter = coordinator.charter
 	}
 	if coordinator.borne > 1 {
-		replica.District = coordinator.district
+		replica.Zone = coordinator.zone
 	}
 	return Hello{Seat: replica, Kind: coordinator.kind, Blank: blank, Restricted: coordinator.restricted,
 		Charter: charter, Leads: leads, HoldLeft: max(left, 0), Holder: holder,
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -328,7 +328,7 @@
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
 		if rank, may := coordinator.rank(charter, known, wanted > 1); may {
-			candidates = append(candidates, candidate{seat: known.hello.Seat, rank: rank, crowd: inDistrict(copies, known.hello.Seat.District)})
+			candidates = append(candidates, candidate{seat: known.hello.Seat, rank: rank, crowd: inZone(copies, known.hello.Seat.Zone)})
 		}
 	}
 	coordinator.mutex.Unlock()
@@ -343,7 +343,7 @@
 		ordered = append(ordered, coordinator.recorded(candidate.seat))
 	}
 	if wanted > 1 {
-		spreadOut(ordered, copies[0].District, wanted)
+		spreadOut(ordered, copies[0].Zone, wanted)
 	}
 	return ordered
 }
@@ -393,12 +393,12 @@
 
 // spreadOut brings a candidate of another district forward when all that would be
 // chosen are in the primary's.
-func spreadOut(candidates []Replica, district string, wanted int) {
-	if district == "" || len(candidates) <= wanted || inDistrict(candidates[:wanted], district) < wanted {
+func spreadOut(candidates []Replica, zone string, wanted int) {
+	if zone == "" || len(candidates) <= wanted || inZone(candidates[:wanted], zone) < wanted {
 		return
 	}
 	for position := wanted; position < len(candidates); position++ {
-		if elsewhere := candidates[position]; elsewhere.District != district {
+		if elsewhere := candidates[position]; elsewhere.Zone != zone {
 			copy(candidates[wanted:position+1], candidates[wanted-1:position])
 			candidates[wanted-1] = elsewhere
 			return
@@ -406,10 +406,10 @@
 	}
 }
 
-func inDistrict(replicas []Replica, district string) int {
+func inZone(replicas []Replica, zone string) int {
 	count := 0
 	for _, replica := range replicas {
-		if replica.District == district {
+		if replica.Zone == zone {
 			count++
 		}
 	}
@@ -421,13 +421,13 @@
 	if wanted == 1 {
 		return false
 	}
-	district := coordinator.recorded(coordinator.witness.Replica()).District
-	if inDistrict(charter.Backups(), district) < len(charter.Backups()) {
+	zone := coordinator.recorded(coordinator.witness.Replica()).Zone
+	if inZone(charter.Backups(), zone) < len(charter.Backups()) {
 		return false
 	}
 	candidates := coordinator.backupCandidates(charter, wanted)
 	chosen := candidates[:min(wanted, len(candidates))]
-	return inDistrict(chosen, district) < len(chosen)
+	return inZone(chosen, zone) < len(chosen)
 }
 
 // OldCopies lists the expediters out of the pair whose copies were older than
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -202,7 +202,7 @@
 			return failure.New(failure.TooNew, "the inquiry's id is from the future")
 		}
 		section := claimsDrawer(made)
-		if record, found := state.Claims[section][entry.Inquiry]; found {
+		if record, found := state.Claims[section][entry.Request]; found {
 			earlier, err := codec.ReadEntry(record)
 			if err != nil {
 				return err
@@ -219,7 +219,7 @@
 		if state.Claims[section] == nil {
 			state.Claims[section] = map[string]codec.Record{}
 		}
-		state.Claims[section][entry.Inquiry] = record
+		state.Claims[section][entry.Request] = record
 		state.Touch(section)
 		return nil
 	}
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -63,7 +63,7 @@
 	recordedAt []string
 	nextPeer   int
 	borne      int
-	district   string
+	zone       string
 	backupList bool
 	joinsOnly  bool
 
--- a/internal/replication/leaving_test.go
+++ b/internal/replication/leaving_test.go
@@ -12,7 +12,7 @@
 const tickPause = 150 * time.Millisecond
 
 // coreShape is a core's number of machines, their districts and the losses to be borne.
-type coreShape struct{ machines, districts, borne int }
+type coreShape struct{ machines, zones, borne int }
 
 var coreShapes = []coreShape{{3, 3, 1}, {6, 3, 2}, {8, 4, 2}}
 
@@ -29,7 +29,7 @@
 // but what the test has them do.
 func calmWorld(t *testing.T, shape coreShape, seed uint64, catchUp time.Duration) *world {
 	t.Helper()
-	world := newWorldOf(t, seed, shape.machines, shape.districts, shape.borne)
+	world := newWorldOf(t, seed, shape.machines, shape.zones, shape.borne)
 	world.catchUp = catchUp
 	for _, machine := range world.machines {
 		machine.steward.SetTiming(TimingFor(catchUp))
@@ -118,9 +118,9 @@
 }
 
 // join starts an empty machine at a new address, in a district.
-func (world *world) join(district string) *machine {
+func (world *world) join(zone string) *machine {
 	world.offered++
-	added := &machine{address: "n" + strconv.Itoa(world.offered), district: district, keeping: newMemoryShelf(), copies: newMemoryShelf()}
+	added := &machine{address: "n" + strconv.Itoa(world.offered), zone: zone, keeping: newMemoryShelf(), copies: newMemoryShelf()}
 	world.mutex.Lock()
 	world.machines = append(append([]*machine{}, world.machines...), added)
 	world.mutex.Unlock()
@@ -163,7 +163,7 @@
 				t.Run(fmt.Sprintf("%d disks/%s leaves/%s lost", shape.machines, leaves, lost), func(t *testing.T) {
 					world := calmWorld(t, shape, 3, DefaultCatchUp)
 					leaver := world.inRole(leaves)
-					world.join(leaver.district)
+					world.join(leaver.zone)
 					world.run(time.Second, nil)
 					if leaver = world.inRole(leaves); leaver == nil {
 						t.Skip("nobody has the role")
@@ -183,7 +183,7 @@
 					world.gone(leaver)
 					for _, second := range world.victims(lost) {
 						world.gone(second)
-						world.join(second.district)
+						world.join(second.zone)
 					}
 					if !world.run(12*time.Second, func() bool { return world.leader() != nil && world.whole() != nil }) {
 						world.fail("no core after the second loss")
@@ -259,7 +259,7 @@
 	case exchange:
 		world.gone(lost)
 		world.run(tickPause, nil)
-		world.join(lost.district)
+		world.join(lost.zone)
 	}
 	return world.clock()
 }
--- a/internal/replication/losses.go
+++ b/internal/replication/losses.go
@@ -7,10 +7,10 @@
 // is one backup and there are three keepers; with more, as many backups as losses,
 // and two keepers for each loss and one more, spread over the districts so that a
 // whole one may go.
-func (coordinator *Coordinator) Bear(losses int, district string) {
+func (coordinator *Coordinator) Bear(losses int, zone string) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	coordinator.borne, coordinator.district = max(losses, 1), district
+	coordinator.borne, coordinator.zone = max(losses, 1), zone
 }
 
 // SetBackupList tells whether the flag backup_list is enabled: whether every
@@ -35,9 +35,9 @@
 func (coordinator *Coordinator) recorded(replica Replica) Replica {
 	switch {
 	case !coordinator.several():
-		replica.District = ""
+		replica.Zone = ""
 	case replica.Identity == coordinator.witness.Replica().Identity:
-		replica.District = coordinator.district
+		replica.Zone = coordinator.zone
 	}
 	return replica
 }
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -9,7 +9,7 @@
 	Identity Identity `msgpack:"identity" json:"identity"`
 	Address  string   `msgpack:"address" json:"address"`
 	Name     string   `msgpack:"name" json:"name"`
-	District string   `msgpack:"district,omitempty" json:"district,omitempty"`
+	Zone     string   `msgpack:"district,omitempty" json:"district,omitempty"`
 }
 
 // Empty tells whether nobody has the seat.
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -10,7 +10,7 @@
 
 // severalWorlds are the shapes that bear two losses: six disks in three districts,
 // and eight in four.
-var severalWorlds = []struct{ machines, districts int }{{6, 3}, {8, 4}}
+var severalWorlds = []struct{ machines, zones int }{{6, 3}, {8, 4}}
 
 func simulatedSeeds(usual uint64) uint64 {
 	if asked, err := strconv.ParseUint(os.Getenv("SEAMLOOM_SEEDS"), 10, 32); err == nil {
@@ -52,10 +52,10 @@
 		world.wipe(world.pick())
 	case 2:
 		// A district loses its power, and at times its disks.
-		district := world.pick().district
+		zone := world.pick().zone
 		lost := world.random.IntN(2) == 0
 		for _, machine := range world.machines {
-			if machine.district == district && machine.up.Load() {
+			if machine.zone == zone && machine.up.Load() {
 				if !lost || !world.wipe(machine) {
 					world.crash(machine)
 				}
@@ -65,15 +65,15 @@
 		world.everything(world.random.IntN(3))
 	case 4:
 		// A district is cut off, one way or both.
-		district := world.pick().district
+		district := world.pick().zone
 		way := world.random.IntN(3)
 		world.mutex.Lock()
 		for _, from := range world.machines {
 			for _, to := range world.machines {
-				if from.district == district && to.district != district && way != 1 {
+				if from.zone == district && to.zone != district && way != 1 {
 					world.cut[from.address+">"+to.address] = true
 				}
-				if from.district != district && to.district == district && way != 0 {
+				if from.zone != district && to.zone == district && way != 0 {
 					world.cut[from.address+">"+to.address] = true
 				}
 			}
@@ -110,7 +110,7 @@
 		return
 	}
 	world.offered++
-	added := &machine{address: "n" + strconv.Itoa(world.offered), district: old.district, keeping: newMemoryShelf(), copies: newMemoryShelf()}
+	added := &machine{address: "n" + strconv.Itoa(world.offered), zone: old.zone, keeping: newMemoryShelf(), copies: newMemoryShelf()}
 	world.mutex.Lock()
 	world.machines = append(append([]*machine{}, world.machines...), added)
 	world.machines = append(world.machines[:position:position], world.machines[position+1:]...)
@@ -141,7 +141,7 @@
 				t.Parallel()
 				answered, wiped := 0, 0
 				for seed := share; seed < simulatedSeeds(24); seed += shares {
-					world := newWorldOf(t, seed, shape.machines, shape.districts, 2)
+					world := newWorldOf(t, seed, shape.machines, shape.zones, 2)
 					world.bearLosses(seed)
 					answered, wiped = answered+world.answered, wiped+world.wiped
 				}
@@ -213,8 +213,8 @@
 	for _, shape := range severalWorlds {
 		for seed := range simulatedSeeds(2) {
 			for _, others := range []bool{false, true} {
-				for _, pair := range newWorldOf(t, seed, shape.machines, shape.districts, 2).losses() {
-					world := newWorldOf(t, seed, shape.machines, shape.districts, 2)
+				for _, pair := range newWorldOf(t, seed, shape.machines, shape.zones, 2).losses() {
+					world := newWorldOf(t, seed, shape.machines, shape.zones, 2)
 					world.calm = true
 					if !world.heal(15 * time.Second) {
 						world.fail("no core was formed")
@@ -306,7 +306,7 @@
 // anybody its copy: the third copy must still count as in sync.
 func TestSecondLossInTheMiddleOfATakeover(t *testing.T) {
 	for _, shape := range severalWorlds {
-		world := newWorldOf(t, 1, shape.machines, shape.districts, 2)
+		world := newWorldOf(t, 1, shape.machines, shape.zones, 2)
 		world.calm = true
 		if !world.heal(15 * time.Second) {
 			world.fail("no core was formed")
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -91,16 +91,16 @@
 
 // machine is one expediter of the simulated core.
 type machine struct {
-	address  string
-	district string
-	keeping  *memoryShelf
-	copies   *memoryShelf
-	keeper   *Witness
-	store    *Store
-	steward  *Coordinator
-	up       atomic.Bool
-	frozen   bool
-	lives    int
+	address string
+	zone    string
+	keeping *memoryShelf
+	copies  *memoryShelf
+	keeper  *Witness
+	store   *Store
+	steward *Coordinator
+	up      atomic.Bool
+	frozen  bool
+	lives   int
 }
 
 // world is a core of machines under a clock that the test moves.
@@ -124,12 +124,12 @@
 	// catchUp is the bound that the core's waits are derived from.
 	catchUp time.Duration
 	// losing are machines whose disk is to be taken.
-	losing    []*machine
-	districts int
-	seeds     []string
-	offered   int
-	wiped     int
-	formed    bool
+	losing  []*machine
+	zones   int
+	seeds   []string
+	offered int
+	wiped   int
+	formed  bool
 	// installs is told who brings a snapshot, just before.
 	installs func(from string)
 }
@@ -137,11 +137,11 @@
 func newWorld(t *testing.T, seed uint64) *world { return newWorldOf(t, seed, 3, 3, 1) }
 
 // newWorldOf is a core of machines in districts, which bears some losses at once.
-func newWorldOf(t *testing.T, seed uint64, machines, districts, borne int) *world {
-	world := &world{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, borne: borne, districts: districts,
+func newWorldOf(t *testing.T, seed uint64, machines, zones, borne int) *world {
+	world := &world{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, borne: borne, zones: zones,
 		seeds: []string{"m0", "m1", "m2"}}
 	for number := range machines {
-		world.machines = append(world.machines, &machine{address: "m" + strconv.Itoa(number), district: "d" + strconv.Itoa(number%districts), keeping: newMemoryShelf(), copies: newMemoryShelf()})
+		world.machines = append(world.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), keeping: newMemoryShelf(), copies: newMemoryShelf()})
 	}
 	for _, machine := range world.machines {
 		world.start(machine)
@@ -184,7 +184,7 @@
 		coordinator.JoinOnly()
 	}
 	coordinator.SetTiming(TimingFor(world.catchUp))
-	coordinator.Bear(world.borne, machine.district)
+	coordinator.Bear(world.borne, machine.zone)
 	coordinator.SetBackupList(world.borne > 1)
 	world.mutex.Lock()
 	machine.keeper, machine.store, machine.steward = witness, store, coordinator
@@ -445,7 +445,7 @@
 			continue
 		}
 		healthy, there := 0, 0
-		inDistrict := map[string]int{}
+		inZone := map[string]int{}
 		most := 0
 		for _, other := range world.machines {
 			if !other.up.Load() {
@@ -456,8 +456,8 @@
 			}
 			if hasReplica(charter.Witnesses, other.keeper.Replica().Identity) && other.keeper.Charter().Epoch == charter.Epoch {
 				healthy++
-				inDistrict[other.district]++
-				most = max(most, inDistrict[other.district])
+				inZone[other.zone]++
+				most = max(most, inZone[other.zone])
 			}
 		}
 		if there == world.borne && healthy == 2*world.borne+1 && most <= world.borne {
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -56,7 +56,7 @@
 var evening = time.UnixMilli(1_800_000_000_000)
 
 func claim(id, nonce string) Change {
-	return Claim(evening, codec.Entry{Inquiry: id, Router: "courier-1", Run: 1, At: evening, Cause: nonce})
+	return Claim(evening, codec.Entry{Request: id, Router: "courier-1", Run: 1, At: evening, Cause: nonce})
 }
 
 // TestClaimsShareOneSync lets a hundred claims come while one sync is under
@@ -121,7 +121,7 @@
 	if err := do(t, store, claim("one", "another arrival")); failure.KindOf(err) != failure.Duplicate {
 		t.Errorf("after the jumps a used id is taken: %v", err)
 	}
-	if err := do(t, store, Claim(evening.Add(-Retention-time.Minute), codec.Entry{Inquiry: "old"})); failure.KindOf(err) != failure.TooOld {
+	if err := do(t, store, Claim(evening.Add(-Retention-time.Minute), codec.Entry{Request: "old"})); failure.KindOf(err) != failure.TooOld {
 		t.Errorf("an id older than the horizon: %v", err)
 	}
 	for range 400 {
--- a/internal/replication/witnessplan.go
+++ b/internal/replication/witnessplan.go
@@ -42,10 +42,10 @@
 	most := (len(plan.keepers) - 1) / 2
 	for position := range plan.keepers {
 		replica := plan.keepers[position].seat
-		if replica.District == "" || plan.inDistrict(replica.District) <= most {
+		if replica.Zone == "" || plan.inZone(replica.Zone) <= most {
 			continue
 		}
-		if spare, found := plan.bestSpare(); found && plan.inDistrict(plan.spares[spare].District) < most {
+		if spare, found := plan.bestSpare(); found && plan.inZone(plan.spares[spare].Zone) < most {
 			plan.keepers[position] = plannedWitness{seat: plan.take(spare)}
 			changed = true
 		}
@@ -70,7 +70,7 @@
 func (plan *witnessPlan) bestSpare() (int, bool) {
 	best, found := 0, false
 	for position, spare := range plan.spares {
-		if !found || plan.inDistrict(spare.District) < plan.inDistrict(plan.spares[best].District) {
+		if !found || plan.inZone(spare.Zone) < plan.inZone(plan.spares[best].Zone) {
 			best, found = position, true
 		}
 	}
@@ -83,11 +83,11 @@
 	return taken
 }
 
-// inDistrict counts the keepers of a district that are not gone.
-func (plan *witnessPlan) inDistrict(district string) int {
+// inZone counts the keepers of a district that are not gone.
+func (plan *witnessPlan) inZone(zone string) int {
 	count := 0
 	for _, witness := range plan.keepers {
-		if witness.seat.District == district && !witness.gone {
+		if witness.seat.Zone == zone && !witness.gone {
 			count++
 		}
 	}
--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlogs.go
@@ -172,17 +172,17 @@
 	for groups*groupSize < uint64(servers) {
 		groups *= 2
 	}
-	return backend.server.Service + "/" + backend.server.District + "/" + strconv.FormatUint(backend.key%groups, 10)
+	return backend.server.Service + "/" + backend.server.Zone + "/" + strconv.FormatUint(backend.key%groups, 10)
 }
 
 // nameGroups names the group of each server.
 func (board *board) nameGroups() {
-	type pool struct{ service, district string }
+	type pool struct{ service, zone string }
 	sizes := map[pool]int{}
 	for _, backend := range board.all {
-		sizes[pool{backend.server.Service, backend.server.District}]++
+		sizes[pool{backend.server.Service, backend.server.Zone}]++
 	}
 	for _, backend := range board.all {
-		backend.group = groupOf(backend, sizes[pool{backend.server.Service, backend.server.District}])
+		backend.group = groupOf(backend, sizes[pool{backend.server.Service, backend.server.Zone}])
 	}
 }
--- a/internal/scheduler/board.go
+++ b/internal/scheduler/board.go
@@ -34,10 +34,10 @@
 		if _, twice := next.byName[server.Name]; twice {
 			continue
 		}
-		place, known := next.places[server.District]
+		place, known := next.places[server.Zone]
 		if !known {
 			place = len(next.places)
-			next.places[server.District] = place
+			next.places[server.Zone] = place
 		}
 		listed := &backend{server: server, key: nameKey(server.Name), place: place}
 		if earlier, found := old.byName[server.Name]; found && earlier.server.Address == server.Address {
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -45,7 +45,7 @@
 				allowance.Slack = 216
 			}
 			start := func(number int) *Window {
-				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), District: "north", FurtherTries: allowance})
+				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north", FurtherTries: allowance})
 				calls.SetRouters(routers)
 				calls.SetProgram(Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Tries = 5 }), 1, 1))
 				calls.SetServers(noon, servers(9))
@@ -98,14 +98,14 @@
 	const routers, early = 72, 300 * time.Millisecond
 	var windows []*Window
 	for number := range routers {
-		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), District: "north"})
+		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north"})
 		calls.SetRouters(routers)
 		calls.SetProgram(Compile(plan(nil), 1, 1))
 		windows = append(windows, calls)
 	}
 	list := servers(40)
 	cold := &list[len(list)-1]
-	cold.District, cold.Warming = "north", 3*time.Second
+	cold.Zone, cold.Warming = "north", 3*time.Second
 	for _, calls := range windows {
 		calls.SetServers(noon, list)
 	}
@@ -153,7 +153,7 @@
 		for _, known := range []bool{true, false} {
 			var windows []*Window
 			for number := range routers {
-				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), District: "north"})
+				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north"})
 				if known {
 					calls.SetRouters(routers)
 				}
@@ -200,8 +200,8 @@
 // TestHomesAgree wants couriers to come to the same reader for a chain without talk,
 // and few chains to move when a server leaves.
 func TestHomesAgree(t *testing.T) {
-	home := func(router, district string, count int, without string, chain uint64) string {
-		calls := New(Options{Router: router, District: district})
+	home := func(router, zone string, count int, without string, chain uint64) string {
+		calls := New(Options{Router: router, Zone: zone})
 		calls.SetProgram(Compile(plan(nil), 1, 1))
 		list := servers(count)
 		for position := range list {
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -94,8 +94,8 @@
 
 // open tells whether work of the call may be sent to a server at all.
 func (choice *choice) open(backend *backend) bool {
-	return !choice.ticket.avoids(backend) && !backend.server.Leaving && !backend.changing() && !backend.expectedToChange(choice.now) && !choice.program.evacuations[backend.server.District] &&
-		choice.ticket.routeRule.allows(backend.server.District) && backend.has(choice.ticket.call.Model)
+	return !choice.ticket.avoids(backend) && !backend.server.Leaving && !backend.changing() && !backend.expectedToChange(choice.now) && !choice.program.evacuations[backend.server.Zone] &&
+		choice.ticket.routeRule.allows(backend.server.Zone) && backend.has(choice.ticket.call.Model)
 }
 
 // now there are room and leave for one more call at a server: cold ones take few.
@@ -186,7 +186,7 @@
 // burdens are costs that any work at a server has.
 func (choice *choice) burdens(backend *backend) float64 {
 	cost := 0.0
-	if backend.server.District != choice.window.options.District {
+	if backend.server.Zone != choice.window.options.Zone {
 		cost += choice.costs.crossingKilobyte * float64(choice.ticket.call.Bytes) / 1024
 	}
 	if backend.trust.doubted(choice.now, backend.running.Load()+backend.reading.Load()) {
@@ -282,7 +282,7 @@
 
 // move is what bringing the memory from a reader costs, and how long it takes.
 func (choice *choice) move(reader, runner *backend) (cost, time float64) {
-	near := reader != nil && reader.server.District == runner.server.District
+	near := reader != nil && reader.server.Zone == runner.server.Zone
 	thousands := float64(choice.ticket.call.PromptTokens) / 1000
 	time = moveSetup + thousands*1000/moveTokens
 	cost = time + thousands*choice.costs.moveThousand
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -41,7 +41,7 @@
 
 func newHistory(t *testing.T, seed uint64) *history {
 	history := &history{test: t, random: rand.New(rand.NewPCG(seed, 11)), now: noon, list: servers(9), evacuees: map[string]bool{}, number: 1,
-		calls: New(Options{Router: "courier-1", District: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})}
+		calls: New(Options{Router: "courier-1", Zone: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})}
 	history.calls.SetRouters(3)
 	history.configure()
 	history.calls.SetServers(history.now, history.list)
@@ -50,8 +50,8 @@
 
 func (history *history) configure() {
 	history.calls.SetProgram(Compile(plan(func(configuration *config.Configuration) {
-		for district := range history.evacuees {
-			configuration.Evacuations = map[string]config.Evacuation{district: {}}
+		for zone := range history.evacuees {
+			configuration.Evacuations = map[string]config.Evacuation{zone: {}}
 		}
 		configuration.Routes[0].Calls.Tries = 3
 		configuration.Routes = append(configuration.Routes, config.Route{Name: "plain", Match: config.Match{Host: "plain.example", PathPrefix: "/"},
@@ -129,7 +129,7 @@
 	switch decision.Kind {
 	case Read, Run:
 		server := decision.Server
-		if server.Leaving || history.evacuees[server.District] || server.Service != followed.ticket.service.Name {
+		if server.Leaving || history.evacuees[server.Zone] || server.Service != followed.ticket.service.Name {
 			fail("a server that is not open to the call")
 		}
 		if (decision.Kind == Read) != (server.Part == prefill) {
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -5,8 +5,8 @@
 // Options say for which courier a window decides and what binds all couriers together.
 type Options struct {
 	// Router is the node's name, District the one whose servers it prefers.
-	Router   string
-	District string
+	Router string
+	Zone   string
 	// FurtherTries bounds what all couriers send beyond the first dispatch of each
 	// call, service by service.
 	FurtherTries Allowance
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -85,7 +85,7 @@
 func TestFewRoutersTry(t *testing.T) {
 	trying := 0
 	for number := range 90 {
-		calls := New(Options{Router: fmt.Sprint("courier-", number), District: "north"})
+		calls := New(Options{Router: fmt.Sprint("courier-", number), Zone: "north"})
 		calls.SetRouters(90)
 		calls.SetProgram(Compile(plan(nil), 1, 1))
 		calls.SetServers(noon, servers(9))
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -105,7 +105,7 @@
 	for _, backend := range window.board.Load().byService[service.Name] {
 		switch {
 		case backend.cold(now), backend.silent(reported):
-		case backend.server.Leaving || program.evacuations[backend.server.District]:
+		case backend.server.Leaving || program.evacuations[backend.server.Zone]:
 		case backend.changing():
 			return nil
 		case backend.reads():
@@ -194,18 +194,18 @@
 func lightest(from, readers []*backend, part string) *backend {
 	in, all := map[string]int{}, map[string]int{}
 	for _, backend := range readers {
-		in[backend.server.District]++
+		in[backend.server.Zone]++
 	}
 	for _, backend := range from {
-		all[backend.server.District]++
+		all[backend.server.Zone]++
 	}
 	weight := func(backend *backend) float64 {
-		share := float64(in[backend.server.District]) / float64(in[backend.server.District]+all[backend.server.District])
+		share := float64(in[backend.server.Zone]) / float64(in[backend.server.Zone]+all[backend.server.Zone])
 		if part == decode {
-			share = -float64(in[backend.server.District])
+			share = -float64(in[backend.server.Zone])
 		}
 		work := backend.others() + float64(backend.running.Load()+backend.reading.Load())
-		return share*districtWeight + work
+		return share*zoneWeight + work
 	}
 	best := from[0]
 	for _, backend := range from[1:] {
@@ -216,7 +216,7 @@
 	return best
 }
 
-const districtWeight = 1000
+const zoneWeight = 1000
 
 // moved is the two pools with a server given the part; from is the pool that it left.
 func moved(chosen *backend, part string, readers, runners []*backend) (from, nextReaders, nextRunners []*backend) {
--- a/internal/scheduler/pools_test.go
+++ b/internal/scheduler/pools_test.go
@@ -124,14 +124,14 @@
 		t.Errorf("%d readers of none", day.readers())
 	}
 	day.last(30*time.Second, 1, 1)
-	districts := map[string]int{}
+	zones := map[string]int{}
 	for _, server := range servers(9) {
 		if day.parts[server.Name] == prefill {
-			districts[server.District]++
+			zones[server.Zone]++
 		}
 	}
-	if len(districts) != 3 || districts["north"] > 2 || districts["south"] > 2 || districts["west"] > 2 {
-		t.Errorf("readers by district: %v", districts)
+	if len(zones) != 3 || zones["north"] > 2 || zones["south"] > 2 || zones["west"] > 2 {
+		t.Errorf("readers by district: %v", zones)
 	}
 	for name := range day.parts {
 		day.parts[name] = prefill
--- a/internal/scheduler/program.go
+++ b/internal/scheduler/program.go
@@ -40,11 +40,11 @@
 	shares []share
 	total  uint64
 	// districts are those whose servers may be used; nil means all.
-	districts map[string]bool
+	zones map[string]bool
 }
 
-func (routeRule *routeRule) allows(district string) bool {
-	return routeRule.districts == nil || routeRule.districts[district]
+func (routeRule *routeRule) allows(zone string) bool {
+	return routeRule.zones == nil || routeRule.zones[zone]
 }
 
 type share struct {
@@ -56,8 +56,8 @@
 func Compile(configuration *config.Configuration, epoch, number uint64) *Program {
 	program := &Program{epoch: epoch, number: number, hosts: map[string][]step{}, services: map[string]*config.Service{},
 		evacuations: map[string]bool{}, limits: configuration.Limits, gaps: map[string]time.Duration{}}
-	for district := range configuration.Evacuations {
-		program.evacuations[district] = true
+	for zone := range configuration.Evacuations {
+		program.evacuations[zone] = true
 	}
 	for name, service := range configuration.Services {
 		service.Name = name
@@ -100,10 +100,10 @@
 			program.narrow(service.Name, route.Calls.Gap)
 		}
 	}
-	if len(route.To.Districts) > 0 {
-		routeRule.districts = map[string]bool{}
-		for _, district := range route.To.Districts {
-			routeRule.districts[district] = true
+	if len(route.To.Zones) > 0 {
+		routeRule.zones = map[string]bool{}
+		for _, zone := range route.To.Zones {
+			routeRule.zones[zone] = true
 		}
 	}
 	action := step{code: actSend, routeRule: routeRule}
--- a/internal/scheduler/returned.go
+++ b/internal/scheduler/returned.go
@@ -15,30 +15,30 @@
 	if current == nil || len(current.evacuations) == 0 {
 		return
 	}
-	districts := returned{}
+	zones := returned{}
 	if pending := window.returned.Load(); pending != nil {
-		for district := range *pending {
-			districts[district] = true
+		for zone := range *pending {
+			zones[zone] = true
 		}
 	}
 	for district := range current.evacuations {
 		if !next.evacuations[district] {
-			districts[district] = true
+			zones[district] = true
 		}
 	}
-	if len(districts) > 0 {
-		window.returned.Store(&districts)
+	if len(zones) > 0 {
+		window.returned.Store(&zones)
 	}
 }
 
 // cool has the servers of districts that came back count as cold from now.
 func (window *Window) cool(now time.Time) {
-	districts := window.returned.Load()
-	if districts == nil || !window.returned.CompareAndSwap(districts, nil) {
+	zones := window.returned.Load()
+	if zones == nil || !window.returned.CompareAndSwap(zones, nil) {
 		return
 	}
 	for _, backend := range window.board.Load().all {
-		if (*districts)[backend.server.District] {
+		if (*zones)[backend.server.Zone] {
 			backend.coolUntil(now.Add(coldAfterReturn))
 		}
 	}
--- a/internal/scheduler/returned_test.go
+++ b/internal/scheduler/returned_test.go
@@ -8,11 +8,11 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// TestServersOfADistrictThatComesBackCountAsCold takes an evacuation back, and wants the
+// TestServersOfAZoneThatComesBackCountAsCold takes an evacuation back, and wants the
 // district's servers to get no more in the next second than cold ones stand: they may
 // have become cold while nobody used them, and the list tells that later.
-func TestServersOfADistrictThatComesBackCountAsCold(t *testing.T) {
-	calls := New(Options{Router: "courier-1", District: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})
+func TestServersOfAZoneThatComesBackCountAsCold(t *testing.T) {
+	calls := New(Options{Router: "courier-1", Zone: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})
 	calls.SetRouters(1)
 	list := servers(9)
 	calls.SetServers(noon, list)
@@ -26,7 +26,7 @@
 	calls.SetProgram(compile(1, true))
 	north := map[string]bool{}
 	for _, server := range list {
-		north[server.Name] = server.District == "north"
+		north[server.Name] = server.Zone == "north"
 	}
 	arrive := func(number int, now time.Time) string {
 		ticket, decision := calls.Arrive(now, &Call{ID: "call-" + strconv.Itoa(number), Host: "chat.example", Path: "/one", Model: "m", PromptTokens: 300, OutputTokens: 30, Ends: now.Add(8 * time.Second)})
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -14,9 +14,9 @@
 // plan is a configuration with one split service, a route of long prompts whose
 // streams may go on elsewhere and one of chats that may run once.
 func plan(change func(*config.Configuration)) *config.Configuration {
-	service := config.Service{Name: "desk", Limit: 30 * time.Second, Circuits: 370,
+	service := config.Service{Name: "desk", Limit: 30 * time.Second, Connections: 370,
 		Warming: config.Warming{Length: 3 * time.Second, PerSecond: 12},
-		Engine: config.Engine{Slots: 64, MemoryTokens: 295_740, TokenBytes: 18_432, LinkBits: 550e9, TokensAPiece: 11,
+		Engine: config.Engine{Slots: 64, MemoryTokens: 295_740, TokenBytes: 18_432, LinkBits: 550e9, TokensAChunk: 11,
 			HandleLife: 5 * time.Second, PartChange: 1500 * time.Millisecond, Models: []string{"m"}}}
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": service, "other": {Name: "other"}}
@@ -39,7 +39,7 @@
 
 // divided lists so many servers, so many in ten of them readers.
 func divided(count, tenths int) []membership.Server {
-	districts := []string{"north", "south", "west"}
+	zones := []string{"north", "south", "west"}
 	var list []membership.Server
 	readers := 0
 	for number := range count {
@@ -49,7 +49,7 @@
 			readers++
 		}
 		list = append(list, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprintf("10.0.%d.%d:8080", number/250, number%250),
-			District: districts[number%3], Service: "desk", Part: part, Slots: 64, Models: []string{"m"}})
+			Zone: zones[number%3], Service: "desk", Part: part, Slots: 64, Models: []string{"m"}})
 	}
 	return list
 }
@@ -66,7 +66,7 @@
 }
 
 func opened(count int) *Window {
-	calls := New(Options{Router: "courier-1", District: "north"})
+	calls := New(Options{Router: "courier-1", Zone: "north"})
 	calls.SetRouters(9)
 	calls.SetProgram(Compile(plan(nil), 1, 1))
 	calls.SetServers(noon, servers(count))
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -74,16 +74,16 @@
 type engineSheet struct {
 	step, perRunning, perThousand float64
 	readPace, pairs, first, setup float64
-	piece, memory, stride, slots  int
+	chunk, memory, stride, slots  int
 	bytesAToken, linkBitsAMilli   float64
 	reportLag                     time.Duration
-	inDistrict, betweenDistricts  float64
+	inZone, betweenZones          float64
 }
 
 func sheet() engineSheet {
 	return engineSheet{step: 3.09, perRunning: 0.102, perThousand: 0.00183, readPace: 56.9, pairs: 0.165, first: 13, setup: 3.3,
-		piece: 4096, memory: 295_740, stride: 11, slots: 64, bytesAToken: 18_432, linkBitsAMilli: 550e6,
-		reportLag: 100 * time.Millisecond, inDistrict: 0.2, betweenDistricts: 0.9}
+		chunk: 4096, memory: 295_740, stride: 11, slots: 64, bytesAToken: 18_432, linkBitsAMilli: 550e6,
+		reportLag: 100 * time.Millisecond, inZone: 0.2, betweenZones: 0.9}
 }
 
 // prices are what a gigabyte of memory moved, a thousand shared tokens read again and a
@@ -109,18 +109,18 @@
 func ninety() site {
 	site := site{name: "ninety", routers: 90, list: zoned(90, 12), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1800, prices: prices{0.05, 0.16, 0.06}}
 	site.engine = engineSheet{step: 6.12, perRunning: 0.0234, perThousand: 0.0131, readPace: 32.4, pairs: 1.18, first: 64, setup: 3.3,
-		piece: 2048, memory: 198_631, stride: 8, slots: 48, bytesAToken: 131_072, linkBitsAMilli: 630e6,
-		reportLag: 100 * time.Millisecond, inDistrict: 0.2, betweenDistricts: 0.9}
+		chunk: 2048, memory: 198_631, stride: 8, slots: 48, bytesAToken: 131_072, linkBitsAMilli: 630e6,
+		reportLag: 100 * time.Millisecond, inZone: 0.2, betweenZones: 0.9}
 	site.long.perSecond, site.long.chains[1].things, site.long.chains[1].skew, site.long.ownMost = 130, 735, 0.3, 18_300
-	site.long.pieces, site.long.spread, site.long.mostPieces, site.long.bytes = 6.51, 1.4, 26, 9200
+	site.long.chunks, site.long.spread, site.long.mostChunks, site.long.bytes = 6.51, 1.4, 26, 9200
 	site.long.worth, site.long.late, site.long.aim, site.long.deadline, site.long.gap = 2, 0.6, 800*time.Millisecond, 4*time.Second, 200*time.Millisecond
 	site.chat.perSecond, site.chat.chains[1].things, site.chat.chains[1].skew, site.chat.bytes = 163, 922, 0.3, 830
-	site.chat.pieces, site.chat.mostPieces = 36.4, 119
+	site.chat.chunks, site.chat.mostChunks = 36.4, 119
 	site.chat.worth, site.chat.late, site.chat.aim, site.chat.deadline, site.chat.gap = 3, 0.9, 400*time.Millisecond, 12*time.Second, 200*time.Millisecond
 	site.configure = func(configuration *config.Configuration) {
 		service := configuration.Services["desk"]
 		service.Warming = config.Warming{}
-		service.Engine.Slots, service.Engine.MemoryTokens, service.Engine.TokenBytes, service.Engine.LinkBits, service.Engine.TokensAPiece = 48, 198_631, 131_072, 630e9, 8
+		service.Engine.Slots, service.Engine.MemoryTokens, service.Engine.TokenBytes, service.Engine.LinkBits, service.Engine.TokensAChunk = 48, 198_631, 131_072, 630e9, 8
 		configuration.Services["desk"] = service
 		long, chat := configuration.Routes[0].Calls, configuration.Routes[1].Calls
 		long.Limit, long.Aim, long.Gap, long.Rank, long.Tries, long.Resumable = site.long.deadline, site.long.aim, site.long.gap, 1, 1, false
@@ -138,9 +138,9 @@
 	site.engine.step, site.engine.perRunning, site.engine.readPace, site.engine.first, site.engine.setup = 3.79, 0.0893, 56.6, 16, 5
 	site.engine.stride, site.engine.memory, site.engine.linkBitsAMilli, site.engine.reportLag = 9, 319_972, 370e6, 200*time.Millisecond
 	site.long.perSecond, site.long.chains[1].things, site.long.late = 30.4, 172, 1.5
-	site.long.pieces, site.long.mostPieces = 5.78, 23.1
+	site.long.chunks, site.long.mostChunks = 5.78, 23.1
 	site.chat.perSecond, site.chat.chains[0].things, site.chat.chains[1].things, site.chat.late = 37.8, 20, 142, 1
-	site.chat.pieces, site.chat.mostPieces = 32.4, 106
+	site.chat.chunks, site.chat.mostChunks = 32.4, 106
 	return site
 }
 
@@ -148,9 +148,9 @@
 	site := site{name: "sixty", routers: 85, list: zoned(60, 8), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 2200, prices: prices{0.36, 0.15, 0.012}}
 	site.engine.memory, site.engine.stride = 276_487, 14
 	site.long.perSecond, site.long.chains[1].things, site.long.bytes, site.long.aim = 136, 512, 9200, 500*time.Millisecond
-	site.long.pieces, site.long.mostPieces, site.long.gap = 3.72, 14.9, 300*time.Millisecond
+	site.long.chunks, site.long.mostChunks, site.long.gap = 3.72, 14.9, 300*time.Millisecond
 	site.chat.perSecond, site.chat.chains[0].things, site.chat.chains[1].things, site.chat.bytes = 171, 80, 968, 830
-	site.chat.pieces, site.chat.mostPieces, site.chat.aim, site.chat.gap = 20.8, 68.1, 600*time.Millisecond, 300*time.Millisecond
+	site.chat.chunks, site.chat.mostChunks, site.chat.aim, site.chat.gap = 20.8, 68.1, 600*time.Millisecond, 300*time.Millisecond
 	return site
 }
 
@@ -339,7 +339,7 @@
 	duration += engine.perRunning*float64(makers) + engine.perThousand*float64(context)/1000
 	chunk := 0
 	if reading != nil {
-		pace, piece := engine.readPace, engine.piece
+		pace, piece := engine.readPace, engine.chunk
 		if server.part == decode {
 			pace, piece = pace/2, piece/4
 		}
@@ -499,8 +499,8 @@
 	chains         []chainLink
 	own, ownSpread float64
 	ownMost        float64
-	pieces, spread float64
-	mostPieces     float64
+	chunks, spread float64
+	mostChunks     float64
 	bytes          int
 	worth, late    float64
 	aim, deadline  time.Duration
@@ -526,14 +526,14 @@
 func longClass() class {
 	return class{name: "long", host: "long.example", path: "/ask/", perSecond: 22.2,
 		chains: []chainLink{{2520, 0.4, 6290, 4, 0}, {3780, 0.7, 11300, 84, 0}}, own: 2890, ownSpread: 1, ownMost: 39600,
-		pieces: 4.73, spread: 1.4, mostPieces: 18.9, bytes: 18000, worth: 3, late: 0.9,
+		chunks: 4.73, spread: 1.4, mostChunks: 18.9, bytes: 18000, worth: 3, late: 0.9,
 		aim: 400 * time.Millisecond, deadline: 3 * time.Second, gap: 250 * time.Millisecond}
 }
 
 func chatClass() class {
 	return class{name: "chat", host: "chat.example", path: "/", perSecond: 28,
 		chains: []chainLink{{119, 0.4, 298, 40, 0}, {79.4, 0.7, 238, 158, 0}}, own: 628, ownSpread: 1, ownMost: 3310,
-		pieces: 26.5, spread: 0.69, mostPieces: 86.7, bytes: 1700, worth: 2, late: 0.6,
+		chunks: 26.5, spread: 0.69, mostChunks: 86.7, bytes: 1700, worth: 2, late: 0.6,
 		aim: 500 * time.Millisecond, deadline: 8 * time.Second, gap: 250 * time.Millisecond}
 }
 
@@ -554,9 +554,9 @@
 		world.servers[listed.Name] = &worldServer{world: world, listed: listed, part: listed.Part}
 		world.servers[listed.Name].empty()
 	}
-	districts := []string{"north", "south", "west"}
+	zones := []string{"north", "south", "west"}
 	for number := range routers {
-		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), District: districts[number%3],
+		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: zones[number%3],
 			FurtherTries: Allowance{Ratio: 0.2, Slack: 58, Span: 10 * time.Second}})
 		calls.SetRouters(routers)
 		calls.SetProgram(Compile(plan(configure), 1, 1))
@@ -565,7 +565,7 @@
 			shape(calls)
 		}
 		world.windows = append(world.windows, calls)
-		world.places = append(world.places, districts[number%3])
+		world.places = append(world.places, zones[number%3])
 		number := number
 		world.after(world.random.Float64()*milliseconds(world.news), func() { world.renew(number) })
 	}
@@ -745,7 +745,7 @@
 	for _, part := range call.Parts {
 		call.PromptTokens += part.Tokens
 	}
-	call.OutputTokens = max(1, int(drawn(world.random, class.pieces, class.spread, class.mostPieces)*float64(world.engine.stride)))
+	call.OutputTokens = max(1, int(drawn(world.random, class.chunks, class.spread, class.mostChunks)*float64(world.engine.stride)))
 	call.Bytes = class.bytes * call.PromptTokens / int(class.own+class.chains[0].mean+class.chains[1].mean)
 	tally := world.tallyOf(class.name)
 	tally.calls++
@@ -808,10 +808,10 @@
 }
 
 func (world *world) way(router int, server *worldServer) float64 {
-	if world.places[router] == server.listed.District {
-		return world.engine.inDistrict
+	if world.places[router] == server.listed.Zone {
+		return world.engine.inZone
 	}
-	return world.engine.betweenDistricts
+	return world.engine.betweenZones
 }
 
 func (world *world) follow(asked *asked, decision Decision) {
@@ -930,7 +930,7 @@
 		world.opened++
 	}
 	idle.take(world.now)
-	if way != world.engine.inDistrict {
+	if way != world.engine.inZone {
 		world.crossed += float64(asked.call.Bytes) / 1e9
 	}
 	done := false
@@ -1056,7 +1056,7 @@
 	gigabytes := float64(call.PromptTokens) * world.engine.bytesAToken / 1e9
 	took := world.engine.setup + gigabytes*8e9/world.engine.linkBitsAMilli
 	took *= max(server.slowLink, reader.slowLink, 1)
-	if reader.listed.District != server.listed.District {
+	if reader.listed.Zone != server.listed.Zone {
 		took *= 2
 		world.farMoves += gigabytes
 	} else {
--- a/internal/testbed/fleet/callers.go
+++ b/internal/testbed/fleet/callers.go
@@ -63,17 +63,17 @@
 			kind = callers.fleet.Deployment.Long
 		}
 		callers.number++
-		districts := callers.fleet.Deployment.Districts
-		district := districts[callers.random.IntN(len(districts))]
-		node := callers.pick(district, callers.random.IntN(1<<20))
+		zones := callers.fleet.Deployment.Zones
+		zone := zones[callers.random.IntN(len(zones))]
+		node := callers.pick(zone, callers.random.IntN(1<<20))
 		if node == nil {
 			continue
 		}
 		question, entry := callers.question(kind, node)
-		entry.District = district
+		entry.Zone = zone
 		habit := habit{leaves: -1, obeys: callers.random.IntN(2) == 0, persists: callers.random.IntN(3) == 0, elsewhere: callers.random.IntN(1 << 20)}
 		if callers.random.IntN(40) == 0 {
-			habit.leaves = callers.random.IntN(question.Pieces)
+			habit.leaves = callers.random.IntN(question.Chunks)
 		}
 		callers.waiting.Go(func() { callers.converse(lifetime, node, question, entry, habit) })
 	}
@@ -109,7 +109,7 @@
 		if !pauseFor(lifetime, pause) {
 			return
 		}
-		if node = callers.pick(entry.District, habit.elsewhere+arrival); node == nil {
+		if node = callers.pick(entry.Zone, habit.elsewhere+arrival); node == nil {
 			return
 		}
 		habit.persists = false
@@ -118,11 +118,11 @@
 
 // pick is the node that the platform hands a client of the district to: one of
 // its own that is up, or any other.
-func (callers *Callers) pick(district string, draw int) *NodeProcess {
+func (callers *Callers) pick(zone string, draw int) *NodeProcess {
 	running := callers.fleet.Running(membership.Router)
 	var near []*NodeProcess
 	for _, node := range running {
-		if node.Node.District == district {
+		if node.Node.Zone == zone {
 			near = append(near, node)
 		}
 	}
@@ -139,22 +139,22 @@
 type Question struct {
 	ID           string `json:"id"`
 	Service      string `json:"service"`
-	Origin       string `json:"origin"`
+	Client       string `json:"origin"`
 	Repeatable   bool   `json:"repeatable"`
 	Limit        int    `json:"limit_milliseconds"`
 	PromptTokens int    `json:"prompt_tokens"`
 	Prefix       string `json:"prefix,omitempty"`
 	PrefixTokens int    `json:"prefix_tokens,omitempty"`
-	Pieces       int    `json:"pieces"`
+	Chunks       int    `json:"pieces"`
 }
 
 func (callers *Callers) question(kind Kind, node *NodeProcess) (Question, Entry) {
 	repeatable := callers.random.Float64() >= callers.Once
-	question := Question{ID: hatch.NewInquiryID(), Service: kind.Service, Origin: "origin-" + strconv.Itoa(callers.number%50), Repeatable: repeatable,
+	question := Question{ID: hatch.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(callers.number%50), Repeatable: repeatable,
 		Limit: 15_000, PromptTokens: kind.LeastTokens + callers.random.IntN(kind.MostTokens-kind.LeastTokens),
 		Prefix: kind.Service + "-" + strconv.Itoa(callers.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
-		Pieces: kind.LeastPieces + callers.random.IntN(kind.MostPieces-kind.LeastPieces)}
-	return question, Entry{Inquiry: question.ID, Router: node.Node.Name, Service: kind.Service, Repeatable: repeatable, Asked: question.Pieces}
+		Chunks: kind.LeastChunks + callers.random.IntN(kind.MostChunks-kind.LeastChunks)}
+	return question, Entry{Request: question.ID, Router: node.Node.Name, Service: kind.Service, Repeatable: repeatable, Asked: question.Chunks}
 }
 
 // Send sends one inquiry and writes down its reply, word for word. A reply
@@ -182,7 +182,7 @@
 	entry.Took = time.Since(began)
 	if err != nil && entry.Final == "" {
 		entry.Cause = err.Error()
-		if failure.KindOf(err) == failure.OriginLeft {
+		if failure.KindOf(err) == failure.ClientLeft {
 			entry.Cause = CallerLeft
 		}
 	}
@@ -207,17 +207,17 @@
 	lines := bufio.NewScanner(inbound.Body)
 	for lines.Scan() {
 		if leaves == len(entry.Texts) {
-			return inbound.StatusCode, 0, failure.New(failure.OriginLeft, CallerLeft)
+			return inbound.StatusCode, 0, failure.New(failure.ClientLeft, CallerLeft)
 		}
 		var line hatch.ReplyLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
 			return inbound.StatusCode, 0, failure.Wrap(failure.Garbage, err)
 		}
 		if line.Final != "" {
-			entry.Final, entry.Pieces, entry.Cause = string(line.Final), line.Pieces, string(line.Type)
+			entry.Final, entry.Chunks, entry.Cause = string(line.Final), line.Chunks, string(line.Type)
 			return inbound.StatusCode, time.Duration(line.RetryAfterSeconds) * time.Second, nil
 		}
-		entry.Texts = append(entry.Texts, strconv.Itoa(line.Piece)+"|"+line.Text)
+		entry.Texts = append(entry.Texts, strconv.Itoa(line.Chunk)+"|"+line.Text)
 	}
 	return inbound.StatusCode, 0, failure.Wrap(failure.Unreachable, lines.Err())
 }
--- a/internal/testbed/fleet/checkers.go
+++ b/internal/testbed/fleet/checkers.go
@@ -33,18 +33,18 @@
 	once := map[string]bool{}
 	for _, entry := range entries {
 		if entry.Kind == Sent && !entry.Repeatable {
-			once[entry.Inquiry] = true
+			once[entry.Request] = true
 		}
 	}
 	started := map[string]string{}
 	for _, entry := range entries {
-		if (entry.Kind != PrefillStarted && entry.Kind != DecodeStarted) || !once[entry.Inquiry] {
+		if (entry.Kind != PrefillStarted && entry.Kind != DecodeStarted) || !once[entry.Request] {
 			continue
 		}
 		finding.Looked++
-		key := string(entry.Kind) + entry.Inquiry
+		key := string(entry.Kind) + entry.Request
 		if earlier, found := started[key]; found {
-			finding.Violate(fmt.Sprintf("%s %s at %s and again at %s", entry.Inquiry, entry.Kind, earlier, entry.Server))
+			finding.Violate(fmt.Sprintf("%s %s at %s and again at %s", entry.Request, entry.Kind, earlier, entry.Server))
 		}
 		started[key] = entry.Server
 	}
@@ -69,11 +69,11 @@
 	for _, entry := range entries {
 		switch entry.Kind {
 		case Sent, Replied:
-			came[entry.Inquiry] = true
-			open[entry.Inquiry] = open[entry.Inquiry] || !refused[entry.arrivalName()]
+			came[entry.Request] = true
+			open[entry.Request] = open[entry.Request] || !refused[entry.arrivalName()]
 		case PrefillStarted, DecodeStarted:
-			if came[entry.Inquiry] && !open[entry.Inquiry] {
-				finding.Violate(fmt.Sprintf("%s was refused at each arrival and %s at %s", entry.Inquiry, entry.Kind, entry.Server))
+			if came[entry.Request] && !open[entry.Request] {
+				finding.Violate(fmt.Sprintf("%s was refused at each arrival and %s at %s", entry.Request, entry.Kind, entry.Server))
 			}
 		}
 	}
@@ -93,18 +93,18 @@
 		for position, line := range entry.Texts {
 			number, text, _ := strings.Cut(line, "|")
 			parts := strings.Split(text, "/")
-			if len(parts) != 3 || parts[0] != entry.Inquiry || number != strconv.Itoa(position+1) || parts[2] != number {
-				finding.Violate(fmt.Sprintf("%s: piece %d reads %s", entry.Inquiry, position+1, line))
+			if len(parts) != 3 || parts[0] != entry.Request || number != strconv.Itoa(position+1) || parts[2] != number {
+				finding.Violate(fmt.Sprintf("%s: piece %d reads %s", entry.Request, position+1, line))
 				break
 			}
 			if run != "" && run != parts[1] {
-				finding.Violate(fmt.Sprintf("%s: pieces of runs %s and %s", entry.Inquiry, run, parts[1]))
+				finding.Violate(fmt.Sprintf("%s: pieces of runs %s and %s", entry.Request, run, parts[1]))
 				break
 			}
 			run = parts[1]
 		}
-		if entry.Final == "complete" && (len(entry.Texts) != entry.Asked || entry.Pieces != entry.Asked) {
-			finding.Violate(fmt.Sprintf("%s: complete with %d pieces of %d", entry.Inquiry, len(entry.Texts), entry.Asked))
+		if entry.Final == "complete" && (len(entry.Texts) != entry.Asked || entry.Chunks != entry.Asked) {
+			finding.Violate(fmt.Sprintf("%s: complete with %d pieces of %d", entry.Request, len(entry.Texts), entry.Asked))
 		}
 	}
 	return finding
@@ -117,18 +117,18 @@
 	taken := map[string]Entry{}
 	runs := map[string]int{}
 	for _, entry := range entries {
-		run := entry.Inquiry + "#" + strconv.Itoa(entry.Run)
+		run := entry.Request + "#" + strconv.Itoa(entry.Run)
 		switch entry.Kind {
 		case MemoryTaken:
 			finding.Looked++
 			if earlier, found := taken[entry.Handle]; found {
-				finding.Violate(fmt.Sprintf("handle %s taken for %s and for %s", entry.Handle, earlier.Inquiry, entry.Inquiry))
+				finding.Violate(fmt.Sprintf("handle %s taken for %s and for %s", entry.Handle, earlier.Request, entry.Request))
 			}
 			taken[entry.Handle] = entry
 			runs[run]++
 		case DecodeStarted:
 			if runs[run] == 0 {
-				finding.Violate(fmt.Sprintf("%s run %d answers without its own memory", entry.Inquiry, entry.Run))
+				finding.Violate(fmt.Sprintf("%s run %d answers without its own memory", entry.Request, entry.Run))
 			}
 			runs[run]--
 		}
@@ -145,7 +145,7 @@
 // checkEvacuated: no work is asked of an evacuated zone's servers long after
 // the evacuation was accepted.
 func checkEvacuated(entries []Entry) Finding {
-	return checkClosed("no new work for an evacuated zone", evacuateLimit, entries, func(entry Entry) string { return entry.District }, Evacuated, RestoreAsked)
+	return checkClosed("no new work for an evacuated zone", evacuateLimit, entries, func(entry Entry) string { return entry.Zone }, Evacuated, RestoreAsked)
 }
 
 // checkClosed: no work is asked of a place longer than the limit after it was
@@ -171,7 +171,7 @@
 			late := entry.At.Sub(since)
 			worst = max(worst, late)
 			if late > limit {
-				finding.Violate(fmt.Sprintf("%s asked %s after %s was closed", entry.Inquiry, late, place(entry)))
+				finding.Violate(fmt.Sprintf("%s asked %s after %s was closed", entry.Request, late, place(entry)))
 			}
 		}
 	}
@@ -297,16 +297,16 @@
 	for _, entry := range entries {
 		switch entry.Kind {
 		case Sent:
-			sent[entry.Inquiry]++
+			sent[entry.Request]++
 			routers[entry.Router] = true
 			continue
 		case PrefillAsked, DecodeAsked:
 		default:
 			continue
 		}
-		key := string(entry.Kind) + entry.Inquiry
+		key := string(entry.Kind) + entry.Request
 		asked[key]++
-		isExtra := asked[key] > max(1, sent[entry.Inquiry])
+		isExtra := asked[key] > max(1, sent[entry.Request])
 		if !isExtra && entry.Kind == DecodeAsked {
 			continue
 		}
@@ -480,7 +480,7 @@
 		asked, sent := map[string]bool{}, map[string]int{}
 		editions := map[int]bool{}
 		for _, later := range entries[position:] {
-			sort := fmt.Sprintf("%s at %s, repeatable %v", later.Service, later.District, later.Repeatable)
+			sort := fmt.Sprintf("%s at %s, repeatable %v", later.Service, later.Zone, later.Repeatable)
 			since := later.At.Sub(entry.At)
 			switch later.Kind {
 			case Sent:
@@ -559,7 +559,7 @@
 		}
 		worst = max(worst, took)
 		if took > heldLimit {
-			finding.Violate(fmt.Sprintf("%s was refused (%s) after %s", entry.Inquiry, entry.Cause, entry.Took))
+			finding.Violate(fmt.Sprintf("%s was refused (%s) after %s", entry.Request, entry.Cause, entry.Took))
 		}
 	}
 	finding.late(worst)
--- a/internal/testbed/fleet/entry.go
+++ b/internal/testbed/fleet/entry.go
@@ -10,8 +10,8 @@
 	At         time.Time `json:"at"`
 	Kind       EntryKind `json:"kind"`
 	Server     string    `json:"server,omitempty"`
-	District   string    `json:"district,omitempty"`
-	Inquiry    string    `json:"inquiry,omitempty"`
+	Zone       string    `json:"district,omitempty"`
+	Request    string    `json:"inquiry,omitempty"`
 	Run        int       `json:"run,omitempty"`
 	Handle     string    `json:"handle,omitempty"`
 	Repeatable bool      `json:"repeatable,omitempty"`
@@ -29,7 +29,7 @@
 	Status  int           `json:"status,omitempty"`
 	Asked   int           `json:"asked,omitempty"`
 	Texts   []string      `json:"texts,omitempty"`
-	Pieces  int           `json:"pieces,omitempty"`
+	Chunks  int           `json:"pieces,omitempty"`
 	Took    time.Duration `json:"took,omitempty"`
 	Edition int           `json:"edition,omitempty"`
 	Depth   int           `json:"depth,omitempty"`
@@ -37,4 +37,4 @@
 	Flags   []string      `json:"flags,omitempty"`
 }
 
-func (entry Entry) arrivalName() string { return entry.Inquiry + "@" + strconv.Itoa(entry.Arrival) }
+func (entry Entry) arrivalName() string { return entry.Request + "@" + strconv.Itoa(entry.Arrival) }
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -348,16 +348,16 @@
 }
 
 func loseZone(lifetime context.Context, day *Day) {
-	district := day.Fleet.Deployment.Districts[day.draw(len(day.Fleet.Deployment.Districts))]
-	day.Say("lose %s", district)
+	zone := day.Fleet.Deployment.Zones[day.draw(len(day.Fleet.Deployment.Zones))]
+	day.Say("lose %s", zone)
 	var nodes []*NodeProcess
 	for _, node := range day.running("") {
-		if node.Node.District == district {
+		if node.Node.Zone == zone {
 			node.Kill()
 			nodes = append(nodes, node)
 		}
 	}
-	names := day.Fleet.ServersOf(district)
+	names := day.Fleet.ServersOf(zone)
 	for _, name := range names {
 		day.Fleet.Server(name).Crash()
 	}
@@ -409,7 +409,7 @@
 func leaveServer(lifetime context.Context, day *Day) {
 	name := day.anyServer()
 	server := day.Fleet.Server(name)
-	listed := membership.Server{Name: name, Address: server.Address(), District: server.plan.District, Leaving: true}
+	listed := membership.Server{Name: name, Address: server.Address(), Zone: server.plan.Zone, Leaving: true}
 	switch day.draw(3) {
 	case 0:
 		day.Say("%s leaves by the list", name)
@@ -529,21 +529,21 @@
 
 func evacuate(count int) func(context.Context, *Day) {
 	return func(lifetime context.Context, day *Day) {
-		districts := day.Fleet.Deployment.Districts
-		first := day.draw(len(districts))
+		zones := day.Fleet.Deployment.Zones
+		first := day.draw(len(zones))
 		var evacuating sync.WaitGroup
 		for number := range count {
-			district := districts[(first+number)%len(districts)]
+			zone := zones[(first+number)%len(zones)]
 			evacuating.Go(func() {
 				node := day.anyController()
-				accepted := node != nil && day.Operators.Evacuate(node, district)
-				day.Say("evacuate %s: %v", district, accepted)
+				accepted := node != nil && day.Operators.Evacuate(node, zone)
+				day.Say("evacuate %s: %v", zone, accepted)
 			})
 		}
 		evacuating.Wait()
 		pauseFor(lifetime, 6500*time.Millisecond)
 		for number := range count {
-			district := districts[(first+number)%len(districts)]
+			district := zones[(first+number)%len(zones)]
 			Await(10*time.Second, func() bool {
 				node := day.anyController()
 				return node != nil && day.Operators.Restore(node, district)
@@ -628,7 +628,7 @@
 			comma = ""
 		}
 		_, _ = fmt.Fprintf(&many, `%s"many-%d":{"order":5,"match":{"service":"%s","origin":"nobody-%d"},"to":{"districts":["%s"]}}`,
-			comma, number, day.Fleet.Deployment.Short.Service, number, day.Fleet.Deployment.Districts[number%3])
+			comma, number, day.Fleet.Deployment.Short.Service, number, day.Fleet.Deployment.Zones[number%3])
 		_, _ = fmt.Fprintf(&none, `%s"many-%d":null`, comma, number)
 	}
 	for _, routes := range []string{many.String(), none.String()} {
@@ -694,7 +694,7 @@
 		old.Kill()
 		_ = old.WipeDisk()
 		day.Fleet.Platform.UnlistNode(old.Node.Name)
-		fresh := day.Fleet.AddNode(membership.Controller, fmt.Sprintf("expediter-%d", 11+number), addresses[0], old.Node.District, seeds)
+		fresh := day.Fleet.AddNode(membership.Controller, fmt.Sprintf("expediter-%d", 11+number), addresses[0], old.Node.Zone, seeds)
 		fresh.staged = old.staged
 		day.begin(fresh)
 		day.Say("%s gives way to %s: whole again %v", old.Node.Name, fresh.Node.Name, Await(25*time.Second, day.Fleet.CoreIsWhole))
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -44,8 +44,8 @@
 	}
 	fleet := &Fleet{Deployment: deployment, Book: book, Platform: platform, folder: folder, binaries: binaries, extra: extra, plans: map[string]ServerPlan{}}
 	for position := range deployment.Servers {
-		district := deployment.Districts[position%len(deployment.Districts)]
-		if _, err := fleet.AddServer(DefaultPlan("stove-"+strconv.Itoa(position+1), district)); err != nil {
+		zone := deployment.Zones[position%len(deployment.Zones)]
+		if _, err := fleet.AddServer(DefaultPlan("stove-"+strconv.Itoa(position+1), zone)); err != nil {
 			return nil, err
 		}
 	}
@@ -59,7 +59,7 @@
 		if position >= 3 {
 			kind, name = membership.Router, "courier-"+strconv.Itoa(position-2)
 		}
-		district := deployment.Districts[position%len(deployment.Districts)]
+		district := deployment.Zones[position%len(deployment.Zones)]
 		fleet.AddNode(kind, name, address, district, seeds)
 	}
 	return fleet, nil
@@ -94,14 +94,14 @@
 	fleet.standIns = append(fleet.standIns, standIn)
 	fleet.plans[plan.Name] = plan
 	fleet.mutex.Unlock()
-	fleet.Platform.ListServer(membership.Server{Name: plan.Name, Address: standIn.Address(), District: plan.District})
+	fleet.Platform.ListServer(membership.Server{Name: plan.Name, Address: standIn.Address(), Zone: plan.Zone})
 	return standIn, nil
 }
 
 // AddNode lays out a node and lists it with the platform; it does not start it.
-func (fleet *Fleet) AddNode(kind membership.NodeKind, name, address, district string, seeds []string) *NodeProcess {
-	node := &NodeProcess{Node: membership.Node{Name: name, Kind: kind, Address: address, District: district}, folder: fleet.folder,
-		binary: Program(fleet.binaries, kind), settings: map[string]any{"name": name, "address": address, "district": district,
+func (fleet *Fleet) AddNode(kind membership.NodeKind, name, address, zone string, seeds []string) *NodeProcess {
+	node := &NodeProcess{Node: membership.Node{Name: name, Kind: kind, Address: address, Zone: zone}, folder: fleet.folder,
+		binary: Program(fleet.binaries, kind), settings: map[string]any{"name": name, "address": address, "district": zone,
 			"seeds": seeds, "platform": fleet.Platform.Address()}}
 	for setting, value := range fleet.extra {
 		if setting == "market" && kind != membership.Router {
@@ -270,12 +270,12 @@
 }
 
 // ServersOf lists the stand-in servers of a district.
-func (fleet *Fleet) ServersOf(district string) []string {
+func (fleet *Fleet) ServersOf(zone string) []string {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	var names []string
 	for _, standIn := range fleet.standIns {
-		if standIn.plan.District == district {
+		if standIn.plan.Zone == zone {
 			names = append(names, standIn.plan.Name)
 		}
 	}
@@ -315,12 +315,12 @@
 func (fleet *Fleet) Describe() string {
 	text := fmt.Sprintf("deployment %s in %s\nplatform   %s\n", fleet.Deployment.Name, fleet.folder, fleet.Platform.Address())
 	for _, node := range fleet.Nodes() {
-		text += fmt.Sprintf("%-12s %s  district %s\n", node.Node.Name, node.Node.Address, node.Node.District)
+		text += fmt.Sprintf("%-12s %s  district %s\n", node.Node.Name, node.Node.Address, node.Node.Zone)
 	}
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	for _, standIn := range fleet.standIns {
-		text += fmt.Sprintf("%-12s %s  district %s\n", standIn.plan.Name, standIn.Address(), standIn.plan.District)
+		text += fmt.Sprintf("%-12s %s  district %s\n", standIn.plan.Name, standIn.Address(), standIn.plan.Zone)
 	}
 	return text
 }
--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -114,11 +114,11 @@
 }
 
 // Evacuate evacuates a district and notes the moment of acceptance.
-func (operators *Operators) Evacuate(node *NodeProcess, district string) bool {
-	operators.fleet.Book.Note(Entry{Kind: EvacuationAsked, District: district})
-	answer, err := operators.Call(node, http.MethodPost, "/v1/evacuations/"+url.PathEscape(district), nil, `{"reason":"rehearsal"}`)
+func (operators *Operators) Evacuate(node *NodeProcess, zone string) bool {
+	operators.fleet.Book.Note(Entry{Kind: EvacuationAsked, Zone: zone})
+	answer, err := operators.Call(node, http.MethodPost, "/v1/evacuations/"+url.PathEscape(zone), nil, `{"reason":"rehearsal"}`)
 	if err == nil && answer.Outcome == "accepted" {
-		operators.fleet.Book.Note(Entry{Kind: Evacuated, District: district})
+		operators.fleet.Book.Note(Entry{Kind: Evacuated, Zone: zone})
 		return true
 	}
 	return false
@@ -126,9 +126,9 @@
 
 // Restore lifts an evacuation; the asking is noted, since it may take effect
 // before it is answered.
-func (operators *Operators) Restore(node *NodeProcess, district string) bool {
-	operators.fleet.Book.Note(Entry{Kind: RestoreAsked, District: district})
-	answer, err := operators.Call(node, http.MethodDelete, "/v1/evacuations/"+url.PathEscape(district), nil, "")
+func (operators *Operators) Restore(node *NodeProcess, zone string) bool {
+	operators.fleet.Book.Note(Entry{Kind: RestoreAsked, Zone: zone})
+	answer, err := operators.Call(node, http.MethodDelete, "/v1/evacuations/"+url.PathEscape(zone), nil, "")
 	return err == nil && answer.Outcome == "accepted"
 }
 
--- a/internal/testbed/fleet/relay.go
+++ b/internal/testbed/fleet/relay.go
@@ -14,12 +14,12 @@
 	target   string
 	listener net.Listener
 
-	mutex     sync.Mutex
-	dark      bool
-	delay     time.Duration
-	duplicate bool
-	circuits  map[net.Conn]bool
-	changed   *sync.Cond
+	mutex       sync.Mutex
+	dark        bool
+	delay       time.Duration
+	duplicate   bool
+	connections map[net.Conn]bool
+	changed     *sync.Cond
 }
 
 // StartRelay begins a relay towards an address.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	relay := &Relay{target: target, listener: listener, circuits: map[net.Conn]bool{}}
+	relay := &Relay{target: target, listener: listener, connections: map[net.Conn]bool{}}
 	relay.changed = sync.NewCond(&relay.mutex)
 	go relay.accept()
 	return relay, nil
@@ -63,8 +63,8 @@
 func (relay *Relay) Drop() {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	for circuit := range relay.circuits {
-		_ = circuit.Close()
+	for connection := range relay.connections {
+		_ = connection.Close()
 	}
 }
 
@@ -115,15 +115,15 @@
 	both.Wait()
 }
 
-func (relay *Relay) keep(circuit net.Conn, open bool) {
+func (relay *Relay) keep(connection net.Conn, open bool) {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	if open {
-		relay.circuits[circuit] = true
+		relay.connections[connection] = true
 		return
 	}
-	delete(relay.circuits, circuit)
-	_ = circuit.Close()
+	delete(relay.connections, connection)
+	_ = connection.Close()
 }
 
 // pass waits while the link is dark, and for its delay.
@@ -147,8 +147,8 @@
 		count, err := from.Read(chunk)
 		if count > 0 {
 			relay.pass()
-			for _, circuit := range to {
-				if _, err := circuit.Write(chunk[:count]); err != nil && circuit == to[0] {
+			for _, connection := range to {
+				if _, err := connection.Write(chunk[:count]); err != nil && connection == to[0] {
 					return
 				}
 			}
--- a/internal/testbed/fleet/serverplan.go
+++ b/internal/testbed/fleet/serverplan.go
@@ -5,11 +5,11 @@
 // ServerPlan is how a stand-in server behaves.
 type ServerPlan struct {
 	Name        string
-	District    string
+	Zone        string
 	PrefillRate int
 	PrefillRoom int
 	DecodeSlots int
-	PieceTime   time.Duration
+	ChunkTime   time.Duration
 	Memory      int
 	LinkRate    int
 	HandleLife  time.Duration
@@ -18,7 +18,7 @@
 }
 
 // DefaultPlan is a server of middling speed.
-func DefaultPlan(name, district string) ServerPlan {
-	return ServerPlan{Name: name, District: district, PrefillRate: 20_000, PrefillRoom: 12, DecodeSlots: 16, PieceTime: 8 * time.Millisecond,
+func DefaultPlan(name, zone string) ServerPlan {
+	return ServerPlan{Name: name, Zone: zone, PrefillRate: 20_000, PrefillRoom: 12, DecodeSlots: 16, ChunkTime: 8 * time.Millisecond,
 		Memory: 200_000, LinkRate: 400_000, HandleLife: 5 * time.Second, ColdTime: 4 * time.Second, Prefixes: 8}
 }
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -42,20 +42,20 @@
 	standIn.Stovetop = NewStovetop(plan, book, standIn.turns, uuid.NewString, standIn.fetchMemory)
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { say(writer, http.StatusOK, standIn.Load()) })
-	mux.HandleFunc(pat.Post("/v1/prefill"), takes(standIn, func(circuit *Circuit, order modelserver.PrefillOrder, writer http.ResponseWriter) {
-		status, content := standIn.Prefill(circuit, order)
+	mux.HandleFunc(pat.Post("/v1/prefill"), takes(standIn, func(connection *Connection, order modelserver.PrefillOrder, writer http.ResponseWriter) {
+		status, content := standIn.Prefill(connection, order)
 		say(writer, status, content)
 	}))
 	mux.HandleFunc(pat.Post("/v1/decode"), takes(standIn, standIn.decode))
-	mux.HandleFunc(pat.Post("/v1/memory"), takes(standIn, func(_ *Circuit, question MemoryQuestion, writer http.ResponseWriter) {
+	mux.HandleFunc(pat.Post("/v1/memory"), takes(standIn, func(_ *Connection, question MemoryQuestion, writer http.ResponseWriter) {
 		status, content := standIn.GiveMemory(question)
 		say(writer, status, content)
 	}))
-	mux.HandleFunc(pat.Post("/v1/cancel"), takes(standIn, func(_ *Circuit, order modelserver.CancelOrder, writer http.ResponseWriter) {
+	mux.HandleFunc(pat.Post("/v1/cancel"), takes(standIn, func(_ *Connection, order modelserver.CancelOrder, writer http.ResponseWriter) {
 		standIn.Cancel(order)
 		say(writer, http.StatusOK, map[string]bool{"cancelled": true})
 	}))
-	mux.HandleFunc(pat.Post("/v1/part"), takes(standIn, func(_ *Circuit, order modelserver.PartOrder, writer http.ResponseWriter) {
+	mux.HandleFunc(pat.Post("/v1/part"), takes(standIn, func(_ *Connection, order modelserver.PartOrder, writer http.ResponseWriter) {
 		status, content := standIn.TakePart(order)
 		say(writer, status, content)
 	}))
@@ -65,7 +65,7 @@
 }
 
 // takes reads an order whole before anything is done for it.
-func takes[Order any](standIn *StandIn, act func(circuit *Circuit, order Order, writer http.ResponseWriter)) http.HandlerFunc {
+func takes[Order any](standIn *StandIn, act func(connection *Connection, order Order, writer http.ResponseWriter)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
 		var order Order
 		content, err := io.ReadAll(inbound.Body)
@@ -73,10 +73,10 @@
 			say(writer, http.StatusBadRequest, Refusal{Type: "malformed"})
 			return
 		}
-		circuit := NewCircuit(standIn.turns)
-		stop := context.AfterFunc(inbound.Context(), circuit.Close)
+		conn := NewConnection(standIn.turns)
+		stop := context.AfterFunc(inbound.Context(), conn.Close)
 		defer stop()
-		act(circuit, order, writer)
+		act(conn, order, writer)
 	}
 }
 
@@ -123,11 +123,11 @@
 	}
 }
 
-func (standIn *StandIn) decode(circuit *Circuit, order modelserver.DecodeOrder, writer http.ResponseWriter) {
+func (standIn *StandIn) decode(connection *Connection, order modelserver.DecodeOrder, writer http.ResponseWriter) {
 	flusher := http.NewResponseController(writer)
 	encoder := json.NewEncoder(writer)
-	status, content := standIn.Decode(circuit, order, func(line modelserver.StreamLine) error {
-		if line.Piece == 1 {
+	status, content := standIn.Decode(connection, order, func(line modelserver.StreamLine) error {
+		if line.Chunk == 1 {
 			writer.Header().Set("Content-Type", "application/jsonl")
 		}
 		if err := encoder.Encode(line); err != nil {
@@ -142,7 +142,7 @@
 
 // fetchMemory takes a prompt's memory over from the server that read the
 // prompt.
-func (standIn *StandIn) fetchMemory(_ *Circuit, address string, question MemoryQuestion) (MemoryAnswer, int) {
+func (standIn *StandIn) fetchMemory(_ *Connection, address string, question MemoryQuestion) (MemoryAnswer, int) {
 	body, err := json.Marshal(question)
 	if err != nil {
 		return MemoryAnswer{}, http.StatusBadRequest
--- a/internal/testbed/fleet/stovetop.go
+++ b/internal/testbed/fleet/stovetop.go
@@ -37,13 +37,13 @@
 	handles     map[string]*promptMemory
 	prefixes    map[string]int
 	prefixOrder []string
-	runs        map[string]*Circuit
+	runs        map[string]*Connection
 	taken       map[string]bool
 	dead        bool
 }
 
 type promptMemory struct {
-	inquiry string
+	request string
 	run     int
 	order   string
 	tokens  int
@@ -51,12 +51,12 @@
 }
 
 // Fetch asks another server for a prompt's memory.
-type Fetch func(circuit *Circuit, address string, question MemoryQuestion) (MemoryAnswer, int)
+type Fetch func(connection *Connection, address string, question MemoryQuestion) (MemoryAnswer, int)
 
 // MemoryQuestion is what a decode server asks a prefill server for.
 type MemoryQuestion struct {
 	Handle  string `json:"handle"`
-	Inquiry string `json:"inquiry"`
+	Request string `json:"inquiry"`
 	Run     int    `json:"run"`
 	Taker   string `json:"taker"`
 }
@@ -75,9 +75,9 @@
 
 // NewStovetop starts a server, cold.
 func NewStovetop(plan ServerPlan, book *Book, turns runtime.Runtime, nonce func() string, fetch Fetch) *Stovetop {
-	book.Note(Entry{Kind: ServerBorn, Server: plan.Name, District: plan.District})
+	book.Note(Entry{Kind: ServerBorn, Server: plan.Name, Zone: plan.Zone})
 	return &Stovetop{plan: plan, book: book, turns: turns, fetch: fetch, nonce: nonce, incarnation: nonce(), free: turns.NewCond(), born: turns.Now(),
-		handles: map[string]*promptMemory{}, prefixes: map[string]int{}, runs: map[string]*Circuit{}, taken: map[string]bool{}, slowLink: 1}
+		handles: map[string]*promptMemory{}, prefixes: map[string]int{}, runs: map[string]*Connection{}, taken: map[string]bool{}, slowLink: 1}
 }
 
 // Die notes the crash, with which all memory is gone.
@@ -85,13 +85,13 @@
 	top.book.Note(Entry{Kind: ServerCrashed, Server: top.plan.Name})
 	top.mutex.Lock()
 	top.dead = true
-	var circuits []*Circuit
-	for _, circuit := range top.runs {
-		circuits = append(circuits, circuit)
+	var connections []*Connection
+	for _, connection := range top.runs {
+		connections = append(connections, connection)
 	}
 	top.mutex.Unlock()
-	for _, circuit := range circuits {
-		circuit.Close()
+	for _, conn := range connections {
+		conn.Close()
 	}
 	top.free.Broadcast()
 }
@@ -168,7 +168,7 @@
 	return modelserver.LoadReport{Server: top.plan.Name, Incarnation: top.incarnation, Part: top.part, Leaving: top.leaving,
 		AgeMilliseconds: int(top.age().Milliseconds()), PrefillQueueTokens: waiting, PrefillRate: top.plan.PrefillRate,
 		PrefillWaiting: len(top.queue), PrefillRoom: top.plan.PrefillRoom, DecodeActive: top.active, DecodeSlots: top.plan.DecodeSlots,
-		PieceTimeMicroseconds: int(top.plan.PieceTime.Microseconds()), MemoryFree: top.plan.Memory - top.memory,
+		ChunkTimeMicroseconds: int(top.plan.ChunkTime.Microseconds()), MemoryFree: top.plan.Memory - top.memory,
 		MemoryTotal: top.plan.Memory, LinkRate: top.plan.LinkRate / top.slowLink, Prefixes: prefixes}
 }
 
@@ -192,19 +192,19 @@
 	return 3 - 2*float64(age)/float64(top.plan.ColdTime)
 }
 
-func (top *Stovetop) note(kind EntryKind, inquiry string, run int) {
-	top.book.Note(Entry{Kind: kind, Server: top.plan.Name, District: top.plan.District, Inquiry: inquiry, Run: run})
+func (top *Stovetop) note(kind EntryKind, request string, run int) {
+	top.book.Note(Entry{Kind: kind, Server: top.plan.Name, Zone: top.plan.Zone, Request: request, Run: run})
 }
 
 // again tells whether an order was had before: a link brought it twice. A
 // server takes an order once, as the protocol asks, and says of the second that
 // it was begun: the first may have been the copy.
-func (top *Stovetop) again(kind, order, inquiry string, run int) bool {
+func (top *Stovetop) again(kind, order, request string, run int) bool {
 	if order == "" {
 		return false
 	}
 	if top.taken[kind+order] {
-		top.note(OrderRepeated, inquiry, run)
+		top.note(OrderRepeated, request, run)
 		return true
 	}
 	top.taken[kind+order] = true
@@ -212,13 +212,13 @@
 }
 
 // Prefill reads a prompt, and answers with its handle or a refusal.
-func (top *Stovetop) Prefill(circuit *Circuit, order modelserver.PrefillOrder) (int, any) {
+func (top *Stovetop) Prefill(connection *Connection, order modelserver.PrefillOrder) (int, any) {
 	top.mutex.Lock()
-	if top.again("prefill", order.Order, order.Inquiry, order.Run) {
+	if top.again("prefill", order.Order, order.Request, order.Run) {
 		top.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
-	top.book.Note(Entry{Kind: PrefillAsked, Server: top.plan.Name, District: top.plan.District, Inquiry: order.Inquiry, Run: order.Run, Depth: len(top.queue), Age: top.age()})
+	top.book.Note(Entry{Kind: PrefillAsked, Server: top.plan.Name, Zone: top.plan.Zone, Request: order.Request, Run: order.Run, Depth: len(top.queue), Age: top.age()})
 	top.sweepHandles()
 	refusal, status := "", http.StatusTooManyRequests
 	switch {
@@ -236,27 +236,27 @@
 	top.memory += order.PromptTokens
 	uncached := order.PromptTokens - min(order.PrefixTokens, top.prefixes[order.Prefix])
 	top.queue = append(top.queue, uncached)
-	top.note(PrefillStarted, order.Inquiry, order.Run)
-	key := runName(order.Inquiry, order.Run, order.Order)
-	top.runs[key] = circuit
+	top.note(PrefillStarted, order.Request, order.Run)
+	key := runName(order.Request, order.Run, order.Order)
+	top.runs[key] = connection
 	top.mutex.Unlock()
 	mine := false
 	finished := false
-	for !top.Dead() && !mine && !circuit.Closed() {
+	for !top.Dead() && !mine && !connection.Closed() {
 		top.free.Wait(time.Second, func() bool {
 			top.mutex.Lock()
 			defer top.mutex.Unlock()
 			if !top.reading && !top.dead {
 				top.reading, mine = true, true
 			}
-			return mine || top.dead || circuit.Closed()
+			return mine || top.dead || connection.Closed()
 		})
 	}
 	if mine {
 		top.mutex.Lock()
 		cost := time.Duration(float64(uncached) / float64(top.plan.PrefillRate) * top.cold() * float64(time.Second))
 		top.mutex.Unlock()
-		finished = circuit.Pause(cost)
+		finished = connection.Pause(cost)
 	}
 	top.mutex.Lock()
 	defer top.free.Broadcast()
@@ -274,8 +274,8 @@
 		top.cache(order.Prefix, order.PrefixTokens)
 	}
 	handle := top.nonce()
-	top.handles[handle] = &promptMemory{inquiry: order.Inquiry, run: order.Run, order: order.Order, tokens: order.PromptTokens, lapses: top.turns.Now().Add(top.plan.HandleLife)}
-	return http.StatusOK, modelserver.PrefillAnswer{Inquiry: order.Inquiry, Run: order.Run, Handle: handle}
+	top.handles[handle] = &promptMemory{request: order.Request, run: order.Run, order: order.Order, tokens: order.PromptTokens, lapses: top.turns.Now().Add(top.plan.HandleLife)}
+	return http.StatusOK, modelserver.PrefillAnswer{Request: order.Request, Run: order.Run, Handle: handle}
 }
 
 func removeOne(queue []int, tokens int) []int {
@@ -302,8 +302,8 @@
 	}
 }
 
-func runName(inquiry string, run int, order string) string {
-	return inquiry + "#" + strconv.Itoa(run) + "#" + order
+func runName(request string, run int, order string) string {
+	return request + "#" + strconv.Itoa(run) + "#" + order
 }
 
 // GiveMemory hands a prompt's memory over, once and to its own inquiry and run.
@@ -312,32 +312,32 @@
 	defer top.mutex.Unlock()
 	top.sweepHandles()
 	held, found := top.handles[question.Handle]
-	if !found || held.inquiry != question.Inquiry || held.run != question.Run {
-		top.book.Note(Entry{Kind: MemoryRefused, Server: top.plan.Name, Inquiry: question.Inquiry, Run: question.Run, Handle: question.Handle, Holder: question.Taker})
+	if !found || held.request != question.Request || held.run != question.Run {
+		top.book.Note(Entry{Kind: MemoryRefused, Server: top.plan.Name, Request: question.Request, Run: question.Run, Handle: question.Handle, Holder: question.Taker})
 		return http.StatusConflict, Refusal{Type: "handle_lapsed"}
 	}
 	delete(top.handles, question.Handle)
 	top.memory -= held.tokens
-	top.book.Note(Entry{Kind: MemoryTaken, Server: top.plan.Name, Inquiry: held.inquiry, Run: held.run, Handle: question.Handle, Holder: question.Taker})
+	top.book.Note(Entry{Kind: MemoryTaken, Server: top.plan.Name, Request: held.request, Run: held.run, Handle: question.Handle, Holder: question.Taker})
 	return http.StatusOK, MemoryAnswer{Tokens: held.tokens, LinkRate: top.plan.LinkRate / top.slowLink}
 }
 
 // Decode takes a prompt's memory up and answers, line by line; with another
 // status than 200 there is a refusal and no line.
-func (top *Stovetop) Decode(circuit *Circuit, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) (int, any) {
+func (top *Stovetop) Decode(connection *Connection, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) (int, any) {
 	top.mutex.Lock()
-	if top.again("decode", order.Order, order.Inquiry, order.Run) {
+	if top.again("decode", order.Order, order.Request, order.Run) {
 		top.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
-	top.book.Note(Entry{Kind: DecodeAsked, Server: top.plan.Name, District: top.plan.District, Inquiry: order.Inquiry, Run: order.Run, Depth: top.active, Age: top.age()})
+	top.book.Note(Entry{Kind: DecodeAsked, Server: top.plan.Name, Zone: top.plan.Zone, Request: order.Request, Run: order.Run, Depth: top.active, Age: top.age()})
 	refusal, status := "", http.StatusTooManyRequests
 	switch {
 	case top.part != "decode":
 		refusal, status = "wrong_part", http.StatusServiceUnavailable
 	case top.active >= 2*top.plan.DecodeSlots:
 		refusal = "slots_full"
-	case top.memory+order.Pieces > top.plan.Memory:
+	case top.memory+order.Chunks > top.plan.Memory:
 		refusal = "memory_full"
 	}
 	if refusal != "" {
@@ -345,8 +345,8 @@
 		return status, Refusal{Type: refusal}
 	}
 	top.active++
-	key := runName(order.Inquiry, order.Run, order.Order)
-	top.runs[key] = circuit
+	key := runName(order.Request, order.Run, order.Order)
+	top.runs[key] = connection
 	top.mutex.Unlock()
 	held := 0
 	defer func() {
@@ -356,7 +356,7 @@
 		top.memory -= held
 		delete(top.runs, key)
 	}()
-	given, status := top.fetch(circuit, order.Source, MemoryQuestion{Handle: order.Handle, Inquiry: order.Inquiry, Run: order.Run, Taker: top.plan.Name})
+	given, status := top.fetch(connection, order.Source, MemoryQuestion{Handle: order.Handle, Request: order.Request, Run: order.Run, Taker: top.plan.Name})
 	switch {
 	case status == http.StatusConflict:
 		return status, Refusal{Type: "handle_lapsed"}
@@ -364,56 +364,56 @@
 		return http.StatusBadGateway, Refusal{Started: true, Type: "source_lost"}
 	}
 	top.mutex.Lock()
-	held = given.Tokens + order.Pieces
+	held = given.Tokens + order.Chunks
 	top.memory += held
 	rate := min(given.LinkRate, top.plan.LinkRate/top.slowLink)
 	top.mutex.Unlock()
-	top.note(DecodeStarted, order.Inquiry, order.Run)
-	if !circuit.Pause(time.Duration(float64(given.Tokens) / float64(max(rate, 1)) * float64(time.Second))) {
+	top.note(DecodeStarted, order.Request, order.Run)
+	if !connection.Pause(time.Duration(float64(given.Tokens) / float64(max(rate, 1)) * float64(time.Second))) {
 		return http.StatusGone, Refusal{Started: true, Type: "cancelled"}
 	}
-	top.stream(circuit, order, send)
+	top.stream(connection, order, send)
 	return http.StatusOK, nil
 }
 
-// PieceText is the text of one piece, by which its reader can tell whose it is
+// ChunkText is the text of one piece, by which its reader can tell whose it is
 // and which run made it.
-func PieceText(inquiry, run string, piece int) string {
-	return inquiry + "/" + run + "/" + strconv.Itoa(piece)
+func ChunkText(request, run string, chunk int) string {
+	return request + "/" + run + "/" + strconv.Itoa(chunk)
 }
 
-func (top *Stovetop) stream(circuit *Circuit, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) {
+func (top *Stovetop) stream(connection *Connection, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) {
 	run := strconv.Itoa(order.Run) + order.Order
-	for piece := 1; piece <= order.Pieces; piece++ {
+	for chunk := 1; chunk <= order.Chunks; chunk++ {
 		top.mutex.Lock()
 		crowd := max(1, float64(top.active)/float64(top.plan.DecodeSlots))
-		length := time.Duration(float64(top.plan.PieceTime) * crowd * (0.5 + top.cold()/2))
+		length := time.Duration(float64(top.plan.ChunkTime) * crowd * (0.5 + top.cold()/2))
 		top.mutex.Unlock()
-		for top.Dark() && circuit.Pause(time.Second) {
+		for top.Dark() && connection.Pause(time.Second) {
 		}
-		if !circuit.Pause(length) {
+		if !connection.Pause(length) {
 			return
 		}
-		if send(modelserver.StreamLine{Inquiry: order.Inquiry, Run: order.Run, Piece: piece, Text: PieceText(order.Inquiry, run, piece)}) != nil {
+		if send(modelserver.StreamLine{Request: order.Request, Run: order.Run, Chunk: chunk, Text: ChunkText(order.Request, run, chunk)}) != nil {
 			return
 		}
 	}
-	_ = send(modelserver.StreamLine{Inquiry: order.Inquiry, Run: order.Run, Done: true, Pieces: order.Pieces})
+	_ = send(modelserver.StreamLine{Request: order.Request, Run: order.Run, Done: true, Chunks: order.Chunks})
 }
 
 // Cancel stops a run and lets go of its memory.
 func (top *Stovetop) Cancel(order modelserver.CancelOrder) {
 	top.mutex.Lock()
-	circuit := top.runs[runName(order.Inquiry, order.Run, order.Order)]
+	connection := top.runs[runName(order.Request, order.Run, order.Order)]
 	for name, held := range top.handles {
-		if held.inquiry == order.Inquiry && held.run == order.Run {
+		if held.request == order.Request && held.run == order.Run {
 			delete(top.handles, name)
 			top.memory -= held.tokens
 		}
 	}
 	top.mutex.Unlock()
-	if circuit != nil {
-		circuit.Close()
+	if connection != nil {
+		connection.Close()
 	}
 }
 
--- a/internal/testbed/fleet/upgrade_test.go
+++ b/internal/testbed/fleet/upgrade_test.go
@@ -108,7 +108,7 @@
 	for _, node := range fleet.Controllers {
 		seeds = append(seeds, node.Node.Address)
 	}
-	newcomer := fleet.AddNode("courier", "courier-8", addresses[0], fleet.Deployment.Districts[0], seeds)
+	newcomer := fleet.AddNode("courier", "courier-8", addresses[0], fleet.Deployment.Zones[0], seeds)
 	begin(t, fleet, newcomer, oldRelease)
 	newcomer.Kill()
 	begin(t, fleet, last, nil)
--- a/internal/testbed/replay/circuit.go
+++ b/internal/testbed/replay/circuit.go
@@ -12,7 +12,7 @@
 )
 
 // circuit is a client's connection to a machine. One request at a time uses it.
-type circuit struct {
+type conn struct {
 	net.Conn
 	reader  *bufio.Reader
 	machine string
@@ -21,22 +21,22 @@
 }
 
 // dial connects to a machine; it gets a second to come up.
-func dial(to target) (*circuit, error) {
+func dial(to target) (*conn, error) {
 	connection, err := net.DialTimeout("tcp", to.front, time.Second)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	return &circuit{Conn: connection, reader: bufio.NewReaderSize(connection, 4096), machine: to.machine}, nil
+	return &conn{Conn: connection, reader: bufio.NewReaderSize(connection, 4096), machine: to.machine}, nil
 }
 
 // quiet tells whether nothing came on a resting circuit: stray is true when bytes did.
-func (circuit *circuit) quiet() (open, stray bool) {
-	if circuit.reader.Buffered() > 0 {
+func (connection *conn) quiet() (open, stray bool) {
+	if connection.reader.Buffered() > 0 {
 		return false, true
 	}
-	_ = circuit.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-	_, err := circuit.reader.Peek(1)
-	_ = circuit.SetReadDeadline(time.Time{})
+	_ = connection.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
+	_, err := connection.reader.Peek(1)
+	_ = connection.SetReadDeadline(time.Time{})
 	if err == nil {
 		return false, true
 	}
--- a/internal/testbed/replay/clients.go
+++ b/internal/testbed/replay/clients.go
@@ -29,7 +29,7 @@
 	number int
 	keeps  bool
 	mutex  sync.Mutex
-	rest   []*circuit
+	rest   []*conn
 }
 
 func newClients(book *Book, site Site, balancer *Balancer, seed uint64) *Clients {
@@ -105,14 +105,14 @@
 		if one.left() <= 0 {
 			return
 		}
-		circuit, err := clients.circuit(one, sender, number)
+		connection, err := clients.connection(one, sender, number)
 		var again *try
 		if err != nil {
 			clients.book.Note(Event{Kind: TryEnded, Request: one.id, Class: one.class.Name, Route: one.route, Number: number, Repeatable: one.class.repeats(), Aim: one.class.Aim, Began: one.began, Cause: "no circuit: " + err.Error()})
 			again = &try{one: one, unread: true}
 		} else {
-			again = one.send(circuit, number, behind, clients.book)
-			clients.rest(sender, circuit, again)
+			again = one.send(connection, number, behind, clients.book)
+			clients.rest(sender, connection, again)
 		}
 		if spans := again.event.Spans; len(spans) > 0 && one.class.Resumable {
 			behind = spans[len(spans)-1].To
@@ -150,22 +150,22 @@
 
 // circuit takes up a resting circuit, or opens one to a machine of the client's zone: a
 // hash of the client picks it, and further tries meet other machines.
-func (clients *Clients) circuit(one *request, sender *client, number int) (*circuit, error) {
+func (clients *Clients) connection(one *request, sender *client, number int) (*conn, error) {
 	if number == 0 {
 		for {
-			circuit := sender.take()
-			if circuit == nil {
+			connection := sender.take()
+			if connection == nil {
 				break
 			}
-			open, stray := circuit.quiet()
+			open, stray := connection.quiet()
 			if stray {
-				clients.book.Note(Event{Kind: StrayBytes, Machine: circuit.machine})
+				clients.book.Note(Event{Kind: StrayBytes, Machine: connection.machine})
 			}
 			if open {
-				one.machines[circuit.machine] = true
-				return circuit, nil
+				one.machines[connection.machine] = true
+				return connection, nil
 			}
-			_ = circuit.Close()
+			_ = connection.Close()
 		}
 	}
 	targets := clients.balancer.taking(sender.zone)
@@ -186,30 +186,30 @@
 	return dial(to)
 }
 
-func (sender *client) take() *circuit {
+func (sender *client) take() *conn {
 	sender.mutex.Lock()
 	defer sender.mutex.Unlock()
 	for len(sender.rest) > 0 {
-		circuit := sender.rest[len(sender.rest)-1]
+		connection := sender.rest[len(sender.rest)-1]
 		sender.rest = sender.rest[:len(sender.rest)-1]
-		if time.Now().Before(circuit.rests) {
-			return circuit
+		if time.Now().Before(connection.rests) {
+			return connection
 		}
-		_ = circuit.Close()
+		_ = connection.Close()
 	}
 	return nil
 }
 
 // rest keeps a circuit for the next request, or closes it.
-func (clients *Clients) rest(sender *client, circuit *circuit, last *try) {
+func (clients *Clients) rest(sender *client, connection *conn, last *try) {
 	if !last.keeps || !sender.keeps {
-		_ = circuit.Close()
+		_ = connection.Close()
 		return
 	}
-	_ = circuit.SetDeadline(time.Time{})
+	_ = connection.SetDeadline(time.Time{})
 	sender.mutex.Lock()
 	defer sender.mutex.Unlock()
-	sender.rest = append(sender.rest, circuit)
+	sender.rest = append(sender.rest, connection)
 }
 
 // probe sends a request on a route straight to a machine, to see which configuration is
@@ -221,26 +221,26 @@
 	one := newRequest(class, route, rule, clients.random)
 	clients.mutex.Unlock()
 	one.probe, one.leaves = true, false
-	circuit, err := dial(to)
+	connection, err := dial(to)
 	if err != nil {
 		return
 	}
-	defer func() { _ = circuit.Close() }()
-	one.send(circuit, 0, 0, clients.book)
+	defer func() { _ = connection.Close() }()
+	one.send(connection, 0, 0, clients.book)
 }
 
 // close closes what rests.
 func (clients *Clients) close() {
 	for _, sender := range clients.clients {
 		for {
-			circuit := sender.take()
-			if circuit == nil {
+			connection := sender.take()
+			if connection == nil {
 				break
 			}
-			if _, stray := circuit.quiet(); stray {
-				clients.book.Note(Event{Kind: StrayBytes, Machine: circuit.machine})
+			if _, stray := connection.quiet(); stray {
+				clients.book.Note(Event{Kind: StrayBytes, Machine: connection.machine})
 			}
-			_ = circuit.Close()
+			_ = connection.Close()
 		}
 	}
 }
--- a/internal/testbed/replay/engine.go
+++ b/internal/testbed/replay/engine.go
@@ -141,7 +141,7 @@
 // plan begins a step: how long it takes, and the pieces that are read in it.
 func (engine *engine) plan(now time.Time) (time.Duration, map[*work]int) {
 	engine.admit(now)
-	length, chunk, pieces, others := engine.shape.Step, engine.shape.Chunk, map[*work]int{}, 0
+	length, chunk, chunks, others := engine.shape.Step, engine.shape.Chunk, map[*work]int{}, 0
 	if engine.readsOwn {
 		chunk /= 4
 	}
@@ -152,15 +152,15 @@
 		}
 		piece := min(one.left, chunk)
 		chunk -= piece
-		pieces[one] = piece
+		chunks[one] = piece
 		length += engine.pace(piece)
 	}
-	return length + time.Duration(others)*engine.shape.StepPerSlot, pieces
+	return length + time.Duration(others)*engine.shape.StepPerSlot, chunks
 }
 
 // apply ends a step: tokens are made, and prompts read to their end begin to be
 // answered. It gives the requests that came further.
-func (engine *engine) apply(now time.Time, pieces map[*work]int) []*work {
+func (engine *engine) apply(now time.Time, chunks map[*work]int) []*work {
 	var further []*work
 	for _, one := range slices.Clone(engine.running) {
 		if !one.ends.IsZero() && now.After(one.ends) {
@@ -172,8 +172,8 @@
 			continue
 		}
 		if one.stage == reading {
-			piece, planned := pieces[one]
-			one.left -= piece
+			chunk, planned := chunks[one]
+			one.left -= chunk
 			if !planned || one.left > 0 {
 				continue
 			}
--- a/internal/testbed/replay/engine_test.go
+++ b/internal/testbed/replay/engine_test.go
@@ -17,9 +17,9 @@
 		if one.stage == over {
 			return now.Sub(began)
 		}
-		length, pieces := engine.plan(now)
+		length, chunks := engine.plan(now)
 		now = now.Add(length)
-		engine.apply(now, pieces)
+		engine.apply(now, chunks)
 	}
 	t.Fatal("the request is never over")
 	return 0
--- a/internal/testbed/replay/exchange.go
+++ b/internal/testbed/replay/exchange.go
@@ -358,16 +358,16 @@
 // answerBadly writes by hand: bytes that are no answer, or a whole answer with another
 // one behind it where the next answer should come.
 func (exchange *exchange) answerBadly(writer http.ResponseWriter, ended *Event) {
-	circuit, buffered, err := http.NewResponseController(writer).Hijack()
+	connection, buffered, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	defer func() { _ = circuit.Close() }()
-	_ = circuit.SetDeadline(time.Now().Add(4 * time.Second))
+	defer func() { _ = connection.Close() }()
+	_ = connection.SetDeadline(time.Now().Add(4 * time.Second))
 	if exchange.spoiling == garbage {
 		ended.Cause = "spoilt"
 		exchange.leave()
-		_, _ = circuit.Write([]byte("\x16\x03\x01 no answer at all\r\n\r\n"))
+		_, _ = connection.Write([]byte("\x16\x03\x01 no answer at all\r\n\r\n"))
 		return
 	}
 	head := http.Header{}
@@ -380,17 +380,17 @@
 		return
 	}
 	write := func() {
-		_, _ = circuit.Write([]byte("HTTP/1.1 200 OK\r\n"))
-		_ = head.Write(circuit)
-		_, _ = circuit.Write([]byte("\r\n"))
-		body := httputil.NewChunkedWriter(circuit)
+		_, _ = connection.Write([]byte("HTTP/1.1 200 OK\r\n"))
+		_ = head.Write(connection)
+		_, _ = connection.Write([]byte("\r\n"))
+		body := httputil.NewChunkedWriter(connection)
 		if exchange.server.shape.Plain > 0 {
 			_, _ = body.Write([]byte(exchange.wholeText(made)))
 		} else {
 			_, _ = body.Write([]byte(exchange.spanText(exchange.behind+1, made)))
 		}
 		_ = body.Close()
-		_, _ = circuit.Write([]byte("\r\n"))
+		_, _ = connection.Write([]byte("\r\n"))
 	}
 	write()
 	ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, made
@@ -404,7 +404,7 @@
 	exchange.server.pool.book.Note(Event{Kind: Arrived, Server: exchange.server.ID, Service: exchange.server.Service, Zone: exchange.server.Zone, Try: next.Header.Get(headerTry),
 		Stage: stageOf(next.Header), Cause: "its answer was another's"})
 	write()
-	_ = circuit.SetDeadline(time.Now().Add(time.Second))
+	_ = connection.SetDeadline(time.Now().Add(time.Second))
 	_, _ = io.Copy(io.Discard, buffered)
 }
 
--- a/internal/testbed/replay/modelserver.go
+++ b/internal/testbed/replay/modelserver.go
@@ -47,12 +47,12 @@
 	arrivals  []time.Time
 	handles   map[string]*handle
 	// linkFree is when the link has ended its last move.
-	linkFree time.Time
-	circuits int
-	answers  int
-	report   reportPage
-	reported time.Time
-	before   reportPage
+	linkFree    time.Time
+	connections int
+	answers     int
+	report      reportPage
+	reported    time.Time
+	before      reportPage
 }
 
 // handle is a read prompt's memory that waits to be taken.
@@ -109,33 +109,33 @@
 		mux.HandleFunc(pat.Delete(pathHandle+":handle"), server.freeHandle)
 	}
 	mux.HandleFunc(pat.New("/*"), server.serve)
-	server.server = &http.Server{Handler: server.shade(mux), IdleTimeout: service.Engine.Idle, BaseContext: func(net.Listener) context.Context { return server.lifetime }, ConnState: server.countCircuits}
+	server.server = &http.Server{Handler: server.shade(mux), IdleTimeout: service.Engine.Idle, BaseContext: func(net.Listener) context.Context { return server.lifetime }, ConnState: server.countConnections}
 	pool.book.Note(Event{Kind: ServerBorn, Server: server.ID, Service: server.Service, Zone: zone, Cold: cold})
 	go func() { _ = server.server.Serve(listener) }()
 	go server.work()
 	return server, nil
 }
 
-// countCircuits resets circuits beyond those that the server takes.
-func (server *modelServer) countCircuits(circuit net.Conn, state http.ConnState) {
+// countConnections resets circuits beyond those that the server takes.
+func (server *modelServer) countConnections(connection net.Conn, state http.ConnState) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	switch state {
 	case http.StateNew:
-		server.circuits++
-		if server.circuits > server.shape.Connections {
-			reset(circuit)
+		server.connections++
+		if server.connections > server.shape.Connections {
+			reset(connection)
 		}
 	case http.StateClosed, http.StateHijacked:
-		server.circuits--
+		server.connections--
 	}
 }
 
-func reset(circuit net.Conn) {
-	if plain, fits := circuit.(*net.TCPConn); fits {
+func reset(connection net.Conn) {
+	if plain, fits := connection.(*net.TCPConn); fits {
 		_ = plain.SetLinger(0)
 	}
-	_ = circuit.Close()
+	_ = connection.Close()
 }
 
 // shade leaves calls without an answer while the server is dark.
@@ -170,14 +170,14 @@
 			server.progress.Wait()
 		}
 		now := time.Now()
-		length, pieces := server.engine.plan(now)
+		length, chunks := server.engine.plan(now)
 		server.mutex.Unlock()
 		if !pause(server.lifetime, length) {
 			return
 		}
 		server.mutex.Lock()
 		if !server.misbehaviour.dark {
-			for _, one := range server.engine.apply(time.Now(), pieces) {
+			for _, one := range server.engine.apply(time.Now(), chunks) {
 				if one.begun && one.started != nil {
 					one.started()
 					one.started = nil
--- a/internal/testbed/replay/try.go
+++ b/internal/testbed/replay/try.go
@@ -29,9 +29,9 @@
 }
 
 // send writes the request to a machine and reads what comes back.
-func (one *request) send(circuit *circuit, number, behind int, book *Book) *try {
+func (one *request) send(connection *conn, number, behind int, book *Book) *try {
 	try := &try{one: one, id: strings.ReplaceAll(uuid.NewString(), "-", "")[:16], number: number, behind: behind}
-	try.event = Event{Kind: TrySent, Machine: circuit.machine, Try: try.id, Request: one.id, Class: one.class.Name, Route: one.route, Number: number,
+	try.event = Event{Kind: TrySent, Machine: connection.machine, Try: try.id, Request: one.id, Class: one.class.Name, Route: one.route, Number: number,
 		Repeatable: one.class.repeats(), Probe: one.probe, Digest: one.digest(), Deadline: one.left(), Aim: one.class.Aim, Began: one.began, Behind: behind, At: time.Now()}
 	outbound, err := http.NewRequest(http.MethodPost, "http://"+one.rule.Host+one.path, bytes.NewReader(one.body))
 	if err != nil {
@@ -49,15 +49,15 @@
 		outbound.ContentLength, outbound.TransferEncoding = -1, []string{"chunked"}
 	}
 	book.Note(try.event)
-	_ = circuit.SetDeadline(one.began.Add(one.class.Deadline))
-	writer := bufio.NewWriterSize(circuit, 32<<10)
+	_ = connection.SetDeadline(one.began.Add(one.class.Deadline))
+	writer := bufio.NewWriterSize(connection, 32<<10)
 	if err := outbound.Write(writer); err != nil {
 		try.ends(err)
 	} else if err := writer.Flush(); err != nil {
 		try.unread = true
 		try.ends(err)
 	} else {
-		try.read(circuit, outbound)
+		try.read(connection, outbound)
 	}
 	ended := try.event
 	ended.Kind, ended.At = TryEnded, time.Now()
@@ -77,17 +77,17 @@
 }
 
 // listen sets how long the client waits for the next bytes.
-func (try *try) listen(circuit *circuit) {
+func (try *try) listen(connection *conn) {
 	ends := time.Now().Add(try.one.patience())
 	if last := try.one.began.Add(try.one.class.Deadline); last.Before(ends) {
 		ends = last
 	}
-	_ = circuit.SetReadDeadline(ends)
+	_ = connection.SetReadDeadline(ends)
 }
 
-func (try *try) read(circuit *circuit, outbound *http.Request) {
-	try.listen(circuit)
-	answer, err := http.ReadResponse(circuit.reader, outbound)
+func (try *try) read(connection *conn, outbound *http.Request) {
+	try.listen(connection)
+	answer, err := http.ReadResponse(connection.reader, outbound)
 	if err != nil {
 		try.ends(err)
 		if strings.Contains(err.Error(), "malformed") {
@@ -106,7 +106,7 @@
 	} else if try.one.class.Plain {
 		err = try.readWhole(answer.Body)
 	} else {
-		err = try.readStream(circuit, answer.Body)
+		err = try.readStream(connection, answer.Body)
 	}
 	if err != nil {
 		try.ends(err)
@@ -114,7 +114,7 @@
 	}
 	try.event.Complete = true
 	try.keeps = !answer.Close
-	circuit.rests = time.Now().Add(restsFor(answer.Header.Get("Keep-Alive")))
+	connection.rests = time.Now().Add(restsFor(answer.Header.Get("Keep-Alive")))
 }
 
 // restsFor is how long a client takes up a resting circuit again.
@@ -148,11 +148,11 @@
 }
 
 // readStream reads events as they come.
-func (try *try) readStream(circuit *circuit, body io.Reader) error {
+func (try *try) readStream(connection *conn, body io.Reader) error {
 	lines := bufio.NewReader(body)
 	span, last := Span{ID: -1}, time.Now()
 	for {
-		try.listen(circuit)
+		try.listen(connection)
 		line, err := lines.ReadString('\n')
 		line = strings.TrimRight(line, "\r\n")
 		switch {
--- a/internal/testbed/simulation/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -23,24 +23,24 @@
 			kind = world.deployment.Long
 		}
 		world.number++
-		district := world.deployment.Districts[world.random.IntN(len(world.deployment.Districts))]
-		question := fleet.Question{ID: world.inquiryID(), Service: kind.Service, Origin: "origin-" + strconv.Itoa(world.number%50), Repeatable: world.random.Float64() >= 0.4,
+		zone := world.deployment.Zones[world.random.IntN(len(world.deployment.Zones))]
+		question := fleet.Question{ID: world.requestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(world.number%50), Repeatable: world.random.Float64() >= 0.4,
 			Limit: 15_000, PromptTokens: kind.LeastTokens + world.random.IntN(kind.MostTokens-kind.LeastTokens),
 			Prefix: kind.Service + "-" + strconv.Itoa(world.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
-			Pieces: kind.LeastPieces + world.random.IntN(kind.MostPieces-kind.LeastPieces)}
-		world.outside.Go(func() { world.caller(question, district) })
+			Chunks: kind.LeastChunks + world.random.IntN(kind.MostChunks-kind.LeastChunks)}
+		world.outside.Go(func() { world.caller(question, zone) })
 	}
 }
 
 // caller sends one inquiry, and perhaps sends it again: it obeys the time to
 // come back, or ignores it, or asks elsewhere after a broken circuit.
-func (world *World) caller(question fleet.Question, district string) {
+func (world *World) caller(question fleet.Question, zone string) {
 	for arrival := range 3 {
-		machine := world.routerFor(district)
+		machine := world.routerFor(zone)
 		if machine == nil {
 			return
 		}
-		reply, retry := world.send(machine, district, question, arrival)
+		reply, retry := world.send(machine, zone, question, arrival)
 		again, pause := world.random.IntN(4), time.Duration(world.random.IntN(300))*time.Millisecond
 		switch {
 		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && again < 2:
@@ -62,12 +62,12 @@
 }
 
 // routerFor is a courier of the district that runs, or any that does.
-func (world *World) routerFor(district string) *machine {
+func (world *World) routerFor(zone string) *machine {
 	var near, any []*machine
 	for _, machine := range world.machines {
 		if machine.kind == membership.Router && machine.life != nil && !machine.life.ended && !machine.gone {
 			any = append(any, machine)
-			if machine.district == district {
+			if machine.zone == zone {
 				near = append(near, machine)
 			}
 		}
@@ -82,7 +82,7 @@
 }
 
 // origin is a caller at the other end of a circuit.
-type origin struct {
+type client struct {
 	world  *World
 	there  *life
 	pipe   *pipe
@@ -91,10 +91,10 @@
 }
 
 // Begin needs nothing: the lines say it all.
-func (origin *origin) Begin(int, int) {}
+func (origin *client) Begin(int, int) {}
 
 // Line sends one line.
-func (origin *origin) Line(line []byte) error {
+func (origin *client) Line(line []byte) error {
 	if origin.left || !origin.pipe.put(string(line)) {
 		return failure.New(failure.Unreachable, "the origin is gone")
 	}
@@ -102,9 +102,9 @@
 }
 
 // WhenLeft notes what the courier does then.
-func (origin *origin) WhenLeft(act func()) { origin.onLeft = append(origin.onLeft, act) }
+func (origin *client) WhenLeft(act func()) { origin.onLeft = append(origin.onLeft, act) }
 
-func (origin *origin) leave() {
+func (origin *client) leave() {
 	origin.left = true
 	for _, act := range origin.onLeft {
 		origin.world.after(0, origin.there, act)
@@ -112,16 +112,16 @@
 }
 
 // send sends one inquiry to a courier and writes its reply down.
-func (world *World) send(machine *machine, district string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
+func (world *World) send(machine *machine, zone string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
 	began := world.now
-	entry := fleet.Entry{Inquiry: question.ID, Router: machine.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Pieces,
-		Arrival: arrival, District: district}
+	entry := fleet.Entry{Request: question.ID, Router: machine.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Chunks,
+		Arrival: arrival, Zone: zone}
 	sent := entry
 	sent.Kind = fleet.Sent
 	world.Book.Note(sent)
 	leavesAt := -1
 	if world.random.IntN(40) == 0 {
-		leavesAt = world.random.IntN(question.Pieces + 1)
+		leavesAt = world.random.IntN(question.Chunks + 1)
 	}
 	retry := world.exchange(machine, question, leavesAt, &entry)
 	entry.Kind, entry.Took = fleet.Replied, world.now-began
@@ -135,7 +135,7 @@
 	body, _ := json.Marshal(question)
 	there, conduct := machine.life, machine.router
 	replies := newPipe(world, machine.name, "outside", world.outside)
-	caller := &origin{world: world, there: there, pipe: replies}
+	caller := &client{world: world, there: there, pipe: replies}
 	world.carry("outside", machine.name, nil, func() {
 		if there.ended {
 			replies.snap()
@@ -145,15 +145,15 @@
 		world.after(0, there, func() {
 			there.Go(func() {
 				defer forget()
-				inquiry, err := hatch.ReadInquiry(there.Now(), body)
+				request, err := hatch.ReadRequest(there.Now(), body)
 				if err != nil {
 					return
 				}
-				if !inquiry.Repeatable {
+				if !request.Repeatable {
 					world.claiming[machine.name]++
 					defer func() { world.claiming[machine.name]-- }()
 				}
-				conduct.Serve(hatch.Arrival{Inquiry: inquiry, Body: body}, caller)
+				conduct.Serve(hatch.Arrival{Request: request, Body: body}, caller)
 			})
 		})
 	})
@@ -180,10 +180,10 @@
 			return 0
 		}
 		if line.Final != "" {
-			entry.Final, entry.Pieces, entry.Cause = string(line.Final), line.Pieces, string(line.Type)
+			entry.Final, entry.Chunks, entry.Cause = string(line.Final), line.Chunks, string(line.Type)
 			return time.Duration(line.RetryAfterSeconds) * time.Second
 		}
-		entry.Texts = append(entry.Texts, strconv.Itoa(line.Piece)+"|"+line.Text)
+		entry.Texts = append(entry.Texts, strconv.Itoa(line.Chunk)+"|"+line.Text)
 	}
 }
 
@@ -192,7 +192,7 @@
 func (world *World) lookAtEdition(machine *machine) {
 	began := world.now
 	entry := fleet.Entry{}
-	question := fleet.Question{ID: "look-" + world.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Pieces: 1}
+	question := fleet.Question{ID: "look-" + world.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Chunks: 1}
 	body, _ := json.Marshal(question)
 	there, conduct := machine.life, machine.router
 	// A restricted courier passes on: what one sees there is another's.
@@ -201,13 +201,13 @@
 	}
 	detail := ""
 	there.Go(func() {
-		inquiry, err := hatch.ReadInquiry(there.Now(), body)
+		request, err := hatch.ReadRequest(there.Now(), body)
 		if err != nil {
 			return
 		}
 		// The moment of asking is that at which the courier takes it up.
 		began = world.now
-		conduct.Serve(hatch.Arrival{Inquiry: inquiry, Body: body}, &looker{take: func(line hatch.ReplyLine) {
+		conduct.Serve(hatch.Arrival{Request: request, Body: body}, &looker{take: func(line hatch.ReplyLine) {
 			if line.Type == failure.RouteRefuses {
 				detail = line.Detail
 			}
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -32,7 +32,7 @@
 type worldCall struct {
 	world      *World
 	call       *scheduler.Call
-	pieces     int
+	chunks     int
 	repeatable bool
 	runs       int
 	// promised tells that the origin was told that the call never runs.
@@ -85,22 +85,22 @@
 func (world *World) originsOfCalls(until time.Duration) {
 	for number := 0; world.now < until; number++ {
 		world.outside.NewCond().Wait(min(time.Second, time.Duration(world.random.ExpFloat64()/20*float64(time.Second))), never)
-		call := &worldCall{world: world, repeatable: world.random.IntN(2) == 0, pieces: 3 + world.random.IntN(40)}
+		call := &worldCall{world: world, repeatable: world.random.IntN(2) == 0, chunks: 3 + world.random.IntN(40)}
 		call.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + world.random.IntN(12_000), OutputTokens: 400,
 			Parts: []scheduler.Part{{ID: 1, Tokens: 50}, {ID: uint64(10 + world.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
 		if call.repeatable {
 			call.call.Path = "/again/x"
 		}
-		district := world.deployment.Districts[world.random.IntN(len(world.deployment.Districts))]
+		zone := world.deployment.Zones[world.random.IntN(len(world.deployment.Zones))]
 		last := world.now > until-5*time.Second
-		world.outside.Go(func() { world.originOfCall(call, district, last) })
+		world.outside.Go(func() { world.clientOfCall(call, zone, last) })
 	}
 }
 
-// originOfCall sends one call to a courier and holds what comes back against what ran.
-func (world *World) originOfCall(call *worldCall, district string, last bool) {
+// clientOfCall sends one call to a courier and holds what comes back against what ran.
+func (world *World) clientOfCall(call *worldCall, zone string, last bool) {
 	tally := world.calls
-	machine := world.routerFor(district)
+	machine := world.routerFor(zone)
 	if machine == nil || machine.calls == nil {
 		return
 	}
@@ -138,14 +138,14 @@
 			return
 		}
 		switch said := message.(type) {
-		case callPieceSent:
+		case callChunkSent:
 			passed++
 			if said.id != call.call.ID || said.number != passed {
 				tally.violate("%s got piece %d of %s in the place of %d", call.call.ID, said.number, said.id, passed)
 			}
 		case callStreamEnd:
-			if passed != call.pieces {
-				tally.violate("%s is complete with %d pieces of %d", call.call.ID, passed, call.pieces)
+			if passed != call.chunks {
+				tally.violate("%s is complete with %d pieces of %d", call.call.ID, passed, call.chunks)
 			}
 			tally.Complete++
 			if last {
@@ -219,8 +219,8 @@
 
 // Read has a server read the prompt.
 func (exchange *callExchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Stovetop, circuit *fleet.Circuit, _ func(any) bool) any {
-		return there.read(top, circuit, exchange.call, decision.Server.Name)
+	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Stovetop, connection *fleet.Connection, _ func(any) bool) any {
+		return there.read(top, connection, exchange.call, decision.Server.Name)
 	})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreached}
@@ -243,8 +243,8 @@
 // Run has a server make the answer and passes it on.
 func (exchange *callExchange) Run(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
 	last := exchange.passed
-	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Stovetop, circuit *fleet.Circuit, send func(any) bool) any {
-		return there.run(top, circuit, exchange.call, decision.Server.Name, decision.Source, last, send)
+	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Stovetop, connection *fleet.Connection, send func(any) bool) any {
+		return there.run(top, connection, exchange.call, decision.Server.Name, decision.Source, last, send)
 	})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreached}
@@ -267,7 +267,7 @@
 			began()
 		}
 		switch said := message.(type) {
-		case callPieceSent:
+		case callChunkSent:
 			exchange.passed = said.number
 			if !exchange.replies.put(said) {
 				outcome.Result = scheduler.Gone
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -30,7 +30,7 @@
 	callReads     = 8
 	callRuns      = 64
 	callTokens    = 50 // read in a millisecond
-	callPiece     = 8 * time.Millisecond
+	callChunk     = 8 * time.Millisecond
 	callHandle    = 5 * time.Second
 	misdirected   = http.StatusMisdirectedRequest
 	callFetchTime = 3 * time.Millisecond
@@ -42,8 +42,8 @@
 // callRead is the answer to a reading.
 type callRead struct{ handle string }
 
-// callPieceSent is one event of a stream, callStreamEnd its end.
-type callPieceSent struct {
+// callChunkSent is one event of a stream, callStreamEnd its end.
+type callChunkSent struct {
 	id     string
 	number int
 }
@@ -51,7 +51,7 @@
 type callStreamEnd struct{}
 
 // read reads a prompt and keeps its memory.
-func (server *callServer) read(top *fleet.Stovetop, circuit *fleet.Circuit, call *worldCall, name string) any {
+func (server *callServer) read(top *fleet.Stovetop, connection *fleet.Connection, call *worldCall, name string) any {
 	switch {
 	case name != server.name || top.Part() != "prefill":
 		return callRefusal{misdirected}
@@ -60,7 +60,7 @@
 	}
 	server.reading++
 	defer func() { server.reading-- }()
-	if !circuit.Pause(time.Duration(call.call.PromptTokens/callTokens) * time.Millisecond) {
+	if !connection.Pause(time.Duration(call.call.PromptTokens/callTokens) * time.Millisecond) {
 		return nil
 	}
 	handle := server.world.nonce()
@@ -69,7 +69,7 @@
 }
 
 // run makes a stream, behind the event that its origin had last.
-func (server *callServer) run(top *fleet.Stovetop, circuit *fleet.Circuit, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
+func (server *callServer) run(top *fleet.Stovetop, connection *fleet.Connection, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
 	switch {
 	case name != server.name || top.Part() != "decode":
 		return callRefusal{misdirected}
@@ -84,7 +84,7 @@
 		if there != nil && !server.world.link(server.name, there.name).cut {
 			memory = there.handles[source.Handle]
 		}
-		if !circuit.Pause(callFetchTime) {
+		if !connection.Pause(callFetchTime) {
 			return nil
 		}
 		if server.world.random.IntN(200) == 0 {
@@ -104,13 +104,13 @@
 		server.world.tempt("a call that began and broke before its first event")
 		return nil
 	}
-	if source == nil && !circuit.Pause(time.Duration(2*call.call.PromptTokens/callTokens)*time.Millisecond) {
+	if source == nil && !connection.Pause(time.Duration(2*call.call.PromptTokens/callTokens)*time.Millisecond) {
 		return nil
 	}
-	for number := last + 1; number <= call.pieces; number++ {
-		for top.Dark() && circuit.Pause(time.Second) {
+	for number := last + 1; number <= call.chunks; number++ {
+		for top.Dark() && connection.Pause(time.Second) {
 		}
-		if !circuit.Pause(callPiece) || !send(callPieceSent{call.call.ID, number}) {
+		if !connection.Pause(callChunk) || !send(callChunkSent{call.call.ID, number}) {
 			return nil
 		}
 	}
@@ -128,7 +128,7 @@
 
 // send sends a call to a server and gives what it answers to the pipe; nil means
 // that certainly nothing went.
-func (exchange *callExchange) send(server membership.Server, serve func(there *callServer, top *fleet.Stovetop, circuit *fleet.Circuit, send func(any) bool) any) *callSending {
+func (exchange *callExchange) send(server membership.Server, serve func(there *callServer, top *fleet.Stovetop, connection *fleet.Connection, send func(any) bool) any) *callSending {
 	world, here := exchange.life.world, exchange.life
 	to := world.nameAt(server.Address)
 	sending := &callSending{replies: newPipe(world, to, here.name, here)}
@@ -139,17 +139,17 @@
 			sending.replies.snap()
 			return
 		}
-		circuit := fleet.NewCircuit(there.life)
+		conn := fleet.NewConnection(there.life)
 		forgetServer := there.life.atEnd(sending.replies.snap)
-		sending.hangUp = func() { world.carry(here.name, to, there.life, circuit.Close) }
+		sending.hangUp = func() { world.carry(here.name, to, there.life, conn.Close) }
 		forgetRouter := here.atEnd(sending.hangUp)
 		there.life.Go(func() {
 			defer forgetRouter()
 			if there.top.Dark() {
-				circuit.Pause(time.Minute)
+				conn.Pause(time.Minute)
 				return
 			}
-			answer := serve(there.calls, there.top, circuit, func(message any) bool { return !sending.quit && sending.replies.put(message) })
+			answer := serve(there.calls, there.top, conn, func(message any) bool { return !sending.quit && sending.replies.put(message) })
 			forgetServer()
 			switch {
 			case answer == nil:
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -168,12 +168,12 @@
 		{"a zone loses its power", 2, func(world *World) time.Duration { return world.loseCoreZone(false) }},
 		{"a zone is lost for good", 2, func(world *World) time.Duration { return world.loseCoreZone(true) }},
 		{"a zone is cut off", 2, func(world *World) time.Duration {
-			zone := world.primary().district
+			zone := world.primary().zone
 			from := world.now
 			world.outside.Go(func() {
 				world.cutFor(func(from, to string) bool {
 					here, there := world.machineNamed(from), world.machineNamed(to)
-					return here != nil && there != nil && (here.district == zone) != (there.district == zone)
+					return here != nil && there != nil && (here.zone == zone) != (there.zone == zone)
 				})
 			})
 			return from
@@ -377,7 +377,7 @@
 			seeds = append(seeds, other.address)
 		}
 	}
-	added := world.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.district, append(seeds, old.address)[:3])
+	added := world.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.zone, append(seeds, old.address)[:3])
 	world.start(added)
 	return added
 }
@@ -462,11 +462,11 @@
 func (world *World) loseCoreZone(disks bool) time.Duration {
 	zone := world.layout.zones()[world.random.IntN(len(world.layout.zones()))]
 	if world.random.IntN(2) == 0 {
-		zone = world.primary().district
+		zone = world.primary().zone
 	}
 	from := world.now
 	for _, machine := range world.nodes(membership.Controller) {
-		if machine.district != zone {
+		if machine.zone != zone {
 			continue
 		}
 		if disks {
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -112,7 +112,7 @@
 			top.SlowLink(1)
 		}},
 		{"an evacuation", 5, func(world *World) {
-			world.evacuate(world.anyDistrict(), time.Duration(2000+world.random.IntN(7000))*time.Millisecond)
+			world.evacuate(world.anyZone(), time.Duration(2000+world.random.IntN(7000))*time.Millisecond)
 		}},
 		{"a race of operators", 3, func(world *World) {
 			for range 3 {
@@ -156,8 +156,8 @@
 	world.outside.NewCond().Wait(time.Duration(least+world.random.IntN(most-least+1))*time.Millisecond, never)
 }
 
-func (world *World) anyDistrict() string {
-	return world.deployment.Districts[world.random.IntN(len(world.deployment.Districts))]
+func (world *World) anyZone() string {
+	return world.deployment.Zones[world.random.IntN(len(world.deployment.Zones))]
 }
 
 func (world *World) nodes(kind membership.NodeKind) []*machine {
@@ -179,10 +179,10 @@
 	return world.plans[world.random.IntN(len(world.plans))].Name
 }
 
-func (world *World) serversOf(district string) []string {
+func (world *World) serversOf(zone string) []string {
 	var names []string
 	for _, plan := range world.plans {
-		if plan.District == district {
+		if plan.Zone == zone {
 			names = append(names, plan.Name)
 		}
 	}
@@ -466,14 +466,14 @@
 }
 
 func loseZone(world *World) {
-	district := world.anyDistrict()
-	world.say("the zone %s is lost", district)
+	zone := world.anyZone()
+	world.say("the zone %s is lost", zone)
 	for _, machine := range world.nodes("") {
-		if machine.district == district {
+		if machine.zone == zone {
 			world.outside.Go(func() { world.powerOffFor(machine, 4000, 7000) })
 		}
 	}
-	for _, name := range world.serversOf(district) {
+	for _, name := range world.serversOf(zone) {
 		world.outside.Go(func() { world.crashFor(name, 4000, 7000) })
 	}
 }
@@ -566,7 +566,7 @@
 		return
 	}
 	number := strconv.Itoa(len(world.machines) + 1)
-	added := world.addMachine(membership.Router, "courier-"+number, "10.0.1."+number+":1", world.anyDistrict(), world.machines[0].seeds)
+	added := world.addMachine(membership.Router, "courier-"+number, "10.0.1."+number+":1", world.anyZone(), world.machines[0].seeds)
 	if world.random.IntN(3) == 0 {
 		added.withheld = features.List{features.PairPrice}
 	}
@@ -590,7 +590,7 @@
 	world.tempt("a core machine replaced")
 	world.powerOff(old.name)
 	old.gone = true
-	added := world.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.district, seeds)
+	added := world.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.zone, seeds)
 	world.start(added)
 }
 
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -121,22 +121,22 @@
 	record(Incident{Name: "a rack of ten nodes and the backup lost"}, func(incident *Incident) {
 		gone := []*machine{world.backup()}
 		for _, machine := range world.nodes(membership.Router) {
-			if machine.district == gone[0].district && len(gone) < 11 {
+			if machine.zone == gone[0].zone && len(gone) < 11 {
 				gone = append(gone, machine)
 			}
 		}
 		world.lose(incident, gone, lost)
 	})
 	record(Incident{Name: "the primary's zone lost"}, func(incident *Incident) {
-		world.lose(incident, world.inZones([]string{world.primary().district}), lost)
+		world.lose(incident, world.inZones([]string{world.primary().zone}), lost)
 	})
 	record(Incident{Name: "a region without the primary apart"}, func(incident *Incident) {
 		world.apart(incident, func(region int) bool {
-			return region == (world.layout.region(world.primary().district)+1)%len(world.layout.Zones)
+			return region == (world.layout.region(world.primary().zone)+1)%len(world.layout.Zones)
 		}, lost)
 	})
 	record(Incident{Name: "the primary's region apart"}, func(incident *Incident) {
-		own := world.layout.region(world.primary().district)
+		own := world.layout.region(world.primary().zone)
 		world.apart(incident, func(region int) bool { return region == own }, lost)
 	})
 	record(Incident{Name: "all regions apart"}, func(incident *Incident) { world.apart(incident, nil, lost) })
@@ -292,7 +292,7 @@
 func (world *World) inZones(zones []string) []*machine {
 	var found []*machine
 	for _, machine := range world.nodes("") {
-		if slices.Contains(zones, machine.district) {
+		if slices.Contains(zones, machine.zone) {
 			found = append(found, machine)
 		}
 	}
@@ -306,7 +306,7 @@
 	var links []*link
 	for _, from := range world.machines {
 		for _, to := range world.machines {
-			here, there := world.layout.region(from.district), world.layout.region(to.district)
+			here, there := world.layout.region(from.zone), world.layout.region(to.zone)
 			if here != there && (cut == nil || cut(here) != cut(there)) {
 				links = append(links, world.link(from.name, to.name))
 			}
@@ -318,7 +318,7 @@
 	if cut != nil {
 		world.run(world.now + 10*time.Millisecond)
 		incident.Led = world.since(began, func() bool {
-			return world.led() && !cut(world.layout.region(world.primary().district)) || world.led() && world.now-began > 5*time.Second
+			return world.led() && !cut(world.layout.region(world.primary().zone)) || world.led() && world.now-began > 5*time.Second
 		})
 		incident.InForce = world.changed(began, world.nowhere("nowhere-"+world.nonce(), 0))
 		incident.InForceMean = incident.InForce
--- a/internal/testbed/simulation/layout.go
+++ b/internal/testbed/simulation/layout.go
@@ -63,7 +63,7 @@
 // NewLaidOut lays out a fleet of several regions.
 func NewLaidOut(layout Layout, seed uint64) *World {
 	zones := layout.zones()
-	world := New(fleet.Deployment{Name: "regions", Districts: zones, Long: fleet.Sahil().Long, Short: fleet.Sahil().Short}, seed)
+	world := New(fleet.Deployment{Name: "regions", Zones: zones, Long: fleet.Sahil().Long, Short: fleet.Sahil().Short}, seed)
 	world.layout = &layout
 	// The deployment without couriers has three expediters; the layout's are others.
 	world.machines, world.byAddress = nil, map[string]string{}
@@ -80,7 +80,7 @@
 	}
 	for position := range layout.Servers {
 		name := "stove-" + strconv.Itoa(position+1)
-		world.platform.servers[name] = membership.Server{Name: name, Address: "10.3." + strconv.Itoa(position/250) + "." + strconv.Itoa(position%250+1) + ":1", District: zones[position%len(zones)]}
+		world.platform.servers[name] = membership.Server{Name: name, Address: "10.3." + strconv.Itoa(position/250) + "." + strconv.Itoa(position%250+1) + ":1", Zone: zones[position%len(zones)]}
 	}
 	return world
 }
@@ -91,7 +91,7 @@
 		return 0
 	}
 	here, there := world.machineNamed(from), world.machineNamed(to)
-	if here == nil || there == nil || world.layout.region(here.district) == world.layout.region(there.district) {
+	if here == nil || there == nil || world.layout.region(here.zone) == world.layout.region(there.zone) {
 		return 0
 	}
 	return world.layout.Between
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -127,29 +127,29 @@
 
 // evacuate closes a district for some time. One operator at a time does so: a
 // restoring that is under way would undo the next closing.
-func (world *World) evacuate(district string, length time.Duration) {
-	if world.evacuating[district] {
+func (world *World) evacuate(zone string, length time.Duration) {
+	if world.evacuating[zone] {
 		return
 	}
-	world.evacuating[district] = true
-	defer delete(world.evacuating, district)
+	world.evacuating[zone] = true
+	defer delete(world.evacuating, zone)
 	under := 0
-	for _, name := range world.serversOf(district) {
+	for _, name := range world.serversOf(zone) {
 		under += world.servers[name].top.Active()
 	}
 	if under > 0 {
 		world.tempt("answers under way at an evacuation")
 	}
-	world.Book.Note(fleet.Entry{Kind: fleet.EvacuationAsked, District: district})
-	outcome := world.edit(hatch.Edit{Change: "evacuate-" + world.nonce(), Digest: district, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, district, "rehearsal") }})
-	world.say("evacuate %s: %s", district, outcome)
+	world.Book.Note(fleet.Entry{Kind: fleet.EvacuationAsked, Zone: zone})
+	outcome := world.edit(hatch.Edit{Change: "evacuate-" + world.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") }})
+	world.say("evacuate %s: %s", zone, outcome)
 	if outcome == "accepted" {
-		world.Book.Note(fleet.Entry{Kind: fleet.Evacuated, District: district})
+		world.Book.Note(fleet.Entry{Kind: fleet.Evacuated, Zone: zone})
 	}
 	world.outside.NewCond().Wait(length, never)
 	for range 40 {
-		world.Book.Note(fleet.Entry{Kind: fleet.RestoreAsked, District: district})
-		if world.edit(hatch.Edit{Change: "restore-" + world.nonce(), Digest: district, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, district) }}) == "accepted" {
+		world.Book.Note(fleet.Entry{Kind: fleet.RestoreAsked, Zone: zone})
+		if world.edit(hatch.Edit{Change: "restore-" + world.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, zone) }}) == "accepted" {
 			return
 		}
 		world.outside.NewCond().Wait(700*time.Millisecond, never)
--- a/internal/testbed/simulation/passing.go
+++ b/internal/testbed/simulation/passing.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/hatch"
 )
 
-func endedHere(*auction.Inquiry, auction.Decision) {}
+func endedHere(*auction.Request, auction.Decision) {}
 
 // passing carries inquiries from one courier to another.
 type passing struct{ life *life }
@@ -50,12 +50,12 @@
 		world.after(0, target, func() {
 			target.Go(func() {
 				defer forget()
-				inquiry, err := hatch.ReadInquiry(target.Now(), body)
+				request, err := hatch.ReadRequest(target.Now(), body)
 				if err != nil {
 					return
 				}
-				reply.Inquiry = inquiry.ID
-				conduct.Serve(hatch.Arrival{Inquiry: inquiry, Body: body, Passage: &passage}, reply)
+				reply.Request = request.ID
+				conduct.Serve(hatch.Arrival{Request: request, Body: body, Passage: &passage}, reply)
 			})
 		})
 	}
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -54,7 +54,7 @@
 
 // order sends one order to a server and returns its exchange, or nil when it
 // certainly did not go.
-func (stoves *stoves) order(decision auction.Decision, may func() bool, serve func(top *fleet.Stovetop, circuit *fleet.Circuit, send func(any) bool) (int, any)) *exchange {
+func (stoves *stoves) order(decision auction.Decision, may func() bool, serve func(top *fleet.Stovetop, connection *fleet.Connection, send func(any) bool) (int, any)) *exchange {
 	world := stoves.life.world
 	stoves.dial()
 	if !may() {
@@ -76,12 +76,12 @@
 			}
 			return
 		}
-		circuit := fleet.NewCircuit(there.life)
+		conn := fleet.NewConnection(there.life)
 		forgetServer := func() {}
 		if first {
 			forgetServer = there.life.atEnd(begun.replies.snap)
 		}
-		hangUp := func() { world.carry(stoves.life.name, to, there.life, circuit.Close) }
+		hangUp := func() { world.carry(stoves.life.name, to, there.life, conn.Close) }
 		if first {
 			begun.hangUp = hangUp
 		}
@@ -89,10 +89,10 @@
 		there.life.Go(func() {
 			defer forgetRouter()
 			if there.top.Dark() {
-				circuit.Pause(time.Minute)
+				conn.Pause(time.Minute)
 				return
 			}
-			status, content := serve(there.top, circuit, func(message any) bool {
+			status, content := serve(there.top, conn, func(message any) bool {
 				if begun.quit {
 					// The courier has closed its side.
 					return false
@@ -147,10 +147,10 @@
 
 // Prefill has a server read a prompt.
 func (stoves *stoves) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
-	inquiry := decision.Inquiry
-	order := modelserver.PrefillOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run, PromptTokens: inquiry.PromptTokens, Prefix: inquiry.Prefix, PrefixTokens: inquiry.PrefixTokens}
-	begun := stoves.order(decision, may, func(top *fleet.Stovetop, circuit *fleet.Circuit, _ func(any) bool) (int, any) {
-		return top.Prefill(circuit, order)
+	request := decision.Request
+	order := modelserver.PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}
+	begun := stoves.order(decision, may, func(top *fleet.Stovetop, connection *fleet.Connection, _ func(any) bool) (int, any) {
+		return top.Prefill(connection, order)
 	})
 	if begun == nil {
 		return auction.NotStarted, "", "nothing was sent"
@@ -167,11 +167,11 @@
 }
 
 // Decode has a server answer.
-func (stoves *stoves) Decode(decision auction.Decision, may func() bool, take func(piece int, text string)) (auction.Outcome, int, string) {
-	inquiry := decision.Inquiry
-	order := modelserver.DecodeOrder{Inquiry: inquiry.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Pieces: inquiry.Pieces}
-	begun := stoves.order(decision, may, func(top *fleet.Stovetop, circuit *fleet.Circuit, send func(any) bool) (int, any) {
-		return top.Decode(circuit, order, func(line modelserver.StreamLine) error {
+func (stoves *stoves) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+	request := decision.Request
+	order := modelserver.DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}
+	begun := stoves.order(decision, may, func(top *fleet.Stovetop, connection *fleet.Connection, send func(any) bool) (int, any) {
+		return top.Decode(connection, order, func(line modelserver.StreamLine) error {
 			if !send(line) {
 				return failure.New(failure.Unreachable, "the courier is gone")
 			}
@@ -189,9 +189,9 @@
 		switch said := message.(type) {
 		case modelserver.StreamLine:
 			if said.Done {
-				return auction.Done, said.Pieces, ""
+				return auction.Done, said.Chunks, ""
 			}
-			take(said.Piece, said.Text)
+			take(said.Chunk, said.Text)
 		case ended:
 			if said.status == http.StatusOK {
 				return auction.Uncertain, 0, "the stream broke off"
@@ -219,7 +219,7 @@
 // Cancel breaks a run's circuit and has the server stop it.
 func (stoves *stoves) Cancel(decision auction.Decision) {
 	stoves.EndRun(decision.ID, decision.Run)
-	order := modelserver.CancelOrder{Inquiry: decision.ID, Order: decision.Token, Run: decision.Run}
+	order := modelserver.CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}
 	stoves.life.Go(func() {
 		_, _ = stoves.life.askServer(decision.Address, time.Second, func(top *fleet.Stovetop) (int, any) {
 			top.Cancel(order)
@@ -246,7 +246,7 @@
 			return nil, failure.New(failure.Unreachable, "another server is there")
 		}
 		if server.top.Dark() {
-			fleet.NewCircuit(there).Pause(time.Minute)
+			fleet.NewConnection(there).Pause(time.Minute)
 			return nil, failure.New(failure.Unreachable, "dark")
 		}
 		status, content := serve(server.top)
@@ -268,7 +268,7 @@
 
 // fetchFrom takes a prompt's memory over from another server.
 func (world *World) fetchFrom(here *life) fleet.Fetch {
-	return func(_ *fleet.Circuit, address string, question fleet.MemoryQuestion) (fleet.MemoryAnswer, int) {
+	return func(_ *fleet.Connection, address string, question fleet.MemoryQuestion) (fleet.MemoryAnswer, int) {
 		status := http.StatusBadGateway
 		content, err := here.askServer(address, 2*time.Second, func(top *fleet.Stovetop) (int, any) {
 			given, content := top.GiveMemory(question)
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -133,7 +133,7 @@
 		w.powerOff(gone)
 		leaving.gone = true
 		address := "10.0.9." + string(rune('1'+number)) + ":1"
-		joined := w.addMachine(membership.Controller, "newcomer-"+string(rune('1'+number)), address, leaving.district, seeds)
+		joined := w.addMachine(membership.Controller, "newcomer-"+string(rune('1'+number)), address, leaving.zone, seeds)
 		w.start(joined)
 		took := w.since(w.now, func() bool {
 			if joined.control == nil || !w.led() {
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -78,7 +78,7 @@
 	name     string
 	kind     membership.NodeKind
 	address  string
-	district string
+	zone     string
 	seeds    []string
 	withheld features.List
 	disk     *disk
@@ -105,15 +105,15 @@
 	world.platform.servers = map[string]membership.Server{}
 	world.outside = world.newLife("outside", "outside", 0)
 	for position := range deployment.Servers {
-		district := deployment.Districts[position%len(deployment.Districts)]
-		world.plans = append(world.plans, fleet.DefaultPlan("stove-"+strconv.Itoa(position+1), district))
+		zone := deployment.Zones[position%len(deployment.Zones)]
+		world.plans = append(world.plans, fleet.DefaultPlan("stove-"+strconv.Itoa(position+1), zone))
 	}
 	for _, plan := range world.plans {
 		world.startServer(plan)
 	}
 	seeds := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	for position := range 3 + deployment.Routers {
-		district := deployment.Districts[position%len(deployment.Districts)]
+		district := deployment.Zones[position%len(deployment.Zones)]
 		address := "10.0.0." + strconv.Itoa(position+1) + ":1"
 		if position < 3 {
 			world.addMachine(membership.Controller, "expediter-"+strconv.Itoa(position+1), address, district, seeds)
@@ -124,8 +124,8 @@
 	return world
 }
 
-func (world *World) addMachine(kind membership.NodeKind, name, address, district string, seeds []string) *machine {
-	added := &machine{name: name, kind: kind, address: address, district: district, seeds: seeds, drift: (world.random.Float64() - 0.5) / 25}
+func (world *World) addMachine(kind membership.NodeKind, name, address, zone string, seeds []string) *machine {
+	added := &machine{name: name, kind: kind, address: address, zone: zone, seeds: seeds, drift: (world.random.Float64() - 0.5) / 25}
 	if kind == membership.Controller {
 		added.disk = newDisk(world)
 	}
@@ -177,9 +177,9 @@
 	return "n" + strconv.FormatUint(world.nonces, 36)
 }
 
-// inquiryID is a UUID of version 7, made at the moment that a caller's clock
+// requestID is a UUID of version 7, made at the moment that a caller's clock
 // shows.
-func (world *World) inquiryID() string {
+func (world *World) requestID() string {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(epoch.Add(world.now).UnixMilli())<<16|uint64(world.random.IntN(1<<12)))
 	binary.BigEndian.PutUint64(id[8:], world.random.Uint64())
@@ -201,7 +201,7 @@
 	world.byAddress[address] = plan.Name
 	world.servers[plan.Name] = &server{plan: plan, life: begun, top: fleet.NewStovetop(plan, world.Book, begun, world.nonce, world.fetchFrom(begun)),
 		calls: &callServer{world: world, name: plan.Name, handles: map[string]*callMemory{}}}
-	world.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, District: plan.District}
+	world.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, Zone: plan.Zone}
 }
 
 func (world *World) crashServer(name string) {
@@ -232,7 +232,7 @@
 		return
 	}
 	stoves := &stoves{life: begun, running: map[string]*exchange{}}
-	options := hatch.RouterOptions{Options: seamloom.Options{Router: machine.name, District: machine.district, Supported: supported, FixedParts: world.fixedParts}, Address: machine.address,
+	options := hatch.RouterOptions{Options: seamloom.Options{Router: machine.name, Zone: machine.zone, Supported: supported, FixedParts: world.fixedParts}, Address: machine.address,
 		Seeds: machine.seeds, Nonce: world.nonce, Ended: endedHere, Directory: lists{world, begun}}
 	options.ServeWithoutHold = world.ways.ServeWithoutHold
 	if world.ways.Calls {
@@ -257,7 +257,7 @@
 	machine.disk.owner = begun
 	keeping, _ := storage.OpenFolder(machine.disk, "keeper")
 	copies, _ := storage.OpenFolder(machine.disk, "larder")
-	options := hatch.ControllerOptions{Name: machine.name, Address: machine.address, District: machine.district, Seeds: machine.seeds, Supported: supported,
+	options := hatch.ControllerOptions{Name: machine.name, Address: machine.address, Zone: machine.zone, Seeds: machine.seeds, Supported: supported,
 		FlagSettle: 2 * time.Second, BorneLosses: world.borneLosses(), Fresh: newIdentity(world, machine), Directory: lists{world, begun}, Reports: lists{world, begun}}
 	options.AcknowledgeWait, options.RetireAfter = world.ways.AcknowledgeWait, world.ways.RetireAfter
 	options.JoinsOnly = world.ways.JoinOnly || world.ways.FormOnce && machine.starts > 1 || world.ways.FormOnce && world.now > opening
@@ -318,7 +318,7 @@
 	var nodes []membership.Node
 	for _, machine := range world.machines {
 		if !machine.gone {
-			nodes = append(nodes, membership.Node{Name: machine.name, Kind: machine.kind, Address: machine.address, District: machine.district})
+			nodes = append(nodes, membership.Node{Name: machine.name, Kind: machine.kind, Address: machine.address, Zone: machine.zone})
 		}
 	}
 	return nodes
--- a/options.go
+++ b/options.go
@@ -5,10 +5,10 @@
 // Options say which courier a core decides for.
 type Options struct {
 	// Router is the node's name, and District the zone that it serves first.
-	Router   string
-	District string
-	// MostInquiries bounds the inquiries that are let in at once.
-	MostInquiries int
+	Router string
+	Zone   string
+	// MostRequests bounds the inquiries that are let in at once.
+	MostRequests int
 	// Supported is the build's list of flags.
 	Supported FlagList
 	// LeastLoaded replaces the market by a plain least-loaded choice.
@@ -20,5 +20,5 @@
 	FurtherTries scheduler.Allowance
 }
 
-// DefaultMostInquiries is how many inquiries a courier lets in at once.
-const DefaultMostInquiries = 512
+// DefaultMostRequests is how many inquiries a courier lets in at once.
+const DefaultMostRequests = 512
--- a/seamloom.go
+++ b/seamloom.go
@@ -20,8 +20,8 @@
 	Event = auction.Event
 	// Decision is one thing to be done.
 	Decision = auction.Decision
-	// Inquiry is one caller's request.
-	Inquiry = auction.Inquiry
+	// Request is one caller's request.
+	Request = auction.Request
 	// Load is a model server's report of its pressure.
 	Load = auction.Load
 	// Server is a model server as the platform lists it.
