--- a/cmd/controller/status.go
+++ b/cmd/controller/status.go
@@ -30,7 +30,7 @@
 		Why     string
 		Lacking []string
 	}
-	Duties map[string]struct{ Holder string }
+	Roles  map[string]struct{ Holder string } `json:"duties"`
 	Orders map[string]struct{ Part string }
 }
 
@@ -92,8 +92,8 @@
 	}
 	line("")
 	for _, server := range slices.Sorted(maps.Keys(status.Orders)) {
-		line("server %-16s %-8s commanded by %s", server, status.Orders[server].Part, status.Duties["server/"+server].Holder)
+		line("server %-16s %-8s commanded by %s", server, status.Orders[server].Part, status.Roles["server/"+server].Holder)
 	}
-	line("parts are decided by %s", status.Duties["parts"].Holder)
+	line("parts are decided by %s", status.Roles["parts"].Holder)
 	return text.String()
 }
--- a/core.go
+++ b/core.go
@@ -27,8 +27,8 @@
 	rejected atomic.Int64
 
 	mutex     sync.Mutex
-	duties    []Duty
-	dutyEnds  time.Time
+	roles     []Role
+	roleEnds  time.Time
 	orders    map[string]Order
 	evacuated *config.Configuration
 	commanded map[string]time.Time
@@ -60,10 +60,10 @@
 		if event.Load != nil {
 			core.market.Report(event.At, *event.Load)
 		}
-	case auction.MenuReceived:
-		core.applyMenu(event)
-	case auction.MenuLent:
-		core.applyMenu(event)
+	case auction.ConfigurationReceived:
+		core.applyConfiguration(event)
+	case auction.ConfigurationLent:
+		core.applyConfiguration(event)
 		core.desk.ServeFrom(event.At)
 	case auction.HoldRenewed:
 		core.applyHold(event)
@@ -114,8 +114,8 @@
 	return nil
 }
 
-func (core *Core) applyMenu(event Event) {
-	configuration, err := config.Check(event.Menu)
+func (core *Core) applyConfiguration(event Event) {
+	configuration, err := config.Check(event.Configuration)
 	if err != nil {
 		// A configuration is checked before it is accepted; one that this build
 		// can't read leaves the courier without a hold for it.
@@ -134,8 +134,8 @@
 	core.desk.Renew(event.HoldEnds, event.Epoch, event.Number)
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.duties = event.Duties
-	core.dutyEnds = event.HoldEnds
+	core.roles = event.Roles
+	core.roleEnds = event.HoldEnds
 }
 
 // Calls is the part of the core that follows opaque calls. A program that serves each
@@ -207,7 +207,7 @@
 func (core *Core) Dutiful() bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return len(core.duties) > 0
+	return len(core.roles) > 0
 }
 
 // Draining tells whether the core lets nothing in any more.
@@ -228,20 +228,20 @@
 func (core *Core) dutiful(now time.Time) []Decision {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	if !now.Before(core.dutyEnds) || now.Before(core.nextTurn) || len(core.duties) == 0 {
+	if !now.Before(core.roleEnds) || now.Before(core.nextTurn) || len(core.roles) == 0 {
 		return nil
 	}
 	core.nextTurn = now.Add(100 * time.Millisecond)
 	servers := core.market.Listing()
 	var decisions []Decision
-	for _, duty := range core.duties {
-		if duty.Key == lease.PartsKey {
+	for _, role := range core.roles {
+		if role.Key == lease.PartsKey {
 			if orders := core.balanced(now); len(orders) > 0 {
-				decisions = append(decisions, Decision{Kind: auction.GiveOrders, Duty: duty, Orders: orders, NotAfter: core.dutyEnds})
+				decisions = append(decisions, Decision{Kind: auction.GiveOrders, Role: role, Orders: orders, NotAfter: core.roleEnds})
 			}
 			continue
 		}
-		name, isServer := strings.CutPrefix(duty.Key, lease.ServerKey(""))
+		name, isServer := strings.CutPrefix(role.Key, lease.ServerKey(""))
 		order, ordered := core.orders[name]
 		if part, changing, listed := core.calls.Part(name); isServer && ordered && listed {
 			// A listed part needs an order only when it is another one: orders have a
@@ -249,7 +249,7 @@
 			if changing || part == order.Part || now.Sub(core.commanded[name]) < commandShows {
 				continue
 			}
-			decisions = append(decisions, core.commandFor(now, name, duty, order, servers)...)
+			decisions = append(decisions, core.commandFor(now, name, role, order, servers)...)
 			continue
 		}
 		load, reported := core.market.Load(now, name)
@@ -258,10 +258,10 @@
 		}
 		// A new holder commands once in any case: the server learns the fence,
 		// and refuses what an older holder may still send after a long sleep.
-		if string(load.Part) == order.Part && core.announced[name] == duty.Fence {
+		if string(load.Part) == order.Part && core.announced[name] == role.FencingToken {
 			continue
 		}
-		decisions = append(decisions, core.commandFor(now, name, duty, order, servers)...)
+		decisions = append(decisions, core.commandFor(now, name, role, order, servers)...)
 	}
 	sort.SliceStable(decisions, func(left, right int) bool { return decisions[left].Server < decisions[right].Server })
 	return decisions
@@ -271,12 +271,12 @@
 // is reported of it. The value is ours.
 const commandShows = 3 * time.Second
 
-func (core *Core) commandFor(now time.Time, name string, duty Duty, order Order, servers []Server) []Decision {
+func (core *Core) commandFor(now time.Time, name string, role Role, order Order, servers []Server) []Decision {
 	for _, server := range servers {
 		if server.Name == name {
-			core.commanded[name], core.announced[name] = now, duty.Fence
-			return []Decision{{Kind: auction.Command, Server: name, Address: server.Address, Duty: duty,
-				Part: auction.Part(order.Part), Order: &order, NotAfter: core.dutyEnds}}
+			core.commanded[name], core.announced[name] = now, role.FencingToken
+			return []Decision{{Kind: auction.Command, Server: name, Address: server.Address, Role: role,
+				Part: auction.Part(order.Part), Order: &order, NotAfter: core.roleEnds}}
 		}
 	}
 	return nil
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -10,7 +10,7 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-const callMenu = `{"services":{"desk":{"engine":{"slots":64,"memory_tokens":295740}}},
+const callConfiguration = `{"services":{"desk":{"engine":{"slots":64,"memory_tokens":295740}}},
 "routes":{"long":{"match":{"host":"ask.example","path_prefix":"/"},"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":3000,"tries":2,"streams":true,"resumable":true}}}}`
 
 // callServerCount leaves room for two more readers beside the runners that stay.
@@ -34,7 +34,7 @@
 	core.Apply(Event{Kind: auction.FlagsRead, At: now})
 	core.Apply(Event{Kind: auction.RoutersCounted, At: now, Number: 3})
 	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: callServers(callServerCount)})
-	core.Apply(Event{Kind: auction.MenuReceived, At: now, Epoch: 1, Number: 1, Menu: []byte(callMenu)})
+	core.Apply(Event{Kind: auction.ConfigurationReceived, At: now, Epoch: 1, Number: 1, Configuration: []byte(callConfiguration)})
 	return core
 }
 
@@ -83,17 +83,17 @@
 	for range 150 {
 		now = now.Add(100 * time.Millisecond)
 		var loads []CallLoad
-		duties := []Duty{{Key: lease.PartsKey, Holder: "courier-1", Fence: 4}}
+		roles := []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 4}}
 		for _, server := range callServers(callServerCount) {
 			load := CallLoad{Server: server.Name, Part: server.Part, Changing: changing[server.Name], Running: 3, MemoryTotal: 295_740}
 			if part[server.Name] != "" {
 				load.Part = part[server.Name]
 			}
 			loads = append(loads, load)
-			duties = append(duties, Duty{Key: lease.ServerKey(server.Name), Holder: "courier-1", Fence: 9})
+			roles = append(roles, Role{Key: lease.ServerKey(server.Name), Holder: "courier-1", FencingToken: 9})
 		}
 		core.Apply(Event{Kind: auction.LoadsReported, At: now, Loads: loads})
-		core.Apply(Event{Kind: auction.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Duties: duties})
+		core.Apply(Event{Kind: auction.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Roles: roles})
 		for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
 			switch decision.Kind {
 			case auction.GiveOrders:
@@ -103,7 +103,7 @@
 				core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: orders})
 			case auction.Command:
 				commands[decision.Server]++
-				if decision.Duty.Fence != 9 || string(decision.Part) != orders[decision.Server].Part || !decision.NotAfter.Equal(now.Add(time.Second)) {
+				if decision.Role.FencingToken != 9 || string(decision.Part) != orders[decision.Server].Part || !decision.NotAfter.Equal(now.Add(time.Second)) {
 					t.Fatalf("%+v", decision)
 				}
 				part[decision.Server] = string(decision.Part)
--- a/core_test.go
+++ b/core_test.go
@@ -52,12 +52,12 @@
 	}
 	feed(Event{Kind: auction.ServersListed, Servers: servers})
 	feed(Event{Kind: auction.FlagsRead})
-	feed(Event{Kind: auction.MenuReceived, Epoch: 1, Number: 1, Menu: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)})
+	feed(Event{Kind: auction.ConfigurationReceived, Epoch: 1, Number: 1, Configuration: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)})
 	outcomes := []auction.Outcome{auction.Done, auction.Done, auction.Done, auction.NotStarted, auction.Broken, auction.Uncertain, auction.Lapsed}
 	for number := range 4000 {
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 		if number%20 == 0 {
-			feed(Event{Kind: auction.HoldRenewed, HoldEnds: now.Add(4 * time.Second), Epoch: 1, Number: 1, Duties: []Duty{{Key: lease.PartsKey, Holder: "courier-1", Fence: 1}}})
+			feed(Event{Kind: auction.HoldRenewed, HoldEnds: now.Add(4 * time.Second), Epoch: 1, Number: 1, Roles: []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 1}}})
 			for position, server := range servers {
 				part := []auction.Part{auction.Prefill, auction.Decode}[position/2%2]
 				feed(Event{Kind: auction.LoadReported, Load: &Load{Server: server.Name, Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8,
@@ -90,23 +90,23 @@
 	}
 }
 
-// TestNewHolderTellsTheServerItsFence wants one command for each new fence, even
+// TestNewHolderTellsTheServerItsFencingToken wants one command for each new fence, even
 // when the server has the part already, and none without the duty's hold.
-func TestNewHolderTellsTheServerItsFence(t *testing.T) {
+func TestNewHolderTellsTheServerItsFencingToken(t *testing.T) {
 	core := New(Options{Router: "courier-1", Zone: "north", Supported: Supported(nil)})
 	now := time.Unix(3_000_000, 0)
 	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: []Server{{Name: "s", Address: "s", Zone: "north"}}})
 	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "decode"}}})
-	commands := func(fence uint64) int {
+	commands := func(fencingToken uint64) int {
 		count := 0
 		for range 30 {
 			now = now.Add(200 * time.Millisecond)
 			core.Apply(Event{Kind: auction.LoadReported, At: now, Load: &Load{Server: "s", Part: auction.Decode}})
-			if fence > 0 {
-				core.Apply(Event{Kind: auction.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Duties: []Duty{{Key: lease.ServerKey("s"), Holder: "courier-1", Fence: fence}}})
+			if fencingToken > 0 {
+				core.Apply(Event{Kind: auction.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Roles: []Role{{Key: lease.ServerKey("s"), Holder: "courier-1", FencingToken: fencingToken}}})
 			}
 			for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
-				if decision.Kind == auction.Command && decision.Duty.Fence == fence && decision.NotAfter.Equal(now.Add(time.Second)) {
+				if decision.Kind == auction.Command && decision.Role.FencingToken == fencingToken && decision.NotAfter.Equal(now.Add(time.Second)) {
 					count++
 				}
 			}
--- a/examples/embedded/calls.go
+++ b/examples/embedded/calls.go
@@ -18,7 +18,7 @@
 		{Kind: "servers_listed", Servers: []seamloom.Server{
 			{Name: "stove-1", Address: "10.0.0.1:80", Zone: "north", Service: "desk", Part: "prefill", Slots: 64},
 			{Name: "stove-2", Address: "10.0.0.2:80", Zone: "north", Service: "desk", Part: "decode", Slots: 64}}},
-		{Kind: "menu_received", Epoch: 1, Number: 1, Menu: []byte(`{"services":{"desk":{}},"routes":{"ask":{"match":{"host":"ask.example","path_prefix":"/"},` +
+		{Kind: "menu_received", Epoch: 1, Number: 1, Configuration: []byte(`{"services":{"desk":{}},"routes":{"ask":{"match":{"host":"ask.example","path_prefix":"/"},` +
 			`"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":3000,"tries":2,"streams":true,"resumable":true}}}}`)},
 		{Kind: "call_arrived", Call: &seamloom.Call{ID: "one", Host: "ask.example", Path: "/today", PromptTokens: 9000, OutputTokens: 50, Bytes: 18_000,
 			Parts: []seamloom.CallPart{{ID: 7, Tokens: 6000}, {ID: 8, Tokens: 3000}}}},
--- a/examples/embedded/main.go
+++ b/examples/embedded/main.go
@@ -32,7 +32,7 @@
 		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-1", Part: "prefill", Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8, LinkRate: 400_000}},
 		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-2", Part: "decode", Age: time.Hour, DecodeSlots: 8, ChunkTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000}},
 		{Kind: "flags_read"},
-		{Kind: "menu_received", Epoch: 1, Number: 1, Menu: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)},
+		{Kind: "menu_received", Epoch: 1, Number: 1, Configuration: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)},
 		{Kind: "hold_renewed", Epoch: 1, Number: 1, HoldEnds: now.Add(4 * time.Second)},
 		{Kind: "inquiry_arrived", Request: &seamloom.Request{ID: "one", Service: "chat", Repeatable: true, PromptTokens: 120, Chunks: 2}},
 		{Kind: "prefill_answered", ID: "one", Run: 1, Outcome: "done", Handle: "memory-7"},
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -24,7 +24,7 @@
 	}
 	fuzzing.Fuzz(func(_ *testing.T, first, second []byte) {
 		core := seamloom.New(seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)})
-		core.Apply(seamloom.Event{Kind: "menu_received", Menu: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), Epoch: 1, Number: 1})
+		core.Apply(seamloom.Event{Kind: "menu_received", Configuration: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), Epoch: 1, Number: 1})
 		for range 2 {
 			for _, text := range [][]byte{first, second} {
 				var event seamloom.Event
--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -10,7 +10,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-func (process *Process) flagAnswers(current *hatch.Reign, state *replication.State) []flagAnswer {
+func (process *Process) flagAnswers(current *hatch.Term, state *replication.State) []flagAnswer {
 	now := process.clock.Now()
 	live := current.Holds.Live(now)
 	settling := process.conduct.Settling(current)
--- a/internal/adapters/controller/fleet.go
+++ b/internal/adapters/controller/fleet.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return state.Menu, nil
+	return state.Configuration, nil
 }
 
 // Leads tells whether this expediter is primary at this moment, and else the hotline
@@ -30,7 +30,7 @@
 	if _, _, err := process.conduct.Ruling(); err == nil {
 		return true, ""
 	}
-	address := process.conduct.Coordinator().Charter().Primary.Address
+	address := process.conduct.Coordinator().Membership().Primary.Address
 	if address == process.conduct.Witness().Replica().Address {
 		return false, ""
 	}
--- a/internal/adapters/controller/forwarding.go
+++ b/internal/adapters/controller/forwarding.go
@@ -19,7 +19,7 @@
 			answer(writer, inbound)
 			return
 		}
-		address := process.conduct.Coordinator().Charter().Primary.Address
+		address := process.conduct.Coordinator().Membership().Primary.Address
 		if inbound.Header.Get(forwardedHeader) != "" || address == "" || address == process.conduct.Witness().Replica().Address {
 			answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "no expediter is primary at this moment; ask again"})
 			return
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -64,7 +64,7 @@
 }
 
 // readable is the committed state for a read; without one the call is answered.
-func (process *Process) readable(writer http.ResponseWriter) (*hatch.Reign, *replication.View, *replication.State, bool) {
+func (process *Process) readable(writer http.ResponseWriter) (*hatch.Term, *replication.View, *replication.State, bool) {
 	current, view, state, err := process.conduct.Read()
 	if err != nil {
 		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.KindOf(err), Detail: err.Error()})
@@ -80,7 +80,7 @@
 	}
 	version := view.VersionOf(replication.ConfigurationSection).String()
 	writer.Header().Set("ETag", `"`+version+`"`)
-	answerJSON(writer, http.StatusOK, map[string]any{"version": version, "configuration": json.RawMessage(state.Menu)})
+	answerJSON(writer, http.StatusOK, map[string]any{"version": version, "configuration": json.RawMessage(state.Configuration)})
 }
 
 // expectedVersion reads the version that the operator changes from.
--- a/internal/adapters/controller/signpost.go
+++ b/internal/adapters/controller/signpost.go
@@ -16,55 +16,55 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Signpost is the process that stands in for an expediter on a machine without a disk:
+// Redirector is the process that stands in for an expediter on a machine without a disk:
 // it sends operators on to the primary.
-type Signpost struct {
+type Redirector struct {
 	tomb    tomb.Tomb
-	conduct *hatch.Signpost
+	conduct *hatch.Redirector
 }
 
-// StartSignpost makes a signpost.
-func StartSignpost(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock) *Signpost {
-	signpost := &Signpost{}
-	lifetime := signpost.tomb.Context(context.Background())
+// StartRedirector makes a signpost.
+func StartRedirector(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock) *Redirector {
+	redirector := &Redirector{}
+	lifetime := redirector.tomb.Context(context.Background())
 	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: lifetime}
-	signpost.conduct = hatch.NewSignpost(osruntime.New(lifetime, clock), line, chosen.Seeds)
-	signpost.tomb.Go(func() error {
-		signpost.conduct.Run()
+	redirector.conduct = hatch.NewRedirector(osruntime.New(lifetime, clock), line, chosen.Seeds)
+	redirector.tomb.Go(func() error {
+		redirector.conduct.Run()
 		return nil
 	})
 	logger.Info("no_disk", "what", "operators are sent on to the primary; nothing is kept here")
-	return signpost
+	return redirector
 }
 
 // Answer listens on an address for as long as the process lives.
-func (signpost *Signpost) Answer(address string, handler http.Handler) error {
-	return daemon.Serve(&signpost.tomb, address, handler)
+func (redirector *Redirector) Answer(address string, handler http.Handler) error {
+	return daemon.Serve(&redirector.tomb, address, handler)
 }
 
 // Edit changes nothing here.
-func (signpost *Signpost) Edit(hatch.Edit) (replication.Version, error) {
+func (redirector *Redirector) Edit(hatch.Edit) (replication.Version, error) {
 	return replication.Version{}, failure.New(failure.NoPrimary, "nothing is kept here")
 }
 
 // Configuration is not kept here.
-func (signpost *Signpost) Configuration() ([]byte, error) {
+func (redirector *Redirector) Configuration() ([]byte, error) {
 	return nil, failure.New(failure.NoPrimary, "nothing is kept here")
 }
 
 // Leads is never true; it gives the hotline address of the primary, if one is found.
-func (signpost *Signpost) Leads() (leads bool, elsewhere string) {
-	return false, signpost.conduct.Leader()
+func (redirector *Redirector) Leads() (leads bool, elsewhere string) {
+	return false, redirector.conduct.Leader()
 }
 
 // Reload takes the seeds.
-func (signpost *Signpost) Reload(next settings.Settings) { signpost.conduct.SetSeeds(next.Seeds) }
+func (redirector *Redirector) Reload(next settings.Settings) { redirector.conduct.SetSeeds(next.Seeds) }
 
 // Dead is closed when the process has ended by itself.
-func (signpost *Signpost) Dead() <-chan struct{} { return signpost.tomb.Dead() }
+func (redirector *Redirector) Dead() <-chan struct{} { return redirector.tomb.Dead() }
 
 // Stop ends the process.
-func (signpost *Signpost) Stop() error {
-	signpost.tomb.Kill(nil)
-	return signpost.tomb.Wait()
+func (redirector *Redirector) Stop() error {
+	redirector.tomb.Kill(nil)
+	return redirector.tomb.Wait()
 }
--- a/internal/adapters/controller/status.go
+++ b/internal/adapters/controller/status.go
@@ -18,7 +18,7 @@
 	}
 	now := process.clock.Now()
 	live := current.Holds.Live(now)
-	charter := process.conduct.Coordinator().Charter()
+	m := process.conduct.Coordinator().Membership()
 	members := map[string]memberAnswer{}
 	for name, member := range state.Members {
 		_, running := live[name]
@@ -42,9 +42,9 @@
 	answerJSON(writer, http.StatusOK, map[string]any{
 		"holds_live_milliseconds": holds,
 		"servers":                 servers, "claims_horizon": process.horizon(view),
-		"primary": charter.Primary, "backup": charter.Backup, "further_backups": charter.Further, "keepers": charter.Witnesses, "incoming_keepers": charter.Incoming,
-		"epoch": charter.Epoch, "version": view.Version.String(), "configuration_version": view.VersionOf(replication.ConfigurationSection).String(),
-		"members": members, "flags": process.flagAnswers(current, state), "duties": state.Rota.Duties, "orders": orders,
+		"primary": m.Primary, "backup": m.Backup, "further_backups": m.Further, "keepers": m.Witnesses, "incoming_keepers": m.Incoming,
+		"epoch": m.Epoch, "version": view.Version.String(), "configuration_version": view.VersionOf(replication.ConfigurationSection).String(),
+		"members": members, "flags": process.flagAnswers(current, state), "duties": state.Rota.Roles, "orders": orders,
 		"lagging":        current.Lagging(now, view.VersionOf(replication.ConfigurationSection), state),
 		"synced_batches": batches, "answered_changes": changes, "primary_since_milliseconds": now.Sub(current.Since).Milliseconds(),
 	})
@@ -52,7 +52,7 @@
 
 // horizon is the age before which claims are forgotten.
 func (process *Process) horizon(view *replication.View) time.Time {
-	state, err := replication.ReadState(map[string]replication.Section{replication.HorizonSection: view.Drawers[replication.HorizonSection]})
+	state, err := replication.ReadState(map[string]replication.Section{replication.HorizonSection: view.Sections[replication.HorizonSection]})
 	if err != nil {
 		return time.Time{}
 	}
@@ -65,7 +65,7 @@
 	if silence > 3*time.Second {
 		status = http.StatusServiceUnavailable
 	}
-	answerJSON(writer, status, map[string]any{"ready": status == http.StatusOK, "leads": process.conduct.Coordinator().Holds(), "identity": process.conduct.Witness().Replica().Identity, "epoch": process.conduct.Coordinator().Charter().Epoch})
+	answerJSON(writer, status, map[string]any{"ready": status == http.StatusOK, "leads": process.conduct.Coordinator().Holds(), "identity": process.conduct.Witness().Replica().Identity, "epoch": process.conduct.Coordinator().Membership().Epoch})
 }
 
 func (process *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
@@ -75,7 +75,7 @@
 		leads = 1
 	}
 	version := process.conduct.Store().Copy().Version()
-	answers, bytesSent, menus := process.conduct.NewsCounts()
+	answers, bytesSent, configurations := process.conduct.UpdateCounts()
 	damaged := 0
 	if process.conduct.Store().Copy().Damage() != "" {
 		damaged = 1
@@ -84,10 +84,10 @@
 	for _, line := range []struct {
 		name  string
 		value uint64
-	}{{"seamloom_leads", uint64(leads)}, {"seamloom_epoch", process.conduct.Coordinator().Charter().Epoch}, {"seamloom_copy_number", version.Number},
+	}{{"seamloom_leads", uint64(leads)}, {"seamloom_epoch", process.conduct.Coordinator().Membership().Epoch}, {"seamloom_copy_number", version.Number},
 		{"seamloom_copy_damaged", uint64(damaged)}, {"seamloom_synced_batches_total", batches}, {"seamloom_answered_changes_total", changes},
 		{"seamloom_news_answers_total", answers}, {"seamloom_news_drawer_bytes_total", bytesSent},
-		{"seamloom_configurations_sent_total", menus}} {
+		{"seamloom_configurations_sent_total", configurations}} {
 		_, _ = io.WriteString(writer, line.name+" "+strconv.FormatUint(line.value, 10)+"\n")
 	}
 }
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -188,7 +188,7 @@
 // Command has a server take a part, under the fence of its key's holder. One
 // that is late is worse than none: it ends with the duty's hold.
 func (stove *Stove) Command(decision auction.Decision, may func() bool) error {
-	order := PartOrder{Part: string(decision.Part), Fence: decision.Duty.Fence, Holder: decision.Duty.Holder}
+	order := PartOrder{Part: string(decision.Part), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
 		order.PatienceMilliseconds = int(decision.Order.Patience / time.Millisecond)
 		order.Cause = decision.Order.Cause
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -276,7 +276,7 @@
 			wrong(failure.Contradictory, further.path, "is the same as "+other)
 		}
 		taken[further.address] = further.path
-		if settings.Kind != further.kind && !(settings.Kind == membership.Signpost && further.kind == membership.Controller) {
+		if settings.Kind != further.kind && !(settings.Kind == membership.Redirector && further.kind == membership.Controller) {
 			wrong(failure.Contradictory, further.path, "is for the kind "+string(further.kind))
 		}
 	}
--- a/internal/auction/decision.go
+++ b/internal/auction/decision.go
@@ -36,7 +36,7 @@
 	Retry time.Duration `json:"retry,omitempty"`
 
 	Part   Part          `json:"part,omitempty"`
-	Duty   lease.Duty    `json:"duty,omitzero"`
+	Role   lease.Role    `json:"duty,omitzero"`
 	Order  *codec.Order  `json:"order,omitempty"`
 	Orders []codec.Order `json:"orders,omitempty"`
 	Pair   *codec.Pair   `json:"pair,omitempty"`
--- a/internal/auction/desk_test.go
+++ b/internal/auction/desk_test.go
@@ -279,9 +279,9 @@
 	}
 }
 
-// TestLateNewsOfAnOlderRun lets the answer to a given-up run come after the next
+// TestLateUpdateOfAnOlderRun lets the answer to a given-up run come after the next
 // one has begun.
-func TestLateNewsOfAnOlderRun(t *testing.T) {
+func TestLateUpdateOfAnOlderRun(t *testing.T) {
 	desk := newTestDesk(t)
 	earn(desk)
 	arrive(desk, noon, "one", true)
--- a/internal/auction/event.go
+++ b/internal/auction/event.go
@@ -35,11 +35,11 @@
 	Result *scheduler.Outcome `json:"result,omitempty"`
 	Loads  []scheduler.Load   `json:"loads,omitempty"`
 
-	HoldEnds time.Time              `json:"hold_ends,omitzero"`
-	Number   uint64                 `json:"number,omitempty"`
-	Epoch    uint64                 `json:"epoch,omitempty"`
-	Menu     []byte                 `json:"menu,omitempty"`
-	Enabled  features.List          `json:"enabled,omitempty"`
-	Duties   []lease.Duty           `json:"duties,omitempty"`
-	Orders   map[string]codec.Order `json:"orders,omitempty"`
+	HoldEnds      time.Time              `json:"hold_ends,omitzero"`
+	Number        uint64                 `json:"number,omitempty"`
+	Epoch         uint64                 `json:"epoch,omitempty"`
+	Configuration []byte                 `json:"menu,omitempty"`
+	Enabled       features.List          `json:"enabled,omitempty"`
+	Roles         []lease.Role           `json:"duties,omitempty"`
+	Orders        map[string]codec.Order `json:"orders,omitempty"`
 }
--- a/internal/hatch/ask.go
+++ b/internal/hatch/ask.go
@@ -12,8 +12,8 @@
 
 // leadsAnswer is the part that all answers of expediters have in common.
 type leadsAnswer struct {
-	Leads   bool                   `msgpack:"leads"`
-	Charter replication.Membership `msgpack:"charter"`
+	Leads      bool                   `msgpack:"leads"`
+	Membership replication.Membership `msgpack:"charter"`
 }
 
 // Ask sends a message to the primary, wherever it is, or through a neighbour
@@ -70,23 +70,23 @@
 				return reply, nil
 			}
 			last = failure.New(failure.NoPrimary, "no expediter leads")
-			address = said.Charter.Primary.Address
+			address = said.Membership.Primary.Address
 		}
 	}
 	return nil, last
 }
 
-// learnCharter takes a charter that is newer than the one known.
-func (follower *Follower) learnCharter(charter replication.Membership) {
+// learnMembership takes a charter that is newer than the one known.
+func (follower *Follower) learnMembership(membership replication.Membership) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	if charter.Epoch > follower.charter.Epoch {
-		follower.charter = charter
+	if membership.Epoch > follower.membership.Epoch {
+		follower.membership = membership
 	}
 }
 
 func (follower *Follower) learn(address string, said leadsAnswer) {
-	follower.learnCharter(said.Charter)
+	follower.learnMembership(said.Membership)
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	switch {
@@ -109,11 +109,11 @@
 func (follower *Follower) candidates() []string {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	candidates := []string{follower.primary, follower.charter.Primary.Address}
-	for _, backup := range follower.charter.Backups() {
+	candidates := []string{follower.primary, follower.membership.Primary.Address}
+	for _, backup := range follower.membership.Backups() {
 		candidates = append(candidates, backup.Address)
 	}
-	for _, replica := range follower.charter.Electors() {
+	for _, replica := range follower.membership.Electors() {
 		candidates = append(candidates, replica.Address)
 	}
 	candidates = append(candidates, follower.seeds...)
@@ -161,7 +161,7 @@
 // Relay passes another node's message to the primary that this node knows.
 func (follower *Follower) Relay(question RelayQuestion) ([]byte, error) {
 	switch question.Path {
-	case NewsPath, ClaimPath, OrdersPath:
+	case UpdatePath, ClaimPath, OrdersPath:
 	default:
 		return nil, failure.New(failure.NoSuch, "no such path to relay: "+question.Path)
 	}
--- a/internal/hatch/copies.go
+++ b/internal/hatch/copies.go
@@ -12,16 +12,16 @@
 }
 
 type copySaid struct {
-	at      time.Time
-	charter replication.Membership
-	copied  CopyNews
+	at         time.Time
+	membership replication.Membership
+	copied     CopyUpdate
 }
 
 // copyFresh is how long an answer counts.
 const copyFresh = time.Second
 
 // note takes an answer; one without word of a copy takes back what was said before.
-func (copies *copies) note(address string, at time.Time, answer NewsAnswer) {
+func (copies *copies) note(address string, at time.Time, answer UpdateAnswer) {
 	if answer.Copy == nil {
 		delete(copies.said, address)
 		return
@@ -29,7 +29,7 @@
 	if copies.said == nil {
 		copies.said = map[string]copySaid{}
 	}
-	copies.said[address] = copySaid{at: at, charter: answer.Charter, copied: *answer.Copy}
+	copies.said[address] = copySaid{at: at, membership: answer.Membership, copied: *answer.Copy}
 }
 
 // choose gives the configuration that may be served before there is a primary, and
@@ -37,22 +37,22 @@
 // so it takes the oldest among them, and only when each has spoken or is lost, and when
 // a quorum of the keepers has told the charter.
 func (copies *copies) choose(now time.Time) (address string, version replication.Version, found bool) {
-	var charter replication.Membership
+	var membership replication.Membership
 	spoken := map[replication.Identity]bool{}
 	at := map[replication.Identity]string{}
 	for place, said := range copies.said {
 		if now.Sub(said.at) > copyFresh {
 			continue
 		}
-		if said.charter.Epoch > charter.Epoch {
-			charter = said.charter
+		if said.membership.Epoch > membership.Epoch {
+			membership = said.membership
 		}
 		spoken[said.copied.Identity], at[said.copied.Identity] = true, place
 	}
-	if charter.Blank() || !charter.Quorum(spoken) {
+	if membership.Blank() || !membership.Quorum(spoken) {
 		return "", version, false
 	}
-	for _, replica := range charter.Copies() {
+	for _, replica := range membership.Copies() {
 		if !spoken[replica.Identity] {
 			if another, heard := copies.said[replica.Address]; heard && now.Sub(another.at) <= copyFresh {
 				// Another disk is at its address: its own is lost.
@@ -65,8 +65,8 @@
 			// It can't lead, and is replaced.
 			continue
 		}
-		if !found || said.Menu.Before(version) {
-			address, version, found = at[replica.Identity], said.Menu, true
+		if !found || said.Configuration.Before(version) {
+			address, version, found = at[replica.Identity], said.Configuration, true
 		}
 	}
 	return address, version, found && version != (replication.Version{})
--- a/internal/hatch/copies_test.go
+++ b/internal/hatch/copies_test.go
@@ -21,37 +21,37 @@
 	five := replication.Membership{Epoch: 6, Primary: replica("a"), Backup: replica("b"), Further: []replication.Replica{replica("d")},
 		Witnesses: append(append([]replication.Replica{}, keepers...), replica("d"), replica("e"))}
 	version := func(number uint64) replication.Version { return replication.Version{Epoch: 3, Number: number} }
-	says := func(name string, charter replication.Membership, number uint64) NewsAnswer {
-		return NewsAnswer{Charter: charter, Copy: &CopyNews{Identity: replication.Identity("disk " + name), Menu: version(number)}}
+	says := func(name string, membership replication.Membership, number uint64) UpdateAnswer {
+		return UpdateAnswer{Membership: membership, Copy: &CopyUpdate{Identity: replication.Identity("disk " + name), Configuration: version(number)}}
 	}
 	damaged := says("b", pair, 9)
 	damaged.Copy.Damaged = true
 	other := says("another", replication.Membership{}, 0)
-	other.Copy.Menu = replication.Version{}
+	other.Copy.Configuration = replication.Version{}
 	blank := replication.Membership{}
 	for _, row := range []struct {
 		name    string
-		said    map[string]NewsAnswer
+		said    map[string]UpdateAnswer
 		age     time.Duration
 		address string
 		version replication.Version
 	}{
 		{"nobody", nil, 0, "", replication.Version{}},
-		{"both copies", map[string]NewsAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7)}, 0, "", version(7)},
-		{"a change under way on one copy", map[string]NewsAnswer{"a": says("a", pair, 8), "b": says("b", pair, 7)}, 0, "b", version(7)},
-		{"an old copy out of the pair", map[string]NewsAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7), "c": says("c", pair, 2)}, 0, "", version(7)},
-		{"one copy has not spoken", map[string]NewsAnswer{"a": says("a", pair, 7), "c": says("c", pair, 7)}, 0, "", replication.Version{}},
-		{"one copy's disk is lost", map[string]NewsAnswer{"a": other, "b": says("b", pair, 7), "c": says("c", pair, 2)}, 0, "b", version(7)},
-		{"one copy's disk is lost, a keeper has not spoken", map[string]NewsAnswer{"a": other, "b": says("b", pair, 7)}, 0, "", replication.Version{}},
-		{"one copy is damaged", map[string]NewsAnswer{"a": says("a", pair, 7), "b": damaged}, 0, "a", version(7)},
-		{"a newer charter", map[string]NewsAnswer{"a": says("a", pair, 8), "b": says("b", alone, 7)}, 0, "b", version(7)},
-		{"no quorum of five", map[string]NewsAnswer{"a": says("a", five, 7), "b": says("b", five, 7)}, 0, "", replication.Version{}},
-		{"three of five, a copy missing", map[string]NewsAnswer{"a": says("a", five, 7), "b": says("b", five, 7), "c": says("c", five, 7)}, 0, "", replication.Version{}},
-		{"three of five, all copies", map[string]NewsAnswer{"a": says("a", five, 7), "b": says("b", five, 7), "d": says("d", five, 6)}, 0, "d", version(6)},
-		{"what was said long ago", map[string]NewsAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7)}, 2 * time.Second, "", replication.Version{}},
-		{"no charter", map[string]NewsAnswer{"a": says("a", blank, 7), "b": says("b", blank, 7)}, 0, "", replication.Version{}},
-		{"no configuration yet", map[string]NewsAnswer{"a": {Charter: pair, Copy: &CopyNews{Identity: "disk a"}}, "b": {Charter: pair, Copy: &CopyNews{Identity: "disk b"}}}, 0, "", replication.Version{}},
-		{"an older release", map[string]NewsAnswer{"a": says("a", pair, 7), "b": {Charter: pair}}, 0, "", replication.Version{}},
+		{"both copies", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7)}, 0, "", version(7)},
+		{"a change under way on one copy", map[string]UpdateAnswer{"a": says("a", pair, 8), "b": says("b", pair, 7)}, 0, "b", version(7)},
+		{"an old copy out of the pair", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7), "c": says("c", pair, 2)}, 0, "", version(7)},
+		{"one copy has not spoken", map[string]UpdateAnswer{"a": says("a", pair, 7), "c": says("c", pair, 7)}, 0, "", replication.Version{}},
+		{"one copy's disk is lost", map[string]UpdateAnswer{"a": other, "b": says("b", pair, 7), "c": says("c", pair, 2)}, 0, "b", version(7)},
+		{"one copy's disk is lost, a keeper has not spoken", map[string]UpdateAnswer{"a": other, "b": says("b", pair, 7)}, 0, "", replication.Version{}},
+		{"one copy is damaged", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": damaged}, 0, "a", version(7)},
+		{"a newer charter", map[string]UpdateAnswer{"a": says("a", pair, 8), "b": says("b", alone, 7)}, 0, "b", version(7)},
+		{"no quorum of five", map[string]UpdateAnswer{"a": says("a", five, 7), "b": says("b", five, 7)}, 0, "", replication.Version{}},
+		{"three of five, a copy missing", map[string]UpdateAnswer{"a": says("a", five, 7), "b": says("b", five, 7), "c": says("c", five, 7)}, 0, "", replication.Version{}},
+		{"three of five, all copies", map[string]UpdateAnswer{"a": says("a", five, 7), "b": says("b", five, 7), "d": says("d", five, 6)}, 0, "d", version(6)},
+		{"what was said long ago", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7)}, 2 * time.Second, "", replication.Version{}},
+		{"no charter", map[string]UpdateAnswer{"a": says("a", blank, 7), "b": says("b", blank, 7)}, 0, "", replication.Version{}},
+		{"no configuration yet", map[string]UpdateAnswer{"a": {Membership: pair, Copy: &CopyUpdate{Identity: "disk a"}}, "b": {Membership: pair, Copy: &CopyUpdate{Identity: "disk b"}}}, 0, "", replication.Version{}},
+		{"an older release", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": {Membership: pair}}, 0, "", replication.Version{}},
 	} {
 		told := &copies{}
 		for address, answer := range row.said {
--- a/internal/hatch/counter.go
+++ b/internal/hatch/counter.go
@@ -13,8 +13,8 @@
 const (
 	registerPatience = 1200 * time.Millisecond
 	claimPatience    = 1200 * time.Millisecond
-	// mostNewsWait bounds how long a question is held back.
-	mostNewsWait = 2 * time.Second
+	// mostUpdateWait bounds how long a question is held back.
+	mostUpdateWait = 2 * time.Second
 )
 
 // Answers is what the expediter answers on the hotline.
@@ -35,7 +35,7 @@
 			if err := controller.mine(question.To); err != nil {
 				return replication.Promise{}, err
 			}
-			return controller.witness.Accept(controller.turns.Now(), question.Charter)
+			return controller.witness.Accept(controller.turns.Now(), question.Membership)
 		}),
 		ConfirmPath: answering(func(question keeperQuestion) (replication.Promise, error) {
 			if err := controller.mine(question.To); err != nil {
@@ -61,12 +61,12 @@
 			}
 			return nothing{}, controller.store.Refresh(question.Snapshot)
 		}),
-		NewsPath: answering(controller.answerNews),
+		UpdatePath: answering(controller.answerUpdate),
 		ClaimPath: answering(func(question ClaimQuestion) (LedAnswer, error) {
 			return controller.led(replication.Claim(question.Made, question.Entry))
 		}),
 		OrdersPath: answering(func(question OrdersQuestion) (LedAnswer, error) {
-			return controller.led(replication.GiveOrders(question.Duty, question.Orders, question.Supported))
+			return controller.led(replication.GiveOrders(question.Role, question.Orders, question.Supported))
 		}),
 	}
 }
@@ -82,28 +82,28 @@
 // led carries out a node's change if this expediter is primary.
 func (controller *Controller) led(change replication.Change) (LedAnswer, error) {
 	if _, _, err := controller.Ruling(); err != nil {
-		return LedAnswer{Charter: controller.coordinator.Charter()}, nil
+		return LedAnswer{Membership: controller.coordinator.Membership()}, nil
 	}
 	_, err := controller.submit(change, claimPatience)
 	if failure.KindOf(err) == failure.NotPrimary {
-		return LedAnswer{Charter: controller.coordinator.Charter()}, nil
+		return LedAnswer{Membership: controller.coordinator.Membership()}, nil
 	}
 	return LedAnswer{Leads: true}, err
 }
 
-// followedDrawers are those that nodes follow.
-var followedDrawers = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.OrdersSection}
+// followedSections are those that nodes follow.
+var followedSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.OrdersSection}
 
-// answerNews registers the node if needed, waits for news, and grants a hold
+// answerUpdate registers the node if needed, waits for news, and grants a hold
 // for the configuration that the answer confirms.
-func (controller *Controller) answerNews(question NewsQuestion) (NewsAnswer, error) {
-	elsewhere := func() (NewsAnswer, error) { return controller.elsewhere(question), nil }
+func (controller *Controller) answerUpdate(question UpdateQuestion) (UpdateAnswer, error) {
+	elsewhere := func() (UpdateAnswer, error) { return controller.elsewhere(question), nil }
 	current, view, err := controller.Ruling()
 	if err != nil {
 		return elsewhere()
 	}
 	if question.Brief {
-		return NewsAnswer{Leads: true, Charter: controller.coordinator.Charter(), Menu: view.VersionOf(replication.ConfigurationSection)}, nil
+		return UpdateAnswer{Leads: true, Membership: controller.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
 	}
 	name := question.Member.Name
 	router := question.Member.Kind == membership.Router
@@ -118,20 +118,20 @@
 	}
 	state, err := controller.state(current, view)
 	if err != nil {
-		return NewsAnswer{}, err
+		return UpdateAnswer{}, err
 	}
 	if recorded, found := state.Members[name]; !found || !recorded.Same(question.Member) {
 		member := question.Member
 		member.Since = controller.turns.Wall()
 		if _, err := controller.submit(replication.Register(member), registerPatience); err != nil {
-			return NewsAnswer{}, err
+			return UpdateAnswer{}, err
 		}
 	}
 	for {
-		if view = controller.awaitNews(question); view == nil {
+		if view = controller.awaitUpdate(question); view == nil {
 			return elsewhere()
 		}
-		answer := NewsAnswer{Leads: true, Charter: controller.coordinator.Charter(), Menu: view.VersionOf(replication.ConfigurationSection), Drawers: newer(view, question.Have)}
+		answer := UpdateAnswer{Leads: true, Membership: controller.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
 		answer.shorten(question, current)
 		now := controller.turns.Now()
 		answer.Held = now.Sub(arrived)
@@ -139,13 +139,13 @@
 		if router {
 			state, err := controller.state(current, view)
 			if err != nil {
-				return NewsAnswer{}, err
+				return UpdateAnswer{}, err
 			}
 			// From here the courier may act for as long as the hold says,
 			// counted from when it asked, which was earlier.
 			current.Holds.Grant(now, name, question.InForce.Number)
 			answer.Hold = lease.DefaultTerms().Hold
-			answer.Duties = current.keys.Renew(now, name, state.Rota.Duties, current.candidates(now, state))
+			answer.Roles = current.keys.Renew(now, name, state.Rota.Roles, current.candidates(now, state))
 			answer.Routers = current.routers(now, state)
 		}
 		// The grant is noted before this look: a configuration committed since
@@ -154,9 +154,9 @@
 		if latest == nil || !controller.coordinator.Holds() {
 			return elsewhere()
 		}
-		if latest.VersionOf(replication.ConfigurationSection) == answer.Menu {
-			if answer.Charter.Epoch <= question.Charter {
-				answer.Charter = replication.Membership{}
+		if latest.VersionOf(replication.ConfigurationSection) == answer.Configuration {
+			if answer.Membership.Epoch <= question.Membership {
+				answer.Membership = replication.Membership{}
 			}
 			controller.count(answer)
 			return answer, nil
@@ -166,38 +166,38 @@
 
 // shorten sends what changed of the configuration instead of all of it, if the
 // node takes that and has a version that was shown here.
-func (answer *NewsAnswer) shorten(question NewsQuestion, current *Reign) {
-	section, found := answer.Drawers[replication.ConfigurationSection]
+func (answer *UpdateAnswer) shorten(question UpdateQuestion, current *Term) {
+	section, found := answer.Sections[replication.ConfigurationSection]
 	if !found {
 		return
 	}
-	delta, made := current.editions.towards(section, question.Have[replication.ConfigurationSection])
+	delta, made := current.revisions.towards(section, question.Have[replication.ConfigurationSection])
 	if !made || !question.Deltas {
 		return
 	}
-	delete(answer.Drawers, replication.ConfigurationSection)
+	delete(answer.Sections, replication.ConfigurationSection)
 	answer.Deltas = map[string]Delta{replication.ConfigurationSection: delta}
 }
 
 // count adds an answer's drawers to what news has cost.
-func (controller *Controller) count(answer NewsAnswer) {
-	controller.newsAnswers.Add(1)
-	for name, section := range answer.Drawers {
-		controller.newsBytes.Add(uint64(len(section.Content)))
+func (controller *Controller) count(answer UpdateAnswer) {
+	controller.updateAnswers.Add(1)
+	for name, section := range answer.Sections {
+		controller.updateBytes.Add(uint64(len(section.Content)))
 		if name == replication.ConfigurationSection {
-			controller.menusSent.Add(1)
+			controller.configurationsSent.Add(1)
 		}
 	}
 	for _, delta := range answer.Deltas {
-		controller.newsBytes.Add(uint64(len(delta.Middle)))
-		controller.menusSent.Add(1)
+		controller.updateBytes.Add(uint64(len(delta.Middle)))
+		controller.configurationsSent.Add(1)
 	}
 }
 
 func newer(view *replication.View, have map[string]replication.Version) map[string]replication.Section {
 	sections := map[string]replication.Section{}
-	for _, name := range followedDrawers {
-		section, found := view.Drawers[name]
+	for _, name := range followedSections {
+		section, found := view.Sections[name]
 		switch {
 		case !found && name == replication.ConfigurationSection:
 			// A fleet that was given no configuration has the empty one.
@@ -218,25 +218,25 @@
 	return sections
 }
 
-// newerCharter tells whether the membership has changed since the asker heard of it: who
+// newerMembership tells whether the membership has changed since the asker heard of it: who
 // belongs to the core, and where, is to reach every node while it can. An older release
 // does not tell what it has heard of, and is told with its next answer.
-func (controller *Controller) newerCharter(question NewsQuestion) bool {
-	return question.Charter != 0 && controller.coordinator.Charter().Epoch > question.Charter
+func (controller *Controller) newerMembership(question UpdateQuestion) bool {
+	return question.Membership != 0 && controller.coordinator.Membership().Epoch > question.Membership
 }
 
-// awaitNews returns the view as soon as it has news for the question, or when
+// awaitUpdate returns the view as soon as it has news for the question, or when
 // its patience ends; nil when this expediter is not primary any more.
-func (controller *Controller) awaitNews(question NewsQuestion) *replication.View {
+func (controller *Controller) awaitUpdate(question UpdateQuestion) *replication.View {
 	var seen *replication.View
-	controller.news.Wait(min(max(question.Patience, 0), mostNewsWait), func() bool {
+	controller.update.Wait(min(max(question.Patience, 0), mostUpdateWait), func() bool {
 		_, view, err := controller.Ruling()
 		if err != nil {
 			seen = nil
 			return true
 		}
 		seen = view
-		return len(newer(view, question.Have)) > 0 || controller.lists.newer(question) || controller.newerCharter(question)
+		return len(newer(view, question.Have)) > 0 || controller.lists.newer(question) || controller.newerMembership(question)
 	})
 	if !controller.turns.Alive() {
 		return nil
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -54,9 +54,9 @@
 // The pauses of a courier's rounds. The values are ours.
 const (
 	routerTick = 20 * time.Millisecond
-	// dutyTick is the tick of a courier that has duties and no inquiries, and
+	// roleTick is the tick of a courier that has duties and no inquiries, and
 	// restTick of one that has neither.
-	dutyTick    = 200 * time.Millisecond
+	roleTick    = 200 * time.Millisecond
 	restTick    = time.Minute
 	crumbsPause = 250 * time.Millisecond
 	neighbours  = 3
@@ -76,7 +76,7 @@
 		core: seamloom.New(options.Options), stirred: turns.NewCond(), crumbs: turns.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
 	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	router.followed = NewFollower(turns, line, member, options.Seeds, router.InForce, router.takeNews)
+	router.followed = NewFollower(turns, line, member, options.Seeds, router.InForce, router.takeUpdate)
 	if options.Board != nil {
 		router.board = options.Board(router.core.Calls())
 		router.keepers = NewCountKeepers(turns, line, router.core.Calls(), options.Router, router.incarnation)
@@ -131,7 +131,7 @@
 	case router.core.InFlight() > 0:
 		return routerTick
 	case router.core.Dutiful():
-		return dutyTick
+		return roleTick
 	}
 	return restTick
 }
@@ -194,10 +194,10 @@
 		// A courier may stand among another process's seeds: it says where the
 		// core is.
 		HelloPath: answering(func(replication.Hello) (replication.Hello, error) {
-			return replication.Hello{Kind: membership.Router, Charter: router.followed.Charter()}, nil
+			return replication.Hello{Kind: membership.Router, Membership: router.followed.Membership()}, nil
 		}),
-		NewsPath: answering(func(NewsQuestion) (NewsAnswer, error) {
-			return NewsAnswer{Charter: router.followed.Charter()}, nil
+		UpdatePath: answering(func(UpdateQuestion) (UpdateAnswer, error) {
+			return UpdateAnswer{Membership: router.followed.Membership()}, nil
 		}),
 		IncarnationPath: answering(func(nothing) (Incarnation, error) {
 			return Incarnation{Incarnation: router.incarnation}, nil
@@ -209,34 +209,34 @@
 	return answers
 }
 
-// takeNews puts a configuration in force before it uses the hold that
+// takeUpdate puts a configuration in force before it uses the hold that
 // confirms it.
-func (router *Router) takeNews(news News) {
-	if news.Provisional {
-		router.takeProvisional(news)
+func (router *Router) takeUpdate(update Update) {
+	if update.Provisional {
+		router.takeProvisional(update)
 		return
 	}
-	if section, found := news.Changed[replication.ConfigurationSection]; found {
-		router.Apply(auction.Event{Kind: auction.MenuReceived, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+	if section, found := update.Changed[replication.ConfigurationSection]; found {
+		router.Apply(auction.Event{Kind: auction.ConfigurationReceived, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
 		router.observe("configuration_in_force", "version", section.Version.String())
 	}
-	state, err := replication.ReadState(news.Changed)
+	state, err := replication.ReadState(update.Changed)
 	if err != nil {
 		router.observe("news_unreadable", "cause", err)
 		return
 	}
-	if _, found := news.Changed[replication.FlagsSection]; found {
+	if _, found := update.Changed[replication.FlagsSection]; found {
 		router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
 		router.observe("flags_read", "enabled", state.Flags.Enabled, "restricted", router.core.Restricted())
 	}
-	if _, found := news.Changed[replication.OrdersSection]; found {
+	if _, found := update.Changed[replication.OrdersSection]; found {
 		router.Apply(auction.Event{Kind: auction.OrdersRead, Orders: router.core.ReadOrders(state.Orders.Records)})
 	}
-	router.takeMembers(news, state)
-	router.takeLists(news)
-	if news.Answer.Hold > 0 {
-		router.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: news.Asked.Add(news.Answer.Hold), Epoch: news.Answer.Menu.Epoch,
-			Number: news.Answer.Menu.Number, Duties: news.Answer.Duties})
+	router.takeMembers(update, state)
+	router.takeLists(update)
+	if update.Answer.Hold > 0 {
+		router.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: update.Asked.Add(update.Answer.Hold), Epoch: update.Answer.Configuration.Epoch,
+			Number: update.Answer.Configuration.Number, Roles: update.Answer.Roles})
 		router.showServing()
 		router.stir()
 	}
@@ -244,25 +244,25 @@
 
 // takeProvisional serves by what the copies hold, before there is a primary: what the
 // configuration is read by comes first. It is no hold, and allows no duty.
-func (router *Router) takeProvisional(news News) {
-	state, err := replication.ReadState(news.Changed)
+func (router *Router) takeProvisional(update Update) {
+	state, err := replication.ReadState(update.Changed)
 	if err != nil {
 		router.observe("news_unreadable", "cause", err)
 		return
 	}
 	router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
-	router.takeMembers(news, state)
-	router.takeLists(news)
-	section := news.Changed[replication.ConfigurationSection]
-	router.Apply(auction.Event{Kind: auction.MenuLent, Menu: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+	router.takeMembers(update, state)
+	router.takeLists(update)
+	section := update.Changed[replication.ConfigurationSection]
+	router.Apply(auction.Event{Kind: auction.ConfigurationLent, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
 	router.showServing()
 	router.stir()
 	router.observe("configuration_lent", "version", section.Version.String())
 }
 
 // takeMembers takes the recorded members, if there are others.
-func (router *Router) takeMembers(news News, state *replication.State) {
-	if _, found := news.Changed[replication.MembersSection]; !found {
+func (router *Router) takeMembers(update Update, state *replication.State) {
+	if _, found := update.Changed[replication.MembersSection]; !found {
 		return
 	}
 	router.mutex.Lock()
@@ -271,7 +271,7 @@
 	if router.keepers != nil {
 		router.keepers.SetNodes(state.Members)
 	}
-	if news.Answer.Routers == 0 {
+	if update.Answer.Routers == 0 {
 		// Nobody counts them: an older release's primary, or a copy.
 		router.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(routersOf(state.Members)))})
 	}
@@ -279,17 +279,17 @@
 }
 
 // takeLists takes what the news says of servers and of those who share them.
-func (router *Router) takeLists(news News) {
-	if count := news.Answer.Routers; count > 0 {
+func (router *Router) takeLists(update Update) {
+	if count := update.Answer.Routers; count > 0 {
 		router.routers.Store(int64(count))
 		router.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(count)})
 	}
-	if news.Servers != nil {
-		router.takeServers(news.Servers.At, news.Servers.Servers)
+	if update.Servers != nil {
+		router.takeServers(update.Servers.At, update.Servers.Servers)
 	}
-	if len(news.Loads) > 0 {
-		router.core.Calls().SetOutliers(router.turns.Now(), news.Outliers)
-		router.Apply(auction.Event{Kind: auction.LoadsReported, Loads: news.Loads})
+	if len(update.Loads) > 0 {
+		router.core.Calls().SetOutliers(router.turns.Now(), update.Outliers)
+		router.Apply(auction.Event{Kind: auction.LoadsReported, Loads: update.Loads})
 	}
 }
 
@@ -432,7 +432,7 @@
 				router.Apply(auction.Event{Kind: auction.ClientLeft, ID: request.ID})
 				return
 			}
-			stream.bell.Wait(time.Minute, stream.news)
+			stream.bell.Wait(time.Minute, stream.update)
 			if !router.turns.Alive() {
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -105,11 +105,11 @@
 	}
 	version := replication.Version{Epoch: 1, Number: 4}
 	sections := map[string]replication.Section{replication.ConfigurationSection: {Version: version, Content: config.Empty().Text}}
-	router.takeNews(News{Asked: atNoon(0), Answer: NewsAnswer{Leads: true, Menu: version}, Changed: sections})
+	router.takeUpdate(Update{Asked: atNoon(0), Answer: UpdateAnswer{Leads: true, Configuration: version}, Changed: sections})
 	if !board.until.IsZero() || router.InForce() != version {
 		t.Errorf("a configuration without a hold: serves until %s with %s", board.until, router.InForce())
 	}
-	router.takeNews(News{Asked: atNoon(time.Second), Answer: NewsAnswer{Leads: true, Menu: version, Hold: 4 * time.Second, Routers: 9},
+	router.takeUpdate(Update{Asked: atNoon(time.Second), Answer: UpdateAnswer{Leads: true, Configuration: version, Hold: 4 * time.Second, Routers: 9},
 		Servers: &Listed{At: atNoon(0), Servers: []membership.Server{{Name: "a"}}}})
 	if !board.until.Equal(atNoon(65*time.Second)) || len(board.servers) != 1 || router.routers.Load() != 9 {
 		t.Errorf("serves until %s, servers %v", board.until, board.servers)
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -117,7 +117,7 @@
 		return
 	}
 	var answer LedAnswer
-	err := router.followed.Ask(OrdersPath, OrdersQuestion{Duty: decision.Duty, Orders: decision.Orders, Supported: router.options.Supported}, &answer, actPatience, decision.NotAfter)
+	err := router.followed.Ask(OrdersPath, OrdersQuestion{Role: decision.Role, Orders: decision.Orders, Supported: router.options.Supported}, &answer, actPatience, decision.NotAfter)
 	router.observe("orders_given", "orders", decision.Orders, "trouble", err)
 }
 
@@ -126,7 +126,7 @@
 		return
 	}
 	err := router.stove.Command(decision, func() bool { return router.mayAct(decision) })
-	router.observe("commanded", "server", decision.Server, "part", decision.Part, "fence", decision.Duty.Fence, "trouble", err)
+	router.observe("commanded", "server", decision.Server, "part", decision.Part, "fence", decision.Role.FencingToken, "trouble", err)
 }
 
 // claim asks the primary for an inquiry's id until it is answered, its limit
--- a/internal/hatch/delta_test.go
+++ b/internal/hatch/delta_test.go
@@ -40,21 +40,21 @@
 // wrong: it must not take it, and must ask for the whole.
 func TestFollowerAsksAnewWhenADeltaDoesNotFit(t *testing.T) {
 	taken := 0
-	follower := NewFollower(hookless{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(News) { taken++ })
+	follower := NewFollower(hookless{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
 	first := replication.Section{Version: replication.Version{Epoch: 1, Number: 1}, Content: bytes.Repeat([]byte("a"), 5000)}
 	second := replication.Section{Version: replication.Version{Epoch: 1, Number: 2}, Content: append(bytes.Repeat([]byte("a"), 5000), 'b')}
-	follower.takeAnswer(hookless{}.Now(), NewsAnswer{Leads: true, Menu: first.Version, Drawers: map[string]replication.Section{replication.ConfigurationSection: first}})
+	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
 	delta := makeDelta(first, second)
 	delta.Checksum++
-	follower.takeAnswer(hookless{}.Now(), NewsAnswer{Leads: true, Menu: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
+	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
 	question, _ := follower.pollQuestion()
 	if _, told := question.Have[replication.ConfigurationSection]; told || taken != 1 {
 		t.Fatalf("a delta that does not fit was taken: %d answers, the node says that it has %v", taken, question.Have)
 	}
 	delta.Checksum--
-	follower.takeAnswer(hookless{}.Now(), NewsAnswer{Leads: true, Menu: first.Version, Drawers: map[string]replication.Section{replication.ConfigurationSection: first}})
-	follower.takeAnswer(hookless{}.Now(), NewsAnswer{Leads: true, Menu: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
-	if got := follower.Drawer(replication.ConfigurationSection); got.Version != second.Version || !bytes.Equal(got.Content, second.Content) {
+	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
+	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
+	if got := follower.Section(replication.ConfigurationSection); got.Version != second.Version || !bytes.Equal(got.Content, second.Content) {
 		t.Fatalf("the node has %s after the delta", got.Version)
 	}
 }
--- a/internal/hatch/edit.go
+++ b/internal/hatch/edit.go
@@ -66,31 +66,31 @@
 // change prepares an edit for the newest configuration and submits it, again when
 // that has moved meanwhile. Edits of a large configuration are prepared one after
 // another, so that one whose turn it is need not be made again.
-func (controller *Controller) change(edit Edit) (*Reign, replication.Version, error) {
+func (controller *Controller) change(edit Edit) (*Term, replication.Version, error) {
 	ends := controller.turns.Now().Add(changePatience)
 	for {
 		current, view, err := controller.Ruling()
 		if err != nil {
 			return nil, replication.Version{}, err
 		}
-		section, found := view.Drawers[replication.ConfigurationSection]
+		section, found := view.Sections[replication.ConfigurationSection]
 		if !found {
 			section.Content = config.Empty().Text
 		}
-		large := len(section.Content) >= replication.LargeMenu
+		large := len(section.Content) >= replication.LargeConfiguration
 		if large {
 			if !controller.takeEditTurn(ends) {
 				return nil, replication.Version{}, failure.New(failure.Busy, "other changes of this large configuration go first; ask again")
 			}
 			if _, newest, err := controller.Ruling(); err == nil {
-				section = newest.Drawers[replication.ConfigurationSection]
+				section = newest.Sections[replication.ConfigurationSection]
 			}
 		}
-		var prepared replication.PreparedMenu
+		var prepared replication.PreparedConfiguration
 		if !controller.noted(current, view, edit) {
-			prepared = replication.PrepareMenu(section.Version, section.Content, edit.Apply, edit.Sound)
+			prepared = replication.PrepareConfiguration(section.Version, section.Content, edit.Apply, edit.Sound)
 		}
-		version, err := controller.submit(replication.ChangeMenu(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changePatience)
+		version, err := controller.submit(replication.ChangeConfiguration(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changePatience)
 		if large {
 			controller.giveEditTurn()
 		}
@@ -105,7 +105,7 @@
 
 // noted tells whether the very change was committed before: then it is answered in
 // its turn, and need not be prepared.
-func (controller *Controller) noted(current *Reign, view *replication.View, edit Edit) bool {
+func (controller *Controller) noted(current *Term, view *replication.View, edit Edit) bool {
 	state, err := controller.state(current, view)
 	if err != nil || edit.Change == "" {
 		return false
@@ -144,7 +144,7 @@
 // awaitInForce waits until every courier that has a hold has confirmed the
 // version, or its hold ran out; where a wait is chosen, until every courier that was
 // heard from within it has, or the wait has passed. Its own hold is checked last.
-func (controller *Controller) awaitInForce(current *Reign, version replication.Version) bool {
+func (controller *Controller) awaitInForce(current *Term, version replication.Version) bool {
 	everywhere := false
 	committed := controller.turns.Now()
 	wait := time.Duration(controller.acknowledgeWait.Load())
--- a/internal/hatch/edit_test.go
+++ b/internal/hatch/edit_test.go
@@ -29,7 +29,7 @@
 func (core *core) mustBe(t *testing.T, primary *Controller, want string) replication.Version {
 	t.Helper()
 	_, view, state, err := primary.Read()
-	if err != nil || !strings.Contains(string(state.Menu), want) {
+	if err != nil || !strings.Contains(string(state.Configuration), want) {
 		t.Fatalf("%v: no %s in the configuration", err, want)
 	}
 	return view.VersionOf(replication.ConfigurationSection)
@@ -102,7 +102,7 @@
 	for range 200 {
 		waited.Wait(20*time.Millisecond, func() bool { return false })
 		for _, node := range formed.nodes {
-			if _, _, err := node.Ruling(); err == nil && node != primary && !node.Coordinator().Charter().Backup.Empty() {
+			if _, _, err := node.Ruling(); err == nil && node != primary && !node.Coordinator().Membership().Backup.Empty() {
 				next = node
 			}
 		}
@@ -147,9 +147,9 @@
 		t.Fatal(err)
 	}
 	_, _, state, _ := primary.Read()
-	configuration, err := config.Check(state.Menu)
+	configuration, err := config.Check(state.Configuration)
 	if err != nil || configuration.Revision != 2 || !configuration.Evacuated("north") || !configuration.Evacuated("south") {
-		t.Fatalf("%s: %v", state.Menu, err)
+		t.Fatalf("%s: %v", state.Configuration, err)
 	}
 	lift := Edit{Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, "north") }}
 	for range 2 {
--- a/internal/hatch/editions.go
+++ b/internal/hatch/editions.go
@@ -8,21 +8,21 @@
 
 // editions are the configurations that a primary has shown lately, so that a
 // node which has one of them is sent only what changed.
-type editions struct {
+type revisions struct {
 	mutex sync.Mutex
 	shown []replication.Section
 	// made are the deltas towards the newest one, by the version they start from.
 	made map[replication.Version]Delta
 }
 
-// mostEditions bounds the memory, and mostEditionBytes their size together.
+// mostRevisions bounds the memory, and mostRevisionBytes their size together.
 const (
-	mostEditions     = 24
-	mostEditionBytes = 48 << 20
+	mostRevisions     = 24
+	mostRevisionBytes = 48 << 20
 )
 
 // towards gives the delta from the version that a node has to the newest.
-func (editions *editions) towards(newest replication.Section, have replication.Version) (Delta, bool) {
+func (editions *revisions) towards(newest replication.Section, have replication.Version) (Delta, bool) {
 	editions.mutex.Lock()
 	defer editions.mutex.Unlock()
 	if len(newest.Content) < leastDelta {
@@ -35,7 +35,7 @@
 		for _, section := range editions.shown {
 			size += len(section.Content)
 		}
-		for len(editions.shown) > 1 && (len(editions.shown) > mostEditions || size > mostEditionBytes) {
+		for len(editions.shown) > 1 && (len(editions.shown) > mostRevisions || size > mostRevisionBytes) {
 			size -= len(editions.shown[0].Content)
 			editions.shown = editions.shown[1:]
 		}
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -29,22 +29,22 @@
 	coordinator *replication.Coordinator
 	followed    *Follower
 	answers     Answers
-	news        runtime.Cond
-	reigns      runtime.Cond
+	update      runtime.Cond
+	terms       runtime.Cond
 	lists       lists
 	work        runtime.Cond
 	confirmed   runtime.Cond
 	edits       runtime.Cond
 
-	submitted   atomic.Uint64
-	newsAnswers atomic.Uint64
-	newsBytes   atomic.Uint64
-	menusSent   atomic.Uint64
+	submitted          atomic.Uint64
+	updateAnswers      atomic.Uint64
+	updateBytes        atomic.Uint64
+	configurationsSent atomic.Uint64
 
 	acknowledgeWait atomic.Int64
 
 	mutex sync.Mutex
-	reign *Reign
+	term  *Term
 	// epoch is that of the newest charter that was told to those who ask for news.
 	epoch    uint64
 	nodes    []string
@@ -71,7 +71,7 @@
 
 // OpenController opens what the disk holds. A blank or damaged keeper's shelf is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenController(turns runtime.Runtime, line Hotline, keeping, copies replication.Shelf, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
+func OpenController(turns runtime.Runtime, line Hotline, keeping, copies replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(turns.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -93,7 +93,7 @@
 	witness.Guard(runtime.NewLock(turns))
 	copied.Guard(runtime.NewLock(turns))
 	controller := &Controller{turns: turns, line: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
-		news: turns.NewCond(), reigns: turns.NewCond(), work: turns.NewCond(), confirmed: turns.NewCond(), edits: turns.NewCond()}
+		update: turns.NewCond(), terms: turns.NewCond(), work: turns.NewCond(), confirmed: turns.NewCond(), edits: turns.NewCond()}
 	controller.store.Guard(runtime.NewLock(turns))
 	controller.coordinator = replication.NewCoordinator(turns, options.Seeds, witness, controller.store, &peers{line: line}, observe)
 	if options.JoinsOnly {
@@ -104,24 +104,24 @@
 	controller.coordinator.Bear(options.BorneLosses, options.Zone)
 	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.Repair().String(), "margin", timing.Margin().String())
 	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	controller.followed = NewFollower(turns, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeNews)
+	controller.followed = NewFollower(turns, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
 	controller.followed.Follow(options.Directory != nil, false)
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
 	// Who was recorded when this disk was written last may know where the core is now.
-	controller.takeMembers(News{Changed: copied.Drawers()})
+	controller.takeMembers(Update{Changed: copied.Sections()})
 	controller.answers = controller.table()
 	return controller, blank, nil
 }
 
-func empty(shelf replication.Shelf) error {
-	files, damaged, err := shelf.Load()
+func empty(storage replication.Storage) error {
+	files, damaged, err := storage.Load()
 	if err != nil {
 		return err
 	}
 	for name := range files {
 		damaged = append(damaged, name)
 	}
-	return shelf.Remove(damaged)
+	return storage.Remove(damaged)
 }
 
 // Rounds are what an expediter does over and over, each in a thread of its own.
@@ -224,45 +224,45 @@
 // Heard is when a primary answered this node last.
 func (controller *Controller) Heard() time.Time { return controller.followed.Heard() }
 
-// NewsCounts tells how many answers, bytes of drawers and configurations went
+// UpdateCounts tells how many answers, bytes of drawers and configurations went
 // out.
-func (controller *Controller) NewsCounts() (answers, bytes, menus uint64) {
-	return controller.newsAnswers.Load(), controller.newsBytes.Load(), controller.menusSent.Load()
+func (controller *Controller) UpdateCounts() (answers, bytes, configurations uint64) {
+	return controller.updateAnswers.Load(), controller.updateBytes.Load(), controller.configurationsSent.Load()
 }
 
 func (controller *Controller) tick() {
 	controller.coordinator.Tick()
 	// It may wait for the disk, and nobody may wait for that here.
 	leading := controller.store.Leading()
-	epoch := controller.coordinator.Charter().Epoch
+	epoch := controller.coordinator.Membership().Epoch
 	controller.mutex.Lock()
 	moved := epoch != controller.epoch
 	controller.epoch = epoch
-	begun, ended := leading && controller.reign == nil, !leading && controller.reign != nil
+	begun, ended := leading && controller.term == nil, !leading && controller.term != nil
 	if begun {
-		controller.reign = newReign(controller.turns.Now())
+		controller.term = newTerm(controller.turns.Now())
 	}
 	if ended {
-		controller.reign = nil
+		controller.term = nil
 	}
 	controller.mutex.Unlock()
 	if begun {
-		controller.lists.begin(controller.coordinator.Charter().Epoch)
-		controller.reigns.Broadcast()
+		controller.lists.begin(controller.coordinator.Membership().Epoch)
+		controller.terms.Broadcast()
 	}
 	if ended {
 		controller.lists.end()
 	}
 	if ended || moved {
-		controller.news.Broadcast()
+		controller.update.Broadcast()
 	}
 }
 
 // Ruling gives the reign and the committed view if this expediter is primary at
 // this moment.
-func (controller *Controller) Ruling() (*Reign, *replication.View, error) {
+func (controller *Controller) Ruling() (*Term, *replication.View, error) {
 	controller.mutex.Lock()
-	current := controller.reign
+	current := controller.term
 	controller.mutex.Unlock()
 	view := controller.store.View()
 	if current == nil || view == nil || !controller.coordinator.Holds() {
@@ -274,7 +274,7 @@
 // Read is the committed state for a reader: the hold is checked after the view
 // was taken, so that it was the newest at some moment of the call. The copies
 // that it finds old are mended.
-func (controller *Controller) Read() (*Reign, *replication.View, *replication.State, error) {
+func (controller *Controller) Read() (*Term, *replication.View, *replication.State, error) {
 	current, view, err := controller.Ruling()
 	if err != nil {
 		return nil, nil, nil, err
@@ -291,7 +291,7 @@
 }
 
 // state is the committed state, decoded once for each version.
-func (controller *Controller) state(current *Reign, view *replication.View) (*replication.State, error) {
+func (controller *Controller) state(current *Term, view *replication.View) (*replication.State, error) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	if current.state != nil && current.stateAt == view.Version {
@@ -299,8 +299,8 @@
 	}
 	// Claims are many and asked for nowhere but in their own changes.
 	sections := map[string]replication.Section{}
-	for _, name := range []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.DutiesSection, replication.OrdersSection, replication.ChangesSection} {
-		if section, found := view.Drawers[name]; found {
+	for _, name := range []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.RolesSection, replication.OrdersSection, replication.ChangesSection} {
+		if section, found := view.Sections[name]; found {
 			sections[name] = section
 		}
 	}
@@ -328,28 +328,28 @@
 }
 
 func (controller *Controller) commitOne() bool {
-	charter := controller.coordinator.Charter()
-	if charter.Backup.Empty() || !controller.coordinator.Holds() {
+	membership := controller.coordinator.Membership()
+	if membership.Backup.Empty() || !controller.coordinator.Holds() {
 		return false
 	}
 	batch, found := controller.store.Begin()
-	if !found || batch.Version.Epoch != charter.Epoch {
+	if !found || batch.Version.Epoch != membership.Epoch {
 		return false
 	}
-	if !batch.Empty() && !controller.sync(charter, batch) {
+	if !batch.Empty() && !controller.sync(membership, batch) {
 		return false
 	}
 	if !controller.store.Commit(batch) {
 		return false
 	}
 	if !batch.Empty() {
-		controller.news.Broadcast()
+		controller.update.Broadcast()
 	}
 	return true
 }
 
 // sync brings a batch to all disks at once and tells whether it is on each.
-func (controller *Controller) sync(charter replication.Membership, batch replication.Batch) bool {
+func (controller *Controller) sync(membership replication.Membership, batch replication.Batch) bool {
 	var mutex sync.Mutex
 	var own error
 	kept := false
@@ -366,13 +366,13 @@
 	var missing error
 	waits := 0
 	replicate := func(backup replication.Replica) {
-		err := (&peers{line: controller.line}).Replicate(controller.coordinator.Address(backup), backup.Identity, charter.Epoch, batch)
+		err := (&peers{line: controller.line}).Replicate(controller.coordinator.Address(backup), backup.Identity, membership.Epoch, batch)
 		controller.coordinator.BackupAnswered(backup.Identity, err == nil)
 		mutex.Lock()
 		missing = multierr.Append(missing, err)
 		mutex.Unlock()
 	}
-	for _, further := range charter.Further {
+	for _, further := range membership.Further {
 		waits++
 		controller.turns.Go(func() {
 			replicate(further)
@@ -382,7 +382,7 @@
 			bell.Broadcast()
 		})
 	}
-	replicate(charter.Backup)
+	replicate(membership.Backup)
 	ended := func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -446,14 +446,14 @@
 	return version, nil
 }
 
-// takeNews follows the enabled set as every node does, and the list of servers, to
+// takeUpdate follows the enabled set as every node does, and the list of servers, to
 // lead with it at once.
-func (controller *Controller) takeNews(news News) {
-	if news.Servers != nil && !controller.lists.leading() {
-		controller.lists.take(news.Servers.At, news.Servers.Servers)
+func (controller *Controller) takeUpdate(update Update) {
+	if update.Servers != nil && !controller.lists.leading() {
+		controller.lists.take(update.Servers.At, update.Servers.Servers)
 	}
-	controller.takeMembers(news)
-	section, found := news.Changed[replication.FlagsSection]
+	controller.takeMembers(update)
+	section, found := update.Changed[replication.FlagsSection]
 	if !found {
 		return
 	}
@@ -469,8 +469,8 @@
 }
 
 // takeMembers takes the recorded members from news, or from the own copy.
-func (controller *Controller) takeMembers(news News) {
-	section, found := news.Changed[replication.MembersSection]
+func (controller *Controller) takeMembers(update Update) {
+	section, found := update.Changed[replication.MembersSection]
 	if !found {
 		return
 	}
--- a/internal/hatch/expediter_test.go
+++ b/internal/hatch/expediter_test.go
@@ -15,7 +15,7 @@
 
 func plain(turns runtime.Runtime) runtime.Runtime { return turns }
 
-func edition(name string) func([]byte) ([]byte, error) {
+func rev(name string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) { return []byte(`{"routes":{"` + name + `":{"to":{"refuse":true}}}}`), nil }
 }
 
@@ -23,11 +23,11 @@
 // change accepted that is only on the backup's.
 func TestAnswerWaitsForBothDisks(t *testing.T) {
 	formed, primary := newCore(t, plain)
-	if _, err := primary.Edit(Edit{Change: "one", Apply: edition("one")}); err != nil {
+	if _, err := primary.Edit(Edit{Change: "one", Apply: rev("one")}); err != nil {
 		t.Fatal(err)
 	}
-	formed.shelfs[primary.options.Address].failing.Store(true)
-	if version, err := primary.Edit(Edit{Change: "two", Apply: edition("two")}); err == nil {
+	formed.storages[primary.options.Address].failing.Store(true)
+	if version, err := primary.Edit(Edit{Change: "two", Apply: rev("two")}); err == nil {
 		t.Fatalf("version %s was accepted, though the own disk takes nothing", version)
 	}
 }
@@ -42,8 +42,8 @@
 		hooks[hooked] = hooked
 		return hooked
 	})
-	question := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
-	if _, err := primary.answerNews(question); err != nil {
+	question := UpdateQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
+	if _, err := primary.answerUpdate(question); err != nil {
 		t.Fatal(err)
 	}
 	asked, committed := 0, false
@@ -58,33 +58,33 @@
 		if asked++; asked != 2 {
 			return
 		}
-		_, err := primary.submit(replication.ChangeMenu("meanwhile", "", nil, replication.PreparedMenu{}, edition("meanwhile")), changePatience)
+		_, err := primary.submit(replication.ChangeConfiguration("meanwhile", "", nil, replication.PreparedConfiguration{}, rev("meanwhile")), changePatience)
 		committed = err == nil
 	}
 	question.Patience = 0
 	hooks[primary.turns].hook.Store(&hook)
-	answer, err := primary.answerNews(question)
+	answer, err := primary.answerUpdate(question)
 	if err != nil || !committed {
 		t.Fatalf("committed meanwhile: %v, %v", committed, err)
 	}
-	if latest := primary.store.View().VersionOf(replication.ConfigurationSection); answer.Menu != latest && answer.Leads {
-		t.Fatalf("the hold confirms version %s, and %s was committed before it was granted", answer.Menu, latest)
+	if latest := primary.store.View().VersionOf(replication.ConfigurationSection); answer.Configuration != latest && answer.Leads {
+		t.Fatalf("the hold confirms version %s, and %s was committed before it was granted", answer.Configuration, latest)
 	}
 }
 
-// TestFollowerPassesOlderNewsOver brings a node an older primary's word after a
+// TestFollowerPassesOlderUpdateOver brings a node an older primary's word after a
 // newer one's.
-func TestFollowerPassesOlderNewsOver(t *testing.T) {
+func TestFollowerPassesOlderUpdateOver(t *testing.T) {
 	taken := 0
-	follower := NewFollower(hookless{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(News) { taken++ })
+	follower := NewFollower(hookless{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
 	newer, older := replication.Version{Epoch: 3, Number: 9}, replication.Version{Epoch: 2, Number: 8}
-	news := func(version replication.Version) NewsAnswer {
-		return NewsAnswer{Leads: true, Menu: version, Drawers: map[string]replication.Section{replication.ConfigurationSection: {Version: version}}}
+	update := func(version replication.Version) UpdateAnswer {
+		return UpdateAnswer{Leads: true, Configuration: version, Sections: map[string]replication.Section{replication.ConfigurationSection: {Version: version}}}
 	}
-	follower.takeAnswer(hookless{}.Now(), news(newer))
-	follower.takeAnswer(hookless{}.Now(), news(older))
-	follower.takeAnswer(hookless{}.Now(), NewsAnswer{Leads: true, Menu: older})
-	if got := follower.Drawer(replication.ConfigurationSection).Version; taken != 1 || got != newer {
+	follower.takeAnswer(hookless{}.Now(), update(newer))
+	follower.takeAnswer(hookless{}.Now(), update(older))
+	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: older})
+	if got := follower.Section(replication.ConfigurationSection).Version; taken != 1 || got != newer {
 		t.Fatalf("%d answers were taken, the node has %s", taken, got)
 	}
 }
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -15,49 +15,49 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// memoryShelf is a folder in memory that can be told to fail.
-type memoryShelf struct {
+// memoryStorage is a folder in memory that can be told to fail.
+type memoryStorage struct {
 	mutex   sync.Mutex
 	files   map[string][]byte
 	failing atomic.Bool
 }
 
-func (shelf *memoryShelf) Save(name string, content []byte) error {
-	if shelf.failing.Load() {
+func (storage *memoryStorage) Save(name string, content []byte) error {
+	if storage.failing.Load() {
 		return failure.New(failure.Disk, "the disk fails")
 	}
-	shelf.mutex.Lock()
-	defer shelf.mutex.Unlock()
-	shelf.files[name] = content
+	storage.mutex.Lock()
+	defer storage.mutex.Unlock()
+	storage.files[name] = content
 	return nil
 }
 
-func (shelf *memoryShelf) Load() (map[string][]byte, []string, error) {
-	shelf.mutex.Lock()
-	defer shelf.mutex.Unlock()
+func (storage *memoryStorage) Load() (map[string][]byte, []string, error) {
+	storage.mutex.Lock()
+	defer storage.mutex.Unlock()
 	files := map[string][]byte{}
-	for name, content := range shelf.files {
+	for name, content := range storage.files {
 		files[name] = content
 	}
 	return files, nil, nil
 }
 
-func (shelf *memoryShelf) Remove(names []string) error {
-	shelf.mutex.Lock()
-	defer shelf.mutex.Unlock()
+func (storage *memoryStorage) Remove(names []string) error {
+	storage.mutex.Lock()
+	defer storage.mutex.Unlock()
 	for _, name := range names {
-		delete(shelf.files, name)
+		delete(storage.files, name)
 	}
 	return nil
 }
 
 // core is three expediters in one process, joined by direct calls.
 type core struct {
-	mutex  sync.Mutex
-	nodes  map[string]*Controller
-	shelfs map[string]*memoryShelf
+	mutex    sync.Mutex
+	nodes    map[string]*Controller
+	storages map[string]*memoryStorage
 	// keeping are the shelves of the keepers.
-	keeping map[string]*memoryShelf
+	keeping map[string]*memoryStorage
 }
 
 // CallRaw answers at once.
@@ -89,19 +89,19 @@
 	t.Helper()
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	formed := &core{nodes: map[string]*Controller{}, shelfs: map[string]*memoryShelf{}, keeping: map[string]*memoryShelf{}}
+	formed := &core{nodes: map[string]*Controller{}, storages: map[string]*memoryStorage{}, keeping: map[string]*memoryStorage{}}
 	turns := osruntime.New(lifetime, osruntime.NewClock())
 	changed := turns.NewCond()
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
-		copies, keeping := &memoryShelf{files: map[string][]byte{}}, &memoryShelf{files: map[string][]byte{}}
+		copies, keeping := &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
 		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
 		node, _, err := OpenController(wrap(turns), formed, keeping, copies, options, func(string, ...any) { changed.Broadcast() })
 		if err != nil {
 			t.Fatal(err)
 		}
 		formed.mutex.Lock()
-		formed.nodes[address], formed.shelfs[address] = node, copies
+		formed.nodes[address], formed.storages[address] = node, copies
 		formed.keeping[address] = keeping
 		formed.mutex.Unlock()
 	}
@@ -115,7 +115,7 @@
 		// The bell rings with each step of the core; a pair makes it writable.
 		changed.Wait(100*time.Millisecond, func() bool {
 			for _, node := range formed.nodes {
-				if _, _, err := node.Ruling(); err == nil && !node.Coordinator().Charter().Backup.Empty() {
+				if _, _, err := node.Ruling(); err == nil && !node.Coordinator().Membership().Backup.Empty() {
 					primary = node
 				}
 			}
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -18,19 +18,19 @@
 	line    Hotline
 	member  membership.Member
 	inForce func() replication.Version
-	take    func(News)
+	take    func(Update)
 
 	mutex   sync.Mutex
 	primary string
 	// current tells that the present primary has answered in full.
-	current  bool
-	seeds    []string
-	contacts []string
-	peers    []string
-	drawers  map[string]replication.Section
-	charter  replication.Membership
-	heard    time.Time
-	dark     map[string]time.Time
+	current    bool
+	seeds      []string
+	contacts   []string
+	peers      []string
+	sections   map[string]replication.Section
+	membership replication.Membership
+	heard      time.Time
+	dark       map[string]time.Time
 
 	// provisional tells that a configuration may be taken from copies, unconfirmed is
 	// the version of one that no primary has confirmed yet.
@@ -49,10 +49,10 @@
 	listing      membership.Listing
 }
 
-// News is one answer of the primary, as the node takes it.
-type News struct {
+// Update is one answer of the primary, as the node takes it.
+type Update struct {
 	Asked   time.Time
-	Answer  NewsAnswer
+	Answer  UpdateAnswer
 	Changed map[string]replication.Section
 	// Provisional tells that the drawers are those of a copy and no primary's word.
 	Provisional bool
@@ -71,11 +71,11 @@
 }
 
 const (
-	// newsWait is how long the primary holds a question back without news.
-	newsWait = 600 * time.Millisecond
+	// updateWait is how long the primary holds a question back without news.
+	updateWait = 600 * time.Millisecond
 	// loadsWait is that of a node that follows reports: a little longer than reports
 	// come in calm times, so that each round needs one answer only.
-	loadsWait = newsWait + 200*time.Millisecond
+	loadsWait = updateWait + 200*time.Millisecond
 	// answerMargin is how much longer than the primary may hold a question back the
 	// answer may take. After that the primary counts as silent.
 	answerMargin = 300 * time.Millisecond
@@ -97,9 +97,9 @@
 
 // NewFollower makes a follower for a member. Take is called for every answer,
 // in turn.
-func NewFollower(turns runtime.Runtime, line Hotline, member membership.Member, seeds []string, inForce func() replication.Version, take func(News)) *Follower {
+func NewFollower(turns runtime.Runtime, line Hotline, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
 	return &Follower{turns: turns, line: line, member: member, seeds: seeds, inForce: inForce, take: take,
-		drawers: map[string]replication.Section{}, dark: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
+		sections: map[string]replication.Section{}, dark: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
 }
 
 // DefaultApplyWithin is how soon a change has to be in force when nobody said.
@@ -120,7 +120,7 @@
 // waits are how long a question may be held back, and how much longer its answer may take.
 // The caller has the mutex.
 func (follower *Follower) waits() (held, margin time.Duration) {
-	held = newsWait
+	held = updateWait
 	if follower.loads {
 		held = loadsWait
 	}
@@ -163,11 +163,11 @@
 	follower.seeds = seeds
 }
 
-// Charter is the newest charter heard of.
-func (follower *Follower) Charter() replication.Membership {
+// Membership is the newest charter heard of.
+func (follower *Follower) Membership() replication.Membership {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	return follower.charter
+	return follower.membership
 }
 
 // Heard is when the primary answered last.
@@ -177,11 +177,11 @@
 	return follower.heard
 }
 
-// Drawer is the newest content of a drawer that the node has.
-func (follower *Follower) Drawer(name string) replication.Section {
+// Section is the newest content of a drawer that the node has.
+func (follower *Follower) Section(name string) replication.Section {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	return follower.drawers[name]
+	return follower.sections[name]
 }
 
 // Run asks until the process ends: the primary while it answers, and all that may know
@@ -209,8 +209,8 @@
 func (follower *Follower) poll(address string) {
 	question, patience := follower.pollQuestion()
 	asked := follower.turns.Now()
-	var answer NewsAnswer
-	err := Call(follower.line, address, NewsPath, question, &answer, patience)
+	var answer UpdateAnswer
+	err := Call(follower.line, address, UpdatePath, question, &answer, patience)
 	if err != nil {
 		if unheard(err) {
 			follower.forget(address)
@@ -219,7 +219,7 @@
 		runtime.Sleep(follower.turns, retryPause)
 		return
 	}
-	follower.learn(address, leadsAnswer{Leads: answer.Leads, Charter: answer.Charter})
+	follower.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
 	if answer.Leads && !follower.takeAnswer(asked, answer) {
 		runtime.Sleep(follower.turns, retryPause)
 	}
@@ -227,14 +227,14 @@
 
 // briefQuestion asks only who leads, and what the copies are like: a whole fleet asks it at
 // once after a loss.
-func (follower *Follower) briefQuestion() NewsQuestion {
+func (follower *Follower) briefQuestion() UpdateQuestion {
 	question := follower.searchQuestion()
 	question.Brief = true
 	return question
 }
 
 // searchQuestion is to be answered at once, so that those who are dark cost little time.
-func (follower *Follower) searchQuestion() NewsQuestion {
+func (follower *Follower) searchQuestion() UpdateQuestion {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	question := follower.question()
@@ -244,11 +244,11 @@
 
 // pollQuestion is held back by the primary until there is news. The first one to a primary
 // is answered at once; it may bring a whole configuration.
-func (follower *Follower) pollQuestion() (NewsQuestion, time.Duration) {
+func (follower *Follower) pollQuestion() (UpdateQuestion, time.Duration) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	question := follower.question()
-	_, has := follower.drawers[replication.ConfigurationSection]
+	_, has := follower.sections[replication.ConfigurationSection]
 	switch {
 	case !follower.current && !has:
 		return question, wholePatience
@@ -264,60 +264,60 @@
 }
 
 // question tells what the node has. The caller has the mutex.
-func (follower *Follower) question() NewsQuestion {
+func (follower *Follower) question() UpdateQuestion {
 	have := map[string]replication.Version{}
-	for name, section := range follower.drawers {
+	for name, section := range follower.sections {
 		have[name] = section.Version
 	}
-	return NewsQuestion{Member: follower.member, Have: have, InForce: follower.inForce(), Deltas: true, Charter: follower.charter.Epoch,
+	return UpdateQuestion{Member: follower.member, Have: have, InForce: follower.inForce(), Deltas: true, Membership: follower.membership.Epoch,
 		Lists: follower.lists, ListMark: follower.listMark, Loads: follower.loads, LoadsMark: follower.loadsMark}
 }
 
 // takeAnswer takes a primary's answer and tells whether it did: an older primary's word
 // is passed over, since versions never go back.
-func (follower *Follower) takeAnswer(asked time.Time, answer NewsAnswer) bool {
+func (follower *Follower) takeAnswer(asked time.Time, answer UpdateAnswer) bool {
 	follower.mutex.Lock()
 	for name, delta := range answer.Deltas {
-		section, fits := delta.apply(follower.drawers[name])
+		section, fits := delta.apply(follower.sections[name])
 		if !fits {
 			// The next question asks for the whole; this answer's hold is not used.
-			delete(follower.drawers, name)
+			delete(follower.sections, name)
 			follower.mutex.Unlock()
 			return false
 		}
-		if answer.Drawers == nil {
-			answer.Drawers = map[string]replication.Section{}
+		if answer.Sections == nil {
+			answer.Sections = map[string]replication.Section{}
 		}
-		answer.Drawers[name] = section
+		answer.Sections[name] = section
 	}
-	for name, section := range answer.Drawers {
-		if section.Version.Before(follower.drawers[name].Version) {
+	for name, section := range answer.Sections {
+		if section.Version.Before(follower.sections[name].Version) {
 			follower.mutex.Unlock()
 			return false
 		}
 	}
-	if have := follower.drawers[replication.ConfigurationSection].Version; answer.Menu.Before(have) && have != follower.unconfirmed {
+	if have := follower.sections[replication.ConfigurationSection].Version; answer.Configuration.Before(have) && have != follower.unconfirmed {
 		follower.mutex.Unlock()
 		return false
 	}
-	for name, section := range answer.Drawers {
-		follower.drawers[name] = section
+	for name, section := range answer.Sections {
+		follower.sections[name] = section
 	}
 	follower.heard = follower.turns.Now()
 	follower.current = follower.primary != ""
-	news := News{Asked: asked, Answer: answer, Changed: answer.Drawers}
-	follower.takeLists(&news)
+	update := Update{Asked: asked, Answer: answer, Changed: answer.Sections}
+	follower.takeLists(&update)
 	follower.mutex.Unlock()
-	follower.take(news)
+	follower.take(update)
 	return true
 }
 
 // takeLists takes the list of servers and their reports out of an answer. The caller
 // has the mutex. An age counts from the latest moment at which the question surely
 // had not been answered yet, so that nothing is taken for younger than it is.
-func (follower *Follower) takeLists(news *News) {
-	told := news.Asked.Add(news.Answer.Held)
-	if said := news.Answer.Servers; said != nil {
+func (follower *Follower) takeLists(update *Update) {
+	told := update.Asked.Add(update.Answer.Held)
+	if said := update.Answer.Servers; said != nil {
 		at := told.Add(-said.Age)
 		if said.Sent {
 			follower.listing = membership.Listing{}
@@ -326,15 +326,15 @@
 		}
 		if said.Mark == follower.listMark {
 			follower.listing.Confirm(at)
-			news.Servers = &Listed{At: at, Servers: follower.listing.Servers(at)}
+			update.Servers = &Listed{At: at, Servers: follower.listing.Servers(at)}
 		}
 	}
-	if said := news.Answer.Loads; said != nil && follower.loads {
+	if said := update.Answer.Loads; said != nil && follower.loads {
 		follower.loadsMark = said.Mark
-		news.Outliers = said.Outliers
+		update.Outliers = said.Outliers
 		late := follower.turns.Now().Sub(told)
 		for _, line := range said.Lines {
-			news.Loads = append(news.Loads, line.load(late))
+			update.Loads = append(update.Loads, line.load(late))
 		}
 	}
 }
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -18,11 +18,11 @@
 // as machines without power do.
 type darkLine struct {
 	mutex   sync.Mutex
-	answers map[string]NewsAnswer
+	answers map[string]UpdateAnswer
 	closed  chan struct{}
 }
 
-func (line *darkLine) set(address string, answer *NewsAnswer) {
+func (line *darkLine) set(address string, answer *UpdateAnswer) {
 	line.mutex.Lock()
 	defer line.mutex.Unlock()
 	if answer == nil {
@@ -36,14 +36,14 @@
 	line.mutex.Lock()
 	answer, lit := line.answers[address]
 	line.mutex.Unlock()
-	if !lit || path != NewsPath {
+	if !lit || path != UpdatePath {
 		select {
 		case <-time.After(patience):
 		case <-line.closed:
 		}
 		return nil, failure.New(failure.Unreachable, address)
 	}
-	var question NewsQuestion
+	var question UpdateQuestion
 	if err := msgpack.Unmarshal(body, &question); err != nil {
 		return nil, err
 	}
@@ -82,12 +82,12 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			line := &darkLine{answers: map[string]NewsAnswer{}, closed: make(chan struct{})}
+			line := &darkLine{answers: map[string]UpdateAnswer{}, closed: make(chan struct{})}
 			defer close(line.closed)
 			turns := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
 			follower := NewFollower(turns, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
-				func() replication.Version { return replication.Version{} }, func(news News) { taken <- news.Answer.Menu })
+				func() replication.Version { return replication.Version{} }, func(update Update) { taken <- update.Answer.Configuration })
 			follower.Follow(true, true)
 			var peers []string
 			for number := range row.peers {
@@ -96,12 +96,12 @@
 			follower.SetContacts([]string{"old3", "old4", "old5", "old6"}, peers)
 			before, after := seats("old"), seats("new")
 			before.Epoch, after.Epoch = 4, 19
-			line.set("old0", &NewsAnswer{Leads: true, Charter: before, Menu: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
+			line.set("old0", &UpdateAnswer{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
 			turns.Go(follower.Run)
 			<-taken
-			line.set(fmt.Sprintf("courier%d", row.lit), &NewsAnswer{Charter: after})
+			line.set(fmt.Sprintf("courier%d", row.lit), &UpdateAnswer{Membership: after})
 			newest := replication.Version{Epoch: 19, Number: 33}
-			line.set("new0", &NewsAnswer{Leads: true, Charter: after, Menu: newest, Hold: time.Second})
+			line.set("new0", &UpdateAnswer{Leads: true, Membership: after, Configuration: newest, Hold: time.Second})
 			lost := time.Now()
 			line.set("old0", nil)
 			for found := false; !found; {
@@ -123,17 +123,17 @@
 // answered when the membership changes, with the new charter.
 func TestFollowerHearsOfAMembershipBeforeItIsNeeded(t *testing.T) {
 	_, primary := newCore(t, plain)
-	charter := primary.Coordinator().Charter()
-	known := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router}, Charter: charter.Epoch - 1}
-	if !primary.newerCharter(known) {
+	m := primary.Coordinator().Membership()
+	known := UpdateQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router}, Membership: m.Epoch - 1}
+	if !primary.newerMembership(known) {
 		t.Error("a question by an older charter is held back")
 	}
-	known.Charter = charter.Epoch
-	if primary.newerCharter(known) {
+	known.Membership = m.Epoch
+	if primary.newerMembership(known) {
 		t.Error("a question by the newest charter is answered for nothing")
 	}
-	known.Charter = 0
-	if primary.newerCharter(known) {
+	known.Membership = 0
+	if primary.newerMembership(known) {
 		t.Error("an older release's question, which tells no charter, is never held back")
 	}
 }
@@ -142,12 +142,12 @@
 // recorded by that, no lease is given, and no configuration goes out.
 func TestABriefQuestionIsAnsweredWithoutContent(t *testing.T) {
 	_, primary := newCore(t, plain)
-	question := NewsQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
-	answer, err := primary.answerNews(question)
-	if err != nil || !answer.Leads || answer.Charter.Blank() {
+	question := UpdateQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
+	answer, err := primary.answerUpdate(question)
+	if err != nil || !answer.Leads || answer.Membership.Blank() {
 		t.Fatalf("%+v %v", answer, err)
 	}
-	if len(answer.Drawers) > 0 || answer.Hold > 0 {
+	if len(answer.Sections) > 0 || answer.Hold > 0 {
 		t.Errorf("content or a lease: %+v", answer)
 	}
 	if _, _, state, _ := primary.Read(); len(state.Members) > 0 && state.Members["courier-1"].Name != "" {
--- a/internal/hatch/fuzz_test.go
+++ b/internal/hatch/fuzz_test.go
@@ -40,15 +40,15 @@
 	// Its process has ended, so that no message waits for others.
 	ended, end := context.WithCancel(context.Background())
 	end()
-	lone := &core{nodes: map[string]*Controller{}, shelfs: map[string]*memoryShelf{}}
-	keeping := &memoryShelf{files: map[string][]byte{}}
-	node, _, err := OpenController(osruntime.New(ended, osruntime.NewClock()), lone, keeping, &memoryShelf{files: map[string][]byte{}}, ControllerOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
+	lone := &core{nodes: map[string]*Controller{}, storages: map[string]*memoryStorage{}}
+	keeping := &memoryStorage{files: map[string][]byte{}}
+	node, _, err := OpenController(osruntime.New(ended, osruntime.NewClock()), lone, keeping, &memoryStorage{files: map[string][]byte{}}, ControllerOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
-	paths := []string{HelloPath, PreparePath, AcceptPath, ConfirmPath, ReplicatePath, InstallPath, RefreshPath, NewsPath, ClaimPath, OrdersPath}
+	paths := []string{HelloPath, PreparePath, AcceptPath, ConfirmPath, ReplicatePath, InstallPath, RefreshPath, UpdatePath, ClaimPath, OrdersPath}
 	for number := range paths {
-		for _, seed := range []any{replication.Hello{}, keeperQuestion{To: "disk-a", Epoch: 1}, replicateQuestion{To: "disk-a"}, NewsQuestion{}, []codec.Record{{}}} {
+		for _, seed := range []any{replication.Hello{}, keeperQuestion{To: "disk-a", Epoch: 1}, replicateQuestion{To: "disk-a"}, UpdateQuestion{}, []codec.Record{{}}} {
 			body, err := msgpack.Marshal(seed)
 			if err != nil {
 				fuzzing.Fatal(err)
--- a/internal/hatch/housekeeping.go
+++ b/internal/hatch/housekeeping.go
@@ -13,7 +13,7 @@
 func (controller *Controller) keepHouse() {
 	for controller.turns.Alive() {
 		if !controller.lists.leading() {
-			controller.reigns.Wait(time.Minute, controller.lists.leading)
+			controller.terms.Wait(time.Minute, controller.lists.leading)
 			continue
 		}
 		next := controller.turns.Now().Add(housekeepingPause)
@@ -66,7 +66,7 @@
 	if horizonDue && !restricted {
 		controller.queue(replication.MoveHorizon(controller.turns.Wall(), step), func(replication.Version, error) {})
 	}
-	controller.grantDuties(now, current, state)
+	controller.grantRoles(now, current, state)
 	controller.retireSilent(now, current, state)
 	controller.forgetServers(now, current, state)
 }
@@ -75,7 +75,7 @@
 const listYoung = 5 * time.Second
 
 // forgetServers takes the records of servers away that are gone for good.
-func (controller *Controller) forgetServers(now time.Time, current *Reign, state *replication.State) {
+func (controller *Controller) forgetServers(now time.Time, current *Term, state *replication.State) {
 	if age, read := controller.lists.age(now); !read || age > listYoung {
 		return
 	}
@@ -86,7 +86,7 @@
 	if len(gone) == 0 {
 		return
 	}
-	controller.queue(replication.ForgetServers(gone, state.Rota.Duties), func(version replication.Version, err error) {
+	controller.queue(replication.ForgetServers(gone, state.Rota.Roles), func(version replication.Version, err error) {
 		controller.observe("servers_forgotten", "servers", gone, "version", version.String(), "trouble", err)
 	})
 }
@@ -94,17 +94,17 @@
 // retireSilent takes members out of the record that have been silent for the chosen
 // time. One that comes back is recorded anew, with the flags that it then supports; if
 // it lacks an enabled one it is restricted, as any node that comes late.
-func (controller *Controller) retireSilent(now time.Time, current *Reign, state *replication.State) {
+func (controller *Controller) retireSilent(now time.Time, current *Term, state *replication.State) {
 	if controller.options.RetireAfter <= 0 {
 		return
 	}
-	charter := controller.coordinator.Charter()
+	membership := controller.coordinator.Membership()
 	controller.mutex.Lock()
 	silent := current.silent(now, state, controller.options.RetireAfter)
 	controller.mutex.Unlock()
 	for _, name := range silent {
 		// Who has a seat is not forgotten before another has it.
-		if slices.ContainsFunc(charter.Electors(), func(replica replication.Replica) bool { return replica.Name == name }) || charter.Primary.Name == name {
+		if slices.ContainsFunc(membership.Electors(), func(replica replication.Replica) bool { return replica.Name == name }) || membership.Primary.Name == name {
 			continue
 		}
 		controller.queue(replication.Retire(name), func(version replication.Version, err error) {
@@ -115,22 +115,22 @@
 
 // Settling tells whether the members changed too short a time ago for a flag to
 // be enabled.
-func (controller *Controller) Settling(current *Reign) bool {
+func (controller *Controller) Settling(current *Term) bool {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	return controller.turns.Now().Sub(current.settledFrom) < controller.options.FlagSettle
 }
 
-func (controller *Controller) grantDuties(now time.Time, current *Reign, state *replication.State) {
+func (controller *Controller) grantRoles(now time.Time, current *Term, state *replication.State) {
 	wanted := []string{lease.PartsKey}
 	for _, server := range controller.Servers() {
 		wanted = append(wanted, lease.ServerKey(server.Name))
 	}
-	grants := current.keys.Vacant(now, wanted, state.Rota.Duties, current.candidates(now, state))
+	grants := current.keys.Vacant(now, wanted, state.Rota.Roles, current.candidates(now, state))
 	if len(grants) == 0 {
 		return
 	}
-	controller.queue(replication.GrantDuties(grants, state.Rota.Duties), func(version replication.Version, err error) {
+	controller.queue(replication.GrantRoles(grants, state.Rota.Roles), func(version replication.Version, err error) {
 		controller.observe("duties_granted", "version", version.String(), "grants", grants, "trouble", err)
 	})
 }
@@ -170,9 +170,9 @@
 		defer controller.mutex.Unlock()
 		controller.mending = false
 	}()
-	epoch := controller.coordinator.Charter().Epoch
+	epoch := controller.coordinator.Membership().Epoch
 	for _, replica := range controller.coordinator.OldCopies(view.Version) {
-		question := installQuestion{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Drawers: view.Drawers}}
+		question := installQuestion{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
 		err := Call(controller.line, controller.coordinator.Address(replica), RefreshPath, question, nil, installPatience)
 		controller.observe("copy_mended", "at", replica.Name, "version", view.Version.String(), "trouble", err)
 	}
--- a/internal/hatch/keeperquestion.go
+++ b/internal/hatch/keeperquestion.go
@@ -5,8 +5,8 @@
 // keeperQuestion is any question to a keeper; To guards against another disk
 // that has come to the same address.
 type keeperQuestion struct {
-	To      replication.Identity   `msgpack:"to"`
-	From    replication.Identity   `msgpack:"from"`
-	Epoch   uint64                 `msgpack:"epoch"`
-	Charter replication.Membership `msgpack:"charter"`
+	To         replication.Identity   `msgpack:"to"`
+	From       replication.Identity   `msgpack:"from"`
+	Epoch      uint64                 `msgpack:"epoch"`
+	Membership replication.Membership `msgpack:"charter"`
 }
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -44,7 +44,7 @@
 	reportPause = 333 * time.Millisecond
 	// calmReportPause lies between two rounds while no server has much to do: then
 	// reports wake nobody whose question would not be answered by then anyway.
-	calmReportPause = newsWait
+	calmReportPause = updateWait
 	// calmShare is the part of its slots up to which a server has little to do, and
 	// calmRunning that of one which does not tell its slots.
 	calmShare   = 6
@@ -110,13 +110,13 @@
 }
 
 // fresh is the list without a mark, if it is not older than a courier would bear.
-func (lists *lists) fresh(now time.Time) *ServersNews {
+func (lists *lists) fresh(now time.Time) *ServersUpdate {
 	lists.mutex.Lock()
 	defer lists.mutex.Unlock()
 	if at := lists.listing.At(); at.IsZero() || now.Sub(at) >= listPatience {
 		return nil
 	}
-	return &ServersNews{Age: now.Sub(lists.listing.At()), Sent: true, Servers: lists.listing.Servers(now)}
+	return &ServersUpdate{Age: now.Sub(lists.listing.At()), Sent: true, Servers: lists.listing.Servers(now)}
 }
 
 // take takes a list and tells whether it changed anything.
@@ -146,7 +146,7 @@
 }
 
 // newer tells whether there is a list or a round of reports that the asker has not.
-func (lists *lists) newer(question NewsQuestion) bool {
+func (lists *lists) newer(question UpdateQuestion) bool {
 	lists.mutex.Lock()
 	defer lists.mutex.Unlock()
 	return question.Lists && lists.listMark() != 0 && lists.listMark() != question.ListMark ||
@@ -154,20 +154,20 @@
 }
 
 // tell writes into an answer what the asker follows and has not.
-func (lists *lists) tell(now time.Time, question NewsQuestion, answer *NewsAnswer) {
+func (lists *lists) tell(now time.Time, question UpdateQuestion, answer *UpdateAnswer) {
 	lists.mutex.Lock()
 	defer lists.mutex.Unlock()
 	if question.Loads {
 		lists.wantedAt = now
 	}
 	if current := lists.listMark(); question.Lists && current != 0 {
-		answer.Servers = &ServersNews{Mark: current, Age: now.Sub(lists.listing.At())}
+		answer.Servers = &ServersUpdate{Mark: current, Age: now.Sub(lists.listing.At())}
 		if current != question.ListMark {
 			answer.Servers.Sent, answer.Servers.Servers = true, lists.listing.Servers(now)
 		}
 	}
 	if current := lists.reportsMark(); question.Loads && current != 0 && current != question.LoadsMark {
-		answer.Loads = &LoadsNews{Mark: current, Outliers: lists.outliers.Advice(now)}
+		answer.Loads = &LoadsUpdate{Mark: current, Outliers: lists.outliers.Advice(now)}
 		for _, reported := range lists.reports {
 			if age := now.Sub(reported.at); age < reportKept {
 				answer.Loads.Lines = append(answer.Loads.Lines, reportOf(reported.load, age))
@@ -178,7 +178,7 @@
 }
 
 // noteFailing takes what a node met at servers.
-func (lists *lists) noteFailing(now time.Time, question NewsQuestion) {
+func (lists *lists) noteFailing(now time.Time, question UpdateQuestion) {
 	if !question.Loads {
 		return
 	}
@@ -256,14 +256,14 @@
 func (controller *Controller) readServers() {
 	for controller.turns.Alive() {
 		if !controller.lists.leading() {
-			controller.reigns.Wait(time.Minute, controller.lists.leading)
+			controller.terms.Wait(time.Minute, controller.lists.leading)
 			continue
 		}
 		asked := controller.turns.Now()
 		servers, err := controller.options.Directory.Servers()
 		// A list that could not be read leaves what is known as it is.
 		if err == nil && controller.lists.take(asked, servers) {
-			controller.news.Broadcast()
+			controller.update.Broadcast()
 		}
 		controller.noteListTrouble(err)
 		if left := listPause - controller.turns.Now().Sub(asked); left > 0 {
@@ -279,7 +279,7 @@
 // provisionalServers is the list of servers for couriers that have no primary. It is
 // read when the first of them asks, so that they need not all read it themselves, and
 // told to who fetches a configuration.
-func (controller *Controller) provisionalServers(fetches bool) *ServersNews {
+func (controller *Controller) provisionalServers(fetches bool) *ServersUpdate {
 	if controller.options.Directory == nil {
 		return nil
 	}
@@ -289,7 +289,7 @@
 			servers, err := controller.options.Directory.Servers()
 			if err == nil {
 				controller.lists.take(asked, servers)
-				controller.news.Broadcast()
+				controller.update.Broadcast()
 			}
 			controller.noteListTrouble(err)
 		})
@@ -297,8 +297,8 @@
 	if !fetches {
 		return nil
 	}
-	var told *ServersNews
-	controller.news.Wait(provisionalPatience, func() bool {
+	var told *ServersUpdate
+	controller.update.Wait(provisionalPatience, func() bool {
 		told = controller.lists.fresh(controller.turns.Now())
 		return told != nil
 	})
@@ -325,14 +325,14 @@
 func (controller *Controller) readReports() {
 	for controller.turns.Alive() {
 		if !controller.lists.leading() {
-			controller.reigns.Wait(time.Minute, controller.lists.leading)
+			controller.terms.Wait(time.Minute, controller.lists.leading)
 			continue
 		}
 		began := controller.turns.Now()
 		if wanted := controller.lists.wanted(began); len(wanted) > 0 {
 			controller.askAll(wanted)
 			controller.lists.round(controller.turns.Now())
-			controller.news.Broadcast()
+			controller.update.Broadcast()
 		}
 		pause := reportPause
 		if controller.lists.calm(controller.turns.Now()) {
--- a/internal/hatch/lists_test.go
+++ b/internal/hatch/lists_test.go
@@ -20,7 +20,7 @@
 // TestListsTellWhatTheAskerLacks follows a list and a report through their marks.
 func TestListsTellWhatTheAskerLacks(t *testing.T) {
 	var known lists
-	asker := NewsQuestion{Lists: true, Loads: true}
+	asker := UpdateQuestion{Lists: true, Loads: true}
 	if known.newer(asker) {
 		t.Error("nothing is known, and is news")
 	}
@@ -29,7 +29,7 @@
 		t.Error("who does not lead has news")
 	}
 	known.begin(7)
-	var answer NewsAnswer
+	var answer UpdateAnswer
 	known.tell(atNoon(500*time.Millisecond), asker, &answer)
 	if answer.Servers == nil || !answer.Servers.Sent || answer.Servers.Age != 500*time.Millisecond || answer.Servers.Servers[0].Warming != 1500*time.Millisecond || answer.Loads != nil {
 		t.Fatalf("%+v", answer.Servers)
@@ -38,7 +38,7 @@
 	if known.newer(asker) {
 		t.Error("the same list is news")
 	}
-	answer = NewsAnswer{}
+	answer = UpdateAnswer{}
 	known.tell(atNoon(time.Second), asker, &answer)
 	if answer.Servers == nil || answer.Servers.Sent || answer.Servers.Mark != asker.ListMark {
 		t.Errorf("the list was told again: %+v", answer.Servers)
@@ -53,7 +53,7 @@
 	known.note(6, "a", atNoon(time.Second), scheduler.Load{Server: "a"}, nil)
 	known.note(7, "a", atNoon(time.Second), scheduler.Load{Server: "another"}, nil)
 	known.round(atNoon(time.Second))
-	answer = NewsAnswer{}
+	answer = UpdateAnswer{}
 	known.tell(atNoon(time.Second), asker, &answer)
 	if answer.Loads == nil || len(answer.Loads.Lines) != 0 {
 		t.Errorf("a report of another reign or server was told: %+v", answer.Loads)
@@ -64,7 +64,7 @@
 	if !known.newer(asker) {
 		t.Error("a round of reports is no news")
 	}
-	answer = NewsAnswer{}
+	answer = UpdateAnswer{}
 	known.tell(atNoon(1200*time.Millisecond), asker, &answer)
 	if answer.Loads == nil || len(answer.Loads.Lines) != 1 || answer.Loads.Lines[0].load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
 		t.Errorf("%+v", answer.Loads)
@@ -77,7 +77,7 @@
 	known.wanted(atNoon(4 * time.Second))
 	known.note(7, "a", atNoon(4*time.Second), scheduler.Load{}, failure.New(failure.Unreachable, ""))
 	known.round(atNoon(4200 * time.Millisecond))
-	answer = NewsAnswer{}
+	answer = UpdateAnswer{}
 	known.tell(atNoon(4200*time.Millisecond), asker, &answer)
 	if answer.Loads == nil || len(answer.Loads.Lines) != 0 {
 		t.Errorf("an old report is told: %+v", answer.Loads)
@@ -91,7 +91,7 @@
 	if !known.newer(asker) {
 		t.Error("the next reign's list has the old one's mark")
 	}
-	if known.newer(NewsQuestion{}) {
+	if known.newer(UpdateQuestion{}) {
 		t.Error("who follows no lists has news of them")
 	}
 }
@@ -121,13 +121,13 @@
 // the question surely had not been answered.
 func TestFollowerTakesNothingForYoungerThanItIs(t *testing.T) {
 	turns := &movingTurns{now: atNoon(0)}
-	var heard News
-	follower := NewFollower(turns, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(news News) { heard = news })
+	var heard Update
+	follower := NewFollower(turns, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { heard = update })
 	follower.Follow(true, true)
 	turns.now = atNoon(800 * time.Millisecond)
 	lines := []loadReport{reportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
-	answer := NewsAnswer{Leads: true, Held: 600 * time.Millisecond, Servers: &ServersNews{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
-		Loads: &LoadsNews{Mark: 9, Lines: lines}}
+	answer := UpdateAnswer{Leads: true, Held: 600 * time.Millisecond, Servers: &ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
+		Loads: &LoadsUpdate{Mark: 9, Lines: lines}}
 	follower.takeAnswer(atNoon(0), answer)
 	if heard.Servers == nil || !heard.Servers.At.Equal(atNoon(300*time.Millisecond)) {
 		t.Errorf("the list was read at %+v", heard.Servers)
@@ -140,12 +140,12 @@
 	}
 	// A confirmation makes it younger; another mark without the list says nothing.
 	turns.now = atNoon(1200 * time.Millisecond)
-	answer.Servers, answer.Loads = &ServersNews{Mark: 5, Age: 100 * time.Millisecond}, nil
-	follower.takeAnswer(atNoon(800*time.Millisecond), NewsAnswer{Leads: true, Servers: answer.Servers})
+	answer.Servers, answer.Loads = &ServersUpdate{Mark: 5, Age: 100 * time.Millisecond}, nil
+	follower.takeAnswer(atNoon(800*time.Millisecond), UpdateAnswer{Leads: true, Servers: answer.Servers})
 	if heard.Servers == nil || !heard.Servers.At.Equal(atNoon(700*time.Millisecond)) || len(heard.Servers.Servers) != 1 {
 		t.Errorf("confirmed as %+v", heard.Servers)
 	}
-	follower.takeAnswer(atNoon(800*time.Millisecond), NewsAnswer{Leads: true, Servers: &ServersNews{Mark: 6}})
+	follower.takeAnswer(atNoon(800*time.Millisecond), UpdateAnswer{Leads: true, Servers: &ServersUpdate{Mark: 6}})
 	if heard.Servers != nil {
 		t.Errorf("a list that was not told was taken: %+v", heard.Servers)
 	}
--- a/internal/hatch/loadsnews.go
+++ b/internal/hatch/loadsnews.go
@@ -7,9 +7,9 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// LoadsNews are the servers' reports as the primary read them last. Its mark tells
+// LoadsUpdate are the servers' reports as the primary read them last. Its mark tells
 // one round of reading from another.
-type LoadsNews struct {
+type LoadsUpdate struct {
 	Mark  uint64       `msgpack:"mark"`
 	Lines []loadReport `msgpack:"lines"`
 	// Outliers are the servers that are better left alone, by what all nodes met there.
--- a/internal/hatch/newsquestion.go
+++ b/internal/hatch/newsquestion.go
@@ -8,19 +8,19 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// NewsQuestion is what a node asks the primary, over and over: what it is,
+// UpdateQuestion is what a node asks the primary, over and over: what it is,
 // which versions it has, and which configuration it has in force.
-type NewsQuestion struct {
+type UpdateQuestion struct {
 	Member   membership.Member              `msgpack:"member"`
 	Have     map[string]replication.Version `msgpack:"have"`
 	InForce  replication.Version            `msgpack:"in_force"`
-	Released []lease.Duty                   `msgpack:"released,omitempty"`
+	Released []lease.Role                   `msgpack:"released,omitempty"`
 	Patience time.Duration                  `msgpack:"patience"`
 	// Deltas tells that the node takes what changed instead of the whole.
 	Deltas bool `msgpack:"deltas,omitempty"`
-	// Charter is the epoch of the newest charter that the node has heard of: who leads
+	// Membership is the epoch of the newest charter that the node has heard of: who leads
 	// tells it only a newer one.
-	Charter uint64 `msgpack:"charter,omitempty"`
+	Membership uint64 `msgpack:"charter,omitempty"`
 	// Lists tells that the node follows the list of servers, and Loads that it
 	// follows their reports; the marks are of those that it has.
 	Lists     bool   `msgpack:"lists,omitempty"`
--- a/internal/hatch/ordersquestion.go
+++ b/internal/hatch/ordersquestion.go
@@ -8,7 +8,7 @@
 
 // OrdersQuestion gives orders under the parts duty.
 type OrdersQuestion struct {
-	Duty   lease.Duty    `msgpack:"duty"`
+	Role   lease.Role    `msgpack:"duty"`
 	Orders []codec.Order `msgpack:"orders"`
 	// Supported is the writer's own list.
 	Supported features.List `msgpack:"supported"`
--- a/internal/hatch/paths.go
+++ b/internal/hatch/paths.go
@@ -2,7 +2,7 @@
 
 // The paths of the messages between seamloom's own processes.
 const (
-	NewsPath        = "/hotline/news"
+	UpdatePath      = "/hotline/news"
 	ClaimPath       = "/hotline/claim"
 	OrdersPath      = "/hotline/orders"
 	RelayPath       = "/hotline/relay"
--- a/internal/hatch/peers.go
+++ b/internal/hatch/peers.go
@@ -31,8 +31,8 @@
 	return peers.ask(address, PreparePath, keeperQuestion{To: witness, From: candidate, Epoch: epoch})
 }
 
-func (peers *peers) Accept(address string, witness replication.Identity, charter replication.Membership) (replication.Promise, error) {
-	return peers.ask(address, AcceptPath, keeperQuestion{To: witness, Charter: charter})
+func (peers *peers) Accept(address string, witness replication.Identity, membership replication.Membership) (replication.Promise, error) {
+	return peers.ask(address, AcceptPath, keeperQuestion{To: witness, Membership: membership})
 }
 
 func (peers *peers) Confirm(address string, witness replication.Identity, epoch uint64, primary replication.Identity) (replication.Promise, error) {
--- a/internal/hatch/reign.go
+++ b/internal/hatch/reign.go
@@ -10,12 +10,12 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Reign is what a primary remembers for as long as it is primary.
-type Reign struct {
+// Term is what a primary remembers for as long as it is primary.
+type Term struct {
 	Since       time.Time
 	Holds       *lease.Holds
 	keys        *lease.Keys
-	editions    editions
+	revisions   revisions
 	membersAt   replication.Version
 	settledFrom time.Time
 	horizonAt   time.Time
@@ -26,14 +26,14 @@
 	stateAt  replication.Version
 }
 
-func newReign(now time.Time) *Reign {
-	return &Reign{Since: now, Holds: lease.NewHolds(lease.DefaultTerms(), now), keys: lease.NewKeys(lease.DefaultTerms()), asked: map[string]time.Time{}, unlisted: map[string]time.Time{}, settledFrom: now}
+func newTerm(now time.Time) *Term {
+	return &Term{Since: now, Holds: lease.NewHolds(lease.DefaultTerms(), now), keys: lease.NewKeys(lease.DefaultTerms()), asked: map[string]time.Time{}, unlisted: map[string]time.Time{}, settledFrom: now}
 }
 
 // candidates are the live couriers that lack no enabled flag, with how long
 // each has been live.
-func (reign *Reign) candidates(now time.Time, state *replication.State) map[string]time.Duration {
-	live := reign.Holds.Live(now)
+func (term *Term) candidates(now time.Time, state *replication.State) map[string]time.Duration {
+	live := term.Holds.Live(now)
 	for name := range live {
 		member, found := state.Members[name]
 		if !found || member.Kind != membership.Router || member.Restricted(state.Flags.Enabled) {
@@ -45,12 +45,12 @@
 
 // silent lists the recorded members that have not asked for news for a time. A new
 // primary takes all to have asked when it began. The caller has the expediter's mutex.
-func (reign *Reign) silent(now time.Time, state *replication.State, length time.Duration) []string {
+func (term *Term) silent(now time.Time, state *replication.State, length time.Duration) []string {
 	var silent []string
 	for name := range state.Members {
-		last := reign.asked[name]
-		if last.Before(reign.Since) {
-			last = reign.Since
+		last := term.asked[name]
+		if last.Before(term.Since) {
+			last = term.Since
 		}
 		if now.Sub(last) >= length {
 			silent = append(silent, name)
@@ -71,9 +71,9 @@
 // gone lists the recorded servers that were not listed for so long that their records
 // may go, and lets go of the duties of those that were not listed for a while. The
 // caller has the expediter's mutex.
-func (reign *Reign) gone(now time.Time, state *replication.State, listed []membership.Server) []string {
+func (term *Term) gone(now time.Time, state *replication.State, listed []membership.Server) []string {
 	recorded := map[string]bool{}
-	for key := range state.Rota.Duties {
+	for key := range state.Rota.Roles {
 		if name, found := strings.CutPrefix(key, lease.ServerKey("")); found {
 			recorded[name] = true
 		}
@@ -84,20 +84,20 @@
 	for _, server := range listed {
 		delete(recorded, server.Name)
 	}
-	for name := range reign.unlisted {
+	for name := range term.unlisted {
 		if !recorded[name] {
-			delete(reign.unlisted, name)
+			delete(term.unlisted, name)
 		}
 	}
 	var gone []string
 	for name := range recorded {
-		since, found := reign.unlisted[name]
+		since, found := term.unlisted[name]
 		if !found {
-			reign.unlisted[name] = now
+			term.unlisted[name] = now
 			continue
 		}
-		if duty, found := state.Rota.Duties[lease.ServerKey(name)]; found && now.Sub(since) >= goneTime {
-			reign.keys.Release(now, duty)
+		if role, found := state.Rota.Roles[lease.ServerKey(name)]; found && now.Sub(since) >= goneTime {
+			term.keys.Release(now, role)
 		}
 		if now.Sub(since) >= forgetTime {
 			gone = append(gone, name)
@@ -113,9 +113,9 @@
 const countedTime = 10 * time.Second
 
 // couriers is how many couriers share the servers.
-func (reign *Reign) routers(now time.Time, state *replication.State) int {
-	heard := len(reign.Holds.HeardWithin(now, countedTime))
-	if now.Sub(reign.Since) >= countedTime {
+func (term *Term) routers(now time.Time, state *replication.State) int {
+	heard := len(term.Holds.HeardWithin(now, countedTime))
+	if now.Sub(term.Since) >= countedTime {
 		return heard
 	}
 	return max(heard, len(routersOf(state.Members)))
@@ -123,12 +123,12 @@
 
 // behind lists the couriers that were heard from within a time and have not
 // confirmed a version.
-func (reign *Reign) behind(now time.Time, version replication.Version, within time.Duration) []string {
-	return reign.Holds.Behind(now, version.Number, within)
+func (term *Term) behind(now time.Time, version replication.Version, within time.Duration) []string {
+	return term.Holds.Behind(now, version.Number, within)
 }
 
 // Lagging lists the couriers that may still let in under a configuration older
 // than the version.
-func (reign *Reign) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
-	return reign.Holds.Lagging(now, version.Number, routersOf(state.Members))
+func (term *Term) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
+	return term.Holds.Lagging(now, version.Number, routersOf(state.Members))
 }
--- a/internal/hatch/reign_test.go
+++ b/internal/hatch/reign_test.go
@@ -15,17 +15,17 @@
 // for good: its duty is renewed until it is held to be gone, and its records go only
 // when nobody can hold it any more.
 func TestRecordsOfGoneServersEnd(t *testing.T) {
-	reign := newReign(atNoon(0))
-	duty := lease.Duty{Key: lease.ServerKey("a"), Holder: "courier-1", Fence: 3}
-	state := &replication.State{Rota: replication.Duties{Duties: map[string]lease.Duty{duty.Key: duty, lease.PartsKey: {Key: lease.PartsKey}}},
+	term := newTerm(atNoon(0))
+	role := lease.Role{Key: lease.ServerKey("a"), Holder: "courier-1", FencingToken: 3}
+	state := &replication.State{Rota: replication.Roles{Roles: map[string]lease.Role{role.Key: role, lease.PartsKey: {Key: lease.PartsKey}}},
 		Orders: replication.Orders{Records: map[string]codec.Record{"a": {}, "b": {}}}}
 	candidates := map[string]time.Duration{"courier-1": time.Minute}
 	renewed := func(at time.Duration) bool {
-		return len(reign.keys.Renew(atNoon(at), "courier-1", map[string]lease.Duty{duty.Key: duty}, candidates)) > 0
+		return len(term.keys.Renew(atNoon(at), "courier-1", map[string]lease.Role{role.Key: role}, candidates)) > 0
 	}
 	listed := []membership.Server{{Name: "a"}, {Name: "b"}}
 	at := func(length time.Duration, servers []membership.Server) []string {
-		return reign.gone(atNoon(length), state, servers)
+		return term.gone(atNoon(length), state, servers)
 	}
 	at(0, listed)
 	at(time.Second, listed[1:])
@@ -47,14 +47,14 @@
 
 // TestSilentMembersAreThoseThatAskedNobody counts from the reign's beginning.
 func TestSilentMembersAreThoseThatAskedNobody(t *testing.T) {
-	reign := newReign(atNoon(0))
+	term := newTerm(atNoon(0))
 	state := &replication.State{Members: map[string]membership.Member{"a": {}, "b": {}, "c": {}}}
-	reign.asked["a"] = atNoon(50 * time.Second)
-	reign.asked["b"] = atNoon(-time.Minute)
-	if silent := reign.silent(atNoon(59*time.Second), state, time.Minute); len(silent) > 0 {
+	term.asked["a"] = atNoon(50 * time.Second)
+	term.asked["b"] = atNoon(-time.Minute)
+	if silent := term.silent(atNoon(59*time.Second), state, time.Minute); len(silent) > 0 {
 		t.Errorf("silent: %v", silent)
 	}
-	if silent := reign.silent(atNoon(time.Minute), state, time.Minute); !slices.Equal(silent, []string{"b", "c"}) {
+	if silent := term.silent(atNoon(time.Minute), state, time.Minute); !slices.Equal(silent, []string{"b", "c"}) {
 		t.Errorf("silent: %v", silent)
 	}
 }
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -17,7 +17,7 @@
 	bell    runtime.Cond
 	asking  map[string]*asking
 	copies  copies
-	leading *ledNews
+	leading *ledUpdate
 	rounds  int
 }
 
@@ -31,10 +31,10 @@
 	answered time.Time
 }
 
-// ledNews is a primary's answer, and when it was asked for.
-type ledNews struct {
+// ledUpdate is a primary's answer, and when it was asked for.
+type ledUpdate struct {
 	asked  time.Time
-	answer NewsAnswer
+	answer UpdateAnswer
 }
 
 const (
@@ -68,7 +68,7 @@
 }
 
 // begin notes that an address is asked, unless it was asked just now.
-func (search *search) begin(address string, now time.Time, charter replication.Membership, fleet int) bool {
+func (search *search) begin(address string, now time.Time, membership replication.Membership, fleet int) bool {
 	search.mutex.Lock()
 	defer search.mutex.Unlock()
 	if address == "" {
@@ -79,12 +79,12 @@
 		current = &asking{}
 		search.asking[address] = current
 	}
-	named := charter.Epoch > current.epoch && charter.Primary.Address == address
+	named := membership.Epoch > current.epoch && membership.Primary.Address == address
 	if current.calls >= mostAsking || !named && now.Before(search.due(current, fleet)) {
 		return false
 	}
 	current.calls++
-	current.since, current.epoch = now, charter.Epoch
+	current.since, current.epoch = now, membership.Epoch
 	return true
 }
 
@@ -103,7 +103,7 @@
 }
 
 // end notes the end of a call to an address.
-func (search *search) end(address string, asked, now time.Time, answer NewsAnswer, err error) {
+func (search *search) end(address string, asked, now time.Time, answer UpdateAnswer, err error) {
 	search.mutex.Lock()
 	current := search.asking[address]
 	current.calls--
@@ -130,11 +130,11 @@
 }
 
 // note takes an answer: a primary's, or what another says of its copy.
-func (search *search) note(address string, asked, now time.Time, answer NewsAnswer) {
+func (search *search) note(address string, asked, now time.Time, answer UpdateAnswer) {
 	search.mutex.Lock()
 	defer search.mutex.Unlock()
 	if answer.Leads {
-		search.leading = &ledNews{asked: asked, answer: answer}
+		search.leading = &ledUpdate{asked: asked, answer: answer}
 		return
 	}
 	search.copies.note(address, now, answer)
@@ -148,7 +148,7 @@
 }
 
 // take gives a primary's answer, if there is one, once.
-func (search *search) take() *ledNews {
+func (search *search) take() *ledUpdate {
 	search.mutex.Lock()
 	defer search.mutex.Unlock()
 	leading := search.leading
@@ -174,7 +174,7 @@
 func (follower *Follower) lacks() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	_, has := follower.drawers[replication.ConfigurationSection]
+	_, has := follower.sections[replication.ConfigurationSection]
 	return follower.provisional && !has
 }
 
@@ -197,7 +197,7 @@
 		follower.askPeers(search, question)
 	}
 	search.rounds++
-	if search.rounds%relayRounds == 0 && !search.answeredWithin([]string{follower.Charter().Primary.Address}, began, coreSilence) {
+	if search.rounds%relayRounds == 0 && !search.answeredWithin([]string{follower.Membership().Primary.Address}, began, coreSilence) {
 		follower.askRelays(search)
 	}
 	follower.awaitRound(search)
@@ -231,7 +231,7 @@
 
 // askPeers asks a few couriers, others in each round: one that has followed the core
 // longer knows who belongs to it now.
-func (follower *Follower) askPeers(search *search, question NewsQuestion) {
+func (follower *Follower) askPeers(search *search, question UpdateQuestion) {
 	question.Provisional = false
 	follower.mutex.Lock()
 	peers := follower.peers
@@ -243,19 +243,19 @@
 }
 
 // askOne asks an address in a thread of its own, unless it was asked just now.
-func (follower *Follower) askOne(search *search, address string, question NewsQuestion) {
+func (follower *Follower) askOne(search *search, address string, question UpdateQuestion) {
 	follower.mutex.Lock()
-	charter, fleet := follower.charter, len(follower.peers)
+	membership, fleet := follower.membership, len(follower.peers)
 	follower.mutex.Unlock()
-	if !search.begin(address, follower.turns.Now(), charter, fleet) {
+	if !search.begin(address, follower.turns.Now(), membership, fleet) {
 		return
 	}
 	follower.turns.Go(func() {
 		asked := follower.turns.Now()
-		var answer NewsAnswer
-		err := Call(follower.line, address, NewsPath, question, &answer, searchPatience)
+		var answer UpdateAnswer
+		err := Call(follower.line, address, UpdatePath, question, &answer, searchPatience)
 		if err == nil {
-			follower.learn(address, leadsAnswer{Leads: answer.Leads, Charter: answer.Charter})
+			follower.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
 		}
 		search.end(address, asked, follower.turns.Now(), answer, err)
 	})
@@ -281,14 +281,14 @@
 func (follower *Follower) askRelay(search *search, address string, body []byte) {
 	asked := follower.turns.Now()
 	var reply []byte
-	if Call(follower.line, address, RelayPath, RelayQuestion{Path: NewsPath, Body: body}, &reply, relayPatience) != nil {
+	if Call(follower.line, address, RelayPath, RelayQuestion{Path: UpdatePath, Body: body}, &reply, relayPatience) != nil {
 		return
 	}
-	var answer NewsAnswer
+	var answer UpdateAnswer
 	if msgpack.Unmarshal(reply, &answer) != nil || !answer.Leads {
 		return
 	}
-	follower.learnCharter(answer.Charter)
+	follower.learnMembership(answer.Membership)
 	search.note(address, asked, follower.turns.Now(), answer)
 	search.bell.Broadcast()
 }
@@ -299,28 +299,28 @@
 	question := follower.searchQuestion()
 	question.Wanted = version
 	asked := follower.turns.Now()
-	var answer NewsAnswer
-	if err := Call(follower.line, address, NewsPath, question, &answer, firstPatience); err != nil {
+	var answer UpdateAnswer
+	if err := Call(follower.line, address, UpdatePath, question, &answer, firstPatience); err != nil {
 		return
 	}
 	if answer.Leads {
-		follower.learn(address, leadsAnswer{Leads: true, Charter: answer.Charter})
+		follower.learn(address, leadsAnswer{Leads: true, Membership: answer.Membership})
 		follower.takeAnswer(asked, answer)
 		return
 	}
-	if answer.Copy == nil || answer.Copy.Drawers[replication.ConfigurationSection].Version != version {
+	if answer.Copy == nil || answer.Copy.Sections[replication.ConfigurationSection].Version != version {
 		return
 	}
 	follower.mutex.Lock()
-	if _, has := follower.drawers[replication.ConfigurationSection]; has || !follower.provisional {
+	if _, has := follower.sections[replication.ConfigurationSection]; has || !follower.provisional {
 		follower.mutex.Unlock()
 		return
 	}
 	// The primary need not send again what is the same; all else it tells itself.
-	follower.drawers[replication.ConfigurationSection] = answer.Copy.Drawers[replication.ConfigurationSection]
+	follower.sections[replication.ConfigurationSection] = answer.Copy.Sections[replication.ConfigurationSection]
 	follower.unconfirmed = version
-	news := News{Asked: asked, Answer: NewsAnswer{Servers: answer.Servers}, Changed: answer.Copy.Drawers, Provisional: true}
-	follower.takeLists(&news)
+	update := Update{Asked: asked, Answer: UpdateAnswer{Servers: answer.Servers}, Changed: answer.Copy.Sections, Provisional: true}
+	follower.takeLists(&update)
 	follower.mutex.Unlock()
-	follower.take(news)
+	follower.take(update)
 }
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -29,10 +29,10 @@
 func restarted(t *testing.T, turns runtime.Runtime, before *core, blank ...string) *core {
 	t.Helper()
 	after := &core{nodes: map[string]*Controller{}}
-	for address, copies := range before.shelfs {
+	for address, copies := range before.storages {
 		keeping := before.keeping[address]
 		if slices.Contains(blank, address) {
-			copies, keeping = &memoryShelf{files: map[string][]byte{}}, &memoryShelf{files: map[string][]byte{}}
+			copies, keeping = &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
 		}
 		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
 			Fresh: replication.Identity("next disk-" + address), Directory: oneServer{}}
@@ -68,7 +68,7 @@
 func TestRouterServesByTheCopiesBeforeThereIsAPrimary(t *testing.T) {
 	before, primary := newCore(t, func(turns runtime.Runtime) runtime.Runtime { return turns })
 	version := setConfiguration(t, primary, `{"routes":{"a":{"to":{"refuse":true}}}}`)
-	charter := primary.Coordinator().Charter()
+	membership := primary.Coordinator().Membership()
 	for _, row := range []struct {
 		name    string
 		without time.Duration
@@ -78,8 +78,8 @@
 	}{
 		{"all are there", time.Minute, nil, "", true},
 		{"a hold is needed", 0, nil, "", false},
-		{"the primary's disk is lost", time.Minute, []string{charter.Primary.Address}, "", true},
-		{"the primary is dark", time.Minute, nil, charter.Primary.Address, false},
+		{"the primary's disk is lost", time.Minute, []string{membership.Primary.Address}, "", true},
+		{"the primary is dark", time.Minute, nil, membership.Primary.Address, false},
 	} {
 		lifetime, end := context.WithCancel(context.Background())
 		turns := osruntime.New(lifetime, osruntime.NewClock())
@@ -117,18 +117,18 @@
 	newer := replication.Section{Version: replication.Version{Epoch: 4, Number: 9}, Content: []byte(`{"routes":{"b":{"to":{"refuse":true}}}}`)}
 	for _, row := range []struct {
 		name    string
-		answer  NewsAnswer
+		answer  UpdateAnswer
 		inForce replication.Version
 		hold    bool
 	}{
-		{"the same", NewsAnswer{Leads: true, Menu: lent.Version, Hold: time.Second}, lent.Version, true},
-		{"newer", NewsAnswer{Leads: true, Menu: newer.Version, Hold: time.Second, Drawers: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
-		{"older", NewsAnswer{Leads: true, Menu: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
+		{"the same", UpdateAnswer{Leads: true, Configuration: lent.Version, Hold: time.Second}, lent.Version, true},
+		{"newer", UpdateAnswer{Leads: true, Configuration: newer.Version, Hold: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
+		{"older", UpdateAnswer{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
 	} {
 		router := NewRouter(turns, nil, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 			ServeWithoutHold: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
-		router.followed.drawers[replication.ConfigurationSection], router.followed.unconfirmed = lent, lent.Version
-		router.takeNews(News{Asked: turns.Now(), Changed: map[string]replication.Section{replication.ConfigurationSection: lent}, Provisional: true})
+		router.followed.sections[replication.ConfigurationSection], router.followed.unconfirmed = lent, lent.Version
+		router.takeUpdate(Update{Asked: turns.Now(), Changed: map[string]replication.Section{replication.ConfigurationSection: lent}, Provisional: true})
 		if router.InForce() != lent.Version || router.Core().Dutiful() {
 			t.Fatalf("%s: %s in force", row.name, router.InForce())
 		}
--- a/internal/hatch/serversnews.go
+++ b/internal/hatch/serversnews.go
@@ -6,9 +6,9 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// ServersNews is what the primary knows of the platform's list: how old it is, and
+// ServersUpdate is what the primary knows of the platform's list: how old it is, and
 // the list itself for who has another one. Its mark tells one list from another.
-type ServersNews struct {
+type ServersUpdate struct {
 	Mark    uint64              `msgpack:"mark"`
 	Age     time.Duration       `msgpack:"age"`
 	Sent    bool                `msgpack:"sent,omitempty"`
--- a/internal/hatch/signpost.go
+++ b/internal/hatch/signpost.go
@@ -9,9 +9,9 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Signpost is the control plane's conduct at a node without a disk: it keeps nothing
+// Redirector is the control plane's conduct at a node without a disk: it keeps nothing
 // and belongs to no core, but knows which expediter is primary when it is asked.
-type Signpost struct {
+type Redirector struct {
 	turns runtime.Runtime
 	line  Hotline
 
@@ -23,66 +23,66 @@
 }
 
 const (
-	// signpostPatience is how long each expediter may take to say who leads: all are
+	// redirectorPatience is how long each expediter may take to say who leads: all are
 	// asked at once.
-	signpostPatience = 300 * time.Millisecond
-	// signpostSearches is how often the search goes on with what it has just learnt.
-	signpostSearches = 2
-	// signpostFresh is how long an answer is believed.
-	signpostFresh = 500 * time.Millisecond
-	// signpostRefresh lies between two looks at the membership while nobody asks: what is
+	redirectorPatience = 300 * time.Millisecond
+	// redirectorSearches is how often the search goes on with what it has just learnt.
+	redirectorSearches = 2
+	// redirectorFresh is how long an answer is believed.
+	redirectorFresh = 500 * time.Millisecond
+	// redirectorRefresh lies between two looks at the membership while nobody asks: what is
 	// known of it must not outlive the machines that it names.
-	signpostRefresh = 2 * time.Second
+	redirectorRefresh = 2 * time.Second
 )
 
-// NewSignpost makes a signpost that begins its search at the seeds.
-func NewSignpost(turns runtime.Runtime, line Hotline, seeds []string) *Signpost {
-	return &Signpost{turns: turns, line: line, seeds: seeds}
+// NewRedirector makes a signpost that begins its search at the seeds.
+func NewRedirector(turns runtime.Runtime, line Hotline, seeds []string) *Redirector {
+	return &Redirector{turns: turns, line: line, seeds: seeds}
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (signpost *Signpost) SetSeeds(seeds []string) {
-	signpost.mutex.Lock()
-	defer signpost.mutex.Unlock()
-	signpost.seeds = seeds
+func (redirector *Redirector) SetSeeds(seeds []string) {
+	redirector.mutex.Lock()
+	defer redirector.mutex.Unlock()
+	redirector.seeds = seeds
 }
 
 // Run follows the membership until the process ends.
-func (signpost *Signpost) Run() {
-	runtime.Every(signpost.turns, signpostRefresh, func() { signpost.Leader() })
+func (redirector *Redirector) Run() {
+	runtime.Every(redirector.turns, redirectorRefresh, func() { redirector.Leader() })
 }
 
 // Leader is the address of the expediter that is primary, or empty if none says so.
-func (signpost *Signpost) Leader() string {
-	signpost.mutex.Lock()
-	known, fresh := signpost.leader, signpost.turns.Now().Sub(signpost.asked) < signpostFresh
-	signpost.mutex.Unlock()
+func (redirector *Redirector) Leader() string {
+	redirector.mutex.Lock()
+	known, fresh := redirector.leader, redirector.turns.Now().Sub(redirector.asked) < redirectorFresh
+	redirector.mutex.Unlock()
 	if known != "" && fresh {
 		return known
 	}
 	asked := map[string]bool{}
-	for range signpostSearches {
-		if leader := signpost.askAll(signpost.unasked(asked)); leader != "" {
+	for range redirectorSearches {
+		if leader := redirector.askAll(redirector.unasked(asked)); leader != "" {
 			return leader
 		}
 	}
-	signpost.mutex.Lock()
-	defer signpost.mutex.Unlock()
-	signpost.leader = ""
+	redirector.mutex.Lock()
+	defer redirector.mutex.Unlock()
+	redirector.leader = ""
 	return ""
 }
 
 // unasked are the addresses that may know, and were not asked in this search: who led
 // last, those of the newest membership, the seeds.
-func (signpost *Signpost) unasked(asked map[string]bool) []string {
-	signpost.mutex.Lock()
-	defer signpost.mutex.Unlock()
-	candidates := []string{signpost.leader, signpost.membership.Primary.Address}
-	for _, replica := range slices.Concat(signpost.membership.Copies(), signpost.membership.Electors()) {
+func (redirector *Redirector) unasked(asked map[string]bool) []string {
+	redirector.mutex.Lock()
+	defer redirector.mutex.Unlock()
+	candidates := []string{redirector.leader, redirector.membership.Primary.Address}
+	for _, replica := range slices.Concat(redirector.membership.Copies(), redirector.membership.Electors()) {
 		candidates = append(candidates, replica.Address)
 	}
 	var addresses []string
-	for _, address := range append(candidates, signpost.seeds...) {
+	for _, address := range append(candidates, redirector.seeds...) {
 		if address != "" && !asked[address] {
 			asked[address] = true
 			addresses = append(addresses, address)
@@ -92,16 +92,16 @@
 }
 
 // askAll asks all addresses at once, and gives the first that leads.
-func (signpost *Signpost) askAll(addresses []string) string {
+func (redirector *Redirector) askAll(addresses []string) string {
 	var mutex sync.Mutex
-	bell := signpost.turns.NewCond()
+	bell := redirector.turns.NewCond()
 	left, leader := len(addresses), ""
 	for _, address := range addresses {
-		signpost.turns.Go(func() {
+		redirector.turns.Go(func() {
 			var hello replication.Hello
 			// A hello from nobody is answered, and leaves no trace.
-			err := Call(signpost.line, address, HelloPath, replication.Hello{}, &hello, signpostPatience)
-			leads := err == nil && signpost.learn(address, hello)
+			err := Call(redirector.line, address, HelloPath, replication.Hello{}, &hello, redirectorPatience)
+			leads := err == nil && redirector.learn(address, hello)
 			mutex.Lock()
 			left--
 			if leads {
@@ -111,7 +111,7 @@
 			bell.Broadcast()
 		})
 	}
-	bell.Wait(signpostPatience, func() bool {
+	bell.Wait(redirectorPatience, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return leader != "" || left == 0
@@ -122,14 +122,14 @@
 }
 
 // learn takes an answer and tells whether its giver leads.
-func (signpost *Signpost) learn(address string, hello replication.Hello) bool {
-	signpost.mutex.Lock()
-	defer signpost.mutex.Unlock()
-	if hello.Charter.Epoch > signpost.membership.Epoch {
-		signpost.membership = hello.Charter
+func (redirector *Redirector) learn(address string, hello replication.Hello) bool {
+	redirector.mutex.Lock()
+	defer redirector.mutex.Unlock()
+	if hello.Membership.Epoch > redirector.membership.Epoch {
+		redirector.membership = hello.Membership
 	}
 	if hello.Leads {
-		signpost.leader, signpost.asked = address, signpost.turns.Now()
+		redirector.leader, redirector.asked = address, redirector.turns.Now()
 	}
 	return hello.Leads
 }
--- a/internal/hatch/signpost_test.go
+++ b/internal/hatch/signpost_test.go
@@ -7,10 +7,10 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-func TestSignpostFindsThePrimaryAndLeavesNoTrace(t *testing.T) {
+func TestRedirectorFindsThePrimaryAndLeavesNoTrace(t *testing.T) {
 	formed, primary := newCore(t, plain)
-	signpost := NewSignpost(primary.turns, formed, []string{"m2", "gone", "m1"})
-	if found := signpost.Leader(); found != primary.options.Address {
+	redirector := NewRedirector(primary.turns, formed, []string{"m2", "gone", "m1"})
+	if found := redirector.Leader(); found != primary.options.Address {
 		t.Fatalf("found %q, not %q", found, primary.options.Address)
 	}
 	for _, node := range formed.nodes {
@@ -27,31 +27,31 @@
 	found := ""
 	for range 200 {
 		waited.Wait(20*time.Millisecond, func() bool { return false })
-		if found = signpost.Leader(); found != "" && found != address {
+		if found = redirector.Leader(); found != "" && found != address {
 			return
 		}
 	}
 	t.Fatalf("found %q after the primary went", found)
 }
 
-// TestSignpostOutlivesItsSeeds knows the members of the core, so that it finds the primary
+// TestRedirectorOutlivesItsSeeds knows the members of the core, so that it finds the primary
 // when the addresses that it was told are gone.
-func TestSignpostOutlivesItsSeeds(t *testing.T) {
+func TestRedirectorOutlivesItsSeeds(t *testing.T) {
 	formed, primary := newCore(t, plain)
-	signpost := NewSignpost(primary.turns, formed, []string{"m0", "m1", "m2"})
-	signpost.Leader()
-	signpost.SetSeeds([]string{"gone", "dark", "old"})
-	signpost.mutex.Lock()
-	signpost.leader = ""
-	signpost.mutex.Unlock()
-	if found := signpost.Leader(); found != primary.options.Address {
+	redirector := NewRedirector(primary.turns, formed, []string{"m0", "m1", "m2"})
+	redirector.Leader()
+	redirector.SetSeeds([]string{"gone", "dark", "old"})
+	redirector.mutex.Lock()
+	redirector.leader = ""
+	redirector.mutex.Unlock()
+	if found := redirector.Leader(); found != primary.options.Address {
 		t.Errorf("found %q, not %q", found, primary.options.Address)
 	}
 }
 
-func TestSignpostThatReachesNobody(t *testing.T) {
+func TestRedirectorThatReachesNobody(t *testing.T) {
 	formed, primary := newCore(t, plain)
-	if found := NewSignpost(primary.turns, formed, []string{"gone"}).Leader(); found != "" {
+	if found := NewRedirector(primary.turns, formed, []string{"gone"}).Leader(); found != "" {
 		t.Errorf("found %q", found)
 	}
 	if greeted := primary.Coordinator().Greet(replication.Hello{}); greeted.Seat.Empty() {
--- a/internal/hatch/stream.go
+++ b/internal/hatch/stream.go
@@ -44,7 +44,7 @@
 }
 
 // news tells whether there is anything to do for the thread that answers.
-func (stream *stream) news() bool {
+func (stream *stream) update() bool {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
 	_, found := stream.chunks[stream.sent+1]
--- a/internal/lease/keys.go
+++ b/internal/lease/keys.go
@@ -30,15 +30,15 @@
 // Renew tells which of the recorded duties the node may go on holding, and
 // marks them renewed. A duty that another settled node should have is left
 // out, so that the node lets go of it.
-func (keys *Keys) Renew(now time.Time, node string, recorded map[string]Duty, candidates map[string]time.Duration) []Duty {
+func (keys *Keys) Renew(now time.Time, node string, recorded map[string]Role, candidates map[string]time.Duration) []Role {
 	keys.mutex.Lock()
 	defer keys.mutex.Unlock()
-	var renewed []Duty
-	for key, duty := range recorded {
-		if duty.Holder != node {
+	var renewed []Role
+	for key, role := range recorded {
+		if role.Holder != node {
 			continue
 		}
-		if _, released := keys.released[keyAt(key, duty.Fence)]; released || keys.given[keyAt(key, duty.Fence)] {
+		if _, released := keys.released[keyAt(key, role.FencingToken)]; released || keys.given[keyAt(key, role.FencingToken)] {
 			continue
 		}
 		if _, may := candidates[node]; !may {
@@ -47,8 +47,8 @@
 		if desired := keys.desired(key, candidates, true); desired != "" && desired != node {
 			continue
 		}
-		keys.renewed[keyAt(key, duty.Fence)] = now
-		renewed = append(renewed, duty)
+		keys.renewed[keyAt(key, role.FencingToken)] = now
+		renewed = append(renewed, role)
 	}
 	sort.Slice(renewed, func(left, right int) bool { return renewed[left].Key < renewed[right].Key })
 	return renewed
@@ -56,10 +56,10 @@
 
 // Release notes that the holder has let go of a duty by itself; it is not
 // renewed again under that fence.
-func (keys *Keys) Release(now time.Time, duty Duty) {
+func (keys *Keys) Release(now time.Time, role Role) {
 	keys.mutex.Lock()
 	defer keys.mutex.Unlock()
-	name := keyAt(duty.Key, duty.Fence)
+	name := keyAt(role.Key, role.FencingToken)
 	if _, found := keys.released[name]; !found {
 		keys.released[name] = now
 	}
@@ -67,19 +67,19 @@
 
 // Vacant lists the grants to make now: wanted keys with no recorded holder,
 // or whose holder's hold ended, plus the rest between two holders.
-func (keys *Keys) Vacant(now time.Time, wanted []string, recorded map[string]Duty, candidates map[string]time.Duration) []Duty {
+func (keys *Keys) Vacant(now time.Time, wanted []string, recorded map[string]Role, candidates map[string]time.Duration) []Role {
 	keys.mutex.Lock()
 	defer keys.mutex.Unlock()
-	var grants []Duty
+	var grants []Role
 	for _, key := range wanted {
-		if duty, found := recorded[key]; found && now.Before(keys.freeFrom(now, duty)) {
+		if role, found := recorded[key]; found && now.Before(keys.freeFrom(now, role)) {
 			continue
 		}
 		if holder := keys.desired(key, candidates, false); holder != "" {
 			if duty, found := recorded[key]; found {
-				keys.given[keyAt(key, duty.Fence)] = true
+				keys.given[keyAt(key, duty.FencingToken)] = true
 			}
-			grants = append(grants, Duty{Key: key, Holder: holder})
+			grants = append(grants, Role{Key: key, Holder: holder})
 		}
 	}
 	return grants
@@ -87,8 +87,8 @@
 
 // freeFrom is when a duty may be given to the next holder. One that was given
 // just now, and not renewed yet, counts from when it is first seen.
-func (keys *Keys) freeFrom(now time.Time, duty Duty) time.Time {
-	name := keyAt(duty.Key, duty.Fence)
+func (keys *Keys) freeFrom(now time.Time, role Role) time.Time {
+	name := keyAt(role.Key, role.FencingToken)
 	if keys.given[name] {
 		return time.Time{}
 	}
@@ -115,6 +115,6 @@
 	})
 }
 
-func keyAt(key string, fence uint64) string {
-	return key + "#" + strconv.FormatUint(fence, 10)
+func keyAt(key string, fencingToken uint64) string {
+	return key + "#" + strconv.FormatUint(fencingToken, 10)
 }
--- a/internal/lease/keys_test.go
+++ b/internal/lease/keys_test.go
@@ -17,19 +17,19 @@
 	if len(grants) != 1 {
 		t.Fatalf("grants: %v", grants)
 	}
-	duty := grants[0]
-	duty.Fence = 1
-	recorded := map[string]Duty{duty.Key: duty}
+	role := grants[0]
+	role.FencingToken = 1
+	recorded := map[string]Role{role.Key: role}
 	renewed := start.Add(time.Second)
-	if mine := keys.Renew(renewed, duty.Holder, recorded, live); len(mine) != 1 {
+	if mine := keys.Renew(renewed, role.Holder, recorded, live); len(mine) != 1 {
 		t.Fatalf("the holder was not renewed: %v", mine)
 	}
-	delete(live, duty.Holder)
+	delete(live, role.Holder)
 	free := renewed.Add(terms.Hold + 3*time.Second)
 	if early := keys.Vacant(free, wanted, recorded, live); len(early) != 0 {
 		t.Errorf("a successor was named within three seconds of the old hold: %v", early)
 	}
-	if late := keys.Vacant(free.Add(time.Second), wanted, recorded, live); len(late) != 1 || late[0].Holder == duty.Holder {
+	if late := keys.Vacant(free.Add(time.Second), wanted, recorded, live); len(late) != 1 || late[0].Holder == role.Holder {
 		t.Errorf("no successor was named: %v", late)
 	}
 	// A new primary knows nothing of renewals and waits from its own start.
@@ -48,7 +48,7 @@
 	now := time.Unix(1000, 0)
 	live := map[string]time.Duration{"a": time.Minute, "b": time.Minute}
 	grants := keys.Vacant(now, []string{PartsKey}, nil, live)
-	recorded := map[string]Duty{PartsKey: {Key: PartsKey, Holder: grants[0].Holder, Fence: 1}}
+	recorded := map[string]Role{PartsKey: {Key: PartsKey, Holder: grants[0].Holder, FencingToken: 1}}
 	for range 20 {
 		now = now.Add(300 * time.Millisecond)
 		if again := keys.Vacant(now, []string{PartsKey}, recorded, live); len(again) != 0 {
@@ -89,7 +89,7 @@
 	keys := NewKeys(terms)
 	noon := time.Unix(1000, 0)
 	key := ServerKey("stove-1")
-	recorded := map[string]Duty{key: {Key: key, Holder: "courier-1", Fence: 4}}
+	recorded := map[string]Role{key: {Key: key, Holder: "courier-1", FencingToken: 4}}
 	both := map[string]time.Duration{"courier-1": time.Minute}
 	if len(keys.Renew(noon, "courier-1", recorded, both)) != 1 {
 		t.Fatal("the holder was not renewed at first")
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -10,21 +10,21 @@
 // Own is the hello that this expediter says.
 func (coordinator *Coordinator) Own() Hello {
 	// These may wait for the disk, and nobody may wait for them.
-	charter, replica := coordinator.witness.Charter(), coordinator.witness.Replica()
-	blank, holder := charter.Blank(), coordinator.witness.Holder()
+	membership, replica := coordinator.witness.Membership(), coordinator.witness.Replica()
+	blank, holder := membership.Blank(), coordinator.witness.Holder()
 	version, damage := coordinator.store.Copy().Version(), coordinator.store.Copy().Damage()
 	left := coordinator.witness.HoldEnds().Sub(coordinator.turns.Now())
 	leads := coordinator.Holds()
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	if coordinator.charter.Epoch > charter.Epoch {
-		charter = coordinator.charter
+	if coordinator.membership.Epoch > membership.Epoch {
+		membership = coordinator.membership
 	}
 	if coordinator.borne > 1 {
 		replica.Zone = coordinator.zone
 	}
 	return Hello{Seat: replica, Kind: coordinator.kind, Blank: blank, Restricted: coordinator.restricted,
-		Charter: charter, Leads: leads, HoldLeft: max(left, 0), Holder: holder,
+		Membership: membership, Leads: leads, HoldLeft: max(left, 0), Holder: holder,
 		Version: version, Damage: damage, Leaving: coordinator.leaving}
 }
 
@@ -35,10 +35,10 @@
 		return coordinator.Own()
 	}
 	coordinator.note(hello, false)
-	charter := coordinator.Charter()
+	membership := coordinator.Membership()
 	coordinator.mutex.Lock()
 	coordinator.greeted = coordinator.turns.Now()
-	if hello.Leads && hello.Seat.Identity == charter.Primary.Identity {
+	if hello.Leads && hello.Seat.Identity == membership.Primary.Identity {
 		coordinator.ledBy = coordinator.greeted
 	}
 	coordinator.mutex.Unlock()
@@ -50,8 +50,8 @@
 func (coordinator *Coordinator) note(hello Hello, answered bool) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	if hello.Charter.Epoch > coordinator.charter.Epoch {
-		coordinator.charter = hello.Charter
+	if hello.Membership.Epoch > coordinator.membership.Epoch {
+		coordinator.membership = hello.Membership
 	}
 	if hello.Seat.Empty() || hello.Seat.Identity == coordinator.witness.Replica().Identity {
 		return
@@ -74,14 +74,14 @@
 		return
 	}
 	if coordinator.quiet() {
-		primary := coordinator.Charter().Primary
+		primary := coordinator.Membership().Primary
 		if hello, err := coordinator.peers.Hello(coordinator.Address(primary), own); err == nil {
 			coordinator.note(hello, true)
 		}
 		return
 	}
 	addresses := map[string]bool{}
-	for _, replica := range coordinator.Charter().Electors() {
+	for _, replica := range coordinator.Membership().Electors() {
 		addresses[replica.Address] = true
 	}
 	coordinator.mutex.Lock()
@@ -129,8 +129,8 @@
 // strangers are recorded members to be greeted now: none while a majority of the
 // witnesses answers.
 func (coordinator *Coordinator) strangers() []string {
-	charter := coordinator.Charter()
-	if !charter.Blank() && coordinator.reaches(charter) {
+	membership := coordinator.Membership()
+	if !membership.Blank() && coordinator.reaches(membership) {
 		return nil
 	}
 	coordinator.mutex.Lock()
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -50,9 +50,9 @@
 }
 
 // healthy lists the backups that answer, whole and in time.
-func (coordinator *Coordinator) healthy(charter Membership) []Replica {
+func (coordinator *Coordinator) healthy(membership Membership) []Replica {
 	var healthy []Replica
-	for _, replica := range charter.Backups() {
+	for _, replica := range membership.Backups() {
 		hello, seen := coordinator.alive(replica.Identity, coordinator.timing.BackupSilence+coordinator.timing.Beat)
 		if seen && hello.Damage == "" && !hello.Restricted && !coordinator.failing(replica.Identity) {
 			healthy = append(healthy, replica)
@@ -77,24 +77,24 @@
 // of one that is gone gets a snapshot while commits stand still, and counts from
 // the grant of the next charter on.
 func (coordinator *Coordinator) ensureBackups() {
-	charter := coordinator.Charter()
+	membership := coordinator.Membership()
 	wanted := coordinator.wanted()
 	coordinator.mutex.Lock()
 	restricted := coordinator.restricted
 	coordinator.mutex.Unlock()
-	healthy := coordinator.healthy(charter)
-	whole := !charter.Backup.Empty() && !coordinator.unsettled && len(healthy) == len(charter.Backups())
-	if whole && len(healthy) >= wanted && !coordinator.anyLeaves(healthy) && !coordinator.crowded(charter, wanted) {
+	healthy := coordinator.healthy(membership)
+	whole := !membership.Backup.Empty() && !coordinator.unsettled && len(healthy) == len(membership.Backups())
+	if whole && len(healthy) >= wanted && !coordinator.anyLeaves(healthy) && !coordinator.crowded(membership, wanted) {
 		if restricted {
-			coordinator.handOver(charter)
+			coordinator.handOver(membership)
 		}
 		return
 	}
-	candidates := coordinator.backupCandidates(charter, wanted)
-	if !coordinator.unsettled && !charter.Backup.Empty() && coordinator.asGoodAsItGets(charter, healthy, candidates, wanted) {
+	candidates := coordinator.backupCandidates(membership, wanted)
+	if !coordinator.unsettled && !membership.Backup.Empty() && coordinator.asGoodAsItGets(membership, healthy, candidates, wanted) {
 		return
 	}
-	if whole && !coordinator.copyAhead(charter, candidates, wanted) {
+	if whole && !coordinator.copyAhead(membership, candidates, wanted) {
 		return
 	}
 	if len(candidates) > 0 {
@@ -103,13 +103,13 @@
 			return
 		}
 		coordinator.unsettled = true
-		installed := coordinator.install(charter, snapshot, candidates, wanted)
-		if coordinator.mayGrant(charter, installed, wanted) {
+		installed := coordinator.install(membership, snapshot, candidates, wanted)
+		if coordinator.mayGrant(membership, installed, wanted) {
 			coordinator.grantPair(installed)
 			return
 		}
 	}
-	if coordinator.unsettled && coordinator.witness.Charter().Primary.Identity == coordinator.witness.Replica().Identity {
+	if coordinator.unsettled && coordinator.witness.Membership().Primary.Identity == coordinator.witness.Replica().Identity {
 		// No backup can be had; the epoch is still asked for, so that reads and
 		// holds go on from this copy.
 		alone := len(candidates) == 0 && coordinator.short()
@@ -172,30 +172,30 @@
 
 // mayGrant tells whether the installed copies may be the backups: there are no
 // fewer than now, or no more can be had for some time.
-func (coordinator *Coordinator) mayGrant(charter Membership, installed []Replica, wanted int) bool {
+func (coordinator *Coordinator) mayGrant(membership Membership, installed []Replica, wanted int) bool {
 	if len(installed) == 0 {
 		return false
 	}
-	return len(installed) >= min(wanted, max(len(charter.Backups()), 1)) || coordinator.short()
+	return len(installed) >= min(wanted, max(len(membership.Backups()), 1)) || coordinator.short()
 }
 
 // asGoodAsItGets tells whether the backups that are there are those that would be
 // chosen now, and none is dead, damaged or failing.
-func (coordinator *Coordinator) asGoodAsItGets(charter Membership, healthy, candidates []Replica, wanted int) bool {
+func (coordinator *Coordinator) asGoodAsItGets(membership Membership, healthy, candidates []Replica, wanted int) bool {
 	if len(candidates) == 0 {
 		return true
 	}
 	if wanted == 1 {
 		// A backup that leaves stays until another can be had.
-		return candidates[0].Identity == charter.Backup.Identity && hasReplica(healthy, charter.Backup.Identity)
+		return candidates[0].Identity == membership.Backup.Identity && hasReplica(healthy, membership.Backup.Identity)
 	}
 	chosen := candidates[:min(wanted, len(candidates))]
 	for _, replica := range chosen {
-		if !hasReplica(charter.Backups(), replica.Identity) {
+		if !hasReplica(membership.Backups(), replica.Identity) {
 			return false
 		}
 	}
-	for _, replica := range charter.Backups() {
+	for _, replica := range membership.Backups() {
 		if hasReplica(healthy, replica.Identity) {
 			continue
 		}
@@ -210,7 +210,7 @@
 
 // copyAhead brings newcomers a snapshot while commits go on, so that commits stand
 // still only for what was written since. It tells whether a newcomer has it.
-func (coordinator *Coordinator) copyAhead(charter Membership, candidates []Replica, wanted int) bool {
+func (coordinator *Coordinator) copyAhead(membership Membership, candidates []Replica, wanted int) bool {
 	snapshot, leading := coordinator.store.Snapshot()
 	if !leading {
 		return false
@@ -219,18 +219,18 @@
 	coordinator.mutex.Lock()
 	for _, replica := range candidates {
 		failed, tried := coordinator.installFails[replica.Identity]
-		if !hasReplica(charter.Backups(), replica.Identity) && !(tried && coordinator.turns.Now().Sub(failed) < applicantFresh) {
+		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && coordinator.turns.Now().Sub(failed) < applicantFresh) {
 			newcomers = append(newcomers, replica)
 		}
 	}
 	coordinator.mutex.Unlock()
-	return len(coordinator.install(charter, snapshot, newcomers, max(wanted-len(charter.Backups()), 1))) > 0
+	return len(coordinator.install(membership, snapshot, newcomers, max(wanted-len(membership.Backups()), 1))) > 0
 }
 
 // install brings the snapshot to as many candidates as are wanted at once. When one
 // fails, or its disk takes its time, the next is tried beside it. The primary's hold
 // is renewed meanwhile.
-func (coordinator *Coordinator) install(charter Membership, snapshot Snapshot, candidates []Replica, wanted int) []Replica {
+func (coordinator *Coordinator) install(membership Membership, snapshot Snapshot, candidates []Replica, wanted int) []Replica {
 	var mutex sync.Mutex
 	ended := map[Identity]error{}
 	bell := coordinator.turns.NewCond()
@@ -278,7 +278,7 @@
 		now := coordinator.turns.Now()
 		if now.Sub(confirmed) >= coordinator.timing.Lease/5 {
 			confirmed = now
-			coordinator.confirm(charter)
+			coordinator.confirm(membership)
 		}
 		if over || now.Sub(latest) < installPatience {
 			continue
@@ -321,13 +321,13 @@
 }
 
 // backupCandidates lists the expediters that could be backups, the best first.
-func (coordinator *Coordinator) backupCandidates(charter Membership, wanted int) []Replica {
-	copies := charter.With(coordinator.recorded(coordinator.witness.Replica()), charter.Backups()).Copies()
+func (coordinator *Coordinator) backupCandidates(membership Membership, wanted int) []Replica {
+	copies := membership.With(coordinator.recorded(coordinator.witness.Replica()), membership.Backups()).Copies()
 	var candidates []candidate
 	coordinator.mutex.Lock()
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
-		if rank, may := coordinator.rank(charter, known, wanted > 1); may {
+		if rank, may := coordinator.rank(membership, known, wanted > 1); may {
 			candidates = append(candidates, candidate{seat: known.hello.Seat, rank: rank, crowd: inZone(copies, known.hello.Seat.Zone)})
 		}
 	}
@@ -350,17 +350,17 @@
 
 // rank tells how well an acquaintance would do as a backup, or that it can't be one.
 // The caller has the mutex.
-func (coordinator *Coordinator) rank(charter Membership, known *acquaintance, several bool) (int, bool) {
+func (coordinator *Coordinator) rank(m Membership, known *acquaintance, several bool) (int, bool) {
 	now := coordinator.turns.Now()
 	identity, silence := known.hello.Seat.Identity, now.Sub(known.answered)
 	if known.hello.Kind != membership.Controller || silence >= coordinator.timing.BackupSilence+coordinator.timing.Beat {
 		return 0, false
 	}
 	failing := coordinator.fails(identity)
-	present := hasReplica(charter.Backups(), identity)
+	present := hasReplica(m.Backups(), identity)
 	rank := 2
 	switch {
-	case known.hello.Restricted && !several && !charter.Backup.Empty() && !coordinator.fails(charter.Backup.Identity) && !coordinator.unsettled:
+	case known.hello.Restricted && !several && !m.Backup.Empty() && !coordinator.fails(m.Backup.Identity) && !coordinator.unsettled:
 		// A backup that is there is not exchanged for a restricted one.
 		return 0, false
 	case known.hello.Restricted:
@@ -374,7 +374,7 @@
 		rank = 3
 	case present:
 		rank = 0
-	case charter.Keeps(identity) && !several:
+	case m.Keeps(identity) && !several:
 		rank = 1
 	}
 	if failed, tried := coordinator.installFails[identity]; tried && now.Sub(failed) < applicantFresh {
@@ -417,15 +417,15 @@
 }
 
 // crowded tells whether all copies are in one district and another could be had.
-func (coordinator *Coordinator) crowded(charter Membership, wanted int) bool {
+func (coordinator *Coordinator) crowded(membership Membership, wanted int) bool {
 	if wanted == 1 {
 		return false
 	}
 	zone := coordinator.recorded(coordinator.witness.Replica()).Zone
-	if inZone(charter.Backups(), zone) < len(charter.Backups()) {
+	if inZone(membership.Backups(), zone) < len(membership.Backups()) {
 		return false
 	}
-	candidates := coordinator.backupCandidates(charter, wanted)
+	candidates := coordinator.backupCandidates(membership, wanted)
 	chosen := candidates[:min(wanted, len(candidates))]
 	return inZone(chosen, zone) < len(chosen)
 }
@@ -433,14 +433,14 @@
 // OldCopies lists the expediters out of the pair whose copies were older than
 // the version when they were heard last.
 func (coordinator *Coordinator) OldCopies(version Version) []Replica {
-	charter := coordinator.Charter()
+	m := coordinator.Membership()
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
 	var old []Replica
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
 		fresh := coordinator.turns.Now().Sub(known.lastSeen) < applicantFresh && !coordinator.superseded(known)
-		if fresh && known.hello.Kind == membership.Controller && !charter.InSync(identity) && known.hello.Version.Before(version) {
+		if fresh && known.hello.Kind == membership.Controller && !m.InSync(identity) && known.hello.Version.Before(version) {
 			old = append(old, known.hello.Seat)
 		}
 	}
--- a/internal/replication/ballot.go
+++ b/internal/replication/ballot.go
@@ -39,8 +39,8 @@
 // takePromise takes a witness's answer to the question for a promise.
 func (ballot *ballot) takePromise(witness Identity, promise Promise) {
 	ballot.highest = max(ballot.highest, promise.Promised)
-	if promise.Charter.Epoch > ballot.newest.Epoch {
-		ballot.newest = promise.Charter
+	if promise.Membership.Epoch > ballot.newest.Epoch {
+		ballot.newest = promise.Membership
 	}
 	ballot.promised[witness] = ballot.promised[witness] || promise.Granted
 }
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -13,15 +13,15 @@
 
 // Change alters the state in its turn, one after another, as the version that
 // it will be part of. MenuVersion is that of the configuration before it.
-type Change func(state *State, version, menuVersion Version) error
+type Change func(state *State, version, configurationVersion Version) error
 
-// ChangeMenu replaces the configuration's text by what edit makes of it. With
+// ChangeConfiguration replaces the configuration's text by what edit makes of it. With
 // an expected version it is refused when that is not the current one. An edit
 // that was prepared for the version it meets is not made again, so that a large
 // configuration is not checked in the changes' turn; one that was prepared for
 // another version is told that the configuration has moved.
-func ChangeMenu(id, digest string, expected *Version, prepared PreparedMenu, edit func(text []byte) ([]byte, error)) Change {
-	return func(state *State, version, menuVersion Version) error {
+func ChangeConfiguration(id, digest string, expected *Version, prepared PreparedConfiguration, edit func(text []byte) ([]byte, error)) Change {
+	return func(state *State, version, configurationVersion Version) error {
 		for _, note := range state.Changes {
 			if id == "" || note.ID != id {
 				continue
@@ -33,26 +33,26 @@
 			}
 			return failure.New(failure.Duplicate, "another change with the id "+id+" was accepted as version "+note.Version.String())
 		}
-		if expected != nil && *expected != menuVersion {
-			return failure.New(failure.VersionConflict, menuVersion.String())
+		if expected != nil && *expected != configurationVersion {
+			return failure.New(failure.VersionConflict, configurationVersion.String())
 		}
-		if !prepared.made || prepared.base != menuVersion {
-			if prepared.made && len(state.Menu) >= LargeMenu {
-				return failure.New(failure.Moved, menuVersion.String())
+		if !prepared.made || prepared.base != configurationVersion {
+			if prepared.made && len(state.Configuration) >= LargeConfiguration {
+				return failure.New(failure.Moved, configurationVersion.String())
 			}
-			prepared = PrepareMenu(menuVersion, state.Menu, edit, false)
+			prepared = PrepareConfiguration(configurationVersion, state.Configuration, edit, false)
 		}
 		if prepared.failure != nil {
 			return prepared.failure
 		}
-		if id == "" && bytes.Equal(prepared.text, state.Menu) {
+		if id == "" && bytes.Equal(prepared.text, state.Configuration) {
 			// What it wants holds already.
 			return nil
 		}
 		if id != "" && len(state.Changes) >= MostChangeNotes {
 			return failure.New(failure.Busy, "too many changes were accepted lately; ask again")
 		}
-		state.Menu = prepared.text
+		state.Configuration = prepared.text
 		state.Touch(ConfigurationSection)
 		if id != "" {
 			state.Changes = append(append([]ChangeNote(nil), state.Changes...), ChangeNote{ID: id, Version: version, Digest: digest, At: state.changeTime()})
@@ -115,22 +115,22 @@
 	return lacking
 }
 
-// GrantDuties records new holders, each under a new fence. A grant made from a
+// GrantRoles records new holders, each under a new fence. A grant made from a
 // record that has changed since is passed over.
-func GrantDuties(grants []lease.Duty, seen map[string]lease.Duty) Change {
+func GrantRoles(grants []lease.Role, seen map[string]lease.Role) Change {
 	return func(state *State, _, _ Version) error {
 		for _, grant := range grants {
-			if state.Rota.Duties[grant.Key] != seen[grant.Key] {
+			if state.Rota.Roles[grant.Key] != seen[grant.Key] {
 				continue
 			}
 			member, found := state.Members[grant.Holder]
 			if !found || member.Restricted(state.Flags.Enabled) {
 				continue
 			}
-			state.Rota.Fence++
-			grant.Fence = state.Rota.Fence
-			state.Rota.Duties[grant.Key] = grant
-			state.Touch(DutiesSection)
+			state.Rota.FencingToken++
+			grant.FencingToken = state.Rota.FencingToken
+			state.Rota.Roles[grant.Key] = grant
+			state.Touch(RolesSection)
 		}
 		return nil
 	}
@@ -138,17 +138,17 @@
 
 // ForgetServers takes the duties and orders of servers out of the record that are gone
 // for good. A duty that has changed hands since it was looked at stays.
-func ForgetServers(names []string, seen map[string]lease.Duty) Change {
+func ForgetServers(names []string, seen map[string]lease.Role) Change {
 	return func(state *State, _, _ Version) error {
 		for _, name := range names {
 			key := lease.ServerKey(name)
-			duty, found := state.Rota.Duties[key]
+			duty, found := state.Rota.Roles[key]
 			if found && duty != seen[key] {
 				continue
 			}
 			if found {
-				delete(state.Rota.Duties, key)
-				state.Touch(DutiesSection)
+				delete(state.Rota.Roles, key)
+				state.Touch(RolesSection)
 			}
 			if _, found := state.Orders.Records[name]; found {
 				delete(state.Orders.Records, name)
@@ -161,9 +161,9 @@
 
 // GiveOrders records orders from the holder of the parts duty. Orders under an
 // older fence are refused.
-func GiveOrders(duty lease.Duty, orders []codec.Order, supported features.List) Change {
+func GiveOrders(duty lease.Role, orders []codec.Order, supported features.List) Change {
 	return func(state *State, _, _ Version) error {
-		if state.Rota.Duties[lease.PartsKey] != duty {
+		if state.Rota.Roles[lease.PartsKey] != duty {
 			return failure.New(failure.NotHolder, "the duty "+lease.PartsKey+" has changed hands")
 		}
 		enabled := state.Flags.Enabled
@@ -201,7 +201,7 @@
 		if made.After(state.Horizon.Add(Retention + time.Hour)) {
 			return failure.New(failure.TooNew, "the inquiry's id is from the future")
 		}
-		section := claimsDrawer(made)
+		section := claimsSection(made)
 		if record, found := state.Claims[section][entry.Request]; found {
 			earlier, err := codec.ReadEntry(record)
 			if err != nil {
@@ -247,7 +247,7 @@
 		state.Touch(HorizonSection)
 		state.forgetChanges()
 		for section := range state.Claims {
-			if claimsDrawerEnds(section).Before(goal) {
+			if claimsSectionEnds(section).Before(goal) {
 				delete(state.Claims, section)
 				state.Touch(section)
 			}
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -29,11 +29,11 @@
 
 // changeModel is a configuration's state with its changes, and what an observer knows.
 type changeModel struct {
-	state    *State
-	number   uint64
-	menuAt   Version
-	revision uint64
-	wall     time.Time
+	state           *State
+	number          uint64
+	configurationAt Version
+	revision        uint64
+	wall            time.Time
 	// accepted tells when each order was accepted, by the model's own clock.
 	accepted map[string]time.Time
 	// winners are the orders that were accepted on each base.
@@ -51,9 +51,9 @@
 func (model *changeModel) submit(order order) error {
 	model.number++
 	version := Version{Epoch: 1, Number: model.number}
-	err := ChangeMenu(order.id(), order.id(), nil, PreparedMenu{}, order.apply)(model.state, version, model.menuAt)
+	err := ChangeConfiguration(order.id(), order.id(), nil, PreparedConfiguration{}, order.apply)(model.state, version, model.configurationAt)
 	if model.state.dirty[ConfigurationSection] {
-		model.menuAt = version
+		model.configurationAt = version
 	}
 	model.state.dirty = map[string]bool{}
 	return err
@@ -64,7 +64,7 @@
 	for _, name := range []string{ConfigurationSection, ChangesSection, HorizonSection} {
 		model.state.Touch(name)
 	}
-	sections, _, err := model.state.pack(model.menuAt)
+	sections, _, err := model.state.pack(model.configurationAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,12 +114,12 @@
 // send submits an order and holds its end against what may be.
 func (model *changeModel) send(t *rapid.T, sent order) {
 	at, taken := model.accepted[sent.id()]
-	before := model.menuAt
+	before := model.configurationAt
 	err := model.submit(sent)
 	switch {
 	case taken && model.wall.Sub(at) < ChangeRetention && err != nil:
 		t.Fatalf("%s was accepted %v ago and is refused: %v", sent.id(), model.wall.Sub(at), err)
-	case taken && model.menuAt != before:
+	case taken && model.configurationAt != before:
 		t.Fatalf("%s was made twice", sent.id())
 	case taken || err != nil:
 		return
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -56,7 +56,7 @@
 
 	mutex      sync.Mutex
 	holdEnds   time.Time
-	charter    Membership
+	membership Membership
 	restricted bool
 	known      map[Identity]*acquaintance
 	contacts   []string
@@ -125,7 +125,7 @@
 	coordinator.mutex.Lock()
 	coordinator.leaving = true
 	coordinator.mutex.Unlock()
-	primary := coordinator.Charter().Primary
+	primary := coordinator.Membership().Primary
 	if primary.Empty() || primary.Identity == coordinator.witness.Replica().Identity {
 		return
 	}
@@ -138,11 +138,11 @@
 // charter counts its copy, and another has its witness's seat. A seat for which nobody
 // came for a while goes with it.
 func (coordinator *Coordinator) Released() bool {
-	own, charter := coordinator.witness.Replica().Identity, coordinator.Charter()
-	if coordinator.store.Leading() || charter.InSync(own) {
+	own, membership := coordinator.witness.Replica().Identity, coordinator.Membership()
+	if coordinator.store.Leading() || membership.InSync(own) {
 		return false
 	}
-	if !charter.Keeps(own) {
+	if !membership.Keeps(own) {
 		return true
 	}
 	coordinator.mutex.Lock()
@@ -150,7 +150,7 @@
 	if coordinator.copyLeftAt.IsZero() {
 		coordinator.copyLeftAt = coordinator.turns.Now()
 	}
-	return len(charter.Incoming) == 0 && coordinator.turns.Now().Sub(coordinator.copyLeftAt) >= seatPatience
+	return len(membership.Incoming) == 0 && coordinator.turns.Now().Sub(coordinator.copyLeftAt) >= seatPatience
 }
 
 func (coordinator *Coordinator) isLeaving() bool {
@@ -183,22 +183,22 @@
 	coordinator.recordedAt = addresses
 }
 
-// Charter is the newest charter that this expediter has heard of.
-func (coordinator *Coordinator) Charter() Membership {
-	own := coordinator.witness.Charter()
+// Membership is the newest charter that this expediter has heard of.
+func (coordinator *Coordinator) Membership() Membership {
+	own := coordinator.witness.Membership()
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	if own.Epoch >= coordinator.charter.Epoch {
+	if own.Epoch >= coordinator.membership.Epoch {
 		return own
 	}
-	return coordinator.charter
+	return coordinator.membership
 }
 
 // Tick does the next thing that is due.
 func (coordinator *Coordinator) Tick() {
 	coordinator.greetAll()
 	switch {
-	case coordinator.witness.Charter().Blank() && coordinator.Charter().Blank():
+	case coordinator.witness.Membership().Blank() && coordinator.Membership().Blank():
 		coordinator.form()
 	case coordinator.store.Leading():
 		coordinator.lead()
@@ -210,36 +210,36 @@
 // lead is what the primary does: renew its hold, keep a backup in sync, keep
 // three keepers, and hand over when it is restricted.
 func (coordinator *Coordinator) lead() {
-	charter := coordinator.Charter()
+	membership := coordinator.Membership()
 	own := coordinator.witness.Replica()
-	if charter.Primary.Identity != own.Identity {
-		coordinator.resign("deposed", charter)
+	if membership.Primary.Identity != own.Identity {
+		coordinator.resign("deposed", membership)
 		return
 	}
 	if coordinator.ownDiskStalls() {
 		// Its keepers are no longer asked, so that the backup may take over.
 		return
 	}
-	if coordinator.deaf() || coordinator.unconfirmed && !coordinator.reaches(charter) {
+	if coordinator.deaf() || coordinator.unconfirmed && !coordinator.reaches(membership) {
 		return
 	}
 	if coordinator.confirmDue() {
-		coordinator.unconfirmed = !coordinator.confirm(charter)
+		coordinator.unconfirmed = !coordinator.confirm(membership)
 	}
 	if !coordinator.store.Leading() {
 		return
 	}
-	if coordinator.isLeaving() && !charter.Backup.Empty() && !coordinator.unsettled {
-		coordinator.handOver(charter)
+	if coordinator.isLeaving() && !membership.Backup.Empty() && !coordinator.unsettled {
+		coordinator.handOver(membership)
 		return
 	}
-	if coordinator.unheardOf(charter) {
+	if coordinator.unheardOf(membership) {
 		coordinator.observe("hands_over", "cause", "nobody reaches this expediter")
-		coordinator.handOver(charter)
+		coordinator.handOver(membership)
 		return
 	}
 	if coordinator.outrun && !coordinator.unsettled {
-		coordinator.regrant(charter)
+		coordinator.regrant(membership)
 	}
 	coordinator.ensureBackups()
 	coordinator.ensureWitnesses()
--- a/internal/replication/copy.go
+++ b/internal/replication/copy.go
@@ -15,25 +15,25 @@
 // drawers that the version changed. Files whose drawers are all newer
 // elsewhere are removed.
 type Copy struct {
-	mutex   sync.Locker
-	shelf   Shelf
-	version Version
-	drawers map[string]Section
-	places  map[string]Version
-	files   map[string]bool
-	damage  string
+	mutex    sync.Locker
+	storage  Storage
+	version  Version
+	sections map[string]Section
+	places   map[string]Version
+	files    map[string]bool
+	damage   string
 	// highest is the highest version of any file that was seen here.
 	highest Version
 }
 
 // OpenCopy reads a copy from its shelf. A copy with a damaged or missing file
 // opens, but says so, and must be replaced from the other.
-func OpenCopy(shelf Shelf) (*Copy, error) {
-	files, damaged, err := shelf.Load()
+func OpenCopy(storage Storage) (*Copy, error) {
+	files, damaged, err := storage.Load()
 	if err != nil {
 		return nil, err
 	}
-	copied := &Copy{mutex: &sync.Mutex{}, shelf: shelf, drawers: map[string]Section{}, places: map[string]Version{}, files: map[string]bool{}}
+	copied := &Copy{mutex: &sync.Mutex{}, storage: storage, sections: map[string]Section{}, places: map[string]Version{}, files: map[string]bool{}}
 	batches := map[Version]Batch{}
 	for name, content := range files {
 		copied.files[name] = true
@@ -48,12 +48,12 @@
 	newest := newestOf(batches)
 	copied.version = newest.Version
 	for name, place := range newest.Places {
-		section, found := batches[place].Drawers[name]
+		section, found := batches[place].Sections[name]
 		if !found {
 			copied.damage = fmt.Sprintf("the file of version %s is missing, which holds %s", place, name)
 			continue
 		}
-		copied.drawers[name] = section
+		copied.sections[name] = section
 		copied.places[name] = place
 	}
 	if len(damaged) > 0 {
@@ -110,12 +110,12 @@
 	return copied.version
 }
 
-// Drawers is the copy's content. The map is the caller's, the bytes are not.
-func (copied *Copy) Drawers() map[string]Section {
+// Sections is the copy's content. The map is the caller's, the bytes are not.
+func (copied *Copy) Sections() map[string]Section {
 	copied.mutex.Lock()
 	defer copied.mutex.Unlock()
-	sections := make(map[string]Section, len(copied.drawers))
-	for name, section := range copied.drawers {
+	sections := make(map[string]Section, len(copied.sections))
+	for name, section := range copied.sections {
 		sections[name] = section
 	}
 	return sections
@@ -147,11 +147,11 @@
 	}
 	// A copy may hold one version more than the snapshot: a batch that was
 	// synced here and never answered. Its file may come back after a loss of power.
-	batch := Batch{Version: snapshot.Version, Drawers: snapshot.Drawers}
+	batch := Batch{Version: snapshot.Version, Sections: snapshot.Sections}
 	if snapshot.Version.Before(copied.highest) {
 		batch.Voids = copied.highest
 	}
-	copied.drawers = map[string]Section{}
+	copied.sections = map[string]Section{}
 	copied.places = map[string]Version{}
 	copied.damage = "a rewrite was broken off"
 	if err := copied.keep(batch); err != nil {
@@ -181,7 +181,7 @@
 	if copied.damage != "" || copied.version == (Version{}) {
 		return 0, nil
 	}
-	files, damaged, err := copied.shelf.Load()
+	files, damaged, err := copied.storage.Load()
 	if err != nil {
 		return 0, err
 	}
@@ -198,7 +198,7 @@
 		copied.files[name] = true
 	}
 	// The whole copy goes into one file of the present version.
-	return lost, copied.keep(Batch{Version: copied.version, Drawers: copied.drawers})
+	return lost, copied.keep(Batch{Version: copied.version, Sections: copied.sections})
 }
 
 func (copied *Copy) keep(batch Batch) error {
@@ -206,7 +206,7 @@
 	for name, place := range copied.places {
 		places[name] = place
 	}
-	for name := range batch.Drawers {
+	for name := range batch.Sections {
 		places[name] = batch.Version
 	}
 	for _, name := range batch.Removed {
@@ -218,18 +218,18 @@
 		return failure.Wrap(failure.Garbage, err)
 	}
 	file := fileName(batch.Version)
-	if err := copied.shelf.Save(file, encoded); err != nil {
+	if err := copied.storage.Save(file, encoded); err != nil {
 		return err
 	}
 	copied.files[file] = true
 	copied.note(batch.Version)
 	copied.version = batch.Version
 	copied.places = places
-	for name, section := range batch.Drawers {
-		copied.drawers[name] = section
+	for name, section := range batch.Sections {
+		copied.sections[name] = section
 	}
 	for _, name := range batch.Removed {
-		delete(copied.drawers, name)
+		delete(copied.sections, name)
 	}
 	needed := map[string]bool{file: true}
 	for _, place := range places {
@@ -242,7 +242,7 @@
 		}
 	}
 	// Files that only take room are no failure of the write.
-	if copied.shelf.Remove(useless) == nil {
+	if copied.storage.Remove(useless) == nil {
 		for _, name := range useless {
 			delete(copied.files, name)
 		}
--- a/internal/replication/copy_test.go
+++ b/internal/replication/copy_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// powerShelf is a folder whose machine may lose power: a file is there for certain once
+// powerStorage is a folder whose machine may lose power: a file is there for certain once
 // Save has returned; a file that was removed may come back, each by itself.
-type powerShelf struct {
+type powerStorage struct {
 	files, removed map[string][]byte
 	// loses has the power go in the middle of the next Save, before it returns.
 	loses, keeps bool
@@ -21,55 +21,55 @@
 
 var errPower = fmt.Errorf("the power is gone")
 
-func newPowerShelf() *powerShelf {
-	return &powerShelf{files: map[string][]byte{}, removed: map[string][]byte{}}
+func newPowerStorage() *powerStorage {
+	return &powerStorage{files: map[string][]byte{}, removed: map[string][]byte{}}
 }
 
-func (shelf *powerShelf) Save(name string, content []byte) error {
-	if shelf.loses {
-		if shelf.keeps {
-			shelf.files[name] = content
+func (storage *powerStorage) Save(name string, content []byte) error {
+	if storage.loses {
+		if storage.keeps {
+			storage.files[name] = content
 		}
 		return errPower
 	}
-	shelf.files[name] = content
+	storage.files[name] = content
 	// The folder was synced: what was removed before stays away.
-	clear(shelf.removed)
+	clear(storage.removed)
 	return nil
 }
 
-func (shelf *powerShelf) Load() (map[string][]byte, []string, error) {
-	return maps.Clone(shelf.files), nil, nil
+func (storage *powerStorage) Load() (map[string][]byte, []string, error) {
+	return maps.Clone(storage.files), nil, nil
 }
 
-func (shelf *powerShelf) Remove(names []string) error {
+func (storage *powerStorage) Remove(names []string) error {
 	for _, name := range names {
-		if content, found := shelf.files[name]; found {
-			shelf.removed[name] = content
-			delete(shelf.files, name)
+		if content, found := storage.files[name]; found {
+			storage.removed[name] = content
+			delete(storage.files, name)
 		}
 	}
 	return nil
 }
 
 // restore brings back some of the files that were removed and not synced away.
-func (shelf *powerShelf) restore(t *rapid.T) {
-	for _, name := range slices.Sorted(maps.Keys(shelf.removed)) {
+func (storage *powerStorage) restore(t *rapid.T) {
+	for _, name := range slices.Sorted(maps.Keys(storage.removed)) {
 		if rapid.Bool().Draw(t, "comes back") {
-			shelf.files[name] = shelf.removed[name]
+			storage.files[name] = storage.removed[name]
 		}
 	}
-	clear(shelf.removed)
-	shelf.loses = false
+	clear(storage.removed)
+	storage.loses = false
 }
 
 // copyModel is a copy on such a folder, and the contents that it may have after its power
 // was lost: the last that was synced, or one whose sync did not return.
 type copyModel struct {
-	shelf  *powerShelf
-	copied *Copy
-	synced map[string]string
-	at     Version
+	storage *powerStorage
+	copied  *Copy
+	synced  map[string]string
+	at      Version
 	// perhaps is the content of a write that lost its power, by its version.
 	perhaps map[string]string
 	later   Version
@@ -92,14 +92,14 @@
 
 func (model *copyModel) content() map[string]string {
 	contents := map[string]string{}
-	for name, section := range model.copied.Drawers() {
+	for name, section := range model.copied.Sections() {
 		contents[name] = string(section.Content)
 	}
 	return contents
 }
 
 func (model *copyModel) open(t *rapid.T) {
-	copied, err := OpenCopy(model.shelf)
+	copied, err := OpenCopy(model.storage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,11 +119,11 @@
 
 // write keeps a batch or a snapshot, during which the power may go.
 func (model *copyModel) write(t *rapid.T, next map[string]string, version Version, keep func() error) {
-	model.shelf.loses = rapid.IntRange(0, 4).Draw(t, "power") == 0
-	model.shelf.keeps = rapid.Bool().Draw(t, "kept")
+	model.storage.loses = rapid.IntRange(0, 4).Draw(t, "power") == 0
+	model.storage.keeps = rapid.Bool().Draw(t, "kept")
 	if err := keep(); err != nil {
 		model.perhaps, model.later = next, version
-		model.shelf.restore(t)
+		model.storage.restore(t)
 		model.open(t)
 		return
 	}
@@ -135,19 +135,19 @@
 // that bring some removed files back: the copy opens whole, with all that was synced.
 func TestACopyOutlivesEveryLossOfPower(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := &copyModel{shelf: newPowerShelf(), synced: map[string]string{}, epoch: 1, history: map[Version]map[string]string{}}
+		model := &copyModel{storage: newPowerStorage(), synced: map[string]string{}, epoch: 1, history: map[Version]map[string]string{}}
 		model.open(t)
 		sections := []string{"a", "b", "c", "d"}
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
 				model.number++
 				version := Version{Epoch: model.epoch, Number: model.at.Number + 1}
-				batch := Batch{Version: version, Base: model.at, Drawers: map[string]Section{}}
+				batch := Batch{Version: version, Base: model.at, Sections: map[string]Section{}}
 				next := maps.Clone(model.synced)
 				for _, name := range sections {
 					if rapid.Bool().Draw(t, name) {
 						next[name] = fmt.Sprint(model.number)
-						batch.Drawers[name] = Section{Version: version, Content: []byte(next[name])}
+						batch.Sections[name] = Section{Version: version, Content: []byte(next[name])}
 					}
 				}
 				model.write(t, next, version, func() error { return model.copied.Write(batch) })
@@ -163,15 +163,15 @@
 				}
 				version := versions[len(versions)-1-back]
 				next := model.history[version]
-				snapshot := Snapshot{Epoch: model.epoch + 1, Version: version, Drawers: map[string]Section{}}
+				snapshot := Snapshot{Epoch: model.epoch + 1, Version: version, Sections: map[string]Section{}}
 				for name, content := range next {
-					snapshot.Drawers[name] = Section{Version: version, Content: []byte(content)}
+					snapshot.Sections[name] = Section{Version: version, Content: []byte(content)}
 				}
 				model.epoch++
 				model.write(t, next, version, func() error { return model.copied.Rewrite(snapshot) })
 			},
 			"power": func(t *rapid.T) {
-				model.shelf.restore(t)
+				model.storage.restore(t)
 				model.open(t)
 			},
 		})
@@ -187,43 +187,43 @@
 		mostStart = time.Second
 	)
 	model := newChangeModel()
-	shelf := newMemoryShelf()
-	copied, err := OpenCopy(shelf)
+	storage := newMemoryStorage()
+	copied, err := OpenCopy(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for number := 1; number <= 10_000; number++ {
 		sent := order{builds: model.revision, gives: model.revision + 1}
 		version := Version{Epoch: 1, Number: copied.Version().Number + 1}
-		if err := ChangeMenu(sent.id(), sent.id(), nil, PreparedMenu{}, sent.apply)(model.state, version, model.menuAt); err != nil {
+		if err := ChangeConfiguration(sent.id(), sent.id(), nil, PreparedConfiguration{}, sent.apply)(model.state, version, model.configurationAt); err != nil {
 			t.Fatal(err)
 		}
-		model.menuAt, model.revision = version, sent.gives
+		model.configurationAt, model.revision = version, sent.gives
 		model.wall = model.wall.Add(15 * time.Second)
 		_ = MoveHorizon(model.wall, 30*time.Second)(model.state, version, version)
 		sections, removed, err := model.state.pack(version)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := copied.Write(Batch{Version: version, Base: copied.Version(), Drawers: sections, Removed: removed}); err != nil {
+		if err := copied.Write(Batch{Version: version, Base: copied.Version(), Sections: sections, Removed: removed}); err != nil {
 			t.Fatal(err)
 		}
 		if number != 100 && number != 1000 && number != 10_000 {
 			continue
 		}
 		bytes := 0
-		for _, content := range shelf.files {
+		for _, content := range storage.files {
 			bytes += len(content)
 		}
 		began := time.Now()
-		again, err := OpenCopy(shelf)
+		again, err := OpenCopy(storage)
 		took := time.Since(began)
-		t.Logf("after %d changes: %d files, %d bytes, opened in %v", number, len(shelf.files), bytes, took)
+		t.Logf("after %d changes: %d files, %d bytes, opened in %v", number, len(storage.files), bytes, took)
 		if err != nil || again.Damage() != "" || again.Version() != copied.Version() {
 			t.Fatalf("%v %s %s", err, again.Damage(), again.Version())
 		}
-		if len(shelf.files) > mostFiles || bytes > mostBytes || took > mostStart {
-			t.Errorf("after %d changes: %d files, %d bytes, opened in %v", number, len(shelf.files), bytes, took)
+		if len(storage.files) > mostFiles || bytes > mostBytes || took > mostStart {
+			t.Errorf("after %d changes: %d files, %d bytes, opened in %v", number, len(storage.files), bytes, took)
 		}
 	}
 }
--- a/internal/replication/duties.go
+++ b/internal/replication/duties.go
@@ -2,8 +2,8 @@
 
 import "seamloom.example/seamloom/internal/lease"
 
-// Duties are the recorded holders of the keys, and the last fence given.
-type Duties struct {
-	Duties map[string]lease.Duty `msgpack:"duties"`
-	Fence  uint64                `msgpack:"fence"`
+// Roles are the recorded holders of the keys, and the last fence given.
+type Roles struct {
+	Roles        map[string]lease.Role `msgpack:"duties"`
+	FencingToken uint64                `msgpack:"fence"`
 }
