--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -25,26 +25,26 @@
 		}
 		replicas = append(replicas, coordinator.recorded(replica))
 	}
-	charter := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
-	if _, err := coordinator.witness.Accept(coordinator.turns.Now(), charter); err != nil {
+	membership := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
+	if _, err := coordinator.witness.Accept(coordinator.turns.Now(), membership); err != nil {
 		coordinator.observe("formation_failed", "cause", err)
 		return
 	}
 	for _, replica := range replicas[1:] {
-		_, _ = coordinator.peers.Accept(replica.Address, replica.Identity, charter)
+		_, _ = coordinator.peers.Accept(replica.Address, replica.Identity, membership)
 	}
 	coordinator.observe("core_formed", "keepers", replicas)
 }
 
 // watch is what a copy in sync does while another is primary, or none is.
 func (coordinator *Coordinator) watch() {
-	charter := coordinator.Charter()
+	m := coordinator.Membership()
 	own := coordinator.witness.Replica()
 	now := coordinator.turns.Now()
-	if !charter.InSync(own.Identity) || coordinator.store.Copy().Damage() != "" || now.Before(coordinator.backoff) {
+	if !m.InSync(own.Identity) || coordinator.store.Copy().Damage() != "" || now.Before(coordinator.backoff) {
 		return
 	}
-	if coordinator.quiet() || coordinator.isLeaving() && coordinator.otherInSyncAlive(charter) {
+	if coordinator.quiet() || coordinator.isLeaving() && coordinator.otherInSyncAlive(m) {
 		return
 	}
 	// A candidate that nobody can elect yet would only disturb the primary, so
@@ -54,7 +54,7 @@
 	restricted := coordinator.restricted
 	coordinator.mutex.Unlock()
 	stands := func(hello Hello) bool { return !hello.Leads && (hello.HoldLeft == 0 || hello.Holder == own.Identity) }
-	gatherWithin(coordinator.turns, helloPatience, charter.Electors(), func(replica Replica) (Hello, error) {
+	gatherWithin(coordinator.turns, helloPatience, m.Electors(), func(replica Replica) (Hello, error) {
 		if replica.Identity == own.Identity {
 			return coordinator.Own(), nil
 		}
@@ -67,8 +67,8 @@
 		if err == nil && hello.Seat.Identity == replica.Identity {
 			free[replica.Identity] = stands(hello)
 		}
-	}, func() bool { return charter.Quorum(free) })
-	for _, replica := range charter.Electors() {
+	}, func() bool { return m.Quorum(free) })
+	for _, replica := range m.Electors() {
 		// One that is slow has told it in the round before.
 		if _, told := free[replica.Identity]; !told {
 			if hello, alive := coordinator.alive(replica.Identity, slowAnswer); alive {
@@ -76,18 +76,18 @@
 			}
 		}
 	}
-	if !charter.Quorum(free) {
+	if !m.Quorum(free) {
 		coordinator.freeFrom = time.Time{}
 		return
 	}
-	if coordinator.letsOthersStand(charter) {
+	if coordinator.letsOthersStand(m) {
 		return
 	}
 	if restricted {
 		// It takes over only when the other copy in sync cannot, and then hands
 		// over as soon as a capable expediter is in sync.
 		coordinator.backoff = now.Add(2 * time.Second)
-		if coordinator.otherInSyncAlive(charter) {
+		if coordinator.otherInSyncAlive(m) {
 			return
 		}
 	}
@@ -127,15 +127,15 @@
 // does: the new primary is alone until it has another, and shows what it has. Of
 // more all do, since a second loss must find them: nothing is shown until they are
 // the same. So does the old primary of a pair that handed over and is still there.
-func (coordinator *Coordinator) remaining(charter Membership) []Replica {
-	if len(charter.Copies()) < 3 {
-		if _, alive := coordinator.alive(charter.Backup.Identity, staleAnswer); alive && charter.Primary.Identity == coordinator.witness.Replica().Identity {
-			return charter.Backups()
+func (coordinator *Coordinator) remaining(membership Membership) []Replica {
+	if len(membership.Copies()) < 3 {
+		if _, alive := coordinator.alive(membership.Backup.Identity, staleAnswer); alive && membership.Primary.Identity == coordinator.witness.Replica().Identity {
+			return membership.Backups()
 		}
 		return nil
 	}
 	var others []Replica
-	for _, replica := range append(charter.Backups(), charter.Primary) {
+	for _, replica := range append(membership.Backups(), membership.Primary) {
 		if replica.Identity != coordinator.witness.Replica().Identity {
 			others = append(others, replica)
 		}
@@ -146,8 +146,8 @@
 // letsOthersStand tells whether a copy in sync that goes before this one has been
 // heard a moment ago and has its turn to stand: several candidates at once would
 // only take promises from each other.
-func (coordinator *Coordinator) letsOthersStand(charter Membership) bool {
-	if len(charter.Copies()) < 3 {
+func (coordinator *Coordinator) letsOthersStand(membership Membership) bool {
+	if len(membership.Copies()) < 3 {
 		return false
 	}
 	now := coordinator.turns.Now()
@@ -155,7 +155,7 @@
 		coordinator.freeFrom = now
 	}
 	before := time.Duration(0)
-	for _, replica := range charter.Copies() {
+	for _, replica := range membership.Copies() {
 		if replica.Identity == coordinator.witness.Replica().Identity {
 			break
 		}
@@ -168,9 +168,9 @@
 
 // otherInSyncAlive tells whether the other copy in sync can take over: its node is
 // there, lacks no flag, and its copy is whole.
-func (coordinator *Coordinator) otherInSyncAlive(charter Membership) bool {
+func (coordinator *Coordinator) otherInSyncAlive(membership Membership) bool {
 	own := coordinator.witness.Replica().Identity
-	for _, replica := range charter.Copies() {
+	for _, replica := range membership.Copies() {
 		if replica.Identity != own {
 			if hello, alive := coordinator.alive(replica.Identity, applicantFresh); alive && !hello.Restricted && hello.Damage == "" {
 				return true
@@ -183,8 +183,8 @@
 // elect asks for the next epoch: first for promises, by which the newest
 // charter is found, then for acceptance of the charter made from it.
 func (coordinator *Coordinator) elect(make func(base Membership) (Membership, bool)) (Membership, error) {
-	base := coordinator.witness.Charter()
-	if known := coordinator.Charter(); known.Epoch > base.Epoch {
+	base := coordinator.witness.Membership()
+	if known := coordinator.Membership(); known.Epoch > base.Epoch {
 		base = known
 	}
 	own := coordinator.witness.Replica().Identity
@@ -215,7 +215,7 @@
 		return ballot.base, failure.New(failure.Unknown, "no quorum of keepers accepted the charter")
 	}
 	coordinator.mutex.Lock()
-	coordinator.charter = ballot.next
+	coordinator.membership = ballot.next
 	coordinator.mutex.Unlock()
 	return ballot.next, nil
 }
@@ -226,7 +226,7 @@
 	gather(coordinator.turns, replicas, func(replica Replica) (Promise, error) {
 		if replica.Identity == ballot.candidate {
 			// The vow has promised this epoch on the own disk already.
-			return Promise{Witness: replica.Identity, Granted: true, Charter: coordinator.witness.Charter()}, nil
+			return Promise{Witness: replica.Identity, Granted: true, Membership: coordinator.witness.Membership()}, nil
 		}
 		promise, err := coordinator.peers.Prepare(coordinator.Address(replica), replica.Identity, ballot.epoch, ballot.candidate)
 		if err == nil && promise.Refusal == failure.NotAdmitted && current.Keeps(replica.Identity) {
@@ -258,7 +258,7 @@
 }
 
 // confirm renews the primary's own hold from a quorum of keepers.
-func (coordinator *Coordinator) confirm(charter Membership) bool {
+func (coordinator *Coordinator) confirm(membership Membership) bool {
 	own := coordinator.witness.Replica()
 	asked := coordinator.turns.Now()
 	coordinator.mutex.Lock()
@@ -268,20 +268,20 @@
 	lease := coordinator.timing.Lease
 	var newer Membership
 	outdated := false
-	gather(coordinator.turns, charter.Electors(), func(replica Replica) (Promise, error) {
+	gather(coordinator.turns, membership.Electors(), func(replica Replica) (Promise, error) {
 		if replica.Identity == own.Identity {
-			promise := coordinator.witness.Confirm(asked, charter.Epoch, own.Identity)
+			promise := coordinator.witness.Confirm(asked, membership.Epoch, own.Identity)
 			coordinator.noteOvertaken(promise)
 			return promise, nil
 		}
-		promise, err := coordinator.peers.Confirm(coordinator.Address(replica), replica.Identity, charter.Epoch, own.Identity)
+		promise, err := coordinator.peers.Confirm(coordinator.Address(replica), replica.Identity, membership.Epoch, own.Identity)
 		if err == nil {
 			coordinator.noteOvertaken(promise)
 		}
-		if err == nil && promise.Charter.Epoch < charter.Epoch && promise.Refusal != failure.OldEpoch {
+		if err == nil && promise.Membership.Epoch < membership.Epoch && promise.Refusal != failure.OldEpoch {
 			// It was away when the charter was granted.
-			if _, err := coordinator.peers.Accept(coordinator.Address(replica), replica.Identity, charter); err == nil {
-				return coordinator.peers.Confirm(coordinator.Address(replica), replica.Identity, charter.Epoch, own.Identity)
+			if _, err := coordinator.peers.Accept(coordinator.Address(replica), replica.Identity, membership); err == nil {
+				return coordinator.peers.Confirm(coordinator.Address(replica), replica.Identity, membership.Epoch, own.Identity)
 			}
 		}
 		return promise, err
@@ -295,19 +295,19 @@
 		}
 		outdated = outdated || promise.Refusal == failure.OldEpoch
 		coordinator.ballot = max(coordinator.ballot, promise.Promised)
-		if promise.Charter.Epoch > newer.Epoch {
-			newer = promise.Charter
+		if promise.Membership.Epoch > newer.Epoch {
+			newer = promise.Membership
 		}
-	}, func() bool { return charter.Quorum(confirmed) })
-	if overtaken := coordinator.overtakenTo(); overtaken > charter.Epoch {
+	}, func() bool { return membership.Quorum(confirmed) })
+	if overtaken := coordinator.overtakenTo(); overtaken > membership.Epoch {
 		outdated = true
 		coordinator.ballot = max(coordinator.ballot, overtaken)
 	}
-	if newer.Epoch > charter.Epoch && newer.Primary.Identity != own.Identity {
+	if newer.Epoch > membership.Epoch && newer.Primary.Identity != own.Identity {
 		coordinator.resign("deposed", newer)
 		return false
 	}
-	if !charter.Quorum(confirmed) {
+	if !membership.Quorum(confirmed) {
 		if outdated {
 			// An epoch was promised and not used, perhaps to this steward
 			// itself: the charter is asked for anew.
@@ -343,22 +343,22 @@
 // reaches tells whether a quorum of keepers has answered a hello a moment ago. A primary
 // whose last question was not confirmed asks no more until they do: what it asks may
 // arrive though the answers do not.
-func (coordinator *Coordinator) reaches(charter Membership) bool {
+func (coordinator *Coordinator) reaches(membership Membership) bool {
 	reached := map[Identity]bool{coordinator.witness.Replica().Identity: true}
-	for _, replica := range charter.Electors() {
+	for _, replica := range membership.Electors() {
 		if _, alive := coordinator.alive(replica.Identity, staleAnswer); alive {
 			reached[replica.Identity] = true
 		}
 	}
-	return charter.Quorum(reached)
+	return membership.Quorum(reached)
 }
 
 // regrant asks for the same charter under a higher epoch, when a keeper has
 // promised one that nobody was granted and so can't confirm the present one.
-func (coordinator *Coordinator) regrant(charter Membership) {
+func (coordinator *Coordinator) regrant(membership Membership) {
 	coordinator.outrun = false
 	won, err := coordinator.elect(func(base Membership) (Membership, bool) {
-		return base, base.Epoch == charter.Epoch && base.Primary.Identity == charter.Primary.Identity
+		return base, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
 		coordinator.observe("not_regranted", "cause", err)
@@ -372,8 +372,8 @@
 func (coordinator *Coordinator) resign(cause string, newer Membership) {
 	coordinator.mutex.Lock()
 	coordinator.holdEnds = time.Time{}
-	if newer.Epoch > coordinator.charter.Epoch {
-		coordinator.charter = newer
+	if newer.Epoch > coordinator.membership.Epoch {
+		coordinator.membership = newer
 	}
 	coordinator.mutex.Unlock()
 	coordinator.store.StepDown()
@@ -394,12 +394,12 @@
 // unheardOf tells whether this primary reaches its backup while no expediter
 // reaches it: its link has failed in one direction, and nodes that ask it are
 // not heard either.
-func (coordinator *Coordinator) unheardOf(charter Membership) bool {
-	if charter.Backup.Empty() || coordinator.unsettled {
+func (coordinator *Coordinator) unheardOf(membership Membership) bool {
+	if membership.Backup.Empty() || coordinator.unsettled {
 		return false
 	}
 	reached := false
-	for _, backup := range charter.Backups() {
+	for _, backup := range membership.Backups() {
 		if _, alive := coordinator.alive(backup.Identity, coordinator.timing.Beat); alive {
 			reached = true
 		}
@@ -421,8 +421,8 @@
 
 // handOver makes the backup primary and stays in sync beside it: what a
 // primary does that lacks an enabled flag.
-func (coordinator *Coordinator) handOver(charter Membership) {
-	next, found := coordinator.successor(charter)
+func (coordinator *Coordinator) handOver(membership Membership) {
+	next, found := coordinator.successor(membership)
 	if !found {
 		return
 	}
@@ -463,10 +463,10 @@
 
 // successor is the backup to hand over to. One that has gone would take a copy in
 // sync with it, the only other one of a pair.
-func (coordinator *Coordinator) successor(charter Membership) (Replica, bool) {
-	for _, backup := range charter.Backups() {
+func (coordinator *Coordinator) successor(membership Membership) (Replica, bool) {
+	for _, backup := range membership.Backups() {
 		hello, err := coordinator.peers.Hello(coordinator.Address(backup), coordinator.Own())
-		if err == nil && hello.Seat.Identity == backup.Identity && hello.Damage == "" && !hello.Leaving && !(len(charter.Further) > 0 && hello.Restricted) {
+		if err == nil && hello.Seat.Identity == backup.Identity && hello.Damage == "" && !hello.Leaving && !(len(membership.Further) > 0 && hello.Restricted) {
 			return backup, true
 		}
 		coordinator.observe("not_handed_over", "backup", backup.Name, "cause", err)
--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// noShelf keeps nothing: the exploration clones what a witness has in memory.
-type noShelf struct{}
+// noStorage keeps nothing: the exploration clones what a witness has in memory.
+type noStorage struct{}
 
-func (noShelf) Save(string, []byte) error                  { return nil }
-func (noShelf) Load() (map[string][]byte, []string, error) { return nil, nil, nil }
-func (noShelf) Remove([]string) error                      { return nil }
+func (noStorage) Save(string, []byte) error                  { return nil }
+func (noStorage) Load() (map[string][]byte, []string, error) { return nil, nil, nil }
+func (noStorage) Remove([]string) error                      { return nil }
 
 // coreMember is one machine of the explored core: its witness is the product's Keeper, its
 // candidacy the product's ballot; its copy is a number, that of the last write it holds.
@@ -31,11 +31,11 @@
 	plan   string
 	// charter is the one that it leads by, if it leads; unsynced tells of a write that is
 	// on its own copy only.
-	leads     bool
-	charter   Membership
-	confirmed map[Identity]bool
-	lease     bool
-	unsynced  bool
+	leads      bool
+	membership Membership
+	confirmed  map[Identity]bool
+	lease      bool
+	unsynced   bool
 	// unsettled tells that a ballot of its own was begun and not granted: what the core
 	// has agreed on is not known, and nothing is written until it is.
 	unsettled bool
@@ -45,10 +45,10 @@
 
 // lateMessage is a request whose answer nobody waits for any more.
 type lateMessage struct {
-	to      int
-	charter Membership
-	epoch   uint64
-	from    Identity
+	to         int
+	membership Membership
+	epoch      uint64
+	from       Identity
 }
 
 // coreState is one state of the exploration.
@@ -87,7 +87,7 @@
 	next.members = make([]*coreMember, len(state.members))
 	for position, old := range state.members {
 		copied := *old
-		witness := &Witness{mutex: &sync.Mutex{}, shelf: noShelf{}, self: old.keeper.self, note: old.keeper.note, lease: old.keeper.lease, holder: old.keeper.holder, holdEnds: old.keeper.holdEnds}
+		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: old.keeper.self, note: old.keeper.note, lease: old.keeper.lease, holder: old.keeper.holder, holdEnds: old.keeper.holdEnds}
 		witness.note.Sequence = 0
 		copied.keeper = witness
 		copied.confirmed = cloneSet(old.confirmed)
@@ -108,12 +108,12 @@
 	return append(text, ';')
 }
 
-func appendCharter(text []byte, charter Membership) []byte {
-	text = append(text, byte(charter.Epoch))
-	text = appendSeats(text, charter.Primary, charter.Backup)
-	text = appendSeats(text, charter.Further...)
-	text = appendSeats(text, charter.Witnesses...)
-	return appendSeats(text, charter.Incoming...)
+func appendMembership(text []byte, membership Membership) []byte {
+	text = append(text, byte(membership.Epoch))
+	text = appendSeats(text, membership.Primary, membership.Backup)
+	text = appendSeats(text, membership.Further...)
+	text = appendSeats(text, membership.Witnesses...)
+	return appendSeats(text, membership.Incoming...)
 }
 
 func appendFlags(text []byte, flags ...bool) []byte {
@@ -145,23 +145,23 @@
 	for _, member := range state.members {
 		witness := member.keeper
 		text = append(append(append(text, witness.self.Identity...), byte(witness.note.Promised), byte(member.version)), witness.holder...)
-		text = appendCharter(text, witness.note.Charter)
+		text = appendMembership(text, witness.note.Membership)
 		text = appendFlags(text, witness.holdEnds.IsZero(), member.up, member.leads, member.lease, member.unsynced, member.unsettled)
 		text = append(text, member.plan...)
-		text = appendCharter(text, member.charter)
+		text = appendMembership(text, member.membership)
 		text = appendSet(text, member.confirmed)
 		if ballot := member.ballot; ballot != nil {
 			text = append(text, byte(ballot.epoch))
-			text = appendCharter(appendCharter(appendCharter(text, ballot.base), ballot.newest), ballot.next)
+			text = appendMembership(appendMembership(appendMembership(text, ballot.base), ballot.newest), ballot.next)
 			text = appendSet(appendSet(appendSet(text, ballot.asked), ballot.promised), ballot.accepted)
 		}
 	}
 	for _, message := range state.late {
 		text = append(append(text, byte(message.to), byte(message.epoch)), message.from...)
-		text = appendCharter(text, message.charter)
+		text = appendMembership(text, message.membership)
 	}
 	text = append(text, byte(state.acked), byte(state.ballots), byte(state.crashes), byte(state.restarts), byte(state.wipes), byte(state.writes), byte(state.delays))
-	text = appendCharter(text, state.newest)
+	text = appendMembership(text, state.newest)
 	hash := fnv.New128a()
 	_, _ = hash.Write(text)
 	return [16]byte(hash.Sum(nil))
@@ -175,10 +175,10 @@
 	for number := range witnesses {
 		replicas = append(replicas, Replica{Identity: Identity(fmt.Sprintf("d%d", number)), Address: fmt.Sprintf("m%d", number)})
 	}
-	charter := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
+	membership := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
 	for number, replica := range replicas {
-		witness := &Witness{mutex: &sync.Mutex{}, shelf: noShelf{}, self: replica, lease: PrimaryHold, holder: replicas[0].Identity, holdEnds: explorationNow.Add(PrimaryHold),
-			note: witnessNote{Identity: replica.Identity, Promised: 1, Charter: charter}}
+		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryHold, holder: replicas[0].Identity, holdEnds: explorationNow.Add(PrimaryHold),
+			note: witnessNote{Identity: replica.Identity, Promised: 1, Membership: membership}}
 		member := &coreMember{keeper: witness, up: true, confirmed: map[Identity]bool{}}
 		if number < 2 {
 			member.version = 1
@@ -186,11 +186,11 @@
 		state.members = append(state.members, member)
 	}
 	leader := state.members[0]
-	leader.leads, leader.charter, leader.lease = true, charter, true
+	leader.leads, leader.membership, leader.lease = true, membership, true
 	for _, replica := range replicas {
 		leader.confirmed[replica.Identity] = true
 	}
-	state.newest = charter
+	state.newest = membership
 	return state
 }
 
@@ -255,18 +255,18 @@
 	if !member.up {
 		return
 	}
-	if message.charter.Epoch > 0 {
-		explorer.accept(member, message.charter)
+	if message.membership.Epoch > 0 {
+		explorer.accept(member, message.membership)
 		return
 	}
 	_, _ = member.keeper.Prepare(explorationNow, message.epoch, message.from)
 }
 
-func (explorer *explorer) accept(member *coreMember, charter Membership) Promise {
+func (explorer *explorer) accept(member *coreMember, membership Membership) Promise {
 	if explorer.forgetful {
-		member.keeper.note.Promised = member.keeper.note.Charter.Epoch
+		member.keeper.note.Promised = member.keeper.note.Membership.Epoch
 	}
-	promise, _ := member.keeper.Accept(explorationNow, charter)
+	promise, _ := member.keeper.Accept(explorationNow, membership)
 	return promise
 }
 
@@ -338,14 +338,14 @@
 
 func (member *coreMember) fall() {
 	member.up, member.leads, member.lease, member.unsynced, member.unsettled, member.ballot, member.plan = false, false, false, false, false, nil, ""
-	member.charter = Membership{}
+	member.membership = Membership{}
 	clear(member.confirmed)
 }
 
 // restart reads the disk again: the witness keeps still for one lease.
 func (state *coreState) restart(member *coreMember) {
 	member.up = true
-	member.keeper.holder = member.keeper.note.Charter.Primary.Identity
+	member.keeper.holder = member.keeper.note.Membership.Primary.Identity
 	member.keeper.holdEnds = explorationNow.Add(PrimaryHold)
 }
 
@@ -354,7 +354,7 @@
 	state.wipes--
 	member.lives++
 	replica := Replica{Identity: Identity(fmt.Sprintf("%s'", member.identity())), Address: member.keeper.self.Address}
-	member.keeper = &Witness{mutex: &sync.Mutex{}, shelf: noShelf{}, self: replica, lease: PrimaryHold, note: witnessNote{Identity: replica.Identity}}
+	member.keeper = &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryHold, note: witnessNote{Identity: replica.Identity}}
 	member.version = 0
 }
 
@@ -365,20 +365,20 @@
 		next.ballots--
 		member.begin(plan)
 	}
-	if !member.leads && member.keeper.note.Charter.InSync(member.identity()) {
+	if !member.leads && member.keeper.note.Membership.InSync(member.identity()) {
 		branch(func(next *coreState, member *coreMember) { begin(next, member, "takeover") })
 	}
 	if !member.leads {
 		return
 	}
-	_, backup := state.at(member.charter.Backup.Identity)
+	_, backup := state.at(member.membership.Backup.Identity)
 	for other, candidate := range state.members {
 		if other == position || !candidate.up || backup != nil && !member.unsettled {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
 			installed := next.members[other]
-			if installed.keeper.Learn(member.charter.Epoch) != nil || installed.leads {
+			if installed.keeper.Learn(member.membership.Epoch) != nil || installed.leads {
 				return
 			}
 			installed.version = member.version
@@ -386,22 +386,22 @@
 			begin(next, member, "pair "+string(installed.identity()))
 		})
 	}
-	if vacant, newcomer := state.exchangeOf(member.charter); backup != nil && !member.unsettled && !newcomer.Empty() {
+	if vacant, newcomer := state.exchangeOf(member.membership); backup != nil && !member.unsettled && !newcomer.Empty() {
 		branch(func(next *coreState, member *coreMember) {
 			begin(next, member, "exchange "+string(vacant)+" "+string(newcomer.Identity))
 		})
 	}
-	if backup != nil && !member.unsettled && len(member.charter.Incoming) > 0 {
+	if backup != nil && !member.unsettled && len(member.membership.Incoming) > 0 {
 		branch(func(next *coreState, member *coreMember) { begin(next, member, "complete") })
 	}
 }
 
 // exchangeOf finds a witness whose disk is gone and a machine that has no seat.
-func (state *coreState) exchangeOf(charter Membership) (Identity, Replica) {
-	if len(charter.Incoming) > 0 {
+func (state *coreState) exchangeOf(membership Membership) (Identity, Replica) {
+	if len(membership.Incoming) > 0 {
 		return "", Replica{}
 	}
-	for _, replica := range charter.Witnesses {
+	for _, replica := range membership.Witnesses {
 		gone := true
 		for _, member := range state.members {
 			gone = gone && member.identity() != replica.Identity
@@ -410,7 +410,7 @@
 			continue
 		}
 		for _, member := range state.members {
-			if member.up && !charter.Keeps(member.identity()) {
+			if member.up && !membership.Keeps(member.identity()) {
 				return replica.Identity, member.keeper.self
 			}
 		}
@@ -420,9 +420,9 @@
 
 // begin starts a ballot as the product does: with a vow on the own disk.
 func (member *coreMember) begin(plan string) {
-	base := member.keeper.note.Charter
-	if member.leads && member.charter.Epoch > base.Epoch {
-		base = member.charter
+	base := member.keeper.note.Membership
+	if member.leads && member.membership.Epoch > base.Epoch {
+		base = member.membership
 	}
 	epoch := max(base.Epoch, member.keeper.note.Promised) + 1
 	if member.keeper.Vow(explorationNow, epoch, member.identity()) != nil {
@@ -431,7 +431,7 @@
 	member.ballot, member.plan, member.unsettled = newBallot(member.identity(), epoch, base), plan, member.leads
 	if base.Keeps(member.identity()) {
 		member.ballot.asked[member.identity()] = true
-		member.ballot.takePromise(member.identity(), Promise{Granted: true, Charter: member.keeper.note.Charter})
+		member.ballot.takePromise(member.identity(), Promise{Granted: true, Membership: member.keeper.note.Membership})
 	}
 }
 
@@ -439,7 +439,7 @@
 func (member *coreMember) make(state *coreState) func(base Membership) (Membership, bool) {
 	own := member.keeper.self
 	words := strings.Fields(member.plan)
-	led := member.charter
+	led := member.membership
 	return func(base Membership) (Membership, bool) {
 		switch words[0] {
 		case "takeover":
@@ -510,7 +510,7 @@
 				next.delays--
 				message := lateMessage{to: to, epoch: member.ballot.epoch, from: member.identity()}
 				if accepting {
-					message.charter = member.ballot.next
+					message.membership = member.ballot.next
 					member.ballot.accepted[replica.Identity] = false
 				} else {
 					member.ballot.asked[replica.Identity] = true
@@ -539,7 +539,7 @@
 	if ballot.next.Epoch > state.newest.Epoch {
 		state.newest = ballot.next
 	}
-	member.leads, member.charter, member.ballot, member.plan = true, ballot.next, nil, ""
+	member.leads, member.membership, member.ballot, member.plan = true, ballot.next, nil, ""
 	member.lease, member.unsettled = false, false
 	clear(member.confirmed)
 }
@@ -547,23 +547,23 @@
 // exploreLeader follows what a primary does: it renews its lease and writes.
 func (explorer *explorer) exploreLeader(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
 	leader := state.members[position]
-	for _, replica := range leader.charter.Electors() {
+	for _, replica := range leader.membership.Electors() {
 		to, reached := state.at(replica.Identity)
 		if reached == nil || leader.confirmed[replica.Identity] {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
 			witness := next.members[to].keeper
-			if witness.note.Charter.Epoch < member.charter.Epoch {
-				explorer.accept(next.members[to], member.charter)
+			if witness.note.Membership.Epoch < member.membership.Epoch {
+				explorer.accept(next.members[to], member.membership)
 			}
-			if promise := witness.Confirm(explorationNow, member.charter.Epoch, member.identity()); promise.Granted {
+			if promise := witness.Confirm(explorationNow, member.membership.Epoch, member.identity()); promise.Granted {
 				member.confirmed[replica.Identity] = true
 			}
-			member.lease = member.lease || member.charter.Quorum(member.confirmed) || explorer.leaseless && len(member.confirmed) > 0
+			member.lease = member.lease || member.membership.Quorum(member.confirmed) || explorer.leaseless && len(member.confirmed) > 0
 		})
 	}
-	if !leader.lease || leader.unsettled || leader.charter.Backup.Empty() {
+	if !leader.lease || leader.unsettled || leader.membership.Backup.Empty() {
 		return
 	}
 	if !leader.unsynced && state.writes > 0 {
@@ -573,10 +573,10 @@
 			member.unsynced = true
 		})
 	}
-	if to, backup := state.at(leader.charter.Backup.Identity); backup != nil && leader.unsynced {
+	if to, backup := state.at(leader.membership.Backup.Identity); backup != nil && leader.unsynced {
 		branch(func(next *coreState, member *coreMember) {
 			copied := next.members[to]
-			if copied.leads || copied.keeper.Learn(member.charter.Epoch) != nil || copied.version != member.version-1 && copied.version != member.version {
+			if copied.leads || copied.keeper.Learn(member.membership.Epoch) != nil || copied.version != member.version-1 && copied.version != member.version {
 				return
 			}
 			copied.version = member.version
@@ -600,11 +600,11 @@
 	// Five witnesses and three copies, of which the primary's machine is gone and two stand.
 	five := newCoreState(5)
 	five.ballots, five.delays = 2, 0
-	charter := five.newest.With(five.newest.Primary, []Replica{five.members[1].keeper.self, five.members[2].keeper.self})
-	five.newest = charter
+	membership := five.newest.With(five.newest.Primary, []Replica{five.members[1].keeper.self, five.members[2].keeper.self})
+	five.newest = membership
 	five.members[2].version = 1
 	for _, member := range five.members {
-		member.keeper.note.Charter = charter
+		member.keeper.note.Membership = membership
 		member.keeper.holdEnds = time.Time{}
 	}
 	five.members[0].fall()
--- a/internal/replication/hello.go
+++ b/internal/replication/hello.go
@@ -12,7 +12,7 @@
 	Kind       membership.NodeKind `msgpack:"kind"`
 	Blank      bool                `msgpack:"blank"`
 	Restricted bool                `msgpack:"restricted"`
-	Charter    Membership          `msgpack:"charter"`
+	Membership Membership          `msgpack:"charter"`
 	Leads      bool                `msgpack:"leads"`
 	HoldLeft   time.Duration       `msgpack:"hold_left"`
 	// Holder is whom the keeper holds still for.
--- a/internal/replication/leaving_test.go
+++ b/internal/replication/leaving_test.go
@@ -68,13 +68,13 @@
 	if leader == nil || !machine.up.Load() {
 		return ""
 	}
-	charter, identity := leader.steward.Charter(), machine.keeper.Replica().Identity
+	membership, identity := leader.steward.Membership(), machine.keeper.Replica().Identity
 	switch {
 	case machine == leader:
 		return primaryRole
-	case charter.InSync(identity):
+	case membership.InSync(identity):
 		return backupRole
-	case charter.Keeps(identity):
+	case membership.Keeps(identity):
 		return witnessRole
 	}
 	return ""
@@ -120,7 +120,7 @@
 // join starts an empty machine at a new address, in a district.
 func (world *world) join(zone string) *machine {
 	world.offered++
-	added := &machine{address: "n" + strconv.Itoa(world.offered), zone: zone, keeping: newMemoryShelf(), copies: newMemoryShelf()}
+	added := &machine{address: "n" + strconv.Itoa(world.offered), zone: zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
 	world.mutex.Lock()
 	world.machines = append(append([]*machine{}, world.machines...), added)
 	world.mutex.Unlock()
@@ -136,15 +136,15 @@
 // copiesOfTheNewest counts the machines that are up, count as copies, and hold every
 // acknowledged write.
 func (world *world) copiesOfTheNewest() int {
-	var charter Membership
+	var membership Membership
 	for _, machine := range world.machines {
-		if known := machine.keeper.Charter(); machine.up.Load() && known.Epoch > charter.Epoch {
-			charter = known
+		if known := machine.keeper.Membership(); machine.up.Load() && known.Epoch > membership.Epoch {
+			membership = known
 		}
 	}
 	count := 0
 	for _, machine := range world.machines {
-		if machine.up.Load() && charter.InSync(machine.keeper.Replica().Identity) && editionIn(machine.store.Copy().Drawers()[ConfigurationSection].Content) >= world.accepted {
+		if machine.up.Load() && membership.InSync(machine.keeper.Replica().Identity) && revisionIn(machine.store.Copy().Sections()[ConfigurationSection].Content) >= world.accepted {
 			count++
 		}
 	}
@@ -177,7 +177,7 @@
 						return leaver.steward.Released()
 					})
 					if !released {
-						world.fail("%s is not released: %+v", leaver.address, leaver.steward.Charter())
+						world.fail("%s is not released: %+v", leaver.address, leaver.steward.Membership())
 					}
 					world.say("%s is released after %v", leaver.address, world.clock().Sub(began))
 					world.gone(leaver)
@@ -201,7 +201,7 @@
 	leaver := world.inRole(backupRole)
 	began := world.clock()
 	leaver.steward.Leave()
-	if !world.run(3*time.Second, func() bool { return !world.leader().steward.Charter().InSync(leaver.keeper.Replica().Identity) }) {
+	if !world.run(3*time.Second, func() bool { return !world.leader().steward.Membership().InSync(leaver.keeper.Replica().Identity) }) {
 		world.fail("the backup that leaves is not replaced")
 	}
 	if took := world.clock().Sub(began); took > time.Second {
@@ -252,7 +252,7 @@
 		world.start(lost)
 	case wiped:
 		world.crash(lost)
-		lost.keeping, lost.copies = newMemoryShelf(), newMemoryShelf()
+		lost.keeping, lost.copies = newMemoryStorage(), newMemoryStorage()
 		world.run(900*time.Millisecond, nil)
 		world.formed = true
 		world.start(lost)
--- a/internal/replication/losses.go
+++ b/internal/replication/losses.go
@@ -50,10 +50,10 @@
 	if coordinator.store.Leading() {
 		return false
 	}
-	charter := coordinator.Charter()
+	membership := coordinator.Membership()
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	return charter.Primary.Identity != coordinator.witness.Replica().Identity && !coordinator.ledBy.IsZero() &&
+	return membership.Primary.Identity != coordinator.witness.Replica().Identity && !coordinator.ledBy.IsZero() &&
 		coordinator.turns.Now().Sub(coordinator.ledBy) < coordinator.timing.Round*5/3
 }
 
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -14,45 +14,45 @@
 }
 
 // Blank tells whether there is no charter yet.
-func (charter Membership) Blank() bool { return charter.Epoch == 0 }
+func (membership Membership) Blank() bool { return membership.Epoch == 0 }
 
 // InSync tells whether the copy of the identity has everything answered.
-func (charter Membership) InSync(identity Identity) bool {
-	return identity != "" && hasReplica(charter.Copies(), identity)
+func (membership Membership) InSync(identity Identity) bool {
+	return identity != "" && hasReplica(membership.Copies(), identity)
 }
 
 // Backups lists the copies that every write is synced on besides the primary's.
-func (charter Membership) Backups() []Replica {
-	if charter.Backup.Empty() {
+func (membership Membership) Backups() []Replica {
+	if membership.Backup.Empty() {
 		return nil
 	}
-	return append([]Replica{charter.Backup}, charter.Further...)
+	return append([]Replica{membership.Backup}, membership.Further...)
 }
 
 // Copies lists all copies in sync, the primary's first.
-func (charter Membership) Copies() []Replica {
-	if charter.Primary.Empty() {
+func (membership Membership) Copies() []Replica {
+	if membership.Primary.Empty() {
 		return nil
 	}
-	return append([]Replica{charter.Primary}, charter.Backups()...)
+	return append([]Replica{membership.Primary}, membership.Backups()...)
 }
 
 // With is the charter with other copies.
-func (charter Membership) With(primary Replica, backups []Replica) Membership {
-	charter.Primary, charter.Backup, charter.Further = primary, Replica{}, nil
+func (membership Membership) With(primary Replica, backups []Replica) Membership {
+	membership.Primary, membership.Backup, membership.Further = primary, Replica{}, nil
 	if len(backups) > 0 {
-		charter.Backup = backups[0]
+		membership.Backup = backups[0]
 	}
 	if len(backups) > 1 {
-		charter.Further = append([]Replica(nil), backups[1:]...)
+		membership.Further = append([]Replica(nil), backups[1:]...)
 	}
-	return charter
+	return membership
 }
 
 // Electors lists the keepers of both sets, each once.
-func (charter Membership) Electors() []Replica {
-	electors := append([]Replica(nil), charter.Witnesses...)
-	for _, replica := range charter.Incoming {
+func (membership Membership) Electors() []Replica {
+	electors := append([]Replica(nil), membership.Witnesses...)
+	for _, replica := range membership.Incoming {
 		if !hasReplica(electors, replica.Identity) {
 			electors = append(electors, replica)
 		}
@@ -61,13 +61,13 @@
 }
 
 // Keeps tells whether the identity is a keeper of either set.
-func (charter Membership) Keeps(identity Identity) bool {
-	return hasReplica(charter.Witnesses, identity) || hasReplica(charter.Incoming, identity)
+func (membership Membership) Keeps(identity Identity) bool {
+	return hasReplica(membership.Witnesses, identity) || hasReplica(membership.Incoming, identity)
 }
 
 // Quorum tells whether those who granted are a majority of each set.
-func (charter Membership) Quorum(granted map[Identity]bool) bool {
-	return majority(charter.Witnesses, granted) && (len(charter.Incoming) == 0 || majority(charter.Incoming, granted))
+func (membership Membership) Quorum(granted map[Identity]bool) bool {
+	return majority(membership.Witnesses, granted) && (len(membership.Incoming) == 0 || majority(membership.Incoming, granted))
 }
 
 func majority(replicas []Replica, granted map[Identity]bool) bool {
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -5,7 +5,7 @@
 type Peers interface {
 	Hello(address string, own Hello) (Hello, error)
 	Prepare(address string, keeper Identity, epoch uint64, candidate Identity) (Promise, error)
-	Accept(address string, keeper Identity, charter Membership) (Promise, error)
+	Accept(address string, keeper Identity, membership Membership) (Promise, error)
 	Confirm(address string, keeper Identity, epoch uint64, primary Identity) (Promise, error)
 	Replicate(address string, backup Identity, epoch uint64, batch Batch) error
 	Install(address string, backup Identity, snapshot Snapshot) error
--- a/internal/replication/promise.go
+++ b/internal/replication/promise.go
@@ -8,11 +8,11 @@
 
 // Promise is a keeper's answer.
 type Promise struct {
-	Witness  Identity     `msgpack:"keeper"`
-	Granted  bool         `msgpack:"granted"`
-	Refusal  failure.Kind `msgpack:"refusal,omitempty"`
-	Promised uint64       `msgpack:"promised"`
-	Charter  Membership   `msgpack:"charter"`
+	Witness    Identity     `msgpack:"keeper"`
+	Granted    bool         `msgpack:"granted"`
+	Refusal    failure.Kind `msgpack:"refusal,omitempty"`
+	Promised   uint64       `msgpack:"promised"`
+	Membership Membership   `msgpack:"charter"`
 	// Lease is how long the keeper holds still for the primary that it confirmed. An
 	// older release does not tell; its lease is PrimaryHold.
 	Lease time.Duration `msgpack:"lease,omitempty"`
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -102,13 +102,13 @@
 	}
 }
 
-// TestKeeperConfirmsOnlyTheCharterOnItsDisk wants a keeper that was away when a charter
+// TestKeeperConfirmsOnlyTheMembershipOnItsDisk wants a keeper that was away when a charter
 // was granted to take it down first: after a restart its disk is all that tells whom it
 // held still for.
-func TestKeeperConfirmsOnlyTheCharterOnItsDisk(t *testing.T) {
+func TestKeeperConfirmsOnlyTheMembershipOnItsDisk(t *testing.T) {
 	now := time.Unix(1000, 0)
-	shelf := newMemoryShelf()
-	witness, _, err := OpenWitness(now, shelf, Replica{Address: "c"}, "c")
+	storage := newMemoryStorage()
+	witness, _, err := OpenWitness(now, storage, Replica{Address: "c"}, "c")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 	if promise := witness.Confirm(now, 5, "b"); !promise.Granted {
 		t.Errorf("no hold: %+v", promise)
 	}
-	again, _, err := OpenWitness(now.Add(time.Second), shelf, Replica{Address: "c"}, "other")
+	again, _, err := OpenWitness(now.Add(time.Second), storage, Replica{Address: "c"}, "other")
 	if err != nil || again.Holder() != "b" {
 		t.Fatalf("it holds still for %q, %v", again.Holder(), err)
 	}
@@ -179,12 +179,12 @@
 		}
 		world.calm = true
 		leader, ahead := world.whole(), world.machines[number]
-		if err := ahead.keeper.Learn(leader.steward.Charter().Epoch + 20); err != nil {
+		if err := ahead.keeper.Learn(leader.steward.Membership().Epoch + 20); err != nil {
 			t.Fatal(err)
 		}
 		takenIn := func() bool {
-			charter := leader.steward.Charter()
-			return charter.Epoch > 20 && ahead.keeper.Charter().Epoch == charter.Epoch && leader.steward.Holds()
+			membership := leader.steward.Membership()
+			return membership.Epoch > 20 && ahead.keeper.Membership().Epoch == membership.Epoch && leader.steward.Holds()
 		}
 		for begun := world.clock(); !takenIn(); world.advance(100 * time.Millisecond) {
 			for _, machine := range world.machines {
@@ -192,7 +192,7 @@
 				world.check()
 			}
 			if world.clock().Sub(begun) > 5*time.Second {
-				world.fail("the charter is %+v, that of %s %+v", leader.steward.Charter(), ahead.address, ahead.keeper.Charter())
+				world.fail("the charter is %+v, that of %s %+v", leader.steward.Membership(), ahead.address, ahead.keeper.Membership())
 			}
 		}
 	}
--- a/internal/replication/section.go
+++ b/internal/replication/section.go
@@ -12,7 +12,7 @@
 	ConfigurationSection = "menu"
 	MembersSection       = "members"
 	FlagsSection         = "flags"
-	DutiesSection        = "rota"
+	RolesSection         = "rota"
 	OrdersSection        = "orders"
 	ChangesSection       = "changes"
 	HorizonSection       = "horizon"
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -36,7 +36,7 @@
 	world.mutex.Lock()
 	machine.up.Store(false)
 	world.mutex.Unlock()
-	machine.keeping = newMemoryShelf()
+	machine.keeping = newMemoryStorage()
 	world.say("%s loses its disk", machine.address)
 	return true
 }
@@ -110,7 +110,7 @@
 		return
 	}
 	world.offered++
-	added := &machine{address: "n" + strconv.Itoa(world.offered), zone: old.zone, keeping: newMemoryShelf(), copies: newMemoryShelf()}
+	added := &machine{address: "n" + strconv.Itoa(world.offered), zone: old.zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
 	world.mutex.Lock()
 	world.machines = append(append([]*machine{}, world.machines...), added)
 	world.machines = append(world.machines[:position:position], world.machines[position+1:]...)
@@ -286,11 +286,11 @@
 		world.fail("no core was formed")
 	}
 	leader := world.acknowledge()
-	backup := leader.steward.Charter().Backup.Identity
+	backup := leader.steward.Membership().Backup.Identity
 	for _, machine := range world.machines {
 		if machine == leader || machine.keeper.Replica().Identity == backup {
 			world.crash(machine)
-			machine.keeping = newMemoryShelf()
+			machine.keeping = newMemoryStorage()
 		}
 	}
 	for range 100 {
--- a/internal/replication/shelf.go
+++ b/internal/replication/shelf.go
@@ -1,8 +1,8 @@
 package replication
 
-// Shelf is the port to one folder of a disk. Save returns only when the file
+// Storage is the port to one folder of a disk. Save returns only when the file
 // is synced under its name; files are never changed in place.
-type Shelf interface {
+type Storage interface {
 	// Save writes a file aside, syncs it, renames it and syncs the folder.
 	Save(name string, content []byte) error
 	// Load reads every file; damaged names those whose checksum is wrong.
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -16,41 +16,41 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// memoryShelf is a disk in memory: what is saved is synced, unless the disk is
+// memoryStorage is a disk in memory: what is saved is synced, unless the disk is
 // told to fail.
-type memoryShelf struct {
+type memoryStorage struct {
 	mutex   sync.Mutex
 	files   map[string][]byte
 	failing bool
 }
 
-func newMemoryShelf() *memoryShelf { return &memoryShelf{files: map[string][]byte{}} }
+func newMemoryStorage() *memoryStorage { return &memoryStorage{files: map[string][]byte{}} }
 
-func (shelf *memoryShelf) Save(name string, content []byte) error {
-	shelf.mutex.Lock()
-	defer shelf.mutex.Unlock()
-	if shelf.failing {
+func (storage *memoryStorage) Save(name string, content []byte) error {
+	storage.mutex.Lock()
+	defer storage.mutex.Unlock()
+	if storage.failing {
 		return failure.New(failure.Disk, "the disk fails")
 	}
-	shelf.files[name] = append([]byte(nil), content...)
+	storage.files[name] = append([]byte(nil), content...)
 	return nil
 }
 
-func (shelf *memoryShelf) Load() (map[string][]byte, []string, error) {
-	shelf.mutex.Lock()
-	defer shelf.mutex.Unlock()
+func (storage *memoryStorage) Load() (map[string][]byte, []string, error) {
+	storage.mutex.Lock()
+	defer storage.mutex.Unlock()
 	files := map[string][]byte{}
-	for name, content := range shelf.files {
+	for name, content := range storage.files {
 		files[name] = content
 	}
 	return files, nil, nil
 }
 
-func (shelf *memoryShelf) Remove(names []string) error {
-	shelf.mutex.Lock()
-	defer shelf.mutex.Unlock()
+func (storage *memoryStorage) Remove(names []string) error {
+	storage.mutex.Lock()
+	defer storage.mutex.Unlock()
 	for _, name := range names {
-		delete(shelf.files, name)
+		delete(storage.files, name)
 	}
 	return nil
 }
@@ -93,8 +93,8 @@
 type machine struct {
 	address string
 	zone    string
-	keeping *memoryShelf
-	copies  *memoryShelf
+	keeping *memoryStorage
+	copies  *memoryStorage
 	keeper  *Witness
 	store   *Store
 	steward *Coordinator
@@ -141,7 +141,7 @@
 	world := &world{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, borne: borne, zones: zones,
 		seeds: []string{"m0", "m1", "m2"}}
 	for number := range machines {
-		world.machines = append(world.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), keeping: newMemoryShelf(), copies: newMemoryShelf()})
+		world.machines = append(world.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), keeping: newMemoryStorage(), copies: newMemoryStorage()})
 	}
 	for _, machine := range world.machines {
 		world.start(machine)
@@ -170,7 +170,7 @@
 		world.test.Fatal(err)
 	}
 	if blank {
-		machine.copies = newMemoryShelf()
+		machine.copies = newMemoryStorage()
 	}
 	copied, err := OpenCopy(machine.copies)
 	if err != nil {
@@ -252,12 +252,12 @@
 	return machine.keeper.Prepare(wire.world.clock(), epoch, candidate)
 }
 
-func (wire *wire) Accept(address string, witness Identity, charter Membership) (Promise, error) {
+func (wire *wire) Accept(address string, witness Identity, membership Membership) (Promise, error) {
 	machine, err := wire.keeperAt(address, witness)
 	if err != nil {
 		return Promise{}, err
 	}
-	return machine.keeper.Accept(wire.world.clock(), charter)
+	return machine.keeper.Accept(wire.world.clock(), membership)
 }
 
 func (wire *wire) Confirm(address string, witness Identity, epoch uint64, primary Identity) (Promise, error) {
@@ -336,7 +336,7 @@
 		world.spare--
 		world.wiped++
 		world.say("%s loses its disk in the middle", machine.address)
-		machine.keeping = newMemoryShelf()
+		machine.keeping = newMemoryStorage()
 	}
 }
 
@@ -363,16 +363,16 @@
 	message()
 }
 
-func editionIn(text []byte) int {
+func revisionIn(text []byte) int {
 	configuration, err := config.Check(text)
 	if err != nil {
 		return -1
 	}
-	edition := 0
+	revision := 0
 	for _, route := range configuration.Routes {
-		edition, _ = strconv.Atoi(route.Name)
+		revision, _ = strconv.Atoi(route.Name)
 	}
-	return edition
+	return revision
 }
 
 // write asks a machine for the next edition and carries the commit out, with
@@ -382,21 +382,21 @@
 		return
 	}
 	world.tried++
-	edition := world.tried
-	machine.store.Submit(ChangeMenu("", "", nil, PreparedMenu{}, func([]byte) ([]byte, error) {
-		return []byte(`{"routes":{"` + strconv.Itoa(edition) + `":{"to":{"refuse":true}}}}`), nil
+	revision := world.tried
+	machine.store.Submit(ChangeConfiguration("", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) {
+		return []byte(`{"routes":{"` + strconv.Itoa(revision) + `":{"to":{"refuse":true}}}}`), nil
 	}), func(version Version, err error) {
 		if err == nil && machine.steward.Holds() {
 			world.answered++
-			world.accepted = max(world.accepted, edition)
+			world.accepted = max(world.accepted, revision)
 		}
 	})
-	charter := machine.steward.Charter()
-	if charter.Backup.Empty() {
+	membership := machine.steward.Membership()
+	if membership.Backup.Empty() {
 		return
 	}
 	batch, found := machine.store.Begin()
-	if !found || batch.Version.Epoch != charter.Epoch {
+	if !found || batch.Version.Epoch != membership.Epoch {
 		return
 	}
 	if machine.store.KeepOwn(batch) != nil {
@@ -407,8 +407,8 @@
 		return
 	}
 	synced := true
-	for _, backup := range charter.Backups() {
-		err := (&wire{world: world, from: machine.address}).Replicate(backup.Address, backup.Identity, charter.Epoch, batch)
+	for _, backup := range membership.Backups() {
+		err := (&wire{world: world, from: machine.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
 		machine.steward.BackupAnswered(backup.Identity, err == nil)
 		synced = synced && err == nil
 		if !world.calm && world.random.IntN(50) == 0 {
@@ -440,8 +440,8 @@
 		if !machine.up.Load() || machine.frozen || !machine.steward.Holds() || machine.steward.unsettled {
 			continue
 		}
-		charter := machine.steward.Charter()
-		if len(charter.Backups()) != world.borne || len(charter.Incoming) > 0 || len(charter.Witnesses) != 2*world.borne+1 {
+		membership := machine.steward.Membership()
+		if len(membership.Backups()) != world.borne || len(membership.Incoming) > 0 || len(membership.Witnesses) != 2*world.borne+1 {
 			continue
 		}
 		healthy, there := 0, 0
@@ -451,10 +451,10 @@
 			if !other.up.Load() {
 				continue
 			}
-			if hasReplica(charter.Backups(), other.keeper.Replica().Identity) {
+			if hasReplica(membership.Backups(), other.keeper.Replica().Identity) {
 				there++
 			}
-			if hasReplica(charter.Witnesses, other.keeper.Replica().Identity) && other.keeper.Charter().Epoch == charter.Epoch {
+			if hasReplica(membership.Witnesses, other.keeper.Replica().Identity) && other.keeper.Membership().Epoch == membership.Epoch {
 				healthy++
 				inZone[other.zone]++
 				most = max(most, inZone[other.zone])
@@ -480,8 +480,8 @@
 		if err != nil {
 			world.fail("%s: %v", machine.address, err)
 		}
-		if edition := editionIn(state.Menu); edition < world.accepted {
-			world.fail("%s shows edition %d and %d was accepted", machine.address, edition, world.accepted)
+		if revision := revisionIn(state.Configuration); revision < world.accepted {
+			world.fail("%s shows edition %d and %d was accepted", machine.address, revision, world.accepted)
 		}
 	}
 	if len(holders) > 1 {
@@ -622,7 +622,7 @@
 		world.fail("no core was formed")
 	}
 	leader := world.whole()
-	charter := leader.steward.Charter()
+	membership := leader.steward.Membership()
 	for _, machine := range world.machines {
 		machine.keeper.mutex.Lock()
 		machine.keeper.holdEnds = time.Time{}
@@ -630,7 +630,7 @@
 	}
 	var backup *machine
 	for _, machine := range world.machines {
-		if machine.keeper.Replica().Identity == charter.Backup.Identity {
+		if machine.keeper.Replica().Identity == membership.Backup.Identity {
 			backup = machine
 		}
 	}
@@ -673,39 +673,39 @@
 			world.check()
 		}
 		leader := world.whole()
-		if leader != nil && leader != first && leader.steward.Charter().Backup.Identity != first.keeper.Replica().Identity {
+		if leader != nil && leader != first && leader.steward.Membership().Backup.Identity != first.keeper.Replica().Identity {
 			return
 		}
 	}
-	world.fail("the restricted expediter still leads or backs up: %+v", first.steward.Charter())
+	world.fail("the restricted expediter still leads or backs up: %+v", first.steward.Membership())
 }
 
 // TestSweepMendsFilesThatBecameDamaged damages files of a copy and of a keeper
 // that are in use, and wants both whole after a sweep.
 func TestSweepMendsFilesThatBecameDamaged(t *testing.T) {
-	shelf := newMemoryShelf()
-	copied, err := OpenCopy(shelf)
+	storage := newMemoryStorage()
+	copied, err := OpenCopy(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for number, section := range []string{"menu", "flags"} {
 		version := Version{Epoch: 1, Number: uint64(number + 1)}
-		if err := copied.Write(Batch{Version: version, Base: copied.Version(), Drawers: map[string]Section{section: {Version: version, Content: []byte(section)}}}); err != nil {
+		if err := copied.Write(Batch{Version: version, Base: copied.Version(), Sections: map[string]Section{section: {Version: version, Content: []byte(section)}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	delete(shelf.files, fileName(Version{1, 1}))
+	delete(storage.files, fileName(Version{1, 1}))
 	if mended, err := copied.Sweep(); mended != 1 || err != nil {
 		t.Fatalf("%d files were mended: %v", mended, err)
 	}
-	reopened, err := OpenCopy(shelf)
-	if err != nil || reopened.Damage() != "" || string(reopened.Drawers()["menu"].Content) != "menu" {
+	reopened, err := OpenCopy(storage)
+	if err != nil || reopened.Damage() != "" || string(reopened.Sections()["menu"].Content) != "menu" {
 		t.Fatalf("after the sweep: %q, %v", reopened.Damage(), err)
 	}
-	if older := reopened.Refresh(Snapshot{Epoch: 1, Version: Version{1, 1}}); failure.KindOf(older) != failure.Behind || len(reopened.Drawers()) != 2 {
+	if older := reopened.Refresh(Snapshot{Epoch: 1, Version: Version{1, 1}}); failure.KindOf(older) != failure.Behind || len(reopened.Sections()) != 2 {
 		t.Fatalf("an older snapshot was taken: %v", older)
 	}
-	keeping := newMemoryShelf()
+	keeping := newMemoryStorage()
 	witness, _, err := OpenWitness(time.Unix(0, 0), keeping, Replica{Address: "a"}, "a/1")
 	if err != nil {
 		t.Fatal(err)
@@ -717,20 +717,20 @@
 	if mended, err := witness.Sweep(); !mended || err != nil {
 		t.Fatalf("the keeper's note was not mended: %v", err)
 	}
-	if again, blank, err := OpenWitness(time.Unix(2, 0), keeping, Replica{Address: "a"}, "a/2"); err != nil || blank || again.Charter().Epoch != 1 {
+	if again, blank, err := OpenWitness(time.Unix(2, 0), keeping, Replica{Address: "a"}, "a/2"); err != nil || blank || again.Membership().Epoch != 1 {
 		t.Fatalf("after the sweep the keeper is blank: %v, %v", blank, err)
 	}
 }
 
 func TestCopyKeepsOneFileForEachVersionStillNeeded(t *testing.T) {
-	shelf := newMemoryShelf()
-	copied, err := OpenCopy(shelf)
+	storage := newMemoryStorage()
+	copied, err := OpenCopy(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	write := func(number uint64, section, content string) {
 		version := Version{Epoch: 1, Number: number}
-		err := copied.Write(Batch{Version: version, Base: copied.Version(), Drawers: map[string]Section{section: {Version: version, Content: []byte(content)}}})
+		err := copied.Write(Batch{Version: version, Base: copied.Version(), Sections: map[string]Section{section: {Version: version, Content: []byte(content)}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -739,27 +739,27 @@
 	write(2, "flags", "b")
 	write(3, "flags", "c")
 	var names []string
-	for name := range shelf.files {
+	for name := range storage.files {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	if len(names) != 2 || names[0] != fileName(Version{1, 1}) || names[1] != fileName(Version{1, 3}) {
 		t.Fatalf("files left: %v", names)
 	}
-	delete(shelf.files, names[0])
-	reopened, err := OpenCopy(shelf)
+	delete(storage.files, names[0])
+	reopened, err := OpenCopy(storage)
 	if err != nil || reopened.Damage() == "" {
 		t.Fatalf("a copy without a file that it needs opened undamaged: %v", err)
 	}
 	if err := reopened.Write(Batch{Version: Version{1, 4}, Base: reopened.Version()}); failure.KindOf(err) != failure.Damaged {
 		t.Fatalf("a damaged copy took a write: %v", err)
 	}
-	if err := reopened.Rewrite(Snapshot{Epoch: 2, Version: Version{2, 4}, Drawers: copied.Drawers()}); err != nil || reopened.Damage() != "" {
+	if err := reopened.Rewrite(Snapshot{Epoch: 2, Version: Version{2, 4}, Sections: copied.Sections()}); err != nil || reopened.Damage() != "" {
 		t.Fatalf("a damaged copy was not replaced: %v", err)
 	}
-	again, err := OpenCopy(shelf)
-	if err != nil || again.Damage() != "" || string(again.Drawers()["menu"].Content) != "a" || string(again.Drawers()["flags"].Content) != "c" {
-		t.Fatalf("the replaced copy reads %v, %q, %v", again.Drawers(), again.Damage(), err)
+	again, err := OpenCopy(storage)
+	if err != nil || again.Damage() != "" || string(again.Sections()["menu"].Content) != "a" || string(again.Sections()["flags"].Content) != "c" {
+		t.Fatalf("the replaced copy reads %v, %q, %v", again.Sections(), again.Damage(), err)
 	}
 }
 
@@ -777,7 +777,7 @@
 	for _, machine := range world.machines {
 		switch {
 		case machine == leader:
-		case machine.keeper.Replica().Identity == leader.steward.Charter().Backup.Identity:
+		case machine.keeper.Replica().Identity == leader.steward.Membership().Backup.Identity:
 			backup = machine
 		default:
 			third = machine
@@ -795,14 +795,14 @@
 			}
 			world.write(leader)
 			world.check()
-			if leader.steward.Holds() && leader.steward.Charter().Backup.Identity == with.keeper.Replica().Identity {
+			if leader.steward.Holds() && leader.steward.Membership().Backup.Identity == with.keeper.Replica().Identity {
 				return true
 			}
 		}
 		return false
 	}
 	if !paired(third) {
-		world.fail("no backup is better than a restricted one: %+v", leader.steward.Charter())
+		world.fail("no backup is better than a restricted one: %+v", leader.steward.Membership())
 	}
 	before := world.answered
 	world.write(leader)
@@ -811,7 +811,7 @@
 	}
 	world.start(backup)
 	if !paired(backup) {
-		world.fail("the restricted backup was not exchanged for a capable one: %+v", leader.steward.Charter())
+		world.fail("the restricted backup was not exchanged for a capable one: %+v", leader.steward.Membership())
 	}
 }
 
@@ -826,7 +826,7 @@
 	world.calm = true
 	leader := world.whole()
 	world.write(leader)
-	backup := leader.steward.Charter().Backup.Identity
+	backup := leader.steward.Membership().Backup.Identity
 	for _, machine := range world.machines {
 		if machine.keeper.Replica().Identity == backup {
 			machine.steward.SetRestricted(true)
@@ -871,9 +871,9 @@
 			leader := world.whole()
 			world.write(leader)
 			for _, machine := range world.machines {
-				if machine.keeper.Replica().Identity == leader.steward.Charter().Backup.Identity {
+				if machine.keeper.Replica().Identity == leader.steward.Membership().Backup.Identity {
 					world.crash(machine)
-					machine.keeping, machine.copies = newMemoryShelf(), newMemoryShelf()
+					machine.keeping, machine.copies = newMemoryStorage(), newMemoryStorage()
 				}
 			}
 			begin(leader.steward)
@@ -883,7 +883,7 @@
 			}
 			world.crash(leader)
 			if !world.heal(20 * time.Second) {
-				world.fail("the core is not whole again: %+v", leader.keeper.Charter())
+				world.fail("the core is not whole again: %+v", leader.keeper.Membership())
 			}
 			world.check()
 		})
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -17,20 +17,20 @@
 // State is the larder's content as the primary works on it. Changes check
 // first and then alter, so that a refused change leaves nothing behind.
 type State struct {
-	Menu    []byte
-	Members map[string]membership.Member
-	Flags   Flags
-	Rota    Duties
-	Orders  Orders
-	Changes []ChangeNote
-	Horizon time.Time
-	Claims  map[string]map[string]codec.Record
-	dirty   map[string]bool
+	Configuration []byte
+	Members       map[string]membership.Member
+	Flags         Flags
+	Rota          Roles
+	Orders        Orders
+	Changes       []ChangeNote
+	Horizon       time.Time
+	Claims        map[string]map[string]codec.Record
+	dirty         map[string]bool
 }
 
 // NewState is the content of a larder that was just formed.
 func NewState() *State {
-	return &State{Menu: []byte(`{}`), Members: map[string]membership.Member{}, Rota: Duties{Duties: map[string]lease.Duty{}},
+	return &State{Configuration: []byte(`{}`), Members: map[string]membership.Member{}, Rota: Roles{Roles: map[string]lease.Role{}},
 		Orders: Orders{Records: map[string]codec.Record{}}, Claims: map[string]map[string]codec.Record{}, dirty: map[string]bool{}}
 }
 
@@ -44,12 +44,12 @@
 		}
 		switch name {
 		case ConfigurationSection:
-			state.Menu = section.Content
+			state.Configuration = section.Content
 		case MembersSection:
 			err = msgpack.Unmarshal(section.Content, &state.Members)
 		case FlagsSection:
 			err = msgpack.Unmarshal(section.Content, &state.Flags)
-		case DutiesSection:
+		case RolesSection:
 			err = msgpack.Unmarshal(section.Content, &state.Rota)
 		case OrdersSection:
 			err = msgpack.Unmarshal(section.Content, &state.Orders)
@@ -82,13 +82,13 @@
 		var value any
 		switch name {
 		case ConfigurationSection:
-			sections[name] = Section{Version: version, Content: state.Menu}
+			sections[name] = Section{Version: version, Content: state.Configuration}
 			continue
 		case MembersSection:
 			value = state.Members
 		case FlagsSection:
 			value = state.Flags
-		case DutiesSection:
+		case RolesSection:
 			value = state.Rota
 		case OrdersSection:
 			value = state.Orders
@@ -118,11 +118,11 @@
 // ClaimSpan is how much time of inquiry ids one claims drawer covers.
 const ClaimSpan = 5 * time.Second
 
-func claimsDrawer(made time.Time) string {
+func claimsSection(made time.Time) string {
 	return ClaimsPrefix + strconv.FormatInt(made.UnixMilli()/ClaimSpan.Milliseconds(), 10)
 }
 
-func claimsDrawerEnds(name string) time.Time {
+func claimsSectionEnds(name string) time.Time {
 	span, _ := strconv.ParseInt(strings.TrimPrefix(name, ClaimsPrefix), 10, 64)
 	return time.UnixMilli((span + 1) * ClaimSpan.Milliseconds())
 }
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -69,14 +69,14 @@
 	if err := store.copied.Write(Batch{Version: stamped, Base: base}); err != nil {
 		return err
 	}
-	sections := store.copied.Drawers()
+	sections := store.copied.Sections()
 	working, err := ReadState(sections)
 	if err != nil {
 		return err
 	}
 	store.leading, store.frozen, store.epoch, store.working = true, hidden, epoch, working
 	store.hidden.Store(hidden)
-	store.view.Store(&View{Version: stamped, Drawers: sections})
+	store.view.Store(&View{Version: stamped, Sections: sections})
 	return nil
 }
 
@@ -141,9 +141,9 @@
 	if store.batch != nil {
 		if store.batch.Version != version {
 			store.batch.Version = version
-			for name, section := range store.batch.Drawers {
+			for name, section := range store.batch.Sections {
 				section.Version = version
-				store.batch.Drawers[name] = section
+				store.batch.Sections[name] = section
 			}
 		}
 		return *store.batch, true
@@ -152,12 +152,12 @@
 		return Batch{}, false
 	}
 	store.riding, store.pending = store.pending, nil
-	menuVersion := view.VersionOf(ConfigurationSection)
+	configurationVersion := view.VersionOf(ConfigurationSection)
 	for position := range store.riding {
 		rider := &store.riding[position]
-		rider.failure = rider.change(store.working, version, menuVersion)
+		rider.failure = rider.change(store.working, version, configurationVersion)
 		if store.working.dirty[ConfigurationSection] {
-			menuVersion = version
+			configurationVersion = version
 		}
 	}
 	sections, removed, err := store.working.pack(version)
@@ -166,12 +166,12 @@
 			store.riding[position].failure = err
 		}
 	}
-	store.batch = &Batch{Version: version, Base: view.Version, Drawers: sections, Removed: removed}
+	store.batch = &Batch{Version: version, Base: view.Version, Sections: sections, Removed: removed}
 	return *store.batch, true
 }
 
 // Empty tells whether a batch changes nothing and needs no sync.
-func (batch Batch) Empty() bool { return len(batch.Drawers) == 0 && len(batch.Removed) == 0 }
+func (batch Batch) Empty() bool { return len(batch.Sections) == 0 && len(batch.Removed) == 0 }
 
 // KeepOwn syncs the batch on this store's own copy.
 func (store *Store) KeepOwn(batch Batch) error {
@@ -204,17 +204,17 @@
 }
 
 func (view *View) after(batch Batch) *View {
-	sections := make(map[string]Section, len(view.Drawers)+len(batch.Drawers))
-	for name, section := range view.Drawers {
+	sections := make(map[string]Section, len(view.Sections)+len(batch.Sections))
+	for name, section := range view.Sections {
 		sections[name] = section
 	}
-	for name, section := range batch.Drawers {
+	for name, section := range batch.Sections {
 		sections[name] = section
 	}
 	for _, name := range batch.Removed {
 		delete(sections, name)
 	}
-	return &View{Version: batch.Version, Drawers: sections}
+	return &View{Version: batch.Version, Sections: sections}
 }
 
 // Work counts the synced batches and the changes answered by them.
@@ -255,7 +255,7 @@
 
 func (store *Store) snapshot() Snapshot {
 	view := store.view.Load()
-	return Snapshot{Epoch: store.epoch, Version: view.Version, Drawers: view.Drawers}
+	return Snapshot{Epoch: store.epoch, Version: view.Version, Sections: view.Sections}
 }
 
 // Thaw lets commits go on, with the granted pair.
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -15,11 +15,11 @@
 // newLeader is a store that leads, whose batches the test commits itself.
 func newLeader(t *testing.T) *Store {
 	t.Helper()
-	witness, _, err := OpenWitness(time.Unix(0, 0), newMemoryShelf(), Replica{Address: "a"}, "a/1")
+	witness, _, err := OpenWitness(time.Unix(0, 0), newMemoryStorage(), Replica{Address: "a"}, "a/1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := OpenCopy(newMemoryShelf())
+	copied, err := OpenCopy(newMemoryStorage())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 	put := func(text string) func([]byte) ([]byte, error) {
 		return func([]byte) ([]byte, error) { return []byte(text), nil }
 	}
-	first := ChangeMenu("change-1", "digest-1", &Version{}, PreparedMenu{}, put(`{"services":{"a":{}}}`))
+	first := ChangeConfiguration("change-1", "digest-1", &Version{}, PreparedConfiguration{}, put(`{"services":{"a":{}}}`))
 	if err := do(t, store, first); err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	if err := do(t, store, first); err != nil || store.View().VersionOf(ConfigurationSection) != version {
 		t.Errorf("the same change again: %v, version %s became %s", err, version, store.View().VersionOf(ConfigurationSection))
 	}
-	if err := do(t, store, ChangeMenu("change-1", "digest-2", &version, PreparedMenu{}, put(`{}`))); failure.KindOf(err) != failure.Duplicate {
+	if err := do(t, store, ChangeConfiguration("change-1", "digest-2", &version, PreparedConfiguration{}, put(`{}`))); failure.KindOf(err) != failure.Duplicate {
 		t.Errorf("another change under the same id: %v", err)
 	}
 }
@@ -129,7 +129,7 @@
 			t.Fatal(err)
 		}
 	}
-	for name := range store.View().Drawers {
+	for name := range store.View().Sections {
 		if len(name) > len(ClaimsPrefix) && name[:len(ClaimsPrefix)] == ClaimsPrefix {
 			t.Errorf("the drawer %s is kept for ever", name)
 		}
@@ -179,17 +179,17 @@
 		t.Errorf("a flag was disabled again: %v", enabled())
 	}
 	// A restricted node gets no duty, and may write no orders.
-	if err := do(t, store, GrantDuties([]lease.Duty{{Key: lease.PartsKey, Holder: "c"}}, nil)); err != nil {
+	if err := do(t, store, GrantRoles([]lease.Role{{Key: lease.PartsKey, Holder: "c"}}, nil)); err != nil {
 		t.Fatal(err)
 	}
 	state, _ := store.View().State()
-	if _, found := state.Rota.Duties[lease.PartsKey]; found {
+	if _, found := state.Rota.Roles[lease.PartsKey]; found {
 		t.Error("a restricted node was given a duty")
 	}
-	if err := do(t, store, GiveOrders(lease.Duty{}, []codec.Order{{Server: "s", Part: "decode"}}, older)); failure.KindOf(err) != failure.Restricted {
+	if err := do(t, store, GiveOrders(lease.Role{}, []codec.Order{{Server: "s", Part: "decode"}}, older)); failure.KindOf(err) != failure.Restricted {
 		t.Errorf("a restricted node wrote orders: %v", err)
 	}
-	if err := do(t, store, GiveOrders(lease.Duty{Key: lease.PartsKey, Holder: "x", Fence: 9}, nil, supported)); failure.KindOf(err) != failure.NotHolder {
+	if err := do(t, store, GiveOrders(lease.Role{Key: lease.PartsKey, Holder: "x", FencingToken: 9}, nil, supported)); failure.KindOf(err) != failure.NotHolder {
 		t.Errorf("orders under a fence that is not in force: %v", err)
 	}
 }
@@ -198,21 +198,21 @@
 // leave nothing behind.
 func TestConfigurationIsCheckedBeforeItIsTaken(t *testing.T) {
 	state := NewState()
-	before := string(state.Menu)
-	change := ChangeMenu("one", "", nil, PreparedMenu{}, func([]byte) ([]byte, error) { return []byte(`{"services":{"a":{"tries":0}}}`), nil })
-	if err := change(state, Version{1, 2}, Version{}); err == nil || string(state.Menu) != before || len(state.Changes) != 0 {
-		t.Errorf("it was taken: %v, %s", err, state.Menu)
+	before := string(state.Configuration)
+	change := ChangeConfiguration("one", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) { return []byte(`{"services":{"a":{"tries":0}}}`), nil })
+	if err := change(state, Version{1, 2}, Version{}); err == nil || string(state.Configuration) != before || len(state.Changes) != 0 {
+		t.Errorf("it was taken: %v, %s", err, state.Configuration)
 	}
 }
 
 // TestBackupRefusesAnOlderEpoch brings a backup a write of a primary whose epoch
 // is over.
 func TestBackupRefusesAnOlderEpoch(t *testing.T) {
-	witness, _, err := OpenWitness(time.Unix(0, 0), newMemoryShelf(), Replica{Address: "a"}, "a/1")
+	witness, _, err := OpenWitness(time.Unix(0, 0), newMemoryStorage(), Replica{Address: "a"}, "a/1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := OpenCopy(newMemoryShelf())
+	copied, err := OpenCopy(newMemoryStorage())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,16 +229,16 @@
 // another holder meanwhile.
 func TestServersAreForgotten(t *testing.T) {
 	first, second := lease.ServerKey("a"), lease.ServerKey("b")
-	state := &State{Rota: Duties{Duties: map[string]lease.Duty{first: {Key: first, Fence: 1}, second: {Key: second, Fence: 2}}, Fence: 2},
+	state := &State{Rota: Roles{Roles: map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 2}}, FencingToken: 2},
 		Orders: Orders{Records: map[string]codec.Record{"a": {}, "b": {}, "c": {}}}, dirty: map[string]bool{}}
-	seen := map[string]lease.Duty{first: {Key: first, Fence: 1}, second: {Key: second, Fence: 1}}
+	seen := map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 1}}
 	if err := ForgetServers([]string{"a", "b", "c", "d"}, seen)(state, Version{}, Version{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, found := state.Rota.Duties[first]; found || state.Rota.Duties[second].Fence != 2 || state.Rota.Fence != 2 {
+	if _, found := state.Rota.Roles[first]; found || state.Rota.Roles[second].FencingToken != 2 || state.Rota.FencingToken != 2 {
 		t.Errorf("duties: %+v", state.Rota)
 	}
-	if _, found := state.Orders.Records["b"]; !found || len(state.Orders.Records) != 1 || !state.dirty[DutiesSection] || !state.dirty[OrdersSection] {
+	if _, found := state.Orders.Records["b"]; !found || len(state.Orders.Records) != 1 || !state.dirty[RolesSection] || !state.dirty[OrdersSection] {
 		t.Errorf("orders: %+v, changed %v", state.Orders, state.dirty)
 	}
 }
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -19,7 +19,7 @@
 // that it has promised, both synced before it answers.
 type Witness struct {
 	mutex    sync.Locker
-	shelf    Shelf
+	storage  Storage
 	self     Replica
 	note     witnessNote
 	lease    time.Duration
@@ -28,22 +28,22 @@
 }
 
 type witnessNote struct {
-	Identity Identity   `msgpack:"identity"`
-	Sequence uint64     `msgpack:"sequence"`
-	Promised uint64     `msgpack:"promised"`
-	Charter  Membership `msgpack:"charter"`
+	Identity   Identity   `msgpack:"identity"`
+	Sequence   uint64     `msgpack:"sequence"`
+	Promised   uint64     `msgpack:"promised"`
+	Membership Membership `msgpack:"charter"`
 }
 
 // OpenWitness reads the keeper's note from its shelf. When there is none, or
 // the newest is damaged, the disk counts as blank and fresh is the identity
 // that it takes. A keeper that starts holds still for one hold, since it may
 // have confirmed a primary just before it stopped.
-func OpenWitness(now time.Time, shelf Shelf, replica Replica, fresh Identity) (*Witness, bool, error) {
-	files, damaged, err := shelf.Load()
+func OpenWitness(now time.Time, storage Storage, replica Replica, fresh Identity) (*Witness, bool, error) {
+	files, damaged, err := storage.Load()
 	if err != nil {
 		return nil, false, err
 	}
-	witness := &Witness{mutex: &sync.Mutex{}, shelf: shelf, self: replica, lease: PrimaryHold, holdEnds: now.Add(PrimaryHold)}
+	witness := &Witness{mutex: &sync.Mutex{}, storage: storage, self: replica, lease: PrimaryHold, holdEnds: now.Add(PrimaryHold)}
 	var names []string
 	for name := range files {
 		names = append(names, name)
@@ -54,13 +54,13 @@
 		newest := names[len(names)-1]
 		if content, intact := files[newest]; intact && msgpack.Unmarshal(content, &witness.note) == nil && witness.note.Identity != "" {
 			witness.self.Identity = witness.note.Identity
-			witness.holder = witness.note.Charter.Primary.Identity
+			witness.holder = witness.note.Membership.Primary.Identity
 			return witness, false, nil
 		}
 	}
 	witness.note = witnessNote{Identity: fresh, Sequence: uint64(len(names))}
 	witness.self.Identity = fresh
-	if err := shelf.Remove(names); err != nil {
+	if err := storage.Remove(names); err != nil {
 		return nil, true, err
 	}
 	return witness, true, witness.save(witness.note)
@@ -81,11 +81,11 @@
 // Replica is the keeper's own seat, which stays.
 func (witness *Witness) Replica() Replica { return witness.self }
 
-// Charter is the newest charter that the keeper has accepted.
-func (witness *Witness) Charter() Membership {
+// Membership is the newest charter that the keeper has accepted.
+func (witness *Witness) Membership() Membership {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
-	return witness.note.Charter
+	return witness.note.Membership
 }
 
 // Promised is the highest epoch that the keeper has promised.
@@ -114,9 +114,9 @@
 func (witness *Witness) Prepare(now time.Time, epoch uint64, candidate Identity) (Promise, error) {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
-	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Charter: witness.note.Charter}
+	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Membership: witness.note.Membership}
 	switch {
-	case witness.note.Charter.Blank():
+	case witness.note.Membership.Blank():
 		promise.Refusal = failure.NotAdmitted
 	case epoch <= witness.note.Promised:
 		promise.Refusal = failure.OldEpoch
@@ -136,32 +136,32 @@
 
 // Accept takes a charter, unless a higher epoch is promised. A blank keeper
 // takes only one that names it: that is how it is admitted.
-func (witness *Witness) Accept(now time.Time, charter Membership) (Promise, error) {
+func (witness *Witness) Accept(now time.Time, membership Membership) (Promise, error) {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
-	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Charter: witness.note.Charter}
+	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Membership: witness.note.Membership}
 	switch {
-	case charter.Epoch < witness.note.Promised || charter.Epoch < witness.note.Charter.Epoch:
+	case membership.Epoch < witness.note.Promised || membership.Epoch < witness.note.Membership.Epoch:
 		promise.Refusal = failure.OldEpoch
-	case witness.note.Charter.Blank() && !charter.Keeps(witness.self.Identity):
+	case witness.note.Membership.Blank() && !membership.Keeps(witness.self.Identity):
 		promise.Refusal = failure.NotAdmitted
-	case charter.Epoch == witness.note.Charter.Epoch && charter.Primary.Identity != witness.note.Charter.Primary.Identity:
+	case membership.Epoch == witness.note.Membership.Epoch && membership.Primary.Identity != witness.note.Membership.Primary.Identity:
 		promise.Refusal = failure.OldEpoch
 	default:
 		note := witness.note
-		note.Promised = charter.Epoch
-		note.Charter = charter
+		note.Promised = membership.Epoch
+		note.Membership = membership
 		if err := witness.save(note); err != nil {
 			return promise, err
 		}
-		if witness.holder != charter.Primary.Identity {
+		if witness.holder != membership.Primary.Identity {
 			// Whoever could propose another primary knew the old hold to be over
 			// at a quorum, or had it and gave it up.
-			witness.holder, witness.holdEnds = charter.Primary.Identity, time.Time{}
+			witness.holder, witness.holdEnds = membership.Primary.Identity, time.Time{}
 		}
 		promise.Granted = true
-		promise.Promised = charter.Epoch
-		promise.Charter = charter
+		promise.Promised = membership.Epoch
+		promise.Membership = membership
 	}
 	return promise, nil
 }
@@ -172,16 +172,16 @@
 func (witness *Witness) Confirm(now time.Time, epoch uint64, primary Identity) Promise {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
-	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Charter: witness.note.Charter}
-	if witness.note.Charter.Blank() {
+	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Membership: witness.note.Membership}
+	if witness.note.Membership.Blank() {
 		promise.Refusal = failure.NotAdmitted
 		return promise
 	}
-	if epoch < witness.note.Promised || epoch < witness.note.Charter.Epoch {
+	if epoch < witness.note.Promised || epoch < witness.note.Membership.Epoch {
 		promise.Refusal = failure.OldEpoch
 		return promise
 	}
-	if epoch > witness.note.Charter.Epoch {
+	if epoch > witness.note.Membership.Epoch {
 		promise.Refusal = failure.Behind
 		return promise
 	}
@@ -215,7 +215,7 @@
 func (witness *Witness) Sweep() (bool, error) {
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
-	files, _, err := witness.shelf.Load()
+	files, _, err := witness.storage.Load()
 	if err != nil {
 		return false, err
 	}
@@ -248,12 +248,12 @@
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	if err := witness.shelf.Save(noteName(note.Sequence), encoded); err != nil {
+	if err := witness.storage.Save(noteName(note.Sequence), encoded); err != nil {
 		return err
 	}
 	witness.note = note
 	// The older file only takes room: that it stays is no failure.
-	_ = witness.shelf.Remove([]string{noteName(old)})
+	_ = witness.storage.Remove([]string{noteName(old)})
 	return nil
 }
 
--- a/internal/replication/witnesses.go
+++ b/internal/replication/witnesses.go
@@ -9,19 +9,19 @@
 // ensureWitnesses exchanges a keeper that is gone for an expediter that is
 // there: first both sets must agree, then only the new one.
 func (coordinator *Coordinator) ensureWitnesses() {
-	charter := coordinator.Charter()
-	if coordinator.unsettled || !coordinator.store.Leading() || charter.Backup.Empty() {
+	membership := coordinator.Membership()
+	if coordinator.unsettled || !coordinator.store.Leading() || membership.Backup.Empty() {
 		return
 	}
-	next := charter
-	if len(charter.Incoming) > 0 {
-		next.Witnesses, next.Incoming = charter.Incoming, nil
+	next := membership
+	if len(membership.Incoming) > 0 {
+		next.Witnesses, next.Incoming = membership.Incoming, nil
 	} else {
 		exchange := coordinator.exchange
 		if wanted := coordinator.wanted(); wanted > 1 {
-			exchange = func(charter Membership) ([]Replica, bool) { return coordinator.spread(charter, 2*wanted+1) }
+			exchange = func(m Membership) ([]Replica, bool) { return coordinator.spread(m, 2*wanted+1) }
 		}
-		incoming, change := exchange(charter)
+		incoming, change := exchange(membership)
 		if !change {
 			return
 		}
@@ -29,7 +29,7 @@
 	}
 	won, err := coordinator.elect(func(base Membership) (Membership, bool) {
 		// Only the charter that this steward has seen granted may be built on.
-		return next, base.Epoch == charter.Epoch && base.Primary.Identity == charter.Primary.Identity
+		return next, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
 		coordinator.observe("keepers_not_granted", "cause", err)
@@ -61,9 +61,9 @@
 
 // vacantSeat is a keeper's seat that another should have: that of one that is gone, or
 // else of one that is about to end.
-func (coordinator *Coordinator) vacantSeat(charter Membership) (Replica, bool) {
+func (coordinator *Coordinator) vacantSeat(membership Membership) (Replica, bool) {
 	var vacant Replica
-	for _, replica := range charter.Witnesses {
+	for _, replica := range membership.Witnesses {
 		if replica.Identity == coordinator.witness.Replica().Identity {
 			continue
 		}
@@ -80,8 +80,8 @@
 
 // exchange plans the next keepers where one loss is borne: whoever is gone or leaves gives
 // way to an expediter that is there.
-func (coordinator *Coordinator) exchange(charter Membership) ([]Replica, bool) {
-	gone, found := coordinator.vacantSeat(charter)
+func (coordinator *Coordinator) exchange(m Membership) ([]Replica, bool) {
+	gone, found := coordinator.vacantSeat(m)
 	if !found {
 		return nil, false
 	}
@@ -89,14 +89,14 @@
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
 	var newcomer Replica
-	if !charter.Keeps(own) {
+	if !m.Keeps(own) {
 		// A primary that came as a newcomer itself.
 		newcomer = coordinator.witness.Replica()
 	}
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
 		hello := known.hello
-		if hello.Kind != membership.Controller || hello.Leaving || charter.Keeps(hello.Seat.Identity) || coordinator.turns.Now().Sub(known.answered) > applicantFresh {
+		if hello.Kind != membership.Controller || hello.Leaving || m.Keeps(hello.Seat.Identity) || coordinator.turns.Now().Sub(known.answered) > applicantFresh {
 			continue
 		}
 		if newcomer.Empty() || hello.Seat.Address == gone.Address || hello.Seat.Identity < newcomer.Identity {
@@ -107,7 +107,7 @@
 		return nil, false
 	}
 	var incoming []Replica
-	for _, replica := range charter.Witnesses {
+	for _, replica := range m.Witnesses {
 		if replica.Identity == gone.Identity {
 			replica = newcomer
 		}
@@ -119,12 +119,12 @@
 // spread plans the next keepers where several losses are borne: those that are gone
 // give way to expediters that are there, there are as many as wanted if they can be
 // had, and no district has so many that its loss would leave no majority.
-func (coordinator *Coordinator) spread(charter Membership, wanted int) ([]Replica, bool) {
+func (coordinator *Coordinator) spread(m Membership, wanted int) ([]Replica, bool) {
 	coordinator.mutex.Lock()
 	settled := coordinator.turns.Now().Sub(coordinator.leadsFrom) >= coordinator.timing.WitnessSilence
 	coordinator.mutex.Unlock()
 	plan := witnessPlan{wanted: wanted}
-	for _, replica := range charter.Witnesses {
+	for _, replica := range m.Witnesses {
 		said, alive := coordinator.alive(replica.Identity, coordinator.timing.WitnessSilence)
 		if replica.Identity == coordinator.witness.Replica().Identity {
 			replica, alive = coordinator.recorded(coordinator.witness.Replica()), true
@@ -134,13 +134,13 @@
 		// A primary that has just begun has not heard from everybody yet.
 		plan.keepers = append(plan.keepers, plannedWitness{seat: replica, gone: !alive && settled || alive && said.Leaving || coordinator.replaced(replica)})
 	}
-	if own := coordinator.witness.Replica(); !charter.Keeps(own.Identity) {
+	if own := coordinator.witness.Replica(); !m.Keeps(own.Identity) {
 		plan.spares = append(plan.spares, coordinator.recorded(own))
 	}
 	coordinator.mutex.Lock()
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
-		if known.hello.Kind == membership.Controller && !known.hello.Leaving && !charter.Keeps(identity) && coordinator.turns.Now().Sub(known.answered) <= staleAnswer {
+		if known.hello.Kind == membership.Controller && !known.hello.Leaving && !m.Keeps(identity) && coordinator.turns.Now().Sub(known.answered) <= staleAnswer {
 			plan.spares = append(plan.spares, known.hello.Seat)
 		}
 	}
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -37,7 +37,7 @@
 	idle                          map[connectionEnds]*connections
 	ledger                        backlog.Ledger
 	asked, toldOf                 int
-	news                          time.Duration
+	update                        time.Duration
 	calls                         int
 	ways                          map[string]*wayTally
 	ordered                       map[string]string
@@ -548,7 +548,7 @@
 
 func dividedWorld(seed uint64, routers int, list []membership.Server, configure func(*config.Configuration), shape func(*Window)) *world {
 	world := &world{now: noon, random: rand.New(rand.NewPCG(seed, 7)), engine: sheet(), servers: map[string]*worldServer{},
-		tally: map[string]*classTally{}, seen: map[uint64]bool{}, ways: map[string]*wayTally{}, idle: map[connectionEnds]*connections{}, ordered: map[string]string{}, news: 400 * time.Millisecond}
+		tally: map[string]*classTally{}, seen: map[uint64]bool{}, ways: map[string]*wayTally{}, idle: map[connectionEnds]*connections{}, ordered: map[string]string{}, update: 400 * time.Millisecond}
 	world.list = list
 	for _, listed := range world.list {
 		world.servers[listed.Name] = &worldServer{world: world, listed: listed, part: listed.Part}
@@ -567,7 +567,7 @@
 		world.windows = append(world.windows, calls)
 		world.places = append(world.places, zones[number%3])
 		number := number
-		world.after(world.random.Float64()*milliseconds(world.news), func() { world.renew(number) })
+		world.after(world.random.Float64()*milliseconds(world.update), func() { world.renew(number) })
 	}
 	world.tells = true
 	world.after(0, world.sample)
@@ -712,7 +712,7 @@
 		loads = append(loads, load)
 	}
 	world.windows[number].SetLoads(world.now, loads)
-	world.after(milliseconds(world.news), func() { world.renew(number) })
+	world.after(milliseconds(world.update), func() { world.renew(number) })
 }
 
 // traffic has origins ask from now until a time.
--- a/internal/testbed/fleet/checkers.go
+++ b/internal/testbed/fleet/checkers.go
@@ -23,7 +23,7 @@
 // The checkers read only what stand-ins and callers wrote down.
 var checkers = []func([]Entry) Finding{
 	checkSecondRun, checkRefusedNeverRuns, checkReplies, checkMemory, checkLeaving, checkEvacuated, checkInForce, checkNeverBack,
-	checkRefusedEditions, checkReads, checkTries, checkCold, checkCommands, checkFormats, checkReturn, checkHeldBack,
+	checkRefusedRevisions, checkReads, checkTries, checkCold, checkCommands, checkFormats, checkReturn, checkHeldBack,
 }
 
 // checkSecondRun: an inquiry that may not be repeated is started once at most,
@@ -186,19 +186,19 @@
 	accepted := acceptances(entries)
 	var worst time.Duration
 	for _, entry := range entries {
-		if entry.Kind != EditionSeen {
+		if entry.Kind != RevisionSeen {
 			continue
 		}
 		finding.Looked++
 		for _, acceptance := range accepted {
 			// What was seen may be as old as the moment of asking.
 			late := entry.At.Add(-entry.Took).Sub(acceptance.At)
-			if acceptance.Edition <= entry.Edition || late <= 0 {
+			if acceptance.Revision <= entry.Revision || late <= 0 {
 				continue
 			}
 			worst = max(worst, late)
 			if late > inForceLimit {
-				finding.Violate(fmt.Sprintf("%s shows edition %d, %s after edition %d was accepted", entry.Router, entry.Edition, late, acceptance.Edition))
+				finding.Violate(fmt.Sprintf("%s shows edition %d, %s after edition %d was accepted", entry.Router, entry.Revision, late, acceptance.Revision))
 			}
 		}
 	}
@@ -209,7 +209,7 @@
 func acceptances(entries []Entry) []Entry {
 	var accepted []Entry
 	for _, entry := range entries {
-		if entry.Kind == EditionAccepted {
+		if entry.Kind == RevisionAccepted {
 			accepted = append(accepted, entry)
 		}
 	}
@@ -221,31 +221,31 @@
 	finding := Finding{Checker: "configurations never go back"}
 	seen := map[string]int{}
 	for _, entry := range entries {
-		if entry.Kind != EditionSeen {
+		if entry.Kind != RevisionSeen {
 			continue
 		}
 		finding.Looked++
-		if entry.Edition < seen[entry.Router] {
-			finding.Violate(fmt.Sprintf("%s shows edition %d after %d", entry.Router, entry.Edition, seen[entry.Router]))
+		if entry.Revision < seen[entry.Router] {
+			finding.Violate(fmt.Sprintf("%s shows edition %d after %d", entry.Router, entry.Revision, seen[entry.Router]))
 		}
-		seen[entry.Router] = max(seen[entry.Router], entry.Edition)
+		seen[entry.Router] = max(seen[entry.Router], entry.Revision)
 	}
 	return finding
 }
 
-// checkRefusedEditions: an edition that was refused is seen nowhere.
-func checkRefusedEditions(entries []Entry) Finding {
+// checkRefusedRevisions: an edition that was refused is seen nowhere.
+func checkRefusedRevisions(entries []Entry) Finding {
 	finding := Finding{Checker: "refused configurations take no effect"}
 	refused := map[int]bool{}
 	for _, entry := range entries {
-		if entry.Kind == EditionRefused {
-			refused[entry.Edition] = true
+		if entry.Kind == RevisionRefused {
+			refused[entry.Revision] = true
 			finding.Looked++
 		}
 	}
 	for _, entry := range entries {
-		if (entry.Kind == EditionSeen || entry.Kind == EditionRead) && refused[entry.Edition] {
-			finding.Violate(fmt.Sprintf("%s shows edition %d, which was refused", entry.Router, entry.Edition))
+		if (entry.Kind == RevisionSeen || entry.Kind == RevisionRead) && refused[entry.Revision] {
+			finding.Violate(fmt.Sprintf("%s shows edition %d, which was refused", entry.Router, entry.Revision))
 		}
 	}
 	return finding
@@ -257,13 +257,13 @@
 	finding := Finding{Checker: "reads are never older than what was accepted"}
 	accepted := acceptances(entries)
 	for _, entry := range entries {
-		if entry.Kind != EditionRead {
+		if entry.Kind != RevisionRead {
 			continue
 		}
 		finding.Looked++
 		for _, acceptance := range accepted {
-			if acceptance.At.Before(entry.At.Add(-entry.Took)) && entry.Edition < acceptance.Edition {
-				finding.Violate(fmt.Sprintf("read edition %d, and %d was accepted %s earlier", entry.Edition, acceptance.Edition, entry.At.Sub(acceptance.At)))
+			if acceptance.At.Before(entry.At.Add(-entry.Took)) && entry.Revision < acceptance.Revision {
+				finding.Violate(fmt.Sprintf("read edition %d, and %d was accepted %s earlier", entry.Revision, acceptance.Revision, entry.At.Sub(acceptance.At)))
 			}
 		}
 	}
@@ -376,7 +376,7 @@
 		earlier, found := last[entry.Server]
 		last[entry.Server] = entry
 		if entry.Kind == CommandRefused {
-			finding.Violate(fmt.Sprintf("%s was commanded by %s under the old fence %d", entry.Server, entry.Holder, entry.Fence))
+			finding.Violate(fmt.Sprintf("%s was commanded by %s under the old fence %d", entry.Server, entry.Holder, entry.FencingToken))
 		}
 		if !found || earlier.Holder == entry.Holder {
 			continue
@@ -478,7 +478,7 @@
 		finding.Looked++
 		back := map[string]time.Duration{}
 		asked, sent := map[string]bool{}, map[string]int{}
-		editions := map[int]bool{}
+		revisions := map[int]bool{}
 		for _, later := range entries[position:] {
 			sort := fmt.Sprintf("%s at %s, repeatable %v", later.Service, later.Zone, later.Repeatable)
 			since := later.At.Sub(entry.At)
@@ -498,10 +498,10 @@
 						back[name] = since
 					}
 				}
-			case EditionAsked:
-				editions[later.Edition] = true
-			case EditionAccepted:
-				if _, found := back["a change"]; !found && editions[later.Edition] {
+			case RevisionAsked:
+				revisions[later.Revision] = true
+			case RevisionAccepted:
+				if _, found := back["a change"]; !found && revisions[later.Revision] {
 					back["a change"] = since
 				}
 			}
--- a/internal/testbed/fleet/day.go
+++ b/internal/testbed/fleet/day.go
@@ -23,7 +23,7 @@
 	Short     float64
 	random    *rand.Rand
 	log       io.Writer
-	edition   int
+	revision  int
 	mutex     sync.Mutex
 }
 
@@ -42,15 +42,15 @@
 
 // Open puts the first edition, so that there is a configuration.
 func (day *Day) Open() error {
-	if Await(15*time.Second, func() bool { return day.NextEdition() }) {
+	if Await(15*time.Second, func() bool { return day.NextRevision() }) {
 		return nil
 	}
 	return failure.New(failure.NoPrimary, "the first configuration was not accepted")
 }
 
-// NextEdition reads the configuration at any expediter and puts the next
+// NextRevision reads the configuration at any expediter and puts the next
 // edition over it; it tells whether that was accepted.
-func (day *Day) NextEdition() bool {
+func (day *Day) NextRevision() bool {
 	node := day.anyController()
 	if node == nil {
 		return false
@@ -59,14 +59,14 @@
 	if err != nil || current.Status != http.StatusOK {
 		return false
 	}
-	return day.Operators.PutEdition(node, day.takeEdition(), current).Outcome == "accepted"
+	return day.Operators.PutRevision(node, day.takeRevision(), current).Outcome == "accepted"
 }
 
-func (day *Day) takeEdition() int {
+func (day *Day) takeRevision() int {
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
-	day.edition++
-	return day.edition
+	day.revision++
+	return day.revision
 }
 
 func (day *Day) anyController() *NodeProcess {
@@ -130,23 +130,23 @@
 func (day *Day) EndOfDayRead() {
 	for _, node := range day.Fleet.Running(membership.Controller) {
 		Await(12*time.Second, func() bool {
-			_, edition := day.Operators.ReadEdition(node)
-			return edition >= 0
+			_, revision := day.Operators.ReadRevision(node)
+			return revision >= 0
 		})
 	}
 }
 
 func (day *Day) look(lifetime context.Context) {
 	for pauseFor(lifetime, 250*time.Millisecond) {
-		day.Operators.LookAtEditions()
+		day.Operators.LookAtRevisions()
 	}
 }
 
 func (day *Day) operate(lifetime context.Context) {
 	for pauseFor(lifetime, 2*time.Second) {
-		day.NextEdition()
+		day.NextRevision()
 		if node := day.anyController(); node != nil {
-			day.Operators.ReadEdition(node)
+			day.Operators.ReadRevision(node)
 		}
 	}
 }
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -96,14 +96,14 @@
 		}
 	}
 	third.Kill()
-	if !Await(10*time.Second, day.NextEdition) {
+	if !Await(10*time.Second, day.NextRevision) {
 		t.Fatal("no edition was accepted")
 	}
 	if err := third.Begin(); err != nil {
 		t.Fatal(err)
 	}
 	if !Await(15*time.Second, func() bool {
-		day.Operators.ReadEdition(primary)
+		day.Operators.ReadRevision(primary)
 		return third.Metric("seamloom_copy_number") >= primary.Metric("seamloom_copy_number")-3 && third.Metric("seamloom_copy_number") > 0
 	}) {
 		t.Errorf("the third copy is at %d, the primary at %d", third.Metric("seamloom_copy_number"), primary.Metric("seamloom_copy_number"))
@@ -125,7 +125,7 @@
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 31)
 	for _, fault := range named(t, "herd-couriers", "herd-expediters", "cold-start", "lose-zone") {
-		if !Await(10*time.Second, day.NextEdition) {
+		if !Await(10*time.Second, day.NextRevision) {
 			t.Fatalf("before %s: no edition was accepted", fault.Name)
 		}
 		verdict := day.Close(context.Background(), fault)
@@ -155,7 +155,7 @@
 	if !Await(20*time.Second, fleet.CoreIsWhole) {
 		t.Fatal("the new core is not whole")
 	}
-	if !Await(10*time.Second, day.NextEdition) {
+	if !Await(10*time.Second, day.NextRevision) {
 		t.Error("the new core takes no configuration")
 	}
 	router := fleet.Routers[0]
@@ -172,7 +172,7 @@
 func TestTasterAnswersEachCase(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 33)
-	before, _ := day.Operators.ReadEdition(fleet.Controllers[0])
+	before, _ := day.Operators.ReadRevision(fleet.Controllers[0])
 	folder := t.TempDir()
 	good := strings.Replace(fleet.Deployment.Configuration(7), `"routes":{`, `"evacuations":{},"routes":{`, 1)
 	taste := func(text string, arguments ...string) (int, report) {
@@ -214,7 +214,7 @@
 			t.Errorf("%s: exit %d, %+v", name, code, said)
 		}
 	}
-	if after, _ := day.Operators.ReadEdition(fleet.Controllers[2]); after.Version != before.Version {
+	if after, _ := day.Operators.ReadRevision(fleet.Controllers[2]); after.Version != before.Version {
 		t.Errorf("tasting changed the configuration: %s became %s", before.Version, after.Version)
 	}
 }
--- a/internal/testbed/fleet/entry.go
+++ b/internal/testbed/fleet/entry.go
@@ -20,21 +20,21 @@
 	Router  string `json:"courier,omitempty"`
 	Service string `json:"service,omitempty"`
 
-	Holder string `json:"holder,omitempty"`
-	Fence  uint64 `json:"fence,omitempty"`
-	Part   string `json:"part,omitempty"`
-	Cause  string `json:"cause,omitempty"`
+	Holder       string `json:"holder,omitempty"`
+	FencingToken uint64 `json:"fence,omitempty"`
+	Part         string `json:"part,omitempty"`
+	Cause        string `json:"cause,omitempty"`
 
-	Final   string        `json:"final,omitempty"`
-	Status  int           `json:"status,omitempty"`
-	Asked   int           `json:"asked,omitempty"`
-	Texts   []string      `json:"texts,omitempty"`
-	Chunks  int           `json:"pieces,omitempty"`
-	Took    time.Duration `json:"took,omitempty"`
-	Edition int           `json:"edition,omitempty"`
-	Depth   int           `json:"depth,omitempty"`
-	Age     time.Duration `json:"age,omitempty"`
-	Flags   []string      `json:"flags,omitempty"`
+	Final    string        `json:"final,omitempty"`
+	Status   int           `json:"status,omitempty"`
+	Asked    int           `json:"asked,omitempty"`
+	Texts    []string      `json:"texts,omitempty"`
+	Chunks   int           `json:"pieces,omitempty"`
+	Took     time.Duration `json:"took,omitempty"`
+	Revision int           `json:"edition,omitempty"`
+	Depth    int           `json:"depth,omitempty"`
+	Age      time.Duration `json:"age,omitempty"`
+	Flags    []string      `json:"flags,omitempty"`
 }
 
 func (entry Entry) arrivalName() string { return entry.Request + "@" + strconv.Itoa(entry.Arrival) }
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -174,7 +174,7 @@
 func powerLoss(lifetime context.Context, day *Day) {
 	backup := day.seat("backup")
 	primary := day.primary()
-	Await(8*time.Second, day.NextEdition)
+	Await(8*time.Second, day.NextRevision)
 	if primary == nil || backup == nil {
 		return
 	}
@@ -189,7 +189,7 @@
 // loseDisk takes the primary's whole disk right after an acceptance.
 func loseDisk(lifetime context.Context, day *Day) {
 	primary := day.primary()
-	Await(8*time.Second, day.NextEdition)
+	Await(8*time.Second, day.NextRevision)
 	if primary == nil {
 		return
 	}
@@ -574,7 +574,7 @@
 		})
 	}
 	for going() {
-		if day.NextEdition() {
+		if day.NextRevision() {
 			accepted.Add(1)
 		}
 	}
@@ -596,10 +596,10 @@
 		}
 		var racing sync.WaitGroup
 		for range 4 {
-			edition := day.takeEdition()
+			revision := day.takeRevision()
 			racing.Go(func() {
 				if node := day.anyController(); node != nil {
-					day.Operators.PutEdition(node, edition, current)
+					day.Operators.PutRevision(node, revision, current)
 				}
 			})
 		}
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -150,7 +150,7 @@
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 3)
 	for round := range 2 {
-		if !Await(15*time.Second, day.NextEdition) {
+		if !Await(15*time.Second, day.NextRevision) {
 			t.Fatalf("round %d: no edition was accepted", round)
 		}
 		primary := fleet.Primary()
--- a/internal/testbed/fleet/history_test.go
+++ b/internal/testbed/fleet/history_test.go
@@ -21,8 +21,8 @@
 
 // registerOutput is the edition that a read returned, or how a change ended.
 type registerOutput struct {
-	edition int
-	outcome string
+	revision int
+	outcome  string
 }
 
 // register is the configuration as one register with compare and set. A change
@@ -33,7 +33,7 @@
 		current, asked, answered := state.(int), input.(registerInput), output.(registerOutput)
 		switch {
 		case asked.read:
-			return answered.edition == current, current
+			return answered.revision == current, current
 		case answered.outcome == "accepted":
 			return current == asked.expected, asked.next
 		case answered.outcome == "conflict":
@@ -55,7 +55,7 @@
 	began := time.Now()
 	var mutex sync.Mutex
 	var history []porcupine.Operation
-	edition := 1
+	revision := 1
 	note := func(client int, asked registerInput, answered registerOutput, from, to time.Duration) {
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -64,8 +64,8 @@
 	fresh := func() int {
 		mutex.Lock()
 		defer mutex.Unlock()
-		edition++
-		return edition
+		revision++
+		return revision
 	}
 	never := time.Hour
 	var operators sync.WaitGroup
@@ -81,8 +81,8 @@
 					pauseFor(t.Context(), 50*time.Millisecond)
 					continue
 				}
-				seen := EditionOf(current.Configuration)
-				note(client, registerInput{read: true}, registerOutput{edition: seen}, from, time.Since(began))
+				seen := RevisionOf(current.Configuration)
+				note(client, registerInput{read: true}, registerOutput{revision: seen}, from, time.Since(began))
 				next := fresh()
 				from = time.Since(began)
 				query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
@@ -128,7 +128,7 @@
 	}
 	// The check itself can fail: a read of something long replaced is seen.
 	stale := append(append([]porcupine.Operation(nil), history...), porcupine.Operation{ClientId: 9, Input: registerInput{read: true},
-		Output: registerOutput{edition: 1}, Call: time.Since(began).Nanoseconds(), Return: time.Since(began).Nanoseconds() + 1})
+		Output: registerOutput{revision: 1}, Call: time.Since(began).Nanoseconds(), Return: time.Since(began).Nanoseconds() + 1})
 	if result := porcupine.CheckOperationsTimeout(register, stale, time.Minute); result == porcupine.Ok {
 		t.Error("porcupine does not see a stale read")
 	}
--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -73,7 +73,7 @@
 	if status, _, body := post(t, front, "/v1/inquiries", strings.Replace(once, id, old, 1)); status != 409 || !strings.Contains(body, "inquiry_too_old") {
 		t.Errorf("an id from years ago: %d %s", status, body)
 	}
-	before, edition := day.Operators.ReadEdition(fleet.Controllers[0])
+	before, revision := day.Operators.ReadRevision(fleet.Controllers[0])
 	for name, want := range map[string]struct {
 		method, body, expected string
 		status                 int
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	if after, still := day.Operators.ReadEdition(fleet.Controllers[1]); after.Version != before.Version || still != edition {
+	if after, still := day.Operators.ReadRevision(fleet.Controllers[1]); after.Version != before.Version || still != revision {
 		t.Errorf("refused changes took effect: %s became %s", before.Version, after.Version)
 	}
 	defer func() {
@@ -233,7 +233,7 @@
 			if argument == "VERSION" {
 				// The version before the first of the two sendings.
 				if expected == "" {
-					answer, _ := day.Operators.ReadEdition(fleet.Controllers[0])
+					answer, _ := day.Operators.ReadRevision(fleet.Controllers[0])
 					expected = answer.Version
 				}
 				step.arguments[position] = expected
--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -57,46 +57,46 @@
 	return answer, nil
 }
 
-// PutEdition puts the deployment's configuration of an edition over the current
+// PutRevision puts the deployment's configuration of an edition over the current
 // one, and notes how it was answered. The current edition's route goes and the
 // new one's comes; evacuations stay.
-func (operators *Operators) PutEdition(node *NodeProcess, edition int, current Answer) Answer {
-	operators.fleet.Book.Note(Entry{Kind: EditionAsked, Edition: edition, Router: node.Node.Name})
+func (operators *Operators) PutRevision(node *NodeProcess, revision int, current Answer) Answer {
+	operators.fleet.Book.Note(Entry{Kind: RevisionAsked, Revision: revision, Router: node.Node.Name})
 	query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
-	patch := operators.fleet.Deployment.Configuration(edition)
-	if before := EditionOf(current.Configuration); before > 0 {
+	patch := operators.fleet.Deployment.Configuration(revision)
+	if before := RevisionOf(current.Configuration); before > 0 {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{"edition-`+strconv.Itoa(before)+`":null,`, 1)
 	}
 	answer, err := operators.Call(node, http.MethodPatch, "/v1/configuration", query, patch)
-	entry := Entry{Kind: EditionUnknown, Edition: edition, Router: node.Node.Name, Status: answer.Status}
+	entry := Entry{Kind: RevisionUnknown, Revision: revision, Router: node.Node.Name, Status: answer.Status}
 	switch {
 	case err == nil && answer.Outcome == "accepted":
-		entry.Kind = EditionAccepted
+		entry.Kind = RevisionAccepted
 	case err == nil && answer.Outcome == "not_accepted":
-		entry.Kind = EditionRefused
+		entry.Kind = RevisionRefused
 	case err != nil && strings.Contains(err.Error(), "connection refused"):
-		entry.Kind = EditionRefused
+		entry.Kind = RevisionRefused
 	}
 	entry.Cause = answer.Version
 	operators.fleet.Book.Note(entry)
 	return answer
 }
 
-// ReadEdition reads the configuration, and notes which edition it is.
-func (operators *Operators) ReadEdition(node *NodeProcess) (Answer, int) {
+// ReadRevision reads the configuration, and notes which edition it is.
+func (operators *Operators) ReadRevision(node *NodeProcess) (Answer, int) {
 	began := time.Now()
 	answer, err := operators.Call(node, http.MethodGet, "/v1/configuration", nil, "")
 	if err != nil || answer.Status != http.StatusOK {
 		return answer, -1
 	}
-	edition := EditionOf(answer.Configuration)
+	revision := RevisionOf(answer.Configuration)
 	// The read is as old as its asking, for those who judge it.
-	operators.fleet.Book.Note(Entry{Kind: EditionRead, At: time.Now(), Edition: edition, Router: node.Node.Name, Took: time.Since(began)})
-	return answer, edition
+	operators.fleet.Book.Note(Entry{Kind: RevisionRead, At: time.Now(), Revision: revision, Router: node.Node.Name, Took: time.Since(began)})
+	return answer, revision
 }
 
-// EditionOf tells which edition a configuration is.
-func EditionOf(configuration []byte) int {
+// RevisionOf tells which edition a configuration is.
+func RevisionOf(configuration []byte) int {
 	var parsed struct {
 		Routes map[string]json.RawMessage `json:"routes"`
 	}
@@ -105,8 +105,8 @@
 	oldest := 0
 	for name := range parsed.Routes {
 		if number, found := strings.CutPrefix(name, "edition-"); found {
-			if edition, _ := strconv.Atoi(number); oldest == 0 || edition < oldest {
-				oldest = edition
+			if revision, _ := strconv.Atoi(number); oldest == 0 || revision < oldest {
+				oldest = revision
 			}
 		}
 	}
@@ -132,15 +132,15 @@
 	return err == nil && answer.Outcome == "accepted"
 }
 
-// LookAtEditions asks every running courier, as a caller, which edition is in
+// LookAtRevisions asks every running courier, as a caller, which edition is in
 // force there: the route that refuses the service "edition" is named by it.
-func (operators *Operators) LookAtEditions() {
+func (operators *Operators) LookAtRevisions() {
 	for _, node := range operators.fleet.Running(membership.Router) {
-		operators.lookAtEdition(node)
+		operators.lookAtRevision(node)
 	}
 }
 
-func (operators *Operators) lookAtEdition(node *NodeProcess) {
+func (operators *Operators) lookAtRevision(node *NodeProcess) {
 	began := time.Now()
 	body := `{"id":"` + uuid.NewString() + `","service":"edition","pieces":1,"prompt_tokens":1}`
 	inbound, err := probe.Post("http://"+node.Node.Address+"/v1/inquiries", "application/json", bytes.NewReader([]byte(body)))
@@ -155,7 +155,7 @@
 		return
 	}
 	if number, found := strings.CutPrefix(line.Detail, "edition-"); found {
-		edition, _ := strconv.Atoi(number)
-		operators.fleet.Book.Note(Entry{Kind: EditionSeen, Router: node.Node.Name, Edition: edition, Took: time.Since(began)})
+		revision, _ := strconv.Atoi(number)
+		operators.fleet.Book.Note(Entry{Kind: RevisionSeen, Router: node.Node.Name, Revision: revision, Took: time.Since(began)})
 	}
 }
--- a/internal/testbed/fleet/stovetop.go
+++ b/internal/testbed/fleet/stovetop.go
@@ -23,23 +23,23 @@
 	incarnation string
 	free        runtime.Cond
 
-	mutex       sync.Mutex
-	born        time.Time
-	part        string
-	fence       uint64
-	leaving     bool
-	dark        bool
-	slowLink    int
-	queue       []int
-	reading     bool
-	active      int
-	memory      int
-	handles     map[string]*promptMemory
-	prefixes    map[string]int
-	prefixOrder []string
-	runs        map[string]*Connection
-	taken       map[string]bool
-	dead        bool
+	mutex        sync.Mutex
+	born         time.Time
+	part         string
+	fencingToken uint64
+	leaving      bool
+	dark         bool
+	slowLink     int
+	queue        []int
+	reading      bool
+	active       int
+	memory       int
+	handles      map[string]*promptMemory
+	prefixes     map[string]int
+	prefixOrder  []string
+	runs         map[string]*Connection
+	taken        map[string]bool
+	dead         bool
 }
 
 type promptMemory struct {
@@ -421,14 +421,14 @@
 func (top *Stovetop) TakePart(order modelserver.PartOrder) (int, any) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
-	entry := Entry{Kind: Commanded, Server: top.plan.Name, Holder: order.Holder, Fence: order.Fence, Part: order.Part, Cause: order.Cause}
-	if order.Fence < top.fence {
+	entry := Entry{Kind: Commanded, Server: top.plan.Name, Holder: order.Holder, FencingToken: order.FencingToken, Part: order.Part, Cause: order.Cause}
+	if order.FencingToken < top.fencingToken {
 		entry.Kind = CommandRefused
 		top.book.Note(entry)
 		return http.StatusConflict, Refusal{Type: "old_fence"}
 	}
 	top.book.Note(entry)
-	top.fence = order.Fence
+	top.fencingToken = order.FencingToken
 	top.part = order.Part
 	return http.StatusOK, map[string]string{"part": top.part}
 }
--- a/internal/testbed/replay/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -15,7 +15,7 @@
 }{
 	{"MIXED answers", checkMixed}, {"MIXED handles", checkHandles}, {"UNASKED", checkUnasked}, {"TWICE", checkTwice}, {"REFUSED", checkRefused}, {"DENIED", checkDenied}, {"ROUTE", checkRoute},
 	{"DRAIN servers", checkDrain}, {"DRAIN readiness", checkUnready}, {"LOST", checkLost}, {"CONFIG applied", checkApplied}, {"CONFIG later routes", checkLaterRoutes}, {"CONFIG back", checkBack},
-	{"CONFIG refused", checkRefusedEditions}, {"CONFIG acknowledged", checkAcknowledged}, {"CONFIG read back", checkReadBack}, {"CONFIG held", checkHeld},
+	{"CONFIG refused", checkRefusedVersions}, {"CONFIG acknowledged", checkAcknowledged}, {"CONFIG read back", checkReadBack}, {"CONFIG held", checkHeld},
 	{"BUDGET", checkBudget}, {"BUDGET servers", checkServers}, {"BUDGET deadline", checkDeadlines}, {"ORDER", checkOrder}, {"FAILBACK", checkFailback}, {"EVAC", checkEvacuated},
 	{"RECOVER", checkRecover}, {"ONE", checkOne}, {"GONE", checkGone}, {"ACKS", checkAcks}, {"ENDED", checkEnded},
 }
@@ -137,10 +137,10 @@
 		if status/100 != 3 && status/100 != 4 || promised(status) || seen.ended.Seal != "" {
 			continue
 		}
-		always, ever := true, len(record.editions) > 0
-		for _, edition := range record.editions {
-			_, found := edition.Routes[seen.sent.Route]
-			if edition.mayHold(seen.ended.At) && !record.outdated(edition, seen.sent.At) {
+		always, ever := true, len(record.versions) > 0
+		for _, version := range record.versions {
+			_, found := version.Routes[seen.sent.Route]
+			if version.mayHold(seen.ended.At) && !record.outdated(version, seen.sent.At) {
 				always = always && found
 			}
 			ever = ever && found
@@ -160,9 +160,9 @@
 }
 
 // outdated tells whether a newer edition than this one was in force for long enough.
-func (record *record) outdated(edition *editionSeen, at time.Time) bool {
-	return slices.ContainsFunc(record.editions, func(newer *editionSeen) bool {
-		return newer.Revision > edition.Revision && newer.outcome == acknowledged && newer.closed.Add(record.terms.Apply).Before(at)
+func (record *record) outdated(version *versionSeen, at time.Time) bool {
+	return slices.ContainsFunc(record.versions, func(newer *versionSeen) bool {
+		return newer.Revision > version.Revision && newer.outcome == acknowledged && newer.closed.Add(record.terms.Apply).Before(at)
 	})
 }
 
@@ -173,7 +173,7 @@
 			continue
 		}
 		finding.Looked++
-		if !slices.ContainsFunc(record.editions, handling.fits) {
+		if !slices.ContainsFunc(record.versions, handling.fits) {
 			finding.Violate(fmt.Sprintf("%s on %s ran at the service %s", handling.try.sent.Try, handling.route, handling.service))
 		}
 	}
--- a/internal/testbed/replay/checkers_test.go
+++ b/internal/testbed/replay/checkers_test.go
@@ -13,16 +13,16 @@
 	return day.start.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-func (day seeded) edition(revision int, routes ...string) *Edition {
-	edition := &Edition{Revision: revision, Routes: map[string]RouteRule{}}
+func (day seeded) version(revision int, routes ...string) *Version {
+	version := &Version{Revision: revision, Routes: map[string]RouteRule{}}
 	for _, route := range routes {
 		service := "desk"
 		if route == "r-verdict" && revision >= 7 {
 			service = "annexe"
 		}
-		edition.Routes[route] = RouteRule{Class: "chat", Deadline: 3000, Services: map[string]int{service: 1}}
+		version.Routes[route] = RouteRule{Class: "chat", Deadline: 3000, Services: map[string]int{service: 1}}
 	}
-	return edition
+	return version
 }
 
 // call is a request that is read at one server, runs at another, and is answered whole.
@@ -45,16 +45,16 @@
 	events := []Event{
 		{At: day.at(0), Kind: MachineUp, Machine: "edge-1", Core: true}, {At: day.at(0), Kind: MachineUp, Machine: "edge-2"},
 		{At: day.at(0), Kind: MachineUp, Machine: "edge-3"},
-		{At: day.at(10), Kind: ChangeSent, Change: "a", Revision: 3, Edition: day.edition(3, "r-chat", "r-verdict")},
-		{At: day.at(20), Kind: ChangeClosed, Change: "a", Revision: 3, Cause: string(acknowledged), Edition: day.edition(3, "r-chat", "r-verdict")},
-		{At: day.at(11_000), Kind: ChangeSent, Change: "b", Revision: 5, Base: 3, Edition: day.edition(5, "r-chat", "r-verdict", "r-late-1")},
+		{At: day.at(10), Kind: ChangeSent, Change: "a", Revision: 3, Version: day.version(3, "r-chat", "r-verdict")},
+		{At: day.at(20), Kind: ChangeClosed, Change: "a", Revision: 3, Cause: string(acknowledged), Version: day.version(3, "r-chat", "r-verdict")},
+		{At: day.at(11_000), Kind: ChangeSent, Change: "b", Revision: 5, Base: 3, Version: day.version(5, "r-chat", "r-verdict", "r-late-1")},
 		{At: day.at(11_020), Kind: ChangeClosed, Change: "b", Revision: 5, Base: 3, Cause: string(acknowledged)},
-		{At: day.at(12_000), Kind: ChangeSent, Change: "c", Revision: 6, Base: 5, Edition: day.edition(6, "r-chat", "r-verdict", "r-lost")},
+		{At: day.at(12_000), Kind: ChangeSent, Change: "c", Revision: 6, Base: 5, Version: day.version(6, "r-chat", "r-verdict", "r-lost")},
 		{At: day.at(12_020), Kind: ChangeClosed, Change: "c", Revision: 6, Base: 5, Cause: string(refused)},
 		{At: day.at(20_000), Kind: Shown, Server: "i-old", Cause: stateDraining},
 		{At: day.at(20_000), Kind: EvacuateSent, Zone: "mill-hall"}, {At: day.at(20_010), Kind: Evacuated, Zone: "mill-hall"},
-		{At: day.at(21_000), Kind: Ordered, Server: "i-read", Owner: "edge-1", Fence: 4, Status: 202},
-		{At: day.at(25_000), Kind: Ordered, Server: "i-read", Owner: "edge-3", Fence: 5, Status: 202},
+		{At: day.at(21_000), Kind: Ordered, Server: "i-read", Owner: "edge-1", FencingToken: 4, Status: 202},
+		{At: day.at(25_000), Kind: Ordered, Server: "i-read", Owner: "edge-3", FencingToken: 5, Status: 202},
 		{At: day.at(90_000), Kind: ReadBack, Revision: 5, Complete: true},
 	}
 	events = append(events, day.call("one", 10_000, "r-chat", "desk", false)...)
@@ -107,7 +107,7 @@
 		}),
 			Event{At: day.at(29_900), Kind: MachineTerm, Machine: "edge-2", Planned: true}),
 		"CONFIG applied": append(day.call("four", 30_000, "r-verdict", "desk", false),
-			Event{At: day.at(25_000), Kind: ChangeSent, Change: "d", Revision: 7, Base: 5, Edition: day.edition(7, "r-chat", "r-verdict", "r-late-1")},
+			Event{At: day.at(25_000), Kind: ChangeSent, Change: "d", Revision: 7, Base: 5, Version: day.version(7, "r-chat", "r-verdict", "r-late-1")},
 			Event{At: day.at(25_010), Kind: ChangeClosed, Change: "d", Revision: 7, Base: 5, Cause: string(acknowledged)}, Event{At: day.at(90_001), Kind: ReadBack, Revision: 7, Complete: true}),
 		"CONFIG later routes": repeated(25, func(number int) []Event {
 			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-late-1", "desk", true)
@@ -115,10 +115,10 @@
 			return events
 		}),
 		"CONFIG back": append(append(day.call("four", 25_200, "r-verdict", "annexe", false), day.call("five", 25_800, "r-verdict", "desk", false)...),
-			Event{At: day.at(25_000), Kind: ChangeSent, Change: "d", Revision: 7, Base: 5, Edition: day.edition(7, "r-chat", "r-verdict", "r-late-1")},
+			Event{At: day.at(25_000), Kind: ChangeSent, Change: "d", Revision: 7, Base: 5, Version: day.version(7, "r-chat", "r-verdict", "r-late-1")},
 			Event{At: day.at(25_700), Kind: ChangeClosed, Change: "d", Revision: 7, Base: 5, Cause: string(acknowledged)}, Event{At: day.at(90_001), Kind: ReadBack, Revision: 7, Complete: true}),
 		"CONFIG refused": day.call("four", 30_000, "r-lost", "desk", false),
-		"CONFIG acknowledged": {{At: day.at(13_000), Kind: ChangeSent, Change: "d", Revision: 8, Base: 3, Edition: day.edition(8, "r-chat", "r-verdict", "r-late-1")},
+		"CONFIG acknowledged": {{At: day.at(13_000), Kind: ChangeSent, Change: "d", Revision: 8, Base: 3, Version: day.version(8, "r-chat", "r-verdict", "r-late-1")},
 			{At: day.at(13_020), Kind: ChangeClosed, Change: "d", Revision: 8, Base: 3, Cause: string(acknowledged)}},
 		"CONFIG read back": {{At: day.at(90_010), Kind: ReadBack, Revision: 3, Complete: true}},
 		"CONFIG held": repeated(9, func(number int) []Event {
@@ -152,7 +152,7 @@
 			events[7].Status, events[7].Seal, events[7].Spans = 504, "", nil
 			return events
 		}), Event{At: day.at(40_000), Kind: ClosingFault}, Event{At: day.at(41_000), Kind: ClosingBack}),
-		"ONE": {{At: day.at(26_000), Kind: Ordered, Server: "i-read", Owner: "edge-1", Fence: 6, Status: 202}},
+		"ONE": {{At: day.at(26_000), Kind: Ordered, Server: "i-read", Owner: "edge-1", FencingToken: 6, Status: 202}},
 		"GONE": repeated(8, func(number int) []Event {
 			name := "four-" + strconv.Itoa(number)
 			events := day.call(name, 30_000+number, "r-chat", "desk", true)
@@ -160,7 +160,7 @@
 			events[6].At = events[7].At.Add(time.Second)
 			return events
 		}),
-		"ACKS": {{At: day.at(30_000), Kind: ChangeSent, Change: "d", Revision: 8, Base: 5, Edition: day.edition(5, "r-chat", "r-verdict", "r-late-1")},
+		"ACKS": {{At: day.at(30_000), Kind: ChangeSent, Change: "d", Revision: 8, Base: 5, Version: day.version(5, "r-chat", "r-verdict", "r-late-1")},
 			{At: day.at(36_000), Kind: ChangeClosed, Change: "d", Revision: 8, Base: 5, Cause: string(unclear)}},
 		"DENIED": repeated(7, func(number int) []Event {
 			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
--- a/internal/testbed/replay/command.go
+++ b/internal/testbed/replay/command.go
@@ -8,11 +8,11 @@
 
 // command is an order to a server, as its caller writes it.
 type command struct {
-	Kind     string  `json:"opKind"`
-	Phase    string  `json:"phase"`
-	Owner    string  `json:"owner"`
-	Fence    *uint64 `json:"fenceToken"`
-	Expected *int    `json:"expectedCount"`
+	Kind         string  `json:"opKind"`
+	Phase        string  `json:"phase"`
+	Owner        string  `json:"owner"`
+	FencingToken *uint64 `json:"fenceToken"`
+	Expected     *int    `json:"expectedCount"`
 }
 
 // takeOrder takes an order up, or says why not.
@@ -20,8 +20,8 @@
 	var asked command
 	err := json.NewDecoder(inbound.Body).Decode(&asked)
 	event := Event{Kind: Ordered, Server: server.ID, Service: server.Service, Zone: server.Zone, Owner: asked.Owner, Stage: asked.Phase}
-	if asked.Fence != nil {
-		event.Fence = *asked.Fence
+	if asked.FencingToken != nil {
+		event.FencingToken = *asked.FencingToken
 	}
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -29,7 +29,7 @@
 	switch {
 	case target != "" && target != server.ID:
 		event.Status = http.StatusMisdirectedRequest
-	case err != nil, asked.Owner == "", asked.Fence == nil, asked.Kind != "phase", asked.Phase != stagePrefill && asked.Phase != stageDecode:
+	case err != nil, asked.Owner == "", asked.FencingToken == nil, asked.Kind != "phase", asked.Phase != stagePrefill && asked.Phase != stageDecode:
 		event.Status = http.StatusBadRequest
 	case asked.Expected != nil && *asked.Expected != server.orders, server.turning:
 		event.Status = http.StatusConflict
--- a/internal/testbed/replay/configcheckers.go
+++ b/internal/testbed/replay/configcheckers.go
@@ -17,9 +17,9 @@
 			continue
 		}
 		due := 0
-		for _, edition := range record.editions {
-			if edition.outcome == acknowledged && !edition.invalid && edition.closed.Add(record.terms.Apply).Before(handling.sent) {
-				due = max(due, edition.Revision)
+		for _, version := range record.versions {
+			if version.outcome == acknowledged && !version.invalid && version.closed.Add(record.terms.Apply).Before(handling.sent) {
+				due = max(due, version.Revision)
 			}
 		}
 		finding.Looked++
@@ -41,9 +41,9 @@
 		}
 		later := strings.HasPrefix(seen.sent.Route, "r-late-") || strings.HasPrefix(seen.sent.Route, "r-many-")
 		if later {
-			held := slices.ContainsFunc(record.editions, func(edition *editionSeen) bool {
-				_, found := edition.Routes[seen.sent.Route]
-				return found && edition.outcome == acknowledged && edition.closed.Add(record.terms.Apply).Before(seen.sent.At) && !record.outdated(edition, seen.ended.At.Add(record.terms.Apply))
+			held := slices.ContainsFunc(record.versions, func(version *versionSeen) bool {
+				_, found := version.Routes[seen.sent.Route]
+				return found && version.outcome == acknowledged && version.closed.Add(record.terms.Apply).Before(seen.sent.At) && !record.outdated(version, seen.ended.At.Add(record.terms.Apply))
 			})
 			if !held {
 				continue
@@ -91,8 +91,8 @@
 	}
 }
 
-// checkRefusedEditions: what was refused, lost its race or is invalid takes no effect.
-func checkRefusedEditions(record *record, finding *fleet.Finding) {
+// checkRefusedVersions: what was refused, lost its race or is invalid takes no effect.
+func checkRefusedVersions(record *record, finding *fleet.Finding) {
 	for _, handling := range record.handlings() {
 		if handling.service == "" {
 			continue
@@ -101,9 +101,9 @@
 		if _, _, found := record.span(handling); found {
 			continue
 		}
-		for _, edition := range record.editions {
-			if !edition.sent.After(handling.at) && handling.fits(edition) {
-				finding.Violate(fmt.Sprintf("%s ran %s on %s, which only version %d (%s) allows", handling.machine, handling.try.sent.Try, handling.route, edition.Revision, edition.outcome))
+		for _, version := range record.versions {
+			if !version.sent.After(handling.at) && handling.fits(version) {
+				finding.Violate(fmt.Sprintf("%s ran %s on %s, which only version %d (%s) allows", handling.machine, handling.try.sent.Try, handling.route, version.Revision, version.outcome))
 				break
 			}
 		}
@@ -114,19 +114,19 @@
 // no invalid one is.
 func checkAcknowledged(record *record, finding *fleet.Finding) {
 	bases := map[int]int{}
-	for _, edition := range record.editions {
+	for _, version := range record.versions {
 		finding.Looked++
-		if edition.outcome != acknowledged {
+		if version.outcome != acknowledged {
 			continue
 		}
-		if edition.invalid {
-			finding.Violate(fmt.Sprintf("the invalid version %d was acknowledged", edition.Revision))
+		if version.invalid {
+			finding.Violate(fmt.Sprintf("the invalid version %d was acknowledged", version.Revision))
 			continue
 		}
-		if other, twice := bases[edition.base]; twice && other != edition.Revision {
-			finding.Violate(fmt.Sprintf("versions %d and %d on top of %d were both acknowledged", other, edition.Revision, edition.base))
+		if other, twice := bases[version.base]; twice && other != version.Revision {
+			finding.Violate(fmt.Sprintf("versions %d and %d on top of %d were both acknowledged", other, version.Revision, version.base))
 		}
-		bases[edition.base] = edition.Revision
+		bases[version.base] = version.Revision
 	}
 }
 
@@ -134,9 +134,9 @@
 // a newer one, and says what was sent under its number.
 func checkReadBack(record *record, finding *fleet.Finding) {
 	newest := 0
-	for _, edition := range record.editions {
-		if edition.outcome == acknowledged && !edition.invalid {
-			newest = max(newest, edition.Revision)
+	for _, version := range record.versions {
+		if version.outcome == acknowledged && !version.invalid {
+			newest = max(newest, version.Revision)
 		}
 	}
 	for _, event := range record.events {
@@ -160,9 +160,9 @@
 	long, late := 0, 0
 	for _, seen := range record.order {
 		longest := time.Duration(0)
-		for _, edition := range record.editions {
-			if edition.mayHold(seen.ended.At) && !record.outdated(edition, seen.sent.At) {
-				longest = max(longest, edition.deadlineOf(seen.sent.Route))
+		for _, version := range record.versions {
+			if version.mayHold(seen.ended.At) && !record.outdated(version, seen.sent.At) {
+				longest = max(longest, version.deadlineOf(seen.sent.Route))
 			}
 		}
 		lasted := seen.ended.At.Sub(seen.sent.At)
@@ -201,9 +201,9 @@
 		}
 		worst = max(worst, closed.Sub(sent))
 	}
-	for _, edition := range record.editions {
-		if !edition.invalid && edition.outcome != refused && !edition.closed.IsZero() {
-			judge(fmt.Sprintf("version %d", edition.Revision), edition.sent, edition.closed, len(edition.Routes))
+	for _, version := range record.versions {
+		if !version.invalid && version.outcome != refused && !version.closed.IsZero() {
+			judge(fmt.Sprintf("version %d", version.Revision), version.sent, version.closed, len(version.Routes))
 		}
 	}
 	for _, event := range record.events {
--- a/internal/testbed/replay/day.go
+++ b/internal/testbed/replay/day.go
@@ -154,8 +154,8 @@
 	began := time.Now()
 	waiting, end := context.WithTimeout(day.lifetime, patience)
 	defer end()
-	first := FirstEdition(day.Site)
-	if given := day.Operators.propose(waiting, Edition{}, first, false, false, nil); given.outcome != acknowledged {
+	first := FirstVersion(day.Site)
+	if given := day.Operators.propose(waiting, Version{}, first, false, false, nil); given.outcome != acknowledged {
 		return failure.New(failure.Unreachable, fmt.Sprintf("the first configuration was never acknowledged: %s %d", given.outcome, given.status))
 	}
 	taken := time.Since(began)
--- a/internal/testbed/replay/edition.go
+++ b/internal/testbed/replay/edition.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Edition is one version of the configuration, as an operator holds it.
-type Edition struct {
+// Version is one version of the configuration, as an operator holds it.
+type Version struct {
 	Revision int                  `json:"revision"`
 	Routes   map[string]RouteRule `json:"routes"`
 }
@@ -28,19 +28,19 @@
 // idleRoutes is how many routes without traffic of their own an edition begins with.
 const idleRoutes = 6
 
-// FirstEdition is the configuration that a day begins with: a route for each kind of
+// FirstVersion is the configuration that a day begins with: a route for each kind of
 // request, and some without traffic.
-func FirstEdition(site Site) Edition {
-	edition := Edition{Revision: 3, Routes: map[string]RouteRule{}}
+func FirstVersion(site Site) Version {
+	version := Version{Revision: 3, Routes: map[string]RouteRule{}}
 	for _, class := range site.Classes {
-		edition.Routes["r-"+class.Name] = RouteRule{Host: class.Name + ".example", Prefix: "/" + class.Name + "/", Class: class.Name,
+		version.Routes["r-"+class.Name] = RouteRule{Host: class.Name + ".example", Prefix: "/" + class.Name + "/", Class: class.Name,
 			Deadline: int(class.Deadline.Milliseconds()), Services: map[string]int{class.Service: 1}}
 	}
 	for number := range idleRoutes {
 		name, rule := idleRule(site, "r-idle-"+strconv.Itoa(number))
-		edition.Routes[name] = rule
+		version.Routes[name] = rule
 	}
-	return edition
+	return version
 }
 
 // idleRule is a route that only the kit's probes use.
@@ -50,32 +50,32 @@
 }
 
 // Next copies an edition under another number.
-func (edition Edition) Next(revision int) Edition {
-	routes := make(map[string]RouteRule, len(edition.Routes))
-	for name, rule := range edition.Routes {
+func (version Version) Next(revision int) Version {
+	routes := make(map[string]RouteRule, len(version.Routes))
+	for name, rule := range version.Routes {
 		rule.Services = maps.Clone(rule.Services)
 		routes[name] = rule
 	}
-	return Edition{Revision: revision, Routes: routes}
+	return Version{Revision: revision, Routes: routes}
 }
 
 // Allows tells whether a request on a route may go to a service.
-func (edition Edition) Allows(route, service string) bool {
-	return edition.Routes[route].Services[service] > 0
+func (version Version) Allows(route, service string) bool {
+	return version.Routes[route].Services[service] > 0
 }
 
 // page writes the edition as operators send it.
-func (edition Edition) page(site Site) map[string]any {
+func (version Version) page(site Site) map[string]any {
 	return map[string]any{
-		"revision": edition.Revision, "routes": edition.routePages(site, slices.Sorted(maps.Keys(edition.Routes))), "backends": servicePages(site),
+		"revision": version.Revision, "routes": version.routePages(site, slices.Sorted(maps.Keys(version.Routes))), "backends": servicePages(site),
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 4 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
 	}
 }
 
-func (edition Edition) routePages(site Site, names []string) []any {
+func (version Version) routePages(site Site, names []string) []any {
 	pages := []any{}
 	for _, name := range names {
-		rule := edition.Routes[name]
+		rule := version.Routes[name]
 		class := site.classOf(rule.Class)
 		page := map[string]any{
 			"name": name, "host": rule.Host, "pathPrefix": rule.Prefix, "routeKind": "streaming", "deadlineMs": rule.Deadline,
@@ -122,14 +122,14 @@
 }
 
 // amendment is what turns one edition into the next, as operators send it by name.
-func (edition Edition) amendment(site Site, next Edition) map[string]any {
+func (version Version) amendment(site Site, next Version) map[string]any {
 	var changed, removed []string
 	for name, rule := range next.Routes {
-		if before, found := edition.Routes[name]; !found || !reflect.DeepEqual(before, rule) {
+		if before, found := version.Routes[name]; !found || !reflect.DeepEqual(before, rule) {
 			changed = append(changed, name)
 		}
 	}
-	for name := range edition.Routes {
+	for name := range version.Routes {
 		if _, found := next.Routes[name]; !found {
 			removed = append(removed, name)
 		}
@@ -173,6 +173,6 @@
 }
 
 // deadlineOf is how long an edition's route may be held.
-func (edition Edition) deadlineOf(route string) time.Duration {
-	return time.Duration(edition.Routes[route].Deadline) * time.Millisecond
+func (version Version) deadlineOf(route string) time.Duration {
+	return time.Duration(version.Routes[route].Deadline) * time.Millisecond
 }
--- a/internal/testbed/replay/event.go
+++ b/internal/testbed/replay/event.go
@@ -35,20 +35,20 @@
 	Spans  []Span  `json:"spans,omitempty"`
 	Stall  float64 `json:"stall,omitempty"`
 
-	Server  string `json:"server,omitempty"`
-	Service string `json:"service,omitempty"`
-	Stage   string `json:"stage,omitempty"`
-	Handle  string `json:"handle,omitempty"`
-	Tokens  int    `json:"tokens,omitempty"`
-	Cold    bool   `json:"cold,omitempty"`
-	Owner   string `json:"owner,omitempty"`
-	Fence   uint64 `json:"fence,omitempty"`
+	Server       string `json:"server,omitempty"`
+	Service      string `json:"service,omitempty"`
+	Stage        string `json:"stage,omitempty"`
+	Handle       string `json:"handle,omitempty"`
+	Tokens       int    `json:"tokens,omitempty"`
+	Cold         bool   `json:"cold,omitempty"`
+	Owner        string `json:"owner,omitempty"`
+	FencingToken uint64 `json:"fence,omitempty"`
 
 	Change   string   `json:"change,omitempty"`
 	Revision int      `json:"revision,omitempty"`
 	Base     int      `json:"base,omitempty"`
 	Invalid  bool     `json:"invalid,omitempty"`
-	Edition  *Edition `json:"edition,omitempty"`
+	Version  *Version `json:"edition,omitempty"`
 
 	Core    bool `json:"core,omitempty"`
 	Planned bool `json:"planned,omitempty"`
--- a/internal/testbed/replay/faults.go
+++ b/internal/testbed/replay/faults.go
@@ -418,7 +418,7 @@
 }
 
 // alter makes the changes of one sort to a draft.
-func (day *Day) alter(next *Edition, how string) {
+func (day *Day) alter(next *Version, how string) {
 	class := day.Site.Classes[0]
 	busy := "r-" + class.Name
 	rule := next.Routes[busy]
@@ -507,34 +507,34 @@
 }
 
 // spoilers make a configuration invalid, each in its way.
-var spoilers = map[string]func(page map[string]any, base Edition) []byte{
-	"cut_short": func(page map[string]any, _ Edition) []byte {
+var spoilers = map[string]func(page map[string]any, base Version) []byte{
+	"cut_short": func(page map[string]any, _ Version) []byte {
 		text, _ := json.Marshal(page)
 		return text[:len(text)*2/3]
 	},
-	"unknown_service": func(page map[string]any, _ Edition) []byte {
+	"unknown_service": func(page map[string]any, _ Version) []byte {
 		first(page)["backend"] = "nowhere"
 		delete(first(page), "split")
 		return encoded(page)
 	},
-	"same_place": func(page map[string]any, _ Edition) []byte {
+	"same_place": func(page map[string]any, _ Version) []byte {
 		routes, _ := page["routes"].([]any)
 		twin := maps.Clone(first(page))
 		twin["name"] = "r-twin"
 		page["routes"] = append(routes, twin)
 		return encoded(page)
 	},
-	"no_weight": func(page map[string]any, _ Edition) []byte {
+	"no_weight": func(page map[string]any, _ Version) []byte {
 		route := first(page)
 		route["split"] = []any{map[string]any{"backend": route["backend"], "weight": 0}}
 		delete(route, "backend")
 		return encoded(page)
 	},
-	"no_timeout": func(page map[string]any, _ Edition) []byte {
+	"no_timeout": func(page map[string]any, _ Version) []byte {
 		first(page)["deadlineMs"] = 0
 		return encoded(page)
 	},
-	"old_version": func(page map[string]any, base Edition) []byte {
+	"old_version": func(page map[string]any, base Version) []byte {
 		page["revision"] = base.Revision
 		return encoded(page)
 	},
--- a/internal/testbed/replay/operators.go
+++ b/internal/testbed/replay/operators.go
@@ -24,15 +24,15 @@
 	// editions are all that were ever sent, by their revision; current is the newest that
 	// is known to be in force.
 	sent     map[int]map[string]any
-	editions map[int]Edition
-	current  Edition
+	versions map[int]Version
+	current  Version
 	numbers  int
 	// watched are the routes that probes ask for.
 	watched map[string]RouteRule
 }
 
 func newOperators(day *Day, seed uint64) *Operators {
-	return &Operators{day: day, random: rand.New(rand.NewPCG(seed, 11)), sent: map[int]map[string]any{}, editions: map[int]Edition{}, watched: map[string]RouteRule{},
+	return &Operators{day: day, random: rand.New(rand.NewPCG(seed, 11)), sent: map[int]map[string]any{}, versions: map[int]Version{}, watched: map[string]RouteRule{},
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: follow}}
 }
 
@@ -134,14 +134,14 @@
 }
 
 // known is the edition that the operators believe to be in force.
-func (operators *Operators) known() Edition {
+func (operators *Operators) known() Version {
 	operators.mutex.Lock()
 	defer operators.mutex.Unlock()
 	return operators.current
 }
 
 // draft makes the next edition over another, with a number of its own.
-func (operators *Operators) draft(base Edition) Edition {
+func (operators *Operators) draft(base Version) Version {
 	operators.mutex.Lock()
 	defer operators.mutex.Unlock()
 	operators.numbers = max(operators.numbers, base.Revision) + 1 + operators.random.IntN(3)
@@ -166,11 +166,11 @@
 }
 
 // propose sends an edition over another until it has a clear answer.
-func (operators *Operators) propose(lifetime context.Context, base, next Edition, amends, invalid bool, spoil func(page map[string]any) []byte) answer {
+func (operators *Operators) propose(lifetime context.Context, base, next Version, amends, invalid bool, spoil func(page map[string]any) []byte) answer {
 	page := next.page(operators.day.Site)
 	operators.mutex.Lock()
 	if !invalid {
-		operators.sent[next.Revision], operators.editions[next.Revision] = page, next
+		operators.sent[next.Revision], operators.versions[next.Revision] = page, next
 	}
 	operators.mutex.Unlock()
 	path, text := pathReplace, page
@@ -182,10 +182,10 @@
 		body = spoil(text)
 	}
 	change := uuid.NewString()[:8]
-	operators.day.Book.Note(Event{Kind: ChangeSent, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Edition: &next})
+	operators.day.Book.Note(Event{Kind: ChangeSent, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Version: &next})
 	header := http.Header{headerBase: {strconv.Itoa(base.Revision)}, "Content-Type": {"application/json"}}
 	given := operators.call(lifetime, http.MethodPost, path, header, body)
-	operators.day.Book.Note(Event{Kind: ChangeClosed, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Status: given.status, Cause: string(given.outcome), Edition: &next})
+	operators.day.Book.Note(Event{Kind: ChangeClosed, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Status: given.status, Cause: string(given.outcome), Version: &next})
 	if given.outcome == acknowledged && !invalid {
 		operators.mutex.Lock()
 		if next.Revision > operators.current.Revision {
@@ -214,8 +214,8 @@
 	revision, _, came := operators.read(lifetime)
 	operators.mutex.Lock()
 	defer operators.mutex.Unlock()
-	if edition, known := operators.editions[revision]; came && known {
-		operators.current = edition
+	if version, known := operators.versions[revision]; came && known {
+		operators.current = version
 	}
 }
 
--- a/internal/testbed/replay/record.go
+++ b/internal/testbed/replay/record.go
@@ -14,7 +14,7 @@
 	tries    map[string]*trySeen
 	order    []*trySeen
 	requests map[string][]*trySeen
-	editions []*editionSeen
+	versions []*versionSeen
 	shown    map[string]time.Time
 }
 
@@ -30,9 +30,9 @@
 	ends     []Event
 }
 
-// editionSeen is an edition and how its proposal went.
-type editionSeen struct {
-	Edition
+// versionSeen is an edition and how its proposal went.
+type versionSeen struct {
+	Version
 	change  string
 	base    int
 	invalid bool
@@ -43,7 +43,7 @@
 
 func newRecord(events []Event, site Site) *record {
 	record := &record{events: events, site: site, terms: site.Terms, contact: newContact(events, site.Terms.Contact), tries: map[string]*trySeen{}, requests: map[string][]*trySeen{}, shown: map[string]time.Time{}}
-	changes := map[string]*editionSeen{}
+	changes := map[string]*versionSeen{}
 	for _, event := range events {
 		seen := record.tries[event.Try]
 		if event.Kind == TrySent {
@@ -54,8 +54,8 @@
 		}
 		switch event.Kind {
 		case ChangeSent:
-			changes[event.Change] = &editionSeen{Edition: *event.Edition, change: event.Change, base: event.Base, invalid: event.Invalid, sent: event.At, outcome: unclear}
-			record.editions = append(record.editions, changes[event.Change])
+			changes[event.Change] = &versionSeen{Version: *event.Version, change: event.Change, base: event.Base, invalid: event.Invalid, sent: event.At, outcome: unclear}
+			record.versions = append(record.versions, changes[event.Change])
 		case ChangeClosed:
 			if change := changes[event.Change]; change != nil {
 				change.closed, change.outcome = event.At, outcome(event.Cause)
@@ -83,13 +83,13 @@
 			seen.reads = append(seen.reads, event)
 		}
 	}
-	sort.SliceStable(record.editions, func(left, right int) bool { return record.editions[left].Revision < record.editions[right].Revision })
+	sort.SliceStable(record.versions, func(left, right int) bool { return record.versions[left].Revision < record.versions[right].Revision })
 	return record
 }
 
 // mayHold tells whether an edition may be in force by a moment.
-func (edition *editionSeen) mayHold(by time.Time) bool {
-	return !edition.invalid && edition.outcome != refused && !edition.sent.After(by)
+func (version *versionSeen) mayHold(by time.Time) bool {
+	return !version.invalid && version.outcome != refused && !version.sent.After(by)
 }
 
 // promised tells whether the answer promises that the request never runs.
@@ -125,23 +125,23 @@
 }
 
 // fits tells whether an edition would have a request handled like that.
-func (handling handling) fits(edition *editionSeen) bool {
+func (handling handling) fits(version *versionSeen) bool {
 	if handling.service == "" {
-		_, found := edition.Routes[handling.route]
+		_, found := version.Routes[handling.route]
 		return !found
 	}
-	return edition.Allows(handling.route, handling.service)
+	return version.Allows(handling.route, handling.service)
 }
 
 // span is the oldest and the newest edition that a handling fits, among those that may be
 // in force by then.
 func (record *record) span(handling handling) (oldest, newest int, found bool) {
-	for _, edition := range record.editions {
-		if edition.mayHold(handling.at) && handling.fits(edition) {
+	for _, version := range record.versions {
+		if version.mayHold(handling.at) && handling.fits(version) {
 			if !found {
-				oldest, found = edition.Revision, true
+				oldest, found = version.Revision, true
 			}
-			newest = edition.Revision
+			newest = version.Revision
 		}
 	}
 	return oldest, newest, found
--- a/internal/testbed/replay/serverscheckers.go
+++ b/internal/testbed/replay/serverscheckers.go
@@ -31,7 +31,7 @@
 	extras, requests := map[string][]time.Time{}, map[string][]time.Time{}
 	for _, seen := range record.order {
 		for _, service := range record.site.Services {
-			if slices.ContainsFunc(record.editions, func(edition *editionSeen) bool { return edition.Allows(seen.sent.Route, service.Name) }) {
+			if slices.ContainsFunc(record.versions, func(version *versionSeen) bool { return version.Allows(seen.sent.Route, service.Name) }) {
 				requests[service.Name] = append(requests[service.Name], seen.sent.At)
 			}
 		}
@@ -256,17 +256,17 @@
 		earlier, found := last[event.Server]
 		if found {
 			switch {
-			case event.Fence < earlier.Fence:
-				finding.Violate(fmt.Sprintf("%s got fence %d of %s after fence %d of %s", event.Server, event.Fence, event.Owner, earlier.Fence, earlier.Owner))
+			case event.FencingToken < earlier.FencingToken:
+				finding.Violate(fmt.Sprintf("%s got fence %d of %s after fence %d of %s", event.Server, event.FencingToken, event.Owner, earlier.FencingToken, earlier.Owner))
 			case event.Owner != earlier.Owner && event.At.Sub(earlier.At) < record.terms.Lease:
 				finding.Violate(fmt.Sprintf("%s got orders of %s and of %s within %s", event.Server, earlier.Owner, event.Owner, event.At.Sub(earlier.At)))
 			}
 		}
-		fence := fmt.Sprintf("%s#%d", event.Server, event.Fence)
-		if holder, known := holders[fence]; known && holder != event.Owner {
-			finding.Violate(fmt.Sprintf("%s got fence %d of %s and of %s", event.Server, event.Fence, holder, event.Owner))
+		fencingToken := fmt.Sprintf("%s#%d", event.Server, event.FencingToken)
+		if holder, known := holders[fencingToken]; known && holder != event.Owner {
+			finding.Violate(fmt.Sprintf("%s got fence %d of %s and of %s", event.Server, event.FencingToken, holder, event.Owner))
 		}
-		holders[fence], last[event.Server] = event.Owner, event
+		holders[fencingToken], last[event.Server] = event.Owner, event
 	}
 }
 
--- a/internal/testbed/simulation/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// lookAtEdition asks a courier, as a caller, which edition is in force there:
+// lookAtRevision asks a courier, as a caller, which edition is in force there:
 // the route that refuses the service "edition" is named by it.
-func (world *World) lookAtEdition(machine *machine) {
+func (world *World) lookAtRevision(machine *machine) {
 	began := world.now
 	entry := fleet.Entry{}
 	question := fleet.Question{ID: "look-" + world.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Chunks: 1}
@@ -212,8 +212,8 @@
 				detail = line.Detail
 			}
 			if number, found := strings.CutPrefix(detail, "edition-"); found {
-				edition, _ := strconv.Atoi(number)
-				entry = fleet.Entry{Kind: fleet.EditionSeen, Router: machine.name, Edition: edition, Took: world.now - began}
+				revision, _ := strconv.Atoi(number)
+				entry = fleet.Entry{Kind: fleet.RevisionSeen, Router: machine.name, Revision: revision, Took: world.now - began}
 				world.Book.Note(entry)
 			}
 		}})
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -304,8 +304,8 @@
 	read := false
 	marks.world.outside.Go(func() {
 		for ends := marks.world.now + incidentPatience; marks.world.now < ends && !read; marks.world.wait(100, 100) {
-			var found menuRead
-			found, read = marks.world.readMenu(false)
+			var found configurationRead
+			found, read = marks.world.readConfiguration(false)
 			text = found.text
 		}
 	})
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -139,7 +139,7 @@
 	world.run(ends)
 	world.run(ends + evening)
 	for range 10 {
-		world.outside.Go(func() { world.readMenu(true) })
+		world.outside.Go(func() { world.readConfiguration(true) })
 		world.run(world.now + 2*time.Second)
 		if world.whole() {
 			break
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -116,13 +116,13 @@
 		}},
 		{"a race of operators", 3, func(world *World) {
 			for range 3 {
-				world.nextEdition(2 + world.random.IntN(3))
+				world.nextRevision(2 + world.random.IntN(3))
 			}
 		}},
 		{"a storm", 2, func(world *World) {
 			for range 12 {
 				world.outside.Go(func() { world.evacuate("nowhere-"+world.nonce(), 10*time.Millisecond) })
-				world.nextEdition(1)
+				world.nextRevision(1)
 			}
 		}},
 		{"a flood", 2, func(world *World) {
@@ -211,7 +211,7 @@
 			continue
 		}
 		if _, _, state, err := machine.control.Read(); err == nil {
-			if holder := world.machineNamed(state.Rota.Duties["parts"].Holder); holder != nil && !holder.gone {
+			if holder := world.machineNamed(state.Rota.Roles["parts"].Holder); holder != nil && !holder.gone {
 				return holder
 			}
 		}
@@ -299,15 +299,15 @@
 		if machine.life == nil || machine.life.ended || machine.life.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
 			continue
 		}
-		charter := machine.control.Coordinator().Charter()
+		m := machine.control.Coordinator().Membership()
 		borne := max(world.borneLosses(), 1)
-		if len(charter.Backups()) != borne || len(charter.Incoming) > 0 || len(charter.Witnesses) != 2*borne+1 {
+		if len(m.Backups()) != borne || len(m.Incoming) > 0 || len(m.Witnesses) != 2*borne+1 {
 			return false
 		}
-		for _, seat := range append(charter.Backups(), charter.Witnesses...) {
+		for _, seat := range append(m.Backups(), m.Witnesses...) {
 			there := world.machineNamed(world.nameAt(seat.Address))
 			if there == nil || there.life == nil || there.life.ended || there.life.frozen || there.control == nil ||
-				there.control.Witness().Replica().Identity != seat.Identity || charter.Keeps(seat.Identity) && there.control.Witness().Charter().Epoch != charter.Epoch {
+				there.control.Witness().Replica().Identity != seat.Identity || m.Keeps(seat.Identity) && there.control.Witness().Membership().Epoch != m.Epoch {
 				return false
 			}
 		}
@@ -325,7 +325,7 @@
 	machine := world.anyNode(membership.Controller)
 	if world.random.IntN(2) == 0 {
 		machine = world.primary()
-		world.nextEdition(1)
+		world.nextRevision(1)
 		if !world.whole() {
 			return
 		}
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -69,7 +69,7 @@
 		incident.Whole = world.since(began, world.whole)
 		incident.InForce = world.changed(world.now, world.configuration())
 		// Duties are given, and those who came late take theirs over.
-		world.since(world.now, func() bool { return world.dutiesSettled(nil) })
+		world.since(world.now, func() bool { return world.rolesSettled(nil) })
 		world.run(world.now + 20*time.Second)
 	})
 	record(Incident{Name: "at rest"}, func(*Incident) { world.run(world.now + 10*time.Second) })
@@ -183,8 +183,8 @@
 
 // backup is the machine of the primary's backup.
 func (world *World) backup() *machine {
-	charter := world.primary().control.Coordinator().Charter()
-	if machine := world.machineNamed(world.nameAt(charter.Backup.Address)); machine != nil {
+	m := world.primary().control.Coordinator().Membership()
+	if machine := world.machineNamed(world.nameAt(m.Backup.Address)); machine != nil {
 		return machine
 	}
 	return world.anyNode(membership.Controller)
@@ -200,8 +200,8 @@
 	return true
 }
 
-// dutiesSettled tells whether every key has a holder and none of them is gone.
-func (world *World) dutiesSettled(gone []*machine) bool {
+// rolesSettled tells whether every key has a holder and none of them is gone.
+func (world *World) rolesSettled(gone []*machine) bool {
 	primary := world.primary()
 	if primary.control == nil {
 		return false
@@ -211,15 +211,15 @@
 		return false
 	}
 	state, err := view.State()
-	if err != nil || len(state.Rota.Duties) < len(world.platform.servers)+1 {
+	if err != nil || len(state.Rota.Roles) < len(world.platform.servers)+1 {
 		return false
 	}
 	names := map[string]bool{}
 	for _, machine := range gone {
 		names[machine.name] = true
 	}
-	for _, duty := range state.Rota.Duties {
-		if names[duty.Holder] {
+	for _, role := range state.Rota.Roles {
+		if names[role.Holder] {
 			return false
 		}
 	}
@@ -277,7 +277,7 @@
 	took := world.changed(began, world.nowhere("nowhere-"+world.nonce(), 0))
 	incident.InForce = later(incident.InForce, took)
 	incident.InForceMean += took / time.Duration(max(incident.Times, 1))
-	incident.Moved = later(incident.Moved, world.since(began, func() bool { return world.dutiesSettled(gone) }))
+	incident.Moved = later(incident.Moved, world.since(began, func() bool { return world.rolesSettled(gone) }))
 	incident.Whole = later(incident.Whole, world.since(began, world.whole))
 	world.run(max(world.now, began+length))
 	for _, machine := range gone {
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return state.Menu, nil
+		return state.Configuration, nil
 	})
 	if err != nil {
 		return 0, false
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -48,27 +48,27 @@
 	return nil, last
 }
 
-type menuRead struct {
+type configurationRead struct {
 	version replication.Version
 	text    []byte
 }
 
-// readMenu reads the configuration as an operator does, and notes its edition.
-func (world *World) readMenu(note bool) (menuRead, bool) {
+// readConfiguration reads the configuration as an operator does, and notes its edition.
+func (world *World) readConfiguration(note bool) (configurationRead, bool) {
 	began := world.now
 	content, err := world.atPrimary(func(control *hatch.Controller) (any, error) {
 		_, view, state, err := control.Read()
 		if err != nil {
 			return nil, err
 		}
-		return menuRead{view.VersionOf(replication.ConfigurationSection), state.Menu}, nil
+		return configurationRead{view.VersionOf(replication.ConfigurationSection), state.Configuration}, nil
 	})
 	if err != nil {
-		return menuRead{}, false
+		return configurationRead{}, false
 	}
-	read := content.(menuRead)
+	read := content.(configurationRead)
 	if note {
-		world.Book.Note(fleet.Entry{Kind: fleet.EditionRead, Edition: fleet.EditionOf(read.text), Took: world.now - began})
+		world.Book.Note(fleet.Entry{Kind: fleet.RevisionRead, Revision: fleet.RevisionOf(read.text), Took: world.now - began})
 	}
 	return read, true
 }
@@ -86,10 +86,10 @@
 	return "refused"
 }
 
-// nextEdition reads the configuration and puts the next edition over it; racers
+// nextRevision reads the configuration and puts the next edition over it; racers
 // do so from the same version at once.
-func (world *World) nextEdition(racers int) bool {
-	read, found := world.readMenu(true)
+func (world *World) nextRevision(racers int) bool {
+	read, found := world.readConfiguration(true)
 	if !found {
 		return false
 	}
@@ -97,10 +97,10 @@
 	left := racers
 	bell := world.outside.NewCond()
 	for range racers {
-		world.edition++
-		edition := world.edition
+		world.revision++
+		revision := world.revision
 		world.outside.Go(func() {
-			accepted = world.putEdition(edition, read) || accepted
+			accepted = world.putRevision(revision, read) || accepted
 			left--
 			bell.Broadcast()
 		})
@@ -109,19 +109,19 @@
 	return accepted
 }
 
-func (world *World) putEdition(edition int, read menuRead) bool {
-	world.Book.Note(fleet.Entry{Kind: fleet.EditionAsked, Edition: edition})
-	patch := world.deployment.Configuration(edition)
-	if before := fleet.EditionOf(read.text); before > 0 {
+func (world *World) putRevision(revision int, read configurationRead) bool {
+	world.Book.Note(fleet.Entry{Kind: fleet.RevisionAsked, Revision: revision})
+	patch := world.deployment.Configuration(revision)
+	if before := fleet.RevisionOf(read.text); before > 0 {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{"edition-`+strconv.Itoa(before)+`":null,`, 1)
 	}
 	if world.ways.Calls {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{`+world.callRoutes(), 1)
 	}
-	outcome := world.edit(hatch.Edit{Change: "edition-" + strconv.Itoa(edition), Digest: patch, Expected: &read.version,
+	outcome := world.edit(hatch.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
 		Apply: func(text []byte) ([]byte, error) { return config.Merge(text, []byte(patch)) }})
-	kinds := map[string]fleet.EntryKind{"accepted": fleet.EditionAccepted, "refused": fleet.EditionRefused, "unknown": fleet.EditionUnknown}
-	world.Book.Note(fleet.Entry{Kind: kinds[outcome], Edition: edition})
+	kinds := map[string]fleet.EntryKind{"accepted": fleet.RevisionAccepted, "refused": fleet.RevisionRefused, "unknown": fleet.RevisionUnknown}
+	world.Book.Note(fleet.Entry{Kind: kinds[outcome], Revision: revision})
 	return outcome == "accepted"
 }
 
@@ -163,7 +163,7 @@
 		for world.now < until {
 			for _, machine := range world.machines {
 				if machine.kind == membership.Router {
-					world.lookAtEdition(machine)
+					world.lookAtRevision(machine)
 				}
 			}
 			world.outside.NewCond().Wait(200*time.Millisecond, never)
@@ -171,7 +171,7 @@
 	})
 	world.outside.Go(func() {
 		for world.now < until {
-			world.nextEdition(1)
+			world.nextRevision(1)
 			world.outside.NewCond().Wait(time.Second, never)
 		}
 	})
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -25,15 +25,15 @@
 	world.outside.Go(func() {
 		for range 6 {
 			world.outside.NewCond().Wait(time.Second, never)
-			world.nextEdition(1)
+			world.nextRevision(1)
 		}
 	})
 	world.run(opening)
 	var out *machine
 	primary := world.primary()
-	charter := primary.control.Coordinator().Charter()
+	m := primary.control.Coordinator().Membership()
 	for _, machine := range world.nodes(membership.Controller) {
-		backup := machine.control.Witness().Replica().Identity == charter.Backup.Identity
+		backup := machine.control.Witness().Replica().Identity == m.Backup.Identity
 		if machine != primary && backup == (loss == "the backup's wiped disk") {
 			out = machine
 		}
@@ -41,7 +41,7 @@
 	switch loss {
 	case "an old copy":
 		world.kill(out)
-		world.outside.Go(func() { world.nextEdition(1) })
+		world.outside.Go(func() { world.nextRevision(1) })
 		world.run(world.now + 3*time.Second)
 	case "a damaged file":
 		world.kill(out)
@@ -62,7 +62,7 @@
 	if reads {
 		world.outside.Go(func() {
 			for world.now < patience {
-				world.readMenu(false)
+				world.readConfiguration(false)
 				world.outside.NewCond().Wait(200*time.Millisecond, never)
 			}
 		})
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -208,7 +208,7 @@
 	if !may() {
 		return failure.New(failure.LimitPassed, "the command may not go any more")
 	}
-	order := modelserver.PartOrder{Part: string(decision.Part), Fence: decision.Duty.Fence, Holder: decision.Duty.Holder}
+	order := modelserver.PartOrder{Part: string(decision.Part), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
 		order.Cause = decision.Order.Cause
 	}
--- a/internal/testbed/simulation/taps.go
+++ b/internal/testbed/simulation/taps.go
@@ -45,7 +45,7 @@
 	if !strings.HasPrefix(name, "larder/") || len(framed) < 8 || msgpack.Unmarshal(framed[8:], &batch) != nil {
 		return
 	}
-	state, err := replication.ReadState(batch.Drawers)
+	state, err := replication.ReadState(batch.Sections)
 	if err != nil {
 		return
 	}
--- a/internal/testbed/simulation/waydays_test.go
+++ b/internal/testbed/simulation/waydays_test.go
@@ -23,8 +23,8 @@
 // The bounds that bind those in touch. A courier is in touch that has had news within
 // the last second.
 const (
-	applyTime = 2 * time.Second
-	newsTime  = time.Second
+	applyTime  = 2 * time.Second
+	updateTime = time.Second
 )
 
 // take notes the answers that the trace tells of.
@@ -50,7 +50,7 @@
 			}
 		}
 		for _, machine := range world.machines {
-			if machine.router == nil || machine.gone || machine.life.ended || machine.life.frozen || machine.life.Now().Sub(machine.router.Heard()) > newsTime {
+			if machine.router == nil || machine.gone || machine.life.ended || machine.life.frozen || machine.life.Now().Sub(machine.router.Heard()) > updateTime {
 				continue
 			}
 			if has := machine.router.InForce(); has != (replication.Version{}) && has.Before(due) {
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestDutiesNeedAHold: a courier that serves without a hold has no duties.
-func TestDutiesNeedAHold(t *testing.T) {
+// TestRolesNeedAHold: a courier that serves without a hold has no duties.
+func TestRolesNeedAHold(t *testing.T) {
 	w := begun(t, 4, PlatformWays())
 	holder := w.holder()
 	if !holder.router.Core().Dutiful() {
@@ -96,7 +96,7 @@
 	if now := holder.life.Now(); !now.Before(holder.router.Core().ServesUntil()) || now.Before(holder.router.Core().HoldEnds()) {
 		t.Error("it should serve, without a hold")
 	}
-	if took := w.since(w.now, func() bool { return w.dutiesSettled([]*machine{holder}) }); took < 0 {
+	if took := w.since(w.now, func() bool { return w.rolesSettled([]*machine{holder}) }); took < 0 {
 		t.Error("its duties did not move")
 	}
 	// The commands since then are judged: none by the one without a hold.
@@ -114,8 +114,8 @@
 	}
 	w.run(30 * time.Second)
 	for _, machine := range w.nodes(membership.Controller) {
-		if !machine.control.Witness().Charter().Blank() {
-			t.Errorf("%s has the charter %+v", machine.name, machine.control.Witness().Charter())
+		if !machine.control.Witness().Membership().Blank() {
+			t.Errorf("%s has the charter %+v", machine.name, machine.control.Witness().Membership())
 		}
 	}
 }
@@ -139,8 +139,8 @@
 			if joined.control == nil || !w.led() {
 				return false
 			}
-			charter := w.primary().control.Coordinator().Charter()
-			return charter.Keeps(joined.control.Witness().Replica().Identity) && len(charter.Incoming) == 0
+			m := w.primary().control.Coordinator().Membership()
+			return m.Keeps(joined.control.Witness().Replica().Identity) && len(m.Incoming) == 0
 		})
 		if took < 0 || took > 15*time.Second {
 			t.Fatalf("%s is no keeper after %s", joined.name, took)
@@ -253,9 +253,9 @@
 	}
 }
 
-// TestChangesAndNewsAfterThePrimary is lost in each way: how long until a change is
+// TestChangesAndUpdateAfterThePrimary is lost in each way: how long until a change is
 // acknowledged, and until every courier in touch has news again.
-func TestChangesAndNewsAfterThePrimary(t *testing.T) {
+func TestChangesAndUpdateAfterThePrimary(t *testing.T) {
 	ways := map[string]func(w *World, primary *machine){
 		"killed":     func(w *World, primary *machine) { w.kill(primary) },
 		"power lost": func(w *World, primary *machine) { w.powerOff(primary.name) },
@@ -280,7 +280,7 @@
 		},
 	}
 	for name, lose := range ways {
-		var worstChange, worstNews time.Duration
+		var worstChange, worstUpdate time.Duration
 		for seed := range uint64(6) {
 			w := begun(t, 20+seed, PlatformWays())
 			began, primary := w.now, w.primary()
@@ -290,7 +290,7 @@
 				heard[machine.name] = machine.router.Heard()
 			}
 			change := w.changedWhereLed(began, w.nowhere("nowhere", 0))
-			news := w.since(began, func() bool {
+			update := w.since(began, func() bool {
 				for _, machine := range w.nodes(membership.Router) {
 					if !machine.router.Heard().After(heard[machine.name].Add(700 * time.Millisecond)) {
 						return false
@@ -298,14 +298,14 @@
 				}
 				return true
 			})
-			if change < 0 || news < 0 {
-				t.Errorf("%s, seed %d: change %s, news %s", name, seed, change, news)
+			if change < 0 || update < 0 {
+				t.Errorf("%s, seed %d: change %s, news %s", name, seed, change, update)
 			}
-			worstChange, worstNews = max(worstChange, change), max(worstNews, news)
+			worstChange, worstUpdate = max(worstChange, change), max(worstUpdate, update)
 		}
-		t.Logf("%-18s change acknowledged within %s, news everywhere within %s", name, worstChange, worstNews)
-		if worstChange > 4*time.Second || worstNews > 4500*time.Millisecond {
-			t.Errorf("%s: change after %s, news after %s", name, worstChange, worstNews)
+		t.Logf("%-18s change acknowledged within %s, news everywhere within %s", name, worstChange, worstUpdate)
+		if worstChange > 4*time.Second || worstUpdate > 4500*time.Millisecond {
+			t.Errorf("%s: change after %s, news after %s", name, worstChange, worstUpdate)
 		}
 	}
 }
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -44,7 +44,7 @@
 	temptations map[string]int
 	nonces      uint64
 	seenKeys    map[string]bool
-	edition     int
+	revision    int
 	long, short float64
 	number      int
 	faultsOver  bool
--- a/seamloom.go
+++ b/seamloom.go
@@ -26,8 +26,8 @@
 	Load = auction.Load
 	// Server is a model server as the platform lists it.
 	Server = membership.Server
-	// Duty is a key that this node holds, with its fence.
-	Duty = lease.Duty
+	// Role is a key that this node holds, with its fence.
+	Role = lease.Role
 	// Order is what a model server is to do.
 	Order = codec.Order
 	// Call is one opaque inquiry: its method, path and body are passed on unchanged.
