--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -207,13 +207,13 @@
 	}
 	lifetime, end := context.WithTimeout(context.Background(), 2*time.Second)
 	defer end()
-	stoves := modelserver.New(lifetime, osruntime.New(lifetime, osruntime.NewClock()), rpc.Transport(nil))
+	modelServers := modelserver.New(lifetime, osruntime.New(lifetime, osruntime.NewClock()), rpc.Transport(nil))
 	facts.Servers = make([]config.ServerFacts, len(fleet.Servers))
 	var asking sync.WaitGroup
 	for position, server := range fleet.Servers {
 		asking.Go(func() {
 			known := config.ServerFacts{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
-			if load, err := stoves.Load(lifetime, server.Address); err == nil {
+			if load, err := modelServers.Load(lifetime, server.Address); err == nil {
 				known.Reported, known.Part, known.Active, known.Slots = true, string(load.Part), load.DecodeActive, load.DecodeSlots
 				known.Leaving = known.Leaving || load.Leaving
 			}
--- a/cmd/testbed/worlds.go
+++ b/cmd/testbed/worlds.go
@@ -60,10 +60,10 @@
 			failed := false
 			for _, name := range simulation.FaultNames() {
 				campaign.Day.Only = name
-				tally := campaign.Run(func(uint64, simulation.Result) {})
-				failed = failed || len(tally.Failed) > 0
-				fmt.Printf("%-34s days %d, failed %d, complete %.3f, lowest %.3f, longest gap %s, mean %s, service back after %.2f s at most\n", name, tally.Days, len(tally.Failed),
-					tally.Share, tally.Lowest, tally.Gap.Round(10*time.Millisecond), (tally.Gaps / time.Duration(max(tally.Days, 1))).Round(10*time.Millisecond), tally.Longest["service returns after a closing fault"])
+				counter := campaign.Run(func(uint64, simulation.Result) {})
+				failed = failed || len(counter.Failed) > 0
+				fmt.Printf("%-34s days %d, failed %d, complete %.3f, lowest %.3f, longest gap %s, mean %s, service back after %.2f s at most\n", name, counter.Days, len(counter.Failed),
+					counter.Share, counter.Lowest, counter.Gap.Round(10*time.Millisecond), (counter.Gaps / time.Duration(max(counter.Days, 1))).Round(10*time.Millisecond), counter.Longest["service returns after a closing fault"])
 			}
 			return broken(failed)
 		}
@@ -76,7 +76,7 @@
 			days++
 			if campaign.Day.Swings {
 				fmt.Printf("seed %d: %d complete, share %.3f, median %s, 95th %s, parts changed %d, flaps %d\n", seed, result.Verdict.Replies["complete"], result.Verdict.Share,
-					result.Verdict.Median.Round(time.Millisecond), result.Verdict.Tail.Round(time.Millisecond), result.Turns, result.Flaps)
+					result.Verdict.Median.Round(time.Millisecond), result.Verdict.Tail.Round(time.Millisecond), result.Runtime, result.Flaps)
 			}
 			until := command.Flags().Changed("until-broken")
 			if result.Failed() && (!until || (result.Broke(*untilBroken) && !campaign.Stop.Load())) {
@@ -112,13 +112,13 @@
 	return nil
 }
 
-func report(tally simulation.Tally, took time.Duration) {
+func report(counter simulation.Counter, took time.Duration) {
 	_, _ = fmt.Fprintf(os.Stdout, "%d days in %s, %d steps, %d replies, complete %.3f (lowest day %.3f), failed days %d\n",
-		tally.Days, took.Round(time.Second), tally.Steps, tally.Replies, tally.Share, tally.Lowest, len(tally.Failed))
-	for _, checker := range slices.Sorted(maps.Keys(tally.Violations)) {
-		fmt.Printf("violations %4d  %-52s worst %.2f s\n", tally.Violations[checker], checker, tally.Longest[checker])
+		counter.Days, took.Round(time.Second), counter.Steps, counter.Replies, counter.Share, counter.Lowest, len(counter.Failed))
+	for _, checker := range slices.Sorted(maps.Keys(counter.Violations)) {
+		fmt.Printf("violations %4d  %-52s worst %.2f s\n", counter.Violations[checker], checker, counter.Longest[checker])
 	}
-	for _, what := range slices.Sorted(maps.Keys(tally.Temptations)) {
-		fmt.Printf("tempted %7d times in %5d days: %s\n", tally.Temptations[what], tally.Tempted[what], what)
+	for _, what := range slices.Sorted(maps.Keys(counter.Temptations)) {
+		fmt.Printf("tempted %7d times in %5d days: %s\n", counter.Temptations[what], counter.Tempted[what], what)
 	}
 }
--- a/core.go
+++ b/core.go
@@ -215,10 +215,10 @@
 
 // Counts tells what the core has done, by name, for metrics.
 func (core *Core) Counts() map[string]int64 {
-	tallies := core.desk.Tallies()
+	counters := core.desk.Counters()
 	first, extra := core.desk.Budget().Counts()
-	return map[string]int64{"arrived": tallies.Arrived.Load(), "complete": tallies.Complete.Load(),
-		"refused": tallies.Refused.Load(), "failed": tallies.Failed.Load(), "unknown": tallies.Unknown.Load(),
+	return map[string]int64{"arrived": counters.Arrived.Load(), "complete": counters.Complete.Load(),
+		"refused": counters.Refused.Load(), "failed": counters.Failed.Load(), "unknown": counters.Unknown.Load(),
 		"first_dispatches": int64(first), "extra_tries": int64(extra), "in_flight": int64(core.desk.InFlight()),
 		"unreadable_configurations": core.rejected.Load()}
 }
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -20,43 +20,43 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Stove is the client to all model servers.
-type Stove struct {
+// ModelServer is the client to all model servers.
+type ModelServer struct {
 	client   *http.Client
 	lifetime context.Context
-	turns    runtime.Runtime
+	runtime  runtime.Runtime
 
 	mutex   sync.Mutex
 	running map[string]context.CancelFunc
 }
 
 // New makes a client over a transport, for as long as a process lives.
-func New(lifetime context.Context, turns runtime.Runtime, transport http.RoundTripper) *Stove {
-	return &Stove{client: rpc.NewClient(transport), lifetime: lifetime, turns: turns, running: map[string]context.CancelFunc{}}
+func New(lifetime context.Context, rt runtime.Runtime, transport http.RoundTripper) *ModelServer {
+	return &ModelServer{client: rpc.NewClient(transport), lifetime: lifetime, runtime: rt, running: map[string]context.CancelFunc{}}
 }
 
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
 // beginRun makes the lifetime of a run's dispatch, which ends with its cancel.
-func (stove *Stove) beginRun(decision auction.Decision) context.Context {
-	lifetime, end := context.WithCancel(stove.lifetime)
-	stove.mutex.Lock()
-	defer stove.mutex.Unlock()
+func (modelServer *ModelServer) beginRun(decision auction.Decision) context.Context {
+	lifetime, end := context.WithCancel(modelServer.lifetime)
+	modelServer.mutex.Lock()
+	defer modelServer.mutex.Unlock()
 	key := runKey(decision.ID, decision.Run)
-	if earlier, found := stove.running[key]; found {
+	if earlier, found := modelServer.running[key]; found {
 		earlier()
 	}
-	stove.running[key] = end
+	modelServer.running[key] = end
 	return lifetime
 }
 
 // EndRun ends whatever a run still has under way.
-func (stove *Stove) EndRun(id string, run int) {
-	stove.mutex.Lock()
-	defer stove.mutex.Unlock()
-	if end, found := stove.running[runKey(id, run)]; found {
+func (modelServer *ModelServer) EndRun(id string, run int) {
+	modelServer.mutex.Lock()
+	defer modelServer.mutex.Unlock()
+	if end, found := modelServer.running[runKey(id, run)]; found {
 		end()
-		delete(stove.running, runKey(id, run))
+		delete(modelServer.running, runKey(id, run))
 	}
 }
 
@@ -65,12 +65,12 @@
 
 // post sends an order. Begun tells whether any of it may have reached the
 // server: if not, the server certainly did not start.
-func (stove *Stove) post(lifetime context.Context, address, path string, order any, may func() bool) (inbound *http.Response, begun bool, err error) {
+func (modelServer *ModelServer) post(lifetime context.Context, address, path string, order any, may func() bool) (inbound *http.Response, begun bool, err error) {
 	content, err := json.Marshal(order)
 	if err != nil {
 		return nil, false, failure.Wrap(failure.Garbage, err)
 	}
-	return Post(lifetime, stove.client, "http://"+address+path, http.Header{"Content-Type": {"application/json"}}, content, may)
+	return Post(lifetime, modelServer.client, "http://"+address+path, http.Header{"Content-Type": {"application/json"}}, content, may)
 }
 
 // Post sends an order. May is asked at once and again when its body is taken, after
@@ -112,9 +112,9 @@
 }
 
 // Prefill has a server read a prompt, and returns the handle of its memory.
-func (stove *Stove) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
+func (modelServer *ModelServer) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
-	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
+	inbound, written, err := modelServer.post(modelServer.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
 		Prompt: request.Prompt, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}, may)
 	if err != nil {
 		if !written {
@@ -139,9 +139,9 @@
 
 // Decode has a server take up a prompt's memory and answer; each piece goes to
 // take as it comes.
-func (stove *Stove) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+func (modelServer *ModelServer) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
 	request := decision.Request
-	inbound, written, err := stove.post(stove.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
+	inbound, written, err := modelServer.post(modelServer.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
 		Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}, may)
 	if err != nil {
 		if !written {
@@ -173,12 +173,12 @@
 }
 
 // Cancel breaks a run's circuit and has the server stop it.
-func (stove *Stove) Cancel(decision auction.Decision) {
-	stove.EndRun(decision.ID, decision.Run)
-	stove.turns.Go(func() {
-		lifetime, end := context.WithTimeout(stove.lifetime, time.Second)
+func (modelServer *ModelServer) Cancel(decision auction.Decision) {
+	modelServer.EndRun(decision.ID, decision.Run)
+	modelServer.runtime.Go(func() {
+		lifetime, end := context.WithTimeout(modelServer.lifetime, time.Second)
 		defer end()
-		inbound, _, err := stove.post(lifetime, decision.Address, "/v1/cancel", CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}, func() bool { return true })
+		inbound, _, err := modelServer.post(lifetime, decision.Address, "/v1/cancel", CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}, func() bool { return true })
 		if err == nil {
 			_ = inbound.Body.Close()
 		}
@@ -187,14 +187,14 @@
 
 // Command has a server take a part, under the fence of its key's holder. One
 // that is late is worse than none: it ends with the duty's hold.
-func (stove *Stove) Command(decision auction.Decision, may func() bool) error {
+func (modelServer *ModelServer) Command(decision auction.Decision, may func() bool) error {
 	order := PartOrder{Part: string(decision.Part), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
 		order.PatienceMilliseconds = int(decision.Order.Patience / time.Millisecond)
 		order.Cause = decision.Order.Cause
 	}
-	return stove.Within(decision, func(lifetime context.Context) error {
-		inbound, _, err := stove.post(lifetime, decision.Address, "/v1/part", order, may)
+	return modelServer.Within(decision, func(lifetime context.Context) error {
+		inbound, _, err := modelServer.post(lifetime, decision.Address, "/v1/part", order, may)
 		if err != nil {
 			return err
 		}
@@ -208,27 +208,27 @@
 
 // Within has a command given in a lifetime that ends with the duty's hold, and soon
 // in any case.
-func (stove *Stove) Within(decision auction.Decision, act func(lifetime context.Context) error) error {
-	lifetime, end := context.WithTimeout(stove.lifetime, min(time.Second, decision.NotAfter.Sub(stove.turns.Now())))
+func (modelServer *ModelServer) Within(decision auction.Decision, act func(lifetime context.Context) error) error {
+	lifetime, end := context.WithTimeout(modelServer.lifetime, min(time.Second, decision.NotAfter.Sub(modelServer.runtime.Now())))
 	defer end()
 	return act(lifetime)
 }
 
 // Pressure reads a server's pressure within a patience, for the market of inquiries.
-func (stove *Stove) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
-	lifetime, end := context.WithTimeout(stove.lifetime, patience)
+func (modelServer *ModelServer) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
+	lifetime, end := context.WithTimeout(modelServer.lifetime, patience)
 	defer end()
-	return stove.Load(lifetime, server.Address)
+	return modelServer.Load(lifetime, server.Address)
 }
 
 // Load reads a server's pressure.
-func (stove *Stove) Load(lifetime context.Context, address string) (auction.Load, error) {
+func (modelServer *ModelServer) Load(lifetime context.Context, address string) (auction.Load, error) {
 	var load auction.Load
 	outbound, err := http.NewRequestWithContext(lifetime, http.MethodGet, "http://"+address+"/v1/load", nil)
 	if err != nil {
 		return load, failure.Wrap(failure.Garbage, err)
 	}
-	inbound, err := stove.client.Do(outbound)
+	inbound, err := modelServer.client.Do(outbound)
 	if err != nil {
 		return load, failure.Wrap(failure.Unreachable, err)
 	}
--- a/internal/adapters/modelserver/stove_test.go
+++ b/internal/adapters/modelserver/stove_test.go
@@ -35,12 +35,12 @@
 		}
 		return connection, err
 	}}
-	stove := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), transport)
+	modelServer := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), transport)
 	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Request: &auction.Request{ID: "one"}}
 	for _, order := range []func() auction.Outcome{
-		func() auction.Outcome { outcome, _, _ := stove.Prefill(decision, may.Load); return outcome },
+		func() auction.Outcome { outcome, _, _ := modelServer.Prefill(decision, may.Load); return outcome },
 		func() auction.Outcome {
-			outcome, _, _ := stove.Decode(decision, may.Load, func(int, string) {})
+			outcome, _, _ := modelServer.Decode(decision, may.Load, func(int, string) {})
 			return outcome
 		},
 	} {
@@ -51,7 +51,7 @@
 	}
 	waits = false
 	may.Store(true)
-	if outcome, _, _ := stove.Prefill(decision, may.Load); outcome == auction.NotStarted || orders.Load() != 1 {
+	if outcome, _, _ := modelServer.Prefill(decision, may.Load); outcome == auction.NotStarted || orders.Load() != 1 {
 		t.Errorf("an order in time: %s, and %d orders came", outcome, orders.Load())
 	}
 }
--- a/internal/adapters/proxy/circuits.go
+++ b/internal/adapters/proxy/circuits.go
@@ -43,22 +43,24 @@
 	now       func() time.Time
 
 	mutex   sync.Mutex
-	resting map[life][]*line
-	listed  map[life]bool
+	resting map[incarnation][]*line
+	listed  map[incarnation]bool
 	swept   time.Time
 	opened  uint64
 }
 
 // life is one life of a server at an address.
-type life struct{ name, address string }
+type incarnation struct{ name, address string }
 
-func lifeOf(server membership.Server) life { return life{name: server.Name, address: server.Address} }
+func incarnationOf(server membership.Server) incarnation {
+	return incarnation{name: server.Name, address: server.Address}
+}
 
 // line is a circuit with its HTTP/1.1 client.
 type line struct {
-	life       life
-	connection *conn
-	client     *http.ClientConn
+	incarnation incarnation
+	connection  *conn
+	client      *http.ClientConn
 }
 
 type connectionKey struct{}
@@ -67,7 +69,7 @@
 func NewConnections(detours map[string]string) *Connections {
 	dialer := &net.Dialer{Timeout: dialPatience, Control: shortPatience,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
-	connections := &Connections{now: time.Now, resting: map[life][]*line{}}
+	connections := &Connections{now: time.Now, resting: map[incarnation][]*line{}}
 	connections.transport = &http.Transport{DisableCompression: true, MaxResponseHeaderBytes: mostHead,
 		DialContext: func(lifetime context.Context, network, address string) (net.Conn, error) {
 			if detour, found := detours[address]; found {
@@ -98,7 +100,7 @@
 // take gives a resting circuit that is still good, or opens one. Failing means that
 // nothing was sent.
 func (connections *Connections) take(lifetime context.Context, server membership.Server, ends time.Time) (*line, error) {
-	key := lifeOf(server)
+	key := incarnationOf(server)
 	for {
 		rested := connections.pop(key)
 		if rested == nil {
@@ -117,7 +119,7 @@
 	connections.mutex.Lock()
 	connections.opened++
 	connections.mutex.Unlock()
-	opened := &line{life: key, connection: connection, client: client}
+	opened := &line{incarnation: key, connection: connection, client: client}
 	if !connection.begin(ends) {
 		opened.close()
 		return nil, errShut
@@ -125,7 +127,7 @@
 	return opened, nil
 }
 
-func (connections *Connections) pop(key life) *line {
+func (connections *Connections) pop(key incarnation) *line {
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
 	resting := connections.resting[key]
@@ -149,10 +151,10 @@
 	now := connections.now()
 	var surplus []*line
 	connections.mutex.Lock()
-	if connections.listed != nil && !connections.listed[used.life] {
+	if connections.listed != nil && !connections.listed[used.incarnation] {
 		surplus = append(surplus, used)
 	} else {
-		connections.resting[used.life] = append(connections.resting[used.life], used)
+		connections.resting[used.incarnation] = append(connections.resting[used.incarnation], used)
 	}
 	if now.Sub(connections.swept) >= sweepPause {
 		connections.swept = now
@@ -189,9 +191,9 @@
 
 // SetServers drops the circuits to lives that are listed no more.
 func (connections *Connections) SetServers(servers []membership.Server) {
-	listed := make(map[life]bool, len(servers))
+	listed := make(map[incarnation]bool, len(servers))
 	for _, server := range servers {
-		listed[lifeOf(server)] = true
+		listed[incarnationOf(server)] = true
 	}
 	var surplus []*line
 	connections.mutex.Lock()
--- a/internal/adapters/proxy/circuits_test.go
+++ b/internal/adapters/proxy/circuits_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestConnectionsToAnEarlierLifeAreDropped(t *testing.T) {
+func TestConnectionsToAnEarlierIncarnationAreDropped(t *testing.T) {
 	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=9"))
 		return true
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestAConnectionThatAnotherLifeAnsweredOnIsNotUsedAgain(t *testing.T) {
+func TestAConnectionThatAnotherIncarnationAnsweredOnIsNotUsedAgain(t *testing.T) {
 	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(421, inbound.Header.Get("Seamloom-Call"), "", "Keep-Alive: timeout=9"))
 		return true
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -162,14 +162,14 @@
 	}
 	configuration := twoRoutes()
 	lifetime, cancel := context.WithCancel(t.Context())
-	turns := osruntime.New(lifetime, osruntime.NewClock())
+	rt := osruntime.New(lifetime, osruntime.NewClock())
 	connections := NewConnections(nil)
 	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
-	conduct := hatch.NewCalls(turns, deciding, connections.SetServers)
+	conduct := hatch.NewCalls(rt, deciding, connections.SetServers)
 	conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
-	conduct.SetServers(turns.Now(), servers)
-	intake, err := NewIntake(lifetime, DefaultWords(), connections, conduct, turns.Now)
+	conduct.SetServers(rt.Now(), servers)
+	intake, err := NewIntake(lifetime, DefaultWords(), connections, conduct, rt.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +250,7 @@
 func twoRoutes() *config.Configuration {
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
-		LinkBits: 5e11, TokensAChunk: 5, HandleLife: 5 * time.Second, Models: []string{"m"}}}}
+		LinkBits: 5e11, TokensAChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
 	shares := []config.Share{{Service: "desk", Weight: 1}}
 	configuration.Routes = []config.Route{
 		{Name: "once", Match: config.Match{Host: "calls.example", PathPrefix: "/once/"}, Calls: &config.CallRoute{Shares: shares, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Tries: 3, Streams: true}},
@@ -271,13 +271,13 @@
 	})
 	standin.server.Service, standin.server.Slots, standin.server.Models = "desk", 64, []string{"m"}
 	owner := &tomb.Tomb{}
-	turns := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
+	rt := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
 	connections := NewConnections(nil)
-	conduct := hatch.NewCalls(turns, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), connections.SetServers)
+	conduct := hatch.NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), connections.SetServers)
 	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
-	conduct.SetServers(turns.Now(), []membership.Server{standin.server})
-	intake, err := NewIntake(owner.Context(context.Background()), DefaultWords(), connections, conduct, turns.Now)
+	conduct.SetServers(rt.Now(), []membership.Server{standin.server})
+	intake, err := NewIntake(owner.Context(context.Background()), DefaultWords(), connections, conduct, rt.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/adapters/router/calls.go
+++ b/internal/adapters/router/calls.go
@@ -19,20 +19,20 @@
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
-func (process *Process) prepareCalls(turns *osruntime.Runtime) func(deciding *scheduler.Window) hatch.Board {
+func (process *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Window) hatch.Board {
 	chosen := process.chosen
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
 	}
 	process.calls.connections = proxy.NewConnections(chosen.Detours)
 	return func(deciding *scheduler.Window) hatch.Board {
-		process.calls.conduct = hatch.NewCalls(turns, deciding, process.calls.connections.SetServers)
+		process.calls.conduct = hatch.NewCalls(rt, deciding, process.calls.connections.SetServers)
 		return process.calls.conduct
 	}
 }
 
 // takeCalls makes the intake of calls; nothing listens yet.
-func (process *Process) takeCalls(turns *osruntime.Runtime, reached Ports) error {
+func (process *Process) takeCalls(rt *osruntime.Runtime, reached Ports) error {
 	if process.calls.conduct == nil {
 		return nil
 	}
@@ -40,7 +40,7 @@
 	if reached.Words != nil {
 		words = *reached.Words
 	}
-	intake, err := proxy.NewIntake(process.lifetime, words, process.calls.connections, process.calls.conduct, turns.Now)
+	intake, err := proxy.NewIntake(process.lifetime, words, process.calls.connections, process.calls.conduct, rt.Now)
 	process.calls.intake = intake
 	return err
 }
--- a/internal/adapters/router/commands.go
+++ b/internal/adapters/router/commands.go
@@ -10,16 +10,16 @@
 )
 
 // commanding has servers commanded by a platform's own orders, if there are any.
-func commanding(kitchen *modelserver.Stove, orders ports.Orders) hatch.Stove {
+func commanding(kitchen *modelserver.ModelServer, orders ports.Orders) hatch.ModelServer {
 	if orders == nil {
 		return kitchen
 	}
-	return &orderly{Stove: kitchen, orders: orders}
+	return &orderly{ModelServer: kitchen, orders: orders}
 }
 
 // orderly is a client to model servers whose parts are ordered in a platform's way.
 type orderly struct {
-	*modelserver.Stove
+	*modelserver.ModelServer
 	orders ports.Orders
 }
 
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -67,22 +67,22 @@
 	supported := chosen.Supported()
 	process := &Process{logger: logger, clock: clock, chosen: chosen, supported: supported, ledger: usage.NewLedger()}
 	process.lifetime = process.tomb.Context(context.Background())
-	turns := osruntime.New(process.lifetime, clock)
+	rt := osruntime.New(process.lifetime, clock)
 	if reached.Directory == nil {
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
-	kitchen := modelserver.New(process.lifetime, turns, rpc.Transport(chosen.Detours))
+	kitchen := modelserver.New(process.lifetime, rt, rpc.Transport(chosen.Detours))
 	options := hatch.RouterOptions{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MostRequests: chosen.MostRequests,
 		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", FurtherTries: reached.FurtherTries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.noteEnd,
-		Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}, Board: process.prepareCalls(turns),
+		Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}, Board: process.prepareCalls(rt),
 		ServeWithoutHold: chosen.ServeWithoutHold, ApplyWithin: chosen.ApplyWithin}
 	if !reached.CallsOnly {
 		options.Pressures = kitchen
 	}
-	process.conduct = hatch.NewRouter(turns, rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime},
+	process.conduct = hatch.NewRouter(rt, rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime},
 		commanding(kitchen, reached.Orders),
 		&passing{client: rpc.NewClient(rpc.Transport(chosen.Detours)), lifetime: process.lifetime}, options, process.observe)
-	if err := process.takeCalls(turns, reached); err != nil {
+	if err := process.takeCalls(rt, reached); err != nil {
 		return nil, err
 	}
 	if err := daemon.Serve(&process.tomb, chosen.Address, process.mux()); err != nil {
--- a/internal/auction/balance_test.go
+++ b/internal/auction/balance_test.go
@@ -17,7 +17,7 @@
 	}
 	standing := map[string]codec.Order{}
 	now := noon
-	turns := 0
+	rt := 0
 	round := func(backlog int, active int) {
 		loads := map[string]Load{}
 		for _, server := range servers {
@@ -32,7 +32,7 @@
 		}
 		for _, order := range balance.Decide(now, servers, loads, standing, func(string) bool { return false }) {
 			standing[order.Server] = order
-			turns++
+			rt++
 		}
 		now = now.Add(balanceBeat)
 	}
@@ -49,15 +49,15 @@
 	if count(Prefill) != 2 || count(Decode) != 3 {
 		t.Fatalf("first parts: %v", standing)
 	}
-	turns = 0
+	rt = 0
 	for range 80 {
 		round(30_000, 1)
 	}
 	if count(Decode) != 1 {
 		t.Errorf("while prompts pile up: %v", standing)
 	}
-	if turns > 3 {
-		t.Errorf("%d turns in one swing", turns)
+	if rt > 3 {
+		t.Errorf("%d turns in one swing", rt)
 	}
 	for range 120 {
 		round(0, 15)
@@ -65,11 +65,11 @@
 	if count(Prefill) != 1 {
 		t.Errorf("while answers pile up: %v", standing)
 	}
-	turns = 0
+	rt = 0
 	for number := range 40 {
 		round(30_000*(number%2), 8)
 	}
-	if turns != 0 {
-		t.Errorf("%d turns without a lasting need", turns)
+	if rt != 0 {
+		t.Errorf("%d turns without a lasting need", rt)
 	}
 }
--- a/internal/auction/desk.go
+++ b/internal/auction/desk.go
@@ -28,7 +28,7 @@
 	draining atomic.Bool
 	inFlight atomic.Int64
 	service  sync.Map
-	tallies  Tallies
+	counters Counters
 }
 
 type shard struct {
@@ -132,8 +132,8 @@
 // InFlight counts the inquiries that have no final line yet.
 func (desk *Desk) InFlight() int { return int(desk.inFlight.Load()) }
 
-// Tallies counts what the desk has done.
-func (desk *Desk) Tallies() *Tallies { return &desk.tallies }
+// Counters counts what the desk has done.
+func (desk *Desk) Counters() *Counters { return &desk.counters }
 
 // Budget is the desk's budget of extra tries.
 func (desk *Desk) Budget() *Budget { return desk.budget }
@@ -151,7 +151,7 @@
 
 // Arrive lets an inquiry in or refuses it at once.
 func (desk *Desk) Arrive(now time.Time, request *Request) []Decision {
-	desk.tallies.Arrived.Add(1)
+	desk.counters.Arrived.Add(1)
 	if desk.draining.Load() {
 		return desk.refuse(request, failure.Draining, "this courier is leaving", time.Second)
 	}
--- a/internal/auction/ending.go
+++ b/internal/auction/ending.go
@@ -7,7 +7,7 @@
 )
 
 func (desk *Desk) refuse(request *Request, cause failure.Kind, detail string, retry time.Duration) []Decision {
-	desk.tallies.Refused.Add(1)
+	desk.counters.Refused.Add(1)
 	return []Decision{{Kind: Finish, ID: request.ID, Final: Refused, Cause: cause, Detail: detail, Retry: retry}}
 }
 
@@ -44,7 +44,7 @@
 	delete(shard.tickets, entry.request.ID)
 	desk.inFlight.Add(-1)
 	desk.serviceCount(entry.request.Service).Add(-1)
-	desk.tallies.count(final)
+	desk.counters.count(final)
 	decision := Decision{Kind: Finish, ID: entry.request.ID, Run: entry.run, Final: final, Cause: cause, Chunks: entry.chunks}
 	if final == Refused || final == Failed {
 		decision.Retry = desk.market.Relief(now)
--- a/internal/auction/tallies.go
+++ b/internal/auction/tallies.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Tallies counts a desk's inquiries by how they ended.
-type Tallies struct {
+// Counters counts a desk's inquiries by how they ended.
+type Counters struct {
 	Arrived  atomic.Int64
 	Complete atomic.Int64
 	Refused  atomic.Int64
@@ -11,15 +11,15 @@
 	Unknown  atomic.Int64
 }
 
-func (tallies *Tallies) count(final Final) {
+func (counters *Counters) count(final Final) {
 	switch final {
 	case Complete:
-		tallies.Complete.Add(1)
+		counters.Complete.Add(1)
 	case Refused:
-		tallies.Refused.Add(1)
+		counters.Refused.Add(1)
 	case Failed:
-		tallies.Failed.Add(1)
+		counters.Failed.Add(1)
 	case Unknown:
-		tallies.Unknown.Add(1)
+		counters.Unknown.Add(1)
 	}
 }
--- a/internal/config/calls_test.go
+++ b/internal/config/calls_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("service %+v", service)
 	}
 	if engine := service.Engine; engine.Slots != 64 || engine.MemoryTokens != 319972 || engine.TokenBytes != 18432 || engine.LinkBits != 370e9 || engine.TokensAChunk != 9 ||
-		engine.HandleLife != 5*time.Second || engine.PartChange != 1700*time.Millisecond || len(engine.Models) != 1 || engine.Models[0] != "m/1" {
+		engine.HandleLifetime != 5*time.Second || engine.PartChange != 1700*time.Millisecond || len(engine.Models) != 1 || engine.Models[0] != "m/1" {
 		t.Errorf("engine %+v", engine)
 	}
 	route := configuration.Routes[0]
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -276,7 +276,7 @@
 		case "tokens_a_piece":
 			checker.whole(&engine.TokensAChunk, 0, 1_000_000, value, at)
 		case "handle_life_milliseconds":
-			checker.milliseconds(&engine.HandleLife, 0, LongestCallLimit, value, at)
+			checker.milliseconds(&engine.HandleLifetime, 0, LongestCallLimit, value, at)
 		case "part_change_milliseconds":
 			checker.milliseconds(&engine.PartChange, 0, LongestCallLimit, value, at)
 		case "models":
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -34,14 +34,14 @@
 // Engine is what operators say of a service's servers. Sizes are in tokens, the link
 // in bits a second.
 type Engine struct {
-	Slots        int
-	MemoryTokens int
-	TokenBytes   int
-	LinkBits     float64
-	TokensAChunk int
-	HandleLife   time.Duration
-	PartChange   time.Duration
-	Models       []string
+	Slots          int
+	MemoryTokens   int
+	TokenBytes     int
+	LinkBits       float64
+	TokensAChunk   int
+	HandleLifetime time.Duration
+	PartChange     time.Duration
+	Models         []string
 }
 
 // The bounds and defaults of a service. The values are ours.
--- a/internal/hatch/ask.go
+++ b/internal/hatch/ask.go
@@ -49,7 +49,7 @@
 	asked := map[string]bool{}
 	var last error = failure.New(failure.NoPrimary, "no expediter is known")
 	for _, address := range follower.candidates() {
-		for address != "" && !asked[address] && follower.turns.Alive() && follower.left(patience, ends) > 0 {
+		for address != "" && !asked[address] && follower.runtime.Alive() && follower.left(patience, ends) > 0 {
 			asked[address] = true
 			reply, err := follower.line.CallRaw(address, path, body, follower.left(patience, ends))
 			if err != nil {
@@ -100,7 +100,7 @@
 func (follower *Follower) forget(address string) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	follower.dark[address] = follower.turns.Now()
+	follower.dark[address] = follower.runtime.Now()
 	if follower.primary == address {
 		follower.primary, follower.current = "", false
 	}
@@ -127,7 +127,7 @@
 
 func (follower *Follower) isDark(address string) bool {
 	since, found := follower.dark[address]
-	return found && follower.turns.Now().Sub(since) < darkTime
+	return found && follower.runtime.Now().Sub(since) < darkTime
 }
 
 // left is how long a call may take that is given so much patience and must end
@@ -136,7 +136,7 @@
 	if ends.IsZero() {
 		return patience
 	}
-	return min(patience, ends.Sub(follower.turns.Now()))
+	return min(patience, ends.Sub(follower.runtime.Now()))
 }
 
 func (follower *Follower) viaNeighbour(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
--- a/internal/hatch/calls.go
+++ b/internal/hatch/calls.go
@@ -16,8 +16,8 @@
 // each, carries the decisions out, and tells the window how they ended. One thread
 // serves one call.
 type Calls struct {
-	turns  runtime.Runtime
-	window *scheduler.Window
+	runtime runtime.Runtime
+	window  *scheduler.Window
 	// listed is told which servers there are, before any call is sent to them.
 	listed  func(servers []membership.Server)
 	servers atomic.Int64
@@ -29,8 +29,8 @@
 }
 
 // NewCalls makes the conduct over a window. Listed is told which servers there are.
-func NewCalls(turns runtime.Runtime, window *scheduler.Window, listed func(servers []membership.Server)) *Calls {
-	return &Calls{turns: turns, window: window, listed: listed}
+func NewCalls(rt runtime.Runtime, window *scheduler.Window, listed func(servers []membership.Server)) *Calls {
+	return &Calls{runtime: rt, window: window, listed: listed}
 }
 
 // SetConfiguration puts a configuration in force, unless a newer one is.
@@ -48,7 +48,7 @@
 // serves tells whether calls may be let in now.
 func (calls *Calls) serves() bool {
 	until := calls.serving.Load()
-	return until == nil || calls.turns.Now().Before(*until)
+	return until == nil || calls.runtime.Now().Before(*until)
 }
 
 // unheldRetry is when a call may come back that met a courier without a hold: the
@@ -101,13 +101,13 @@
 // the grace is over. Noticed is told when those who look have noticed: clients whose
 // connections rest had better not come back on them.
 func (calls *Calls) Retire(grace time.Duration, noticed func()) {
-	ends := calls.turns.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
+	ends := calls.runtime.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
 	calls.Leave()
-	runtime.Sleep(calls.turns, min(noticePause, grace/3))
+	runtime.Sleep(calls.runtime, min(noticePause, grace/3))
 	noticed()
 	calls.window.Drain()
-	for calls.turns.Alive() && calls.window.InFlight() > 0 && calls.turns.Now().Before(ends) {
-		runtime.Sleep(calls.turns, leavingPause)
+	for calls.runtime.Alive() && calls.window.InFlight() > 0 && calls.runtime.Now().Before(ends) {
+		runtime.Sleep(calls.runtime, leavingPause)
 	}
 }
 
@@ -120,7 +120,7 @@
 		exchange.Refuse(Refusal{Cause: scheduler.NotReady, Status: statusOf(scheduler.NotReady), RetryAfter: unheldRetry})
 		return
 	}
-	ticket, decision := calls.window.Arrive(calls.turns.Now(), call)
+	ticket, decision := calls.window.Arrive(calls.runtime.Now(), call)
 	// ran tells that a server may have begun the call, before that an earlier one than
 	// the last may have.
 	ran, before := false, false
@@ -142,7 +142,7 @@
 				exchange.Free(scheduler.Source{Address: decision.Server.Address, Handle: outcome.Handle})
 			}
 		case scheduler.Run:
-			outcome = exchange.Run(ticket.Route().Calls, decision, func() { calls.window.Began(calls.turns.Now(), ticket) })
+			outcome = exchange.Run(ticket.Route().Calls, decision, func() { calls.window.Began(calls.runtime.Now(), ticket) })
 			before, ran = ran, ran || outcome.Result.MayHaveRun()
 		default:
 			if decision.Reason != "" {
@@ -151,7 +151,7 @@
 			conclude(exchange, decision, ran, before && !outcome.Result.MayHaveRun())
 			return
 		}
-		decision = calls.window.Ended(calls.turns.Now(), ticket, outcome)
+		decision = calls.window.Ended(calls.runtime.Now(), ticket, outcome)
 	}
 }
 
@@ -194,5 +194,5 @@
 // told asks the keepers of counts and has the window go on with their answers.
 func (calls *Calls) told(ticket *scheduler.Ticket, decision scheduler.Decision) scheduler.Decision {
 	answers := calls.keepers.Ask(decision.Questions)
-	return calls.window.Told(calls.turns.Now(), ticket, answers)
+	return calls.window.Told(calls.runtime.Now(), ticket, answers)
 }
--- a/internal/hatch/calls_test.go
+++ b/internal/hatch/calls_test.go
@@ -55,11 +55,11 @@
 
 func newCalls(t *testing.T, parts ...string) (*Calls, *osruntime.Runtime) {
 	t.Helper()
-	turns := osruntime.New(t.Context(), osruntime.NewClock())
-	calls := NewCalls(turns, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
+	rt := osruntime.New(t.Context(), osruntime.NewClock())
+	calls := NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
-		LinkBits: 5e11, TokensAChunk: 5, HandleLife: 5 * time.Second, Models: []string{"m"}}}}
+		LinkBits: 5e11, TokensAChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
 	configuration.Limits.BodyBytes = 7
 	for name, repeatable := range map[string]bool{"once": false, "again": true} {
 		configuration.Routes = append(configuration.Routes, config.Route{Name: name, Match: config.Match{Host: "h", PathPrefix: "/" + name + "/"},
@@ -72,8 +72,8 @@
 		servers = append(servers, membership.Server{Name: name, Address: name + ":1", Zone: "north", Service: "desk", Part: part, Slots: 64, Models: []string{"m"}})
 	}
 	calls.SetRouters(1)
-	calls.SetServers(turns.Now(), servers)
-	return calls, turns
+	calls.SetServers(rt.Now(), servers)
+	return calls, rt
 }
 
 func arriving(path string) *scheduler.Call {
@@ -127,11 +127,11 @@
 }
 
 func TestReadyNeedsAConfigurationAndServers(t *testing.T) {
-	calls, turns := newCalls(t)
+	calls, rt := newCalls(t)
 	if calls.Ready() {
 		t.Fatal("ready without servers")
 	}
-	calls.SetServers(turns.Now(), []membership.Server{{Name: "stove-1", Address: "a:1"}})
+	calls.SetServers(rt.Now(), []membership.Server{{Name: "stove-1", Address: "a:1"}})
 	if !calls.Ready() || calls.Limits().BodyBytes != 7 {
 		t.Fatal("not ready")
 	}
--- a/internal/hatch/counter.go
+++ b/internal/hatch/counter.go
@@ -29,19 +29,19 @@
 			if err := controller.mine(question.To); err != nil {
 				return replication.Promise{}, err
 			}
-			return controller.witness.Prepare(controller.turns.Now(), question.Epoch, question.From)
+			return controller.witness.Prepare(controller.runtime.Now(), question.Epoch, question.From)
 		}),
 		AcceptPath: answering(func(question keeperQuestion) (replication.Promise, error) {
 			if err := controller.mine(question.To); err != nil {
 				return replication.Promise{}, err
 			}
-			return controller.witness.Accept(controller.turns.Now(), question.Membership)
+			return controller.witness.Accept(controller.runtime.Now(), question.Membership)
 		}),
 		ConfirmPath: answering(func(question keeperQuestion) (replication.Promise, error) {
 			if err := controller.mine(question.To); err != nil {
 				return replication.Promise{}, err
 			}
-			return controller.witness.Confirm(controller.turns.Now(), question.Epoch, question.From), nil
+			return controller.witness.Confirm(controller.runtime.Now(), question.Epoch, question.From), nil
 		}),
 		ReplicatePath: answering(func(question replicateQuestion) (nothing, error) {
 			if err := controller.mine(question.To); err != nil {
@@ -107,7 +107,7 @@
 	}
 	name := question.Member.Name
 	router := question.Member.Kind == membership.Router
-	arrived := controller.turns.Now()
+	arrived := controller.runtime.Now()
 	controller.mutex.Lock()
 	current.asked[name] = arrived
 	controller.mutex.Unlock()
@@ -122,7 +122,7 @@
 	}
 	if recorded, found := state.Members[name]; !found || !recorded.Same(question.Member) {
 		member := question.Member
-		member.Since = controller.turns.Wall()
+		member.Since = controller.runtime.Wall()
 		if _, err := controller.submit(replication.Register(member), registerPatience); err != nil {
 			return UpdateAnswer{}, err
 		}
@@ -133,7 +133,7 @@
 		}
 		answer := UpdateAnswer{Leads: true, Membership: controller.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
 		answer.shorten(question, current)
-		now := controller.turns.Now()
+		now := controller.runtime.Now()
 		answer.Held = now.Sub(arrived)
 		controller.lists.tell(now, question, &answer)
 		if router {
@@ -238,7 +238,7 @@
 		seen = view
 		return len(newer(view, question.Have)) > 0 || controller.lists.newer(question) || controller.newerMembership(question)
 	})
-	if !controller.turns.Alive() {
+	if !controller.runtime.Alive() {
 		return nil
 	}
 	return seen
--- a/internal/hatch/countkeepers.go
+++ b/internal/hatch/countkeepers.go
@@ -16,13 +16,13 @@
 // zone that rendezvous hashing puts first, but for those that did not answer lately. Two
 // nodes may take different ones for the keeper for a while: the counts are hints.
 type CountKeepers struct {
-	turns  runtime.Runtime
-	line   Hotline
-	window *scheduler.Window
+	runtime runtime.Runtime
+	line    Hotline
+	window  *scheduler.Window
 	// self is this node's name, life this life of it.
-	self, life string
-	ledger     backlog.Ledger
-	changed    runtime.Cond
+	self, incarnation string
+	ledger            backlog.Ledger
+	changed           runtime.Cond
 
 	mutex  sync.Mutex
 	nodes  map[string]membership.Member
@@ -42,8 +42,8 @@
 )
 
 // NewCountKeepers makes the keepers' side and the asking side of one life of a node.
-func NewCountKeepers(turns runtime.Runtime, line Hotline, window *scheduler.Window, self, life string) *CountKeepers {
-	return &CountKeepers{turns: turns, line: line, window: window, self: self, life: life, changed: turns.NewCond(),
+func NewCountKeepers(rt runtime.Runtime, line Hotline, window *scheduler.Window, self, incarnation string) *CountKeepers {
+	return &CountKeepers{runtime: rt, line: line, window: window, self: self, incarnation: incarnation, changed: rt.NewCond(),
 		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
 }
 
@@ -63,7 +63,7 @@
 
 // Answer answers a question of another node.
 func (keepers *CountKeepers) Answer(question backlog.Question) (backlog.Answer, error) {
-	return keepers.ledger.Apply(keepers.turns.Now(), question), nil
+	return keepers.ledger.Apply(keepers.runtime.Now(), question), nil
 }
 
 // Ask brings questions to their keepers, all at once, and gives the answers that come in
@@ -72,7 +72,7 @@
 	answers := make(map[string]backlog.Answer, len(questions))
 	var mutex sync.Mutex
 	left := len(questions) - 1
-	done := keepers.turns.NewCond()
+	done := keepers.runtime.NewCond()
 	ask := func(question backlog.Question) {
 		answer, answered := keepers.bring(question)
 		mutex.Lock()
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, question := range questions[1:] {
-		keepers.turns.Go(func() {
+		keepers.runtime.Go(func() {
 			ask(question)
 			mutex.Lock()
 			left--
@@ -107,17 +107,17 @@
 
 // bring has the keeper of a question's group answer it.
 func (keepers *CountKeepers) bring(question backlog.Question) (answer backlog.Answer, answered bool) {
-	question.Router = keepers.life
+	question.Router = keepers.incarnation
 	keeper, found := keepers.keeper(question.Group)
 	if !found {
 		return answer, false
 	}
 	if keeper.Name == keepers.self {
-		return keepers.ledger.Apply(keepers.turns.Now(), question), true
+		return keepers.ledger.Apply(keepers.runtime.Now(), question), true
 	}
 	if err := Call(keepers.line, keeper.Address, CountsPath, question, &answer, countPatience); err != nil {
 		keepers.mutex.Lock()
-		keepers.silent[keeper.Address] = keepers.turns.Now()
+		keepers.silent[keeper.Address] = keepers.runtime.Now()
 		keepers.mutex.Unlock()
 		return answer, false
 	}
@@ -126,7 +126,7 @@
 
 // keeper is the node that keeps a group's counts.
 func (keepers *CountKeepers) keeper(group string) (membership.Member, bool) {
-	now := keepers.turns.Now()
+	now := keepers.runtime.Now()
 	keepers.mutex.Lock()
 	defer keepers.mutex.Unlock()
 	ranked, known := keepers.ranked[group]
@@ -174,9 +174,9 @@
 
 // Tell brings changes to the keepers whenever there are any.
 func (keepers *CountKeepers) Tell() {
-	for keepers.turns.Alive() {
+	for keepers.runtime.Alive() {
 		keepers.changed.Wait(restTick, keepers.window.HasChanges)
-		runtime.Sleep(keepers.turns, changesPause)
+		runtime.Sleep(keepers.runtime, changesPause)
 		for group, changes := range keepers.window.TakeChanges() {
 			keepers.bring(backlog.Question{Group: group, Changes: changes})
 		}
--- a/internal/hatch/countkeepers_test.go
+++ b/internal/hatch/countkeepers_test.go
@@ -45,14 +45,14 @@
 // keeperFleet is six nodes in two zones.
 func keeperFleet(t *testing.T) (*keeperLine, map[string]*CountKeepers) {
 	t.Helper()
-	turns := osruntime.New(t.Context(), osruntime.NewClock())
+	rt := osruntime.New(t.Context(), osruntime.NewClock())
 	line := &keeperLine{keepers: map[string]*CountKeepers{}, down: map[string]bool{}}
 	members := map[string]membership.Member{"expediter-1": {Name: "expediter-1", Kind: membership.Controller, Address: "e1", Zone: "north"}}
 	all := map[string]*CountKeepers{}
 	for position, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		zone := []string{"north", "south"}[position%2]
 		members[name] = membership.Member{Name: name, Kind: membership.Router, Address: "at-" + name, Zone: zone}
-		all[name] = NewCountKeepers(turns, line, scheduler.New(scheduler.Options{Router: name, Zone: zone}), name, "life-of-"+name)
+		all[name] = NewCountKeepers(rt, line, scheduler.New(scheduler.Options{Router: name, Zone: zone}), name, "life-of-"+name)
 		line.keepers["at-"+name] = all[name]
 	}
 	for _, keepers := range all {
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -18,14 +18,14 @@
 // Router is the data plane's conduct at one node: it follows the primary, has
 // inquiries decided by the core, and carries the decisions out.
 type Router struct {
-	turns   runtime.Runtime
-	line    Hotline
-	stove   Stove
-	passing Passing
-	options RouterOptions
-	observe func(event string, detail ...any)
-	core    *seamloom.Core
-	board   Board
+	runtime     runtime.Runtime
+	line        Hotline
+	modelServer ModelServer
+	passing     Passing
+	options     RouterOptions
+	observe     func(event string, detail ...any)
+	core        *seamloom.Core
+	board       Board
 	// stirred rings when there is more to do than before, crumbs when records are to
 	// go to a neighbour.
 	stirred runtime.Cond
@@ -71,15 +71,15 @@
 )
 
 // NewRouter makes the conduct of one courier.
-func NewRouter(turns runtime.Runtime, line Hotline, stove Stove, passing Passing, options RouterOptions, observe func(string, ...any)) *Router {
-	router := &Router{turns: turns, line: line, stove: stove, passing: passing, options: options, observe: observe,
-		core: seamloom.New(options.Options), stirred: turns.NewCond(), crumbs: turns.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
+func NewRouter(rt runtime.Runtime, line Hotline, modelServer ModelServer, passing Passing, options RouterOptions, observe func(string, ...any)) *Router {
+	router := &Router{runtime: rt, line: line, modelServer: modelServer, passing: passing, options: options, observe: observe,
+		core: seamloom.New(options.Options), stirred: rt.NewCond(), crumbs: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
 	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	router.followed = NewFollower(turns, line, member, options.Seeds, router.InForce, router.takeUpdate)
+	router.followed = NewFollower(rt, line, member, options.Seeds, router.InForce, router.takeUpdate)
 	if options.Board != nil {
 		router.board = options.Board(router.core.Calls())
-		router.keepers = NewCountKeepers(turns, line, router.core.Calls(), options.Router, router.incarnation)
+		router.keepers = NewCountKeepers(rt, line, router.core.Calls(), options.Router, router.incarnation)
 		router.core.Calls().SetAsks(true)
 		router.followed.TellFailing(router.core.Calls().TakeFailing)
 		router.board.SetKeepers(router.keepers)
@@ -110,7 +110,7 @@
 // tick lets the core see the time go on: often while inquiries are under way, seldom
 // while there are only duties, and hardly ever otherwise.
 func (router *Router) tick() {
-	for router.turns.Alive() {
+	for router.runtime.Alive() {
 		router.Apply(auction.Event{Kind: auction.Ticked})
 		pause := router.tickPause()
 		// Whoever gives the core more to do looks at this after it has, and rings.
@@ -172,7 +172,7 @@
 // Apply feeds one event to the core and carries its decisions out.
 func (router *Router) Apply(event auction.Event) {
 	if event.At.IsZero() {
-		event.At = router.turns.Now()
+		event.At = router.runtime.Now()
 	}
 	for _, decision := range router.core.Apply(event) {
 		router.carryOut(decision)
@@ -288,7 +288,7 @@
 		router.takeServers(update.Servers.At, update.Servers.Servers)
 	}
 	if len(update.Loads) > 0 {
-		router.core.Calls().SetOutliers(router.turns.Now(), update.Outliers)
+		router.core.Calls().SetOutliers(router.runtime.Now(), update.Outliers)
 		router.Apply(auction.Event{Kind: auction.LoadsReported, Loads: update.Loads})
 	}
 }
@@ -356,10 +356,10 @@
 
 // leaveCrumbs does so whenever there are any.
 func (router *Router) leaveCrumbs() {
-	for router.turns.Alive() {
+	for router.runtime.Alive() {
 		router.crumbs.Wait(restTick, router.journal.outgoing)
 		router.dropCrumbs()
-		runtime.Sleep(router.turns, crumbsPause)
+		runtime.Sleep(router.runtime, crumbsPause)
 	}
 }
 
@@ -388,7 +388,7 @@
 		sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
 		return
 	}
-	stream := newStream(router.turns)
+	stream := newStream(router.runtime)
 	router.mutex.Lock()
 	_, busy := router.streams[request.ID]
 	if !busy {
@@ -420,7 +420,7 @@
 	if passage.Incarnation != "" && passage.Incarnation != router.incarnation {
 		return false
 	}
-	return router.passages.first(router.turns.Now(), passage.Nonce)
+	return router.passages.first(router.runtime.Now(), passage.Nonce)
 }
 
 func (router *Router) answer(arrival Arrival, reply Reply, stream *stream) {
@@ -432,8 +432,8 @@
 				router.Apply(auction.Event{Kind: auction.ClientLeft, ID: request.ID})
 				return
 			}
-			stream.bell.Wait(time.Minute, stream.update)
-			if !router.turns.Alive() {
+			stream.cond.Wait(time.Minute, stream.update)
+			if !router.runtime.Alive() {
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
 				if stream.sent == 0 {
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -96,10 +96,10 @@
 // TestBoardIsToldUntilWhenItMayServe brings news with and without a hold, and settings.
 func TestBoardIsToldUntilWhenItMayServe(t *testing.T) {
 	board := &noted{until: atNoon(time.Hour)}
-	turns := &movingTurns{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), now: atNoon(0)}
+	rt := &movingRuntime{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), now: atNoon(0)}
 	options := RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
 		Ended: func(*auction.Request, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
-	router := NewRouter(turns, nil, nil, nil, options, func(string, ...any) {})
+	router := NewRouter(rt, nil, nil, nil, options, func(string, ...any) {})
 	if !board.until.IsZero() {
 		t.Errorf("before any hold it serves until %s", board.until)
 	}
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -23,29 +23,29 @@
 		}
 		if decision.Kind == auction.Finish {
 			for run := 1; run <= decision.Run; run++ {
-				router.stove.EndRun(decision.ID, run)
+				router.modelServer.EndRun(decision.ID, run)
 				router.forgetToken(decision.ID, run)
 			}
 		}
 	case auction.ClaimRequest:
-		router.turns.Go(func() { router.claim(decision) })
+		router.runtime.Go(func() { router.claim(decision) })
 	case auction.DispatchPrefill:
 		decision.Token = router.newToken(decision)
-		router.turns.Go(func() { router.prefill(decision) })
+		router.runtime.Go(func() { router.prefill(decision) })
 	case auction.DispatchDecode:
 		decision.Token = router.newToken(decision)
-		router.turns.Go(func() { router.decode(decision) })
+		router.runtime.Go(func() { router.decode(decision) })
 	case auction.Cancel:
 		decision.Token = router.tokenOf(decision)
-		router.stove.Cancel(decision)
+		router.modelServer.Cancel(decision)
 	case auction.NotePair:
 		router.notePair(decision)
 	case auction.NoteRetry:
 		router.noteRetry(decision)
 	case auction.GiveOrders:
-		router.turns.Go(func() { router.giveOrders(decision) })
+		router.runtime.Go(func() { router.giveOrders(decision) })
 	case auction.Command:
-		router.turns.Go(func() { router.command(decision) })
+		router.runtime.Go(func() { router.command(decision) })
 	}
 }
 
@@ -73,18 +73,18 @@
 
 // mayAct is asked just before the act, after every wait.
 func (router *Router) mayAct(decision auction.Decision) bool {
-	return router.turns.Now().Before(decision.NotAfter)
+	return router.runtime.Now().Before(decision.NotAfter)
 }
 
 func (router *Router) prefill(decision auction.Decision) {
 	event := auction.Event{Kind: auction.PrefillAnswered, ID: decision.ID, Run: decision.Run}
-	event.Outcome, event.Handle, event.Detail = router.stove.Prefill(decision, func() bool { return router.mayAct(decision) })
+	event.Outcome, event.Handle, event.Detail = router.modelServer.Prefill(decision, func() bool { return router.mayAct(decision) })
 	router.Apply(event)
 }
 
 func (router *Router) decode(decision auction.Decision) {
 	event := auction.Event{Kind: auction.DecodeEnded, ID: decision.ID, Run: decision.Run}
-	event.Outcome, event.Chunk, event.Detail = router.stove.Decode(decision, func() bool { return router.mayAct(decision) }, func(chunk int, text string) {
+	event.Outcome, event.Chunk, event.Detail = router.modelServer.Decode(decision, func() bool { return router.mayAct(decision) }, func(chunk int, text string) {
 		router.Apply(auction.Event{Kind: auction.ChunkReceived, ID: decision.ID, Run: decision.Run, Chunk: chunk, Text: text})
 	})
 	router.Apply(event)
@@ -105,7 +105,7 @@
 	if router.core.Restricted() {
 		return
 	}
-	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Request: decision.ID, Router: router.options.Router, Run: decision.Run, At: router.turns.Wall()})
+	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Request: decision.ID, Router: router.options.Router, Run: decision.Run, At: router.runtime.Wall()})
 	if err == nil {
 		router.journal.append(record, true)
 		router.crumbs.Broadcast()
@@ -125,7 +125,7 @@
 	if router.core.Restricted() {
 		return
 	}
-	err := router.stove.Command(decision, func() bool { return router.mayAct(decision) })
+	err := router.modelServer.Command(decision, func() bool { return router.mayAct(decision) })
 	router.observe("commanded", "server", decision.Server, "part", decision.Part, "fence", decision.Role.FencingToken, "trouble", err)
 }
 
@@ -140,11 +140,11 @@
 		return
 	}
 	question := ClaimQuestion{Made: made, Entry: codec.Entry{Request: decision.ID, Router: router.options.Router, Run: 1,
-		At: router.turns.Wall(), Cause: router.nonce()}}
+		At: router.runtime.Wall(), Cause: router.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
 	// that the inquiry never ran, and when to come back.
-	ends := router.turns.Now().Add(claimTime)
-	for router.turns.Alive() && router.mayAct(decision) && router.turns.Now().Before(ends) && router.turns.Now().Before(router.core.ServesUntil()) {
+	ends := router.runtime.Now().Add(claimTime)
+	for router.runtime.Alive() && router.mayAct(decision) && router.runtime.Now().Before(ends) && router.runtime.Now().Before(router.core.ServesUntil()) {
 		var answer LedAnswer
 		err := router.followed.Ask(ClaimPath, question, &answer, time.Second, ends)
 		switch kind := failure.KindOf(err); {
@@ -155,7 +155,7 @@
 		case kind == failure.TooOld || kind == failure.TooNew:
 			event.Outcome, event.Detail = auction.TooOld, err.Error()
 		default:
-			runtime.Sleep(router.turns, claimPause)
+			runtime.Sleep(router.runtime, claimPause)
 			continue
 		}
 		break
--- a/internal/hatch/edit.go
+++ b/internal/hatch/edit.go
@@ -67,7 +67,7 @@
 // that has moved meanwhile. Edits of a large configuration are prepared one after
 // another, so that one whose turn it is need not be made again.
 func (controller *Controller) change(edit Edit) (*Term, replication.Version, error) {
-	ends := controller.turns.Now().Add(changePatience)
+	ends := controller.runtime.Now().Add(changePatience)
 	for {
 		current, view, err := controller.Ruling()
 		if err != nil {
@@ -97,7 +97,7 @@
 		if failure.KindOf(err) != failure.Moved {
 			return current, version, err
 		}
-		if !controller.turns.Now().Before(ends) {
+		if !controller.runtime.Now().Before(ends) {
 			return nil, replication.Version{}, failure.New(failure.Busy, "the configuration changes faster than this change can be made; ask again")
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 func (controller *Controller) takeEditTurn(ends time.Time) bool {
-	return controller.edits.Wait(ends.Sub(controller.turns.Now()), func() bool {
+	return controller.edits.Wait(ends.Sub(controller.runtime.Now()), func() bool {
 		controller.mutex.Lock()
 		defer controller.mutex.Unlock()
 		taken := controller.editing
@@ -146,10 +146,10 @@
 // heard from within it has, or the wait has passed. Its own hold is checked last.
 func (controller *Controller) awaitInForce(current *Term, version replication.Version) bool {
 	everywhere := false
-	committed := controller.turns.Now()
+	committed := controller.runtime.Now()
 	wait := time.Duration(controller.acknowledgeWait.Load())
 	ends := committed.Add(inForcePatience)
-	for controller.turns.Now().Before(ends) {
+	for controller.runtime.Now().Before(ends) {
 		lost := false
 		// Holds run out without a ring: the wait is cut into short ones.
 		over := controller.confirmed.Wait(50*time.Millisecond, func() bool {
@@ -163,7 +163,7 @@
 				lost = true
 				return true
 			}
-			now := controller.turns.Now()
+			now := controller.runtime.Now()
 			if wait > 0 {
 				// A question that is held back counts from when it came.
 				everywhere = now.Sub(committed) >= wait || len(current.behind(now, version, max(wait, loadsWait+roundTrip))) == 0
@@ -172,7 +172,7 @@
 			}
 			return everywhere
 		})
-		if over || !controller.turns.Alive() {
+		if over || !controller.runtime.Alive() {
 			return everywhere && !lost && controller.coordinator.Holds()
 		}
 	}
@@ -185,7 +185,7 @@
 	if err != nil {
 		return replication.Version{}, err
 	}
-	if _, live := current.Holds.Live(controller.turns.Now())[name]; live {
+	if _, live := current.Holds.Live(controller.runtime.Now())[name]; live {
 		return replication.Version{}, failure.New(failure.HoldActive, name+" is running; stop it first")
 	}
 	return controller.submit(replication.Retire(name), changePatience)
--- a/internal/hatch/edit_test.go
+++ b/internal/hatch/edit_test.go
@@ -98,7 +98,7 @@
 	}
 	primary.Leave(5 * time.Second)
 	var next *Controller
-	waited := primary.turns.NewCond()
+	waited := primary.runtime.NewCond()
 	for range 200 {
 		waited.Wait(20*time.Millisecond, func() bool { return false })
 		for _, node := range formed.nodes {
@@ -163,21 +163,21 @@
 	formed.mustBe(t, primary, `"north"`)
 }
 
-// leapingTurns is a clock that can be moved ahead, as a process that was frozen finds it.
-type leapingTurns struct {
+// leapingRuntime is a clock that can be moved ahead, as a process that was frozen finds it.
+type leapingRuntime struct {
 	runtime.Runtime
 	ahead *atomic.Int64
 }
 
-func (turns leapingTurns) Now() time.Time {
-	return turns.Runtime.Now().Add(time.Duration(turns.ahead.Load()))
+func (rt leapingRuntime) Now() time.Time {
+	return rt.Runtime.Now().Add(time.Duration(rt.ahead.Load()))
 }
 
 // TestARefusalNeedsTheLease freezes the primary after it began a batch and before it
 // answers: whatever it found, its state may be an old one by then.
 func TestARefusalNeedsTheLease(t *testing.T) {
 	ahead := &atomic.Int64{}
-	_, primary := newCore(t, func(turns runtime.Runtime) runtime.Runtime { return leapingTurns{Runtime: turns, ahead: ahead} })
+	_, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime { return leapingRuntime{Runtime: rt, ahead: ahead} })
 	refusal := failure.New(failure.RevisionConflict, "7")
 	if _, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error { return refusal }, time.Second); failure.KindOf(err) != failure.RevisionConflict {
 		t.Fatalf("with the lease: %v", err)
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -20,7 +20,7 @@
 // keeper on its disk, and, while it is primary, the answers to nodes and
 // operators.
 type Controller struct {
-	turns       runtime.Runtime
+	runtime     runtime.Runtime
 	line        Hotline
 	options     ControllerOptions
 	observe     func(event string, detail ...any)
@@ -71,9 +71,9 @@
 
 // OpenController opens what the disk holds. A blank or damaged keeper's shelf is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenController(turns runtime.Runtime, line Hotline, keeping, copies replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
+func OpenController(rt runtime.Runtime, line Hotline, keeping, copies replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
-	witness, blank, err := replication.OpenWitness(turns.Now(), keeping, replica, options.Fresh)
+	witness, blank, err := replication.OpenWitness(rt.Now(), keeping, replica, options.Fresh)
 	if err != nil {
 		return nil, false, err
 	}
@@ -90,12 +90,12 @@
 	if damage := copied.Damage(); damage != "" {
 		observe("copy_damaged", "damage", damage)
 	}
-	witness.Guard(runtime.NewLock(turns))
-	copied.Guard(runtime.NewLock(turns))
-	controller := &Controller{turns: turns, line: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
-		update: turns.NewCond(), terms: turns.NewCond(), work: turns.NewCond(), confirmed: turns.NewCond(), edits: turns.NewCond()}
-	controller.store.Guard(runtime.NewLock(turns))
-	controller.coordinator = replication.NewCoordinator(turns, options.Seeds, witness, controller.store, &peers{line: line}, observe)
+	witness.Guard(runtime.NewLock(rt))
+	copied.Guard(runtime.NewLock(rt))
+	controller := &Controller{runtime: rt, line: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
+		update: rt.NewCond(), terms: rt.NewCond(), work: rt.NewCond(), confirmed: rt.NewCond(), edits: rt.NewCond()}
+	controller.store.Guard(runtime.NewLock(rt))
+	controller.coordinator = replication.NewCoordinator(rt, options.Seeds, witness, controller.store, &peers{line: line}, observe)
 	if options.JoinsOnly {
 		controller.coordinator.JoinOnly()
 	}
@@ -104,7 +104,7 @@
 	controller.coordinator.Bear(options.BorneLosses, options.Zone)
 	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.Repair().String(), "margin", timing.Margin().String())
 	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	controller.followed = NewFollower(turns, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
+	controller.followed = NewFollower(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
 	controller.followed.Follow(options.Directory != nil, false)
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
 	// Who was recorded when this disk was written last may know where the core is now.
@@ -127,7 +127,7 @@
 // Rounds are what an expediter does over and over, each in a thread of its own.
 func (controller *Controller) Rounds() []func() {
 	every := func(pause time.Duration, task func()) func() {
-		return func() { runtime.Every(controller.turns, pause, task) }
+		return func() { runtime.Every(controller.runtime, pause, task) }
 	}
 	rounds := []func(){every(tickPause, controller.tick), controller.keepHouse, every(sweepPause, controller.sweep),
 		controller.commit, controller.followed.Run}
@@ -144,10 +144,10 @@
 // returns when nothing depends on it any more or the patience ends. It goes on as before
 // until then. What was not answered yet has no known outcome.
 func (controller *Controller) Leave(patience time.Duration) {
-	ends := controller.turns.Now().Add(patience)
+	ends := controller.runtime.Now().Add(patience)
 	controller.coordinator.Leave()
-	for !controller.coordinator.Released() && controller.turns.Now().Before(ends) {
-		runtime.Sleep(controller.turns, leavePause)
+	for !controller.coordinator.Released() && controller.runtime.Now().Before(ends) {
+		runtime.Sleep(controller.runtime, leavePause)
 	}
 	controller.observe("left", "released", controller.coordinator.Released())
 }
@@ -160,7 +160,7 @@
 
 // Servers is the platform's list as it was read last.
 func (controller *Controller) Servers() []membership.Server {
-	return controller.lists.servers(controller.turns.Now())
+	return controller.lists.servers(controller.runtime.Now())
 }
 
 // setNodes takes the platform's list of nodes.
@@ -240,7 +240,7 @@
 	controller.epoch = epoch
 	begun, ended := leading && controller.term == nil, !leading && controller.term != nil
 	if begun {
-		controller.term = newTerm(controller.turns.Now())
+		controller.term = newTerm(controller.runtime.Now())
 	}
 	if ended {
 		controller.term = nil
@@ -286,7 +286,7 @@
 	if !controller.coordinator.Holds() {
 		return nil, nil, nil, failure.New(failure.NoPrimary, "the hold ran out")
 	}
-	controller.turns.Go(func() { controller.mendCopies(view) })
+	controller.runtime.Go(func() { controller.mendCopies(view) })
 	return current, view, state, nil
 }
 
@@ -314,7 +314,7 @@
 
 // commit syncs batches on every copy in sync, one after another.
 func (controller *Controller) commit() {
-	for controller.turns.Alive() {
+	for controller.runtime.Alive() {
 		seen := controller.submitted.Load()
 		if controller.commitOne() {
 			continue
@@ -353,15 +353,15 @@
 	var mutex sync.Mutex
 	var own error
 	kept := false
-	bell := controller.turns.NewCond()
-	controller.turns.Go(func() {
+	cond := controller.runtime.NewCond()
+	controller.runtime.Go(func() {
 		controller.coordinator.OwnDisk(true)
 		err := controller.store.KeepOwn(batch)
 		controller.coordinator.OwnDisk(err != nil)
 		mutex.Lock()
 		own, kept = err, true
 		mutex.Unlock()
-		bell.Broadcast()
+		cond.Broadcast()
 	})
 	var missing error
 	waits := 0
@@ -374,12 +374,12 @@
 	}
 	for _, further := range membership.Further {
 		waits++
-		controller.turns.Go(func() {
+		controller.runtime.Go(func() {
 			replicate(further)
 			mutex.Lock()
 			waits--
 			mutex.Unlock()
-			bell.Broadcast()
+			cond.Broadcast()
 		})
 	}
 	replicate(membership.Backup)
@@ -390,8 +390,8 @@
 	}
 	// The own disk may stall for as long as it likes: nothing else is written
 	// meanwhile.
-	for !bell.Wait(time.Second, ended) {
-		if !controller.turns.Alive() {
+	for !cond.Wait(time.Second, ended) {
+		if !controller.runtime.Alive() {
 			return false
 		}
 	}
@@ -418,14 +418,14 @@
 	var version replication.Version
 	var err error
 	answered := false
-	bell := controller.turns.NewCond()
+	cond := controller.runtime.NewCond()
 	controller.queue(change, func(committed replication.Version, ended error) {
 		mutex.Lock()
 		version, err, answered = committed, ended, true
 		mutex.Unlock()
-		bell.Broadcast()
+		cond.Broadcast()
 	})
-	bell.Wait(patience, func() bool {
+	cond.Wait(patience, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return answered
--- a/internal/hatch/expediter_test.go
+++ b/internal/hatch/expediter_test.go
@@ -13,7 +13,7 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-func plain(turns runtime.Runtime) runtime.Runtime { return turns }
+func plain(rt runtime.Runtime) runtime.Runtime { return rt }
 
 func rev(name string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) { return []byte(`{"routes":{"` + name + `":{"to":{"refuse":true}}}}`), nil }
@@ -36,9 +36,9 @@
 // the look at the newest one and the noting of the grant: the answer must
 // confirm the newer one, or the change would not wait for this courier.
 func TestGrantSeesAConfigurationThatComesMeanwhile(t *testing.T) {
-	hooks := map[runtime.Runtime]*hookedTurns{}
-	_, primary := newCore(t, func(turns runtime.Runtime) runtime.Runtime {
-		hooked := &hookedTurns{Runtime: turns}
+	hooks := map[runtime.Runtime]*hookedRuntime{}
+	_, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime {
+		hooked := &hookedRuntime{Runtime: rt}
 		hooks[hooked] = hooked
 		return hooked
 	})
@@ -62,7 +62,7 @@
 		committed = err == nil
 	}
 	question.Patience = 0
-	hooks[primary.turns].hook.Store(&hook)
+	hooks[primary.runtime].hook.Store(&hook)
 	answer, err := primary.answerUpdate(question)
 	if err != nil || !committed {
 		t.Fatalf("committed meanwhile: %v, %v", committed, err)
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -71,17 +71,17 @@
 	return node.Answers().Answer(path, body)
 }
 
-// hookedTurns has something done whenever the time is asked for.
-type hookedTurns struct {
+// hookedRuntime has something done whenever the time is asked for.
+type hookedRuntime struct {
 	runtime.Runtime
 	hook atomic.Pointer[func()]
 }
 
-func (turns *hookedTurns) Now() time.Time {
-	if act := turns.hook.Load(); act != nil {
+func (rt *hookedRuntime) Now() time.Time {
+	if act := rt.hook.Load(); act != nil {
 		(*act)()
 	}
-	return turns.Runtime.Now()
+	return rt.Runtime.Now()
 }
 
 // newCore forms a core and returns its primary.
@@ -90,13 +90,13 @@
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	formed := &core{nodes: map[string]*Controller{}, storages: map[string]*memoryStorage{}, keeping: map[string]*memoryStorage{}}
-	turns := osruntime.New(lifetime, osruntime.NewClock())
-	changed := turns.NewCond()
+	rt := osruntime.New(lifetime, osruntime.NewClock())
+	changed := rt.NewCond()
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
 		copies, keeping := &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
 		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
-		node, _, err := OpenController(wrap(turns), formed, keeping, copies, options, func(string, ...any) { changed.Broadcast() })
+		node, _, err := OpenController(wrap(rt), formed, keeping, copies, options, func(string, ...any) { changed.Broadcast() })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +107,7 @@
 	}
 	for _, node := range formed.nodes {
 		for _, round := range node.Rounds() {
-			turns.Go(round)
+			rt.Go(round)
 		}
 	}
 	var primary *Controller
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -14,7 +14,7 @@
 // Follower keeps one node up to date: it asks the primary with the versions that
 // it has and is answered when there is news.
 type Follower struct {
-	turns   runtime.Runtime
+	runtime runtime.Runtime
 	line    Hotline
 	member  membership.Member
 	inForce func() replication.Version
@@ -97,8 +97,8 @@
 
 // NewFollower makes a follower for a member. Take is called for every answer,
 // in turn.
-func NewFollower(turns runtime.Runtime, line Hotline, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
-	return &Follower{turns: turns, line: line, member: member, seeds: seeds, inForce: inForce, take: take,
+func NewFollower(rt runtime.Runtime, line Hotline, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
+	return &Follower{runtime: rt, line: line, member: member, seeds: seeds, inForce: inForce, take: take,
 		sections: map[string]replication.Section{}, dark: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
 }
 
@@ -187,7 +187,7 @@
 // Run asks until the process ends: the primary while it answers, and all that may know
 // it while it does not.
 func (follower *Follower) Run() {
-	for follower.turns.Alive() {
+	for follower.runtime.Alive() {
 		if address, known := follower.knownPrimary(); known {
 			follower.poll(address)
 			continue
@@ -208,7 +208,7 @@
 // anew: its successor may have been elected.
 func (follower *Follower) poll(address string) {
 	question, patience := follower.pollQuestion()
-	asked := follower.turns.Now()
+	asked := follower.runtime.Now()
 	var answer UpdateAnswer
 	err := Call(follower.line, address, UpdatePath, question, &answer, patience)
 	if err != nil {
@@ -216,12 +216,12 @@
 			follower.forget(address)
 			return
 		}
-		runtime.Sleep(follower.turns, retryPause)
+		runtime.Sleep(follower.runtime, retryPause)
 		return
 	}
 	follower.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
 	if answer.Leads && !follower.takeAnswer(asked, answer) {
-		runtime.Sleep(follower.turns, retryPause)
+		runtime.Sleep(follower.runtime, retryPause)
 	}
 }
 
@@ -303,7 +303,7 @@
 	for name, section := range answer.Sections {
 		follower.sections[name] = section
 	}
-	follower.heard = follower.turns.Now()
+	follower.heard = follower.runtime.Now()
 	follower.current = follower.primary != ""
 	update := Update{Asked: asked, Answer: answer, Changed: answer.Sections}
 	follower.takeLists(&update)
@@ -332,7 +332,7 @@
 	if said := update.Answer.Loads; said != nil && follower.loads {
 		follower.loadsMark = said.Mark
 		update.Outliers = said.Outliers
-		late := follower.turns.Now().Sub(told)
+		late := follower.runtime.Now().Sub(told)
 		for _, line := range said.Lines {
 			update.Loads = append(update.Loads, line.load(late))
 		}
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -84,9 +84,9 @@
 			t.Parallel()
 			line := &darkLine{answers: map[string]UpdateAnswer{}, closed: make(chan struct{})}
 			defer close(line.closed)
-			turns := osruntime.New(t.Context(), osruntime.NewClock())
+			rt := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
-			follower := NewFollower(turns, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
+			follower := NewFollower(rt, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
 				func() replication.Version { return replication.Version{} }, func(update Update) { taken <- update.Answer.Configuration })
 			follower.Follow(true, true)
 			var peers []string
@@ -97,7 +97,7 @@
 			before, after := seats("old"), seats("new")
 			before.Epoch, after.Epoch = 4, 19
 			line.set("old0", &UpdateAnswer{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
-			turns.Go(follower.Run)
+			rt.Go(follower.Run)
 			<-taken
 			line.set(fmt.Sprintf("courier%d", row.lit), &UpdateAnswer{Membership: after})
 			newest := replication.Version{Epoch: 19, Number: 33}
--- a/internal/hatch/housekeeping.go
+++ b/internal/hatch/housekeeping.go
@@ -11,15 +11,15 @@
 
 // keepHouse does so for as long as this expediter leads, and rests while it does not.
 func (controller *Controller) keepHouse() {
-	for controller.turns.Alive() {
+	for controller.runtime.Alive() {
 		if !controller.lists.leading() {
 			controller.terms.Wait(time.Minute, controller.lists.leading)
 			continue
 		}
-		next := controller.turns.Now().Add(housekeepingPause)
+		next := controller.runtime.Now().Add(housekeepingPause)
 		controller.housekeep()
-		if left := next.Sub(controller.turns.Now()); left > 0 {
-			runtime.Sleep(controller.turns, left)
+		if left := next.Sub(controller.runtime.Now()); left > 0 {
+			runtime.Sleep(controller.runtime, left)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 		controller.observe("state_unreadable", "cause", err)
 		return
 	}
-	now := controller.turns.Now()
+	now := controller.runtime.Now()
 	controller.mutex.Lock()
 	if version := view.VersionOf(replication.MembersSection); version != current.membersAt {
 		current.membersAt, current.settledFrom = version, now
@@ -64,7 +64,7 @@
 		}
 	}
 	if horizonDue && !restricted {
-		controller.queue(replication.MoveHorizon(controller.turns.Wall(), step), func(replication.Version, error) {})
+		controller.queue(replication.MoveHorizon(controller.runtime.Wall(), step), func(replication.Version, error) {})
 	}
 	controller.grantRoles(now, current, state)
 	controller.retireSilent(now, current, state)
@@ -118,7 +118,7 @@
 func (controller *Controller) Settling(current *Term) bool {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
-	return controller.turns.Now().Sub(current.settledFrom) < controller.options.FlagSettle
+	return controller.runtime.Now().Sub(current.settledFrom) < controller.options.FlagSettle
 }
 
 func (controller *Controller) grantRoles(now time.Time, current *Term, state *replication.State) {
@@ -155,7 +155,7 @@
 // writes a copy out of the pair is always a little old, and a whole one goes out
 // each time.
 func (controller *Controller) mendCopies(view *replication.View) {
-	now := controller.turns.Now()
+	now := controller.runtime.Now()
 	controller.mutex.Lock()
 	rests := controller.mending || now.Sub(controller.mendedAt) < mendPause
 	if !rests {
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -31,7 +31,7 @@
 func (router *Router) Servers() []membership.Server {
 	router.listMutex.Lock()
 	defer router.listMutex.Unlock()
-	return router.listing.Servers(router.turns.Now())
+	return router.listing.Servers(router.runtime.Now())
 }
 
 // takeServers takes a list that was read at a moment, by whomever.
@@ -41,7 +41,7 @@
 	if !router.listing.Take(at, servers) {
 		return
 	}
-	now := router.turns.Now()
+	now := router.runtime.Now()
 	listed := router.listing.Servers(now)
 	if router.board != nil {
 		router.board.SetServers(now, listed)
@@ -52,14 +52,14 @@
 
 // readList reads the list itself while there is no news of it.
 func (router *Router) readList() {
-	began := router.turns.Now()
-	for reads := 0; router.turns.Alive(); {
-		if left := router.listDue(began).Sub(router.turns.Now()); left > 0 {
+	began := router.runtime.Now()
+	for reads := 0; router.runtime.Alive(); {
+		if left := router.listDue(began).Sub(router.runtime.Now()); left > 0 {
 			// Clocks are coarse: a pause of nothing would be made over and over.
-			runtime.Sleep(router.turns, max(left, time.Millisecond))
+			runtime.Sleep(router.runtime, max(left, time.Millisecond))
 			continue
 		}
-		asked := router.turns.Now()
+		asked := router.runtime.Now()
 		servers, err := router.options.Directory.Servers()
 		if err == nil {
 			router.takeServers(asked, servers)
@@ -68,7 +68,7 @@
 		}
 		router.observe("list_read_itself", "servers", len(servers), "trouble", err)
 		reads++
-		runtime.Sleep(router.turns, ownListPause+time.Duration(router.routers.Load())*ownListShare+router.spread(reads))
+		runtime.Sleep(router.runtime, ownListPause+time.Duration(router.routers.Load())*ownListShare+router.spread(reads))
 	}
 }
 
@@ -89,7 +89,7 @@
 
 // readNodes reads the platform's list of nodes, where there is one.
 func (router *Router) readNodes() {
-	for router.turns.Alive() {
+	for router.runtime.Alive() {
 		nodes, err := router.options.Directory.Nodes()
 		if failure.KindOf(err) == failure.NoSuch {
 			return
@@ -97,7 +97,7 @@
 		if err == nil {
 			router.setNodes(nodes)
 		}
-		runtime.Sleep(router.turns, nodesPause)
+		runtime.Sleep(router.runtime, nodesPause)
 	}
 }
 
@@ -113,7 +113,7 @@
 		listed[key] = true
 		if !router.watched[key] {
 			router.watched[key] = true
-			router.turns.Go(func() { router.watchPressure(key, server) })
+			router.runtime.Go(func() { router.watchPressure(key, server) })
 		}
 	}
 	for key := range router.watched {
@@ -130,14 +130,14 @@
 		defer router.listMutex.Unlock()
 		return router.watched[key]
 	}
-	for router.turns.Alive() && watched() {
-		began := router.turns.Now()
+	for router.runtime.Alive() && watched() {
+		began := router.runtime.Now()
 		load, err := router.options.Pressures.Pressure(server, pressurePatience)
 		if err == nil && load.Server == server.Name {
 			router.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
 		}
-		if left := pressurePause - router.turns.Now().Sub(began); left > 0 {
-			runtime.Sleep(router.turns, left)
+		if left := pressurePause - router.runtime.Now().Sub(began); left > 0 {
+			runtime.Sleep(router.runtime, left)
 		}
 	}
 }
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -254,20 +254,20 @@
 // readServers reads the platform's list for the fleet for as long as this expediter
 // leads, and at once when it begins to.
 func (controller *Controller) readServers() {
-	for controller.turns.Alive() {
+	for controller.runtime.Alive() {
 		if !controller.lists.leading() {
 			controller.terms.Wait(time.Minute, controller.lists.leading)
 			continue
 		}
-		asked := controller.turns.Now()
+		asked := controller.runtime.Now()
 		servers, err := controller.options.Directory.Servers()
 		// A list that could not be read leaves what is known as it is.
 		if err == nil && controller.lists.take(asked, servers) {
 			controller.update.Broadcast()
 		}
 		controller.noteListTrouble(err)
-		if left := listPause - controller.turns.Now().Sub(asked); left > 0 {
-			runtime.Sleep(controller.turns, left)
+		if left := listPause - controller.runtime.Now().Sub(asked); left > 0 {
+			runtime.Sleep(controller.runtime, left)
 		}
 	}
 }
@@ -283,9 +283,9 @@
 	if controller.options.Directory == nil {
 		return nil
 	}
-	if controller.lists.readsNow(controller.turns.Now()) {
-		controller.turns.Go(func() {
-			asked := controller.turns.Now()
+	if controller.lists.readsNow(controller.runtime.Now()) {
+		controller.runtime.Go(func() {
+			asked := controller.runtime.Now()
 			servers, err := controller.options.Directory.Servers()
 			if err == nil {
 				controller.lists.take(asked, servers)
@@ -299,7 +299,7 @@
 	}
 	var told *ServersUpdate
 	controller.update.Wait(provisionalPatience, func() bool {
-		told = controller.lists.fresh(controller.turns.Now())
+		told = controller.lists.fresh(controller.runtime.Now())
 		return told != nil
 	})
 	return told
@@ -323,23 +323,23 @@
 // readReports asks all servers for their load, over and over, while this expediter
 // leads and a courier follows reports.
 func (controller *Controller) readReports() {
-	for controller.turns.Alive() {
+	for controller.runtime.Alive() {
 		if !controller.lists.leading() {
 			controller.terms.Wait(time.Minute, controller.lists.leading)
 			continue
 		}
-		began := controller.turns.Now()
+		began := controller.runtime.Now()
 		if wanted := controller.lists.wanted(began); len(wanted) > 0 {
 			controller.askAll(wanted)
-			controller.lists.round(controller.turns.Now())
+			controller.lists.round(controller.runtime.Now())
 			controller.update.Broadcast()
 		}
 		pause := reportPause
-		if controller.lists.calm(controller.turns.Now()) {
+		if controller.lists.calm(controller.runtime.Now()) {
 			pause = calmReportPause
 		}
-		if left := pause - controller.turns.Now().Sub(began); left > 0 {
-			runtime.Sleep(controller.turns, left)
+		if left := pause - controller.runtime.Now().Sub(began); left > 0 {
+			runtime.Sleep(controller.runtime, left)
 		}
 	}
 }
@@ -349,12 +349,12 @@
 	controller.lists.mutex.Lock()
 	epoch := controller.lists.epoch
 	controller.lists.mutex.Unlock()
-	bell := controller.turns.NewCond()
+	cond := controller.runtime.NewCond()
 	var mutex sync.Mutex
 	left := len(servers)
 	for _, server := range servers {
-		controller.turns.Go(func() {
-			asked := controller.turns.Now()
+		controller.runtime.Go(func() {
+			asked := controller.runtime.Now()
 			load, err := controller.options.Reports.Report(server, reportPatience)
 			controller.lists.note(epoch, server.Name, asked, load, err)
 			mutex.Lock()
@@ -362,11 +362,11 @@
 			last := left == 0
 			mutex.Unlock()
 			if last {
-				bell.Broadcast()
+				cond.Broadcast()
 			}
 		})
 	}
-	bell.Wait(roundPatience, func() bool {
+	cond.Wait(roundPatience, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return left == 0
@@ -375,7 +375,7 @@
 
 // readNodes reads the platform's list of nodes, where there is one.
 func (controller *Controller) readNodes() {
-	for controller.turns.Alive() {
+	for controller.runtime.Alive() {
 		nodes, err := controller.options.Directory.Nodes()
 		if failure.KindOf(err) == failure.NoSuch {
 			return
@@ -383,6 +383,6 @@
 		if err == nil {
 			controller.setNodes(nodes)
 		}
-		runtime.Sleep(controller.turns, nodesPause)
+		runtime.Sleep(controller.runtime, nodesPause)
 	}
 }
--- a/internal/hatch/lists_test.go
+++ b/internal/hatch/lists_test.go
@@ -109,22 +109,22 @@
 	}
 }
 
-// movingTurns tell a time that the test moves.
-type movingTurns struct {
+// movingRuntime tell a time that the test moves.
+type movingRuntime struct {
 	runtime.Runtime
 	now time.Time
 }
 
-func (turns *movingTurns) Now() time.Time { return turns.now }
+func (rt *movingRuntime) Now() time.Time { return rt.now }
 
 // TestFollowerTakesNothingForYoungerThanItIs: an age counts from the moment at which
 // the question surely had not been answered.
 func TestFollowerTakesNothingForYoungerThanItIs(t *testing.T) {
-	turns := &movingTurns{now: atNoon(0)}
+	rt := &movingRuntime{now: atNoon(0)}
 	var heard Update
-	follower := NewFollower(turns, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { heard = update })
+	follower := NewFollower(rt, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { heard = update })
 	follower.Follow(true, true)
-	turns.now = atNoon(800 * time.Millisecond)
+	rt.now = atNoon(800 * time.Millisecond)
 	lines := []loadReport{reportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
 	answer := UpdateAnswer{Leads: true, Held: 600 * time.Millisecond, Servers: &ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
 		Loads: &LoadsUpdate{Mark: 9, Lines: lines}}
@@ -139,7 +139,7 @@
 		t.Errorf("asks with %+v", question)
 	}
 	// A confirmation makes it younger; another mark without the list says nothing.
-	turns.now = atNoon(1200 * time.Millisecond)
+	rt.now = atNoon(1200 * time.Millisecond)
 	answer.Servers, answer.Loads = &ServersUpdate{Mark: 5, Age: 100 * time.Millisecond}, nil
 	follower.takeAnswer(atNoon(800*time.Millisecond), UpdateAnswer{Leads: true, Servers: answer.Servers})
 	if heard.Servers == nil || !heard.Servers.At.Equal(atNoon(700*time.Millisecond)) || len(heard.Servers.Servers) != 1 {
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -14,7 +14,7 @@
 // All known addresses are asked at once, since any of them may be dark.
 type search struct {
 	mutex   sync.Mutex
-	bell    runtime.Cond
+	cond    runtime.Cond
 	asking  map[string]*asking
 	copies  copies
 	leading *ledUpdate
@@ -63,8 +63,8 @@
 	relayRounds = 4
 )
 
-func newSearch(turns runtime.Runtime) *search {
-	return &search{bell: turns.NewCond(), asking: map[string]*asking{}}
+func newSearch(rt runtime.Runtime) *search {
+	return &search{cond: rt.NewCond(), asking: map[string]*asking{}}
 }
 
 // begin notes that an address is asked, unless it was asked just now.
@@ -114,7 +114,7 @@
 	if err == nil {
 		search.note(address, asked, now, answer)
 	}
-	search.bell.Broadcast()
+	search.cond.Broadcast()
 }
 
 // answeredWithin tells whether one of the addresses has answered a moment ago.
@@ -180,14 +180,14 @@
 
 // search looks for the primary until one is known, or its answer was taken by a relay.
 func (follower *Follower) search() {
-	search := newSearch(follower.turns)
-	for follower.turns.Alive() && !follower.searchOnce(search) {
+	search := newSearch(follower.runtime)
+	for follower.runtime.Alive() && !follower.searchOnce(search) {
 	}
 }
 
 // searchOnce makes one round of the search and tells whether it ended it.
 func (follower *Follower) searchOnce(search *search) bool {
-	began := follower.turns.Now()
+	began := follower.runtime.Now()
 	candidates := follower.candidates()
 	question := follower.briefQuestion()
 	for _, address := range candidates {
@@ -208,23 +208,23 @@
 		return true
 	}
 	if follower.lacks() {
-		if address, version, found := search.choose(follower.turns.Now()); found {
+		if address, version, found := search.choose(follower.runtime.Now()); found {
 			follower.fetch(address, version)
 		}
 	}
-	if left := retryPause - follower.turns.Now().Sub(began); left > 0 {
-		runtime.Sleep(follower.turns, left)
+	if left := retryPause - follower.runtime.Now().Sub(began); left > 0 {
+		runtime.Sleep(follower.runtime, left)
 	}
 	return false
 }
 
 // awaitRound waits for an answer that ends a round.
 func (follower *Follower) awaitRound(search *search) {
-	search.bell.Wait(searchRound, func() bool {
+	search.cond.Wait(searchRound, func() bool {
 		if search.led() || !follower.lacks() {
 			return search.led()
 		}
-		_, _, found := search.choose(follower.turns.Now())
+		_, _, found := search.choose(follower.runtime.Now())
 		return found
 	})
 }
@@ -247,17 +247,17 @@
 	follower.mutex.Lock()
 	membership, fleet := follower.membership, len(follower.peers)
 	follower.mutex.Unlock()
-	if !search.begin(address, follower.turns.Now(), membership, fleet) {
+	if !search.begin(address, follower.runtime.Now(), membership, fleet) {
 		return
 	}
-	follower.turns.Go(func() {
-		asked := follower.turns.Now()
+	follower.runtime.Go(func() {
+		asked := follower.runtime.Now()
 		var answer UpdateAnswer
 		err := Call(follower.line, address, UpdatePath, question, &answer, searchPatience)
 		if err == nil {
 			follower.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
 		}
-		search.end(address, asked, follower.turns.Now(), answer, err)
+		search.end(address, asked, follower.runtime.Now(), answer, err)
 	})
 }
 
@@ -274,12 +274,12 @@
 	relays := append([]string(nil), follower.peers[:min(neighbours, len(follower.peers))]...)
 	follower.mutex.Unlock()
 	for _, address := range relays {
-		follower.turns.Go(func() { follower.askRelay(search, address, body) })
+		follower.runtime.Go(func() { follower.askRelay(search, address, body) })
 	}
 }
 
 func (follower *Follower) askRelay(search *search, address string, body []byte) {
-	asked := follower.turns.Now()
+	asked := follower.runtime.Now()
 	var reply []byte
 	if Call(follower.line, address, RelayPath, RelayQuestion{Path: UpdatePath, Body: body}, &reply, relayPatience) != nil {
 		return
@@ -289,8 +289,8 @@
 		return
 	}
 	follower.learnMembership(answer.Membership)
-	search.note(address, asked, follower.turns.Now(), answer)
-	search.bell.Broadcast()
+	search.note(address, asked, follower.runtime.Now(), answer)
+	search.cond.Broadcast()
 }
 
 // fetch takes the configuration of a version from the copy at an address. It gives no
@@ -298,7 +298,7 @@
 func (follower *Follower) fetch(address string, version replication.Version) {
 	question := follower.searchQuestion()
 	question.Wanted = version
-	asked := follower.turns.Now()
+	asked := follower.runtime.Now()
 	var answer UpdateAnswer
 	if err := Call(follower.line, address, UpdatePath, question, &answer, firstPatience); err != nil {
 		return
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -26,7 +26,7 @@
 
 // restarted opens a core's disks again, in expediters that do nothing by themselves:
 // all have just started and nobody is primary. The blank ones have lost their disks.
-func restarted(t *testing.T, turns runtime.Runtime, before *core, blank ...string) *core {
+func restarted(t *testing.T, rt runtime.Runtime, before *core, blank ...string) *core {
 	t.Helper()
 	after := &core{nodes: map[string]*Controller{}}
 	for address, copies := range before.storages {
@@ -36,7 +36,7 @@
 		}
 		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
 			Fresh: replication.Identity("next disk-" + address), Directory: oneServer{}}
-		node, _, err := OpenController(turns, after, keeping, copies, options, func(string, ...any) {})
+		node, _, err := OpenController(rt, after, keeping, copies, options, func(string, ...any) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,11 +46,11 @@
 }
 
 // newRouterAt starts a courier that follows a core; told rings with its events.
-func newRouterAt(turns runtime.Runtime, line Hotline, without time.Duration, told runtime.Cond) *Router {
-	router := NewRouter(turns, line, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
+func newRouterAt(rt runtime.Runtime, line Hotline, without time.Duration, told runtime.Cond) *Router {
+	router := NewRouter(rt, line, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
 		Directory: oneServer{}, Ended: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
-	turns.Go(router.followed.Run)
+	rt.Go(router.followed.Run)
 	return router
 }
 
@@ -66,7 +66,7 @@
 // TestRouterServesByTheCopiesBeforeThereIsAPrimary restarts a courier and a whole core
 // that has no primary yet.
 func TestRouterServesByTheCopiesBeforeThereIsAPrimary(t *testing.T) {
-	before, primary := newCore(t, func(turns runtime.Runtime) runtime.Runtime { return turns })
+	before, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime { return rt })
 	version := setConfiguration(t, primary, `{"routes":{"a":{"to":{"refuse":true}}}}`)
 	membership := primary.Coordinator().Membership()
 	for _, row := range []struct {
@@ -112,7 +112,7 @@
 // with the configuration that was lent, a newer one, or an older one, which nobody may
 // go back to.
 func TestPrimaryConfirmsOrReplacesAProvisionalConfiguration(t *testing.T) {
-	turns := osruntime.New(t.Context(), osruntime.NewClock())
+	rt := osruntime.New(t.Context(), osruntime.NewClock())
 	lent := replication.Section{Version: replication.Version{Epoch: 3, Number: 7}, Content: []byte(`{"routes":{"a":{"to":{"refuse":true}}}}`)}
 	newer := replication.Section{Version: replication.Version{Epoch: 4, Number: 9}, Content: []byte(`{"routes":{"b":{"to":{"refuse":true}}}}`)}
 	for _, row := range []struct {
@@ -125,18 +125,18 @@
 		{"newer", UpdateAnswer{Leads: true, Configuration: newer.Version, Hold: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
 		{"older", UpdateAnswer{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
 	} {
-		router := NewRouter(turns, nil, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
+		router := NewRouter(rt, nil, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 			ServeWithoutHold: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
 		router.followed.sections[replication.ConfigurationSection], router.followed.unconfirmed = lent, lent.Version
-		router.takeUpdate(Update{Asked: turns.Now(), Changed: map[string]replication.Section{replication.ConfigurationSection: lent}, Provisional: true})
+		router.takeUpdate(Update{Asked: rt.Now(), Changed: map[string]replication.Section{replication.ConfigurationSection: lent}, Provisional: true})
 		if router.InForce() != lent.Version || router.Core().Dutiful() {
 			t.Fatalf("%s: %s in force", row.name, router.InForce())
 		}
-		router.followed.takeAnswer(turns.Now(), row.answer)
+		router.followed.takeAnswer(rt.Now(), row.answer)
 		if router.InForce() != row.inForce || router.Core().HoldEnds().IsZero() == row.hold {
 			t.Errorf("%s: %s in force, hold until %v", row.name, router.InForce(), router.Core().HoldEnds())
 		}
-		if router.Heard().IsZero() || !router.Core().ServesUntil().After(turns.Now()) {
+		if router.Heard().IsZero() || !router.Core().ServesUntil().After(rt.Now()) {
 			t.Errorf("%s: the primary was not heard", row.name)
 		}
 	}
--- a/internal/hatch/signpost.go
+++ b/internal/hatch/signpost.go
@@ -12,8 +12,8 @@
 // Redirector is the control plane's conduct at a node without a disk: it keeps nothing
 // and belongs to no core, but knows which expediter is primary when it is asked.
 type Redirector struct {
-	turns runtime.Runtime
-	line  Hotline
+	runtime runtime.Runtime
+	line    Hotline
 
 	mutex      sync.Mutex
 	seeds      []string
@@ -36,8 +36,8 @@
 )
 
 // NewRedirector makes a signpost that begins its search at the seeds.
-func NewRedirector(turns runtime.Runtime, line Hotline, seeds []string) *Redirector {
-	return &Redirector{turns: turns, line: line, seeds: seeds}
+func NewRedirector(rt runtime.Runtime, line Hotline, seeds []string) *Redirector {
+	return &Redirector{runtime: rt, line: line, seeds: seeds}
 }
 
 // SetSeeds exchanges the seeds, after a reload.
@@ -49,13 +49,13 @@
 
 // Run follows the membership until the process ends.
 func (redirector *Redirector) Run() {
-	runtime.Every(redirector.turns, redirectorRefresh, func() { redirector.Leader() })
+	runtime.Every(redirector.runtime, redirectorRefresh, func() { redirector.Leader() })
 }
 
 // Leader is the address of the expediter that is primary, or empty if none says so.
 func (redirector *Redirector) Leader() string {
 	redirector.mutex.Lock()
-	known, fresh := redirector.leader, redirector.turns.Now().Sub(redirector.asked) < redirectorFresh
+	known, fresh := redirector.leader, redirector.runtime.Now().Sub(redirector.asked) < redirectorFresh
 	redirector.mutex.Unlock()
 	if known != "" && fresh {
 		return known
@@ -94,10 +94,10 @@
 // askAll asks all addresses at once, and gives the first that leads.
 func (redirector *Redirector) askAll(addresses []string) string {
 	var mutex sync.Mutex
-	bell := redirector.turns.NewCond()
+	cond := redirector.runtime.NewCond()
 	left, leader := len(addresses), ""
 	for _, address := range addresses {
-		redirector.turns.Go(func() {
+		redirector.runtime.Go(func() {
 			var hello replication.Hello
 			// A hello from nobody is answered, and leaves no trace.
 			err := Call(redirector.line, address, HelloPath, replication.Hello{}, &hello, redirectorPatience)
@@ -108,10 +108,10 @@
 				leader = address
 			}
 			mutex.Unlock()
-			bell.Broadcast()
+			cond.Broadcast()
 		})
 	}
-	bell.Wait(redirectorPatience, func() bool {
+	cond.Wait(redirectorPatience, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return leader != "" || left == 0
@@ -129,7 +129,7 @@
 		redirector.membership = hello.Membership
 	}
 	if hello.Leads {
-		redirector.leader, redirector.asked = address, redirector.turns.Now()
+		redirector.leader, redirector.asked = address, redirector.runtime.Now()
 	}
 	return hello.Leads
 }
--- a/internal/hatch/signpost_test.go
+++ b/internal/hatch/signpost_test.go
@@ -9,7 +9,7 @@
 
 func TestRedirectorFindsThePrimaryAndLeavesNoTrace(t *testing.T) {
 	formed, primary := newCore(t, plain)
-	redirector := NewRedirector(primary.turns, formed, []string{"m2", "gone", "m1"})
+	redirector := NewRedirector(primary.runtime, formed, []string{"m2", "gone", "m1"})
 	if found := redirector.Leader(); found != primary.options.Address {
 		t.Fatalf("found %q, not %q", found, primary.options.Address)
 	}
@@ -23,7 +23,7 @@
 	formed.mutex.Lock()
 	delete(formed.nodes, address)
 	formed.mutex.Unlock()
-	waited := primary.turns.NewCond()
+	waited := primary.runtime.NewCond()
 	found := ""
 	for range 200 {
 		waited.Wait(20*time.Millisecond, func() bool { return false })
@@ -38,7 +38,7 @@
 // when the addresses that it was told are gone.
 func TestRedirectorOutlivesItsSeeds(t *testing.T) {
 	formed, primary := newCore(t, plain)
-	redirector := NewRedirector(primary.turns, formed, []string{"m0", "m1", "m2"})
+	redirector := NewRedirector(primary.runtime, formed, []string{"m0", "m1", "m2"})
 	redirector.Leader()
 	redirector.SetSeeds([]string{"gone", "dark", "old"})
 	redirector.mutex.Lock()
@@ -51,7 +51,7 @@
 
 func TestRedirectorThatReachesNobody(t *testing.T) {
 	formed, primary := newCore(t, plain)
-	if found := NewRedirector(primary.turns, formed, []string{"gone"}).Leader(); found != "" {
+	if found := NewRedirector(primary.runtime, formed, []string{"gone"}).Leader(); found != "" {
 		t.Errorf("found %q", found)
 	}
 	if greeted := primary.Coordinator().Greet(replication.Hello{}); greeted.Seat.Empty() {
--- a/internal/hatch/stream.go
+++ b/internal/hatch/stream.go
@@ -16,11 +16,11 @@
 	last   *auction.Decision
 	sent   int
 	left   bool
-	bell   runtime.Cond
+	cond   runtime.Cond
 }
 
-func newStream(turns runtime.Runtime) *stream {
-	return &stream{chunks: map[int]auction.Decision{}, bell: turns.NewCond()}
+func newStream(rt runtime.Runtime) *stream {
+	return &stream{chunks: map[int]auction.Decision{}, cond: rt.NewCond()}
 }
 
 func (stream *stream) put(decision auction.Decision) {
@@ -32,7 +32,7 @@
 		stream.last = &final
 	}
 	stream.mutex.Unlock()
-	stream.bell.Broadcast()
+	stream.cond.Broadcast()
 }
 
 // leave notes that the origin is gone.
@@ -40,7 +40,7 @@
 	stream.mutex.Lock()
 	stream.left = true
 	stream.mutex.Unlock()
-	stream.bell.Broadcast()
+	stream.cond.Broadcast()
 }
 
 // news tells whether there is anything to do for the thread that answers.
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -13,7 +13,7 @@
 	membership, replica := coordinator.witness.Membership(), coordinator.witness.Replica()
 	blank, holder := membership.Blank(), coordinator.witness.Holder()
 	version, damage := coordinator.store.Copy().Version(), coordinator.store.Copy().Damage()
-	left := coordinator.witness.HoldEnds().Sub(coordinator.turns.Now())
+	left := coordinator.witness.HoldEnds().Sub(coordinator.runtime.Now())
 	leads := coordinator.Holds()
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -37,7 +37,7 @@
 	coordinator.note(hello, false)
 	membership := coordinator.Membership()
 	coordinator.mutex.Lock()
-	coordinator.greeted = coordinator.turns.Now()
+	coordinator.greeted = coordinator.runtime.Now()
 	if hello.Leads && hello.Seat.Identity == membership.Primary.Identity {
 		coordinator.ledBy = coordinator.greeted
 	}
@@ -61,7 +61,7 @@
 		known = &acquaintance{}
 		coordinator.known[hello.Seat.Identity] = known
 	}
-	known.hello, known.lastSeen = hello, coordinator.turns.Now()
+	known.hello, known.lastSeen = hello, coordinator.runtime.Now()
 	if answered {
 		known.answered = known.lastSeen
 	}
@@ -92,7 +92,7 @@
 		addresses[address] = true
 	}
 	for _, known := range coordinator.known {
-		if coordinator.turns.Now().Sub(known.lastSeen) < time.Minute {
+		if coordinator.runtime.Now().Sub(known.lastSeen) < time.Minute {
 			addresses[known.hello.Seat.Address] = true
 		}
 	}
@@ -109,7 +109,7 @@
 	}
 	sort.Slice(replicas, func(left, right int) bool { return replicas[left].Address < replicas[right].Address })
 	answered := 0
-	gatherWithin(coordinator.turns, helloPatience, replicas, func(replica Replica) (Hello, error) {
+	gatherWithin(coordinator.runtime, helloPatience, replicas, func(replica Replica) (Hello, error) {
 		hello, err := coordinator.peers.Hello(replica.Address, own)
 		if err == nil {
 			coordinator.note(hello, true)
@@ -153,7 +153,7 @@
 			found = known
 		}
 	}
-	if found == nil || coordinator.turns.Now().Sub(found.lastSeen) > applicantFresh {
+	if found == nil || coordinator.runtime.Now().Sub(found.lastSeen) > applicantFresh {
 		return Replica{}, false
 	}
 	return found.hello.Seat, found.hello.Blank && found.hello.Kind == membership.Controller
@@ -163,7 +163,7 @@
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
 	known, found := coordinator.known[identity]
-	if !found || coordinator.turns.Now().Sub(known.answered) > fresh {
+	if !found || coordinator.runtime.Now().Sub(known.answered) > fresh {
 		return Hello{}, false
 	}
 	return known.hello, true
@@ -187,7 +187,7 @@
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
 	for _, known := range coordinator.known {
-		if known.hello.Seat.Address == address && coordinator.turns.Now().Sub(known.lastSeen) < applicantFresh {
+		if known.hello.Seat.Address == address && coordinator.runtime.Now().Sub(known.lastSeen) < applicantFresh {
 			return true
 		}
 	}
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -16,14 +16,14 @@
 	if !busy {
 		coordinator.diskBusy = time.Time{}
 	} else if coordinator.diskBusy.IsZero() {
-		coordinator.diskBusy = coordinator.turns.Now()
+		coordinator.diskBusy = coordinator.runtime.Now()
 	}
 }
 
 func (coordinator *Coordinator) ownDiskStalls() bool {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	return !coordinator.diskBusy.IsZero() && coordinator.turns.Now().Sub(coordinator.diskBusy) > diskPatience
+	return !coordinator.diskBusy.IsZero() && coordinator.runtime.Now().Sub(coordinator.diskBusy) > diskPatience
 }
 
 // BackupAnswered tells the steward how the last write to a backup ended.
@@ -33,7 +33,7 @@
 	if well {
 		delete(coordinator.backupFails, backup)
 	} else if _, known := coordinator.backupFails[backup]; !known {
-		coordinator.backupFails[backup] = coordinator.turns.Now()
+		coordinator.backupFails[backup] = coordinator.runtime.Now()
 	}
 }
 
@@ -46,7 +46,7 @@
 
 func (coordinator *Coordinator) fails(backup Identity) bool {
 	since, known := coordinator.backupFails[backup]
-	return known && coordinator.turns.Now().Sub(since) > coordinator.timing.BackupSilence
+	return known && coordinator.runtime.Now().Sub(since) > coordinator.timing.BackupSilence
 }
 
 // healthy lists the backups that answer, whole and in time.
@@ -163,7 +163,7 @@
 
 // short tells whether copies have been too few for longer than the primary waits.
 func (coordinator *Coordinator) short() bool {
-	now := coordinator.turns.Now()
+	now := coordinator.runtime.Now()
 	if coordinator.shortSince.IsZero() {
 		coordinator.shortSince = now
 	}
@@ -219,7 +219,7 @@
 	coordinator.mutex.Lock()
 	for _, replica := range candidates {
 		failed, tried := coordinator.installFails[replica.Identity]
-		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && coordinator.turns.Now().Sub(failed) < applicantFresh) {
+		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && coordinator.runtime.Now().Sub(failed) < applicantFresh) {
 			newcomers = append(newcomers, replica)
 		}
 	}
@@ -233,17 +233,17 @@
 func (coordinator *Coordinator) install(membership Membership, snapshot Snapshot, candidates []Replica, wanted int) []Replica {
 	var mutex sync.Mutex
 	ended := map[Identity]error{}
-	bell := coordinator.turns.NewCond()
+	cond := coordinator.runtime.NewCond()
 	begun := 0
 	begin := func() {
 		replica := candidates[begun]
 		begun++
-		coordinator.turns.Go(func() {
+		coordinator.runtime.Go(func() {
 			err := coordinator.peers.Install(coordinator.Address(replica), replica.Identity, snapshot)
 			mutex.Lock()
 			ended[replica.Identity] = err
 			mutex.Unlock()
-			bell.Broadcast()
+			cond.Broadcast()
 		})
 	}
 	installed := func() []Replica {
@@ -262,9 +262,9 @@
 		defer mutex.Unlock()
 		return begun - len(ended)
 	}
-	latest, confirmed := coordinator.turns.Now(), coordinator.turns.Now()
+	latest, confirmed := coordinator.runtime.Now(), coordinator.runtime.Now()
 	ends := latest.Add(gatherPatience)
-	for coordinator.turns.Now().Before(ends) {
+	for coordinator.runtime.Now().Before(ends) {
 		well := len(installed())
 		for running() < wanted-well && begun < len(candidates) {
 			begin()
@@ -274,8 +274,8 @@
 			break
 		}
 		// Every install ends by itself, later than any patience of this steward.
-		over := bell.Wait(coordinator.timing.Lease/5, func() bool { return running() < before })
-		now := coordinator.turns.Now()
+		over := cond.Wait(coordinator.timing.Lease/5, func() bool { return running() < before })
+		now := coordinator.runtime.Now()
 		if now.Sub(confirmed) >= coordinator.timing.Lease/5 {
 			confirmed = now
 			coordinator.confirm(membership)
@@ -306,7 +306,7 @@
 		err, over := ended[replica.Identity]
 		delete(coordinator.installFails, replica.Identity)
 		if err != nil || !over {
-			coordinator.installFails[replica.Identity] = coordinator.turns.Now()
+			coordinator.installFails[replica.Identity] = coordinator.runtime.Now()
 			coordinator.observe("install_failed", "backup", replica.Name, "cause", err)
 		}
 	}
@@ -351,7 +351,7 @@
 // rank tells how well an acquaintance would do as a backup, or that it can't be one.
 // The caller has the mutex.
 func (coordinator *Coordinator) rank(m Membership, known *acquaintance, several bool) (int, bool) {
-	now := coordinator.turns.Now()
+	now := coordinator.runtime.Now()
 	identity, silence := known.hello.Seat.Identity, now.Sub(known.answered)
 	if known.hello.Kind != membership.Controller || silence >= coordinator.timing.BackupSilence+coordinator.timing.Beat {
 		return 0, false
@@ -439,7 +439,7 @@
 	var old []Replica
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
-		fresh := coordinator.turns.Now().Sub(known.lastSeen) < applicantFresh && !coordinator.superseded(known)
+		fresh := coordinator.runtime.Now().Sub(known.lastSeen) < applicantFresh && !coordinator.superseded(known)
 		if fresh && known.hello.Kind == membership.Controller && !m.InSync(identity) && known.hello.Version.Before(version) {
 			old = append(old, known.hello.Seat)
 		}
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -45,7 +45,7 @@
 // Coordinator decides who is primary, backup and keeper, from one expediter's
 // point of view. Tick is called by one thread, over and over.
 type Coordinator struct {
-	turns   runtime.Runtime
+	runtime runtime.Runtime
 	seeds   []string
 	kind    membership.NodeKind
 	witness *Witness
@@ -98,8 +98,8 @@
 }
 
 // NewCoordinator makes the steward of one expediter.
-func NewCoordinator(turns runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
-	return &Coordinator{turns: turns, seeds: seeds, kind: membership.Controller, witness: witness, store: store, peers: peers,
+func NewCoordinator(rt runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
+	return &Coordinator{runtime: rt, seeds: seeds, kind: membership.Controller, witness: witness, store: store, peers: peers,
 		observe: observe, timing: TimingFor(DefaultCatchUp), known: map[Identity]*acquaintance{}, borne: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
 }
 
@@ -108,7 +108,7 @@
 func (coordinator *Coordinator) Holds() bool {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	return coordinator.turns.Now().Before(coordinator.holdEnds) && coordinator.store.View() != nil
+	return coordinator.runtime.Now().Before(coordinator.holdEnds) && coordinator.store.View() != nil
 }
 
 // SetRestricted tells the steward whether its node lacks an enabled flag; a
@@ -148,9 +148,9 @@
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
 	if coordinator.copyLeftAt.IsZero() {
-		coordinator.copyLeftAt = coordinator.turns.Now()
+		coordinator.copyLeftAt = coordinator.runtime.Now()
 	}
-	return len(membership.Incoming) == 0 && coordinator.turns.Now().Sub(coordinator.copyLeftAt) >= seatPatience
+	return len(membership.Incoming) == 0 && coordinator.runtime.Now().Sub(coordinator.copyLeftAt) >= seatPatience
 }
 
 func (coordinator *Coordinator) isLeaving() bool {
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -26,7 +26,7 @@
 		replicas = append(replicas, coordinator.recorded(replica))
 	}
 	membership := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
-	if _, err := coordinator.witness.Accept(coordinator.turns.Now(), membership); err != nil {
+	if _, err := coordinator.witness.Accept(coordinator.runtime.Now(), membership); err != nil {
 		coordinator.observe("formation_failed", "cause", err)
 		return
 	}
@@ -40,7 +40,7 @@
 func (coordinator *Coordinator) watch() {
 	m := coordinator.Membership()
 	own := coordinator.witness.Replica()
-	now := coordinator.turns.Now()
+	now := coordinator.runtime.Now()
 	if !m.InSync(own.Identity) || coordinator.store.Copy().Damage() != "" || now.Before(coordinator.backoff) {
 		return
 	}
@@ -54,7 +54,7 @@
 	restricted := coordinator.restricted
 	coordinator.mutex.Unlock()
 	stands := func(hello Hello) bool { return !hello.Leads && (hello.HoldLeft == 0 || hello.Holder == own.Identity) }
-	gatherWithin(coordinator.turns, helloPatience, m.Electors(), func(replica Replica) (Hello, error) {
+	gatherWithin(coordinator.runtime, helloPatience, m.Electors(), func(replica Replica) (Hello, error) {
 		if replica.Identity == own.Identity {
 			return coordinator.Own(), nil
 		}
@@ -100,7 +100,7 @@
 	if err != nil {
 		// Two candidates part by different patience.
 		spread := time.Duration(membership.Weight("backoff", string(own.Identity))%300) * time.Millisecond
-		coordinator.backoff = coordinator.turns.Now().Add(150*time.Millisecond + spread)
+		coordinator.backoff = coordinator.runtime.Now().Add(150*time.Millisecond + spread)
 		return
 	}
 	lead := coordinator.store.Lead
@@ -114,7 +114,7 @@
 	coordinator.unsettled = coordinator.store.Hidden()
 	coordinator.shortSince = time.Time{}
 	coordinator.mutex.Lock()
-	coordinator.leadsFrom = coordinator.turns.Now()
+	coordinator.leadsFrom = coordinator.runtime.Now()
 	clear(coordinator.backupFails)
 	clear(coordinator.installFails)
 	coordinator.mutex.Unlock()
@@ -150,7 +150,7 @@
 	if len(membership.Copies()) < 3 {
 		return false
 	}
-	now := coordinator.turns.Now()
+	now := coordinator.runtime.Now()
 	if coordinator.freeFrom.IsZero() {
 		coordinator.freeFrom = now
 	}
@@ -189,7 +189,7 @@
 	}
 	own := coordinator.witness.Replica().Identity
 	ballot := newBallot(own, max(base.Epoch, coordinator.witness.Promised(), coordinator.ballot)+1, base)
-	if err := coordinator.store.Vow(coordinator.turns.Now(), ballot.epoch, own); err != nil {
+	if err := coordinator.store.Vow(coordinator.runtime.Now(), ballot.epoch, own); err != nil {
 		return base, err
 	}
 	for {
@@ -223,7 +223,7 @@
 // gatherPromises asks witnesses for their promise until a majority has given it.
 func (coordinator *Coordinator) gatherPromises(ballot *ballot, replicas []Replica) {
 	current := ballot.base
-	gather(coordinator.turns, replicas, func(replica Replica) (Promise, error) {
+	gather(coordinator.runtime, replicas, func(replica Replica) (Promise, error) {
 		if replica.Identity == ballot.candidate {
 			// The vow has promised this epoch on the own disk already.
 			return Promise{Witness: replica.Identity, Granted: true, Membership: coordinator.witness.Membership()}, nil
@@ -245,9 +245,9 @@
 
 // gatherAcceptances has the proposed charter accepted, until majorities have done so.
 func (coordinator *Coordinator) gatherAcceptances(ballot *ballot) {
-	gather(coordinator.turns, ballot.acceptors(), func(replica Replica) (Promise, error) {
+	gather(coordinator.runtime, ballot.acceptors(), func(replica Replica) (Promise, error) {
 		if replica.Identity == ballot.candidate {
-			return coordinator.witness.Accept(coordinator.turns.Now(), ballot.next)
+			return coordinator.witness.Accept(coordinator.runtime.Now(), ballot.next)
 		}
 		return coordinator.peers.Accept(coordinator.Address(replica), replica.Identity, ballot.next)
 	}, func(replica Replica, promise Promise, err error) {
@@ -260,7 +260,7 @@
 // confirm renews the primary's own hold from a quorum of keepers.
 func (coordinator *Coordinator) confirm(membership Membership) bool {
 	own := coordinator.witness.Replica()
-	asked := coordinator.turns.Now()
+	asked := coordinator.runtime.Now()
 	coordinator.mutex.Lock()
 	coordinator.confirming = asked
 	coordinator.mutex.Unlock()
@@ -268,7 +268,7 @@
 	lease := coordinator.timing.Lease
 	var newer Membership
 	outdated := false
-	gather(coordinator.turns, membership.Electors(), func(replica Replica) (Promise, error) {
+	gather(coordinator.runtime, membership.Electors(), func(replica Replica) (Promise, error) {
 		if replica.Identity == own.Identity {
 			promise := coordinator.witness.Confirm(asked, membership.Epoch, own.Identity)
 			coordinator.noteOvertaken(promise)
@@ -386,7 +386,7 @@
 func (coordinator *Coordinator) deaf() bool {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	now := coordinator.turns.Now()
+	now := coordinator.runtime.Now()
 	lost := !coordinator.holdEnds.IsZero() && now.Sub(coordinator.holdEnds) > 2*holdDrift
 	return lost && now.Sub(coordinator.greeted) > coordinator.timing.Beat && now.Sub(coordinator.confirming) < coordinator.timing.Lease+deafMargin
 }
@@ -410,13 +410,13 @@
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
 	if coordinator.leadsFrom.IsZero() {
-		coordinator.leadsFrom = coordinator.turns.Now()
+		coordinator.leadsFrom = coordinator.runtime.Now()
 	}
 	latest := coordinator.greeted
 	if latest.Before(coordinator.leadsFrom) {
 		latest = coordinator.leadsFrom
 	}
-	return coordinator.turns.Now().Sub(latest) > unheardPatience
+	return coordinator.runtime.Now().Sub(latest) > unheardPatience
 }
 
 // handOver makes the backup primary and stays in sync beside it: what a
--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -22,10 +22,10 @@
 // coreMember is one machine of the explored core: its witness is the product's Keeper, its
 // candidacy the product's ballot; its copy is a number, that of the last write it holds.
 type coreMember struct {
-	keeper  *Witness
-	version int
-	up      bool
-	lives   int
+	keeper       *Witness
+	version      int
+	up           bool
+	incarnations int
 	// ballot is the candidacy under way, and plan what it is to make of the base.
 	ballot *ballot
 	plan   string
@@ -352,7 +352,7 @@
 // wipe gives the machine an empty disk, which is a new identity.
 func (state *coreState) wipe(member *coreMember) {
 	state.wipes--
-	member.lives++
+	member.incarnations++
 	replica := Replica{Identity: Identity(fmt.Sprintf("%s'", member.identity())), Address: member.keeper.self.Address}
 	member.keeper = &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryHold, note: witnessNote{Identity: replica.Identity}}
 	member.version = 0
--- a/internal/replication/gather.go
+++ b/internal/replication/gather.go
@@ -12,18 +12,18 @@
 
 // gather calls ask for each seat at once and returns when enough is true, or
 // when all have answered. Answers that come later are passed over.
-func gather[Answer any](turns runtime.Runtime, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
-	gatherWithin(turns, gatherPatience, replicas, ask, take, enough)
+func gather[Answer any](rt runtime.Runtime, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
+	gatherWithin(rt, gatherPatience, replicas, ask, take, enough)
 }
 
 // gatherWithin does so for no longer than a patience.
-func gatherWithin[Answer any](turns runtime.Runtime, patience time.Duration, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
+func gatherWithin[Answer any](rt runtime.Runtime, patience time.Duration, replicas []Replica, ask func(Replica) (Answer, error), take func(Replica, Answer, error), enough func() bool) {
 	var mutex sync.Mutex
-	bell := turns.NewCond()
+	cond := rt.NewCond()
 	left := len(replicas)
 	closed := false
 	for _, replica := range replicas {
-		turns.Go(func() {
+		rt.Go(func() {
 			answer, err := ask(replica)
 			mutex.Lock()
 			if !closed {
@@ -31,10 +31,10 @@
 			}
 			left--
 			mutex.Unlock()
-			bell.Broadcast()
+			cond.Broadcast()
 		})
 	}
-	bell.Wait(patience, func() bool {
+	cond.Wait(patience, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		closed = left == 0 || enough()
--- a/internal/replication/losses.go
+++ b/internal/replication/losses.go
@@ -54,7 +54,7 @@
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
 	return membership.Primary.Identity != coordinator.witness.Replica().Identity && !coordinator.ledBy.IsZero() &&
-		coordinator.turns.Now().Sub(coordinator.ledBy) < coordinator.timing.Round*5/3
+		coordinator.runtime.Now().Sub(coordinator.ledBy) < coordinator.timing.Round*5/3
 }
 
 // rests tells whether this round of hellos is left out: the primary's next one is
@@ -69,7 +69,7 @@
 	} else if coordinator.quiet() {
 		pause = 2 * coordinator.timing.Round
 	}
-	if now := coordinator.turns.Now(); now.Sub(coordinator.roundAt) >= pause {
+	if now := coordinator.runtime.Now(); now.Sub(coordinator.roundAt) >= pause {
 		coordinator.roundAt = now
 		return false
 	}
@@ -78,5 +78,5 @@
 
 // confirmDue tells whether the primary's hold is to be renewed in this round.
 func (coordinator *Coordinator) confirmDue() bool {
-	return coordinator.unsettled || coordinator.turns.Now().Sub(coordinator.confirmedAt) >= coordinator.timing.Round
+	return coordinator.unsettled || coordinator.runtime.Now().Sub(coordinator.confirmedAt) >= coordinator.timing.Round
 }
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -63,9 +63,9 @@
 func (threads threads) Go(act func())   { go act() }
 func (threads threads) Alive() bool     { return true }
 func (threads threads) NewCond() runtime.Cond {
-	bell := &condition{}
-	bell.rung = sync.NewCond(&bell.mutex)
-	return bell
+	cond := &condition{}
+	cond.rung = sync.NewCond(&cond.mutex)
+	return cond
 }
 
 // condition is a bell without patience: every call of the test's network ends.
@@ -91,16 +91,16 @@
 
 // machine is one expediter of the simulated core.
 type machine struct {
-	address string
-	zone    string
-	keeping *memoryStorage
-	copies  *memoryStorage
-	keeper  *Witness
-	store   *Store
-	steward *Coordinator
-	up      atomic.Bool
-	frozen  bool
-	lives   int
+	address      string
+	zone         string
+	keeping      *memoryStorage
+	copies       *memoryStorage
+	keeper       *Witness
+	store        *Store
+	steward      *Coordinator
+	up           atomic.Bool
+	frozen       bool
+	incarnations int
 }
 
 // world is a core of machines under a clock that the test moves.
@@ -163,9 +163,9 @@
 
 func (world *world) start(machine *machine) {
 	world.takeDisks()
-	machine.lives++
+	machine.incarnations++
 	replica := Replica{Address: machine.address, Name: machine.address}
-	witness, blank, err := OpenWitness(world.clock(), machine.keeping, replica, Identity(machine.address+"/"+strconv.Itoa(machine.lives)))
+	witness, blank, err := OpenWitness(world.clock(), machine.keeping, replica, Identity(machine.address+"/"+strconv.Itoa(machine.incarnations)))
 	if err != nil {
 		world.test.Fatal(err)
 	}
@@ -177,10 +177,10 @@
 		world.test.Fatal(err)
 	}
 	store := NewStore(copied, witness)
-	coordinator := NewCoordinator(threads{world.clock}, world.seeds, witness, store, &wire{world: world, from: machine.address, life: machine.lives}, func(event string, detail ...any) {
+	coordinator := NewCoordinator(threads{world.clock}, world.seeds, witness, store, &wire{world: world, from: machine.address, incarnation: machine.incarnations}, func(event string, detail ...any) {
 		world.say("%s %s %v", machine.address, event, detail)
 	})
-	if world.borne > 1 && (machine.lives > 1 || world.formed) {
+	if world.borne > 1 && (machine.incarnations > 1 || world.formed) {
 		coordinator.JoinOnly()
 	}
 	coordinator.SetTiming(TimingFor(world.catchUp))
@@ -200,7 +200,7 @@
 	from  string
 	// life is which of the machine's processes sends; one that has ended sends
 	// nothing. None is a test's own.
-	life int
+	incarnation int
 }
 
 // reached is one life of a machine, as a call meets it.
@@ -215,7 +215,7 @@
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	for _, machine := range world.machines {
-		if wire.life > 0 && machine.address == wire.from && (!machine.up.Load() || machine.lives != wire.life) {
+		if wire.incarnation > 0 && machine.address == wire.from && (!machine.up.Load() || machine.incarnations != wire.incarnation) {
 			return nil, failure.New(failure.Unreachable, "the sender has ended")
 		}
 	}
--- a/internal/replication/witnesses.go
+++ b/internal/replication/witnesses.go
@@ -52,7 +52,7 @@
 	}
 	for identity, other := range coordinator.known {
 		if identity != replica.Identity && other.hello.Kind == membership.Controller && other.hello.Seat.Address == address &&
-			other.answered.After(lastSeen) && coordinator.turns.Now().Sub(other.answered) <= applicantFresh {
+			other.answered.After(lastSeen) && coordinator.runtime.Now().Sub(other.answered) <= applicantFresh {
 			return true
 		}
 	}
@@ -96,7 +96,7 @@
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
 		hello := known.hello
-		if hello.Kind != membership.Controller || hello.Leaving || m.Keeps(hello.Seat.Identity) || coordinator.turns.Now().Sub(known.answered) > applicantFresh {
+		if hello.Kind != membership.Controller || hello.Leaving || m.Keeps(hello.Seat.Identity) || coordinator.runtime.Now().Sub(known.answered) > applicantFresh {
 			continue
 		}
 		if newcomer.Empty() || hello.Seat.Address == gone.Address || hello.Seat.Identity < newcomer.Identity {
@@ -121,7 +121,7 @@
 // had, and no district has so many that its loss would leave no majority.
 func (coordinator *Coordinator) spread(m Membership, wanted int) ([]Replica, bool) {
 	coordinator.mutex.Lock()
-	settled := coordinator.turns.Now().Sub(coordinator.leadsFrom) >= coordinator.timing.WitnessSilence
+	settled := coordinator.runtime.Now().Sub(coordinator.leadsFrom) >= coordinator.timing.WitnessSilence
 	coordinator.mutex.Unlock()
 	plan := witnessPlan{wanted: wanted}
 	for _, replica := range m.Witnesses {
@@ -140,7 +140,7 @@
 	coordinator.mutex.Lock()
 	for _, identity := range coordinator.acquaintances() {
 		known := coordinator.known[identity]
-		if known.hello.Kind == membership.Controller && !known.hello.Leaving && !m.Keeps(identity) && coordinator.turns.Now().Sub(known.answered) <= staleAnswer {
+		if known.hello.Kind == membership.Controller && !known.hello.Leaving && !m.Keeps(identity) && coordinator.runtime.Now().Sub(known.answered) <= staleAnswer {
 			plan.spares = append(plan.spares, known.hello.Seat)
 		}
 	}
--- a/internal/runtime/bell.go
+++ b/internal/runtime/bell.go
@@ -13,18 +13,18 @@
 }
 
 // Sleep waits for a length of time, or until the process ends.
-func Sleep(turns Runtime, length time.Duration) {
-	turns.NewCond().Wait(length, func() bool { return false })
+func Sleep(rt Runtime, length time.Duration) {
+	rt.NewCond().Wait(length, func() bool { return false })
 }
 
 // Every does a task over and over, with a pause between, until the process
 // ends.
-func Every(turns Runtime, pause time.Duration, task func()) {
-	for turns.Alive() {
-		next := turns.Now().Add(pause)
+func Every(rt Runtime, pause time.Duration, task func()) {
+	for rt.Alive() {
+		next := rt.Now().Add(pause)
 		task()
-		if left := next.Sub(turns.Now()); left > 0 {
-			Sleep(turns, left)
+		if left := next.Sub(rt.Now()); left > 0 {
+			Sleep(rt, left)
 		}
 	}
 }
--- a/internal/runtime/locks.go
+++ b/internal/runtime/locks.go
@@ -11,8 +11,8 @@
 }
 
 // NewLock makes a lock for whoever waits for a disk.
-func NewLock(turns Runtime) sync.Locker {
-	if locks, offered := turns.(LockMaker); offered {
+func NewLock(rt Runtime) sync.Locker {
+	if locks, offered := rt.(LockMaker); offered {
 		return locks.NewLock()
 	}
 	return &sync.Mutex{}
--- a/internal/scheduler/delay.go
+++ b/internal/scheduler/delay.go
@@ -17,9 +17,9 @@
 
 // The measures of delays. The values are ours.
 const (
-	delaySmooth   = 0.3
-	delayHalfLife = 3 * time.Second
-	mostDelay     = 3000.0
+	delaySmooth          = 0.3
+	delayHalfIncarnation = 3 * time.Second
+	mostDelay            = 3000.0
 )
 
 func (delay *delay) now(now time.Time) float64 {
@@ -27,7 +27,7 @@
 	if known == nil {
 		return 0
 	}
-	return known.milliseconds * math.Exp2(-float64(max(0, now.Sub(known.at)))/float64(delayHalfLife))
+	return known.milliseconds * math.Exp2(-float64(max(0, now.Sub(known.at)))/float64(delayHalfIncarnation))
 }
 
 func (delay *delay) note(now time.Time, milliseconds float64) {
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -27,8 +27,8 @@
 		day(world, want.factor, 30*time.Second)
 		t.Logf("x%.1f\n%s", want.factor, world)
 		for name, floor := range map[string]float64{"long": want.long, "chat": want.chat} {
-			tally := world.tally[name]
-			if share := float64(tally.inAim) / float64(tally.calls); share < floor {
+			counter := world.counter[name]
+			if share := float64(counter.inAim) / float64(counter.calls); share < floor {
 				t.Errorf("%s: %.3f in aim at x%.1f", name, share, want.factor)
 			}
 		}
@@ -58,7 +58,7 @@
 	alone, counted := play(false), play(true)
 	t.Logf("without\n%s\nwith\n%s", alone, counted)
 	inAim := func(world *world, class string) float64 {
-		return float64(world.tally[class].inAim) / float64(world.tally[class].calls)
+		return float64(world.counter[class].inAim) / float64(world.counter[class].calls)
 	}
 	for class, better := range map[string]float64{"long": 0.03, "chat": 0.03} {
 		if before, after := inAim(alone, class), inAim(counted, class); after < before+better {
--- a/internal/scheduler/slowness.go
+++ b/internal/scheduler/slowness.go
@@ -17,9 +17,9 @@
 
 // The measures of slowness. The values are ours.
 const (
-	mostSlow     = 8.0
-	slowSmooth   = 0.2
-	slowHalfLife = 3 * time.Second
+	mostSlow            = 8.0
+	slowSmooth          = 0.2
+	slowHalfIncarnation = 3 * time.Second
 )
 
 func (slowness *slowness) factor(now time.Time) float64 {
@@ -31,7 +31,7 @@
 
 func (slow *slow) now(now time.Time) float64 {
 	age := max(0, now.Sub(slow.at))
-	return 1 + (slow.factor-1)*math.Exp2(-float64(age)/float64(slowHalfLife))
+	return 1 + (slow.factor-1)*math.Exp2(-float64(age)/float64(slowHalfIncarnation))
 }
 
 func (slowness *slowness) note(now time.Time, ratio float64) {
--- a/internal/scheduler/sweep_test.go
+++ b/internal/scheduler/sweep_test.go
@@ -15,14 +15,14 @@
 // what a dispatch costs the courier.
 func (world *world) score() float64 {
 	owed, earned := 0.0, 0.0
-	for _, tally := range world.tally {
-		owed += tally.owed
-		earned += tally.earned
+	for _, counter := range world.counter {
+		owed += counter.owed
+		earned += counter.earned
 	}
 	prices := world.prices.move*(world.nearMoves+2*world.farMoves) + world.crossing*world.crossed + world.prices.again*float64(world.sharedAgain)/1000 +
 		world.prices.connection*float64(world.opened)
 	class := 1.0
-	for _, tally := range world.tally {
+	for _, tally := range world.counter {
 		class = min(class, tally.earned/tally.owed)
 	}
 	return 0.65*earned/owed + 0.22*world.worst() + 0.13*class - prices/owed
@@ -63,8 +63,8 @@
 					score += world.score() / seeds
 					orders += float64(world.orders) / seeds
 					again += float64(world.sharedAgain) / 1000 / seeds
-					aim += float64(world.tally["long"].inAim) / float64(world.tally["long"].calls) / seeds
-					chat += float64(world.tally["chat"].inAim) / float64(world.tally["chat"].calls) / seeds
+					aim += float64(world.counter["long"].inAim) / float64(world.counter["long"].calls) / seeds
+					chat += float64(world.counter["chat"].inAim) / float64(world.counter["chat"].calls) / seeds
 					crossed += world.crossed * 1000 / seeds
 					moved += world.farMoves / (world.nearMoves + world.farMoves) / seeds
 				}
@@ -110,16 +110,16 @@
 		score, again := 0.0, 0
 		text := ""
 		for _, class := range []string{"long", "chat"} {
-			all := classTally{}
+			all := classCounter{}
 			for _, world := range worlds {
-				tally := world.tally[class]
-				all.calls += tally.calls
-				all.inAim += tally.inAim
-				all.late += tally.late
-				all.paused += tally.paused
-				all.refused += tally.refused
-				all.lost += tally.lost
-				all.broken += tally.broken
+				counter := world.counter[class]
+				all.calls += counter.calls
+				all.inAim += counter.inAim
+				all.late += counter.late
+				all.paused += counter.paused
+				all.refused += counter.refused
+				all.lost += counter.lost
+				all.broken += counter.broken
 			}
 			text += fmt.Sprintf(" | %s in aim %.3f late %d paused %d refused %d lost %d broken %d", class, float64(all.inAim)/float64(all.calls),
 				all.late, all.paused, all.refused, all.lost, all.broken)
--- a/internal/scheduler/troubles_test.go
+++ b/internal/scheduler/troubles_test.go
@@ -63,9 +63,9 @@
 			day(world, 1, 30*time.Second)
 			t.Logf("%d orders\n%s", world.orders, world)
 			owed, earned := 0.0, 0.0
-			for _, tally := range world.tally {
-				owed += tally.owed
-				earned += tally.earned
+			for _, counter := range world.counter {
+				owed += counter.owed
+				earned += counter.earned
 			}
 			if earned/owed < floors[name] {
 				t.Errorf("%.3f of the worth", earned/owed)
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -17,7 +17,7 @@
 	service := config.Service{Name: "desk", Limit: 30 * time.Second, Connections: 370,
 		Warming: config.Warming{Length: 3 * time.Second, PerSecond: 12},
 		Engine: config.Engine{Slots: 64, MemoryTokens: 295_740, TokenBytes: 18_432, LinkBits: 550e9, TokensAChunk: 11,
-			HandleLife: 5 * time.Second, PartChange: 1500 * time.Millisecond, Models: []string{"m"}}}
+			HandleLifetime: 5 * time.Second, PartChange: 1500 * time.Millisecond, Models: []string{"m"}}}
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": service, "other": {Name: "other"}}
 	configuration.Routes = []config.Route{
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -27,7 +27,7 @@
 	places   []string
 	servers  map[string]*worldServer
 	list     []membership.Server
-	tally    map[string]*classTally
+	counter  map[string]*classCounter
 	seen     map[uint64]bool
 
 	sharedRead, sharedAgain, read int
@@ -39,7 +39,7 @@
 	asked, toldOf                 int
 	update                        time.Duration
 	calls                         int
-	ways                          map[string]*wayTally
+	ways                          map[string]*wayCounter
 	ordered                       map[string]string
 	tells                         bool
 	crossing                      float64
@@ -49,13 +49,13 @@
 	onLate                        func(*asked, time.Duration)
 }
 
-// wayTally is how many dispatches went one way, and what was read again there.
-type wayTally struct{ count, again, believed, unread int }
+// wayCounter is how many dispatches went one way, and what was read again there.
+type wayCounter struct{ count, again, believed, unread int }
 
-func (world *world) wayOf(name string) *wayTally {
+func (world *world) wayOf(name string) *wayCounter {
 	found, known := world.ways[name]
 	if !known {
-		found = &wayTally{}
+		found = &wayCounter{}
 		world.ways[name] = found
 	}
 	return found
@@ -224,21 +224,21 @@
 	dark     bool
 	changing bool
 	// refuses has it fail to hand over any memory, slow makes all it does longer.
-	refuses  bool
-	slowLink float64
-	slow     float64
-	life     int
-	waiting  []*job
-	running  []*job
-	working  bool
-	cache    map[uint64]*list.Element
-	order    *list.List
-	cachedIn int
-	pinned   int
-	handles  map[string]int
-	linkFree time.Time
-	past     []Load
-	arrivals []time.Time
+	refuses     bool
+	slowLink    float64
+	slow        float64
+	incarnation int
+	waiting     []*job
+	running     []*job
+	working     bool
+	cache       map[uint64]*list.Element
+	order       *list.List
+	cachedIn    int
+	pinned      int
+	handles     map[string]int
+	linkFree    time.Time
+	past        []Load
+	arrivals    []time.Time
 }
 
 type cached struct {
@@ -248,22 +248,22 @@
 
 // job is one call at one server.
 type job struct {
-	call     *Call
-	reads    bool
-	life     int
-	moved    bool
-	unread   int
-	left     int
-	made     int
-	started  bool
-	last     time.Time
-	longest  time.Duration
-	tokens   int
-	first    func()
-	ended    func(Result)
-	gone     bool
-	way      string
-	believed int
+	call        *Call
+	reads       bool
+	incarnation int
+	moved       bool
+	unread      int
+	left        int
+	made        int
+	started     bool
+	last        time.Time
+	longest     time.Duration
+	tokens      int
+	first       func()
+	ended       func(Result)
+	gone        bool
+	way         string
+	believed    int
 }
 
 func (server *worldServer) kept(parts []Part, use bool) int {
@@ -307,7 +307,7 @@
 	if len(server.waiting) >= 192 || job.tokens > engine.memory {
 		return false
 	}
-	job.life = server.life
+	job.incarnation = server.incarnation
 	server.waiting = append(server.waiting, job)
 	server.wake()
 	return true
@@ -348,10 +348,10 @@
 		duration += float64(chunk)/pace + engine.pairs*float64(chunk)*(float64(done)+float64(chunk)/2)/1e6
 	}
 	duration *= max(server.slow, 1)
-	life := server.life
+	incarnation := server.incarnation
 	server.world.after(duration, func() {
 		server.working = false
-		if life != server.life {
+		if incarnation != server.incarnation {
 			return
 		}
 		server.stepped(reading, chunk)
@@ -448,7 +448,7 @@
 // crash ends all that the server does.
 func (server *worldServer) crash(dark bool) {
 	jobs := append(append([]*job(nil), server.waiting...), server.running...)
-	server.life++
+	server.incarnation++
 	server.waiting, server.running, server.pinned = nil, nil, 0
 	server.empty()
 	server.working = false
@@ -472,8 +472,8 @@
 		MemoryUsed: server.pinned, MemoryTotal: server.world.engine.memory}
 }
 
-// classTally is how the calls of one class went.
-type classTally struct {
+// classCounter is how the calls of one class went.
+type classCounter struct {
 	owed, earned   float64
 	calls, inAim   int
 	late, lost     int
@@ -483,12 +483,12 @@
 	served, broken int
 }
 
-func (tally *classTally) at(share float64) float64 {
-	if len(tally.first) == 0 {
+func (counter *classCounter) at(share float64) float64 {
+	if len(counter.first) == 0 {
 		return 0
 	}
-	sort.Float64s(tally.first)
-	return tally.first[min(len(tally.first)-1, int(share*float64(len(tally.first))))]
+	sort.Float64s(counter.first)
+	return counter.first[min(len(counter.first)-1, int(share*float64(len(counter.first))))]
 }
 
 // class is a sort of call in the world.
@@ -548,7 +548,7 @@
 
 func dividedWorld(seed uint64, routers int, list []membership.Server, configure func(*config.Configuration), shape func(*Window)) *world {
 	world := &world{now: noon, random: rand.New(rand.NewPCG(seed, 7)), engine: sheet(), servers: map[string]*worldServer{},
-		tally: map[string]*classTally{}, seen: map[uint64]bool{}, ways: map[string]*wayTally{}, idle: map[connectionEnds]*connections{}, ordered: map[string]string{}, update: 400 * time.Millisecond}
+		counter: map[string]*classCounter{}, seen: map[uint64]bool{}, ways: map[string]*wayCounter{}, idle: map[connectionEnds]*connections{}, ordered: map[string]string{}, update: 400 * time.Millisecond}
 	world.list = list
 	for _, listed := range world.list {
 		world.servers[listed.Name] = &worldServer{world: world, listed: listed, part: listed.Part}
@@ -747,9 +747,9 @@
 	}
 	call.OutputTokens = max(1, int(drawn(world.random, class.chunks, class.spread, class.mostChunks)*float64(world.engine.stride)))
 	call.Bytes = class.bytes * call.PromptTokens / int(class.own+class.chains[0].mean+class.chains[1].mean)
-	tally := world.tallyOf(class.name)
-	tally.calls++
-	tally.owed += class.worth
+	counter := world.counterOf(class.name)
+	counter.calls++
+	counter.owed += class.worth
 	world.owedAt[world.second(world.now)] += class.worth
 	number := world.random.IntN(len(world.windows))
 	ticket, decision := world.windows[number].Arrive(world.now, call)
@@ -786,13 +786,13 @@
 	return Part{ID: id, Tokens: max(16, int(drawn(random, link.mean, link.spread, link.most)))}
 }
 
-func (world *world) tallyOf(name string) *classTally {
-	tally, found := world.tally[name]
+func (world *world) counterOf(name string) *classCounter {
+	counter, found := world.counter[name]
 	if !found {
-		tally = &classTally{}
-		world.tally[name] = tally
+		counter = &classCounter{}
+		world.counter[name] = counter
 	}
-	return tally
+	return counter
 }
 
 // asked is one call's way through the world.
@@ -816,7 +816,7 @@
 
 func (world *world) follow(asked *asked, decision Decision) {
 	world.tell(asked.router)
-	tally := world.tallyOf(asked.class.name)
+	counter := world.counterOf(asked.class.name)
 	for _, source := range decision.Free {
 		world.free(source)
 	}
@@ -827,35 +827,35 @@
 		world.dispatch(asked, decision)
 	case Refuse:
 		if decision.Cause.NeverRan() {
-			tally.refused++
+			counter.refused++
 		} else {
-			tally.lost++
+			counter.lost++
 		}
 		if world.onLost != nil {
 			world.onLost(asked, decision)
 		}
 	case Done:
-		tally.served++
+		counter.served++
 		took := asked.first.Sub(asked.at) + 2*time.Millisecond
-		tally.first = append(tally.first, milliseconds(took))
+		counter.first = append(counter.first, milliseconds(took))
 		switch {
 		case took <= asked.class.aim && asked.longest <= asked.class.gap:
-			tally.inAim++
-			tally.earned += asked.class.worth
+			counter.inAim++
+			counter.earned += asked.class.worth
 			world.earnedAt[world.second(asked.at)] += asked.class.worth
 		default:
 			if asked.longest > asked.class.gap {
-				tally.paused++
+				counter.paused++
 			}
-			tally.late++
+			counter.late++
 			if world.onLate != nil {
 				world.onLate(asked, took)
 			}
-			tally.earned += asked.class.late
+			counter.earned += asked.class.late
 			world.earnedAt[world.second(asked.at)] += asked.class.late
 		}
 	default:
-		tally.broken++
+		counter.broken++
 	}
 }
 
@@ -1083,15 +1083,15 @@
 func (world *world) String() string {
 	text := ""
 	var names []string
-	for name := range world.tally {
+	for name := range world.counter {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		tally := world.tally[name]
+		counter := world.counter[name]
 		text += fmt.Sprintf("%s: worth %.3f, in aim %.3f, late %d (pauses %d), refused %d, lost %d, broken %d, first event p50 %.0f p95 %.0f p99 %.0f ms\n", name,
-			tally.earned/tally.owed, float64(tally.inAim)/float64(tally.calls), tally.late, tally.paused, tally.refused, tally.lost, tally.broken,
-			tally.at(0.5), tally.at(0.95), tally.at(0.99))
+			counter.earned/counter.owed, float64(counter.inAim)/float64(counter.calls), counter.late, counter.paused, counter.refused, counter.lost, counter.broken,
+			counter.at(0.5), counter.at(0.95), counter.at(0.99))
 	}
 	names = nil
 	for name := range world.ways {
--- a/internal/testbed/fleet/circuit.go
+++ b/internal/testbed/fleet/circuit.go
@@ -9,20 +9,20 @@
 
 // Connection is one call under way at a stand-in: it may be closed by either side.
 type Connection struct {
-	bell   runtime.Cond
+	cond   runtime.Cond
 	mutex  sync.Mutex
 	closed bool
 }
 
 // NewConnection opens a circuit.
-func NewConnection(turns runtime.Runtime) *Connection { return &Connection{bell: turns.NewCond()} }
+func NewConnection(rt runtime.Runtime) *Connection { return &Connection{cond: rt.NewCond()} }
 
 // Close ends what is done for the circuit.
 func (connection *Connection) Close() {
 	connection.mutex.Lock()
 	connection.closed = true
 	connection.mutex.Unlock()
-	connection.bell.Broadcast()
+	connection.cond.Broadcast()
 }
 
 // Closed tells whether the circuit is closed.
@@ -34,6 +34,6 @@
 
 // Pause lets work take its time; false means that the circuit was closed.
 func (connection *Connection) Pause(length time.Duration) bool {
-	connection.bell.Wait(length, connection.Closed)
+	connection.cond.Wait(length, connection.Closed)
 	return !connection.Closed()
 }
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -429,11 +429,11 @@
 
 func lapseHandles(lifetime context.Context, day *Day) {
 	for _, name := range day.Fleet.ServerNames()[:3] {
-		day.Fleet.Server(name).SetHandleLife(time.Microsecond)
+		day.Fleet.Server(name).SetHandleLifetime(time.Microsecond)
 	}
 	pauseFor(lifetime, 3*time.Second)
 	for _, name := range day.Fleet.ServerNames()[:3] {
-		day.Fleet.Server(name).SetHandleLife(5 * time.Second)
+		day.Fleet.Server(name).SetHandleLifetime(5 * time.Second)
 	}
 }
 
--- a/internal/testbed/fleet/serverplan.go
+++ b/internal/testbed/fleet/serverplan.go
@@ -4,21 +4,21 @@
 
 // ServerPlan is how a stand-in server behaves.
 type ServerPlan struct {
-	Name        string
-	Zone        string
-	PrefillRate int
-	PrefillRoom int
-	DecodeSlots int
-	ChunkTime   time.Duration
-	Memory      int
-	LinkRate    int
-	HandleLife  time.Duration
-	ColdTime    time.Duration
-	Prefixes    int
+	Name           string
+	Zone           string
+	PrefillRate    int
+	PrefillRoom    int
+	DecodeSlots    int
+	ChunkTime      time.Duration
+	Memory         int
+	LinkRate       int
+	HandleLifetime time.Duration
+	ColdTime       time.Duration
+	Prefixes       int
 }
 
 // DefaultPlan is a server of middling speed.
 func DefaultPlan(name, zone string) ServerPlan {
 	return ServerPlan{Name: name, Zone: zone, PrefillRate: 20_000, PrefillRoom: 12, DecodeSlots: 16, ChunkTime: 8 * time.Millisecond,
-		Memory: 200_000, LinkRate: 400_000, HandleLife: 5 * time.Second, ColdTime: 4 * time.Second, Prefixes: 8}
+		Memory: 200_000, LinkRate: 400_000, HandleLifetime: 5 * time.Second, ColdTime: 4 * time.Second, Prefixes: 8}
 }
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -21,10 +21,10 @@
 
 // StandIn is a model server for rehearsals behind HTTP.
 type StandIn struct {
-	*Stovetop
+	*Engine
 	address  string
 	client   *http.Client
-	turns    runtime.Runtime
+	runtime  runtime.Runtime
 	lifetime context.Context
 	end      context.CancelFunc
 	server   *http.Server
@@ -38,8 +38,8 @@
 	}
 	standIn := &StandIn{address: listener.Addr().String(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	standIn.lifetime, standIn.end = context.WithCancel(context.Background())
-	standIn.turns = osruntime.New(standIn.lifetime, osruntime.NewClock())
-	standIn.Stovetop = NewStovetop(plan, book, standIn.turns, uuid.NewString, standIn.fetchMemory)
+	standIn.runtime = osruntime.New(standIn.lifetime, osruntime.NewClock())
+	standIn.Engine = NewEngine(plan, book, standIn.runtime, uuid.NewString, standIn.fetchMemory)
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { say(writer, http.StatusOK, standIn.Load()) })
 	mux.HandleFunc(pat.Post("/v1/prefill"), takes(standIn, func(connection *Connection, order modelserver.PrefillOrder, writer http.ResponseWriter) {
@@ -73,7 +73,7 @@
 			say(writer, http.StatusBadRequest, Refusal{Type: "malformed"})
 			return
 		}
-		conn := NewConnection(standIn.turns)
+		conn := NewConnection(standIn.runtime)
 		stop := context.AfterFunc(inbound.Context(), conn.Close)
 		defer stop()
 		act(conn, order, writer)
--- a/internal/testbed/fleet/stovetop.go
+++ b/internal/testbed/fleet/stovetop.go
@@ -10,14 +10,14 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Stovetop is what a stand-in model server does, whatever carries its calls: a
+// Engine is what a stand-in model server does, whatever carries its calls: a
 // queue of prompts read one by one, slots for answers, bounded memory for
 // prompts, a prefix cache, handles that lapse, a cold start, and a link of some
 // speed. It writes everything that it is asked to do into the book.
-type Stovetop struct {
+type Engine struct {
 	plan        ServerPlan
 	book        *Book
-	turns       runtime.Runtime
+	runtime     runtime.Runtime
 	fetch       Fetch
 	nonce       func() string
 	incarnation string
@@ -73,15 +73,15 @@
 	Type    string `json:"type"`
 }
 
-// NewStovetop starts a server, cold.
-func NewStovetop(plan ServerPlan, book *Book, turns runtime.Runtime, nonce func() string, fetch Fetch) *Stovetop {
+// NewEngine starts a server, cold.
+func NewEngine(plan ServerPlan, book *Book, rt runtime.Runtime, nonce func() string, fetch Fetch) *Engine {
 	book.Note(Entry{Kind: ServerBorn, Server: plan.Name, Zone: plan.Zone})
-	return &Stovetop{plan: plan, book: book, turns: turns, fetch: fetch, nonce: nonce, incarnation: nonce(), free: turns.NewCond(), born: turns.Now(),
+	return &Engine{plan: plan, book: book, runtime: rt, fetch: fetch, nonce: nonce, incarnation: nonce(), free: rt.NewCond(), born: rt.Now(),
 		handles: map[string]*promptMemory{}, prefixes: map[string]int{}, runs: map[string]*Connection{}, taken: map[string]bool{}, slowLink: 1}
 }
 
 // Die notes the crash, with which all memory is gone.
-func (top *Stovetop) Die() {
+func (top *Engine) Die() {
 	top.book.Note(Entry{Kind: ServerCrashed, Server: top.plan.Name})
 	top.mutex.Lock()
 	top.dead = true
@@ -97,63 +97,63 @@
 }
 
 // SetDark makes the stand-in accept circuits and never answer, or end that.
-func (top *Stovetop) SetDark(dark bool) {
+func (top *Engine) SetDark(dark bool) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	top.dark = dark
 }
 
 // SetLeaving makes the load reports say that the server leaves.
-func (top *Stovetop) SetLeaving(leaving bool) {
+func (top *Engine) SetLeaving(leaving bool) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	top.leaving = leaving
 }
 
-// SetHandleLife makes handles lapse after another time.
-func (top *Stovetop) SetHandleLife(life time.Duration) {
+// SetHandleLifetime makes handles lapse after another time.
+func (top *Engine) SetHandleLifetime(incarnation time.Duration) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
-	top.plan.HandleLife = life
+	top.plan.HandleLifetime = incarnation
 }
 
 // SlowLink makes the link so many times slower.
-func (top *Stovetop) SlowLink(times int) {
+func (top *Engine) SlowLink(times int) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	top.slowLink = times
 }
 
 // Part is the part that the server has.
-func (top *Stovetop) Part() string {
+func (top *Engine) Part() string {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	return top.part
 }
 
 // Active counts the answers under way.
-func (top *Stovetop) Active() int {
+func (top *Engine) Active() int {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	return top.active
 }
 
 // Dark tells whether the server takes circuits and never answers.
-func (top *Stovetop) Dark() bool {
+func (top *Engine) Dark() bool {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	return top.dark
 }
 
 // Dead tells whether the server has crashed.
-func (top *Stovetop) Dead() bool {
+func (top *Engine) Dead() bool {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	return top.dead
 }
 
 // Load is the server's report.
-func (top *Stovetop) Load() modelserver.LoadReport {
+func (top *Engine) Load() modelserver.LoadReport {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	top.sweepHandles()
@@ -172,11 +172,11 @@
 		MemoryTotal: top.plan.Memory, LinkRate: top.plan.LinkRate / top.slowLink, Prefixes: prefixes}
 }
 
-func (top *Stovetop) age() time.Duration { return top.turns.Now().Sub(top.born) }
+func (top *Engine) age() time.Duration { return top.runtime.Now().Sub(top.born) }
 
-func (top *Stovetop) sweepHandles() {
+func (top *Engine) sweepHandles() {
 	for name, held := range top.handles {
-		if top.turns.Now().After(held.lapses) {
+		if top.runtime.Now().After(held.lapses) {
 			delete(top.handles, name)
 			top.memory -= held.tokens
 		}
@@ -184,7 +184,7 @@
 }
 
 // cold slows a server down that has just started.
-func (top *Stovetop) cold() float64 {
+func (top *Engine) cold() float64 {
 	age := top.age()
 	if age >= top.plan.ColdTime {
 		return 1
@@ -192,14 +192,14 @@
 	return 3 - 2*float64(age)/float64(top.plan.ColdTime)
 }
 
-func (top *Stovetop) note(kind EntryKind, request string, run int) {
+func (top *Engine) note(kind EntryKind, request string, run int) {
 	top.book.Note(Entry{Kind: kind, Server: top.plan.Name, Zone: top.plan.Zone, Request: request, Run: run})
 }
 
 // again tells whether an order was had before: a link brought it twice. A
 // server takes an order once, as the protocol asks, and says of the second that
 // it was begun: the first may have been the copy.
-func (top *Stovetop) again(kind, order, request string, run int) bool {
+func (top *Engine) again(kind, order, request string, run int) bool {
 	if order == "" {
 		return false
 	}
@@ -212,7 +212,7 @@
 }
 
 // Prefill reads a prompt, and answers with its handle or a refusal.
-func (top *Stovetop) Prefill(connection *Connection, order modelserver.PrefillOrder) (int, any) {
+func (top *Engine) Prefill(connection *Connection, order modelserver.PrefillOrder) (int, any) {
 	top.mutex.Lock()
 	if top.again("prefill", order.Order, order.Request, order.Run) {
 		top.mutex.Unlock()
@@ -274,7 +274,7 @@
 		top.cache(order.Prefix, order.PrefixTokens)
 	}
 	handle := top.nonce()
-	top.handles[handle] = &promptMemory{request: order.Request, run: order.Run, order: order.Order, tokens: order.PromptTokens, lapses: top.turns.Now().Add(top.plan.HandleLife)}
+	top.handles[handle] = &promptMemory{request: order.Request, run: order.Run, order: order.Order, tokens: order.PromptTokens, lapses: top.runtime.Now().Add(top.plan.HandleLifetime)}
 	return http.StatusOK, modelserver.PrefillAnswer{Request: order.Request, Run: order.Run, Handle: handle}
 }
 
@@ -287,7 +287,7 @@
 	return queue
 }
 
-func (top *Stovetop) cache(prefix string, tokens int) {
+func (top *Engine) cache(prefix string, tokens int) {
 	for position, name := range top.prefixOrder {
 		if name == prefix {
 			top.prefixOrder = append(top.prefixOrder[:position], top.prefixOrder[position+1:]...)
@@ -307,7 +307,7 @@
 }
 
 // GiveMemory hands a prompt's memory over, once and to its own inquiry and run.
-func (top *Stovetop) GiveMemory(question MemoryQuestion) (int, any) {
+func (top *Engine) GiveMemory(question MemoryQuestion) (int, any) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	top.sweepHandles()
@@ -324,7 +324,7 @@
 
 // Decode takes a prompt's memory up and answers, line by line; with another
 // status than 200 there is a refusal and no line.
-func (top *Stovetop) Decode(connection *Connection, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) (int, any) {
+func (top *Engine) Decode(connection *Connection, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) (int, any) {
 	top.mutex.Lock()
 	if top.again("decode", order.Order, order.Request, order.Run) {
 		top.mutex.Unlock()
@@ -382,7 +382,7 @@
 	return request + "/" + run + "/" + strconv.Itoa(chunk)
 }
 
-func (top *Stovetop) stream(connection *Connection, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) {
+func (top *Engine) stream(connection *Connection, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) {
 	run := strconv.Itoa(order.Run) + order.Order
 	for chunk := 1; chunk <= order.Chunks; chunk++ {
 		top.mutex.Lock()
@@ -402,7 +402,7 @@
 }
 
 // Cancel stops a run and lets go of its memory.
-func (top *Stovetop) Cancel(order modelserver.CancelOrder) {
+func (top *Engine) Cancel(order modelserver.CancelOrder) {
 	top.mutex.Lock()
 	connection := top.runs[runName(order.Request, order.Run, order.Order)]
 	for name, held := range top.handles {
@@ -418,7 +418,7 @@
 }
 
 // TakePart takes a part from the holder of the server's key.
-func (top *Stovetop) TakePart(order modelserver.PartOrder) (int, any) {
+func (top *Engine) TakePart(order modelserver.PartOrder) (int, any) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	entry := Entry{Kind: Commanded, Server: top.plan.Name, Holder: order.Holder, FencingToken: order.FencingToken, Part: order.Part, Cause: order.Cause}
--- a/internal/testbed/replay/configcheckers.go
+++ b/internal/testbed/replay/configcheckers.go
@@ -78,15 +78,15 @@
 			continue
 		}
 		finding.Looked++
-		life := fmt.Sprintf("%s#%d", handling.machine, record.contact.life(handling.machine, handling.sent))
-		for _, earlier := range effects[life] {
+		incarnation := fmt.Sprintf("%s#%d", handling.machine, record.contact.incarnation(handling.machine, handling.sent))
+		for _, earlier := range effects[incarnation] {
 			if handling.sent.After(earlier.at.Add(record.terms.RevertSlack)) && newest < earlier.version {
 				finding.Violate(fmt.Sprintf("%s showed version %d and later handled %s on %s as version %d would", handling.machine, earlier.version, handling.try.sent.Try, handling.route, newest))
 				break
 			}
 		}
 		if handling.service != "" {
-			effects[life] = append(effects[life], effect{handling.at, oldest})
+			effects[incarnation] = append(effects[incarnation], effect{handling.at, oldest})
 		}
 	}
 }
--- a/internal/testbed/replay/contact.go
+++ b/internal/testbed/replay/contact.go
@@ -112,12 +112,12 @@
 }
 
 // life numbers the lives of a machine's processes.
-func (contact *contact) life(machine string, at time.Time) int {
-	life := 0
+func (contact *contact) incarnation(machine string, at time.Time) int {
+	incarnation := 0
 	for _, event := range contact.machines[machine] {
 		if event.Kind == MachineUp && !event.At.After(at) {
-			life++
+			incarnation++
 		}
 	}
-	return life
+	return incarnation
 }
--- a/internal/testbed/replay/edition.go
+++ b/internal/testbed/replay/edition.go
@@ -114,7 +114,7 @@
 		}
 		if shape.Plain == 0 {
 			page["runtime"] = map[string]any{"slots": shape.Slots, "kvCapacity": shape.Capacity, "kvTokenBytes": int(shape.TokenBytes), "linkMbps": shape.LinkMegabits,
-				"stride": 1, "handleTtlS": shape.HandleLife.Seconds(), "roleSwitchS": shape.Switch.Seconds(), "modelIds": []any{map[string]any{"name": modelName}}}
+				"stride": 1, "handleTtlS": shape.HandleLifetime.Seconds(), "roleSwitchS": shape.Switch.Seconds(), "modelIds": []any{map[string]any{"name": modelName}}}
 		}
 		pages = append(pages, page)
 	}
@@ -122,7 +122,7 @@
 }
 
 // amendment is what turns one edition into the next, as operators send it by name.
-func (version Version) amendment(site Site, next Version) map[string]any {
+func (version Version) patch(site Site, next Version) map[string]any {
 	var changed, removed []string
 	for name, rule := range next.Routes {
 		if before, found := version.Routes[name]; !found || !reflect.DeepEqual(before, rule) {
--- a/internal/testbed/replay/engine.go
+++ b/internal/testbed/replay/engine.go
@@ -14,7 +14,7 @@
 	Chunk, Block, Capacity    int
 	TokenBytes, LinkMegabits  float64
 	Setup                     time.Duration
-	HandleLife, Switch        time.Duration
+	HandleLifetime, Switch    time.Duration
 	ReportLag                 time.Duration
 	Cold                      time.Duration
 	ColdPerSecond             float64
--- a/internal/testbed/replay/exchange.go
+++ b/internal/testbed/replay/exchange.go
@@ -181,7 +181,7 @@
 	}
 	name := strings.ReplaceAll(uuid.NewString(), "-", "")[:12]
 	server.mutex.Lock()
-	server.handles[name] = &handle{try: exchange.event.Try, tokens: tokens, held: exchange.one.held, lapses: time.Now().Add(server.shape.HandleLife)}
+	server.handles[name] = &handle{try: exchange.event.Try, tokens: tokens, held: exchange.one.held, lapses: time.Now().Add(server.shape.HandleLifetime)}
 	read := exchange.event
 	read.Kind, read.Handle, read.Tokens = PromptRead, name, tokens
 	server.pool.book.Note(read)
--- a/internal/testbed/replay/operators.go
+++ b/internal/testbed/replay/operators.go
@@ -175,7 +175,7 @@
 	operators.mutex.Unlock()
 	path, text := pathReplace, page
 	if amends {
-		path, text = pathAmend, base.amendment(operators.day.Site, next)
+		path, text = pathAmend, base.patch(operators.day.Site, next)
 	}
 	body, _ := json.Marshal(text)
 	if spoil != nil {
--- a/internal/testbed/replay/site.go
+++ b/internal/testbed/replay/site.go
@@ -61,7 +61,7 @@
 	engine := Shape{
 		Slots: 24, Queue: 48, Connections: 200, Step: 3100 * time.Microsecond, StepPerSlot: 100 * time.Microsecond, TokensPerMillisecond: 57,
 		Chunk: 4096, Block: 16, Capacity: 290_000, TokenBytes: 18_432, LinkMegabits: 550_000, Setup: 3300 * time.Microsecond,
-		HandleLife: 5 * time.Second, Switch: 1500 * time.Millisecond, ReportLag: 100 * time.Millisecond,
+		HandleLifetime: 5 * time.Second, Switch: 1500 * time.Millisecond, ReportLag: 100 * time.Millisecond,
 		Cold: 3 * time.Second, ColdPerSecond: 12, Idle: 15 * time.Second,
 	}
 	till := Shape{Slots: 8, Queue: 24, Connections: 120, Step: 4 * time.Millisecond, TokensPerMillisecond: 57, Chunk: 1, Block: 16, Capacity: 4096, Plain: 5,
--- a/internal/testbed/simulation/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -65,7 +65,7 @@
 func (world *World) routerFor(zone string) *machine {
 	var near, any []*machine
 	for _, machine := range world.machines {
-		if machine.kind == membership.Router && machine.life != nil && !machine.life.ended && !machine.gone {
+		if machine.kind == membership.Router && machine.incarnation != nil && !machine.incarnation.ended && !machine.gone {
 			any = append(any, machine)
 			if machine.zone == zone {
 				near = append(near, machine)
@@ -84,7 +84,7 @@
 // origin is a caller at the other end of a circuit.
 type client struct {
 	world  *World
-	there  *life
+	there  *incarnation
 	pipe   *pipe
 	left   bool
 	onLeft []func()
@@ -133,7 +133,7 @@
 // when the caller may come again.
 func (world *World) exchange(machine *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
 	body, _ := json.Marshal(question)
-	there, conduct := machine.life, machine.router
+	there, conduct := machine.incarnation, machine.router
 	replies := newPipe(world, machine.name, "outside", world.outside)
 	caller := &client{world: world, there: there, pipe: replies}
 	world.carry("outside", machine.name, nil, func() {
@@ -194,7 +194,7 @@
 	entry := fleet.Entry{}
 	question := fleet.Question{ID: "look-" + world.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Chunks: 1}
 	body, _ := json.Marshal(question)
-	there, conduct := machine.life, machine.router
+	there, conduct := machine.incarnation, machine.router
 	// A restricted courier passes on: what one sees there is another's.
 	if there == nil || there.ended || there.frozen || conduct == nil || conduct.Core().Restricted() {
 		return
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -13,8 +13,8 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// CallTally is what became of a day's opaque calls.
-type CallTally struct {
+// CallCounter is what became of a day's opaque calls.
+type CallCounter struct {
 	Sent, Complete, Refused, Failed, Broken int
 	// Runs counts what servers began, Sendings what reached them.
 	Runs       int
@@ -24,8 +24,8 @@
 	Last, Returned int
 }
 
-func (tally *CallTally) violate(format string, values ...any) {
-	tally.Violations = append(tally.Violations, fmt.Sprintf(format, values...))
+func (counter *CallCounter) violate(format string, values ...any) {
+	counter.Violations = append(counter.Violations, fmt.Sprintf(format, values...))
 }
 
 // worldCall is one opaque call, as its origin knows it.
@@ -70,7 +70,7 @@
 }
 
 // prepareCalls gives a courier what serves opaque calls, where the world has them.
-func (world *World) prepareCalls(machine *machine, begun *life, options *hatch.RouterOptions) {
+func (world *World) prepareCalls(machine *machine, begun *incarnation, options *hatch.RouterOptions) {
 	machine.calls = nil
 	if !world.ways.Calls {
 		return
@@ -99,17 +99,17 @@
 
 // clientOfCall sends one call to a courier and holds what comes back against what ran.
 func (world *World) clientOfCall(call *worldCall, zone string, last bool) {
-	tally := world.calls
+	counter := world.calls
 	machine := world.routerFor(zone)
 	if machine == nil || machine.calls == nil {
 		return
 	}
-	tally.Sent++
+	counter.Sent++
 	if last {
-		tally.Last++
+		counter.Last++
 	}
-	there, conduct := machine.life, machine.calls
-	exchange := &callExchange{life: there, call: call, replies: newPipe(world, machine.name, "outside", world.outside)}
+	there, conduct := machine.incarnation, machine.calls
+	exchange := &callExchange{incarnation: there, call: call, replies: newPipe(world, machine.name, "outside", world.outside)}
 	world.carry("outside", machine.name, nil, func() {
 		if there.ended {
 			exchange.replies.snap()
@@ -132,34 +132,34 @@
 		if !found || leaves && passed > 1 {
 			exchange.left = true
 			if exchange.under != nil {
-				exchange.under.replies.bell.Broadcast()
+				exchange.under.replies.cond.Broadcast()
 			}
-			tally.Broken++
+			counter.Broken++
 			return
 		}
 		switch said := message.(type) {
 		case callChunkSent:
 			passed++
 			if said.id != call.call.ID || said.number != passed {
-				tally.violate("%s got piece %d of %s in the place of %d", call.call.ID, said.number, said.id, passed)
+				counter.violate("%s got piece %d of %s in the place of %d", call.call.ID, said.number, said.id, passed)
 			}
 		case callStreamEnd:
 			if passed != call.chunks {
-				tally.violate("%s is complete with %d pieces of %d", call.call.ID, passed, call.chunks)
+				counter.violate("%s is complete with %d pieces of %d", call.call.ID, passed, call.chunks)
 			}
-			tally.Complete++
+			counter.Complete++
 			if last {
-				tally.Returned++
+				counter.Returned++
 			}
 		case hatch.Refusal:
 			if said.Status == http.StatusBadGateway || said.Status == http.StatusGatewayTimeout {
-				tally.Failed++
+				counter.Failed++
 				break
 			}
-			tally.Refused++
+			counter.Refused++
 			call.promised = true
 			if call.runs > 0 {
-				tally.violate("%s was refused with %d and had run", call.call.ID, said.Status)
+				counter.violate("%s was refused with %d and had run", call.call.ID, said.Status)
 			}
 		case callOver:
 			return
@@ -172,13 +172,13 @@
 
 // callExchange is one call between its origin and the servers, over the world's links.
 type callExchange struct {
-	life    *life
-	call    *worldCall
-	replies *pipe
-	under   *callSending
-	passed  int
-	kept    *callRefusal
-	left    bool
+	incarnation *incarnation
+	call        *worldCall
+	replies     *pipe
+	under       *callSending
+	passed      int
+	kept        *callRefusal
+	left        bool
 }
 
 // wait takes the next message of a sending within a patience.
@@ -188,7 +188,7 @@
 
 // patience is how long a decision lets its server say nothing.
 func (exchange *callExchange) patience(decision scheduler.Decision) time.Duration {
-	left := decision.Ends.Sub(exchange.life.Now()) + callMargin
+	left := decision.Ends.Sub(exchange.incarnation.Now()) + callMargin
 	if decision.Patience > 0 {
 		left = min(left, decision.Patience)
 	}
@@ -219,7 +219,7 @@
 
 // Read has a server read the prompt.
 func (exchange *callExchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Stovetop, connection *fleet.Connection, _ func(any) bool) any {
+	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
 		return there.read(top, connection, exchange.call, decision.Server.Name)
 	})
 	if sending == nil {
@@ -230,7 +230,7 @@
 	message, found := exchange.wait(sending, exchange.patience(decision))
 	switch said := message.(type) {
 	case callRead:
-		return scheduler.Outcome{Result: scheduler.Complete, Handle: said.handle, First: exchange.life.Now()}
+		return scheduler.Outcome{Result: scheduler.Complete, Handle: said.handle, First: exchange.incarnation.Now()}
 	case callRefusal:
 		return exchange.refused(said)
 	}
@@ -243,7 +243,7 @@
 // Run has a server make the answer and passes it on.
 func (exchange *callExchange) Run(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
 	last := exchange.passed
-	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Stovetop, connection *fleet.Connection, send func(any) bool) any {
+	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
 		return there.run(top, connection, exchange.call, decision.Server.Name, decision.Source, last, send)
 	})
 	if sending == nil {
@@ -261,9 +261,9 @@
 		}
 		if outcome.First.IsZero() {
 			if last > 0 {
-				exchange.life.world.tempt("a stream of a call that went on elsewhere")
+				exchange.incarnation.world.tempt("a stream of a call that went on elsewhere")
 			}
-			outcome.First = exchange.life.Now()
+			outcome.First = exchange.incarnation.Now()
 			began()
 		}
 		switch said := message.(type) {
@@ -273,7 +273,7 @@
 				outcome.Result = scheduler.Gone
 				return outcome
 			}
-			patience = decision.Ends.Sub(exchange.life.Now()) + callMargin
+			patience = decision.Ends.Sub(exchange.incarnation.Now()) + callMargin
 			if decision.Silence > 0 {
 				patience = min(patience, decision.Silence)
 			}
@@ -307,8 +307,8 @@
 
 // Free gives a prompt's memory back.
 func (exchange *callExchange) Free(source scheduler.Source) {
-	world, to := exchange.life.world, exchange.life.world.nameAt(source.Address)
-	world.carry(exchange.life.name, to, nil, func() {
+	world, to := exchange.incarnation.world, exchange.incarnation.world.nameAt(source.Address)
+	world.carry(exchange.incarnation.name, to, nil, func() {
 		if there := world.callServerAt(source.Address); there != nil {
 			delete(there.handles, source.Handle)
 		}
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -51,7 +51,7 @@
 type callStreamEnd struct{}
 
 // read reads a prompt and keeps its memory.
-func (server *callServer) read(top *fleet.Stovetop, connection *fleet.Connection, call *worldCall, name string) any {
+func (server *callServer) read(top *fleet.Engine, connection *fleet.Connection, call *worldCall, name string) any {
 	switch {
 	case name != server.name || top.Part() != "prefill":
 		return callRefusal{misdirected}
@@ -69,7 +69,7 @@
 }
 
 // run makes a stream, behind the event that its origin had last.
-func (server *callServer) run(top *fleet.Stovetop, connection *fleet.Connection, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
+func (server *callServer) run(top *fleet.Engine, connection *fleet.Connection, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
 	switch {
 	case name != server.name || top.Part() != "decode":
 		return callRefusal{misdirected}
@@ -120,7 +120,7 @@
 // callServerAt is the server that has an address now.
 func (world *World) callServerAt(address string) *callServer {
 	there := world.servers[world.nameAt(address)]
-	if there == nil || there.life.ended || there.life.address != address {
+	if there == nil || there.incarnation.ended || there.incarnation.address != address {
 		return nil
 	}
 	return there.calls
@@ -128,22 +128,22 @@
 
 // send sends a call to a server and gives what it answers to the pipe; nil means
 // that certainly nothing went.
-func (exchange *callExchange) send(server membership.Server, serve func(there *callServer, top *fleet.Stovetop, connection *fleet.Connection, send func(any) bool) any) *callSending {
-	world, here := exchange.life.world, exchange.life
+func (exchange *callExchange) send(server membership.Server, serve func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any) *callSending {
+	world, here := exchange.incarnation.world, exchange.incarnation
 	to := world.nameAt(server.Address)
 	sending := &callSending{replies: newPipe(world, to, here.name, here)}
 	arrive := func() {
 		there := world.servers[to]
-		if there == nil || there.life.ended || there.life.address != server.Address {
+		if there == nil || there.incarnation.ended || there.incarnation.address != server.Address {
 			sending.refused = true
 			sending.replies.snap()
 			return
 		}
-		conn := fleet.NewConnection(there.life)
-		forgetServer := there.life.atEnd(sending.replies.snap)
-		sending.hangUp = func() { world.carry(here.name, to, there.life, conn.Close) }
+		conn := fleet.NewConnection(there.incarnation)
+		forgetServer := there.incarnation.atEnd(sending.replies.snap)
+		sending.hangUp = func() { world.carry(here.name, to, there.incarnation, conn.Close) }
 		forgetRouter := here.atEnd(sending.hangUp)
-		there.life.Go(func() {
+		there.incarnation.Go(func() {
 			defer forgetRouter()
 			if there.top.Dark() {
 				conn.Pause(time.Minute)
--- a/internal/testbed/simulation/campaign.go
+++ b/internal/testbed/simulation/campaign.go
@@ -21,8 +21,8 @@
 
 const commandsChecker = "one node at a time commands a server"
 
-// Tally is what a campaign came to.
-type Tally struct {
+// Counter is what a campaign came to.
+type Counter struct {
 	Days        uint64
 	Failed      []uint64
 	Violations  map[string]int
@@ -51,8 +51,8 @@
 }
 
 // Run runs all days; told is called for each, one at a time.
-func (campaign *Campaign) Run(told func(seed uint64, result Result)) Tally {
-	tally := Tally{Violations: map[string]int{}, Temptations: map[string]int{}, Tempted: map[string]int{}, Lowest: 1, Longest: map[string]float64{}}
+func (campaign *Campaign) Run(told func(seed uint64, result Result)) Counter {
+	counter := Counter{Violations: map[string]int{}, Temptations: map[string]int{}, Tempted: map[string]int{}, Lowest: 1, Longest: map[string]float64{}}
 	var mutex sync.Mutex
 	var working sync.WaitGroup
 	next := campaign.First
@@ -69,44 +69,44 @@
 				deployment, _ := campaign.DeploymentOf(seed)
 				result := New(deployment, seed).Run(campaign.Day)
 				mutex.Lock()
-				tally.add(seed, result)
+				counter.add(seed, result)
 				told(seed, result)
 				mutex.Unlock()
 			}
 		})
 	}
 	working.Wait()
-	tally.Share /= float64(max(tally.Days, 1))
-	return tally
+	counter.Share /= float64(max(counter.Days, 1))
+	return counter
 }
 
-func (tally *Tally) add(seed uint64, result Result) {
-	tally.Days++
-	tally.Steps += result.Steps
-	tally.Share += result.Verdict.Share
-	tally.Gap = max(tally.Gap, result.Verdict.Gap)
-	tally.Gaps += result.Verdict.Gap
-	tally.Lowest = min(tally.Lowest, result.Verdict.Share)
+func (counter *Counter) add(seed uint64, result Result) {
+	counter.Days++
+	counter.Steps += result.Steps
+	counter.Share += result.Verdict.Share
+	counter.Gap = max(counter.Gap, result.Verdict.Gap)
+	counter.Gaps += result.Verdict.Gap
+	counter.Lowest = min(counter.Lowest, result.Verdict.Share)
 	if result.Failed() {
-		tally.Failed = append(tally.Failed, seed)
+		counter.Failed = append(counter.Failed, seed)
 	}
 	for what, times := range result.Temptations {
-		tally.Temptations[what] += times
-		tally.Tempted[what]++
+		counter.Temptations[what] += times
+		counter.Tempted[what]++
 	}
 	for _, finding := range result.Verdict.Findings {
-		tally.Violations[finding.Checker] += finding.Violations
-		known := tally.Longest[finding.Checker]
+		counter.Violations[finding.Checker] += finding.Violations
+		known := counter.Longest[finding.Checker]
 		if finding.Checker == commandsChecker {
 			// Between two commanders the shortest time is the worst.
 			if finding.Seconds > 0 && (known == 0 || finding.Seconds < known) {
-				tally.Longest[finding.Checker] = finding.Seconds
+				counter.Longest[finding.Checker] = finding.Seconds
 			}
 		} else if finding.Seconds > known {
-			tally.Longest[finding.Checker] = finding.Seconds
+			counter.Longest[finding.Checker] = finding.Seconds
 		}
 	}
 	for _, count := range result.Verdict.Replies {
-		tally.Replies += count
+		counter.Replies += count
 	}
 }
--- a/internal/testbed/simulation/clockwork.go
+++ b/internal/testbed/simulation/clockwork.go
@@ -15,9 +15,9 @@
 	sequence uint64
 	// life is whose it is: a life that has ended is not bothered, and one that
 	// is frozen not before it wakes. None means the world's own.
-	life     *life
-	act      func()
-	canceled bool
+	incarnation *incarnation
+	act         func()
+	canceled    bool
 }
 
 // alarms is a heap, the earliest first; equal ones in the order of their making.
@@ -58,9 +58,9 @@
 }
 
 // after sets an alarm; an earlier moment than the present counts as now.
-func (clockwork *clockwork) after(length time.Duration, life *life, act func()) *alarm {
+func (clockwork *clockwork) after(length time.Duration, life *incarnation, act func()) *alarm {
 	clockwork.sequence++
-	set := &alarm{at: clockwork.now + max(0, length), sequence: clockwork.sequence, life: life, act: act}
+	set := &alarm{at: clockwork.now + max(0, length), sequence: clockwork.sequence, incarnation: life, act: act}
 	heap.Push(&clockwork.due, set)
 	return set
 }
@@ -70,11 +70,11 @@
 	for len(clockwork.due) > 0 && clockwork.due[0].at <= until {
 		next := heap.Pop(&clockwork.due).(*alarm)
 		clockwork.now = max(clockwork.now, next.at)
-		if next.canceled || (next.life != nil && next.life.ended) {
+		if next.canceled || (next.incarnation != nil && next.incarnation.ended) {
 			continue
 		}
-		if next.life != nil && next.life.frozen {
-			next.life.backlog = append(next.life.backlog, next)
+		if next.incarnation != nil && next.incarnation.frozen {
+			next.incarnation.backlog = append(next.incarnation.backlog, next)
 			continue
 		}
 		clockwork.acted++
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -126,11 +126,11 @@
 		{"the primary is frozen", 1, func(world *World) time.Duration {
 			primary := world.primary()
 			from := world.now
-			primary.life.freeze()
+			primary.incarnation.freeze()
 			world.outside.Go(func() {
 				world.wait(500, 5000)
-				if primary.life.frozen {
-					primary.life.wake()
+				if primary.incarnation.frozen {
+					primary.incarnation.wake()
 				}
 			})
 			return from
@@ -286,11 +286,11 @@
 // editSomewhere has every expediter that leads carry a change out.
 func (world *World) editSomewhere(edit hatch.Edit) bool {
 	for _, machine := range world.nodes(membership.Controller) {
-		if machine.life == nil || machine.life.ended || machine.control == nil || !machine.control.Coordinator().Holds() {
+		if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil || !machine.control.Coordinator().Holds() {
 			continue
 		}
 		control := machine.control
-		_, err := world.outside.ask(machine.name, operatorPatience, func(*life) (any, error) { return control.Edit(edit) })
+		_, err := world.outside.ask(machine.name, operatorPatience, func(*incarnation) (any, error) { return control.Edit(edit) })
 		if err == nil {
 			return true
 		}
@@ -385,7 +385,7 @@
 // leaveForGood stops an expediter in order and takes it away.
 func (world *World) leaveForGood(old *machine) time.Duration {
 	from := world.now
-	control, stopping := old.control, old.life
+	control, stopping := old.control, old.incarnation
 	world.outside.Go(func() {
 		left := false
 		stopping.Go(func() {
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -41,9 +41,9 @@
 // Result is what a day came to.
 type Result struct {
 	Verdict fleet.Verdict
-	// Turns counts the parts that servers changed after they had one, Flaps those
+	// Runtime counts the parts that servers changed after they had one, Flaps those
 	// that were taken back within fifteen seconds.
-	Turns, Flaps int
+	Runtime, Flaps int
 	// Twice counts the moments at which two expediters could answer as primary.
 	Twice int
 	// Whole tells whether the core was whole again at the end, without an
@@ -52,7 +52,7 @@
 	Temptations map[string]int
 	Steps       uint64
 	// Calls is what became of opaque calls.
-	Calls CallTally
+	Calls CallCounter
 }
 
 // Failed tells whether something happened that must not.
@@ -146,11 +146,11 @@
 		}
 	}
 	result := Result{Verdict: fleet.Judge(world.Book.Entries()), Whole: world.whole(), Twice: world.twice, Temptations: world.temptations, Steps: world.acted, Calls: *world.calls}
-	result.Turns, result.Flaps = turns(world.Book.Entries())
-	for _, life := range world.lives {
-		if !life.ended {
-			life.ended = true
-			world.dead = append(world.dead, life)
+	result.Runtime, result.Flaps = rt(world.Book.Entries())
+	for _, incarnation := range world.incarnations {
+		if !incarnation.ended {
+			incarnation.ended = true
+			world.dead = append(world.dead, incarnation)
 		}
 	}
 	world.bury()
@@ -187,7 +187,7 @@
 
 // turns counts the changes of parts in a book, and those that were taken back
 // soon.
-func turns(entries []fleet.Entry) (changes, flaps int) {
+func rt(entries []fleet.Entry) (changes, flaps int) {
 	type part struct {
 		name  string
 		since time.Time
@@ -215,7 +215,7 @@
 	for world.now < until {
 		holders := 0
 		for _, machine := range world.machines {
-			if machine.life != nil && !machine.life.ended && !machine.life.frozen && machine.control != nil && machine.control.Coordinator().Holds() {
+			if machine.incarnation != nil && !machine.incarnation.ended && !machine.incarnation.frozen && machine.control != nil && machine.control.Coordinator().Holds() {
 				holders++
 			}
 		}
@@ -263,8 +263,8 @@
 		if machine.disk != nil {
 			machine.disk.full, machine.disk.damage, machine.disk.powerFailsIn, machine.disk.slow = false, 0, 0, 0
 		}
-		if machine.life != nil && machine.life.frozen && !machine.life.ended {
-			machine.life.wake()
+		if machine.incarnation != nil && machine.incarnation.frozen && !machine.incarnation.ended {
+			machine.incarnation.wake()
 		}
 		world.start(machine)
 	}
--- a/internal/testbed/simulation/disk.go
+++ b/internal/testbed/simulation/disk.go
@@ -23,7 +23,7 @@
 	// powerFailsIn counts the acts until the power fails in the middle of one;
 	// none when it is zero.
 	powerFailsIn int
-	owner        *life
+	owner        *incarnation
 	// sync is how long a sync takes, slow how many times as long it takes now, and
 	// hangs until when none ends.
 	sync  time.Duration
@@ -40,7 +40,7 @@
 	length := disk.sync * time.Duration(max(disk.slow, 1))
 	length = max(length, disk.hangs-disk.world.now)
 	thread := disk.world.running
-	if length <= 0 || thread == nil || disk.owner != thread.life {
+	if length <= 0 || thread == nil || disk.owner != thread.incarnation {
 		return
 	}
 	disk.owner.NewCond().Wait(length, never)
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -52,8 +52,8 @@
 		{"freeze the primary", 4, func(world *World) { world.freezeFor(world.primary()) }},
 		{"freeze the holder of the parts", 4, func(world *World) { world.freezeFor(world.holder()) }},
 		{"a wall clock jumps", 3, func(world *World) {
-			if machine := world.anyNode(""); machine.life != nil {
-				machine.life.jump = time.Duration(world.random.IntN(14400)-7200) * time.Second
+			if machine := world.anyNode(""); machine.incarnation != nil {
+				machine.incarnation.jump = time.Duration(world.random.IntN(14400)-7200) * time.Second
 			}
 		}},
 		{"isolate a machine", 5, func(world *World) { world.isolate(world.anyNode("").name, true, true) }},
@@ -93,17 +93,17 @@
 			top.SetDark(false)
 		}},
 		{"a server freezes", 2, func(world *World) {
-			life := world.servers[world.anyServer()].life
-			life.freeze()
+			incarnation := world.servers[world.anyServer()].incarnation
+			incarnation.freeze()
 			world.wait(500, 4000)
-			life.wake()
+			incarnation.wake()
 		}},
 		{"a server leaves", 5, leaveServer},
 		{"handles lapse", 2, func(world *World) {
 			top := world.servers[world.anyServer()].top
-			top.SetHandleLife(time.Microsecond)
+			top.SetHandleLifetime(time.Microsecond)
 			world.wait(1000, 4000)
-			top.SetHandleLife(5 * time.Second)
+			top.SetHandleLifetime(5 * time.Second)
 		}},
 		{"slow links between servers", 2, func(world *World) {
 			top := world.servers[world.anyServer()].top
@@ -197,7 +197,7 @@
 // primary is the expediter that holds, or any.
 func (world *World) primary() *machine {
 	for _, machine := range world.nodes(membership.Controller) {
-		if machine.life != nil && !machine.life.ended && machine.control != nil && machine.control.Coordinator().Holds() {
+		if machine.incarnation != nil && !machine.incarnation.ended && machine.control != nil && machine.control.Coordinator().Holds() {
 			return machine
 		}
 	}
@@ -207,7 +207,7 @@
 // holder is the courier that decides the parts, or any.
 func (world *World) holder() *machine {
 	for _, machine := range world.nodes(membership.Controller) {
-		if machine.life == nil || machine.life.ended || machine.control == nil {
+		if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil {
 			continue
 		}
 		if _, _, state, err := machine.control.Read(); err == nil {
@@ -227,10 +227,10 @@
 
 // stopFor stops an expediter as its operator does: it hands over first.
 func (world *World) stopFor(machine *machine, least, most int) {
-	if machine.life == nil || machine.life.ended || machine.control == nil {
+	if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil {
 		return
 	}
-	stopping, control := machine.life, machine.control
+	stopping, control := machine.incarnation, machine.control
 	if control.Coordinator().Holds() {
 		world.tempt("a primary handed over")
 	}
@@ -246,7 +246,7 @@
 			break
 		}
 	}
-	if machine.life == stopping {
+	if machine.incarnation == stopping {
 		world.killFor(machine, least, most)
 	}
 }
@@ -296,7 +296,7 @@
 // disk that runs at its address, so that one more disk may be lost.
 func (world *World) whole() bool {
 	for _, machine := range world.nodes(membership.Controller) {
-		if machine.life == nil || machine.life.ended || machine.life.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
+		if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
 			continue
 		}
 		m := machine.control.Coordinator().Membership()
@@ -306,7 +306,7 @@
 		}
 		for _, seat := range append(m.Backups(), m.Witnesses...) {
 			there := world.machineNamed(world.nameAt(seat.Address))
-			if there == nil || there.life == nil || there.life.ended || there.life.frozen || there.control == nil ||
+			if there == nil || there.incarnation == nil || there.incarnation.ended || there.incarnation.frozen || there.control == nil ||
 				there.control.Witness().Replica().Identity != seat.Identity || m.Keeps(seat.Identity) && there.control.Witness().Membership().Epoch != m.Epoch {
 				return false
 			}
@@ -339,11 +339,11 @@
 }
 
 func (world *World) freezeFor(machine *machine) {
-	if machine.life == nil || machine.life.ended || machine.life.frozen {
+	if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen {
 		return
 	}
 	world.say("%s freezes", machine.name)
-	frozen, since := machine.life, world.now
+	frozen, since := machine.incarnation, world.now
 	frozen.freeze()
 	defer func() {
 		world.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Router: machine.name, Took: world.now - since})
@@ -454,7 +454,7 @@
 	world.say("a herd is killed: %s", kind)
 	var killed []*machine
 	for _, machine := range world.nodes(kind) {
-		if machine.life != nil && !machine.life.ended {
+		if machine.incarnation != nil && !machine.incarnation.ended {
 			world.kill(machine)
 			killed = append(killed, machine)
 		}
@@ -480,7 +480,7 @@
 
 // crashFor crashes a server and puts a cold one in its place.
 func (world *World) crashFor(name string, least, most int) {
-	if world.servers[name].life.ended {
+	if world.servers[name].incarnation.ended {
 		return
 	}
 	if world.servers[name].top.Active() > 0 {
@@ -497,7 +497,7 @@
 func leaveServer(world *World) {
 	name := world.anyServer()
 	server := world.servers[name]
-	if server.life.ended {
+	if server.incarnation.ended {
 		return
 	}
 	way := world.random.IntN(3)
@@ -505,7 +505,7 @@
 		// What the platform does not show can't be heeded.
 		world.wait(100, 100)
 	}
-	if world.servers[name] != server || server.life.ended {
+	if world.servers[name] != server || server.incarnation.ended {
 		return
 	}
 	listed := world.platform.servers[name]
@@ -533,7 +533,7 @@
 // part of the day, in which all become the newest.
 func otherRelease(world *World) {
 	machine := world.anyNode("")
-	if machine.life == nil || machine.life.ended {
+	if machine.incarnation == nil || machine.incarnation.ended {
 		return
 	}
 	if len(machine.withheld) == 0 && !world.faultsOver {
@@ -603,7 +603,7 @@
 		}
 		seeds = append(seeds, world.anyNode(membership.Controller).address)
 		machine.seeds = seeds
-		if machine.life == nil || machine.life.ended {
+		if machine.incarnation == nil || machine.incarnation.ended {
 			continue
 		}
 		if machine.router != nil {
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -140,10 +140,10 @@
 		world.apart(incident, func(region int) bool { return region == own }, lost)
 	})
 	record(Incident{Name: "all regions apart"}, func(incident *Incident) { world.apart(incident, nil, lost) })
-	for _, life := range world.lives {
-		if !life.ended {
-			life.ended = true
-			world.dead = append(world.dead, life)
+	for _, incarnation := range world.incarnations {
+		if !incarnation.ended {
+			incarnation.ended = true
+			world.dead = append(world.dead, incarnation)
 		}
 	}
 	world.bury()
@@ -172,7 +172,7 @@
 // led tells whether an expediter leads.
 func (world *World) led() bool {
 	for _, machine := range world.nodes(membership.Controller) {
-		if machine.life != nil && !machine.life.ended && machine.control != nil {
+		if machine.incarnation != nil && !machine.incarnation.ended && machine.control != nil {
 			if _, _, err := machine.control.Ruling(); err == nil {
 				return true
 			}
@@ -193,7 +193,7 @@
 // held tells whether every courier that runs has a hold.
 func (world *World) held() bool {
 	for _, machine := range world.nodes(membership.Router) {
-		if machine.life != nil && !machine.life.ended && !machine.life.Now().Before(machine.router.Core().HoldEnds()) {
+		if machine.incarnation != nil && !machine.incarnation.ended && !machine.incarnation.Now().Before(machine.router.Core().HoldEnds()) {
 			return false
 		}
 	}
