--- a/internal/testbed/simulation/life.go
+++ b/internal/testbed/simulation/life.go
@@ -14,7 +14,7 @@
 
 // life is one process from its start to its end. It is the process's threads
 // and clock, as the core packages see them.
-type life struct {
+type incarnation struct {
 	world   *World
 	name    string
 	address string
@@ -34,36 +34,36 @@
 
 // thread is one of a life's threads, as a coroutine: it runs until it waits.
 type thread struct {
-	life   *life
-	next   func() (struct{}, bool)
-	stop   func()
-	yield  func(struct{}) bool
-	number uint64
-	ended  bool
+	incarnation *incarnation
+	next        func() (struct{}, bool)
+	stop        func()
+	yield       func(struct{}) bool
+	number      uint64
+	ended       bool
 }
 
 // killed unwinds the threads of a life that has ended.
 type killed struct{}
 
 // Now is the life's own steady clock.
-func (life *life) Now() time.Time { return life.wall.Add(life.lived()) }
+func (life *incarnation) Now() time.Time { return life.wall.Add(life.lived()) }
 
-func (life *life) lived() time.Duration {
+func (life *incarnation) lived() time.Duration {
 	return time.Duration(float64(life.world.now-life.bornAt) * (1 + life.drift))
 }
 
 // Wall is the life's wall clock, which faults set.
-func (life *life) Wall() time.Time { return life.wall.Add(life.lived() + life.jump) }
+func (life *incarnation) Wall() time.Time { return life.wall.Add(life.lived() + life.jump) }
 
 // Alive tells whether the life goes on.
-func (life *life) Alive() bool { return !life.ended }
+func (life *incarnation) Alive() bool { return !life.ended }
 
 // Go starts a thread.
-func (life *life) Go(act func()) {
+func (life *incarnation) Go(act func()) {
 	if life.ended {
 		return
 	}
-	started := &thread{life: life, number: life.world.sequence}
+	started := &thread{incarnation: life, number: life.world.sequence}
 	started.next, started.stop = iter.Pull(func(yield func(struct{}) bool) {
 		defer func() {
 			started.ended = true
@@ -82,17 +82,17 @@
 
 // resume runs the thread until it waits or ends.
 func (thread *thread) resume() {
-	if thread.ended || thread.life.ended {
+	if thread.ended || thread.incarnation.ended {
 		return
 	}
-	before := thread.life.world.running
-	thread.life.world.running = thread
+	before := thread.incarnation.world.running
+	thread.incarnation.world.running = thread
 	_, waits := thread.next()
-	thread.life.world.running = before
+	thread.incarnation.world.running = before
 	if !waits {
-		delete(thread.life.threads, thread)
+		delete(thread.incarnation.threads, thread)
 	}
-	thread.life.world.bury()
+	thread.incarnation.world.bury()
 }
 
 // suspend gives the turn back to the world until the thread is resumed.
@@ -104,7 +104,7 @@
 
 // end ends the life at once: its threads never run again, and whoever waits for
 // an answer from it hears that the circuit broke, if it can be heard.
-func (life *life) end() {
+func (life *incarnation) end() {
 	if life.ended {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // atEnd has something done when the life ends; forget takes that back.
-func (life *life) atEnd(act func()) (forget func()) {
+func (life *incarnation) atEnd(act func()) (forget func()) {
 	if life.ended {
 		act()
 		return func() {}
@@ -138,22 +138,22 @@
 	}
 	dead := world.dead
 	world.dead = nil
-	for _, life := range dead {
-		threads := slices.Collect(maps.Keys(life.threads))
+	for _, incarnation := range dead {
+		threads := slices.Collect(maps.Keys(incarnation.threads))
 		slices.SortFunc(threads, func(left, right *thread) int { return cmp.Compare(left.number, right.number) })
 		for _, thread := range threads {
 			thread.stop()
 		}
-		life.threads = map[*thread]bool{}
-		life.backlog = nil
+		incarnation.threads = map[*thread]bool{}
+		incarnation.backlog = nil
 	}
 }
 
 // freeze stops the life without ending it; everything that comes waits.
-func (life *life) freeze() { life.frozen = true }
+func (life *incarnation) freeze() { life.frozen = true }
 
 // wake lets a frozen life go on, with all that came meanwhile.
-func (life *life) wake() {
+func (life *incarnation) wake() {
 	life.frozen = false
 	for _, late := range life.backlog {
 		late.at = life.world.now
@@ -165,21 +165,21 @@
 // lock is held by one of a life's threads while it waits for the disk. The world
 // looks past it: nothing runs while it looks.
 type lock struct {
-	bell    *bell
+	cond    *cond
 	held    bool
 	visited bool
 }
 
 // NewLock makes a lock.
-func (life *life) NewLock() sync.Locker { return &lock{bell: &bell{life: life}} }
+func (life *incarnation) NewLock() sync.Locker { return &lock{cond: &cond{incarnation: life}} }
 
 // Lock waits until nobody holds the lock.
 func (lock *lock) Lock() {
-	if thread := lock.bell.life.world.running; thread == nil || thread.life != lock.bell.life || lock.bell.life.ended {
+	if thread := lock.cond.incarnation.world.running; thread == nil || thread.incarnation != lock.cond.incarnation || lock.cond.incarnation.ended {
 		lock.visited = true
 		return
 	}
-	for !lock.bell.Wait(time.Hour, func() bool { return !lock.held }) {
+	for !lock.cond.Wait(time.Hour, func() bool { return !lock.held }) {
 	}
 	lock.held = true
 }
@@ -191,16 +191,16 @@
 		return
 	}
 	lock.held = false
-	lock.bell.Broadcast()
+	lock.cond.Broadcast()
 }
 
 // NewCond makes a bell.
-func (life *life) NewCond() runtime.Cond { return &bell{life: life} }
+func (life *incarnation) NewCond() runtime.Cond { return &cond{incarnation: life} }
 
 // bell is a bell under the world's clock.
-type bell struct {
-	life    *life
-	waiters []*waiter
+type cond struct {
+	incarnation *incarnation
+	waiters     []*waiter
 }
 
 type waiter struct {
@@ -210,31 +210,31 @@
 }
 
 // Broadcast has all who wait ask again.
-func (bell *bell) Broadcast() {
+func (bell *cond) Broadcast() {
 	for _, waiting := range bell.waiters {
 		if !waiting.rung {
 			waiting.rung = true
-			bell.life.world.after(0, bell.life, waiting.thread.resume)
+			bell.incarnation.world.after(0, bell.incarnation, waiting.thread.resume)
 		}
 	}
 }
 
 // Wait waits until over is true or the patience ends.
-func (bell *bell) Wait(patience time.Duration, over func() bool) bool {
-	if bell.life.ended {
+func (bell *cond) Wait(patience time.Duration, over func() bool) bool {
+	if bell.incarnation.ended {
 		panic(killed{})
 	}
 	if over() {
 		return true
 	}
-	thread := bell.life.world.running
-	if thread == nil || thread.life != bell.life {
+	thread := bell.incarnation.world.running
+	if thread == nil || thread.incarnation != bell.incarnation {
 		panic("world: a wait outside of the life's own threads")
 	}
 	waiting := &waiter{thread: thread}
 	bell.waiters = append(bell.waiters, waiting)
-	length := time.Duration(float64(patience) / (1 + bell.life.drift))
-	timer := bell.life.world.after(length, bell.life, func() {
+	length := time.Duration(float64(patience) / (1 + bell.incarnation.drift))
+	timer := bell.incarnation.world.after(length, bell.incarnation, func() {
 		waiting.late = true
 		thread.resume()
 	})
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -98,7 +98,7 @@
 // read asks one expediter for the configuration; who can't be sure gives no answer.
 func (history *operatorsHistory) read(client int) (uint64, bool) {
 	machine, began := history.anyControl(), history.world.now
-	content, err := history.world.outside.ask(machine.name, time.Second, func(*life) (any, error) {
+	content, err := history.world.outside.ask(machine.name, time.Second, func(*incarnation) (any, error) {
 		if machine.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
@@ -123,7 +123,7 @@
 func (history *operatorsHistory) send(client int, asked changeInput) {
 	machine, began := history.anyControl(), history.world.now
 	text := fmt.Sprintf(`{"revision":%d,"annotations":{"order":%d}}`, asked.next, asked.order)
-	_, err := history.world.outside.ask(machine.name, 2*time.Second, func(*life) (any, error) {
+	_, err := history.world.outside.ask(machine.name, 2*time.Second, func(*incarnation) (any, error) {
 		if machine.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -38,7 +38,7 @@
 }
 
 // carry brings one message over a link, or loses it.
-func (world *World) carry(from, to string, life *life, act func()) bool {
+func (world *World) carry(from, to string, life *incarnation, act func()) bool {
 	over := world.link(from, to)
 	if over.cut || (over.loss > 0 && world.random.Float64() < over.loss) {
 		return false
@@ -53,9 +53,9 @@
 
 // call is one question under way.
 type call struct {
-	caller   *life
+	caller   *incarnation
 	from, to string
-	bell     *bell
+	cond     *cond
 	over     bool
 	content  any
 	err      error
@@ -75,17 +75,17 @@
 		return
 	}
 	call.over, call.content, call.err = true, content, err
-	call.bell.Broadcast()
+	call.cond.Broadcast()
 }
 
 // ask has serve answered by the process that runs at the machine when the
 // question comes there; the caller's thread waits until its patience ends. A
 // link may bring the question twice.
-func (here *life) ask(to string, patience time.Duration, serve func(there *life) (any, error)) (any, error) {
+func (here *incarnation) ask(to string, patience time.Duration, serve func(there *incarnation) (any, error)) (any, error) {
 	world := here.world
-	asked := &call{caller: here, from: here.name, to: to, bell: &bell{life: here}}
+	asked := &call{caller: here, from: here.name, to: to, cond: &cond{incarnation: here}}
 	arrive := func(first bool) {
-		there := world.lives[to]
+		there := world.incarnations[to]
 		if there == nil || there.ended {
 			if !first {
 				return
@@ -119,21 +119,21 @@
 		world.tempt("a question brought twice")
 		world.after(time.Duration(world.random.IntN(2500))*time.Millisecond, nil, func() { arrive(false) })
 	}
-	if !asked.bell.Wait(patience, func() bool { return asked.over }) {
+	if !asked.cond.Wait(patience, func() bool { return asked.over }) {
 		return nil, failure.New(failure.Unreachable, "no answer in time")
 	}
 	return asked.content, asked.err
 }
 
 // wire is the hotline of a life.
-type wire struct{ life *life }
+type wire struct{ incarnation *incarnation }
 
 // CallRaw sends a message to the process at an address.
 func (wire wire) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
-	world := wire.life.world
+	world := wire.incarnation.world
 	world.tapMessage(path, body)
 	world.countSnapshot(path, body)
-	content, err := wire.life.ask(world.nameAt(address), patience, func(there *life) (any, error) {
+	content, err := wire.incarnation.ask(world.nameAt(address), patience, func(there *incarnation) (any, error) {
 		if there.answer == nil {
 			return nil, failure.New(failure.Unreachable, "nobody listens yet")
 		}
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -24,7 +24,7 @@
 		if machine.kind != membership.Controller || machine.gone {
 			continue
 		}
-		content, err := world.outside.ask(machine.name, operatorPatience, func(*life) (any, error) {
+		content, err := world.outside.ask(machine.name, operatorPatience, func(*incarnation) (any, error) {
 			if machine.control == nil {
 				return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 			}
@@ -95,17 +95,17 @@
 	}
 	accepted := false
 	left := racers
-	bell := world.outside.NewCond()
+	cond := world.outside.NewCond()
 	for range racers {
 		world.revision++
 		revision := world.revision
 		world.outside.Go(func() {
 			accepted = world.putRevision(revision, read) || accepted
 			left--
-			bell.Broadcast()
+			cond.Broadcast()
 		})
 	}
-	bell.Wait(time.Minute, func() bool { return left == 0 })
+	cond.Wait(time.Minute, func() bool { return left == 0 })
 	return accepted
 }
 
--- a/internal/testbed/simulation/passing.go
+++ b/internal/testbed/simulation/passing.go
@@ -12,17 +12,17 @@
 func endedHere(*auction.Request, auction.Decision) {}
 
 // passing carries inquiries from one courier to another.
-type passing struct{ life *life }
+type passing struct{ incarnation *incarnation }
 
 // Pass sends an inquiry on and gives the records of its reply to take.
 func (passing *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
-	here, world := passing.life, passing.life.world
+	here, world := passing.incarnation, passing.incarnation.world
 	to := world.nameAt(address)
 	replies := newPipe(world, to, here.name, here)
 	left, refused := false, false
 	arrive := func(first bool) {
 		there := world.machineNamed(to)
-		if there == nil || there.life == nil || there.life.ended || there.router == nil {
+		if there == nil || there.incarnation == nil || there.incarnation.ended || there.router == nil {
 			if first && world.powered(to) {
 				refused = true
 				replies.snap()
@@ -31,9 +31,9 @@
 		}
 		forget := func() {}
 		if first {
-			forget = there.life.atEnd(replies.snap)
+			forget = there.incarnation.atEnd(replies.snap)
 		}
-		conduct, target := there.router, there.life
+		conduct, target := there.router, there.incarnation
 		reply := &hatch.RecordReply{Writer: to, Left: func(act func()) {
 			if first {
 				whenLeft(func() { world.carry(here.name, to, target, act) })
@@ -67,7 +67,7 @@
 	}
 	whenLeft(func() {
 		left = true
-		replies.bell.Broadcast()
+		replies.cond.Broadcast()
 	})
 	for {
 		message, found := replies.take(time.Minute, func() bool { return left })
--- a/internal/testbed/simulation/pipe.go
+++ b/internal/testbed/simulation/pipe.go
@@ -7,16 +7,16 @@
 type pipe struct {
 	world    *World
 	from, to string
-	reader   *life
-	bell     *bell
+	reader   *incarnation
+	cond     *cond
 	waiting  []any
 	lost     bool
 	broken   bool
 	last     time.Duration
 }
 
-func newPipe(world *World, from, to string, reader *life) *pipe {
-	return &pipe{world: world, from: from, to: to, reader: reader, bell: &bell{life: reader}}
+func newPipe(world *World, from, to string, reader *incarnation) *pipe {
+	return &pipe{world: world, from: from, to: to, reader: reader, cond: &cond{incarnation: reader}}
 }
 
 // put sends one message; false means that the circuit is broken.
@@ -37,7 +37,7 @@
 	pipe.world.after(pipe.last-pipe.world.now, pipe.reader, func() {
 		if !pipe.broken {
 			pipe.waiting = append(pipe.waiting, message)
-			pipe.bell.Broadcast()
+			pipe.cond.Broadcast()
 		}
 	})
 	return true
@@ -51,14 +51,14 @@
 	pipe.last = max(pipe.last, pipe.world.now)
 	pipe.world.after(pipe.last-pipe.world.now, pipe.reader, func() {
 		pipe.broken = true
-		pipe.bell.Broadcast()
+		pipe.cond.Broadcast()
 	})
 }
 
 // take waits for the next message; false means that none comes any more, or
 // that quit said to stop.
 func (pipe *pipe) take(patience time.Duration, quit func() bool) (any, bool) {
-	pipe.bell.Wait(patience, func() bool { return len(pipe.waiting) > 0 || pipe.broken || quit() })
+	pipe.cond.Wait(patience, func() bool { return len(pipe.waiting) > 0 || pipe.broken || quit() })
 	if len(pipe.waiting) == 0 || quit() {
 		return nil, false
 	}
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -31,12 +31,12 @@
 // lists is the platform's directory and the servers' reports, as one life reaches
 // them.
 type lists struct {
-	world *World
-	life  *life
+	world       *World
+	incarnation *incarnation
 }
 
 func (lists lists) reached() error {
-	if lists.world.platform.down || lists.world.link("platform", lists.life.name).cut {
+	if lists.world.platform.down || lists.world.link("platform", lists.incarnation.name).cut {
 		return failure.New(failure.Unreachable, "the platform")
 	}
 	return nil
@@ -44,7 +44,7 @@
 
 // Servers reads the list of servers.
 func (lists lists) Servers() ([]membership.Server, error) {
-	if !lists.world.isController(lists.life.name) {
+	if !lists.world.isController(lists.incarnation.name) {
 		lists.world.listReads = append(lists.world.listReads, lists.world.now)
 	}
 	if err := lists.reached(); err != nil {
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	if lists.world.layout != nil {
-		if !lists.world.isController(lists.life.name) {
+		if !lists.world.isController(lists.incarnation.name) {
 			return nil, failure.New(failure.NoSuch, "a list of nodes")
 		}
 		return lists.world.listControllers(), nil
@@ -71,7 +71,7 @@
 }
 
 func (lists lists) ask(server membership.Server, patience time.Duration) (auction.Load, error) {
-	content, err := lists.life.askServer(server.Address, patience, func(top *fleet.Stovetop) (int, any) {
+	content, err := lists.incarnation.askServer(server.Address, patience, func(top *fleet.Engine) (int, any) {
 		return http.StatusOK, top.Load()
 	})
 	if err != nil {
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -12,9 +12,9 @@
 )
 
 // stoves are the circuits of one courier to the model servers.
-type stoves struct {
-	life    *life
-	running map[string]*exchange
+type modelServers struct {
+	incarnation *incarnation
+	running     map[string]*exchange
 }
 
 // exchange is one order under way at a server.
@@ -28,7 +28,7 @@
 // stop closes the courier's side.
 func (exchange *exchange) stop() {
 	exchange.quit = true
-	exchange.replies.bell.Broadcast()
+	exchange.replies.cond.Broadcast()
 	if exchange.hangUp != nil {
 		exchange.hangUp()
 	}
@@ -43,50 +43,50 @@
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
 // dial waits for a circuit, which may take its time.
-func (stoves *stoves) dial() {
-	world := stoves.life.world
+func (servers *modelServers) dial() {
+	world := servers.incarnation.world
 	length := time.Duration(world.random.IntN(400)) * time.Microsecond
 	if world.slowDials > 0 && world.random.Float64() < world.slowDials {
 		length = time.Duration(world.random.IntN(2500)) * time.Millisecond
 	}
-	stoves.life.NewCond().Wait(length, func() bool { return false })
+	servers.incarnation.NewCond().Wait(length, func() bool { return false })
 }
 
 // order sends one order to a server and returns its exchange, or nil when it
 // certainly did not go.
-func (stoves *stoves) order(decision auction.Decision, may func() bool, serve func(top *fleet.Stovetop, connection *fleet.Connection, send func(any) bool) (int, any)) *exchange {
-	world := stoves.life.world
-	stoves.dial()
+func (servers *modelServers) order(decision auction.Decision, may func() bool, serve func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any)) *exchange {
+	world := servers.incarnation.world
+	servers.dial()
 	if !may() {
 		world.tempt("an order held back after a wait")
 		return nil
 	}
 	to := world.nameAt(decision.Address)
-	begun := &exchange{replies: newPipe(world, to, stoves.life.name, stoves.life)}
-	if earlier, found := stoves.running[runKey(decision.ID, decision.Run)]; found {
+	begun := &exchange{replies: newPipe(world, to, servers.incarnation.name, servers.incarnation)}
+	if earlier, found := servers.running[runKey(decision.ID, decision.Run)]; found {
 		earlier.stop()
 	}
-	stoves.running[runKey(decision.ID, decision.Run)] = begun
+	servers.running[runKey(decision.ID, decision.Run)] = begun
 	arrive := func(first bool) {
 		there := world.servers[to]
-		if there == nil || there.life.ended || there.life.address != decision.Address {
+		if there == nil || there.incarnation.ended || there.incarnation.address != decision.Address {
 			if first {
 				begun.refused = true
 				begun.replies.snap()
 			}
 			return
 		}
-		conn := fleet.NewConnection(there.life)
+		conn := fleet.NewConnection(there.incarnation)
 		forgetServer := func() {}
 		if first {
-			forgetServer = there.life.atEnd(begun.replies.snap)
+			forgetServer = there.incarnation.atEnd(begun.replies.snap)
 		}
-		hangUp := func() { world.carry(stoves.life.name, to, there.life, conn.Close) }
+		hangUp := func() { world.carry(servers.incarnation.name, to, there.incarnation, conn.Close) }
 		if first {
 			begun.hangUp = hangUp
 		}
-		forgetRouter := stoves.life.atEnd(hangUp)
-		there.life.Go(func() {
+		forgetRouter := servers.incarnation.atEnd(hangUp)
+		there.incarnation.Go(func() {
 			defer forgetRouter()
 			if there.top.Dark() {
 				conn.Pause(time.Minute)
@@ -110,11 +110,11 @@
 			}
 		})
 	}
-	if !world.carry(stoves.life.name, to, nil, func() { arrive(true) }) {
+	if !world.carry(servers.incarnation.name, to, nil, func() { arrive(true) }) {
 		// It lies in the network until the courier gives up.
 		return begun
 	}
-	if over := world.link(stoves.life.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
+	if over := world.link(servers.incarnation.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
 		world.tempt("an order brought twice to a server")
 		world.after(time.Duration(world.random.IntN(800))*time.Millisecond, nil, func() { arrive(false) })
 	}
@@ -146,10 +146,10 @@
 const exchangePatience = 2 * time.Minute
 
 // Prefill has a server read a prompt.
-func (stoves *stoves) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
+func (servers *modelServers) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
 	order := modelserver.PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}
-	begun := stoves.order(decision, may, func(top *fleet.Stovetop, connection *fleet.Connection, _ func(any) bool) (int, any) {
+	begun := servers.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
 		return top.Prefill(connection, order)
 	})
 	if begun == nil {
@@ -167,10 +167,10 @@
 }
 
 // Decode has a server answer.
-func (stoves *stoves) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+func (servers *modelServers) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
 	request := decision.Request
 	order := modelserver.DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}
-	begun := stoves.order(decision, may, func(top *fleet.Stovetop, connection *fleet.Connection, send func(any) bool) (int, any) {
+	begun := servers.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
 		return top.Decode(connection, order, func(line modelserver.StreamLine) error {
 			if !send(line) {
 				return failure.New(failure.Unreachable, "the courier is gone")
@@ -203,8 +203,8 @@
 }
 
 // Command has a server take a part.
-func (stoves *stoves) Command(decision auction.Decision, may func() bool) error {
-	stoves.dial()
+func (servers *modelServers) Command(decision auction.Decision, may func() bool) error {
+	servers.dial()
 	if !may() {
 		return failure.New(failure.LimitPassed, "the command may not go any more")
 	}
@@ -212,16 +212,16 @@
 	if decision.Order != nil {
 		order.Cause = decision.Order.Cause
 	}
-	_, err := stoves.life.askServer(decision.Address, time.Second, func(top *fleet.Stovetop) (int, any) { return top.TakePart(order) })
+	_, err := servers.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) { return top.TakePart(order) })
 	return err
 }
 
 // Cancel breaks a run's circuit and has the server stop it.
-func (stoves *stoves) Cancel(decision auction.Decision) {
-	stoves.EndRun(decision.ID, decision.Run)
+func (servers *modelServers) Cancel(decision auction.Decision) {
+	servers.EndRun(decision.ID, decision.Run)
 	order := modelserver.CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}
-	stoves.life.Go(func() {
-		_, _ = stoves.life.askServer(decision.Address, time.Second, func(top *fleet.Stovetop) (int, any) {
+	servers.incarnation.Go(func() {
+		_, _ = servers.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) {
 			top.Cancel(order)
 			return http.StatusOK, nil
 		})
@@ -229,20 +229,20 @@
 }
 
 // EndRun ends whatever a run still has under way.
-func (stoves *stoves) EndRun(id string, run int) {
-	if begun, found := stoves.running[runKey(id, run)]; found {
-		delete(stoves.running, runKey(id, run))
+func (servers *modelServers) EndRun(id string, run int) {
+	if begun, found := servers.running[runKey(id, run)]; found {
+		delete(servers.running, runKey(id, run))
 		begun.stop()
 	}
 }
 
 // askServer has a server answer one short question.
-func (here *life) askServer(address string, patience time.Duration, serve func(top *fleet.Stovetop) (int, any)) (any, error) {
+func (here *incarnation) askServer(address string, patience time.Duration, serve func(top *fleet.Engine) (int, any)) (any, error) {
 	world := here.world
 	to := world.nameAt(address)
-	return here.ask(to, patience, func(there *life) (any, error) {
+	return here.ask(to, patience, func(there *incarnation) (any, error) {
 		server := world.servers[to]
-		if server == nil || server.life != there || there.address != address {
+		if server == nil || server.incarnation != there || there.address != address {
 			return nil, failure.New(failure.Unreachable, "another server is there")
 		}
 		if server.top.Dark() {
@@ -259,18 +259,18 @@
 
 // server is one model server of the world.
 type server struct {
-	plan fleet.ServerPlan
-	life *life
-	top  *fleet.Stovetop
+	plan        fleet.ServerPlan
+	incarnation *incarnation
+	top         *fleet.Engine
 	// calls is what it does for opaque calls.
 	calls *callServer
 }
 
 // fetchFrom takes a prompt's memory over from another server.
-func (world *World) fetchFrom(here *life) fleet.Fetch {
+func (world *World) fetchFrom(here *incarnation) fleet.Fetch {
 	return func(_ *fleet.Connection, address string, question fleet.MemoryQuestion) (fleet.MemoryAnswer, int) {
 		status := http.StatusBadGateway
-		content, err := here.askServer(address, 2*time.Second, func(top *fleet.Stovetop) (int, any) {
+		content, err := here.askServer(address, 2*time.Second, func(top *fleet.Engine) (int, any) {
 			given, content := top.GiveMemory(question)
 			status = given
 			return http.StatusOK, content
--- a/internal/testbed/simulation/taps.go
+++ b/internal/testbed/simulation/taps.go
@@ -78,7 +78,7 @@
 
 // noteOldMember writes down what an older release lacks, once it is recorded:
 // the primary has answered it.
-func (world *World) noteOldMember(machine *machine, begun *life, heard func() time.Time) {
+func (world *World) noteOldMember(machine *machine, begun *incarnation, heard func() time.Time) {
 	begun.Go(func() {
 		for heard().IsZero() {
 			begun.NewCond().Wait(5*time.Millisecond, never)
--- a/internal/testbed/simulation/waydays_test.go
+++ b/internal/testbed/simulation/waydays_test.go
@@ -33,7 +33,7 @@
 		return
 	}
 	for _, machine := range touch.world.machines {
-		if machine.control != nil && machine.life != nil && !machine.life.ended && machine.control.Coordinator().Holds() {
+		if machine.control != nil && machine.incarnation != nil && !machine.incarnation.ended && machine.control.Coordinator().Holds() {
 			touch.answered[machine.control.Store().View().VersionOf(replication.ConfigurationSection)] = touch.world.now
 		}
 	}
@@ -50,7 +50,7 @@
 			}
 		}
 		for _, machine := range world.machines {
-			if machine.router == nil || machine.gone || machine.life.ended || machine.life.frozen || machine.life.Now().Sub(machine.router.Heard()) > updateTime {
+			if machine.router == nil || machine.gone || machine.incarnation.ended || machine.incarnation.frozen || machine.incarnation.Now().Sub(machine.router.Heard()) > updateTime {
 				continue
 			}
 			if has := machine.router.InForce(); has != (replication.Version{}) && has.Before(due) {
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -66,7 +66,7 @@
 				t.Errorf("%s: %s has %s, and %s was acknowledged", name, machine.name, machine.router.InForce(), version)
 			}
 		}
-		serves := alone.life.Now().Before(alone.router.Core().ServesUntil())
+		serves := alone.incarnation.Now().Before(alone.router.Core().ServesUntil())
 		switch {
 		case name == "strict" && (serves || took < 2*time.Second || took > 5*time.Second):
 			t.Errorf("%s: acknowledged after %s while a courier without the change serves: %v", name, took, serves)
@@ -93,7 +93,7 @@
 	}
 	w.cutOff(holder.name, true)
 	w.run(w.now + 9*time.Second)
-	if now := holder.life.Now(); !now.Before(holder.router.Core().ServesUntil()) || now.Before(holder.router.Core().HoldEnds()) {
+	if now := holder.incarnation.Now(); !now.Before(holder.router.Core().ServesUntil()) || now.Before(holder.router.Core().HoldEnds()) {
 		t.Error("it should serve, without a hold")
 	}
 	if took := w.since(w.now, func() bool { return w.rolesSettled([]*machine{holder}) }); took < 0 {
@@ -152,7 +152,7 @@
 	late := w.machineNamed("courier-3")
 	w.kill(late)
 	w.start(late)
-	found := w.since(w.now, func() bool { return late.life.Now().Before(late.router.Core().HoldEnds()) })
+	found := w.since(w.now, func() bool { return late.incarnation.Now().Before(late.router.Core().HoldEnds()) })
 	if found < 0 || found > 4*time.Second {
 		t.Errorf("a courier whose two seeds are gone found the core after %s", found)
 	}
@@ -259,7 +259,7 @@
 	ways := map[string]func(w *World, primary *machine){
 		"killed":     func(w *World, primary *machine) { w.kill(primary) },
 		"power lost": func(w *World, primary *machine) { w.powerOff(primary.name) },
-		"frozen":     func(_ *World, primary *machine) { primary.life.freeze() },
+		"frozen":     func(_ *World, primary *machine) { primary.incarnation.freeze() },
 		"cut off":    func(w *World, primary *machine) { w.cutOff(primary.name, true) },
 		"cut from the core": func(w *World, primary *machine) {
 			w.cutOff(primary.name, true, "courier-1", "courier-2", "courier-3", "courier-4", "courier-5", "courier-6", "courier-7")
@@ -275,8 +275,8 @@
 			}
 		},
 		"stopped": func(w *World, primary *machine) {
-			control, life := primary.control, primary.life
-			life.Go(func() { control.Leave(leavePatience); life.world.outside.Go(func() { w.kill(primary) }) })
+			control, incarnation := primary.control, primary.incarnation
+			incarnation.Go(func() { control.Leave(leavePatience); incarnation.world.outside.Go(func() { w.kill(primary) }) })
 		},
 	}
 	for name, lose := range ways {
@@ -317,11 +317,11 @@
 	world.outside.Go(func() {
 		for ends := world.now + incidentPatience; world.now < ends && !over; world.wait(20, 20) {
 			for _, machine := range world.nodes(membership.Controller) {
-				if machine.life == nil || machine.life.ended || machine.life.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
+				if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
 					continue
 				}
 				control := machine.control
-				_, err := world.outside.ask(machine.name, time.Second, func(*life) (any, error) { return control.Edit(edit) })
+				_, err := world.outside.ask(machine.name, time.Second, func(*incarnation) (any, error) { return control.Edit(edit) })
 				over = over || err == nil
 			}
 		}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -26,29 +26,29 @@
 // World is one fleet in virtual time.
 type World struct {
 	clockwork
-	Book        *fleet.Book
-	deployment  fleet.Deployment
-	random      *rand.Rand
-	running     *thread
-	dead        []*life
-	machines    []*machine
-	byAddress   map[string]string
-	lives       map[string]*life
-	servers     map[string]*server
-	plans       []fleet.ServerPlan
-	platform    platform
-	links       map[[2]string]*link
-	slowDials   float64
-	loseAnswers float64
-	outside     *life
-	temptations map[string]int
-	nonces      uint64
-	seenKeys    map[string]bool
-	revision    int
-	long, short float64
-	number      int
-	faultsOver  bool
-	twice       int
+	Book         *fleet.Book
+	deployment   fleet.Deployment
+	random       *rand.Rand
+	running      *thread
+	dead         []*incarnation
+	machines     []*machine
+	byAddress    map[string]string
+	incarnations map[string]*incarnation
+	servers      map[string]*server
+	plans        []fleet.ServerPlan
+	platform     platform
+	links        map[[2]string]*link
+	slowDials    float64
+	loseAnswers  float64
+	outside      *incarnation
+	temptations  map[string]int
+	nonces       uint64
+	seenKeys     map[string]bool
+	revision     int
+	long, short  float64
+	number       int
+	faultsOver   bool
+	twice        int
 	// snapshotBytes are those of whole copies sent.
 	snapshotBytes int
 	fixedParts    bool
@@ -62,7 +62,7 @@
 	evacuating  map[string]bool
 	trace       hash.Hash
 	// calls is what becomes of opaque calls.
-	calls *CallTally
+	calls *CallCounter
 	// layout is set when the fleet has several regions.
 	layout *Layout
 	// traffic are the messages between nodes, by path, and those of each node.
@@ -75,19 +75,19 @@
 // machine is where a node runs: it has an address, perhaps a disk, and settings
 // that its next process reads.
 type machine struct {
-	name     string
-	kind     membership.NodeKind
-	address  string
-	zone     string
-	seeds    []string
-	withheld features.List
-	disk     *disk
-	drift    float64
-	off      bool
-	gone     bool
-	life     *life
-	router   *hatch.Router
-	control  *hatch.Controller
+	name        string
+	kind        membership.NodeKind
+	address     string
+	zone        string
+	seeds       []string
+	withheld    features.List
+	disk        *disk
+	drift       float64
+	off         bool
+	gone        bool
+	incarnation *incarnation
+	router      *hatch.Router
+	control     *hatch.Controller
 	// calls serves opaque calls, where the world has them.
 	calls *hatch.Calls
 	// starts counts its processes.
@@ -98,12 +98,12 @@
 
 // New lays a world out: the deployment's machines and servers, all cold.
 func New(deployment fleet.Deployment, seed uint64) *World {
-	world := &World{deployment: deployment, random: rand.New(rand.NewPCG(seed, 0x5ea)), byAddress: map[string]string{}, lives: map[string]*life{},
+	world := &World{deployment: deployment, random: rand.New(rand.NewPCG(seed, 0x5ea)), byAddress: map[string]string{}, incarnations: map[string]*incarnation{},
 		servers: map[string]*server{}, links: map[[2]string]*link{}, temptations: map[string]int{}, seenKeys: map[string]bool{}, claiming: map[string]int{}, evacuating: map[string]bool{},
-		calls: &CallTally{}, trace: sha256.New(), traffic: map[string]Traffic{}, Log: func(string) {}}
+		calls: &CallCounter{}, trace: sha256.New(), traffic: map[string]Traffic{}, Log: func(string) {}}
 	world.Book = &fleet.Book{Clock: func() time.Time { return epoch.Add(world.now) }}
 	world.platform.servers = map[string]membership.Server{}
-	world.outside = world.newLife("outside", "outside", 0)
+	world.outside = world.newIncarnation("outside", "outside", 0)
 	for position := range deployment.Servers {
 		zone := deployment.Zones[position%len(deployment.Zones)]
 		world.plans = append(world.plans, fleet.DefaultPlan("stove-"+strconv.Itoa(position+1), zone))
@@ -187,39 +187,39 @@
 	return id.String()
 }
 
-func (world *World) newLife(name, address string, drift float64) *life {
-	begun := &life{world: world, name: name, address: address, bornAt: world.now, wall: epoch.Add(world.now), drift: drift,
+func (world *World) newIncarnation(name, address string, drift float64) *incarnation {
+	begun := &incarnation{world: world, name: name, address: address, bornAt: world.now, wall: epoch.Add(world.now), drift: drift,
 		threads: map[*thread]bool{}, endings: map[uint64]func(){}}
-	world.lives[name] = begun
+	world.incarnations[name] = begun
 	return begun
 }
 
 func (world *World) startServer(plan fleet.ServerPlan) {
 	world.nonces++
 	address := "10.1." + strconv.FormatUint(world.nonces>>8, 10) + "." + strconv.FormatUint(world.nonces&0xff, 10) + ":1"
-	begun := world.newLife(plan.Name, address, 0)
+	begun := world.newIncarnation(plan.Name, address, 0)
 	world.byAddress[address] = plan.Name
-	world.servers[plan.Name] = &server{plan: plan, life: begun, top: fleet.NewStovetop(plan, world.Book, begun, world.nonce, world.fetchFrom(begun)),
+	world.servers[plan.Name] = &server{plan: plan, incarnation: begun, top: fleet.NewEngine(plan, world.Book, begun, world.nonce, world.fetchFrom(begun)),
 		calls: &callServer{world: world, name: plan.Name, handles: map[string]*callMemory{}}}
 	world.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, Zone: plan.Zone}
 }
 
 func (world *World) crashServer(name string) {
-	if server := world.servers[name]; !server.life.ended {
+	if server := world.servers[name]; !server.incarnation.ended {
 		server.top.Die()
-		server.life.end()
+		server.incarnation.end()
 	}
 }
 
 // start begins a machine's process, if none runs there.
 func (world *World) start(machine *machine) {
-	if machine.gone || (machine.life != nil && !machine.life.ended) {
+	if machine.gone || (machine.incarnation != nil && !machine.incarnation.ended) {
 		return
 	}
 	machine.off = false
 	machine.starts++
-	begun := world.newLife(machine.name, machine.address, machine.drift)
-	machine.life, machine.router, machine.control = begun, nil, nil
+	begun := world.newIncarnation(machine.name, machine.address, machine.drift)
+	machine.incarnation, machine.router, machine.control = begun, nil, nil
 	supported := features.Supported(machine.withheld)
 	world.say("%s starts, %d flags", machine.name, len(supported))
 	if len(machine.withheld) == 0 {
@@ -231,7 +231,7 @@
 		begun.Go(func() { world.runController(machine, begun, supported, observe) })
 		return
 	}
-	stoves := &stoves{life: begun, running: map[string]*exchange{}}
+	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
 	options := hatch.RouterOptions{Options: seamloom.Options{Router: machine.name, Zone: machine.zone, Supported: supported, FixedParts: world.fixedParts}, Address: machine.address,
 		Seeds: machine.seeds, Nonce: world.nonce, Ended: endedHere, Directory: lists{world, begun}}
 	options.ServeWithoutHold = world.ways.ServeWithoutHold
@@ -242,7 +242,7 @@
 		options.Pressures = lists{world, begun}
 	}
 	world.prepareCalls(machine, begun, &options)
-	router := hatch.NewRouter(begun, wire{begun}, stoves, &passing{life: begun}, options, observe)
+	router := hatch.NewRouter(begun, wire{begun}, servers, &passing{incarnation: begun}, options, observe)
 	machine.router = router
 	begun.answer = router.Answers().Answer
 	for _, round := range router.Rounds() {
@@ -253,7 +253,7 @@
 	}
 }
 
-func (world *World) runController(machine *machine, begun *life, supported features.List, observe func(string, ...any)) {
+func (world *World) runController(machine *machine, begun *incarnation, supported features.List, observe func(string, ...any)) {
 	machine.disk.owner = begun
 	keeping, _ := storage.OpenFolder(machine.disk, "keeper")
 	copies, _ := storage.OpenFolder(machine.disk, "larder")
@@ -280,7 +280,7 @@
 
 // kill ends a machine's process.
 func (world *World) kill(machine *machine) {
-	if machine.life == nil || machine.life.ended {
+	if machine.incarnation == nil || machine.incarnation.ended {
 		return
 	}
 	if machine.router != nil && world.claiming[machine.name] > 0 {
@@ -293,7 +293,7 @@
 		world.tempt("a primary killed under its hold")
 	}
 	world.say("%s is killed", machine.name)
-	machine.life.end()
+	machine.incarnation.end()
 	if machine.disk != nil {
 		machine.disk.owner = nil
 	}
--- a/internal/testbed/simulation/world_test.go
+++ b/internal/testbed/simulation/world_test.go
@@ -43,22 +43,22 @@
 // wants each temptation that the brief's rules are about to have occurred.
 func TestDaysInVirtualTime(t *testing.T) {
 	first, count := seeds(t, usualSeeds)
-	tally := (&Campaign{First: first, Count: count, Day: DefaultDay()}).Run(func(seed uint64, result Result) {
+	counter := (&Campaign{First: first, Count: count, Day: DefaultDay()}).Run(func(seed uint64, result Result) {
 		if result.Failed() {
 			t.Errorf("seed %d, whole %v\n%s", seed, result.Whole, result.Verdict)
 		}
 	})
-	t.Logf("%d days, %d replies, complete %.3f, lowest %.3f, temptations %v", tally.Days, tally.Replies, tally.Share, tally.Lowest, tally.Temptations)
+	t.Logf("%d days, %d replies, complete %.3f, lowest %.3f, temptations %v", counter.Days, counter.Replies, counter.Share, counter.Lowest, counter.Temptations)
 	if count < 200 {
 		return
 	}
 	for _, what := range Wanted {
-		if tally.Temptations[what] == 0 {
+		if counter.Temptations[what] == 0 {
 			t.Errorf("never occurred: %s", what)
 		}
 	}
-	if tally.Share < 0.75 {
-		t.Errorf("only %.3f of the replies are complete", tally.Share)
+	if counter.Share < 0.75 {
+		t.Errorf("only %.3f of the replies are complete", counter.Share)
 	}
 }
 
@@ -92,12 +92,12 @@
 	day := DefaultDay()
 	day.Faulty, day.Forming = time.Second, true
 	first, count := seeds(t, usualSeeds/4)
-	tally := (&Campaign{First: first, Count: count, Day: day}).Run(func(seed uint64, result Result) {
+	counter := (&Campaign{First: first, Count: count, Day: day}).Run(func(seed uint64, result Result) {
 		if result.Failed() {
 			t.Errorf("seed %d, whole %v, two at once %d\n%s", seed, result.Whole, result.Twice, result.Verdict)
 		}
 	})
-	t.Logf("%d days, temptations %v", tally.Days, tally.Temptations)
+	t.Logf("%d days, temptations %v", counter.Days, counter.Temptations)
 }
 
 // TestRepairMakesEveryCopyWhole brings about each loss, with reads and with the
