--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -81,8 +81,8 @@
 	os.Exit(code)
 }
 
-func (taster *taster) print(said report) {
-	if taster.asJSON {
+func (t *taster) print(said report) {
+	if t.asJSON {
 		if said.Remarks == nil {
 			said.Remarks = []config.Remark{}
 		}
@@ -116,7 +116,7 @@
 	Configuration json.RawMessage `json:"configuration"`
 }
 
-func (taster *taster) check(path string) (int, report) {
+func (t *taster) check(path string) (int, report) {
 	var text []byte
 	var err error
 	if path == "-" {
@@ -132,25 +132,25 @@
 	}
 	var before current
 	var fleet status
-	if err := taster.read("/v1/configuration", &before); err != nil {
+	if err := t.read("/v1/configuration", &before); err != nil {
 		return unreachable, report{Result: "unreachable", Detail: err.Error()}
 	}
-	if err := taster.read("/v1/status", &fleet); err != nil {
+	if err := t.read("/v1/status", &fleet); err != nil {
 		return unreachable, report{Result: "unreachable", Detail: err.Error()}
 	}
-	if taster.asPatch {
+	if t.asPatch {
 		if text, err = config.Merge(before.Configuration, text); err != nil {
 			return malformed, report{Result: "malformed", Detail: err.Error(), Version: before.Version}
 		}
 	}
 	inForce, _ := config.Check(before.Configuration)
-	said := report{Result: "fine", Version: before.Version, Remarks: config.Taste(text, inForce, taster.facts(fleet))}
+	said := report{Result: "fine", Version: before.Version, Remarks: config.Taste(text, inForce, t.facts(fleet))}
 	// What was checked against must still be in force when the answer is given.
 	var after current
-	if err := taster.read("/v1/configuration", &after); err != nil {
+	if err := t.read("/v1/configuration", &after); err != nil {
 		return unreachable, report{Result: "unreachable", Detail: err.Error()}
 	}
-	if after.Version != before.Version || (taster.expected != "" && taster.expected != after.Version) {
+	if after.Version != before.Version || (t.expected != "" && t.expected != after.Version) {
 		said.Result, said.Detail = "raced", "the configuration in force is "+after.Version
 		return raced, said
 	}
@@ -167,10 +167,10 @@
 	return fine, said
 }
 
-func (taster *taster) read(path string, target any) error {
+func (t *taster) read(path string, target any) error {
 	var last error = failure.New(failure.Unreachable, "no address")
-	for _, address := range taster.addresses {
-		inbound, err := taster.client.Get("http://" + address + path)
+	for _, address := range t.addresses {
+		inbound, err := t.client.Get("http://" + address + path)
 		if err != nil {
 			last = failure.Wrap(failure.Unreachable, err)
 			continue
@@ -186,7 +186,7 @@
 }
 
 // facts asks every listed server for its pressure.
-func (taster *taster) facts(fleet status) config.Facts {
+func (t *taster) facts(fleet status) config.Facts {
 	var facts config.Facts
 	for name, member := range fleet.Members {
 		if member.Kind != membership.Router {
--- a/cmd/controller/operator.go
+++ b/cmd/controller/operator.go
@@ -93,7 +93,7 @@
 	return command
 }
 
-func (operator *operator) change(command *cobra.Command, method, path string) error {
+func (o *operator) change(command *cobra.Command, method, path string) error {
 	var body []byte
 	var err error
 	if path == "-" {
@@ -106,7 +106,7 @@
 	}
 	if revision, _ := command.Flags().GetInt64("builds-on"); revision >= 0 {
 		// Its content is its id: sent again, it is the same change.
-		return operator.call(method, "/v1/configuration", url.Values{"builds_on": {strconv.FormatInt(revision, 10)}}, body)
+		return o.call(method, "/v1/configuration", url.Values{"builds_on": {strconv.FormatInt(revision, 10)}}, body)
 	}
 	query := newChange()
 	if id, _ := command.Flags().GetString("change"); id != "" {
@@ -114,7 +114,7 @@
 	}
 	expected, _ := command.Flags().GetString("expected")
 	if expected == "" {
-		answered, err := operator.ask(http.MethodGet, "/v1/configuration", nil, nil)
+		answered, err := o.ask(http.MethodGet, "/v1/configuration", nil, nil)
 		if err != nil {
 			return err
 		}
@@ -122,12 +122,12 @@
 			Version string `json:"version"`
 		}
 		if err := json.Unmarshal(answered.body, &current); err != nil || current.Version == "" {
-			return operator.show(answered)
+			return o.show(answered)
 		}
 		expected = current.Version
 	}
 	query.Set("expected", expected)
-	return operator.call(method, "/v1/configuration", query, body)
+	return o.call(method, "/v1/configuration", query, body)
 }
 
 type answered struct {
@@ -137,14 +137,14 @@
 
 // ask tries one expediter after another, but goes on only when the call
 // certainly changed nothing.
-func (operator *operator) ask(method, path string, query url.Values, body []byte) (answered, error) {
+func (o *operator) ask(method, path string, query url.Values, body []byte) (answered, error) {
 	last := "no address"
-	for _, address := range operator.addresses {
+	for _, address := range o.addresses {
 		outbound, err := http.NewRequest(method, "http://"+address+path+"?"+query.Encode(), bytes.NewReader(body))
 		if err != nil {
 			return answered{}, failure.Wrap(failure.Malformed, err)
 		}
-		inbound, err := operator.client.Do(outbound)
+		inbound, err := o.client.Do(outbound)
 		if err != nil {
 			last = err.Error()
 			if method == http.MethodGet || strings.Contains(last, "connection refused") {
@@ -171,15 +171,15 @@
 	return text
 }
 
-func (operator *operator) call(method, path string, query url.Values, body []byte) error {
-	answered, err := operator.ask(method, path, query, body)
+func (o *operator) call(method, path string, query url.Values, body []byte) error {
+	answered, err := o.ask(method, path, query, body)
 	if err != nil {
 		return err
 	}
-	return operator.show(answered)
+	return o.show(answered)
 }
 
-func (operator *operator) show(answered answered) error {
+func (o *operator) show(answered answered) error {
 	var indented bytes.Buffer
 	if json.Indent(&indented, answered.body, "", "  ") != nil {
 		indented.Reset()
--- a/cmd/controller/status.go
+++ b/cmd/controller/status.go
@@ -36,44 +36,44 @@
 
 // showStatus prints the status for people, with a line for each thing that wants
 // looking at.
-func (operator *operator) showStatus(asJSON bool) error {
-	answered, err := operator.ask(http.MethodGet, "/v1/status", nil, nil)
+func (o *operator) showStatus(asJSON bool) error {
+	answered, err := o.ask(http.MethodGet, "/v1/status", nil, nil)
 	if err != nil {
 		return err
 	}
 	var status statusAnswer
 	if asJSON || answered.status != http.StatusOK || json.Unmarshal(answered.body, &status) != nil {
-		return operator.show(answered)
+		return o.show(answered)
 	}
 	fmt.Print(status)
 	return nil
 }
 
 // String writes the status for people.
-func (status statusAnswer) String() string {
+func (s statusAnswer) String() string {
 	var text strings.Builder
 	line := func(format string, values ...any) { _, _ = fmt.Fprintf(&text, format+"\n", values...) }
-	backup := status.Backup.Name
+	backup := s.Backup.Name
 	if backup == "" {
 		backup = "NONE: nothing is written until there is one"
 	}
 	var keepers []string
-	for _, seat := range status.Keepers {
+	for _, seat := range s.Keepers {
 		keepers = append(keepers, seat.Name)
 	}
-	line("primary        %s (%s), for %s, epoch %d", status.Primary.Name, status.Primary.Address, (time.Duration(status.Since) * time.Millisecond).Round(time.Second), status.Epoch)
+	line("primary        %s (%s), for %s, epoch %d", s.Primary.Name, s.Primary.Address, (time.Duration(s.Since) * time.Millisecond).Round(time.Second), s.Epoch)
 	line("backup         %s", backup)
 	line("keepers        %s", strings.Join(keepers, ", "))
-	if len(status.Incoming) > 0 {
+	if len(s.Incoming) > 0 {
 		line("               a keeper is being exchanged")
 	}
-	line("configuration  %s, larder at %s", status.Configuration, status.Version)
-	if len(status.Lagging) > 0 {
-		line("lagging        %s", strings.Join(status.Lagging, ", "))
+	line("configuration  %s, larder at %s", s.Configuration, s.Version)
+	if len(s.Lagging) > 0 {
+		line("lagging        %s", strings.Join(s.Lagging, ", "))
 	}
 	line("")
-	for _, name := range slices.Sorted(maps.Keys(status.Members)) {
-		member := status.Members[name]
+	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
+		member := s.Members[name]
 		state := "running"
 		if !member.Running {
 			state = "STOPPED, or not heard"
@@ -84,16 +84,16 @@
 		line("%-14s %-10s %-12s %s", name, member.Kind, member.District, state)
 	}
 	line("")
-	for _, flag := range status.Flags {
+	for _, flag := range s.Flags {
 		line("flag %-18s %s", flag.Name, flag.Why)
 		if len(flag.Lacking) > 0 {
 			line("     %-18s lacking: %s", "", strings.Join(flag.Lacking, ", "))
 		}
 	}
 	line("")
-	for _, server := range slices.Sorted(maps.Keys(status.Orders)) {
-		line("server %-16s %-8s commanded by %s", server, status.Orders[server].Part, status.Roles["server/"+server].Holder)
+	for _, server := range slices.Sorted(maps.Keys(s.Orders)) {
+		line("server %-16s %-8s commanded by %s", server, s.Orders[server].Part, s.Roles["server/"+server].Holder)
 	}
-	line("parts are decided by %s", status.Roles["parts"].Holder)
+	line("parts are decided by %s", s.Roles["parts"].Holder)
 	return text.String()
 }
--- a/cmd/controller/usage.go
+++ b/cmd/controller/usage.go
@@ -41,13 +41,13 @@
 	return command
 }
 
-func (operator *operator) usage() ([]usage.Row, error) {
-	answered, err := operator.ask(http.MethodGet, "/v1/status", nil, nil)
+func (o *operator) usage() ([]usage.Row, error) {
+	answered, err := o.ask(http.MethodGet, "/v1/status", nil, nil)
 	if err != nil {
 		return nil, err
 	}
 	if answered.status != http.StatusOK {
-		return nil, operator.show(answered)
+		return nil, o.show(answered)
 	}
 	var status struct {
 		Members map[string]struct {
@@ -64,7 +64,7 @@
 		if member.Kind != "courier" || !member.Running {
 			continue
 		}
-		inbound, err := operator.client.Get("http://" + member.Address + "/v1/usage")
+		inbound, err := o.client.Get("http://" + member.Address + "/v1/usage")
 		if err != nil {
 			printed(name + " did not tell its usage: " + err.Error())
 			continue
--- a/cmd/testbed/compare.go
+++ b/cmd/testbed/compare.go
@@ -56,11 +56,11 @@
 	}
 }
 
-func (chosen *comparing) run() error {
-	before, after := chosen.before, chosen.after
-	if chosen.bench != "" {
-		before, after = filepath.Join(chosen.folder, "before"), filepath.Join(chosen.folder, "after")
-		if err := chosen.play(map[string]string{before: chosen.before, after: chosen.after}); err != nil {
+func (c *comparing) run() error {
+	before, after := c.before, c.after
+	if c.bench != "" {
+		before, after = filepath.Join(c.folder, "before"), filepath.Join(c.folder, "after")
+		if err := c.play(map[string]string{before: c.before, after: c.after}); err != nil {
 			return err
 		}
 	}
@@ -76,13 +76,13 @@
 	if len(comparison.Days) == 0 {
 		return failure.New(failure.NoSuch, "no day was played by both sides")
 	}
-	if err := os.MkdirAll(chosen.folder, 0o755); err != nil {
+	if err := os.MkdirAll(c.folder, 0o755); err != nil {
 		return err
 	}
-	if err := comparison.SavePlot(filepath.Join(chosen.folder, "worth.png")); err != nil {
+	if err := comparison.SavePlot(filepath.Join(c.folder, "worth.png")); err != nil {
 		return err
 	}
-	if chosen.asJSON {
+	if c.asJSON {
 		return json.NewEncoder(os.Stdout).Encode(comparison)
 	}
 	fmt.Print(comparison)
@@ -91,8 +91,8 @@
 
 // play has the bench play the days with each tree, the trees by their reports' folders. A
 // day that could not be played has no report.
-func (chosen *comparing) play(trees map[string]string) error {
-	places := make(chan struct{}, max(1, chosen.parallel))
+func (c *comparing) play(trees map[string]string) error {
+	places := make(chan struct{}, max(1, c.parallel))
 	var running sync.WaitGroup
 	for folder, tree := range trees {
 		if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -102,11 +102,11 @@
 		if err != nil {
 			return err
 		}
-		for seed := chosen.from; seed < chosen.from+chosen.count; seed++ {
+		for seed := c.from; seed < c.from+c.count; seed++ {
 			running.Go(func() {
 				places <- struct{}{}
 				defer func() { <-places }()
-				chosen.playDay(tree, reports, strconv.Itoa(seed))
+				c.playDay(tree, reports, strconv.Itoa(seed))
 			})
 		}
 	}
@@ -114,8 +114,8 @@
 	return nil
 }
 
-func (chosen *comparing) playDay(tree, reports, seed string) {
-	bench := exec.Command(chosen.bench, "run", chosen.site, "mix", "--seed", seed, "--report", filepath.Join(reports, seed+".json"), "--why", chosen.why)
+func (c *comparing) playDay(tree, reports, seed string) {
+	bench := exec.Command(c.bench, "run", c.site, "mix", "--seed", seed, "--report", filepath.Join(reports, seed+".json"), "--why", c.why)
 	bench.Dir = tree
 	said, err := bench.CombinedOutput()
 	if writing := os.WriteFile(filepath.Join(reports, seed+".txt"), said, 0o644); writing != nil || err != nil {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -71,40 +71,40 @@
 	set.Float64Var(&chosen.short, "short", 10, "short chats a second")
 }
 
-func (chosen *plan) start() (*fleet.Fleet, error) {
-	deployment, found := fleet.DeploymentNamed(chosen.deployment)
+func (p *plan) start() (*fleet.Fleet, error) {
+	deployment, found := fleet.DeploymentNamed(p.deployment)
 	if !found {
-		return nil, failure.New(failure.NoSuch, "no deployment "+chosen.deployment)
+		return nil, failure.New(failure.NoSuch, "no deployment "+p.deployment)
 	}
-	if chosen.routers > 0 {
-		deployment.Routers = chosen.routers
+	if p.routers > 0 {
+		deployment.Routers = p.routers
 	}
-	if chosen.servers > 0 {
-		deployment.Servers = chosen.servers
+	if p.servers > 0 {
+		deployment.Servers = p.servers
 	}
-	if chosen.folder == "" {
+	if p.folder == "" {
 		folder, err := os.MkdirTemp("", "rehearsal-")
 		if err != nil {
 			return nil, failure.Wrap(failure.Disk, err)
 		}
-		chosen.folder = folder
-	} else if err := os.MkdirAll(chosen.folder, 0o755); err != nil {
+		p.folder = folder
+	} else if err := os.MkdirAll(p.folder, 0o755); err != nil {
 		return nil, failure.Wrap(failure.Disk, err)
 	}
-	running, err := fleet.NewFleet(deployment, chosen.folder, chosen.binaries, map[string]any{"market": chosen.market})
+	running, err := fleet.NewFleet(deployment, p.folder, p.binaries, map[string]any{"market": p.market})
 	if err != nil {
 		return nil, err
 	}
-	if chosen.linked {
+	if p.linked {
 		if err := running.LinkNodes(); err != nil {
 			return nil, err
 		}
 	}
-	if chosen.staged {
+	if p.staged {
 		running.Stage()
 	}
-	if chosen.older != "" {
-		running.Mix(chosen.older)
+	if p.older != "" {
+		running.Mix(p.older)
 	}
 	began := time.Now()
 	if err := running.Begin(30 * time.Second); err != nil {
@@ -185,10 +185,10 @@
 }
 
 // run starts a fleet, runs one day on it, and judges its book.
-func (chosen *plan) run(log io.Writer) (fleet.Verdict, error) {
+func (p *plan) run(log io.Writer) (fleet.Verdict, error) {
 	var verdict fleet.Verdict
 	var faults []fleet.Fault
-	for _, name := range strings.Split(chosen.faults, ",") {
+	for _, name := range strings.Split(p.faults, ",") {
 		if name == "" {
 			continue
 		}
@@ -198,28 +198,28 @@
 		}
 		faults = append(faults, fault)
 	}
-	closing, closes := fleet.FaultNamed(chosen.closing)
-	if chosen.closing != "" && !closes {
-		return verdict, failure.New(failure.NoSuch, "no fault "+chosen.closing)
+	closing, closes := fleet.FaultNamed(p.closing)
+	if p.closing != "" && !closes {
+		return verdict, failure.New(failure.NoSuch, "no fault "+p.closing)
 	}
 	for _, fault := range append([]fleet.Fault{closing}, faults...) {
-		chosen.linked = chosen.linked || fault.Links
-		chosen.staged = chosen.staged || fault.Staged
+		p.linked = p.linked || fault.Links
+		p.staged = p.staged || fault.Staged
 	}
-	running, err := chosen.start()
+	running, err := p.start()
 	if err != nil {
 		return verdict, err
 	}
 	defer running.Close()
-	day := fleet.NewDay(running, chosen.seed, log)
-	day.Long, day.Short = chosen.long, chosen.short
-	day.Callers.Once = chosen.once
+	day := fleet.NewDay(running, p.seed, log)
+	day.Long, day.Short = p.long, p.short
+	day.Callers.Once = p.once
 	if err := day.Open(); err != nil {
 		return verdict, err
 	}
 	lifetime, end := interrupted()
 	defer end()
-	verdict = day.Run(lifetime, chosen.length, faults)
+	verdict = day.Run(lifetime, p.length, faults)
 	if closes {
 		verdict = day.Close(lifetime, closing)
 	}
@@ -228,5 +228,5 @@
 			primary.Metric("seamloom_answered_changes_total"), primary.Metric("seamloom_synced_batches_total"), primary.Metric("seamloom_configurations_sent_total"),
 			primary.Metric("seamloom_news_drawer_bytes_total"), primary.Metric("seamloom_news_answers_total"))
 	}
-	return verdict, running.Book.Save(filepath.Join(chosen.folder, "book.jsonl"))
+	return verdict, running.Book.Save(filepath.Join(p.folder, "book.jsonl"))
 }
--- a/cmd/testbed/platformday.go
+++ b/cmd/testbed/platformday.go
@@ -18,9 +18,9 @@
 type mistaken struct{ mistakes error }
 
 // Error lists the mistakes, one a line.
-func (mistaken mistaken) Error() string {
+func (m mistaken) Error() string {
 	text := "mistakes in the day file"
-	for _, mistake := range multierr.Errors(mistaken.mistakes) {
+	for _, mistake := range multierr.Errors(m.mistakes) {
 		text += "\n  " + mistake.Error()
 	}
 	return text
--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -10,10 +10,10 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-func (process *Process) flagAnswers(current *hatch.Term, state *replication.State) []flagAnswer {
-	now := process.clock.Now()
+func (p *Process) flagAnswers(current *hatch.Term, state *replication.State) []flagAnswer {
+	now := p.clock.Now()
 	live := current.Holds.Live(now)
-	settling := process.conduct.Settling(current)
+	settling := p.conduct.Settling(current)
 	var answers []flagAnswer
 	for _, description := range features.Book() {
 		answer := flagAnswer{Description: description, Enabled: state.Flags.Enabled.Has(description.Name), Lacking: state.Lacking(description.Name)}
@@ -38,12 +38,12 @@
 	return answers
 }
 
-func (process *Process) getFlags(writer http.ResponseWriter, inbound *http.Request) {
-	current, _, state, readable := process.readable(writer)
+func (p *Process) getFlags(writer http.ResponseWriter, inbound *http.Request) {
+	current, _, state, readable := p.readable(writer)
 	if !readable {
 		return
 	}
-	answers := process.flagAnswers(current, state)
+	answers := p.flagAnswers(current, state)
 	name := inbound.URL.Query().Get("name")
 	if name == "" {
 		answerJSON(writer, http.StatusOK, map[string]any{"flags": answers})
--- a/internal/adapters/controller/fleet.go
+++ b/internal/adapters/controller/fleet.go
@@ -10,14 +10,14 @@
 
 // Edit changes the configuration if this expediter is primary, and returns once the
 // change is in force.
-func (process *Process) Edit(edit hatch.Edit) (replication.Version, error) {
-	return process.conduct.Edit(edit)
+func (p *Process) Edit(edit hatch.Edit) (replication.Version, error) {
+	return p.conduct.Edit(edit)
 }
 
 // Configuration is the newest configuration that was acknowledged, if this expediter
 // is primary.
-func (process *Process) Configuration() ([]byte, error) {
-	_, _, state, err := process.conduct.Read()
+func (p *Process) Configuration() ([]byte, error) {
+	_, _, state, err := p.conduct.Read()
 	if err != nil {
 		return nil, err
 	}
@@ -26,18 +26,18 @@
 
 // Leads tells whether this expediter is primary at this moment, and else the hotline
 // address of the one that is, as far as it has heard; empty if it has heard of none.
-func (process *Process) Leads() (leads bool, elsewhere string) {
-	if _, _, err := process.conduct.Ruling(); err == nil {
+func (p *Process) Leads() (leads bool, elsewhere string) {
+	if _, _, err := p.conduct.Ruling(); err == nil {
 		return true, ""
 	}
-	address := process.conduct.Coordinator().Membership().Primary.Address
-	if address == process.conduct.Witness().Replica().Address {
+	address := p.conduct.Coordinator().Membership().Primary.Address
+	if address == p.conduct.Witness().Replica().Address {
 		return false, ""
 	}
 	return false, address
 }
 
 // Answer listens on a further address for as long as the process lives.
-func (process *Process) Answer(address string, handler http.Handler) error {
-	return daemon.Serve(&process.tomb, address, handler)
+func (p *Process) Answer(address string, handler http.Handler) error {
+	return daemon.Serve(&p.tomb, address, handler)
 }
--- a/internal/adapters/controller/forwarding.go
+++ b/internal/adapters/controller/forwarding.go
@@ -13,22 +13,22 @@
 )
 
 // onPrimary carries the call out here, or passes it to the primary once.
-func (process *Process) onPrimary(answer http.HandlerFunc) http.HandlerFunc {
+func (p *Process) onPrimary(answer http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
-		if _, _, err := process.conduct.Ruling(); err == nil {
+		if _, _, err := p.conduct.Ruling(); err == nil {
 			answer(writer, inbound)
 			return
 		}
-		address := process.conduct.Coordinator().Membership().Primary.Address
-		if inbound.Header.Get(forwardedHeader) != "" || address == "" || address == process.conduct.Witness().Replica().Address {
+		address := p.conduct.Coordinator().Membership().Primary.Address
+		if inbound.Header.Get(forwardedHeader) != "" || address == "" || address == p.conduct.Witness().Replica().Address {
 			answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "no expediter is primary at this moment; ask again"})
 			return
 		}
-		process.forward(writer, inbound, address)
+		p.forward(writer, inbound, address)
 	}
 }
 
-func (process *Process) forward(writer http.ResponseWriter, inbound *http.Request, address string) {
+func (p *Process) forward(writer http.ResponseWriter, inbound *http.Request, address string) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MostBytes+1))
 	if err != nil {
 		answerJSON(writer, http.StatusUnprocessableEntity, operatorAnswer{Outcome: "not_accepted", Type: failure.Oversize, Detail: err.Error()})
@@ -50,7 +50,7 @@
 	}
 	outbound.Header.Set(forwardedHeader, "1")
 	outbound.Header.Set("If-Match", inbound.Header.Get("If-Match"))
-	answered, err := process.operatorsClient.Do(outbound)
+	answered, err := p.operatorsClient.Do(outbound)
 	if err != nil {
 		if reads || !touched.Load() {
 			answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "the primary can't be reached; ask again"})
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -29,21 +29,21 @@
 	forwardedHeader = "Seamloom-Forwarded"
 )
 
-func (process *Process) operatorRoutes(mux *goji.Mux) {
-	mux.HandleFunc(pat.Get("/v1/configuration"), process.onPrimary(process.getConfiguration))
-	mux.HandleFunc(pat.Put("/v1/configuration"), process.onPrimary(process.putConfiguration))
-	mux.HandleFunc(pat.Patch("/v1/configuration"), process.onPrimary(process.patchConfiguration))
-	mux.HandleFunc(pat.Post("/v1/evacuations/:district"), process.onPrimary(process.evacuate))
-	mux.HandleFunc(pat.Delete("/v1/evacuations/:district"), process.onPrimary(process.restore))
-	mux.HandleFunc(pat.Get("/v1/changes/:id"), process.onPrimary(process.getChange))
-	mux.HandleFunc(pat.Get("/v1/status"), process.onPrimary(process.getStatus))
-	mux.HandleFunc(pat.Get("/v1/flags"), process.onPrimary(process.getFlags))
-	mux.HandleFunc(pat.Post("/v1/members/:name/retire"), process.onPrimary(process.retire))
+func (p *Process) operatorRoutes(mux *goji.Mux) {
+	mux.HandleFunc(pat.Get("/v1/configuration"), p.onPrimary(p.getConfiguration))
+	mux.HandleFunc(pat.Put("/v1/configuration"), p.onPrimary(p.putConfiguration))
+	mux.HandleFunc(pat.Patch("/v1/configuration"), p.onPrimary(p.patchConfiguration))
+	mux.HandleFunc(pat.Post("/v1/evacuations/:district"), p.onPrimary(p.evacuate))
+	mux.HandleFunc(pat.Delete("/v1/evacuations/:district"), p.onPrimary(p.restore))
+	mux.HandleFunc(pat.Get("/v1/changes/:id"), p.onPrimary(p.getChange))
+	mux.HandleFunc(pat.Get("/v1/status"), p.onPrimary(p.getStatus))
+	mux.HandleFunc(pat.Get("/v1/flags"), p.onPrimary(p.getFlags))
+	mux.HandleFunc(pat.Post("/v1/members/:name/retire"), p.onPrimary(p.retire))
 	mux.HandleFunc(pat.Get("/v1/health"), func(writer http.ResponseWriter, _ *http.Request) {
 		answerJSON(writer, http.StatusOK, map[string]any{"healthy": true})
 	})
-	mux.HandleFunc(pat.Get("/v1/ready"), process.getReady)
-	mux.HandleFunc(pat.Get("/v1/metrics"), process.getMetrics)
+	mux.HandleFunc(pat.Get("/v1/ready"), p.getReady)
+	mux.HandleFunc(pat.Get("/v1/metrics"), p.getMetrics)
 }
 
 func answerJSON(writer http.ResponseWriter, status int, content any) {
@@ -64,8 +64,8 @@
 }
 
 // readable is the committed state for a read; without one the call is answered.
-func (process *Process) readable(writer http.ResponseWriter) (*hatch.Term, *replication.View, *replication.State, bool) {
-	current, view, state, err := process.conduct.Read()
+func (p *Process) readable(writer http.ResponseWriter) (*hatch.Term, *replication.View, *replication.State, bool) {
+	current, view, state, err := p.conduct.Read()
 	if err != nil {
 		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.KindOf(err), Detail: err.Error()})
 		return nil, nil, nil, false
@@ -73,8 +73,8 @@
 	return current, view, state, true
 }
 
-func (process *Process) getConfiguration(writer http.ResponseWriter, _ *http.Request) {
-	_, view, state, readable := process.readable(writer)
+func (p *Process) getConfiguration(writer http.ResponseWriter, _ *http.Request) {
+	_, view, state, readable := p.readable(writer)
 	if !readable {
 		return
 	}
@@ -104,8 +104,8 @@
 	return &version, nil
 }
 
-func (process *Process) putConfiguration(writer http.ResponseWriter, inbound *http.Request) {
-	process.edit(writer, inbound, true, func(_, body []byte) ([]byte, error) {
+func (p *Process) putConfiguration(writer http.ResponseWriter, inbound *http.Request) {
+	p.edit(writer, inbound, true, func(_, body []byte) ([]byte, error) {
 		// fastjson writes the text anew, so that what is kept is compact.
 		value, err := fastjson.ParseBytes(body)
 		if err != nil {
@@ -115,8 +115,8 @@
 	})
 }
 
-func (process *Process) patchConfiguration(writer http.ResponseWriter, inbound *http.Request) {
-	process.edit(writer, inbound, true, func(text, body []byte) ([]byte, error) {
+func (p *Process) patchConfiguration(writer http.ResponseWriter, inbound *http.Request) {
+	p.edit(writer, inbound, true, func(text, body []byte) ([]byte, error) {
 		merged, err := config.Merge(text, body)
 		var found *failure.Trouble
 		if stderrors.As(err, &found) {
@@ -126,22 +126,22 @@
 	})
 }
 
-func (process *Process) evacuate(writer http.ResponseWriter, inbound *http.Request) {
+func (p *Process) evacuate(writer http.ResponseWriter, inbound *http.Request) {
 	zone := pat.Param(inbound, "district")
-	process.edit(writer, inbound, false, func(text, body []byte) ([]byte, error) {
+	p.edit(writer, inbound, false, func(text, body []byte) ([]byte, error) {
 		reason := fastjson.GetString(body, "reason")
 		return config.Evacuate(text, zone, reason)
 	})
 }
 
-func (process *Process) restore(writer http.ResponseWriter, inbound *http.Request) {
+func (p *Process) restore(writer http.ResponseWriter, inbound *http.Request) {
 	zone := pat.Param(inbound, "district")
-	process.edit(writer, inbound, false, func(text, _ []byte) ([]byte, error) { return config.Restore(text, zone) })
+	p.edit(writer, inbound, false, func(text, _ []byte) ([]byte, error) { return config.Restore(text, zone) })
 }
 
 // edit changes the configuration and answers "accepted" only when it is in
 // force everywhere.
-func (process *Process) edit(writer http.ResponseWriter, inbound *http.Request, versioned bool, edit func(text, body []byte) ([]byte, error)) {
+func (p *Process) edit(writer http.ResponseWriter, inbound *http.Request, versioned bool, edit func(text, body []byte) ([]byte, error)) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MostBytes+1))
 	if err != nil {
 		answerJSON(writer, http.StatusUnprocessableEntity, operatorAnswer{Outcome: "not_accepted", Type: failure.Oversize, Failures: []*failure.Trouble{failure.At(failure.Oversize, "/", err.Error())}})
@@ -167,10 +167,10 @@
 	if change == "" && builds == nil {
 		change = uuid.NewString()
 	}
-	version, err := process.conduct.Edit(hatch.Edit{Change: change, Digest: digestOf(inbound, body), Expected: expected, Builds: builds, Sound: !versioned,
+	version, err := p.conduct.Edit(hatch.Edit{Change: change, Digest: digestOf(inbound, body), Expected: expected, Builds: builds, Sound: !versioned,
 		Apply: func(text []byte) ([]byte, error) { return edit(text, body) }})
 	if err != nil {
-		process.answerChangeTrouble(writer, change, err)
+		p.answerChangeTrouble(writer, change, err)
 		return
 	}
 	answerJSON(writer, http.StatusOK, operatorAnswer{Outcome: "accepted", Version: version.String(), Change: change})
@@ -190,7 +190,7 @@
 	return hex.EncodeToString(digest.Sum(nil)[:16])
 }
 
-func (process *Process) answerChangeTrouble(writer http.ResponseWriter, change string, err error) {
+func (p *Process) answerChangeTrouble(writer http.ResponseWriter, change string, err error) {
 	var findings *config.Findings
 	if stderrors.As(err, &findings) {
 		answerJSON(writer, http.StatusUnprocessableEntity, operatorAnswer{Outcome: "not_accepted", Type: "refused", Change: change, Failures: findings.Troubles})
@@ -214,8 +214,8 @@
 	}
 }
 
-func (process *Process) getChange(writer http.ResponseWriter, inbound *http.Request) {
-	_, _, state, readable := process.readable(writer)
+func (p *Process) getChange(writer http.ResponseWriter, inbound *http.Request) {
+	_, _, state, readable := p.readable(writer)
 	if !readable {
 		return
 	}
@@ -230,9 +230,9 @@
 		Detail: "the change is not among those accepted in the last " + replication.ChangeRetention.String()})
 }
 
-func (process *Process) retire(writer http.ResponseWriter, inbound *http.Request) {
+func (p *Process) retire(writer http.ResponseWriter, inbound *http.Request) {
 	name := pat.Param(inbound, "name")
-	version, err := process.conduct.Retire(name)
+	version, err := p.conduct.Retire(name)
 	if failure.KindOf(err) == failure.HoldActive {
 		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: failure.HoldActive, Detail: failure.DetailOf(err)})
 		return
@@ -242,7 +242,7 @@
 		return
 	}
 	if err != nil {
-		process.answerChangeTrouble(writer, "", err)
+		p.answerChangeTrouble(writer, "", err)
 		return
 	}
 	answerJSON(writer, http.StatusOK, operatorAnswer{Outcome: "accepted", Version: version.String()})
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -85,26 +85,26 @@
 	return process, nil
 }
 
-func (process *Process) mux() http.Handler {
+func (p *Process) mux() http.Handler {
 	mux := goji.NewMux()
-	for path, answer := range process.conduct.Answers() {
+	for path, answer := range p.conduct.Answers() {
 		mux.Handle(pat.Post(path), rpc.Answerer(answer))
 	}
-	process.operatorRoutes(mux)
+	p.operatorRoutes(mux)
 	return mux
 }
 
 // Conduct is what the expediter does, for who mounts further ways in.
-func (process *Process) Conduct() *hatch.Controller { return process.conduct }
+func (p *Process) Conduct() *hatch.Controller { return p.conduct }
 
 // platform is the address of the platform's lists.
-func (process *Process) platform() string {
-	process.mutex.Lock()
-	defer process.mutex.Unlock()
-	return process.chosen.Platform
+func (p *Process) platform() string {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.chosen.Platform
 }
 
-func (process *Process) observe(event string, detail ...any) { process.logger.Info(event, detail...) }
+func (p *Process) observe(event string, detail ...any) { p.logger.Info(event, detail...) }
 
 // stopMargin is kept of the grace for ending the process.
 const stopMargin = 1500 * time.Millisecond
@@ -112,28 +112,28 @@
 // Stop hands over the lead, the copy and the witness's seat, goes on as before until that
 // is done or the grace is nearly over, and ends the process. What was not answered yet has
 // no known outcome.
-func (process *Process) Stop() error {
-	process.mutex.Lock()
-	grace := process.chosen.Grace
-	process.mutex.Unlock()
-	process.conduct.Leave(max(grace-stopMargin, grace/2))
-	process.tomb.Kill(nil)
-	return process.tomb.Wait()
+func (p *Process) Stop() error {
+	p.mutex.Lock()
+	grace := p.chosen.Grace
+	p.mutex.Unlock()
+	p.conduct.Leave(max(grace-stopMargin, grace/2))
+	p.tomb.Kill(nil)
+	return p.tomb.Wait()
 }
 
 // Dead is closed when the process has ended by itself.
-func (process *Process) Dead() <-chan struct{} { return process.tomb.Dead() }
+func (p *Process) Dead() <-chan struct{} { return p.tomb.Dead() }
 
 // Reload takes settings that may change while the process runs.
-func (process *Process) Reload(next settings.Settings) {
-	process.mutex.Lock()
-	stays := process.chosen.Reload(next)
-	seeds, level, wait := process.chosen.Seeds, process.chosen.LogLevel, process.chosen.AcknowledgeWait
-	process.mutex.Unlock()
-	process.conduct.SetSeeds(seeds)
-	process.conduct.SetAcknowledgeWait(wait)
+func (p *Process) Reload(next settings.Settings) {
+	p.mutex.Lock()
+	stays := p.chosen.Reload(next)
+	seeds, level, wait := p.chosen.Seeds, p.chosen.LogLevel, p.chosen.AcknowledgeWait
+	p.mutex.Unlock()
+	p.conduct.SetSeeds(seeds)
+	p.conduct.SetAcknowledgeWait(wait)
 	if parsed, err := log.ParseLevel(level); err == nil {
-		process.logger.SetLevel(parsed)
+		p.logger.SetLevel(parsed)
 	}
-	process.logger.Info("reloaded", "needs_restart", stays)
+	p.logger.Info("reloaded", "needs_restart", stays)
 }
--- a/internal/adapters/controller/signpost.go
+++ b/internal/adapters/controller/signpost.go
@@ -38,33 +38,33 @@
 }
 
 // Answer listens on an address for as long as the process lives.
-func (redirector *Redirector) Answer(address string, handler http.Handler) error {
-	return daemon.Serve(&redirector.tomb, address, handler)
+func (r *Redirector) Answer(address string, handler http.Handler) error {
+	return daemon.Serve(&r.tomb, address, handler)
 }
 
 // Edit changes nothing here.
-func (redirector *Redirector) Edit(hatch.Edit) (replication.Version, error) {
+func (r *Redirector) Edit(hatch.Edit) (replication.Version, error) {
 	return replication.Version{}, failure.New(failure.NoPrimary, "nothing is kept here")
 }
 
 // Configuration is not kept here.
-func (redirector *Redirector) Configuration() ([]byte, error) {
+func (r *Redirector) Configuration() ([]byte, error) {
 	return nil, failure.New(failure.NoPrimary, "nothing is kept here")
 }
 
 // Leads is never true; it gives the hotline address of the primary, if one is found.
-func (redirector *Redirector) Leads() (leads bool, elsewhere string) {
-	return false, redirector.conduct.Leader()
+func (r *Redirector) Leads() (leads bool, elsewhere string) {
+	return false, r.conduct.Leader()
 }
 
 // Reload takes the seeds.
-func (redirector *Redirector) Reload(next settings.Settings) { redirector.conduct.SetSeeds(next.Seeds) }
+func (r *Redirector) Reload(next settings.Settings) { r.conduct.SetSeeds(next.Seeds) }
 
 // Dead is closed when the process has ended by itself.
-func (redirector *Redirector) Dead() <-chan struct{} { return redirector.tomb.Dead() }
+func (r *Redirector) Dead() <-chan struct{} { return r.tomb.Dead() }
 
 // Stop ends the process.
-func (redirector *Redirector) Stop() error {
-	redirector.tomb.Kill(nil)
-	return redirector.tomb.Wait()
+func (r *Redirector) Stop() error {
+	r.tomb.Kill(nil)
+	return r.tomb.Wait()
 }
--- a/internal/adapters/controller/status.go
+++ b/internal/adapters/controller/status.go
@@ -11,47 +11,47 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-func (process *Process) getStatus(writer http.ResponseWriter, _ *http.Request) {
-	current, view, state, readable := process.readable(writer)
+func (p *Process) getStatus(writer http.ResponseWriter, _ *http.Request) {
+	current, view, state, readable := p.readable(writer)
 	if !readable {
 		return
 	}
-	now := process.clock.Now()
+	now := p.clock.Now()
 	live := current.Holds.Live(now)
-	m := process.conduct.Coordinator().Membership()
+	m := p.conduct.Coordinator().Membership()
 	members := map[string]memberAnswer{}
 	for name, member := range state.Members {
 		_, running := live[name]
 		if member.Kind == membership.Controller {
-			running = process.conduct.Coordinator().Sees(member.Address)
+			running = p.conduct.Coordinator().Sees(member.Address)
 		}
 		members[name] = memberAnswer{Member: member, Running: running, Restricted: member.Restricted(state.Flags.Enabled)}
 	}
 	orders := map[string]codec.Order{}
 	for server, record := range state.Orders.Records {
-		if order, err := codec.ReadOrder(record, process.conduct.Supported()); err == nil {
+		if order, err := codec.ReadOrder(record, p.conduct.Supported()); err == nil {
 			orders[server] = order
 		}
 	}
-	batches, changes := process.conduct.Store().Work()
-	servers := process.conduct.Servers()
+	batches, changes := p.conduct.Store().Work()
+	servers := p.conduct.Servers()
 	holds := map[string]int64{}
 	for name, age := range live {
 		holds[name] = age.Milliseconds()
 	}
 	answerJSON(writer, http.StatusOK, map[string]any{
 		"holds_live_milliseconds": holds,
-		"servers":                 servers, "claims_horizon": process.horizon(view),
+		"servers":                 servers, "claims_horizon": p.horizon(view),
 		"primary": m.Primary, "backup": m.Backup, "further_backups": m.Further, "keepers": m.Witnesses, "incoming_keepers": m.Incoming,
 		"epoch": m.Epoch, "version": view.Version.String(), "configuration_version": view.VersionOf(replication.ConfigurationSection).String(),
-		"members": members, "flags": process.flagAnswers(current, state), "duties": state.Rota.Roles, "orders": orders,
+		"members": members, "flags": p.flagAnswers(current, state), "duties": state.Rota.Roles, "orders": orders,
 		"lagging":        current.Lagging(now, view.VersionOf(replication.ConfigurationSection), state),
 		"synced_batches": batches, "answered_changes": changes, "primary_since_milliseconds": now.Sub(current.Since).Milliseconds(),
 	})
 }
 
 // horizon is the age before which claims are forgotten.
-func (process *Process) horizon(view *replication.View) time.Time {
+func (p *Process) horizon(view *replication.View) time.Time {
 	state, err := replication.ReadState(map[string]replication.Section{replication.HorizonSection: view.Sections[replication.HorizonSection]})
 	if err != nil {
 		return time.Time{}
@@ -59,32 +59,32 @@
 	return state.Horizon
 }
 
-func (process *Process) getReady(writer http.ResponseWriter, _ *http.Request) {
-	silence := process.clock.Now().Sub(process.conduct.Heard())
+func (p *Process) getReady(writer http.ResponseWriter, _ *http.Request) {
+	silence := p.clock.Now().Sub(p.conduct.Heard())
 	status := http.StatusOK
 	if silence > 3*time.Second {
 		status = http.StatusServiceUnavailable
 	}
-	answerJSON(writer, status, map[string]any{"ready": status == http.StatusOK, "leads": process.conduct.Coordinator().Holds(), "identity": process.conduct.Witness().Replica().Identity, "epoch": process.conduct.Coordinator().Membership().Epoch})
+	answerJSON(writer, status, map[string]any{"ready": status == http.StatusOK, "leads": p.conduct.Coordinator().Holds(), "identity": p.conduct.Witness().Replica().Identity, "epoch": p.conduct.Coordinator().Membership().Epoch})
 }
 
-func (process *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
-	batches, changes := process.conduct.Store().Work()
+func (p *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
+	batches, changes := p.conduct.Store().Work()
 	leads := 0
-	if process.conduct.Coordinator().Holds() {
+	if p.conduct.Coordinator().Holds() {
 		leads = 1
 	}
-	version := process.conduct.Store().Copy().Version()
-	answers, bytesSent, configurations := process.conduct.UpdateCounts()
+	version := p.conduct.Store().Copy().Version()
+	answers, bytesSent, configurations := p.conduct.UpdateCounts()
 	damaged := 0
-	if process.conduct.Store().Copy().Damage() != "" {
+	if p.conduct.Store().Copy().Damage() != "" {
 		damaged = 1
 	}
 	writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	for _, line := range []struct {
 		name  string
 		value uint64
-	}{{"seamloom_leads", uint64(leads)}, {"seamloom_epoch", process.conduct.Coordinator().Membership().Epoch}, {"seamloom_copy_number", version.Number},
+	}{{"seamloom_leads", uint64(leads)}, {"seamloom_epoch", p.conduct.Coordinator().Membership().Epoch}, {"seamloom_copy_number", version.Number},
 		{"seamloom_copy_damaged", uint64(damaged)}, {"seamloom_synced_batches_total", batches}, {"seamloom_answered_changes_total", changes},
 		{"seamloom_news_answers_total", answers}, {"seamloom_news_drawer_bytes_total", bytesSent},
 		{"seamloom_configurations_sent_total", configurations}} {
--- a/internal/adapters/daemon/program.go
+++ b/internal/adapters/daemon/program.go
@@ -74,55 +74,55 @@
 }
 
 // File is the settings file that the flags name, if any.
-func (flags *Flags) File() string { return flags.file }
+func (f *Flags) File() string { return f.file }
 
 // Read makes the settings of file and flags and names all mistakes at once.
-func (flags *Flags) Read() (settings.Settings, error) {
-	chosen := settings.Defaults(flags.kind)
+func (f *Flags) Read() (settings.Settings, error) {
+	chosen := settings.Defaults(f.kind)
 	var mistakes error
-	if flags.file != "" {
-		mistakes = chosen.ReadFile(flags.file)
+	if f.file != "" {
+		mistakes = chosen.ReadFile(f.file)
 	}
-	changed := flags.command.Flags().Changed
-	texts := map[string][2]*string{"name": {&chosen.Name, &flags.flagged.Name}, "address": {&chosen.Address, &flags.flagged.Address},
-		"district": {&chosen.Zone, &flags.flagged.Zone}, "platform": {&chosen.Platform, &flags.flagged.Platform},
-		"log-level": {&chosen.LogLevel, &flags.flagged.LogLevel}, "data-folder": {&chosen.DataFolder, &flags.flagged.DataFolder},
-		"market": {&chosen.Market, &flags.flagged.Market}, "calls-address": {&chosen.CallsAddress, &flags.flagged.CallsAddress},
-		"ready-address": {&chosen.ReadyAddress, &flags.flagged.ReadyAddress}, "control-address": {&chosen.ControlAddress, &flags.flagged.ControlAddress}}
+	changed := f.command.Flags().Changed
+	texts := map[string][2]*string{"name": {&chosen.Name, &f.flagged.Name}, "address": {&chosen.Address, &f.flagged.Address},
+		"district": {&chosen.Zone, &f.flagged.Zone}, "platform": {&chosen.Platform, &f.flagged.Platform},
+		"log-level": {&chosen.LogLevel, &f.flagged.LogLevel}, "data-folder": {&chosen.DataFolder, &f.flagged.DataFolder},
+		"market": {&chosen.Market, &f.flagged.Market}, "calls-address": {&chosen.CallsAddress, &f.flagged.CallsAddress},
+		"ready-address": {&chosen.ReadyAddress, &f.flagged.ReadyAddress}, "control-address": {&chosen.ControlAddress, &f.flagged.ControlAddress}}
 	for name, pair := range texts {
 		if changed(name) {
 			*pair[0] = *pair[1]
 		}
 	}
-	lengths := map[string][2]*time.Duration{"acknowledge-wait": {&chosen.AcknowledgeWait, &flags.flagged.AcknowledgeWait},
-		"serve-without-hold": {&chosen.ServeWithoutHold, &flags.flagged.ServeWithoutHold}, "grace": {&chosen.Grace, &flags.flagged.Grace},
-		"retire-after": {&chosen.RetireAfter, &flags.flagged.RetireAfter}, "catch-up": {&chosen.CatchUp, &flags.flagged.CatchUp},
-		"apply-within": {&chosen.ApplyWithin, &flags.flagged.ApplyWithin}}
+	lengths := map[string][2]*time.Duration{"acknowledge-wait": {&chosen.AcknowledgeWait, &f.flagged.AcknowledgeWait},
+		"serve-without-hold": {&chosen.ServeWithoutHold, &f.flagged.ServeWithoutHold}, "grace": {&chosen.Grace, &f.flagged.Grace},
+		"retire-after": {&chosen.RetireAfter, &f.flagged.RetireAfter}, "catch-up": {&chosen.CatchUp, &f.flagged.CatchUp},
+		"apply-within": {&chosen.ApplyWithin, &f.flagged.ApplyWithin}}
 	for name, pair := range lengths {
 		if changed(name) {
 			*pair[0] = *pair[1]
 		}
 	}
 	if changed("bootstrap") {
-		chosen.Bootstrap = flags.flagged.Bootstrap
+		chosen.Bootstrap = f.flagged.Bootstrap
 	}
 	if changed("most-inquiries") {
-		chosen.MostRequests = flags.flagged.MostRequests
+		chosen.MostRequests = f.flagged.MostRequests
 	}
 	if changed("most-memory-megabytes") {
-		chosen.MostMemory = flags.flagged.MostMemory
+		chosen.MostMemory = f.flagged.MostMemory
 	}
 	if changed("borne-losses") {
-		chosen.BorneLosses = flags.flagged.BorneLosses
+		chosen.BorneLosses = f.flagged.BorneLosses
 	}
 	if changed("flag-settle-milliseconds") {
-		chosen.FlagSettle = flags.flagged.FlagSettle
+		chosen.FlagSettle = f.flagged.FlagSettle
 	}
 	if changed("seeds") {
-		chosen.Seeds = strings.Split(flags.seeds, ",")
+		chosen.Seeds = strings.Split(f.seeds, ",")
 	}
 	if changed("withhold-flags") {
-		chosen.Withhold = strings.Split(flags.withhold, ",")
+		chosen.Withhold = strings.Split(f.withhold, ",")
 	}
 	return chosen, multierr.Append(mistakes, chosen.Check())
 }
--- a/internal/adapters/daemon/signals.go
+++ b/internal/adapters/daemon/signals.go
@@ -28,7 +28,7 @@
 // SIGINT return true. A settings file, if one is named, is also looked at now and
 // then, and a change of it reloads. It returns false when the process ended by
 // itself. What is caught after that has no effect: the process ends within its grace.
-func (signals *Signals) Wait(dead <-chan struct{}, file string, reload func()) bool {
+func (s *Signals) Wait(dead <-chan struct{}, file string, reload func()) bool {
 	var looks <-chan time.Time
 	seen := lookAt(file)
 	if file != "" {
@@ -40,7 +40,7 @@
 		select {
 		case <-dead:
 			return false
-		case caught := <-signals.caught:
+		case caught := <-s.caught:
 			if caught != syscall.SIGHUP {
 				return true
 			}
--- a/internal/adapters/discovery/directory.go
+++ b/internal/adapters/discovery/directory.go
@@ -27,31 +27,31 @@
 }
 
 // Servers reads the server list.
-func (directory *Directory) Servers(lifetime context.Context, address string) ([]membership.Server, error) {
+func (d *Directory) Servers(lifetime context.Context, address string) ([]membership.Server, error) {
 	var list struct {
 		Servers []membership.Server `json:"servers"`
 	}
-	err := directory.read(lifetime, "http://"+address+"/v1/servers", &list)
+	err := d.read(lifetime, "http://"+address+"/v1/servers", &list)
 	return list.Servers, err
 }
 
 // Nodes reads the node list.
-func (directory *Directory) Nodes(lifetime context.Context, address string) ([]membership.Node, error) {
+func (d *Directory) Nodes(lifetime context.Context, address string) ([]membership.Node, error) {
 	var list struct {
 		Nodes []membership.Node `json:"nodes"`
 	}
-	err := directory.read(lifetime, "http://"+address+"/v1/nodes", &list)
+	err := d.read(lifetime, "http://"+address+"/v1/nodes", &list)
 	return list.Nodes, err
 }
 
-func (directory *Directory) read(lifetime context.Context, location string, target any) error {
+func (d *Directory) read(lifetime context.Context, location string, target any) error {
 	lifetime, end := context.WithTimeout(lifetime, patience)
 	defer end()
 	outbound, err := http.NewRequestWithContext(lifetime, http.MethodGet, location, nil)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	inbound, err := directory.client.Do(outbound)
+	inbound, err := d.client.Do(outbound)
 	if err != nil {
 		return failure.Wrap(failure.Unreachable, err)
 	}
--- a/internal/adapters/modelserver/guardedbody.go
+++ b/internal/adapters/modelserver/guardedbody.go
@@ -20,18 +20,18 @@
 var tooLate = failure.New(failure.LimitPassed, "the order may not go any more")
 
 // Read gives the next bytes, the first of them only if they may still go.
-func (body *guardedBody) Read(buffer []byte) (int, error) {
-	if !body.begun.Load() {
-		if !body.may() {
+func (g *guardedBody) Read(buffer []byte) (int, error) {
+	if !g.begun.Load() {
+		if !g.may() {
 			return 0, tooLate
 		}
-		body.begun.Store(true)
+		g.begun.Store(true)
 	}
-	return body.reader.Read(buffer)
+	return g.reader.Read(buffer)
 }
 
 // Close ends the body.
-func (body *guardedBody) Close() error { return nil }
+func (g *guardedBody) Close() error { return nil }
 
 // renew starts the order anew: the transport asks for it only when nothing of
 // the last try was written.
--- a/internal/adapters/modelserver/loadreport.go
+++ b/internal/adapters/modelserver/loadreport.go
@@ -33,34 +33,34 @@
 
 // Check refuses a report that can't be true, so that the market never trades on
 // it.
-func (report LoadReport) Check() error {
-	numbers := map[string]int{"age_milliseconds": report.AgeMilliseconds, "prefill_queue_tokens": report.PrefillQueueTokens, "prefill_tokens_per_second": report.PrefillRate,
-		"prefill_waiting": report.PrefillWaiting, "prefill_room": report.PrefillRoom, "decode_active": report.DecodeActive, "decode_slots": report.DecodeSlots,
-		"piece_time_microseconds": report.ChunkTimeMicroseconds, "memory_free_tokens": report.MemoryFree, "memory_total_tokens": report.MemoryTotal,
-		"link_tokens_per_second": report.LinkRate}
+func (l LoadReport) Check() error {
+	numbers := map[string]int{"age_milliseconds": l.AgeMilliseconds, "prefill_queue_tokens": l.PrefillQueueTokens, "prefill_tokens_per_second": l.PrefillRate,
+		"prefill_waiting": l.PrefillWaiting, "prefill_room": l.PrefillRoom, "decode_active": l.DecodeActive, "decode_slots": l.DecodeSlots,
+		"piece_time_microseconds": l.ChunkTimeMicroseconds, "memory_free_tokens": l.MemoryFree, "memory_total_tokens": l.MemoryTotal,
+		"link_tokens_per_second": l.LinkRate}
 	for name, number := range numbers {
 		if number < 0 || number > mostReported {
 			return failure.At(failure.OutOfRange, "/"+name, strconv.Itoa(number))
 		}
 	}
-	for prefix, tokens := range report.Prefixes {
+	for prefix, tokens := range l.Prefixes {
 		if tokens < 0 {
 			return failure.At(failure.OutOfRange, "/prefixes/"+prefix, strconv.Itoa(tokens))
 		}
 	}
-	switch auction.Part(report.Part) {
+	switch auction.Part(l.Part) {
 	case auction.Prefill, auction.Decode, auction.Drain, auction.NoPart:
 		return nil
 	}
-	return failure.At(failure.OutOfRange, "/part", report.Part)
+	return failure.At(failure.OutOfRange, "/part", l.Part)
 }
 
 // Load is the report in the core's terms.
-func (report LoadReport) Load() auction.Load {
-	return auction.Load{Server: report.Server, Incarnation: report.Incarnation, Part: auction.Part(report.Part), Leaving: report.Leaving,
-		Age: time.Duration(report.AgeMilliseconds) * time.Millisecond, PrefillQueueTokens: report.PrefillQueueTokens,
-		PrefillRate: report.PrefillRate, PrefillWaiting: report.PrefillWaiting, PrefillRoom: report.PrefillRoom,
-		DecodeActive: report.DecodeActive, DecodeSlots: report.DecodeSlots,
-		ChunkTime:  time.Duration(report.ChunkTimeMicroseconds) * time.Microsecond,
-		MemoryFree: report.MemoryFree, MemoryTotal: report.MemoryTotal, LinkRate: report.LinkRate, Prefixes: report.Prefixes}
+func (l LoadReport) Load() auction.Load {
+	return auction.Load{Server: l.Server, Incarnation: l.Incarnation, Part: auction.Part(l.Part), Leaving: l.Leaving,
+		Age: time.Duration(l.AgeMilliseconds) * time.Millisecond, PrefillQueueTokens: l.PrefillQueueTokens,
+		PrefillRate: l.PrefillRate, PrefillWaiting: l.PrefillWaiting, PrefillRoom: l.PrefillRoom,
+		DecodeActive: l.DecodeActive, DecodeSlots: l.DecodeSlots,
+		ChunkTime:  time.Duration(l.ChunkTimeMicroseconds) * time.Microsecond,
+		MemoryFree: l.MemoryFree, MemoryTotal: l.MemoryTotal, LinkRate: l.LinkRate, Prefixes: l.Prefixes}
 }
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -38,25 +38,25 @@
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
 // beginRun makes the lifetime of a run's dispatch, which ends with its cancel.
-func (modelServer *ModelServer) beginRun(decision auction.Decision) context.Context {
-	lifetime, end := context.WithCancel(modelServer.lifetime)
-	modelServer.mutex.Lock()
-	defer modelServer.mutex.Unlock()
+func (m *ModelServer) beginRun(decision auction.Decision) context.Context {
+	lifetime, end := context.WithCancel(m.lifetime)
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	key := runKey(decision.ID, decision.Run)
-	if earlier, found := modelServer.running[key]; found {
+	if earlier, found := m.running[key]; found {
 		earlier()
 	}
-	modelServer.running[key] = end
+	m.running[key] = end
 	return lifetime
 }
 
 // EndRun ends whatever a run still has under way.
-func (modelServer *ModelServer) EndRun(id string, run int) {
-	modelServer.mutex.Lock()
-	defer modelServer.mutex.Unlock()
-	if end, found := modelServer.running[runKey(id, run)]; found {
+func (m *ModelServer) EndRun(id string, run int) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if end, found := m.running[runKey(id, run)]; found {
 		end()
-		delete(modelServer.running, runKey(id, run))
+		delete(m.running, runKey(id, run))
 	}
 }
 
@@ -65,12 +65,12 @@
 
 // post sends an order. Begun tells whether any of it may have reached the
 // server: if not, the server certainly did not start.
-func (modelServer *ModelServer) post(lifetime context.Context, address, path string, order any, may func() bool) (inbound *http.Response, begun bool, err error) {
+func (m *ModelServer) post(lifetime context.Context, address, path string, order any, may func() bool) (inbound *http.Response, begun bool, err error) {
 	content, err := json.Marshal(order)
 	if err != nil {
 		return nil, false, failure.Wrap(failure.Garbage, err)
 	}
-	return Post(lifetime, modelServer.client, "http://"+address+path, http.Header{"Content-Type": {"application/json"}}, content, may)
+	return Post(lifetime, m.client, "http://"+address+path, http.Header{"Content-Type": {"application/json"}}, content, may)
 }
 
 // Post sends an order. May is asked at once and again when its body is taken, after
@@ -112,9 +112,9 @@
 }
 
 // Prefill has a server read a prompt, and returns the handle of its memory.
-func (modelServer *ModelServer) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
+func (m *ModelServer) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
-	inbound, written, err := modelServer.post(modelServer.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
+	inbound, written, err := m.post(m.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
 		Prompt: request.Prompt, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}, may)
 	if err != nil {
 		if !written {
@@ -139,9 +139,9 @@
 
 // Decode has a server take up a prompt's memory and answer; each piece goes to
 // take as it comes.
-func (modelServer *ModelServer) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+func (m *ModelServer) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
 	request := decision.Request
-	inbound, written, err := modelServer.post(modelServer.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
+	inbound, written, err := m.post(m.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
 		Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}, may)
 	if err != nil {
 		if !written {
@@ -173,12 +173,12 @@
 }
 
 // Cancel breaks a run's circuit and has the server stop it.
-func (modelServer *ModelServer) Cancel(decision auction.Decision) {
-	modelServer.EndRun(decision.ID, decision.Run)
-	modelServer.runtime.Go(func() {
-		lifetime, end := context.WithTimeout(modelServer.lifetime, time.Second)
+func (m *ModelServer) Cancel(decision auction.Decision) {
+	m.EndRun(decision.ID, decision.Run)
+	m.runtime.Go(func() {
+		lifetime, end := context.WithTimeout(m.lifetime, time.Second)
 		defer end()
-		inbound, _, err := modelServer.post(lifetime, decision.Address, "/v1/cancel", CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}, func() bool { return true })
+		inbound, _, err := m.post(lifetime, decision.Address, "/v1/cancel", CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}, func() bool { return true })
 		if err == nil {
 			_ = inbound.Body.Close()
 		}
@@ -187,14 +187,14 @@
 
 // Command has a server take a part, under the fence of its key's holder. One
 // that is late is worse than none: it ends with the duty's hold.
-func (modelServer *ModelServer) Command(decision auction.Decision, may func() bool) error {
+func (m *ModelServer) Command(decision auction.Decision, may func() bool) error {
 	order := PartOrder{Part: string(decision.Part), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
 		order.PatienceMilliseconds = int(decision.Order.Patience / time.Millisecond)
 		order.Cause = decision.Order.Cause
 	}
-	return modelServer.Within(decision, func(lifetime context.Context) error {
-		inbound, _, err := modelServer.post(lifetime, decision.Address, "/v1/part", order, may)
+	return m.Within(decision, func(lifetime context.Context) error {
+		inbound, _, err := m.post(lifetime, decision.Address, "/v1/part", order, may)
 		if err != nil {
 			return err
 		}
@@ -208,27 +208,27 @@
 
 // Within has a command given in a lifetime that ends with the duty's hold, and soon
 // in any case.
-func (modelServer *ModelServer) Within(decision auction.Decision, act func(lifetime context.Context) error) error {
-	lifetime, end := context.WithTimeout(modelServer.lifetime, min(time.Second, decision.NotAfter.Sub(modelServer.runtime.Now())))
+func (m *ModelServer) Within(decision auction.Decision, act func(lifetime context.Context) error) error {
+	lifetime, end := context.WithTimeout(m.lifetime, min(time.Second, decision.NotAfter.Sub(m.runtime.Now())))
 	defer end()
 	return act(lifetime)
 }
 
 // Pressure reads a server's pressure within a patience, for the market of inquiries.
-func (modelServer *ModelServer) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
-	lifetime, end := context.WithTimeout(modelServer.lifetime, patience)
+func (m *ModelServer) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
+	lifetime, end := context.WithTimeout(m.lifetime, patience)
 	defer end()
-	return modelServer.Load(lifetime, server.Address)
+	return m.Load(lifetime, server.Address)
 }
 
 // Load reads a server's pressure.
-func (modelServer *ModelServer) Load(lifetime context.Context, address string) (auction.Load, error) {
+func (m *ModelServer) Load(lifetime context.Context, address string) (auction.Load, error) {
 	var load auction.Load
 	outbound, err := http.NewRequestWithContext(lifetime, http.MethodGet, "http://"+address+"/v1/load", nil)
 	if err != nil {
 		return load, failure.Wrap(failure.Garbage, err)
 	}
-	inbound, err := modelServer.client.Do(outbound)
+	inbound, err := m.client.Do(outbound)
 	if err != nil {
 		return load, failure.Wrap(failure.Unreachable, err)
 	}
--- a/internal/adapters/osruntime/bell.go
+++ b/internal/adapters/osruntime/bell.go
@@ -13,27 +13,27 @@
 	next     chan struct{}
 }
 
-func (bell *cond) rung() <-chan struct{} {
-	bell.mutex.Lock()
-	defer bell.mutex.Unlock()
-	return bell.next
+func (c *cond) rung() <-chan struct{} {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.next
 }
 
 // Broadcast wakes all who wait.
-func (bell *cond) Broadcast() {
-	bell.mutex.Lock()
-	defer bell.mutex.Unlock()
-	close(bell.next)
-	bell.next = make(chan struct{})
+func (c *cond) Broadcast() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	close(c.next)
+	c.next = make(chan struct{})
 }
 
 // Wait waits until over is true, the patience ends or the process does.
-func (bell *cond) Wait(patience time.Duration, over func() bool) bool {
+func (c *cond) Wait(patience time.Duration, over func() bool) bool {
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	for {
 		// The next ring is taken before the look, so that none is missed.
-		rung := bell.rung()
+		rung := c.rung()
 		if over() {
 			return true
 		}
@@ -41,7 +41,7 @@
 		case <-rung:
 		case <-timer.C:
 			return over()
-		case <-bell.lifetime.Done():
+		case <-c.lifetime.Done():
 			return false
 		}
 	}
--- a/internal/adapters/osruntime/clock.go
+++ b/internal/adapters/osruntime/clock.go
@@ -26,10 +26,10 @@
 }
 
 // Now is the time, for holds, limits and patience.
-func (clock *Clock) Now() time.Time { return clock.began.Add(sinceBoot() - clock.boot) }
+func (c *Clock) Now() time.Time { return c.began.Add(sinceBoot() - c.boot) }
 
 // Wall is what the machine's wall clock says, which may jump.
-func (clock *Clock) Wall() time.Time { return clock.wall().Round(0) }
+func (c *Clock) Wall() time.Time { return c.wall().Round(0) }
 
 func sinceBoot() time.Duration {
 	var moment unix.Timespec
--- a/internal/adapters/osruntime/threads.go
+++ b/internal/adapters/osruntime/threads.go
@@ -20,18 +20,18 @@
 }
 
 // Now is the clock's time.
-func (threads *Runtime) Now() time.Time { return threads.clock.Now() }
+func (r *Runtime) Now() time.Time { return r.clock.Now() }
 
 // Wall is the machine's wall clock.
-func (threads *Runtime) Wall() time.Time { return threads.clock.Wall() }
+func (r *Runtime) Wall() time.Time { return r.clock.Wall() }
 
 // Alive tells whether the process goes on.
-func (threads *Runtime) Alive() bool { return threads.lifetime.Err() == nil }
+func (r *Runtime) Alive() bool { return r.lifetime.Err() == nil }
 
 // Go starts a thread.
-func (threads *Runtime) Go(act func()) { go act() }
+func (r *Runtime) Go(act func()) { go act() }
 
 // NewCond makes a bell.
-func (threads *Runtime) NewCond() runtime.Cond {
-	return &cond{lifetime: threads.lifetime, next: make(chan struct{})}
+func (r *Runtime) NewCond() runtime.Cond {
+	return &cond{lifetime: r.lifetime, next: make(chan struct{})}
 }
--- a/internal/adapters/ports/ports.go
+++ b/internal/adapters/ports/ports.go
@@ -38,13 +38,13 @@
 }
 
 // Servers reads the list of servers.
-func (here Here) Servers() ([]membership.Server, error) {
-	return here.Directory.Servers(here.Lifetime, here.Address())
+func (h Here) Servers() ([]membership.Server, error) {
+	return h.Directory.Servers(h.Lifetime, h.Address())
 }
 
 // Nodes reads the list of nodes.
-func (here Here) Nodes() ([]membership.Node, error) {
-	return here.Directory.Nodes(here.Lifetime, here.Address())
+func (h Here) Nodes() ([]membership.Node, error) {
+	return h.Directory.Nodes(h.Lifetime, h.Address())
 }
 
 // Asking asks servers for their loads for as long as one process lives.
@@ -54,8 +54,8 @@
 }
 
 // Report asks one server, within the patience.
-func (asking Asking) Report(server membership.Server, patience time.Duration) (scheduler.Load, error) {
-	lifetime, end := context.WithTimeout(asking.Lifetime, patience)
+func (a Asking) Report(server membership.Server, patience time.Duration) (scheduler.Load, error) {
+	lifetime, end := context.WithTimeout(a.Lifetime, patience)
 	defer end()
-	return asking.Reports.Report(lifetime, server)
+	return a.Reports.Report(lifetime, server)
 }
--- a/internal/adapters/proxy/bench_test.go
+++ b/internal/adapters/proxy/bench_test.go
@@ -64,14 +64,14 @@
 }
 
 // Serve reads and runs.
-func (halves *halves) Serve(_ *scheduler.Call, exchange hatch.Exchange) {
+func (h *halves) Serve(_ *scheduler.Call, exchange hatch.Exchange) {
 	ends := time.Now().Add(5 * time.Second)
-	decision := scheduler.Decision{Kind: scheduler.Run, Server: halves.runner, Ends: ends, Urgency: 1}
-	if halves.reader.Address != "" {
-		outcome := exchange.Read(scheduler.Decision{Kind: scheduler.Read, Server: halves.reader, Ends: ends, Urgency: 1})
-		decision.Source = &scheduler.Source{Address: halves.reader.Address, Handle: outcome.Handle}
+	decision := scheduler.Decision{Kind: scheduler.Run, Server: h.runner, Ends: ends, Urgency: 1}
+	if h.reader.Address != "" {
+		outcome := exchange.Read(scheduler.Decision{Kind: scheduler.Read, Server: h.reader, Ends: ends, Urgency: 1})
+		decision.Source = &scheduler.Source{Address: h.reader.Address, Handle: outcome.Handle}
 	}
-	if outcome := exchange.Run(&halves.route, decision, func() {}); outcome.Result != scheduler.Complete {
+	if outcome := exchange.Run(&h.route, decision, func() {}); outcome.Result != scheduler.Complete {
 		panic(outcome.Result)
 	}
 }
--- a/internal/adapters/proxy/circuit.go
+++ b/internal/adapters/proxy/circuit.go
@@ -29,68 +29,68 @@
 }
 
 // begin tells whether the circuit can take a call. If not, nothing of it is written.
-func (connection *conn) begin(ends time.Time) bool {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	now := connection.now()
-	if !now.Before(ends) || (!connection.restedAt.IsZero() && now.Sub(connection.restedAt) > connection.rests) {
-		connection.shut = true
+func (c *conn) begin(ends time.Time) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.now()
+	if !now.Before(ends) || (!c.restedAt.IsZero() && now.Sub(c.restedAt) > c.rests) {
+		c.shut = true
 	}
-	connection.wrote, connection.heard = false, false
-	return !connection.shut
+	c.wrote, c.heard = false, false
+	return !c.shut
 }
 
 // rested tells whether the circuit rested for as long as its server keeps it.
-func (connection *conn) rested(now time.Time) bool {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	return now.Sub(connection.restedAt) > connection.rests
+func (c *conn) rested(now time.Time) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return now.Sub(c.restedAt) > c.rests
 }
 
 // rest notes the end of a call, and how long the server then keeps the circuit.
-func (connection *conn) rest(length time.Duration) {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	connection.restedAt, connection.rests = connection.now(), length
+func (c *conn) rest(length time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.restedAt, c.rests = c.now(), length
 }
 
 // end closes the circuit. After it the circuit certainly takes nothing more; it tells
 // whether anything of the call may have left, and whether anything came.
-func (connection *conn) end() (wrote, heard bool) {
-	connection.mutex.Lock()
-	connection.shut = true
-	wrote, heard = connection.wrote || connection.writing, connection.heard
-	connection.mutex.Unlock()
-	_ = connection.Conn.Close()
+func (c *conn) end() (wrote, heard bool) {
+	c.mutex.Lock()
+	c.shut = true
+	wrote, heard = c.wrote || c.writing, c.heard
+	c.mutex.Unlock()
+	_ = c.Conn.Close()
 	return wrote, heard
 }
 
 var errShut = failure.New(failure.Unreachable, "the circuit takes no more calls")
 
 // Write sends, unless the circuit was shut before.
-func (connection *conn) Write(content []byte) (int, error) {
-	connection.mutex.Lock()
-	if connection.shut {
-		connection.mutex.Unlock()
+func (c *conn) Write(content []byte) (int, error) {
+	c.mutex.Lock()
+	if c.shut {
+		c.mutex.Unlock()
 		return 0, errShut
 	}
-	connection.writing = true
-	connection.mutex.Unlock()
-	written, err := connection.Conn.Write(content)
-	connection.mutex.Lock()
-	connection.writing = false
-	connection.wrote = connection.wrote || written > 0
-	connection.mutex.Unlock()
+	c.writing = true
+	c.mutex.Unlock()
+	written, err := c.Conn.Write(content)
+	c.mutex.Lock()
+	c.writing = false
+	c.wrote = c.wrote || written > 0
+	c.mutex.Unlock()
 	return written, err
 }
 
 // Read receives.
-func (connection *conn) Read(buffer []byte) (int, error) {
-	read, err := connection.Conn.Read(buffer)
+func (c *conn) Read(buffer []byte) (int, error) {
+	read, err := c.Conn.Read(buffer)
 	if read > 0 {
-		connection.mutex.Lock()
-		connection.heard = true
-		connection.mutex.Unlock()
+		c.mutex.Lock()
+		c.heard = true
+		c.mutex.Unlock()
 	}
 	return read, err
 }
--- a/internal/adapters/proxy/circuits.go
+++ b/internal/adapters/proxy/circuits.go
@@ -99,10 +99,10 @@
 
 // take gives a resting circuit that is still good, or opens one. Failing means that
 // nothing was sent.
-func (connections *Connections) take(lifetime context.Context, server membership.Server, ends time.Time) (*line, error) {
+func (c *Connections) take(lifetime context.Context, server membership.Server, ends time.Time) (*line, error) {
 	key := incarnationOf(server)
 	for {
-		rested := connections.pop(key)
+		rested := c.pop(key)
 		if rested == nil {
 			break
 		}
@@ -111,14 +111,14 @@
 		}
 		rested.close()
 	}
-	connection := &conn{now: connections.now}
-	client, err := connections.transport.NewClientConn(context.WithValue(lifetime, connectionKey{}, connection), "http", server.Address)
+	connection := &conn{now: c.now}
+	client, err := c.transport.NewClientConn(context.WithValue(lifetime, connectionKey{}, connection), "http", server.Address)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	connections.mutex.Lock()
-	connections.opened++
-	connections.mutex.Unlock()
+	c.mutex.Lock()
+	c.opened++
+	c.mutex.Unlock()
 	opened := &line{incarnation: key, connection: connection, client: client}
 	if !connection.begin(ends) {
 		opened.close()
@@ -127,40 +127,40 @@
 	return opened, nil
 }
 
-func (connections *Connections) pop(key incarnation) *line {
-	connections.mutex.Lock()
-	defer connections.mutex.Unlock()
-	resting := connections.resting[key]
+func (c *Connections) pop(key incarnation) *line {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	resting := c.resting[key]
 	if len(resting) == 0 {
 		return nil
 	}
 	last := resting[len(resting)-1]
 	resting[len(resting)-1] = nil
-	connections.resting[key] = resting[:len(resting)-1]
+	c.resting[key] = resting[:len(resting)-1]
 	return last
 }
 
 // give takes a circuit back after a whole answer. Rests is what the answer said of how
 // long the server keeps it.
-func (connections *Connections) give(used *line, rests time.Duration) {
+func (c *Connections) give(used *line, rests time.Duration) {
 	if used.client.Err() != nil || used.client.Available() == 0 {
 		used.close()
 		return
 	}
 	used.connection.rest(rests)
-	now := connections.now()
+	now := c.now()
 	var surplus []*line
-	connections.mutex.Lock()
-	if connections.listed != nil && !connections.listed[used.incarnation] {
+	c.mutex.Lock()
+	if c.listed != nil && !c.listed[used.incarnation] {
 		surplus = append(surplus, used)
 	} else {
-		connections.resting[used.incarnation] = append(connections.resting[used.incarnation], used)
+		c.resting[used.incarnation] = append(c.resting[used.incarnation], used)
 	}
-	if now.Sub(connections.swept) >= sweepPause {
-		connections.swept = now
-		surplus = append(surplus, connections.sweep(now)...)
+	if now.Sub(c.swept) >= sweepPause {
+		c.swept = now
+		surplus = append(surplus, c.sweep(now)...)
 	}
-	connections.mutex.Unlock()
+	c.mutex.Unlock()
 	for _, line := range surplus {
 		line.close()
 	}
@@ -168,9 +168,9 @@
 
 // sweep takes out the circuits that rested too long, that their servers closed or that
 // are too many.
-func (connections *Connections) sweep(now time.Time) []*line {
+func (c *Connections) sweep(now time.Time) []*line {
 	var surplus []*line
-	for key, resting := range connections.resting {
+	for key, resting := range c.resting {
 		kept := resting[:0]
 		for position, line := range resting {
 			if line.client.Err() != nil || line.connection.rested(now) || len(resting)-position > mostResting {
@@ -181,45 +181,45 @@
 		}
 		clear(resting[len(kept):])
 		if len(kept) == 0 {
-			delete(connections.resting, key)
+			delete(c.resting, key)
 		} else {
-			connections.resting[key] = kept
+			c.resting[key] = kept
 		}
 	}
 	return surplus
 }
 
 // SetServers drops the circuits to lives that are listed no more.
-func (connections *Connections) SetServers(servers []membership.Server) {
+func (c *Connections) SetServers(servers []membership.Server) {
 	listed := make(map[incarnation]bool, len(servers))
 	for _, server := range servers {
 		listed[incarnationOf(server)] = true
 	}
 	var surplus []*line
-	connections.mutex.Lock()
-	connections.listed = listed
-	for key, resting := range connections.resting {
+	c.mutex.Lock()
+	c.listed = listed
+	for key, resting := range c.resting {
 		if !listed[key] {
 			surplus = append(surplus, resting...)
-			delete(connections.resting, key)
+			delete(c.resting, key)
 		}
 	}
-	connections.mutex.Unlock()
+	c.mutex.Unlock()
 	for _, line := range surplus {
 		line.close()
 	}
 }
 
 // Opened counts the circuits that came up.
-func (connections *Connections) Opened() uint64 {
-	connections.mutex.Lock()
-	defer connections.mutex.Unlock()
-	return connections.opened
+func (c *Connections) Opened() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.opened
 }
 
-func (line *line) close() {
-	_, _ = line.connection.end()
-	_ = line.client.Close()
+func (l *line) close() {
+	_, _ = l.connection.end()
+	_ = l.client.Close()
 }
 
 // readRests reads how long a server keeps the circuit.
--- a/internal/adapters/proxy/clientconnection.go
+++ b/internal/adapters/proxy/clientconnection.go
@@ -22,47 +22,47 @@
 }
 
 // enter notes that the connection changed its state.
-func (connection *clientConnection) enter(state http.ConnState, now time.Time) {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	connection.state, connection.since, connection.admitted = state, now, false
+func (c *clientConnection) enter(state http.ConnState, now time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.state, c.since, c.admitted = state, now, false
 }
 
 // admit tells whether the request that was read whole may be passed on. From then on
 // until its answer is over the connection is not dismissed.
-func (connection *clientConnection) admit() bool {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	connection.admitted = !connection.dismissed
-	return connection.admitted
+func (c *clientConnection) admit() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.admitted = !c.dismissed
+	return c.admitted
 }
 
 // dismissIfLate tells whether the client took or rested too long, and has the
 // connection pass nothing on from then on. It gives the state in which that was found.
-func (connection *clientConnection) dismissIfLate(now time.Time, limits config.Limits) (http.ConnState, bool) {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	if !connection.admitted && now.Sub(connection.since) > connection.patience(limits) {
-		connection.dismissed = true
+func (c *clientConnection) dismissIfLate(now time.Time, limits config.Limits) (http.ConnState, bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if !c.admitted && now.Sub(c.since) > c.patience(limits) {
+		c.dismissed = true
 	}
-	return connection.state, connection.dismissed
+	return c.state, c.dismissed
 }
 
 // dismissIfIdle has a connection that rests pass nothing on from now on, and tells whether
 // it rests.
-func (connection *clientConnection) dismissIfIdle() bool {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	if connection.state != http.StateIdle || connection.admitted {
+func (c *clientConnection) dismissIfIdle() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.state != http.StateIdle || c.admitted {
 		return false
 	}
-	connection.dismissed = true
+	c.dismissed = true
 	return true
 }
 
 // patience is how long the connection may stay in its state. The caller has the mutex.
-func (connection *clientConnection) patience(limits config.Limits) time.Duration {
-	switch connection.state {
+func (c *clientConnection) patience(limits config.Limits) time.Duration {
+	switch c.state {
 	case http.StateNew:
 		return limits.HeaderPatience
 	case http.StateIdle:
--- a/internal/adapters/proxy/clientconnection_test.go
+++ b/internal/adapters/proxy/clientconnection_test.go
@@ -42,32 +42,32 @@
 
 // stepServed is one step of the serving thread: the head is read, the body is read and
 // asked for, the request is passed on, its answer is over and the connection rests.
-func (model *connectionModel) stepServed(now time.Time) {
-	switch model.served {
+func (c *connectionModel) stepServed(now time.Time) {
+	switch c.served {
 	case 0:
-		model.connection.enter(http.StateActive, now)
+		c.connection.enter(http.StateActive, now)
 	case 1:
-		model.refused = !model.connection.admit()
+		c.refused = !c.connection.admit()
 	case 2:
-		model.passed = !model.refused
+		c.passed = !c.refused
 	case 3:
 		// The answer: it is lost if the connection was closed.
-		if !model.closed {
-			model.passed = false
+		if !c.closed {
+			c.passed = false
 		}
-		model.connection.enter(http.StateIdle, now)
+		c.connection.enter(http.StateIdle, now)
 	}
-	model.served++
+	c.served++
 }
 
-func (model *connectionModel) stepDismissal(now time.Time, limits config.Limits, decide dismissalDecision) {
-	switch model.dismissal {
+func (c *connectionModel) stepDismissal(now time.Time, limits config.Limits, decide dismissalDecision) {
+	switch c.dismissal {
 	case 0:
-		model.decided = decide(model, now, limits)
+		c.decided = decide(c, now, limits)
 	case 1:
-		model.closed = model.closed || model.decided
+		c.closed = c.closed || c.decided
 	}
-	model.dismissal++
+	c.dismissal++
 }
 
 // explore runs all interleavings and counts them, and those in which a request was passed
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -83,22 +83,22 @@
 
 // send sends the call and waits for the head of the answer. When false is given, the
 // dispatch is over and its outcome is set.
-func (exchange *exchange) send(decision scheduler.Decision, change func(header http.Header)) (*dispatch, bool) {
-	words := &exchange.intake.words
-	lifetime, cancel := context.WithCancel(exchange.inbound.Context())
-	sent := &dispatch{exchange: exchange, decision: decision, lifetime: lifetime, cancel: cancel,
-		until: time.Now().Add(decision.Ends.Sub(exchange.intake.now()))}
+func (e *exchange) send(decision scheduler.Decision, change func(header http.Header)) (*dispatch, bool) {
+	words := &e.intake.words
+	lifetime, cancel := context.WithCancel(e.inbound.Context())
+	sent := &dispatch{exchange: e, decision: decision, lifetime: lifetime, cancel: cancel,
+		until: time.Now().Add(decision.Ends.Sub(e.intake.now()))}
 	patience := sent.left()
 	if decision.Patience > 0 {
 		patience = min(patience, decision.Patience)
 	}
 	sent.timer = time.AfterFunc(patience, sent.expire)
-	line, err := exchange.intake.connections.take(lifetime, decision.Server, sent.until)
+	line, err := e.intake.connections.take(lifetime, decision.Server, sent.until)
 	if err != nil {
 		return sent, sent.fail(scheduler.Unreached)
 	}
 	sent.line = line
-	header := maps.Clone(exchange.header)
+	header := maps.Clone(e.header)
 	header[words.Target] = []string{decision.Server.Name}
 	if decision.Urgency >= 0 {
 		header[words.Urgency] = []string{strconv.Itoa(decision.Urgency)}
@@ -106,16 +106,16 @@
 	change(header)
 	left := max(1, time.Until(sent.until).Milliseconds())
 	header[words.Limit] = []string{strconv.FormatInt(left, 10)}
-	outbound := (&http.Request{Method: exchange.inbound.Method, URL: &url.URL{Scheme: "http", Host: decision.Server.Address, Opaque: exchange.target},
-		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: exchange.inbound.Host,
-		Body: http.NoBody, ContentLength: int64(len(exchange.body))}).WithContext(lifetime)
-	if len(exchange.body) > 0 {
-		outbound.Body = io.NopCloser(bytes.NewReader(exchange.body))
+	outbound := (&http.Request{Method: e.inbound.Method, URL: &url.URL{Scheme: "http", Host: decision.Server.Address, Opaque: e.target},
+		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: e.inbound.Host,
+		Body: http.NoBody, ContentLength: int64(len(e.body))}).WithContext(lifetime)
+	if len(e.body) > 0 {
+		outbound.Body = io.NopCloser(bytes.NewReader(e.body))
 	}
-	if strings.HasPrefix(exchange.target, "//") {
+	if strings.HasPrefix(e.target, "//") {
 		// An opaque part with two slashes would be sent in the absolute form.
-		path, query, asked := strings.Cut(exchange.target, "?")
-		outbound.URL = &url.URL{Scheme: "http", Host: decision.Server.Address, Path: exchange.inbound.URL.Path, RawPath: path, RawQuery: query, ForceQuery: asked}
+		path, query, asked := strings.Cut(e.target, "?")
+		outbound.URL = &url.URL{Scheme: "http", Host: decision.Server.Address, Path: e.inbound.URL.Path, RawPath: path, RawQuery: query, ForceQuery: asked}
 	}
 	sent.response, err = line.client.RoundTrip(outbound)
 	if err != nil {
@@ -133,71 +133,71 @@
 
 // expire ends a dispatch that takes too long. An origin that takes too long to read is
 // not waited for either.
-func (sent *dispatch) expire() {
-	sent.cancel()
-	if sent.exchange.begun.Load() && !time.Now().Before(sent.until) {
-		_ = http.NewResponseController(sent.exchange.writer).SetWriteDeadline(time.Now())
+func (d *dispatch) expire() {
+	d.cancel()
+	if d.exchange.begun.Load() && !time.Now().Before(d.until) {
+		_ = http.NewResponseController(d.exchange.writer).SetWriteDeadline(time.Now())
 	}
 }
 
 // fail ends a dispatch whose answer can't be used; the circuit goes with it.
-func (sent *dispatch) fail(result scheduler.Result) bool {
-	if sent.exchange.inbound.Context().Err() != nil {
+func (d *dispatch) fail(result scheduler.Result) bool {
+	if d.exchange.inbound.Context().Err() != nil {
 		result = scheduler.Gone
 	}
 	if result == scheduler.Gone {
-		sent.exchange.ending = left
+		d.exchange.ending = left
 	}
-	sent.note(result)
-	sent.cancel()
-	if sent.line != nil {
-		sent.line.close()
+	d.note(result)
+	d.cancel()
+	if d.line != nil {
+		d.line.close()
 	}
-	if sent.response != nil {
-		_ = sent.response.Body.Close()
+	if d.response != nil {
+		_ = d.response.Body.Close()
 	}
 	return false
 }
 
 // note keeps the result of a dispatch that is over.
-func (sent *dispatch) note(result scheduler.Result) {
-	sent.outcome.Result = result
-	sent.timer.Stop()
-	sent.exchange.intake.meter.dispatched(sent.decision.Kind, result)
+func (d *dispatch) note(result scheduler.Result) {
+	d.outcome.Result = result
+	d.timer.Stop()
+	d.exchange.intake.meter.dispatched(d.decision.Kind, result)
 }
 
 // finish ends a dispatch whose answer was read to its end.
-func (sent *dispatch) finish(result scheduler.Result) {
-	sent.note(result)
-	_ = sent.response.Body.Close()
-	if result == scheduler.Misdirected || sent.response.Close {
-		sent.line.close()
+func (d *dispatch) finish(result scheduler.Result) {
+	d.note(result)
+	_ = d.response.Body.Close()
+	if result == scheduler.Misdirected || d.response.Close {
+		d.line.close()
 	} else {
-		sent.outcome.Rests = readRests(sent.response.Header)
-		sent.exchange.intake.connections.give(sent.line, sent.outcome.Rests)
+		d.outcome.Rests = readRests(d.response.Header)
+		d.exchange.intake.connections.give(d.line, d.outcome.Rests)
 	}
-	sent.cancel()
+	d.cancel()
 }
 
 // readHead judges the head of an answer: whose it is, and whether it is a success. An
 // answer with another call's id belongs to that one.
-func (sent *dispatch) readHead() bool {
-	exchange, response := sent.exchange, sent.response
+func (d *dispatch) readHead() bool {
+	exchange, response := d.exchange, d.response
 	words := &exchange.intake.words
 	success := response.StatusCode >= 200 && response.StatusCode < 300
 	if response.StatusCode < 200 || response.StatusCode > 599 {
-		return sent.fail(scheduler.Spoilt)
+		return d.fail(scheduler.Spoilt)
 	}
 	if id, found := response.Header[words.ID]; found && (len(id) != 1 || id[0] != exchange.call.ID) || !found && success && exchange.call.ID != "" {
-		return sent.fail(scheduler.Spoilt)
+		return d.fail(scheduler.Spoilt)
 	}
-	sent.outcome.Status = response.StatusCode
+	d.outcome.Status = response.StatusCode
 	if load := response.Header[words.Load]; len(load) == 1 {
-		sent.outcome.Load = readLoad(load[0])
+		d.outcome.Load = readLoad(load[0])
 	}
 	if warming := response.Header[words.Warming]; len(warming) == 1 {
 		if count, err := readCount(warming[0]); err == nil {
-			sent.outcome.Warming = time.Duration(count) * time.Millisecond
+			d.outcome.Warming = time.Duration(count) * time.Millisecond
 		}
 	}
 	if success {
@@ -205,9 +205,9 @@
 	}
 	body, err := readBounded(response.Body, response.ContentLength, mostKept)
 	if err != nil {
-		return sent.fail(scheduler.Silent)
+		return d.fail(scheduler.Silent)
 	}
-	sent.outcome.First = exchange.intake.now()
+	d.outcome.First = exchange.intake.now()
 	result := scheduler.Answered
 	switch _, never := response.Header[words.NotStarted]; {
 	case response.StatusCode == http.StatusMisdirectedRequest:
@@ -221,7 +221,7 @@
 	} else {
 		exchange.kept = &answer{status: response.StatusCode, header: response.Header, body: body}
 	}
-	sent.finish(result)
+	d.finish(result)
 	return false
 }
 
@@ -264,10 +264,10 @@
 }
 
 // Read has a server read the prompt.
-func (exchange *exchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	words := &exchange.intake.words
-	exchange.reader = decision.Server
-	sent, success := exchange.send(decision, func(header http.Header) {
+func (e *exchange) Read(decision scheduler.Decision) scheduler.Outcome {
+	words := &e.intake.words
+	e.reader = decision.Server
+	sent, success := e.send(decision, func(header http.Header) {
 		header[words.Stage] = []string{words.StageRead}
 	})
 	if !success {
@@ -283,25 +283,25 @@
 		sent.fail(scheduler.Spoilt)
 		return sent.outcome
 	}
-	sent.outcome.First = exchange.intake.now()
+	sent.outcome.First = e.intake.now()
 	sent.outcome.Handle = handle
 	sent.finish(scheduler.Complete)
 	return sent.outcome
 }
 
 // Run has a server make the answer, which is passed on.
-func (exchange *exchange) Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
-	words := &exchange.intake.words
-	if exchange.begun.Load() && exchange.lastEvent == "" {
+func (e *exchange) Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
+	words := &e.intake.words
+	if e.begun.Load() && e.lastEvent == "" {
 		// Nothing tells where to go on.
 		return scheduler.Outcome{Result: scheduler.Cut}
 	}
-	sent, success := exchange.send(decision, func(header http.Header) {
+	sent, success := e.send(decision, func(header http.Header) {
 		if decision.Source != nil {
 			header[words.Source] = []string{decision.Source.Address + "/" + decision.Source.Handle}
 		}
-		if exchange.lastEvent != "" {
-			header[lastEventHeader] = []string{exchange.lastEvent}
+		if e.lastEvent != "" {
+			header[lastEventHeader] = []string{e.lastEvent}
 		}
 	})
 	if !success {
@@ -311,7 +311,7 @@
 		sent.passEvents(route, began)
 		return sent.outcome
 	}
-	if exchange.begun.Load() {
+	if e.begun.Load() {
 		sent.fail(scheduler.Spoilt)
 		return sent.outcome
 	}
@@ -322,22 +322,22 @@
 const lastEventHeader = "Last-Event-Id"
 
 // extend has the dispatch go on to the call's end, now that its server speaks.
-func (sent *dispatch) extend() { sent.timer.Reset(sent.left()) }
+func (d *dispatch) extend() { d.timer.Reset(d.left()) }
 
 // left is how long the dispatch may go on at the most.
-func (sent *dispatch) left() time.Duration {
-	return time.Until(sent.until) + endsMargin
+func (d *dispatch) left() time.Duration {
+	return time.Until(d.until) + endsMargin
 }
 
 // passHead gives the origin the status and the end-to-end headers of an answer.
-func (exchange *exchange) passHead(response *http.Response) {
-	header := exchange.writer.Header()
+func (e *exchange) passHead(response *http.Response) {
+	header := e.writer.Header()
 	copyEndToEnd(header, response.Header)
 	if response.ContentLength >= 0 {
 		header["Content-Length"] = []string{strconv.FormatInt(response.ContentLength, 10)}
 	}
-	exchange.begun.Store(true)
-	exchange.ending = served
-	exchange.intake.meter.first.UpdateDuration(exchange.began)
-	exchange.writer.WriteHeader(response.StatusCode)
+	e.begun.Store(true)
+	e.ending = served
+	e.intake.meter.first.UpdateDuration(e.began)
+	e.writer.WriteHeader(response.StatusCode)
 }
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -32,16 +32,16 @@
 	wrong []string
 }
 
-func (ledger *ledger) run(id string) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	ledger.ran[id]++
+func (l *ledger) run(id string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.ran[id]++
 }
 
-func (ledger *ledger) runs(id string) int {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	return ledger.ran[id]
+func (l *ledger) runs(id string) int {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.ran[id]
 }
 
 const chunks = 6
--- a/internal/adapters/proxy/gate.go
+++ b/internal/adapters/proxy/gate.go
@@ -75,15 +75,15 @@
 	return gate, nil
 }
 
-func (gate *Gate) serveCall(writer http.ResponseWriter, inbound *http.Request) {
-	if gate.intake.conduct.Leaving() {
+func (g *Gate) serveCall(writer http.ResponseWriter, inbound *http.Request) {
+	if g.intake.conduct.Leaving() {
 		writer.Header()["Connection"] = []string{"close"}
 	}
-	gate.intake.ServeHTTP(writer, inbound)
+	g.intake.ServeHTTP(writer, inbound)
 }
 
-func (gate *Gate) tellReady(writer http.ResponseWriter, _ *http.Request) {
-	if !gate.intake.conduct.Ready() {
+func (g *Gate) tellReady(writer http.ResponseWriter, _ *http.Request) {
+	if !g.intake.conduct.Ready() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(writer, "not ready\n")
 		return
@@ -92,37 +92,37 @@
 }
 
 // Close ends all circuits; those under way get a moment.
-func (gate *Gate) Close() {
+func (g *Gate) Close() {
 	lifetime, cancel := context.WithTimeout(context.Background(), closePatience)
 	defer cancel()
-	for _, server := range gate.servers {
+	for _, server := range g.servers {
 		_ = server.Shutdown(lifetime)
 		_ = server.Close()
 	}
 }
 
-func (gate *Gate) greet(lifetime context.Context, connection net.Conn) context.Context {
-	arrived := &clientConnection{since: gate.now()}
-	gate.mutex.Lock()
-	gate.connections[connection] = arrived
-	gate.mutex.Unlock()
+func (g *Gate) greet(lifetime context.Context, connection net.Conn) context.Context {
+	arrived := &clientConnection{since: g.now()}
+	g.mutex.Lock()
+	g.connections[connection] = arrived
+	g.mutex.Unlock()
 	return context.WithValue(lifetime, clientConnectionKey{}, arrived)
 }
 
-func (gate *Gate) note(connection net.Conn, state http.ConnState) {
-	gate.mutex.Lock()
-	known := gate.connections[connection]
+func (g *Gate) note(connection net.Conn, state http.ConnState) {
+	g.mutex.Lock()
+	known := g.connections[connection]
 	if state == http.StateClosed || state == http.StateHijacked {
-		delete(gate.connections, connection)
+		delete(g.connections, connection)
 	}
-	gate.mutex.Unlock()
+	g.mutex.Unlock()
 	if known != nil {
-		known.enter(state, gate.now())
+		known.enter(state, g.now())
 	}
 }
 
 // watch dismisses the connections of clients that take or rest too long.
-func (gate *Gate) watch(dying <-chan struct{}) {
+func (g *Gate) watch(dying <-chan struct{}) {
 	ticker := time.NewTicker(watchPause)
 	defer ticker.Stop()
 	for {
@@ -130,22 +130,22 @@
 		case <-dying:
 			return
 		case <-ticker.C:
-			gate.dismiss()
+			g.dismiss()
 		}
 	}
 }
 
 // DismissIdle ends the connections that rest, as dismiss does. The node is leaving: its
 // clients find another one now, instead of being refused when they next ask.
-func (gate *Gate) DismissIdle() {
+func (g *Gate) DismissIdle() {
 	var resting []net.Conn
-	gate.mutex.Lock()
-	for connection, known := range gate.connections {
+	g.mutex.Lock()
+	for connection, known := range g.connections {
 		if known.dismissIfIdle() {
 			resting = append(resting, connection)
 		}
 	}
-	gate.mutex.Unlock()
+	g.mutex.Unlock()
 	for _, connection := range resting {
 		_ = connection.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -155,16 +155,16 @@
 // ends by itself when its next read fails, and never under a request: one that crosses
 // the dismissal is refused on the connection and was not passed on. One whose first head
 // takes too long has no request, and is closed.
-func (gate *Gate) dismiss() {
-	limits, now := gate.intake.limits(), gate.now()
+func (g *Gate) dismiss() {
+	limits, now := g.intake.limits(), g.now()
 	dismissed := map[net.Conn]http.ConnState{}
-	gate.mutex.Lock()
-	for connection, known := range gate.connections {
+	g.mutex.Lock()
+	for connection, known := range g.connections {
 		if state, late := known.dismissIfLate(now, limits); late {
 			dismissed[connection] = state
 		}
 	}
-	gate.mutex.Unlock()
+	g.mutex.Unlock()
 	for connection, state := range dismissed {
 		if state == http.StateNew {
 			_ = connection.Close()
--- a/internal/adapters/proxy/intake.go
+++ b/internal/adapters/proxy/intake.go
@@ -59,8 +59,8 @@
 }
 
 // limits are the bounds in force, with defaults for what nobody said.
-func (intake *Intake) limits() config.Limits {
-	limits := intake.conduct.Limits()
+func (i *Intake) limits() config.Limits {
+	limits := i.conduct.Limits()
 	if limits.HeaderBytes == 0 {
 		limits.HeaderBytes = defaultHeaderBytes
 	}
@@ -77,20 +77,20 @@
 }
 
 // ServeHTTP serves one call.
-func (intake *Intake) ServeHTTP(writer http.ResponseWriter, inbound *http.Request) {
+func (i *Intake) ServeHTTP(writer http.ResponseWriter, inbound *http.Request) {
 	began := time.Now()
-	how := intake.serve(writer, inbound, began)
-	intake.meter.ended(how, time.Since(began))
+	how := i.serve(writer, inbound, began)
+	i.meter.ended(how, time.Since(began))
 	if how == cut || how == left {
 		// Returning would look like an answer.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (intake *Intake) serve(writer http.ResponseWriter, inbound *http.Request, began time.Time) ending {
-	arrived := intake.now()
-	words := &intake.words
-	limits := intake.limits()
+func (i *Intake) serve(writer http.ResponseWriter, inbound *http.Request, began time.Time) ending {
+	arrived := i.now()
+	words := &i.words
+	limits := i.limits()
 	id := inbound.Header.Get(words.ID)
 	if headerBytes(inbound) > limits.HeaderBytes {
 		refuse(writer, words.ID, id, http.StatusRequestHeaderFieldsTooLarge, oversize)
@@ -141,8 +141,8 @@
 	if _, found := header["User-Agent"]; !found {
 		header["User-Agent"] = nil
 	}
-	exchange := &exchange{intake: intake, writer: writer, inbound: inbound, began: began, call: call, target: target, header: header, body: body, ending: cut}
-	intake.conduct.Serve(call, exchange)
+	exchange := &exchange{intake: i, writer: writer, inbound: inbound, began: began, call: call, target: target, header: header, body: body, ending: cut}
+	i.conduct.Serve(call, exchange)
 	return exchange.ending
 }
 
@@ -159,18 +159,18 @@
 
 // free gives a prompt's memory back. That it fails is no harm: memory that nobody
 // takes lapses.
-func (intake *Intake) free(server membership.Server, handle string) {
-	lifetime, cancel := context.WithTimeout(intake.lifetime, freePatience)
+func (i *Intake) free(server membership.Server, handle string) {
+	lifetime, cancel := context.WithTimeout(i.lifetime, freePatience)
 	defer cancel()
-	line, err := intake.connections.take(lifetime, server, time.Now().Add(freePatience))
+	line, err := i.connections.take(lifetime, server, time.Now().Add(freePatience))
 	if err != nil {
 		return
 	}
 	header := http.Header{"User-Agent": nil}
 	if server.Name != "" {
-		header[intake.words.Target] = []string{server.Name}
+		header[i.words.Target] = []string{server.Name}
 	}
-	outbound := (&http.Request{Method: http.MethodDelete, URL: &url.URL{Scheme: "http", Host: server.Address, Path: intake.words.HandlePath + handle},
+	outbound := (&http.Request{Method: http.MethodDelete, URL: &url.URL{Scheme: "http", Host: server.Address, Path: i.words.HandlePath + handle},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: server.Address, Body: http.NoBody}).WithContext(lifetime)
 	response, err := line.client.RoundTrip(outbound)
 	if err != nil {
@@ -183,5 +183,5 @@
 		line.close()
 		return
 	}
-	intake.connections.give(line, readRests(response.Header))
+	i.connections.give(line, readRests(response.Header))
 }
--- a/internal/adapters/proxy/lastword.go
+++ b/internal/adapters/proxy/lastword.go
@@ -11,17 +11,17 @@
 )
 
 // Refuse ends the call with a word of our own.
-func (exchange *exchange) Refuse(refusal hatch.Refusal) {
-	if exchange.begun.Load() {
-		exchange.Break()
+func (e *exchange) Refuse(refusal hatch.Refusal) {
+	if e.begun.Load() {
+		e.Break()
 		return
 	}
-	exchange.ending = ending(refusal.Cause)
-	header := exchange.writer.Header()
+	e.ending = ending(refusal.Cause)
+	header := e.writer.Header()
 	if refusal.RetryAfter > 0 {
 		header["Retry-After"] = []string{strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64)}
 	}
-	refuse(exchange.writer, exchange.intake.words.ID, exchange.call.ID, refusal.Status, ending(refusal.Cause))
+	refuse(e.writer, e.intake.words.ID, e.call.ID, refusal.Status, ending(refusal.Cause))
 }
 
 // refuse gives a final word of our own.
@@ -38,37 +38,37 @@
 }
 
 // GivenUp counts why the call is tried no more.
-func (exchange *exchange) GivenUp(reason scheduler.Reason) {
-	if counter, found := exchange.intake.meter.givenUp[reason]; found {
+func (e *exchange) GivenUp(reason scheduler.Reason) {
+	if counter, found := e.intake.meter.givenUp[reason]; found {
 		counter.Inc()
 	}
 }
 
 // Through passes the failing answer of the last dispatch on.
-func (exchange *exchange) Through() bool {
-	kept := exchange.kept
-	if kept == nil || exchange.begun.Load() {
+func (e *exchange) Through() bool {
+	kept := e.kept
+	if kept == nil || e.begun.Load() {
 		return false
 	}
-	exchange.ending = through
-	header := exchange.writer.Header()
+	e.ending = through
+	header := e.writer.Header()
 	copyEndToEnd(header, kept.header)
-	if exchange.inbound.Method != http.MethodHead {
+	if e.inbound.Method != http.MethodHead {
 		header["Content-Length"] = []string{strconv.Itoa(len(kept.body))}
 	}
-	exchange.writer.WriteHeader(kept.status)
-	_, _ = exchange.writer.Write(kept.body)
+	e.writer.WriteHeader(kept.status)
+	_, _ = e.writer.Write(kept.body)
 	return true
 }
 
 // Break ends the answer so that it does not look complete.
-func (exchange *exchange) Break() { exchange.ending = cut }
+func (e *exchange) Break() { e.ending = cut }
 
 // Free gives a prompt's memory back, in a thread of its own.
-func (exchange *exchange) Free(source scheduler.Source) {
-	server := exchange.reader
+func (e *exchange) Free(source scheduler.Source) {
+	server := e.reader
 	if server.Address != source.Address {
 		server = membership.Server{Address: source.Address}
 	}
-	go exchange.intake.free(server, source.Handle)
+	go e.intake.free(server, source.Handle)
 }
--- a/internal/adapters/proxy/meter.go
+++ b/internal/adapters/proxy/meter.go
@@ -59,21 +59,21 @@
 }
 
 // ended notes the end of a call and how long it took.
-func (meter *meter) ended(how ending, took time.Duration) {
-	if counter, found := meter.endings[how]; found {
+func (m *meter) ended(how ending, took time.Duration) {
+	if counter, found := m.endings[how]; found {
 		counter.Inc()
 	}
 	if how == served {
-		meter.whole.Update(took.Seconds())
+		m.whole.Update(took.Seconds())
 	}
 }
 
 // dispatched notes how a dispatch ended.
-func (meter *meter) dispatched(kind scheduler.DecisionKind, result scheduler.Result) {
-	if counter, found := meter.dispatches[kind][result]; found {
+func (m *meter) dispatched(kind scheduler.DecisionKind, result scheduler.Result) {
+	if counter, found := m.dispatches[kind][result]; found {
 		counter.Inc()
 	}
 }
 
 // WriteMetrics writes what was counted in the text format of Prometheus.
-func (intake *Intake) WriteMetrics(target io.Writer) { intake.meter.set.WritePrometheus(target) }
+func (i *Intake) WriteMetrics(target io.Writer) { i.meter.set.WritePrometheus(target) }
--- a/internal/adapters/proxy/passing.go
+++ b/internal/adapters/proxy/passing.go
@@ -11,51 +11,51 @@
 
 // passWhole passes an answer on that is no stream: at once when it is all there, or,
 // when it is too large for that, as it comes.
-func (sent *dispatch) passWhole() {
-	exchange, response := sent.exchange, sent.response
+func (d *dispatch) passWhole() {
+	exchange, response := d.exchange, d.response
 	body, err := readBounded(response.Body, response.ContentLength, mostKept)
-	sent.outcome.First = exchange.intake.now()
+	d.outcome.First = exchange.intake.now()
 	if err == nil {
 		exchange.passHead(response)
 		if _, err := exchange.writer.Write(body); err != nil && err != http.ErrBodyNotAllowed {
-			sent.fail(scheduler.Gone)
+			d.fail(scheduler.Gone)
 			return
 		}
-		sent.finish(scheduler.Complete)
+		d.finish(scheduler.Complete)
 		return
 	}
 	if err != errOversize {
-		sent.fail(scheduler.Silent)
+		d.fail(scheduler.Silent)
 		return
 	}
-	sent.extend()
+	d.extend()
 	exchange.passHead(response)
 	buffer := make([]byte, copyBuffer)
 	for {
 		if _, err := exchange.writer.Write(body); err != nil {
-			sent.fail(scheduler.Gone)
+			d.fail(scheduler.Gone)
 			return
 		}
 		read, err := response.Body.Read(buffer)
 		body = buffer[:read]
 		if err == io.EOF {
 			if _, err := exchange.writer.Write(body); err != nil {
-				sent.fail(scheduler.Gone)
+				d.fail(scheduler.Gone)
 				return
 			}
-			sent.finish(scheduler.Complete)
+			d.finish(scheduler.Complete)
 			return
 		}
 		if err != nil {
-			sent.fail(scheduler.Cut)
+			d.fail(scheduler.Cut)
 			return
 		}
 	}
 }
 
 // passEvents passes a stream on, whole event by whole event, each at once.
-func (sent *dispatch) passEvents(route *config.CallRoute, began func()) {
-	exchange, response := sent.exchange, sent.response
+func (d *dispatch) passEvents(route *config.CallRoute, began func()) {
+	exchange, response := d.exchange, d.response
 	resumed := exchange.begun.Load()
 	// A stream may go on from another server: its length is then not the first's.
 	response.ContentLength = -1
@@ -67,25 +67,25 @@
 	for {
 		if len(text) == cap(text) {
 			if len(text) >= mostEvent {
-				sent.breakOff()
+				d.breakOff()
 				return
 			}
 			text = append(text, make([]byte, len(text))...)[:len(text)]
 		}
-		silence := sent.decision.Silence
+		silence := d.decision.Silence
 		if silence > 0 && exchange.begun.Load() {
-			sent.timer.Reset(min(silence, sent.left()))
+			d.timer.Reset(min(silence, d.left()))
 		} else {
 			silence = 0
 		}
 		read, ended := response.Body.Read(text[len(text):cap(text)])
 		if silence > 0 {
-			sent.extend()
+			d.extend()
 		}
 		text = text[:len(text)+read]
-		if read > 0 && sent.outcome.First.IsZero() {
-			sent.outcome.First = exchange.intake.now()
-			sent.extend()
+		if read > 0 && d.outcome.First.IsZero() {
+			d.outcome.First = exchange.intake.now()
+			d.extend()
 			began()
 		}
 		whole, passed := 0, false
@@ -110,14 +110,14 @@
 				exchange.passHead(response)
 			}
 			if _, err := exchange.writer.Write(event); err != nil {
-				sent.fail(scheduler.Gone)
+				d.fail(scheduler.Gone)
 				return
 			}
 			passed = true
 		}
 		if passed && ended != io.EOF {
 			if err := flusher.Flush(); err != nil {
-				sent.fail(scheduler.Gone)
+				d.fail(scheduler.Gone)
 				return
 			}
 		}
@@ -125,11 +125,11 @@
 			if !exchange.begun.Load() {
 				exchange.passHead(response)
 			}
-			sent.finish(scheduler.Complete)
+			d.finish(scheduler.Complete)
 			return
 		}
 		if ended != nil {
-			sent.breakOff()
+			d.breakOff()
 			return
 		}
 		text = text[:copy(text, text[whole:])]
@@ -137,12 +137,12 @@
 }
 
 // breakOff ends a dispatch whose success broke off.
-func (sent *dispatch) breakOff() {
-	if sent.exchange.begun.Load() {
-		sent.fail(scheduler.Cut)
+func (d *dispatch) breakOff() {
+	if d.exchange.begun.Load() {
+		d.fail(scheduler.Cut)
 		return
 	}
-	sent.fail(scheduler.Silent)
+	d.fail(scheduler.Silent)
 }
 
 // behind tells whether an event comes after another, by their ids: as numbers, or else
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -41,12 +41,12 @@
 	number int
 }
 
-func (connection *callerConnection) say(text string) { _, _ = io.WriteString(connection, text) }
+func (c *callerConnection) say(text string) { _, _ = io.WriteString(c, text) }
 
 // reset closes the circuit so that what is on its way is lost.
-func (connection *callerConnection) reset() {
-	_ = connection.Conn.(*net.TCPConn).SetLinger(0)
-	_ = connection.Close()
+func (c *callerConnection) reset() {
+	_ = c.Conn.(*net.TCPConn).SetLinger(0)
+	_ = c.Close()
 }
 
 func newStandin(t *testing.T, act func(conn *callerConnection, inbound *http.Request) bool) *standin {
@@ -83,7 +83,7 @@
 	return standin
 }
 
-func (standin *standin) serve(connection *callerConnection) {
+func (s *standin) serve(connection *callerConnection) {
 	defer func() { _ = connection.Close() }()
 	for {
 		inbound, err := http.ReadRequest(connection.reader)
@@ -94,27 +94,27 @@
 		if err != nil {
 			return
 		}
-		standin.mutex.Lock()
-		standin.calls = append(standin.calls, inbound)
-		standin.bodies = append(standin.bodies, body)
-		standin.mutex.Unlock()
-		if !standin.act(connection, inbound) {
+		s.mutex.Lock()
+		s.calls = append(s.calls, inbound)
+		s.bodies = append(s.bodies, body)
+		s.mutex.Unlock()
+		if !s.act(connection, inbound) {
 			return
 		}
 	}
 }
 
-func (standin *standin) count() int {
-	standin.mutex.Lock()
-	defer standin.mutex.Unlock()
-	return len(standin.calls)
+func (s *standin) count() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.calls)
 }
 
 // saw tells whether a call came.
-func (standin *standin) saw(id string) bool {
-	standin.mutex.Lock()
-	defer standin.mutex.Unlock()
-	for _, inbound := range standin.calls {
+func (s *standin) saw(id string) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, inbound := range s.calls {
 		if inbound.Header.Get("Seamloom-Call") == id {
 			return true
 		}
@@ -122,16 +122,16 @@
 	return false
 }
 
-func (standin *standin) opened() int {
-	standin.mutex.Lock()
-	defer standin.mutex.Unlock()
-	return standin.connections
+func (s *standin) opened() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.connections
 }
 
-func (standin *standin) call(number int) (*http.Request, []byte) {
-	standin.mutex.Lock()
-	defer standin.mutex.Unlock()
-	return standin.calls[number], standin.bodies[number]
+func (s *standin) call(number int) (*http.Request, []byte) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.calls[number], s.bodies[number]
 }
 
 // whole is an answer with a length.
@@ -174,24 +174,24 @@
 }
 
 // Limits bound what an origin may send.
-func (scripted *scripted) Limits() config.Limits { return scripted.limits }
+func (s *scripted) Limits() config.Limits { return s.limits }
 
 // Ready tells whether calls are welcome.
-func (scripted *scripted) Ready() bool { return !scripted.leaving.Load() }
+func (s *scripted) Ready() bool { return !s.leaving.Load() }
 
 // Leaving tells that circuits are to end.
-func (scripted *scripted) Leaving() bool { return scripted.leaving.Load() }
+func (s *scripted) Leaving() bool { return s.leaving.Load() }
 
 // Serve carries the script out.
-func (scripted *scripted) Serve(call *scheduler.Call, exchange hatch.Exchange) {
-	scripted.active.Add(1)
-	defer scripted.active.Add(-1)
-	scripted.mutex.Lock()
-	scripted.calls = append(scripted.calls, call)
-	scripted.mutex.Unlock()
+func (s *scripted) Serve(call *scheduler.Call, exchange hatch.Exchange) {
+	s.active.Add(1)
+	defer s.active.Add(-1)
+	s.mutex.Lock()
+	s.calls = append(s.calls, call)
+	s.mutex.Unlock()
 	var outcome scheduler.Outcome
 	for number := 0; ; number++ {
-		decision := scripted.decide(number, outcome)
+		decision := s.decide(number, outcome)
 		for _, source := range decision.Free {
 			exchange.Free(source)
 		}
@@ -199,7 +199,7 @@
 		case scheduler.Read:
 			outcome = exchange.Read(decision)
 		case scheduler.Run:
-			outcome = exchange.Run(&scripted.route, decision, func() {})
+			outcome = exchange.Run(&s.route, decision, func() {})
 		case scheduler.Through:
 			if !exchange.Through() {
 				exchange.Refuse(hatch.Refusal{Cause: scheduler.Broken, Status: http.StatusBadGateway})
@@ -214,19 +214,19 @@
 		case scheduler.Done:
 			return
 		}
-		scripted.mutex.Lock()
-		scripted.outcomes = append(scripted.outcomes, outcome)
-		scripted.mutex.Unlock()
+		s.mutex.Lock()
+		s.outcomes = append(s.outcomes, outcome)
+		s.mutex.Unlock()
 	}
 }
 
-func (scripted *scripted) last() scheduler.Outcome {
-	scripted.mutex.Lock()
-	defer scripted.mutex.Unlock()
-	if len(scripted.outcomes) == 0 {
+func (s *scripted) last() scheduler.Outcome {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(s.outcomes) == 0 {
 		return scheduler.Outcome{}
 	}
-	return scripted.outcomes[len(scripted.outcomes)-1]
+	return s.outcomes[len(s.outcomes)-1]
 }
 
 // once runs a call at one server and passes on what comes.
@@ -272,9 +272,9 @@
 	return &router{Server: server, intake: intake, connections: connections, scripted: scripted}
 }
 
-func (courier *router) request(t *testing.T, method, path, id, body string, headers ...string) *http.Request {
+func (r *router) request(t *testing.T, method, path, id, body string, headers ...string) *http.Request {
 	t.Helper()
-	outbound, err := http.NewRequest(method, courier.URL+path, strings.NewReader(body))
+	outbound, err := http.NewRequest(method, r.URL+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -306,9 +306,9 @@
 	return reply{status: inbound.StatusCode, header: inbound.Header, body: body, failure: err}
 }
 
-func (courier *router) send(t *testing.T, id, body string, headers ...string) reply {
+func (r *router) send(t *testing.T, id, body string, headers ...string) reply {
 	t.Helper()
-	return send(courier.request(t, http.MethodPost, "/chat/x", id, body, headers...))
+	return send(r.request(t, http.MethodPost, "/chat/x", id, body, headers...))
 }
 
 func joined(numbers ...int) string {
--- a/internal/adapters/proxy/words.go
+++ b/internal/adapters/proxy/words.go
@@ -57,9 +57,9 @@
 }
 
 // Check names every word that is missing. Headers must be in HTTP's canonical case.
-func (words Words) Check() error {
+func (w Words) Check() error {
 	var mistakes error
-	fields := reflect.ValueOf(words)
+	fields := reflect.ValueOf(w)
 	for position := range fields.NumField() {
 		name, text := fields.Type().Field(position).Name, fields.Field(position).String()
 		switch name {
--- a/internal/adapters/router/calls.go
+++ b/internal/adapters/router/calls.go
@@ -19,54 +19,54 @@
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
-func (process *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Window) hatch.Board {
-	chosen := process.chosen
+func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Window) hatch.Board {
+	chosen := p.chosen
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
 	}
-	process.calls.connections = proxy.NewConnections(chosen.Detours)
+	p.calls.connections = proxy.NewConnections(chosen.Detours)
 	return func(deciding *scheduler.Window) hatch.Board {
-		process.calls.conduct = hatch.NewCalls(rt, deciding, process.calls.connections.SetServers)
-		return process.calls.conduct
+		p.calls.conduct = hatch.NewCalls(rt, deciding, p.calls.connections.SetServers)
+		return p.calls.conduct
 	}
 }
 
 // takeCalls makes the intake of calls; nothing listens yet.
-func (process *Process) takeCalls(rt *osruntime.Runtime, reached Ports) error {
-	if process.calls.conduct == nil {
+func (p *Process) takeCalls(rt *osruntime.Runtime, reached Ports) error {
+	if p.calls.conduct == nil {
 		return nil
 	}
 	words := proxy.DefaultWords()
 	if reached.Words != nil {
 		words = *reached.Words
 	}
-	intake, err := proxy.NewIntake(process.lifetime, words, process.calls.connections, process.calls.conduct, rt.Now)
-	process.calls.intake = intake
+	intake, err := proxy.NewIntake(p.lifetime, words, p.calls.connections, p.calls.conduct, rt.Now)
+	p.calls.intake = intake
 	return err
 }
 
 // openCalls begins to listen for calls.
-func (process *Process) openCalls() error {
-	if process.calls.intake == nil {
+func (p *Process) openCalls() error {
+	if p.calls.intake == nil {
 		return nil
 	}
-	gate, err := proxy.Open(&process.tomb, process.calls.intake, process.chosen.CallsAddress, process.chosen.ReadyAddress)
-	process.calls.gate = gate
+	gate, err := proxy.Open(&p.tomb, p.calls.intake, p.chosen.CallsAddress, p.chosen.ReadyAddress)
+	p.calls.gate = gate
 	return err
 }
 
 // retireCalls lets the calls under way end, within the grace.
-func (process *Process) retireCalls(grace time.Duration) {
-	if process.calls.gate == nil {
+func (p *Process) retireCalls(grace time.Duration) {
+	if p.calls.gate == nil {
 		return
 	}
-	process.calls.conduct.Retire(grace, process.calls.gate.DismissIdle)
-	process.calls.gate.Close()
+	p.calls.conduct.Retire(grace, p.calls.gate.DismissIdle)
+	p.calls.gate.Close()
 }
 
 // giveUp ends a process that could not start, and gives the cause.
-func (process *Process) giveUp(cause error) error {
-	process.tomb.Kill(cause)
-	_ = process.tomb.Wait()
+func (p *Process) giveUp(cause error) error {
+	p.tomb.Kill(cause)
+	_ = p.tomb.Wait()
 	return cause
 }
--- a/internal/adapters/router/commands.go
+++ b/internal/adapters/router/commands.go
@@ -25,6 +25,6 @@
 
 // Command has a server take a part. One that is late is worse than none: it ends
 // with the duty's hold.
-func (orderly *orderly) Command(decision auction.Decision, may func() bool) error {
-	return orderly.Within(decision, func(lifetime context.Context) error { return orderly.orders.Order(lifetime, decision, may) })
+func (o *orderly) Command(decision auction.Decision, may func() bool) error {
+	return o.Within(decision, func(lifetime context.Context) error { return o.orders.Order(lifetime, decision, may) })
 }
--- a/internal/adapters/router/counter.go
+++ b/internal/adapters/router/counter.go
@@ -18,24 +18,24 @@
 	"seamloom.example/seamloom/internal/hatch"
 )
 
-func (process *Process) mux() http.Handler {
+func (p *Process) mux() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Post("/v1/inquiries"), func(writer http.ResponseWriter, inbound *http.Request) {
-		process.serveRequest(writer, inbound, nil)
+		p.serveRequest(writer, inbound, nil)
 	})
 	mux.HandleFunc(pat.Post(hatch.PassPath), func(writer http.ResponseWriter, inbound *http.Request) {
-		process.serveRequest(writer, inbound, &hatch.Passage{Nonce: inbound.Header.Get(passageHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
+		p.serveRequest(writer, inbound, &hatch.Passage{Nonce: inbound.Header.Get(passageHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
 	})
-	mux.HandleFunc(pat.Get("/v1/inquiries/:id"), process.getTrace)
+	mux.HandleFunc(pat.Get("/v1/inquiries/:id"), p.getTrace)
 	mux.HandleFunc(pat.Get("/v1/health"), func(writer http.ResponseWriter, _ *http.Request) {
 		answerJSON(writer, http.StatusOK, map[string]any{"healthy": true})
 	})
 	mux.HandleFunc(pat.Get("/v1/usage"), func(writer http.ResponseWriter, _ *http.Request) {
-		answerJSON(writer, http.StatusOK, process.ledger.Rows())
+		answerJSON(writer, http.StatusOK, p.ledger.Rows())
 	})
-	mux.HandleFunc(pat.Get("/v1/ready"), process.getReady)
-	mux.HandleFunc(pat.Get("/v1/metrics"), process.getMetrics)
-	for path, answer := range process.conduct.Answers() {
+	mux.HandleFunc(pat.Get("/v1/ready"), p.getReady)
+	mux.HandleFunc(pat.Get("/v1/metrics"), p.getMetrics)
+	for path, answer := range p.conduct.Answers() {
 		mux.Handle(pat.Post(path), rpc.Answerer(answer))
 	}
 	return mux
@@ -43,13 +43,13 @@
 
 // serveRequest takes an inquiry from its origin, or from a restricted courier
 // that passed it on; one that was passed on is not passed on again.
-func (process *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, passage *hatch.Passage) {
+func (p *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, passage *hatch.Passage) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, hatch.MostRequestBytes))
 	if err != nil {
 		refuse(writer, failure.At(failure.Oversize, "/", err.Error()))
 		return
 	}
-	request, err := hatch.ReadRequest(process.clock.Now(), body)
+	request, err := hatch.ReadRequest(p.clock.Now(), body)
 	if err != nil {
 		refuse(writer, err)
 		return
@@ -57,12 +57,12 @@
 	client := &reply{writer: writer, flusher: http.NewResponseController(writer), inbound: inbound}
 	arrival := hatch.Arrival{Request: request, Body: body, Passage: passage}
 	if passage == nil {
-		process.conduct.Serve(arrival, client)
+		p.conduct.Serve(arrival, client)
 		return
 	}
 	writer.Header().Set("Content-Type", "application/msgpack")
 	encoder := msgpack.NewEncoder(writer)
-	process.conduct.Serve(arrival, &hatch.RecordReply{Request: request.ID, Writer: process.chosen.Name, Left: client.WhenLeft, Send: func(record codec.Record) error {
+	p.conduct.Serve(arrival, &hatch.RecordReply{Request: request.ID, Writer: p.chosen.Name, Left: client.WhenLeft, Send: func(record codec.Record) error {
 		if err := encoder.Encode(record); err != nil {
 			return err
 		}
@@ -81,8 +81,8 @@
 	answerJSON(writer, status, line)
 }
 
-func (process *Process) getTrace(writer http.ResponseWriter, inbound *http.Request) {
-	folded, found := process.conduct.Journal().Fold(pat.Param(inbound, "id"), process.supported)
+func (p *Process) getTrace(writer http.ResponseWriter, inbound *http.Request) {
+	folded, found := p.conduct.Journal().Fold(pat.Param(inbound, "id"), p.supported)
 	if !found {
 		answerJSON(writer, http.StatusNotFound, hatch.ReplyLine{Request: folded.Request, Type: failure.NoSuch, Detail: "this courier's journal has nothing of it"})
 		return
@@ -90,12 +90,12 @@
 	answerJSON(writer, http.StatusOK, folded)
 }
 
-func (process *Process) getReady(writer http.ResponseWriter, _ *http.Request) {
-	now := process.clock.Now()
-	servers := len(process.conduct.Servers())
-	version := process.conduct.InForce()
-	content := map[string]any{"ready": now.Before(process.conduct.Core().ServesUntil()) && servers > 0 && !process.conduct.Core().Draining(), "configuration": version.String(),
-		"servers": servers, "restricted": process.conduct.Core().Restricted()}
+func (p *Process) getReady(writer http.ResponseWriter, _ *http.Request) {
+	now := p.clock.Now()
+	servers := len(p.conduct.Servers())
+	version := p.conduct.InForce()
+	content := map[string]any{"ready": now.Before(p.conduct.Core().ServesUntil()) && servers > 0 && !p.conduct.Core().Draining(), "configuration": version.String(),
+		"servers": servers, "restricted": p.conduct.Core().Restricted()}
 	status := http.StatusOK
 	if content["ready"] == false {
 		status = http.StatusServiceUnavailable
@@ -103,15 +103,15 @@
 	answerJSON(writer, status, content)
 }
 
-func (process *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
+func (p *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	counts := process.conduct.Core().Counts()
-	counts["configuration_number"] = int64(process.conduct.InForce().Number)
-	if process.conduct.Core().Restricted() {
+	counts := p.conduct.Core().Counts()
+	counts["configuration_number"] = int64(p.conduct.InForce().Number)
+	if p.conduct.Core().Restricted() {
 		counts["restricted"] = 1
 	}
-	counts["hold_left_milliseconds"] = max(0, process.conduct.Core().HoldEnds().Sub(process.clock.Now()).Milliseconds())
-	counts["news_silence_milliseconds"] = min(time.Hour.Milliseconds(), process.clock.Now().Sub(process.conduct.Heard()).Milliseconds())
+	counts["hold_left_milliseconds"] = max(0, p.conduct.Core().HoldEnds().Sub(p.clock.Now()).Milliseconds())
+	counts["news_silence_milliseconds"] = min(time.Hour.Milliseconds(), p.clock.Now().Sub(p.conduct.Heard()).Milliseconds())
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
@@ -120,7 +120,7 @@
 	for _, name := range names {
 		_, _ = io.WriteString(writer, "seamloom_"+name+" "+strconv.FormatInt(counts[name], 10)+"\n")
 	}
-	if process.calls.intake != nil {
-		process.calls.intake.WriteMetrics(writer)
+	if p.calls.intake != nil {
+		p.calls.intake.WriteMetrics(writer)
 	}
 }
--- a/internal/adapters/router/passing.go
+++ b/internal/adapters/router/passing.go
@@ -35,10 +35,10 @@
 }
 
 // Pass sends an inquiry on and gives the records of its reply to take.
-func (passing *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+func (p *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	var touched atomic.Bool
 	// The circuit closes when the reply is over or its origin is gone.
-	lifetime, end := context.WithCancel(passing.lifetime)
+	lifetime, end := context.WithCancel(p.lifetime)
 	defer end()
 	whenLeft(end)
 	lifetime = httptrace.WithClientTrace(lifetime, &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { touched.Store(true) }})
@@ -48,7 +48,7 @@
 	}
 	outbound.Header.Set(passageHeader, passage.Nonce)
 	outbound.Header.Set(incarnationHeader, passage.Incarnation)
-	answered, err := passing.client.Do(outbound)
+	answered, err := p.client.Do(outbound)
 	if err != nil {
 		return touched.Load()
 	}
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -98,66 +98,66 @@
 	return process, nil
 }
 
-func (process *Process) observe(event string, detail ...any) { process.logger.Info(event, detail...) }
+func (p *Process) observe(event string, detail ...any) { p.logger.Info(event, detail...) }
 
 // Conduct is what the courier does, for who mounts further ways in.
-func (process *Process) Conduct() *hatch.Router { return process.conduct }
+func (p *Process) Conduct() *hatch.Router { return p.conduct }
 
 // Answer listens on a further address for as long as the process lives.
-func (process *Process) Answer(address string, handler http.Handler) error {
-	return daemon.Serve(&process.tomb, address, handler)
+func (p *Process) Answer(address string, handler http.Handler) error {
+	return daemon.Serve(&p.tomb, address, handler)
 }
 
 // platform is the address of the platform's lists.
-func (process *Process) platform() string {
-	process.mutex.Lock()
-	defer process.mutex.Unlock()
-	return process.chosen.Platform
+func (p *Process) platform() string {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.chosen.Platform
 }
 
 // noteEnd counts an inquiry's use.
-func (process *Process) noteEnd(request *auction.Request, decision auction.Decision) {
-	process.ledger.Note(process.clock.Wall(), usage.Row{Router: process.chosen.Name, Service: request.Service, Client: request.Client,
+func (p *Process) noteEnd(request *auction.Request, decision auction.Decision) {
+	p.ledger.Note(p.clock.Wall(), usage.Row{Router: p.chosen.Name, Service: request.Service, Client: request.Client,
 		Final: string(decision.Final), PromptTokens: int64(request.PromptTokens), Chunks: int64(decision.Chunks)})
 }
 
 // Drain stops letting in, waits for what runs until the patience ends, and
 // ends the process.
-func (process *Process) Drain(patience time.Duration) error {
-	process.conduct.Apply(auction.Event{Kind: auction.DrainStarted})
-	process.logger.Info("draining", "in_flight", process.conduct.Core().InFlightRequests())
-	ends := process.clock.Now().Add(patience)
+func (p *Process) Drain(patience time.Duration) error {
+	p.conduct.Apply(auction.Event{Kind: auction.DrainStarted})
+	p.logger.Info("draining", "in_flight", p.conduct.Core().InFlightRequests())
+	ends := p.clock.Now().Add(patience)
 	ticker := time.NewTicker(tickPause)
 	defer ticker.Stop()
-	process.retireCalls(patience)
-	for process.conduct.Core().InFlightRequests() > 0 && process.clock.Now().Before(ends) {
+	p.retireCalls(patience)
+	for p.conduct.Core().InFlightRequests() > 0 && p.clock.Now().Before(ends) {
 		<-ticker.C
 	}
-	process.logger.Info("drained", "in_flight", process.conduct.Core().InFlightRequests())
-	process.tomb.Kill(nil)
-	return process.tomb.Wait()
+	p.logger.Info("drained", "in_flight", p.conduct.Core().InFlightRequests())
+	p.tomb.Kill(nil)
+	return p.tomb.Wait()
 }
 
 // Dead is closed when the process has ended by itself.
-func (process *Process) Dead() <-chan struct{} { return process.tomb.Dead() }
+func (p *Process) Dead() <-chan struct{} { return p.tomb.Dead() }
 
 // Reload takes settings that may change while the process runs.
-func (process *Process) Reload(next settings.Settings) {
-	process.mutex.Lock()
-	stays := process.chosen.Reload(next)
-	seeds, level, without := process.chosen.Seeds, process.chosen.LogLevel, process.chosen.ServeWithoutHold
-	process.mutex.Unlock()
-	process.conduct.SetSeeds(seeds)
-	process.conduct.SetServeWithoutHold(without)
+func (p *Process) Reload(next settings.Settings) {
+	p.mutex.Lock()
+	stays := p.chosen.Reload(next)
+	seeds, level, without := p.chosen.Seeds, p.chosen.LogLevel, p.chosen.ServeWithoutHold
+	p.mutex.Unlock()
+	p.conduct.SetSeeds(seeds)
+	p.conduct.SetServeWithoutHold(without)
 	if parsed, err := log.ParseLevel(level); err == nil {
-		process.logger.SetLevel(parsed)
+		p.logger.SetLevel(parsed)
 	}
-	process.logger.Info("reloaded", "needs_restart", stays)
+	p.logger.Info("reloaded", "needs_restart", stays)
 }
 
 // Grace is how long what runs may go on after the process was told to end.
-func (process *Process) Grace() time.Duration {
-	process.mutex.Lock()
-	defer process.mutex.Unlock()
-	return process.chosen.Grace
+func (p *Process) Grace() time.Duration {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.chosen.Grace
 }
--- a/internal/adapters/router/reply.go
+++ b/internal/adapters/router/reply.go
@@ -14,27 +14,27 @@
 }
 
 // Begin gives status and headers.
-func (reply *reply) Begin(status, retrySeconds int) {
+func (r *reply) Begin(status, retrySeconds int) {
 	kind := "application/jsonl"
 	if status != http.StatusOK {
 		kind = "application/json"
 	}
-	if reply.writer.Header().Get("Content-Type") == "" {
-		reply.writer.Header().Set("Content-Type", kind)
+	if r.writer.Header().Get("Content-Type") == "" {
+		r.writer.Header().Set("Content-Type", kind)
 	}
 	if retrySeconds > 0 {
-		reply.writer.Header().Set("Retry-After", strconv.Itoa(retrySeconds))
+		r.writer.Header().Set("Retry-After", strconv.Itoa(retrySeconds))
 	}
-	reply.writer.WriteHeader(status)
+	r.writer.WriteHeader(status)
 }
 
 // Line sends one line.
-func (reply *reply) Line(line []byte) error {
-	if _, err := reply.writer.Write(line); err != nil {
+func (r *reply) Line(line []byte) error {
+	if _, err := r.writer.Write(line); err != nil {
 		return err
 	}
-	return reply.flusher.Flush()
+	return r.flusher.Flush()
 }
 
 // WhenLeft has act called when the origin closes its circuit.
-func (reply *reply) WhenLeft(act func()) { context.AfterFunc(reply.inbound.Context(), act) }
+func (r *reply) WhenLeft(act func()) { context.AfterFunc(r.inbound.Context(), act) }
--- a/internal/adapters/rpc/caller.go
+++ b/internal/adapters/rpc/caller.go
@@ -59,11 +59,11 @@
 
 // CallRaw sends an encoded message and returns the encoded answer, as relays
 // do for others.
-func (caller *Caller) CallRaw(lifetime context.Context, address, path string, body []byte, patience time.Duration) ([]byte, error) {
+func (c *Caller) CallRaw(lifetime context.Context, address, path string, body []byte, patience time.Duration) ([]byte, error) {
 	lifetime, end := context.WithTimeout(lifetime, patience)
 	defer end()
 	header := http.Header{"Content-Type": {"application/msgpack"}, "Accept-Encoding": {packing}, "User-Agent": nil}
-	if len(body) >= leastPacked && caller.takers.has(address) {
+	if len(body) >= leastPacked && c.takers.has(address) {
 		body = packInto(body, header)
 	}
 	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
@@ -72,7 +72,7 @@
 	}
 	outbound.Header = header
 	outbound.Header.Set(checksumHeader, checksum(body))
-	inbound, err := caller.client.Do(outbound)
+	inbound, err := c.client.Do(outbound)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	caller.takers.note(address, inbound.Header)
+	c.takers.note(address, inbound.Header)
 	if len(answer) > MostBytes {
 		return nil, failure.New(failure.Oversize, "an answer of more than the largest size")
 	}
--- a/internal/adapters/rpc/line.go
+++ b/internal/adapters/rpc/line.go
@@ -12,6 +12,6 @@
 }
 
 // CallRaw sends an encoded message and returns the encoded answer.
-func (line Line) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
-	return line.Caller.CallRaw(line.Lifetime, address, path, body, patience)
+func (l Line) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
+	return l.Caller.CallRaw(l.Lifetime, address, path, body, patience)
 }
--- a/internal/adapters/rpc/packing.go
+++ b/internal/adapters/rpc/packing.go
@@ -61,25 +61,25 @@
 // mostTakers bounds the memory: who is forgotten is asked plainly once.
 const mostTakers = 4096
 
-func (takers *takers) has(address string) bool {
-	takers.mutex.Lock()
-	defer takers.mutex.Unlock()
-	return takers.addresses[address]
+func (t *takers) has(address string) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.addresses[address]
 }
 
-func (takers *takers) note(address string, answer http.Header) {
+func (t *takers) note(address string, answer http.Header) {
 	takes := strings.Contains(answer.Get("Accept-Encoding"), packing)
-	takers.mutex.Lock()
-	defer takers.mutex.Unlock()
-	if takers.addresses[address] == takes {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.addresses[address] == takes {
 		return
 	}
-	if takers.addresses == nil || len(takers.addresses) >= mostTakers {
-		takers.addresses = map[string]bool{}
+	if t.addresses == nil || len(t.addresses) >= mostTakers {
+		t.addresses = map[string]bool{}
 	}
 	if takes {
-		takers.addresses[address] = true
+		t.addresses[address] = true
 	} else {
-		delete(takers.addresses, address)
+		delete(t.addresses, address)
 	}
 }
--- a/internal/adapters/rpc/packing_test.go
+++ b/internal/adapters/rpc/packing_test.go
@@ -21,8 +21,8 @@
 	without bool
 }
 
-func (counting *counted) RoundTrip(outbound *http.Request) (*http.Response, error) {
-	if counting.without {
+func (c *counted) RoundTrip(outbound *http.Request) (*http.Response, error) {
+	if c.without {
 		outbound.Header.Del("Accept-Encoding")
 	}
 	inbound, err := (&http.Transport{DisableCompression: true, DisableKeepAlives: true}).RoundTrip(outbound)
@@ -31,7 +31,7 @@
 	}
 	content, err := io.ReadAll(inbound.Body)
 	_ = inbound.Body.Close()
-	counting.bytes = len(content)
+	c.bytes = len(content)
 	inbound.Body = io.NopCloser(bytes.NewReader(content))
 	return inbound, err
 }
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -86,7 +86,7 @@
 }
 
 // ReadFile takes the settings of a JSON file over those given.
-func (settings *Settings) ReadFile(path string) error {
+func (s *Settings) ReadFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return failure.At(failure.Missing, "settings file", err.Error())
@@ -101,19 +101,19 @@
 	}
 	var mistakes error
 	object.Visit(func(key []byte, value *fastjson.Value) {
-		mistakes = multierr.Append(mistakes, settings.readField(string(key), value))
+		mistakes = multierr.Append(mistakes, s.readField(string(key), value))
 	})
 	return mistakes
 }
 
-func (settings *Settings) readField(name string, value *fastjson.Value) error {
-	texts := map[string]*string{"name": &settings.Name, "address": &settings.Address, "district": &settings.Zone,
-		"platform": &settings.Platform, "data_folder": &settings.DataFolder, "log_level": &settings.LogLevel, "market": &settings.Market,
-		"calls_address": &settings.CallsAddress, "ready_address": &settings.ReadyAddress, "control_address": &settings.ControlAddress}
-	lists := map[string]*[]string{"seeds": &settings.Seeds, "withhold_flags": &settings.Withhold}
-	numbers := map[string]*int{"most_inquiries": &settings.MostRequests, "flag_settle_milliseconds": &settings.FlagSettle, "borne_losses": &settings.BorneLosses,
-		"most_memory_megabytes": &settings.MostMemory}
-	lengths := map[string]*time.Duration{"acknowledge_wait": &settings.AcknowledgeWait, "serve_without_hold": &settings.ServeWithoutHold, "grace": &settings.Grace, "retire_after": &settings.RetireAfter, "catch_up": &settings.CatchUp, "apply_within": &settings.ApplyWithin}
+func (s *Settings) readField(name string, value *fastjson.Value) error {
+	texts := map[string]*string{"name": &s.Name, "address": &s.Address, "district": &s.Zone,
+		"platform": &s.Platform, "data_folder": &s.DataFolder, "log_level": &s.LogLevel, "market": &s.Market,
+		"calls_address": &s.CallsAddress, "ready_address": &s.ReadyAddress, "control_address": &s.ControlAddress}
+	lists := map[string]*[]string{"seeds": &s.Seeds, "withhold_flags": &s.Withhold}
+	numbers := map[string]*int{"most_inquiries": &s.MostRequests, "flag_settle_milliseconds": &s.FlagSettle, "borne_losses": &s.BorneLosses,
+		"most_memory_megabytes": &s.MostMemory}
+	lengths := map[string]*time.Duration{"acknowledge_wait": &s.AcknowledgeWait, "serve_without_hold": &s.ServeWithoutHold, "grace": &s.Grace, "retire_after": &s.RetireAfter, "catch_up": &s.CatchUp, "apply_within": &s.ApplyWithin}
 	if target, found := texts[name]; found {
 		text, err := value.StringBytes()
 		if err != nil {
@@ -147,7 +147,7 @@
 		if err != nil {
 			return failure.At(failure.WrongType, name, "true or false is needed")
 		}
-		settings.Bootstrap = chosen
+		s.Bootstrap = chosen
 		return nil
 	}
 	if target, found := lists[name]; found {
@@ -170,7 +170,7 @@
 		if err != nil {
 			return failure.At(failure.WrongType, name, "an object is needed")
 		}
-		settings.Detours = map[string]string{}
+		s.Detours = map[string]string{}
 		var mistakes error
 		object.Visit(func(key []byte, value *fastjson.Value) {
 			text, err := value.StringBytes()
@@ -178,7 +178,7 @@
 				mistakes = multierr.Append(mistakes, failure.At(failure.WrongType, name+"/"+string(key), "an address is needed"))
 				return
 			}
-			settings.Detours[string(key)] = string(text)
+			s.Detours[string(key)] = string(text)
 		})
 		return mistakes
 	}
@@ -188,72 +188,72 @@
 var nameShape = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 // Check names all mistakes at once.
-func (settings *Settings) Check() error {
+func (s *Settings) Check() error {
 	var mistakes error
 	wrong := func(kind failure.Kind, path, detail string) {
 		mistakes = multierr.Append(mistakes, failure.At(kind, path, detail))
 	}
-	for path, name := range map[string]string{"name": settings.Name, "district": settings.Zone} {
+	for path, name := range map[string]string{"name": s.Name, "district": s.Zone} {
 		if !nameShape.MatchString(name) {
 			wrong(failure.Missing, path, "needs a name of letters, digits, dots, dashes and underscores, 64 at most")
 		}
 	}
-	addresses := map[string]string{"address": settings.Address, "platform": settings.Platform}
+	addresses := map[string]string{"address": s.Address, "platform": s.Platform}
 	seen := map[string]bool{}
-	for position, seed := range settings.Seeds {
+	for position, seed := range s.Seeds {
 		addresses["seeds/"+strconv.Itoa(position)] = seed
 		if seen[seed] {
 			wrong(failure.Contradictory, "seeds/"+strconv.Itoa(position), "the seed "+seed+" stands twice")
 		}
 		seen[seed] = true
 	}
-	switch count := len(settings.Seeds); {
-	case settings.Bootstrap && count != 3:
+	switch count := len(s.Seeds); {
+	case s.Bootstrap && count != 3:
 		wrong(failure.OutOfRange, "seeds", "three seeds are needed, there are "+strconv.Itoa(count))
 	case count < 1 || count > 3:
 		wrong(failure.OutOfRange, "seeds", "one to three seeds are needed, there are "+strconv.Itoa(count))
 	}
-	settings.checkFurther(addresses, wrong)
+	s.checkFurther(addresses, wrong)
 	for path, address := range addresses {
 		if parsed, err := netip.ParseAddrPort(address); err != nil || parsed.Port() == 0 {
 			wrong(failure.Malformed, path, "needs an IP number and a port, such as 127.0.0.1:7101, not \""+address+"\"")
 		}
 	}
-	switch settings.LogLevel {
+	switch s.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
-		wrong(failure.OutOfRange, "log_level", "is debug, info, warn or error, not \""+settings.LogLevel+"\"")
+		wrong(failure.OutOfRange, "log_level", "is debug, info, warn or error, not \""+s.LogLevel+"\"")
 	}
-	if settings.Kind == membership.Controller && settings.DataFolder == "" {
+	if s.Kind == membership.Controller && s.DataFolder == "" {
 		wrong(failure.Missing, "data_folder", "an expediter keeps files")
 	}
-	if settings.Kind != membership.Controller && settings.DataFolder != "" {
-		wrong(failure.Contradictory, "data_folder", "a "+string(settings.Kind)+" keeps no files")
+	if s.Kind != membership.Controller && s.DataFolder != "" {
+		wrong(failure.Contradictory, "data_folder", "a "+string(s.Kind)+" keeps no files")
 	}
-	if settings.Kind == membership.Router {
-		if settings.Market != "pair" && settings.Market != "least_loaded" {
-			wrong(failure.OutOfRange, "market", "is pair or least_loaded, not \""+settings.Market+"\"")
+	if s.Kind == membership.Router {
+		if s.Market != "pair" && s.Market != "least_loaded" {
+			wrong(failure.OutOfRange, "market", "is pair or least_loaded, not \""+s.Market+"\"")
 		}
-		if settings.MostRequests < 1 {
+		if s.MostRequests < 1 {
 			wrong(failure.OutOfRange, "most_inquiries", "must be at least 1")
 		}
 	}
-	if settings.FlagSettle < 0 {
+	if s.FlagSettle < 0 {
 		wrong(failure.OutOfRange, "flag_settle_milliseconds", "must not be negative")
 	}
-	if settings.MostMemory < 0 {
+	if s.MostMemory < 0 {
 		wrong(failure.OutOfRange, "most_memory_megabytes", "must not be negative")
 	}
-	if settings.BorneLosses < 1 || settings.BorneLosses > 3 {
+	if s.BorneLosses < 1 || s.BorneLosses > 3 {
 		wrong(failure.OutOfRange, "borne_losses", "is 1, 2 or 3")
 	}
-	if settings.ApplyWithin < shortestApplyWithin {
+	if s.ApplyWithin < shortestApplyWithin {
 		wrong(failure.OutOfRange, "apply_within", "must be at least "+shortestApplyWithin.String())
 	}
-	if settings.CatchUp < shortestCatchUp {
+	if s.CatchUp < shortestCatchUp {
 		wrong(failure.OutOfRange, "catch_up", "must be at least "+shortestCatchUp.String())
 	}
-	for position, flag := range settings.Withhold {
+	for position, flag := range s.Withhold {
 		if !features.Supported(nil).Has(features.Flag(flag)) {
 			wrong(failure.OutOfRange, "withhold_flags/"+strconv.Itoa(position), "this build has no flag "+flag)
 		}
@@ -262,12 +262,12 @@
 }
 
 // checkFurther checks the further addresses and the lengths of time.
-func (settings *Settings) checkFurther(addresses map[string]string, wrong func(kind failure.Kind, path, detail string)) {
-	taken := map[string]string{settings.Address: "address"}
+func (s *Settings) checkFurther(addresses map[string]string, wrong func(kind failure.Kind, path, detail string)) {
+	taken := map[string]string{s.Address: "address"}
 	for _, further := range []struct {
 		path, address string
 		kind          membership.NodeKind
-	}{{"calls_address", settings.CallsAddress, membership.Router}, {"ready_address", settings.ReadyAddress, membership.Router}, {"control_address", settings.ControlAddress, membership.Controller}} {
+	}{{"calls_address", s.CallsAddress, membership.Router}, {"ready_address", s.ReadyAddress, membership.Router}, {"control_address", s.ControlAddress, membership.Controller}} {
 		if further.address == "" {
 			continue
 		}
@@ -276,11 +276,11 @@
 			wrong(failure.Contradictory, further.path, "is the same as "+other)
 		}
 		taken[further.address] = further.path
-		if settings.Kind != further.kind && !(settings.Kind == membership.Redirector && further.kind == membership.Controller) {
+		if s.Kind != further.kind && !(s.Kind == membership.Redirector && further.kind == membership.Controller) {
 			wrong(failure.Contradictory, further.path, "is for the kind "+string(further.kind))
 		}
 	}
-	for path, length := range map[string]time.Duration{"acknowledge_wait": settings.AcknowledgeWait, "serve_without_hold": settings.ServeWithoutHold, "grace": settings.Grace, "retire_after": settings.RetireAfter} {
+	for path, length := range map[string]time.Duration{"acknowledge_wait": s.AcknowledgeWait, "serve_without_hold": s.ServeWithoutHold, "grace": s.Grace, "retire_after": s.RetireAfter} {
 		if length < 0 {
 			wrong(failure.OutOfRange, path, "must not be negative")
 		}
@@ -288,9 +288,9 @@
 }
 
 // Supported is the build's list less what the settings withhold.
-func (settings *Settings) Supported() features.List {
+func (s *Settings) Supported() features.List {
 	var withheld features.List
-	for _, flag := range settings.Withhold {
+	for _, flag := range s.Withhold {
 		withheld = append(withheld, features.Flag(flag))
 	}
 	return features.Supported(withheld)
@@ -298,9 +298,9 @@
 
 // Reload takes from the next settings what may change while the process runs,
 // and names what may not and has changed.
-func (settings *Settings) Reload(next Settings) []string {
+func (s *Settings) Reload(next Settings) []string {
 	var stays []string
-	old, fresh := reflect.ValueOf(settings).Elem(), reflect.ValueOf(next)
+	old, fresh := reflect.ValueOf(s).Elem(), reflect.ValueOf(next)
 	for position := range old.NumField() {
 		name := old.Type().Field(position).Name
 		if reflect.DeepEqual(old.Field(position).Interface(), fresh.Field(position).Interface()) {
--- a/internal/adapters/storage/folder.go
+++ b/internal/adapters/storage/folder.go
@@ -35,37 +35,37 @@
 }
 
 // Save writes a file aside, syncs it, renames it and syncs the folder.
-func (folder *Folder) Save(name string, content []byte) error {
+func (f *Folder) Save(name string, content []byte) error {
 	framed := make([]byte, headerSize, headerSize+len(content))
 	copy(framed, magic)
 	binary.BigEndian.PutUint32(framed[len(magic):], crc32.Checksum(content, castagnoli))
 	framed = append(framed, content...)
-	path := filepath.Join(folder.path, name)
-	if err := folder.disk.WriteSynced(path+asideSuffix, framed); err != nil {
+	path := filepath.Join(f.path, name)
+	if err := f.disk.WriteSynced(path+asideSuffix, framed); err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
-	if err := folder.disk.Rename(path+asideSuffix, path); err != nil {
+	if err := f.disk.Rename(path+asideSuffix, path); err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
-	return failure.Wrap(failure.Disk, folder.disk.SyncFolder(folder.path))
+	return failure.Wrap(failure.Disk, f.disk.SyncFolder(f.path))
 }
 
 // Load reads every file; those with a wrong checksum are named as damaged.
 // What was written aside and never renamed is removed.
-func (folder *Folder) Load() (map[string][]byte, []string, error) {
-	names, err := folder.disk.List(folder.path)
+func (f *Folder) Load() (map[string][]byte, []string, error) {
+	names, err := f.disk.List(f.path)
 	if err != nil {
 		return nil, nil, failure.Wrap(failure.Disk, err)
 	}
 	files := map[string][]byte{}
 	var damaged []string
 	for _, name := range names {
-		path := filepath.Join(folder.path, name)
+		path := filepath.Join(f.path, name)
 		if strings.HasSuffix(name, asideSuffix) {
-			_ = folder.disk.Remove(path)
+			_ = f.disk.Remove(path)
 			continue
 		}
-		framed, err := folder.disk.Read(path)
+		framed, err := f.disk.Read(path)
 		if err != nil || len(framed) < headerSize || string(framed[:len(magic)]) != magic ||
 			binary.BigEndian.Uint32(framed[len(magic):]) != crc32.Checksum(framed[headerSize:], castagnoli) {
 			damaged = append(damaged, name)
@@ -77,9 +77,9 @@
 }
 
 // Remove deletes files; one that is gone already is no failure.
-func (folder *Folder) Remove(names []string) error {
+func (f *Folder) Remove(names []string) error {
 	for _, name := range names {
-		if err := folder.disk.Remove(filepath.Join(folder.path, name)); err != nil && !os.IsNotExist(err) {
+		if err := f.disk.Remove(filepath.Join(f.path, name)); err != nil && !os.IsNotExist(err) {
 			return failure.Wrap(failure.Disk, err)
 		}
 	}
--- a/internal/adapters/usage/ledger.go
+++ b/internal/adapters/usage/ledger.go
@@ -19,45 +19,45 @@
 func NewLedger() *Ledger { return &Ledger{rows: map[Row]*Row{}} }
 
 // Note adds one inquiry that has ended.
-func (ledger *Ledger) Note(now time.Time, ended Row) {
+func (l *Ledger) Note(now time.Time, ended Row) {
 	ended.Minute = now.UTC().Truncate(time.Minute).Format(time.RFC3339)
 	key := Row{Minute: ended.Minute, Router: ended.Router, Service: ended.Service, Client: ended.Client, Final: ended.Final}
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	row, found := ledger.rows[key]
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	row, found := l.rows[key]
 	if !found {
-		if len(ledger.rows) >= MostRows {
-			ledger.dropOldest()
+		if len(l.rows) >= MostRows {
+			l.dropOldest()
 		}
 		fresh := key
 		row = &fresh
-		ledger.rows[key] = row
+		l.rows[key] = row
 	}
 	row.Requests++
 	row.PromptTokens += ended.PromptTokens
 	row.Chunks += ended.Chunks
 }
 
-func (ledger *Ledger) dropOldest() {
+func (l *Ledger) dropOldest() {
 	oldest := ""
-	for key := range ledger.rows {
+	for key := range l.rows {
 		if oldest == "" || key.Minute < oldest {
 			oldest = key.Minute
 		}
 	}
-	for key := range ledger.rows {
+	for key := range l.rows {
 		if key.Minute == oldest {
-			delete(ledger.rows, key)
+			delete(l.rows, key)
 		}
 	}
 }
 
 // Rows lists the ledger in order.
-func (ledger *Ledger) Rows() []Row {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	rows := make([]Row, 0, len(ledger.rows))
-	for _, row := range ledger.rows {
+func (l *Ledger) Rows() []Row {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	rows := make([]Row, 0, len(l.rows))
+	for _, row := range l.rows {
 		rows = append(rows, *row)
 	}
 	Sort(rows)
--- a/internal/auction/balance.go
+++ b/internal/auction/balance.go
@@ -39,15 +39,15 @@
 
 // Due tells whether enough time has passed since Decide was asked last for it to look
 // at the servers again.
-func (balance *Balance) Due(now time.Time) bool { return now.Sub(balance.lastAsked) >= balanceBeat }
+func (b *Balance) Due(now time.Time) bool { return now.Sub(b.lastAsked) >= balanceBeat }
 
 // Decide gives the orders that are needed now. Evacuated and leaving servers
 // count for nothing; a leaving one is told to drain.
-func (balance *Balance) Decide(now time.Time, servers []membership.Server, loads map[string]Load, standing map[string]codec.Order, evacuated func(string) bool) []codec.Order {
-	if !balance.Due(now) {
+func (b *Balance) Decide(now time.Time, servers []membership.Server, loads map[string]Load, standing map[string]codec.Order, evacuated func(string) bool) []codec.Order {
+	if !b.Due(now) {
 		return nil
 	}
-	balance.lastAsked = now
+	b.lastAsked = now
 	var orders []codec.Order
 	var prefill, decode, vacant []membership.Server
 	part := func(server membership.Server) Part {
@@ -106,7 +106,7 @@
 		vacant = vacant[1:]
 	}
 	if len(orders) > 0 {
-		balance.lastTurn = now
+		b.lastTurn = now
 		return orders
 	}
 	// The floor: one of each, whatever the pressure.
@@ -116,10 +116,10 @@
 		give(lightest(prefill, loads), Decode, "no server answers")
 	}
 	if len(orders) > 0 {
-		balance.lastTurn = now
+		b.lastTurn = now
 		return orders
 	}
-	if len(prefill) == 0 || len(decode) == 0 || balance.fixed {
+	if len(prefill) == 0 || len(decode) == 0 || b.fixed {
 		return nil
 	}
 	backlog, slots := pressures(prefill, decode, loads)
@@ -127,29 +127,29 @@
 	needDecode := slots > heavySlots && backlog < heavyBacklog && len(prefill) > 1
 	needPrefill = needPrefill && (slots < lightSlots || backlog > 2*heavyBacklog)
 	needDecode = needDecode && (backlog < lightBacklog || slots > 0.9)
-	balance.count(Prefill, needPrefill)
-	balance.count(Decode, needDecode)
-	if now.Sub(balance.lastTurn) < balanceRest {
+	b.count(Prefill, needPrefill)
+	b.count(Decode, needDecode)
+	if now.Sub(b.lastTurn) < balanceRest {
 		return nil
 	}
 	switch {
-	case balance.needs[Prefill] >= balanceTimes:
+	case b.needs[Prefill] >= balanceTimes:
 		give(lightest(decode, loads), Prefill, "prompts wait while answers have room")
-	case balance.needs[Decode] >= balanceTimes:
+	case b.needs[Decode] >= balanceTimes:
 		give(lightest(prefill, loads), Decode, "answers wait while prompts have room")
 	}
 	if len(orders) > 0 {
-		balance.lastTurn = now
-		balance.needs = map[Part]int{}
+		b.lastTurn = now
+		b.needs = map[Part]int{}
 	}
 	return orders
 }
 
-func (balance *Balance) count(part Part, needed bool) {
+func (b *Balance) count(part Part, needed bool) {
 	if needed {
-		balance.needs[part]++
+		b.needs[part]++
 	} else {
-		balance.needs[part] = 0
+		b.needs[part] = 0
 	}
 }
 
--- a/internal/auction/budget.go
+++ b/internal/auction/budget.go
@@ -19,28 +19,28 @@
 )
 
 // First earns a fifth of an extra try.
-func (budget *Budget) First() {
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	budget.first++
-	budget.spare = min(budget.spare+1, mostSpare)
+func (b *Budget) First() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.first++
+	b.spare = min(b.spare+1, mostSpare)
 }
 
 // Extra spends so many extra tries, if there are as many.
-func (budget *Budget) Extra(count int) bool {
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	if budget.spare < count*triesShare {
+func (b *Budget) Extra(count int) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.spare < count*triesShare {
 		return false
 	}
-	budget.spare -= count * triesShare
-	budget.extra += count
+	b.spare -= count * triesShare
+	b.extra += count
 	return true
 }
 
 // Counts tells how many first dispatches and extra tries there were.
-func (budget *Budget) Counts() (first, extra int) {
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	return budget.first, budget.extra
+func (b *Budget) Counts() (first, extra int) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.first, b.extra
 }
--- a/internal/auction/desk.go
+++ b/internal/auction/desk.go
@@ -57,21 +57,21 @@
 
 // SetProgram puts a configuration in force. An older one is passed over: what
 // was in force never comes back.
-func (desk *Desk) SetProgram(program *Program) bool {
+func (d *Desk) SetProgram(program *Program) bool {
 	for {
-		current := desk.program.Load()
+		current := d.program.Load()
 		if current != nil && (program.epoch < current.epoch || program.number <= current.number) {
 			return false
 		}
-		if desk.program.CompareAndSwap(current, program) {
+		if d.program.CompareAndSwap(current, program) {
 			return true
 		}
 	}
 }
 
 // InForce is the version of the configuration in force.
-func (desk *Desk) InForce() (epoch, number uint64) {
-	if program := desk.program.Load(); program != nil {
+func (d *Desk) InForce() (epoch, number uint64) {
+	if program := d.program.Load(); program != nil {
 		return program.epoch, program.number
 	}
 	return 0, 0
@@ -79,20 +79,20 @@
 
 // Renew takes a hold that confirms a configuration's version. A hold for
 // another version than the one in force lets nothing in.
-func (desk *Desk) Renew(holdEnds time.Time, epoch, number uint64) bool {
-	program := desk.program.Load()
+func (d *Desk) Renew(holdEnds time.Time, epoch, number uint64) bool {
+	program := d.program.Load()
 	if program == nil || program.epoch != epoch || program.number != number {
 		return false
 	}
-	if current := desk.holdEnds.Load(); current == nil || current.Before(holdEnds) {
-		desk.holdEnds.Store(&holdEnds)
+	if current := d.holdEnds.Load(); current == nil || current.Before(holdEnds) {
+		d.holdEnds.Store(&holdEnds)
 	}
 	return true
 }
 
 // HoldEnds is when the courier's hold runs out.
-func (desk *Desk) HoldEnds() time.Time {
-	if ends := desk.holdEnds.Load(); ends != nil {
+func (d *Desk) HoldEnds() time.Time {
+	if ends := d.holdEnds.Load(); ends != nil {
 		return *ends
 	}
 	return time.Time{}
@@ -100,108 +100,108 @@
 
 // SetServeWithoutHold chooses how long the desk goes on after its last hold, with the
 // configuration that is in force.
-func (desk *Desk) SetServeWithoutHold(length time.Duration) { desk.withoutHold.Store(int64(length)) }
+func (d *Desk) SetServeWithoutHold(length time.Duration) { d.withoutHold.Store(int64(length)) }
 
 // ServeFrom has the desk let in before its first hold, under a configuration that no
 // primary has confirmed in its life, for as long as it goes on without a hold.
-func (desk *Desk) ServeFrom(now time.Time) { desk.lentAt.CompareAndSwap(nil, &now) }
+func (d *Desk) ServeFrom(now time.Time) { d.lentAt.CompareAndSwap(nil, &now) }
 
 // ServesUntil is until when the desk lets in; without any hold in its life, and no
 // configuration lent to it, it lets nothing in.
-func (desk *Desk) ServesUntil() time.Time {
-	ends := desk.HoldEnds()
-	if lent := desk.lentAt.Load(); ends.IsZero() && lent != nil && desk.withoutHold.Load() > 0 {
+func (d *Desk) ServesUntil() time.Time {
+	ends := d.HoldEnds()
+	if lent := d.lentAt.Load(); ends.IsZero() && lent != nil && d.withoutHold.Load() > 0 {
 		ends = *lent
 	}
 	if ends.IsZero() {
 		return ends
 	}
-	return ends.Add(time.Duration(desk.withoutHold.Load()))
+	return ends.Add(time.Duration(d.withoutHold.Load()))
 }
 
 // SetPassOn tells whether the courier lacks an enabled flag and passes its
 // inquiries to a capable node.
-func (desk *Desk) SetPassOn(restricted bool) { desk.passOn.Store(restricted) }
+func (d *Desk) SetPassOn(restricted bool) { d.passOn.Store(restricted) }
 
 // Drain stops letting in.
-func (desk *Desk) Drain() { desk.draining.Store(true) }
+func (d *Desk) Drain() { d.draining.Store(true) }
 
 // Draining tells whether the desk lets nothing in any more.
-func (desk *Desk) Draining() bool { return desk.draining.Load() }
+func (d *Desk) Draining() bool { return d.draining.Load() }
 
 // InFlight counts the inquiries that have no final line yet.
-func (desk *Desk) InFlight() int { return int(desk.inFlight.Load()) }
+func (d *Desk) InFlight() int { return int(d.inFlight.Load()) }
 
 // Counters counts what the desk has done.
-func (desk *Desk) Counters() *Counters { return &desk.counters }
+func (d *Desk) Counters() *Counters { return &d.counters }
 
 // Budget is the desk's budget of extra tries.
-func (desk *Desk) Budget() *Budget { return desk.budget }
+func (d *Desk) Budget() *Budget { return d.budget }
 
-func (desk *Desk) shard(id string) *shard {
+func (d *Desk) shard(id string) *shard {
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(id))
-	return &desk.shards[digest.Sum32()%uint32(len(desk.shards))]
+	return &d.shards[digest.Sum32()%uint32(len(d.shards))]
 }
 
-func (desk *Desk) serviceCount(service string) *atomic.Int64 {
-	count, _ := desk.service.LoadOrStore(service, &atomic.Int64{})
+func (d *Desk) serviceCount(service string) *atomic.Int64 {
+	count, _ := d.service.LoadOrStore(service, &atomic.Int64{})
 	return count.(*atomic.Int64)
 }
 
 // Arrive lets an inquiry in or refuses it at once.
-func (desk *Desk) Arrive(now time.Time, request *Request) []Decision {
-	desk.counters.Arrived.Add(1)
-	if desk.draining.Load() {
-		return desk.refuse(request, failure.Draining, "this courier is leaving", time.Second)
+func (d *Desk) Arrive(now time.Time, request *Request) []Decision {
+	d.counters.Arrived.Add(1)
+	if d.draining.Load() {
+		return d.refuse(request, failure.Draining, "this courier is leaving", time.Second)
 	}
-	if desk.passOn.Load() {
+	if d.passOn.Load() {
 		return []Decision{{Kind: PassOn, ID: request.ID, Request: request}}
 	}
-	program := desk.program.Load()
-	if program == nil || !now.Before(desk.ServesUntil()) {
-		return desk.refuse(request, failure.NoHold, "the configuration in force is not confirmed", time.Second)
+	program := d.program.Load()
+	if program == nil || !now.Before(d.ServesUntil()) {
+		return d.refuse(request, failure.NoHold, "the configuration in force is not confirmed", time.Second)
 	}
-	ruling, err := program.Rule(request, desk.zone)
+	ruling, err := program.Rule(request, d.zone)
 	if err != nil {
-		return desk.refuse(request, err.Kind, err.Detail, 0)
+		return d.refuse(request, err.Kind, err.Detail, 0)
 	}
-	if desk.inFlight.Load() >= desk.most || desk.serviceCount(request.Service).Load() >= int64(ruling.Service.InFlight) {
-		return desk.refuse(request, failure.Busy, "the courier has as many inquiries as it takes", desk.market.Relief(now))
+	if d.inFlight.Load() >= d.most || d.serviceCount(request.Service).Load() >= int64(ruling.Service.InFlight) {
+		return d.refuse(request, failure.Busy, "the courier has as many inquiries as it takes", d.market.Relief(now))
 	}
 	settled := *request
 	settled.Limit = ruling.limit(now, request.Limit)
 	entry := &ticket{request: &settled, ruling: ruling, tried: map[string]bool{}, stage: ready}
-	bid, found := desk.choose(now, entry)
+	bid, found := d.choose(now, entry)
 	if !found {
-		if desk.nowhere(program, ruling) {
-			return desk.refuse(request, failure.Evacuated, "every district that the route names is evacuated", 5*time.Second)
+		if d.nowhere(program, ruling) {
+			return d.refuse(request, failure.Evacuated, "every district that the route names is evacuated", 5*time.Second)
 		}
-		return desk.refuse(request, failure.Busy, "no pair of servers has room", desk.market.Relief(now))
+		return d.refuse(request, failure.Busy, "no pair of servers has room", d.market.Relief(now))
 	}
 	if now.Add(bid.Price).After(settled.Limit) {
-		return desk.refuse(request, failure.Busy, "no pair of servers would be in time", desk.market.Relief(now))
+		return d.refuse(request, failure.Busy, "no pair of servers would be in time", d.market.Relief(now))
 	}
-	shard := desk.shard(request.ID)
+	shard := d.shard(request.ID)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	if _, found := shard.tickets[request.ID]; found {
-		return desk.refuse(request, failure.Duplicate, "the inquiry is under way", 0)
+		return d.refuse(request, failure.Duplicate, "the inquiry is under way", 0)
 	}
 	shard.tickets[request.ID] = entry
-	desk.inFlight.Add(1)
-	desk.serviceCount(request.Service).Add(1)
+	d.inFlight.Add(1)
+	d.serviceCount(request.Service).Add(1)
 	if !settled.Repeatable {
 		entry.stage = claiming
 		return []Decision{{Kind: ClaimRequest, ID: request.ID, Request: &settled, NotAfter: settled.Limit}}
 	}
-	return desk.takeUp(now, shard, entry, bid, desk.ServesUntil())
+	return d.takeUp(now, shard, entry, bid, d.ServesUntil())
 }
 
 // find locks the shard of an inquiry and returns its ticket if the run is the
 // present one; late news of an older run finds nothing.
-func (desk *Desk) find(id string, run int) (*shard, *ticket) {
-	shard := desk.shard(id)
+func (d *Desk) find(id string, run int) (*shard, *ticket) {
+	shard := d.shard(id)
 	shard.mutex.Lock()
 	entry, found := shard.tickets[id]
 	if !found || (run >= 0 && entry.run != run) {
@@ -212,8 +212,8 @@
 }
 
 // Claimed takes the answer to a claim.
-func (desk *Desk) Claimed(now time.Time, id string, outcome Outcome, detail string) []Decision {
-	shard, entry := desk.find(id, 0)
+func (d *Desk) Claimed(now time.Time, id string, outcome Outcome, detail string) []Decision {
+	shard, entry := d.find(id, 0)
 	if entry == nil || entry.stage != claiming {
 		if shard != nil {
 			shard.mutex.Unlock()
@@ -222,7 +222,7 @@
 	}
 	defer shard.mutex.Unlock()
 	if outcome == Done {
-		return desk.dispatchPrefill(now, shard, entry)
+		return d.dispatchPrefill(now, shard, entry)
 	}
 	cause := failure.NoPrimary
 	switch outcome {
@@ -231,14 +231,14 @@
 	case TooOld:
 		cause = failure.TooOld
 	}
-	decisions := desk.finish(now, shard, entry, Refused, cause)
+	decisions := d.finish(now, shard, entry, Refused, cause)
 	decisions[0].Detail = detail
 	return decisions
 }
 
 // Prefilled takes the answer to a prefill dispatch.
-func (desk *Desk) Prefilled(now time.Time, id string, run int, outcome Outcome, handle string) []Decision {
-	shard, entry := desk.find(id, run)
+func (d *Desk) Prefilled(now time.Time, id string, run int, outcome Outcome, handle string) []Decision {
+	shard, entry := d.find(id, run)
 	if entry == nil {
 		return nil
 	}
@@ -250,21 +250,21 @@
 	if outcome == Done {
 		entry.everRan, entry.started, entry.handle = true, false, handle
 		entry.patience = now.Add(leastPatience)
-		return desk.dispatchDecode(now, shard, entry, false)
+		return d.dispatchDecode(now, shard, entry, false)
 	}
-	desk.release(entry)
+	d.release(entry)
 	entry.tried[server] = true
 	if outcome != NotStarted {
 		entry.everRan = true
-		desk.market.Avoid(now, server)
+		d.market.Avoid(now, server)
 	}
-	return desk.again(now, shard, entry, outcome)
+	return d.again(now, shard, entry, outcome)
 }
 
 // Chunk takes one piece of the stream. Pieces that are not the next one of the
 // present run end the stream: it is never spliced.
-func (desk *Desk) Chunk(now time.Time, id string, run, chunk int, text string) []Decision {
-	shard, entry := desk.find(id, run)
+func (d *Desk) Chunk(now time.Time, id string, run, chunk int, text string) []Decision {
+	shard, entry := d.find(id, run)
 	if entry == nil {
 		return nil
 	}
@@ -274,8 +274,8 @@
 	}
 	entry.everRan = true
 	if chunk != entry.chunks+1 {
-		desk.market.Avoid(now, entry.bid.Decode.server.Name)
-		return append(desk.cancelCurrent(entry), desk.finish(now, shard, entry, Failed, failure.ServerFailed)...)
+		d.market.Avoid(now, entry.bid.Decode.server.Name)
+		return append(d.cancelCurrent(entry), d.finish(now, shard, entry, Failed, failure.ServerFailed)...)
 	}
 	entry.chunks = chunk
 	entry.patience = now.Add(chunkPatience)
@@ -283,8 +283,8 @@
 }
 
 // Decoded takes the end of a decode.
-func (desk *Desk) Decoded(now time.Time, id string, run int, outcome Outcome, chunks int) []Decision {
-	shard, entry := desk.find(id, run)
+func (d *Desk) Decoded(now time.Time, id string, run int, outcome Outcome, chunks int) []Decision {
+	shard, entry := d.find(id, run)
 	if entry == nil {
 		return nil
 	}
@@ -295,15 +295,15 @@
 	server := entry.bid.Decode.server.Name
 	if outcome == Done {
 		if chunks != entry.chunks {
-			return desk.finish(now, shard, entry, Failed, failure.ServerFailed)
+			return d.finish(now, shard, entry, Failed, failure.ServerFailed)
 		}
-		return desk.finish(now, shard, entry, Complete, "")
+		return d.finish(now, shard, entry, Complete, "")
 	}
 	if outcome != NotStarted {
-		desk.market.Avoid(now, server)
+		d.market.Avoid(now, server)
 	}
 	if entry.chunks > 0 {
-		return desk.finish(now, shard, entry, Failed, failure.ServerFailed)
+		return d.finish(now, shard, entry, Failed, failure.ServerFailed)
 	}
 	entry.tried[server] = true
 	switch outcome {
@@ -311,9 +311,9 @@
 		// The handle was not taken up: another server may.
 		entry.stage = handing
 		entry.patience = now.Add(leastPatience)
-		return desk.dispatchDecode(now, shard, entry, true)
+		return d.dispatchDecode(now, shard, entry, true)
 	case Lapsed:
 		delete(entry.tried, server)
 	}
-	return desk.again(now, shard, entry, outcome)
+	return d.again(now, shard, entry, outcome)
 }
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -9,8 +9,8 @@
 )
 
 // nowhere tells whether evacuations leave a route no listed server.
-func (desk *Desk) nowhere(program *Program, ruling *Ruling) bool {
-	listed, _ := desk.market.Loads(time.Time{})
+func (d *Desk) nowhere(program *Program, ruling *Ruling) bool {
+	listed, _ := d.market.Loads(time.Time{})
 	for _, server := range listed {
 		if program.Allows(ruling, server) {
 			return false
@@ -19,45 +19,45 @@
 	return len(listed) > 0 && len(program.evacuations) > 0
 }
 
-func (desk *Desk) choose(now time.Time, entry *ticket) (Bid, bool) {
-	program := desk.program.Load()
-	return desk.market.Choose(now, entry.request, entry.ruling, func(server membership.Server) bool {
+func (d *Desk) choose(now time.Time, entry *ticket) (Bid, bool) {
+	program := d.program.Load()
+	return d.market.Choose(now, entry.request, entry.ruling, func(server membership.Server) bool {
 		return program.Allows(entry.ruling, server)
 	}, entry.tried)
 }
 
 // dispatchPrefill sends a run's prompt to the pair's first server. Each run
 // after the first is an extra try.
-func (desk *Desk) dispatchPrefill(now time.Time, shard *shard, entry *ticket) []Decision {
+func (d *Desk) dispatchPrefill(now time.Time, shard *shard, entry *ticket) []Decision {
 	request := entry.request
 	if !now.Before(request.Limit) {
-		return desk.giveUp(now, shard, entry, failure.LimitPassed)
+		return d.giveUp(now, shard, entry, failure.LimitPassed)
 	}
-	holdEnds := desk.ServesUntil()
+	holdEnds := d.ServesUntil()
 	if !now.Before(holdEnds) {
-		return desk.awaitHold(now, shard, entry, ready)
+		return d.awaitHold(now, shard, entry, ready)
 	}
 	entry.holdless = time.Time{}
-	bid, found := desk.choose(now, entry)
+	bid, found := d.choose(now, entry)
 	if !found {
-		return desk.giveUp(now, shard, entry, failure.Busy)
+		return d.giveUp(now, shard, entry, failure.Busy)
 	}
-	return desk.takeUp(now, shard, entry, bid, holdEnds)
+	return d.takeUp(now, shard, entry, bid, holdEnds)
 }
 
 // takeUp sends a run's prompt to the first server of a pair that was chosen now.
-func (desk *Desk) takeUp(now time.Time, shard *shard, entry *ticket, bid Bid, holdEnds time.Time) []Decision {
+func (d *Desk) takeUp(now time.Time, shard *shard, entry *ticket, bid Bid, holdEnds time.Time) []Decision {
 	request := entry.request
 	var decisions []Decision
 	if entry.dispatches == 0 {
-		desk.budget.First()
+		d.budget.First()
 	} else {
 		cost := 1
 		if entry.answering {
 			cost = 2
 		}
-		if entry.dispatches >= entry.ruling.Service.Tries || !desk.budget.Extra(cost) {
-			return desk.giveUp(now, shard, entry, failure.BudgetSpent)
+		if entry.dispatches >= entry.ruling.Service.Tries || !d.budget.Extra(cost) {
+			return d.giveUp(now, shard, entry, failure.BudgetSpent)
 		}
 		entry.answering = false
 		decisions = append(decisions, Decision{Kind: NoteRetry, ID: request.ID, Run: entry.run + 1})
@@ -66,7 +66,7 @@
 	entry.run++
 	entry.bid, entry.stage, entry.handle = bid, prefilling, ""
 	entry.reserved = true
-	desk.market.Reserve(bid, request)
+	d.market.Reserve(bid, request)
 	entry.patience = now.Add(leastPatience + 4*bid.Price)
 	pair := &codec.Pair{Request: request.ID, Run: entry.run, Prefill: bid.Prefill.server.Name, Decode: bid.Decode.server.Name, Price: bid.Price, HandOver: bid.HandOver}
 	return append(decisions,
@@ -77,12 +77,12 @@
 
 // awaitHold keeps an inquiry that was let in for the next hold, but not until
 // its limit: when none comes soon its caller is told so.
-func (desk *Desk) awaitHold(now time.Time, shard *shard, entry *ticket, stage stage) []Decision {
+func (d *Desk) awaitHold(now time.Time, shard *shard, entry *ticket, stage stage) []Decision {
 	if entry.holdless.IsZero() {
 		entry.holdless = now
 	}
 	if now.Sub(entry.holdless) > holdPatience {
-		return desk.giveUp(now, shard, entry, failure.NoHold)
+		return d.giveUp(now, shard, entry, failure.NoHold)
 	}
 	entry.stage = stage
 	return nil
@@ -97,28 +97,28 @@
 
 // dispatchDecode hands the prompt's memory over to the pair's second server,
 // or to another when that one has no room any more.
-func (desk *Desk) dispatchDecode(now time.Time, shard *shard, entry *ticket, extra bool) []Decision {
+func (d *Desk) dispatchDecode(now time.Time, shard *shard, entry *ticket, extra bool) []Decision {
 	request := entry.request
 	if !now.Before(request.Limit) {
-		return desk.giveUp(now, shard, entry, failure.LimitPassed)
+		return d.giveUp(now, shard, entry, failure.LimitPassed)
 	}
-	holdEnds := desk.ServesUntil()
+	holdEnds := d.ServesUntil()
 	if !now.Before(holdEnds) {
-		return desk.awaitHold(now, shard, entry, handing)
+		return d.awaitHold(now, shard, entry, handing)
 	}
 	entry.holdless = time.Time{}
-	desk.release(entry)
-	program := desk.program.Load()
+	d.release(entry)
+	program := d.program.Load()
 	allowed := func(server membership.Server) bool { return program.Allows(entry.ruling, server) }
 	source := entry.bid.Prefill.server
 	planned := entry.bid.Decode.server.Name
 	var bid Bid
 	found := false
 	if !entry.tried[planned] {
-		bid, found = desk.market.ChooseDecode(now, request, source.Name, func(server membership.Server) bool { return server.Name == planned && allowed(server) }, nil)
+		bid, found = d.market.ChooseDecode(now, request, source.Name, func(server membership.Server) bool { return server.Name == planned && allowed(server) }, nil)
 	}
 	if !found {
-		bid, found = desk.market.ChooseDecode(now, request, source.Name, allowed, entry.tried)
+		bid, found = d.market.ChooseDecode(now, request, source.Name, allowed, entry.tried)
 	}
 	if !found {
 		// A prompt that was read is worth a short wait for room.
@@ -126,10 +126,10 @@
 			entry.stage = handing
 			return nil
 		}
-		return desk.giveUp(now, shard, entry, failure.Busy)
+		return d.giveUp(now, shard, entry, failure.Busy)
 	}
-	if extra && (entry.dispatches >= entry.ruling.Service.Tries || !desk.budget.Extra(1)) {
-		return desk.giveUp(now, shard, entry, failure.BudgetSpent)
+	if extra && (entry.dispatches >= entry.ruling.Service.Tries || !d.budget.Extra(1)) {
+		return d.giveUp(now, shard, entry, failure.BudgetSpent)
 	}
 	var decisions []Decision
 	if extra {
@@ -137,28 +137,28 @@
 		decisions = append(decisions, Decision{Kind: NoteRetry, ID: request.ID, Run: entry.run})
 	}
 	entry.bid, entry.stage, entry.answering = bid, decoding, true
-	desk.market.Take(bid, request)
+	d.market.Take(bid, request)
 	entry.patience = now.Add(leastPatience + 4*bid.HandOver)
 	return append(decisions, Decision{Kind: DispatchDecode, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Limit, holdEnds),
 		Server: bid.Decode.server.Name, Address: bid.Decode.server.Address, SourceAddress: source.Address, Handle: entry.handle})
 }
 
-func (desk *Desk) release(entry *ticket) {
+func (d *Desk) release(entry *ticket) {
 	if entry.reserved {
-		desk.market.Release(entry.bid)
+		d.market.Release(entry.bid)
 		entry.reserved = false
 	}
 }
 
 // again tries an inquiry anew if that is allowed: one that may not be repeated
 // only when the server certainly did not start.
-func (desk *Desk) again(now time.Time, shard *shard, entry *ticket, outcome Outcome) []Decision {
+func (d *Desk) again(now time.Time, shard *shard, entry *ticket, outcome Outcome) []Decision {
 	if !entry.request.Repeatable && entry.everRan {
 		final := Failed
 		if outcome == Uncertain {
 			final = Unknown
 		}
-		return desk.finish(now, shard, entry, final, failure.ServerFailed)
+		return d.finish(now, shard, entry, final, failure.ServerFailed)
 	}
-	return desk.dispatchPrefill(now, shard, entry)
+	return d.dispatchPrefill(now, shard, entry)
 }
--- a/internal/auction/ending.go
+++ b/internal/auction/ending.go
@@ -6,14 +6,14 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-func (desk *Desk) refuse(request *Request, cause failure.Kind, detail string, retry time.Duration) []Decision {
-	desk.counters.Refused.Add(1)
+func (d *Desk) refuse(request *Request, cause failure.Kind, detail string, retry time.Duration) []Decision {
+	d.counters.Refused.Add(1)
 	return []Decision{{Kind: Finish, ID: request.ID, Final: Refused, Cause: cause, Detail: detail, Retry: retry}}
 }
 
 // giveUp ends an inquiry that gets no further dispatch, with the word that is
 // certain: refused when it never ran, unknown when a server may be running it.
-func (desk *Desk) giveUp(now time.Time, shard *shard, entry *ticket, cause failure.Kind) []Decision {
+func (d *Desk) giveUp(now time.Time, shard *shard, entry *ticket, cause failure.Kind) []Decision {
 	final := Failed
 	switch {
 	case !entry.everRan && !entry.started:
@@ -23,12 +23,12 @@
 	}
 	var decisions []Decision
 	if entry.started {
-		decisions = append(decisions, desk.cancelCurrent(entry)...)
+		decisions = append(decisions, d.cancelCurrent(entry)...)
 	}
-	return append(decisions, desk.finish(now, shard, entry, final, cause)...)
+	return append(decisions, d.finish(now, shard, entry, final, cause)...)
 }
 
-func (desk *Desk) cancelCurrent(entry *ticket) []Decision {
+func (d *Desk) cancelCurrent(entry *ticket) []Decision {
 	stall := entry.bid.Prefill
 	if entry.stage == decoding {
 		stall = entry.bid.Decode
@@ -39,56 +39,56 @@
 	return []Decision{{Kind: Cancel, ID: entry.request.ID, Run: entry.run, Server: stall.server.Name, Address: stall.server.Address}}
 }
 
-func (desk *Desk) finish(now time.Time, shard *shard, entry *ticket, final Final, cause failure.Kind) []Decision {
-	desk.release(entry)
+func (d *Desk) finish(now time.Time, shard *shard, entry *ticket, final Final, cause failure.Kind) []Decision {
+	d.release(entry)
 	delete(shard.tickets, entry.request.ID)
-	desk.inFlight.Add(-1)
-	desk.serviceCount(entry.request.Service).Add(-1)
-	desk.counters.count(final)
+	d.inFlight.Add(-1)
+	d.serviceCount(entry.request.Service).Add(-1)
+	d.counters.count(final)
 	decision := Decision{Kind: Finish, ID: entry.request.ID, Run: entry.run, Final: final, Cause: cause, Chunks: entry.chunks}
 	if final == Refused || final == Failed {
-		decision.Retry = desk.market.Relief(now)
+		decision.Retry = d.market.Relief(now)
 	}
 	return []Decision{decision}
 }
 
 // Leave takes the news that the origin closed its circuit.
-func (desk *Desk) Leave(now time.Time, id string) []Decision {
-	shard, entry := desk.find(id, -1)
+func (d *Desk) Leave(now time.Time, id string) []Decision {
+	shard, entry := d.find(id, -1)
 	if entry == nil {
 		return nil
 	}
 	defer shard.mutex.Unlock()
 	entry.started = entry.started || entry.stage == prefilling || entry.stage == decoding
-	return desk.giveUp(now, shard, entry, failure.ClientLeft)
+	return d.giveUp(now, shard, entry, failure.ClientLeft)
 }
 
 // Tick ends what has lost its limit or its patience, and goes on with what
 // waited for a hold.
-func (desk *Desk) Tick(now time.Time) []Decision {
+func (d *Desk) Tick(now time.Time) []Decision {
 	var decisions []Decision
-	for position := range desk.shards {
-		shard := &desk.shards[position]
+	for position := range d.shards {
+		shard := &d.shards[position]
 		shard.mutex.Lock()
 		for _, id := range sortedIDs(shard.tickets) {
-			decisions = append(decisions, desk.tickOne(now, shard, shard.tickets[id])...)
+			decisions = append(decisions, d.tickOne(now, shard, shard.tickets[id])...)
 		}
 		shard.mutex.Unlock()
 	}
 	return decisions
 }
 
-func (desk *Desk) tickOne(now time.Time, shard *shard, entry *ticket) []Decision {
+func (d *Desk) tickOne(now time.Time, shard *shard, entry *ticket) []Decision {
 	dispatched := entry.stage == prefilling || entry.stage == decoding
 	if !now.Before(entry.request.Limit) {
 		entry.started = entry.started || dispatched
-		return desk.giveUp(now, shard, entry, failure.LimitPassed)
+		return d.giveUp(now, shard, entry, failure.LimitPassed)
 	}
 	switch entry.stage {
 	case ready:
-		return desk.dispatchPrefill(now, shard, entry)
+		return d.dispatchPrefill(now, shard, entry)
 	case handing:
-		return desk.dispatchDecode(now, shard, entry, false)
+		return d.dispatchDecode(now, shard, entry, false)
 	case claiming:
 		return nil
 	}
@@ -101,21 +101,21 @@
 		stall = entry.bid.Decode
 	}
 	if entry.chunks == 0 && !entry.request.Repeatable {
-		if desk.market.reports(now, stall.server) {
+		if d.market.reports(now, stall.server) {
 			// It is slow, but there; nothing else could be tried.
 			return nil
 		}
 		// Whether it ran can't be known any more, and waiting would not tell.
 		entry.started = true
-		return desk.giveUp(now, shard, entry, failure.ServerFailed)
+		return d.giveUp(now, shard, entry, failure.ServerFailed)
 	}
-	desk.market.Avoid(now, stall.server.Name)
-	decisions := desk.cancelCurrent(entry)
+	d.market.Avoid(now, stall.server.Name)
+	decisions := d.cancelCurrent(entry)
 	entry.everRan = true
 	if entry.chunks > 0 {
-		return append(decisions, desk.finish(now, shard, entry, Failed, failure.ServerFailed)...)
+		return append(decisions, d.finish(now, shard, entry, Failed, failure.ServerFailed)...)
 	}
-	desk.release(entry)
+	d.release(entry)
 	entry.tried[stall.server.Name] = true
-	return append(decisions, desk.again(now, shard, entry, Uncertain)...)
+	return append(decisions, d.again(now, shard, entry, Uncertain)...)
 }
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -37,13 +37,13 @@
 }
 
 // SetRouters tells how many couriers share the servers.
-func (market *Market) SetRouters(count int) { market.routers.Store(int64(count)) }
+func (m *Market) SetRouters(count int) { m.routers.Store(int64(count)) }
 
 // share is how much of the room left this courier may fill before it sees the
 // next report: twice its own part, since not all others come at once; of a cold
 // server only its own part; but one at least.
-func (market *Market) share(left, warmth float64) int64 {
-	routers := max(1, market.routers.Load())
+func (m *Market) share(left, warmth float64) int64 {
+	routers := max(1, m.routers.Load())
 	if routers == 1 {
 		return int64(left)
 	}
@@ -51,10 +51,10 @@
 }
 
 // List takes the platform's server list.
-func (market *Market) List(servers []membership.Server) {
-	market.mutex.Lock()
-	defer market.mutex.Unlock()
-	old := market.board.Load()
+func (m *Market) List(servers []membership.Server) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	old := m.board.Load()
 	next := &board{byName: map[string]*Stall{}, listing: servers}
 	for _, server := range servers {
 		stall := &Stall{server: server, promised: &atomic.Int64{}}
@@ -67,20 +67,20 @@
 		next.stalls = append(next.stalls, stall)
 	}
 	sort.Slice(next.stalls, func(left, right int) bool { return next.stalls[left].server.Name < next.stalls[right].server.Name })
-	market.board.Store(next)
+	m.board.Store(next)
 }
 
 // Report takes a server's load report.
-func (market *Market) Report(now time.Time, load Load) {
-	if stall, found := market.board.Load().byName[load.Server]; found {
+func (m *Market) Report(now time.Time, load Load) {
+	if stall, found := m.board.Load().byName[load.Server]; found {
 		stall.report.Store(&report{load: load, at: now})
 	}
 }
 
 // reports tells whether a server is listed and reported a moment ago, leaving or
 // not.
-func (market *Market) reports(now time.Time, server membership.Server) bool {
-	stall, found := market.board.Load().byName[server.Name]
+func (m *Market) reports(now time.Time, server membership.Server) bool {
+	stall, found := m.board.Load().byName[server.Name]
 	if !found || stall.server.Address != server.Address {
 		return false
 	}
@@ -89,8 +89,8 @@
 }
 
 // Avoid keeps a server out of the market for a while, after trouble with it.
-func (market *Market) Avoid(now time.Time, server string) {
-	if stall, found := market.board.Load().byName[server]; found {
+func (m *Market) Avoid(now time.Time, server string) {
+	if stall, found := m.board.Load().byName[server]; found {
 		stall.avoid.Store(now.Add(avoidTime).UnixNano())
 	}
 }
@@ -114,30 +114,30 @@
 // Choose finds the pair with the lowest price, among servers that allowed says
 // may be used and whose names are not in tried. Each server is asked once; pairs
 // are priced from the lowest asks on, until none that is left can be cheaper.
-func (market *Market) Choose(now time.Time, request *Request, ruling *Ruling, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
+func (m *Market) Choose(now time.Time, request *Request, ruling *Ruling, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
 	asked := offers.Get().(*offerBook)
 	defer offers.Put(asked)
 	asked.clear()
-	for position, stall := range market.board.Load().stalls {
+	for position, stall := range m.board.Load().stalls {
 		if !allowed(stall.server) || tried[stall.server.Name] {
 			continue
 		}
-		if ask, offered := market.askPrefill(now, stall, request, ruling); offered {
+		if ask, offered := m.askPrefill(now, stall, request, ruling); offered {
 			asked.prefill = append(asked.prefill, newOffer(stall, position, ask))
 		}
-		if ask, offered := market.askDecode(now, stall, request); offered {
+		if ask, offered := m.askDecode(now, stall, request); offered {
 			asked.decode = append(asked.decode, newOffer(stall, position, ask))
 		}
 	}
-	if market.plain {
+	if m.plain {
 		return asked.leastLoaded(now, request)
 	}
 	return asked.cheapest(request)
 }
 
 // ChooseDecode finds another decode server for a prompt that is already read.
-func (market *Market) ChooseDecode(now time.Time, request *Request, source string, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
-	current := market.board.Load()
+func (m *Market) ChooseDecode(now time.Time, request *Request, source string, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
+	current := m.board.Load()
 	prefill, found := current.byName[source]
 	if !found {
 		return Bid{}, false
@@ -148,7 +148,7 @@
 		if decode == prefill || !allowed(decode.server) || tried[decode.server.Name] {
 			continue
 		}
-		ask, offered := market.askDecode(now, decode, request)
+		ask, offered := m.askDecode(now, decode, request)
 		if !offered {
 			continue
 		}
@@ -164,7 +164,7 @@
 	return time.Duration(float64(amount) / float64(max(rate, 1)) * float64(time.Second))
 }
 
-func (market *Market) askPrefill(now time.Time, stall *Stall, request *Request, ruling *Ruling) (time.Duration, bool) {
+func (m *Market) askPrefill(now time.Time, stall *Stall, request *Request, ruling *Ruling) (time.Duration, bool) {
 	current := stall.fresh(now)
 	if current == nil || current.load.Part != Prefill || stall.avoided(now) {
 		return 0, false
@@ -178,19 +178,19 @@
 		still = max(0, 1-now.Sub(current.at).Seconds()*float64(current.load.PrefillRate)/queued)
 	}
 	left := max(1, float64(current.load.PrefillRoom)*warmth) - still*float64(current.load.PrefillWaiting)
-	if left < 1 || int64(still*float64(current.prefills.Load())) >= market.share(left, warmth) {
+	if left < 1 || int64(still*float64(current.prefills.Load())) >= m.share(left, warmth) {
 		return 0, false
 	}
 	uncached := request.PromptTokens - min(request.PrefixTokens, current.load.Prefixes[request.Prefix])
 	ask := seconds(int(still*queued)+max(uncached, 1), current.load.PrefillRate)
 	ask = time.Duration(float64(ask) / warmth)
-	if ruling.HomeFirst && stall.server.Zone != market.zone {
+	if ruling.HomeFirst && stall.server.Zone != m.zone {
 		ask += crossing
 	}
 	return ask, true
 }
 
-func (market *Market) askDecode(now time.Time, decode *Stall, request *Request) (time.Duration, bool) {
+func (m *Market) askDecode(now time.Time, decode *Stall, request *Request) (time.Duration, bool) {
 	current := decode.fresh(now)
 	if current == nil || current.load.Part != Decode || decode.avoided(now) {
 		return 0, false
@@ -203,7 +203,7 @@
 	need := request.PromptTokens + request.Chunks
 	full := busy >= slots
 	if warmth < 1 {
-		full = left < 1 || mine >= market.share(left, warmth)
+		full = left < 1 || mine >= m.share(left, warmth)
 	}
 	if full || current.load.MemoryFree-int(current.memory.Load()) < need {
 		return 0, false
@@ -216,7 +216,7 @@
 
 // Reserve counts a bid's prefill until the server's next report shows it, and
 // keeps the decode server's room until the prompt is read.
-func (market *Market) Reserve(bid Bid, request *Request) {
+func (m *Market) Reserve(bid Bid, request *Request) {
 	if current := bid.Prefill.report.Load(); current != nil {
 		uncached := request.PromptTokens - min(request.PrefixTokens, current.load.Prefixes[request.Prefix])
 		current.prefillTokens.Add(int64(uncached))
@@ -226,10 +226,10 @@
 }
 
 // Release gives a reserved decode room back.
-func (market *Market) Release(bid Bid) { bid.Decode.promised.Add(-1) }
+func (m *Market) Release(bid Bid) { bid.Decode.promised.Add(-1) }
 
 // Take counts a decode until the server's next report shows it.
-func (market *Market) Take(bid Bid, request *Request) {
+func (m *Market) Take(bid Bid, request *Request) {
 	if current := bid.Decode.report.Load(); current != nil {
 		current.decodes.Add(1)
 		current.memory.Add(int64(request.PromptTokens + request.Chunks))
@@ -237,9 +237,9 @@
 }
 
 // Relief estimates when there may be room again.
-func (market *Market) Relief(now time.Time) time.Duration {
+func (m *Market) Relief(now time.Time) time.Duration {
 	relief := time.Second
-	for _, stall := range market.board.Load().stalls {
+	for _, stall := range m.board.Load().stalls {
 		if current := stall.fresh(now); current != nil && current.load.Part == Prefill {
 			relief = max(relief, seconds(current.load.PrefillQueueTokens, current.load.PrefillRate)/2)
 		}
@@ -248,11 +248,11 @@
 }
 
 // Listing is the platform's list as it was taken last.
-func (market *Market) Listing() []membership.Server { return market.board.Load().listing }
+func (m *Market) Listing() []membership.Server { return m.board.Load().listing }
 
 // Load is the report that counts now of one server, if it has one.
-func (market *Market) Load(now time.Time, server string) (Load, bool) {
-	stall, found := market.board.Load().byName[server]
+func (m *Market) Load(now time.Time, server string) (Load, bool) {
+	stall, found := m.board.Load().byName[server]
 	if !found {
 		return Load{}, false
 	}
@@ -264,8 +264,8 @@
 }
 
 // Loads lists the servers with the reports that count now.
-func (market *Market) Loads(now time.Time) ([]membership.Server, map[string]Load) {
-	current := market.board.Load()
+func (m *Market) Loads(now time.Time) ([]membership.Server, map[string]Load) {
+	current := m.board.Load()
 	loads := map[string]Load{}
 	for _, stall := range current.stalls {
 		if report := stall.report.Load(); report != nil && now.Sub(report.at) <= reportFresh {
--- a/internal/auction/offer.go
+++ b/internal/auction/offer.go
@@ -28,19 +28,19 @@
 
 // least is the least time that the prompt's memory takes from this server to any
 // other: over its own link, and within its district.
-func (prefill offer) least(request *Request) time.Duration {
-	return seconds(request.PromptTokens, prefill.linkRate)
+func (o offer) least(request *Request) time.Duration {
+	return seconds(request.PromptTokens, o.linkRate)
 }
 
 // handOver is the time that the prompt's memory takes from one server to the
 // other.
-func (prefill offer) handOver(decode offer, request *Request) time.Duration {
+func (o offer) handOver(decode offer, request *Request) time.Duration {
 	rate := decode.linkRate
-	if prefill.report != nil && prefill.linkRate < rate {
-		rate = prefill.linkRate
+	if o.report != nil && o.linkRate < rate {
+		rate = o.linkRate
 	}
 	took := seconds(request.PromptTokens, rate)
-	if prefill.stall.server.Zone != decode.stall.server.Zone {
+	if o.stall.server.Zone != decode.stall.server.Zone {
 		took += took/2 + crossing/2
 	}
 	return took
@@ -55,8 +55,8 @@
 // offers keeps the books that nobody uses just now.
 var offers = sync.Pool{New: func() any { return &offerBook{} }}
 
-func (book *offerBook) clear() {
-	book.prefill, book.decode = book.prefill[:0], book.decode[:0]
+func (o *offerBook) clear() {
+	o.prefill, o.decode = o.prefill[:0], o.decode[:0]
 }
 
 func sortByAsk(offers []offer) {
@@ -74,9 +74,9 @@
 // cheapest is the pair with the lowest price; of equal ones that which stands
 // first in the list. A price is never below the sum of what it is made of, so that
 // the lowest sum that is left bounds all prices that are left.
-func (book *offerBook) cheapest(request *Request) (Bid, bool) {
-	sortByAsk(book.prefill)
-	sortByAsk(book.decode)
+func (o *offerBook) cheapest(request *Request) (Bid, bool) {
+	sortByAsk(o.prefill)
+	sortByAsk(o.decode)
 	var best Bid
 	bestPrice, bestPrefill, bestDecode := 0.0, 0, 0
 	// worse tells that no price from this sum on would be taken.
@@ -87,11 +87,11 @@
 		lowest := float64(least + floor)
 		return lowest > bestPrice || (lowest == bestPrice && (prefill > bestPrefill || (prefill == bestPrefill && decode > bestDecode)))
 	}
-	for _, prefill := range book.prefill {
+	for _, prefill := range o.prefill {
 		least := prefill.ask + prefill.least(request)
 		var weigher membership.Weigher
 		weighs := false
-		for _, decode := range book.decode {
+		for _, decode := range o.decode {
 			if worse(least+decode.ask, prefill.position, decode.position) {
 				break
 			}
@@ -117,14 +117,14 @@
 // leastLoaded is the plain choice: the first server with the shortest queue and
 // the first with the fewest answers under way, without prefixes, hand-over,
 // districts or own work in flight.
-func (book *offerBook) leastLoaded(_ time.Time, request *Request) (Bid, bool) {
-	if len(book.prefill) == 0 || len(book.decode) == 0 {
+func (o *offerBook) leastLoaded(_ time.Time, request *Request) (Bid, bool) {
+	if len(o.prefill) == 0 || len(o.decode) == 0 {
 		return Bid{}, false
 	}
-	prefill := slices.MinFunc(book.prefill, func(left, right offer) int {
+	prefill := slices.MinFunc(o.prefill, func(left, right offer) int {
 		return left.report.load.PrefillWaiting - right.report.load.PrefillWaiting
 	})
-	decode := slices.MinFunc(book.decode, func(left, right offer) int {
+	decode := slices.MinFunc(o.decode, func(left, right offer) int {
 		return left.report.load.DecodeActive - right.report.load.DecodeActive
 	})
 	handOver := prefill.handOver(decode, request)
--- a/internal/auction/program.go
+++ b/internal/auction/program.go
@@ -55,11 +55,11 @@
 	return program
 }
 
-func (compiled *compiledService) add(route config.Route) {
-	first := len(compiled.steps)
+func (c *compiledService) add(route config.Route) {
+	first := len(c.steps)
 	need := func(wanted bool, code opcode, text string, number int) {
 		if wanted {
-			compiled.steps = append(compiled.steps, step{code: code, text: text, number: number})
+			c.steps = append(c.steps, step{code: code, text: text, number: number})
 		}
 	}
 	match := route.Match
@@ -68,7 +68,7 @@
 	need(match.Prefix != "", needPrefix, match.Prefix, 0)
 	need(match.PromptTokensAtLeast > 0, needAtLeast, "", match.PromptTokensAtLeast)
 	need(match.PromptTokensBelow > 0, needBelow, "", match.PromptTokensBelow)
-	ruling := &Ruling{Route: route.Name, Service: compiled.service, HomeFirst: route.To.HomeFirst}
+	ruling := &Ruling{Route: route.Name, Service: c.service, HomeFirst: route.To.HomeFirst}
 	code := actSend
 	if route.To.Refuse {
 		code = actRefuse
@@ -79,15 +79,15 @@
 			ruling.Zones[zone] = true
 		}
 	}
-	compiled.steps = append(compiled.steps, step{code: code, ruling: ruling})
-	for position := first; position < len(compiled.steps); position++ {
-		compiled.steps[position].next = len(compiled.steps)
+	c.steps = append(c.steps, step{code: code, ruling: ruling})
+	for position := first; position < len(c.steps); position++ {
+		c.steps[position].next = len(c.steps)
 	}
 }
 
 // Rule interprets the program for one inquiry that arrived in a district.
-func (program *Program) Rule(request *Request, zone string) (*Ruling, *failure.Trouble) {
-	compiled, found := program.services[request.Service]
+func (p *Program) Rule(request *Request, zone string) (*Ruling, *failure.Trouble) {
+	compiled, found := p.services[request.Service]
 	if !found {
 		return nil, failure.New(failure.UnknownService, request.Service)
 	}
@@ -126,13 +126,13 @@
 }
 
 // Allows tells whether work may go to a server under the ruling.
-func (program *Program) Allows(ruling *Ruling, server membership.Server) bool {
-	return !program.evacuations[server.Zone] && (ruling.Zones == nil || ruling.Zones[server.Zone])
+func (p *Program) Allows(ruling *Ruling, server membership.Server) bool {
+	return !p.evacuations[server.Zone] && (ruling.Zones == nil || ruling.Zones[server.Zone])
 }
 
 // limit is the latest moment of an inquiry that came now.
-func (ruling *Ruling) limit(now, asked time.Time) time.Time {
-	latest := now.Add(ruling.Service.Limit)
+func (r *Ruling) limit(now, asked time.Time) time.Time {
+	latest := now.Add(r.Service.Limit)
 	if asked.IsZero() || asked.After(latest) {
 		return latest
 	}
--- a/internal/auction/stall.go
+++ b/internal/auction/stall.go
@@ -37,9 +37,9 @@
 	avoidTime   = 2 * time.Second
 )
 
-func (stall *Stall) fresh(now time.Time) *report {
-	current := stall.report.Load()
-	if current == nil || now.Sub(current.at) > reportFresh || current.load.Leaving || stall.server.Leaving {
+func (s *Stall) fresh(now time.Time) *report {
+	current := s.report.Load()
+	if current == nil || now.Sub(current.at) > reportFresh || current.load.Leaving || s.server.Leaving {
 		return nil
 	}
 	return current
@@ -47,9 +47,9 @@
 
 // warmth is the share of its room that a server may use: a tenth when it has
 // just started, all of it after the ramp.
-func (current *report) warmth(now time.Time) float64 {
-	age := current.load.Age + now.Sub(current.at)
+func (r *report) warmth(now time.Time) float64 {
+	age := r.load.Age + now.Sub(r.at)
 	return min(1, 0.1+0.9*float64(age)/float64(rampTime))
 }
 
-func (stall *Stall) avoided(now time.Time) bool { return now.UnixNano() < stall.avoid.Load() }
+func (s *Stall) avoided(now time.Time) bool { return now.UnixNano() < s.avoid.Load() }
--- a/internal/auction/tallies.go
+++ b/internal/auction/tallies.go
@@ -11,15 +11,15 @@
 	Unknown  atomic.Int64
 }
 
-func (counters *Counters) count(final Final) {
+func (c *Counters) count(final Final) {
 	switch final {
 	case Complete:
-		counters.Complete.Add(1)
+		c.Complete.Add(1)
 	case Refused:
-		counters.Refused.Add(1)
+		c.Refused.Add(1)
 	case Failed:
-		counters.Failed.Add(1)
+		c.Failed.Add(1)
 	case Unknown:
-		counters.Unknown.Add(1)
+		c.Unknown.Add(1)
 	}
 }
--- a/internal/backlog/ledger.go
+++ b/internal/backlog/ledger.go
@@ -27,33 +27,33 @@
 }
 
 // Apply counts a question's changes, answers it and counts its intent.
-func (ledger *Ledger) Apply(now time.Time, question Question) Answer {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	if now.Sub(ledger.swept) >= Lease {
-		ledger.sweep(now)
+func (l *Ledger) Apply(now time.Time, question Question) Answer {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if now.Sub(l.swept) >= Lease {
+		l.sweep(now)
 	}
 	for _, change := range question.Changes {
-		ledger.count(now, question, change)
+		l.count(now, question, change)
 	}
 	var answer Answer
 	if question.Asks {
-		answer.Counts = ledger.counts(now, question.Group)
+		answer.Counts = l.counts(now, question.Group)
 	}
 	if question.Intent != nil {
-		ledger.count(now, question, *question.Intent)
+		l.count(now, question, *question.Intent)
 	}
 	return answer
 }
 
-func (ledger *Ledger) count(now time.Time, question Question, change Change) {
-	if ledger.groups == nil {
-		ledger.groups = map[string]map[holding]*share{}
+func (l *Ledger) count(now time.Time, question Question, change Change) {
+	if l.groups == nil {
+		l.groups = map[string]map[holding]*share{}
 	}
-	group, found := ledger.groups[question.Group]
+	group, found := l.groups[question.Group]
 	if !found {
 		group = map[holding]*share{}
-		ledger.groups[question.Group] = group
+		l.groups[question.Group] = group
 	}
 	holder := holding{server: change.Server, router: question.Router}
 	held, found := group[holder]
@@ -69,9 +69,9 @@
 }
 
 // counts sums the shares of each server, the servers in order.
-func (ledger *Ledger) counts(now time.Time, group string) []Change {
+func (l *Ledger) counts(now time.Time, group string) []Change {
 	sums := map[string]int{}
-	for holder, held := range ledger.groups[group] {
+	for holder, held := range l.groups[group] {
 		if now.Before(held.expires) {
 			sums[holder.server] += held.tokens
 		}
@@ -85,16 +85,16 @@
 }
 
 // sweep forgets shares that lapsed.
-func (ledger *Ledger) sweep(now time.Time) {
-	ledger.swept = now
-	for name, group := range ledger.groups {
+func (l *Ledger) sweep(now time.Time) {
+	l.swept = now
+	for name, group := range l.groups {
 		for holder, held := range group {
 			if !now.Before(held.expires) {
 				delete(group, holder)
 			}
 		}
 		if len(group) == 0 {
-			delete(ledger.groups, name)
+			delete(l.groups, name)
 		}
 	}
 }
--- a/internal/codec/format.go
+++ b/internal/codec/format.go
@@ -14,12 +14,12 @@
 }
 
 // putFormats writes every format that the enabled flags allow, side by side.
-func (record *Record) putFormats(enabled features.List, formats ...format) error {
+func (r *Record) putFormats(enabled features.List, formats ...format) error {
 	for _, format := range formats {
 		if format.flag != "" && !enabled.Has(format.flag) {
 			continue
 		}
-		if err := record.Put(format.key, format.value); err != nil {
+		if err := r.Put(format.key, format.value); err != nil {
 			return err
 		}
 	}
@@ -28,14 +28,14 @@
 
 // readNewest reads the first of the formats, newest first, that the build
 // supports and the record has, and returns its key.
-func (record Record) readNewest(supported features.List, formats ...format) (string, error) {
+func (r Record) readNewest(supported features.List, formats ...format) (string, error) {
 	for _, format := range formats {
 		if format.flag != "" && !supported.Has(format.flag) {
 			continue
 		}
-		if found, err := record.Read(format.key, format.value); found || err != nil {
+		if found, err := r.Read(format.key, format.value); found || err != nil {
 			return format.key, err
 		}
 	}
-	return "", failure.New(failure.Garbage, "a record of kind "+string(record.Kind)+" without a format that this build reads")
+	return "", failure.New(failure.Garbage, "a record of kind "+string(r.Kind)+" without a format that this build reads")
 }
--- a/internal/codec/record.go
+++ b/internal/codec/record.go
@@ -25,19 +25,19 @@
 }
 
 // Put writes one key of the features map.
-func (record *Record) Put(key string, value any) error {
+func (r *Record) Put(key string, value any) error {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	record.Features[key] = encoded
+	r.Features[key] = encoded
 	return nil
 }
 
 // Read decodes one key of the features map; it tells false when the record
 // does not have the key, as an older record does not.
-func (record Record) Read(key string, value any) (bool, error) {
-	encoded, found := record.Features[key]
+func (r Record) Read(key string, value any) (bool, error) {
+	encoded, found := r.Features[key]
 	if !found {
 		return false, nil
 	}
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -40,8 +40,8 @@
 }
 
 // Evacuated tells whether a district is evacuated.
-func (configuration *Configuration) Evacuated(zone string) bool {
-	_, found := configuration.Evacuations[zone]
+func (c *Configuration) Evacuated(zone string) bool {
+	_, found := c.Evacuations[zone]
 	return found
 }
 
