--- a/internal/config/findings.go
+++ b/internal/config/findings.go
@@ -11,15 +11,15 @@
 const MostFindings = 100
 
 // Error says how many failures there are, and the first.
-func (findings *Findings) Error() string {
-	if len(findings.Troubles) == 1 {
-		return findings.Troubles[0].Error()
+func (f *Findings) Error() string {
+	if len(f.Troubles) == 1 {
+		return f.Troubles[0].Error()
 	}
-	return "several failures, the first: " + findings.Troubles[0].Error()
+	return "several failures, the first: " + f.Troubles[0].Error()
 }
 
-func (findings *Findings) add(kind failure.Kind, path, detail string) {
-	if len(findings.Troubles) < MostFindings {
-		findings.Troubles = append(findings.Troubles, failure.At(kind, path, detail))
+func (f *Findings) add(kind failure.Kind, path, detail string) {
+	if len(f.Troubles) < MostFindings {
+		f.Troubles = append(f.Troubles, failure.At(kind, path, detail))
 	}
 }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -42,11 +42,11 @@
 }
 
 // reaches tells whether the route may send something to the service.
-func (route Route) reaches(service string) bool {
-	if route.Calls == nil {
-		return route.Match.Service == "" || route.Match.Service == service
+func (r Route) reaches(service string) bool {
+	if r.Calls == nil {
+		return r.Match.Service == "" || r.Match.Service == service
 	}
-	for _, share := range route.Calls.Shares {
+	for _, share := range r.Calls.Shares {
 		if share.Service == service && share.Weight > 0 {
 			return true
 		}
--- a/internal/config/taste.go
+++ b/internal/config/taste.go
@@ -56,32 +56,32 @@
 	remarks       []Remark
 }
 
-func (tasting *tasting) warn(kind failure.Kind, path, detail string) {
-	tasting.remarks = append(tasting.remarks, Remark{Level: WarningLevel, Trouble: *failure.At(kind, path, detail)})
+func (t *tasting) warn(kind failure.Kind, path, detail string) {
+	t.remarks = append(t.remarks, Remark{Level: WarningLevel, Trouble: *failure.At(kind, path, detail)})
 }
 
-func (tasting *tasting) evacuations() {
-	for zone := range tasting.configuration.Evacuations {
-		if tasting.zones[zone] == 0 {
-			tasting.warn(UnknownZone, "/evacuations/"+escape(zone), "no listed server is in this district")
+func (t *tasting) evacuations() {
+	for zone := range t.configuration.Evacuations {
+		if t.zones[zone] == 0 {
+			t.warn(UnknownZone, "/evacuations/"+escape(zone), "no listed server is in this district")
 		}
 	}
 }
 
-func (tasting *tasting) routes() {
+func (t *tasting) routes() {
 	caught := map[string]string{}
-	for _, route := range tasting.configuration.Routes {
+	for _, route := range t.configuration.Routes {
 		if route.Calls != nil {
 			continue
 		}
 		path := "/routes/" + escape(route.Name)
 		service := route.Match.Service
 		if earlier, found := caught[""]; found {
-			tasting.warn(NeverReached, path, "the route "+earlier+" matches everything before it")
+			t.warn(NeverReached, path, "the route "+earlier+" matches everything before it")
 			continue
 		}
 		if earlier, found := caught[service]; found && service != "" {
-			tasting.warn(NeverReached, path, "the route "+earlier+" matches everything of "+service+" before it")
+			t.warn(NeverReached, path, "the route "+earlier+" matches everything of "+service+" before it")
 			continue
 		}
 		if bare := route.Match; bare == (Match{Service: service}) {
@@ -92,83 +92,83 @@
 		}
 		left := 0
 		for position, zone := range route.To.Zones {
-			if tasting.zones[zone] == 0 {
-				tasting.warn(UnknownZone, path+"/to/districts/"+strconv.Itoa(position), "no listed server is in the district "+zone)
+			if t.zones[zone] == 0 {
+				t.warn(UnknownZone, path+"/to/districts/"+strconv.Itoa(position), "no listed server is in the district "+zone)
 			}
-			if !tasting.configuration.Evacuated(zone) {
-				left += tasting.zones[zone]
+			if !t.configuration.Evacuated(zone) {
+				left += t.zones[zone]
 			}
 		}
 		if len(route.To.Zones) == 0 {
-			for district, count := range tasting.zones {
-				if !tasting.configuration.Evacuated(district) {
+			for district, count := range t.zones {
+				if !t.configuration.Evacuated(district) {
 					left += count
 				}
 			}
 		}
 		if left == 0 {
-			tasting.warn(NoServersLeft, path, "its inquiries would be refused: no server of its districts is left")
+			t.warn(NoServersLeft, path, "its inquiries would be refused: no server of its districts is left")
 		}
 	}
 }
 
 // room looks at the parts and slots that evacuations leave.
-func (tasting *tasting) room() {
+func (t *tasting) room() {
 	parts, leftParts := map[string]int{}, map[string]int{}
 	active, slots, reported := 0, 0, 0
-	for _, server := range tasting.facts.Servers {
+	for _, server := range t.facts.Servers {
 		if !server.Reported || server.Leaving {
 			continue
 		}
 		reported++
 		parts[server.Part]++
 		active += server.Active
-		if !tasting.configuration.Evacuated(server.Zone) {
+		if !t.configuration.Evacuated(server.Zone) {
 			leftParts[server.Part]++
 			slots += server.Slots
 		}
 	}
-	if reported == 0 || len(tasting.configuration.Evacuations) == 0 {
+	if reported == 0 || len(t.configuration.Evacuations) == 0 {
 		return
 	}
 	for _, part := range []string{"prefill", "decode"} {
 		if parts[part] > 0 && leftParts[part] == 0 {
-			tasting.warn(NoPartLeft, "/evacuations", "no server with the part "+part+" is left until parts change")
+			t.warn(NoPartLeft, "/evacuations", "no server with the part "+part+" is left until parts change")
 		}
 	}
 	if slots > 0 && active*10 > slots*8 {
-		tasting.warn(LittleRoom, "/evacuations", "answers under way fill "+strconv.Itoa(active*100/slots)+" of 100 slots that are left")
+		t.warn(LittleRoom, "/evacuations", "answers under way fill "+strconv.Itoa(active*100/slots)+" of 100 slots that are left")
 	}
 }
 
-func (tasting *tasting) services(current *Configuration) {
-	for name := range tasting.configuration.Services {
+func (t *tasting) services(current *Configuration) {
+	for name := range t.configuration.Services {
 		reached := false
-		for _, route := range tasting.configuration.Routes {
+		for _, route := range t.configuration.Routes {
 			reached = reached || route.reaches(name)
 		}
 		if !reached {
-			tasting.warn(NoRouteTo, "/services/"+escape(name), "no route can match its inquiries")
+			t.warn(NoRouteTo, "/services/"+escape(name), "no route can match its inquiries")
 		}
 	}
 	if current == nil {
 		return
 	}
 	for name := range current.Services {
-		if _, found := tasting.configuration.Services[name]; !found {
-			tasting.warn(Shrinks, "/services/"+escape(name), "the service in force now would be gone")
+		if _, found := t.configuration.Services[name]; !found {
+			t.warn(Shrinks, "/services/"+escape(name), "the service in force now would be gone")
 		}
 	}
 }
 
-func (tasting *tasting) members() {
-	if restricted := tasting.facts.Restricted; len(restricted) > 0 {
-		tasting.warn(MixedFormats, "/", "members that lack an enabled flag pass their inquiries on: "+strings.Join(restricted, ", "))
+func (t *tasting) members() {
+	if restricted := t.facts.Restricted; len(restricted) > 0 {
+		t.warn(MixedFormats, "/", "members that lack an enabled flag pass their inquiries on: "+strings.Join(restricted, ", "))
 	}
-	if blocked := tasting.facts.Blocked; len(blocked) > 0 {
-		tasting.warn(MixedFormats, "/", "an upgrade is under way; flags that wait: "+strings.Join(blocked, ", "))
+	if blocked := t.facts.Blocked; len(blocked) > 0 {
+		t.warn(MixedFormats, "/", "an upgrade is under way; flags that wait: "+strings.Join(blocked, ", "))
 	}
-	if stopped := len(tasting.facts.Stopped); stopped > 0 && stopped*2 >= tasting.facts.Routers {
-		tasting.warn(FewRouters, "/", "half of the couriers or more do not run: "+strings.Join(tasting.facts.Stopped, ", "))
+	if stopped := len(t.facts.Stopped); stopped > 0 && stopped*2 >= t.facts.Routers {
+		t.warn(FewRouters, "/", "half of the couriers or more do not run: "+strings.Join(t.facts.Stopped, ", "))
 	}
 }
--- a/internal/failure/trouble.go
+++ b/internal/failure/trouble.go
@@ -16,13 +16,13 @@
 }
 
 // Error says the trouble in one line.
-func (trouble *Trouble) Error() string {
-	text := string(trouble.Kind)
-	if trouble.Path != "" {
-		text += " at " + trouble.Path
+func (t *Trouble) Error() string {
+	text := string(t.Kind)
+	if t.Path != "" {
+		text += " at " + t.Path
 	}
-	if trouble.Detail != "" {
-		text += ": " + trouble.Detail
+	if t.Detail != "" {
+		text += ": " + t.Detail
 	}
 	return text
 }
--- a/internal/features/list.go
+++ b/internal/features/list.go
@@ -18,8 +18,8 @@
 }
 
 // Has tells whether the flag is in the list.
-func (list List) Has(flag Flag) bool {
-	for _, entry := range list {
+func (l List) Has(flag Flag) bool {
+	for _, entry := range l {
 		if entry == flag {
 			return true
 		}
@@ -28,10 +28,10 @@
 }
 
 // Lacks lists the wanted flags that are not in the list.
-func (list List) Lacks(wanted List) List {
+func (l List) Lacks(wanted List) List {
 	var lacking List
 	for _, flag := range wanted {
-		if !list.Has(flag) {
+		if !l.Has(flag) {
 			lacking = append(lacking, flag)
 		}
 	}
@@ -39,8 +39,8 @@
 }
 
 // With is a new list that has the flags as well.
-func (list List) With(flags ...Flag) List {
-	joined := append(List(nil), list...)
+func (l List) With(flags ...Flag) List {
+	joined := append(List(nil), l...)
 	for _, flag := range flags {
 		if !joined.Has(flag) {
 			joined = append(joined, flag)
--- a/internal/hatch/ask.go
+++ b/internal/hatch/ask.go
@@ -19,14 +19,14 @@
 // Ask sends a message to the primary, wherever it is, or through a neighbour
 // when it can't be reached. The answer must say whether its giver leads. Each
 // address is given the patience; altogether it ends by a moment, if one is given.
-func (follower *Follower) Ask(path string, question, answer any, patience time.Duration, ends time.Time) error {
+func (f *Follower) Ask(path string, question, answer any, patience time.Duration, ends time.Time) error {
 	body, err := msgpack.Marshal(question)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	reply, err := follower.AskRaw(path, body, patience, ends)
+	reply, err := f.AskRaw(path, body, patience, ends)
 	if err != nil && unheard(err) {
-		reply, err = follower.viaNeighbour(path, body, patience, ends)
+		reply, err = f.viaNeighbour(path, body, patience, ends)
 	}
 	if err != nil {
 		return err
@@ -45,19 +45,19 @@
 }
 
 // AskRaw sends an encoded message to the primary without a neighbour's help.
-func (follower *Follower) AskRaw(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
+func (f *Follower) AskRaw(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
 	asked := map[string]bool{}
 	var last error = failure.New(failure.NoPrimary, "no expediter is known")
-	for _, address := range follower.candidates() {
-		for address != "" && !asked[address] && follower.runtime.Alive() && follower.left(patience, ends) > 0 {
+	for _, address := range f.candidates() {
+		for address != "" && !asked[address] && f.runtime.Alive() && f.left(patience, ends) > 0 {
 			asked[address] = true
-			reply, err := follower.line.CallRaw(address, path, body, follower.left(patience, ends))
+			reply, err := f.line.CallRaw(address, path, body, f.left(patience, ends))
 			if err != nil {
 				last = err
 				if !unheard(err) {
 					return nil, err
 				}
-				follower.forget(address)
+				f.forget(address)
 				break
 			}
 			var said leadsAnswer
@@ -65,7 +65,7 @@
 				last = failure.Wrap(failure.Garbage, err)
 				break
 			}
-			follower.learn(address, said)
+			f.learn(address, said)
 			if said.Leads {
 				return reply, nil
 			}
@@ -77,79 +77,79 @@
 }
 
 // learnMembership takes a charter that is newer than the one known.
-func (follower *Follower) learnMembership(membership replication.Membership) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	if membership.Epoch > follower.membership.Epoch {
-		follower.membership = membership
+func (f *Follower) learnMembership(membership replication.Membership) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if membership.Epoch > f.membership.Epoch {
+		f.membership = membership
 	}
 }
 
-func (follower *Follower) learn(address string, said leadsAnswer) {
-	follower.learnMembership(said.Membership)
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
+func (f *Follower) learn(address string, said leadsAnswer) {
+	f.learnMembership(said.Membership)
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	switch {
-	case said.Leads && follower.primary != address:
-		follower.primary, follower.current = address, false
-	case !said.Leads && follower.primary == address:
-		follower.primary, follower.current = "", false
+	case said.Leads && f.primary != address:
+		f.primary, f.current = address, false
+	case !said.Leads && f.primary == address:
+		f.primary, f.current = "", false
 	}
 }
 
-func (follower *Follower) forget(address string) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.dark[address] = follower.runtime.Now()
-	if follower.primary == address {
-		follower.primary, follower.current = "", false
+func (f *Follower) forget(address string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.dark[address] = f.runtime.Now()
+	if f.primary == address {
+		f.primary, f.current = "", false
 	}
 }
 
-func (follower *Follower) candidates() []string {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	candidates := []string{follower.primary, follower.membership.Primary.Address}
-	for _, backup := range follower.membership.Backups() {
+func (f *Follower) candidates() []string {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	candidates := []string{f.primary, f.membership.Primary.Address}
+	for _, backup := range f.membership.Backups() {
 		candidates = append(candidates, backup.Address)
 	}
-	for _, replica := range follower.membership.Electors() {
+	for _, replica := range f.membership.Electors() {
 		candidates = append(candidates, replica.Address)
 	}
-	candidates = append(candidates, follower.seeds...)
-	candidates = append(candidates, follower.contacts...)
+	candidates = append(candidates, f.seeds...)
+	candidates = append(candidates, f.contacts...)
 	// Who did not answer just now is asked after all others.
 	sort.SliceStable(candidates, func(left, right int) bool {
-		return !follower.isDark(candidates[left]) && follower.isDark(candidates[right])
+		return !f.isDark(candidates[left]) && f.isDark(candidates[right])
 	})
 	return candidates
 }
 
-func (follower *Follower) isDark(address string) bool {
-	since, found := follower.dark[address]
-	return found && follower.runtime.Now().Sub(since) < darkTime
+func (f *Follower) isDark(address string) bool {
+	since, found := f.dark[address]
+	return found && f.runtime.Now().Sub(since) < darkTime
 }
 
 // left is how long a call may take that is given so much patience and must end
 // by a moment, if one is given.
-func (follower *Follower) left(patience time.Duration, ends time.Time) time.Duration {
+func (f *Follower) left(patience time.Duration, ends time.Time) time.Duration {
 	if ends.IsZero() {
 		return patience
 	}
-	return min(patience, ends.Sub(follower.runtime.Now()))
+	return min(patience, ends.Sub(f.runtime.Now()))
 }
 
-func (follower *Follower) viaNeighbour(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
-	follower.mutex.Lock()
-	relays := append([]string(nil), follower.peers[:min(neighbours, len(follower.peers))]...)
-	follower.mutex.Unlock()
+func (f *Follower) viaNeighbour(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
+	f.mutex.Lock()
+	relays := append([]string(nil), f.peers[:min(neighbours, len(f.peers))]...)
+	f.mutex.Unlock()
 	var last error = failure.New(failure.NoPrimary, "no neighbour is known")
 	for _, address := range relays {
-		if follower.left(patience, ends) <= 0 {
+		if f.left(patience, ends) <= 0 {
 			break
 		}
 		var reply []byte
-		err := Call(follower.line, address, RelayPath, RelayQuestion{Path: path, Body: body}, &reply, follower.left(patience+200*time.Millisecond, ends))
+		err := Call(f.line, address, RelayPath, RelayQuestion{Path: path, Body: body}, &reply, f.left(patience+200*time.Millisecond, ends))
 		if err == nil || !unheard(err) {
 			return reply, err
 		}
@@ -159,17 +159,17 @@
 }
 
 // Relay passes another node's message to the primary that this node knows.
-func (follower *Follower) Relay(question RelayQuestion) ([]byte, error) {
+func (f *Follower) Relay(question RelayQuestion) ([]byte, error) {
 	switch question.Path {
 	case UpdatePath, ClaimPath, OrdersPath:
 	default:
 		return nil, failure.New(failure.NoSuch, "no such path to relay: "+question.Path)
 	}
-	address, known := follower.knownPrimary()
+	address, known := f.knownPrimary()
 	if !known {
 		return nil, failure.New(failure.NoPrimary, "this node knows no primary")
 	}
-	reply, err := follower.line.CallRaw(address, question.Path, question.Body, relayPatience)
+	reply, err := f.line.CallRaw(address, question.Path, question.Body, relayPatience)
 	if err != nil {
 		return nil, err
 	}
@@ -177,7 +177,7 @@
 	if err := msgpack.Unmarshal(reply, &said); err != nil {
 		return nil, failure.Wrap(failure.Garbage, err)
 	}
-	follower.learn(address, said)
+	f.learn(address, said)
 	if !said.Leads {
 		return nil, failure.New(failure.NoPrimary, "the primary that this node knew leads no more")
 	}
--- a/internal/hatch/calls.go
+++ b/internal/hatch/calls.go
@@ -34,21 +34,21 @@
 }
 
 // SetConfiguration puts a configuration in force, unless a newer one is.
-func (calls *Calls) SetConfiguration(configuration *config.Configuration, version replication.Version) {
-	calls.window.SetProgram(scheduler.Compile(configuration, version.Epoch, version.Number))
+func (c *Calls) SetConfiguration(configuration *config.Configuration, version replication.Version) {
+	c.window.SetProgram(scheduler.Compile(configuration, version.Epoch, version.Number))
 }
 
 // SetServing bounds until when calls are let in.
-func (calls *Calls) SetServing(until time.Time) { calls.serving.Store(&until) }
+func (c *Calls) SetServing(until time.Time) { c.serving.Store(&until) }
 
 // SetKeepers gives the way to those who keep counts of what servers read, before any call
 // comes.
-func (calls *Calls) SetKeepers(keepers *CountKeepers) { calls.keepers = keepers }
+func (c *Calls) SetKeepers(keepers *CountKeepers) { c.keepers = keepers }
 
 // serves tells whether calls may be let in now.
-func (calls *Calls) serves() bool {
-	until := calls.serving.Load()
-	return until == nil || calls.runtime.Now().Before(*until)
+func (c *Calls) serves() bool {
+	until := c.serving.Load()
+	return until == nil || c.runtime.Now().Before(*until)
 }
 
 // unheldRetry is when a call may come back that met a courier without a hold: the
@@ -56,33 +56,33 @@
 const unheldRetry = 300 * time.Millisecond
 
 // SetServers takes the list of servers.
-func (calls *Calls) SetServers(now time.Time, servers []membership.Server) {
-	calls.listed(servers)
-	calls.window.SetServers(now, servers)
-	calls.servers.Store(int64(len(servers)))
+func (c *Calls) SetServers(now time.Time, servers []membership.Server) {
+	c.listed(servers)
+	c.window.SetServers(now, servers)
+	c.servers.Store(int64(len(servers)))
 }
 
 // SetLoads takes what the servers reported of themselves.
-func (calls *Calls) SetLoads(now time.Time, loads []scheduler.Load) {
-	calls.window.SetLoads(now, loads)
+func (c *Calls) SetLoads(now time.Time, loads []scheduler.Load) {
+	c.window.SetLoads(now, loads)
 }
 
 // SetRouters tells how many couriers share the servers.
-func (calls *Calls) SetRouters(count int) { calls.window.SetRouters(count) }
+func (c *Calls) SetRouters(count int) { c.window.SetRouters(count) }
 
 // Ready tells whether calls are welcome: a configuration is in force, servers are
 // known, and the courier is not leaving.
-func (calls *Calls) Ready() bool {
-	epoch, number := calls.window.InForce()
-	return (epoch > 0 || number > 0) && calls.servers.Load() > 0 && !calls.leaving.Load() && calls.serves()
+func (c *Calls) Ready() bool {
+	epoch, number := c.window.InForce()
+	return (epoch > 0 || number > 0) && c.servers.Load() > 0 && !c.leaving.Load() && c.serves()
 }
 
 // Leave says that the courier is leaving. Calls that still come are served until
 // Drain.
-func (calls *Calls) Leave() { calls.leaving.Store(true) }
+func (c *Calls) Leave() { c.leaving.Store(true) }
 
 // Leaving tells whether the courier is leaving.
-func (calls *Calls) Leaving() bool { return calls.leaving.Load() }
+func (c *Calls) Leaving() bool { return c.leaving.Load() }
 
 // The pauses of leaving. The values are ours.
 const (
@@ -100,41 +100,41 @@
 // until that is noticed, refuses after that, and returns when nothing is under way or
 // the grace is over. Noticed is told when those who look have noticed: clients whose
 // connections rest had better not come back on them.
-func (calls *Calls) Retire(grace time.Duration, noticed func()) {
-	ends := calls.runtime.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
-	calls.Leave()
-	runtime.Sleep(calls.runtime, min(noticePause, grace/3))
+func (c *Calls) Retire(grace time.Duration, noticed func()) {
+	ends := c.runtime.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
+	c.Leave()
+	runtime.Sleep(c.runtime, min(noticePause, grace/3))
 	noticed()
-	calls.window.Drain()
-	for calls.runtime.Alive() && calls.window.InFlight() > 0 && calls.runtime.Now().Before(ends) {
-		runtime.Sleep(calls.runtime, leavingPause)
+	c.window.Drain()
+	for c.runtime.Alive() && c.window.InFlight() > 0 && c.runtime.Now().Before(ends) {
+		runtime.Sleep(c.runtime, leavingPause)
 	}
 }
 
 // Limits bound what an origin may send.
-func (calls *Calls) Limits() config.Limits { return calls.window.Limits() }
+func (c *Calls) Limits() config.Limits { return c.window.Limits() }
 
 // Serve serves one call and returns when it is over.
-func (calls *Calls) Serve(call *scheduler.Call, exchange Exchange) {
-	if !calls.serves() {
+func (c *Calls) Serve(call *scheduler.Call, exchange Exchange) {
+	if !c.serves() {
 		exchange.Refuse(Refusal{Cause: scheduler.NotReady, Status: statusOf(scheduler.NotReady), RetryAfter: unheldRetry})
 		return
 	}
-	ticket, decision := calls.window.Arrive(calls.runtime.Now(), call)
+	ticket, decision := c.window.Arrive(c.runtime.Now(), call)
 	// ran tells that a server may have begun the call, before that an earlier one than
 	// the last may have.
 	ran, before := false, false
 	var outcome scheduler.Outcome
 	for {
-		if calls.keepers != nil {
-			calls.keepers.NoteChanges()
+		if c.keepers != nil {
+			c.keepers.NoteChanges()
 		}
 		for _, source := range decision.Free {
 			exchange.Free(source)
 		}
 		switch decision.Kind {
 		case scheduler.Ask:
-			decision = calls.told(ticket, decision)
+			decision = c.told(ticket, decision)
 			continue
 		case scheduler.Read:
 			outcome = exchange.Read(decision)
@@ -142,7 +142,7 @@
 				exchange.Free(scheduler.Source{Address: decision.Server.Address, Handle: outcome.Handle})
 			}
 		case scheduler.Run:
-			outcome = exchange.Run(ticket.Route().Calls, decision, func() { calls.window.Began(calls.runtime.Now(), ticket) })
+			outcome = exchange.Run(ticket.Route().Calls, decision, func() { c.window.Began(c.runtime.Now(), ticket) })
 			before, ran = ran, ran || outcome.Result.MayHaveRun()
 		default:
 			if decision.Reason != "" {
@@ -151,7 +151,7 @@
 			conclude(exchange, decision, ran, before && !outcome.Result.MayHaveRun())
 			return
 		}
-		decision = calls.window.Ended(calls.runtime.Now(), ticket, outcome)
+		decision = c.window.Ended(c.runtime.Now(), ticket, outcome)
 	}
 }
 
@@ -192,7 +192,7 @@
 }
 
 // told asks the keepers of counts and has the window go on with their answers.
-func (calls *Calls) told(ticket *scheduler.Ticket, decision scheduler.Decision) scheduler.Decision {
-	answers := calls.keepers.Ask(decision.Questions)
-	return calls.window.Told(calls.runtime.Now(), ticket, answers)
+func (c *Calls) told(ticket *scheduler.Ticket, decision scheduler.Decision) scheduler.Decision {
+	answers := c.keepers.Ask(decision.Questions)
+	return c.window.Told(c.runtime.Now(), ticket, answers)
 }
--- a/internal/hatch/calls_test.go
+++ b/internal/hatch/calls_test.go
@@ -21,36 +21,36 @@
 	reason   scheduler.Reason
 }
 
-func (exchange *scriptedExchange) next(kind string) scheduler.Outcome {
-	exchange.done = append(exchange.done, kind)
-	outcome := exchange.outcomes[0]
-	exchange.outcomes = exchange.outcomes[1:]
+func (s *scriptedExchange) next(kind string) scheduler.Outcome {
+	s.done = append(s.done, kind)
+	outcome := s.outcomes[0]
+	s.outcomes = s.outcomes[1:]
 	return outcome
 }
 
-func (exchange *scriptedExchange) Read(scheduler.Decision) scheduler.Outcome {
-	return exchange.next("read")
+func (s *scriptedExchange) Read(scheduler.Decision) scheduler.Outcome {
+	return s.next("read")
 }
 
-func (exchange *scriptedExchange) Run(*config.CallRoute, scheduler.Decision, func()) scheduler.Outcome {
-	return exchange.next("run")
+func (s *scriptedExchange) Run(*config.CallRoute, scheduler.Decision, func()) scheduler.Outcome {
+	return s.next("run")
 }
 
-func (exchange *scriptedExchange) Refuse(refusal Refusal) {
-	exchange.done, exchange.refused = append(exchange.done, "refuse"), refusal
+func (s *scriptedExchange) Refuse(refusal Refusal) {
+	s.done, s.refused = append(s.done, "refuse"), refusal
 }
 
-func (exchange *scriptedExchange) Through() bool {
-	exchange.done = append(exchange.done, "through")
-	return exchange.kept
+func (s *scriptedExchange) Through() bool {
+	s.done = append(s.done, "through")
+	return s.kept
 }
 
-func (exchange *scriptedExchange) GivenUp(reason scheduler.Reason) { exchange.reason = reason }
+func (s *scriptedExchange) GivenUp(reason scheduler.Reason) { s.reason = reason }
 
-func (exchange *scriptedExchange) Break() { exchange.done = append(exchange.done, "break") }
+func (s *scriptedExchange) Break() { s.done = append(s.done, "break") }
 
-func (exchange *scriptedExchange) Free(source scheduler.Source) {
-	exchange.freed = append(exchange.freed, source)
+func (s *scriptedExchange) Free(source scheduler.Source) {
+	s.freed = append(s.freed, source)
 }
 
 func newCalls(t *testing.T, parts ...string) (*Calls, *osruntime.Runtime) {
--- a/internal/hatch/copies.go
+++ b/internal/hatch/copies.go
@@ -21,26 +21,26 @@
 const copyFresh = time.Second
 
 // note takes an answer; one without word of a copy takes back what was said before.
-func (copies *copies) note(address string, at time.Time, answer UpdateAnswer) {
+func (c *copies) note(address string, at time.Time, answer UpdateAnswer) {
 	if answer.Copy == nil {
-		delete(copies.said, address)
+		delete(c.said, address)
 		return
 	}
-	if copies.said == nil {
-		copies.said = map[string]copySaid{}
+	if c.said == nil {
+		c.said = map[string]copySaid{}
 	}
-	copies.said[address] = copySaid{at: at, membership: answer.Membership, copied: *answer.Copy}
+	c.said[address] = copySaid{at: at, membership: answer.Membership, copied: *answer.Copy}
 }
 
 // choose gives the configuration that may be served before there is a primary, and
 // where it lies. What was acknowledged is on every copy that the newest charter names,
 // so it takes the oldest among them, and only when each has spoken or is lost, and when
 // a quorum of the keepers has told the charter.
-func (copies *copies) choose(now time.Time) (address string, version replication.Version, found bool) {
+func (c *copies) choose(now time.Time) (address string, version replication.Version, found bool) {
 	var membership replication.Membership
 	spoken := map[replication.Identity]bool{}
 	at := map[replication.Identity]string{}
-	for place, said := range copies.said {
+	for place, said := range c.said {
 		if now.Sub(said.at) > copyFresh {
 			continue
 		}
@@ -54,13 +54,13 @@
 	}
 	for _, replica := range membership.Copies() {
 		if !spoken[replica.Identity] {
-			if another, heard := copies.said[replica.Address]; heard && now.Sub(another.at) <= copyFresh {
+			if another, heard := c.said[replica.Address]; heard && now.Sub(another.at) <= copyFresh {
 				// Another disk is at its address: its own is lost.
 				continue
 			}
 			return "", version, false
 		}
-		said := copies.said[at[replica.Identity]].copied
+		said := c.said[at[replica.Identity]].copied
 		if said.Damaged {
 			// It can't lead, and is replaced.
 			continue
--- a/internal/hatch/copynews.go
+++ b/internal/hatch/copynews.go
@@ -18,9 +18,9 @@
 var provisionalSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
 // copyUpdate tells of the own copy, with its drawers if their version is the wanted one.
-func (controller *Controller) copyUpdate(wanted replication.Version) *CopyUpdate {
-	copied := controller.store.Copy()
-	update := &CopyUpdate{Identity: controller.witness.Replica().Identity, Damaged: copied.Damage() != ""}
+func (c *Controller) copyUpdate(wanted replication.Version) *CopyUpdate {
+	copied := c.store.Copy()
+	update := &CopyUpdate{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
 	sections := copied.Sections()
 	update.Configuration = sections[replication.ConfigurationSection].Version
 	if update.Damaged || wanted == (replication.Version{}) || update.Configuration != wanted {
@@ -37,14 +37,14 @@
 
 // elsewhere is the answer of an expediter that is not primary. The charter is read
 // before the copy: a copy that the charter names is then no older than its grant.
-func (controller *Controller) elsewhere(question UpdateQuestion) UpdateAnswer {
-	answer := UpdateAnswer{Membership: controller.coordinator.Membership()}
+func (c *Controller) elsewhere(question UpdateQuestion) UpdateAnswer {
+	answer := UpdateAnswer{Membership: c.coordinator.Membership()}
 	if !question.Provisional {
 		return answer
 	}
 	if question.Lists {
-		answer.Servers = controller.provisionalServers(question.Wanted != (replication.Version{}))
+		answer.Servers = c.provisionalServers(question.Wanted != (replication.Version{}))
 	}
-	answer.Copy = controller.copyUpdate(question.Wanted)
+	answer.Copy = c.copyUpdate(question.Wanted)
 	return answer
 }
--- a/internal/hatch/counter.go
+++ b/internal/hatch/counter.go
@@ -18,75 +18,75 @@
 )
 
 // Answers is what the expediter answers on the hotline.
-func (controller *Controller) Answers() Answers { return controller.answers }
+func (c *Controller) Answers() Answers { return c.answers }
 
-func (controller *Controller) table() Answers {
+func (c *Controller) table() Answers {
 	return Answers{
 		HelloPath: answering(func(hello replication.Hello) (replication.Hello, error) {
-			return controller.coordinator.Greet(hello), nil
+			return c.coordinator.Greet(hello), nil
 		}),
 		PreparePath: answering(func(question keeperQuestion) (replication.Promise, error) {
-			if err := controller.mine(question.To); err != nil {
+			if err := c.mine(question.To); err != nil {
 				return replication.Promise{}, err
 			}
-			return controller.witness.Prepare(controller.runtime.Now(), question.Epoch, question.From)
+			return c.witness.Prepare(c.runtime.Now(), question.Epoch, question.From)
 		}),
 		AcceptPath: answering(func(question keeperQuestion) (replication.Promise, error) {
-			if err := controller.mine(question.To); err != nil {
+			if err := c.mine(question.To); err != nil {
 				return replication.Promise{}, err
 			}
-			return controller.witness.Accept(controller.runtime.Now(), question.Membership)
+			return c.witness.Accept(c.runtime.Now(), question.Membership)
 		}),
 		ConfirmPath: answering(func(question keeperQuestion) (replication.Promise, error) {
-			if err := controller.mine(question.To); err != nil {
+			if err := c.mine(question.To); err != nil {
 				return replication.Promise{}, err
 			}
-			return controller.witness.Confirm(controller.runtime.Now(), question.Epoch, question.From), nil
+			return c.witness.Confirm(c.runtime.Now(), question.Epoch, question.From), nil
 		}),
 		ReplicatePath: answering(func(question replicateQuestion) (nothing, error) {
-			if err := controller.mine(question.To); err != nil {
+			if err := c.mine(question.To); err != nil {
 				return nothing{}, err
 			}
-			return nothing{}, controller.store.Replicate(question.Epoch, question.Batch)
+			return nothing{}, c.store.Replicate(question.Epoch, question.Batch)
 		}),
 		InstallPath: answering(func(question installQuestion) (nothing, error) {
-			if err := controller.mine(question.To); err != nil {
+			if err := c.mine(question.To); err != nil {
 				return nothing{}, err
 			}
-			return nothing{}, controller.store.Install(question.Snapshot)
+			return nothing{}, c.store.Install(question.Snapshot)
 		}),
 		RefreshPath: answering(func(question installQuestion) (nothing, error) {
-			if err := controller.mine(question.To); err != nil {
+			if err := c.mine(question.To); err != nil {
 				return nothing{}, err
 			}
-			return nothing{}, controller.store.Refresh(question.Snapshot)
+			return nothing{}, c.store.Refresh(question.Snapshot)
 		}),
-		UpdatePath: answering(controller.answerUpdate),
+		UpdatePath: answering(c.answerUpdate),
 		ClaimPath: answering(func(question ClaimQuestion) (LedAnswer, error) {
-			return controller.led(replication.Claim(question.Made, question.Entry))
+			return c.led(replication.Claim(question.Made, question.Entry))
 		}),
 		OrdersPath: answering(func(question OrdersQuestion) (LedAnswer, error) {
-			return controller.led(replication.GiveOrders(question.Role, question.Orders, question.Supported))
+			return c.led(replication.GiveOrders(question.Role, question.Orders, question.Supported))
 		}),
 	}
 }
 
 // mine guards against messages for another disk at the same address.
-func (controller *Controller) mine(identity replication.Identity) error {
-	if own := controller.witness.Replica().Identity; identity != own {
+func (c *Controller) mine(identity replication.Identity) error {
+	if own := c.witness.Replica().Identity; identity != own {
 		return failure.New(failure.NotAdmitted, "another disk is at this address now")
 	}
 	return nil
 }
 
 // led carries out a node's change if this expediter is primary.
-func (controller *Controller) led(change replication.Change) (LedAnswer, error) {
-	if _, _, err := controller.Ruling(); err != nil {
-		return LedAnswer{Membership: controller.coordinator.Membership()}, nil
+func (c *Controller) led(change replication.Change) (LedAnswer, error) {
+	if _, _, err := c.Ruling(); err != nil {
+		return LedAnswer{Membership: c.coordinator.Membership()}, nil
 	}
-	_, err := controller.submit(change, claimPatience)
+	_, err := c.submit(change, claimPatience)
 	if failure.KindOf(err) == failure.NotPrimary {
-		return LedAnswer{Membership: controller.coordinator.Membership()}, nil
+		return LedAnswer{Membership: c.coordinator.Membership()}, nil
 	}
 	return LedAnswer{Leads: true}, err
 }
@@ -96,48 +96,48 @@
 
 // answerUpdate registers the node if needed, waits for news, and grants a hold
 // for the configuration that the answer confirms.
-func (controller *Controller) answerUpdate(question UpdateQuestion) (UpdateAnswer, error) {
-	elsewhere := func() (UpdateAnswer, error) { return controller.elsewhere(question), nil }
-	current, view, err := controller.Ruling()
+func (c *Controller) answerUpdate(question UpdateQuestion) (UpdateAnswer, error) {
+	elsewhere := func() (UpdateAnswer, error) { return c.elsewhere(question), nil }
+	current, view, err := c.Ruling()
 	if err != nil {
 		return elsewhere()
 	}
 	if question.Brief {
-		return UpdateAnswer{Leads: true, Membership: controller.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
+		return UpdateAnswer{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
 	}
 	name := question.Member.Name
 	router := question.Member.Kind == membership.Router
-	arrived := controller.runtime.Now()
-	controller.mutex.Lock()
+	arrived := c.runtime.Now()
+	c.mutex.Lock()
 	current.asked[name] = arrived
-	controller.mutex.Unlock()
+	c.mutex.Unlock()
 	if router {
-		controller.lists.noteFailing(arrived, question)
+		c.lists.noteFailing(arrived, question)
 		current.Holds.Note(arrived, name, question.InForce.Number)
-		controller.confirmed.Broadcast()
+		c.confirmed.Broadcast()
 	}
-	state, err := controller.state(current, view)
+	state, err := c.state(current, view)
 	if err != nil {
 		return UpdateAnswer{}, err
 	}
 	if recorded, found := state.Members[name]; !found || !recorded.Same(question.Member) {
 		member := question.Member
-		member.Since = controller.runtime.Wall()
-		if _, err := controller.submit(replication.Register(member), registerPatience); err != nil {
+		member.Since = c.runtime.Wall()
+		if _, err := c.submit(replication.Register(member), registerPatience); err != nil {
 			return UpdateAnswer{}, err
 		}
 	}
 	for {
-		if view = controller.awaitUpdate(question); view == nil {
+		if view = c.awaitUpdate(question); view == nil {
 			return elsewhere()
 		}
-		answer := UpdateAnswer{Leads: true, Membership: controller.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
+		answer := UpdateAnswer{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
 		answer.shorten(question, current)
-		now := controller.runtime.Now()
+		now := c.runtime.Now()
 		answer.Held = now.Sub(arrived)
-		controller.lists.tell(now, question, &answer)
+		c.lists.tell(now, question, &answer)
 		if router {
-			state, err := controller.state(current, view)
+			state, err := c.state(current, view)
 			if err != nil {
 				return UpdateAnswer{}, err
 			}
@@ -150,15 +150,15 @@
 		}
 		// The grant is noted before this look: a configuration committed since
 		// is either seen here, or its change sees the grant and waits for it.
-		latest := controller.store.View()
-		if latest == nil || !controller.coordinator.Holds() {
+		latest := c.store.View()
+		if latest == nil || !c.coordinator.Holds() {
 			return elsewhere()
 		}
 		if latest.VersionOf(replication.ConfigurationSection) == answer.Configuration {
 			if answer.Membership.Epoch <= question.Membership {
 				answer.Membership = replication.Membership{}
 			}
-			controller.count(answer)
+			c.count(answer)
 			return answer, nil
 		}
 	}
@@ -166,8 +166,8 @@
 
 // shorten sends what changed of the configuration instead of all of it, if the
 // node takes that and has a version that was shown here.
-func (answer *UpdateAnswer) shorten(question UpdateQuestion, current *Term) {
-	section, found := answer.Sections[replication.ConfigurationSection]
+func (u *UpdateAnswer) shorten(question UpdateQuestion, current *Term) {
+	section, found := u.Sections[replication.ConfigurationSection]
 	if !found {
 		return
 	}
@@ -175,22 +175,22 @@
 	if !made || !question.Deltas {
 		return
 	}
-	delete(answer.Sections, replication.ConfigurationSection)
-	answer.Deltas = map[string]Delta{replication.ConfigurationSection: delta}
+	delete(u.Sections, replication.ConfigurationSection)
+	u.Deltas = map[string]Delta{replication.ConfigurationSection: delta}
 }
 
 // count adds an answer's drawers to what news has cost.
-func (controller *Controller) count(answer UpdateAnswer) {
-	controller.updateAnswers.Add(1)
+func (c *Controller) count(answer UpdateAnswer) {
+	c.updateAnswers.Add(1)
 	for name, section := range answer.Sections {
-		controller.updateBytes.Add(uint64(len(section.Content)))
+		c.updateBytes.Add(uint64(len(section.Content)))
 		if name == replication.ConfigurationSection {
-			controller.configurationsSent.Add(1)
+			c.configurationsSent.Add(1)
 		}
 	}
 	for _, delta := range answer.Deltas {
-		controller.updateBytes.Add(uint64(len(delta.Middle)))
-		controller.configurationsSent.Add(1)
+		c.updateBytes.Add(uint64(len(delta.Middle)))
+		c.configurationsSent.Add(1)
 	}
 }
 
@@ -221,24 +221,24 @@
 // newerMembership tells whether the membership has changed since the asker heard of it: who
 // belongs to the core, and where, is to reach every node while it can. An older release
 // does not tell what it has heard of, and is told with its next answer.
-func (controller *Controller) newerMembership(question UpdateQuestion) bool {
-	return question.Membership != 0 && controller.coordinator.Membership().Epoch > question.Membership
+func (c *Controller) newerMembership(question UpdateQuestion) bool {
+	return question.Membership != 0 && c.coordinator.Membership().Epoch > question.Membership
 }
 
 // awaitUpdate returns the view as soon as it has news for the question, or when
 // its patience ends; nil when this expediter is not primary any more.
-func (controller *Controller) awaitUpdate(question UpdateQuestion) *replication.View {
+func (c *Controller) awaitUpdate(question UpdateQuestion) *replication.View {
 	var seen *replication.View
-	controller.update.Wait(min(max(question.Patience, 0), mostUpdateWait), func() bool {
-		_, view, err := controller.Ruling()
+	c.update.Wait(min(max(question.Patience, 0), mostUpdateWait), func() bool {
+		_, view, err := c.Ruling()
 		if err != nil {
 			seen = nil
 			return true
 		}
 		seen = view
-		return len(newer(view, question.Have)) > 0 || controller.lists.newer(question) || controller.newerMembership(question)
+		return len(newer(view, question.Have)) > 0 || c.lists.newer(question) || c.newerMembership(question)
 	})
-	if !controller.runtime.Alive() {
+	if !c.runtime.Alive() {
 		return nil
 	}
 	return seen
--- a/internal/hatch/countkeepers.go
+++ b/internal/hatch/countkeepers.go
@@ -48,33 +48,33 @@
 }
 
 // SetNodes tells which nodes of the data plane are recorded.
-func (keepers *CountKeepers) SetNodes(members map[string]membership.Member) {
+func (c *CountKeepers) SetNodes(members map[string]membership.Member) {
 	nodes := map[string]membership.Member{}
 	for name, member := range members {
 		if member.Kind == membership.Router {
 			nodes[name] = member
 		}
 	}
-	keepers.mutex.Lock()
-	defer keepers.mutex.Unlock()
-	keepers.nodes = nodes
-	keepers.ranked = map[string][]membership.Member{}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.nodes = nodes
+	c.ranked = map[string][]membership.Member{}
 }
 
 // Answer answers a question of another node.
-func (keepers *CountKeepers) Answer(question backlog.Question) (backlog.Answer, error) {
-	return keepers.ledger.Apply(keepers.runtime.Now(), question), nil
+func (c *CountKeepers) Answer(question backlog.Question) (backlog.Answer, error) {
+	return c.ledger.Apply(c.runtime.Now(), question), nil
 }
 
 // Ask brings questions to their keepers, all at once, and gives the answers that come in
 // time, by group.
-func (keepers *CountKeepers) Ask(questions []backlog.Question) map[string]backlog.Answer {
+func (c *CountKeepers) Ask(questions []backlog.Question) map[string]backlog.Answer {
 	answers := make(map[string]backlog.Answer, len(questions))
 	var mutex sync.Mutex
 	left := len(questions) - 1
-	done := keepers.runtime.NewCond()
+	done := c.runtime.NewCond()
 	ask := func(question backlog.Question) {
-		answer, answered := keepers.bring(question)
+		answer, answered := c.bring(question)
 		mutex.Lock()
 		defer mutex.Unlock()
 		if answered {
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, question := range questions[1:] {
-		keepers.runtime.Go(func() {
+		c.runtime.Go(func() {
 			ask(question)
 			mutex.Lock()
 			left--
@@ -106,36 +106,36 @@
 }
 
 // bring has the keeper of a question's group answer it.
-func (keepers *CountKeepers) bring(question backlog.Question) (answer backlog.Answer, answered bool) {
-	question.Router = keepers.incarnation
-	keeper, found := keepers.keeper(question.Group)
+func (c *CountKeepers) bring(question backlog.Question) (answer backlog.Answer, answered bool) {
+	question.Router = c.incarnation
+	keeper, found := c.keeper(question.Group)
 	if !found {
 		return answer, false
 	}
-	if keeper.Name == keepers.self {
-		return keepers.ledger.Apply(keepers.runtime.Now(), question), true
+	if keeper.Name == c.self {
+		return c.ledger.Apply(c.runtime.Now(), question), true
 	}
-	if err := Call(keepers.line, keeper.Address, CountsPath, question, &answer, countPatience); err != nil {
-		keepers.mutex.Lock()
-		keepers.silent[keeper.Address] = keepers.runtime.Now()
-		keepers.mutex.Unlock()
+	if err := Call(c.line, keeper.Address, CountsPath, question, &answer, countPatience); err != nil {
+		c.mutex.Lock()
+		c.silent[keeper.Address] = c.runtime.Now()
+		c.mutex.Unlock()
 		return answer, false
 	}
 	return answer, true
 }
 
 // keeper is the node that keeps a group's counts.
-func (keepers *CountKeepers) keeper(group string) (membership.Member, bool) {
-	now := keepers.runtime.Now()
-	keepers.mutex.Lock()
-	defer keepers.mutex.Unlock()
-	ranked, known := keepers.ranked[group]
+func (c *CountKeepers) keeper(group string) (membership.Member, bool) {
+	now := c.runtime.Now()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	ranked, known := c.ranked[group]
 	if !known {
-		ranked = keepers.rank(group)
-		keepers.ranked[group] = ranked
+		ranked = c.rank(group)
+		c.ranked[group] = ranked
 	}
 	for _, node := range ranked {
-		if silent, found := keepers.silent[node.Address]; !found || now.Sub(silent) >= keeperSilence {
+		if silent, found := c.silent[node.Address]; !found || now.Sub(silent) >= keeperSilence {
 			return node, true
 		}
 	}
@@ -143,13 +143,13 @@
 }
 
 // rank orders the nodes for a group: those of its zone, or all if there are none.
-func (keepers *CountKeepers) rank(group string) []membership.Member {
+func (c *CountKeepers) rank(group string) []membership.Member {
 	zone := ""
 	if parts := strings.Split(group, "/"); len(parts) >= 2 {
 		zone = parts[len(parts)-2]
 	}
 	var near, all []string
-	for name, node := range keepers.nodes {
+	for name, node := range c.nodes {
 		all = append(all, name)
 		if node.Zone == zone {
 			near = append(near, name)
@@ -160,25 +160,25 @@
 	}
 	var ranked []membership.Member
 	for _, name := range membership.Ranked(group, all) {
-		ranked = append(ranked, keepers.nodes[name])
+		ranked = append(ranked, c.nodes[name])
 	}
 	return ranked
 }
 
 // NoteChanges has the keepers told, soon, of what changed by a decision.
-func (keepers *CountKeepers) NoteChanges() {
-	if keepers.window.HasChanges() {
-		keepers.changed.Broadcast()
+func (c *CountKeepers) NoteChanges() {
+	if c.window.HasChanges() {
+		c.changed.Broadcast()
 	}
 }
 
 // Tell brings changes to the keepers whenever there are any.
-func (keepers *CountKeepers) Tell() {
-	for keepers.runtime.Alive() {
-		keepers.changed.Wait(restTick, keepers.window.HasChanges)
-		runtime.Sleep(keepers.runtime, changesPause)
-		for group, changes := range keepers.window.TakeChanges() {
-			keepers.bring(backlog.Question{Group: group, Changes: changes})
+func (c *CountKeepers) Tell() {
+	for c.runtime.Alive() {
+		c.changed.Wait(restTick, c.window.HasChanges)
+		runtime.Sleep(c.runtime, changesPause)
+		for group, changes := range c.window.TakeChanges() {
+			c.bring(backlog.Question{Group: group, Changes: changes})
 		}
 	}
 }
--- a/internal/hatch/countkeepers_test.go
+++ b/internal/hatch/countkeepers_test.go
@@ -23,11 +23,11 @@
 	calls   atomic.Int64
 }
 
-func (line *keeperLine) CallRaw(address, path string, body []byte, _ time.Duration) ([]byte, error) {
-	line.calls.Add(1)
-	line.mutex.Lock()
-	keeper, down := line.keepers[address], line.down[address]
-	line.mutex.Unlock()
+func (k *keeperLine) CallRaw(address, path string, body []byte, _ time.Duration) ([]byte, error) {
+	k.calls.Add(1)
+	k.mutex.Lock()
+	keeper, down := k.keepers[address], k.down[address]
+	k.mutex.Unlock()
 	if down || keeper == nil || path != CountsPath {
 		return nil, failure.New(failure.Unreachable, "nobody answers")
 	}
@@ -145,9 +145,9 @@
 	during func()
 }
 
-func (exchange *readingExchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	exchange.during()
-	return exchange.scriptedExchange.Read(decision)
+func (r *readingExchange) Read(decision scheduler.Decision) scheduler.Outcome {
+	r.during()
+	return r.scriptedExchange.Read(decision)
 }
 
 // TestCallsAskBeforeReads has a call counted while its prompt is read, and not after.
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -92,243 +92,243 @@
 }
 
 // Rounds are what a courier does over and over, each in a thread of its own.
-func (router *Router) Rounds() []func() {
+func (r *Router) Rounds() []func() {
 	rounds := []func(){
-		router.tick,
-		router.leaveCrumbs,
-		router.followed.Run,
+		r.tick,
+		r.leaveCrumbs,
+		r.followed.Run,
 	}
-	if router.options.Directory != nil {
-		rounds = append(rounds, router.readList, router.readNodes)
+	if r.options.Directory != nil {
+		rounds = append(rounds, r.readList, r.readNodes)
 	}
-	if router.keepers != nil {
-		rounds = append(rounds, router.keepers.Tell)
+	if r.keepers != nil {
+		rounds = append(rounds, r.keepers.Tell)
 	}
 	return rounds
 }
 
 // tick lets the core see the time go on: often while inquiries are under way, seldom
 // while there are only duties, and hardly ever otherwise.
-func (router *Router) tick() {
-	for router.runtime.Alive() {
-		router.Apply(auction.Event{Kind: auction.Ticked})
-		pause := router.tickPause()
+func (r *Router) tick() {
+	for r.runtime.Alive() {
+		r.Apply(auction.Event{Kind: auction.Ticked})
+		pause := r.tickPause()
 		// Whoever gives the core more to do looks at this after it has, and rings.
-		router.resting.Store(int64(pause))
-		router.stirred.Wait(pause, func() bool { return router.tickPause() < pause })
+		r.resting.Store(int64(pause))
+		r.stirred.Wait(pause, func() bool { return r.tickPause() < pause })
 	}
 }
 
 // stir wakes the ticking if it rests for longer than it should.
-func (router *Router) stir() {
-	if int64(router.tickPause()) < router.resting.Load() {
-		router.stirred.Broadcast()
+func (r *Router) stir() {
+	if int64(r.tickPause()) < r.resting.Load() {
+		r.stirred.Broadcast()
 	}
 }
 
-func (router *Router) tickPause() time.Duration {
+func (r *Router) tickPause() time.Duration {
 	switch {
-	case router.core.InFlight() > 0:
+	case r.core.InFlight() > 0:
 		return routerTick
-	case router.core.Dutiful():
+	case r.core.Dutiful():
 		return roleTick
 	}
 	return restTick
 }
 
 // Core is the deciding core.
-func (router *Router) Core() *seamloom.Core { return router.core }
+func (r *Router) Core() *seamloom.Core { return r.core }
 
 // Journal is what is known of recent inquiries.
-func (router *Router) Journal() *Journal { return router.journal }
+func (r *Router) Journal() *Journal { return r.journal }
 
 // Heard is when a primary answered last.
-func (router *Router) Heard() time.Time { return router.followed.Heard() }
+func (r *Router) Heard() time.Time { return r.followed.Heard() }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (router *Router) SetSeeds(seeds []string) { router.followed.SetSeeds(seeds) }
+func (r *Router) SetSeeds(seeds []string) { r.followed.SetSeeds(seeds) }
 
 // SetServeWithoutHold chooses how long the courier goes on letting in after its last
 // hold. Duties always need a hold.
-func (router *Router) SetServeWithoutHold(length time.Duration) {
-	router.core.SetServeWithoutHold(length)
-	router.followed.SetProvisional(length > 0)
-	router.showServing()
+func (r *Router) SetServeWithoutHold(length time.Duration) {
+	r.core.SetServeWithoutHold(length)
+	r.followed.SetProvisional(length > 0)
+	r.showServing()
 }
 
 // showServing tells the board until when calls may be let in.
-func (router *Router) showServing() {
-	if router.board != nil {
-		router.board.SetServing(router.core.ServesUntil())
+func (r *Router) showServing() {
+	if r.board != nil {
+		r.board.SetServing(r.core.ServesUntil())
 	}
 }
 
 // InForce is the version of the configuration in force.
-func (router *Router) InForce() replication.Version {
-	epoch, number := router.core.InForce()
+func (r *Router) InForce() replication.Version {
+	epoch, number := r.core.InForce()
 	return replication.Version{Epoch: epoch, Number: number}
 }
 
 // Apply feeds one event to the core and carries its decisions out.
-func (router *Router) Apply(event auction.Event) {
+func (r *Router) Apply(event auction.Event) {
 	if event.At.IsZero() {
-		event.At = router.runtime.Now()
+		event.At = r.runtime.Now()
 	}
-	for _, decision := range router.core.Apply(event) {
-		router.carryOut(decision)
+	for _, decision := range r.core.Apply(event) {
+		r.carryOut(decision)
 	}
 }
 
 // Answers is what the courier answers on the hotline.
-func (router *Router) Answers() Answers { return router.answers }
+func (r *Router) Answers() Answers { return r.answers }
 
-func (router *Router) table() Answers {
+func (r *Router) table() Answers {
 	answers := Answers{
-		RelayPath: answering(router.followed.Relay),
+		RelayPath: answering(r.followed.Relay),
 		CrumbsPath: answering(func(records []codec.Record) (bool, error) {
 			for _, record := range records {
-				router.journal.append(record, false)
+				r.journal.append(record, false)
 			}
 			return true, nil
 		}),
 		// A courier may stand among another process's seeds: it says where the
 		// core is.
 		HelloPath: answering(func(replication.Hello) (replication.Hello, error) {
-			return replication.Hello{Kind: membership.Router, Membership: router.followed.Membership()}, nil
+			return replication.Hello{Kind: membership.Router, Membership: r.followed.Membership()}, nil
 		}),
 		UpdatePath: answering(func(UpdateQuestion) (UpdateAnswer, error) {
-			return UpdateAnswer{Membership: router.followed.Membership()}, nil
+			return UpdateAnswer{Membership: r.followed.Membership()}, nil
 		}),
 		IncarnationPath: answering(func(nothing) (Incarnation, error) {
-			return Incarnation{Incarnation: router.incarnation}, nil
+			return Incarnation{Incarnation: r.incarnation}, nil
 		}),
 	}
-	if router.keepers != nil {
-		answers[CountsPath] = answering(router.keepers.Answer)
+	if r.keepers != nil {
+		answers[CountsPath] = answering(r.keepers.Answer)
 	}
 	return answers
 }
 
 // takeUpdate puts a configuration in force before it uses the hold that
 // confirms it.
-func (router *Router) takeUpdate(update Update) {
+func (r *Router) takeUpdate(update Update) {
 	if update.Provisional {
-		router.takeProvisional(update)
+		r.takeProvisional(update)
 		return
 	}
 	if section, found := update.Changed[replication.ConfigurationSection]; found {
-		router.Apply(auction.Event{Kind: auction.ConfigurationReceived, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
-		router.observe("configuration_in_force", "version", section.Version.String())
+		r.Apply(auction.Event{Kind: auction.ConfigurationReceived, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+		r.observe("configuration_in_force", "version", section.Version.String())
 	}
 	state, err := replication.ReadState(update.Changed)
 	if err != nil {
-		router.observe("news_unreadable", "cause", err)
+		r.observe("news_unreadable", "cause", err)
 		return
 	}
 	if _, found := update.Changed[replication.FlagsSection]; found {
-		router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
-		router.observe("flags_read", "enabled", state.Flags.Enabled, "restricted", router.core.Restricted())
+		r.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
+		r.observe("flags_read", "enabled", state.Flags.Enabled, "restricted", r.core.Restricted())
 	}
 	if _, found := update.Changed[replication.OrdersSection]; found {
-		router.Apply(auction.Event{Kind: auction.OrdersRead, Orders: router.core.ReadOrders(state.Orders.Records)})
+		r.Apply(auction.Event{Kind: auction.OrdersRead, Orders: r.core.ReadOrders(state.Orders.Records)})
 	}
-	router.takeMembers(update, state)
-	router.takeLists(update)
+	r.takeMembers(update, state)
+	r.takeLists(update)
 	if update.Answer.Hold > 0 {
-		router.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: update.Asked.Add(update.Answer.Hold), Epoch: update.Answer.Configuration.Epoch,
+		r.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: update.Asked.Add(update.Answer.Hold), Epoch: update.Answer.Configuration.Epoch,
 			Number: update.Answer.Configuration.Number, Roles: update.Answer.Roles})
-		router.showServing()
-		router.stir()
+		r.showServing()
+		r.stir()
 	}
 }
 
 // takeProvisional serves by what the copies hold, before there is a primary: what the
 // configuration is read by comes first. It is no hold, and allows no duty.
-func (router *Router) takeProvisional(update Update) {
+func (r *Router) takeProvisional(update Update) {
 	state, err := replication.ReadState(update.Changed)
 	if err != nil {
-		router.observe("news_unreadable", "cause", err)
+		r.observe("news_unreadable", "cause", err)
 		return
 	}
-	router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
-	router.takeMembers(update, state)
-	router.takeLists(update)
+	r.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
+	r.takeMembers(update, state)
+	r.takeLists(update)
 	section := update.Changed[replication.ConfigurationSection]
-	router.Apply(auction.Event{Kind: auction.ConfigurationLent, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
-	router.showServing()
-	router.stir()
-	router.observe("configuration_lent", "version", section.Version.String())
+	r.Apply(auction.Event{Kind: auction.ConfigurationLent, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+	r.showServing()
+	r.stir()
+	r.observe("configuration_lent", "version", section.Version.String())
 }
 
 // takeMembers takes the recorded members, if there are others.
-func (router *Router) takeMembers(update Update, state *replication.State) {
+func (r *Router) takeMembers(update Update, state *replication.State) {
 	if _, found := update.Changed[replication.MembersSection]; !found {
 		return
 	}
-	router.mutex.Lock()
-	router.members = state.Members
-	router.mutex.Unlock()
-	if router.keepers != nil {
-		router.keepers.SetNodes(state.Members)
+	r.mutex.Lock()
+	r.members = state.Members
+	r.mutex.Unlock()
+	if r.keepers != nil {
+		r.keepers.SetNodes(state.Members)
 	}
 	if update.Answer.Routers == 0 {
 		// Nobody counts them: an older release's primary, or a copy.
-		router.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(routersOf(state.Members)))})
+		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(routersOf(state.Members)))})
 	}
-	router.setContacts()
+	r.setContacts()
 }
 
 // takeLists takes what the news says of servers and of those who share them.
-func (router *Router) takeLists(update Update) {
+func (r *Router) takeLists(update Update) {
 	if count := update.Answer.Routers; count > 0 {
-		router.routers.Store(int64(count))
-		router.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(count)})
+		r.routers.Store(int64(count))
+		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(count)})
 	}
 	if update.Servers != nil {
-		router.takeServers(update.Servers.At, update.Servers.Servers)
+		r.takeServers(update.Servers.At, update.Servers.Servers)
 	}
 	if len(update.Loads) > 0 {
-		router.core.Calls().SetOutliers(router.runtime.Now(), update.Outliers)
-		router.Apply(auction.Event{Kind: auction.LoadsReported, Loads: update.Loads})
+		r.core.Calls().SetOutliers(r.runtime.Now(), update.Outliers)
+		r.Apply(auction.Event{Kind: auction.LoadsReported, Loads: update.Loads})
 	}
 }
 
 // setNodes takes the platform's list of nodes.
-func (router *Router) setNodes(nodes []membership.Node) {
-	router.mutex.Lock()
-	router.nodes = nodes
-	router.mutex.Unlock()
-	router.setContacts()
+func (r *Router) setNodes(nodes []membership.Node) {
+	r.mutex.Lock()
+	r.nodes = nodes
+	r.mutex.Unlock()
+	r.setContacts()
 }
 
 // setContacts names the expediters that the platform or the record knows, and
 // the few others that this courier knows: by rendezvous hashing over the
 // recorded couriers.
-func (router *Router) setContacts() {
-	router.mutex.Lock()
+func (r *Router) setContacts() {
+	r.mutex.Lock()
 	var contacts []string
-	for _, node := range router.nodes {
+	for _, node := range r.nodes {
 		if node.Kind == membership.Controller {
 			contacts = append(contacts, node.Address)
 		}
 	}
 	var names []string
-	for name := range router.members {
+	for name := range r.members {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		member := router.members[name]
+		member := r.members[name]
 		if member.Kind == membership.Controller && !slices.Contains(contacts, member.Address) {
 			contacts = append(contacts, member.Address)
 		}
 	}
-	router.mutex.Unlock()
+	r.mutex.Unlock()
 	var peers []string
-	for _, member := range router.nearest(len(names)) {
+	for _, member := range r.nearest(len(names)) {
 		peers = append(peers, member.Address)
 	}
-	router.followed.SetContacts(contacts, peers)
+	r.followed.SetContacts(contacts, peers)
 }
 
 // routersOf are the names of the couriers among recorded members.
@@ -343,97 +343,97 @@
 }
 
 // nearest are the other recorded couriers, by rendezvous, no more than so many.
-func (router *Router) nearest(most int) []membership.Member {
-	router.mutex.Lock()
-	defer router.mutex.Unlock()
-	names := routersOf(router.members)
+func (r *Router) nearest(most int) []membership.Member {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	names := routersOf(r.members)
 	var members []membership.Member
-	for _, name := range membership.Neighbours(router.options.Router, names, most) {
-		members = append(members, router.members[name])
+	for _, name := range membership.Neighbours(r.options.Router, names, most) {
+		members = append(members, r.members[name])
 	}
 	return members
 }
 
 // leaveCrumbs does so whenever there are any.
-func (router *Router) leaveCrumbs() {
-	for router.runtime.Alive() {
-		router.crumbs.Wait(restTick, router.journal.outgoing)
-		router.dropCrumbs()
-		runtime.Sleep(router.runtime, crumbsPause)
+func (r *Router) leaveCrumbs() {
+	for r.runtime.Alive() {
+		r.crumbs.Wait(restTick, r.journal.outgoing)
+		r.dropCrumbs()
+		runtime.Sleep(r.runtime, crumbsPause)
 	}
 }
 
 // dropCrumbs gives the newest records to a neighbour, which can tell of them
 // when this courier is gone.
-func (router *Router) dropCrumbs() {
-	records := router.journal.takeOutbox()
+func (r *Router) dropCrumbs() {
+	records := r.journal.takeOutbox()
 	if len(records) == 0 {
 		return
 	}
-	for _, member := range router.nearest(neighbours) {
+	for _, member := range r.nearest(neighbours) {
 		var answer bool
-		if Call(router.line, member.Address, CrumbsPath, records, &answer, actPatience) == nil {
+		if Call(r.line, member.Address, CrumbsPath, records, &answer, actPatience) == nil {
 			return
 		}
 	}
 }
 
-func (router *Router) nonce() string { return router.options.Nonce() }
+func (r *Router) nonce() string { return r.options.Nonce() }
 
 // Serve takes one inquiry and answers its origin; it returns when the reply is
 // over.
-func (router *Router) Serve(arrival Arrival, reply Reply) {
+func (r *Router) Serve(arrival Arrival, reply Reply) {
 	request := arrival.Request
-	if !router.meant(arrival) {
+	if !r.meant(arrival) {
 		sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
 		return
 	}
-	stream := newStream(router.runtime)
-	router.mutex.Lock()
-	_, busy := router.streams[request.ID]
+	stream := newStream(r.runtime)
+	r.mutex.Lock()
+	_, busy := r.streams[request.ID]
 	if !busy {
-		router.streams[request.ID] = stream
+		r.streams[request.ID] = stream
 	}
-	router.mutex.Unlock()
+	r.mutex.Unlock()
 	if busy {
 		sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
 		return
 	}
 	defer func() {
-		router.mutex.Lock()
-		defer router.mutex.Unlock()
-		delete(router.streams, request.ID)
+		r.mutex.Lock()
+		defer r.mutex.Unlock()
+		delete(r.streams, request.ID)
 	}()
 	reply.WhenLeft(stream.leave)
-	router.Apply(auction.Event{Kind: auction.RequestArrived, Request: request})
-	router.stir()
-	router.answer(arrival, reply, stream)
+	r.Apply(auction.Event{Kind: auction.RequestArrived, Request: request})
+	r.stir()
+	r.answer(arrival, reply, stream)
 }
 
 // meant tells whether a passed-on inquiry was meant for this life of the
 // courier and comes for the first time.
-func (router *Router) meant(arrival Arrival) bool {
+func (r *Router) meant(arrival Arrival) bool {
 	passage := arrival.Passage
 	if passage == nil || passage.Nonce == "" {
 		return true
 	}
-	if passage.Incarnation != "" && passage.Incarnation != router.incarnation {
+	if passage.Incarnation != "" && passage.Incarnation != r.incarnation {
 		return false
 	}
-	return router.passages.first(router.runtime.Now(), passage.Nonce)
+	return r.passages.first(r.runtime.Now(), passage.Nonce)
 }
 
-func (router *Router) answer(arrival Arrival, reply Reply, stream *stream) {
+func (r *Router) answer(arrival Arrival, reply Reply, stream *stream) {
 	request := arrival.Request
 	for {
 		decision, found := stream.next()
 		if !found {
 			if stream.gone() {
-				router.Apply(auction.Event{Kind: auction.ClientLeft, ID: request.ID})
+				r.Apply(auction.Event{Kind: auction.ClientLeft, ID: request.ID})
 				return
 			}
 			stream.cond.Wait(time.Minute, stream.update)
-			if !router.runtime.Alive() {
+			if !r.runtime.Alive() {
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
 				if stream.sent == 0 {
@@ -446,7 +446,7 @@
 			continue
 		}
 		if decision.Kind == auction.PassOn {
-			router.passOn(arrival, reply)
+			r.passOn(arrival, reply)
 			return
 		}
 		line := lineOf(decision)
@@ -459,7 +459,7 @@
 			}
 			continue
 		}
-		router.options.Ended(request, decision)
+		r.options.Ended(request, decision)
 		if decision.Chunks > 0 {
 			_ = reply.Line(line.encode())
 		} else {
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -27,14 +27,14 @@
 // lines collects a reply.
 type lines struct{ said []ReplyLine }
 
-func (lines *lines) Begin(int, int) {}
-func (lines *lines) Line(content []byte) error {
+func (l *lines) Begin(int, int) {}
+func (l *lines) Line(content []byte) error {
 	var line ReplyLine
 	err := json.Unmarshal(content, &line)
-	lines.said = append(lines.said, line)
+	l.said = append(l.said, line)
 	return err
 }
-func (lines *lines) WhenLeft(func()) {}
+func (l *lines) WhenLeft(func()) {}
 
 // newTestRouter is a courier that knows its configuration's absence only: it
 // refuses everything, at once.
@@ -90,8 +90,8 @@
 
 func (*noted) SetKeepers(*CountKeepers) {}
 
-func (noted *noted) SetServing(until time.Time)                          { noted.until = until }
-func (noted *noted) SetServers(_ time.Time, servers []membership.Server) { noted.servers = servers }
+func (n *noted) SetServing(until time.Time)                          { n.until = until }
+func (n *noted) SetServers(_ time.Time, servers []membership.Server) { n.servers = servers }
 
 // TestBoardIsToldUntilWhenItMayServe brings news with and without a hold, and settings.
 func TestBoardIsToldUntilWhenItMayServe(t *testing.T) {
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -12,141 +12,141 @@
 
 // carryOut does one decision. What waits for others runs in its own thread and
 // comes back as an event.
-func (router *Router) carryOut(decision auction.Decision) {
+func (r *Router) carryOut(decision auction.Decision) {
 	switch decision.Kind {
 	case auction.SendChunk, auction.Finish, auction.PassOn:
-		router.mutex.Lock()
-		stream := router.streams[decision.ID]
-		router.mutex.Unlock()
+		r.mutex.Lock()
+		stream := r.streams[decision.ID]
+		r.mutex.Unlock()
 		if stream != nil {
 			stream.put(decision)
 		}
 		if decision.Kind == auction.Finish {
 			for run := 1; run <= decision.Run; run++ {
-				router.modelServer.EndRun(decision.ID, run)
-				router.forgetToken(decision.ID, run)
+				r.modelServer.EndRun(decision.ID, run)
+				r.forgetToken(decision.ID, run)
 			}
 		}
 	case auction.ClaimRequest:
-		router.runtime.Go(func() { router.claim(decision) })
+		r.runtime.Go(func() { r.claim(decision) })
 	case auction.DispatchPrefill:
-		decision.Token = router.newToken(decision)
-		router.runtime.Go(func() { router.prefill(decision) })
+		decision.Token = r.newToken(decision)
+		r.runtime.Go(func() { r.prefill(decision) })
 	case auction.DispatchDecode:
-		decision.Token = router.newToken(decision)
-		router.runtime.Go(func() { router.decode(decision) })
+		decision.Token = r.newToken(decision)
+		r.runtime.Go(func() { r.decode(decision) })
 	case auction.Cancel:
-		decision.Token = router.tokenOf(decision)
-		router.modelServer.Cancel(decision)
+		decision.Token = r.tokenOf(decision)
+		r.modelServer.Cancel(decision)
 	case auction.NotePair:
-		router.notePair(decision)
+		r.notePair(decision)
 	case auction.NoteRetry:
-		router.noteRetry(decision)
+		r.noteRetry(decision)
 	case auction.GiveOrders:
-		router.runtime.Go(func() { router.giveOrders(decision) })
+		r.runtime.Go(func() { r.giveOrders(decision) })
 	case auction.Command:
-		router.runtime.Go(func() { router.command(decision) })
+		r.runtime.Go(func() { r.command(decision) })
 	}
 }
 
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
-func (router *Router) newToken(decision auction.Decision) string {
-	token := router.nonce()
-	router.mutex.Lock()
-	defer router.mutex.Unlock()
-	router.tokens[runKey(decision.ID, decision.Run)] = token
+func (r *Router) newToken(decision auction.Decision) string {
+	token := r.nonce()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.tokens[runKey(decision.ID, decision.Run)] = token
 	return token
 }
 
-func (router *Router) tokenOf(decision auction.Decision) string {
-	router.mutex.Lock()
-	defer router.mutex.Unlock()
-	return router.tokens[runKey(decision.ID, decision.Run)]
+func (r *Router) tokenOf(decision auction.Decision) string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.tokens[runKey(decision.ID, decision.Run)]
 }
 
-func (router *Router) forgetToken(id string, run int) {
-	router.mutex.Lock()
-	defer router.mutex.Unlock()
-	delete(router.tokens, runKey(id, run))
+func (r *Router) forgetToken(id string, run int) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	delete(r.tokens, runKey(id, run))
 }
 
 // mayAct is asked just before the act, after every wait.
-func (router *Router) mayAct(decision auction.Decision) bool {
-	return router.runtime.Now().Before(decision.NotAfter)
+func (r *Router) mayAct(decision auction.Decision) bool {
+	return r.runtime.Now().Before(decision.NotAfter)
 }
 
-func (router *Router) prefill(decision auction.Decision) {
+func (r *Router) prefill(decision auction.Decision) {
 	event := auction.Event{Kind: auction.PrefillAnswered, ID: decision.ID, Run: decision.Run}
-	event.Outcome, event.Handle, event.Detail = router.modelServer.Prefill(decision, func() bool { return router.mayAct(decision) })
-	router.Apply(event)
+	event.Outcome, event.Handle, event.Detail = r.modelServer.Prefill(decision, func() bool { return r.mayAct(decision) })
+	r.Apply(event)
 }
 
-func (router *Router) decode(decision auction.Decision) {
+func (r *Router) decode(decision auction.Decision) {
 	event := auction.Event{Kind: auction.DecodeEnded, ID: decision.ID, Run: decision.Run}
-	event.Outcome, event.Chunk, event.Detail = router.modelServer.Decode(decision, func() bool { return router.mayAct(decision) }, func(chunk int, text string) {
-		router.Apply(auction.Event{Kind: auction.ChunkReceived, ID: decision.ID, Run: decision.Run, Chunk: chunk, Text: text})
+	event.Outcome, event.Chunk, event.Detail = r.modelServer.Decode(decision, func() bool { return r.mayAct(decision) }, func(chunk int, text string) {
+		r.Apply(auction.Event{Kind: auction.ChunkReceived, ID: decision.ID, Run: decision.Run, Chunk: chunk, Text: text})
 	})
-	router.Apply(event)
+	r.Apply(event)
 }
 
-func (router *Router) notePair(decision auction.Decision) {
-	if router.core.Restricted() {
+func (r *Router) notePair(decision auction.Decision) {
+	if r.core.Restricted() {
 		return
 	}
-	record, err := codec.WritePair(*decision.Pair, router.options.Router, router.core.Enabled())
+	record, err := codec.WritePair(*decision.Pair, r.options.Router, r.core.Enabled())
 	if err == nil {
-		router.journal.append(record, true)
-		router.crumbs.Broadcast()
+		r.journal.append(record, true)
+		r.crumbs.Broadcast()
 	}
 }
 
-func (router *Router) noteRetry(decision auction.Decision) {
-	if router.core.Restricted() {
+func (r *Router) noteRetry(decision auction.Decision) {
+	if r.core.Restricted() {
 		return
 	}
-	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Request: decision.ID, Router: router.options.Router, Run: decision.Run, At: router.runtime.Wall()})
+	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Request: decision.ID, Router: r.options.Router, Run: decision.Run, At: r.runtime.Wall()})
 	if err == nil {
-		router.journal.append(record, true)
-		router.crumbs.Broadcast()
+		r.journal.append(record, true)
+		r.crumbs.Broadcast()
 	}
 }
 
-func (router *Router) giveOrders(decision auction.Decision) {
-	if !router.mayAct(decision) || router.core.Restricted() {
+func (r *Router) giveOrders(decision auction.Decision) {
+	if !r.mayAct(decision) || r.core.Restricted() {
 		return
 	}
 	var answer LedAnswer
-	err := router.followed.Ask(OrdersPath, OrdersQuestion{Role: decision.Role, Orders: decision.Orders, Supported: router.options.Supported}, &answer, actPatience, decision.NotAfter)
-	router.observe("orders_given", "orders", decision.Orders, "trouble", err)
+	err := r.followed.Ask(OrdersPath, OrdersQuestion{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &answer, actPatience, decision.NotAfter)
+	r.observe("orders_given", "orders", decision.Orders, "trouble", err)
 }
 
-func (router *Router) command(decision auction.Decision) {
-	if router.core.Restricted() {
+func (r *Router) command(decision auction.Decision) {
+	if r.core.Restricted() {
 		return
 	}
-	err := router.modelServer.Command(decision, func() bool { return router.mayAct(decision) })
-	router.observe("commanded", "server", decision.Server, "part", decision.Part, "fence", decision.Role.FencingToken, "trouble", err)
+	err := r.modelServer.Command(decision, func() bool { return r.mayAct(decision) })
+	r.observe("commanded", "server", decision.Server, "part", decision.Part, "fence", decision.Role.FencingToken, "trouble", err)
 }
 
 // claim asks the primary for an inquiry's id until it is answered, its limit
 // comes, or its origin has had the final word. Asking again is safe: the nonce
 // tells this arrival's own claim.
-func (router *Router) claim(decision auction.Decision) {
+func (r *Router) claim(decision auction.Decision) {
 	made, err := MadeAt(decision.ID)
 	event := auction.Event{Kind: auction.ClaimAnswered, ID: decision.ID, Outcome: auction.NotStarted}
 	if err != nil {
-		router.Apply(event)
+		r.Apply(event)
 		return
 	}
-	question := ClaimQuestion{Made: made, Entry: codec.Entry{Request: decision.ID, Router: router.options.Router, Run: 1,
-		At: router.runtime.Wall(), Cause: router.nonce()}}
+	question := ClaimQuestion{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
+		At: r.runtime.Wall(), Cause: r.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
 	// that the inquiry never ran, and when to come back.
-	ends := router.runtime.Now().Add(claimTime)
-	for router.runtime.Alive() && router.mayAct(decision) && router.runtime.Now().Before(ends) && router.runtime.Now().Before(router.core.ServesUntil()) {
+	ends := r.runtime.Now().Add(claimTime)
+	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(ends) && r.runtime.Now().Before(r.core.ServesUntil()) {
 		var answer LedAnswer
-		err := router.followed.Ask(ClaimPath, question, &answer, time.Second, ends)
+		err := r.followed.Ask(ClaimPath, question, &answer, time.Second, ends)
 		switch kind := failure.KindOf(err); {
 		case err == nil && answer.Leads:
 			event.Outcome = auction.Done
@@ -155,10 +155,10 @@
 		case kind == failure.TooOld || kind == failure.TooNew:
 			event.Outcome, event.Detail = auction.TooOld, err.Error()
 		default:
-			runtime.Sleep(router.runtime, claimPause)
+			runtime.Sleep(r.runtime, claimPause)
 			continue
 		}
 		break
 	}
-	router.Apply(event)
+	r.Apply(event)
 }
--- a/internal/hatch/delta.go
+++ b/internal/hatch/delta.go
@@ -43,14 +43,14 @@
 }
 
 // apply makes the new content of the old one; false means that it does not fit.
-func (delta Delta) apply(base replication.Section) (replication.Section, bool) {
+func (d Delta) apply(base replication.Section) (replication.Section, bool) {
 	length := len(base.Content)
-	if delta.Base != base.Version || delta.Prefix < 0 || delta.Suffix < 0 || delta.Prefix > length || delta.Suffix > length-delta.Prefix {
+	if d.Base != base.Version || d.Prefix < 0 || d.Suffix < 0 || d.Prefix > length || d.Suffix > length-d.Prefix {
 		return replication.Section{}, false
 	}
-	content := make([]byte, 0, delta.Prefix+len(delta.Middle)+delta.Suffix)
-	content = append(content, base.Content[:delta.Prefix]...)
-	content = append(content, delta.Middle...)
-	content = append(content, base.Content[length-delta.Suffix:]...)
-	return replication.Section{Version: delta.Version, Content: content}, crc32.Checksum(content, deltaTable) == delta.Checksum
+	content := make([]byte, 0, d.Prefix+len(d.Middle)+d.Suffix)
+	content = append(content, base.Content[:d.Prefix]...)
+	content = append(content, d.Middle...)
+	content = append(content, base.Content[length-d.Suffix:]...)
+	return replication.Section{Version: d.Version, Content: content}, crc32.Checksum(content, deltaTable) == d.Checksum
 }
--- a/internal/hatch/edit.go
+++ b/internal/hatch/edit.go
@@ -34,42 +34,42 @@
 
 // Edit changes the configuration and returns the version once it is in force
 // everywhere. A failure of kind Unknown says that it may have been accepted.
-func (controller *Controller) Edit(edit Edit) (replication.Version, error) {
+func (c *Controller) Edit(edit Edit) (replication.Version, error) {
 	if edit.Builds != nil {
 		edit = edit.revising()
 	}
-	current, version, err := controller.change(edit)
+	current, version, err := c.change(edit)
 	if err != nil {
 		return version, err
 	}
 	// The same change sent again is answered with the version that holds now.
-	if _, view, err := controller.Ruling(); err == nil && view.VersionOf(replication.ConfigurationSection).Before(version) {
+	if _, view, err := c.Ruling(); err == nil && view.VersionOf(replication.ConfigurationSection).Before(version) {
 		version = view.VersionOf(replication.ConfigurationSection)
 	}
-	if !controller.awaitInForce(current, version) {
+	if !c.awaitInForce(current, version) {
 		return version, failure.New(failure.Unknown, "it can't be known yet whether the change is in force")
 	}
-	controller.observe("configuration_accepted", "version", version.String(), "change", edit.Change)
+	c.observe("configuration_accepted", "version", version.String(), "change", edit.Change)
 	return version, nil
 }
 
 // revising is an edit that checks the revision it builds on each time it is made.
-func (edit Edit) revising() Edit {
-	builds, apply := *edit.Builds, edit.Apply
-	edit.Apply = func(text []byte) ([]byte, error) { return config.Revise(text, builds, apply) }
-	if edit.Change == "" {
-		edit.Change = "revision-" + edit.Digest
+func (e Edit) revising() Edit {
+	builds, apply := *e.Builds, e.Apply
+	e.Apply = func(text []byte) ([]byte, error) { return config.Revise(text, builds, apply) }
+	if e.Change == "" {
+		e.Change = "revision-" + e.Digest
 	}
-	return edit
+	return e
 }
 
 // change prepares an edit for the newest configuration and submits it, again when
 // that has moved meanwhile. Edits of a large configuration are prepared one after
 // another, so that one whose turn it is need not be made again.
-func (controller *Controller) change(edit Edit) (*Term, replication.Version, error) {
-	ends := controller.runtime.Now().Add(changePatience)
+func (c *Controller) change(edit Edit) (*Term, replication.Version, error) {
+	ends := c.runtime.Now().Add(changePatience)
 	for {
-		current, view, err := controller.Ruling()
+		current, view, err := c.Ruling()
 		if err != nil {
 			return nil, replication.Version{}, err
 		}
@@ -79,25 +79,25 @@
 		}
 		large := len(section.Content) >= replication.LargeConfiguration
 		if large {
-			if !controller.takeEditTurn(ends) {
+			if !c.takeEditTurn(ends) {
 				return nil, replication.Version{}, failure.New(failure.Busy, "other changes of this large configuration go first; ask again")
 			}
-			if _, newest, err := controller.Ruling(); err == nil {
+			if _, newest, err := c.Ruling(); err == nil {
 				section = newest.Sections[replication.ConfigurationSection]
 			}
 		}
 		var prepared replication.PreparedConfiguration
-		if !controller.noted(current, view, edit) {
+		if !c.noted(current, view, edit) {
 			prepared = replication.PrepareConfiguration(section.Version, section.Content, edit.Apply, edit.Sound)
 		}
-		version, err := controller.submit(replication.ChangeConfiguration(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changePatience)
+		version, err := c.submit(replication.ChangeConfiguration(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changePatience)
 		if large {
-			controller.giveEditTurn()
+			c.giveEditTurn()
 		}
 		if failure.KindOf(err) != failure.Moved {
 			return current, version, err
 		}
-		if !controller.runtime.Now().Before(ends) {
+		if !c.runtime.Now().Before(ends) {
 			return nil, replication.Version{}, failure.New(failure.Busy, "the configuration changes faster than this change can be made; ask again")
 		}
 	}
@@ -105,8 +105,8 @@
 
 // noted tells whether the very change was committed before: then it is answered in
 // its turn, and need not be prepared.
-func (controller *Controller) noted(current *Term, view *replication.View, edit Edit) bool {
-	state, err := controller.state(current, view)
+func (c *Controller) noted(current *Term, view *replication.View, edit Edit) bool {
+	state, err := c.state(current, view)
 	if err != nil || edit.Change == "" {
 		return false
 	}
@@ -118,52 +118,52 @@
 	return false
 }
 
-func (controller *Controller) takeEditTurn(ends time.Time) bool {
-	return controller.edits.Wait(ends.Sub(controller.runtime.Now()), func() bool {
-		controller.mutex.Lock()
-		defer controller.mutex.Unlock()
-		taken := controller.editing
-		controller.editing = true
+func (c *Controller) takeEditTurn(ends time.Time) bool {
+	return c.edits.Wait(ends.Sub(c.runtime.Now()), func() bool {
+		c.mutex.Lock()
+		defer c.mutex.Unlock()
+		taken := c.editing
+		c.editing = true
 		return !taken
 	})
 }
 
-func (controller *Controller) giveEditTurn() {
-	controller.mutex.Lock()
-	controller.editing = false
-	controller.mutex.Unlock()
-	controller.edits.Broadcast()
+func (c *Controller) giveEditTurn() {
+	c.mutex.Lock()
+	c.editing = false
+	c.mutex.Unlock()
+	c.edits.Broadcast()
 }
 
 // SetAcknowledgeWait chooses how long a committed change waits for couriers that are
 // not heard from; zero: for as long as their holds run.
-func (controller *Controller) SetAcknowledgeWait(length time.Duration) {
-	controller.acknowledgeWait.Store(int64(length))
+func (c *Controller) SetAcknowledgeWait(length time.Duration) {
+	c.acknowledgeWait.Store(int64(length))
 }
 
 // awaitInForce waits until every courier that has a hold has confirmed the
 // version, or its hold ran out; where a wait is chosen, until every courier that was
 // heard from within it has, or the wait has passed. Its own hold is checked last.
-func (controller *Controller) awaitInForce(current *Term, version replication.Version) bool {
+func (c *Controller) awaitInForce(current *Term, version replication.Version) bool {
 	everywhere := false
-	committed := controller.runtime.Now()
-	wait := time.Duration(controller.acknowledgeWait.Load())
+	committed := c.runtime.Now()
+	wait := time.Duration(c.acknowledgeWait.Load())
 	ends := committed.Add(inForcePatience)
-	for controller.runtime.Now().Before(ends) {
+	for c.runtime.Now().Before(ends) {
 		lost := false
 		// Holds run out without a ring: the wait is cut into short ones.
-		over := controller.confirmed.Wait(50*time.Millisecond, func() bool {
-			ruling, view, err := controller.Ruling()
+		over := c.confirmed.Wait(50*time.Millisecond, func() bool {
+			ruling, view, err := c.Ruling()
 			if err != nil || ruling != current {
 				lost = true
 				return true
 			}
-			state, err := controller.state(current, view)
+			state, err := c.state(current, view)
 			if err != nil {
 				lost = true
 				return true
 			}
-			now := controller.runtime.Now()
+			now := c.runtime.Now()
 			if wait > 0 {
 				// A question that is held back counts from when it came.
 				everywhere = now.Sub(committed) >= wait || len(current.behind(now, version, max(wait, loadsWait+roundTrip))) == 0
@@ -172,21 +172,21 @@
 			}
 			return everywhere
 		})
-		if over || !controller.runtime.Alive() {
-			return everywhere && !lost && controller.coordinator.Holds()
+		if over || !c.runtime.Alive() {
+			return everywhere && !lost && c.coordinator.Holds()
 		}
 	}
 	return false
 }
 
 // Retire takes a stopped member out of the record.
-func (controller *Controller) Retire(name string) (replication.Version, error) {
-	current, _, err := controller.Ruling()
+func (c *Controller) Retire(name string) (replication.Version, error) {
+	current, _, err := c.Ruling()
 	if err != nil {
 		return replication.Version{}, err
 	}
-	if _, live := current.Holds.Live(controller.runtime.Now())[name]; live {
+	if _, live := current.Holds.Live(c.runtime.Now())[name]; live {
 		return replication.Version{}, failure.New(failure.HoldActive, name+" is running; stop it first")
 	}
-	return controller.submit(replication.Retire(name), changePatience)
+	return c.submit(replication.Retire(name), changePatience)
 }
--- a/internal/hatch/edit_test.go
+++ b/internal/hatch/edit_test.go
@@ -26,7 +26,7 @@
 	return Edit{Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "") }}
 }
 
-func (core *core) mustBe(t *testing.T, primary *Controller, want string) replication.Version {
+func (c *core) mustBe(t *testing.T, primary *Controller, want string) replication.Version {
 	t.Helper()
 	_, view, state, err := primary.Read()
 	if err != nil || !strings.Contains(string(state.Configuration), want) {
--- a/internal/hatch/editions.go
+++ b/internal/hatch/editions.go
@@ -22,31 +22,31 @@
 )
 
 // towards gives the delta from the version that a node has to the newest.
-func (editions *revisions) towards(newest replication.Section, have replication.Version) (Delta, bool) {
-	editions.mutex.Lock()
-	defer editions.mutex.Unlock()
+func (r *revisions) towards(newest replication.Section, have replication.Version) (Delta, bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	if len(newest.Content) < leastDelta {
 		return Delta{}, false
 	}
-	if count := len(editions.shown); count == 0 || editions.shown[count-1].Version != newest.Version {
-		editions.shown = append(editions.shown, newest)
-		editions.made = map[replication.Version]Delta{}
+	if count := len(r.shown); count == 0 || r.shown[count-1].Version != newest.Version {
+		r.shown = append(r.shown, newest)
+		r.made = map[replication.Version]Delta{}
 		size := 0
-		for _, section := range editions.shown {
+		for _, section := range r.shown {
 			size += len(section.Content)
 		}
-		for len(editions.shown) > 1 && (len(editions.shown) > mostRevisions || size > mostRevisionBytes) {
-			size -= len(editions.shown[0].Content)
-			editions.shown = editions.shown[1:]
+		for len(r.shown) > 1 && (len(r.shown) > mostRevisions || size > mostRevisionBytes) {
+			size -= len(r.shown[0].Content)
+			r.shown = r.shown[1:]
 		}
 	}
-	if delta, found := editions.made[have]; found {
+	if delta, found := r.made[have]; found {
 		return delta, true
 	}
-	for _, section := range editions.shown {
+	for _, section := range r.shown {
 		if section.Version == have && have != newest.Version {
 			delta := makeDelta(section, newest)
-			editions.made[have] = delta
+			r.made[have] = delta
 			return delta, len(delta.Middle) < len(newest.Content)/2
 		}
 	}
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -125,17 +125,17 @@
 }
 
 // Rounds are what an expediter does over and over, each in a thread of its own.
-func (controller *Controller) Rounds() []func() {
+func (c *Controller) Rounds() []func() {
 	every := func(pause time.Duration, task func()) func() {
-		return func() { runtime.Every(controller.runtime, pause, task) }
+		return func() { runtime.Every(c.runtime, pause, task) }
 	}
-	rounds := []func(){every(tickPause, controller.tick), controller.keepHouse, every(sweepPause, controller.sweep),
-		controller.commit, controller.followed.Run}
-	if controller.options.Directory != nil {
-		rounds = append(rounds, controller.readServers, controller.readNodes)
+	rounds := []func(){every(tickPause, c.tick), c.keepHouse, every(sweepPause, c.sweep),
+		c.commit, c.followed.Run}
+	if c.options.Directory != nil {
+		rounds = append(rounds, c.readServers, c.readNodes)
 	}
-	if controller.options.Reports != nil {
-		rounds = append(rounds, controller.readReports)
+	if c.options.Reports != nil {
+		rounds = append(rounds, c.readReports)
 	}
 	return rounds
 }
@@ -143,129 +143,129 @@
 // Leave hands over what this expediter has, the lead, its copy and its witness's seat, and
 // returns when nothing depends on it any more or the patience ends. It goes on as before
 // until then. What was not answered yet has no known outcome.
-func (controller *Controller) Leave(patience time.Duration) {
-	ends := controller.runtime.Now().Add(patience)
-	controller.coordinator.Leave()
-	for !controller.coordinator.Released() && controller.runtime.Now().Before(ends) {
-		runtime.Sleep(controller.runtime, leavePause)
+func (c *Controller) Leave(patience time.Duration) {
+	ends := c.runtime.Now().Add(patience)
+	c.coordinator.Leave()
+	for !c.coordinator.Released() && c.runtime.Now().Before(ends) {
+		runtime.Sleep(c.runtime, leavePause)
 	}
-	controller.observe("left", "released", controller.coordinator.Released())
+	c.observe("left", "released", c.coordinator.Released())
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (controller *Controller) SetSeeds(seeds []string) {
-	controller.coordinator.SetSeeds(seeds)
-	controller.followed.SetSeeds(seeds)
+func (c *Controller) SetSeeds(seeds []string) {
+	c.coordinator.SetSeeds(seeds)
+	c.followed.SetSeeds(seeds)
 }
 
 // Servers is the platform's list as it was read last.
-func (controller *Controller) Servers() []membership.Server {
-	return controller.lists.servers(controller.runtime.Now())
+func (c *Controller) Servers() []membership.Server {
+	return c.lists.servers(c.runtime.Now())
 }
 
 // setNodes takes the platform's list of nodes.
-func (controller *Controller) setNodes(nodes []membership.Node) {
+func (c *Controller) setNodes(nodes []membership.Node) {
 	var addresses []string
 	for _, node := range nodes {
-		if node.Kind == membership.Controller && node.Address != controller.options.Address {
+		if node.Kind == membership.Controller && node.Address != c.options.Address {
 			addresses = append(addresses, node.Address)
 		}
 	}
-	controller.mutex.Lock()
-	controller.nodes = addresses
-	controller.mutex.Unlock()
-	controller.setContacts()
+	c.mutex.Lock()
+	c.nodes = addresses
+	c.mutex.Unlock()
+	c.setContacts()
 }
 
 // setMembers takes the recorded members.
-func (controller *Controller) setMembers(members map[string]membership.Member) {
-	controller.mutex.Lock()
-	controller.members = members
-	controller.mutex.Unlock()
-	controller.setContacts()
+func (c *Controller) setMembers(members map[string]membership.Member) {
+	c.mutex.Lock()
+	c.members = members
+	c.mutex.Unlock()
+	c.setContacts()
 }
 
 // setContacts names the other expediters that the platform or the record knows, and the
 // recorded couriers, the nearest first: when the seeds and all that this expediter knew
 // are replaced, one of these tells where the core is.
-func (controller *Controller) setContacts() {
-	controller.mutex.Lock()
-	contacts := slices.Clone(controller.nodes)
+func (c *Controller) setContacts() {
+	c.mutex.Lock()
+	contacts := slices.Clone(c.nodes)
 	var recorded []string
-	for _, name := range slices.Sorted(maps.Keys(controller.members)) {
-		if member := controller.members[name]; member.Kind == membership.Controller && name != controller.options.Name {
+	for _, name := range slices.Sorted(maps.Keys(c.members)) {
+		if member := c.members[name]; member.Kind == membership.Controller && name != c.options.Name {
 			recorded = append(recorded, member.Address)
 		}
 	}
 	var peers []string
-	for _, name := range membership.Ranked(controller.options.Name, routersOf(controller.members)) {
-		peers = append(peers, controller.members[name].Address)
+	for _, name := range membership.Ranked(c.options.Name, routersOf(c.members)) {
+		peers = append(peers, c.members[name].Address)
 	}
-	controller.mutex.Unlock()
-	controller.coordinator.SetContacts(contacts)
-	controller.coordinator.SetRecorded(append(slices.Clone(recorded), peers...))
+	c.mutex.Unlock()
+	c.coordinator.SetContacts(contacts)
+	c.coordinator.SetRecorded(append(slices.Clone(recorded), peers...))
 	for _, address := range recorded {
 		if !slices.Contains(contacts, address) {
 			contacts = append(contacts, address)
 		}
 	}
-	controller.followed.SetContacts(contacts, peers)
+	c.followed.SetContacts(contacts, peers)
 }
 
 // Witness is the epoch keeper on this disk.
-func (controller *Controller) Witness() *replication.Witness { return controller.witness }
+func (c *Controller) Witness() *replication.Witness { return c.witness }
 
 // Store is this disk's part in the larder.
-func (controller *Controller) Store() *replication.Store { return controller.store }
+func (c *Controller) Store() *replication.Store { return c.store }
 
 // Coordinator decides who is primary, from this node's point of view.
-func (controller *Controller) Coordinator() *replication.Coordinator { return controller.coordinator }
+func (c *Controller) Coordinator() *replication.Coordinator { return c.coordinator }
 
 // Heard is when a primary answered this node last.
-func (controller *Controller) Heard() time.Time { return controller.followed.Heard() }
+func (c *Controller) Heard() time.Time { return c.followed.Heard() }
 
 // UpdateCounts tells how many answers, bytes of drawers and configurations went
 // out.
-func (controller *Controller) UpdateCounts() (answers, bytes, configurations uint64) {
-	return controller.updateAnswers.Load(), controller.updateBytes.Load(), controller.configurationsSent.Load()
+func (c *Controller) UpdateCounts() (answers, bytes, configurations uint64) {
+	return c.updateAnswers.Load(), c.updateBytes.Load(), c.configurationsSent.Load()
 }
 
-func (controller *Controller) tick() {
-	controller.coordinator.Tick()
+func (c *Controller) tick() {
+	c.coordinator.Tick()
 	// It may wait for the disk, and nobody may wait for that here.
-	leading := controller.store.Leading()
-	epoch := controller.coordinator.Membership().Epoch
-	controller.mutex.Lock()
-	moved := epoch != controller.epoch
-	controller.epoch = epoch
-	begun, ended := leading && controller.term == nil, !leading && controller.term != nil
+	leading := c.store.Leading()
+	epoch := c.coordinator.Membership().Epoch
+	c.mutex.Lock()
+	moved := epoch != c.epoch
+	c.epoch = epoch
+	begun, ended := leading && c.term == nil, !leading && c.term != nil
 	if begun {
-		controller.term = newTerm(controller.runtime.Now())
+		c.term = newTerm(c.runtime.Now())
 	}
 	if ended {
-		controller.term = nil
+		c.term = nil
 	}
-	controller.mutex.Unlock()
+	c.mutex.Unlock()
 	if begun {
-		controller.lists.begin(controller.coordinator.Membership().Epoch)
-		controller.terms.Broadcast()
+		c.lists.begin(c.coordinator.Membership().Epoch)
+		c.terms.Broadcast()
 	}
 	if ended {
-		controller.lists.end()
+		c.lists.end()
 	}
 	if ended || moved {
-		controller.update.Broadcast()
+		c.update.Broadcast()
 	}
 }
 
 // Ruling gives the reign and the committed view if this expediter is primary at
 // this moment.
-func (controller *Controller) Ruling() (*Term, *replication.View, error) {
-	controller.mutex.Lock()
-	current := controller.term
-	controller.mutex.Unlock()
-	view := controller.store.View()
-	if current == nil || view == nil || !controller.coordinator.Holds() {
+func (c *Controller) Ruling() (*Term, *replication.View, error) {
+	c.mutex.Lock()
+	current := c.term
+	c.mutex.Unlock()
+	view := c.store.View()
+	if current == nil || view == nil || !c.coordinator.Holds() {
 		return nil, nil, failure.New(failure.NoPrimary, "this expediter is not primary")
 	}
 	return current, view, nil
@@ -274,26 +274,26 @@
 // Read is the committed state for a reader: the hold is checked after the view
 // was taken, so that it was the newest at some moment of the call. The copies
 // that it finds old are mended.
-func (controller *Controller) Read() (*Term, *replication.View, *replication.State, error) {
-	current, view, err := controller.Ruling()
+func (c *Controller) Read() (*Term, *replication.View, *replication.State, error) {
+	current, view, err := c.Ruling()
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	state, err := controller.state(current, view)
+	state, err := c.state(current, view)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if !controller.coordinator.Holds() {
+	if !c.coordinator.Holds() {
 		return nil, nil, nil, failure.New(failure.NoPrimary, "the hold ran out")
 	}
-	controller.runtime.Go(func() { controller.mendCopies(view) })
+	c.runtime.Go(func() { c.mendCopies(view) })
 	return current, view, state, nil
 }
 
 // state is the committed state, decoded once for each version.
-func (controller *Controller) state(current *Term, view *replication.View) (*replication.State, error) {
-	controller.mutex.Lock()
-	defer controller.mutex.Unlock()
+func (c *Controller) state(current *Term, view *replication.View) (*replication.State, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if current.state != nil && current.stateAt == view.Version {
 		return current.state, nil
 	}
@@ -313,51 +313,51 @@
 }
 
 // commit syncs batches on every copy in sync, one after another.
-func (controller *Controller) commit() {
-	for controller.runtime.Alive() {
-		seen := controller.submitted.Load()
-		if controller.commitOne() {
+func (c *Controller) commit() {
+	for c.runtime.Alive() {
+		seen := c.submitted.Load()
+		if c.commitOne() {
 			continue
 		}
 		pause := idlePause
-		if controller.store.Waiting() {
+		if c.store.Waiting() {
 			pause = commitPause
 		}
-		controller.work.Wait(pause, func() bool { return controller.submitted.Load() != seen })
+		c.work.Wait(pause, func() bool { return c.submitted.Load() != seen })
 	}
 }
 
-func (controller *Controller) commitOne() bool {
-	membership := controller.coordinator.Membership()
-	if membership.Backup.Empty() || !controller.coordinator.Holds() {
+func (c *Controller) commitOne() bool {
+	membership := c.coordinator.Membership()
+	if membership.Backup.Empty() || !c.coordinator.Holds() {
 		return false
 	}
-	batch, found := controller.store.Begin()
+	batch, found := c.store.Begin()
 	if !found || batch.Version.Epoch != membership.Epoch {
 		return false
 	}
-	if !batch.Empty() && !controller.sync(membership, batch) {
+	if !batch.Empty() && !c.sync(membership, batch) {
 		return false
 	}
-	if !controller.store.Commit(batch) {
+	if !c.store.Commit(batch) {
 		return false
 	}
 	if !batch.Empty() {
-		controller.update.Broadcast()
+		c.update.Broadcast()
 	}
 	return true
 }
 
 // sync brings a batch to all disks at once and tells whether it is on each.
-func (controller *Controller) sync(membership replication.Membership, batch replication.Batch) bool {
+func (c *Controller) sync(membership replication.Membership, batch replication.Batch) bool {
 	var mutex sync.Mutex
 	var own error
 	kept := false
-	cond := controller.runtime.NewCond()
-	controller.runtime.Go(func() {
-		controller.coordinator.OwnDisk(true)
-		err := controller.store.KeepOwn(batch)
-		controller.coordinator.OwnDisk(err != nil)
+	cond := c.runtime.NewCond()
+	c.runtime.Go(func() {
+		c.coordinator.OwnDisk(true)
+		err := c.store.KeepOwn(batch)
+		c.coordinator.OwnDisk(err != nil)
 		mutex.Lock()
 		own, kept = err, true
 		mutex.Unlock()
@@ -366,15 +366,15 @@
 	var missing error
 	waits := 0
 	replicate := func(backup replication.Replica) {
-		err := (&peers{line: controller.line}).Replicate(controller.coordinator.Address(backup), backup.Identity, membership.Epoch, batch)
-		controller.coordinator.BackupAnswered(backup.Identity, err == nil)
+		err := (&peers{line: c.line}).Replicate(c.coordinator.Address(backup), backup.Identity, membership.Epoch, batch)
+		c.coordinator.BackupAnswered(backup.Identity, err == nil)
 		mutex.Lock()
 		missing = multierr.Append(missing, err)
 		mutex.Unlock()
 	}
 	for _, further := range membership.Further {
 		waits++
-		controller.runtime.Go(func() {
+		c.runtime.Go(func() {
 			replicate(further)
 			mutex.Lock()
 			waits--
@@ -391,35 +391,35 @@
 	// The own disk may stall for as long as it likes: nothing else is written
 	// meanwhile.
 	for !cond.Wait(time.Second, ended) {
-		if !controller.runtime.Alive() {
+		if !c.runtime.Alive() {
 			return false
 		}
 	}
 	mutex.Lock()
 	defer mutex.Unlock()
 	if missing != nil || own != nil {
-		controller.observe("write_not_synced", "version", batch.Version.String(), "backup", missing, "own", own)
+		c.observe("write_not_synced", "version", batch.Version.String(), "backup", missing, "own", own)
 		return false
 	}
 	return true
 }
 
 // queue hands a change to the next batch.
-func (controller *Controller) queue(change replication.Change, done replication.Done) {
-	controller.store.Submit(change, done)
-	controller.submitted.Add(1)
-	controller.work.Broadcast()
+func (c *Controller) queue(change replication.Change, done replication.Done) {
+	c.store.Submit(change, done)
+	c.submitted.Add(1)
+	c.work.Broadcast()
 }
 
 // submit waits until a change is synced on every copy in sync. When that can't be
 // known in time the outcome is called unknown.
-func (controller *Controller) submit(change replication.Change, patience time.Duration) (replication.Version, error) {
+func (c *Controller) submit(change replication.Change, patience time.Duration) (replication.Version, error) {
 	var mutex sync.Mutex
 	var version replication.Version
 	var err error
 	answered := false
-	cond := controller.runtime.NewCond()
-	controller.queue(change, func(committed replication.Version, ended error) {
+	cond := c.runtime.NewCond()
+	c.queue(change, func(committed replication.Version, ended error) {
 		mutex.Lock()
 		version, err, answered = committed, ended, true
 		mutex.Unlock()
@@ -437,7 +437,7 @@
 		return replication.Version{}, failure.New(failure.Unknown, "the change was not synced on both copies in time")
 	case failure.KindOf(err) == failure.NotPrimary:
 		return version, err
-	case !controller.coordinator.Holds():
+	case !c.coordinator.Holds():
 		// A refusal is an answer too: without the lease it may rest on an old state.
 		return version, failure.New(failure.Unknown, "the hold ran out while the change was under way")
 	case err != nil:
@@ -448,39 +448,39 @@
 
 // takeUpdate follows the enabled set as every node does, and the list of servers, to
 // lead with it at once.
-func (controller *Controller) takeUpdate(update Update) {
-	if update.Servers != nil && !controller.lists.leading() {
-		controller.lists.take(update.Servers.At, update.Servers.Servers)
+func (c *Controller) takeUpdate(update Update) {
+	if update.Servers != nil && !c.lists.leading() {
+		c.lists.take(update.Servers.At, update.Servers.Servers)
 	}
-	controller.takeMembers(update)
+	c.takeMembers(update)
 	section, found := update.Changed[replication.FlagsSection]
 	if !found {
 		return
 	}
 	state, err := replication.ReadState(map[string]replication.Section{replication.FlagsSection: section})
 	if err != nil {
-		controller.observe("flags_unreadable", "cause", err)
+		c.observe("flags_unreadable", "cause", err)
 		return
 	}
-	lacking := controller.options.Supported.Lacks(state.Flags.Enabled)
-	controller.coordinator.SetRestricted(len(lacking) > 0)
-	controller.coordinator.SetBackupList(state.Flags.Enabled.Has(features.BackupList))
-	controller.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
+	lacking := c.options.Supported.Lacks(state.Flags.Enabled)
+	c.coordinator.SetRestricted(len(lacking) > 0)
+	c.coordinator.SetBackupList(state.Flags.Enabled.Has(features.BackupList))
+	c.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
 }
 
 // takeMembers takes the recorded members from news, or from the own copy.
-func (controller *Controller) takeMembers(update Update) {
+func (c *Controller) takeMembers(update Update) {
 	section, found := update.Changed[replication.MembersSection]
 	if !found {
 		return
 	}
 	state, err := replication.ReadState(map[string]replication.Section{replication.MembersSection: section})
 	if err != nil {
-		controller.observe("members_unreadable", "cause", err)
+		c.observe("members_unreadable", "cause", err)
 		return
 	}
-	controller.setMembers(state.Members)
+	c.setMembers(state.Members)
 }
 
 // Supported is the node's own list of flags.
-func (controller *Controller) Supported() features.List { return controller.options.Supported }
+func (c *Controller) Supported() features.List { return c.options.Supported }
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -22,31 +22,31 @@
 	failing atomic.Bool
 }
 
-func (storage *memoryStorage) Save(name string, content []byte) error {
-	if storage.failing.Load() {
+func (m *memoryStorage) Save(name string, content []byte) error {
+	if m.failing.Load() {
 		return failure.New(failure.Disk, "the disk fails")
 	}
-	storage.mutex.Lock()
-	defer storage.mutex.Unlock()
-	storage.files[name] = content
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.files[name] = content
 	return nil
 }
 
-func (storage *memoryStorage) Load() (map[string][]byte, []string, error) {
-	storage.mutex.Lock()
-	defer storage.mutex.Unlock()
+func (m *memoryStorage) Load() (map[string][]byte, []string, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	files := map[string][]byte{}
-	for name, content := range storage.files {
+	for name, content := range m.files {
 		files[name] = content
 	}
 	return files, nil, nil
 }
 
-func (storage *memoryStorage) Remove(names []string) error {
-	storage.mutex.Lock()
-	defer storage.mutex.Unlock()
+func (m *memoryStorage) Remove(names []string) error {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	for _, name := range names {
-		delete(storage.files, name)
+		delete(m.files, name)
 	}
 	return nil
 }
@@ -61,10 +61,10 @@
 }
 
 // CallRaw answers at once.
-func (core *core) CallRaw(address, path string, body []byte, _ time.Duration) ([]byte, error) {
-	core.mutex.Lock()
-	node := core.nodes[address]
-	core.mutex.Unlock()
+func (c *core) CallRaw(address, path string, body []byte, _ time.Duration) ([]byte, error) {
+	c.mutex.Lock()
+	node := c.nodes[address]
+	c.mutex.Unlock()
 	if node == nil {
 		return nil, failure.New(failure.Unreachable, address)
 	}
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -108,181 +108,181 @@
 // SetApplyWithin tells how soon after its acknowledgement a change has to be in force: a
 // primary's silence is noticed within eleven twentieths of that, 1.1 s at most, and the rest
 // is left to find the next one. Zero means the default.
-func (follower *Follower) SetApplyWithin(bound time.Duration) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.applyWithin = bound
+func (f *Follower) SetApplyWithin(bound time.Duration) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.applyWithin = bound
 	if bound <= 0 {
-		follower.applyWithin = DefaultApplyWithin
+		f.applyWithin = DefaultApplyWithin
 	}
 }
 
 // waits are how long a question may be held back, and how much longer its answer may take.
 // The caller has the mutex.
-func (follower *Follower) waits() (held, margin time.Duration) {
+func (f *Follower) waits() (held, margin time.Duration) {
 	held = updateWait
-	if follower.loads {
+	if f.loads {
 		held = loadsWait
 	}
-	return min(held, follower.applyWithin*2/5), min(answerMargin, follower.applyWithin*3/20)
+	return min(held, f.applyWithin*2/5), min(answerMargin, f.applyWithin*3/20)
 }
 
 // Follow chooses whether the list of servers and their reports are followed, too.
-func (follower *Follower) Follow(lists, loads bool) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.lists, follower.loads = lists, loads
+func (f *Follower) Follow(lists, loads bool) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.lists, f.loads = lists, loads
 }
 
 // TellFailing gives the way to the servers that failed requests lately: each is told once.
-func (follower *Follower) TellFailing(failing func() []string) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.failing = failing
+func (f *Follower) TellFailing(failing func() []string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.failing = failing
 }
 
 // ForgetList has the primary tell its list of servers anew.
-func (follower *Follower) ForgetList() {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.listMark = 0
+func (f *Follower) ForgetList() {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.listMark = 0
 }
 
 // SetContacts gives the expediters' addresses that the platform or the record lists,
 // and the other couriers, the nearest first: they may relay, and tell where the core is.
-func (follower *Follower) SetContacts(contacts, peers []string) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.contacts, follower.peers = contacts, peers
+func (f *Follower) SetContacts(contacts, peers []string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.contacts, f.peers = contacts, peers
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (follower *Follower) SetSeeds(seeds []string) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.seeds = seeds
+func (f *Follower) SetSeeds(seeds []string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.seeds = seeds
 }
 
 // Membership is the newest charter heard of.
-func (follower *Follower) Membership() replication.Membership {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	return follower.membership
+func (f *Follower) Membership() replication.Membership {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.membership
 }
 
 // Heard is when the primary answered last.
-func (follower *Follower) Heard() time.Time {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	return follower.heard
+func (f *Follower) Heard() time.Time {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.heard
 }
 
 // Section is the newest content of a drawer that the node has.
-func (follower *Follower) Section(name string) replication.Section {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	return follower.sections[name]
+func (f *Follower) Section(name string) replication.Section {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.sections[name]
 }
 
 // Run asks until the process ends: the primary while it answers, and all that may know
 // it while it does not.
-func (follower *Follower) Run() {
-	for follower.runtime.Alive() {
-		if address, known := follower.knownPrimary(); known {
-			follower.poll(address)
+func (f *Follower) Run() {
+	for f.runtime.Alive() {
+		if address, known := f.knownPrimary(); known {
+			f.poll(address)
 			continue
 		}
-		follower.search()
+		f.search()
 	}
 }
 
 // knownPrimary is the address of the primary that answered last, until it is silent or
 // says that it leads no more.
-func (follower *Follower) knownPrimary() (string, bool) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	return follower.primary, follower.primary != ""
+func (f *Follower) knownPrimary() (string, bool) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.primary, f.primary != ""
 }
 
 // poll asks the primary once and takes its answer. One that is silent is looked for
 // anew: its successor may have been elected.
-func (follower *Follower) poll(address string) {
-	question, patience := follower.pollQuestion()
-	asked := follower.runtime.Now()
+func (f *Follower) poll(address string) {
+	question, patience := f.pollQuestion()
+	asked := f.runtime.Now()
 	var answer UpdateAnswer
-	err := Call(follower.line, address, UpdatePath, question, &answer, patience)
+	err := Call(f.line, address, UpdatePath, question, &answer, patience)
 	if err != nil {
 		if unheard(err) {
-			follower.forget(address)
+			f.forget(address)
 			return
 		}
-		runtime.Sleep(follower.runtime, retryPause)
+		runtime.Sleep(f.runtime, retryPause)
 		return
 	}
-	follower.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
-	if answer.Leads && !follower.takeAnswer(asked, answer) {
-		runtime.Sleep(follower.runtime, retryPause)
+	f.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
+	if answer.Leads && !f.takeAnswer(asked, answer) {
+		runtime.Sleep(f.runtime, retryPause)
 	}
 }
 
 // briefQuestion asks only who leads, and what the copies are like: a whole fleet asks it at
 // once after a loss.
-func (follower *Follower) briefQuestion() UpdateQuestion {
-	question := follower.searchQuestion()
+func (f *Follower) briefQuestion() UpdateQuestion {
+	question := f.searchQuestion()
 	question.Brief = true
 	return question
 }
 
 // searchQuestion is to be answered at once, so that those who are dark cost little time.
-func (follower *Follower) searchQuestion() UpdateQuestion {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	question := follower.question()
-	question.Provisional = follower.provisional && len(question.Have) == 0
+func (f *Follower) searchQuestion() UpdateQuestion {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	question := f.question()
+	question.Provisional = f.provisional && len(question.Have) == 0
 	return question
 }
 
 // pollQuestion is held back by the primary until there is news. The first one to a primary
 // is answered at once; it may bring a whole configuration.
-func (follower *Follower) pollQuestion() (UpdateQuestion, time.Duration) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	question := follower.question()
-	_, has := follower.sections[replication.ConfigurationSection]
+func (f *Follower) pollQuestion() (UpdateQuestion, time.Duration) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	question := f.question()
+	_, has := f.sections[replication.ConfigurationSection]
 	switch {
-	case !follower.current && !has:
+	case !f.current && !has:
 		return question, wholePatience
-	case !follower.current:
+	case !f.current:
 		return question, firstPatience
 	}
-	held, margin := follower.waits()
+	held, margin := f.waits()
 	question.Patience = held
-	if follower.failing != nil {
-		question.Failing = follower.failing()
+	if f.failing != nil {
+		question.Failing = f.failing()
 	}
 	return question, held + margin
 }
 
 // question tells what the node has. The caller has the mutex.
-func (follower *Follower) question() UpdateQuestion {
+func (f *Follower) question() UpdateQuestion {
 	have := map[string]replication.Version{}
-	for name, section := range follower.sections {
+	for name, section := range f.sections {
 		have[name] = section.Version
 	}
-	return UpdateQuestion{Member: follower.member, Have: have, InForce: follower.inForce(), Deltas: true, Membership: follower.membership.Epoch,
-		Lists: follower.lists, ListMark: follower.listMark, Loads: follower.loads, LoadsMark: follower.loadsMark}
+	return UpdateQuestion{Member: f.member, Have: have, InForce: f.inForce(), Deltas: true, Membership: f.membership.Epoch,
+		Lists: f.lists, ListMark: f.listMark, Loads: f.loads, LoadsMark: f.loadsMark}
 }
 
 // takeAnswer takes a primary's answer and tells whether it did: an older primary's word
 // is passed over, since versions never go back.
-func (follower *Follower) takeAnswer(asked time.Time, answer UpdateAnswer) bool {
-	follower.mutex.Lock()
+func (f *Follower) takeAnswer(asked time.Time, answer UpdateAnswer) bool {
+	f.mutex.Lock()
 	for name, delta := range answer.Deltas {
-		section, fits := delta.apply(follower.sections[name])
+		section, fits := delta.apply(f.sections[name])
 		if !fits {
 			// The next question asks for the whole; this answer's hold is not used.
-			delete(follower.sections, name)
-			follower.mutex.Unlock()
+			delete(f.sections, name)
+			f.mutex.Unlock()
 			return false
 		}
 		if answer.Sections == nil {
@@ -291,48 +291,48 @@
 		answer.Sections[name] = section
 	}
 	for name, section := range answer.Sections {
-		if section.Version.Before(follower.sections[name].Version) {
-			follower.mutex.Unlock()
+		if section.Version.Before(f.sections[name].Version) {
+			f.mutex.Unlock()
 			return false
 		}
 	}
-	if have := follower.sections[replication.ConfigurationSection].Version; answer.Configuration.Before(have) && have != follower.unconfirmed {
-		follower.mutex.Unlock()
+	if have := f.sections[replication.ConfigurationSection].Version; answer.Configuration.Before(have) && have != f.unconfirmed {
+		f.mutex.Unlock()
 		return false
 	}
 	for name, section := range answer.Sections {
-		follower.sections[name] = section
+		f.sections[name] = section
 	}
-	follower.heard = follower.runtime.Now()
-	follower.current = follower.primary != ""
+	f.heard = f.runtime.Now()
+	f.current = f.primary != ""
 	update := Update{Asked: asked, Answer: answer, Changed: answer.Sections}
-	follower.takeLists(&update)
-	follower.mutex.Unlock()
-	follower.take(update)
+	f.takeLists(&update)
+	f.mutex.Unlock()
+	f.take(update)
 	return true
 }
 
 // takeLists takes the list of servers and their reports out of an answer. The caller
 // has the mutex. An age counts from the latest moment at which the question surely
 // had not been answered yet, so that nothing is taken for younger than it is.
-func (follower *Follower) takeLists(update *Update) {
+func (f *Follower) takeLists(update *Update) {
 	told := update.Asked.Add(update.Answer.Held)
 	if said := update.Answer.Servers; said != nil {
 		at := told.Add(-said.Age)
 		if said.Sent {
-			follower.listing = membership.Listing{}
-			follower.listing.Take(at, said.Servers)
-			follower.listMark = said.Mark
+			f.listing = membership.Listing{}
+			f.listing.Take(at, said.Servers)
+			f.listMark = said.Mark
 		}
-		if said.Mark == follower.listMark {
-			follower.listing.Confirm(at)
-			update.Servers = &Listed{At: at, Servers: follower.listing.Servers(at)}
+		if said.Mark == f.listMark {
+			f.listing.Confirm(at)
+			update.Servers = &Listed{At: at, Servers: f.listing.Servers(at)}
 		}
 	}
-	if said := update.Answer.Loads; said != nil && follower.loads {
-		follower.loadsMark = said.Mark
+	if said := update.Answer.Loads; said != nil && f.loads {
+		f.loadsMark = said.Mark
 		update.Outliers = said.Outliers
-		late := follower.runtime.Now().Sub(told)
+		late := f.runtime.Now().Sub(told)
 		for _, line := range said.Lines {
 			update.Loads = append(update.Loads, line.load(late))
 		}
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -22,24 +22,24 @@
 	closed  chan struct{}
 }
 
-func (line *darkLine) set(address string, answer *UpdateAnswer) {
-	line.mutex.Lock()
-	defer line.mutex.Unlock()
+func (d *darkLine) set(address string, answer *UpdateAnswer) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	if answer == nil {
-		delete(line.answers, address)
+		delete(d.answers, address)
 		return
 	}
-	line.answers[address] = *answer
+	d.answers[address] = *answer
 }
 
-func (line *darkLine) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
-	line.mutex.Lock()
-	answer, lit := line.answers[address]
-	line.mutex.Unlock()
+func (d *darkLine) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
+	d.mutex.Lock()
+	answer, lit := d.answers[address]
+	d.mutex.Unlock()
 	if !lit || path != UpdatePath {
 		select {
 		case <-time.After(patience):
-		case <-line.closed:
+		case <-d.closed:
 		}
 		return nil, failure.New(failure.Unreachable, address)
 	}
@@ -50,7 +50,7 @@
 	if answer.Leads && question.Patience > 0 {
 		select {
 		case <-time.After(question.Patience / 20):
-		case <-line.closed:
+		case <-d.closed:
 		}
 	}
 	return msgpack.Marshal(answer)
--- a/internal/hatch/hotline.go
+++ b/internal/hatch/hotline.go
@@ -53,8 +53,8 @@
 type Answers map[string]answerer
 
 // Answer answers one message.
-func (answers Answers) Answer(path string, body []byte) ([]byte, error) {
-	answer, found := answers[path]
+func (a Answers) Answer(path string, body []byte) ([]byte, error) {
+	answer, found := a[path]
 	if !found {
 		return nil, failure.New(failure.NoSuch, "no such path: "+path)
 	}
--- a/internal/hatch/journal.go
+++ b/internal/hatch/journal.go
@@ -21,32 +21,32 @@
 func newJournal() *Journal { return &Journal{records: make([]codec.Record, 0, mostRecords)} }
 
 // append notes a record; own ones also go to a neighbour.
-func (journal *Journal) append(record codec.Record, own bool) {
-	journal.mutex.Lock()
-	defer journal.mutex.Unlock()
-	if len(journal.records) < mostRecords {
-		journal.records = append(journal.records, record)
+func (j *Journal) append(record codec.Record, own bool) {
+	j.mutex.Lock()
+	defer j.mutex.Unlock()
+	if len(j.records) < mostRecords {
+		j.records = append(j.records, record)
 	} else {
-		journal.records[journal.next] = record
-		journal.next = (journal.next + 1) % mostRecords
+		j.records[j.next] = record
+		j.next = (j.next + 1) % mostRecords
 	}
-	if own && len(journal.outbox) < mostRecords {
-		journal.outbox = append(journal.outbox, record)
+	if own && len(j.outbox) < mostRecords {
+		j.outbox = append(j.outbox, record)
 	}
 }
 
 // outgoing tells whether there are records for a neighbour.
-func (journal *Journal) outgoing() bool {
-	journal.mutex.Lock()
-	defer journal.mutex.Unlock()
-	return len(journal.outbox) > 0
+func (j *Journal) outgoing() bool {
+	j.mutex.Lock()
+	defer j.mutex.Unlock()
+	return len(j.outbox) > 0
 }
 
-func (journal *Journal) takeOutbox() []codec.Record {
-	journal.mutex.Lock()
-	defer journal.mutex.Unlock()
-	outbox := journal.outbox
-	journal.outbox = nil
+func (j *Journal) takeOutbox() []codec.Record {
+	j.mutex.Lock()
+	defer j.mutex.Unlock()
+	outbox := j.outbox
+	j.outbox = nil
 	return outbox
 }
 
@@ -58,11 +58,11 @@
 }
 
 // Fold tells what is known of one inquiry.
-func (journal *Journal) Fold(request string, supported features.List) (Trace, bool) {
-	journal.mutex.Lock()
-	defer journal.mutex.Unlock()
+func (j *Journal) Fold(request string, supported features.List) (Trace, bool) {
+	j.mutex.Lock()
+	defer j.mutex.Unlock()
 	folded := Trace{Request: request}
-	for _, record := range journal.records {
+	for _, record := range j.records {
 		if record.Key != request {
 			continue
 		}
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -28,116 +28,116 @@
 )
 
 // Servers is the list of servers as the courier knows it.
-func (router *Router) Servers() []membership.Server {
-	router.listMutex.Lock()
-	defer router.listMutex.Unlock()
-	return router.listing.Servers(router.runtime.Now())
+func (r *Router) Servers() []membership.Server {
+	r.listMutex.Lock()
+	defer r.listMutex.Unlock()
+	return r.listing.Servers(r.runtime.Now())
 }
 
 // takeServers takes a list that was read at a moment, by whomever.
-func (router *Router) takeServers(at time.Time, servers []membership.Server) {
-	router.listMutex.Lock()
-	defer router.listMutex.Unlock()
-	if !router.listing.Take(at, servers) {
+func (r *Router) takeServers(at time.Time, servers []membership.Server) {
+	r.listMutex.Lock()
+	defer r.listMutex.Unlock()
+	if !r.listing.Take(at, servers) {
 		return
 	}
-	now := router.runtime.Now()
-	listed := router.listing.Servers(now)
-	if router.board != nil {
-		router.board.SetServers(now, listed)
+	now := r.runtime.Now()
+	listed := r.listing.Servers(now)
+	if r.board != nil {
+		r.board.SetServers(now, listed)
 	}
-	router.Apply(auction.Event{Kind: auction.ServersListed, At: now, Servers: listed})
-	router.watchPressures(listed)
+	r.Apply(auction.Event{Kind: auction.ServersListed, At: now, Servers: listed})
+	r.watchPressures(listed)
 }
 
 // readList reads the list itself while there is no news of it.
-func (router *Router) readList() {
-	began := router.runtime.Now()
-	for reads := 0; router.runtime.Alive(); {
-		if left := router.listDue(began).Sub(router.runtime.Now()); left > 0 {
+func (r *Router) readList() {
+	began := r.runtime.Now()
+	for reads := 0; r.runtime.Alive(); {
+		if left := r.listDue(began).Sub(r.runtime.Now()); left > 0 {
 			// Clocks are coarse: a pause of nothing would be made over and over.
-			runtime.Sleep(router.runtime, max(left, time.Millisecond))
+			runtime.Sleep(r.runtime, max(left, time.Millisecond))
 			continue
 		}
-		asked := router.runtime.Now()
-		servers, err := router.options.Directory.Servers()
+		asked := r.runtime.Now()
+		servers, err := r.options.Directory.Servers()
 		if err == nil {
-			router.takeServers(asked, servers)
+			r.takeServers(asked, servers)
 			// Whatever list the primary has is told anew, since this one differs.
-			router.followed.ForgetList()
+			r.followed.ForgetList()
 		}
-		router.observe("list_read_itself", "servers", len(servers), "trouble", err)
+		r.observe("list_read_itself", "servers", len(servers), "trouble", err)
 		reads++
-		runtime.Sleep(router.runtime, ownListPause+time.Duration(router.routers.Load())*ownListShare+router.spread(reads))
+		runtime.Sleep(r.runtime, ownListPause+time.Duration(r.routers.Load())*ownListShare+r.spread(reads))
 	}
 }
 
 // listDue is when the courier is to read the list itself, if no news of it comes.
-func (router *Router) listDue(began time.Time) time.Time {
-	router.listMutex.Lock()
-	defer router.listMutex.Unlock()
-	if at := router.listing.At(); !at.IsZero() {
-		return at.Add(listPatience + router.spread(0)/4)
+func (r *Router) listDue(began time.Time) time.Time {
+	r.listMutex.Lock()
+	defer r.listMutex.Unlock()
+	if at := r.listing.At(); !at.IsZero() {
+		return at.Add(listPatience + r.spread(0)/4)
 	}
-	return began.Add(firstListPatience + router.spread(0))
+	return began.Add(firstListPatience + r.spread(0))
 }
 
 // spread is a length of time that differs from courier to courier.
-func (router *Router) spread(reads int) time.Duration {
-	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), router.options.Router) % uint64(ownListSpread))
+func (r *Router) spread(reads int) time.Duration {
+	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), r.options.Router) % uint64(ownListSpread))
 }
 
 // readNodes reads the platform's list of nodes, where there is one.
-func (router *Router) readNodes() {
-	for router.runtime.Alive() {
-		nodes, err := router.options.Directory.Nodes()
+func (r *Router) readNodes() {
+	for r.runtime.Alive() {
+		nodes, err := r.options.Directory.Nodes()
 		if failure.KindOf(err) == failure.NoSuch {
 			return
 		}
 		if err == nil {
-			router.setNodes(nodes)
+			r.setNodes(nodes)
 		}
-		runtime.Sleep(router.runtime, nodesPause)
+		runtime.Sleep(r.runtime, nodesPause)
 	}
 }
 
 // watchPressures has each listed server's load read for the market of inquiries. The
 // caller has the list's mutex.
-func (router *Router) watchPressures(servers []membership.Server) {
-	if router.options.Pressures == nil {
+func (r *Router) watchPressures(servers []membership.Server) {
+	if r.options.Pressures == nil {
 		return
 	}
 	listed := map[string]bool{}
 	for _, server := range servers {
 		key := server.Name + "@" + server.Address
 		listed[key] = true
-		if !router.watched[key] {
-			router.watched[key] = true
-			router.runtime.Go(func() { router.watchPressure(key, server) })
+		if !r.watched[key] {
+			r.watched[key] = true
+			r.runtime.Go(func() { r.watchPressure(key, server) })
 		}
 	}
-	for key := range router.watched {
+	for key := range r.watched {
 		if !listed[key] {
-			delete(router.watched, key)
+			delete(r.watched, key)
 		}
 	}
 }
 
 // watchPressure reads one server's load until it is listed no more.
-func (router *Router) watchPressure(key string, server membership.Server) {
+func (r *Router) watchPressure(key string, server membership.Server) {
 	watched := func() bool {
-		router.listMutex.Lock()
-		defer router.listMutex.Unlock()
-		return router.watched[key]
+		r.listMutex.Lock()
+		defer r.listMutex.Unlock()
+		return r.watched[key]
 	}
-	for router.runtime.Alive() && watched() {
-		began := router.runtime.Now()
-		load, err := router.options.Pressures.Pressure(server, pressurePatience)
+	for r.runtime.Alive() && watched() {
+		began := r.runtime.Now()
+		load, err := r.options.Pressures.Pressure(server, pressurePatience)
 		if err == nil && load.Server == server.Name {
-			router.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
+			r.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
 		}
-		if left := pressurePause - router.runtime.Now().Sub(began); left > 0 {
-			runtime.Sleep(router.runtime, left)
+		if left := pressurePause - r.runtime.Now().Sub(began); left > 0 {
+			runtime.Sleep(r.runtime, left)
 		}
 	}
 }
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -64,111 +64,111 @@
 // primary.
 func mark(epoch, count uint64) uint64 { return epoch<<32 | count&0xffffffff }
 
-func (lists *lists) listMark() uint64 {
-	if lists.epoch == 0 || lists.listing.At().IsZero() {
+func (l *lists) listMark() uint64 {
+	if l.epoch == 0 || l.listing.At().IsZero() {
 		return 0
 	}
-	return mark(lists.epoch, lists.changes)
+	return mark(l.epoch, l.changes)
 }
 
-func (lists *lists) reportsMark() uint64 {
-	if lists.epoch == 0 || lists.rounds == 0 {
+func (l *lists) reportsMark() uint64 {
+	if l.epoch == 0 || l.rounds == 0 {
 		return 0
 	}
-	return mark(lists.epoch, lists.rounds)
+	return mark(l.epoch, l.rounds)
 }
 
 // begin starts a reign's own marks, from what is known; end ends them.
-func (lists *lists) begin(epoch uint64) {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	lists.epoch, lists.changes, lists.rounds, lists.reports, lists.asking = epoch, 1, 0, map[string]report{}, map[string]bool{}
+func (l *lists) begin(epoch uint64) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.epoch, l.changes, l.rounds, l.reports, l.asking = epoch, 1, 0, map[string]report{}, map[string]bool{}
 }
 
-func (lists *lists) end() {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	lists.epoch = 0
+func (l *lists) end() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.epoch = 0
 }
 
-func (lists *lists) leading() bool {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	return lists.epoch != 0
+func (l *lists) leading() bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.epoch != 0
 }
 
 // readsNow tells whether the list is to be read for couriers without a primary, and
 // notes that it is.
-func (lists *lists) readsNow(now time.Time) bool {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	if lists.epoch != 0 || now.Sub(lists.readAt) < listPause || now.Sub(lists.listing.At()) < listPause {
+func (l *lists) readsNow(now time.Time) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.epoch != 0 || now.Sub(l.readAt) < listPause || now.Sub(l.listing.At()) < listPause {
 		return false
 	}
-	lists.readAt = now
+	l.readAt = now
 	return true
 }
 
 // fresh is the list without a mark, if it is not older than a courier would bear.
-func (lists *lists) fresh(now time.Time) *ServersUpdate {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	if at := lists.listing.At(); at.IsZero() || now.Sub(at) >= listPatience {
+func (l *lists) fresh(now time.Time) *ServersUpdate {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if at := l.listing.At(); at.IsZero() || now.Sub(at) >= listPatience {
 		return nil
 	}
-	return &ServersUpdate{Age: now.Sub(lists.listing.At()), Sent: true, Servers: lists.listing.Servers(now)}
+	return &ServersUpdate{Age: now.Sub(l.listing.At()), Sent: true, Servers: l.listing.Servers(now)}
 }
 
 // take takes a list and tells whether it changed anything.
-func (lists *lists) take(at time.Time, servers []membership.Server) bool {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	changed := lists.listing.Take(at, servers)
+func (l *lists) take(at time.Time, servers []membership.Server) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	changed := l.listing.Take(at, servers)
 	if changed {
-		lists.changes++
+		l.changes++
 	}
 	return changed
 }
 
 // servers is the list as it is known now.
-func (lists *lists) servers(now time.Time) []membership.Server {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	return lists.listing.Servers(now)
+func (l *lists) servers(now time.Time) []membership.Server {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.listing.Servers(now)
 }
 
 // age is how old the list is, if it was ever read.
-func (lists *lists) age(now time.Time) (time.Duration, bool) {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	at := lists.listing.At()
+func (l *lists) age(now time.Time) (time.Duration, bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	at := l.listing.At()
 	return now.Sub(at), !at.IsZero()
 }
 
 // newer tells whether there is a list or a round of reports that the asker has not.
-func (lists *lists) newer(question UpdateQuestion) bool {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	return question.Lists && lists.listMark() != 0 && lists.listMark() != question.ListMark ||
-		question.Loads && lists.reportsMark() != 0 && lists.reportsMark() != question.LoadsMark
+func (l *lists) newer(question UpdateQuestion) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return question.Lists && l.listMark() != 0 && l.listMark() != question.ListMark ||
+		question.Loads && l.reportsMark() != 0 && l.reportsMark() != question.LoadsMark
 }
 
 // tell writes into an answer what the asker follows and has not.
-func (lists *lists) tell(now time.Time, question UpdateQuestion, answer *UpdateAnswer) {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
+func (l *lists) tell(now time.Time, question UpdateQuestion, answer *UpdateAnswer) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	if question.Loads {
-		lists.wantedAt = now
+		l.wantedAt = now
 	}
-	if current := lists.listMark(); question.Lists && current != 0 {
-		answer.Servers = &ServersUpdate{Mark: current, Age: now.Sub(lists.listing.At())}
+	if current := l.listMark(); question.Lists && current != 0 {
+		answer.Servers = &ServersUpdate{Mark: current, Age: now.Sub(l.listing.At())}
 		if current != question.ListMark {
-			answer.Servers.Sent, answer.Servers.Servers = true, lists.listing.Servers(now)
+			answer.Servers.Sent, answer.Servers.Servers = true, l.listing.Servers(now)
 		}
 	}
-	if current := lists.reportsMark(); question.Loads && current != 0 && current != question.LoadsMark {
-		answer.Loads = &LoadsUpdate{Mark: current, Outliers: lists.outliers.Advice(now)}
-		for _, reported := range lists.reports {
+	if current := l.reportsMark(); question.Loads && current != 0 && current != question.LoadsMark {
+		answer.Loads = &LoadsUpdate{Mark: current, Outliers: l.outliers.Advice(now)}
+		for _, reported := range l.reports {
 			if age := now.Sub(reported.at); age < reportKept {
 				answer.Loads.Lines = append(answer.Loads.Lines, reportOf(reported.load, age))
 			}
@@ -178,29 +178,29 @@
 }
 
 // noteFailing takes what a node met at servers.
-func (lists *lists) noteFailing(now time.Time, question UpdateQuestion) {
+func (l *lists) noteFailing(now time.Time, question UpdateQuestion) {
 	if !question.Loads {
 		return
 	}
 	reporter := outlier.Reporter{Name: question.Member.Name, Zone: question.Member.Zone}
-	lists.outliers.Seen(reporter)
+	l.outliers.Seen(reporter)
 	if len(question.Failing) > 0 {
-		lists.outliers.Report(now, reporter, question.Failing, len(lists.servers(now)))
+		l.outliers.Report(now, reporter, question.Failing, len(l.servers(now)))
 	}
 }
 
 // wanted lists the servers to ask for a report now: those listed that are not being
 // asked, if a courier follows reports.
-func (lists *lists) wanted(now time.Time) []membership.Server {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	if lists.epoch == 0 || lists.wantedAt.IsZero() || now.Sub(lists.wantedAt) > wantedTime {
+func (l *lists) wanted(now time.Time) []membership.Server {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.epoch == 0 || l.wantedAt.IsZero() || now.Sub(l.wantedAt) > wantedTime {
 		return nil
 	}
 	var wanted []membership.Server
-	for _, server := range lists.listing.Servers(now) {
-		if !lists.asking[server.Name] {
-			lists.asking[server.Name] = true
+	for _, server := range l.listing.Servers(now) {
+		if !l.asking[server.Name] {
+			l.asking[server.Name] = true
 			wanted = append(wanted, server)
 		}
 	}
@@ -208,38 +208,38 @@
 }
 
 // note takes a server's answer, or that there was none.
-func (lists *lists) note(epoch uint64, server string, at time.Time, load scheduler.Load, err error) {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	if lists.epoch != epoch {
+func (l *lists) note(epoch uint64, server string, at time.Time, load scheduler.Load, err error) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.epoch != epoch {
 		return
 	}
-	delete(lists.asking, server)
-	if err == nil && load.Server == server && !at.Before(lists.reports[server].at) {
-		lists.reports[server] = report{load: load, at: at}
+	delete(l.asking, server)
+	if err == nil && load.Server == server && !at.Before(l.reports[server].at) {
+		l.reports[server] = report{load: load, at: at}
 	}
 }
 
 // round ends a round of reading and forgets the servers that are gone.
-func (lists *lists) round(now time.Time) {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	for name, reported := range lists.reports {
+func (l *lists) round(now time.Time) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for name, reported := range l.reports {
 		if now.Sub(reported.at) >= reportKept {
-			delete(lists.reports, name)
+			delete(l.reports, name)
 		}
 	}
-	if lists.epoch != 0 {
-		lists.rounds++
+	if l.epoch != 0 {
+		l.rounds++
 	}
 }
 
 // calm tells whether all servers reported lately that they have little to do.
-func (lists *lists) calm(now time.Time) bool {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	for _, server := range lists.listing.Servers(now) {
-		reported, found := lists.reports[server.Name]
+func (l *lists) calm(now time.Time) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for _, server := range l.listing.Servers(now) {
+		reported, found := l.reports[server.Name]
 		most := calmRunning
 		if server.Slots > 0 {
 			most = server.Slots / calmShare
@@ -253,21 +253,21 @@
 
 // readServers reads the platform's list for the fleet for as long as this expediter
 // leads, and at once when it begins to.
-func (controller *Controller) readServers() {
-	for controller.runtime.Alive() {
-		if !controller.lists.leading() {
-			controller.terms.Wait(time.Minute, controller.lists.leading)
+func (c *Controller) readServers() {
+	for c.runtime.Alive() {
+		if !c.lists.leading() {
+			c.terms.Wait(time.Minute, c.lists.leading)
 			continue
 		}
-		asked := controller.runtime.Now()
-		servers, err := controller.options.Directory.Servers()
+		asked := c.runtime.Now()
+		servers, err := c.options.Directory.Servers()
 		// A list that could not be read leaves what is known as it is.
-		if err == nil && controller.lists.take(asked, servers) {
-			controller.update.Broadcast()
+		if err == nil && c.lists.take(asked, servers) {
+			c.update.Broadcast()
 		}
-		controller.noteListTrouble(err)
-		if left := listPause - controller.runtime.Now().Sub(asked); left > 0 {
-			runtime.Sleep(controller.runtime, left)
+		c.noteListTrouble(err)
+		if left := listPause - c.runtime.Now().Sub(asked); left > 0 {
+			runtime.Sleep(c.runtime, left)
 		}
 	}
 }
@@ -279,84 +279,84 @@
 // provisionalServers is the list of servers for couriers that have no primary. It is
 // read when the first of them asks, so that they need not all read it themselves, and
 // told to who fetches a configuration.
-func (controller *Controller) provisionalServers(fetches bool) *ServersUpdate {
-	if controller.options.Directory == nil {
+func (c *Controller) provisionalServers(fetches bool) *ServersUpdate {
+	if c.options.Directory == nil {
 		return nil
 	}
-	if controller.lists.readsNow(controller.runtime.Now()) {
-		controller.runtime.Go(func() {
-			asked := controller.runtime.Now()
-			servers, err := controller.options.Directory.Servers()
+	if c.lists.readsNow(c.runtime.Now()) {
+		c.runtime.Go(func() {
+			asked := c.runtime.Now()
+			servers, err := c.options.Directory.Servers()
 			if err == nil {
-				controller.lists.take(asked, servers)
-				controller.update.Broadcast()
+				c.lists.take(asked, servers)
+				c.update.Broadcast()
 			}
-			controller.noteListTrouble(err)
+			c.noteListTrouble(err)
 		})
 	}
 	if !fetches {
 		return nil
 	}
 	var told *ServersUpdate
-	controller.update.Wait(provisionalPatience, func() bool {
-		told = controller.lists.fresh(controller.runtime.Now())
+	c.update.Wait(provisionalPatience, func() bool {
+		told = c.lists.fresh(c.runtime.Now())
 		return told != nil
 	})
 	return told
 }
 
 // noteListTrouble logs that the list can't be read, and that it can again, once.
-func (controller *Controller) noteListTrouble(err error) {
+func (c *Controller) noteListTrouble(err error) {
 	cause := ""
 	if err != nil {
 		cause = string(failure.KindOf(err))
 	}
-	controller.lists.mutex.Lock()
-	told := controller.lists.failedFor == cause
-	controller.lists.failedFor = cause
-	controller.lists.mutex.Unlock()
+	c.lists.mutex.Lock()
+	told := c.lists.failedFor == cause
+	c.lists.failedFor = cause
+	c.lists.mutex.Unlock()
 	if !told {
-		controller.observe("list_read", "trouble", err)
+		c.observe("list_read", "trouble", err)
 	}
 }
 
 // readReports asks all servers for their load, over and over, while this expediter
 // leads and a courier follows reports.
-func (controller *Controller) readReports() {
-	for controller.runtime.Alive() {
-		if !controller.lists.leading() {
-			controller.terms.Wait(time.Minute, controller.lists.leading)
+func (c *Controller) readReports() {
+	for c.runtime.Alive() {
+		if !c.lists.leading() {
+			c.terms.Wait(time.Minute, c.lists.leading)
 			continue
 		}
-		began := controller.runtime.Now()
-		if wanted := controller.lists.wanted(began); len(wanted) > 0 {
-			controller.askAll(wanted)
-			controller.lists.round(controller.runtime.Now())
-			controller.update.Broadcast()
+		began := c.runtime.Now()
+		if wanted := c.lists.wanted(began); len(wanted) > 0 {
+			c.askAll(wanted)
+			c.lists.round(c.runtime.Now())
+			c.update.Broadcast()
 		}
 		pause := reportPause
-		if controller.lists.calm(controller.runtime.Now()) {
+		if c.lists.calm(c.runtime.Now()) {
 			pause = calmReportPause
 		}
-		if left := pause - controller.runtime.Now().Sub(began); left > 0 {
-			runtime.Sleep(controller.runtime, left)
+		if left := pause - c.runtime.Now().Sub(began); left > 0 {
+			runtime.Sleep(c.runtime, left)
 		}
 	}
 }
 
 // askAll asks servers at once and waits for those that answer soon.
-func (controller *Controller) askAll(servers []membership.Server) {
-	controller.lists.mutex.Lock()
-	epoch := controller.lists.epoch
-	controller.lists.mutex.Unlock()
-	cond := controller.runtime.NewCond()
+func (c *Controller) askAll(servers []membership.Server) {
+	c.lists.mutex.Lock()
+	epoch := c.lists.epoch
+	c.lists.mutex.Unlock()
+	cond := c.runtime.NewCond()
 	var mutex sync.Mutex
 	left := len(servers)
 	for _, server := range servers {
-		controller.runtime.Go(func() {
-			asked := controller.runtime.Now()
-			load, err := controller.options.Reports.Report(server, reportPatience)
-			controller.lists.note(epoch, server.Name, asked, load, err)
+		c.runtime.Go(func() {
+			asked := c.runtime.Now()
+			load, err := c.options.Reports.Report(server, reportPatience)
+			c.lists.note(epoch, server.Name, asked, load, err)
 			mutex.Lock()
 			left--
 			last := left == 0
@@ -374,15 +374,15 @@
 }
 
 // readNodes reads the platform's list of nodes, where there is one.
-func (controller *Controller) readNodes() {
-	for controller.runtime.Alive() {
-		nodes, err := controller.options.Directory.Nodes()
+func (c *Controller) readNodes() {
+	for c.runtime.Alive() {
+		nodes, err := c.options.Directory.Nodes()
 		if failure.KindOf(err) == failure.NoSuch {
 			return
 		}
 		if err == nil {
-			controller.setNodes(nodes)
+			c.setNodes(nodes)
 		}
-		runtime.Sleep(controller.runtime, nodesPause)
+		runtime.Sleep(c.runtime, nodesPause)
 	}
 }
--- a/internal/hatch/loadsnews.go
+++ b/internal/hatch/loadsnews.go
@@ -40,7 +40,7 @@
 		MemoryUsed: load.MemoryUsed, MemoryTotal: load.MemoryTotal, Handles: load.Handles, Age: int((load.Age + age).Milliseconds())}
 }
 
-func (report loadReport) load(age time.Duration) scheduler.Load {
-	return scheduler.Load{Server: report.Server, Part: report.Part, Changing: report.Changing, Orders: uint64(report.Orders), Waiting: report.Waiting, Running: report.Running,
-		MemoryUsed: report.MemoryUsed, MemoryTotal: report.MemoryTotal, Handles: report.Handles, Age: time.Duration(report.Age)*time.Millisecond + age}
+func (l loadReport) load(age time.Duration) scheduler.Load {
+	return scheduler.Load{Server: l.Server, Part: l.Part, Changing: l.Changing, Orders: uint64(l.Orders), Waiting: l.Waiting, Running: l.Running,
+		MemoryUsed: l.MemoryUsed, MemoryTotal: l.MemoryTotal, Handles: l.Handles, Age: time.Duration(l.Age)*time.Millisecond + age}
 }
--- a/internal/hatch/passages.go
+++ b/internal/hatch/passages.go
@@ -20,20 +20,20 @@
 )
 
 // first tells whether the nonce comes for the first time.
-func (passages *passages) first(now time.Time, nonce string) bool {
-	passages.mutex.Lock()
-	defer passages.mutex.Unlock()
-	if passages.seen == nil {
-		passages.seen = map[string]time.Time{}
+func (p *passages) first(now time.Time, nonce string) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.seen == nil {
+		p.seen = map[string]time.Time{}
 	}
-	if _, found := passages.seen[nonce]; found {
+	if _, found := p.seen[nonce]; found {
 		return false
 	}
-	passages.seen[nonce] = now
-	passages.order = append(passages.order, nonce)
-	for len(passages.order) > mostPassages || (len(passages.order) > 0 && now.Sub(passages.seen[passages.order[0]]) > passageTime) {
-		delete(passages.seen, passages.order[0])
-		passages.order = passages.order[1:]
+	p.seen[nonce] = now
+	p.order = append(p.order, nonce)
+	for len(p.order) > mostPassages || (len(p.order) > 0 && now.Sub(p.seen[p.order[0]]) > passageTime) {
+		delete(p.seen, p.order[0])
+		p.order = p.order[1:]
 	}
 	return true
 }
--- a/internal/hatch/passing.go
+++ b/internal/hatch/passing.go
@@ -39,19 +39,19 @@
 
 // capable lists the couriers that lack no enabled flag, this inquiry's own
 // order first.
-func (router *Router) capable(request string) []membership.Member {
-	enabled := router.core.Enabled()
-	router.mutex.Lock()
-	defer router.mutex.Unlock()
+func (r *Router) capable(request string) []membership.Member {
+	enabled := r.core.Enabled()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var names []string
-	for name, member := range router.members {
-		if member.Kind == membership.Router && name != router.options.Router && !member.Restricted(enabled) {
+	for name, member := range r.members {
+		if member.Kind == membership.Router && name != r.options.Router && !member.Restricted(enabled) {
 			names = append(names, name)
 		}
 	}
 	var members []membership.Member
 	for _, name := range membership.Ranked(request, names) {
-		members = append(members, router.members[name])
+		members = append(members, r.members[name])
 	}
 	return members
 }
@@ -59,22 +59,22 @@
 // passOn gives an inquiry to a capable courier and its reply to the origin, as
 // it comes. Another courier is tried only when the first certainly has not
 // begun.
-func (router *Router) passOn(arrival Arrival, reply Reply) {
+func (r *Router) passOn(arrival Arrival, reply Reply) {
 	never := false
 	refused := ReplyLine{Request: arrival.Request.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
 	if arrival.Passage == nil {
-		for _, member := range router.capable(arrival.Request.ID) {
-			passage := Passage{Nonce: router.nonce()}
+		for _, member := range r.capable(arrival.Request.ID) {
+			passage := Passage{Nonce: r.nonce()}
 			if !arrival.Request.Repeatable {
 				var said Incarnation
-				err := Call(router.line, member.Address, IncarnationPath, nothing{}, &said, incarnationPatience)
-				if failure.KindOf(err) == failure.Unreachable && !router.old(err) {
+				err := Call(r.line, member.Address, IncarnationPath, nothing{}, &said, incarnationPatience)
+				if failure.KindOf(err) == failure.Unreachable && !r.old(err) {
 					continue
 				}
 				passage.Incarnation = said.Incarnation
 			}
 			copied := &recordCopy{reply: reply, request: arrival.Request.ID}
-			if !router.passing.Pass(member.Address, passage, arrival.Body, reply.WhenLeft, copied.take) {
+			if !r.passing.Pass(member.Address, passage, arrival.Body, reply.WhenLeft, copied.take) {
 				continue
 			}
 			if !copied.ended {
@@ -87,7 +87,7 @@
 }
 
 // old tells whether a failure is that of a release which knows no such path.
-func (router *Router) old(err error) bool {
+func (r *Router) old(err error) bool {
 	return err != nil && failure.KindOf(err) == failure.Unreachable && failure.DetailOf(err) == "status 404"
 }
 
@@ -100,33 +100,33 @@
 	ended   bool
 }
 
-func (copied *recordCopy) take(record codec.Record) bool {
+func (r *recordCopy) take(record codec.Record) bool {
 	message, err := codec.ReadStreamMessage(record)
 	var line ReplyLine
 	if err == nil {
 		err = json.Unmarshal(message.Line, &line)
 	}
-	if err != nil || record.Number != uint64(copied.lines+1) || message.Request != copied.request {
+	if err != nil || record.Number != uint64(r.lines+1) || message.Request != r.request {
 		return false
 	}
-	if copied.lines == 0 {
-		copied.reply.Begin(message.Status, message.Retry)
+	if r.lines == 0 {
+		r.reply.Begin(message.Status, message.Retry)
 	}
-	copied.lines++
-	copied.ended = line.Final != ""
-	if err := copied.reply.Line(message.Line); err != nil {
-		copied.ended = true
+	r.lines++
+	r.ended = line.Final != ""
+	if err := r.reply.Line(message.Line); err != nil {
+		r.ended = true
 	}
-	return !copied.ended
+	return !r.ended
 }
 
-func (copied *recordCopy) breakOff() {
-	broken := ReplyLine{Request: copied.request, Type: failure.Unreachable, Detail: "the reply broke off between two couriers"}
-	if copied.lines == 0 {
+func (r *recordCopy) breakOff() {
+	broken := ReplyLine{Request: r.request, Type: failure.Unreachable, Detail: "the reply broke off between two couriers"}
+	if r.lines == 0 {
 		broken.Final = auction.Unknown
-		copied.reply.Begin(http.StatusGatewayTimeout, 0)
+		r.reply.Begin(http.StatusGatewayTimeout, 0)
 	} else {
-		broken.Final, broken.Chunks = auction.Failed, copied.lines
+		broken.Final, broken.Chunks = auction.Failed, r.lines
 	}
-	_ = copied.reply.Line(broken.encode())
+	_ = r.reply.Line(broken.encode())
 }
--- a/internal/hatch/recordreply.go
+++ b/internal/hatch/recordreply.go
@@ -20,19 +20,19 @@
 }
 
 // Begin keeps the status for the records.
-func (reply *RecordReply) Begin(status, retrySeconds int) {
-	reply.status, reply.retry = status, retrySeconds
+func (r *RecordReply) Begin(status, retrySeconds int) {
+	r.status, r.retry = status, retrySeconds
 }
 
 // Line sends one line as a record.
-func (reply *RecordReply) Line(line []byte) error {
-	reply.number++
-	record, err := codec.WriteStreamMessage(codec.StreamMessage{Request: reply.Request, Line: line, Status: reply.status, Retry: reply.retry}, reply.Writer, reply.number)
+func (r *RecordReply) Line(line []byte) error {
+	r.number++
+	record, err := codec.WriteStreamMessage(codec.StreamMessage{Request: r.Request, Line: line, Status: r.status, Retry: r.retry}, r.Writer, r.number)
 	if err != nil {
 		return err
 	}
-	return reply.Send(record)
+	return r.Send(record)
 }
 
 // WhenLeft has act called when the origin closes its circuit.
-func (reply *RecordReply) WhenLeft(act func()) { reply.Left(act) }
+func (r *RecordReply) WhenLeft(act func()) { r.Left(act) }
--- a/internal/hatch/reign.go
+++ b/internal/hatch/reign.go
@@ -32,8 +32,8 @@
 
 // candidates are the live couriers that lack no enabled flag, with how long
 // each has been live.
-func (term *Term) candidates(now time.Time, state *replication.State) map[string]time.Duration {
-	live := term.Holds.Live(now)
+func (t *Term) candidates(now time.Time, state *replication.State) map[string]time.Duration {
+	live := t.Holds.Live(now)
 	for name := range live {
 		member, found := state.Members[name]
 		if !found || member.Kind != membership.Router || member.Restricted(state.Flags.Enabled) {
@@ -45,12 +45,12 @@
 
 // silent lists the recorded members that have not asked for news for a time. A new
 // primary takes all to have asked when it began. The caller has the expediter's mutex.
-func (term *Term) silent(now time.Time, state *replication.State, length time.Duration) []string {
+func (t *Term) silent(now time.Time, state *replication.State, length time.Duration) []string {
 	var silent []string
 	for name := range state.Members {
-		last := term.asked[name]
-		if last.Before(term.Since) {
-			last = term.Since
+		last := t.asked[name]
+		if last.Before(t.Since) {
+			last = t.Since
 		}
 		if now.Sub(last) >= length {
 			silent = append(silent, name)
@@ -71,7 +71,7 @@
 // gone lists the recorded servers that were not listed for so long that their records
 // may go, and lets go of the duties of those that were not listed for a while. The
 // caller has the expediter's mutex.
-func (term *Term) gone(now time.Time, state *replication.State, listed []membership.Server) []string {
+func (t *Term) gone(now time.Time, state *replication.State, listed []membership.Server) []string {
 	recorded := map[string]bool{}
 	for key := range state.Rota.Roles {
 		if name, found := strings.CutPrefix(key, lease.ServerKey("")); found {
@@ -84,20 +84,20 @@
 	for _, server := range listed {
 		delete(recorded, server.Name)
 	}
-	for name := range term.unlisted {
+	for name := range t.unlisted {
 		if !recorded[name] {
-			delete(term.unlisted, name)
+			delete(t.unlisted, name)
 		}
 	}
 	var gone []string
 	for name := range recorded {
-		since, found := term.unlisted[name]
+		since, found := t.unlisted[name]
 		if !found {
-			term.unlisted[name] = now
+			t.unlisted[name] = now
 			continue
 		}
 		if role, found := state.Rota.Roles[lease.ServerKey(name)]; found && now.Sub(since) >= goneTime {
-			term.keys.Release(now, role)
+			t.keys.Release(now, role)
 		}
 		if now.Sub(since) >= forgetTime {
 			gone = append(gone, name)
@@ -113,9 +113,9 @@
 const countedTime = 10 * time.Second
 
 // couriers is how many couriers share the servers.
-func (term *Term) routers(now time.Time, state *replication.State) int {
-	heard := len(term.Holds.HeardWithin(now, countedTime))
-	if now.Sub(term.Since) >= countedTime {
+func (t *Term) routers(now time.Time, state *replication.State) int {
+	heard := len(t.Holds.HeardWithin(now, countedTime))
+	if now.Sub(t.Since) >= countedTime {
 		return heard
 	}
 	return max(heard, len(routersOf(state.Members)))
@@ -123,12 +123,12 @@
 
 // behind lists the couriers that were heard from within a time and have not
 // confirmed a version.
-func (term *Term) behind(now time.Time, version replication.Version, within time.Duration) []string {
-	return term.Holds.Behind(now, version.Number, within)
+func (t *Term) behind(now time.Time, version replication.Version, within time.Duration) []string {
+	return t.Holds.Behind(now, version.Number, within)
 }
 
 // Lagging lists the couriers that may still let in under a configuration older
 // than the version.
-func (term *Term) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
-	return term.Holds.Lagging(now, version.Number, routersOf(state.Members))
+func (t *Term) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
+	return t.Holds.Lagging(now, version.Number, routersOf(state.Members))
 }
--- a/internal/hatch/replyline.go
+++ b/internal/hatch/replyline.go
@@ -47,14 +47,14 @@
 
 func retrySeconds(retry time.Duration) int { return int(math.Ceil(retry.Seconds())) }
 
-func (line ReplyLine) encode() []byte {
-	encoded, _ := json.Marshal(line)
+func (r ReplyLine) encode() []byte {
+	encoded, _ := json.Marshal(r)
 	return append(encoded, '\n')
 }
 
 // Status is that of a reply whose first line this is.
-func (line ReplyLine) Status() int {
-	switch line.Final {
+func (r ReplyLine) Status() int {
+	switch r.Final {
 	case auction.Complete, "":
 		return http.StatusOK
 	case auction.Unknown:
@@ -62,7 +62,7 @@
 	case auction.Failed:
 		return http.StatusBadGateway
 	}
-	switch line.Type {
+	switch r.Type {
 	case failure.UnknownService, failure.NoRoute:
 		return http.StatusNotFound
 	case failure.RouteRefuses:
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -68,19 +68,19 @@
 }
 
 // begin notes that an address is asked, unless it was asked just now.
-func (search *search) begin(address string, now time.Time, membership replication.Membership, fleet int) bool {
-	search.mutex.Lock()
-	defer search.mutex.Unlock()
+func (s *search) begin(address string, now time.Time, membership replication.Membership, fleet int) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if address == "" {
 		return false
 	}
-	current := search.asking[address]
+	current := s.asking[address]
 	if current == nil {
 		current = &asking{}
-		search.asking[address] = current
+		s.asking[address] = current
 	}
 	named := membership.Epoch > current.epoch && membership.Primary.Address == address
-	if current.calls >= mostAsking || !named && now.Before(search.due(current, fleet)) {
+	if current.calls >= mostAsking || !named && now.Before(s.due(current, fleet)) {
 		return false
 	}
 	current.calls++
@@ -89,40 +89,40 @@
 }
 
 // due is when an address may be asked again. The caller has the mutex.
-func (search *search) due(current *asking, fleet int) time.Time {
+func (s *search) due(current *asking, fleet int) time.Time {
 	if !current.answered.IsZero() && !current.answered.Before(current.since) {
 		return current.answered.Add(answeredPause + time.Duration(fleet)*answeredShare)
 	}
 	if current.calls == 0 {
 		return time.Time{}
 	}
-	if search.rounds > eagerRounds {
+	if s.rounds > eagerRounds {
 		return current.since.Add(askAgainPatient)
 	}
 	return current.since.Add(askAgain)
 }
 
 // end notes the end of a call to an address.
-func (search *search) end(address string, asked, now time.Time, answer UpdateAnswer, err error) {
-	search.mutex.Lock()
-	current := search.asking[address]
+func (s *search) end(address string, asked, now time.Time, answer UpdateAnswer, err error) {
+	s.mutex.Lock()
+	current := s.asking[address]
 	current.calls--
 	if err == nil && !answer.Leads {
 		current.answered = now
 	}
-	search.mutex.Unlock()
+	s.mutex.Unlock()
 	if err == nil {
-		search.note(address, asked, now, answer)
+		s.note(address, asked, now, answer)
 	}
-	search.cond.Broadcast()
+	s.cond.Broadcast()
 }
 
 // answeredWithin tells whether one of the addresses has answered a moment ago.
-func (search *search) answeredWithin(addresses []string, now time.Time, length time.Duration) bool {
-	search.mutex.Lock()
-	defer search.mutex.Unlock()
+func (s *search) answeredWithin(addresses []string, now time.Time, length time.Duration) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	for _, address := range addresses {
-		if current := search.asking[address]; current != nil && !current.answered.IsZero() && now.Sub(current.answered) <= length {
+		if current := s.asking[address]; current != nil && !current.answered.IsZero() && now.Sub(current.answered) <= length {
 			return true
 		}
 	}
@@ -130,197 +130,197 @@
 }
 
 // note takes an answer: a primary's, or what another says of its copy.
-func (search *search) note(address string, asked, now time.Time, answer UpdateAnswer) {
-	search.mutex.Lock()
-	defer search.mutex.Unlock()
+func (s *search) note(address string, asked, now time.Time, answer UpdateAnswer) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if answer.Leads {
-		search.leading = &ledUpdate{asked: asked, answer: answer}
+		s.leading = &ledUpdate{asked: asked, answer: answer}
 		return
 	}
-	search.copies.note(address, now, answer)
+	s.copies.note(address, now, answer)
 }
 
 // led tells whether a primary has answered.
-func (search *search) led() bool {
-	search.mutex.Lock()
-	defer search.mutex.Unlock()
-	return search.leading != nil
+func (s *search) led() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.leading != nil
 }
 
 // take gives a primary's answer, if there is one, once.
-func (search *search) take() *ledUpdate {
-	search.mutex.Lock()
-	defer search.mutex.Unlock()
-	leading := search.leading
-	search.leading = nil
+func (s *search) take() *ledUpdate {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	leading := s.leading
+	s.leading = nil
 	return leading
 }
 
-func (search *search) choose(now time.Time) (string, replication.Version, bool) {
-	search.mutex.Lock()
-	defer search.mutex.Unlock()
-	return search.copies.choose(now)
+func (s *search) choose(now time.Time) (string, replication.Version, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.copies.choose(now)
 }
 
 // SetProvisional chooses whether a node without any configuration takes one from the
 // copies while there is no primary.
-func (follower *Follower) SetProvisional(may bool) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.provisional = may
+func (f *Follower) SetProvisional(may bool) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.provisional = may
 }
 
 // lacks tells whether the node would take a provisional configuration now.
-func (follower *Follower) lacks() bool {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	_, has := follower.sections[replication.ConfigurationSection]
-	return follower.provisional && !has
+func (f *Follower) lacks() bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	_, has := f.sections[replication.ConfigurationSection]
+	return f.provisional && !has
 }
 
 // search looks for the primary until one is known, or its answer was taken by a relay.
-func (follower *Follower) search() {
-	search := newSearch(follower.runtime)
-	for follower.runtime.Alive() && !follower.searchOnce(search) {
+func (f *Follower) search() {
+	search := newSearch(f.runtime)
+	for f.runtime.Alive() && !f.searchOnce(search) {
 	}
 }
 
 // searchOnce makes one round of the search and tells whether it ended it.
-func (follower *Follower) searchOnce(search *search) bool {
-	began := follower.runtime.Now()
-	candidates := follower.candidates()
-	question := follower.briefQuestion()
+func (f *Follower) searchOnce(search *search) bool {
+	began := f.runtime.Now()
+	candidates := f.candidates()
+	question := f.briefQuestion()
 	for _, address := range candidates {
-		follower.askOne(search, address, question)
+		f.askOne(search, address, question)
 	}
 	if search.rounds > 0 && !search.answeredWithin(candidates, began, coreSilence) {
-		follower.askPeers(search, question)
+		f.askPeers(search, question)
 	}
 	search.rounds++
-	if search.rounds%relayRounds == 0 && !search.answeredWithin([]string{follower.Membership().Primary.Address}, began, coreSilence) {
-		follower.askRelays(search)
+	if search.rounds%relayRounds == 0 && !search.answeredWithin([]string{f.Membership().Primary.Address}, began, coreSilence) {
+		f.askRelays(search)
 	}
-	follower.awaitRound(search)
-	if _, known := follower.knownPrimary(); known {
+	f.awaitRound(search)
+	if _, known := f.knownPrimary(); known {
 		return true
 	}
-	if leading := search.take(); leading != nil && leading.answer.Hold > 0 && follower.takeAnswer(leading.asked, leading.answer) {
+	if leading := search.take(); leading != nil && leading.answer.Hold > 0 && f.takeAnswer(leading.asked, leading.answer) {
 		return true
 	}
-	if follower.lacks() {
-		if address, version, found := search.choose(follower.runtime.Now()); found {
-			follower.fetch(address, version)
+	if f.lacks() {
+		if address, version, found := search.choose(f.runtime.Now()); found {
+			f.fetch(address, version)
 		}
 	}
-	if left := retryPause - follower.runtime.Now().Sub(began); left > 0 {
-		runtime.Sleep(follower.runtime, left)
+	if left := retryPause - f.runtime.Now().Sub(began); left > 0 {
+		runtime.Sleep(f.runtime, left)
 	}
 	return false
 }
 
 // awaitRound waits for an answer that ends a round.
-func (follower *Follower) awaitRound(search *search) {
+func (f *Follower) awaitRound(search *search) {
 	search.cond.Wait(searchRound, func() bool {
-		if search.led() || !follower.lacks() {
+		if search.led() || !f.lacks() {
 			return search.led()
 		}
-		_, _, found := search.choose(follower.runtime.Now())
+		_, _, found := search.choose(f.runtime.Now())
 		return found
 	})
 }
 
 // askPeers asks a few couriers, others in each round: one that has followed the core
 // longer knows who belongs to it now.
-func (follower *Follower) askPeers(search *search, question UpdateQuestion) {
+func (f *Follower) askPeers(search *search, question UpdateQuestion) {
 	question.Provisional = false
-	follower.mutex.Lock()
-	peers := follower.peers
-	follower.mutex.Unlock()
+	f.mutex.Lock()
+	peers := f.peers
+	f.mutex.Unlock()
 	for position := range min(peersPerRound, len(peers)) {
 		next := (search.rounds-1)*peersPerRound + position
-		follower.askOne(search, peers[next%len(peers)], question)
+		f.askOne(search, peers[next%len(peers)], question)
 	}
 }
 
 // askOne asks an address in a thread of its own, unless it was asked just now.
-func (follower *Follower) askOne(search *search, address string, question UpdateQuestion) {
-	follower.mutex.Lock()
-	membership, fleet := follower.membership, len(follower.peers)
-	follower.mutex.Unlock()
-	if !search.begin(address, follower.runtime.Now(), membership, fleet) {
+func (f *Follower) askOne(search *search, address string, question UpdateQuestion) {
+	f.mutex.Lock()
+	membership, fleet := f.membership, len(f.peers)
+	f.mutex.Unlock()
+	if !search.begin(address, f.runtime.Now(), membership, fleet) {
 		return
 	}
-	follower.runtime.Go(func() {
-		asked := follower.runtime.Now()
+	f.runtime.Go(func() {
+		asked := f.runtime.Now()
 		var answer UpdateAnswer
-		err := Call(follower.line, address, UpdatePath, question, &answer, searchPatience)
+		err := Call(f.line, address, UpdatePath, question, &answer, searchPatience)
 		if err == nil {
-			follower.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
+			f.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
 		}
-		search.end(address, asked, follower.runtime.Now(), answer, err)
+		search.end(address, asked, f.runtime.Now(), answer, err)
 	})
 }
 
 // askRelays has the nearest couriers pass the question on to the primary that they know:
 // the path to it may be cut for this node alone.
-func (follower *Follower) askRelays(search *search) {
-	question := follower.searchQuestion()
+func (f *Follower) askRelays(search *search) {
+	question := f.searchQuestion()
 	question.Provisional = false
 	body, err := msgpack.Marshal(question)
 	if err != nil {
 		return
 	}
-	follower.mutex.Lock()
-	relays := append([]string(nil), follower.peers[:min(neighbours, len(follower.peers))]...)
-	follower.mutex.Unlock()
+	f.mutex.Lock()
+	relays := append([]string(nil), f.peers[:min(neighbours, len(f.peers))]...)
+	f.mutex.Unlock()
 	for _, address := range relays {
-		follower.runtime.Go(func() { follower.askRelay(search, address, body) })
+		f.runtime.Go(func() { f.askRelay(search, address, body) })
 	}
 }
 
-func (follower *Follower) askRelay(search *search, address string, body []byte) {
-	asked := follower.runtime.Now()
+func (f *Follower) askRelay(search *search, address string, body []byte) {
+	asked := f.runtime.Now()
 	var reply []byte
-	if Call(follower.line, address, RelayPath, RelayQuestion{Path: UpdatePath, Body: body}, &reply, relayPatience) != nil {
+	if Call(f.line, address, RelayPath, RelayQuestion{Path: UpdatePath, Body: body}, &reply, relayPatience) != nil {
 		return
 	}
 	var answer UpdateAnswer
 	if msgpack.Unmarshal(reply, &answer) != nil || !answer.Leads {
 		return
 	}
-	follower.learnMembership(answer.Membership)
-	search.note(address, asked, follower.runtime.Now(), answer)
+	f.learnMembership(answer.Membership)
+	search.note(address, asked, f.runtime.Now(), answer)
 	search.cond.Broadcast()
 }
 
 // fetch takes the configuration of a version from the copy at an address. It gives no
 // hold, and nothing is acknowledged by it.
-func (follower *Follower) fetch(address string, version replication.Version) {
-	question := follower.searchQuestion()
+func (f *Follower) fetch(address string, version replication.Version) {
+	question := f.searchQuestion()
 	question.Wanted = version
-	asked := follower.runtime.Now()
+	asked := f.runtime.Now()
 	var answer UpdateAnswer
-	if err := Call(follower.line, address, UpdatePath, question, &answer, firstPatience); err != nil {
+	if err := Call(f.line, address, UpdatePath, question, &answer, firstPatience); err != nil {
 		return
 	}
 	if answer.Leads {
-		follower.learn(address, leadsAnswer{Leads: true, Membership: answer.Membership})
-		follower.takeAnswer(asked, answer)
+		f.learn(address, leadsAnswer{Leads: true, Membership: answer.Membership})
+		f.takeAnswer(asked, answer)
 		return
 	}
 	if answer.Copy == nil || answer.Copy.Sections[replication.ConfigurationSection].Version != version {
 		return
 	}
-	follower.mutex.Lock()
-	if _, has := follower.sections[replication.ConfigurationSection]; has || !follower.provisional {
-		follower.mutex.Unlock()
+	f.mutex.Lock()
+	if _, has := f.sections[replication.ConfigurationSection]; has || !f.provisional {
+		f.mutex.Unlock()
 		return
 	}
 	// The primary need not send again what is the same; all else it tells itself.
-	follower.sections[replication.ConfigurationSection] = answer.Copy.Sections[replication.ConfigurationSection]
-	follower.unconfirmed = version
+	f.sections[replication.ConfigurationSection] = answer.Copy.Sections[replication.ConfigurationSection]
+	f.unconfirmed = version
 	update := Update{Asked: asked, Answer: UpdateAnswer{Servers: answer.Servers}, Changed: answer.Copy.Sections, Provisional: true}
-	follower.takeLists(&update)
-	follower.mutex.Unlock()
-	follower.take(update)
+	f.takeLists(&update)
+	f.mutex.Unlock()
+	f.take(update)
 }
--- a/internal/hatch/signpost.go
+++ b/internal/hatch/signpost.go
@@ -41,48 +41,48 @@
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (redirector *Redirector) SetSeeds(seeds []string) {
-	redirector.mutex.Lock()
-	defer redirector.mutex.Unlock()
-	redirector.seeds = seeds
+func (r *Redirector) SetSeeds(seeds []string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.seeds = seeds
 }
 
 // Run follows the membership until the process ends.
-func (redirector *Redirector) Run() {
-	runtime.Every(redirector.runtime, redirectorRefresh, func() { redirector.Leader() })
+func (r *Redirector) Run() {
+	runtime.Every(r.runtime, redirectorRefresh, func() { r.Leader() })
 }
 
 // Leader is the address of the expediter that is primary, or empty if none says so.
-func (redirector *Redirector) Leader() string {
-	redirector.mutex.Lock()
-	known, fresh := redirector.leader, redirector.runtime.Now().Sub(redirector.asked) < redirectorFresh
-	redirector.mutex.Unlock()
+func (r *Redirector) Leader() string {
+	r.mutex.Lock()
+	known, fresh := r.leader, r.runtime.Now().Sub(r.asked) < redirectorFresh
+	r.mutex.Unlock()
 	if known != "" && fresh {
 		return known
 	}
 	asked := map[string]bool{}
 	for range redirectorSearches {
-		if leader := redirector.askAll(redirector.unasked(asked)); leader != "" {
+		if leader := r.askAll(r.unasked(asked)); leader != "" {
 			return leader
 		}
 	}
-	redirector.mutex.Lock()
-	defer redirector.mutex.Unlock()
-	redirector.leader = ""
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.leader = ""
 	return ""
 }
 
 // unasked are the addresses that may know, and were not asked in this search: who led
 // last, those of the newest membership, the seeds.
-func (redirector *Redirector) unasked(asked map[string]bool) []string {
-	redirector.mutex.Lock()
-	defer redirector.mutex.Unlock()
-	candidates := []string{redirector.leader, redirector.membership.Primary.Address}
-	for _, replica := range slices.Concat(redirector.membership.Copies(), redirector.membership.Electors()) {
+func (r *Redirector) unasked(asked map[string]bool) []string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	candidates := []string{r.leader, r.membership.Primary.Address}
+	for _, replica := range slices.Concat(r.membership.Copies(), r.membership.Electors()) {
 		candidates = append(candidates, replica.Address)
 	}
 	var addresses []string
-	for _, address := range append(candidates, redirector.seeds...) {
+	for _, address := range append(candidates, r.seeds...) {
 		if address != "" && !asked[address] {
 			asked[address] = true
 			addresses = append(addresses, address)
@@ -92,16 +92,16 @@
 }
 
 // askAll asks all addresses at once, and gives the first that leads.
-func (redirector *Redirector) askAll(addresses []string) string {
+func (r *Redirector) askAll(addresses []string) string {
 	var mutex sync.Mutex
-	cond := redirector.runtime.NewCond()
+	cond := r.runtime.NewCond()
 	left, leader := len(addresses), ""
 	for _, address := range addresses {
-		redirector.runtime.Go(func() {
+		r.runtime.Go(func() {
 			var hello replication.Hello
 			// A hello from nobody is answered, and leaves no trace.
-			err := Call(redirector.line, address, HelloPath, replication.Hello{}, &hello, redirectorPatience)
-			leads := err == nil && redirector.learn(address, hello)
+			err := Call(r.line, address, HelloPath, replication.Hello{}, &hello, redirectorPatience)
+			leads := err == nil && r.learn(address, hello)
 			mutex.Lock()
 			left--
 			if leads {
@@ -122,14 +122,14 @@
 }
 
 // learn takes an answer and tells whether its giver leads.
-func (redirector *Redirector) learn(address string, hello replication.Hello) bool {
-	redirector.mutex.Lock()
-	defer redirector.mutex.Unlock()
-	if hello.Membership.Epoch > redirector.membership.Epoch {
-		redirector.membership = hello.Membership
+func (r *Redirector) learn(address string, hello replication.Hello) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if hello.Membership.Epoch > r.membership.Epoch {
+		r.membership = hello.Membership
 	}
 	if hello.Leads {
-		redirector.leader, redirector.asked = address, redirector.runtime.Now()
+		r.leader, r.asked = address, r.runtime.Now()
 	}
 	return hello.Leads
 }
--- a/internal/hatch/stream.go
+++ b/internal/hatch/stream.go
@@ -23,51 +23,51 @@
 	return &stream{chunks: map[int]auction.Decision{}, cond: rt.NewCond()}
 }
 
-func (stream *stream) put(decision auction.Decision) {
-	stream.mutex.Lock()
+func (s *stream) put(decision auction.Decision) {
+	s.mutex.Lock()
 	if decision.Kind == auction.SendChunk {
-		stream.chunks[decision.Chunk] = decision
+		s.chunks[decision.Chunk] = decision
 	} else {
 		final := decision
-		stream.last = &final
+		s.last = &final
 	}
-	stream.mutex.Unlock()
-	stream.cond.Broadcast()
+	s.mutex.Unlock()
+	s.cond.Broadcast()
 }
 
 // leave notes that the origin is gone.
-func (stream *stream) leave() {
-	stream.mutex.Lock()
-	stream.left = true
-	stream.mutex.Unlock()
-	stream.cond.Broadcast()
+func (s *stream) leave() {
+	s.mutex.Lock()
+	s.left = true
+	s.mutex.Unlock()
+	s.cond.Broadcast()
 }
 
 // news tells whether there is anything to do for the thread that answers.
-func (stream *stream) update() bool {
-	stream.mutex.Lock()
-	defer stream.mutex.Unlock()
-	_, found := stream.chunks[stream.sent+1]
-	return found || stream.left || (stream.last != nil && stream.sent >= stream.last.Chunks)
+func (s *stream) update() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	_, found := s.chunks[s.sent+1]
+	return found || s.left || (s.last != nil && s.sent >= s.last.Chunks)
 }
 
-func (stream *stream) gone() bool {
-	stream.mutex.Lock()
-	defer stream.mutex.Unlock()
-	return stream.left
+func (s *stream) gone() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.left
 }
 
 // next gives the next decision that may be sent, if it is there.
-func (stream *stream) next() (auction.Decision, bool) {
-	stream.mutex.Lock()
-	defer stream.mutex.Unlock()
-	if decision, found := stream.chunks[stream.sent+1]; found {
-		delete(stream.chunks, decision.Chunk)
-		stream.sent++
+func (s *stream) next() (auction.Decision, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if decision, found := s.chunks[s.sent+1]; found {
+		delete(s.chunks, decision.Chunk)
+		s.sent++
 		return decision, true
 	}
-	if stream.last != nil && stream.sent >= stream.last.Chunks {
-		return *stream.last, true
+	if s.last != nil && s.sent >= s.last.Chunks {
+		return *s.last, true
 	}
 	return auction.Decision{}, false
 }
--- a/internal/lease/holds.go
+++ b/internal/lease/holds.go
@@ -30,15 +30,15 @@
 
 // Grant notes that the holder was given a hold now, and the number of the
 // configuration that it says it has in force.
-func (holds *Holds) Grant(now time.Time, holder string, inForce uint64) {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
-	state, found := holds.holders[holder]
+func (h *Holds) Grant(now time.Time, holder string, inForce uint64) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	state, found := h.holders[holder]
 	if !found || state.until.Before(now) {
 		state = &holderState{liveFrom: now}
-		holds.holders[holder] = state
+		h.holders[holder] = state
 	}
-	state.until = now.Add(holds.terms.Hold + holds.terms.Drift)
+	state.until = now.Add(h.terms.Hold + h.terms.Drift)
 	state.heard = now
 	if inForce > state.confirms {
 		state.confirms = inForce
@@ -48,18 +48,18 @@
 // Lagging lists the holders whose hold may still let in under a configuration
 // older than the number. While the old primary's holds may run it also names
 // the holders of that time that have not confirmed to this one.
-func (holds *Holds) Lagging(now time.Time, number uint64, recorded []string) []string {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
+func (h *Holds) Lagging(now time.Time, number uint64, recorded []string) []string {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
 	var lagging []string
-	for holder, state := range holds.holders {
+	for holder, state := range h.holders {
 		if now.Before(state.until) && state.confirms < number {
 			lagging = append(lagging, holder)
 		}
 	}
-	if now.Before(holds.since.Add(holds.terms.Hold + holds.terms.Drift)) {
+	if now.Before(h.since.Add(h.terms.Hold + h.terms.Drift)) {
 		for _, holder := range recorded {
-			if _, found := holds.holders[holder]; !found {
+			if _, found := h.holders[holder]; !found {
 				lagging = append(lagging, holder)
 			}
 		}
@@ -69,11 +69,11 @@
 }
 
 // Live lists the nodes whose hold runs, with how long each has been live.
-func (holds *Holds) Live(now time.Time) map[string]time.Duration {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
+func (h *Holds) Live(now time.Time) map[string]time.Duration {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
 	live := map[string]time.Duration{}
-	for holder, state := range holds.holders {
+	for holder, state := range h.holders {
 		if now.Before(state.until) {
 			live[holder] = now.Sub(state.liveFrom)
 		}
@@ -82,13 +82,13 @@
 }
 
 // Note takes what a holder says it has in force, without renewing its hold.
-func (holds *Holds) Note(now time.Time, holder string, inForce uint64) {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
-	state, found := holds.holders[holder]
+func (h *Holds) Note(now time.Time, holder string, inForce uint64) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	state, found := h.holders[holder]
 	if !found {
-		state = &holderState{until: holds.since.Add(holds.terms.Hold + holds.terms.Drift), liveFrom: now}
-		holds.holders[holder] = state
+		state = &holderState{until: h.since.Add(h.terms.Hold + h.terms.Drift), liveFrom: now}
+		h.holders[holder] = state
 	}
 	state.heard = now
 	if inForce > state.confirms {
@@ -97,11 +97,11 @@
 }
 
 // HeardWithin lists the holders that asked within a time.
-func (holds *Holds) HeardWithin(now time.Time, length time.Duration) []string {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
+func (h *Holds) HeardWithin(now time.Time, length time.Duration) []string {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
 	var heard []string
-	for holder, state := range holds.holders {
+	for holder, state := range h.holders {
 		if now.Sub(state.heard) <= length {
 			heard = append(heard, holder)
 		}
@@ -112,11 +112,11 @@
 
 // Behind lists the holders that asked within a time and have not confirmed the
 // number.
-func (holds *Holds) Behind(now time.Time, number uint64, within time.Duration) []string {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
+func (h *Holds) Behind(now time.Time, number uint64, within time.Duration) []string {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
 	var behind []string
-	for holder, state := range holds.holders {
+	for holder, state := range h.holders {
 		if now.Sub(state.heard) <= within && state.confirms < number {
 			behind = append(behind, holder)
 		}
--- a/internal/lease/keys.go
+++ b/internal/lease/keys.go
@@ -30,24 +30,24 @@
 // Renew tells which of the recorded duties the node may go on holding, and
 // marks them renewed. A duty that another settled node should have is left
 // out, so that the node lets go of it.
-func (keys *Keys) Renew(now time.Time, node string, recorded map[string]Role, candidates map[string]time.Duration) []Role {
-	keys.mutex.Lock()
-	defer keys.mutex.Unlock()
+func (k *Keys) Renew(now time.Time, node string, recorded map[string]Role, candidates map[string]time.Duration) []Role {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
 	var renewed []Role
 	for key, role := range recorded {
 		if role.Holder != node {
 			continue
 		}
-		if _, released := keys.released[keyAt(key, role.FencingToken)]; released || keys.given[keyAt(key, role.FencingToken)] {
+		if _, released := k.released[keyAt(key, role.FencingToken)]; released || k.given[keyAt(key, role.FencingToken)] {
 			continue
 		}
 		if _, may := candidates[node]; !may {
 			continue
 		}
-		if desired := keys.desired(key, candidates, true); desired != "" && desired != node {
+		if desired := k.desired(key, candidates, true); desired != "" && desired != node {
 			continue
 		}
-		keys.renewed[keyAt(key, role.FencingToken)] = now
+		k.renewed[keyAt(key, role.FencingToken)] = now
 		renewed = append(renewed, role)
 	}
 	sort.Slice(renewed, func(left, right int) bool { return renewed[left].Key < renewed[right].Key })
@@ -56,28 +56,28 @@
 
 // Release notes that the holder has let go of a duty by itself; it is not
 // renewed again under that fence.
-func (keys *Keys) Release(now time.Time, role Role) {
-	keys.mutex.Lock()
-	defer keys.mutex.Unlock()
+func (k *Keys) Release(now time.Time, role Role) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
 	name := keyAt(role.Key, role.FencingToken)
-	if _, found := keys.released[name]; !found {
-		keys.released[name] = now
+	if _, found := k.released[name]; !found {
+		k.released[name] = now
 	}
 }
 
 // Vacant lists the grants to make now: wanted keys with no recorded holder,
 // or whose holder's hold ended, plus the rest between two holders.
-func (keys *Keys) Vacant(now time.Time, wanted []string, recorded map[string]Role, candidates map[string]time.Duration) []Role {
-	keys.mutex.Lock()
-	defer keys.mutex.Unlock()
+func (k *Keys) Vacant(now time.Time, wanted []string, recorded map[string]Role, candidates map[string]time.Duration) []Role {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
 	var grants []Role
 	for _, key := range wanted {
-		if role, found := recorded[key]; found && now.Before(keys.freeFrom(now, role)) {
+		if role, found := recorded[key]; found && now.Before(k.freeFrom(now, role)) {
 			continue
 		}
-		if holder := keys.desired(key, candidates, false); holder != "" {
+		if holder := k.desired(key, candidates, false); holder != "" {
 			if duty, found := recorded[key]; found {
-				keys.given[keyAt(key, duty.FencingToken)] = true
+				k.given[keyAt(key, duty.FencingToken)] = true
 			}
 			grants = append(grants, Role{Key: key, Holder: holder})
 		}
@@ -87,28 +87,28 @@
 
 // freeFrom is when a duty may be given to the next holder. One that was given
 // just now, and not renewed yet, counts from when it is first seen.
-func (keys *Keys) freeFrom(now time.Time, role Role) time.Time {
+func (k *Keys) freeFrom(now time.Time, role Role) time.Time {
 	name := keyAt(role.Key, role.FencingToken)
-	if keys.given[name] {
+	if k.given[name] {
 		return time.Time{}
 	}
-	if released, found := keys.released[name]; found {
-		return released.Add(keys.terms.Rest)
+	if released, found := k.released[name]; found {
+		return released.Add(k.terms.Rest)
 	}
-	last, found := keys.renewed[name]
+	last, found := k.renewed[name]
 	if !found {
 		last = now
-		keys.renewed[name] = now
+		k.renewed[name] = now
 	}
-	return last.Add(keys.terms.Hold + keys.terms.Drift + keys.terms.Rest)
+	return last.Add(k.terms.Hold + k.terms.Drift + k.terms.Rest)
 }
 
 // desired is the live node with the heaviest weight for the key. A key that
 // somebody has moves only to a node that has been live for some time.
-func (keys *Keys) desired(key string, candidates map[string]time.Duration, settledOnly bool) string {
+func (k *Keys) desired(key string, candidates map[string]time.Duration, settledOnly bool) string {
 	return membership.Heaviest(key, func(yield func(string) bool) {
 		for name, age := range candidates {
-			if (!settledOnly || age >= keys.terms.Settled) && !yield(name) {
+			if (!settledOnly || age >= k.terms.Settled) && !yield(name) {
 				return
 			}
 		}
--- a/internal/membership/listing.go
+++ b/internal/membership/listing.go
@@ -31,39 +31,39 @@
 // Take takes a list that was read at a moment and tells whether anything changed
 // that matters to who offers work to servers. One that is older than what is known
 // changes nothing.
-func (listing *Listing) Take(at time.Time, servers []Server) bool {
-	if !listing.at.IsZero() && at.Before(listing.at) {
+func (l *Listing) Take(at time.Time, servers []Server) bool {
+	if !l.at.IsZero() && at.Before(l.at) {
 		return false
 	}
-	first := listing.at.IsZero()
-	if listing.leaving == nil {
-		listing.leaving, listing.gone = map[string]bool{}, map[string]time.Time{}
+	first := l.at.IsZero()
+	if l.leaving == nil {
+		l.leaving, l.gone = map[string]bool{}, map[string]time.Time{}
 	}
 	before := map[string]Server{}
-	for _, server := range listing.servers {
+	for _, server := range l.servers {
 		before[server.Name] = server
 	}
 	var next []Server
 	coldUntil := map[string]time.Time{}
 	changed := false
 	for _, server := range servers {
-		if vanished, found := listing.gone[server.Name]; found && at.Sub(vanished) < listLag {
+		if vanished, found := l.gone[server.Name]; found && at.Sub(vanished) < listLag {
 			continue
 		}
-		delete(listing.gone, server.Name)
+		delete(l.gone, server.Name)
 		until := at.Add(server.Warming)
 		server.Warming = 0
 		if server.Leaving {
-			listing.leaving[server.Name] = true
+			l.leaving[server.Name] = true
 		}
-		server.Leaving = listing.leaving[server.Name]
+		server.Leaving = l.leaving[server.Name]
 		earlier, known := before[server.Name]
 		delete(before, server.Name)
 		if !known || !earlier.same(server) {
 			changed = true
 		}
 		// Each read tells the same end a little differently.
-		if old := listing.coldUntil[server.Name]; known && until.Sub(old).Abs() < coldStep {
+		if old := l.coldUntil[server.Name]; known && until.Sub(old).Abs() < coldStep {
 			until = old
 		} else if known && (until.After(at) || old.After(at)) {
 			changed = true
@@ -73,39 +73,39 @@
 	}
 	for name := range before {
 		changed = true
-		listing.gone[name] = at
+		l.gone[name] = at
 	}
-	for name, vanished := range listing.gone {
+	for name, vanished := range l.gone {
 		if at.Sub(vanished) > goneKept {
-			delete(listing.gone, name)
-			delete(listing.leaving, name)
+			delete(l.gone, name)
+			delete(l.leaving, name)
 		}
 	}
-	listing.at, listing.servers, listing.coldUntil = at, next, coldUntil
+	l.at, l.servers, l.coldUntil = at, next, coldUntil
 	return changed || first
 }
 
 // Confirm notes that the list was read again at a moment and had not changed.
-func (listing *Listing) Confirm(at time.Time) {
-	if !listing.at.IsZero() && at.After(listing.at) {
-		listing.at = at
+func (l *Listing) Confirm(at time.Time) {
+	if !l.at.IsZero() && at.After(l.at) {
+		l.at = at
 	}
 }
 
 // At is when the list was read; zero if it never was.
-func (listing *Listing) At() time.Time { return listing.at }
+func (l *Listing) At() time.Time { return l.at }
 
 // Servers is the list, with each server's warming as it is now.
-func (listing *Listing) Servers(now time.Time) []Server {
-	servers := slices.Clone(listing.servers)
+func (l *Listing) Servers(now time.Time) []Server {
+	servers := slices.Clone(l.servers)
 	for position := range servers {
-		servers[position].Warming = max(0, listing.coldUntil[servers[position].Name].Sub(now))
+		servers[position].Warming = max(0, l.coldUntil[servers[position].Name].Sub(now))
 	}
 	return servers
 }
 
 // same tells whether two entries of one server say the same, its warming aside.
-func (server Server) same(other Server) bool {
-	return server.Name == other.Name && server.Address == other.Address && server.Zone == other.Zone && server.Leaving == other.Leaving &&
-		server.Service == other.Service && server.Part == other.Part && server.Slots == other.Slots && slices.Equal(server.Models, other.Models)
+func (s Server) same(other Server) bool {
+	return s.Name == other.Name && s.Address == other.Address && s.Zone == other.Zone && s.Leaving == other.Leaving &&
+		s.Service == other.Service && s.Part == other.Part && s.Slots == other.Slots && slices.Equal(s.Models, other.Models)
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -17,13 +17,13 @@
 }
 
 // Restricted tells whether the member lacks an enabled flag.
-func (member Member) Restricted(enabled features.List) bool {
-	return len(member.Supported.Lacks(enabled)) > 0
+func (m Member) Restricted(enabled features.List) bool {
+	return len(m.Supported.Lacks(enabled)) > 0
 }
 
 // Same tells whether recording the other member would change nothing.
-func (member Member) Same(other Member) bool {
-	return member.Name == other.Name && member.Kind == other.Kind && member.Address == other.Address &&
-		member.Zone == other.Zone && len(member.Supported.Lacks(other.Supported)) == 0 &&
-		len(other.Supported.Lacks(member.Supported)) == 0
+func (m Member) Same(other Member) bool {
+	return m.Name == other.Name && m.Kind == other.Kind && m.Address == other.Address &&
+		m.Zone == other.Zone && len(m.Supported.Lacks(other.Supported)) == 0 &&
+		len(other.Supported.Lacks(m.Supported)) == 0
 }
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -43,20 +43,20 @@
 }
 
 // Len counts the names.
-func (ranked byWeight) Len() int { return len(ranked.names) }
+func (b byWeight) Len() int { return len(b.names) }
 
 // Less tells whether one name comes before another.
-func (ranked byWeight) Less(left, right int) bool {
-	if ranked.weights[left] != ranked.weights[right] {
-		return ranked.weights[left] > ranked.weights[right]
+func (b byWeight) Less(left, right int) bool {
+	if b.weights[left] != b.weights[right] {
+		return b.weights[left] > b.weights[right]
 	}
-	return ranked.names[left] < ranked.names[right]
+	return b.names[left] < b.names[right]
 }
 
 // Swap exchanges two names.
-func (ranked byWeight) Swap(left, right int) {
-	ranked.names[left], ranked.names[right] = ranked.names[right], ranked.names[left]
-	ranked.weights[left], ranked.weights[right] = ranked.weights[right], ranked.weights[left]
+func (b byWeight) Swap(left, right int) {
+	b.names[left], b.names[right] = b.names[right], b.names[left]
+	b.weights[left], b.weights[right] = b.weights[right], b.weights[left]
 }
 
 // Heaviest is the name that Ranked puts first, or nothing if there is none.
--- a/internal/membership/weigher.go
+++ b/internal/membership/weigher.go
@@ -17,8 +17,8 @@
 }
 
 // Weight is the rendezvous weight of a name for the key.
-func (weigher Weigher) Weight(name string) uint64 {
-	cloned, err := weigher.keyed.Clone()
+func (w Weigher) Weight(name string) uint64 {
+	cloned, err := w.keyed.Clone()
 	if err != nil {
 		// A digest in memory has nothing that could fail.
 		panic("roster: " + err.Error())
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -55,40 +55,40 @@
 }
 
 // Seen notes that a router is there, whether it reports anything or not.
-func (detector *Detector) Seen(reporter Reporter) {
-	detector.mutex.Lock()
-	defer detector.mutex.Unlock()
-	if detector.zones == nil {
-		detector.zones = map[string]bool{}
+func (d *Detector) Seen(reporter Reporter) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.zones == nil {
+		d.zones = map[string]bool{}
 	}
-	detector.zones[reporter.Zone] = true
+	d.zones[reporter.Zone] = true
 }
 
 // Report takes which servers failed a router's requests lately. Listed is how many servers
 // there are.
-func (detector *Detector) Report(now time.Time, reporter Reporter, failing []string, listed int) {
-	detector.mutex.Lock()
-	defer detector.mutex.Unlock()
+func (d *Detector) Report(now time.Time, reporter Reporter, failing []string, listed int) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	for _, name := range failing {
-		detector.report(now, reporter, name, listed)
+		d.report(now, reporter, name, listed)
 	}
 }
 
-func (detector *Detector) report(now time.Time, reporter Reporter, name string, listed int) {
-	known, found := detector.servers[name]
+func (d *Detector) report(now time.Time, reporter Reporter, name string, listed int) {
+	known, found := d.servers[name]
 	if !found {
 		known = &server{reports: map[Reporter]time.Time{}}
-		if detector.servers == nil {
-			detector.servers = map[string]*server{}
+		if d.servers == nil {
+			d.servers = map[string]*server{}
 		}
-		detector.servers[name] = known
+		d.servers[name] = known
 	}
 	if now.Before(known.until) {
 		// What was under way before the ejection tells nothing new.
 		return
 	}
 	known.reports[reporter] = now
-	if !known.onTrial(now) && !detector.agreed(now, known) || detector.ejected(now) >= max(1, listed/mostEjected) {
+	if !known.onTrial(now) && !d.agreed(now, known) || d.ejected(now) >= max(1, listed/mostEjected) {
 		return
 	}
 	length := min(firstEjection<<min(known.ejections, 8), longestEjection)
@@ -98,12 +98,12 @@
 }
 
 // onTrial tells whether the server's last ejection ended a moment ago.
-func (server *server) onTrial(now time.Time) bool {
-	return server.ejections > 0 && !now.Before(server.until) && now.Before(server.until.Add(trial))
+func (s *server) onTrial(now time.Time) bool {
+	return s.ejections > 0 && !now.Before(s.until) && now.Before(s.until.Add(trial))
 }
 
 // agreed tells whether enough routers of enough zones reported the server.
-func (detector *Detector) agreed(now time.Time, server *server) bool {
+func (d *Detector) agreed(now time.Time, server *server) bool {
 	zones, reporters := map[string]bool{}, 0
 	for reporter, at := range server.reports {
 		if now.Sub(at) > window {
@@ -113,12 +113,12 @@
 		zones[reporter.Zone] = true
 		reporters++
 	}
-	return reporters >= leastReporters && len(zones) >= min(leastZones, len(detector.zones))
+	return reporters >= leastReporters && len(zones) >= min(leastZones, len(d.zones))
 }
 
-func (detector *Detector) ejected(now time.Time) int {
+func (d *Detector) ejected(now time.Time) int {
 	count := 0
-	for _, known := range detector.servers {
+	for _, known := range d.servers {
 		if now.Before(known.until) {
 			count++
 		}
@@ -127,11 +127,11 @@
 }
 
 // Advice tells what routers should do now.
-func (detector *Detector) Advice(now time.Time) Advice {
-	detector.mutex.Lock()
-	defer detector.mutex.Unlock()
+func (d *Detector) Advice(now time.Time) Advice {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	var advice Advice
-	for name, known := range detector.servers {
+	for name, known := range d.servers {
 		switch {
 		case now.Before(known.until):
 			advice.Ejected = append(advice.Ejected, name)
@@ -139,7 +139,7 @@
 			advice.Trial = append(advice.Trial, name)
 		case known.ejections > 0 && now.Before(known.until.Add(memory)):
 		case !known.lately(now):
-			delete(detector.servers, name)
+			delete(d.servers, name)
 		}
 	}
 	sort.Strings(advice.Ejected)
@@ -148,8 +148,8 @@
 }
 
 // lately tells whether any report still counts.
-func (server *server) lately(now time.Time) bool {
-	for _, at := range server.reports {
+func (s *server) lately(now time.Time) bool {
+	for _, at := range s.reports {
 		if now.Sub(at) <= window {
 			return true
 		}
