--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -10,51 +10,51 @@
 )
 
 // OwnDisk tells the steward that a write to the own disk begins or has ended.
-func (coordinator *Coordinator) OwnDisk(busy bool) {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
+func (c *Coordinator) OwnDisk(busy bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if !busy {
-		coordinator.diskBusy = time.Time{}
-	} else if coordinator.diskBusy.IsZero() {
-		coordinator.diskBusy = coordinator.runtime.Now()
+		c.diskBusy = time.Time{}
+	} else if c.diskBusy.IsZero() {
+		c.diskBusy = c.runtime.Now()
 	}
 }
 
-func (coordinator *Coordinator) ownDiskStalls() bool {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	return !coordinator.diskBusy.IsZero() && coordinator.runtime.Now().Sub(coordinator.diskBusy) > diskPatience
+func (c *Coordinator) ownDiskStalls() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return !c.diskBusy.IsZero() && c.runtime.Now().Sub(c.diskBusy) > diskPatience
 }
 
 // BackupAnswered tells the steward how the last write to a backup ended.
-func (coordinator *Coordinator) BackupAnswered(backup Identity, well bool) {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
+func (c *Coordinator) BackupAnswered(backup Identity, well bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if well {
-		delete(coordinator.backupFails, backup)
-	} else if _, known := coordinator.backupFails[backup]; !known {
-		coordinator.backupFails[backup] = coordinator.runtime.Now()
+		delete(c.backupFails, backup)
+	} else if _, known := c.backupFails[backup]; !known {
+		c.backupFails[backup] = c.runtime.Now()
 	}
 }
 
 // failing tells whether a backup's writes have failed for longer than it may.
-func (coordinator *Coordinator) failing(backup Identity) bool {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	return coordinator.fails(backup)
+func (c *Coordinator) failing(backup Identity) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.fails(backup)
 }
 
-func (coordinator *Coordinator) fails(backup Identity) bool {
-	since, known := coordinator.backupFails[backup]
-	return known && coordinator.runtime.Now().Sub(since) > coordinator.timing.BackupSilence
+func (c *Coordinator) fails(backup Identity) bool {
+	since, known := c.backupFails[backup]
+	return known && c.runtime.Now().Sub(since) > c.timing.BackupSilence
 }
 
 // healthy lists the backups that answer, whole and in time.
-func (coordinator *Coordinator) healthy(membership Membership) []Replica {
+func (c *Coordinator) healthy(membership Membership) []Replica {
 	var healthy []Replica
 	for _, replica := range membership.Backups() {
-		hello, seen := coordinator.alive(replica.Identity, coordinator.timing.BackupSilence+coordinator.timing.Beat)
-		if seen && hello.Damage == "" && !hello.Restricted && !coordinator.failing(replica.Identity) {
+		hello, seen := c.alive(replica.Identity, c.timing.BackupSilence+c.timing.Beat)
+		if seen && hello.Damage == "" && !hello.Restricted && !c.failing(replica.Identity) {
 			healthy = append(healthy, replica)
 		}
 	}
@@ -62,11 +62,11 @@
 }
 
 // anyLeaves tells whether one of the backups has said that it is about to end.
-func (coordinator *Coordinator) anyLeaves(backups []Replica) bool {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
+func (c *Coordinator) anyLeaves(backups []Replica) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for _, replica := range backups {
-		if known, found := coordinator.known[replica.Identity]; found && known.hello.Leaving {
+		if known, found := c.known[replica.Identity]; found && known.hello.Leaving {
 			return true
 		}
 	}
@@ -76,112 +76,112 @@
 // ensureBackups keeps as many copies in sync as are wanted: whoever takes the place
 // of one that is gone gets a snapshot while commits stand still, and counts from
 // the grant of the next charter on.
-func (coordinator *Coordinator) ensureBackups() {
-	membership := coordinator.Membership()
-	wanted := coordinator.wanted()
-	coordinator.mutex.Lock()
-	restricted := coordinator.restricted
-	coordinator.mutex.Unlock()
-	healthy := coordinator.healthy(membership)
-	whole := !membership.Backup.Empty() && !coordinator.unsettled && len(healthy) == len(membership.Backups())
-	if whole && len(healthy) >= wanted && !coordinator.anyLeaves(healthy) && !coordinator.crowded(membership, wanted) {
+func (c *Coordinator) ensureBackups() {
+	membership := c.Membership()
+	wanted := c.wanted()
+	c.mutex.Lock()
+	restricted := c.restricted
+	c.mutex.Unlock()
+	healthy := c.healthy(membership)
+	whole := !membership.Backup.Empty() && !c.unsettled && len(healthy) == len(membership.Backups())
+	if whole && len(healthy) >= wanted && !c.anyLeaves(healthy) && !c.crowded(membership, wanted) {
 		if restricted {
-			coordinator.handOver(membership)
+			c.handOver(membership)
 		}
 		return
 	}
-	candidates := coordinator.backupCandidates(membership, wanted)
-	if !coordinator.unsettled && !membership.Backup.Empty() && coordinator.asGoodAsItGets(membership, healthy, candidates, wanted) {
+	candidates := c.backupCandidates(membership, wanted)
+	if !c.unsettled && !membership.Backup.Empty() && c.asGoodAsItGets(membership, healthy, candidates, wanted) {
 		return
 	}
-	if whole && !coordinator.copyAhead(membership, candidates, wanted) {
+	if whole && !c.copyAhead(membership, candidates, wanted) {
 		return
 	}
 	if len(candidates) > 0 {
-		snapshot, leading := coordinator.store.Freeze()
+		snapshot, leading := c.store.Freeze()
 		if !leading {
 			return
 		}
-		coordinator.unsettled = true
-		installed := coordinator.install(membership, snapshot, candidates, wanted)
-		if coordinator.mayGrant(membership, installed, wanted) {
-			coordinator.grantPair(installed)
+		c.unsettled = true
+		installed := c.install(membership, snapshot, candidates, wanted)
+		if c.mayGrant(membership, installed, wanted) {
+			c.grantPair(installed)
 			return
 		}
 	}
-	if coordinator.unsettled && coordinator.witness.Membership().Primary.Identity == coordinator.witness.Replica().Identity {
+	if c.unsettled && c.witness.Membership().Primary.Identity == c.witness.Replica().Identity {
 		// No backup can be had; the epoch is still asked for, so that reads and
 		// holds go on from this copy.
-		alone := len(candidates) == 0 && coordinator.short()
-		won, err := coordinator.elect(func(base Membership) (Membership, bool) {
-			if base.Primary.Identity != coordinator.witness.Replica().Identity {
+		alone := len(candidates) == 0 && c.short()
+		won, err := c.elect(func(base Membership) (Membership, bool) {
+			if base.Primary.Identity != c.witness.Replica().Identity {
 				return base, false
 			}
-			if coordinator.store.Hidden() && alone {
-				return base.With(coordinator.recorded(coordinator.witness.Replica()), nil), true
+			if c.store.Hidden() && alone {
+				return base.With(c.recorded(c.witness.Replica()), nil), true
 			}
-			base.Primary = coordinator.recorded(coordinator.witness.Replica())
+			base.Primary = c.recorded(c.witness.Replica())
 			return base, true
 		})
 		if failure.KindOf(err) == failure.Deposed {
-			coordinator.resign("deposed", won)
+			c.resign("deposed", won)
 		} else if err == nil {
 			if won.Backup.Empty() {
-				coordinator.store.Show(won.Epoch)
+				c.store.Show(won.Epoch)
 			} else {
-				coordinator.store.Renumber(won.Epoch)
+				c.store.Renumber(won.Epoch)
 			}
-			coordinator.confirm(won)
+			c.confirm(won)
 		}
 	}
 }
 
 // grantPair asks for the charter in which the installed copies are the backups.
-func (coordinator *Coordinator) grantPair(installed []Replica) {
-	won, err := coordinator.elect(func(base Membership) (Membership, bool) {
-		if base.Primary.Identity != coordinator.witness.Replica().Identity {
+func (c *Coordinator) grantPair(installed []Replica) {
+	won, err := c.elect(func(base Membership) (Membership, bool) {
+		if base.Primary.Identity != c.witness.Replica().Identity {
 			return base, false
 		}
-		return base.With(coordinator.recorded(coordinator.witness.Replica()), installed), true
+		return base.With(c.recorded(c.witness.Replica()), installed), true
 	})
 	if err != nil {
-		coordinator.observe("pair_not_granted", "backups", installed, "cause", err)
+		c.observe("pair_not_granted", "backups", installed, "cause", err)
 		if failure.KindOf(err) == failure.Deposed {
-			coordinator.resign("deposed", won)
+			c.resign("deposed", won)
 		}
 		return
 	}
-	coordinator.unsettled = false
-	coordinator.shortSince = time.Time{}
+	c.unsettled = false
+	c.shortSince = time.Time{}
 	for _, replica := range installed {
-		coordinator.BackupAnswered(replica.Identity, true)
+		c.BackupAnswered(replica.Identity, true)
 	}
-	coordinator.store.Thaw(won.Epoch)
-	coordinator.observe("pair_granted", "epoch", won.Epoch, "backups", installed)
-	coordinator.confirm(won)
+	c.store.Thaw(won.Epoch)
+	c.observe("pair_granted", "epoch", won.Epoch, "backups", installed)
+	c.confirm(won)
 }
 
 // short tells whether copies have been too few for longer than the primary waits.
-func (coordinator *Coordinator) short() bool {
-	now := coordinator.runtime.Now()
-	if coordinator.shortSince.IsZero() {
-		coordinator.shortSince = now
+func (c *Coordinator) short() bool {
+	now := c.runtime.Now()
+	if c.shortSince.IsZero() {
+		c.shortSince = now
 	}
-	return now.Sub(coordinator.shortSince) >= coordinator.timing.FewerCopies
+	return now.Sub(c.shortSince) >= c.timing.FewerCopies
 }
 
 // mayGrant tells whether the installed copies may be the backups: there are no
 // fewer than now, or no more can be had for some time.
-func (coordinator *Coordinator) mayGrant(membership Membership, installed []Replica, wanted int) bool {
+func (c *Coordinator) mayGrant(membership Membership, installed []Replica, wanted int) bool {
 	if len(installed) == 0 {
 		return false
 	}
-	return len(installed) >= min(wanted, max(len(membership.Backups()), 1)) || coordinator.short()
+	return len(installed) >= min(wanted, max(len(membership.Backups()), 1)) || c.short()
 }
 
 // asGoodAsItGets tells whether the backups that are there are those that would be
 // chosen now, and none is dead, damaged or failing.
-func (coordinator *Coordinator) asGoodAsItGets(membership Membership, healthy, candidates []Replica, wanted int) bool {
+func (c *Coordinator) asGoodAsItGets(membership Membership, healthy, candidates []Replica, wanted int) bool {
 	if len(candidates) == 0 {
 		return true
 	}
@@ -200,8 +200,8 @@
 			continue
 		}
 		// One that is only restricted, while no other can be had, may stay.
-		hello, alive := coordinator.alive(replica.Identity, coordinator.timing.BackupSilence+coordinator.timing.Beat)
-		if !alive || hello.Damage != "" || coordinator.failing(replica.Identity) {
+		hello, alive := c.alive(replica.Identity, c.timing.BackupSilence+c.timing.Beat)
+		if !alive || hello.Damage != "" || c.failing(replica.Identity) {
 			return false
 		}
 	}
@@ -210,36 +210,36 @@
 
 // copyAhead brings newcomers a snapshot while commits go on, so that commits stand
 // still only for what was written since. It tells whether a newcomer has it.
-func (coordinator *Coordinator) copyAhead(membership Membership, candidates []Replica, wanted int) bool {
-	snapshot, leading := coordinator.store.Snapshot()
+func (c *Coordinator) copyAhead(membership Membership, candidates []Replica, wanted int) bool {
+	snapshot, leading := c.store.Snapshot()
 	if !leading {
 		return false
 	}
 	var newcomers []Replica
-	coordinator.mutex.Lock()
+	c.mutex.Lock()
 	for _, replica := range candidates {
-		failed, tried := coordinator.installFails[replica.Identity]
-		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && coordinator.runtime.Now().Sub(failed) < applicantFresh) {
+		failed, tried := c.installFails[replica.Identity]
+		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && c.runtime.Now().Sub(failed) < applicantFresh) {
 			newcomers = append(newcomers, replica)
 		}
 	}
-	coordinator.mutex.Unlock()
-	return len(coordinator.install(membership, snapshot, newcomers, max(wanted-len(membership.Backups()), 1))) > 0
+	c.mutex.Unlock()
+	return len(c.install(membership, snapshot, newcomers, max(wanted-len(membership.Backups()), 1))) > 0
 }
 
 // install brings the snapshot to as many candidates as are wanted at once. When one
 // fails, or its disk takes its time, the next is tried beside it. The primary's hold
 // is renewed meanwhile.
-func (coordinator *Coordinator) install(membership Membership, snapshot Snapshot, candidates []Replica, wanted int) []Replica {
+func (c *Coordinator) install(membership Membership, snapshot Snapshot, candidates []Replica, wanted int) []Replica {
 	var mutex sync.Mutex
 	ended := map[Identity]error{}
-	cond := coordinator.runtime.NewCond()
+	cond := c.runtime.NewCond()
 	begun := 0
 	begin := func() {
 		replica := candidates[begun]
 		begun++
-		coordinator.runtime.Go(func() {
-			err := coordinator.peers.Install(coordinator.Address(replica), replica.Identity, snapshot)
+		c.runtime.Go(func() {
+			err := c.peers.Install(c.Address(replica), replica.Identity, snapshot)
 			mutex.Lock()
 			ended[replica.Identity] = err
 			mutex.Unlock()
@@ -262,9 +262,9 @@
 		defer mutex.Unlock()
 		return begun - len(ended)
 	}
-	latest, confirmed := coordinator.runtime.Now(), coordinator.runtime.Now()
+	latest, confirmed := c.runtime.Now(), c.runtime.Now()
 	ends := latest.Add(gatherPatience)
-	for coordinator.runtime.Now().Before(ends) {
+	for c.runtime.Now().Before(ends) {
 		well := len(installed())
 		for running() < wanted-well && begun < len(candidates) {
 			begin()
@@ -274,11 +274,11 @@
 			break
 		}
 		// Every install ends by itself, later than any patience of this steward.
-		over := cond.Wait(coordinator.timing.Lease/5, func() bool { return running() < before })
-		now := coordinator.runtime.Now()
-		if now.Sub(confirmed) >= coordinator.timing.Lease/5 {
+		over := cond.Wait(c.timing.Lease/5, func() bool { return running() < before })
+		now := c.runtime.Now()
+		if now.Sub(confirmed) >= c.timing.Lease/5 {
 			confirmed = now
-			coordinator.confirm(membership)
+			c.confirm(membership)
 		}
 		if over || now.Sub(latest) < installPatience {
 			continue
@@ -286,28 +286,28 @@
 		if begun < len(candidates) {
 			begin()
 			latest = now
-		} else if (well > 0 || !coordinator.unsettled) && now.Sub(latest) > coordinator.timing.FewerCopies {
+		} else if (well > 0 || !c.unsettled) && now.Sub(latest) > c.timing.FewerCopies {
 			break
 		}
 	}
 	chosen := installed()
 	mutex.Lock()
 	defer mutex.Unlock()
-	coordinator.noteInstalls(candidates[:begun], ended)
+	c.noteInstalls(candidates[:begun], ended)
 	return chosen
 }
 
 // noteInstalls remembers who could not be brought a snapshot in time, and is tried
 // last for a while.
-func (coordinator *Coordinator) noteInstalls(tried []Replica, ended map[Identity]error) {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
+func (c *Coordinator) noteInstalls(tried []Replica, ended map[Identity]error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for _, replica := range tried {
 		err, over := ended[replica.Identity]
-		delete(coordinator.installFails, replica.Identity)
+		delete(c.installFails, replica.Identity)
 		if err != nil || !over {
-			coordinator.installFails[replica.Identity] = coordinator.runtime.Now()
-			coordinator.observe("install_failed", "backup", replica.Name, "cause", err)
+			c.installFails[replica.Identity] = c.runtime.Now()
+			c.observe("install_failed", "backup", replica.Name, "cause", err)
 		}
 	}
 }
@@ -321,17 +321,17 @@
 }
 
 // backupCandidates lists the expediters that could be backups, the best first.
-func (coordinator *Coordinator) backupCandidates(membership Membership, wanted int) []Replica {
-	copies := membership.With(coordinator.recorded(coordinator.witness.Replica()), membership.Backups()).Copies()
+func (c *Coordinator) backupCandidates(membership Membership, wanted int) []Replica {
+	copies := membership.With(c.recorded(c.witness.Replica()), membership.Backups()).Copies()
 	var candidates []candidate
-	coordinator.mutex.Lock()
-	for _, identity := range coordinator.acquaintances() {
-		known := coordinator.known[identity]
-		if rank, may := coordinator.rank(membership, known, wanted > 1); may {
+	c.mutex.Lock()
+	for _, identity := range c.acquaintances() {
+		known := c.known[identity]
+		if rank, may := c.rank(membership, known, wanted > 1); may {
 			candidates = append(candidates, candidate{seat: known.hello.Seat, rank: rank, crowd: inZone(copies, known.hello.Seat.Zone)})
 		}
 	}
-	coordinator.mutex.Unlock()
+	c.mutex.Unlock()
 	sort.SliceStable(candidates, func(left, right int) bool {
 		if candidates[left].rank != candidates[right].rank {
 			return candidates[left].rank < candidates[right].rank
@@ -340,7 +340,7 @@
 	})
 	ordered := make([]Replica, 0, len(candidates))
 	for _, candidate := range candidates {
-		ordered = append(ordered, coordinator.recorded(candidate.seat))
+		ordered = append(ordered, c.recorded(candidate.seat))
 	}
 	if wanted > 1 {
 		spreadOut(ordered, copies[0].Zone, wanted)
@@ -350,17 +350,17 @@
 
 // rank tells how well an acquaintance would do as a backup, or that it can't be one.
 // The caller has the mutex.
-func (coordinator *Coordinator) rank(m Membership, known *acquaintance, several bool) (int, bool) {
-	now := coordinator.runtime.Now()
+func (c *Coordinator) rank(m Membership, known *acquaintance, several bool) (int, bool) {
+	now := c.runtime.Now()
 	identity, silence := known.hello.Seat.Identity, now.Sub(known.answered)
-	if known.hello.Kind != membership.Controller || silence >= coordinator.timing.BackupSilence+coordinator.timing.Beat {
+	if known.hello.Kind != membership.Controller || silence >= c.timing.BackupSilence+c.timing.Beat {
 		return 0, false
 	}
-	failing := coordinator.fails(identity)
+	failing := c.fails(identity)
 	present := hasReplica(m.Backups(), identity)
 	rank := 2
 	switch {
-	case known.hello.Restricted && !several && !m.Backup.Empty() && !coordinator.fails(m.Backup.Identity) && !coordinator.unsettled:
+	case known.hello.Restricted && !several && !m.Backup.Empty() && !c.fails(m.Backup.Identity) && !c.unsettled:
 		// A backup that is there is not exchanged for a restricted one.
 		return 0, false
 	case known.hello.Restricted:
@@ -377,7 +377,7 @@
 	case m.Keeps(identity) && !several:
 		rank = 1
 	}
-	if failed, tried := coordinator.installFails[identity]; tried && now.Sub(failed) < applicantFresh {
+	if failed, tried := c.installFails[identity]; tried && now.Sub(failed) < applicantFresh {
 		rank += 6
 	}
 	if known.hello.Leaving {
@@ -417,29 +417,29 @@
 }
 
 // crowded tells whether all copies are in one district and another could be had.
-func (coordinator *Coordinator) crowded(membership Membership, wanted int) bool {
+func (c *Coordinator) crowded(membership Membership, wanted int) bool {
 	if wanted == 1 {
 		return false
 	}
-	zone := coordinator.recorded(coordinator.witness.Replica()).Zone
+	zone := c.recorded(c.witness.Replica()).Zone
 	if inZone(membership.Backups(), zone) < len(membership.Backups()) {
 		return false
 	}
-	candidates := coordinator.backupCandidates(membership, wanted)
+	candidates := c.backupCandidates(membership, wanted)
 	chosen := candidates[:min(wanted, len(candidates))]
 	return inZone(chosen, zone) < len(chosen)
 }
 
 // OldCopies lists the expediters out of the pair whose copies were older than
 // the version when they were heard last.
-func (coordinator *Coordinator) OldCopies(version Version) []Replica {
-	m := coordinator.Membership()
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
+func (c *Coordinator) OldCopies(version Version) []Replica {
+	m := c.Membership()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var old []Replica
-	for _, identity := range coordinator.acquaintances() {
-		known := coordinator.known[identity]
-		fresh := coordinator.runtime.Now().Sub(known.lastSeen) < applicantFresh && !coordinator.superseded(known)
+	for _, identity := range c.acquaintances() {
+		known := c.known[identity]
+		fresh := c.runtime.Now().Sub(known.lastSeen) < applicantFresh && !c.superseded(known)
 		if fresh && known.hello.Kind == membership.Controller && !m.InSync(identity) && known.hello.Version.Before(version) {
 			old = append(old, known.hello.Seat)
 		}
@@ -449,8 +449,8 @@
 
 // superseded tells whether another disk was heard at the acquaintance's address
 // since: the old one is gone. The caller has the mutex.
-func (coordinator *Coordinator) superseded(known *acquaintance) bool {
-	for _, other := range coordinator.known {
+func (c *Coordinator) superseded(known *acquaintance) bool {
+	for _, other := range c.known {
 		if other != known && other.hello.Seat.Address == known.hello.Seat.Address && other.lastSeen.After(known.lastSeen) {
 			return true
 		}
--- a/internal/replication/ballot.go
+++ b/internal/replication/ballot.go
@@ -25,11 +25,11 @@
 
 // unasked lists the witnesses of the base that were not asked for a promise, and notes
 // that they are asked now.
-func (ballot *ballot) unasked() []Replica {
+func (b *ballot) unasked() []Replica {
 	var replicas []Replica
-	for _, replica := range ballot.base.Electors() {
-		if !ballot.asked[replica.Identity] {
-			ballot.asked[replica.Identity] = true
+	for _, replica := range b.base.Electors() {
+		if !b.asked[replica.Identity] {
+			b.asked[replica.Identity] = true
 			replicas = append(replicas, replica)
 		}
 	}
@@ -37,52 +37,52 @@
 }
 
 // takePromise takes a witness's answer to the question for a promise.
-func (ballot *ballot) takePromise(witness Identity, promise Promise) {
-	ballot.highest = max(ballot.highest, promise.Promised)
-	if promise.Membership.Epoch > ballot.newest.Epoch {
-		ballot.newest = promise.Membership
+func (b *ballot) takePromise(witness Identity, promise Promise) {
+	b.highest = max(b.highest, promise.Promised)
+	if promise.Membership.Epoch > b.newest.Epoch {
+		b.newest = promise.Membership
 	}
-	ballot.promised[witness] = ballot.promised[witness] || promise.Granted
+	b.promised[witness] = b.promised[witness] || promise.Granted
 }
 
 // hasPromises tells whether a majority of the base's witnesses has promised the epoch.
-func (ballot *ballot) hasPromises() bool { return ballot.base.Quorum(ballot.promised) }
+func (b *ballot) hasPromises() bool { return b.base.Quorum(b.promised) }
 
 // rebase goes on from the newest charter that was told, and tells whether that is another
 // one than before, whose witnesses are then to be asked as well.
-func (ballot *ballot) rebase() bool {
-	moved := ballot.newest.Epoch != ballot.base.Epoch
-	ballot.base = ballot.newest
+func (b *ballot) rebase() bool {
+	moved := b.newest.Epoch != b.base.Epoch
+	b.base = b.newest
 	return moved
 }
 
 // propose makes the next charter from the newest one, if that allows it.
-func (ballot *ballot) propose(make func(base Membership) (Membership, bool)) error {
-	if !ballot.hasPromises() {
+func (b *ballot) propose(make func(base Membership) (Membership, bool)) error {
+	if !b.hasPromises() {
 		return failure.New(failure.NoPrimary, "no quorum of the newest keepers promised the epoch")
 	}
-	next, may := make(ballot.base)
+	next, may := make(b.base)
 	if !may {
 		return failure.New(failure.Deposed, "the newest charter does not allow it")
 	}
-	next.Epoch = ballot.epoch
-	ballot.next = next
+	next.Epoch = b.epoch
+	b.next = next
 	return nil
 }
 
 // acceptors lists the witnesses of the base and of the proposed charter, each once.
-func (ballot *ballot) acceptors() []Replica {
-	return Membership{Witnesses: ballot.base.Electors(), Incoming: ballot.next.Electors()}.Electors()
+func (b *ballot) acceptors() []Replica {
+	return Membership{Witnesses: b.base.Electors(), Incoming: b.next.Electors()}.Electors()
 }
 
 // takeAcceptance takes a witness's answer to the proposed charter.
-func (ballot *ballot) takeAcceptance(witness Identity, promise Promise) {
-	ballot.highest = max(ballot.highest, promise.Promised)
-	ballot.accepted[witness] = promise.Granted
+func (b *ballot) takeAcceptance(witness Identity, promise Promise) {
+	b.highest = max(b.highest, promise.Promised)
+	b.accepted[witness] = promise.Granted
 }
 
 // isGranted tells whether majorities of the base's witnesses and of the proposed ones have
 // accepted: membership changes by agreement of both.
-func (ballot *ballot) isGranted() bool {
-	return ballot.base.Quorum(ballot.accepted) && ballot.next.Quorum(ballot.accepted)
+func (b *ballot) isGranted() bool {
+	return b.base.Quorum(b.accepted) && b.next.Quorum(b.accepted)
 }
--- a/internal/replication/changenote.go
+++ b/internal/replication/changenote.go
@@ -25,31 +25,31 @@
 )
 
 // changeTime is when a change that is accepted now counts as made.
-func (state *State) changeTime() time.Time {
-	if state.Horizon.IsZero() {
+func (s *State) changeTime() time.Time {
+	if s.Horizon.IsZero() {
 		return time.Time{}
 	}
-	return state.Horizon.Add(Retention)
+	return s.Horizon.Add(Retention)
 }
 
 // forgetChanges lets go of the notes that are older than their retention, after the
 // horizon has moved.
-func (state *State) forgetChanges() {
-	kept := make([]ChangeNote, 0, len(state.Changes))
+func (s *State) forgetChanges() {
+	kept := make([]ChangeNote, 0, len(s.Changes))
 	changed := false
-	for _, note := range state.Changes {
+	for _, note := range s.Changes {
 		switch {
 		case note.At.IsZero():
-			note.At = state.changeTime()
+			note.At = s.changeTime()
 			changed = true
-		case note.At.Before(state.changeTime().Add(-ChangeRetention)):
+		case note.At.Before(s.changeTime().Add(-ChangeRetention)):
 			changed = true
 			continue
 		}
 		kept = append(kept, note)
 	}
 	if changed {
-		state.Changes = kept
-		state.Touch(ChangesSection)
+		s.Changes = kept
+		s.Touch(ChangesSection)
 	}
 }
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -105,9 +105,9 @@
 }
 
 // Lacking names the recorded members that do not support a flag.
-func (state *State) Lacking(flag features.Flag) []string {
+func (s *State) Lacking(flag features.Flag) []string {
 	var lacking []string
-	for name, member := range state.Members {
+	for name, member := range s.Members {
 		if !member.Supported.Has(flag) {
 			lacking = append(lacking, name)
 		}
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -17,13 +17,13 @@
 	word          int
 }
 
-func (order order) id() string {
-	return fmt.Sprintf("order-%d-%d-%d", order.builds, order.gives, order.word)
+func (o order) id() string {
+	return fmt.Sprintf("order-%d-%d-%d", o.builds, o.gives, o.word)
 }
 
-func (order order) apply(text []byte) ([]byte, error) {
-	return config.Revise(text, order.builds, func([]byte) ([]byte, error) {
-		return fmt.Appendf(nil, `{"revision":%d,"annotations":{"word":%d}}`, order.gives, order.word), nil
+func (o order) apply(text []byte) ([]byte, error) {
+	return config.Revise(text, o.builds, func([]byte) ([]byte, error) {
+		return fmt.Appendf(nil, `{"revision":%d,"annotations":{"word":%d}}`, o.gives, o.word), nil
 	})
 }
 
@@ -48,27 +48,27 @@
 }
 
 // submit carries an order out in its turn, as the primary does.
-func (model *changeModel) submit(order order) error {
-	model.number++
-	version := Version{Epoch: 1, Number: model.number}
-	err := ChangeConfiguration(order.id(), order.id(), nil, PreparedConfiguration{}, order.apply)(model.state, version, model.configurationAt)
-	if model.state.dirty[ConfigurationSection] {
-		model.configurationAt = version
+func (c *changeModel) submit(order order) error {
+	c.number++
+	version := Version{Epoch: 1, Number: c.number}
+	err := ChangeConfiguration(order.id(), order.id(), nil, PreparedConfiguration{}, order.apply)(c.state, version, c.configurationAt)
+	if c.state.dirty[ConfigurationSection] {
+		c.configurationAt = version
 	}
-	model.state.dirty = map[string]bool{}
+	c.state.dirty = map[string]bool{}
 	return err
 }
 
 // restart has another primary begin from what the disks hold.
-func (model *changeModel) restart(t *rapid.T) {
+func (c *changeModel) restart(t *rapid.T) {
 	for _, name := range []string{ConfigurationSection, ChangesSection, HorizonSection} {
-		model.state.Touch(name)
+		c.state.Touch(name)
 	}
-	sections, _, err := model.state.pack(model.configurationAt)
+	sections, _, err := c.state.pack(c.configurationAt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if model.state, err = ReadState(sections); err != nil {
+	if c.state, err = ReadState(sections); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -112,27 +112,27 @@
 }
 
 // send submits an order and holds its end against what may be.
-func (model *changeModel) send(t *rapid.T, sent order) {
-	at, taken := model.accepted[sent.id()]
-	before := model.configurationAt
-	err := model.submit(sent)
+func (c *changeModel) send(t *rapid.T, sent order) {
+	at, taken := c.accepted[sent.id()]
+	before := c.configurationAt
+	err := c.submit(sent)
 	switch {
-	case taken && model.wall.Sub(at) < ChangeRetention && err != nil:
-		t.Fatalf("%s was accepted %v ago and is refused: %v", sent.id(), model.wall.Sub(at), err)
-	case taken && model.configurationAt != before:
+	case taken && c.wall.Sub(at) < ChangeRetention && err != nil:
+		t.Fatalf("%s was accepted %v ago and is refused: %v", sent.id(), c.wall.Sub(at), err)
+	case taken && c.configurationAt != before:
 		t.Fatalf("%s was made twice", sent.id())
 	case taken || err != nil:
 		return
 	}
-	if winner, won := model.winners[sent.builds]; won {
+	if winner, won := c.winners[sent.builds]; won {
 		t.Fatalf("%s and %s were both accepted on %d", winner, sent.id(), sent.builds)
 	}
-	if sent.builds != model.revision {
-		t.Fatalf("%s was accepted on %d", sent.id(), model.revision)
+	if sent.builds != c.revision {
+		t.Fatalf("%s was accepted on %d", sent.id(), c.revision)
 	}
-	model.accepted[sent.id()], model.winners[sent.builds] = model.wall, sent.id()
-	model.revision = sent.gives
-	model.orders = append(model.orders, sent)
+	c.accepted[sent.id()], c.winners[sent.builds] = c.wall, sent.id()
+	c.revision = sent.gives
+	c.orders = append(c.orders, sent)
 }
 
 // TestChangesBeyondTheBoundWait wants no note forgotten for its number.
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -105,155 +105,155 @@
 
 // Holds tells whether this expediter is primary at this moment: its own hold
 // runs. It is asked just before every answer.
-func (coordinator *Coordinator) Holds() bool {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	return coordinator.runtime.Now().Before(coordinator.holdEnds) && coordinator.store.View() != nil
+func (c *Coordinator) Holds() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.runtime.Now().Before(c.holdEnds) && c.store.View() != nil
 }
 
 // SetRestricted tells the steward whether its node lacks an enabled flag; a
 // restricted node keeps epochs but stands for nothing.
-func (coordinator *Coordinator) SetRestricted(restricted bool) {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	coordinator.restricted = restricted
+func (c *Coordinator) SetRestricted(restricted bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.restricted = restricted
 }
 
 // Leave makes this expediter hand over what it has, and stand no more while another can:
 // its process is about to end. The primary is told at once.
-func (coordinator *Coordinator) Leave() {
-	coordinator.mutex.Lock()
-	coordinator.leaving = true
-	coordinator.mutex.Unlock()
-	primary := coordinator.Membership().Primary
-	if primary.Empty() || primary.Identity == coordinator.witness.Replica().Identity {
+func (c *Coordinator) Leave() {
+	c.mutex.Lock()
+	c.leaving = true
+	c.mutex.Unlock()
+	primary := c.Membership().Primary
+	if primary.Empty() || primary.Identity == c.witness.Replica().Identity {
 		return
 	}
-	if hello, err := coordinator.peers.Hello(coordinator.Address(primary), coordinator.Own()); err == nil {
-		coordinator.note(hello, true)
+	if hello, err := c.peers.Hello(c.Address(primary), c.Own()); err == nil {
+		c.note(hello, true)
 	}
 }
 
 // Released tells whether nothing depends on this expediter any more: it leads not, no
 // charter counts its copy, and another has its witness's seat. A seat for which nobody
 // came for a while goes with it.
-func (coordinator *Coordinator) Released() bool {
-	own, membership := coordinator.witness.Replica().Identity, coordinator.Membership()
-	if coordinator.store.Leading() || membership.InSync(own) {
+func (c *Coordinator) Released() bool {
+	own, membership := c.witness.Replica().Identity, c.Membership()
+	if c.store.Leading() || membership.InSync(own) {
 		return false
 	}
 	if !membership.Keeps(own) {
 		return true
 	}
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	if coordinator.copyLeftAt.IsZero() {
-		coordinator.copyLeftAt = coordinator.runtime.Now()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.copyLeftAt.IsZero() {
+		c.copyLeftAt = c.runtime.Now()
 	}
-	return len(membership.Incoming) == 0 && coordinator.runtime.Now().Sub(coordinator.copyLeftAt) >= seatPatience
+	return len(membership.Incoming) == 0 && c.runtime.Now().Sub(c.copyLeftAt) >= seatPatience
 }
 
-func (coordinator *Coordinator) isLeaving() bool {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	return coordinator.leaving
+func (c *Coordinator) isLeaving() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.leaving
 }
 
 // JoinOnly keeps this expediter from forming a first core: there is one already,
 // which a blank disk joins, whatever the seeds are.
-func (coordinator *Coordinator) JoinOnly() {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	coordinator.joinsOnly = true
+func (c *Coordinator) JoinOnly() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.joinsOnly = true
 }
 
 // SetContacts gives addresses besides the seeds and the charter's to say hello
 // to, as the platform lists them.
-func (coordinator *Coordinator) SetContacts(addresses []string) {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	coordinator.contacts = addresses
+func (c *Coordinator) SetContacts(addresses []string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.contacts = addresses
 }
 
 // SetRecorded gives the addresses of the recorded members, the likeliest to know the
 // core first. They are greeted while no majority of the witnesses answers.
-func (coordinator *Coordinator) SetRecorded(addresses []string) {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	coordinator.recordedAt = addresses
+func (c *Coordinator) SetRecorded(addresses []string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.recordedAt = addresses
 }
 
 // Membership is the newest charter that this expediter has heard of.
-func (coordinator *Coordinator) Membership() Membership {
-	own := coordinator.witness.Membership()
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	if own.Epoch >= coordinator.membership.Epoch {
+func (c *Coordinator) Membership() Membership {
+	own := c.witness.Membership()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if own.Epoch >= c.membership.Epoch {
 		return own
 	}
-	return coordinator.membership
+	return c.membership
 }
 
 // Tick does the next thing that is due.
-func (coordinator *Coordinator) Tick() {
-	coordinator.greetAll()
+func (c *Coordinator) Tick() {
+	c.greetAll()
 	switch {
-	case coordinator.witness.Membership().Blank() && coordinator.Membership().Blank():
-		coordinator.form()
-	case coordinator.store.Leading():
-		coordinator.lead()
+	case c.witness.Membership().Blank() && c.Membership().Blank():
+		c.form()
+	case c.store.Leading():
+		c.lead()
 	default:
-		coordinator.watch()
+		c.watch()
 	}
 }
 
 // lead is what the primary does: renew its hold, keep a backup in sync, keep
 // three keepers, and hand over when it is restricted.
-func (coordinator *Coordinator) lead() {
-	membership := coordinator.Membership()
-	own := coordinator.witness.Replica()
+func (c *Coordinator) lead() {
+	membership := c.Membership()
+	own := c.witness.Replica()
 	if membership.Primary.Identity != own.Identity {
-		coordinator.resign("deposed", membership)
+		c.resign("deposed", membership)
 		return
 	}
-	if coordinator.ownDiskStalls() {
+	if c.ownDiskStalls() {
 		// Its keepers are no longer asked, so that the backup may take over.
 		return
 	}
-	if coordinator.deaf() || coordinator.unconfirmed && !coordinator.reaches(membership) {
+	if c.deaf() || c.unconfirmed && !c.reaches(membership) {
 		return
 	}
-	if coordinator.confirmDue() {
-		coordinator.unconfirmed = !coordinator.confirm(membership)
+	if c.confirmDue() {
+		c.unconfirmed = !c.confirm(membership)
 	}
-	if !coordinator.store.Leading() {
+	if !c.store.Leading() {
 		return
 	}
-	if coordinator.isLeaving() && !membership.Backup.Empty() && !coordinator.unsettled {
-		coordinator.handOver(membership)
+	if c.isLeaving() && !membership.Backup.Empty() && !c.unsettled {
+		c.handOver(membership)
 		return
 	}
-	if coordinator.unheardOf(membership) {
-		coordinator.observe("hands_over", "cause", "nobody reaches this expediter")
-		coordinator.handOver(membership)
+	if c.unheardOf(membership) {
+		c.observe("hands_over", "cause", "nobody reaches this expediter")
+		c.handOver(membership)
 		return
 	}
-	if coordinator.outrun && !coordinator.unsettled {
-		coordinator.regrant(membership)
+	if c.outrun && !c.unsettled {
+		c.regrant(membership)
 	}
-	coordinator.ensureBackups()
-	coordinator.ensureWitnesses()
+	c.ensureBackups()
+	c.ensureWitnesses()
 }
 
 // SetTiming chooses the waits of the core. It comes before any other use.
-func (coordinator *Coordinator) SetTiming(timing Timing) {
-	coordinator.timing = timing
-	coordinator.witness.SetLease(timing.Lease)
+func (c *Coordinator) SetTiming(timing Timing) {
+	c.timing = timing
+	c.witness.SetLease(timing.Lease)
 }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (coordinator *Coordinator) SetSeeds(seeds []string) {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	coordinator.seeds = seeds
+func (c *Coordinator) SetSeeds(seeds []string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.seeds = seeds
 }
--- a/internal/replication/copy.go
+++ b/internal/replication/copy.go
@@ -67,9 +67,9 @@
 }
 
 // note remembers a version whose file is on the shelf, or may come back to it.
-func (copied *Copy) note(version Version) {
-	if copied.highest.Before(version) {
-		copied.highest = version
+func (c *Copy) note(version Version) {
+	if c.highest.Before(version) {
+		c.highest = version
 	}
 }
 
@@ -94,28 +94,28 @@
 
 // Guard chooses the copy's lock, which is held while it waits for the disk. It comes
 // before any other use.
-func (copied *Copy) Guard(lock sync.Locker) { copied.mutex = lock }
+func (c *Copy) Guard(lock sync.Locker) { c.mutex = lock }
 
 // Damage says what is wrong with the copy, or nothing.
-func (copied *Copy) Damage() string {
-	copied.mutex.Lock()
-	defer copied.mutex.Unlock()
-	return copied.damage
+func (c *Copy) Damage() string {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.damage
 }
 
 // Version is the newest version that the copy holds.
-func (copied *Copy) Version() Version {
-	copied.mutex.Lock()
-	defer copied.mutex.Unlock()
-	return copied.version
+func (c *Copy) Version() Version {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.version
 }
 
 // Sections is the copy's content. The map is the caller's, the bytes are not.
-func (copied *Copy) Sections() map[string]Section {
-	copied.mutex.Lock()
-	defer copied.mutex.Unlock()
-	sections := make(map[string]Section, len(copied.sections))
-	for name, section := range copied.sections {
+func (c *Copy) Sections() map[string]Section {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	sections := make(map[string]Section, len(c.sections))
+	for name, section := range c.sections {
 		sections[name] = section
 	}
 	return sections
@@ -123,70 +123,70 @@
 
 // Write syncs a batch to disk and takes it up. The same batch again changes
 // nothing; one that does not follow the copy's version is refused as Behind.
-func (copied *Copy) Write(batch Batch) error {
-	copied.mutex.Lock()
-	defer copied.mutex.Unlock()
-	if copied.damage != "" {
-		return failure.New(failure.Damaged, copied.damage)
+func (c *Copy) Write(batch Batch) error {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.damage != "" {
+		return failure.New(failure.Damaged, c.damage)
 	}
-	if batch.Version == copied.version {
+	if batch.Version == c.version {
 		return nil
 	}
-	if batch.Base != copied.version || !copied.version.Before(batch.Version) {
-		return failure.New(failure.Behind, fmt.Sprintf("the copy is at %s, the batch follows %s", copied.version, batch.Base))
+	if batch.Base != c.version || !c.version.Before(batch.Version) {
+		return failure.New(failure.Behind, fmt.Sprintf("the copy is at %s, the batch follows %s", c.version, batch.Base))
 	}
-	return copied.keep(batch)
+	return c.keep(batch)
 }
 
 // Rewrite replaces the whole copy by a snapshot, in one file.
-func (copied *Copy) Rewrite(snapshot Snapshot) error {
-	copied.mutex.Lock()
-	defer copied.mutex.Unlock()
-	if snapshot.Version == copied.version && copied.damage == "" {
+func (c *Copy) Rewrite(snapshot Snapshot) error {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if snapshot.Version == c.version && c.damage == "" {
 		return nil
 	}
 	// A copy may hold one version more than the snapshot: a batch that was
 	// synced here and never answered. Its file may come back after a loss of power.
 	batch := Batch{Version: snapshot.Version, Sections: snapshot.Sections}
-	if snapshot.Version.Before(copied.highest) {
-		batch.Voids = copied.highest
+	if snapshot.Version.Before(c.highest) {
+		batch.Voids = c.highest
 	}
-	copied.sections = map[string]Section{}
-	copied.places = map[string]Version{}
-	copied.damage = "a rewrite was broken off"
-	if err := copied.keep(batch); err != nil {
+	c.sections = map[string]Section{}
+	c.places = map[string]Version{}
+	c.damage = "a rewrite was broken off"
+	if err := c.keep(batch); err != nil {
 		return err
 	}
-	copied.damage = ""
+	c.damage = ""
 	return nil
 }
 
 // Refresh replaces a copy that is older than the snapshot; one that is as new
 // is left as it is. It is how copies that are not in sync are mended.
-func (copied *Copy) Refresh(snapshot Snapshot) error {
-	copied.mutex.Lock()
-	older := copied.version.Before(snapshot.Version)
-	copied.mutex.Unlock()
+func (c *Copy) Refresh(snapshot Snapshot) error {
+	c.mutex.Lock()
+	older := c.version.Before(snapshot.Version)
+	c.mutex.Unlock()
 	if !older {
 		return failure.New(failure.Behind, "the copy is as new as the snapshot")
 	}
-	return copied.Rewrite(snapshot)
+	return c.Rewrite(snapshot)
 }
 
 // Sweep reads the copy's files again. One that has become damaged or is gone
 // is written anew from memory; the sweep tells how many there were.
-func (copied *Copy) Sweep() (int, error) {
-	copied.mutex.Lock()
-	defer copied.mutex.Unlock()
-	if copied.damage != "" || copied.version == (Version{}) {
+func (c *Copy) Sweep() (int, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.damage != "" || c.version == (Version{}) {
 		return 0, nil
 	}
-	files, damaged, err := copied.storage.Load()
+	files, damaged, err := c.storage.Load()
 	if err != nil {
 		return 0, err
 	}
 	lost := len(damaged)
-	for _, place := range copied.places {
+	for _, place := range c.places {
 		if _, found := files[fileName(place)]; !found && !slices.Contains(damaged, fileName(place)) {
 			lost++
 		}
@@ -195,15 +195,15 @@
 		return 0, nil
 	}
 	for _, name := range damaged {
-		copied.files[name] = true
+		c.files[name] = true
 	}
 	// The whole copy goes into one file of the present version.
-	return lost, copied.keep(Batch{Version: copied.version, Sections: copied.sections})
+	return lost, c.keep(Batch{Version: c.version, Sections: c.sections})
 }
 
-func (copied *Copy) keep(batch Batch) error {
+func (c *Copy) keep(batch Batch) error {
 	places := map[string]Version{}
-	for name, place := range copied.places {
+	for name, place := range c.places {
 		places[name] = place
 	}
 	for name := range batch.Sections {
@@ -218,33 +218,33 @@
 		return failure.Wrap(failure.Garbage, err)
 	}
 	file := fileName(batch.Version)
-	if err := copied.storage.Save(file, encoded); err != nil {
+	if err := c.storage.Save(file, encoded); err != nil {
 		return err
 	}
-	copied.files[file] = true
-	copied.note(batch.Version)
-	copied.version = batch.Version
-	copied.places = places
+	c.files[file] = true
+	c.note(batch.Version)
+	c.version = batch.Version
+	c.places = places
 	for name, section := range batch.Sections {
-		copied.sections[name] = section
+		c.sections[name] = section
 	}
 	for _, name := range batch.Removed {
-		delete(copied.sections, name)
+		delete(c.sections, name)
 	}
 	needed := map[string]bool{file: true}
 	for _, place := range places {
 		needed[fileName(place)] = true
 	}
 	var useless []string
-	for name := range copied.files {
+	for name := range c.files {
 		if !needed[name] {
 			useless = append(useless, name)
 		}
 	}
 	// Files that only take room are no failure of the write.
-	if copied.storage.Remove(useless) == nil {
+	if c.storage.Remove(useless) == nil {
 		for _, name := range useless {
-			delete(copied.files, name)
+			delete(c.files, name)
 		}
 	}
 	return nil
--- a/internal/replication/copy_test.go
+++ b/internal/replication/copy_test.go
@@ -25,42 +25,42 @@
 	return &powerStorage{files: map[string][]byte{}, removed: map[string][]byte{}}
 }
 
-func (storage *powerStorage) Save(name string, content []byte) error {
-	if storage.loses {
-		if storage.keeps {
-			storage.files[name] = content
+func (p *powerStorage) Save(name string, content []byte) error {
+	if p.loses {
+		if p.keeps {
+			p.files[name] = content
 		}
 		return errPower
 	}
-	storage.files[name] = content
+	p.files[name] = content
 	// The folder was synced: what was removed before stays away.
-	clear(storage.removed)
+	clear(p.removed)
 	return nil
 }
 
-func (storage *powerStorage) Load() (map[string][]byte, []string, error) {
-	return maps.Clone(storage.files), nil, nil
+func (p *powerStorage) Load() (map[string][]byte, []string, error) {
+	return maps.Clone(p.files), nil, nil
 }
 
-func (storage *powerStorage) Remove(names []string) error {
+func (p *powerStorage) Remove(names []string) error {
 	for _, name := range names {
-		if content, found := storage.files[name]; found {
-			storage.removed[name] = content
-			delete(storage.files, name)
+		if content, found := p.files[name]; found {
+			p.removed[name] = content
+			delete(p.files, name)
 		}
 	}
 	return nil
 }
 
 // restore brings back some of the files that were removed and not synced away.
-func (storage *powerStorage) restore(t *rapid.T) {
-	for _, name := range slices.Sorted(maps.Keys(storage.removed)) {
+func (p *powerStorage) restore(t *rapid.T) {
+	for _, name := range slices.Sorted(maps.Keys(p.removed)) {
 		if rapid.Bool().Draw(t, "comes back") {
-			storage.files[name] = storage.removed[name]
+			p.files[name] = p.removed[name]
 		}
 	}
-	clear(storage.removed)
-	storage.loses = false
+	clear(p.removed)
+	p.loses = false
 }
 
 // copyModel is a copy on such a folder, and the contents that it may have after its power
@@ -80,54 +80,54 @@
 }
 
 // settle takes a version as the present one; those after it never were.
-func (model *copyModel) settle(content map[string]string, version Version) {
-	model.synced, model.at = content, version
-	for other := range model.history {
+func (c *copyModel) settle(content map[string]string, version Version) {
+	c.synced, c.at = content, version
+	for other := range c.history {
 		if version.Before(other) {
-			delete(model.history, other)
+			delete(c.history, other)
 		}
 	}
-	model.history[version] = content
+	c.history[version] = content
 }
 
-func (model *copyModel) content() map[string]string {
+func (c *copyModel) content() map[string]string {
 	contents := map[string]string{}
-	for name, section := range model.copied.Sections() {
+	for name, section := range c.copied.Sections() {
 		contents[name] = string(section.Content)
 	}
 	return contents
 }
 
-func (model *copyModel) open(t *rapid.T) {
-	copied, err := OpenCopy(model.storage)
+func (c *copyModel) open(t *rapid.T) {
+	copied, err := OpenCopy(c.storage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	model.copied = copied
-	got := model.content()
+	c.copied = copied
+	got := c.content()
 	switch {
 	case copied.Damage() != "":
 		t.Fatalf("after a loss of power: %s", copied.Damage())
-	case copied.Version() == model.at && maps.Equal(got, model.synced):
-	case model.perhaps != nil && copied.Version() == model.later && maps.Equal(got, model.perhaps):
-		model.settle(model.perhaps, model.later)
+	case copied.Version() == c.at && maps.Equal(got, c.synced):
+	case c.perhaps != nil && copied.Version() == c.later && maps.Equal(got, c.perhaps):
+		c.settle(c.perhaps, c.later)
 	default:
-		t.Fatalf("%s %v after a loss of power, and %s %v was synced", copied.Version(), got, model.at, model.synced)
+		t.Fatalf("%s %v after a loss of power, and %s %v was synced", copied.Version(), got, c.at, c.synced)
 	}
-	model.perhaps = nil
+	c.perhaps = nil
 }
 
 // write keeps a batch or a snapshot, during which the power may go.
-func (model *copyModel) write(t *rapid.T, next map[string]string, version Version, keep func() error) {
-	model.storage.loses = rapid.IntRange(0, 4).Draw(t, "power") == 0
-	model.storage.keeps = rapid.Bool().Draw(t, "kept")
+func (c *copyModel) write(t *rapid.T, next map[string]string, version Version, keep func() error) {
+	c.storage.loses = rapid.IntRange(0, 4).Draw(t, "power") == 0
+	c.storage.keeps = rapid.Bool().Draw(t, "kept")
 	if err := keep(); err != nil {
-		model.perhaps, model.later = next, version
-		model.storage.restore(t)
-		model.open(t)
+		c.perhaps, c.later = next, version
+		c.storage.restore(t)
+		c.open(t)
 		return
 	}
-	model.settle(next, version)
+	c.settle(next, version)
 }
 
 // TestACopyOutlivesEveryLossOfPower draws writes, snapshots of an older version than the
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -9,58 +9,58 @@
 
 // form begins the first core: only from the first seed, only when all three seeds
 // are blank, and never where there is said to be a core already.
-func (coordinator *Coordinator) form() {
-	own := coordinator.witness.Replica()
-	coordinator.mutex.Lock()
-	seeds, joinsOnly := coordinator.seeds, coordinator.joinsOnly
-	coordinator.mutex.Unlock()
+func (c *Coordinator) form() {
+	own := c.witness.Replica()
+	c.mutex.Lock()
+	seeds, joinsOnly := c.seeds, c.joinsOnly
+	c.mutex.Unlock()
 	if joinsOnly || len(seeds) != 3 || seeds[0] != own.Address {
 		return
 	}
 	replicas := []Replica{own}
 	for _, address := range seeds[1:] {
-		replica, blank := coordinator.seenAt(address)
+		replica, blank := c.seenAt(address)
 		if !blank {
 			return
 		}
-		replicas = append(replicas, coordinator.recorded(replica))
+		replicas = append(replicas, c.recorded(replica))
 	}
 	membership := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
-	if _, err := coordinator.witness.Accept(coordinator.runtime.Now(), membership); err != nil {
-		coordinator.observe("formation_failed", "cause", err)
+	if _, err := c.witness.Accept(c.runtime.Now(), membership); err != nil {
+		c.observe("formation_failed", "cause", err)
 		return
 	}
 	for _, replica := range replicas[1:] {
-		_, _ = coordinator.peers.Accept(replica.Address, replica.Identity, membership)
+		_, _ = c.peers.Accept(replica.Address, replica.Identity, membership)
 	}
-	coordinator.observe("core_formed", "keepers", replicas)
+	c.observe("core_formed", "keepers", replicas)
 }
 
 // watch is what a copy in sync does while another is primary, or none is.
-func (coordinator *Coordinator) watch() {
-	m := coordinator.Membership()
-	own := coordinator.witness.Replica()
-	now := coordinator.runtime.Now()
-	if !m.InSync(own.Identity) || coordinator.store.Copy().Damage() != "" || now.Before(coordinator.backoff) {
+func (c *Coordinator) watch() {
+	m := c.Membership()
+	own := c.witness.Replica()
+	now := c.runtime.Now()
+	if !m.InSync(own.Identity) || c.store.Copy().Damage() != "" || now.Before(c.backoff) {
 		return
 	}
-	if coordinator.quiet() || coordinator.isLeaving() && coordinator.otherInSyncAlive(m) {
+	if c.quiet() || c.isLeaving() && c.otherInSyncAlive(m) {
 		return
 	}
 	// A candidate that nobody can elect yet would only disturb the primary, so
 	// it asks first whether a quorum has no hold running, or one of its own former life.
 	free := map[Identity]bool{}
-	coordinator.mutex.Lock()
-	restricted := coordinator.restricted
-	coordinator.mutex.Unlock()
+	c.mutex.Lock()
+	restricted := c.restricted
+	c.mutex.Unlock()
 	stands := func(hello Hello) bool { return !hello.Leads && (hello.HoldLeft == 0 || hello.Holder == own.Identity) }
-	gatherWithin(coordinator.runtime, helloPatience, m.Electors(), func(replica Replica) (Hello, error) {
+	gatherWithin(c.runtime, helloPatience, m.Electors(), func(replica Replica) (Hello, error) {
 		if replica.Identity == own.Identity {
-			return coordinator.Own(), nil
+			return c.Own(), nil
 		}
-		hello, err := coordinator.peers.Hello(coordinator.Address(replica), coordinator.Own())
+		hello, err := c.peers.Hello(c.Address(replica), c.Own())
 		if err == nil {
-			coordinator.note(hello, true)
+			c.note(hello, true)
 		}
 		return hello, err
 	}, func(replica Replica, hello Hello, err error) {
@@ -71,72 +71,72 @@
 	for _, replica := range m.Electors() {
 		// One that is slow has told it in the round before.
 		if _, told := free[replica.Identity]; !told {
-			if hello, alive := coordinator.alive(replica.Identity, slowAnswer); alive {
+			if hello, alive := c.alive(replica.Identity, slowAnswer); alive {
 				free[replica.Identity] = stands(hello)
 			}
 		}
 	}
 	if !m.Quorum(free) {
-		coordinator.freeFrom = time.Time{}
+		c.freeFrom = time.Time{}
 		return
 	}
-	if coordinator.letsOthersStand(m) {
+	if c.letsOthersStand(m) {
 		return
 	}
 	if restricted {
 		// It takes over only when the other copy in sync cannot, and then hands
 		// over as soon as a capable expediter is in sync.
-		coordinator.backoff = now.Add(2 * time.Second)
-		if coordinator.otherInSyncAlive(m) {
+		c.backoff = now.Add(2 * time.Second)
+		if c.otherInSyncAlive(m) {
 			return
 		}
 	}
-	won, err := coordinator.elect(func(base Membership) (Membership, bool) {
+	won, err := c.elect(func(base Membership) (Membership, bool) {
 		if !base.InSync(own.Identity) {
 			return base, false
 		}
-		return base.With(coordinator.recorded(own), coordinator.remaining(base)), true
+		return base.With(c.recorded(own), c.remaining(base)), true
 	})
 	if err != nil {
 		// Two candidates part by different patience.
 		spread := time.Duration(membership.Weight("backoff", string(own.Identity))%300) * time.Millisecond
-		coordinator.backoff = coordinator.runtime.Now().Add(150*time.Millisecond + spread)
+		c.backoff = c.runtime.Now().Add(150*time.Millisecond + spread)
 		return
 	}
-	lead := coordinator.store.Lead
+	lead := c.store.Lead
 	if !won.Backup.Empty() {
-		lead = coordinator.store.LeadHidden
+		lead = c.store.LeadHidden
 	}
 	if err := lead(won.Epoch); err != nil {
-		coordinator.observe("lead_failed", "cause", err)
+		c.observe("lead_failed", "cause", err)
 		return
 	}
-	coordinator.unsettled = coordinator.store.Hidden()
-	coordinator.shortSince = time.Time{}
-	coordinator.mutex.Lock()
-	coordinator.leadsFrom = coordinator.runtime.Now()
-	clear(coordinator.backupFails)
-	clear(coordinator.installFails)
-	coordinator.mutex.Unlock()
-	coordinator.observe("became_primary", "epoch", won.Epoch)
-	coordinator.confirm(won)
-	coordinator.ensureBackups()
+	c.unsettled = c.store.Hidden()
+	c.shortSince = time.Time{}
+	c.mutex.Lock()
+	c.leadsFrom = c.runtime.Now()
+	clear(c.backupFails)
+	clear(c.installFails)
+	c.mutex.Unlock()
+	c.observe("became_primary", "epoch", won.Epoch)
+	c.confirm(won)
+	c.ensureBackups()
 }
 
 // remaining are the copies that stay in sync beside a new primary. Of a pair none
 // does: the new primary is alone until it has another, and shows what it has. Of
 // more all do, since a second loss must find them: nothing is shown until they are
 // the same. So does the old primary of a pair that handed over and is still there.
-func (coordinator *Coordinator) remaining(membership Membership) []Replica {
+func (c *Coordinator) remaining(membership Membership) []Replica {
 	if len(membership.Copies()) < 3 {
-		if _, alive := coordinator.alive(membership.Backup.Identity, staleAnswer); alive && membership.Primary.Identity == coordinator.witness.Replica().Identity {
+		if _, alive := c.alive(membership.Backup.Identity, staleAnswer); alive && membership.Primary.Identity == c.witness.Replica().Identity {
 			return membership.Backups()
 		}
 		return nil
 	}
 	var others []Replica
 	for _, replica := range append(membership.Backups(), membership.Primary) {
-		if replica.Identity != coordinator.witness.Replica().Identity {
+		if replica.Identity != c.witness.Replica().Identity {
 			others = append(others, replica)
 		}
 	}
@@ -146,33 +146,33 @@
 // letsOthersStand tells whether a copy in sync that goes before this one has been
 // heard a moment ago and has its turn to stand: several candidates at once would
 // only take promises from each other.
-func (coordinator *Coordinator) letsOthersStand(membership Membership) bool {
+func (c *Coordinator) letsOthersStand(membership Membership) bool {
 	if len(membership.Copies()) < 3 {
 		return false
 	}
-	now := coordinator.runtime.Now()
-	if coordinator.freeFrom.IsZero() {
-		coordinator.freeFrom = now
+	now := c.runtime.Now()
+	if c.freeFrom.IsZero() {
+		c.freeFrom = now
 	}
 	before := time.Duration(0)
 	for _, replica := range membership.Copies() {
-		if replica.Identity == coordinator.witness.Replica().Identity {
+		if replica.Identity == c.witness.Replica().Identity {
 			break
 		}
-		if hello, alive := coordinator.alive(replica.Identity, staleAnswer); alive && !hello.Restricted && hello.Damage == "" {
+		if hello, alive := c.alive(replica.Identity, staleAnswer); alive && !hello.Restricted && hello.Damage == "" {
 			before++
 		}
 	}
-	return now.Sub(coordinator.freeFrom) < before*standTurn
+	return now.Sub(c.freeFrom) < before*standTurn
 }
 
 // otherInSyncAlive tells whether the other copy in sync can take over: its node is
 // there, lacks no flag, and its copy is whole.
-func (coordinator *Coordinator) otherInSyncAlive(membership Membership) bool {
-	own := coordinator.witness.Replica().Identity
+func (c *Coordinator) otherInSyncAlive(membership Membership) bool {
+	own := c.witness.Replica().Identity
 	for _, replica := range membership.Copies() {
 		if replica.Identity != own {
-			if hello, alive := coordinator.alive(replica.Identity, applicantFresh); alive && !hello.Restricted && hello.Damage == "" {
+			if hello, alive := c.alive(replica.Identity, applicantFresh); alive && !hello.Restricted && hello.Damage == "" {
 				return true
 			}
 		}
@@ -182,14 +182,14 @@
 
 // elect asks for the next epoch: first for promises, by which the newest
 // charter is found, then for acceptance of the charter made from it.
-func (coordinator *Coordinator) elect(make func(base Membership) (Membership, bool)) (Membership, error) {
-	base := coordinator.witness.Membership()
-	if known := coordinator.Membership(); known.Epoch > base.Epoch {
+func (c *Coordinator) elect(make func(base Membership) (Membership, bool)) (Membership, error) {
+	base := c.witness.Membership()
+	if known := c.Membership(); known.Epoch > base.Epoch {
 		base = known
 	}
-	own := coordinator.witness.Replica().Identity
-	ballot := newBallot(own, max(base.Epoch, coordinator.witness.Promised(), coordinator.ballot)+1, base)
-	if err := coordinator.store.Vow(coordinator.runtime.Now(), ballot.epoch, own); err != nil {
+	own := c.witness.Replica().Identity
+	ballot := newBallot(own, max(base.Epoch, c.witness.Promised(), c.ballot)+1, base)
+	if err := c.store.Vow(c.runtime.Now(), ballot.epoch, own); err != nil {
 		return base, err
 	}
 	for {
@@ -197,8 +197,8 @@
 		if len(replicas) == 0 {
 			break
 		}
-		coordinator.gatherPromises(ballot, replicas)
-		coordinator.ballot = max(coordinator.ballot, ballot.highest)
+		c.gatherPromises(ballot, replicas)
+		c.ballot = max(c.ballot, ballot.highest)
 		if !ballot.hasPromises() {
 			return ballot.newest, failure.New(failure.NoPrimary, "no quorum of keepers promised the epoch")
 		}
@@ -209,30 +209,30 @@
 	if err := ballot.propose(make); err != nil {
 		return ballot.base, err
 	}
-	coordinator.gatherAcceptances(ballot)
-	coordinator.ballot = max(coordinator.ballot, ballot.highest)
+	c.gatherAcceptances(ballot)
+	c.ballot = max(c.ballot, ballot.highest)
 	if !ballot.isGranted() {
 		return ballot.base, failure.New(failure.Unknown, "no quorum of keepers accepted the charter")
 	}
-	coordinator.mutex.Lock()
-	coordinator.membership = ballot.next
-	coordinator.mutex.Unlock()
+	c.mutex.Lock()
+	c.membership = ballot.next
+	c.mutex.Unlock()
 	return ballot.next, nil
 }
 
 // gatherPromises asks witnesses for their promise until a majority has given it.
-func (coordinator *Coordinator) gatherPromises(ballot *ballot, replicas []Replica) {
+func (c *Coordinator) gatherPromises(ballot *ballot, replicas []Replica) {
 	current := ballot.base
-	gather(coordinator.runtime, replicas, func(replica Replica) (Promise, error) {
+	gather(c.runtime, replicas, func(replica Replica) (Promise, error) {
 		if replica.Identity == ballot.candidate {
 			// The vow has promised this epoch on the own disk already.
-			return Promise{Witness: replica.Identity, Granted: true, Membership: coordinator.witness.Membership()}, nil
+			return Promise{Witness: replica.Identity, Granted: true, Membership: c.witness.Membership()}, nil
 		}
-		promise, err := coordinator.peers.Prepare(coordinator.Address(replica), replica.Identity, ballot.epoch, ballot.candidate)
+		promise, err := c.peers.Prepare(c.Address(replica), replica.Identity, ballot.epoch, ballot.candidate)
 		if err == nil && promise.Refusal == failure.NotAdmitted && current.Keeps(replica.Identity) {
 			// It was named a keeper and has not heard of it.
-			if _, err := coordinator.peers.Accept(coordinator.Address(replica), replica.Identity, current); err == nil {
-				return coordinator.peers.Prepare(coordinator.Address(replica), replica.Identity, ballot.epoch, ballot.candidate)
+			if _, err := c.peers.Accept(c.Address(replica), replica.Identity, current); err == nil {
+				return c.peers.Prepare(c.Address(replica), replica.Identity, ballot.epoch, ballot.candidate)
 			}
 		}
 		return promise, err
@@ -244,12 +244,12 @@
 }
 
 // gatherAcceptances has the proposed charter accepted, until majorities have done so.
-func (coordinator *Coordinator) gatherAcceptances(ballot *ballot) {
-	gather(coordinator.runtime, ballot.acceptors(), func(replica Replica) (Promise, error) {
+func (c *Coordinator) gatherAcceptances(ballot *ballot) {
+	gather(c.runtime, ballot.acceptors(), func(replica Replica) (Promise, error) {
 		if replica.Identity == ballot.candidate {
-			return coordinator.witness.Accept(coordinator.runtime.Now(), ballot.next)
+			return c.witness.Accept(c.runtime.Now(), ballot.next)
 		}
-		return coordinator.peers.Accept(coordinator.Address(replica), replica.Identity, ballot.next)
+		return c.peers.Accept(c.Address(replica), replica.Identity, ballot.next)
 	}, func(replica Replica, promise Promise, err error) {
 		if err == nil {
 			ballot.takeAcceptance(replica.Identity, promise)
@@ -258,30 +258,30 @@
 }
 
 // confirm renews the primary's own hold from a quorum of keepers.
-func (coordinator *Coordinator) confirm(membership Membership) bool {
-	own := coordinator.witness.Replica()
-	asked := coordinator.runtime.Now()
-	coordinator.mutex.Lock()
-	coordinator.confirming = asked
-	coordinator.mutex.Unlock()
+func (c *Coordinator) confirm(membership Membership) bool {
+	own := c.witness.Replica()
+	asked := c.runtime.Now()
+	c.mutex.Lock()
+	c.confirming = asked
+	c.mutex.Unlock()
 	confirmed := map[Identity]bool{}
-	lease := coordinator.timing.Lease
+	lease := c.timing.Lease
 	var newer Membership
 	outdated := false
-	gather(coordinator.runtime, membership.Electors(), func(replica Replica) (Promise, error) {
+	gather(c.runtime, membership.Electors(), func(replica Replica) (Promise, error) {
 		if replica.Identity == own.Identity {
-			promise := coordinator.witness.Confirm(asked, membership.Epoch, own.Identity)
-			coordinator.noteOvertaken(promise)
+			promise := c.witness.Confirm(asked, membership.Epoch, own.Identity)
+			c.noteOvertaken(promise)
 			return promise, nil
 		}
-		promise, err := coordinator.peers.Confirm(coordinator.Address(replica), replica.Identity, membership.Epoch, own.Identity)
+		promise, err := c.peers.Confirm(c.Address(replica), replica.Identity, membership.Epoch, own.Identity)
 		if err == nil {
-			coordinator.noteOvertaken(promise)
+			c.noteOvertaken(promise)
 		}
 		if err == nil && promise.Membership.Epoch < membership.Epoch && promise.Refusal != failure.OldEpoch {
 			// It was away when the charter was granted.
-			if _, err := coordinator.peers.Accept(coordinator.Address(replica), replica.Identity, membership); err == nil {
-				return coordinator.peers.Confirm(coordinator.Address(replica), replica.Identity, membership.Epoch, own.Identity)
+			if _, err := c.peers.Accept(c.Address(replica), replica.Identity, membership); err == nil {
+				return c.peers.Confirm(c.Address(replica), replica.Identity, membership.Epoch, own.Identity)
 			}
 		}
 		return promise, err
@@ -294,59 +294,59 @@
 			lease = min(lease, promise.Lease)
 		}
 		outdated = outdated || promise.Refusal == failure.OldEpoch
-		coordinator.ballot = max(coordinator.ballot, promise.Promised)
+		c.ballot = max(c.ballot, promise.Promised)
 		if promise.Membership.Epoch > newer.Epoch {
 			newer = promise.Membership
 		}
 	}, func() bool { return membership.Quorum(confirmed) })
-	if overtaken := coordinator.overtakenTo(); overtaken > membership.Epoch {
+	if overtaken := c.overtakenTo(); overtaken > membership.Epoch {
 		outdated = true
-		coordinator.ballot = max(coordinator.ballot, overtaken)
+		c.ballot = max(c.ballot, overtaken)
 	}
 	if newer.Epoch > membership.Epoch && newer.Primary.Identity != own.Identity {
-		coordinator.resign("deposed", newer)
+		c.resign("deposed", newer)
 		return false
 	}
 	if !membership.Quorum(confirmed) {
 		if outdated {
 			// An epoch was promised and not used, perhaps to this steward
 			// itself: the charter is asked for anew.
-			coordinator.unsettled = true
+			c.unsettled = true
 		}
 		return false
 	}
-	coordinator.outrun = outdated
-	coordinator.confirmedAt = asked
-	coordinator.mutex.Lock()
-	coordinator.holdEnds = asked.Add(lease - holdDrift)
-	coordinator.mutex.Unlock()
+	c.outrun = outdated
+	c.confirmedAt = asked
+	c.mutex.Lock()
+	c.holdEnds = asked.Add(lease - holdDrift)
+	c.mutex.Unlock()
 	return true
 }
 
 // noteOvertaken notes that a keeper has promised an epoch and confirms no lower one. It
 // is noted as the answer comes, since a quorum may be there before it in each round.
-func (coordinator *Coordinator) noteOvertaken(promise Promise) {
+func (c *Coordinator) noteOvertaken(promise Promise) {
 	if promise.Refusal != failure.OldEpoch {
 		return
 	}
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	coordinator.overtaken = max(coordinator.overtaken, promise.Promised)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.overtaken = max(c.overtaken, promise.Promised)
 }
 
-func (coordinator *Coordinator) overtakenTo() uint64 {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	return coordinator.overtaken
+func (c *Coordinator) overtakenTo() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.overtaken
 }
 
 // reaches tells whether a quorum of keepers has answered a hello a moment ago. A primary
 // whose last question was not confirmed asks no more until they do: what it asks may
 // arrive though the answers do not.
-func (coordinator *Coordinator) reaches(membership Membership) bool {
-	reached := map[Identity]bool{coordinator.witness.Replica().Identity: true}
+func (c *Coordinator) reaches(membership Membership) bool {
+	reached := map[Identity]bool{c.witness.Replica().Identity: true}
 	for _, replica := range membership.Electors() {
-		if _, alive := coordinator.alive(replica.Identity, staleAnswer); alive {
+		if _, alive := c.alive(replica.Identity, staleAnswer); alive {
 			reached[replica.Identity] = true
 		}
 	}
@@ -355,91 +355,91 @@
 
 // regrant asks for the same charter under a higher epoch, when a keeper has
 // promised one that nobody was granted and so can't confirm the present one.
-func (coordinator *Coordinator) regrant(membership Membership) {
-	coordinator.outrun = false
-	won, err := coordinator.elect(func(base Membership) (Membership, bool) {
+func (c *Coordinator) regrant(membership Membership) {
+	c.outrun = false
+	won, err := c.elect(func(base Membership) (Membership, bool) {
 		return base, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
-		coordinator.observe("not_regranted", "cause", err)
-		coordinator.unsettled = true
+		c.observe("not_regranted", "cause", err)
+		c.unsettled = true
 		return
 	}
-	coordinator.store.Thaw(won.Epoch)
-	coordinator.confirm(won)
+	c.store.Thaw(won.Epoch)
+	c.confirm(won)
 }
 
-func (coordinator *Coordinator) resign(cause string, newer Membership) {
-	coordinator.mutex.Lock()
-	coordinator.holdEnds = time.Time{}
-	if newer.Epoch > coordinator.membership.Epoch {
-		coordinator.membership = newer
-	}
-	coordinator.mutex.Unlock()
-	coordinator.store.StepDown()
-	coordinator.observe("stepped_down", "cause", cause, "epoch", newer.Epoch)
+func (c *Coordinator) resign(cause string, newer Membership) {
+	c.mutex.Lock()
+	c.holdEnds = time.Time{}
+	if newer.Epoch > c.membership.Epoch {
+		c.membership = newer
+	}
+	c.mutex.Unlock()
+	c.store.StepDown()
+	c.observe("stepped_down", "cause", cause, "epoch", newer.Epoch)
 }
 
 // deaf tells whether this primary has lost its hold and hears from nobody. It may
 // still be heard itself: its keepers would go on renewing a hold that it knows nothing
 // of, and the backup could never take over. So it keeps silent for most of the time.
-func (coordinator *Coordinator) deaf() bool {
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	now := coordinator.runtime.Now()
-	lost := !coordinator.holdEnds.IsZero() && now.Sub(coordinator.holdEnds) > 2*holdDrift
-	return lost && now.Sub(coordinator.greeted) > coordinator.timing.Beat && now.Sub(coordinator.confirming) < coordinator.timing.Lease+deafMargin
+func (c *Coordinator) deaf() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.runtime.Now()
+	lost := !c.holdEnds.IsZero() && now.Sub(c.holdEnds) > 2*holdDrift
+	return lost && now.Sub(c.greeted) > c.timing.Beat && now.Sub(c.confirming) < c.timing.Lease+deafMargin
 }
 
 // unheardOf tells whether this primary reaches its backup while no expediter
 // reaches it: its link has failed in one direction, and nodes that ask it are
 // not heard either.
-func (coordinator *Coordinator) unheardOf(membership Membership) bool {
-	if membership.Backup.Empty() || coordinator.unsettled {
+func (c *Coordinator) unheardOf(membership Membership) bool {
+	if membership.Backup.Empty() || c.unsettled {
 		return false
 	}
 	reached := false
 	for _, backup := range membership.Backups() {
-		if _, alive := coordinator.alive(backup.Identity, coordinator.timing.Beat); alive {
+		if _, alive := c.alive(backup.Identity, c.timing.Beat); alive {
 			reached = true
 		}
 	}
 	if !reached {
 		return false
 	}
-	coordinator.mutex.Lock()
-	defer coordinator.mutex.Unlock()
-	if coordinator.leadsFrom.IsZero() {
-		coordinator.leadsFrom = coordinator.runtime.Now()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.leadsFrom.IsZero() {
+		c.leadsFrom = c.runtime.Now()
 	}
-	latest := coordinator.greeted
-	if latest.Before(coordinator.leadsFrom) {
-		latest = coordinator.leadsFrom
+	latest := c.greeted
+	if latest.Before(c.leadsFrom) {
+		latest = c.leadsFrom
 	}
-	return coordinator.runtime.Now().Sub(latest) > unheardPatience
+	return c.runtime.Now().Sub(latest) > unheardPatience
 }
 
 // handOver makes the backup primary and stays in sync beside it: what a
 // primary does that lacks an enabled flag.
-func (coordinator *Coordinator) handOver(membership Membership) {
-	next, found := coordinator.successor(membership)
+func (c *Coordinator) handOver(membership Membership) {
+	next, found := c.successor(membership)
 	if !found {
 		return
 	}
-	if _, leading := coordinator.store.Freeze(); !leading {
+	if _, leading := c.store.Freeze(); !leading {
 		return
 	}
 	// The keepers let go of this primary's hold when they accept the next, so
 	// it stops answering first.
-	coordinator.mutex.Lock()
-	coordinator.holdEnds = time.Time{}
-	coordinator.mutex.Unlock()
-	won, err := coordinator.elect(func(base Membership) (Membership, bool) {
-		if base.Primary.Identity != coordinator.witness.Replica().Identity || !hasReplica(base.Backups(), next.Identity) {
+	c.mutex.Lock()
+	c.holdEnds = time.Time{}
+	c.mutex.Unlock()
+	won, err := c.elect(func(base Membership) (Membership, bool) {
+		if base.Primary.Identity != c.witness.Replica().Identity || !hasReplica(base.Backups(), next.Identity) {
 			return base, false
 		}
 		var others []Replica
-		if len(base.Copies()) > 2 || coordinator.isLeaving() {
+		if len(base.Copies()) > 2 || c.isLeaving() {
 			// All stay in sync: the successor answers nothing before they are the same.
 			// One that leaves counts until another has its place.
 			for _, replica := range append(base.Backups(), base.Primary) {
@@ -451,25 +451,25 @@
 		return base.With(next, others), true
 	})
 	if err != nil {
-		coordinator.unsettled = true
+		c.unsettled = true
 		return
 	}
-	coordinator.resign("handed_over", won)
+	c.resign("handed_over", won)
 	if len(won.Copies()) > 1 {
 		// The successor may be no keeper, and hears of it in this way.
-		coordinator.greetAll()
+		c.greetAll()
 	}
 }
 
 // successor is the backup to hand over to. One that has gone would take a copy in
 // sync with it, the only other one of a pair.
-func (coordinator *Coordinator) successor(membership Membership) (Replica, bool) {
+func (c *Coordinator) successor(membership Membership) (Replica, bool) {
 	for _, backup := range membership.Backups() {
-		hello, err := coordinator.peers.Hello(coordinator.Address(backup), coordinator.Own())
+		hello, err := c.peers.Hello(c.Address(backup), c.Own())
 		if err == nil && hello.Seat.Identity == backup.Identity && hello.Damage == "" && !hello.Leaving && !(len(membership.Further) > 0 && hello.Restricted) {
 			return backup, true
 		}
-		coordinator.observe("not_handed_over", "backup", backup.Name, "cause", err)
+		c.observe("not_handed_over", "backup", backup.Name, "cause", err)
 	}
 	return Replica{}, false
 }
--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -41,7 +41,7 @@
 	unsettled bool
 }
 
-func (member *coreMember) identity() Identity { return member.keeper.self.Identity }
+func (c *coreMember) identity() Identity { return c.keeper.self.Identity }
 
 // lateMessage is a request whose answer nobody waits for any more.
 type lateMessage struct {
@@ -81,11 +81,11 @@
 	return copied
 }
 
-func (state *coreState) clone() *coreState {
-	next := *state
-	next.late = slices.Clone(state.late)
-	next.members = make([]*coreMember, len(state.members))
-	for position, old := range state.members {
+func (c *coreState) clone() *coreState {
+	next := *c
+	next.late = slices.Clone(c.late)
+	next.members = make([]*coreMember, len(c.members))
+	for position, old := range c.members {
 		copied := *old
 		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: old.keeper.self, note: old.keeper.note, lease: old.keeper.lease, holder: old.keeper.holder, holdEnds: old.keeper.holdEnds}
 		witness.note.Sequence = 0
@@ -140,9 +140,9 @@
 }
 
 // key tells one state from another.
-func (state *coreState) key() [16]byte {
+func (c *coreState) key() [16]byte {
 	text := make([]byte, 0, 1024)
-	for _, member := range state.members {
+	for _, member := range c.members {
 		witness := member.keeper
 		text = append(append(append(text, witness.self.Identity...), byte(witness.note.Promised), byte(member.version)), witness.holder...)
 		text = appendMembership(text, witness.note.Membership)
@@ -156,12 +156,12 @@
 			text = appendSet(appendSet(appendSet(text, ballot.asked), ballot.promised), ballot.accepted)
 		}
 	}
-	for _, message := range state.late {
+	for _, message := range c.late {
 		text = append(append(text, byte(message.to), byte(message.epoch)), message.from...)
 		text = appendMembership(text, message.membership)
 	}
-	text = append(text, byte(state.acked), byte(state.ballots), byte(state.crashes), byte(state.restarts), byte(state.wipes), byte(state.writes), byte(state.delays))
-	text = appendMembership(text, state.newest)
+	text = append(text, byte(c.acked), byte(c.ballots), byte(c.crashes), byte(c.restarts), byte(c.wipes), byte(c.writes), byte(c.delays))
+	text = appendMembership(text, c.newest)
 	hash := fnv.New128a()
 	_, _ = hash.Write(text)
 	return [16]byte(hash.Sum(nil))
@@ -195,8 +195,8 @@
 }
 
 // at finds the machine that has an identity's disk and is up.
-func (state *coreState) at(identity Identity) (int, *coreMember) {
-	for position, member := range state.members {
+func (c *coreState) at(identity Identity) (int, *coreMember) {
+	for position, member := range c.members {
 		if member.identity() == identity && member.up {
 			return position, member
 		}
@@ -205,53 +205,53 @@
 }
 
 // check holds what must be so in every state.
-func (state *coreState) check() string {
+func (c *coreState) check() string {
 	holders, durable := 0, false
-	for _, member := range state.members {
+	for _, member := range c.members {
 		if member.up && member.lease {
 			holders++
-			if member.version < state.acked {
-				return fmt.Sprintf("%s has the lease with write %d, and %d was acknowledged", member.identity(), member.version, state.acked)
+			if member.version < c.acked {
+				return fmt.Sprintf("%s has the lease with write %d, and %d was acknowledged", member.identity(), member.version, c.acked)
 			}
 		}
-		durable = durable || state.newest.InSync(member.identity()) && member.version >= state.acked
+		durable = durable || c.newest.InSync(member.identity()) && member.version >= c.acked
 	}
 	switch {
 	case holders > 1:
 		return "two primaries have the lease"
 	case !durable:
-		return fmt.Sprintf("no copy of the newest charter has the acknowledged write %d", state.acked)
+		return fmt.Sprintf("no copy of the newest charter has the acknowledged write %d", c.acked)
 	}
 	return ""
 }
 
 // explore visits what can follow a state.
-func (explorer *explorer) explore(state *coreState) {
-	if explorer.broken != "" || len(explorer.seen) >= explorer.limit {
+func (e *explorer) explore(state *coreState) {
+	if e.broken != "" || len(e.seen) >= e.limit {
 		return
 	}
 	key := state.key()
-	if _, known := explorer.seen[key]; known {
+	if _, known := e.seen[key]; known {
 		return
 	}
-	explorer.seen[key] = struct{}{}
-	if explorer.broken = state.check(); explorer.broken != "" {
+	e.seen[key] = struct{}{}
+	if e.broken = state.check(); e.broken != "" {
 		return
 	}
 	for position := range state.members {
-		explorer.exploreMember(state, position)
+		e.exploreMember(state, position)
 	}
 	for position := range state.late {
 		next := state.clone()
 		message := next.late[position]
 		next.late = slices.Delete(next.late, position, position+1)
-		next.deliverLate(explorer, message)
-		explorer.explore(next)
+		next.deliverLate(e, message)
+		e.explore(next)
 	}
 }
 
-func (state *coreState) deliverLate(explorer *explorer, message lateMessage) {
-	member := state.members[message.to]
+func (c *coreState) deliverLate(explorer *explorer, message lateMessage) {
+	member := c.members[message.to]
 	if !member.up {
 		return
 	}
@@ -262,8 +262,8 @@
 	_, _ = member.keeper.Prepare(explorationNow, message.epoch, message.from)
 }
 
-func (explorer *explorer) accept(member *coreMember, membership Membership) Promise {
-	if explorer.forgetful {
+func (e *explorer) accept(member *coreMember, membership Membership) Promise {
+	if e.forgetful {
 		member.keeper.note.Promised = member.keeper.note.Membership.Epoch
 	}
 	promise, _ := member.keeper.Accept(explorationNow, membership)
@@ -271,11 +271,11 @@
 }
 
 // exploreMember follows all that one machine can do, or that can happen to it.
-func (explorer *explorer) exploreMember(state *coreState, position int) {
+func (e *explorer) exploreMember(state *coreState, position int) {
 	branch := func(act func(next *coreState, member *coreMember)) {
 		next := state.clone()
 		act(next, next.members[position])
-		explorer.explore(next)
+		e.explore(next)
 	}
 	member := state.members[position]
 	if !member.up {
@@ -300,58 +300,58 @@
 		})
 	}
 	if member.ballot != nil {
-		explorer.exploreBallot(state, position)
+		e.exploreBallot(state, position)
 		return
 	}
 	if state.ballots > 0 {
-		explorer.exploreCandidacy(state, position, branch)
+		e.exploreCandidacy(state, position, branch)
 	}
 	if member.leads {
-		explorer.exploreLeader(state, position, branch)
+		e.exploreLeader(state, position, branch)
 	}
 }
 
 // leaseHeldBy tells whether the holder's own lease runs: it ends before the witnesses'.
-func (state *coreState) leaseHeldBy(holder Identity) bool {
-	_, member := state.at(holder)
+func (c *coreState) leaseHeldBy(holder Identity) bool {
+	_, member := c.at(holder)
 	return member != nil && member.lease
 }
 
 // expire ends the lease that a witness gave. A confirmation that is older than that counts
 // no more for its holder, whose lease runs from when it asked.
-func (state *coreState) expire(witness *coreMember) {
+func (c *coreState) expire(witness *coreMember) {
 	witness.keeper.holdEnds = time.Time{}
-	if _, holder := state.at(witness.keeper.holder); holder != nil {
+	if _, holder := c.at(witness.keeper.holder); holder != nil {
 		delete(holder.confirmed, witness.identity())
 	}
 }
 
 // mayWipe bounds losses to what may be borne: all others are there, and a pair leads.
-func (state *coreState) mayWipe(position int) bool {
-	for other, member := range state.members {
+func (c *coreState) mayWipe(position int) bool {
+	for other, member := range c.members {
 		if other != position && !member.up {
 			return false
 		}
 	}
-	return !state.newest.Backup.Empty() && len(state.newest.Incoming) == 0
+	return !c.newest.Backup.Empty() && len(c.newest.Incoming) == 0
 }
 
-func (member *coreMember) fall() {
-	member.up, member.leads, member.lease, member.unsynced, member.unsettled, member.ballot, member.plan = false, false, false, false, false, nil, ""
-	member.membership = Membership{}
-	clear(member.confirmed)
+func (c *coreMember) fall() {
+	c.up, c.leads, c.lease, c.unsynced, c.unsettled, c.ballot, c.plan = false, false, false, false, false, nil, ""
+	c.membership = Membership{}
+	clear(c.confirmed)
 }
 
 // restart reads the disk again: the witness keeps still for one lease.
-func (state *coreState) restart(member *coreMember) {
+func (c *coreState) restart(member *coreMember) {
 	member.up = true
 	member.keeper.holder = member.keeper.note.Membership.Primary.Identity
 	member.keeper.holdEnds = explorationNow.Add(PrimaryHold)
 }
 
 // wipe gives the machine an empty disk, which is a new identity.
-func (state *coreState) wipe(member *coreMember) {
-	state.wipes--
+func (c *coreState) wipe(member *coreMember) {
+	c.wipes--
 	member.incarnations++
 	replica := Replica{Identity: Identity(fmt.Sprintf("%s'", member.identity())), Address: member.keeper.self.Address}
 	member.keeper = &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryHold, note: witnessNote{Identity: replica.Identity}}
@@ -359,7 +359,7 @@
 }
 
 // exploreCandidacy begins each ballot that a machine could begin.
-func (explorer *explorer) exploreCandidacy(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
+func (e *explorer) exploreCandidacy(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
 	member := state.members[position]
 	begin := func(next *coreState, member *coreMember, plan string) {
 		next.ballots--
@@ -397,19 +397,19 @@
 }
 
 // exchangeOf finds a witness whose disk is gone and a machine that has no seat.
-func (state *coreState) exchangeOf(membership Membership) (Identity, Replica) {
+func (c *coreState) exchangeOf(membership Membership) (Identity, Replica) {
 	if len(membership.Incoming) > 0 {
 		return "", Replica{}
 	}
 	for _, replica := range membership.Witnesses {
 		gone := true
-		for _, member := range state.members {
+		for _, member := range c.members {
 			gone = gone && member.identity() != replica.Identity
 		}
 		if !gone {
 			continue
 		}
-		for _, member := range state.members {
+		for _, member := range c.members {
 			if member.up && !membership.Keeps(member.identity()) {
 				return replica.Identity, member.keeper.self
 			}
@@ -419,27 +419,27 @@
 }
 
 // begin starts a ballot as the product does: with a vow on the own disk.
-func (member *coreMember) begin(plan string) {
-	base := member.keeper.note.Membership
-	if member.leads && member.membership.Epoch > base.Epoch {
-		base = member.membership
+func (c *coreMember) begin(plan string) {
+	base := c.keeper.note.Membership
+	if c.leads && c.membership.Epoch > base.Epoch {
+		base = c.membership
 	}
-	epoch := max(base.Epoch, member.keeper.note.Promised) + 1
-	if member.keeper.Vow(explorationNow, epoch, member.identity()) != nil {
+	epoch := max(base.Epoch, c.keeper.note.Promised) + 1
+	if c.keeper.Vow(explorationNow, epoch, c.identity()) != nil {
 		return
 	}
-	member.ballot, member.plan, member.unsettled = newBallot(member.identity(), epoch, base), plan, member.leads
-	if base.Keeps(member.identity()) {
-		member.ballot.asked[member.identity()] = true
-		member.ballot.takePromise(member.identity(), Promise{Granted: true, Membership: member.keeper.note.Membership})
+	c.ballot, c.plan, c.unsettled = newBallot(c.identity(), epoch, base), plan, c.leads
+	if base.Keeps(c.identity()) {
+		c.ballot.asked[c.identity()] = true
+		c.ballot.takePromise(c.identity(), Promise{Granted: true, Membership: c.keeper.note.Membership})
 	}
 }
 
 // make is what the plan makes of the newest charter.
-func (member *coreMember) make(state *coreState) func(base Membership) (Membership, bool) {
-	own := member.keeper.self
-	words := strings.Fields(member.plan)
-	led := member.membership
+func (c *coreMember) make(state *coreState) func(base Membership) (Membership, bool) {
+	own := c.keeper.self
+	words := strings.Fields(c.plan)
+	led := c.membership
 	return func(base Membership) (Membership, bool) {
 		switch words[0] {
 		case "takeover":
@@ -474,11 +474,11 @@
 
 // exploreBallot follows each message that a ballot can send now: answered, delayed, or
 // none, since the ballot may be given up at any time.
-func (explorer *explorer) exploreBallot(state *coreState, position int) {
+func (e *explorer) exploreBallot(state *coreState, position int) {
 	branch := func(act func(next *coreState, member *coreMember)) {
 		next := state.clone()
 		act(next, next.members[position])
-		explorer.explore(next)
+		e.explore(next)
 	}
 	candidate := state.members[position]
 	branch(func(_ *coreState, member *coreMember) { member.ballot, member.plan = nil, "" })
@@ -497,13 +497,13 @@
 		}
 		branch(func(next *coreState, member *coreMember) {
 			if accepting {
-				member.ballot.takeAcceptance(replica.Identity, explorer.accept(next.members[to], member.ballot.next))
+				member.ballot.takeAcceptance(replica.Identity, e.accept(next.members[to], member.ballot.next))
 			} else {
 				member.ballot.asked[replica.Identity] = true
 				promise, _ := next.members[to].keeper.Prepare(explorationNow, member.ballot.epoch, member.identity())
 				member.ballot.takePromise(replica.Identity, promise)
 			}
-			explorer.advance(next, member)
+			e.advance(next, member)
 		})
 		if state.delays > 0 {
 			branch(func(next *coreState, member *coreMember) {
@@ -522,7 +522,7 @@
 }
 
 // advance takes a ballot to its next stage as soon as it may.
-func (explorer *explorer) advance(state *coreState, member *coreMember) {
+func (e *explorer) advance(state *coreState, member *coreMember) {
 	ballot := member.ballot
 	if ballot.next.Epoch == 0 {
 		if !ballot.hasPromises() || ballot.rebase() || !ballot.hasPromises() {
@@ -545,7 +545,7 @@
 }
 
 // exploreLeader follows what a primary does: it renews its lease and writes.
-func (explorer *explorer) exploreLeader(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
+func (e *explorer) exploreLeader(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
 	leader := state.members[position]
 	for _, replica := range leader.membership.Electors() {
 		to, reached := state.at(replica.Identity)
@@ -555,12 +555,12 @@
 		branch(func(next *coreState, member *coreMember) {
 			witness := next.members[to].keeper
 			if witness.note.Membership.Epoch < member.membership.Epoch {
-				explorer.accept(next.members[to], member.membership)
+				e.accept(next.members[to], member.membership)
 			}
 			if promise := witness.Confirm(explorationNow, member.membership.Epoch, member.identity()); promise.Granted {
 				member.confirmed[replica.Identity] = true
 			}
-			member.lease = member.lease || member.membership.Quorum(member.confirmed) || explorer.leaseless && len(member.confirmed) > 0
+			member.lease = member.lease || member.membership.Quorum(member.confirmed) || e.leaseless && len(member.confirmed) > 0
 		})
 	}
 	if !leader.lease || leader.unsettled || leader.membership.Backup.Empty() {
--- a/internal/replication/leaving_test.go
+++ b/internal/replication/leaving_test.go
@@ -44,15 +44,15 @@
 
 // run lets time pass: every machine that is up ticks, the primary writes, and the rules are
 // held after each step. It ends early when over says so.
-func (world *world) run(length time.Duration, over func() bool) bool {
-	for ends := world.clock().Add(length); world.clock().Before(ends); {
-		world.advance(tickPause)
-		for _, machine := range world.machines {
+func (w *world) run(length time.Duration, over func() bool) bool {
+	for ends := w.clock().Add(length); w.clock().Before(ends); {
+		w.advance(tickPause)
+		for _, machine := range w.machines {
 			if machine.up.Load() && !machine.frozen {
 				machine.steward.Tick()
-				world.check()
-				world.write(machine)
-				world.check()
+				w.check()
+				w.write(machine)
+				w.check()
 			}
 		}
 		if over != nil && over() {
@@ -63,8 +63,8 @@
 }
 
 // roleOf is what a machine is to the core now, if it is anything.
-func (world *world) roleOf(machine *machine) role {
-	leader := world.leader()
+func (w *world) roleOf(machine *machine) role {
+	leader := w.leader()
 	if leader == nil || !machine.up.Load() {
 		return ""
 	}
@@ -81,9 +81,9 @@
 }
 
 // inRole finds a machine by what it is to the core, if there is one.
-func (world *world) inRole(wanted role) *machine {
-	for _, machine := range world.machines {
-		if world.roleOf(machine) == wanted {
+func (w *world) inRole(wanted role) *machine {
+	for _, machine := range w.machines {
+		if w.roleOf(machine) == wanted {
 			return machine
 		}
 	}
@@ -91,11 +91,11 @@
 }
 
 // victims are as many machines as losses are borne, those of one role first.
-func (world *world) victims(wanted role) []*machine {
+func (w *world) victims(wanted role) []*machine {
 	var victims []*machine
 	for _, found := range []role{wanted, backupRole, witnessRole, primaryRole} {
-		for _, machine := range world.machines {
-			if len(victims) < world.borne && world.roleOf(machine) == found && !slices.Contains(victims, machine) {
+		for _, machine := range w.machines {
+			if len(victims) < w.borne && w.roleOf(machine) == found && !slices.Contains(victims, machine) {
 				victims = append(victims, machine)
 			}
 		}
@@ -104,47 +104,47 @@
 }
 
 // gone takes a machine away for good, with its disk.
-func (world *world) gone(lost *machine) {
-	world.crash(lost)
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+func (w *world) gone(lost *machine) {
+	w.crash(lost)
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	var left []*machine
-	for _, other := range world.machines {
+	for _, other := range w.machines {
 		if other != lost {
 			left = append(left, other)
 		}
 	}
-	world.machines = left
+	w.machines = left
 }
 
 // join starts an empty machine at a new address, in a district.
-func (world *world) join(zone string) *machine {
-	world.offered++
-	added := &machine{address: "n" + strconv.Itoa(world.offered), zone: zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
-	world.mutex.Lock()
-	world.machines = append(append([]*machine{}, world.machines...), added)
-	world.mutex.Unlock()
-	world.formed = true
-	world.seeds = nil
-	for _, machine := range world.machines[:3] {
-		world.seeds = append(world.seeds, machine.address)
+func (w *world) join(zone string) *machine {
+	w.offered++
+	added := &machine{address: "n" + strconv.Itoa(w.offered), zone: zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
+	w.mutex.Lock()
+	w.machines = append(append([]*machine{}, w.machines...), added)
+	w.mutex.Unlock()
+	w.formed = true
+	w.seeds = nil
+	for _, machine := range w.machines[:3] {
+		w.seeds = append(w.seeds, machine.address)
 	}
-	world.start(added)
+	w.start(added)
 	return added
 }
 
 // copiesOfTheNewest counts the machines that are up, count as copies, and hold every
 // acknowledged write.
-func (world *world) copiesOfTheNewest() int {
+func (w *world) copiesOfTheNewest() int {
 	var membership Membership
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if known := machine.keeper.Membership(); machine.up.Load() && known.Epoch > membership.Epoch {
 			membership = known
 		}
 	}
 	count := 0
-	for _, machine := range world.machines {
-		if machine.up.Load() && membership.InSync(machine.keeper.Replica().Identity) && revisionIn(machine.store.Copy().Sections()[ConfigurationSection].Content) >= world.accepted {
+	for _, machine := range w.machines {
+		if machine.up.Load() && membership.InSync(machine.keeper.Replica().Identity) && revisionIn(machine.store.Copy().Sections()[ConfigurationSection].Content) >= w.accepted {
 			count++
 		}
 	}
@@ -244,24 +244,24 @@
 )
 
 // lose loses a machine and gives the time of its return, or of its successor's start.
-func (world *world) lose(lost *machine, kind lossKind) time.Time {
+func (w *world) lose(lost *machine, kind lossKind) time.Time {
 	switch kind {
 	case killed:
-		world.crash(lost)
-		world.run(600*time.Millisecond, nil)
-		world.start(lost)
+		w.crash(lost)
+		w.run(600*time.Millisecond, nil)
+		w.start(lost)
 	case wiped:
-		world.crash(lost)
+		w.crash(lost)
 		lost.keeping, lost.copies = newMemoryStorage(), newMemoryStorage()
-		world.run(900*time.Millisecond, nil)
-		world.formed = true
-		world.start(lost)
+		w.run(900*time.Millisecond, nil)
+		w.formed = true
+		w.start(lost)
 	case exchange:
-		world.gone(lost)
-		world.run(tickPause, nil)
-		world.join(lost.zone)
+		w.gone(lost)
+		w.run(tickPause, nil)
+		w.join(lost.zone)
 	}
-	return world.clock()
+	return w.clock()
 }
 
 // TestSecondLossMayComeAfterTheCatchUp loses any machine in any way, and another one as soon
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -14,45 +14,45 @@
 }
 
 // Blank tells whether there is no charter yet.
-func (membership Membership) Blank() bool { return membership.Epoch == 0 }
+func (m Membership) Blank() bool { return m.Epoch == 0 }
 
 // InSync tells whether the copy of the identity has everything answered.
-func (membership Membership) InSync(identity Identity) bool {
-	return identity != "" && hasReplica(membership.Copies(), identity)
+func (m Membership) InSync(identity Identity) bool {
+	return identity != "" && hasReplica(m.Copies(), identity)
 }
 
 // Backups lists the copies that every write is synced on besides the primary's.
-func (membership Membership) Backups() []Replica {
-	if membership.Backup.Empty() {
+func (m Membership) Backups() []Replica {
+	if m.Backup.Empty() {
 		return nil
 	}
-	return append([]Replica{membership.Backup}, membership.Further...)
+	return append([]Replica{m.Backup}, m.Further...)
 }
 
 // Copies lists all copies in sync, the primary's first.
-func (membership Membership) Copies() []Replica {
-	if membership.Primary.Empty() {
+func (m Membership) Copies() []Replica {
+	if m.Primary.Empty() {
 		return nil
 	}
-	return append([]Replica{membership.Primary}, membership.Backups()...)
+	return append([]Replica{m.Primary}, m.Backups()...)
 }
 
 // With is the charter with other copies.
-func (membership Membership) With(primary Replica, backups []Replica) Membership {
-	membership.Primary, membership.Backup, membership.Further = primary, Replica{}, nil
+func (m Membership) With(primary Replica, backups []Replica) Membership {
+	m.Primary, m.Backup, m.Further = primary, Replica{}, nil
 	if len(backups) > 0 {
-		membership.Backup = backups[0]
+		m.Backup = backups[0]
 	}
 	if len(backups) > 1 {
-		membership.Further = append([]Replica(nil), backups[1:]...)
+		m.Further = append([]Replica(nil), backups[1:]...)
 	}
-	return membership
+	return m
 }
 
 // Electors lists the keepers of both sets, each once.
-func (membership Membership) Electors() []Replica {
-	electors := append([]Replica(nil), membership.Witnesses...)
-	for _, replica := range membership.Incoming {
+func (m Membership) Electors() []Replica {
+	electors := append([]Replica(nil), m.Witnesses...)
+	for _, replica := range m.Incoming {
 		if !hasReplica(electors, replica.Identity) {
 			electors = append(electors, replica)
 		}
@@ -61,13 +61,13 @@
 }
 
 // Keeps tells whether the identity is a keeper of either set.
-func (membership Membership) Keeps(identity Identity) bool {
-	return hasReplica(membership.Witnesses, identity) || hasReplica(membership.Incoming, identity)
+func (m Membership) Keeps(identity Identity) bool {
+	return hasReplica(m.Witnesses, identity) || hasReplica(m.Incoming, identity)
 }
 
 // Quorum tells whether those who granted are a majority of each set.
-func (membership Membership) Quorum(granted map[Identity]bool) bool {
-	return majority(membership.Witnesses, granted) && (len(membership.Incoming) == 0 || majority(membership.Incoming, granted))
+func (m Membership) Quorum(granted map[Identity]bool) bool {
+	return majority(m.Witnesses, granted) && (len(m.Incoming) == 0 || majority(m.Incoming, granted))
 }
 
 func majority(replicas []Replica, granted map[Identity]bool) bool {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -13,4 +13,4 @@
 }
 
 // Empty tells whether nobody has the seat.
-func (replica Replica) Empty() bool { return replica.Identity == "" }
+func (r Replica) Empty() bool { return r.Identity == "" }
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -11,21 +11,21 @@
 
 // restartAll ends every machine at the same moment and starts them again, in any
 // order and with some time between.
-func (world *world) restartAll() {
-	for _, machine := range world.machines {
+func (w *world) restartAll() {
+	for _, machine := range w.machines {
 		if machine.up.Load() {
-			world.crash(machine)
+			w.crash(machine)
 		}
 	}
-	world.advance(time.Duration(world.random.IntN(1200)) * time.Millisecond)
-	for _, position := range world.random.Perm(len(world.machines)) {
-		machine := world.machines[position]
-		world.start(machine)
-		world.advance(time.Duration(world.random.IntN(300)) * time.Millisecond)
-		for _, other := range world.machines {
+	w.advance(time.Duration(w.random.IntN(1200)) * time.Millisecond)
+	for _, position := range w.random.Perm(len(w.machines)) {
+		machine := w.machines[position]
+		w.start(machine)
+		w.advance(time.Duration(w.random.IntN(300)) * time.Millisecond)
+		for _, other := range w.machines {
 			if other.up.Load() && !other.frozen {
 				other.steward.Tick()
-				world.check()
+				w.check()
 			}
 		}
 	}
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -20,112 +20,112 @@
 }
 
 // pick gives a machine by chance.
-func (world *world) pick() *machine { return world.machines[world.random.IntN(len(world.machines))] }
+func (w *world) pick() *machine { return w.machines[w.random.IntN(len(w.machines))] }
 
 // wipe takes a machine's disk while it loses its power, as often as may be since the
 // core was whole.
-func (world *world) wipe(machine *machine) bool {
-	if world.whole() != nil {
-		world.spare = world.borne
+func (w *world) wipe(machine *machine) bool {
+	if w.whole() != nil {
+		w.spare = w.borne
 	}
-	if world.spare == 0 {
+	if w.spare == 0 {
 		return false
 	}
-	world.spare--
-	world.wiped++
-	world.mutex.Lock()
+	w.spare--
+	w.wiped++
+	w.mutex.Lock()
 	machine.up.Store(false)
-	world.mutex.Unlock()
+	w.mutex.Unlock()
 	machine.keeping = newMemoryStorage()
-	world.say("%s loses its disk", machine.address)
+	w.say("%s loses its disk", machine.address)
 	return true
 }
 
 // severalFault is a fault beside those of step.
-func (world *world) severalFault() {
-	switch world.random.IntN(60) {
+func (w *world) severalFault() {
+	switch w.random.IntN(60) {
 	case 0:
 		// Two disks at once, right after whatever was answered last.
-		world.wipe(world.pick())
-		world.wipe(world.pick())
+		w.wipe(w.pick())
+		w.wipe(w.pick())
 	case 1:
-		world.wipe(world.pick())
+		w.wipe(w.pick())
 	case 2:
 		// A district loses its power, and at times its disks.
-		zone := world.pick().zone
-		lost := world.random.IntN(2) == 0
-		for _, machine := range world.machines {
+		zone := w.pick().zone
+		lost := w.random.IntN(2) == 0
+		for _, machine := range w.machines {
 			if machine.zone == zone && machine.up.Load() {
-				if !lost || !world.wipe(machine) {
-					world.crash(machine)
+				if !lost || !w.wipe(machine) {
+					w.crash(machine)
 				}
 			}
 		}
 	case 3:
-		world.everything(world.random.IntN(3))
+		w.everything(w.random.IntN(3))
 	case 4:
 		// A district is cut off, one way or both.
-		district := world.pick().zone
-		way := world.random.IntN(3)
-		world.mutex.Lock()
-		for _, from := range world.machines {
-			for _, to := range world.machines {
+		district := w.pick().zone
+		way := w.random.IntN(3)
+		w.mutex.Lock()
+		for _, from := range w.machines {
+			for _, to := range w.machines {
 				if from.zone == district && to.zone != district && way != 1 {
-					world.cut[from.address+">"+to.address] = true
+					w.cut[from.address+">"+to.address] = true
 				}
 				if from.zone != district && to.zone == district && way != 0 {
-					world.cut[from.address+">"+to.address] = true
+					w.cut[from.address+">"+to.address] = true
 				}
 			}
 		}
-		world.mutex.Unlock()
-		world.say("%s is cut off", district)
+		w.mutex.Unlock()
+		w.say("%s is cut off", district)
 	case 5:
-		world.replace()
+		w.replace()
 	}
 }
 
 // everything takes all power, and some disks with it, and gives it back.
-func (world *world) everything(wiped int) {
+func (w *world) everything(wiped int) {
 	for range wiped {
-		world.wipe(world.pick())
+		w.wipe(w.pick())
 	}
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if machine.up.Load() {
-			world.crash(machine)
+			w.crash(machine)
 		}
 	}
-	world.advance(time.Duration(200+world.random.IntN(800)) * time.Millisecond)
-	for _, machine := range world.machines {
-		world.start(machine)
+	w.advance(time.Duration(200+w.random.IntN(800)) * time.Millisecond)
+	for _, machine := range w.machines {
+		w.start(machine)
 	}
 }
 
 // replace puts an empty machine at a new address in a machine's place, and names
 // other seeds to all.
-func (world *world) replace() {
-	position := world.random.IntN(len(world.machines))
-	old := world.machines[position]
-	if !world.wipe(old) {
+func (w *world) replace() {
+	position := w.random.IntN(len(w.machines))
+	old := w.machines[position]
+	if !w.wipe(old) {
 		return
 	}
-	world.offered++
-	added := &machine{address: "n" + strconv.Itoa(world.offered), zone: old.zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
-	world.mutex.Lock()
-	world.machines = append(append([]*machine{}, world.machines...), added)
-	world.machines = append(world.machines[:position:position], world.machines[position+1:]...)
-	world.mutex.Unlock()
-	world.seeds, world.formed = nil, true
-	for _, machine := range world.machines[world.random.IntN(len(world.machines)-3):][:3] {
-		world.seeds = append(world.seeds, machine.address)
+	w.offered++
+	added := &machine{address: "n" + strconv.Itoa(w.offered), zone: old.zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
+	w.mutex.Lock()
+	w.machines = append(append([]*machine{}, w.machines...), added)
+	w.machines = append(w.machines[:position:position], w.machines[position+1:]...)
+	w.mutex.Unlock()
+	w.seeds, w.formed = nil, true
+	for _, machine := range w.machines[w.random.IntN(len(w.machines)-3):][:3] {
+		w.seeds = append(w.seeds, machine.address)
 	}
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if machine != added {
-			machine.steward.SetSeeds(world.seeds)
+			machine.steward.SetSeeds(w.seeds)
 		}
 	}
-	world.say("%s gives way to %s, seeds %v", old.address, added.address, world.seeds)
-	world.start(added)
+	w.say("%s gives way to %s, seeds %v", old.address, added.address, w.seeds)
+	w.start(added)
 }
 
 // shares are in how many parts the seeds are run side by side.
@@ -152,53 +152,53 @@
 }
 
 // bearLosses is one seed's life of a core.
-func (world *world) bearLosses(seed uint64) {
+func (w *world) bearLosses(seed uint64) {
 	for step := range 400 {
-		if step%40 == 0 && !world.heal(30*time.Second) {
-			world.fail("seed %d: the core is not whole", seed)
+		if step%40 == 0 && !w.heal(30*time.Second) {
+			w.fail("seed %d: the core is not whole", seed)
 		}
-		world.step()
-		world.severalFault()
-		world.check()
+		w.step()
+		w.severalFault()
+		w.check()
 	}
-	if !world.heal(30 * time.Second) {
-		world.fail("seed %d: the core is not whole again", seed)
+	if !w.heal(30 * time.Second) {
+		w.fail("seed %d: the core is not whole again", seed)
 	}
 }
 
 // acknowledge has the primary answer one more change.
-func (world *world) acknowledge() *machine {
-	before := world.answered
+func (w *world) acknowledge() *machine {
+	before := w.answered
 	for range 100 {
-		if leader := world.whole(); leader != nil {
-			world.write(leader)
-			if world.answered > before {
+		if leader := w.whole(); leader != nil {
+			w.write(leader)
+			if w.answered > before {
 				return leader
 			}
 		}
-		world.tick(100 * time.Millisecond)
+		w.tick(100 * time.Millisecond)
 	}
-	world.fail("no change is answered")
+	w.fail("no change is answered")
 	return nil
 }
 
 // tick lets time pass, and all who run do what is due.
-func (world *world) tick(length time.Duration) {
-	world.takeDisks()
-	world.advance(length)
-	for _, machine := range world.machines {
+func (w *world) tick(length time.Duration) {
+	w.takeDisks()
+	w.advance(length)
+	for _, machine := range w.machines {
 		if machine.up.Load() && !machine.frozen {
 			machine.steward.Tick()
-			world.check()
+			w.check()
 		}
 	}
 }
 
 // losses lists every set of machines that may be lost at once: any two, or one
 // district.
-func (world *world) losses() [][]int {
+func (w *world) losses() [][]int {
 	var sets [][]int
-	for first := range world.machines {
+	for first := range w.machines {
 		for second := range first {
 			sets = append(sets, []int{second, first})
 		}
@@ -259,8 +259,8 @@
 }
 
 // leader is who may answer now.
-func (world *world) leader() *machine {
-	for _, machine := range world.machines {
+func (w *world) leader() *machine {
+	for _, machine := range w.machines {
 		if machine.up.Load() && !machine.frozen && machine.steward.Holds() {
 			return machine
 		}
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -26,31 +26,31 @@
 
 func newMemoryStorage() *memoryStorage { return &memoryStorage{files: map[string][]byte{}} }
 
-func (storage *memoryStorage) Save(name string, content []byte) error {
-	storage.mutex.Lock()
-	defer storage.mutex.Unlock()
-	if storage.failing {
+func (m *memoryStorage) Save(name string, content []byte) error {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.failing {
 		return failure.New(failure.Disk, "the disk fails")
 	}
-	storage.files[name] = append([]byte(nil), content...)
+	m.files[name] = append([]byte(nil), content...)
 	return nil
 }
 
-func (storage *memoryStorage) Load() (map[string][]byte, []string, error) {
-	storage.mutex.Lock()
-	defer storage.mutex.Unlock()
+func (m *memoryStorage) Load() (map[string][]byte, []string, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	files := map[string][]byte{}
-	for name, content := range storage.files {
+	for name, content := range m.files {
 		files[name] = content
 	}
 	return files, nil, nil
 }
 
-func (storage *memoryStorage) Remove(names []string) error {
-	storage.mutex.Lock()
-	defer storage.mutex.Unlock()
+func (m *memoryStorage) Remove(names []string) error {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	for _, name := range names {
-		delete(storage.files, name)
+		delete(m.files, name)
 	}
 	return nil
 }
@@ -58,11 +58,11 @@
 // threads are real ones, under the clock that the test moves.
 type threads struct{ now func() time.Time }
 
-func (threads threads) Now() time.Time  { return threads.now() }
-func (threads threads) Wall() time.Time { return threads.now() }
-func (threads threads) Go(act func())   { go act() }
-func (threads threads) Alive() bool     { return true }
-func (threads threads) NewCond() runtime.Cond {
+func (t threads) Now() time.Time  { return t.now() }
+func (t threads) Wall() time.Time { return t.now() }
+func (t threads) Go(act func())   { go act() }
+func (t threads) Alive() bool     { return true }
+func (t threads) NewCond() runtime.Cond {
 	cond := &condition{}
 	cond.rung = sync.NewCond(&cond.mutex)
 	return cond
@@ -74,19 +74,19 @@
 	rung  *sync.Cond
 }
 
-func (condition *condition) Wait(_ time.Duration, over func() bool) bool {
-	condition.mutex.Lock()
-	defer condition.mutex.Unlock()
+func (c *condition) Wait(_ time.Duration, over func() bool) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for !over() {
-		condition.rung.Wait()
+		c.rung.Wait()
 	}
 	return true
 }
 
-func (condition *condition) Broadcast() {
-	condition.mutex.Lock()
-	defer condition.mutex.Unlock()
-	condition.rung.Broadcast()
+func (c *condition) Broadcast() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.rung.Broadcast()
 }
 
 // machine is one expediter of the simulated core.
@@ -149,49 +149,49 @@
 	return world
 }
 
-func (world *world) clock() time.Time {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	return world.now
+func (w *world) clock() time.Time {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.now
 }
 
-func (world *world) say(format string, values ...any) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.log = append(world.log, fmt.Sprintf("%6.2f ", world.now.Sub(time.Unix(1_000_000, 0)).Seconds())+fmt.Sprintf(format, values...))
+func (w *world) say(format string, values ...any) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.log = append(w.log, fmt.Sprintf("%6.2f ", w.now.Sub(time.Unix(1_000_000, 0)).Seconds())+fmt.Sprintf(format, values...))
 }
 
-func (world *world) start(machine *machine) {
-	world.takeDisks()
+func (w *world) start(machine *machine) {
+	w.takeDisks()
 	machine.incarnations++
 	replica := Replica{Address: machine.address, Name: machine.address}
-	witness, blank, err := OpenWitness(world.clock(), machine.keeping, replica, Identity(machine.address+"/"+strconv.Itoa(machine.incarnations)))
+	witness, blank, err := OpenWitness(w.clock(), machine.keeping, replica, Identity(machine.address+"/"+strconv.Itoa(machine.incarnations)))
 	if err != nil {
-		world.test.Fatal(err)
+		w.test.Fatal(err)
 	}
 	if blank {
 		machine.copies = newMemoryStorage()
 	}
 	copied, err := OpenCopy(machine.copies)
 	if err != nil {
-		world.test.Fatal(err)
+		w.test.Fatal(err)
 	}
 	store := NewStore(copied, witness)
-	coordinator := NewCoordinator(threads{world.clock}, world.seeds, witness, store, &wire{world: world, from: machine.address, incarnation: machine.incarnations}, func(event string, detail ...any) {
-		world.say("%s %s %v", machine.address, event, detail)
+	coordinator := NewCoordinator(threads{w.clock}, w.seeds, witness, store, &wire{world: w, from: machine.address, incarnation: machine.incarnations}, func(event string, detail ...any) {
+		w.say("%s %s %v", machine.address, event, detail)
 	})
-	if world.borne > 1 && (machine.incarnations > 1 || world.formed) {
+	if w.borne > 1 && (machine.incarnations > 1 || w.formed) {
 		coordinator.JoinOnly()
 	}
-	coordinator.SetTiming(TimingFor(world.catchUp))
-	coordinator.Bear(world.borne, machine.zone)
-	coordinator.SetBackupList(world.borne > 1)
-	world.mutex.Lock()
+	coordinator.SetTiming(TimingFor(w.catchUp))
+	coordinator.Bear(w.borne, machine.zone)
+	coordinator.SetBackupList(w.borne > 1)
+	w.mutex.Lock()
 	machine.keeper, machine.store, machine.steward = witness, store, coordinator
 	machine.up.Store(true)
 	machine.frozen = false
-	world.mutex.Unlock()
-	world.say("%s starts, blank %v, version %s", machine.address, blank, copied.Version())
+	w.mutex.Unlock()
+	w.say("%s starts, blank %v, version %s", machine.address, blank, copied.Version())
 }
 
 // wire is the network: a call reaches a machine that is up and not cut off.
@@ -210,17 +210,17 @@
 	steward *Coordinator
 }
 
-func (wire *wire) reach(address string) (*reached, error) {
-	world := wire.world
+func (w *wire) reach(address string) (*reached, error) {
+	world := w.world
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	for _, machine := range world.machines {
-		if wire.incarnation > 0 && machine.address == wire.from && (!machine.up.Load() || machine.incarnations != wire.incarnation) {
+		if w.incarnation > 0 && machine.address == w.from && (!machine.up.Load() || machine.incarnations != w.incarnation) {
 			return nil, failure.New(failure.Unreachable, "the sender has ended")
 		}
 	}
 	for _, machine := range world.machines {
-		if machine.address == address && machine.up.Load() && !machine.frozen && !world.cut[wire.from+">"+address] {
+		if machine.address == address && machine.up.Load() && !machine.frozen && !world.cut[w.from+">"+address] {
 			// A late call reaches the life that it was sent to.
 			return &reached{keeper: machine.keeper, store: machine.store, steward: machine.steward}, nil
 		}
@@ -228,71 +228,71 @@
 	return nil, failure.New(failure.Unreachable, address)
 }
 
-func (wire *wire) keeperAt(address string, identity Identity) (*reached, error) {
-	machine, err := wire.reach(address)
+func (w *wire) keeperAt(address string, identity Identity) (*reached, error) {
+	machine, err := w.reach(address)
 	if err == nil && machine.keeper.Replica().Identity != identity {
 		return nil, failure.New(failure.NotAdmitted, "another disk")
 	}
 	return machine, err
 }
 
-func (wire *wire) Hello(address string, own Hello) (Hello, error) {
-	machine, err := wire.reach(address)
+func (w *wire) Hello(address string, own Hello) (Hello, error) {
+	machine, err := w.reach(address)
 	if err != nil {
 		return Hello{}, err
 	}
 	return machine.steward.Greet(own), nil
 }
 
-func (wire *wire) Prepare(address string, witness Identity, epoch uint64, candidate Identity) (Promise, error) {
-	machine, err := wire.keeperAt(address, witness)
+func (w *wire) Prepare(address string, witness Identity, epoch uint64, candidate Identity) (Promise, error) {
+	machine, err := w.keeperAt(address, witness)
 	if err != nil {
 		return Promise{}, err
 	}
-	return machine.keeper.Prepare(wire.world.clock(), epoch, candidate)
+	return machine.keeper.Prepare(w.world.clock(), epoch, candidate)
 }
 
-func (wire *wire) Accept(address string, witness Identity, membership Membership) (Promise, error) {
-	machine, err := wire.keeperAt(address, witness)
+func (w *wire) Accept(address string, witness Identity, membership Membership) (Promise, error) {
+	machine, err := w.keeperAt(address, witness)
 	if err != nil {
 		return Promise{}, err
 	}
-	return machine.keeper.Accept(wire.world.clock(), membership)
+	return machine.keeper.Accept(w.world.clock(), membership)
 }
 
-func (wire *wire) Confirm(address string, witness Identity, epoch uint64, primary Identity) (Promise, error) {
-	machine, err := wire.keeperAt(address, witness)
+func (w *wire) Confirm(address string, witness Identity, epoch uint64, primary Identity) (Promise, error) {
+	machine, err := w.keeperAt(address, witness)
 	if err != nil {
 		return Promise{}, err
 	}
-	return machine.keeper.Confirm(wire.world.clock(), epoch, primary), nil
+	return machine.keeper.Confirm(w.world.clock(), epoch, primary), nil
 }
 
-func (wire *wire) Replicate(address string, backup Identity, epoch uint64, batch Batch) error {
-	machine, err := wire.keeperAt(address, backup)
+func (w *wire) Replicate(address string, backup Identity, epoch uint64, batch Batch) error {
+	machine, err := w.keeperAt(address, backup)
 	if err != nil {
 		return err
 	}
-	wire.world.again(func() { _ = machine.store.Replicate(epoch, batch) })
+	w.world.again(func() { _ = machine.store.Replicate(epoch, batch) })
 	return machine.store.Replicate(epoch, batch)
 }
 
-func (wire *wire) Install(address string, backup Identity, snapshot Snapshot) error {
-	wire.mayEnd()
-	machine, err := wire.keeperAt(address, backup)
+func (w *wire) Install(address string, backup Identity, snapshot Snapshot) error {
+	w.mayEnd()
+	machine, err := w.keeperAt(address, backup)
 	if err != nil {
 		return err
 	}
-	wire.world.again(func() { _ = machine.store.Install(snapshot) })
+	w.world.again(func() { _ = machine.store.Install(snapshot) })
 	return machine.store.Install(snapshot)
 }
 
 // mayEnd has the sender lose its power and at times its disk in the middle of what
 // it does, where more than one loss is borne.
-func (wire *wire) mayEnd() {
-	world := wire.world
+func (w *wire) mayEnd() {
+	world := w.world
 	if world.installs != nil {
-		world.installs(wire.from)
+		world.installs(w.from)
 	}
 	if world.borne == 1 || world.calm {
 		return
@@ -304,7 +304,7 @@
 		return
 	}
 	for _, machine := range world.machines {
-		if machine.address != wire.from || !machine.up.Load() {
+		if machine.address != w.from || !machine.up.Load() {
 			continue
 		}
 		world.endInTheMiddle(machine, drawn == 0)
@@ -313,53 +313,53 @@
 
 // endInTheMiddle has a machine lose its power at once, in whatever thread. Its disk is
 // lost before it starts again: the world's own thread takes that away.
-func (world *world) endInTheMiddle(machine *machine, wiped bool) {
-	world.crash(machine)
+func (w *world) endInTheMiddle(machine *machine, wiped bool) {
+	w.crash(machine)
 	if !wiped {
 		return
 	}
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.losing = append(world.losing, machine)
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.losing = append(w.losing, machine)
 }
 
 // takeDisks takes the disks that were lost in the middle of something.
-func (world *world) takeDisks() {
-	world.mutex.Lock()
-	losing := world.losing
-	world.losing = nil
-	world.mutex.Unlock()
+func (w *world) takeDisks() {
+	w.mutex.Lock()
+	losing := w.losing
+	w.losing = nil
+	w.mutex.Unlock()
 	for _, machine := range losing {
-		if world.spare == 0 {
+		if w.spare == 0 {
 			continue
 		}
-		world.spare--
-		world.wiped++
-		world.say("%s loses its disk in the middle", machine.address)
+		w.spare--
+		w.wiped++
+		w.say("%s loses its disk in the middle", machine.address)
 		machine.keeping = newMemoryStorage()
 	}
 }
 
 // again keeps a message back that the network will bring a second time.
-func (world *world) again(message func()) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	if world.random.IntN(8) == 0 {
-		world.late = append(world.late, message)
+func (w *world) again(message func()) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if w.random.IntN(8) == 0 {
+		w.late = append(w.late, message)
 	}
 }
 
 // deliver brings one of the messages that were kept back.
-func (world *world) deliver() {
-	world.mutex.Lock()
-	if len(world.late) == 0 {
-		world.mutex.Unlock()
+func (w *world) deliver() {
+	w.mutex.Lock()
+	if len(w.late) == 0 {
+		w.mutex.Unlock()
 		return
 	}
-	position := world.random.IntN(len(world.late))
-	message := world.late[position]
-	world.late = append(world.late[:position], world.late[position+1:]...)
-	world.mutex.Unlock()
+	position := w.random.IntN(len(w.late))
+	message := w.late[position]
+	w.late = append(w.late[:position], w.late[position+1:]...)
+	w.mutex.Unlock()
 	message()
 }
 
@@ -377,18 +377,18 @@
 
 // write asks a machine for the next edition and carries the commit out, with
 // a crash of the world possible between any two of its steps.
-func (world *world) write(machine *machine) {
+func (w *world) write(machine *machine) {
 	if !machine.steward.Holds() {
 		return
 	}
-	world.tried++
-	revision := world.tried
+	w.tried++
+	revision := w.tried
 	machine.store.Submit(ChangeConfiguration("", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) {
 		return []byte(`{"routes":{"` + strconv.Itoa(revision) + `":{"to":{"refuse":true}}}}`), nil
 	}), func(version Version, err error) {
 		if err == nil && machine.steward.Holds() {
-			world.answered++
-			world.accepted = max(world.accepted, revision)
+			w.answered++
+			w.accepted = max(w.accepted, revision)
 		}
 	})
 	membership := machine.steward.Membership()
@@ -402,52 +402,52 @@
 	if machine.store.KeepOwn(batch) != nil {
 		return
 	}
-	if !world.calm && world.random.IntN(25) == 0 {
-		world.crash(machine)
+	if !w.calm && w.random.IntN(25) == 0 {
+		w.crash(machine)
 		return
 	}
 	synced := true
 	for _, backup := range membership.Backups() {
-		err := (&wire{world: world, from: machine.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
+		err := (&wire{world: w, from: machine.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
 		machine.steward.BackupAnswered(backup.Identity, err == nil)
 		synced = synced && err == nil
-		if !world.calm && world.random.IntN(50) == 0 {
-			world.crash(machine)
+		if !w.calm && w.random.IntN(50) == 0 {
+			w.crash(machine)
 			return
 		}
 	}
 	if !synced {
 		return
 	}
-	if !world.calm && world.random.IntN(25) == 0 {
-		world.crash(machine)
+	if !w.calm && w.random.IntN(25) == 0 {
+		w.crash(machine)
 		return
 	}
 	machine.store.Commit(batch)
 }
 
-func (world *world) crash(machine *machine) {
-	world.mutex.Lock()
+func (w *world) crash(machine *machine) {
+	w.mutex.Lock()
 	machine.up.Store(false)
-	world.mutex.Unlock()
-	world.say("%s crashes", machine.address)
+	w.mutex.Unlock()
+	w.say("%s crashes", machine.address)
 }
 
 // whole tells whether a primary with a backup leads and every keeper is the
 // disk that is at its address now, so that one more loss can be borne.
-func (world *world) whole() *machine {
-	for _, machine := range world.machines {
+func (w *world) whole() *machine {
+	for _, machine := range w.machines {
 		if !machine.up.Load() || machine.frozen || !machine.steward.Holds() || machine.steward.unsettled {
 			continue
 		}
 		membership := machine.steward.Membership()
-		if len(membership.Backups()) != world.borne || len(membership.Incoming) > 0 || len(membership.Witnesses) != 2*world.borne+1 {
+		if len(membership.Backups()) != w.borne || len(membership.Incoming) > 0 || len(membership.Witnesses) != 2*w.borne+1 {
 			continue
 		}
 		healthy, there := 0, 0
 		inZone := map[string]int{}
 		most := 0
-		for _, other := range world.machines {
+		for _, other := range w.machines {
 			if !other.up.Load() {
 				continue
 			}
@@ -460,7 +460,7 @@
 				most = max(most, inZone[other.zone])
 			}
 		}
-		if there == world.borne && healthy == 2*world.borne+1 && most <= world.borne {
+		if there == w.borne && healthy == 2*w.borne+1 && most <= w.borne {
 			return machine
 		}
 	}
@@ -469,118 +469,118 @@
 
 // check holds the two rules: one machine at a time may answer, and whoever may
 // answer has everything that was answered before.
-func (world *world) check() {
+func (w *world) check() {
 	var holders []string
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if !machine.up.Load() || machine.frozen || !machine.steward.Holds() {
 			continue
 		}
 		holders = append(holders, machine.address)
 		state, err := machine.store.View().State()
 		if err != nil {
-			world.fail("%s: %v", machine.address, err)
+			w.fail("%s: %v", machine.address, err)
 		}
-		if revision := revisionIn(state.Configuration); revision < world.accepted {
-			world.fail("%s shows edition %d and %d was accepted", machine.address, revision, world.accepted)
+		if revision := revisionIn(state.Configuration); revision < w.accepted {
+			w.fail("%s shows edition %d and %d was accepted", machine.address, revision, w.accepted)
 		}
 	}
 	if len(holders) > 1 {
-		world.fail("two primaries at once: %v", holders)
+		w.fail("two primaries at once: %v", holders)
 	}
 }
 
-func (world *world) fail(format string, values ...any) {
-	for _, line := range world.log[max(0, len(world.log)-60):] {
-		world.test.Log(line)
+func (w *world) fail(format string, values ...any) {
+	for _, line := range w.log[max(0, len(w.log)-60):] {
+		w.test.Log(line)
 	}
-	world.test.Fatalf(format, values...)
+	w.test.Fatalf(format, values...)
 }
 
-func (world *world) advance(length time.Duration) {
-	world.mutex.Lock()
-	world.now = world.now.Add(length)
-	world.mutex.Unlock()
+func (w *world) advance(length time.Duration) {
+	w.mutex.Lock()
+	w.now = w.now.Add(length)
+	w.mutex.Unlock()
 }
 
-func (world *world) step() {
-	world.takeDisks()
-	world.advance(time.Duration(20+world.random.IntN(120)) * time.Millisecond)
-	for _, position := range world.random.Perm(len(world.machines)) {
-		machine := world.machines[position]
+func (w *world) step() {
+	w.takeDisks()
+	w.advance(time.Duration(20+w.random.IntN(120)) * time.Millisecond)
+	for _, position := range w.random.Perm(len(w.machines)) {
+		machine := w.machines[position]
 		if machine.up.Load() && !machine.frozen {
 			machine.steward.Tick()
-			world.check()
-			if world.random.IntN(3) == 0 {
-				world.write(machine)
-				world.check()
+			w.check()
+			if w.random.IntN(3) == 0 {
+				w.write(machine)
+				w.check()
 			}
 		}
 	}
-	if world.random.IntN(4) == 0 {
-		world.deliver()
+	if w.random.IntN(4) == 0 {
+		w.deliver()
 	}
-	machine := world.machines[world.random.IntN(len(world.machines))]
-	switch world.random.IntN(60) {
+	machine := w.machines[w.random.IntN(len(w.machines))]
+	switch w.random.IntN(60) {
 	case 0:
 		if machine.up.Load() {
-			world.crash(machine)
+			w.crash(machine)
 		}
 	case 1, 2, 3:
 		if !machine.up.Load() {
-			world.start(machine)
+			w.start(machine)
 		}
 	case 4:
-		other := world.machines[world.random.IntN(len(world.machines))]
-		world.mutex.Lock()
-		world.cut[machine.address+">"+other.address] = true
-		world.mutex.Unlock()
-		world.say("cut %s>%s", machine.address, other.address)
+		other := w.machines[w.random.IntN(len(w.machines))]
+		w.mutex.Lock()
+		w.cut[machine.address+">"+other.address] = true
+		w.mutex.Unlock()
+		w.say("cut %s>%s", machine.address, other.address)
 	case 5, 6, 7:
-		world.mutex.Lock()
-		world.cut = map[string]bool{}
-		world.mutex.Unlock()
+		w.mutex.Lock()
+		w.cut = map[string]bool{}
+		w.mutex.Unlock()
 	case 8:
-		if world.whole() != nil && machine.up.Load() && world.wipe(machine) {
-			world.start(machine)
+		if w.whole() != nil && machine.up.Load() && w.wipe(machine) {
+			w.start(machine)
 		}
 	case 9:
 		if machine.up.Load() {
-			world.mutex.Lock()
+			w.mutex.Lock()
 			machine.frozen = !machine.frozen
-			world.mutex.Unlock()
-			world.say("%s frozen %v", machine.address, machine.frozen)
+			w.mutex.Unlock()
+			w.say("%s frozen %v", machine.address, machine.frozen)
 		}
 	case 10, 11:
-		world.mutex.Lock()
+		w.mutex.Lock()
 		machine.frozen = false
-		world.mutex.Unlock()
+		w.mutex.Unlock()
 	}
 }
 
 // heal ends all faults and gives the core time.
-func (world *world) heal(length time.Duration) bool {
-	before := world.calm
-	world.calm = true
-	defer func() { world.calm = before }()
-	world.mutex.Lock()
-	world.cut = map[string]bool{}
-	for _, machine := range world.machines {
+func (w *world) heal(length time.Duration) bool {
+	before := w.calm
+	w.calm = true
+	defer func() { w.calm = before }()
+	w.mutex.Lock()
+	w.cut = map[string]bool{}
+	for _, machine := range w.machines {
 		machine.frozen = false
 	}
-	world.mutex.Unlock()
-	for _, machine := range world.machines {
+	w.mutex.Unlock()
+	for _, machine := range w.machines {
 		if !machine.up.Load() {
-			world.start(machine)
+			w.start(machine)
 		}
 	}
-	ends := world.clock().Add(length)
-	for world.clock().Before(ends) {
-		world.advance(100 * time.Millisecond)
-		for _, machine := range world.machines {
+	ends := w.clock().Add(length)
+	for w.clock().Before(ends) {
+		w.advance(100 * time.Millisecond)
+		for _, machine := range w.machines {
 			machine.steward.Tick()
-			world.check()
+			w.check()
 		}
-		if world.whole() != nil {
+		if w.whole() != nil {
 			return true
 		}
 	}
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -72,32 +72,32 @@
 }
 
 // Touch marks a drawer as changed.
-func (state *State) Touch(section string) { state.dirty[section] = true }
+func (s *State) Touch(section string) { s.dirty[section] = true }
 
 // pack encodes the changed drawers and forgets that they were changed.
-func (state *State) pack(version Version) (map[string]Section, []string, error) {
+func (s *State) pack(version Version) (map[string]Section, []string, error) {
 	sections := map[string]Section{}
 	var removed []string
-	for name := range state.dirty {
+	for name := range s.dirty {
 		var value any
 		switch name {
 		case ConfigurationSection:
-			sections[name] = Section{Version: version, Content: state.Configuration}
+			sections[name] = Section{Version: version, Content: s.Configuration}
 			continue
 		case MembersSection:
-			value = state.Members
+			value = s.Members
 		case FlagsSection:
-			value = state.Flags
+			value = s.Flags
 		case RolesSection:
-			value = state.Rota
+			value = s.Rota
 		case OrdersSection:
-			value = state.Orders
+			value = s.Orders
 		case ChangesSection:
-			value = state.Changes
+			value = s.Changes
 		case HorizonSection:
-			value = state.Horizon
+			value = s.Horizon
 		default:
-			claims, found := state.Claims[name]
+			claims, found := s.Claims[name]
 			if !found {
 				removed = append(removed, name)
 				continue
@@ -110,7 +110,7 @@
 		}
 		sections[name] = Section{Version: version, Content: content}
 	}
-	state.dirty = map[string]bool{}
+	s.dirty = map[string]bool{}
 	sort.Strings(removed)
 	return sections, removed, nil
 }
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -64,10 +64,10 @@
 // Repair is the longest time from the loss of a machine, the primary too, until the core
 // is whole again, when another can be had and disks and links are sound: the lease, a
 // takeover, the new primary's wait to hear from all, the exchange of a witness.
-func (timing Timing) Repair() time.Duration {
-	return timing.Lease + ElectionTime + timing.WitnessSilence + ExchangeTime
+func (t Timing) Repair() time.Duration {
+	return t.Lease + ElectionTime + t.WitnessSilence + ExchangeTime
 }
 
 // Margin is how much earlier than the bound the core is whole again. Below zero a second
 // loss may come too soon.
-func (timing Timing) Margin() time.Duration { return timing.CatchUp - timing.Repair() }
+func (t Timing) Margin() time.Duration { return t.CatchUp - t.Repair() }
--- a/internal/replication/version.go
+++ b/internal/replication/version.go
@@ -10,14 +10,14 @@
 }
 
 // Before tells whether the version is older than the other.
-func (version Version) Before(other Version) bool {
-	if version.Epoch != other.Epoch {
-		return version.Epoch < other.Epoch
+func (v Version) Before(other Version) bool {
+	if v.Epoch != other.Epoch {
+		return v.Epoch < other.Epoch
 	}
-	return version.Number < other.Number
+	return v.Number < other.Number
 }
 
 // String writes the version as operators see it.
-func (version Version) String() string {
-	return strconv.FormatUint(version.Epoch, 10) + "." + strconv.FormatUint(version.Number, 10)
+func (v Version) String() string {
+	return strconv.FormatUint(v.Epoch, 10) + "." + strconv.FormatUint(v.Number, 10)
 }
--- a/internal/replication/view.go
+++ b/internal/replication/view.go
@@ -7,7 +7,7 @@
 }
 
 // VersionOf is the version that a drawer had its last change in.
-func (view *View) VersionOf(section string) Version { return view.Sections[section].Version }
+func (v *View) VersionOf(section string) Version { return v.Sections[section].Version }
 
 // State decodes the view.
-func (view *View) State() (*State, error) { return ReadState(view.Sections) }
+func (v *View) State() (*State, error) { return ReadState(v.Sections) }
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -68,64 +68,64 @@
 
 // Guard chooses the keeper's lock, which is held while it waits for the disk. It comes
 // before any other use.
-func (witness *Witness) Guard(lock sync.Locker) { witness.mutex = lock }
+func (w *Witness) Guard(lock sync.Locker) { w.mutex = lock }
 
 // SetLease chooses how long the keeper holds still for a primary, no longer than
 // PrimaryHold: for that long it keeps still at its start, whatever it was told before.
-func (witness *Witness) SetLease(lease time.Duration) {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	witness.lease = min(lease, PrimaryHold)
+func (w *Witness) SetLease(lease time.Duration) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.lease = min(lease, PrimaryHold)
 }
 
 // Replica is the keeper's own seat, which stays.
-func (witness *Witness) Replica() Replica { return witness.self }
+func (w *Witness) Replica() Replica { return w.self }
 
 // Membership is the newest charter that the keeper has accepted.
-func (witness *Witness) Membership() Membership {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	return witness.note.Membership
+func (w *Witness) Membership() Membership {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.note.Membership
 }
 
 // Promised is the highest epoch that the keeper has promised.
-func (witness *Witness) Promised() uint64 {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	return witness.note.Promised
+func (w *Witness) Promised() uint64 {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.note.Promised
 }
 
 // HoldEnds tells when the hold that the keeper gave a primary runs out.
-func (witness *Witness) HoldEnds() time.Time {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	return witness.holdEnds
+func (w *Witness) HoldEnds() time.Time {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.holdEnds
 }
 
 // Holder is whom the hold that runs was given to.
-func (witness *Witness) Holder() Identity {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	return witness.holder
+func (w *Witness) Holder() Identity {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.holder
 }
 
 // Prepare promises an epoch to a candidate, unless a higher or equal one is
 // promised or another primary's hold runs.
-func (witness *Witness) Prepare(now time.Time, epoch uint64, candidate Identity) (Promise, error) {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Membership: witness.note.Membership}
+func (w *Witness) Prepare(now time.Time, epoch uint64, candidate Identity) (Promise, error) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	promise := Promise{Witness: w.self.Identity, Promised: w.note.Promised, Membership: w.note.Membership}
 	switch {
-	case witness.note.Membership.Blank():
+	case w.note.Membership.Blank():
 		promise.Refusal = failure.NotAdmitted
-	case epoch <= witness.note.Promised:
+	case epoch <= w.note.Promised:
 		promise.Refusal = failure.OldEpoch
-	case now.Before(witness.holdEnds) && witness.holder != candidate:
+	case now.Before(w.holdEnds) && w.holder != candidate:
 		promise.Refusal = failure.HoldActive
 	default:
-		note := witness.note
+		note := w.note
 		note.Promised = epoch
-		if err := witness.save(note); err != nil {
+		if err := w.save(note); err != nil {
 			return promise, err
 		}
 		promise.Granted = true
@@ -136,28 +136,28 @@
 
 // Accept takes a charter, unless a higher epoch is promised. A blank keeper
 // takes only one that names it: that is how it is admitted.
-func (witness *Witness) Accept(now time.Time, membership Membership) (Promise, error) {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Membership: witness.note.Membership}
+func (w *Witness) Accept(now time.Time, membership Membership) (Promise, error) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	promise := Promise{Witness: w.self.Identity, Promised: w.note.Promised, Membership: w.note.Membership}
 	switch {
-	case membership.Epoch < witness.note.Promised || membership.Epoch < witness.note.Membership.Epoch:
+	case membership.Epoch < w.note.Promised || membership.Epoch < w.note.Membership.Epoch:
 		promise.Refusal = failure.OldEpoch
-	case witness.note.Membership.Blank() && !membership.Keeps(witness.self.Identity):
+	case w.note.Membership.Blank() && !membership.Keeps(w.self.Identity):
 		promise.Refusal = failure.NotAdmitted
-	case membership.Epoch == witness.note.Membership.Epoch && membership.Primary.Identity != witness.note.Membership.Primary.Identity:
+	case membership.Epoch == w.note.Membership.Epoch && membership.Primary.Identity != w.note.Membership.Primary.Identity:
 		promise.Refusal = failure.OldEpoch
 	default:
-		note := witness.note
+		note := w.note
 		note.Promised = membership.Epoch
 		note.Membership = membership
-		if err := witness.save(note); err != nil {
+		if err := w.save(note); err != nil {
 			return promise, err
 		}
-		if witness.holder != membership.Primary.Identity {
+		if w.holder != membership.Primary.Identity {
 			// Whoever could propose another primary knew the old hold to be over
 			// at a quorum, or had it and gave it up.
-			witness.holder, witness.holdEnds = membership.Primary.Identity, time.Time{}
+			w.holder, w.holdEnds = membership.Primary.Identity, time.Time{}
 		}
 		promise.Granted = true
 		promise.Promised = membership.Epoch
@@ -169,91 +169,91 @@
 // Confirm gives the primary of the epoch its hold: for that long the keeper
 // promises no other epoch to another candidate. A charter that it has not accepted
 // must be brought first, so that its disk tells after a restart whom it held still for.
-func (witness *Witness) Confirm(now time.Time, epoch uint64, primary Identity) Promise {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	promise := Promise{Witness: witness.self.Identity, Promised: witness.note.Promised, Membership: witness.note.Membership}
-	if witness.note.Membership.Blank() {
+func (w *Witness) Confirm(now time.Time, epoch uint64, primary Identity) Promise {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	promise := Promise{Witness: w.self.Identity, Promised: w.note.Promised, Membership: w.note.Membership}
+	if w.note.Membership.Blank() {
 		promise.Refusal = failure.NotAdmitted
 		return promise
 	}
-	if epoch < witness.note.Promised || epoch < witness.note.Membership.Epoch {
+	if epoch < w.note.Promised || epoch < w.note.Membership.Epoch {
 		promise.Refusal = failure.OldEpoch
 		return promise
 	}
-	if epoch > witness.note.Membership.Epoch {
+	if epoch > w.note.Membership.Epoch {
 		promise.Refusal = failure.Behind
 		return promise
 	}
-	witness.holder = primary
-	if ends := now.Add(witness.lease); ends.After(witness.holdEnds) {
-		witness.holdEnds = ends
+	w.holder = primary
+	if ends := now.Add(w.lease); ends.After(w.holdEnds) {
+		w.holdEnds = ends
 	}
 	promise.Granted = true
-	promise.Lease = witness.lease
+	promise.Lease = w.lease
 	return promise
 }
 
 // Vow promises an epoch on the candidate's own disk, by the same rule as for
 // another candidate, whether or not this disk is a keeper's.
-func (witness *Witness) Vow(now time.Time, epoch uint64, candidate Identity) error {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	if epoch <= witness.note.Promised {
-		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", witness.note.Promised))
+func (w *Witness) Vow(now time.Time, epoch uint64, candidate Identity) error {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if epoch <= w.note.Promised {
+		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.note.Promised))
 	}
-	if now.Before(witness.holdEnds) && witness.holder != candidate {
+	if now.Before(w.holdEnds) && w.holder != candidate {
 		return failure.New(failure.HoldActive, "another primary's hold runs")
 	}
-	note := witness.note
+	note := w.note
 	note.Promised = epoch
-	return witness.save(note)
+	return w.save(note)
 }
 
 // Sweep reads the keeper's note again, and writes it anew when the file has
 // become damaged or is gone.
-func (witness *Witness) Sweep() (bool, error) {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	files, _, err := witness.storage.Load()
+func (w *Witness) Sweep() (bool, error) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	files, _, err := w.storage.Load()
 	if err != nil {
 		return false, err
 	}
-	if _, intact := files[noteName(witness.note.Sequence)]; intact {
+	if _, intact := files[noteName(w.note.Sequence)]; intact {
 		return false, nil
 	}
-	return true, witness.save(witness.note)
+	return true, w.save(w.note)
 }
 
 // Learn takes the identity's promise as a backup: it must never again serve an
 // older epoch.
-func (witness *Witness) Learn(epoch uint64) error {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	if epoch < witness.note.Promised {
-		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", witness.note.Promised))
+func (w *Witness) Learn(epoch uint64) error {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if epoch < w.note.Promised {
+		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.note.Promised))
 	}
-	if epoch == witness.note.Promised {
+	if epoch == w.note.Promised {
 		return nil
 	}
-	note := witness.note
+	note := w.note
 	note.Promised = epoch
-	return witness.save(note)
+	return w.save(note)
 }
 
-func (witness *Witness) save(note witnessNote) error {
-	old := witness.note.Sequence
+func (w *Witness) save(note witnessNote) error {
+	old := w.note.Sequence
 	note.Sequence = old + 1
 	encoded, err := msgpack.Marshal(note)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	if err := witness.storage.Save(noteName(note.Sequence), encoded); err != nil {
+	if err := w.storage.Save(noteName(note.Sequence), encoded); err != nil {
 		return err
 	}
-	witness.note = note
+	w.note = note
 	// The older file only takes room: that it stays is no failure.
-	_ = witness.storage.Remove([]string{noteName(old)})
+	_ = w.storage.Remove([]string{noteName(old)})
 	return nil
 }
 
--- a/internal/replication/witnessplan.go
+++ b/internal/replication/witnessplan.go
@@ -15,50 +15,50 @@
 
 // next gives the next keepers, or tells that nothing is to be done. Their number
 // stays odd.
-func (plan *witnessPlan) next() ([]Replica, bool) {
+func (w *witnessPlan) next() ([]Replica, bool) {
 	changed := false
-	for position := range plan.keepers {
-		if !plan.keepers[position].gone {
+	for position := range w.keepers {
+		if !w.keepers[position].gone {
 			continue
 		}
 		// One that has come back blank has its old place.
-		spare, found := plan.spareAt(plan.keepers[position].seat.Address)
+		spare, found := w.spareAt(w.keepers[position].seat.Address)
 		if !found {
-			spare, found = plan.bestSpare()
+			spare, found = w.bestSpare()
 		}
 		if found {
-			plan.keepers[position] = plannedWitness{seat: plan.take(spare)}
+			w.keepers[position] = plannedWitness{seat: w.take(spare)}
 			changed = true
 		}
 	}
-	for len(plan.keepers)+2 <= plan.wanted && len(plan.spares) >= 2 {
+	for len(w.keepers)+2 <= w.wanted && len(w.spares) >= 2 {
 		for range 2 {
-			best, _ := plan.bestSpare()
-			plan.keepers = append(plan.keepers, plannedWitness{seat: plan.take(best)})
+			best, _ := w.bestSpare()
+			w.keepers = append(w.keepers, plannedWitness{seat: w.take(best)})
 		}
 		changed = true
 	}
 	// A district may have as many as leave a majority when it goes.
-	most := (len(plan.keepers) - 1) / 2
-	for position := range plan.keepers {
-		replica := plan.keepers[position].seat
-		if replica.Zone == "" || plan.inZone(replica.Zone) <= most {
+	most := (len(w.keepers) - 1) / 2
+	for position := range w.keepers {
+		replica := w.keepers[position].seat
+		if replica.Zone == "" || w.inZone(replica.Zone) <= most {
 			continue
 		}
-		if spare, found := plan.bestSpare(); found && plan.inZone(plan.spares[spare].Zone) < most {
-			plan.keepers[position] = plannedWitness{seat: plan.take(spare)}
+		if spare, found := w.bestSpare(); found && w.inZone(w.spares[spare].Zone) < most {
+			w.keepers[position] = plannedWitness{seat: w.take(spare)}
 			changed = true
 		}
 	}
 	var replicas []Replica
-	for _, witness := range plan.keepers {
+	for _, witness := range w.keepers {
 		replicas = append(replicas, witness.seat)
 	}
 	return replicas, changed
 }
 
-func (plan *witnessPlan) spareAt(address string) (int, bool) {
-	for position, spare := range plan.spares {
+func (w *witnessPlan) spareAt(address string) (int, bool) {
+	for position, spare := range w.spares {
 		if spare.Address == address {
 			return position, true
 		}
@@ -67,26 +67,26 @@
 }
 
 // bestSpare is the first one of the district with the fewest keepers.
-func (plan *witnessPlan) bestSpare() (int, bool) {
+func (w *witnessPlan) bestSpare() (int, bool) {
 	best, found := 0, false
-	for position, spare := range plan.spares {
-		if !found || plan.inZone(spare.Zone) < plan.inZone(plan.spares[best].Zone) {
+	for position, spare := range w.spares {
+		if !found || w.inZone(spare.Zone) < w.inZone(w.spares[best].Zone) {
 			best, found = position, true
 		}
 	}
 	return best, found
 }
 
-func (plan *witnessPlan) take(position int) Replica {
-	taken := plan.spares[position]
-	plan.spares = append(plan.spares[:position:position], plan.spares[position+1:]...)
+func (w *witnessPlan) take(position int) Replica {
+	taken := w.spares[position]
+	w.spares = append(w.spares[:position:position], w.spares[position+1:]...)
 	return taken
 }
 
 // inZone counts the keepers of a district that are not gone.
-func (plan *witnessPlan) inZone(zone string) int {
+func (w *witnessPlan) inZone(zone string) int {
 	count := 0
-	for _, witness := range plan.keepers {
+	for _, witness := range w.keepers {
 		if witness.seat.Zone == zone && !witness.gone {
 			count++
 		}
--- a/internal/scheduler/account.go
+++ b/internal/scheduler/account.go
@@ -64,40 +64,40 @@
 func newAccount() *account { return &account{} }
 
 // queue adds reading to what runs have the server read.
-func (account *account) queue(now time.Time, reading time.Duration) {
+func (a *account) queue(now time.Time, reading time.Duration) {
 	for {
-		known := account.readUntil.Load()
+		known := a.readUntil.Load()
 		next := max(known, now.UnixNano()) + int64(reading)
-		if account.readUntil.CompareAndSwap(known, next) {
+		if a.readUntil.CompareAndSwap(known, next) {
 			return
 		}
 	}
 }
 
 // queued is how long the server still reads for this courier's runs.
-func (account *account) queued(now time.Time) time.Duration {
-	return max(0, time.Duration(account.readUntil.Load()-now.UnixNano()))
+func (a *account) queued(now time.Time) time.Duration {
+	return max(0, time.Duration(a.readUntil.Load()-now.UnixNano()))
 }
 
 // coolUntil notes that the server is cold up to a time.
-func (account *account) coolUntil(until time.Time) {
+func (a *account) coolUntil(until time.Time) {
 	for {
-		known := account.coldUntil.Load()
-		if known >= until.UnixNano() || account.coldUntil.CompareAndSwap(known, until.UnixNano()) {
+		known := a.coldUntil.Load()
+		if known >= until.UnixNano() || a.coldUntil.CompareAndSwap(known, until.UnixNano()) {
 			return
 		}
 	}
 }
 
 // hear takes a report.
-func (account *account) hear(now time.Time, load Load) {
+func (a *account) hear(now time.Time, load Load) {
 	at := now.Add(-load.Age)
-	account.report.Store(&reported{load: load, at: at})
-	earlier := account.heard.Load()
+	a.report.Store(&reported{load: load, at: at})
+	earlier := a.heard.Load()
 	if earlier != nil && at.Before(earlier.at) {
 		return
 	}
-	own := float64(account.reading.Load() + account.running.Load())
+	own := float64(a.reading.Load() + a.running.Load())
 	next := &heard{load: load, at: at, others: max(0, float64(load.Running+load.Waiting)-own), waiting: float64(load.Waiting)}
 	if earlier != nil {
 		// One report is a moment; what counts is about how much there is.
@@ -106,14 +106,14 @@
 			next.load.MemoryTotal = earlier.load.MemoryTotal
 		}
 	}
-	account.heard.Store(next)
+	a.heard.Store(next)
 }
 
 // answered takes what an answer said of the server's load.
 //
 // The call itself was among those that ran when the answer was made.
-func (account *account) answered(at time.Time, load AnswerLoad) {
-	earlier := account.heard.Load()
+func (a *account) answered(at time.Time, load AnswerLoad) {
+	earlier := a.heard.Load()
 	if earlier != nil && at.Before(earlier.at) {
 		return
 	}
@@ -122,13 +122,13 @@
 		next.load = earlier.load
 	}
 	next.load.Running, next.load.Waiting = load.Running, load.Waiting
-	own := float64(account.reading.Load() + account.running.Load() + 1)
+	own := float64(a.reading.Load() + a.running.Load() + 1)
 	next.others = max(0, float64(load.Running+load.Waiting)-own)
 	if earlier != nil {
 		next.others = smooth(earlier.others, next.others)
 	}
 	next.waiting = float64(load.Waiting)
-	account.heard.Store(next)
+	a.heard.Store(next)
 }
 
 const smoothing = 0.5
@@ -136,8 +136,8 @@
 func smooth(old, latest float64) float64 { return old + smoothing*(latest-old) }
 
 // others are the calls there that are not this courier's own, as far as is known.
-func (account *account) others() float64 {
-	if heard := account.heard.Load(); heard != nil {
+func (a *account) others() float64 {
+	if heard := a.heard.Load(); heard != nil {
 		return heard.others
 	}
 	return 0
--- a/internal/scheduler/arrive.go
+++ b/internal/scheduler/arrive.go
@@ -8,12 +8,12 @@
 )
 
 // Arrive lets a call in, or refuses it; then there is no ticket.
-func (window *Window) Arrive(now time.Time, call *Call) (*Ticket, Decision) {
+func (w *Window) Arrive(now time.Time, call *Call) (*Ticket, Decision) {
 	left := call.Ends.Sub(now)
-	if window.draining.Load() {
+	if w.draining.Load() {
 		return nil, refusal(Leaving, soon, left)
 	}
-	program := window.program.Load()
+	program := w.program.Load()
 	if program == nil {
 		return nil, refusal(NotReady, unready, left)
 	}
@@ -32,12 +32,12 @@
 	if !now.Before(ends) {
 		return nil, Decision{Kind: Refuse, Cause: Late}
 	}
-	if len(window.board.Load().all) == 0 {
+	if len(w.board.Load().all) == 0 {
 		return nil, refusal(NotReady, unready, ends.Sub(now))
 	}
 	ticket := &Ticket{call: call, routeRule: routeRule, service: service, mark: nameKey(call.ID), arrived: now, ends: ends}
-	window.inFlight.Add(1)
-	decision := window.begin(now, ticket, window.weighing(now, ticket), true)
+	w.inFlight.Add(1)
+	decision := w.begin(now, ticket, w.weighing(now, ticket), true)
 	if decision.Kind == Refuse {
 		return nil, decision
 	}
@@ -45,7 +45,7 @@
 }
 
 // begin finds a call's first dispatch, or refuses it. It may ask for counts first.
-func (window *Window) begin(now time.Time, ticket *Ticket, choice *choice, mayAsk bool) Decision {
+func (w *Window) begin(now time.Time, ticket *Ticket, choice *choice, mayAsk bool) Decision {
 	if mayAsk {
 		kind, best, found := choice.cheapest(true)
 		if questions := choice.questions(kind, best); found && len(questions) > 0 {
@@ -56,19 +56,19 @@
 	if !found || choice.late(way) {
 		full := refusal(Full, choice.relief(way, found), ticket.ends.Sub(now))
 		full.Reason = NoPlace
-		return window.finish(now, ticket, full)
+		return w.finish(now, ticket, full)
 	}
-	choice.serviceState.retries.first(now, window.options.FurtherTries)
+	choice.serviceState.retries.first(now, w.options.FurtherTries)
 	return choice.send(kind, way)
 }
 
 // late tells that a call would not begin in time, and that this is for want of places:
 // while half of them are free nothing is refused.
-func (choice *choice) late(offer offer) bool {
-	if span(offer.time) <= choice.ticket.ends.Sub(choice.now) {
+func (c *choice) late(offer offer) bool {
+	if span(offer.time) <= c.ticket.ends.Sub(c.now) {
 		return false
 	}
-	return choice.free < freeEnough || choice.busy(offer.backend) >= freeEnough*choice.slots(offer.backend)
+	return c.free < freeEnough || c.busy(offer.backend) >= freeEnough*c.slots(offer.backend)
 }
 
 // The measures of refusals. The values are ours.
@@ -92,12 +92,12 @@
 }
 
 // relief is when a place is expected.
-func (choice *choice) relief(best offer, found bool) time.Duration {
-	after := milliseconds(choice.serviceState.runs.mean()) / 2
+func (c *choice) relief(best offer, found bool) time.Duration {
+	after := milliseconds(c.serviceState.runs.mean()) / 2
 	if found {
 		after = best.time / 2
-	} else if choice.soonest < after {
-		after = choice.soonest
+	} else if c.soonest < after {
+		after = c.soonest
 	}
 	return min(max(span(after), shortestRelief), longestRelief)
 }
--- a/internal/scheduler/backend.go
+++ b/internal/scheduler/backend.go
@@ -25,38 +25,38 @@
 )
 
 // part is what the server does now, by the latest word of it.
-func (backend *backend) part() string {
-	if heard := backend.heard.Load(); heard != nil && heard.load.Part != "" {
+func (b *backend) part() string {
+	if heard := b.heard.Load(); heard != nil && heard.load.Part != "" {
 		return heard.load.Part
 	}
-	return backend.server.Part
+	return b.server.Part
 }
 
 // changing tells that the server changes its part and begins nothing.
-func (backend *backend) changing() bool {
-	heard := backend.heard.Load()
+func (b *backend) changing() bool {
+	heard := b.heard.Load()
 	return heard != nil && heard.load.Changing
 }
 
 // expectedToChange tells that the server was ordered to take another part and may begin nothing,
 // though no report shows it yet.
-func (backend *backend) expectedToChange(now time.Time) bool {
-	due := backend.due.Load()
-	return due != nil && now.UnixNano() < backend.dueUntil.Load() && *due != backend.part()
+func (b *backend) expectedToChange(now time.Time) bool {
+	due := b.due.Load()
+	return due != nil && now.UnixNano() < b.dueUntil.Load() && *due != b.part()
 }
 
-func (backend *backend) reads() bool  { return backend.part() == prefill }
-func (backend *backend) runs() bool   { return backend.part() != prefill }
-func (backend *backend) splits() bool { return backend.part() == decode }
+func (b *backend) reads() bool  { return b.part() == prefill }
+func (b *backend) runs() bool   { return b.part() != prefill }
+func (b *backend) splits() bool { return b.part() == decode }
 
 // has tells whether the server has the weights.
-func (backend *backend) has(model string) bool {
-	return model == "" || len(backend.server.Models) == 0 || slices.Contains(backend.server.Models, model)
+func (b *backend) has(model string) bool {
+	return model == "" || len(b.server.Models) == 0 || slices.Contains(b.server.Models, model)
 }
 
 // silent tells whether the server reports no more while others do.
-func (backend *backend) silent(latest int64) bool {
-	heard := backend.heard.Load()
+func (b *backend) silent(latest int64) bool {
+	heard := b.heard.Load()
 	return heard != nil && latest-heard.at.UnixNano() > int64(silence)
 }
 
@@ -65,4 +65,4 @@
 const silence = 1200 * time.Millisecond
 
 // cold tells whether the server is still cold.
-func (backend *backend) cold(now time.Time) bool { return now.UnixNano() < backend.coldUntil.Load() }
+func (b *backend) cold(now time.Time) bool { return now.UnixNano() < b.coldUntil.Load() }
--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlogs.go
@@ -33,55 +33,55 @@
 	changes map[string][]backlog.Change
 }
 
-func (outbox *outbox) add(group string, change backlog.Change) {
+func (o *outbox) add(group string, change backlog.Change) {
 	if group == "" || change.Tokens == 0 {
 		return
 	}
-	outbox.mutex.Lock()
-	defer outbox.mutex.Unlock()
-	if outbox.changes == nil {
-		outbox.changes = map[string][]backlog.Change{}
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	if o.changes == nil {
+		o.changes = map[string][]backlog.Change{}
 	}
-	outbox.changes[group] = append(outbox.changes[group], change)
+	o.changes[group] = append(o.changes[group], change)
 }
 
-func (outbox *outbox) take(group string) []backlog.Change {
-	outbox.mutex.Lock()
-	defer outbox.mutex.Unlock()
-	changes := outbox.changes[group]
-	delete(outbox.changes, group)
+func (o *outbox) take(group string) []backlog.Change {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	changes := o.changes[group]
+	delete(o.changes, group)
 	return changes
 }
 
 // SetAsks has the window ask for counts before reads: its conduct then answers decisions
 // of the kind Ask with Told, and brings TakeChanges to the keepers.
-func (window *Window) SetAsks(asks bool) { window.asks.Store(asks) }
+func (w *Window) SetAsks(asks bool) { w.asks.Store(asks) }
 
 // TakeChanges are the changes that the keepers have not been told of, by group.
-func (window *Window) TakeChanges() map[string][]backlog.Change {
-	window.outbox.mutex.Lock()
-	defer window.outbox.mutex.Unlock()
-	changes := window.outbox.changes
-	window.outbox.changes = nil
+func (w *Window) TakeChanges() map[string][]backlog.Change {
+	w.outbox.mutex.Lock()
+	defer w.outbox.mutex.Unlock()
+	changes := w.outbox.changes
+	w.outbox.changes = nil
 	return changes
 }
 
 // HasChanges tells whether keepers are to be told of changes.
-func (window *Window) HasChanges() bool {
-	window.outbox.mutex.Lock()
-	defer window.outbox.mutex.Unlock()
-	return len(window.outbox.changes) > 0
+func (w *Window) HasChanges() bool {
+	w.outbox.mutex.Lock()
+	defer w.outbox.mutex.Unlock()
+	return len(w.outbox.changes) > 0
 }
 
 // questions are what to ask before a call is read, the group of the server that would be
 // chosen without an answer first; none if the answers would change nothing.
-func (choice *choice) questions(kind DecisionKind, best offer) []backlog.Question {
-	if kind != Read || !choice.window.asks.Load() {
+func (c *choice) questions(kind DecisionKind, best offer) []backlog.Question {
+	if kind != Read || !c.window.asks.Load() {
 		return nil
 	}
-	ticket, window := choice.ticket, choice.window
+	ticket, window := c.ticket, c.window
 	var questions []backlog.Question
-	for _, backend := range []*backend{best.backend, choice.home, choice.nextHome} {
+	for _, backend := range []*backend{best.backend, c.home, c.nextHome} {
 		if backend == nil || backend.group == "" || asksFor(questions, backend.group) {
 			continue
 		}
@@ -106,11 +106,11 @@
 
 // Told takes the keepers' answers to a decision of the kind Ask, by group, and tells what
 // is next. A keeper that did not answer is left out.
-func (window *Window) Told(now time.Time, ticket *Ticket, answers map[string]backlog.Answer) Decision {
+func (w *Window) Told(now time.Time, ticket *Ticket, answers map[string]backlog.Answer) Decision {
 	if ticket.ended || ticket.dispatch.backend != nil {
 		return Decision{Kind: Done}
 	}
-	for _, backend := range window.board.Load().of(ticket.service.Name) {
+	for _, backend := range w.board.Load().of(ticket.service.Name) {
 		answer, found := answers[backend.group]
 		if !found {
 			continue
@@ -123,20 +123,20 @@
 		}
 		backend.told.Store(&count)
 	}
-	return window.begin(now, ticket, window.weighing(now, ticket), false)
+	return w.begin(now, ticket, w.weighing(now, ticket), false)
 }
 
 // ahead is how many tokens a server is believed to read before a call's prompt.
-func (choice *choice) ahead(backend *backend) float64 {
-	if told := backend.told.Load(); told != nil && choice.now.Sub(told.at) <= freshCount {
+func (c *choice) ahead(backend *backend) float64 {
+	if told := backend.told.Load(); told != nil && c.now.Sub(told.at) <= freshCount {
 		return float64(told.tokens)
 	}
 	return float64(backend.readingTokens.Load()) + backend.others()*othersRead
 }
 
 // book has the keeper of the server's count know that a call is read there.
-func (choice *choice) book(backend *backend, tokens int) {
-	ticket := choice.ticket
+func (c *choice) book(backend *backend, tokens int) {
+	ticket := c.ticket
 	if told := backend.told.Load(); told != nil {
 		after := *told
 		after.tokens += tokens
@@ -145,21 +145,21 @@
 	if booked := ticket.booked; booked != nil && booked.backend.account == backend.account && booked.tokens == tokens {
 		return
 	}
-	choice.window.unbook(ticket)
-	if choice.window.asks.Load() {
+	c.window.unbook(ticket)
+	if c.window.asks.Load() {
 		ticket.booked = &booking{backend: backend, tokens: tokens}
-		choice.window.outbox.add(backend.group, backlog.Change{Server: backend.server.Name, Tokens: tokens})
+		c.window.outbox.add(backend.group, backlog.Change{Server: backend.server.Name, Tokens: tokens})
 	}
 }
 
 // unbook has the keeper know that what was booked for the call is read, or is not sent.
-func (window *Window) unbook(ticket *Ticket) {
+func (w *Window) unbook(ticket *Ticket) {
 	booked := ticket.booked
 	if booked == nil {
 		return
 	}
 	ticket.booked = nil
-	window.outbox.add(booked.backend.group, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
+	w.outbox.add(booked.backend.group, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
 }
 
 // groupSize is how many servers a group has at most before there are twice as many groups:
@@ -176,13 +176,13 @@
 }
 
 // nameGroups names the group of each server.
-func (board *board) nameGroups() {
+func (b *board) nameGroups() {
 	type pool struct{ service, zone string }
 	sizes := map[pool]int{}
-	for _, backend := range board.all {
+	for _, backend := range b.all {
 		sizes[pool{backend.server.Service, backend.server.Zone}]++
 	}
-	for _, backend := range board.all {
+	for _, backend := range b.all {
 		backend.group = groupOf(backend, sizes[pool{backend.server.Service, backend.server.Zone}])
 	}
 }
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -16,16 +16,16 @@
 	mostBegin  = 500.0
 )
 
-func (begin *begin) milliseconds() float64 {
-	if bits := begin.bits.Load(); bits != 0 {
+func (b *begin) milliseconds() float64 {
+	if bits := b.bits.Load(); bits != 0 {
 		return math.Float64frombits(bits)
 	}
 	return firstBegin
 }
 
-func (begin *begin) note(milliseconds float64) {
+func (b *begin) note(milliseconds float64) {
 	for {
-		bits := begin.bits.Load()
+		bits := b.bits.Load()
 		known := firstBegin
 		if bits != 0 {
 			known = math.Float64frombits(bits)
@@ -34,7 +34,7 @@
 		if milliseconds > known {
 			next = known + beginStep
 		}
-		if begin.bits.CompareAndSwap(bits, math.Float64bits(min(max(next, beginStep), mostBegin))) {
+		if b.bits.CompareAndSwap(bits, math.Float64bits(min(max(next, beginStep), mostBegin))) {
 			return
 		}
 	}
--- a/internal/scheduler/board.go
+++ b/internal/scheduler/board.go
@@ -24,9 +24,9 @@
 }
 
 // next is the board of a new list; servers that stay keep their accounts.
-func (old *board) next(now time.Time, servers []membership.Server) *board {
+func (b *board) next(now time.Time, servers []membership.Server) *board {
 	next := newBoard()
-	next.router = old.router
+	next.router = b.router
 	sorted := append([]membership.Server(nil), servers...)
 	sort.Slice(sorted, func(left, right int) bool { return sorted[left].Name < sorted[right].Name })
 	var everywhere []*backend
@@ -40,13 +40,13 @@
 			next.places[server.Zone] = place
 		}
 		listed := &backend{server: server, key: nameKey(server.Name), place: place}
-		if earlier, found := old.byName[server.Name]; found && earlier.server.Address == server.Address {
+		if earlier, found := b.byName[server.Name]; found && earlier.server.Address == server.Address {
 			listed.account = earlier.account
 		} else {
 			listed.account = newAccount()
 		}
 		if server.Warming > 0 {
-			listed.coolUntil(now.Add(server.Warming + old.warmth(listed.key)))
+			listed.coolUntil(now.Add(server.Warming + b.warmth(listed.key)))
 		}
 		next.byName[server.Name] = listed
 		next.divided = next.divided || server.Part != ""
@@ -68,11 +68,11 @@
 }
 
 // of lists the servers of a service.
-func (board *board) of(service string) []*backend {
-	if listed, found := board.byService[service]; found {
+func (b *board) of(service string) []*backend {
+	if listed, found := b.byService[service]; found {
 		return listed
 	}
-	return board.byService[""]
+	return b.byService[""]
 }
 
 // A server that is warm again by the list is still taken for cold: for warmMargin since
@@ -83,14 +83,14 @@
 	warmSpread = 900 * time.Millisecond
 )
 
-func (board *board) warmth(server uint64) time.Duration {
-	return warmMargin + time.Duration(weigh(board.router, server)%uint64(warmSpread))
+func (b *board) warmth(server uint64) time.Duration {
+	return warmMargin + time.Duration(weigh(b.router, server)%uint64(warmSpread))
 }
 
 // pressed is how many readers of a service had a call when they last reported, and how
 // many calls the runners had.
-func (board *board) pressed(now time.Time, service string) (busy, running float64) {
-	for _, backend := range board.byService[service] {
+func (b *board) pressed(now time.Time, service string) (busy, running float64) {
+	for _, backend := range b.byService[service] {
 		report := backend.report.Load()
 		if report == nil || now.Sub(report.at) > pressureSpan {
 			continue
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -14,10 +14,10 @@
 
 // most is how many fall into any span of the length, and how many of the others fall
 // into the same.
-func (arrivals arrivals) most(length time.Duration, others arrivals) (most int, beside int) {
+func (a arrivals) most(length time.Duration, others arrivals) (most int, beside int) {
 	first, otherFirst, otherLast := 0, 0, 0
-	for last, at := range arrivals {
-		for at.Sub(arrivals[first]) >= length {
+	for last, at := range a {
+		for at.Sub(a[first]) >= length {
 			first++
 		}
 		for otherLast < len(others) && !others[otherLast].After(at) {
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -59,16 +59,16 @@
 	othersRead = 1500.0
 )
 
-func (window *Window) weighing(now time.Time, ticket *Ticket) *choice {
-	program := window.program.Load()
-	window.cool(now)
+func (w *Window) weighing(now time.Time, ticket *Ticket) *choice {
+	program := w.program.Load()
+	w.cool(now)
 	service := ticket.service
 	if current, found := program.services[service.Name]; found {
 		service = current
 	}
-	serviceState := window.serviceState(service.Name)
-	choice := &choice{window: window, costs: window.costs, program: program, now: now, ticket: ticket, service: service, serviceState: serviceState,
-		backends: window.board.Load().of(service.Name), routerCount: window.routerCount(),
+	serviceState := w.serviceState(service.Name)
+	choice := &choice{window: w, costs: w.costs, program: program, now: now, ticket: ticket, service: service, serviceState: serviceState,
+		backends: w.board.Load().of(service.Name), routerCount: w.routerCount(),
 		chain: ticket.call.chain(), shared: ticket.call.shared(), pace: serviceState.pace.tokens(), soonest: math.Inf(1)}
 	choice.begin = serviceState.begin.milliseconds()
 	choice.crowd()
@@ -76,37 +76,37 @@
 }
 
 // crowd weighs what runners are given to read by all couriers, as this one does it.
-func (choice *choice) crowd() {
-	tokens, lapsing := choice.serviceState.pressure.directly(choice.now)
-	choice.lapsing = lapsing
+func (c *choice) crowd() {
+	tokens, lapsing := c.serviceState.pressure.directly(c.now)
+	c.lapsing = lapsing
 	runners := 0
-	for _, backend := range choice.backends {
+	for _, backend := range c.backends {
 		if backend.splits() {
 			runners++
 		}
 	}
-	used := tokens * float64(choice.routerCount) / float64(max(runners, 1)) / (choice.pace * 1000 / 2)
-	choice.held = 1 / (1 - min(used, mostHeld))
+	used := tokens * float64(c.routerCount) / float64(max(runners, 1)) / (c.pace * 1000 / 2)
+	c.held = 1 / (1 - min(used, mostHeld))
 }
 
 // mostHeld is the part of its time that a runner is at most taken to read.
 const mostHeld = 0.8
 
 // open tells whether work of the call may be sent to a server at all.
-func (choice *choice) open(backend *backend) bool {
-	return !choice.ticket.avoids(backend) && !backend.server.Leaving && !backend.changing() && !backend.expectedToChange(choice.now) && !choice.program.evacuations[backend.server.Zone] &&
-		choice.ticket.routeRule.allows(backend.server.Zone) && backend.has(choice.ticket.call.Model)
+func (c *choice) open(backend *backend) bool {
+	return !c.ticket.avoids(backend) && !backend.server.Leaving && !backend.changing() && !backend.expectedToChange(c.now) && !c.program.evacuations[backend.server.Zone] &&
+		c.ticket.routeRule.allows(backend.server.Zone) && backend.has(c.ticket.call.Model)
 }
 
 // now there are room and leave for one more call at a server: cold ones take few.
-func (choice *choice) admits(backend *backend, tokens int) bool {
-	if total := choice.memory(backend); total > 0 && tokens > total {
+func (c *choice) admits(backend *backend, tokens int) bool {
+	if total := c.memory(backend); total > 0 && tokens > total {
 		return false
 	}
-	if backend.cold(choice.now) {
-		rate, takes := choice.coldRate(backend)
-		if !takes || choice.warmOnly || !backend.rateLimit.ready(choice.now, rate) {
-			choice.soonest = min(choice.soonest, 1000/max(rate, 0.5))
+	if backend.cold(c.now) {
+		rate, takes := c.coldRate(backend)
+		if !takes || c.warmOnly || !backend.rateLimit.ready(c.now, rate) {
+			c.soonest = min(c.soonest, 1000/max(rate, 0.5))
 			return false
 		}
 	}
@@ -115,15 +115,15 @@
 
 // coldRate is this courier's part of what a cold server stands. Of many couriers only
 // some send to the same one.
-func (choice *choice) coldRate(backend *backend) (rate float64, takes bool) {
-	perSecond := choice.service.Warming.PerSecond
+func (c *choice) coldRate(backend *backend) (rate float64, takes bool) {
+	perSecond := c.service.Warming.PerSecond
 	if perSecond <= 0 {
 		return 1, true
 	}
-	if choice.routerCount <= fewRouters {
-		return perSecond * coldUsed / float64(choice.routerCount), true
+	if c.routerCount <= fewRouters {
+		return perSecond * coldUsed / float64(c.routerCount), true
 	}
-	own := weigh(nameKey(choice.window.options.Router), backend.key) % uint64(choice.routerCount)
+	own := weigh(nameKey(c.window.options.Router), backend.key) % uint64(c.routerCount)
 	return perSecond * coldUsed / fewRouters, own < chosenRouters
 }
 
@@ -134,16 +134,16 @@
 )
 
 // memory is how many tokens a server holds; zero if nobody said.
-func (choice *choice) memory(backend *backend) int {
+func (c *choice) memory(backend *backend) int {
 	if heard := backend.heard.Load(); heard != nil && heard.load.MemoryTotal > 0 {
 		return heard.load.MemoryTotal
 	}
-	return choice.service.Engine.MemoryTokens
+	return c.service.Engine.MemoryTokens
 }
 
 // tight is how long a call of so many tokens waits for memory.
-func (choice *choice) tight(backend *backend, tokens int) float64 {
-	total := choice.memory(backend)
+func (c *choice) tight(backend *backend, tokens int) float64 {
+	total := c.memory(backend)
 	if total == 0 {
 		return 0
 	}
@@ -154,15 +154,15 @@
 	if float64(used+tokens) <= memoryUsed*float64(total) {
 		return 0
 	}
-	return milliseconds(choice.serviceState.runs.mean())
+	return milliseconds(c.serviceState.runs.mean())
 }
 
-func (choice *choice) slots(backend *backend) float64 {
+func (c *choice) slots(backend *backend) float64 {
 	switch {
 	case backend.server.Slots > 0:
 		return float64(backend.server.Slots)
-	case choice.service.Engine.Slots > 0:
-		return float64(choice.service.Engine.Slots)
+	case c.service.Engine.Slots > 0:
+		return float64(c.service.Engine.Slots)
 	}
 	return unknownSlots
 }
@@ -170,56 +170,56 @@
 const unknownSlots = 16
 
 // busy is how many calls a server has.
-func (choice *choice) busy(backend *backend) float64 {
+func (c *choice) busy(backend *backend) float64 {
 	return backend.others() + float64(backend.running.Load()+backend.reading.Load())
 }
 
 // queue is how long a call waits for a place, from how many calls there are.
-func (choice *choice) queue(backend *backend, busy float64) float64 {
-	slots := choice.slots(backend)
+func (c *choice) queue(backend *backend, busy float64) float64 {
+	slots := c.slots(backend)
 	if busy < slots {
 		return 0
 	}
-	return (busy - slots + 1) / slots * milliseconds(choice.serviceState.runs.mean())
+	return (busy - slots + 1) / slots * milliseconds(c.serviceState.runs.mean())
 }
 
 // burdens are costs that any work at a server has.
-func (choice *choice) burdens(backend *backend) float64 {
+func (c *choice) burdens(backend *backend) float64 {
 	cost := 0.0
-	if backend.server.Zone != choice.window.options.Zone {
-		cost += choice.costs.crossingKilobyte * float64(choice.ticket.call.Bytes) / 1024
+	if backend.server.Zone != c.window.options.Zone {
+		cost += c.costs.crossingKilobyte * float64(c.ticket.call.Bytes) / 1024
 	}
-	if backend.trust.doubted(choice.now, backend.running.Load()+backend.reading.Load()) {
-		cost += choice.costs.distrust
-	} else if backend.outlier(choice.now) {
-		cost += choice.costs.outlier
+	if backend.trust.doubted(c.now, backend.running.Load()+backend.reading.Load()) {
+		cost += c.costs.distrust
+	} else if backend.outlier(c.now) {
+		cost += c.costs.outlier
 	}
-	if backend.cold(choice.now) {
-		cost += choice.costs.cold
+	if backend.cold(c.now) {
+		cost += c.costs.cold
 	}
-	if !backend.idle.available(choice.now) {
-		cost += choice.costs.connection
+	if !backend.idle.available(c.now) {
+		cost += c.costs.connection
 	}
-	cost += min(choice.costs.stuck*choice.stuck(backend), choice.costs.distrust)
-	if backend.silent(choice.window.reported.Load()) {
-		cost += choice.costs.distrust
+	cost += min(c.costs.stuck*c.stuck(backend), c.costs.distrust)
+	if backend.silent(c.window.reported.Load()) {
+		cost += c.costs.distrust
 	}
 	return cost
 }
 
 // stuck is how many milliseconds longer than is usual nothing has come from a server.
-func (choice *choice) stuck(backend *backend) float64 {
-	over := backend.readings.stuck(choice.now) - 2*float64(backend.readingTokens.Load())/choice.pace - usualStuck
-	if choice.window.tells.Load() {
-		over = max(over, backend.begins.stuck(choice.now)-milliseconds(backend.queued(choice.now))-choice.begin-usualStuck)
+func (c *choice) stuck(backend *backend) float64 {
+	over := backend.readings.stuck(c.now) - 2*float64(backend.readingTokens.Load())/c.pace - usualStuck
+	if c.window.tells.Load() {
+		over = max(over, backend.begins.stuck(c.now)-milliseconds(backend.queued(c.now))-c.begin-usualStuck)
 	}
 	return max(over, 0)
 }
 
 // pauseRoom is for how many milliseconds reading may hold up the tokens of others: a
 // part of the shortest pause that a route to the service allows.
-func (choice *choice) pauseRoom() float64 {
-	gap, found := choice.program.gaps[choice.service.Name]
+func (c *choice) pauseRoom() float64 {
+	gap, found := c.program.gaps[c.service.Name]
 	if !found {
 		gap = unsaidGap
 	}
@@ -238,87 +238,87 @@
 
 // spread sets equal servers apart, for each call differently, so that couriers that
 // see the same do not all run to one.
-func (choice *choice) spread(backend *backend) float64 {
-	return float64(weigh(backend.key, choice.ticket.mark)%1024) / 1024 * choice.costs.spread
+func (c *choice) spread(backend *backend) float64 {
+	return float64(weigh(backend.key, c.ticket.mark)%1024) / 1024 * c.costs.spread
 }
 
 // direct weighs a run at a server that reads the prompt itself.
-func (choice *choice) direct(backend *backend) (offer, bool) {
-	if !choice.admits(backend, choice.ticket.tokens()) {
+func (c *choice) direct(backend *backend) (offer, bool) {
+	if !c.admits(backend, c.ticket.tokens()) {
 		return offer{}, false
 	}
-	unread, again := choice.unread(backend)
-	pace := choice.pace / backend.slow.factor(choice.now)
-	busy := choice.busy(backend)
-	cost := choice.burdens(backend) + choice.spread(backend)
-	ahead := milliseconds(backend.queued(choice.now))
+	unread, again := c.unread(backend)
+	pace := c.pace / backend.slow.factor(c.now)
+	busy := c.busy(backend)
+	cost := c.burdens(backend) + c.spread(backend)
+	ahead := milliseconds(backend.queued(c.now))
 	if backend.splits() {
 		pace /= 2
-		held := (ahead + unread/pace) * choice.held / choice.pauseRoom()
-		cost += held * held * choice.costs.pauseHarm * (1 + busy)
+		held := (ahead + unread/pace) * c.held / c.pauseRoom()
+		cost += held * held * c.costs.pauseHarm * (1 + busy)
 	}
-	cost += choice.costs.again * again / 1000
-	time := choice.begin + ahead + unread/pace + choice.queue(backend, busy) + choice.tight(backend, choice.ticket.tokens())
+	cost += c.costs.again * again / 1000
+	time := c.begin + ahead + unread/pace + c.queue(backend, busy) + c.tight(backend, c.ticket.tokens())
 	cost += time
 	return offer{backend: backend, cost: cost, time: time, own: time, unread: int(unread)}, true
 }
 
 // sourced weighs a run with memory that another server read, but for the move.
-func (choice *choice) sourced(backend *backend) (offer, bool) {
-	if !choice.admits(backend, choice.ticket.tokens()) {
+func (c *choice) sourced(backend *backend) (offer, bool) {
+	if !c.admits(backend, c.ticket.tokens()) {
 		return offer{}, false
 	}
-	busy := choice.busy(backend)
-	time := choice.begin + choice.queue(backend, busy) + choice.tight(backend, choice.ticket.tokens())
-	cost := choice.burdens(backend) + choice.spread(backend) + time
-	if backend.takes.failures.Load() >= oftenEnough && backend.takes.doubted(choice.now, 0) {
-		cost += choice.costs.distrust
+	busy := c.busy(backend)
+	time := c.begin + c.queue(backend, busy) + c.tight(backend, c.ticket.tokens())
+	cost := c.burdens(backend) + c.spread(backend) + time
+	if backend.takes.failures.Load() >= oftenEnough && backend.takes.doubted(c.now, 0) {
+		cost += c.costs.distrust
 	}
-	if backend != choice.runnerHome {
-		cost += choice.costs.awayThousand * float64(choice.shared) / 1000
+	if backend != c.runnerHome {
+		cost += c.costs.awayThousand * float64(c.shared) / 1000
 	}
 	return offer{backend: backend, cost: cost, time: time, own: time}, true
 }
 
 // move is what bringing the memory from a reader costs, and how long it takes.
-func (choice *choice) move(reader, runner *backend) (cost, time float64) {
+func (c *choice) move(reader, runner *backend) (cost, time float64) {
 	near := reader != nil && reader.server.Zone == runner.server.Zone
-	thousands := float64(choice.ticket.call.PromptTokens) / 1000
+	thousands := float64(c.ticket.call.PromptTokens) / 1000
 	time = moveSetup + thousands*1000/moveTokens
-	cost = time + thousands*choice.costs.moveThousand
+	cost = time + thousands*c.costs.moveThousand
 	if !near {
 		time *= 2
-		cost = time + thousands*choice.costs.moveThousand*choice.costs.moveFar
+		cost = time + thousands*c.costs.moveThousand*c.costs.moveFar
 	}
-	late := between(choice.now, reader, runner)
+	late := between(c.now, reader, runner)
 	return cost + late, time + late
 }
 
 // read weighs a read at a server.
-func (choice *choice) read(backend *backend) (offer, bool) {
-	call := choice.ticket.call
-	if !choice.admits(backend, call.PromptTokens) {
+func (c *choice) read(backend *backend) (offer, bool) {
+	call := c.ticket.call
+	if !c.admits(backend, call.PromptTokens) {
 		return offer{}, false
 	}
-	unread, again := choice.unread(backend)
-	pace := choice.pace / backend.slow.factor(choice.now)
-	ahead := choice.ahead(backend)
-	time := readsCost + (ahead+unread)/pace + choice.tight(backend, call.PromptTokens)
-	cost := choice.burdens(backend) + choice.spread(backend) + choice.costs.second + choice.risk(backend) + time
-	cost += choice.costs.again * again / 1000
-	if backend.hands.doubted(choice.now, backend.reading.Load()) {
-		cost += choice.costs.distrust
+	unread, again := c.unread(backend)
+	pace := c.pace / backend.slow.factor(c.now)
+	ahead := c.ahead(backend)
+	time := readsCost + (ahead+unread)/pace + c.tight(backend, call.PromptTokens)
+	cost := c.burdens(backend) + c.spread(backend) + c.costs.second + c.risk(backend) + time
+	cost += c.costs.again * again / 1000
+	if backend.hands.doubted(c.now, backend.reading.Load()) {
+		cost += c.costs.distrust
 	}
 	return offer{backend: backend, cost: cost, time: time, own: time, unread: int(unread)}, true
 }
 
 // risk is that of a run that can't get the memory that was read for it: a call with one
 // try is lost then.
-func (choice *choice) risk(reader *backend) float64 {
-	if !choice.lapsing || choice.now.UnixNano()-reader.handed.Load() < int64(handedLately) || choice.ticket.counted+1 < choice.ticket.routeRule.calls.Tries {
+func (c *choice) risk(reader *backend) float64 {
+	if !c.lapsing || c.now.UnixNano()-reader.handed.Load() < int64(handedLately) || c.ticket.counted+1 < c.ticket.routeRule.calls.Tries {
 		return 0
 	}
-	return choice.costs.lastTry
+	return c.costs.lastTry
 }
 
 // handedLately is how long a hand-over makes the next one likely while others fail.
@@ -326,24 +326,24 @@
 
 // homes are the servers that rendezvous names for the call's chain, the same at every
 // courier: two readers, and the runner beside the first of them.
-func (choice *choice) homes() {
+func (c *choice) homes() {
 	var readerWeight, nextWeight, farWeight uint64
 	var runners [mostPlaces]*backend
 	var weights [mostPlaces]uint64
 	var far *backend
-	choice.home, choice.nextHome, choice.runnerHome = nil, nil, nil
-	for _, backend := range choice.backends {
-		if !choice.open(backend) {
+	c.home, c.nextHome, c.runnerHome = nil, nil, nil
+	for _, backend := range c.backends {
+		if !c.open(backend) {
 			continue
 		}
-		weight := weigh(choice.chain, backend.key)
+		weight := weigh(c.chain, backend.key)
 		if backend.reads() {
 			switch {
-			case choice.home == nil || weight > readerWeight:
-				choice.nextHome, nextWeight = choice.home, readerWeight
-				choice.home, readerWeight = backend, weight
-			case choice.nextHome == nil || weight > nextWeight:
-				choice.nextHome, nextWeight = backend, weight
+			case c.home == nil || weight > readerWeight:
+				c.nextHome, nextWeight = c.home, readerWeight
+				c.home, readerWeight = backend, weight
+			case c.nextHome == nil || weight > nextWeight:
+				c.nextHome, nextWeight = backend, weight
 			}
 			continue
 		}
@@ -354,70 +354,70 @@
 			runners[place], weights[place] = backend, weight
 		}
 	}
-	choice.runnerHome = far
-	if choice.home != nil {
-		if near := runners[choice.home.place%mostPlaces]; near != nil {
-			choice.runnerHome = near
+	c.runnerHome = far
+	if c.home != nil {
+		if near := runners[c.home.place%mostPlaces]; near != nil {
+			c.runnerHome = near
 		}
 	}
 }
 
 // belief is how surely a server keeps the call's shared parts by the home rule.
-func (choice *choice) belief(backend *backend) float64 {
+func (c *choice) belief(backend *backend) float64 {
 	switch {
-	case backend == choice.home:
-		return choice.costs.home
-	case backend == choice.nextHome:
-		return choice.costs.next
-	case backend == choice.runnerHome:
-		return choice.costs.runner
+	case backend == c.home:
+		return c.costs.home
+	case backend == c.nextHome:
+		return c.costs.next
+	case backend == c.runnerHome:
+		return c.costs.runner
 	}
 	return 0
 }
 
 // unread is how many of the call's tokens a server would have to read, as far as is
 // believed, and how many of them are shared.
-func (choice *choice) unread(backend *backend) (unread, again float64) {
-	keeps := max(float64(backend.kept.prefix(choice.ticket.call.Parts)), choice.belief(backend)*float64(choice.shared))
-	return max(float64(choice.ticket.call.PromptTokens)-keeps, 1), max(float64(choice.shared)-keeps, 0)
+func (c *choice) unread(backend *backend) (unread, again float64) {
+	keeps := max(float64(backend.kept.prefix(c.ticket.call.Parts)), c.belief(backend)*float64(c.shared))
+	return max(float64(c.ticket.call.PromptTokens)-keeps, 1), max(float64(c.shared)-keeps, 0)
 }
 
 // find is the best way that may be gone now: a call to a cold server is counted before
 // it is sent.
-func (choice *choice) find(way func() (DecisionKind, offer, bool)) (DecisionKind, offer, bool) {
+func (c *choice) find(way func() (DecisionKind, offer, bool)) (DecisionKind, offer, bool) {
 	for {
 		kind, best, found := way()
-		if !found || !best.backend.cold(choice.now) {
+		if !found || !best.backend.cold(c.now) {
 			return kind, best, found
 		}
-		if rate, _ := choice.coldRate(best.backend); best.backend.rateLimit.take(choice.now, rate) {
+		if rate, _ := c.coldRate(best.backend); best.backend.rateLimit.take(c.now, rate) {
 			return kind, best, found
 		}
-		choice.warmOnly = true
+		c.warmOnly = true
 	}
 }
 
 // cheapest finds the way with the lowest cost: a read, or a run. mayRead says whether the
 // call may still be read elsewhere.
-func (choice *choice) cheapest(mayRead bool) (kind DecisionKind, best offer, found bool) {
+func (c *choice) cheapest(mayRead bool) (kind DecisionKind, best offer, found bool) {
 	var near [mostPlaces]offer
 	var farthest offer
 	places, taken := 0.0, 0.0
 	anyRun := false
-	choice.homes()
-	for _, backend := range choice.backends {
-		if !backend.runs() || !choice.open(backend) {
+	c.homes()
+	for _, backend := range c.backends {
+		if !backend.runs() || !c.open(backend) {
 			continue
 		}
-		places += choice.slots(backend)
-		taken += min(choice.busy(backend), choice.slots(backend))
-		if offered, may := choice.direct(backend); may && (!found || offered.cost < best.cost) {
+		places += c.slots(backend)
+		taken += min(c.busy(backend), c.slots(backend))
+		if offered, may := c.direct(backend); may && (!found || offered.cost < best.cost) {
 			kind, best, found = Run, offered, true
 		}
 		if !mayRead {
 			continue
 		}
-		if offered, may := choice.sourced(backend); may {
+		if offered, may := c.sourced(backend); may {
 			if !anyRun || offered.cost < farthest.cost {
 				farthest, anyRun = offered, true
 			}
@@ -427,23 +427,23 @@
 		}
 	}
 	if places > 0 {
-		choice.free = 1 - taken/places
+		c.free = 1 - taken/places
 	}
 	if !mayRead || !anyRun {
 		return kind, best, found
 	}
-	for _, backend := range choice.backends {
-		if !backend.reads() || !choice.open(backend) {
+	for _, backend := range c.backends {
+		if !backend.reads() || !c.open(backend) {
 			continue
 		}
-		offered, may := choice.read(backend)
+		offered, may := c.read(backend)
 		if !may {
 			continue
 		}
-		moveCost, moveTime := choice.move(backend, farthest.backend)
+		moveCost, moveTime := c.move(backend, farthest.backend)
 		cost, time := farthest.cost+moveCost, farthest.time+moveTime
 		if runner := near[backend.place%mostPlaces]; runner.backend != nil && runner.backend.place == backend.place {
-			moveCost, moveTime = choice.move(backend, runner.backend)
+			moveCost, moveTime = c.move(backend, runner.backend)
 			if sum := runner.cost + moveCost; sum < cost {
 				cost, time = sum, runner.time+moveTime
 			}
@@ -461,14 +461,14 @@
 
 // runner finds the server that makes the answer from memory that a reader has, or one
 // that reads the prompt itself because that is much better.
-func (choice *choice) runner(reader *backend) (kind DecisionKind, best offer, found bool) {
-	choice.homes()
-	for _, backend := range choice.backends {
-		if !backend.splits() || !choice.open(backend) {
+func (c *choice) runner(reader *backend) (kind DecisionKind, best offer, found bool) {
+	c.homes()
+	for _, backend := range c.backends {
+		if !backend.splits() || !c.open(backend) {
 			continue
 		}
-		if offered, may := choice.sourced(backend); may {
-			cost, time := choice.move(reader, backend)
+		if offered, may := c.sourced(backend); may {
+			cost, time := c.move(reader, backend)
 			offered.cost += cost
 			offered.time += time
 			offered.own = offered.time
@@ -477,8 +477,8 @@
 				best, found = offered, true
 			}
 		}
-		if offered, may := choice.direct(backend); may {
-			offered.cost += choice.costs.wasted * float64(choice.ticket.call.PromptTokens) / 1000
+		if offered, may := c.direct(backend); may {
+			offered.cost += c.costs.wasted * float64(c.ticket.call.PromptTokens) / 1000
 			if !found || offered.cost < best.cost {
 				best, found = offered, true
 			}
--- a/internal/scheduler/connections.go
+++ b/internal/scheduler/connections.go
@@ -14,38 +14,38 @@
 }
 
 // available tells whether a call would find an idle connection.
-func (connections *connections) available(now time.Time) bool {
-	connections.mutex.Lock()
-	defer connections.mutex.Unlock()
-	return len(connections.idle) > 0 && now.Before(connections.idle[len(connections.idle)-1])
+func (c *connections) available(now time.Time) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return len(c.idle) > 0 && now.Before(c.idle[len(c.idle)-1])
 }
 
 // take uses the connection that was returned last. One that is closed by now is closed
 // with all that were returned before it.
-func (connections *connections) take(now time.Time) {
-	connections.mutex.Lock()
-	defer connections.mutex.Unlock()
-	last := len(connections.idle) - 1
+func (c *connections) take(now time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	last := len(c.idle) - 1
 	switch {
 	case last < 0:
-	case now.Before(connections.idle[last]):
-		connections.idle = connections.idle[:last]
+	case now.Before(c.idle[last]):
+		c.idle = c.idle[:last]
 	default:
-		connections.idle = connections.idle[:0]
+		c.idle = c.idle[:0]
 	}
 }
 
 // give returns a connection that stays open for so long.
-func (connections *connections) give(now time.Time, keeps time.Duration) {
+func (c *connections) give(now time.Time, keeps time.Duration) {
 	if keeps <= 0 {
 		return
 	}
-	connections.mutex.Lock()
-	defer connections.mutex.Unlock()
-	if len(connections.idle) >= mostIdleConnections {
-		connections.idle = append(connections.idle[:0], connections.idle[1:]...)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.idle) >= mostIdleConnections {
+		c.idle = append(c.idle[:0], c.idle[1:]...)
 	}
-	connections.idle = append(connections.idle, now.Add(keeps))
+	c.idle = append(c.idle, now.Add(keeps))
 }
 
 // mostIdleConnections bounds what is remembered of one server.
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -69,7 +69,7 @@
 )
 
 // NeverRan tells whether a refusal promises that the call has not run and never will.
-func (cause Cause) NeverRan() bool { return cause != Broken && cause != BrokenLate }
+func (c Cause) NeverRan() bool { return c != Broken && c != BrokenLate }
 
 // Source names a prompt's memory at the server that read it.
 type Source struct {
--- a/internal/scheduler/delay.go
+++ b/internal/scheduler/delay.go
@@ -22,23 +22,23 @@
 	mostDelay            = 3000.0
 )
 
-func (delay *delay) now(now time.Time) float64 {
-	known := delay.known.Load()
+func (d *delay) now(now time.Time) float64 {
+	known := d.known.Load()
 	if known == nil {
 		return 0
 	}
 	return known.milliseconds * math.Exp2(-float64(max(0, now.Sub(known.at)))/float64(delayHalfIncarnation))
 }
 
-func (delay *delay) note(now time.Time, milliseconds float64) {
+func (d *delay) note(now time.Time, milliseconds float64) {
 	seen := min(max(milliseconds, 0), mostDelay)
 	for {
-		known := delay.known.Load()
+		known := d.known.Load()
 		if known == nil && seen == 0 {
 			return
 		}
-		before := delay.now(now)
-		if delay.known.CompareAndSwap(known, &delayed{milliseconds: before + delaySmooth*(seen-before), at: now}) {
+		before := d.now(now)
+		if d.known.CompareAndSwap(known, &delayed{milliseconds: before + delaySmooth*(seen-before), at: now}) {
 			return
 		}
 	}
