--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -3,12 +3,12 @@
 import "time"
 
 // Ended takes how the call's dispatch ended and tells what is next.
-func (window *Window) Ended(now time.Time, ticket *Ticket, outcome Outcome) Decision {
+func (w *Window) Ended(now time.Time, ticket *Ticket, outcome Outcome) Decision {
 	if ticket.ended || ticket.dispatch.backend == nil {
 		return Decision{Kind: Done}
 	}
 	sent := ticket.dispatch
-	ticket.settle(now, outcome, window)
+	ticket.settle(now, outcome, w)
 	ticket.dispatch = dispatch{}
 	if outcome.Load != nil {
 		at := now
@@ -18,46 +18,46 @@
 		sent.backend.answered(at, *outcome.Load)
 	}
 	if outcome.Warming > 0 {
-		sent.backend.coolUntil(now.Add(outcome.Warming + window.board.Load().warmth(sent.backend.key)))
+		sent.backend.coolUntil(now.Add(outcome.Warming + w.board.Load().warmth(sent.backend.key)))
 	}
 	if outcome.Result == Gone {
 		if sent.source != nil {
 			ticket.spent = append(ticket.spent, *sent.source)
 		}
-		return window.finish(now, ticket, Decision{Kind: Done})
+		return w.finish(now, ticket, Decision{Kind: Done})
 	}
 	if sent.kind == Read {
-		return window.readEnded(now, ticket, sent, outcome)
+		return w.readEnded(now, ticket, sent, outcome)
 	}
-	return window.runEnded(now, ticket, sent, outcome)
+	return w.runEnded(now, ticket, sent, outcome)
 }
 
 // Began tells that the first event of a run's answer came. A courier that tells it
 // notices servers that are stuck before their calls end.
-func (window *Window) Began(now time.Time, ticket *Ticket) {
+func (w *Window) Began(now time.Time, ticket *Ticket) {
 	sent := &ticket.dispatch
 	if sent.backend == nil || sent.kind != Run || sent.began {
 		return
 	}
 	sent.began = true
 	if sent.source != nil {
-		window.keeps(ticket, sent)
+		w.keeps(ticket, sent)
 	}
 	sent.backend.begins.come(now)
-	if !window.tells.Load() {
-		window.tells.Store(true)
+	if !w.tells.Load() {
+		w.tells.Store(true)
 	}
-	window.learnMove(now, ticket, *sent, now)
+	w.learnMove(now, ticket, *sent, now)
 }
 
-func (window *Window) readEnded(now time.Time, ticket *Ticket, sent dispatch, outcome Outcome) Decision {
+func (w *Window) readEnded(now time.Time, ticket *Ticket, sent dispatch, outcome Outcome) Decision {
 	backend := sent.backend
 	switch outcome.Result {
 	case Complete:
-		window.learn(now, ticket, sent, now)
+		w.learn(now, ticket, sent, now)
 		ticket.taken, ticket.reader = true, backend
 		ticket.source = &Source{Address: backend.server.Address, Handle: outcome.Handle}
-		return window.next(now, ticket, lastWord{})
+		return w.next(now, ticket, lastWord{})
 	case Unreached:
 		if sent.counted {
 			ticket.counted--
@@ -67,21 +67,21 @@
 			ticket.counted++
 		}
 	}
-	window.failed(now, backend, outcome.Result)
+	w.failed(now, backend, outcome.Result)
 	ticket.avoided = append(ticket.avoided, backend)
-	return window.next(now, ticket, lastWord{})
+	return w.next(now, ticket, lastWord{})
 }
 
-func (window *Window) runEnded(now time.Time, ticket *Ticket, sent dispatch, outcome Outcome) Decision {
+func (w *Window) runEnded(now time.Time, ticket *Ticket, sent dispatch, outcome Outcome) Decision {
 	backend := sent.backend
 	if outcome.Result != Unreached {
 		ticket.counted++
 	}
 	switch outcome.Result {
 	case Complete:
-		window.learn(now, ticket, sent, outcome.First)
-		window.serviceState(ticket.service.Name).runs.note(now.Sub(sent.sent))
-		return window.finish(now, ticket, Decision{Kind: Done})
+		w.learn(now, ticket, sent, outcome.First)
+		w.serviceState(ticket.service.Name).runs.note(now.Sub(sent.sent))
+		return w.finish(now, ticket, Decision{Kind: Done})
 	case Unreached, Misdirected:
 		ticket.source = sent.source
 	case NotStarted:
@@ -91,41 +91,41 @@
 			// The memory may be gone, or the server be full: it reads the prompt itself.
 			ticket.spent = append(ticket.spent, *sent.source)
 			ticket.direct = true
-			window.serviceState(ticket.service.Name).pressure.lapse(now)
+			w.serviceState(ticket.service.Name).pressure.lapse(now)
 			ticket.reader.hands.fail(now)
 			backend.takes.failOften(now)
-			return window.next(now, ticket, lastWord{})
+			return w.next(now, ticket, lastWord{})
 		}
 	case Answered:
 		ticket.ran = true
 		if outcome.Status < 500 {
-			return window.finish(now, ticket, Decision{Kind: Through})
+			return w.finish(now, ticket, Decision{Kind: Through})
 		}
-		window.failed(now, backend, outcome.Result)
+		w.failed(now, backend, outcome.Result)
 		if !ticket.repeatable() {
-			return window.finish(now, ticket, Decision{Kind: Through})
+			return w.finish(now, ticket, Decision{Kind: Through})
 		}
 		ticket.avoided = append(ticket.avoided, backend)
-		return window.next(now, ticket, lastWord{Kind: Through})
+		return w.next(now, ticket, lastWord{Kind: Through})
 	case Cut:
 		ticket.ran, ticket.begun = true, true
 	default:
 		ticket.ran = true
 	}
-	window.failed(now, backend, outcome.Result)
+	w.failed(now, backend, outcome.Result)
 	ticket.avoided = append(ticket.avoided, backend)
-	return window.next(now, ticket, lastWord{})
+	return w.next(now, ticket, lastWord{})
 }
 
 // lastWord is what there is to give to the origin when nothing more is tried.
 type lastWord struct{ Kind DecisionKind }
 
 // next finds the next dispatch, or ends the call.
-func (window *Window) next(now time.Time, ticket *Ticket, answer lastWord) Decision {
+func (w *Window) next(now time.Time, ticket *Ticket, answer lastWord) Decision {
 	if reason := ticket.exhausted(now); reason != "" {
-		return window.end(now, ticket, answer, soon, reason)
+		return w.end(now, ticket, answer, soon, reason)
 	}
-	choice := window.weighing(now, ticket)
+	choice := w.weighing(now, ticket)
 	var kind DecisionKind
 	var found bool
 	var way offer
@@ -139,13 +139,13 @@
 	}
 	if found && !way.sourced && kind == Run && ticket.counted > 0 && way.cost > choice.dearest() {
 		// There is room for the call as a new one, which may be read elsewhere.
-		return window.end(now, ticket, answer, shortestRelief, TooDear)
+		return w.end(now, ticket, answer, shortestRelief, TooDear)
 	}
 	if !found || ticket.source == nil && choice.late(way) {
-		return window.end(now, ticket, answer, choice.relief(way, found), NoPlace)
+		return w.end(now, ticket, answer, choice.relief(way, found), NoPlace)
 	}
 	if !choice.pay() {
-		return window.end(now, ticket, answer, soon, BudgetUsed)
+		return w.end(now, ticket, answer, soon, BudgetUsed)
 	}
 	decision := choice.send(kind, way)
 	if kind == Read && ticket.taken {
@@ -157,16 +157,16 @@
 
 // pay counts what the call was sent beyond its first try and has not paid for yet, a
 // reserved try first.
-func (choice *choice) pay() bool {
-	ticket, allowance := choice.ticket, choice.window.options.FurtherTries
+func (c *choice) pay() bool {
+	ticket, allowance := c.ticket, c.window.options.FurtherTries
 	owed := ticket.counted - ticket.paid
 	if owed > 0 && ticket.reserved {
-		choice.serviceState.retries.redeem(choice.now, allowance)
+		c.serviceState.retries.redeem(c.now, allowance)
 		ticket.reserved = false
 		ticket.paid++
 		owed--
 	}
-	if !choice.serviceState.retries.spend(choice.now, owed, allowance, choice.routerCount) {
+	if !c.serviceState.retries.spend(c.now, owed, allowance, c.routerCount) {
 		return false
 	}
 	ticket.paid = max(ticket.paid, ticket.counted)
@@ -175,73 +175,73 @@
 
 // dearest is what a further run may cost: more where a stream has begun, which would be
 // broken off.
-func (choice *choice) dearest() float64 {
-	if choice.ticket.begun {
-		return begunWorth * choice.costs.refusal
+func (c *choice) dearest() float64 {
+	if c.ticket.begun {
+		return begunWorth * c.costs.refusal
 	}
-	return choice.costs.refusal
+	return c.costs.refusal
 }
 
 // begunWorth is how much more it costs to break a stream off than to refuse a call.
 const begunWorth = 4
 
 // exhausted tells why the call is tried no more, or nothing if it may be.
-func (ticket *Ticket) exhausted(now time.Time) Reason {
+func (t *Ticket) exhausted(now time.Time) Reason {
 	switch {
-	case ticket.ran && !ticket.repeatable(), ticket.begun && !ticket.routeRule.calls.Resumable:
+	case t.ran && !t.repeatable(), t.begun && !t.routeRule.calls.Resumable:
 		return MayHaveRun
-	case !now.Before(ticket.ends):
+	case !now.Before(t.ends):
 		return TimeUsed
-	case ticket.counted >= max(1, ticket.routeRule.calls.Tries):
+	case t.counted >= max(1, t.routeRule.calls.Tries):
 		return TriesUsed
 	}
 	return ""
 }
 
 // end words the last decision when nothing more is tried.
-func (window *Window) end(now time.Time, ticket *Ticket, answer lastWord, after time.Duration, reason Reason) Decision {
+func (w *Window) end(now time.Time, ticket *Ticket, answer lastWord, after time.Duration, reason Reason) Decision {
 	decision := ticket.last(now, answer, after)
 	decision.Reason = reason
-	return window.finish(now, ticket, decision)
+	return w.finish(now, ticket, decision)
 }
 
 // last is the call's last decision, by what its origin may be told.
-func (ticket *Ticket) last(now time.Time, answer lastWord, after time.Duration) Decision {
-	late := !now.Before(ticket.ends)
+func (t *Ticket) last(now time.Time, answer lastWord, after time.Duration) Decision {
+	late := !now.Before(t.ends)
 	switch {
 	case answer.Kind != "":
 		return Decision{Kind: answer.Kind}
-	case ticket.begun:
+	case t.begun:
 		return Decision{Kind: Break}
-	case ticket.ran && late:
+	case t.ran && late:
 		return Decision{Kind: Refuse, Cause: BrokenLate}
-	case ticket.ran:
+	case t.ran:
 		return Decision{Kind: Refuse, Cause: Broken}
 	case late:
 		return Decision{Kind: Refuse, Cause: Late}
 	}
-	return refusal(Full, after, ticket.ends.Sub(now))
+	return refusal(Full, after, t.ends.Sub(now))
 }
 
 // finish gives back memory that nobody takes and forgets the call.
-func (window *Window) finish(now time.Time, ticket *Ticket, decision Decision) Decision {
+func (w *Window) finish(now time.Time, ticket *Ticket, decision Decision) Decision {
 	if ticket.reserved {
 		ticket.reserved = false
-		window.serviceState(ticket.service.Name).retries.release()
+		w.serviceState(ticket.service.Name).retries.release()
 	}
 	if ticket.source != nil {
 		ticket.spent = append(ticket.spent, *ticket.source)
 		ticket.source = nil
 	}
 	decision.Free, ticket.spent = ticket.spent, nil
-	window.unbook(ticket)
+	w.unbook(ticket)
 	ticket.ended = true
-	window.inFlight.Add(-1)
+	w.inFlight.Add(-1)
 	return decision
 }
 
 // learn takes how long a dispatch took to its answer's beginning.
-func (window *Window) learn(now time.Time, ticket *Ticket, sent dispatch, first time.Time) {
+func (w *Window) learn(now time.Time, ticket *Ticket, sent dispatch, first time.Time) {
 	backend := sent.backend
 	backend.trust.succeed(now)
 	if sent.source != nil && ticket.reader != nil {
@@ -249,8 +249,8 @@
 		ticket.reader.hands.succeed(now)
 		ticket.reader.handed.Store(now.UnixNano())
 		if !sent.began {
-			window.keeps(ticket, &sent)
-			window.learnMove(now, ticket, sent, first)
+			w.keeps(ticket, &sent)
+			w.learnMove(now, ticket, sent, first)
 		}
 	}
 	if first.IsZero() || first.Before(sent.sent) {
@@ -258,10 +258,10 @@
 	}
 	took := first.Sub(sent.sent)
 	if sent.kind == Read {
-		window.serviceState(ticket.service.Name).pace.note(sent.unread, took)
+		w.serviceState(ticket.service.Name).pace.note(sent.unread, took)
 	}
 	if sent.kind == Run {
-		serviceState := window.serviceState(ticket.service.Name)
+		serviceState := w.serviceState(ticket.service.Name)
 		serviceState.begin.note(milliseconds(took-sent.expected) + serviceState.begin.milliseconds())
 	}
 	if sent.expected > 0 {
@@ -274,7 +274,7 @@
 }
 
 // learnMove takes how much longer than usual a run with moved memory took to begin.
-func (window *Window) learnMove(now time.Time, ticket *Ticket, sent dispatch, first time.Time) {
+func (w *Window) learnMove(now time.Time, ticket *Ticket, sent dispatch, first time.Time) {
 	if sent.source == nil || ticket.reader == nil || first.IsZero() {
 		return
 	}
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -48,9 +48,9 @@
 	return history
 }
 
-func (history *history) configure() {
-	history.calls.SetProgram(Compile(plan(func(configuration *config.Configuration) {
-		for zone := range history.evacuees {
+func (h *history) configure() {
+	h.calls.SetProgram(Compile(plan(func(configuration *config.Configuration) {
+		for zone := range h.evacuees {
 			configuration.Evacuations = map[string]config.Evacuation{zone: {}}
 		}
 		configuration.Routes[0].Calls.Tries = 3
@@ -58,64 +58,64 @@
 			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 3}, {Service: "other", Weight: 1}}, Limit: 5 * time.Second, Tries: 3}},
 			config.Route{Name: "again", Match: config.Match{Host: "again.example", PathPrefix: "/"},
 				Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 5 * time.Second, Tries: 2, Repeatable: true}})
-	}), 1, history.number))
-	history.number++
+	}), 1, h.number))
+	h.number++
 }
 
-func (history *history) step(number int) {
-	history.now = history.now.Add(time.Duration(history.random.IntN(30)) * time.Millisecond)
-	switch draw := history.random.IntN(100); {
-	case draw < 35 && len(history.open) < 60:
-		history.arrive(number)
-	case draw < 90 && len(history.open) > 0:
-		position := history.random.IntN(len(history.open))
-		history.end(history.open[position])
+func (h *history) step(number int) {
+	h.now = h.now.Add(time.Duration(h.random.IntN(30)) * time.Millisecond)
+	switch draw := h.random.IntN(100); {
+	case draw < 35 && len(h.open) < 60:
+		h.arrive(number)
+	case draw < 90 && len(h.open) > 0:
+		position := h.random.IntN(len(h.open))
+		h.end(h.open[position])
 	case draw < 93:
-		history.relist()
+		h.relist()
 	case draw < 96:
-		history.report()
+		h.report()
 	case draw < 97:
-		if len(history.evacuees) > 0 {
-			history.evacuees = map[string]bool{}
+		if len(h.evacuees) > 0 {
+			h.evacuees = map[string]bool{}
 		} else {
-			history.evacuees = map[string]bool{[]string{"north", "south", "west"}[history.random.IntN(3)]: true}
+			h.evacuees = map[string]bool{[]string{"north", "south", "west"}[h.random.IntN(3)]: true}
 		}
-		history.configure()
+		h.configure()
 	}
 }
 
-func (history *history) arrive(number int) {
+func (h *history) arrive(number int) {
 	id := fmt.Sprintf("call-%d", number)
 	var call *Call
-	switch history.random.IntN(4) {
+	switch h.random.IntN(4) {
 	case 0:
 		call = chatCall(id)
 	case 1:
-		call = longCall(id, uint64(history.random.IntN(20)))
+		call = longCall(id, uint64(h.random.IntN(20)))
 	default:
-		call = longCall(id, uint64(history.random.IntN(20)))
-		call.Host = []string{"plain.example", "again.example"}[history.random.IntN(2)]
+		call = longCall(id, uint64(h.random.IntN(20)))
+		call.Host = []string{"plain.example", "again.example"}[h.random.IntN(2)]
 	}
-	call.Ends = history.now.Add(time.Duration(100+history.random.IntN(4000)) * time.Millisecond)
-	ticket, decision := history.calls.Arrive(history.now, call)
+	call.Ends = h.now.Add(time.Duration(100+h.random.IntN(4000)) * time.Millisecond)
+	ticket, decision := h.calls.Arrive(h.now, call)
 	followed := &followed{call: call, ticket: ticket, handles: map[string]int{}}
 	if ticket != nil {
 		followed.route = ticket.Route().Calls
-		history.open = append(history.open, followed)
+		h.open = append(h.open, followed)
 	} else if decision.Kind != Refuse {
-		history.test.Fatalf("no ticket with %+v", decision)
+		h.test.Fatalf("no ticket with %+v", decision)
 	}
-	history.judge(followed, decision)
+	h.judge(followed, decision)
 }
 
 // judge checks a decision when it is made.
-func (history *history) judge(followed *followed, decision Decision) {
-	history.log = append(history.log, decision)
+func (h *history) judge(followed *followed, decision Decision) {
+	h.log = append(h.log, decision)
 	followed.decision = decision
 	followed.steps++
 	fail := func(format string, arguments ...any) {
-		history.test.Helper()
-		history.test.Fatalf("%s: %s: %+v", followed.call.ID, fmt.Sprintf(format, arguments...), decision)
+		h.test.Helper()
+		h.test.Fatalf("%s: %s: %+v", followed.call.ID, fmt.Sprintf(format, arguments...), decision)
 	}
 	for _, source := range decision.Free {
 		followed.handles[source.Handle]--
@@ -129,7 +129,7 @@
 	switch decision.Kind {
 	case Read, Run:
 		server := decision.Server
-		if server.Leaving || history.evacuees[server.Zone] || server.Service != followed.ticket.service.Name {
+		if server.Leaving || h.evacuees[server.Zone] || server.Service != followed.ticket.service.Name {
 			fail("a server that is not open to the call")
 		}
 		if (decision.Kind == Read) != (server.Part == prefill) {
@@ -145,7 +145,7 @@
 		if followed.passed && !followed.route.Resumable {
 			fail("a stream that may not go on elsewhere")
 		}
-		if decision.Ends.After(followed.call.Ends) || !history.now.Before(decision.Ends) {
+		if decision.Ends.After(followed.call.Ends) || !h.now.Before(decision.Ends) {
 			fail("the limit")
 		}
 		if decision.Source != nil {
@@ -158,7 +158,7 @@
 		if decision.Cause.NeverRan() == (followed.runs > 0) {
 			fail("a promise after %d runs", followed.runs)
 		}
-		if left := followed.call.Ends.Sub(history.now); left > 0 && decision.RetryAfter > left/3 {
+		if left := followed.call.Ends.Sub(h.now); left > 0 && decision.RetryAfter > left/3 {
 			fail("to come back later than an origin waits")
 		}
 		if followed.passed {
@@ -174,31 +174,31 @@
 			fail("memory %s is left over", handle)
 		}
 	}
-	for position, other := range history.open {
+	for position, other := range h.open {
 		if other == followed {
-			history.open = append(history.open[:position], history.open[position+1:]...)
+			h.open = append(h.open[:position], h.open[position+1:]...)
 			break
 		}
 	}
 }
 
 // end ends a call's dispatch in a random way.
-func (history *history) end(followed *followed) {
+func (h *history) end(followed *followed) {
 	decision := followed.decision
 	outcome := Outcome{Result: Complete}
 	kinds := []Result{Complete, Complete, Complete, Complete, Unreached, NotStarted, Misdirected, Silent, Spoilt, Answered, Cut, Gone}
-	outcome.Result = kinds[history.random.IntN(len(kinds))]
+	outcome.Result = kinds[h.random.IntN(len(kinds))]
 	if decision.Kind == Read && outcome.Result == Cut {
 		outcome.Result = Silent
 	}
-	if history.random.IntN(4) == 0 {
-		outcome.Load = &AnswerLoad{Running: history.random.IntN(70), Waiting: history.random.IntN(3), Slots: 64}
+	if h.random.IntN(4) == 0 {
+		outcome.Load = &AnswerLoad{Running: h.random.IntN(70), Waiting: h.random.IntN(3), Slots: 64}
 	}
-	if history.random.IntN(20) == 0 {
+	if h.random.IntN(20) == 0 {
 		outcome.Warming = time.Second
 	}
 	if outcome.Result == Answered {
-		outcome.Status = []int{400, 500, 504}[history.random.IntN(3)]
+		outcome.Status = []int{400, 500, 504}[h.random.IntN(3)]
 	}
 	if outcome.Result != Unreached && (decision.Kind == Run || outcome.Result != Complete || followed.taken > 0) {
 		followed.arrivals++
@@ -210,7 +210,7 @@
 			followed.handles[outcome.Handle] = 1
 		}
 	} else {
-		outcome.First = history.now
+		outcome.First = h.now
 		switch outcome.Result {
 		case Unreached, NotStarted, Misdirected:
 		case Cut:
@@ -228,19 +228,19 @@
 			}
 		}
 	}
-	next := history.calls.Ended(history.now, followed.ticket, outcome)
+	next := h.calls.Ended(h.now, followed.ticket, outcome)
 	if outcome.Result == Gone || outcome.Result == Complete && decision.Kind == Run {
 		if next.Kind != Done {
-			history.test.Fatalf("%s: %s and then %+v", followed.call.ID, outcome.Result, next)
+			h.test.Fatalf("%s: %s and then %+v", followed.call.ID, outcome.Result, next)
 		}
 	}
-	history.judge(followed, next)
+	h.judge(followed, next)
 }
 
-func (history *history) relist() {
-	next := append([]membership.Server(nil), history.list...)
-	position := history.random.IntN(len(next))
-	switch history.random.IntN(4) {
+func (h *history) relist() {
+	next := append([]membership.Server(nil), h.list...)
+	position := h.random.IntN(len(next))
+	switch h.random.IntN(4) {
 	case 0:
 		next[position].Leaving = true
 	case 1:
@@ -253,32 +253,32 @@
 	if len(next) < 4 {
 		next = servers(9)
 	}
-	history.list = next
-	history.calls.SetServers(history.now, next)
+	h.list = next
+	h.calls.SetServers(h.now, next)
 }
 
-func (history *history) report() {
+func (h *history) report() {
 	var loads []Load
-	for _, server := range history.list {
-		loads = append(loads, Load{Server: server.Name, Part: server.Part, Waiting: history.random.IntN(3), Running: history.random.IntN(66),
-			MemoryUsed: history.random.IntN(300_000), MemoryTotal: 295_740, Age: 300 * time.Millisecond})
+	for _, server := range h.list {
+		loads = append(loads, Load{Server: server.Name, Part: server.Part, Waiting: h.random.IntN(3), Running: h.random.IntN(66),
+			MemoryUsed: h.random.IntN(300_000), MemoryTotal: 295_740, Age: 300 * time.Millisecond})
 	}
-	history.calls.SetLoads(history.now, loads)
+	h.calls.SetLoads(h.now, loads)
 }
 
-func (history *history) play(steps int) {
+func (h *history) play(steps int) {
 	for number := range steps {
-		history.step(number)
+		h.step(number)
 	}
-	for len(history.open) > 0 {
-		history.end(history.open[0])
+	for len(h.open) > 0 {
+		h.end(h.open[0])
 	}
-	if left := history.calls.InFlight(); left != 0 {
-		history.test.Fatalf("%d calls in flight at the end", left)
+	if left := h.calls.InFlight(); left != 0 {
+		h.test.Fatalf("%d calls in flight at the end", left)
 	}
-	for _, backend := range history.calls.board.Load().all {
+	for _, backend := range h.calls.board.Load().all {
 		if backend.reading.Load() != 0 || backend.running.Load() != 0 || backend.readingTokens.Load() != 0 || backend.account.memory.Load() != 0 {
-			history.test.Fatalf("%s keeps work on its account", backend.server.Name)
+			h.test.Fatalf("%s keeps work on its account", backend.server.Name)
 		}
 	}
 }
--- a/internal/scheduler/kept.go
+++ b/internal/scheduler/kept.go
@@ -27,15 +27,15 @@
 
 // prefix counts the tokens of a chain that are believed to be kept, whole parts from
 // its beginning.
-func (kept *kept) prefix(parts []Part) int {
-	if kept.count.Load() == 0 {
+func (k *kept) prefix(parts []Part) int {
+	if k.count.Load() == 0 {
 		return 0
 	}
-	kept.mutex.Lock()
-	defer kept.mutex.Unlock()
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
 	tokens := 0
 	for _, part := range parts {
-		element, found := kept.parts[part.ID]
+		element, found := k.parts[part.ID]
 		if !found || element.Value.(*keptPart).tokens < part.Tokens {
 			break
 		}
@@ -46,14 +46,14 @@
 
 // note counts a prompt as used at the server just now. others is how many couriers
 // send such prompts there: own parts of theirs push out as many as this one's.
-func (kept *kept) note(parts []Part, room, others, most int) {
+func (k *kept) note(parts []Part, room, others, most int) {
 	if len(parts) == 0 {
 		return
 	}
-	kept.mutex.Lock()
-	defer kept.mutex.Unlock()
-	if kept.parts == nil {
-		kept.parts, kept.order = map[uint64]*list.Element{}, list.New()
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	if k.parts == nil {
+		k.parts, k.order = map[uint64]*list.Element{}, list.New()
 	}
 	// The last part gives way first: parts are of use only behind those before.
 	for position := len(parts) - 1; position >= 0; position-- {
@@ -62,41 +62,41 @@
 		if position == len(parts)-1 {
 			weight *= max(1, others)
 		}
-		if element, found := kept.parts[part.ID]; found {
+		if element, found := k.parts[part.ID]; found {
 			known := element.Value.(*keptPart)
-			kept.tokens += weight - known.weight
+			k.tokens += weight - known.weight
 			known.tokens, known.weight = max(known.tokens, part.Tokens), weight
-			kept.order.MoveToFront(element)
+			k.order.MoveToFront(element)
 			continue
 		}
-		kept.parts[part.ID] = kept.order.PushFront(&keptPart{id: part.ID, tokens: part.Tokens, weight: weight})
-		kept.tokens += weight
+		k.parts[part.ID] = k.order.PushFront(&keptPart{id: part.ID, tokens: part.Tokens, weight: weight})
+		k.tokens += weight
 	}
-	for kept.order.Len() > 0 && (kept.tokens > room || kept.order.Len() > most) {
-		oldest := kept.order.Back()
-		gone := kept.order.Remove(oldest).(*keptPart)
-		delete(kept.parts, gone.id)
-		kept.tokens -= gone.weight
+	for k.order.Len() > 0 && (k.tokens > room || k.order.Len() > most) {
+		oldest := k.order.Back()
+		gone := k.order.Remove(oldest).(*keptPart)
+		delete(k.parts, gone.id)
+		k.tokens -= gone.weight
 	}
-	kept.count.Store(int64(kept.order.Len()))
+	k.count.Store(int64(k.order.Len()))
 }
 
 // forget drops the parts of a prompt that was not read after all, behind those that
 // were known before.
-func (kept *kept) forget(parts []Part, known int) {
-	kept.mutex.Lock()
-	defer kept.mutex.Unlock()
-	if kept.order == nil {
+func (k *kept) forget(parts []Part, known int) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	if k.order == nil {
 		// Nothing was ever read there.
 		return
 	}
 	at := 0
 	for _, part := range parts {
 		at += part.Tokens
-		if element, found := kept.parts[part.ID]; found && at > known {
-			kept.tokens -= kept.order.Remove(element).(*keptPart).weight
-			delete(kept.parts, part.ID)
+		if element, found := k.parts[part.ID]; found && at > known {
+			k.tokens -= k.order.Remove(element).(*keptPart).weight
+			delete(k.parts, part.ID)
 		}
 	}
-	kept.count.Store(int64(kept.order.Len()))
+	k.count.Store(int64(k.order.Len()))
 }
--- a/internal/scheduler/meanduration.go
+++ b/internal/scheduler/meanduration.go
@@ -11,22 +11,22 @@
 // firstLasting is the guess before any run ended.
 const firstMean = 500 * time.Millisecond
 
-func (meanDuration *meanDuration) mean() time.Duration {
-	if known := meanDuration.nanoseconds.Load(); known > 0 {
+func (m *meanDuration) mean() time.Duration {
+	if known := m.nanoseconds.Load(); known > 0 {
 		return time.Duration(known)
 	}
 	return firstMean
 }
 
-func (meanDuration *meanDuration) note(took time.Duration) {
+func (m *meanDuration) note(took time.Duration) {
 	for {
-		stored := meanDuration.nanoseconds.Load()
+		stored := m.nanoseconds.Load()
 		known := stored
 		if known <= 0 {
 			known = int64(firstMean)
 		}
 		next := max(known+(int64(took)-known)/32, 1)
-		if meanDuration.nanoseconds.CompareAndSwap(stored, next) {
+		if m.nanoseconds.CompareAndSwap(stored, next) {
 			return
 		}
 	}
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -23,16 +23,16 @@
 // DefaultAllowance is what holds where nobody said otherwise.
 func DefaultAllowance() Allowance { return Allowance{Ratio: 0.2, Slack: 10, Span: 10 * time.Second} }
 
-func (options Options) checked() Options {
+func (o Options) checked() Options {
 	standard := DefaultAllowance()
-	if options.FurtherTries.Ratio <= 0 {
-		options.FurtherTries.Ratio = standard.Ratio
+	if o.FurtherTries.Ratio <= 0 {
+		o.FurtherTries.Ratio = standard.Ratio
 	}
-	if options.FurtherTries.Slack <= 0 {
-		options.FurtherTries.Slack = standard.Slack
+	if o.FurtherTries.Slack <= 0 {
+		o.FurtherTries.Slack = standard.Slack
 	}
-	if options.FurtherTries.Span <= 0 {
-		options.FurtherTries.Span = standard.Span
+	if o.FurtherTries.Span <= 0 {
+		o.FurtherTries.Span = standard.Span
 	}
-	return options
+	return o
 }
--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -28,8 +28,8 @@
 )
 
 // MayHaveRun tells whether the server may have begun the call.
-func (result Result) MayHaveRun() bool {
-	switch result {
+func (r Result) MayHaveRun() bool {
+	switch r {
 	case Unreached, NotStarted, Misdirected:
 		return false
 	}
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -25,41 +25,41 @@
 	servers map[string]bool
 }
 
-func (failures *failures) add(server string) {
-	failures.mutex.Lock()
-	defer failures.mutex.Unlock()
-	if failures.servers == nil {
-		failures.servers = map[string]bool{}
+func (f *failures) add(server string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.servers == nil {
+		f.servers = map[string]bool{}
 	}
-	failures.servers[server] = true
+	f.servers[server] = true
 }
 
 // TakeFailing are the servers that failed calls since it was last asked, in order.
-func (window *Window) TakeFailing() []string {
-	window.failures.mutex.Lock()
-	defer window.failures.mutex.Unlock()
-	if len(window.failures.servers) == 0 {
+func (w *Window) TakeFailing() []string {
+	w.failures.mutex.Lock()
+	defer w.failures.mutex.Unlock()
+	if len(w.failures.servers) == 0 {
 		return nil
 	}
-	servers := make([]string, 0, len(window.failures.servers))
-	for server := range window.failures.servers {
+	servers := make([]string, 0, len(w.failures.servers))
+	for server := range w.failures.servers {
 		servers = append(servers, server)
 	}
-	window.failures.servers = nil
+	w.failures.servers = nil
 	sort.Strings(servers)
 	return servers
 }
 
 // SetOutliers takes the advice that comes of what all routers met.
-func (window *Window) SetOutliers(now time.Time, advice outlier.Advice) {
-	board := window.board.Load()
+func (w *Window) SetOutliers(now time.Time, advice outlier.Advice) {
+	board := w.board.Load()
 	until := now.Add(adviceLasts).UnixNano()
 	avoided := make(map[string]bool, len(advice.Ejected)+len(advice.Trial))
 	for _, name := range advice.Ejected {
 		avoided[name] = true
 	}
 	for _, name := range advice.Trial {
-		if backend, found := board.byName[name]; found && !window.tries(backend) {
+		if backend, found := board.byName[name]; found && !w.tries(backend) {
 			avoided[name] = true
 		}
 	}
@@ -73,20 +73,20 @@
 }
 
 // tries tells whether this router is one of those that use a server on trial.
-func (window *Window) tries(backend *backend) bool {
-	return window.routerCount() <= trialShare || weigh(nameKey(window.options.Router), backend.key)%trialShare == 0
+func (w *Window) tries(backend *backend) bool {
+	return w.routerCount() <= trialShare || weigh(nameKey(w.options.Router), backend.key)%trialShare == 0
 }
 
 // outlier tells whether other routers failed at the server and this one knows no better.
-func (backend *backend) outlier(now time.Time) bool {
-	return now.UnixNano() < backend.outlierUntil.Load() && now.UnixNano()-backend.trust.succeeded.Load() > int64(ownWord)
+func (b *backend) outlier(now time.Time) bool {
+	return now.UnixNano() < b.outlierUntil.Load() && now.UnixNano()-b.trust.succeeded.Load() > int64(ownWord)
 }
 
 // failed notes that a server failed a call. One that turns calls away, or is not the one
 // that was meant, fails nobody else for that.
-func (window *Window) failed(now time.Time, backend *backend, result Result) {
+func (w *Window) failed(now time.Time, backend *backend, result Result) {
 	backend.trust.fail(now)
 	if result != NotStarted && result != Misdirected {
-		window.failures.add(backend.server.Name)
+		w.failures.add(backend.server.Name)
 	}
 }
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -22,8 +22,8 @@
 	tellTokens = 512
 )
 
-func (pace *pace) tokens() float64 {
-	if bits := pace.bits.Load(); bits != 0 {
+func (p *pace) tokens() float64 {
+	if bits := p.bits.Load(); bits != 0 {
 		return math.Float64frombits(bits)
 	}
 	return firstPace
@@ -31,13 +31,13 @@
 
 // note takes one read: each moves the pace a little, so that single ones that waited
 // or met kept parts count for little.
-func (pace *pace) note(unread int, took time.Duration) {
+func (p *pace) note(unread int, took time.Duration) {
 	if unread < tellTokens {
 		return
 	}
 	seen := float64(unread) / max(milliseconds(took)-readsCost, 1)
 	for {
-		bits := pace.bits.Load()
+		bits := p.bits.Load()
 		known := firstPace
 		if bits != 0 {
 			known = math.Float64frombits(bits)
@@ -47,7 +47,7 @@
 			next = known * paceRise
 		}
 		next = min(max(next, leastPace), mostPace)
-		if pace.bits.CompareAndSwap(bits, math.Float64bits(next)) {
+		if p.bits.CompareAndSwap(bits, math.Float64bits(next)) {
 			return
 		}
 	}
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -66,12 +66,12 @@
 func NewPools() *Pools { return &Pools{services: map[string]*pool{}} }
 
 // Divided tells whether the list says of servers what part they have.
-func (window *Window) Divided() bool { return window.board.Load().divided }
+func (w *Window) Divided() bool { return w.board.Load().divided }
 
 // Part is what a listed server does, and whether it changes that now. Listed is false
 // for a server that isn't listed or has no part.
-func (window *Window) Part(server string) (part string, changing, listed bool) {
-	backend, found := window.board.Load().byName[server]
+func (w *Window) Part(server string) (part string, changing, listed bool) {
+	backend, found := w.board.Load().byName[server]
 	if !found || backend.server.Part == "" {
 		return "", false, false
 	}
@@ -79,27 +79,27 @@
 }
 
 // Decide gives the orders that are needed now, by what the window knows of its servers.
-func (pools *Pools) Decide(now time.Time, window *Window) []codec.Order {
-	pools.mutex.Lock()
-	defer pools.mutex.Unlock()
+func (p *Pools) Decide(now time.Time, window *Window) []codec.Order {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	program := window.program.Load()
-	if program == nil || now.Sub(pools.asked) < poolsBeat {
+	if program == nil || now.Sub(p.asked) < poolsBeat {
 		return nil
 	}
-	pools.asked = now
+	p.asked = now
 	var orders []codec.Order
 	for _, name := range program.names {
-		found, known := pools.services[name]
+		found, known := p.services[name]
 		if !known {
 			found = &pool{}
-			pools.services[name] = found
+			p.services[name] = found
 		}
 		orders = append(orders, found.decide(now, window, program, program.services[name])...)
 	}
 	return orders
 }
 
-func (pool *pool) decide(now time.Time, window *Window, program *Program, service *config.Service) []codec.Order {
+func (p *pool) decide(now time.Time, window *Window, program *Program, service *config.Service) []codec.Order {
 	var readers, runners []*backend
 	reported := window.reported.Load()
 	for _, backend := range window.board.Load().byService[service.Name] {
@@ -118,7 +118,7 @@
 		return nil
 	}
 	give := func(from []*backend, part, cause string, count int) []codec.Order {
-		pool.seen, pool.towards, pool.ordered, pool.last = 0, "", now, part
+		p.seen, p.towards, p.ordered, p.last = 0, "", now, part
 		var orders []codec.Order
 		for range count {
 			chosen := lightest(from, readers, part)
@@ -131,7 +131,7 @@
 	}
 	// The floor: one of each, whatever the pressure.
 	switch {
-	case now.Sub(pool.ordered) < poolsRest:
+	case now.Sub(p.ordered) < poolsRest:
 		return nil
 	case len(readers) == 0:
 		return give(runners, prefill, "no server reads prompts", 1)
@@ -145,10 +145,10 @@
 	}
 	all := len(readers) + len(runners)
 	if busy+running > idle {
-		pool.idle = time.Time{}
-	} else if pool.idle.IsZero() {
-		pool.idle = now
-	} else if even := all - keptRunners(all); now.Sub(pool.idle) >= idleSpan && len(readers) < even {
+		p.idle = time.Time{}
+	} else if p.idle.IsZero() {
+		p.idle = now
+	} else if even := all - keptRunners(all); now.Sub(p.idle) >= idleSpan && len(readers) < even {
 		return give(runners, prefill, "the service is idle and too few servers read prompts", even-len(readers))
 	}
 	slots := float64(service.Engine.Slots)
@@ -167,14 +167,14 @@
 	case wanted > len(readers) && busy > readersPressed*float64(len(readers)):
 		part = prefill
 	}
-	if part == "" || part != pool.towards {
-		pool.seen, pool.towards = 0, part
+	if part == "" || part != p.towards {
+		p.seen, p.towards = 0, part
 	}
 	if part == "" {
 		return nil
 	}
-	pool.seen++
-	if pool.seen < poolsTimes || !urgent && pool.last != "" && pool.last != part && now.Sub(pool.ordered) < turnRest {
+	p.seen++
+	if p.seen < poolsTimes || !urgent && p.last != "" && p.last != part && now.Sub(p.ordered) < turnRest {
 		return nil
 	}
 	if part == prefill {
--- a/internal/scheduler/pressure.go
+++ b/internal/scheduler/pressure.go
@@ -30,50 +30,50 @@
 }
 
 // readDirectly counts tokens that a runner is given to read itself.
-func (pressure *pressure) readDirectly(now time.Time, tokens int) {
-	pressure.mutex.Lock()
-	defer pressure.mutex.Unlock()
-	pressure.direct = pressure.direct*faded(now.Sub(pressure.directSent)) + float64(tokens)
-	pressure.directSent = now
+func (p *pressure) readDirectly(now time.Time, tokens int) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.direct = p.direct*faded(now.Sub(p.directSent)) + float64(tokens)
+	p.directSent = now
 }
 
 // directly is how many tokens a second runners are given to read themselves by this
 // courier, and whether a hand-over failed a while ago.
-func (pressure *pressure) directly(now time.Time) (tokens float64, lapsing bool) {
-	pressure.mutex.Lock()
-	defer pressure.mutex.Unlock()
-	return pressure.direct * faded(now.Sub(pressure.directSent)) / pressureSpan.Seconds(), !pressure.lapsed.IsZero() && now.Sub(pressure.lapsed) < lapseSpan
+func (p *pressure) directly(now time.Time) (tokens float64, lapsing bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.direct * faded(now.Sub(p.directSent)) / pressureSpan.Seconds(), !p.lapsed.IsZero() && now.Sub(p.lapsed) < lapseSpan
 }
 
 // lapse notes that a hand-over failed.
-func (pressure *pressure) lapse(now time.Time) {
-	pressure.mutex.Lock()
-	defer pressure.mutex.Unlock()
-	pressure.lapsed = now
+func (p *pressure) lapse(now time.Time) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.lapsed = now
 }
 
 // lapseSpan is how long a failed hand-over makes others suspect. The value is ours.
 const lapseSpan = 5 * time.Second
 
 // reported takes how much the readers and the runners of a service had to do.
-func (pressure *pressure) reported(now time.Time, busy, running float64) {
-	pressure.mutex.Lock()
-	defer pressure.mutex.Unlock()
-	left := faded(now.Sub(pressure.heard))
-	if pressure.heard.IsZero() {
+func (p *pressure) reported(now time.Time, busy, running float64) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	left := faded(now.Sub(p.heard))
+	if p.heard.IsZero() {
 		left = 0
 	}
-	pressure.busy = pressure.busy*left + busy*(1-left)
-	pressure.running = pressure.running*left + running*(1-left)
-	pressure.heard = now
+	p.busy = p.busy*left + busy*(1-left)
+	p.running = p.running*left + running*(1-left)
+	p.heard = now
 }
 
 // now is the demand: how many readers are kept busy and how many calls run.
-func (pressure *pressure) now(now time.Time) (busy, running float64, known bool) {
-	pressure.mutex.Lock()
-	defer pressure.mutex.Unlock()
-	if pressure.heard.IsZero() || now.Sub(pressure.heard) > pressureSpan {
+func (p *pressure) now(now time.Time) (busy, running float64, known bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.heard.IsZero() || now.Sub(p.heard) > pressureSpan {
 		return 0, 0, false
 	}
-	return pressure.busy, pressure.running, true
+	return p.busy, p.running, true
 }
--- a/internal/scheduler/program.go
+++ b/internal/scheduler/program.go
@@ -43,8 +43,8 @@
 	zones map[string]bool
 }
 
-func (routeRule *routeRule) allows(zone string) bool {
-	return routeRule.zones == nil || routeRule.zones[zone]
+func (r *routeRule) allows(zone string) bool {
+	return r.zones == nil || r.zones[zone]
 }
 
 type share struct {
@@ -90,14 +90,14 @@
 	return program
 }
 
-func (program *Program) steps(route *config.Route, at int) []step {
+func (p *Program) steps(route *config.Route, at int) []step {
 	routeRule := &routeRule{route: route, calls: route.Calls}
 	for _, part := range route.Calls.Shares {
-		service, found := program.services[part.Service]
+		service, found := p.services[part.Service]
 		if found && part.Weight > 0 {
 			routeRule.total += uint64(part.Weight)
 			routeRule.shares = append(routeRule.shares, share{service: service, upTo: routeRule.total})
-			program.narrow(service.Name, route.Calls.Gap)
+			p.narrow(service.Name, route.Calls.Gap)
 		}
 	}
 	if len(route.To.Zones) > 0 {
@@ -117,15 +117,15 @@
 }
 
 // narrow notes the longest pause between events that a route to a service allows.
-func (program *Program) narrow(service string, gap time.Duration) {
-	if known, found := program.gaps[service]; gap > 0 && (!found || gap < known) {
-		program.gaps[service] = gap
+func (p *Program) narrow(service string, gap time.Duration) {
+	if known, found := p.gaps[service]; gap > 0 && (!found || gap < known) {
+		p.gaps[service] = gap
 	}
 }
 
 // rule interprets the program for one call: its route and the service that serves it.
-func (program *Program) rule(call *Call) (*routeRule, *config.Service) {
-	steps := program.hosts[hostOf(call.Host)]
+func (p *Program) rule(call *Call) (*routeRule, *config.Service) {
+	steps := p.hosts[hostOf(call.Host)]
 	for position := 0; position < len(steps); {
 		step := &steps[position]
 		switch step.code {
@@ -160,6 +160,6 @@
 }
 
 // later tells whether the program is of a later version than the other one.
-func (program *Program) later(other *Program) bool {
-	return other == nil || program.epoch > other.epoch || program.epoch == other.epoch && program.number > other.number
+func (p *Program) later(other *Program) bool {
+	return other == nil || p.epoch > other.epoch || p.epoch == other.epoch && p.number > other.number
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -13,25 +13,25 @@
 }
 
 // wait counts one thing more that is waited for.
-func (progress *progress) wait(now time.Time) {
-	if progress.pending.Add(1) == 1 {
-		progress.since.Store(now.UnixNano())
+func (p *progress) wait(now time.Time) {
+	if p.pending.Add(1) == 1 {
+		p.since.Store(now.UnixNano())
 	}
 }
 
 // come counts one that came: the server moves.
-func (progress *progress) come(now time.Time) {
-	progress.pending.Add(-1)
-	progress.since.Store(now.UnixNano())
+func (p *progress) come(now time.Time) {
+	p.pending.Add(-1)
+	p.since.Store(now.UnixNano())
 }
 
 // leave counts one that is waited for no longer without having come.
-func (progress *progress) leave() { progress.pending.Add(-1) }
+func (p *progress) leave() { p.pending.Add(-1) }
 
 // stuck is how long nothing came, in milliseconds.
-func (progress *progress) stuck(now time.Time) float64 {
-	if progress.pending.Load() <= 0 {
+func (p *progress) stuck(now time.Time) float64 {
+	if p.pending.Load() <= 0 {
 		return 0
 	}
-	return max(0, milliseconds(time.Duration(now.UnixNano()-progress.since.Load())))
+	return max(0, milliseconds(time.Duration(now.UnixNano()-p.since.Load())))
 }
--- a/internal/scheduler/ratelimit.go
+++ b/internal/scheduler/ratelimit.go
@@ -14,30 +14,30 @@
 }
 
 // ready tells whether a call may go now, at a rate a second; take counts it.
-func (rateLimit *rateLimit) ready(now time.Time, rate float64) bool {
-	rateLimit.mutex.Lock()
-	defer rateLimit.mutex.Unlock()
-	rateLimit.fill(now, rate)
-	return rateLimit.level >= 1
+func (r *rateLimit) ready(now time.Time, rate float64) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.fill(now, rate)
+	return r.level >= 1
 }
 
-func (rateLimit *rateLimit) take(now time.Time, rate float64) bool {
-	rateLimit.mutex.Lock()
-	defer rateLimit.mutex.Unlock()
-	rateLimit.fill(now, rate)
-	if rateLimit.level < 1 {
+func (r *rateLimit) take(now time.Time, rate float64) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.fill(now, rate)
+	if r.level < 1 {
 		return false
 	}
-	rateLimit.level--
+	r.level--
 	return true
 }
 
-func (rateLimit *rateLimit) fill(now time.Time, rate float64) {
+func (r *rateLimit) fill(now time.Time, rate float64) {
 	switch {
-	case rateLimit.at.IsZero():
-		rateLimit.at = now
-	case now.After(rateLimit.at):
-		rateLimit.level = min(1, rateLimit.level+now.Sub(rateLimit.at).Seconds()*rate)
-		rateLimit.at = now
+	case r.at.IsZero():
+		r.at = now
+	case now.After(r.at):
+		r.level = min(1, r.level+now.Sub(r.at).Seconds()*rate)
+		r.at = now
 	}
 }
--- a/internal/scheduler/rendezvous.go
+++ b/internal/scheduler/rendezvous.go
@@ -16,22 +16,22 @@
 }
 
 // chain is what a call's home goes by: the last part that it shares with others.
-func (call *Call) chain() uint64 {
-	switch length := len(call.Parts); length {
+func (c *Call) chain() uint64 {
+	switch length := len(c.Parts); length {
 	case 0:
-		return membership.Weight("call", call.ID)
+		return membership.Weight("call", c.ID)
 	case 1:
-		return call.Parts[0].ID
+		return c.Parts[0].ID
 	default:
-		return call.Parts[length-2].ID
+		return c.Parts[length-2].ID
 	}
 }
 
 // shared are the tokens of the parts that other calls may have as well.
-func (call *Call) shared() int {
+func (c *Call) shared() int {
 	tokens := 0
-	for position := 0; position < len(call.Parts)-1; position++ {
-		tokens += call.Parts[position].Tokens
+	for position := 0; position < len(c.Parts)-1; position++ {
+		tokens += c.Parts[position].Tokens
 	}
 	return tokens
 }
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -34,21 +34,21 @@
 )
 
 // first counts a call's first dispatch.
-func (budget *retryBudget) first(now time.Time, allowance Allowance) {
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	budget.turn(now, allowance).first++
+func (r *retryBudget) first(now time.Time, allowance Allowance) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.turn(now, allowance).first++
 }
 
 // spend counts so many further tries, or tells that there is no room for them.
-func (budget *retryBudget) spend(now time.Time, count int, allowance Allowance, routers int) bool {
+func (r *retryBudget) spend(now time.Time, count int, allowance Allowance, routers int) bool {
 	if count <= 0 {
 		return true
 	}
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	slot := budget.turn(now, allowance)
-	if budget.used()+float64(count) > budget.room(now, allowance, routers) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	slot := r.turn(now, allowance)
+	if r.used()+float64(count) > r.room(now, allowance, routers) {
 		return false
 	}
 	slot.further += count
@@ -57,64 +57,64 @@
 
 // reserve keeps a further try for a call that may need one, out of a part of the budget:
 // the rest is for calls that do need one.
-func (budget *retryBudget) reserve(now time.Time, allowance Allowance, routers int) bool {
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	budget.turn(now, allowance)
-	if budget.used()+1 > reservableShare*budget.room(now, allowance, routers) {
+func (r *retryBudget) reserve(now time.Time, allowance Allowance, routers int) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.turn(now, allowance)
+	if r.used()+1 > reservableShare*r.room(now, allowance, routers) {
 		return false
 	}
-	budget.reserved++
+	r.reserved++
 	return true
 }
 
 // redeem counts a reserved try as sent.
-func (budget *retryBudget) redeem(now time.Time, allowance Allowance) {
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	budget.turn(now, allowance).further++
-	budget.reserved--
+func (r *retryBudget) redeem(now time.Time, allowance Allowance) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.turn(now, allowance).further++
+	r.reserved--
 }
 
 // release gives a reserved try back.
-func (budget *retryBudget) release() {
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	budget.reserved--
+func (r *retryBudget) release() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.reserved--
 }
 
 // used is what of the room is taken.
-func (budget *retryBudget) used() float64 {
-	used := budget.reserved
-	for _, slot := range budget.slots {
+func (r *retryBudget) used() float64 {
+	used := r.reserved
+	for _, slot := range r.slots {
 		used += slot.further
 	}
 	return float64(used)
 }
 
 // room is how many further tries the span allows.
-func (budget *retryBudget) room(now time.Time, allowance Allowance, routers int) float64 {
+func (r *retryBudget) room(now time.Time, allowance Allowance, routers int) float64 {
 	calls := 0
-	for _, slot := range budget.slots {
+	for _, slot := range r.slots {
 		calls += slot.first
 	}
 	share := allowance.Slack * slackUsed / float64(max(1, routers))
-	grown := min(1, now.Sub(budget.since).Seconds()/allowance.Span.Seconds())
+	grown := min(1, now.Sub(r.since).Seconds()/allowance.Span.Seconds())
 	return allowance.Ratio*ratioUsed*float64(calls) + share*grown
 }
 
 // turn goes on to the slot of now and empties those that are outside of the span.
-func (budget *retryBudget) turn(now time.Time, allowance Allowance) *budgetSlot {
-	if budget.since.IsZero() {
-		budget.since = now
+func (r *retryBudget) turn(now time.Time, allowance Allowance) *budgetSlot {
+	if r.since.IsZero() {
+		r.since = now
 	}
 	// One slot less than there are makes a span, so that the oldest is outside of it.
 	length := allowance.Span / (budgetSlots - 1)
-	current := now.Sub(budget.since).Nanoseconds() / length.Nanoseconds()
-	for steps := 0; budget.slot < current && steps < budgetSlots; steps++ {
-		budget.slot++
-		budget.slots[budget.slot%budgetSlots] = budgetSlot{}
+	current := now.Sub(r.since).Nanoseconds() / length.Nanoseconds()
+	for steps := 0; r.slot < current && steps < budgetSlots; steps++ {
+		r.slot++
+		r.slots[r.slot%budgetSlots] = budgetSlot{}
 	}
-	budget.slot = max(budget.slot, current)
-	return &budget.slots[budget.slot%budgetSlots]
+	r.slot = max(r.slot, current)
+	return &r.slots[r.slot%budgetSlots]
 }
--- a/internal/scheduler/returned.go
+++ b/internal/scheduler/returned.go
@@ -11,12 +11,12 @@
 type returned map[string]bool
 
 // returning notes which districts come back with a program, before it is in force.
-func (window *Window) returning(current, next *Program) {
+func (w *Window) returning(current, next *Program) {
 	if current == nil || len(current.evacuations) == 0 {
 		return
 	}
 	zones := returned{}
-	if pending := window.returned.Load(); pending != nil {
+	if pending := w.returned.Load(); pending != nil {
 		for zone := range *pending {
 			zones[zone] = true
 		}
@@ -27,17 +27,17 @@
 		}
 	}
 	if len(zones) > 0 {
-		window.returned.Store(&zones)
+		w.returned.Store(&zones)
 	}
 }
 
 // cool has the servers of districts that came back count as cold from now.
-func (window *Window) cool(now time.Time) {
-	zones := window.returned.Load()
-	if zones == nil || !window.returned.CompareAndSwap(zones, nil) {
+func (w *Window) cool(now time.Time) {
+	zones := w.returned.Load()
+	if zones == nil || !w.returned.CompareAndSwap(zones, nil) {
 		return
 	}
-	for _, backend := range window.board.Load().all {
+	for _, backend := range w.board.Load().all {
 		if (*zones)[backend.server.Zone] {
 			backend.coolUntil(now.Add(coldAfterReturn))
 		}
--- a/internal/scheduler/send.go
+++ b/internal/scheduler/send.go
@@ -14,9 +14,9 @@
 )
 
 // send notes a dispatch as under way and words the decision.
-func (choice *choice) send(kind DecisionKind, offer offer) Decision {
-	ticket, backend := choice.ticket, offer.backend
-	now := choice.now
+func (c *choice) send(kind DecisionKind, offer offer) Decision {
+	ticket, backend := c.ticket, offer.backend
+	now := c.now
 	ticket.dispatch = dispatch{backend: backend, kind: kind, sent: now, unread: offer.unread, expected: span(offer.own)}
 	decision := Decision{Kind: kind, Server: backend.server, Ends: ticket.ends, Urgency: ticket.routeRule.calls.Rank}
 	if len(ticket.spent) > 0 {
@@ -26,13 +26,13 @@
 	backend.idle.take(now)
 	if kind == Read {
 		sent.tokens = ticket.call.PromptTokens
-		choice.book(backend, sent.unread)
+		c.book(backend, sent.unread)
 		backend.reading.Add(1)
 		backend.readings.wait(now)
 		backend.readingTokens.Add(int64(sent.unread))
-		decision.Patience = choice.patience(max(readPatience*sent.expected, leastReadPatience))
+		decision.Patience = c.patience(max(readPatience*sent.expected, leastReadPatience))
 	} else {
-		choice.window.unbook(ticket)
+		c.window.unbook(ticket)
 		sent.tokens = ticket.tokens()
 		if offer.sourced {
 			sent.source, ticket.source = ticket.source, nil
@@ -44,44 +44,44 @@
 		backend.running.Add(1)
 		backend.begins.wait(now)
 		if sent.source == nil {
-			pace := choice.pace / backend.slow.factor(now)
+			pace := c.pace / backend.slow.factor(now)
 			if backend.splits() {
 				pace /= 2
 			}
 			backend.queue(now, span(float64(sent.unread)/pace))
-			choice.serviceState.pressure.readDirectly(now, sent.unread)
+			c.serviceState.pressure.readDirectly(now, sent.unread)
 		}
-		if ticket.repeatable() && !ticket.begun && choice.goesOn() {
-			decision.Patience = choice.patience(max(runPatience*sent.expected, leastRunPatience))
+		if ticket.repeatable() && !ticket.begun && c.goesOn() {
+			decision.Patience = c.patience(max(runPatience*sent.expected, leastRunPatience))
 		}
-		decision.Silence = choice.silence()
+		decision.Silence = c.silence()
 	}
 	backend.account.memory.Add(int64(sent.tokens))
 	// What reads a prompt keeps it from now on, as far as the next calls go; memory that
 	// is moved may not come.
-	sent.room, sent.known = choice.memory(backend), backend.kept.prefix(ticket.call.Parts)
+	sent.room, sent.known = c.memory(backend), backend.kept.prefix(ticket.call.Parts)
 	if !offer.sourced {
-		choice.window.keeps(ticket, sent)
+		c.window.keeps(ticket, sent)
 	}
 	return decision
 }
 
 // goesOn tells whether the call could go on elsewhere if its run were given up: a long
 // prompt is read again only by a reader, which is a try of its own.
-func (choice *choice) goesOn() bool {
-	ticket := choice.ticket
+func (c *choice) goesOn() bool {
+	ticket := c.ticket
 	return ticket.call.PromptTokens <= easilyRead || ticket.counted+2 < ticket.routeRule.calls.Tries
 }
 
 // patience is given only when there is time and leave for another try behind it.
-func (choice *choice) patience(wanted time.Duration) time.Duration {
-	ticket := choice.ticket
-	left := ticket.ends.Sub(choice.now)
+func (c *choice) patience(wanted time.Duration) time.Duration {
+	ticket := c.ticket
+	left := ticket.ends.Sub(c.now)
 	if wanted > left*2/3 || ticket.counted+1 >= ticket.routeRule.calls.Tries {
 		return 0
 	}
 	// The further try is reserved now: giving up without one behind it would lose the call.
-	if !ticket.reserved && !choice.serviceState.retries.reserve(choice.now, choice.window.options.FurtherTries, choice.routerCount) {
+	if !ticket.reserved && !c.serviceState.retries.reserve(c.now, c.window.options.FurtherTries, c.routerCount) {
 		return 0
 	}
 	ticket.reserved = true
@@ -89,16 +89,16 @@
 }
 
 // keeps notes that a server keeps a call's prompt.
-func (window *Window) keeps(ticket *Ticket, sent *dispatch) {
-	sent.backend.kept.note(ticket.call.Parts, sent.room, window.routerCount(), window.mostKept())
+func (w *Window) keeps(ticket *Ticket, sent *dispatch) {
+	sent.backend.kept.note(ticket.call.Parts, sent.room, w.routerCount(), w.mostKept())
 }
 
 // settle takes a dispatch off the accounts.
-func (ticket *Ticket) settle(now time.Time, outcome Outcome, window *Window) {
-	sent := &ticket.dispatch
+func (t *Ticket) settle(now time.Time, outcome Outcome, window *Window) {
+	sent := &t.dispatch
 	backend := sent.backend
 	if sent.kind == Read {
-		window.unbook(ticket)
+		window.unbook(t)
 		backend.reading.Add(-1)
 		backend.readingTokens.Add(-int64(sent.unread))
 		arrive(&backend.readings, now, outcome.came())
@@ -111,7 +111,7 @@
 	backend.account.memory.Add(-int64(sent.tokens))
 	backend.idle.give(now, outcome.Rests)
 	if sent.source == nil && !sent.began && outcome.Result != Complete && outcome.Result != Cut {
-		backend.kept.forget(ticket.call.Parts, sent.known)
+		backend.kept.forget(t.call.Parts, sent.known)
 	}
 }
 
@@ -124,13 +124,13 @@
 }
 
 // came tells whether the server was heard.
-func (outcome Outcome) came() bool {
-	return outcome.Result != Unreached && outcome.Result != Silent && outcome.Result != Gone
+func (o Outcome) came() bool {
+	return o.Result != Unreached && o.Result != Silent && o.Result != Gone
 }
 
 // mostKept bounds the parts remembered for each server.
-func (window *Window) mostKept() int {
-	return max(leastKept, mostKeptParts/max(1, len(window.board.Load().all)))
+func (w *Window) mostKept() int {
+	return max(leastKept, mostKeptParts/max(1, len(w.board.Load().all)))
 }
 
 const (
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -12,10 +12,10 @@
 
 // silence is given where the stream may go on at another server, and there is time and
 // leave for that.
-func (choice *choice) silence() time.Duration {
-	calls := choice.ticket.routeRule.calls
-	if !calls.Streams || !calls.Resumable || !choice.goesOn() {
+func (c *choice) silence() time.Duration {
+	calls := c.ticket.routeRule.calls
+	if !calls.Streams || !calls.Resumable || !c.goesOn() {
 		return 0
 	}
-	return choice.patience(max(silentGaps*calls.Gap, leastSilence))
+	return c.patience(max(silentGaps*calls.Gap, leastSilence))
 }
--- a/internal/scheduler/slowness.go
+++ b/internal/scheduler/slowness.go
@@ -22,29 +22,29 @@
 	slowHalfIncarnation = 3 * time.Second
 )
 
-func (slowness *slowness) factor(now time.Time) float64 {
-	if known := slowness.known.Load(); known != nil {
+func (s *slowness) factor(now time.Time) float64 {
+	if known := s.known.Load(); known != nil {
 		return known.now(now)
 	}
 	return 1
 }
 
-func (slow *slow) now(now time.Time) float64 {
-	age := max(0, now.Sub(slow.at))
-	return 1 + (slow.factor-1)*math.Exp2(-float64(age)/float64(slowHalfIncarnation))
+func (s *slow) now(now time.Time) float64 {
+	age := max(0, now.Sub(s.at))
+	return 1 + (s.factor-1)*math.Exp2(-float64(age)/float64(slowHalfIncarnation))
 }
 
-func (slowness *slowness) note(now time.Time, ratio float64) {
+func (s *slowness) note(now time.Time, ratio float64) {
 	seen := min(max(ratio, 1), mostSlow)
 	for {
-		known := slowness.known.Load()
+		known := s.known.Load()
 		factor := 1.0
 		if known != nil {
 			factor = known.now(now)
 		} else if seen == 1 {
 			return
 		}
-		if slowness.known.CompareAndSwap(known, &slow{factor: factor + slowSmooth*(seen-factor), at: now}) {
+		if s.known.CompareAndSwap(known, &slow{factor: factor + slowSmooth*(seen-factor), at: now}) {
 			return
 		}
 	}
--- a/internal/scheduler/sweep_test.go
+++ b/internal/scheduler/sweep_test.go
@@ -13,19 +13,19 @@
 // themselves, less prices, as a share of what was owed: of memory moved, of
 // bodies between districts, of shared parts read again by the thousand tokens, and of
 // what a dispatch costs the courier.
-func (world *world) score() float64 {
+func (w *world) score() float64 {
 	owed, earned := 0.0, 0.0
-	for _, counter := range world.counter {
+	for _, counter := range w.counter {
 		owed += counter.owed
 		earned += counter.earned
 	}
-	prices := world.prices.move*(world.nearMoves+2*world.farMoves) + world.crossing*world.crossed + world.prices.again*float64(world.sharedAgain)/1000 +
-		world.prices.connection*float64(world.opened)
+	prices := w.prices.move*(w.nearMoves+2*w.farMoves) + w.crossing*w.crossed + w.prices.again*float64(w.sharedAgain)/1000 +
+		w.prices.connection*float64(w.opened)
 	class := 1.0
-	for _, tally := range world.counter {
+	for _, tally := range w.counter {
 		class = min(class, tally.earned/tally.owed)
 	}
-	return 0.65*earned/owed + 0.22*world.worst() + 0.13*class - prices/owed
+	return 0.65*earned/owed + 0.22*w.worst() + 0.13*class - prices/owed
 }
 
 // TestSweep compares costs; it runs when SWEEP is set.
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -64,10 +64,10 @@
 }
 
 // Route is the route that the call came on.
-func (ticket *Ticket) Route() *config.Route { return ticket.routeRule.route }
+func (t *Ticket) Route() *config.Route { return t.routeRule.route }
 
-func (ticket *Ticket) avoids(backend *backend) bool {
-	for _, avoided := range ticket.avoided {
+func (t *Ticket) avoids(backend *backend) bool {
+	for _, avoided := range t.avoided {
 		if avoided == backend || avoided.account == backend.account {
 			return true
 		}
@@ -76,9 +76,9 @@
 }
 
 // repeatable tells whether the call may run more than once.
-func (ticket *Ticket) repeatable() bool {
-	return ticket.routeRule.calls.Repeatable || ticket.routeRule.calls.Streams && ticket.routeRule.calls.Resumable
+func (t *Ticket) repeatable() bool {
+	return t.routeRule.calls.Repeatable || t.routeRule.calls.Streams && t.routeRule.calls.Resumable
 }
 
 // tokens is the memory that the call takes up at the server that makes its answer.
-func (ticket *Ticket) tokens() int { return ticket.call.PromptTokens + ticket.call.OutputTokens }
+func (t *Ticket) tokens() int { return t.call.PromptTokens + t.call.OutputTokens }
--- a/internal/scheduler/trust.go
+++ b/internal/scheduler/trust.go
@@ -21,32 +21,32 @@
 	oftenEnough = 4
 )
 
-func (trust *trust) fail(now time.Time) {
-	failures := trust.failures.Add(1)
+func (t *trust) fail(now time.Time) {
+	failures := t.failures.Add(1)
 	shun := min(firstShun<<min(failures-1, 10), longestShun)
-	trust.until.Store(now.Add(shun).UnixNano())
+	t.until.Store(now.Add(shun).UnixNano())
 }
 
 // failOften counts a failure that may well be another's fault: only several in a row
 // make the server doubted.
-func (trust *trust) failOften(now time.Time) {
-	if trust.failures.Add(1) >= oftenEnough {
-		trust.until.Store(now.Add(firstShun).UnixNano())
+func (t *trust) failOften(now time.Time) {
+	if t.failures.Add(1) >= oftenEnough {
+		t.until.Store(now.Add(firstShun).UnixNano())
 	}
 }
 
-func (trust *trust) succeed(now time.Time) {
-	trust.succeeded.Store(now.UnixNano())
-	if trust.failures.Load() != 0 {
-		trust.failures.Store(0)
-		trust.until.Store(0)
+func (t *trust) succeed(now time.Time) {
+	t.succeeded.Store(now.UnixNano())
+	if t.failures.Load() != 0 {
+		t.failures.Store(0)
+		t.until.Store(0)
 	}
 }
 
 // doubted tells whether a call is better sent elsewhere.
-func (trust *trust) doubted(now time.Time, underWay int64) bool {
-	if trust.failures.Load() == 0 {
+func (t *trust) doubted(now time.Time, underWay int64) bool {
+	if t.failures.Load() == 0 {
 		return false
 	}
-	return now.UnixNano() < trust.until.Load() || underWay > 0
+	return now.UnixNano() < t.until.Load() || underWay > 0
 }
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -64,45 +64,45 @@
 
 // SetProgram puts a later version in force; an older one, or the same, is left aside
 // and the answer is false.
-func (window *Window) SetProgram(program *Program) bool {
+func (w *Window) SetProgram(program *Program) bool {
 	for {
-		current := window.program.Load()
+		current := w.program.Load()
 		if program == nil || !program.later(current) {
 			return false
 		}
-		window.returning(current, program)
-		if window.program.CompareAndSwap(current, program) {
+		w.returning(current, program)
+		if w.program.CompareAndSwap(current, program) {
 			return true
 		}
 	}
 }
 
 // InForce is the version of the configuration in force, as epoch and number.
-func (window *Window) InForce() (epoch, number uint64) {
-	if program := window.program.Load(); program != nil {
+func (w *Window) InForce() (epoch, number uint64) {
+	if program := w.program.Load(); program != nil {
 		return program.epoch, program.number
 	}
 	return 0, 0
 }
 
 // Limits bound what a caller may send, by the configuration in force.
-func (window *Window) Limits() config.Limits {
-	if program := window.program.Load(); program != nil {
+func (w *Window) Limits() config.Limits {
+	if program := w.program.Load(); program != nil {
 		return program.limits
 	}
 	return config.Limits{}
 }
 
 // SetServers takes the list of servers.
-func (window *Window) SetServers(now time.Time, servers []membership.Server) {
-	window.mutex.Lock()
-	defer window.mutex.Unlock()
-	window.board.Store(window.board.Load().next(now, servers))
+func (w *Window) SetServers(now time.Time, servers []membership.Server) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.board.Store(w.board.Load().next(now, servers))
 }
 
 // SetLoads takes what the servers reported of themselves.
-func (window *Window) SetLoads(now time.Time, loads []Load) {
-	board := window.board.Load()
+func (w *Window) SetLoads(now time.Time, loads []Load) {
+	board := w.board.Load()
 	var services []string
 	for _, load := range loads {
 		backend, found := board.byName[load.Server]
@@ -110,8 +110,8 @@
 			continue
 		}
 		backend.hear(now, load)
-		if at := now.Add(-load.Age).UnixNano(); at > window.reported.Load() {
-			window.reported.Store(at)
+		if at := now.Add(-load.Age).UnixNano(); at > w.reported.Load() {
+			w.reported.Store(at)
 		}
 		if service := backend.server.Service; service != "" && !slices.Contains(services, service) {
 			services = append(services, service)
@@ -119,14 +119,14 @@
 	}
 	for _, service := range services {
 		busy, running := board.pressed(now, service)
-		window.serviceState(service).pressure.reported(now, busy, running)
+		w.serviceState(service).pressure.reported(now, busy, running)
 	}
 }
 
 // SetOrders takes the parts that servers were ordered to take: one that is to take
 // another begins nothing until that is done, and no call is sent to it.
-func (window *Window) SetOrders(now time.Time, parts map[string]string) {
-	board := window.board.Load()
+func (w *Window) SetOrders(now time.Time, parts map[string]string) {
+	board := w.board.Load()
 	for _, backend := range board.all {
 		part, found := parts[backend.server.Name]
 		if known := backend.due.Load(); !found || known != nil && *known == part {
@@ -142,29 +142,29 @@
 const orderShows = 4 * time.Second
 
 // SetRouters tells how many couriers share the servers.
-func (window *Window) SetRouters(count int) { window.routers.Store(int64(count)) }
+func (w *Window) SetRouters(count int) { w.routers.Store(int64(count)) }
 
-func (window *Window) routerCount() int {
-	if count := window.routers.Load(); count > 0 {
+func (w *Window) routerCount() int {
+	if count := w.routers.Load(); count > 0 {
 		return int(count)
 	}
 	return unknownRouters
 }
 
 // Drain lets no further calls in.
-func (window *Window) Drain() { window.draining.Store(true) }
+func (w *Window) Drain() { w.draining.Store(true) }
 
 // InFlight counts the calls that have not ended.
-func (window *Window) InFlight() int { return int(window.inFlight.Load()) }
+func (w *Window) InFlight() int { return int(w.inFlight.Load()) }
 
 // serviceState is the service's; it is made once.
-func (window *Window) serviceState(service string) *serviceState {
-	if found, known := (*window.serviceStates.Load())[service]; known {
+func (w *Window) serviceState(service string) *serviceState {
+	if found, known := (*w.serviceStates.Load())[service]; known {
 		return found
 	}
-	window.mutex.Lock()
-	defer window.mutex.Unlock()
-	current := *window.serviceStates.Load()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	current := *w.serviceStates.Load()
 	if found, known := current[service]; known {
 		return found
 	}
@@ -174,6 +174,6 @@
 	}
 	made := &serviceState{}
 	next[service] = made
-	window.serviceStates.Store(&next)
+	w.serviceStates.Store(&next)
 	return made
 }
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -52,11 +52,11 @@
 // wayCounter is how many dispatches went one way, and what was read again there.
 type wayCounter struct{ count, again, believed, unread int }
 
-func (world *world) wayOf(name string) *wayCounter {
-	found, known := world.ways[name]
+func (w *world) wayOf(name string) *wayCounter {
+	found, known := w.ways[name]
 	if !known {
 		found = &wayCounter{}
-		world.ways[name] = found
+		w.ways[name] = found
 	}
 	return found
 }
@@ -155,9 +155,9 @@
 }
 
 // world is a site in virtual time, with so much of its traffic for so long.
-func (site site) world(seed uint64, shape func(*Window)) *world {
-	world := dividedWorld(seed, site.routers, append([]membership.Server(nil), site.list...), site.configure, shape)
-	world.engine, world.crossing, world.prices = site.engine, site.crossing, site.prices
+func (s site) world(seed uint64, shape func(*Window)) *world {
+	world := dividedWorld(seed, s.routers, append([]membership.Server(nil), s.list...), s.configure, shape)
+	world.engine, world.crossing, world.prices = s.engine, s.crossing, s.prices
 	return world
 }
 
@@ -165,8 +165,8 @@
 const lead = 8 * time.Second
 
 // play gives the world so much of the site's usual traffic for so long from now on.
-func (site site) play(world *world, factor float64, length time.Duration) {
-	long, chat := site.long, site.chat
+func (s site) play(world *world, factor float64, length time.Duration) {
+	long, chat := s.long, s.chat
 	long.perSecond *= factor
 	chat.perSecond *= factor
 	until := world.now.Add(length)
@@ -183,36 +183,36 @@
 
 type moments []moment
 
-func (moments moments) Len() int { return len(moments) }
-func (moments moments) Less(left, right int) bool {
-	if !moments[left].at.Equal(moments[right].at) {
-		return moments[left].at.Before(moments[right].at)
+func (m moments) Len() int { return len(m) }
+func (m moments) Less(left, right int) bool {
+	if !m[left].at.Equal(m[right].at) {
+		return m[left].at.Before(m[right].at)
 	}
-	return moments[left].sequence < moments[right].sequence
+	return m[left].sequence < m[right].sequence
 }
-func (moments moments) Swap(left, right int) {
-	moments[left], moments[right] = moments[right], moments[left]
+func (m moments) Swap(left, right int) {
+	m[left], m[right] = m[right], m[left]
 }
-func (moments *moments) Push(value any) { *moments = append(*moments, value.(moment)) }
-func (moments *moments) Pop() any {
-	old := *moments
+func (m *moments) Push(value any) { *m = append(*m, value.(moment)) }
+func (m *moments) Pop() any {
+	old := *m
 	last := old[len(old)-1]
-	*moments = old[:len(old)-1]
+	*m = old[:len(old)-1]
 	return last
 }
 
-func (world *world) after(milliseconds float64, act func()) {
-	world.sequence++
-	heap.Push(&world.queue, moment{at: world.now.Add(span(milliseconds)), sequence: world.sequence, act: act})
+func (w *world) after(milliseconds float64, act func()) {
+	w.sequence++
+	heap.Push(&w.queue, moment{at: w.now.Add(span(milliseconds)), sequence: w.sequence, act: act})
 }
 
-func (world *world) run(until time.Time) {
-	for len(world.queue) > 0 && !world.queue[0].at.After(until) {
-		next := heap.Pop(&world.queue).(moment)
-		world.now = next.at
+func (w *world) run(until time.Time) {
+	for len(w.queue) > 0 && !w.queue[0].at.After(until) {
+		next := heap.Pop(&w.queue).(moment)
+		w.now = next.at
 		next.act()
 	}
-	world.now = until
+	w.now = until
 }
 
 // worldServer is one server of the world.
@@ -266,67 +266,67 @@
 	believed    int
 }
 
-func (server *worldServer) kept(parts []Part, use bool) int {
+func (w *worldServer) kept(parts []Part, use bool) int {
 	tokens := 0
 	for _, part := range parts {
-		entry, found := server.cache[part.ID]
+		entry, found := w.cache[part.ID]
 		if !found || entry.Value.(*cached).tokens < part.Tokens {
 			break
 		}
 		if use {
-			server.order.MoveToFront(entry)
+			w.order.MoveToFront(entry)
 		}
 		tokens += part.Tokens
 	}
 	return tokens
 }
 
-func (server *worldServer) keep(parts []Part) {
+func (w *worldServer) keep(parts []Part) {
 	for position := len(parts) - 1; position >= 0; position-- {
 		part := parts[position]
-		if entry, found := server.cache[part.ID]; found {
+		if entry, found := w.cache[part.ID]; found {
 			kept := entry.Value.(*cached)
-			server.cachedIn += max(0, part.Tokens-kept.tokens)
+			w.cachedIn += max(0, part.Tokens-kept.tokens)
 			kept.tokens = max(kept.tokens, part.Tokens)
-			server.order.MoveToFront(entry)
+			w.order.MoveToFront(entry)
 			continue
 		}
-		server.cache[part.ID] = server.order.PushFront(&cached{id: part.ID, tokens: part.Tokens})
-		server.cachedIn += part.Tokens
+		w.cache[part.ID] = w.order.PushFront(&cached{id: part.ID, tokens: part.Tokens})
+		w.cachedIn += part.Tokens
 	}
-	for server.cachedIn+server.pinned > server.world.engine.memory && server.order.Len() > 0 {
-		gone := server.order.Remove(server.order.Back()).(*cached)
-		server.cachedIn -= gone.tokens
-		delete(server.cache, gone.id)
+	for w.cachedIn+w.pinned > w.world.engine.memory && w.order.Len() > 0 {
+		gone := w.order.Remove(w.order.Back()).(*cached)
+		w.cachedIn -= gone.tokens
+		delete(w.cache, gone.id)
 	}
 }
 
 // take has the server take a job; false tells that it turns it away.
-func (server *worldServer) take(job *job) bool {
-	engine := server.world.engine
-	if len(server.waiting) >= 192 || job.tokens > engine.memory {
+func (w *worldServer) take(job *job) bool {
+	engine := w.world.engine
+	if len(w.waiting) >= 192 || job.tokens > engine.memory {
 		return false
 	}
-	job.incarnation = server.incarnation
-	server.waiting = append(server.waiting, job)
-	server.wake()
+	job.incarnation = w.incarnation
+	w.waiting = append(w.waiting, job)
+	w.wake()
 	return true
 }
 
-func (server *worldServer) wake() {
-	if server.working || server.down || server.dark {
+func (w *worldServer) wake() {
+	if w.working || w.down || w.dark {
 		return
 	}
-	server.admit()
-	if len(server.running) == 0 {
+	w.admit()
+	if len(w.running) == 0 {
 		return
 	}
-	server.working = true
-	engine := server.world.engine
+	w.working = true
+	engine := w.world.engine
 	duration := engine.step
 	makers, context := 0, 0
 	var reading *job
-	for _, job := range server.running {
+	for _, job := range w.running {
 		if job.unread > 0 {
 			if reading == nil {
 				reading = job
@@ -340,88 +340,88 @@
 	chunk := 0
 	if reading != nil {
 		pace, piece := engine.readPace, engine.chunk
-		if server.part == decode {
+		if w.part == decode {
 			pace, piece = pace/2, piece/4
 		}
 		chunk = min(reading.unread, piece)
 		done := reading.call.PromptTokens - reading.unread
 		duration += float64(chunk)/pace + engine.pairs*float64(chunk)*(float64(done)+float64(chunk)/2)/1e6
 	}
-	duration *= max(server.slow, 1)
-	incarnation := server.incarnation
-	server.world.after(duration, func() {
-		server.working = false
-		if incarnation != server.incarnation {
+	duration *= max(w.slow, 1)
+	incarnation := w.incarnation
+	w.world.after(duration, func() {
+		w.working = false
+		if incarnation != w.incarnation {
 			return
 		}
-		server.stepped(reading, chunk)
-		server.wake()
+		w.stepped(reading, chunk)
+		w.wake()
 	})
 }
 
-func (server *worldServer) admit() {
-	for len(server.waiting) > 0 && len(server.running) < server.world.engine.slots {
-		job := server.waiting[0]
-		if server.pinned+job.tokens > server.world.engine.memory {
+func (w *worldServer) admit() {
+	for len(w.waiting) > 0 && len(w.running) < w.world.engine.slots {
+		job := w.waiting[0]
+		if w.pinned+job.tokens > w.world.engine.memory {
 			return
 		}
-		server.waiting = server.waiting[1:]
+		w.waiting = w.waiting[1:]
 		if job.gone {
 			continue
 		}
 		if !job.moved {
-			keeps := server.kept(job.call.Parts, true)
+			keeps := w.kept(job.call.Parts, true)
 			job.unread = max(job.call.PromptTokens-keeps, 1)
-			again := server.world.sharedAgain
-			server.world.countRead(job.call, keeps)
-			way := server.world.wayOf(job.way)
+			again := w.world.sharedAgain
+			w.world.countRead(job.call, keeps)
+			way := w.world.wayOf(job.way)
 			way.count++
-			way.again += server.world.sharedAgain - again
+			way.again += w.world.sharedAgain - again
 			way.unread += job.unread
 			way.believed += job.believed
 		}
-		server.pinned += job.tokens
-		server.running = append(server.running, job)
+		w.pinned += job.tokens
+		w.running = append(w.running, job)
 	}
 }
 
-func (world *world) countRead(call *Call, keeps int) {
+func (w *world) countRead(call *Call, keeps int) {
 	at := 0
 	for position, part := range call.Parts {
 		if at >= keeps {
-			world.read += part.Tokens
+			w.read += part.Tokens
 			if position < len(call.Parts)-1 {
-				world.sharedRead += part.Tokens
-				if world.seen[part.ID] {
-					world.sharedAgain += part.Tokens
+				w.sharedRead += part.Tokens
+				if w.seen[part.ID] {
+					w.sharedAgain += part.Tokens
 				}
-				world.seen[part.ID] = true
+				w.seen[part.ID] = true
 			}
 		}
 		at += part.Tokens
 	}
 }
 
-func (server *worldServer) stepped(reading *job, chunk int) {
-	now := server.world.now
+func (w *worldServer) stepped(reading *job, chunk int) {
+	now := w.world.now
 	var stay []*job
-	for _, job := range server.running {
+	for _, job := range w.running {
 		switch {
 		case job.gone:
-			server.pinned -= job.tokens
+			w.pinned -= job.tokens
 			continue
 		case job == reading:
 			job.unread -= chunk
 			if job.unread == 0 {
-				server.keep(job.call.Parts)
+				w.keep(job.call.Parts)
 			}
 			if job.unread == 0 && job.reads {
-				server.world.after(0, func() { job.ended(Complete) })
+				w.world.after(0, func() { job.ended(Complete) })
 				continue
 			}
 		case job.unread == 0:
 			job.made++
-			if job.made%server.world.engine.stride == 0 || job.made >= job.left {
+			if job.made%w.world.engine.stride == 0 || job.made >= job.left {
 				if !job.started {
 					job.started = true
 					job.first()
@@ -431,32 +431,32 @@
 				job.last = now
 			}
 			if job.made >= job.left {
-				server.pinned -= job.tokens
+				w.pinned -= job.tokens
 				job.ended(Complete)
 				continue
 			}
 		}
 		stay = append(stay, job)
 	}
-	server.running = stay
+	w.running = stay
 }
 
-func (server *worldServer) empty() {
-	server.cache, server.order, server.cachedIn, server.handles = map[uint64]*list.Element{}, list.New(), 0, map[string]int{}
+func (w *worldServer) empty() {
+	w.cache, w.order, w.cachedIn, w.handles = map[uint64]*list.Element{}, list.New(), 0, map[string]int{}
 }
 
 // crash ends all that the server does.
-func (server *worldServer) crash(dark bool) {
-	jobs := append(append([]*job(nil), server.waiting...), server.running...)
-	server.incarnation++
-	server.waiting, server.running, server.pinned = nil, nil, 0
-	server.empty()
-	server.working = false
+func (w *worldServer) crash(dark bool) {
+	jobs := append(append([]*job(nil), w.waiting...), w.running...)
+	w.incarnation++
+	w.waiting, w.running, w.pinned = nil, nil, 0
+	w.empty()
+	w.working = false
 	if dark {
-		server.dark = true
+		w.dark = true
 		return
 	}
-	server.down = true
+	w.down = true
 	for _, job := range jobs {
 		switch {
 		case job.started:
@@ -467,9 +467,9 @@
 	}
 }
 
-func (server *worldServer) report() Load {
-	return Load{Server: server.listed.Name, Part: server.part, Changing: server.changing, Waiting: len(server.waiting), Running: len(server.running),
-		MemoryUsed: server.pinned, MemoryTotal: server.world.engine.memory}
+func (w *worldServer) report() Load {
+	return Load{Server: w.listed.Name, Part: w.part, Changing: w.changing, Waiting: len(w.waiting), Running: len(w.running),
+		MemoryUsed: w.pinned, MemoryTotal: w.world.engine.memory}
 }
 
 // classCounter is how the calls of one class went.
@@ -483,12 +483,12 @@
 	served, broken int
 }
 
-func (counter *classCounter) at(share float64) float64 {
-	if len(counter.first) == 0 {
+func (c *classCounter) at(share float64) float64 {
+	if len(c.first) == 0 {
 		return 0
 	}
-	sort.Float64s(counter.first)
-	return counter.first[min(len(counter.first)-1, int(share*float64(len(counter.first))))]
+	sort.Float64s(c.first)
+	return c.first[min(len(c.first)-1, int(share*float64(len(c.first))))]
 }
 
 // class is a sort of call in the world.
@@ -516,11 +516,11 @@
 }
 
 // draw is one of the link's things.
-func (link chainLink) draw(random *rand.Rand) uint64 {
-	if link.skew == 0 {
-		return uint64(random.IntN(link.things))
+func (c chainLink) draw(random *rand.Rand) uint64 {
+	if c.skew == 0 {
+		return uint64(random.IntN(c.things))
 	}
-	return min(uint64(float64(link.things)*math.Pow(random.Float64(), 1/(1-link.skew))), uint64(link.things-1))
+	return min(uint64(float64(c.things)*math.Pow(random.Float64(), 1/(1-c.skew))), uint64(c.things-1))
 }
 
 func longClass() class {
@@ -576,20 +576,20 @@
 
 // crash has a server fail, or go dark; it is listed for two seconds more, and a new one
 // in its place comes cold after a while.
-func (world *world) crash(name string, dark bool, length time.Duration) {
-	server := world.servers[name]
+func (w *world) crash(name string, dark bool, length time.Duration) {
+	server := w.servers[name]
 	server.crash(dark)
-	world.after(2000, func() { world.relist(name, nil) })
-	world.after(milliseconds(length), func() {
+	w.after(2000, func() { w.relist(name, nil) })
+	w.after(milliseconds(length), func() {
 		server.down = true
 		fresh := server.listed
 		fresh.Name, fresh.Address, fresh.Warming, fresh.Part = fresh.Name+"+", fresh.Address+"1", 3*time.Second, server.part
-		world.start(fresh)
-		world.relist("", &fresh)
-		world.after(3000, func() {
-			for position := range world.list {
-				if world.list[position].Name == fresh.Name {
-					world.list[position].Warming = 0
+		w.start(fresh)
+		w.relist("", &fresh)
+		w.after(3000, func() {
+			for position := range w.list {
+				if w.list[position].Name == fresh.Name {
+					w.list[position].Warming = 0
 				}
 			}
 		})
@@ -598,31 +598,31 @@
 
 // release has servers replaced one after the other: each is shown as leaving, ends
 // three seconds later, and its successor comes cold.
-func (world *world) release(names []string, pause time.Duration) {
+func (w *world) release(names []string, pause time.Duration) {
 	if len(names) == 0 {
 		return
 	}
 	name := names[0]
-	world.list = append([]membership.Server(nil), world.list...)
-	for position := range world.list {
-		if world.list[position].Name == name {
-			world.list[position].Leaving = true
+	w.list = append([]membership.Server(nil), w.list...)
+	for position := range w.list {
+		if w.list[position].Name == name {
+			w.list[position].Leaving = true
 		}
 	}
-	world.announce()
-	world.after(3500, func() { world.crash(name, false, 500*time.Millisecond) })
-	world.after(milliseconds(pause), func() { world.release(names[1:], pause) })
+	w.announce()
+	w.after(3500, func() { w.crash(name, false, 500*time.Millisecond) })
+	w.after(milliseconds(pause), func() { w.release(names[1:], pause) })
 }
 
-func (world *world) start(listed membership.Server) {
-	world.servers[listed.Name] = &worldServer{world: world, listed: listed, part: listed.Part, handles: map[string]int{}}
-	world.servers[listed.Name].empty()
+func (w *world) start(listed membership.Server) {
+	w.servers[listed.Name] = &worldServer{world: w, listed: listed, part: listed.Part, handles: map[string]int{}}
+	w.servers[listed.Name].empty()
 }
 
 // relist takes a server off the list or puts one on it.
-func (world *world) relist(gone string, fresh *membership.Server) {
+func (w *world) relist(gone string, fresh *membership.Server) {
 	var next []membership.Server
-	for _, server := range world.list {
+	for _, server := range w.list {
 		if server.Name != gone {
 			next = append(next, server)
 		}
@@ -630,75 +630,75 @@
 	if fresh != nil {
 		next = append(next, *fresh)
 	}
-	world.list = next
-	world.announce()
+	w.list = next
+	w.announce()
 }
 
 // announce has the couriers know the list a while later.
-func (world *world) announce() {
-	list := append([]membership.Server(nil), world.list...)
-	world.after(800, func() {
-		for _, calls := range world.windows {
-			calls.SetServers(world.now, list)
+func (w *world) announce() {
+	list := append([]membership.Server(nil), w.list...)
+	w.after(800, func() {
+		for _, calls := range w.windows {
+			calls.SetServers(w.now, list)
 		}
 	})
 }
 
 // order has a server change its part: it ends what runs and is back a while later.
-func (world *world) order(name, part string) {
-	server := world.servers[name]
+func (w *world) order(name, part string) {
+	server := w.servers[name]
 	if server.changing || server.part == part {
 		return
 	}
-	world.orders++
+	w.orders++
 	server.changing = true
 	var wait func()
 	wait = func() {
 		if len(server.running)+len(server.waiting) > 0 && !server.down {
-			world.after(20, wait)
+			w.after(20, wait)
 			return
 		}
-		world.after(1500, func() {
+		w.after(1500, func() {
 			server.part, server.changing = part, false
-			for position := range world.list {
-				if world.list[position].Name == name {
-					world.list[position].Part = part
+			for position := range w.list {
+				if w.list[position].Name == name {
+					w.list[position].Part = part
 				}
 			}
-			world.announce()
+			w.announce()
 		})
 	}
 	wait()
 }
 
 // pool has the first courier decide on the servers' parts.
-func (world *world) pool(pools *Pools) {
-	for _, order := range pools.Decide(world.now, world.windows[0]) {
-		world.ordered[order.Server] = order.Part
-		for _, calls := range world.windows {
-			calls.SetOrders(world.now, world.ordered)
+func (w *world) pool(pools *Pools) {
+	for _, order := range pools.Decide(w.now, w.windows[0]) {
+		w.ordered[order.Server] = order.Part
+		for _, calls := range w.windows {
+			calls.SetOrders(w.now, w.ordered)
 		}
-		world.after(200, func() { world.order(order.Server, order.Part) })
+		w.after(200, func() { w.order(order.Server, order.Part) })
 	}
-	world.after(100, func() { world.pool(pools) })
+	w.after(100, func() { w.pool(pools) })
 }
 
 // sample keeps what the servers reported, for the lag.
-func (world *world) sample() {
-	for _, listed := range world.list {
-		server := world.servers[listed.Name]
+func (w *world) sample() {
+	for _, listed := range w.list {
+		server := w.servers[listed.Name]
 		server.past = append(server.past, server.report())
 		if len(server.past) > 20 {
 			server.past = server.past[1:]
 		}
 	}
-	world.after(20, world.sample)
+	w.after(20, w.sample)
 }
 
-func (world *world) renew(number int) {
+func (w *world) renew(number int) {
 	var loads []Load
-	for _, listed := range world.list {
-		server := world.servers[listed.Name]
+	for _, listed := range w.list {
+		server := w.servers[listed.Name]
 		if server.down || server.dark {
 			continue
 		}
@@ -708,67 +708,67 @@
 			continue
 		}
 		load := server.past[len(server.past)-old]
-		load.Age = world.engine.reportLag
+		load.Age = w.engine.reportLag
 		loads = append(loads, load)
 	}
-	world.windows[number].SetLoads(world.now, loads)
-	world.after(milliseconds(world.update), func() { world.renew(number) })
+	w.windows[number].SetLoads(w.now, loads)
+	w.after(milliseconds(w.update), func() { w.renew(number) })
 }
 
 // traffic has origins ask from now until a time.
-func (world *world) traffic(class class, until time.Time) {
-	world.after(world.random.ExpFloat64()*1000/class.perSecond, func() {
-		if world.now.After(until) {
+func (w *world) traffic(class class, until time.Time) {
+	w.after(w.random.ExpFloat64()*1000/class.perSecond, func() {
+		if w.now.After(until) {
 			return
 		}
-		world.ask(class)
-		world.traffic(class, until)
+		w.ask(class)
+		w.traffic(class, until)
 	})
 }
 
-func (world *world) ask(class class) {
-	world.calls++
-	id := fmt.Sprintf("%s-%d", class.name, world.calls)
-	call := &Call{ID: id, Host: class.host, Path: class.path + "x", Model: "m", Ends: world.now.Add(class.deadline)}
+func (w *world) ask(class class) {
+	w.calls++
+	id := fmt.Sprintf("%s-%d", class.name, w.calls)
+	call := &Call{ID: id, Host: class.host, Path: class.path + "x", Model: "m", Ends: w.now.Add(class.deadline)}
 	parent := uint64(0)
 	for depth, link := range class.chains {
-		thing := link.draw(world.random)
+		thing := link.draw(w.random)
 		if depth > 0 {
 			// A deeper thing lies under one of those above.
 			parent = thing % uint64(class.chains[depth-1].things)
-			call.Parts[0] = world.thing(class, 0, parent)
+			call.Parts[0] = w.thing(class, 0, parent)
 		}
-		call.Parts = append(call.Parts, world.thing(class, depth, thing))
+		call.Parts = append(call.Parts, w.thing(class, depth, thing))
 	}
-	own := max(16, int(drawn(world.random, class.own, class.ownSpread, class.ownMost)))
+	own := max(16, int(drawn(w.random, class.own, class.ownSpread, class.ownMost)))
 	call.Parts = append(call.Parts, Part{ID: nameKey(id), Tokens: own})
 	for _, part := range call.Parts {
 		call.PromptTokens += part.Tokens
 	}
-	call.OutputTokens = max(1, int(drawn(world.random, class.chunks, class.spread, class.mostChunks)*float64(world.engine.stride)))
+	call.OutputTokens = max(1, int(drawn(w.random, class.chunks, class.spread, class.mostChunks)*float64(w.engine.stride)))
 	call.Bytes = class.bytes * call.PromptTokens / int(class.own+class.chains[0].mean+class.chains[1].mean)
-	counter := world.counterOf(class.name)
+	counter := w.counterOf(class.name)
 	counter.calls++
 	counter.owed += class.worth
-	world.owedAt[world.second(world.now)] += class.worth
-	number := world.random.IntN(len(world.windows))
-	ticket, decision := world.windows[number].Arrive(world.now, call)
-	world.follow(&asked{class: class, call: call, at: world.now, router: number, ticket: ticket}, decision)
+	w.owedAt[w.second(w.now)] += class.worth
+	number := w.random.IntN(len(w.windows))
+	ticket, decision := w.windows[number].Arrive(w.now, call)
+	w.follow(&asked{class: class, call: call, at: w.now, router: number, ticket: ticket}, decision)
 }
 
-func (world *world) second(at time.Time) int {
-	return min(int(at.Sub(noon)/time.Second), len(world.owedAt)-1)
+func (w *world) second(at time.Time) int {
+	return min(int(at.Sub(noon)/time.Second), len(w.owedAt)-1)
 }
 
 // worst is the share earned in the two worst spans of three seconds.
-func (world *world) worst() float64 {
+func (w *world) worst() float64 {
 	const length = 3
 	var shares []float64
-	for start := 0; start+length <= len(world.owedAt); start += length {
+	for start := 0; start+length <= len(w.owedAt); start += length {
 		owed, earned := 0.0, 0.0
 		for second := start; second < start+length; second++ {
-			owed += world.owedAt[second]
-			earned += world.earnedAt[second]
+			owed += w.owedAt[second]
+			earned += w.earnedAt[second]
 		}
 		if owed > 0 {
 			shares = append(shares, earned/owed)
@@ -779,18 +779,18 @@
 }
 
 // thing is one shared part of a class's prompts, the same each time.
-func (world *world) thing(class class, depth int, thing uint64) Part {
+func (w *world) thing(class class, depth int, thing uint64) Part {
 	link := class.chains[depth]
 	id := weigh(nameKey(class.name)+uint64(depth), thing)
 	random := rand.New(rand.NewPCG(id, 3))
 	return Part{ID: id, Tokens: max(16, int(drawn(random, link.mean, link.spread, link.most)))}
 }
 
-func (world *world) counterOf(name string) *classCounter {
-	counter, found := world.counter[name]
+func (w *world) counterOf(name string) *classCounter {
+	counter, found := w.counter[name]
 	if !found {
 		counter = &classCounter{}
-		world.counter[name] = counter
+		w.counter[name] = counter
 	}
 	return counter
 }
@@ -807,32 +807,32 @@
 	log     string
 }
 
-func (world *world) way(router int, server *worldServer) float64 {
-	if world.places[router] == server.listed.Zone {
-		return world.engine.inZone
+func (w *world) way(router int, server *worldServer) float64 {
+	if w.places[router] == server.listed.Zone {
+		return w.engine.inZone
 	}
-	return world.engine.betweenZones
+	return w.engine.betweenZones
 }
 
-func (world *world) follow(asked *asked, decision Decision) {
-	world.tell(asked.router)
-	counter := world.counterOf(asked.class.name)
+func (w *world) follow(asked *asked, decision Decision) {
+	w.tell(asked.router)
+	counter := w.counterOf(asked.class.name)
 	for _, source := range decision.Free {
-		world.free(source)
+		w.free(source)
 	}
 	switch decision.Kind {
 	case Ask:
-		world.consult(asked, decision)
+		w.consult(asked, decision)
 	case Read, Run:
-		world.dispatch(asked, decision)
+		w.dispatch(asked, decision)
 	case Refuse:
 		if decision.Cause.NeverRan() {
 			counter.refused++
 		} else {
 			counter.lost++
 		}
-		if world.onLost != nil {
-			world.onLost(asked, decision)
+		if w.onLost != nil {
+			w.onLost(asked, decision)
 		}
 	case Done:
 		counter.served++
@@ -842,17 +842,17 @@
 		case took <= asked.class.aim && asked.longest <= asked.class.gap:
 			counter.inAim++
 			counter.earned += asked.class.worth
-			world.earnedAt[world.second(asked.at)] += asked.class.worth
+			w.earnedAt[w.second(asked.at)] += asked.class.worth
 		default:
 			if asked.longest > asked.class.gap {
 				counter.paused++
 			}
 			counter.late++
-			if world.onLate != nil {
-				world.onLate(asked, took)
+			if w.onLate != nil {
+				w.onLate(asked, took)
 			}
 			counter.earned += asked.class.late
-			world.earnedAt[world.second(asked.at)] += asked.class.late
+			w.earnedAt[w.second(asked.at)] += asked.class.late
 		}
 	default:
 		counter.broken++
@@ -860,18 +860,18 @@
 }
 
 // consult brings a call's questions to the keepers of counts and back.
-func (world *world) consult(asked *asked, decision Decision) {
+func (w *world) consult(asked *asked, decision Decision) {
 	router := strconv.Itoa(asked.router)
 	answers := map[string]backlog.Answer{}
-	world.after(askTakes/2, func() {
+	w.after(askTakes/2, func() {
 		for _, question := range decision.Questions {
 			question.Router = router
-			answers[question.Group] = world.ledger.Apply(world.now, question)
-			world.asked++
+			answers[question.Group] = w.ledger.Apply(w.now, question)
+			w.asked++
 		}
 	})
-	world.after(askTakes, func() {
-		world.follow(asked, world.windows[asked.router].Told(world.now, asked.ticket, answers))
+	w.after(askTakes, func() {
+		w.follow(asked, w.windows[asked.router].Told(w.now, asked.ticket, answers))
 	})
 }
 
@@ -883,22 +883,22 @@
 )
 
 // tell brings a router's changes to the keepers of counts.
-func (world *world) tell(router int) {
-	if !world.windows[router].HasChanges() {
+func (w *world) tell(router int) {
+	if !w.windows[router].HasChanges() {
 		return
 	}
-	world.after(tellAfter, func() {
-		for group, changes := range world.windows[router].TakeChanges() {
-			world.ledger.Apply(world.now, backlog.Question{Router: strconv.Itoa(router), Group: group, Changes: changes})
-			world.toldOf++
+	w.after(tellAfter, func() {
+		for group, changes := range w.windows[router].TakeChanges() {
+			w.ledger.Apply(w.now, backlog.Question{Router: strconv.Itoa(router), Group: group, Changes: changes})
+			w.toldOf++
 		}
 	})
 }
 
 // rank tells which reader of the call's chain a server is.
-func (world *world) rank(call *Call, server *worldServer) string {
+func (w *world) rank(call *Call, server *worldServer) string {
 	rank := 0
-	for _, other := range world.servers {
+	for _, other := range w.servers {
 		if other.part == prefill && weigh(call.chain(), nameKey(other.listed.Name)) > weigh(call.chain(), nameKey(server.listed.Name)) {
 			rank++
 		}
@@ -906,8 +906,8 @@
 	return fmt.Sprintf(" %d", rank)
 }
 
-func (world *world) free(source Source) {
-	for _, server := range world.servers {
+func (w *world) free(source Source) {
+	for _, server := range w.servers {
 		if server.listed.Address == source.Address {
 			server.pinned -= server.handles[source.Handle]
 			delete(server.handles, source.Handle)
@@ -915,23 +915,23 @@
 	}
 }
 
-func (world *world) dispatch(asked *asked, decision Decision) {
-	server := world.servers[decision.Server.Name]
-	way := world.way(asked.router, server)
-	asked.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, world.now.Sub(asked.at).Milliseconds(), asked.ticket.dispatch.unread, asked.ticket.dispatch.expected)
-	world.dispatches++
+func (w *world) dispatch(asked *asked, decision Decision) {
+	server := w.servers[decision.Server.Name]
+	way := w.way(asked.router, server)
+	asked.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(asked.at).Milliseconds(), asked.ticket.dispatch.unread, asked.ticket.dispatch.expected)
+	w.dispatches++
 	ends := connectionEnds{asked.router, decision.Server.Name}
-	idle, known := world.idle[ends]
+	idle, known := w.idle[ends]
 	if !known {
 		idle = &connections{}
-		world.idle[ends] = idle
+		w.idle[ends] = idle
 	}
-	if !idle.available(world.now) {
-		world.opened++
+	if !idle.available(w.now) {
+		w.opened++
 	}
-	idle.take(world.now)
-	if way != world.engine.inZone {
-		world.crossed += float64(asked.call.Bytes) / 1e9
+	idle.take(w.now)
+	if way != w.engine.inZone {
+		w.crossed += float64(asked.call.Bytes) / 1e9
 	}
 	done := false
 	var job_ *job
@@ -942,40 +942,40 @@
 		done = true
 		if outcome.Result == Complete {
 			outcome.Rests = keptOpen
-			idle.give(world.now, keptOpen)
+			idle.give(w.now, keptOpen)
 		}
 		if job_ != nil {
 			job_.gone = true
 			asked.longest = max(asked.longest, job_.longest)
 		}
-		world.follow(asked, world.windows[asked.router].Ended(world.now, asked.ticket, outcome))
+		w.follow(asked, w.windows[asked.router].Ended(w.now, asked.ticket, outcome))
 	}
 	if decision.Patience > 0 {
-		world.after(milliseconds(decision.Patience), func() {
+		w.after(milliseconds(decision.Patience), func() {
 			if job_ == nil || !job_.started {
 				end(Outcome{Result: Silent})
 			}
 		})
 	}
-	world.after(milliseconds(decision.Ends.Sub(world.now)), func() {
+	w.after(milliseconds(decision.Ends.Sub(w.now)), func() {
 		if job_ != nil && job_.started {
 			end(Outcome{Result: Cut, First: asked.first})
 		} else {
 			end(Outcome{Result: Silent})
 		}
 	})
-	world.after(way, func() {
+	w.after(way, func() {
 		switch {
 		case server.down:
-			world.after(way, func() { end(Outcome{Result: Unreached}) })
+			w.after(way, func() { end(Outcome{Result: Unreached}) })
 			return
 		case server.dark:
 			return
 		}
-		server.arrivals = append(server.arrivals, world.now)
+		server.arrivals = append(server.arrivals, w.now)
 		turn := func(result Result) {
-			world.after(way, func() {
-				end(Outcome{Result: result, Status: 503, Load: &AnswerLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: world.engine.slots}})
+			w.after(way, func() {
+				end(Outcome{Result: result, Status: 503, Load: &AnswerLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: w.engine.slots}})
 			})
 		}
 		if server.changing {
@@ -990,7 +990,7 @@
 		job_ = job
 		job.way = asked.class.name + " " + string(decision.Kind)
 		if job.reads {
-			job.way += world.rank(asked.call, server)
+			job.way += w.rank(asked.call, server)
 		}
 		job.believed = asked.ticket.dispatch.unread
 		if !job.reads {
@@ -1000,29 +1000,29 @@
 			if !asked.first.IsZero() {
 				return
 			}
-			asked.first = world.now.Add(span(way))
-			if world.tells {
-				world.after(way, func() { world.windows[asked.router].Began(world.now, asked.ticket) })
+			asked.first = w.now.Add(span(way))
+			if w.tells {
+				w.after(way, func() { w.windows[asked.router].Began(w.now, asked.ticket) })
 			}
 		}
 		job.ended = func(result Result) {
 			outcome := Outcome{Result: result, First: asked.first}
 			if job.reads && result == Complete {
-				handle := fmt.Sprintf("h%d", world.sequence)
+				handle := fmt.Sprintf("h%d", w.sequence)
 				server.handles[handle] = job.tokens
 				outcome = Outcome{Result: Complete, Handle: handle}
-				world.after(5000, func() {
+				w.after(5000, func() {
 					if _, held := server.handles[handle]; held {
 						server.pinned -= server.handles[handle]
 						delete(server.handles, handle)
 					}
 				})
 			}
-			outcome.Load = &AnswerLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: world.engine.slots}
+			outcome.Load = &AnswerLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: w.engine.slots}
 			if result != Complete {
 				outcome.Load = nil
 			}
-			world.after(way, func() { end(outcome) })
+			w.after(way, func() { end(outcome) })
 		}
 		begin := func() {
 			if server.down || server.dark || done {
@@ -1033,16 +1033,16 @@
 			}
 		}
 		if decision.Source == nil {
-			world.after(world.engine.first, begin)
+			w.after(w.engine.first, begin)
 			return
 		}
-		world.move(server, asked.call, *decision.Source, job, begin, turn)
+		w.move(server, asked.call, *decision.Source, job, begin, turn)
 	})
 }
 
-func (world *world) move(server *worldServer, call *Call, source Source, job *job, begin func(), turn func(Result)) {
+func (w *world) move(server *worldServer, call *Call, source Source, job *job, begin func(), turn func(Result)) {
 	var reader *worldServer
-	for _, other := range world.servers {
+	for _, other := range w.servers {
 		if other.listed.Address == source.Address {
 			reader = other
 		}
@@ -1053,25 +1053,25 @@
 		return
 	}
 	delete(reader.handles, source.Handle)
-	gigabytes := float64(call.PromptTokens) * world.engine.bytesAToken / 1e9
-	took := world.engine.setup + gigabytes*8e9/world.engine.linkBitsAMilli
+	gigabytes := float64(call.PromptTokens) * w.engine.bytesAToken / 1e9
+	took := w.engine.setup + gigabytes*8e9/w.engine.linkBitsAMilli
 	took *= max(server.slowLink, reader.slowLink, 1)
 	if reader.listed.Zone != server.listed.Zone {
 		took *= 2
-		world.farMoves += gigabytes
+		w.farMoves += gigabytes
 	} else {
-		world.nearMoves += gigabytes
+		w.nearMoves += gigabytes
 	}
 	start := server.linkFree
-	if start.Before(world.now) {
-		start = world.now
+	if start.Before(w.now) {
+		start = w.now
 	}
-	if start.Sub(world.now) > 2*time.Second {
+	if start.Sub(w.now) > 2*time.Second {
 		turn(NotStarted)
 		return
 	}
 	server.linkFree = start.Add(span(took))
-	world.after(milliseconds(server.linkFree.Sub(world.now)), func() {
+	w.after(milliseconds(server.linkFree.Sub(w.now)), func() {
 		reader.pinned -= held
 		job.moved, job.unread = true, 0
 		server.keep(call.Parts)
@@ -1080,28 +1080,28 @@
 }
 
 // String tells how the world's calls went.
-func (world *world) String() string {
+func (w *world) String() string {
 	text := ""
 	var names []string
-	for name := range world.counter {
+	for name := range w.counter {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		counter := world.counter[name]
+		counter := w.counter[name]
 		text += fmt.Sprintf("%s: worth %.3f, in aim %.3f, late %d (pauses %d), refused %d, lost %d, broken %d, first event p50 %.0f p95 %.0f p99 %.0f ms\n", name,
 			counter.earned/counter.owed, float64(counter.inAim)/float64(counter.calls), counter.late, counter.paused, counter.refused, counter.lost, counter.broken,
 			counter.at(0.5), counter.at(0.95), counter.at(0.99))
 	}
 	names = nil
-	for name := range world.ways {
+	for name := range w.ways {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		way := world.ways[name]
+		way := w.ways[name]
 		text += fmt.Sprintf("  %s: %d, again %d, unread %d believed %d\n", name, way.count, way.again, way.unread, way.believed)
 	}
 	return text + fmt.Sprintf("read %d tokens, shared %d, again %d; moves near %.1f far %.1f GB; bodies crossed %.4f GB; %d dispatches for %d calls",
-		world.read, world.sharedRead, world.sharedAgain, world.nearMoves, world.farMoves, world.crossed, world.dispatches, world.calls)
+		w.read, w.sharedRead, w.sharedAgain, w.nearMoves, w.farMoves, w.crossed, w.dispatches, w.calls)
 }
--- a/internal/testbed/compare/compare.go
+++ b/internal/testbed/compare/compare.go
@@ -26,7 +26,7 @@
 }
 
 // Clear tells whether the interval leaves out zero.
-func (difference Difference) Clear() bool { return math.Abs(difference.Mean) > difference.Margin }
+func (d Difference) Clear() bool { return math.Abs(d.Mean) > d.Margin }
 
 // Comparison is that of all figures, and of the days that one side alone broke.
 type Comparison struct {
@@ -110,11 +110,11 @@
 }
 
 // String is the comparison as a table.
-func (comparison Comparison) String() string {
+func (c Comparison) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d days; broken before: %v; broken after: %v\n", len(comparison.Days), comparison.BrokenBefore, comparison.BrokenAfter)
+	fmt.Fprintf(&text, "%d days; broken before: %v; broken after: %v\n", len(c.Days), c.BrokenBefore, c.BrokenAfter)
 	fmt.Fprintf(&text, "%-52s %10s %10s %10s %10s\n", "figure", "before", "after", "difference", "within")
-	for _, difference := range comparison.Differences {
+	for _, difference := range c.Differences {
 		mark := ""
 		if difference.Clear() {
 			mark = " *"
--- a/internal/testbed/compare/plot.go
+++ b/internal/testbed/compare/plot.go
@@ -15,15 +15,15 @@
 )
 
 // SavePlot draws the difference of each day's worth.
-func (comparison Comparison) SavePlot(file string) error {
+func (c Comparison) SavePlot(file string) error {
 	drawing := plot.New()
 	drawing.Title.Text = "worth, after less before, day by day"
 	drawing.Y.Label.Text = "difference"
-	bars, err := plotter.NewBarChart(plotter.Values(comparison.Worth), plotWidth/vg.Length(2*max(1, len(comparison.Worth))))
+	bars, err := plotter.NewBarChart(plotter.Values(c.Worth), plotWidth/vg.Length(2*max(1, len(c.Worth))))
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
 	drawing.Add(bars, plotter.NewGrid())
-	drawing.NominalX(comparison.Days...)
+	drawing.NominalX(c.Days...)
 	return failure.Wrap(failure.Disk, drawing.Save(plotWidth, plotHeight, file))
 }
--- a/internal/testbed/compare/report.go
+++ b/internal/testbed/compare/report.go
@@ -50,19 +50,19 @@
 
 // Figures are the report's figures by name: the worth, its parts, what prices took off, and
 // for each kind of request the shares in aim, late and not served.
-func (report *Report) Figures() map[string]float64 {
-	figures := map[string]float64{"worth": report.Worth, "served": report.Served, "unserved": report.Unserved}
-	for _, part := range report.Parts {
+func (r *Report) Figures() map[string]float64 {
+	figures := map[string]float64{"worth": r.Worth, "served": r.Served, "unserved": r.Unserved}
+	for _, part := range r.Parts {
 		figures["part: "+part.Name] = part.Value
 	}
-	for _, price := range report.Prices {
+	for _, price := range r.Prices {
 		figures["prices"] += price.Value
 		if price.Value != 0 {
 			figures["price: "+price.Name] = price.Value
 			figures["amount: "+price.Name] = price.Amount
 		}
 	}
-	for _, class := range report.Classes {
+	for _, class := range r.Classes {
 		asked := float64(max(1, class.Count))
 		figures[class.Name+": in aim"] = float64(class.InAim) / asked
 		figures[class.Name+": late"] = float64(class.Late) / asked
@@ -72,7 +72,7 @@
 }
 
 // Broken tells whether a rule was broken or the day counts for nothing.
-func (report *Report) Broken() bool { return len(report.Breaks) > 0 || report.Fault != nil }
+func (r *Report) Broken() bool { return len(r.Breaks) > 0 || r.Fault != nil }
 
 // ReadReports reads a folder of reports, by day: the files' names without their ending.
 func ReadReports(folder string) (map[string]*Report, error) {
--- a/internal/testbed/fleet/book.go
+++ b/internal/testbed/fleet/book.go
@@ -23,35 +23,35 @@
 }
 
 // Note writes an entry down, at this moment unless it says another.
-func (book *Book) Note(entry Entry) {
-	book.mutex.Lock()
-	defer book.mutex.Unlock()
+func (b *Book) Note(entry Entry) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	if entry.At.IsZero() {
 		entry.At = time.Now()
-		if book.Clock != nil {
-			entry.At = book.Clock()
+		if b.Clock != nil {
+			entry.At = b.Clock()
 		}
 	}
-	book.entries = append(book.entries, entry)
+	b.entries = append(b.entries, entry)
 }
 
 // Entries gives all entries in the order of their time.
-func (book *Book) Entries() []Entry {
-	book.mutex.Lock()
-	defer book.mutex.Unlock()
-	entries := append([]Entry(nil), book.entries...)
+func (b *Book) Entries() []Entry {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	entries := append([]Entry(nil), b.entries...)
 	sort.SliceStable(entries, func(left, right int) bool { return entries[left].At.Before(entries[right].At) })
 	return entries
 }
 
 // Save writes the book as JSON lines.
-func (book *Book) Save(path string) error {
+func (b *Book) Save(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
 	encoder := json.NewEncoder(file)
-	for _, entry := range book.Entries() {
+	for _, entry := range b.Entries() {
 		if err := encoder.Encode(entry); err != nil {
 			_ = file.Close()
 			return failure.Wrap(failure.Disk, err)
--- a/internal/testbed/fleet/callers.go
+++ b/internal/testbed/fleet/callers.go
@@ -41,41 +41,41 @@
 }
 
 // SetRates sets how many inquiries of each kind come in a second.
-func (callers *Callers) SetRates(long, short float64) {
-	callers.longRate.Store(int64(long * 1000))
-	callers.shortRate.Store(int64(short * 1000))
+func (c *Callers) SetRates(long, short float64) {
+	c.longRate.Store(int64(long * 1000))
+	c.shortRate.Store(int64(short * 1000))
 }
 
 // Run sends inquiries until the lifetime ends, then waits for the replies.
-func (callers *Callers) Run(lifetime context.Context) {
-	defer callers.waiting.Wait()
+func (c *Callers) Run(lifetime context.Context) {
+	defer c.waiting.Wait()
 	for lifetime.Err() == nil {
-		long, short := float64(callers.longRate.Load())/1000, float64(callers.shortRate.Load())/1000
-		pause := time.Duration(callers.random.ExpFloat64() / max(long+short, 0.01) * float64(time.Second))
+		long, short := float64(c.longRate.Load())/1000, float64(c.shortRate.Load())/1000
+		pause := time.Duration(c.random.ExpFloat64() / max(long+short, 0.01) * float64(time.Second))
 		if !pauseFor(lifetime, min(pause, time.Second)) {
 			return
 		}
 		if pause > time.Second {
 			continue
 		}
-		kind := callers.fleet.Deployment.Short
-		if callers.random.Float64()*(long+short) < long {
-			kind = callers.fleet.Deployment.Long
+		kind := c.fleet.Deployment.Short
+		if c.random.Float64()*(long+short) < long {
+			kind = c.fleet.Deployment.Long
 		}
-		callers.number++
-		zones := callers.fleet.Deployment.Zones
-		zone := zones[callers.random.IntN(len(zones))]
-		node := callers.pick(zone, callers.random.IntN(1<<20))
+		c.number++
+		zones := c.fleet.Deployment.Zones
+		zone := zones[c.random.IntN(len(zones))]
+		node := c.pick(zone, c.random.IntN(1<<20))
 		if node == nil {
 			continue
 		}
-		question, entry := callers.question(kind, node)
+		question, entry := c.question(kind, node)
 		entry.Zone = zone
-		habit := habit{leaves: -1, obeys: callers.random.IntN(2) == 0, persists: callers.random.IntN(3) == 0, elsewhere: callers.random.IntN(1 << 20)}
-		if callers.random.IntN(40) == 0 {
-			habit.leaves = callers.random.IntN(question.Chunks)
+		habit := habit{leaves: -1, obeys: c.random.IntN(2) == 0, persists: c.random.IntN(3) == 0, elsewhere: c.random.IntN(1 << 20)}
+		if c.random.IntN(40) == 0 {
+			habit.leaves = c.random.IntN(question.Chunks)
 		}
-		callers.waiting.Go(func() { callers.converse(lifetime, node, question, entry, habit) })
+		c.waiting.Go(func() { c.converse(lifetime, node, question, entry, habit) })
 	}
 }
 
@@ -93,10 +93,10 @@
 // converse sends an inquiry and, as callers do, sends the same id again: after a
 // refusal, after a broken circuit at another courier, and now and then after any
 // word.
-func (callers *Callers) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, habit habit) {
+func (c *Callers) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, habit habit) {
 	for arrival := range 3 {
 		entry.Arrival, entry.Router = arrival, node.Node.Name
-		reply, retry := callers.send(context.Background(), node.Node.Address, question, entry, habit.leaves)
+		reply, retry := c.send(context.Background(), node.Node.Address, question, entry, habit.leaves)
 		pause := 100 * time.Millisecond
 		switch {
 		case reply.Cause == CallerLeft, reply.Final == "complete" && !habit.persists:
@@ -109,7 +109,7 @@
 		if !pauseFor(lifetime, pause) {
 			return
 		}
-		if node = callers.pick(entry.Zone, habit.elsewhere+arrival); node == nil {
+		if node = c.pick(entry.Zone, habit.elsewhere+arrival); node == nil {
 			return
 		}
 		habit.persists = false
@@ -118,8 +118,8 @@
 
 // pick is the node that the platform hands a client of the district to: one of
 // its own that is up, or any other.
-func (callers *Callers) pick(zone string, draw int) *NodeProcess {
-	running := callers.fleet.Running(membership.Router)
+func (c *Callers) pick(zone string, draw int) *NodeProcess {
+	running := c.fleet.Running(membership.Router)
 	var near []*NodeProcess
 	for _, node := range running {
 		if node.Node.Zone == zone {
@@ -148,19 +148,19 @@
 	Chunks       int    `json:"pieces"`
 }
 
-func (callers *Callers) question(kind Kind, node *NodeProcess) (Question, Entry) {
-	repeatable := callers.random.Float64() >= callers.Once
-	question := Question{ID: hatch.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(callers.number%50), Repeatable: repeatable,
-		Limit: 15_000, PromptTokens: kind.LeastTokens + callers.random.IntN(kind.MostTokens-kind.LeastTokens),
-		Prefix: kind.Service + "-" + strconv.Itoa(callers.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
-		Chunks: kind.LeastChunks + callers.random.IntN(kind.MostChunks-kind.LeastChunks)}
+func (c *Callers) question(kind Kind, node *NodeProcess) (Question, Entry) {
+	repeatable := c.random.Float64() >= c.Once
+	question := Question{ID: hatch.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(c.number%50), Repeatable: repeatable,
+		Limit: 15_000, PromptTokens: kind.LeastTokens + c.random.IntN(kind.MostTokens-kind.LeastTokens),
+		Prefix: kind.Service + "-" + strconv.Itoa(c.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
+		Chunks: kind.LeastChunks + c.random.IntN(kind.MostChunks-kind.LeastChunks)}
 	return question, Entry{Request: question.ID, Router: node.Node.Name, Service: kind.Service, Repeatable: repeatable, Asked: question.Chunks}
 }
 
 // Send sends one inquiry and writes down its reply, word for word. A reply
 // that breaks off without a final line is noted without one.
-func (callers *Callers) Send(lifetime context.Context, address string, question Question, entry Entry) Entry {
-	reply, _ := callers.send(lifetime, address, question, entry, -1)
+func (c *Callers) Send(lifetime context.Context, address string, question Question, entry Entry) Entry {
+	reply, _ := c.send(lifetime, address, question, entry, -1)
 	return reply
 }
 
@@ -169,15 +169,15 @@
 
 // send sends one inquiry; it also tells when the caller may come back. A caller
 // that leaves closes the circuit after so many pieces.
-func (callers *Callers) send(lifetime context.Context, address string, question Question, entry Entry, leaves int) (Entry, time.Duration) {
+func (c *Callers) send(lifetime context.Context, address string, question Question, entry Entry, leaves int) (Entry, time.Duration) {
 	began := time.Now()
 	sent := entry
 	sent.Kind = Sent
-	callers.fleet.Book.Note(sent)
+	c.fleet.Book.Note(sent)
 	entry.Kind = Replied
 	lifetime, end := context.WithTimeout(lifetime, time.Duration(question.Limit)*time.Millisecond+5*time.Second)
 	defer end()
-	status, retry, err := callers.read(lifetime, address, question, &entry, leaves)
+	status, retry, err := c.read(lifetime, address, question, &entry, leaves)
 	entry.Status = status
 	entry.Took = time.Since(began)
 	if err != nil && entry.Final == "" {
@@ -186,11 +186,11 @@
 			entry.Cause = CallerLeft
 		}
 	}
-	callers.fleet.Book.Note(entry)
+	c.fleet.Book.Note(entry)
 	return entry, retry
 }
 
-func (callers *Callers) read(lifetime context.Context, address string, question Question, entry *Entry, leaves int) (int, time.Duration, error) {
+func (c *Callers) read(lifetime context.Context, address string, question Question, entry *Entry, leaves int) (int, time.Duration, error) {
 	body, err := json.Marshal(question)
 	if err != nil {
 		return 0, 0, failure.Wrap(failure.Malformed, err)
@@ -199,7 +199,7 @@
 	if err != nil {
 		return 0, 0, failure.Wrap(failure.Malformed, err)
 	}
-	inbound, err := callers.client.Do(outbound)
+	inbound, err := c.client.Do(outbound)
 	if err != nil {
 		return 0, 0, failure.Wrap(failure.Unreachable, err)
 	}
--- a/internal/testbed/fleet/circuit.go
+++ b/internal/testbed/fleet/circuit.go
@@ -18,22 +18,22 @@
 func NewConnection(rt runtime.Runtime) *Connection { return &Connection{cond: rt.NewCond()} }
 
 // Close ends what is done for the circuit.
-func (connection *Connection) Close() {
-	connection.mutex.Lock()
-	connection.closed = true
-	connection.mutex.Unlock()
-	connection.cond.Broadcast()
+func (c *Connection) Close() {
+	c.mutex.Lock()
+	c.closed = true
+	c.mutex.Unlock()
+	c.cond.Broadcast()
 }
 
 // Closed tells whether the circuit is closed.
-func (connection *Connection) Closed() bool {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	return connection.closed
+func (c *Connection) Closed() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.closed
 }
 
 // Pause lets work take its time; false means that the circuit was closed.
-func (connection *Connection) Pause(length time.Duration) bool {
-	connection.cond.Wait(length, connection.Closed)
-	return !connection.Closed()
+func (c *Connection) Pause(length time.Duration) bool {
+	c.cond.Wait(length, c.Closed)
+	return !c.Closed()
 }
--- a/internal/testbed/fleet/deployment.go
+++ b/internal/testbed/fleet/deployment.go
@@ -50,8 +50,8 @@
 // Configuration is the deployment's first configuration. Each edition of it
 // has a route whose name tells the edition, so that any caller can see which
 // one is in force at a courier.
-func (deployment Deployment) Configuration(revision int) string {
-	return `{"services":{"` + deployment.Long.Service + `":{"limit_milliseconds":20000},"` + deployment.Short.Service +
+func (d Deployment) Configuration(revision int) string {
+	return `{"services":{"` + d.Long.Service + `":{"limit_milliseconds":20000},"` + d.Short.Service +
 		`":{"limit_milliseconds":20000},"edition":{}},"routes":{"edition-` + strconv.Itoa(revision) +
 		`":{"order":0,"match":{"service":"edition"},"to":{"refuse":true}},"all":{"order":9,"to":{"home_first":true}}}}`
 }
--- a/internal/testbed/fleet/entry.go
+++ b/internal/testbed/fleet/entry.go
@@ -37,4 +37,4 @@
 	Flags    []string      `json:"flags,omitempty"`
 }
 
-func (entry Entry) arrivalName() string { return entry.Request + "@" + strconv.Itoa(entry.Arrival) }
+func (e Entry) arrivalName() string { return e.Request + "@" + strconv.Itoa(e.Arrival) }
--- a/internal/testbed/fleet/faultydisk.go
+++ b/internal/testbed/fleet/faultydisk.go
@@ -29,13 +29,13 @@
 }
 
 // act lets the disk take its time; a full disk takes nothing more.
-func (disk *FaultyDisk) act(writes bool) error {
-	faults := disk.faults()
+func (f *FaultyDisk) act(writes bool) error {
+	faults := f.faults()
 	switch faults.Disk {
 	case "slow":
 		time.Sleep(faults.Delay)
 	case "stall":
-		for disk.faults().Disk == "stall" {
+		for f.faults().Disk == "stall" {
 			time.Sleep(20 * time.Millisecond)
 		}
 	case "full":
@@ -47,59 +47,59 @@
 }
 
 // MakeFolder makes a folder.
-func (disk *FaultyDisk) MakeFolder(path string) error { return disk.real.MakeFolder(path) }
+func (f *FaultyDisk) MakeFolder(path string) error { return f.real.MakeFolder(path) }
 
 // WriteSynced writes and syncs a file.
-func (disk *FaultyDisk) WriteSynced(path string, content []byte) error {
-	if err := disk.act(true); err != nil {
+func (f *FaultyDisk) WriteSynced(path string, content []byte) error {
+	if err := f.act(true); err != nil {
 		return err
 	}
-	return disk.real.WriteSynced(path, content)
+	return f.real.WriteSynced(path, content)
 }
 
 // Rename waits in memory for the folder's sync.
-func (disk *FaultyDisk) Rename(from, to string) error {
-	disk.mutex.Lock()
-	defer disk.mutex.Unlock()
-	disk.renamed[to] = from
-	delete(disk.removed, to)
+func (f *FaultyDisk) Rename(from, to string) error {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.renamed[to] = from
+	delete(f.removed, to)
 	return nil
 }
 
 // SyncFolder makes the folder's renames and removals last.
-func (disk *FaultyDisk) SyncFolder(path string) error {
-	if err := disk.act(true); err != nil {
+func (f *FaultyDisk) SyncFolder(path string) error {
+	if err := f.act(true); err != nil {
 		return err
 	}
-	disk.mutex.Lock()
-	defer disk.mutex.Unlock()
-	for to, from := range disk.renamed {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for to, from := range f.renamed {
 		if filepath.Dir(to) == path {
-			if err := disk.real.Rename(from, to); err != nil {
+			if err := f.real.Rename(from, to); err != nil {
 				return err
 			}
-			delete(disk.renamed, to)
+			delete(f.renamed, to)
 		}
 	}
-	for name := range disk.removed {
+	for name := range f.removed {
 		if filepath.Dir(name) == path {
-			_ = disk.real.Remove(name)
-			delete(disk.removed, name)
+			_ = f.real.Remove(name)
+			delete(f.removed, name)
 		}
 	}
-	return disk.real.SyncFolder(path)
+	return f.real.SyncFolder(path)
 }
 
 // List names the files as the process sees them.
-func (disk *FaultyDisk) List(path string) ([]string, error) {
-	names, err := disk.real.List(path)
-	disk.mutex.Lock()
-	defer disk.mutex.Unlock()
+func (f *FaultyDisk) List(path string) ([]string, error) {
+	names, err := f.real.List(path)
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	seen := map[string]bool{}
 	for _, name := range names {
-		seen[name] = !disk.removed[filepath.Join(path, name)]
+		seen[name] = !f.removed[filepath.Join(path, name)]
 	}
-	for to, from := range disk.renamed {
+	for to, from := range f.renamed {
 		if filepath.Dir(to) == path {
 			seen[filepath.Base(to)], seen[filepath.Base(from)] = true, false
 		}
@@ -115,28 +115,28 @@
 }
 
 // Read reads a file; a damaged disk gives the larder's files with a wrong byte.
-func (disk *FaultyDisk) Read(path string) ([]byte, error) {
-	if err := disk.act(false); err != nil {
+func (f *FaultyDisk) Read(path string) ([]byte, error) {
+	if err := f.act(false); err != nil {
 		return nil, err
 	}
-	disk.mutex.Lock()
-	source, found := disk.renamed[path]
-	disk.mutex.Unlock()
+	f.mutex.Lock()
+	source, found := f.renamed[path]
+	f.mutex.Unlock()
 	if !found {
 		source = path
 	}
-	content, err := disk.real.Read(source)
-	if disk.faults().Disk == "damage" && strings.Contains(path, "larder") && len(content) > 0 {
+	content, err := f.real.Read(source)
+	if f.faults().Disk == "damage" && strings.Contains(path, "larder") && len(content) > 0 {
 		content[len(content)/2] ^= 0x40
 	}
 	return content, err
 }
 
 // Remove waits in memory for the folder's sync.
-func (disk *FaultyDisk) Remove(path string) error {
-	disk.mutex.Lock()
-	defer disk.mutex.Unlock()
-	delete(disk.renamed, path)
-	disk.removed[path] = true
+func (f *FaultyDisk) Remove(path string) error {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	delete(f.renamed, path)
+	f.removed[path] = true
 	return nil
 }
--- a/internal/testbed/fleet/finding.go
+++ b/internal/testbed/fleet/finding.go
@@ -16,14 +16,14 @@
 }
 
 // Violate counts one broken rule, and keeps some as examples.
-func (finding *Finding) Violate(example string) {
-	finding.Violations++
-	if len(finding.Examples) < 5 {
-		finding.Examples = append(finding.Examples, example)
+func (f *Finding) Violate(example string) {
+	f.Violations++
+	if len(f.Examples) < 5 {
+		f.Examples = append(f.Examples, example)
 	}
 }
 
 // late notes the worst length of time.
-func (finding *Finding) late(worst time.Duration) {
-	finding.Worst, finding.Seconds = worst.String(), worst.Seconds()
+func (f *Finding) late(worst time.Duration) {
+	f.Worst, f.Seconds = worst.String(), worst.Seconds()
 }
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -85,45 +85,45 @@
 }
 
 // AddServer starts a stand-in server and lists it with the platform.
-func (fleet *Fleet) AddServer(plan ServerPlan) (*StandIn, error) {
-	standIn, err := StartStandIn(plan, "127.0.0.1:0", fleet.Book)
+func (f *Fleet) AddServer(plan ServerPlan) (*StandIn, error) {
+	standIn, err := StartStandIn(plan, "127.0.0.1:0", f.Book)
 	if err != nil {
 		return nil, err
 	}
-	fleet.mutex.Lock()
-	fleet.standIns = append(fleet.standIns, standIn)
-	fleet.plans[plan.Name] = plan
-	fleet.mutex.Unlock()
-	fleet.Platform.ListServer(membership.Server{Name: plan.Name, Address: standIn.Address(), Zone: plan.Zone})
+	f.mutex.Lock()
+	f.standIns = append(f.standIns, standIn)
+	f.plans[plan.Name] = plan
+	f.mutex.Unlock()
+	f.Platform.ListServer(membership.Server{Name: plan.Name, Address: standIn.Address(), Zone: plan.Zone})
 	return standIn, nil
 }
 
 // AddNode lays out a node and lists it with the platform; it does not start it.
-func (fleet *Fleet) AddNode(kind membership.NodeKind, name, address, zone string, seeds []string) *NodeProcess {
-	node := &NodeProcess{Node: membership.Node{Name: name, Kind: kind, Address: address, Zone: zone}, folder: fleet.folder,
-		binary: Program(fleet.binaries, kind), settings: map[string]any{"name": name, "address": address, "district": zone,
-			"seeds": seeds, "platform": fleet.Platform.Address()}}
-	for setting, value := range fleet.extra {
+func (f *Fleet) AddNode(kind membership.NodeKind, name, address, zone string, seeds []string) *NodeProcess {
+	node := &NodeProcess{Node: membership.Node{Name: name, Kind: kind, Address: address, Zone: zone}, folder: f.folder,
+		binary: Program(f.binaries, kind), settings: map[string]any{"name": name, "address": address, "district": zone,
+			"seeds": seeds, "platform": f.Platform.Address()}}
+	for setting, value := range f.extra {
 		if setting == "market" && kind != membership.Router {
 			continue
 		}
 		node.settings[setting] = value
 	}
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	if kind == membership.Controller {
-		node.settings["data_folder"] = filepath.Join(fleet.folder, name+"-disk")
-		fleet.Controllers = append(fleet.Controllers, node)
+		node.settings["data_folder"] = filepath.Join(f.folder, name+"-disk")
+		f.Controllers = append(f.Controllers, node)
 	} else {
-		fleet.Routers = append(fleet.Routers, node)
+		f.Routers = append(f.Routers, node)
 	}
-	fleet.Platform.ListNode(node.Node)
+	f.Platform.ListNode(node.Node)
 	return node
 }
 
 // Mix has every other node run an older build, whose programs are in a folder.
-func (fleet *Fleet) Mix(older string) {
-	for position, node := range fleet.Nodes() {
+func (f *Fleet) Mix(older string) {
+	for position, node := range f.Nodes() {
 		if position%2 == 0 {
 			node.binary = Program(older, node.Node.Kind)
 		}
@@ -131,47 +131,47 @@
 }
 
 // Stage makes the nodes run with a faulty disk and a faulty clock.
-func (fleet *Fleet) Stage() {
-	for _, node := range fleet.Nodes() {
+func (f *Fleet) Stage() {
+	for _, node := range f.Nodes() {
 		node.staged = true
 	}
 }
 
 // Begin starts every node and waits until all are ready and every server has a
 // part.
-func (fleet *Fleet) Begin(patience time.Duration) error {
-	for _, node := range fleet.Nodes() {
+func (f *Fleet) Begin(patience time.Duration) error {
+	for _, node := range f.Nodes() {
 		if err := node.Begin(); err != nil {
 			return err
 		}
 	}
-	if err := fleet.AwaitReady(patience); err != nil {
+	if err := f.AwaitReady(patience); err != nil {
 		return err
 	}
-	withheld, _ := fleet.extra["withhold_flags"].([]string)
-	for _, node := range fleet.Nodes() {
+	withheld, _ := f.extra["withhold_flags"].([]string)
+	for _, node := range f.Nodes() {
 		var flags []string
 		for _, flag := range features.Supported(nil) {
 			if !slices.Contains(withheld, string(flag)) {
 				flags = append(flags, string(flag))
 			}
 		}
-		fleet.Book.Note(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
+		f.Book.Note(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
 	}
 	return nil
 }
 
 // Nodes lists expediters and couriers.
-func (fleet *Fleet) Nodes() []*NodeProcess {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	return append(append([]*NodeProcess(nil), fleet.Controllers...), fleet.Routers...)
+func (f *Fleet) Nodes() []*NodeProcess {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return append(append([]*NodeProcess(nil), f.Controllers...), f.Routers...)
 }
 
 // Running lists the nodes of a kind, or of any, that have not ended.
-func (fleet *Fleet) Running(kind membership.NodeKind) []*NodeProcess {
+func (f *Fleet) Running(kind membership.NodeKind) []*NodeProcess {
 	var running []*NodeProcess
-	for _, node := range fleet.Nodes() {
+	for _, node := range f.Nodes() {
 		if (kind == "" || node.Node.Kind == kind) && node.Running() {
 			running = append(running, node)
 		}
@@ -181,19 +181,19 @@
 
 // AwaitReady waits until every running node is ready and every server has a
 // part.
-func (fleet *Fleet) AwaitReady(patience time.Duration) error {
+func (f *Fleet) AwaitReady(patience time.Duration) error {
 	missing := ""
 	if Await(patience, func() bool {
 		missing = ""
-		for _, node := range fleet.Nodes() {
+		for _, node := range f.Nodes() {
 			if node.Running() && !node.Ready() {
 				missing = node.Node.Name
 				return false
 			}
 		}
-		fleet.mutex.Lock()
-		defer fleet.mutex.Unlock()
-		for _, standIn := range fleet.standIns {
+		f.mutex.Lock()
+		defer f.mutex.Unlock()
+		for _, standIn := range f.standIns {
 			if standIn.lifetime.Err() == nil && standIn.Part() == "" {
 				missing = standIn.plan.Name
 				return false
@@ -225,8 +225,8 @@
 }
 
 // Primary finds the expediter that leads at this moment, or nil.
-func (fleet *Fleet) Primary() *NodeProcess {
-	for _, node := range fleet.Nodes() {
+func (f *Fleet) Primary() *NodeProcess {
+	for _, node := range f.Nodes() {
 		var ready struct {
 			Leads bool `json:"leads"`
 		}
@@ -241,40 +241,40 @@
 }
 
 // Replace starts a server in the place of one that crashed, cold.
-func (fleet *Fleet) Replace(name string) error {
-	fleet.mutex.Lock()
-	plan, found := fleet.plans[name]
-	for position, standIn := range fleet.standIns {
+func (f *Fleet) Replace(name string) error {
+	f.mutex.Lock()
+	plan, found := f.plans[name]
+	for position, standIn := range f.standIns {
 		if standIn.plan.Name == name {
-			fleet.standIns = append(fleet.standIns[:position], fleet.standIns[position+1:]...)
+			f.standIns = append(f.standIns[:position], f.standIns[position+1:]...)
 			break
 		}
 	}
-	fleet.mutex.Unlock()
+	f.mutex.Unlock()
 	if !found {
 		return failure.New(failure.NoSuch, "no server "+name)
 	}
-	_, err := fleet.AddServer(plan)
+	_, err := f.AddServer(plan)
 	return err
 }
 
 // ServerNames lists the stand-in servers.
-func (fleet *Fleet) ServerNames() []string {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
+func (f *Fleet) ServerNames() []string {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	var names []string
-	for _, standIn := range fleet.standIns {
+	for _, standIn := range f.standIns {
 		names = append(names, standIn.plan.Name)
 	}
 	return names
 }
 
 // ServersOf lists the stand-in servers of a district.
-func (fleet *Fleet) ServersOf(zone string) []string {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
+func (f *Fleet) ServersOf(zone string) []string {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	var names []string
-	for _, standIn := range fleet.standIns {
+	for _, standIn := range f.standIns {
 		if standIn.plan.Zone == zone {
 			names = append(names, standIn.plan.Name)
 		}
@@ -283,10 +283,10 @@
 }
 
 // Server finds a stand-in by name.
-func (fleet *Fleet) Server(name string) *StandIn {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	for _, standIn := range fleet.standIns {
+func (f *Fleet) Server(name string) *StandIn {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, standIn := range f.standIns {
 		if standIn.plan.Name == name {
 			return standIn
 		}
@@ -295,31 +295,31 @@
 }
 
 // Close ends all nodes and stand-ins that this fleet started.
-func (fleet *Fleet) Close() {
-	for _, node := range fleet.Nodes() {
+func (f *Fleet) Close() {
+	for _, node := range f.Nodes() {
 		node.Kill()
 	}
-	if fleet.Links != nil {
-		fleet.Links.Close()
+	if f.Links != nil {
+		f.Links.Close()
 	}
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	for _, standIn := range fleet.standIns {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, standIn := range f.standIns {
 		standIn.end()
 		_ = standIn.server.Close()
 	}
-	fleet.Platform.Close()
+	f.Platform.Close()
 }
 
 // Describe says where everything listens.
-func (fleet *Fleet) Describe() string {
-	text := fmt.Sprintf("deployment %s in %s\nplatform   %s\n", fleet.Deployment.Name, fleet.folder, fleet.Platform.Address())
-	for _, node := range fleet.Nodes() {
+func (f *Fleet) Describe() string {
+	text := fmt.Sprintf("deployment %s in %s\nplatform   %s\n", f.Deployment.Name, f.folder, f.Platform.Address())
+	for _, node := range f.Nodes() {
 		text += fmt.Sprintf("%-12s %s  district %s\n", node.Node.Name, node.Node.Address, node.Node.Zone)
 	}
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	for _, standIn := range fleet.standIns {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, standIn := range f.standIns {
 		text += fmt.Sprintf("%-12s %s  district %s\n", standIn.plan.Name, standIn.Address(), standIn.plan.Zone)
 	}
 	return text
@@ -327,8 +327,8 @@
 
 // CoreIsWhole tells whether the primary has a backup, and each keeper seat is
 // held by a running expediter's present disk.
-func (fleet *Fleet) CoreIsWhole() bool {
-	primary := fleet.Primary()
+func (f *Fleet) CoreIsWhole() bool {
+	primary := f.Primary()
 	if primary == nil {
 		return false
 	}
@@ -348,7 +348,7 @@
 	}
 	for _, seat := range status.Keepers {
 		alive := false
-		for _, node := range fleet.Nodes() {
+		for _, node := range f.Nodes() {
 			var ready struct{ Identity string }
 			if node.Node.Name == seat.Name && node.Running() {
 				_, err := node.ReadJSON("/v1/ready", &ready)
--- a/internal/testbed/fleet/links.go
+++ b/internal/testbed/fleet/links.go
@@ -11,19 +11,19 @@
 // LinkNodes puts a relay on every link between nodes, and from each courier to
 // each model server. It is called before the nodes begin; whoever is added later
 // is reached directly.
-func (fleet *Fleet) LinkNodes() error {
-	fleet.Links = &Links{relays: map[[2]string]*Relay{}}
-	for _, from := range fleet.Nodes() {
+func (f *Fleet) LinkNodes() error {
+	f.Links = &Links{relays: map[[2]string]*Relay{}}
+	for _, from := range f.Nodes() {
 		detours := map[string]string{}
 		targets := map[string]string{}
-		for _, to := range fleet.Nodes() {
+		for _, to := range f.Nodes() {
 			if from != to {
 				targets[to.Node.Name] = to.Node.Address
 			}
 		}
 		if from.Node.Kind == membership.Router {
-			for _, name := range fleet.ServerNames() {
-				targets[name] = fleet.Server(name).Address()
+			for _, name := range f.ServerNames() {
+				targets[name] = f.Server(name).Address()
 			}
 		}
 		for name, address := range targets {
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			fleet.Links.relays[[2]string{from.Node.Name, name}] = relay
+			f.Links.relays[[2]string{from.Node.Name, name}] = relay
 			detours[address] = relay.Address()
 		}
 		from.Set("detours", detours)
@@ -40,8 +40,8 @@
 }
 
 // Each does something to every link that chosen picks.
-func (links *Links) Each(chosen func(from, to string) bool, act func(relay *Relay)) {
-	for ends, relay := range links.relays {
+func (l *Links) Each(chosen func(from, to string) bool, act func(relay *Relay)) {
+	for ends, relay := range l.relays {
 		if chosen(ends[0], ends[1]) {
 			act(relay)
 		}
@@ -49,8 +49,8 @@
 }
 
 // Heal ends all faults of all links.
-func (links *Links) Heal() {
-	links.Each(func(string, string) bool { return true }, func(relay *Relay) {
+func (l *Links) Heal() {
+	l.Each(func(string, string) bool { return true }, func(relay *Relay) {
 		relay.SetDark(false)
 		relay.SetDelay(0)
 		relay.SetDuplicate(false)
@@ -58,6 +58,6 @@
 }
 
 // Close ends all relays.
-func (links *Links) Close() {
-	links.Each(func(string, string) bool { return true }, func(relay *Relay) { relay.Close() })
+func (l *Links) Close() {
+	l.Each(func(string, string) bool { return true }, func(relay *Relay) { relay.Close() })
 }
--- a/internal/testbed/fleet/nodefaults.go
+++ b/internal/testbed/fleet/nodefaults.go
@@ -29,8 +29,8 @@
 }
 
 // Write puts the faults into a file, whole at once.
-func (faults NodeFaults) Write(path string) error {
-	text, err := json.Marshal(faults)
+func (n NodeFaults) Write(path string) error {
+	text, err := json.Marshal(n)
 	if err != nil {
 		return failure.Wrap(failure.Malformed, err)
 	}
--- a/internal/testbed/fleet/nodeprocess.go
+++ b/internal/testbed/fleet/nodeprocess.go
@@ -33,18 +33,18 @@
 var probe = &http.Client{Timeout: 700 * time.Millisecond}
 
 // Begin starts the process with its settings file; its log goes to a file.
-func (node *NodeProcess) Begin() error {
-	if err := node.WriteSettings(); err != nil {
+func (n *NodeProcess) Begin() error {
+	if err := n.WriteSettings(); err != nil {
 		return err
 	}
-	settingsPath := node.settingsPath()
-	logFile, err := os.OpenFile(node.LogPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	settingsPath := n.settingsPath()
+	logFile, err := os.OpenFile(n.LogPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
-	command := exec.Command(node.binary, "serve", "--settings", settingsPath)
-	if node.staged {
-		command = exec.Command(filepath.Join(filepath.Dir(node.binary), "testbed"), "script-"+ProgramName(node.Node.Kind), "--settings", settingsPath, "--faults", node.faultsPath())
+	command := exec.Command(n.binary, "serve", "--settings", settingsPath)
+	if n.staged {
+		command = exec.Command(filepath.Join(filepath.Dir(n.binary), "testbed"), "script-"+ProgramName(n.Node.Kind), "--settings", settingsPath, "--faults", n.faultsPath())
 	}
 	command.Stdout, command.Stderr = logFile, logFile
 	// The node ends with the rehearsal, however that ends.
@@ -54,9 +54,9 @@
 		return failure.Wrap(failure.Unreachable, err)
 	}
 	ended := make(chan struct{})
-	node.mutex.Lock()
-	node.command, node.ended = command, ended
-	node.mutex.Unlock()
+	n.mutex.Lock()
+	n.command, n.ended = command, ended
+	n.mutex.Unlock()
 	go func() {
 		_ = command.Wait()
 		_ = logFile.Close()
@@ -65,35 +65,35 @@
 	return nil
 }
 
-func (node *NodeProcess) settingsPath() string {
-	return filepath.Join(node.folder, node.Node.Name+".json")
+func (n *NodeProcess) settingsPath() string {
+	return filepath.Join(n.folder, n.Node.Name+".json")
 }
 
 // WriteSettings writes the settings file, which a running process reads again
 // at SIGHUP.
-func (node *NodeProcess) WriteSettings() error {
-	text, err := json.MarshalIndent(node.settings, "", "  ")
+func (n *NodeProcess) WriteSettings() error {
+	text, err := json.MarshalIndent(n.settings, "", "  ")
 	if err != nil {
 		return failure.Wrap(failure.Malformed, err)
 	}
-	return failure.Wrap(failure.Disk, os.WriteFile(node.settingsPath(), text, 0o644))
+	return failure.Wrap(failure.Disk, os.WriteFile(n.settingsPath(), text, 0o644))
 }
 
 // LogPath is the file that the process logs to.
-func (node *NodeProcess) LogPath() string {
-	return filepath.Join(node.folder, node.Node.Name+".log")
+func (n *NodeProcess) LogPath() string {
+	return filepath.Join(n.folder, n.Node.Name+".log")
 }
 
-func (node *NodeProcess) faultsPath() string {
-	return filepath.Join(node.folder, node.Node.Name+".faults")
+func (n *NodeProcess) faultsPath() string {
+	return filepath.Join(n.folder, n.Node.Name+".faults")
 }
 
 // SetFaults tells a staged node the faults of its disk and clock.
-func (node *NodeProcess) SetFaults(faults NodeFaults) error { return faults.Write(node.faultsPath()) }
+func (n *NodeProcess) SetFaults(faults NodeFaults) error { return faults.Write(n.faultsPath()) }
 
 // Running tells whether the process has not ended.
-func (node *NodeProcess) Running() bool {
-	_, ended := node.present()
+func (n *NodeProcess) Running() bool {
+	_, ended := n.present()
 	select {
 	case <-ended:
 		return false
@@ -103,46 +103,46 @@
 }
 
 // present is the process that was begun last, and what is closed at its end.
-func (node *NodeProcess) present() (*exec.Cmd, <-chan struct{}) {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	if node.ended == nil {
+func (n *NodeProcess) present() (*exec.Cmd, <-chan struct{}) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	if n.ended == nil {
 		never := make(chan struct{})
 		close(never)
 		return nil, never
 	}
-	return node.command, node.ended
+	return n.command, n.ended
 }
 
 // Signal sends the process a signal.
-func (node *NodeProcess) Signal(signal syscall.Signal) {
-	if command, _ := node.present(); node.Running() {
+func (n *NodeProcess) Signal(signal syscall.Signal) {
+	if command, _ := n.present(); n.Running() {
 		_ = command.Process.Signal(signal)
 	}
 }
 
 // Number is the running process's number, or zero.
-func (node *NodeProcess) Number() int {
-	if command, _ := node.present(); node.Running() {
+func (n *NodeProcess) Number() int {
+	if command, _ := n.present(); n.Running() {
 		return command.Process.Pid
 	}
 	return 0
 }
 
 // Kill ends the process at once and waits until it is gone.
-func (node *NodeProcess) Kill() {
-	if command, ended := node.present(); node.Running() {
+func (n *NodeProcess) Kill() {
+	if command, ended := n.present(); n.Running() {
 		_ = command.Process.Kill()
 		<-ended
 	}
 }
 
 // Stop asks the process to drain, and waits for its end.
-func (node *NodeProcess) Stop(patience time.Duration) bool {
-	if !node.Running() {
+func (n *NodeProcess) Stop(patience time.Duration) bool {
+	if !n.Running() {
 		return true
 	}
-	command, ended := node.present()
+	command, ended := n.present()
 	_ = command.Process.Signal(syscall.SIGTERM)
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -150,26 +150,26 @@
 	case <-ended:
 		return true
 	case <-timer.C:
-		node.Kill()
+		n.Kill()
 		return false
 	}
 }
 
 // WipeDisk takes the whole data folder away; the process must have ended.
-func (node *NodeProcess) WipeDisk() error {
-	folder, found := node.settings["data_folder"].(string)
-	if !found || !strings.HasPrefix(folder, node.folder) {
+func (n *NodeProcess) WipeDisk() error {
+	folder, found := n.settings["data_folder"].(string)
+	if !found || !strings.HasPrefix(folder, n.folder) {
 		return failure.New(failure.Missing, "the node has no disk")
 	}
 	return failure.Wrap(failure.Disk, os.RemoveAll(folder))
 }
 
 // Set changes a setting for the next start.
-func (node *NodeProcess) Set(name string, value any) { node.settings[name] = value }
+func (n *NodeProcess) Set(name string, value any) { n.settings[name] = value }
 
 // Ready asks the process whether it is ready.
-func (node *NodeProcess) Ready() bool {
-	inbound, err := probe.Get("http://" + node.Node.Address + "/v1/ready")
+func (n *NodeProcess) Ready() bool {
+	inbound, err := probe.Get("http://" + n.Node.Address + "/v1/ready")
 	if err != nil {
 		return false
 	}
@@ -178,8 +178,8 @@
 }
 
 // ReadJSON reads one of the process's pages.
-func (node *NodeProcess) ReadJSON(path string, target any) (int, error) {
-	inbound, err := probe.Get("http://" + node.Node.Address + path)
+func (n *NodeProcess) ReadJSON(path string, target any) (int, error) {
+	inbound, err := probe.Get("http://" + n.Node.Address + path)
 	if err != nil {
 		return 0, failure.Wrap(failure.Unreachable, err)
 	}
@@ -188,8 +188,8 @@
 }
 
 // Metric reads one of the process's metrics; -1 when it can't be had.
-func (node *NodeProcess) Metric(name string) int {
-	inbound, err := probe.Get("http://" + node.Node.Address + "/v1/metrics")
+func (n *NodeProcess) Metric(name string) int {
+	inbound, err := probe.Get("http://" + n.Node.Address + "/v1/metrics")
 	if err != nil {
 		return -1
 	}
--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -39,12 +39,12 @@
 }
 
 // Call sends one operator's call to an expediter.
-func (operators *Operators) Call(node *NodeProcess, method, path string, query url.Values, body string) (Answer, error) {
+func (o *Operators) Call(node *NodeProcess, method, path string, query url.Values, body string) (Answer, error) {
 	outbound, err := http.NewRequest(method, "http://"+node.Node.Address+path+"?"+query.Encode(), bytes.NewReader([]byte(body)))
 	if err != nil {
 		return Answer{}, failure.Wrap(failure.Malformed, err)
 	}
-	inbound, err := operators.client.Do(outbound)
+	inbound, err := o.client.Do(outbound)
 	if err != nil {
 		return Answer{}, failure.Wrap(failure.Unreachable, err)
 	}
@@ -60,14 +60,14 @@
 // PutRevision puts the deployment's configuration of an edition over the current
 // one, and notes how it was answered. The current edition's route goes and the
 // new one's comes; evacuations stay.
-func (operators *Operators) PutRevision(node *NodeProcess, revision int, current Answer) Answer {
-	operators.fleet.Book.Note(Entry{Kind: RevisionAsked, Revision: revision, Router: node.Node.Name})
+func (o *Operators) PutRevision(node *NodeProcess, revision int, current Answer) Answer {
+	o.fleet.Book.Note(Entry{Kind: RevisionAsked, Revision: revision, Router: node.Node.Name})
 	query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
-	patch := operators.fleet.Deployment.Configuration(revision)
+	patch := o.fleet.Deployment.Configuration(revision)
 	if before := RevisionOf(current.Configuration); before > 0 {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{"edition-`+strconv.Itoa(before)+`":null,`, 1)
 	}
-	answer, err := operators.Call(node, http.MethodPatch, "/v1/configuration", query, patch)
+	answer, err := o.Call(node, http.MethodPatch, "/v1/configuration", query, patch)
 	entry := Entry{Kind: RevisionUnknown, Revision: revision, Router: node.Node.Name, Status: answer.Status}
 	switch {
 	case err == nil && answer.Outcome == "accepted":
@@ -78,20 +78,20 @@
 		entry.Kind = RevisionRefused
 	}
 	entry.Cause = answer.Version
-	operators.fleet.Book.Note(entry)
+	o.fleet.Book.Note(entry)
 	return answer
 }
 
 // ReadRevision reads the configuration, and notes which edition it is.
-func (operators *Operators) ReadRevision(node *NodeProcess) (Answer, int) {
+func (o *Operators) ReadRevision(node *NodeProcess) (Answer, int) {
 	began := time.Now()
-	answer, err := operators.Call(node, http.MethodGet, "/v1/configuration", nil, "")
+	answer, err := o.Call(node, http.MethodGet, "/v1/configuration", nil, "")
 	if err != nil || answer.Status != http.StatusOK {
 		return answer, -1
 	}
 	revision := RevisionOf(answer.Configuration)
 	// The read is as old as its asking, for those who judge it.
-	operators.fleet.Book.Note(Entry{Kind: RevisionRead, At: time.Now(), Revision: revision, Router: node.Node.Name, Took: time.Since(began)})
+	o.fleet.Book.Note(Entry{Kind: RevisionRead, At: time.Now(), Revision: revision, Router: node.Node.Name, Took: time.Since(began)})
 	return answer, revision
 }
 
@@ -114,11 +114,11 @@
 }
 
 // Evacuate evacuates a district and notes the moment of acceptance.
-func (operators *Operators) Evacuate(node *NodeProcess, zone string) bool {
-	operators.fleet.Book.Note(Entry{Kind: EvacuationAsked, Zone: zone})
-	answer, err := operators.Call(node, http.MethodPost, "/v1/evacuations/"+url.PathEscape(zone), nil, `{"reason":"rehearsal"}`)
+func (o *Operators) Evacuate(node *NodeProcess, zone string) bool {
+	o.fleet.Book.Note(Entry{Kind: EvacuationAsked, Zone: zone})
+	answer, err := o.Call(node, http.MethodPost, "/v1/evacuations/"+url.PathEscape(zone), nil, `{"reason":"rehearsal"}`)
 	if err == nil && answer.Outcome == "accepted" {
-		operators.fleet.Book.Note(Entry{Kind: Evacuated, Zone: zone})
+		o.fleet.Book.Note(Entry{Kind: Evacuated, Zone: zone})
 		return true
 	}
 	return false
@@ -126,21 +126,21 @@
 
 // Restore lifts an evacuation; the asking is noted, since it may take effect
 // before it is answered.
-func (operators *Operators) Restore(node *NodeProcess, zone string) bool {
-	operators.fleet.Book.Note(Entry{Kind: RestoreAsked, Zone: zone})
-	answer, err := operators.Call(node, http.MethodDelete, "/v1/evacuations/"+url.PathEscape(zone), nil, "")
+func (o *Operators) Restore(node *NodeProcess, zone string) bool {
+	o.fleet.Book.Note(Entry{Kind: RestoreAsked, Zone: zone})
+	answer, err := o.Call(node, http.MethodDelete, "/v1/evacuations/"+url.PathEscape(zone), nil, "")
 	return err == nil && answer.Outcome == "accepted"
 }
 
 // LookAtRevisions asks every running courier, as a caller, which edition is in
 // force there: the route that refuses the service "edition" is named by it.
-func (operators *Operators) LookAtRevisions() {
-	for _, node := range operators.fleet.Running(membership.Router) {
-		operators.lookAtRevision(node)
+func (o *Operators) LookAtRevisions() {
+	for _, node := range o.fleet.Running(membership.Router) {
+		o.lookAtRevision(node)
 	}
 }
 
-func (operators *Operators) lookAtRevision(node *NodeProcess) {
+func (o *Operators) lookAtRevision(node *NodeProcess) {
 	began := time.Now()
 	body := `{"id":"` + uuid.NewString() + `","service":"edition","pieces":1,"prompt_tokens":1}`
 	inbound, err := probe.Post("http://"+node.Node.Address+"/v1/inquiries", "application/json", bytes.NewReader([]byte(body)))
@@ -156,6 +156,6 @@
 	}
 	if number, found := strings.CutPrefix(line.Detail, "edition-"); found {
 		revision, _ := strconv.Atoi(number)
-		operators.fleet.Book.Note(Entry{Kind: RevisionSeen, Router: node.Node.Name, Revision: revision, Took: time.Since(began)})
+		o.fleet.Book.Note(Entry{Kind: RevisionSeen, Router: node.Node.Name, Revision: revision, Took: time.Since(began)})
 	}
 }
--- a/internal/testbed/fleet/platform.go
+++ b/internal/testbed/fleet/platform.go
@@ -46,17 +46,17 @@
 }
 
 // SetDown makes the platform answer nothing but that it is down, or end that.
-func (platform *Platform) SetDown(down bool) {
-	platform.mutex.Lock()
-	defer platform.mutex.Unlock()
-	platform.down = down
+func (p *Platform) SetDown(down bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.down = down
 }
 
-func (platform *Platform) shade(next http.Handler) http.Handler {
+func (p *Platform) shade(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
-		platform.mutex.Lock()
-		down := platform.down
-		platform.mutex.Unlock()
+		p.mutex.Lock()
+		down := p.down
+		p.mutex.Unlock()
 		if down {
 			say(writer, http.StatusServiceUnavailable, Refusal{Type: "down"})
 			return
@@ -66,59 +66,59 @@
 }
 
 // Address is where the platform listens.
-func (platform *Platform) Address() string { return platform.address }
+func (p *Platform) Address() string { return p.address }
 
 // Close ends the platform.
-func (platform *Platform) Close() { _ = platform.server.Close() }
+func (p *Platform) Close() { _ = p.server.Close() }
 
 // ListServer adds a server or changes it.
-func (platform *Platform) ListServer(server membership.Server) {
-	platform.mutex.Lock()
-	defer platform.mutex.Unlock()
-	platform.servers[server.Name] = server
+func (p *Platform) ListServer(server membership.Server) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.servers[server.Name] = server
 	if server.Leaving {
-		platform.book.Note(Entry{Kind: ServerLeaving, Server: server.Name})
+		p.book.Note(Entry{Kind: ServerLeaving, Server: server.Name})
 	}
 }
 
 // UnlistServer takes a server off the list.
-func (platform *Platform) UnlistServer(name string) {
-	platform.mutex.Lock()
-	defer platform.mutex.Unlock()
-	delete(platform.servers, name)
-	platform.book.Note(Entry{Kind: ServerLeaving, Server: name})
+func (p *Platform) UnlistServer(name string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	delete(p.servers, name)
+	p.book.Note(Entry{Kind: ServerLeaving, Server: name})
 }
 
 // ListNode adds a node or changes it.
-func (platform *Platform) ListNode(node membership.Node) {
-	platform.mutex.Lock()
-	defer platform.mutex.Unlock()
-	platform.nodes[node.Name] = node
+func (p *Platform) ListNode(node membership.Node) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.nodes[node.Name] = node
 }
 
 // UnlistNode takes a node off the list.
-func (platform *Platform) UnlistNode(name string) {
-	platform.mutex.Lock()
-	defer platform.mutex.Unlock()
-	delete(platform.nodes, name)
+func (p *Platform) UnlistNode(name string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	delete(p.nodes, name)
 }
 
-func (platform *Platform) listServers() []membership.Server {
-	platform.mutex.Lock()
-	defer platform.mutex.Unlock()
+func (p *Platform) listServers() []membership.Server {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	servers := []membership.Server{}
-	for _, server := range platform.servers {
+	for _, server := range p.servers {
 		servers = append(servers, server)
 	}
 	sort.Slice(servers, func(left, right int) bool { return servers[left].Name < servers[right].Name })
 	return servers
 }
 
-func (platform *Platform) listNodes() []membership.Node {
-	platform.mutex.Lock()
-	defer platform.mutex.Unlock()
+func (p *Platform) listNodes() []membership.Node {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	nodes := []membership.Node{}
-	for _, node := range platform.nodes {
+	for _, node := range p.nodes {
 		nodes = append(nodes, node)
 	}
 	sort.Slice(nodes, func(left, right int) bool { return nodes[left].Name < nodes[right].Name })
--- a/internal/testbed/fleet/relay.go
+++ b/internal/testbed/fleet/relay.go
@@ -35,105 +35,105 @@
 }
 
 // Address is where the relay listens.
-func (relay *Relay) Address() string { return relay.listener.Addr().String() }
+func (r *Relay) Address() string { return r.listener.Addr().String() }
 
 // SetDark stops the link in silence: circuits stay open and carry nothing.
-func (relay *Relay) SetDark(dark bool) {
-	relay.mutex.Lock()
-	defer relay.mutex.Unlock()
-	relay.dark = dark
-	relay.changed.Broadcast()
+func (r *Relay) SetDark(dark bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.dark = dark
+	r.changed.Broadcast()
 }
 
 // SetDelay holds everything back for a while.
-func (relay *Relay) SetDelay(delay time.Duration) {
-	relay.mutex.Lock()
-	defer relay.mutex.Unlock()
-	relay.delay = delay
+func (r *Relay) SetDelay(delay time.Duration) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.delay = delay
 }
 
 // SetDuplicate sends every message of new circuits twice.
-func (relay *Relay) SetDuplicate(duplicate bool) {
-	relay.mutex.Lock()
-	defer relay.mutex.Unlock()
-	relay.duplicate = duplicate
+func (r *Relay) SetDuplicate(duplicate bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.duplicate = duplicate
 }
 
 // Drop breaks every open circuit.
-func (relay *Relay) Drop() {
-	relay.mutex.Lock()
-	defer relay.mutex.Unlock()
-	for connection := range relay.connections {
+func (r *Relay) Drop() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for connection := range r.connections {
 		_ = connection.Close()
 	}
 }
 
 // Close ends the relay.
-func (relay *Relay) Close() {
-	_ = relay.listener.Close()
-	relay.SetDark(false)
-	relay.Drop()
+func (r *Relay) Close() {
+	_ = r.listener.Close()
+	r.SetDark(false)
+	r.Drop()
 }
 
-func (relay *Relay) accept() {
+func (r *Relay) accept() {
 	for {
-		caller, err := relay.listener.Accept()
+		caller, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go relay.carry(caller)
+		go r.carry(caller)
 	}
 }
 
-func (relay *Relay) carry(caller net.Conn) {
-	relay.keep(caller, true)
-	defer relay.keep(caller, false)
-	if !relay.pass() {
+func (r *Relay) carry(caller net.Conn) {
+	r.keep(caller, true)
+	defer r.keep(caller, false)
+	if !r.pass() {
 		return
 	}
-	target, err := net.Dial("tcp", relay.target)
+	target, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
-	relay.keep(target, true)
-	defer relay.keep(target, false)
+	r.keep(target, true)
+	defer r.keep(target, false)
 	targets := []net.Conn{target}
-	relay.mutex.Lock()
-	duplicate := relay.duplicate
-	relay.mutex.Unlock()
+	r.mutex.Lock()
+	duplicate := r.duplicate
+	r.mutex.Unlock()
 	if duplicate {
-		if second, err := net.Dial("tcp", relay.target); err == nil {
-			relay.keep(second, true)
-			defer relay.keep(second, false)
+		if second, err := net.Dial("tcp", r.target); err == nil {
+			r.keep(second, true)
+			defer r.keep(second, false)
 			targets = append(targets, second)
-			go relay.copy(second, nil)
+			go r.copy(second, nil)
 		}
 	}
 	var both sync.WaitGroup
-	both.Go(func() { relay.copy(caller, targets); _ = target.Close() })
-	both.Go(func() { relay.copy(target, []net.Conn{caller}); _ = caller.Close() })
+	both.Go(func() { r.copy(caller, targets); _ = target.Close() })
+	both.Go(func() { r.copy(target, []net.Conn{caller}); _ = caller.Close() })
 	both.Wait()
 }
 
-func (relay *Relay) keep(connection net.Conn, open bool) {
-	relay.mutex.Lock()
-	defer relay.mutex.Unlock()
+func (r *Relay) keep(connection net.Conn, open bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	if open {
-		relay.connections[connection] = true
+		r.connections[connection] = true
 		return
 	}
-	delete(relay.connections, connection)
+	delete(r.connections, connection)
 	_ = connection.Close()
 }
 
 // pass waits while the link is dark, and for its delay.
-func (relay *Relay) pass() bool {
-	relay.mutex.Lock()
-	for relay.dark {
-		relay.changed.Wait()
+func (r *Relay) pass() bool {
+	r.mutex.Lock()
+	for r.dark {
+		r.changed.Wait()
 	}
-	delay := relay.delay
-	relay.mutex.Unlock()
+	delay := r.delay
+	r.mutex.Unlock()
 	if delay > 0 {
 		timer := time.NewTimer(delay)
 		<-timer.C
@@ -141,12 +141,12 @@
 	return true
 }
 
-func (relay *Relay) copy(from net.Conn, to []net.Conn) {
+func (r *Relay) copy(from net.Conn, to []net.Conn) {
 	chunk := make([]byte, 64<<10)
 	for {
 		count, err := from.Read(chunk)
 		if count > 0 {
-			relay.pass()
+			r.pass()
 			for _, connection := range to {
 				if _, err := connection.Write(chunk[:count]); err != nil && connection == to[0] {
 					return
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -81,21 +81,21 @@
 }
 
 // Address is where the stand-in listens.
-func (standIn *StandIn) Address() string { return standIn.address }
+func (s *StandIn) Address() string { return s.address }
 
 // Crash ends the stand-in at once, with all its memory.
-func (standIn *StandIn) Crash() {
-	standIn.Die()
-	standIn.end()
-	_ = standIn.server.Close()
-	standIn.client.CloseIdleConnections()
+func (s *StandIn) Crash() {
+	s.Die()
+	s.end()
+	_ = s.server.Close()
+	s.client.CloseIdleConnections()
 }
 
 // shade leaves every call without an answer while the server is dark. What was
 // dark when it came is never done.
-func (standIn *StandIn) shade(next http.Handler) http.Handler {
+func (s *StandIn) shade(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
-		if standIn.Dark() {
+		if s.Dark() {
 			// The body is read so that the closing of the circuit is noticed.
 			_, _ = io.Copy(io.Discard, inbound.Body)
 			<-inbound.Context().Done()
@@ -123,10 +123,10 @@
 	}
 }
 
-func (standIn *StandIn) decode(connection *Connection, order modelserver.DecodeOrder, writer http.ResponseWriter) {
+func (s *StandIn) decode(connection *Connection, order modelserver.DecodeOrder, writer http.ResponseWriter) {
 	flusher := http.NewResponseController(writer)
 	encoder := json.NewEncoder(writer)
-	status, content := standIn.Decode(connection, order, func(line modelserver.StreamLine) error {
+	status, content := s.Decode(connection, order, func(line modelserver.StreamLine) error {
 		if line.Chunk == 1 {
 			writer.Header().Set("Content-Type", "application/jsonl")
 		}
@@ -142,18 +142,18 @@
 
 // fetchMemory takes a prompt's memory over from the server that read the
 // prompt.
-func (standIn *StandIn) fetchMemory(_ *Connection, address string, question MemoryQuestion) (MemoryAnswer, int) {
+func (s *StandIn) fetchMemory(_ *Connection, address string, question MemoryQuestion) (MemoryAnswer, int) {
 	body, err := json.Marshal(question)
 	if err != nil {
 		return MemoryAnswer{}, http.StatusBadRequest
 	}
-	asking, end := context.WithTimeout(standIn.lifetime, 2*time.Second)
+	asking, end := context.WithTimeout(s.lifetime, 2*time.Second)
 	defer end()
 	outbound, err := http.NewRequestWithContext(asking, http.MethodPost, "http://"+address+"/v1/memory", bytes.NewReader(body))
 	if err != nil {
 		return MemoryAnswer{}, http.StatusBadRequest
 	}
-	inbound, err := standIn.client.Do(outbound)
+	inbound, err := s.client.Do(outbound)
 	if err != nil {
 		return MemoryAnswer{}, http.StatusBadGateway
 	}
--- a/internal/testbed/fleet/upgrade_test.go
+++ b/internal/testbed/fleet/upgrade_test.go
@@ -13,8 +13,8 @@
 
 var oldRelease = []string{"backup_list", "order_patience", "pair_price"}
 
-func (fleet *Fleet) noteMember(node *NodeProcess, flags ...string) {
-	fleet.Book.Note(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
+func (f *Fleet) noteMember(node *NodeProcess, flags ...string) {
+	f.Book.Note(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
 }
 
 // restart stops a node in an orderly way and begins it as another release.
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -66,17 +66,17 @@
 }
 
 // Violations counts the broken rules of all checkers.
-func (verdict Verdict) Violations() int {
+func (v Verdict) Violations() int {
 	count := 0
-	for _, finding := range verdict.Findings {
+	for _, finding := range v.Findings {
 		count += finding.Violations
 	}
 	return count
 }
 
 // Finding is what one checker says.
-func (verdict Verdict) Finding(checker string) Finding {
-	for _, finding := range verdict.Findings {
+func (v Verdict) Finding(checker string) Finding {
+	for _, finding := range v.Findings {
 		if finding.Checker == checker {
 			return finding
 		}
@@ -85,9 +85,9 @@
 }
 
 // String writes the verdict for people.
-func (verdict Verdict) String() string {
+func (v Verdict) String() string {
 	var text strings.Builder
-	for _, finding := range verdict.Findings {
+	for _, finding := range v.Findings {
 		mark := "held  "
 		if finding.Violations > 0 {
 			mark = "BROKEN"
@@ -102,13 +102,13 @@
 		}
 	}
 	var finals []string
-	for final := range verdict.Replies {
+	for final := range v.Replies {
 		finals = append(finals, final)
 	}
 	sort.Strings(finals)
 	for _, final := range finals {
-		_, _ = fmt.Fprintf(&text, "replies  %-40s %6d\n", final, verdict.Replies[final])
+		_, _ = fmt.Fprintf(&text, "replies  %-40s %6d\n", final, v.Replies[final])
 	}
-	_, _ = fmt.Fprintf(&text, "complete %.1f%%, median %s, 95th of 100 %s, longest without one %s, violations %d\n", 100*verdict.Share, verdict.Median.Round(time.Millisecond), verdict.Tail.Round(time.Millisecond), verdict.Gap.Round(time.Millisecond), verdict.Violations())
+	_, _ = fmt.Fprintf(&text, "complete %.1f%%, median %s, 95th of 100 %s, longest without one %s, violations %d\n", 100*v.Share, v.Median.Round(time.Millisecond), v.Tail.Round(time.Millisecond), v.Gap.Round(time.Millisecond), v.Violations())
 	return text.String()
 }
--- a/internal/testbed/mutation/removal.go
+++ b/internal/testbed/mutation/removal.go
@@ -36,8 +36,8 @@
 
 // Apply makes the edits in a copy of the source. One that does not fit any more
 // is a failure.
-func (removal Removal) Apply(folder string) error {
-	for _, edit := range removal.Edits {
+func (r Removal) Apply(folder string) error {
+	for _, edit := range r.Edits {
 		path := filepath.Join(folder, edit.File)
 		content, err := os.ReadFile(path)
 		if err != nil {
--- a/internal/testbed/replay/addressrange.go
+++ b/internal/testbed/replay/addressrange.go
@@ -40,6 +40,6 @@
 }
 
 // address gives the next address of the range.
-func (addressRange *addressRange) address() string {
-	return addressRange.prefix + strconv.Itoa(int(addressRange.next.Add(1)))
+func (a *addressRange) address() string {
+	return a.prefix + strconv.Itoa(int(a.next.Add(1)))
 }
--- a/internal/testbed/replay/balancer.go
+++ b/internal/testbed/replay/balancer.go
@@ -29,44 +29,44 @@
 }
 
 // open adds a machine; shut takes it away.
-func (balancer *Balancer) open(added target) {
-	balancer.mutex.Lock()
-	defer balancer.mutex.Unlock()
-	balancer.targets = append(balancer.targets, &added)
+func (b *Balancer) open(added target) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.targets = append(b.targets, &added)
 }
 
-func (balancer *Balancer) shut(machine string) {
-	balancer.mutex.Lock()
-	defer balancer.mutex.Unlock()
-	balancer.targets = slices.DeleteFunc(balancer.targets, func(target *target) bool { return target.machine == machine })
+func (b *Balancer) shut(machine string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.targets = slices.DeleteFunc(b.targets, func(target *target) bool { return target.machine == machine })
 }
 
 // run asks every machine each second.
-func (balancer *Balancer) run(lifetime context.Context) {
+func (b *Balancer) run(lifetime context.Context) {
 	for pause(lifetime, time.Second) {
-		balancer.askAll()
+		b.askAll()
 	}
 }
 
-func (balancer *Balancer) askAll() {
+func (b *Balancer) askAll() {
 	var asking sync.WaitGroup
-	for _, one := range balancer.all() {
+	for _, one := range b.all() {
 		asking.Go(func() {
-			ready := balancer.ask(one.ready)
-			balancer.mutex.Lock()
-			defer balancer.mutex.Unlock()
+			ready := b.ask(one.ready)
+			b.mutex.Lock()
+			defer b.mutex.Unlock()
 			one.missed++
 			if ready == http.StatusOK {
 				one.missed = 0
 			}
-			balancer.book.Note(Event{Kind: ReadyAsked, Machine: one.machine, Zone: one.zone, Status: ready})
+			b.book.Note(Event{Kind: ReadyAsked, Machine: one.machine, Zone: one.zone, Status: ready})
 		})
 	}
 	asking.Wait()
 }
 
-func (balancer *Balancer) ask(address string) int {
-	answer, err := balancer.client.Get("http://" + address + pathReady)
+func (b *Balancer) ask(address string) int {
+	answer, err := b.client.Get("http://" + address + pathReady)
 	if err != nil {
 		return 0
 	}
@@ -74,31 +74,31 @@
 	return answer.StatusCode
 }
 
-func (balancer *Balancer) all() []*target {
-	balancer.mutex.Lock()
-	defer balancer.mutex.Unlock()
-	return slices.Clone(balancer.targets)
+func (b *Balancer) all() []*target {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return slices.Clone(b.targets)
 }
 
 // ready tells whether every machine answered that it is ready when it was asked last.
-func (balancer *Balancer) allReady() bool {
-	balancer.askAll()
-	balancer.mutex.Lock()
-	defer balancer.mutex.Unlock()
-	for _, target := range balancer.targets {
+func (b *Balancer) allReady() bool {
+	b.askAll()
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	for _, target := range b.targets {
 		if target.missed > 0 {
 			return false
 		}
 	}
-	return len(balancer.targets) > 0
+	return len(b.targets) > 0
 }
 
 // taking lists the machines that a zone's clients may be handed to.
-func (balancer *Balancer) taking(zone string) []target {
-	balancer.mutex.Lock()
-	defer balancer.mutex.Unlock()
+func (b *Balancer) taking(zone string) []target {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	var own, in, near []target
-	for _, each := range balancer.targets {
+	for _, each := range b.targets {
 		if each.zone != zone {
 			if each.missed < 2 {
 				near = append(near, *each)
--- a/internal/testbed/replay/book.go
+++ b/internal/testbed/replay/book.go
@@ -21,32 +21,32 @@
 }
 
 // Note writes an event down, at this moment unless it says another.
-func (book *Book) Note(event Event) {
-	book.mutex.Lock()
-	defer book.mutex.Unlock()
+func (b *Book) Note(event Event) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	if event.At.IsZero() {
 		event.At = time.Now()
 	}
-	book.events = append(book.events, event)
+	b.events = append(b.events, event)
 }
 
 // Events gives all events in the order of their time.
-func (book *Book) Events() []Event {
-	book.mutex.Lock()
-	defer book.mutex.Unlock()
-	events := append([]Event(nil), book.events...)
+func (b *Book) Events() []Event {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	events := append([]Event(nil), b.events...)
 	sort.SliceStable(events, func(left, right int) bool { return events[left].At.Before(events[right].At) })
 	return events
 }
 
 // Save writes the book as JSON lines.
-func (book *Book) Save(path string) error {
+func (b *Book) Save(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
 	encoder := json.NewEncoder(file)
-	for _, event := range book.Events() {
+	for _, event := range b.Events() {
 		if err := encoder.Encode(event); err != nil {
 			_ = file.Close()
 			return failure.Wrap(failure.Disk, err)
--- a/internal/testbed/replay/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -65,7 +65,7 @@
 }
 
 // sealed tells whether a server ended an answer of a try under that seal.
-func (record *record) sealed(seal string, seen *trySeen) bool {
+func (r *record) sealed(seal string, seen *trySeen) bool {
 	return slices.ContainsFunc(seen.ends, func(end Event) bool { return end.Seal == seal })
 }
 
@@ -160,9 +160,9 @@
 }
 
 // outdated tells whether a newer edition than this one was in force for long enough.
-func (record *record) outdated(version *versionSeen, at time.Time) bool {
-	return slices.ContainsFunc(record.versions, func(newer *versionSeen) bool {
-		return newer.Revision > version.Revision && newer.outcome == acknowledged && newer.closed.Add(record.terms.Apply).Before(at)
+func (r *record) outdated(version *versionSeen, at time.Time) bool {
+	return slices.ContainsFunc(r.versions, func(newer *versionSeen) bool {
+		return newer.Revision > version.Revision && newer.outcome == acknowledged && newer.closed.Add(r.terms.Apply).Before(at)
 	})
 }
 
@@ -258,14 +258,14 @@
 }
 
 // brokenByServer tells whether the server of a try broke off, crashed or was silent.
-func (record *record) brokenByServer(seen *trySeen) bool {
+func (r *record) brokenByServer(seen *trySeen) bool {
 	for _, end := range seen.ends {
 		if end.Cause == "broken off" || end.Cause == "spoilt" || end.Cause == "answer lost" || end.Cause == "dark" {
 			return true
 		}
 	}
 	for _, arrival := range seen.arrivals {
-		if slices.ContainsFunc(record.events, func(event Event) bool {
+		if slices.ContainsFunc(r.events, func(event Event) bool {
 			return event.Kind == ServerGone && event.Server == arrival.Server && event.At.After(seen.sent.At.Add(-time.Second)) && event.At.Before(seen.ended.At.Add(time.Second))
 		}) {
 			return true
--- a/internal/testbed/replay/circuit.go
+++ b/internal/testbed/replay/circuit.go
@@ -30,13 +30,13 @@
 }
 
 // quiet tells whether nothing came on a resting circuit: stray is true when bytes did.
-func (connection *conn) quiet() (open, stray bool) {
-	if connection.reader.Buffered() > 0 {
+func (c *conn) quiet() (open, stray bool) {
+	if c.reader.Buffered() > 0 {
 		return false, true
 	}
-	_ = connection.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-	_, err := connection.reader.Peek(1)
-	_ = connection.SetReadDeadline(time.Time{})
+	_ = c.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
+	_, err := c.reader.Peek(1)
+	_ = c.SetReadDeadline(time.Time{})
 	if err == nil {
 		return false, true
 	}
--- a/internal/testbed/replay/clients.go
+++ b/internal/testbed/replay/clients.go
@@ -43,76 +43,76 @@
 }
 
 // press multiplies the traffic of a kind of request, or of all.
-func (clients *Clients) press(class string, times float64) {
-	clients.mutex.Lock()
-	defer clients.mutex.Unlock()
-	clients.bursts, clients.times = class, times
+func (c *Clients) press(class string, times float64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.bursts, c.times = class, times
 }
 
 // abuse has clients try again at once and often, or end that.
-func (clients *Clients) abuse(on bool) {
-	clients.mutex.Lock()
-	defer clients.mutex.Unlock()
-	clients.abuses = on
+func (c *Clients) abuse(on bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.abuses = on
 }
 
 // next draws the pause until the next request, and that request and its client.
-func (clients *Clients) next() (time.Duration, *request, *client) {
-	clients.mutex.Lock()
-	defer clients.mutex.Unlock()
-	total, shares := 0.0, make([]float64, len(clients.site.Classes))
-	for position, class := range clients.site.Classes {
+func (c *Clients) next() (time.Duration, *request, *client) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	total, shares := 0.0, make([]float64, len(c.site.Classes))
+	for position, class := range c.site.Classes {
 		shares[position] = class.Share
-		if clients.bursts == class.Name || clients.bursts == "" {
-			shares[position] *= clients.times
+		if c.bursts == class.Name || c.bursts == "" {
+			shares[position] *= c.times
 		}
 		total += shares[position]
 	}
-	draw, chosen := clients.random.Float64()*total, 0
+	draw, chosen := c.random.Float64()*total, 0
 	for position, share := range shares {
 		if draw -= share; draw < 0 {
 			chosen = position
 			break
 		}
 	}
-	class := clients.site.Classes[chosen]
-	if clients.abuses {
+	class := c.site.Classes[chosen]
+	if c.abuses {
 		class.Retries = 6
 	}
-	gap := time.Duration(clients.random.ExpFloat64() / (clients.site.Rate * total) * float64(time.Second))
+	gap := time.Duration(c.random.ExpFloat64() / (c.site.Rate * total) * float64(time.Second))
 	route := "r-" + class.Name
 	rule := RouteRule{Host: class.Name + ".example", Prefix: "/" + class.Name + "/", Class: class.Name}
-	return gap, newRequest(class, route, rule, clients.random), clients.clients[clients.random.IntN(len(clients.clients))]
+	return gap, newRequest(class, route, rule, c.random), c.clients[c.random.IntN(len(c.clients))]
 }
 
 // run sends requests until the lifetime ends, then waits for their answers.
-func (clients *Clients) run(lifetime context.Context) {
-	defer clients.waiting.Wait()
+func (c *Clients) run(lifetime context.Context) {
+	defer c.waiting.Wait()
 	for {
-		gap, one, sender := clients.next()
+		gap, one, sender := c.next()
 		if !pause(lifetime, min(gap, time.Second)) {
 			return
 		}
 		one.began = time.Now()
-		clients.waiting.Go(func() { clients.converse(one, sender) })
+		c.waiting.Go(func() { c.converse(one, sender) })
 	}
 }
 
 // converse sends a request and, as clients do, tries again on a new circuit.
-func (clients *Clients) converse(one *request, sender *client) {
+func (c *Clients) converse(one *request, sender *client) {
 	behind := 0
 	for number := 0; ; number++ {
 		if one.left() <= 0 {
 			return
 		}
-		connection, err := clients.connection(one, sender, number)
+		connection, err := c.connection(one, sender, number)
 		var again *try
 		if err != nil {
-			clients.book.Note(Event{Kind: TryEnded, Request: one.id, Class: one.class.Name, Route: one.route, Number: number, Repeatable: one.class.repeats(), Aim: one.class.Aim, Began: one.began, Cause: "no circuit: " + err.Error()})
+			c.book.Note(Event{Kind: TryEnded, Request: one.id, Class: one.class.Name, Route: one.route, Number: number, Repeatable: one.class.repeats(), Aim: one.class.Aim, Began: one.began, Cause: "no circuit: " + err.Error()})
 			again = &try{one: one, unread: true}
 		} else {
-			again = one.send(connection, number, behind, clients.book)
-			clients.rest(sender, connection, again)
+			again = one.send(connection, number, behind, c.book)
+			c.rest(sender, connection, again)
 		}
 		if spans := again.event.Spans; len(spans) > 0 && one.class.Resumable {
 			behind = spans[len(spans)-1].To
@@ -150,7 +150,7 @@
 
 // circuit takes up a resting circuit, or opens one to a machine of the client's zone: a
 // hash of the client picks it, and further tries meet other machines.
-func (clients *Clients) connection(one *request, sender *client, number int) (*conn, error) {
+func (c *Clients) connection(one *request, sender *client, number int) (*conn, error) {
 	if number == 0 {
 		for {
 			connection := sender.take()
@@ -159,7 +159,7 @@
 			}
 			open, stray := connection.quiet()
 			if stray {
-				clients.book.Note(Event{Kind: StrayBytes, Machine: connection.machine})
+				c.book.Note(Event{Kind: StrayBytes, Machine: connection.machine})
 			}
 			if open {
 				one.machines[connection.machine] = true
@@ -168,7 +168,7 @@
 			_ = connection.Close()
 		}
 	}
-	targets := clients.balancer.taking(sender.zone)
+	targets := c.balancer.taking(sender.zone)
 	if len(targets) == 0 {
 		return nil, errNoMachine
 	}
@@ -186,12 +186,12 @@
 	return dial(to)
 }
 
-func (sender *client) take() *conn {
-	sender.mutex.Lock()
-	defer sender.mutex.Unlock()
-	for len(sender.rest) > 0 {
-		connection := sender.rest[len(sender.rest)-1]
-		sender.rest = sender.rest[:len(sender.rest)-1]
+func (c *client) take() *conn {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for len(c.rest) > 0 {
+		connection := c.rest[len(c.rest)-1]
+		c.rest = c.rest[:len(c.rest)-1]
 		if time.Now().Before(connection.rests) {
 			return connection
 		}
@@ -201,7 +201,7 @@
 }
 
 // rest keeps a circuit for the next request, or closes it.
-func (clients *Clients) rest(sender *client, connection *conn, last *try) {
+func (c *Clients) rest(sender *client, connection *conn, last *try) {
 	if !last.keeps || !sender.keeps {
 		_ = connection.Close()
 		return
@@ -214,31 +214,31 @@
 
 // probe sends a request on a route straight to a machine, to see which configuration is
 // in force there.
-func (clients *Clients) probe(to target, route string, rule RouteRule) {
-	class := clients.site.classOf(rule.Class)
+func (c *Clients) probe(to target, route string, rule RouteRule) {
+	class := c.site.classOf(rule.Class)
 	class.Shared, class.OwnTokens, class.MostTokens, class.BodyBytes, class.Deadline = nil, 60, 2, 200, 2*time.Second
-	clients.mutex.Lock()
-	one := newRequest(class, route, rule, clients.random)
-	clients.mutex.Unlock()
+	c.mutex.Lock()
+	one := newRequest(class, route, rule, c.random)
+	c.mutex.Unlock()
 	one.probe, one.leaves = true, false
 	connection, err := dial(to)
 	if err != nil {
 		return
 	}
 	defer func() { _ = connection.Close() }()
-	one.send(connection, 0, 0, clients.book)
+	one.send(connection, 0, 0, c.book)
 }
 
 // close closes what rests.
-func (clients *Clients) close() {
-	for _, sender := range clients.clients {
+func (c *Clients) close() {
+	for _, sender := range c.clients {
 		for {
 			connection := sender.take()
 			if connection == nil {
 				break
 			}
 			if _, stray := connection.quiet(); stray {
-				clients.book.Note(Event{Kind: StrayBytes, Machine: connection.machine})
+				c.book.Note(Event{Kind: StrayBytes, Machine: connection.machine})
 			}
 			_ = connection.Close()
 		}
--- a/internal/testbed/replay/command.go
+++ b/internal/testbed/replay/command.go
@@ -16,72 +16,72 @@
 }
 
 // takeOrder takes an order up, or says why not.
-func (server *modelServer) takeOrder(writer http.ResponseWriter, inbound *http.Request) {
+func (m *modelServer) takeOrder(writer http.ResponseWriter, inbound *http.Request) {
 	var asked command
 	err := json.NewDecoder(inbound.Body).Decode(&asked)
-	event := Event{Kind: Ordered, Server: server.ID, Service: server.Service, Zone: server.Zone, Owner: asked.Owner, Stage: asked.Phase}
+	event := Event{Kind: Ordered, Server: m.ID, Service: m.Service, Zone: m.Zone, Owner: asked.Owner, Stage: asked.Phase}
 	if asked.FencingToken != nil {
 		event.FencingToken = *asked.FencingToken
 	}
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	target := inbound.Header.Get(headerTarget)
 	switch {
-	case target != "" && target != server.ID:
+	case target != "" && target != m.ID:
 		event.Status = http.StatusMisdirectedRequest
 	case err != nil, asked.Owner == "", asked.FencingToken == nil, asked.Kind != "phase", asked.Phase != stagePrefill && asked.Phase != stageDecode:
 		event.Status = http.StatusBadRequest
-	case asked.Expected != nil && *asked.Expected != server.orders, server.turning:
+	case asked.Expected != nil && *asked.Expected != m.orders, m.turning:
 		event.Status = http.StatusConflict
-	case server.phase == asked.Phase:
+	case m.phase == asked.Phase:
 		event.Status = http.StatusOK
 	default:
 		event.Status = http.StatusAccepted
-		server.orders++
-		server.turn(asked.Phase)
+		m.orders++
+		m.turn(asked.Phase)
 	}
-	server.pool.book.Note(event)
-	writer.Header().Set(headerServer, server.ID)
+	m.pool.book.Note(event)
+	writer.Header().Set(headerServer, m.ID)
 	writer.WriteHeader(event.Status)
 }
 
 // turn changes the server's part: what runs comes to its end, what has not begun is
 // turned away.
-func (server *modelServer) turn(phase string) {
-	server.turning = true
-	for len(server.engine.waiting) > 0 {
-		server.engine.end(server.engine.waiting[0], "order")
+func (m *modelServer) turn(phase string) {
+	m.turning = true
+	for len(m.engine.waiting) > 0 {
+		m.engine.end(m.engine.waiting[0], "order")
 	}
-	server.progress.Broadcast()
+	m.progress.Broadcast()
 	go func() {
-		server.mutex.Lock()
-		for server.engine.busy() && server.lifetime.Err() == nil {
-			server.progress.Wait()
+		m.mutex.Lock()
+		for m.engine.busy() && m.lifetime.Err() == nil {
+			m.progress.Wait()
 		}
-		server.mutex.Unlock()
-		if !pause(server.lifetime, server.shape.Switch) {
+		m.mutex.Unlock()
+		if !pause(m.lifetime, m.shape.Switch) {
 			return
 		}
-		server.mutex.Lock()
-		defer server.mutex.Unlock()
-		server.phase, server.turning, server.engine.readsOwn = phase, false, phase == stageDecode
-		server.progress.Broadcast()
+		m.mutex.Lock()
+		defer m.mutex.Unlock()
+		m.phase, m.turning, m.engine.readsOwn = phase, false, phase == stageDecode
+		m.progress.Broadcast()
 	}()
 }
 
 // listed is how the server stands on the platform's list.
-func (server *modelServer) listed(now time.Time) serverPage {
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
-	page := serverPage{ID: server.ID, Backend: server.Service, Address: server.Address, Zone: server.Zone, Revision: "v1", Slots: server.shape.Slots, State: stateServing,
-		Phase: server.phase}
-	if server.shape.Plain == 0 {
-		page.ModelIDs = server.models()
+func (m *modelServer) listed(now time.Time) serverPage {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	page := serverPage{ID: m.ID, Backend: m.Service, Address: m.Address, Zone: m.Zone, Revision: "v1", Slots: m.shape.Slots, State: stateServing,
+		Phase: m.phase}
+	if m.shape.Plain == 0 {
+		page.ModelIDs = m.models()
 	}
-	if server.draining {
+	if m.draining {
 		page.State = stateDraining
 	}
-	if left := server.coldUntil.Sub(now); left > 0 {
+	if left := m.coldUntil.Sub(now); left > 0 {
 		page.ColdLeft = left.Milliseconds()
 	}
 	return page
--- a/internal/testbed/replay/contact.go
+++ b/internal/testbed/replay/contact.go
@@ -46,33 +46,33 @@
 	return sort.Search(len(events), func(position int) bool { return events[position].At.After(at) }) - 1
 }
 
-func (contact *contact) running(event Event) bool {
+func (c *contact) running(event Event) bool {
 	return event.Kind == MachineUp || event.Kind == MachineThawed
 }
 
 // calm tells whether a machine's processes ran undisturbed for the time of contact.
-func (contact *contact) calm(machine string, at time.Time) bool {
-	events := contact.machines[machine]
+func (c *contact) calm(machine string, at time.Time) bool {
+	events := c.machines[machine]
 	last := before(events, at)
-	return last >= 0 && contact.running(events[last]) && at.Sub(events[last].At) >= contact.length
+	return last >= 0 && c.running(events[last]) && at.Sub(events[last].At) >= c.length
 }
 
 // settled tells whether more than half of the core runs and nothing was done to it for
 // the time of contact, twice that after a closing fault.
-func (contact *contact) settled(at time.Time) bool {
-	last := before(contact.core, at)
+func (c *contact) settled(at time.Time) bool {
+	last := before(c.core, at)
 	if last < 0 {
 		return true
 	}
-	length := contact.length
-	if !contact.closed.IsZero() && at.After(contact.closed) {
+	length := c.length
+	if !c.closed.IsZero() && at.After(c.closed) {
 		length *= 2
 	}
-	if at.Sub(contact.core[last].At) < length {
+	if at.Sub(c.core[last].At) < length {
 		return false
 	}
 	state := map[string]Event{}
-	for _, event := range contact.core[:last+1] {
+	for _, event := range c.core[:last+1] {
 		state[event.Machine] = event
 	}
 	up, members := 0, 0
@@ -81,7 +81,7 @@
 			continue
 		}
 		members++
-		if contact.running(event) {
+		if c.running(event) {
 			up++
 		}
 	}
@@ -89,15 +89,15 @@
 }
 
 // inTouch tells whether a machine is bound by the rules' bounds of time at a moment.
-func (contact *contact) inTouch(machine string, at time.Time) bool {
-	return contact.calm(machine, at) && contact.settled(at)
+func (c *contact) inTouch(machine string, at time.Time) bool {
+	return c.calm(machine, at) && c.settled(at)
 }
 
 // unplanned tells whether anything but planned work was done to a machine, or to the
 // core, in a span.
-func (contact *contact) unplanned(machine string, from, to time.Time) bool {
+func (c *contact) unplanned(machine string, from, to time.Time) bool {
 	planned := map[string]bool{}
-	for _, events := range [][]Event{contact.machines[machine], contact.core} {
+	for _, events := range [][]Event{c.machines[machine], c.core} {
 		for _, event := range events {
 			if event.Kind == MachineTerm {
 				planned[event.Machine] = true
@@ -112,9 +112,9 @@
 }
 
 // life numbers the lives of a machine's processes.
-func (contact *contact) incarnation(machine string, at time.Time) int {
+func (c *contact) incarnation(machine string, at time.Time) int {
 	incarnation := 0
-	for _, event := range contact.machines[machine] {
+	for _, event := range c.machines[machine] {
 		if event.Kind == MachineUp && !event.At.After(at) {
 			incarnation++
 		}
--- a/internal/testbed/replay/directory.go
+++ b/internal/testbed/replay/directory.go
@@ -85,8 +85,8 @@
 
 // snapshot writes down which servers there are. One that is gone without having been shown
 // as leaving stays for some seconds.
-func (directory *Directory) snapshot(now time.Time) {
-	servers := directory.pool.all()
+func (d *Directory) snapshot(now time.Time) {
+	servers := d.pool.all()
 	pages := make([]serverPage, 0, len(servers))
 	present := map[string]bool{}
 	for _, server := range servers {
@@ -94,11 +94,11 @@
 		present[page.ID] = true
 		pages = append(pages, page)
 	}
-	directory.mutex.Lock()
-	defer directory.mutex.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	crashed := map[string]time.Time{}
-	if len(directory.snapshots) > 0 {
-		last := directory.snapshots[len(directory.snapshots)-1]
+	if len(d.snapshots) > 0 {
+		last := d.snapshots[len(d.snapshots)-1]
 		for _, page := range last.servers {
 			since, known := last.crashed[page.ID]
 			if present[page.ID] || page.State == stateDraining {
@@ -111,32 +111,32 @@
 				crashed[page.ID] = since
 				pages = append(pages, page)
 			} else {
-				directory.book.Note(Event{Kind: Shown, At: now.Add(directory.site.ListLag + directoryBeat), Server: page.ID, Service: page.Backend, Cause: "gone"})
+				d.book.Note(Event{Kind: Shown, At: now.Add(d.site.ListLag + directoryBeat), Server: page.ID, Service: page.Backend, Cause: "gone"})
 			}
 		}
 	}
-	directory.snapshots = append(directory.snapshots, snapshot{at: now, servers: pages, crashed: crashed})
-	for len(directory.snapshots) > 1 && now.Sub(directory.snapshots[1].at) > directory.site.ListLag {
-		directory.snapshots = directory.snapshots[1:]
+	d.snapshots = append(d.snapshots, snapshot{at: now, servers: pages, crashed: crashed})
+	for len(d.snapshots) > 1 && now.Sub(d.snapshots[1].at) > d.site.ListLag {
+		d.snapshots = d.snapshots[1:]
 	}
 }
 
 // list answers with one page of what was seen a lag ago.
-func (directory *Directory) list(writer http.ResponseWriter, inbound *http.Request) {
+func (d *Directory) list(writer http.ResponseWriter, inbound *http.Request) {
 	now := time.Now()
-	directory.mutex.Lock()
-	for len(directory.asked) > 0 && now.Sub(directory.asked[0]) > time.Second {
-		directory.asked = directory.asked[1:]
+	d.mutex.Lock()
+	for len(d.asked) > 0 && now.Sub(d.asked[0]) > time.Second {
+		d.asked = d.asked[1:]
 	}
-	directory.asked = append(directory.asked, now)
-	over := float64(len(directory.asked)) > directory.site.ListRate
-	seen := directory.snapshots[0]
-	directory.mutex.Unlock()
+	d.asked = append(d.asked, now)
+	over := float64(len(d.asked)) > d.site.ListRate
+	seen := d.snapshots[0]
+	d.mutex.Unlock()
 	status := http.StatusOK
 	if over {
 		status = http.StatusTooManyRequests
 	}
-	directory.book.Note(Event{Kind: ListRead, Status: status})
+	d.book.Note(Event{Kind: ListRead, Status: status})
 	if over {
 		writer.WriteHeader(status)
 		return
@@ -157,7 +157,7 @@
 	say(writer, http.StatusOK, map[string]any{"servers": pages, "nextToken": next})
 }
 
-func (directory *Directory) close() {
-	directory.end()
-	_ = directory.http.Close()
+func (d *Directory) close() {
+	d.end()
+	_ = d.http.Close()
 }
--- a/internal/testbed/replay/drawn.go
+++ b/internal/testbed/replay/drawn.go
@@ -88,20 +88,20 @@
 }
 
 // Text writes a plan as a day file, so that it can be played again.
-func (plan Plan) Text() (string, error) {
-	text, err := toml.Marshal(plan)
+func (p Plan) Text() (string, error) {
+	text, err := toml.Marshal(p)
 	return string(text), failure.Wrap(failure.Malformed, err)
 }
 
 // Title names the faults of a day in one line.
-func (plan Plan) Title() string {
+func (p Plan) Title() string {
 	var words []string
-	for _, fault := range plan.Faults {
+	for _, fault := range p.Faults {
 		words = append(words, strings.TrimSpace(fault.Kind+" "+fault.On+" "+fault.How))
 	}
 	title := strings.Join(words, ", ")
-	if plan.Closing != nil {
-		title += "; closing " + plan.Closing.Kind
+	if p.Closing != nil {
+		title += "; closing " + p.Closing.Kind
 	}
 	return title
 }
--- a/internal/testbed/replay/edition.go
+++ b/internal/testbed/replay/edition.go
@@ -50,9 +50,9 @@
 }
 
 // Next copies an edition under another number.
-func (version Version) Next(revision int) Version {
-	routes := make(map[string]RouteRule, len(version.Routes))
-	for name, rule := range version.Routes {
+func (v Version) Next(revision int) Version {
+	routes := make(map[string]RouteRule, len(v.Routes))
+	for name, rule := range v.Routes {
 		rule.Services = maps.Clone(rule.Services)
 		routes[name] = rule
 	}
@@ -60,22 +60,22 @@
 }
 
 // Allows tells whether a request on a route may go to a service.
-func (version Version) Allows(route, service string) bool {
-	return version.Routes[route].Services[service] > 0
+func (v Version) Allows(route, service string) bool {
+	return v.Routes[route].Services[service] > 0
 }
 
 // page writes the edition as operators send it.
-func (version Version) page(site Site) map[string]any {
+func (v Version) page(site Site) map[string]any {
 	return map[string]any{
-		"revision": version.Revision, "routes": version.routePages(site, slices.Sorted(maps.Keys(version.Routes))), "backends": servicePages(site),
+		"revision": v.Revision, "routes": v.routePages(site, slices.Sorted(maps.Keys(v.Routes))), "backends": servicePages(site),
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 4 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
 	}
 }
 
-func (version Version) routePages(site Site, names []string) []any {
+func (v Version) routePages(site Site, names []string) []any {
 	pages := []any{}
 	for _, name := range names {
-		rule := version.Routes[name]
+		rule := v.Routes[name]
 		class := site.classOf(rule.Class)
 		page := map[string]any{
 			"name": name, "host": rule.Host, "pathPrefix": rule.Prefix, "routeKind": "streaming", "deadlineMs": rule.Deadline,
@@ -122,14 +122,14 @@
 }
 
 // amendment is what turns one edition into the next, as operators send it by name.
-func (version Version) patch(site Site, next Version) map[string]any {
+func (v Version) patch(site Site, next Version) map[string]any {
 	var changed, removed []string
 	for name, rule := range next.Routes {
-		if before, found := version.Routes[name]; !found || !reflect.DeepEqual(before, rule) {
+		if before, found := v.Routes[name]; !found || !reflect.DeepEqual(before, rule) {
 			changed = append(changed, name)
 		}
 	}
-	for name := range version.Routes {
+	for name := range v.Routes {
 		if _, found := next.Routes[name]; !found {
 			removed = append(removed, name)
 		}
@@ -173,6 +173,6 @@
 }
 
 // deadlineOf is how long an edition's route may be held.
-func (version Version) deadlineOf(route string) time.Duration {
-	return time.Duration(version.Routes[route].Deadline) * time.Millisecond
+func (v Version) deadlineOf(route string) time.Duration {
+	return time.Duration(v.Routes[route].Deadline) * time.Millisecond
 }
