--- a/internal/testbed/replay/exchange.go
+++ b/internal/testbed/replay/exchange.go
@@ -45,164 +45,164 @@
 }
 
 // misdirected tells whether the request expects another server.
-func (exchange *exchange) misdirected() int {
-	server, header := exchange.server, exchange.header
+func (e *exchange) misdirected() int {
+	server, header := e.server, e.header
 	if target := header.Get(headerTarget); target != "" && target != server.ID {
 		return http.StatusMisdirectedRequest
 	}
 	if expected := header.Get(headerExpected); expected != "" && expected != strconv.Itoa(server.revision) {
 		return http.StatusMisdirectedRequest
 	}
-	if exchange.event.Stage != server.phase && server.shape.Plain == 0 {
+	if e.event.Stage != server.phase && server.shape.Plain == 0 {
 		return http.StatusMisdirectedRequest
 	}
 	return 0
 }
 
 // unfit tells why the request isn't taken up, if so.
-func (exchange *exchange) unfit() int {
+func (e *exchange) unfit() int {
 	switch {
-	case exchange.event.Try == "":
+	case e.event.Try == "":
 		return http.StatusBadRequest
-	case exchange.server.turning:
+	case e.server.turning:
 		return http.StatusServiceUnavailable
 	}
-	if _, fits := readChain(exchange.header.Get(headerParts)); !fits {
+	if _, fits := readChain(e.header.Get(headerParts)); !fits {
 		return http.StatusBadRequest
 	}
 	return 0
 }
 
 // turnAway says that the request did not run here.
-func (exchange *exchange) turnAway(writer http.ResponseWriter, status int) {
-	event := exchange.event
+func (e *exchange) turnAway(writer http.ResponseWriter, status int) {
+	event := e.event
 	event.Kind, event.Status = TurnedAway, status
-	exchange.server.pool.book.Note(event)
+	e.server.pool.book.Note(event)
 	writer.Header().Set(headerTry, event.Try)
-	writer.Header().Set(headerServer, exchange.server.ID)
+	writer.Header().Set(headerServer, e.server.ID)
 	writer.Header().Set(headerNotRun, "1")
-	exchange.server.mutex.Lock()
-	exchange.server.tellLoad(writer.Header())
-	exchange.server.mutex.Unlock()
+	e.server.mutex.Lock()
+	e.server.tellLoad(writer.Header())
+	e.server.mutex.Unlock()
 	writer.WriteHeader(status)
 }
 
 // enter puts the request into the engine, once its memory is here if it has any
 // elsewhere.
-func (exchange *exchange) enter(now time.Time) {
-	server := exchange.server
+func (e *exchange) enter(now time.Time) {
+	server := e.server
 	server.answers++
-	exchange.seal = fmt.Sprintf("%s.%x.%s", strings.TrimPrefix(server.ID, "i-"), server.answers, exchange.event.Digest)
-	chain, _ := readChain(exchange.header.Get(headerParts))
-	_, asked, _ := strings.Cut(exchange.header.Get(headerTokens), ",")
+	e.seal = fmt.Sprintf("%s.%x.%s", strings.TrimPrefix(server.ID, "i-"), server.answers, e.event.Digest)
+	chain, _ := readChain(e.header.Get(headerParts))
+	_, asked, _ := strings.Cut(e.header.Get(headerTokens), ",")
 	most, _ := strconv.Atoi(asked)
 	urgency := 5
-	if given, err := strconv.Atoi(exchange.header.Get(headerUrgency)); err == nil {
+	if given, err := strconv.Atoi(e.header.Get(headerUrgency)); err == nil {
 		urgency = given
 	}
-	most = tokensOf(exchange.event.Digest, max(1, most))
+	most = tokensOf(e.event.Digest, max(1, most))
 	if server.shape.Plain > 0 {
 		most = server.shape.Plain
 	}
-	exchange.one = &work{onlyRead: exchange.event.Stage == stagePrefill, model: exchange.header.Get(headerModel), chain: chain, most: most,
-		made: exchange.behind, urgency: urgency, arrived: now}
-	if exchange.event.Deadline > 0 {
-		exchange.one.ends = now.Add(exchange.event.Deadline)
+	e.one = &work{onlyRead: e.event.Stage == stagePrefill, model: e.header.Get(headerModel), chain: chain, most: most,
+		made: e.behind, urgency: urgency, arrived: now}
+	if e.event.Deadline > 0 {
+		e.one.ends = now.Add(e.event.Deadline)
 	}
-	started := exchange.event
-	started.Kind, started.Seal = RunStarted, exchange.seal
-	exchange.one.started = func() { server.pool.book.Note(started) }
-	if len(server.engine.waiting) >= server.shape.Queue && exchange.source != "" {
-		exchange.refused = true
+	started := e.event
+	started.Kind, started.Seal = RunStarted, e.seal
+	e.one.started = func() { server.pool.book.Note(started) }
+	if len(server.engine.waiting) >= server.shape.Queue && e.source != "" {
+		e.refused = true
 		return
 	}
-	if exchange.source != "" {
-		_, ready, had := server.fetch(exchange.source, exchange.event.Try, now)
+	if e.source != "" {
+		_, ready, had := server.fetch(e.source, e.event.Try, now)
 		if !had {
-			exchange.noMemory = true
+			e.noMemory = true
 			return
 		}
-		exchange.one.fetched, exchange.one.notBefore = true, ready
+		e.one.fetched, e.one.notBefore = true, ready
 	}
-	if exchange.one.made >= exchange.one.most && !exchange.one.onlyRead {
-		exchange.one.stage = over
+	if e.one.made >= e.one.most && !e.one.onlyRead {
+		e.one.stage = over
 		return
 	}
-	if exchange.refused = !server.engine.enter(exchange.one); !exchange.refused {
+	if e.refused = !server.engine.enter(e.one); !e.refused {
 		server.progress.Broadcast()
 	}
 }
 
 // answer waits for the engine, and writes what it makes.
-func (exchange *exchange) answer(writer http.ResponseWriter) {
-	if exchange.noMemory || exchange.refused {
-		exchange.turnAway(writer, http.StatusServiceUnavailable)
+func (e *exchange) answer(writer http.ResponseWriter) {
+	if e.noMemory || e.refused {
+		e.turnAway(writer, http.StatusServiceUnavailable)
 		return
 	}
-	if exchange.event.Stage == stagePrefill {
-		exchange.answerRead(writer)
+	if e.event.Stage == stagePrefill {
+		e.answerRead(writer)
 		return
 	}
-	if exchange.server.shape.Plain > 0 {
-		exchange.answerWhole(writer)
+	if e.server.shape.Plain > 0 {
+		e.answerWhole(writer)
 		return
 	}
-	exchange.answerStream(writer)
+	e.answerStream(writer)
 }
 
 // await waits until there is more than so many tokens, or the request is over here.
-func (exchange *exchange) await(sent int) (made int, finished bool, ending string) {
-	server := exchange.server
+func (e *exchange) await(sent int) (made int, finished bool, ending string) {
+	server := e.server
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	for exchange.one.made <= sent && exchange.one.stage != over && !exchange.gone && server.lifetime.Err() == nil {
+	for e.one.made <= sent && e.one.stage != over && !e.gone && server.lifetime.Err() == nil {
 		server.progress.Wait()
 	}
-	if (exchange.gone || server.lifetime.Err() != nil) && exchange.one.stage != over {
-		server.engine.end(exchange.one, "left")
+	if (e.gone || server.lifetime.Err() != nil) && e.one.stage != over {
+		server.engine.end(e.one, "left")
 	}
-	exchange.ran = exchange.one.begun
-	return exchange.one.made, exchange.one.stage == over, exchange.one.ending
+	e.ran = e.one.begun
+	return e.one.made, e.one.stage == over, e.one.ending
 }
 
-func (exchange *exchange) answerRead(writer http.ResponseWriter) {
-	_, _, ending := exchange.await(1 << 30)
-	server := exchange.server
+func (e *exchange) answerRead(writer http.ResponseWriter) {
+	_, _, ending := e.await(1 << 30)
+	server := e.server
 	switch {
 	case ending == "left":
 		panic(http.ErrAbortHandler)
 	case ending != "":
-		exchange.turnAway(writer, http.StatusServiceUnavailable)
+		e.turnAway(writer, http.StatusServiceUnavailable)
 		return
 	}
 	tokens := 0
-	for _, part := range exchange.one.chain {
+	for _, part := range e.one.chain {
 		tokens += part.tokens
 	}
 	name := strings.ReplaceAll(uuid.NewString(), "-", "")[:12]
 	server.mutex.Lock()
-	server.handles[name] = &handle{try: exchange.event.Try, tokens: tokens, held: exchange.one.held, lapses: time.Now().Add(server.shape.HandleLifetime)}
-	read := exchange.event
+	server.handles[name] = &handle{try: e.event.Try, tokens: tokens, held: e.one.held, lapses: time.Now().Add(server.shape.HandleLifetime)}
+	read := e.event
 	read.Kind, read.Handle, read.Tokens = PromptRead, name, tokens
 	server.pool.book.Note(read)
 	server.lapse(time.Now())
-	writer.Header().Set(headerTry, exchange.event.Try)
+	writer.Header().Set(headerTry, e.event.Try)
 	server.tellLoad(writer.Header())
 	revision := server.revision
 	server.mutex.Unlock()
-	if exchange.spoiling == lost {
+	if e.spoiling == lost {
 		panic(http.ErrAbortHandler)
 	}
 	say(writer, http.StatusOK, map[string]any{"prefillHandle": name, "tokenCount": tokens, "revision": revision})
 }
 
 // head writes the head of an answer.
-func (exchange *exchange) head(header http.Header) {
-	server := exchange.server
+func (e *exchange) head(header http.Header) {
+	server := e.server
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	header.Set(headerTry, exchange.event.Try)
-	header.Set(headerSeal, exchange.seal)
+	header.Set(headerTry, e.event.Try)
+	header.Set(headerSeal, e.seal)
 	header.Set(headerServer, server.ID)
 	header.Set("Content-Type", "text/event-stream")
 	server.tellLoad(header)
@@ -212,53 +212,53 @@
 }
 
 // spanText is one event of a stream.
-func (exchange *exchange) spanText(from, to int) string {
-	return fmt.Sprintf("id: %d\ndata: %s/%s/%d-%d\n\n", to, exchange.event.Digest, exchange.seal, from, to)
+func (e *exchange) spanText(from, to int) string {
+	return fmt.Sprintf("id: %d\ndata: %s/%s/%d-%d\n\n", to, e.event.Digest, e.seal, from, to)
 }
 
-func (exchange *exchange) answerStream(writer http.ResponseWriter) {
-	sent, begun, flusher := exchange.behind, false, http.NewResponseController(writer)
-	ended := exchange.event
-	ended.Kind, ended.Seal = RunEnded, exchange.seal
-	defer func() { exchange.server.pool.book.Note(ended) }()
+func (e *exchange) answerStream(writer http.ResponseWriter) {
+	sent, begun, flusher := e.behind, false, http.NewResponseController(writer)
+	ended := e.event
+	ended.Kind, ended.Seal = RunEnded, e.seal
+	defer func() { e.server.pool.book.Note(ended) }()
 	for {
-		made, finished, ending := exchange.await(sent)
-		if exchange.server.silent() {
-			<-exchange.server.lifetime.Done()
+		made, finished, ending := e.await(sent)
+		if e.server.silent() {
+			<-e.server.lifetime.Done()
 			ended.Cause = "dark"
 			panic(http.ErrAbortHandler)
 		}
 		if made > sent && (ending == "" || begun) {
-			if exchange.spoiling == lost && finished {
+			if e.spoiling == lost && finished {
 				ended.Cause = "answer lost"
 				panic(http.ErrAbortHandler)
 			}
 			if !begun {
-				if exchange.spoiling == failed {
-					exchange.leave()
+				if e.spoiling == failed {
+					e.leave()
 					ended.Status, ended.Cause = http.StatusInternalServerError, "failed"
-					exchange.head(writer.Header())
+					e.head(writer.Header())
 					writer.WriteHeader(http.StatusInternalServerError)
 					return
 				}
-				if exchange.spoiling == garbage || exchange.spoiling == extraLate {
-					exchange.answerBadly(writer, &ended)
+				if e.spoiling == garbage || e.spoiling == extraLate {
+					e.answerBadly(writer, &ended)
 					return
 				}
-				if exchange.spoiling != lost {
-					exchange.head(writer.Header())
+				if e.spoiling != lost {
+					e.head(writer.Header())
 					writer.WriteHeader(http.StatusOK)
 				}
 				begun = true
 			}
-			if exchange.spoiling != lost {
-				_, _ = writer.Write([]byte(exchange.spanText(sent+1, made)))
+			if e.spoiling != lost {
+				_, _ = writer.Write([]byte(e.spanText(sent+1, made)))
 				_ = flusher.Flush()
 			}
 			sent = made
-			if exchange.spoiling == brokenOff && sent-exchange.behind > 1 {
+			if e.spoiling == brokenOff && sent-e.behind > 1 {
 				ended.Cause = "broken off"
-				exchange.leave()
+				e.leave()
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -266,12 +266,12 @@
 		case !finished:
 			continue
 		case ending == "":
-			if exchange.spoiling == lost {
+			if e.spoiling == lost {
 				ended.Cause = "answer lost"
 				panic(http.ErrAbortHandler)
 			}
 			if !begun {
-				exchange.head(writer.Header())
+				e.head(writer.Header())
 				writer.WriteHeader(http.StatusOK)
 			}
 			ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, sent
@@ -279,27 +279,27 @@
 		case ending == "left" || begun:
 			ended.Cause = ending
 			panic(http.ErrAbortHandler)
-		case ending == "deadline" && exchange.ran:
+		case ending == "deadline" && e.ran:
 			ended.Cause, ended.Status = ending, http.StatusGatewayTimeout
-			exchange.head(writer.Header())
+			e.head(writer.Header())
 			writer.WriteHeader(http.StatusGatewayTimeout)
 			return
 		default:
 			ended.Cause = ending
-			exchange.turnAway(writer, http.StatusServiceUnavailable)
+			e.turnAway(writer, http.StatusServiceUnavailable)
 			return
 		}
 	}
 }
 
 // answerWhole answers a plain request once its work is done.
-func (exchange *exchange) answerWhole(writer http.ResponseWriter) {
-	ended := exchange.event
-	ended.Kind, ended.Seal = RunEnded, exchange.seal
-	defer func() { exchange.server.pool.book.Note(ended) }()
-	made, _, ending := exchange.await(1 << 30)
-	if exchange.server.silent() {
-		<-exchange.server.lifetime.Done()
+func (e *exchange) answerWhole(writer http.ResponseWriter) {
+	ended := e.event
+	ended.Kind, ended.Seal = RunEnded, e.seal
+	defer func() { e.server.pool.book.Note(ended) }()
+	made, _, ending := e.await(1 << 30)
+	if e.server.silent() {
+		<-e.server.lifetime.Done()
 		ended.Cause = "dark"
 		panic(http.ErrAbortHandler)
 	}
@@ -307,25 +307,25 @@
 	case ending == "left":
 		ended.Cause = ending
 		panic(http.ErrAbortHandler)
-	case ending != "" && !exchange.ran:
+	case ending != "" && !e.ran:
 		ended.Cause = ending
-		exchange.turnAway(writer, http.StatusServiceUnavailable)
+		e.turnAway(writer, http.StatusServiceUnavailable)
 		return
 	case ending != "":
 		ended.Cause, ended.Status = ending, http.StatusGatewayTimeout
-	case exchange.spoiling == failed:
+	case e.spoiling == failed:
 		ended.Cause, ended.Status = "failed", http.StatusInternalServerError
-	case exchange.spoiling == lost:
+	case e.spoiling == lost:
 		ended.Cause = "answer lost"
 		panic(http.ErrAbortHandler)
-	case exchange.spoiling == garbage || exchange.spoiling == extraLate:
-		exchange.answerBadly(writer, &ended)
+	case e.spoiling == garbage || e.spoiling == extraLate:
+		e.answerBadly(writer, &ended)
 		return
 	default:
 		ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, made
 	}
-	text := exchange.wholeText(made)
-	exchange.head(writer.Header())
+	text := e.wholeText(made)
+	e.head(writer.Header())
 	writer.Header().Set("Content-Type", "application/json")
 	if ended.Status == http.StatusOK {
 		writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -334,7 +334,7 @@
 	if ended.Status != http.StatusOK {
 		return
 	}
-	if exchange.spoiling == brokenOff {
+	if e.spoiling == brokenOff {
 		ended.Cause, ended.Complete = "broken off", false
 		_, _ = writer.Write([]byte(text[:len(text)/2]))
 		_ = http.NewResponseController(writer).Flush()
@@ -344,37 +344,37 @@
 }
 
 // wholeText is the body of a plain answer.
-func (exchange *exchange) wholeText(made int) string {
-	return fmt.Sprintf("{\"answer\":\"/%s/%s/1-%d\"}%s", exchange.event.Digest, exchange.seal, made, strings.Repeat(" ", 400))
+func (e *exchange) wholeText(made int) string {
+	return fmt.Sprintf("{\"answer\":\"/%s/%s/1-%d\"}%s", e.event.Digest, e.seal, made, strings.Repeat(" ", 400))
 }
 
 // leave takes the request out of the engine.
-func (exchange *exchange) leave() {
-	exchange.server.mutex.Lock()
-	defer exchange.server.mutex.Unlock()
-	exchange.server.engine.end(exchange.one, "left")
+func (e *exchange) leave() {
+	e.server.mutex.Lock()
+	defer e.server.mutex.Unlock()
+	e.server.engine.end(e.one, "left")
 }
 
 // answerBadly writes by hand: bytes that are no answer, or a whole answer with another
 // one behind it where the next answer should come.
-func (exchange *exchange) answerBadly(writer http.ResponseWriter, ended *Event) {
+func (e *exchange) answerBadly(writer http.ResponseWriter, ended *Event) {
 	connection, buffered, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = connection.Close() }()
 	_ = connection.SetDeadline(time.Now().Add(4 * time.Second))
-	if exchange.spoiling == garbage {
+	if e.spoiling == garbage {
 		ended.Cause = "spoilt"
-		exchange.leave()
+		e.leave()
 		_, _ = connection.Write([]byte("\x16\x03\x01 no answer at all\r\n\r\n"))
 		return
 	}
 	head := http.Header{}
-	exchange.head(head)
+	e.head(head)
 	head.Del("Connection")
 	head.Set("Transfer-Encoding", "chunked")
-	made, _, ending := exchange.await(1 << 30)
+	made, _, ending := e.await(1 << 30)
 	if ending != "" {
 		ended.Cause = ending
 		return
@@ -384,10 +384,10 @@
 		_ = head.Write(connection)
 		_, _ = connection.Write([]byte("\r\n"))
 		body := httputil.NewChunkedWriter(connection)
-		if exchange.server.shape.Plain > 0 {
-			_, _ = body.Write([]byte(exchange.wholeText(made)))
+		if e.server.shape.Plain > 0 {
+			_, _ = body.Write([]byte(e.wholeText(made)))
 		} else {
-			_, _ = body.Write([]byte(exchange.spanText(exchange.behind+1, made)))
+			_, _ = body.Write([]byte(e.spanText(e.behind+1, made)))
 		}
 		_ = body.Close()
 		_, _ = connection.Write([]byte("\r\n"))
@@ -401,7 +401,7 @@
 		return
 	}
 	_, _ = io.Copy(io.Discard, next.Body)
-	exchange.server.pool.book.Note(Event{Kind: Arrived, Server: exchange.server.ID, Service: exchange.server.Service, Zone: exchange.server.Zone, Try: next.Header.Get(headerTry),
+	e.server.pool.book.Note(Event{Kind: Arrived, Server: e.server.ID, Service: e.server.Service, Zone: e.server.Zone, Try: next.Header.Get(headerTry),
 		Stage: stageOf(next.Header), Cause: "its answer was another's"})
 	write()
 	_ = connection.SetDeadline(time.Now().Add(time.Second))
--- a/internal/testbed/replay/faults.go
+++ b/internal/testbed/replay/faults.go
@@ -74,10 +74,10 @@
 	}
 }
 
-func (server *modelServer) playing() string {
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
-	return server.phase
+func (m *modelServer) playing() string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.phase
 }
 
 // release replaces servers one after another: the new one comes first, the old one is
--- a/internal/testbed/replay/figures.go
+++ b/internal/testbed/replay/figures.go
@@ -137,23 +137,23 @@
 }
 
 // Served is the share of the requests owed that were served at all.
-func (figures Figures) Served() float64 {
-	return float64(figures.InTime+figures.Late) / float64(max(1, figures.Owed))
+func (f Figures) Served() float64 {
+	return float64(f.InTime+f.Late) / float64(max(1, f.Owed))
 }
 
 // String writes the figures for people.
-func (figures Figures) String() string {
+func (f Figures) String() string {
 	var text strings.Builder
-	_, _ = fmt.Fprintf(&text, "owed %d: in time %d, late %d, refused %d, failed %d; served %.3f; first event after %s, 95th of 100 %s; refusals within %s\n", figures.Owed, figures.InTime, figures.Late, figures.Refused, figures.Failed,
-		figures.Served(), figures.Median.Round(time.Millisecond), figures.Tail.Round(time.Millisecond), figures.Held.Round(time.Millisecond))
-	for _, name := range slices.Sorted(maps.Keys(figures.Classes)) {
-		class := figures.Classes[name]
+	_, _ = fmt.Fprintf(&text, "owed %d: in time %d, late %d, refused %d, failed %d; served %.3f; first event after %s, 95th of 100 %s; refusals within %s\n", f.Owed, f.InTime, f.Late, f.Refused, f.Failed,
+		f.Served(), f.Median.Round(time.Millisecond), f.Tail.Round(time.Millisecond), f.Held.Round(time.Millisecond))
+	for _, name := range slices.Sorted(maps.Keys(f.Classes)) {
+		class := f.Classes[name]
 		_, _ = fmt.Fprintf(&text, "  %-12s owed %d, in time %d, late %d\n", name, class.Owed, class.InTime, class.Late)
 	}
-	for _, cause := range slices.Sorted(maps.Keys(figures.Causes)) {
-		_, _ = fmt.Fprintf(&text, "  %-40s %d\n", cause, figures.Causes[cause])
+	for _, cause := range slices.Sorted(maps.Keys(f.Causes)) {
+		_, _ = fmt.Fprintf(&text, "  %-40s %d\n", cause, f.Causes[cause])
 	}
 	_, _ = fmt.Fprintf(&text, "probes and reports %d, readings of the list %d, orders %d, moves of memory %d, repeats %d, tokens read for nothing %d\n",
-		figures.Probes, figures.Lists, figures.Orders, figures.Moves, figures.Repeats, figures.ReadForNothing)
+		f.Probes, f.Lists, f.Orders, f.Moves, f.Repeats, f.ReadForNothing)
 	return text.String()
 }
--- a/internal/testbed/replay/keptparts.go
+++ b/internal/testbed/replay/keptparts.go
@@ -26,8 +26,8 @@
 }
 
 // rounded is how many tokens' places so many tokens take up.
-func (memory *keptParts) rounded(tokens int) int {
-	return (tokens + memory.block - 1) / memory.block * memory.block
+func (k *keptParts) rounded(tokens int) int {
+	return (tokens + k.block - 1) / k.block * k.block
 }
 
 // names gives each part of a chain the name of the chain up to it.
@@ -43,10 +43,10 @@
 
 // missing is how many tokens of a chain are not kept: all behind the first part that
 // isn't.
-func (memory *keptParts) missing(model string, chain []part) int {
+func (k *keptParts) missing(model string, chain []part) int {
 	tokens, broken := 0, false
 	for position, name := range chainNames(model, chain) {
-		if memory.parts[name] == nil {
+		if k.parts[name] == nil {
 			broken = true
 		}
 		if broken {
@@ -57,11 +57,11 @@
 }
 
 // pinned is what can't give way.
-func (memory *keptParts) pinned() int {
-	pinned := memory.fixed
-	for _, one := range memory.parts {
+func (k *keptParts) pinned() int {
+	pinned := k.fixed
+	for _, one := range k.parts {
 		if one.pins > 0 {
-			pinned += memory.rounded(one.tokens)
+			pinned += k.rounded(one.tokens)
 		}
 	}
 	return pinned
@@ -69,13 +69,13 @@
 
 // pin keeps a chain for one request, and makes room for what is missing of it; it tells
 // whether there was room.
-func (memory *keptParts) pin(model string, chain []part) ([]*keptPart, bool) {
+func (k *keptParts) pin(model string, chain []part) ([]*keptPart, bool) {
 	var held []*keptPart
 	var parent *keptPart
 	names := chainNames(model, chain)
 	// What is kept is held first, so that it doesn't give way for the rest.
 	for _, name := range names {
-		one := memory.parts[name]
+		one := k.parts[name]
 		if one == nil {
 			break
 		}
@@ -84,17 +84,17 @@
 		parent = one
 	}
 	for position := len(held); position < len(chain); position++ {
-		places := memory.rounded(chain[position].tokens)
-		if !memory.makeRoom(places) {
-			memory.unpin(held)
+		places := k.rounded(chain[position].tokens)
+		if !k.makeRoom(places) {
+			k.unpin(held)
 			return nil, false
 		}
 		one := &keptPart{name: names[position], tokens: chain[position].tokens, pins: 1, parent: parent}
 		if parent != nil {
 			parent.children++
 		}
-		memory.parts[one.name] = one
-		memory.kept += places
+		k.parts[one.name] = one
+		k.kept += places
 		held = append(held, one)
 		parent = one
 	}
@@ -102,26 +102,26 @@
 }
 
 // unpin lets parts give way again; they stay as long as nobody needs their room.
-func (memory *keptParts) unpin(held []*keptPart) {
+func (k *keptParts) unpin(held []*keptPart) {
 	for _, one := range held {
-		memory.turn++
+		k.turn++
 		one.pins--
-		one.used = memory.turn
+		one.used = k.turn
 	}
 }
 
 // forget takes parts away that were never read to their end.
-func (memory *keptParts) forget(held []*keptPart) {
+func (k *keptParts) forget(held []*keptPart) {
 	for position := len(held) - 1; position >= 0; position-- {
-		if one := held[position]; one.pins == 0 && one.children == 0 && memory.parts[one.name] == one {
-			memory.drop(one)
+		if one := held[position]; one.pins == 0 && one.children == 0 && k.parts[one.name] == one {
+			k.drop(one)
 		}
 	}
 }
 
-func (memory *keptParts) drop(one *keptPart) {
-	delete(memory.parts, one.name)
-	memory.kept -= memory.rounded(one.tokens)
+func (k *keptParts) drop(one *keptPart) {
+	delete(k.parts, one.name)
+	k.kept -= k.rounded(one.tokens)
 	if one.parent != nil {
 		one.parent.children--
 	}
@@ -129,10 +129,10 @@
 
 // makeRoom lets the parts give way that were unused for longest, the last of a chain
 // first.
-func (memory *keptParts) makeRoom(places int) bool {
-	for memory.capacity-memory.kept-memory.fixed < places {
+func (k *keptParts) makeRoom(places int) bool {
+	for k.capacity-k.kept-k.fixed < places {
 		var oldest *keptPart
-		for _, one := range memory.parts {
+		for _, one := range k.parts {
 			if one.pins == 0 && one.children == 0 && (oldest == nil || one.used < oldest.used) {
 				oldest = one
 			}
@@ -140,16 +140,16 @@
 		if oldest == nil {
 			return false
 		}
-		memory.drop(oldest)
+		k.drop(oldest)
 	}
 	return true
 }
 
 // grow takes room for a running request's own tokens.
-func (memory *keptParts) grow(places int) bool {
-	if !memory.makeRoom(places) {
+func (k *keptParts) grow(places int) bool {
+	if !k.makeRoom(places) {
 		return false
 	}
-	memory.fixed += places
+	k.fixed += places
 	return true
 }
--- a/internal/testbed/replay/misbehaviour.go
+++ b/internal/testbed/replay/misbehaviour.go
@@ -33,17 +33,17 @@
 )
 
 // draw chooses what becomes of an answer.
-func (misbehaviour misbehaviour) draw(random *rand.Rand) spoiling {
+func (m misbehaviour) draw(random *rand.Rand) spoiling {
 	draw := random.Float64()
 	switch {
-	case draw < misbehaviour.loses:
+	case draw < m.loses:
 		return lost
-	case draw < misbehaviour.loses+misbehaviour.spoils:
-		if misbehaviour.late && random.IntN(2) == 0 {
+	case draw < m.loses+m.spoils:
+		if m.late && random.IntN(2) == 0 {
 			return extraLate
 		}
 		return []spoiling{brokenOff, garbage}[random.IntN(2)]
-	case draw < misbehaviour.loses+misbehaviour.spoils+misbehaviour.fails:
+	case draw < m.loses+m.spoils+m.fails:
 		return failed
 	}
 	return unspoilt
--- a/internal/testbed/replay/modelserver.go
+++ b/internal/testbed/replay/modelserver.go
@@ -117,17 +117,17 @@
 }
 
 // countConnections resets circuits beyond those that the server takes.
-func (server *modelServer) countConnections(connection net.Conn, state http.ConnState) {
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
+func (m *modelServer) countConnections(connection net.Conn, state http.ConnState) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	switch state {
 	case http.StateNew:
-		server.connections++
-		if server.connections > server.shape.Connections {
+		m.connections++
+		if m.connections > m.shape.Connections {
 			reset(connection)
 		}
 	case http.StateClosed, http.StateHijacked:
-		server.connections--
+		m.connections--
 	}
 }
 
@@ -139,9 +139,9 @@
 }
 
 // shade leaves calls without an answer while the server is dark.
-func (server *modelServer) shade(next http.Handler) http.Handler {
+func (m *modelServer) shade(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
-		if server.silent() {
+		if m.silent() {
 			_, _ = io.Copy(io.Discard, inbound.Body)
 			<-inbound.Context().Done()
 			panic(http.ErrAbortHandler)
@@ -150,42 +150,42 @@
 	})
 }
 
-func (server *modelServer) silent() bool {
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
-	return server.misbehaviour.dark
+func (m *modelServer) silent() bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.misbehaviour.dark
 }
 
 // work steps the engine as long as there is anything to do.
-func (server *modelServer) work() {
-	stop := context.AfterFunc(server.lifetime, func() {
-		server.mutex.Lock()
-		defer server.mutex.Unlock()
-		server.progress.Broadcast()
+func (m *modelServer) work() {
+	stop := context.AfterFunc(m.lifetime, func() {
+		m.mutex.Lock()
+		defer m.mutex.Unlock()
+		m.progress.Broadcast()
 	})
 	defer stop()
 	for {
-		server.mutex.Lock()
-		for !server.engine.busy() && server.lifetime.Err() == nil {
-			server.progress.Wait()
+		m.mutex.Lock()
+		for !m.engine.busy() && m.lifetime.Err() == nil {
+			m.progress.Wait()
 		}
 		now := time.Now()
-		length, chunks := server.engine.plan(now)
-		server.mutex.Unlock()
-		if !pause(server.lifetime, length) {
+		length, chunks := m.engine.plan(now)
+		m.mutex.Unlock()
+		if !pause(m.lifetime, length) {
 			return
 		}
-		server.mutex.Lock()
-		if !server.misbehaviour.dark {
-			for _, one := range server.engine.apply(time.Now(), chunks) {
+		m.mutex.Lock()
+		if !m.misbehaviour.dark {
+			for _, one := range m.engine.apply(time.Now(), chunks) {
 				if one.begun && one.started != nil {
 					one.started()
 					one.started = nil
 				}
 			}
 		}
-		server.progress.Broadcast()
-		server.mutex.Unlock()
+		m.progress.Broadcast()
+		m.mutex.Unlock()
 	}
 }
 
@@ -202,56 +202,56 @@
 }
 
 // crash ends the server at once, with all that it knows.
-func (server *modelServer) crash() {
-	server.end()
-	_ = server.server.Close()
-	server.pool.book.Note(Event{Kind: ServerGone, Server: server.ID, Service: server.Service, Zone: server.Zone})
+func (m *modelServer) crash() {
+	m.end()
+	_ = m.server.Close()
+	m.pool.book.Note(Event{Kind: ServerGone, Server: m.ID, Service: m.Service, Zone: m.Zone})
 }
 
 // tellReport answers with the state of some time ago.
-func (server *modelServer) tellReport(writer http.ResponseWriter, _ *http.Request) {
-	server.mutex.Lock()
-	page := server.aged(time.Now())
-	server.mutex.Unlock()
-	server.pool.book.Note(Event{Kind: Probed, Server: server.ID, Stage: pathReport})
-	writer.Header().Set(headerServer, server.ID)
+func (m *modelServer) tellReport(writer http.ResponseWriter, _ *http.Request) {
+	m.mutex.Lock()
+	page := m.aged(time.Now())
+	m.mutex.Unlock()
+	m.pool.book.Note(Event{Kind: Probed, Server: m.ID, Stage: pathReport})
+	writer.Header().Set(headerServer, m.ID)
 	say(writer, http.StatusOK, page)
 }
 
 // aged is the state as it was a lag ago, as near as it was looked at.
-func (server *modelServer) aged(now time.Time) reportPage {
-	if now.Sub(server.reported) >= server.shape.ReportLag {
-		server.before = server.report
-		if now.Sub(server.reported) >= 3*server.shape.ReportLag || server.before.Phase == "" {
-			server.before = server.state()
+func (m *modelServer) aged(now time.Time) reportPage {
+	if now.Sub(m.reported) >= m.shape.ReportLag {
+		m.before = m.report
+		if now.Sub(m.reported) >= 3*m.shape.ReportLag || m.before.Phase == "" {
+			m.before = m.state()
 		}
-		server.report, server.reported = server.state(), now
+		m.report, m.reported = m.state(), now
 	}
-	return server.before
+	return m.before
 }
 
-func (server *modelServer) state() reportPage {
-	used := server.engine.memory.pinned()
-	return reportPage{Phase: server.phase, ModelIDs: server.models(), Utilization: server.turning, CallSeq: server.orders, Queued: len(server.engine.waiting),
-		Active: len(server.engine.running), KVUsed: used, KVTotal: server.shape.Capacity, OpenHandles: len(server.handles)}
+func (m *modelServer) state() reportPage {
+	used := m.engine.memory.pinned()
+	return reportPage{Phase: m.phase, ModelIDs: m.models(), Utilization: m.turning, CallSeq: m.orders, Queued: len(m.engine.waiting),
+		Active: len(m.engine.running), KVUsed: used, KVTotal: m.shape.Capacity, OpenHandles: len(m.handles)}
 }
 
-func (server *modelServer) models() []modelPage {
-	return []modelPage{{Name: modelName, Revision: server.revision, AdapterIDs: []string{}}}
+func (m *modelServer) models() []modelPage {
+	return []modelPage{{Name: modelName, Revision: m.revision, AdapterIDs: []string{}}}
 }
 
 // tellHealth answers as a request would be answered: it is turned away when the server
 // is full.
-func (server *modelServer) tellHealth(writer http.ResponseWriter, _ *http.Request) {
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
-	server.pool.book.Note(Event{Kind: Probed, Server: server.ID, Stage: pathHealth})
-	writer.Header().Set(headerServer, server.ID)
-	server.tellLoad(writer.Header())
-	if left := time.Until(server.coldUntil); left > 0 {
+func (m *modelServer) tellHealth(writer http.ResponseWriter, _ *http.Request) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.pool.book.Note(Event{Kind: Probed, Server: m.ID, Stage: pathHealth})
+	writer.Header().Set(headerServer, m.ID)
+	m.tellLoad(writer.Header())
+	if left := time.Until(m.coldUntil); left > 0 {
 		writer.Header().Set(headerCold, strconv.FormatInt(left.Milliseconds(), 10))
 	}
-	if (server.draining || len(server.engine.waiting) >= server.shape.Queue) != server.misbehaviour.lies {
+	if (m.draining || len(m.engine.waiting) >= m.shape.Queue) != m.misbehaviour.lies {
 		writer.Header().Set(headerNotRun, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -259,69 +259,69 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-func (server *modelServer) tellLoad(header http.Header) {
-	header.Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(server.engine.running), len(server.engine.waiting), server.shape.Slots))
-	if server.shape.Plain == 0 {
-		header.Set(headerRevision, strconv.Itoa(server.revision))
+func (m *modelServer) tellLoad(header http.Header) {
+	header.Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(m.engine.running), len(m.engine.waiting), m.shape.Slots))
+	if m.shape.Plain == 0 {
+		header.Set(headerRevision, strconv.Itoa(m.revision))
 	}
-	header.Set("Keep-Alive", "timeout="+strconv.Itoa(int(server.shape.Idle.Seconds())))
+	header.Set("Keep-Alive", "timeout="+strconv.Itoa(int(m.shape.Idle.Seconds())))
 }
 
 // cool makes the server cold again.
-func (server *modelServer) cool() {
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
-	server.coldUntil = time.Now().Add(server.shape.Cold)
+func (m *modelServer) cool() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.coldUntil = time.Now().Add(m.shape.Cold)
 }
 
 // overrun counts what comes while the server is cold; well above its rate it falls over.
-func (server *modelServer) overrun(now time.Time) (cold, falls bool) {
-	if !now.Before(server.coldUntil) {
+func (m *modelServer) overrun(now time.Time) (cold, falls bool) {
+	if !now.Before(m.coldUntil) {
 		return false, false
 	}
-	server.arrivals = append(server.arrivals, now)
-	for len(server.arrivals) > 0 && now.Sub(server.arrivals[0]) > time.Second {
-		server.arrivals = server.arrivals[1:]
+	m.arrivals = append(m.arrivals, now)
+	for len(m.arrivals) > 0 && now.Sub(m.arrivals[0]) > time.Second {
+		m.arrivals = m.arrivals[1:]
 	}
-	return true, float64(len(server.arrivals)) > 4*server.shape.ColdPerSecond
+	return true, float64(len(m.arrivals)) > 4*m.shape.ColdPerSecond
 }
 
 // serve takes a request of a client, or one that is only to be read.
-func (server *modelServer) serve(writer http.ResponseWriter, inbound *http.Request) {
+func (m *modelServer) serve(writer http.ResponseWriter, inbound *http.Request) {
 	body, err := io.ReadAll(inbound.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	exchange := newExchange(server, inbound, body)
-	server.mutex.Lock()
+	exchange := newExchange(m, inbound, body)
+	m.mutex.Lock()
 	now := time.Now()
 	status := exchange.misdirected()
 	falls := false
 	if status == 0 {
-		exchange.event.Cold, falls = server.overrun(now)
+		exchange.event.Cold, falls = m.overrun(now)
 		status = exchange.unfit()
 	}
 	arrived := exchange.event
 	arrived.Kind, arrived.Status = Arrived, status
-	server.pool.book.Note(arrived)
+	m.pool.book.Note(arrived)
 	if falls {
-		server.mutex.Unlock()
-		server.crash()
+		m.mutex.Unlock()
+		m.crash()
 		panic(http.ErrAbortHandler)
 	}
 	if status != 0 {
-		server.mutex.Unlock()
+		m.mutex.Unlock()
 		exchange.turnAway(writer, status)
 		return
 	}
-	exchange.spoiling = server.misbehaviour.draw(server.random)
+	exchange.spoiling = m.misbehaviour.draw(m.random)
 	exchange.enter(now)
-	server.mutex.Unlock()
+	m.mutex.Unlock()
 	stop := context.AfterFunc(inbound.Context(), func() {
-		server.mutex.Lock()
-		defer server.mutex.Unlock()
+		m.mutex.Lock()
+		defer m.mutex.Unlock()
 		exchange.gone = true
-		server.progress.Broadcast()
+		m.progress.Broadcast()
 	})
 	defer stop()
 	exchange.answer(writer)
@@ -329,10 +329,10 @@
 
 // fetch moves a prompt's memory here from the server that read it; it tells when the
 // move ends, or false when it can't be had.
-func (server *modelServer) fetch(source, try string, now time.Time) (int, time.Time, bool) {
+func (m *modelServer) fetch(source, try string, now time.Time) (int, time.Time, bool) {
 	address, name, found := strings.Cut(source, "/")
-	from := server.pool.at(address)
-	if !found || from == nil || from == server {
+	from := m.pool.at(address)
+	if !found || from == nil || from == m {
 		return 0, now, false
 	}
 	from.mutex.Lock()
@@ -342,13 +342,13 @@
 	if held == nil || from.misbehaviour.dark || from.lifetime.Err() != nil {
 		return 0, now, false
 	}
-	length := server.shape.Setup + time.Duration(float64(held.tokens)*server.shape.TokenBytes*8/(server.shape.LinkMegabits*1e6)*float64(time.Second))
-	if from.Zone != server.Zone {
+	length := m.shape.Setup + time.Duration(float64(held.tokens)*m.shape.TokenBytes*8/(m.shape.LinkMegabits*1e6)*float64(time.Second))
+	if from.Zone != m.Zone {
 		length *= 2
 	}
-	length = time.Duration(float64(length) * max(1, server.misbehaviour.slowed, from.misbehaviour.slowed))
+	length = time.Duration(float64(length) * max(1, m.misbehaviour.slowed, from.misbehaviour.slowed))
 	begins := now
-	for _, free := range []time.Time{from.linkFree, server.linkFree} {
+	for _, free := range []time.Time{from.linkFree, m.linkFree} {
 		if free.After(begins) {
 			begins = free
 		}
@@ -356,36 +356,36 @@
 	if begins.Sub(now) > 2*time.Second {
 		return 0, now, false
 	}
-	from.linkFree, server.linkFree = begins.Add(length), begins.Add(length)
+	from.linkFree, m.linkFree = begins.Add(length), begins.Add(length)
 	delete(from.handles, name)
 	from.engine.memory.unpin(held.held)
-	server.pool.book.Note(Event{Kind: HandleTaken, Server: server.ID, Handle: name, Try: try, Request: held.try, Tokens: held.tokens})
+	m.pool.book.Note(Event{Kind: HandleTaken, Server: m.ID, Handle: name, Try: try, Request: held.try, Tokens: held.tokens})
 	return held.tokens, begins.Add(length), true
 }
 
 // lapse lets handles go whose time has come.
-func (server *modelServer) lapse(now time.Time) {
-	for name, held := range server.handles {
-		if server.misbehaviour.lapses || now.After(held.lapses) {
-			delete(server.handles, name)
-			server.engine.memory.unpin(held.held)
-			server.pool.book.Note(Event{Kind: HandleLost, Server: server.ID, Handle: name, Try: held.try, Tokens: held.tokens})
+func (m *modelServer) lapse(now time.Time) {
+	for name, held := range m.handles {
+		if m.misbehaviour.lapses || now.After(held.lapses) {
+			delete(m.handles, name)
+			m.engine.memory.unpin(held.held)
+			m.pool.book.Note(Event{Kind: HandleLost, Server: m.ID, Handle: name, Try: held.try, Tokens: held.tokens})
 		}
 	}
 }
 
-func (server *modelServer) freeHandle(writer http.ResponseWriter, inbound *http.Request) {
+func (m *modelServer) freeHandle(writer http.ResponseWriter, inbound *http.Request) {
 	name := pat.Param(inbound, "handle")
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
-	server.lapse(time.Now())
-	held := server.handles[name]
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.lapse(time.Now())
+	held := m.handles[name]
 	if held == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
-	delete(server.handles, name)
-	server.engine.memory.unpin(held.held)
-	server.pool.book.Note(Event{Kind: HandleFreed, Server: server.ID, Handle: name, Try: held.try, Tokens: held.tokens})
+	delete(m.handles, name)
+	m.engine.memory.unpin(held.held)
+	m.pool.book.Note(Event{Kind: HandleFreed, Server: m.ID, Handle: name, Try: held.try, Tokens: held.tokens})
 	writer.WriteHeader(http.StatusOK)
 }
--- a/internal/testbed/replay/modelserver_test.go
+++ b/internal/testbed/replay/modelserver_test.go
@@ -43,8 +43,8 @@
 }
 
 // playing finds a server by the part that it plays.
-func (bench *bench) playing(phase string) *modelServer {
-	for _, server := range bench.pool.all() {
+func (b *bench) playing(phase string) *modelServer {
+	for _, server := range b.pool.all() {
 		if server.playing() == phase {
 			return server
 		}
@@ -53,7 +53,7 @@
 }
 
 // ask sends a request to a server, and gives the answer with its body.
-func (bench *bench) ask(t *testing.T, server *modelServer, try string, extra map[string]string) (*http.Response, string) {
+func (b *bench) ask(t *testing.T, server *modelServer, try string, extra map[string]string) (*http.Response, string) {
 	t.Helper()
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", strings.NewReader("{}"))
 	outbound.Header = http.Header{headerTry: {try}, headerModel: {modelName}, headerTokens: {"900,20"}, headerParts: {"a:500,b:400"}, headerDeadline: {"3000"}}
@@ -70,9 +70,9 @@
 }
 
 // read has a prompt read, and gives where its memory waits.
-func (bench *bench) read(t *testing.T, server *modelServer, try string) string {
+func (b *bench) read(t *testing.T, server *modelServer, try string) string {
 	t.Helper()
-	answer, body := bench.ask(t, server, try, map[string]string{headerStage: stagePrefill})
+	answer, body := b.ask(t, server, try, map[string]string{headerStage: stagePrefill})
 	var page struct {
 		PrefillHandle string
 		TokenCount    int
--- a/internal/testbed/replay/operators.go
+++ b/internal/testbed/replay/operators.go
@@ -64,10 +64,10 @@
 
 // call sends one and the same call until it has a clear answer, to any machine that
 // serves control.
-func (operators *Operators) call(lifetime context.Context, method, path string, header http.Header, body []byte) answer {
+func (o *Operators) call(lifetime context.Context, method, path string, header http.Header, body []byte) answer {
 	rest, others, hazy := 50*time.Millisecond, 0, false
 	for lifetime.Err() == nil {
-		given, _ := operators.once(lifetime, method, path, header, body)
+		given, _ := o.once(lifetime, method, path, header, body)
 		// What is refused after a sending without a clear answer may yet be in force.
 		refusal := refused
 		if hazy {
@@ -96,8 +96,8 @@
 	return answer{outcome: unclear}
 }
 
-func (operators *Operators) once(lifetime context.Context, method, path string, header http.Header, body []byte) (answer, error) {
-	node := operators.pick()
+func (o *Operators) once(lifetime context.Context, method, path string, header http.Header, body []byte) (answer, error) {
+	node := o.pick()
 	if node == "" {
 		return answer{}, errNoMachine
 	}
@@ -110,7 +110,7 @@
 	if header != nil {
 		outbound.Header = header.Clone()
 	}
-	inbound, err := operators.client.Do(outbound)
+	inbound, err := o.client.Do(outbound)
 	if err != nil {
 		return answer{}, err
 	}
@@ -123,82 +123,82 @@
 }
 
 // pick draws a machine that serves control, from a list that is some time late.
-func (operators *Operators) pick() string {
-	nodes := operators.day.controls(operators.day.Site.Terms.SeedLag)
-	operators.mutex.Lock()
-	defer operators.mutex.Unlock()
+func (o *Operators) pick() string {
+	nodes := o.day.controls(o.day.Site.Terms.SeedLag)
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	if len(nodes) == 0 {
 		return ""
 	}
-	return nodes[operators.random.IntN(len(nodes))]
+	return nodes[o.random.IntN(len(nodes))]
 }
 
 // known is the edition that the operators believe to be in force.
-func (operators *Operators) known() Version {
-	operators.mutex.Lock()
-	defer operators.mutex.Unlock()
-	return operators.current
+func (o *Operators) known() Version {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	return o.current
 }
 
 // draft makes the next edition over another, with a number of its own.
-func (operators *Operators) draft(base Version) Version {
-	operators.mutex.Lock()
-	defer operators.mutex.Unlock()
-	operators.numbers = max(operators.numbers, base.Revision) + 1 + operators.random.IntN(3)
-	return base.Next(operators.numbers)
+func (o *Operators) draft(base Version) Version {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.numbers = max(o.numbers, base.Revision) + 1 + o.random.IntN(3)
+	return base.Next(o.numbers)
 }
 
 // watch has the probes ask for a route from now on.
-func (operators *Operators) watch(route string, rule RouteRule) {
-	operators.mutex.Lock()
-	defer operators.mutex.Unlock()
-	operators.watched[route] = rule
+func (o *Operators) watch(route string, rule RouteRule) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.watched[route] = rule
 }
 
-func (operators *Operators) watchList() map[string]RouteRule {
-	operators.mutex.Lock()
-	defer operators.mutex.Unlock()
-	list := make(map[string]RouteRule, len(operators.watched))
-	for route, rule := range operators.watched {
+func (o *Operators) watchList() map[string]RouteRule {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	list := make(map[string]RouteRule, len(o.watched))
+	for route, rule := range o.watched {
 		list[route] = rule
 	}
 	return list
 }
 
 // propose sends an edition over another until it has a clear answer.
-func (operators *Operators) propose(lifetime context.Context, base, next Version, amends, invalid bool, spoil func(page map[string]any) []byte) answer {
-	page := next.page(operators.day.Site)
-	operators.mutex.Lock()
+func (o *Operators) propose(lifetime context.Context, base, next Version, amends, invalid bool, spoil func(page map[string]any) []byte) answer {
+	page := next.page(o.day.Site)
+	o.mutex.Lock()
 	if !invalid {
-		operators.sent[next.Revision], operators.versions[next.Revision] = page, next
+		o.sent[next.Revision], o.versions[next.Revision] = page, next
 	}
-	operators.mutex.Unlock()
+	o.mutex.Unlock()
 	path, text := pathReplace, page
 	if amends {
-		path, text = pathAmend, base.patch(operators.day.Site, next)
+		path, text = pathAmend, base.patch(o.day.Site, next)
 	}
 	body, _ := json.Marshal(text)
 	if spoil != nil {
 		body = spoil(text)
 	}
 	change := uuid.NewString()[:8]
-	operators.day.Book.Note(Event{Kind: ChangeSent, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Version: &next})
+	o.day.Book.Note(Event{Kind: ChangeSent, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Version: &next})
 	header := http.Header{headerBase: {strconv.Itoa(base.Revision)}, "Content-Type": {"application/json"}}
-	given := operators.call(lifetime, http.MethodPost, path, header, body)
-	operators.day.Book.Note(Event{Kind: ChangeClosed, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Status: given.status, Cause: string(given.outcome), Version: &next})
+	given := o.call(lifetime, http.MethodPost, path, header, body)
+	o.day.Book.Note(Event{Kind: ChangeClosed, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Status: given.status, Cause: string(given.outcome), Version: &next})
 	if given.outcome == acknowledged && !invalid {
-		operators.mutex.Lock()
-		if next.Revision > operators.current.Revision {
-			operators.current = next
+		o.mutex.Lock()
+		if next.Revision > o.current.Revision {
+			o.current = next
 		}
-		operators.mutex.Unlock()
+		o.mutex.Unlock()
 	}
 	return given
 }
 
 // read asks for the newest configuration until it comes.
-func (operators *Operators) read(lifetime context.Context) (int, []byte, bool) {
-	given := operators.call(lifetime, http.MethodGet, pathRead, nil, nil)
+func (o *Operators) read(lifetime context.Context) (int, []byte, bool) {
+	given := o.call(lifetime, http.MethodGet, pathRead, nil, nil)
 	var page struct {
 		Revision int `json:"revision"`
 	}
@@ -210,27 +210,27 @@
 
 // resync reads which edition is in force, after a change that was refused or not clearly
 // answered.
-func (operators *Operators) resync(lifetime context.Context) {
-	revision, _, came := operators.read(lifetime)
-	operators.mutex.Lock()
-	defer operators.mutex.Unlock()
-	if version, known := operators.versions[revision]; came && known {
-		operators.current = version
+func (o *Operators) resync(lifetime context.Context) {
+	revision, _, came := o.read(lifetime)
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	if version, known := o.versions[revision]; came && known {
+		o.current = version
 	}
 }
 
 // readBack reads the configuration at the end of the day, again and again for the time
 // of contact, and notes what came last.
-func (operators *Operators) readBack(lifetime context.Context) {
-	asking, end := context.WithTimeout(lifetime, operators.day.Site.Terms.Contact+5*time.Second)
+func (o *Operators) readBack(lifetime context.Context) {
+	asking, end := context.WithTimeout(lifetime, o.day.Site.Terms.Contact+5*time.Second)
 	defer end()
 	last := Event{Kind: ReadBack, Cause: "nothing came"}
 	began := time.Now()
-	for asking.Err() == nil && time.Since(began) < operators.day.Site.Terms.Contact {
-		if revision, text, came := operators.read(asking); came {
-			operators.mutex.Lock()
-			sent := operators.sent[revision]
-			operators.mutex.Unlock()
+	for asking.Err() == nil && time.Since(began) < o.day.Site.Terms.Contact {
+		if revision, text, came := o.read(asking); came {
+			o.mutex.Lock()
+			sent := o.sent[revision]
+			o.mutex.Unlock()
 			last.Revision, last.Complete, last.Cause, last.At = revision, sent != nil && samePage(sent, text), "", time.Now()
 			if !last.Complete {
 				last.Cause = string(text[:min(len(text), 600)])
@@ -238,20 +238,20 @@
 		}
 		pause(asking, 300*time.Millisecond)
 	}
-	operators.day.Book.Note(last)
+	o.day.Book.Note(last)
 }
 
 // evacuate asks that nothing more be sent to a zone's servers; takeBack ends that.
-func (operators *Operators) evacuate(lifetime context.Context, zone string) bool {
-	operators.day.Book.Note(Event{Kind: EvacuateSent, Zone: zone})
-	if operators.call(lifetime, http.MethodPost, pathEvacuate+zone, nil, nil).outcome != acknowledged {
+func (o *Operators) evacuate(lifetime context.Context, zone string) bool {
+	o.day.Book.Note(Event{Kind: EvacuateSent, Zone: zone})
+	if o.call(lifetime, http.MethodPost, pathEvacuate+zone, nil, nil).outcome != acknowledged {
 		return false
 	}
-	operators.day.Book.Note(Event{Kind: Evacuated, Zone: zone})
+	o.day.Book.Note(Event{Kind: Evacuated, Zone: zone})
 	return true
 }
 
-func (operators *Operators) takeBack(lifetime context.Context, zone string) bool {
-	operators.day.Book.Note(Event{Kind: TakenBack, Zone: zone})
-	return operators.call(lifetime, http.MethodPost, pathTakeBack+zone, nil, nil).outcome == acknowledged
+func (o *Operators) takeBack(lifetime context.Context, zone string) bool {
+	o.day.Book.Note(Event{Kind: TakenBack, Zone: zone})
+	return o.call(lifetime, http.MethodPost, pathTakeBack+zone, nil, nil).outcome == acknowledged
 }
--- a/internal/testbed/replay/passthrough_test.go
+++ b/internal/testbed/replay/passthrough_test.go
@@ -61,12 +61,12 @@
 	<-ended
 }
 
-func (through *passThrough) readList() {
+func (p *passThrough) readList() {
 	for {
 		var all []serverPage
 		token := ""
 		for {
-			answer, err := http.Get("http://" + through.settings.PlatformApi.Address + pathServers + "?pageToken=" + token)
+			answer, err := http.Get("http://" + p.settings.PlatformApi.Address + pathServers + "?pageToken=" + token)
 			if err != nil {
 				break
 			}
@@ -82,45 +82,45 @@
 			}
 			token = *page.NextToken
 		}
-		through.mutex.Lock()
-		through.servers = all
-		through.mutex.Unlock()
+		p.mutex.Lock()
+		p.servers = all
+		p.mutex.Unlock()
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-func (through *passThrough) replace(writer http.ResponseWriter, inbound *http.Request) {
+func (p *passThrough) replace(writer http.ResponseWriter, inbound *http.Request) {
 	body, _ := io.ReadAll(inbound.Body)
 	var page map[string]any
-	through.mutex.Lock()
-	defer through.mutex.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	current := 0.0
-	if through.current != nil {
-		current, _ = through.current["revision"].(float64)
+	if p.current != nil {
+		current, _ = p.current["revision"].(float64)
 	}
 	switch {
 	case json.Unmarshal(body, &page) != nil:
 		writer.WriteHeader(http.StatusBadRequest)
-	case reflect.DeepEqual(page, through.current):
+	case reflect.DeepEqual(page, p.current):
 	case inbound.Header.Get(headerBase) != strconv.Itoa(int(current)):
 		writer.WriteHeader(http.StatusPreconditionFailed)
 	default:
-		through.current, through.text = page, body
+		p.current, p.text = page, body
 	}
 }
 
 // find picks the service of a request, and a server of it that makes tokens.
-func (through *passThrough) find(host, path string) (route bool, server *serverPage) {
-	through.mutex.Lock()
-	defer through.mutex.Unlock()
-	routes, _ := through.current["routes"].([]any)
+func (p *passThrough) find(host, path string) (route bool, server *serverPage) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	routes, _ := p.current["routes"].([]any)
 	for _, each := range routes {
 		fields, _ := each.(map[string]any)
 		if fields["host"] != host || !strings.HasPrefix(path, fields["pathPrefix"].(string)) {
 			continue
 		}
 		var fitting []serverPage
-		for _, page := range through.servers {
+		for _, page := range p.servers {
 			if page.Backend == fields["backend"] && page.Phase != stagePrefill && page.State == stateServing {
 				fitting = append(fitting, page)
 			}
@@ -128,13 +128,13 @@
 		if len(fitting) == 0 {
 			return true, nil
 		}
-		return true, &fitting[through.turn.Add(1)%int64(len(fitting))]
+		return true, &fitting[p.turn.Add(1)%int64(len(fitting))]
 	}
 	return false, nil
 }
 
-func (through *passThrough) pass(writer http.ResponseWriter, inbound *http.Request) {
-	route, server := through.find(inbound.Host, inbound.URL.Path)
+func (p *passThrough) pass(writer http.ResponseWriter, inbound *http.Request) {
+	route, server := p.find(inbound.Host, inbound.URL.Path)
 	switch {
 	case !route:
 		writer.WriteHeader(http.StatusNotFound)
--- a/internal/testbed/replay/plan.go
+++ b/internal/testbed/replay/plan.go
@@ -75,22 +75,22 @@
 }
 
 // Check names every mistake of a plan.
-func (plan Plan) Check() (mistakes error) {
+func (p Plan) Check() (mistakes error) {
 	wrong := func(kind failure.Kind, path, detail string) {
 		mistakes = multierr.Append(mistakes, failure.At(kind, path, detail))
 	}
-	if plan.Length < 5 || plan.Length > 600 {
+	if p.Length < 5 || p.Length > 600 {
 		wrong(failure.OutOfRange, "/length_s", "5 to 600 seconds")
 	}
-	if plan.Rate < 0 || plan.Rate > 500 {
+	if p.Rate < 0 || p.Rate > 500 {
 		wrong(failure.OutOfRange, "/per_s", "0 to 500 requests a second")
 	}
-	for position, fault := range plan.Faults {
+	for position, fault := range p.Faults {
 		path := fmt.Sprintf("/fault/%d/", position)
 		if _, found := faultBodies[fault.Kind]; !found {
 			wrong(failure.NoSuch, path+"kind", "none of "+strings.Join(FaultKinds(), ", "))
 		}
-		if fault.At < 0 || fault.At > plan.Length {
+		if fault.At < 0 || fault.At > p.Length {
 			wrong(failure.OutOfRange, path+"at", "within the day's length")
 		}
 		if fault.For < 0 || fault.For > 600 {
@@ -109,11 +109,11 @@
 			wrong(failure.Contradictory, path+"count", "share or count, not both")
 		}
 	}
-	if plan.Closing != nil {
-		if _, found := closings[plan.Closing.Kind]; !found {
+	if p.Closing != nil {
+		if _, found := closings[p.Closing.Kind]; !found {
 			wrong(failure.NoSuch, "/closing/kind", "kill_all, power_off_all or wipe_after_ack")
 		}
-		if plan.Closing.Down < 0 || plan.Closing.Down > 60 {
+		if p.Closing.Down < 0 || p.Closing.Down > 60 {
 			wrong(failure.OutOfRange, "/closing/down_s", "0 to 60 seconds")
 		}
 	}
@@ -124,40 +124,40 @@
 func seconds(number float64) time.Duration { return time.Duration(number * float64(time.Second)) }
 
 // lasts is how long the fault lasts, 5 s unless it says.
-func (fault Fault) lasts() time.Duration {
-	if fault.For == 0 {
+func (f Fault) lasts() time.Duration {
+	if f.For == 0 {
 		return 5 * time.Second
 	}
-	return seconds(fault.For)
+	return seconds(f.For)
 }
 
 // gap is the pause between steps, 1 s unless it says.
-func (fault Fault) gap() time.Duration {
-	if fault.Gap == 0 {
+func (f Fault) gap() time.Duration {
+	if f.Gap == 0 {
 		return time.Second
 	}
-	return seconds(fault.Gap)
+	return seconds(f.Gap)
 }
 
 // share is the share that the fault says, or another.
-func (fault Fault) shareOr(usual float64) float64 {
-	if fault.Share == 0 {
+func (f Fault) shareOr(usual float64) float64 {
+	if f.Share == 0 {
 		return usual
 	}
-	return fault.Share
+	return f.Share
 }
 
 // times is how strong the fault is, or another strength.
-func (fault Fault) timesOr(usual float64) float64 {
-	if fault.Times == 0 {
+func (f Fault) timesOr(usual float64) float64 {
+	if f.Times == 0 {
 		return usual
 	}
-	return fault.Times
+	return f.Times
 }
 
 // says tells whether the fault's way holds a word.
-func (fault Fault) says(word string) bool {
-	for _, one := range strings.Fields(fault.How) {
+func (f Fault) says(word string) bool {
+	for _, one := range strings.Fields(f.How) {
 		if one == word {
 			return true
 		}
--- a/internal/testbed/replay/plots.go
+++ b/internal/testbed/replay/plots.go
@@ -35,11 +35,11 @@
 
 // Plot draws what became of the requests, and how soon their first event came, second by
 // second, into two PNG files of a folder.
-func (figures Figures) Plot(folder string, marks []Mark) error {
+func (f Figures) Plot(folder string, marks []Mark) error {
 	count := func(name string, value func(second Second) float64, shade color.Color) series {
-		points := make(plotter.XYs, len(figures.Seconds))
-		for second := range figures.Seconds {
-			points[second] = plotter.XY{X: float64(second), Y: value(figures.Seconds[second])}
+		points := make(plotter.XYs, len(f.Seconds))
+		for second := range f.Seconds {
+			points[second] = plotter.XY{X: float64(second), Y: value(f.Seconds[second])}
 		}
 		return series{name, points, shade}
 	}
--- a/internal/testbed/replay/process.go
+++ b/internal/testbed/replay/process.go
@@ -26,24 +26,24 @@
 // restartsAfter is the pause before a process that ended by itself is started again.
 const restartsAfter = 300 * time.Millisecond
 
-func (process *process) start() error {
-	process.mutex.Lock()
-	defer process.mutex.Unlock()
-	process.wanted = true
-	if process.running() {
+func (p *process) start() error {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.wanted = true
+	if p.running() {
 		return nil
 	}
-	return process.launch()
+	return p.launch()
 }
 
 // running tells whether the program that was begun last has not ended: two troubles of one
 // machine may both bring it up again.
-func (process *process) running() bool {
-	if process.ended == nil {
+func (p *process) running() bool {
+	if p.ended == nil {
 		return false
 	}
 	select {
-	case <-process.ended:
+	case <-p.ended:
 		return false
 	default:
 		return true
@@ -51,16 +51,16 @@
 }
 
 // launch begins the program with its settings of this moment.
-func (process *process) launch() error {
-	path, err := process.machine.write(process.role)
+func (p *process) launch() error {
+	path, err := p.machine.write(p.role)
 	if err != nil {
 		return err
 	}
-	log, err := os.OpenFile(process.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(p.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
-	words := process.role.words()
+	words := p.role.words()
 	command := exec.Command(words[0], words[1:]...)
 	command.Env = []string{settingsName + "=" + path}
 	for _, name := range []string{"PATH", "HOME", "LANG", "GORACE"} {
@@ -73,69 +73,69 @@
 		return failure.Wrap(failure.Unreachable, err)
 	}
 	ended := make(chan struct{})
-	process.command, process.ended = command, ended
+	p.command, p.ended = command, ended
 	go func() {
 		_ = command.Wait()
 		_ = log.Close()
 		close(ended)
-		process.mourn(command)
+		p.mourn(command)
 	}()
 	return nil
 }
 
 // mourn starts a process again that ended though it was wanted.
-func (process *process) mourn(command *exec.Cmd) {
-	process.mutex.Lock()
-	own := process.wanted && process.command == command
-	process.mutex.Unlock()
+func (p *process) mourn(command *exec.Cmd) {
+	p.mutex.Lock()
+	own := p.wanted && p.command == command
+	p.mutex.Unlock()
 	if !own {
 		return
 	}
-	process.machine.day.Book.Note(Event{Kind: EndedByItself, Machine: process.machine.Name, Cause: process.role.Name + ": " + command.ProcessState.String()})
-	if !pause(process.machine.day.lifetime, restartsAfter) {
+	p.machine.day.Book.Note(Event{Kind: EndedByItself, Machine: p.machine.Name, Cause: p.role.Name + ": " + command.ProcessState.String()})
+	if !pause(p.machine.day.lifetime, restartsAfter) {
 		return
 	}
-	process.mutex.Lock()
-	defer process.mutex.Unlock()
-	if process.wanted && process.command == command && !process.running() {
-		_ = process.launch()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.wanted && p.command == command && !p.running() {
+		_ = p.launch()
 	}
 }
 
-func (process *process) log() string {
-	return filepath.Join(process.machine.folder, process.role.Name+".log")
+func (p *process) log() string {
+	return filepath.Join(p.machine.folder, p.role.Name+".log")
 }
 
 // logged reads what the process wrote.
-func (process *process) logged() string {
-	text, _ := os.ReadFile(process.log())
+func (p *process) logged() string {
+	text, _ := os.ReadFile(p.log())
 	return string(text)
 }
 
 // crashed tells whether the log holds a panic or a race.
-func (process *process) crashed() bool {
-	text := process.logged()
+func (p *process) crashed() bool {
+	text := p.logged()
 	return strings.Contains(text, "DATA RACE") || strings.Contains(text, "panic:") || strings.Contains(text, "fatal error:")
 }
 
 // unwanted says that the process is to end, and gives what runs.
-func (process *process) unwanted() (*exec.Cmd, chan struct{}) {
-	process.mutex.Lock()
-	defer process.mutex.Unlock()
-	process.wanted = false
-	return process.command, process.ended
+func (p *process) unwanted() (*exec.Cmd, chan struct{}) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.wanted = false
+	return p.command, p.ended
 }
 
-func (process *process) kill() {
-	command, ended := process.unwanted()
+func (p *process) kill() {
+	command, ended := p.unwanted()
 	if command != nil {
 		_ = command.Process.Kill()
 		<-ended
 	}
 }
 
-func (process *process) stop(grace time.Duration) {
-	command, ended := process.unwanted()
+func (p *process) stop(grace time.Duration) {
+	command, ended := p.unwanted()
 	if command == nil {
 		return
 	}
@@ -150,10 +150,10 @@
 	}
 }
 
-func (process *process) signal(signal syscall.Signal) {
-	process.mutex.Lock()
-	defer process.mutex.Unlock()
-	if process.command != nil {
-		_ = process.command.Process.Signal(signal)
+func (p *process) signal(signal syscall.Signal) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.command != nil {
+		_ = p.command.Process.Signal(signal)
 	}
 }
--- a/internal/testbed/replay/record.go
+++ b/internal/testbed/replay/record.go
@@ -88,8 +88,8 @@
 }
 
 // mayHold tells whether an edition may be in force by a moment.
-func (version *versionSeen) mayHold(by time.Time) bool {
-	return !version.invalid && version.outcome != refused && !version.sent.After(by)
+func (v *versionSeen) mayHold(by time.Time) bool {
+	return !v.invalid && v.outcome != refused && !v.sent.After(by)
 }
 
 // promised tells whether the answer promises that the request never runs.
@@ -110,9 +110,9 @@
 }
 
 // handlings lists what shows which configuration machines went by, in the order of time.
-func (record *record) handlings() []handling {
+func (r *record) handlings() []handling {
 	var handlings []handling
-	for _, seen := range record.order {
+	for _, seen := range r.order {
 		for _, event := range append(append([]Event(nil), seen.starts...), seen.reads...) {
 			handlings = append(handlings, handling{seen, seen.sent.Machine, seen.sent.Route, event.Service, seen.sent.At, event.At})
 		}
@@ -125,18 +125,18 @@
 }
 
 // fits tells whether an edition would have a request handled like that.
-func (handling handling) fits(version *versionSeen) bool {
-	if handling.service == "" {
-		_, found := version.Routes[handling.route]
+func (h handling) fits(version *versionSeen) bool {
+	if h.service == "" {
+		_, found := version.Routes[h.route]
 		return !found
 	}
-	return version.Allows(handling.route, handling.service)
+	return version.Allows(h.route, h.service)
 }
 
 // span is the oldest and the newest edition that a handling fits, among those that may be
 // in force by then.
-func (record *record) span(handling handling) (oldest, newest int, found bool) {
-	for _, version := range record.versions {
+func (r *record) span(handling handling) (oldest, newest int, found bool) {
+	for _, version := range r.versions {
 		if version.mayHold(handling.at) && handling.fits(version) {
 			if !found {
 				oldest, found = version.Revision, true
--- a/internal/testbed/replay/role.go
+++ b/internal/testbed/replay/role.go
@@ -52,26 +52,26 @@
 }
 
 // words are the program and its arguments.
-func (role Role) words() []string {
-	words := strings.Fields(role.Run)
-	words[0] = filepath.Join(role.binaries, filepath.Base(words[0]))
+func (r Role) words() []string {
+	words := strings.Fields(r.Run)
+	words[0] = filepath.Join(r.binaries, filepath.Base(words[0]))
 	return words
 }
 
 // serving tells whether the role may be called from outside for that.
-func (role Role) serving(what string) bool { return slices.Contains(role.Serves, what) }
+func (r Role) serving(what string) bool { return slices.Contains(r.Serves, what) }
 
 // on tells whether the machine at a place in its zone runs the role; spare machines run
 // none of the roles that a count gives, unless they replace one that did.
-func (role Role) on(place, machines int) bool {
-	wanted := role.Count
-	if role.Share > 0 {
-		wanted = int(math.Ceil(role.Share * float64(machines)))
+func (r Role) on(place, machines int) bool {
+	wanted := r.Count
+	if r.Share > 0 {
+		wanted = int(math.Ceil(r.Share * float64(machines)))
 	}
-	if role.serving("edge") {
+	if r.serving("edge") {
 		wanted = machines
 	}
-	if role.Apart {
+	if r.Apart {
 		return place >= machines-wanted
 	}
 	return place < wanted
--- a/internal/testbed/replay/serverpool.go
+++ b/internal/testbed/replay/serverpool.go
@@ -41,33 +41,33 @@
 	return pool, nil
 }
 
-func (pool *ServerPool) count() int {
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	pool.born++
-	return pool.born
+func (s *ServerPool) count() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.born++
+	return s.born
 }
 
 // add begins a server.
-func (pool *ServerPool) add(service ServiceShape, zone, phase string, cold bool) (*modelServer, error) {
-	return pool.addAt(pool.place(), service, zone, phase, cold)
+func (s *ServerPool) add(service ServiceShape, zone, phase string, cold bool) (*modelServer, error) {
+	return s.addAt(s.place(), service, zone, phase, cold)
 }
 
 // addAt begins a server at an address.
-func (pool *ServerPool) addAt(address string, service ServiceShape, zone, phase string, cold bool) (*modelServer, error) {
-	server, err := startServer(pool, service, zone, phase, address, cold)
+func (s *ServerPool) addAt(address string, service ServiceShape, zone, phase string, cold bool) (*modelServer, error) {
+	server, err := startServer(s, service, zone, phase, address, cold)
 	if err != nil {
 		return nil, err
 	}
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	pool.servers = append(pool.servers, server)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.servers = append(s.servers, server)
 	return server, nil
 }
 
 // at finds the server at an address.
-func (pool *ServerPool) at(address string) *modelServer {
-	for _, server := range pool.all() {
+func (s *ServerPool) at(address string) *modelServer {
+	for _, server := range s.all() {
 		if server.Address == address {
 			return server
 		}
@@ -76,25 +76,25 @@
 }
 
 // all lists the servers that are up.
-func (pool *ServerPool) all() []*modelServer {
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	return slices.Clone(pool.servers)
+func (s *ServerPool) all() []*modelServer {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return slices.Clone(s.servers)
 }
 
 // remove takes a server out of the pool; its process ends.
-func (pool *ServerPool) remove(server *modelServer) {
-	pool.mutex.Lock()
-	pool.servers = slices.DeleteFunc(pool.servers, func(other *modelServer) bool { return other == server })
-	pool.mutex.Unlock()
+func (s *ServerPool) remove(server *modelServer) {
+	s.mutex.Lock()
+	s.servers = slices.DeleteFunc(s.servers, func(other *modelServer) bool { return other == server })
+	s.mutex.Unlock()
 	server.crash()
 }
 
 // draw picks a share of a service's servers, at least one, and spares at least one of
 // each part.
-func (pool *ServerPool) draw(service string, share float64, random *rand.Rand) []*modelServer {
+func (s *ServerPool) draw(service string, share float64, random *rand.Rand) []*modelServer {
 	var fitting []*modelServer
-	for _, server := range pool.all() {
+	for _, server := range s.all() {
 		if service == "" || server.Service == service {
 			fitting = append(fitting, server)
 		}
@@ -116,33 +116,33 @@
 }
 
 // part names the service and the part that the server plays.
-func (server *modelServer) part() string {
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
-	return fmt.Sprintf("%s/%s", server.Service, server.phase)
+func (m *modelServer) part() string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return fmt.Sprintf("%s/%s", m.Service, m.phase)
 }
 
 // misbehave makes a server misbehaveFor, or misbehave again.
-func (server *modelServer) misbehave(change func(misbehaviour *misbehaviour)) {
-	server.mutex.Lock()
-	defer server.mutex.Unlock()
-	change(&server.misbehaviour)
+func (m *modelServer) misbehave(change func(misbehaviour *misbehaviour)) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	change(&m.misbehaviour)
 }
 
 // drain lets a server leave: it is listed as leaving, and ends some time later.
-func (pool *ServerPool) drain(server *modelServer, last time.Duration) {
+func (s *ServerPool) drain(server *modelServer, last time.Duration) {
 	server.mutex.Lock()
 	server.draining = true
 	server.mutex.Unlock()
-	pool.book.Note(Event{Kind: Shown, At: time.Now().Add(pool.site.ListLag + 2*directoryBeat), Server: server.ID, Service: server.Service, Cause: stateDraining})
-	if pause(server.lifetime, pool.site.ListLag+pool.site.Terms.Drain+last) {
-		pool.remove(server)
+	s.book.Note(Event{Kind: Shown, At: time.Now().Add(s.site.ListLag + 2*directoryBeat), Server: server.ID, Service: server.Service, Cause: stateDraining})
+	if pause(server.lifetime, s.site.ListLag+s.site.Terms.Drain+last) {
+		s.remove(server)
 	}
 }
 
 // close ends all servers.
-func (pool *ServerPool) close() {
-	for _, server := range pool.all() {
+func (s *ServerPool) close() {
+	for _, server := range s.all() {
 		server.crash()
 	}
 }
--- a/internal/testbed/replay/serverscheckers.go
+++ b/internal/testbed/replay/serverscheckers.go
@@ -11,11 +11,11 @@
 
 // attempts are a try's arrivals at servers that count: all but the first reading that a
 // server takes up.
-func (seen *trySeen) attempts() []Event {
+func (t *trySeen) attempts() []Event {
 	var attempts []Event
 	free := true
-	for _, arrival := range seen.arrivals {
-		turned := arrival.Status != 0 || slices.ContainsFunc(seen.turned, func(event Event) bool { return event.Server == arrival.Server && event.Stage == arrival.Stage })
+	for _, arrival := range t.arrivals {
+		turned := arrival.Status != 0 || slices.ContainsFunc(t.turned, func(event Event) bool { return event.Server == arrival.Server && event.Stage == arrival.Stage })
 		if arrival.Stage == stagePrefill && free && !turned {
 			free = false
 			continue
@@ -239,8 +239,8 @@
 }
 
 // servedAt tells whether a request was answered whole by any of its tries.
-func (record *record) servedAt(request string) bool {
-	return slices.ContainsFunc(record.requests[request], func(seen *trySeen) bool {
+func (r *record) servedAt(request string) bool {
+	return slices.ContainsFunc(r.requests[request], func(seen *trySeen) bool {
 		return seen.over && seen.ended.Complete && seen.ended.Status/100 == 2
 	})
 }
--- a/internal/testbed/replay/site.go
+++ b/internal/testbed/replay/site.go
@@ -82,11 +82,11 @@
 }
 
 // repeats tells whether a request of the kind may run more than once.
-func (class Class) repeats() bool { return class.Resumable || class.Repeatable }
+func (c Class) repeats() bool { return c.Resumable || c.Repeatable }
 
 // shapeOf finds a service of the site.
-func (site Site) shapeOf(service string) ServiceShape {
-	for _, shape := range site.Services {
+func (s Site) shapeOf(service string) ServiceShape {
+	for _, shape := range s.Services {
 		if shape.Name == service {
 			return shape
 		}
@@ -95,8 +95,8 @@
 }
 
 // classOf finds a kind of request.
-func (site Site) classOf(name string) Class {
-	for _, class := range site.Classes {
+func (s Site) classOf(name string) Class {
+	for _, class := range s.Classes {
 		if class.Name == name {
 			return class
 		}
--- a/internal/testbed/replay/terms.go
+++ b/internal/testbed/replay/terms.go
@@ -23,16 +23,16 @@
 }
 
 // page is how the terms stand in a settings file.
-func (terms Terms) page() map[string]any {
+func (t Terms) page() map[string]any {
 	milliseconds := func(length time.Duration) int64 { return length.Milliseconds() }
 	seconds := func(length time.Duration) float64 { return length.Seconds() }
 	return map[string]any{
-		"seedLagS": seconds(terms.SeedLag), "addrReuseS": seconds(terms.AddressReuse), "contactMs": milliseconds(terms.Contact),
-		"ackMs": milliseconds(terms.Acknowledge), "catchUpS": seconds(terms.CatchUp), "drainMs": milliseconds(terms.Drain),
-		"graceS": seconds(terms.Grace), "lossSlackMs": milliseconds(terms.LossSlack), "configApplyMs": milliseconds(terms.Apply),
-		"revertSlackMs": milliseconds(terms.RevertSlack), "stretchMaxMs": milliseconds(terms.Stretch), "retryRatio": terms.RetryRatio,
-		"retryWindowS": seconds(terms.RetryWindow), "retrySlack": terms.RetrySlack, "coldOverrun": terms.ColdOverrun, "coldSlack": terms.ColdSlack,
-		"evacuateMs": milliseconds(terms.Evacuate), "recoveryS": seconds(terms.Recovery), "transitMs": milliseconds(terms.Transit),
-		"fenceChecked": false, "leaseMs": milliseconds(terms.Lease), "thawSlackMs": milliseconds(terms.Thaw),
+		"seedLagS": seconds(t.SeedLag), "addrReuseS": seconds(t.AddressReuse), "contactMs": milliseconds(t.Contact),
+		"ackMs": milliseconds(t.Acknowledge), "catchUpS": seconds(t.CatchUp), "drainMs": milliseconds(t.Drain),
+		"graceS": seconds(t.Grace), "lossSlackMs": milliseconds(t.LossSlack), "configApplyMs": milliseconds(t.Apply),
+		"revertSlackMs": milliseconds(t.RevertSlack), "stretchMaxMs": milliseconds(t.Stretch), "retryRatio": t.RetryRatio,
+		"retryWindowS": seconds(t.RetryWindow), "retrySlack": t.RetrySlack, "coldOverrun": t.ColdOverrun, "coldSlack": t.ColdSlack,
+		"evacuateMs": milliseconds(t.Evacuate), "recoveryS": seconds(t.Recovery), "transitMs": milliseconds(t.Transit),
+		"fenceChecked": false, "leaseMs": milliseconds(t.Lease), "thawSlackMs": milliseconds(t.Thaw),
 	}
 }
--- a/internal/testbed/replay/try.go
+++ b/internal/testbed/replay/try.go
@@ -185,13 +185,13 @@
 }
 
 // read takes the words of an event apart; what can't be read names nobody.
-func (span *Span) read(text string) {
+func (s *Span) read(text string) {
 	words := strings.Split(text, "/")
 	if len(words) != 3 {
 		return
 	}
-	span.Whose, span.Run = words[0], words[1]
+	s.Whose, s.Run = words[0], words[1]
 	from, to, _ := strings.Cut(words[2], "-")
-	span.From, _ = strconv.Atoi(from)
-	span.To, _ = strconv.Atoi(to)
+	s.From, _ = strconv.Atoi(from)
+	s.To, _ = strconv.Atoi(to)
 }
--- a/internal/testbed/replay/verdict.go
+++ b/internal/testbed/replay/verdict.go
@@ -26,17 +26,17 @@
 }
 
 // Violations counts the broken rules.
-func (verdict Verdict) Violations() int {
+func (v Verdict) Violations() int {
 	count := 0
-	for _, finding := range verdict.Findings {
+	for _, finding := range v.Findings {
 		count += finding.Violations
 	}
 	return count
 }
 
 // Finding is what one checker says.
-func (verdict Verdict) Finding(checker string) fleet.Finding {
-	for _, finding := range verdict.Findings {
+func (v Verdict) Finding(checker string) fleet.Finding {
+	for _, finding := range v.Findings {
 		if finding.Checker == checker {
 			return finding
 		}
@@ -45,9 +45,9 @@
 }
 
 // String writes the verdict for people.
-func (verdict Verdict) String() string {
+func (v Verdict) String() string {
 	var text strings.Builder
-	for _, finding := range verdict.Findings {
+	for _, finding := range v.Findings {
 		mark := "held  "
 		if finding.Violations > 0 {
 			mark = "BROKEN"
@@ -67,6 +67,6 @@
 			_, _ = fmt.Fprintf(&text, "        %s\n", example)
 		}
 	}
-	_, _ = fmt.Fprint(&text, verdict.Figures)
+	_, _ = fmt.Fprint(&text, v.Figures)
 	return text.String()
 }
--- a/internal/testbed/simulation/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -14,57 +14,57 @@
 
 // callers send inquiries at the world's rates until it says stop. The platform
 // hands them to a courier of their district that runs, or to any other.
-func (world *World) callers(until time.Duration) {
-	for world.now < until {
-		total := world.long + world.short
-		world.outside.NewCond().Wait(min(time.Second, time.Duration(world.random.ExpFloat64()/total*float64(time.Second))), never)
-		kind := world.deployment.Short
-		if world.random.Float64()*total < world.long {
-			kind = world.deployment.Long
+func (w *World) callers(until time.Duration) {
+	for w.now < until {
+		total := w.long + w.short
+		w.outside.NewCond().Wait(min(time.Second, time.Duration(w.random.ExpFloat64()/total*float64(time.Second))), never)
+		kind := w.deployment.Short
+		if w.random.Float64()*total < w.long {
+			kind = w.deployment.Long
 		}
-		world.number++
-		zone := world.deployment.Zones[world.random.IntN(len(world.deployment.Zones))]
-		question := fleet.Question{ID: world.requestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(world.number%50), Repeatable: world.random.Float64() >= 0.4,
-			Limit: 15_000, PromptTokens: kind.LeastTokens + world.random.IntN(kind.MostTokens-kind.LeastTokens),
-			Prefix: kind.Service + "-" + strconv.Itoa(world.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
-			Chunks: kind.LeastChunks + world.random.IntN(kind.MostChunks-kind.LeastChunks)}
-		world.outside.Go(func() { world.caller(question, zone) })
+		w.number++
+		zone := w.deployment.Zones[w.random.IntN(len(w.deployment.Zones))]
+		question := fleet.Question{ID: w.requestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(w.number%50), Repeatable: w.random.Float64() >= 0.4,
+			Limit: 15_000, PromptTokens: kind.LeastTokens + w.random.IntN(kind.MostTokens-kind.LeastTokens),
+			Prefix: kind.Service + "-" + strconv.Itoa(w.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
+			Chunks: kind.LeastChunks + w.random.IntN(kind.MostChunks-kind.LeastChunks)}
+		w.outside.Go(func() { w.caller(question, zone) })
 	}
 }
 
 // caller sends one inquiry, and perhaps sends it again: it obeys the time to
 // come back, or ignores it, or asks elsewhere after a broken circuit.
-func (world *World) caller(question fleet.Question, zone string) {
+func (w *World) caller(question fleet.Question, zone string) {
 	for arrival := range 3 {
-		machine := world.routerFor(zone)
+		machine := w.routerFor(zone)
 		if machine == nil {
 			return
 		}
-		reply, retry := world.send(machine, zone, question, arrival)
-		again, pause := world.random.IntN(4), time.Duration(world.random.IntN(300))*time.Millisecond
+		reply, retry := w.send(machine, zone, question, arrival)
+		again, pause := w.random.IntN(4), time.Duration(w.random.IntN(300))*time.Millisecond
 		switch {
 		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && again < 2:
 			if again == 0 {
 				pause = retry
 			}
-			world.tempt("an id sent again after a refusal")
+			w.tempt("an id sent again after a refusal")
 		case reply.Final == "" && again < 3:
-			world.tempt("an id sent again after a broken circuit")
+			w.tempt("an id sent again after a broken circuit")
 		case (reply.Final == "unknown" || reply.Final == "failed") && again == 0:
-			world.tempt("an id sent again after its final word")
-		case reply.Final == "complete" && again == 0 && world.random.IntN(20) == 0:
-			world.tempt("an id sent again after its final word")
+			w.tempt("an id sent again after its final word")
+		case reply.Final == "complete" && again == 0 && w.random.IntN(20) == 0:
+			w.tempt("an id sent again after its final word")
 		default:
 			return
 		}
-		world.outside.NewCond().Wait(pause, never)
+		w.outside.NewCond().Wait(pause, never)
 	}
 }
 
 // routerFor is a courier of the district that runs, or any that does.
-func (world *World) routerFor(zone string) *machine {
+func (w *World) routerFor(zone string) *machine {
 	var near, any []*machine
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if machine.kind == membership.Router && machine.incarnation != nil && !machine.incarnation.ended && !machine.gone {
 			any = append(any, machine)
 			if machine.zone == zone {
@@ -78,7 +78,7 @@
 	if len(any) == 0 {
 		return nil
 	}
-	return any[world.random.IntN(len(any))]
+	return any[w.random.IntN(len(any))]
 }
 
 // origin is a caller at the other end of a circuit.
@@ -91,58 +91,58 @@
 }
 
 // Begin needs nothing: the lines say it all.
-func (origin *client) Begin(int, int) {}
+func (c *client) Begin(int, int) {}
 
 // Line sends one line.
-func (origin *client) Line(line []byte) error {
-	if origin.left || !origin.pipe.put(string(line)) {
+func (c *client) Line(line []byte) error {
+	if c.left || !c.pipe.put(string(line)) {
 		return failure.New(failure.Unreachable, "the origin is gone")
 	}
 	return nil
 }
 
 // WhenLeft notes what the courier does then.
-func (origin *client) WhenLeft(act func()) { origin.onLeft = append(origin.onLeft, act) }
+func (c *client) WhenLeft(act func()) { c.onLeft = append(c.onLeft, act) }
 
-func (origin *client) leave() {
-	origin.left = true
-	for _, act := range origin.onLeft {
-		origin.world.after(0, origin.there, act)
+func (c *client) leave() {
+	c.left = true
+	for _, act := range c.onLeft {
+		c.world.after(0, c.there, act)
 	}
 }
 
 // send sends one inquiry to a courier and writes its reply down.
-func (world *World) send(machine *machine, zone string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
-	began := world.now
+func (w *World) send(machine *machine, zone string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
+	began := w.now
 	entry := fleet.Entry{Request: question.ID, Router: machine.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Chunks,
 		Arrival: arrival, Zone: zone}
 	sent := entry
 	sent.Kind = fleet.Sent
-	world.Book.Note(sent)
+	w.Book.Note(sent)
 	leavesAt := -1
-	if world.random.IntN(40) == 0 {
-		leavesAt = world.random.IntN(question.Chunks + 1)
+	if w.random.IntN(40) == 0 {
+		leavesAt = w.random.IntN(question.Chunks + 1)
 	}
-	retry := world.exchange(machine, question, leavesAt, &entry)
-	entry.Kind, entry.Took = fleet.Replied, world.now-began
-	world.Book.Note(entry)
+	retry := w.exchange(machine, question, leavesAt, &entry)
+	entry.Kind, entry.Took = fleet.Replied, w.now-began
+	w.Book.Note(entry)
 	return entry, retry
 }
 
 // exchange carries one inquiry to a courier and reads what comes back; it tells
 // when the caller may come again.
-func (world *World) exchange(machine *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
+func (w *World) exchange(machine *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
 	body, _ := json.Marshal(question)
 	there, conduct := machine.incarnation, machine.router
-	replies := newPipe(world, machine.name, "outside", world.outside)
-	caller := &client{world: world, there: there, pipe: replies}
-	world.carry("outside", machine.name, nil, func() {
+	replies := newPipe(w, machine.name, "outside", w.outside)
+	caller := &client{world: w, there: there, pipe: replies}
+	w.carry("outside", machine.name, nil, func() {
 		if there.ended {
 			replies.snap()
 			return
 		}
 		forget := there.atEnd(replies.snap)
-		world.after(0, there, func() {
+		w.after(0, there, func() {
 			there.Go(func() {
 				defer forget()
 				request, err := hatch.ReadRequest(there.Now(), body)
@@ -150,8 +150,8 @@
 					return
 				}
 				if !request.Repeatable {
-					world.claiming[machine.name]++
-					defer func() { world.claiming[machine.name]-- }()
+					w.claiming[machine.name]++
+					defer func() { w.claiming[machine.name]-- }()
 				}
 				conduct.Serve(hatch.Arrival{Request: request, Body: body}, caller)
 			})
@@ -160,7 +160,7 @@
 	patience := time.Duration(question.Limit)*time.Millisecond + 5*time.Second
 	for {
 		if leavesAt == len(entry.Texts) {
-			world.tempt("a caller left")
+			w.tempt("a caller left")
 			caller.leave()
 			entry.Cause = fleet.CallerLeft
 			return 0
@@ -189,10 +189,10 @@
 
 // lookAtRevision asks a courier, as a caller, which edition is in force there:
 // the route that refuses the service "edition" is named by it.
-func (world *World) lookAtRevision(machine *machine) {
-	began := world.now
+func (w *World) lookAtRevision(machine *machine) {
+	began := w.now
 	entry := fleet.Entry{}
-	question := fleet.Question{ID: "look-" + world.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Chunks: 1}
+	question := fleet.Question{ID: "look-" + w.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Chunks: 1}
 	body, _ := json.Marshal(question)
 	there, conduct := machine.incarnation, machine.router
 	// A restricted courier passes on: what one sees there is another's.
@@ -206,15 +206,15 @@
 			return
 		}
 		// The moment of asking is that at which the courier takes it up.
-		began = world.now
+		began = w.now
 		conduct.Serve(hatch.Arrival{Request: request, Body: body}, &looker{take: func(line hatch.ReplyLine) {
 			if line.Type == failure.RouteRefuses {
 				detail = line.Detail
 			}
 			if number, found := strings.CutPrefix(detail, "edition-"); found {
 				revision, _ := strconv.Atoi(number)
-				entry = fleet.Entry{Kind: fleet.RevisionSeen, Router: machine.name, Revision: revision, Took: world.now - began}
-				world.Book.Note(entry)
+				entry = fleet.Entry{Kind: fleet.RevisionSeen, Router: machine.name, Revision: revision, Took: w.now - began}
+				w.Book.Note(entry)
 			}
 		}})
 	})
@@ -227,12 +227,12 @@
 func (*looker) Begin(int, int) {}
 
 // Line reads the line.
-func (looker *looker) Line(content []byte) error {
+func (l *looker) Line(content []byte) error {
 	var line hatch.ReplyLine
 	if err := json.Unmarshal(content, &line); err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	looker.take(line)
+	l.take(line)
 	return nil
 }
 
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -24,8 +24,8 @@
 	Last, Returned int
 }
 
-func (counter *CallCounter) violate(format string, values ...any) {
-	counter.Violations = append(counter.Violations, fmt.Sprintf(format, values...))
+func (c *CallCounter) violate(format string, values ...any) {
+	c.Violations = append(c.Violations, fmt.Sprintf(format, values...))
 }
 
 // worldCall is one opaque call, as its origin knows it.
@@ -40,14 +40,14 @@
 }
 
 // ran notes that a server began the call.
-func (call *worldCall) ran(server string) {
-	call.runs++
-	call.world.calls.Runs++
-	if call.runs > 1 && !call.repeatable {
-		call.world.calls.violate("%s runs once more, at %s", call.call.ID, server)
+func (w *worldCall) ran(server string) {
+	w.runs++
+	w.world.calls.Runs++
+	if w.runs > 1 && !w.repeatable {
+		w.world.calls.violate("%s runs once more, at %s", w.call.ID, server)
 	}
-	if call.promised {
-		call.world.calls.violate("%s was promised never to run and runs at %s", call.call.ID, server)
+	if w.promised {
+		w.world.calls.violate("%s was promised never to run and runs at %s", w.call.ID, server)
 	}
 }
 
@@ -58,11 +58,11 @@
 
 // callRoutes is the part of a configuration's routes that serves opaque calls: streams
 // that may go on elsewhere, and such that may not.
-func (world *World) callRoutes() string {
+func (w *World) callRoutes() string {
 	text := ""
 	for _, resumable := range []bool{false, true} {
 		name := map[bool]string{false: "once", true: "again"}[resumable]
-		text += `"calls-` + name + `":{"match":{"host":"calls","path_prefix":"/` + name + `/"},"calls":{"shares":[{"service":"` + world.deployment.Short.Service +
+		text += `"calls-` + name + `":{"match":{"host":"calls","path_prefix":"/` + name + `/"},"calls":{"shares":[{"service":"` + w.deployment.Short.Service +
 			`"}],"limit_milliseconds":` + strconv.Itoa(int(callLimit/time.Millisecond)) + `,"aim_milliseconds":500,"gap_milliseconds":250,"tries":2,"streams":true,"sticky":true,"resumable":` +
 			strconv.FormatBool(resumable) + `}},`
 	}
@@ -70,9 +70,9 @@
 }
 
 // prepareCalls gives a courier what serves opaque calls, where the world has them.
-func (world *World) prepareCalls(machine *machine, begun *incarnation, options *hatch.RouterOptions) {
+func (w *World) prepareCalls(machine *machine, begun *incarnation, options *hatch.RouterOptions) {
 	machine.calls = nil
-	if !world.ways.Calls {
+	if !w.ways.Calls {
 		return
 	}
 	options.Board = func(deciding *scheduler.Window) hatch.Board {
@@ -82,25 +82,25 @@
 }
 
 // originsOfCalls send opaque calls until the moment.
-func (world *World) originsOfCalls(until time.Duration) {
-	for number := 0; world.now < until; number++ {
-		world.outside.NewCond().Wait(min(time.Second, time.Duration(world.random.ExpFloat64()/20*float64(time.Second))), never)
-		call := &worldCall{world: world, repeatable: world.random.IntN(2) == 0, chunks: 3 + world.random.IntN(40)}
-		call.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + world.random.IntN(12_000), OutputTokens: 400,
-			Parts: []scheduler.Part{{ID: 1, Tokens: 50}, {ID: uint64(10 + world.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
+func (w *World) originsOfCalls(until time.Duration) {
+	for number := 0; w.now < until; number++ {
+		w.outside.NewCond().Wait(min(time.Second, time.Duration(w.random.ExpFloat64()/20*float64(time.Second))), never)
+		call := &worldCall{world: w, repeatable: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
+		call.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + w.random.IntN(12_000), OutputTokens: 400,
+			Parts: []scheduler.Part{{ID: 1, Tokens: 50}, {ID: uint64(10 + w.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
 		if call.repeatable {
 			call.call.Path = "/again/x"
 		}
-		zone := world.deployment.Zones[world.random.IntN(len(world.deployment.Zones))]
-		last := world.now > until-5*time.Second
-		world.outside.Go(func() { world.clientOfCall(call, zone, last) })
+		zone := w.deployment.Zones[w.random.IntN(len(w.deployment.Zones))]
+		last := w.now > until-5*time.Second
+		w.outside.Go(func() { w.clientOfCall(call, zone, last) })
 	}
 }
 
 // clientOfCall sends one call to a courier and holds what comes back against what ran.
-func (world *World) clientOfCall(call *worldCall, zone string, last bool) {
-	counter := world.calls
-	machine := world.routerFor(zone)
+func (w *World) clientOfCall(call *worldCall, zone string, last bool) {
+	counter := w.calls
+	machine := w.routerFor(zone)
 	if machine == nil || machine.calls == nil {
 		return
 	}
@@ -109,14 +109,14 @@
 		counter.Last++
 	}
 	there, conduct := machine.incarnation, machine.calls
-	exchange := &callExchange{incarnation: there, call: call, replies: newPipe(world, machine.name, "outside", world.outside)}
-	world.carry("outside", machine.name, nil, func() {
+	exchange := &callExchange{incarnation: there, call: call, replies: newPipe(w, machine.name, "outside", w.outside)}
+	w.carry("outside", machine.name, nil, func() {
 		if there.ended {
 			exchange.replies.snap()
 			return
 		}
 		forget := there.atEnd(exchange.replies.snap)
-		world.after(0, there, func() {
+		w.after(0, there, func() {
 			there.Go(func() {
 				defer forget()
 				call.call.Ends = there.Now().Add(callLimit)
@@ -125,7 +125,7 @@
 			})
 		})
 	})
-	leaves := world.random.IntN(30) == 0
+	leaves := w.random.IntN(30) == 0
 	passed := 0
 	for {
 		message, found := exchange.replies.take(callLimit+3*time.Second, never)
@@ -182,13 +182,13 @@
 }
 
 // wait takes the next message of a sending within a patience.
-func (exchange *callExchange) wait(sending *callSending, patience time.Duration) (any, bool) {
-	return sending.replies.take(max(patience, time.Millisecond), func() bool { return exchange.left })
+func (c *callExchange) wait(sending *callSending, patience time.Duration) (any, bool) {
+	return sending.replies.take(max(patience, time.Millisecond), func() bool { return c.left })
 }
 
 // patience is how long a decision lets its server say nothing.
-func (exchange *callExchange) patience(decision scheduler.Decision) time.Duration {
-	left := decision.Ends.Sub(exchange.incarnation.Now()) + callMargin
+func (c *callExchange) patience(decision scheduler.Decision) time.Duration {
+	left := decision.Ends.Sub(c.incarnation.Now()) + callMargin
 	if decision.Patience > 0 {
 		left = min(left, decision.Patience)
 	}
@@ -196,21 +196,21 @@
 }
 
 // lost is the result of a sending that brought nothing usable.
-func (exchange *callExchange) lost(sending *callSending) scheduler.Result {
+func (c *callExchange) lost(sending *callSending) scheduler.Result {
 	switch {
-	case exchange.left:
+	case c.left:
 		return scheduler.Gone
 	case sending.refused:
 		return scheduler.Unreached
-	case exchange.passed > 0:
+	case c.passed > 0:
 		return scheduler.Cut
 	}
 	return scheduler.Silent
 }
 
 // refused is the result of a server's promise.
-func (exchange *callExchange) refused(said callRefusal) scheduler.Outcome {
-	exchange.kept = &said
+func (c *callExchange) refused(said callRefusal) scheduler.Outcome {
+	c.kept = &said
 	if said.status == misdirected {
 		return scheduler.Outcome{Result: scheduler.Misdirected, Status: said.status}
 	}
@@ -218,69 +218,69 @@
 }
 
 // Read has a server read the prompt.
-func (exchange *callExchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
-		return there.read(top, connection, exchange.call, decision.Server.Name)
+func (c *callExchange) Read(decision scheduler.Decision) scheduler.Outcome {
+	sending := c.send(decision.Server, func(there *callServer, top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
+		return there.read(top, connection, c.call, decision.Server.Name)
 	})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreached}
 	}
-	exchange.under = sending
+	c.under = sending
 	defer sending.stop()
-	message, found := exchange.wait(sending, exchange.patience(decision))
+	message, found := c.wait(sending, c.patience(decision))
 	switch said := message.(type) {
 	case callRead:
-		return scheduler.Outcome{Result: scheduler.Complete, Handle: said.handle, First: exchange.incarnation.Now()}
+		return scheduler.Outcome{Result: scheduler.Complete, Handle: said.handle, First: c.incarnation.Now()}
 	case callRefusal:
-		return exchange.refused(said)
+		return c.refused(said)
 	}
-	if !found && !sending.refused && !exchange.left {
+	if !found && !sending.refused && !c.left {
 		return scheduler.Outcome{Result: scheduler.Silent}
 	}
-	return scheduler.Outcome{Result: exchange.lost(sending)}
+	return scheduler.Outcome{Result: c.lost(sending)}
 }
 
 // Run has a server make the answer and passes it on.
-func (exchange *callExchange) Run(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
-	last := exchange.passed
-	sending := exchange.send(decision.Server, func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
-		return there.run(top, connection, exchange.call, decision.Server.Name, decision.Source, last, send)
+func (c *callExchange) Run(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
+	last := c.passed
+	sending := c.send(decision.Server, func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
+		return there.run(top, connection, c.call, decision.Server.Name, decision.Source, last, send)
 	})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreached}
 	}
-	exchange.under = sending
+	c.under = sending
 	defer sending.stop()
 	outcome := scheduler.Outcome{}
-	patience := exchange.patience(decision)
+	patience := c.patience(decision)
 	for {
-		message, found := exchange.wait(sending, patience)
+		message, found := c.wait(sending, patience)
 		if !found {
-			outcome.Result = exchange.lost(sending)
+			outcome.Result = c.lost(sending)
 			return outcome
 		}
 		if outcome.First.IsZero() {
 			if last > 0 {
-				exchange.incarnation.world.tempt("a stream of a call that went on elsewhere")
+				c.incarnation.world.tempt("a stream of a call that went on elsewhere")
 			}
-			outcome.First = exchange.incarnation.Now()
+			outcome.First = c.incarnation.Now()
 			began()
 		}
 		switch said := message.(type) {
 		case callChunkSent:
-			exchange.passed = said.number
-			if !exchange.replies.put(said) {
+			c.passed = said.number
+			if !c.replies.put(said) {
 				outcome.Result = scheduler.Gone
 				return outcome
 			}
-			patience = decision.Ends.Sub(exchange.incarnation.Now()) + callMargin
+			patience = decision.Ends.Sub(c.incarnation.Now()) + callMargin
 			if decision.Silence > 0 {
 				patience = min(patience, decision.Silence)
 			}
 		case callRefusal:
-			return exchange.refused(said)
+			return c.refused(said)
 		case callStreamEnd:
-			exchange.replies.put(said)
+			c.replies.put(said)
 			outcome.Result = scheduler.Complete
 			return outcome
 		}
@@ -288,27 +288,27 @@
 }
 
 // Refuse ends the call with a word of the courier's own.
-func (exchange *callExchange) Refuse(refusal hatch.Refusal) { exchange.replies.put(refusal) }
+func (c *callExchange) Refuse(refusal hatch.Refusal) { c.replies.put(refusal) }
 
 // Through passes a server's promise on.
-func (exchange *callExchange) Through() bool {
-	if exchange.kept == nil || exchange.passed > 0 {
+func (c *callExchange) Through() bool {
+	if c.kept == nil || c.passed > 0 {
 		return false
 	}
-	exchange.replies.put(hatch.Refusal{Status: exchange.kept.status})
+	c.replies.put(hatch.Refusal{Status: c.kept.status})
 	return true
 }
 
 // Break ends the answer without its end.
-func (exchange *callExchange) Break() { exchange.replies.snap() }
+func (c *callExchange) Break() { c.replies.snap() }
 
 // GivenUp takes no notice.
-func (exchange *callExchange) GivenUp(scheduler.Reason) {}
+func (c *callExchange) GivenUp(scheduler.Reason) {}
 
 // Free gives a prompt's memory back.
-func (exchange *callExchange) Free(source scheduler.Source) {
-	world, to := exchange.incarnation.world, exchange.incarnation.world.nameAt(source.Address)
-	world.carry(exchange.incarnation.name, to, nil, func() {
+func (c *callExchange) Free(source scheduler.Source) {
+	world, to := c.incarnation.world, c.incarnation.world.nameAt(source.Address)
+	world.carry(c.incarnation.name, to, nil, func() {
 		if there := world.callServerAt(source.Address); there != nil {
 			delete(there.handles, source.Handle)
 		}
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -51,57 +51,57 @@
 type callStreamEnd struct{}
 
 // read reads a prompt and keeps its memory.
-func (server *callServer) read(top *fleet.Engine, connection *fleet.Connection, call *worldCall, name string) any {
+func (c *callServer) read(top *fleet.Engine, connection *fleet.Connection, call *worldCall, name string) any {
 	switch {
-	case name != server.name || top.Part() != "prefill":
+	case name != c.name || top.Part() != "prefill":
 		return callRefusal{misdirected}
-	case server.reading >= callReads:
+	case c.reading >= callReads:
 		return callRefusal{http.StatusServiceUnavailable}
 	}
-	server.reading++
-	defer func() { server.reading-- }()
+	c.reading++
+	defer func() { c.reading-- }()
 	if !connection.Pause(time.Duration(call.call.PromptTokens/callTokens) * time.Millisecond) {
 		return nil
 	}
-	handle := server.world.nonce()
-	server.handles[handle] = &callMemory{id: call.call.ID, lapses: server.world.now + callHandle}
+	handle := c.world.nonce()
+	c.handles[handle] = &callMemory{id: call.call.ID, lapses: c.world.now + callHandle}
 	return callRead{handle}
 }
 
 // run makes a stream, behind the event that its origin had last.
-func (server *callServer) run(top *fleet.Engine, connection *fleet.Connection, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
+func (c *callServer) run(top *fleet.Engine, connection *fleet.Connection, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
 	switch {
-	case name != server.name || top.Part() != "decode":
+	case name != c.name || top.Part() != "decode":
 		return callRefusal{misdirected}
-	case server.running >= callRuns:
+	case c.running >= callRuns:
 		return callRefusal{http.StatusServiceUnavailable}
 	}
-	server.running++
-	defer func() { server.running-- }()
+	c.running++
+	defer func() { c.running-- }()
 	if source != nil {
-		there := server.world.callServerAt(source.Address)
+		there := c.world.callServerAt(source.Address)
 		memory := (*callMemory)(nil)
-		if there != nil && !server.world.link(server.name, there.name).cut {
+		if there != nil && !c.world.link(c.name, there.name).cut {
 			memory = there.handles[source.Handle]
 		}
 		if !connection.Pause(callFetchTime) {
 			return nil
 		}
-		if server.world.random.IntN(200) == 0 {
+		if c.world.random.IntN(200) == 0 {
 			memory = nil
 		}
-		if memory == nil || memory.lapses < server.world.now || there.handles[source.Handle] == nil {
-			server.world.tempt("a call's memory that could not be had")
+		if memory == nil || memory.lapses < c.world.now || there.handles[source.Handle] == nil {
+			c.world.tempt("a call's memory that could not be had")
 			return callRefusal{http.StatusServiceUnavailable}
 		}
 		delete(there.handles, source.Handle)
 		if memory.id != call.call.ID {
-			server.world.calls.violate("%s goes on from the memory of %s", call.call.ID, memory.id)
+			c.world.calls.violate("%s goes on from the memory of %s", call.call.ID, memory.id)
 		}
 	}
-	call.ran(server.name)
-	if server.world.random.IntN(100) == 0 {
-		server.world.tempt("a call that began and broke before its first event")
+	call.ran(c.name)
+	if c.world.random.IntN(100) == 0 {
+		c.world.tempt("a call that began and broke before its first event")
 		return nil
 	}
 	if source == nil && !connection.Pause(time.Duration(2*call.call.PromptTokens/callTokens)*time.Millisecond) {
@@ -118,8 +118,8 @@
 }
 
 // callServerAt is the server that has an address now.
-func (world *World) callServerAt(address string) *callServer {
-	there := world.servers[world.nameAt(address)]
+func (w *World) callServerAt(address string) *callServer {
+	there := w.servers[w.nameAt(address)]
 	if there == nil || there.incarnation.ended || there.incarnation.address != address {
 		return nil
 	}
@@ -128,8 +128,8 @@
 
 // send sends a call to a server and gives what it answers to the pipe; nil means
 // that certainly nothing went.
-func (exchange *callExchange) send(server membership.Server, serve func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any) *callSending {
-	world, here := exchange.incarnation.world, exchange.incarnation
+func (c *callExchange) send(server membership.Server, serve func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any) *callSending {
+	world, here := c.incarnation.world, c.incarnation
 	to := world.nameAt(server.Address)
 	sending := &callSending{replies: newPipe(world, to, here.name, here)}
 	arrive := func() {
@@ -181,9 +181,9 @@
 	hangUp  func()
 }
 
-func (sending *callSending) stop() {
-	sending.quit = true
-	if sending.hangUp != nil {
-		sending.hangUp()
+func (c *callSending) stop() {
+	c.quit = true
+	if c.hangUp != nil {
+		c.hangUp()
 	}
 }
--- a/internal/testbed/simulation/campaign.go
+++ b/internal/testbed/simulation/campaign.go
@@ -42,8 +42,8 @@
 
 // DeploymentOf is the deployment of a seed in a campaign: its own, or each in
 // turn when it names none.
-func (campaign *Campaign) DeploymentOf(seed uint64) (fleet.Deployment, bool) {
-	name := campaign.Deployment
+func (c *Campaign) DeploymentOf(seed uint64) (fleet.Deployment, bool) {
+	name := c.Deployment
 	if name == "" {
 		name = []string{"sahil", "kochloeffel"}[seed%2]
 	}
@@ -51,11 +51,11 @@
 }
 
 // Run runs all days; told is called for each, one at a time.
-func (campaign *Campaign) Run(told func(seed uint64, result Result)) Counter {
+func (c *Campaign) Run(told func(seed uint64, result Result)) Counter {
 	counter := Counter{Violations: map[string]int{}, Temptations: map[string]int{}, Tempted: map[string]int{}, Lowest: 1, Longest: map[string]float64{}}
 	var mutex sync.Mutex
 	var working sync.WaitGroup
-	next := campaign.First
+	next := c.First
 	for range runtime.GOMAXPROCS(0) {
 		working.Go(func() {
 			for {
@@ -63,11 +63,11 @@
 				seed := next
 				next++
 				mutex.Unlock()
-				if seed >= campaign.First+campaign.Count || campaign.Stop.Load() {
+				if seed >= c.First+c.Count || c.Stop.Load() {
 					return
 				}
-				deployment, _ := campaign.DeploymentOf(seed)
-				result := New(deployment, seed).Run(campaign.Day)
+				deployment, _ := c.DeploymentOf(seed)
+				result := New(deployment, seed).Run(c.Day)
 				mutex.Lock()
 				counter.add(seed, result)
 				told(seed, result)
@@ -80,33 +80,33 @@
 	return counter
 }
 
-func (counter *Counter) add(seed uint64, result Result) {
-	counter.Days++
-	counter.Steps += result.Steps
-	counter.Share += result.Verdict.Share
-	counter.Gap = max(counter.Gap, result.Verdict.Gap)
-	counter.Gaps += result.Verdict.Gap
-	counter.Lowest = min(counter.Lowest, result.Verdict.Share)
+func (c *Counter) add(seed uint64, result Result) {
+	c.Days++
+	c.Steps += result.Steps
+	c.Share += result.Verdict.Share
+	c.Gap = max(c.Gap, result.Verdict.Gap)
+	c.Gaps += result.Verdict.Gap
+	c.Lowest = min(c.Lowest, result.Verdict.Share)
 	if result.Failed() {
-		counter.Failed = append(counter.Failed, seed)
+		c.Failed = append(c.Failed, seed)
 	}
 	for what, times := range result.Temptations {
-		counter.Temptations[what] += times
-		counter.Tempted[what]++
+		c.Temptations[what] += times
+		c.Tempted[what]++
 	}
 	for _, finding := range result.Verdict.Findings {
-		counter.Violations[finding.Checker] += finding.Violations
-		known := counter.Longest[finding.Checker]
+		c.Violations[finding.Checker] += finding.Violations
+		known := c.Longest[finding.Checker]
 		if finding.Checker == commandsChecker {
 			// Between two commanders the shortest time is the worst.
 			if finding.Seconds > 0 && (known == 0 || finding.Seconds < known) {
-				counter.Longest[finding.Checker] = finding.Seconds
+				c.Longest[finding.Checker] = finding.Seconds
 			}
 		} else if finding.Seconds > known {
-			counter.Longest[finding.Checker] = finding.Seconds
+			c.Longest[finding.Checker] = finding.Seconds
 		}
 	}
 	for _, count := range result.Verdict.Replies {
-		counter.Replies += count
+		c.Replies += count
 	}
 }
--- a/internal/testbed/simulation/clockwork.go
+++ b/internal/testbed/simulation/clockwork.go
@@ -24,28 +24,28 @@
 type alarms []*alarm
 
 // Len counts the alarms.
-func (alarms alarms) Len() int { return len(alarms) }
+func (a alarms) Len() int { return len(a) }
 
 // Less orders two alarms.
-func (alarms alarms) Less(left, right int) bool {
-	if alarms[left].at != alarms[right].at {
-		return alarms[left].at < alarms[right].at
+func (a alarms) Less(left, right int) bool {
+	if a[left].at != a[right].at {
+		return a[left].at < a[right].at
 	}
-	return alarms[left].sequence < alarms[right].sequence
+	return a[left].sequence < a[right].sequence
 }
 
 // Swap exchanges two alarms.
-func (alarms alarms) Swap(left, right int) { alarms[left], alarms[right] = alarms[right], alarms[left] }
+func (a alarms) Swap(left, right int) { a[left], a[right] = a[right], a[left] }
 
 // Push adds an alarm.
-func (alarms *alarms) Push(value any) { *alarms = append(*alarms, value.(*alarm)) }
+func (a *alarms) Push(value any) { *a = append(*a, value.(*alarm)) }
 
 // Pop takes the last alarm.
-func (alarms *alarms) Pop() any {
-	old := *alarms
+func (a *alarms) Pop() any {
+	old := *a
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
-	*alarms = old[:len(old)-1]
+	*a = old[:len(old)-1]
 	return last
 }
 
@@ -58,18 +58,18 @@
 }
 
 // after sets an alarm; an earlier moment than the present counts as now.
-func (clockwork *clockwork) after(length time.Duration, life *incarnation, act func()) *alarm {
-	clockwork.sequence++
-	set := &alarm{at: clockwork.now + max(0, length), sequence: clockwork.sequence, incarnation: life, act: act}
-	heap.Push(&clockwork.due, set)
+func (c *clockwork) after(length time.Duration, life *incarnation, act func()) *alarm {
+	c.sequence++
+	set := &alarm{at: c.now + max(0, length), sequence: c.sequence, incarnation: life, act: act}
+	heap.Push(&c.due, set)
 	return set
 }
 
 // run acts on alarms until the moment comes.
-func (clockwork *clockwork) run(until time.Duration) {
-	for len(clockwork.due) > 0 && clockwork.due[0].at <= until {
-		next := heap.Pop(&clockwork.due).(*alarm)
-		clockwork.now = max(clockwork.now, next.at)
+func (c *clockwork) run(until time.Duration) {
+	for len(c.due) > 0 && c.due[0].at <= until {
+		next := heap.Pop(&c.due).(*alarm)
+		c.now = max(c.now, next.at)
 		if next.canceled || (next.incarnation != nil && next.incarnation.ended) {
 			continue
 		}
@@ -77,8 +77,8 @@
 			next.incarnation.backlog = append(next.incarnation.backlog, next)
 			continue
 		}
-		clockwork.acted++
+		c.acted++
 		next.act()
 	}
-	clockwork.now = max(clockwork.now, until)
+	c.now = max(c.now, until)
 }
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -41,8 +41,8 @@
 }
 
 // Failed tells whether something happened that must not.
-func (trial CoreTrial) Failed() bool {
-	return trial.Took < 0 || len(trial.Lost) > 0 || trial.Twice > 0 || !trial.Whole
+func (c CoreTrial) Failed() bool {
+	return c.Took < 0 || len(c.Lost) > 0 || c.Twice > 0 || !c.Whole
 }
 
 // coreTrouble is one trouble of a core; it tells from when on the next change counts.
@@ -194,46 +194,46 @@
 
 // TryCore lets a core form, brings the trouble about right after an acknowledged change,
 // and tells how it went.
-func (world *World) TryCore(trouble string) CoreTrial {
-	world.diskSync = time.Duration(2+3*world.random.IntN(2)) * time.Millisecond
-	world.ways.AcknowledgeWait, world.ways.FormOnce = time.Second, true
-	for _, machine := range world.machines {
+func (w *World) TryCore(trouble string) CoreTrial {
+	w.diskSync = time.Duration(2+3*w.random.IntN(2)) * time.Millisecond
+	w.ways.AcknowledgeWait, w.ways.FormOnce = time.Second, true
+	for _, machine := range w.machines {
 		if machine.disk != nil {
-			machine.disk.sync = world.diskSync
+			machine.disk.sync = w.diskSync
 		}
-		world.outside.Go(func() {
-			world.wait(0, 400)
-			world.start(machine)
+		w.outside.Go(func() {
+			w.wait(0, 400)
+			w.start(machine)
 		})
 	}
-	world.outside.Go(func() { world.watchPrimaries(time.Hour) })
+	w.outside.Go(func() { w.watchPrimaries(time.Hour) })
 	trial := CoreTrial{Took: -1}
-	world.run(world.now + 500*time.Millisecond)
-	if world.changed(world.now, world.configuration()) < 0 || world.since(world.now, world.whole) < 0 {
+	w.run(w.now + 500*time.Millisecond)
+	if w.changed(w.now, w.configuration()) < 0 || w.since(w.now, w.whole) < 0 {
 		return trial
 	}
-	world.ways.JoinOnly = true
-	marks := &marks{world: world}
-	for range 3 + world.random.IntN(3) {
-		marks.next(world.now)
-		world.run(world.now + time.Duration(world.random.IntN(700))*time.Millisecond)
-		world.since(world.now, world.whole)
+	w.ways.JoinOnly = true
+	marks := &marks{world: w}
+	for range 3 + w.random.IntN(3) {
+		marks.next(w.now)
+		w.run(w.now + time.Duration(w.random.IntN(700))*time.Millisecond)
+		w.since(w.now, w.whole)
 	}
-	marks.next(world.now)
+	marks.next(w.now)
 	for _, known := range coreTroubles() {
 		if known.name == trouble {
-			world.say("trouble: %s", trouble)
-			trial.Took = marks.longest(known.run(world))
+			w.say("trouble: %s", trouble)
+			trial.Took = marks.longest(known.run(w))
 		}
 	}
-	world.say("acknowledged after %s", trial.Took)
+	w.say("acknowledged after %s", trial.Took)
 	// Everything comes back, and the core is to be whole by itself.
-	world.mend()
-	trial.Whole = world.since(world.now, world.whole) >= 0
+	w.mend()
+	trial.Whole = w.since(w.now, w.whole) >= 0
 	for range 2 {
-		marks.next(world.now)
+		marks.next(w.now)
 	}
-	trial.Lost, trial.Twice = marks.lost(), world.twice
+	trial.Lost, trial.Twice = marks.lost(), w.twice
 	return trial
 }
 
@@ -250,32 +250,32 @@
 
 // longest has changes made for some time after the moment and tells the longest time
 // without an acknowledged one.
-func (marks *marks) longest(from time.Duration) time.Duration {
+func (m *marks) longest(from time.Duration) time.Duration {
 	longest, latest := time.Duration(0), from
 	for ends := from + gapWatch; latest < ends; {
-		if marks.next(marks.world.now) < 0 {
+		if m.next(m.world.now) < 0 {
 			return -1
 		}
-		now := marks.world.now
+		now := m.world.now
 		longest, latest = max(longest, now-latest), now
-		marks.world.run(now + 150*time.Millisecond)
+		m.world.run(now + 150*time.Millisecond)
 	}
 	return longest
 }
 
 // next asks for changes, a new one every tenth of a second, until one is acknowledged,
 // and tells how long that took.
-func (marks *marks) next(from time.Duration) time.Duration {
-	world, over := marks.world, false
+func (m *marks) next(from time.Duration) time.Duration {
+	world, over := m.world, false
 	world.outside.Go(func() {
 		for ends := world.now + incidentPatience; world.now < ends && !over; world.wait(100, 100) {
-			marks.asked++
-			mark := "mark-" + strconv.Itoa(marks.asked)
+			m.asked++
+			mark := "mark-" + strconv.Itoa(m.asked)
 			world.outside.Go(func() {
 				edit := hatch.Edit{Change: mark, Digest: mark, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, mark, "rehearsal") }}
 				if world.editSomewhere(edit) {
 					over = true
-					marks.acknowledged = append(marks.acknowledged, mark)
+					m.acknowledged = append(m.acknowledged, mark)
 				}
 			})
 		}
@@ -284,13 +284,13 @@
 }
 
 // editSomewhere has every expediter that leads carry a change out.
-func (world *World) editSomewhere(edit hatch.Edit) bool {
-	for _, machine := range world.nodes(membership.Controller) {
+func (w *World) editSomewhere(edit hatch.Edit) bool {
+	for _, machine := range w.nodes(membership.Controller) {
 		if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil || !machine.control.Coordinator().Holds() {
 			continue
 		}
 		control := machine.control
-		_, err := world.outside.ask(machine.name, operatorPatience, func(*incarnation) (any, error) { return control.Edit(edit) })
+		_, err := w.outside.ask(machine.name, operatorPatience, func(*incarnation) (any, error) { return control.Edit(edit) })
 		if err == nil {
 			return true
 		}
@@ -299,19 +299,19 @@
 }
 
 // lost reads the configuration back and names the acknowledged changes that it lacks.
-func (marks *marks) lost() []string {
+func (m *marks) lost() []string {
 	var text []byte
 	read := false
-	marks.world.outside.Go(func() {
-		for ends := marks.world.now + incidentPatience; marks.world.now < ends && !read; marks.world.wait(100, 100) {
+	m.world.outside.Go(func() {
+		for ends := m.world.now + incidentPatience; m.world.now < ends && !read; m.world.wait(100, 100) {
 			var found configurationRead
-			found, read = marks.world.readConfiguration(false)
+			found, read = m.world.readConfiguration(false)
 			text = found.text
 		}
 	})
-	marks.world.since(marks.world.now, func() bool { return read })
+	m.world.since(m.world.now, func() bool { return read })
 	var lost []string
-	for _, mark := range marks.acknowledged {
+	for _, mark := range m.acknowledged {
 		if !strings.Contains(string(text), `"`+mark+`"`) {
 			lost = append(lost, mark)
 		}
@@ -320,29 +320,29 @@
 }
 
 // wipe takes a machine's power and disk.
-func (world *World) wipe(machine *machine) {
-	world.say("%s loses its disk", machine.name)
-	world.powerOff(machine.name)
-	machine.disk = newDisk(world)
+func (w *World) wipe(machine *machine) {
+	w.say("%s loses its disk", machine.name)
+	w.powerOff(machine.name)
+	machine.disk = newDisk(w)
 }
 
-func (world *World) back(machine *machine, least, most int) time.Duration {
-	from := world.now
-	world.outside.Go(func() {
-		world.wait(least, most)
-		world.start(machine)
+func (w *World) back(machine *machine, least, most int) time.Duration {
+	from := w.now
+	w.outside.Go(func() {
+		w.wait(least, most)
+		w.start(machine)
 	})
 	return from
 }
 
 // wipeAmidPowerLoss wipes some disks while all machines of the core lose their power;
 // those with their disks come back a second later, the wiped ones with them or later.
-func (world *World) wipeAmidPowerLoss(wiped int) time.Duration {
-	machines := world.nodes(membership.Controller)
-	world.random.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
-	if wiped > 0 && world.random.IntN(2) == 0 {
+func (w *World) wipeAmidPowerLoss(wiped int) time.Duration {
+	machines := w.nodes(membership.Controller)
+	w.random.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
+	if wiped > 0 && w.random.IntN(2) == 0 {
 		// The one that answered last is among them.
-		primary := world.primary()
+		primary := w.primary()
 		for position := range machines {
 			if machines[position] == primary {
 				machines[0], machines[position] = machines[position], machines[0]
@@ -351,77 +351,77 @@
 	}
 	for position, machine := range machines {
 		if position < wiped {
-			world.wipe(machine)
+			w.wipe(machine)
 		} else {
-			world.powerOff(machine.name)
+			w.powerOff(machine.name)
 		}
 	}
-	world.run(world.now + time.Second)
-	late := world.random.IntN(2) * 5000
+	w.run(w.now + time.Second)
+	late := w.random.IntN(2) * 5000
 	for position, machine := range machines {
 		if position < wiped && late > 0 {
-			world.back(machine, 0, late)
+			w.back(machine, 0, late)
 		} else {
-			world.start(machine)
+			w.start(machine)
 		}
 	}
-	return world.now
+	return w.now
 }
 
 // join adds an empty machine beside another, at a new address.
-func (world *World) join(old *machine) *machine {
-	number := strconv.Itoa(len(world.machines) + 1)
+func (w *World) join(old *machine) *machine {
+	number := strconv.Itoa(len(w.machines) + 1)
 	var seeds []string
-	for _, other := range world.nodes(membership.Controller) {
+	for _, other := range w.nodes(membership.Controller) {
 		if other != old && len(seeds) < 3 {
 			seeds = append(seeds, other.address)
 		}
 	}
-	added := world.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.zone, append(seeds, old.address)[:3])
-	world.start(added)
+	added := w.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.zone, append(seeds, old.address)[:3])
+	w.start(added)
 	return added
 }
 
 // leaveForGood stops an expediter in order and takes it away.
-func (world *World) leaveForGood(old *machine) time.Duration {
-	from := world.now
+func (w *World) leaveForGood(old *machine) time.Duration {
+	from := w.now
 	control, stopping := old.control, old.incarnation
-	world.outside.Go(func() {
+	w.outside.Go(func() {
 		left := false
 		stopping.Go(func() {
 			control.Leave(leavePatience)
 			left = true
 		})
 		for range 20 {
-			world.wait(100, 100)
+			w.wait(100, 100)
 			if left {
 				break
 			}
 		}
-		world.powerOff(old.name)
+		w.powerOff(old.name)
 		old.gone = true
 	})
 	return from
 }
 
 // replaceGone takes a machine away and puts an empty one at a new address in its place.
-func (world *World) replaceGone(old *machine) time.Duration {
-	from := world.now
-	world.powerOff(old.name)
+func (w *World) replaceGone(old *machine) time.Duration {
+	from := w.now
+	w.powerOff(old.name)
 	old.gone = true
-	world.outside.Go(func() {
-		world.wait(0, 2000)
-		world.join(old)
+	w.outside.Go(func() {
+		w.wait(0, 2000)
+		w.join(old)
 	})
 	return from
 }
 
 // oneWay cuts a machine off in one direction for some seconds, and tells by what it
 // gives whether that is over.
-func (world *World) oneWay(machine *machine, inwards bool) (over func() bool) {
+func (w *World) oneWay(machine *machine, inwards bool) (over func() bool) {
 	ended := false
-	world.outside.Go(func() {
-		world.isolate(machine.name, inwards, !inwards)
+	w.outside.Go(func() {
+		w.isolate(machine.name, inwards, !inwards)
 		ended = true
 	})
 	return func() bool { return ended }
@@ -429,52 +429,52 @@
 
 // replaceAmidOneWay replaces a machine while the primary is cut off one way. Those are
 // two losses: a core that bears one is waited for until the cut is over.
-func (world *World) replaceAmidOneWay(inwards bool) time.Duration {
-	old := world.backup()
-	over := world.oneWay(world.primary(), inwards)
-	from := world.replaceGone(old)
-	if world.borneLosses() == 1 {
-		world.since(world.now, over)
-		return world.now
+func (w *World) replaceAmidOneWay(inwards bool) time.Duration {
+	old := w.backup()
+	over := w.oneWay(w.primary(), inwards)
+	from := w.replaceGone(old)
+	if w.borneLosses() == 1 {
+		w.since(w.now, over)
+		return w.now
 	}
 	return from
 }
 
 // hang lets no sync of a disk end for 3.5 s.
-func (world *World) hang(machine *machine) time.Duration {
-	machine.disk.hangs = world.now + 3500*time.Millisecond
-	return world.now
+func (w *World) hang(machine *machine) time.Duration {
+	machine.disk.hangs = w.now + 3500*time.Millisecond
+	return w.now
 }
 
 // slowDisk makes a disk 25 to 30 times as slow.
-func (world *World) slowDisk(machine *machine) time.Duration {
-	machine.disk.slow = 25 + world.random.IntN(6)
-	return world.now
+func (w *World) slowDisk(machine *machine) time.Duration {
+	machine.disk.slow = 25 + w.random.IntN(6)
+	return w.now
 }
 
-func (world *World) anyTwo() []*machine {
-	machines := world.nodes(membership.Controller)
-	world.random.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
+func (w *World) anyTwo() []*machine {
+	machines := w.nodes(membership.Controller)
+	w.random.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
 	return machines[:2]
 }
 
 // loseCoreZone takes a zone's machines, and for good their disks with them.
-func (world *World) loseCoreZone(disks bool) time.Duration {
-	zone := world.layout.zones()[world.random.IntN(len(world.layout.zones()))]
-	if world.random.IntN(2) == 0 {
-		zone = world.primary().zone
+func (w *World) loseCoreZone(disks bool) time.Duration {
+	zone := w.layout.zones()[w.random.IntN(len(w.layout.zones()))]
+	if w.random.IntN(2) == 0 {
+		zone = w.primary().zone
 	}
-	from := world.now
-	for _, machine := range world.nodes(membership.Controller) {
+	from := w.now
+	for _, machine := range w.nodes(membership.Controller) {
 		if machine.zone != zone {
 			continue
 		}
 		if disks {
-			world.wipe(machine)
+			w.wipe(machine)
 		} else {
-			world.powerOff(machine.name)
+			w.powerOff(machine.name)
 		}
-		world.back(machine, 4000, 6000)
+		w.back(machine, 4000, 6000)
 	}
 	return from
 }
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -56,17 +56,17 @@
 }
 
 // Failed tells whether something happened that must not.
-func (result Result) Failed() bool {
-	return result.Verdict.Violations() > 0 || !result.Whole || result.Twice > 0
+func (r Result) Failed() bool {
+	return r.Verdict.Violations() > 0 || !r.Whole || r.Twice > 0
 }
 
 // Broke tells whether a rule was broken whose name has the text in it; with no
 // text, whether the day failed at all.
-func (result Result) Broke(text string) bool {
+func (r Result) Broke(text string) bool {
 	if text == "" {
-		return result.Failed()
+		return r.Failed()
 	}
-	for _, finding := range result.Verdict.Findings {
+	for _, finding := range r.Verdict.Findings {
 		if finding.Violations > 0 && strings.Contains(finding.Checker, text) {
 			return true
 		}
@@ -79,106 +79,106 @@
 }
 
 // Run lets a day pass and judges it.
-func (world *World) Run(day Day) Result {
-	world.long, world.short = day.Long, day.Short
-	world.fixedParts = day.FixedParts
+func (w *World) Run(day Day) Result {
+	w.long, w.short = day.Long, day.Short
+	w.fixedParts = day.FixedParts
 	faultsFrom := opening
 	faultsEnd := faultsFrom + day.Faulty
 	closes := faultsEnd + calm
 	ends := closes + closing
 	// On every other day some nodes begin as the older release, and become the
 	// newest one after another.
-	if world.random.IntN(2) == 0 {
-		for _, machine := range world.machines {
-			if world.random.IntN(3) == 0 {
+	if w.random.IntN(2) == 0 {
+		for _, machine := range w.machines {
+			if w.random.IntN(3) == 0 {
 				machine.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
 			}
 		}
 	}
-	for _, machine := range world.machines {
-		world.outside.Go(func() {
-			world.wait(0, 400)
+	for _, machine := range w.machines {
+		w.outside.Go(func() {
+			w.wait(0, 400)
 			if day.Forming && machine.kind == membership.Controller {
-				world.wait(0, 4000)
+				w.wait(0, 4000)
 			}
-			world.start(machine)
+			w.start(machine)
 		})
 	}
 	if day.Forming {
-		world.outside.Go(world.loseOneWhileForming)
+		w.outside.Go(w.loseOneWhileForming)
 	}
-	if world.random.IntN(4) == 0 {
+	if w.random.IntN(4) == 0 {
 		// The platform comes later than the fleet.
-		world.platform.down = true
-		world.tempt("a start without the platform")
-		world.outside.Go(func() {
-			world.wait(500, 5000)
-			world.platform.down = false
+		w.platform.down = true
+		w.tempt("a start without the platform")
+		w.outside.Go(func() {
+			w.wait(500, 5000)
+			w.platform.down = false
 		})
 	}
-	world.outside.Go(func() { world.callers(ends) })
-	if world.ways.Calls {
-		world.outside.Go(func() { world.originsOfCalls(ends) })
+	w.outside.Go(func() { w.callers(ends) })
+	if w.ways.Calls {
+		w.outside.Go(func() { w.originsOfCalls(ends) })
 	}
-	world.outside.Go(func() { world.operate(ends) })
-	world.outside.Go(func() { world.watchPrimaries(ends + evening) })
+	w.outside.Go(func() { w.operate(ends) })
+	w.outside.Go(func() { w.watchPrimaries(ends + evening) })
 	if day.Swings {
-		world.outside.Go(func() { world.swing(faultsFrom, ends) })
+		w.outside.Go(func() { w.swing(faultsFrom, ends) })
 	} else {
-		world.outside.Go(func() { world.drawFaults(faultsFrom, faultsEnd, day.Only) })
+		w.outside.Go(func() { w.drawFaults(faultsFrom, faultsEnd, day.Only) })
 	}
-	world.run(faultsEnd)
-	world.faultsOver = true
-	world.outside.Go(world.upgradeAll)
-	world.run(closes)
-	world.mend()
-	world.run(closes + time.Millisecond)
+	w.run(faultsEnd)
+	w.faultsOver = true
+	w.outside.Go(w.upgradeAll)
+	w.run(closes)
+	w.mend()
+	w.run(closes + time.Millisecond)
 	if !day.Swings {
-		world.outside.Go(world.close)
+		w.outside.Go(w.close)
 	}
-	world.run(ends)
-	world.run(ends + evening)
+	w.run(ends)
+	w.run(ends + evening)
 	for range 10 {
-		world.outside.Go(func() { world.readConfiguration(true) })
-		world.run(world.now + 2*time.Second)
-		if world.whole() {
+		w.outside.Go(func() { w.readConfiguration(true) })
+		w.run(w.now + 2*time.Second)
+		if w.whole() {
 			break
 		}
 	}
-	result := Result{Verdict: fleet.Judge(world.Book.Entries()), Whole: world.whole(), Twice: world.twice, Temptations: world.temptations, Steps: world.acted, Calls: *world.calls}
-	result.Runtime, result.Flaps = rt(world.Book.Entries())
-	for _, incarnation := range world.incarnations {
+	result := Result{Verdict: fleet.Judge(w.Book.Entries()), Whole: w.whole(), Twice: w.twice, Temptations: w.temptations, Steps: w.acted, Calls: *w.calls}
+	result.Runtime, result.Flaps = rt(w.Book.Entries())
+	for _, incarnation := range w.incarnations {
 		if !incarnation.ended {
 			incarnation.ended = true
-			world.dead = append(world.dead, incarnation)
+			w.dead = append(w.dead, incarnation)
 		}
 	}
-	world.bury()
+	w.bury()
 	return result
 }
 
 // upgradeAll makes every node the newest release, one after another, as an
 // operator does at the end of a roll-out.
-func (world *World) upgradeAll() {
-	for _, machine := range world.nodes("") {
+func (w *World) upgradeAll() {
+	for _, machine := range w.nodes("") {
 		if len(machine.withheld) > 0 {
 			machine.withheld = nil
-			world.tempt("a node restarted as a newer release")
-			world.killFor(machine, 50, 300)
-			world.wait(300, 600)
+			w.tempt("a node restarted as a newer release")
+			w.killFor(machine, 50, 300)
+			w.wait(300, 600)
 		}
 	}
 }
 
 // swing lets traffic swing, twelve seconds each way, until the moment.
-func (world *World) swing(from, until time.Duration) {
-	long, short := world.long, world.short
-	world.outside.NewCond().Wait(from-world.now, never)
-	for world.now < until {
-		world.long, world.short = long*2.2, short*0.2
-		world.outside.NewCond().Wait(12*time.Second, never)
-		world.long, world.short = long*0.1, short*3
-		world.outside.NewCond().Wait(12*time.Second, never)
+func (w *World) swing(from, until time.Duration) {
+	long, short := w.long, w.short
+	w.outside.NewCond().Wait(from-w.now, never)
+	for w.now < until {
+		w.long, w.short = long*2.2, short*0.2
+		w.outside.NewCond().Wait(12*time.Second, never)
+		w.long, w.short = long*0.1, short*3
+		w.outside.NewCond().Wait(12*time.Second, never)
 	}
 }
 
@@ -211,52 +211,52 @@
 }
 
 // watchPrimaries looks, over and over, whether two expediters hold at once.
-func (world *World) watchPrimaries(until time.Duration) {
-	for world.now < until {
+func (w *World) watchPrimaries(until time.Duration) {
+	for w.now < until {
 		holders := 0
-		for _, machine := range world.machines {
+		for _, machine := range w.machines {
 			if machine.incarnation != nil && !machine.incarnation.ended && !machine.incarnation.frozen && machine.control != nil && machine.control.Coordinator().Holds() {
 				holders++
 			}
 		}
 		if holders > 1 {
-			world.twice++
-			world.say("%d expediters hold at once", holders)
+			w.twice++
+			w.say("%d expediters hold at once", holders)
 		}
-		world.outside.NewCond().Wait(20*time.Millisecond, never)
+		w.outside.NewCond().Wait(20*time.Millisecond, never)
 	}
 }
 
 // drawFaults has faults begin one after another; they last as they last.
-func (world *World) drawFaults(from, until time.Duration, only string) {
+func (w *World) drawFaults(from, until time.Duration, only string) {
 	all := faults()
 	total := 0
 	for _, fault := range all {
 		total += fault.weight
 	}
-	world.outside.NewCond().Wait(from-world.now, never)
-	for world.now < until {
-		drawn := world.random.IntN(total)
+	w.outside.NewCond().Wait(from-w.now, never)
+	for w.now < until {
+		drawn := w.random.IntN(total)
 		for _, fault := range all {
 			if only != "" && fault.name != only {
 				continue
 			}
 			if drawn -= fault.weight; drawn < 0 || only != "" {
-				world.say("fault: %s", fault.name)
-				world.Book.Note(fleet.Entry{Kind: fleet.FaultBegan, Cause: fault.name})
-				world.outside.Go(func() { fault.run(world) })
+				w.say("fault: %s", fault.name)
+				w.Book.Note(fleet.Entry{Kind: fleet.FaultBegan, Cause: fault.name})
+				w.outside.Go(func() { fault.run(w) })
 				break
 			}
 		}
-		world.wait(300, 4500)
+		w.wait(300, 4500)
 	}
 }
 
 // mend ends whatever is still wrong, as those who run the fleet would.
-func (world *World) mend() {
-	world.heal()
-	world.platform.down, world.loseAnswers = false, 0
-	for _, machine := range world.machines {
+func (w *World) mend() {
+	w.heal()
+	w.platform.down, w.loseAnswers = false, 0
+	for _, machine := range w.machines {
 		if machine.gone {
 			continue
 		}
@@ -266,30 +266,30 @@
 		if machine.incarnation != nil && machine.incarnation.frozen && !machine.incarnation.ended {
 			machine.incarnation.wake()
 		}
-		world.start(machine)
+		w.start(machine)
 	}
 }
 
 // close is the fault with which the day ends; service must return after it.
-func (world *World) close() {
+func (w *World) close() {
 	kinds := []string{"herd of couriers", "herd of expediters", "cold start", "zone", "primary", "power"}
-	kind := kinds[world.random.IntN(len(kinds))]
-	world.say("closing fault: %s", kind)
-	world.Book.Note(fleet.Entry{Kind: fleet.ClosingFault, Cause: kind})
+	kind := kinds[w.random.IntN(len(kinds))]
+	w.say("closing fault: %s", kind)
+	w.Book.Note(fleet.Entry{Kind: fleet.ClosingFault, Cause: kind})
 	switch kind {
 	case "herd of couriers":
-		world.herd(membership.Router)
+		w.herd(membership.Router)
 	case "herd of expediters":
-		world.herd(membership.Controller)
+		w.herd(membership.Controller)
 	case "cold start":
-		world.herd("")
+		w.herd("")
 	case "zone":
-		loseZone(world)
+		loseZone(w)
 	case "primary":
-		world.killFor(world.primary(), 500, 3000)
+		w.killFor(w.primary(), 500, 3000)
 	case "power":
-		for _, machine := range world.nodes("") {
-			world.outside.Go(func() { world.powerOffFor(machine, 200, 1500) })
+		for _, machine := range w.nodes("") {
+			w.outside.Go(func() { w.powerOffFor(machine, 200, 1500) })
 		}
 	}
 }
--- a/internal/testbed/simulation/disk.go
+++ b/internal/testbed/simulation/disk.go
@@ -36,93 +36,93 @@
 }
 
 // spend lets the thread wait as long as a sync takes.
-func (disk *disk) spend() {
-	length := disk.sync * time.Duration(max(disk.slow, 1))
-	length = max(length, disk.hangs-disk.world.now)
-	thread := disk.world.running
-	if length <= 0 || thread == nil || disk.owner != thread.incarnation {
+func (d *disk) spend() {
+	length := d.sync * time.Duration(max(d.slow, 1))
+	length = max(length, d.hangs-d.world.now)
+	thread := d.world.running
+	if length <= 0 || thread == nil || d.owner != thread.incarnation {
 		return
 	}
-	disk.owner.NewCond().Wait(length, never)
+	d.owner.NewCond().Wait(length, never)
 }
 
 // lose forgets what was not synced.
-func (disk *disk) lose() {
-	if len(disk.seen) != len(disk.names) {
-		disk.world.tempt("a power loss with renames not synced")
+func (d *disk) lose() {
+	if len(d.seen) != len(d.names) {
+		d.world.tempt("a power loss with renames not synced")
 	}
-	disk.seen = map[string][]byte{}
-	for name, content := range disk.names {
-		disk.seen[name] = content
+	d.seen = map[string][]byte{}
+	for name, content := range d.names {
+		d.seen[name] = content
 	}
 }
 
 // act counts one act; the power may fail before it.
-func (disk *disk) act(what string) {
-	if disk.powerFailsIn == 0 {
+func (d *disk) act(what string) {
+	if d.powerFailsIn == 0 {
 		return
 	}
-	disk.powerFailsIn--
-	if disk.powerFailsIn > 0 || disk.owner == nil || disk.owner.ended {
+	d.powerFailsIn--
+	if d.powerFailsIn > 0 || d.owner == nil || d.owner.ended {
 		return
 	}
-	disk.world.tempt("the power fails before " + what)
-	disk.world.say("%s: the power fails before %s", disk.owner.name, what)
-	disk.world.powerOff(disk.owner.name)
+	d.world.tempt("the power fails before " + what)
+	d.world.say("%s: the power fails before %s", d.owner.name, what)
+	d.world.powerOff(d.owner.name)
 	panic(killed{})
 }
 
 // MakeFolder needs nothing.
-func (disk *disk) MakeFolder(string) error { return nil }
+func (d *disk) MakeFolder(string) error { return nil }
 
 // WriteSynced writes a file; its name lasts from the folder's sync on.
-func (disk *disk) WriteSynced(path string, content []byte) error {
-	disk.spend()
-	disk.act("a write")
-	if disk.full {
+func (d *disk) WriteSynced(path string, content []byte) error {
+	d.spend()
+	d.act("a write")
+	if d.full {
 		return syscall.ENOSPC
 	}
-	disk.seen[path] = slices.Clone(content)
+	d.seen[path] = slices.Clone(content)
 	return nil
 }
 
 // Rename gives a file its name, as the process sees it.
-func (disk *disk) Rename(from, to string) error {
-	disk.act("a rename")
-	disk.seen[to] = disk.seen[from]
-	delete(disk.seen, from)
+func (d *disk) Rename(from, to string) error {
+	d.act("a rename")
+	d.seen[to] = d.seen[from]
+	delete(d.seen, from)
 	return nil
 }
 
 // SyncFolder makes a folder's names last.
-func (disk *disk) SyncFolder(path string) error {
-	disk.spend()
-	disk.act("a folder's sync")
-	if disk.full {
+func (d *disk) SyncFolder(path string) error {
+	d.spend()
+	d.act("a folder's sync")
+	if d.full {
 		return syscall.ENOSPC
 	}
-	for name := range disk.names {
-		if _, there := disk.seen[name]; !there && filepath.Dir(name) == path {
-			delete(disk.names, name)
+	for name := range d.names {
+		if _, there := d.seen[name]; !there && filepath.Dir(name) == path {
+			delete(d.names, name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(disk.seen)) {
-		content := disk.seen[name]
+	for _, name := range slices.Sorted(maps.Keys(d.seen)) {
+		content := d.seen[name]
 		if filepath.Dir(name) != path {
 			continue
 		}
-		if _, there := disk.names[name]; !there {
-			disk.world.tapFile(name, content)
+		if _, there := d.names[name]; !there {
+			d.world.tapFile(name, content)
 		}
-		disk.names[name] = content
+		d.names[name] = content
 	}
 	return nil
 }
 
 // List names a folder's files.
-func (disk *disk) List(path string) ([]string, error) {
+func (d *disk) List(path string) ([]string, error) {
 	var names []string
-	for name := range disk.seen {
+	for name := range d.seen {
 		if filepath.Dir(name) == path {
 			names = append(names, filepath.Base(name))
 		}
@@ -132,23 +132,23 @@
 }
 
 // Read gives a file; some come back damaged.
-func (disk *disk) Read(path string) ([]byte, error) {
-	content, found := disk.seen[path]
+func (d *disk) Read(path string) ([]byte, error) {
+	content, found := d.seen[path]
 	if !found {
 		return nil, os.ErrNotExist
 	}
 	content = slices.Clone(content)
-	if disk.damage > 0 && strings.Contains(path, "larder") && len(content) > 0 {
-		disk.damage--
-		disk.world.tempt("a file came back damaged")
+	if d.damage > 0 && strings.Contains(path, "larder") && len(content) > 0 {
+		d.damage--
+		d.world.tempt("a file came back damaged")
 		content[len(content)/2] ^= 0x40
 	}
 	return content, nil
 }
 
 // Remove takes a file away, as the process sees it.
-func (disk *disk) Remove(path string) error {
-	disk.act("a removal")
-	delete(disk.seen, path)
+func (d *disk) Remove(path string) error {
+	d.act("a removal")
+	delete(d.seen, path)
 	return nil
 }
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -152,17 +152,17 @@
 }
 
 // wait lets an outside thread wait for a drawn length.
-func (world *World) wait(least, most int) {
-	world.outside.NewCond().Wait(time.Duration(least+world.random.IntN(most-least+1))*time.Millisecond, never)
+func (w *World) wait(least, most int) {
+	w.outside.NewCond().Wait(time.Duration(least+w.random.IntN(most-least+1))*time.Millisecond, never)
 }
 
-func (world *World) anyZone() string {
-	return world.deployment.Zones[world.random.IntN(len(world.deployment.Zones))]
+func (w *World) anyZone() string {
+	return w.deployment.Zones[w.random.IntN(len(w.deployment.Zones))]
 }
 
-func (world *World) nodes(kind membership.NodeKind) []*machine {
+func (w *World) nodes(kind membership.NodeKind) []*machine {
 	var found []*machine
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if !machine.gone && (kind == "" || machine.kind == kind) {
 			found = append(found, machine)
 		}
@@ -170,18 +170,18 @@
 	return found
 }
 
-func (world *World) anyNode(kind membership.NodeKind) *machine {
-	found := world.nodes(kind)
-	return found[world.random.IntN(len(found))]
+func (w *World) anyNode(kind membership.NodeKind) *machine {
+	found := w.nodes(kind)
+	return found[w.random.IntN(len(found))]
 }
 
-func (world *World) anyServer() string {
-	return world.plans[world.random.IntN(len(world.plans))].Name
+func (w *World) anyServer() string {
+	return w.plans[w.random.IntN(len(w.plans))].Name
 }
 
-func (world *World) serversOf(zone string) []string {
+func (w *World) serversOf(zone string) []string {
 	var names []string
-	for _, plan := range world.plans {
+	for _, plan := range w.plans {
 		if plan.Zone == zone {
 			names = append(names, plan.Name)
 		}
@@ -189,97 +189,97 @@
 	return names
 }
 
-func (world *World) isController(name string) bool {
-	machine := world.machineNamed(name)
+func (w *World) isController(name string) bool {
+	machine := w.machineNamed(name)
 	return machine != nil && machine.kind == membership.Controller
 }
 
 // primary is the expediter that holds, or any.
-func (world *World) primary() *machine {
-	for _, machine := range world.nodes(membership.Controller) {
+func (w *World) primary() *machine {
+	for _, machine := range w.nodes(membership.Controller) {
 		if machine.incarnation != nil && !machine.incarnation.ended && machine.control != nil && machine.control.Coordinator().Holds() {
 			return machine
 		}
 	}
-	return world.anyNode(membership.Controller)
+	return w.anyNode(membership.Controller)
 }
 
 // holder is the courier that decides the parts, or any.
-func (world *World) holder() *machine {
-	for _, machine := range world.nodes(membership.Controller) {
+func (w *World) holder() *machine {
+	for _, machine := range w.nodes(membership.Controller) {
 		if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil {
 			continue
 		}
 		if _, _, state, err := machine.control.Read(); err == nil {
-			if holder := world.machineNamed(state.Rota.Roles["parts"].Holder); holder != nil && !holder.gone {
+			if holder := w.machineNamed(state.Rota.Roles["parts"].Holder); holder != nil && !holder.gone {
 				return holder
 			}
 		}
 	}
-	return world.anyNode(membership.Router)
+	return w.anyNode(membership.Router)
 }
 
-func (world *World) killFor(machine *machine, least, most int) {
-	world.kill(machine)
-	world.wait(least, most)
-	world.start(machine)
+func (w *World) killFor(machine *machine, least, most int) {
+	w.kill(machine)
+	w.wait(least, most)
+	w.start(machine)
 }
 
 // stopFor stops an expediter as its operator does: it hands over first.
-func (world *World) stopFor(machine *machine, least, most int) {
+func (w *World) stopFor(machine *machine, least, most int) {
 	if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil {
 		return
 	}
 	stopping, control := machine.incarnation, machine.control
 	if control.Coordinator().Holds() {
-		world.tempt("a primary handed over")
+		w.tempt("a primary handed over")
 	}
-	world.say("%s is stopped", machine.name)
+	w.say("%s is stopped", machine.name)
 	left := false
 	stopping.Go(func() {
 		control.Leave(leavePatience)
 		left = true
 	})
 	for range 30 {
-		world.wait(100, 100)
+		w.wait(100, 100)
 		if left || stopping.ended {
 			break
 		}
 	}
 	if machine.incarnation == stopping {
-		world.killFor(machine, least, most)
+		w.killFor(machine, least, most)
 	}
 }
 
-func (world *World) powerOffFor(machine *machine, least, most int) {
-	world.say("%s loses its power", machine.name)
-	world.powerOff(machine.name)
-	world.wait(least, most)
-	world.start(machine)
+func (w *World) powerOffFor(machine *machine, least, most int) {
+	w.say("%s loses its power", machine.name)
+	w.powerOff(machine.name)
+	w.wait(least, most)
+	w.start(machine)
 }
 
 // loseOneWhileForming takes one machine away within the first moments of a core:
 // its power fails at one of its disk's first acts, or its whole disk is lost.
-func (world *World) loseOneWhileForming() {
-	machine := world.anyNode(membership.Controller)
-	if world.random.IntN(2) == 0 {
-		machine.disk.powerFailsIn = 1 + world.random.IntN(14)
-		world.wait(1000, 6000)
+func (w *World) loseOneWhileForming() {
+	machine := w.anyNode(membership.Controller)
+	if w.random.IntN(2) == 0 {
+		machine.disk.powerFailsIn = 1 + w.random.IntN(14)
+		w.wait(1000, 6000)
 		machine.disk.powerFailsIn = 0
-		world.tempt("the power fails while the first core forms")
-		world.start(machine)
+		w.tempt("the power fails while the first core forms")
+		w.start(machine)
 		return
 	}
 	for len(machine.disk.names) == 0 {
-		world.wait(0, 20)
+		w.wait(0, 20)
 	}
-	world.wait(0, 1500)
-	world.say("%s loses its disk", machine.name)
-	world.tempt("a disk lost while the first core forms")
-	world.kill(machine)
-	machine.disk = newDisk(world)
-	world.wait(0, 1500)
-	world.start(machine)
+	w.wait(0, 1500)
+	w.say("%s loses its disk", machine.name)
+	w.tempt("a disk lost while the first core forms")
+	w.kill(machine)
+	machine.disk = newDisk(w)
+	w.wait(0, 1500)
+	w.start(machine)
 }
 
 // powerFails has the power fail before one of the disk's next acts.
@@ -294,18 +294,18 @@
 
 // whole tells whether a primary with a backup leads and every keeper is the
 // disk that runs at its address, so that one more disk may be lost.
-func (world *World) whole() bool {
-	for _, machine := range world.nodes(membership.Controller) {
+func (w *World) whole() bool {
+	for _, machine := range w.nodes(membership.Controller) {
 		if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
 			continue
 		}
 		m := machine.control.Coordinator().Membership()
-		borne := max(world.borneLosses(), 1)
+		borne := max(w.borneLosses(), 1)
 		if len(m.Backups()) != borne || len(m.Incoming) > 0 || len(m.Witnesses) != 2*borne+1 {
 			return false
 		}
 		for _, seat := range append(m.Backups(), m.Witnesses...) {
-			there := world.machineNamed(world.nameAt(seat.Address))
+			there := w.machineNamed(w.nameAt(seat.Address))
 			if there == nil || there.incarnation == nil || there.incarnation.ended || there.incarnation.frozen || there.control == nil ||
 				there.control.Witness().Replica().Identity != seat.Identity || m.Keeps(seat.Identity) && there.control.Witness().Membership().Epoch != m.Epoch {
 				return false
@@ -338,60 +338,60 @@
 	world.start(machine)
 }
 
-func (world *World) freezeFor(machine *machine) {
+func (w *World) freezeFor(machine *machine) {
 	if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen {
 		return
 	}
-	world.say("%s freezes", machine.name)
-	frozen, since := machine.incarnation, world.now
+	w.say("%s freezes", machine.name)
+	frozen, since := machine.incarnation, w.now
 	frozen.freeze()
 	defer func() {
-		world.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Router: machine.name, Took: world.now - since})
+		w.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Router: machine.name, Took: w.now - since})
 	}()
-	if world.random.IntN(2) == 0 {
-		world.wait(300, 5000)
+	if w.random.IntN(2) == 0 {
+		w.wait(300, 5000)
 	} else {
 		// Long enough for a duty to have been given to another.
-		world.wait(7000, 13000)
+		w.wait(7000, 13000)
 	}
 	if !frozen.ended {
 		if machine.router != nil && machine.router.Core().InFlight() > 0 && frozen.Now().After(machine.router.Core().HoldEnds()) {
-			world.tempt("a courier woken with inquiries under way, its hold over")
+			w.tempt("a courier woken with inquiries under way, its hold over")
 		}
 		if machine.control != nil && machine.control.Store().Leading() {
-			world.tempt("a primary woken")
+			w.tempt("a primary woken")
 		}
-		world.say("%s wakes", machine.name)
+		w.say("%s wakes", machine.name)
 		frozen.wake()
 	}
 }
 
 // cutFor cuts links for a while.
-func (world *World) cutFor(chosen func(from, to string) bool) {
+func (w *World) cutFor(chosen func(from, to string) bool) {
 	var names []string
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		names = append(names, machine.name)
 	}
 	var cut []*link
 	for _, from := range names {
 		for _, to := range names {
 			if from != to && chosen(from, to) {
-				cut = append(cut, world.link(from, to))
+				cut = append(cut, w.link(from, to))
 			}
 		}
 	}
 	for _, link := range cut {
 		link.cut = true
 	}
-	world.wait(300, 8000)
+	w.wait(300, 8000)
 	for _, link := range cut {
 		link.cut = false
 	}
 }
 
-func (world *World) isolate(name string, inwards, outwards bool) {
-	world.say("%s is cut off, inwards %v, outwards %v", name, inwards, outwards)
-	world.cutFor(func(from, to string) bool { return (inwards && to == name) || (outwards && from == name) })
+func (w *World) isolate(name string, inwards, outwards bool) {
+	w.say("%s is cut off, inwards %v, outwards %v", name, inwards, outwards)
+	w.cutFor(func(from, to string) bool { return (inwards && to == name) || (outwards && from == name) })
 }
 
 func cutPair(world *World) {
@@ -405,11 +405,11 @@
 	})
 }
 
-func (world *World) spoil(links []*link, length time.Duration, act func(link *link)) {
+func (w *World) spoil(links []*link, length time.Duration, act func(link *link)) {
 	for _, link := range links {
 		act(link)
 	}
-	world.outside.NewCond().Wait(length, never)
+	w.outside.NewCond().Wait(length, never)
 	for _, link := range links {
 		link.delay, link.loss, link.duplicate = 0, 0, 0
 	}
@@ -450,18 +450,18 @@
 	world.loseAnswers = 0
 }
 
-func (world *World) herd(kind membership.NodeKind) {
-	world.say("a herd is killed: %s", kind)
+func (w *World) herd(kind membership.NodeKind) {
+	w.say("a herd is killed: %s", kind)
 	var killed []*machine
-	for _, machine := range world.nodes(kind) {
+	for _, machine := range w.nodes(kind) {
 		if machine.incarnation != nil && !machine.incarnation.ended {
-			world.kill(machine)
+			w.kill(machine)
 			killed = append(killed, machine)
 		}
 	}
-	world.wait(100, 1000)
+	w.wait(100, 1000)
 	for _, machine := range killed {
-		world.start(machine)
+		w.start(machine)
 	}
 }
 
@@ -479,17 +479,17 @@
 }
 
 // crashFor crashes a server and puts a cold one in its place.
-func (world *World) crashFor(name string, least, most int) {
-	if world.servers[name].incarnation.ended {
+func (w *World) crashFor(name string, least, most int) {
+	if w.servers[name].incarnation.ended {
 		return
 	}
-	if world.servers[name].top.Active() > 0 {
-		world.tempt("answers under way at a server's crash")
+	if w.servers[name].top.Active() > 0 {
+		w.tempt("answers under way at a server's crash")
 	}
-	world.say("%s crashes", name)
-	world.crashServer(name)
-	world.wait(least, most)
-	world.startServer(world.servers[name].plan)
+	w.say("%s crashes", name)
+	w.crashServer(name)
+	w.wait(least, most)
+	w.startServer(w.servers[name].plan)
 }
 
 // leaveServer shows a server leaving: in the list, by its absence, or in its
@@ -551,8 +551,8 @@
 	world.start(machine)
 }
 
-func (world *World) anyWithheld() bool {
-	for _, machine := range world.nodes("") {
+func (w *World) anyWithheld() bool {
+	for _, machine := range w.nodes("") {
 		if len(machine.withheld) > 0 {
 			return true
 		}
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -37,15 +37,15 @@
 // Incidents lets a laid-out fleet start and meet, one after another, what a year
 // brings; lost is how long machines and links stay away, losses how many machines of
 // nodes are lost one after another.
-func (world *World) Incidents(lost time.Duration, losses int) []Incident {
+func (w *World) Incidents(lost time.Duration, losses int) []Incident {
 	var incidents []Incident
 	var rest, none Traffic
 	restSpan := time.Duration(0)
 	record := func(incident Incident, act func(incident *Incident)) {
-		before, began := world.sum(), world.now
+		before, began := w.sum(), w.now
 		act(&incident)
-		after := world.sum()
-		incident.Span = world.now - began
+		after := w.sum()
+		incident.Span = w.now - began
 		incident.Traffic = Traffic{after.Messages - before.Messages, after.Bytes - before.Bytes}
 		if restSpan > 0 && rest != none {
 			share := float64(incident.Span) / float64(restSpan)
@@ -53,100 +53,100 @@
 		}
 		incident.Times = max(incident.Times, 1)
 		incidents = append(incidents, incident)
-		world.Log(fmt.Sprintf("%+v", incident))
+		w.Log(fmt.Sprintf("%+v", incident))
 	}
 	record(Incident{Name: "the fleet starts"}, func(incident *Incident) {
-		began := world.now
-		for _, machine := range world.machines {
-			world.outside.Go(func() {
-				world.wait(0, 2000)
-				world.start(machine)
+		began := w.now
+		for _, machine := range w.machines {
+			w.outside.Go(func() {
+				w.wait(0, 2000)
+				w.start(machine)
 			})
 		}
-		world.run(world.now + 2100*time.Millisecond)
-		incident.Led = world.since(began, world.led)
-		incident.Held = world.since(began, world.held)
-		incident.Whole = world.since(began, world.whole)
-		incident.InForce = world.changed(world.now, world.configuration())
+		w.run(w.now + 2100*time.Millisecond)
+		incident.Led = w.since(began, w.led)
+		incident.Held = w.since(began, w.held)
+		incident.Whole = w.since(began, w.whole)
+		incident.InForce = w.changed(w.now, w.configuration())
 		// Duties are given, and those who came late take theirs over.
-		world.since(world.now, func() bool { return world.rolesSettled(nil) })
-		world.run(world.now + 20*time.Second)
+		w.since(w.now, func() bool { return w.rolesSettled(nil) })
+		w.run(w.now + 20*time.Second)
 	})
-	record(Incident{Name: "at rest"}, func(*Incident) { world.run(world.now + 10*time.Second) })
+	record(Incident{Name: "at rest"}, func(*Incident) { w.run(w.now + 10*time.Second) })
 	rest, restSpan = incidents[1].Traffic, incidents[1].Span
 	record(Incident{Name: "single changes", Times: 20}, func(incident *Incident) {
 		for range incident.Times {
-			world.change(incident)
-			world.run(world.now + 200*time.Millisecond)
+			w.change(incident)
+			w.run(w.now + 200*time.Millisecond)
 		}
 	})
 	record(Incident{Name: "a storm of eight operators, 10 s"}, func(incident *Incident) {
-		ends := world.now + 10*time.Second
+		ends := w.now + 10*time.Second
 		left := 8
 		incident.Times = 0
 		for operator := range 8 {
-			world.outside.Go(func() {
-				for number := 0; world.now < ends; number++ {
-					began := world.now
-					if world.edit(world.nowhere("storm-"+strconv.Itoa(operator), number)) == "accepted" {
+			w.outside.Go(func() {
+				for number := 0; w.now < ends; number++ {
+					began := w.now
+					if w.edit(w.nowhere("storm-"+strconv.Itoa(operator), number)) == "accepted" {
 						incident.Times++
-						incident.InForceMean += world.now - began
-						incident.InForce = max(incident.InForce, world.now-began)
+						incident.InForceMean += w.now - began
+						incident.InForce = max(incident.InForce, w.now-began)
 					}
 				}
 				left--
 			})
 		}
-		world.since(world.now, func() bool { return left == 0 })
+		w.since(w.now, func() bool { return left == 0 })
 		incident.InForceMean /= time.Duration(max(incident.Times, 1))
 	})
 	record(Incident{Name: "a node restarted", Times: 2 * losses}, func(incident *Incident) {
 		for range incident.Times {
-			machine := world.anyNode(membership.Router)
-			world.kill(machine)
-			world.run(world.now + 300*time.Millisecond)
-			began := world.now
-			world.start(machine)
-			incident.Held = later(incident.Held, world.since(began, world.held))
-			world.run(world.now + 500*time.Millisecond)
+			machine := w.anyNode(membership.Router)
+			w.kill(machine)
+			w.run(w.now + 300*time.Millisecond)
+			began := w.now
+			w.start(machine)
+			incident.Held = later(incident.Held, w.since(began, w.held))
+			w.run(w.now + 500*time.Millisecond)
 		}
 	})
 	record(Incident{Name: "a node's machine lost", Times: losses}, func(incident *Incident) {
 		for range incident.Times {
-			world.lose(incident, []*machine{world.anyNode(membership.Router)}, 15*time.Second)
+			w.lose(incident, []*machine{w.anyNode(membership.Router)}, 15*time.Second)
 		}
 	})
-	record(Incident{Name: "the primary's machine lost"}, func(incident *Incident) { world.lose(incident, []*machine{world.primary()}, lost) })
-	record(Incident{Name: "the backup's machine lost"}, func(incident *Incident) { world.lose(incident, []*machine{world.backup()}, lost) })
+	record(Incident{Name: "the primary's machine lost"}, func(incident *Incident) { w.lose(incident, []*machine{w.primary()}, lost) })
+	record(Incident{Name: "the backup's machine lost"}, func(incident *Incident) { w.lose(incident, []*machine{w.backup()}, lost) })
 	record(Incident{Name: "a rack of ten nodes and the backup lost"}, func(incident *Incident) {
-		gone := []*machine{world.backup()}
-		for _, machine := range world.nodes(membership.Router) {
+		gone := []*machine{w.backup()}
+		for _, machine := range w.nodes(membership.Router) {
 			if machine.zone == gone[0].zone && len(gone) < 11 {
 				gone = append(gone, machine)
 			}
 		}
-		world.lose(incident, gone, lost)
+		w.lose(incident, gone, lost)
 	})
 	record(Incident{Name: "the primary's zone lost"}, func(incident *Incident) {
-		world.lose(incident, world.inZones([]string{world.primary().zone}), lost)
+		w.lose(incident, w.inZones([]string{w.primary().zone}), lost)
 	})
 	record(Incident{Name: "a region without the primary apart"}, func(incident *Incident) {
-		world.apart(incident, func(region int) bool {
-			return region == (world.layout.region(world.primary().zone)+1)%len(world.layout.Zones)
+		w.apart(incident, func(region int) bool {
+			return region == (w.layout.region(w.primary().zone)+1)%len(w.layout.Zones)
 		}, lost)
 	})
 	record(Incident{Name: "the primary's region apart"}, func(incident *Incident) {
-		own := world.layout.region(world.primary().zone)
-		world.apart(incident, func(region int) bool { return region == own }, lost)
+		own := w.layout.region(w.primary().zone)
+		w.apart(incident, func(region int) bool { return region == own }, lost)
 	})
-	record(Incident{Name: "all regions apart"}, func(incident *Incident) { world.apart(incident, nil, lost) })
-	for _, incarnation := range world.incarnations {
+	record(Incident{Name: "all regions apart"}, func(incident *Incident) { w.apart(incident, nil, lost) })
+	for _, incarnation := range w.incarnations {
 		if !incarnation.ended {
 			incarnation.ended = true
-			world.dead = append(world.dead, incarnation)
+			w.dead = append(w.dead, incarnation)
 		}
 	}
-	world.bury()
+	w.bury()
 	return incidents
 }
 
@@ -159,19 +159,19 @@
 
 // since lets time pass until the condition holds and tells how long that was from the
 // moment, or -1 when the patience ended.
-func (world *World) since(from time.Duration, holds func() bool) time.Duration {
-	for ends := world.now + incidentPatience; !holds(); {
-		if world.now >= ends {
+func (w *World) since(from time.Duration, holds func() bool) time.Duration {
+	for ends := w.now + incidentPatience; !holds(); {
+		if w.now >= ends {
 			return -1
 		}
-		world.run(world.now + 10*time.Millisecond)
+		w.run(w.now + 10*time.Millisecond)
 	}
-	return world.now - from
+	return w.now - from
 }
 
 // led tells whether an expediter leads.
-func (world *World) led() bool {
-	for _, machine := range world.nodes(membership.Controller) {
+func (w *World) led() bool {
+	for _, machine := range w.nodes(membership.Controller) {
 		if machine.incarnation != nil && !machine.incarnation.ended && machine.control != nil {
 			if _, _, err := machine.control.Ruling(); err == nil {
 				return true
@@ -182,17 +182,17 @@
 }
 
 // backup is the machine of the primary's backup.
-func (world *World) backup() *machine {
-	m := world.primary().control.Coordinator().Membership()
-	if machine := world.machineNamed(world.nameAt(m.Backup.Address)); machine != nil {
+func (w *World) backup() *machine {
+	m := w.primary().control.Coordinator().Membership()
+	if machine := w.machineNamed(w.nameAt(m.Backup.Address)); machine != nil {
 		return machine
 	}
-	return world.anyNode(membership.Controller)
+	return w.anyNode(membership.Controller)
 }
 
 // held tells whether every courier that runs has a hold.
-func (world *World) held() bool {
-	for _, machine := range world.nodes(membership.Router) {
+func (w *World) held() bool {
+	for _, machine := range w.nodes(membership.Router) {
 		if machine.incarnation != nil && !machine.incarnation.ended && !machine.incarnation.Now().Before(machine.router.Core().HoldEnds()) {
 			return false
 		}
@@ -201,8 +201,8 @@
 }
 
 // rolesSettled tells whether every key has a holder and none of them is gone.
-func (world *World) rolesSettled(gone []*machine) bool {
-	primary := world.primary()
+func (w *World) rolesSettled(gone []*machine) bool {
+	primary := w.primary()
 	if primary.control == nil {
 		return false
 	}
@@ -211,7 +211,7 @@
 		return false
 	}
 	state, err := view.State()
-	if err != nil || len(state.Rota.Roles) < len(world.platform.servers)+1 {
+	if err != nil || len(state.Rota.Roles) < len(w.platform.servers)+1 {
 		return false
 	}
 	names := map[string]bool{}
@@ -228,8 +228,8 @@
 
 // nowhere is a change that takes nothing away: it evacuates a zone that is not there,
 // or restores it.
-func (world *World) nowhere(name string, number int) hatch.Edit {
-	edit := hatch.Edit{Change: name + "-" + world.nonce(), Digest: name, Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") }}
+func (w *World) nowhere(name string, number int) hatch.Edit {
+	edit := hatch.Edit{Change: name + "-" + w.nonce(), Digest: name, Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") }}
 	if number%2 == 1 {
 		edit.Apply = func(text []byte) ([]byte, error) { return config.Restore(text, name) }
 	}
@@ -237,9 +237,9 @@
 }
 
 // configuration is the fleet's first.
-func (world *World) configuration() hatch.Edit {
+func (w *World) configuration() hatch.Edit {
 	text := `{"services":{"chat":{}},"routes":{`
-	for number := range world.layout.Routes {
+	for number := range w.layout.Routes {
 		text += `"route-` + strconv.Itoa(number+1) + `":{"order":7,"match":{"service":"chat","prefix":"prefix-` + strconv.Itoa(number+1) + `"},"to":{"home_first":true}},`
 	}
 	text += `"all":{"order":9,"to":{"home_first":true}}}}`
@@ -248,50 +248,50 @@
 
 // changed makes a change over and over until one is accepted, and tells how long that
 // took from the moment.
-func (world *World) changed(from time.Duration, edit hatch.Edit) time.Duration {
+func (w *World) changed(from time.Duration, edit hatch.Edit) time.Duration {
 	over := false
-	world.outside.Go(func() {
-		for ends := world.now + incidentPatience; world.now < ends && !over; {
-			if over = world.edit(edit) == "accepted"; !over {
-				world.wait(50, 50)
+	w.outside.Go(func() {
+		for ends := w.now + incidentPatience; w.now < ends && !over; {
+			if over = w.edit(edit) == "accepted"; !over {
+				w.wait(50, 50)
 			}
 		}
 	})
-	return world.since(from, func() bool { return over })
+	return w.since(from, func() bool { return over })
 }
 
 // change makes one change and adds how long it took.
-func (world *World) change(incident *Incident) {
-	took := world.changed(world.now, world.nowhere("nowhere", len(world.temptations)))
+func (w *World) change(incident *Incident) {
+	took := w.changed(w.now, w.nowhere("nowhere", len(w.temptations)))
 	incident.InForce = later(incident.InForce, took)
 	incident.InForceMean += took / time.Duration(max(incident.Times, 1))
 }
 
 // lose takes machines away, makes a change at once, and gives them back.
-func (world *World) lose(incident *Incident, gone []*machine, length time.Duration) {
-	began := world.now
+func (w *World) lose(incident *Incident, gone []*machine, length time.Duration) {
+	began := w.now
 	for _, machine := range gone {
-		world.powerOff(machine.name)
+		w.powerOff(machine.name)
 	}
-	incident.Led = later(incident.Led, world.since(began, world.led))
-	took := world.changed(began, world.nowhere("nowhere-"+world.nonce(), 0))
+	incident.Led = later(incident.Led, w.since(began, w.led))
+	took := w.changed(began, w.nowhere("nowhere-"+w.nonce(), 0))
 	incident.InForce = later(incident.InForce, took)
 	incident.InForceMean += took / time.Duration(max(incident.Times, 1))
-	incident.Moved = later(incident.Moved, world.since(began, func() bool { return world.rolesSettled(gone) }))
-	incident.Whole = later(incident.Whole, world.since(began, world.whole))
-	world.run(max(world.now, began+length))
+	incident.Moved = later(incident.Moved, w.since(began, func() bool { return w.rolesSettled(gone) }))
+	incident.Whole = later(incident.Whole, w.since(began, w.whole))
+	w.run(max(w.now, began+length))
 	for _, machine := range gone {
-		world.start(machine)
+		w.start(machine)
 	}
-	incident.Held = later(incident.Held, world.since(world.now, world.held))
-	world.since(world.now, world.whole)
-	world.run(world.now + 10*time.Second)
+	incident.Held = later(incident.Held, w.since(w.now, w.held))
+	w.since(w.now, w.whole)
+	w.run(w.now + 10*time.Second)
 }
 
 // inZones are all machines of some zones.
-func (world *World) inZones(zones []string) []*machine {
+func (w *World) inZones(zones []string) []*machine {
 	var found []*machine
-	for _, machine := range world.nodes("") {
+	for _, machine := range w.nodes("") {
 		if slices.Contains(zones, machine.zone) {
 			found = append(found, machine)
 		}
@@ -301,14 +301,14 @@
 
 // apart cuts the regions that are told from all others, or all from each other, makes
 // a change at once, and heals the links after the length.
-func (world *World) apart(incident *Incident, cut func(region int) bool, length time.Duration) {
-	began := world.now
+func (w *World) apart(incident *Incident, cut func(region int) bool, length time.Duration) {
+	began := w.now
 	var links []*link
-	for _, from := range world.machines {
-		for _, to := range world.machines {
-			here, there := world.layout.region(from.zone), world.layout.region(to.zone)
+	for _, from := range w.machines {
+		for _, to := range w.machines {
+			here, there := w.layout.region(from.zone), w.layout.region(to.zone)
 			if here != there && (cut == nil || cut(here) != cut(there)) {
-				links = append(links, world.link(from.name, to.name))
+				links = append(links, w.link(from.name, to.name))
 			}
 		}
 	}
@@ -316,25 +316,25 @@
 		link.cut = true
 	}
 	if cut != nil {
-		world.run(world.now + 10*time.Millisecond)
-		incident.Led = world.since(began, func() bool {
-			return world.led() && !cut(world.layout.region(world.primary().zone)) || world.led() && world.now-began > 5*time.Second
+		w.run(w.now + 10*time.Millisecond)
+		incident.Led = w.since(began, func() bool {
+			return w.led() && !cut(w.layout.region(w.primary().zone)) || w.led() && w.now-began > 5*time.Second
 		})
-		incident.InForce = world.changed(began, world.nowhere("nowhere-"+world.nonce(), 0))
+		incident.InForce = w.changed(began, w.nowhere("nowhere-"+w.nonce(), 0))
 		incident.InForceMean = incident.InForce
 	}
-	world.run(max(world.now, began+length))
-	healed := world.now
+	w.run(max(w.now, began+length))
+	healed := w.now
 	for _, link := range links {
 		link.cut = false
 	}
-	incident.Held = world.since(healed, world.held)
-	incident.Whole = world.since(healed, world.whole)
+	incident.Held = w.since(healed, w.held)
+	incident.Whole = w.since(healed, w.whole)
 	if cut == nil {
-		incident.InForce = world.changed(healed, world.nowhere("nowhere-"+world.nonce(), 0))
+		incident.InForce = w.changed(healed, w.nowhere("nowhere-"+w.nonce(), 0))
 		incident.InForceMean = incident.InForce
 	}
-	world.run(world.now + 10*time.Second)
+	w.run(w.now + 10*time.Second)
 }
 
 // WriteIncidents writes incidents as a table.
--- a/internal/testbed/simulation/layout.go
+++ b/internal/testbed/simulation/layout.go
@@ -33,11 +33,11 @@
 }
 
 // zones are all zones, one of each region in turn.
-func (layout Layout) zones() []string {
+func (l Layout) zones() []string {
 	var zones []string
 	for position := 0; ; position++ {
 		before := len(zones)
-		for _, region := range layout.Zones {
+		for _, region := range l.Zones {
 			if position < len(region) {
 				zones = append(zones, region[position])
 			}
@@ -49,8 +49,8 @@
 }
 
 // region is the number of a zone's region, or -1.
-func (layout Layout) region(zone string) int {
-	for number, region := range layout.Zones {
+func (l Layout) region(zone string) int {
+	for number, region := range l.Zones {
 		for _, name := range region {
 			if name == zone {
 				return number
@@ -86,29 +86,29 @@
 }
 
 // far is how much longer a message takes between two machines than within a region.
-func (world *World) far(from, to string) time.Duration {
-	if world.layout == nil {
+func (w *World) far(from, to string) time.Duration {
+	if w.layout == nil {
 		return 0
 	}
-	here, there := world.machineNamed(from), world.machineNamed(to)
-	if here == nil || there == nil || world.layout.region(here.zone) == world.layout.region(there.zone) {
+	here, there := w.machineNamed(from), w.machineNamed(to)
+	if here == nil || there == nil || w.layout.region(here.zone) == w.layout.region(there.zone) {
 		return 0
 	}
-	return world.layout.Between
+	return w.layout.Between
 }
 
-func (world *World) borneLosses() int {
-	if world.layout == nil {
+func (w *World) borneLosses() int {
+	if w.layout == nil {
 		return 0
 	}
-	return world.layout.BorneLosses
+	return w.layout.BorneLosses
 }
 
 // listControllers are the nodes that the expediters of a laid-out fleet are told of;
 // couriers are told of none.
-func (world *World) listControllers() []membership.Node {
+func (w *World) listControllers() []membership.Node {
 	var nodes []membership.Node
-	for _, node := range world.listNodes() {
+	for _, node := range w.listNodes() {
 		if node.Kind == membership.Controller {
 			nodes = append(nodes, node)
 		}
@@ -122,15 +122,15 @@
 	Bytes    int
 }
 
-func (world *World) countTraffic(path string, bytes int) {
-	count := world.traffic[path]
-	world.traffic[path] = Traffic{count.Messages + 1, count.Bytes + bytes}
+func (w *World) countTraffic(path string, bytes int) {
+	count := w.traffic[path]
+	w.traffic[path] = Traffic{count.Messages + 1, count.Bytes + bytes}
 }
 
 // sum is all traffic so far.
-func (world *World) sum() Traffic {
+func (w *World) sum() Traffic {
 	var all Traffic
-	for _, count := range world.traffic {
+	for _, count := range w.traffic {
 		all.Messages += count.Messages
 		all.Bytes += count.Bytes
 	}
--- a/internal/testbed/simulation/life.go
+++ b/internal/testbed/simulation/life.go
@@ -46,24 +46,24 @@
 type killed struct{}
 
 // Now is the life's own steady clock.
-func (life *incarnation) Now() time.Time { return life.wall.Add(life.lived()) }
+func (i *incarnation) Now() time.Time { return i.wall.Add(i.lived()) }
 
-func (life *incarnation) lived() time.Duration {
-	return time.Duration(float64(life.world.now-life.bornAt) * (1 + life.drift))
+func (i *incarnation) lived() time.Duration {
+	return time.Duration(float64(i.world.now-i.bornAt) * (1 + i.drift))
 }
 
 // Wall is the life's wall clock, which faults set.
-func (life *incarnation) Wall() time.Time { return life.wall.Add(life.lived() + life.jump) }
+func (i *incarnation) Wall() time.Time { return i.wall.Add(i.lived() + i.jump) }
 
 // Alive tells whether the life goes on.
-func (life *incarnation) Alive() bool { return !life.ended }
+func (i *incarnation) Alive() bool { return !i.ended }
 
 // Go starts a thread.
-func (life *incarnation) Go(act func()) {
-	if life.ended {
+func (i *incarnation) Go(act func()) {
+	if i.ended {
 		return
 	}
-	started := &thread{incarnation: life, number: life.world.sequence}
+	started := &thread{incarnation: i, number: i.world.sequence}
 	started.next, started.stop = iter.Pull(func(yield func(struct{}) bool) {
 		defer func() {
 			started.ended = true
@@ -76,68 +76,68 @@
 		started.yield = yield
 		act()
 	})
-	life.threads[started] = true
-	life.world.after(0, life, func() { started.resume() })
+	i.threads[started] = true
+	i.world.after(0, i, func() { started.resume() })
 }
 
 // resume runs the thread until it waits or ends.
-func (thread *thread) resume() {
-	if thread.ended || thread.incarnation.ended {
+func (t *thread) resume() {
+	if t.ended || t.incarnation.ended {
 		return
 	}
-	before := thread.incarnation.world.running
-	thread.incarnation.world.running = thread
-	_, waits := thread.next()
-	thread.incarnation.world.running = before
+	before := t.incarnation.world.running
+	t.incarnation.world.running = t
+	_, waits := t.next()
+	t.incarnation.world.running = before
 	if !waits {
-		delete(thread.incarnation.threads, thread)
+		delete(t.incarnation.threads, t)
 	}
-	thread.incarnation.world.bury()
+	t.incarnation.world.bury()
 }
 
 // suspend gives the turn back to the world until the thread is resumed.
-func (thread *thread) suspend() {
-	if !thread.yield(struct{}{}) {
+func (t *thread) suspend() {
+	if !t.yield(struct{}{}) {
 		panic(killed{})
 	}
 }
 
 // end ends the life at once: its threads never run again, and whoever waits for
 // an answer from it hears that the circuit broke, if it can be heard.
-func (life *incarnation) end() {
-	if life.ended {
+func (i *incarnation) end() {
+	if i.ended {
 		return
 	}
-	life.ended = true
-	life.world.dead = append(life.world.dead, life)
-	for _, number := range slices.Sorted(maps.Keys(life.endings)) {
-		life.endings[number]()
+	i.ended = true
+	i.world.dead = append(i.world.dead, i)
+	for _, number := range slices.Sorted(maps.Keys(i.endings)) {
+		i.endings[number]()
 	}
-	life.endings = nil
-	if life.world.running == nil {
-		life.world.bury()
+	i.endings = nil
+	if i.world.running == nil {
+		i.world.bury()
 	}
 }
 
 // atEnd has something done when the life ends; forget takes that back.
-func (life *incarnation) atEnd(act func()) (forget func()) {
-	if life.ended {
+func (i *incarnation) atEnd(act func()) (forget func()) {
+	if i.ended {
 		act()
 		return func() {}
 	}
-	life.world.sequence++
-	number := life.world.sequence
-	life.endings[number] = act
-	return func() { delete(life.endings, number) }
+	i.world.sequence++
+	number := i.world.sequence
+	i.endings[number] = act
+	return func() { delete(i.endings, number) }
 }
 
 // bury unwinds the threads of lives that have ended, once none of them runs.
-func (world *World) bury() {
-	if world.running != nil {
+func (w *World) bury() {
+	if w.running != nil {
 		return
 	}
-	dead := world.dead
-	world.dead = nil
+	dead := w.dead
+	w.dead = nil
 	for _, incarnation := range dead {
 		threads := slices.Collect(maps.Keys(incarnation.threads))
 		slices.SortFunc(threads, func(left, right *thread) int { return cmp.Compare(left.number, right.number) })
@@ -150,16 +150,16 @@
 }
 
 // freeze stops the life without ending it; everything that comes waits.
-func (life *incarnation) freeze() { life.frozen = true }
+func (i *incarnation) freeze() { i.frozen = true }
 
 // wake lets a frozen life go on, with all that came meanwhile.
-func (life *incarnation) wake() {
-	life.frozen = false
-	for _, late := range life.backlog {
-		late.at = life.world.now
-		heap.Push(&life.world.due, late)
+func (i *incarnation) wake() {
+	i.frozen = false
+	for _, late := range i.backlog {
+		late.at = i.world.now
+		heap.Push(&i.world.due, late)
 	}
-	life.backlog = nil
+	i.backlog = nil
 }
 
 // lock is held by one of a life's threads while it waits for the disk. The world
@@ -171,31 +171,31 @@
 }
 
 // NewLock makes a lock.
-func (life *incarnation) NewLock() sync.Locker { return &lock{cond: &cond{incarnation: life}} }
+func (i *incarnation) NewLock() sync.Locker { return &lock{cond: &cond{incarnation: i}} }
 
 // Lock waits until nobody holds the lock.
-func (lock *lock) Lock() {
-	if thread := lock.cond.incarnation.world.running; thread == nil || thread.incarnation != lock.cond.incarnation || lock.cond.incarnation.ended {
-		lock.visited = true
+func (l *lock) Lock() {
+	if thread := l.cond.incarnation.world.running; thread == nil || thread.incarnation != l.cond.incarnation || l.cond.incarnation.ended {
+		l.visited = true
 		return
 	}
-	for !lock.cond.Wait(time.Hour, func() bool { return !lock.held }) {
+	for !l.cond.Wait(time.Hour, func() bool { return !l.held }) {
 	}
-	lock.held = true
+	l.held = true
 }
 
 // Unlock lets the next have it.
-func (lock *lock) Unlock() {
-	if lock.visited {
-		lock.visited = false
+func (l *lock) Unlock() {
+	if l.visited {
+		l.visited = false
 		return
 	}
-	lock.held = false
-	lock.cond.Broadcast()
+	l.held = false
+	l.cond.Broadcast()
 }
 
 // NewCond makes a bell.
-func (life *incarnation) NewCond() runtime.Cond { return &cond{incarnation: life} }
+func (i *incarnation) NewCond() runtime.Cond { return &cond{incarnation: i} }
 
 // bell is a bell under the world's clock.
 type cond struct {
@@ -210,39 +210,39 @@
 }
 
 // Broadcast has all who wait ask again.
-func (bell *cond) Broadcast() {
-	for _, waiting := range bell.waiters {
+func (c *cond) Broadcast() {
+	for _, waiting := range c.waiters {
 		if !waiting.rung {
 			waiting.rung = true
-			bell.incarnation.world.after(0, bell.incarnation, waiting.thread.resume)
+			c.incarnation.world.after(0, c.incarnation, waiting.thread.resume)
 		}
 	}
 }
 
 // Wait waits until over is true or the patience ends.
-func (bell *cond) Wait(patience time.Duration, over func() bool) bool {
-	if bell.incarnation.ended {
+func (c *cond) Wait(patience time.Duration, over func() bool) bool {
+	if c.incarnation.ended {
 		panic(killed{})
 	}
 	if over() {
 		return true
 	}
-	thread := bell.incarnation.world.running
-	if thread == nil || thread.incarnation != bell.incarnation {
+	thread := c.incarnation.world.running
+	if thread == nil || thread.incarnation != c.incarnation {
 		panic("world: a wait outside of the life's own threads")
 	}
 	waiting := &waiter{thread: thread}
-	bell.waiters = append(bell.waiters, waiting)
-	length := time.Duration(float64(patience) / (1 + bell.incarnation.drift))
-	timer := bell.incarnation.world.after(length, bell.incarnation, func() {
+	c.waiters = append(c.waiters, waiting)
+	length := time.Duration(float64(patience) / (1 + c.incarnation.drift))
+	timer := c.incarnation.world.after(length, c.incarnation, func() {
 		waiting.late = true
 		thread.resume()
 	})
 	defer func() {
 		timer.canceled = true
-		for position, other := range bell.waiters {
+		for position, other := range c.waiters {
 			if other == waiting {
-				bell.waiters = append(bell.waiters[:position:position], bell.waiters[position+1:]...)
+				c.waiters = append(c.waiters[:position:position], c.waiters[position+1:]...)
 				break
 			}
 		}
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -82,23 +82,23 @@
 // mostOrders is how many orders the model tells apart.
 const mostOrders = 60
 
-func (history *operatorsHistory) note(client int, asked changeInput, answered changeOutput, from time.Duration) {
-	ended := history.world.now.Nanoseconds()
+func (o *operatorsHistory) note(client int, asked changeInput, answered changeOutput, from time.Duration) {
+	ended := o.world.now.Nanoseconds()
 	if answered.outcome == unknownOutcome {
 		ended = math.MaxInt64 / 2
 	}
-	history.operations = append(history.operations, porcupine.Operation{ClientId: client, Input: asked, Output: answered, Call: from.Nanoseconds(), Return: ended})
+	o.operations = append(o.operations, porcupine.Operation{ClientId: client, Input: asked, Output: answered, Call: from.Nanoseconds(), Return: ended})
 }
 
 // anyControl is an expediter that runs, whether it leads or not.
-func (history *operatorsHistory) anyControl() *machine {
-	return history.world.anyNode(membership.Controller)
+func (o *operatorsHistory) anyControl() *machine {
+	return o.world.anyNode(membership.Controller)
 }
 
 // read asks one expediter for the configuration; who can't be sure gives no answer.
-func (history *operatorsHistory) read(client int) (uint64, bool) {
-	machine, began := history.anyControl(), history.world.now
-	content, err := history.world.outside.ask(machine.name, time.Second, func(*incarnation) (any, error) {
+func (o *operatorsHistory) read(client int) (uint64, bool) {
+	machine, began := o.anyControl(), o.world.now
+	content, err := o.world.outside.ask(machine.name, time.Second, func(*incarnation) (any, error) {
 		if machine.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
@@ -115,53 +115,53 @@
 	if err != nil {
 		return 0, false
 	}
-	history.note(client, changeInput{read: true}, changeOutput{revision: configuration.Revision}, began)
+	o.note(client, changeInput{read: true}, changeOutput{revision: configuration.Revision}, began)
 	return configuration.Revision, true
 }
 
 // send brings an order to one expediter.
-func (history *operatorsHistory) send(client int, asked changeInput) {
-	machine, began := history.anyControl(), history.world.now
+func (o *operatorsHistory) send(client int, asked changeInput) {
+	machine, began := o.anyControl(), o.world.now
 	text := fmt.Sprintf(`{"revision":%d,"annotations":{"order":%d}}`, asked.next, asked.order)
-	_, err := history.world.outside.ask(machine.name, 2*time.Second, func(*incarnation) (any, error) {
+	_, err := o.world.outside.ask(machine.name, 2*time.Second, func(*incarnation) (any, error) {
 		if machine.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
 		return machine.control.Edit(hatch.Edit{Builds: &asked.builds, Digest: text, Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
 	})
 	if err == nil {
-		history.note(client, asked, changeOutput{outcome: acceptedOutcome}, began)
+		o.note(client, asked, changeOutput{outcome: acceptedOutcome}, began)
 		return
 	}
 	switch failure.KindOf(err) {
 	case failure.RevisionConflict:
-		history.note(client, asked, changeOutput{outcome: conflictOutcome}, began)
+		o.note(client, asked, changeOutput{outcome: conflictOutcome}, began)
 	case failure.NoPrimary, failure.NotPrimary:
 		// It certainly was not taken.
 	default:
-		history.note(client, asked, changeOutput{outcome: unknownOutcome}, began)
+		o.note(client, asked, changeOutput{outcome: unknownOutcome}, began)
 	}
 }
 
 // operate is one operator's day: orders on what it read last, some with the numbers of
 // others, and any earlier order again.
-func (history *operatorsHistory) operate(client int, until time.Duration) {
+func (o *operatorsHistory) operate(client int, until time.Duration) {
 	known := uint64(0)
-	for history.world.now < until {
-		if revision, found := history.read(client); found {
+	for o.world.now < until {
+		if revision, found := o.read(client); found {
 			known = revision
 		}
-		switch random := history.world.random; {
-		case len(history.orders) > 0 && random.IntN(3) == 0:
-			history.send(client, history.orders[random.IntN(len(history.orders))])
-		case len(history.orders) < mostOrders:
-			asked := changeInput{order: len(history.orders), builds: known, next: known + 1}
-			history.orders = append(history.orders, asked)
-			history.send(client, asked)
+		switch random := o.world.random; {
+		case len(o.orders) > 0 && random.IntN(3) == 0:
+			o.send(client, o.orders[random.IntN(len(o.orders))])
+		case len(o.orders) < mostOrders:
+			asked := changeInput{order: len(o.orders), builds: known, next: known + 1}
+			o.orders = append(o.orders, asked)
+			o.send(client, asked)
 		}
-		history.world.wait(50, 900)
+		o.world.wait(50, 900)
 	}
-	history.running--
+	o.running--
 }
 
 // controlTroubles are what happens to the core meanwhile, by their names.
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -16,34 +16,34 @@
 	duplicate float64
 }
 
-func (world *World) link(from, to string) *link {
+func (w *World) link(from, to string) *link {
 	ends := [2]string{from, to}
-	found := world.links[ends]
+	found := w.links[ends]
 	if found == nil {
-		found = &link{far: world.far(from, to)}
-		world.links[ends] = found
+		found = &link{far: w.far(from, to)}
+		w.links[ends] = found
 	}
 	return found
 }
 
 // heal ends all faults of all links.
-func (world *World) heal() {
-	world.links = map[[2]string]*link{}
-	world.slowDials = 0
+func (w *World) heal() {
+	w.links = map[[2]string]*link{}
+	w.slowDials = 0
 }
 
 // latency is how long one message takes.
-func (world *World) latency(over *link) time.Duration {
-	return time.Duration(150+world.random.IntN(1200))*time.Microsecond + over.delay + over.far
+func (w *World) latency(over *link) time.Duration {
+	return time.Duration(150+w.random.IntN(1200))*time.Microsecond + over.delay + over.far
 }
 
 // carry brings one message over a link, or loses it.
-func (world *World) carry(from, to string, life *incarnation, act func()) bool {
-	over := world.link(from, to)
-	if over.cut || (over.loss > 0 && world.random.Float64() < over.loss) {
+func (w *World) carry(from, to string, life *incarnation, act func()) bool {
+	over := w.link(from, to)
+	if over.cut || (over.loss > 0 && w.random.Float64() < over.loss) {
 		return false
 	}
-	world.after(world.latency(over), life, act)
+	w.after(w.latency(over), life, act)
 	return true
 }
 
@@ -62,28 +62,28 @@
 }
 
 // broken tells the caller that the circuit broke, if that can be heard.
-func (call *call) broken() { call.fail("the circuit broke") }
+func (c *call) broken() { c.fail("the circuit broke") }
 
-func (call *call) fail(detail string) {
-	call.caller.world.carry(call.to, call.from, call.caller, func() {
-		call.finish(nil, failure.New(failure.Unreachable, detail))
+func (c *call) fail(detail string) {
+	c.caller.world.carry(c.to, c.from, c.caller, func() {
+		c.finish(nil, failure.New(failure.Unreachable, detail))
 	})
 }
 
-func (call *call) finish(content any, err error) {
-	if call.over {
+func (c *call) finish(content any, err error) {
+	if c.over {
 		return
 	}
-	call.over, call.content, call.err = true, content, err
-	call.cond.Broadcast()
+	c.over, c.content, c.err = true, content, err
+	c.cond.Broadcast()
 }
 
 // ask has serve answered by the process that runs at the machine when the
 // question comes there; the caller's thread waits until its patience ends. A
 // link may bring the question twice.
-func (here *incarnation) ask(to string, patience time.Duration, serve func(there *incarnation) (any, error)) (any, error) {
-	world := here.world
-	asked := &call{caller: here, from: here.name, to: to, cond: &cond{incarnation: here}}
+func (i *incarnation) ask(to string, patience time.Duration, serve func(there *incarnation) (any, error)) (any, error) {
+	world := i.world
+	asked := &call{caller: i, from: i.name, to: to, cond: &cond{incarnation: i}}
 	arrive := func(first bool) {
 		there := world.incarnations[to]
 		if there == nil || there.ended {
@@ -95,7 +95,7 @@
 				return
 			}
 			// No circuit comes about.
-			world.after(dialPatience, here, func() { asked.finish(nil, failure.New(failure.Unreachable, "nobody listens")) })
+			world.after(dialPatience, i, func() { asked.finish(nil, failure.New(failure.Unreachable, "nobody listens")) })
 			return
 		}
 		forget := func() {}
@@ -110,12 +110,12 @@
 					return
 				}
 				forget()
-				world.carry(to, here.name, here, func() { asked.finish(content, err) })
+				world.carry(to, i.name, i, func() { asked.finish(content, err) })
 			})
 		})
 	}
-	world.carry(here.name, to, nil, func() { arrive(true) })
-	if over := world.link(here.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
+	world.carry(i.name, to, nil, func() { arrive(true) })
+	if over := world.link(i.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
 		world.tempt("a question brought twice")
 		world.after(time.Duration(world.random.IntN(2500))*time.Millisecond, nil, func() { arrive(false) })
 	}
@@ -129,11 +129,11 @@
 type wire struct{ incarnation *incarnation }
 
 // CallRaw sends a message to the process at an address.
-func (wire wire) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
-	world := wire.incarnation.world
+func (w wire) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
+	world := w.incarnation.world
 	world.tapMessage(path, body)
 	world.countSnapshot(path, body)
-	content, err := wire.incarnation.ask(world.nameAt(address), patience, func(there *incarnation) (any, error) {
+	content, err := w.incarnation.ask(world.nameAt(address), patience, func(there *incarnation) (any, error) {
 		if there.answer == nil {
 			return nil, failure.New(failure.Unreachable, "nobody listens yet")
 		}
--- a/internal/testbed/simulation/passing.go
+++ b/internal/testbed/simulation/passing.go
@@ -15,8 +15,8 @@
 type passing struct{ incarnation *incarnation }
 
 // Pass sends an inquiry on and gives the records of its reply to take.
-func (passing *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
-	here, world := passing.incarnation, passing.incarnation.world
+func (p *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+	here, world := p.incarnation, p.incarnation.world
 	to := world.nameAt(address)
 	replies := newPipe(world, to, here.name, here)
 	left, refused := false, false
@@ -81,8 +81,8 @@
 	}
 }
 
-func (world *World) machineNamed(name string) *machine {
-	for _, machine := range world.machines {
+func (w *World) machineNamed(name string) *machine {
+	for _, machine := range w.machines {
 		if machine.name == name {
 			return machine
 		}
--- a/internal/testbed/simulation/pipe.go
+++ b/internal/testbed/simulation/pipe.go
@@ -20,49 +20,49 @@
 }
 
 // put sends one message; false means that the circuit is broken.
-func (pipe *pipe) put(message any) bool {
-	if pipe.broken || pipe.reader.ended {
+func (p *pipe) put(message any) bool {
+	if p.broken || p.reader.ended {
 		return false
 	}
-	over := pipe.world.link(pipe.from, pipe.to)
-	if over.cut || (over.loss > 0 && pipe.world.random.Float64() < over.loss/4) {
-		pipe.lost = true
+	over := p.world.link(p.from, p.to)
+	if over.cut || (over.loss > 0 && p.world.random.Float64() < over.loss/4) {
+		p.lost = true
 		return true
 	}
-	if pipe.lost {
-		pipe.snap()
+	if p.lost {
+		p.snap()
 		return false
 	}
-	pipe.last = max(pipe.last, pipe.world.now+pipe.world.latency(over))
-	pipe.world.after(pipe.last-pipe.world.now, pipe.reader, func() {
-		if !pipe.broken {
-			pipe.waiting = append(pipe.waiting, message)
-			pipe.cond.Broadcast()
+	p.last = max(p.last, p.world.now+p.world.latency(over))
+	p.world.after(p.last-p.world.now, p.reader, func() {
+		if !p.broken {
+			p.waiting = append(p.waiting, message)
+			p.cond.Broadcast()
 		}
 	})
 	return true
 }
 
 // snap breaks the circuit; the reader hears of it unless its link is cut.
-func (pipe *pipe) snap() {
-	if pipe.world.link(pipe.from, pipe.to).cut {
+func (p *pipe) snap() {
+	if p.world.link(p.from, p.to).cut {
 		return
 	}
-	pipe.last = max(pipe.last, pipe.world.now)
-	pipe.world.after(pipe.last-pipe.world.now, pipe.reader, func() {
-		pipe.broken = true
-		pipe.cond.Broadcast()
+	p.last = max(p.last, p.world.now)
+	p.world.after(p.last-p.world.now, p.reader, func() {
+		p.broken = true
+		p.cond.Broadcast()
 	})
 }
 
 // take waits for the next message; false means that none comes any more, or
 // that quit said to stop.
-func (pipe *pipe) take(patience time.Duration, quit func() bool) (any, bool) {
-	pipe.cond.Wait(patience, func() bool { return len(pipe.waiting) > 0 || pipe.broken || quit() })
-	if len(pipe.waiting) == 0 || quit() {
+func (p *pipe) take(patience time.Duration, quit func() bool) (any, bool) {
+	p.cond.Wait(patience, func() bool { return len(p.waiting) > 0 || p.broken || quit() })
+	if len(p.waiting) == 0 || quit() {
 		return nil, false
 	}
-	message := pipe.waiting[0]
-	pipe.waiting = pipe.waiting[1:]
+	message := p.waiting[0]
+	p.waiting = p.waiting[1:]
 	return message, true
 }
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -20,10 +20,10 @@
 	down    bool
 }
 
-func (platform *platform) listServers() []membership.Server {
+func (p *platform) listServers() []membership.Server {
 	servers := []membership.Server{}
-	for _, name := range slices.Sorted(maps.Keys(platform.servers)) {
-		servers = append(servers, platform.servers[name])
+	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
+		servers = append(servers, p.servers[name])
 	}
 	return servers
 }
@@ -35,43 +35,43 @@
 	incarnation *incarnation
 }
 
-func (lists lists) reached() error {
-	if lists.world.platform.down || lists.world.link("platform", lists.incarnation.name).cut {
+func (l lists) reached() error {
+	if l.world.platform.down || l.world.link("platform", l.incarnation.name).cut {
 		return failure.New(failure.Unreachable, "the platform")
 	}
 	return nil
 }
 
 // Servers reads the list of servers.
-func (lists lists) Servers() ([]membership.Server, error) {
-	if !lists.world.isController(lists.incarnation.name) {
-		lists.world.listReads = append(lists.world.listReads, lists.world.now)
+func (l lists) Servers() ([]membership.Server, error) {
+	if !l.world.isController(l.incarnation.name) {
+		l.world.listReads = append(l.world.listReads, l.world.now)
 	}
-	if err := lists.reached(); err != nil {
+	if err := l.reached(); err != nil {
 		return nil, err
 	}
-	return lists.world.platform.listServers(), nil
+	return l.world.platform.listServers(), nil
 }
 
 // Nodes reads the list of nodes.
-func (lists lists) Nodes() ([]membership.Node, error) {
-	if lists.world.ways.NoNodes {
+func (l lists) Nodes() ([]membership.Node, error) {
+	if l.world.ways.NoNodes {
 		return nil, failure.New(failure.NoSuch, "a list of nodes")
 	}
-	if err := lists.reached(); err != nil {
+	if err := l.reached(); err != nil {
 		return nil, err
 	}
-	if lists.world.layout != nil {
-		if !lists.world.isController(lists.incarnation.name) {
+	if l.world.layout != nil {
+		if !l.world.isController(l.incarnation.name) {
 			return nil, failure.New(failure.NoSuch, "a list of nodes")
 		}
-		return lists.world.listControllers(), nil
+		return l.world.listControllers(), nil
 	}
-	return lists.world.listNodes(), nil
+	return l.world.listNodes(), nil
 }
 
-func (lists lists) ask(server membership.Server, patience time.Duration) (auction.Load, error) {
-	content, err := lists.incarnation.askServer(server.Address, patience, func(top *fleet.Engine) (int, any) {
+func (l lists) ask(server membership.Server, patience time.Duration) (auction.Load, error) {
+	content, err := l.incarnation.askServer(server.Address, patience, func(top *fleet.Engine) (int, any) {
 		return http.StatusOK, top.Load()
 	})
 	if err != nil {
@@ -81,14 +81,14 @@
 }
 
 // Pressure reads a server's load for the market of inquiries.
-func (lists lists) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
-	return lists.ask(server, patience)
+func (l lists) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
+	return l.ask(server, patience)
 }
 
 // Report reads a server's load for all couriers.
-func (lists lists) Report(server membership.Server, patience time.Duration) (scheduler.Load, error) {
-	lists.world.reportReads++
-	load, err := lists.ask(server, patience)
+func (l lists) Report(server membership.Server, patience time.Duration) (scheduler.Load, error) {
+	l.world.reportReads++
+	load, err := l.ask(server, patience)
 	return scheduler.Load{Server: load.Server, Part: string(load.Part), Waiting: load.PrefillWaiting, Running: load.DecodeActive,
 		MemoryUsed: load.MemoryTotal - load.MemoryFree, MemoryTotal: load.MemoryTotal}, err
 }
