--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -26,11 +26,11 @@
 }
 
 // stop closes the courier's side.
-func (exchange *exchange) stop() {
-	exchange.quit = true
-	exchange.replies.cond.Broadcast()
-	if exchange.hangUp != nil {
-		exchange.hangUp()
+func (e *exchange) stop() {
+	e.quit = true
+	e.replies.cond.Broadcast()
+	if e.hangUp != nil {
+		e.hangUp()
 	}
 }
 
@@ -43,30 +43,30 @@
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
 // dial waits for a circuit, which may take its time.
-func (servers *modelServers) dial() {
-	world := servers.incarnation.world
+func (m *modelServers) dial() {
+	world := m.incarnation.world
 	length := time.Duration(world.random.IntN(400)) * time.Microsecond
 	if world.slowDials > 0 && world.random.Float64() < world.slowDials {
 		length = time.Duration(world.random.IntN(2500)) * time.Millisecond
 	}
-	servers.incarnation.NewCond().Wait(length, func() bool { return false })
+	m.incarnation.NewCond().Wait(length, func() bool { return false })
 }
 
 // order sends one order to a server and returns its exchange, or nil when it
 // certainly did not go.
-func (servers *modelServers) order(decision auction.Decision, may func() bool, serve func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any)) *exchange {
-	world := servers.incarnation.world
-	servers.dial()
+func (m *modelServers) order(decision auction.Decision, may func() bool, serve func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any)) *exchange {
+	world := m.incarnation.world
+	m.dial()
 	if !may() {
 		world.tempt("an order held back after a wait")
 		return nil
 	}
 	to := world.nameAt(decision.Address)
-	begun := &exchange{replies: newPipe(world, to, servers.incarnation.name, servers.incarnation)}
-	if earlier, found := servers.running[runKey(decision.ID, decision.Run)]; found {
+	begun := &exchange{replies: newPipe(world, to, m.incarnation.name, m.incarnation)}
+	if earlier, found := m.running[runKey(decision.ID, decision.Run)]; found {
 		earlier.stop()
 	}
-	servers.running[runKey(decision.ID, decision.Run)] = begun
+	m.running[runKey(decision.ID, decision.Run)] = begun
 	arrive := func(first bool) {
 		there := world.servers[to]
 		if there == nil || there.incarnation.ended || there.incarnation.address != decision.Address {
@@ -81,11 +81,11 @@
 		if first {
 			forgetServer = there.incarnation.atEnd(begun.replies.snap)
 		}
-		hangUp := func() { world.carry(servers.incarnation.name, to, there.incarnation, conn.Close) }
+		hangUp := func() { world.carry(m.incarnation.name, to, there.incarnation, conn.Close) }
 		if first {
 			begun.hangUp = hangUp
 		}
-		forgetRouter := servers.incarnation.atEnd(hangUp)
+		forgetRouter := m.incarnation.atEnd(hangUp)
 		there.incarnation.Go(func() {
 			defer forgetRouter()
 			if there.top.Dark() {
@@ -110,11 +110,11 @@
 			}
 		})
 	}
-	if !world.carry(servers.incarnation.name, to, nil, func() { arrive(true) }) {
+	if !world.carry(m.incarnation.name, to, nil, func() { arrive(true) }) {
 		// It lies in the network until the courier gives up.
 		return begun
 	}
-	if over := world.link(servers.incarnation.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
+	if over := world.link(m.incarnation.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
 		world.tempt("an order brought twice to a server")
 		world.after(time.Duration(world.random.IntN(800))*time.Millisecond, nil, func() { arrive(false) })
 	}
@@ -136,8 +136,8 @@
 
 // lostOutcome is what a circuit without an answer means: where nobody listened
 // nothing was written.
-func (exchange *exchange) lostOutcome() auction.Outcome {
-	if exchange.refused {
+func (e *exchange) lostOutcome() auction.Outcome {
+	if e.refused {
 		return auction.NotStarted
 	}
 	return auction.Uncertain
@@ -146,10 +146,10 @@
 const exchangePatience = 2 * time.Minute
 
 // Prefill has a server read a prompt.
-func (servers *modelServers) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
+func (m *modelServers) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
 	order := modelserver.PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}
-	begun := servers.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
+	begun := m.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
 		return top.Prefill(connection, order)
 	})
 	if begun == nil {
@@ -167,10 +167,10 @@
 }
 
 // Decode has a server answer.
-func (servers *modelServers) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+func (m *modelServers) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
 	request := decision.Request
 	order := modelserver.DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}
-	begun := servers.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
+	begun := m.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
 		return top.Decode(connection, order, func(line modelserver.StreamLine) error {
 			if !send(line) {
 				return failure.New(failure.Unreachable, "the courier is gone")
@@ -203,8 +203,8 @@
 }
 
 // Command has a server take a part.
-func (servers *modelServers) Command(decision auction.Decision, may func() bool) error {
-	servers.dial()
+func (m *modelServers) Command(decision auction.Decision, may func() bool) error {
+	m.dial()
 	if !may() {
 		return failure.New(failure.LimitPassed, "the command may not go any more")
 	}
@@ -212,16 +212,16 @@
 	if decision.Order != nil {
 		order.Cause = decision.Order.Cause
 	}
-	_, err := servers.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) { return top.TakePart(order) })
+	_, err := m.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) { return top.TakePart(order) })
 	return err
 }
 
 // Cancel breaks a run's circuit and has the server stop it.
-func (servers *modelServers) Cancel(decision auction.Decision) {
-	servers.EndRun(decision.ID, decision.Run)
+func (m *modelServers) Cancel(decision auction.Decision) {
+	m.EndRun(decision.ID, decision.Run)
 	order := modelserver.CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}
-	servers.incarnation.Go(func() {
-		_, _ = servers.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) {
+	m.incarnation.Go(func() {
+		_, _ = m.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) {
 			top.Cancel(order)
 			return http.StatusOK, nil
 		})
@@ -229,18 +229,18 @@
 }
 
 // EndRun ends whatever a run still has under way.
-func (servers *modelServers) EndRun(id string, run int) {
-	if begun, found := servers.running[runKey(id, run)]; found {
-		delete(servers.running, runKey(id, run))
+func (m *modelServers) EndRun(id string, run int) {
+	if begun, found := m.running[runKey(id, run)]; found {
+		delete(m.running, runKey(id, run))
 		begun.stop()
 	}
 }
 
 // askServer has a server answer one short question.
-func (here *incarnation) askServer(address string, patience time.Duration, serve func(top *fleet.Engine) (int, any)) (any, error) {
-	world := here.world
+func (i *incarnation) askServer(address string, patience time.Duration, serve func(top *fleet.Engine) (int, any)) (any, error) {
+	world := i.world
 	to := world.nameAt(address)
-	return here.ask(to, patience, func(there *incarnation) (any, error) {
+	return i.ask(to, patience, func(there *incarnation) (any, error) {
 		server := world.servers[to]
 		if server == nil || server.incarnation != there || there.address != address {
 			return nil, failure.New(failure.Unreachable, "another server is there")
@@ -267,7 +267,7 @@
 }
 
 // fetchFrom takes a prompt's memory over from another server.
-func (world *World) fetchFrom(here *incarnation) fleet.Fetch {
+func (w *World) fetchFrom(here *incarnation) fleet.Fetch {
 	return func(_ *fleet.Connection, address string, question fleet.MemoryQuestion) (fleet.MemoryAnswer, int) {
 		status := http.StatusBadGateway
 		content, err := here.askServer(address, 2*time.Second, func(top *fleet.Engine) (int, any) {
--- a/internal/testbed/simulation/taps.go
+++ b/internal/testbed/simulation/taps.go
@@ -16,31 +16,31 @@
 // The taps read records as they are written, on wires and disks, and note each
 // key of their features that is new.
 
-func (world *World) tapRecord(record codec.Record, where string) {
+func (w *World) tapRecord(record codec.Record, where string) {
 	for key := range record.Features {
 		name := string(record.Kind) + "/" + key + "/" + where
-		if world.seenKeys[name] {
+		if w.seenKeys[name] {
 			continue
 		}
-		world.seenKeys[name] = true
-		world.Book.Note(fleet.Entry{Kind: fleet.RecordSeen, Cause: key, Part: where, Holder: record.Writer})
+		w.seenKeys[name] = true
+		w.Book.Note(fleet.Entry{Kind: fleet.RecordSeen, Cause: key, Part: where, Holder: record.Writer})
 	}
 }
 
-func (world *World) tapMessage(path string, body []byte) {
+func (w *World) tapMessage(path string, body []byte) {
 	if path != hatch.CrumbsPath {
 		return
 	}
 	var records []codec.Record
 	if msgpack.Unmarshal(body, &records) == nil {
 		for _, record := range records {
-			world.tapRecord(record, "on a wire")
+			w.tapRecord(record, "on a wire")
 		}
 	}
 }
 
 // tapFile reads what a version's file holds, framed as the pantry frames it.
-func (world *World) tapFile(name string, framed []byte) {
+func (w *World) tapFile(name string, framed []byte) {
 	var batch replication.Batch
 	if !strings.HasPrefix(name, "larder/") || len(framed) < 8 || msgpack.Unmarshal(framed[8:], &batch) != nil {
 		return
@@ -50,39 +50,39 @@
 		return
 	}
 	for _, flag := range state.Flags.Enabled {
-		if name := "flag/" + string(flag); !world.seenKeys[name] {
-			world.seenKeys[name] = true
-			world.Book.Note(fleet.Entry{Kind: fleet.FlagEnabled, Cause: string(flag)})
-			world.tempt("a flag enabled")
+		if name := "flag/" + string(flag); !w.seenKeys[name] {
+			w.seenKeys[name] = true
+			w.Book.Note(fleet.Entry{Kind: fleet.FlagEnabled, Cause: string(flag)})
+			w.tempt("a flag enabled")
 		}
 	}
 	for _, record := range state.Orders.Records {
-		world.tapRecord(record, "on a disk")
+		w.tapRecord(record, "on a disk")
 	}
 	for _, claims := range state.Claims {
 		for _, record := range claims {
-			world.tapRecord(record, "on a disk")
+			w.tapRecord(record, "on a disk")
 			break
 		}
 	}
 }
 
 // noteMember writes down what a member's release reads.
-func (world *World) noteMember(machine *machine) {
+func (w *World) noteMember(machine *machine) {
 	var flags []string
 	for _, flag := range features.Supported(machine.withheld) {
 		flags = append(flags, string(flag))
 	}
-	world.Book.Note(fleet.Entry{Kind: fleet.MemberKnown, Holder: machine.name, Flags: flags})
+	w.Book.Note(fleet.Entry{Kind: fleet.MemberKnown, Holder: machine.name, Flags: flags})
 }
 
 // noteOldMember writes down what an older release lacks, once it is recorded:
 // the primary has answered it.
-func (world *World) noteOldMember(machine *machine, begun *incarnation, heard func() time.Time) {
+func (w *World) noteOldMember(machine *machine, begun *incarnation, heard func() time.Time) {
 	begun.Go(func() {
 		for heard().IsZero() {
 			begun.NewCond().Wait(5*time.Millisecond, never)
 		}
-		world.noteMember(machine)
+		w.noteMember(machine)
 	})
 }
--- a/internal/testbed/simulation/waydays_test.go
+++ b/internal/testbed/simulation/waydays_test.go
@@ -28,23 +28,23 @@
 )
 
 // take notes the answers that the trace tells of.
-func (touch *touch) take(line string) {
+func (t *touch) take(line string) {
 	if !strings.Contains(line, " configuration_accepted ") {
 		return
 	}
-	for _, machine := range touch.world.machines {
+	for _, machine := range t.world.machines {
 		if machine.control != nil && machine.incarnation != nil && !machine.incarnation.ended && machine.control.Coordinator().Holds() {
-			touch.answered[machine.control.Store().View().VersionOf(replication.ConfigurationSection)] = touch.world.now
+			t.answered[machine.control.Store().View().VersionOf(replication.ConfigurationSection)] = t.world.now
 		}
 	}
 }
 
 // watch looks at every courier, over and over.
-func (touch *touch) watch() {
-	world := touch.world
+func (t *touch) watch() {
+	world := t.world
 	for {
 		var due replication.Version
-		for version, at := range touch.answered {
+		for version, at := range t.answered {
 			if world.now-at > applyTime && due.Before(version) {
 				due = version
 			}
@@ -54,7 +54,7 @@
 				continue
 			}
 			if has := machine.router.InForce(); has != (replication.Version{}) && has.Before(due) {
-				touch.late++
+				t.late++
 				world.say("%s is in touch and has %s, %s is due", machine.name, has, due)
 			}
 		}
--- a/internal/testbed/simulation/ways.go
+++ b/internal/testbed/simulation/ways.go
@@ -40,4 +40,4 @@
 }
 
 // SetWays chooses them, before the fleet starts.
-func (world *World) SetWays(ways Ways) { world.ways = ways }
+func (w *World) SetWays(ways Ways) { w.ways = ways }
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -28,21 +28,21 @@
 }
 
 // cutOff cuts a machine from everybody but those named, both ways.
-func (world *World) cutOff(name string, cut bool, but ...string) {
+func (w *World) cutOff(name string, cut bool, but ...string) {
 	exempt := map[string]bool{name: true, "outside": true}
 	for _, other := range but {
 		exempt[other] = true
 	}
-	for _, other := range world.machines {
+	for _, other := range w.machines {
 		if !exempt[other.name] {
-			world.link(name, other.name).cut = cut
-			world.link(other.name, name).cut = cut
+			w.link(name, other.name).cut = cut
+			w.link(other.name, name).cut = cut
 		}
 	}
 }
 
-func (world *World) newest() replication.Version {
-	_, view, err := world.primary().control.Ruling()
+func (w *World) newest() replication.Version {
+	_, view, err := w.primary().control.Ruling()
 	if err != nil {
 		return replication.Version{}
 	}
@@ -312,19 +312,19 @@
 
 // changedWhereLed makes a change at whoever leads, as an operator does whose calls
 // others answer with a word on who that is.
-func (world *World) changedWhereLed(from time.Duration, edit hatch.Edit) time.Duration {
+func (w *World) changedWhereLed(from time.Duration, edit hatch.Edit) time.Duration {
 	over := false
-	world.outside.Go(func() {
-		for ends := world.now + incidentPatience; world.now < ends && !over; world.wait(20, 20) {
-			for _, machine := range world.nodes(membership.Controller) {
+	w.outside.Go(func() {
+		for ends := w.now + incidentPatience; w.now < ends && !over; w.wait(20, 20) {
+			for _, machine := range w.nodes(membership.Controller) {
 				if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
 					continue
 				}
 				control := machine.control
-				_, err := world.outside.ask(machine.name, time.Second, func(*incarnation) (any, error) { return control.Edit(edit) })
+				_, err := w.outside.ask(machine.name, time.Second, func(*incarnation) (any, error) { return control.Edit(edit) })
 				over = over || err == nil
 			}
 		}
 	})
-	return world.since(from, func() bool { return over })
+	return w.since(from, func() bool { return over })
 }
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -124,47 +124,47 @@
 	return world
 }
 
-func (world *World) addMachine(kind membership.NodeKind, name, address, zone string, seeds []string) *machine {
-	added := &machine{name: name, kind: kind, address: address, zone: zone, seeds: seeds, drift: (world.random.Float64() - 0.5) / 25}
+func (w *World) addMachine(kind membership.NodeKind, name, address, zone string, seeds []string) *machine {
+	added := &machine{name: name, kind: kind, address: address, zone: zone, seeds: seeds, drift: (w.random.Float64() - 0.5) / 25}
 	if kind == membership.Controller {
-		added.disk = newDisk(world)
+		added.disk = newDisk(w)
 	}
-	world.machines = append(world.machines, added)
-	world.byAddress[address] = name
+	w.machines = append(w.machines, added)
+	w.byAddress[address] = name
 	return added
 }
 
 // say adds a line to the trace.
-func (world *World) say(format string, values ...any) {
-	line := fmt.Sprintf("%9.4f ", world.now.Seconds()) + fmt.Sprintf(format, values...)
-	_, _ = world.trace.Write([]byte(line + "\n"))
-	world.Log(line)
+func (w *World) say(format string, values ...any) {
+	line := fmt.Sprintf("%9.4f ", w.now.Seconds()) + fmt.Sprintf(format, values...)
+	_, _ = w.trace.Write([]byte(line + "\n"))
+	w.Log(line)
 }
 
 // Trace is a digest of everything that happened: the world's steps and the
 // book.
-func (world *World) Trace() string {
+func (w *World) Trace() string {
 	whole := sha256.New()
-	_, _ = whole.Write(world.trace.Sum(nil))
+	_, _ = whole.Write(w.trace.Sum(nil))
 	encoder := json.NewEncoder(whole)
-	for _, entry := range world.Book.Entries() {
+	for _, entry := range w.Book.Entries() {
 		_ = encoder.Encode(entry)
 	}
-	_ = binary.Write(whole, binary.BigEndian, world.acted)
+	_ = binary.Write(whole, binary.BigEndian, w.acted)
 	return hex.EncodeToString(whole.Sum(nil))
 }
 
 // tempt counts a moment in which something that must never happen could.
-func (world *World) tempt(what string) { world.temptations[what]++ }
+func (w *World) tempt(what string) { w.temptations[what]++ }
 
 // Temptations tells how often each really occurred.
-func (world *World) Temptations() map[string]int { return world.temptations }
+func (w *World) Temptations() map[string]int { return w.temptations }
 
-func (world *World) nameAt(address string) string { return world.byAddress[address] }
+func (w *World) nameAt(address string) string { return w.byAddress[address] }
 
 // powered tells whether a machine answers that nobody listens, or not at all.
-func (world *World) powered(name string) bool {
-	for _, machine := range world.machines {
+func (w *World) powered(name string) bool {
+	for _, machine := range w.machines {
 		if machine.name == name {
 			return !machine.off && !machine.gone
 		}
@@ -172,76 +172,76 @@
 	return true
 }
 
-func (world *World) nonce() string {
-	world.nonces++
-	return "n" + strconv.FormatUint(world.nonces, 36)
+func (w *World) nonce() string {
+	w.nonces++
+	return "n" + strconv.FormatUint(w.nonces, 36)
 }
 
 // requestID is a UUID of version 7, made at the moment that a caller's clock
 // shows.
-func (world *World) requestID() string {
+func (w *World) requestID() string {
 	var id uuid.UUID
-	binary.BigEndian.PutUint64(id[:8], uint64(epoch.Add(world.now).UnixMilli())<<16|uint64(world.random.IntN(1<<12)))
-	binary.BigEndian.PutUint64(id[8:], world.random.Uint64())
+	binary.BigEndian.PutUint64(id[:8], uint64(epoch.Add(w.now).UnixMilli())<<16|uint64(w.random.IntN(1<<12)))
+	binary.BigEndian.PutUint64(id[8:], w.random.Uint64())
 	id[6], id[8] = id[6]&0x0f|0x70, id[8]&0x3f|0x80
 	return id.String()
 }
 
-func (world *World) newIncarnation(name, address string, drift float64) *incarnation {
-	begun := &incarnation{world: world, name: name, address: address, bornAt: world.now, wall: epoch.Add(world.now), drift: drift,
+func (w *World) newIncarnation(name, address string, drift float64) *incarnation {
+	begun := &incarnation{world: w, name: name, address: address, bornAt: w.now, wall: epoch.Add(w.now), drift: drift,
 		threads: map[*thread]bool{}, endings: map[uint64]func(){}}
-	world.incarnations[name] = begun
+	w.incarnations[name] = begun
 	return begun
 }
 
-func (world *World) startServer(plan fleet.ServerPlan) {
-	world.nonces++
-	address := "10.1." + strconv.FormatUint(world.nonces>>8, 10) + "." + strconv.FormatUint(world.nonces&0xff, 10) + ":1"
-	begun := world.newIncarnation(plan.Name, address, 0)
-	world.byAddress[address] = plan.Name
-	world.servers[plan.Name] = &server{plan: plan, incarnation: begun, top: fleet.NewEngine(plan, world.Book, begun, world.nonce, world.fetchFrom(begun)),
-		calls: &callServer{world: world, name: plan.Name, handles: map[string]*callMemory{}}}
-	world.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, Zone: plan.Zone}
+func (w *World) startServer(plan fleet.ServerPlan) {
+	w.nonces++
+	address := "10.1." + strconv.FormatUint(w.nonces>>8, 10) + "." + strconv.FormatUint(w.nonces&0xff, 10) + ":1"
+	begun := w.newIncarnation(plan.Name, address, 0)
+	w.byAddress[address] = plan.Name
+	w.servers[plan.Name] = &server{plan: plan, incarnation: begun, top: fleet.NewEngine(plan, w.Book, begun, w.nonce, w.fetchFrom(begun)),
+		calls: &callServer{world: w, name: plan.Name, handles: map[string]*callMemory{}}}
+	w.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, Zone: plan.Zone}
 }
 
-func (world *World) crashServer(name string) {
-	if server := world.servers[name]; !server.incarnation.ended {
+func (w *World) crashServer(name string) {
+	if server := w.servers[name]; !server.incarnation.ended {
 		server.top.Die()
 		server.incarnation.end()
 	}
 }
 
 // start begins a machine's process, if none runs there.
-func (world *World) start(machine *machine) {
+func (w *World) start(machine *machine) {
 	if machine.gone || (machine.incarnation != nil && !machine.incarnation.ended) {
 		return
 	}
 	machine.off = false
 	machine.starts++
-	begun := world.newIncarnation(machine.name, machine.address, machine.drift)
+	begun := w.newIncarnation(machine.name, machine.address, machine.drift)
 	machine.incarnation, machine.router, machine.control = begun, nil, nil
 	supported := features.Supported(machine.withheld)
-	world.say("%s starts, %d flags", machine.name, len(supported))
+	w.say("%s starts, %d flags", machine.name, len(supported))
 	if len(machine.withheld) == 0 {
 		// From here on it reads the new formats.
-		world.noteMember(machine)
+		w.noteMember(machine)
 	}
-	observe := func(event string, detail ...any) { world.say("%s %s %v", machine.name, event, detail) }
+	observe := func(event string, detail ...any) { w.say("%s %s %v", machine.name, event, detail) }
 	if machine.kind == membership.Controller {
-		begun.Go(func() { world.runController(machine, begun, supported, observe) })
+		begun.Go(func() { w.runController(machine, begun, supported, observe) })
 		return
 	}
 	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
-	options := hatch.RouterOptions{Options: seamloom.Options{Router: machine.name, Zone: machine.zone, Supported: supported, FixedParts: world.fixedParts}, Address: machine.address,
-		Seeds: machine.seeds, Nonce: world.nonce, Ended: endedHere, Directory: lists{world, begun}}
-	options.ServeWithoutHold = world.ways.ServeWithoutHold
-	if world.ways.Calls {
+	options := hatch.RouterOptions{Options: seamloom.Options{Router: machine.name, Zone: machine.zone, Supported: supported, FixedParts: w.fixedParts}, Address: machine.address,
+		Seeds: machine.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
+	options.ServeWithoutHold = w.ways.ServeWithoutHold
+	if w.ways.Calls {
 		options.Board = func(*scheduler.Window) hatch.Board { return deaf{} }
 	}
-	if world.layout == nil {
-		options.Pressures = lists{world, begun}
+	if w.layout == nil {
+		options.Pressures = lists{w, begun}
 	}
-	world.prepareCalls(machine, begun, &options)
+	w.prepareCalls(machine, begun, &options)
 	router := hatch.NewRouter(begun, wire{begun}, servers, &passing{incarnation: begun}, options, observe)
 	machine.router = router
 	begun.answer = router.Answers().Answer
@@ -249,50 +249,50 @@
 		begun.Go(round)
 	}
 	if len(machine.withheld) > 0 {
-		world.noteOldMember(machine, begun, router.Heard)
+		w.noteOldMember(machine, begun, router.Heard)
 	}
 }
 
-func (world *World) runController(machine *machine, begun *incarnation, supported features.List, observe func(string, ...any)) {
+func (w *World) runController(machine *machine, begun *incarnation, supported features.List, observe func(string, ...any)) {
 	machine.disk.owner = begun
 	keeping, _ := storage.OpenFolder(machine.disk, "keeper")
 	copies, _ := storage.OpenFolder(machine.disk, "larder")
 	options := hatch.ControllerOptions{Name: machine.name, Address: machine.address, Zone: machine.zone, Seeds: machine.seeds, Supported: supported,
-		FlagSettle: 2 * time.Second, BorneLosses: world.borneLosses(), Fresh: newIdentity(world, machine), Directory: lists{world, begun}, Reports: lists{world, begun}}
-	options.AcknowledgeWait, options.RetireAfter = world.ways.AcknowledgeWait, world.ways.RetireAfter
-	options.JoinsOnly = world.ways.JoinOnly || world.ways.FormOnce && machine.starts > 1 || world.ways.FormOnce && world.now > opening
+		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, machine), Directory: lists{w, begun}, Reports: lists{w, begun}}
+	options.AcknowledgeWait, options.RetireAfter = w.ways.AcknowledgeWait, w.ways.RetireAfter
+	options.JoinsOnly = w.ways.JoinOnly || w.ways.FormOnce && machine.starts > 1 || w.ways.FormOnce && w.now > opening
 	control, blank, err := hatch.OpenController(begun, wire{begun}, keeping, copies, options, observe)
 	if err != nil {
-		world.say("%s can't open its disk: %v", machine.name, err)
+		w.say("%s can't open its disk: %v", machine.name, err)
 		begun.end()
 		return
 	}
-	world.say("%s opened its disk, blank %v", machine.name, blank)
+	w.say("%s opened its disk, blank %v", machine.name, blank)
 	machine.control = control
 	begun.answer = control.Answers().Answer
 	for _, round := range control.Rounds() {
 		begun.Go(round)
 	}
 	if len(machine.withheld) > 0 {
-		world.noteOldMember(machine, begun, control.Heard)
+		w.noteOldMember(machine, begun, control.Heard)
 	}
 }
 
 // kill ends a machine's process.
-func (world *World) kill(machine *machine) {
+func (w *World) kill(machine *machine) {
 	if machine.incarnation == nil || machine.incarnation.ended {
 		return
 	}
-	if machine.router != nil && world.claiming[machine.name] > 0 {
-		world.tempt("a claim in flight at a kill")
+	if machine.router != nil && w.claiming[machine.name] > 0 {
+		w.tempt("a claim in flight at a kill")
 	}
 	if machine.router != nil && machine.router.Core().InFlight() > 0 {
-		world.tempt("inquiries under way at a kill")
+		w.tempt("inquiries under way at a kill")
 	}
 	if machine.control != nil && machine.control.Coordinator().Holds() {
-		world.tempt("a primary killed under its hold")
+		w.tempt("a primary killed under its hold")
 	}
-	world.say("%s is killed", machine.name)
+	w.say("%s is killed", machine.name)
 	machine.incarnation.end()
 	if machine.disk != nil {
 		machine.disk.owner = nil
@@ -301,11 +301,11 @@
 
 // powerOff takes a machine away: what was not synced is gone, and nothing
 // answers there, not even that nobody listens.
-func (world *World) powerOff(name string) {
-	for _, machine := range world.machines {
+func (w *World) powerOff(name string) {
+	for _, machine := range w.machines {
 		if machine.name == name {
 			machine.off = true
-			world.kill(machine)
+			w.kill(machine)
 			if machine.disk != nil {
 				machine.disk.lose()
 				machine.disk.powerFailsIn = 0
@@ -314,9 +314,9 @@
 	}
 }
 
-func (world *World) listNodes() []membership.Node {
+func (w *World) listNodes() []membership.Node {
 	var nodes []membership.Node
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if !machine.gone {
 			nodes = append(nodes, membership.Node{Name: machine.name, Kind: machine.kind, Address: machine.address, Zone: machine.zone})
 		}
