--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -53,7 +53,7 @@
 }
 
 func main() {
-	taster := &taster{client: &http.Client{Timeout: 5 * time.Second}}
+	t := &taster{client: &http.Client{Timeout: 5 * time.Second}}
 	var to string
 	code := fine
 	root := &cobra.Command{Use: "configcheck FILE", Short: "check a proposed configuration against the fleet as it is", Args: cobra.ExactArgs(1), SilenceUsage: true, SilenceErrors: true,
@@ -64,16 +64,16 @@
 			"5 the configuration in force changed meanwhile, 10 warnings only.",
 		Example: "  configcheck proposed.json --to 127.0.0.1:7101,127.0.0.1:7102\n  configcheck --patch change.json --expected 4.17 --json --to 127.0.0.1:7101",
 		RunE: func(_ *cobra.Command, arguments []string) error {
-			taster.addresses = strings.Split(to, ",")
+			t.addresses = strings.Split(to, ",")
 			var said report
-			code, said = taster.check(arguments[0])
-			taster.print(said)
+			code, said = t.check(arguments[0])
+			t.print(said)
 			return nil
 		}}
 	root.Flags().StringVar(&to, "to", "127.0.0.1:7101", "addresses of expediters, with commas between")
-	root.Flags().BoolVar(&taster.asPatch, "patch", false, "FILE is a merge patch (RFC 7396) for the configuration in force")
-	root.Flags().BoolVar(&taster.asJSON, "json", false, "print JSON")
-	root.Flags().StringVar(&taster.expected, "expected", "", "the version that the proposal was written for")
+	root.Flags().BoolVar(&t.asPatch, "patch", false, "FILE is a merge patch (RFC 7396) for the configuration in force")
+	root.Flags().BoolVar(&t.asJSON, "json", false, "print JSON")
+	root.Flags().StringVar(&t.expected, "expected", "", "the version that the proposal was written for")
 	if err := root.Execute(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "taster:", err)
 		os.Exit(wrongUse)
--- a/cmd/controller/operator.go
+++ b/cmd/controller/operator.go
@@ -37,33 +37,33 @@
 	get := subcommand("get", "print the configuration in force and its version", cobra.NoArgs, func(operator *operator, command *cobra.Command, _ []string) error {
 		return operator.call(http.MethodGet, "/v1/configuration", nil, nil)
 	})
-	status := subcommand("status", "who leads, who is there, flags, duties, orders, and what lags", cobra.NoArgs, func(operator *operator, command *cobra.Command, _ []string) error {
+	status := subcommand("status", "who leads, who is there, flags, duties, orders, and what lags", cobra.NoArgs, func(o *operator, command *cobra.Command, _ []string) error {
 		asJSON, _ := command.Flags().GetBool("json")
-		return operator.showStatus(asJSON)
+		return o.showStatus(asJSON)
 	})
 	status.Flags().Bool("json", false, "print all of it as JSON, for scripts")
-	put := subcommand("put FILE", "replace the whole configuration; - reads standard input", cobra.ExactArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
-		return operator.change(command, http.MethodPut, arguments[0])
+	put := subcommand("put FILE", "replace the whole configuration; - reads standard input", cobra.ExactArgs(1), func(op *operator, command *cobra.Command, arguments []string) error {
+		return op.change(command, http.MethodPut, arguments[0])
 	})
-	patch := subcommand("patch FILE", "merge a partial configuration (RFC 7396); - reads standard input", cobra.ExactArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
-		return operator.change(command, http.MethodPatch, arguments[0])
+	patch := subcommand("patch FILE", "merge a partial configuration (RFC 7396); - reads standard input", cobra.ExactArgs(1), func(opr *operator, command *cobra.Command, arguments []string) error {
+		return opr.change(command, http.MethodPatch, arguments[0])
 	})
 	for _, command := range []*cobra.Command{put, patch} {
 		command.Flags().String("expected", "", "the version that is changed, such as 2.9 (default: the one in force now)")
 		command.Flags().Int64("builds-on", -1, "the revision that is changed, in the place of a version; the file gives a higher one")
 		command.Flags().String("change", "", "an id for this change, to ask for it later (default: a new one)")
 	}
-	evacuate := subcommand("evacuate DISTRICT", "keep new work out of a zone's servers", cobra.ExactArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
+	evacuate := subcommand("evacuate DISTRICT", "keep new work out of a zone's servers", cobra.ExactArgs(1), func(ope *operator, command *cobra.Command, arguments []string) error {
 		reason, _ := command.Flags().GetString("reason")
 		body, err := json.Marshal(map[string]string{"reason": reason})
 		if err != nil {
 			return failure.Wrap(failure.Malformed, err)
 		}
-		return operator.call(http.MethodPost, "/v1/evacuations/"+url.PathEscape(arguments[0]), newChange(), body)
+		return ope.call(http.MethodPost, "/v1/evacuations/"+url.PathEscape(arguments[0]), newChange(), body)
 	})
 	evacuate.Flags().String("reason", "", "why, for other operators")
-	restore := subcommand("restore DISTRICT", "lift a zone's evacuation", cobra.ExactArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
-		return operator.call(http.MethodDelete, "/v1/evacuations/"+url.PathEscape(arguments[0]), newChange(), nil)
+	restore := subcommand("restore DISTRICT", "lift a zone's evacuation", cobra.ExactArgs(1), func(aOperator *operator, command *cobra.Command, arguments []string) error {
+		return aOperator.call(http.MethodDelete, "/v1/evacuations/"+url.PathEscape(arguments[0]), newChange(), nil)
 	})
 	change := subcommand("change ID", "find out what became of a change with an unknown outcome", cobra.ExactArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
 		return operator.call(http.MethodGet, "/v1/changes/"+url.PathEscape(arguments[0]), nil, nil)
@@ -114,15 +114,15 @@
 	}
 	expected, _ := command.Flags().GetString("expected")
 	if expected == "" {
-		answered, err := o.ask(http.MethodGet, "/v1/configuration", nil, nil)
+		a, err := o.ask(http.MethodGet, "/v1/configuration", nil, nil)
 		if err != nil {
 			return err
 		}
 		var current struct {
 			Version string `json:"version"`
 		}
-		if err := json.Unmarshal(answered.body, &current); err != nil || current.Version == "" {
-			return o.show(answered)
+		if err := json.Unmarshal(a.body, &current); err != nil || current.Version == "" {
+			return o.show(a)
 		}
 		expected = current.Version
 	}
@@ -172,27 +172,27 @@
 }
 
 func (o *operator) call(method, path string, query url.Values, body []byte) error {
-	answered, err := o.ask(method, path, query, body)
+	a, err := o.ask(method, path, query, body)
 	if err != nil {
 		return err
 	}
-	return o.show(answered)
+	return o.show(a)
 }
 
-func (o *operator) show(answered answered) error {
+func (o *operator) show(a answered) error {
 	var indented bytes.Buffer
-	if json.Indent(&indented, answered.body, "", "  ") != nil {
+	if json.Indent(&indented, a.body, "", "  ") != nil {
 		indented.Reset()
-		indented.Write(answered.body)
+		indented.Write(a.body)
 	}
 	_, _ = os.Stdout.WriteString(strings.TrimRight(indented.String(), "\n") + "\n")
 	switch {
-	case answered.status < 300:
+	case a.status < 300:
 		return nil
-	case answered.status == http.StatusServiceUnavailable && bytes.Contains(answered.body, []byte(`"unknown"`)):
+	case a.status == http.StatusServiceUnavailable && bytes.Contains(a.body, []byte(`"unknown"`)):
 		return &operatorTrouble{code: 3, said: "unknown outcome"}
-	case answered.status == http.StatusServiceUnavailable:
+	case a.status == http.StatusServiceUnavailable:
 		return &operatorTrouble{code: 4, said: "no primary"}
 	}
-	return &operatorTrouble{code: 1, said: "status " + strconv.Itoa(answered.status)}
+	return &operatorTrouble{code: 1, said: "status " + strconv.Itoa(a.status)}
 }
--- a/cmd/controller/status.go
+++ b/cmd/controller/status.go
@@ -37,13 +37,13 @@
 // showStatus prints the status for people, with a line for each thing that wants
 // looking at.
 func (o *operator) showStatus(asJSON bool) error {
-	answered, err := o.ask(http.MethodGet, "/v1/status", nil, nil)
+	a, err := o.ask(http.MethodGet, "/v1/status", nil, nil)
 	if err != nil {
 		return err
 	}
 	var status statusAnswer
-	if asJSON || answered.status != http.StatusOK || json.Unmarshal(answered.body, &status) != nil {
-		return o.show(answered)
+	if asJSON || a.status != http.StatusOK || json.Unmarshal(a.body, &status) != nil {
+		return o.show(a)
 	}
 	fmt.Print(status)
 	return nil
--- a/cmd/controller/usage.go
+++ b/cmd/controller/usage.go
@@ -13,7 +13,7 @@
 
 // usageCommand gathers every running courier's ledger into one file.
 func usageCommand() *cobra.Command {
-	command := subcommand("usage FILE", "export usage of all running couriers as CSV or Parquet", cobra.ExactArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
+	command := subcommand("usage FILE", "export usage of all running couriers as CSV or Parquet", cobra.ExactArgs(1), func(o *operator, command *cobra.Command, arguments []string) error {
 		format, _ := command.Flags().GetString("format")
 		write := usage.WriteCSV
 		switch format {
@@ -23,7 +23,7 @@
 		default:
 			return failure.At(failure.OutOfRange, "format", "is csv or parquet, not \""+format+"\"")
 		}
-		rows, err := operator.usage()
+		rows, err := o.usage()
 		if err != nil {
 			return err
 		}
@@ -42,12 +42,12 @@
 }
 
 func (o *operator) usage() ([]usage.Row, error) {
-	answered, err := o.ask(http.MethodGet, "/v1/status", nil, nil)
+	a, err := o.ask(http.MethodGet, "/v1/status", nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	if answered.status != http.StatusOK {
-		return nil, o.show(answered)
+	if a.status != http.StatusOK {
+		return nil, o.show(a)
 	}
 	var status struct {
 		Members map[string]struct {
@@ -56,7 +56,7 @@
 			Running bool   `json:"running"`
 		} `json:"members"`
 	}
-	if err := json.Unmarshal(answered.body, &status); err != nil {
+	if err := json.Unmarshal(a.body, &status); err != nil {
 		return nil, failure.Wrap(failure.Garbage, err)
 	}
 	var all []usage.Row
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -48,8 +48,8 @@
 	root.AddCommand(fleetCommand(), runCommand(), seasonCommand(), worldsCommand(), removalsCommand(), eachCommand(), regionsCommand(), compareCommand(), platformDayCommand(), platformDaysCommand(), scriptCommand(membership.Router), scriptCommand(membership.Controller))
 	if err := root.Execute(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "rehearsal:", err)
-		var mistaken mistaken
-		if errors.As(err, &mistaken) {
+		var m mistaken
+		if errors.As(err, &m) {
 			os.Exit(2)
 		}
 		os.Exit(1)
--- a/cmd/testbed/platformday.go
+++ b/cmd/testbed/platformday.go
@@ -39,7 +39,7 @@
 	command.Flags().StringVar(&binaries, "binaries", "target", "the folder of the programs")
 	command.Flags().StringVar(&folder, "folder", "", "folder for settings, logs, disks and the report (default: a new one)")
 	command.RunE = func(_ *cobra.Command, arguments []string) error {
-		plan, mistakes := replay.ReadPlan(arguments[0])
+		p, mistakes := replay.ReadPlan(arguments[0])
 		if mistakes != nil {
 			return mistaken{mistakes}
 		}
@@ -54,7 +54,7 @@
 		} else if err := os.MkdirAll(folder, 0o755); err != nil {
 			return failure.Wrap(failure.Disk, err)
 		}
-		_, err = playPlatformDay(plan, roles, folder)
+		_, err = playPlatformDay(p, roles, folder)
 		return err
 	}
 	return command
@@ -87,11 +87,11 @@
 		}
 		failed := 0
 		for seed := from; seed < from+uint64(count); seed++ {
-			plan := replay.DrawPlan(seed, faults)
+			p := replay.DrawPlan(seed, faults)
 			if hard {
-				plan = replay.DrawHardPlan(seed)
+				p = replay.DrawHardPlan(seed)
 			}
-			if !playDrawnDay(plan, roles, filepath.Join(folder, fmt.Sprintf("day-%d", seed))) {
+			if !playDrawnDay(p, roles, filepath.Join(folder, fmt.Sprintf("day-%d", seed))) {
 				failed++
 			}
 		}
@@ -104,12 +104,12 @@
 }
 
 // playDrawnDay plays one day and keeps its folder when it fails.
-func playDrawnDay(plan replay.Plan, roles []replay.Role, folder string) bool {
+func playDrawnDay(p replay.Plan, roles []replay.Role, folder string) bool {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		fmt.Println(err)
 		return false
 	}
-	text, err := plan.Text()
+	text, err := p.Text()
 	if err == nil {
 		err = os.WriteFile(filepath.Join(folder, "day.toml"), []byte(text), 0o644)
 	}
@@ -117,18 +117,18 @@
 		fmt.Println(err)
 		return false
 	}
-	verdict, err := playPlatformDay(plan, roles, folder)
+	verdict, err := playPlatformDay(p, roles, folder)
 	if err != nil {
-		fmt.Printf("seed %d FAILED (%s): %s\n  replay: testbed replay %s\n", plan.Seed, plan.Title(), err, filepath.Join(folder, "day.toml"))
+		fmt.Printf("seed %d FAILED (%s): %s\n  replay: testbed replay %s\n", p.Seed, p.Title(), err, filepath.Join(folder, "day.toml"))
 		return false
 	}
-	fmt.Printf("seed %d held, served %.3f (%s)\n", plan.Seed, verdict.Figures.Served(), plan.Title())
+	fmt.Printf("seed %d held, served %.3f (%s)\n", p.Seed, verdict.Figures.Served(), p.Title())
 	_ = os.RemoveAll(folder)
 	return true
 }
 
-func playPlatformDay(plan replay.Plan, roles []replay.Role, folder string) (replay.Verdict, error) {
-	day, err := replay.NewDay(replay.SmallSite(), roles, plan.Seed, folder, os.Stderr)
+func playPlatformDay(p replay.Plan, roles []replay.Role, folder string) (replay.Verdict, error) {
+	day, err := replay.NewDay(replay.SmallSite(), roles, p.Seed, folder, os.Stderr)
 	if err != nil {
 		return replay.Verdict{}, err
 	}
@@ -136,7 +136,7 @@
 	if err := day.Begin(40 * time.Second); err != nil {
 		return replay.Verdict{}, err
 	}
-	verdict := day.Run(plan)
+	verdict := day.Run(p)
 	fmt.Print(verdict)
 	text, err := json.MarshalIndent(verdict, "", "  ")
 	if err != nil {
--- a/internal/adapters/proxy/bench_test.go
+++ b/internal/adapters/proxy/bench_test.go
@@ -17,7 +17,7 @@
 
 // scan answers calls on raw circuits with as little work as possible, so that what is
 // measured is the courier.
-func scan(listener net.Listener, answer []byte, chunks int) {
+func scan(listener net.Listener, a []byte, chunks int) {
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -29,14 +29,14 @@
 			for {
 				length := 0
 				for {
-					line, err := reader.ReadSlice('\n')
+					l, err := reader.ReadSlice('\n')
 					if err != nil {
 						return
 					}
-					if text, found := strings.CutPrefix(string(line), "Content-Length: "); found {
+					if text, found := strings.CutPrefix(string(l), "Content-Length: "); found {
 						length, _ = strconv.Atoi(strings.TrimSpace(text))
 					}
-					if len(line) <= 2 {
+					if len(l) <= 2 {
 						break
 					}
 				}
@@ -44,10 +44,10 @@
 					return
 				}
 				if chunks == 0 {
-					_, _ = connection.Write(answer)
+					_, _ = connection.Write(a)
 					continue
 				}
-				_, _ = connection.Write(answer)
+				_, _ = connection.Write(a)
 				for piece := range chunks {
 					_, _ = io.WriteString(connection, chunk(event(piece+1)))
 				}
@@ -64,26 +64,26 @@
 }
 
 // Serve reads and runs.
-func (h *halves) Serve(_ *scheduler.Call, exchange hatch.Exchange) {
+func (h *halves) Serve(_ *scheduler.Call, e hatch.Exchange) {
 	ends := time.Now().Add(5 * time.Second)
 	decision := scheduler.Decision{Kind: scheduler.Run, Server: h.runner, Ends: ends, Urgency: 1}
 	if h.reader.Address != "" {
-		outcome := exchange.Read(scheduler.Decision{Kind: scheduler.Read, Server: h.reader, Ends: ends, Urgency: 1})
+		outcome := e.Read(scheduler.Decision{Kind: scheduler.Read, Server: h.reader, Ends: ends, Urgency: 1})
 		decision.Source = &scheduler.Source{Address: h.reader.Address, Handle: outcome.Handle}
 	}
-	if outcome := exchange.Run(&h.route, decision, func() {}); outcome.Result != scheduler.Complete {
+	if outcome := e.Run(&h.route, decision, func() {}); outcome.Result != scheduler.Complete {
 		panic(outcome.Result)
 	}
 }
 
 func benchmarkCalls(b *testing.B, read bool, chunks, size int) {
-	open := func(answer string, pieces int) membership.Server {
+	open := func(a string, pieces int) membership.Server {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.Cleanup(func() { _ = listener.Close() })
-		go scan(listener, []byte(answer), pieces)
+		go scan(listener, []byte(a), pieces)
 		return membership.Server{Name: "life", Address: listener.Addr().String()}
 	}
 	conduct := &halves{runner: open(stream("id", "Keep-Alive: timeout=9", "X-Weight: 1"), chunks)}
--- a/internal/adapters/proxy/circuits.go
+++ b/internal/adapters/proxy/circuits.go
@@ -161,8 +161,8 @@
 		surplus = append(surplus, c.sweep(now)...)
 	}
 	c.mutex.Unlock()
-	for _, line := range surplus {
-		line.close()
+	for _, l := range surplus {
+		l.close()
 	}
 }
 
@@ -172,11 +172,11 @@
 	var surplus []*line
 	for key, resting := range c.resting {
 		kept := resting[:0]
-		for position, line := range resting {
-			if line.client.Err() != nil || line.connection.rested(now) || len(resting)-position > mostResting {
-				surplus = append(surplus, line)
+		for position, l := range resting {
+			if l.client.Err() != nil || l.connection.rested(now) || len(resting)-position > mostResting {
+				surplus = append(surplus, l)
 			} else {
-				kept = append(kept, line)
+				kept = append(kept, l)
 			}
 		}
 		clear(resting[len(kept):])
@@ -205,8 +205,8 @@
 		}
 	}
 	c.mutex.Unlock()
-	for _, line := range surplus {
-		line.close()
+	for _, l := range surplus {
+		l.close()
 	}
 }
 
--- a/internal/adapters/proxy/circuits_test.go
+++ b/internal/adapters/proxy/circuits_test.go
@@ -17,16 +17,16 @@
 func asBody(text string) io.ReadCloser { return io.NopCloser(strings.NewReader(text)) }
 
 func TestAConnectionThatRestedTooLongIsNotUsed(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=2"))
 		return true
 	})
 	var ahead atomic.Int64
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	router := newRouter(t, scripted)
-	router.connections.now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
-	scripted.decide = func(number int, outcome scheduler.Outcome) scheduler.Decision {
-		decision := once(func() membership.Server { return standin.server })(number, outcome)
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	r := newRouter(t, sc)
+	r.connections.now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
+	sc.decide = func(number int, outcome scheduler.Outcome) scheduler.Decision {
+		decision := once(func() membership.Server { return s.server })(number, outcome)
 		decision.Ends = decision.Ends.Add(time.Hour)
 		return decision
 	}
@@ -35,28 +35,28 @@
 		connections int
 	}{{0, 1}, {time.Second, 1}, {1800 * time.Millisecond, 2}} {
 		ahead.Add(int64(step.later))
-		if got := router.send(t, "id", ""); got.status != 200 || standin.opened() != step.connections {
-			t.Fatalf("after %v: %+v, %d circuits", step.later, got, standin.opened())
+		if got := r.send(t, "id", ""); got.status != 200 || s.opened() != step.connections {
+			t.Fatalf("after %v: %+v, %d circuits", step.later, got, s.opened())
 		}
 	}
 }
 
 func TestAConnectionThatItsServerClosedIsNotUsed(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return false
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	router := newRouter(t, scripted)
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	r := newRouter(t, sc)
 	for number := range 20 {
-		got := router.send(t, "id", "body")
-		if got.status != 200 && scripted.last().Result != scheduler.Silent {
-			t.Fatalf("%d: %+v %+v", number, got, scripted.last())
+		got := r.send(t, "id", "body")
+		if got.status != 200 && sc.last().Result != scheduler.Silent {
+			t.Fatalf("%d: %+v %+v", number, got, sc.last())
 		}
-		until(t, "the circuit is seen closed", func() bool { return !restingGood(router.connections) })
+		until(t, "the circuit is seen closed", func() bool { return !restingGood(r.connections) })
 	}
-	if standin.count() != 20 {
-		t.Fatalf("%d calls for 20", standin.count())
+	if s.count() != 20 {
+		t.Fatalf("%d calls for 20", s.count())
 	}
 }
 
@@ -65,8 +65,8 @@
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
 	for _, resting := range connections.resting {
-		for _, line := range resting {
-			if line.client.Err() == nil {
+		for _, l := range resting {
+			if l.client.Err() == nil {
 				return true
 			}
 		}
@@ -78,7 +78,7 @@
 	for name, extra := range map[string]string{"bytes": "more bytes", "an answer": whole(200, "id", "again"), "a late answer": "late"} {
 		t.Run(name, func(t *testing.T) {
 			var number atomic.Int64
-			standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+			s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 				id := inbound.Header.Get("Seamloom-Call")
 				if number.Add(1) > 1 {
 					connection.say(whole(200, id, "mine"))
@@ -93,16 +93,16 @@
 				connection.say(whole(200, id, "again"))
 				return true
 			})
-			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			router := newRouter(t, scripted)
-			if got := router.send(t, "first", "body"); string(got.body) != "mine" {
+			sc := &scripted{decide: once(func() membership.Server { return s.server })}
+			r := newRouter(t, sc)
+			if got := r.send(t, "first", "body"); string(got.body) != "mine" {
 				t.Fatalf("%+v", got)
 			}
-			got := router.send(t, "second", "body")
-			if got.status == 200 && string(got.body) != "mine" || got.status != 200 && (extra != "late" || scripted.last().Result != scheduler.Spoilt) {
-				t.Fatalf("%+v %+v", got, scripted.last())
+			got := r.send(t, "second", "body")
+			if got.status == 200 && string(got.body) != "mine" || got.status != 200 && (extra != "late" || sc.last().Result != scheduler.Spoilt) {
+				t.Fatalf("%+v %+v", got, sc.last())
 			}
-			if got := router.send(t, "third", "body"); string(got.body) != "mine" {
+			if got := r.send(t, "third", "body"); string(got.body) != "mine" {
 				t.Fatalf("%+v", got)
 			}
 		})
@@ -110,77 +110,77 @@
 }
 
 func TestConnectionsToAnEarlierIncarnationAreDropped(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=9"))
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	router := newRouter(t, scripted)
-	router.connections.SetServers([]membership.Server{standin.server})
-	_ = router.send(t, "id", "")
-	next := standin.server
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	r := newRouter(t, sc)
+	r.connections.SetServers([]membership.Server{s.server})
+	_ = r.send(t, "id", "")
+	next := s.server
 	next.Name = "life-2"
-	router.connections.SetServers([]membership.Server{next})
-	if restingGood(router.connections) {
+	r.connections.SetServers([]membership.Server{next})
+	if restingGood(r.connections) {
 		t.Fatal("a circuit to a life that is gone still rests")
 	}
-	_ = router.send(t, "id", "")
-	if standin.opened() != 2 || restingGood(router.connections) {
-		t.Fatalf("%d circuits", standin.opened())
+	_ = r.send(t, "id", "")
+	if s.opened() != 2 || restingGood(r.connections) {
+		t.Fatalf("%d circuits", s.opened())
 	}
 }
 
 func TestNothingWrittenIsCertain(t *testing.T) {
-	standin := newStandin(t, func(*callerConnection, *http.Request) bool { return false })
+	s := newStandin(t, func(*callerConnection, *http.Request) bool { return false })
 	connections := NewConnections(nil)
-	line, err := connections.take(t.Context(), standin.server, time.Now().Add(time.Second))
+	l, err := connections.take(t.Context(), s.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wrote, _ := line.connection.end(); wrote {
+	if wrote, _ := l.connection.end(); wrote {
 		t.Fatal("nothing was written")
 	}
-	if _, err := line.connection.Write([]byte("x")); err == nil {
+	if _, err := l.connection.Write([]byte("x")); err == nil {
 		t.Fatal("an ended circuit took bytes")
 	}
-	line, err = connections.take(t.Context(), standin.server, time.Now().Add(time.Second))
+	l, err = connections.take(t.Context(), s.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = line.connection.Write([]byte("GET"))
-	if wrote, _ := line.connection.end(); !wrote {
+	_, _ = l.connection.Write([]byte("GET"))
+	if wrote, _ := l.connection.end(); !wrote {
 		t.Fatal("something was written")
 	}
 	// One whose call's end has come takes nothing, though it is up.
-	line, err = connections.take(t.Context(), standin.server, time.Now().Add(time.Second))
+	l, err = connections.take(t.Context(), s.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if line.connection.begin(time.Now().Add(-time.Second)) {
+	if l.connection.begin(time.Now().Add(-time.Second)) {
 		t.Fatal("a call began after its end")
 	}
-	if _, err := line.connection.Write([]byte("GET")); err == nil {
+	if _, err := l.connection.Write([]byte("GET")); err == nil {
 		t.Fatal("a circuit that was not begun took bytes")
 	}
-	if wrote, _ := line.connection.end(); wrote {
+	if wrote, _ := l.connection.end(); wrote {
 		t.Fatal("nothing was written")
 	}
 }
 
 func TestAConnectionThatAnotherIncarnationAnsweredOnIsNotUsedAgain(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(421, inbound.Header.Get("Seamloom-Call"), "", "Keep-Alive: timeout=9"))
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	router := newRouter(t, scripted)
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	r := newRouter(t, sc)
 	for range 2 {
-		if got := router.send(t, "id", ""); got.status != 421 || scripted.last().Result != scheduler.Misdirected {
+		if got := r.send(t, "id", ""); got.status != 421 || sc.last().Result != scheduler.Misdirected {
 			t.Fatalf("%+v", got)
 		}
 	}
-	if standin.opened() != 2 {
-		t.Fatalf("%d circuits", standin.opened())
+	if s.opened() != 2 {
+		t.Fatalf("%d circuits", s.opened())
 	}
 }
 
@@ -218,12 +218,12 @@
 		}
 	}()
 	server := membership.Server{Name: "life-1", Address: listener.Addr().String()}
-	scripted := &scripted{decide: once(func() membership.Server { return server })}
-	router := newRouter(t, scripted)
-	if got := router.send(t, "long", strings.Repeat("x", 8<<20)); got.status != 503 || scripted.last().Result != scheduler.NotStarted {
+	s := &scripted{decide: once(func() membership.Server { return server })}
+	r := newRouter(t, s)
+	if got := r.send(t, "long", strings.Repeat("x", 8<<20)); got.status != 503 || s.last().Result != scheduler.NotStarted {
 		t.Fatalf("%+v", got)
 	}
-	if got := router.send(t, "short", "y"); got.status != 503 {
+	if got := r.send(t, "short", "y"); got.status != 503 {
 		t.Fatalf("%+v", got)
 	}
 	if rest := <-rests; strings.Trim(rest, "x") != "" {
--- a/internal/adapters/proxy/events.go
+++ b/internal/adapters/proxy/events.go
@@ -34,13 +34,13 @@
 	found := false
 	for len(event) > 0 {
 		end := bytes.IndexAny(event, "\r\n")
-		line := event
+		l := event
 		if end >= 0 {
-			line, event = event[:end], event[end+1:]
+			l, event = event[:end], event[end+1:]
 		} else {
 			event = nil
 		}
-		if value, is := bytes.CutPrefix(line, []byte("id:")); is {
+		if value, is := bytes.CutPrefix(l, []byte("id:")); is {
 			// An id with a NUL is none, by the standard of event streams.
 			if value = bytes.TrimPrefix(value, []byte(" ")); bytes.IndexByte(value, 0) < 0 {
 				id, found = value, true
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -93,11 +93,11 @@
 		patience = min(patience, decision.Patience)
 	}
 	sent.timer = time.AfterFunc(patience, sent.expire)
-	line, err := e.intake.connections.take(lifetime, decision.Server, sent.until)
+	l, err := e.intake.connections.take(lifetime, decision.Server, sent.until)
 	if err != nil {
 		return sent, sent.fail(scheduler.Unreached)
 	}
-	sent.line = line
+	sent.line = l
 	header := maps.Clone(e.header)
 	header[words.Target] = []string{decision.Server.Name}
 	if decision.Urgency >= 0 {
@@ -117,9 +117,9 @@
 		path, query, asked := strings.Cut(e.target, "?")
 		outbound.URL = &url.URL{Scheme: "http", Host: decision.Server.Address, Path: e.inbound.URL.Path, RawPath: path, RawQuery: query, ForceQuery: asked}
 	}
-	sent.response, err = line.client.RoundTrip(outbound)
+	sent.response, err = l.client.RoundTrip(outbound)
 	if err != nil {
-		wrote, heard := line.connection.end()
+		wrote, heard := l.connection.end()
 		switch {
 		case !wrote:
 			return sent, sent.fail(scheduler.Unreached)
@@ -182,13 +182,13 @@
 // readHead judges the head of an answer: whose it is, and whether it is a success. An
 // answer with another call's id belongs to that one.
 func (d *dispatch) readHead() bool {
-	exchange, response := d.exchange, d.response
-	words := &exchange.intake.words
+	e, response := d.exchange, d.response
+	words := &e.intake.words
 	success := response.StatusCode >= 200 && response.StatusCode < 300
 	if response.StatusCode < 200 || response.StatusCode > 599 {
 		return d.fail(scheduler.Spoilt)
 	}
-	if id, found := response.Header[words.ID]; found && (len(id) != 1 || id[0] != exchange.call.ID) || !found && success && exchange.call.ID != "" {
+	if id, found := response.Header[words.ID]; found && (len(id) != 1 || id[0] != e.call.ID) || !found && success && e.call.ID != "" {
 		return d.fail(scheduler.Spoilt)
 	}
 	d.outcome.Status = response.StatusCode
@@ -207,7 +207,7 @@
 	if err != nil {
 		return d.fail(scheduler.Silent)
 	}
-	d.outcome.First = exchange.intake.now()
+	d.outcome.First = e.intake.now()
 	result := scheduler.Answered
 	switch _, never := response.Header[words.NotStarted]; {
 	case response.StatusCode == http.StatusMisdirectedRequest:
@@ -217,9 +217,9 @@
 	}
 	if result == scheduler.Answered && promises(response.StatusCode) {
 		// The status would promise what the server did not: it goes no further.
-		exchange.kept = nil
+		e.kept = nil
 	} else {
-		exchange.kept = &answer{status: response.StatusCode, header: response.Header, body: body}
+		e.kept = &answer{status: response.StatusCode, header: response.Header, body: body}
 	}
 	d.finish(result)
 	return false
--- a/internal/adapters/proxy/exchange_test.go
+++ b/internal/adapters/proxy/exchange_test.go
@@ -14,20 +14,20 @@
 )
 
 func TestACallGoesOnUnchangedAndItsAnswerComesBackUnchanged(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "the body", "Keep-Alive: timeout=4", "X-Other: 7"))
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	router := newRouter(t, scripted)
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	r := newRouter(t, sc)
 	body := strings.Repeat("0123456789", 9000)
-	outbound := router.request(t, http.MethodPost, "/chat//a%2fb/../c?x=%20y&&z", "id-1", body, "X-Kept", "yes", "Connection", "X-Dropped", "X-Dropped", "no",
+	outbound := r.request(t, http.MethodPost, "/chat//a%2fb/../c?x=%20y&&z", "id-1", body, "X-Kept", "yes", "Connection", "X-Dropped", "X-Dropped", "no",
 		"Seamloom-Server", "forged", "Seamloom-Stage", "prefill", "Seamloom-Source", "forged", "Seamloom-Parts", "5c1e07a2:800,91bd3f06:410", "Seamloom-Tokens", "1460,80", "Seamloom-Model", "m")
 	got := send(outbound)
 	if got.failure != nil || got.status != 200 || string(got.body) != "the body" || got.header.Get("X-Seal") != "seal-id-1" || got.header.Get("X-Other") != "7" || got.header.Get("Keep-Alive") != "" {
 		t.Fatalf("the answer was changed: %+v", got)
 	}
-	inbound, sent := standin.call(0)
+	inbound, sent := s.call(0)
 	if inbound.Method != http.MethodPost || inbound.RequestURI != "/chat//a%2fb/../c?x=%20y&&z" || string(sent) != body || inbound.Host != "calls.example" {
 		t.Fatalf("the call was changed: %s %s %s, %d bytes", inbound.Method, inbound.RequestURI, inbound.Host, len(sent))
 	}
@@ -35,38 +35,38 @@
 		inbound.Header.Get("Seamloom-Stage") != "" || inbound.Header.Get("Seamloom-Source") != "" || inbound.Header.Get("Seamloom-Limit-Milliseconds") == "4000" {
 		t.Fatalf("headers: %v", inbound.Header)
 	}
-	call := scripted.calls[0]
+	call := sc.calls[0]
 	if call.Model != "m" || call.PromptTokens != 1460 || call.OutputTokens != 80 || len(call.Parts) != 2 || call.Parts[0] != (scheduler.Part{ID: 0x5c1e07a2, Tokens: 800}) || call.Path != "/chat//a%2fb/../c" || call.Bytes != len(body) {
 		t.Fatalf("the call was misread: %+v", call)
 	}
 }
 
 func TestMethodsWithAndWithoutBodies(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	router := newRouter(t, &scripted{decide: once(func() membership.Server { return standin.server })})
+	r := newRouter(t, &scripted{decide: once(func() membership.Server { return s.server })})
 	for number, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
-		got := send(router.request(t, method, "//twice", "id", "", "Idempotency-Key", "key"))
+		got := send(r.request(t, method, "//twice", "id", "", "Idempotency-Key", "key"))
 		if got.status != 200 {
 			t.Fatalf("%s: %+v", method, got)
 		}
-		inbound, body := standin.call(number)
+		inbound, body := s.call(number)
 		if inbound.Method != method || inbound.RequestURI != "//twice" || len(body) != 0 || inbound.TransferEncoding != nil || inbound.Header.Get("Idempotency-Key") != "key" {
 			t.Fatalf("%s went on as %s %s %v %v", method, inbound.Method, inbound.RequestURI, inbound.TransferEncoding, inbound.Header)
 		}
 	}
-	chunked := router.request(t, http.MethodPost, "/chunks", "id", "")
+	chunked := r.request(t, http.MethodPost, "/chunks", "id", "")
 	chunked.Body, chunked.ContentLength = http.MaxBytesReader(nil, asBody("in chunks"), 100), -1
 	if got := send(chunked); got.status != 200 {
 		t.Fatalf("%+v", got)
 	}
-	if inbound, body := standin.call(4); string(body) != "in chunks" || inbound.ContentLength != 9 {
+	if inbound, body := s.call(4); string(body) != "in chunks" || inbound.ContentLength != 9 {
 		t.Fatalf("a chunked body went on as %q", body)
 	}
-	if standin.opened() != 1 {
-		t.Fatalf("%d circuits for calls one after the other", standin.opened())
+	if s.opened() != 1 {
+		t.Fatalf("%d circuits for calls one after the other", s.opened())
 	}
 }
 
@@ -92,17 +92,17 @@
 		"a failing one breaks": {"HTTP/1.1 500 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.Silent, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
-			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool { connection.say(given.answer); return false })
-			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			got := newRouter(t, scripted).send(t, "id", "body")
-			if got.failure != nil || got.status != given.status || scripted.last().Result != given.result {
-				t.Fatalf("%+v, %+v", got, scripted.last())
+			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool { connection.say(given.answer); return false })
+			sc := &scripted{decide: once(func() membership.Server { return s.server })}
+			got := newRouter(t, sc).send(t, "id", "body")
+			if got.failure != nil || got.status != given.status || sc.last().Result != given.result {
+				t.Fatalf("%+v, %+v", got, sc.last())
 			}
-			if standin.count() != 1 {
-				t.Fatalf("sent %d times", standin.count())
+			if s.count() != 1 {
+				t.Fatalf("sent %d times", s.count())
 			}
-			if name == "full" && (got.header.Get("Retry-After") != "0.2" || got.header.Get("X-Seal") != "seal-id" || string(got.body) != "busy" || *scripted.last().Load != (scheduler.AnswerLoad{Running: 3, Waiting: 1, Slots: 8})) {
-				t.Fatalf("%+v, %+v", got, scripted.last().Load)
+			if name == "full" && (got.header.Get("Retry-After") != "0.2" || got.header.Get("X-Seal") != "seal-id" || string(got.body) != "busy" || *sc.last().Load != (scheduler.AnswerLoad{Running: 3, Waiting: 1, Slots: 8})) {
+				t.Fatalf("%+v, %+v", got, sc.last().Load)
 			}
 			if given.result == scheduler.Spoilt && got.header.Get("X-Seal") != "" {
 				t.Fatal("a word of our own bears a server's seal")
@@ -112,18 +112,18 @@
 }
 
 func TestNobodyListensIsUnreached(t *testing.T) {
-	standin := newStandin(t, nil)
-	_ = standin.listener.Close()
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	newRouter(t, scripted).send(t, "id", "body")
-	if scripted.last().Result != scheduler.Unreached {
-		t.Fatalf("%+v", scripted.last())
+	s := newStandin(t, nil)
+	_ = s.listener.Close()
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	newRouter(t, sc).send(t, "id", "body")
+	if sc.last().Result != scheduler.Unreached {
+		t.Fatalf("%+v", sc.last())
 	}
 }
 
 func TestAStreamIsPassedOnEventByEvent(t *testing.T) {
 	further := make(chan string)
-	standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
 		connection.say(stream("id"))
 		for text := range further {
 			connection.say(text)
@@ -131,12 +131,12 @@
 		connection.say("0\r\n\r\n")
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	router := newRouter(t, scripted)
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	r := newRouter(t, sc)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	answered := make(chan *http.Response)
 	go func() {
-		inbound, err := client.Do(router.request(t, http.MethodPost, "/", "id", "body"))
+		inbound, err := client.Do(r.request(t, http.MethodPost, "/", "id", "body"))
 		if err != nil {
 			t.Error(err)
 		}
@@ -171,23 +171,23 @@
 	if read, err := inbound.Body.Read(buffer); read != 0 || err == nil || err.Error() != "EOF" {
 		t.Fatalf("%d %v", read, err)
 	}
-	until(t, "the call ends", func() bool { return scripted.active.Load() == 0 })
-	if scripted.last().Result != scheduler.Complete || inbound.Header.Get("X-Seal") != "seal-id" {
-		t.Fatalf("%+v", scripted.last())
+	until(t, "the call ends", func() bool { return sc.active.Load() == 0 })
+	if sc.last().Result != scheduler.Complete || inbound.Header.Get("X-Seal") != "seal-id" {
+		t.Fatalf("%+v", sc.last())
 	}
 }
 
 func TestAStreamThatBreaksOffDoesNotLookComplete(t *testing.T) {
-	for name, ending := range map[string]string{"between events": "", "in an event": chunk("id: 3\nda"), "in a chunk": "20\r\nid: 3"} {
+	for name, e := range map[string]string{"between events": "", "in an event": chunk("id: 3\nda"), "in a chunk": "20\r\nid: 3"} {
 		t.Run(name, func(t *testing.T) {
-			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
-				connection.say(stream("id") + chunk(joined(1, 2)) + ending)
+			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+				connection.say(stream("id") + chunk(joined(1, 2)) + e)
 				return false
 			})
-			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			got := newRouter(t, scripted).send(t, "id", "body")
-			if got.failure == nil || string(got.body) != joined(1, 2) || scripted.last().Result != scheduler.Cut {
-				t.Fatalf("%+v, %+v", got, scripted.last())
+			sc := &scripted{decide: once(func() membership.Server { return s.server })}
+			got := newRouter(t, sc).send(t, "id", "body")
+			if got.failure == nil || string(got.body) != joined(1, 2) || sc.last().Result != scheduler.Cut {
+				t.Fatalf("%+v, %+v", got, sc.last())
 			}
 		})
 	}
@@ -199,12 +199,12 @@
 		connection.reset()
 		return false
 	})
-	second := newStandin(t, func(conn *callerConnection, _ *http.Request) bool {
+	second := newStandin(t, func(c *callerConnection, _ *http.Request) bool {
 		// The second one repeats an event: it is passed on once.
-		conn.say(strings.Replace(stream("id"), "seal-id", "other", 1) + chunk(joined(2, 3, 4)) + "0\r\n\r\n")
+		c.say(strings.Replace(stream("id"), "seal-id", "other", 1) + chunk(joined(2, 3, 4)) + "0\r\n\r\n")
 		return true
 	})
-	scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+	s := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		run := scheduler.Decision{Kind: scheduler.Run, Server: first.server, Ends: time.Now().Add(time.Second), Urgency: 3}
 		switch {
 		case number == 0:
@@ -215,7 +215,7 @@
 		}
 		return lastWord(outcome)
 	}}
-	got := newRouter(t, scripted).send(t, "id", "body")
+	got := newRouter(t, s).send(t, "id", "body")
 	if got.failure != nil || string(got.body) != joined(1, 2, 3, 4) || got.header.Get("X-Seal") != "seal-id" {
 		t.Fatalf("%+v", got)
 	}
@@ -235,11 +235,11 @@
 		connection.say(whole(200, "id", `{"handle":"3fa09c41b7d5","tokens":3}`))
 		return true
 	})
-	runner := newStandin(t, func(conn *callerConnection, _ *http.Request) bool {
-		conn.say(whole(200, "id", "answer"))
+	runner := newStandin(t, func(c *callerConnection, _ *http.Request) bool {
+		c.say(whole(200, "id", "answer"))
 		return true
 	})
-	scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+	s := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		ends := time.Now().Add(time.Second)
 		switch number {
 		case 0:
@@ -249,7 +249,7 @@
 		}
 		return scheduler.Decision{Kind: scheduler.Done, Free: []scheduler.Source{{Address: reader.server.Address, Handle: "left over"}}}
 	}}
-	got := newRouter(t, scripted).send(t, "id", "body")
+	got := newRouter(t, s).send(t, "id", "body")
 	if got.status != 200 || string(got.body) != "answer" {
 		t.Fatalf("%+v", got)
 	}
@@ -268,24 +268,24 @@
 	for name, text := range map[string]string{"before the head": "", "within the stream": stream("id") + chunk(event(1))} {
 		t.Run(name, func(t *testing.T) {
 			begun, ended := make(chan bool, 1), make(chan bool, 1)
-			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
 				connection.say(text)
 				begun <- true
 				_, _ = connection.reader.Peek(1)
 				ended <- true
 				return false
 			})
-			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			router := newRouter(t, scripted)
+			sc := &scripted{decide: once(func() membership.Server { return s.server })}
+			r := newRouter(t, sc)
 			go func() {
 				<-begun
-				router.CloseClientConnections()
+				r.CloseClientConnections()
 			}()
-			_ = router.send(t, "id", "body")
+			_ = r.send(t, "id", "body")
 			<-ended
-			until(t, "the call ends", func() bool { return scripted.active.Load() == 0 && scripted.last().Result != "" })
-			if scripted.last().Result != scheduler.Gone {
-				t.Fatalf("%+v", scripted.last())
+			until(t, "the call ends", func() bool { return sc.active.Load() == 0 && sc.last().Result != "" })
+			if sc.last().Result != scheduler.Gone {
+				t.Fatalf("%+v", sc.last())
 			}
 		})
 	}
@@ -297,20 +297,20 @@
 		"ends":     {Ends: time.Now().Add(50 * time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
 				_, _ = connection.reader.Peek(1)
 				return false
 			})
-			scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+			sc := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 				if number > 0 {
 					return lastWord(outcome)
 				}
-				decision.Kind, decision.Server = scheduler.Run, standin.server
+				decision.Kind, decision.Server = scheduler.Run, s.server
 				return decision
 			}}
-			got := newRouter(t, scripted).send(t, "id", "body")
-			if got.status != 503 || scripted.last().Result != scheduler.Silent && scripted.last().Result != scheduler.Unreached {
-				t.Fatalf("%+v %+v", got, scripted.last())
+			got := newRouter(t, sc).send(t, "id", "body")
+			if got.status != 503 || sc.last().Result != scheduler.Silent && sc.last().Result != scheduler.Unreached {
+				t.Fatalf("%+v %+v", got, sc.last())
 			}
 		})
 	}
@@ -321,14 +321,14 @@
 func TestAnClientThatClosedItsHalfGetsNoAnswerMadeUp(t *testing.T) {
 	for name, text := range map[string]string{"before the head": "", "within the stream": stream("id") + chunk(event(1))} {
 		t.Run(name, func(t *testing.T) {
-			standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
 				connection.say(text)
 				_, _ = connection.reader.Peek(1)
 				return false
 			})
-			scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-			router := newRouter(t, scripted)
-			client, err := net.Dial("tcp", router.Listener.Addr().String())
+			sc := &scripted{decide: once(func() membership.Server { return s.server })}
+			r := newRouter(t, sc)
+			client, err := net.Dial("tcp", r.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -336,7 +336,7 @@
 			_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
 			reader := bufio.NewReader(client)
 			if text == "" {
-				until(t, "the call reaches the server", func() bool { return standin.count() == 1 })
+				until(t, "the call reaches the server", func() bool { return s.count() == 1 })
 			} else if _, err := reader.Peek(1); err != nil {
 				t.Fatal(err)
 			}
@@ -344,8 +344,8 @@
 			if got, _ := io.ReadAll(reader); text == "" && len(got) != 0 || strings.HasSuffix(string(got), "0\r\n\r\n") {
 				t.Fatalf("got %q", got)
 			}
-			if scripted.last().Result != scheduler.Gone {
-				t.Fatalf("%+v", scripted.last())
+			if sc.last().Result != scheduler.Gone {
+				t.Fatalf("%+v", sc.last())
 			}
 		})
 	}
@@ -357,11 +357,11 @@
 		_, _ = connection.reader.Peek(1)
 		return false
 	})
-	second := newStandin(t, func(conn *callerConnection, _ *http.Request) bool {
-		conn.say(stream("id") + chunk(joined(2)) + "0\r\n\r\n")
+	second := newStandin(t, func(c *callerConnection, _ *http.Request) bool {
+		c.say(stream("id") + chunk(joined(2)) + "0\r\n\r\n")
 		return true
 	})
-	scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+	s := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		run := scheduler.Decision{Kind: scheduler.Run, Server: first.server, Ends: time.Now().Add(5 * time.Second), Silence: 30 * time.Millisecond, Urgency: -1}
 		switch {
 		case number == 0:
@@ -372,7 +372,7 @@
 		}
 		return lastWord(outcome)
 	}}
-	got := newRouter(t, scripted).send(t, "id", "body")
+	got := newRouter(t, s).send(t, "id", "body")
 	if got.failure != nil || string(got.body) != joined(1, 2) {
 		t.Fatalf("%+v", got)
 	}
@@ -382,7 +382,7 @@
 // taken to be silent meanwhile.
 func TestAnClientThatDoesNotReadIsNotWaitedFor(t *testing.T) {
 	piece := "id: 1\ndata: " + strings.Repeat("x", 1<<16) + "\n\n"
-	standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
 		connection.say(stream("id"))
 		for range 1000 {
 			if _, err := io.WriteString(connection, chunk(piece)); err != nil {
@@ -392,22 +392,22 @@
 		return false
 	})
 	var ends time.Time
-	scripted := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+	sc := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		if number == 0 {
 			ends = time.Now().Add(300 * time.Millisecond)
-			return scheduler.Decision{Kind: scheduler.Run, Server: standin.server, Ends: ends, Silence: 30 * time.Millisecond, Urgency: -1}
+			return scheduler.Decision{Kind: scheduler.Run, Server: s.server, Ends: ends, Silence: 30 * time.Millisecond, Urgency: -1}
 		}
 		return lastWord(outcome)
 	}}
-	router := newRouter(t, scripted)
-	client, err := net.Dial("tcp", router.Listener.Addr().String())
+	r := newRouter(t, sc)
+	client, err := net.Dial("tcp", r.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = client.Close() }()
 	_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
-	until(t, "the call begins", func() bool { return scripted.active.Load() == 1 })
-	until(t, "the call ends", func() bool { return scripted.active.Load() == 0 })
+	until(t, "the call begins", func() bool { return sc.active.Load() == 1 })
+	until(t, "the call ends", func() bool { return sc.active.Load() == 0 })
 	if time.Now().Before(ends) {
 		t.Fatal("cut before its end")
 	}
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -47,7 +47,7 @@
 const chunks = 6
 
 // unruly is a model server that misbehaves by a seed.
-func unruly(t *testing.T, name, part string, ledger *ledger, seed uint64) *standin {
+func unruly(t *testing.T, name, part string, l *ledger, seed uint64) *standin {
 	chance := rand.New(rand.NewPCG(seed, 1))
 	var mutex sync.Mutex
 	draw := func(most int) int {
@@ -60,19 +60,19 @@
 	server.server.Models = []string{"m"}
 	server.act = func(connection *callerConnection, inbound *http.Request) bool {
 		id := inbound.Header.Get("Seamloom-Call")
-		answer := func(text string) bool { connection.say(text); return true }
+		a := func(text string) bool { connection.say(text); return true }
 		switch {
 		case inbound.Method == http.MethodDelete:
-			return answer(whole(200, id, ""))
+			return a(whole(200, id, ""))
 		case inbound.Header.Get("Seamloom-Server") != name:
-			return answer(whole(421, id, ""))
+			return a(whole(421, id, ""))
 		}
 		kind := draw(20)
 		switch kind {
 		case 0:
-			return answer(whole(503, id, "full", "Seamloom-Not-Started: 1"))
+			return a(whole(503, id, "full", "Seamloom-Not-Started: 1"))
 		case 1:
-			return answer(whole(421, id, ""))
+			return a(whole(421, id, ""))
 		case 2:
 			// Dropped before it began.
 			connection.reset()
@@ -81,19 +81,19 @@
 		if inbound.Header.Get("Seamloom-Stage") != "" {
 			switch kind {
 			case 3:
-				return answer(whole(500, id, "?"))
+				return a(whole(500, id, "?"))
 			case 4:
 				connection.say(whole(200, id, `{"handle":"h-`+id+`"}`)[:40])
 				return false
 			}
-			return answer(whole(200, id, `{"handle":"h-`+id+`"}`))
+			return a(whole(200, id, `{"handle":"h-`+id+`"}`))
 		}
 		if source := inbound.Header.Get("Seamloom-Source"); source != "" && !strings.HasSuffix(source, "/h-"+id) {
-			ledger.mutex.Lock()
-			ledger.wrong = append(ledger.wrong, id+" goes on from "+source)
-			ledger.mutex.Unlock()
+			l.mutex.Lock()
+			l.wrong = append(l.wrong, id+" goes on from "+source)
+			l.mutex.Unlock()
 		}
-		ledger.run(id)
+		l.run(id)
 		first, _ := strconv.Atoi(inbound.Header.Get("Last-Event-Id"))
 		text := stream(id)
 		for piece := first + 1; piece <= chunks; piece++ {
@@ -102,7 +102,7 @@
 		text += "0\r\n\r\n"
 		switch kind {
 		case 3:
-			return answer(whole(500, id, "oops"))
+			return a(whole(500, id, "oops"))
 		case 4:
 			connection.reset()
 			return false
@@ -114,11 +114,11 @@
 			connection.reset()
 			return false
 		case 7:
-			return answer("\x16\x03 garbage \r\n\r\n" + text)
+			return a("\x16\x03 garbage \r\n\r\n" + text)
 		case 8:
-			return answer(text + "and more")
+			return a(text + "and more")
 		case 9:
-			return answer(text + text)
+			return a(text + text)
 		case 10:
 			connection.say(text)
 			return false
@@ -134,9 +134,9 @@
 			middle := draw(len(text))
 			connection.say(text[:middle])
 			time.Sleep(time.Millisecond)
-			return answer(text[middle:])
+			return a(text[middle:])
 		}
-		return answer(text)
+		return a(text)
 	}
 	return server
 }
@@ -154,11 +154,11 @@
 }
 
 func tryFleet(t *testing.T, seed uint64, count int) {
-	ledger := &ledger{ran: map[string]int{}}
+	l := &ledger{ran: map[string]int{}}
 	var servers []membership.Server
 	for number := range 4 {
 		part := map[bool]string{true: "prefill", false: "decode"}[number < 2]
-		servers = append(servers, unruly(t, fmt.Sprint("life-", number), part, ledger, seed*10+uint64(number)).server)
+		servers = append(servers, unruly(t, fmt.Sprint("life-", number), part, l, seed*10+uint64(number)).server)
 	}
 	configuration := twoRoutes()
 	lifetime, cancel := context.WithCancel(t.Context())
@@ -192,15 +192,15 @@
 				}
 				route := map[bool]string{true: "once", false: "again"}[number%2 == 0]
 				id := fmt.Sprintf("%s-%d-%d", route, seed, number)
-				if tryCall(t, listener.Addr().String(), route, id, ledger) {
+				if tryCall(t, listener.Addr().String(), route, id, l) {
 					complete.Add(1)
 				}
 			}
 		})
 	}
 	origins.Wait()
-	if len(ledger.wrong) > 0 {
-		t.Fatal(ledger.wrong)
+	if len(l.wrong) > 0 {
+		t.Fatal(l.wrong)
 	}
 	if complete.Load() < int64(count/3) {
 		t.Fatalf("only %d of %d calls were complete", complete.Load(), count)
@@ -210,7 +210,7 @@
 
 // tryCall sends one call and holds what its origin got against what ran; it tells
 // whether the answer was complete.
-func tryCall(t *testing.T, address, route, id string, ledger *ledger) bool {
+func tryCall(t *testing.T, address, route, id string, l *ledger) bool {
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+address+"/"+route+"/x", strings.NewReader("body of "+id))
 	outbound.Host = "calls.example"
 	for name, value := range map[string]string{"Seamloom-Call": id, "Seamloom-Limit-Milliseconds": "2000", "Seamloom-Model": "m", "Seamloom-Tokens": "9000,6",
@@ -218,7 +218,7 @@
 		outbound.Header.Set(name, value)
 	}
 	got := send(outbound)
-	runs := ledger.runs(id)
+	runs := l.runs(id)
 	text := string(got.body)
 	switch {
 	case route == "once" && runs > 1:
@@ -262,21 +262,21 @@
 // TestLeavingUnderTraffic: while a courier leaves, no call that was read is cut, and
 // after it takes no more, origins are told when to come back.
 func TestLeavingUnderTraffic(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		id := inbound.Header.Get("Seamloom-Call")
 		connection.say(stream(id) + chunk(event(1)))
 		time.Sleep(30 * time.Millisecond)
 		connection.say(chunk(event(2)) + "0\r\n\r\n")
 		return true
 	})
-	standin.server.Service, standin.server.Slots, standin.server.Models = "desk", 64, []string{"m"}
+	s.server.Service, s.server.Slots, s.server.Models = "desk", 64, []string{"m"}
 	owner := &tomb.Tomb{}
 	rt := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
 	connections := NewConnections(nil)
 	conduct := hatch.NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), connections.SetServers)
 	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
-	conduct.SetServers(rt.Now(), []membership.Server{standin.server})
+	conduct.SetServers(rt.Now(), []membership.Server{s.server})
 	intake, err := NewIntake(owner.Context(context.Background()), DefaultWords(), connections, conduct, rt.Now)
 	if err != nil {
 		t.Fatal(err)
@@ -308,7 +308,7 @@
 				outbound.Header.Set("Seamloom-Tokens", "10,2")
 				inbound, err := client.Do(outbound)
 				if err != nil {
-					if standin.saw(id) {
+					if s.saw(id) {
 						note("cut: " + err.Error())
 					}
 					note("away")
@@ -321,7 +321,7 @@
 					note("served")
 				case inbound.StatusCode == 503 && inbound.Header.Get("Retry-After") != "":
 					note("refused")
-					if standin.saw(id) {
+					if s.saw(id) {
 						note("cut: refused after it was sent")
 					}
 				default:
@@ -330,7 +330,7 @@
 			}
 		})
 	}
-	until(t, "calls are served", func() bool { return standin.count() > 40 })
+	until(t, "calls are served", func() bool { return s.count() > 40 })
 	conduct.Retire(1500*time.Millisecond, func() {})
 	gate.Close()
 	owner.Kill(nil)
--- a/internal/adapters/proxy/gate_test.go
+++ b/internal/adapters/proxy/gate_test.go
@@ -27,10 +27,10 @@
 	return listener.Addr().String()
 }
 
-func openGate(t *testing.T, scripted *scripted, now func() time.Time) (gate *Gate, address, readyAddress string) {
+func openGate(t *testing.T, s *scripted, now func() time.Time) (gate *Gate, address, readyAddress string) {
 	t.Helper()
 	address, readyAddress = freeAddress(t), freeAddress(t)
-	intake, err := NewIntake(t.Context(), DefaultWords(), NewConnections(nil), scripted, time.Now)
+	intake, err := NewIntake(t.Context(), DefaultWords(), NewConnections(nil), s, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,12 +44,12 @@
 }
 
 func TestReadinessAndLeaving(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	_, address, readyAddress := openGate(t, scripted, time.Now)
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	_, address, readyAddress := openGate(t, sc, time.Now)
 	ask := func(status int) {
 		t.Helper()
 		inbound, err := http.Get("http://" + readyAddress + "/any")
@@ -62,15 +62,15 @@
 		}
 	}
 	ask(200)
-	conn, err := net.Dial("tcp", address)
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }()
-	reader := bufio.NewReader(conn)
+	defer func() { _ = c.Close() }()
+	reader := bufio.NewReader(c)
 	call := func() *http.Response {
 		t.Helper()
-		_, _ = io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
+		_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
 		inbound, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -81,7 +81,7 @@
 	if inbound := call(); inbound.Close || inbound.StatusCode != 200 {
 		t.Fatalf("%+v", inbound)
 	}
-	scripted.leaving.Store(true)
+	sc.leaving.Store(true)
 	ask(503)
 	if inbound := call(); !inbound.Close || inbound.StatusCode != 200 {
 		t.Fatalf("%+v", inbound)
@@ -89,13 +89,13 @@
 }
 
 func TestOriginsThatTakeOrRestTooLongAreDismissed(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
+	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
 	var ahead atomic.Int64
-	gate, address, _ := openGate(t, scripted, func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
+	gate, address, _ := openGate(t, sc, func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
 	slow, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -143,28 +143,28 @@
 }
 
 func TestLimitsOnWhatAnClientSends(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server }), limits: config.Limits{HeaderBytes: 1000, BodyBytes: 100}}
-	router := newRouter(t, scripted)
+	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderBytes: 1000, BodyBytes: 100}}
+	r := newRouter(t, sc)
 	for status, outbound := range map[int]*http.Request{
-		200: router.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 100)),
-		413: router.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 101)),
-		431: router.request(t, http.MethodPost, "/", "id", "", "X-Long", strings.Repeat("x", 1000)),
+		200: r.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 100)),
+		413: r.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 101)),
+		431: r.request(t, http.MethodPost, "/", "id", "", "X-Long", strings.Repeat("x", 1000)),
 	} {
 		if got := send(outbound); got.status != status {
 			t.Fatalf("%+v, not %d", got, status)
 		}
 	}
-	chunked := router.request(t, http.MethodPost, "/", "id", "")
+	chunked := r.request(t, http.MethodPost, "/", "id", "")
 	chunked.Body, chunked.ContentLength = asBody(strings.Repeat("x", 101)), -1
 	if got := send(chunked); got.status != 413 {
 		t.Fatalf("%+v", got)
 	}
-	if standin.count() != 1 {
-		t.Fatalf("%d calls went on", standin.count())
+	if s.count() != 1 {
+		t.Fatalf("%d calls went on", s.count())
 	}
 }
 
@@ -172,12 +172,12 @@
 // request on it that the gate has read whole when the connection is dismissed: it gets
 // the promise that it never runs, and no server sees it.
 func TestARequestThatCrossesADismissalIsRefused(t *testing.T) {
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
-	gate, address, _ := openGate(t, scripted, time.Now)
+	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
+	gate, address, _ := openGate(t, sc, time.Now)
 	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -210,7 +210,7 @@
 	if inbound.StatusCode != http.StatusServiceUnavailable || !inbound.Close || inbound.Header.Get("Retry-After") == "" {
 		t.Errorf("%d %v", inbound.StatusCode, inbound.Header)
 	}
-	if standin.count() != 0 {
+	if s.count() != 0 {
 		t.Error("the request was passed on")
 	}
 }
--- a/internal/adapters/proxy/intake.go
+++ b/internal/adapters/proxy/intake.go
@@ -28,7 +28,7 @@
 
 // Conduct serves one call from its arrival to its end.
 type Conduct interface {
-	Serve(call *scheduler.Call, exchange hatch.Exchange)
+	Serve(call *scheduler.Call, e hatch.Exchange)
 	// Limits bound what an origin may send.
 	Limits() config.Limits
 	// Ready tells whether calls are welcome, Leaving that circuits are to end with the
@@ -141,9 +141,9 @@
 	if _, found := header["User-Agent"]; !found {
 		header["User-Agent"] = nil
 	}
-	exchange := &exchange{intake: i, writer: writer, inbound: inbound, began: began, call: call, target: target, header: header, body: body, ending: cut}
-	i.conduct.Serve(call, exchange)
-	return exchange.ending
+	e := &exchange{intake: i, writer: writer, inbound: inbound, began: began, call: call, target: target, header: header, body: body, ending: cut}
+	i.conduct.Serve(call, e)
+	return e.ending
 }
 
 // headerBytes is about what a head took on the wire.
@@ -162,7 +162,7 @@
 func (i *Intake) free(server membership.Server, handle string) {
 	lifetime, cancel := context.WithTimeout(i.lifetime, freePatience)
 	defer cancel()
-	line, err := i.connections.take(lifetime, server, time.Now().Add(freePatience))
+	l, err := i.connections.take(lifetime, server, time.Now().Add(freePatience))
 	if err != nil {
 		return
 	}
@@ -172,16 +172,16 @@
 	}
 	outbound := (&http.Request{Method: http.MethodDelete, URL: &url.URL{Scheme: "http", Host: server.Address, Path: i.words.HandlePath + handle},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: server.Address, Body: http.NoBody}).WithContext(lifetime)
-	response, err := line.client.RoundTrip(outbound)
+	response, err := l.client.RoundTrip(outbound)
 	if err != nil {
-		line.close()
+		l.close()
 		return
 	}
 	_, err = readBounded(response.Body, response.ContentLength, mostReadAnswer)
 	_ = response.Body.Close()
 	if err != nil || response.Close {
-		line.close()
+		l.close()
 		return
 	}
-	i.connections.give(line, readRests(response.Header))
+	i.connections.give(l, readRests(response.Header))
 }
--- a/internal/adapters/proxy/leaving_test.go
+++ b/internal/adapters/proxy/leaving_test.go
@@ -16,18 +16,18 @@
 // answer when the node's leaving was noticed: the first finds its connection closed, the
 // second has its answer.
 func TestRestingConnectionsEndWhenTheNodeLeaves(t *testing.T) {
-	arrived, answer := make(chan struct{}), make(chan struct{})
-	standin := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+	arrived, a := make(chan struct{}), make(chan struct{})
+	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
 		id := inbound.Header.Get("Seamloom-Call")
 		if id == "slow" {
 			close(arrived)
-			<-answer
+			<-a
 		}
 		connection.say(whole(200, id, "x"))
 		return true
 	})
-	scripted := &scripted{decide: once(func() membership.Server { return standin.server })}
-	gate, address, _ := openGate(t, scripted, time.Now)
+	sc := &scripted{decide: once(func() membership.Server { return s.server })}
+	gate, address, _ := openGate(t, sc, time.Now)
 	dial := func(id string) (net.Conn, *bufio.Reader) {
 		client, err := net.Dial("tcp", address)
 		if err != nil {
@@ -63,7 +63,7 @@
 	if _, err := restingReader.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the resting connection is kept: %v", err)
 	}
-	close(answer)
+	close(a)
 	inbound, err = http.ReadResponse(busyReader, nil)
 	if err != nil || inbound.StatusCode != http.StatusOK {
 		t.Fatalf("the call under way: %v", err)
--- a/internal/adapters/proxy/meter.go
+++ b/internal/adapters/proxy/meter.go
@@ -38,24 +38,24 @@
 
 func newMeter(connections *Connections) *meter {
 	set := metrics.NewSet()
-	meter := &meter{set: set, endings: map[ending]*metrics.Counter{}, dispatches: map[scheduler.DecisionKind]map[scheduler.Result]*metrics.Counter{},
+	m := &meter{set: set, endings: map[ending]*metrics.Counter{}, dispatches: map[scheduler.DecisionKind]map[scheduler.Result]*metrics.Counter{},
 		first: set.NewPrometheusHistogramExt("seamloom_call_first_seconds", bounds), whole: set.NewPrometheusHistogramExt("seamloom_call_seconds", bounds)}
 	for _, how := range []ending{served, through, cut, left, oversize, malformed, dismissed, ending(scheduler.NoRoute), ending(scheduler.NotReady), ending(scheduler.Full),
 		ending(scheduler.Leaving), ending(scheduler.Late), ending(scheduler.Broken), ending(scheduler.BrokenLate)} {
-		meter.endings[how] = set.NewCounter(`seamloom_calls_total{ending="` + string(how) + `"}`)
+		m.endings[how] = set.NewCounter(`seamloom_calls_total{ending="` + string(how) + `"}`)
 	}
 	for _, kind := range []scheduler.DecisionKind{scheduler.Read, scheduler.Run} {
-		meter.dispatches[kind] = map[scheduler.Result]*metrics.Counter{}
+		m.dispatches[kind] = map[scheduler.Result]*metrics.Counter{}
 		for _, result := range []scheduler.Result{scheduler.Unreached, scheduler.NotStarted, scheduler.Misdirected, scheduler.Silent, scheduler.Spoilt, scheduler.Answered, scheduler.Cut, scheduler.Complete, scheduler.Gone} {
-			meter.dispatches[kind][result] = set.NewCounter(`seamloom_call_dispatches_total{kind="` + string(kind) + `",result="` + string(result) + `"}`)
+			m.dispatches[kind][result] = set.NewCounter(`seamloom_call_dispatches_total{kind="` + string(kind) + `",result="` + string(result) + `"}`)
 		}
 	}
-	meter.givenUp = map[scheduler.Reason]*metrics.Counter{}
+	m.givenUp = map[scheduler.Reason]*metrics.Counter{}
 	for _, reason := range []scheduler.Reason{scheduler.NoPlace, scheduler.TriesUsed, scheduler.BudgetUsed, scheduler.MayHaveRun, scheduler.TooDear, scheduler.TimeUsed} {
-		meter.givenUp[reason] = set.NewCounter(`seamloom_calls_given_up_total{reason="` + string(reason) + `"}`)
+		m.givenUp[reason] = set.NewCounter(`seamloom_calls_given_up_total{reason="` + string(reason) + `"}`)
 	}
 	set.NewGauge("seamloom_call_circuits_opened_total", func() float64 { return float64(connections.Opened()) })
-	return meter
+	return m
 }
 
 // ended notes the end of a call and how long it took.
--- a/internal/adapters/proxy/meter_test.go
+++ b/internal/adapters/proxy/meter_test.go
@@ -12,7 +12,7 @@
 
 func TestWhatBecomesOfCallsIsCounted(t *testing.T) {
 	var number atomic.Int64
-	standin := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+	s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
 		switch number.Add(1) {
 		case 1:
 			connection.say(whole(200, "id", "x"))
@@ -26,18 +26,18 @@
 		}
 		return true
 	})
-	router := newRouter(t, &scripted{decide: once(func() membership.Server { return standin.server })})
+	r := newRouter(t, &scripted{decide: once(func() membership.Server { return s.server })})
 	for range 4 {
-		_ = router.send(t, "id", "")
+		_ = r.send(t, "id", "")
 	}
 	var text bytes.Buffer
-	router.intake.WriteMetrics(&text)
-	for _, line := range []string{`seamloom_calls_total{ending="served"} 1`, `seamloom_calls_total{ending="through"} 1`, `seamloom_calls_total{ending="cut"} 1`, `seamloom_calls_total{ending="broken"} 1`,
+	r.intake.WriteMetrics(&text)
+	for _, l := range []string{`seamloom_calls_total{ending="served"} 1`, `seamloom_calls_total{ending="through"} 1`, `seamloom_calls_total{ending="cut"} 1`, `seamloom_calls_total{ending="broken"} 1`,
 		`seamloom_call_dispatches_total{kind="run",result="complete"} 1`, `seamloom_call_dispatches_total{kind="run",result="not_started"} 1`,
 		`seamloom_call_dispatches_total{kind="run",result="cut"} 1`, `seamloom_call_dispatches_total{kind="run",result="silent"} 1`,
 		"seamloom_call_seconds_count 1", "seamloom_call_first_seconds_count 2", "seamloom_call_circuits_opened_total 2"} {
-		if !strings.Contains(text.String(), line+"\n") {
-			t.Errorf("%s is missing in\n%s", line, text.String())
+		if !strings.Contains(text.String(), l+"\n") {
+			t.Errorf("%s is missing in\n%s", l, text.String())
 		}
 	}
 }
--- a/internal/adapters/proxy/passing.go
+++ b/internal/adapters/proxy/passing.go
@@ -12,12 +12,12 @@
 // passWhole passes an answer on that is no stream: at once when it is all there, or,
 // when it is too large for that, as it comes.
 func (d *dispatch) passWhole() {
-	exchange, response := d.exchange, d.response
+	e, response := d.exchange, d.response
 	body, err := readBounded(response.Body, response.ContentLength, mostKept)
-	d.outcome.First = exchange.intake.now()
+	d.outcome.First = e.intake.now()
 	if err == nil {
-		exchange.passHead(response)
-		if _, err := exchange.writer.Write(body); err != nil && err != http.ErrBodyNotAllowed {
+		e.passHead(response)
+		if _, err := e.writer.Write(body); err != nil && err != http.ErrBodyNotAllowed {
 			d.fail(scheduler.Gone)
 			return
 		}
@@ -29,17 +29,17 @@
 		return
 	}
 	d.extend()
-	exchange.passHead(response)
+	e.passHead(response)
 	buffer := make([]byte, copyBuffer)
 	for {
-		if _, err := exchange.writer.Write(body); err != nil {
+		if _, err := e.writer.Write(body); err != nil {
 			d.fail(scheduler.Gone)
 			return
 		}
 		read, err := response.Body.Read(buffer)
 		body = buffer[:read]
 		if err == io.EOF {
-			if _, err := exchange.writer.Write(body); err != nil {
+			if _, err := e.writer.Write(body); err != nil {
 				d.fail(scheduler.Gone)
 				return
 			}
@@ -55,14 +55,14 @@
 
 // passEvents passes a stream on, whole event by whole event, each at once.
 func (d *dispatch) passEvents(route *config.CallRoute, began func()) {
-	exchange, response := d.exchange, d.response
-	resumed := exchange.begun.Load()
+	e, response := d.exchange, d.response
+	resumed := e.begun.Load()
 	// A stream may go on from another server: its length is then not the first's.
 	response.ContentLength = -1
 	delete(response.Header, "Content-Length")
-	flusher := http.NewResponseController(exchange.writer)
-	buffered := exchange.intake.buffers.Get().(*[]byte)
-	defer exchange.intake.buffers.Put(buffered)
+	flusher := http.NewResponseController(e.writer)
+	buffered := e.intake.buffers.Get().(*[]byte)
+	defer e.intake.buffers.Put(buffered)
 	text := (*buffered)[:0]
 	for {
 		if len(text) == cap(text) {
@@ -73,7 +73,7 @@
 			text = append(text, make([]byte, len(text))...)[:len(text)]
 		}
 		silence := d.decision.Silence
-		if silence > 0 && exchange.begun.Load() {
+		if silence > 0 && e.begun.Load() {
 			d.timer.Reset(min(silence, d.left()))
 		} else {
 			silence = 0
@@ -84,7 +84,7 @@
 		}
 		text = text[:len(text)+read]
 		if read > 0 && d.outcome.First.IsZero() {
-			d.outcome.First = exchange.intake.now()
+			d.outcome.First = e.intake.now()
 			d.extend()
 			began()
 		}
@@ -101,15 +101,15 @@
 			event := text[whole : whole+length]
 			whole += length
 			if id, found := eventID(event); found {
-				if resumed && !behind(id, exchange.lastEvent) {
+				if resumed && !behind(id, e.lastEvent) {
 					continue
 				}
-				exchange.lastEvent = id
+				e.lastEvent = id
 			}
-			if !exchange.begun.Load() {
-				exchange.passHead(response)
+			if !e.begun.Load() {
+				e.passHead(response)
 			}
-			if _, err := exchange.writer.Write(event); err != nil {
+			if _, err := e.writer.Write(event); err != nil {
 				d.fail(scheduler.Gone)
 				return
 			}
@@ -122,8 +122,8 @@
 			}
 		}
 		if ended == io.EOF {
-			if !exchange.begun.Load() {
-				exchange.passHead(response)
+			if !e.begun.Load() {
+				e.passHead(response)
 			}
 			d.finish(scheduler.Complete)
 			return
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -49,13 +49,13 @@
 	_ = c.Close()
 }
 
-func newStandin(t *testing.T, act func(conn *callerConnection, inbound *http.Request) bool) *standin {
+func newStandin(t *testing.T, act func(c *callerConnection, inbound *http.Request) bool) *standin {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	standin := &standin{listener: listener, act: act, server: membership.Server{Name: "life-1", Address: listener.Addr().String()}}
+	s := &standin{listener: listener, act: act, server: membership.Server{Name: "life-1", Address: listener.Addr().String()}}
 	var workers sync.WaitGroup
 	workers.Go(func() {
 		for {
@@ -63,24 +63,24 @@
 			if err != nil {
 				return
 			}
-			standin.mutex.Lock()
-			standin.connections++
-			circuit := &callerConnection{Conn: connection, reader: bufio.NewReader(connection), number: standin.connections}
-			standin.open = append(standin.open, connection)
-			standin.mutex.Unlock()
-			workers.Go(func() { standin.serve(circuit) })
+			s.mutex.Lock()
+			s.connections++
+			circuit := &callerConnection{Conn: connection, reader: bufio.NewReader(connection), number: s.connections}
+			s.open = append(s.open, connection)
+			s.mutex.Unlock()
+			workers.Go(func() { s.serve(circuit) })
 		}
 	})
 	t.Cleanup(func() {
 		_ = listener.Close()
-		standin.mutex.Lock()
-		for _, connection := range standin.open {
+		s.mutex.Lock()
+		for _, connection := range s.open {
 			_ = connection.Close()
 		}
-		standin.mutex.Unlock()
+		s.mutex.Unlock()
 		workers.Wait()
 	})
-	return standin
+	return s
 }
 
 func (s *standin) serve(connection *callerConnection) {
@@ -183,7 +183,7 @@
 func (s *scripted) Leaving() bool { return s.leaving.Load() }
 
 // Serve carries the script out.
-func (s *scripted) Serve(call *scheduler.Call, exchange hatch.Exchange) {
+func (s *scripted) Serve(call *scheduler.Call, e hatch.Exchange) {
 	s.active.Add(1)
 	defer s.active.Add(-1)
 	s.mutex.Lock()
@@ -193,23 +193,23 @@
 	for number := 0; ; number++ {
 		decision := s.decide(number, outcome)
 		for _, source := range decision.Free {
-			exchange.Free(source)
+			e.Free(source)
 		}
 		switch decision.Kind {
 		case scheduler.Read:
-			outcome = exchange.Read(decision)
+			outcome = e.Read(decision)
 		case scheduler.Run:
-			outcome = exchange.Run(&s.route, decision, func() {})
+			outcome = e.Run(&s.route, decision, func() {})
 		case scheduler.Through:
-			if !exchange.Through() {
-				exchange.Refuse(hatch.Refusal{Cause: scheduler.Broken, Status: http.StatusBadGateway})
+			if !e.Through() {
+				e.Refuse(hatch.Refusal{Cause: scheduler.Broken, Status: http.StatusBadGateway})
 			}
 			return
 		case scheduler.Break:
-			exchange.Break()
+			e.Break()
 			return
 		case scheduler.Refuse:
-			exchange.Refuse(hatch.Refusal{Cause: decision.Cause, Status: http.StatusServiceUnavailable, RetryAfter: decision.RetryAfter})
+			e.Refuse(hatch.Refusal{Cause: decision.Cause, Status: http.StatusServiceUnavailable, RetryAfter: decision.RetryAfter})
 			return
 		case scheduler.Done:
 			return
@@ -258,18 +258,18 @@
 	scripted    *scripted
 }
 
-func newRouter(t *testing.T, scripted *scripted) *router {
+func newRouter(t *testing.T, s *scripted) *router {
 	t.Helper()
 	connections := NewConnections(nil)
 	lifetime, cancel := context.WithCancel(context.Background())
-	intake, err := NewIntake(lifetime, DefaultWords(), connections, scripted, time.Now)
+	intake, err := NewIntake(lifetime, DefaultWords(), connections, s, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := httptest.NewServer(intake)
 	server.Config.ErrorLog = nil
 	t.Cleanup(func() { cancel(); server.Close(); connections.SetServers(nil) })
-	return &router{Server: server, intake: intake, connections: connections, scripted: scripted}
+	return &router{Server: server, intake: intake, connections: connections, scripted: s}
 }
 
 func (r *router) request(t *testing.T, method, path, id, body string, headers ...string) *http.Request {
--- a/internal/auction/desk.go
+++ b/internal/auction/desk.go
@@ -182,47 +182,47 @@
 	if now.Add(bid.Price).After(settled.Limit) {
 		return d.refuse(request, failure.Busy, "no pair of servers would be in time", d.market.Relief(now))
 	}
-	shard := d.shard(request.ID)
-	shard.mutex.Lock()
-	defer shard.mutex.Unlock()
-	if _, found := shard.tickets[request.ID]; found {
+	s := d.shard(request.ID)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if _, found := s.tickets[request.ID]; found {
 		return d.refuse(request, failure.Duplicate, "the inquiry is under way", 0)
 	}
-	shard.tickets[request.ID] = entry
+	s.tickets[request.ID] = entry
 	d.inFlight.Add(1)
 	d.serviceCount(request.Service).Add(1)
 	if !settled.Repeatable {
 		entry.stage = claiming
 		return []Decision{{Kind: ClaimRequest, ID: request.ID, Request: &settled, NotAfter: settled.Limit}}
 	}
-	return d.takeUp(now, shard, entry, bid, d.ServesUntil())
+	return d.takeUp(now, s, entry, bid, d.ServesUntil())
 }
 
 // find locks the shard of an inquiry and returns its ticket if the run is the
 // present one; late news of an older run finds nothing.
 func (d *Desk) find(id string, run int) (*shard, *ticket) {
-	shard := d.shard(id)
-	shard.mutex.Lock()
-	entry, found := shard.tickets[id]
+	s := d.shard(id)
+	s.mutex.Lock()
+	entry, found := s.tickets[id]
 	if !found || (run >= 0 && entry.run != run) {
-		shard.mutex.Unlock()
+		s.mutex.Unlock()
 		return nil, nil
 	}
-	return shard, entry
+	return s, entry
 }
 
 // Claimed takes the answer to a claim.
 func (d *Desk) Claimed(now time.Time, id string, outcome Outcome, detail string) []Decision {
-	shard, entry := d.find(id, 0)
+	s, entry := d.find(id, 0)
 	if entry == nil || entry.stage != claiming {
-		if shard != nil {
-			shard.mutex.Unlock()
+		if s != nil {
+			s.mutex.Unlock()
 		}
 		return nil
 	}
-	defer shard.mutex.Unlock()
+	defer s.mutex.Unlock()
 	if outcome == Done {
-		return d.dispatchPrefill(now, shard, entry)
+		return d.dispatchPrefill(now, s, entry)
 	}
 	cause := failure.NoPrimary
 	switch outcome {
@@ -231,18 +231,18 @@
 	case TooOld:
 		cause = failure.TooOld
 	}
-	decisions := d.finish(now, shard, entry, Refused, cause)
+	decisions := d.finish(now, s, entry, Refused, cause)
 	decisions[0].Detail = detail
 	return decisions
 }
 
 // Prefilled takes the answer to a prefill dispatch.
 func (d *Desk) Prefilled(now time.Time, id string, run int, outcome Outcome, handle string) []Decision {
-	shard, entry := d.find(id, run)
+	s, entry := d.find(id, run)
 	if entry == nil {
 		return nil
 	}
-	defer shard.mutex.Unlock()
+	defer s.mutex.Unlock()
 	if entry.stage != prefilling {
 		return nil
 	}
@@ -250,7 +250,7 @@
 	if outcome == Done {
 		entry.everRan, entry.started, entry.handle = true, false, handle
 		entry.patience = now.Add(leastPatience)
-		return d.dispatchDecode(now, shard, entry, false)
+		return d.dispatchDecode(now, s, entry, false)
 	}
 	d.release(entry)
 	entry.tried[server] = true
@@ -258,24 +258,24 @@
 		entry.everRan = true
 		d.market.Avoid(now, server)
 	}
-	return d.again(now, shard, entry, outcome)
+	return d.again(now, s, entry, outcome)
 }
 
 // Chunk takes one piece of the stream. Pieces that are not the next one of the
 // present run end the stream: it is never spliced.
 func (d *Desk) Chunk(now time.Time, id string, run, chunk int, text string) []Decision {
-	shard, entry := d.find(id, run)
+	s, entry := d.find(id, run)
 	if entry == nil {
 		return nil
 	}
-	defer shard.mutex.Unlock()
+	defer s.mutex.Unlock()
 	if entry.stage != decoding {
 		return nil
 	}
 	entry.everRan = true
 	if chunk != entry.chunks+1 {
 		d.market.Avoid(now, entry.bid.Decode.server.Name)
-		return append(d.cancelCurrent(entry), d.finish(now, shard, entry, Failed, failure.ServerFailed)...)
+		return append(d.cancelCurrent(entry), d.finish(now, s, entry, Failed, failure.ServerFailed)...)
 	}
 	entry.chunks = chunk
 	entry.patience = now.Add(chunkPatience)
@@ -284,26 +284,26 @@
 
 // Decoded takes the end of a decode.
 func (d *Desk) Decoded(now time.Time, id string, run int, outcome Outcome, chunks int) []Decision {
-	shard, entry := d.find(id, run)
+	s, entry := d.find(id, run)
 	if entry == nil {
 		return nil
 	}
-	defer shard.mutex.Unlock()
+	defer s.mutex.Unlock()
 	if entry.stage != decoding {
 		return nil
 	}
 	server := entry.bid.Decode.server.Name
 	if outcome == Done {
 		if chunks != entry.chunks {
-			return d.finish(now, shard, entry, Failed, failure.ServerFailed)
+			return d.finish(now, s, entry, Failed, failure.ServerFailed)
 		}
-		return d.finish(now, shard, entry, Complete, "")
+		return d.finish(now, s, entry, Complete, "")
 	}
 	if outcome != NotStarted {
 		d.market.Avoid(now, server)
 	}
 	if entry.chunks > 0 {
-		return d.finish(now, shard, entry, Failed, failure.ServerFailed)
+		return d.finish(now, s, entry, Failed, failure.ServerFailed)
 	}
 	entry.tried[server] = true
 	switch outcome {
@@ -311,9 +311,9 @@
 		// The handle was not taken up: another server may.
 		entry.stage = handing
 		entry.patience = now.Add(leastPatience)
-		return d.dispatchDecode(now, shard, entry, true)
+		return d.dispatchDecode(now, s, entry, true)
 	case Lapsed:
 		delete(entry.tried, server)
 	}
-	return d.again(now, shard, entry, outcome)
+	return d.again(now, s, entry, outcome)
 }
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -28,25 +28,25 @@
 
 // dispatchPrefill sends a run's prompt to the pair's first server. Each run
 // after the first is an extra try.
-func (d *Desk) dispatchPrefill(now time.Time, shard *shard, entry *ticket) []Decision {
+func (d *Desk) dispatchPrefill(now time.Time, s *shard, entry *ticket) []Decision {
 	request := entry.request
 	if !now.Before(request.Limit) {
-		return d.giveUp(now, shard, entry, failure.LimitPassed)
+		return d.giveUp(now, s, entry, failure.LimitPassed)
 	}
 	holdEnds := d.ServesUntil()
 	if !now.Before(holdEnds) {
-		return d.awaitHold(now, shard, entry, ready)
+		return d.awaitHold(now, s, entry, ready)
 	}
 	entry.holdless = time.Time{}
 	bid, found := d.choose(now, entry)
 	if !found {
-		return d.giveUp(now, shard, entry, failure.Busy)
+		return d.giveUp(now, s, entry, failure.Busy)
 	}
-	return d.takeUp(now, shard, entry, bid, holdEnds)
+	return d.takeUp(now, s, entry, bid, holdEnds)
 }
 
 // takeUp sends a run's prompt to the first server of a pair that was chosen now.
-func (d *Desk) takeUp(now time.Time, shard *shard, entry *ticket, bid Bid, holdEnds time.Time) []Decision {
+func (d *Desk) takeUp(now time.Time, s *shard, entry *ticket, bid Bid, holdEnds time.Time) []Decision {
 	request := entry.request
 	var decisions []Decision
 	if entry.dispatches == 0 {
@@ -57,7 +57,7 @@
 			cost = 2
 		}
 		if entry.dispatches >= entry.ruling.Service.Tries || !d.budget.Extra(cost) {
-			return d.giveUp(now, shard, entry, failure.BudgetSpent)
+			return d.giveUp(now, s, entry, failure.BudgetSpent)
 		}
 		entry.answering = false
 		decisions = append(decisions, Decision{Kind: NoteRetry, ID: request.ID, Run: entry.run + 1})
@@ -77,14 +77,14 @@
 
 // awaitHold keeps an inquiry that was let in for the next hold, but not until
 // its limit: when none comes soon its caller is told so.
-func (d *Desk) awaitHold(now time.Time, shard *shard, entry *ticket, stage stage) []Decision {
+func (d *Desk) awaitHold(now time.Time, s *shard, entry *ticket, st stage) []Decision {
 	if entry.holdless.IsZero() {
 		entry.holdless = now
 	}
 	if now.Sub(entry.holdless) > holdPatience {
-		return d.giveUp(now, shard, entry, failure.NoHold)
+		return d.giveUp(now, s, entry, failure.NoHold)
 	}
-	entry.stage = stage
+	entry.stage = st
 	return nil
 }
 
@@ -97,14 +97,14 @@
 
 // dispatchDecode hands the prompt's memory over to the pair's second server,
 // or to another when that one has no room any more.
-func (d *Desk) dispatchDecode(now time.Time, shard *shard, entry *ticket, extra bool) []Decision {
+func (d *Desk) dispatchDecode(now time.Time, s *shard, entry *ticket, extra bool) []Decision {
 	request := entry.request
 	if !now.Before(request.Limit) {
-		return d.giveUp(now, shard, entry, failure.LimitPassed)
+		return d.giveUp(now, s, entry, failure.LimitPassed)
 	}
 	holdEnds := d.ServesUntil()
 	if !now.Before(holdEnds) {
-		return d.awaitHold(now, shard, entry, handing)
+		return d.awaitHold(now, s, entry, handing)
 	}
 	entry.holdless = time.Time{}
 	d.release(entry)
@@ -126,10 +126,10 @@
 			entry.stage = handing
 			return nil
 		}
-		return d.giveUp(now, shard, entry, failure.Busy)
+		return d.giveUp(now, s, entry, failure.Busy)
 	}
 	if extra && (entry.dispatches >= entry.ruling.Service.Tries || !d.budget.Extra(1)) {
-		return d.giveUp(now, shard, entry, failure.BudgetSpent)
+		return d.giveUp(now, s, entry, failure.BudgetSpent)
 	}
 	var decisions []Decision
 	if extra {
@@ -152,13 +152,13 @@
 
 // again tries an inquiry anew if that is allowed: one that may not be repeated
 // only when the server certainly did not start.
-func (d *Desk) again(now time.Time, shard *shard, entry *ticket, outcome Outcome) []Decision {
+func (d *Desk) again(now time.Time, s *shard, entry *ticket, outcome Outcome) []Decision {
 	if !entry.request.Repeatable && entry.everRan {
 		final := Failed
 		if outcome == Uncertain {
 			final = Unknown
 		}
-		return d.finish(now, shard, entry, final, failure.ServerFailed)
+		return d.finish(now, s, entry, final, failure.ServerFailed)
 	}
-	return d.dispatchPrefill(now, shard, entry)
+	return d.dispatchPrefill(now, s, entry)
 }
--- a/internal/auction/ending.go
+++ b/internal/auction/ending.go
@@ -13,7 +13,7 @@
 
 // giveUp ends an inquiry that gets no further dispatch, with the word that is
 // certain: refused when it never ran, unknown when a server may be running it.
-func (d *Desk) giveUp(now time.Time, shard *shard, entry *ticket, cause failure.Kind) []Decision {
+func (d *Desk) giveUp(now time.Time, s *shard, entry *ticket, cause failure.Kind) []Decision {
 	final := Failed
 	switch {
 	case !entry.everRan && !entry.started:
@@ -25,7 +25,7 @@
 	if entry.started {
 		decisions = append(decisions, d.cancelCurrent(entry)...)
 	}
-	return append(decisions, d.finish(now, shard, entry, final, cause)...)
+	return append(decisions, d.finish(now, s, entry, final, cause)...)
 }
 
 func (d *Desk) cancelCurrent(entry *ticket) []Decision {
@@ -39,9 +39,9 @@
 	return []Decision{{Kind: Cancel, ID: entry.request.ID, Run: entry.run, Server: stall.server.Name, Address: stall.server.Address}}
 }
 
-func (d *Desk) finish(now time.Time, shard *shard, entry *ticket, final Final, cause failure.Kind) []Decision {
+func (d *Desk) finish(now time.Time, s *shard, entry *ticket, final Final, cause failure.Kind) []Decision {
 	d.release(entry)
-	delete(shard.tickets, entry.request.ID)
+	delete(s.tickets, entry.request.ID)
 	d.inFlight.Add(-1)
 	d.serviceCount(entry.request.Service).Add(-1)
 	d.counters.count(final)
@@ -54,13 +54,13 @@
 
 // Leave takes the news that the origin closed its circuit.
 func (d *Desk) Leave(now time.Time, id string) []Decision {
-	shard, entry := d.find(id, -1)
+	s, entry := d.find(id, -1)
 	if entry == nil {
 		return nil
 	}
-	defer shard.mutex.Unlock()
+	defer s.mutex.Unlock()
 	entry.started = entry.started || entry.stage == prefilling || entry.stage == decoding
-	return d.giveUp(now, shard, entry, failure.ClientLeft)
+	return d.giveUp(now, s, entry, failure.ClientLeft)
 }
 
 // Tick ends what has lost its limit or its patience, and goes on with what
@@ -68,27 +68,27 @@
 func (d *Desk) Tick(now time.Time) []Decision {
 	var decisions []Decision
 	for position := range d.shards {
-		shard := &d.shards[position]
-		shard.mutex.Lock()
-		for _, id := range sortedIDs(shard.tickets) {
-			decisions = append(decisions, d.tickOne(now, shard, shard.tickets[id])...)
+		s := &d.shards[position]
+		s.mutex.Lock()
+		for _, id := range sortedIDs(s.tickets) {
+			decisions = append(decisions, d.tickOne(now, s, s.tickets[id])...)
 		}
-		shard.mutex.Unlock()
+		s.mutex.Unlock()
 	}
 	return decisions
 }
 
-func (d *Desk) tickOne(now time.Time, shard *shard, entry *ticket) []Decision {
+func (d *Desk) tickOne(now time.Time, s *shard, entry *ticket) []Decision {
 	dispatched := entry.stage == prefilling || entry.stage == decoding
 	if !now.Before(entry.request.Limit) {
 		entry.started = entry.started || dispatched
-		return d.giveUp(now, shard, entry, failure.LimitPassed)
+		return d.giveUp(now, s, entry, failure.LimitPassed)
 	}
 	switch entry.stage {
 	case ready:
-		return d.dispatchPrefill(now, shard, entry)
+		return d.dispatchPrefill(now, s, entry)
 	case handing:
-		return d.dispatchDecode(now, shard, entry, false)
+		return d.dispatchDecode(now, s, entry, false)
 	case claiming:
 		return nil
 	}
@@ -107,15 +107,15 @@
 		}
 		// Whether it ran can't be known any more, and waiting would not tell.
 		entry.started = true
-		return d.giveUp(now, shard, entry, failure.ServerFailed)
+		return d.giveUp(now, s, entry, failure.ServerFailed)
 	}
 	d.market.Avoid(now, stall.server.Name)
 	decisions := d.cancelCurrent(entry)
 	entry.everRan = true
 	if entry.chunks > 0 {
-		return append(decisions, d.finish(now, shard, entry, Failed, failure.ServerFailed)...)
+		return append(decisions, d.finish(now, s, entry, Failed, failure.ServerFailed)...)
 	}
 	d.release(entry)
 	entry.tried[stall.server.Name] = true
-	return append(decisions, d.again(now, shard, entry, Uncertain)...)
+	return append(decisions, d.again(now, s, entry, Uncertain)...)
 }
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -256,11 +256,11 @@
 	if !found {
 		return Load{}, false
 	}
-	report := stall.report.Load()
-	if report == nil || now.Sub(report.at) > reportFresh {
+	r := stall.report.Load()
+	if r == nil || now.Sub(r.at) > reportFresh {
 		return Load{}, false
 	}
-	return report.load, true
+	return r.load, true
 }
 
 // Loads lists the servers with the reports that count now.
@@ -268,8 +268,8 @@
 	current := m.board.Load()
 	loads := map[string]Load{}
 	for _, stall := range current.stalls {
-		if report := stall.report.Load(); report != nil && now.Sub(report.at) <= reportFresh {
-			loads[stall.server.Name] = report.load
+		if r := stall.report.Load(); r != nil && now.Sub(r.at) <= reportFresh {
+			loads[stall.server.Name] = r.load
 		}
 	}
 	return current.listing, loads
--- a/internal/auction/program.go
+++ b/internal/auction/program.go
@@ -98,28 +98,28 @@
 		return nil, failure.At(failure.OutOfRange, "/pieces", "the service makes fewer pieces")
 	}
 	for position := 0; position < len(compiled.steps); {
-		step := &compiled.steps[position]
+		s := &compiled.steps[position]
 		holds := true
-		switch step.code {
+		switch s.code {
 		case needZone:
-			holds = zone == step.text
+			holds = zone == s.text
 		case needClient:
-			holds = request.Client == step.text
+			holds = request.Client == s.text
 		case needPrefix:
-			holds = request.Prefix == step.text
+			holds = request.Prefix == s.text
 		case needAtLeast:
-			holds = request.PromptTokens >= step.number
+			holds = request.PromptTokens >= s.number
 		case needBelow:
-			holds = request.PromptTokens < step.number
+			holds = request.PromptTokens < s.number
 		case actRefuse:
-			return step.ruling, failure.New(failure.RouteRefuses, step.ruling.Route)
+			return s.ruling, failure.New(failure.RouteRefuses, s.ruling.Route)
 		case actSend:
-			return step.ruling, nil
+			return s.ruling, nil
 		}
 		if holds {
 			position++
 		} else {
-			position = step.next
+			position = s.next
 		}
 	}
 	return nil, failure.New(failure.NoRoute, "no route matches the inquiry")
--- a/internal/codec/format.go
+++ b/internal/codec/format.go
@@ -15,11 +15,11 @@
 
 // putFormats writes every format that the enabled flags allow, side by side.
 func (r *Record) putFormats(enabled features.List, formats ...format) error {
-	for _, format := range formats {
-		if format.flag != "" && !enabled.Has(format.flag) {
+	for _, f := range formats {
+		if f.flag != "" && !enabled.Has(f.flag) {
 			continue
 		}
-		if err := r.Put(format.key, format.value); err != nil {
+		if err := r.Put(f.key, f.value); err != nil {
 			return err
 		}
 	}
@@ -29,12 +29,12 @@
 // readNewest reads the first of the formats, newest first, that the build
 // supports and the record has, and returns its key.
 func (r Record) readNewest(supported features.List, formats ...format) (string, error) {
-	for _, format := range formats {
-		if format.flag != "" && !supported.Has(format.flag) {
+	for _, f := range formats {
+		if f.flag != "" && !supported.Has(f.flag) {
 			continue
 		}
-		if found, err := r.Read(format.key, format.value); found || err != nil {
-			return format.key, err
+		if found, err := r.Read(f.key, f.value); found || err != nil {
+			return f.key, err
 		}
 	}
 	return "", failure.New(failure.Garbage, "a record of kind "+string(r.Kind)+" without a format that this build reads")
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -48,20 +48,20 @@
 		findings.add(failure.Malformed, "/", err.Error())
 		return nil, findings
 	}
-	checker := &checker{findings: findings, configuration: Empty(), places: map[callPlace]string{}}
-	checker.configuration.Text = append([]byte(nil), text...)
-	checker.root(root, place{})
+	c := &checker{findings: findings, configuration: Empty(), places: map[callPlace]string{}}
+	c.configuration.Text = append([]byte(nil), text...)
+	c.root(root, place{})
 	if len(findings.Troubles) > 0 {
 		return nil, findings
 	}
-	routes := checker.configuration.Routes
+	routes := c.configuration.Routes
 	sort.Slice(routes, func(left, right int) bool {
 		if routes[left].Order != routes[right].Order {
 			return routes[left].Order < routes[right].Order
 		}
 		return routes[left].Name < routes[right].Name
 	})
-	return checker.configuration, nil
+	return c.configuration, nil
 }
 
 type checker struct {
--- a/internal/config/taste.go
+++ b/internal/config/taste.go
@@ -34,19 +34,19 @@
 		}
 		return remarks
 	}
-	tasting := &tasting{configuration: configuration, facts: facts, zones: map[string]int{}}
+	t := &tasting{configuration: configuration, facts: facts, zones: map[string]int{}}
 	for _, server := range facts.Servers {
 		if !server.Leaving {
-			tasting.zones[server.Zone]++
+			t.zones[server.Zone]++
 		}
 	}
-	tasting.evacuations()
-	tasting.routes()
-	tasting.room()
-	tasting.services(current)
-	tasting.members()
-	sort.SliceStable(tasting.remarks, func(left, right int) bool { return tasting.remarks[left].Path < tasting.remarks[right].Path })
-	return tasting.remarks
+	t.evacuations()
+	t.routes()
+	t.room()
+	t.services(current)
+	t.members()
+	sort.SliceStable(t.remarks, func(left, right int) bool { return t.remarks[left].Path < t.remarks[right].Path })
+	return t.remarks
 }
 
 type tasting struct {
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -324,11 +324,11 @@
 		}
 	}
 	r.mutex.Unlock()
-	var peers []string
+	var p []string
 	for _, member := range r.nearest(len(names)) {
-		peers = append(peers, member.Address)
+		p = append(p, member.Address)
 	}
-	r.followed.SetContacts(contacts, peers)
+	r.followed.SetContacts(contacts, p)
 }
 
 // routersOf are the names of the couriers among recorded members.
@@ -388,11 +388,11 @@
 		sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
 		return
 	}
-	stream := newStream(r.runtime)
+	s := newStream(r.runtime)
 	r.mutex.Lock()
 	_, busy := r.streams[request.ID]
 	if !busy {
-		r.streams[request.ID] = stream
+		r.streams[request.ID] = s
 	}
 	r.mutex.Unlock()
 	if busy {
@@ -404,10 +404,10 @@
 		defer r.mutex.Unlock()
 		delete(r.streams, request.ID)
 	}()
-	reply.WhenLeft(stream.leave)
+	reply.WhenLeft(s.leave)
 	r.Apply(auction.Event{Kind: auction.RequestArrived, Request: request})
 	r.stir()
-	r.answer(arrival, reply, stream)
+	r.answer(arrival, reply, s)
 }
 
 // meant tells whether a passed-on inquiry was meant for this life of the
@@ -423,23 +423,23 @@
 	return r.passages.first(r.runtime.Now(), passage.Nonce)
 }
 
-func (r *Router) answer(arrival Arrival, reply Reply, stream *stream) {
+func (r *Router) answer(arrival Arrival, reply Reply, s *stream) {
 	request := arrival.Request
 	for {
-		decision, found := stream.next()
+		decision, found := s.next()
 		if !found {
-			if stream.gone() {
+			if s.gone() {
 				r.Apply(auction.Event{Kind: auction.ClientLeft, ID: request.ID})
 				return
 			}
-			stream.cond.Wait(time.Minute, stream.update)
+			s.cond.Wait(time.Minute, s.update)
 			if !r.runtime.Alive() {
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
-				if stream.sent == 0 {
+				if s.sent == 0 {
 					sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Draining})
 				} else {
-					_ = reply.Line(ReplyLine{Request: request.ID, Final: auction.Failed, Type: failure.Draining, Chunks: stream.sent}.encode())
+					_ = reply.Line(ReplyLine{Request: request.ID, Final: auction.Failed, Type: failure.Draining, Chunks: s.sent}.encode())
 				}
 				return
 			}
@@ -455,7 +455,7 @@
 				reply.Begin(line.Status(), 0)
 			}
 			if reply.Line(line.encode()) != nil {
-				stream.leave()
+				s.leave()
 			}
 			continue
 		}
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -16,10 +16,10 @@
 	switch decision.Kind {
 	case auction.SendChunk, auction.Finish, auction.PassOn:
 		r.mutex.Lock()
-		stream := r.streams[decision.ID]
+		s := r.streams[decision.ID]
 		r.mutex.Unlock()
-		if stream != nil {
-			stream.put(decision)
+		if s != nil {
+			s.put(decision)
 		}
 		if decision.Kind == auction.Finish {
 			for run := 1; run <= decision.Run; run++ {
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -71,7 +71,7 @@
 
 // OpenController opens what the disk holds. A blank or damaged keeper's shelf is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenController(rt runtime.Runtime, line Hotline, keeping, copies replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
+func OpenController(rt runtime.Runtime, line Hotline, keeping, c replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(rt.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -79,11 +79,11 @@
 	}
 	if blank {
 		// Whatever copy lies here belonged to an identity that is gone.
-		if err := empty(copies); err != nil {
+		if err := empty(c); err != nil {
 			return nil, true, err
 		}
 	}
-	copied, err := replication.OpenCopy(copies)
+	copied, err := replication.OpenCopy(c)
 	if err != nil {
 		return nil, blank, err
 	}
@@ -197,19 +197,19 @@
 			recorded = append(recorded, member.Address)
 		}
 	}
-	var peers []string
+	var p []string
 	for _, name := range membership.Ranked(c.options.Name, routersOf(c.members)) {
-		peers = append(peers, c.members[name].Address)
+		p = append(p, c.members[name].Address)
 	}
 	c.mutex.Unlock()
 	c.coordinator.SetContacts(contacts)
-	c.coordinator.SetRecorded(append(slices.Clone(recorded), peers...))
+	c.coordinator.SetRecorded(append(slices.Clone(recorded), p...))
 	for _, address := range recorded {
 		if !slices.Contains(contacts, address) {
 			contacts = append(contacts, address)
 		}
 	}
-	c.followed.SetContacts(contacts, peers)
+	c.followed.SetContacts(contacts, p)
 }
 
 // Witness is the epoch keeper on this disk.
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -94,14 +94,14 @@
 	changed := rt.NewCond()
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
-		copies, keeping := &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
+		m, keeping := &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
 		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
-		node, _, err := OpenController(wrap(rt), formed, keeping, copies, options, func(string, ...any) { changed.Broadcast() })
+		node, _, err := OpenController(wrap(rt), formed, keeping, m, options, func(string, ...any) { changed.Broadcast() })
 		if err != nil {
 			t.Fatal(err)
 		}
 		formed.mutex.Lock()
-		formed.nodes[address], formed.storages[address] = node, copies
+		formed.nodes[address], formed.storages[address] = node, m
 		formed.keeping[address] = keeping
 		formed.mutex.Unlock()
 	}
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -128,10 +128,10 @@
 }
 
 // Follow chooses whether the list of servers and their reports are followed, too.
-func (f *Follower) Follow(lists, loads bool) {
+func (f *Follower) Follow(l, loads bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.lists, f.loads = lists, loads
+	f.lists, f.loads = l, loads
 }
 
 // TellFailing gives the way to the servers that failed requests lately: each is told once.
@@ -150,10 +150,10 @@
 
 // SetContacts gives the expediters' addresses that the platform or the record lists,
 // and the other couriers, the nearest first: they may relay, and tell where the core is.
-func (f *Follower) SetContacts(contacts, peers []string) {
+func (f *Follower) SetContacts(contacts, p []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.contacts, f.peers = contacts, peers
+	f.contacts, f.peers = contacts, p
 }
 
 // SetSeeds exchanges the seeds, after a reload.
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -89,11 +89,11 @@
 			follower := NewFollower(rt, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
 				func() replication.Version { return replication.Version{} }, func(update Update) { taken <- update.Answer.Configuration })
 			follower.Follow(true, true)
-			var peers []string
+			var p []string
 			for number := range row.peers {
-				peers = append(peers, fmt.Sprintf("courier%d", number))
+				p = append(p, fmt.Sprintf("courier%d", number))
 			}
-			follower.SetContacts([]string{"old3", "old4", "old5", "old6"}, peers)
+			follower.SetContacts([]string{"old3", "old4", "old5", "old6"}, p)
 			before, after := seats("old"), seats("new")
 			before.Epoch, after.Epoch = 4, 19
 			line.set("old0", &UpdateAnswer{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
--- a/internal/hatch/lists_test.go
+++ b/internal/hatch/lists_test.go
@@ -125,9 +125,9 @@
 	follower := NewFollower(rt, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { heard = update })
 	follower.Follow(true, true)
 	rt.now = atNoon(800 * time.Millisecond)
-	lines := []loadReport{reportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
+	l := []loadReport{reportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
 	answer := UpdateAnswer{Leads: true, Held: 600 * time.Millisecond, Servers: &ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
-		Loads: &LoadsUpdate{Mark: 9, Lines: lines}}
+		Loads: &LoadsUpdate{Mark: 9, Lines: l}}
 	follower.takeAnswer(atNoon(0), answer)
 	if heard.Servers == nil || !heard.Servers.At.Equal(atNoon(300*time.Millisecond)) {
 		t.Errorf("the list was read at %+v", heard.Servers)
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -180,35 +180,35 @@
 
 // search looks for the primary until one is known, or its answer was taken by a relay.
 func (f *Follower) search() {
-	search := newSearch(f.runtime)
-	for f.runtime.Alive() && !f.searchOnce(search) {
+	s := newSearch(f.runtime)
+	for f.runtime.Alive() && !f.searchOnce(s) {
 	}
 }
 
 // searchOnce makes one round of the search and tells whether it ended it.
-func (f *Follower) searchOnce(search *search) bool {
+func (f *Follower) searchOnce(s *search) bool {
 	began := f.runtime.Now()
 	candidates := f.candidates()
 	question := f.briefQuestion()
 	for _, address := range candidates {
-		f.askOne(search, address, question)
+		f.askOne(s, address, question)
 	}
-	if search.rounds > 0 && !search.answeredWithin(candidates, began, coreSilence) {
-		f.askPeers(search, question)
+	if s.rounds > 0 && !s.answeredWithin(candidates, began, coreSilence) {
+		f.askPeers(s, question)
 	}
-	search.rounds++
-	if search.rounds%relayRounds == 0 && !search.answeredWithin([]string{f.Membership().Primary.Address}, began, coreSilence) {
-		f.askRelays(search)
+	s.rounds++
+	if s.rounds%relayRounds == 0 && !s.answeredWithin([]string{f.Membership().Primary.Address}, began, coreSilence) {
+		f.askRelays(s)
 	}
-	f.awaitRound(search)
+	f.awaitRound(s)
 	if _, known := f.knownPrimary(); known {
 		return true
 	}
-	if leading := search.take(); leading != nil && leading.answer.Hold > 0 && f.takeAnswer(leading.asked, leading.answer) {
+	if leading := s.take(); leading != nil && leading.answer.Hold > 0 && f.takeAnswer(leading.asked, leading.answer) {
 		return true
 	}
 	if f.lacks() {
-		if address, version, found := search.choose(f.runtime.Now()); found {
+		if address, version, found := s.choose(f.runtime.Now()); found {
 			f.fetch(address, version)
 		}
 	}
@@ -219,35 +219,35 @@
 }
 
 // awaitRound waits for an answer that ends a round.
-func (f *Follower) awaitRound(search *search) {
-	search.cond.Wait(searchRound, func() bool {
-		if search.led() || !f.lacks() {
-			return search.led()
+func (f *Follower) awaitRound(s *search) {
+	s.cond.Wait(searchRound, func() bool {
+		if s.led() || !f.lacks() {
+			return s.led()
 		}
-		_, _, found := search.choose(f.runtime.Now())
+		_, _, found := s.choose(f.runtime.Now())
 		return found
 	})
 }
 
 // askPeers asks a few couriers, others in each round: one that has followed the core
 // longer knows who belongs to it now.
-func (f *Follower) askPeers(search *search, question UpdateQuestion) {
+func (f *Follower) askPeers(s *search, question UpdateQuestion) {
 	question.Provisional = false
 	f.mutex.Lock()
-	peers := f.peers
+	p := f.peers
 	f.mutex.Unlock()
-	for position := range min(peersPerRound, len(peers)) {
-		next := (search.rounds-1)*peersPerRound + position
-		f.askOne(search, peers[next%len(peers)], question)
+	for position := range min(peersPerRound, len(p)) {
+		next := (s.rounds-1)*peersPerRound + position
+		f.askOne(s, p[next%len(p)], question)
 	}
 }
 
 // askOne asks an address in a thread of its own, unless it was asked just now.
-func (f *Follower) askOne(search *search, address string, question UpdateQuestion) {
+func (f *Follower) askOne(s *search, address string, question UpdateQuestion) {
 	f.mutex.Lock()
 	membership, fleet := f.membership, len(f.peers)
 	f.mutex.Unlock()
-	if !search.begin(address, f.runtime.Now(), membership, fleet) {
+	if !s.begin(address, f.runtime.Now(), membership, fleet) {
 		return
 	}
 	f.runtime.Go(func() {
@@ -257,13 +257,13 @@
 		if err == nil {
 			f.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
 		}
-		search.end(address, asked, f.runtime.Now(), answer, err)
+		s.end(address, asked, f.runtime.Now(), answer, err)
 	})
 }
 
 // askRelays has the nearest couriers pass the question on to the primary that they know:
 // the path to it may be cut for this node alone.
-func (f *Follower) askRelays(search *search) {
+func (f *Follower) askRelays(s *search) {
 	question := f.searchQuestion()
 	question.Provisional = false
 	body, err := msgpack.Marshal(question)
@@ -274,11 +274,11 @@
 	relays := append([]string(nil), f.peers[:min(neighbours, len(f.peers))]...)
 	f.mutex.Unlock()
 	for _, address := range relays {
-		f.runtime.Go(func() { f.askRelay(search, address, body) })
+		f.runtime.Go(func() { f.askRelay(s, address, body) })
 	}
 }
 
-func (f *Follower) askRelay(search *search, address string, body []byte) {
+func (f *Follower) askRelay(s *search, address string, body []byte) {
 	asked := f.runtime.Now()
 	var reply []byte
 	if Call(f.line, address, RelayPath, RelayQuestion{Path: UpdatePath, Body: body}, &reply, relayPatience) != nil {
@@ -289,8 +289,8 @@
 		return
 	}
 	f.learnMembership(answer.Membership)
-	search.note(address, asked, f.runtime.Now(), answer)
-	search.cond.Broadcast()
+	s.note(address, asked, f.runtime.Now(), answer)
+	s.cond.Broadcast()
 }
 
 // fetch takes the configuration of a version from the copy at an address. It gives no
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -29,14 +29,14 @@
 func restarted(t *testing.T, rt runtime.Runtime, before *core, blank ...string) *core {
 	t.Helper()
 	after := &core{nodes: map[string]*Controller{}}
-	for address, copies := range before.storages {
+	for address, m := range before.storages {
 		keeping := before.keeping[address]
 		if slices.Contains(blank, address) {
-			copies, keeping = &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
+			m, keeping = &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
 		}
 		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
 			Fresh: replication.Identity("next disk-" + address), Directory: oneServer{}}
-		node, _, err := OpenController(rt, after, keeping, copies, options, func(string, ...any) {})
+		node, _, err := OpenController(rt, after, keeping, m, options, func(string, ...any) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,12 +83,12 @@
 	} {
 		lifetime, end := context.WithCancel(context.Background())
 		turns := osruntime.New(lifetime, osruntime.NewClock())
-		core := restarted(t, turns, before, row.blank...)
+		c := restarted(t, turns, before, row.blank...)
 		if row.dark != "" {
-			core.nodes[row.dark] = nil
+			c.nodes[row.dark] = nil
 		}
 		told := turns.NewCond()
-		router := newRouterAt(turns, core, row.without, told)
+		router := newRouterAt(turns, c, row.without, told)
 		patience := 5 * time.Second
 		if !row.served {
 			patience = 400 * time.Millisecond
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -103,11 +103,11 @@
 }
 
 // agreed tells whether enough routers of enough zones reported the server.
-func (d *Detector) agreed(now time.Time, server *server) bool {
+func (d *Detector) agreed(now time.Time, s *server) bool {
 	zones, reporters := map[string]bool{}, 0
-	for reporter, at := range server.reports {
+	for reporter, at := range s.reports {
 		if now.Sub(at) > window {
-			delete(server.reports, reporter)
+			delete(s.reports, reporter)
 			continue
 		}
 		zones[reporter.Zone] = true
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -339,8 +339,8 @@
 		return wanted > 1 && candidates[left].crowd < candidates[right].crowd
 	})
 	ordered := make([]Replica, 0, len(candidates))
-	for _, candidate := range candidates {
-		ordered = append(ordered, c.recorded(candidate.seat))
+	for _, ca := range candidates {
+		ordered = append(ordered, c.recorded(ca.seat))
 	}
 	if wanted > 1 {
 		spreadOut(ordered, copies[0].Zone, wanted)
--- a/internal/replication/ballot.go
+++ b/internal/replication/ballot.go
@@ -18,8 +18,8 @@
 	next    Membership
 }
 
-func newBallot(candidate Identity, epoch uint64, base Membership) *ballot {
-	return &ballot{candidate: candidate, epoch: epoch, base: base, newest: base,
+func newBallot(c Identity, epoch uint64, base Membership) *ballot {
+	return &ballot{candidate: c, epoch: epoch, base: base, newest: base,
 		asked: map[Identity]bool{}, promised: map[Identity]bool{}, accepted: map[Identity]bool{}}
 }
 
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -170,13 +170,13 @@
 		if len(supported.Lacks(enabled)) > 0 {
 			return failure.New(failure.Restricted, "this node may not write orders")
 		}
-		for _, order := range orders {
-			record, err := codec.WriteOrder(order, duty.Holder, state.Orders.Number+1, enabled)
+		for _, o := range orders {
+			record, err := codec.WriteOrder(o, duty.Holder, state.Orders.Number+1, enabled)
 			if err != nil {
 				return err
 			}
 			state.Orders.Number++
-			state.Orders.Records[order.Server] = record
+			state.Orders.Records[o.Server] = record
 			state.Touch(OrdersSection)
 		}
 		return nil
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -48,10 +48,10 @@
 }
 
 // submit carries an order out in its turn, as the primary does.
-func (c *changeModel) submit(order order) error {
+func (c *changeModel) submit(o order) error {
 	c.number++
 	version := Version{Epoch: 1, Number: c.number}
-	err := ChangeConfiguration(order.id(), order.id(), nil, PreparedConfiguration{}, order.apply)(c.state, version, c.configurationAt)
+	err := ChangeConfiguration(o.id(), o.id(), nil, PreparedConfiguration{}, o.apply)(c.state, version, c.configurationAt)
 	if c.state.dirty[ConfigurationSection] {
 		c.configurationAt = version
 	}
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -188,73 +188,73 @@
 		base = known
 	}
 	own := c.witness.Replica().Identity
-	ballot := newBallot(own, max(base.Epoch, c.witness.Promised(), c.ballot)+1, base)
-	if err := c.store.Vow(c.runtime.Now(), ballot.epoch, own); err != nil {
+	b := newBallot(own, max(base.Epoch, c.witness.Promised(), c.ballot)+1, base)
+	if err := c.store.Vow(c.runtime.Now(), b.epoch, own); err != nil {
 		return base, err
 	}
 	for {
-		replicas := ballot.unasked()
+		replicas := b.unasked()
 		if len(replicas) == 0 {
 			break
 		}
-		c.gatherPromises(ballot, replicas)
-		c.ballot = max(c.ballot, ballot.highest)
-		if !ballot.hasPromises() {
-			return ballot.newest, failure.New(failure.NoPrimary, "no quorum of keepers promised the epoch")
+		c.gatherPromises(b, replicas)
+		c.ballot = max(c.ballot, b.highest)
+		if !b.hasPromises() {
+			return b.newest, failure.New(failure.NoPrimary, "no quorum of keepers promised the epoch")
 		}
-		if !ballot.rebase() {
+		if !b.rebase() {
 			break
 		}
 	}
-	if err := ballot.propose(make); err != nil {
-		return ballot.base, err
+	if err := b.propose(make); err != nil {
+		return b.base, err
 	}
-	c.gatherAcceptances(ballot)
-	c.ballot = max(c.ballot, ballot.highest)
-	if !ballot.isGranted() {
-		return ballot.base, failure.New(failure.Unknown, "no quorum of keepers accepted the charter")
+	c.gatherAcceptances(b)
+	c.ballot = max(c.ballot, b.highest)
+	if !b.isGranted() {
+		return b.base, failure.New(failure.Unknown, "no quorum of keepers accepted the charter")
 	}
 	c.mutex.Lock()
-	c.membership = ballot.next
+	c.membership = b.next
 	c.mutex.Unlock()
-	return ballot.next, nil
+	return b.next, nil
 }
 
 // gatherPromises asks witnesses for their promise until a majority has given it.
-func (c *Coordinator) gatherPromises(ballot *ballot, replicas []Replica) {
-	current := ballot.base
+func (c *Coordinator) gatherPromises(b *ballot, replicas []Replica) {
+	current := b.base
 	gather(c.runtime, replicas, func(replica Replica) (Promise, error) {
-		if replica.Identity == ballot.candidate {
+		if replica.Identity == b.candidate {
 			// The vow has promised this epoch on the own disk already.
 			return Promise{Witness: replica.Identity, Granted: true, Membership: c.witness.Membership()}, nil
 		}
-		promise, err := c.peers.Prepare(c.Address(replica), replica.Identity, ballot.epoch, ballot.candidate)
+		promise, err := c.peers.Prepare(c.Address(replica), replica.Identity, b.epoch, b.candidate)
 		if err == nil && promise.Refusal == failure.NotAdmitted && current.Keeps(replica.Identity) {
 			// It was named a keeper and has not heard of it.
 			if _, err := c.peers.Accept(c.Address(replica), replica.Identity, current); err == nil {
-				return c.peers.Prepare(c.Address(replica), replica.Identity, ballot.epoch, ballot.candidate)
+				return c.peers.Prepare(c.Address(replica), replica.Identity, b.epoch, b.candidate)
 			}
 		}
 		return promise, err
 	}, func(replica Replica, promise Promise, err error) {
 		if err == nil {
-			ballot.takePromise(replica.Identity, promise)
+			b.takePromise(replica.Identity, promise)
 		}
-	}, ballot.hasPromises)
+	}, b.hasPromises)
 }
 
 // gatherAcceptances has the proposed charter accepted, until majorities have done so.
-func (c *Coordinator) gatherAcceptances(ballot *ballot) {
-	gather(c.runtime, ballot.acceptors(), func(replica Replica) (Promise, error) {
-		if replica.Identity == ballot.candidate {
-			return c.witness.Accept(c.runtime.Now(), ballot.next)
+func (c *Coordinator) gatherAcceptances(b *ballot) {
+	gather(c.runtime, b.acceptors(), func(replica Replica) (Promise, error) {
+		if replica.Identity == b.candidate {
+			return c.witness.Accept(c.runtime.Now(), b.next)
 		}
-		return c.peers.Accept(c.Address(replica), replica.Identity, ballot.next)
+		return c.peers.Accept(c.Address(replica), replica.Identity, b.next)
 	}, func(replica Replica, promise Promise, err error) {
 		if err == nil {
-			ballot.takeAcceptance(replica.Identity, promise)
+			b.takeAcceptance(replica.Identity, promise)
 		}
-	}, ballot.isGranted)
+	}, b.isGranted)
 }
 
 // confirm renews the primary's own hold from a quorum of keepers.
@@ -344,13 +344,13 @@
 // whose last question was not confirmed asks no more until they do: what it asks may
 // arrive though the answers do not.
 func (c *Coordinator) reaches(membership Membership) bool {
-	reached := map[Identity]bool{c.witness.Replica().Identity: true}
+	r := map[Identity]bool{c.witness.Replica().Identity: true}
 	for _, replica := range membership.Electors() {
 		if _, alive := c.alive(replica.Identity, staleAnswer); alive {
-			reached[replica.Identity] = true
+			r[replica.Identity] = true
 		}
 	}
-	return membership.Quorum(reached)
+	return membership.Quorum(r)
 }
 
 // regrant asks for the same charter under a higher epoch, when a keeper has
@@ -398,13 +398,13 @@
 	if membership.Backup.Empty() || c.unsettled {
 		return false
 	}
-	reached := false
+	r := false
 	for _, backup := range membership.Backups() {
 		if _, alive := c.alive(backup.Identity, c.timing.Beat); alive {
-			reached = true
+			r = true
 		}
 	}
-	if !reached {
+	if !r {
 		return false
 	}
 	c.mutex.Lock()
--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -92,9 +92,9 @@
 		copied.keeper = witness
 		copied.confirmed = cloneSet(old.confirmed)
 		if old.ballot != nil {
-			ballot := *old.ballot
-			ballot.asked, ballot.promised, ballot.accepted = cloneSet(ballot.asked), cloneSet(ballot.promised), cloneSet(ballot.accepted)
-			copied.ballot = &ballot
+			b := *old.ballot
+			b.asked, b.promised, b.accepted = cloneSet(b.asked), cloneSet(b.promised), cloneSet(b.accepted)
+			copied.ballot = &b
 		}
 		next.members[position] = &copied
 	}
@@ -150,10 +150,10 @@
 		text = append(text, member.plan...)
 		text = appendMembership(text, member.membership)
 		text = appendSet(text, member.confirmed)
-		if ballot := member.ballot; ballot != nil {
-			text = append(text, byte(ballot.epoch))
-			text = appendMembership(appendMembership(appendMembership(text, ballot.base), ballot.newest), ballot.next)
-			text = appendSet(appendSet(appendSet(text, ballot.asked), ballot.promised), ballot.accepted)
+		if b := member.ballot; b != nil {
+			text = append(text, byte(b.epoch))
+			text = appendMembership(appendMembership(appendMembership(text, b.base), b.newest), b.next)
+			text = appendSet(appendSet(appendSet(text, b.asked), b.promised), b.accepted)
 		}
 	}
 	for _, message := range c.late {
@@ -250,13 +250,13 @@
 	}
 }
 
-func (c *coreState) deliverLate(explorer *explorer, message lateMessage) {
+func (c *coreState) deliverLate(e *explorer, message lateMessage) {
 	member := c.members[message.to]
 	if !member.up {
 		return
 	}
 	if message.membership.Epoch > 0 {
-		explorer.accept(member, message.membership)
+		e.accept(member, message.membership)
 		return
 	}
 	_, _ = member.keeper.Prepare(explorationNow, message.epoch, message.from)
@@ -372,8 +372,8 @@
 		return
 	}
 	_, backup := state.at(member.membership.Backup.Identity)
-	for other, candidate := range state.members {
-		if other == position || !candidate.up || backup != nil && !member.unsettled {
+	for other, c := range state.members {
+		if other == position || !c.up || backup != nil && !member.unsettled {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
@@ -480,19 +480,19 @@
 		act(next, next.members[position])
 		e.explore(next)
 	}
-	candidate := state.members[position]
+	c := state.members[position]
 	branch(func(_ *coreState, member *coreMember) { member.ballot, member.plan = nil, "" })
-	accepting := candidate.ballot.next.Epoch > 0
-	replicas := candidate.ballot.base.Electors()
+	accepting := c.ballot.next.Epoch > 0
+	replicas := c.ballot.base.Electors()
 	if accepting {
-		replicas = candidate.ballot.acceptors()
+		replicas = c.ballot.acceptors()
 	}
 	for _, replica := range replicas {
-		if _, answered := candidate.ballot.accepted[replica.Identity]; accepting && answered || !accepting && candidate.ballot.asked[replica.Identity] {
+		if _, answered := c.ballot.accepted[replica.Identity]; accepting && answered || !accepting && c.ballot.asked[replica.Identity] {
 			continue
 		}
-		to, reached := state.at(replica.Identity)
-		if reached == nil {
+		to, r := state.at(replica.Identity)
+		if r == nil {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
@@ -523,23 +523,23 @@
 
 // advance takes a ballot to its next stage as soon as it may.
 func (e *explorer) advance(state *coreState, member *coreMember) {
-	ballot := member.ballot
-	if ballot.next.Epoch == 0 {
-		if !ballot.hasPromises() || ballot.rebase() || !ballot.hasPromises() {
+	b := member.ballot
+	if b.next.Epoch == 0 {
+		if !b.hasPromises() || b.rebase() || !b.hasPromises() {
 			return
 		}
-		if ballot.propose(member.make(state)) != nil {
+		if b.propose(member.make(state)) != nil {
 			member.ballot, member.plan = nil, ""
 		}
 		return
 	}
-	if !ballot.isGranted() {
+	if !b.isGranted() {
 		return
 	}
-	if ballot.next.Epoch > state.newest.Epoch {
-		state.newest = ballot.next
+	if b.next.Epoch > state.newest.Epoch {
+		state.newest = b.next
 	}
-	member.leads, member.membership, member.ballot, member.plan = true, ballot.next, nil, ""
+	member.leads, member.membership, member.ballot, member.plan = true, b.next, nil, ""
 	member.lease, member.unsettled = false, false
 	clear(member.confirmed)
 }
@@ -548,8 +548,8 @@
 func (e *explorer) exploreLeader(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
 	leader := state.members[position]
 	for _, replica := range leader.membership.Electors() {
-		to, reached := state.at(replica.Identity)
-		if reached == nil || leader.confirmed[replica.Identity] {
+		to, c := state.at(replica.Identity)
+		if c == nil || leader.confirmed[replica.Identity] {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
@@ -624,15 +624,15 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			explorer := row.explorer
-			explorer.seen, explorer.limit = map[[16]byte]struct{}{}, mostStates
-			explorer.explore(row.from)
-			t.Logf("%d states, exhausted %v: %s", len(explorer.seen), len(explorer.seen) < explorer.limit, explorer.broken)
-			if row.found != (explorer.broken != "") {
-				t.Errorf("%d states: %q", len(explorer.seen), explorer.broken)
+			e := row.explorer
+			e.seen, e.limit = map[[16]byte]struct{}{}, mostStates
+			e.explore(row.from)
+			t.Logf("%d states, exhausted %v: %s", len(e.seen), len(e.seen) < e.limit, e.broken)
+			if row.found != (e.broken != "") {
+				t.Errorf("%d states: %q", len(e.seen), e.broken)
 			}
-			if !row.found && len(explorer.seen) >= explorer.limit {
-				t.Errorf("the exploration is not whole after %d states", len(explorer.seen))
+			if !row.found && len(e.seen) >= e.limit {
+				t.Errorf("the exploration is not whole after %d states", len(e.seen))
 			}
 		})
 	}
--- a/internal/replication/leaving_test.go
+++ b/internal/replication/leaving_test.go
@@ -29,17 +29,17 @@
 // but what the test has them do.
 func calmWorld(t *testing.T, shape coreShape, seed uint64, catchUp time.Duration) *world {
 	t.Helper()
-	world := newWorldOf(t, seed, shape.machines, shape.zones, shape.borne)
-	world.catchUp = catchUp
-	for _, machine := range world.machines {
-		machine.steward.SetTiming(TimingFor(catchUp))
+	w := newWorldOf(t, seed, shape.machines, shape.zones, shape.borne)
+	w.catchUp = catchUp
+	for _, m := range w.machines {
+		m.steward.SetTiming(TimingFor(catchUp))
 	}
-	if !world.heal(20 * time.Second) {
-		world.fail("no core was formed")
+	if !w.heal(20 * time.Second) {
+		w.fail("no core was formed")
 	}
-	world.calm = true
-	world.run(time.Second, nil)
-	return world
+	w.calm = true
+	w.run(time.Second, nil)
+	return w
 }
 
 // run lets time pass: every machine that is up ticks, the primary writes, and the rules are
@@ -47,11 +47,11 @@
 func (w *world) run(length time.Duration, over func() bool) bool {
 	for ends := w.clock().Add(length); w.clock().Before(ends); {
 		w.advance(tickPause)
-		for _, machine := range w.machines {
-			if machine.up.Load() && !machine.frozen {
-				machine.steward.Tick()
+		for _, m := range w.machines {
+			if m.up.Load() && !m.frozen {
+				m.steward.Tick()
 				w.check()
-				w.write(machine)
+				w.write(m)
 				w.check()
 			}
 		}
@@ -63,14 +63,14 @@
 }
 
 // roleOf is what a machine is to the core now, if it is anything.
-func (w *world) roleOf(machine *machine) role {
+func (w *world) roleOf(m *machine) role {
 	leader := w.leader()
-	if leader == nil || !machine.up.Load() {
+	if leader == nil || !m.up.Load() {
 		return ""
 	}
-	membership, identity := leader.steward.Membership(), machine.keeper.Replica().Identity
+	membership, identity := leader.steward.Membership(), m.keeper.Replica().Identity
 	switch {
-	case machine == leader:
+	case m == leader:
 		return primaryRole
 	case membership.InSync(identity):
 		return backupRole
@@ -82,9 +82,9 @@
 
 // inRole finds a machine by what it is to the core, if there is one.
 func (w *world) inRole(wanted role) *machine {
-	for _, machine := range w.machines {
-		if w.roleOf(machine) == wanted {
-			return machine
+	for _, m := range w.machines {
+		if w.roleOf(m) == wanted {
+			return m
 		}
 	}
 	return nil
@@ -94,9 +94,9 @@
 func (w *world) victims(wanted role) []*machine {
 	var victims []*machine
 	for _, found := range []role{wanted, backupRole, witnessRole, primaryRole} {
-		for _, machine := range w.machines {
-			if len(victims) < w.borne && w.roleOf(machine) == found && !slices.Contains(victims, machine) {
-				victims = append(victims, machine)
+		for _, m := range w.machines {
+			if len(victims) < w.borne && w.roleOf(m) == found && !slices.Contains(victims, m) {
+				victims = append(victims, m)
 			}
 		}
 	}
@@ -126,8 +126,8 @@
 	w.mutex.Unlock()
 	w.formed = true
 	w.seeds = nil
-	for _, machine := range w.machines[:3] {
-		w.seeds = append(w.seeds, machine.address)
+	for _, m := range w.machines[:3] {
+		w.seeds = append(w.seeds, m.address)
 	}
 	w.start(added)
 	return added
@@ -137,14 +137,14 @@
 // acknowledged write.
 func (w *world) copiesOfTheNewest() int {
 	var membership Membership
-	for _, machine := range w.machines {
-		if known := machine.keeper.Membership(); machine.up.Load() && known.Epoch > membership.Epoch {
+	for _, m := range w.machines {
+		if known := m.keeper.Membership(); m.up.Load() && known.Epoch > membership.Epoch {
 			membership = known
 		}
 	}
 	count := 0
-	for _, machine := range w.machines {
-		if machine.up.Load() && membership.InSync(machine.keeper.Replica().Identity) && revisionIn(machine.store.Copy().Sections()[ConfigurationSection].Content) >= w.accepted {
+	for _, ma := range w.machines {
+		if ma.up.Load() && membership.InSync(ma.keeper.Replica().Identity) && revisionIn(ma.store.Copy().Sections()[ConfigurationSection].Content) >= w.accepted {
 			count++
 		}
 	}
@@ -161,32 +161,32 @@
 		for _, leaves := range []role{primaryRole, backupRole, witnessRole} {
 			for _, lost := range []role{primaryRole, backupRole, witnessRole} {
 				t.Run(fmt.Sprintf("%d disks/%s leaves/%s lost", shape.machines, leaves, lost), func(t *testing.T) {
-					world := calmWorld(t, shape, 3, DefaultCatchUp)
-					leaver := world.inRole(leaves)
-					world.join(leaver.zone)
-					world.run(time.Second, nil)
-					if leaver = world.inRole(leaves); leaver == nil {
+					w := calmWorld(t, shape, 3, DefaultCatchUp)
+					leaver := w.inRole(leaves)
+					w.join(leaver.zone)
+					w.run(time.Second, nil)
+					if leaver = w.inRole(leaves); leaver == nil {
 						t.Skip("nobody has the role")
 					}
-					began := world.clock()
+					began := w.clock()
 					leaver.steward.Leave()
-					released := world.run(patience, func() bool {
-						if copies := world.copiesOfTheNewest(); copies < shape.borne+1 {
-							world.fail("%v after it began to leave %d disks have every acknowledged write", world.clock().Sub(began), copies)
+					released := w.run(patience, func() bool {
+						if copies := w.copiesOfTheNewest(); copies < shape.borne+1 {
+							w.fail("%v after it began to leave %d disks have every acknowledged write", w.clock().Sub(began), copies)
 						}
 						return leaver.steward.Released()
 					})
 					if !released {
-						world.fail("%s is not released: %+v", leaver.address, leaver.steward.Membership())
+						w.fail("%s is not released: %+v", leaver.address, leaver.steward.Membership())
 					}
-					world.say("%s is released after %v", leaver.address, world.clock().Sub(began))
-					world.gone(leaver)
-					for _, second := range world.victims(lost) {
-						world.gone(second)
-						world.join(second.zone)
+					w.say("%s is released after %v", leaver.address, w.clock().Sub(began))
+					w.gone(leaver)
+					for _, second := range w.victims(lost) {
+						w.gone(second)
+						w.join(second.zone)
 					}
-					if !world.run(12*time.Second, func() bool { return world.leader() != nil && world.whole() != nil }) {
-						world.fail("no core after the second loss")
+					if !w.run(12*time.Second, func() bool { return w.leader() != nil && w.whole() != nil }) {
+						w.fail("no core after the second loss")
 					}
 				})
 			}
@@ -197,21 +197,21 @@
 // TestABackupThatLeavesAloneIsReplacedByTheThird stops the backup of three, without any
 // newcomer: the third has its copy before it ends, and no write is refused.
 func TestABackupThatLeavesAloneIsReplacedByTheThird(t *testing.T) {
-	world := calmWorld(t, coreShapes[0], 4, DefaultCatchUp)
-	leaver := world.inRole(backupRole)
-	began := world.clock()
+	w := calmWorld(t, coreShapes[0], 4, DefaultCatchUp)
+	leaver := w.inRole(backupRole)
+	began := w.clock()
 	leaver.steward.Leave()
-	if !world.run(3*time.Second, func() bool { return !world.leader().steward.Membership().InSync(leaver.keeper.Replica().Identity) }) {
-		world.fail("the backup that leaves is not replaced")
+	if !w.run(3*time.Second, func() bool { return !w.leader().steward.Membership().InSync(leaver.keeper.Replica().Identity) }) {
+		w.fail("the backup that leaves is not replaced")
 	}
-	if took := world.clock().Sub(began); took > time.Second {
-		world.fail("the backup that leaves was replaced after %v", took)
+	if took := w.clock().Sub(began); took > time.Second {
+		w.fail("the backup that leaves was replaced after %v", took)
 	}
-	answered := world.answered
-	world.crash(leaver)
-	world.run(time.Second, nil)
-	if world.answered < answered+3 {
-		world.fail("writes stood still when the old backup ended: %d of them", world.answered-answered)
+	answered := w.answered
+	w.crash(leaver)
+	w.run(time.Second, nil)
+	if w.answered < answered+3 {
+		w.fail("writes stood still when the old backup ended: %d of them", w.answered-answered)
 	}
 }
 
@@ -219,19 +219,19 @@
 // that leaves has handed over to it: the leaver's copy is the only one left, and it must
 // not stay out for being about to end.
 func TestWhoLeavesAsTheLastCopyLeadsAgain(t *testing.T) {
-	world := calmWorld(t, coreShapes[0], 5, DefaultCatchUp)
-	leaver := world.leader()
-	successor := world.inRole(backupRole)
+	w := calmWorld(t, coreShapes[0], 5, DefaultCatchUp)
+	leaver := w.leader()
+	successor := w.inRole(backupRole)
 	leaver.steward.Leave()
 	leaver.steward.Tick()
 	if leaver.store.Leading() {
-		world.fail("the primary did not hand over at once")
+		w.fail("the primary did not hand over at once")
 	}
-	world.gone(successor)
-	if !world.run(6*time.Second, func() bool { return world.leader() != nil }) {
-		world.fail("nobody leads, though the leaver has everything")
+	w.gone(successor)
+	if !w.run(6*time.Second, func() bool { return w.leader() != nil }) {
+		w.fail("nobody leads, though the leaver has everything")
 	}
-	world.check()
+	w.check()
 }
 
 // lossKind is how a machine is lost, and how it or its successor comes.
@@ -275,19 +275,19 @@
 				for _, firstKind := range []lossKind{killed, wiped, exchange} {
 					for position, first := range roles {
 						for _, second := range roles {
-							world := calmWorld(t, shape, uint64(10+position), catchUp)
-							for _, lost := range world.victims(first) {
-								world.lose(lost, firstKind)
+							w := calmWorld(t, shape, uint64(10+position), catchUp)
+							for _, lost := range w.victims(first) {
+								w.lose(lost, firstKind)
 							}
-							world.run(catchUp, nil)
-							if world.leader() == nil {
-								world.fail("%s %s: nobody leads %v later", first, firstKind, catchUp)
+							w.run(catchUp, nil)
+							if w.leader() == nil {
+								w.fail("%s %s: nobody leads %v later", first, firstKind, catchUp)
 							}
-							for _, lost := range world.victims(second) {
-								world.gone(lost)
+							for _, lost := range w.victims(second) {
+								w.gone(lost)
 							}
-							if !world.run(8*time.Second, func() bool { return world.leader() != nil }) {
-								world.fail("%s %s, then %s lost: nobody leads", first, firstKind, second)
+							if !w.run(8*time.Second, func() bool { return w.leader() != nil }) {
+								w.fail("%s %s, then %s lost: nobody leads", first, firstKind, second)
 							}
 						}
 					}
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -4,7 +4,7 @@
 // a few hundred milliseconds when the other does not answer.
 type Peers interface {
 	Hello(address string, own Hello) (Hello, error)
-	Prepare(address string, keeper Identity, epoch uint64, candidate Identity) (Promise, error)
+	Prepare(address string, keeper Identity, epoch uint64, c Identity) (Promise, error)
 	Accept(address string, keeper Identity, membership Membership) (Promise, error)
 	Confirm(address string, keeper Identity, epoch uint64, primary Identity) (Promise, error)
 	Replicate(address string, backup Identity, epoch uint64, batch Batch) error
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -12,15 +12,15 @@
 // restartAll ends every machine at the same moment and starts them again, in any
 // order and with some time between.
 func (w *world) restartAll() {
-	for _, machine := range w.machines {
-		if machine.up.Load() {
-			w.crash(machine)
+	for _, m := range w.machines {
+		if m.up.Load() {
+			w.crash(m)
 		}
 	}
 	w.advance(time.Duration(w.random.IntN(1200)) * time.Millisecond)
 	for _, position := range w.random.Perm(len(w.machines)) {
-		machine := w.machines[position]
-		w.start(machine)
+		ma := w.machines[position]
+		w.start(ma)
 		w.advance(time.Duration(w.random.IntN(300)) * time.Millisecond)
 		for _, other := range w.machines {
 			if other.up.Load() && !other.frozen {
@@ -35,70 +35,70 @@
 // power does. The hold that the primary had is of use to nobody else, and its own next
 // life may have it at once.
 func TestPrimaryLeadsAgainSoonAfterAllRestarted(t *testing.T) {
-	world := newWorld(t, 7)
-	if !world.heal(10 * time.Second) {
-		world.fail("no core was formed")
-	}
-	world.calm = true
-	leader := world.whole()
-	world.write(leader)
-	for _, machine := range world.machines {
-		world.crash(machine)
-	}
-	world.advance(400 * time.Millisecond)
-	for _, machine := range world.machines {
-		world.start(machine)
-	}
-	begun := world.clock()
-	for world.whole() == nil {
-		for _, machine := range world.machines {
-			machine.steward.Tick()
-			world.check()
+	w := newWorld(t, 7)
+	if !w.heal(10 * time.Second) {
+		w.fail("no core was formed")
+	}
+	w.calm = true
+	leader := w.whole()
+	w.write(leader)
+	for _, m := range w.machines {
+		w.crash(m)
+	}
+	w.advance(400 * time.Millisecond)
+	for _, ma := range w.machines {
+		w.start(ma)
+	}
+	begun := w.clock()
+	for w.whole() == nil {
+		for _, mc := range w.machines {
+			mc.steward.Tick()
+			w.check()
 		}
-		if world.clock().Sub(begun) > 500*time.Millisecond {
-			world.fail("no pair leads %v after all have started", world.clock().Sub(begun))
+		if w.clock().Sub(begun) > 500*time.Millisecond {
+			w.fail("no pair leads %v after all have started", w.clock().Sub(begun))
 		}
-		world.advance(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	}
-	if world.whole() != leader {
-		world.fail("another machine leads")
+	if w.whole() != leader {
+		w.fail("another machine leads")
 	}
 }
 
 // TestOtherCopyWaitsForTheHoldAfterAllRestarted leaves the primary out, which may have
 // kept running for all that the others know.
 func TestOtherCopyWaitsForTheHoldAfterAllRestarted(t *testing.T) {
-	world := newWorld(t, 8)
-	if !world.heal(10 * time.Second) {
-		world.fail("no core was formed")
+	w := newWorld(t, 8)
+	if !w.heal(10 * time.Second) {
+		w.fail("no core was formed")
 	}
-	leader := world.whole()
+	leader := w.whole()
 	var others []*machine
-	for _, machine := range world.machines {
-		if machine != leader {
-			world.crash(machine)
-			world.start(machine)
-			others = append(others, machine)
+	for _, m := range w.machines {
+		if m != leader {
+			w.crash(m)
+			w.start(m)
+			others = append(others, m)
 		}
-		world.cut[leader.address+">"+machine.address], world.cut[machine.address+">"+leader.address] = true, true
+		w.cut[leader.address+">"+m.address], w.cut[m.address+">"+leader.address] = true, true
 	}
-	begun := world.clock()
+	begun := w.clock()
 	for {
-		for _, machine := range others {
-			machine.steward.Tick()
-			world.check()
-			if !machine.steward.Holds() {
+		for _, ma := range others {
+			ma.steward.Tick()
+			w.check()
+			if !ma.steward.Holds() {
 				continue
 			}
-			if after := world.clock().Sub(begun); after < PrimaryHold {
-				world.fail("%s leads %v after it started", machine.address, after)
+			if after := w.clock().Sub(begun); after < PrimaryHold {
+				w.fail("%s leads %v after it started", ma.address, after)
 			}
 			return
 		}
-		if world.clock().Sub(begun) > 2*PrimaryHold {
-			world.fail("nobody leads")
+		if w.clock().Sub(begun) > 2*PrimaryHold {
+			w.fail("nobody leads")
 		}
-		world.advance(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	}
 }
 
@@ -148,20 +148,20 @@
 	}
 	answered := 0
 	for seed := range seeds {
-		world := newWorld(t, 1_000_000+seed)
-		if !world.heal(10 * time.Second) {
-			world.fail("seed %d: no core was formed", seed)
+		w := newWorld(t, 1_000_000+seed)
+		if !w.heal(10 * time.Second) {
+			w.fail("seed %d: no core was formed", seed)
 		}
 		for range 12 {
-			for range 10 + world.random.IntN(40) {
-				world.step()
+			for range 10 + w.random.IntN(40) {
+				w.step()
 			}
-			world.restartAll()
+			w.restartAll()
 		}
-		if !world.heal(20 * time.Second) {
-			world.fail("seed %d: the core is not whole again", seed)
+		if !w.heal(20 * time.Second) {
+			w.fail("seed %d: the core is not whole again", seed)
 		}
-		answered += world.answered
+		answered += w.answered
 	}
 	t.Logf("%d writes were accepted in %d worlds", answered, seeds)
 	if answered < 500 {
@@ -173,12 +173,12 @@
 // nobody used, while the others are a quorum without it and answer sooner.
 func TestKeeperThatPromisedMoreIsTakenInAgain(t *testing.T) {
 	for number := range 3 {
-		world := newWorld(t, 9)
-		if !world.heal(10 * time.Second) {
-			world.fail("no core was formed")
+		w := newWorld(t, 9)
+		if !w.heal(10 * time.Second) {
+			w.fail("no core was formed")
 		}
-		world.calm = true
-		leader, ahead := world.whole(), world.machines[number]
+		w.calm = true
+		leader, ahead := w.whole(), w.machines[number]
 		if err := ahead.keeper.Learn(leader.steward.Membership().Epoch + 20); err != nil {
 			t.Fatal(err)
 		}
@@ -186,13 +186,13 @@
 			membership := leader.steward.Membership()
 			return membership.Epoch > 20 && ahead.keeper.Membership().Epoch == membership.Epoch && leader.steward.Holds()
 		}
-		for begun := world.clock(); !takenIn(); world.advance(100 * time.Millisecond) {
-			for _, machine := range world.machines {
-				machine.steward.Tick()
-				world.check()
+		for begun := w.clock(); !takenIn(); w.advance(100 * time.Millisecond) {
+			for _, m := range w.machines {
+				m.steward.Tick()
+				w.check()
 			}
-			if world.clock().Sub(begun) > 5*time.Second {
-				world.fail("the charter is %+v, that of %s %+v", leader.steward.Membership(), ahead.address, ahead.keeper.Membership())
+			if w.clock().Sub(begun) > 5*time.Second {
+				w.fail("the charter is %+v, that of %s %+v", leader.steward.Membership(), ahead.address, ahead.keeper.Membership())
 			}
 		}
 	}
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -24,7 +24,7 @@
 
 // wipe takes a machine's disk while it loses its power, as often as may be since the
 // core was whole.
-func (w *world) wipe(machine *machine) bool {
+func (w *world) wipe(m *machine) bool {
 	if w.whole() != nil {
 		w.spare = w.borne
 	}
@@ -34,10 +34,10 @@
 	w.spare--
 	w.wiped++
 	w.mutex.Lock()
-	machine.up.Store(false)
+	m.up.Store(false)
 	w.mutex.Unlock()
-	machine.keeping = newMemoryStorage()
-	w.say("%s loses its disk", machine.address)
+	m.keeping = newMemoryStorage()
+	w.say("%s loses its disk", m.address)
 	return true
 }
 
@@ -54,10 +54,10 @@
 		// A district loses its power, and at times its disks.
 		zone := w.pick().zone
 		lost := w.random.IntN(2) == 0
-		for _, machine := range w.machines {
-			if machine.zone == zone && machine.up.Load() {
-				if !lost || !w.wipe(machine) {
-					w.crash(machine)
+		for _, m := range w.machines {
+			if m.zone == zone && m.up.Load() {
+				if !lost || !w.wipe(m) {
+					w.crash(m)
 				}
 			}
 		}
@@ -90,14 +90,14 @@
 	for range wiped {
 		w.wipe(w.pick())
 	}
-	for _, machine := range w.machines {
-		if machine.up.Load() {
-			w.crash(machine)
+	for _, m := range w.machines {
+		if m.up.Load() {
+			w.crash(m)
 		}
 	}
 	w.advance(time.Duration(200+w.random.IntN(800)) * time.Millisecond)
-	for _, machine := range w.machines {
-		w.start(machine)
+	for _, ma := range w.machines {
+		w.start(ma)
 	}
 }
 
@@ -116,12 +116,12 @@
 	w.machines = append(w.machines[:position:position], w.machines[position+1:]...)
 	w.mutex.Unlock()
 	w.seeds, w.formed = nil, true
-	for _, machine := range w.machines[w.random.IntN(len(w.machines)-3):][:3] {
-		w.seeds = append(w.seeds, machine.address)
+	for _, m := range w.machines[w.random.IntN(len(w.machines)-3):][:3] {
+		w.seeds = append(w.seeds, m.address)
 	}
-	for _, machine := range w.machines {
-		if machine != added {
-			machine.steward.SetSeeds(w.seeds)
+	for _, ma := range w.machines {
+		if ma != added {
+			ma.steward.SetSeeds(w.seeds)
 		}
 	}
 	w.say("%s gives way to %s, seeds %v", old.address, added.address, w.seeds)
@@ -141,9 +141,9 @@
 				t.Parallel()
 				answered, wiped := 0, 0
 				for seed := share; seed < simulatedSeeds(24); seed += shares {
-					world := newWorldOf(t, seed, shape.machines, shape.zones, 2)
-					world.bearLosses(seed)
-					answered, wiped = answered+world.answered, wiped+world.wiped
+					w := newWorldOf(t, seed, shape.machines, shape.zones, 2)
+					w.bearLosses(seed)
+					answered, wiped = answered+w.answered, wiped+w.wiped
 				}
 				t.Logf("%d writes were accepted, disks were lost %d times", answered, wiped)
 			})
@@ -186,9 +186,9 @@
 func (w *world) tick(length time.Duration) {
 	w.takeDisks()
 	w.advance(length)
-	for _, machine := range w.machines {
-		if machine.up.Load() && !machine.frozen {
-			machine.steward.Tick()
+	for _, m := range w.machines {
+		if m.up.Load() && !m.frozen {
+			m.steward.Tick()
 			w.check()
 		}
 	}
@@ -214,44 +214,44 @@
 		for seed := range simulatedSeeds(2) {
 			for _, others := range []bool{false, true} {
 				for _, pair := range newWorldOf(t, seed, shape.machines, shape.zones, 2).losses() {
-					world := newWorldOf(t, seed, shape.machines, shape.zones, 2)
-					world.calm = true
-					if !world.heal(15 * time.Second) {
-						world.fail("no core was formed")
+					w := newWorldOf(t, seed, shape.machines, shape.zones, 2)
+					w.calm = true
+					if !w.heal(15 * time.Second) {
+						w.fail("no core was formed")
 					}
 					for range 2 + seed%5 {
-						world.acknowledge()
+						w.acknowledge()
 					}
 					for _, position := range pair {
-						if !world.wipe(world.machines[position]) {
-							world.fail("the core was not whole")
+						if !w.wipe(w.machines[position]) {
+							w.fail("the core was not whole")
 						}
 					}
-					for _, machine := range world.machines {
-						if machine.up.Load() && others {
-							world.crash(machine)
+					for _, m := range w.machines {
+						if m.up.Load() && others {
+							w.crash(m)
 						}
 					}
-					world.advance(time.Second)
+					w.advance(time.Second)
 					for range 200 {
 						// The wiped come back later than the others.
-						for _, machine := range world.machines {
-							if !machine.up.Load() && !containsMachine(world.machines, pair, machine) {
-								world.start(machine)
+						for _, ma := range w.machines {
+							if !ma.up.Load() && !containsMachine(w.machines, pair, ma) {
+								w.start(ma)
 							}
 						}
-						world.tick(100 * time.Millisecond)
-						if world.leader() != nil {
+						w.tick(100 * time.Millisecond)
+						if w.leader() != nil {
 							break
 						}
 					}
-					if world.leader() == nil {
-						world.fail("nobody leads after the loss of %v, others %v", pair, others)
+					if w.leader() == nil {
+						w.fail("nobody leads after the loss of %v, others %v", pair, others)
 					}
-					if !world.heal(30 * time.Second) {
-						world.fail("the core is not whole again after the loss of %v, others %v", pair, others)
+					if !w.heal(30 * time.Second) {
+						w.fail("the core is not whole again after the loss of %v, others %v", pair, others)
 					}
-					world.acknowledge()
+					w.acknowledge()
 				}
 			}
 		}
@@ -260,9 +260,9 @@
 
 // leader is who may answer now.
 func (w *world) leader() *machine {
-	for _, machine := range w.machines {
-		if machine.up.Load() && !machine.frozen && machine.steward.Holds() {
-			return machine
+	for _, m := range w.machines {
+		if m.up.Load() && !m.frozen && m.steward.Holds() {
+			return m
 		}
 	}
 	return nil
@@ -280,24 +280,24 @@
 // TestPairOfDisksIsLostByAPair shows that the test above can fail: a core that bears
 // one loss does not bear two.
 func TestPairOfDisksIsLostByAPair(t *testing.T) {
-	world := newWorldOf(t, 1, 6, 3, 1)
-	world.calm = true
-	if !world.heal(15 * time.Second) {
-		world.fail("no core was formed")
+	w := newWorldOf(t, 1, 6, 3, 1)
+	w.calm = true
+	if !w.heal(15 * time.Second) {
+		w.fail("no core was formed")
 	}
-	leader := world.acknowledge()
+	leader := w.acknowledge()
 	backup := leader.steward.Membership().Backup.Identity
-	for _, machine := range world.machines {
-		if machine == leader || machine.keeper.Replica().Identity == backup {
-			world.crash(machine)
-			machine.keeping = newMemoryStorage()
+	for _, m := range w.machines {
+		if m == leader || m.keeper.Replica().Identity == backup {
+			w.crash(m)
+			m.keeping = newMemoryStorage()
 		}
 	}
 	for range 100 {
-		world.tick(100 * time.Millisecond)
+		w.tick(100 * time.Millisecond)
 	}
-	if world.leader() != nil {
-		world.fail("somebody leads without the copies")
+	if w.leader() != nil {
+		w.fail("somebody leads without the copies")
 	}
 }
 
@@ -306,31 +306,31 @@
 // anybody its copy: the third copy must still count as in sync.
 func TestSecondLossInTheMiddleOfATakeover(t *testing.T) {
 	for _, shape := range severalWorlds {
-		world := newWorldOf(t, 1, shape.machines, shape.zones, 2)
-		world.calm = true
-		if !world.heal(15 * time.Second) {
-			world.fail("no core was formed")
+		w := newWorldOf(t, 1, shape.machines, shape.zones, 2)
+		w.calm = true
+		if !w.heal(15 * time.Second) {
+			w.fail("no core was formed")
 		}
-		leader := world.acknowledge()
-		world.wipe(leader)
+		leader := w.acknowledge()
+		w.wipe(leader)
 		// Copies are brought by several threads at once.
 		var ended atomic.Bool
-		world.installs = func(from string) {
-			for _, machine := range world.machines {
-				if machine.address == from && machine.store.Leading() && ended.CompareAndSwap(false, true) {
-					world.endInTheMiddle(machine, true)
+		w.installs = func(from string) {
+			for _, m := range w.machines {
+				if m.address == from && m.store.Leading() && ended.CompareAndSwap(false, true) {
+					w.endInTheMiddle(m, true)
 				}
 			}
 		}
 		for range 100 {
-			world.tick(100 * time.Millisecond)
+			w.tick(100 * time.Millisecond)
 		}
-		if !ended.Load() || world.leader() == nil {
-			world.fail("ended in the middle %v, and nobody leads", ended.Load())
+		if !ended.Load() || w.leader() == nil {
+			w.fail("ended in the middle %v, and nobody leads", ended.Load())
 		}
-		if !world.heal(30 * time.Second) {
-			world.fail("the core is not whole again")
+		if !w.heal(30 * time.Second) {
+			w.fail("the core is not whole again")
 		}
-		world.acknowledge()
+		w.acknowledge()
 	}
 }
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -138,15 +138,15 @@
 
 // newWorldOf is a core of machines in districts, which bears some losses at once.
 func newWorldOf(t *testing.T, seed uint64, machines, zones, borne int) *world {
-	world := &world{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, borne: borne, zones: zones,
+	w := &world{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, borne: borne, zones: zones,
 		seeds: []string{"m0", "m1", "m2"}}
 	for number := range machines {
-		world.machines = append(world.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), keeping: newMemoryStorage(), copies: newMemoryStorage()})
+		w.machines = append(w.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), keeping: newMemoryStorage(), copies: newMemoryStorage()})
 	}
-	for _, machine := range world.machines {
-		world.start(machine)
+	for _, m := range w.machines {
+		w.start(m)
 	}
-	return world
+	return w
 }
 
 func (w *world) clock() time.Time {
@@ -161,37 +161,37 @@
 	w.log = append(w.log, fmt.Sprintf("%6.2f ", w.now.Sub(time.Unix(1_000_000, 0)).Seconds())+fmt.Sprintf(format, values...))
 }
 
-func (w *world) start(machine *machine) {
+func (w *world) start(m *machine) {
 	w.takeDisks()
-	machine.incarnations++
-	replica := Replica{Address: machine.address, Name: machine.address}
-	witness, blank, err := OpenWitness(w.clock(), machine.keeping, replica, Identity(machine.address+"/"+strconv.Itoa(machine.incarnations)))
+	m.incarnations++
+	replica := Replica{Address: m.address, Name: m.address}
+	witness, blank, err := OpenWitness(w.clock(), m.keeping, replica, Identity(m.address+"/"+strconv.Itoa(m.incarnations)))
 	if err != nil {
 		w.test.Fatal(err)
 	}
 	if blank {
-		machine.copies = newMemoryStorage()
+		m.copies = newMemoryStorage()
 	}
-	copied, err := OpenCopy(machine.copies)
+	copied, err := OpenCopy(m.copies)
 	if err != nil {
 		w.test.Fatal(err)
 	}
 	store := NewStore(copied, witness)
-	coordinator := NewCoordinator(threads{w.clock}, w.seeds, witness, store, &wire{world: w, from: machine.address, incarnation: machine.incarnations}, func(event string, detail ...any) {
-		w.say("%s %s %v", machine.address, event, detail)
+	coordinator := NewCoordinator(threads{w.clock}, w.seeds, witness, store, &wire{world: w, from: m.address, incarnation: m.incarnations}, func(event string, detail ...any) {
+		w.say("%s %s %v", m.address, event, detail)
 	})
-	if w.borne > 1 && (machine.incarnations > 1 || w.formed) {
+	if w.borne > 1 && (m.incarnations > 1 || w.formed) {
 		coordinator.JoinOnly()
 	}
 	coordinator.SetTiming(TimingFor(w.catchUp))
-	coordinator.Bear(w.borne, machine.zone)
+	coordinator.Bear(w.borne, m.zone)
 	coordinator.SetBackupList(w.borne > 1)
 	w.mutex.Lock()
-	machine.keeper, machine.store, machine.steward = witness, store, coordinator
-	machine.up.Store(true)
-	machine.frozen = false
+	m.keeper, m.store, m.steward = witness, store, coordinator
+	m.up.Store(true)
+	m.frozen = false
 	w.mutex.Unlock()
-	w.say("%s starts, blank %v, version %s", machine.address, blank, copied.Version())
+	w.say("%s starts, blank %v, version %s", m.address, blank, copied.Version())
 }
 
 // wire is the network: a call reaches a machine that is up and not cut off.
@@ -211,116 +211,116 @@
 }
 
 func (w *wire) reach(address string) (*reached, error) {
-	world := w.world
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	for _, machine := range world.machines {
-		if w.incarnation > 0 && machine.address == w.from && (!machine.up.Load() || machine.incarnations != w.incarnation) {
+	wo := w.world
+	wo.mutex.Lock()
+	defer wo.mutex.Unlock()
+	for _, m := range wo.machines {
+		if w.incarnation > 0 && m.address == w.from && (!m.up.Load() || m.incarnations != w.incarnation) {
 			return nil, failure.New(failure.Unreachable, "the sender has ended")
 		}
 	}
-	for _, machine := range world.machines {
-		if machine.address == address && machine.up.Load() && !machine.frozen && !world.cut[w.from+">"+address] {
+	for _, ma := range wo.machines {
+		if ma.address == address && ma.up.Load() && !ma.frozen && !wo.cut[w.from+">"+address] {
 			// A late call reaches the life that it was sent to.
-			return &reached{keeper: machine.keeper, store: machine.store, steward: machine.steward}, nil
+			return &reached{keeper: ma.keeper, store: ma.store, steward: ma.steward}, nil
 		}
 	}
 	return nil, failure.New(failure.Unreachable, address)
 }
 
 func (w *wire) keeperAt(address string, identity Identity) (*reached, error) {
-	machine, err := w.reach(address)
-	if err == nil && machine.keeper.Replica().Identity != identity {
+	m, err := w.reach(address)
+	if err == nil && m.keeper.Replica().Identity != identity {
 		return nil, failure.New(failure.NotAdmitted, "another disk")
 	}
-	return machine, err
+	return m, err
 }
 
 func (w *wire) Hello(address string, own Hello) (Hello, error) {
-	machine, err := w.reach(address)
+	m, err := w.reach(address)
 	if err != nil {
 		return Hello{}, err
 	}
-	return machine.steward.Greet(own), nil
+	return m.steward.Greet(own), nil
 }
 
-func (w *wire) Prepare(address string, witness Identity, epoch uint64, candidate Identity) (Promise, error) {
-	machine, err := w.keeperAt(address, witness)
+func (w *wire) Prepare(address string, witness Identity, epoch uint64, c Identity) (Promise, error) {
+	m, err := w.keeperAt(address, witness)
 	if err != nil {
 		return Promise{}, err
 	}
-	return machine.keeper.Prepare(w.world.clock(), epoch, candidate)
+	return m.keeper.Prepare(w.world.clock(), epoch, c)
 }
 
 func (w *wire) Accept(address string, witness Identity, membership Membership) (Promise, error) {
-	machine, err := w.keeperAt(address, witness)
+	m, err := w.keeperAt(address, witness)
 	if err != nil {
 		return Promise{}, err
 	}
-	return machine.keeper.Accept(w.world.clock(), membership)
+	return m.keeper.Accept(w.world.clock(), membership)
 }
 
 func (w *wire) Confirm(address string, witness Identity, epoch uint64, primary Identity) (Promise, error) {
-	machine, err := w.keeperAt(address, witness)
+	m, err := w.keeperAt(address, witness)
 	if err != nil {
 		return Promise{}, err
 	}
-	return machine.keeper.Confirm(w.world.clock(), epoch, primary), nil
+	return m.keeper.Confirm(w.world.clock(), epoch, primary), nil
 }
 
 func (w *wire) Replicate(address string, backup Identity, epoch uint64, batch Batch) error {
-	machine, err := w.keeperAt(address, backup)
+	m, err := w.keeperAt(address, backup)
 	if err != nil {
 		return err
 	}
-	w.world.again(func() { _ = machine.store.Replicate(epoch, batch) })
-	return machine.store.Replicate(epoch, batch)
+	w.world.again(func() { _ = m.store.Replicate(epoch, batch) })
+	return m.store.Replicate(epoch, batch)
 }
 
 func (w *wire) Install(address string, backup Identity, snapshot Snapshot) error {
 	w.mayEnd()
-	machine, err := w.keeperAt(address, backup)
+	m, err := w.keeperAt(address, backup)
 	if err != nil {
 		return err
 	}
-	w.world.again(func() { _ = machine.store.Install(snapshot) })
-	return machine.store.Install(snapshot)
+	w.world.again(func() { _ = m.store.Install(snapshot) })
+	return m.store.Install(snapshot)
 }
 
 // mayEnd has the sender lose its power and at times its disk in the middle of what
 // it does, where more than one loss is borne.
 func (w *wire) mayEnd() {
-	world := w.world
-	if world.installs != nil {
-		world.installs(w.from)
+	wo := w.world
+	if wo.installs != nil {
+		wo.installs(w.from)
 	}
-	if world.borne == 1 || world.calm {
+	if wo.borne == 1 || wo.calm {
 		return
 	}
-	world.mutex.Lock()
-	drawn := world.random.IntN(24)
-	world.mutex.Unlock()
+	wo.mutex.Lock()
+	drawn := wo.random.IntN(24)
+	wo.mutex.Unlock()
 	if drawn > 1 {
 		return
 	}
-	for _, machine := range world.machines {
-		if machine.address != w.from || !machine.up.Load() {
+	for _, m := range wo.machines {
+		if m.address != w.from || !m.up.Load() {
 			continue
 		}
-		world.endInTheMiddle(machine, drawn == 0)
+		wo.endInTheMiddle(m, drawn == 0)
 	}
 }
 
 // endInTheMiddle has a machine lose its power at once, in whatever thread. Its disk is
 // lost before it starts again: the world's own thread takes that away.
-func (w *world) endInTheMiddle(machine *machine, wiped bool) {
-	w.crash(machine)
+func (w *world) endInTheMiddle(m *machine, wiped bool) {
+	w.crash(m)
 	if !wiped {
 		return
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.losing = append(w.losing, machine)
+	w.losing = append(w.losing, m)
 }
 
 // takeDisks takes the disks that were lost in the middle of something.
@@ -329,14 +329,14 @@
 	losing := w.losing
 	w.losing = nil
 	w.mutex.Unlock()
-	for _, machine := range losing {
+	for _, m := range losing {
 		if w.spare == 0 {
 			continue
 		}
 		w.spare--
 		w.wiped++
-		w.say("%s loses its disk in the middle", machine.address)
-		machine.keeping = newMemoryStorage()
+		w.say("%s loses its disk in the middle", m.address)
+		m.keeping = newMemoryStorage()
 	}
 }
 
@@ -377,42 +377,42 @@
 
 // write asks a machine for the next edition and carries the commit out, with
 // a crash of the world possible between any two of its steps.
-func (w *world) write(machine *machine) {
-	if !machine.steward.Holds() {
+func (w *world) write(m *machine) {
+	if !m.steward.Holds() {
 		return
 	}
 	w.tried++
 	revision := w.tried
-	machine.store.Submit(ChangeConfiguration("", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) {
+	m.store.Submit(ChangeConfiguration("", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) {
 		return []byte(`{"routes":{"` + strconv.Itoa(revision) + `":{"to":{"refuse":true}}}}`), nil
 	}), func(version Version, err error) {
-		if err == nil && machine.steward.Holds() {
+		if err == nil && m.steward.Holds() {
 			w.answered++
 			w.accepted = max(w.accepted, revision)
 		}
 	})
-	membership := machine.steward.Membership()
+	membership := m.steward.Membership()
 	if membership.Backup.Empty() {
 		return
 	}
-	batch, found := machine.store.Begin()
+	batch, found := m.store.Begin()
 	if !found || batch.Version.Epoch != membership.Epoch {
 		return
 	}
-	if machine.store.KeepOwn(batch) != nil {
+	if m.store.KeepOwn(batch) != nil {
 		return
 	}
 	if !w.calm && w.random.IntN(25) == 0 {
-		w.crash(machine)
+		w.crash(m)
 		return
 	}
 	synced := true
 	for _, backup := range membership.Backups() {
-		err := (&wire{world: w, from: machine.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
-		machine.steward.BackupAnswered(backup.Identity, err == nil)
+		err := (&wire{world: w, from: m.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
+		m.steward.BackupAnswered(backup.Identity, err == nil)
 		synced = synced && err == nil
 		if !w.calm && w.random.IntN(50) == 0 {
-			w.crash(machine)
+			w.crash(m)
 			return
 		}
 	}
@@ -420,27 +420,27 @@
 		return
 	}
 	if !w.calm && w.random.IntN(25) == 0 {
-		w.crash(machine)
+		w.crash(m)
 		return
 	}
-	machine.store.Commit(batch)
+	m.store.Commit(batch)
 }
 
-func (w *world) crash(machine *machine) {
+func (w *world) crash(m *machine) {
 	w.mutex.Lock()
-	machine.up.Store(false)
+	m.up.Store(false)
 	w.mutex.Unlock()
-	w.say("%s crashes", machine.address)
+	w.say("%s crashes", m.address)
 }
 
 // whole tells whether a primary with a backup leads and every keeper is the
 // disk that is at its address now, so that one more loss can be borne.
 func (w *world) whole() *machine {
-	for _, machine := range w.machines {
-		if !machine.up.Load() || machine.frozen || !machine.steward.Holds() || machine.steward.unsettled {
+	for _, m := range w.machines {
+		if !m.up.Load() || m.frozen || !m.steward.Holds() || m.steward.unsettled {
 			continue
 		}
-		membership := machine.steward.Membership()
+		membership := m.steward.Membership()
 		if len(membership.Backups()) != w.borne || len(membership.Incoming) > 0 || len(membership.Witnesses) != 2*w.borne+1 {
 			continue
 		}
@@ -461,7 +461,7 @@
 			}
 		}
 		if there == w.borne && healthy == 2*w.borne+1 && most <= w.borne {
-			return machine
+			return m
 		}
 	}
 	return nil
@@ -471,17 +471,17 @@
 // answer has everything that was answered before.
 func (w *world) check() {
 	var holders []string
-	for _, machine := range w.machines {
-		if !machine.up.Load() || machine.frozen || !machine.steward.Holds() {
+	for _, m := range w.machines {
+		if !m.up.Load() || m.frozen || !m.steward.Holds() {
 			continue
 		}
-		holders = append(holders, machine.address)
-		state, err := machine.store.View().State()
+		holders = append(holders, m.address)
+		state, err := m.store.View().State()
 		if err != nil {
-			w.fail("%s: %v", machine.address, err)
+			w.fail("%s: %v", m.address, err)
 		}
 		if revision := revisionIn(state.Configuration); revision < w.accepted {
-			w.fail("%s shows edition %d and %d was accepted", machine.address, revision, w.accepted)
+			w.fail("%s shows edition %d and %d was accepted", m.address, revision, w.accepted)
 		}
 	}
 	if len(holders) > 1 {
@@ -506,12 +506,12 @@
 	w.takeDisks()
 	w.advance(time.Duration(20+w.random.IntN(120)) * time.Millisecond)
 	for _, position := range w.random.Perm(len(w.machines)) {
-		machine := w.machines[position]
-		if machine.up.Load() && !machine.frozen {
-			machine.steward.Tick()
+		m := w.machines[position]
+		if m.up.Load() && !m.frozen {
+			m.steward.Tick()
 			w.check()
 			if w.random.IntN(3) == 0 {
-				w.write(machine)
+				w.write(m)
 				w.check()
 			}
 		}
@@ -519,40 +519,40 @@
 	if w.random.IntN(4) == 0 {
 		w.deliver()
 	}
-	machine := w.machines[w.random.IntN(len(w.machines))]
+	ma := w.machines[w.random.IntN(len(w.machines))]
 	switch w.random.IntN(60) {
 	case 0:
-		if machine.up.Load() {
-			w.crash(machine)
+		if ma.up.Load() {
+			w.crash(ma)
 		}
 	case 1, 2, 3:
-		if !machine.up.Load() {
-			w.start(machine)
+		if !ma.up.Load() {
+			w.start(ma)
 		}
 	case 4:
 		other := w.machines[w.random.IntN(len(w.machines))]
 		w.mutex.Lock()
-		w.cut[machine.address+">"+other.address] = true
+		w.cut[ma.address+">"+other.address] = true
 		w.mutex.Unlock()
-		w.say("cut %s>%s", machine.address, other.address)
+		w.say("cut %s>%s", ma.address, other.address)
 	case 5, 6, 7:
 		w.mutex.Lock()
 		w.cut = map[string]bool{}
 		w.mutex.Unlock()
 	case 8:
-		if w.whole() != nil && machine.up.Load() && w.wipe(machine) {
-			w.start(machine)
+		if w.whole() != nil && ma.up.Load() && w.wipe(ma) {
+			w.start(ma)
 		}
 	case 9:
-		if machine.up.Load() {
+		if ma.up.Load() {
 			w.mutex.Lock()
-			machine.frozen = !machine.frozen
+			ma.frozen = !ma.frozen
 			w.mutex.Unlock()
-			w.say("%s frozen %v", machine.address, machine.frozen)
+			w.say("%s frozen %v", ma.address, ma.frozen)
 		}
 	case 10, 11:
 		w.mutex.Lock()
-		machine.frozen = false
+		ma.frozen = false
 		w.mutex.Unlock()
 	}
 }
@@ -564,20 +564,20 @@
 	defer func() { w.calm = before }()
 	w.mutex.Lock()
 	w.cut = map[string]bool{}
-	for _, machine := range w.machines {
-		machine.frozen = false
+	for _, m := range w.machines {
+		m.frozen = false
 	}
 	w.mutex.Unlock()
-	for _, machine := range w.machines {
-		if !machine.up.Load() {
-			w.start(machine)
+	for _, ma := range w.machines {
+		if !ma.up.Load() {
+			w.start(ma)
 		}
 	}
 	ends := w.clock().Add(length)
 	for w.clock().Before(ends) {
 		w.advance(100 * time.Millisecond)
-		for _, machine := range w.machines {
-			machine.steward.Tick()
+		for _, mc := range w.machines {
+			mc.steward.Tick()
 			w.check()
 		}
 		if w.whole() != nil {
@@ -596,17 +596,17 @@
 	}
 	answered := 0
 	for seed := range seeds {
-		world := newWorld(t, seed)
-		if !world.heal(10 * time.Second) {
-			world.fail("seed %d: no core was formed", seed)
+		w := newWorld(t, seed)
+		if !w.heal(10 * time.Second) {
+			w.fail("seed %d: no core was formed", seed)
 		}
 		for range 400 {
-			world.step()
+			w.step()
 		}
-		if !world.heal(20 * time.Second) {
-			world.fail("seed %d: the core is not whole again", seed)
+		if !w.heal(20 * time.Second) {
+			w.fail("seed %d: the core is not whole again", seed)
 		}
-		answered += world.answered
+		answered += w.answered
 	}
 	t.Logf("%d writes were accepted in %d worlds", answered, seeds)
 	if answered < 1000 {
@@ -617,34 +617,34 @@
 // TestSimulationSeesASecondPrimary shows that the rule can fail: a keeper that
 // forgets its hold lets two machines answer at once.
 func TestSimulationSeesASecondPrimary(t *testing.T) {
-	world := newWorld(t, 1)
-	if !world.heal(10 * time.Second) {
-		world.fail("no core was formed")
+	w := newWorld(t, 1)
+	if !w.heal(10 * time.Second) {
+		w.fail("no core was formed")
 	}
-	leader := world.whole()
+	leader := w.whole()
 	membership := leader.steward.Membership()
-	for _, machine := range world.machines {
-		machine.keeper.mutex.Lock()
-		machine.keeper.holdEnds = time.Time{}
-		machine.keeper.mutex.Unlock()
+	for _, m := range w.machines {
+		m.keeper.mutex.Lock()
+		m.keeper.holdEnds = time.Time{}
+		m.keeper.mutex.Unlock()
 	}
 	var backup *machine
-	for _, machine := range world.machines {
-		if machine.keeper.Replica().Identity == membership.Backup.Identity {
-			backup = machine
+	for _, ma := range w.machines {
+		if ma.keeper.Replica().Identity == membership.Backup.Identity {
+			backup = ma
 		}
 	}
 	// The leader is not heard for a moment, as if cut off.
-	world.cut = map[string]bool{leader.address + ">" + backup.address: true, backup.address + ">" + leader.address: true}
+	w.cut = map[string]bool{leader.address + ">" + backup.address: true, backup.address + ">" + leader.address: true}
 	leader.steward.mutex.Lock()
-	leader.steward.holdEnds = world.clock().Add(time.Hour)
+	leader.steward.holdEnds = w.clock().Add(time.Hour)
 	leader.steward.mutex.Unlock()
 	for range 40 {
 		backup.steward.Tick()
 	}
 	holders := 0
-	for _, machine := range world.machines {
-		if machine.steward.Holds() {
+	for _, mc := range w.machines {
+		if mc.steward.Holds() {
 			holders++
 		}
 	}
@@ -656,28 +656,28 @@
 // TestRestrictedPrimaryHandsOver restricts the primary, and wants another to
 // lead with everything that was accepted, and the restricted one to be neither.
 func TestRestrictedPrimaryHandsOver(t *testing.T) {
-	world := newWorld(t, 2)
-	if !world.heal(10 * time.Second) {
-		world.fail("no core was formed")
+	w := newWorld(t, 2)
+	if !w.heal(10 * time.Second) {
+		w.fail("no core was formed")
 	}
-	first := world.whole()
-	world.calm = true
-	for world.answered == 0 {
-		world.write(first)
+	first := w.whole()
+	w.calm = true
+	for w.answered == 0 {
+		w.write(first)
 	}
 	first.steward.SetRestricted(true)
 	for range 100 {
-		world.advance(100 * time.Millisecond)
-		for _, machine := range world.machines {
-			machine.steward.Tick()
-			world.check()
+		w.advance(100 * time.Millisecond)
+		for _, m := range w.machines {
+			m.steward.Tick()
+			w.check()
 		}
-		leader := world.whole()
+		leader := w.whole()
 		if leader != nil && leader != first && leader.steward.Membership().Backup.Identity != first.keeper.Replica().Identity {
 			return
 		}
 	}
-	world.fail("the restricted expediter still leads or backs up: %+v", first.steward.Membership())
+	w.fail("the restricted expediter still leads or backs up: %+v", first.steward.Membership())
 }
 
 // TestSweepMendsFilesThatBecameDamaged damages files of a copy and of a keeper
@@ -767,34 +767,34 @@
 // ends the backup, and wants the pair whole with the restricted one that is
 // left, and with the capable one as soon as it is back.
 func TestRestrictedControllerIsABackupBeforeNone(t *testing.T) {
-	world := newWorld(t, 3)
-	if !world.heal(10 * time.Second) {
-		world.fail("no core was formed")
+	w := newWorld(t, 3)
+	if !w.heal(10 * time.Second) {
+		w.fail("no core was formed")
 	}
-	world.calm = true
-	leader := world.whole()
+	w.calm = true
+	leader := w.whole()
 	var backup, third *machine
-	for _, machine := range world.machines {
+	for _, m := range w.machines {
 		switch {
-		case machine == leader:
-		case machine.keeper.Replica().Identity == leader.steward.Membership().Backup.Identity:
-			backup = machine
+		case m == leader:
+		case m.keeper.Replica().Identity == leader.steward.Membership().Backup.Identity:
+			backup = m
 		default:
-			third = machine
+			third = m
 		}
 	}
 	third.steward.SetRestricted(true)
-	world.crash(backup)
+	w.crash(backup)
 	paired := func(with *machine) bool {
 		for range 60 {
-			world.advance(100 * time.Millisecond)
-			for _, machine := range world.machines {
-				if machine.up.Load() {
-					machine.steward.Tick()
+			w.advance(100 * time.Millisecond)
+			for _, ma := range w.machines {
+				if ma.up.Load() {
+					ma.steward.Tick()
 				}
 			}
-			world.write(leader)
-			world.check()
+			w.write(leader)
+			w.check()
 			if leader.steward.Holds() && leader.steward.Membership().Backup.Identity == with.keeper.Replica().Identity {
 				return true
 			}
@@ -802,16 +802,16 @@
 		return false
 	}
 	if !paired(third) {
-		world.fail("no backup is better than a restricted one: %+v", leader.steward.Membership())
+		w.fail("no backup is better than a restricted one: %+v", leader.steward.Membership())
 	}
-	before := world.answered
-	world.write(leader)
-	if world.answered == before {
-		world.fail("the pair with a restricted backup takes no writes")
+	before := w.answered
+	w.write(leader)
+	if w.answered == before {
+		w.fail("the pair with a restricted backup takes no writes")
 	}
-	world.start(backup)
+	w.start(backup)
 	if !paired(backup) {
-		world.fail("the restricted backup was not exchanged for a capable one: %+v", leader.steward.Membership())
+		w.fail("the restricted backup was not exchanged for a capable one: %+v", leader.steward.Membership())
 	}
 }
 
@@ -819,39 +819,39 @@
 // has become damaged while its backup is restricted: the backup must lead, since
 // it has everything and the other can't.
 func TestRestrictedTakesOverFromADamagedCopy(t *testing.T) {
-	world := newWorld(t, 4)
-	if !world.heal(10 * time.Second) {
-		world.fail("no core was formed")
+	w := newWorld(t, 4)
+	if !w.heal(10 * time.Second) {
+		w.fail("no core was formed")
 	}
-	world.calm = true
-	leader := world.whole()
-	world.write(leader)
+	w.calm = true
+	leader := w.whole()
+	w.write(leader)
 	backup := leader.steward.Membership().Backup.Identity
-	for _, machine := range world.machines {
-		if machine.keeper.Replica().Identity == backup {
-			machine.steward.SetRestricted(true)
+	for _, m := range w.machines {
+		if m.keeper.Replica().Identity == backup {
+			m.steward.SetRestricted(true)
 		}
 	}
-	world.crash(leader)
+	w.crash(leader)
 	leader.copies.mutex.Lock()
 	for name := range leader.copies.files {
 		leader.copies.files[name] = []byte("damage")
 	}
 	leader.copies.mutex.Unlock()
-	world.start(leader)
+	w.start(leader)
 	for range 100 {
-		world.advance(100 * time.Millisecond)
-		for _, machine := range world.machines {
-			machine.steward.Tick()
+		w.advance(100 * time.Millisecond)
+		for _, ma := range w.machines {
+			ma.steward.Tick()
 		}
-		world.check()
-		for _, machine := range world.machines {
-			if machine.steward.Holds() {
+		w.check()
+		for _, mc := range w.machines {
+			if mc.steward.Holds() {
 				return
 			}
 		}
 	}
-	world.fail("nobody leads, though the backup has everything")
+	w.fail("nobody leads, though the backup has everything")
 }
 
 // TestPrimaryDoesNotHandOverToADeadBackup has the primary hand over, since it is stopped in
@@ -863,29 +863,29 @@
 		"restricted": func(coordinator *Coordinator) { coordinator.SetRestricted(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			world := newWorld(t, 5)
-			if !world.heal(10 * time.Second) {
-				world.fail("no core was formed")
+			w := newWorld(t, 5)
+			if !w.heal(10 * time.Second) {
+				w.fail("no core was formed")
 			}
-			world.calm = true
-			leader := world.whole()
-			world.write(leader)
-			for _, machine := range world.machines {
-				if machine.keeper.Replica().Identity == leader.steward.Membership().Backup.Identity {
-					world.crash(machine)
-					machine.keeping, machine.copies = newMemoryStorage(), newMemoryStorage()
+			w.calm = true
+			leader := w.whole()
+			w.write(leader)
+			for _, m := range w.machines {
+				if m.keeper.Replica().Identity == leader.steward.Membership().Backup.Identity {
+					w.crash(m)
+					m.keeping, m.copies = newMemoryStorage(), newMemoryStorage()
 				}
 			}
 			begin(leader.steward)
 			for range 5 {
 				leader.steward.Tick()
-				world.advance(100 * time.Millisecond)
+				w.advance(100 * time.Millisecond)
 			}
-			world.crash(leader)
-			if !world.heal(20 * time.Second) {
-				world.fail("the core is not whole again: %+v", leader.keeper.Membership())
+			w.crash(leader)
+			if !w.heal(20 * time.Second) {
+				w.fail("the core is not whole again: %+v", leader.keeper.Membership())
 			}
-			world.check()
+			w.check()
 		})
 	}
 }
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -323,10 +323,10 @@
 
 // Vow promises the epoch on the store's own disk, between two writes of an
 // older primary and never during one.
-func (s *Store) Vow(now time.Time, epoch uint64, candidate Identity) error {
+func (s *Store) Vow(now time.Time, epoch uint64, c Identity) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.witness.Vow(now, epoch, candidate)
+	return s.witness.Vow(now, epoch, c)
 }
 
 // Copy is the store's copy, for status and for candidates' checks.
--- a/internal/replication/timing_test.go
+++ b/internal/replication/timing_test.go
@@ -31,23 +31,23 @@
 // TestPrimaryHoldsNoLongerThanItsWitnesses gives the primary a longer lease than its
 // witnesses, as settings that differ would.
 func TestPrimaryHoldsNoLongerThanItsWitnesses(t *testing.T) {
-	world := calmWorld(t, coreShapes[0], 6, DefaultCatchUp)
-	leader := world.leader()
+	w := calmWorld(t, coreShapes[0], 6, DefaultCatchUp)
+	leader := w.leader()
 	short := TimingFor(2 * time.Second)
-	for _, machine := range world.machines {
-		if machine != leader {
-			machine.keeper.SetLease(short.Lease)
+	for _, m := range w.machines {
+		if m != leader {
+			m.keeper.SetLease(short.Lease)
 		}
 	}
 	leader.steward.Tick()
-	world.advance(short.Lease)
+	w.advance(short.Lease)
 	if !leader.steward.Holds() {
 		return
 	}
 	// What it holds was given before the witnesses' leases were shortened, at most.
-	world.run(time.Second, nil)
-	world.advance(short.Lease)
+	w.run(time.Second, nil)
+	w.advance(short.Lease)
 	if leader.steward.Holds() {
-		world.fail("the primary holds for longer than its witnesses hold still")
+		w.fail("the primary holds for longer than its witnesses hold still")
 	}
 }
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -111,7 +111,7 @@
 
 // Prepare promises an epoch to a candidate, unless a higher or equal one is
 // promised or another primary's hold runs.
-func (w *Witness) Prepare(now time.Time, epoch uint64, candidate Identity) (Promise, error) {
+func (w *Witness) Prepare(now time.Time, epoch uint64, c Identity) (Promise, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	promise := Promise{Witness: w.self.Identity, Promised: w.note.Promised, Membership: w.note.Membership}
@@ -120,7 +120,7 @@
 		promise.Refusal = failure.NotAdmitted
 	case epoch <= w.note.Promised:
 		promise.Refusal = failure.OldEpoch
-	case now.Before(w.holdEnds) && w.holder != candidate:
+	case now.Before(w.holdEnds) && w.holder != c:
 		promise.Refusal = failure.HoldActive
 	default:
 		note := w.note
@@ -196,13 +196,13 @@
 
 // Vow promises an epoch on the candidate's own disk, by the same rule as for
 // another candidate, whether or not this disk is a keeper's.
-func (w *Witness) Vow(now time.Time, epoch uint64, candidate Identity) error {
+func (w *Witness) Vow(now time.Time, epoch uint64, c Identity) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if epoch <= w.note.Promised {
 		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.note.Promised))
 	}
-	if now.Before(w.holdEnds) && w.holder != candidate {
+	if now.Before(w.holdEnds) && w.holder != c {
 		return failure.New(failure.HoldActive, "another primary's hold runs")
 	}
 	note := w.note
--- a/internal/scheduler/ablation_test.go
+++ b/internal/scheduler/ablation_test.go
@@ -23,12 +23,12 @@
 		"first reader of a chain":             cost(func(costs *costs) { costs.home, costs.next = 0, 0 }),
 		"second reader of a chain":            cost(func(costs *costs) { costs.next = 0 }),
 		"runner beside the first reader":      cost(func(costs *costs) { costs.runner, costs.awayThousand = 0, 0 }),
-		"price of memory moved":               cost(func(costs *costs) { costs.moveThousand = 0 }),
-		"price of bodies between zones":       cost(func(costs *costs) { costs.crossingKilobyte = 0 }),
-		"price of a second request":           cost(func(costs *costs) { costs.second = 0 }),
-		"pauses of others by reading":         cost(func(costs *costs) { costs.pauseHarm = 0 }),
-		"spread of equal servers":             cost(func(costs *costs) { costs.spread = 0 }),
-		"servers from which nothing comes":    cost(func(costs *costs) { costs.stuck = 0 }),
+		"price of memory moved":               cost(func(c *costs) { c.moveThousand = 0 }),
+		"price of bodies between zones":       cost(func(co *costs) { co.crossingKilobyte = 0 }),
+		"price of a second request":           cost(func(cs *costs) { cs.second = 0 }),
+		"pauses of others by reading":         cost(func(cst *costs) { cst.pauseHarm = 0 }),
+		"spread of equal servers":             cost(func(cos *costs) { cos.spread = 0 }),
+		"servers from which nothing comes":    cost(func(aCosts *costs) { aCosts.stuck = 0 }),
 		"servers that failed":                 cost(func(costs *costs) { costs.distrust = 0 }),
 		"risk of the only run after a read":   cost(func(costs *costs) { costs.lastTry = 0 }),
 		"price of a prompt read in vain":      cost(func(costs *costs) { costs.wasted = 0 }),
@@ -49,8 +49,8 @@
 		trouble string
 	}
 	var days []day
-	for _, site := range []site{nine(), twelve(), sixty(), ninety()} {
-		days = append(days, day{site, "calm"})
+	for _, s := range []site{nine(), twelve(), sixty(), ninety()} {
+		days = append(days, day{s, "calm"})
 	}
 	for _, trouble := range []string{"crash", "dark"} {
 		days = append(days, day{nine(), trouble}, day{ninety(), trouble})
@@ -73,14 +73,14 @@
 				const seeds = 2
 				sum := 0.0
 				for seed := range uint64(seeds) {
-					world := day.site.world(seed+30, ablations()[name])
+					w := day.site.world(seed+30, ablations()[name])
 					if !strings.HasSuffix(name, "(pools)") {
-						world.pool(NewPools())
+						w.pool(NewPools())
 					}
-					world.run(noon.Add(lead))
-					troubles()[day.trouble](world)
-					day.site.play(world, 1, 13*time.Second)
-					sum += world.score() / seeds
+					w.run(noon.Add(lead))
+					troubles()[day.trouble](w)
+					day.site.play(w, 1, 13*time.Second)
+					sum += w.score() / seeds
 				}
 				mutex.Lock()
 				defer mutex.Unlock()
--- a/internal/scheduler/account.go
+++ b/internal/scheduler/account.go
@@ -137,8 +137,8 @@
 
 // others are the calls there that are not this courier's own, as far as is known.
 func (a *account) others() float64 {
-	if heard := a.heard.Load(); heard != nil {
-		return heard.others
+	if h := a.heard.Load(); h != nil {
+		return h.others
 	}
 	return 0
 }
--- a/internal/scheduler/arrive.go
+++ b/internal/scheduler/arrive.go
@@ -17,11 +17,11 @@
 	if program == nil {
 		return nil, refusal(NotReady, unready, left)
 	}
-	routeRule, service := program.rule(call)
-	if routeRule == nil {
+	r, service := program.rule(call)
+	if r == nil {
 		return nil, Decision{Kind: Refuse, Cause: NoRoute}
 	}
-	limit := routeRule.calls.Limit
+	limit := r.calls.Limit
 	if limit <= 0 {
 		limit = cmp.Or(service.Limit, config.DefaultLimit)
 	}
@@ -35,7 +35,7 @@
 	if len(w.board.Load().all) == 0 {
 		return nil, refusal(NotReady, unready, ends.Sub(now))
 	}
-	ticket := &Ticket{call: call, routeRule: routeRule, service: service, mark: nameKey(call.ID), arrived: now, ends: ends}
+	ticket := &Ticket{call: call, routeRule: r, service: service, mark: nameKey(call.ID), arrived: now, ends: ends}
 	w.inFlight.Add(1)
 	decision := w.begin(now, ticket, w.weighing(now, ticket), true)
 	if decision.Kind == Refuse {
@@ -45,30 +45,30 @@
 }
 
 // begin finds a call's first dispatch, or refuses it. It may ask for counts first.
-func (w *Window) begin(now time.Time, ticket *Ticket, choice *choice, mayAsk bool) Decision {
+func (w *Window) begin(now time.Time, ticket *Ticket, c *choice, mayAsk bool) Decision {
 	if mayAsk {
-		kind, best, found := choice.cheapest(true)
-		if questions := choice.questions(kind, best); found && len(questions) > 0 {
+		kind, best, found := c.cheapest(true)
+		if questions := c.questions(kind, best); found && len(questions) > 0 {
 			return Decision{Kind: Ask, Questions: questions}
 		}
 	}
-	kind, way, found := choice.find(func() (DecisionKind, offer, bool) { return choice.cheapest(true) })
-	if !found || choice.late(way) {
-		full := refusal(Full, choice.relief(way, found), ticket.ends.Sub(now))
+	kind, way, found := c.find(func() (DecisionKind, offer, bool) { return c.cheapest(true) })
+	if !found || c.late(way) {
+		full := refusal(Full, c.relief(way, found), ticket.ends.Sub(now))
 		full.Reason = NoPlace
 		return w.finish(now, ticket, full)
 	}
-	choice.serviceState.retries.first(now, w.options.FurtherTries)
-	return choice.send(kind, way)
+	c.serviceState.retries.first(now, w.options.FurtherTries)
+	return c.send(kind, way)
 }
 
 // late tells that a call would not begin in time, and that this is for want of places:
 // while half of them are free nothing is refused.
-func (c *choice) late(offer offer) bool {
-	if span(offer.time) <= c.ticket.ends.Sub(c.now) {
+func (c *choice) late(o offer) bool {
+	if span(o.time) <= c.ticket.ends.Sub(c.now) {
 		return false
 	}
-	return c.free < freeEnough || c.busy(offer.backend) >= freeEnough*c.slots(offer.backend)
+	return c.free < freeEnough || c.busy(o.backend) >= freeEnough*c.slots(o.backend)
 }
 
 // The measures of refusals. The values are ours.
--- a/internal/scheduler/backend.go
+++ b/internal/scheduler/backend.go
@@ -26,16 +26,16 @@
 
 // part is what the server does now, by the latest word of it.
 func (b *backend) part() string {
-	if heard := b.heard.Load(); heard != nil && heard.load.Part != "" {
-		return heard.load.Part
+	if h := b.heard.Load(); h != nil && h.load.Part != "" {
+		return h.load.Part
 	}
 	return b.server.Part
 }
 
 // changing tells that the server changes its part and begins nothing.
 func (b *backend) changing() bool {
-	heard := b.heard.Load()
-	return heard != nil && heard.load.Changing
+	h := b.heard.Load()
+	return h != nil && h.load.Changing
 }
 
 // expectedToChange tells that the server was ordered to take another part and may begin nothing,
@@ -56,8 +56,8 @@
 
 // silent tells whether the server reports no more while others do.
 func (b *backend) silent(latest int64) bool {
-	heard := b.heard.Load()
-	return heard != nil && latest-heard.at.UnixNano() > int64(silence)
+	h := b.heard.Load()
+	return h != nil && latest-h.at.UnixNano() > int64(silence)
 }
 
 // silence is how much older than the latest report a server's own may be. The value is
--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlogs.go
@@ -81,14 +81,14 @@
 	}
 	ticket, window := c.ticket, c.window
 	var questions []backlog.Question
-	for _, backend := range []*backend{best.backend, c.home, c.nextHome} {
-		if backend == nil || backend.group == "" || asksFor(questions, backend.group) {
+	for _, b := range []*backend{best.backend, c.home, c.nextHome} {
+		if b == nil || b.group == "" || asksFor(questions, b.group) {
 			continue
 		}
-		question := backlog.Question{Group: backend.group, Asks: true, Changes: window.outbox.take(backend.group)}
-		if backend == best.backend {
-			ticket.booked = &booking{backend: backend, tokens: best.unread}
-			question.Intent = &backlog.Change{Server: backend.server.Name, Tokens: best.unread}
+		question := backlog.Question{Group: b.group, Asks: true, Changes: window.outbox.take(b.group)}
+		if b == best.backend {
+			ticket.booked = &booking{backend: b, tokens: best.unread}
+			question.Intent = &backlog.Change{Server: b.server.Name, Tokens: best.unread}
 		}
 		questions = append(questions, question)
 	}
@@ -110,45 +110,45 @@
 	if ticket.ended || ticket.dispatch.backend != nil {
 		return Decision{Kind: Done}
 	}
-	for _, backend := range w.board.Load().of(ticket.service.Name) {
-		answer, found := answers[backend.group]
+	for _, b := range w.board.Load().of(ticket.service.Name) {
+		answer, found := answers[b.group]
 		if !found {
 			continue
 		}
 		count := told{at: now}
 		for _, counted := range answer.Counts {
-			if counted.Server == backend.server.Name {
+			if counted.Server == b.server.Name {
 				count.tokens = counted.Tokens
 			}
 		}
-		backend.told.Store(&count)
+		b.told.Store(&count)
 	}
 	return w.begin(now, ticket, w.weighing(now, ticket), false)
 }
 
 // ahead is how many tokens a server is believed to read before a call's prompt.
-func (c *choice) ahead(backend *backend) float64 {
-	if told := backend.told.Load(); told != nil && c.now.Sub(told.at) <= freshCount {
-		return float64(told.tokens)
+func (c *choice) ahead(b *backend) float64 {
+	if t := b.told.Load(); t != nil && c.now.Sub(t.at) <= freshCount {
+		return float64(t.tokens)
 	}
-	return float64(backend.readingTokens.Load()) + backend.others()*othersRead
+	return float64(b.readingTokens.Load()) + b.others()*othersRead
 }
 
 // book has the keeper of the server's count know that a call is read there.
-func (c *choice) book(backend *backend, tokens int) {
+func (c *choice) book(b *backend, tokens int) {
 	ticket := c.ticket
-	if told := backend.told.Load(); told != nil {
-		after := *told
+	if t := b.told.Load(); t != nil {
+		after := *t
 		after.tokens += tokens
-		backend.told.CompareAndSwap(told, &after)
+		b.told.CompareAndSwap(t, &after)
 	}
-	if booked := ticket.booked; booked != nil && booked.backend.account == backend.account && booked.tokens == tokens {
+	if booked := ticket.booked; booked != nil && booked.backend.account == b.account && booked.tokens == tokens {
 		return
 	}
 	c.window.unbook(ticket)
 	if c.window.asks.Load() {
-		ticket.booked = &booking{backend: backend, tokens: tokens}
-		c.window.outbox.add(backend.group, backlog.Change{Server: backend.server.Name, Tokens: tokens})
+		ticket.booked = &booking{backend: b, tokens: tokens}
+		c.window.outbox.add(b.group, backlog.Change{Server: b.server.Name, Tokens: tokens})
 	}
 }
 
@@ -167,22 +167,22 @@
 const groupSize = 16
 
 // groupOf names the group of a server among so many of its service and district.
-func groupOf(backend *backend, servers int) string {
+func groupOf(b *backend, servers int) string {
 	groups := uint64(1)
 	for groups*groupSize < uint64(servers) {
 		groups *= 2
 	}
-	return backend.server.Service + "/" + backend.server.Zone + "/" + strconv.FormatUint(backend.key%groups, 10)
+	return b.server.Service + "/" + b.server.Zone + "/" + strconv.FormatUint(b.key%groups, 10)
 }
 
 // nameGroups names the group of each server.
 func (b *board) nameGroups() {
-	type pool struct{ service, zone string }
-	sizes := map[pool]int{}
-	for _, backend := range b.all {
-		sizes[pool{backend.server.Service, backend.server.Zone}]++
+	type p struct{ service, zone string }
+	sizes := map[p]int{}
+	for _, ba := range b.all {
+		sizes[p{ba.server.Service, ba.server.Zone}]++
 	}
-	for _, backend := range b.all {
-		backend.group = groupOf(backend, sizes[pool{backend.server.Service, backend.server.Zone}])
+	for _, bc := range b.all {
+		bc.group = groupOf(bc, sizes[p{bc.server.Service, bc.server.Zone}])
 	}
 }
--- a/internal/scheduler/board.go
+++ b/internal/scheduler/board.go
@@ -90,13 +90,13 @@
 // pressed is how many readers of a service had a call when they last reported, and how
 // many calls the runners had.
 func (b *board) pressed(now time.Time, service string) (busy, running float64) {
-	for _, backend := range b.byService[service] {
-		report := backend.report.Load()
+	for _, ba := range b.byService[service] {
+		report := ba.report.Load()
 		if report == nil || now.Sub(report.at) > pressureSpan {
 			continue
 		}
 		calls := float64(report.load.Running + report.load.Waiting)
-		if backend.reads() {
+		if ba.reads() {
 			busy += min(1, calls)
 		} else {
 			running += calls
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -55,14 +55,14 @@
 			for number := range routers {
 				windows = append(windows, start(number))
 			}
-			var asked, extra arrivals
+			var a, extra arrivals
 			for now := noon; now.Before(noon.Add(60 * time.Second)); now = now.Add(20 * time.Millisecond) {
 				number := random.IntN(routers)
 				if random.IntN(200) == 0 {
 					windows[number] = start(number)
 				}
 				ticket, decision := windows[number].Arrive(now, longCall(fmt.Sprint(now.UnixNano()), uint64(random.IntN(20))))
-				asked = append(asked, now)
+				a = append(a, now)
 				counted, taken := 0, false
 				for ticket != nil && (decision.Kind == Read || decision.Kind == Run) {
 					outcome := Outcome{Result: []Result{NotStarted, Silent, Misdirected, Cut}[random.IntN(4)], First: now}
@@ -79,7 +79,7 @@
 					decision = windows[number].Ended(now, ticket, outcome)
 				}
 			}
-			most, beside := extra.most(allowance.Span, asked)
+			most, beside := extra.most(allowance.Span, a)
 			if allowed := allowance.Ratio*float64(beside) + allowance.Slack; float64(most) > allowed {
 				t.Errorf("%d couriers: %d further tries for %d calls in a span, %.0f allowed", routers, most, beside, allowed)
 			}
@@ -185,8 +185,8 @@
 					decision = windows[number].Ended(now, ticket, Outcome{Result: Complete, Handle: "h", First: now})
 				}
 			}
-			for name, arrivals := range sent {
-				if most, _ := arrivals.most(time.Second, nil); most > 19 {
+			for name, a := range sent {
+				if most, _ := a.most(time.Second, nil); most > 19 {
 					t.Errorf("%d couriers, known %v: %s got %d calls in a second", routers, known, name, most)
 				}
 			}
@@ -209,10 +209,10 @@
 		}
 		calls.SetServers(noon, list)
 		call := longCall("a", chain)
-		choice := calls.weighing(noon, &Ticket{call: call, routeRule: calls.program.Load().hosts["long.example"][1].routeRule,
+		c := calls.weighing(noon, &Ticket{call: call, routeRule: calls.program.Load().hosts["long.example"][1].routeRule,
 			service: calls.program.Load().services["desk"], ends: noon.Add(time.Second)})
-		choice.homes()
-		return choice.home.server.Name + " " + choice.runnerHome.server.Name
+		c.homes()
+		return c.home.server.Name + " " + c.runnerHome.server.Name
 	}
 	counts := map[string]int{}
 	moved := 0
