--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -66,13 +66,13 @@
 	if current, found := program.services[service.Name]; found {
 		service = current
 	}
-	serviceState := w.serviceState(service.Name)
-	choice := &choice{window: w, costs: w.costs, program: program, now: now, ticket: ticket, service: service, serviceState: serviceState,
+	s := w.serviceState(service.Name)
+	c := &choice{window: w, costs: w.costs, program: program, now: now, ticket: ticket, service: service, serviceState: s,
 		backends: w.board.Load().of(service.Name), routerCount: w.routerCount(),
-		chain: ticket.call.chain(), shared: ticket.call.shared(), pace: serviceState.pace.tokens(), soonest: math.Inf(1)}
-	choice.begin = serviceState.begin.milliseconds()
-	choice.crowd()
-	return choice
+		chain: ticket.call.chain(), shared: ticket.call.shared(), pace: s.pace.tokens(), soonest: math.Inf(1)}
+	c.begin = s.begin.milliseconds()
+	c.crowd()
+	return c
 }
 
 // crowd weighs what runners are given to read by all couriers, as this one does it.
@@ -80,8 +80,8 @@
 	tokens, lapsing := c.serviceState.pressure.directly(c.now)
 	c.lapsing = lapsing
 	runners := 0
-	for _, backend := range c.backends {
-		if backend.splits() {
+	for _, b := range c.backends {
+		if b.splits() {
 			runners++
 		}
 	}
@@ -93,19 +93,19 @@
 const mostHeld = 0.8
 
 // open tells whether work of the call may be sent to a server at all.
-func (c *choice) open(backend *backend) bool {
-	return !c.ticket.avoids(backend) && !backend.server.Leaving && !backend.changing() && !backend.expectedToChange(c.now) && !c.program.evacuations[backend.server.Zone] &&
-		c.ticket.routeRule.allows(backend.server.Zone) && backend.has(c.ticket.call.Model)
+func (c *choice) open(b *backend) bool {
+	return !c.ticket.avoids(b) && !b.server.Leaving && !b.changing() && !b.expectedToChange(c.now) && !c.program.evacuations[b.server.Zone] &&
+		c.ticket.routeRule.allows(b.server.Zone) && b.has(c.ticket.call.Model)
 }
 
 // now there are room and leave for one more call at a server: cold ones take few.
-func (c *choice) admits(backend *backend, tokens int) bool {
-	if total := c.memory(backend); total > 0 && tokens > total {
+func (c *choice) admits(b *backend, tokens int) bool {
+	if total := c.memory(b); total > 0 && tokens > total {
 		return false
 	}
-	if backend.cold(c.now) {
-		rate, takes := c.coldRate(backend)
-		if !takes || c.warmOnly || !backend.rateLimit.ready(c.now, rate) {
+	if b.cold(c.now) {
+		rate, takes := c.coldRate(b)
+		if !takes || c.warmOnly || !b.rateLimit.ready(c.now, rate) {
 			c.soonest = min(c.soonest, 1000/max(rate, 0.5))
 			return false
 		}
@@ -115,7 +115,7 @@
 
 // coldRate is this courier's part of what a cold server stands. Of many couriers only
 // some send to the same one.
-func (c *choice) coldRate(backend *backend) (rate float64, takes bool) {
+func (c *choice) coldRate(b *backend) (rate float64, takes bool) {
 	perSecond := c.service.Warming.PerSecond
 	if perSecond <= 0 {
 		return 1, true
@@ -123,7 +123,7 @@
 	if c.routerCount <= fewRouters {
 		return perSecond * coldUsed / float64(c.routerCount), true
 	}
-	own := weigh(nameKey(c.window.options.Router), backend.key) % uint64(c.routerCount)
+	own := weigh(nameKey(c.window.options.Router), b.key) % uint64(c.routerCount)
 	return perSecond * coldUsed / fewRouters, own < chosenRouters
 }
 
@@ -134,22 +134,22 @@
 )
 
 // memory is how many tokens a server holds; zero if nobody said.
-func (c *choice) memory(backend *backend) int {
-	if heard := backend.heard.Load(); heard != nil && heard.load.MemoryTotal > 0 {
-		return heard.load.MemoryTotal
+func (c *choice) memory(b *backend) int {
+	if h := b.heard.Load(); h != nil && h.load.MemoryTotal > 0 {
+		return h.load.MemoryTotal
 	}
 	return c.service.Engine.MemoryTokens
 }
 
 // tight is how long a call of so many tokens waits for memory.
-func (c *choice) tight(backend *backend, tokens int) float64 {
-	total := c.memory(backend)
+func (c *choice) tight(b *backend, tokens int) float64 {
+	total := c.memory(b)
 	if total == 0 {
 		return 0
 	}
-	used := int(backend.account.memory.Load())
-	if heard := backend.heard.Load(); heard != nil {
-		used = max(used, heard.load.MemoryUsed)
+	used := int(b.account.memory.Load())
+	if h := b.heard.Load(); h != nil {
+		used = max(used, h.load.MemoryUsed)
 	}
 	if float64(used+tokens) <= memoryUsed*float64(total) {
 		return 0
@@ -157,10 +157,10 @@
 	return milliseconds(c.serviceState.runs.mean())
 }
 
-func (c *choice) slots(backend *backend) float64 {
+func (c *choice) slots(b *backend) float64 {
 	switch {
-	case backend.server.Slots > 0:
-		return float64(backend.server.Slots)
+	case b.server.Slots > 0:
+		return float64(b.server.Slots)
 	case c.service.Engine.Slots > 0:
 		return float64(c.service.Engine.Slots)
 	}
@@ -170,13 +170,13 @@
 const unknownSlots = 16
 
 // busy is how many calls a server has.
-func (c *choice) busy(backend *backend) float64 {
-	return backend.others() + float64(backend.running.Load()+backend.reading.Load())
+func (c *choice) busy(b *backend) float64 {
+	return b.others() + float64(b.running.Load()+b.reading.Load())
 }
 
 // queue is how long a call waits for a place, from how many calls there are.
-func (c *choice) queue(backend *backend, busy float64) float64 {
-	slots := c.slots(backend)
+func (c *choice) queue(b *backend, busy float64) float64 {
+	slots := c.slots(b)
 	if busy < slots {
 		return 0
 	}
@@ -184,34 +184,34 @@
 }
 
 // burdens are costs that any work at a server has.
-func (c *choice) burdens(backend *backend) float64 {
+func (c *choice) burdens(b *backend) float64 {
 	cost := 0.0
-	if backend.server.Zone != c.window.options.Zone {
+	if b.server.Zone != c.window.options.Zone {
 		cost += c.costs.crossingKilobyte * float64(c.ticket.call.Bytes) / 1024
 	}
-	if backend.trust.doubted(c.now, backend.running.Load()+backend.reading.Load()) {
+	if b.trust.doubted(c.now, b.running.Load()+b.reading.Load()) {
 		cost += c.costs.distrust
-	} else if backend.outlier(c.now) {
+	} else if b.outlier(c.now) {
 		cost += c.costs.outlier
 	}
-	if backend.cold(c.now) {
+	if b.cold(c.now) {
 		cost += c.costs.cold
 	}
-	if !backend.idle.available(c.now) {
+	if !b.idle.available(c.now) {
 		cost += c.costs.connection
 	}
-	cost += min(c.costs.stuck*c.stuck(backend), c.costs.distrust)
-	if backend.silent(c.window.reported.Load()) {
+	cost += min(c.costs.stuck*c.stuck(b), c.costs.distrust)
+	if b.silent(c.window.reported.Load()) {
 		cost += c.costs.distrust
 	}
 	return cost
 }
 
 // stuck is how many milliseconds longer than is usual nothing has come from a server.
-func (c *choice) stuck(backend *backend) float64 {
-	over := backend.readings.stuck(c.now) - 2*float64(backend.readingTokens.Load())/c.pace - usualStuck
+func (c *choice) stuck(b *backend) float64 {
+	over := b.readings.stuck(c.now) - 2*float64(b.readingTokens.Load())/c.pace - usualStuck
 	if c.window.tells.Load() {
-		over = max(over, backend.begins.stuck(c.now)-milliseconds(backend.queued(c.now))-c.begin-usualStuck)
+		over = max(over, b.begins.stuck(c.now)-milliseconds(b.queued(c.now))-c.begin-usualStuck)
 	}
 	return max(over, 0)
 }
@@ -238,46 +238,46 @@
 
 // spread sets equal servers apart, for each call differently, so that couriers that
 // see the same do not all run to one.
-func (c *choice) spread(backend *backend) float64 {
-	return float64(weigh(backend.key, c.ticket.mark)%1024) / 1024 * c.costs.spread
+func (c *choice) spread(b *backend) float64 {
+	return float64(weigh(b.key, c.ticket.mark)%1024) / 1024 * c.costs.spread
 }
 
 // direct weighs a run at a server that reads the prompt itself.
-func (c *choice) direct(backend *backend) (offer, bool) {
-	if !c.admits(backend, c.ticket.tokens()) {
+func (c *choice) direct(b *backend) (offer, bool) {
+	if !c.admits(b, c.ticket.tokens()) {
 		return offer{}, false
 	}
-	unread, again := c.unread(backend)
-	pace := c.pace / backend.slow.factor(c.now)
-	busy := c.busy(backend)
-	cost := c.burdens(backend) + c.spread(backend)
-	ahead := milliseconds(backend.queued(c.now))
-	if backend.splits() {
-		pace /= 2
-		held := (ahead + unread/pace) * c.held / c.pauseRoom()
+	unread, again := c.unread(b)
+	p := c.pace / b.slow.factor(c.now)
+	busy := c.busy(b)
+	cost := c.burdens(b) + c.spread(b)
+	ahead := milliseconds(b.queued(c.now))
+	if b.splits() {
+		p /= 2
+		held := (ahead + unread/p) * c.held / c.pauseRoom()
 		cost += held * held * c.costs.pauseHarm * (1 + busy)
 	}
 	cost += c.costs.again * again / 1000
-	time := c.begin + ahead + unread/pace + c.queue(backend, busy) + c.tight(backend, c.ticket.tokens())
+	time := c.begin + ahead + unread/p + c.queue(b, busy) + c.tight(b, c.ticket.tokens())
 	cost += time
-	return offer{backend: backend, cost: cost, time: time, own: time, unread: int(unread)}, true
+	return offer{backend: b, cost: cost, time: time, own: time, unread: int(unread)}, true
 }
 
 // sourced weighs a run with memory that another server read, but for the move.
-func (c *choice) sourced(backend *backend) (offer, bool) {
-	if !c.admits(backend, c.ticket.tokens()) {
+func (c *choice) sourced(b *backend) (offer, bool) {
+	if !c.admits(b, c.ticket.tokens()) {
 		return offer{}, false
 	}
-	busy := c.busy(backend)
-	time := c.begin + c.queue(backend, busy) + c.tight(backend, c.ticket.tokens())
-	cost := c.burdens(backend) + c.spread(backend) + time
-	if backend.takes.failures.Load() >= oftenEnough && backend.takes.doubted(c.now, 0) {
+	busy := c.busy(b)
+	time := c.begin + c.queue(b, busy) + c.tight(b, c.ticket.tokens())
+	cost := c.burdens(b) + c.spread(b) + time
+	if b.takes.failures.Load() >= oftenEnough && b.takes.doubted(c.now, 0) {
 		cost += c.costs.distrust
 	}
-	if backend != c.runnerHome {
+	if b != c.runnerHome {
 		cost += c.costs.awayThousand * float64(c.shared) / 1000
 	}
-	return offer{backend: backend, cost: cost, time: time, own: time}, true
+	return offer{backend: b, cost: cost, time: time, own: time}, true
 }
 
 // move is what bringing the memory from a reader costs, and how long it takes.
@@ -295,21 +295,21 @@
 }
 
 // read weighs a read at a server.
-func (c *choice) read(backend *backend) (offer, bool) {
+func (c *choice) read(b *backend) (offer, bool) {
 	call := c.ticket.call
-	if !c.admits(backend, call.PromptTokens) {
+	if !c.admits(b, call.PromptTokens) {
 		return offer{}, false
 	}
-	unread, again := c.unread(backend)
-	pace := c.pace / backend.slow.factor(c.now)
-	ahead := c.ahead(backend)
-	time := readsCost + (ahead+unread)/pace + c.tight(backend, call.PromptTokens)
-	cost := c.burdens(backend) + c.spread(backend) + c.costs.second + c.risk(backend) + time
+	unread, again := c.unread(b)
+	p := c.pace / b.slow.factor(c.now)
+	ahead := c.ahead(b)
+	time := readsCost + (ahead+unread)/p + c.tight(b, call.PromptTokens)
+	cost := c.burdens(b) + c.spread(b) + c.costs.second + c.risk(b) + time
 	cost += c.costs.again * again / 1000
-	if backend.hands.doubted(c.now, backend.reading.Load()) {
+	if b.hands.doubted(c.now, b.reading.Load()) {
 		cost += c.costs.distrust
 	}
-	return offer{backend: backend, cost: cost, time: time, own: time, unread: int(unread)}, true
+	return offer{backend: b, cost: cost, time: time, own: time, unread: int(unread)}, true
 }
 
 // risk is that of a run that can't get the memory that was read for it: a call with one
@@ -332,26 +332,26 @@
 	var weights [mostPlaces]uint64
 	var far *backend
 	c.home, c.nextHome, c.runnerHome = nil, nil, nil
-	for _, backend := range c.backends {
-		if !c.open(backend) {
+	for _, b := range c.backends {
+		if !c.open(b) {
 			continue
 		}
-		weight := weigh(c.chain, backend.key)
-		if backend.reads() {
+		weight := weigh(c.chain, b.key)
+		if b.reads() {
 			switch {
 			case c.home == nil || weight > readerWeight:
 				c.nextHome, nextWeight = c.home, readerWeight
-				c.home, readerWeight = backend, weight
+				c.home, readerWeight = b, weight
 			case c.nextHome == nil || weight > nextWeight:
-				c.nextHome, nextWeight = backend, weight
+				c.nextHome, nextWeight = b, weight
 			}
 			continue
 		}
 		if far == nil || weight > farWeight {
-			far, farWeight = backend, weight
+			far, farWeight = b, weight
 		}
-		if place := backend.place % mostPlaces; runners[place] == nil || weight > weights[place] {
-			runners[place], weights[place] = backend, weight
+		if place := b.place % mostPlaces; runners[place] == nil || weight > weights[place] {
+			runners[place], weights[place] = b, weight
 		}
 	}
 	c.runnerHome = far
@@ -363,13 +363,13 @@
 }
 
 // belief is how surely a server keeps the call's shared parts by the home rule.
-func (c *choice) belief(backend *backend) float64 {
+func (c *choice) belief(b *backend) float64 {
 	switch {
-	case backend == c.home:
+	case b == c.home:
 		return c.costs.home
-	case backend == c.nextHome:
+	case b == c.nextHome:
 		return c.costs.next
-	case backend == c.runnerHome:
+	case b == c.runnerHome:
 		return c.costs.runner
 	}
 	return 0
@@ -377,8 +377,8 @@
 
 // unread is how many of the call's tokens a server would have to read, as far as is
 // believed, and how many of them are shared.
-func (c *choice) unread(backend *backend) (unread, again float64) {
-	keeps := max(float64(backend.kept.prefix(c.ticket.call.Parts)), c.belief(backend)*float64(c.shared))
+func (c *choice) unread(b *backend) (unread, again float64) {
+	keeps := max(float64(b.kept.prefix(c.ticket.call.Parts)), c.belief(b)*float64(c.shared))
 	return max(float64(c.ticket.call.PromptTokens)-keeps, 1), max(float64(c.shared)-keeps, 0)
 }
 
@@ -405,23 +405,23 @@
 	places, taken := 0.0, 0.0
 	anyRun := false
 	c.homes()
-	for _, backend := range c.backends {
-		if !backend.runs() || !c.open(backend) {
+	for _, b := range c.backends {
+		if !b.runs() || !c.open(b) {
 			continue
 		}
-		places += c.slots(backend)
-		taken += min(c.busy(backend), c.slots(backend))
-		if offered, may := c.direct(backend); may && (!found || offered.cost < best.cost) {
+		places += c.slots(b)
+		taken += min(c.busy(b), c.slots(b))
+		if offered, may := c.direct(b); may && (!found || offered.cost < best.cost) {
 			kind, best, found = Run, offered, true
 		}
 		if !mayRead {
 			continue
 		}
-		if offered, may := c.sourced(backend); may {
+		if offered, may := c.sourced(b); may {
 			if !anyRun || offered.cost < farthest.cost {
 				farthest, anyRun = offered, true
 			}
-			if slot := &near[backend.place%mostPlaces]; slot.backend == nil || offered.cost < slot.cost {
+			if slot := &near[b.place%mostPlaces]; slot.backend == nil || offered.cost < slot.cost {
 				*slot = offered
 			}
 		}
@@ -432,18 +432,18 @@
 	if !mayRead || !anyRun {
 		return kind, best, found
 	}
-	for _, backend := range c.backends {
-		if !backend.reads() || !c.open(backend) {
+	for _, ba := range c.backends {
+		if !ba.reads() || !c.open(ba) {
 			continue
 		}
-		offered, may := c.read(backend)
+		offered, may := c.read(ba)
 		if !may {
 			continue
 		}
-		moveCost, moveTime := c.move(backend, farthest.backend)
+		moveCost, moveTime := c.move(ba, farthest.backend)
 		cost, time := farthest.cost+moveCost, farthest.time+moveTime
-		if runner := near[backend.place%mostPlaces]; runner.backend != nil && runner.backend.place == backend.place {
-			moveCost, moveTime = c.move(backend, runner.backend)
+		if runner := near[ba.place%mostPlaces]; runner.backend != nil && runner.backend.place == ba.place {
+			moveCost, moveTime = c.move(ba, runner.backend)
 			if sum := runner.cost + moveCost; sum < cost {
 				cost, time = sum, runner.time+moveTime
 			}
@@ -463,12 +463,12 @@
 // that reads the prompt itself because that is much better.
 func (c *choice) runner(reader *backend) (kind DecisionKind, best offer, found bool) {
 	c.homes()
-	for _, backend := range c.backends {
-		if !backend.splits() || !c.open(backend) {
+	for _, b := range c.backends {
+		if !b.splits() || !c.open(b) {
 			continue
 		}
-		if offered, may := c.sourced(backend); may {
-			cost, time := c.move(reader, backend)
+		if offered, may := c.sourced(b); may {
+			cost, time := c.move(reader, b)
 			offered.cost += cost
 			offered.time += time
 			offered.own = offered.time
@@ -477,7 +477,7 @@
 				best, found = offered, true
 			}
 		}
-		if offered, may := c.direct(backend); may {
+		if offered, may := c.direct(b); may {
 			offered.cost += c.costs.wasted * float64(c.ticket.call.PromptTokens) / 1000
 			if !found || offered.cost < best.cost {
 				best, found = offered, true
--- a/internal/scheduler/connections_test.go
+++ b/internal/scheduler/connections_test.go
@@ -59,8 +59,8 @@
 // TestRoomForReading has the pause that reading may cause follow what routes allow.
 func TestRoomForReading(t *testing.T) {
 	calls := opened(9)
-	choice := calls.weighing(noon, &Ticket{call: chatCall("a"), routeRule: &routeRule{calls: plan(nil).Routes[1].Calls}, service: calls.program.Load().services["desk"]})
-	if got, want := choice.pauseRoom(), milliseconds(250*time.Millisecond)*pauseShare; got != want {
+	c := calls.weighing(noon, &Ticket{call: chatCall("a"), routeRule: &routeRule{calls: plan(nil).Routes[1].Calls}, service: calls.program.Load().services["desk"]})
+	if got, want := c.pauseRoom(), milliseconds(250*time.Millisecond)*pauseShare; got != want {
 		t.Errorf("%v ms for reading, want %v", got, want)
 	}
 }
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -51,12 +51,12 @@
 }
 
 func (w *Window) readEnded(now time.Time, ticket *Ticket, sent dispatch, outcome Outcome) Decision {
-	backend := sent.backend
+	b := sent.backend
 	switch outcome.Result {
 	case Complete:
 		w.learn(now, ticket, sent, now)
-		ticket.taken, ticket.reader = true, backend
-		ticket.source = &Source{Address: backend.server.Address, Handle: outcome.Handle}
+		ticket.taken, ticket.reader = true, b
+		ticket.source = &Source{Address: b.server.Address, Handle: outcome.Handle}
 		return w.next(now, ticket, lastWord{})
 	case Unreached:
 		if sent.counted {
@@ -67,13 +67,13 @@
 			ticket.counted++
 		}
 	}
-	w.failed(now, backend, outcome.Result)
-	ticket.avoided = append(ticket.avoided, backend)
+	w.failed(now, b, outcome.Result)
+	ticket.avoided = append(ticket.avoided, b)
 	return w.next(now, ticket, lastWord{})
 }
 
 func (w *Window) runEnded(now time.Time, ticket *Ticket, sent dispatch, outcome Outcome) Decision {
-	backend := sent.backend
+	b := sent.backend
 	if outcome.Result != Unreached {
 		ticket.counted++
 	}
@@ -93,7 +93,7 @@
 			ticket.direct = true
 			w.serviceState(ticket.service.Name).pressure.lapse(now)
 			ticket.reader.hands.fail(now)
-			backend.takes.failOften(now)
+			b.takes.failOften(now)
 			return w.next(now, ticket, lastWord{})
 		}
 	case Answered:
@@ -101,19 +101,19 @@
 		if outcome.Status < 500 {
 			return w.finish(now, ticket, Decision{Kind: Through})
 		}
-		w.failed(now, backend, outcome.Result)
+		w.failed(now, b, outcome.Result)
 		if !ticket.repeatable() {
 			return w.finish(now, ticket, Decision{Kind: Through})
 		}
-		ticket.avoided = append(ticket.avoided, backend)
+		ticket.avoided = append(ticket.avoided, b)
 		return w.next(now, ticket, lastWord{Kind: Through})
 	case Cut:
 		ticket.ran, ticket.begun = true, true
 	default:
 		ticket.ran = true
 	}
-	w.failed(now, backend, outcome.Result)
-	ticket.avoided = append(ticket.avoided, backend)
+	w.failed(now, b, outcome.Result)
+	ticket.avoided = append(ticket.avoided, b)
 	return w.next(now, ticket, lastWord{})
 }
 
@@ -125,29 +125,29 @@
 	if reason := ticket.exhausted(now); reason != "" {
 		return w.end(now, ticket, answer, soon, reason)
 	}
-	choice := w.weighing(now, ticket)
+	c := w.weighing(now, ticket)
 	var kind DecisionKind
 	var found bool
 	var way offer
 	if ticket.source != nil {
-		kind, way, found = choice.find(func() (DecisionKind, offer, bool) { return choice.runner(ticket.reader) })
+		kind, way, found = c.find(func() (DecisionKind, offer, bool) { return c.runner(ticket.reader) })
 	} else {
 		// A further read is paid as well and takes a try of its own.
 		further := ticket.taken || ticket.begun
 		mayRead := !ticket.direct && (!further || ticket.counted+1 < ticket.routeRule.calls.Tries)
-		kind, way, found = choice.find(func() (DecisionKind, offer, bool) { return choice.cheapest(mayRead) })
+		kind, way, found = c.find(func() (DecisionKind, offer, bool) { return c.cheapest(mayRead) })
 	}
-	if found && !way.sourced && kind == Run && ticket.counted > 0 && way.cost > choice.dearest() {
+	if found && !way.sourced && kind == Run && ticket.counted > 0 && way.cost > c.dearest() {
 		// There is room for the call as a new one, which may be read elsewhere.
 		return w.end(now, ticket, answer, shortestRelief, TooDear)
 	}
-	if !found || ticket.source == nil && choice.late(way) {
-		return w.end(now, ticket, answer, choice.relief(way, found), NoPlace)
+	if !found || ticket.source == nil && c.late(way) {
+		return w.end(now, ticket, answer, c.relief(way, found), NoPlace)
 	}
-	if !choice.pay() {
+	if !c.pay() {
 		return w.end(now, ticket, answer, soon, BudgetUsed)
 	}
-	decision := choice.send(kind, way)
+	decision := c.send(kind, way)
 	if kind == Read && ticket.taken {
 		ticket.dispatch.counted = true
 		ticket.counted++
@@ -242,10 +242,10 @@
 
 // learn takes how long a dispatch took to its answer's beginning.
 func (w *Window) learn(now time.Time, ticket *Ticket, sent dispatch, first time.Time) {
-	backend := sent.backend
-	backend.trust.succeed(now)
+	b := sent.backend
+	b.trust.succeed(now)
 	if sent.source != nil && ticket.reader != nil {
-		backend.takes.succeed(now)
+		b.takes.succeed(now)
 		ticket.reader.hands.succeed(now)
 		ticket.reader.handed.Store(now.UnixNano())
 		if !sent.began {
@@ -261,15 +261,15 @@
 		w.serviceState(ticket.service.Name).pace.note(sent.unread, took)
 	}
 	if sent.kind == Run {
-		serviceState := w.serviceState(ticket.service.Name)
-		serviceState.begin.note(milliseconds(took-sent.expected) + serviceState.begin.milliseconds())
+		s := w.serviceState(ticket.service.Name)
+		s.begin.note(milliseconds(took-sent.expected) + s.begin.milliseconds())
 	}
 	if sent.expected > 0 {
 		ratio := float64(took) / float64(sent.expected+slack)
 		if sent.kind == Read {
 			ratio /= usualWait
 		}
-		backend.slow.note(now, ratio)
+		b.slow.note(now, ratio)
 	}
 }
 
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -35,8 +35,8 @@
 	ticket, decision = calls.Arrive(noon, longCall("b", 78))
 	reader := calls.board.Load().byName[decision.Server.Name]
 	calls.Ended(noon.Add(time.Second), ticket, Outcome{Result: Silent})
-	if kept := reader.kept.prefix(longCall("b", 78).Parts); kept > 2520 {
-		t.Errorf("%d tokens kept of a read that failed", kept)
+	if k := reader.kept.prefix(longCall("b", 78).Parts); k > 2520 {
+		t.Errorf("%d tokens kept of a read that failed", k)
 	}
 }
 
@@ -100,8 +100,8 @@
 	calls := opened(9)
 	calls.SetRouters(1)
 	now, patient := noon.Add(10*time.Second), 0
-	serviceState := calls.serviceState("desk")
-	serviceState.retries.since = now.Add(-calls.options.FurtherTries.Span)
+	s := calls.serviceState("desk")
+	s.retries.since = now.Add(-calls.options.FurtherTries.Span)
 	for number := range 50 {
 		ticket, decision := calls.Arrive(now, longCall(fmt.Sprint(number), uint64(number)))
 		if decision.Patience > 0 {
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -40,12 +40,12 @@
 }
 
 func newHistory(t *testing.T, seed uint64) *history {
-	history := &history{test: t, random: rand.New(rand.NewPCG(seed, 11)), now: noon, list: servers(9), evacuees: map[string]bool{}, number: 1,
+	h := &history{test: t, random: rand.New(rand.NewPCG(seed, 11)), now: noon, list: servers(9), evacuees: map[string]bool{}, number: 1,
 		calls: New(Options{Router: "courier-1", Zone: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})}
-	history.calls.SetRouters(3)
-	history.configure()
-	history.calls.SetServers(history.now, history.list)
-	return history
+	h.calls.SetRouters(3)
+	h.configure()
+	h.calls.SetServers(h.now, h.list)
+	return h
 }
 
 func (h *history) configure() {
@@ -98,84 +98,84 @@
 	}
 	call.Ends = h.now.Add(time.Duration(100+h.random.IntN(4000)) * time.Millisecond)
 	ticket, decision := h.calls.Arrive(h.now, call)
-	followed := &followed{call: call, ticket: ticket, handles: map[string]int{}}
+	f := &followed{call: call, ticket: ticket, handles: map[string]int{}}
 	if ticket != nil {
-		followed.route = ticket.Route().Calls
-		h.open = append(h.open, followed)
+		f.route = ticket.Route().Calls
+		h.open = append(h.open, f)
 	} else if decision.Kind != Refuse {
 		h.test.Fatalf("no ticket with %+v", decision)
 	}
-	h.judge(followed, decision)
+	h.judge(f, decision)
 }
 
 // judge checks a decision when it is made.
-func (h *history) judge(followed *followed, decision Decision) {
+func (h *history) judge(f *followed, decision Decision) {
 	h.log = append(h.log, decision)
-	followed.decision = decision
-	followed.steps++
+	f.decision = decision
+	f.steps++
 	fail := func(format string, arguments ...any) {
 		h.test.Helper()
-		h.test.Fatalf("%s: %s: %+v", followed.call.ID, fmt.Sprintf(format, arguments...), decision)
+		h.test.Fatalf("%s: %s: %+v", f.call.ID, fmt.Sprintf(format, arguments...), decision)
 	}
 	for _, source := range decision.Free {
-		followed.handles[source.Handle]--
-		if followed.handles[source.Handle] < 0 {
+		f.handles[source.Handle]--
+		if f.handles[source.Handle] < 0 {
 			fail("given back twice")
 		}
 	}
-	if followed.steps > 20 {
+	if f.steps > 20 {
 		fail("no end")
 	}
 	switch decision.Kind {
 	case Read, Run:
 		server := decision.Server
-		if server.Leaving || h.evacuees[server.Zone] || server.Service != followed.ticket.service.Name {
+		if server.Leaving || h.evacuees[server.Zone] || server.Service != f.ticket.service.Name {
 			fail("a server that is not open to the call")
 		}
 		if (decision.Kind == Read) != (server.Part == prefill) {
 			fail("the wrong part")
 		}
-		if followed.arrivals >= followed.route.Tries {
-			fail("more tries than %d", followed.route.Tries)
+		if f.arrivals >= f.route.Tries {
+			fail("more tries than %d", f.route.Tries)
 		}
-		repeatable := followed.route.Repeatable || followed.route.Resumable
-		if followed.runs > 0 && !repeatable {
+		repeatable := f.route.Repeatable || f.route.Resumable
+		if f.runs > 0 && !repeatable {
 			fail("it may have run")
 		}
-		if followed.passed && !followed.route.Resumable {
+		if f.passed && !f.route.Resumable {
 			fail("a stream that may not go on elsewhere")
 		}
-		if decision.Ends.After(followed.call.Ends) || !h.now.Before(decision.Ends) {
+		if decision.Ends.After(f.call.Ends) || !h.now.Before(decision.Ends) {
 			fail("the limit")
 		}
 		if decision.Source != nil {
-			if followed.handles[decision.Source.Handle] != 1 {
+			if f.handles[decision.Source.Handle] != 1 {
 				fail("memory that there is not")
 			}
 		}
 		return
 	case Refuse:
-		if decision.Cause.NeverRan() == (followed.runs > 0) {
-			fail("a promise after %d runs", followed.runs)
+		if decision.Cause.NeverRan() == (f.runs > 0) {
+			fail("a promise after %d runs", f.runs)
 		}
-		if left := followed.call.Ends.Sub(h.now); left > 0 && decision.RetryAfter > left/3 {
+		if left := f.call.Ends.Sub(h.now); left > 0 && decision.RetryAfter > left/3 {
 			fail("to come back later than an origin waits")
 		}
-		if followed.passed {
+		if f.passed {
 			fail("a word of our own behind an answer that began")
 		}
 	case Break:
-		if !followed.passed {
+		if !f.passed {
 			fail("nothing to break")
 		}
 	}
-	for handle, left := range followed.handles {
+	for handle, left := range f.handles {
 		if left != 0 {
 			fail("memory %s is left over", handle)
 		}
 	}
 	for position, other := range h.open {
-		if other == followed {
+		if other == f {
 			h.open = append(h.open[:position], h.open[position+1:]...)
 			break
 		}
@@ -183,8 +183,8 @@
 }
 
 // end ends a call's dispatch in a random way.
-func (h *history) end(followed *followed) {
-	decision := followed.decision
+func (h *history) end(f *followed) {
+	decision := f.decision
 	outcome := Outcome{Result: Complete}
 	kinds := []Result{Complete, Complete, Complete, Complete, Unreached, NotStarted, Misdirected, Silent, Spoilt, Answered, Cut, Gone}
 	outcome.Result = kinds[h.random.IntN(len(kinds))]
@@ -200,41 +200,41 @@
 	if outcome.Result == Answered {
 		outcome.Status = []int{400, 500, 504}[h.random.IntN(3)]
 	}
-	if outcome.Result != Unreached && (decision.Kind == Run || outcome.Result != Complete || followed.taken > 0) {
-		followed.arrivals++
+	if outcome.Result != Unreached && (decision.Kind == Run || outcome.Result != Complete || f.taken > 0) {
+		f.arrivals++
 	}
 	if decision.Kind == Read {
 		if outcome.Result == Complete {
-			followed.taken++
-			outcome.Handle = fmt.Sprintf("%s-%d", followed.call.ID, followed.taken)
-			followed.handles[outcome.Handle] = 1
+			f.taken++
+			outcome.Handle = fmt.Sprintf("%s-%d", f.call.ID, f.taken)
+			f.handles[outcome.Handle] = 1
 		}
 	} else {
 		outcome.First = h.now
 		switch outcome.Result {
 		case Unreached, NotStarted, Misdirected:
 		case Cut:
-			followed.passed = true
-			followed.runs++
+			f.passed = true
+			f.runs++
 		default:
-			followed.runs++
+			f.runs++
 		}
 		if decision.Source != nil {
 			switch outcome.Result {
 			case Unreached, NotStarted, Misdirected, Gone:
 				// It is still there, or may be: it is used or given back.
 			default:
-				followed.handles[decision.Source.Handle]--
+				f.handles[decision.Source.Handle]--
 			}
 		}
 	}
-	next := h.calls.Ended(h.now, followed.ticket, outcome)
+	next := h.calls.Ended(h.now, f.ticket, outcome)
 	if outcome.Result == Gone || outcome.Result == Complete && decision.Kind == Run {
 		if next.Kind != Done {
-			h.test.Fatalf("%s: %s and then %+v", followed.call.ID, outcome.Result, next)
+			h.test.Fatalf("%s: %s and then %+v", f.call.ID, outcome.Result, next)
 		}
 	}
-	h.judge(followed, next)
+	h.judge(f, next)
 }
 
 func (h *history) relist() {
@@ -276,9 +276,9 @@
 	if left := h.calls.InFlight(); left != 0 {
 		h.test.Fatalf("%d calls in flight at the end", left)
 	}
-	for _, backend := range h.calls.board.Load().all {
-		if backend.reading.Load() != 0 || backend.running.Load() != 0 || backend.readingTokens.Load() != 0 || backend.account.memory.Load() != 0 {
-			h.test.Fatalf("%s keeps work on its account", backend.server.Name)
+	for _, b := range h.calls.board.Load().all {
+		if b.reading.Load() != 0 || b.running.Load() != 0 || b.readingTokens.Load() != 0 || b.account.memory.Load() != 0 {
+			h.test.Fatalf("%s keeps work on its account", b.server.Name)
 		}
 	}
 }
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -52,29 +52,29 @@
 
 // SetOutliers takes the advice that comes of what all routers met.
 func (w *Window) SetOutliers(now time.Time, advice outlier.Advice) {
-	board := w.board.Load()
+	b := w.board.Load()
 	until := now.Add(adviceLasts).UnixNano()
 	avoided := make(map[string]bool, len(advice.Ejected)+len(advice.Trial))
 	for _, name := range advice.Ejected {
 		avoided[name] = true
 	}
 	for _, name := range advice.Trial {
-		if backend, found := board.byName[name]; found && !w.tries(backend) {
+		if ba, found := b.byName[name]; found && !w.tries(ba) {
 			avoided[name] = true
 		}
 	}
-	for _, backend := range board.all {
-		if avoided[backend.server.Name] {
-			backend.outlierUntil.Store(until)
-		} else if backend.outlierUntil.Load() != 0 {
-			backend.outlierUntil.Store(0)
+	for _, bc := range b.all {
+		if avoided[bc.server.Name] {
+			bc.outlierUntil.Store(until)
+		} else if bc.outlierUntil.Load() != 0 {
+			bc.outlierUntil.Store(0)
 		}
 	}
 }
 
 // tries tells whether this router is one of those that use a server on trial.
-func (w *Window) tries(backend *backend) bool {
-	return w.routerCount() <= trialShare || weigh(nameKey(w.options.Router), backend.key)%trialShare == 0
+func (w *Window) tries(b *backend) bool {
+	return w.routerCount() <= trialShare || weigh(nameKey(w.options.Router), b.key)%trialShare == 0
 }
 
 // outlier tells whether other routers failed at the server and this one knows no better.
@@ -84,9 +84,9 @@
 
 // failed notes that a server failed a call. One that turns calls away, or is not the one
 // that was meant, fails nobody else for that.
-func (w *Window) failed(now time.Time, backend *backend, result Result) {
-	backend.trust.fail(now)
+func (w *Window) failed(now time.Time, b *backend, result Result) {
+	b.trust.fail(now)
 	if result != NotStarted && result != Misdirected {
-		w.failures.add(backend.server.Name)
+		w.failures.add(b.server.Name)
 	}
 }
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -47,13 +47,13 @@
 // TestOwnWordOutweighsAdvice has a router that a server serves well go on using it.
 func TestOwnWordOutweighsAdvice(t *testing.T) {
 	calls := opened(9)
-	backend := calls.board.Load().byName["stove-5"]
-	backend.trust.succeed(noon)
+	b := calls.board.Load().byName["stove-5"]
+	b.trust.succeed(noon)
 	calls.SetOutliers(noon, outlier.Advice{Ejected: []string{"stove-5"}})
-	if backend.outlier(noon.Add(ownWord)) {
+	if b.outlier(noon.Add(ownWord)) {
 		t.Error("a server that serves this router well is an outlier")
 	}
-	if !backend.outlier(noon.Add(ownWord + 1)) {
+	if !b.outlier(noon.Add(ownWord + 1)) {
 		t.Error("an old success outweighs the others' word")
 	}
 }
@@ -68,16 +68,16 @@
 	if decision.Kind != Through {
 		t.Fatalf("%+v", decision)
 	}
-	if told := calls.TakeFailing(); !slices.Equal(told, []string{failing}) {
-		t.Errorf("told of %v", told)
+	if to := calls.TakeFailing(); !slices.Equal(to, []string{failing}) {
+		t.Errorf("told of %v", to)
 	}
 	ticket, decision = calls.Arrive(noon, chatCall("b"))
 	if decision.Server.Name == failing {
 		t.Error("the next call goes to the server that has just failed one")
 	}
 	calls.Ended(noon, ticket, Outcome{Result: NotStarted, Status: 503})
-	if told := calls.TakeFailing(); len(told) != 0 {
-		t.Errorf("told of %v", told)
+	if tl := calls.TakeFailing(); len(tl) != 0 {
+		t.Errorf("told of %v", tl)
 	}
 }
 
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -71,11 +71,11 @@
 // Part is what a listed server does, and whether it changes that now. Listed is false
 // for a server that isn't listed or has no part.
 func (w *Window) Part(server string) (part string, changing, listed bool) {
-	backend, found := w.board.Load().byName[server]
-	if !found || backend.server.Part == "" {
+	b, found := w.board.Load().byName[server]
+	if !found || b.server.Part == "" {
 		return "", false, false
 	}
-	return backend.part(), backend.changing(), true
+	return b.part(), b.changing(), true
 }
 
 // Decide gives the orders that are needed now, by what the window knows of its servers.
@@ -101,17 +101,17 @@
 
 func (p *pool) decide(now time.Time, window *Window, program *Program, service *config.Service) []codec.Order {
 	var readers, runners []*backend
-	reported := window.reported.Load()
-	for _, backend := range window.board.Load().byService[service.Name] {
+	r := window.reported.Load()
+	for _, b := range window.board.Load().byService[service.Name] {
 		switch {
-		case backend.cold(now), backend.silent(reported):
-		case backend.server.Leaving || program.evacuations[backend.server.Zone]:
-		case backend.changing():
+		case b.cold(now), b.silent(r):
+		case b.server.Leaving || program.evacuations[b.server.Zone]:
+		case b.changing():
 			return nil
-		case backend.reads():
-			readers = append(readers, backend)
-		case backend.splits():
-			runners = append(runners, backend)
+		case b.reads():
+			readers = append(readers, b)
+		case b.splits():
+			runners = append(runners, b)
 		}
 	}
 	if len(readers)+len(runners) < 2 {
@@ -138,8 +138,8 @@
 	case len(runners) == 0:
 		return give(readers, decode, "no server makes answers", 1)
 	}
-	serviceState := window.serviceState(service.Name)
-	busy, running, known := serviceState.pressure.now(now)
+	s := window.serviceState(service.Name)
+	busy, running, known := s.pressure.now(now)
 	if !known {
 		return nil
 	}
@@ -193,24 +193,24 @@
 // fewest with it for its size, with the least to do.
 func lightest(from, readers []*backend, part string) *backend {
 	in, all := map[string]int{}, map[string]int{}
-	for _, backend := range readers {
-		in[backend.server.Zone]++
+	for _, b := range readers {
+		in[b.server.Zone]++
 	}
-	for _, backend := range from {
-		all[backend.server.Zone]++
+	for _, ba := range from {
+		all[ba.server.Zone]++
 	}
-	weight := func(backend *backend) float64 {
-		share := float64(in[backend.server.Zone]) / float64(in[backend.server.Zone]+all[backend.server.Zone])
+	weight := func(bc *backend) float64 {
+		s := float64(in[bc.server.Zone]) / float64(in[bc.server.Zone]+all[bc.server.Zone])
 		if part == decode {
-			share = -float64(in[backend.server.Zone])
+			s = -float64(in[bc.server.Zone])
 		}
-		work := backend.others() + float64(backend.running.Load()+backend.reading.Load())
-		return share*zoneWeight + work
+		work := bc.others() + float64(bc.running.Load()+bc.reading.Load())
+		return s*zoneWeight + work
 	}
 	best := from[0]
-	for _, backend := range from[1:] {
-		if weight(backend) < weight(best) {
-			best = backend
+	for _, bck := range from[1:] {
+		if weight(bck) < weight(best) {
+			best = bck
 		}
 	}
 	return best
@@ -220,11 +220,11 @@
 
 // moved is the two pools with a server given the part; from is the pool that it left.
 func moved(chosen *backend, part string, readers, runners []*backend) (from, nextReaders, nextRunners []*backend) {
-	without := func(pool []*backend) []*backend {
+	without := func(p []*backend) []*backend {
 		var left []*backend
-		for _, backend := range pool {
-			if backend != chosen {
-				left = append(left, backend)
+		for _, b := range p {
+			if b != chosen {
+				left = append(left, b)
 			}
 		}
 		return left
--- a/internal/scheduler/program.go
+++ b/internal/scheduler/program.go
@@ -91,26 +91,26 @@
 }
 
 func (p *Program) steps(route *config.Route, at int) []step {
-	routeRule := &routeRule{route: route, calls: route.Calls}
+	r := &routeRule{route: route, calls: route.Calls}
 	for _, part := range route.Calls.Shares {
 		service, found := p.services[part.Service]
 		if found && part.Weight > 0 {
-			routeRule.total += uint64(part.Weight)
-			routeRule.shares = append(routeRule.shares, share{service: service, upTo: routeRule.total})
+			r.total += uint64(part.Weight)
+			r.shares = append(r.shares, share{service: service, upTo: r.total})
 			p.narrow(service.Name, route.Calls.Gap)
 		}
 	}
 	if len(route.To.Zones) > 0 {
-		routeRule.zones = map[string]bool{}
+		r.zones = map[string]bool{}
 		for _, zone := range route.To.Zones {
-			routeRule.zones[zone] = true
+			r.zones[zone] = true
 		}
 	}
-	action := step{code: actSend, routeRule: routeRule}
+	action := step{code: actSend, routeRule: r}
 	switch {
-	case route.To.Refuse || len(routeRule.shares) == 0:
+	case route.To.Refuse || len(r.shares) == 0:
 		action.code = actRefuse
-	case len(routeRule.shares) > 1:
+	case len(r.shares) > 1:
 		action.code = actShare
 	}
 	return []step{{code: needPrefix, text: route.Match.PathPrefix, next: at + 2}, action}
@@ -127,21 +127,21 @@
 func (p *Program) rule(call *Call) (*routeRule, *config.Service) {
 	steps := p.hosts[hostOf(call.Host)]
 	for position := 0; position < len(steps); {
-		step := &steps[position]
-		switch step.code {
+		s := &steps[position]
+		switch s.code {
 		case needPrefix:
-			if !strings.HasPrefix(call.Path, step.text) {
-				position = step.next
+			if !strings.HasPrefix(call.Path, s.text) {
+				position = s.next
 				continue
 			}
 			position++
 		case actSend:
-			return step.routeRule, step.routeRule.shares[0].service
+			return s.routeRule, s.routeRule.shares[0].service
 		case actShare:
-			spot := membership.Weight(step.routeRule.route.Name, call.ID) % step.routeRule.total
-			for _, share := range step.routeRule.shares {
-				if spot < share.upTo {
-					return step.routeRule, share.service
+			spot := membership.Weight(s.routeRule.route.Name, call.ID) % s.routeRule.total
+			for _, sh := range s.routeRule.shares {
+				if spot < sh.upTo {
+					return s.routeRule, sh.service
 				}
 			}
 		case actRefuse:
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -98,9 +98,9 @@
 	for _, slot := range r.slots {
 		calls += slot.first
 	}
-	share := allowance.Slack * slackUsed / float64(max(1, routers))
+	s := allowance.Slack * slackUsed / float64(max(1, routers))
 	grown := min(1, now.Sub(r.since).Seconds()/allowance.Span.Seconds())
-	return allowance.Ratio*ratioUsed*float64(calls) + share*grown
+	return allowance.Ratio*ratioUsed*float64(calls) + s*grown
 }
 
 // turn goes on to the slot of now and empties those that are outside of the span.
--- a/internal/scheduler/returned.go
+++ b/internal/scheduler/returned.go
@@ -37,9 +37,9 @@
 	if zones == nil || !w.returned.CompareAndSwap(zones, nil) {
 		return
 	}
-	for _, backend := range w.board.Load().all {
-		if (*zones)[backend.server.Zone] {
-			backend.coolUntil(now.Add(coldAfterReturn))
+	for _, b := range w.board.Load().all {
+		if (*zones)[b.server.Zone] {
+			b.coolUntil(now.Add(coldAfterReturn))
 		}
 	}
 }
--- a/internal/scheduler/send.go
+++ b/internal/scheduler/send.go
@@ -14,41 +14,41 @@
 )
 
 // send notes a dispatch as under way and words the decision.
-func (c *choice) send(kind DecisionKind, offer offer) Decision {
-	ticket, backend := c.ticket, offer.backend
+func (c *choice) send(kind DecisionKind, o offer) Decision {
+	ticket, b := c.ticket, o.backend
 	now := c.now
-	ticket.dispatch = dispatch{backend: backend, kind: kind, sent: now, unread: offer.unread, expected: span(offer.own)}
-	decision := Decision{Kind: kind, Server: backend.server, Ends: ticket.ends, Urgency: ticket.routeRule.calls.Rank}
+	ticket.dispatch = dispatch{backend: b, kind: kind, sent: now, unread: o.unread, expected: span(o.own)}
+	decision := Decision{Kind: kind, Server: b.server, Ends: ticket.ends, Urgency: ticket.routeRule.calls.Rank}
 	if len(ticket.spent) > 0 {
 		decision.Free, ticket.spent = ticket.spent, nil
 	}
 	sent := &ticket.dispatch
-	backend.idle.take(now)
+	b.idle.take(now)
 	if kind == Read {
 		sent.tokens = ticket.call.PromptTokens
-		c.book(backend, sent.unread)
-		backend.reading.Add(1)
-		backend.readings.wait(now)
-		backend.readingTokens.Add(int64(sent.unread))
+		c.book(b, sent.unread)
+		b.reading.Add(1)
+		b.readings.wait(now)
+		b.readingTokens.Add(int64(sent.unread))
 		decision.Patience = c.patience(max(readPatience*sent.expected, leastReadPatience))
 	} else {
 		c.window.unbook(ticket)
 		sent.tokens = ticket.tokens()
-		if offer.sourced {
+		if o.sourced {
 			sent.source, ticket.source = ticket.source, nil
 		} else if ticket.source != nil {
 			decision.Free = append(decision.Free, *ticket.source)
 			ticket.source, ticket.direct = nil, true
 		}
 		decision.Source = sent.source
-		backend.running.Add(1)
-		backend.begins.wait(now)
+		b.running.Add(1)
+		b.begins.wait(now)
 		if sent.source == nil {
-			pace := c.pace / backend.slow.factor(now)
-			if backend.splits() {
-				pace /= 2
+			p := c.pace / b.slow.factor(now)
+			if b.splits() {
+				p /= 2
 			}
-			backend.queue(now, span(float64(sent.unread)/pace))
+			b.queue(now, span(float64(sent.unread)/p))
 			c.serviceState.pressure.readDirectly(now, sent.unread)
 		}
 		if ticket.repeatable() && !ticket.begun && c.goesOn() {
@@ -56,11 +56,11 @@
 		}
 		decision.Silence = c.silence()
 	}
-	backend.account.memory.Add(int64(sent.tokens))
+	b.account.memory.Add(int64(sent.tokens))
 	// What reads a prompt keeps it from now on, as far as the next calls go; memory that
 	// is moved may not come.
-	sent.room, sent.known = c.memory(backend), backend.kept.prefix(ticket.call.Parts)
-	if !offer.sourced {
+	sent.room, sent.known = c.memory(b), b.kept.prefix(ticket.call.Parts)
+	if !o.sourced {
 		c.window.keeps(ticket, sent)
 	}
 	return decision
@@ -96,30 +96,30 @@
 // settle takes a dispatch off the accounts.
 func (t *Ticket) settle(now time.Time, outcome Outcome, window *Window) {
 	sent := &t.dispatch
-	backend := sent.backend
+	b := sent.backend
 	if sent.kind == Read {
 		window.unbook(t)
-		backend.reading.Add(-1)
-		backend.readingTokens.Add(-int64(sent.unread))
-		arrive(&backend.readings, now, outcome.came())
+		b.reading.Add(-1)
+		b.readingTokens.Add(-int64(sent.unread))
+		arrive(&b.readings, now, outcome.came())
 	} else {
-		backend.running.Add(-1)
+		b.running.Add(-1)
 		if !sent.began {
-			arrive(&backend.begins, now, outcome.came())
+			arrive(&b.begins, now, outcome.came())
 		}
 	}
-	backend.account.memory.Add(-int64(sent.tokens))
-	backend.idle.give(now, outcome.Rests)
+	b.account.memory.Add(-int64(sent.tokens))
+	b.idle.give(now, outcome.Rests)
 	if sent.source == nil && !sent.began && outcome.Result != Complete && outcome.Result != Cut {
-		backend.kept.forget(t.call.Parts, sent.known)
+		b.kept.forget(t.call.Parts, sent.known)
 	}
 }
 
-func arrive(progress *progress, now time.Time, came bool) {
+func arrive(p *progress, now time.Time, came bool) {
 	if came {
-		progress.come(now)
+		p.come(now)
 	} else {
-		progress.leave()
+		p.leave()
 	}
 }
 
--- a/internal/scheduler/sweep_test.go
+++ b/internal/scheduler/sweep_test.go
@@ -19,13 +19,13 @@
 		owed += counter.owed
 		earned += counter.earned
 	}
-	prices := w.prices.move*(w.nearMoves+2*w.farMoves) + w.crossing*w.crossed + w.prices.again*float64(w.sharedAgain)/1000 +
+	p := w.prices.move*(w.nearMoves+2*w.farMoves) + w.crossing*w.crossed + w.prices.again*float64(w.sharedAgain)/1000 +
 		w.prices.connection*float64(w.opened)
-	class := 1.0
+	c := 1.0
 	for _, tally := range w.counter {
-		class = min(class, tally.earned/tally.owed)
+		c = min(c, tally.earned/tally.owed)
 	}
-	return 0.65*earned/owed + 0.22*w.worst() + 0.13*class - prices/owed
+	return 0.65*earned/owed + 0.22*w.worst() + 0.13*c - p/owed
 }
 
 // TestSweep compares costs; it runs when SWEEP is set.
@@ -42,7 +42,7 @@
 	}
 	run := func(name string, change func(*costs)) {
 		text, sum := fmt.Sprintf("%-28s", name), 0.0
-		for _, site := range sites {
+		for _, s := range sites {
 			for _, factor := range []float64{0.6, 1, 1.4} {
 				score, again, aim, chat, crossed, moved, orders := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
 				const seeds = 6
@@ -52,21 +52,21 @@
 					waiting.Add(1)
 					go func() {
 						defer waiting.Done()
-						worlds[seed] = site.world(seed+10, func(calls *Window) { change(&calls.costs) })
+						worlds[seed] = s.world(seed+10, func(calls *Window) { change(&calls.costs) })
 						worlds[seed].pool(NewPools())
 						worlds[seed].run(noon.Add(lead))
-						site.play(worlds[seed], factor, 30*time.Second)
+						s.play(worlds[seed], factor, 30*time.Second)
 					}()
 				}
 				waiting.Wait()
-				for _, world := range worlds {
-					score += world.score() / seeds
-					orders += float64(world.orders) / seeds
-					again += float64(world.sharedAgain) / 1000 / seeds
-					aim += float64(world.counter["long"].inAim) / float64(world.counter["long"].calls) / seeds
-					chat += float64(world.counter["chat"].inAim) / float64(world.counter["chat"].calls) / seeds
-					crossed += world.crossed * 1000 / seeds
-					moved += world.farMoves / (world.nearMoves + world.farMoves) / seeds
+				for _, w := range worlds {
+					score += w.score() / seeds
+					orders += float64(w.orders) / seeds
+					again += float64(w.sharedAgain) / 1000 / seeds
+					aim += float64(w.counter["long"].inAim) / float64(w.counter["long"].calls) / seeds
+					chat += float64(w.counter["chat"].inAim) / float64(w.counter["chat"].calls) / seeds
+					crossed += w.crossed * 1000 / seeds
+					moved += w.farMoves / (w.nearMoves + w.farMoves) / seeds
 				}
 				sum += score / float64(3*len(sites))
 				text += fmt.Sprintf(" | %.4f %.3f %.3f %4.0fk %2.0fMB %.2f %.1f", score, aim, chat, again, crossed, moved, orders)
@@ -98,21 +98,21 @@
 			waiting.Add(1)
 			go func() {
 				defer waiting.Done()
-				site := nine()
-				worlds[seed] = site.world(uint64(seed+50), nil)
+				s := nine()
+				worlds[seed] = s.world(uint64(seed+50), nil)
 				worlds[seed].pool(NewPools())
 				worlds[seed].run(noon.Add(lead))
 				days[name](worlds[seed])
-				site.play(worlds[seed], 1, 30*time.Second)
+				s.play(worlds[seed], 1, 30*time.Second)
 			}()
 		}
 		waiting.Wait()
 		score, again := 0.0, 0
 		text := ""
-		for _, class := range []string{"long", "chat"} {
+		for _, c := range []string{"long", "chat"} {
 			all := classCounter{}
-			for _, world := range worlds {
-				counter := world.counter[class]
+			for _, w := range worlds {
+				counter := w.counter[c]
 				all.calls += counter.calls
 				all.inAim += counter.inAim
 				all.late += counter.late
@@ -121,12 +121,12 @@
 				all.lost += counter.lost
 				all.broken += counter.broken
 			}
-			text += fmt.Sprintf(" | %s in aim %.3f late %d paused %d refused %d lost %d broken %d", class, float64(all.inAim)/float64(all.calls),
+			text += fmt.Sprintf(" | %s in aim %.3f late %d paused %d refused %d lost %d broken %d", c, float64(all.inAim)/float64(all.calls),
 				all.late, all.paused, all.refused, all.lost, all.broken)
 		}
-		for _, world := range worlds {
-			score += world.score() / seeds
-			again += world.sharedAgain / 1000 / seeds
+		for _, wo := range worlds {
+			score += wo.score() / seeds
+			again += wo.sharedAgain / 1000 / seeds
 		}
 		sum += score
 		fmt.Printf("%-14s %.4f again %dk%s\n", name, score, again, text)
--- a/internal/scheduler/threads_test.go
+++ b/internal/scheduler/threads_test.go
@@ -23,9 +23,9 @@
 					call = chatCall(call.ID)
 				}
 				ticket, decision := calls.Arrive(now, call)
-				for step := 0; ticket != nil && (decision.Kind == Read || decision.Kind == Run); step++ {
+				for s := 0; ticket != nil && (decision.Kind == Read || decision.Kind == Run); s++ {
 					outcome := Outcome{Result: Complete, Handle: "h", First: now, Load: &AnswerLoad{Running: 3, Slots: 64}}
-					if (number+step)%5 == 0 {
+					if (number+s)%5 == 0 {
 						outcome.Result = []Result{Unreached, NotStarted, Silent, Cut, Answered}[(number+thread)%5]
 						outcome.Status = 500
 					}
@@ -62,9 +62,9 @@
 	if left := calls.InFlight(); left != 0 {
 		t.Errorf("%d calls in flight", left)
 	}
-	for _, backend := range calls.board.Load().all {
-		if backend.reading.Load() != 0 || backend.running.Load() != 0 || backend.readings.pending.Load() != 0 || backend.begins.pending.Load() != 0 {
-			t.Errorf("%s keeps work on its account", backend.server.Name)
+	for _, b := range calls.board.Load().all {
+		if b.reading.Load() != 0 || b.running.Load() != 0 || b.readings.pending.Load() != 0 || b.begins.pending.Load() != 0 {
+			t.Errorf("%s keeps work on its account", b.server.Name)
 		}
 	}
 }
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -66,9 +66,9 @@
 // Route is the route that the call came on.
 func (t *Ticket) Route() *config.Route { return t.routeRule.route }
 
-func (t *Ticket) avoids(backend *backend) bool {
+func (t *Ticket) avoids(b *backend) bool {
 	for _, avoided := range t.avoided {
-		if avoided == backend || avoided.account == backend.account {
+		if avoided == b || avoided.account == b.account {
 			return true
 		}
 	}
--- a/internal/scheduler/troubles_test.go
+++ b/internal/scheduler/troubles_test.go
@@ -7,16 +7,16 @@
 
 // troubles are days on which something happens to the servers.
 func troubles() map[string]func(*world) {
-	some := func(world *world, ofNine int, act func(*worldServer)) {
-		for position := range ofNine * len(world.list) / 9 {
-			act(world.servers[world.list[(position*4+1)%len(world.list)].Name])
+	some := func(wrl *world, ofNine int, act func(*worldServer)) {
+		for position := range ofNine * len(wrl.list) / 9 {
+			act(wrl.servers[wrl.list[(position*4+1)%len(wrl.list)].Name])
 		}
 	}
 	return map[string]func(*world){
 		"calm": func(*world) {},
-		"crash": func(world *world) {
-			world.after(10_000, func() {
-				some(world, 2, func(server *worldServer) { world.crash(server.listed.Name, false, 4500*time.Millisecond) })
+		"crash": func(aWorld *world) {
+			aWorld.after(10_000, func() {
+				some(aWorld, 2, func(server *worldServer) { aWorld.crash(server.listed.Name, false, 4500*time.Millisecond) })
 			})
 		},
 		"dark": func(world *world) {
@@ -28,24 +28,24 @@
 			world.after(10_000, func() { some(world, 3, func(server *worldServer) { server.refuses = true }) })
 			world.after(14_000, func() { some(world, 3, func(server *worldServer) { server.refuses = false }) })
 		},
-		"slow links": func(world *world) {
-			world.after(10_000, func() { some(world, 3, func(server *worldServer) { server.slowLink = 40 }) })
-			world.after(15_500, func() { some(world, 3, func(server *worldServer) { server.slowLink = 0 }) })
+		"slow links": func(w *world) {
+			w.after(10_000, func() { some(w, 3, func(server *worldServer) { server.slowLink = 40 }) })
+			w.after(15_500, func() { some(w, 3, func(server *worldServer) { server.slowLink = 0 }) })
 		},
-		"slow servers": func(world *world) {
-			world.after(10_000, func() { some(world, 2, func(server *worldServer) { server.slow = 5 }) })
-			world.after(16_000, func() { some(world, 2, func(server *worldServer) { server.slow = 0 }) })
+		"slow servers": func(wo *world) {
+			wo.after(10_000, func() { some(wo, 2, func(server *worldServer) { server.slow = 5 }) })
+			wo.after(16_000, func() { some(wo, 2, func(server *worldServer) { server.slow = 0 }) })
 		},
-		"release": func(world *world) {
-			world.after(5_000, func() {
-				world.release([]string{world.list[0].Name, world.list[4].Name, world.list[5].Name, world.list[8].Name}, time.Second)
+		"release": func(wr *world) {
+			wr.after(5_000, func() {
+				wr.release([]string{wr.list[0].Name, wr.list[4].Name, wr.list[5].Name, wr.list[8].Name}, time.Second)
 			})
 		},
-		"chats": func(world *world) {
-			world.after(10_000, func() {
+		"chats": func(wor *world) {
+			wor.after(10_000, func() {
 				chat := chatClass()
 				chat.perSecond *= 0.9
-				world.traffic(chat, noon.Add(20*time.Second))
+				wor.traffic(chat, noon.Add(20*time.Second))
 			})
 		},
 	}
@@ -57,20 +57,20 @@
 	floors := map[string]float64{"calm": 0.9, "crash": 0.85, "dark": 0.8, "short handles": 0.85, "slow links": 0.78, "slow servers": 0.85, "release": 0.85, "chats": 0.85}
 	for name, trouble := range troubles() {
 		t.Run(name, func(t *testing.T) {
-			world := newWorld(5, 9, 9, nil)
-			world.pool(NewPools())
-			trouble(world)
-			day(world, 1, 30*time.Second)
-			t.Logf("%d orders\n%s", world.orders, world)
+			w := newWorld(5, 9, 9, nil)
+			w.pool(NewPools())
+			trouble(w)
+			day(w, 1, 30*time.Second)
+			t.Logf("%d orders\n%s", w.orders, w)
 			owed, earned := 0.0, 0.0
-			for _, counter := range world.counter {
+			for _, counter := range w.counter {
 				owed += counter.owed
 				earned += counter.earned
 			}
 			if earned/owed < floors[name] {
 				t.Errorf("%.3f of the worth", earned/owed)
 			}
-			for number, calls := range world.windows {
+			for number, calls := range w.windows {
 				if calls.InFlight() != 0 {
 					t.Errorf("courier %d has %d calls in flight at the end", number, calls.InFlight())
 				}
--- a/internal/scheduler/trust.go
+++ b/internal/scheduler/trust.go
@@ -22,8 +22,8 @@
 )
 
 func (t *trust) fail(now time.Time) {
-	failures := t.failures.Add(1)
-	shun := min(firstShun<<min(failures-1, 10), longestShun)
+	f := t.failures.Add(1)
+	shun := min(firstShun<<min(f-1, 10), longestShun)
 	t.until.Store(now.Add(shun).UnixNano())
 }
 
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -102,23 +102,23 @@
 
 // SetLoads takes what the servers reported of themselves.
 func (w *Window) SetLoads(now time.Time, loads []Load) {
-	board := w.board.Load()
+	b := w.board.Load()
 	var services []string
 	for _, load := range loads {
-		backend, found := board.byName[load.Server]
+		ba, found := b.byName[load.Server]
 		if !found {
 			continue
 		}
-		backend.hear(now, load)
+		ba.hear(now, load)
 		if at := now.Add(-load.Age).UnixNano(); at > w.reported.Load() {
 			w.reported.Store(at)
 		}
-		if service := backend.server.Service; service != "" && !slices.Contains(services, service) {
+		if service := ba.server.Service; service != "" && !slices.Contains(services, service) {
 			services = append(services, service)
 		}
 	}
 	for _, service := range services {
-		busy, running := board.pressed(now, service)
+		busy, running := b.pressed(now, service)
 		w.serviceState(service).pressure.reported(now, busy, running)
 	}
 }
@@ -126,14 +126,14 @@
 // SetOrders takes the parts that servers were ordered to take: one that is to take
 // another begins nothing until that is done, and no call is sent to it.
 func (w *Window) SetOrders(now time.Time, parts map[string]string) {
-	board := w.board.Load()
-	for _, backend := range board.all {
-		part, found := parts[backend.server.Name]
-		if known := backend.due.Load(); !found || known != nil && *known == part {
+	b := w.board.Load()
+	for _, ba := range b.all {
+		part, found := parts[ba.server.Name]
+		if known := ba.due.Load(); !found || known != nil && *known == part {
 			continue
 		}
-		backend.dueUntil.Store(now.Add(orderShows).UnixNano())
-		backend.due.Store(&part)
+		ba.dueUntil.Store(now.Add(orderShows).UnixNano())
+		ba.due.Store(&part)
 	}
 }
 
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -107,26 +107,26 @@
 
 // ninety is a deployment whose engines read slowly and whose long prompts may run once.
 func ninety() site {
-	site := site{name: "ninety", routers: 90, list: zoned(90, 12), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1800, prices: prices{0.05, 0.16, 0.06}}
-	site.engine = engineSheet{step: 6.12, perRunning: 0.0234, perThousand: 0.0131, readPace: 32.4, pairs: 1.18, first: 64, setup: 3.3,
+	s := site{name: "ninety", routers: 90, list: zoned(90, 12), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1800, prices: prices{0.05, 0.16, 0.06}}
+	s.engine = engineSheet{step: 6.12, perRunning: 0.0234, perThousand: 0.0131, readPace: 32.4, pairs: 1.18, first: 64, setup: 3.3,
 		chunk: 2048, memory: 198_631, stride: 8, slots: 48, bytesAToken: 131_072, linkBitsAMilli: 630e6,
 		reportLag: 100 * time.Millisecond, inZone: 0.2, betweenZones: 0.9}
-	site.long.perSecond, site.long.chains[1].things, site.long.chains[1].skew, site.long.ownMost = 130, 735, 0.3, 18_300
-	site.long.chunks, site.long.spread, site.long.mostChunks, site.long.bytes = 6.51, 1.4, 26, 9200
-	site.long.worth, site.long.late, site.long.aim, site.long.deadline, site.long.gap = 2, 0.6, 800*time.Millisecond, 4*time.Second, 200*time.Millisecond
-	site.chat.perSecond, site.chat.chains[1].things, site.chat.chains[1].skew, site.chat.bytes = 163, 922, 0.3, 830
-	site.chat.chunks, site.chat.mostChunks = 36.4, 119
-	site.chat.worth, site.chat.late, site.chat.aim, site.chat.deadline, site.chat.gap = 3, 0.9, 400*time.Millisecond, 12*time.Second, 200*time.Millisecond
-	site.configure = func(configuration *config.Configuration) {
+	s.long.perSecond, s.long.chains[1].things, s.long.chains[1].skew, s.long.ownMost = 130, 735, 0.3, 18_300
+	s.long.chunks, s.long.spread, s.long.mostChunks, s.long.bytes = 6.51, 1.4, 26, 9200
+	s.long.worth, s.long.late, s.long.aim, s.long.deadline, s.long.gap = 2, 0.6, 800*time.Millisecond, 4*time.Second, 200*time.Millisecond
+	s.chat.perSecond, s.chat.chains[1].things, s.chat.chains[1].skew, s.chat.bytes = 163, 922, 0.3, 830
+	s.chat.chunks, s.chat.mostChunks = 36.4, 119
+	s.chat.worth, s.chat.late, s.chat.aim, s.chat.deadline, s.chat.gap = 3, 0.9, 400*time.Millisecond, 12*time.Second, 200*time.Millisecond
+	s.configure = func(configuration *config.Configuration) {
 		service := configuration.Services["desk"]
 		service.Warming = config.Warming{}
 		service.Engine.Slots, service.Engine.MemoryTokens, service.Engine.TokenBytes, service.Engine.LinkBits, service.Engine.TokensAChunk = 48, 198_631, 131_072, 630e9, 8
 		configuration.Services["desk"] = service
 		long, chat := configuration.Routes[0].Calls, configuration.Routes[1].Calls
-		long.Limit, long.Aim, long.Gap, long.Rank, long.Tries, long.Resumable = site.long.deadline, site.long.aim, site.long.gap, 1, 1, false
-		chat.Limit, chat.Aim, chat.Gap, chat.Rank, chat.Tries, chat.Resumable = site.chat.deadline, site.chat.aim, site.chat.gap, 0, 2, true
+		long.Limit, long.Aim, long.Gap, long.Rank, long.Tries, long.Resumable = s.long.deadline, s.long.aim, s.long.gap, 1, 1, false
+		chat.Limit, chat.Aim, chat.Gap, chat.Rank, chat.Tries, chat.Resumable = s.chat.deadline, s.chat.aim, s.chat.gap, 0, 2, true
 	}
-	return site
+	return s
 }
 
 func nine() site {
@@ -134,45 +134,45 @@
 }
 
 func twelve() site {
-	site := site{name: "twelve", routers: 10, list: zoned(12, 2), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 6900, prices: prices{0.36, 0.15, 0.012}}
-	site.engine.step, site.engine.perRunning, site.engine.readPace, site.engine.first, site.engine.setup = 3.79, 0.0893, 56.6, 16, 5
-	site.engine.stride, site.engine.memory, site.engine.linkBitsAMilli, site.engine.reportLag = 9, 319_972, 370e6, 200*time.Millisecond
-	site.long.perSecond, site.long.chains[1].things, site.long.late = 30.4, 172, 1.5
-	site.long.chunks, site.long.mostChunks = 5.78, 23.1
-	site.chat.perSecond, site.chat.chains[0].things, site.chat.chains[1].things, site.chat.late = 37.8, 20, 142, 1
-	site.chat.chunks, site.chat.mostChunks = 32.4, 106
-	return site
+	s := site{name: "twelve", routers: 10, list: zoned(12, 2), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 6900, prices: prices{0.36, 0.15, 0.012}}
+	s.engine.step, s.engine.perRunning, s.engine.readPace, s.engine.first, s.engine.setup = 3.79, 0.0893, 56.6, 16, 5
+	s.engine.stride, s.engine.memory, s.engine.linkBitsAMilli, s.engine.reportLag = 9, 319_972, 370e6, 200*time.Millisecond
+	s.long.perSecond, s.long.chains[1].things, s.long.late = 30.4, 172, 1.5
+	s.long.chunks, s.long.mostChunks = 5.78, 23.1
+	s.chat.perSecond, s.chat.chains[0].things, s.chat.chains[1].things, s.chat.late = 37.8, 20, 142, 1
+	s.chat.chunks, s.chat.mostChunks = 32.4, 106
+	return s
 }
 
 func sixty() site {
-	site := site{name: "sixty", routers: 85, list: zoned(60, 8), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 2200, prices: prices{0.36, 0.15, 0.012}}
-	site.engine.memory, site.engine.stride = 276_487, 14
-	site.long.perSecond, site.long.chains[1].things, site.long.bytes, site.long.aim = 136, 512, 9200, 500*time.Millisecond
-	site.long.chunks, site.long.mostChunks, site.long.gap = 3.72, 14.9, 300*time.Millisecond
-	site.chat.perSecond, site.chat.chains[0].things, site.chat.chains[1].things, site.chat.bytes = 171, 80, 968, 830
-	site.chat.chunks, site.chat.mostChunks, site.chat.aim, site.chat.gap = 20.8, 68.1, 600*time.Millisecond, 300*time.Millisecond
-	return site
+	s := site{name: "sixty", routers: 85, list: zoned(60, 8), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 2200, prices: prices{0.36, 0.15, 0.012}}
+	s.engine.memory, s.engine.stride = 276_487, 14
+	s.long.perSecond, s.long.chains[1].things, s.long.bytes, s.long.aim = 136, 512, 9200, 500*time.Millisecond
+	s.long.chunks, s.long.mostChunks, s.long.gap = 3.72, 14.9, 300*time.Millisecond
+	s.chat.perSecond, s.chat.chains[0].things, s.chat.chains[1].things, s.chat.bytes = 171, 80, 968, 830
+	s.chat.chunks, s.chat.mostChunks, s.chat.aim, s.chat.gap = 20.8, 68.1, 600*time.Millisecond, 300*time.Millisecond
+	return s
 }
 
 // world is a site in virtual time, with so much of its traffic for so long.
 func (s site) world(seed uint64, shape func(*Window)) *world {
-	world := dividedWorld(seed, s.routers, append([]membership.Server(nil), s.list...), s.configure, shape)
-	world.engine, world.crossing, world.prices = s.engine, s.crossing, s.prices
-	return world
+	w := dividedWorld(seed, s.routers, append([]membership.Server(nil), s.list...), s.configure, shape)
+	w.engine, w.crossing, w.prices = s.engine, s.crossing, s.prices
+	return w
 }
 
 // lead is how long the machines are up before traffic starts.
 const lead = 8 * time.Second
 
 // play gives the world so much of the site's usual traffic for so long from now on.
-func (s site) play(world *world, factor float64, length time.Duration) {
+func (s site) play(w *world, factor float64, length time.Duration) {
 	long, chat := s.long, s.chat
 	long.perSecond *= factor
 	chat.perSecond *= factor
-	until := world.now.Add(length)
-	world.traffic(long, until)
-	world.traffic(chat, until)
-	world.run(until.Add(10 * time.Second))
+	until := w.now.Add(length)
+	w.traffic(long, until)
+	w.traffic(chat, until)
+	w.run(until.Add(10 * time.Second))
 }
 
 type moment struct {
@@ -285,9 +285,9 @@
 	for position := len(parts) - 1; position >= 0; position-- {
 		part := parts[position]
 		if entry, found := w.cache[part.ID]; found {
-			kept := entry.Value.(*cached)
-			w.cachedIn += max(0, part.Tokens-kept.tokens)
-			kept.tokens = max(kept.tokens, part.Tokens)
+			k := entry.Value.(*cached)
+			w.cachedIn += max(0, part.Tokens-k.tokens)
+			k.tokens = max(k.tokens, part.Tokens)
 			w.order.MoveToFront(entry)
 			continue
 		}
@@ -302,13 +302,13 @@
 }
 
 // take has the server take a job; false tells that it turns it away.
-func (w *worldServer) take(job *job) bool {
+func (w *worldServer) take(j *job) bool {
 	engine := w.world.engine
-	if len(w.waiting) >= 192 || job.tokens > engine.memory {
+	if len(w.waiting) >= 192 || j.tokens > engine.memory {
 		return false
 	}
-	job.incarnation = w.incarnation
-	w.waiting = append(w.waiting, job)
+	j.incarnation = w.incarnation
+	w.waiting = append(w.waiting, j)
 	w.wake()
 	return true
 }
@@ -326,26 +326,26 @@
 	duration := engine.step
 	makers, context := 0, 0
 	var reading *job
-	for _, job := range w.running {
-		if job.unread > 0 {
+	for _, j := range w.running {
+		if j.unread > 0 {
 			if reading == nil {
-				reading = job
+				reading = j
 			}
 			continue
 		}
 		makers++
-		context += job.tokens
+		context += j.tokens
 	}
 	duration += engine.perRunning*float64(makers) + engine.perThousand*float64(context)/1000
 	chunk := 0
 	if reading != nil {
-		pace, piece := engine.readPace, engine.chunk
+		p, piece := engine.readPace, engine.chunk
 		if w.part == decode {
-			pace, piece = pace/2, piece/4
+			p, piece = p/2, piece/4
 		}
 		chunk = min(reading.unread, piece)
 		done := reading.call.PromptTokens - reading.unread
-		duration += float64(chunk)/pace + engine.pairs*float64(chunk)*(float64(done)+float64(chunk)/2)/1e6
+		duration += float64(chunk)/p + engine.pairs*float64(chunk)*(float64(done)+float64(chunk)/2)/1e6
 	}
 	duration *= max(w.slow, 1)
 	incarnation := w.incarnation
@@ -361,27 +361,27 @@
 
 func (w *worldServer) admit() {
 	for len(w.waiting) > 0 && len(w.running) < w.world.engine.slots {
-		job := w.waiting[0]
-		if w.pinned+job.tokens > w.world.engine.memory {
+		j := w.waiting[0]
+		if w.pinned+j.tokens > w.world.engine.memory {
 			return
 		}
 		w.waiting = w.waiting[1:]
-		if job.gone {
+		if j.gone {
 			continue
 		}
-		if !job.moved {
-			keeps := w.kept(job.call.Parts, true)
-			job.unread = max(job.call.PromptTokens-keeps, 1)
+		if !j.moved {
+			keeps := w.kept(j.call.Parts, true)
+			j.unread = max(j.call.PromptTokens-keeps, 1)
 			again := w.world.sharedAgain
-			w.world.countRead(job.call, keeps)
-			way := w.world.wayOf(job.way)
+			w.world.countRead(j.call, keeps)
+			way := w.world.wayOf(j.way)
 			way.count++
 			way.again += w.world.sharedAgain - again
-			way.unread += job.unread
-			way.believed += job.believed
+			way.unread += j.unread
+			way.believed += j.believed
 		}
-		w.pinned += job.tokens
-		w.running = append(w.running, job)
+		w.pinned += j.tokens
+		w.running = append(w.running, j)
 	}
 }
 
@@ -405,38 +405,38 @@
 func (w *worldServer) stepped(reading *job, chunk int) {
 	now := w.world.now
 	var stay []*job
-	for _, job := range w.running {
+	for _, j := range w.running {
 		switch {
-		case job.gone:
-			w.pinned -= job.tokens
+		case j.gone:
+			w.pinned -= j.tokens
 			continue
-		case job == reading:
-			job.unread -= chunk
-			if job.unread == 0 {
-				w.keep(job.call.Parts)
+		case j == reading:
+			j.unread -= chunk
+			if j.unread == 0 {
+				w.keep(j.call.Parts)
 			}
-			if job.unread == 0 && job.reads {
-				w.world.after(0, func() { job.ended(Complete) })
+			if j.unread == 0 && j.reads {
+				w.world.after(0, func() { j.ended(Complete) })
 				continue
 			}
-		case job.unread == 0:
-			job.made++
-			if job.made%w.world.engine.stride == 0 || job.made >= job.left {
-				if !job.started {
-					job.started = true
-					job.first()
+		case j.unread == 0:
+			j.made++
+			if j.made%w.world.engine.stride == 0 || j.made >= j.left {
+				if !j.started {
+					j.started = true
+					j.first()
 				} else {
-					job.longest = max(job.longest, now.Sub(job.last))
+					j.longest = max(j.longest, now.Sub(j.last))
 				}
-				job.last = now
+				j.last = now
 			}
-			if job.made >= job.left {
-				w.pinned -= job.tokens
-				job.ended(Complete)
+			if j.made >= j.left {
+				w.pinned -= j.tokens
+				j.ended(Complete)
 				continue
 			}
 		}
-		stay = append(stay, job)
+		stay = append(stay, j)
 	}
 	w.running = stay
 }
@@ -457,12 +457,12 @@
 		return
 	}
 	w.down = true
-	for _, job := range jobs {
+	for _, j := range jobs {
 		switch {
-		case job.started:
-			job.ended(Cut)
+		case j.started:
+			j.ended(Cut)
 		default:
-			job.ended(Silent)
+			j.ended(Silent)
 		}
 	}
 }
@@ -483,12 +483,12 @@
 	served, broken int
 }
 
-func (c *classCounter) at(share float64) float64 {
+func (c *classCounter) at(s float64) float64 {
 	if len(c.first) == 0 {
 		return 0
 	}
 	sort.Float64s(c.first)
-	return c.first[min(len(c.first)-1, int(share*float64(len(c.first))))]
+	return c.first[min(len(c.first)-1, int(s*float64(len(c.first))))]
 }
 
 // class is a sort of call in the world.
@@ -547,12 +547,12 @@
 }
 
 func dividedWorld(seed uint64, routers int, list []membership.Server, configure func(*config.Configuration), shape func(*Window)) *world {
-	world := &world{now: noon, random: rand.New(rand.NewPCG(seed, 7)), engine: sheet(), servers: map[string]*worldServer{},
+	w := &world{now: noon, random: rand.New(rand.NewPCG(seed, 7)), engine: sheet(), servers: map[string]*worldServer{},
 		counter: map[string]*classCounter{}, seen: map[uint64]bool{}, ways: map[string]*wayCounter{}, idle: map[connectionEnds]*connections{}, ordered: map[string]string{}, update: 400 * time.Millisecond}
-	world.list = list
-	for _, listed := range world.list {
-		world.servers[listed.Name] = &worldServer{world: world, listed: listed, part: listed.Part}
-		world.servers[listed.Name].empty()
+	w.list = list
+	for _, listed := range w.list {
+		w.servers[listed.Name] = &worldServer{world: w, listed: listed, part: listed.Part}
+		w.servers[listed.Name].empty()
 	}
 	zones := []string{"north", "south", "west"}
 	for number := range routers {
@@ -560,18 +560,18 @@
 			FurtherTries: Allowance{Ratio: 0.2, Slack: 58, Span: 10 * time.Second}})
 		calls.SetRouters(routers)
 		calls.SetProgram(Compile(plan(configure), 1, 1))
-		calls.SetServers(noon, world.list)
+		calls.SetServers(noon, w.list)
 		if shape != nil {
 			shape(calls)
 		}
-		world.windows = append(world.windows, calls)
-		world.places = append(world.places, zones[number%3])
+		w.windows = append(w.windows, calls)
+		w.places = append(w.places, zones[number%3])
 		number := number
-		world.after(world.random.Float64()*milliseconds(world.update), func() { world.renew(number) })
+		w.after(w.random.Float64()*milliseconds(w.update), func() { w.renew(number) })
 	}
-	world.tells = true
-	world.after(0, world.sample)
-	return world
+	w.tells = true
+	w.after(0, w.sample)
+	return w
 }
 
 // crash has a server fail, or go dark; it is listed for two seconds more, and a new one
@@ -716,44 +716,44 @@
 }
 
 // traffic has origins ask from now until a time.
-func (w *world) traffic(class class, until time.Time) {
-	w.after(w.random.ExpFloat64()*1000/class.perSecond, func() {
+func (w *world) traffic(c class, until time.Time) {
+	w.after(w.random.ExpFloat64()*1000/c.perSecond, func() {
 		if w.now.After(until) {
 			return
 		}
-		w.ask(class)
-		w.traffic(class, until)
+		w.ask(c)
+		w.traffic(c, until)
 	})
 }
 
-func (w *world) ask(class class) {
+func (w *world) ask(c class) {
 	w.calls++
-	id := fmt.Sprintf("%s-%d", class.name, w.calls)
-	call := &Call{ID: id, Host: class.host, Path: class.path + "x", Model: "m", Ends: w.now.Add(class.deadline)}
+	id := fmt.Sprintf("%s-%d", c.name, w.calls)
+	call := &Call{ID: id, Host: c.host, Path: c.path + "x", Model: "m", Ends: w.now.Add(c.deadline)}
 	parent := uint64(0)
-	for depth, link := range class.chains {
+	for depth, link := range c.chains {
 		thing := link.draw(w.random)
 		if depth > 0 {
 			// A deeper thing lies under one of those above.
-			parent = thing % uint64(class.chains[depth-1].things)
-			call.Parts[0] = w.thing(class, 0, parent)
+			parent = thing % uint64(c.chains[depth-1].things)
+			call.Parts[0] = w.thing(c, 0, parent)
 		}
-		call.Parts = append(call.Parts, w.thing(class, depth, thing))
+		call.Parts = append(call.Parts, w.thing(c, depth, thing))
 	}
-	own := max(16, int(drawn(w.random, class.own, class.ownSpread, class.ownMost)))
+	own := max(16, int(drawn(w.random, c.own, c.ownSpread, c.ownMost)))
 	call.Parts = append(call.Parts, Part{ID: nameKey(id), Tokens: own})
 	for _, part := range call.Parts {
 		call.PromptTokens += part.Tokens
 	}
-	call.OutputTokens = max(1, int(drawn(w.random, class.chunks, class.spread, class.mostChunks)*float64(w.engine.stride)))
-	call.Bytes = class.bytes * call.PromptTokens / int(class.own+class.chains[0].mean+class.chains[1].mean)
-	counter := w.counterOf(class.name)
+	call.OutputTokens = max(1, int(drawn(w.random, c.chunks, c.spread, c.mostChunks)*float64(w.engine.stride)))
+	call.Bytes = c.bytes * call.PromptTokens / int(c.own+c.chains[0].mean+c.chains[1].mean)
+	counter := w.counterOf(c.name)
 	counter.calls++
-	counter.owed += class.worth
-	w.owedAt[w.second(w.now)] += class.worth
+	counter.owed += c.worth
+	w.owedAt[w.second(w.now)] += c.worth
 	number := w.random.IntN(len(w.windows))
 	ticket, decision := w.windows[number].Arrive(w.now, call)
-	w.follow(&asked{class: class, call: call, at: w.now, router: number, ticket: ticket}, decision)
+	w.follow(&asked{class: c, call: call, at: w.now, router: number, ticket: ticket}, decision)
 }
 
 func (w *world) second(at time.Time) int {
@@ -779,9 +779,9 @@
 }
 
 // thing is one shared part of a class's prompts, the same each time.
-func (w *world) thing(class class, depth int, thing uint64) Part {
-	link := class.chains[depth]
-	id := weigh(nameKey(class.name)+uint64(depth), thing)
+func (w *world) thing(c class, depth int, thing uint64) Part {
+	link := c.chains[depth]
+	id := weigh(nameKey(c.name)+uint64(depth), thing)
 	random := rand.New(rand.NewPCG(id, 3))
 	return Part{ID: id, Tokens: max(16, int(drawn(random, link.mean, link.spread, link.most)))}
 }
@@ -814,17 +814,17 @@
 	return w.engine.betweenZones
 }
 
-func (w *world) follow(asked *asked, decision Decision) {
-	w.tell(asked.router)
-	counter := w.counterOf(asked.class.name)
+func (w *world) follow(a *asked, decision Decision) {
+	w.tell(a.router)
+	counter := w.counterOf(a.class.name)
 	for _, source := range decision.Free {
 		w.free(source)
 	}
 	switch decision.Kind {
 	case Ask:
-		w.consult(asked, decision)
+		w.consult(a, decision)
 	case Read, Run:
-		w.dispatch(asked, decision)
+		w.dispatch(a, decision)
 	case Refuse:
 		if decision.Cause.NeverRan() {
 			counter.refused++
@@ -832,27 +832,27 @@
 			counter.lost++
 		}
 		if w.onLost != nil {
-			w.onLost(asked, decision)
+			w.onLost(a, decision)
 		}
 	case Done:
 		counter.served++
-		took := asked.first.Sub(asked.at) + 2*time.Millisecond
+		took := a.first.Sub(a.at) + 2*time.Millisecond
 		counter.first = append(counter.first, milliseconds(took))
 		switch {
-		case took <= asked.class.aim && asked.longest <= asked.class.gap:
+		case took <= a.class.aim && a.longest <= a.class.gap:
 			counter.inAim++
-			counter.earned += asked.class.worth
-			w.earnedAt[w.second(asked.at)] += asked.class.worth
+			counter.earned += a.class.worth
+			w.earnedAt[w.second(a.at)] += a.class.worth
 		default:
-			if asked.longest > asked.class.gap {
+			if a.longest > a.class.gap {
 				counter.paused++
 			}
 			counter.late++
 			if w.onLate != nil {
-				w.onLate(asked, took)
+				w.onLate(a, took)
 			}
-			counter.earned += asked.class.late
-			w.earnedAt[w.second(asked.at)] += asked.class.late
+			counter.earned += a.class.late
+			w.earnedAt[w.second(a.at)] += a.class.late
 		}
 	default:
 		counter.broken++
@@ -860,8 +860,8 @@
 }
 
 // consult brings a call's questions to the keepers of counts and back.
-func (w *world) consult(asked *asked, decision Decision) {
-	router := strconv.Itoa(asked.router)
+func (w *world) consult(a *asked, decision Decision) {
+	router := strconv.Itoa(a.router)
 	answers := map[string]backlog.Answer{}
 	w.after(askTakes/2, func() {
 		for _, question := range decision.Questions {
@@ -871,7 +871,7 @@
 		}
 	})
 	w.after(askTakes, func() {
-		w.follow(asked, w.windows[asked.router].Told(w.now, asked.ticket, answers))
+		w.follow(a, w.windows[a.router].Told(w.now, a.ticket, answers))
 	})
 }
 
@@ -915,12 +915,12 @@
 	}
 }
 
-func (w *world) dispatch(asked *asked, decision Decision) {
+func (w *world) dispatch(a *asked, decision Decision) {
 	server := w.servers[decision.Server.Name]
-	way := w.way(asked.router, server)
-	asked.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(asked.at).Milliseconds(), asked.ticket.dispatch.unread, asked.ticket.dispatch.expected)
+	way := w.way(a.router, server)
+	a.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(a.at).Milliseconds(), a.ticket.dispatch.unread, a.ticket.dispatch.expected)
 	w.dispatches++
-	ends := connectionEnds{asked.router, decision.Server.Name}
+	ends := connectionEnds{a.router, decision.Server.Name}
 	idle, known := w.idle[ends]
 	if !known {
 		idle = &connections{}
@@ -931,7 +931,7 @@
 	}
 	idle.take(w.now)
 	if way != w.engine.inZone {
-		w.crossed += float64(asked.call.Bytes) / 1e9
+		w.crossed += float64(a.call.Bytes) / 1e9
 	}
 	done := false
 	var job_ *job
@@ -946,9 +946,9 @@
 		}
 		if job_ != nil {
 			job_.gone = true
-			asked.longest = max(asked.longest, job_.longest)
+			a.longest = max(a.longest, job_.longest)
 		}
-		w.follow(asked, w.windows[asked.router].Ended(w.now, asked.ticket, outcome))
+		w.follow(a, w.windows[a.router].Ended(w.now, a.ticket, outcome))
 	}
 	if decision.Patience > 0 {
 		w.after(milliseconds(decision.Patience), func() {
@@ -959,7 +959,7 @@
 	}
 	w.after(milliseconds(decision.Ends.Sub(w.now)), func() {
 		if job_ != nil && job_.started {
-			end(Outcome{Result: Cut, First: asked.first})
+			end(Outcome{Result: Cut, First: a.first})
 		} else {
 			end(Outcome{Result: Silent})
 		}
@@ -986,30 +986,30 @@
 			turn(Misdirected)
 			return
 		}
-		job := &job{call: asked.call, reads: decision.Kind == Read, left: asked.call.OutputTokens, tokens: asked.call.PromptTokens}
-		job_ = job
-		job.way = asked.class.name + " " + string(decision.Kind)
-		if job.reads {
-			job.way += w.rank(asked.call, server)
+		j := &job{call: a.call, reads: decision.Kind == Read, left: a.call.OutputTokens, tokens: a.call.PromptTokens}
+		job_ = j
+		j.way = a.class.name + " " + string(decision.Kind)
+		if j.reads {
+			j.way += w.rank(a.call, server)
 		}
-		job.believed = asked.ticket.dispatch.unread
-		if !job.reads {
-			job.tokens += asked.call.OutputTokens
+		j.believed = a.ticket.dispatch.unread
+		if !j.reads {
+			j.tokens += a.call.OutputTokens
 		}
-		job.first = func() {
-			if !asked.first.IsZero() {
+		j.first = func() {
+			if !a.first.IsZero() {
 				return
 			}
-			asked.first = w.now.Add(span(way))
+			a.first = w.now.Add(span(way))
 			if w.tells {
-				w.after(way, func() { w.windows[asked.router].Began(w.now, asked.ticket) })
+				w.after(way, func() { w.windows[a.router].Began(w.now, a.ticket) })
 			}
 		}
-		job.ended = func(result Result) {
-			outcome := Outcome{Result: result, First: asked.first}
-			if job.reads && result == Complete {
+		j.ended = func(result Result) {
+			outcome := Outcome{Result: result, First: a.first}
+			if j.reads && result == Complete {
 				handle := fmt.Sprintf("h%d", w.sequence)
-				server.handles[handle] = job.tokens
+				server.handles[handle] = j.tokens
 				outcome = Outcome{Result: Complete, Handle: handle}
 				w.after(5000, func() {
 					if _, held := server.handles[handle]; held {
@@ -1024,23 +1024,23 @@
 			}
 			w.after(way, func() { end(outcome) })
 		}
-		begin := func() {
+		b := func() {
 			if server.down || server.dark || done {
 				return
 			}
-			if !server.take(job) {
+			if !server.take(j) {
 				turn(NotStarted)
 			}
 		}
 		if decision.Source == nil {
-			w.after(w.engine.first, begin)
+			w.after(w.engine.first, b)
 			return
 		}
-		w.move(server, asked.call, *decision.Source, job, begin, turn)
+		w.move(server, a.call, *decision.Source, j, b, turn)
 	})
 }
 
-func (w *world) move(server *worldServer, call *Call, source Source, job *job, begin func(), turn func(Result)) {
+func (w *world) move(server *worldServer, call *Call, source Source, j *job, b func(), turn func(Result)) {
 	var reader *worldServer
 	for _, other := range w.servers {
 		if other.listed.Address == source.Address {
@@ -1073,9 +1073,9 @@
 	server.linkFree = start.Add(span(took))
 	w.after(milliseconds(server.linkFree.Sub(w.now)), func() {
 		reader.pinned -= held
-		job.moved, job.unread = true, 0
+		j.moved, j.unread = true, 0
 		server.keep(call.Parts)
-		begin()
+		b()
 	})
 }
 
--- a/internal/testbed/fleet/callers.go
+++ b/internal/testbed/fleet/callers.go
@@ -71,11 +71,11 @@
 		}
 		question, entry := c.question(kind, node)
 		entry.Zone = zone
-		habit := habit{leaves: -1, obeys: c.random.IntN(2) == 0, persists: c.random.IntN(3) == 0, elsewhere: c.random.IntN(1 << 20)}
+		h := habit{leaves: -1, obeys: c.random.IntN(2) == 0, persists: c.random.IntN(3) == 0, elsewhere: c.random.IntN(1 << 20)}
 		if c.random.IntN(40) == 0 {
-			habit.leaves = c.random.IntN(question.Chunks)
+			h.leaves = c.random.IntN(question.Chunks)
 		}
-		c.waiting.Go(func() { c.converse(lifetime, node, question, entry, habit) })
+		c.waiting.Go(func() { c.converse(lifetime, node, question, entry, h) })
 	}
 }
 
@@ -93,26 +93,26 @@
 // converse sends an inquiry and, as callers do, sends the same id again: after a
 // refusal, after a broken circuit at another courier, and now and then after any
 // word.
-func (c *Callers) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, habit habit) {
+func (c *Callers) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, h habit) {
 	for arrival := range 3 {
 		entry.Arrival, entry.Router = arrival, node.Node.Name
-		reply, retry := c.send(context.Background(), node.Node.Address, question, entry, habit.leaves)
+		reply, retry := c.send(context.Background(), node.Node.Address, question, entry, h.leaves)
 		pause := 100 * time.Millisecond
 		switch {
-		case reply.Cause == CallerLeft, reply.Final == "complete" && !habit.persists:
+		case reply.Cause == CallerLeft, reply.Final == "complete" && !h.persists:
 			return
-		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && habit.obeys:
+		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && h.obeys:
 			pause = retry
-		case reply.Final != "" && !habit.persists:
+		case reply.Final != "" && !h.persists:
 			return
 		}
 		if !pauseFor(lifetime, pause) {
 			return
 		}
-		if node = c.pick(entry.Zone, habit.elsewhere+arrival); node == nil {
+		if node = c.pick(entry.Zone, h.elsewhere+arrival); node == nil {
 			return
 		}
-		habit.persists = false
+		h.persists = false
 	}
 }
 
--- a/internal/testbed/replay/balancer.go
+++ b/internal/testbed/replay/balancer.go
@@ -38,7 +38,7 @@
 func (b *Balancer) shut(machine string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.targets = slices.DeleteFunc(b.targets, func(target *target) bool { return target.machine == machine })
+	b.targets = slices.DeleteFunc(b.targets, func(t *target) bool { return t.machine == machine })
 }
 
 // run asks every machine each second.
@@ -66,12 +66,12 @@
 }
 
 func (b *Balancer) ask(address string) int {
-	answer, err := b.client.Get("http://" + address + pathReady)
+	a, err := b.client.Get("http://" + address + pathReady)
 	if err != nil {
 		return 0
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode
+	_ = a.Body.Close()
+	return a.StatusCode
 }
 
 func (b *Balancer) all() []*target {
@@ -85,8 +85,8 @@
 	b.askAll()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for _, target := range b.targets {
-		if target.missed > 0 {
+	for _, t := range b.targets {
+		if t.missed > 0 {
 			return false
 		}
 	}
--- a/internal/testbed/replay/balancer_test.go
+++ b/internal/testbed/replay/balancer_test.go
@@ -26,8 +26,8 @@
 	}
 	names := func() string {
 		var text []string
-		for _, target := range balancer.taking("east") {
-			text = append(text, target.machine)
+		for _, ta := range balancer.taking("east") {
+			text = append(text, ta.machine)
 		}
 		return strings.Join(text, " ")
 	}
--- a/internal/testbed/replay/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -11,7 +11,7 @@
 // A checker holds one rule, by the rule's name, against what the stand-ins saw.
 var checkers = []struct {
 	name  string
-	check func(record *record, finding *fleet.Finding)
+	check func(r *record, finding *fleet.Finding)
 }{
 	{"MIXED answers", checkMixed}, {"MIXED handles", checkHandles}, {"UNASKED", checkUnasked}, {"TWICE", checkTwice}, {"REFUSED", checkRefused}, {"DENIED", checkDenied}, {"ROUTE", checkRoute},
 	{"DRAIN servers", checkDrain}, {"DRAIN readiness", checkUnready}, {"LOST", checkLost}, {"CONFIG applied", checkApplied}, {"CONFIG later routes", checkLaterRoutes}, {"CONFIG back", checkBack},
@@ -22,13 +22,13 @@
 
 // checkMixed: a success bears its server's seal and that run's own events; nothing else
 // reaches a client.
-func checkMixed(record *record, finding *fleet.Finding) {
-	for _, event := range record.events {
+func checkMixed(r *record, finding *fleet.Finding) {
+	for _, event := range r.events {
 		if event.Kind == StrayBytes {
 			finding.Violate(event.Machine + " wrote on a circuit on which no request waited")
 		}
 	}
-	for _, seen := range record.order {
+	for _, seen := range r.order {
 		ended := seen.ended
 		if !seen.over || ended.Status == 0 && ended.Cause != causeNoAnswer {
 			continue
@@ -49,7 +49,7 @@
 		if ended.Status/100 == 2 {
 			// A run whose first event was cut with its server may have no start of its own
 			// in the answer's head; its seal is the server's all the same.
-			if ended.Seal == "" || !runs[ended.Seal] && !record.sealed(ended.Seal, seen) {
+			if ended.Seal == "" || !runs[ended.Seal] && !r.sealed(ended.Seal, seen) {
 				finding.Violate(fmt.Sprintf("%s got %d with the seal %q, which no server gave to it", name, ended.Status, ended.Seal))
 			}
 		} else if ended.Seal != "" && !slices.ContainsFunc(seen.ends, func(end Event) bool { return end.Seal == ended.Seal && end.Status == ended.Status }) {
@@ -70,8 +70,8 @@
 }
 
 // checkHandles: a request goes on only from its own prompt's memory.
-func checkHandles(record *record, finding *fleet.Finding) {
-	for _, event := range record.events {
+func checkHandles(r *record, finding *fleet.Finding) {
+	for _, event := range r.events {
 		if event.Kind == HandleTaken {
 			finding.Looked++
 			if event.Try != event.Request {
@@ -82,13 +82,13 @@
 }
 
 // checkUnasked: what runs, or is read, is what a client sent, unchanged.
-func checkUnasked(record *record, finding *fleet.Finding) {
-	for _, event := range record.events {
+func checkUnasked(r *record, finding *fleet.Finding) {
+	for _, event := range r.events {
 		if event.Kind != RunStarted && event.Kind != PromptRead {
 			continue
 		}
 		finding.Looked++
-		seen := record.tries[event.Try]
+		seen := r.tries[event.Try]
 		switch {
 		case seen == nil:
 			finding.Violate(event.Server + " ran " + event.Try + ", which no client sent")
@@ -99,8 +99,8 @@
 }
 
 // checkTwice: what may not be repeated runs once at most.
-func checkTwice(record *record, finding *fleet.Finding) {
-	for _, seen := range record.order {
+func checkTwice(r *record, finding *fleet.Finding) {
+	for _, seen := range r.order {
 		if seen.sent.Repeatable {
 			continue
 		}
@@ -112,8 +112,8 @@
 }
 
 // checkRefused: what may not be repeated and was answered with a promise never runs.
-func checkRefused(record *record, finding *fleet.Finding) {
-	for _, seen := range record.order {
+func checkRefused(r *record, finding *fleet.Finding) {
+	for _, seen := range r.order {
 		if seen.sent.Repeatable || !seen.over {
 			continue
 		}
@@ -125,10 +125,10 @@
 }
 
 // checkDenied: proper requests are hardly ever turned away for good.
-func checkDenied(record *record, finding *fleet.Finding) {
+func checkDenied(r *record, finding *fleet.Finding) {
 	touched, others := 0, 0
 	var example string
-	for _, seen := range record.order {
+	for _, seen := range r.order {
 		status := seen.ended.Status
 		if !seen.over {
 			continue
@@ -137,16 +137,16 @@
 		if status/100 != 3 && status/100 != 4 || promised(status) || seen.ended.Seal != "" {
 			continue
 		}
-		always, ever := true, len(record.versions) > 0
-		for _, version := range record.versions {
+		always, ever := true, len(r.versions) > 0
+		for _, version := range r.versions {
 			_, found := version.Routes[seen.sent.Route]
-			if version.mayHold(seen.ended.At) && !record.outdated(version, seen.sent.At) {
+			if version.mayHold(seen.ended.At) && !r.outdated(version, seen.sent.At) {
 				always = always && found
 			}
 			ever = ever && found
 		}
 		switch {
-		case always && record.contact.inTouch(seen.sent.Machine, seen.sent.At):
+		case always && r.contact.inTouch(seen.sent.Machine, seen.sent.At):
 			touched++
 			example = fmt.Sprintf("%s at %s got %d on %s", seen.sent.Try, seen.sent.Machine, status, seen.sent.Route)
 		case ever:
@@ -154,7 +154,7 @@
 			example = fmt.Sprintf("%s at %s got %d on %s", seen.sent.Try, seen.sent.Machine, status, seen.sent.Route)
 		}
 	}
-	if limit := 5 + len(record.order)/500; touched > limit || others > 10 {
+	if limit := 5 + len(r.order)/500; touched > limit || others > 10 {
 		finding.Violate(fmt.Sprintf("%d from machines in touch, %d from others, such as %s", touched, others, example))
 	}
 }
@@ -167,35 +167,35 @@
 }
 
 // checkRoute: a service runs only what some configuration sends to it.
-func checkRoute(record *record, finding *fleet.Finding) {
-	for _, handling := range record.handlings() {
-		if handling.service == "" {
+func checkRoute(r *record, finding *fleet.Finding) {
+	for _, h := range r.handlings() {
+		if h.service == "" {
 			continue
 		}
 		finding.Looked++
-		if !slices.ContainsFunc(record.versions, handling.fits) {
-			finding.Violate(fmt.Sprintf("%s on %s ran at the service %s", handling.try.sent.Try, handling.route, handling.service))
+		if !slices.ContainsFunc(r.versions, h.fits) {
+			finding.Violate(fmt.Sprintf("%s on %s ran at the service %s", h.try.sent.Try, h.route, h.service))
 		}
 	}
 }
 
 // checkDrain: no request reaches a server long after the list shows it leaving.
-func checkDrain(record *record, finding *fleet.Finding) {
+func checkDrain(r *record, finding *fleet.Finding) {
 	worst := time.Duration(0)
-	finding.Limit = record.terms.Drain.String()
-	for _, event := range record.events {
-		since, leaving := record.shown[event.Server]
-		seen := record.tries[event.Try]
+	finding.Limit = r.terms.Drain.String()
+	for _, event := range r.events {
+		since, leaving := r.shown[event.Server]
+		seen := r.tries[event.Try]
 		if event.Kind != Arrived || event.Status == 421 || !leaving || seen == nil {
 			continue
 		}
 		finding.Looked++
 		late := event.At.Sub(since)
-		if !record.contact.inTouch(seen.sent.Machine, event.At) {
+		if !r.contact.inTouch(seen.sent.Machine, event.At) {
 			continue
 		}
 		worst = max(worst, late)
-		if late > record.terms.Drain {
+		if late > r.terms.Drain {
 			finding.Violate(fmt.Sprintf("%s from %s reached %s %s after the list showed it leaving", event.Try, seen.sent.Machine, event.Server, late))
 		}
 	}
@@ -203,9 +203,9 @@
 }
 
 // checkUnready: machines that are told to end soon call themselves unready.
-func checkUnready(record *record, finding *fleet.Finding) {
+func checkUnready(r *record, finding *fleet.Finding) {
 	terms, late := 0, 0
-	for _, events := range record.contact.machines {
+	for _, events := range r.contact.machines {
 		for position, event := range events {
 			if event.Kind != MachineTerm {
 				continue
@@ -216,7 +216,7 @@
 			if position+1 < len(events) && events[position+1].At.Before(until) {
 				until = events[position+1].At
 			}
-			if slices.ContainsFunc(record.events, func(asked Event) bool {
+			if slices.ContainsFunc(r.events, func(asked Event) bool {
 				return asked.Kind == ReadyAsked && asked.Machine == event.Machine && asked.Status == 200 && asked.At.After(event.At.Add(4*time.Second)) && asked.At.Before(until)
 			}) {
 				late++
@@ -230,25 +230,25 @@
 
 // checkLost: around a planned end of a machine no request that was passed on is broken
 // off, save by its server.
-func checkLost(record *record, finding *fleet.Finding) {
-	grace := record.terms.Grace
-	for _, seen := range record.order {
+func checkLost(r *record, finding *fleet.Finding) {
+	grace := r.terms.Grace
+	for _, seen := range r.order {
 		if !seen.over || seen.ended.Complete || seen.ended.GaveUp || seen.sent.Probe {
 			continue
 		}
-		events := record.contact.machines[seen.sent.Machine]
+		events := r.contact.machines[seen.sent.Machine]
 		for _, event := range events {
 			if event.Kind != MachineTerm || seen.ended.At.Before(event.At) || seen.sent.At.After(event.At.Add(grace+time.Second)) || seen.ended.At.After(event.At.Add(grace+time.Second)) {
 				continue
 			}
 			finding.Looked++
 			switch {
-			case len(seen.arrivals) == 0 && seen.ended.At.Sub(seen.sent.At) <= record.terms.LossSlack:
+			case len(seen.arrivals) == 0 && seen.ended.At.Sub(seen.sent.At) <= r.terms.LossSlack:
 			case len(seen.arrivals) == 0 && seen.ended.Status == 0 && seen.ended.Cause != "EOF" && seen.ended.Cause != "unexpected EOF":
 				// The circuit was refused or reset before the request was read.
-			case record.brokenByServer(seen):
+			case r.brokenByServer(seen):
 			case seen.ended.At.Sub(seen.sent.At) >= seen.sent.Deadline-50*time.Millisecond:
-			case record.contact.unplanned(seen.sent.Machine, seen.sent.At.Add(-record.terms.Contact), seen.ended.At):
+			case r.contact.unplanned(seen.sent.Machine, seen.sent.At.Add(-r.terms.Contact), seen.ended.At):
 			case slices.ContainsFunc(seen.ends, func(end Event) bool { return end.At.After(event.At.Add(grace / 2)) }) && !seen.sent.At.After(event.At.Add(3*time.Second)):
 			default:
 				finding.Violate(fmt.Sprintf("%s at %s was cut (%s) %s after the SIGTERM", seen.sent.Try, seen.sent.Machine, seen.ended.Cause, seen.ended.At.Sub(event.At).Round(time.Millisecond)))
--- a/internal/testbed/replay/command.go
+++ b/internal/testbed/replay/command.go
@@ -25,9 +25,9 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	target := inbound.Header.Get(headerTarget)
+	t := inbound.Header.Get(headerTarget)
 	switch {
-	case target != "" && target != m.ID:
+	case t != "" && t != m.ID:
 		event.Status = http.StatusMisdirectedRequest
 	case err != nil, asked.Owner == "", asked.FencingToken == nil, asked.Kind != "phase", asked.Phase != stagePrefill && asked.Phase != stageDecode:
 		event.Status = http.StatusBadRequest
--- a/internal/testbed/replay/configcheckers.go
+++ b/internal/testbed/replay/configcheckers.go
@@ -11,14 +11,14 @@
 
 // checkApplied: soon after a version was acknowledged nothing is handled as only an older
 // one would.
-func checkApplied(record *record, finding *fleet.Finding) {
-	for _, handling := range record.handlings() {
-		if !record.contact.inTouch(handling.machine, handling.sent) || !record.contact.inTouch(handling.machine, handling.at) {
+func checkApplied(r *record, finding *fleet.Finding) {
+	for _, h := range r.handlings() {
+		if !r.contact.inTouch(h.machine, h.sent) || !r.contact.inTouch(h.machine, h.at) {
 			continue
 		}
 		due := 0
-		for _, version := range record.versions {
-			if version.outcome == acknowledged && !version.invalid && version.closed.Add(record.terms.Apply).Before(handling.sent) {
+		for _, version := range r.versions {
+			if version.outcome == acknowledged && !version.invalid && version.closed.Add(r.terms.Apply).Before(h.sent) {
 				due = max(due, version.Revision)
 			}
 		}
@@ -26,24 +26,24 @@
 		if due == 0 {
 			continue
 		}
-		if _, newest, found := record.span(handling); found && newest < due {
-			finding.Violate(fmt.Sprintf("%s handled %s on %s (%q) as version %d would, with %d in force", handling.machine, handling.try.sent.Try, handling.route, handling.service, newest, due))
+		if _, newest, found := r.span(h); found && newest < due {
+			finding.Violate(fmt.Sprintf("%s handled %s on %s (%q) as version %d would, with %d in force", h.machine, h.try.sent.Try, h.route, h.service, newest, due))
 		}
 	}
 }
 
 // checkLaterRoutes: routes that came later are served as the first ones are.
-func checkLaterRoutes(record *record, finding *fleet.Finding) {
+func checkLaterRoutes(r *record, finding *fleet.Finding) {
 	counts := map[bool][2]int{}
-	for _, seen := range record.order {
-		if !seen.over || !record.contact.inTouch(seen.sent.Machine, seen.sent.At) {
+	for _, seen := range r.order {
+		if !seen.over || !r.contact.inTouch(seen.sent.Machine, seen.sent.At) {
 			continue
 		}
 		later := strings.HasPrefix(seen.sent.Route, "r-late-") || strings.HasPrefix(seen.sent.Route, "r-many-")
 		if later {
-			held := slices.ContainsFunc(record.versions, func(version *versionSeen) bool {
+			held := slices.ContainsFunc(r.versions, func(version *versionSeen) bool {
 				_, found := version.Routes[seen.sent.Route]
-				return found && version.outcome == acknowledged && version.closed.Add(record.terms.Apply).Before(seen.sent.At) && !record.outdated(version, seen.ended.At.Add(record.terms.Apply))
+				return found && version.outcome == acknowledged && version.closed.Add(r.terms.Apply).Before(seen.sent.At) && !r.outdated(version, seen.ended.At.Add(r.terms.Apply))
 			})
 			if !held {
 				continue
@@ -66,44 +66,44 @@
 }
 
 // checkBack: in one life of its processes a machine never goes back to an older version.
-func checkBack(record *record, finding *fleet.Finding) {
+func checkBack(r *record, finding *fleet.Finding) {
 	type effect struct {
 		at      time.Time
 		version int
 	}
 	effects := map[string][]effect{}
-	for _, handling := range record.handlings() {
-		oldest, newest, found := record.span(handling)
+	for _, h := range r.handlings() {
+		oldest, newest, found := r.span(h)
 		if !found {
 			continue
 		}
 		finding.Looked++
-		incarnation := fmt.Sprintf("%s#%d", handling.machine, record.contact.incarnation(handling.machine, handling.sent))
+		incarnation := fmt.Sprintf("%s#%d", h.machine, r.contact.incarnation(h.machine, h.sent))
 		for _, earlier := range effects[incarnation] {
-			if handling.sent.After(earlier.at.Add(record.terms.RevertSlack)) && newest < earlier.version {
-				finding.Violate(fmt.Sprintf("%s showed version %d and later handled %s on %s as version %d would", handling.machine, earlier.version, handling.try.sent.Try, handling.route, newest))
+			if h.sent.After(earlier.at.Add(r.terms.RevertSlack)) && newest < earlier.version {
+				finding.Violate(fmt.Sprintf("%s showed version %d and later handled %s on %s as version %d would", h.machine, earlier.version, h.try.sent.Try, h.route, newest))
 				break
 			}
 		}
-		if handling.service != "" {
-			effects[incarnation] = append(effects[incarnation], effect{handling.at, oldest})
+		if h.service != "" {
+			effects[incarnation] = append(effects[incarnation], effect{h.at, oldest})
 		}
 	}
 }
 
 // checkRefusedVersions: what was refused, lost its race or is invalid takes no effect.
-func checkRefusedVersions(record *record, finding *fleet.Finding) {
-	for _, handling := range record.handlings() {
-		if handling.service == "" {
+func checkRefusedVersions(r *record, finding *fleet.Finding) {
+	for _, h := range r.handlings() {
+		if h.service == "" {
 			continue
 		}
 		finding.Looked++
-		if _, _, found := record.span(handling); found {
+		if _, _, found := r.span(h); found {
 			continue
 		}
-		for _, version := range record.versions {
-			if !version.sent.After(handling.at) && handling.fits(version) {
-				finding.Violate(fmt.Sprintf("%s ran %s on %s, which only version %d (%s) allows", handling.machine, handling.try.sent.Try, handling.route, version.Revision, version.outcome))
+		for _, version := range r.versions {
+			if !version.sent.After(h.at) && h.fits(version) {
+				finding.Violate(fmt.Sprintf("%s ran %s on %s, which only version %d (%s) allows", h.machine, h.try.sent.Try, h.route, version.Revision, version.outcome))
 				break
 			}
 		}
@@ -112,9 +112,9 @@
 
 // checkAcknowledged: of two changes on top of one version one is acknowledged at most, and
 // no invalid one is.
-func checkAcknowledged(record *record, finding *fleet.Finding) {
+func checkAcknowledged(r *record, finding *fleet.Finding) {
 	bases := map[int]int{}
-	for _, version := range record.versions {
+	for _, version := range r.versions {
 		finding.Looked++
 		if version.outcome != acknowledged {
 			continue
@@ -132,14 +132,14 @@
 
 // checkReadBack: what is read at the end of the day is the newest acknowledged version or
 // a newer one, and says what was sent under its number.
-func checkReadBack(record *record, finding *fleet.Finding) {
+func checkReadBack(r *record, finding *fleet.Finding) {
 	newest := 0
-	for _, version := range record.versions {
+	for _, version := range r.versions {
 		if version.outcome == acknowledged && !version.invalid {
 			newest = max(newest, version.Revision)
 		}
 	}
-	for _, event := range record.events {
+	for _, event := range r.events {
 		if event.Kind != ReadBack {
 			continue
 		}
@@ -156,17 +156,17 @@
 }
 
 // checkHeld: requests have their answer by their route's own limit.
-func checkHeld(record *record, finding *fleet.Finding) {
+func checkHeld(r *record, finding *fleet.Finding) {
 	long, late := 0, 0
-	for _, seen := range record.order {
+	for _, seen := range r.order {
 		longest := time.Duration(0)
-		for _, version := range record.versions {
-			if version.mayHold(seen.ended.At) && !record.outdated(version, seen.sent.At) {
+		for _, version := range r.versions {
+			if version.mayHold(seen.ended.At) && !r.outdated(version, seen.sent.At) {
 				longest = max(longest, version.deadlineOf(seen.sent.Route))
 			}
 		}
 		lasted := seen.ended.At.Sub(seen.sent.At)
-		if !seen.over || longest == 0 || lasted <= longest || !record.contact.inTouch(seen.sent.Machine, seen.sent.At) {
+		if !seen.over || longest == 0 || lasted <= longest || !r.contact.inTouch(seen.sent.Machine, seen.sent.At) {
 			continue
 		}
 		finding.Looked++
@@ -182,15 +182,15 @@
 
 // checkAcks: a proper order of the operators is acknowledged in time while the core is
 // settled.
-func checkAcks(record *record, finding *fleet.Finding) {
+func checkAcks(r *record, finding *fleet.Finding) {
 	worst := time.Duration(0)
 	judge := func(name string, sent, closed time.Time, routes int) {
 		finding.Looked++
-		limit := record.terms.Acknowledge + time.Duration(routes)*3*time.Millisecond
+		limit := r.terms.Acknowledge + time.Duration(routes)*3*time.Millisecond
 		// The wait counts from when the core is settled, and ends when it no longer is.
 		begins := sent
 		for moment := sent; moment.Before(closed); moment = moment.Add(50 * time.Millisecond) {
-			if !record.contact.settled(moment) {
+			if !r.contact.settled(moment) {
 				begins = moment.Add(50 * time.Millisecond)
 				continue
 			}
@@ -201,17 +201,17 @@
 		}
 		worst = max(worst, closed.Sub(sent))
 	}
-	for _, version := range record.versions {
+	for _, version := range r.versions {
 		if !version.invalid && version.outcome != refused && !version.closed.IsZero() {
 			judge(fmt.Sprintf("version %d", version.Revision), version.sent, version.closed, len(version.Routes))
 		}
 	}
-	for _, event := range record.events {
+	for _, event := range r.events {
 		if event.Kind != EvacuateSent {
 			continue
 		}
 		closed := event.At
-		for _, other := range record.events {
+		for _, other := range r.events {
 			if other.At.After(event.At) && other.Zone == event.Zone && (other.Kind == Evacuated || other.Kind == TakenBack) {
 				closed = other.At
 				break
@@ -219,5 +219,5 @@
 		}
 		judge("the evacuation of "+event.Zone, event.At, closed, 0)
 	}
-	finding.Worst, finding.Limit, finding.Seconds = worst.Round(time.Millisecond).String(), record.terms.Acknowledge.String(), worst.Seconds()
+	finding.Worst, finding.Limit, finding.Seconds = worst.Round(time.Millisecond).String(), r.terms.Acknowledge.String(), worst.Seconds()
 }
--- a/internal/testbed/replay/contact.go
+++ b/internal/testbed/replay/contact.go
@@ -18,11 +18,11 @@
 var disturbing = map[EventKind]bool{MachineUp: true, MachineKilled: true, MachineTerm: true, MachineFrozen: true, MachineThawed: true, MachineGone: true, EndedByItself: true}
 
 func newContact(events []Event, length time.Duration) *contact {
-	contact := &contact{length: length, machines: map[string][]Event{}}
+	c := &contact{length: length, machines: map[string][]Event{}}
 	members := map[string]bool{}
 	for _, event := range events {
 		if event.Kind == ClosingFault {
-			contact.closed = event.At
+			c.closed = event.At
 		}
 		if !disturbing[event.Kind] {
 			continue
@@ -31,14 +31,14 @@
 		if event.Kind == EndedByItself {
 			continue
 		}
-		contact.machines[event.Machine] = append(contact.machines[event.Machine], event)
+		c.machines[event.Machine] = append(c.machines[event.Machine], event)
 		if event.Core {
-			contact.core = append(contact.core, event)
+			c.core = append(c.core, event)
 			members[event.Machine] = true
 		}
 	}
-	contact.size = len(members)
-	return contact
+	c.size = len(members)
+	return c
 }
 
 // before is the last of some events that happened by a moment, by its place; -1 is none.
--- a/internal/testbed/replay/day.go
+++ b/internal/testbed/replay/day.go
@@ -49,16 +49,16 @@
 	if left, _ := filepath.Glob(filepath.Join(folder, "edge-*")); len(left) > 0 {
 		return nil, failure.New(failure.Contradictory, folder+" holds the disks of another day")
 	}
-	addressRange, ports, err := takeAddresses()
+	a, p, err := takeAddresses()
 	if err != nil {
 		return nil, err
 	}
-	day := &Day{Site: site, Book: &Book{}, roles: roles, folder: folder, log: log, addressRange: addressRange, ports: ports, seed: seed, random: rand.New(rand.NewPCG(seed, 1))}
+	day := &Day{Site: site, Book: &Book{}, roles: roles, folder: folder, log: log, addressRange: a, ports: p, seed: seed, random: rand.New(rand.NewPCG(seed, 1))}
 	day.lifetime, day.end = context.WithCancel(context.Background())
-	if day.ServerPool, err = startServerPool(day.Book, site, seed, func() string { return addressRange.address() + ":" + ports.server }); err != nil {
+	if day.ServerPool, err = startServerPool(day.Book, site, seed, func() string { return a.address() + ":" + p.server }); err != nil {
 		return nil, err
 	}
-	if day.Directory, err = startDirectory(day.Book, day.ServerPool, site, addressRange.address()+":"+ports.list); err != nil {
+	if day.Directory, err = startDirectory(day.Book, day.ServerPool, site, a.address()+":"+p.list); err != nil {
 		return nil, err
 	}
 	day.Balancer = newBalancer(day.Book)
@@ -235,8 +235,8 @@
 // Close ends everything that this day started.
 func (day *Day) Close() {
 	for _, machine := range day.all() {
-		for _, process := range machine.processes {
-			process.kill()
+		for _, p := range machine.processes {
+			p.kill()
 		}
 	}
 	day.end()
@@ -251,9 +251,9 @@
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
 	for _, machine := range day.machines {
-		for _, process := range machine.processes {
-			if process.crashed() {
-				names = append(names, machine.Name+"/"+process.role.Name)
+		for _, p := range machine.processes {
+			if p.crashed() {
+				names = append(names, machine.Name+"/"+p.role.Name)
 			}
 		}
 	}
@@ -266,8 +266,8 @@
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
 	for _, machine := range day.machines {
-		for _, process := range machine.processes {
-			logs[machine.Name+"/"+process.role.Name] = lastLines(process.logged(), lines)
+		for _, p := range machine.processes {
+			logs[machine.Name+"/"+p.role.Name] = lastLines(p.logged(), lines)
 		}
 	}
 	return logs
--- a/internal/testbed/replay/exchange.go
+++ b/internal/testbed/replay/exchange.go
@@ -32,22 +32,22 @@
 
 func newExchange(server *modelServer, inbound *http.Request, body []byte) *exchange {
 	header := inbound.Header
-	exchange := &exchange{server: server, header: header, body: body, source: header.Get(headerSource)}
+	e := &exchange{server: server, header: header, body: body, source: header.Get(headerSource)}
 	deadline, err := strconv.ParseFloat(header.Get(headerDeadline), 64)
 	if err != nil {
 		deadline = 0
 	}
-	exchange.behind, _ = strconv.Atoi(header.Get(headerLastEvent))
-	stage := stageOf(header)
-	exchange.event = Event{Server: server.ID, Service: server.Service, Zone: server.Zone, Try: header.Get(headerTry), Stage: stage, Behind: exchange.behind,
+	e.behind, _ = strconv.Atoi(header.Get(headerLastEvent))
+	s := stageOf(header)
+	e.event = Event{Server: server.ID, Service: server.Service, Zone: server.Zone, Try: header.Get(headerTry), Stage: s, Behind: e.behind,
 		Digest: digestOf(inbound.Method, inbound.URL.RequestURI(), inbound.Host, header, body), Deadline: time.Duration(deadline * float64(time.Millisecond))}
-	return exchange
+	return e
 }
 
 // misdirected tells whether the request expects another server.
 func (e *exchange) misdirected() int {
 	server, header := e.server, e.header
-	if target := header.Get(headerTarget); target != "" && target != server.ID {
+	if t := header.Get(headerTarget); t != "" && t != server.ID {
 		return http.StatusMisdirectedRequest
 	}
 	if expected := header.Get(headerExpected); expected != "" && expected != strconv.Itoa(server.revision) {
@@ -176,8 +176,8 @@
 		return
 	}
 	tokens := 0
-	for _, part := range e.one.chain {
-		tokens += part.tokens
+	for _, p := range e.one.chain {
+		tokens += p.tokens
 	}
 	name := strings.ReplaceAll(uuid.NewString(), "-", "")[:12]
 	server.mutex.Lock()
--- a/internal/testbed/replay/faults.go
+++ b/internal/testbed/replay/faults.go
@@ -44,7 +44,7 @@
 }
 
 // misbehaveFor has servers misbehaveFor for a while.
-func (day *Day) misbehaveFor(lifetime context.Context, fault Fault, share float64, begin func(misbehaviour *misbehaviour)) {
+func (day *Day) misbehaveFor(lifetime context.Context, fault Fault, share float64, begin func(m *misbehaviour)) {
 	servers := day.drawn(fault, share)
 	for _, server := range servers {
 		server.misbehave(begin)
@@ -58,7 +58,7 @@
 // crashServers has servers crash and come back cold, or be silent for a while.
 func (day *Day) crashServers(lifetime context.Context, fault Fault) {
 	if fault.says("dark") {
-		day.misbehaveFor(lifetime, fault, 0.15, func(misbehaviour *misbehaviour) { misbehaviour.dark = true })
+		day.misbehaveFor(lifetime, fault, 0.15, func(m *misbehaviour) { m.dark = true })
 		return
 	}
 	for _, server := range day.drawn(fault, 0.15) {
@@ -134,11 +134,11 @@
 }
 
 func (day *Day) failInPart(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.2, func(misbehaviour *misbehaviour) { misbehaviour.fails = fault.timesOr(0.5) })
+	day.misbehaveFor(lifetime, fault, 0.2, func(m *misbehaviour) { m.fails = fault.timesOr(0.5) })
 }
 
 func (day *Day) lieAboutHealth(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.3, func(misbehaviour *misbehaviour) { misbehaviour.lies = true })
+	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.lies = true })
 }
 
 // abuseRetries has clients try again at once and often.
@@ -169,21 +169,21 @@
 }
 
 func (day *Day) loseAnswers(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.5, func(misbehaviour *misbehaviour) { misbehaviour.loses = fault.timesOr(0.03) })
+	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) { m.loses = fault.timesOr(0.03) })
 }
 
 func (day *Day) garble(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.5, func(misbehaviour *misbehaviour) {
-		misbehaviour.spoils, misbehaviour.late = fault.timesOr(0.02), fault.says("extra")
+	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) {
+		m.spoils, m.late = fault.timesOr(0.02), fault.says("extra")
 	})
 }
 
 func (day *Day) slowMoves(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.3, func(misbehaviour *misbehaviour) { misbehaviour.slowed = fault.timesOr(8) })
+	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.slowed = fault.timesOr(8) })
 }
 
 func (day *Day) lapseHandles(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.3, func(misbehaviour *misbehaviour) { misbehaviour.lapses = true })
+	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.lapses = true })
 }
 
 // chosen picks machines: a share or a count of them, of the core or of those without a
--- a/internal/testbed/replay/figures.go
+++ b/internal/testbed/replay/figures.go
@@ -40,12 +40,12 @@
 }
 
 // figuresOf counts what became of the requests.
-func figuresOf(record *record) Figures {
+func figuresOf(r *record) Figures {
 	figures := Figures{Causes: map[string]int{}, Classes: map[string]ClassFigures{}}
 	var began time.Time
 	var lengths, held []time.Duration
 	seconds := map[int][]time.Duration{}
-	for _, event := range record.events {
+	for _, event := range r.events {
 		switch event.Kind {
 		case Probed:
 			figures.Probes++
@@ -63,15 +63,15 @@
 			}
 		}
 	}
-	for _, seen := range record.order {
+	for _, seen := range r.order {
 		if seen.over && promised(seen.ended.Status) {
 			held = append(held, seen.ended.At.Sub(seen.sent.At))
 		}
 		figures.Repeats += max(0, len(seen.attempts())-1)
-		if seen.sent.Probe || seen.sent.Number > 0 && len(record.requests[seen.sent.Request]) > 0 && record.requests[seen.sent.Request][0] != seen {
+		if seen.sent.Probe || seen.sent.Number > 0 && len(r.requests[seen.sent.Request]) > 0 && r.requests[seen.sent.Request][0] != seen {
 			continue
 		}
-		tries := record.requests[seen.sent.Request]
+		tries := r.requests[seen.sent.Request]
 		last := tries[len(tries)-1]
 		if !last.over || last.ended.Cause == causeLeft {
 			continue
@@ -84,20 +84,20 @@
 		class := figures.Classes[seen.sent.Class]
 		class.Owed++
 		var first time.Time
-		stall, pause := 0.0, record.site.classOf(seen.sent.Class).Pause.Seconds()
-		for _, try := range tries {
-			stall = max(stall, try.ended.Stall)
+		stall, pause := 0.0, r.site.classOf(seen.sent.Class).Pause.Seconds()
+		for _, t := range tries {
+			stall = max(stall, t.ended.Stall)
 			if first.IsZero() {
-				first = try.ended.First
+				first = t.ended.First
 			}
 		}
 		length := first.Sub(seen.sent.Began)
 		switch {
-		case record.servedAt(seen.sent.Request) && length <= seen.sent.Aim && stall <= pause && len(tries) == 1:
+		case r.servedAt(seen.sent.Request) && length <= seen.sent.Aim && stall <= pause && len(tries) == 1:
 			figures.InTime++
 			class.InTime++
 			figures.Seconds[second].InTime++
-		case record.servedAt(seen.sent.Request):
+		case r.servedAt(seen.sent.Request):
 			figures.Late++
 			class.Late++
 			figures.Seconds[second].Late++
@@ -110,7 +110,7 @@
 			figures.Seconds[second].Failed++
 			figures.Causes[fmt.Sprintf("failed %d %s", last.ended.Status, causeWithoutAddresses(last.ended.Cause))]++
 		}
-		if record.servedAt(seen.sent.Request) {
+		if r.servedAt(seen.sent.Request) {
 			lengths = append(lengths, length)
 			seconds[second] = append(seconds[second], length)
 		}
--- a/internal/testbed/replay/machine.go
+++ b/internal/testbed/replay/machine.go
@@ -43,8 +43,8 @@
 
 // target is where the machine takes clients.
 func (m *Machine) target() target {
-	ports := m.day.ports
-	return target{machine: m.Name, zone: m.Zone, front: m.IP + ":" + ports.front, ready: m.IP + ":" + ports.ready}
+	p := m.day.ports
+	return target{machine: m.Name, zone: m.Zone, front: m.IP + ":" + p.front, ready: m.IP + ":" + p.ready}
 }
 
 func (m *Machine) control() string { return m.IP + ":" + m.day.ports.control }
@@ -55,8 +55,8 @@
 	defer m.mutex.Unlock()
 	site, addresses := m.day.Site, map[string]any{}
 	if role.serving("edge") {
-		target := m.target()
-		addresses["frontHttp"], addresses["readiness"] = target.front, target.ready
+		t := m.target()
+		addresses["frontHttp"], addresses["readiness"] = t.front, t.ready
 	}
 	if role.serving("control") {
 		addresses["controlPlane"] = m.control()
@@ -110,8 +110,8 @@
 func (m *Machine) up() error {
 	m.renewSeeds()
 	m.day.Book.Note(Event{Kind: MachineUp, Machine: m.Name, Zone: m.Zone, Core: m.Core})
-	for _, process := range m.processes {
-		if err := process.start(); err != nil {
+	for _, p := range m.processes {
+		if err := p.start(); err != nil {
 			return err
 		}
 	}
@@ -132,8 +132,8 @@
 // kill ends all processes at once.
 func (m *Machine) kill() {
 	m.day.Book.Note(Event{Kind: MachineKilled, Machine: m.Name, Core: m.Core})
-	for _, process := range m.processes {
-		process.kill()
+	for _, p := range m.processes {
+		p.kill()
 	}
 	m.day.Book.Note(Event{Kind: MachineKilled, Machine: m.Name, Core: m.Core})
 }
@@ -147,8 +147,8 @@
 func (m *Machine) stop() {
 	m.day.Book.Note(Event{Kind: MachineTerm, Machine: m.Name, Core: m.Core, Planned: true})
 	var ending sync.WaitGroup
-	for _, process := range m.processes {
-		ending.Go(func() { process.stop(m.day.Site.Terms.Grace) })
+	for _, p := range m.processes {
+		ending.Go(func() { p.stop(m.day.Site.Terms.Grace) })
 	}
 	ending.Wait()
 }
@@ -156,14 +156,14 @@
 // freeze stands the processes still; thaw lets them go on.
 func (m *Machine) freeze() {
 	m.day.Book.Note(Event{Kind: MachineFrozen, Machine: m.Name, Core: m.Core})
-	for _, process := range m.processes {
-		process.signal(syscall.SIGSTOP)
+	for _, p := range m.processes {
+		p.signal(syscall.SIGSTOP)
 	}
 }
 
 func (m *Machine) thaw() {
-	for _, process := range m.processes {
-		process.signal(syscall.SIGCONT)
+	for _, p := range m.processes {
+		p.signal(syscall.SIGCONT)
 	}
 	m.day.Book.Note(Event{Kind: MachineThawed, Machine: m.Name, Core: m.Core})
 }
@@ -182,18 +182,18 @@
 	m.mutex.Lock()
 	m.seeds, m.first = seeds, false
 	m.mutex.Unlock()
-	for _, process := range m.processes {
-		if _, err := m.write(process.role); err != nil {
+	for _, p := range m.processes {
+		if _, err := m.write(p.role); err != nil {
 			return err
 		}
-		process.signal(syscall.SIGHUP)
+		p.signal(syscall.SIGHUP)
 	}
 	return nil
 }
 
 // reload tells the processes that their settings files may have changed.
 func (m *Machine) reload() {
-	for _, process := range m.processes {
-		process.signal(syscall.SIGHUP)
+	for _, p := range m.processes {
+		p.signal(syscall.SIGHUP)
 	}
 }
--- a/internal/testbed/replay/modelserver.go
+++ b/internal/testbed/replay/modelserver.go
@@ -292,16 +292,16 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	exchange := newExchange(m, inbound, body)
+	e := newExchange(m, inbound, body)
 	m.mutex.Lock()
 	now := time.Now()
-	status := exchange.misdirected()
+	status := e.misdirected()
 	falls := false
 	if status == 0 {
-		exchange.event.Cold, falls = m.overrun(now)
-		status = exchange.unfit()
+		e.event.Cold, falls = m.overrun(now)
+		status = e.unfit()
 	}
-	arrived := exchange.event
+	arrived := e.event
 	arrived.Kind, arrived.Status = Arrived, status
 	m.pool.book.Note(arrived)
 	if falls {
@@ -311,25 +311,25 @@
 	}
 	if status != 0 {
 		m.mutex.Unlock()
-		exchange.turnAway(writer, status)
+		e.turnAway(writer, status)
 		return
 	}
-	exchange.spoiling = m.misbehaviour.draw(m.random)
-	exchange.enter(now)
+	e.spoiling = m.misbehaviour.draw(m.random)
+	e.enter(now)
 	m.mutex.Unlock()
 	stop := context.AfterFunc(inbound.Context(), func() {
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		exchange.gone = true
+		e.gone = true
 		m.progress.Broadcast()
 	})
 	defer stop()
-	exchange.answer(writer)
+	e.answer(writer)
 }
 
 // fetch moves a prompt's memory here from the server that read it; it tells when the
 // move ends, or false when it can't be had.
-func (m *modelServer) fetch(source, try string, now time.Time) (int, time.Time, bool) {
+func (m *modelServer) fetch(source, t string, now time.Time) (int, time.Time, bool) {
 	address, name, found := strings.Cut(source, "/")
 	from := m.pool.at(address)
 	if !found || from == nil || from == m {
@@ -359,7 +359,7 @@
 	from.linkFree, m.linkFree = begins.Add(length), begins.Add(length)
 	delete(from.handles, name)
 	from.engine.memory.unpin(held.held)
-	m.pool.book.Note(Event{Kind: HandleTaken, Server: m.ID, Handle: name, Try: try, Request: held.try, Tokens: held.tokens})
+	m.pool.book.Note(Event{Kind: HandleTaken, Server: m.ID, Handle: name, Try: t, Request: held.try, Tokens: held.tokens})
 	return held.tokens, begins.Add(length), true
 }
 
--- a/internal/testbed/replay/modelserver_test.go
+++ b/internal/testbed/replay/modelserver_test.go
@@ -21,16 +21,16 @@
 
 func startBench(t *testing.T, site Site) *bench {
 	t.Helper()
-	addresses, ports, err := takeAddresses()
+	addresses, p, err := takeAddresses()
 	if err != nil {
 		t.Fatal(err)
 	}
 	book := &Book{}
-	pool, err := startServerPool(book, site, 1, func() string { return addresses.address() + ":" + ports.server })
+	pool, err := startServerPool(book, site, 1, func() string { return addresses.address() + ":" + p.server })
 	if err != nil {
 		t.Fatal(err)
 	}
-	directory, err := startDirectory(book, pool, site, addresses.address()+":"+ports.list)
+	directory, err := startDirectory(book, pool, site, addresses.address()+":"+p.list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,59 +53,59 @@
 }
 
 // ask sends a request to a server, and gives the answer with its body.
-func (b *bench) ask(t *testing.T, server *modelServer, try string, extra map[string]string) (*http.Response, string) {
+func (b *bench) ask(t *testing.T, server *modelServer, tr string, extra map[string]string) (*http.Response, string) {
 	t.Helper()
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", strings.NewReader("{}"))
-	outbound.Header = http.Header{headerTry: {try}, headerModel: {modelName}, headerTokens: {"900,20"}, headerParts: {"a:500,b:400"}, headerDeadline: {"3000"}}
+	outbound.Header = http.Header{headerTry: {tr}, headerModel: {modelName}, headerTokens: {"900,20"}, headerParts: {"a:500,b:400"}, headerDeadline: {"3000"}}
 	for name, value := range extra {
 		outbound.Header.Set(name, value)
 	}
-	answer, err := http.DefaultClient.Do(outbound)
+	a, err := http.DefaultClient.Do(outbound)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	body, _ := io.ReadAll(answer.Body)
-	return answer, string(body)
+	defer func() { _ = a.Body.Close() }()
+	body, _ := io.ReadAll(a.Body)
+	return a, string(body)
 }
 
 // read has a prompt read, and gives where its memory waits.
-func (b *bench) read(t *testing.T, server *modelServer, try string) string {
+func (b *bench) read(t *testing.T, server *modelServer, tr string) string {
 	t.Helper()
-	answer, body := b.ask(t, server, try, map[string]string{headerStage: stagePrefill})
+	a, body := b.ask(t, server, tr, map[string]string{headerStage: stagePrefill})
 	var page struct {
 		PrefillHandle string
 		TokenCount    int
 	}
-	if answer.StatusCode != http.StatusOK || json.Unmarshal([]byte(body), &page) != nil || page.TokenCount != 900 {
-		t.Fatalf("reading: %d %s", answer.StatusCode, body)
+	if a.StatusCode != http.StatusOK || json.Unmarshal([]byte(body), &page) != nil || page.TokenCount != 900 {
+		t.Fatalf("reading: %d %s", a.StatusCode, body)
 	}
 	return server.Address + "/" + page.PrefillHandle
 }
 
 // TestHandlesAreTakenOnce reads a prompt at one server and has it answered at another.
 func TestHandlesAreTakenOnce(t *testing.T) {
-	bench := startBench(t, SmallSite())
-	reader, maker := bench.playing(stagePrefill), bench.playing(stageDecode)
-	source := bench.read(t, reader, "t1")
-	answer, body := bench.ask(t, maker, "t1", map[string]string{headerSource: source})
-	if answer.StatusCode != http.StatusOK || answer.Header.Get(headerSeal) == "" || answer.Header.Get(headerTry) != "t1" || !strings.HasPrefix(body, "id: ") {
-		t.Fatalf("%d %v %s", answer.StatusCode, answer.Header, body)
+	b := startBench(t, SmallSite())
+	reader, maker := b.playing(stagePrefill), b.playing(stageDecode)
+	source := b.read(t, reader, "t1")
+	a, body := b.ask(t, maker, "t1", map[string]string{headerSource: source})
+	if a.StatusCode != http.StatusOK || a.Header.Get(headerSeal) == "" || a.Header.Get(headerTry) != "t1" || !strings.HasPrefix(body, "id: ") {
+		t.Fatalf("%d %v %s", a.StatusCode, a.Header, body)
 	}
-	if answer, _ := bench.ask(t, maker, "t1", map[string]string{headerSource: source}); answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get(headerNotRun) == "" {
-		t.Errorf("a handle was taken twice: %d", answer.StatusCode)
+	if an, _ := b.ask(t, maker, "t1", map[string]string{headerSource: source}); an.StatusCode != http.StatusServiceUnavailable || an.Header.Get(headerNotRun) == "" {
+		t.Errorf("a handle was taken twice: %d", an.StatusCode)
 	}
-	source = bench.read(t, reader, "t2")
+	source = b.read(t, reader, "t2")
 	freed, _ := http.NewRequest(http.MethodDelete, "http://"+reader.Address+pathHandle+source[strings.Index(source, "/")+1:], nil)
-	if answer, err := http.DefaultClient.Do(freed); err != nil || answer.StatusCode != http.StatusOK {
+	if ans, err := http.DefaultClient.Do(freed); err != nil || ans.StatusCode != http.StatusOK {
 		t.Errorf("freeing: %v", err)
 	}
-	if answer, _ := bench.ask(t, maker, "t2", map[string]string{headerSource: source}); answer.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a freed handle was taken: %d", answer.StatusCode)
+	if aAnswer, _ := b.ask(t, maker, "t2", map[string]string{headerSource: source}); aAnswer.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("a freed handle was taken: %d", aAnswer.StatusCode)
 	}
-	reader.misbehave(func(misbehaviour *misbehaviour) { misbehaviour.lapses = true })
-	source = bench.read(t, reader, "t3")
-	if answer, _ := bench.ask(t, maker, "t3", map[string]string{headerSource: source}); answer.StatusCode != http.StatusServiceUnavailable {
+	reader.misbehave(func(m *misbehaviour) { m.lapses = true })
+	source = b.read(t, reader, "t3")
+	if answer, _ := b.ask(t, maker, "t3", map[string]string{headerSource: source}); answer.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("a handle that lapsed was taken: %d", answer.StatusCode)
 	}
 }
@@ -113,22 +113,22 @@
 // TestWhatIsMeantForAnotherServerIsTurnedAway asks for another life, another part and
 // other weights.
 func TestWhatIsMeantForAnotherServerIsTurnedAway(t *testing.T) {
-	bench := startBench(t, SmallSite())
-	reader, maker := bench.playing(stagePrefill), bench.playing(stageDecode)
+	b := startBench(t, SmallSite())
+	reader, maker := b.playing(stagePrefill), b.playing(stageDecode)
 	for name, extra := range map[string]map[string]string{"another life": {headerTarget: "i-other"}, "another part": {headerStage: stagePrefill}, "other weights": {headerExpected: "9"}} {
-		answer, _ := bench.ask(t, maker, name, extra)
-		if answer.StatusCode != http.StatusMisdirectedRequest || answer.Header.Get(headerServer) != maker.ID {
-			t.Errorf("%s: %d", name, answer.StatusCode)
+		a, _ := b.ask(t, maker, name, extra)
+		if a.StatusCode != http.StatusMisdirectedRequest || a.Header.Get(headerServer) != maker.ID {
+			t.Errorf("%s: %d", name, a.StatusCode)
 		}
 	}
-	if answer, _ := bench.ask(t, reader, "whole", nil); answer.StatusCode != http.StatusMisdirectedRequest {
-		t.Errorf("a reader took a whole request: %d", answer.StatusCode)
+	if an, _ := b.ask(t, reader, "whole", nil); an.StatusCode != http.StatusMisdirectedRequest {
+		t.Errorf("a reader took a whole request: %d", an.StatusCode)
 	}
-	if answer, _ := bench.ask(t, maker, "", nil); answer.StatusCode != http.StatusBadRequest {
-		t.Errorf("a request without an id: %d", answer.StatusCode)
+	if ans, _ := b.ask(t, maker, "", nil); ans.StatusCode != http.StatusBadRequest {
+		t.Errorf("a request without an id: %d", ans.StatusCode)
 	}
-	if answer, body := bench.ask(t, maker, "resumed", map[string]string{headerLastEvent: "2"}); answer.StatusCode != http.StatusOK || !strings.Contains(body, "/3-") {
-		t.Errorf("a resumed stream: %d %s", answer.StatusCode, body)
+	if aAnswer, body := b.ask(t, maker, "resumed", map[string]string{headerLastEvent: "2"}); aAnswer.StatusCode != http.StatusOK || !strings.Contains(body, "/3-") {
+		t.Errorf("a resumed stream: %d %s", aAnswer.StatusCode, body)
 	}
 }
 
@@ -138,14 +138,14 @@
 	for position := range site.Services {
 		site.Services[position].Engine.Switch = 50 * time.Millisecond
 	}
-	bench := startBench(t, site)
-	maker := bench.playing(stageDecode)
+	b := startBench(t, site)
+	maker := b.playing(stageDecode)
 	order := func(body string) int {
-		answer, err := http.Post("http://"+maker.Address+pathOrder, "application/json", bytes.NewReader([]byte(body)))
+		a, err := http.Post("http://"+maker.Address+pathOrder, "application/json", bytes.NewReader([]byte(body)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return answer.StatusCode
+		return a.StatusCode
 	}
 	for body, status := range map[string]int{
 		`{"opKind":"phase","phase":"prefill","owner":"n"}`:                                  400,
@@ -167,13 +167,13 @@
 		}
 		pause(maker.lifetime, 5*time.Millisecond)
 	}
-	bench.read(t, maker, "t1")
+	b.read(t, maker, "t1")
 }
 
 // TestColdServersFallOver sends well above a cold server's rate.
 func TestColdServersFallOver(t *testing.T) {
-	bench := startBench(t, SmallSite())
-	server, err := bench.pool.add(bench.site.Services[0], bench.site.Zones[0], stageDecode, true)
+	b := startBench(t, SmallSite())
+	server, err := b.pool.add(b.site.Services[0], b.site.Zones[0], stageDecode, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,13 +182,13 @@
 		outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", nil)
 		outbound.Header.Set(headerTry, strconv.Itoa(number))
 		outbound.Header.Set(headerTokens, "1,1")
-		answer, err := http.DefaultClient.Do(outbound)
+		a, err := http.DefaultClient.Do(outbound)
 		if err != nil {
 			fell = true
 			break
 		}
-		_, _ = io.Copy(io.Discard, answer.Body)
-		_ = answer.Body.Close()
+		_, _ = io.Copy(io.Discard, a.Body)
+		_ = a.Body.Close()
 	}
 	if !fell {
 		t.Error("the server bore eighty requests while it was cold")
@@ -200,11 +200,11 @@
 func TestTheListIsLateAndHasPages(t *testing.T) {
 	site := SmallSite()
 	site.ListLag, site.ListRate = 300*time.Millisecond, 30
-	bench := startBench(t, site)
+	b := startBench(t, site)
 	list := func() (map[string]string, int) {
 		states, token := map[string]string{}, ""
 		for {
-			answer, err := http.Get("http://" + bench.directory.Address + pathServers + "?pageToken=" + token)
+			a, err := http.Get("http://" + b.directory.Address + pathServers + "?pageToken=" + token)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -212,27 +212,27 @@
 				Servers   []serverPage
 				NextToken *string
 			}
-			_ = json.NewDecoder(answer.Body).Decode(&page)
-			_ = answer.Body.Close()
-			if answer.StatusCode != http.StatusOK {
-				return states, answer.StatusCode
+			_ = json.NewDecoder(a.Body).Decode(&page)
+			_ = a.Body.Close()
+			if a.StatusCode != http.StatusOK {
+				return states, a.StatusCode
 			}
 			for _, server := range page.Servers {
 				states[server.ID] = server.State
 			}
 			if page.NextToken == nil {
-				return states, answer.StatusCode
+				return states, a.StatusCode
 			}
 			token = *page.NextToken
 		}
 	}
 	states, _ := list()
-	if len(states) != len(bench.pool.all()) {
-		t.Fatalf("%d servers are listed of %d", len(states), len(bench.pool.all()))
+	if len(states) != len(b.pool.all()) {
+		t.Fatalf("%d servers are listed of %d", len(states), len(b.pool.all()))
 	}
-	leaving := bench.pool.all()[0]
+	leaving := b.pool.all()[0]
 	began := time.Now()
-	go bench.pool.drain(leaving, time.Hour)
+	go b.pool.drain(leaving, time.Hour)
 	for states[leaving.ID] != stateDraining {
 		if time.Since(began) > 5*time.Second {
 			t.Fatal("the list never shows the server leaving")
@@ -243,7 +243,7 @@
 	if took := time.Since(began); took < site.ListLag {
 		t.Errorf("the list showed it after %s", took)
 	}
-	shown := newRecord(bench.book.Events(), site).shown[leaving.ID]
+	shown := newRecord(b.book.Events(), site).shown[leaving.ID]
 	if shown.IsZero() || shown.Sub(began) < site.ListLag {
 		t.Errorf("the book says that it was shown after %s", shown.Sub(began))
 	}
@@ -261,20 +261,20 @@
 // TestAnExtraAnswerComesInThePlaceOfTheNext wants the second request on a circuit to get
 // the first one's answer again.
 func TestAnExtraAnswerComesInThePlaceOfTheNext(t *testing.T) {
-	bench := startBench(t, SmallSite())
-	maker := bench.playing(stageDecode)
-	maker.misbehave(func(misbehaviour *misbehaviour) { misbehaviour.spoils, misbehaviour.late = 1, true })
-	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
-	ask := func(try string) string {
+	b := startBench(t, SmallSite())
+	maker := b.playing(stageDecode)
+	maker.misbehave(func(m *misbehaviour) { m.spoils, m.late = 1, true })
+	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
+	ask := func(tr string) string {
 		outbound, _ := http.NewRequest(http.MethodPost, "http://"+maker.Address+"/chat/1", strings.NewReader("{}"))
-		outbound.Header = http.Header{headerTry: {try}, headerModel: {modelName}, headerTokens: {"10,2"}, headerParts: {"a:10"}, headerDeadline: {"3000"}}
-		answer, err := client.Do(outbound)
+		outbound.Header = http.Header{headerTry: {tr}, headerModel: {modelName}, headerTokens: {"10,2"}, headerParts: {"a:10"}, headerDeadline: {"3000"}}
+		a, err := c.Do(outbound)
 		if err != nil {
 			return ""
 		}
-		_, _ = io.Copy(io.Discard, answer.Body)
-		_ = answer.Body.Close()
-		return answer.Header.Get(headerTry)
+		_, _ = io.Copy(io.Discard, a.Body)
+		_ = a.Body.Close()
+		return a.Header.Get(headerTry)
 	}
 	for number := range 40 {
 		own, other := "own-"+strconv.Itoa(number), "next-"+strconv.Itoa(number)
--- a/internal/testbed/replay/passthrough_test.go
+++ b/internal/testbed/replay/passthrough_test.go
@@ -66,7 +66,7 @@
 		var all []serverPage
 		token := ""
 		for {
-			answer, err := http.Get("http://" + p.settings.PlatformApi.Address + pathServers + "?pageToken=" + token)
+			a, err := http.Get("http://" + p.settings.PlatformApi.Address + pathServers + "?pageToken=" + token)
 			if err != nil {
 				break
 			}
@@ -74,8 +74,8 @@
 				Servers   []serverPage
 				NextToken *string
 			}
-			err = json.NewDecoder(answer.Body).Decode(&page)
-			_ = answer.Body.Close()
+			err = json.NewDecoder(a.Body).Decode(&page)
+			_ = a.Body.Close()
 			all = append(all, page.Servers...)
 			if err != nil || page.NextToken == nil {
 				break
--- a/internal/testbed/replay/process.go
+++ b/internal/testbed/replay/process.go
@@ -61,43 +61,43 @@
 		return failure.Wrap(failure.Disk, err)
 	}
 	words := p.role.words()
-	command := exec.Command(words[0], words[1:]...)
-	command.Env = []string{settingsName + "=" + path}
+	c := exec.Command(words[0], words[1:]...)
+	c.Env = []string{settingsName + "=" + path}
 	for _, name := range []string{"PATH", "HOME", "LANG", "GORACE"} {
-		command.Env = append(command.Env, name+"="+os.Getenv(name))
+		c.Env = append(c.Env, name+"="+os.Getenv(name))
 	}
-	command.Stdout, command.Stderr = log, log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := command.Start(); err != nil {
+	c.Stdout, c.Stderr = log, log
+	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := c.Start(); err != nil {
 		_ = log.Close()
 		return failure.Wrap(failure.Unreachable, err)
 	}
 	ended := make(chan struct{})
-	p.command, p.ended = command, ended
+	p.command, p.ended = c, ended
 	go func() {
-		_ = command.Wait()
+		_ = c.Wait()
 		_ = log.Close()
 		close(ended)
-		p.mourn(command)
+		p.mourn(c)
 	}()
 	return nil
 }
 
 // mourn starts a process again that ended though it was wanted.
-func (p *process) mourn(command *exec.Cmd) {
+func (p *process) mourn(c *exec.Cmd) {
 	p.mutex.Lock()
-	own := p.wanted && p.command == command
+	own := p.wanted && p.command == c
 	p.mutex.Unlock()
 	if !own {
 		return
 	}
-	p.machine.day.Book.Note(Event{Kind: EndedByItself, Machine: p.machine.Name, Cause: p.role.Name + ": " + command.ProcessState.String()})
+	p.machine.day.Book.Note(Event{Kind: EndedByItself, Machine: p.machine.Name, Cause: p.role.Name + ": " + c.ProcessState.String()})
 	if !pause(p.machine.day.lifetime, restartsAfter) {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.wanted && p.command == command && !p.running() {
+	if p.wanted && p.command == c && !p.running() {
 		_ = p.launch()
 	}
 }
@@ -127,25 +127,25 @@
 }
 
 func (p *process) kill() {
-	command, ended := p.unwanted()
-	if command != nil {
-		_ = command.Process.Kill()
+	c, ended := p.unwanted()
+	if c != nil {
+		_ = c.Process.Kill()
 		<-ended
 	}
 }
 
 func (p *process) stop(grace time.Duration) {
-	command, ended := p.unwanted()
-	if command == nil {
+	c, ended := p.unwanted()
+	if c == nil {
 		return
 	}
-	_ = command.Process.Signal(syscall.SIGTERM)
+	_ = c.Process.Signal(syscall.SIGTERM)
 	timer := time.NewTimer(grace)
 	defer timer.Stop()
 	select {
 	case <-ended:
 	case <-timer.C:
-		_ = command.Process.Kill()
+		_ = c.Process.Kill()
 		<-ended
 	}
 }
--- a/internal/testbed/replay/record.go
+++ b/internal/testbed/replay/record.go
@@ -42,27 +42,27 @@
 }
 
 func newRecord(events []Event, site Site) *record {
-	record := &record{events: events, site: site, terms: site.Terms, contact: newContact(events, site.Terms.Contact), tries: map[string]*trySeen{}, requests: map[string][]*trySeen{}, shown: map[string]time.Time{}}
+	r := &record{events: events, site: site, terms: site.Terms, contact: newContact(events, site.Terms.Contact), tries: map[string]*trySeen{}, requests: map[string][]*trySeen{}, shown: map[string]time.Time{}}
 	changes := map[string]*versionSeen{}
 	for _, event := range events {
-		seen := record.tries[event.Try]
+		seen := r.tries[event.Try]
 		if event.Kind == TrySent {
 			seen = &trySeen{sent: event}
-			record.tries[event.Try] = seen
-			record.order = append(record.order, seen)
-			record.requests[event.Request] = append(record.requests[event.Request], seen)
+			r.tries[event.Try] = seen
+			r.order = append(r.order, seen)
+			r.requests[event.Request] = append(r.requests[event.Request], seen)
 		}
 		switch event.Kind {
 		case ChangeSent:
 			changes[event.Change] = &versionSeen{Version: *event.Version, change: event.Change, base: event.Base, invalid: event.Invalid, sent: event.At, outcome: unclear}
-			record.versions = append(record.versions, changes[event.Change])
+			r.versions = append(r.versions, changes[event.Change])
 		case ChangeClosed:
 			if change := changes[event.Change]; change != nil {
 				change.closed, change.outcome = event.At, outcome(event.Cause)
 			}
 		case Shown:
-			if _, known := record.shown[event.Server]; !known {
-				record.shown[event.Server] = event.At
+			if _, known := r.shown[event.Server]; !known {
+				r.shown[event.Server] = event.At
 			}
 		}
 		if seen == nil {
@@ -83,8 +83,8 @@
 			seen.reads = append(seen.reads, event)
 		}
 	}
-	sort.SliceStable(record.versions, func(left, right int) bool { return record.versions[left].Revision < record.versions[right].Revision })
-	return record
+	sort.SliceStable(r.versions, func(left, right int) bool { return r.versions[left].Revision < r.versions[right].Revision })
+	return r
 }
 
 // mayHold tells whether an edition may be in force by a moment.
@@ -135,9 +135,9 @@
 
 // span is the oldest and the newest edition that a handling fits, among those that may be
 // in force by then.
-func (r *record) span(handling handling) (oldest, newest int, found bool) {
+func (r *record) span(h handling) (oldest, newest int, found bool) {
 	for _, version := range r.versions {
-		if version.mayHold(handling.at) && handling.fits(version) {
+		if version.mayHold(h.at) && h.fits(version) {
 			if !found {
 				oldest, found = version.Revision, true
 			}
--- a/internal/testbed/replay/running.go
+++ b/internal/testbed/replay/running.go
@@ -11,17 +11,17 @@
 func (day *Day) Running() []Running {
 	var running []Running
 	for _, machine := range day.all() {
-		for _, process := range machine.processes {
-			process.mutex.Lock()
-			command, ended := process.command, process.ended
-			process.mutex.Unlock()
-			if command == nil {
+		for _, p := range machine.processes {
+			p.mutex.Lock()
+			c, ended := p.command, p.ended
+			p.mutex.Unlock()
+			if c == nil {
 				continue
 			}
 			select {
 			case <-ended:
 			default:
-				running = append(running, Running{Machine: machine.Name, Role: process.role.Name, Number: command.Process.Pid})
+				running = append(running, Running{Machine: machine.Name, Role: p.role.Name, Number: c.Process.Pid})
 			}
 		}
 	}
--- a/internal/testbed/replay/serverpool.go
+++ b/internal/testbed/replay/serverpool.go
@@ -123,7 +123,7 @@
 }
 
 // misbehave makes a server misbehaveFor, or misbehave again.
-func (m *modelServer) misbehave(change func(misbehaviour *misbehaviour)) {
+func (m *modelServer) misbehave(change func(mi *misbehaviour)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	change(&m.misbehaviour)
--- a/internal/testbed/replay/serverscheckers.go
+++ b/internal/testbed/replay/serverscheckers.go
@@ -27,11 +27,11 @@
 
 // checkBudget: in no window a service gets more repeats than its share of the requests,
 // and some.
-func checkBudget(record *record, finding *fleet.Finding) {
+func checkBudget(r *record, finding *fleet.Finding) {
 	extras, requests := map[string][]time.Time{}, map[string][]time.Time{}
-	for _, seen := range record.order {
-		for _, service := range record.site.Services {
-			if slices.ContainsFunc(record.versions, func(version *versionSeen) bool { return version.Allows(seen.sent.Route, service.Name) }) {
+	for _, seen := range r.order {
+		for _, service := range r.site.Services {
+			if slices.ContainsFunc(r.versions, func(version *versionSeen) bool { return version.Allows(seen.sent.Route, service.Name) }) {
 				requests[service.Name] = append(requests[service.Name], seen.sent.At)
 			}
 		}
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	window := record.terms.RetryWindow
+	window := r.terms.RetryWindow
 	worst := 0
 	for service, moments := range extras {
 		sort.Slice(moments, func(left, right int) bool { return moments[left].Before(moments[right]) })
@@ -63,7 +63,7 @@
 				most = max(most, inside)
 			}
 			worst = max(worst, count)
-			if limit := record.terms.RetryRatio*float64(most) + float64(record.terms.RetrySlack); float64(count) > limit {
+			if limit := r.terms.RetryRatio*float64(most) + float64(r.terms.RetrySlack); float64(count) > limit {
 				finding.Violate(fmt.Sprintf("%s got %d repeats in %s, %.0f were allowed", service, count, window, limit))
 			}
 		}
@@ -72,15 +72,15 @@
 }
 
 // checkServers: hardly any try runs on more servers than its route allows.
-func checkServers(record *record, finding *fleet.Finding) {
+func checkServers(r *record, finding *fleet.Finding) {
 	over, example := 0, ""
-	for _, seen := range record.order {
+	for _, seen := range r.order {
 		servers := map[string]bool{}
 		for _, start := range seen.starts {
 			servers[start.Server] = true
 		}
 		finding.Looked++
-		if limit := record.site.classOf(seen.sent.Class).MaxTries; limit > 0 && len(servers) > limit && !record.brokenByServer(seen) {
+		if limit := r.site.classOf(seen.sent.Class).MaxTries; limit > 0 && len(servers) > limit && !r.brokenByServer(seen) {
 			over++
 			example = seen.sent.Try
 		}
@@ -91,10 +91,10 @@
 }
 
 // checkDeadlines: servers are handed no more time than is left.
-func checkDeadlines(record *record, finding *fleet.Finding) {
+func checkDeadlines(r *record, finding *fleet.Finding) {
 	sent, wrong, example := 0, 0, ""
-	for _, seen := range record.order {
-		if !record.contact.inTouch(seen.sent.Machine, seen.sent.At) {
+	for _, seen := range r.order {
+		if !r.contact.inTouch(seen.sent.Machine, seen.sent.At) {
 			continue
 		}
 		for _, arrival := range seen.arrivals {
@@ -114,25 +114,25 @@
 
 // checkOrder: a stream's pieces come in order, none missing and none twice, and those of
 // another run only where the request may be resumed.
-func checkOrder(record *record, finding *fleet.Finding) {
-	for request, tries := range record.requests {
+func checkOrder(r *record, finding *fleet.Finding) {
+	for re, tries := range r.requests {
 		last := 0
 		for _, seen := range tries {
 			run := ""
 			for _, span := range seen.ended.Spans {
 				finding.Looked++
 				if span.From != last+1 || span.To < span.From || span.ID != span.To {
-					finding.Violate(fmt.Sprintf("%s: pieces %d to %d (id %d) behind %d", request, span.From, span.To, span.ID, last))
+					finding.Violate(fmt.Sprintf("%s: pieces %d to %d (id %d) behind %d", re, span.From, span.To, span.ID, last))
 				}
 				if run != "" && run != span.Run && !seen.sent.Repeatable {
-					finding.Violate(fmt.Sprintf("%s: pieces of the runs %s and %s", request, run, span.Run))
+					finding.Violate(fmt.Sprintf("%s: pieces of the runs %s and %s", re, run, span.Run))
 				}
 				last, run = span.To, span.Run
 			}
 			if seen.over && seen.ended.Complete && seen.ended.Status == 200 {
 				finding.Looked++
 				if !slices.ContainsFunc(seen.ends, func(end Event) bool { return end.Complete && end.Tokens == last && (run == "" || end.Seal == run) }) {
-					finding.Violate(fmt.Sprintf("%s: ended as complete with %d pieces, which no run ended with", request, last))
+					finding.Violate(fmt.Sprintf("%s: ended as complete with %d pieces, which no run ended with", re, last))
 				}
 			}
 		}
@@ -140,9 +140,9 @@
 }
 
 // checkFailback: a cold server gets no more requests in a second than it can bear.
-func checkFailback(record *record, finding *fleet.Finding) {
+func checkFailback(r *record, finding *fleet.Finding) {
 	cold := map[string][]Event{}
-	for _, event := range record.events {
+	for _, event := range r.events {
 		if event.Kind == ServerBorn && event.Cold {
 			finding.Looked++
 		}
@@ -152,7 +152,7 @@
 	}
 	worst := 0
 	for server, arrivals := range cold {
-		limit := record.site.shapeOf(arrivals[0].Service).Engine.ColdPerSecond*record.terms.ColdOverrun + float64(record.terms.ColdSlack)
+		limit := r.site.shapeOf(arrivals[0].Service).Engine.ColdPerSecond*r.terms.ColdOverrun + float64(r.terms.ColdSlack)
 		for position, arrival := range arrivals {
 			finding.Looked++
 			// Only requests that were sent in that second as well count.
@@ -162,7 +162,7 @@
 				if arrival.At.Sub(other.At) >= time.Second {
 					break
 				}
-				if seen := record.tries[other.Try]; seen == nil || arrival.At.Sub(seen.sent.At) < time.Second {
+				if seen := r.tries[other.Try]; seen == nil || arrival.At.Sub(seen.sent.At) < time.Second {
 					count++
 				}
 			}
@@ -176,9 +176,9 @@
 }
 
 // checkEvacuated: nothing reaches an evacuated zone's servers.
-func checkEvacuated(record *record, finding *fleet.Finding) {
+func checkEvacuated(r *record, finding *fleet.Finding) {
 	since := map[string]time.Time{}
-	for _, event := range record.events {
+	for _, event := range r.events {
 		switch event.Kind {
 		case Evacuated:
 			since[event.Zone] = event.At
@@ -186,7 +186,7 @@
 			delete(since, event.Zone)
 		case Arrived:
 			begun, evacuated := since[event.Zone]
-			seen := record.tries[event.Try]
+			seen := r.tries[event.Try]
 			if len(since) > 0 && !evacuated {
 				finding.Looked++
 			}
@@ -194,7 +194,7 @@
 				continue
 			}
 			finding.Looked++
-			if late := event.At.Sub(begun); late > record.terms.Evacuate && record.contact.inTouch(seen.sent.Machine, event.At) {
+			if late := event.At.Sub(begun); late > r.terms.Evacuate && r.contact.inTouch(seen.sent.Machine, event.At) {
 				finding.Violate(fmt.Sprintf("%s from %s reached %s in %s %s after its evacuation", event.Try, seen.sent.Machine, event.Server, event.Zone, late))
 			}
 		}
@@ -202,9 +202,9 @@
 }
 
 // checkRecover: after the closing fault requests are served again.
-func checkRecover(record *record, finding *fleet.Finding) {
+func checkRecover(r *record, finding *fleet.Finding) {
 	var struck, back time.Time
-	for _, event := range record.events {
+	for _, event := range r.events {
 		switch event.Kind {
 		case ClosingFault:
 			struck = event.At
@@ -216,19 +216,19 @@
 		return
 	}
 	earlier, later := [2]int{}, [2]int{}
-	for _, seen := range record.order {
+	for _, seen := range r.order {
 		if seen.sent.Probe || seen.sent.Number > 0 {
 			continue
 		}
 		count := &earlier
-		if seen.sent.At.After(back.Add(record.terms.Recovery)) {
+		if seen.sent.At.After(back.Add(r.terms.Recovery)) {
 			count = &later
 		} else if seen.sent.At.After(struck) {
 			continue
 		}
 		finding.Looked++
 		count[0]++
-		if record.servedAt(seen.sent.Request) {
+		if r.servedAt(seen.sent.Request) {
 			count[1]++
 		}
 	}
@@ -239,16 +239,16 @@
 }
 
 // servedAt tells whether a request was answered whole by any of its tries.
-func (r *record) servedAt(request string) bool {
-	return slices.ContainsFunc(r.requests[request], func(seen *trySeen) bool {
+func (r *record) servedAt(re string) bool {
+	return slices.ContainsFunc(r.requests[re], func(seen *trySeen) bool {
 		return seen.over && seen.ended.Complete && seen.ended.Status/100 == 2
 	})
 }
 
 // checkOne: one holder at a time orders a server about, with fences that rise.
-func checkOne(record *record, finding *fleet.Finding) {
+func checkOne(r *record, finding *fleet.Finding) {
 	last, holders := map[string]Event{}, map[string]string{}
-	for _, event := range record.events {
+	for _, event := range r.events {
 		if event.Kind != Ordered || event.Status == 421 || event.Status == 400 {
 			continue
 		}
@@ -258,7 +258,7 @@
 			switch {
 			case event.FencingToken < earlier.FencingToken:
 				finding.Violate(fmt.Sprintf("%s got fence %d of %s after fence %d of %s", event.Server, event.FencingToken, event.Owner, earlier.FencingToken, earlier.Owner))
-			case event.Owner != earlier.Owner && event.At.Sub(earlier.At) < record.terms.Lease:
+			case event.Owner != earlier.Owner && event.At.Sub(earlier.At) < r.terms.Lease:
 				finding.Violate(fmt.Sprintf("%s got orders of %s and of %s within %s", event.Server, earlier.Owner, event.Owner, event.At.Sub(earlier.At)))
 			}
 		}
@@ -271,11 +271,11 @@
 }
 
 // checkGone: what its client has left is given up.
-func checkGone(record *record, finding *fleet.Finding) {
+func checkGone(r *record, finding *fleet.Finding) {
 	const soon = 500 * time.Millisecond
 	late, lasting, working := 0, 0, 0
-	for _, seen := range record.order {
-		if !seen.over || !seen.ended.GaveUp || !record.contact.inTouch(seen.sent.Machine, seen.sent.At) {
+	for _, seen := range r.order {
+		if !seen.over || !seen.ended.GaveUp || !r.contact.inTouch(seen.sent.Machine, seen.sent.At) {
 			continue
 		}
 		left := seen.ended.At
@@ -304,8 +304,8 @@
 }
 
 // checkEnded: no process ends by itself.
-func checkEnded(record *record, finding *fleet.Finding) {
-	for _, event := range record.events {
+func checkEnded(r *record, finding *fleet.Finding) {
+	for _, event := range r.events {
 		if event.Kind == MachineUp {
 			finding.Looked++
 		}
--- a/internal/testbed/replay/site.go
+++ b/internal/testbed/replay/site.go
@@ -58,7 +58,7 @@
 // SmallSite is a light deployment close to the users' small ones: three zones, a
 // machine with a disk and one without in each, two services.
 func SmallSite() Site {
-	engine := Shape{
+	e := Shape{
 		Slots: 24, Queue: 48, Connections: 200, Step: 3100 * time.Microsecond, StepPerSlot: 100 * time.Microsecond, TokensPerMillisecond: 57,
 		Chunk: 4096, Block: 16, Capacity: 290_000, TokenBytes: 18_432, LinkMegabits: 550_000, Setup: 3300 * time.Microsecond,
 		HandleLifetime: 5 * time.Second, Switch: 1500 * time.Millisecond, ReportLag: 100 * time.Millisecond,
@@ -69,7 +69,7 @@
 	return Site{
 		Region: "coast", Zones: []string{"quay-hall", "hill-hall", "mill-hall"}, Plain: 1, Terms: UsualTerms(), Clients: 6, Rate: 20,
 		ListLag: 800 * time.Millisecond, ListRate: 40,
-		Services: []ServiceShape{{Name: "desk", PerZone: 2, Readers: 2, Engine: engine}, {Name: "annexe", PerZone: 1, Readers: 1, Engine: engine}, {Name: "till", PerZone: 1, Engine: till}},
+		Services: []ServiceShape{{Name: "desk", PerZone: 2, Readers: 2, Engine: e}, {Name: "annexe", PerZone: 1, Readers: 1, Engine: e}, {Name: "till", PerZone: 1, Engine: till}},
 		Classes: []Class{
 			{Name: "verdict", Service: "desk", Share: 0.45, Aim: 400 * time.Millisecond, Deadline: 3 * time.Second, Pause: 250 * time.Millisecond, Resumable: true,
 				MaxTries: 2, Priority: 0, Retries: 1, Shared: []SharedPart{{4, 2520}, {40, 3780}}, OwnTokens: 2890, MostTokens: 8, BodyBytes: 18_000},
--- a/internal/testbed/replay/try.go
+++ b/internal/testbed/replay/try.go
@@ -87,7 +87,7 @@
 
 func (try *try) read(connection *conn, outbound *http.Request) {
 	try.listen(connection)
-	answer, err := http.ReadResponse(connection.reader, outbound)
+	a, err := http.ReadResponse(connection.reader, outbound)
 	if err != nil {
 		try.ends(err)
 		if strings.Contains(err.Error(), "malformed") {
@@ -95,26 +95,26 @@
 		}
 		return
 	}
-	defer func() { _ = answer.Body.Close() }()
-	try.event.Status, try.event.Seal, try.event.Bears = answer.StatusCode, answer.Header.Get(headerSeal), answer.Header.Get(headerTry)
-	if text := answer.Header.Get(headerRetryAfter); text != "" {
+	defer func() { _ = a.Body.Close() }()
+	try.event.Status, try.event.Seal, try.event.Bears = a.StatusCode, a.Header.Get(headerSeal), a.Header.Get(headerTry)
+	if text := a.Header.Get(headerRetryAfter); text != "" {
 		seconds, _ := strconv.ParseFloat(text, 64)
 		try.retry = time.Duration(seconds * float64(time.Second))
 	}
-	if answer.StatusCode/100 != 2 {
-		_, err = io.Copy(io.Discard, answer.Body)
+	if a.StatusCode/100 != 2 {
+		_, err = io.Copy(io.Discard, a.Body)
 	} else if try.one.class.Plain {
-		err = try.readWhole(answer.Body)
+		err = try.readWhole(a.Body)
 	} else {
-		err = try.readStream(connection, answer.Body)
+		err = try.readStream(connection, a.Body)
 	}
 	if err != nil {
 		try.ends(err)
 		return
 	}
 	try.event.Complete = true
-	try.keeps = !answer.Close
-	connection.rests = time.Now().Add(restsFor(answer.Header.Get("Keep-Alive")))
+	try.keeps = !a.Close
+	connection.rests = time.Now().Add(restsFor(a.Header.Get("Keep-Alive")))
 }
 
 // restsFor is how long a client takes up a resting circuit again.
--- a/internal/testbed/replay/verdict.go
+++ b/internal/testbed/replay/verdict.go
@@ -15,13 +15,13 @@
 
 // Judge holds every rule against what was seen.
 func Judge(events []Event, site Site) Verdict {
-	record, verdict := newRecord(events, site), Verdict{}
+	r, verdict := newRecord(events, site), Verdict{}
 	for _, checker := range checkers {
 		finding := fleet.Finding{Checker: checker.name}
-		checker.check(record, &finding)
+		checker.check(r, &finding)
 		verdict.Findings = append(verdict.Findings, finding)
 	}
-	verdict.Figures = figuresOf(record)
+	verdict.Figures = figuresOf(r)
 	return verdict
 }
 
--- a/internal/testbed/simulation/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -36,11 +36,11 @@
 // come back, or ignores it, or asks elsewhere after a broken circuit.
 func (w *World) caller(question fleet.Question, zone string) {
 	for arrival := range 3 {
-		machine := w.routerFor(zone)
-		if machine == nil {
+		m := w.routerFor(zone)
+		if m == nil {
 			return
 		}
-		reply, retry := w.send(machine, zone, question, arrival)
+		reply, retry := w.send(m, zone, question, arrival)
 		again, pause := w.random.IntN(4), time.Duration(w.random.IntN(300))*time.Millisecond
 		switch {
 		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && again < 2:
@@ -64,11 +64,11 @@
 // routerFor is a courier of the district that runs, or any that does.
 func (w *World) routerFor(zone string) *machine {
 	var near, any []*machine
-	for _, machine := range w.machines {
-		if machine.kind == membership.Router && machine.incarnation != nil && !machine.incarnation.ended && !machine.gone {
-			any = append(any, machine)
-			if machine.zone == zone {
-				near = append(near, machine)
+	for _, m := range w.machines {
+		if m.kind == membership.Router && m.incarnation != nil && !m.incarnation.ended && !m.gone {
+			any = append(any, m)
+			if m.zone == zone {
+				near = append(near, m)
 			}
 		}
 	}
@@ -112,9 +112,9 @@
 }
 
 // send sends one inquiry to a courier and writes its reply down.
-func (w *World) send(machine *machine, zone string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
+func (w *World) send(m *machine, zone string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
 	began := w.now
-	entry := fleet.Entry{Request: question.ID, Router: machine.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Chunks,
+	entry := fleet.Entry{Request: question.ID, Router: m.name, Service: question.Service, Repeatable: question.Repeatable, Asked: question.Chunks,
 		Arrival: arrival, Zone: zone}
 	sent := entry
 	sent.Kind = fleet.Sent
@@ -123,7 +123,7 @@
 	if w.random.IntN(40) == 0 {
 		leavesAt = w.random.IntN(question.Chunks + 1)
 	}
-	retry := w.exchange(machine, question, leavesAt, &entry)
+	retry := w.exchange(m, question, leavesAt, &entry)
 	entry.Kind, entry.Took = fleet.Replied, w.now-began
 	w.Book.Note(entry)
 	return entry, retry
@@ -131,12 +131,12 @@
 
 // exchange carries one inquiry to a courier and reads what comes back; it tells
 // when the caller may come again.
-func (w *World) exchange(machine *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
+func (w *World) exchange(m *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
 	body, _ := json.Marshal(question)
-	there, conduct := machine.incarnation, machine.router
-	replies := newPipe(w, machine.name, "outside", w.outside)
+	there, conduct := m.incarnation, m.router
+	replies := newPipe(w, m.name, "outside", w.outside)
 	caller := &client{world: w, there: there, pipe: replies}
-	w.carry("outside", machine.name, nil, func() {
+	w.carry("outside", m.name, nil, func() {
 		if there.ended {
 			replies.snap()
 			return
@@ -150,8 +150,8 @@
 					return
 				}
 				if !request.Repeatable {
-					w.claiming[machine.name]++
-					defer func() { w.claiming[machine.name]-- }()
+					w.claiming[m.name]++
+					defer func() { w.claiming[m.name]-- }()
 				}
 				conduct.Serve(hatch.Arrival{Request: request, Body: body}, caller)
 			})
@@ -189,12 +189,12 @@
 
 // lookAtRevision asks a courier, as a caller, which edition is in force there:
 // the route that refuses the service "edition" is named by it.
-func (w *World) lookAtRevision(machine *machine) {
+func (w *World) lookAtRevision(m *machine) {
 	began := w.now
 	entry := fleet.Entry{}
 	question := fleet.Question{ID: "look-" + w.nonce(), Service: "edition", Repeatable: true, Limit: 1000, PromptTokens: 1, Chunks: 1}
 	body, _ := json.Marshal(question)
-	there, conduct := machine.incarnation, machine.router
+	there, conduct := m.incarnation, m.router
 	// A restricted courier passes on: what one sees there is another's.
 	if there == nil || there.ended || there.frozen || conduct == nil || conduct.Core().Restricted() {
 		return
@@ -213,7 +213,7 @@
 			}
 			if number, found := strings.CutPrefix(detail, "edition-"); found {
 				revision, _ := strconv.Atoi(number)
-				entry = fleet.Entry{Kind: fleet.RevisionSeen, Router: machine.name, Revision: revision, Took: w.now - began}
+				entry = fleet.Entry{Kind: fleet.RevisionSeen, Router: m.name, Revision: revision, Took: w.now - began}
 				w.Book.Note(entry)
 			}
 		}})
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -40,14 +40,14 @@
 }
 
 // ran notes that a server began the call.
-func (w *worldCall) ran(server string) {
+func (w *worldCall) ran(s string) {
 	w.runs++
 	w.world.calls.Runs++
 	if w.runs > 1 && !w.repeatable {
-		w.world.calls.violate("%s runs once more, at %s", w.call.ID, server)
+		w.world.calls.violate("%s runs once more, at %s", w.call.ID, s)
 	}
 	if w.promised {
-		w.world.calls.violate("%s was promised never to run and runs at %s", w.call.ID, server)
+		w.world.calls.violate("%s was promised never to run and runs at %s", w.call.ID, s)
 	}
 }
 
@@ -70,14 +70,14 @@
 }
 
 // prepareCalls gives a courier what serves opaque calls, where the world has them.
-func (w *World) prepareCalls(machine *machine, begun *incarnation, options *hatch.RouterOptions) {
-	machine.calls = nil
+func (w *World) prepareCalls(m *machine, begun *incarnation, options *hatch.RouterOptions) {
+	m.calls = nil
 	if !w.ways.Calls {
 		return
 	}
 	options.Board = func(deciding *scheduler.Window) hatch.Board {
-		machine.calls = hatch.NewCalls(begun, deciding, func([]membership.Server) {})
-		return machine.calls
+		m.calls = hatch.NewCalls(begun, deciding, func([]membership.Server) {})
+		return m.calls
 	}
 }
 
@@ -85,54 +85,54 @@
 func (w *World) originsOfCalls(until time.Duration) {
 	for number := 0; w.now < until; number++ {
 		w.outside.NewCond().Wait(min(time.Second, time.Duration(w.random.ExpFloat64()/20*float64(time.Second))), never)
-		call := &worldCall{world: w, repeatable: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
-		call.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + w.random.IntN(12_000), OutputTokens: 400,
+		c := &worldCall{world: w, repeatable: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
+		c.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + w.random.IntN(12_000), OutputTokens: 400,
 			Parts: []scheduler.Part{{ID: 1, Tokens: 50}, {ID: uint64(10 + w.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
-		if call.repeatable {
-			call.call.Path = "/again/x"
+		if c.repeatable {
+			c.call.Path = "/again/x"
 		}
 		zone := w.deployment.Zones[w.random.IntN(len(w.deployment.Zones))]
 		last := w.now > until-5*time.Second
-		w.outside.Go(func() { w.clientOfCall(call, zone, last) })
+		w.outside.Go(func() { w.clientOfCall(c, zone, last) })
 	}
 }
 
 // clientOfCall sends one call to a courier and holds what comes back against what ran.
-func (w *World) clientOfCall(call *worldCall, zone string, last bool) {
+func (w *World) clientOfCall(c *worldCall, zone string, last bool) {
 	counter := w.calls
-	machine := w.routerFor(zone)
-	if machine == nil || machine.calls == nil {
+	m := w.routerFor(zone)
+	if m == nil || m.calls == nil {
 		return
 	}
 	counter.Sent++
 	if last {
 		counter.Last++
 	}
-	there, conduct := machine.incarnation, machine.calls
-	exchange := &callExchange{incarnation: there, call: call, replies: newPipe(w, machine.name, "outside", w.outside)}
-	w.carry("outside", machine.name, nil, func() {
+	there, conduct := m.incarnation, m.calls
+	e := &callExchange{incarnation: there, call: c, replies: newPipe(w, m.name, "outside", w.outside)}
+	w.carry("outside", m.name, nil, func() {
 		if there.ended {
-			exchange.replies.snap()
+			e.replies.snap()
 			return
 		}
-		forget := there.atEnd(exchange.replies.snap)
+		forget := there.atEnd(e.replies.snap)
 		w.after(0, there, func() {
 			there.Go(func() {
 				defer forget()
-				call.call.Ends = there.Now().Add(callLimit)
-				conduct.Serve(call.call, exchange)
-				exchange.replies.put(callOver{})
+				c.call.Ends = there.Now().Add(callLimit)
+				conduct.Serve(c.call, e)
+				e.replies.put(callOver{})
 			})
 		})
 	})
 	leaves := w.random.IntN(30) == 0
 	passed := 0
 	for {
-		message, found := exchange.replies.take(callLimit+3*time.Second, never)
+		message, found := e.replies.take(callLimit+3*time.Second, never)
 		if !found || leaves && passed > 1 {
-			exchange.left = true
-			if exchange.under != nil {
-				exchange.under.replies.cond.Broadcast()
+			e.left = true
+			if e.under != nil {
+				e.under.replies.cond.Broadcast()
 			}
 			counter.Broken++
 			return
@@ -140,12 +140,12 @@
 		switch said := message.(type) {
 		case callChunkSent:
 			passed++
-			if said.id != call.call.ID || said.number != passed {
-				counter.violate("%s got piece %d of %s in the place of %d", call.call.ID, said.number, said.id, passed)
+			if said.id != c.call.ID || said.number != passed {
+				counter.violate("%s got piece %d of %s in the place of %d", c.call.ID, said.number, said.id, passed)
 			}
 		case callStreamEnd:
-			if passed != call.chunks {
-				counter.violate("%s is complete with %d pieces of %d", call.call.ID, passed, call.chunks)
+			if passed != c.chunks {
+				counter.violate("%s is complete with %d pieces of %d", c.call.ID, passed, c.chunks)
 			}
 			counter.Complete++
 			if last {
@@ -157,9 +157,9 @@
 				break
 			}
 			counter.Refused++
-			call.promised = true
-			if call.runs > 0 {
-				counter.violate("%s was refused with %d and had run", call.call.ID, said.Status)
+			c.promised = true
+			if c.runs > 0 {
+				counter.violate("%s was refused with %d and had run", c.call.ID, said.Status)
 			}
 		case callOver:
 			return
@@ -251,27 +251,27 @@
 	}
 	c.under = sending
 	defer sending.stop()
-	outcome := scheduler.Outcome{}
+	o := scheduler.Outcome{}
 	patience := c.patience(decision)
 	for {
 		message, found := c.wait(sending, patience)
 		if !found {
-			outcome.Result = c.lost(sending)
-			return outcome
+			o.Result = c.lost(sending)
+			return o
 		}
-		if outcome.First.IsZero() {
+		if o.First.IsZero() {
 			if last > 0 {
 				c.incarnation.world.tempt("a stream of a call that went on elsewhere")
 			}
-			outcome.First = c.incarnation.Now()
+			o.First = c.incarnation.Now()
 			began()
 		}
 		switch said := message.(type) {
 		case callChunkSent:
 			c.passed = said.number
 			if !c.replies.put(said) {
-				outcome.Result = scheduler.Gone
-				return outcome
+				o.Result = scheduler.Gone
+				return o
 			}
 			patience = decision.Ends.Sub(c.incarnation.Now()) + callMargin
 			if decision.Silence > 0 {
@@ -281,8 +281,8 @@
 			return c.refused(said)
 		case callStreamEnd:
 			c.replies.put(said)
-			outcome.Result = scheduler.Complete
-			return outcome
+			o.Result = scheduler.Complete
+			return o
 		}
 	}
 }
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -51,7 +51,7 @@
 type callStreamEnd struct{}
 
 // read reads a prompt and keeps its memory.
-func (c *callServer) read(top *fleet.Engine, connection *fleet.Connection, call *worldCall, name string) any {
+func (c *callServer) read(top *fleet.Engine, connection *fleet.Connection, w *worldCall, name string) any {
 	switch {
 	case name != c.name || top.Part() != "prefill":
 		return callRefusal{misdirected}
@@ -60,16 +60,16 @@
 	}
 	c.reading++
 	defer func() { c.reading-- }()
-	if !connection.Pause(time.Duration(call.call.PromptTokens/callTokens) * time.Millisecond) {
+	if !connection.Pause(time.Duration(w.call.PromptTokens/callTokens) * time.Millisecond) {
 		return nil
 	}
 	handle := c.world.nonce()
-	c.handles[handle] = &callMemory{id: call.call.ID, lapses: c.world.now + callHandle}
+	c.handles[handle] = &callMemory{id: w.call.ID, lapses: c.world.now + callHandle}
 	return callRead{handle}
 }
 
 // run makes a stream, behind the event that its origin had last.
-func (c *callServer) run(top *fleet.Engine, connection *fleet.Connection, call *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
+func (c *callServer) run(top *fleet.Engine, connection *fleet.Connection, w *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
 	switch {
 	case name != c.name || top.Part() != "decode":
 		return callRefusal{misdirected}
@@ -95,22 +95,22 @@
 			return callRefusal{http.StatusServiceUnavailable}
 		}
 		delete(there.handles, source.Handle)
-		if memory.id != call.call.ID {
-			c.world.calls.violate("%s goes on from the memory of %s", call.call.ID, memory.id)
+		if memory.id != w.call.ID {
+			c.world.calls.violate("%s goes on from the memory of %s", w.call.ID, memory.id)
 		}
 	}
-	call.ran(c.name)
+	w.ran(c.name)
 	if c.world.random.IntN(100) == 0 {
 		c.world.tempt("a call that began and broke before its first event")
 		return nil
 	}
-	if source == nil && !connection.Pause(time.Duration(2*call.call.PromptTokens/callTokens)*time.Millisecond) {
+	if source == nil && !connection.Pause(time.Duration(2*w.call.PromptTokens/callTokens)*time.Millisecond) {
 		return nil
 	}
-	for number := last + 1; number <= call.chunks; number++ {
+	for number := last + 1; number <= w.chunks; number++ {
 		for top.Dark() && connection.Pause(time.Second) {
 		}
-		if !connection.Pause(callChunk) || !send(callChunkSent{call.call.ID, number}) {
+		if !connection.Pause(callChunk) || !send(callChunkSent{w.call.ID, number}) {
 			return nil
 		}
 	}
@@ -128,13 +128,13 @@
 
 // send sends a call to a server and gives what it answers to the pipe; nil means
 // that certainly nothing went.
-func (c *callExchange) send(server membership.Server, serve func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any) *callSending {
+func (c *callExchange) send(s membership.Server, serve func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any) *callSending {
 	world, here := c.incarnation.world, c.incarnation
-	to := world.nameAt(server.Address)
+	to := world.nameAt(s.Address)
 	sending := &callSending{replies: newPipe(world, to, here.name, here)}
 	arrive := func() {
 		there := world.servers[to]
-		if there == nil || there.incarnation.ended || there.incarnation.address != server.Address {
+		if there == nil || there.incarnation.ended || there.incarnation.address != s.Address {
 			sending.refused = true
 			sending.replies.snap()
 			return
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -93,14 +93,14 @@
 		{"the primary's disk is slow", 1, func(world *World) time.Duration { return world.slowDisk(world.primary()) }},
 		{"the backup's disk is slow", 1, func(world *World) time.Duration { return world.slowDisk(world.backup()) }},
 		{"all processes are killed at once", 1, func(world *World) time.Duration {
-			var killed []*machine
-			for _, machine := range world.nodes(membership.Controller) {
-				world.kill(machine)
-				killed = append(killed, machine)
+			var k []*machine
+			for _, m := range world.nodes(membership.Controller) {
+				world.kill(m)
+				k = append(k, m)
 			}
 			world.run(world.now + time.Duration(100+world.random.IntN(900))*time.Millisecond)
-			for _, machine := range killed {
-				world.start(machine)
+			for _, ma := range k {
+				world.start(ma)
 			}
 			return world.now
 		}},
@@ -110,9 +110,9 @@
 			from := world.now
 			world.kill(primary)
 			var others []*machine
-			for _, machine := range world.nodes(membership.Controller) {
-				if machine != primary {
-					others = append(others, machine)
+			for _, mc := range world.nodes(membership.Controller) {
+				if mc != primary {
+					others = append(others, mc)
 				}
 			}
 			other := others[world.random.IntN(len(others))]
@@ -137,11 +137,11 @@
 		}},
 		{"two disks are wiped, the others go on", 2, func(world *World) time.Duration {
 			from := world.now
-			for _, machine := range world.anyTwo() {
-				world.wipe(machine)
+			for _, mch := range world.anyTwo() {
+				world.wipe(mch)
 				world.outside.Go(func() {
 					world.wait(200, 6000)
-					world.start(machine)
+					world.start(mch)
 				})
 			}
 			return from
@@ -197,13 +197,13 @@
 func (w *World) TryCore(trouble string) CoreTrial {
 	w.diskSync = time.Duration(2+3*w.random.IntN(2)) * time.Millisecond
 	w.ways.AcknowledgeWait, w.ways.FormOnce = time.Second, true
-	for _, machine := range w.machines {
-		if machine.disk != nil {
-			machine.disk.sync = w.diskSync
+	for _, m := range w.machines {
+		if m.disk != nil {
+			m.disk.sync = w.diskSync
 		}
 		w.outside.Go(func() {
 			w.wait(0, 400)
-			w.start(machine)
+			w.start(m)
 		})
 	}
 	w.outside.Go(func() { w.watchPrimaries(time.Hour) })
@@ -213,17 +213,17 @@
 		return trial
 	}
 	w.ways.JoinOnly = true
-	marks := &marks{world: w}
+	ma := &marks{world: w}
 	for range 3 + w.random.IntN(3) {
-		marks.next(w.now)
+		ma.next(w.now)
 		w.run(w.now + time.Duration(w.random.IntN(700))*time.Millisecond)
 		w.since(w.now, w.whole)
 	}
-	marks.next(w.now)
+	ma.next(w.now)
 	for _, known := range coreTroubles() {
 		if known.name == trouble {
 			w.say("trouble: %s", trouble)
-			trial.Took = marks.longest(known.run(w))
+			trial.Took = ma.longest(known.run(w))
 		}
 	}
 	w.say("acknowledged after %s", trial.Took)
@@ -231,9 +231,9 @@
 	w.mend()
 	trial.Whole = w.since(w.now, w.whole) >= 0
 	for range 2 {
-		marks.next(w.now)
+		ma.next(w.now)
 	}
-	trial.Lost, trial.Twice = marks.lost(), w.twice
+	trial.Lost, trial.Twice = ma.lost(), w.twice
 	return trial
 }
 
@@ -285,12 +285,12 @@
 
 // editSomewhere has every expediter that leads carry a change out.
 func (w *World) editSomewhere(edit hatch.Edit) bool {
-	for _, machine := range w.nodes(membership.Controller) {
-		if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil || !machine.control.Coordinator().Holds() {
+	for _, m := range w.nodes(membership.Controller) {
+		if m.incarnation == nil || m.incarnation.ended || m.control == nil || !m.control.Coordinator().Holds() {
 			continue
 		}
-		control := machine.control
-		_, err := w.outside.ask(machine.name, operatorPatience, func(*incarnation) (any, error) { return control.Edit(edit) })
+		control := m.control
+		_, err := w.outside.ask(m.name, operatorPatience, func(*incarnation) (any, error) { return control.Edit(edit) })
 		if err == nil {
 			return true
 		}
@@ -320,17 +320,17 @@
 }
 
 // wipe takes a machine's power and disk.
-func (w *World) wipe(machine *machine) {
-	w.say("%s loses its disk", machine.name)
-	w.powerOff(machine.name)
-	machine.disk = newDisk(w)
+func (w *World) wipe(m *machine) {
+	w.say("%s loses its disk", m.name)
+	w.powerOff(m.name)
+	m.disk = newDisk(w)
 }
 
-func (w *World) back(machine *machine, least, most int) time.Duration {
+func (w *World) back(m *machine, least, most int) time.Duration {
 	from := w.now
 	w.outside.Go(func() {
 		w.wait(least, most)
-		w.start(machine)
+		w.start(m)
 	})
 	return from
 }
@@ -349,20 +349,20 @@
 			}
 		}
 	}
-	for position, machine := range machines {
+	for position, m := range machines {
 		if position < wiped {
-			w.wipe(machine)
+			w.wipe(m)
 		} else {
-			w.powerOff(machine.name)
+			w.powerOff(m.name)
 		}
 	}
 	w.run(w.now + time.Second)
 	late := w.random.IntN(2) * 5000
-	for position, machine := range machines {
+	for position, ma := range machines {
 		if position < wiped && late > 0 {
-			w.back(machine, 0, late)
+			w.back(ma, 0, late)
 		} else {
-			w.start(machine)
+			w.start(ma)
 		}
 	}
 	return w.now
@@ -418,13 +418,13 @@
 
 // oneWay cuts a machine off in one direction for some seconds, and tells by what it
 // gives whether that is over.
-func (w *World) oneWay(machine *machine, inwards bool) (over func() bool) {
-	ended := false
+func (w *World) oneWay(m *machine, inwards bool) (over func() bool) {
+	e := false
 	w.outside.Go(func() {
-		w.isolate(machine.name, inwards, !inwards)
-		ended = true
+		w.isolate(m.name, inwards, !inwards)
+		e = true
 	})
-	return func() bool { return ended }
+	return func() bool { return e }
 }
 
 // replaceAmidOneWay replaces a machine while the primary is cut off one way. Those are
@@ -441,14 +441,14 @@
 }
 
 // hang lets no sync of a disk end for 3.5 s.
-func (w *World) hang(machine *machine) time.Duration {
-	machine.disk.hangs = w.now + 3500*time.Millisecond
+func (w *World) hang(m *machine) time.Duration {
+	m.disk.hangs = w.now + 3500*time.Millisecond
 	return w.now
 }
 
 // slowDisk makes a disk 25 to 30 times as slow.
-func (w *World) slowDisk(machine *machine) time.Duration {
-	machine.disk.slow = 25 + w.random.IntN(6)
+func (w *World) slowDisk(m *machine) time.Duration {
+	m.disk.slow = 25 + w.random.IntN(6)
 	return w.now
 }
 
@@ -465,16 +465,16 @@
 		zone = w.primary().zone
 	}
 	from := w.now
-	for _, machine := range w.nodes(membership.Controller) {
-		if machine.zone != zone {
+	for _, m := range w.nodes(membership.Controller) {
+		if m.zone != zone {
 			continue
 		}
 		if disks {
-			w.wipe(machine)
+			w.wipe(m)
 		} else {
-			w.powerOff(machine.name)
+			w.powerOff(m.name)
 		}
-		w.back(machine, 4000, 6000)
+		w.back(m, 4000, 6000)
 	}
 	return from
 }
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -74,8 +74,8 @@
 	return false
 }
 
-func newIdentity(world *World, machine *machine) replication.Identity {
-	return replication.Identity(machine.name + "/" + world.nonce())
+func newIdentity(world *World, m *machine) replication.Identity {
+	return replication.Identity(m.name + "/" + world.nonce())
 }
 
 // Run lets a day pass and judges it.
@@ -89,19 +89,19 @@
 	// On every other day some nodes begin as the older release, and become the
 	// newest one after another.
 	if w.random.IntN(2) == 0 {
-		for _, machine := range w.machines {
+		for _, m := range w.machines {
 			if w.random.IntN(3) == 0 {
-				machine.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
+				m.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
 			}
 		}
 	}
-	for _, machine := range w.machines {
+	for _, ma := range w.machines {
 		w.outside.Go(func() {
 			w.wait(0, 400)
-			if day.Forming && machine.kind == membership.Controller {
+			if day.Forming && ma.kind == membership.Controller {
 				w.wait(0, 4000)
 			}
-			w.start(machine)
+			w.start(ma)
 		})
 	}
 	if day.Forming {
@@ -147,10 +147,10 @@
 	}
 	result := Result{Verdict: fleet.Judge(w.Book.Entries()), Whole: w.whole(), Twice: w.twice, Temptations: w.temptations, Steps: w.acted, Calls: *w.calls}
 	result.Runtime, result.Flaps = rt(w.Book.Entries())
-	for _, incarnation := range w.incarnations {
-		if !incarnation.ended {
-			incarnation.ended = true
-			w.dead = append(w.dead, incarnation)
+	for _, i := range w.incarnations {
+		if !i.ended {
+			i.ended = true
+			w.dead = append(w.dead, i)
 		}
 	}
 	w.bury()
@@ -160,11 +160,11 @@
 // upgradeAll makes every node the newest release, one after another, as an
 // operator does at the end of a roll-out.
 func (w *World) upgradeAll() {
-	for _, machine := range w.nodes("") {
-		if len(machine.withheld) > 0 {
-			machine.withheld = nil
+	for _, m := range w.nodes("") {
+		if len(m.withheld) > 0 {
+			m.withheld = nil
 			w.tempt("a node restarted as a newer release")
-			w.killFor(machine, 50, 300)
+			w.killFor(m, 50, 300)
 			w.wait(300, 600)
 		}
 	}
@@ -214,8 +214,8 @@
 func (w *World) watchPrimaries(until time.Duration) {
 	for w.now < until {
 		holders := 0
-		for _, machine := range w.machines {
-			if machine.incarnation != nil && !machine.incarnation.ended && !machine.incarnation.frozen && machine.control != nil && machine.control.Coordinator().Holds() {
+		for _, m := range w.machines {
+			if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.frozen && m.control != nil && m.control.Coordinator().Holds() {
 				holders++
 			}
 		}
@@ -231,20 +231,20 @@
 func (w *World) drawFaults(from, until time.Duration, only string) {
 	all := faults()
 	total := 0
-	for _, fault := range all {
-		total += fault.weight
+	for _, f := range all {
+		total += f.weight
 	}
 	w.outside.NewCond().Wait(from-w.now, never)
 	for w.now < until {
 		drawn := w.random.IntN(total)
-		for _, fault := range all {
-			if only != "" && fault.name != only {
+		for _, fa := range all {
+			if only != "" && fa.name != only {
 				continue
 			}
-			if drawn -= fault.weight; drawn < 0 || only != "" {
-				w.say("fault: %s", fault.name)
-				w.Book.Note(fleet.Entry{Kind: fleet.FaultBegan, Cause: fault.name})
-				w.outside.Go(func() { fault.run(w) })
+			if drawn -= fa.weight; drawn < 0 || only != "" {
+				w.say("fault: %s", fa.name)
+				w.Book.Note(fleet.Entry{Kind: fleet.FaultBegan, Cause: fa.name})
+				w.outside.Go(func() { fa.run(w) })
 				break
 			}
 		}
@@ -256,17 +256,17 @@
 func (w *World) mend() {
 	w.heal()
 	w.platform.down, w.loseAnswers = false, 0
-	for _, machine := range w.machines {
-		if machine.gone {
+	for _, m := range w.machines {
+		if m.gone {
 			continue
 		}
-		if machine.disk != nil {
-			machine.disk.full, machine.disk.damage, machine.disk.powerFailsIn, machine.disk.slow = false, 0, 0, 0
+		if m.disk != nil {
+			m.disk.full, m.disk.damage, m.disk.powerFailsIn, m.disk.slow = false, 0, 0, 0
 		}
-		if machine.incarnation != nil && machine.incarnation.frozen && !machine.incarnation.ended {
-			machine.incarnation.wake()
+		if m.incarnation != nil && m.incarnation.frozen && !m.incarnation.ended {
+			m.incarnation.wake()
 		}
-		w.start(machine)
+		w.start(m)
 	}
 }
 
@@ -288,8 +288,8 @@
 	case "primary":
 		w.killFor(w.primary(), 500, 3000)
 	case "power":
-		for _, machine := range w.nodes("") {
-			w.outside.Go(func() { w.powerOffFor(machine, 200, 1500) })
+		for _, m := range w.nodes("") {
+			w.outside.Go(func() { w.powerOffFor(m, 200, 1500) })
 		}
 	}
 }
--- a/internal/testbed/simulation/disk.go
+++ b/internal/testbed/simulation/disk.go
@@ -39,8 +39,8 @@
 func (d *disk) spend() {
 	length := d.sync * time.Duration(max(d.slow, 1))
 	length = max(length, d.hangs-d.world.now)
-	thread := d.world.running
-	if length <= 0 || thread == nil || d.owner != thread.incarnation {
+	t := d.world.running
+	if length <= 0 || t == nil || d.owner != t.incarnation {
 		return
 	}
 	d.owner.NewCond().Wait(length, never)
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -30,15 +30,15 @@
 		{"power fails at a disk's act", 8, powerFails},
 		{"a disk is lost", 5, loseDisk},
 		{"a full disk", 2, func(world *World) {
-			machine := world.anyNode(membership.Controller)
-			machine.disk.full = true
+			m := world.anyNode(membership.Controller)
+			m.disk.full = true
 			world.wait(500, 4000)
-			machine.disk.full = false
+			m.disk.full = false
 		}},
 		{"a damaged file", 3, func(world *World) {
-			machine := world.anyNode(membership.Controller)
-			machine.disk.damage = 1 + world.random.IntN(2)
-			world.killFor(machine, 100, 500)
+			ma := world.anyNode(membership.Controller)
+			ma.disk.damage = 1 + world.random.IntN(2)
+			world.killFor(ma, 100, 500)
 		}},
 		{"an expediter is stopped in order", 3, func(world *World) { world.stopFor(world.anyNode(membership.Controller), 200, 3000) }},
 		{"the primary hands over while a courier is cut off", 3, func(world *World) {
@@ -52,8 +52,8 @@
 		{"freeze the primary", 4, func(world *World) { world.freezeFor(world.primary()) }},
 		{"freeze the holder of the parts", 4, func(world *World) { world.freezeFor(world.holder()) }},
 		{"a wall clock jumps", 3, func(world *World) {
-			if machine := world.anyNode(""); machine.incarnation != nil {
-				machine.incarnation.jump = time.Duration(world.random.IntN(14400)-7200) * time.Second
+			if mc := world.anyNode(""); mc.incarnation != nil {
+				mc.incarnation.jump = time.Duration(world.random.IntN(14400)-7200) * time.Second
 			}
 		}},
 		{"isolate a machine", 5, func(world *World) { world.isolate(world.anyNode("").name, true, true) }},
@@ -93,10 +93,10 @@
 			top.SetDark(false)
 		}},
 		{"a server freezes", 2, func(world *World) {
-			incarnation := world.servers[world.anyServer()].incarnation
-			incarnation.freeze()
+			i := world.servers[world.anyServer()].incarnation
+			i.freeze()
 			world.wait(500, 4000)
-			incarnation.wake()
+			i.wake()
 		}},
 		{"a server leaves", 5, leaveServer},
 		{"handles lapse", 2, func(world *World) {
@@ -162,9 +162,9 @@
 
 func (w *World) nodes(kind membership.NodeKind) []*machine {
 	var found []*machine
-	for _, machine := range w.machines {
-		if !machine.gone && (kind == "" || machine.kind == kind) {
-			found = append(found, machine)
+	for _, m := range w.machines {
+		if !m.gone && (kind == "" || m.kind == kind) {
+			found = append(found, m)
 		}
 	}
 	return found
@@ -190,15 +190,15 @@
 }
 
 func (w *World) isController(name string) bool {
-	machine := w.machineNamed(name)
-	return machine != nil && machine.kind == membership.Controller
+	m := w.machineNamed(name)
+	return m != nil && m.kind == membership.Controller
 }
 
 // primary is the expediter that holds, or any.
 func (w *World) primary() *machine {
-	for _, machine := range w.nodes(membership.Controller) {
-		if machine.incarnation != nil && !machine.incarnation.ended && machine.control != nil && machine.control.Coordinator().Holds() {
-			return machine
+	for _, m := range w.nodes(membership.Controller) {
+		if m.incarnation != nil && !m.incarnation.ended && m.control != nil && m.control.Coordinator().Holds() {
+			return m
 		}
 	}
 	return w.anyNode(membership.Controller)
@@ -206,11 +206,11 @@
 
 // holder is the courier that decides the parts, or any.
 func (w *World) holder() *machine {
-	for _, machine := range w.nodes(membership.Controller) {
-		if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil {
+	for _, m := range w.nodes(membership.Controller) {
+		if m.incarnation == nil || m.incarnation.ended || m.control == nil {
 			continue
 		}
-		if _, _, state, err := machine.control.Read(); err == nil {
+		if _, _, state, err := m.control.Read(); err == nil {
 			if holder := w.machineNamed(state.Rota.Roles["parts"].Holder); holder != nil && !holder.gone {
 				return holder
 			}
@@ -219,22 +219,22 @@
 	return w.anyNode(membership.Router)
 }
 
-func (w *World) killFor(machine *machine, least, most int) {
-	w.kill(machine)
+func (w *World) killFor(m *machine, least, most int) {
+	w.kill(m)
 	w.wait(least, most)
-	w.start(machine)
+	w.start(m)
 }
 
 // stopFor stops an expediter as its operator does: it hands over first.
-func (w *World) stopFor(machine *machine, least, most int) {
-	if machine.incarnation == nil || machine.incarnation.ended || machine.control == nil {
+func (w *World) stopFor(m *machine, least, most int) {
+	if m.incarnation == nil || m.incarnation.ended || m.control == nil {
 		return
 	}
-	stopping, control := machine.incarnation, machine.control
+	stopping, control := m.incarnation, m.control
 	if control.Coordinator().Holds() {
 		w.tempt("a primary handed over")
 	}
-	w.say("%s is stopped", machine.name)
+	w.say("%s is stopped", m.name)
 	left := false
 	stopping.Go(func() {
 		control.Leave(leavePatience)
@@ -246,60 +246,60 @@
 			break
 		}
 	}
-	if machine.incarnation == stopping {
-		w.killFor(machine, least, most)
+	if m.incarnation == stopping {
+		w.killFor(m, least, most)
 	}
 }
 
-func (w *World) powerOffFor(machine *machine, least, most int) {
-	w.say("%s loses its power", machine.name)
-	w.powerOff(machine.name)
+func (w *World) powerOffFor(m *machine, least, most int) {
+	w.say("%s loses its power", m.name)
+	w.powerOff(m.name)
 	w.wait(least, most)
-	w.start(machine)
+	w.start(m)
 }
 
 // loseOneWhileForming takes one machine away within the first moments of a core:
 // its power fails at one of its disk's first acts, or its whole disk is lost.
 func (w *World) loseOneWhileForming() {
-	machine := w.anyNode(membership.Controller)
+	m := w.anyNode(membership.Controller)
 	if w.random.IntN(2) == 0 {
-		machine.disk.powerFailsIn = 1 + w.random.IntN(14)
+		m.disk.powerFailsIn = 1 + w.random.IntN(14)
 		w.wait(1000, 6000)
-		machine.disk.powerFailsIn = 0
+		m.disk.powerFailsIn = 0
 		w.tempt("the power fails while the first core forms")
-		w.start(machine)
+		w.start(m)
 		return
 	}
-	for len(machine.disk.names) == 0 {
+	for len(m.disk.names) == 0 {
 		w.wait(0, 20)
 	}
 	w.wait(0, 1500)
-	w.say("%s loses its disk", machine.name)
+	w.say("%s loses its disk", m.name)
 	w.tempt("a disk lost while the first core forms")
-	w.kill(machine)
-	machine.disk = newDisk(w)
+	w.kill(m)
+	m.disk = newDisk(w)
 	w.wait(0, 1500)
-	w.start(machine)
+	w.start(m)
 }
 
 // powerFails has the power fail before one of the disk's next acts.
 func powerFails(world *World) {
-	machine := world.anyNode(membership.Controller)
-	machine.disk.powerFailsIn = 1 + world.random.IntN(12)
+	m := world.anyNode(membership.Controller)
+	m.disk.powerFailsIn = 1 + world.random.IntN(12)
 	world.wait(2000, 5000)
-	machine.disk.powerFailsIn = 0
+	m.disk.powerFailsIn = 0
 	world.wait(200, 2000)
-	world.start(machine)
+	world.start(m)
 }
 
 // whole tells whether a primary with a backup leads and every keeper is the
 // disk that runs at its address, so that one more disk may be lost.
 func (w *World) whole() bool {
-	for _, machine := range w.nodes(membership.Controller) {
-		if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
+	for _, ma := range w.nodes(membership.Controller) {
+		if ma.incarnation == nil || ma.incarnation.ended || ma.incarnation.frozen || ma.control == nil || !ma.control.Coordinator().Holds() {
 			continue
 		}
-		m := machine.control.Coordinator().Membership()
+		m := ma.control.Coordinator().Membership()
 		borne := max(w.borneLosses(), 1)
 		if len(m.Backups()) != borne || len(m.Incoming) > 0 || len(m.Witnesses) != 2*borne+1 {
 			return false
@@ -322,31 +322,31 @@
 	if !world.whole() {
 		return
 	}
-	machine := world.anyNode(membership.Controller)
+	m := world.anyNode(membership.Controller)
 	if world.random.IntN(2) == 0 {
-		machine = world.primary()
+		m = world.primary()
 		world.nextRevision(1)
 		if !world.whole() {
 			return
 		}
 	}
-	world.say("%s loses its disk", machine.name)
+	world.say("%s loses its disk", m.name)
 	world.tempt("a disk lost")
-	world.kill(machine)
-	machine.disk = newDisk(world)
+	world.kill(m)
+	m.disk = newDisk(world)
 	world.wait(50, 2000)
-	world.start(machine)
+	world.start(m)
 }
 
-func (w *World) freezeFor(machine *machine) {
-	if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen {
+func (w *World) freezeFor(m *machine) {
+	if m.incarnation == nil || m.incarnation.ended || m.incarnation.frozen {
 		return
 	}
-	w.say("%s freezes", machine.name)
-	frozen, since := machine.incarnation, w.now
+	w.say("%s freezes", m.name)
+	frozen, since := m.incarnation, w.now
 	frozen.freeze()
 	defer func() {
-		w.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Router: machine.name, Took: w.now - since})
+		w.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Router: m.name, Took: w.now - since})
 	}()
 	if w.random.IntN(2) == 0 {
 		w.wait(300, 5000)
@@ -355,13 +355,13 @@
 		w.wait(7000, 13000)
 	}
 	if !frozen.ended {
-		if machine.router != nil && machine.router.Core().InFlight() > 0 && frozen.Now().After(machine.router.Core().HoldEnds()) {
+		if m.router != nil && m.router.Core().InFlight() > 0 && frozen.Now().After(m.router.Core().HoldEnds()) {
 			w.tempt("a courier woken with inquiries under way, its hold over")
 		}
-		if machine.control != nil && machine.control.Store().Leading() {
+		if m.control != nil && m.control.Store().Leading() {
 			w.tempt("a primary woken")
 		}
-		w.say("%s wakes", machine.name)
+		w.say("%s wakes", m.name)
 		frozen.wake()
 	}
 }
@@ -369,8 +369,8 @@
 // cutFor cuts links for a while.
 func (w *World) cutFor(chosen func(from, to string) bool) {
 	var names []string
-	for _, machine := range w.machines {
-		names = append(names, machine.name)
+	for _, m := range w.machines {
+		names = append(names, m.name)
 	}
 	var cut []*link
 	for _, from := range names {
@@ -380,12 +380,12 @@
 			}
 		}
 	}
-	for _, link := range cut {
-		link.cut = true
+	for _, l := range cut {
+		l.cut = true
 	}
 	w.wait(300, 8000)
-	for _, link := range cut {
-		link.cut = false
+	for _, li := range cut {
+		li.cut = false
 	}
 }
 
@@ -405,13 +405,13 @@
 	})
 }
 
-func (w *World) spoil(links []*link, length time.Duration, act func(link *link)) {
-	for _, link := range links {
-		act(link)
+func (w *World) spoil(links []*link, length time.Duration, act func(l *link)) {
+	for _, li := range links {
+		act(li)
 	}
 	w.outside.NewCond().Wait(length, never)
-	for _, link := range links {
-		link.delay, link.loss, link.duplicate = 0, 0, 0
+	for _, ln := range links {
+		ln.delay, ln.loss, ln.duplicate = 0, 0, 0
 	}
 }
 
@@ -425,9 +425,9 @@
 			}
 		}
 	}
-	world.spoil(links, time.Duration(1000+world.random.IntN(5000))*time.Millisecond, func(link *link) {
-		link.delay = time.Duration(world.random.IntN(150)) * time.Millisecond
-		link.duplicate, link.loss = 0.15, 0.04
+	world.spoil(links, time.Duration(1000+world.random.IntN(5000))*time.Millisecond, func(l *link) {
+		l.delay = time.Duration(world.random.IntN(150)) * time.Millisecond
+		l.duplicate, l.loss = 0.15, 0.04
 	})
 }
 
@@ -435,42 +435,42 @@
 // the work.
 func badServerLinks(world *World) {
 	var links []*link
-	for _, machine := range world.nodes(membership.Router) {
+	for _, m := range world.nodes(membership.Router) {
 		for _, plan := range world.plans {
 			if world.random.IntN(3) == 0 {
-				links = append(links, world.link(machine.name, plan.Name), world.link(plan.Name, machine.name))
+				links = append(links, world.link(m.name, plan.Name), world.link(plan.Name, m.name))
 			}
 		}
 	}
 	world.loseAnswers = 0.1
-	world.spoil(links, time.Duration(1000+world.random.IntN(5000))*time.Millisecond, func(link *link) {
-		link.delay = time.Duration(world.random.IntN(60)) * time.Millisecond
-		link.duplicate, link.loss = 0.1, 0.03
+	world.spoil(links, time.Duration(1000+world.random.IntN(5000))*time.Millisecond, func(l *link) {
+		l.delay = time.Duration(world.random.IntN(60)) * time.Millisecond
+		l.duplicate, l.loss = 0.1, 0.03
 	})
 	world.loseAnswers = 0
 }
 
 func (w *World) herd(kind membership.NodeKind) {
 	w.say("a herd is killed: %s", kind)
-	var killed []*machine
-	for _, machine := range w.nodes(kind) {
-		if machine.incarnation != nil && !machine.incarnation.ended {
-			w.kill(machine)
-			killed = append(killed, machine)
+	var k []*machine
+	for _, m := range w.nodes(kind) {
+		if m.incarnation != nil && !m.incarnation.ended {
+			w.kill(m)
+			k = append(k, m)
 		}
 	}
 	w.wait(100, 1000)
-	for _, machine := range killed {
-		w.start(machine)
+	for _, ma := range k {
+		w.start(ma)
 	}
 }
 
 func loseZone(world *World) {
 	zone := world.anyZone()
 	world.say("the zone %s is lost", zone)
-	for _, machine := range world.nodes("") {
-		if machine.zone == zone {
-			world.outside.Go(func() { world.powerOffFor(machine, 4000, 7000) })
+	for _, m := range world.nodes("") {
+		if m.zone == zone {
+			world.outside.Go(func() { world.powerOffFor(m, 4000, 7000) })
 		}
 	}
 	for _, name := range world.serversOf(zone) {
@@ -496,8 +496,8 @@
 // load report; then another comes in its place.
 func leaveServer(world *World) {
 	name := world.anyServer()
-	server := world.servers[name]
-	if server.incarnation.ended {
+	s := world.servers[name]
+	if s.incarnation.ended {
 		return
 	}
 	way := world.random.IntN(3)
@@ -505,12 +505,12 @@
 		// What the platform does not show can't be heeded.
 		world.wait(100, 100)
 	}
-	if world.servers[name] != server || server.incarnation.ended {
+	if world.servers[name] != s || s.incarnation.ended {
 		return
 	}
 	listed := world.platform.servers[name]
 	world.Book.Note(fleet.Entry{Kind: fleet.ServerLeaving, Server: name})
-	if server.top.Active() > 0 {
+	if s.top.Active() > 0 {
 		world.tempt("answers under way at a leaving server")
 	}
 	switch way {
@@ -520,11 +520,11 @@
 	case 1:
 		delete(world.platform.servers, name)
 	default:
-		server.top.SetLeaving(true)
+		s.top.SetLeaving(true)
 	}
 	world.say("%s leaves", name)
 	world.wait(4500, 8000)
-	if world.servers[name] == server {
+	if world.servers[name] == s {
 		world.crashFor(name, 0, 1000)
 	}
 }
@@ -532,28 +532,28 @@
 // otherRelease restarts a node as the release that it is not, until the last
 // part of the day, in which all become the newest.
 func otherRelease(world *World) {
-	machine := world.anyNode("")
-	if machine.incarnation == nil || machine.incarnation.ended {
+	m := world.anyNode("")
+	if m.incarnation == nil || m.incarnation.ended {
 		return
 	}
-	if len(machine.withheld) == 0 && !world.faultsOver {
-		machine.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
+	if len(m.withheld) == 0 && !world.faultsOver {
+		m.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
 		world.tempt("a node restarted as an older release")
 	} else {
-		machine.withheld = nil
+		m.withheld = nil
 		world.tempt("a node restarted as a newer release")
 	}
 	if world.anyWithheld() && !world.seenKeys["flag/"+string(features.PairPrice)] {
 		world.tempt("a member stopped while flags wait for an older one")
 	}
-	world.kill(machine)
+	world.kill(m)
 	world.wait(200, 8000)
-	world.start(machine)
+	world.start(m)
 }
 
 func (w *World) anyWithheld() bool {
-	for _, machine := range w.nodes("") {
-		if len(machine.withheld) > 0 {
+	for _, m := range w.nodes("") {
+		if len(m.withheld) > 0 {
 			return true
 		}
 	}
@@ -596,21 +596,21 @@
 
 // exchangeSeeds gives running nodes other seeds.
 func exchangeSeeds(world *World) {
-	for _, machine := range world.nodes("") {
+	for _, m := range world.nodes("") {
 		var seeds []string
 		for range 2 {
 			seeds = append(seeds, world.anyNode(membership.Router).address)
 		}
 		seeds = append(seeds, world.anyNode(membership.Controller).address)
-		machine.seeds = seeds
-		if machine.incarnation == nil || machine.incarnation.ended {
+		m.seeds = seeds
+		if m.incarnation == nil || m.incarnation.ended {
 			continue
 		}
-		if machine.router != nil {
-			machine.router.SetSeeds(seeds)
+		if m.router != nil {
+			m.router.SetSeeds(seeds)
 		}
-		if machine.control != nil {
-			machine.control.SetSeeds(seeds)
+		if m.control != nil {
+			m.control.SetSeeds(seeds)
 		}
 	}
 }
@@ -618,8 +618,8 @@
 // FaultNames lists the faults that a day may draw.
 func FaultNames() []string {
 	var names []string
-	for _, fault := range faults() {
-		names = append(names, fault.name)
+	for _, f := range faults() {
+		names = append(names, f.name)
 	}
 	return names
 }
