--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -57,10 +57,10 @@
 	}
 	record(Incident{Name: "the fleet starts"}, func(incident *Incident) {
 		began := w.now
-		for _, machine := range w.machines {
+		for _, m := range w.machines {
 			w.outside.Go(func() {
 				w.wait(0, 2000)
-				w.start(machine)
+				w.start(m)
 			})
 		}
 		w.run(w.now + 2100*time.Millisecond)
@@ -102,11 +102,11 @@
 	})
 	record(Incident{Name: "a node restarted", Times: 2 * losses}, func(incident *Incident) {
 		for range incident.Times {
-			machine := w.anyNode(membership.Router)
-			w.kill(machine)
+			ma := w.anyNode(membership.Router)
+			w.kill(ma)
 			w.run(w.now + 300*time.Millisecond)
 			began := w.now
-			w.start(machine)
+			w.start(ma)
 			incident.Held = later(incident.Held, w.since(began, w.held))
 			w.run(w.now + 500*time.Millisecond)
 		}
@@ -120,9 +120,9 @@
 	record(Incident{Name: "the backup's machine lost"}, func(incident *Incident) { w.lose(incident, []*machine{w.backup()}, lost) })
 	record(Incident{Name: "a rack of ten nodes and the backup lost"}, func(incident *Incident) {
 		gone := []*machine{w.backup()}
-		for _, machine := range w.nodes(membership.Router) {
-			if machine.zone == gone[0].zone && len(gone) < 11 {
-				gone = append(gone, machine)
+		for _, mc := range w.nodes(membership.Router) {
+			if mc.zone == gone[0].zone && len(gone) < 11 {
+				gone = append(gone, mc)
 			}
 		}
 		w.lose(incident, gone, lost)
@@ -140,10 +140,10 @@
 		w.apart(incident, func(region int) bool { return region == own }, lost)
 	})
 	record(Incident{Name: "all regions apart"}, func(incident *Incident) { w.apart(incident, nil, lost) })
-	for _, incarnation := range w.incarnations {
-		if !incarnation.ended {
-			incarnation.ended = true
-			w.dead = append(w.dead, incarnation)
+	for _, i := range w.incarnations {
+		if !i.ended {
+			i.ended = true
+			w.dead = append(w.dead, i)
 		}
 	}
 	w.bury()
@@ -171,9 +171,9 @@
 
 // led tells whether an expediter leads.
 func (w *World) led() bool {
-	for _, machine := range w.nodes(membership.Controller) {
-		if machine.incarnation != nil && !machine.incarnation.ended && machine.control != nil {
-			if _, _, err := machine.control.Ruling(); err == nil {
+	for _, m := range w.nodes(membership.Controller) {
+		if m.incarnation != nil && !m.incarnation.ended && m.control != nil {
+			if _, _, err := m.control.Ruling(); err == nil {
 				return true
 			}
 		}
@@ -184,16 +184,16 @@
 // backup is the machine of the primary's backup.
 func (w *World) backup() *machine {
 	m := w.primary().control.Coordinator().Membership()
-	if machine := w.machineNamed(w.nameAt(m.Backup.Address)); machine != nil {
-		return machine
+	if ma := w.machineNamed(w.nameAt(m.Backup.Address)); ma != nil {
+		return ma
 	}
 	return w.anyNode(membership.Controller)
 }
 
 // held tells whether every courier that runs has a hold.
 func (w *World) held() bool {
-	for _, machine := range w.nodes(membership.Router) {
-		if machine.incarnation != nil && !machine.incarnation.ended && !machine.incarnation.Now().Before(machine.router.Core().HoldEnds()) {
+	for _, m := range w.nodes(membership.Router) {
+		if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.Now().Before(m.router.Core().HoldEnds()) {
 			return false
 		}
 	}
@@ -215,8 +215,8 @@
 		return false
 	}
 	names := map[string]bool{}
-	for _, machine := range gone {
-		names[machine.name] = true
+	for _, m := range gone {
+		names[m.name] = true
 	}
 	for _, role := range state.Rota.Roles {
 		if names[role.Holder] {
@@ -270,8 +270,8 @@
 // lose takes machines away, makes a change at once, and gives them back.
 func (w *World) lose(incident *Incident, gone []*machine, length time.Duration) {
 	began := w.now
-	for _, machine := range gone {
-		w.powerOff(machine.name)
+	for _, m := range gone {
+		w.powerOff(m.name)
 	}
 	incident.Led = later(incident.Led, w.since(began, w.led))
 	took := w.changed(began, w.nowhere("nowhere-"+w.nonce(), 0))
@@ -280,8 +280,8 @@
 	incident.Moved = later(incident.Moved, w.since(began, func() bool { return w.rolesSettled(gone) }))
 	incident.Whole = later(incident.Whole, w.since(began, w.whole))
 	w.run(max(w.now, began+length))
-	for _, machine := range gone {
-		w.start(machine)
+	for _, ma := range gone {
+		w.start(ma)
 	}
 	incident.Held = later(incident.Held, w.since(w.now, w.held))
 	w.since(w.now, w.whole)
@@ -291,9 +291,9 @@
 // inZones are all machines of some zones.
 func (w *World) inZones(zones []string) []*machine {
 	var found []*machine
-	for _, machine := range w.nodes("") {
-		if slices.Contains(zones, machine.zone) {
-			found = append(found, machine)
+	for _, m := range w.nodes("") {
+		if slices.Contains(zones, m.zone) {
+			found = append(found, m)
 		}
 	}
 	return found
@@ -312,8 +312,8 @@
 			}
 		}
 	}
-	for _, link := range links {
-		link.cut = true
+	for _, l := range links {
+		l.cut = true
 	}
 	if cut != nil {
 		w.run(w.now + 10*time.Millisecond)
@@ -325,8 +325,8 @@
 	}
 	w.run(max(w.now, began+length))
 	healed := w.now
-	for _, link := range links {
-		link.cut = false
+	for _, li := range links {
+		li.cut = false
 	}
 	incident.Held = w.since(healed, w.held)
 	incident.Whole = w.since(healed, w.whole)
--- a/internal/testbed/simulation/life.go
+++ b/internal/testbed/simulation/life.go
@@ -138,14 +138,14 @@
 	}
 	dead := w.dead
 	w.dead = nil
-	for _, incarnation := range dead {
-		threads := slices.Collect(maps.Keys(incarnation.threads))
+	for _, i := range dead {
+		threads := slices.Collect(maps.Keys(i.threads))
 		slices.SortFunc(threads, func(left, right *thread) int { return cmp.Compare(left.number, right.number) })
-		for _, thread := range threads {
-			thread.stop()
+		for _, t := range threads {
+			t.stop()
 		}
-		incarnation.threads = map[*thread]bool{}
-		incarnation.backlog = nil
+		i.threads = map[*thread]bool{}
+		i.backlog = nil
 	}
 }
 
@@ -175,7 +175,7 @@
 
 // Lock waits until nobody holds the lock.
 func (l *lock) Lock() {
-	if thread := l.cond.incarnation.world.running; thread == nil || thread.incarnation != l.cond.incarnation || l.cond.incarnation.ended {
+	if t := l.cond.incarnation.world.running; t == nil || t.incarnation != l.cond.incarnation || l.cond.incarnation.ended {
 		l.visited = true
 		return
 	}
@@ -227,16 +227,16 @@
 	if over() {
 		return true
 	}
-	thread := c.incarnation.world.running
-	if thread == nil || thread.incarnation != c.incarnation {
+	t := c.incarnation.world.running
+	if t == nil || t.incarnation != c.incarnation {
 		panic("world: a wait outside of the life's own threads")
 	}
-	waiting := &waiter{thread: thread}
+	waiting := &waiter{thread: t}
 	c.waiters = append(c.waiters, waiting)
 	length := time.Duration(float64(patience) / (1 + c.incarnation.drift))
 	timer := c.incarnation.world.after(length, c.incarnation, func() {
 		waiting.late = true
-		thread.resume()
+		t.resume()
 	})
 	defer func() {
 		timer.canceled = true
@@ -248,7 +248,7 @@
 		}
 	}()
 	for {
-		thread.suspend()
+		t.suspend()
 		waiting.rung = false
 		if over() {
 			return true
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -82,12 +82,12 @@
 // mostOrders is how many orders the model tells apart.
 const mostOrders = 60
 
-func (o *operatorsHistory) note(client int, asked changeInput, answered changeOutput, from time.Duration) {
-	ended := o.world.now.Nanoseconds()
+func (o *operatorsHistory) note(c int, asked changeInput, answered changeOutput, from time.Duration) {
+	e := o.world.now.Nanoseconds()
 	if answered.outcome == unknownOutcome {
-		ended = math.MaxInt64 / 2
+		e = math.MaxInt64 / 2
 	}
-	o.operations = append(o.operations, porcupine.Operation{ClientId: client, Input: asked, Output: answered, Call: from.Nanoseconds(), Return: ended})
+	o.operations = append(o.operations, porcupine.Operation{ClientId: c, Input: asked, Output: answered, Call: from.Nanoseconds(), Return: e})
 }
 
 // anyControl is an expediter that runs, whether it leads or not.
@@ -96,13 +96,13 @@
 }
 
 // read asks one expediter for the configuration; who can't be sure gives no answer.
-func (o *operatorsHistory) read(client int) (uint64, bool) {
-	machine, began := o.anyControl(), o.world.now
-	content, err := o.world.outside.ask(machine.name, time.Second, func(*incarnation) (any, error) {
-		if machine.control == nil {
+func (o *operatorsHistory) read(c int) (uint64, bool) {
+	m, began := o.anyControl(), o.world.now
+	content, err := o.world.outside.ask(m.name, time.Second, func(*incarnation) (any, error) {
+		if m.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
-		_, _, state, err := machine.control.Read()
+		_, _, state, err := m.control.Read()
 		if err != nil {
 			return nil, err
 		}
@@ -115,49 +115,49 @@
 	if err != nil {
 		return 0, false
 	}
-	o.note(client, changeInput{read: true}, changeOutput{revision: configuration.Revision}, began)
+	o.note(c, changeInput{read: true}, changeOutput{revision: configuration.Revision}, began)
 	return configuration.Revision, true
 }
 
 // send brings an order to one expediter.
-func (o *operatorsHistory) send(client int, asked changeInput) {
-	machine, began := o.anyControl(), o.world.now
+func (o *operatorsHistory) send(c int, asked changeInput) {
+	m, began := o.anyControl(), o.world.now
 	text := fmt.Sprintf(`{"revision":%d,"annotations":{"order":%d}}`, asked.next, asked.order)
-	_, err := o.world.outside.ask(machine.name, 2*time.Second, func(*incarnation) (any, error) {
-		if machine.control == nil {
+	_, err := o.world.outside.ask(m.name, 2*time.Second, func(*incarnation) (any, error) {
+		if m.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
-		return machine.control.Edit(hatch.Edit{Builds: &asked.builds, Digest: text, Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
+		return m.control.Edit(hatch.Edit{Builds: &asked.builds, Digest: text, Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
 	})
 	if err == nil {
-		o.note(client, asked, changeOutput{outcome: acceptedOutcome}, began)
+		o.note(c, asked, changeOutput{outcome: acceptedOutcome}, began)
 		return
 	}
 	switch failure.KindOf(err) {
 	case failure.RevisionConflict:
-		o.note(client, asked, changeOutput{outcome: conflictOutcome}, began)
+		o.note(c, asked, changeOutput{outcome: conflictOutcome}, began)
 	case failure.NoPrimary, failure.NotPrimary:
 		// It certainly was not taken.
 	default:
-		o.note(client, asked, changeOutput{outcome: unknownOutcome}, began)
+		o.note(c, asked, changeOutput{outcome: unknownOutcome}, began)
 	}
 }
 
 // operate is one operator's day: orders on what it read last, some with the numbers of
 // others, and any earlier order again.
-func (o *operatorsHistory) operate(client int, until time.Duration) {
+func (o *operatorsHistory) operate(c int, until time.Duration) {
 	known := uint64(0)
 	for o.world.now < until {
-		if revision, found := o.read(client); found {
+		if revision, found := o.read(c); found {
 			known = revision
 		}
 		switch random := o.world.random; {
 		case len(o.orders) > 0 && random.IntN(3) == 0:
-			o.send(client, o.orders[random.IntN(len(o.orders))])
+			o.send(c, o.orders[random.IntN(len(o.orders))])
 		case len(o.orders) < mostOrders:
 			asked := changeInput{order: len(o.orders), builds: known, next: known + 1}
 			o.orders = append(o.orders, asked)
-			o.send(client, asked)
+			o.send(c, asked)
 		}
 		o.world.wait(50, 900)
 	}
@@ -237,8 +237,8 @@
 				fleet := begun(t, 400+seed, PlatformWays())
 				history := &operatorsHistory{world: fleet, running: operators}
 				until := fleet.now + length
-				for client := range operators {
-					fleet.outside.Go(func() { history.operate(client, until) })
+				for c := range operators {
+					fleet.outside.Go(func() { history.operate(c, until) })
 				}
 				fleet.outside.Go(func() { trouble(fleet, until-5*time.Second) })
 				fleet.run(until + 15*time.Second)
@@ -270,7 +270,7 @@
 	order := func(number int, builds uint64) changeInput {
 		return changeInput{order: number, builds: builds, next: builds + 1}
 	}
-	says := func(outcome outcome) changeOutput { return changeOutput{outcome: outcome} }
+	says := func(o outcome) changeOutput { return changeOutput{outcome: o} }
 	read := func(revision uint64) changeOutput { return changeOutput{revision: revision} }
 	for name, steps := range map[string][]porcupine.Operation{
 		"two on one base":        {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: order(1, 0), Output: says(acceptedOutcome)}},
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -20,15 +20,15 @@
 // leads. Whoever asks is outside, with a whole link to each.
 func (w *World) atPrimary(serve func(control *hatch.Controller) (any, error)) (any, error) {
 	var last error = failure.New(failure.NoPrimary, "no expediter runs")
-	for _, machine := range w.machines {
-		if machine.kind != membership.Controller || machine.gone {
+	for _, m := range w.machines {
+		if m.kind != membership.Controller || m.gone {
 			continue
 		}
-		content, err := w.outside.ask(machine.name, operatorPatience, func(*incarnation) (any, error) {
-			if machine.control == nil {
+		content, err := w.outside.ask(m.name, operatorPatience, func(*incarnation) (any, error) {
+			if m.control == nil {
 				return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 			}
-			return serve(machine.control)
+			return serve(m.control)
 		})
 		if err == nil {
 			return content, nil
@@ -95,17 +95,17 @@
 	}
 	accepted := false
 	left := racers
-	cond := w.outside.NewCond()
+	c := w.outside.NewCond()
 	for range racers {
 		w.revision++
 		revision := w.revision
 		w.outside.Go(func() {
 			accepted = w.putRevision(revision, read) || accepted
 			left--
-			cond.Broadcast()
+			c.Broadcast()
 		})
 	}
-	cond.Wait(time.Minute, func() bool { return left == 0 })
+	c.Wait(time.Minute, func() bool { return left == 0 })
 	return accepted
 }
 
@@ -118,11 +118,11 @@
 	if w.ways.Calls {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{`+w.callRoutes(), 1)
 	}
-	outcome := w.edit(hatch.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
+	o := w.edit(hatch.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
 		Apply: func(text []byte) ([]byte, error) { return config.Merge(text, []byte(patch)) }})
 	kinds := map[string]fleet.EntryKind{"accepted": fleet.RevisionAccepted, "refused": fleet.RevisionRefused, "unknown": fleet.RevisionUnknown}
-	w.Book.Note(fleet.Entry{Kind: kinds[outcome], Revision: revision})
-	return outcome == "accepted"
+	w.Book.Note(fleet.Entry{Kind: kinds[o], Revision: revision})
+	return o == "accepted"
 }
 
 // evacuate closes a district for some time. One operator at a time does so: a
@@ -141,9 +141,9 @@
 		w.tempt("answers under way at an evacuation")
 	}
 	w.Book.Note(fleet.Entry{Kind: fleet.EvacuationAsked, Zone: zone})
-	outcome := w.edit(hatch.Edit{Change: "evacuate-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") }})
-	w.say("evacuate %s: %s", zone, outcome)
-	if outcome == "accepted" {
+	o := w.edit(hatch.Edit{Change: "evacuate-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") }})
+	w.say("evacuate %s: %s", zone, o)
+	if o == "accepted" {
 		w.Book.Note(fleet.Entry{Kind: fleet.Evacuated, Zone: zone})
 	}
 	w.outside.NewCond().Wait(length, never)
@@ -161,9 +161,9 @@
 func (w *World) operate(until time.Duration) {
 	w.outside.Go(func() {
 		for w.now < until {
-			for _, machine := range w.machines {
-				if machine.kind == membership.Router {
-					w.lookAtRevision(machine)
+			for _, m := range w.machines {
+				if m.kind == membership.Router {
+					w.lookAtRevision(m)
 				}
 			}
 			w.outside.NewCond().Wait(200*time.Millisecond, never)
--- a/internal/testbed/simulation/passing.go
+++ b/internal/testbed/simulation/passing.go
@@ -82,9 +82,9 @@
 }
 
 func (w *World) machineNamed(name string) *machine {
-	for _, machine := range w.machines {
-		if machine.name == name {
-			return machine
+	for _, m := range w.machines {
+		if m.name == name {
+			return m
 		}
 	}
 	return nil
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -70,8 +70,8 @@
 	return l.world.listNodes(), nil
 }
 
-func (l lists) ask(server membership.Server, patience time.Duration) (auction.Load, error) {
-	content, err := l.incarnation.askServer(server.Address, patience, func(top *fleet.Engine) (int, any) {
+func (l lists) ask(s membership.Server, patience time.Duration) (auction.Load, error) {
+	content, err := l.incarnation.askServer(s.Address, patience, func(top *fleet.Engine) (int, any) {
 		return http.StatusOK, top.Load()
 	})
 	if err != nil {
@@ -81,14 +81,14 @@
 }
 
 // Pressure reads a server's load for the market of inquiries.
-func (l lists) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
-	return l.ask(server, patience)
+func (l lists) Pressure(s membership.Server, patience time.Duration) (auction.Load, error) {
+	return l.ask(s, patience)
 }
 
 // Report reads a server's load for all couriers.
-func (l lists) Report(server membership.Server, patience time.Duration) (scheduler.Load, error) {
+func (l lists) Report(s membership.Server, patience time.Duration) (scheduler.Load, error) {
 	l.world.reportReads++
-	load, err := l.ask(server, patience)
+	load, err := l.ask(s, patience)
 	return scheduler.Load{Server: load.Server, Part: string(load.Part), Waiting: load.PrefillWaiting, Running: load.DecodeActive,
 		MemoryUsed: load.MemoryTotal - load.MemoryFree, MemoryTotal: load.MemoryTotal}, err
 }
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -17,8 +17,8 @@
 // whole and new, and how many bytes of snapshots went to it.
 func (w *World) Repair(loss string, reads bool) (took time.Duration, bytes int, mended bool) {
 	w.long, w.short = 2, 3
-	for _, machine := range w.machines {
-		w.outside.Go(func() { w.start(machine) })
+	for _, mc := range w.machines {
+		w.outside.Go(func() { w.start(mc) })
 	}
 	const patience = 90 * time.Second
 	w.outside.Go(func() { w.callers(patience) })
@@ -32,10 +32,10 @@
 	var out *machine
 	primary := w.primary()
 	m := primary.control.Coordinator().Membership()
-	for _, machine := range w.nodes(membership.Controller) {
-		backup := machine.control.Witness().Replica().Identity == m.Backup.Identity
-		if machine != primary && backup == (loss == "the backup's wiped disk") {
-			out = machine
+	for _, ma := range w.nodes(membership.Controller) {
+		backup := ma.control.Witness().Replica().Identity == m.Backup.Identity
+		if ma != primary && backup == (loss == "the backup's wiped disk") {
+			out = ma
 		}
 	}
 	switch loss {
@@ -78,14 +78,14 @@
 
 // copyIsWhole tells whether a machine's copy has all its files, undamaged, and is
 // as new as what was last written for good, save the last moments' claims.
-func (w *World) copyIsWhole(machine *machine) bool {
+func (w *World) copyIsWhole(m *machine) bool {
 	files := 0
-	for name := range machine.disk.names {
+	for name := range m.disk.names {
 		if strings.HasPrefix(name, "larder/") {
 			files++
 		}
 	}
-	copied := machine.control.Store().Copy()
+	copied := m.control.Store().Copy()
 	_, view, err := w.primary().control.Ruling()
 	return files > 0 && err == nil && copied.Damage() == "" && copied.Version().Number+8 >= view.Version.Number
 }
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -162,8 +162,8 @@
 	if answer, well := message.(ended).content.(modelserver.PrefillAnswer); well {
 		return auction.Done, answer.Handle, ""
 	}
-	outcome, detail := refusalOf(message.(ended))
-	return outcome, "", detail
+	o, detail := refusalOf(message.(ended))
+	return o, "", detail
 }
 
 // Decode has a server answer.
@@ -196,8 +196,8 @@
 			if said.status == http.StatusOK {
 				return auction.Uncertain, 0, "the stream broke off"
 			}
-			outcome, detail := refusalOf(said)
-			return outcome, 0, detail
+			o, detail := refusalOf(said)
+			return o, 0, detail
 		}
 	}
 }
@@ -241,15 +241,15 @@
 	world := i.world
 	to := world.nameAt(address)
 	return i.ask(to, patience, func(there *incarnation) (any, error) {
-		server := world.servers[to]
-		if server == nil || server.incarnation != there || there.address != address {
+		s := world.servers[to]
+		if s == nil || s.incarnation != there || there.address != address {
 			return nil, failure.New(failure.Unreachable, "another server is there")
 		}
-		if server.top.Dark() {
+		if s.top.Dark() {
 			fleet.NewConnection(there).Pause(time.Minute)
 			return nil, failure.New(failure.Unreachable, "dark")
 		}
-		status, content := serve(server.top)
+		status, content := serve(s.top)
 		if status != http.StatusOK {
 			return content, failure.New(failure.NotHolder, "status "+strconv.Itoa(status))
 		}
--- a/internal/testbed/simulation/taps.go
+++ b/internal/testbed/simulation/taps.go
@@ -68,21 +68,21 @@
 }
 
 // noteMember writes down what a member's release reads.
-func (w *World) noteMember(machine *machine) {
+func (w *World) noteMember(m *machine) {
 	var flags []string
-	for _, flag := range features.Supported(machine.withheld) {
+	for _, flag := range features.Supported(m.withheld) {
 		flags = append(flags, string(flag))
 	}
-	w.Book.Note(fleet.Entry{Kind: fleet.MemberKnown, Holder: machine.name, Flags: flags})
+	w.Book.Note(fleet.Entry{Kind: fleet.MemberKnown, Holder: m.name, Flags: flags})
 }
 
 // noteOldMember writes down what an older release lacks, once it is recorded:
 // the primary has answered it.
-func (w *World) noteOldMember(machine *machine, begun *incarnation, heard func() time.Time) {
+func (w *World) noteOldMember(m *machine, begun *incarnation, heard func() time.Time) {
 	begun.Go(func() {
 		for heard().IsZero() {
 			begun.NewCond().Wait(5*time.Millisecond, never)
 		}
-		w.noteMember(machine)
+		w.noteMember(m)
 	})
 }
--- a/internal/testbed/simulation/waydays_test.go
+++ b/internal/testbed/simulation/waydays_test.go
@@ -32,9 +32,9 @@
 	if !strings.Contains(line, " configuration_accepted ") {
 		return
 	}
-	for _, machine := range t.world.machines {
-		if machine.control != nil && machine.incarnation != nil && !machine.incarnation.ended && machine.control.Coordinator().Holds() {
-			t.answered[machine.control.Store().View().VersionOf(replication.ConfigurationSection)] = t.world.now
+	for _, m := range t.world.machines {
+		if m.control != nil && m.incarnation != nil && !m.incarnation.ended && m.control.Coordinator().Holds() {
+			t.answered[m.control.Store().View().VersionOf(replication.ConfigurationSection)] = t.world.now
 		}
 	}
 }
@@ -49,13 +49,13 @@
 				due = version
 			}
 		}
-		for _, machine := range world.machines {
-			if machine.router == nil || machine.gone || machine.incarnation.ended || machine.incarnation.frozen || machine.incarnation.Now().Sub(machine.router.Heard()) > updateTime {
+		for _, m := range world.machines {
+			if m.router == nil || m.gone || m.incarnation.ended || m.incarnation.frozen || m.incarnation.Now().Sub(m.router.Heard()) > updateTime {
 				continue
 			}
-			if has := machine.router.InForce(); has != (replication.Version{}) && has.Before(due) {
+			if has := m.router.InForce(); has != (replication.Version{}) && has.Before(due) {
 				t.late++
-				world.say("%s is in touch and has %s, %s is due", machine.name, has, due)
+				world.say("%s is in touch and has %s, %s is due", m.name, has, due)
 			}
 		}
 		world.outside.NewCond().Wait(50*time.Millisecond, never)
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -17,8 +17,8 @@
 	t.Helper()
 	w := New(fleet.Sahil(), seed)
 	w.SetWays(ways)
-	for _, machine := range w.machines {
-		w.outside.Go(func() { w.start(machine) })
+	for _, m := range w.machines {
+		w.outside.Go(func() { w.start(m) })
 	}
 	if w.since(0, func() bool { return w.led() && w.held() && w.primary().control != nil && w.whole() }) < 0 {
 		t.Fatal("the fleet did not begin")
@@ -61,9 +61,9 @@
 		w.run(w.now + 700*time.Millisecond)
 		took := w.changed(w.now, w.nowhere("nowhere", 0))
 		version := w.newest()
-		for _, machine := range w.nodes(membership.Router) {
-			if machine != alone && machine.router.InForce() != version {
-				t.Errorf("%s: %s has %s, and %s was acknowledged", name, machine.name, machine.router.InForce(), version)
+		for _, m := range w.nodes(membership.Router) {
+			if m != alone && m.router.InForce() != version {
+				t.Errorf("%s: %s has %s, and %s was acknowledged", name, m.name, m.router.InForce(), version)
 			}
 		}
 		serves := alone.incarnation.Now().Before(alone.router.Core().ServesUntil())
@@ -109,13 +109,13 @@
 func TestBlankDisksThatOnlyJoinFormNothing(t *testing.T) {
 	w := New(fleet.Sahil(), 5)
 	w.SetWays(Ways{JoinOnly: true})
-	for _, machine := range w.machines {
-		w.outside.Go(func() { w.start(machine) })
+	for _, m := range w.machines {
+		w.outside.Go(func() { w.start(m) })
 	}
 	w.run(30 * time.Second)
-	for _, machine := range w.nodes(membership.Controller) {
-		if !machine.control.Witness().Membership().Blank() {
-			t.Errorf("%s has the charter %+v", machine.name, machine.control.Witness().Membership())
+	for _, ma := range w.nodes(membership.Controller) {
+		if !ma.control.Witness().Membership().Blank() {
+			t.Errorf("%s has the charter %+v", ma.name, ma.control.Witness().Membership())
 		}
 	}
 }
@@ -182,24 +182,24 @@
 	if reads := len(w.listReads) - before; reads > 0 {
 		t.Errorf("couriers read the list %d times though they have news of it", reads)
 	}
-	for _, machine := range w.nodes(membership.Controller) {
-		w.link("platform", machine.name).cut = true
+	for _, m := range w.nodes(membership.Controller) {
+		w.link("platform", m.name).cut = true
 	}
 	name := w.plans[0].Name
 	leaving := w.platform.servers[name]
 	leaving.Leaving = true
 	w.platform.servers[name] = leaving
-	knows := func(machine *machine) bool {
-		for _, server := range machine.router.Servers() {
-			if server.Name == name {
-				return server.Leaving
+	knows := func(ma *machine) bool {
+		for _, s := range ma.router.Servers() {
+			if s.Name == name {
+				return s.Leaving
 			}
 		}
 		return false
 	}
 	all := func() bool {
-		for _, machine := range w.nodes(membership.Router) {
-			if !knows(machine) {
+		for _, mc := range w.nodes(membership.Router) {
+			if !knows(mc) {
 				return false
 			}
 		}
@@ -227,8 +227,8 @@
 	// The expediters come back with an older word, and then nobody reads at all.
 	leaving.Leaving = false
 	w.platform.servers[name] = leaving
-	for _, machine := range w.nodes(membership.Controller) {
-		w.link("platform", machine.name).cut = false
+	for _, mch := range w.nodes(membership.Controller) {
+		w.link("platform", mch.name).cut = false
 	}
 	w.run(w.now + 5*time.Second)
 	w.platform.down = true
@@ -275,8 +275,8 @@
 			}
 		},
 		"stopped": func(w *World, primary *machine) {
-			control, incarnation := primary.control, primary.incarnation
-			incarnation.Go(func() { control.Leave(leavePatience); incarnation.world.outside.Go(func() { w.kill(primary) }) })
+			control, i := primary.control, primary.incarnation
+			i.Go(func() { control.Leave(leavePatience); i.world.outside.Go(func() { w.kill(primary) }) })
 		},
 	}
 	for name, lose := range ways {
@@ -286,13 +286,13 @@
 			began, primary := w.now, w.primary()
 			lose(w, primary)
 			heard := map[string]time.Time{}
-			for _, machine := range w.nodes(membership.Router) {
-				heard[machine.name] = machine.router.Heard()
+			for _, m := range w.nodes(membership.Router) {
+				heard[m.name] = m.router.Heard()
 			}
 			change := w.changedWhereLed(began, w.nowhere("nowhere", 0))
 			update := w.since(began, func() bool {
-				for _, machine := range w.nodes(membership.Router) {
-					if !machine.router.Heard().After(heard[machine.name].Add(700 * time.Millisecond)) {
+				for _, ma := range w.nodes(membership.Router) {
+					if !ma.router.Heard().After(heard[ma.name].Add(700 * time.Millisecond)) {
 						return false
 					}
 				}
@@ -316,12 +316,12 @@
 	over := false
 	w.outside.Go(func() {
 		for ends := w.now + incidentPatience; w.now < ends && !over; w.wait(20, 20) {
-			for _, machine := range w.nodes(membership.Controller) {
-				if machine.incarnation == nil || machine.incarnation.ended || machine.incarnation.frozen || machine.control == nil || !machine.control.Coordinator().Holds() {
+			for _, m := range w.nodes(membership.Controller) {
+				if m.incarnation == nil || m.incarnation.ended || m.incarnation.frozen || m.control == nil || !m.control.Coordinator().Holds() {
 					continue
 				}
-				control := machine.control
-				_, err := w.outside.ask(machine.name, time.Second, func(*incarnation) (any, error) { return control.Edit(edit) })
+				control := m.control
+				_, err := w.outside.ask(m.name, time.Second, func(*incarnation) (any, error) { return control.Edit(edit) })
 				over = over || err == nil
 			}
 		}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -164,9 +164,9 @@
 
 // powered tells whether a machine answers that nobody listens, or not at all.
 func (w *World) powered(name string) bool {
-	for _, machine := range w.machines {
-		if machine.name == name {
-			return !machine.off && !machine.gone
+	for _, m := range w.machines {
+		if m.name == name {
+			return !m.off && !m.gone
 		}
 	}
 	return true
@@ -205,35 +205,35 @@
 }
 
 func (w *World) crashServer(name string) {
-	if server := w.servers[name]; !server.incarnation.ended {
-		server.top.Die()
-		server.incarnation.end()
+	if s := w.servers[name]; !s.incarnation.ended {
+		s.top.Die()
+		s.incarnation.end()
 	}
 }
 
 // start begins a machine's process, if none runs there.
-func (w *World) start(machine *machine) {
-	if machine.gone || (machine.incarnation != nil && !machine.incarnation.ended) {
+func (w *World) start(m *machine) {
+	if m.gone || (m.incarnation != nil && !m.incarnation.ended) {
 		return
 	}
-	machine.off = false
-	machine.starts++
-	begun := w.newIncarnation(machine.name, machine.address, machine.drift)
-	machine.incarnation, machine.router, machine.control = begun, nil, nil
-	supported := features.Supported(machine.withheld)
-	w.say("%s starts, %d flags", machine.name, len(supported))
-	if len(machine.withheld) == 0 {
+	m.off = false
+	m.starts++
+	begun := w.newIncarnation(m.name, m.address, m.drift)
+	m.incarnation, m.router, m.control = begun, nil, nil
+	supported := features.Supported(m.withheld)
+	w.say("%s starts, %d flags", m.name, len(supported))
+	if len(m.withheld) == 0 {
 		// From here on it reads the new formats.
-		w.noteMember(machine)
+		w.noteMember(m)
 	}
-	observe := func(event string, detail ...any) { w.say("%s %s %v", machine.name, event, detail) }
-	if machine.kind == membership.Controller {
-		begun.Go(func() { w.runController(machine, begun, supported, observe) })
+	observe := func(event string, detail ...any) { w.say("%s %s %v", m.name, event, detail) }
+	if m.kind == membership.Controller {
+		begun.Go(func() { w.runController(m, begun, supported, observe) })
 		return
 	}
 	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
-	options := hatch.RouterOptions{Options: seamloom.Options{Router: machine.name, Zone: machine.zone, Supported: supported, FixedParts: w.fixedParts}, Address: machine.address,
-		Seeds: machine.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
+	options := hatch.RouterOptions{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedParts: w.fixedParts}, Address: m.address,
+		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
 	options.ServeWithoutHold = w.ways.ServeWithoutHold
 	if w.ways.Calls {
 		options.Board = func(*scheduler.Window) hatch.Board { return deaf{} }
@@ -241,74 +241,74 @@
 	if w.layout == nil {
 		options.Pressures = lists{w, begun}
 	}
-	w.prepareCalls(machine, begun, &options)
+	w.prepareCalls(m, begun, &options)
 	router := hatch.NewRouter(begun, wire{begun}, servers, &passing{incarnation: begun}, options, observe)
-	machine.router = router
+	m.router = router
 	begun.answer = router.Answers().Answer
 	for _, round := range router.Rounds() {
 		begun.Go(round)
 	}
-	if len(machine.withheld) > 0 {
-		w.noteOldMember(machine, begun, router.Heard)
+	if len(m.withheld) > 0 {
+		w.noteOldMember(m, begun, router.Heard)
 	}
 }
 
-func (w *World) runController(machine *machine, begun *incarnation, supported features.List, observe func(string, ...any)) {
-	machine.disk.owner = begun
-	keeping, _ := storage.OpenFolder(machine.disk, "keeper")
-	copies, _ := storage.OpenFolder(machine.disk, "larder")
-	options := hatch.ControllerOptions{Name: machine.name, Address: machine.address, Zone: machine.zone, Seeds: machine.seeds, Supported: supported,
-		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, machine), Directory: lists{w, begun}, Reports: lists{w, begun}}
+func (w *World) runController(m *machine, begun *incarnation, supported features.List, observe func(string, ...any)) {
+	m.disk.owner = begun
+	keeping, _ := storage.OpenFolder(m.disk, "keeper")
+	copies, _ := storage.OpenFolder(m.disk, "larder")
+	options := hatch.ControllerOptions{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
+		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, Reports: lists{w, begun}}
 	options.AcknowledgeWait, options.RetireAfter = w.ways.AcknowledgeWait, w.ways.RetireAfter
-	options.JoinsOnly = w.ways.JoinOnly || w.ways.FormOnce && machine.starts > 1 || w.ways.FormOnce && w.now > opening
+	options.JoinsOnly = w.ways.JoinOnly || w.ways.FormOnce && m.starts > 1 || w.ways.FormOnce && w.now > opening
 	control, blank, err := hatch.OpenController(begun, wire{begun}, keeping, copies, options, observe)
 	if err != nil {
-		w.say("%s can't open its disk: %v", machine.name, err)
+		w.say("%s can't open its disk: %v", m.name, err)
 		begun.end()
 		return
 	}
-	w.say("%s opened its disk, blank %v", machine.name, blank)
-	machine.control = control
+	w.say("%s opened its disk, blank %v", m.name, blank)
+	m.control = control
 	begun.answer = control.Answers().Answer
 	for _, round := range control.Rounds() {
 		begun.Go(round)
 	}
-	if len(machine.withheld) > 0 {
-		w.noteOldMember(machine, begun, control.Heard)
+	if len(m.withheld) > 0 {
+		w.noteOldMember(m, begun, control.Heard)
 	}
 }
 
 // kill ends a machine's process.
-func (w *World) kill(machine *machine) {
-	if machine.incarnation == nil || machine.incarnation.ended {
+func (w *World) kill(m *machine) {
+	if m.incarnation == nil || m.incarnation.ended {
 		return
 	}
-	if machine.router != nil && w.claiming[machine.name] > 0 {
+	if m.router != nil && w.claiming[m.name] > 0 {
 		w.tempt("a claim in flight at a kill")
 	}
-	if machine.router != nil && machine.router.Core().InFlight() > 0 {
+	if m.router != nil && m.router.Core().InFlight() > 0 {
 		w.tempt("inquiries under way at a kill")
 	}
-	if machine.control != nil && machine.control.Coordinator().Holds() {
+	if m.control != nil && m.control.Coordinator().Holds() {
 		w.tempt("a primary killed under its hold")
 	}
-	w.say("%s is killed", machine.name)
-	machine.incarnation.end()
-	if machine.disk != nil {
-		machine.disk.owner = nil
+	w.say("%s is killed", m.name)
+	m.incarnation.end()
+	if m.disk != nil {
+		m.disk.owner = nil
 	}
 }
 
 // powerOff takes a machine away: what was not synced is gone, and nothing
 // answers there, not even that nobody listens.
 func (w *World) powerOff(name string) {
-	for _, machine := range w.machines {
-		if machine.name == name {
-			machine.off = true
-			w.kill(machine)
-			if machine.disk != nil {
-				machine.disk.lose()
-				machine.disk.powerFailsIn = 0
+	for _, m := range w.machines {
+		if m.name == name {
+			m.off = true
+			w.kill(m)
+			if m.disk != nil {
+				m.disk.lose()
+				m.disk.powerFailsIn = 0
 			}
 		}
 	}
@@ -316,9 +316,9 @@
 
 func (w *World) listNodes() []membership.Node {
 	var nodes []membership.Node
-	for _, machine := range w.machines {
-		if !machine.gone {
-			nodes = append(nodes, membership.Node{Name: machine.name, Kind: machine.kind, Address: machine.address, Zone: machine.zone})
+	for _, m := range w.machines {
+		if !m.gone {
+			nodes = append(nodes, membership.Node{Name: m.name, Kind: m.kind, Address: m.address, Zone: m.zone})
 		}
 	}
 	return nodes
