--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -96,7 +96,7 @@
 	fmt.Println(strings.TrimSpace(said.Result + " " + said.Detail))
 }
 
-// status is the part of an expediter's status that a tasting needs.
+// status is the part of a controller's status that a tasting needs.
 type status struct {
 	Configuration string              `json:"configuration_version"`
 	Servers       []membership.Server `json:"servers"`
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,4 @@
-// Command expediter is seamloom's control plane, and the operators' tool.
+// Command controller is seamloom's control plane, and the operators' tool.
 package main
 
 import (
--- a/cmd/controller/operator.go
+++ b/cmd/controller/operator.go
@@ -26,7 +26,7 @@
 
 func (err *operatorTrouble) Error() string { return err.said }
 
-// operator speaks to one of the expediters.
+// operator speaks to one of the controllers.
 type operator struct {
 	addresses []string
 	patience  time.Duration
@@ -135,7 +135,7 @@
 	body   []byte
 }
 
-// ask tries one expediter after another, but goes on only when the call
+// ask tries one controller after another, but goes on only when the call
 // certainly changed nothing.
 func (o *operator) ask(method, path string, query url.Values, body []byte) (answered, error) {
 	last := "no address"
--- a/cmd/controller/usage.go
+++ b/cmd/controller/usage.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// usageCommand gathers every running courier's ledger into one file.
+// usageCommand gathers every running router's ledger into one file.
 func usageCommand() *cobra.Command {
 	command := subcommand("usage FILE", "export usage of all running couriers as CSV or Parquet", cobra.ExactArgs(1), func(o *operator, command *cobra.Command, arguments []string) error {
 		format, _ := command.Flags().GetString("format")
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -1,4 +1,4 @@
-// Command courier is seamloom's data plane: it lets inquiries in, picks their
+// Command router is seamloom's data plane: it lets requests in, picks their
 // servers and streams their replies.
 package main
 
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command rehearsal is seamloom's test kit: it starts a whole fleet on this
+// Command test is seamloom's test kit: it starts a whole fleet on this
 // machine, with stand-ins for callers, model servers and the platform, lets
 // things fail, and judges what the stand-ins wrote down.
 package main
--- a/core.go
+++ b/core.go
@@ -14,7 +14,7 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Core is one courier's deterministic core. Apply may be called from several
+// Core is one router's deterministic core. Apply may be called from several
 // threads; fed from one, the same events give the same decisions.
 type Core struct {
 	options  Options
@@ -118,7 +118,7 @@
 	configuration, err := config.Check(event.Configuration)
 	if err != nil {
 		// A configuration is checked before it is accepted; one that this build
-		// can't read leaves the courier without a hold for it.
+		// can't read leaves the router without a hold for it.
 		c.rejected.Add(1)
 		return
 	}
@@ -171,14 +171,14 @@
 // InForce is the version of the configuration in force, as epoch and number.
 func (c *Core) InForce() (epoch, number uint64) { return c.desk.InForce() }
 
-// HoldEnds is when the courier's hold runs out.
+// HoldEnds is when the router's hold runs out.
 func (c *Core) HoldEnds() time.Time { return c.desk.HoldEnds() }
 
-// SetServeWithoutHold chooses how long the courier goes on letting in after its last
+// SetServeWithoutHold chooses how long the router goes on letting in after its last
 // hold, with its last configuration. Duties always need a hold.
 func (c *Core) SetServeWithoutHold(length time.Duration) { c.desk.SetServeWithoutHold(length) }
 
-// ServesUntil is until when the courier lets in.
+// ServesUntil is until when the router admits.
 func (c *Core) ServesUntil() time.Time { return c.desk.ServesUntil() }
 
 // Enabled is the enabled set that the core has read.
@@ -196,14 +196,14 @@
 	return enabled == nil || len(c.options.Supported.Lacks(*enabled)) > 0
 }
 
-// InFlight counts the inquiries that have no final line yet.
+// InFlight counts the requests that have no final line yet.
 func (c *Core) InFlight() int { return c.desk.InFlight() }
 
-// InFlightRequests counts the requests of both kinds, inquiries and opaque calls, that
+// InFlightRequests counts the requests of both kinds, requests and opaque calls, that
 // have not ended.
 func (c *Core) InFlightRequests() int { return c.desk.InFlight() + c.calls.InFlight() }
 
-// Dutiful tells whether the courier has duties.
+// Dutiful tells whether the router has duties.
 func (c *Core) Dutiful() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/examples/embedded/main.go
+++ b/examples/embedded/main.go
@@ -1,5 +1,5 @@
 // Command embedded shows how a routing program embeds seamloom: it feeds the
-// core the events of one inquiry and prints each decision as a JSON line. A
+// core the events of one request and prints each decision as a JSON line. A
 // real program would carry the decisions out and feed back what came of them.
 package main
 
@@ -21,7 +21,7 @@
 	}
 }
 
-// tell drives one inquiry from its arrival to its final line.
+// tell drives one request from its arrival to its final line.
 func tell(target io.Writer) error {
 	core := seamloom.New(seamloom.Options{Router: "courier-1", Zone: "north", Supported: seamloom.Supported(nil)})
 	now := time.Date(2026, 1, 2, 18, 0, 0, 0, time.UTC)
--- a/internal/adapters/controller/fleet.go
+++ b/internal/adapters/controller/fleet.go
@@ -8,13 +8,13 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Edit changes the configuration if this expediter is primary, and returns once the
+// Edit changes the configuration if this controller is primary, and returns once the
 // change is in force.
 func (p *Process) Edit(edit hatch.Edit) (replication.Version, error) {
 	return p.conduct.Edit(edit)
 }
 
-// Configuration is the newest configuration that was acknowledged, if this expediter
+// Configuration is the newest configuration that was acknowledged, if this controller
 // is primary.
 func (p *Process) Configuration() ([]byte, error) {
 	_, _, state, err := p.conduct.Read()
@@ -24,7 +24,7 @@
 	return state.Configuration, nil
 }
 
-// Leads tells whether this expediter is primary at this moment, and else the hotline
+// Leads tells whether this controller is primary at this moment, and else the hotline
 // address of the one that is, as far as it has heard; empty if it has heard of none.
 func (p *Process) Leads() (leads bool, elsewhere string) {
 	if _, _, err := p.conduct.Ruling(); err == nil {
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -1,4 +1,4 @@
-// Package expediter is the control plane's process: its conduct, and the
+// Package controller is the control plane's process: its conduct, and the
 // adapters to its disk, to other processes and to operators.
 package controller
 
@@ -26,7 +26,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Process is one expediter.
+// Process is one controller.
 type Process struct {
 	tomb            tomb.Tomb
 	lifetime        context.Context
@@ -39,8 +39,8 @@
 	chosen settings.Settings
 }
 
-// Ports are what an expediter reaches a platform by. Those left out are the
-// product's own; without Reports no report is read for the couriers.
+// Ports are what a controller reaches a platform by. Those left out are the
+// product's own; without Reports no report is read for the routers.
 type Ports struct {
 	Directory ports.Directory
 	Reports   ports.Reports
@@ -94,7 +94,7 @@
 	return mux
 }
 
-// Conduct is what the expediter does, for who mounts further ways in.
+// Conduct is what the controller does, for who mounts further ways in.
 func (p *Process) Conduct() *hatch.Controller { return p.conduct }
 
 // platform is the address of the platform's lists.
--- a/internal/adapters/controller/signpost.go
+++ b/internal/adapters/controller/signpost.go
@@ -16,14 +16,14 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Redirector is the process that stands in for an expediter on a machine without a disk:
+// Redirector is the process that stands in for a controller on a machine without a disk:
 // it sends operators on to the primary.
 type Redirector struct {
 	tomb    tomb.Tomb
 	conduct *hatch.Redirector
 }
 
-// StartRedirector makes a signpost.
+// StartRedirector makes a redirector.
 func StartRedirector(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock) *Redirector {
 	redirector := &Redirector{}
 	lifetime := redirector.tomb.Context(context.Background())
--- a/internal/adapters/daemon/program.go
+++ b/internal/adapters/daemon/program.go
@@ -172,7 +172,7 @@
 	})
 }
 
-// Serve listens and answers until the tomb dies; then circuits get a moment to
+// Serve listens and answers until the tomb dies; then connections get a moment to
 // end by themselves.
 func Serve(owner *tomb.Tomb, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
--- a/internal/adapters/modelserver/fuzz_test.go
+++ b/internal/adapters/modelserver/fuzz_test.go
@@ -12,7 +12,7 @@
 )
 
 // FuzzServerAnswers has a server answer anything with any status: no panic, a
-// load only if it can be true, memory and pieces only of the own inquiry and run.
+// load only if it can be true, memory and chunks only of the own request and run.
 func FuzzServerAnswers(fuzzing *testing.F) {
 	fuzzing.Add(200, []byte(`{"server":"a","part":"prefill","prefill_room":-4}`))
 	fuzzing.Add(200, []byte(`{"inquiry":"one","run":1,"handle":"memory"}`))
--- a/internal/adapters/modelserver/guardedbody.go
+++ b/internal/adapters/modelserver/guardedbody.go
@@ -9,7 +9,7 @@
 )
 
 // guardedBody is an order on its way. Whether it may still go is asked when its
-// first byte is taken, after every wait for a circuit; an order without its
+// first byte is taken, after every wait for a connection; an order without its
 // body is none.
 type guardedBody struct {
 	reader *bytes.Reader
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -74,7 +74,7 @@
 }
 
 // Post sends an order. May is asked at once and again when its body is taken, after
-// every wait for a circuit; begun tells whether any of it may have reached the server.
+// every wait for a connection; begun tells whether any of it may have reached the server.
 func Post(lifetime context.Context, client *http.Client, location string, header http.Header, content []byte, may func() bool) (inbound *http.Response, begun bool, err error) {
 	if !may() {
 		return nil, false, tooLate
@@ -137,7 +137,7 @@
 	return auction.Done, answer.Handle, ""
 }
 
-// Decode has a server take up a prompt's memory and answer; each piece goes to
+// Decode has a server take up a prompt's memory and answer; each chunk goes to
 // take as it comes.
 func (m *ModelServer) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
 	request := decision.Request
@@ -172,7 +172,7 @@
 	return auction.Uncertain, 0, "the stream broke off"
 }
 
-// Cancel breaks a run's circuit and has the server stop it.
+// Cancel breaks a run's connection and has the server stop it.
 func (m *ModelServer) Cancel(decision auction.Decision) {
 	m.EndRun(decision.ID, decision.Run)
 	m.runtime.Go(func() {
@@ -214,7 +214,7 @@
 	return act(lifetime)
 }
 
-// Pressure reads a server's pressure within a patience, for the market of inquiries.
+// Pressure reads a server's pressure within a patience, for the market of requests.
 func (m *ModelServer) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
 	lifetime, end := context.WithTimeout(m.lifetime, patience)
 	defer end()
--- a/internal/adapters/modelserver/stove_test.go
+++ b/internal/adapters/modelserver/stove_test.go
@@ -12,7 +12,7 @@
 	"seamloom.example/seamloom/internal/auction"
 )
 
-// TestOrderThatWaitedTooLongDoesNotLeave has the circuit come about only after
+// TestOrderThatWaitedTooLongDoesNotLeave has the connection come about only after
 // the order may not go any more: nothing may reach the server, and the outcome
 // is certain.
 func TestOrderThatWaitedTooLongDoesNotLeave(t *testing.T) {
--- a/internal/adapters/modelserver/streamline.go
+++ b/internal/adapters/modelserver/streamline.go
@@ -1,7 +1,7 @@
 package modelserver
 
 // StreamLine is one line of the answer to POST /v1/decode. The last one has
-// Done and the number of all pieces.
+// Done and the number of all chunks.
 type StreamLine struct {
 	Request string `json:"inquiry"`
 	Run     int    `json:"run"`
--- a/internal/adapters/osruntime/clock.go
+++ b/internal/adapters/osruntime/clock.go
@@ -20,7 +20,7 @@
 func NewClock() *Clock { return NewClockOver(time.Now) }
 
 // NewClockOver starts a clock over another source of the wall clock's time, such as
-// one that jumps in rehearsals.
+// one that jumps in tests.
 func NewClockOver(wall func() time.Time) *Clock {
 	return &Clock{began: wall().Round(0), boot: sinceBoot(), wall: wall}
 }
--- a/internal/adapters/proxy/bench_test.go
+++ b/internal/adapters/proxy/bench_test.go
@@ -15,8 +15,8 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// scan answers calls on raw circuits with as little work as possible, so that what is
-// measured is the courier.
+// scan answers calls on raw connections with as little work as possible, so that what is
+// measured is the router.
 func scan(listener net.Listener, a []byte, chunks int) {
 	for {
 		connection, err := listener.Accept()
--- a/internal/adapters/proxy/circuit.go
+++ b/internal/adapters/proxy/circuit.go
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// circuit is one connection to a model server. It knows for certain whether anything
+// connection is one connection to a model server. It knows for certain whether anything
 // of the present call was written, and takes nothing once its server may have closed
 // it for having rested too long.
 type conn struct {
@@ -16,7 +16,7 @@
 	now func() time.Time
 
 	mutex sync.Mutex
-	// rests is how long the server keeps the circuit while nothing is said; restedAt
+	// rests is how long the server keeps the connection while nothing is said; restedAt
 	// is when the last call on it ended.
 	rests    time.Duration
 	restedAt time.Time
@@ -28,7 +28,7 @@
 	heard   bool
 }
 
-// begin tells whether the circuit can take a call. If not, nothing of it is written.
+// begin tells whether the connection can take a call. If not, nothing of it is written.
 func (c *conn) begin(ends time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -40,21 +40,21 @@
 	return !c.shut
 }
 
-// rested tells whether the circuit rested for as long as its server keeps it.
+// rested tells whether the connection rested for as long as its server keeps it.
 func (c *conn) rested(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return now.Sub(c.restedAt) > c.rests
 }
 
-// rest notes the end of a call, and how long the server then keeps the circuit.
+// rest notes the end of a call, and how long the server then keeps the connection.
 func (c *conn) rest(length time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.restedAt, c.rests = c.now(), length
 }
 
-// end closes the circuit. After it the circuit certainly takes nothing more; it tells
+// end closes the connection. After it the connection certainly takes nothing more; it tells
 // whether anything of the call may have left, and whether anything came.
 func (c *conn) end() (wrote, heard bool) {
 	c.mutex.Lock()
@@ -67,7 +67,7 @@
 
 var errShut = failure.New(failure.Unreachable, "the circuit takes no more calls")
 
-// Write sends, unless the circuit was shut before.
+// Write sends, unless the connection was shut before.
 func (c *conn) Write(content []byte) (int, error) {
 	c.mutex.Lock()
 	if c.shut {
--- a/internal/adapters/proxy/circuits.go
+++ b/internal/adapters/proxy/circuits.go
@@ -16,21 +16,21 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// The patience with servers' circuits. The values are ours.
+// The patience with servers' connections. The values are ours.
 const (
-	// dialPatience is how long a circuit may take to come up: a server that is there
+	// dialPatience is how long a connection may take to come up: a server that is there
 	// takes a millisecond.
 	dialPatience = 300 * time.Millisecond
 	// connectionPatience is how long what was sent may go unacknowledged, and how long a
-	// circuit on which nothing is said may be dead before it shows.
+	// connection on which nothing is said may be dead before it shows.
 	connectionPatience = 1500 * time.Millisecond
-	// restsUnsaid is how long a circuit is kept when its server does not say how long
+	// restsUnsaid is how long a connection is kept when its server does not say how long
 	// it keeps it; restsMargin what is taken off when it does.
 	restsUnsaid = 700 * time.Millisecond
 	restsMargin = 300 * time.Millisecond
-	// mostResting bounds the circuits kept for one server.
+	// mostResting bounds the connections kept for one server.
 	mostResting = 16
-	// sweepPause is how long resting circuits may outlive their use.
+	// sweepPause is how long resting connections may outlive their use.
 	sweepPause = time.Second
 	mostHead   = 256 << 10
 )
@@ -56,7 +56,7 @@
 	return incarnation{name: server.Name, address: server.Address}
 }
 
-// line is a circuit with its HTTP/1.1 client.
+// line is a connection with its HTTP/1.1 client.
 type line struct {
 	incarnation incarnation
 	connection  *conn
@@ -65,7 +65,7 @@
 
 type connectionKey struct{}
 
-// NewConnections makes the circuits of a courier. Detours replace addresses when dialling.
+// NewConnections makes the connections of a router. Detours replace addresses when dialling.
 func NewConnections(detours map[string]string) *Connections {
 	dialer := &net.Dialer{Timeout: dialPatience, Control: shortPatience,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
@@ -86,7 +86,7 @@
 	return connections
 }
 
-// shortPatience has a dead circuit show soon.
+// shortPatience has a dead connection show soon.
 func shortPatience(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if outer := raw.Control(func(descriptor uintptr) {
@@ -97,7 +97,7 @@
 	return err
 }
 
-// take gives a resting circuit that is still good, or opens one. Failing means that
+// take gives a resting connection that is still good, or opens one. Failing means that
 // nothing was sent.
 func (c *Connections) take(lifetime context.Context, server membership.Server, ends time.Time) (*line, error) {
 	key := incarnationOf(server)
@@ -140,7 +140,7 @@
 	return last
 }
 
-// give takes a circuit back after a whole answer. Rests is what the answer said of how
+// give takes a connection back after a whole answer. Rests is what the answer said of how
 // long the server keeps it.
 func (c *Connections) give(used *line, rests time.Duration) {
 	if used.client.Err() != nil || used.client.Available() == 0 {
@@ -166,7 +166,7 @@
 	}
 }
 
-// sweep takes out the circuits that rested too long, that their servers closed or that
+// sweep takes out the connections that rested too long, that their servers closed or that
 // are too many.
 func (c *Connections) sweep(now time.Time) []*line {
 	var surplus []*line
@@ -189,7 +189,7 @@
 	return surplus
 }
 
-// SetServers drops the circuits to lives that are listed no more.
+// SetServers drops the connections to lives that are listed no more.
 func (c *Connections) SetServers(servers []membership.Server) {
 	listed := make(map[incarnation]bool, len(servers))
 	for _, server := range servers {
@@ -210,7 +210,7 @@
 	}
 }
 
-// Opened counts the circuits that came up.
+// Opened counts the connections that came up.
 func (c *Connections) Opened() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -222,7 +222,7 @@
 	_ = l.client.Close()
 }
 
-// readRests reads how long a server keeps the circuit.
+// readRests reads how long a server keeps the connection.
 func readRests(header http.Header) time.Duration {
 	for _, text := range header["Keep-Alive"] {
 		for entry := range strings.SplitSeq(text, ",") {
--- a/internal/adapters/proxy/circuits_test.go
+++ b/internal/adapters/proxy/circuits_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// restingGood tells whether any circuit rests that looks good.
+// restingGood tells whether any connection rests that looks good.
 func restingGood(connections *Connections) bool {
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
--- a/internal/adapters/proxy/clientconnection.go
+++ b/internal/adapters/proxy/clientconnection.go
@@ -9,13 +9,13 @@
 )
 
 // clientConnection is the state of one connection of a client. Its mutex decides
-// between a request that is about to be passed on and the connection's dismissal:
+// between a request that is about to be forwarded and the connection's dismissal:
 // whichever comes first excludes the other.
 type clientConnection struct {
 	mutex sync.Mutex
 	state http.ConnState
 	since time.Time
-	// admitted tells that the present request was read whole and may be passed on.
+	// admitted tells that the present request was read whole and may be forwarded.
 	admitted bool
 	// dismissed tells that the connection is to end and passes nothing on any more.
 	dismissed bool
@@ -28,7 +28,7 @@
 	c.state, c.since, c.admitted = state, now, false
 }
 
-// admit tells whether the request that was read whole may be passed on. From then on
+// admit tells whether the request that was read whole may be forwarded. From then on
 // until its answer is over the connection is not dismissed.
 func (c *clientConnection) admit() bool {
 	c.mutex.Lock()
--- a/internal/adapters/proxy/clientconnection_test.go
+++ b/internal/adapters/proxy/clientconnection_test.go
@@ -41,7 +41,7 @@
 )
 
 // stepServed is one step of the serving thread: the head is read, the body is read and
-// asked for, the request is passed on, its answer is over and the connection rests.
+// asked for, the request is forwarded, its answer is over and the connection rests.
 func (c *connectionModel) stepServed(now time.Time) {
 	switch c.served {
 	case 0:
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -21,8 +21,8 @@
 
 // The bounds of answers. The values are ours.
 const (
-	// mostKept bounds a failing answer that is kept to be passed on, and an answer
-	// that is passed on only when all of it is there.
+	// mostKept bounds a failing answer that is kept to be forwarded, and an answer
+	// that is forwarded only when all of it is there.
 	mostKept = 1 << 20
 	// mostEvent bounds one event of a stream.
 	mostEvent = 4 << 20
@@ -51,7 +51,7 @@
 	// reader is the server that read the prompt last.
 	reader membership.Server
 	kept   *answer
-	// begun tells that something of an answer was passed on, lastEvent is the id of
+	// begun tells that something of an answer was forwarded, lastEvent is the id of
 	// the last event that was.
 	begun     atomic.Bool
 	lastEvent string
@@ -59,7 +59,7 @@
 	ending ending
 }
 
-// answer is a failing answer that is kept to be passed on.
+// answer is a failing answer that is kept to be forwarded.
 type answer struct {
 	status int
 	header http.Header
@@ -140,7 +140,7 @@
 	}
 }
 
-// fail ends a dispatch whose answer can't be used; the circuit goes with it.
+// fail ends a dispatch whose answer can't be used; the connection goes with it.
 func (d *dispatch) fail(result scheduler.Result) bool {
 	if d.exchange.inbound.Context().Err() != nil {
 		result = scheduler.Gone
@@ -289,7 +289,7 @@
 	return sent.outcome
 }
 
-// Run has a server make the answer, which is passed on.
+// Run has a server make the answer, which is forwarded.
 func (e *exchange) Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
 	words := &e.intake.words
 	if e.begun.Load() && e.lastEvent == "" {
--- a/internal/adapters/proxy/exchange_test.go
+++ b/internal/adapters/proxy/exchange_test.go
@@ -161,7 +161,7 @@
 		}
 	}
 	expect(event(1))
-	// Half an event is not passed on; its rest brings it.
+	// Half an event is not forwarded; its rest brings it.
 	further <- chunk(event(2)[:9])
 	further <- chunk(event(2)[9:] + event(3) + "id: 4\n")
 	expect(event(2) + event(3))
@@ -200,7 +200,7 @@
 		return false
 	})
 	second := newStandin(t, func(c *callerConnection, _ *http.Request) bool {
-		// The second one repeats an event: it is passed on once.
+		// The second one repeats an event: it is forwarded once.
 		c.say(strings.Replace(stream("id"), "seal-id", "other", 1) + chunk(joined(2, 3, 4)) + "0\r\n\r\n")
 		return true
 	})
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -141,7 +141,7 @@
 	return server
 }
 
-// TestNothingRunsTwiceAndNothingIsMixed sends calls through a courier to servers that
+// TestNothingRunsTwiceAndNothingIsMixed sends calls through a router to servers that
 // misbehave at every cut, by a seed, and holds what origins got against what ran.
 func TestNothingRunsTwiceAndNothingIsMixed(t *testing.T) {
 	seeds := 6
@@ -259,7 +259,7 @@
 	return configuration
 }
 
-// TestLeavingUnderTraffic: while a courier leaves, no call that was read is cut, and
+// TestLeavingUnderTraffic: while a router leaves, no call that was read is cut, and
 // after it takes no more, origins are told when to come back.
 func TestLeavingUnderTraffic(t *testing.T) {
 	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
--- a/internal/adapters/proxy/fuzz_test.go
+++ b/internal/adapters/proxy/fuzz_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// FuzzEvents cuts a stream at any place: what is passed on is the same, event by event,
+// FuzzEvents cuts a stream at any place: what is forwarded is the same, event by event,
 // as when it comes at once.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: x\n\nid: 2\r\ndata: y\r\n\r\n: note\r\rdata: z"), 7)
--- a/internal/adapters/proxy/gate.go
+++ b/internal/adapters/proxy/gate.go
@@ -17,12 +17,12 @@
 const (
 	watchPause   = time.Second
 	bodyPatience = 30 * time.Second
-	// closePatience is how long circuits get to end by themselves at the end.
+	// closePatience is how long connections get to end by themselves at the end.
 	closePatience = 500 * time.Millisecond
 	mostHeadBytes = 1 << 20
 )
 
-// Gate listens for origins and for who asks whether the courier is ready.
+// Gate listens for origins and for who asks whether the router is ready.
 type Gate struct {
 	intake  *Intake
 	now     func() time.Time
@@ -34,7 +34,7 @@
 
 type clientConnectionKey struct{}
 
-// admit tells whether a request that was read whole may be passed on: not when its
+// admit tells whether a request that was read whole may be forwarded: not when its
 // connection was dismissed meanwhile. One that came in another way is always admitted.
 func admit(inbound *http.Request) bool {
 	connection, found := inbound.Context().Value(clientConnectionKey{}).(*clientConnection)
@@ -91,7 +91,7 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-// Close ends all circuits; those under way get a moment.
+// Close ends all connections; those under way get a moment.
 func (g *Gate) Close() {
 	lifetime, cancel := context.WithTimeout(context.Background(), closePatience)
 	defer cancel()
@@ -153,7 +153,7 @@
 
 // dismiss ends the connections of clients that take or rest too long. One that rests
 // ends by itself when its next read fails, and never under a request: one that crosses
-// the dismissal is refused on the connection and was not passed on. One whose first head
+// the dismissal is refused on the connection and was not forwarded. One whose first head
 // takes too long has no request, and is closed.
 func (g *Gate) dismiss() {
 	limits, now := g.intake.limits(), g.now()
--- a/internal/adapters/proxy/headers.go
+++ b/internal/adapters/proxy/headers.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// oneConnection are the headers that concern one circuit only.
+// oneConnection are the headers that concern one connection only.
 var oneConnection = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
 
-// copyEndToEnd copies the headers that are not one circuit's own, and leaves the
+// copyEndToEnd copies the headers that are not one connection's own, and leaves the
 // content's length to who writes the body.
 func copyEndToEnd(target, source http.Header, protected ...string) {
 	for name, values := range source {
@@ -31,7 +31,7 @@
 	}
 }
 
-// isProtected tells whether a header stays even when its circuit is said to own it.
+// isProtected tells whether a header stays even when its connection is said to own it.
 func isProtected(name string, protected []string) bool {
 	for _, word := range protected {
 		if word == name {
--- a/internal/adapters/proxy/intake.go
+++ b/internal/adapters/proxy/intake.go
@@ -31,7 +31,7 @@
 	Serve(call *scheduler.Call, e hatch.Exchange)
 	// Limits bound what an origin may send.
 	Limits() config.Limits
-	// Ready tells whether calls are welcome, Leaving that circuits are to end with the
+	// Ready tells whether calls are welcome, Leaving that connections are to end with the
 	// answer under way.
 	Ready() bool
 	Leaving() bool
@@ -134,7 +134,7 @@
 	}
 	header := make(http.Header, len(inbound.Header)+4)
 	copyEndToEnd(header, inbound.Header, words.ID, words.Limit, words.Model, words.Tokens, words.Parts)
-	// These are for a courier to say, whatever an origin sent.
+	// These are for a router to say, whatever an origin sent.
 	for _, ours := range [...]string{words.Target, words.Stage, words.Source, words.Urgency, "Expect"} {
 		delete(header, ours)
 	}
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -25,7 +25,7 @@
 type standin struct {
 	listener net.Listener
 	server   membership.Server
-	// act answers one call on a circuit; false closes the circuit.
+	// act answers one call on a connection; false closes the connection.
 	act func(connection *callerConnection, inbound *http.Request) bool
 
 	mutex       sync.Mutex
@@ -43,7 +43,7 @@
 
 func (c *callerConnection) say(text string) { _, _ = io.WriteString(c, text) }
 
-// reset closes the circuit so that what is on its way is lost.
+// reset closes the connection so that what is on its way is lost.
 func (c *callerConnection) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
@@ -179,7 +179,7 @@
 // Ready tells whether calls are welcome.
 func (s *scripted) Ready() bool { return !s.leaving.Load() }
 
-// Leaving tells that circuits are to end.
+// Leaving tells that connections are to end.
 func (s *scripted) Leaving() bool { return s.leaving.Load() }
 
 // Serve carries the script out.
--- a/internal/adapters/proxy/words.go
+++ b/internal/adapters/proxy/words.go
@@ -1,4 +1,4 @@
-// Package calls carries opaque calls over HTTP/1.1: from their origins to a courier
+// Package calls carries opaque calls over HTTP/1.1: from their origins to a router
 // and on to model servers, with method, path and body unchanged. What the headers are
 // called stands in Words; what is done with a call is decided by the window.
 package proxy
@@ -12,7 +12,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Words are the names by which origins, couriers and model servers speak of a call:
+// Words are the names by which origins, routers and model servers speak of a call:
 // headers, a path and the fields of an answer.
 type Words struct {
 	// ID is the header with the origin's own id of this sending; a server's answer
--- a/internal/adapters/router/calls_test.go
+++ b/internal/adapters/router/calls_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Nothing is known yet: not ready, and no call is let in.
+	// Nothing is known yet: not ready, and no call is admitted.
 	if status := get(t, chosen.ReadyAddress).StatusCode; status != http.StatusServiceUnavailable {
 		t.Fatalf("ready with %d", status)
 	}
@@ -75,7 +75,7 @@
 const heldRoute = `{"services":{"desk":{"engine":{"slots":64,"memory_tokens":295740}}},
 "routes":{"held":{"match":{"host":"ask.example","path_prefix":"/"},"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":30000,"tries":1}}}}`
 
-// TestDrainCountsAndAwaitsCallsUnderWay drains a courier while a model server holds a
+// TestDrainCountsAndAwaitsCallsUnderWay drains a router while a model server holds a
 // call's answer back.
 func TestDrainCountsAndAwaitsCallsUnderWay(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
--- a/internal/adapters/router/counter.go
+++ b/internal/adapters/router/counter.go
@@ -41,8 +41,8 @@
 	return mux
 }
 
-// serveRequest takes an inquiry from its origin, or from a restricted courier
-// that passed it on; one that was passed on is not passed on again.
+// serveRequest takes a request from its origin, or from a restricted router
+// that passed it on; one that was forwarded is not forwarded again.
 func (p *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, passage *hatch.Passage) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, hatch.MostRequestBytes))
 	if err != nil {
@@ -70,7 +70,7 @@
 	}})
 }
 
-// refuse answers what is no inquiry.
+// refuse answers what is no request.
 func refuse(writer http.ResponseWriter, err error) {
 	never := false
 	line := hatch.ReplyLine{Final: auction.Refused, Ran: &never, Type: failure.KindOf(err), Detail: err.Error()}
--- a/internal/adapters/router/passing.go
+++ b/internal/adapters/router/passing.go
@@ -16,7 +16,7 @@
 	"seamloom.example/seamloom/internal/hatch"
 )
 
-// The headers that mark one passing-on.
+// The headers that mark one forwarding.
 const (
 	passageHeader     = "Seamloom-Passage"
 	incarnationHeader = "Seamloom-Incarnation"
@@ -28,16 +28,16 @@
 	_ = json.NewEncoder(writer).Encode(content)
 }
 
-// passing carries inquiries to other couriers over HTTP.
+// passing carries requests to other routers over HTTP.
 type passing struct {
 	client   *http.Client
 	lifetime context.Context
 }
 
-// Pass sends an inquiry on and gives the records of its reply to take.
+// Pass sends a request on and gives the records of its reply to take.
 func (p *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	var touched atomic.Bool
-	// The circuit closes when the reply is over or its origin is gone.
+	// The connection closes when the reply is over or its origin is gone.
 	lifetime, end := context.WithCancel(p.lifetime)
 	defer end()
 	whenLeft(end)
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -1,4 +1,4 @@
-// Package courier is the data plane's process: its conduct and the adapters
+// Package router is the data plane's process: its conduct and the adapters
 // that carry it out.
 package router
 
@@ -29,7 +29,7 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Process is one courier.
+// Process is one router.
 type Process struct {
 	tomb      tomb.Tomb
 	lifetime  context.Context
@@ -47,17 +47,17 @@
 // tickPause lies between two looks at what is still running while the process ends.
 const tickPause = 20 * time.Millisecond
 
-// Ports are what a courier reaches a platform by. Those left out are the product's
+// Ports are what a router reaches a platform by. Those left out are the product's
 // own.
 type Ports struct {
 	Directory ports.Directory
 	Orders    ports.Orders
 	// Words are the headers and paths of opaque calls.
 	Words *proxy.Words
-	// CallsOnly tells that servers speak no inquiries: they are not asked for what the
-	// market of inquiries needs.
+	// CallsOnly tells that servers speak no requests: they are not asked for what the
+	// market of requests needs.
 	CallsOnly bool
-	// FurtherTries bounds what all couriers send beyond the first dispatch of each
+	// FurtherTries bounds what all routers send beyond the first dispatch of each
 	// opaque call.
 	FurtherTries scheduler.Allowance
 }
@@ -100,7 +100,7 @@
 
 func (p *Process) observe(event string, detail ...any) { p.logger.Info(event, detail...) }
 
-// Conduct is what the courier does, for who mounts further ways in.
+// Conduct is what the router does, for who mounts further ways in.
 func (p *Process) Conduct() *hatch.Router { return p.conduct }
 
 // Answer listens on a further address for as long as the process lives.
@@ -115,7 +115,7 @@
 	return p.chosen.Platform
 }
 
-// noteEnd counts an inquiry's use.
+// noteEnd counts a request's use.
 func (p *Process) noteEnd(request *auction.Request, decision auction.Decision) {
 	p.ledger.Note(p.clock.Wall(), usage.Row{Router: p.chosen.Name, Service: request.Service, Client: request.Client,
 		Final: string(decision.Final), PromptTokens: int64(request.PromptTokens), Chunks: int64(decision.Chunks)})
--- a/internal/adapters/router/reply.go
+++ b/internal/adapters/router/reply.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// reply is an origin at the other end of an HTTP circuit.
+// reply is an origin at the other end of an HTTP connection.
 type reply struct {
 	writer  http.ResponseWriter
 	flusher *http.ResponseController
@@ -36,5 +36,5 @@
 	return r.flusher.Flush()
 }
 
-// WhenLeft has act called when the origin closes its circuit.
+// WhenLeft has act called when the origin closes its connection.
 func (r *reply) WhenLeft(act func()) { context.AfterFunc(r.inbound.Context(), act) }
--- a/internal/adapters/rpc/caller.go
+++ b/internal/adapters/rpc/caller.go
@@ -30,7 +30,7 @@
 }
 
 // NewCaller makes a caller. Detours replace addresses when dialling: the
-// rehearsal's relays stand there.
+// test's relays stand there.
 func NewCaller(detours map[string]string) *Caller {
 	return &Caller{client: NewClient(Transport(detours))}
 }
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -38,17 +38,17 @@
 	BorneLosses int
 	Withhold    []string
 	Detours     map[string]string
-	// Bootstrap allows a blank expediter to form a first core with the other seeds.
+	// Bootstrap allows a blank controller to form a first core with the other seeds.
 	// Where it is false there is a core already, and a blank disk only joins it.
 	Bootstrap bool
-	// AcknowledgeWait is how long a committed change waits for couriers that are not
+	// AcknowledgeWait is how long a committed change waits for routers that are not
 	// heard from; zero: for as long as their holds run.
 	AcknowledgeWait time.Duration
-	// ServeWithoutHold is how long a courier goes on letting in after its last hold;
+	// ServeWithoutHold is how long a router goes on letting in after its last hold;
 	// zero: not at all.
 	ServeWithoutHold time.Duration
 	// CallsAddress, ReadyAddress and ControlAddress are further addresses to listen
-	// on: for opaque calls, for who asks whether the courier is ready, and for
+	// on: for opaque calls, for who asks whether the router is ready, and for
 	// operators. An empty one means the process's own address only.
 	CallsAddress   string
 	ReadyAddress   string
@@ -57,7 +57,7 @@
 	// out of the record by itself; zero: only operators do so.
 	RetireAfter time.Duration
 	// ApplyWithin is how soon after its acknowledgement a change has to be in force at a
-	// courier that reaches the core: it bounds how long a silent primary is believed.
+	// router that reaches the core: it bounds how long a silent primary is believed.
 	ApplyWithin time.Duration
 	// CatchUp is how long a machine with a disk counts as lost after its return or after
 	// its successor's start: the waits of the core are derived from it.
--- a/internal/adapters/settings/settings_test.go
+++ b/internal/adapters/settings/settings_test.go
@@ -22,7 +22,7 @@
 }
 
 // TestDefaultsKeepTheStrictConduct wants settings that say nothing of holds to
-// mean that holds are waited for, and that nothing is let in without one.
+// mean that holds are waited for, and that nothing is admitted without one.
 func TestDefaultsKeepTheStrictConduct(t *testing.T) {
 	for _, kind := range []membership.NodeKind{membership.Router, membership.Controller} {
 		chosen := sound(kind)
--- a/internal/adapters/storage/disk.go
+++ b/internal/adapters/storage/disk.go
@@ -1,6 +1,6 @@
 package storage
 
-// Disk is the port in front of the file system; rehearsals put a faulty one
+// Disk is the port in front of the file system; tests put a faulty one
 // there that forgets what was not synced, stalls, fills or returns damage.
 type Disk interface {
 	MakeFolder(path string) error
--- a/internal/adapters/usage/export_test.go
+++ b/internal/adapters/usage/export_test.go
@@ -10,7 +10,7 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// TestBothFormatsGiveTheSameRowsBack counts inquiries and reads both files.
+// TestBothFormatsGiveTheSameRowsBack counts requests and reads both files.
 func TestBothFormatsGiveTheSameRowsBack(t *testing.T) {
 	ledger := NewLedger()
 	noon := time.Date(2026, 1, 2, 12, 0, 10, 0, time.UTC)
--- a/internal/adapters/usage/ledger.go
+++ b/internal/adapters/usage/ledger.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// MostRows bounds a courier's ledger; past it the oldest minutes are dropped.
+// MostRows bounds a router's ledger; past it the oldest minutes are dropped.
 const MostRows = 50_000
 
-// Ledger is one courier's usage, in memory: it ends with the process.
+// Ledger is one router's usage, in memory: it ends with the process.
 type Ledger struct {
 	mutex sync.Mutex
 	rows  map[Row]*Row
@@ -18,7 +18,7 @@
 // NewLedger starts an empty ledger.
 func NewLedger() *Ledger { return &Ledger{rows: map[Row]*Row{}} }
 
-// Note adds one inquiry that has ended.
+// Note adds one request that has ended.
 func (l *Ledger) Note(now time.Time, ended Row) {
 	ended.Minute = now.UTC().Truncate(time.Minute).Format(time.RFC3339)
 	key := Row{Minute: ended.Minute, Router: ended.Router, Service: ended.Service, Client: ended.Client, Final: ended.Final}
@@ -64,7 +64,7 @@
 	return rows
 }
 
-// Sort orders rows by minute, courier, service, origin and end.
+// Sort orders rows by minute, router, service, origin and end.
 func Sort(rows []Row) {
 	name := func(row Row) string {
 		return row.Minute + "\x00" + row.Router + "\x00" + row.Service + "\x00" + row.Client + "\x00" + row.Final
--- a/internal/adapters/usage/row.go
+++ b/internal/adapters/usage/row.go
@@ -1,7 +1,7 @@
 // Package usage counts what was used, and writes it as CSV or Parquet.
 package usage
 
-// Row is the usage of one service by one origin in one minute, at one courier,
+// Row is the usage of one service by one origin in one minute, at one router,
 // by how the replies ended. Its tags are the schema of both formats.
 type Row struct {
 	Minute       string `json:"minute" parquet:"minute"`
--- a/internal/auction/balance.go
+++ b/internal/auction/balance.go
@@ -82,7 +82,7 @@
 		orders = append(orders, codec.Order{Server: server.Name, Part: string(to), Patience: switchPatience, Cause: cause})
 	}
 	// Servers without a part come first: two of five read prompts, each
-	// district in turn.
+	// zone in turn.
 	sort.SliceStable(vacant, func(left, right int) bool {
 		return membership.Weight("first part", vacant[left].Name) > membership.Weight("first part", vacant[right].Name)
 	})
--- a/internal/auction/budget.go
+++ b/internal/auction/budget.go
@@ -13,7 +13,7 @@
 
 const (
 	triesShare = 5
-	// mostSpare is what a courier that retries nothing saves: one lost hand-over,
+	// mostSpare is what a router that retries nothing saves: one lost hand-over,
 	// which costs two tries, and no more, so that a loss does not bring a burst.
 	mostSpare = 2 * triesShare
 )
--- a/internal/auction/desk.go
+++ b/internal/auction/desk.go
@@ -9,8 +9,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Desk follows every inquiry of one courier from its arrival to its final
-// line. Inquiries lie in shards, so that several threads may work on different
+// Desk follows every request of one router from its arrival to its final
+// line. Requests lie in shards, so that several threads may work on different
 // ones; the views that they share are replaced, never altered.
 type Desk struct {
 	market   *Market
@@ -41,12 +41,12 @@
 const (
 	leastPatience = 2 * time.Second
 	chunkPatience = 3 * time.Second
-	// holdPatience is how long an inquiry that was let in waits for the next
+	// holdPatience is how long a request that was admitted waits for the next
 	// hold.
 	holdPatience = 2 * time.Second
 )
 
-// NewDesk makes the desk of a courier that holds at most so many inquiries.
+// NewDesk makes the desk of a router that holds at most so many requests.
 func NewDesk(market *Market, zone string, most int) *Desk {
 	desk := &Desk{market: market, budget: &Budget{}, zone: zone, most: int64(most)}
 	for position := range desk.shards {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// HoldEnds is when the courier's hold runs out.
+// HoldEnds is when the router's hold runs out.
 func (d *Desk) HoldEnds() time.Time {
 	if ends := d.holdEnds.Load(); ends != nil {
 		return *ends
@@ -102,11 +102,11 @@
 // configuration that is in force.
 func (d *Desk) SetServeWithoutHold(length time.Duration) { d.withoutHold.Store(int64(length)) }
 
-// ServeFrom has the desk let in before its first hold, under a configuration that no
+// ServeFrom has the desk admitted before its first hold, under a configuration that no
 // primary has confirmed in its life, for as long as it goes on without a hold.
 func (d *Desk) ServeFrom(now time.Time) { d.lentAt.CompareAndSwap(nil, &now) }
 
-// ServesUntil is until when the desk lets in; without any hold in its life, and no
+// ServesUntil is until when the desk admits; without any hold in its life, and no
 // configuration lent to it, it lets nothing in.
 func (d *Desk) ServesUntil() time.Time {
 	ends := d.HoldEnds()
@@ -119,8 +119,8 @@
 	return ends.Add(time.Duration(d.withoutHold.Load()))
 }
 
-// SetPassOn tells whether the courier lacks an enabled flag and passes its
-// inquiries to a capable node.
+// SetPassOn tells whether the router lacks an enabled flag and passes its
+// requests to a capable node.
 func (d *Desk) SetPassOn(restricted bool) { d.passOn.Store(restricted) }
 
 // Drain stops letting in.
@@ -129,7 +129,7 @@
 // Draining tells whether the desk lets nothing in any more.
 func (d *Desk) Draining() bool { return d.draining.Load() }
 
-// InFlight counts the inquiries that have no final line yet.
+// InFlight counts the requests that have no final line yet.
 func (d *Desk) InFlight() int { return int(d.inFlight.Load()) }
 
 // Counters counts what the desk has done.
@@ -149,7 +149,7 @@
 	return count.(*atomic.Int64)
 }
 
-// Arrive lets an inquiry in or refuses it at once.
+// Arrive lets a request in or refuses it at once.
 func (d *Desk) Arrive(now time.Time, request *Request) []Decision {
 	d.counters.Arrived.Add(1)
 	if d.draining.Load() {
@@ -198,7 +198,7 @@
 	return d.takeUp(now, s, entry, bid, d.ServesUntil())
 }
 
-// find locks the shard of an inquiry and returns its ticket if the run is the
+// find locks the shard of a request and returns its ticket if the run is the
 // present one; late news of an older run finds nothing.
 func (d *Desk) find(id string, run int) (*shard, *ticket) {
 	s := d.shard(id)
@@ -261,7 +261,7 @@
 	return d.again(now, s, entry, outcome)
 }
 
-// Chunk takes one piece of the stream. Pieces that are not the next one of the
+// Chunk takes one chunk of the stream. Chunks that are not the next one of the
 // present run end the stream: it is never spliced.
 func (d *Desk) Chunk(now time.Time, id string, run, chunk int, text string) []Decision {
 	s, entry := d.find(id, run)
--- a/internal/auction/desk_test.go
+++ b/internal/auction/desk_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// TestRoutersShareAColdServersRoom: what seven couriers may send to a cold
+// TestRoutersShareAColdServersRoom: what seven routers may send to a cold
 // server between two reports stays within its room.
 func TestRoutersShareAColdServersRoom(t *testing.T) {
 	sent := 0
@@ -332,7 +332,7 @@
 	}
 }
 
-// TestDarkServerEndsWhatMayNotBeRepeated leaves an inquiry that may not be
+// TestDarkServerEndsWhatMayNotBeRepeated leaves a request that may not be
 // repeated at a server that reports no more: nothing further can be known, so it
 // is told at once. At one that is slow and reports, it goes on.
 func TestDarkServerEndsWhatMayNotBeRepeated(t *testing.T) {
@@ -354,7 +354,7 @@
 	}
 }
 
-// TestBudgetSavesTwoTriesAndNoMore lets a courier work long without trouble: a
+// TestBudgetSavesTwoTriesAndNoMore lets a router work long without trouble: a
 // loss must not bring a burst of tries that were saved in the quiet.
 func TestBudgetSavesTwoTriesAndNoMore(t *testing.T) {
 	budget := &Budget{}
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -75,7 +75,7 @@
 			Server: bid.Prefill.server.Name, Address: bid.Prefill.server.Address})
 }
 
-// awaitHold keeps an inquiry that was let in for the next hold, but not until
+// awaitHold keeps a request that was admitted for the next hold, but not until
 // its limit: when none comes soon its caller is told so.
 func (d *Desk) awaitHold(now time.Time, s *shard, entry *ticket, st stage) []Decision {
 	if entry.holdless.IsZero() {
@@ -150,7 +150,7 @@
 	}
 }
 
-// again tries an inquiry anew if that is allowed: one that may not be repeated
+// again tries a request anew if that is allowed: one that is not idempotent
 // only when the server certainly did not start.
 func (d *Desk) again(now time.Time, s *shard, entry *ticket, outcome Outcome) []Decision {
 	if !entry.request.Repeatable && entry.everRan {
--- a/internal/auction/ending.go
+++ b/internal/auction/ending.go
@@ -11,7 +11,7 @@
 	return []Decision{{Kind: Finish, ID: request.ID, Final: Refused, Cause: cause, Detail: detail, Retry: retry}}
 }
 
-// giveUp ends an inquiry that gets no further dispatch, with the word that is
+// giveUp ends a request that gets no further dispatch, with the word that is
 // certain: refused when it never ran, unknown when a server may be running it.
 func (d *Desk) giveUp(now time.Time, s *shard, entry *ticket, cause failure.Kind) []Decision {
 	final := Failed
@@ -52,7 +52,7 @@
 	return []Decision{decision}
 }
 
-// Leave takes the news that the origin closed its circuit.
+// Leave takes the news that the origin closed its connection.
 func (d *Desk) Leave(now time.Time, id string) []Decision {
 	s, entry := d.find(id, -1)
 	if entry == nil {
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -1,4 +1,4 @@
-// Package pass owns the market in which inquiries bid for prefill and decode
+// Package pass owns the market in which requests bid for prefill and decode
 // servers, the dispatch of the chosen pair, and what is done in trouble.
 package auction
 
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Market finds the pair of servers for an inquiry as a whole: the prefill
+// Market finds the pair of servers for a request as a whole: the prefill
 // server's ask, the hand-over between the two, and the decode server's ask.
 type Market struct {
 	mutex   sync.Mutex
@@ -28,7 +28,7 @@
 	listing []membership.Server
 }
 
-// NewMarket makes a courier's market. A plain one picks the least loaded
+// NewMarket makes a router's market. A plain one picks the least loaded
 // servers one by one, for comparison.
 func NewMarket(router, zone string, plain bool) *Market {
 	market := &Market{router: router, zone: zone, plain: plain}
@@ -36,10 +36,10 @@
 	return market
 }
 
-// SetRouters tells how many couriers share the servers.
+// SetRouters tells how many routers share the servers.
 func (m *Market) SetRouters(count int) { m.routers.Store(int64(count)) }
 
-// share is how much of the room left this courier may fill before it sees the
+// share is how much of the room left this router may fill before it sees the
 // next report: twice its own part, since not all others come at once; of a cold
 // server only its own part; but one at least.
 func (m *Market) share(left, warmth float64) int64 {
@@ -95,7 +95,7 @@
 	}
 }
 
-// Bid is the offer that an inquiry takes up.
+// Bid is the offer that a request takes up.
 type Bid struct {
 	Prefill  *Stall
 	Decode   *Stall
@@ -103,11 +103,11 @@
 	HandOver time.Duration
 }
 
-// crossing is what is added for work that leaves the courier's district.
+// crossing is what is added for work that leaves the router's zone.
 const crossing = 30 * time.Millisecond
 
-// spread is how far apart two asks must be for every courier to prefer the
-// same one: within it the inquiry's own hash decides, so that couriers with
+// spread is how far apart two asks must be for every router to prefer the
+// same one: within it the request's own hash decides, so that routers with
 // the same stale view do not all run to one server.
 const spread = 0.25
 
@@ -208,8 +208,8 @@
 	if full || current.load.MemoryFree-int(current.memory.Load()) < need {
 		return 0, false
 	}
-	// A fuller server makes pieces more slowly, and leaves less room for the
-	// inquiries that come next.
+	// A fuller server makes chunks more slowly, and leaves less room for the
+	// requests that come next.
 	fullness := float64(busy) / float64(slots)
 	return time.Duration(float64(request.Chunks) * float64(current.load.ChunkTime) * (0.25 + fullness*fullness)), true
 }
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -35,7 +35,7 @@
 
 func anywhere(membership.Server) bool { return true }
 
-// BenchmarkChoose is what the market costs an inquiry.
+// BenchmarkChoose is what the market costs a request.
 func BenchmarkChoose(benchmark *testing.B) {
 	for _, count := range []int{9, 12, 100, 300, 1100} {
 		benchmark.Run(fmt.Sprintf("%d servers", count), func(benchmark *testing.B) {
--- a/internal/auction/offer.go
+++ b/internal/auction/offer.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// offer is what one server asks for its half of an inquiry.
+// offer is what one server asks for its half of a request.
 type offer struct {
 	stall    *Stall
 	position int
@@ -27,7 +27,7 @@
 }
 
 // least is the least time that the prompt's memory takes from this server to any
-// other: over its own link, and within its district.
+// other: over its own link, and within its zone.
 func (o offer) least(request *Request) time.Duration {
 	return seconds(request.PromptTokens, o.linkRate)
 }
@@ -46,7 +46,7 @@
 	return took
 }
 
-// offerBook holds the offers for one inquiry.
+// offerBook holds the offers for one request.
 type offerBook struct {
 	prefill []offer
 	decode  []offer
@@ -116,7 +116,7 @@
 
 // leastLoaded is the plain choice: the first server with the shortest queue and
 // the first with the fewest answers under way, without prefixes, hand-over,
-// districts or own work in flight.
+// zones or own work in flight.
 func (o *offerBook) leastLoaded(_ time.Time, request *Request) (Bid, bool) {
 	if len(o.prefill) == 0 || len(o.decode) == 0 {
 		return Bid{}, false
--- a/internal/auction/opcode.go
+++ b/internal/auction/opcode.go
@@ -4,7 +4,7 @@
 type opcode uint8
 
 const (
-	// needs skip to the next route when the inquiry is otherwise.
+	// needs skip to the next route when the request is otherwise.
 	needZone opcode = iota
 	needClient
 	needPrefix
--- a/internal/auction/program.go
+++ b/internal/auction/program.go
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Program is a configuration compiled for the inquiry's path: for each service
+// Program is a configuration compiled for the request's path: for each service
 // the steps of its routes, in order. It is never altered; a new configuration
 // is a new program.
 type Program struct {
@@ -85,7 +85,7 @@
 	}
 }
 
-// Rule interprets the program for one inquiry that arrived in a district.
+// Rule interprets the program for one request that arrived in a zone.
 func (p *Program) Rule(request *Request, zone string) (*Ruling, *failure.Trouble) {
 	compiled, found := p.services[request.Service]
 	if !found {
@@ -130,7 +130,7 @@
 	return !p.evacuations[server.Zone] && (ruling.Zones == nil || ruling.Zones[server.Zone])
 }
 
-// limit is the latest moment of an inquiry that came now.
+// limit is the latest moment of a request that came now.
 func (r *Ruling) limit(now, asked time.Time) time.Time {
 	latest := now.Add(r.Service.Limit)
 	if asked.IsZero() || asked.After(latest) {
--- a/internal/auction/program_test.go
+++ b/internal/auction/program_test.go
@@ -20,7 +20,7 @@
 }
 
 // BenchmarkRoutes measures what a configuration of so many routes costs to
-// check and compile, once for each change, and to interpret, for each inquiry.
+// check and compile, once for each change, and to interpret, for each request.
 func BenchmarkRoutes(benchmark *testing.B) {
 	for _, count := range []int{10, 1000, 8000} {
 		text := manyRoutes(count)
--- a/internal/auction/stage.go
+++ b/internal/auction/stage.go
@@ -1,6 +1,6 @@
 package auction
 
-// stage is where an inquiry stands.
+// stage is where a request stands.
 type stage uint8
 
 const (
--- a/internal/auction/stall.go
+++ b/internal/auction/stall.go
@@ -8,13 +8,13 @@
 )
 
 // Stall is one server's place in the market: what it is, its last load report,
-// and this courier's own work that the report can't show yet. Its counters are
+// and this router's own work that the report can't show yet. Its counters are
 // atomics, so that several threads may trade at once.
 type Stall struct {
 	server membership.Server
 	report atomic.Pointer[report]
 	avoid  atomic.Int64
-	// promised counts the inquiries whose prompts are being read for this
+	// promised counts the requests whose prompts are being read for this
 	// server to answer; it is shared by the stall's successors in new lists.
 	promised *atomic.Int64
 }
--- a/internal/auction/tallies.go
+++ b/internal/auction/tallies.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Counters counts a desk's inquiries by how they ended.
+// Counters counts a desk's requests by how they ended.
 type Counters struct {
 	Arrived  atomic.Int64
 	Complete atomic.Int64
--- a/internal/auction/ticket.go
+++ b/internal/auction/ticket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ticket is what the desk knows of one inquiry that was let in.
+// ticket is what the desk knows of one request that was admitted.
 type ticket struct {
 	request    *Request
 	ruling     *Ruling
--- a/internal/codec/entry.go
+++ b/internal/codec/entry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Entry notes an extra try (a retry record) or who has taken an inquiry that
-// may not be repeated (a recover record).
+// Entry notes an extra try (a retry record) or who has taken a request that
+// is not idempotent (a recover record).
 type Entry struct {
 	Request string    `msgpack:"inquiry" json:"inquiry"`
 	Router  string    `msgpack:"courier" json:"courier"`
--- a/internal/codec/pair.go
+++ b/internal/codec/pair.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pair says which servers an inquiry's run was given. Price and HandOver exist
+// Pair says which servers a request's run was given. Price and HandOver exist
 // only in the second format.
 type Pair struct {
 	Request  string        `msgpack:"inquiry" json:"inquiry"`
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -34,18 +34,18 @@
 }
 
 // Empty is the configuration of a fleet that was given none: it has no
-// services, so every inquiry is refused as unknown.
+// services, so every request is refused as unknown.
 func Empty() *Configuration {
 	return &Configuration{Text: []byte(`{}`), Services: map[string]Service{}, Evacuations: map[string]Evacuation{}}
 }
 
-// Evacuated tells whether a district is evacuated.
+// Evacuated tells whether a zone is evacuated.
 func (c *Configuration) Evacuated(zone string) bool {
 	_, found := c.Evacuations[zone]
 	return found
 }
 
-// Evacuate is the configuration's text with the district evacuated: the very text
+// Evacuate is the configuration's text with the zone evacuated: the very text
 // if it is so for that reason already.
 func Evacuate(text []byte, zone, reason string) ([]byte, error) {
 	if current, evacuated, err := evacuationOf(text, zone); err != nil || evacuated && current == reason {
@@ -57,7 +57,7 @@
 	return mergeOne(text, arena, zone, evacuation)
 }
 
-// Restore is the configuration's text with the district's evacuation lifted: the
+// Restore is the configuration's text with the zone's evacuation lifted: the
 // very text if there is none.
 func Restore(text []byte, zone string) ([]byte, error) {
 	if _, evacuated, err := evacuationOf(text, zone); err != nil || !evacuated {
@@ -67,7 +67,7 @@
 	return mergeOne(text, arena, zone, arena.NewNull())
 }
 
-// evacuationOf tells whether the text has the district evacuated, and why.
+// evacuationOf tells whether the text has the zone evacuated, and why.
 func evacuationOf(text []byte, zone string) (reason string, evacuated bool, err error) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -5,7 +5,7 @@
 	// Servers are listed by the platform, with their pressure where they told.
 	Servers []ServerFacts
 	// Restricted are the members that lack an enabled flag, Stopped those that
-	// do not run, and Couriers all that are recorded.
+	// do not run, and Routers all that are recorded.
 	Restricted []string
 	Stopped    []string
 	Routers    int
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Route sends the inquiries that it matches to districts, or refuses them.
+// Route sends the requests that it matches to zones, or refuses them.
 // Routes are asked by Order, then by name; the first that matches decides.
 type Route struct {
 	Name  string
 	Order int
 	Match Match
 	To    Target
-	// Calls says how opaque calls are served; nil for routes of inquiries.
+	// Calls says how opaque calls are served; nil for routes of requests.
 	Calls *CallRoute
 }
 
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Service is one kind of streamed inquiry that operators offer.
+// Service is one kind of streamed request that operators offer.
 type Service struct {
 	Name            string
 	Limit           time.Duration
@@ -15,7 +15,7 @@
 	IDsUsedOnce bool
 	// Health is the path at which a server answers whether it is well.
 	Health string
-	// Connections is how many circuits each server takes from all callers together;
+	// Connections is how many connections each server takes from all callers together;
 	// zero means that nobody said.
 	Connections int
 	// Warming is what a server stands after its start.
@@ -24,8 +24,8 @@
 	Engine Engine
 }
 
-// Warming is how long a server stays cold after its start and how many inquiries a
-// second it stands meanwhile, from all couriers together.
+// Warming is how long a server stays cold after its start and how many requests a
+// second it stands meanwhile, from all routers together.
 type Warming struct {
 	Length    time.Duration
 	PerSecond float64
--- a/internal/config/target.go
+++ b/internal/config/target.go
@@ -1,8 +1,8 @@
 package config
 
-// Target is what a route does: the districts whose servers may be used (none
-// named means all), whether the courier's own district is preferred, or that
-// the inquiry is refused.
+// Target is what a route does: the zones whose servers may be used (none
+// named means all), whether the router's own zone is preferred, or that
+// the request is refused.
 type Target struct {
 	Zones     []string
 	HomeFirst bool
--- a/internal/features/flag.go
+++ b/internal/features/flag.go
@@ -11,7 +11,7 @@
 	// OrderPatience lets orders carry "order_v2": the part with the time that
 	// running work is given and the cause of the change.
 	OrderPatience Flag = "order_patience"
-	// BackupList lets charters name more than one backup, and more than three
-	// keepers with their districts.
+	// BackupList lets memberships name more than one backup, and more than three
+	// keepers with their zones.
 	BackupList Flag = "backup_list"
 )
--- a/internal/hatch/ask.go
+++ b/internal/hatch/ask.go
@@ -10,7 +10,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// leadsAnswer is the part that all answers of expediters have in common.
+// leadsAnswer is the part that all answers of controllers have in common.
 type leadsAnswer struct {
 	Leads      bool                   `msgpack:"leads"`
 	Membership replication.Membership `msgpack:"charter"`
@@ -76,7 +76,7 @@
 	return nil, last
 }
 
-// learnMembership takes a charter that is newer than the one known.
+// learnMembership takes a membership that is newer than the one known.
 func (f *Follower) learnMembership(membership replication.Membership) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/hatch/board.go
+++ b/internal/hatch/board.go
@@ -6,10 +6,10 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Board is who serves opaque calls beside the core's window. A courier tells it what
+// Board is who serves opaque calls beside the core's window. A router tells it what
 // it needs to know besides.
 type Board interface {
-	// SetServing tells until when calls may be let in: not beyond the courier's hold
+	// SetServing tells until when calls may be admitted: not beyond the router's hold
 	// and what it goes on without one.
 	SetServing(until time.Time)
 	// SetKeepers gives the way to those who keep counts of what servers read.
--- a/internal/hatch/calls.go
+++ b/internal/hatch/calls.go
@@ -12,7 +12,7 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Calls is the conduct of opaque calls at one courier: it has the window decide on
+// Calls is the conduct of opaque calls at one router: it has the window decide on
 // each, carries the decisions out, and tells the window how they ended. One thread
 // serves one call.
 type Calls struct {
@@ -22,7 +22,7 @@
 	listed  func(servers []membership.Server)
 	servers atomic.Int64
 	leaving atomic.Bool
-	// serving is until when calls are let in; nil: nobody bounds it.
+	// serving is until when calls are admitted; nil: nobody bounds it.
 	serving atomic.Pointer[time.Time]
 	// keepers are asked for counts before reads; nil: nobody is.
 	keepers *CountKeepers
@@ -38,21 +38,21 @@
 	c.window.SetProgram(scheduler.Compile(configuration, version.Epoch, version.Number))
 }
 
-// SetServing bounds until when calls are let in.
+// SetServing bounds until when calls are admitted.
 func (c *Calls) SetServing(until time.Time) { c.serving.Store(&until) }
 
 // SetKeepers gives the way to those who keep counts of what servers read, before any call
 // comes.
 func (c *Calls) SetKeepers(keepers *CountKeepers) { c.keepers = keepers }
 
-// serves tells whether calls may be let in now.
+// serves tells whether calls may be admitted now.
 func (c *Calls) serves() bool {
 	until := c.serving.Load()
 	return until == nil || c.runtime.Now().Before(*until)
 }
 
-// unheldRetry is when a call may come back that met a courier without a hold: the
-// next news is a moment away, or another courier has it.
+// unheldRetry is when a call may come back that met a router without a hold: the
+// next news is a moment away, or another router has it.
 const unheldRetry = 300 * time.Millisecond
 
 // SetServers takes the list of servers.
@@ -67,26 +67,26 @@
 	c.window.SetLoads(now, loads)
 }
 
-// SetRouters tells how many couriers share the servers.
+// SetRouters tells how many routers share the servers.
 func (c *Calls) SetRouters(count int) { c.window.SetRouters(count) }
 
 // Ready tells whether calls are welcome: a configuration is in force, servers are
-// known, and the courier is not leaving.
+// known, and the router is not leaving.
 func (c *Calls) Ready() bool {
 	epoch, number := c.window.InForce()
 	return (epoch > 0 || number > 0) && c.servers.Load() > 0 && !c.leaving.Load() && c.serves()
 }
 
-// Leave says that the courier is leaving. Calls that still come are served until
+// Leave says that the router is leaving. Calls that still come are served until
 // Drain.
 func (c *Calls) Leave() { c.leaving.Store(true) }
 
-// Leaving tells whether the courier is leaving.
+// Leaving tells whether the router is leaving.
 func (c *Calls) Leaving() bool { return c.leaving.Load() }
 
 // The pauses of leaving. The values are ours.
 const (
-	// noticePause is how long it takes those who ask whether a courier is ready to
+	// noticePause is how long it takes those who ask whether a router is ready to
 	// send no more: two questions in a row, one a second.
 	noticePause = 2500 * time.Millisecond
 	// leaveMarginShare is the part of the grace that is kept for ending the process: an
@@ -96,7 +96,7 @@
 	leavingPause     = 20 * time.Millisecond
 )
 
-// Retire has the courier leave: it is not ready from now on, serves what still comes
+// Retire has the router leave: it is not ready from now on, serves what still comes
 // until that is noticed, refuses after that, and returns when nothing is under way or
 // the grace is over. Noticed is told when those who look have noticed: clients whose
 // connections rest had better not come back on them.
--- a/internal/hatch/claimquestion.go
+++ b/internal/hatch/claimquestion.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/codec"
 )
 
-// ClaimQuestion takes an inquiry id before its dispatch.
+// ClaimQuestion takes a request id before its dispatch.
 type ClaimQuestion struct {
 	Made  time.Time   `msgpack:"made"`
 	Entry codec.Entry `msgpack:"entry"`
--- a/internal/hatch/copies.go
+++ b/internal/hatch/copies.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// copies are what expediters that are not primary said of their copies, by address.
+// copies are what controllers that are not primary said of their copies, by address.
 type copies struct {
 	said map[string]copySaid
 }
@@ -33,9 +33,9 @@
 }
 
 // choose gives the configuration that may be served before there is a primary, and
-// where it lies. What was acknowledged is on every copy that the newest charter names,
+// where it lies. What was acknowledged is on every copy that the newest membership names,
 // so it takes the oldest among them, and only when each has spoken or is lost, and when
-// a quorum of the keepers has told the charter.
+// a quorum of the keepers has told the membership.
 func (c *copies) choose(now time.Time) (address string, version replication.Version, found bool) {
 	var membership replication.Membership
 	spoken := map[replication.Identity]bool{}
--- a/internal/hatch/copies_test.go
+++ b/internal/hatch/copies_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestProvisionalConfigurationIsOnEveryCopyInSync wants the oldest configuration among
-// the copies that the newest charter names, and none before each of them has spoken or
+// the copies that the newest membership names, and none before each of them has spoken or
 // is known to be lost and a quorum of the keepers has.
 func TestProvisionalConfigurationIsOnEveryCopyInSync(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/internal/hatch/copynews.go
+++ b/internal/hatch/copynews.go
@@ -2,22 +2,22 @@
 
 import "seamloom.example/seamloom/internal/replication"
 
-// CopyUpdate is what an expediter that is not primary says of the copy on its disk, to
-// a courier that has no configuration in its life.
+// CopyUpdate is what a controller that is not primary says of the copy on its disk, to
+// a router that has no configuration in its life.
 type CopyUpdate struct {
 	Identity replication.Identity `msgpack:"identity"`
 	Damaged  bool                 `msgpack:"damaged,omitempty"`
 	// Configuration is the version of the copy's configuration.
 	Configuration replication.Version `msgpack:"menu"`
-	// Sections are what a courier needs to serve, when it asked for this version.
+	// Sections are what a router needs to serve, when it asked for this version.
 	Sections map[string]replication.Section `msgpack:"drawers,omitempty"`
 }
 
-// provisionalSections are those that a courier has from a copy. Orders and duties are
+// provisionalSections are those that a router has from a copy. Orders and duties are
 // not among them: they need a primary.
 var provisionalSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
-// copyUpdate tells of the own copy, with its drawers if their version is the wanted one.
+// copyUpdate tells of the own copy, with its sections if their version is the wanted one.
 func (c *Controller) copyUpdate(wanted replication.Version) *CopyUpdate {
 	copied := c.store.Copy()
 	update := &CopyUpdate{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
@@ -35,8 +35,8 @@
 	return update
 }
 
-// elsewhere is the answer of an expediter that is not primary. The charter is read
-// before the copy: a copy that the charter names is then no older than its grant.
+// elsewhere is the answer of a controller that is not primary. The membership is read
+// before the copy: a copy that the membership names is then no older than its grant.
 func (c *Controller) elsewhere(question UpdateQuestion) UpdateAnswer {
 	answer := UpdateAnswer{Membership: c.coordinator.Membership()}
 	if !question.Provisional {
--- a/internal/hatch/counter.go
+++ b/internal/hatch/counter.go
@@ -17,7 +17,7 @@
 	mostUpdateWait = 2 * time.Second
 )
 
-// Answers is what the expediter answers on the hotline.
+// Answers is what the controller answers on the hotline.
 func (c *Controller) Answers() Answers { return c.answers }
 
 func (c *Controller) table() Answers {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// led carries out a node's change if this expediter is primary.
+// led carries out a node's change if this controller is primary.
 func (c *Controller) led(change replication.Change) (LedAnswer, error) {
 	if _, _, err := c.Ruling(); err != nil {
 		return LedAnswer{Membership: c.coordinator.Membership()}, nil
@@ -141,7 +141,7 @@
 			if err != nil {
 				return UpdateAnswer{}, err
 			}
-			// From here the courier may act for as long as the hold says,
+			// From here the router may act for as long as the hold says,
 			// counted from when it asked, which was earlier.
 			current.Holds.Grant(now, name, question.InForce.Number)
 			answer.Hold = lease.DefaultTerms().Hold
@@ -179,7 +179,7 @@
 	u.Deltas = map[string]Delta{replication.ConfigurationSection: delta}
 }
 
-// count adds an answer's drawers to what news has cost.
+// count adds an answer's sections to what news has cost.
 func (c *Controller) count(answer UpdateAnswer) {
 	c.updateAnswers.Add(1)
 	for name, section := range answer.Sections {
@@ -226,7 +226,7 @@
 }
 
 // awaitUpdate returns the view as soon as it has news for the question, or when
-// its patience ends; nil when this expediter is not primary any more.
+// its patience ends; nil when this controller is not primary any more.
 func (c *Controller) awaitUpdate(question UpdateQuestion) *replication.View {
 	var seen *replication.View
 	c.update.Wait(min(max(question.Patience, 0), mostUpdateWait), func() bool {
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -16,7 +16,7 @@
 )
 
 // Router is the data plane's conduct at one node: it follows the primary, has
-// inquiries decided by the core, and carries the decisions out.
+// requests decided by the core, and carries the decisions out.
 type Router struct {
 	runtime     runtime.Runtime
 	line        Hotline
@@ -30,7 +30,7 @@
 	// go to a neighbour.
 	stirred runtime.Cond
 	resting atomic.Int64
-	// couriers is how many share the servers.
+	// routers is how many share the servers.
 	routers     atomic.Int64
 	crumbs      runtime.Cond
 	followed    *Follower
@@ -51,10 +51,10 @@
 	watched   map[string]bool
 }
 
-// The pauses of a courier's rounds. The values are ours.
+// The pauses of a router's rounds. The values are ours.
 const (
 	routerTick = 20 * time.Millisecond
-	// roleTick is the tick of a courier that has duties and no inquiries, and
+	// roleTick is the tick of a router that has duties and no requests, and
 	// restTick of one that has neither.
 	roleTick    = 200 * time.Millisecond
 	restTick    = time.Minute
@@ -70,7 +70,7 @@
 	actPatience = time.Second
 )
 
-// NewRouter makes the conduct of one courier.
+// NewRouter makes the conduct of one router.
 func NewRouter(rt runtime.Runtime, line Hotline, modelServer ModelServer, passing Passing, options RouterOptions, observe func(string, ...any)) *Router {
 	router := &Router{runtime: rt, line: line, modelServer: modelServer, passing: passing, options: options, observe: observe,
 		core: seamloom.New(options.Options), stirred: rt.NewCond(), crumbs: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
@@ -91,7 +91,7 @@
 	return router
 }
 
-// Rounds are what a courier does over and over, each in a thread of its own.
+// Rounds are what a router does over and over, each in a thread of its own.
 func (r *Router) Rounds() []func() {
 	rounds := []func(){
 		r.tick,
@@ -107,7 +107,7 @@
 	return rounds
 }
 
-// tick lets the core see the time go on: often while inquiries are under way, seldom
+// tick lets the core see the time go on: often while requests are under way, seldom
 // while there are only duties, and hardly ever otherwise.
 func (r *Router) tick() {
 	for r.runtime.Alive() {
@@ -139,7 +139,7 @@
 // Core is the deciding core.
 func (r *Router) Core() *seamloom.Core { return r.core }
 
-// Journal is what is known of recent inquiries.
+// Journal is what is known of recent requests.
 func (r *Router) Journal() *Journal { return r.journal }
 
 // Heard is when a primary answered last.
@@ -148,7 +148,7 @@
 // SetSeeds exchanges the seeds, after a reload.
 func (r *Router) SetSeeds(seeds []string) { r.followed.SetSeeds(seeds) }
 
-// SetServeWithoutHold chooses how long the courier goes on letting in after its last
+// SetServeWithoutHold chooses how long the router goes on letting in after its last
 // hold. Duties always need a hold.
 func (r *Router) SetServeWithoutHold(length time.Duration) {
 	r.core.SetServeWithoutHold(length)
@@ -156,7 +156,7 @@
 	r.showServing()
 }
 
-// showServing tells the board until when calls may be let in.
+// showServing tells the board until when calls may be admitted.
 func (r *Router) showServing() {
 	if r.board != nil {
 		r.board.SetServing(r.core.ServesUntil())
@@ -179,7 +179,7 @@
 	}
 }
 
-// Answers is what the courier answers on the hotline.
+// Answers is what the router answers on the hotline.
 func (r *Router) Answers() Answers { return r.answers }
 
 func (r *Router) table() Answers {
@@ -191,7 +191,7 @@
 			}
 			return true, nil
 		}),
-		// A courier may stand among another process's seeds: it says where the
+		// A router may stand among another process's seeds: it says where the
 		// core is.
 		HelloPath: answering(func(replication.Hello) (replication.Hello, error) {
 			return replication.Hello{Kind: membership.Router, Membership: r.followed.Membership()}, nil
@@ -301,9 +301,9 @@
 	r.setContacts()
 }
 
-// setContacts names the expediters that the platform or the record knows, and
-// the few others that this courier knows: by rendezvous hashing over the
-// recorded couriers.
+// setContacts names the controllers that the platform or the record knows, and
+// the few others that this router knows: by rendezvous hashing over the
+// recorded routers.
 func (r *Router) setContacts() {
 	r.mutex.Lock()
 	var contacts []string
@@ -331,7 +331,7 @@
 	r.followed.SetContacts(contacts, p)
 }
 
-// routersOf are the names of the couriers among recorded members.
+// routersOf are the names of the routers among recorded members.
 func routersOf(members map[string]membership.Member) []string {
 	var names []string
 	for name, member := range members {
@@ -342,7 +342,7 @@
 	return names
 }
 
-// nearest are the other recorded couriers, by rendezvous, no more than so many.
+// nearest are the other recorded routers, by rendezvous, no more than so many.
 func (r *Router) nearest(most int) []membership.Member {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -364,7 +364,7 @@
 }
 
 // dropCrumbs gives the newest records to a neighbour, which can tell of them
-// when this courier is gone.
+// when this router is gone.
 func (r *Router) dropCrumbs() {
 	records := r.journal.takeOutbox()
 	if len(records) == 0 {
@@ -380,7 +380,7 @@
 
 func (r *Router) nonce() string { return r.options.Nonce() }
 
-// Serve takes one inquiry and answers its origin; it returns when the reply is
+// Serve takes one request and answers its origin; it returns when the reply is
 // over.
 func (r *Router) Serve(arrival Arrival, reply Reply) {
 	request := arrival.Request
@@ -410,8 +410,8 @@
 	r.answer(arrival, reply, s)
 }
 
-// meant tells whether a passed-on inquiry was meant for this life of the
-// courier and comes for the first time.
+// meant tells whether a passed-on request was meant for this life of the
+// router and comes for the first time.
 func (r *Router) meant(arrival Arrival) bool {
 	passage := arrival.Passage
 	if passage == nil || passage.Nonce == "" {
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -36,7 +36,7 @@
 }
 func (l *lines) WhenLeft(func()) {}
 
-// newTestRouter is a courier that knows its configuration's absence only: it
+// newTestRouter is a router that knows its configuration's absence only: it
 // refuses everything, at once.
 func newTestRouter(t *testing.T, nonce string) *Router {
 	lifetime, end := context.WithCancel(context.Background())
@@ -48,8 +48,8 @@
 	return router
 }
 
-// TestPassingOnIsTakenOnce brings one passing-on twice, and one to another life
-// of the courier than it was meant for. Only the first may be decided on; of the
+// TestPassingOnIsTakenOnce brings one forwarding twice, and one to another life
+// of the router than it was meant for. Only the first may be decided on; of the
 // others nobody knows here what became.
 func TestPassingOnIsTakenOnce(t *testing.T) {
 	router := newTestRouter(t, "this life")
--- a/internal/hatch/courieroptions.go
+++ b/internal/hatch/courieroptions.go
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// RouterOptions say which courier a core is.
+// RouterOptions say which router a core is.
 type RouterOptions struct {
 	// ApplyWithin is how soon after its acknowledgement a change has to be in force here;
 	// zero: the default.
@@ -18,15 +18,15 @@
 	Seeds   []string
 	// Directory reads the platform's lists where the news does not tell them.
 	Directory Directory
-	// Pressures reads servers' loads for the market of inquiries; none: it has none.
+	// Pressures reads servers' loads for the market of requests; none: it has none.
 	Pressures Pressures
-	// Board makes who serves opaque calls over the core's window; none: this courier
+	// Board makes who serves opaque calls over the core's window; none: this router
 	// takes no calls, and follows no reports.
 	Board func(deciding *scheduler.Window) Board
-	// ServeWithoutHold is how long the courier goes on letting in after its last hold.
+	// ServeWithoutHold is how long the router goes on letting in after its last hold.
 	ServeWithoutHold time.Duration
 	// Nonce gives a text that is new each time.
 	Nonce func() string
-	// Ended is told how each inquiry ended that this courier decided on.
+	// Ended is told how each request ended that this router decided on.
 	Ended func(request *auction.Request, decision auction.Decision)
 }
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -129,7 +129,7 @@
 	r.observe("commanded", "server", decision.Server, "part", decision.Part, "fence", decision.Role.FencingToken, "trouble", err)
 }
 
-// claim asks the primary for an inquiry's id until it is answered, its limit
+// claim asks the primary for a request's id until it is answered, its limit
 // comes, or its origin has had the final word. Asking again is safe: the nonce
 // tells this arrival's own claim.
 func (r *Router) claim(decision auction.Decision) {
@@ -142,7 +142,7 @@
 	question := ClaimQuestion{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
 		At: r.runtime.Wall(), Cause: r.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
-	// that the inquiry never ran, and when to come back.
+	// that the request never ran, and when to come back.
 	ends := r.runtime.Now().Add(claimTime)
 	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(ends) && r.runtime.Now().Before(r.core.ServesUntil()) {
 		var answer LedAnswer
--- a/internal/hatch/delta.go
+++ b/internal/hatch/delta.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Delta is what changed in a drawer since a version that the node has: all but
+// Delta is what changed in a section since a version that the node has: all but
 // the middle is the same.
 type Delta struct {
 	Base     replication.Version `msgpack:"base"`
@@ -18,7 +18,7 @@
 	Checksum uint32              `msgpack:"checksum"`
 }
 
-// leastDelta is the size from which a drawer is worth a delta.
+// leastDelta is the size from which a section is worth a delta.
 const leastDelta = 256
 
 var deltaTable = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/hatch/edit.go
+++ b/internal/hatch/edit.go
@@ -135,14 +135,14 @@
 	c.edits.Broadcast()
 }
 
-// SetAcknowledgeWait chooses how long a committed change waits for couriers that are
+// SetAcknowledgeWait chooses how long a committed change waits for routers that are
 // not heard from; zero: for as long as their holds run.
 func (c *Controller) SetAcknowledgeWait(length time.Duration) {
 	c.acknowledgeWait.Store(int64(length))
 }
 
-// awaitInForce waits until every courier that has a hold has confirmed the
-// version, or its hold ran out; where a wait is chosen, until every courier that was
+// awaitInForce waits until every router that has a hold has confirmed the
+// version, or its hold ran out; where a wait is chosen, until every router that was
 // heard from within it has, or the wait has passed. Its own hold is checked last.
 func (c *Controller) awaitInForce(current *Term, version replication.Version) bool {
 	everywhere := false
--- a/internal/hatch/editions.go
+++ b/internal/hatch/editions.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// editions are the configurations that a primary has shown lately, so that a
+// revisions are the configurations that a primary has shown lately, so that a
 // node which has one of them is sent only what changed.
 type revisions struct {
 	mutex sync.Mutex
--- a/internal/hatch/exchange.go
+++ b/internal/hatch/exchange.go
@@ -13,13 +13,13 @@
 	// Read has the decision's server read the call's prompt.
 	Read(decision scheduler.Decision) scheduler.Outcome
 	// Run has the decision's server make the answer and passes a success on as it
-	// comes. After one that was cut it goes on behind what was passed on. Began is told
+	// comes. After one that was cut it goes on behind what was forwarded. Began is told
 	// when the first of a stream comes.
 	Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome
 	// Refuse ends the call with a word of our own.
 	Refuse(refusal Refusal)
 	// Through passes the failing answer of the last dispatch to the origin unchanged;
-	// false when there is none that can be passed on.
+	// false when there is none that can be forwarded.
 	Through() bool
 	// Break ends the answer so that the origin sees that it is not complete.
 	Break()
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -45,7 +45,7 @@
 
 	mutex sync.Mutex
 	term  *Term
-	// epoch is that of the newest charter that was told to those who ask for news.
+	// epoch is that of the newest membership that was told to those who ask for news.
 	epoch    uint64
 	nodes    []string
 	members  map[string]membership.Member
@@ -54,7 +54,7 @@
 	editing  bool
 }
 
-// The pauses of an expediter's rounds. The values are ours.
+// The pauses of a controller's rounds. The values are ours.
 const (
 	tickPause         = 150 * time.Millisecond
 	housekeepingPause = 300 * time.Millisecond
@@ -63,13 +63,13 @@
 	// idlePause lies between two looks when there is nothing to do.
 	idlePause = time.Second
 	mendPause = time.Second
-	// leavePause lies between two looks of an expediter that leaves.
+	// leavePause lies between two looks of a controller that leaves.
 	leavePause = 20 * time.Millisecond
 	// horizonPause is the time between two moves of the claims' horizon.
 	horizonPause = 10 * time.Second
 )
 
-// OpenController opens what the disk holds. A blank or damaged keeper's shelf is
+// OpenController opens what the disk holds. A blank or damaged keeper's storage is
 // a new identity, for which the copy that may lie there is emptied.
 func OpenController(rt runtime.Runtime, line Hotline, keeping, c replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
@@ -124,7 +124,7 @@
 	return storage.Remove(damaged)
 }
 
-// Rounds are what an expediter does over and over, each in a thread of its own.
+// Rounds are what a controller does over and over, each in a thread of its own.
 func (c *Controller) Rounds() []func() {
 	every := func(pause time.Duration, task func()) func() {
 		return func() { runtime.Every(c.runtime, pause, task) }
@@ -140,7 +140,7 @@
 	return rounds
 }
 
-// Leave hands over what this expediter has, the lead, its copy and its witness's seat, and
+// Leave hands over what this controller has, the lead, its copy and its witness's seat, and
 // returns when nothing depends on it any more or the patience ends. It goes on as before
 // until then. What was not answered yet has no known outcome.
 func (c *Controller) Leave(patience time.Duration) {
@@ -185,8 +185,8 @@
 	c.setContacts()
 }
 
-// setContacts names the other expediters that the platform or the record knows, and the
-// recorded couriers, the nearest first: when the seeds and all that this expediter knew
+// setContacts names the other controllers that the platform or the record knows, and the
+// recorded routers, the nearest first: when the seeds and all that this controller knew
 // are replaced, one of these tells where the core is.
 func (c *Controller) setContacts() {
 	c.mutex.Lock()
@@ -212,10 +212,10 @@
 	c.followed.SetContacts(contacts, p)
 }
 
-// Witness is the epoch keeper on this disk.
+// Witness is the witness on this disk.
 func (c *Controller) Witness() *replication.Witness { return c.witness }
 
-// Store is this disk's part in the larder.
+// Store is this disk's part in the replicated state.
 func (c *Controller) Store() *replication.Store { return c.store }
 
 // Coordinator decides who is primary, from this node's point of view.
@@ -224,7 +224,7 @@
 // Heard is when a primary answered this node last.
 func (c *Controller) Heard() time.Time { return c.followed.Heard() }
 
-// UpdateCounts tells how many answers, bytes of drawers and configurations went
+// UpdateCounts tells how many answers, bytes of sections and configurations went
 // out.
 func (c *Controller) UpdateCounts() (answers, bytes, configurations uint64) {
 	return c.updateAnswers.Load(), c.updateBytes.Load(), c.configurationsSent.Load()
@@ -258,7 +258,7 @@
 	}
 }
 
-// Ruling gives the reign and the committed view if this expediter is primary at
+// Ruling gives the term and the committed view if this controller is primary at
 // this moment.
 func (c *Controller) Ruling() (*Term, *replication.View, error) {
 	c.mutex.Lock()
--- a/internal/hatch/expediter_test.go
+++ b/internal/hatch/expediter_test.go
@@ -34,7 +34,7 @@
 
 // TestGrantSeesAConfigurationThatComesMeanwhile commits a configuration between
 // the look at the newest one and the noting of the grant: the answer must
-// confirm the newer one, or the change would not wait for this courier.
+// confirm the newer one, or the change would not wait for this router.
 func TestGrantSeesAConfigurationThatComesMeanwhile(t *testing.T) {
 	hooks := map[runtime.Runtime]*hookedRuntime{}
 	_, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime {
@@ -49,7 +49,7 @@
 	asked, committed := 0, false
 	hook := func() {
 		// Of the times that answering itself asks for, the second is the grant's. The
-		// other expediters ask for news meanwhile, in threads of their own, on whose stacks
+		// other controllers ask for news meanwhile, in threads of their own, on whose stacks
 		// only this hook bears the test's name.
 		stack := string(debug.Stack())
 		if !strings.Contains(stack, "TestGrantSeesAConfigurationThatComesMeanwhile(") || !strings.Contains(stack, ").answerNews(") || strings.Contains(stack, ").Holds(") {
--- a/internal/hatch/expediteroptions.go
+++ b/internal/hatch/expediteroptions.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// ControllerOptions say which expediter a core is.
+// ControllerOptions say which controller a core is.
 type ControllerOptions struct {
 	Name      string
 	Address   string
@@ -24,7 +24,7 @@
 	// RetireAfter is how long a recorded member may not be heard from before it is
 	// taken out of the record; zero: for ever.
 	RetireAfter time.Duration
-	// AcknowledgeWait is how long a committed change waits for couriers that are not
+	// AcknowledgeWait is how long a committed change waits for routers that are not
 	// heard from; zero: for as long as their holds run.
 	AcknowledgeWait time.Duration
 	// CatchUp is how long a machine counts as lost after its return or after its
@@ -33,7 +33,7 @@
 	// Fresh is the identity that a blank disk takes.
 	Fresh replication.Identity
 	// Directory reads the platform's lists, and Reports the servers' loads, for the
-	// whole fleet while this expediter is primary.
+	// whole fleet while this controller is primary.
 	Directory Directory
 	Reports   Reports
 }
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -51,12 +51,12 @@
 	return nil
 }
 
-// core is three expediters in one process, joined by direct calls.
+// core is three controllers in one process, joined by direct calls.
 type core struct {
 	mutex    sync.Mutex
 	nodes    map[string]*Controller
 	storages map[string]*memoryStorage
-	// keeping are the shelves of the keepers.
+	// keeping are the storages of the keepers.
 	keeping map[string]*memoryStorage
 }
 
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -54,7 +54,7 @@
 	Asked   time.Time
 	Answer  UpdateAnswer
 	Changed map[string]replication.Section
-	// Provisional tells that the drawers are those of a copy and no primary's word.
+	// Provisional tells that the sections are those of a copy and no primary's word.
 	Provisional bool
 	// Servers is the list as the primary has it, if it has one.
 	Servers *Listed
@@ -148,8 +148,8 @@
 	f.listMark = 0
 }
 
-// SetContacts gives the expediters' addresses that the platform or the record lists,
-// and the other couriers, the nearest first: they may relay, and tell where the core is.
+// SetContacts gives the controllers' addresses that the platform or the record lists,
+// and the other routers, the nearest first: they may relay, and tell where the core is.
 func (f *Follower) SetContacts(contacts, p []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -163,7 +163,7 @@
 	f.seeds = seeds
 }
 
-// Membership is the newest charter heard of.
+// Membership is the newest membership heard of.
 func (f *Follower) Membership() replication.Membership {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -177,7 +177,7 @@
 	return f.heard
 }
 
-// Section is the newest content of a drawer that the node has.
+// Section is the newest content of a section that the node has.
 func (f *Follower) Section(name string) replication.Section {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -65,14 +65,14 @@
 }
 
 // TestFollowerFindsACoreOfWhichAllMachinesWereReplaced loses a primary, while every
-// address that the follower knows of the core is dark, its seeds too. One courier of many
+// address that the follower knows of the core is dark, its seeds too. One router of many
 // knows the present core. The follower notices the silence and has the new primary's word
 // within less time than a configuration may take to be in force.
 func TestFollowerFindsACoreOfWhichAllMachinesWereReplaced(t *testing.T) {
 	const bound = 2 * time.Second
 	for _, row := range []struct {
 		name string
-		// lit are the peers that answer with the newer charter, of so many.
+		// lit are the peers that answer with the newer membership, of so many.
 		peers int
 		lit   int
 	}{
@@ -120,7 +120,7 @@
 }
 
 // TestFollowerHearsOfAMembershipBeforeItIsNeeded wants a question that is held back to be
-// answered when the membership changes, with the new charter.
+// answered when the membership changes, with the new membership.
 func TestFollowerHearsOfAMembershipBeforeItIsNeeded(t *testing.T) {
 	_, primary := newCore(t, plain)
 	m := primary.Coordinator().Membership()
--- a/internal/hatch/hotline.go
+++ b/internal/hatch/hotline.go
@@ -1,7 +1,7 @@
 // Package hatch owns what seamloom's processes say to each other, and how each
 // side acts on it: following the primary's news, granting holds, answering
-// claims, waiting for lagging couriers, giving duties, passing on. Threads,
-// time, disks and circuits are ports, so that a simulation runs this very code.
+// claims, waiting for lagging routers, giving duties, passing on. Threads,
+// time, disks and connections are ports, so that a simulation runs this very code.
 package hatch
 
 import (
--- a/internal/hatch/housekeeping.go
+++ b/internal/hatch/housekeeping.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// keepHouse does so for as long as this expediter leads, and rests while it does not.
+// keepHouse does so for as long as this controller leads, and rests while it does not.
 func (c *Controller) keepHouse() {
 	for c.runtime.Alive() {
 		if !c.lists.leading() {
--- a/internal/hatch/inquirybody.go
+++ b/internal/hatch/inquirybody.go
@@ -13,14 +13,14 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// MostRequestBytes bounds an inquiry's body.
+// MostRequestBytes bounds a request's body.
 const MostRequestBytes = 4 << 20
 
 // tokenBytes is how many bytes of a prompt count as one token when the caller
 // does not say how many there are.
 const tokenBytes = 4
 
-// ReadRequest checks an inquiry's body and names all its mistakes.
+// ReadRequest checks a request's body and names all its mistakes.
 func ReadRequest(now time.Time, body []byte) (*auction.Request, error) {
 	root, err := fastjson.ParseBytes(body)
 	if err != nil || !utf8.Valid(body) {
@@ -90,7 +90,7 @@
 	return request, mistakes
 }
 
-// MadeAt reads from an id when it was made: ids of inquiries that may not be
+// MadeAt reads from an id when it was made: ids of requests that may not be
 // repeated are UUIDs of version 7, so that old ones can be told and refused.
 func MadeAt(id string) (time.Time, error) {
 	parsed, err := uuid.Parse(id)
--- a/internal/hatch/journal.go
+++ b/internal/hatch/journal.go
@@ -7,8 +7,8 @@
 	"seamloom.example/seamloom/internal/features"
 )
 
-// Journal keeps the newest records of this courier and of those that name it
-// their neighbour, and folds what is known of one inquiry.
+// Journal keeps the newest records of this router and of those that name it
+// their neighbour, and folds what is known of one request.
 type Journal struct {
 	mutex   sync.Mutex
 	records []codec.Record
@@ -50,14 +50,14 @@
 	return outbox
 }
 
-// Trace is what a journal knows of one inquiry.
+// Trace is what a journal knows of one request.
 type Trace struct {
 	Request string        `json:"inquiry"`
 	Pairs   []codec.Pair  `json:"pairs"`
 	Retries []codec.Entry `json:"retries,omitempty"`
 }
 
-// Fold tells what is known of one inquiry.
+// Fold tells what is known of one request.
 func (j *Journal) Fold(request string, supported features.List) (Trace, bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -10,24 +10,24 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// A courier has the list of servers from the primary. The values are ours.
+// A router has the list of servers from the primary. The values are ours.
 const (
-	// listPatience is how old the list may be before the courier reads it itself,
-	// firstListPatience how long a courier that has none waits for the primary's.
+	// listPatience is how old the list may be before the router reads it itself,
+	// firstListPatience how long a router that has none waits for the primary's.
 	listPatience      = 1500 * time.Millisecond
 	firstListPatience = 300 * time.Millisecond
 	// ownListPause lies between two reads of its own, and up to ownListSpread more,
 	// so that the fleet does not read all at once; ownListShare is added for each
-	// courier, so that a large one reads no more than fifty times a second.
+	// router, so that a large one reads no more than fifty times a second.
 	ownListPause  = time.Second
 	ownListSpread = 500 * time.Millisecond
 	ownListShare  = 20 * time.Millisecond
-	// pressurePause lies between two reads of a server's load by a courier itself.
+	// pressurePause lies between two reads of a server's load by a router itself.
 	pressurePause    = 150 * time.Millisecond
 	pressurePatience = 700 * time.Millisecond
 )
 
-// Servers is the list of servers as the courier knows it.
+// Servers is the list of servers as the router knows it.
 func (r *Router) Servers() []membership.Server {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// listDue is when the courier is to read the list itself, if no news of it comes.
+// listDue is when the router is to read the list itself, if no news of it comes.
 func (r *Router) listDue(began time.Time) time.Time {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
@@ -82,7 +82,7 @@
 	return began.Add(firstListPatience + r.spread(0))
 }
 
-// spread is a length of time that differs from courier to courier.
+// spread is a length of time that differs from router to router.
 func (r *Router) spread(reads int) time.Duration {
 	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), r.options.Router) % uint64(ownListSpread))
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-// watchPressures has each listed server's load read for the market of inquiries. The
+// watchPressures has each listed server's load read for the market of requests. The
 // caller has the list's mutex.
 func (r *Router) watchPressures(servers []membership.Server) {
 	if r.options.Pressures == nil {
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -13,13 +13,13 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// lists is what an expediter knows of the platform's list of servers and of their
+// lists is what a controller knows of the platform's list of servers and of their
 // reports. The primary reads both for the whole fleet; the others have the list from
 // the news, so that they lead with it at once.
 type lists struct {
 	mutex   sync.Mutex
 	listing membership.Listing
-	// epoch is that of the reign whose marks these are, and zero outside of one.
+	// epoch is that of the term whose marks these are, and zero outside of one.
 	epoch     uint64
 	changes   uint64
 	rounds    uint64
@@ -28,7 +28,7 @@
 	wantedAt  time.Time
 	outliers  outlier.Detector
 	failedFor string
-	// readAt is when this expediter last began to read for couriers without a primary.
+	// readAt is when this controller last began to read for routers without a primary.
 	readAt time.Time
 }
 
@@ -53,9 +53,9 @@
 	// longer than roundPatience: a late report goes out with the next.
 	reportPatience = 700 * time.Millisecond
 	roundPatience  = 120 * time.Millisecond
-	// reportKept is how long a report that no other followed is passed on.
+	// reportKept is how long a report that no other followed is forwarded.
 	reportKept = 3 * time.Second
-	// wantedTime is how long after a courier's last question reports are read for.
+	// wantedTime is how long after a router's last question reports are read for.
 	wantedTime = 3 * time.Second
 	nodesPause = 500 * time.Millisecond
 )
@@ -78,7 +78,7 @@
 	return mark(l.epoch, l.rounds)
 }
 
-// begin starts a reign's own marks, from what is known; end ends them.
+// begin starts a term's own marks, from what is known; end ends them.
 func (l *lists) begin(epoch uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -97,7 +97,7 @@
 	return l.epoch != 0
 }
 
-// readsNow tells whether the list is to be read for couriers without a primary, and
+// readsNow tells whether the list is to be read for routers without a primary, and
 // notes that it is.
 func (l *lists) readsNow(now time.Time) bool {
 	l.mutex.Lock()
@@ -109,7 +109,7 @@
 	return true
 }
 
-// fresh is the list without a mark, if it is not older than a courier would bear.
+// fresh is the list without a mark, if it is not older than a router would bear.
 func (l *lists) fresh(now time.Time) *ServersUpdate {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // wanted lists the servers to ask for a report now: those listed that are not being
-// asked, if a courier follows reports.
+// asked, if a router follows reports.
 func (l *lists) wanted(now time.Time) []membership.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -251,7 +251,7 @@
 	return true
 }
 
-// readServers reads the platform's list for the fleet for as long as this expediter
+// readServers reads the platform's list for the fleet for as long as this controller
 // leads, and at once when it begins to.
 func (c *Controller) readServers() {
 	for c.runtime.Alive() {
@@ -272,11 +272,11 @@
 	}
 }
 
-// provisionalPatience is how long a courier that fetches a configuration from a copy
+// provisionalPatience is how long a router that fetches a configuration from a copy
 // waits for the list that is being read. The value is ours.
 const provisionalPatience = 150 * time.Millisecond
 
-// provisionalServers is the list of servers for couriers that have no primary. It is
+// provisionalServers is the list of servers for routers that have no primary. It is
 // read when the first of them asks, so that they need not all read it themselves, and
 // told to who fetches a configuration.
 func (c *Controller) provisionalServers(fetches bool) *ServersUpdate {
@@ -320,8 +320,8 @@
 	}
 }
 
-// readReports asks all servers for their load, over and over, while this expediter
-// leads and a courier follows reports.
+// readReports asks all servers for their load, over and over, while this controller
+// leads and a router follows reports.
 func (c *Controller) readReports() {
 	for c.runtime.Alive() {
 		if !c.lists.leading() {
--- a/internal/hatch/lists_test.go
+++ b/internal/hatch/lists_test.go
@@ -43,7 +43,7 @@
 	if answer.Servers == nil || answer.Servers.Sent || answer.Servers.Mark != asker.ListMark {
 		t.Errorf("the list was told again: %+v", answer.Servers)
 	}
-	// A courier asked, so reports are read, each server once at a time.
+	// A router asked, so reports are read, each server once at a time.
 	if wanted := known.wanted(atNoon(time.Second)); len(wanted) != 1 {
 		t.Errorf("wanted %v", wanted)
 	}
@@ -85,7 +85,7 @@
 	if wanted := known.wanted(atNoon(10 * time.Second)); len(wanted) != 0 {
 		t.Errorf("nobody follows reports, and %v are read", wanted)
 	}
-	// The next reign's marks are others, though the list is the same.
+	// The next term's marks are others, though the list is the same.
 	known.end()
 	known.begin(8)
 	if !known.newer(asker) {
--- a/internal/hatch/loadsnews.go
+++ b/internal/hatch/loadsnews.go
@@ -17,7 +17,7 @@
 }
 
 // loadReport is one server's report, as short as it can be: three times a second it
-// goes to every courier.
+// goes to every router.
 type loadReport struct {
 	//lint:ignore U1000 The encoder reads the tag.
 	_msgpack struct{} `msgpack:",as_array"`
--- a/internal/hatch/newsanswer.go
+++ b/internal/hatch/newsanswer.go
@@ -7,9 +7,9 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// UpdateAnswer is what the primary answers: the drawers that are newer, and a
+// UpdateAnswer is what the primary answers: the sections that are newer, and a
 // hold that confirms the configuration's version. Who is not primary answers
-// with the charter alone.
+// with the membership alone.
 type UpdateAnswer struct {
 	Leads         bool                           `msgpack:"leads"`
 	Membership    replication.Membership         `msgpack:"charter"`
@@ -21,10 +21,10 @@
 	// Held is how long the question was held back, so that ages are counted from
 	// no earlier than they were told.
 	Held time.Duration `msgpack:"held,omitempty"`
-	// Routers is how many couriers share the servers.
+	// Routers is how many routers share the servers.
 	Routers int            `msgpack:"couriers,omitempty"`
 	Servers *ServersUpdate `msgpack:"servers,omitempty"`
 	Loads   *LoadsUpdate   `msgpack:"loads,omitempty"`
-	// Copy is what an expediter that is not primary says of its own copy.
+	// Copy is what a controller that is not primary says of its own copy.
 	Copy *CopyUpdate `msgpack:"copy,omitempty"`
 }
--- a/internal/hatch/newsquestion.go
+++ b/internal/hatch/newsquestion.go
@@ -18,7 +18,7 @@
 	Patience time.Duration                  `msgpack:"patience"`
 	// Deltas tells that the node takes what changed instead of the whole.
 	Deltas bool `msgpack:"deltas,omitempty"`
-	// Membership is the epoch of the newest charter that the node has heard of: who leads
+	// Membership is the epoch of the newest membership that the node has heard of: who leads
 	// tells it only a newer one.
 	Membership uint64 `msgpack:"charter,omitempty"`
 	// Lists tells that the node follows the list of servers, and Loads that it
--- a/internal/hatch/passages.go
+++ b/internal/hatch/passages.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// passages remembers the passings-on that came to this courier, so that one
+// passages remembers the passings-on that came to this router, so that one
 // which a link brings again is told.
 type passages struct {
 	mutex sync.Mutex
--- a/internal/hatch/passing.go
+++ b/internal/hatch/passing.go
@@ -11,33 +11,33 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Passing is the port by which an inquiry goes on to another courier.
+// Passing is the port by which a request goes on to another router.
 type Passing interface {
-	// Pass sends the inquiry's body with its passage, and gives the records of
+	// Pass sends the request's body with its passage, and gives the records of
 	// the reply to take, as they come, until take says no or the origin has
 	// left. Begun is false only when certainly nothing of it has left.
 	Pass(address string, passage Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
 }
 
-// Passage marks one passing-on: a link may bring it twice, and to another
+// Passage marks one forwarding: a link may bring it twice, and to another
 // process than it was meant for.
 type Passage struct {
-	// Nonce is new for each passing-on.
+	// Nonce is new for each forwarding.
 	Nonce string
 	// Incarnation is the process that it is meant for; empty when that one does
 	// not say what it is, as the first release did not.
 	Incarnation string
 }
 
-// Incarnation is what a courier says of its present life.
+// Incarnation is what a router says of its present life.
 type Incarnation struct {
 	Incarnation string `msgpack:"incarnation"`
 }
 
-// incarnationPatience is how long a courier may take to say which life it is in.
+// incarnationPatience is how long a router may take to say which life it is in.
 const incarnationPatience = 500 * time.Millisecond
 
-// capable lists the couriers that lack no enabled flag, this inquiry's own
+// capable lists the routers that lack no enabled flag, this request's own
 // order first.
 func (r *Router) capable(request string) []membership.Member {
 	enabled := r.core.Enabled()
@@ -56,8 +56,8 @@
 	return members
 }
 
-// passOn gives an inquiry to a capable courier and its reply to the origin, as
-// it comes. Another courier is tried only when the first certainly has not
+// passOn gives a request to a capable router and its reply to the origin, as
+// it comes. Another router is tried only when the first certainly has not
 // begun.
 func (r *Router) passOn(arrival Arrival, reply Reply) {
 	never := false
--- a/internal/hatch/peers.go
+++ b/internal/hatch/peers.go
@@ -12,7 +12,7 @@
 	installPatience = 6 * time.Second
 )
 
-// peers reaches the other expediters over the hotline.
+// peers reaches the other controllers over the hotline.
 type peers struct{ line Hotline }
 
 func (p *peers) Hello(address string, own replication.Hello) (replication.Hello, error) {
--- a/internal/hatch/recordreply.go
+++ b/internal/hatch/recordreply.go
@@ -4,12 +4,12 @@
 	"seamloom.example/seamloom/internal/codec"
 )
 
-// RecordReply turns the lines of a reply into stream records, for the courier
-// that passed the inquiry on.
+// RecordReply turns the lines of a reply into stream records, for the router
+// that passed the request on.
 type RecordReply struct {
 	Request string
 	Writer  string
-	// Send brings a record to that courier.
+	// Send brings a record to that router.
 	Send func(record codec.Record) error
 	// Left is how its origin's leaving is heard.
 	Left func(act func())
@@ -34,5 +34,5 @@
 	return r.Send(record)
 }
 
-// WhenLeft has act called when the origin closes its circuit.
+// WhenLeft has act called when the origin closes its connection.
 func (r *RecordReply) WhenLeft(act func()) { r.Left(act) }
--- a/internal/hatch/reign.go
+++ b/internal/hatch/reign.go
@@ -30,7 +30,7 @@
 	return &Term{Since: now, Holds: lease.NewHolds(lease.DefaultTerms(), now), keys: lease.NewKeys(lease.DefaultTerms()), asked: map[string]time.Time{}, unlisted: map[string]time.Time{}, settledFrom: now}
 }
 
-// candidates are the live couriers that lack no enabled flag, with how long
+// candidates are the live routers that lack no enabled flag, with how long
 // each has been live.
 func (t *Term) candidates(now time.Time, state *replication.State) map[string]time.Duration {
 	live := t.Holds.Live(now)
@@ -44,7 +44,7 @@
 }
 
 // silent lists the recorded members that have not asked for news for a time. A new
-// primary takes all to have asked when it began. The caller has the expediter's mutex.
+// primary takes all to have asked when it began. The caller has the controller's mutex.
 func (t *Term) silent(now time.Time, state *replication.State, length time.Duration) []string {
 	var silent []string
 	for name := range state.Members {
@@ -70,7 +70,7 @@
 
 // gone lists the recorded servers that were not listed for so long that their records
 // may go, and lets go of the duties of those that were not listed for a while. The
-// caller has the expediter's mutex.
+// caller has the controller's mutex.
 func (t *Term) gone(now time.Time, state *replication.State, listed []membership.Server) []string {
 	recorded := map[string]bool{}
 	for key := range state.Rota.Roles {
@@ -107,12 +107,12 @@
 	return gone
 }
 
-// countedTime is how long a courier that is not heard from any more counts among
+// countedTime is how long a router that is not heard from any more counts among
 // those that share the servers; for as long a new primary counts all that are
 // recorded. The value is ours.
 const countedTime = 10 * time.Second
 
-// couriers is how many couriers share the servers.
+// routers is how many routers share the servers.
 func (t *Term) routers(now time.Time, state *replication.State) int {
 	heard := len(t.Holds.HeardWithin(now, countedTime))
 	if now.Sub(t.Since) >= countedTime {
@@ -121,13 +121,13 @@
 	return max(heard, len(routersOf(state.Members)))
 }
 
-// behind lists the couriers that were heard from within a time and have not
+// behind lists the routers that were heard from within a time and have not
 // confirmed a version.
 func (t *Term) behind(now time.Time, version replication.Version, within time.Duration) []string {
 	return t.Holds.Behind(now, version.Number, within)
 }
 
-// Lagging lists the couriers that may still let in under a configuration older
+// Lagging lists the routers that may still admitted under a configuration older
 // than the version.
 func (t *Term) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
 	return t.Holds.Lagging(now, version.Number, routersOf(state.Members))
--- a/internal/hatch/reign_test.go
+++ b/internal/hatch/reign_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestSilentMembersAreThoseThatAskedNobody counts from the reign's beginning.
+// TestSilentMembersAreThoseThatAskedNobody counts from the term's beginning.
 func TestSilentMembersAreThoseThatAskedNobody(t *testing.T) {
 	term := newTerm(atNoon(0))
 	state := &replication.State{Members: map[string]membership.Member{"a": {}, "b": {}, "c": {}}}
--- a/internal/hatch/replyline.go
+++ b/internal/hatch/replyline.go
@@ -10,7 +10,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// ReplyLine is one line of a reply: a numbered piece, or the final line.
+// ReplyLine is one line of a reply: a numbered chunk, or the final line.
 type ReplyLine struct {
 	Request string        `json:"inquiry"`
 	Chunk   int           `json:"piece,omitempty"`
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -25,7 +25,7 @@
 type asking struct {
 	calls int
 	since time.Time
-	// epoch is that of the newest charter known when the address was asked last.
+	// epoch is that of the newest membership known when the address was asked last.
 	epoch uint64
 	// answered is when it answered last without leading.
 	answered time.Time
@@ -49,17 +49,17 @@
 	eagerRounds     = 30
 	mostAsking      = 3
 	// answeredPause is after how long one that answered without leading is asked again,
-	// and answeredShare is added for each courier: the whole fleet asks the core at once.
-	// One that a newer charter names as primary is asked without a pause.
+	// and answeredShare is added for each router: the whole fleet asks the core at once.
+	// One that a newer membership names as primary is asked without a pause.
 	answeredPause = 150 * time.Millisecond
 	answeredShare = time.Millisecond
-	// coreSilence is after how long without any expediter's answer others are asked.
+	// coreSilence is after how long without any controller's answer others are asked.
 	coreSilence = 250 * time.Millisecond
-	// peersPerRound is how many other couriers are then asked in each round where the
+	// peersPerRound is how many other routers are then asked in each round where the
 	// core is. The rounds go through all of them in turn.
 	peersPerRound = 3
 	// relayRounds is after how many rounds in vain neighbours are asked to relay, if the
-	// primary that the charter names does not answer.
+	// primary that the membership names does not answer.
 	relayRounds = 4
 )
 
@@ -229,7 +229,7 @@
 	})
 }
 
-// askPeers asks a few couriers, others in each round: one that has followed the core
+// askPeers asks a few routers, others in each round: one that has followed the core
 // longer knows who belongs to it now.
 func (f *Follower) askPeers(s *search, question UpdateQuestion) {
 	question.Provisional = false
@@ -261,7 +261,7 @@
 	})
 }
 
-// askRelays has the nearest couriers pass the question on to the primary that they know:
+// askRelays has the nearest routers pass the question on to the primary that they know:
 // the path to it may be cut for this node alone.
 func (f *Follower) askRelays(s *search) {
 	question := f.searchQuestion()
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -24,7 +24,7 @@
 }
 func (oneServer) Nodes() ([]membership.Node, error) { return nil, failure.New(failure.NoSuch, "none") }
 
-// restarted opens a core's disks again, in expediters that do nothing by themselves:
+// restarted opens a core's disks again, in controllers that do nothing by themselves:
 // all have just started and nobody is primary. The blank ones have lost their disks.
 func restarted(t *testing.T, rt runtime.Runtime, before *core, blank ...string) *core {
 	t.Helper()
@@ -45,7 +45,7 @@
 	return after
 }
 
-// newRouterAt starts a courier that follows a core; told rings with its events.
+// newRouterAt starts a router that follows a core; told rings with its events.
 func newRouterAt(rt runtime.Runtime, line Hotline, without time.Duration, told runtime.Cond) *Router {
 	router := NewRouter(rt, line, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
@@ -63,7 +63,7 @@
 	return version
 }
 
-// TestRouterServesByTheCopiesBeforeThereIsAPrimary restarts a courier and a whole core
+// TestRouterServesByTheCopiesBeforeThereIsAPrimary restarts a router and a whole core
 // that has no primary yet.
 func TestRouterServesByTheCopiesBeforeThereIsAPrimary(t *testing.T) {
 	before, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime { return rt })
--- a/internal/hatch/signpost.go
+++ b/internal/hatch/signpost.go
@@ -10,7 +10,7 @@
 )
 
 // Redirector is the control plane's conduct at a node without a disk: it keeps nothing
-// and belongs to no core, but knows which expediter is primary when it is asked.
+// and belongs to no core, but knows which controller is primary when it is asked.
 type Redirector struct {
 	runtime runtime.Runtime
 	line    Hotline
@@ -23,7 +23,7 @@
 }
 
 const (
-	// redirectorPatience is how long each expediter may take to say who leads: all are
+	// redirectorPatience is how long each controller may take to say who leads: all are
 	// asked at once.
 	redirectorPatience = 300 * time.Millisecond
 	// redirectorSearches is how often the search goes on with what it has just learnt.
@@ -35,7 +35,7 @@
 	redirectorRefresh = 2 * time.Second
 )
 
-// NewRedirector makes a signpost that begins its search at the seeds.
+// NewRedirector makes a redirector that begins its search at the seeds.
 func NewRedirector(rt runtime.Runtime, line Hotline, seeds []string) *Redirector {
 	return &Redirector{runtime: rt, line: line, seeds: seeds}
 }
@@ -52,7 +52,7 @@
 	runtime.Every(r.runtime, redirectorRefresh, func() { r.Leader() })
 }
 
-// Leader is the address of the expediter that is primary, or empty if none says so.
+// Leader is the address of the controller that is primary, or empty if none says so.
 func (r *Redirector) Leader() string {
 	r.mutex.Lock()
 	known, fresh := r.leader, r.runtime.Now().Sub(r.asked) < redirectorFresh
--- a/internal/hatch/stove.go
+++ b/internal/hatch/stove.go
@@ -11,7 +11,7 @@
 	Prefill(decision auction.Decision, may func() bool) (outcome auction.Outcome, handle, detail string)
 	Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (outcome auction.Outcome, chunks int, detail string)
 	Command(decision auction.Decision, may func() bool) error
-	// Cancel breaks a run's circuit and has the server stop it.
+	// Cancel breaks a run's connection and has the server stop it.
 	Cancel(decision auction.Decision)
 	// EndRun lets go of what a run has left behind.
 	EndRun(id string, run int)
--- a/internal/hatch/stream.go
+++ b/internal/hatch/stream.go
@@ -7,8 +7,8 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// stream carries one inquiry's decisions to the thread that answers its
-// origin. It gives pieces in their order and the final line after them all,
+// stream carries one request's decisions to the thread that answers its
+// origin. It gives chunks in their order and the final line after them all,
 // whichever threads they came from.
 type stream struct {
 	mutex  sync.Mutex
--- a/internal/lease/holds.go
+++ b/internal/lease/holds.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Holds is the primary's memory of what it has granted to couriers. It is
+// Holds is the primary's memory of what it has granted to routers. It is
 // never written down: a new primary takes every hold of the old one to be
 // fresh at its own beginning, and waits it out.
 type Holds struct {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Lagging lists the holders whose hold may still let in under a configuration
+// Lagging lists the holders whose hold may still admitted under a configuration
 // older than the number. While the old primary's holds may run it also names
 // the holders of that time that have not confirmed to this one.
 func (h *Holds) Lagging(now time.Time, number uint64, recorded []string) []string {
--- a/internal/lease/keys_test.go
+++ b/internal/lease/keys_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestLaggingHonoursTheOldPrimarysHolds wants a change to wait for couriers
+// TestLaggingHonoursTheOldPrimarysHolds wants a change to wait for routers
 // that only the old primary has spoken with.
 func TestLaggingHonoursTheOldPrimarysHolds(t *testing.T) {
 	start := time.Unix(1000, 0)
--- a/internal/lease/terms.go
+++ b/internal/lease/terms.go
@@ -7,7 +7,7 @@
 
 // Terms are the lengths of time that holds live by. The values are ours.
 type Terms struct {
-	// Hold is how long a courier may act on one answer, from when it asked.
+	// Hold is how long a router may act on one answer, from when it asked.
 	Hold time.Duration
 	// Drift is what the granting side waits beyond the hold, for clocks that
 	// run at different speeds.
--- a/internal/membership/nodekind.go
+++ b/internal/membership/nodekind.go
@@ -9,6 +9,6 @@
 const (
 	Router     NodeKind = "courier"
 	Controller NodeKind = "expediter"
-	// Redirector is an expediter's stand-in on a machine without a disk.
+	// Redirector is a controller's stand-in on a machine without a disk.
 	Redirector NodeKind = "signpost"
 )
--- a/internal/membership/server.go
+++ b/internal/membership/server.go
@@ -14,7 +14,7 @@
 	Part string `json:"part,omitempty" msgpack:"part,omitempty"`
 	// Models are the weights that it has.
 	Models []string `json:"models,omitempty" msgpack:"models,omitempty"`
-	// Slots is how many inquiries it works on at once; zero: unknown.
+	// Slots is how many requests it works on at once; zero: unknown.
 	Slots int `json:"slots,omitempty" msgpack:"slots,omitempty"`
 	// Warming is how much longer it stays cold, when the list was read.
 	Warming time.Duration `json:"warming,omitempty" msgpack:"warming,omitempty"`
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Own is the hello that this expediter says.
+// Own is the hello that this controller says.
 func (c *Coordinator) Own() Hello {
 	// These may wait for the disk, and nobody may wait for them.
 	membership, replica := c.witness.Membership(), c.witness.Replica()
@@ -46,7 +46,7 @@
 }
 
 // note takes a hello. A node that keeps nothing has no seat, but may know of a newer
-// charter.
+// membership.
 func (c *Coordinator) note(hello Hello, answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// greetAll says hello to every address that may have an expediter.
+// greetAll says hello to every address that may have a controller.
 func (c *Coordinator) greetAll() {
 	own := c.Own()
 	if c.rests() {
@@ -179,7 +179,7 @@
 	return replica.Address
 }
 
-// Sees tells whether an expediter at the address was heard a moment ago.
+// Sees tells whether a controller at the address was heard a moment ago.
 func (c *Coordinator) Sees(address string) bool {
 	if address == c.witness.Replica().Address {
 		return true
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -75,7 +75,7 @@
 
 // ensureBackups keeps as many copies in sync as are wanted: whoever takes the place
 // of one that is gone gets a snapshot while commits stand still, and counts from
-// the grant of the next charter on.
+// the grant of the next membership on.
 func (c *Coordinator) ensureBackups() {
 	membership := c.Membership()
 	wanted := c.wanted()
@@ -136,7 +136,7 @@
 	}
 }
 
-// grantPair asks for the charter in which the installed copies are the backups.
+// grantPair asks for the membership in which the installed copies are the backups.
 func (c *Coordinator) grantPair(installed []Replica) {
 	won, err := c.elect(func(base Membership) (Membership, bool) {
 		if base.Primary.Identity != c.witness.Replica().Identity {
@@ -312,15 +312,15 @@
 	}
 }
 
-// candidate is an expediter that could be a backup. The lower its rank, the better;
-// among equals the one in the district with the fewest copies goes first.
+// candidate is a controller that could be a backup. The lower its rank, the better;
+// among equals the one in the zone with the fewest copies goes first.
 type candidate struct {
 	seat  Replica
 	rank  int
 	crowd int
 }
 
-// backupCandidates lists the expediters that could be backups, the best first.
+// backupCandidates lists the controllers that could be backups, the best first.
 func (c *Coordinator) backupCandidates(membership Membership, wanted int) []Replica {
 	copies := membership.With(c.recorded(c.witness.Replica()), membership.Backups()).Copies()
 	var candidates []candidate
@@ -364,7 +364,7 @@
 		// A backup that is there is not exchanged for a restricted one.
 		return 0, false
 	case known.hello.Restricted:
-		// It lacks an enabled flag. It keeps drawers that it does not read,
+		// It lacks an enabled flag. It keeps sections that it does not read,
 		// byte for byte, which is better than no second disk at all.
 		rank = 5
 		if several && present {
@@ -391,7 +391,7 @@
 	return rank, true
 }
 
-// spreadOut brings a candidate of another district forward when all that would be
+// spreadOut brings a candidate of another zone forward when all that would be
 // chosen are in the primary's.
 func spreadOut(candidates []Replica, zone string, wanted int) {
 	if zone == "" || len(candidates) <= wanted || inZone(candidates[:wanted], zone) < wanted {
@@ -416,7 +416,7 @@
 	return count
 }
 
-// crowded tells whether all copies are in one district and another could be had.
+// crowded tells whether all copies are in one zone and another could be had.
 func (c *Coordinator) crowded(membership Membership, wanted int) bool {
 	if wanted == 1 {
 		return false
@@ -430,7 +430,7 @@
 	return inZone(chosen, zone) < len(chosen)
 }
 
-// OldCopies lists the expediters out of the pair whose copies were older than
+// OldCopies lists the controllers out of the pair whose copies were older than
 // the version when they were heard last.
 func (c *Coordinator) OldCopies(version Version) []Replica {
 	m := c.Membership()
--- a/internal/replication/ballot.go
+++ b/internal/replication/ballot.go
@@ -2,13 +2,13 @@
 
 import "seamloom.example/seamloom/internal/failure"
 
-// ballot is one candidate's try at the next charter, as far as it has got: promises of an
-// epoch by a majority of the witnesses, by which the newest charter is found, then the
+// ballot is one candidate's try at the next membership, as far as it has got: promises of an
+// epoch by a majority of the witnesses, by which the newest membership is found, then the
 // acceptance of the one made from it. It decides and sends nothing.
 type ballot struct {
 	candidate Identity
 	epoch     uint64
-	// base is the newest charter that was told; newest is that of the round under way.
+	// base is the newest membership that was told; newest is that of the round under way.
 	base, newest Membership
 	asked        map[Identity]bool
 	promised     map[Identity]bool
@@ -48,7 +48,7 @@
 // hasPromises tells whether a majority of the base's witnesses has promised the epoch.
 func (b *ballot) hasPromises() bool { return b.base.Quorum(b.promised) }
 
-// rebase goes on from the newest charter that was told, and tells whether that is another
+// rebase goes on from the newest membership that was told, and tells whether that is another
 // one than before, whose witnesses are then to be asked as well.
 func (b *ballot) rebase() bool {
 	moved := b.newest.Epoch != b.base.Epoch
@@ -56,7 +56,7 @@
 	return moved
 }
 
-// propose makes the next charter from the newest one, if that allows it.
+// propose makes the next membership from the newest one, if that allows it.
 func (b *ballot) propose(make func(base Membership) (Membership, bool)) error {
 	if !b.hasPromises() {
 		return failure.New(failure.NoPrimary, "no quorum of the newest keepers promised the epoch")
@@ -70,12 +70,12 @@
 	return nil
 }
 
-// acceptors lists the witnesses of the base and of the proposed charter, each once.
+// acceptors lists the witnesses of the base and of the proposed membership, each once.
 func (b *ballot) acceptors() []Replica {
 	return Membership{Witnesses: b.base.Electors(), Incoming: b.next.Electors()}.Electors()
 }
 
-// takeAcceptance takes a witness's answer to the proposed charter.
+// takeAcceptance takes a witness's answer to the proposed membership.
 func (b *ballot) takeAcceptance(witness Identity, promise Promise) {
 	b.highest = max(b.highest, promise.Promised)
 	b.accepted[witness] = promise.Granted
--- a/internal/replication/batch.go
+++ b/internal/replication/batch.go
@@ -1,8 +1,8 @@
 package replication
 
-// Batch is one version on its way to disk and backup: the drawers it changes
+// Batch is one version on its way to disk and backup: the sections it changes
 // and those it takes away. Places is filled in by the copy that keeps it: the
-// file that holds each drawer after this version, by which a copy that lacks a
+// file that holds each section after this version, by which a copy that lacks a
 // file knows itself damaged.
 type Batch struct {
 	Version  Version            `msgpack:"version"`
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -187,8 +187,8 @@
 // is refused. The value is ours.
 const Retention = 10 * time.Minute
 
-// Claim takes an inquiry id for one arrival at a courier, once. The entry's
-// cause is a nonce of that arrival: with it the courier may ask again, since an
+// Claim takes a request id for one arrival at a router, once. The entry's
+// cause is a nonce of that arrival: with it the router may ask again, since an
 // answer can be lost. The same id arriving again has another nonce.
 func Claim(made time.Time, entry codec.Entry) Change {
 	return func(state *State, _, _ Version) error {
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -35,14 +35,14 @@
 	// helloPatience is how long a round of hellos is waited for: a machine without
 	// power must not hold up the others' election.
 	helloPatience = 150 * time.Millisecond
-	// seatPatience is how long an expediter that leaves waits for another to take its
+	// seatPatience is how long a controller that leaves waits for another to take its
 	// witness's seat, once its copy does not count any more.
 	seatPatience = time.Second
 	// slowAnswer is how long a hello that came after its round counts in the next.
 	slowAnswer = 450 * time.Millisecond
 )
 
-// Coordinator decides who is primary, backup and keeper, from one expediter's
+// Coordinator decides who is primary, backup and keeper, from one controller's
 // point of view. Tick is called by one thread, over and over.
 type Coordinator struct {
 	runtime runtime.Runtime
@@ -89,7 +89,7 @@
 	overtaken uint64
 }
 
-// acquaintance is another expediter: when it was heard last, and when it
+// acquaintance is another controller: when it was heard last, and when it
 // answered last, which shows that it can be reached, too.
 type acquaintance struct {
 	hello    Hello
@@ -97,13 +97,13 @@
 	answered time.Time
 }
 
-// NewCoordinator makes the steward of one expediter.
+// NewCoordinator makes the steward of one controller.
 func NewCoordinator(rt runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
 	return &Coordinator{runtime: rt, seeds: seeds, kind: membership.Controller, witness: witness, store: store, peers: peers,
 		observe: observe, timing: TimingFor(DefaultCatchUp), known: map[Identity]*acquaintance{}, borne: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
 }
 
-// Holds tells whether this expediter is primary at this moment: its own hold
+// Holds tells whether this controller is primary at this moment: its own hold
 // runs. It is asked just before every answer.
 func (c *Coordinator) Holds() bool {
 	c.mutex.Lock()
@@ -119,7 +119,7 @@
 	c.restricted = restricted
 }
 
-// Leave makes this expediter hand over what it has, and stand no more while another can:
+// Leave makes this controller hand over what it has, and stand no more while another can:
 // its process is about to end. The primary is told at once.
 func (c *Coordinator) Leave() {
 	c.mutex.Lock()
@@ -134,8 +134,8 @@
 	}
 }
 
-// Released tells whether nothing depends on this expediter any more: it leads not, no
-// charter counts its copy, and another has its witness's seat. A seat for which nobody
+// Released tells whether nothing depends on this controller any more: it leads not, no
+// membership counts its copy, and another has its witness's seat. A seat for which nobody
 // came for a while goes with it.
 func (c *Coordinator) Released() bool {
 	own, membership := c.witness.Replica().Identity, c.Membership()
@@ -159,7 +159,7 @@
 	return c.leaving
 }
 
-// JoinOnly keeps this expediter from forming a first core: there is one already,
+// JoinOnly keeps this controller from forming a first core: there is one already,
 // which a blank disk joins, whatever the seeds are.
 func (c *Coordinator) JoinOnly() {
 	c.mutex.Lock()
@@ -167,7 +167,7 @@
 	c.joinsOnly = true
 }
 
-// SetContacts gives addresses besides the seeds and the charter's to say hello
+// SetContacts gives addresses besides the seeds and the membership's to say hello
 // to, as the platform lists them.
 func (c *Coordinator) SetContacts(addresses []string) {
 	c.mutex.Lock()
@@ -183,7 +183,7 @@
 	c.recordedAt = addresses
 }
 
-// Membership is the newest charter that this expediter has heard of.
+// Membership is the newest membership that this controller has heard of.
 func (c *Coordinator) Membership() Membership {
 	own := c.witness.Membership()
 	c.mutex.Lock()
--- a/internal/replication/copy.go
+++ b/internal/replication/copy.go
@@ -11,8 +11,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Copy is one disk's copy of the larder: a file for each version, holding the
-// drawers that the version changed. Files whose drawers are all newer
+// Copy is one disk's copy of the replicated state: a file for each version, holding the
+// sections that the version changed. Files whose sections are all newer
 // elsewhere are removed.
 type Copy struct {
 	mutex    sync.Locker
@@ -26,7 +26,7 @@
 	highest Version
 }
 
-// OpenCopy reads a copy from its shelf. A copy with a damaged or missing file
+// OpenCopy reads a copy from its storage. A copy with a damaged or missing file
 // opens, but says so, and must be replaced from the other.
 func OpenCopy(storage Storage) (*Copy, error) {
 	files, damaged, err := storage.Load()
@@ -66,7 +66,7 @@
 	return copied, nil
 }
 
-// note remembers a version whose file is on the shelf, or may come back to it.
+// note remembers a version whose file is on the storage, or may come back to it.
 func (c *Copy) note(version Version) {
 	if c.highest.Before(version) {
 		c.highest = version
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -85,7 +85,7 @@
 	}
 	if restricted {
 		// It takes over only when the other copy in sync cannot, and then hands
-		// over as soon as a capable expediter is in sync.
+		// over as soon as a capable controller is in sync.
 		c.backoff = now.Add(2 * time.Second)
 		if c.otherInSyncAlive(m) {
 			return
@@ -181,7 +181,7 @@
 }
 
 // elect asks for the next epoch: first for promises, by which the newest
-// charter is found, then for acceptance of the charter made from it.
+// membership is found, then for acceptance of the membership made from it.
 func (c *Coordinator) elect(make func(base Membership) (Membership, bool)) (Membership, error) {
 	base := c.witness.Membership()
 	if known := c.Membership(); known.Epoch > base.Epoch {
@@ -243,7 +243,7 @@
 	}, b.hasPromises)
 }
 
-// gatherAcceptances has the proposed charter accepted, until majorities have done so.
+// gatherAcceptances has the proposed membership accepted, until majorities have done so.
 func (c *Coordinator) gatherAcceptances(b *ballot) {
 	gather(c.runtime, b.acceptors(), func(replica Replica) (Promise, error) {
 		if replica.Identity == b.candidate {
@@ -279,7 +279,7 @@
 			c.noteOvertaken(promise)
 		}
 		if err == nil && promise.Membership.Epoch < membership.Epoch && promise.Refusal != failure.OldEpoch {
-			// It was away when the charter was granted.
+			// It was away when the membership was granted.
 			if _, err := c.peers.Accept(c.Address(replica), replica.Identity, membership); err == nil {
 				return c.peers.Confirm(c.Address(replica), replica.Identity, membership.Epoch, own.Identity)
 			}
@@ -310,7 +310,7 @@
 	if !membership.Quorum(confirmed) {
 		if outdated {
 			// An epoch was promised and not used, perhaps to this steward
-			// itself: the charter is asked for anew.
+			// itself: the membership is asked for anew.
 			c.unsettled = true
 		}
 		return false
@@ -353,7 +353,7 @@
 	return membership.Quorum(r)
 }
 
-// regrant asks for the same charter under a higher epoch, when a keeper has
+// regrant asks for the same membership under a higher epoch, when a keeper has
 // promised one that nobody was granted and so can't confirm the present one.
 func (c *Coordinator) regrant(membership Membership) {
 	c.outrun = false
@@ -391,7 +391,7 @@
 	return lost && now.Sub(c.greeted) > c.timing.Beat && now.Sub(c.confirming) < c.timing.Lease+deafMargin
 }
 
-// unheardOf tells whether this primary reaches its backup while no expediter
+// unheardOf tells whether this primary reaches its backup while no controller
 // reaches it: its link has failed in one direction, and nodes that ask it are
 // not heard either.
 func (c *Coordinator) unheardOf(membership Membership) bool {
--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -29,7 +29,7 @@
 	// ballot is the candidacy under way, and plan what it is to make of the base.
 	ballot *ballot
 	plan   string
-	// charter is the one that it leads by, if it leads; unsynced tells of a write that is
+	// membership is the one that it leads by, if it leads; unsynced tells of a write that is
 	// on its own copy only.
 	leads      bool
 	membership Membership
@@ -435,7 +435,7 @@
 	}
 }
 
-// make is what the plan makes of the newest charter.
+// make is what the plan makes of the newest membership.
 func (c *coreMember) make(state *coreState) func(base Membership) (Membership, bool) {
 	own := c.keeper.self
 	words := strings.Fields(c.plan)
@@ -588,7 +588,7 @@
 
 // TestElectionAndReplicationExplored visits every state that bounded cores can reach with
 // crashes, a lost disk, an exchanged witness and delayed messages, over the product's own
-// witnesses, charters and ballots. Each known bad variant is found.
+// witnesses, memberships and ballots. Each known bad variant is found.
 func TestElectionAndReplicationExplored(t *testing.T) {
 	const mostStates = 300_000
 	three := func(ballots, crashes, restarts, wipes, writes, delays int) *coreState {
--- a/internal/replication/hello.go
+++ b/internal/replication/hello.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Hello is what expediters tell each other of themselves.
+// Hello is what controllers tell each other of themselves.
 type Hello struct {
 	Seat       Replica             `msgpack:"seat"`
 	Kind       membership.NodeKind `msgpack:"kind"`
--- a/internal/replication/leaving_test.go
+++ b/internal/replication/leaving_test.go
@@ -11,7 +11,7 @@
 // tickPause is the time between two ticks of a process.
 const tickPause = 150 * time.Millisecond
 
-// coreShape is a core's number of machines, their districts and the losses to be borne.
+// coreShape is a core's number of machines, their zones and the losses to be borne.
 type coreShape struct{ machines, zones, borne int }
 
 var coreShapes = []coreShape{{3, 3, 1}, {6, 3, 2}, {8, 4, 2}}
@@ -117,7 +117,7 @@
 	w.machines = left
 }
 
-// join starts an empty machine at a new address, in a district.
+// join starts an empty machine at a new address, in a zone.
 func (w *world) join(zone string) *machine {
 	w.offered++
 	added := &machine{address: "n" + strconv.Itoa(w.offered), zone: zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
--- a/internal/replication/losses.go
+++ b/internal/replication/losses.go
@@ -3,9 +3,9 @@
 import "time"
 
 // Bear tells how many machines may be lost at once with all that is on their
-// disks, and in which district this one is. With one loss, the default, there
+// disks, and in which zone this one is. With one loss, the default, there
 // is one backup and there are three keepers; with more, as many backups as losses,
-// and two keepers for each loss and one more, spread over the districts so that a
+// and two keepers for each loss and one more, spread over the zones so that a
 // whole one may go.
 func (c *Coordinator) Bear(losses int, zone string) {
 	c.mutex.Lock()
@@ -14,7 +14,7 @@
 }
 
 // SetBackupList tells whether the flag backup_list is enabled: whether every
-// recorded member reads charters with more than one backup.
+// recorded member reads memberships with more than one backup.
 func (c *Coordinator) SetBackupList(enabled bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -31,7 +31,7 @@
 	return c.borne
 }
 
-// recorded is a seat as it may stand in a charter now.
+// recorded is a seat as it may stand in a membership now.
 func (c *Coordinator) recorded(replica Replica) Replica {
 	switch {
 	case !c.several():
@@ -44,7 +44,7 @@
 
 func (c *Coordinator) several() bool { return c.wanted() > 1 }
 
-// quiet tells whether this expediter was greeted by the primary a moment ago, so
+// quiet tells whether this controller was greeted by the primary a moment ago, so
 // that it need not look around.
 func (c *Coordinator) quiet() bool {
 	if c.store.Leading() {
@@ -58,7 +58,7 @@
 }
 
 // rests tells whether this round of hellos is left out: the primary's next one is
-// not due yet, or this expediter is quiet and greeted the primary a moment ago.
+// not due yet, or this controller is quiet and greeted the primary a moment ago.
 func (c *Coordinator) rests() bool {
 	if c.unsettled {
 		return false
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -1,6 +1,6 @@
 package replication
 
-// Membership is what the epoch keepers keep: who is primary and who is in sync
+// Membership is what the witnesss keep: who is primary and who is in sync
 // with it, and who the keepers are. While a keeper is exchanged, Incoming is
 // the next set, and both sets must agree to everything. Further are the backups
 // beside the first; they are written only under the flag backup_list.
@@ -13,7 +13,7 @@
 	Incoming  []Replica `msgpack:"incoming,omitempty" json:"incoming,omitempty"`
 }
 
-// Blank tells whether there is no charter yet.
+// Blank tells whether there is no membership yet.
 func (m Membership) Blank() bool { return m.Epoch == 0 }
 
 // InSync tells whether the copy of the identity has everything answered.
@@ -37,7 +37,7 @@
 	return append([]Replica{m.Primary}, m.Backups()...)
 }
 
-// With is the charter with other copies.
+// With is the membership with other copies.
 func (m Membership) With(primary Replica, backups []Replica) Membership {
 	m.Primary, m.Backup, m.Further = primary, Replica{}, nil
 	if len(backups) > 0 {
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -1,6 +1,6 @@
 package replication
 
-// Peers is the port to the other expediters. Each call ends by itself, within
+// Peers is the port to the other controllers. Each call ends by itself, within
 // a few hundred milliseconds when the other does not answer.
 type Peers interface {
 	Hello(address string, own Hello) (Hello, error)
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -3,8 +3,8 @@
 // Identity names one disk. A process that finds its disk blank takes a new one.
 type Identity string
 
-// Replica is an expediter in a charter: whose disk, and where it is reached. The
-// district is told only where more than one loss is to be borne.
+// Replica is a controller in a membership: whose disk, and where it is reached. The
+// zone is told only where more than one loss is to be borne.
 type Replica struct {
 	Identity Identity `msgpack:"identity" json:"identity"`
 	Address  string   `msgpack:"address" json:"address"`
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestKeeperConfirmsOnlyTheMembershipOnItsDisk wants a keeper that was away when a charter
+// TestKeeperConfirmsOnlyTheMembershipOnItsDisk wants a keeper that was away when a membership
 // was granted to take it down first: after a restart its disk is all that tells whom it
 // held still for.
 func TestKeeperConfirmsOnlyTheMembershipOnItsDisk(t *testing.T) {
--- a/internal/replication/section.go
+++ b/internal/replication/section.go
@@ -1,13 +1,13 @@
 package replication
 
-// Section is one named part of the larder's content, at the version that wrote
+// Section is one named part of the replicated state's content, at the version that wrote
 // it last.
 type Section struct {
 	Version Version `msgpack:"version"`
 	Content []byte  `msgpack:"content"`
 }
 
-// The drawers. Claims have one drawer for each span of time.
+// The sections. Claims have one section for each span of time.
 const (
 	ConfigurationSection = "menu"
 	MembersSection       = "members"
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// severalWorlds are the shapes that bear two losses: six disks in three districts,
+// severalWorlds are the shapes that bear two losses: six disks in three zones,
 // and eight in four.
 var severalWorlds = []struct{ machines, zones int }{{6, 3}, {8, 4}}
 
@@ -51,7 +51,7 @@
 	case 1:
 		w.wipe(w.pick())
 	case 2:
-		// A district loses its power, and at times its disks.
+		// A zone loses its power, and at times its disks.
 		zone := w.pick().zone
 		lost := w.random.IntN(2) == 0
 		for _, m := range w.machines {
@@ -64,7 +64,7 @@
 	case 3:
 		w.everything(w.random.IntN(3))
 	case 4:
-		// A district is cut off, one way or both.
+		// A zone is cut off, one way or both.
 		district := w.pick().zone
 		way := w.random.IntN(3)
 		w.mutex.Lock()
@@ -132,7 +132,7 @@
 const shares = 4
 
 // TestTwoLossesAtOnce drives cores that bear two losses through lost disks, two at
-// once or one while the other is being made good, lost and cut districts, power lost
+// once or one while the other is being made good, lost and cut zones, power lost
 // everywhere, exchanged machines, and all faults of the smaller core.
 func TestTwoLossesAtOnce(t *testing.T) {
 	for _, shape := range severalWorlds {
@@ -195,7 +195,7 @@
 }
 
 // losses lists every set of machines that may be lost at once: any two, or one
-// district.
+// zone.
 func (w *world) losses() [][]int {
 	var sets [][]int
 	for first := range w.machines {
@@ -208,7 +208,7 @@
 
 // TestEveryPairOfDisksLost wipes every two disks right after an answer, while the
 // others go on or lose their power, too, and wants the answered change and a core
-// that is whole again; likewise every district, whose two machines are such a pair.
+// that is whole again; likewise every zone, whose two machines are such a pair.
 func TestEveryPairOfDisksLost(t *testing.T) {
 	for _, shape := range severalWorlds {
 		for seed := range simulatedSeeds(2) {
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -89,7 +89,7 @@
 	c.rung.Broadcast()
 }
 
-// machine is one expediter of the simulated core.
+// machine is one controller of the simulated core.
 type machine struct {
 	address      string
 	zone         string
@@ -136,7 +136,7 @@
 
 func newWorld(t *testing.T, seed uint64) *world { return newWorldOf(t, seed, 3, 3, 1) }
 
-// newWorldOf is a core of machines in districts, which bears some losses at once.
+// newWorldOf is a core of machines in zones, which bears some losses at once.
 func newWorldOf(t *testing.T, seed uint64, machines, zones, borne int) *world {
 	w := &world{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, borne: borne, zones: zones,
 		seeds: []string{"m0", "m1", "m2"}}
@@ -375,7 +375,7 @@
 	return revision
 }
 
-// write asks a machine for the next edition and carries the commit out, with
+// write asks a machine for the next revision and carries the commit out, with
 // a crash of the world possible between any two of its steps.
 func (w *world) write(m *machine) {
 	if !m.steward.Holds() {
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -14,7 +14,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// State is the larder's content as the primary works on it. Changes check
+// State is the replicated state's content as the primary works on it. Changes check
 // first and then alter, so that a refused change leaves nothing behind.
 type State struct {
 	Configuration []byte
@@ -28,13 +28,13 @@
 	dirty         map[string]bool
 }
 
-// NewState is the content of a larder that was just formed.
+// NewState is the content of a replicated state that was just formed.
 func NewState() *State {
 	return &State{Configuration: []byte(`{}`), Members: map[string]membership.Member{}, Rota: Roles{Roles: map[string]lease.Role{}},
 		Orders: Orders{Records: map[string]codec.Record{}}, Claims: map[string]map[string]codec.Record{}, dirty: map[string]bool{}}
 }
 
-// ReadState decodes the drawers of a copy.
+// ReadState decodes the sections of a copy.
 func ReadState(sections map[string]Section) (*State, error) {
 	state := NewState()
 	for name, section := range sections {
@@ -71,10 +71,10 @@
 	return state, nil
 }
 
-// Touch marks a drawer as changed.
+// Touch marks a section as changed.
 func (s *State) Touch(section string) { s.dirty[section] = true }
 
-// pack encodes the changed drawers and forgets that they were changed.
+// pack encodes the changed sections and forgets that they were changed.
 func (s *State) pack(version Version) (map[string]Section, []string, error) {
 	sections := map[string]Section{}
 	var removed []string
@@ -115,7 +115,7 @@
 	return sections, removed, nil
 }
 
-// ClaimSpan is how much time of inquiry ids one claims drawer covers.
+// ClaimSpan is how much time of request ids one claims section covers.
 const ClaimSpan = 5 * time.Second
 
 func claimsSection(made time.Time) string {
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -17,7 +17,7 @@
 	failure error
 }
 
-// Store is one expediter's part in the larder: its copy, and, while it is
+// Store is one controller's part in the replicated state: its copy, and, while it is
 // primary, the working state and the changes that wait. One batch is under way
 // at a time; changes that arrive meanwhile share the next one and its sync.
 type Store struct {
--- a/internal/replication/version.go
+++ b/internal/replication/version.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Version orders the states of the larder: by epoch, then by number. It never
+// Version orders the states of the replicated state: by epoch, then by number. It never
 // goes back.
 type Version struct {
 	Epoch  uint64 `msgpack:"epoch" json:"epoch"`
--- a/internal/replication/view.go
+++ b/internal/replication/view.go
@@ -6,7 +6,7 @@
 	Sections map[string]Section
 }
 
-// VersionOf is the version that a drawer had its last change in.
+// VersionOf is the version that a section had its last change in.
 func (v *View) VersionOf(section string) Version { return v.Sections[section].Version }
 
 // State decodes the view.
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -15,7 +15,7 @@
 // The value is ours.
 const PrimaryHold = 1500 * time.Millisecond
 
-// Witness is an epoch witness. It keeps only the charter and the highest epoch
+// Witness is an epoch witness. It keeps only the membership and the highest epoch
 // that it has promised, both synced before it answers.
 type Witness struct {
 	mutex    sync.Locker
@@ -34,7 +34,7 @@
 	Membership Membership `msgpack:"charter"`
 }
 
-// OpenWitness reads the keeper's note from its shelf. When there is none, or
+// OpenWitness reads the keeper's note from its storage. When there is none, or
 // the newest is damaged, the disk counts as blank and fresh is the identity
 // that it takes. A keeper that starts holds still for one hold, since it may
 // have confirmed a primary just before it stopped.
@@ -81,7 +81,7 @@
 // Replica is the keeper's own seat, which stays.
 func (w *Witness) Replica() Replica { return w.self }
 
-// Membership is the newest charter that the keeper has accepted.
+// Membership is the newest membership that the keeper has accepted.
 func (w *Witness) Membership() Membership {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -134,7 +134,7 @@
 	return promise, nil
 }
 
-// Accept takes a charter, unless a higher epoch is promised. A blank keeper
+// Accept takes a membership, unless a higher epoch is promised. A blank keeper
 // takes only one that names it: that is how it is admitted.
 func (w *Witness) Accept(now time.Time, membership Membership) (Promise, error) {
 	w.mutex.Lock()
@@ -167,7 +167,7 @@
 }
 
 // Confirm gives the primary of the epoch its hold: for that long the keeper
-// promises no other epoch to another candidate. A charter that it has not accepted
+// promises no other epoch to another candidate. A membership that it has not accepted
 // must be brought first, so that its disk tells after a restart whom it held still for.
 func (w *Witness) Confirm(now time.Time, epoch uint64, primary Identity) Promise {
 	w.mutex.Lock()
--- a/internal/replication/witnesses.go
+++ b/internal/replication/witnesses.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// ensureWitnesses exchanges a keeper that is gone for an expediter that is
+// ensureWitnesses exchanges a keeper that is gone for a controller that is
 // there: first both sets must agree, then only the new one.
 func (c *Coordinator) ensureWitnesses() {
 	membership := c.Membership()
@@ -28,7 +28,7 @@
 		next.Incoming = incoming
 	}
 	won, err := c.elect(func(base Membership) (Membership, bool) {
-		// Only the charter that this steward has seen granted may be built on.
+		// Only the membership that this steward has seen granted may be built on.
 		return next, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // exchange plans the next keepers where one loss is borne: whoever is gone or leaves gives
-// way to an expediter that is there.
+// way to a controller that is there.
 func (c *Coordinator) exchange(m Membership) ([]Replica, bool) {
 	gone, found := c.vacantSeat(m)
 	if !found {
@@ -117,8 +117,8 @@
 }
 
 // spread plans the next keepers where several losses are borne: those that are gone
-// give way to expediters that are there, there are as many as wanted if they can be
-// had, and no district has so many that its loss would leave no majority.
+// give way to controllers that are there, there are as many as wanted if they can be
+// had, and no zone has so many that its loss would leave no majority.
 func (c *Coordinator) spread(m Membership, wanted int) ([]Replica, bool) {
 	c.mutex.Lock()
 	settled := c.runtime.Now().Sub(c.leadsFrom) >= c.timing.WitnessSilence
--- a/internal/replication/witnessplan.go
+++ b/internal/replication/witnessplan.go
@@ -38,7 +38,7 @@
 		}
 		changed = true
 	}
-	// A district may have as many as leave a majority when it goes.
+	// A zone may have as many as leave a majority when it goes.
 	most := (len(w.keepers) - 1) / 2
 	for position := range w.keepers {
 		replica := w.keepers[position].seat
@@ -66,7 +66,7 @@
 	return 0, false
 }
 
-// bestSpare is the first one of the district with the fewest keepers.
+// bestSpare is the first one of the zone with the fewest keepers.
 func (w *witnessPlan) bestSpare() (int, bool) {
 	best, found := 0, false
 	for position, spare := range w.spares {
@@ -83,7 +83,7 @@
 	return taken
 }
 
-// inZone counts the keepers of a district that are not gone.
+// inZone counts the keepers of a zone that are not gone.
 func (w *witnessPlan) inZone(zone string) int {
 	count := 0
 	for _, witness := range w.keepers {
--- a/internal/scheduler/account.go
+++ b/internal/scheduler/account.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// account is what a courier knows of one server from its own work and from reports.
+// account is what a router knows of one server from its own work and from reports.
 type account struct {
-	// What this courier has under way there: calls that read, the tokens they read,
+	// What this router has under way there: calls that read, the tokens they read,
 	// calls that run, and the memory that all of them take up.
 	reading       atomic.Int64
 	readingTokens atomic.Int64
 	running       atomic.Int64
 	memory        atomic.Int64
-	// readUntil is when the prompts that this courier's runs read there are read.
+	// readUntil is when the prompts that this router's runs read there are read.
 	readUntil atomic.Int64
 
 	// heard is the latest word of the server's load, report the latest that it gave when
@@ -56,7 +56,7 @@
 type heard struct {
 	load Load
 	at   time.Time
-	// others are the calls that are not this courier's own, waiting ones among them.
+	// others are the calls that are not this router's own, waiting ones among them.
 	others  float64
 	waiting float64
 }
@@ -74,7 +74,7 @@
 	}
 }
 
-// queued is how long the server still reads for this courier's runs.
+// queued is how long the server still reads for this router's runs.
 func (a *account) queued(now time.Time) time.Duration {
 	return max(0, time.Duration(a.readUntil.Load()-now.UnixNano()))
 }
@@ -135,7 +135,7 @@
 
 func smooth(old, latest float64) float64 { return old + smoothing*(latest-old) }
 
-// others are the calls there that are not this courier's own, as far as is known.
+// others are the calls there that are not this router's own, as far as is known.
 func (a *account) others() float64 {
 	if h := a.heard.Load(); h != nil {
 		return h.others
--- a/internal/scheduler/backend.go
+++ b/internal/scheduler/backend.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// backend is a listed model server as this courier sees it. It is replaced with each
+// backend is a listed model server as this router sees it. It is replaced with each
 // list; its account goes on as long as the server has the same name and address.
 type backend struct {
 	server membership.Server
--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlogs.go
@@ -166,7 +166,7 @@
 // a keeper then answers for some hundred reads a second at the most. The value is ours.
 const groupSize = 16
 
-// groupOf names the group of a server among so many of its service and district.
+// groupOf names the group of a server among so many of its service and zone.
 func groupOf(b *backend, servers int) string {
 	groups := uint64(1)
 	for groups*groupSize < uint64(servers) {
--- a/internal/scheduler/board.go
+++ b/internal/scheduler/board.go
@@ -13,7 +13,7 @@
 	byName    map[string]*backend
 	byService map[string][]*backend
 	places    map[string]int
-	// courier is the key of the one whose board it is.
+	// router is the key of the one whose board it is.
 	router uint64
 	// divided tells that the list says of a server what part it has.
 	divided bool
@@ -76,7 +76,7 @@
 }
 
 // A server that is warm again by the list is still taken for cold: for warmMargin since
-// the list's word may be early, and up to warmSpread more, for each courier another
+// the list's word may be early, and up to warmSpread more, for each router another
 // time, so that not all of them run to it at once. The values are ours.
 const (
 	warmMargin = 600 * time.Millisecond
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -33,9 +33,9 @@
 	return most, beside
 }
 
-// TestFurtherTriesStayInTheBudget has all that couriers send fail in ways that want a
-// further try, with starts of couriers between, and wants no span of ten seconds with
-// more further tries than are allowed.
+// TestFurtherTriesStayInTheBudget has all that routers send fail in ways that want a
+// retry, with starts of routers between, and wants no span of ten seconds with
+// more retries than are allowed.
 func TestFurtherTriesStayInTheBudget(t *testing.T) {
 	for _, routers := range []int{1, 3, 9, 30, 85} {
 		for seed := range uint64(4) {
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestColdServersGetFewCalls has all couriers press on servers that all are cold, and
+// TestColdServersGetFewCalls has all routers press on servers that all are cold, and
 // wants no second with more calls at one of them than it stands.
-// A server that becomes warm is the emptiest of all, and every courier learns it at the
+// A server that becomes warm is the emptiest of all, and every router learns it at the
 // same moment, which the list tells a little too early.
 func TestServersThatAreWarmAgainAreNotRunTo(t *testing.T) {
 	const routers, early = 72, 300 * time.Millisecond
@@ -197,7 +197,7 @@
 	}
 }
 
-// TestHomesAgree wants couriers to come to the same reader for a chain without talk,
+// TestHomesAgree wants routers to come to the same reader for a chain without talk,
 // and few chains to move when a server leaves.
 func TestHomesAgree(t *testing.T) {
 	home := func(router, zone string, count int, without string, chain uint64) string {
--- a/internal/scheduler/call.go
+++ b/internal/scheduler/call.go
@@ -1,12 +1,12 @@
-// Package scheduler follows calls: inquiries whose method, path and body are the
-// origin's and are passed on to model servers unchanged. It decides where a prompt
+// Package scheduler follows calls: requests whose method, path and body are the
+// origin's and are forwarded to model servers unchanged. It decides where a prompt
 // is read and where its answer is made, what is tried again and what is refused. It
 // does no input or output and reads no clock.
 package scheduler
 
 import "time"
 
-// Call is one opaque inquiry as it arrived at a courier.
+// Call is one opaque request as it arrived at a router.
 type Call struct {
 	// ID is the origin's, used once.
 	ID string `json:"id"`
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -24,7 +24,7 @@
 	home, nextHome, runnerHome *backend
 	shared                     int
 	pace                       float64
-	// held is how much longer runners read than by this courier's own, begin how long
+	// held is how much longer runners read than by this router's own, begin how long
 	// a run takes to its first event, lapsing that hand-overs failed.
 	held, begin float64
 	lapsing     bool
@@ -55,7 +55,7 @@
 	moveSetup  = 4.0
 	moveTokens = 4000.0
 	memoryUsed = 0.95
-	// othersRead is how many tokens a call of other couriers is taken to read.
+	// othersRead is how many tokens a call of other routers is taken to read.
 	othersRead = 1500.0
 )
 
@@ -75,7 +75,7 @@
 	return c
 }
 
-// crowd weighs what runners are given to read by all couriers, as this one does it.
+// crowd weighs what runners are given to read by all routers, as this one does it.
 func (c *choice) crowd() {
 	tokens, lapsing := c.serviceState.pressure.directly(c.now)
 	c.lapsing = lapsing
@@ -113,7 +113,7 @@
 	return true
 }
 
-// coldRate is this courier's part of what a cold server stands. Of many couriers only
+// coldRate is this router's part of what a cold server stands. Of many routers only
 // some send to the same one.
 func (c *choice) coldRate(b *backend) (rate float64, takes bool) {
 	perSecond := c.service.Warming.PerSecond
@@ -236,7 +236,7 @@
 // usualStuck is for how many milliseconds nothing may come from a server that is well.
 const usualStuck = 150
 
-// spread sets equal servers apart, for each call differently, so that couriers that
+// spread sets equal servers apart, for each call differently, so that routers that
 // see the same do not all run to one.
 func (c *choice) spread(b *backend) float64 {
 	return float64(weigh(b.key, c.ticket.mark)%1024) / 1024 * c.costs.spread
@@ -325,7 +325,7 @@
 const handedLately = time.Second
 
 // homes are the servers that rendezvous names for the call's chain, the same at every
-// courier: two readers, and the runner beside the first of them.
+// router: two readers, and the runner beside the first of them.
 func (c *choice) homes() {
 	var readerWeight, nextWeight, farWeight uint64
 	var runners [mostPlaces]*backend
--- a/internal/scheduler/costs.go
+++ b/internal/scheduler/costs.go
@@ -3,10 +3,10 @@
 // costs turn into milliseconds what a way costs beside its time. They were tuned in
 // the package's simulated world.
 type costs struct {
-	// crossingKilobyte is for a body that goes to another district, by size.
+	// crossingKilobyte is for a body that goes to another zone, by size.
 	crossingKilobyte float64
 	// moveThousand is for a prompt's memory that is moved, by thousand tokens; between
-	// districts it costs moveFar times as much.
+	// zones it costs moveFar times as much.
 	moveThousand float64
 	moveFar      float64
 	// again is for a thousand shared tokens that another server has read.
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -35,11 +35,11 @@
 const (
 	// NoRoute: no route of the configuration in force has the host and path.
 	NoRoute Cause = "no_route"
-	// NotReady: the courier knows no configuration or no servers yet.
+	// NotReady: the router knows no configuration or no servers yet.
 	NotReady Cause = "not_ready"
 	// Full: no server has room that would be in time.
 	Full Cause = "full"
-	// Leaving: the courier lets nothing in any more.
+	// Leaving: the router lets nothing in any more.
 	Leaving Cause = "leaving"
 	// Late: the limit has passed and the call never ran.
 	Late Cause = "late"
@@ -57,7 +57,7 @@
 	NoPlace Reason = "no_place"
 	// TriesUsed: the route allows no further server.
 	TriesUsed Reason = "tries_used"
-	// BudgetUsed: the retry budget has no further try.
+	// BudgetUsed: the retry budget has no retry.
 	BudgetUsed Reason = "budget_used"
 	// MayHaveRun: a server may have begun what must run once, or has begun a stream that
 	// can't be taken up.
@@ -82,7 +82,7 @@
 	Kind       DecisionKind  `json:"kind"`
 	Cause      Cause         `json:"cause,omitempty"`
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
-	// Reason is why a call that was let in was given up, or one was not for want of room.
+	// Reason is why a call that was admitted was given up, or one was not for want of room.
 	Reason Reason            `json:"reason,omitempty"`
 	Server membership.Server `json:"server,omitzero"`
 	Source *Source           `json:"source,omitempty"`
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -32,7 +32,7 @@
 	return w.runEnded(now, ticket, sent, outcome)
 }
 
-// Began tells that the first event of a run's answer came. A courier that tells it
+// Began tells that the first event of a run's answer came. A router that tells it
 // notices servers that are stuck before their calls end.
 func (w *Window) Began(now time.Time, ticket *Ticket) {
 	sent := &ticket.dispatch
@@ -291,5 +291,5 @@
 const slack = 20 * time.Millisecond
 
 // usualWait is how many times what was expected a read may take without telling of a
-// slow server: it waits for the reads of other couriers.
+// slow server: it waits for the reads of other routers.
 const usualWait = 2
--- a/internal/scheduler/kept.go
+++ b/internal/scheduler/kept.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// kept is what a courier believes a server to keep of the prompts that it sent there:
+// kept is what a router believes a server to keep of the prompts that it sent there:
 // the parts used last, as far as the server's memory goes.
 type kept struct {
 	mutex  sync.Mutex
@@ -44,7 +44,7 @@
 	return tokens
 }
 
-// note counts a prompt as used at the server just now. others is how many couriers
+// note counts a prompt as used at the server just now. others is how many routers
 // send such prompts there: own parts of theirs push out as many as this one's.
 func (k *kept) note(parts []Part, room, others, most int) {
 	if len(parts) == 0 {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Load is what a model server reported of itself, read for all couriers.
+// Load is what a model server reported of itself, read for all routers.
 type Load struct {
 	Server string `json:"server" msgpack:"server"`
 	// Part is prefill or decode; Changing that an order is being carried out; Orders
@@ -16,6 +16,6 @@
 	MemoryUsed  int `json:"memory_used" msgpack:"memory_used"`
 	MemoryTotal int `json:"memory_total" msgpack:"memory_total"`
 	Handles     int `json:"handles" msgpack:"handles"`
-	// Age is how old the report was when it was passed on.
+	// Age is how old the report was when it was forwarded.
 	Age time.Duration `json:"age" msgpack:"age"`
 }
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Options say for which courier a window decides and what binds all couriers together.
+// Options say for which router a window decides and what binds all routers together.
 type Options struct {
-	// Router is the node's name, District the one whose servers it prefers.
+	// Router is the node's name, Zone the one whose servers it prefers.
 	Router string
 	Zone   string
-	// FurtherTries bounds what all couriers send beyond the first dispatch of each
+	// FurtherTries bounds what all routers send beyond the first dispatch of each
 	// call, service by service.
 	FurtherTries Allowance
 }
 
-// Allowance bounds further tries: in any span as long as Span, over all couriers, at
+// Allowance bounds retries: in any span as long as Span, over all routers, at
 // most Ratio of the calls in it and Slack besides.
 type Allowance struct {
 	Ratio float64
--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -6,7 +6,7 @@
 type Result string
 
 const (
-	// Unreached: no circuit came up, or nothing of the request was written.
+	// Unreached: no connection came up, or nothing of the request was written.
 	Unreached Result = "unreached"
 	// NotStarted: the server says that it did not begin and never will.
 	NotStarted Result = "not_started"
@@ -18,9 +18,9 @@
 	Spoilt Result = "spoilt"
 	// Answered: a whole answer that is not a success came; it counts as run.
 	Answered Result = "answered"
-	// Cut: a success began to be passed on and broke off.
+	// Cut: a success began to be forwarded and broke off.
 	Cut Result = "cut"
-	// Complete: the whole success was passed on, or, for a Read, Handle is the
+	// Complete: the whole success was forwarded, or, for a Read, Handle is the
 	// prompt's memory.
 	Complete Result = "complete"
 	// Gone: the origin left.
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestFailingServersAreTold has a server that fails calls told of once, also when the call
-// may not be repeated, and one that turns calls away not at all.
+// is not idempotent, and one that turns calls away not at all.
 func TestFailingServersAreTold(t *testing.T) {
 	calls := opened(9)
 	ticket, decision := calls.Arrive(noon, chatCall("a"))
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -189,7 +189,7 @@
 	return max(few, int(math.Ceil(float64(all)*keptShare)))
 }
 
-// lightest is the server that is best given the part: in the district that has the
+// lightest is the server that is best given the part: in the zone that has the
 // fewest with it for its size, with the least to do.
 func lightest(from, readers []*backend, part string) *backend {
 	in, all := map[string]int{}, map[string]int{}
--- a/internal/scheduler/pools_test.go
+++ b/internal/scheduler/pools_test.go
@@ -113,7 +113,7 @@
 }
 
 // TestPoolsKeepOneOfEach wants a reader and a runner while two servers are open, and
-// the readers in all districts.
+// the readers in all zones.
 func TestPoolsKeepOneOfEach(t *testing.T) {
 	day := newPoolDay(9)
 	for name := range day.parts {
--- a/internal/scheduler/pressure.go
+++ b/internal/scheduler/pressure.go
@@ -15,7 +15,7 @@
 	busy    float64
 	running float64
 	heard   time.Time
-	// direct is the sum of what this courier has runners read themselves, older ones
+	// direct is the sum of what this router has runners read themselves, older ones
 	// counting less, lapsed when memory that was read for a run could not be had.
 	direct     float64
 	directSent time.Time
@@ -38,7 +38,7 @@
 }
 
 // directly is how many tokens a second runners are given to read themselves by this
-// courier, and whether a hand-over failed a while ago.
+// router, and whether a hand-over failed a while ago.
 func (p *pressure) directly(now time.Time) (tokens float64, lapsing bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/scheduler/program.go
+++ b/internal/scheduler/program.go
@@ -39,7 +39,7 @@
 	calls  *config.CallRoute
 	shares []share
 	total  uint64
-	// districts are those whose servers may be used; nil means all.
+	// zones are those whose servers may be used; nil means all.
 	zones map[string]bool
 }
 
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -6,7 +6,7 @@
 )
 
 // progress tells how long a server has brought about none of the things that this
-// courier waits for there.
+// router waits for there.
 type progress struct {
 	pending atomic.Int64
 	since   atomic.Int64
--- a/internal/scheduler/rendezvous.go
+++ b/internal/scheduler/rendezvous.go
@@ -5,7 +5,7 @@
 // nameKey is the number that stands for a server's name in rendezvous.
 func nameKey(name string) uint64 { return membership.Weight("window", name) }
 
-// weigh is the rendezvous weight of a server for a chain: the same at every courier.
+// weigh is the rendezvous weight of a server for a chain: the same at every router.
 func weigh(chain, server uint64) uint64 {
 	sum := chain*0x9e3779b97f4a7c15 ^ server
 	sum ^= sum >> 33
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -16,7 +16,7 @@
 	since time.Time
 	slot  int64
 	slots [budgetSlots]budgetSlot
-	// reserved are further tries that calls under way may need.
+	// reserved are retries that calls under way may need.
 	reserved int
 }
 
@@ -40,7 +40,7 @@
 	r.turn(now, allowance).first++
 }
 
-// spend counts so many further tries, or tells that there is no room for them.
+// spend counts so many retries, or tells that there is no room for them.
 func (r *retryBudget) spend(now time.Time, count int, allowance Allowance, routers int) bool {
 	if count <= 0 {
 		return true
@@ -55,7 +55,7 @@
 	return true
 }
 
-// reserve keeps a further try for a call that may need one, out of a part of the budget:
+// reserve keeps a retry for a call that may need one, out of a part of the budget:
 // the rest is for calls that do need one.
 func (r *retryBudget) reserve(now time.Time, allowance Allowance, routers int) bool {
 	r.mutex.Lock()
@@ -92,7 +92,7 @@
 	return float64(used)
 }
 
-// room is how many further tries the span allows.
+// room is how many retries the span allows.
 func (r *retryBudget) room(now time.Time, allowance Allowance, routers int) float64 {
 	calls := 0
 	for _, slot := range r.slots {
--- a/internal/scheduler/returned.go
+++ b/internal/scheduler/returned.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// coldAfterReturn is how long the servers of a district count as cold whose evacuation was
+// coldAfterReturn is how long the servers of a zone count as cold whose evacuation was
 // taken back: they may have become cold while nobody used them, and the list tells that
 // only later. The value is ours, above the time that list and news take.
 const coldAfterReturn = 1600 * time.Millisecond
 
-// returned are districts whose evacuation was taken back since the last call.
+// returned are zones whose evacuation was taken back since the last call.
 type returned map[string]bool
 
-// returning notes which districts come back with a program, before it is in force.
+// returning notes which zones come back with a program, before it is in force.
 func (w *Window) returning(current, next *Program) {
 	if current == nil || len(current.evacuations) == 0 {
 		return
@@ -31,7 +31,7 @@
 	}
 }
 
-// cool has the servers of districts that came back count as cold from now.
+// cool has the servers of zones that came back count as cold from now.
 func (w *Window) cool(now time.Time) {
 	zones := w.returned.Load()
 	if zones == nil || !w.returned.CompareAndSwap(zones, nil) {
--- a/internal/scheduler/send.go
+++ b/internal/scheduler/send.go
@@ -80,7 +80,7 @@
 	if wanted > left*2/3 || ticket.counted+1 >= ticket.routeRule.calls.Tries {
 		return 0
 	}
-	// The further try is reserved now: giving up without one behind it would lose the call.
+	// The retry is reserved now: giving up without one behind it would lose the call.
 	if !ticket.reserved && !c.serviceState.retries.reserve(c.now, c.window.options.FurtherTries, c.routerCount) {
 		return 0
 	}
--- a/internal/scheduler/sweep_test.go
+++ b/internal/scheduler/sweep_test.go
@@ -11,8 +11,8 @@
 
 // score is a world's worth, with the worst seconds and the worst class counting by
 // themselves, less prices, as a share of what was owed: of memory moved, of
-// bodies between districts, of shared parts read again by the thousand tokens, and of
-// what a dispatch costs the courier.
+// bodies between zones, of shared parts read again by the thousand tokens, and of
+// what a dispatch costs the router.
 func (w *world) score() float64 {
 	owed, earned := 0.0, 0.0
 	for _, counter := range w.counter {
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// Ticket is what a window knows of one call that it let in. One thread holds it at a
+// Ticket is what a window knows of one call that it admitted. One thread holds it at a
 // time.
 type Ticket struct {
 	call      *Call
@@ -25,7 +25,7 @@
 	counted int
 	paid    int
 	// taken tells that a server took up a read, ran that the call may have run,
-	// begun that a stream's events were passed on.
+	// begun that a stream's events were forwarded.
 	taken bool
 	ran   bool
 	begun bool
@@ -41,7 +41,7 @@
 	// avoided were tried for this call in vain.
 	avoided []*backend
 	ended   bool
-	// reserved tells that a further try is kept in the retry budget.
+	// reserved tells that a retry is kept in the retry budget.
 	reserved bool
 }
 
--- a/internal/scheduler/trust.go
+++ b/internal/scheduler/trust.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// trust keeps a courier from a server that failed it, for longer with each failure in
+// trust keeps a router from a server that failed it, for longer with each failure in
 // a row, and lets it try one call at a time before it trusts the server again.
 type trust struct {
 	failures atomic.Int64
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -10,7 +10,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Window follows the calls of one courier. Its methods may be called from several
+// Window follows the calls of one router. Its methods may be called from several
 // threads; fed from one, the same events give the same decisions.
 type Window struct {
 	options  Options
@@ -22,7 +22,7 @@
 	inFlight atomic.Int64
 	// tells is whether the conduct tells when answers begin.
 	tells atomic.Bool
-	// returned are districts that came back since the last call, or none.
+	// returned are zones that came back since the last call, or none.
 	returned atomic.Pointer[returned]
 	// reported is when the latest report was made.
 	reported atomic.Int64
@@ -48,7 +48,7 @@
 	pressure pressure
 }
 
-// unknownCouriers is how many couriers are taken to share the servers while nobody
+// unknownCouriers is how many routers are taken to share the servers while nobody
 // said how many there are.
 const unknownRouters = 100
 
@@ -141,7 +141,7 @@
 // server. The value is ours.
 const orderShows = 4 * time.Second
 
-// SetRouters tells how many couriers share the servers.
+// SetRouters tells how many routers share the servers.
 func (w *Window) SetRouters(count int) { w.routers.Store(int64(count)) }
 
 func (w *Window) routerCount() int {
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -34,7 +34,7 @@
 	return configuration
 }
 
-// servers lists so many servers over three districts, four in ten of them readers.
+// servers lists so many servers over three zones, four in ten of them readers.
 func servers(count int) []membership.Server { return divided(count, 4) }
 
 // divided lists so many servers, so many in ten of them readers.
@@ -54,7 +54,7 @@
 	return list
 }
 
-// zoned lists so many servers, of each district's the first ones readers.
+// zoned lists so many servers, of each zone's the first ones readers.
 func zoned(count, readers int) []membership.Server {
 	list := divided(count, 0)
 	for position := range list {
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -15,7 +15,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// world is a small fleet in virtual time: couriers with a window each, servers that
+// world is a small fleet in virtual time: routers with a window each, servers that
 // work in steps, and origins. It compares choices; it is no stand-in of a server.
 type world struct {
 	now      time.Time
@@ -61,7 +61,7 @@
 	return found
 }
 
-// connectionEnds are a courier and a server that connections are between.
+// connectionEnds are a router and a server that connections are between.
 type connectionEnds struct {
 	router int
 	server string
@@ -91,7 +91,7 @@
 type prices struct{ move, again, connection float64 }
 
 // site is a deployment: its servers, its traffic, and the price of a gigabyte of bodies
-// between districts.
+// between zones.
 type site struct {
 	name     string
 	routers  int
@@ -634,7 +634,7 @@
 	w.announce()
 }
 
-// announce has the couriers know the list a while later.
+// announce has the routers know the list a while later.
 func (w *world) announce() {
 	list := append([]membership.Server(nil), w.list...)
 	w.after(800, func() {
@@ -671,7 +671,7 @@
 	wait()
 }
 
-// pool has the first courier decide on the servers' parts.
+// pool has the first router decide on the servers' parts.
 func (w *world) pool(pools *Pools) {
 	for _, order := range pools.Decide(w.now, w.windows[0]) {
 		w.ordered[order.Server] = order.Part
--- a/internal/testbed/fleet/book.go
+++ b/internal/testbed/fleet/book.go
@@ -1,4 +1,4 @@
-// Package rehearsal is the test kit: stand-ins for callers, model servers and
+// Package test is the test kit: stand-ins for callers, model servers and
 // the platform, faulty links, a whole fleet on one machine, and checkers that
 // read what the stand-ins wrote down.
 package fleet
@@ -13,7 +13,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Book is the record of one rehearsal, in the order in which things happened
+// Book is the record of one test, in the order in which things happened
 // on this one machine.
 type Book struct {
 	mutex   sync.Mutex
--- a/internal/testbed/fleet/callers.go
+++ b/internal/testbed/fleet/callers.go
@@ -18,7 +18,7 @@
 )
 
 // Callers are the stand-ins of restaurants, riders and cooks: they send
-// inquiries at a steady rate, whatever becomes of them, and write down what
+// requests at a steady rate, whatever becomes of them, and write down what
 // they read.
 type Callers struct {
 	fleet  *Fleet
@@ -29,24 +29,24 @@
 	waiting   sync.WaitGroup
 	longRate  atomic.Int64
 	shortRate atomic.Int64
-	// Once is the share of inquiries that may not be repeated.
+	// Once is the share of requests that is not idempotent.
 	Once float64
 }
 
-// NewCallers makes callers with a seed. The share once of the inquiries may
+// NewCallers makes callers with a seed. The share once of the requests may
 // not be repeated.
 func NewCallers(fleet *Fleet, seed uint64, once float64) *Callers {
 	return &Callers{fleet: fleet, random: rand.New(rand.NewPCG(seed, 77)), Once: once,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}}
 }
 
-// SetRates sets how many inquiries of each kind come in a second.
+// SetRates sets how many requests of each kind come in a second.
 func (c *Callers) SetRates(long, short float64) {
 	c.longRate.Store(int64(long * 1000))
 	c.shortRate.Store(int64(short * 1000))
 }
 
-// Run sends inquiries until the lifetime ends, then waits for the replies.
+// Run sends requests until the lifetime ends, then waits for the replies.
 func (c *Callers) Run(lifetime context.Context) {
 	defer c.waiting.Wait()
 	for lifetime.Err() == nil {
@@ -81,7 +81,7 @@
 
 // habit is how a caller goes about what it reads.
 type habit struct {
-	// leaves is the piece after which it closes the circuit, or none when -1.
+	// leaves is the chunk after which it closes the connection, or none when -1.
 	leaves int
 	// obeys tells that it comes back when it is told to, else at once; persists
 	// that it sends an id again also after a word that was the last.
@@ -90,8 +90,8 @@
 	elsewhere int
 }
 
-// converse sends an inquiry and, as callers do, sends the same id again: after a
-// refusal, after a broken circuit at another courier, and now and then after any
+// converse sends a request and, as callers do, sends the same id again: after a
+// refusal, after a broken connection at another router, and now and then after any
 // word.
 func (c *Callers) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, h habit) {
 	for arrival := range 3 {
@@ -116,7 +116,7 @@
 	}
 }
 
-// pick is the node that the platform hands a client of the district to: one of
+// pick is the node that the platform hands a client of the zone to: one of
 // its own that is up, or any other.
 func (c *Callers) pick(zone string, draw int) *NodeProcess {
 	running := c.fleet.Running(membership.Router)
@@ -135,7 +135,7 @@
 	return running[draw%len(running)]
 }
 
-// Question is the body of an inquiry, as a caller writes it.
+// Question is the body of a request, as a caller writes it.
 type Question struct {
 	ID           string `json:"id"`
 	Service      string `json:"service"`
@@ -157,7 +157,7 @@
 	return question, Entry{Request: question.ID, Router: node.Node.Name, Service: kind.Service, Repeatable: repeatable, Asked: question.Chunks}
 }
 
-// Send sends one inquiry and writes down its reply, word for word. A reply
+// Send sends one request and writes down its reply, word for word. A reply
 // that breaks off without a final line is noted without one.
 func (c *Callers) Send(lifetime context.Context, address string, question Question, entry Entry) Entry {
 	reply, _ := c.send(lifetime, address, question, entry, -1)
@@ -167,8 +167,8 @@
 // CallerLeft is the cause of a reply that its own caller broke off.
 const CallerLeft = "the caller left"
 
-// send sends one inquiry; it also tells when the caller may come back. A caller
-// that leaves closes the circuit after so many pieces.
+// send sends one request; it also tells when the caller may come back. A caller
+// that leaves closes the connection after so many chunks.
 func (c *Callers) send(lifetime context.Context, address string, question Question, entry Entry, leaves int) (Entry, time.Duration) {
 	began := time.Now()
 	sent := entry
--- a/internal/testbed/fleet/checkers.go
+++ b/internal/testbed/fleet/checkers.go
@@ -26,7 +26,7 @@
 	checkRefusedRevisions, checkReads, checkTries, checkCold, checkCommands, checkFormats, checkReturn, checkHeldBack,
 }
 
-// checkSecondRun: an inquiry that may not be repeated is started once at most,
+// checkSecondRun: a request that is not idempotent is started once at most,
 // by one prefill and one decode server.
 func checkSecondRun(entries []Entry) Finding {
 	finding := Finding{Checker: "no second run"}
@@ -63,7 +63,7 @@
 			finding.Looked++
 		}
 	}
-	// open are the inquiries with an arrival so far that was not refused;
+	// open are the requests with an arrival so far that was not refused;
 	// came those that arrived at all.
 	open, came := map[string]bool{}, map[string]bool{}
 	for _, entry := range entries {
@@ -80,7 +80,7 @@
 	return finding
 }
 
-// checkReplies: pieces are the origin's own, in order, from one run; a
+// checkReplies: chunks are the origin's own, in order, from one run; a
 // complete reply has them all.
 func checkReplies(entries []Entry) Finding {
 	finding := Finding{Checker: "replies are whole and the origin's own"}
@@ -111,7 +111,7 @@
 }
 
 // checkMemory: a handle is taken up once, and a decode starts only on memory
-// of its own inquiry and run.
+// of its own request and run.
 func checkMemory(entries []Entry) Finding {
 	finding := Finding{Checker: "prompt memory is taken once and by its own inquiry"}
 	taken := map[string]Entry{}
@@ -179,8 +179,8 @@
 	return finding
 }
 
-// checkInForce: from some moment after an edition was accepted every courier
-// that lets in shows it or a newer one.
+// checkInForce: from some moment after a revision was accepted every router
+// that admits shows it or a newer one.
 func checkInForce(entries []Entry) Finding {
 	finding := Finding{Checker: "an accepted configuration is in force", Limit: inForceLimit.String()}
 	accepted := acceptances(entries)
@@ -216,7 +216,7 @@
 	return accepted
 }
 
-// checkNeverBack: no courier shows an older edition than it showed before.
+// checkNeverBack: no router shows an older revision than it showed before.
 func checkNeverBack(entries []Entry) Finding {
 	finding := Finding{Checker: "configurations never go back"}
 	seen := map[string]int{}
@@ -233,7 +233,7 @@
 	return finding
 }
 
-// checkRefusedRevisions: an edition that was refused is seen nowhere.
+// checkRefusedRevisions: a revision that was refused is seen nowhere.
 func checkRefusedRevisions(entries []Entry) Finding {
 	finding := Finding{Checker: "refused configurations take no effect"}
 	refused := map[int]bool{}
@@ -271,7 +271,7 @@
 }
 
 // The window in which extra tries are judged, and what may stand in it beside a
-// fifth: a courier that retried nothing for a while has saved two tries, which a
+// fifth: a router that retried nothing for a while has saved two tries, which a
 // lost hand-over costs. Ten seconds is as long as the fleet takes to get over a
 // loss: a burst of retries during one would show, and there are enough first
 // dispatches in it for a share to mean something.
@@ -457,7 +457,7 @@
 	return finding
 }
 
-// returnSent is how many inquiries of a sort must have been sent after a closing
+// returnSent is how many requests of a sort must have been sent after a closing
 // fault, later than returnFrom, for that sort to be missed: the first of them are
 // refused while the fault lasts.
 const (
@@ -465,8 +465,8 @@
 	returnFrom = 3 * time.Second
 )
 
-// checkReturn: after a closing fault there are in time, for inquiries sent after
-// it, complete replies of each service, repeatable and not, at each district
+// checkReturn: after a closing fault there are in time, for requests sent after
+// it, complete replies of each service, repeatable and not, at each zone
 // whose callers go on asking, and an accepted change.
 func checkReturn(entries []Entry) Finding {
 	finding := Finding{Checker: "service returns after a closing fault", Limit: returnLimit.String()}
@@ -525,11 +525,11 @@
 	return finding
 }
 
-// heldLimit is how long an inquiry that never ran may wait for its word: two
+// heldLimit is how long a request that never ran may wait for its word: two
 // seconds for a hold and three for a claim, and what their last tries take.
 const heldLimit = 6 * time.Second
 
-// checkHeldBack: an inquiry that is given up before anything was begun for it has
+// checkHeldBack: a request that is given up before anything was begun for it has
 // its final word at once, long before its limit.
 func checkHeldBack(entries []Entry) Finding {
 	finding := Finding{Checker: "a given-up inquiry is answered at once", Limit: heldLimit.String()}
--- a/internal/testbed/fleet/circuit.go
+++ b/internal/testbed/fleet/circuit.go
@@ -14,10 +14,10 @@
 	closed bool
 }
 
-// NewConnection opens a circuit.
+// NewConnection opens a connection.
 func NewConnection(rt runtime.Runtime) *Connection { return &Connection{cond: rt.NewCond()} }
 
-// Close ends what is done for the circuit.
+// Close ends what is done for the connection.
 func (c *Connection) Close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -25,14 +25,14 @@
 	c.cond.Broadcast()
 }
 
-// Closed tells whether the circuit is closed.
+// Closed tells whether the connection is closed.
 func (c *Connection) Closed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.closed
 }
 
-// Pause lets work take its time; false means that the circuit was closed.
+// Pause lets work take its time; false means that the connection was closed.
 func (c *Connection) Pause(length time.Duration) bool {
 	c.cond.Wait(length, c.Closed)
 	return !c.Closed()
