--- a/internal/adapters/controller/fleet.go
+++ b/internal/adapters/controller/fleet.go
@@ -27,7 +27,7 @@
 // Leads tells whether this controller is primary at this moment, and else the hotline
 // address of the one that is, as far as it has heard; empty if it has heard of none.
 func (p *Process) Leads() (leads bool, elsewhere string) {
-	if _, _, err := p.conduct.Ruling(); err == nil {
+	if _, _, err := p.conduct.Leading(); err == nil {
 		return true, ""
 	}
 	address := p.conduct.Coordinator().Membership().Primary.Address
--- a/internal/adapters/controller/forwarding.go
+++ b/internal/adapters/controller/forwarding.go
@@ -15,7 +15,7 @@
 // onPrimary carries the call out here, or passes it to the primary once.
 func (p *Process) onPrimary(answer http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
-		if _, _, err := p.conduct.Ruling(); err == nil {
+		if _, _, err := p.conduct.Leading(); err == nil {
 			answer(writer, inbound)
 			return
 		}
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -87,7 +87,7 @@
 
 func (p *Process) mux() http.Handler {
 	mux := goji.NewMux()
-	for path, answer := range p.conduct.Answers() {
+	for path, answer := range p.conduct.Handlers() {
 		mux.Handle(pat.Post(path), rpc.Answerer(answer))
 	}
 	p.operatorRoutes(mux)
--- a/internal/adapters/router/counter.go
+++ b/internal/adapters/router/counter.go
@@ -23,8 +23,8 @@
 	mux.HandleFunc(pat.Post("/v1/inquiries"), func(writer http.ResponseWriter, inbound *http.Request) {
 		p.serveRequest(writer, inbound, nil)
 	})
-	mux.HandleFunc(pat.Post(hatch.PassPath), func(writer http.ResponseWriter, inbound *http.Request) {
-		p.serveRequest(writer, inbound, &hatch.Passage{Nonce: inbound.Header.Get(passageHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
+	mux.HandleFunc(pat.Post(hatch.ForwardPath), func(writer http.ResponseWriter, inbound *http.Request) {
+		p.serveRequest(writer, inbound, &hatch.Forwarding{Nonce: inbound.Header.Get(passageHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
 	})
 	mux.HandleFunc(pat.Get("/v1/inquiries/:id"), p.getTrace)
 	mux.HandleFunc(pat.Get("/v1/health"), func(writer http.ResponseWriter, _ *http.Request) {
@@ -35,7 +35,7 @@
 	})
 	mux.HandleFunc(pat.Get("/v1/ready"), p.getReady)
 	mux.HandleFunc(pat.Get("/v1/metrics"), p.getMetrics)
-	for path, answer := range p.conduct.Answers() {
+	for path, answer := range p.conduct.Handlers() {
 		mux.Handle(pat.Post(path), rpc.Answerer(answer))
 	}
 	return mux
@@ -43,7 +43,7 @@
 
 // serveRequest takes a request from its origin, or from a restricted router
 // that passed it on; one that was forwarded is not forwarded again.
-func (p *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, passage *hatch.Passage) {
+func (p *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, passage *hatch.Forwarding) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, hatch.MostRequestBytes))
 	if err != nil {
 		refuse(writer, failure.At(failure.Oversize, "/", err.Error()))
@@ -55,14 +55,14 @@
 		return
 	}
 	client := &reply{writer: writer, flusher: http.NewResponseController(writer), inbound: inbound}
-	arrival := hatch.Arrival{Request: request, Body: body, Passage: passage}
+	arrival := hatch.Arrival{Request: request, Body: body, Forwarding: passage}
 	if passage == nil {
 		p.conduct.Serve(arrival, client)
 		return
 	}
 	writer.Header().Set("Content-Type", "application/msgpack")
 	encoder := msgpack.NewEncoder(writer)
-	p.conduct.Serve(arrival, &hatch.RecordReply{Request: request.ID, Writer: p.chosen.Name, Left: client.WhenLeft, Send: func(record codec.Record) error {
+	p.conduct.Serve(arrival, &hatch.RecordReply{Request: request.ID, Writer: p.chosen.Name, Left: client.OnClientGone, Send: func(record codec.Record) error {
 		if err := encoder.Encode(record); err != nil {
 			return err
 		}
--- a/internal/adapters/router/passing.go
+++ b/internal/adapters/router/passing.go
@@ -34,15 +34,15 @@
 	lifetime context.Context
 }
 
-// Pass sends a request on and gives the records of its reply to take.
-func (p *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+// Forward sends a request on and gives the records of its reply to take.
+func (p *passing) Forward(address string, passage hatch.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	var touched atomic.Bool
 	// The connection closes when the reply is over or its origin is gone.
 	lifetime, end := context.WithCancel(p.lifetime)
 	defer end()
 	whenLeft(end)
 	lifetime = httptrace.WithClientTrace(lifetime, &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { touched.Store(true) }})
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+hatch.PassPath, bytes.NewReader(body))
+	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+hatch.ForwardPath, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
--- a/internal/adapters/router/reply.go
+++ b/internal/adapters/router/reply.go
@@ -36,5 +36,5 @@
 	return r.flusher.Flush()
 }
 
-// WhenLeft has act called when the origin closes its connection.
-func (r *reply) WhenLeft(act func()) { context.AfterFunc(r.inbound.Context(), act) }
+// OnClientGone has act called when the origin closes its connection.
+func (r *reply) OnClientGone(act func()) { context.AfterFunc(r.inbound.Context(), act) }
--- a/internal/hatch/ask.go
+++ b/internal/hatch/ask.go
@@ -10,8 +10,8 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// leadsAnswer is the part that all answers of controllers have in common.
-type leadsAnswer struct {
+// leaderResponse is the part that all answers of controllers have in common.
+type leaderResponse struct {
 	Leads      bool                   `msgpack:"leads"`
 	Membership replication.Membership `msgpack:"charter"`
 }
@@ -25,7 +25,7 @@
 		return failure.Wrap(failure.Garbage, err)
 	}
 	reply, err := f.AskRaw(path, body, patience, ends)
-	if err != nil && unheard(err) {
+	if err != nil && noPrimaryReached(err) {
 		reply, err = f.viaNeighbour(path, body, patience, ends)
 	}
 	if err != nil {
@@ -36,7 +36,7 @@
 
 // unheard tells whether a failure says only that no primary was reached, and
 // not what the primary said.
-func unheard(err error) bool {
+func noPrimaryReached(err error) bool {
 	switch failure.KindOf(err) {
 	case failure.Unreachable, failure.Garbage, failure.NoPrimary:
 		return true
@@ -51,16 +51,16 @@
 	for _, address := range f.candidates() {
 		for address != "" && !asked[address] && f.runtime.Alive() && f.left(patience, ends) > 0 {
 			asked[address] = true
-			reply, err := f.line.CallRaw(address, path, body, f.left(patience, ends))
+			reply, err := f.client.CallRaw(address, path, body, f.left(patience, ends))
 			if err != nil {
 				last = err
-				if !unheard(err) {
+				if !noPrimaryReached(err) {
 					return nil, err
 				}
 				f.forget(address)
 				break
 			}
-			var said leadsAnswer
+			var said leaderResponse
 			if err := msgpack.Unmarshal(reply, &said); err != nil {
 				last = failure.Wrap(failure.Garbage, err)
 				break
@@ -85,7 +85,7 @@
 	}
 }
 
-func (f *Follower) learn(address string, said leadsAnswer) {
+func (f *Follower) learn(address string, said leaderResponse) {
 	f.learnMembership(said.Membership)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -100,7 +100,7 @@
 func (f *Follower) forget(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.dark[address] = f.runtime.Now()
+	f.unreachable[address] = f.runtime.Now()
 	if f.primary == address {
 		f.primary, f.current = "", false
 	}
@@ -120,14 +120,14 @@
 	candidates = append(candidates, f.contacts...)
 	// Who did not answer just now is asked after all others.
 	sort.SliceStable(candidates, func(left, right int) bool {
-		return !f.isDark(candidates[left]) && f.isDark(candidates[right])
+		return !f.isUnreachable(candidates[left]) && f.isUnreachable(candidates[right])
 	})
 	return candidates
 }
 
-func (f *Follower) isDark(address string) bool {
-	since, found := f.dark[address]
-	return found && f.runtime.Now().Sub(since) < darkTime
+func (f *Follower) isUnreachable(address string) bool {
+	since, found := f.unreachable[address]
+	return found && f.runtime.Now().Sub(since) < unreachableTime
 }
 
 // left is how long a call may take that is given so much patience and must end
@@ -141,7 +141,7 @@
 
 func (f *Follower) viaNeighbour(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
 	f.mutex.Lock()
-	relays := append([]string(nil), f.peers[:min(neighbours, len(f.peers))]...)
+	relays := append([]string(nil), f.peers[:min(Neighbours, len(f.peers))]...)
 	f.mutex.Unlock()
 	var last error = failure.New(failure.NoPrimary, "no neighbour is known")
 	for _, address := range relays {
@@ -149,8 +149,8 @@
 			break
 		}
 		var reply []byte
-		err := Call(f.line, address, RelayPath, RelayQuestion{Path: path, Body: body}, &reply, f.left(patience+200*time.Millisecond, ends))
-		if err == nil || !unheard(err) {
+		err := Call(f.client, address, RelayPath, RelayRequest{Path: path, Body: body}, &reply, f.left(patience+200*time.Millisecond, ends))
+		if err == nil || !noPrimaryReached(err) {
 			return reply, err
 		}
 		last = err
@@ -159,9 +159,9 @@
 }
 
 // Relay passes another node's message to the primary that this node knows.
-func (f *Follower) Relay(question RelayQuestion) ([]byte, error) {
+func (f *Follower) Relay(question RelayRequest) ([]byte, error) {
 	switch question.Path {
-	case UpdatePath, ClaimPath, OrdersPath:
+	case UpdatesPath, ClaimPath, OrdersPath:
 	default:
 		return nil, failure.New(failure.NoSuch, "no such path to relay: "+question.Path)
 	}
@@ -169,11 +169,11 @@
 	if !known {
 		return nil, failure.New(failure.NoPrimary, "this node knows no primary")
 	}
-	reply, err := f.line.CallRaw(address, question.Path, question.Body, relayPatience)
+	reply, err := f.client.CallRaw(address, question.Path, question.Body, relayPatience)
 	if err != nil {
 		return nil, err
 	}
-	var said leadsAnswer
+	var said leaderResponse
 	if err := msgpack.Unmarshal(reply, &said); err != nil {
 		return nil, failure.Wrap(failure.Garbage, err)
 	}
--- a/internal/hatch/board.go
+++ b/internal/hatch/board.go
@@ -12,8 +12,8 @@
 	// SetServing tells until when calls may be admitted: not beyond the router's hold
 	// and what it goes on without one.
 	SetServing(until time.Time)
-	// SetKeepers gives the way to those who keep counts of what servers read.
-	SetKeepers(keepers *CountKeepers)
+	// SetCountOwners gives the way to those who keep counts of what servers read.
+	SetCountOwners(keepers *CountOwners)
 	// SetServers tells which servers there are, before the window knows them.
 	SetServers(now time.Time, servers []membership.Server)
 }
--- a/internal/hatch/calls.go
+++ b/internal/hatch/calls.go
@@ -25,7 +25,7 @@
 	// serving is until when calls are admitted; nil: nobody bounds it.
 	serving atomic.Pointer[time.Time]
 	// keepers are asked for counts before reads; nil: nobody is.
-	keepers *CountKeepers
+	countOwners *CountOwners
 }
 
 // NewCalls makes the conduct over a window. Listed is told which servers there are.
@@ -41,9 +41,9 @@
 // SetServing bounds until when calls are admitted.
 func (c *Calls) SetServing(until time.Time) { c.serving.Store(&until) }
 
-// SetKeepers gives the way to those who keep counts of what servers read, before any call
+// SetCountOwners gives the way to those who keep counts of what servers read, before any call
 // comes.
-func (c *Calls) SetKeepers(keepers *CountKeepers) { c.keepers = keepers }
+func (c *Calls) SetCountOwners(keepers *CountOwners) { c.countOwners = keepers }
 
 // serves tells whether calls may be admitted now.
 func (c *Calls) serves() bool {
@@ -126,8 +126,8 @@
 	ran, before := false, false
 	var outcome scheduler.Outcome
 	for {
-		if c.keepers != nil {
-			c.keepers.NoteChanges()
+		if c.countOwners != nil {
+			c.countOwners.NoteChanges()
 		}
 		for _, source := range decision.Free {
 			exchange.Free(source)
@@ -193,6 +193,6 @@
 
 // told asks the keepers of counts and has the window go on with their answers.
 func (c *Calls) told(ticket *scheduler.Ticket, decision scheduler.Decision) scheduler.Decision {
-	answers := c.keepers.Ask(decision.Questions)
+	answers := c.countOwners.Ask(decision.Questions)
 	return c.window.Told(c.runtime.Now(), ticket, answers)
 }
--- a/internal/hatch/claimquestion.go
+++ b/internal/hatch/claimquestion.go
@@ -6,8 +6,8 @@
 	"seamloom.example/seamloom/internal/codec"
 )
 
-// ClaimQuestion takes a request id before its dispatch.
-type ClaimQuestion struct {
+// ClaimRequest takes a request id before its dispatch.
+type ClaimRequest struct {
 	Made  time.Time   `msgpack:"made"`
 	Entry codec.Entry `msgpack:"entry"`
 }
--- a/internal/hatch/copies.go
+++ b/internal/hatch/copies.go
@@ -7,36 +7,36 @@
 )
 
 // copies are what controllers that are not primary said of their copies, by address.
-type copies struct {
-	said map[string]copySaid
+type copyStates struct {
+	said map[string]reportedCopy
 }
 
-type copySaid struct {
+type reportedCopy struct {
 	at         time.Time
 	membership replication.Membership
-	copied     CopyUpdate
+	copied     CopyState
 }
 
 // copyFresh is how long an answer counts.
 const copyFresh = time.Second
 
 // note takes an answer; one without word of a copy takes back what was said before.
-func (c *copies) note(address string, at time.Time, answer UpdateAnswer) {
+func (c *copyStates) note(address string, at time.Time, answer UpdateResponse) {
 	if answer.Copy == nil {
 		delete(c.said, address)
 		return
 	}
 	if c.said == nil {
-		c.said = map[string]copySaid{}
+		c.said = map[string]reportedCopy{}
 	}
-	c.said[address] = copySaid{at: at, membership: answer.Membership, copied: *answer.Copy}
+	c.said[address] = reportedCopy{at: at, membership: answer.Membership, copied: *answer.Copy}
 }
 
 // choose gives the configuration that may be served before there is a primary, and
 // where it lies. What was acknowledged is on every copy that the newest membership names,
 // so it takes the oldest among them, and only when each has spoken or is lost, and when
 // a quorum of the keepers has told the membership.
-func (c *copies) choose(now time.Time) (address string, version replication.Version, found bool) {
+func (c *copyStates) choose(now time.Time) (address string, version replication.Version, found bool) {
 	var membership replication.Membership
 	spoken := map[replication.Identity]bool{}
 	at := map[replication.Identity]string{}
--- a/internal/hatch/copies_test.go
+++ b/internal/hatch/copies_test.go
@@ -21,8 +21,8 @@
 	five := replication.Membership{Epoch: 6, Primary: replica("a"), Backup: replica("b"), Further: []replication.Replica{replica("d")},
 		Witnesses: append(append([]replication.Replica{}, keepers...), replica("d"), replica("e"))}
 	version := func(number uint64) replication.Version { return replication.Version{Epoch: 3, Number: number} }
-	says := func(name string, membership replication.Membership, number uint64) UpdateAnswer {
-		return UpdateAnswer{Membership: membership, Copy: &CopyUpdate{Identity: replication.Identity("disk " + name), Configuration: version(number)}}
+	says := func(name string, membership replication.Membership, number uint64) UpdateResponse {
+		return UpdateResponse{Membership: membership, Copy: &CopyState{Identity: replication.Identity("disk " + name), Configuration: version(number)}}
 	}
 	damaged := says("b", pair, 9)
 	damaged.Copy.Damaged = true
@@ -31,29 +31,29 @@
 	blank := replication.Membership{}
 	for _, row := range []struct {
 		name    string
-		said    map[string]UpdateAnswer
+		said    map[string]UpdateResponse
 		age     time.Duration
 		address string
 		version replication.Version
 	}{
 		{"nobody", nil, 0, "", replication.Version{}},
-		{"both copies", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7)}, 0, "", version(7)},
-		{"a change under way on one copy", map[string]UpdateAnswer{"a": says("a", pair, 8), "b": says("b", pair, 7)}, 0, "b", version(7)},
-		{"an old copy out of the pair", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7), "c": says("c", pair, 2)}, 0, "", version(7)},
-		{"one copy has not spoken", map[string]UpdateAnswer{"a": says("a", pair, 7), "c": says("c", pair, 7)}, 0, "", replication.Version{}},
-		{"one copy's disk is lost", map[string]UpdateAnswer{"a": other, "b": says("b", pair, 7), "c": says("c", pair, 2)}, 0, "b", version(7)},
-		{"one copy's disk is lost, a keeper has not spoken", map[string]UpdateAnswer{"a": other, "b": says("b", pair, 7)}, 0, "", replication.Version{}},
-		{"one copy is damaged", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": damaged}, 0, "a", version(7)},
-		{"a newer charter", map[string]UpdateAnswer{"a": says("a", pair, 8), "b": says("b", alone, 7)}, 0, "b", version(7)},
-		{"no quorum of five", map[string]UpdateAnswer{"a": says("a", five, 7), "b": says("b", five, 7)}, 0, "", replication.Version{}},
-		{"three of five, a copy missing", map[string]UpdateAnswer{"a": says("a", five, 7), "b": says("b", five, 7), "c": says("c", five, 7)}, 0, "", replication.Version{}},
-		{"three of five, all copies", map[string]UpdateAnswer{"a": says("a", five, 7), "b": says("b", five, 7), "d": says("d", five, 6)}, 0, "d", version(6)},
-		{"what was said long ago", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": says("b", pair, 7)}, 2 * time.Second, "", replication.Version{}},
-		{"no charter", map[string]UpdateAnswer{"a": says("a", blank, 7), "b": says("b", blank, 7)}, 0, "", replication.Version{}},
-		{"no configuration yet", map[string]UpdateAnswer{"a": {Membership: pair, Copy: &CopyUpdate{Identity: "disk a"}}, "b": {Membership: pair, Copy: &CopyUpdate{Identity: "disk b"}}}, 0, "", replication.Version{}},
-		{"an older release", map[string]UpdateAnswer{"a": says("a", pair, 7), "b": {Membership: pair}}, 0, "", replication.Version{}},
+		{"both copies", map[string]UpdateResponse{"a": says("a", pair, 7), "b": says("b", pair, 7)}, 0, "", version(7)},
+		{"a change under way on one copy", map[string]UpdateResponse{"a": says("a", pair, 8), "b": says("b", pair, 7)}, 0, "b", version(7)},
+		{"an old copy out of the pair", map[string]UpdateResponse{"a": says("a", pair, 7), "b": says("b", pair, 7), "c": says("c", pair, 2)}, 0, "", version(7)},
+		{"one copy has not spoken", map[string]UpdateResponse{"a": says("a", pair, 7), "c": says("c", pair, 7)}, 0, "", replication.Version{}},
+		{"one copy's disk is lost", map[string]UpdateResponse{"a": other, "b": says("b", pair, 7), "c": says("c", pair, 2)}, 0, "b", version(7)},
+		{"one copy's disk is lost, a keeper has not spoken", map[string]UpdateResponse{"a": other, "b": says("b", pair, 7)}, 0, "", replication.Version{}},
+		{"one copy is damaged", map[string]UpdateResponse{"a": says("a", pair, 7), "b": damaged}, 0, "a", version(7)},
+		{"a newer charter", map[string]UpdateResponse{"a": says("a", pair, 8), "b": says("b", alone, 7)}, 0, "b", version(7)},
+		{"no quorum of five", map[string]UpdateResponse{"a": says("a", five, 7), "b": says("b", five, 7)}, 0, "", replication.Version{}},
+		{"three of five, a copy missing", map[string]UpdateResponse{"a": says("a", five, 7), "b": says("b", five, 7), "c": says("c", five, 7)}, 0, "", replication.Version{}},
+		{"three of five, all copies", map[string]UpdateResponse{"a": says("a", five, 7), "b": says("b", five, 7), "d": says("d", five, 6)}, 0, "d", version(6)},
+		{"what was said long ago", map[string]UpdateResponse{"a": says("a", pair, 7), "b": says("b", pair, 7)}, 2 * time.Second, "", replication.Version{}},
+		{"no charter", map[string]UpdateResponse{"a": says("a", blank, 7), "b": says("b", blank, 7)}, 0, "", replication.Version{}},
+		{"no configuration yet", map[string]UpdateResponse{"a": {Membership: pair, Copy: &CopyState{Identity: "disk a"}}, "b": {Membership: pair, Copy: &CopyState{Identity: "disk b"}}}, 0, "", replication.Version{}},
+		{"an older release", map[string]UpdateResponse{"a": says("a", pair, 7), "b": {Membership: pair}}, 0, "", replication.Version{}},
 	} {
-		told := &copies{}
+		told := &copyStates{}
 		for address, answer := range row.said {
 			told.note(address, now.Add(-row.age), answer)
 		}
--- a/internal/hatch/copynews.go
+++ b/internal/hatch/copynews.go
@@ -2,9 +2,9 @@
 
 import "seamloom.example/seamloom/internal/replication"
 
-// CopyUpdate is what a controller that is not primary says of the copy on its disk, to
+// CopyState is what a controller that is not primary says of the copy on its disk, to
 // a router that has no configuration in its life.
-type CopyUpdate struct {
+type CopyState struct {
 	Identity replication.Identity `msgpack:"identity"`
 	Damaged  bool                 `msgpack:"damaged,omitempty"`
 	// Configuration is the version of the copy's configuration.
@@ -18,9 +18,9 @@
 var provisionalSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
 // copyUpdate tells of the own copy, with its sections if their version is the wanted one.
-func (c *Controller) copyUpdate(wanted replication.Version) *CopyUpdate {
+func (c *Controller) copyUpdate(wanted replication.Version) *CopyState {
 	copied := c.store.Copy()
-	update := &CopyUpdate{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
+	update := &CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
 	sections := copied.Sections()
 	update.Configuration = sections[replication.ConfigurationSection].Version
 	if update.Damaged || wanted == (replication.Version{}) || update.Configuration != wanted {
@@ -37,8 +37,8 @@
 
 // elsewhere is the answer of a controller that is not primary. The membership is read
 // before the copy: a copy that the membership names is then no older than its grant.
-func (c *Controller) elsewhere(question UpdateQuestion) UpdateAnswer {
-	answer := UpdateAnswer{Membership: c.coordinator.Membership()}
+func (c *Controller) followerResponse(question UpdateRequest) UpdateResponse {
+	answer := UpdateResponse{Membership: c.coordinator.Membership()}
 	if !question.Provisional {
 		return answer
 	}
--- a/internal/hatch/counter.go
+++ b/internal/hatch/counter.go
@@ -17,62 +17,62 @@
 	mostUpdateWait = 2 * time.Second
 )
 
-// Answers is what the controller answers on the hotline.
-func (c *Controller) Answers() Answers { return c.answers }
+// Handlers is what the controller answers on the hotline.
+func (c *Controller) Handlers() Handlers { return c.handlerTable }
 
-func (c *Controller) table() Answers {
-	return Answers{
-		HelloPath: answering(func(hello replication.Hello) (replication.Hello, error) {
+func (c *Controller) handlers() Handlers {
+	return Handlers{
+		HelloPath: HandlerFor(func(hello replication.Hello) (replication.Hello, error) {
 			return c.coordinator.Greet(hello), nil
 		}),
-		PreparePath: answering(func(question keeperQuestion) (replication.Promise, error) {
-			if err := c.mine(question.To); err != nil {
+		PreparePath: HandlerFor(func(question WitnessRequest) (replication.Promise, error) {
+			if err := c.checkIdentity(question.To); err != nil {
 				return replication.Promise{}, err
 			}
 			return c.witness.Prepare(c.runtime.Now(), question.Epoch, question.From)
 		}),
-		AcceptPath: answering(func(question keeperQuestion) (replication.Promise, error) {
-			if err := c.mine(question.To); err != nil {
+		AcceptPath: HandlerFor(func(question WitnessRequest) (replication.Promise, error) {
+			if err := c.checkIdentity(question.To); err != nil {
 				return replication.Promise{}, err
 			}
 			return c.witness.Accept(c.runtime.Now(), question.Membership)
 		}),
-		ConfirmPath: answering(func(question keeperQuestion) (replication.Promise, error) {
-			if err := c.mine(question.To); err != nil {
+		ConfirmPath: HandlerFor(func(question WitnessRequest) (replication.Promise, error) {
+			if err := c.checkIdentity(question.To); err != nil {
 				return replication.Promise{}, err
 			}
 			return c.witness.Confirm(c.runtime.Now(), question.Epoch, question.From), nil
 		}),
-		ReplicatePath: answering(func(question replicateQuestion) (nothing, error) {
-			if err := c.mine(question.To); err != nil {
-				return nothing{}, err
+		ReplicatePath: HandlerFor(func(question ReplicateRequest) (Empty, error) {
+			if err := c.checkIdentity(question.To); err != nil {
+				return Empty{}, err
 			}
-			return nothing{}, c.store.Replicate(question.Epoch, question.Batch)
+			return Empty{}, c.store.Replicate(question.Epoch, question.Batch)
 		}),
-		InstallPath: answering(func(question installQuestion) (nothing, error) {
-			if err := c.mine(question.To); err != nil {
-				return nothing{}, err
+		InstallPath: HandlerFor(func(question InstallRequest) (Empty, error) {
+			if err := c.checkIdentity(question.To); err != nil {
+				return Empty{}, err
 			}
-			return nothing{}, c.store.Install(question.Snapshot)
+			return Empty{}, c.store.Install(question.Snapshot)
 		}),
-		RefreshPath: answering(func(question installQuestion) (nothing, error) {
-			if err := c.mine(question.To); err != nil {
-				return nothing{}, err
+		RefreshPath: HandlerFor(func(question InstallRequest) (Empty, error) {
+			if err := c.checkIdentity(question.To); err != nil {
+				return Empty{}, err
 			}
-			return nothing{}, c.store.Refresh(question.Snapshot)
+			return Empty{}, c.store.Refresh(question.Snapshot)
 		}),
-		UpdatePath: answering(c.answerUpdate),
-		ClaimPath: answering(func(question ClaimQuestion) (LedAnswer, error) {
+		UpdatesPath: HandlerFor(c.serveUpdate),
+		ClaimPath: HandlerFor(func(question ClaimRequest) (LedResponse, error) {
 			return c.led(replication.Claim(question.Made, question.Entry))
 		}),
-		OrdersPath: answering(func(question OrdersQuestion) (LedAnswer, error) {
+		OrdersPath: HandlerFor(func(question OrdersRequest) (LedResponse, error) {
 			return c.led(replication.GiveOrders(question.Role, question.Orders, question.Supported))
 		}),
 	}
 }
 
 // mine guards against messages for another disk at the same address.
-func (c *Controller) mine(identity replication.Identity) error {
+func (c *Controller) checkIdentity(identity replication.Identity) error {
 	if own := c.witness.Replica().Identity; identity != own {
 		return failure.New(failure.NotAdmitted, "another disk is at this address now")
 	}
@@ -80,30 +80,30 @@
 }
 
 // led carries out a node's change if this controller is primary.
-func (c *Controller) led(change replication.Change) (LedAnswer, error) {
-	if _, _, err := c.Ruling(); err != nil {
-		return LedAnswer{Membership: c.coordinator.Membership()}, nil
+func (c *Controller) led(change replication.Change) (LedResponse, error) {
+	if _, _, err := c.Leading(); err != nil {
+		return LedResponse{Membership: c.coordinator.Membership()}, nil
 	}
 	_, err := c.submit(change, claimPatience)
 	if failure.KindOf(err) == failure.NotPrimary {
-		return LedAnswer{Membership: c.coordinator.Membership()}, nil
+		return LedResponse{Membership: c.coordinator.Membership()}, nil
 	}
-	return LedAnswer{Leads: true}, err
+	return LedResponse{Leads: true}, err
 }
 
 // followedSections are those that nodes follow.
 var followedSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.OrdersSection}
 
-// answerUpdate registers the node if needed, waits for news, and grants a hold
+// serveUpdate registers the node if needed, waits for news, and grants a hold
 // for the configuration that the answer confirms.
-func (c *Controller) answerUpdate(question UpdateQuestion) (UpdateAnswer, error) {
-	elsewhere := func() (UpdateAnswer, error) { return c.elsewhere(question), nil }
-	current, view, err := c.Ruling()
+func (c *Controller) serveUpdate(question UpdateRequest) (UpdateResponse, error) {
+	elsewhere := func() (UpdateResponse, error) { return c.followerResponse(question), nil }
+	current, view, err := c.Leading()
 	if err != nil {
 		return elsewhere()
 	}
 	if question.Brief {
-		return UpdateAnswer{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
+		return UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
 	}
 	name := question.Member.Name
 	router := question.Member.Kind == membership.Router
@@ -114,24 +114,24 @@
 	if router {
 		c.lists.noteFailing(arrived, question)
 		current.Holds.Note(arrived, name, question.InForce.Number)
-		c.confirmed.Broadcast()
+		c.confirmations.Broadcast()
 	}
 	state, err := c.state(current, view)
 	if err != nil {
-		return UpdateAnswer{}, err
+		return UpdateResponse{}, err
 	}
 	if recorded, found := state.Members[name]; !found || !recorded.Same(question.Member) {
 		member := question.Member
 		member.Since = c.runtime.Wall()
 		if _, err := c.submit(replication.Register(member), registerPatience); err != nil {
-			return UpdateAnswer{}, err
+			return UpdateResponse{}, err
 		}
 	}
 	for {
-		if view = c.awaitUpdate(question); view == nil {
+		if view = c.awaitChange(question); view == nil {
 			return elsewhere()
 		}
-		answer := UpdateAnswer{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
+		answer := UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
 		answer.shorten(question, current)
 		now := c.runtime.Now()
 		answer.Held = now.Sub(arrived)
@@ -139,7 +139,7 @@
 		if router {
 			state, err := c.state(current, view)
 			if err != nil {
-				return UpdateAnswer{}, err
+				return UpdateResponse{}, err
 			}
 			// From here the router may act for as long as the hold says,
 			// counted from when it asked, which was earlier.
@@ -158,7 +158,7 @@
 			if answer.Membership.Epoch <= question.Membership {
 				answer.Membership = replication.Membership{}
 			}
-			c.count(answer)
+			c.countResponse(answer)
 			return answer, nil
 		}
 	}
@@ -166,7 +166,7 @@
 
 // shorten sends what changed of the configuration instead of all of it, if the
 // node takes that and has a version that was shown here.
-func (u *UpdateAnswer) shorten(question UpdateQuestion, current *Term) {
+func (u *UpdateResponse) shorten(question UpdateRequest, current *Term) {
 	section, found := u.Sections[replication.ConfigurationSection]
 	if !found {
 		return
@@ -180,7 +180,7 @@
 }
 
 // count adds an answer's sections to what news has cost.
-func (c *Controller) count(answer UpdateAnswer) {
+func (c *Controller) countResponse(answer UpdateResponse) {
 	c.updateAnswers.Add(1)
 	for name, section := range answer.Sections {
 		c.updateBytes.Add(uint64(len(section.Content)))
@@ -218,25 +218,25 @@
 	return sections
 }
 
-// newerMembership tells whether the membership has changed since the asker heard of it: who
+// hasNewerMembership tells whether the membership has changed since the asker heard of it: who
 // belongs to the core, and where, is to reach every node while it can. An older release
 // does not tell what it has heard of, and is told with its next answer.
-func (c *Controller) newerMembership(question UpdateQuestion) bool {
+func (c *Controller) hasNewerMembership(question UpdateRequest) bool {
 	return question.Membership != 0 && c.coordinator.Membership().Epoch > question.Membership
 }
 
-// awaitUpdate returns the view as soon as it has news for the question, or when
+// awaitChange returns the view as soon as it has news for the question, or when
 // its patience ends; nil when this controller is not primary any more.
-func (c *Controller) awaitUpdate(question UpdateQuestion) *replication.View {
+func (c *Controller) awaitChange(question UpdateRequest) *replication.View {
 	var seen *replication.View
-	c.update.Wait(min(max(question.Patience, 0), mostUpdateWait), func() bool {
-		_, view, err := c.Ruling()
+	c.updated.Wait(min(max(question.Patience, 0), mostUpdateWait), func() bool {
+		_, view, err := c.Leading()
 		if err != nil {
 			seen = nil
 			return true
 		}
 		seen = view
-		return len(newer(view, question.Have)) > 0 || c.lists.newer(question) || c.newerMembership(question)
+		return len(newer(view, question.Have)) > 0 || c.lists.newer(question) || c.hasNewerMembership(question)
 	})
 	if !c.runtime.Alive() {
 		return nil
--- a/internal/hatch/countkeepers.go
+++ b/internal/hatch/countkeepers.go
@@ -11,13 +11,13 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// CountKeepers reach the nodes that keep the counts of what all nodes have model servers
+// CountOwners reach the nodes that keep the counts of what all nodes have model servers
 // read, and are one of them. The keeper of a group is the recorded node of the group's
 // zone that rendezvous hashing puts first, but for those that did not answer lately. Two
 // nodes may take different ones for the keeper for a while: the counts are hints.
-type CountKeepers struct {
+type CountOwners struct {
 	runtime runtime.Runtime
-	line    Hotline
+	client  Client
 	window  *scheduler.Window
 	// self is this node's name, life this life of it.
 	self, incarnation string
@@ -41,14 +41,14 @@
 	changesPause = 2 * time.Millisecond
 )
 
-// NewCountKeepers makes the keepers' side and the asking side of one life of a node.
-func NewCountKeepers(rt runtime.Runtime, line Hotline, window *scheduler.Window, self, incarnation string) *CountKeepers {
-	return &CountKeepers{runtime: rt, line: line, window: window, self: self, incarnation: incarnation, changed: rt.NewCond(),
+// NewCountOwners makes the keepers' side and the asking side of one life of a node.
+func NewCountOwners(rt runtime.Runtime, line Client, window *scheduler.Window, self, incarnation string) *CountOwners {
+	return &CountOwners{runtime: rt, client: line, window: window, self: self, incarnation: incarnation, changed: rt.NewCond(),
 		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
 }
 
-// SetNodes tells which nodes of the data plane are recorded.
-func (c *CountKeepers) SetNodes(members map[string]membership.Member) {
+// SetMembers tells which nodes of the data plane are recorded.
+func (c *CountOwners) SetMembers(members map[string]membership.Member) {
 	nodes := map[string]membership.Member{}
 	for name, member := range members {
 		if member.Kind == membership.Router {
@@ -61,20 +61,20 @@
 	c.ranked = map[string][]membership.Member{}
 }
 
-// Answer answers a question of another node.
-func (c *CountKeepers) Answer(question backlog.Question) (backlog.Answer, error) {
+// Handle answers a question of another node.
+func (c *CountOwners) Answer(question backlog.Question) (backlog.Answer, error) {
 	return c.ledger.Apply(c.runtime.Now(), question), nil
 }
 
 // Ask brings questions to their keepers, all at once, and gives the answers that come in
 // time, by group.
-func (c *CountKeepers) Ask(questions []backlog.Question) map[string]backlog.Answer {
+func (c *CountOwners) Ask(questions []backlog.Question) map[string]backlog.Answer {
 	answers := make(map[string]backlog.Answer, len(questions))
 	var mutex sync.Mutex
 	left := len(questions) - 1
 	done := c.runtime.NewCond()
 	ask := func(question backlog.Question) {
-		answer, answered := c.bring(question)
+		answer, answered := c.send(question)
 		mutex.Lock()
 		defer mutex.Unlock()
 		if answered {
@@ -106,16 +106,16 @@
 }
 
 // bring has the keeper of a question's group answer it.
-func (c *CountKeepers) bring(question backlog.Question) (answer backlog.Answer, answered bool) {
+func (c *CountOwners) send(question backlog.Question) (answer backlog.Answer, answered bool) {
 	question.Router = c.incarnation
-	keeper, found := c.keeper(question.Group)
+	keeper, found := c.owner(question.Group)
 	if !found {
 		return answer, false
 	}
 	if keeper.Name == c.self {
 		return c.ledger.Apply(c.runtime.Now(), question), true
 	}
-	if err := Call(c.line, keeper.Address, CountsPath, question, &answer, countPatience); err != nil {
+	if err := Call(c.client, keeper.Address, CountsPath, question, &answer, countPatience); err != nil {
 		c.mutex.Lock()
 		c.silent[keeper.Address] = c.runtime.Now()
 		c.mutex.Unlock()
@@ -125,7 +125,7 @@
 }
 
 // keeper is the node that keeps a group's counts.
-func (c *CountKeepers) keeper(group string) (membership.Member, bool) {
+func (c *CountOwners) owner(group string) (membership.Member, bool) {
 	now := c.runtime.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -143,7 +143,7 @@
 }
 
 // rank orders the nodes for a group: those of its zone, or all if there are none.
-func (c *CountKeepers) rank(group string) []membership.Member {
+func (c *CountOwners) rank(group string) []membership.Member {
 	zone := ""
 	if parts := strings.Split(group, "/"); len(parts) >= 2 {
 		zone = parts[len(parts)-2]
@@ -166,19 +166,19 @@
 }
 
 // NoteChanges has the keepers told, soon, of what changed by a decision.
-func (c *CountKeepers) NoteChanges() {
+func (c *CountOwners) NoteChanges() {
 	if c.window.HasChanges() {
 		c.changed.Broadcast()
 	}
 }
 
-// Tell brings changes to the keepers whenever there are any.
-func (c *CountKeepers) Tell() {
+// Run brings changes to the keepers whenever there are any.
+func (c *CountOwners) Run() {
 	for c.runtime.Alive() {
 		c.changed.Wait(restTick, c.window.HasChanges)
 		runtime.Sleep(c.runtime, changesPause)
 		for group, changes := range c.window.TakeChanges() {
-			c.bring(backlog.Question{Group: group, Changes: changes})
+			c.send(backlog.Question{Group: group, Changes: changes})
 		}
 	}
 }
--- a/internal/hatch/countkeepers_test.go
+++ b/internal/hatch/countkeepers_test.go
@@ -18,7 +18,7 @@
 // keeperLine joins keepers by direct calls; those that are down don't answer.
 type keeperLine struct {
 	mutex   sync.Mutex
-	keepers map[string]*CountKeepers
+	keepers map[string]*CountOwners
 	down    map[string]bool
 	calls   atomic.Int64
 }
@@ -43,20 +43,20 @@
 }
 
 // keeperFleet is six nodes in two zones.
-func keeperFleet(t *testing.T) (*keeperLine, map[string]*CountKeepers) {
+func keeperFleet(t *testing.T) (*keeperLine, map[string]*CountOwners) {
 	t.Helper()
 	rt := osruntime.New(t.Context(), osruntime.NewClock())
-	line := &keeperLine{keepers: map[string]*CountKeepers{}, down: map[string]bool{}}
+	line := &keeperLine{keepers: map[string]*CountOwners{}, down: map[string]bool{}}
 	members := map[string]membership.Member{"expediter-1": {Name: "expediter-1", Kind: membership.Controller, Address: "e1", Zone: "north"}}
-	all := map[string]*CountKeepers{}
+	all := map[string]*CountOwners{}
 	for position, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		zone := []string{"north", "south"}[position%2]
 		members[name] = membership.Member{Name: name, Kind: membership.Router, Address: "at-" + name, Zone: zone}
-		all[name] = NewCountKeepers(rt, line, scheduler.New(scheduler.Options{Router: name, Zone: zone}), name, "life-of-"+name)
+		all[name] = NewCountOwners(rt, line, scheduler.New(scheduler.Options{Router: name, Zone: zone}), name, "life-of-"+name)
 		line.keepers["at-"+name] = all[name]
 	}
 	for _, keepers := range all {
-		keepers.SetNodes(members)
+		keepers.SetMembers(members)
 	}
 	return line, all
 }
@@ -92,7 +92,7 @@
 func TestKeeperInTheZone(t *testing.T) {
 	_, all := keeperFleet(t)
 	for _, group := range []string{"desk/north/0", "desk/north/1", "desk/north/2"} {
-		if keeper, found := all["b"].keeper(group); !found || keeper.Zone != "north" || keeper.Kind != membership.Router {
+		if keeper, found := all["b"].owner(group); !found || keeper.Zone != "north" || keeper.Kind != membership.Router {
 			t.Errorf("%s is kept by %+v", group, keeper)
 		}
 	}
@@ -103,7 +103,7 @@
 func TestSilentKeeperIsPassedOver(t *testing.T) {
 	line, all := keeperFleet(t)
 	const group = "desk/north/0"
-	first, _ := all["b"].keeper(group)
+	first, _ := all["b"].owner(group)
 	line.mutex.Lock()
 	line.down[first.Address] = true
 	line.mutex.Unlock()
@@ -119,7 +119,7 @@
 	if asked := line.calls.Load() - before; asked > 5 {
 		t.Errorf("%d messages for 5 questions", asked)
 	}
-	if next, _ := all["b"].keeper(group); next.Name == first.Name {
+	if next, _ := all["b"].owner(group); next.Name == first.Name {
 		t.Error("the dead keeper is still the keeper")
 	}
 }
@@ -157,7 +157,7 @@
 	calls.window.SetAsks(true)
 	keepers := all["a"]
 	keepers.window = calls.window
-	calls.SetKeepers(keepers)
+	calls.SetCountOwners(keepers)
 	counted := func() []backlog.Change {
 		return all["b"].Ask([]backlog.Question{{Group: "desk/north/0", Asks: true}})["desk/north/0"].Counts
 	}
@@ -171,7 +171,7 @@
 	call.PromptTokens = 9000
 	calls.Serve(call, exchange)
 	for group, changes := range calls.window.TakeChanges() {
-		keepers.bring(backlog.Question{Group: group, Changes: changes})
+		keepers.send(backlog.Question{Group: group, Changes: changes})
 	}
 	if counts := counted(); len(counts) != 0 {
 		t.Errorf("after the prompt was read: %v", counts)
--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -19,26 +19,26 @@
 // requests decided by the core, and carries the decisions out.
 type Router struct {
 	runtime     runtime.Runtime
-	line        Hotline
+	client      Client
 	modelServer ModelServer
-	passing     Passing
+	forwarder   Forwarder
 	options     RouterOptions
 	observe     func(event string, detail ...any)
 	core        *seamloom.Core
 	board       Board
 	// stirred rings when there is more to do than before, crumbs when records are to
 	// go to a neighbour.
-	stirred runtime.Cond
-	resting atomic.Int64
+	busier   runtime.Cond
+	tickWait atomic.Int64
 	// routers is how many share the servers.
-	routers     atomic.Int64
-	crumbs      runtime.Cond
-	followed    *Follower
-	journal     *Journal
-	answers     Answers
-	passages    passages
-	incarnation string
-	keepers     *CountKeepers
+	routers         atomic.Int64
+	recordsAdded    runtime.Cond
+	follower        *Follower
+	journal         *Journal
+	handlerTable    Handlers
+	seenForwardings seenForwardings
+	incarnation     string
+	countOwners     *CountOwners
 
 	mutex   sync.Mutex
 	streams map[string]*stream
@@ -56,10 +56,10 @@
 	routerTick = 20 * time.Millisecond
 	// roleTick is the tick of a router that has duties and no requests, and
 	// restTick of one that has neither.
-	roleTick    = 200 * time.Millisecond
-	restTick    = time.Minute
-	crumbsPause = 250 * time.Millisecond
-	neighbours  = 3
+	roleTick        = 200 * time.Millisecond
+	restTick        = time.Minute
+	recordsInterval = 250 * time.Millisecond
+	Neighbours      = 3
 	// claimTime is how long a claim is tried for altogether: a pair that was
 	// broken is whole again in about a second. Longer would only hold the caller
 	// back.
@@ -71,23 +71,23 @@
 )
 
 // NewRouter makes the conduct of one router.
-func NewRouter(rt runtime.Runtime, line Hotline, modelServer ModelServer, passing Passing, options RouterOptions, observe func(string, ...any)) *Router {
-	router := &Router{runtime: rt, line: line, modelServer: modelServer, passing: passing, options: options, observe: observe,
-		core: seamloom.New(options.Options), stirred: rt.NewCond(), crumbs: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
+func NewRouter(rt runtime.Runtime, line Client, modelServer ModelServer, passing Forwarder, options RouterOptions, observe func(string, ...any)) *Router {
+	router := &Router{runtime: rt, client: line, modelServer: modelServer, forwarder: passing, options: options, observe: observe,
+		core: seamloom.New(options.Options), busier: rt.NewCond(), recordsAdded: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
 	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	router.followed = NewFollower(rt, line, member, options.Seeds, router.InForce, router.takeUpdate)
+	router.follower = NewFollower(rt, line, member, options.Seeds, router.InForce, router.takeUpdate)
 	if options.Board != nil {
 		router.board = options.Board(router.core.Calls())
-		router.keepers = NewCountKeepers(rt, line, router.core.Calls(), options.Router, router.incarnation)
+		router.countOwners = NewCountOwners(rt, line, router.core.Calls(), options.Router, router.incarnation)
 		router.core.Calls().SetAsks(true)
-		router.followed.TellFailing(router.core.Calls().TakeFailing)
-		router.board.SetKeepers(router.keepers)
+		router.follower.OnFailing(router.core.Calls().TakeFailing)
+		router.board.SetCountOwners(router.countOwners)
 	}
-	router.followed.Follow(options.Directory != nil, router.board != nil)
-	router.followed.SetApplyWithin(options.ApplyWithin)
+	router.follower.Follow(options.Directory != nil, router.board != nil)
+	router.follower.SetApplyWithin(options.ApplyWithin)
 	router.SetServeWithoutHold(options.ServeWithoutHold)
-	router.answers = router.table()
+	router.handlerTable = router.handlers()
 	return router
 }
 
@@ -95,14 +95,14 @@
 func (r *Router) Rounds() []func() {
 	rounds := []func(){
 		r.tick,
-		r.leaveCrumbs,
-		r.followed.Run,
+		r.replicateRecords,
+		r.follower.Run,
 	}
 	if r.options.Directory != nil {
 		rounds = append(rounds, r.readList, r.readNodes)
 	}
-	if r.keepers != nil {
-		rounds = append(rounds, r.keepers.Tell)
+	if r.countOwners != nil {
+		rounds = append(rounds, r.countOwners.Run)
 	}
 	return rounds
 }
@@ -114,15 +114,15 @@
 		r.Apply(auction.Event{Kind: auction.Ticked})
 		pause := r.tickPause()
 		// Whoever gives the core more to do looks at this after it has, and rings.
-		r.resting.Store(int64(pause))
-		r.stirred.Wait(pause, func() bool { return r.tickPause() < pause })
+		r.tickWait.Store(int64(pause))
+		r.busier.Wait(pause, func() bool { return r.tickPause() < pause })
 	}
 }
 
 // stir wakes the ticking if it rests for longer than it should.
-func (r *Router) stir() {
-	if int64(r.tickPause()) < r.resting.Load() {
-		r.stirred.Broadcast()
+func (r *Router) wakeTicker() {
+	if int64(r.tickPause()) < r.tickWait.Load() {
+		r.busier.Broadcast()
 	}
 }
 
@@ -143,16 +143,16 @@
 func (r *Router) Journal() *Journal { return r.journal }
 
 // Heard is when a primary answered last.
-func (r *Router) Heard() time.Time { return r.followed.Heard() }
+func (r *Router) Heard() time.Time { return r.follower.Heard() }
 
 // SetSeeds exchanges the seeds, after a reload.
-func (r *Router) SetSeeds(seeds []string) { r.followed.SetSeeds(seeds) }
+func (r *Router) SetSeeds(seeds []string) { r.follower.SetSeeds(seeds) }
 
 // SetServeWithoutHold chooses how long the router goes on letting in after its last
 // hold. Duties always need a hold.
 func (r *Router) SetServeWithoutHold(length time.Duration) {
 	r.core.SetServeWithoutHold(length)
-	r.followed.SetProvisional(length > 0)
+	r.follower.SetProvisional(length > 0)
 	r.showServing()
 }
 
@@ -179,13 +179,13 @@
 	}
 }
 
-// Answers is what the router answers on the hotline.
-func (r *Router) Answers() Answers { return r.answers }
+// Handlers is what the router answers on the hotline.
+func (r *Router) Handlers() Handlers { return r.handlerTable }
 
-func (r *Router) table() Answers {
-	answers := Answers{
-		RelayPath: answering(r.followed.Relay),
-		CrumbsPath: answering(func(records []codec.Record) (bool, error) {
+func (r *Router) handlers() Handlers {
+	answers := Handlers{
+		RelayPath: HandlerFor(r.follower.Relay),
+		RecordsPath: HandlerFor(func(records []codec.Record) (bool, error) {
 			for _, record := range records {
 				r.journal.append(record, false)
 			}
@@ -193,18 +193,18 @@
 		}),
 		// A router may stand among another process's seeds: it says where the
 		// core is.
-		HelloPath: answering(func(replication.Hello) (replication.Hello, error) {
-			return replication.Hello{Kind: membership.Router, Membership: r.followed.Membership()}, nil
+		HelloPath: HandlerFor(func(replication.Hello) (replication.Hello, error) {
+			return replication.Hello{Kind: membership.Router, Membership: r.follower.Membership()}, nil
 		}),
-		UpdatePath: answering(func(UpdateQuestion) (UpdateAnswer, error) {
-			return UpdateAnswer{Membership: r.followed.Membership()}, nil
+		UpdatesPath: HandlerFor(func(UpdateRequest) (UpdateResponse, error) {
+			return UpdateResponse{Membership: r.follower.Membership()}, nil
 		}),
-		IncarnationPath: answering(func(nothing) (Incarnation, error) {
-			return Incarnation{Incarnation: r.incarnation}, nil
+		IncarnationPath: HandlerFor(func(Empty) (IncarnationResponse, error) {
+			return IncarnationResponse{Incarnation: r.incarnation}, nil
 		}),
 	}
-	if r.keepers != nil {
-		answers[CountsPath] = answering(r.keepers.Answer)
+	if r.countOwners != nil {
+		answers[CountsPath] = HandlerFor(r.countOwners.Answer)
 	}
 	return answers
 }
@@ -238,7 +238,7 @@
 		r.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: update.Asked.Add(update.Answer.Hold), Epoch: update.Answer.Configuration.Epoch,
 			Number: update.Answer.Configuration.Number, Roles: update.Answer.Roles})
 		r.showServing()
-		r.stir()
+		r.wakeTicker()
 	}
 }
 
@@ -256,7 +256,7 @@
 	section := update.Changed[replication.ConfigurationSection]
 	r.Apply(auction.Event{Kind: auction.ConfigurationLent, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
 	r.showServing()
-	r.stir()
+	r.wakeTicker()
 	r.observe("configuration_lent", "version", section.Version.String())
 }
 
@@ -268,8 +268,8 @@
 	r.mutex.Lock()
 	r.members = state.Members
 	r.mutex.Unlock()
-	if r.keepers != nil {
-		r.keepers.SetNodes(state.Members)
+	if r.countOwners != nil {
+		r.countOwners.SetMembers(state.Members)
 	}
 	if update.Answer.Routers == 0 {
 		// Nobody counts them: an older release's primary, or a copy.
@@ -328,7 +328,7 @@
 	for _, member := range r.nearest(len(names)) {
 		p = append(p, member.Address)
 	}
-	r.followed.SetContacts(contacts, p)
+	r.follower.SetContacts(contacts, p)
 }
 
 // routersOf are the names of the routers among recorded members.
@@ -354,25 +354,25 @@
 	return members
 }
 
-// leaveCrumbs does so whenever there are any.
-func (r *Router) leaveCrumbs() {
+// replicateRecords does so whenever there are any.
+func (r *Router) replicateRecords() {
 	for r.runtime.Alive() {
-		r.crumbs.Wait(restTick, r.journal.outgoing)
-		r.dropCrumbs()
-		runtime.Sleep(r.runtime, crumbsPause)
+		r.recordsAdded.Wait(restTick, r.journal.outgoing)
+		r.sendRecords()
+		runtime.Sleep(r.runtime, recordsInterval)
 	}
 }
 
-// dropCrumbs gives the newest records to a neighbour, which can tell of them
+// sendRecords gives the newest records to a neighbour, which can tell of them
 // when this router is gone.
-func (r *Router) dropCrumbs() {
+func (r *Router) sendRecords() {
 	records := r.journal.takeOutbox()
 	if len(records) == 0 {
 		return
 	}
-	for _, member := range r.nearest(neighbours) {
+	for _, member := range r.nearest(Neighbours) {
 		var answer bool
-		if Call(r.line, member.Address, CrumbsPath, records, &answer, actPatience) == nil {
+		if Call(r.client, member.Address, RecordsPath, records, &answer, actPatience) == nil {
 			return
 		}
 	}
@@ -385,7 +385,7 @@
 func (r *Router) Serve(arrival Arrival, reply Reply) {
 	request := arrival.Request
 	if !r.meant(arrival) {
-		sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
+		writeLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
 		return
 	}
 	s := newStream(r.runtime)
@@ -396,7 +396,7 @@
 	}
 	r.mutex.Unlock()
 	if busy {
-		sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
+		writeLine(reply, ReplyLine{Request: request.ID, Final: auction.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
 		return
 	}
 	defer func() {
@@ -404,23 +404,23 @@
 		defer r.mutex.Unlock()
 		delete(r.streams, request.ID)
 	}()
-	reply.WhenLeft(s.leave)
+	reply.OnClientGone(s.leave)
 	r.Apply(auction.Event{Kind: auction.RequestArrived, Request: request})
-	r.stir()
+	r.wakeTicker()
 	r.answer(arrival, reply, s)
 }
 
 // meant tells whether a passed-on request was meant for this life of the
 // router and comes for the first time.
 func (r *Router) meant(arrival Arrival) bool {
-	passage := arrival.Passage
+	passage := arrival.Forwarding
 	if passage == nil || passage.Nonce == "" {
 		return true
 	}
 	if passage.Incarnation != "" && passage.Incarnation != r.incarnation {
 		return false
 	}
-	return r.passages.first(r.runtime.Now(), passage.Nonce)
+	return r.seenForwardings.first(r.runtime.Now(), passage.Nonce)
 }
 
 func (r *Router) answer(arrival Arrival, reply Reply, s *stream) {
@@ -437,7 +437,7 @@
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
 				if s.sent == 0 {
-					sayLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Draining})
+					writeLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Draining})
 				} else {
 					_ = reply.Line(ReplyLine{Request: request.ID, Final: auction.Failed, Type: failure.Draining, Chunks: s.sent}.encode())
 				}
@@ -446,7 +446,7 @@
 			continue
 		}
 		if decision.Kind == auction.PassOn {
-			r.passOn(arrival, reply)
+			r.forward(arrival, reply)
 			return
 		}
 		line := lineOf(decision)
@@ -463,7 +463,7 @@
 		if decision.Chunks > 0 {
 			_ = reply.Line(line.encode())
 		} else {
-			sayLine(reply, line)
+			writeLine(reply, line)
 		}
 		return
 	}
--- a/internal/hatch/courier_test.go
+++ b/internal/hatch/courier_test.go
@@ -19,10 +19,10 @@
 )
 
 // hookless are turns that only tell the time.
-type hookless struct{ runtime.Runtime }
+type fixedRuntime struct{ runtime.Runtime }
 
-func (hookless) Now() time.Time  { return time.Unix(2_000_000, 0) }
-func (hookless) Wall() time.Time { return time.Unix(2_000_000, 0) }
+func (fixedRuntime) Now() time.Time  { return time.Unix(2_000_000, 0) }
+func (fixedRuntime) Wall() time.Time { return time.Unix(2_000_000, 0) }
 
 // lines collects a reply.
 type lines struct{ said []ReplyLine }
@@ -34,7 +34,7 @@
 	l.said = append(l.said, line)
 	return err
 }
-func (l *lines) WhenLeft(func()) {}
+func (l *lines) OnClientGone(func()) {}
 
 // newTestRouter is a router that knows its configuration's absence only: it
 // refuses everything, at once.
@@ -53,20 +53,20 @@
 // others nobody knows here what became.
 func TestPassingOnIsTakenOnce(t *testing.T) {
 	router := newTestRouter(t, "this life")
-	serve := func(passage Passage) ReplyLine {
+	serve := func(passage Forwarding) ReplyLine {
 		reply := &lines{}
-		router.Serve(Arrival{Request: &auction.Request{ID: "one", Service: "chat"}, Passage: &passage}, reply)
+		router.Serve(Arrival{Request: &auction.Request{ID: "one", Service: "chat"}, Forwarding: &passage}, reply)
 		return reply.said[0]
 	}
-	if first := serve(Passage{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != auction.Refused {
+	if first := serve(Forwarding{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != auction.Refused {
 		t.Errorf("the first was not decided on: %+v", first)
 	}
-	for name, passage := range map[string]Passage{"again": {Nonce: "first", Incarnation: "this life"}, "another life": {Nonce: "second", Incarnation: "an earlier life"}} {
+	for name, passage := range map[string]Forwarding{"again": {Nonce: "first", Incarnation: "this life"}, "another life": {Nonce: "second", Incarnation: "an earlier life"}} {
 		if line := serve(passage); line.Final != auction.Unknown || line.Type != failure.Duplicate {
 			t.Errorf("%s: %+v", name, line)
 		}
 	}
-	if line := serve(Passage{}); line.Type != failure.NoHold {
+	if line := serve(Forwarding{}); line.Type != failure.NoHold {
 		t.Errorf("an older release's passing-on was not taken: %+v", line)
 	}
 }
@@ -88,7 +88,7 @@
 	servers []membership.Server
 }
 
-func (*noted) SetKeepers(*CountKeepers) {}
+func (*noted) SetCountOwners(*CountOwners) {}
 
 func (n *noted) SetServing(until time.Time)                          { n.until = until }
 func (n *noted) SetServers(_ time.Time, servers []membership.Server) { n.servers = servers }
@@ -105,11 +105,11 @@
 	}
 	version := replication.Version{Epoch: 1, Number: 4}
 	sections := map[string]replication.Section{replication.ConfigurationSection: {Version: version, Content: config.Empty().Text}}
-	router.takeUpdate(Update{Asked: atNoon(0), Answer: UpdateAnswer{Leads: true, Configuration: version}, Changed: sections})
+	router.takeUpdate(Update{Asked: atNoon(0), Answer: UpdateResponse{Leads: true, Configuration: version}, Changed: sections})
 	if !board.until.IsZero() || router.InForce() != version {
 		t.Errorf("a configuration without a hold: serves until %s with %s", board.until, router.InForce())
 	}
-	router.takeUpdate(Update{Asked: atNoon(time.Second), Answer: UpdateAnswer{Leads: true, Configuration: version, Hold: 4 * time.Second, Routers: 9},
+	router.takeUpdate(Update{Asked: atNoon(time.Second), Answer: UpdateResponse{Leads: true, Configuration: version, Hold: 4 * time.Second, Routers: 9},
 		Servers: &Listed{At: atNoon(0), Servers: []membership.Server{{Name: "a"}}}})
 	if !board.until.Equal(atNoon(65*time.Second)) || len(board.servers) != 1 || router.routers.Load() != 9 {
 		t.Errorf("serves until %s, servers %v", board.until, board.servers)
--- a/internal/hatch/decisions.go
+++ b/internal/hatch/decisions.go
@@ -97,7 +97,7 @@
 	record, err := codec.WritePair(*decision.Pair, r.options.Router, r.core.Enabled())
 	if err == nil {
 		r.journal.append(record, true)
-		r.crumbs.Broadcast()
+		r.recordsAdded.Broadcast()
 	}
 }
 
@@ -108,7 +108,7 @@
 	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Request: decision.ID, Router: r.options.Router, Run: decision.Run, At: r.runtime.Wall()})
 	if err == nil {
 		r.journal.append(record, true)
-		r.crumbs.Broadcast()
+		r.recordsAdded.Broadcast()
 	}
 }
 
@@ -116,8 +116,8 @@
 	if !r.mayAct(decision) || r.core.Restricted() {
 		return
 	}
-	var answer LedAnswer
-	err := r.followed.Ask(OrdersPath, OrdersQuestion{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &answer, actPatience, decision.NotAfter)
+	var answer LedResponse
+	err := r.follower.Ask(OrdersPath, OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &answer, actPatience, decision.NotAfter)
 	r.observe("orders_given", "orders", decision.Orders, "trouble", err)
 }
 
@@ -139,14 +139,14 @@
 		r.Apply(event)
 		return
 	}
-	question := ClaimQuestion{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
+	question := ClaimRequest{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
 		At: r.runtime.Wall(), Cause: r.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
 	// that the request never ran, and when to come back.
 	ends := r.runtime.Now().Add(claimTime)
 	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(ends) && r.runtime.Now().Before(r.core.ServesUntil()) {
-		var answer LedAnswer
-		err := r.followed.Ask(ClaimPath, question, &answer, time.Second, ends)
+		var answer LedResponse
+		err := r.follower.Ask(ClaimPath, question, &answer, time.Second, ends)
 		switch kind := failure.KindOf(err); {
 		case err == nil && answer.Leads:
 			event.Outcome = auction.Done
--- a/internal/hatch/delta.go
+++ b/internal/hatch/delta.go
@@ -18,13 +18,13 @@
 	Checksum uint32              `msgpack:"checksum"`
 }
 
-// leastDelta is the size from which a section is worth a delta.
-const leastDelta = 256
+// MinDeltaContent is the size from which a section is worth a delta.
+const MinDeltaContent = 256
 
 var deltaTable = crc32.MakeTable(crc32.Castagnoli)
 
-// makeDelta compares two contents from both ends.
-func makeDelta(base, target replication.Section) Delta {
+// NewDelta compares two contents from both ends.
+func NewDelta(base, target replication.Section) Delta {
 	least := min(len(base.Content), len(target.Content))
 	prefix := 0
 	// Blocks first: a large content is mostly the same.
@@ -43,7 +43,7 @@
 }
 
 // apply makes the new content of the old one; false means that it does not fit.
-func (d Delta) apply(base replication.Section) (replication.Section, bool) {
+func (d Delta) Apply(base replication.Section) (replication.Section, bool) {
 	length := len(base.Content)
 	if d.Base != base.Version || d.Prefix < 0 || d.Suffix < 0 || d.Prefix > length || d.Suffix > length-d.Prefix {
 		return replication.Section{}, false
--- a/internal/hatch/delta_test.go
+++ b/internal/hatch/delta_test.go
@@ -19,8 +19,8 @@
 		end := min(at+gone, len(base.Content))
 		content := append(append(bytes.Clone(base.Content[:at]), bytes.Repeat([]byte{byte(random.IntN(256))}, random.IntN(300))...), base.Content[end:]...)
 		target := replication.Section{Version: replication.Version{Epoch: 1, Number: number + 2}, Content: content}
-		delta := makeDelta(base, target)
-		made, fits := delta.apply(base)
+		delta := NewDelta(base, target)
+		made, fits := delta.Apply(base)
 		if !fits || !bytes.Equal(made.Content, target.Content) || made.Version != target.Version {
 			t.Fatalf("edit %d at %d: fits %v, %d bytes of %d", number, at, fits, len(made.Content), len(target.Content))
 		}
@@ -28,7 +28,7 @@
 			t.Fatalf("edit %d sends %d bytes", number, len(delta.Middle))
 		}
 		if other := (replication.Section{Version: base.Version, Content: append([]byte("x"), base.Content...)}); at > 0 {
-			if _, fits := delta.apply(other); fits {
+			if _, fits := delta.Apply(other); fits {
 				t.Fatalf("edit %d fits another content", number)
 			}
 		}
@@ -40,20 +40,20 @@
 // wrong: it must not take it, and must ask for the whole.
 func TestFollowerAsksAnewWhenADeltaDoesNotFit(t *testing.T) {
 	taken := 0
-	follower := NewFollower(hookless{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
+	follower := NewFollower(fixedRuntime{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
 	first := replication.Section{Version: replication.Version{Epoch: 1, Number: 1}, Content: bytes.Repeat([]byte("a"), 5000)}
 	second := replication.Section{Version: replication.Version{Epoch: 1, Number: 2}, Content: append(bytes.Repeat([]byte("a"), 5000), 'b')}
-	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
-	delta := makeDelta(first, second)
+	follower.Take(fixedRuntime{}.Now(), UpdateResponse{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
+	delta := NewDelta(first, second)
 	delta.Checksum++
-	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
-	question, _ := follower.pollQuestion()
+	follower.Take(fixedRuntime{}.Now(), UpdateResponse{Leads: true, Configuration: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
+	question, _ := follower.pollRequest()
 	if _, told := question.Have[replication.ConfigurationSection]; told || taken != 1 {
 		t.Fatalf("a delta that does not fit was taken: %d answers, the node says that it has %v", taken, question.Have)
 	}
 	delta.Checksum--
-	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
-	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
+	follower.Take(fixedRuntime{}.Now(), UpdateResponse{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
+	follower.Take(fixedRuntime{}.Now(), UpdateResponse{Leads: true, Configuration: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
 	if got := follower.Section(replication.ConfigurationSection); got.Version != second.Version || !bytes.Equal(got.Content, second.Content) {
 		t.Fatalf("the node has %s after the delta", got.Version)
 	}
--- a/internal/hatch/edit.go
+++ b/internal/hatch/edit.go
@@ -43,7 +43,7 @@
 		return version, err
 	}
 	// The same change sent again is answered with the version that holds now.
-	if _, view, err := c.Ruling(); err == nil && view.VersionOf(replication.ConfigurationSection).Before(version) {
+	if _, view, err := c.Leading(); err == nil && view.VersionOf(replication.ConfigurationSection).Before(version) {
 		version = view.VersionOf(replication.ConfigurationSection)
 	}
 	if !c.awaitInForce(current, version) {
@@ -69,7 +69,7 @@
 func (c *Controller) change(edit Edit) (*Term, replication.Version, error) {
 	ends := c.runtime.Now().Add(changePatience)
 	for {
-		current, view, err := c.Ruling()
+		current, view, err := c.Leading()
 		if err != nil {
 			return nil, replication.Version{}, err
 		}
@@ -79,10 +79,10 @@
 		}
 		large := len(section.Content) >= replication.LargeConfiguration
 		if large {
-			if !c.takeEditTurn(ends) {
+			if !c.beginEdit(ends) {
 				return nil, replication.Version{}, failure.New(failure.Busy, "other changes of this large configuration go first; ask again")
 			}
-			if _, newest, err := c.Ruling(); err == nil {
+			if _, newest, err := c.Leading(); err == nil {
 				section = newest.Sections[replication.ConfigurationSection]
 			}
 		}
@@ -92,7 +92,7 @@
 		}
 		version, err := c.submit(replication.ChangeConfiguration(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changePatience)
 		if large {
-			c.giveEditTurn()
+			c.endEdit()
 		}
 		if failure.KindOf(err) != failure.Moved {
 			return current, version, err
@@ -118,8 +118,8 @@
 	return false
 }
 
-func (c *Controller) takeEditTurn(ends time.Time) bool {
-	return c.edits.Wait(ends.Sub(c.runtime.Now()), func() bool {
+func (c *Controller) beginEdit(ends time.Time) bool {
+	return c.editTurn.Wait(ends.Sub(c.runtime.Now()), func() bool {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		taken := c.editing
@@ -128,11 +128,11 @@
 	})
 }
 
-func (c *Controller) giveEditTurn() {
+func (c *Controller) endEdit() {
 	c.mutex.Lock()
 	c.editing = false
 	c.mutex.Unlock()
-	c.edits.Broadcast()
+	c.editTurn.Broadcast()
 }
 
 // SetAcknowledgeWait chooses how long a committed change waits for routers that are
@@ -152,8 +152,8 @@
 	for c.runtime.Now().Before(ends) {
 		lost := false
 		// Holds run out without a ring: the wait is cut into short ones.
-		over := c.confirmed.Wait(50*time.Millisecond, func() bool {
-			ruling, view, err := c.Ruling()
+		over := c.confirmations.Wait(50*time.Millisecond, func() bool {
+			ruling, view, err := c.Leading()
 			if err != nil || ruling != current {
 				lost = true
 				return true
@@ -166,7 +166,7 @@
 			now := c.runtime.Now()
 			if wait > 0 {
 				// A question that is held back counts from when it came.
-				everywhere = now.Sub(committed) >= wait || len(current.behind(now, version, max(wait, loadsWait+roundTrip))) == 0
+				everywhere = now.Sub(committed) >= wait || len(current.behind(now, version, max(wait, LoadsWait+roundTrip))) == 0
 			} else {
 				everywhere = len(current.Lagging(now, version, state)) == 0
 			}
@@ -181,7 +181,7 @@
 
 // Retire takes a stopped member out of the record.
 func (c *Controller) Retire(name string) (replication.Version, error) {
-	current, _, err := c.Ruling()
+	current, _, err := c.Leading()
 	if err != nil {
 		return replication.Version{}, err
 	}
--- a/internal/hatch/edit_test.go
+++ b/internal/hatch/edit_test.go
@@ -102,7 +102,7 @@
 	for range 200 {
 		waited.Wait(20*time.Millisecond, func() bool { return false })
 		for _, node := range formed.nodes {
-			if _, _, err := node.Ruling(); err == nil && node != primary && !node.Coordinator().Membership().Backup.Empty() {
+			if _, _, err := node.Leading(); err == nil && node != primary && !node.Coordinator().Membership().Backup.Empty() {
 				next = node
 			}
 		}
--- a/internal/hatch/editions.go
+++ b/internal/hatch/editions.go
@@ -25,7 +25,7 @@
 func (r *revisions) towards(newest replication.Section, have replication.Version) (Delta, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(newest.Content) < leastDelta {
+	if len(newest.Content) < MinDeltaContent {
 		return Delta{}, false
 	}
 	if count := len(r.shown); count == 0 || r.shown[count-1].Version != newest.Version {
@@ -45,7 +45,7 @@
 	}
 	for _, section := range r.shown {
 		if section.Version == have && have != newest.Version {
-			delta := makeDelta(section, newest)
+			delta := NewDelta(section, newest)
 			r.made[have] = delta
 			return delta, len(delta.Middle) < len(newest.Content)/2
 		}
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -20,21 +20,21 @@
 // keeper on its disk, and, while it is primary, the answers to nodes and
 // operators.
 type Controller struct {
-	runtime     runtime.Runtime
-	line        Hotline
-	options     ControllerOptions
-	observe     func(event string, detail ...any)
-	witness     *replication.Witness
-	store       *replication.Store
-	coordinator *replication.Coordinator
-	followed    *Follower
-	answers     Answers
-	update      runtime.Cond
-	terms       runtime.Cond
-	lists       lists
-	work        runtime.Cond
-	confirmed   runtime.Cond
-	edits       runtime.Cond
+	runtime       runtime.Runtime
+	client        Client
+	options       ControllerOptions
+	observe       func(event string, detail ...any)
+	witness       *replication.Witness
+	store         *replication.Store
+	coordinator   *replication.Coordinator
+	follower      *Follower
+	handlerTable  Handlers
+	updated       runtime.Cond
+	termBegan     runtime.Cond
+	lists         lists
+	pending       runtime.Cond
+	confirmations runtime.Cond
+	editTurn      runtime.Cond
 
 	submitted          atomic.Uint64
 	updateAnswers      atomic.Uint64
@@ -46,12 +46,12 @@
 	mutex sync.Mutex
 	term  *Term
 	// epoch is that of the newest membership that was told to those who ask for news.
-	epoch    uint64
-	nodes    []string
-	members  map[string]membership.Member
-	mending  bool
-	mendedAt time.Time
-	editing  bool
+	epoch      uint64
+	nodes      []string
+	members    map[string]membership.Member
+	repairing  bool
+	repairedAt time.Time
+	editing    bool
 }
 
 // The pauses of a controller's rounds. The values are ours.
@@ -61,8 +61,8 @@
 	sweepPause        = 5 * time.Second
 	commitPause       = 100 * time.Millisecond
 	// idlePause lies between two looks when there is nothing to do.
-	idlePause = time.Second
-	mendPause = time.Second
+	idlePause      = time.Second
+	repairInterval = time.Second
 	// leavePause lies between two looks of a controller that leaves.
 	leavePause = 20 * time.Millisecond
 	// horizonPause is the time between two moves of the claims' horizon.
@@ -71,7 +71,7 @@
 
 // OpenController opens what the disk holds. A blank or damaged keeper's storage is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenController(rt runtime.Runtime, line Hotline, keeping, c replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
+func OpenController(rt runtime.Runtime, line Client, keeping, c replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(rt.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -92,10 +92,10 @@
 	}
 	witness.Guard(runtime.NewLock(rt))
 	copied.Guard(runtime.NewLock(rt))
-	controller := &Controller{runtime: rt, line: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
-		update: rt.NewCond(), terms: rt.NewCond(), work: rt.NewCond(), confirmed: rt.NewCond(), edits: rt.NewCond()}
+	controller := &Controller{runtime: rt, client: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
+		updated: rt.NewCond(), termBegan: rt.NewCond(), pending: rt.NewCond(), confirmations: rt.NewCond(), editTurn: rt.NewCond()}
 	controller.store.Guard(runtime.NewLock(rt))
-	controller.coordinator = replication.NewCoordinator(rt, options.Seeds, witness, controller.store, &peers{line: line}, observe)
+	controller.coordinator = replication.NewCoordinator(rt, options.Seeds, witness, controller.store, &peers{client: line}, observe)
 	if options.JoinsOnly {
 		controller.coordinator.JoinOnly()
 	}
@@ -104,12 +104,12 @@
 	controller.coordinator.Bear(options.BorneLosses, options.Zone)
 	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.Repair().String(), "margin", timing.Margin().String())
 	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	controller.followed = NewFollower(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
-	controller.followed.Follow(options.Directory != nil, false)
+	controller.follower = NewFollower(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
+	controller.follower.Follow(options.Directory != nil, false)
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
 	// Who was recorded when this disk was written last may know where the core is now.
 	controller.takeMembers(Update{Changed: copied.Sections()})
-	controller.answers = controller.table()
+	controller.handlerTable = controller.handlers()
 	return controller, blank, nil
 }
 
@@ -130,7 +130,7 @@
 		return func() { runtime.Every(c.runtime, pause, task) }
 	}
 	rounds := []func(){every(tickPause, c.tick), c.keepHouse, every(sweepPause, c.sweep),
-		c.commit, c.followed.Run}
+		c.commit, c.follower.Run}
 	if c.options.Directory != nil {
 		rounds = append(rounds, c.readServers, c.readNodes)
 	}
@@ -155,7 +155,7 @@
 // SetSeeds exchanges the seeds, after a reload.
 func (c *Controller) SetSeeds(seeds []string) {
 	c.coordinator.SetSeeds(seeds)
-	c.followed.SetSeeds(seeds)
+	c.follower.SetSeeds(seeds)
 }
 
 // Servers is the platform's list as it was read last.
@@ -209,7 +209,7 @@
 			contacts = append(contacts, address)
 		}
 	}
-	c.followed.SetContacts(contacts, p)
+	c.follower.SetContacts(contacts, p)
 }
 
 // Witness is the witness on this disk.
@@ -222,7 +222,7 @@
 func (c *Controller) Coordinator() *replication.Coordinator { return c.coordinator }
 
 // Heard is when a primary answered this node last.
-func (c *Controller) Heard() time.Time { return c.followed.Heard() }
+func (c *Controller) Heard() time.Time { return c.follower.Heard() }
 
 // UpdateCounts tells how many answers, bytes of sections and configurations went
 // out.
@@ -248,19 +248,19 @@
 	c.mutex.Unlock()
 	if begun {
 		c.lists.begin(c.coordinator.Membership().Epoch)
-		c.terms.Broadcast()
+		c.termBegan.Broadcast()
 	}
 	if ended {
 		c.lists.end()
 	}
 	if ended || moved {
-		c.update.Broadcast()
+		c.updated.Broadcast()
 	}
 }
 
-// Ruling gives the term and the committed view if this controller is primary at
+// Leading gives the term and the committed view if this controller is primary at
 // this moment.
-func (c *Controller) Ruling() (*Term, *replication.View, error) {
+func (c *Controller) Leading() (*Term, *replication.View, error) {
 	c.mutex.Lock()
 	current := c.term
 	c.mutex.Unlock()
@@ -275,7 +275,7 @@
 // was taken, so that it was the newest at some moment of the call. The copies
 // that it finds old are mended.
 func (c *Controller) Read() (*Term, *replication.View, *replication.State, error) {
-	current, view, err := c.Ruling()
+	current, view, err := c.Leading()
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -286,7 +286,7 @@
 	if !c.coordinator.Holds() {
 		return nil, nil, nil, failure.New(failure.NoPrimary, "the hold ran out")
 	}
-	c.runtime.Go(func() { c.mendCopies(view) })
+	c.runtime.Go(func() { c.repairCopies(view) })
 	return current, view, state, nil
 }
 
@@ -323,7 +323,7 @@
 		if c.store.Waiting() {
 			pause = commitPause
 		}
-		c.work.Wait(pause, func() bool { return c.submitted.Load() != seen })
+		c.pending.Wait(pause, func() bool { return c.submitted.Load() != seen })
 	}
 }
 
@@ -343,7 +343,7 @@
 		return false
 	}
 	if !batch.Empty() {
-		c.update.Broadcast()
+		c.updated.Broadcast()
 	}
 	return true
 }
@@ -366,7 +366,7 @@
 	var missing error
 	waits := 0
 	replicate := func(backup replication.Replica) {
-		err := (&peers{line: c.line}).Replicate(c.coordinator.Address(backup), backup.Identity, membership.Epoch, batch)
+		err := (&peers{client: c.client}).Replicate(c.coordinator.Address(backup), backup.Identity, membership.Epoch, batch)
 		c.coordinator.BackupAnswered(backup.Identity, err == nil)
 		mutex.Lock()
 		missing = multierr.Append(missing, err)
@@ -408,7 +408,7 @@
 func (c *Controller) queue(change replication.Change, done replication.Done) {
 	c.store.Submit(change, done)
 	c.submitted.Add(1)
-	c.work.Broadcast()
+	c.pending.Broadcast()
 }
 
 // submit waits until a change is synced on every copy in sync. When that can't be
--- a/internal/hatch/expediter_test.go
+++ b/internal/hatch/expediter_test.go
@@ -42,8 +42,8 @@
 		hooks[hooked] = hooked
 		return hooked
 	})
-	question := UpdateQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
-	if _, err := primary.answerUpdate(question); err != nil {
+	question := UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
+	if _, err := primary.serveUpdate(question); err != nil {
 		t.Fatal(err)
 	}
 	asked, committed := 0, false
@@ -52,7 +52,7 @@
 		// other controllers ask for news meanwhile, in threads of their own, on whose stacks
 		// only this hook bears the test's name.
 		stack := string(debug.Stack())
-		if !strings.Contains(stack, "TestGrantSeesAConfigurationThatComesMeanwhile(") || !strings.Contains(stack, ").answerUpdate(") || strings.Contains(stack, ").Holds(") {
+		if !strings.Contains(stack, "TestGrantSeesAConfigurationThatComesMeanwhile(") || !strings.Contains(stack, ").serveUpdate(") || strings.Contains(stack, ").Holds(") {
 			return
 		}
 		if asked++; asked != 2 {
@@ -63,7 +63,7 @@
 	}
 	question.Patience = 0
 	hooks[primary.runtime].hook.Store(&hook)
-	answer, err := primary.answerUpdate(question)
+	answer, err := primary.serveUpdate(question)
 	if err != nil || !committed {
 		t.Fatalf("committed meanwhile: %v, %v", committed, err)
 	}
@@ -76,14 +76,14 @@
 // newer one's.
 func TestFollowerPassesOlderUpdateOver(t *testing.T) {
 	taken := 0
-	follower := NewFollower(hookless{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
+	follower := NewFollower(fixedRuntime{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
 	newer, older := replication.Version{Epoch: 3, Number: 9}, replication.Version{Epoch: 2, Number: 8}
-	update := func(version replication.Version) UpdateAnswer {
-		return UpdateAnswer{Leads: true, Configuration: version, Sections: map[string]replication.Section{replication.ConfigurationSection: {Version: version}}}
+	update := func(version replication.Version) UpdateResponse {
+		return UpdateResponse{Leads: true, Configuration: version, Sections: map[string]replication.Section{replication.ConfigurationSection: {Version: version}}}
 	}
-	follower.takeAnswer(hookless{}.Now(), update(newer))
-	follower.takeAnswer(hookless{}.Now(), update(older))
-	follower.takeAnswer(hookless{}.Now(), UpdateAnswer{Leads: true, Configuration: older})
+	follower.Take(fixedRuntime{}.Now(), update(newer))
+	follower.Take(fixedRuntime{}.Now(), update(older))
+	follower.Take(fixedRuntime{}.Now(), UpdateResponse{Leads: true, Configuration: older})
 	if got := follower.Section(replication.ConfigurationSection).Version; taken != 1 || got != newer {
 		t.Fatalf("%d answers were taken, the node has %s", taken, got)
 	}
@@ -97,14 +97,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for path, answer := range primary.Answers() {
+	for path, answer := range primary.Handlers() {
 		for _, body := range [][]byte{nil, []byte("garbage"), strange} {
 			if _, err := answer(body); failure.KindOf(err) == failure.Unsorted {
 				t.Errorf("%s: %v", path, err)
 			}
 		}
 	}
-	if _, err := primary.Answers().Answer("/nowhere", nil); failure.KindOf(err) != failure.NoSuch {
+	if _, err := primary.Handlers().Handle("/nowhere", nil); failure.KindOf(err) != failure.NoSuch {
 		t.Errorf("an unknown path: %v", err)
 	}
 }
--- a/internal/hatch/fleet_test.go
+++ b/internal/hatch/fleet_test.go
@@ -68,7 +68,7 @@
 	if node == nil {
 		return nil, failure.New(failure.Unreachable, address)
 	}
-	return node.Answers().Answer(path, body)
+	return node.Handlers().Handle(path, body)
 }
 
 // hookedRuntime has something done whenever the time is asked for.
@@ -115,7 +115,7 @@
 		// The bell rings with each step of the core; a pair makes it writable.
 		changed.Wait(100*time.Millisecond, func() bool {
 			for _, node := range formed.nodes {
-				if _, _, err := node.Ruling(); err == nil && !node.Coordinator().Membership().Backup.Empty() {
+				if _, _, err := node.Leading(); err == nil && !node.Coordinator().Membership().Backup.Empty() {
 					primary = node
 				}
 			}
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -15,7 +15,7 @@
 // it has and is answered when there is news.
 type Follower struct {
 	runtime runtime.Runtime
-	line    Hotline
+	client  Client
 	member  membership.Member
 	inForce func() replication.Version
 	take    func(Update)
@@ -23,14 +23,14 @@
 	mutex   sync.Mutex
 	primary string
 	// current tells that the present primary has answered in full.
-	current    bool
-	seeds      []string
-	contacts   []string
-	peers      []string
-	sections   map[string]replication.Section
-	membership replication.Membership
-	heard      time.Time
-	dark       map[string]time.Time
+	current     bool
+	seeds       []string
+	contacts    []string
+	peers       []string
+	sections    map[string]replication.Section
+	membership  replication.Membership
+	heard       time.Time
+	unreachable map[string]time.Time
 
 	// provisional tells that a configuration may be taken from copies, unconfirmed is
 	// the version of one that no primary has confirmed yet.
@@ -52,7 +52,7 @@
 // Update is one answer of the primary, as the node takes it.
 type Update struct {
 	Asked   time.Time
-	Answer  UpdateAnswer
+	Answer  UpdateResponse
 	Changed map[string]replication.Section
 	// Provisional tells that the sections are those of a copy and no primary's word.
 	Provisional bool
@@ -71,11 +71,11 @@
 }
 
 const (
-	// updateWait is how long the primary holds a question back without news.
-	updateWait = 600 * time.Millisecond
-	// loadsWait is that of a node that follows reports: a little longer than reports
+	// UpdateWait is how long the primary holds a question back without news.
+	UpdateWait = 600 * time.Millisecond
+	// LoadsWait is that of a node that follows reports: a little longer than reports
 	// come in calm times, so that each round needs one answer only.
-	loadsWait = updateWait + 200*time.Millisecond
+	LoadsWait = UpdateWait + 200*time.Millisecond
 	// answerMargin is how much longer than the primary may hold a question back the
 	// answer may take. After that the primary counts as silent.
 	answerMargin = 300 * time.Millisecond
@@ -91,15 +91,15 @@
 	searchPatience = 500 * time.Millisecond
 	// retryPause is the pause after a round in which nobody led.
 	retryPause = 80 * time.Millisecond
-	// darkTime is how long an address that did not answer is asked last.
-	darkTime = 3 * time.Second
+	// unreachableTime is how long an address that did not answer is asked last.
+	unreachableTime = 3 * time.Second
 )
 
 // NewFollower makes a follower for a member. Take is called for every answer,
 // in turn.
-func NewFollower(rt runtime.Runtime, line Hotline, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
-	return &Follower{runtime: rt, line: line, member: member, seeds: seeds, inForce: inForce, take: take,
-		sections: map[string]replication.Section{}, dark: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
+func NewFollower(rt runtime.Runtime, line Client, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
+	return &Follower{runtime: rt, client: line, member: member, seeds: seeds, inForce: inForce, take: take,
+		sections: map[string]replication.Section{}, unreachable: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
 }
 
 // DefaultApplyWithin is how soon a change has to be in force when nobody said.
@@ -120,9 +120,9 @@
 // waits are how long a question may be held back, and how much longer its answer may take.
 // The caller has the mutex.
 func (f *Follower) waits() (held, margin time.Duration) {
-	held = updateWait
+	held = UpdateWait
 	if f.loads {
-		held = loadsWait
+		held = LoadsWait
 	}
 	return min(held, f.applyWithin*2/5), min(answerMargin, f.applyWithin*3/20)
 }
@@ -134,8 +134,8 @@
 	f.lists, f.loads = l, loads
 }
 
-// TellFailing gives the way to the servers that failed requests lately: each is told once.
-func (f *Follower) TellFailing(failing func() []string) {
+// OnFailing gives the way to the servers that failed requests lately: each is told once.
+func (f *Follower) OnFailing(failing func() []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.failing = failing
@@ -207,47 +207,47 @@
 // poll asks the primary once and takes its answer. One that is silent is looked for
 // anew: its successor may have been elected.
 func (f *Follower) poll(address string) {
-	question, patience := f.pollQuestion()
+	question, patience := f.pollRequest()
 	asked := f.runtime.Now()
-	var answer UpdateAnswer
-	err := Call(f.line, address, UpdatePath, question, &answer, patience)
+	var answer UpdateResponse
+	err := Call(f.client, address, UpdatesPath, question, &answer, patience)
 	if err != nil {
-		if unheard(err) {
+		if noPrimaryReached(err) {
 			f.forget(address)
 			return
 		}
 		runtime.Sleep(f.runtime, retryPause)
 		return
 	}
-	f.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
-	if answer.Leads && !f.takeAnswer(asked, answer) {
+	f.learn(address, leaderResponse{Leads: answer.Leads, Membership: answer.Membership})
+	if answer.Leads && !f.Take(asked, answer) {
 		runtime.Sleep(f.runtime, retryPause)
 	}
 }
 
-// briefQuestion asks only who leads, and what the copies are like: a whole fleet asks it at
+// leaderRequest asks only who leads, and what the copies are like: a whole fleet asks it at
 // once after a loss.
-func (f *Follower) briefQuestion() UpdateQuestion {
-	question := f.searchQuestion()
+func (f *Follower) leaderRequest() UpdateRequest {
+	question := f.searchRequest()
 	question.Brief = true
 	return question
 }
 
-// searchQuestion is to be answered at once, so that those who are dark cost little time.
-func (f *Follower) searchQuestion() UpdateQuestion {
+// searchRequest is to be answered at once, so that those who are dark cost little time.
+func (f *Follower) searchRequest() UpdateRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	question := f.question()
+	question := f.request()
 	question.Provisional = f.provisional && len(question.Have) == 0
 	return question
 }
 
-// pollQuestion is held back by the primary until there is news. The first one to a primary
+// pollRequest is held back by the primary until there is news. The first one to a primary
 // is answered at once; it may bring a whole configuration.
-func (f *Follower) pollQuestion() (UpdateQuestion, time.Duration) {
+func (f *Follower) pollRequest() (UpdateRequest, time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	question := f.question()
+	question := f.request()
 	_, has := f.sections[replication.ConfigurationSection]
 	switch {
 	case !f.current && !has:
@@ -264,21 +264,21 @@
 }
 
 // question tells what the node has. The caller has the mutex.
-func (f *Follower) question() UpdateQuestion {
+func (f *Follower) request() UpdateRequest {
 	have := map[string]replication.Version{}
 	for name, section := range f.sections {
 		have[name] = section.Version
 	}
-	return UpdateQuestion{Member: f.member, Have: have, InForce: f.inForce(), Deltas: true, Membership: f.membership.Epoch,
+	return UpdateRequest{Member: f.member, Have: have, InForce: f.inForce(), Deltas: true, Membership: f.membership.Epoch,
 		Lists: f.lists, ListMark: f.listMark, Loads: f.loads, LoadsMark: f.loadsMark}
 }
 
-// takeAnswer takes a primary's answer and tells whether it did: an older primary's word
+// Take takes a primary's answer and tells whether it did: an older primary's word
 // is passed over, since versions never go back.
-func (f *Follower) takeAnswer(asked time.Time, answer UpdateAnswer) bool {
+func (f *Follower) Take(asked time.Time, answer UpdateResponse) bool {
 	f.mutex.Lock()
 	for name, delta := range answer.Deltas {
-		section, fits := delta.apply(f.sections[name])
+		section, fits := delta.Apply(f.sections[name])
 		if !fits {
 			// The next question asks for the whole; this answer's hold is not used.
 			delete(f.sections, name)
@@ -334,7 +334,7 @@
 		update.Outliers = said.Outliers
 		late := f.runtime.Now().Sub(told)
 		for _, line := range said.Lines {
-			update.Loads = append(update.Loads, line.load(late))
+			update.Loads = append(update.Loads, line.Load(late))
 		}
 	}
 }
--- a/internal/hatch/follower_test.go
+++ b/internal/hatch/follower_test.go
@@ -18,11 +18,11 @@
 // as machines without power do.
 type darkLine struct {
 	mutex   sync.Mutex
-	answers map[string]UpdateAnswer
+	answers map[string]UpdateResponse
 	closed  chan struct{}
 }
 
-func (d *darkLine) set(address string, answer *UpdateAnswer) {
+func (d *darkLine) set(address string, answer *UpdateResponse) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if answer == nil {
@@ -36,14 +36,14 @@
 	d.mutex.Lock()
 	answer, lit := d.answers[address]
 	d.mutex.Unlock()
-	if !lit || path != UpdatePath {
+	if !lit || path != UpdatesPath {
 		select {
 		case <-time.After(patience):
 		case <-d.closed:
 		}
 		return nil, failure.New(failure.Unreachable, address)
 	}
-	var question UpdateQuestion
+	var question UpdateRequest
 	if err := msgpack.Unmarshal(body, &question); err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			line := &darkLine{answers: map[string]UpdateAnswer{}, closed: make(chan struct{})}
+			line := &darkLine{answers: map[string]UpdateResponse{}, closed: make(chan struct{})}
 			defer close(line.closed)
 			rt := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
@@ -96,12 +96,12 @@
 			follower.SetContacts([]string{"old3", "old4", "old5", "old6"}, p)
 			before, after := seats("old"), seats("new")
 			before.Epoch, after.Epoch = 4, 19
-			line.set("old0", &UpdateAnswer{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
+			line.set("old0", &UpdateResponse{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
 			rt.Go(follower.Run)
 			<-taken
-			line.set(fmt.Sprintf("courier%d", row.lit), &UpdateAnswer{Membership: after})
+			line.set(fmt.Sprintf("courier%d", row.lit), &UpdateResponse{Membership: after})
 			newest := replication.Version{Epoch: 19, Number: 33}
-			line.set("new0", &UpdateAnswer{Leads: true, Membership: after, Configuration: newest, Hold: time.Second})
+			line.set("new0", &UpdateResponse{Leads: true, Membership: after, Configuration: newest, Hold: time.Second})
 			lost := time.Now()
 			line.set("old0", nil)
 			for found := false; !found; {
@@ -124,16 +124,16 @@
 func TestFollowerHearsOfAMembershipBeforeItIsNeeded(t *testing.T) {
 	_, primary := newCore(t, plain)
 	m := primary.Coordinator().Membership()
-	known := UpdateQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router}, Membership: m.Epoch - 1}
-	if !primary.newerMembership(known) {
+	known := UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router}, Membership: m.Epoch - 1}
+	if !primary.hasNewerMembership(known) {
 		t.Error("a question by an older charter is held back")
 	}
 	known.Membership = m.Epoch
-	if primary.newerMembership(known) {
+	if primary.hasNewerMembership(known) {
 		t.Error("a question by the newest charter is answered for nothing")
 	}
 	known.Membership = 0
-	if primary.newerMembership(known) {
+	if primary.hasNewerMembership(known) {
 		t.Error("an older release's question, which tells no charter, is never held back")
 	}
 }
@@ -142,8 +142,8 @@
 // recorded by that, no lease is given, and no configuration goes out.
 func TestABriefQuestionIsAnsweredWithoutContent(t *testing.T) {
 	_, primary := newCore(t, plain)
-	question := UpdateQuestion{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
-	answer, err := primary.answerUpdate(question)
+	question := UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
+	answer, err := primary.serveUpdate(question)
 	if err != nil || !answer.Leads || answer.Membership.Blank() {
 		t.Fatalf("%+v %v", answer, err)
 	}
--- a/internal/hatch/fuzz_test.go
+++ b/internal/hatch/fuzz_test.go
@@ -46,9 +46,9 @@
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
-	paths := []string{HelloPath, PreparePath, AcceptPath, ConfirmPath, ReplicatePath, InstallPath, RefreshPath, UpdatePath, ClaimPath, OrdersPath}
+	paths := []string{HelloPath, PreparePath, AcceptPath, ConfirmPath, ReplicatePath, InstallPath, RefreshPath, UpdatesPath, ClaimPath, OrdersPath}
 	for number := range paths {
-		for _, seed := range []any{replication.Hello{}, keeperQuestion{To: "disk-a", Epoch: 1}, replicateQuestion{To: "disk-a"}, UpdateQuestion{}, []codec.Record{{}}} {
+		for _, seed := range []any{replication.Hello{}, WitnessRequest{To: "disk-a", Epoch: 1}, ReplicateRequest{To: "disk-a"}, UpdateRequest{}, []codec.Record{{}}} {
 			body, err := msgpack.Marshal(seed)
 			if err != nil {
 				fuzzing.Fatal(err)
@@ -58,7 +58,7 @@
 	}
 	fuzzing.Fuzz(func(t *testing.T, number int, body []byte) {
 		path := paths[max(number, -number)%len(paths)]
-		if _, err := node.Answers().Answer(path, body); err != nil && failure.KindOf(err) == failure.Unsorted {
+		if _, err := node.Handlers().Handle(path, body); err != nil && failure.KindOf(err) == failure.Unsorted {
 			t.Fatalf("%s %x: an untyped failure: %v", path, body, err)
 		}
 	})
--- a/internal/hatch/hotline.go
+++ b/internal/hatch/hotline.go
@@ -12,14 +12,14 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Hotline is the port to other processes. A call ends within its patience; a
+// Client is the port to other processes. A call ends within its patience; a
 // failure of kind Unreachable or Garbage says that no answer was had.
-type Hotline interface {
+type Client interface {
 	CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error)
 }
 
 // Call sends a message and reads the answer, within the patience.
-func Call(line Hotline, address, path string, question, answer any, patience time.Duration) error {
+func Call(line Client, address, path string, question, answer any, patience time.Duration) error {
 	body, err := msgpack.Marshal(question)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
@@ -32,9 +32,9 @@
 }
 
 // answerer turns an encoded question into an encoded answer.
-type answerer func(body []byte) ([]byte, error)
+type Handler func(body []byte) ([]byte, error)
 
-func answering[Question, Answer any](answer func(question Question) (Answer, error)) answerer {
+func HandlerFor[Question, Answer any](answer func(question Question) (Answer, error)) Handler {
 	return func(body []byte) ([]byte, error) {
 		var question Question
 		if err := msgpack.Unmarshal(body, &question); err != nil {
@@ -49,11 +49,11 @@
 	}
 }
 
-// Answers holds what a process answers on its hotline, by path.
-type Answers map[string]answerer
+// Handlers holds what a process answers on its hotline, by path.
+type Handlers map[string]Handler
 
-// Answer answers one message.
-func (a Answers) Answer(path string, body []byte) ([]byte, error) {
+// Handle answers one message.
+func (a Handlers) Handle(path string, body []byte) ([]byte, error) {
 	answer, found := a[path]
 	if !found {
 		return nil, failure.New(failure.NoSuch, "no such path: "+path)
@@ -62,4 +62,4 @@
 }
 
 // nothing is an answer without content.
-type nothing struct{}
+type Empty struct{}
--- a/internal/hatch/housekeeping.go
+++ b/internal/hatch/housekeeping.go
@@ -13,7 +13,7 @@
 func (c *Controller) keepHouse() {
 	for c.runtime.Alive() {
 		if !c.lists.leading() {
-			c.terms.Wait(time.Minute, c.lists.leading)
+			c.termBegan.Wait(time.Minute, c.lists.leading)
 			continue
 		}
 		next := c.runtime.Now().Add(housekeepingPause)
@@ -27,7 +27,7 @@
 // housekeep does what a primary does without being asked: enable flags, give
 // duties, forget old claims.
 func (c *Controller) housekeep() {
-	current, view, err := c.Ruling()
+	current, view, err := c.Leading()
 	if err != nil {
 		return
 	}
@@ -81,7 +81,7 @@
 	}
 	listed := c.lists.servers(now)
 	c.mutex.Lock()
-	gone := current.gone(now, state, listed)
+	gone := current.goneServers(now, state, listed)
 	c.mutex.Unlock()
 	if len(gone) == 0 {
 		return
@@ -144,22 +144,22 @@
 	if mended, err := c.witness.Sweep(); mended || err != nil {
 		c.observe("keeper_swept", "mended", mended, "trouble", err)
 	}
-	if _, view, err := c.Ruling(); err == nil {
-		c.mendCopies(view)
+	if _, view, err := c.Leading(); err == nil {
+		c.repairCopies(view)
 	}
 }
 
-// mendCopies brings the copies up to date that are out of the pair and old:
+// repairCopies brings the copies up to date that are out of the pair and old:
 // after a read, which compares their versions with what it reads, and by the
 // sweep. One round runs at a time, and a second lies between two: under steady
 // writes a copy out of the pair is always a little old, and a whole one goes out
 // each time.
-func (c *Controller) mendCopies(view *replication.View) {
+func (c *Controller) repairCopies(view *replication.View) {
 	now := c.runtime.Now()
 	c.mutex.Lock()
-	rests := c.mending || now.Sub(c.mendedAt) < mendPause
+	rests := c.repairing || now.Sub(c.repairedAt) < repairInterval
 	if !rests {
-		c.mending, c.mendedAt = true, now
+		c.repairing, c.repairedAt = true, now
 	}
 	c.mutex.Unlock()
 	if rests {
@@ -168,12 +168,12 @@
 	defer func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.mending = false
+		c.repairing = false
 	}()
 	epoch := c.coordinator.Membership().Epoch
 	for _, replica := range c.coordinator.OldCopies(view.Version) {
-		question := installQuestion{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
-		err := Call(c.line, c.coordinator.Address(replica), RefreshPath, question, nil, installPatience)
+		question := InstallRequest{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
+		err := Call(c.client, c.coordinator.Address(replica), RefreshPath, question, nil, installPatience)
 		c.observe("copy_mended", "at", replica.Name, "version", view.Version.String(), "trouble", err)
 	}
 }
--- a/internal/hatch/installquestion.go
+++ b/internal/hatch/installquestion.go
@@ -2,8 +2,8 @@
 
 import "seamloom.example/seamloom/internal/replication"
 
-// installQuestion brings a whole copy.
-type installQuestion struct {
+// InstallRequest brings a whole copy.
+type InstallRequest struct {
 	To       replication.Identity `msgpack:"to"`
 	Snapshot replication.Snapshot `msgpack:"snapshot"`
 }
--- a/internal/hatch/keeperquestion.go
+++ b/internal/hatch/keeperquestion.go
@@ -2,9 +2,9 @@
 
 import "seamloom.example/seamloom/internal/replication"
 
-// keeperQuestion is any question to a keeper; To guards against another disk
+// WitnessRequest is any question to a keeper; To guards against another disk
 // that has come to the same address.
-type keeperQuestion struct {
+type WitnessRequest struct {
 	To         replication.Identity   `msgpack:"to"`
 	From       replication.Identity   `msgpack:"from"`
 	Epoch      uint64                 `msgpack:"epoch"`
--- a/internal/hatch/ledanswer.go
+++ b/internal/hatch/ledanswer.go
@@ -2,8 +2,8 @@
 
 import "seamloom.example/seamloom/internal/replication"
 
-// LedAnswer says whether its giver leads, and nothing besides.
-type LedAnswer struct {
+// LedResponse says whether its giver leads, and nothing besides.
+type LedResponse struct {
 	Leads      bool                   `msgpack:"leads"`
 	Membership replication.Membership `msgpack:"charter"`
 }
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -12,9 +12,9 @@
 
 // A router has the list of servers from the primary. The values are ours.
 const (
-	// listPatience is how old the list may be before the router reads it itself,
+	// ListTimeout is how old the list may be before the router reads it itself,
 	// firstListPatience how long a router that has none waits for the primary's.
-	listPatience      = 1500 * time.Millisecond
+	ListTimeout       = 1500 * time.Millisecond
 	firstListPatience = 300 * time.Millisecond
 	// ownListPause lies between two reads of its own, and up to ownListSpread more,
 	// so that the fleet does not read all at once; ownListShare is added for each
@@ -64,7 +64,7 @@
 		if err == nil {
 			r.takeServers(asked, servers)
 			// Whatever list the primary has is told anew, since this one differs.
-			r.followed.ForgetList()
+			r.follower.ForgetList()
 		}
 		r.observe("list_read_itself", "servers", len(servers), "trouble", err)
 		reads++
@@ -77,7 +77,7 @@
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
 	if at := r.listing.At(); !at.IsZero() {
-		return at.Add(listPatience + r.spread(0)/4)
+		return at.Add(ListTimeout + r.spread(0)/4)
 	}
 	return began.Add(firstListPatience + r.spread(0))
 }
@@ -97,7 +97,7 @@
 		if err == nil {
 			r.setNodes(nodes)
 		}
-		runtime.Sleep(r.runtime, nodesPause)
+		runtime.Sleep(r.runtime, NodesInterval)
 	}
 }
 
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -44,7 +44,7 @@
 	reportPause = 333 * time.Millisecond
 	// calmReportPause lies between two rounds while no server has much to do: then
 	// reports wake nobody whose question would not be answered by then anyway.
-	calmReportPause = updateWait
+	calmReportPause = UpdateWait
 	// calmShare is the part of its slots up to which a server has little to do, and
 	// calmRunning that of one which does not tell its slots.
 	calmShare   = 6
@@ -56,8 +56,8 @@
 	// reportKept is how long a report that no other followed is forwarded.
 	reportKept = 3 * time.Second
 	// wantedTime is how long after a router's last question reports are read for.
-	wantedTime = 3 * time.Second
-	nodesPause = 500 * time.Millisecond
+	wantedTime    = 3 * time.Second
+	NodesInterval = 500 * time.Millisecond
 )
 
 // mark tells one list, or one round of reports, from all others: an epoch has one
@@ -113,7 +113,7 @@
 func (l *lists) fresh(now time.Time) *ServersUpdate {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if at := l.listing.At(); at.IsZero() || now.Sub(at) >= listPatience {
+	if at := l.listing.At(); at.IsZero() || now.Sub(at) >= ListTimeout {
 		return nil
 	}
 	return &ServersUpdate{Age: now.Sub(l.listing.At()), Sent: true, Servers: l.listing.Servers(now)}
@@ -146,7 +146,7 @@
 }
 
 // newer tells whether there is a list or a round of reports that the asker has not.
-func (l *lists) newer(question UpdateQuestion) bool {
+func (l *lists) newer(question UpdateRequest) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return question.Lists && l.listMark() != 0 && l.listMark() != question.ListMark ||
@@ -154,7 +154,7 @@
 }
 
 // tell writes into an answer what the asker follows and has not.
-func (l *lists) tell(now time.Time, question UpdateQuestion, answer *UpdateAnswer) {
+func (l *lists) tell(now time.Time, question UpdateRequest, answer *UpdateResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if question.Loads {
@@ -170,15 +170,15 @@
 		answer.Loads = &LoadsUpdate{Mark: current, Outliers: l.outliers.Advice(now)}
 		for _, reported := range l.reports {
 			if age := now.Sub(reported.at); age < reportKept {
-				answer.Loads.Lines = append(answer.Loads.Lines, reportOf(reported.load, age))
+				answer.Loads.Lines = append(answer.Loads.Lines, ReportOf(reported.load, age))
 			}
 		}
-		slices.SortFunc(answer.Loads.Lines, func(left, right loadReport) int { return strings.Compare(left.Server, right.Server) })
+		slices.SortFunc(answer.Loads.Lines, func(left, right LoadReport) int { return strings.Compare(left.Server, right.Server) })
 	}
 }
 
 // noteFailing takes what a node met at servers.
-func (l *lists) noteFailing(now time.Time, question UpdateQuestion) {
+func (l *lists) noteFailing(now time.Time, question UpdateRequest) {
 	if !question.Loads {
 		return
 	}
@@ -256,14 +256,14 @@
 func (c *Controller) readServers() {
 	for c.runtime.Alive() {
 		if !c.lists.leading() {
-			c.terms.Wait(time.Minute, c.lists.leading)
+			c.termBegan.Wait(time.Minute, c.lists.leading)
 			continue
 		}
 		asked := c.runtime.Now()
 		servers, err := c.options.Directory.Servers()
 		// A list that could not be read leaves what is known as it is.
 		if err == nil && c.lists.take(asked, servers) {
-			c.update.Broadcast()
+			c.updated.Broadcast()
 		}
 		c.noteListTrouble(err)
 		if left := listPause - c.runtime.Now().Sub(asked); left > 0 {
@@ -289,7 +289,7 @@
 			servers, err := c.options.Directory.Servers()
 			if err == nil {
 				c.lists.take(asked, servers)
-				c.update.Broadcast()
+				c.updated.Broadcast()
 			}
 			c.noteListTrouble(err)
 		})
@@ -298,7 +298,7 @@
 		return nil
 	}
 	var told *ServersUpdate
-	c.update.Wait(provisionalPatience, func() bool {
+	c.updated.Wait(provisionalPatience, func() bool {
 		told = c.lists.fresh(c.runtime.Now())
 		return told != nil
 	})
@@ -325,14 +325,14 @@
 func (c *Controller) readReports() {
 	for c.runtime.Alive() {
 		if !c.lists.leading() {
-			c.terms.Wait(time.Minute, c.lists.leading)
+			c.termBegan.Wait(time.Minute, c.lists.leading)
 			continue
 		}
 		began := c.runtime.Now()
 		if wanted := c.lists.wanted(began); len(wanted) > 0 {
 			c.askAll(wanted)
 			c.lists.round(c.runtime.Now())
-			c.update.Broadcast()
+			c.updated.Broadcast()
 		}
 		pause := reportPause
 		if c.lists.calm(c.runtime.Now()) {
@@ -383,6 +383,6 @@
 		if err == nil {
 			c.setNodes(nodes)
 		}
-		runtime.Sleep(c.runtime, nodesPause)
+		runtime.Sleep(c.runtime, NodesInterval)
 	}
 }
--- a/internal/hatch/lists_test.go
+++ b/internal/hatch/lists_test.go
@@ -20,7 +20,7 @@
 // TestListsTellWhatTheAskerLacks follows a list and a report through their marks.
 func TestListsTellWhatTheAskerLacks(t *testing.T) {
 	var known lists
-	asker := UpdateQuestion{Lists: true, Loads: true}
+	asker := UpdateRequest{Lists: true, Loads: true}
 	if known.newer(asker) {
 		t.Error("nothing is known, and is news")
 	}
@@ -29,7 +29,7 @@
 		t.Error("who does not lead has news")
 	}
 	known.begin(7)
-	var answer UpdateAnswer
+	var answer UpdateResponse
 	known.tell(atNoon(500*time.Millisecond), asker, &answer)
 	if answer.Servers == nil || !answer.Servers.Sent || answer.Servers.Age != 500*time.Millisecond || answer.Servers.Servers[0].Warming != 1500*time.Millisecond || answer.Loads != nil {
 		t.Fatalf("%+v", answer.Servers)
@@ -38,7 +38,7 @@
 	if known.newer(asker) {
 		t.Error("the same list is news")
 	}
-	answer = UpdateAnswer{}
+	answer = UpdateResponse{}
 	known.tell(atNoon(time.Second), asker, &answer)
 	if answer.Servers == nil || answer.Servers.Sent || answer.Servers.Mark != asker.ListMark {
 		t.Errorf("the list was told again: %+v", answer.Servers)
@@ -53,7 +53,7 @@
 	known.note(6, "a", atNoon(time.Second), scheduler.Load{Server: "a"}, nil)
 	known.note(7, "a", atNoon(time.Second), scheduler.Load{Server: "another"}, nil)
 	known.round(atNoon(time.Second))
-	answer = UpdateAnswer{}
+	answer = UpdateResponse{}
 	known.tell(atNoon(time.Second), asker, &answer)
 	if answer.Loads == nil || len(answer.Loads.Lines) != 0 {
 		t.Errorf("a report of another reign or server was told: %+v", answer.Loads)
@@ -64,9 +64,9 @@
 	if !known.newer(asker) {
 		t.Error("a round of reports is no news")
 	}
-	answer = UpdateAnswer{}
+	answer = UpdateResponse{}
 	known.tell(atNoon(1200*time.Millisecond), asker, &answer)
-	if answer.Loads == nil || len(answer.Loads.Lines) != 1 || answer.Loads.Lines[0].load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
+	if answer.Loads == nil || len(answer.Loads.Lines) != 1 || answer.Loads.Lines[0].Load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
 		t.Errorf("%+v", answer.Loads)
 	}
 	asker.LoadsMark = answer.Loads.Mark
@@ -77,7 +77,7 @@
 	known.wanted(atNoon(4 * time.Second))
 	known.note(7, "a", atNoon(4*time.Second), scheduler.Load{}, failure.New(failure.Unreachable, ""))
 	known.round(atNoon(4200 * time.Millisecond))
-	answer = UpdateAnswer{}
+	answer = UpdateResponse{}
 	known.tell(atNoon(4200*time.Millisecond), asker, &answer)
 	if answer.Loads == nil || len(answer.Loads.Lines) != 0 {
 		t.Errorf("an old report is told: %+v", answer.Loads)
@@ -91,19 +91,19 @@
 	if !known.newer(asker) {
 		t.Error("the next reign's list has the old one's mark")
 	}
-	if known.newer(UpdateQuestion{}) {
+	if known.newer(UpdateRequest{}) {
 		t.Error("who follows no lists has news of them")
 	}
 }
 
 // TestReportTravelsShort wants one server's report to stay a few dozen bytes.
 func TestReportTravelsShort(t *testing.T) {
-	line := reportOf(scheduler.Load{Server: "i-7f3a91c2", Part: "decode", Changing: true, Orders: 2, Waiting: 100, Running: 60, MemoryUsed: 200_000, MemoryTotal: 319_972, Handles: 12}, 240*time.Millisecond)
+	line := ReportOf(scheduler.Load{Server: "i-7f3a91c2", Part: "decode", Changing: true, Orders: 2, Waiting: 100, Running: 60, MemoryUsed: 200_000, MemoryTotal: 319_972, Handles: 12}, 240*time.Millisecond)
 	body, err := msgpack.Marshal(line)
 	if err != nil || len(body) > 48 {
 		t.Errorf("%d bytes, %v", len(body), err)
 	}
-	var read loadReport
+	var read LoadReport
 	if err := msgpack.Unmarshal(body, &read); err != nil || read != line {
 		t.Errorf("%+v, %v", read, err)
 	}
@@ -125,32 +125,32 @@
 	follower := NewFollower(rt, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { heard = update })
 	follower.Follow(true, true)
 	rt.now = atNoon(800 * time.Millisecond)
-	l := []loadReport{reportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
-	answer := UpdateAnswer{Leads: true, Held: 600 * time.Millisecond, Servers: &ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
+	l := []LoadReport{ReportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
+	answer := UpdateResponse{Leads: true, Held: 600 * time.Millisecond, Servers: &ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
 		Loads: &LoadsUpdate{Mark: 9, Lines: l}}
-	follower.takeAnswer(atNoon(0), answer)
+	follower.Take(atNoon(0), answer)
 	if heard.Servers == nil || !heard.Servers.At.Equal(atNoon(300*time.Millisecond)) {
 		t.Errorf("the list was read at %+v", heard.Servers)
 	}
 	if len(heard.Loads) != 1 || heard.Loads[0].Age != 400*time.Millisecond {
 		t.Errorf("the report is %+v", heard.Loads)
 	}
-	if question, _ := follower.pollQuestion(); question.ListMark != 5 || question.LoadsMark != 9 || !question.Lists || !question.Loads {
+	if question, _ := follower.pollRequest(); question.ListMark != 5 || question.LoadsMark != 9 || !question.Lists || !question.Loads {
 		t.Errorf("asks with %+v", question)
 	}
 	// A confirmation makes it younger; another mark without the list says nothing.
 	rt.now = atNoon(1200 * time.Millisecond)
 	answer.Servers, answer.Loads = &ServersUpdate{Mark: 5, Age: 100 * time.Millisecond}, nil
-	follower.takeAnswer(atNoon(800*time.Millisecond), UpdateAnswer{Leads: true, Servers: answer.Servers})
+	follower.Take(atNoon(800*time.Millisecond), UpdateResponse{Leads: true, Servers: answer.Servers})
 	if heard.Servers == nil || !heard.Servers.At.Equal(atNoon(700*time.Millisecond)) || len(heard.Servers.Servers) != 1 {
 		t.Errorf("confirmed as %+v", heard.Servers)
 	}
-	follower.takeAnswer(atNoon(800*time.Millisecond), UpdateAnswer{Leads: true, Servers: &ServersUpdate{Mark: 6}})
+	follower.Take(atNoon(800*time.Millisecond), UpdateResponse{Leads: true, Servers: &ServersUpdate{Mark: 6}})
 	if heard.Servers != nil {
 		t.Errorf("a list that was not told was taken: %+v", heard.Servers)
 	}
 	follower.ForgetList()
-	if question, _ := follower.pollQuestion(); question.ListMark != 0 {
+	if question, _ := follower.pollRequest(); question.ListMark != 0 {
 		t.Error("the list is not told anew")
 	}
 }
--- a/internal/hatch/loadsnews.go
+++ b/internal/hatch/loadsnews.go
@@ -11,14 +11,14 @@
 // one round of reading from another.
 type LoadsUpdate struct {
 	Mark  uint64       `msgpack:"mark"`
-	Lines []loadReport `msgpack:"lines"`
+	Lines []LoadReport `msgpack:"lines"`
 	// Outliers are the servers that are better left alone, by what all nodes met there.
 	Outliers outlier.Advice `msgpack:"outliers,omitempty"`
 }
 
-// loadReport is one server's report, as short as it can be: three times a second it
+// LoadReport is one server's report, as short as it can be: three times a second it
 // goes to every router.
-type loadReport struct {
+type LoadReport struct {
 	//lint:ignore U1000 The encoder reads the tag.
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -35,12 +35,12 @@
 	Age int
 }
 
-func reportOf(load scheduler.Load, age time.Duration) loadReport {
-	return loadReport{Server: load.Server, Part: load.Part, Changing: load.Changing, Orders: uint(load.Orders), Waiting: load.Waiting, Running: load.Running,
+func ReportOf(load scheduler.Load, age time.Duration) LoadReport {
+	return LoadReport{Server: load.Server, Part: load.Part, Changing: load.Changing, Orders: uint(load.Orders), Waiting: load.Waiting, Running: load.Running,
 		MemoryUsed: load.MemoryUsed, MemoryTotal: load.MemoryTotal, Handles: load.Handles, Age: int((load.Age + age).Milliseconds())}
 }
 
-func (l loadReport) load(age time.Duration) scheduler.Load {
+func (l LoadReport) Load(age time.Duration) scheduler.Load {
 	return scheduler.Load{Server: l.Server, Part: l.Part, Changing: l.Changing, Orders: uint64(l.Orders), Waiting: l.Waiting, Running: l.Running,
 		MemoryUsed: l.MemoryUsed, MemoryTotal: l.MemoryTotal, Handles: l.Handles, Age: time.Duration(l.Age)*time.Millisecond + age}
 }
--- a/internal/hatch/newsanswer.go
+++ b/internal/hatch/newsanswer.go
@@ -7,10 +7,10 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// UpdateAnswer is what the primary answers: the sections that are newer, and a
+// UpdateResponse is what the primary answers: the sections that are newer, and a
 // hold that confirms the configuration's version. Who is not primary answers
 // with the membership alone.
-type UpdateAnswer struct {
+type UpdateResponse struct {
 	Leads         bool                           `msgpack:"leads"`
 	Membership    replication.Membership         `msgpack:"charter"`
 	Sections      map[string]replication.Section `msgpack:"drawers,omitempty"`
@@ -26,5 +26,5 @@
 	Servers *ServersUpdate `msgpack:"servers,omitempty"`
 	Loads   *LoadsUpdate   `msgpack:"loads,omitempty"`
 	// Copy is what a controller that is not primary says of its own copy.
-	Copy *CopyUpdate `msgpack:"copy,omitempty"`
+	Copy *CopyState `msgpack:"copy,omitempty"`
 }
--- a/internal/hatch/newsquestion.go
+++ b/internal/hatch/newsquestion.go
@@ -8,9 +8,9 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// UpdateQuestion is what a node asks the primary, over and over: what it is,
+// UpdateRequest is what a node asks the primary, over and over: what it is,
 // which versions it has, and which configuration it has in force.
-type UpdateQuestion struct {
+type UpdateRequest struct {
 	Member   membership.Member              `msgpack:"member"`
 	Have     map[string]replication.Version `msgpack:"have"`
 	InForce  replication.Version            `msgpack:"in_force"`
--- a/internal/hatch/ordersquestion.go
+++ b/internal/hatch/ordersquestion.go
@@ -6,8 +6,8 @@
 	"seamloom.example/seamloom/internal/lease"
 )
 
-// OrdersQuestion gives orders under the parts duty.
-type OrdersQuestion struct {
+// OrdersRequest gives orders under the parts duty.
+type OrdersRequest struct {
 	Role   lease.Role    `msgpack:"duty"`
 	Orders []codec.Order `msgpack:"orders"`
 	// Supported is the writer's own list.
--- a/internal/hatch/passages.go
+++ b/internal/hatch/passages.go
@@ -7,7 +7,7 @@
 
 // passages remembers the passings-on that came to this router, so that one
 // which a link brings again is told.
-type passages struct {
+type seenForwardings struct {
 	mutex sync.Mutex
 	seen  map[string]time.Time
 	order []string
@@ -20,7 +20,7 @@
 )
 
 // first tells whether the nonce comes for the first time.
-func (p *passages) first(now time.Time, nonce string) bool {
+func (p *seenForwardings) first(now time.Time, nonce string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.seen == nil {
--- a/internal/hatch/passing.go
+++ b/internal/hatch/passing.go
@@ -11,26 +11,26 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Passing is the port by which a request goes on to another router.
-type Passing interface {
-	// Pass sends the request's body with its passage, and gives the records of
+// Forwarder is the port by which a request goes on to another router.
+type Forwarder interface {
+	// Forward sends the request's body with its passage, and gives the records of
 	// the reply to take, as they come, until take says no or the origin has
 	// left. Begun is false only when certainly nothing of it has left.
-	Pass(address string, passage Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
+	Forward(address string, passage Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
 }
 
-// Passage marks one forwarding: a link may bring it twice, and to another
+// Forwarding marks one forwarding: a link may bring it twice, and to another
 // process than it was meant for.
-type Passage struct {
+type Forwarding struct {
 	// Nonce is new for each forwarding.
 	Nonce string
-	// Incarnation is the process that it is meant for; empty when that one does
+	// IncarnationResponse is the process that it is meant for; empty when that one does
 	// not say what it is, as the first release did not.
 	Incarnation string
 }
 
-// Incarnation is what a router says of its present life.
-type Incarnation struct {
+// IncarnationResponse is what a router says of its present life.
+type IncarnationResponse struct {
 	Incarnation string `msgpack:"incarnation"`
 }
 
@@ -39,7 +39,7 @@
 
 // capable lists the routers that lack no enabled flag, this request's own
 // order first.
-func (r *Router) capable(request string) []membership.Member {
+func (r *Router) capableRouters(request string) []membership.Member {
 	enabled := r.core.Enabled()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -56,25 +56,25 @@
 	return members
 }
 
-// passOn gives a request to a capable router and its reply to the origin, as
+// forward gives a request to a capable router and its reply to the origin, as
 // it comes. Another router is tried only when the first certainly has not
 // begun.
-func (r *Router) passOn(arrival Arrival, reply Reply) {
+func (r *Router) forward(arrival Arrival, reply Reply) {
 	never := false
 	refused := ReplyLine{Request: arrival.Request.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
-	if arrival.Passage == nil {
-		for _, member := range r.capable(arrival.Request.ID) {
-			passage := Passage{Nonce: r.nonce()}
+	if arrival.Forwarding == nil {
+		for _, member := range r.capableRouters(arrival.Request.ID) {
+			passage := Forwarding{Nonce: r.nonce()}
 			if !arrival.Request.Repeatable {
-				var said Incarnation
-				err := Call(r.line, member.Address, IncarnationPath, nothing{}, &said, incarnationPatience)
+				var said IncarnationResponse
+				err := Call(r.client, member.Address, IncarnationPath, Empty{}, &said, incarnationPatience)
 				if failure.KindOf(err) == failure.Unreachable && !r.old(err) {
 					continue
 				}
 				passage.Incarnation = said.Incarnation
 			}
 			copied := &recordCopy{reply: reply, request: arrival.Request.ID}
-			if !r.passing.Pass(member.Address, passage, arrival.Body, reply.WhenLeft, copied.take) {
+			if !r.forwarder.Forward(member.Address, passage, arrival.Body, reply.OnClientGone, copied.take) {
 				continue
 			}
 			if !copied.ended {
@@ -83,7 +83,7 @@
 			return
 		}
 	}
-	sayLine(reply, refused)
+	writeLine(reply, refused)
 }
 
 // old tells whether a failure is that of a release which knows no such path.
--- a/internal/hatch/paths.go
+++ b/internal/hatch/paths.go
@@ -2,13 +2,13 @@
 
 // The paths of the messages between seamloom's own processes.
 const (
-	UpdatePath      = "/hotline/news"
+	UpdatesPath     = "/hotline/news"
 	ClaimPath       = "/hotline/claim"
 	OrdersPath      = "/hotline/orders"
 	RelayPath       = "/hotline/relay"
-	PassPath        = "/hotline/pass"
+	ForwardPath     = "/hotline/pass"
 	CountsPath      = "/hotline/counts"
-	CrumbsPath      = "/hotline/crumbs"
+	RecordsPath     = "/hotline/crumbs"
 	HelloPath       = "/hotline/hello"
 	IncarnationPath = "/hotline/incarnation"
 	PreparePath     = "/hotline/keeper/prepare"
--- a/internal/hatch/recordreply.go
+++ b/internal/hatch/recordreply.go
@@ -34,5 +34,5 @@
 	return r.Send(record)
 }
 
-// WhenLeft has act called when the origin closes its connection.
-func (r *RecordReply) WhenLeft(act func()) { r.Left(act) }
+// OnClientGone has act called when the origin closes its connection.
+func (r *RecordReply) OnClientGone(act func()) { r.Left(act) }
--- a/internal/hatch/reign.go
+++ b/internal/hatch/reign.go
@@ -71,7 +71,7 @@
 // gone lists the recorded servers that were not listed for so long that their records
 // may go, and lets go of the duties of those that were not listed for a while. The
 // caller has the controller's mutex.
-func (t *Term) gone(now time.Time, state *replication.State, listed []membership.Server) []string {
+func (t *Term) goneServers(now time.Time, state *replication.State, listed []membership.Server) []string {
 	recorded := map[string]bool{}
 	for key := range state.Rota.Roles {
 		if name, found := strings.CutPrefix(key, lease.ServerKey("")); found {
--- a/internal/hatch/reign_test.go
+++ b/internal/hatch/reign_test.go
@@ -25,7 +25,7 @@
 	}
 	listed := []membership.Server{{Name: "a"}, {Name: "b"}}
 	at := func(length time.Duration, servers []membership.Server) []string {
-		return term.gone(atNoon(length), state, servers)
+		return term.goneServers(atNoon(length), state, servers)
 	}
 	at(0, listed)
 	at(time.Second, listed[1:])
--- a/internal/hatch/relayquestion.go
+++ b/internal/hatch/relayquestion.go
@@ -1,7 +1,7 @@
 package hatch
 
-// RelayQuestion asks a neighbour to pass a message to the primary.
-type RelayQuestion struct {
+// RelayRequest asks a neighbour to pass a message to the primary.
+type RelayRequest struct {
 	Path string `msgpack:"path"`
 	Body []byte `msgpack:"body"`
 }
--- a/internal/hatch/reply.go
+++ b/internal/hatch/reply.go
@@ -10,8 +10,8 @@
 	Begin(status, retrySeconds int)
 	// Line sends one line; a failure means that the origin is gone.
 	Line(line []byte) error
-	// WhenLeft has act called once if the origin closes its connection.
-	WhenLeft(act func())
+	// OnClientGone has act called once if the origin closes its connection.
+	OnClientGone(act func())
 }
 
 // Arrival is one request as it came to a router.
@@ -19,11 +19,11 @@
 	Request *auction.Request
 	// Body is what the origin sent, to be forwarded as it is.
 	Body []byte
-	// Passage is set when another router passed it on.
-	Passage *Passage
+	// Forwarding is set when another router passed it on.
+	Forwarding *Forwarding
 }
 
-func sayLine(reply Reply, line ReplyLine) {
+func writeLine(reply Reply, line ReplyLine) {
 	reply.Begin(line.Status(), line.RetryAfterSeconds)
 	_ = reply.Line(line.encode())
 }
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -16,7 +16,7 @@
 	mutex   sync.Mutex
 	cond    runtime.Cond
 	asking  map[string]*asking
-	copies  copies
+	copies  copyStates
 	leading *ledUpdate
 	rounds  int
 }
@@ -34,7 +34,7 @@
 // ledUpdate is a primary's answer, and when it was asked for.
 type ledUpdate struct {
 	asked  time.Time
-	answer UpdateAnswer
+	answer UpdateResponse
 }
 
 const (
@@ -103,7 +103,7 @@
 }
 
 // end notes the end of a call to an address.
-func (s *search) end(address string, asked, now time.Time, answer UpdateAnswer, err error) {
+func (s *search) end(address string, asked, now time.Time, answer UpdateResponse, err error) {
 	s.mutex.Lock()
 	current := s.asking[address]
 	current.calls--
@@ -130,7 +130,7 @@
 }
 
 // note takes an answer: a primary's, or what another says of its copy.
-func (s *search) note(address string, asked, now time.Time, answer UpdateAnswer) {
+func (s *search) note(address string, asked, now time.Time, answer UpdateResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if answer.Leads {
@@ -171,7 +171,7 @@
 }
 
 // lacks tells whether the node would take a provisional configuration now.
-func (f *Follower) lacks() bool {
+func (f *Follower) needsConfiguration() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	_, has := f.sections[replication.ConfigurationSection]
@@ -189,7 +189,7 @@
 func (f *Follower) searchOnce(s *search) bool {
 	began := f.runtime.Now()
 	candidates := f.candidates()
-	question := f.briefQuestion()
+	question := f.leaderRequest()
 	for _, address := range candidates {
 		f.askOne(s, address, question)
 	}
@@ -204,10 +204,10 @@
 	if _, known := f.knownPrimary(); known {
 		return true
 	}
-	if leading := s.take(); leading != nil && leading.answer.Hold > 0 && f.takeAnswer(leading.asked, leading.answer) {
+	if leading := s.take(); leading != nil && leading.answer.Hold > 0 && f.Take(leading.asked, leading.answer) {
 		return true
 	}
-	if f.lacks() {
+	if f.needsConfiguration() {
 		if address, version, found := s.choose(f.runtime.Now()); found {
 			f.fetch(address, version)
 		}
@@ -221,7 +221,7 @@
 // awaitRound waits for an answer that ends a round.
 func (f *Follower) awaitRound(s *search) {
 	s.cond.Wait(searchRound, func() bool {
-		if s.led() || !f.lacks() {
+		if s.led() || !f.needsConfiguration() {
 			return s.led()
 		}
 		_, _, found := s.choose(f.runtime.Now())
@@ -231,7 +231,7 @@
 
 // askPeers asks a few routers, others in each round: one that has followed the core
 // longer knows who belongs to it now.
-func (f *Follower) askPeers(s *search, question UpdateQuestion) {
+func (f *Follower) askPeers(s *search, question UpdateRequest) {
 	question.Provisional = false
 	f.mutex.Lock()
 	p := f.peers
@@ -243,7 +243,7 @@
 }
 
 // askOne asks an address in a thread of its own, unless it was asked just now.
-func (f *Follower) askOne(s *search, address string, question UpdateQuestion) {
+func (f *Follower) askOne(s *search, address string, question UpdateRequest) {
 	f.mutex.Lock()
 	membership, fleet := f.membership, len(f.peers)
 	f.mutex.Unlock()
@@ -252,10 +252,10 @@
 	}
 	f.runtime.Go(func() {
 		asked := f.runtime.Now()
-		var answer UpdateAnswer
-		err := Call(f.line, address, UpdatePath, question, &answer, searchPatience)
+		var answer UpdateResponse
+		err := Call(f.client, address, UpdatesPath, question, &answer, searchPatience)
 		if err == nil {
-			f.learn(address, leadsAnswer{Leads: answer.Leads, Membership: answer.Membership})
+			f.learn(address, leaderResponse{Leads: answer.Leads, Membership: answer.Membership})
 		}
 		s.end(address, asked, f.runtime.Now(), answer, err)
 	})
@@ -264,14 +264,14 @@
 // askRelays has the nearest routers pass the question on to the primary that they know:
 // the path to it may be cut for this node alone.
 func (f *Follower) askRelays(s *search) {
-	question := f.searchQuestion()
+	question := f.searchRequest()
 	question.Provisional = false
 	body, err := msgpack.Marshal(question)
 	if err != nil {
 		return
 	}
 	f.mutex.Lock()
-	relays := append([]string(nil), f.peers[:min(neighbours, len(f.peers))]...)
+	relays := append([]string(nil), f.peers[:min(Neighbours, len(f.peers))]...)
 	f.mutex.Unlock()
 	for _, address := range relays {
 		f.runtime.Go(func() { f.askRelay(s, address, body) })
@@ -281,10 +281,10 @@
 func (f *Follower) askRelay(s *search, address string, body []byte) {
 	asked := f.runtime.Now()
 	var reply []byte
-	if Call(f.line, address, RelayPath, RelayQuestion{Path: UpdatePath, Body: body}, &reply, relayPatience) != nil {
+	if Call(f.client, address, RelayPath, RelayRequest{Path: UpdatesPath, Body: body}, &reply, relayPatience) != nil {
 		return
 	}
-	var answer UpdateAnswer
+	var answer UpdateResponse
 	if msgpack.Unmarshal(reply, &answer) != nil || !answer.Leads {
 		return
 	}
@@ -296,16 +296,16 @@
 // fetch takes the configuration of a version from the copy at an address. It gives no
 // hold, and nothing is acknowledged by it.
 func (f *Follower) fetch(address string, version replication.Version) {
-	question := f.searchQuestion()
+	question := f.searchRequest()
 	question.Wanted = version
 	asked := f.runtime.Now()
-	var answer UpdateAnswer
-	if err := Call(f.line, address, UpdatePath, question, &answer, firstPatience); err != nil {
+	var answer UpdateResponse
+	if err := Call(f.client, address, UpdatesPath, question, &answer, firstPatience); err != nil {
 		return
 	}
 	if answer.Leads {
-		f.learn(address, leadsAnswer{Leads: true, Membership: answer.Membership})
-		f.takeAnswer(asked, answer)
+		f.learn(address, leaderResponse{Leads: true, Membership: answer.Membership})
+		f.Take(asked, answer)
 		return
 	}
 	if answer.Copy == nil || answer.Copy.Sections[replication.ConfigurationSection].Version != version {
@@ -319,7 +319,7 @@
 	// The primary need not send again what is the same; all else it tells itself.
 	f.sections[replication.ConfigurationSection] = answer.Copy.Sections[replication.ConfigurationSection]
 	f.unconfirmed = version
-	update := Update{Asked: asked, Answer: UpdateAnswer{Servers: answer.Servers}, Changed: answer.Copy.Sections, Provisional: true}
+	update := Update{Asked: asked, Answer: UpdateResponse{Servers: answer.Servers}, Changed: answer.Copy.Sections, Provisional: true}
 	f.takeLists(&update)
 	f.mutex.Unlock()
 	f.take(update)
--- a/internal/hatch/search_test.go
+++ b/internal/hatch/search_test.go
@@ -46,11 +46,11 @@
 }
 
 // newRouterAt starts a router that follows a core; told rings with its events.
-func newRouterAt(rt runtime.Runtime, line Hotline, without time.Duration, told runtime.Cond) *Router {
+func newRouterAt(rt runtime.Runtime, line Client, without time.Duration, told runtime.Cond) *Router {
 	router := NewRouter(rt, line, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
 		Directory: oneServer{}, Ended: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
-	rt.Go(router.followed.Run)
+	rt.Go(router.follower.Run)
 	return router
 }
 
@@ -117,22 +117,22 @@
 	newer := replication.Section{Version: replication.Version{Epoch: 4, Number: 9}, Content: []byte(`{"routes":{"b":{"to":{"refuse":true}}}}`)}
 	for _, row := range []struct {
 		name    string
-		answer  UpdateAnswer
+		answer  UpdateResponse
 		inForce replication.Version
 		hold    bool
 	}{
-		{"the same", UpdateAnswer{Leads: true, Configuration: lent.Version, Hold: time.Second}, lent.Version, true},
-		{"newer", UpdateAnswer{Leads: true, Configuration: newer.Version, Hold: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
-		{"older", UpdateAnswer{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
+		{"the same", UpdateResponse{Leads: true, Configuration: lent.Version, Hold: time.Second}, lent.Version, true},
+		{"newer", UpdateResponse{Leads: true, Configuration: newer.Version, Hold: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
+		{"older", UpdateResponse{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
 	} {
 		router := NewRouter(rt, nil, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 			ServeWithoutHold: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
-		router.followed.sections[replication.ConfigurationSection], router.followed.unconfirmed = lent, lent.Version
+		router.follower.sections[replication.ConfigurationSection], router.follower.unconfirmed = lent, lent.Version
 		router.takeUpdate(Update{Asked: rt.Now(), Changed: map[string]replication.Section{replication.ConfigurationSection: lent}, Provisional: true})
 		if router.InForce() != lent.Version || router.Core().Dutiful() {
 			t.Fatalf("%s: %s in force", row.name, router.InForce())
 		}
-		router.followed.takeAnswer(rt.Now(), row.answer)
+		router.follower.Take(rt.Now(), row.answer)
 		if router.InForce() != row.inForce || router.Core().HoldEnds().IsZero() == row.hold {
 			t.Errorf("%s: %s in force, hold until %v", row.name, router.InForce(), router.Core().HoldEnds())
 		}
--- a/internal/hatch/signpost.go
+++ b/internal/hatch/signpost.go
@@ -13,7 +13,7 @@
 // and belongs to no core, but knows which controller is primary when it is asked.
 type Redirector struct {
 	runtime runtime.Runtime
-	line    Hotline
+	client  Client
 
 	mutex      sync.Mutex
 	seeds      []string
@@ -36,8 +36,8 @@
 )
 
 // NewRedirector makes a redirector that begins its search at the seeds.
-func NewRedirector(rt runtime.Runtime, line Hotline, seeds []string) *Redirector {
-	return &Redirector{runtime: rt, line: line, seeds: seeds}
+func NewRedirector(rt runtime.Runtime, line Client, seeds []string) *Redirector {
+	return &Redirector{runtime: rt, client: line, seeds: seeds}
 }
 
 // SetSeeds exchanges the seeds, after a reload.
@@ -100,7 +100,7 @@
 		r.runtime.Go(func() {
 			var hello replication.Hello
 			// A hello from nobody is answered, and leaves no trace.
-			err := Call(r.line, address, HelloPath, replication.Hello{}, &hello, redirectorPatience)
+			err := Call(r.client, address, HelloPath, replication.Hello{}, &hello, redirectorPatience)
 			leads := err == nil && r.learn(address, hello)
 			mutex.Lock()
 			left--
--- a/internal/testbed/simulation/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// WhenLeft notes what the router does then.
-func (c *client) WhenLeft(act func()) { c.onLeft = append(c.onLeft, act) }
+// OnClientGone notes what the router does then.
+func (c *client) OnClientGone(act func()) { c.onLeft = append(c.onLeft, act) }
 
 func (c *client) leave() {
 	c.left = true
@@ -236,5 +236,5 @@
 	return nil
 }
 
-// WhenLeft needs nothing: it stays.
-func (*looker) WhenLeft(func()) {}
+// OnClientGone needs nothing: it stays.
+func (*looker) OnClientGone(func()) {}
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -173,7 +173,7 @@
 func (w *World) led() bool {
 	for _, m := range w.nodes(membership.Controller) {
 		if m.incarnation != nil && !m.incarnation.ended && m.control != nil {
-			if _, _, err := m.control.Ruling(); err == nil {
+			if _, _, err := m.control.Leading(); err == nil {
 				return true
 			}
 		}
@@ -206,7 +206,7 @@
 	if primary.control == nil {
 		return false
 	}
-	_, view, err := primary.control.Ruling()
+	_, view, err := primary.control.Leading()
 	if err != nil {
 		return false
 	}
--- a/internal/testbed/simulation/passing.go
+++ b/internal/testbed/simulation/passing.go
@@ -14,8 +14,8 @@
 // passing carries requests from one router to another.
 type passing struct{ incarnation *incarnation }
 
-// Pass sends a request on and gives the records of its reply to take.
-func (p *passing) Pass(address string, passage hatch.Passage, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+// Forward sends a request on and gives the records of its reply to take.
+func (p *passing) Forward(address string, passage hatch.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	here, world := p.incarnation, p.incarnation.world
 	to := world.nameAt(address)
 	replies := newPipe(world, to, here.name, here)
@@ -55,7 +55,7 @@
 					return
 				}
 				reply.Request = request.ID
-				conduct.Serve(hatch.Arrival{Request: request, Body: body, Passage: &passage}, reply)
+				conduct.Serve(hatch.Arrival{Request: request, Body: body, Forwarding: &passage}, reply)
 			})
 		})
 	}
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -86,7 +86,7 @@
 		}
 	}
 	copied := m.control.Store().Copy()
-	_, view, err := w.primary().control.Ruling()
+	_, view, err := w.primary().control.Leading()
 	return files > 0 && err == nil && copied.Damage() == "" && copied.Version().Number+8 >= view.Version.Number
 }
 
--- a/internal/testbed/simulation/taps.go
+++ b/internal/testbed/simulation/taps.go
@@ -28,7 +28,7 @@
 }
 
 func (w *World) tapMessage(path string, body []byte) {
-	if path != hatch.CrumbsPath {
+	if path != hatch.RecordsPath {
 		return
 	}
 	var records []codec.Record
--- a/internal/testbed/simulation/ways.go
+++ b/internal/testbed/simulation/ways.go
@@ -28,8 +28,8 @@
 // SetServing is not minded.
 func (deaf) SetServing(time.Time) {}
 
-// SetKeepers takes no notice.
-func (deaf) SetKeepers(*hatch.CountKeepers) {}
+// SetCountOwners takes no notice.
+func (deaf) SetCountOwners(*hatch.CountOwners) {}
 
 // SetServers is not minded.
 func (deaf) SetServers(time.Time, []membership.Server) {}
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -42,7 +42,7 @@
 }
 
 func (w *World) newest() replication.Version {
-	_, view, err := w.primary().control.Ruling()
+	_, view, err := w.primary().control.Leading()
 	if err != nil {
 		return replication.Version{}
 	}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -244,7 +244,7 @@
 	w.prepareCalls(m, begun, &options)
 	router := hatch.NewRouter(begun, wire{begun}, servers, &passing{incarnation: begun}, options, observe)
 	m.router = router
-	begun.answer = router.Answers().Answer
+	begun.answer = router.Handlers().Handle
 	for _, round := range router.Rounds() {
 		begun.Go(round)
 	}
@@ -269,7 +269,7 @@
 	}
 	w.say("%s opened its disk, blank %v", m.name, blank)
 	m.control = control
-	begun.answer = control.Answers().Answer
+	begun.answer = control.Handlers().Handle
 	for _, round := range control.Rounds() {
 		begun.Go(round)
 	}
