--- a/internal/hatch/courier.go
+++ b/internal/hatch/courier.go
@@ -59,7 +59,6 @@
 	roleTick        = 200 * time.Millisecond
 	restTick        = time.Minute
 	recordsInterval = 250 * time.Millisecond
-	Neighbours      = 3
 	// claimTime is how long a claim is tried for altogether: a pair that was
 	// broken is whole again in about a second. Longer would only hold the caller
 	// back.
@@ -142,6 +141,9 @@
 // Journal is what is known of recent requests.
 func (r *Router) Journal() *Journal { return r.journal }
 
+// Follower is the part that follows the primary.
+func (r *Router) Follower() *Follower { return r.follower }
+
 // Heard is when a primary answered last.
 func (r *Router) Heard() time.Time { return r.follower.Heard() }
 
@@ -273,7 +275,7 @@
 	}
 	if update.Answer.Routers == 0 {
 		// Nobody counts them: an older release's primary, or a copy.
-		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(routersOf(state.Members)))})
+		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(membership.RouterNames(state.Members)))})
 	}
 	r.setContacts()
 }
@@ -331,22 +333,11 @@
 	r.follower.SetContacts(contacts, p)
 }
 
-// routersOf are the names of the routers among recorded members.
-func routersOf(members map[string]membership.Member) []string {
-	var names []string
-	for name, member := range members {
-		if member.Kind == membership.Router {
-			names = append(names, name)
-		}
-	}
-	return names
-}
-
 // nearest are the other recorded routers, by rendezvous, no more than so many.
 func (r *Router) nearest(most int) []membership.Member {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	names := routersOf(r.members)
+	names := membership.RouterNames(r.members)
 	var members []membership.Member
 	for _, name := range membership.Neighbours(r.options.Router, names, most) {
 		members = append(members, r.members[name])
--- a/internal/hatch/expediter.go
+++ b/internal/hatch/expediter.go
@@ -198,7 +198,7 @@
 		}
 	}
 	var p []string
-	for _, name := range membership.Ranked(c.options.Name, routersOf(c.members)) {
+	for _, name := range membership.Ranked(c.options.Name, membership.RouterNames(c.members)) {
 		p = append(p, c.members[name].Address)
 	}
 	c.mutex.Unlock()
--- a/internal/hatch/follower.go
+++ b/internal/hatch/follower.go
@@ -70,6 +70,10 @@
 	Servers []membership.Server
 }
 
+// Neighbours is how many of the nearest routers a node uses as relays to the primary, and how
+// many keep replicas of a router's records. The value is ours.
+const Neighbours = 3
+
 const (
 	// UpdateWait is how long the primary holds a question back without news.
 	UpdateWait = 600 * time.Millisecond
--- a/internal/hatch/listreading.go
+++ b/internal/hatch/listreading.go
@@ -12,9 +12,7 @@
 
 // A router has the list of servers from the primary. The values are ours.
 const (
-	// ListTimeout is how old the list may be before the router reads it itself,
-	// firstListPatience how long a router that has none waits for the primary's.
-	ListTimeout       = 1500 * time.Millisecond
+	// firstListPatience is how long a router that has no list waits for the primary's.
 	firstListPatience = 300 * time.Millisecond
 	// ownListPause lies between two reads of its own, and up to ownListSpread more,
 	// so that the fleet does not read all at once; ownListShare is added for each
--- a/internal/hatch/lists.go
+++ b/internal/hatch/lists.go
@@ -56,8 +56,7 @@
 	// reportKept is how long a report that no other followed is forwarded.
 	reportKept = 3 * time.Second
 	// wantedTime is how long after a router's last question reports are read for.
-	wantedTime    = 3 * time.Second
-	NodesInterval = 500 * time.Millisecond
+	wantedTime = 3 * time.Second
 )
 
 // mark tells one list, or one round of reports, from all others: an epoch has one
--- a/internal/hatch/passing.go
+++ b/internal/hatch/passing.go
@@ -19,21 +19,6 @@
 	Forward(address string, passage Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
 }
 
-// Forwarding marks one forwarding: a link may bring it twice, and to another
-// process than it was meant for.
-type Forwarding struct {
-	// Nonce is new for each forwarding.
-	Nonce string
-	// IncarnationResponse is the process that it is meant for; empty when that one does
-	// not say what it is, as the first release did not.
-	Incarnation string
-}
-
-// IncarnationResponse is what a router says of its present life.
-type IncarnationResponse struct {
-	Incarnation string `msgpack:"incarnation"`
-}
-
 // incarnationPatience is how long a router may take to say which life it is in.
 const incarnationPatience = 500 * time.Millisecond
 
--- /dev/null
+++ b/internal/hatch/provisional_test.go
@@ -0,0 +1,44 @@
+package hatch
+
+import (
+	"testing"
+	"time"
+
+	"seamloom.example/seamloom"
+	"seamloom.example/seamloom/internal/adapters/osruntime"
+	"seamloom.example/seamloom/internal/replication"
+)
+
+// TestPrimaryConfirmsOrReplacesAProvisionalConfiguration lets the primary come back,
+// with the configuration that was lent, a newer one, or an older one, which nobody may
+// go back to.
+func TestPrimaryConfirmsOrReplacesAProvisionalConfiguration(t *testing.T) {
+	rt := osruntime.New(t.Context(), osruntime.NewClock())
+	lent := replication.Section{Version: replication.Version{Epoch: 3, Number: 7}, Content: []byte(`{"routes":{"a":{"to":{"refuse":true}}}}`)}
+	newer := replication.Section{Version: replication.Version{Epoch: 4, Number: 9}, Content: []byte(`{"routes":{"b":{"to":{"refuse":true}}}}`)}
+	for _, row := range []struct {
+		name    string
+		answer  UpdateResponse
+		inForce replication.Version
+		hold    bool
+	}{
+		{"the same", UpdateResponse{Leads: true, Configuration: lent.Version, Hold: time.Second}, lent.Version, true},
+		{"newer", UpdateResponse{Leads: true, Configuration: newer.Version, Hold: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
+		{"older", UpdateResponse{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
+	} {
+		router := NewRouter(rt, nil, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
+			ServeWithoutHold: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
+		copied := &CopyState{Configuration: lent.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: lent}}
+		router.follower.TakeProvisional(rt.Now(), UpdateResponse{Copy: copied})
+		if router.InForce() != lent.Version || router.Core().Dutiful() {
+			t.Fatalf("%s: %s in force", row.name, router.InForce())
+		}
+		router.follower.Take(rt.Now(), row.answer)
+		if router.InForce() != row.inForce || router.Core().HoldEnds().IsZero() == row.hold {
+			t.Errorf("%s: %s in force, hold until %v", row.name, router.InForce(), router.Core().HoldEnds())
+		}
+		if router.Heard().IsZero() || !router.Core().ServesUntil().After(rt.Now()) {
+			t.Errorf("%s: the primary was not heard", row.name)
+		}
+	}
+}
--- a/internal/hatch/reign.go
+++ b/internal/hatch/reign.go
@@ -118,7 +118,7 @@
 	if now.Sub(t.Since) >= countedTime {
 		return heard
 	}
-	return max(heard, len(routersOf(state.Members)))
+	return max(heard, len(membership.RouterNames(state.Members)))
 }
 
 // behind lists the routers that were heard from within a time and have not
@@ -130,5 +130,5 @@
 // Lagging lists the routers that may still admitted under a configuration older
 // than the version.
 func (t *Term) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
-	return t.Holds.Lagging(now, version.Number, routersOf(state.Members))
+	return t.Holds.Lagging(now, version.Number, membership.RouterNames(state.Members))
 }
--- a/internal/hatch/search.go
+++ b/internal/hatch/search.go
@@ -311,14 +311,22 @@
 	if answer.Copy == nil || answer.Copy.Sections[replication.ConfigurationSection].Version != version {
 		return
 	}
+	f.TakeProvisional(asked, answer)
+}
+
+// TakeProvisional takes the configuration of a copy, as it came in an answer, unless the node
+// has one. The primary will confirm it or replace it by a newer one; it never replaces it by
+// an older one, since a configuration never goes back.
+func (f *Follower) TakeProvisional(asked time.Time, answer UpdateResponse) {
 	f.mutex.Lock()
 	if _, has := f.sections[replication.ConfigurationSection]; has || !f.provisional {
 		f.mutex.Unlock()
 		return
 	}
 	// The primary need not send again what is the same; all else it tells itself.
-	f.sections[replication.ConfigurationSection] = answer.Copy.Sections[replication.ConfigurationSection]
-	f.unconfirmed = version
+	section := answer.Copy.Sections[replication.ConfigurationSection]
+	f.sections[replication.ConfigurationSection] = section
+	f.unconfirmed = section.Version
 	update := Update{Asked: asked, Answer: UpdateResponse{Servers: answer.Servers}, Changed: answer.Copy.Sections, Provisional: true}
 	f.takeLists(&update)
 	f.mutex.Unlock()
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -27,3 +27,14 @@
 		m.Zone == other.Zone && len(m.Supported.Lacks(other.Supported)) == 0 &&
 		len(other.Supported.Lacks(m.Supported)) == 0
 }
+
+// RouterNames are the names of the routers among recorded members, in no order.
+func RouterNames(members map[string]Member) []string {
+	var names []string
+	for name, member := range members {
+		if member.Kind == Router {
+			names = append(names, name)
+		}
+	}
+	return names
+}
