--- a/cmd/testbed/removals.go
+++ b/cmd/testbed/removals.go
@@ -70,7 +70,7 @@
 	if err := removal.Apply(folder); err != nil {
 		return "", err
 	}
-	if output, err := runIn(folder, "go", "vet", "./internal/hatch", "./internal/replication", "./internal/auction", "./internal/lease", "./internal/adapters/..."); err != nil {
+	if output, err := runIn(folder, "go", "vet", "./internal/wire", "./internal/follower", "./internal/controlplane", "./internal/dataplane", "./internal/replication", "./internal/auction", "./internal/lease", "./internal/adapters/..."); err != nil {
 		return "", failure.New(failure.Malformed, "without it the source does not build: "+output)
 	}
 	if !removal.Worlds {
--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -3,14 +3,14 @@
 import (
 	"net/http"
 
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 )
 
-func (p *Process) flagAnswers(current *hatch.Term, state *replication.State) []flagAnswer {
+func (p *Process) flagAnswers(current *controlplane.Term, state *replication.State) []flagAnswer {
 	now := p.clock.Now()
 	live := current.Holds.Live(now)
 	settling := p.conduct.Settling(current)
--- a/internal/adapters/controller/fleet.go
+++ b/internal/adapters/controller/fleet.go
@@ -4,13 +4,13 @@
 	"net/http"
 
 	"seamloom.example/seamloom/internal/adapters/daemon"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/replication"
 )
 
 // Edit changes the configuration if this controller is primary, and returns once the
 // change is in force.
-func (p *Process) Edit(edit hatch.Edit) (replication.Version, error) {
+func (p *Process) Edit(edit controlplane.Edit) (replication.Version, error) {
 	return p.conduct.Edit(edit)
 }
 
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -17,9 +17,9 @@
 	"goji.io/pat"
 
 	"seamloom.example/seamloom/internal/config"
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 )
@@ -64,7 +64,7 @@
 }
 
 // readable is the committed state for a read; without one the call is answered.
-func (p *Process) readable(writer http.ResponseWriter) (*hatch.Term, *replication.View, *replication.State, bool) {
+func (p *Process) readable(writer http.ResponseWriter) (*controlplane.Term, *replication.View, *replication.State, bool) {
 	current, view, state, err := p.conduct.Read()
 	if err != nil {
 		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.KindOf(err), Detail: err.Error()})
@@ -167,7 +167,7 @@
 	if change == "" && builds == nil {
 		change = uuid.NewString()
 	}
-	version, err := p.conduct.Edit(hatch.Edit{Change: change, Digest: digestOf(inbound, body), Expected: expected, Builds: builds, Sound: !versioned,
+	version, err := p.conduct.Edit(controlplane.Edit{Change: change, Digest: digestOf(inbound, body), Expected: expected, Builds: builds, Sound: !versioned,
 		Apply: func(text []byte) ([]byte, error) { return edit(text, body) }})
 	if err != nil {
 		p.answerChangeTrouble(writer, change, err)
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -22,7 +22,7 @@
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/adapters/settings"
 	"seamloom.example/seamloom/internal/adapters/storage"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/replication"
 )
 
@@ -32,7 +32,7 @@
 	lifetime        context.Context
 	logger          *log.Logger
 	clock           *osruntime.Clock
-	conduct         *hatch.Controller
+	conduct         *controlplane.Controller
 	operatorsClient *http.Client
 
 	mutex  sync.Mutex
@@ -63,14 +63,14 @@
 	if reached.Directory == nil {
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
-	options := hatch.ControllerOptions{Name: chosen.Name, Address: chosen.Address, Zone: chosen.Zone, Seeds: chosen.Seeds, Supported: chosen.Supported(),
+	options := controlplane.ControllerOptions{Name: chosen.Name, Address: chosen.Address, Zone: chosen.Zone, Seeds: chosen.Seeds, Supported: chosen.Supported(),
 		FlagSettle: time.Duration(chosen.FlagSettle) * time.Millisecond, BorneLosses: chosen.BorneLosses, CatchUp: chosen.CatchUp, JoinsOnly: !chosen.Bootstrap, Fresh: replication.Identity(uuid.NewString()),
 		RetireAfter: chosen.RetireAfter, AcknowledgeWait: chosen.AcknowledgeWait, Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}}
 	if reached.Reports != nil {
 		options.Reports = ports.Asking{Reports: reached.Reports, Lifetime: process.lifetime}
 	}
 	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime}
-	conduct, blank, err := hatch.OpenController(osruntime.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
+	conduct, blank, err := controlplane.OpenController(osruntime.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 }
 
 // Conduct is what the controller does, for who mounts further ways in.
-func (p *Process) Conduct() *hatch.Controller { return p.conduct }
+func (p *Process) Conduct() *controlplane.Controller { return p.conduct }
 
 // platform is the address of the platform's lists.
 func (p *Process) platform() string {
--- a/internal/adapters/controller/signpost.go
+++ b/internal/adapters/controller/signpost.go
@@ -11,8 +11,8 @@
 	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/adapters/settings"
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/replication"
 )
 
@@ -20,7 +20,7 @@
 // it sends operators on to the primary.
 type Redirector struct {
 	tomb    tomb.Tomb
-	conduct *hatch.Redirector
+	conduct *controlplane.Redirector
 }
 
 // StartRedirector makes a redirector.
@@ -28,7 +28,7 @@
 	redirector := &Redirector{}
 	lifetime := redirector.tomb.Context(context.Background())
 	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: lifetime}
-	redirector.conduct = hatch.NewRedirector(osruntime.New(lifetime, clock), line, chosen.Seeds)
+	redirector.conduct = controlplane.NewRedirector(osruntime.New(lifetime, clock), line, chosen.Seeds)
 	redirector.tomb.Go(func() error {
 		redirector.conduct.Run()
 		return nil
@@ -43,7 +43,7 @@
 }
 
 // Edit changes nothing here.
-func (r *Redirector) Edit(hatch.Edit) (replication.Version, error) {
+func (r *Redirector) Edit(controlplane.Edit) (replication.Version, error) {
 	return replication.Version{}, failure.New(failure.NoPrimary, "nothing is kept here")
 }
 
--- a/internal/adapters/proxy/bench_test.go
+++ b/internal/adapters/proxy/bench_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -64,7 +64,7 @@
 }
 
 // Serve reads and runs.
-func (h *halves) Serve(_ *scheduler.Call, e hatch.Exchange) {
+func (h *halves) Serve(_ *scheduler.Call, e dataplane.Exchange) {
 	ends := time.Now().Add(5 * time.Second)
 	decision := scheduler.Decision{Kind: scheduler.Run, Server: h.runner, Ends: ends, Urgency: 1}
 	if h.reader.Address != "" {
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -19,7 +19,7 @@
 
 	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/scheduler"
@@ -165,7 +165,7 @@
 	rt := osruntime.New(lifetime, osruntime.NewClock())
 	connections := NewConnections(nil)
 	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
-	conduct := hatch.NewCalls(rt, deciding, connections.SetServers)
+	conduct := dataplane.NewCalls(rt, deciding, connections.SetServers)
 	conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
 	conduct.SetServers(rt.Now(), servers)
@@ -273,7 +273,7 @@
 	owner := &tomb.Tomb{}
 	rt := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
 	connections := NewConnections(nil)
-	conduct := hatch.NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), connections.SetServers)
+	conduct := dataplane.NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), connections.SetServers)
 	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
 	conduct.SetServers(rt.Now(), []membership.Server{s.server})
--- a/internal/adapters/proxy/intake.go
+++ b/internal/adapters/proxy/intake.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -28,7 +28,7 @@
 
 // Conduct serves one call from its arrival to its end.
 type Conduct interface {
-	Serve(call *scheduler.Call, e hatch.Exchange)
+	Serve(call *scheduler.Call, e dataplane.Exchange)
 	// Limits bound what an origin may send.
 	Limits() config.Limits
 	// Ready tells whether calls are welcome, Leaving that connections are to end with the
--- a/internal/adapters/proxy/lastword.go
+++ b/internal/adapters/proxy/lastword.go
@@ -5,13 +5,13 @@
 	"net/http"
 	"strconv"
 
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
 // Refuse ends the call with a word of our own.
-func (e *exchange) Refuse(refusal hatch.Refusal) {
+func (e *exchange) Refuse(refusal dataplane.Refusal) {
 	if e.begun.Load() {
 		e.Break()
 		return
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -183,7 +183,7 @@
 func (s *scripted) Leaving() bool { return s.leaving.Load() }
 
 // Serve carries the script out.
-func (s *scripted) Serve(call *scheduler.Call, e hatch.Exchange) {
+func (s *scripted) Serve(call *scheduler.Call, e dataplane.Exchange) {
 	s.active.Add(1)
 	defer s.active.Add(-1)
 	s.mutex.Lock()
@@ -202,14 +202,14 @@
 			outcome = e.Run(&s.route, decision, func() {})
 		case scheduler.Through:
 			if !e.Through() {
-				e.Refuse(hatch.Refusal{Cause: scheduler.Broken, Status: http.StatusBadGateway})
+				e.Refuse(dataplane.Refusal{Cause: scheduler.Broken, Status: http.StatusBadGateway})
 			}
 			return
 		case scheduler.Break:
 			e.Break()
 			return
 		case scheduler.Refuse:
-			e.Refuse(hatch.Refusal{Cause: decision.Cause, Status: http.StatusServiceUnavailable, RetryAfter: decision.RetryAfter})
+			e.Refuse(dataplane.Refusal{Cause: decision.Cause, Status: http.StatusServiceUnavailable, RetryAfter: decision.RetryAfter})
 			return
 		case scheduler.Done:
 			return
--- a/internal/adapters/router/calls.go
+++ b/internal/adapters/router/calls.go
@@ -5,7 +5,7 @@
 
 	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/adapters/proxy"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -13,20 +13,20 @@
 // address for them.
 type counterCalls struct {
 	connections *proxy.Connections
-	conduct     *hatch.Calls
+	conduct     *dataplane.Calls
 	intake      *proxy.Intake
 	gate        *proxy.Gate
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
-func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Window) hatch.Board {
+func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Window) dataplane.Board {
 	chosen := p.chosen
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
 	}
 	p.calls.connections = proxy.NewConnections(chosen.Detours)
-	return func(deciding *scheduler.Window) hatch.Board {
-		p.calls.conduct = hatch.NewCalls(rt, deciding, p.calls.connections.SetServers)
+	return func(deciding *scheduler.Window) dataplane.Board {
+		p.calls.conduct = dataplane.NewCalls(rt, deciding, p.calls.connections.SetServers)
 		return p.calls.conduct
 	}
 }
--- a/internal/adapters/router/commands.go
+++ b/internal/adapters/router/commands.go
@@ -6,11 +6,11 @@
 	"seamloom.example/seamloom/internal/adapters/modelserver"
 	"seamloom.example/seamloom/internal/adapters/ports"
 	"seamloom.example/seamloom/internal/auction"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 )
 
 // commanding has servers commanded by a platform's own orders, if there are any.
-func commanding(kitchen *modelserver.ModelServer, orders ports.Orders) hatch.ModelServer {
+func commanding(kitchen *modelserver.ModelServer, orders ports.Orders) dataplane.ModelServer {
 	if orders == nil {
 		return kitchen
 	}
--- a/internal/adapters/router/counter.go
+++ b/internal/adapters/router/counter.go
@@ -14,8 +14,9 @@
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/codec"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 func (p *Process) mux() http.Handler {
@@ -23,8 +24,8 @@
 	mux.HandleFunc(pat.Post("/v1/inquiries"), func(writer http.ResponseWriter, inbound *http.Request) {
 		p.serveRequest(writer, inbound, nil)
 	})
-	mux.HandleFunc(pat.Post(hatch.ForwardPath), func(writer http.ResponseWriter, inbound *http.Request) {
-		p.serveRequest(writer, inbound, &hatch.Forwarding{Nonce: inbound.Header.Get(passageHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
+	mux.HandleFunc(pat.Post(wire.ForwardPath), func(writer http.ResponseWriter, inbound *http.Request) {
+		p.serveRequest(writer, inbound, &wire.Forwarding{Nonce: inbound.Header.Get(passageHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
 	})
 	mux.HandleFunc(pat.Get("/v1/inquiries/:id"), p.getTrace)
 	mux.HandleFunc(pat.Get("/v1/health"), func(writer http.ResponseWriter, _ *http.Request) {
@@ -43,26 +44,26 @@
 
 // serveRequest takes a request from its origin, or from a restricted router
 // that passed it on; one that was forwarded is not forwarded again.
-func (p *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, passage *hatch.Forwarding) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, hatch.MostRequestBytes))
+func (p *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, passage *wire.Forwarding) {
+	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, dataplane.MostRequestBytes))
 	if err != nil {
 		refuse(writer, failure.At(failure.Oversize, "/", err.Error()))
 		return
 	}
-	request, err := hatch.ReadRequest(p.clock.Now(), body)
+	request, err := dataplane.ReadRequest(p.clock.Now(), body)
 	if err != nil {
 		refuse(writer, err)
 		return
 	}
 	client := &reply{writer: writer, flusher: http.NewResponseController(writer), inbound: inbound}
-	arrival := hatch.Arrival{Request: request, Body: body, Forwarding: passage}
+	arrival := dataplane.Arrival{Request: request, Body: body, Forwarding: passage}
 	if passage == nil {
 		p.conduct.Serve(arrival, client)
 		return
 	}
 	writer.Header().Set("Content-Type", "application/msgpack")
 	encoder := msgpack.NewEncoder(writer)
-	p.conduct.Serve(arrival, &hatch.RecordReply{Request: request.ID, Writer: p.chosen.Name, Left: client.OnClientGone, Send: func(record codec.Record) error {
+	p.conduct.Serve(arrival, &dataplane.RecordReply{Request: request.ID, Writer: p.chosen.Name, Left: client.OnClientGone, Send: func(record codec.Record) error {
 		if err := encoder.Encode(record); err != nil {
 			return err
 		}
@@ -73,7 +74,7 @@
 // refuse answers what is no request.
 func refuse(writer http.ResponseWriter, err error) {
 	never := false
-	line := hatch.ReplyLine{Final: auction.Refused, Ran: &never, Type: failure.KindOf(err), Detail: err.Error()}
+	line := dataplane.ReplyLine{Final: auction.Refused, Ran: &never, Type: failure.KindOf(err), Detail: err.Error()}
 	status := http.StatusBadRequest
 	if line.Type == failure.Oversize {
 		status = http.StatusRequestEntityTooLarge
@@ -84,7 +85,7 @@
 func (p *Process) getTrace(writer http.ResponseWriter, inbound *http.Request) {
 	folded, found := p.conduct.Journal().Fold(pat.Param(inbound, "id"), p.supported)
 	if !found {
-		answerJSON(writer, http.StatusNotFound, hatch.ReplyLine{Request: folded.Request, Type: failure.NoSuch, Detail: "this courier's journal has nothing of it"})
+		answerJSON(writer, http.StatusNotFound, dataplane.ReplyLine{Request: folded.Request, Type: failure.NoSuch, Detail: "this courier's journal has nothing of it"})
 		return
 	}
 	answerJSON(writer, http.StatusOK, folded)
--- a/internal/adapters/router/passing.go
+++ b/internal/adapters/router/passing.go
@@ -13,7 +13,7 @@
 
 	"seamloom.example/seamloom/internal/adapters/rpc"
 	"seamloom.example/seamloom/internal/codec"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // The headers that mark one forwarding.
@@ -35,14 +35,14 @@
 }
 
 // Forward sends a request on and gives the records of its reply to take.
-func (p *passing) Forward(address string, passage hatch.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+func (p *passing) Forward(address string, passage wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	var touched atomic.Bool
 	// The connection closes when the reply is over or its origin is gone.
 	lifetime, end := context.WithCancel(p.lifetime)
 	defer end()
 	whenLeft(end)
 	lifetime = httptrace.WithClientTrace(lifetime, &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { touched.Store(true) }})
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+hatch.ForwardPath, bytes.NewReader(body))
+	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+wire.ForwardPath, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -24,8 +24,8 @@
 	"seamloom.example/seamloom/internal/adapters/settings"
 	"seamloom.example/seamloom/internal/adapters/usage"
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -35,7 +35,7 @@
 	lifetime  context.Context
 	logger    *log.Logger
 	clock     *osruntime.Clock
-	conduct   *hatch.Router
+	conduct   *dataplane.Router
 	supported features.List
 	ledger    *usage.Ledger
 	calls     counterCalls
@@ -72,14 +72,14 @@
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
 	kitchen := modelserver.New(process.lifetime, rt, rpc.Transport(chosen.Detours))
-	options := hatch.RouterOptions{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MostRequests: chosen.MostRequests,
+	options := dataplane.RouterOptions{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MostRequests: chosen.MostRequests,
 		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", FurtherTries: reached.FurtherTries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.noteEnd,
 		Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}, Board: process.prepareCalls(rt),
 		ServeWithoutHold: chosen.ServeWithoutHold, ApplyWithin: chosen.ApplyWithin}
 	if !reached.CallsOnly {
 		options.Pressures = kitchen
 	}
-	process.conduct = hatch.NewRouter(rt, rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime},
+	process.conduct = dataplane.NewRouter(rt, rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime},
 		commanding(kitchen, reached.Orders),
 		&passing{client: rpc.NewClient(rpc.Transport(chosen.Detours)), lifetime: process.lifetime}, options, process.observe)
 	if err := process.takeCalls(rt, reached); err != nil {
@@ -101,7 +101,7 @@
 func (p *Process) observe(event string, detail ...any) { p.logger.Info(event, detail...) }
 
 // Conduct is what the router does, for who mounts further ways in.
-func (p *Process) Conduct() *hatch.Router { return p.conduct }
+func (p *Process) Conduct() *dataplane.Router { return p.conduct }
 
 // Answer listens on a further address for as long as the process lives.
 func (p *Process) Answer(address string, handler http.Handler) error {
--- a/internal/hatch/expediter.go
+++ b/internal/controlplane/controller.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"maps"
@@ -11,9 +11,11 @@
 
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
+	"seamloom.example/seamloom/internal/follower"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // Controller is the control plane's conduct at one node: the copy and the epoch
@@ -21,14 +23,14 @@
 // operators.
 type Controller struct {
 	runtime       runtime.Runtime
-	client        Client
+	client        wire.Client
 	options       ControllerOptions
 	observe       func(event string, detail ...any)
 	witness       *replication.Witness
 	store         *replication.Store
 	coordinator   *replication.Coordinator
-	follower      *Follower
-	handlerTable  Handlers
+	follower      *follower.Follower
+	handlerTable  wire.Handlers
 	updated       runtime.Cond
 	termBegan     runtime.Cond
 	lists         lists
@@ -71,7 +73,7 @@
 
 // OpenController opens what the disk holds. A blank or damaged keeper's storage is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenController(rt runtime.Runtime, line Client, keeping, c replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
+func OpenController(rt runtime.Runtime, line wire.Client, keeping, c replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(rt.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -104,11 +106,11 @@
 	controller.coordinator.Bear(options.BorneLosses, options.Zone)
 	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.Repair().String(), "margin", timing.Margin().String())
 	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	controller.follower = NewFollower(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
+	controller.follower = follower.NewFollower(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
 	controller.follower.Follow(options.Directory != nil, false)
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
 	// Who was recorded when this disk was written last may know where the core is now.
-	controller.takeMembers(Update{Changed: copied.Sections()})
+	controller.takeMembers(follower.Update{Changed: copied.Sections()})
 	controller.handlerTable = controller.handlers()
 	return controller, blank, nil
 }
@@ -448,7 +450,7 @@
 
 // takeUpdate follows the enabled set as every node does, and the list of servers, to
 // lead with it at once.
-func (c *Controller) takeUpdate(update Update) {
+func (c *Controller) takeUpdate(update follower.Update) {
 	if update.Servers != nil && !c.lists.leading() {
 		c.lists.take(update.Servers.At, update.Servers.Servers)
 	}
@@ -469,7 +471,7 @@
 }
 
 // takeMembers takes the recorded members from news, or from the own copy.
-func (c *Controller) takeMembers(update Update) {
+func (c *Controller) takeMembers(update follower.Update) {
 	section, found := update.Changed[replication.MembersSection]
 	if !found {
 		return
--- a/internal/hatch/expediter_test.go
+++ b/internal/controlplane/controller_test.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"runtime/debug"
@@ -11,6 +11,7 @@
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 func plain(rt runtime.Runtime) runtime.Runtime { return rt }
@@ -42,7 +43,7 @@
 		hooks[hooked] = hooked
 		return hooked
 	})
-	question := UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
+	question := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
 	if _, err := primary.serveUpdate(question); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hatch/copynews.go
+++ b/internal/controlplane/copystate.go
@@ -1,15 +1,18 @@
-package hatch
+package controlplane
 
-import "seamloom.example/seamloom/internal/replication"
+import (
+	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/wire"
+)
 
 // provisionalSections are those that a router has from a copy. Orders and duties are
 // not among them: they need a primary.
 var provisionalSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
 // copyUpdate tells of the own copy, with its sections if their version is the wanted one.
-func (c *Controller) copyUpdate(wanted replication.Version) *CopyState {
+func (c *Controller) copyUpdate(wanted replication.Version) *wire.CopyState {
 	copied := c.store.Copy()
-	update := &CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
+	update := &wire.CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
 	sections := copied.Sections()
 	update.Configuration = sections[replication.ConfigurationSection].Version
 	if update.Damaged || wanted == (replication.Version{}) || update.Configuration != wanted {
@@ -26,8 +29,8 @@
 
 // elsewhere is the answer of a controller that is not primary. The membership is read
 // before the copy: a copy that the membership names is then no older than its grant.
-func (c *Controller) followerResponse(question UpdateRequest) UpdateResponse {
-	answer := UpdateResponse{Membership: c.coordinator.Membership()}
+func (c *Controller) followerResponse(question wire.UpdateRequest) wire.UpdateResponse {
+	answer := wire.UpdateResponse{Membership: c.coordinator.Membership()}
 	if !question.Provisional {
 		return answer
 	}
--- a/internal/hatch/edit.go
+++ b/internal/controlplane/edit.go
@@ -1,10 +1,11 @@
-package hatch
+package controlplane
 
 import (
 	"time"
 
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
+	"seamloom.example/seamloom/internal/follower"
 	"seamloom.example/seamloom/internal/replication"
 )
 
@@ -166,7 +167,7 @@
 			now := c.runtime.Now()
 			if wait > 0 {
 				// A question that is held back counts from when it came.
-				everywhere = now.Sub(committed) >= wait || len(current.behind(now, version, max(wait, LoadsWait+roundTrip))) == 0
+				everywhere = now.Sub(committed) >= wait || len(current.behind(now, version, max(wait, follower.LoadsWait+roundTrip))) == 0
 			} else {
 				everywhere = len(current.Lagging(now, version, state)) == 0
 			}
--- a/internal/hatch/edit_test.go
+++ b/internal/controlplane/edit_test.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	stderrors "errors"
--- a/internal/hatch/fuzz_test.go
+++ b/internal/controlplane/fuzz_test.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"context"
@@ -10,6 +10,7 @@
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // FuzzMessages gives a primary messages that may be anything, on every path: no
@@ -24,9 +25,9 @@
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
-	paths := []string{HelloPath, PreparePath, AcceptPath, ConfirmPath, ReplicatePath, InstallPath, RefreshPath, UpdatesPath, ClaimPath, OrdersPath}
+	paths := []string{wire.HelloPath, wire.PreparePath, wire.AcceptPath, wire.ConfirmPath, wire.ReplicatePath, wire.InstallPath, wire.RefreshPath, wire.UpdatesPath, wire.ClaimPath, wire.OrdersPath}
 	for number := range paths {
-		for _, seed := range []any{replication.Hello{}, WitnessRequest{To: "disk-a", Epoch: 1}, ReplicateRequest{To: "disk-a"}, UpdateRequest{}, []codec.Record{{}}} {
+		for _, seed := range []any{replication.Hello{}, wire.WitnessRequest{To: "disk-a", Epoch: 1}, wire.ReplicateRequest{To: "disk-a"}, wire.UpdateRequest{}, []codec.Record{{}}} {
 			body, err := msgpack.Marshal(seed)
 			if err != nil {
 				fuzzing.Fatal(err)
--- a/internal/hatch/counter.go
+++ b/internal/controlplane/handlers.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"time"
@@ -8,6 +8,7 @@
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 const (
@@ -18,54 +19,54 @@
 )
 
 // Handlers is what the controller answers on the hotline.
-func (c *Controller) Handlers() Handlers { return c.handlerTable }
+func (c *Controller) Handlers() wire.Handlers { return c.handlerTable }
 
-func (c *Controller) handlers() Handlers {
-	return Handlers{
-		HelloPath: HandlerFor(func(hello replication.Hello) (replication.Hello, error) {
+func (c *Controller) handlers() wire.Handlers {
+	return wire.Handlers{
+		wire.HelloPath: wire.HandlerFor(func(hello replication.Hello) (replication.Hello, error) {
 			return c.coordinator.Greet(hello), nil
 		}),
-		PreparePath: HandlerFor(func(question WitnessRequest) (replication.Promise, error) {
+		wire.PreparePath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Promise, error) {
 			if err := c.checkIdentity(question.To); err != nil {
 				return replication.Promise{}, err
 			}
 			return c.witness.Prepare(c.runtime.Now(), question.Epoch, question.From)
 		}),
-		AcceptPath: HandlerFor(func(question WitnessRequest) (replication.Promise, error) {
+		wire.AcceptPath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Promise, error) {
 			if err := c.checkIdentity(question.To); err != nil {
 				return replication.Promise{}, err
 			}
 			return c.witness.Accept(c.runtime.Now(), question.Membership)
 		}),
-		ConfirmPath: HandlerFor(func(question WitnessRequest) (replication.Promise, error) {
+		wire.ConfirmPath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Promise, error) {
 			if err := c.checkIdentity(question.To); err != nil {
 				return replication.Promise{}, err
 			}
 			return c.witness.Confirm(c.runtime.Now(), question.Epoch, question.From), nil
 		}),
-		ReplicatePath: HandlerFor(func(question ReplicateRequest) (Empty, error) {
+		wire.ReplicatePath: wire.HandlerFor(func(question wire.ReplicateRequest) (wire.Empty, error) {
 			if err := c.checkIdentity(question.To); err != nil {
-				return Empty{}, err
+				return wire.Empty{}, err
 			}
-			return Empty{}, c.store.Replicate(question.Epoch, question.Batch)
+			return wire.Empty{}, c.store.Replicate(question.Epoch, question.Batch)
 		}),
-		InstallPath: HandlerFor(func(question InstallRequest) (Empty, error) {
+		wire.InstallPath: wire.HandlerFor(func(question wire.InstallRequest) (wire.Empty, error) {
 			if err := c.checkIdentity(question.To); err != nil {
-				return Empty{}, err
+				return wire.Empty{}, err
 			}
-			return Empty{}, c.store.Install(question.Snapshot)
+			return wire.Empty{}, c.store.Install(question.Snapshot)
 		}),
-		RefreshPath: HandlerFor(func(question InstallRequest) (Empty, error) {
+		wire.RefreshPath: wire.HandlerFor(func(question wire.InstallRequest) (wire.Empty, error) {
 			if err := c.checkIdentity(question.To); err != nil {
-				return Empty{}, err
+				return wire.Empty{}, err
 			}
-			return Empty{}, c.store.Refresh(question.Snapshot)
+			return wire.Empty{}, c.store.Refresh(question.Snapshot)
 		}),
-		UpdatesPath: HandlerFor(c.serveUpdate),
-		ClaimPath: HandlerFor(func(question ClaimRequest) (LedResponse, error) {
+		wire.UpdatesPath: wire.HandlerFor(c.serveUpdate),
+		wire.ClaimPath: wire.HandlerFor(func(question wire.ClaimRequest) (wire.LedResponse, error) {
 			return c.led(replication.Claim(question.Made, question.Entry))
 		}),
-		OrdersPath: HandlerFor(func(question OrdersRequest) (LedResponse, error) {
+		wire.OrdersPath: wire.HandlerFor(func(question wire.OrdersRequest) (wire.LedResponse, error) {
 			return c.led(replication.GiveOrders(question.Role, question.Orders, question.Supported))
 		}),
 	}
@@ -80,15 +81,15 @@
 }
 
 // led carries out a node's change if this controller is primary.
-func (c *Controller) led(change replication.Change) (LedResponse, error) {
+func (c *Controller) led(change replication.Change) (wire.LedResponse, error) {
 	if _, _, err := c.Leading(); err != nil {
-		return LedResponse{Membership: c.coordinator.Membership()}, nil
+		return wire.LedResponse{Membership: c.coordinator.Membership()}, nil
 	}
 	_, err := c.submit(change, claimPatience)
 	if failure.KindOf(err) == failure.NotPrimary {
-		return LedResponse{Membership: c.coordinator.Membership()}, nil
+		return wire.LedResponse{Membership: c.coordinator.Membership()}, nil
 	}
-	return LedResponse{Leads: true}, err
+	return wire.LedResponse{Leads: true}, err
 }
 
 // followedSections are those that nodes follow.
@@ -96,14 +97,14 @@
 
 // serveUpdate registers the node if needed, waits for news, and grants a hold
 // for the configuration that the answer confirms.
-func (c *Controller) serveUpdate(question UpdateRequest) (UpdateResponse, error) {
-	elsewhere := func() (UpdateResponse, error) { return c.followerResponse(question), nil }
+func (c *Controller) serveUpdate(question wire.UpdateRequest) (wire.UpdateResponse, error) {
+	elsewhere := func() (wire.UpdateResponse, error) { return c.followerResponse(question), nil }
 	current, view, err := c.Leading()
 	if err != nil {
 		return elsewhere()
 	}
 	if question.Brief {
-		return UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
+		return wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
 	}
 	name := question.Member.Name
 	router := question.Member.Kind == membership.Router
@@ -118,28 +119,28 @@
 	}
 	state, err := c.state(current, view)
 	if err != nil {
-		return UpdateResponse{}, err
+		return wire.UpdateResponse{}, err
 	}
 	if recorded, found := state.Members[name]; !found || !recorded.Same(question.Member) {
 		member := question.Member
 		member.Since = c.runtime.Wall()
 		if _, err := c.submit(replication.Register(member), registerPatience); err != nil {
-			return UpdateResponse{}, err
+			return wire.UpdateResponse{}, err
 		}
 	}
 	for {
 		if view = c.awaitChange(question); view == nil {
 			return elsewhere()
 		}
-		answer := UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
-		answer.shorten(question, current)
+		answer := wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
+		shorten(&answer, question, current)
 		now := c.runtime.Now()
 		answer.Held = now.Sub(arrived)
 		c.lists.tell(now, question, &answer)
 		if router {
 			state, err := c.state(current, view)
 			if err != nil {
-				return UpdateResponse{}, err
+				return wire.UpdateResponse{}, err
 			}
 			// From here the router may act for as long as the hold says,
 			// counted from when it asked, which was earlier.
@@ -166,8 +167,8 @@
 
 // shorten sends what changed of the configuration instead of all of it, if the
 // node takes that and has a version that was shown here.
-func (u *UpdateResponse) shorten(question UpdateRequest, current *Term) {
-	section, found := u.Sections[replication.ConfigurationSection]
+func shorten(answer *wire.UpdateResponse, question wire.UpdateRequest, current *Term) {
+	section, found := answer.Sections[replication.ConfigurationSection]
 	if !found {
 		return
 	}
@@ -175,12 +176,12 @@
 	if !made || !question.Deltas {
 		return
 	}
-	delete(u.Sections, replication.ConfigurationSection)
-	u.Deltas = map[string]Delta{replication.ConfigurationSection: delta}
+	delete(answer.Sections, replication.ConfigurationSection)
+	answer.Deltas = map[string]wire.Delta{replication.ConfigurationSection: delta}
 }
 
 // count adds an answer's sections to what news has cost.
-func (c *Controller) countResponse(answer UpdateResponse) {
+func (c *Controller) countResponse(answer wire.UpdateResponse) {
 	c.updateAnswers.Add(1)
 	for name, section := range answer.Sections {
 		c.updateBytes.Add(uint64(len(section.Content)))
@@ -221,13 +222,13 @@
 // hasNewerMembership tells whether the membership has changed since the asker heard of it: who
 // belongs to the core, and where, is to reach every node while it can. An older release
 // does not tell what it has heard of, and is told with its next answer.
-func (c *Controller) hasNewerMembership(question UpdateRequest) bool {
+func (c *Controller) hasNewerMembership(question wire.UpdateRequest) bool {
 	return question.Membership != 0 && c.coordinator.Membership().Epoch > question.Membership
 }
 
 // awaitChange returns the view as soon as it has news for the question, or when
 // its patience ends; nil when this controller is not primary any more.
-func (c *Controller) awaitChange(question UpdateRequest) *replication.View {
+func (c *Controller) awaitChange(question wire.UpdateRequest) *replication.View {
 	var seen *replication.View
 	c.updated.Wait(min(max(question.Patience, 0), mostUpdateWait), func() bool {
 		_, view, err := c.Leading()
--- a/internal/hatch/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"slices"
@@ -7,6 +7,7 @@
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // keepHouse does so for as long as this controller leads, and rests while it does not.
@@ -172,8 +173,8 @@
 	}()
 	epoch := c.coordinator.Membership().Epoch
 	for _, replica := range c.coordinator.OldCopies(view.Version) {
-		question := InstallRequest{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
-		err := Call(c.client, c.coordinator.Address(replica), RefreshPath, question, nil, installPatience)
+		question := wire.InstallRequest{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
+		err := wire.Call(c.client, c.coordinator.Address(replica), wire.RefreshPath, question, nil, installPatience)
 		c.observe("copy_mended", "at", replica.Name, "version", view.Version.String(), "trouble", err)
 	}
 }
--- a/internal/hatch/lists.go
+++ b/internal/controlplane/lists.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"slices"
@@ -6,11 +6,14 @@
 	"sync"
 	"time"
 
+	"seamloom.example/seamloom/internal/discovery"
 	"seamloom.example/seamloom/internal/failure"
+	"seamloom.example/seamloom/internal/follower"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/outlier"
 	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // lists is what a controller knows of the platform's list of servers and of their
@@ -44,7 +47,7 @@
 	reportPause = 333 * time.Millisecond
 	// calmReportPause lies between two rounds while no server has much to do: then
 	// reports wake nobody whose question would not be answered by then anyway.
-	calmReportPause = UpdateWait
+	calmReportPause = follower.UpdateWait
 	// calmShare is the part of its slots up to which a server has little to do, and
 	// calmRunning that of one which does not tell its slots.
 	calmShare   = 6
@@ -109,13 +112,13 @@
 }
 
 // fresh is the list without a mark, if it is not older than a router would bear.
-func (l *lists) fresh(now time.Time) *ServersUpdate {
+func (l *lists) fresh(now time.Time) *wire.ServersUpdate {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if at := l.listing.At(); at.IsZero() || now.Sub(at) >= ListTimeout {
+	if at := l.listing.At(); at.IsZero() || now.Sub(at) >= discovery.ListTimeout {
 		return nil
 	}
-	return &ServersUpdate{Age: now.Sub(l.listing.At()), Sent: true, Servers: l.listing.Servers(now)}
+	return &wire.ServersUpdate{Age: now.Sub(l.listing.At()), Sent: true, Servers: l.listing.Servers(now)}
 }
 
 // take takes a list and tells whether it changed anything.
@@ -145,7 +148,7 @@
 }
 
 // newer tells whether there is a list or a round of reports that the asker has not.
-func (l *lists) newer(question UpdateRequest) bool {
+func (l *lists) newer(question wire.UpdateRequest) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return question.Lists && l.listMark() != 0 && l.listMark() != question.ListMark ||
@@ -153,31 +156,31 @@
 }
 
 // tell writes into an answer what the asker follows and has not.
-func (l *lists) tell(now time.Time, question UpdateRequest, answer *UpdateResponse) {
+func (l *lists) tell(now time.Time, question wire.UpdateRequest, answer *wire.UpdateResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if question.Loads {
 		l.wantedAt = now
 	}
 	if current := l.listMark(); question.Lists && current != 0 {
-		answer.Servers = &ServersUpdate{Mark: current, Age: now.Sub(l.listing.At())}
+		answer.Servers = &wire.ServersUpdate{Mark: current, Age: now.Sub(l.listing.At())}
 		if current != question.ListMark {
 			answer.Servers.Sent, answer.Servers.Servers = true, l.listing.Servers(now)
 		}
 	}
 	if current := l.reportsMark(); question.Loads && current != 0 && current != question.LoadsMark {
-		answer.Loads = &LoadsUpdate{Mark: current, Outliers: l.outliers.Advice(now)}
+		answer.Loads = &wire.LoadsUpdate{Mark: current, Outliers: l.outliers.Advice(now)}
 		for _, reported := range l.reports {
 			if age := now.Sub(reported.at); age < reportKept {
-				answer.Loads.Lines = append(answer.Loads.Lines, ReportOf(reported.load, age))
+				answer.Loads.Lines = append(answer.Loads.Lines, wire.ReportOf(reported.load, age))
 			}
 		}
-		slices.SortFunc(answer.Loads.Lines, func(left, right LoadReport) int { return strings.Compare(left.Server, right.Server) })
+		slices.SortFunc(answer.Loads.Lines, func(left, right wire.LoadReport) int { return strings.Compare(left.Server, right.Server) })
 	}
 }
 
 // noteFailing takes what a node met at servers.
-func (l *lists) noteFailing(now time.Time, question UpdateRequest) {
+func (l *lists) noteFailing(now time.Time, question wire.UpdateRequest) {
 	if !question.Loads {
 		return
 	}
@@ -278,7 +281,7 @@
 // provisionalServers is the list of servers for routers that have no primary. It is
 // read when the first of them asks, so that they need not all read it themselves, and
 // told to who fetches a configuration.
-func (c *Controller) provisionalServers(fetches bool) *ServersUpdate {
+func (c *Controller) provisionalServers(fetches bool) *wire.ServersUpdate {
 	if c.options.Directory == nil {
 		return nil
 	}
@@ -296,7 +299,7 @@
 	if !fetches {
 		return nil
 	}
-	var told *ServersUpdate
+	var told *wire.ServersUpdate
 	c.updated.Wait(provisionalPatience, func() bool {
 		told = c.lists.fresh(c.runtime.Now())
 		return told != nil
@@ -382,6 +385,6 @@
 		if err == nil {
 			c.setNodes(nodes)
 		}
-		runtime.Sleep(c.runtime, NodesInterval)
+		runtime.Sleep(c.runtime, discovery.NodesInterval)
 	}
 }
--- a/internal/hatch/lists_test.go
+++ b/internal/controlplane/lists_test.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"testing"
@@ -10,12 +10,13 @@
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/runtime/runtimetest"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // TestListsTellWhatTheAskerLacks follows a list and a report through their marks.
 func TestListsTellWhatTheAskerLacks(t *testing.T) {
 	var known lists
-	asker := UpdateRequest{Lists: true, Loads: true}
+	asker := wire.UpdateRequest{Lists: true, Loads: true}
 	if known.newer(asker) {
 		t.Error("nothing is known, and is news")
 	}
@@ -24,7 +25,7 @@
 		t.Error("who does not lead has news")
 	}
 	known.begin(7)
-	var answer UpdateResponse
+	var answer wire.UpdateResponse
 	known.tell(runtimetest.AtNoon(500*time.Millisecond), asker, &answer)
 	if answer.Servers == nil || !answer.Servers.Sent || answer.Servers.Age != 500*time.Millisecond || answer.Servers.Servers[0].Warming != 1500*time.Millisecond || answer.Loads != nil {
 		t.Fatalf("%+v", answer.Servers)
@@ -33,7 +34,7 @@
 	if known.newer(asker) {
 		t.Error("the same list is news")
 	}
-	answer = UpdateResponse{}
+	answer = wire.UpdateResponse{}
 	known.tell(runtimetest.AtNoon(time.Second), asker, &answer)
 	if answer.Servers == nil || answer.Servers.Sent || answer.Servers.Mark != asker.ListMark {
 		t.Errorf("the list was told again: %+v", answer.Servers)
@@ -48,7 +49,7 @@
 	known.note(6, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "a"}, nil)
 	known.note(7, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "another"}, nil)
 	known.round(runtimetest.AtNoon(time.Second))
-	answer = UpdateResponse{}
+	answer = wire.UpdateResponse{}
 	known.tell(runtimetest.AtNoon(time.Second), asker, &answer)
 	if answer.Loads == nil || len(answer.Loads.Lines) != 0 {
 		t.Errorf("a report of another reign or server was told: %+v", answer.Loads)
@@ -59,7 +60,7 @@
 	if !known.newer(asker) {
 		t.Error("a round of reports is no news")
 	}
-	answer = UpdateResponse{}
+	answer = wire.UpdateResponse{}
 	known.tell(runtimetest.AtNoon(1200*time.Millisecond), asker, &answer)
 	if answer.Loads == nil || len(answer.Loads.Lines) != 1 || answer.Loads.Lines[0].Load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
 		t.Errorf("%+v", answer.Loads)
@@ -72,7 +73,7 @@
 	known.wanted(runtimetest.AtNoon(4 * time.Second))
 	known.note(7, "a", runtimetest.AtNoon(4*time.Second), scheduler.Load{}, failure.New(failure.Unreachable, ""))
 	known.round(runtimetest.AtNoon(4200 * time.Millisecond))
-	answer = UpdateResponse{}
+	answer = wire.UpdateResponse{}
 	known.tell(runtimetest.AtNoon(4200*time.Millisecond), asker, &answer)
 	if answer.Loads == nil || len(answer.Loads.Lines) != 0 {
 		t.Errorf("an old report is told: %+v", answer.Loads)
@@ -86,19 +87,19 @@
 	if !known.newer(asker) {
 		t.Error("the next reign's list has the old one's mark")
 	}
-	if known.newer(UpdateRequest{}) {
+	if known.newer(wire.UpdateRequest{}) {
 		t.Error("who follows no lists has news of them")
 	}
 }
 
 // TestReportTravelsShort wants one server's report to stay a few dozen bytes.
 func TestReportTravelsShort(t *testing.T) {
-	line := ReportOf(scheduler.Load{Server: "i-7f3a91c2", Part: "decode", Changing: true, Orders: 2, Waiting: 100, Running: 60, MemoryUsed: 200_000, MemoryTotal: 319_972, Handles: 12}, 240*time.Millisecond)
+	line := wire.ReportOf(scheduler.Load{Server: "i-7f3a91c2", Part: "decode", Changing: true, Orders: 2, Waiting: 100, Running: 60, MemoryUsed: 200_000, MemoryTotal: 319_972, Handles: 12}, 240*time.Millisecond)
 	body, err := msgpack.Marshal(line)
 	if err != nil || len(body) > 48 {
 		t.Errorf("%d bytes, %v", len(body), err)
 	}
-	var read LoadReport
+	var read wire.LoadReport
 	if err := msgpack.Unmarshal(body, &read); err != nil || read != line {
 		t.Errorf("%+v, %v", read, err)
 	}
--- a/internal/hatch/expediteroptions.go
+++ b/internal/controlplane/options.go
@@ -1,8 +1,9 @@
-package hatch
+package controlplane
 
 import (
 	"time"
 
+	"seamloom.example/seamloom/internal/discovery"
 	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/replication"
 )
@@ -34,6 +35,6 @@
 	Fresh replication.Identity
 	// Directory reads the platform's lists, and Reports the servers' loads, for the
 	// whole fleet while this controller is primary.
-	Directory Directory
+	Directory discovery.Directory
 	Reports   Reports
 }
--- a/internal/hatch/search_test.go
+++ b/internal/controlplane/provisional_test.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"context"
@@ -9,11 +9,13 @@
 	"seamloom.example/seamloom"
 	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // oneServer is a directory.
@@ -46,8 +48,8 @@
 }
 
 // newRouterAt starts a router that follows a core; told rings with its events.
-func newRouterAt(rt runtime.Runtime, line Client, without time.Duration, told runtime.Cond) *Router {
-	router := NewRouter(rt, line, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
+func newRouterAt(rt runtime.Runtime, line wire.Client, without time.Duration, told runtime.Cond) *dataplane.Router {
+	router := dataplane.NewRouter(rt, line, nil, nil, dataplane.RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
 		Directory: oneServer{}, Ended: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
 	rt.Go(router.Follower().Run)
--- a/internal/hatch/signpost.go
+++ b/internal/controlplane/redirector.go
@@ -1,4 +1,4 @@
-package hatch
+package controlplane
 
 import (
 	"slices"
@@ -7,13 +7,14 @@
 
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // Redirector is the control plane's conduct at a node without a disk: it keeps nothing
 // and belongs to no core, but knows which controller is primary when it is asked.
 type Redirector struct {
 	runtime runtime.Runtime
-	client  Client
+	client  wire.Client
 
 	mutex      sync.Mutex
 	seeds      []string
@@ -36,7 +37,7 @@
 )
 
 // NewRedirector makes a redirector that begins its search at the seeds.
-func NewRedirector(rt runtime.Runtime, line Client, seeds []string) *Redirector {
+func NewRedirector(rt runtime.Runtime, line wire.Client, seeds []string) *Redirector {
 	return &Redirector{runtime: rt, client: line, seeds: seeds}
 }
 
@@ -100,7 +101,7 @@
 		r.runtime.Go(func() {
 			var hello replication.Hello
 			// A hello from nobody is answered, and leaves no trace.
-			err := Call(r.client, address, HelloPath, replication.Hello{}, &hello, redirectorPatience)
+			err := wire.Call(r.client, address, wire.HelloPath, replication.Hello{}, &hello, redirectorPatience)
 			leads := err == nil && r.learn(address, hello)
 			mutex.Lock()
 			left--
--- a/internal/hatch/reports.go
+++ b/internal/controlplane/reports.go
@@ -1,9 +1,8 @@
-package hatch
+package controlplane
 
 import (
 	"time"
 
-	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
 )
@@ -13,9 +12,3 @@
 type Reports interface {
 	Report(server membership.Server, patience time.Duration) (scheduler.Load, error)
 }
-
-// Pressures is the port by which a router asks a model server itself, for the
-// market of requests.
-type Pressures interface {
-	Pressure(server membership.Server, patience time.Duration) (auction.Load, error)
-}
--- a/internal/hatch/editions.go
+++ b/internal/controlplane/revisions.go
@@ -1,9 +1,10 @@
-package hatch
+package controlplane
 
 import (
 	"sync"
 
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // revisions are the configurations that a primary has shown lately, so that a
@@ -12,7 +13,7 @@
 	mutex sync.Mutex
 	shown []replication.Section
 	// made are the deltas towards the newest one, by the version they start from.
-	made map[replication.Version]Delta
+	made map[replication.Version]wire.Delta
 }
 
 // mostRevisions bounds the memory, and mostRevisionBytes their size together.
@@ -22,15 +23,15 @@
 )
 
 // towards gives the delta from the version that a node has to the newest.
-func (r *revisions) towards(newest replication.Section, have replication.Version) (Delta, bool) {
+func (r *revisions) towards(newest replication.Section, have replication.Version) (wire.Delta, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(newest.Content) < MinDeltaContent {
-		return Delta{}, false
+	if len(newest.Content) < wire.MinDeltaContent {
+		return wire.Delta{}, false
 	}
 	if count := len(r.shown); count == 0 || r.shown[count-1].Version != newest.Version {
 		r.shown = append(r.shown, newest)
-		r.made = map[replication.Version]Delta{}
+		r.made = map[replication.Version]wire.Delta{}
 		size := 0
 		for _, section := range r.shown {
 			size += len(section.Content)
@@ -45,10 +46,10 @@
 	}
 	for _, section := range r.shown {
 		if section.Version == have && have != newest.Version {
-			delta := NewDelta(section, newest)
+			delta := wire.NewDelta(section, newest)
 			r.made[have] = delta
 			return delta, len(delta.Middle) < len(newest.Content)/2
 		}
 	}
-	return Delta{}, false
+	return wire.Delta{}, false
 }
--- a/internal/hatch/updates_test.go
+++ b/internal/controlplane/updates_test.go
@@ -1,9 +1,10 @@
-package hatch
+package controlplane
 
 import (
 	"testing"
 
 	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // TestFollowerHearsOfAMembershipBeforeItIsNeeded wants a question that is held back to be
@@ -11,7 +12,7 @@
 func TestFollowerHearsOfAMembershipBeforeItIsNeeded(t *testing.T) {
 	_, primary := newCore(t, plain)
 	m := primary.Coordinator().Membership()
-	known := UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router}, Membership: m.Epoch - 1}
+	known := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router}, Membership: m.Epoch - 1}
 	if !primary.hasNewerMembership(known) {
 		t.Error("a question by an older charter is held back")
 	}
@@ -29,7 +30,7 @@
 // recorded by that, no lease is given, and no configuration goes out.
 func TestABriefQuestionIsAnsweredWithoutContent(t *testing.T) {
 	_, primary := newCore(t, plain)
-	question := UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
+	question := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
 	answer, err := primary.serveUpdate(question)
 	if err != nil || !answer.Leads || answer.Membership.Blank() {
 		t.Fatalf("%+v %v", answer, err)
--- a/internal/hatch/countkeepers.go
+++ b/internal/dataplane/countowners.go
@@ -1,4 +1,4 @@
-package hatch
+package dataplane
 
 import (
 	"strings"
@@ -9,6 +9,7 @@
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // CountOwners reach the nodes that keep the counts of what all nodes have model servers
@@ -17,7 +18,7 @@
 // nodes may take different ones for the keeper for a while: the counts are hints.
 type CountOwners struct {
 	runtime runtime.Runtime
-	client  Client
+	client  wire.Client
 	window  *scheduler.Window
 	// self is this node's name, life this life of it.
 	self, incarnation string
@@ -42,7 +43,7 @@
 )
 
 // NewCountOwners makes the keepers' side and the asking side of one life of a node.
-func NewCountOwners(rt runtime.Runtime, line Client, window *scheduler.Window, self, incarnation string) *CountOwners {
+func NewCountOwners(rt runtime.Runtime, line wire.Client, window *scheduler.Window, self, incarnation string) *CountOwners {
 	return &CountOwners{runtime: rt, client: line, window: window, self: self, incarnation: incarnation, changed: rt.NewCond(),
 		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
 }
@@ -115,7 +116,7 @@
 	if keeper.Name == c.self {
 		return c.ledger.Apply(c.runtime.Now(), question), true
 	}
-	if err := Call(c.client, keeper.Address, CountsPath, question, &answer, countPatience); err != nil {
+	if err := wire.Call(c.client, keeper.Address, wire.CountsPath, question, &answer, countPatience); err != nil {
 		c.mutex.Lock()
 		c.silent[keeper.Address] = c.runtime.Now()
 		c.mutex.Unlock()
--- a/internal/hatch/countkeepers_test.go
+++ b/internal/dataplane/countowners_test.go
@@ -1,4 +1,4 @@
-package hatch
+package dataplane
 
 import (
 	"sync"
@@ -13,6 +13,7 @@
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // keeperLine joins keepers by direct calls; those that are down don't answer.
@@ -28,7 +29,7 @@
 	k.mutex.Lock()
 	keeper, down := k.keepers[address], k.down[address]
 	k.mutex.Unlock()
-	if down || keeper == nil || path != CountsPath {
+	if down || keeper == nil || path != wire.CountsPath {
 		return nil, failure.New(failure.Unreachable, "nobody answers")
 	}
 	var question backlog.Question
--- a/internal/hatch/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -1,4 +1,4 @@
-package hatch
+package dataplane
 
 import (
 	"strconv"
@@ -8,6 +8,7 @@
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // carryOut does one decision. What waits for others runs in its own thread and
@@ -116,8 +117,8 @@
 	if !r.mayAct(decision) || r.core.Restricted() {
 		return
 	}
-	var answer LedResponse
-	err := r.follower.Ask(OrdersPath, OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &answer, actPatience, decision.NotAfter)
+	var answer wire.LedResponse
+	err := r.follower.Ask(wire.OrdersPath, wire.OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &answer, actPatience, decision.NotAfter)
 	r.observe("orders_given", "orders", decision.Orders, "trouble", err)
 }
 
@@ -139,14 +140,14 @@
 		r.Apply(event)
 		return
 	}
-	question := ClaimRequest{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
+	question := wire.ClaimRequest{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
 		At: r.runtime.Wall(), Cause: r.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
 	// that the request never ran, and when to come back.
 	ends := r.runtime.Now().Add(claimTime)
 	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(ends) && r.runtime.Now().Before(r.core.ServesUntil()) {
-		var answer LedResponse
-		err := r.follower.Ask(ClaimPath, question, &answer, time.Second, ends)
+		var answer wire.LedResponse
+		err := r.follower.Ask(wire.ClaimPath, question, &answer, time.Second, ends)
 		switch kind := failure.KindOf(err); {
 		case err == nil && answer.Leads:
 			event.Outcome = auction.Done
--- a/internal/hatch/passing.go
+++ b/internal/dataplane/forwarding.go
@@ -1,4 +1,4 @@
-package hatch
+package dataplane
 
 import (
 	"encoding/json"
@@ -9,6 +9,7 @@
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // Forwarder is the port by which a request goes on to another router.
@@ -16,7 +17,7 @@
 	// Forward sends the request's body with its passage, and gives the records of
 	// the reply to take, as they come, until take says no or the origin has
 	// left. Begun is false only when certainly nothing of it has left.
-	Forward(address string, passage Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
+	Forward(address string, passage wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
 }
 
 // incarnationPatience is how long a router may take to say which life it is in.
@@ -49,10 +50,10 @@
 	refused := ReplyLine{Request: arrival.Request.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
 	if arrival.Forwarding == nil {
 		for _, member := range r.capableRouters(arrival.Request.ID) {
-			passage := Forwarding{Nonce: r.nonce()}
+			passage := wire.Forwarding{Nonce: r.nonce()}
 			if !arrival.Request.Repeatable {
-				var said IncarnationResponse
-				err := Call(r.client, member.Address, IncarnationPath, Empty{}, &said, incarnationPatience)
+				var said wire.IncarnationResponse
+				err := wire.Call(r.client, member.Address, wire.IncarnationPath, wire.Empty{}, &said, incarnationPatience)
 				if failure.KindOf(err) == failure.Unreachable && !r.old(err) {
 					continue
 				}
--- a/internal/hatch/listreading.go
+++ b/internal/dataplane/lists.go
@@ -1,10 +1,11 @@
-package hatch
+package dataplane
 
 import (
 	"strconv"
 	"time"
 
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/discovery"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/runtime"
@@ -75,7 +76,7 @@
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
 	if at := r.listing.At(); !at.IsZero() {
-		return at.Add(ListTimeout + r.spread(0)/4)
+		return at.Add(discovery.ListTimeout + r.spread(0)/4)
 	}
 	return began.Add(firstListPatience + r.spread(0))
 }
@@ -95,7 +96,7 @@
 		if err == nil {
 			r.setNodes(nodes)
 		}
-		runtime.Sleep(r.runtime, NodesInterval)
+		runtime.Sleep(r.runtime, discovery.NodesInterval)
 	}
 }
 
--- a/internal/hatch/courieroptions.go
+++ b/internal/dataplane/options.go
@@ -1,10 +1,12 @@
-package hatch
+package dataplane
 
 import (
 	"time"
 
 	"seamloom.example/seamloom"
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/discovery"
+	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
@@ -17,7 +19,7 @@
 	Address string
 	Seeds   []string
 	// Directory reads the platform's lists where the news does not tell them.
-	Directory Directory
+	Directory discovery.Directory
 	// Pressures reads servers' loads for the market of requests; none: it has none.
 	Pressures Pressures
 	// Board makes who serves opaque calls over the core's window; none: this router
@@ -30,3 +32,9 @@
 	// Ended is told how each request ended that this router decided on.
 	Ended func(request *auction.Request, decision auction.Decision)
 }
+
+// Pressures is the port by which a router asks a model server itself, for the
+// market of requests.
+type Pressures interface {
+	Pressure(server membership.Server, patience time.Duration) (auction.Load, error)
+}
--- a/internal/hatch/provisional_test.go
+++ b/internal/dataplane/provisional_test.go
@@ -1,4 +1,4 @@
-package hatch
+package dataplane
 
 import (
 	"testing"
@@ -7,6 +7,7 @@
 	"seamloom.example/seamloom"
 	"seamloom.example/seamloom/internal/adapters/osruntime"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // TestPrimaryConfirmsOrReplacesAProvisionalConfiguration lets the primary come back,
@@ -18,18 +19,18 @@
 	newer := replication.Section{Version: replication.Version{Epoch: 4, Number: 9}, Content: []byte(`{"routes":{"b":{"to":{"refuse":true}}}}`)}
 	for _, row := range []struct {
 		name    string
-		answer  UpdateResponse
+		answer  wire.UpdateResponse
 		inForce replication.Version
 		hold    bool
 	}{
-		{"the same", UpdateResponse{Leads: true, Configuration: lent.Version, Hold: time.Second}, lent.Version, true},
-		{"newer", UpdateResponse{Leads: true, Configuration: newer.Version, Hold: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
-		{"older", UpdateResponse{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
+		{"the same", wire.UpdateResponse{Leads: true, Configuration: lent.Version, Hold: time.Second}, lent.Version, true},
+		{"newer", wire.UpdateResponse{Leads: true, Configuration: newer.Version, Hold: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
+		{"older", wire.UpdateResponse{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
 	} {
 		router := NewRouter(rt, nil, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 			ServeWithoutHold: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
-		copied := &CopyState{Configuration: lent.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: lent}}
-		router.follower.TakeProvisional(rt.Now(), UpdateResponse{Copy: copied})
+		copied := &wire.CopyState{Configuration: lent.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: lent}}
+		router.follower.TakeProvisional(rt.Now(), wire.UpdateResponse{Copy: copied})
 		if router.InForce() != lent.Version || router.Core().Dutiful() {
 			t.Fatalf("%s: %s in force", row.name, router.InForce())
 		}
--- a/internal/hatch/reply.go
+++ b/internal/dataplane/reply.go
@@ -1,7 +1,8 @@
-package hatch
+package dataplane
 
 import (
 	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // Reply is the port to the origin of one request.
@@ -20,7 +21,7 @@
 	// Body is what the origin sent, to be forwarded as it is.
 	Body []byte
 	// Forwarding is set when another router passed it on.
-	Forwarding *Forwarding
+	Forwarding *wire.Forwarding
 }
 
 func writeLine(reply Reply, line ReplyLine) {
--- a/internal/hatch/inquirybody.go
+++ b/internal/dataplane/requestbody.go
@@ -1,4 +1,4 @@
-package hatch
+package dataplane
 
 import (
 	"strconv"
--- a/internal/hatch/courier.go
+++ b/internal/dataplane/router.go
@@ -1,4 +1,4 @@
-package hatch
+package dataplane
 
 import (
 	"slices"
@@ -10,16 +10,18 @@
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
+	"seamloom.example/seamloom/internal/follower"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // Router is the data plane's conduct at one node: it follows the primary, has
 // requests decided by the core, and carries the decisions out.
 type Router struct {
 	runtime     runtime.Runtime
-	client      Client
+	client      wire.Client
 	modelServer ModelServer
 	forwarder   Forwarder
 	options     RouterOptions
@@ -33,9 +35,9 @@
 	// routers is how many share the servers.
 	routers         atomic.Int64
 	recordsAdded    runtime.Cond
-	follower        *Follower
+	follower        *follower.Follower
 	journal         *Journal
-	handlerTable    Handlers
+	handlerTable    wire.Handlers
 	seenForwardings seenForwardings
 	incarnation     string
 	countOwners     *CountOwners
@@ -70,12 +72,12 @@
 )
 
 // NewRouter makes the conduct of one router.
-func NewRouter(rt runtime.Runtime, line Client, modelServer ModelServer, passing Forwarder, options RouterOptions, observe func(string, ...any)) *Router {
+func NewRouter(rt runtime.Runtime, line wire.Client, modelServer ModelServer, passing Forwarder, options RouterOptions, observe func(string, ...any)) *Router {
 	router := &Router{runtime: rt, client: line, modelServer: modelServer, forwarder: passing, options: options, observe: observe,
 		core: seamloom.New(options.Options), busier: rt.NewCond(), recordsAdded: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
 	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	router.follower = NewFollower(rt, line, member, options.Seeds, router.InForce, router.takeUpdate)
+	router.follower = follower.NewFollower(rt, line, member, options.Seeds, router.InForce, router.takeUpdate)
 	if options.Board != nil {
 		router.board = options.Board(router.core.Calls())
 		router.countOwners = NewCountOwners(rt, line, router.core.Calls(), options.Router, router.incarnation)
@@ -142,7 +144,7 @@
 func (r *Router) Journal() *Journal { return r.journal }
 
 // Follower is the part that follows the primary.
-func (r *Router) Follower() *Follower { return r.follower }
+func (r *Router) Follower() *follower.Follower { return r.follower }
 
 // Heard is when a primary answered last.
 func (r *Router) Heard() time.Time { return r.follower.Heard() }
@@ -182,12 +184,12 @@
 }
 
 // Handlers is what the router answers on the hotline.
-func (r *Router) Handlers() Handlers { return r.handlerTable }
+func (r *Router) Handlers() wire.Handlers { return r.handlerTable }
 
-func (r *Router) handlers() Handlers {
-	answers := Handlers{
-		RelayPath: HandlerFor(r.follower.Relay),
-		RecordsPath: HandlerFor(func(records []codec.Record) (bool, error) {
+func (r *Router) handlers() wire.Handlers {
+	answers := wire.Handlers{
+		wire.RelayPath: wire.HandlerFor(r.follower.Relay),
+		wire.RecordsPath: wire.HandlerFor(func(records []codec.Record) (bool, error) {
 			for _, record := range records {
 				r.journal.append(record, false)
 			}
@@ -195,25 +197,25 @@
 		}),
 		// A router may stand among another process's seeds: it says where the
 		// core is.
-		HelloPath: HandlerFor(func(replication.Hello) (replication.Hello, error) {
+		wire.HelloPath: wire.HandlerFor(func(replication.Hello) (replication.Hello, error) {
 			return replication.Hello{Kind: membership.Router, Membership: r.follower.Membership()}, nil
 		}),
-		UpdatesPath: HandlerFor(func(UpdateRequest) (UpdateResponse, error) {
-			return UpdateResponse{Membership: r.follower.Membership()}, nil
+		wire.UpdatesPath: wire.HandlerFor(func(wire.UpdateRequest) (wire.UpdateResponse, error) {
+			return wire.UpdateResponse{Membership: r.follower.Membership()}, nil
 		}),
-		IncarnationPath: HandlerFor(func(Empty) (IncarnationResponse, error) {
-			return IncarnationResponse{Incarnation: r.incarnation}, nil
+		wire.IncarnationPath: wire.HandlerFor(func(wire.Empty) (wire.IncarnationResponse, error) {
+			return wire.IncarnationResponse{Incarnation: r.incarnation}, nil
 		}),
 	}
 	if r.countOwners != nil {
-		answers[CountsPath] = HandlerFor(r.countOwners.Answer)
+		answers[wire.CountsPath] = wire.HandlerFor(r.countOwners.Answer)
 	}
 	return answers
 }
 
 // takeUpdate puts a configuration in force before it uses the hold that
 // confirms it.
-func (r *Router) takeUpdate(update Update) {
+func (r *Router) takeUpdate(update follower.Update) {
 	if update.Provisional {
 		r.takeProvisional(update)
 		return
@@ -246,7 +248,7 @@
 
 // takeProvisional serves by what the copies hold, before there is a primary: what the
 // configuration is read by comes first. It is no hold, and allows no duty.
-func (r *Router) takeProvisional(update Update) {
+func (r *Router) takeProvisional(update follower.Update) {
 	state, err := replication.ReadState(update.Changed)
 	if err != nil {
 		r.observe("news_unreadable", "cause", err)
@@ -263,7 +265,7 @@
 }
 
 // takeMembers takes the recorded members, if there are others.
-func (r *Router) takeMembers(update Update, state *replication.State) {
+func (r *Router) takeMembers(update follower.Update, state *replication.State) {
 	if _, found := update.Changed[replication.MembersSection]; !found {
 		return
 	}
@@ -281,7 +283,7 @@
 }
 
 // takeLists takes what the news says of servers and of those who share them.
-func (r *Router) takeLists(update Update) {
+func (r *Router) takeLists(update follower.Update) {
 	if count := update.Answer.Routers; count > 0 {
 		r.routers.Store(int64(count))
 		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(count)})
@@ -361,9 +363,9 @@
 	if len(records) == 0 {
 		return
 	}
-	for _, member := range r.nearest(Neighbours) {
+	for _, member := range r.nearest(follower.Neighbours) {
 		var answer bool
-		if Call(r.client, member.Address, RecordsPath, records, &answer, actPatience) == nil {
+		if wire.Call(r.client, member.Address, wire.RecordsPath, records, &answer, actPatience) == nil {
 			return
 		}
 	}
--- a/internal/hatch/courier_test.go
+++ b/internal/dataplane/router_test.go
@@ -1,4 +1,4 @@
-package hatch
+package dataplane
 
 import (
 	"context"
@@ -12,10 +12,12 @@
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/features"
+	"seamloom.example/seamloom/internal/follower"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime/runtimetest"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // lines collects a reply.
@@ -47,20 +49,20 @@
 // others nobody knows here what became.
 func TestPassingOnIsTakenOnce(t *testing.T) {
 	router := newTestRouter(t, "this life")
-	serve := func(passage Forwarding) ReplyLine {
+	serve := func(passage wire.Forwarding) ReplyLine {
 		reply := &lines{}
 		router.Serve(Arrival{Request: &auction.Request{ID: "one", Service: "chat"}, Forwarding: &passage}, reply)
 		return reply.said[0]
 	}
-	if first := serve(Forwarding{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != auction.Refused {
+	if first := serve(wire.Forwarding{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != auction.Refused {
 		t.Errorf("the first was not decided on: %+v", first)
 	}
-	for name, passage := range map[string]Forwarding{"again": {Nonce: "first", Incarnation: "this life"}, "another life": {Nonce: "second", Incarnation: "an earlier life"}} {
+	for name, passage := range map[string]wire.Forwarding{"again": {Nonce: "first", Incarnation: "this life"}, "another life": {Nonce: "second", Incarnation: "an earlier life"}} {
 		if line := serve(passage); line.Final != auction.Unknown || line.Type != failure.Duplicate {
 			t.Errorf("%s: %+v", name, line)
 		}
 	}
-	if line := serve(Forwarding{}); line.Type != failure.NoHold {
+	if line := serve(wire.Forwarding{}); line.Type != failure.NoHold {
 		t.Errorf("an older release's passing-on was not taken: %+v", line)
 	}
 }
@@ -99,12 +101,12 @@
 	}
 	version := replication.Version{Epoch: 1, Number: 4}
 	sections := map[string]replication.Section{replication.ConfigurationSection: {Version: version, Content: config.Empty().Text}}
-	router.takeUpdate(Update{Asked: runtimetest.AtNoon(0), Answer: UpdateResponse{Leads: true, Configuration: version}, Changed: sections})
+	router.takeUpdate(follower.Update{Asked: runtimetest.AtNoon(0), Answer: wire.UpdateResponse{Leads: true, Configuration: version}, Changed: sections})
 	if !board.until.IsZero() || router.InForce() != version {
 		t.Errorf("a configuration without a hold: serves until %s with %s", board.until, router.InForce())
 	}
-	router.takeUpdate(Update{Asked: runtimetest.AtNoon(time.Second), Answer: UpdateResponse{Leads: true, Configuration: version, Hold: 4 * time.Second, Routers: 9},
-		Servers: &Listed{At: runtimetest.AtNoon(0), Servers: []membership.Server{{Name: "a"}}}})
+	router.takeUpdate(follower.Update{Asked: runtimetest.AtNoon(time.Second), Answer: wire.UpdateResponse{Leads: true, Configuration: version, Hold: 4 * time.Second, Routers: 9},
+		Servers: &follower.Listed{At: runtimetest.AtNoon(0), Servers: []membership.Server{{Name: "a"}}}})
 	if !board.until.Equal(runtimetest.AtNoon(65*time.Second)) || len(board.servers) != 1 || router.routers.Load() != 9 {
 		t.Errorf("serves until %s, servers %v", board.until, board.servers)
 	}
--- a/internal/hatch/ask.go
+++ b/internal/follower/ask.go
@@ -1,4 +1,4 @@
-package hatch
+package follower
 
 import (
 	"sort"
@@ -8,6 +8,7 @@
 
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // leaderResponse is the part that all answers of controllers have in common.
@@ -149,7 +150,7 @@
 			break
 		}
 		var reply []byte
-		err := Call(f.client, address, RelayPath, RelayRequest{Path: path, Body: body}, &reply, f.left(patience+200*time.Millisecond, ends))
+		err := wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: path, Body: body}, &reply, f.left(patience+200*time.Millisecond, ends))
 		if err == nil || !noPrimaryReached(err) {
 			return reply, err
 		}
@@ -159,9 +160,9 @@
 }
 
 // Relay passes another node's message to the primary that this node knows.
-func (f *Follower) Relay(question RelayRequest) ([]byte, error) {
+func (f *Follower) Relay(question wire.RelayRequest) ([]byte, error) {
 	switch question.Path {
-	case UpdatesPath, ClaimPath, OrdersPath:
+	case wire.UpdatesPath, wire.ClaimPath, wire.OrdersPath:
 	default:
 		return nil, failure.New(failure.NoSuch, "no such path to relay: "+question.Path)
 	}
--- a/internal/hatch/copies.go
+++ b/internal/follower/copystates.go
@@ -1,9 +1,10 @@
-package hatch
+package follower
 
 import (
 	"time"
 
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // copies are what controllers that are not primary said of their copies, by address.
@@ -14,14 +15,14 @@
 type reportedCopy struct {
 	at         time.Time
 	membership replication.Membership
-	copied     CopyState
+	copied     wire.CopyState
 }
 
 // copyFresh is how long an answer counts.
 const copyFresh = time.Second
 
 // note takes an answer; one without word of a copy takes back what was said before.
-func (c *copyStates) note(address string, at time.Time, answer UpdateResponse) {
+func (c *copyStates) note(address string, at time.Time, answer wire.UpdateResponse) {
 	if answer.Copy == nil {
 		delete(c.said, address)
 		return
--- a/internal/hatch/follower.go
+++ b/internal/follower/follower.go
@@ -1,4 +1,4 @@
-package hatch
+package follower
 
 import (
 	"sync"
@@ -9,13 +9,14 @@
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // Follower keeps one node up to date: it asks the primary with the versions that
 // it has and is answered when there is news.
 type Follower struct {
 	runtime runtime.Runtime
-	client  Client
+	client  wire.Client
 	member  membership.Member
 	inForce func() replication.Version
 	take    func(Update)
@@ -52,7 +53,7 @@
 // Update is one answer of the primary, as the node takes it.
 type Update struct {
 	Asked   time.Time
-	Answer  UpdateResponse
+	Answer  wire.UpdateResponse
 	Changed map[string]replication.Section
 	// Provisional tells that the sections are those of a copy and no primary's word.
 	Provisional bool
@@ -101,7 +102,7 @@
 
 // NewFollower makes a follower for a member. Take is called for every answer,
 // in turn.
-func NewFollower(rt runtime.Runtime, line Client, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
+func NewFollower(rt runtime.Runtime, line wire.Client, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
 	return &Follower{runtime: rt, client: line, member: member, seeds: seeds, inForce: inForce, take: take,
 		sections: map[string]replication.Section{}, unreachable: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
 }
@@ -213,8 +214,8 @@
 func (f *Follower) poll(address string) {
 	question, patience := f.pollRequest()
 	asked := f.runtime.Now()
-	var answer UpdateResponse
-	err := Call(f.client, address, UpdatesPath, question, &answer, patience)
+	var answer wire.UpdateResponse
+	err := wire.Call(f.client, address, wire.UpdatesPath, question, &answer, patience)
 	if err != nil {
 		if noPrimaryReached(err) {
 			f.forget(address)
@@ -231,14 +232,14 @@
 
 // leaderRequest asks only who leads, and what the copies are like: a whole fleet asks it at
 // once after a loss.
-func (f *Follower) leaderRequest() UpdateRequest {
+func (f *Follower) leaderRequest() wire.UpdateRequest {
 	question := f.searchRequest()
 	question.Brief = true
 	return question
 }
 
 // searchRequest is to be answered at once, so that those who are dark cost little time.
-func (f *Follower) searchRequest() UpdateRequest {
+func (f *Follower) searchRequest() wire.UpdateRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	question := f.request()
@@ -248,7 +249,7 @@
 
 // pollRequest is held back by the primary until there is news. The first one to a primary
 // is answered at once; it may bring a whole configuration.
-func (f *Follower) pollRequest() (UpdateRequest, time.Duration) {
+func (f *Follower) pollRequest() (wire.UpdateRequest, time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	question := f.request()
@@ -268,18 +269,18 @@
 }
 
 // question tells what the node has. The caller has the mutex.
-func (f *Follower) request() UpdateRequest {
+func (f *Follower) request() wire.UpdateRequest {
 	have := map[string]replication.Version{}
 	for name, section := range f.sections {
 		have[name] = section.Version
 	}
-	return UpdateRequest{Member: f.member, Have: have, InForce: f.inForce(), Deltas: true, Membership: f.membership.Epoch,
+	return wire.UpdateRequest{Member: f.member, Have: have, InForce: f.inForce(), Deltas: true, Membership: f.membership.Epoch,
 		Lists: f.lists, ListMark: f.listMark, Loads: f.loads, LoadsMark: f.loadsMark}
 }
 
 // Take takes a primary's answer and tells whether it did: an older primary's word
 // is passed over, since versions never go back.
-func (f *Follower) Take(asked time.Time, answer UpdateResponse) bool {
+func (f *Follower) Take(asked time.Time, answer wire.UpdateResponse) bool {
 	f.mutex.Lock()
 	for name, delta := range answer.Deltas {
 		section, fits := delta.Apply(f.sections[name])
--- a/internal/hatch/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -1,4 +1,4 @@
-package hatch
+package follower
 
 import (
 	"fmt"
@@ -12,17 +12,18 @@
 	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // darkLine is a network on which some addresses answer news and all others say nothing,
 // as machines without power do.
 type darkLine struct {
 	mutex   sync.Mutex
-	answers map[string]UpdateResponse
+	answers map[string]wire.UpdateResponse
 	closed  chan struct{}
 }
 
-func (d *darkLine) set(address string, answer *UpdateResponse) {
+func (d *darkLine) set(address string, answer *wire.UpdateResponse) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if answer == nil {
@@ -36,14 +37,14 @@
 	d.mutex.Lock()
 	answer, lit := d.answers[address]
 	d.mutex.Unlock()
-	if !lit || path != UpdatesPath {
+	if !lit || path != wire.UpdatesPath {
 		select {
 		case <-time.After(patience):
 		case <-d.closed:
 		}
 		return nil, failure.New(failure.Unreachable, address)
 	}
-	var question UpdateRequest
+	var question wire.UpdateRequest
 	if err := msgpack.Unmarshal(body, &question); err != nil {
 		return nil, err
 	}
@@ -82,7 +83,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			line := &darkLine{answers: map[string]UpdateResponse{}, closed: make(chan struct{})}
+			line := &darkLine{answers: map[string]wire.UpdateResponse{}, closed: make(chan struct{})}
 			defer close(line.closed)
 			rt := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
@@ -96,12 +97,12 @@
 			follower.SetContacts([]string{"old3", "old4", "old5", "old6"}, p)
 			before, after := seats("old"), seats("new")
 			before.Epoch, after.Epoch = 4, 19
-			line.set("old0", &UpdateResponse{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
+			line.set("old0", &wire.UpdateResponse{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
 			rt.Go(follower.Run)
 			<-taken
-			line.set(fmt.Sprintf("courier%d", row.lit), &UpdateResponse{Membership: after})
+			line.set(fmt.Sprintf("courier%d", row.lit), &wire.UpdateResponse{Membership: after})
 			newest := replication.Version{Epoch: 19, Number: 33}
-			line.set("new0", &UpdateResponse{Leads: true, Membership: after, Configuration: newest, Hold: time.Second})
+			line.set("new0", &wire.UpdateResponse{Leads: true, Membership: after, Configuration: newest, Hold: time.Second})
 			lost := time.Now()
 			line.set("old0", nil)
 			for found := false; !found; {
--- a/internal/hatch/search.go
+++ b/internal/follower/search.go
@@ -1,4 +1,4 @@
-package hatch
+package follower
 
 import (
 	"sync"
@@ -8,6 +8,7 @@
 
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // search is one look for the primary, at a node's start or after the primary was lost.
@@ -34,7 +35,7 @@
 // ledUpdate is a primary's answer, and when it was asked for.
 type ledUpdate struct {
 	asked  time.Time
-	answer UpdateResponse
+	answer wire.UpdateResponse
 }
 
 const (
@@ -103,7 +104,7 @@
 }
 
 // end notes the end of a call to an address.
-func (s *search) end(address string, asked, now time.Time, answer UpdateResponse, err error) {
+func (s *search) end(address string, asked, now time.Time, answer wire.UpdateResponse, err error) {
 	s.mutex.Lock()
 	current := s.asking[address]
 	current.calls--
@@ -130,7 +131,7 @@
 }
 
 // note takes an answer: a primary's, or what another says of its copy.
-func (s *search) note(address string, asked, now time.Time, answer UpdateResponse) {
+func (s *search) note(address string, asked, now time.Time, answer wire.UpdateResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if answer.Leads {
@@ -231,7 +232,7 @@
 
 // askPeers asks a few routers, others in each round: one that has followed the core
 // longer knows who belongs to it now.
-func (f *Follower) askPeers(s *search, question UpdateRequest) {
+func (f *Follower) askPeers(s *search, question wire.UpdateRequest) {
 	question.Provisional = false
 	f.mutex.Lock()
 	p := f.peers
@@ -243,7 +244,7 @@
 }
 
 // askOne asks an address in a thread of its own, unless it was asked just now.
-func (f *Follower) askOne(s *search, address string, question UpdateRequest) {
+func (f *Follower) askOne(s *search, address string, question wire.UpdateRequest) {
 	f.mutex.Lock()
 	membership, fleet := f.membership, len(f.peers)
 	f.mutex.Unlock()
@@ -252,8 +253,8 @@
 	}
 	f.runtime.Go(func() {
 		asked := f.runtime.Now()
-		var answer UpdateResponse
-		err := Call(f.client, address, UpdatesPath, question, &answer, searchPatience)
+		var answer wire.UpdateResponse
+		err := wire.Call(f.client, address, wire.UpdatesPath, question, &answer, searchPatience)
 		if err == nil {
 			f.learn(address, leaderResponse{Leads: answer.Leads, Membership: answer.Membership})
 		}
@@ -281,10 +282,10 @@
 func (f *Follower) askRelay(s *search, address string, body []byte) {
 	asked := f.runtime.Now()
 	var reply []byte
-	if Call(f.client, address, RelayPath, RelayRequest{Path: UpdatesPath, Body: body}, &reply, relayPatience) != nil {
+	if wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: wire.UpdatesPath, Body: body}, &reply, relayPatience) != nil {
 		return
 	}
-	var answer UpdateResponse
+	var answer wire.UpdateResponse
 	if msgpack.Unmarshal(reply, &answer) != nil || !answer.Leads {
 		return
 	}
@@ -299,8 +300,8 @@
 	question := f.searchRequest()
 	question.Wanted = version
 	asked := f.runtime.Now()
-	var answer UpdateResponse
-	if err := Call(f.client, address, UpdatesPath, question, &answer, firstPatience); err != nil {
+	var answer wire.UpdateResponse
+	if err := wire.Call(f.client, address, wire.UpdatesPath, question, &answer, firstPatience); err != nil {
 		return
 	}
 	if answer.Leads {
@@ -317,7 +318,7 @@
 // TakeProvisional takes the configuration of a copy, as it came in an answer, unless the node
 // has one. The primary will confirm it or replace it by a newer one; it never replaces it by
 // an older one, since a configuration never goes back.
-func (f *Follower) TakeProvisional(asked time.Time, answer UpdateResponse) {
+func (f *Follower) TakeProvisional(asked time.Time, answer wire.UpdateResponse) {
 	f.mutex.Lock()
 	if _, has := f.sections[replication.ConfigurationSection]; has || !f.provisional {
 		f.mutex.Unlock()
@@ -327,7 +328,7 @@
 	section := answer.Copy.Sections[replication.ConfigurationSection]
 	f.sections[replication.ConfigurationSection] = section
 	f.unconfirmed = section.Version
-	update := Update{Asked: asked, Answer: UpdateResponse{Servers: answer.Servers}, Changed: answer.Copy.Sections, Provisional: true}
+	update := Update{Asked: asked, Answer: wire.UpdateResponse{Servers: answer.Servers}, Changed: answer.Copy.Sections, Provisional: true}
 	f.takeLists(&update)
 	f.mutex.Unlock()
 	f.take(update)
--- a/internal/hatch/followertaking_test.go
+++ b/internal/follower/taking_test.go
@@ -1,4 +1,4 @@
-package hatch
+package follower
 
 import (
 	"bytes"
@@ -9,6 +9,7 @@
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/runtime/runtimetest"
 	"seamloom.example/seamloom/internal/scheduler"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // TestFollowerAsksAnewWhenADeltaDoesNotFit gives a node a delta whose checksum is
@@ -18,17 +19,17 @@
 	follower := NewFollower(runtimetest.Fixed{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
 	first := replication.Section{Version: replication.Version{Epoch: 1, Number: 1}, Content: bytes.Repeat([]byte("a"), 5000)}
 	second := replication.Section{Version: replication.Version{Epoch: 1, Number: 2}, Content: append(bytes.Repeat([]byte("a"), 5000), 'b')}
-	follower.Take(runtimetest.Fixed{}.Now(), UpdateResponse{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
-	delta := NewDelta(first, second)
+	follower.Take(runtimetest.Fixed{}.Now(), wire.UpdateResponse{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
+	delta := wire.NewDelta(first, second)
 	delta.Checksum++
-	follower.Take(runtimetest.Fixed{}.Now(), UpdateResponse{Leads: true, Configuration: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
+	follower.Take(runtimetest.Fixed{}.Now(), wire.UpdateResponse{Leads: true, Configuration: second.Version, Deltas: map[string]wire.Delta{replication.ConfigurationSection: delta}})
 	question, _ := follower.pollRequest()
 	if _, told := question.Have[replication.ConfigurationSection]; told || taken != 1 {
 		t.Fatalf("a delta that does not fit was taken: %d answers, the node says that it has %v", taken, question.Have)
 	}
 	delta.Checksum--
-	follower.Take(runtimetest.Fixed{}.Now(), UpdateResponse{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
-	follower.Take(runtimetest.Fixed{}.Now(), UpdateResponse{Leads: true, Configuration: second.Version, Deltas: map[string]Delta{replication.ConfigurationSection: delta}})
+	follower.Take(runtimetest.Fixed{}.Now(), wire.UpdateResponse{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
+	follower.Take(runtimetest.Fixed{}.Now(), wire.UpdateResponse{Leads: true, Configuration: second.Version, Deltas: map[string]wire.Delta{replication.ConfigurationSection: delta}})
 	if got := follower.Section(replication.ConfigurationSection); got.Version != second.Version || !bytes.Equal(got.Content, second.Content) {
 		t.Fatalf("the node has %s after the delta", got.Version)
 	}
@@ -40,12 +41,12 @@
 	taken := 0
 	follower := NewFollower(runtimetest.Fixed{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
 	newer, older := replication.Version{Epoch: 3, Number: 9}, replication.Version{Epoch: 2, Number: 8}
-	update := func(version replication.Version) UpdateResponse {
-		return UpdateResponse{Leads: true, Configuration: version, Sections: map[string]replication.Section{replication.ConfigurationSection: {Version: version}}}
+	update := func(version replication.Version) wire.UpdateResponse {
+		return wire.UpdateResponse{Leads: true, Configuration: version, Sections: map[string]replication.Section{replication.ConfigurationSection: {Version: version}}}
 	}
 	follower.Take(runtimetest.Fixed{}.Now(), update(newer))
 	follower.Take(runtimetest.Fixed{}.Now(), update(older))
-	follower.Take(runtimetest.Fixed{}.Now(), UpdateResponse{Leads: true, Configuration: older})
+	follower.Take(runtimetest.Fixed{}.Now(), wire.UpdateResponse{Leads: true, Configuration: older})
 	if got := follower.Section(replication.ConfigurationSection).Version; taken != 1 || got != newer {
 		t.Fatalf("%d answers were taken, the node has %s", taken, got)
 	}
@@ -59,9 +60,9 @@
 	follower := NewFollower(rt, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { heard = update })
 	follower.Follow(true, true)
 	rt.Time = runtimetest.AtNoon(800 * time.Millisecond)
-	l := []LoadReport{ReportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
-	answer := UpdateResponse{Leads: true, Held: 600 * time.Millisecond, Servers: &ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
-		Loads: &LoadsUpdate{Mark: 9, Lines: l}}
+	l := []wire.LoadReport{wire.ReportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
+	answer := wire.UpdateResponse{Leads: true, Held: 600 * time.Millisecond, Servers: &wire.ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
+		Loads: &wire.LoadsUpdate{Mark: 9, Lines: l}}
 	follower.Take(runtimetest.AtNoon(0), answer)
 	if heard.Servers == nil || !heard.Servers.At.Equal(runtimetest.AtNoon(300*time.Millisecond)) {
 		t.Errorf("the list was read at %+v", heard.Servers)
@@ -74,12 +75,12 @@
 	}
 	// A confirmation makes it younger; another mark without the list says nothing.
 	rt.Time = runtimetest.AtNoon(1200 * time.Millisecond)
-	answer.Servers, answer.Loads = &ServersUpdate{Mark: 5, Age: 100 * time.Millisecond}, nil
-	follower.Take(runtimetest.AtNoon(800*time.Millisecond), UpdateResponse{Leads: true, Servers: answer.Servers})
+	answer.Servers, answer.Loads = &wire.ServersUpdate{Mark: 5, Age: 100 * time.Millisecond}, nil
+	follower.Take(runtimetest.AtNoon(800*time.Millisecond), wire.UpdateResponse{Leads: true, Servers: answer.Servers})
 	if heard.Servers == nil || !heard.Servers.At.Equal(runtimetest.AtNoon(700*time.Millisecond)) || len(heard.Servers.Servers) != 1 {
 		t.Errorf("confirmed as %+v", heard.Servers)
 	}
-	follower.Take(runtimetest.AtNoon(800*time.Millisecond), UpdateResponse{Leads: true, Servers: &ServersUpdate{Mark: 6}})
+	follower.Take(runtimetest.AtNoon(800*time.Millisecond), wire.UpdateResponse{Leads: true, Servers: &wire.ServersUpdate{Mark: 6}})
 	if heard.Servers != nil {
 		t.Errorf("a list that was not told was taken: %+v", heard.Servers)
 	}
--- a/internal/testbed/fleet/callers.go
+++ b/internal/testbed/fleet/callers.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -150,7 +150,7 @@
 
 func (c *Callers) question(kind Kind, node *NodeProcess) (Question, Entry) {
 	repeatable := c.random.Float64() >= c.Once
-	question := Question{ID: hatch.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(c.number%50), Repeatable: repeatable,
+	question := Question{ID: dataplane.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(c.number%50), Repeatable: repeatable,
 		Limit: 15_000, PromptTokens: kind.LeastTokens + c.random.IntN(kind.MostTokens-kind.LeastTokens),
 		Prefix: kind.Service + "-" + strconv.Itoa(c.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
 		Chunks: kind.LeastChunks + c.random.IntN(kind.MostChunks-kind.LeastChunks)}
@@ -209,7 +209,7 @@
 		if leaves == len(entry.Texts) {
 			return inbound.StatusCode, 0, failure.New(failure.ClientLeft, CallerLeft)
 		}
-		var line hatch.ReplyLine
+		var line dataplane.ReplyLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
 			return inbound.StatusCode, 0, failure.Wrap(failure.Garbage, err)
 		}
--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 )
 
 func post(t *testing.T, address, path, body string) (int, http.Header, string) {
@@ -51,7 +51,7 @@
 		"an id without its time": {`{"id":"a","service":"rider-chat","repeatable":false}`, 400, "malformed"},
 		"an unknown service":     {`{"id":"a","service":"nothing"}`, 404, "unknown_service"},
 		"too long a prompt":      {`{"id":"a","service":"rider-chat","prompt_tokens":90000000}`, 400, "out_of_range"},
-		"a body that is too big": {`{"id":"a","service":"rider-chat","prompt":"` + strings.Repeat("x", hatch.MostRequestBytes) + `"}`, 413, "oversize"},
+		"a body that is too big": {`{"id":"a","service":"rider-chat","prompt":"` + strings.Repeat("x", dataplane.MostRequestBytes) + `"}`, 413, "oversize"},
 	} {
 		status, _, body := post(t, front, "/v1/inquiries", want.body)
 		if status != want.status || !strings.Contains(body, `"type":"`+want.kind+`"`) || !strings.Contains(body, `"ran":false`) {
@@ -59,7 +59,7 @@
 		}
 	}
 	// The same id of a request that is not idempotent, at another router.
-	id := hatch.NewRequestID()
+	id := dataplane.NewRequestID()
 	once := `{"id":"` + id + `","service":"rider-chat","repeatable":false,"prompt_tokens":80,"pieces":3}`
 	if status, _, body := post(t, front, "/v1/inquiries", once); status != 200 || !strings.Contains(body, `"final":"complete"`) {
 		t.Errorf("an inquiry that may not be repeated: %d %s", status, body)
--- a/internal/testbed/simulation/callers.go
+++ b/internal/testbed/simulation/callers.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
@@ -145,7 +145,7 @@
 		w.after(0, there, func() {
 			there.Go(func() {
 				defer forget()
-				request, err := hatch.ReadRequest(there.Now(), body)
+				request, err := dataplane.ReadRequest(there.Now(), body)
 				if err != nil {
 					return
 				}
@@ -153,7 +153,7 @@
 					w.claiming[m.name]++
 					defer func() { w.claiming[m.name]-- }()
 				}
-				conduct.Serve(hatch.Arrival{Request: request, Body: body}, caller)
+				conduct.Serve(dataplane.Arrival{Request: request, Body: body}, caller)
 			})
 		})
 	})
@@ -174,7 +174,7 @@
 			}
 			return 0
 		}
-		var line hatch.ReplyLine
+		var line dataplane.ReplyLine
 		if json.Unmarshal([]byte(message.(string)), &line) != nil {
 			entry.Cause = "garbage"
 			return 0
@@ -201,13 +201,13 @@
 	}
 	detail := ""
 	there.Go(func() {
-		request, err := hatch.ReadRequest(there.Now(), body)
+		request, err := dataplane.ReadRequest(there.Now(), body)
 		if err != nil {
 			return
 		}
 		// The moment of asking is that at which the router takes it up.
 		began = w.now
-		conduct.Serve(hatch.Arrival{Request: request, Body: body}, &looker{take: func(line hatch.ReplyLine) {
+		conduct.Serve(dataplane.Arrival{Request: request, Body: body}, &looker{take: func(line dataplane.ReplyLine) {
 			if line.Type == failure.RouteRefuses {
 				detail = line.Detail
 			}
@@ -221,14 +221,16 @@
 }
 
 // looker reads a reply of one line.
-type looker struct{ take func(line hatch.ReplyLine) }
+type looker struct {
+	take func(line dataplane.ReplyLine)
+}
 
 // Begin needs nothing.
 func (*looker) Begin(int, int) {}
 
 // Line reads the line.
 func (l *looker) Line(content []byte) error {
-	var line hatch.ReplyLine
+	var line dataplane.ReplyLine
 	if err := json.Unmarshal(content, &line); err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
 	"seamloom.example/seamloom/internal/testbed/fleet"
@@ -70,13 +70,13 @@
 }
 
 // prepareCalls gives a router what serves opaque calls, where the world has them.
-func (w *World) prepareCalls(m *machine, begun *incarnation, options *hatch.RouterOptions) {
+func (w *World) prepareCalls(m *machine, begun *incarnation, options *dataplane.RouterOptions) {
 	m.calls = nil
 	if !w.ways.Calls {
 		return
 	}
-	options.Board = func(deciding *scheduler.Window) hatch.Board {
-		m.calls = hatch.NewCalls(begun, deciding, func([]membership.Server) {})
+	options.Board = func(deciding *scheduler.Window) dataplane.Board {
+		m.calls = dataplane.NewCalls(begun, deciding, func([]membership.Server) {})
 		return m.calls
 	}
 }
@@ -151,7 +151,7 @@
 			if last {
 				counter.Returned++
 			}
-		case hatch.Refusal:
+		case dataplane.Refusal:
 			if said.Status == http.StatusBadGateway || said.Status == http.StatusGatewayTimeout {
 				counter.Failed++
 				break
@@ -288,14 +288,14 @@
 }
 
 // Refuse ends the call with a word of the router's own.
-func (c *callExchange) Refuse(refusal hatch.Refusal) { c.replies.put(refusal) }
+func (c *callExchange) Refuse(refusal dataplane.Refusal) { c.replies.put(refusal) }
 
 // Through passes a server's promise on.
 func (c *callExchange) Through() bool {
 	if c.kept == nil || c.passed > 0 {
 		return false
 	}
-	c.replies.put(hatch.Refusal{Status: c.kept.status})
+	c.replies.put(dataplane.Refusal{Status: c.kept.status})
 	return true
 }
 
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -272,7 +272,7 @@
 			m.asked++
 			mark := "mark-" + strconv.Itoa(m.asked)
 			world.outside.Go(func() {
-				edit := hatch.Edit{Change: mark, Digest: mark, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, mark, "rehearsal") }}
+				edit := controlplane.Edit{Change: mark, Digest: mark, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, mark, "rehearsal") }}
 				if world.editSomewhere(edit) {
 					over = true
 					m.acknowledged = append(m.acknowledged, mark)
@@ -284,7 +284,7 @@
 }
 
 // editSomewhere has every controller that leads carry a change out.
-func (w *World) editSomewhere(edit hatch.Edit) bool {
+func (w *World) editSomewhere(edit controlplane.Edit) bool {
 	for _, m := range w.nodes(membership.Controller) {
 		if m.incarnation == nil || m.incarnation.ended || m.control == nil || !m.control.Coordinator().Holds() {
 			continue
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/config"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -228,8 +228,8 @@
 
 // nowhere is a change that takes nothing away: it evacuates a zone that is not there,
 // or restores it.
-func (w *World) nowhere(name string, number int) hatch.Edit {
-	edit := hatch.Edit{Change: name + "-" + w.nonce(), Digest: name, Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") }}
+func (w *World) nowhere(name string, number int) controlplane.Edit {
+	edit := controlplane.Edit{Change: name + "-" + w.nonce(), Digest: name, Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") }}
 	if number%2 == 1 {
 		edit.Apply = func(text []byte) ([]byte, error) { return config.Restore(text, name) }
 	}
@@ -237,18 +237,18 @@
 }
 
 // configuration is the fleet's first.
-func (w *World) configuration() hatch.Edit {
+func (w *World) configuration() controlplane.Edit {
 	text := `{"services":{"chat":{}},"routes":{`
 	for number := range w.layout.Routes {
 		text += `"route-` + strconv.Itoa(number+1) + `":{"order":7,"match":{"service":"chat","prefix":"prefix-` + strconv.Itoa(number+1) + `"},"to":{"home_first":true}},`
 	}
 	text += `"all":{"order":9,"to":{"home_first":true}}}}`
-	return hatch.Edit{Change: "first", Digest: "first", Apply: func([]byte) ([]byte, error) { return []byte(text), nil }}
+	return controlplane.Edit{Change: "first", Digest: "first", Apply: func([]byte) ([]byte, error) { return []byte(text), nil }}
 }
 
 // changed makes a change over and over until one is accepted, and tells how long that
 // took from the moment.
-func (w *World) changed(from time.Duration, edit hatch.Edit) time.Duration {
+func (w *World) changed(from time.Duration, edit controlplane.Edit) time.Duration {
 	over := false
 	w.outside.Go(func() {
 		for ends := w.now + incidentPatience; w.now < ends && !over; {
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -125,11 +125,11 @@
 	return asked.content, asked.err
 }
 
-// wire is the hotline of a life.
-type wire struct{ incarnation *incarnation }
+// simulatedClient is the RPC client of a simulated process.
+type simulatedClient struct{ incarnation *incarnation }
 
 // CallRaw sends a message to the process at an address.
-func (w wire) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
+func (w simulatedClient) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
 	world := w.incarnation.world
 	world.tapMessage(path, body)
 	world.countSnapshot(path, body)
@@ -140,7 +140,7 @@
 		answer, err := there.answer(path, body)
 		world.countTraffic(path, len(body)+len(answer))
 		if err != nil {
-			// A err crosses the wire as its kind and detail.
+			// An error crosses the wire as its kind and detail.
 			return nil, failure.New(failure.KindOf(err), failure.DetailOf(err))
 		}
 		return answer, nil
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"seamloom.example/seamloom/internal/config"
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/testbed/fleet"
@@ -18,7 +18,7 @@
 
 // atPrimary has an operator ask the controllers, one after another, until one
 // leads. Whoever asks is outside, with a whole link to each.
-func (w *World) atPrimary(serve func(control *hatch.Controller) (any, error)) (any, error) {
+func (w *World) atPrimary(serve func(control *controlplane.Controller) (any, error)) (any, error) {
 	var last error = failure.New(failure.NoPrimary, "no expediter runs")
 	for _, m := range w.machines {
 		if m.kind != membership.Controller || m.gone {
@@ -56,7 +56,7 @@
 // readConfiguration reads the configuration as an operator does, and notes its revision.
 func (w *World) readConfiguration(note bool) (configurationRead, bool) {
 	began := w.now
-	content, err := w.atPrimary(func(control *hatch.Controller) (any, error) {
+	content, err := w.atPrimary(func(control *controlplane.Controller) (any, error) {
 		_, view, state, err := control.Read()
 		if err != nil {
 			return nil, err
@@ -74,8 +74,8 @@
 }
 
 // edit asks for a change, and tells "accepted", "refused" or "unknown".
-func (w *World) edit(edit hatch.Edit) string {
-	_, err := w.atPrimary(func(control *hatch.Controller) (any, error) { return control.Edit(edit) })
+func (w *World) edit(edit controlplane.Edit) string {
+	_, err := w.atPrimary(func(control *controlplane.Controller) (any, error) { return control.Edit(edit) })
 	switch {
 	case err == nil:
 		return "accepted"
@@ -118,7 +118,7 @@
 	if w.ways.Calls {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{`+w.callRoutes(), 1)
 	}
-	o := w.edit(hatch.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
+	o := w.edit(controlplane.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
 		Apply: func(text []byte) ([]byte, error) { return config.Merge(text, []byte(patch)) }})
 	kinds := map[string]fleet.EntryKind{"accepted": fleet.RevisionAccepted, "refused": fleet.RevisionRefused, "unknown": fleet.RevisionUnknown}
 	w.Book.Note(fleet.Entry{Kind: kinds[o], Revision: revision})
@@ -141,7 +141,7 @@
 		w.tempt("answers under way at an evacuation")
 	}
 	w.Book.Note(fleet.Entry{Kind: fleet.EvacuationAsked, Zone: zone})
-	o := w.edit(hatch.Edit{Change: "evacuate-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") }})
+	o := w.edit(controlplane.Edit{Change: "evacuate-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") }})
 	w.say("evacuate %s: %s", zone, o)
 	if o == "accepted" {
 		w.Book.Note(fleet.Entry{Kind: fleet.Evacuated, Zone: zone})
@@ -149,7 +149,7 @@
 	w.outside.NewCond().Wait(length, never)
 	for range 40 {
 		w.Book.Note(fleet.Entry{Kind: fleet.RestoreAsked, Zone: zone})
-		if w.edit(hatch.Edit{Change: "restore-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, zone) }}) == "accepted" {
+		if w.edit(controlplane.Edit{Change: "restore-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, zone) }}) == "accepted" {
 			return
 		}
 		w.outside.NewCond().Wait(700*time.Millisecond, never)
--- a/internal/testbed/simulation/passing.go
+++ b/internal/testbed/simulation/passing.go
@@ -5,8 +5,9 @@
 
 	"seamloom.example/seamloom/internal/auction"
 	"seamloom.example/seamloom/internal/codec"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/failure"
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 func endedHere(*auction.Request, auction.Decision) {}
@@ -15,7 +16,7 @@
 type passing struct{ incarnation *incarnation }
 
 // Forward sends a request on and gives the records of its reply to take.
-func (p *passing) Forward(address string, passage hatch.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+func (p *passing) Forward(address string, passage wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	here, world := p.incarnation, p.incarnation.world
 	to := world.nameAt(address)
 	replies := newPipe(world, to, here.name, here)
@@ -34,7 +35,7 @@
 			forget = there.incarnation.atEnd(replies.snap)
 		}
 		conduct, target := there.router, there.incarnation
-		reply := &hatch.RecordReply{Writer: to, Left: func(act func()) {
+		reply := &dataplane.RecordReply{Writer: to, Left: func(act func()) {
 			if first {
 				whenLeft(func() { world.carry(here.name, to, target, act) })
 				here.atEnd(func() { world.carry(here.name, to, target, act) })
@@ -50,12 +51,12 @@
 		world.after(0, target, func() {
 			target.Go(func() {
 				defer forget()
-				request, err := hatch.ReadRequest(target.Now(), body)
+				request, err := dataplane.ReadRequest(target.Now(), body)
 				if err != nil {
 					return
 				}
 				reply.Request = request.ID
-				conduct.Serve(hatch.Arrival{Request: request, Body: body, Forwarding: &passage}, reply)
+				conduct.Serve(dataplane.Arrival{Request: request, Body: body, Forwarding: &passage}, reply)
 			})
 		})
 	}
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -4,8 +4,8 @@
 	"strings"
 	"time"
 
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // Losses are what Repair brings about at the controller out of the pair, and at
@@ -92,7 +92,7 @@
 
 // countSnapshot adds what a whole copy costs on its way.
 func (w *World) countSnapshot(path string, body []byte) {
-	if path == hatch.InstallPath || path == hatch.RefreshPath {
+	if path == wire.InstallPath || path == wire.RefreshPath {
 		w.snapshotBytes += len(body)
 	}
 }
--- a/internal/testbed/simulation/taps.go
+++ b/internal/testbed/simulation/taps.go
@@ -8,9 +8,9 @@
 
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/testbed/fleet"
+	"seamloom.example/seamloom/internal/wire"
 )
 
 // The taps read records as they are written, on wires and disks, and note each
@@ -28,7 +28,7 @@
 }
 
 func (w *World) tapMessage(path string, body []byte) {
-	if path != hatch.RecordsPath {
+	if path != wire.RecordsPath {
 		return
 	}
 	var records []codec.Record
--- a/internal/testbed/simulation/ways.go
+++ b/internal/testbed/simulation/ways.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/membership"
 )
 
@@ -29,7 +29,7 @@
 func (deaf) SetServing(time.Time) {}
 
 // SetCountOwners takes no notice.
-func (deaf) SetCountOwners(*hatch.CountOwners) {}
+func (deaf) SetCountOwners(*dataplane.CountOwners) {}
 
 // SetServers is not minded.
 func (deaf) SetServers(time.Time, []membership.Server) {}
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"seamloom.example/seamloom/internal/hatch"
+	"seamloom.example/seamloom/internal/controlplane"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
 	"seamloom.example/seamloom/internal/testbed/fleet"
@@ -312,7 +312,7 @@
 
 // changedWhereLed makes a change at whoever leads, as an operator does whose calls
 // others answer with a word on who that is.
-func (w *World) changedWhereLed(from time.Duration, edit hatch.Edit) time.Duration {
+func (w *World) changedWhereLed(from time.Duration, edit controlplane.Edit) time.Duration {
 	over := false
 	w.outside.Go(func() {
 		for ends := w.now + incidentPatience; w.now < ends && !over; w.wait(20, 20) {
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -14,8 +14,9 @@
 	"github.com/google/uuid"
 
 	"seamloom.example/seamloom/internal/adapters/storage"
+	"seamloom.example/seamloom/internal/controlplane"
+	"seamloom.example/seamloom/internal/dataplane"
 	"seamloom.example/seamloom/internal/features"
-	"seamloom.example/seamloom/internal/hatch"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/scheduler"
 	"seamloom.example/seamloom/internal/testbed/fleet"
@@ -86,10 +87,10 @@
 	off         bool
 	gone        bool
 	incarnation *incarnation
-	router      *hatch.Router
-	control     *hatch.Controller
+	router      *dataplane.Router
+	control     *controlplane.Controller
 	// calls serves opaque calls, where the world has them.
-	calls *hatch.Calls
+	calls *dataplane.Calls
 	// starts counts its processes.
 	starts int
 }
@@ -232,17 +233,17 @@
 		return
 	}
 	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
-	options := hatch.RouterOptions{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedParts: w.fixedParts}, Address: m.address,
+	options := dataplane.RouterOptions{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedParts: w.fixedParts}, Address: m.address,
 		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
 	options.ServeWithoutHold = w.ways.ServeWithoutHold
 	if w.ways.Calls {
-		options.Board = func(*scheduler.Window) hatch.Board { return deaf{} }
+		options.Board = func(*scheduler.Window) dataplane.Board { return deaf{} }
 	}
 	if w.layout == nil {
 		options.Pressures = lists{w, begun}
 	}
 	w.prepareCalls(m, begun, &options)
-	router := hatch.NewRouter(begun, wire{begun}, servers, &passing{incarnation: begun}, options, observe)
+	router := dataplane.NewRouter(begun, simulatedClient{begun}, servers, &passing{incarnation: begun}, options, observe)
 	m.router = router
 	begun.answer = router.Handlers().Handle
 	for _, round := range router.Rounds() {
@@ -257,11 +258,11 @@
 	m.disk.owner = begun
 	keeping, _ := storage.OpenFolder(m.disk, "keeper")
 	copies, _ := storage.OpenFolder(m.disk, "larder")
-	options := hatch.ControllerOptions{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
+	options := controlplane.ControllerOptions{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
 		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, Reports: lists{w, begun}}
 	options.AcknowledgeWait, options.RetireAfter = w.ways.AcknowledgeWait, w.ways.RetireAfter
 	options.JoinsOnly = w.ways.JoinOnly || w.ways.FormOnce && m.starts > 1 || w.ways.FormOnce && w.now > opening
-	control, blank, err := hatch.OpenController(begun, wire{begun}, keeping, copies, options, observe)
+	control, blank, err := controlplane.OpenController(begun, simulatedClient{begun}, keeping, copies, options, observe)
 	if err != nil {
 		w.say("%s can't open its disk: %v", m.name, err)
 		begun.end()
--- a/internal/hatch/hotline.go
+++ b/internal/wire/client.go
@@ -2,7 +2,7 @@
 // side acts on it: following the primary's news, granting holds, answering
 // claims, waiting for lagging routers, giving duties, passing on. Threads,
 // time, disks and connections are ports, so that a simulation runs this very code.
-package hatch
+package wire
 
 import (
 	"time"
--- a/internal/hatch/forwarding.go
+++ b/internal/wire/forwarding.go
@@ -1,4 +1,4 @@
-package hatch
+package wire
 
 // Forwarding marks one forwarding: a link may bring it twice, and to another
 // process than it was meant for.
--- a/internal/hatch/ordersquestion.go
+++ b/internal/wire/orders.go
@@ -1,4 +1,4 @@
-package hatch
+package wire
 
 import (
 	"seamloom.example/seamloom/internal/codec"
--- a/internal/hatch/paths.go
+++ b/internal/wire/paths.go
@@ -1,4 +1,4 @@
-package hatch
+package wire
 
 // The paths of the messages between seamloom's own processes.
 const (
--- a/internal/hatch/relayquestion.go
+++ b/internal/wire/relay.go
@@ -1,4 +1,4 @@
-package hatch
+package wire
 
 // RelayRequest asks a neighbour to pass a message to the primary.
 type RelayRequest struct {
--- a/internal/hatch/serversnews.go
+++ b/internal/wire/servers.go
@@ -1,4 +1,4 @@
-package hatch
+package wire
 
 import (
 	"time"
