--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -91,7 +91,7 @@
 		return
 	}
 	for _, remark := range said.Remarks {
-		fmt.Printf("%-8s %s\n", remark.Level, remark.Error())
+		fmt.Printf("%-8s %s\n", remark.Level, remark.Error.Error())
 	}
 	fmt.Println(strings.TrimSpace(said.Result + " " + said.Detail))
 }
@@ -128,7 +128,7 @@
 		err = fastjson.ValidateBytes(text)
 	}
 	if err != nil {
-		return malformed, report{Result: "malformed", Detail: err.Error(), Remarks: []config.Remark{{Level: config.ErrorLevel, Trouble: *failure.At(failure.Malformed, "/", err.Error())}}}
+		return malformed, report{Result: "malformed", Detail: err.Error(), Remarks: []config.Remark{{Level: config.ErrorLevel, Error: *failure.At(failure.Malformed, "/", err.Error())}}}
 	}
 	var before current
 	var fleet status
--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -12,7 +12,7 @@
 
 func (p *Process) flagAnswers(current *controlplane.Term, state *replication.State) []flagAnswer {
 	now := p.clock.Now()
-	live := current.Holds.Live(now)
+	live := current.Grants.Live(now)
 	settling := p.conduct.Settling(current)
 	var answers []flagAnswer
 	for _, description := range features.Book() {
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -54,20 +54,20 @@
 
 // operatorAnswer is what operators read of a change.
 type operatorAnswer struct {
-	Outcome  string             `json:"outcome"`
-	Version  string             `json:"version,omitempty"`
-	Change   string             `json:"change,omitempty"`
-	Type     failure.Kind       `json:"type,omitempty"`
-	Detail   string             `json:"detail,omitempty"`
-	Failures []*failure.Trouble `json:"failures,omitempty"`
-	How      string             `json:"how,omitempty"`
+	Outcome  string           `json:"outcome"`
+	Version  string           `json:"version,omitempty"`
+	Change   string           `json:"change,omitempty"`
+	Type     failure.Code     `json:"type,omitempty"`
+	Detail   string           `json:"detail,omitempty"`
+	Failures []*failure.Error `json:"failures,omitempty"`
+	How      string           `json:"how,omitempty"`
 }
 
 // readable is the committed state for a read; without one the call is answered.
 func (p *Process) readable(writer http.ResponseWriter) (*controlplane.Term, *replication.View, *replication.State, bool) {
 	current, view, state, err := p.conduct.Read()
 	if err != nil {
-		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.KindOf(err), Detail: err.Error()})
+		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.CodeOf(err), Detail: err.Error()})
 		return nil, nil, nil, false
 	}
 	return current, view, state, true
@@ -109,7 +109,7 @@
 		// fastjson writes the text anew, so that what is kept is compact.
 		value, err := fastjson.ParseBytes(body)
 		if err != nil {
-			return nil, &config.Findings{Troubles: []*failure.Trouble{failure.At(failure.Malformed, "/", err.Error())}}
+			return nil, &config.Findings{Troubles: []*failure.Error{failure.At(failure.Malformed, "/", err.Error())}}
 		}
 		return value.MarshalTo(nil), nil
 	})
@@ -118,9 +118,9 @@
 func (p *Process) patchConfiguration(writer http.ResponseWriter, inbound *http.Request) {
 	p.edit(writer, inbound, true, func(text, body []byte) ([]byte, error) {
 		merged, err := config.Merge(text, body)
-		var found *failure.Trouble
+		var found *failure.Error
 		if stderrors.As(err, &found) {
-			return nil, &config.Findings{Troubles: []*failure.Trouble{found}}
+			return nil, &config.Findings{Troubles: []*failure.Error{found}}
 		}
 		return merged, err
 	})
@@ -144,7 +144,7 @@
 func (p *Process) edit(writer http.ResponseWriter, inbound *http.Request, versioned bool, edit func(text, body []byte) ([]byte, error)) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MostBytes+1))
 	if err != nil {
-		answerJSON(writer, http.StatusUnprocessableEntity, operatorAnswer{Outcome: "not_accepted", Type: failure.Oversize, Failures: []*failure.Trouble{failure.At(failure.Oversize, "/", err.Error())}})
+		answerJSON(writer, http.StatusUnprocessableEntity, operatorAnswer{Outcome: "not_accepted", Type: failure.Oversize, Failures: []*failure.Error{failure.At(failure.Oversize, "/", err.Error())}})
 		return
 	}
 	var expected *replication.Version
@@ -159,7 +159,7 @@
 	}
 	if versioned && builds == nil {
 		if expected, err = expectedVersion(inbound); err != nil {
-			answerJSON(writer, http.StatusBadRequest, operatorAnswer{Outcome: "not_accepted", Type: failure.KindOf(err), Detail: err.Error()})
+			answerJSON(writer, http.StatusBadRequest, operatorAnswer{Outcome: "not_accepted", Type: failure.CodeOf(err), Detail: err.Error()})
 			return
 		}
 	}
@@ -196,17 +196,17 @@
 		answerJSON(writer, http.StatusUnprocessableEntity, operatorAnswer{Outcome: "not_accepted", Type: "refused", Change: change, Failures: findings.Troubles})
 		return
 	}
-	said := &failure.Trouble{}
+	said := &failure.Error{}
 	_ = stderrors.As(err, &said)
-	switch said.Kind {
+	switch said.Code {
 	case failure.VersionConflict:
-		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Kind, Change: change, Version: said.Detail, Detail: "the configuration is at another version"})
+		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Code, Change: change, Version: said.Detail, Detail: "the configuration is at another version"})
 	case failure.RevisionConflict:
-		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Kind, Change: change, Detail: "the configuration is at revision " + said.Detail})
+		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Code, Change: change, Detail: "the configuration is at revision " + said.Detail})
 	case failure.Duplicate:
-		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Kind, Change: change, Detail: said.Detail})
+		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Code, Change: change, Detail: said.Detail})
 	case failure.Busy:
-		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: said.Kind, Change: change, Detail: said.Detail})
+		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: said.Code, Change: change, Detail: said.Detail})
 	case failure.NotPrimary, failure.NoPrimary:
 		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.NoPrimary, Change: change, Detail: err.Error()})
 	default:
@@ -233,11 +233,11 @@
 func (p *Process) retire(writer http.ResponseWriter, inbound *http.Request) {
 	name := pat.Param(inbound, "name")
 	version, err := p.conduct.Retire(name)
-	if failure.KindOf(err) == failure.HoldActive {
-		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: failure.HoldActive, Detail: failure.DetailOf(err)})
+	if failure.CodeOf(err) == failure.LeaseActive {
+		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: failure.LeaseActive, Detail: failure.DetailOf(err)})
 		return
 	}
-	if failure.KindOf(err) == failure.NoSuch {
+	if failure.CodeOf(err) == failure.NoSuch {
 		answerJSON(writer, http.StatusNotFound, operatorAnswer{Outcome: "not_accepted", Type: failure.NoSuch, Detail: err.Error()})
 		return
 	}
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -63,14 +63,14 @@
 	if reached.Directory == nil {
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
-	options := controlplane.ControllerOptions{Name: chosen.Name, Address: chosen.Address, Zone: chosen.Zone, Seeds: chosen.Seeds, Supported: chosen.Supported(),
+	options := controlplane.Options{Name: chosen.Name, Address: chosen.Address, Zone: chosen.Zone, Seeds: chosen.Seeds, Supported: chosen.Supported(),
 		FlagSettle: time.Duration(chosen.FlagSettle) * time.Millisecond, BorneLosses: chosen.BorneLosses, CatchUp: chosen.CatchUp, JoinsOnly: !chosen.Bootstrap, Fresh: replication.Identity(uuid.NewString()),
 		RetireAfter: chosen.RetireAfter, AcknowledgeWait: chosen.AcknowledgeWait, Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}}
 	if reached.Reports != nil {
 		options.Reports = ports.Asking{Reports: reached.Reports, Lifetime: process.lifetime}
 	}
 	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime}
-	conduct, blank, err := controlplane.OpenController(osruntime.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
+	conduct, blank, err := controlplane.Open(osruntime.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/adapters/controller/status.go
+++ b/internal/adapters/controller/status.go
@@ -17,7 +17,7 @@
 		return
 	}
 	now := p.clock.Now()
-	live := current.Holds.Live(now)
+	live := current.Grants.Live(now)
 	m := p.conduct.Coordinator().Membership()
 	members := map[string]memberAnswer{}
 	for name, member := range state.Members {
@@ -44,7 +44,7 @@
 		"servers":                 servers, "claims_horizon": p.horizon(view),
 		"primary": m.Primary, "backup": m.Backup, "further_backups": m.Further, "keepers": m.Witnesses, "incoming_keepers": m.Incoming,
 		"epoch": m.Epoch, "version": view.Version.String(), "configuration_version": view.VersionOf(replication.ConfigurationSection).String(),
-		"members": members, "flags": p.flagAnswers(current, state), "duties": state.Rota.Roles, "orders": orders,
+		"members": members, "flags": p.flagAnswers(current, state), "duties": state.Roles.Roles, "orders": orders,
 		"lagging":        current.Lagging(now, view.VersionOf(replication.ConfigurationSection), state),
 		"synced_batches": batches, "answered_changes": changes, "primary_since_milliseconds": now.Sub(current.Since).Milliseconds(),
 	})
@@ -65,13 +65,13 @@
 	if silence > 3*time.Second {
 		status = http.StatusServiceUnavailable
 	}
-	answerJSON(writer, status, map[string]any{"ready": status == http.StatusOK, "leads": p.conduct.Coordinator().Holds(), "identity": p.conduct.Witness().Replica().Identity, "epoch": p.conduct.Coordinator().Membership().Epoch})
+	answerJSON(writer, status, map[string]any{"ready": status == http.StatusOK, "leads": p.conduct.Coordinator().HasLease(), "identity": p.conduct.Witness().Replica().Identity, "epoch": p.conduct.Coordinator().Membership().Epoch})
 }
 
 func (p *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
 	batches, changes := p.conduct.Store().Work()
 	leads := 0
-	if p.conduct.Coordinator().Holds() {
+	if p.conduct.Coordinator().HasLease() {
 		leads = 1
 	}
 	version := p.conduct.Store().Copy().Version()
--- a/internal/adapters/daemon/program.go
+++ b/internal/adapters/daemon/program.go
@@ -149,7 +149,7 @@
 // settings, 1 for what the machine or others did not give, such as a busy address
 // or a disk.
 func ExitCode(err error) int {
-	switch failure.KindOf(err) {
+	switch failure.CodeOf(err) {
 	case failure.Disk, failure.Unreachable, failure.Damaged:
 		return 1
 	}
--- a/internal/adapters/modelserver/fuzz_test.go
+++ b/internal/adapters/modelserver/fuzz_test.go
@@ -32,7 +32,7 @@
 	fuzzing.Fuzz(func(t *testing.T, said int, content []byte) {
 		status, body = said, content
 		if load, err := client.Load(context.Background(), decision.Address); err != nil {
-			if failure.KindOf(err) == failure.Unsorted {
+			if failure.CodeOf(err) == failure.Unsorted {
 				t.Fatalf("an untyped failure: %v", err)
 			}
 		} else if load.PrefillRoom < 0 || load.DecodeSlots < 0 || load.MemoryFree < 0 {
--- a/internal/adapters/modelserver/guardedbody.go
+++ b/internal/adapters/modelserver/guardedbody.go
@@ -17,7 +17,7 @@
 	begun  *atomic.Bool
 }
 
-var tooLate = failure.New(failure.LimitPassed, "the order may not go any more")
+var tooLate = failure.New(failure.DeadlinePassed, "the order may not go any more")
 
 // Read gives the next bytes, the first of them only if they may still go.
 func (g *guardedBody) Read(buffer []byte) (int, error) {
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -149,11 +149,11 @@
 		seeds, _ = strconv.Atoi(text)
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { tryFleet(t, uint64(seed), 150) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { sendFleet(t, uint64(seed), 150) })
 	}
 }
 
-func tryFleet(t *testing.T, seed uint64, count int) {
+func sendFleet(t *testing.T, seed uint64, count int) {
 	l := &ledger{ran: map[string]int{}}
 	var servers []membership.Server
 	for number := range 4 {
@@ -192,7 +192,7 @@
 				}
 				route := map[bool]string{true: "once", false: "again"}[number%2 == 0]
 				id := fmt.Sprintf("%s-%d-%d", route, seed, number)
-				if tryCall(t, listener.Addr().String(), route, id, l) {
+				if sendCall(t, listener.Addr().String(), route, id, l) {
 					complete.Add(1)
 				}
 			}
@@ -208,9 +208,9 @@
 	until(t, "no call is left", func() bool { return deciding.InFlight() == 0 })
 }
 
-// tryCall sends one call and holds what its origin got against what ran; it tells
+// sendCall sends one call and holds what its origin got against what ran; it tells
 // whether the answer was complete.
-func tryCall(t *testing.T, address, route, id string, l *ledger) bool {
+func sendCall(t *testing.T, address, route, id string, l *ledger) bool {
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+address+"/"+route+"/x", strings.NewReader("body of "+id))
 	outbound.Host = "calls.example"
 	for name, value := range map[string]string{"Seamloom-Call": id, "Seamloom-Limit-Milliseconds": "2000", "Seamloom-Model": "m", "Seamloom-Tokens": "9000,6",
--- a/internal/adapters/router/counter.go
+++ b/internal/adapters/router/counter.go
@@ -74,7 +74,7 @@
 // refuse answers what is no request.
 func refuse(writer http.ResponseWriter, err error) {
 	never := false
-	line := dataplane.ReplyLine{Final: auction.Refused, Ran: &never, Type: failure.KindOf(err), Detail: err.Error()}
+	line := dataplane.ReplyLine{Final: auction.Refused, Ran: &never, Type: failure.CodeOf(err), Detail: err.Error()}
 	status := http.StatusBadRequest
 	if line.Type == failure.Oversize {
 		status = http.StatusRequestEntityTooLarge
--- a/internal/adapters/rpc/answerer.go
+++ b/internal/adapters/rpc/answerer.go
@@ -28,7 +28,7 @@
 		status := http.StatusOK
 		if err != nil {
 			status = http.StatusConflict
-			said := &failure.Trouble{}
+			said := &failure.Error{}
 			if !stderrors.As(err, &said) {
 				said = failure.New(failure.Unsorted, err.Error())
 			}
--- a/internal/adapters/rpc/caller.go
+++ b/internal/adapters/rpc/caller.go
@@ -94,8 +94,8 @@
 	if inbound.StatusCode == http.StatusOK {
 		return answer, nil
 	}
-	said := &failure.Trouble{}
-	if msgpack.Unmarshal(answer, said) != nil || said.Kind == "" {
+	said := &failure.Error{}
+	if msgpack.Unmarshal(answer, said) != nil || said.Code == "" {
 		return nil, failure.New(failure.Unreachable, "status "+strconv.Itoa(inbound.StatusCode))
 	}
 	return nil, said
--- a/internal/adapters/rpc/packing_test.go
+++ b/internal/adapters/rpc/packing_test.go
@@ -88,14 +88,14 @@
 	call("from an older release", long, true, false)
 	counting.without = false
 	older = true
-	if _, err := caller.CallRaw(context.Background(), address, "/", long, 5*time.Second); failure.KindOf(err) != failure.Garbage {
+	if _, err := caller.CallRaw(context.Background(), address, "/", long, 5*time.Second); failure.CodeOf(err) != failure.Garbage {
 		t.Errorf("restarted into an older release: %v", err)
 	}
 	call("to an older release", long, false, false)
 	older = false
 	call("upgraded again", long, false, true)
 	call("and the next", long, true, true)
-	if _, err := caller.CallRaw(context.Background(), address, "/", []byte("refuse"), 5*time.Second); failure.KindOf(err) != failure.Busy {
+	if _, err := caller.CallRaw(context.Background(), address, "/", []byte("refuse"), 5*time.Second); failure.CodeOf(err) != failure.Busy {
 		t.Errorf("a refusal: %v", err)
 	}
 }
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -190,7 +190,7 @@
 // Check names all mistakes at once.
 func (s *Settings) Check() error {
 	var mistakes error
-	wrong := func(kind failure.Kind, path, detail string) {
+	wrong := func(kind failure.Code, path, detail string) {
 		mistakes = multierr.Append(mistakes, failure.At(kind, path, detail))
 	}
 	for path, name := range map[string]string{"name": s.Name, "district": s.Zone} {
@@ -262,7 +262,7 @@
 }
 
 // checkFurther checks the further addresses and the lengths of time.
-func (s *Settings) checkFurther(addresses map[string]string, wrong func(kind failure.Kind, path, detail string)) {
+func (s *Settings) checkFurther(addresses map[string]string, wrong func(kind failure.Code, path, detail string)) {
 	taken := map[string]string{s.Address: "address"}
 	for _, further := range []struct {
 		path, address string
--- a/internal/auction/decision.go
+++ b/internal/auction/decision.go
@@ -29,7 +29,7 @@
 	Chunk  int          `json:"piece,omitempty"`
 	Text   string       `json:"text,omitempty"`
 	Final  Final        `json:"final,omitempty"`
-	Cause  failure.Kind `json:"cause,omitempty"`
+	Cause  failure.Code `json:"cause,omitempty"`
 	Detail string       `json:"detail,omitempty"`
 	Chunks int          `json:"pieces,omitempty"`
 	// Retry is when the caller may come back.
--- a/internal/auction/desk.go
+++ b/internal/auction/desk.go
@@ -160,11 +160,11 @@
 	}
 	program := d.program.Load()
 	if program == nil || !now.Before(d.ServesUntil()) {
-		return d.refuse(request, failure.NoHold, "the configuration in force is not confirmed", time.Second)
+		return d.refuse(request, failure.NoLease, "the configuration in force is not confirmed", time.Second)
 	}
 	ruling, err := program.Rule(request, d.zone)
 	if err != nil {
-		return d.refuse(request, err.Kind, err.Detail, 0)
+		return d.refuse(request, err.Code, err.Detail, 0)
 	}
 	if d.inFlight.Load() >= d.most || d.serviceCount(request.Service).Load() >= int64(ruling.Service.InFlight) {
 		return d.refuse(request, failure.Busy, "the courier has as many inquiries as it takes", d.market.Relief(now))
--- a/internal/auction/desk_test.go
+++ b/internal/auction/desk_test.go
@@ -90,7 +90,7 @@
 
 func TestNothingIsDispatchedPastItsLimitOrWithoutAHold(t *testing.T) {
 	desk := newTestDesk(t)
-	if final := find(arrive(desk, noon.Add(4*time.Second), "late", true), Finish); final == nil || final.Cause != failure.NoHold {
+	if final := find(arrive(desk, noon.Add(4*time.Second), "late", true), Finish); final == nil || final.Cause != failure.NoLease {
 		t.Errorf("let in without a hold: %+v", final)
 	}
 	request := &Request{ID: "one", Service: "chat", Repeatable: false, PromptTokens: 500, Chunks: 3, Limit: noon.Add(time.Second)}
@@ -125,7 +125,7 @@
 		t.Errorf("given up early: %+v", decisions)
 	}
 	final := find(desk.Tick(after.Add(holdPatience+time.Millisecond)), Finish)
-	if final == nil || final.Final != Refused || final.Cause != failure.NoHold || final.Retry == 0 {
+	if final == nil || final.Final != Refused || final.Cause != failure.NoLease || final.Retry == 0 {
 		t.Errorf("when no hold comes: %+v", final)
 	}
 }
@@ -373,7 +373,7 @@
 // TestDeskGoesOnWithoutAHoldAsLongAsItWasTold lets the hold end, and the time without
 // one; a desk that never had a hold lets nothing in.
 func TestDeskGoesOnWithoutAHoldAsLongAsItWasTold(t *testing.T) {
-	arrives := func(desk *Desk, at time.Duration) failure.Kind {
+	arrives := func(desk *Desk, at time.Duration) failure.Code {
 		reportLoads(desk, noon.Add(at))
 		if final := find(arrive(desk, noon.Add(at), fmt.Sprint("at ", at, time.Now().UnixNano()), true), Finish); final != nil {
 			return final.Cause
@@ -381,14 +381,14 @@
 		return ""
 	}
 	desk := newTestDesk(t)
-	if cause := arrives(desk, 5*time.Second); cause != failure.NoHold {
+	if cause := arrives(desk, 5*time.Second); cause != failure.NoLease {
 		t.Errorf("without being told: %q", cause)
 	}
 	desk.SetServeWithoutHold(time.Minute)
 	if cause := arrives(desk, 5*time.Second); cause != "" {
 		t.Errorf("within its time without a hold: %q", cause)
 	}
-	if cause := arrives(desk, 65*time.Second); cause != failure.NoHold {
+	if cause := arrives(desk, 65*time.Second); cause != failure.NoLease {
 		t.Errorf("after its time without a hold: %q", cause)
 	}
 	if !desk.HoldEnds().Equal(noon.Add(4 * time.Second)) {
@@ -397,7 +397,7 @@
 	blank := NewDesk(NewMarket("courier-1", "north", false), "north", 100)
 	blank.SetServeWithoutHold(time.Hour)
 	configure(t, blank, 1, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
-	if cause := arrives(blank, 0); cause != failure.NoHold {
+	if cause := arrives(blank, 0); cause != failure.NoLease {
 		t.Errorf("a life without any hold: %q", cause)
 	}
 }
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -31,7 +31,7 @@
 func (d *Desk) dispatchPrefill(now time.Time, s *shard, entry *ticket) []Decision {
 	request := entry.request
 	if !now.Before(request.Limit) {
-		return d.giveUp(now, s, entry, failure.LimitPassed)
+		return d.giveUp(now, s, entry, failure.DeadlinePassed)
 	}
 	holdEnds := d.ServesUntil()
 	if !now.Before(holdEnds) {
@@ -82,7 +82,7 @@
 		entry.holdless = now
 	}
 	if now.Sub(entry.holdless) > holdPatience {
-		return d.giveUp(now, s, entry, failure.NoHold)
+		return d.giveUp(now, s, entry, failure.NoLease)
 	}
 	entry.stage = st
 	return nil
@@ -100,7 +100,7 @@
 func (d *Desk) dispatchDecode(now time.Time, s *shard, entry *ticket, extra bool) []Decision {
 	request := entry.request
 	if !now.Before(request.Limit) {
-		return d.giveUp(now, s, entry, failure.LimitPassed)
+		return d.giveUp(now, s, entry, failure.DeadlinePassed)
 	}
 	holdEnds := d.ServesUntil()
 	if !now.Before(holdEnds) {
--- a/internal/auction/ending.go
+++ b/internal/auction/ending.go
@@ -6,14 +6,14 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-func (d *Desk) refuse(request *Request, cause failure.Kind, detail string, retry time.Duration) []Decision {
+func (d *Desk) refuse(request *Request, cause failure.Code, detail string, retry time.Duration) []Decision {
 	d.counters.Refused.Add(1)
 	return []Decision{{Kind: Finish, ID: request.ID, Final: Refused, Cause: cause, Detail: detail, Retry: retry}}
 }
 
 // giveUp ends a request that gets no further dispatch, with the word that is
 // certain: refused when it never ran, unknown when a server may be running it.
-func (d *Desk) giveUp(now time.Time, s *shard, entry *ticket, cause failure.Kind) []Decision {
+func (d *Desk) giveUp(now time.Time, s *shard, entry *ticket, cause failure.Code) []Decision {
 	final := Failed
 	switch {
 	case !entry.everRan && !entry.started:
@@ -39,7 +39,7 @@
 	return []Decision{{Kind: Cancel, ID: entry.request.ID, Run: entry.run, Server: stall.server.Name, Address: stall.server.Address}}
 }
 
-func (d *Desk) finish(now time.Time, s *shard, entry *ticket, final Final, cause failure.Kind) []Decision {
+func (d *Desk) finish(now time.Time, s *shard, entry *ticket, final Final, cause failure.Code) []Decision {
 	d.release(entry)
 	delete(s.tickets, entry.request.ID)
 	d.inFlight.Add(-1)
@@ -82,7 +82,7 @@
 	dispatched := entry.stage == prefilling || entry.stage == decoding
 	if !now.Before(entry.request.Limit) {
 		entry.started = entry.started || dispatched
-		return d.giveUp(now, s, entry, failure.LimitPassed)
+		return d.giveUp(now, s, entry, failure.DeadlinePassed)
 	}
 	switch entry.stage {
 	case ready:
--- a/internal/auction/program.go
+++ b/internal/auction/program.go
@@ -86,7 +86,7 @@
 }
 
 // Rule interprets the program for one request that arrived in a zone.
-func (p *Program) Rule(request *Request, zone string) (*Ruling, *failure.Trouble) {
+func (p *Program) Rule(request *Request, zone string) (*Ruling, *failure.Error) {
 	compiled, found := p.services[request.Service]
 	if !found {
 		return nil, failure.New(failure.UnknownService, request.Service)
--- a/internal/config/calls_test.go
+++ b/internal/config/calls_test.go
@@ -48,7 +48,7 @@
 func TestInvalidRoutesOfCallsAreNamedWithPathAndType(t *testing.T) {
 	for _, row := range []struct {
 		name, routes, path string
-		kind               failure.Kind
+		kind               failure.Code
 	}{
 		{"unknown service", `"a":{"match":{"host":"h","path_prefix":"/"},"calls":{"limit_milliseconds":1,"shares":[{"service":"desk"},{"service":"other"}]}}`, "/routes/a/calls/shares/1/service", failure.Contradictory},
 		{"the same place", `"a":{"match":{"host":"h","path_prefix":"/p/"},"calls":{"limit_milliseconds":1,"shares":[{"service":"desk"}]}},"b":{"match":{"host":"H","path_prefix":"/p/"},"calls":{"limit_milliseconds":1,"shares":[{"service":"desk"}]}}`, "/routes/b/match", failure.Contradictory},
@@ -76,7 +76,7 @@
 		}
 		found := false
 		for _, entry := range findings.Troubles {
-			found = found || entry.Path == row.path && entry.Kind == row.kind
+			found = found || entry.Path == row.path && entry.Code == row.kind
 		}
 		if !found {
 			t.Errorf("%s: no %s at %s in %v", row.name, row.kind, row.path, findings.Troubles)
--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -13,11 +13,11 @@
 	if !stderrors.As(err, &findings) {
 		t.Fatalf("no findings: %v", err)
 	}
-	found := map[string]failure.Kind{}
+	found := map[string]failure.Code{}
 	for _, entry := range findings.Troubles {
-		found[entry.Path] = entry.Kind
+		found[entry.Path] = entry.Code
 	}
-	for path, kind := range map[string]failure.Kind{"/services/chat/tries": failure.OutOfRange, "/services/chat/colour": failure.UnknownField,
+	for path, kind := range map[string]failure.Code{"/services/chat/tries": failure.OutOfRange, "/services/chat/colour": failure.UnknownField,
 		"/services/chat": failure.Contradictory, "/routes/a/to": failure.Contradictory, "/routes/b/to": failure.Missing,
 		"/evacuations/n/reason": failure.WrongType, "/x": failure.UnknownField} {
 		if found[path] != kind {
@@ -46,7 +46,7 @@
 			t.Errorf("%s and %s make %s, not %s (%v)", row[0], row[1], merged, row[2], err)
 		}
 	}
-	if _, err := Merge([]byte(`{}`), []byte(`[]`)); failure.KindOf(err) != failure.WrongType {
+	if _, err := Merge([]byte(`{}`), []byte(`[]`)); failure.CodeOf(err) != failure.WrongType {
 		t.Errorf("a list was merged: %v", err)
 	}
 }
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -92,7 +92,7 @@
 	}
 	merged, err := Merge(text, patch.MarshalTo(nil))
 	if err == nil && len(merged) > MostBytes {
-		return nil, &Findings{Troubles: []*failure.Trouble{failure.At(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MostBytes)+" bytes")}}
+		return nil, &Findings{Troubles: []*failure.Error{failure.At(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MostBytes)+" bytes")}}
 	}
 	return merged, err
 }
--- a/internal/config/findings.go
+++ b/internal/config/findings.go
@@ -4,7 +4,7 @@
 
 // Findings are all the failures that a check met, each with path and type.
 type Findings struct {
-	Troubles []*failure.Trouble `json:"failures"`
+	Troubles []*failure.Error `json:"failures"`
 }
 
 // MostFindings bounds how many failures one check reports.
@@ -18,7 +18,7 @@
 	return "several failures, the first: " + f.Troubles[0].Error()
 }
 
-func (f *Findings) add(kind failure.Kind, path, detail string) {
+func (f *Findings) add(kind failure.Code, path, detail string) {
 	if len(f.Troubles) < MostFindings {
 		f.Troubles = append(f.Troubles, failure.At(kind, path, detail))
 	}
--- a/internal/config/remark.go
+++ b/internal/config/remark.go
@@ -6,7 +6,7 @@
 // refuse, or a warning, which it would take.
 type Remark struct {
 	Level string `json:"level"`
-	failure.Trouble
+	failure.Error
 }
 
 // The levels of a remark.
--- a/internal/config/revise.go
+++ b/internal/config/revise.go
@@ -54,6 +54,6 @@
 	return next.MarshalTo(make([]byte, 0, len(edited)+64)), nil
 }
 
-func finding(kind failure.Kind, path, detail string) *Findings {
-	return &Findings{Troubles: []*failure.Trouble{failure.At(kind, path, detail)}}
+func finding(kind failure.Code, path, detail string) *Findings {
+	return &Findings{Troubles: []*failure.Error{failure.At(kind, path, detail)}}
 }
--- a/internal/config/revise_test.go
+++ b/internal/config/revise_test.go
@@ -14,7 +14,7 @@
 	for _, row := range []struct {
 		name, current, next, want string
 		builds                    uint64
-		kind                      failure.Kind
+		kind                      failure.Code
 	}{
 		{"the first", `{}`, `{"revision":3}`, `{"revision":3}`, 0, ""},
 		{"a later one", `{"revision":3}`, `{"revision":9,"services":{}}`, `{"revision":9,"services":{}}`, 3, ""},
@@ -29,13 +29,13 @@
 		{"a list", `{"revision":3}`, `[]`, "", 3, failure.WrongType},
 	} {
 		text, err := Revise([]byte(row.current), row.builds, to(row.next))
-		kind := failure.Kind("")
+		kind := failure.Code("")
 		var findings *Findings
 		switch {
 		case stderrors.As(err, &findings):
-			kind = findings.Troubles[0].Kind
+			kind = findings.Troubles[0].Code
 		case err != nil:
-			kind = failure.KindOf(err)
+			kind = failure.CodeOf(err)
 		}
 		if kind != row.kind || string(text) != row.want {
 			t.Errorf("%s: %s, %v", row.name, text, err)
--- a/internal/config/taste.go
+++ b/internal/config/taste.go
@@ -11,15 +11,15 @@
 
 // The kinds of warning.
 const (
-	UnknownZone   failure.Kind = "unknown_district"
-	NoServersLeft failure.Kind = "no_servers_left"
-	NoPartLeft    failure.Kind = "no_part_left"
-	LittleRoom    failure.Kind = "little_room"
-	NeverReached  failure.Kind = "never_reached"
-	NoRouteTo     failure.Kind = "no_route_to_service"
-	MixedFormats  failure.Kind = "mixed_formats"
-	FewRouters    failure.Kind = "few_couriers"
-	Shrinks       failure.Kind = "service_disappears"
+	UnknownZone   failure.Code = "unknown_district"
+	NoServersLeft failure.Code = "no_servers_left"
+	NoPartLeft    failure.Code = "no_part_left"
+	LittleRoom    failure.Code = "little_room"
+	NeverReached  failure.Code = "never_reached"
+	NoRouteTo     failure.Code = "no_route_to_service"
+	MixedFormats  failure.Code = "mixed_formats"
+	FewRouters    failure.Code = "few_couriers"
+	Shrinks       failure.Code = "service_disappears"
 )
 
 // Taste checks a proposed configuration against the fleet as it is and the
@@ -30,7 +30,7 @@
 	if stderrors.As(err, &findings) {
 		var remarks []Remark
 		for _, finding := range findings.Troubles {
-			remarks = append(remarks, Remark{Level: ErrorLevel, Trouble: *finding})
+			remarks = append(remarks, Remark{Level: ErrorLevel, Error: *finding})
 		}
 		return remarks
 	}
@@ -56,8 +56,8 @@
 	remarks       []Remark
 }
 
-func (t *tasting) warn(kind failure.Kind, path, detail string) {
-	t.remarks = append(t.remarks, Remark{Level: WarningLevel, Trouble: *failure.At(kind, path, detail)})
+func (t *tasting) warn(kind failure.Code, path, detail string) {
+	t.remarks = append(t.remarks, Remark{Level: WarningLevel, Error: *failure.At(kind, path, detail)})
 }
 
 func (t *tasting) evacuations() {
--- a/internal/config/taste_test.go
+++ b/internal/config/taste_test.go
@@ -23,7 +23,7 @@
 		if remark.Level != WarningLevel {
 			t.Errorf("%+v is no warning", remark)
 		}
-		found[string(remark.Kind)+" "+remark.Path] = true
+		found[string(remark.Code)+" "+remark.Path] = true
 	}
 	for _, want := range []string{"unknown_district /evacuations/nowhere", "unknown_district /routes/all/to/districts/0", "no_servers_left /routes/all",
 		"never_reached /routes/late", "no_part_left /evacuations", "little_room /evacuations", "no_route_to_service /services/lost",
@@ -35,7 +35,7 @@
 	if remarks := Taste([]byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), nil, Facts{Routers: 3, Servers: facts.Servers}); len(remarks) != 0 {
 		t.Errorf("a good configuration: %v", remarks)
 	}
-	if remarks := Taste([]byte(`{"x":1}`), nil, facts); len(remarks) != 1 || remarks[0].Level != ErrorLevel || remarks[0].Kind != failure.UnknownField {
+	if remarks := Taste([]byte(`{"x":1}`), nil, facts); len(remarks) != 1 || remarks[0].Level != ErrorLevel || remarks[0].Code != failure.UnknownField {
 		t.Errorf("an error: %v", remarks)
 	}
 }
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -24,7 +24,7 @@
 type Controller struct {
 	runtime       runtime.Runtime
 	client        wire.Client
-	options       ControllerOptions
+	options       Options
 	observe       func(event string, detail ...any)
 	witness       *replication.Witness
 	store         *replication.Store
@@ -71,9 +71,9 @@
 	horizonPause = 10 * time.Second
 )
 
-// OpenController opens what the disk holds. A blank or damaged keeper's storage is
+// Open opens what the disk holds. A blank or damaged keeper's storage is
 // a new identity, for which the copy that may lie there is emptied.
-func OpenController(rt runtime.Runtime, line wire.Client, keeping, c replication.Storage, options ControllerOptions, observe func(string, ...any)) (*Controller, bool, error) {
+func Open(rt runtime.Runtime, line wire.Client, keeping, c replication.Storage, options Options, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(rt.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -106,7 +106,7 @@
 	controller.coordinator.Bear(options.BorneLosses, options.Zone)
 	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.Repair().String(), "margin", timing.Margin().String())
 	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	controller.follower = follower.NewFollower(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
+	controller.follower = follower.New(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
 	controller.follower.Follow(options.Directory != nil, false)
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
 	// Who was recorded when this disk was written last may know where the core is now.
@@ -267,7 +267,7 @@
 	current := c.term
 	c.mutex.Unlock()
 	view := c.store.View()
-	if current == nil || view == nil || !c.coordinator.Holds() {
+	if current == nil || view == nil || !c.coordinator.HasLease() {
 		return nil, nil, failure.New(failure.NoPrimary, "this expediter is not primary")
 	}
 	return current, view, nil
@@ -285,7 +285,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if !c.coordinator.Holds() {
+	if !c.coordinator.HasLease() {
 		return nil, nil, nil, failure.New(failure.NoPrimary, "the hold ran out")
 	}
 	c.runtime.Go(func() { c.repairCopies(view) })
@@ -331,7 +331,7 @@
 
 func (c *Controller) commitOne() bool {
 	membership := c.coordinator.Membership()
-	if membership.Backup.Empty() || !c.coordinator.Holds() {
+	if membership.Backup.Empty() || !c.coordinator.HasLease() {
 		return false
 	}
 	batch, found := c.store.Begin()
@@ -437,9 +437,9 @@
 	switch {
 	case !answered:
 		return replication.Version{}, failure.New(failure.Unknown, "the change was not synced on both copies in time")
-	case failure.KindOf(err) == failure.NotPrimary:
+	case failure.CodeOf(err) == failure.NotPrimary:
 		return version, err
-	case !c.coordinator.Holds():
+	case !c.coordinator.HasLease():
 		// A refusal is an answer too: without the lease it may rest on an old state.
 		return version, failure.New(failure.Unknown, "the hold ran out while the change was under way")
 	case err != nil:
--- a/internal/controlplane/controller_test.go
+++ b/internal/controlplane/controller_test.go
@@ -53,7 +53,7 @@
 		// other controllers ask for news meanwhile, in threads of their own, on whose stacks
 		// only this hook bears the test's name.
 		stack := string(debug.Stack())
-		if !strings.Contains(stack, "TestGrantSeesAConfigurationThatComesMeanwhile(") || !strings.Contains(stack, ").serveUpdate(") || strings.Contains(stack, ").Holds(") {
+		if !strings.Contains(stack, "TestGrantSeesAConfigurationThatComesMeanwhile(") || !strings.Contains(stack, ").serveUpdate(") || strings.Contains(stack, ").HasLease(") {
 			return
 		}
 		if asked++; asked != 2 {
@@ -83,12 +83,12 @@
 	}
 	for path, answer := range primary.Handlers() {
 		for _, body := range [][]byte{nil, []byte("garbage"), strange} {
-			if _, err := answer(body); failure.KindOf(err) == failure.Unsorted {
+			if _, err := answer(body); failure.CodeOf(err) == failure.Unsorted {
 				t.Errorf("%s: %v", path, err)
 			}
 		}
 	}
-	if _, err := primary.Handlers().Handle("/nowhere", nil); failure.KindOf(err) != failure.NoSuch {
+	if _, err := primary.Handlers().Handle("/nowhere", nil); failure.CodeOf(err) != failure.NoSuch {
 		t.Errorf("an unknown path: %v", err)
 	}
 }
--- a/internal/controlplane/core_test.go
+++ b/internal/controlplane/core_test.go
@@ -95,8 +95,8 @@
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
 		m, keeping := &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
-		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
-		node, _, err := OpenController(wrap(rt), formed, keeping, m, options, func(string, ...any) { changed.Broadcast() })
+		options := Options{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
+		node, _, err := Open(wrap(rt), formed, keeping, m, options, func(string, ...any) { changed.Broadcast() })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/edit.go
+++ b/internal/controlplane/edit.go
@@ -95,7 +95,7 @@
 		if large {
 			c.endEdit()
 		}
-		if failure.KindOf(err) != failure.Moved {
+		if failure.CodeOf(err) != failure.Moved {
 			return current, version, err
 		}
 		if !c.runtime.Now().Before(ends) {
@@ -152,7 +152,7 @@
 	ends := committed.Add(inForcePatience)
 	for c.runtime.Now().Before(ends) {
 		lost := false
-		// Holds run out without a ring: the wait is cut into short ones.
+		// Grants run out without a ring: the wait is cut into short ones.
 		over := c.confirmations.Wait(50*time.Millisecond, func() bool {
 			ruling, view, err := c.Leading()
 			if err != nil || ruling != current {
@@ -174,7 +174,7 @@
 			return everywhere
 		})
 		if over || !c.runtime.Alive() {
-			return everywhere && !lost && c.coordinator.Holds()
+			return everywhere && !lost && c.coordinator.HasLease()
 		}
 	}
 	return false
@@ -186,8 +186,8 @@
 	if err != nil {
 		return replication.Version{}, err
 	}
-	if _, live := current.Holds.Live(c.runtime.Now())[name]; live {
-		return replication.Version{}, failure.New(failure.HoldActive, name+" is running; stop it first")
+	if _, live := current.Grants.Live(c.runtime.Now())[name]; live {
+		return replication.Version{}, failure.New(failure.LeaseActive, name+" is running; stop it first")
 	}
 	return c.submit(replication.Retire(name), changePatience)
 }
--- a/internal/controlplane/edit_test.go
+++ b/internal/controlplane/edit_test.go
@@ -40,7 +40,7 @@
 	for _, row := range []struct {
 		name string
 		edit Edit
-		kind failure.Kind
+		kind failure.Code
 	}{
 		{"the first", revision(0, 3, "a"), ""},
 		{"it again", revision(0, 3, "a"), ""},
@@ -50,7 +50,7 @@
 		{"one on an old base", revision(3, 12, "d"), failure.RevisionConflict},
 		{"one on a base that is not there yet", revision(11, 12, "d"), failure.RevisionConflict},
 	} {
-		if _, err := primary.Edit(row.edit); (err == nil) != (row.kind == "") || row.kind != "" && failure.KindOf(err) != row.kind {
+		if _, err := primary.Edit(row.edit); (err == nil) != (row.kind == "") || row.kind != "" && failure.CodeOf(err) != row.kind {
 			t.Errorf("%s: %v", row.name, err)
 		}
 	}
@@ -78,7 +78,7 @@
 			switch {
 			case err == nil && winner < 0:
 				winner = position
-			case failure.KindOf(err) != failure.RevisionConflict:
+			case failure.CodeOf(err) != failure.RevisionConflict:
 				t.Fatalf("on %d: %v", builds, ended)
 			}
 		}
@@ -116,7 +116,7 @@
 	if _, err := next.Edit(edit); err != nil {
 		t.Fatalf("sent again to the next primary: %v", err)
 	}
-	if _, err := next.Edit(revision(0, 9, "late")); failure.KindOf(err) != failure.RevisionConflict {
+	if _, err := next.Edit(revision(0, 9, "late")); failure.CodeOf(err) != failure.RevisionConflict {
 		t.Fatalf("on an old base: %v", err)
 	}
 	formed.mustBe(t, next, `"word":"again"`)
@@ -179,14 +179,14 @@
 	ahead := &atomic.Int64{}
 	_, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime { return leapingRuntime{Runtime: rt, ahead: ahead} })
 	refusal := failure.New(failure.RevisionConflict, "7")
-	if _, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error { return refusal }, time.Second); failure.KindOf(err) != failure.RevisionConflict {
+	if _, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error { return refusal }, time.Second); failure.CodeOf(err) != failure.RevisionConflict {
 		t.Fatalf("with the lease: %v", err)
 	}
 	_, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error {
 		ahead.Store(int64(10 * time.Second))
 		return refusal
 	}, time.Second)
-	if kind := failure.KindOf(err); kind != failure.Unknown {
+	if kind := failure.CodeOf(err); kind != failure.Unknown {
 		t.Errorf("without the lease: %v", err)
 	}
 }
--- a/internal/controlplane/fuzz_test.go
+++ b/internal/controlplane/fuzz_test.go
@@ -21,7 +21,7 @@
 	end()
 	lone := &core{nodes: map[string]*Controller{}, storages: map[string]*memoryStorage{}}
 	keeping := &memoryStorage{files: map[string][]byte{}}
-	node, _, err := OpenController(osruntime.New(ended, osruntime.NewClock()), lone, keeping, &memoryStorage{files: map[string][]byte{}}, ControllerOptions{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
+	node, _, err := Open(osruntime.New(ended, osruntime.NewClock()), lone, keeping, &memoryStorage{files: map[string][]byte{}}, Options{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	}
 	fuzzing.Fuzz(func(t *testing.T, number int, body []byte) {
 		path := paths[max(number, -number)%len(paths)]
-		if _, err := node.Handlers().Handle(path, body); err != nil && failure.KindOf(err) == failure.Unsorted {
+		if _, err := node.Handlers().Handle(path, body); err != nil && failure.CodeOf(err) == failure.Unsorted {
 			t.Fatalf("%s %x: an untyped failure: %v", path, body, err)
 		}
 	})
--- a/internal/controlplane/handlers.go
+++ b/internal/controlplane/handlers.go
@@ -86,7 +86,7 @@
 		return wire.LedResponse{Membership: c.coordinator.Membership()}, nil
 	}
 	_, err := c.submit(change, claimPatience)
-	if failure.KindOf(err) == failure.NotPrimary {
+	if failure.CodeOf(err) == failure.NotPrimary {
 		return wire.LedResponse{Membership: c.coordinator.Membership()}, nil
 	}
 	return wire.LedResponse{Leads: true}, err
@@ -114,7 +114,7 @@
 	c.mutex.Unlock()
 	if router {
 		c.lists.noteFailing(arrived, question)
-		current.Holds.Note(arrived, name, question.InForce.Number)
+		current.Grants.Note(arrived, name, question.InForce.Number)
 		c.confirmations.Broadcast()
 	}
 	state, err := c.state(current, view)
@@ -144,15 +144,15 @@
 			}
 			// From here the router may act for as long as the hold says,
 			// counted from when it asked, which was earlier.
-			current.Holds.Grant(now, name, question.InForce.Number)
-			answer.Hold = lease.DefaultTerms().Hold
-			answer.Roles = current.keys.Renew(now, name, state.Rota.Roles, current.candidates(now, state))
+			current.Grants.Grant(now, name, question.InForce.Number)
+			answer.Lease = lease.DefaultTerms().Hold
+			answer.Roles = current.keys.Renew(now, name, state.Roles.Roles, current.candidates(now, state))
 			answer.Routers = current.routers(now, state)
 		}
 		// The grant is noted before this look: a configuration committed since
 		// is either seen here, or its change sees the grant and waits for it.
 		latest := c.store.View()
-		if latest == nil || !c.coordinator.Holds() {
+		if latest == nil || !c.coordinator.HasLease() {
 			return elsewhere()
 		}
 		if latest.VersionOf(replication.ConfigurationSection) == answer.Configuration {
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -87,7 +87,7 @@
 	if len(gone) == 0 {
 		return
 	}
-	c.queue(replication.ForgetServers(gone, state.Rota.Roles), func(version replication.Version, err error) {
+	c.queue(replication.ForgetServers(gone, state.Roles.Roles), func(version replication.Version, err error) {
 		c.observe("servers_forgotten", "servers", gone, "version", version.String(), "trouble", err)
 	})
 }
@@ -127,11 +127,11 @@
 	for _, server := range c.Servers() {
 		wanted = append(wanted, lease.ServerKey(server.Name))
 	}
-	grants := current.keys.Vacant(now, wanted, state.Rota.Roles, current.candidates(now, state))
+	grants := current.keys.Vacant(now, wanted, state.Roles.Roles, current.candidates(now, state))
 	if len(grants) == 0 {
 		return
 	}
-	c.queue(replication.GrantRoles(grants, state.Rota.Roles), func(version replication.Version, err error) {
+	c.queue(replication.GrantRoles(grants, state.Roles.Roles), func(version replication.Version, err error) {
 		c.observe("duties_granted", "version", version.String(), "grants", grants, "trouble", err)
 	})
 }
--- a/internal/controlplane/lists.go
+++ b/internal/controlplane/lists.go
@@ -311,7 +311,7 @@
 func (c *Controller) noteListTrouble(err error) {
 	cause := ""
 	if err != nil {
-		cause = string(failure.KindOf(err))
+		cause = string(failure.CodeOf(err))
 	}
 	c.lists.mutex.Lock()
 	told := c.lists.failedFor == cause
@@ -379,7 +379,7 @@
 func (c *Controller) readNodes() {
 	for c.runtime.Alive() {
 		nodes, err := c.options.Directory.Nodes()
-		if failure.KindOf(err) == failure.NoSuch {
+		if failure.CodeOf(err) == failure.NoSuch {
 			return
 		}
 		if err == nil {
--- a/internal/controlplane/options.go
+++ b/internal/controlplane/options.go
@@ -8,8 +8,8 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// ControllerOptions say which controller a core is.
-type ControllerOptions struct {
+// Options say which controller a core is.
+type Options struct {
 	Name      string
 	Address   string
 	Zone      string
--- a/internal/controlplane/provisional_test.go
+++ b/internal/controlplane/provisional_test.go
@@ -36,9 +36,9 @@
 		if slices.Contains(blank, address) {
 			m, keeping = &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
 		}
-		options := ControllerOptions{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
+		options := Options{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
 			Fresh: replication.Identity("next disk-" + address), Directory: oneServer{}}
-		node, _, err := OpenController(rt, after, keeping, m, options, func(string, ...any) {})
+		node, _, err := Open(rt, after, keeping, m, options, func(string, ...any) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 
 // newRouterAt starts a router that follows a core; told rings with its events.
 func newRouterAt(rt runtime.Runtime, line wire.Client, without time.Duration, told runtime.Cond) *dataplane.Router {
-	router := dataplane.NewRouter(rt, line, nil, nil, dataplane.RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
+	router := dataplane.NewRouter(rt, line, nil, nil, dataplane.Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
 		Directory: oneServer{}, Ended: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
 	rt.Go(router.Follower().Run)
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -13,7 +13,7 @@
 // Term is what a primary remembers for as long as it is primary.
 type Term struct {
 	Since       time.Time
-	Holds       *lease.Holds
+	Grants      *lease.Grants
 	keys        *lease.Keys
 	revisions   revisions
 	membersAt   replication.Version
@@ -27,13 +27,13 @@
 }
 
 func newTerm(now time.Time) *Term {
-	return &Term{Since: now, Holds: lease.NewHolds(lease.DefaultTerms(), now), keys: lease.NewKeys(lease.DefaultTerms()), asked: map[string]time.Time{}, unlisted: map[string]time.Time{}, settledFrom: now}
+	return &Term{Since: now, Grants: lease.NewGrants(lease.DefaultTerms(), now), keys: lease.NewKeys(lease.DefaultTerms()), asked: map[string]time.Time{}, unlisted: map[string]time.Time{}, settledFrom: now}
 }
 
 // candidates are the live routers that lack no enabled flag, with how long
 // each has been live.
 func (t *Term) candidates(now time.Time, state *replication.State) map[string]time.Duration {
-	live := t.Holds.Live(now)
+	live := t.Grants.Live(now)
 	for name := range live {
 		member, found := state.Members[name]
 		if !found || member.Kind != membership.Router || member.Restricted(state.Flags.Enabled) {
@@ -73,7 +73,7 @@
 // caller has the controller's mutex.
 func (t *Term) goneServers(now time.Time, state *replication.State, listed []membership.Server) []string {
 	recorded := map[string]bool{}
-	for key := range state.Rota.Roles {
+	for key := range state.Roles.Roles {
 		if name, found := strings.CutPrefix(key, lease.ServerKey("")); found {
 			recorded[name] = true
 		}
@@ -96,7 +96,7 @@
 			t.unlisted[name] = now
 			continue
 		}
-		if role, found := state.Rota.Roles[lease.ServerKey(name)]; found && now.Sub(since) >= goneTime {
+		if role, found := state.Roles.Roles[lease.ServerKey(name)]; found && now.Sub(since) >= goneTime {
 			t.keys.Release(now, role)
 		}
 		if now.Sub(since) >= forgetTime {
@@ -114,7 +114,7 @@
 
 // routers is how many routers share the servers.
 func (t *Term) routers(now time.Time, state *replication.State) int {
-	heard := len(t.Holds.HeardWithin(now, countedTime))
+	heard := len(t.Grants.HeardWithin(now, countedTime))
 	if now.Sub(t.Since) >= countedTime {
 		return heard
 	}
@@ -124,11 +124,11 @@
 // behind lists the routers that were heard from within a time and have not
 // confirmed a version.
 func (t *Term) behind(now time.Time, version replication.Version, within time.Duration) []string {
-	return t.Holds.Behind(now, version.Number, within)
+	return t.Grants.Behind(now, version.Number, within)
 }
 
 // Lagging lists the routers that may still admitted under a configuration older
 // than the version.
 func (t *Term) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
-	return t.Holds.Lagging(now, version.Number, membership.RouterNames(state.Members))
+	return t.Grants.Lagging(now, version.Number, membership.RouterNames(state.Members))
 }
--- a/internal/controlplane/term_test.go
+++ b/internal/controlplane/term_test.go
@@ -18,7 +18,7 @@
 func TestRecordsOfGoneServersEnd(t *testing.T) {
 	term := newTerm(runtimetest.AtNoon(0))
 	role := lease.Role{Key: lease.ServerKey("a"), Holder: "courier-1", FencingToken: 3}
-	state := &replication.State{Rota: replication.Roles{Roles: map[string]lease.Role{role.Key: role, lease.PartsKey: {Key: lease.PartsKey}}},
+	state := &replication.State{Roles: replication.Roles{Roles: map[string]lease.Role{role.Key: role, lease.PartsKey: {Key: lease.PartsKey}}},
 		Orders: replication.Orders{Records: map[string]codec.Record{"a": {}, "b": {}}}}
 	candidates := map[string]time.Duration{"courier-1": time.Minute}
 	renewed := func(at time.Duration) bool {
--- a/internal/controlplane/updates_test.go
+++ b/internal/controlplane/updates_test.go
@@ -35,7 +35,7 @@
 	if err != nil || !answer.Leads || answer.Membership.Blank() {
 		t.Fatalf("%+v %v", answer, err)
 	}
-	if len(answer.Sections) > 0 || answer.Hold > 0 {
+	if len(answer.Sections) > 0 || answer.Lease > 0 {
 		t.Errorf("content or a lease: %+v", answer)
 	}
 	if _, _, state, _ := primary.Read(); len(state.Members) > 0 && state.Members["courier-1"].Name != "" {
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -148,7 +148,7 @@
 	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(ends) && r.runtime.Now().Before(r.core.ServesUntil()) {
 		var answer wire.LedResponse
 		err := r.follower.Ask(wire.ClaimPath, question, &answer, time.Second, ends)
-		switch kind := failure.KindOf(err); {
+		switch kind := failure.CodeOf(err); {
 		case err == nil && answer.Leads:
 			event.Outcome = auction.Done
 		case kind == failure.Duplicate:
--- a/internal/dataplane/forwarding.go
+++ b/internal/dataplane/forwarding.go
@@ -54,7 +54,7 @@
 			if !arrival.Request.Repeatable {
 				var said wire.IncarnationResponse
 				err := wire.Call(r.client, member.Address, wire.IncarnationPath, wire.Empty{}, &said, incarnationPatience)
-				if failure.KindOf(err) == failure.Unreachable && !r.old(err) {
+				if failure.CodeOf(err) == failure.Unreachable && !r.old(err) {
 					continue
 				}
 				passage.Incarnation = said.Incarnation
@@ -74,7 +74,7 @@
 
 // old tells whether a failure is that of a release which knows no such path.
 func (r *Router) old(err error) bool {
-	return err != nil && failure.KindOf(err) == failure.Unreachable && failure.DetailOf(err) == "status 404"
+	return err != nil && failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) == "status 404"
 }
 
 // recordCopy gives the lines of stream records on as they come. A reply that
--- a/internal/dataplane/lists.go
+++ b/internal/dataplane/lists.go
@@ -90,7 +90,7 @@
 func (r *Router) readNodes() {
 	for r.runtime.Alive() {
 		nodes, err := r.options.Directory.Nodes()
-		if failure.KindOf(err) == failure.NoSuch {
+		if failure.CodeOf(err) == failure.NoSuch {
 			return
 		}
 		if err == nil {
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -10,8 +10,8 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// RouterOptions say which router a core is.
-type RouterOptions struct {
+// Options say which router a core is.
+type Options struct {
 	// ApplyWithin is how soon after its acknowledgement a change has to be in force here;
 	// zero: the default.
 	ApplyWithin time.Duration
--- a/internal/dataplane/provisional_test.go
+++ b/internal/dataplane/provisional_test.go
@@ -23,11 +23,11 @@
 		inForce replication.Version
 		hold    bool
 	}{
-		{"the same", wire.UpdateResponse{Leads: true, Configuration: lent.Version, Hold: time.Second}, lent.Version, true},
-		{"newer", wire.UpdateResponse{Leads: true, Configuration: newer.Version, Hold: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
-		{"older", wire.UpdateResponse{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Hold: time.Second}, lent.Version, false},
+		{"the same", wire.UpdateResponse{Leads: true, Configuration: lent.Version, Lease: time.Second}, lent.Version, true},
+		{"newer", wire.UpdateResponse{Leads: true, Configuration: newer.Version, Lease: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
+		{"older", wire.UpdateResponse{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Lease: time.Second}, lent.Version, false},
 	} {
-		router := NewRouter(rt, nil, nil, nil, RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
+		router := NewRouter(rt, nil, nil, nil, Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 			ServeWithoutHold: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
 		copied := &wire.CopyState{Configuration: lent.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: lent}}
 		router.follower.TakeProvisional(rt.Now(), wire.UpdateResponse{Copy: copied})
--- a/internal/dataplane/replyline.go
+++ b/internal/dataplane/replyline.go
@@ -18,7 +18,7 @@
 	Final   auction.Final `json:"final,omitempty"`
 	Chunks  int           `json:"pieces,omitempty"`
 	Ran     *bool         `json:"ran,omitempty"`
-	Type    failure.Kind  `json:"type,omitempty"`
+	Type    failure.Code  `json:"type,omitempty"`
 	Detail  string        `json:"detail,omitempty"`
 	// RetryAfterSeconds says when to come back; it stands in the header too.
 	RetryAfterSeconds int `json:"retry_after_seconds,omitempty"`
--- a/internal/dataplane/requestbody_test.go
+++ b/internal/dataplane/requestbody_test.go
@@ -17,7 +17,7 @@
 	fuzzing.Fuzz(func(t *testing.T, body []byte) {
 		request, err := ReadRequest(time.Unix(1, 0), body)
 		if err != nil {
-			if request == nil && failure.KindOf(err) == failure.Unsorted {
+			if request == nil && failure.CodeOf(err) == failure.Unsorted {
 				t.Fatalf("%q: an untyped failure: %v", body, err)
 			}
 			return
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -24,7 +24,7 @@
 	client      wire.Client
 	modelServer ModelServer
 	forwarder   Forwarder
-	options     RouterOptions
+	options     Options
 	observe     func(event string, detail ...any)
 	core        *seamloom.Core
 	board       Board
@@ -72,12 +72,12 @@
 )
 
 // NewRouter makes the conduct of one router.
-func NewRouter(rt runtime.Runtime, line wire.Client, modelServer ModelServer, passing Forwarder, options RouterOptions, observe func(string, ...any)) *Router {
+func NewRouter(rt runtime.Runtime, line wire.Client, modelServer ModelServer, passing Forwarder, options Options, observe func(string, ...any)) *Router {
 	router := &Router{runtime: rt, client: line, modelServer: modelServer, forwarder: passing, options: options, observe: observe,
 		core: seamloom.New(options.Options), busier: rt.NewCond(), recordsAdded: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
 	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	router.follower = follower.NewFollower(rt, line, member, options.Seeds, router.InForce, router.takeUpdate)
+	router.follower = follower.New(rt, line, member, options.Seeds, router.InForce, router.takeUpdate)
 	if options.Board != nil {
 		router.board = options.Board(router.core.Calls())
 		router.countOwners = NewCountOwners(rt, line, router.core.Calls(), options.Router, router.incarnation)
@@ -238,8 +238,8 @@
 	}
 	r.takeMembers(update, state)
 	r.takeLists(update)
-	if update.Answer.Hold > 0 {
-		r.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: update.Asked.Add(update.Answer.Hold), Epoch: update.Answer.Configuration.Epoch,
+	if update.Answer.Lease > 0 {
+		r.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: update.Asked.Add(update.Answer.Lease), Epoch: update.Answer.Configuration.Epoch,
 			Number: update.Answer.Configuration.Number, Roles: update.Answer.Roles})
 		r.showServing()
 		r.wakeTicker()
--- a/internal/dataplane/router_test.go
+++ b/internal/dataplane/router_test.go
@@ -37,7 +37,7 @@
 func newTestRouter(t *testing.T, nonce string) *Router {
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	options := RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
+	options := Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
 		Ended: func(*auction.Request, auction.Decision) {}}
 	router := NewRouter(osruntime.New(lifetime, osruntime.NewClock()), nil, nil, nil, options, func(string, ...any) {})
 	router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: features.List{}})
@@ -54,7 +54,7 @@
 		router.Serve(Arrival{Request: &auction.Request{ID: "one", Service: "chat"}, Forwarding: &passage}, reply)
 		return reply.said[0]
 	}
-	if first := serve(wire.Forwarding{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoHold || first.Final != auction.Refused {
+	if first := serve(wire.Forwarding{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoLease || first.Final != auction.Refused {
 		t.Errorf("the first was not decided on: %+v", first)
 	}
 	for name, passage := range map[string]wire.Forwarding{"again": {Nonce: "first", Incarnation: "this life"}, "another life": {Nonce: "second", Incarnation: "an earlier life"}} {
@@ -62,7 +62,7 @@
 			t.Errorf("%s: %+v", name, line)
 		}
 	}
-	if line := serve(wire.Forwarding{}); line.Type != failure.NoHold {
+	if line := serve(wire.Forwarding{}); line.Type != failure.NoLease {
 		t.Errorf("an older release's passing-on was not taken: %+v", line)
 	}
 }
@@ -93,7 +93,7 @@
 func TestBoardIsToldUntilWhenItMayServe(t *testing.T) {
 	board := &noted{until: runtimetest.AtNoon(time.Hour)}
 	rt := &runtimetest.Moving{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), Time: runtimetest.AtNoon(0)}
-	options := RouterOptions{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
+	options := Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
 		Ended: func(*auction.Request, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
 	router := NewRouter(rt, nil, nil, nil, options, func(string, ...any) {})
 	if !board.until.IsZero() {
@@ -105,7 +105,7 @@
 	if !board.until.IsZero() || router.InForce() != version {
 		t.Errorf("a configuration without a hold: serves until %s with %s", board.until, router.InForce())
 	}
-	router.takeUpdate(follower.Update{Asked: runtimetest.AtNoon(time.Second), Answer: wire.UpdateResponse{Leads: true, Configuration: version, Hold: 4 * time.Second, Routers: 9},
+	router.takeUpdate(follower.Update{Asked: runtimetest.AtNoon(time.Second), Answer: wire.UpdateResponse{Leads: true, Configuration: version, Lease: 4 * time.Second, Routers: 9},
 		Servers: &follower.Listed{At: runtimetest.AtNoon(0), Servers: []membership.Server{{Name: "a"}}}})
 	if !board.until.Equal(runtimetest.AtNoon(65*time.Second)) || len(board.servers) != 1 || router.routers.Load() != 9 {
 		t.Errorf("serves until %s, servers %v", board.until, board.servers)
--- a/internal/failure/trouble.go
+++ b/internal/failure/trouble.go
@@ -7,17 +7,17 @@
 	"github.com/juju/errors"
 )
 
-// Trouble is a failure with a kind that programs can act on, and, for checks,
+// Error is a failure with a kind that programs can act on, and, for checks,
 // the path of the value that it is about.
-type Trouble struct {
-	Kind   Kind   `json:"type" msgpack:"type"`
+type Error struct {
+	Code   Code   `json:"type" msgpack:"type"`
 	Path   string `json:"path,omitempty" msgpack:"path,omitempty"`
 	Detail string `json:"detail,omitempty" msgpack:"detail,omitempty"`
 }
 
 // Error says the trouble in one line.
-func (t *Trouble) Error() string {
-	text := string(t.Kind)
+func (t *Error) Error() string {
+	text := string(t.Code)
 	if t.Path != "" {
 		text += " at " + t.Path
 	}
@@ -28,37 +28,37 @@
 }
 
 // New makes a trouble of a kind.
-func New(kind Kind, detail string) *Trouble { return &Trouble{Kind: kind, Detail: detail} }
+func New(kind Code, detail string) *Error { return &Error{Code: kind, Detail: detail} }
 
 // At makes a trouble about the value at a path.
-func At(kind Kind, path, detail string) *Trouble {
-	return &Trouble{Kind: kind, Path: path, Detail: detail}
+func At(kind Code, path, detail string) *Error {
+	return &Error{Code: kind, Path: path, Detail: detail}
 }
 
 // Wrap keeps the cause's text under a kind, and traces where it was met.
-func Wrap(kind Kind, cause error) error {
+func Wrap(kind Code, cause error) error {
 	if cause == nil {
 		return nil
 	}
-	var typed *Trouble
+	var typed *Error
 	if stderrors.As(cause, &typed) {
 		return errors.Trace(cause)
 	}
 	return errors.Trace(New(kind, cause.Error()))
 }
 
-// KindOf finds the kind of a failure, or Unsorted when it has none.
-func KindOf(err error) Kind {
-	var typed *Trouble
+// CodeOf finds the kind of a failure, or Unsorted when it has none.
+func CodeOf(err error) Code {
+	var typed *Error
 	if stderrors.As(err, &typed) {
-		return typed.Kind
+		return typed.Code
 	}
 	return Unsorted
 }
 
 // DetailOf finds the detail of a failure, or nothing when it has none.
 func DetailOf(err error) string {
-	var typed *Trouble
+	var typed *Error
 	if stderrors.As(err, &typed) {
 		return typed.Detail
 	}
--- a/internal/follower/ask.go
+++ b/internal/follower/ask.go
@@ -38,7 +38,7 @@
 // unheard tells whether a failure says only that no primary was reached, and
 // not what the primary said.
 func noPrimaryReached(err error) bool {
-	switch failure.KindOf(err) {
+	switch failure.CodeOf(err) {
 	case failure.Unreachable, failure.Garbage, failure.NoPrimary:
 		return true
 	}
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -100,9 +100,9 @@
 	unreachableTime = 3 * time.Second
 )
 
-// NewFollower makes a follower for a member. Take is called for every answer,
+// New makes a follower for a member. Take is called for every answer,
 // in turn.
-func NewFollower(rt runtime.Runtime, line wire.Client, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
+func New(rt runtime.Runtime, line wire.Client, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
 	return &Follower{runtime: rt, client: line, member: member, seeds: seeds, inForce: inForce, take: take,
 		sections: map[string]replication.Section{}, unreachable: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -87,7 +87,7 @@
 			defer close(line.closed)
 			rt := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
-			follower := NewFollower(rt, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
+			follower := New(rt, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
 				func() replication.Version { return replication.Version{} }, func(update Update) { taken <- update.Answer.Configuration })
 			follower.Follow(true, true)
 			var p []string
@@ -97,12 +97,12 @@
 			follower.SetContacts([]string{"old3", "old4", "old5", "old6"}, p)
 			before, after := seats("old"), seats("new")
 			before.Epoch, after.Epoch = 4, 19
-			line.set("old0", &wire.UpdateResponse{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Hold: time.Second})
+			line.set("old0", &wire.UpdateResponse{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Lease: time.Second})
 			rt.Go(follower.Run)
 			<-taken
 			line.set(fmt.Sprintf("courier%d", row.lit), &wire.UpdateResponse{Membership: after})
 			newest := replication.Version{Epoch: 19, Number: 33}
-			line.set("new0", &wire.UpdateResponse{Leads: true, Membership: after, Configuration: newest, Hold: time.Second})
+			line.set("new0", &wire.UpdateResponse{Leads: true, Membership: after, Configuration: newest, Lease: time.Second})
 			lost := time.Now()
 			line.set("old0", nil)
 			for found := false; !found; {
--- a/internal/follower/search.go
+++ b/internal/follower/search.go
@@ -205,7 +205,7 @@
 	if _, known := f.knownPrimary(); known {
 		return true
 	}
-	if leading := s.take(); leading != nil && leading.answer.Hold > 0 && f.Take(leading.asked, leading.answer) {
+	if leading := s.take(); leading != nil && leading.answer.Lease > 0 && f.Take(leading.asked, leading.answer) {
 		return true
 	}
 	if f.needsConfiguration() {
--- a/internal/follower/taking_test.go
+++ b/internal/follower/taking_test.go
@@ -16,7 +16,7 @@
 // wrong: it must not take it, and must ask for the whole.
 func TestFollowerAsksAnewWhenADeltaDoesNotFit(t *testing.T) {
 	taken := 0
-	follower := NewFollower(runtimetest.Fixed{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
+	follower := New(runtimetest.Fixed{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
 	first := replication.Section{Version: replication.Version{Epoch: 1, Number: 1}, Content: bytes.Repeat([]byte("a"), 5000)}
 	second := replication.Section{Version: replication.Version{Epoch: 1, Number: 2}, Content: append(bytes.Repeat([]byte("a"), 5000), 'b')}
 	follower.Take(runtimetest.Fixed{}.Now(), wire.UpdateResponse{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
@@ -39,7 +39,7 @@
 // newer one's.
 func TestFollowerPassesOlderUpdateOver(t *testing.T) {
 	taken := 0
-	follower := NewFollower(runtimetest.Fixed{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
+	follower := New(runtimetest.Fixed{}, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(Update) { taken++ })
 	newer, older := replication.Version{Epoch: 3, Number: 9}, replication.Version{Epoch: 2, Number: 8}
 	update := func(version replication.Version) wire.UpdateResponse {
 		return wire.UpdateResponse{Leads: true, Configuration: version, Sections: map[string]replication.Section{replication.ConfigurationSection: {Version: version}}}
@@ -57,7 +57,7 @@
 func TestFollowerTakesNothingForYoungerThanItIs(t *testing.T) {
 	rt := &runtimetest.Moving{Time: runtimetest.AtNoon(0)}
 	var heard Update
-	follower := NewFollower(rt, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { heard = update })
+	follower := New(rt, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { heard = update })
 	follower.Follow(true, true)
 	rt.Time = runtimetest.AtNoon(800 * time.Millisecond)
 	l := []wire.LoadReport{wire.ReportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
--- a/internal/lease/holds.go
+++ b/internal/lease/holds.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Holds is the primary's memory of what it has granted to routers. It is
+// Grants is the primary's memory of what it has granted to routers. It is
 // never written down: a new primary takes every hold of the old one to be
 // fresh at its own beginning, and waits it out.
-type Holds struct {
+type Grants struct {
 	mutex   sync.Mutex
 	terms   Terms
 	since   time.Time
-	holders map[string]*holderState
+	holders map[string]*grant
 }
 
-type holderState struct {
+type grant struct {
 	until    time.Time
 	liveFrom time.Time
 	heard    time.Time
 	confirms uint64
 }
 
-// NewHolds starts the memory at the moment its owner became primary.
-func NewHolds(terms Terms, since time.Time) *Holds {
-	return &Holds{terms: terms, since: since, holders: map[string]*holderState{}}
+// NewGrants starts the memory at the moment its owner became primary.
+func NewGrants(terms Terms, since time.Time) *Grants {
+	return &Grants{terms: terms, since: since, holders: map[string]*grant{}}
 }
 
 // Grant notes that the holder was given a hold now, and the number of the
 // configuration that it says it has in force.
-func (h *Holds) Grant(now time.Time, holder string, inForce uint64) {
+func (h *Grants) Grant(now time.Time, holder string, inForce uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	state, found := h.holders[holder]
 	if !found || state.until.Before(now) {
-		state = &holderState{liveFrom: now}
+		state = &grant{liveFrom: now}
 		h.holders[holder] = state
 	}
 	state.until = now.Add(h.terms.Hold + h.terms.Drift)
@@ -48,7 +48,7 @@
 // Lagging lists the holders whose hold may still admitted under a configuration
 // older than the number. While the old primary's holds may run it also names
 // the holders of that time that have not confirmed to this one.
-func (h *Holds) Lagging(now time.Time, number uint64, recorded []string) []string {
+func (h *Grants) Lagging(now time.Time, number uint64, recorded []string) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var lagging []string
@@ -69,7 +69,7 @@
 }
 
 // Live lists the nodes whose hold runs, with how long each has been live.
-func (h *Holds) Live(now time.Time) map[string]time.Duration {
+func (h *Grants) Live(now time.Time) map[string]time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	live := map[string]time.Duration{}
@@ -82,12 +82,12 @@
 }
 
 // Note takes what a holder says it has in force, without renewing its hold.
-func (h *Holds) Note(now time.Time, holder string, inForce uint64) {
+func (h *Grants) Note(now time.Time, holder string, inForce uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	state, found := h.holders[holder]
 	if !found {
-		state = &holderState{until: h.since.Add(h.terms.Hold + h.terms.Drift), liveFrom: now}
+		state = &grant{until: h.since.Add(h.terms.Hold + h.terms.Drift), liveFrom: now}
 		h.holders[holder] = state
 	}
 	state.heard = now
@@ -97,7 +97,7 @@
 }
 
 // HeardWithin lists the holders that asked within a time.
-func (h *Holds) HeardWithin(now time.Time, length time.Duration) []string {
+func (h *Grants) HeardWithin(now time.Time, length time.Duration) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var heard []string
@@ -112,7 +112,7 @@
 
 // Behind lists the holders that asked within a time and have not confirmed the
 // number.
-func (h *Holds) Behind(now time.Time, number uint64, within time.Duration) []string {
+func (h *Grants) Behind(now time.Time, number uint64, within time.Duration) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var behind []string
--- a/internal/lease/holds_test.go
+++ b/internal/lease/holds_test.go
@@ -10,7 +10,7 @@
 // ago, and no longer for one that has gone silent, though its hold runs.
 func TestBehindCountsOnlyWhoIsHeard(t *testing.T) {
 	start := time.Unix(1000, 0)
-	holds := NewHolds(DefaultTerms(), start)
+	holds := NewGrants(DefaultTerms(), start)
 	holds.Grant(start, "a", 7)
 	holds.Grant(start, "b", 7)
 	now := start.Add(900 * time.Millisecond)
--- a/internal/lease/keys_test.go
+++ b/internal/lease/keys_test.go
@@ -64,7 +64,7 @@
 // that only the old primary has spoken with.
 func TestLaggingHonoursTheOldPrimarysHolds(t *testing.T) {
 	start := time.Unix(1000, 0)
-	holds := NewHolds(DefaultTerms(), start)
+	holds := NewGrants(DefaultTerms(), start)
 	recorded := []string{"a", "b", "c"}
 	now := start.Add(time.Second)
 	holds.Grant(now, "a", 7)
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -14,7 +14,7 @@
 	blank, holder := membership.Blank(), c.witness.Holder()
 	version, damage := c.store.Copy().Version(), c.store.Copy().Damage()
 	left := c.witness.HoldEnds().Sub(c.runtime.Now())
-	leads := c.Holds()
+	leads := c.HasLease()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.membership.Epoch > membership.Epoch {
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -123,7 +123,7 @@
 			base.Primary = c.recorded(c.witness.Replica())
 			return base, true
 		})
-		if failure.KindOf(err) == failure.Deposed {
+		if failure.CodeOf(err) == failure.Deposed {
 			c.resign("deposed", won)
 		} else if err == nil {
 			if won.Backup.Empty() {
@@ -146,7 +146,7 @@
 	})
 	if err != nil {
 		c.observe("pair_not_granted", "backups", installed, "cause", err)
-		if failure.KindOf(err) == failure.Deposed {
+		if failure.CodeOf(err) == failure.Deposed {
 			c.resign("deposed", won)
 		}
 		return
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -120,16 +120,16 @@
 func GrantRoles(grants []lease.Role, seen map[string]lease.Role) Change {
 	return func(state *State, _, _ Version) error {
 		for _, grant := range grants {
-			if state.Rota.Roles[grant.Key] != seen[grant.Key] {
+			if state.Roles.Roles[grant.Key] != seen[grant.Key] {
 				continue
 			}
 			member, found := state.Members[grant.Holder]
 			if !found || member.Restricted(state.Flags.Enabled) {
 				continue
 			}
-			state.Rota.FencingToken++
-			grant.FencingToken = state.Rota.FencingToken
-			state.Rota.Roles[grant.Key] = grant
+			state.Roles.FencingToken++
+			grant.FencingToken = state.Roles.FencingToken
+			state.Roles.Roles[grant.Key] = grant
 			state.Touch(RolesSection)
 		}
 		return nil
@@ -142,12 +142,12 @@
 	return func(state *State, _, _ Version) error {
 		for _, name := range names {
 			key := lease.ServerKey(name)
-			duty, found := state.Rota.Roles[key]
+			duty, found := state.Roles.Roles[key]
 			if found && duty != seen[key] {
 				continue
 			}
 			if found {
-				delete(state.Rota.Roles, key)
+				delete(state.Roles.Roles, key)
 				state.Touch(RolesSection)
 			}
 			if _, found := state.Orders.Records[name]; found {
@@ -163,7 +163,7 @@
 // older fence are refused.
 func GiveOrders(duty lease.Role, orders []codec.Order, supported features.List) Change {
 	return func(state *State, _, _ Version) error {
-		if state.Rota.Roles[lease.PartsKey] != duty {
+		if state.Roles.Roles[lease.PartsKey] != duty {
 			return failure.New(failure.NotHolder, "the duty "+lease.PartsKey+" has changed hands")
 		}
 		enabled := state.Flags.Enabled
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -147,7 +147,7 @@
 		model.state.Changes = append(model.state.Changes, note)
 	}
 	next := order{builds: 1, gives: 2}
-	if err := model.submit(next); failure.KindOf(err) != failure.Busy {
+	if err := model.submit(next); failure.CodeOf(err) != failure.Busy {
 		t.Errorf("beyond the bound: %v", err)
 	}
 	if err := model.submit(first); err != nil {
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -103,9 +103,9 @@
 		observe: observe, timing: TimingFor(DefaultCatchUp), known: map[Identity]*acquaintance{}, borne: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
 }
 
-// Holds tells whether this controller is primary at this moment: its own hold
+// HasLease tells whether this controller is primary at this moment: its own hold
 // runs. It is asked just before every answer.
-func (c *Coordinator) Holds() bool {
+func (c *Coordinator) HasLease() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.runtime.Now().Before(c.holdEnds) && c.store.View() != nil
--- a/internal/replication/promise.go
+++ b/internal/replication/promise.go
@@ -10,7 +10,7 @@
 type Promise struct {
 	Witness    Identity     `msgpack:"keeper"`
 	Granted    bool         `msgpack:"granted"`
-	Refusal    failure.Kind `msgpack:"refusal,omitempty"`
+	Refusal    failure.Code `msgpack:"refusal,omitempty"`
 	Promised   uint64       `msgpack:"promised"`
 	Membership Membership   `msgpack:"charter"`
 	// Lease is how long the keeper holds still for the primary that it confirmed. An
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -87,7 +87,7 @@
 		for _, ma := range others {
 			ma.steward.Tick()
 			w.check()
-			if !ma.steward.Holds() {
+			if !ma.steward.HasLease() {
 				continue
 			}
 			if after := w.clock().Sub(begun); after < PrimaryHold {
@@ -131,7 +131,7 @@
 	if err != nil || again.Holder() != "b" {
 		t.Fatalf("it holds still for %q, %v", again.Holder(), err)
 	}
-	if promise, err := again.Prepare(now.Add(time.Second), 6, "a"); err != nil || promise.Refusal != failure.HoldActive {
+	if promise, err := again.Prepare(now.Add(time.Second), 6, "a"); err != nil || promise.Refusal != failure.LeaseActive {
 		t.Errorf("another candidate: %+v, %v", promise, err)
 	}
 	if promise, err := again.Prepare(now.Add(time.Second), 6, "b"); err != nil || !promise.Granted {
@@ -184,7 +184,7 @@
 		}
 		takenIn := func() bool {
 			membership := leader.steward.Membership()
-			return membership.Epoch > 20 && ahead.keeper.Membership().Epoch == membership.Epoch && leader.steward.Holds()
+			return membership.Epoch > 20 && ahead.keeper.Membership().Epoch == membership.Epoch && leader.steward.HasLease()
 		}
 		for begun := w.clock(); !takenIn(); w.advance(100 * time.Millisecond) {
 			for _, m := range w.machines {
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -261,7 +261,7 @@
 // leader is who may answer now.
 func (w *world) leader() *machine {
 	for _, m := range w.machines {
-		if m.up.Load() && !m.frozen && m.steward.Holds() {
+		if m.up.Load() && !m.frozen && m.steward.HasLease() {
 			return m
 		}
 	}
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -378,7 +378,7 @@
 // write asks a machine for the next revision and carries the commit out, with
 // a crash of the world possible between any two of its steps.
 func (w *world) write(m *machine) {
-	if !m.steward.Holds() {
+	if !m.steward.HasLease() {
 		return
 	}
 	w.tried++
@@ -386,7 +386,7 @@
 	m.store.Submit(ChangeConfiguration("", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) {
 		return []byte(`{"routes":{"` + strconv.Itoa(revision) + `":{"to":{"refuse":true}}}}`), nil
 	}), func(version Version, err error) {
-		if err == nil && m.steward.Holds() {
+		if err == nil && m.steward.HasLease() {
 			w.answered++
 			w.accepted = max(w.accepted, revision)
 		}
@@ -437,7 +437,7 @@
 // disk that is at its address now, so that one more loss can be borne.
 func (w *world) whole() *machine {
 	for _, m := range w.machines {
-		if !m.up.Load() || m.frozen || !m.steward.Holds() || m.steward.unsettled {
+		if !m.up.Load() || m.frozen || !m.steward.HasLease() || m.steward.unsettled {
 			continue
 		}
 		membership := m.steward.Membership()
@@ -472,7 +472,7 @@
 func (w *world) check() {
 	var holders []string
 	for _, m := range w.machines {
-		if !m.up.Load() || m.frozen || !m.steward.Holds() {
+		if !m.up.Load() || m.frozen || !m.steward.HasLease() {
 			continue
 		}
 		holders = append(holders, m.address)
@@ -644,7 +644,7 @@
 	}
 	holders := 0
 	for _, mc := range w.machines {
-		if mc.steward.Holds() {
+		if mc.steward.HasLease() {
 			holders++
 		}
 	}
@@ -702,7 +702,7 @@
 	if err != nil || reopened.Damage() != "" || string(reopened.Sections()["menu"].Content) != "menu" {
 		t.Fatalf("after the sweep: %q, %v", reopened.Damage(), err)
 	}
-	if older := reopened.Refresh(Snapshot{Epoch: 1, Version: Version{1, 1}}); failure.KindOf(older) != failure.Behind || len(reopened.Sections()) != 2 {
+	if older := reopened.Refresh(Snapshot{Epoch: 1, Version: Version{1, 1}}); failure.CodeOf(older) != failure.Behind || len(reopened.Sections()) != 2 {
 		t.Fatalf("an older snapshot was taken: %v", older)
 	}
 	keeping := newMemoryStorage()
@@ -751,7 +751,7 @@
 	if err != nil || reopened.Damage() == "" {
 		t.Fatalf("a copy without a file that it needs opened undamaged: %v", err)
 	}
-	if err := reopened.Write(Batch{Version: Version{1, 4}, Base: reopened.Version()}); failure.KindOf(err) != failure.Damaged {
+	if err := reopened.Write(Batch{Version: Version{1, 4}, Base: reopened.Version()}); failure.CodeOf(err) != failure.Damaged {
 		t.Fatalf("a damaged copy took a write: %v", err)
 	}
 	if err := reopened.Rewrite(Snapshot{Epoch: 2, Version: Version{2, 4}, Sections: copied.Sections()}); err != nil || reopened.Damage() != "" {
@@ -795,7 +795,7 @@
 			}
 			w.write(leader)
 			w.check()
-			if leader.steward.Holds() && leader.steward.Membership().Backup.Identity == with.keeper.Replica().Identity {
+			if leader.steward.HasLease() && leader.steward.Membership().Backup.Identity == with.keeper.Replica().Identity {
 				return true
 			}
 		}
@@ -846,7 +846,7 @@
 		}
 		w.check()
 		for _, mc := range w.machines {
-			if mc.steward.Holds() {
+			if mc.steward.HasLease() {
 				return
 			}
 		}
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -20,7 +20,7 @@
 	Configuration []byte
 	Members       map[string]membership.Member
 	Flags         Flags
-	Rota          Roles
+	Roles         Roles
 	Orders        Orders
 	Changes       []ChangeNote
 	Horizon       time.Time
@@ -30,7 +30,7 @@
 
 // NewState is the content of a replicated state that was just formed.
 func NewState() *State {
-	return &State{Configuration: []byte(`{}`), Members: map[string]membership.Member{}, Rota: Roles{Roles: map[string]lease.Role{}},
+	return &State{Configuration: []byte(`{}`), Members: map[string]membership.Member{}, Roles: Roles{Roles: map[string]lease.Role{}},
 		Orders: Orders{Records: map[string]codec.Record{}}, Claims: map[string]map[string]codec.Record{}, dirty: map[string]bool{}}
 }
 
@@ -50,7 +50,7 @@
 		case FlagsSection:
 			err = msgpack.Unmarshal(section.Content, &state.Flags)
 		case RolesSection:
-			err = msgpack.Unmarshal(section.Content, &state.Rota)
+			err = msgpack.Unmarshal(section.Content, &state.Roles)
 		case OrdersSection:
 			err = msgpack.Unmarshal(section.Content, &state.Orders)
 		case ChangesSection:
@@ -89,7 +89,7 @@
 		case FlagsSection:
 			value = s.Flags
 		case RolesSection:
-			value = s.Rota
+			value = s.Roles
 		case OrdersSection:
 			value = s.Orders
 		case ChangesSection:
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -68,9 +68,9 @@
 	}
 	store.Submit(claim("first", "n"), func(Version, error) {})
 	batch, _ := store.Begin()
-	outcomes := map[failure.Kind]int{}
+	outcomes := map[failure.Code]int{}
 	for number := range 100 {
-		store.Submit(claim(fmt.Sprint(number%50), fmt.Sprint(number)), func(_ Version, err error) { outcomes[failure.KindOf(err)]++ })
+		store.Submit(claim(fmt.Sprint(number%50), fmt.Sprint(number)), func(_ Version, err error) { outcomes[failure.CodeOf(err)]++ })
 	}
 	if again, _ := store.Begin(); again.Version != batch.Version {
 		t.Fatalf("a second batch is under way: %s and %s", batch.Version, again.Version)
@@ -101,7 +101,7 @@
 	if err := do(t, store, first); err != nil || store.View().VersionOf(ConfigurationSection) != version {
 		t.Errorf("the same change again: %v, version %s became %s", err, version, store.View().VersionOf(ConfigurationSection))
 	}
-	if err := do(t, store, ChangeConfiguration("change-1", "digest-2", &version, PreparedConfiguration{}, put(`{}`))); failure.KindOf(err) != failure.Duplicate {
+	if err := do(t, store, ChangeConfiguration("change-1", "digest-2", &version, PreparedConfiguration{}, put(`{}`))); failure.CodeOf(err) != failure.Duplicate {
 		t.Errorf("another change under the same id: %v", err)
 	}
 }
@@ -110,7 +110,7 @@
 // wants no claim forgotten early and no new one refused.
 func TestClaimsAreKeptThroughClockJumps(t *testing.T) {
 	store := newLeader(t)
-	if err := do(t, store, claim("early", "n")); failure.KindOf(err) != failure.NoPrimary {
+	if err := do(t, store, claim("early", "n")); failure.CodeOf(err) != failure.NoPrimary {
 		t.Errorf("a claim before there is a horizon: %v", err)
 	}
 	for _, step := range []Change{MoveHorizon(evening, 0), claim("one", "n"), claim("one", "n"), MoveHorizon(evening.Add(48*time.Hour), 2*time.Second), claim("two", "n"), MoveHorizon(evening.Add(-48*time.Hour), 2*time.Second), claim("three", "n")} {
@@ -118,10 +118,10 @@
 			t.Fatal(err)
 		}
 	}
-	if err := do(t, store, claim("one", "another arrival")); failure.KindOf(err) != failure.Duplicate {
+	if err := do(t, store, claim("one", "another arrival")); failure.CodeOf(err) != failure.Duplicate {
 		t.Errorf("after the jumps a used id is taken: %v", err)
 	}
-	if err := do(t, store, Claim(evening.Add(-Retention-time.Minute), codec.Entry{Request: "old"})); failure.KindOf(err) != failure.TooOld {
+	if err := do(t, store, Claim(evening.Add(-Retention-time.Minute), codec.Entry{Request: "old"})); failure.CodeOf(err) != failure.TooOld {
 		t.Errorf("an id older than the horizon: %v", err)
 	}
 	for range 400 {
@@ -134,7 +134,7 @@
 			t.Errorf("the drawer %s is kept for ever", name)
 		}
 	}
-	if err := do(t, store, claim("one", "much later")); failure.KindOf(err) != failure.TooOld {
+	if err := do(t, store, claim("one", "much later")); failure.CodeOf(err) != failure.TooOld {
 		t.Errorf("a forgotten id is taken again: %v", err)
 	}
 }
@@ -183,13 +183,13 @@
 		t.Fatal(err)
 	}
 	state, _ := store.View().State()
-	if _, found := state.Rota.Roles[lease.PartsKey]; found {
+	if _, found := state.Roles.Roles[lease.PartsKey]; found {
 		t.Error("a restricted node was given a duty")
 	}
-	if err := do(t, store, GiveOrders(lease.Role{}, []codec.Order{{Server: "s", Part: "decode"}}, older)); failure.KindOf(err) != failure.Restricted {
+	if err := do(t, store, GiveOrders(lease.Role{}, []codec.Order{{Server: "s", Part: "decode"}}, older)); failure.CodeOf(err) != failure.Restricted {
 		t.Errorf("a restricted node wrote orders: %v", err)
 	}
-	if err := do(t, store, GiveOrders(lease.Role{Key: lease.PartsKey, Holder: "x", FencingToken: 9}, nil, supported)); failure.KindOf(err) != failure.NotHolder {
+	if err := do(t, store, GiveOrders(lease.Role{Key: lease.PartsKey, Holder: "x", FencingToken: 9}, nil, supported)); failure.CodeOf(err) != failure.NotHolder {
 		t.Errorf("orders under a fence that is not in force: %v", err)
 	}
 }
@@ -220,7 +220,7 @@
 	if err := store.Replicate(4, Batch{Version: Version{4, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Replicate(3, Batch{Version: Version{4, 2}, Base: Version{4, 1}}); failure.KindOf(err) != failure.OldEpoch {
+	if err := store.Replicate(3, Batch{Version: Version{4, 2}, Base: Version{4, 1}}); failure.CodeOf(err) != failure.OldEpoch {
 		t.Errorf("a deposed primary's write: %v", err)
 	}
 }
@@ -229,14 +229,14 @@
 // another holder meanwhile.
 func TestServersAreForgotten(t *testing.T) {
 	first, second := lease.ServerKey("a"), lease.ServerKey("b")
-	state := &State{Rota: Roles{Roles: map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 2}}, FencingToken: 2},
+	state := &State{Roles: Roles{Roles: map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 2}}, FencingToken: 2},
 		Orders: Orders{Records: map[string]codec.Record{"a": {}, "b": {}, "c": {}}}, dirty: map[string]bool{}}
 	seen := map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 1}}
 	if err := ForgetServers([]string{"a", "b", "c", "d"}, seen)(state, Version{}, Version{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, found := state.Rota.Roles[first]; found || state.Rota.Roles[second].FencingToken != 2 || state.Rota.FencingToken != 2 {
-		t.Errorf("duties: %+v", state.Rota)
+	if _, found := state.Roles.Roles[first]; found || state.Roles.Roles[second].FencingToken != 2 || state.Roles.FencingToken != 2 {
+		t.Errorf("duties: %+v", state.Roles)
 	}
 	if _, found := state.Orders.Records["b"]; !found || len(state.Orders.Records) != 1 || !state.dirty[RolesSection] || !state.dirty[OrdersSection] {
 		t.Errorf("orders: %+v, changed %v", state.Orders, state.dirty)
--- a/internal/replication/timing_test.go
+++ b/internal/replication/timing_test.go
@@ -41,13 +41,13 @@
 	}
 	leader.steward.Tick()
 	w.advance(short.Lease)
-	if !leader.steward.Holds() {
+	if !leader.steward.HasLease() {
 		return
 	}
 	// What it holds was given before the witnesses' leases were shortened, at most.
 	w.run(time.Second, nil)
 	w.advance(short.Lease)
-	if leader.steward.Holds() {
+	if leader.steward.HasLease() {
 		w.fail("the primary holds for longer than its witnesses hold still")
 	}
 }
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -121,7 +121,7 @@
 	case epoch <= w.note.Promised:
 		promise.Refusal = failure.OldEpoch
 	case now.Before(w.holdEnds) && w.holder != c:
-		promise.Refusal = failure.HoldActive
+		promise.Refusal = failure.LeaseActive
 	default:
 		note := w.note
 		note.Promised = epoch
@@ -203,7 +203,7 @@
 		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.note.Promised))
 	}
 	if now.Before(w.holdEnds) && w.holder != c {
-		return failure.New(failure.HoldActive, "another primary's hold runs")
+		return failure.New(failure.LeaseActive, "another primary's hold runs")
 	}
 	note := w.note
 	note.Promised = epoch
--- a/internal/testbed/fleet/callers.go
+++ b/internal/testbed/fleet/callers.go
@@ -182,7 +182,7 @@
 	entry.Took = time.Since(began)
 	if err != nil && entry.Final == "" {
 		entry.Cause = err.Error()
-		if failure.KindOf(err) == failure.ClientLeft {
+		if failure.CodeOf(err) == failure.ClientLeft {
 			entry.Cause = CallerLeft
 		}
 	}
--- a/internal/testbed/fleet/faultydisk_test.go
+++ b/internal/testbed/fleet/faultydisk_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := full.Save("more", []byte("more")); failure.KindOf(err) != failure.Disk {
+	if err := full.Save("more", []byte("more")); failure.CodeOf(err) != failure.Disk {
 		t.Errorf("a full disk took a file: %v", err)
 	}
 }
--- a/internal/testbed/replay/day_test.go
+++ b/internal/testbed/replay/day_test.go
@@ -71,7 +71,7 @@
 	if err := os.Mkdir(filepath.Join(folder, "edge-quay-hall-1"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := NewDay(SmallSite(), nil, 1, folder, nil); failure.KindOf(err) != failure.Contradictory {
+	if _, err := NewDay(SmallSite(), nil, 1, folder, nil); failure.CodeOf(err) != failure.Contradictory {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/testbed/replay/plan.go
+++ b/internal/testbed/replay/plan.go
@@ -76,7 +76,7 @@
 
 // Check names every mistake of a plan.
 func (p Plan) Check() (mistakes error) {
-	wrong := func(kind failure.Kind, path, detail string) {
+	wrong := func(kind failure.Code, path, detail string) {
 		mistakes = multierr.Append(mistakes, failure.At(kind, path, detail))
 	}
 	if p.Length < 5 || p.Length > 600 {
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -70,7 +70,7 @@
 }
 
 // prepareCalls gives a router what serves opaque calls, where the world has them.
-func (w *World) prepareCalls(m *machine, begun *incarnation, options *dataplane.RouterOptions) {
+func (w *World) prepareCalls(m *machine, begun *incarnation, options *dataplane.Options) {
 	m.calls = nil
 	if !w.ways.Calls {
 		return
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -286,7 +286,7 @@
 // editSomewhere has every controller that leads carry a change out.
 func (w *World) editSomewhere(edit controlplane.Edit) bool {
 	for _, m := range w.nodes(membership.Controller) {
-		if m.incarnation == nil || m.incarnation.ended || m.control == nil || !m.control.Coordinator().Holds() {
+		if m.incarnation == nil || m.incarnation.ended || m.control == nil || !m.control.Coordinator().HasLease() {
 			continue
 		}
 		control := m.control
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -215,7 +215,7 @@
 	for w.now < until {
 		holders := 0
 		for _, m := range w.machines {
-			if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.frozen && m.control != nil && m.control.Coordinator().Holds() {
+			if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.frozen && m.control != nil && m.control.Coordinator().HasLease() {
 				holders++
 			}
 		}
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -197,7 +197,7 @@
 // primary is the controller that holds, or any.
 func (w *World) primary() *machine {
 	for _, m := range w.nodes(membership.Controller) {
-		if m.incarnation != nil && !m.incarnation.ended && m.control != nil && m.control.Coordinator().Holds() {
+		if m.incarnation != nil && !m.incarnation.ended && m.control != nil && m.control.Coordinator().HasLease() {
 			return m
 		}
 	}
@@ -211,7 +211,7 @@
 			continue
 		}
 		if _, _, state, err := m.control.Read(); err == nil {
-			if holder := w.machineNamed(state.Rota.Roles["parts"].Holder); holder != nil && !holder.gone {
+			if holder := w.machineNamed(state.Roles.Roles["parts"].Holder); holder != nil && !holder.gone {
 				return holder
 			}
 		}
@@ -231,7 +231,7 @@
 		return
 	}
 	stopping, control := m.incarnation, m.control
-	if control.Coordinator().Holds() {
+	if control.Coordinator().HasLease() {
 		w.tempt("a primary handed over")
 	}
 	w.say("%s is stopped", m.name)
@@ -296,7 +296,7 @@
 // disk that runs at its address, so that one more disk may be lost.
 func (w *World) whole() bool {
 	for _, ma := range w.nodes(membership.Controller) {
-		if ma.incarnation == nil || ma.incarnation.ended || ma.incarnation.frozen || ma.control == nil || !ma.control.Coordinator().Holds() {
+		if ma.incarnation == nil || ma.incarnation.ended || ma.incarnation.frozen || ma.control == nil || !ma.control.Coordinator().HasLease() {
 			continue
 		}
 		m := ma.control.Coordinator().Membership()
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -211,14 +211,14 @@
 		return false
 	}
 	state, err := view.State()
-	if err != nil || len(state.Rota.Roles) < len(w.platform.servers)+1 {
+	if err != nil || len(state.Roles.Roles) < len(w.platform.servers)+1 {
 		return false
 	}
 	names := map[string]bool{}
 	for _, m := range gone {
 		names[m.name] = true
 	}
-	for _, role := range state.Rota.Roles {
+	for _, role := range state.Roles.Roles {
 		if names[role.Holder] {
 			return false
 		}
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -133,7 +133,7 @@
 		o.note(c, asked, changeOutput{outcome: acceptedOutcome}, began)
 		return
 	}
-	switch failure.KindOf(err) {
+	switch failure.CodeOf(err) {
 	case failure.RevisionConflict:
 		o.note(c, asked, changeOutput{outcome: conflictOutcome}, began)
 	case failure.NoPrimary, failure.NotPrimary:
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -141,7 +141,7 @@
 		world.countTraffic(path, len(body)+len(answer))
 		if err != nil {
 			// An error crosses the wire as its kind and detail.
-			return nil, failure.New(failure.KindOf(err), failure.DetailOf(err))
+			return nil, failure.New(failure.CodeOf(err), failure.DetailOf(err))
 		}
 		return answer, nil
 	})
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -33,7 +33,7 @@
 		if err == nil {
 			return content, nil
 		}
-		switch failure.KindOf(err) {
+		switch failure.CodeOf(err) {
 		case failure.NoPrimary, failure.NotPrimary:
 			last = err
 			continue
@@ -79,7 +79,7 @@
 	switch {
 	case err == nil:
 		return "accepted"
-	case failure.KindOf(err) == failure.Unknown, failure.KindOf(err) == failure.Unreachable && failure.DetailOf(err) != "nobody listens":
+	case failure.CodeOf(err) == failure.Unknown, failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) != "nobody listens":
 		w.tempt("a change with an unknown outcome")
 		return "unknown"
 	}
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -206,7 +206,7 @@
 func (m *modelServers) Command(decision auction.Decision, may func() bool) error {
 	m.dial()
 	if !may() {
-		return failure.New(failure.LimitPassed, "the command may not go any more")
+		return failure.New(failure.DeadlinePassed, "the command may not go any more")
 	}
 	order := modelserver.PartOrder{Part: string(decision.Part), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
--- a/internal/testbed/simulation/waydays_test.go
+++ b/internal/testbed/simulation/waydays_test.go
@@ -33,7 +33,7 @@
 		return
 	}
 	for _, m := range t.world.machines {
-		if m.control != nil && m.incarnation != nil && !m.incarnation.ended && m.control.Coordinator().Holds() {
+		if m.control != nil && m.incarnation != nil && !m.incarnation.ended && m.control.Coordinator().HasLease() {
 			t.answered[m.control.Store().View().VersionOf(replication.ConfigurationSection)] = t.world.now
 		}
 	}
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -317,7 +317,7 @@
 	w.outside.Go(func() {
 		for ends := w.now + incidentPatience; w.now < ends && !over; w.wait(20, 20) {
 			for _, m := range w.nodes(membership.Controller) {
-				if m.incarnation == nil || m.incarnation.ended || m.incarnation.frozen || m.control == nil || !m.control.Coordinator().Holds() {
+				if m.incarnation == nil || m.incarnation.ended || m.incarnation.frozen || m.control == nil || !m.control.Coordinator().HasLease() {
 					continue
 				}
 				control := m.control
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -233,7 +233,7 @@
 		return
 	}
 	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
-	options := dataplane.RouterOptions{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedParts: w.fixedParts}, Address: m.address,
+	options := dataplane.Options{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedParts: w.fixedParts}, Address: m.address,
 		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
 	options.ServeWithoutHold = w.ways.ServeWithoutHold
 	if w.ways.Calls {
@@ -258,11 +258,11 @@
 	m.disk.owner = begun
 	keeping, _ := storage.OpenFolder(m.disk, "keeper")
 	copies, _ := storage.OpenFolder(m.disk, "larder")
-	options := controlplane.ControllerOptions{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
+	options := controlplane.Options{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
 		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, Reports: lists{w, begun}}
 	options.AcknowledgeWait, options.RetireAfter = w.ways.AcknowledgeWait, w.ways.RetireAfter
 	options.JoinsOnly = w.ways.JoinOnly || w.ways.FormOnce && m.starts > 1 || w.ways.FormOnce && w.now > opening
-	control, blank, err := controlplane.OpenController(begun, simulatedClient{begun}, keeping, copies, options, observe)
+	control, blank, err := controlplane.Open(begun, simulatedClient{begun}, keeping, copies, options, observe)
 	if err != nil {
 		w.say("%s can't open its disk: %v", m.name, err)
 		begun.end()
@@ -290,7 +290,7 @@
 	if m.router != nil && m.router.Core().InFlight() > 0 {
 		w.tempt("inquiries under way at a kill")
 	}
-	if m.control != nil && m.control.Coordinator().Holds() {
+	if m.control != nil && m.control.Coordinator().HasLease() {
 		w.tempt("a primary killed under its hold")
 	}
 	w.say("%s is killed", m.name)
--- a/internal/wire/updateresponse.go
+++ b/internal/wire/updateresponse.go
@@ -16,7 +16,7 @@
 	Sections      map[string]replication.Section `msgpack:"drawers,omitempty"`
 	Deltas        map[string]Delta               `msgpack:"deltas,omitempty"`
 	Configuration replication.Version            `msgpack:"menu"`
-	Hold          time.Duration                  `msgpack:"hold"`
+	Lease         time.Duration                  `msgpack:"hold"`
 	Roles         []lease.Role                   `msgpack:"duties,omitempty"`
 	// Held is how long the question was held back, so that ages are counted from
 	// no earlier than they were told.
