--- a/core.go
+++ b/core.go
@@ -44,7 +44,7 @@
 	}
 	market := auction.NewMarket(options.Router, options.Zone, options.LeastLoaded)
 	return &Core{options: options, market: market, desk: auction.NewDesk(market, options.Zone, options.MostRequests),
-		calls: scheduler.New(scheduler.Options{Router: options.Router, Zone: options.Zone, FurtherTries: options.FurtherTries}), pools: scheduler.NewPools(), tickets: map[string]*scheduler.Ticket{},
+		calls: scheduler.New(scheduler.Options{Router: options.Router, Zone: options.Zone, Retries: options.Retries}), pools: scheduler.NewPools(), tickets: map[string]*scheduler.Ticket{},
 		balance: auction.NewBalance(options.FixedParts), orders: map[string]Order{}, evacuated: config.Empty(), commanded: map[string]time.Time{}, announced: map[string]uint64{}}
 }
 
@@ -65,8 +65,8 @@
 	case auction.ConfigurationLent:
 		c.applyConfiguration(event)
 		c.desk.ServeFrom(event.At)
-	case auction.HoldRenewed:
-		c.applyHold(event)
+	case auction.LeaseRenewed:
+		c.applyLease(event)
 	case auction.FlagsRead:
 		enabled := event.Enabled
 		c.enabled.Store(&enabled)
@@ -130,12 +130,12 @@
 	}
 }
 
-func (c *Core) applyHold(event Event) {
-	c.desk.Renew(event.HoldEnds, event.Epoch, event.Number)
+func (c *Core) applyLease(event Event) {
+	c.desk.Renew(event.LeaseEnds, event.Epoch, event.Number)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.roles = event.Roles
-	c.roleEnds = event.HoldEnds
+	c.roleEnds = event.LeaseEnds
 }
 
 // Calls is the part of the core that follows opaque calls. A program that serves each
@@ -171,12 +171,12 @@
 // InForce is the version of the configuration in force, as epoch and number.
 func (c *Core) InForce() (epoch, number uint64) { return c.desk.InForce() }
 
-// HoldEnds is when the router's hold runs out.
-func (c *Core) HoldEnds() time.Time { return c.desk.HoldEnds() }
+// LeaseEnds is when the router's hold runs out.
+func (c *Core) LeaseEnds() time.Time { return c.desk.LeaseEnds() }
 
-// SetServeWithoutHold chooses how long the router goes on letting in after its last
+// SetServeWithoutLease chooses how long the router goes on letting in after its last
 // hold, with its last configuration. Duties always need a hold.
-func (c *Core) SetServeWithoutHold(length time.Duration) { c.desk.SetServeWithoutHold(length) }
+func (c *Core) SetServeWithoutLease(length time.Duration) { c.desk.SetServeWithoutLease(length) }
 
 // ServesUntil is until when the router admits.
 func (c *Core) ServesUntil() time.Time { return c.desk.ServesUntil() }
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -93,7 +93,7 @@
 			roles = append(roles, Role{Key: lease.ServerKey(server.Name), Holder: "courier-1", FencingToken: 9})
 		}
 		core.Apply(Event{Kind: auction.LoadsReported, At: now, Loads: loads})
-		core.Apply(Event{Kind: auction.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Roles: roles})
+		core.Apply(Event{Kind: auction.LeaseRenewed, At: now, LeaseEnds: now.Add(time.Second), Roles: roles})
 		for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
 			switch decision.Kind {
 			case auction.GiveOrders:
--- a/core_test.go
+++ b/core_test.go
@@ -57,7 +57,7 @@
 	for number := range 4000 {
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 		if number%20 == 0 {
-			feed(Event{Kind: auction.HoldRenewed, HoldEnds: now.Add(4 * time.Second), Epoch: 1, Number: 1, Roles: []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 1}}})
+			feed(Event{Kind: auction.LeaseRenewed, LeaseEnds: now.Add(4 * time.Second), Epoch: 1, Number: 1, Roles: []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 1}}})
 			for position, server := range servers {
 				part := []auction.Part{auction.Prefill, auction.Decode}[position/2%2]
 				feed(Event{Kind: auction.LoadReported, Load: &Load{Server: server.Name, Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8,
@@ -70,7 +70,7 @@
 		}
 		switch random.IntN(7) {
 		case 0, 1:
-			feed(Event{Kind: auction.RequestArrived, Request: &Request{ID: fmt.Sprint("inquiry-", number), Service: "chat", Repeatable: random.IntN(3) > 0, PromptTokens: 100 + random.IntN(900), Chunks: 2}})
+			feed(Event{Kind: auction.RequestArrived, Request: &Request{ID: fmt.Sprint("inquiry-", number), Service: "chat", Idempotent: random.IntN(3) > 0, PromptTokens: 100 + random.IntN(900), Chunks: 2}})
 		case 2:
 			feed(Event{Kind: auction.ClaimAnswered, ID: id, Outcome: auction.Done})
 		case 3:
@@ -103,7 +103,7 @@
 			now = now.Add(200 * time.Millisecond)
 			core.Apply(Event{Kind: auction.LoadReported, At: now, Load: &Load{Server: "s", Part: auction.Decode}})
 			if fencingToken > 0 {
-				core.Apply(Event{Kind: auction.HoldRenewed, At: now, HoldEnds: now.Add(time.Second), Roles: []Role{{Key: lease.ServerKey("s"), Holder: "courier-1", FencingToken: fencingToken}}})
+				core.Apply(Event{Kind: auction.LeaseRenewed, At: now, LeaseEnds: now.Add(time.Second), Roles: []Role{{Key: lease.ServerKey("s"), Holder: "courier-1", FencingToken: fencingToken}}})
 			}
 			for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
 				if decision.Kind == auction.Command && decision.Role.FencingToken == fencingToken && decision.NotAfter.Equal(now.Add(time.Second)) {
--- a/internal/adapters/daemon/program.go
+++ b/internal/adapters/daemon/program.go
@@ -64,7 +64,7 @@
 		set.IntVar(&flags.flagged.FlagSettle, "flag-settle-milliseconds", defaults.FlagSettle, "how long the members must not change before a feature flag is enabled")
 	} else {
 		set.DurationVar(&flags.flagged.ApplyWithin, "apply-within", defaults.ApplyWithin, "how soon after its acknowledgement a change has to be in force here")
-		set.DurationVar(&flags.flagged.ServeWithoutHold, "serve-without-hold", defaults.ServeWithoutHold, "how long a courier goes on letting in after its last hold")
+		set.DurationVar(&flags.flagged.ServeWithoutLease, "serve-without-hold", defaults.ServeWithoutLease, "how long a courier goes on letting in after its last hold")
 		set.StringVar(&flags.flagged.CallsAddress, "calls-address", "", "a further address for opaque calls")
 		set.StringVar(&flags.flagged.ReadyAddress, "ready-address", "", "a further address that tells whether the courier is ready")
 		set.StringVar(&flags.flagged.Market, "market", defaults.Market, "pair, or least_loaded for comparison")
@@ -95,7 +95,7 @@
 		}
 	}
 	lengths := map[string][2]*time.Duration{"acknowledge-wait": {&chosen.AcknowledgeWait, &f.flagged.AcknowledgeWait},
-		"serve-without-hold": {&chosen.ServeWithoutHold, &f.flagged.ServeWithoutHold}, "grace": {&chosen.Grace, &f.flagged.Grace},
+		"serve-without-hold": {&chosen.ServeWithoutLease, &f.flagged.ServeWithoutLease}, "grace": {&chosen.Grace, &f.flagged.Grace},
 		"retire-after": {&chosen.RetireAfter, &f.flagged.RetireAfter}, "catch-up": {&chosen.CatchUp, &f.flagged.CatchUp},
 		"apply-within": {&chosen.ApplyWithin, &f.flagged.ApplyWithin}}
 	for name, pair := range lengths {
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -164,7 +164,7 @@
 	lifetime, cancel := context.WithCancel(t.Context())
 	rt := osruntime.New(lifetime, osruntime.NewClock())
 	connections := NewConnections(nil)
-	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", FurtherTries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
+	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
 	conduct := dataplane.NewCalls(rt, deciding, connections.SetServers)
 	conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
@@ -253,8 +253,8 @@
 		LinkBits: 5e11, TokensAChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
 	shares := []config.Share{{Service: "desk", Weight: 1}}
 	configuration.Routes = []config.Route{
-		{Name: "once", Match: config.Match{Host: "calls.example", PathPrefix: "/once/"}, Calls: &config.CallRoute{Shares: shares, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Tries: 3, Streams: true}},
-		{Name: "again", Match: config.Match{Host: "calls.example", PathPrefix: "/again/"}, Calls: &config.CallRoute{Shares: shares, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Tries: 3, Streams: true, Resumable: true}},
+		{Name: "once", Match: config.Match{Host: "calls.example", PathPrefix: "/once/"}, Calls: &config.CallRoute{Shares: shares, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Attempts: 3, Streams: true}},
+		{Name: "again", Match: config.Match{Host: "calls.example", PathPrefix: "/again/"}, Calls: &config.CallRoute{Shares: shares, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Attempts: 3, Streams: true, Resumable: true}},
 	}
 	return configuration
 }
--- a/internal/adapters/proxy/meter.go
+++ b/internal/adapters/proxy/meter.go
@@ -51,7 +51,7 @@
 		}
 	}
 	m.givenUp = map[scheduler.Reason]*metrics.Counter{}
-	for _, reason := range []scheduler.Reason{scheduler.NoPlace, scheduler.TriesUsed, scheduler.BudgetUsed, scheduler.MayHaveRun, scheduler.TooDear, scheduler.TimeUsed} {
+	for _, reason := range []scheduler.Reason{scheduler.NoPlace, scheduler.AttemptsUsed, scheduler.BudgetUsed, scheduler.MayHaveRun, scheduler.TooDear, scheduler.TimeUsed} {
 		m.givenUp[reason] = set.NewCounter(`seamloom_calls_given_up_total{reason="` + string(reason) + `"}`)
 	}
 	set.NewGauge("seamloom_call_circuits_opened_total", func() float64 { return float64(connections.Opened()) })
--- a/internal/adapters/proxy/passing.go
+++ b/internal/adapters/proxy/passing.go
@@ -149,8 +149,8 @@
 // it is another one.
 func behind(id, last string) bool {
 	number, err := strconv.ParseUint(id, 10, 64)
-	earlier, trouble := strconv.ParseUint(last, 10, 64)
-	if err != nil || trouble != nil {
+	earlier, problem := strconv.ParseUint(last, 10, 64)
+	if err != nil || problem != nil {
 		return id != last
 	}
 	return number > earlier
--- a/internal/adapters/router/counter.go
+++ b/internal/adapters/router/counter.go
@@ -111,7 +111,7 @@
 	if p.conduct.Core().Restricted() {
 		counts["restricted"] = 1
 	}
-	counts["hold_left_milliseconds"] = max(0, p.conduct.Core().HoldEnds().Sub(p.clock.Now()).Milliseconds())
+	counts["hold_left_milliseconds"] = max(0, p.conduct.Core().LeaseEnds().Sub(p.clock.Now()).Milliseconds())
 	counts["news_silence_milliseconds"] = min(time.Hour.Milliseconds(), p.clock.Now().Sub(p.conduct.Heard()).Milliseconds())
 	names := make([]string, 0, len(counts))
 	for name := range counts {
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -57,9 +57,9 @@
 	// CallsOnly tells that servers speak no requests: they are not asked for what the
 	// market of requests needs.
 	CallsOnly bool
-	// FurtherTries bounds what all routers send beyond the first dispatch of each
+	// Retries bounds what all routers send beyond the first dispatch of each
 	// opaque call.
-	FurtherTries scheduler.Allowance
+	Retries scheduler.Allowance
 }
 
 // Start listens and begins to work.
@@ -73,9 +73,9 @@
 	}
 	kitchen := modelserver.New(process.lifetime, rt, rpc.Transport(chosen.Detours))
 	options := dataplane.Options{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MostRequests: chosen.MostRequests,
-		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", FurtherTries: reached.FurtherTries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.noteEnd,
+		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", Retries: reached.Retries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.noteEnd,
 		Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}, Board: process.prepareCalls(rt),
-		ServeWithoutHold: chosen.ServeWithoutHold, ApplyWithin: chosen.ApplyWithin}
+		ServeWithoutLease: chosen.ServeWithoutLease, ApplyWithin: chosen.ApplyWithin}
 	if !reached.CallsOnly {
 		options.Pressures = kitchen
 	}
@@ -145,10 +145,10 @@
 func (p *Process) Reload(next settings.Settings) {
 	p.mutex.Lock()
 	stays := p.chosen.Reload(next)
-	seeds, level, without := p.chosen.Seeds, p.chosen.LogLevel, p.chosen.ServeWithoutHold
+	seeds, level, without := p.chosen.Seeds, p.chosen.LogLevel, p.chosen.ServeWithoutLease
 	p.mutex.Unlock()
 	p.conduct.SetSeeds(seeds)
-	p.conduct.SetServeWithoutHold(without)
+	p.conduct.SetServeWithoutLease(without)
 	if parsed, err := log.ParseLevel(level); err == nil {
 		p.logger.SetLevel(parsed)
 	}
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -44,9 +44,9 @@
 	// AcknowledgeWait is how long a committed change waits for routers that are not
 	// heard from; zero: for as long as their holds run.
 	AcknowledgeWait time.Duration
-	// ServeWithoutHold is how long a router goes on letting in after its last hold;
+	// ServeWithoutLease is how long a router goes on letting in after its last hold;
 	// zero: not at all.
-	ServeWithoutHold time.Duration
+	ServeWithoutLease time.Duration
 	// CallsAddress, ReadyAddress and ControlAddress are further addresses to listen
 	// on: for opaque calls, for who asks whether the router is ready, and for
 	// operators. An empty one means the process's own address only.
@@ -113,7 +113,7 @@
 	lists := map[string]*[]string{"seeds": &s.Seeds, "withhold_flags": &s.Withhold}
 	numbers := map[string]*int{"most_inquiries": &s.MostRequests, "flag_settle_milliseconds": &s.FlagSettle, "borne_losses": &s.BorneLosses,
 		"most_memory_megabytes": &s.MostMemory}
-	lengths := map[string]*time.Duration{"acknowledge_wait": &s.AcknowledgeWait, "serve_without_hold": &s.ServeWithoutHold, "grace": &s.Grace, "retire_after": &s.RetireAfter, "catch_up": &s.CatchUp, "apply_within": &s.ApplyWithin}
+	lengths := map[string]*time.Duration{"acknowledge_wait": &s.AcknowledgeWait, "serve_without_hold": &s.ServeWithoutLease, "grace": &s.Grace, "retire_after": &s.RetireAfter, "catch_up": &s.CatchUp, "apply_within": &s.ApplyWithin}
 	if target, found := texts[name]; found {
 		text, err := value.StringBytes()
 		if err != nil {
@@ -280,7 +280,7 @@
 			wrong(failure.Contradictory, further.path, "is for the kind "+string(further.kind))
 		}
 	}
-	for path, length := range map[string]time.Duration{"acknowledge_wait": s.AcknowledgeWait, "serve_without_hold": s.ServeWithoutHold, "grace": s.Grace, "retire_after": s.RetireAfter} {
+	for path, length := range map[string]time.Duration{"acknowledge_wait": s.AcknowledgeWait, "serve_without_hold": s.ServeWithoutLease, "grace": s.Grace, "retire_after": s.RetireAfter} {
 		if length < 0 {
 			wrong(failure.OutOfRange, path, "must not be negative")
 		}
--- a/internal/adapters/settings/settings_test.go
+++ b/internal/adapters/settings/settings_test.go
@@ -29,7 +29,7 @@
 		if err := chosen.Check(); err != nil {
 			t.Errorf("%s: %v", kind, err)
 		}
-		if chosen.AcknowledgeWait != 0 || chosen.ServeWithoutHold != 0 || !chosen.Bootstrap || chosen.Grace != 20*time.Second {
+		if chosen.AcknowledgeWait != 0 || chosen.ServeWithoutLease != 0 || !chosen.Bootstrap || chosen.Grace != 20*time.Second {
 			t.Errorf("%s: %+v", kind, chosen)
 		}
 	}
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if chosen.Bootstrap || chosen.AcknowledgeWait != time.Second || chosen.ServeWithoutHold != 90*time.Second || chosen.Grace != 8*time.Second ||
+	if chosen.Bootstrap || chosen.AcknowledgeWait != time.Second || chosen.ServeWithoutLease != 90*time.Second || chosen.Grace != 8*time.Second ||
 		chosen.CallsAddress != "10.0.0.1:80" || chosen.ReadyAddress != "10.0.0.1:81" || chosen.ControlAddress != "10.0.0.1:82" {
 		t.Errorf("%+v", chosen)
 	}
@@ -67,7 +67,7 @@
 func TestCheckNamesWhatIsWrong(t *testing.T) {
 	for path, mistake := range map[string]func(*Settings){
 		"acknowledge_wait":   func(chosen *Settings) { chosen.AcknowledgeWait = -1 },
-		"serve_without_hold": func(chosen *Settings) { chosen.ServeWithoutHold = -1 },
+		"serve_without_hold": func(chosen *Settings) { chosen.ServeWithoutLease = -1 },
 		"grace":              func(chosen *Settings) { chosen.Grace = -1 },
 		"calls_address":      func(chosen *Settings) { chosen.CallsAddress = "here" },
 		"ready_address":      func(chosen *Settings) { chosen.ReadyAddress = chosen.Address },
@@ -95,9 +95,9 @@
 func TestReloadTakesLengthsAndLeavesAddresses(t *testing.T) {
 	chosen := sound(membership.Router)
 	next := chosen
-	next.AcknowledgeWait, next.ServeWithoutHold, next.Grace, next.CallsAddress = time.Second, time.Minute, 8*time.Second, "127.0.0.1:9"
+	next.AcknowledgeWait, next.ServeWithoutLease, next.Grace, next.CallsAddress = time.Second, time.Minute, 8*time.Second, "127.0.0.1:9"
 	stays := chosen.Reload(next)
-	if !slices.Equal(stays, []string{"CallsAddress"}) || chosen.Grace != 8*time.Second || chosen.ServeWithoutHold != time.Minute || chosen.AcknowledgeWait != time.Second || chosen.CallsAddress != "" {
+	if !slices.Equal(stays, []string{"CallsAddress"}) || chosen.Grace != 8*time.Second || chosen.ServeWithoutLease != time.Minute || chosen.AcknowledgeWait != time.Second || chosen.CallsAddress != "" {
 		t.Errorf("stays %v, %+v", stays, chosen)
 	}
 }
--- a/internal/auction/budget.go
+++ b/internal/auction/budget.go
@@ -12,10 +12,10 @@
 }
 
 const (
-	triesShare = 5
+	attemptsShare = 5
 	// mostSpare is what a router that retries nothing saves: one lost hand-over,
 	// which costs two tries, and no more, so that a loss does not bring a burst.
-	mostSpare = 2 * triesShare
+	mostSpare = 2 * attemptsShare
 )
 
 // First earns a fifth of an extra try.
@@ -30,10 +30,10 @@
 func (b *Budget) Extra(count int) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.spare < count*triesShare {
+	if b.spare < count*attemptsShare {
 		return false
 	}
-	b.spare -= count * triesShare
+	b.spare -= count * attemptsShare
 	b.extra += count
 	return true
 }
--- a/internal/auction/desk.go
+++ b/internal/auction/desk.go
@@ -13,15 +13,15 @@
 // line. Requests lie in shards, so that several threads may work on different
 // ones; the views that they share are replaced, never altered.
 type Desk struct {
-	market   *Market
-	budget   *Budget
-	zone     string
-	most     int64
-	shards   [16]shard
-	program  atomic.Pointer[Program]
-	holdEnds atomic.Pointer[time.Time]
-	// withoutHold is how long the desk goes on after its last hold.
-	withoutHold atomic.Int64
+	market    *Market
+	budget    *Budget
+	zone      string
+	most      int64
+	shards    [16]shard
+	program   atomic.Pointer[Program]
+	leaseEnds atomic.Pointer[time.Time]
+	// withoutLease is how long the desk goes on after its last hold.
+	withoutLease atomic.Int64
 	// lentAt is when a configuration was lent to it before its first hold.
 	lentAt   atomic.Pointer[time.Time]
 	passOn   atomic.Bool
@@ -41,9 +41,9 @@
 const (
 	leastPatience = 2 * time.Second
 	chunkPatience = 3 * time.Second
-	// holdPatience is how long a request that was admitted waits for the next
+	// leaseTimeout is how long a request that was admitted waits for the next
 	// hold.
-	holdPatience = 2 * time.Second
+	leaseTimeout = 2 * time.Second
 )
 
 // NewDesk makes the desk of a router that holds at most so many requests.
@@ -79,28 +79,28 @@
 
 // Renew takes a hold that confirms a configuration's version. A hold for
 // another version than the one in force lets nothing in.
-func (d *Desk) Renew(holdEnds time.Time, epoch, number uint64) bool {
+func (d *Desk) Renew(leaseEnds time.Time, epoch, number uint64) bool {
 	program := d.program.Load()
 	if program == nil || program.epoch != epoch || program.number != number {
 		return false
 	}
-	if current := d.holdEnds.Load(); current == nil || current.Before(holdEnds) {
-		d.holdEnds.Store(&holdEnds)
+	if current := d.leaseEnds.Load(); current == nil || current.Before(leaseEnds) {
+		d.leaseEnds.Store(&leaseEnds)
 	}
 	return true
 }
 
-// HoldEnds is when the router's hold runs out.
-func (d *Desk) HoldEnds() time.Time {
-	if ends := d.holdEnds.Load(); ends != nil {
+// LeaseEnds is when the router's hold runs out.
+func (d *Desk) LeaseEnds() time.Time {
+	if ends := d.leaseEnds.Load(); ends != nil {
 		return *ends
 	}
 	return time.Time{}
 }
 
-// SetServeWithoutHold chooses how long the desk goes on after its last hold, with the
+// SetServeWithoutLease chooses how long the desk goes on after its last hold, with the
 // configuration that is in force.
-func (d *Desk) SetServeWithoutHold(length time.Duration) { d.withoutHold.Store(int64(length)) }
+func (d *Desk) SetServeWithoutLease(length time.Duration) { d.withoutLease.Store(int64(length)) }
 
 // ServeFrom has the desk admitted before its first hold, under a configuration that no
 // primary has confirmed in its life, for as long as it goes on without a hold.
@@ -109,14 +109,14 @@
 // ServesUntil is until when the desk admits; without any hold in its life, and no
 // configuration lent to it, it lets nothing in.
 func (d *Desk) ServesUntil() time.Time {
-	ends := d.HoldEnds()
-	if lent := d.lentAt.Load(); ends.IsZero() && lent != nil && d.withoutHold.Load() > 0 {
+	ends := d.LeaseEnds()
+	if lent := d.lentAt.Load(); ends.IsZero() && lent != nil && d.withoutLease.Load() > 0 {
 		ends = *lent
 	}
 	if ends.IsZero() {
 		return ends
 	}
-	return ends.Add(time.Duration(d.withoutHold.Load()))
+	return ends.Add(time.Duration(d.withoutLease.Load()))
 }
 
 // SetPassOn tells whether the router lacks an enabled flag and passes its
@@ -191,7 +191,7 @@
 	s.tickets[request.ID] = entry
 	d.inFlight.Add(1)
 	d.serviceCount(request.Service).Add(1)
-	if !settled.Repeatable {
+	if !settled.Idempotent {
 		entry.stage = claiming
 		return []Decision{{Kind: ClaimRequest, ID: request.ID, Request: &settled, NotAfter: settled.Limit}}
 	}
--- a/internal/auction/desk_test.go
+++ b/internal/auction/desk_test.go
@@ -43,8 +43,8 @@
 	return desk.SetProgram(Compile(configuration, 1, number))
 }
 
-func arrive(desk *Desk, now time.Time, id string, repeatable bool) []Decision {
-	return desk.Arrive(now, &Request{ID: id, Service: "chat", Repeatable: repeatable, PromptTokens: 500, Chunks: 3})
+func arrive(desk *Desk, now time.Time, id string, idempotent bool) []Decision {
+	return desk.Arrive(now, &Request{ID: id, Service: "chat", Idempotent: idempotent, PromptTokens: 500, Chunks: 3})
 }
 
 func find(decisions []Decision, kind DecisionKind) *Decision {
@@ -88,12 +88,12 @@
 	}
 }
 
-func TestNothingIsDispatchedPastItsLimitOrWithoutAHold(t *testing.T) {
+func TestNothingIsDispatchedPastItsLimitOrWithoutALease(t *testing.T) {
 	desk := newTestDesk(t)
 	if final := find(arrive(desk, noon.Add(4*time.Second), "late", true), Finish); final == nil || final.Cause != failure.NoLease {
 		t.Errorf("let in without a hold: %+v", final)
 	}
-	request := &Request{ID: "one", Service: "chat", Repeatable: false, PromptTokens: 500, Chunks: 3, Limit: noon.Add(time.Second)}
+	request := &Request{ID: "one", Service: "chat", Idempotent: false, PromptTokens: 500, Chunks: 3, Limit: noon.Add(time.Second)}
 	desk.Arrive(noon, request)
 	decisions := desk.Claimed(noon.Add(time.Second), "one", Done, "")
 	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Refused {
@@ -121,10 +121,10 @@
 	if decisions := desk.Claimed(after, "one", Done, ""); len(decisions) != 0 {
 		t.Errorf("without a hold: %+v", decisions)
 	}
-	if decisions := desk.Tick(after.Add(holdPatience)); len(decisions) != 0 {
+	if decisions := desk.Tick(after.Add(leaseTimeout)); len(decisions) != 0 {
 		t.Errorf("given up early: %+v", decisions)
 	}
-	final := find(desk.Tick(after.Add(holdPatience+time.Millisecond)), Finish)
+	final := find(desk.Tick(after.Add(leaseTimeout+time.Millisecond)), Finish)
 	if final == nil || final.Final != Refused || final.Cause != failure.NoLease || final.Retry == 0 {
 		t.Errorf("when no hold comes: %+v", final)
 	}
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestExtraTriesStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinTheBudget(t *testing.T) {
 	desk := newTestDesk(t)
 	extra := 0
 	for number := range 100 {
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestARunAfterALostHandOverCostsTwoTries: it asks a prefill and a decode server
+// TestARunAfterALostHandOverCostsTwoAttempts: it asks a prefill and a decode server
 // again.
-func TestARunAfterALostHandOverCostsTwoTries(t *testing.T) {
+func TestARunAfterALostHandOverCostsTwoAttempts(t *testing.T) {
 	desk := newTestDesk(t)
 	earn(desk)
 	arrive(desk, noon, "one", true)
@@ -319,9 +319,9 @@
 	}
 }
 
-// TestHoldOfAnotherVersionLetsNothingIn renews a hold for a configuration that
+// TestLeaseOfAnotherVersionLetsNothingIn renews a hold for a configuration that
 // is not the one in force.
-func TestHoldOfAnotherVersionLetsNothingIn(t *testing.T) {
+func TestLeaseOfAnotherVersionLetsNothingIn(t *testing.T) {
 	desk := newTestDesk(t)
 	configure(t, desk, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
 	later := noon.Add(5 * time.Second)
@@ -354,9 +354,9 @@
 	}
 }
 
-// TestBudgetSavesTwoTriesAndNoMore lets a router work long without trouble: a
+// TestBudgetSavesTwoAttemptsAndNoMore lets a router work long without trouble: a
 // loss must not bring a burst of tries that were saved in the quiet.
-func TestBudgetSavesTwoTriesAndNoMore(t *testing.T) {
+func TestBudgetSavesTwoAttemptsAndNoMore(t *testing.T) {
 	budget := &Budget{}
 	for range 1000 {
 		budget.First()
@@ -370,9 +370,9 @@
 	}
 }
 
-// TestDeskGoesOnWithoutAHoldAsLongAsItWasTold lets the hold end, and the time without
+// TestDeskGoesOnWithoutALeaseAsLongAsItWasTold lets the hold end, and the time without
 // one; a desk that never had a hold lets nothing in.
-func TestDeskGoesOnWithoutAHoldAsLongAsItWasTold(t *testing.T) {
+func TestDeskGoesOnWithoutALeaseAsLongAsItWasTold(t *testing.T) {
 	arrives := func(desk *Desk, at time.Duration) failure.Code {
 		reportLoads(desk, noon.Add(at))
 		if final := find(arrive(desk, noon.Add(at), fmt.Sprint("at ", at, time.Now().UnixNano()), true), Finish); final != nil {
@@ -384,18 +384,18 @@
 	if cause := arrives(desk, 5*time.Second); cause != failure.NoLease {
 		t.Errorf("without being told: %q", cause)
 	}
-	desk.SetServeWithoutHold(time.Minute)
+	desk.SetServeWithoutLease(time.Minute)
 	if cause := arrives(desk, 5*time.Second); cause != "" {
 		t.Errorf("within its time without a hold: %q", cause)
 	}
 	if cause := arrives(desk, 65*time.Second); cause != failure.NoLease {
 		t.Errorf("after its time without a hold: %q", cause)
 	}
-	if !desk.HoldEnds().Equal(noon.Add(4 * time.Second)) {
-		t.Errorf("the hold ends %s", desk.HoldEnds())
+	if !desk.LeaseEnds().Equal(noon.Add(4 * time.Second)) {
+		t.Errorf("the hold ends %s", desk.LeaseEnds())
 	}
 	blank := NewDesk(NewMarket("courier-1", "north", false), "north", 100)
-	blank.SetServeWithoutHold(time.Hour)
+	blank.SetServeWithoutLease(time.Hour)
 	configure(t, blank, 1, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
 	if cause := arrives(blank, 0); cause != failure.NoLease {
 		t.Errorf("a life without any hold: %q", cause)
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -33,20 +33,20 @@
 	if !now.Before(request.Limit) {
 		return d.giveUp(now, s, entry, failure.DeadlinePassed)
 	}
-	holdEnds := d.ServesUntil()
-	if !now.Before(holdEnds) {
-		return d.awaitHold(now, s, entry, ready)
+	leaseEnds := d.ServesUntil()
+	if !now.Before(leaseEnds) {
+		return d.awaitLease(now, s, entry, ready)
 	}
 	entry.holdless = time.Time{}
 	bid, found := d.choose(now, entry)
 	if !found {
 		return d.giveUp(now, s, entry, failure.Busy)
 	}
-	return d.takeUp(now, s, entry, bid, holdEnds)
+	return d.takeUp(now, s, entry, bid, leaseEnds)
 }
 
 // takeUp sends a run's prompt to the first server of a pair that was chosen now.
-func (d *Desk) takeUp(now time.Time, s *shard, entry *ticket, bid Bid, holdEnds time.Time) []Decision {
+func (d *Desk) takeUp(now time.Time, s *shard, entry *ticket, bid Bid, leaseEnds time.Time) []Decision {
 	request := entry.request
 	var decisions []Decision
 	if entry.dispatches == 0 {
@@ -56,7 +56,7 @@
 		if entry.answering {
 			cost = 2
 		}
-		if entry.dispatches >= entry.ruling.Service.Tries || !d.budget.Extra(cost) {
+		if entry.dispatches >= entry.ruling.Service.Attempts || !d.budget.Extra(cost) {
 			return d.giveUp(now, s, entry, failure.BudgetSpent)
 		}
 		entry.answering = false
@@ -71,17 +71,17 @@
 	pair := &codec.Pair{Request: request.ID, Run: entry.run, Prefill: bid.Prefill.server.Name, Decode: bid.Decode.server.Name, Price: bid.Price, HandOver: bid.HandOver}
 	return append(decisions,
 		Decision{Kind: NotePair, ID: request.ID, Run: entry.run, Pair: pair},
-		Decision{Kind: DispatchPrefill, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Limit, holdEnds),
+		Decision{Kind: DispatchPrefill, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Limit, leaseEnds),
 			Server: bid.Prefill.server.Name, Address: bid.Prefill.server.Address})
 }
 
-// awaitHold keeps a request that was admitted for the next hold, but not until
+// awaitLease keeps a request that was admitted for the next hold, but not until
 // its limit: when none comes soon its caller is told so.
-func (d *Desk) awaitHold(now time.Time, s *shard, entry *ticket, st stage) []Decision {
+func (d *Desk) awaitLease(now time.Time, s *shard, entry *ticket, st stage) []Decision {
 	if entry.holdless.IsZero() {
 		entry.holdless = now
 	}
-	if now.Sub(entry.holdless) > holdPatience {
+	if now.Sub(entry.holdless) > leaseTimeout {
 		return d.giveUp(now, s, entry, failure.NoLease)
 	}
 	entry.stage = st
@@ -102,9 +102,9 @@
 	if !now.Before(request.Limit) {
 		return d.giveUp(now, s, entry, failure.DeadlinePassed)
 	}
-	holdEnds := d.ServesUntil()
-	if !now.Before(holdEnds) {
-		return d.awaitHold(now, s, entry, handing)
+	leaseEnds := d.ServesUntil()
+	if !now.Before(leaseEnds) {
+		return d.awaitLease(now, s, entry, handing)
 	}
 	entry.holdless = time.Time{}
 	d.release(entry)
@@ -128,7 +128,7 @@
 		}
 		return d.giveUp(now, s, entry, failure.Busy)
 	}
-	if extra && (entry.dispatches >= entry.ruling.Service.Tries || !d.budget.Extra(1)) {
+	if extra && (entry.dispatches >= entry.ruling.Service.Attempts || !d.budget.Extra(1)) {
 		return d.giveUp(now, s, entry, failure.BudgetSpent)
 	}
 	var decisions []Decision
@@ -139,7 +139,7 @@
 	entry.bid, entry.stage, entry.answering = bid, decoding, true
 	d.market.Take(bid, request)
 	entry.patience = now.Add(leastPatience + 4*bid.HandOver)
-	return append(decisions, Decision{Kind: DispatchDecode, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Limit, holdEnds),
+	return append(decisions, Decision{Kind: DispatchDecode, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Limit, leaseEnds),
 		Server: bid.Decode.server.Name, Address: bid.Decode.server.Address, SourceAddress: source.Address, Handle: entry.handle})
 }
 
@@ -153,7 +153,7 @@
 // again tries a request anew if that is allowed: one that is not idempotent
 // only when the server certainly did not start.
 func (d *Desk) again(now time.Time, s *shard, entry *ticket, outcome Outcome) []Decision {
-	if !entry.request.Repeatable && entry.everRan {
+	if !entry.request.Idempotent && entry.everRan {
 		final := Failed
 		if outcome == Uncertain {
 			final = Unknown
--- a/internal/auction/ending.go
+++ b/internal/auction/ending.go
@@ -18,7 +18,7 @@
 	switch {
 	case !entry.everRan && !entry.started:
 		final = Refused
-	case entry.started && !entry.request.Repeatable && entry.chunks == 0:
+	case entry.started && !entry.request.Idempotent && entry.chunks == 0:
 		final = Unknown
 	}
 	var decisions []Decision
@@ -100,7 +100,7 @@
 	if entry.stage == decoding {
 		stall = entry.bid.Decode
 	}
-	if entry.chunks == 0 && !entry.request.Repeatable {
+	if entry.chunks == 0 && !entry.request.Idempotent {
 		if d.market.reports(now, stall.server) {
 			// It is slow, but there; nothing else could be tried.
 			return nil
--- a/internal/auction/event.go
+++ b/internal/auction/event.go
@@ -35,7 +35,7 @@
 	Result *scheduler.Outcome `json:"result,omitempty"`
 	Loads  []scheduler.Load   `json:"loads,omitempty"`
 
-	HoldEnds      time.Time              `json:"hold_ends,omitzero"`
+	LeaseEnds     time.Time              `json:"hold_ends,omitzero"`
 	Number        uint64                 `json:"number,omitempty"`
 	Epoch         uint64                 `json:"epoch,omitempty"`
 	Configuration []byte                 `json:"menu,omitempty"`
--- a/internal/auction/eventkind.go
+++ b/internal/auction/eventkind.go
@@ -11,7 +11,7 @@
 	ConfigurationReceived EventKind = "menu_received"
 	// ConfigurationLent brings a configuration that no primary has confirmed in this life.
 	ConfigurationLent EventKind = "menu_lent"
-	HoldRenewed       EventKind = "hold_renewed"
+	LeaseRenewed      EventKind = "hold_renewed"
 	FlagsRead         EventKind = "flags_read"
 	OrdersRead        EventKind = "orders_read"
 	RequestArrived    EventKind = "inquiry_arrived"
--- a/internal/auction/inquiry.go
+++ b/internal/auction/inquiry.go
@@ -7,7 +7,7 @@
 	ID           string    `json:"id"`
 	Service      string    `json:"service"`
 	Client       string    `json:"origin,omitempty"`
-	Repeatable   bool      `json:"repeatable"`
+	Idempotent   bool      `json:"repeatable"`
 	Limit        time.Time `json:"limit"`
 	Prompt       string    `json:"prompt,omitempty"`
 	PromptTokens int       `json:"prompt_tokens"`
--- a/internal/config/calls_test.go
+++ b/internal/config/calls_test.go
@@ -39,8 +39,8 @@
 		t.Errorf("shares %+v", calls.Shares)
 	}
 	calls.Shares = nil
-	if calls.Limit != 3*time.Second || calls.Aim != 400*time.Millisecond || calls.Gap != 250*time.Millisecond || calls.Rank != 1 || calls.Tries != 2 ||
-		!calls.Streams || !calls.Repeatable || !calls.Resumable || !calls.Sticky {
+	if calls.Limit != 3*time.Second || calls.Aim != 400*time.Millisecond || calls.Gap != 250*time.Millisecond || calls.Rank != 1 || calls.Attempts != 2 ||
+		!calls.Streams || !calls.Idempotent || !calls.Resumable || !calls.Sticky {
 		t.Errorf("calls %+v", calls)
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -211,7 +211,7 @@
 
 func (c *checker) service(name string, value *fastjson.Value, at place) {
 	service := Service{Name: name, Limit: DefaultLimit, MaxPromptTokens: DefaultMaxPromptTokens,
-		MaxChunks: DefaultMaxChunks, InFlight: DefaultInFlight, Tries: DefaultTries}
+		MaxChunks: DefaultMaxChunks, InFlight: DefaultInFlight, Attempts: DefaultAttempts}
 	var milliseconds int
 	c.fields(value, at, func(name string, value *fastjson.Value, at place) bool {
 		switch name {
@@ -224,7 +224,7 @@
 		case "in_flight":
 			c.whole(&service.InFlight, 1, 1_000_000, value, at)
 		case "tries":
-			c.whole(&service.Tries, 1, 10, value, at)
+			c.whole(&service.Attempts, 1, 10, value, at)
 		case "health":
 			c.path(&service.Health, value, at)
 		case "circuits":
@@ -301,7 +301,7 @@
 			seenTo = true
 			c.target(&route.To, value, at)
 		case "calls":
-			route.Calls = &CallRoute{Tries: DefaultTries}
+			route.Calls = &CallRoute{Attempts: DefaultAttempts}
 			c.calls(route.Calls, value, at)
 		case "annotations":
 			c.annotations(value, at)
@@ -373,11 +373,11 @@
 		case "rank":
 			c.whole(&calls.Rank, 0, 1_000_000, value, at)
 		case "tries":
-			c.whole(&calls.Tries, 1, 1_000_000, value, at)
+			c.whole(&calls.Attempts, 1, 1_000_000, value, at)
 		case "streams":
 			c.boolean(&calls.Streams, value, at)
 		case "repeatable":
-			c.boolean(&calls.Repeatable, value, at)
+			c.boolean(&calls.Idempotent, value, at)
 		case "resumable":
 			c.boolean(&calls.Resumable, value, at)
 		case "sticky":
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -24,12 +24,12 @@
 	Gap   time.Duration
 	// Rank is the urgency among the routes, 0 first.
 	Rank int
-	// Tries is how many servers one call may be sent to.
-	Tries int
+	// Attempts is how many servers one call may be sent to.
+	Attempts int
 	// Streams tells that answers are streams of events, Repeatable that a call may
 	// run more than once, Resumable that a stream may go on at another server.
 	Streams    bool
-	Repeatable bool
+	Idempotent bool
 	Resumable  bool
 	// Sticky tells that calls share parts of their prompts.
 	Sticky bool
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -9,7 +9,7 @@
 	MaxPromptTokens int
 	MaxChunks       int
 	InFlight        int
-	Tries           int
+	Attempts        int
 	// IDsUsedOnce tells that origins give every try an id of its own: at most one
 	// run then needs no claim.
 	IDsUsedOnce bool
@@ -52,5 +52,5 @@
 	DefaultMaxPromptTokens = 32_000
 	DefaultMaxChunks       = 512
 	DefaultInFlight        = 128
-	DefaultTries           = 3
+	DefaultAttempts        = 3
 )
--- a/internal/controlplane/provisional_test.go
+++ b/internal/controlplane/provisional_test.go
@@ -50,7 +50,7 @@
 // newRouterAt starts a router that follows a core; told rings with its events.
 func newRouterAt(rt runtime.Runtime, line wire.Client, without time.Duration, told runtime.Cond) *dataplane.Router {
 	router := dataplane.NewRouter(rt, line, nil, nil, dataplane.Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
-		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutHold: without, Nonce: func() string { return "nonce" },
+		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutLease: without, Nonce: func() string { return "nonce" },
 		Directory: oneServer{}, Ended: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
 	rt.Go(router.Follower().Run)
 	return router
@@ -103,7 +103,7 @@
 		if row.served && len(router.Servers()) != 1 {
 			t.Errorf("%s: no list of servers came with it", row.name)
 		}
-		if !router.Core().HoldEnds().IsZero() || !router.Heard().IsZero() {
+		if !router.Core().LeaseEnds().IsZero() || !router.Heard().IsZero() {
 			t.Errorf("%s: a copy gave a hold", row.name)
 		}
 		end()
--- a/internal/dataplane/calls_test.go
+++ b/internal/dataplane/calls_test.go
@@ -56,14 +56,14 @@
 func newCalls(t *testing.T, parts ...string) (*Calls, *osruntime.Runtime) {
 	t.Helper()
 	rt := osruntime.New(t.Context(), osruntime.NewClock())
-	calls := NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", FurtherTries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
+	calls := NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
 		LinkBits: 5e11, TokensAChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
 	configuration.Limits.BodyBytes = 7
-	for name, repeatable := range map[string]bool{"once": false, "again": true} {
+	for name, idempotent := range map[string]bool{"once": false, "again": true} {
 		configuration.Routes = append(configuration.Routes, config.Route{Name: name, Match: config.Match{Host: "h", PathPrefix: "/" + name + "/"},
-			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Tries: 2, Repeatable: repeatable}})
+			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Attempts: 2, Idempotent: idempotent}})
 	}
 	calls.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	var servers []membership.Server
--- a/internal/dataplane/forwarding.go
+++ b/internal/dataplane/forwarding.go
@@ -51,7 +51,7 @@
 	if arrival.Forwarding == nil {
 		for _, member := range r.capableRouters(arrival.Request.ID) {
 			passage := wire.Forwarding{Nonce: r.nonce()}
-			if !arrival.Request.Repeatable {
+			if !arrival.Request.Idempotent {
 				var said wire.IncarnationResponse
 				err := wire.Call(r.client, member.Address, wire.IncarnationPath, wire.Empty{}, &said, incarnationPatience)
 				if failure.CodeOf(err) == failure.Unreachable && !r.old(err) {
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -25,8 +25,8 @@
 	// Board makes who serves opaque calls over the core's window; none: this router
 	// takes no calls, and follows no reports.
 	Board func(deciding *scheduler.Window) Board
-	// ServeWithoutHold is how long the router goes on letting in after its last hold.
-	ServeWithoutHold time.Duration
+	// ServeWithoutLease is how long the router goes on letting in after its last hold.
+	ServeWithoutLease time.Duration
 	// Nonce gives a text that is new each time.
 	Nonce func() string
 	// Ended is told how each request ended that this router decided on.
--- a/internal/dataplane/provisional_test.go
+++ b/internal/dataplane/provisional_test.go
@@ -21,22 +21,22 @@
 		name    string
 		answer  wire.UpdateResponse
 		inForce replication.Version
-		hold    bool
+		lease   bool
 	}{
 		{"the same", wire.UpdateResponse{Leads: true, Configuration: lent.Version, Lease: time.Second}, lent.Version, true},
 		{"newer", wire.UpdateResponse{Leads: true, Configuration: newer.Version, Lease: time.Second, Sections: map[string]replication.Section{replication.ConfigurationSection: newer}}, newer.Version, true},
 		{"older", wire.UpdateResponse{Leads: true, Configuration: replication.Version{Epoch: 3, Number: 5}, Lease: time.Second}, lent.Version, false},
 	} {
 		router := NewRouter(rt, nil, nil, nil, Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
-			ServeWithoutHold: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
+			ServeWithoutLease: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
 		copied := &wire.CopyState{Configuration: lent.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: lent}}
 		router.follower.TakeProvisional(rt.Now(), wire.UpdateResponse{Copy: copied})
 		if router.InForce() != lent.Version || router.Core().Dutiful() {
 			t.Fatalf("%s: %s in force", row.name, router.InForce())
 		}
 		router.follower.Take(rt.Now(), row.answer)
-		if router.InForce() != row.inForce || router.Core().HoldEnds().IsZero() == row.hold {
-			t.Errorf("%s: %s in force, hold until %v", row.name, router.InForce(), router.Core().HoldEnds())
+		if router.InForce() != row.inForce || router.Core().LeaseEnds().IsZero() == row.lease {
+			t.Errorf("%s: %s in force, hold until %v", row.name, router.InForce(), router.Core().LeaseEnds())
 		}
 		if router.Heard().IsZero() || !router.Core().ServesUntil().After(rt.Now()) {
 			t.Errorf("%s: the primary was not heard", row.name)
--- a/internal/dataplane/requestbody.go
+++ b/internal/dataplane/requestbody.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, failure.At(failure.WrongType, "/", "an object is needed")
 	}
-	request := &auction.Request{Repeatable: true, PromptTokens: -1, Chunks: 1}
+	request := &auction.Request{Idempotent: true, PromptTokens: -1, Chunks: 1}
 	limit := 0
 	texts := map[string]*string{"id": &request.ID, "service": &request.Service, "origin": &request.Client, "prompt": &request.Prompt, "prefix": &request.Prefix}
 	numbers := map[string]*int{"limit_milliseconds": &limit, "prompt_tokens": &request.PromptTokens, "prefix_tokens": &request.PrefixTokens, "pieces": &request.Chunks}
@@ -52,12 +52,12 @@
 			}
 			*target = number
 		} else if name == "repeatable" {
-			repeatable, err := value.Bool()
+			idempotent, err := value.Bool()
 			if err != nil {
 				mistakes = multierr.Append(mistakes, failure.At(failure.WrongType, "/repeatable", "true or false is needed"))
 				return
 			}
-			request.Repeatable = repeatable
+			request.Idempotent = idempotent
 		} else {
 			mistakes = multierr.Append(mistakes, failure.At(failure.UnknownField, "/"+name, "no such field"))
 		}
@@ -70,7 +70,7 @@
 	}
 	if request.ID == "" || len(request.ID) > 128 {
 		mistakes = multierr.Append(mistakes, failure.At(failure.Missing, "/id", "an id of at most 128 bytes is needed"))
-	} else if !request.Repeatable {
+	} else if !request.Idempotent {
 		if _, err := MadeAt(request.ID); err != nil {
 			mistakes = multierr.Append(mistakes, err)
 		}
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -87,7 +87,7 @@
 	}
 	router.follower.Follow(options.Directory != nil, router.board != nil)
 	router.follower.SetApplyWithin(options.ApplyWithin)
-	router.SetServeWithoutHold(options.ServeWithoutHold)
+	router.SetServeWithoutLease(options.ServeWithoutLease)
 	router.handlerTable = router.handlers()
 	return router
 }
@@ -152,10 +152,10 @@
 // SetSeeds exchanges the seeds, after a reload.
 func (r *Router) SetSeeds(seeds []string) { r.follower.SetSeeds(seeds) }
 
-// SetServeWithoutHold chooses how long the router goes on letting in after its last
+// SetServeWithoutLease chooses how long the router goes on letting in after its last
 // hold. Duties always need a hold.
-func (r *Router) SetServeWithoutHold(length time.Duration) {
-	r.core.SetServeWithoutHold(length)
+func (r *Router) SetServeWithoutLease(length time.Duration) {
+	r.core.SetServeWithoutLease(length)
 	r.follower.SetProvisional(length > 0)
 	r.showServing()
 }
@@ -239,7 +239,7 @@
 	r.takeMembers(update, state)
 	r.takeLists(update)
 	if update.Answer.Lease > 0 {
-		r.Apply(auction.Event{Kind: auction.HoldRenewed, HoldEnds: update.Asked.Add(update.Answer.Lease), Epoch: update.Answer.Configuration.Epoch,
+		r.Apply(auction.Event{Kind: auction.LeaseRenewed, LeaseEnds: update.Asked.Add(update.Answer.Lease), Epoch: update.Answer.Configuration.Epoch,
 			Number: update.Answer.Configuration.Number, Roles: update.Answer.Roles})
 		r.showServing()
 		r.wakeTicker()
--- a/internal/dataplane/router_test.go
+++ b/internal/dataplane/router_test.go
@@ -94,7 +94,7 @@
 	board := &noted{until: runtimetest.AtNoon(time.Hour)}
 	rt := &runtimetest.Moving{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), Time: runtimetest.AtNoon(0)}
 	options := Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
-		Ended: func(*auction.Request, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutHold: time.Minute}
+		Ended: func(*auction.Request, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutLease: time.Minute}
 	router := NewRouter(rt, nil, nil, nil, options, func(string, ...any) {})
 	if !board.until.IsZero() {
 		t.Errorf("before any hold it serves until %s", board.until)
@@ -110,7 +110,7 @@
 	if !board.until.Equal(runtimetest.AtNoon(65*time.Second)) || len(board.servers) != 1 || router.routers.Load() != 9 {
 		t.Errorf("serves until %s, servers %v", board.until, board.servers)
 	}
-	router.SetServeWithoutHold(0)
+	router.SetServeWithoutLease(0)
 	if !board.until.Equal(runtimetest.AtNoon(5 * time.Second)) {
 		t.Errorf("after a reload it serves until %s", board.until)
 	}
--- a/internal/lease/holds.go
+++ b/internal/lease/holds.go
@@ -38,7 +38,7 @@
 		state = &grant{liveFrom: now}
 		h.holders[holder] = state
 	}
-	state.until = now.Add(h.terms.Hold + h.terms.Drift)
+	state.until = now.Add(h.terms.Lease + h.terms.Drift)
 	state.heard = now
 	if inForce > state.confirms {
 		state.confirms = inForce
@@ -57,7 +57,7 @@
 			lagging = append(lagging, holder)
 		}
 	}
-	if now.Before(h.since.Add(h.terms.Hold + h.terms.Drift)) {
+	if now.Before(h.since.Add(h.terms.Lease + h.terms.Drift)) {
 		for _, holder := range recorded {
 			if _, found := h.holders[holder]; !found {
 				lagging = append(lagging, holder)
@@ -87,7 +87,7 @@
 	defer h.mutex.Unlock()
 	state, found := h.holders[holder]
 	if !found {
-		state = &grant{until: h.since.Add(h.terms.Hold + h.terms.Drift), liveFrom: now}
+		state = &grant{until: h.since.Add(h.terms.Lease + h.terms.Drift), liveFrom: now}
 		h.holders[holder] = state
 	}
 	state.heard = now
--- a/internal/lease/keys.go
+++ b/internal/lease/keys.go
@@ -100,7 +100,7 @@
 		last = now
 		k.renewed[name] = now
 	}
-	return last.Add(k.terms.Hold + k.terms.Drift + k.terms.Rest)
+	return last.Add(k.terms.Lease + k.terms.Drift + k.terms.Rest)
 }
 
 // desired is the live node with the heaviest weight for the key. A key that
--- a/internal/lease/keys_test.go
+++ b/internal/lease/keys_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestSuccessorWaitsPastTheOldHold lets a holder vanish and wants the next one
+// TestSuccessorWaitsPastTheOldLease lets a holder vanish and wants the next one
 // to be named only three seconds after everything the old one may still do.
-func TestSuccessorWaitsPastTheOldHold(t *testing.T) {
+func TestSuccessorWaitsPastTheOldLease(t *testing.T) {
 	terms := DefaultTerms()
 	start := time.Unix(1000, 0)
 	keys := NewKeys(terms)
@@ -25,7 +25,7 @@
 		t.Fatalf("the holder was not renewed: %v", mine)
 	}
 	delete(live, role.Holder)
-	free := renewed.Add(terms.Hold + 3*time.Second)
+	free := renewed.Add(terms.Lease + 3*time.Second)
 	if early := keys.Vacant(free, wanted, recorded, live); len(early) != 0 {
 		t.Errorf("a successor was named within three seconds of the old hold: %v", early)
 	}
@@ -35,7 +35,7 @@
 	// A new primary knows nothing of renewals and waits from its own start.
 	again := NewKeys(terms)
 	again.Vacant(free, wanted, recorded, live)
-	if early := again.Vacant(free.Add(terms.Hold+3*time.Second), wanted, recorded, live); len(early) != 0 {
+	if early := again.Vacant(free.Add(terms.Lease+3*time.Second), wanted, recorded, live); len(early) != 0 {
 		t.Errorf("a new primary cut the old one's hold short: %v", early)
 	}
 }
@@ -55,7 +55,7 @@
 			t.Fatalf("given again: %v", again)
 		}
 	}
-	if late := keys.Vacant(now.Add(terms.Hold+terms.Drift+terms.Rest), []string{PartsKey}, recorded, live); len(late) != 1 {
+	if late := keys.Vacant(now.Add(terms.Lease+terms.Drift+terms.Rest), []string{PartsKey}, recorded, live); len(late) != 1 {
 		t.Errorf("a key that nobody took is lost: %v", late)
 	}
 }
@@ -94,7 +94,7 @@
 	if len(keys.Renew(noon, "courier-1", recorded, both)) != 1 {
 		t.Fatal("the holder was not renewed at first")
 	}
-	late := noon.Add(terms.Hold + terms.Drift + terms.Rest)
+	late := noon.Add(terms.Lease + terms.Drift + terms.Rest)
 	if grants := keys.Vacant(late, []string{key}, recorded, map[string]time.Duration{"courier-2": time.Minute}); len(grants) != 1 {
 		t.Fatalf("the key was not given to the next: %v", grants)
 	}
--- a/internal/lease/terms.go
+++ b/internal/lease/terms.go
@@ -7,8 +7,8 @@
 
 // Terms are the lengths of time that holds live by. The values are ours.
 type Terms struct {
-	// Hold is how long a router may act on one answer, from when it asked.
-	Hold time.Duration
+	// Lease is how long a router may act on one answer, from when it asked.
+	Lease time.Duration
 	// Drift is what the granting side waits beyond the hold, for clocks that
 	// run at different speeds.
 	Drift time.Duration
@@ -21,5 +21,5 @@
 
 // DefaultTerms are the lengths that the deployments use.
 func DefaultTerms() Terms {
-	return Terms{Hold: 4 * time.Second, Drift: 200 * time.Millisecond, Rest: 3300 * time.Millisecond, Settled: 8 * time.Second}
+	return Terms{Lease: 4 * time.Second, Drift: 200 * time.Millisecond, Rest: 3300 * time.Millisecond, Settled: 8 * time.Second}
 }
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -13,7 +13,7 @@
 	membership, replica := c.witness.Membership(), c.witness.Replica()
 	blank, holder := membership.Blank(), c.witness.Holder()
 	version, damage := c.store.Copy().Version(), c.store.Copy().Damage()
-	left := c.witness.HoldEnds().Sub(c.runtime.Now())
+	left := c.witness.LeaseEnds().Sub(c.runtime.Now())
 	leads := c.HasLease()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -24,7 +24,7 @@
 		replica.Zone = c.zone
 	}
 	return Hello{Seat: replica, Kind: c.kind, Blank: blank, Restricted: c.restricted,
-		Membership: membership, Leads: leads, HoldLeft: max(left, 0), Holder: holder,
+		Membership: membership, Leads: leads, LeaseLeft: max(left, 0), Holder: holder,
 		Version: version, Damage: damage, Leaving: c.leaving}
 }
 
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -10,9 +10,9 @@
 
 // The steward's lengths of time. The values are ours.
 const (
-	// holdDrift is taken off the primary's own hold for clocks that run at
+	// leaseDrift is taken off the primary's own hold for clocks that run at
 	// different speeds.
-	holdDrift = 150 * time.Millisecond
+	leaseDrift = 150 * time.Millisecond
 	// diskPatience is how long one write to the primary's own disk may take
 	// before it lets the backup take over.
 	diskPatience = 1500 * time.Millisecond
@@ -55,7 +55,7 @@
 	timing  Timing
 
 	mutex      sync.Mutex
-	holdEnds   time.Time
+	leaseEnds  time.Time
 	membership Membership
 	restricted bool
 	known      map[Identity]*acquaintance
@@ -108,7 +108,7 @@
 func (c *Coordinator) HasLease() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.runtime.Now().Before(c.holdEnds) && c.store.View() != nil
+	return c.runtime.Now().Before(c.leaseEnds) && c.store.View() != nil
 }
 
 // SetRestricted tells the steward whether its node lacks an enabled flag; a
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -53,7 +53,7 @@
 	c.mutex.Lock()
 	restricted := c.restricted
 	c.mutex.Unlock()
-	stands := func(hello Hello) bool { return !hello.Leads && (hello.HoldLeft == 0 || hello.Holder == own.Identity) }
+	stands := func(hello Hello) bool { return !hello.Leads && (hello.LeaseLeft == 0 || hello.Holder == own.Identity) }
 	gatherWithin(c.runtime, helloPatience, m.Electors(), func(replica Replica) (Hello, error) {
 		if replica.Identity == own.Identity {
 			return c.Own(), nil
@@ -318,7 +318,7 @@
 	c.outrun = outdated
 	c.confirmedAt = asked
 	c.mutex.Lock()
-	c.holdEnds = asked.Add(lease - holdDrift)
+	c.leaseEnds = asked.Add(lease - leaseDrift)
 	c.mutex.Unlock()
 	return true
 }
@@ -371,7 +371,7 @@
 
 func (c *Coordinator) resign(cause string, newer Membership) {
 	c.mutex.Lock()
-	c.holdEnds = time.Time{}
+	c.leaseEnds = time.Time{}
 	if newer.Epoch > c.membership.Epoch {
 		c.membership = newer
 	}
@@ -387,7 +387,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.runtime.Now()
-	lost := !c.holdEnds.IsZero() && now.Sub(c.holdEnds) > 2*holdDrift
+	lost := !c.leaseEnds.IsZero() && now.Sub(c.leaseEnds) > 2*leaseDrift
 	return lost && now.Sub(c.greeted) > c.timing.Beat && now.Sub(c.confirming) < c.timing.Lease+deafMargin
 }
 
@@ -432,7 +432,7 @@
 	// The keepers let go of this primary's hold when they accept the next, so
 	// it stops answering first.
 	c.mutex.Lock()
-	c.holdEnds = time.Time{}
+	c.leaseEnds = time.Time{}
 	c.mutex.Unlock()
 	won, err := c.elect(func(base Membership) (Membership, bool) {
 		if base.Primary.Identity != c.witness.Replica().Identity || !hasReplica(base.Backups(), next.Identity) {
--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -87,7 +87,7 @@
 	next.members = make([]*coreMember, len(c.members))
 	for position, old := range c.members {
 		copied := *old
-		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: old.keeper.self, note: old.keeper.note, lease: old.keeper.lease, holder: old.keeper.holder, holdEnds: old.keeper.holdEnds}
+		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: old.keeper.self, note: old.keeper.note, lease: old.keeper.lease, holder: old.keeper.holder, leaseEnds: old.keeper.leaseEnds}
 		witness.note.Sequence = 0
 		copied.keeper = witness
 		copied.confirmed = cloneSet(old.confirmed)
@@ -146,7 +146,7 @@
 		witness := member.keeper
 		text = append(append(append(text, witness.self.Identity...), byte(witness.note.Promised), byte(member.version)), witness.holder...)
 		text = appendMembership(text, witness.note.Membership)
-		text = appendFlags(text, witness.holdEnds.IsZero(), member.up, member.leads, member.lease, member.unsynced, member.unsettled)
+		text = appendFlags(text, witness.leaseEnds.IsZero(), member.up, member.leads, member.lease, member.unsynced, member.unsettled)
 		text = append(text, member.plan...)
 		text = appendMembership(text, member.membership)
 		text = appendSet(text, member.confirmed)
@@ -177,7 +177,7 @@
 	}
 	membership := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
 	for number, replica := range replicas {
-		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryHold, holder: replicas[0].Identity, holdEnds: explorationNow.Add(PrimaryHold),
+		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, holder: replicas[0].Identity, leaseEnds: explorationNow.Add(PrimaryLease),
 			note: witnessNote{Identity: replica.Identity, Promised: 1, Membership: membership}}
 		member := &coreMember{keeper: witness, up: true, confirmed: map[Identity]bool{}}
 		if number < 2 {
@@ -290,7 +290,7 @@
 	if state.crashes > 0 {
 		branch(func(next *coreState, member *coreMember) { next.crashes--; member.fall() })
 	}
-	if !member.keeper.holdEnds.IsZero() && !state.leaseHeldBy(member.keeper.holder) {
+	if !member.keeper.leaseEnds.IsZero() && !state.leaseHeldBy(member.keeper.holder) {
 		branch(func(next *coreState, member *coreMember) { next.expire(member) })
 	}
 	if member.lease {
@@ -320,7 +320,7 @@
 // expire ends the lease that a witness gave. A confirmation that is older than that counts
 // no more for its holder, whose lease runs from when it asked.
 func (c *coreState) expire(witness *coreMember) {
-	witness.keeper.holdEnds = time.Time{}
+	witness.keeper.leaseEnds = time.Time{}
 	if _, holder := c.at(witness.keeper.holder); holder != nil {
 		delete(holder.confirmed, witness.identity())
 	}
@@ -346,7 +346,7 @@
 func (c *coreState) restart(member *coreMember) {
 	member.up = true
 	member.keeper.holder = member.keeper.note.Membership.Primary.Identity
-	member.keeper.holdEnds = explorationNow.Add(PrimaryHold)
+	member.keeper.leaseEnds = explorationNow.Add(PrimaryLease)
 }
 
 // wipe gives the machine an empty disk, which is a new identity.
@@ -354,7 +354,7 @@
 	c.wipes--
 	member.incarnations++
 	replica := Replica{Identity: Identity(fmt.Sprintf("%s'", member.identity())), Address: member.keeper.self.Address}
-	member.keeper = &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryHold, note: witnessNote{Identity: replica.Identity}}
+	member.keeper = &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, note: witnessNote{Identity: replica.Identity}}
 	member.version = 0
 }
 
@@ -605,7 +605,7 @@
 	five.members[2].version = 1
 	for _, member := range five.members {
 		member.keeper.note.Membership = membership
-		member.keeper.holdEnds = time.Time{}
+		member.keeper.leaseEnds = time.Time{}
 	}
 	five.members[0].fall()
 	for _, row := range []struct {
--- a/internal/replication/hello.go
+++ b/internal/replication/hello.go
@@ -14,7 +14,7 @@
 	Restricted bool                `msgpack:"restricted"`
 	Membership Membership          `msgpack:"charter"`
 	Leads      bool                `msgpack:"leads"`
-	HoldLeft   time.Duration       `msgpack:"hold_left"`
+	LeaseLeft  time.Duration       `msgpack:"hold_left"`
 	// Holder is whom the keeper holds still for.
 	Holder  Identity `msgpack:"holder,omitempty"`
 	Version Version  `msgpack:"version"`
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestOtherCopyWaitsForTheHoldAfterAllRestarted leaves the primary out, which may have
+// TestOtherCopyWaitsForTheLeaseAfterAllRestarted leaves the primary out, which may have
 // kept running for all that the others know.
-func TestOtherCopyWaitsForTheHoldAfterAllRestarted(t *testing.T) {
+func TestOtherCopyWaitsForTheLeaseAfterAllRestarted(t *testing.T) {
 	w := newWorld(t, 8)
 	if !w.heal(10 * time.Second) {
 		w.fail("no core was formed")
@@ -90,12 +90,12 @@
 			if !ma.steward.HasLease() {
 				continue
 			}
-			if after := w.clock().Sub(begun); after < PrimaryHold {
+			if after := w.clock().Sub(begun); after < PrimaryLease {
 				w.fail("%s leads %v after it started", ma.address, after)
 			}
 			return
 		}
-		if w.clock().Sub(begun) > 2*PrimaryHold {
+		if w.clock().Sub(begun) > 2*PrimaryLease {
 			w.fail("nobody leads")
 		}
 		w.advance(100 * time.Millisecond)
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -625,7 +625,7 @@
 	membership := leader.steward.Membership()
 	for _, m := range w.machines {
 		m.keeper.mutex.Lock()
-		m.keeper.holdEnds = time.Time{}
+		m.keeper.leaseEnds = time.Time{}
 		m.keeper.mutex.Unlock()
 	}
 	var backup *machine
@@ -637,7 +637,7 @@
 	// The leader is not heard for a moment, as if cut off.
 	w.cut = map[string]bool{leader.address + ">" + backup.address: true, backup.address + ">" + leader.address: true}
 	leader.steward.mutex.Lock()
-	leader.steward.holdEnds = w.clock().Add(time.Hour)
+	leader.steward.leaseEnds = w.clock().Add(time.Hour)
 	leader.steward.mutex.Unlock()
 	for range 40 {
 		backup.steward.Tick()
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -49,7 +49,7 @@
 	if catchUp <= 0 {
 		catchUp = DefaultCatchUp
 	}
-	lease := min(max(catchUp*3/8, shortestLease), PrimaryHold)
+	lease := min(max(catchUp*3/8, shortestLease), PrimaryLease)
 	return Timing{
 		CatchUp:        catchUp,
 		Lease:          lease,
--- a/internal/replication/timing_test.go
+++ b/internal/replication/timing_test.go
@@ -9,7 +9,7 @@
 // be longer than the default's.
 func TestTimingFollowsTheBound(t *testing.T) {
 	usual := TimingFor(0)
-	if usual.CatchUp != DefaultCatchUp || usual.Lease != PrimaryHold {
+	if usual.CatchUp != DefaultCatchUp || usual.Lease != PrimaryLease {
 		t.Errorf("the default is %+v", usual)
 	}
 	for _, row := range []struct {
@@ -22,7 +22,7 @@
 		if timing.Lease > usual.Lease || timing.Round > usual.Round || timing.WitnessSilence > longestWitnessSilence {
 			t.Errorf("%v: %+v", row.bound, timing)
 		}
-		if timing.Lease < 4*timing.Round || timing.Lease <= 2*holdDrift {
+		if timing.Lease < 4*timing.Round || timing.Lease <= 2*leaseDrift {
 			t.Errorf("%v: a lease of %v is renewed each %v", row.bound, timing.Lease, timing.Round)
 		}
 	}
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -11,20 +11,20 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// PrimaryHold is how long a keeper holds still at most for the primary it confirmed.
+// PrimaryLease is how long a keeper holds still at most for the primary it confirmed.
 // The value is ours.
-const PrimaryHold = 1500 * time.Millisecond
+const PrimaryLease = 1500 * time.Millisecond
 
 // Witness is an epoch witness. It keeps only the membership and the highest epoch
 // that it has promised, both synced before it answers.
 type Witness struct {
-	mutex    sync.Locker
-	storage  Storage
-	self     Replica
-	note     witnessNote
-	lease    time.Duration
-	holder   Identity
-	holdEnds time.Time
+	mutex     sync.Locker
+	storage   Storage
+	self      Replica
+	note      witnessNote
+	lease     time.Duration
+	holder    Identity
+	leaseEnds time.Time
 }
 
 type witnessNote struct {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	witness := &Witness{mutex: &sync.Mutex{}, storage: storage, self: replica, lease: PrimaryHold, holdEnds: now.Add(PrimaryHold)}
+	witness := &Witness{mutex: &sync.Mutex{}, storage: storage, self: replica, lease: PrimaryLease, leaseEnds: now.Add(PrimaryLease)}
 	var names []string
 	for name := range files {
 		names = append(names, name)
@@ -71,11 +71,11 @@
 func (w *Witness) Guard(lock sync.Locker) { w.mutex = lock }
 
 // SetLease chooses how long the keeper holds still for a primary, no longer than
-// PrimaryHold: for that long it keeps still at its start, whatever it was told before.
+// PrimaryLease: for that long it keeps still at its start, whatever it was told before.
 func (w *Witness) SetLease(lease time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.lease = min(lease, PrimaryHold)
+	w.lease = min(lease, PrimaryLease)
 }
 
 // Replica is the keeper's own seat, which stays.
@@ -95,11 +95,11 @@
 	return w.note.Promised
 }
 
-// HoldEnds tells when the hold that the keeper gave a primary runs out.
-func (w *Witness) HoldEnds() time.Time {
+// LeaseEnds tells when the hold that the keeper gave a primary runs out.
+func (w *Witness) LeaseEnds() time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.holdEnds
+	return w.leaseEnds
 }
 
 // Holder is whom the hold that runs was given to.
@@ -120,7 +120,7 @@
 		promise.Refusal = failure.NotAdmitted
 	case epoch <= w.note.Promised:
 		promise.Refusal = failure.OldEpoch
-	case now.Before(w.holdEnds) && w.holder != c:
+	case now.Before(w.leaseEnds) && w.holder != c:
 		promise.Refusal = failure.LeaseActive
 	default:
 		note := w.note
@@ -157,7 +157,7 @@
 		if w.holder != membership.Primary.Identity {
 			// Whoever could propose another primary knew the old hold to be over
 			// at a quorum, or had it and gave it up.
-			w.holder, w.holdEnds = membership.Primary.Identity, time.Time{}
+			w.holder, w.leaseEnds = membership.Primary.Identity, time.Time{}
 		}
 		promise.Granted = true
 		promise.Promised = membership.Epoch
@@ -186,8 +186,8 @@
 		return promise
 	}
 	w.holder = primary
-	if ends := now.Add(w.lease); ends.After(w.holdEnds) {
-		w.holdEnds = ends
+	if ends := now.Add(w.lease); ends.After(w.leaseEnds) {
+		w.leaseEnds = ends
 	}
 	promise.Granted = true
 	promise.Lease = w.lease
@@ -202,7 +202,7 @@
 	if epoch <= w.note.Promised {
 		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.note.Promised))
 	}
-	if now.Before(w.holdEnds) && w.holder != c {
+	if now.Before(w.leaseEnds) && w.holder != c {
 		return failure.New(failure.LeaseActive, "another primary's hold runs")
 	}
 	note := w.note
--- a/internal/scheduler/ablation_test.go
+++ b/internal/scheduler/ablation_test.go
@@ -52,8 +52,8 @@
 	for _, s := range []site{nine(), twelve(), sixty(), ninety()} {
 		days = append(days, day{s, "calm"})
 	}
-	for _, trouble := range []string{"crash", "dark"} {
-		days = append(days, day{nine(), trouble}, day{ninety(), trouble})
+	for _, problem := range []string{"crash", "dark"} {
+		days = append(days, day{nine(), problem}, day{ninety(), problem})
 	}
 	var names []string
 	for name := range ablations() {
--- a/internal/scheduler/arrive.go
+++ b/internal/scheduler/arrive.go
@@ -58,7 +58,7 @@
 		full.Reason = NoPlace
 		return w.finish(now, ticket, full)
 	}
-	c.serviceState.retries.first(now, w.options.FurtherTries)
+	c.serviceState.retries.first(now, w.options.Retries)
 	return c.send(kind, way)
 }
 
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -33,10 +33,10 @@
 	return most, beside
 }
 
-// TestFurtherTriesStayInTheBudget has all that routers send fail in ways that want a
+// TestRetriesStayInTheBudget has all that routers send fail in ways that want a
 // retry, with starts of routers between, and wants no span of ten seconds with
 // more retries than are allowed.
-func TestFurtherTriesStayInTheBudget(t *testing.T) {
+func TestRetriesStayInTheBudget(t *testing.T) {
 	for _, routers := range []int{1, 3, 9, 30, 85} {
 		for seed := range uint64(4) {
 			random := rand.New(rand.NewPCG(seed, 5))
@@ -45,9 +45,9 @@
 				allowance.Slack = 216
 			}
 			start := func(number int) *Window {
-				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north", FurtherTries: allowance})
+				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north", Retries: allowance})
 				calls.SetRouters(routers)
-				calls.SetProgram(Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Tries = 5 }), 1, 1))
+				calls.SetProgram(Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Attempts = 5 }), 1, 1))
 				calls.SetServers(noon, servers(9))
 				return calls
 			}
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -315,7 +315,7 @@
 // risk is that of a run that can't get the memory that was read for it: a call with one
 // try is lost then.
 func (c *choice) risk(reader *backend) float64 {
-	if !c.lapsing || c.now.UnixNano()-reader.handed.Load() < int64(handedLately) || c.ticket.counted+1 < c.ticket.routeRule.calls.Tries {
+	if !c.lapsing || c.now.UnixNano()-reader.handed.Load() < int64(handedLately) || c.ticket.counted+1 < c.ticket.routeRule.calls.Attempts {
 		return 0
 	}
 	return c.costs.lastTry
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -55,8 +55,8 @@
 const (
 	// NoPlace: no server that may be used has room in time.
 	NoPlace Reason = "no_place"
-	// TriesUsed: the route allows no further server.
-	TriesUsed Reason = "tries_used"
+	// AttemptsUsed: the route allows no further server.
+	AttemptsUsed Reason = "tries_used"
 	// BudgetUsed: the retry budget has no retry.
 	BudgetUsed Reason = "budget_used"
 	// MayHaveRun: a server may have begun what must run once, or has begun a stream that
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -102,7 +102,7 @@
 			return w.finish(now, ticket, Decision{Kind: Through})
 		}
 		w.failed(now, b, outcome.Result)
-		if !ticket.repeatable() {
+		if !ticket.idempotent() {
 			return w.finish(now, ticket, Decision{Kind: Through})
 		}
 		ticket.avoided = append(ticket.avoided, b)
@@ -134,7 +134,7 @@
 	} else {
 		// A further read is paid as well and takes a try of its own.
 		further := ticket.taken || ticket.begun
-		mayRead := !ticket.direct && (!further || ticket.counted+1 < ticket.routeRule.calls.Tries)
+		mayRead := !ticket.direct && (!further || ticket.counted+1 < ticket.routeRule.calls.Attempts)
 		kind, way, found = c.find(func() (DecisionKind, offer, bool) { return c.cheapest(mayRead) })
 	}
 	if found && !way.sourced && kind == Run && ticket.counted > 0 && way.cost > c.dearest() {
@@ -158,7 +158,7 @@
 // pay counts what the call was sent beyond its first try and has not paid for yet, a
 // reserved try first.
 func (c *choice) pay() bool {
-	ticket, allowance := c.ticket, c.window.options.FurtherTries
+	ticket, allowance := c.ticket, c.window.options.Retries
 	owed := ticket.counted - ticket.paid
 	if owed > 0 && ticket.reserved {
 		c.serviceState.retries.redeem(c.now, allowance)
@@ -188,12 +188,12 @@
 // exhausted tells why the call is tried no more, or nothing if it may be.
 func (t *Ticket) exhausted(now time.Time) Reason {
 	switch {
-	case t.ran && !t.repeatable(), t.begun && !t.routeRule.calls.Resumable:
+	case t.ran && !t.idempotent(), t.begun && !t.routeRule.calls.Resumable:
 		return MayHaveRun
 	case !now.Before(t.ends):
 		return TimeUsed
-	case t.counted >= max(1, t.routeRule.calls.Tries):
-		return TriesUsed
+	case t.counted >= max(1, t.routeRule.calls.Attempts):
+		return AttemptsUsed
 	}
 	return ""
 }
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -67,7 +67,7 @@
 func TestGivingUpHasATryBehindIt(t *testing.T) {
 	calls := opened(9)
 	calls.SetRouters(1)
-	program := Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Tries = 4 }), 1, 2)
+	program := Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Attempts = 4 }), 1, 2)
 	calls.SetProgram(program)
 	patient := 0
 	var tickets []*Ticket
@@ -101,7 +101,7 @@
 	calls.SetRouters(1)
 	now, patient := noon.Add(10*time.Second), 0
 	s := calls.serviceState("desk")
-	s.retries.since = now.Add(-calls.options.FurtherTries.Span)
+	s.retries.since = now.Add(-calls.options.Retries.Span)
 	for number := range 50 {
 		ticket, decision := calls.Arrive(now, longCall(fmt.Sprint(number), uint64(number)))
 		if decision.Patience > 0 {
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -41,7 +41,7 @@
 
 func newHistory(t *testing.T, seed uint64) *history {
 	h := &history{test: t, random: rand.New(rand.NewPCG(seed, 11)), now: noon, list: servers(9), evacuees: map[string]bool{}, number: 1,
-		calls: New(Options{Router: "courier-1", Zone: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})}
+		calls: New(Options{Router: "courier-1", Zone: "north", Retries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})}
 	h.calls.SetRouters(3)
 	h.configure()
 	h.calls.SetServers(h.now, h.list)
@@ -53,11 +53,11 @@
 		for zone := range h.evacuees {
 			configuration.Evacuations = map[string]config.Evacuation{zone: {}}
 		}
-		configuration.Routes[0].Calls.Tries = 3
+		configuration.Routes[0].Calls.Attempts = 3
 		configuration.Routes = append(configuration.Routes, config.Route{Name: "plain", Match: config.Match{Host: "plain.example", PathPrefix: "/"},
-			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 3}, {Service: "other", Weight: 1}}, Limit: 5 * time.Second, Tries: 3}},
+			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 3}, {Service: "other", Weight: 1}}, Limit: 5 * time.Second, Attempts: 3}},
 			config.Route{Name: "again", Match: config.Match{Host: "again.example", PathPrefix: "/"},
-				Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 5 * time.Second, Tries: 2, Repeatable: true}})
+				Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 5 * time.Second, Attempts: 2, Idempotent: true}})
 	}), 1, h.number))
 	h.number++
 }
@@ -135,11 +135,11 @@
 		if (decision.Kind == Read) != (server.Part == prefill) {
 			fail("the wrong part")
 		}
-		if f.arrivals >= f.route.Tries {
-			fail("more tries than %d", f.route.Tries)
+		if f.arrivals >= f.route.Attempts {
+			fail("more tries than %d", f.route.Attempts)
 		}
-		repeatable := f.route.Repeatable || f.route.Resumable
-		if f.runs > 0 && !repeatable {
+		idempotent := f.route.Idempotent || f.route.Resumable
+		if f.runs > 0 && !idempotent {
 			fail("it may have run")
 		}
 		if f.passed && !f.route.Resumable {
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -7,9 +7,9 @@
 	// Router is the node's name, Zone the one whose servers it prefers.
 	Router string
 	Zone   string
-	// FurtherTries bounds what all routers send beyond the first dispatch of each
+	// Retries bounds what all routers send beyond the first dispatch of each
 	// call, service by service.
-	FurtherTries Allowance
+	Retries Allowance
 }
 
 // Allowance bounds retries: in any span as long as Span, over all routers, at
@@ -25,14 +25,14 @@
 
 func (o Options) checked() Options {
 	standard := DefaultAllowance()
-	if o.FurtherTries.Ratio <= 0 {
-		o.FurtherTries.Ratio = standard.Ratio
+	if o.Retries.Ratio <= 0 {
+		o.Retries.Ratio = standard.Ratio
 	}
-	if o.FurtherTries.Slack <= 0 {
-		o.FurtherTries.Slack = standard.Slack
+	if o.Retries.Slack <= 0 {
+		o.Retries.Slack = standard.Slack
 	}
-	if o.FurtherTries.Span <= 0 {
-		o.FurtherTries.Span = standard.Span
+	if o.Retries.Span <= 0 {
+		o.Retries.Span = standard.Span
 	}
 	return o
 }
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -59,7 +59,7 @@
 		avoided[name] = true
 	}
 	for _, name := range advice.Trial {
-		if ba, found := b.byName[name]; found && !w.tries(ba) {
+		if ba, found := b.byName[name]; found && !w.attempts(ba) {
 			avoided[name] = true
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // tries tells whether this router is one of those that use a server on trial.
-func (w *Window) tries(b *backend) bool {
+func (w *Window) attempts(b *backend) bool {
 	return w.routerCount() <= trialShare || weigh(nameKey(w.options.Router), b.key)%trialShare == 0
 }
 
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -105,9 +105,9 @@
 		call     func(string) *Call
 		outcomes []Outcome
 	}{
-		MayHaveRun: {chatCall, []Outcome{{Result: Silent}}},
-		TriesUsed:  {chatCall, []Outcome{{Result: NotStarted, Status: 503}}},
-		BudgetUsed: {func(id string) *Call { return longCall(id, 77) }, []Outcome{{Result: Silent}}},
+		MayHaveRun:   {chatCall, []Outcome{{Result: Silent}}},
+		AttemptsUsed: {chatCall, []Outcome{{Result: NotStarted, Status: 503}}},
+		BudgetUsed:   {func(id string) *Call { return longCall(id, 77) }, []Outcome{{Result: Silent}}},
 	} {
 		calls := opened(9)
 		now := noon
--- a/internal/scheduler/retrybudget_test.go
+++ b/internal/scheduler/retrybudget_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestReservedTries keeps reserved tries out of what others may spend, and leaves a part of
+// TestReservedAttempts keeps reserved tries out of what others may spend, and leaves a part of
 // the room to those who need a try now.
-func TestReservedTries(t *testing.T) {
+func TestReservedAttempts(t *testing.T) {
 	var budget retryBudget
 	budget.first(noon, tenSeconds)
 	now := noon.Add(tenSeconds.Span)
--- a/internal/scheduler/returned_test.go
+++ b/internal/scheduler/returned_test.go
@@ -12,7 +12,7 @@
 // zone's servers to get no more in the next second than cold ones stand: they may
 // have become cold while nobody used them, and the list tells that later.
 func TestServersOfAZoneThatComesBackCountAsCold(t *testing.T) {
-	calls := New(Options{Router: "courier-1", Zone: "north", FurtherTries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})
+	calls := New(Options{Router: "courier-1", Zone: "north", Retries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})
 	calls.SetRouters(1)
 	list := servers(9)
 	calls.SetServers(noon, list)
--- a/internal/scheduler/send.go
+++ b/internal/scheduler/send.go
@@ -51,7 +51,7 @@
 			b.queue(now, span(float64(sent.unread)/p))
 			c.serviceState.pressure.readDirectly(now, sent.unread)
 		}
-		if ticket.repeatable() && !ticket.begun && c.goesOn() {
+		if ticket.idempotent() && !ticket.begun && c.goesOn() {
 			decision.Patience = c.patience(max(runPatience*sent.expected, leastRunPatience))
 		}
 		decision.Silence = c.silence()
@@ -70,18 +70,18 @@
 // prompt is read again only by a reader, which is a try of its own.
 func (c *choice) goesOn() bool {
 	ticket := c.ticket
-	return ticket.call.PromptTokens <= easilyRead || ticket.counted+2 < ticket.routeRule.calls.Tries
+	return ticket.call.PromptTokens <= easilyRead || ticket.counted+2 < ticket.routeRule.calls.Attempts
 }
 
 // patience is given only when there is time and leave for another try behind it.
 func (c *choice) patience(wanted time.Duration) time.Duration {
 	ticket := c.ticket
 	left := ticket.ends.Sub(c.now)
-	if wanted > left*2/3 || ticket.counted+1 >= ticket.routeRule.calls.Tries {
+	if wanted > left*2/3 || ticket.counted+1 >= ticket.routeRule.calls.Attempts {
 		return 0
 	}
 	// The retry is reserved now: giving up without one behind it would lose the call.
-	if !ticket.reserved && !c.serviceState.retries.reserve(c.now, c.window.options.FurtherTries, c.routerCount) {
+	if !ticket.reserved && !c.serviceState.retries.reserve(c.now, c.window.options.Retries, c.routerCount) {
 		return 0
 	}
 	ticket.reserved = true
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -76,8 +76,8 @@
 }
 
 // repeatable tells whether the call may run more than once.
-func (t *Ticket) repeatable() bool {
-	return t.routeRule.calls.Repeatable || t.routeRule.calls.Streams && t.routeRule.calls.Resumable
+func (t *Ticket) idempotent() bool {
+	return t.routeRule.calls.Idempotent || t.routeRule.calls.Streams && t.routeRule.calls.Resumable
 }
 
 // tokens is the memory that the call takes up at the server that makes its answer.
--- a/internal/scheduler/troubles_test.go
+++ b/internal/scheduler/troubles_test.go
@@ -55,11 +55,11 @@
 // lose handles, and wants most calls served and nothing cut that could go on.
 func TestTroubles(t *testing.T) {
 	floors := map[string]float64{"calm": 0.9, "crash": 0.85, "dark": 0.8, "short handles": 0.85, "slow links": 0.78, "slow servers": 0.85, "release": 0.85, "chats": 0.85}
-	for name, trouble := range troubles() {
+	for name, problem := range troubles() {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(5, 9, 9, nil)
 			w.pool(NewPools())
-			trouble(w)
+			problem(w)
 			day(w, 1, 30*time.Second)
 			t.Logf("%d orders\n%s", w.orders, w)
 			owed, earned := 0.0, 0.0
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -23,10 +23,10 @@
 	configuration.Routes = []config.Route{
 		{Name: "long", Match: config.Match{Host: "long.example", PathPrefix: "/ask/"}, Calls: &config.CallRoute{
 			Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 3 * time.Second, Aim: 400 * time.Millisecond,
-			Gap: 250 * time.Millisecond, Rank: 0, Tries: 2, Streams: true, Resumable: true, Sticky: true}},
+			Gap: 250 * time.Millisecond, Rank: 0, Attempts: 2, Streams: true, Resumable: true, Sticky: true}},
 		{Name: "chat", Match: config.Match{Host: "chat.example", PathPrefix: "/"}, Calls: &config.CallRoute{
 			Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 8 * time.Second, Aim: 500 * time.Millisecond,
-			Gap: 250 * time.Millisecond, Rank: 1, Tries: 1, Streams: true, Sticky: true}},
+			Gap: 250 * time.Millisecond, Rank: 1, Attempts: 1, Streams: true, Sticky: true}},
 	}
 	if change != nil {
 		change(configuration)
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -123,8 +123,8 @@
 		service.Engine.Slots, service.Engine.MemoryTokens, service.Engine.TokenBytes, service.Engine.LinkBits, service.Engine.TokensAChunk = 48, 198_631, 131_072, 630e9, 8
 		configuration.Services["desk"] = service
 		long, chat := configuration.Routes[0].Calls, configuration.Routes[1].Calls
-		long.Limit, long.Aim, long.Gap, long.Rank, long.Tries, long.Resumable = s.long.deadline, s.long.aim, s.long.gap, 1, 1, false
-		chat.Limit, chat.Aim, chat.Gap, chat.Rank, chat.Tries, chat.Resumable = s.chat.deadline, s.chat.aim, s.chat.gap, 0, 2, true
+		long.Limit, long.Aim, long.Gap, long.Rank, long.Attempts, long.Resumable = s.long.deadline, s.long.aim, s.long.gap, 1, 1, false
+		chat.Limit, chat.Aim, chat.Gap, chat.Rank, chat.Attempts, chat.Resumable = s.chat.deadline, s.chat.aim, s.chat.gap, 0, 2, true
 	}
 	return s
 }
@@ -557,7 +557,7 @@
 	zones := []string{"north", "south", "west"}
 	for number := range routers {
 		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: zones[number%3],
-			FurtherTries: Allowance{Ratio: 0.2, Slack: 58, Span: 10 * time.Second}})
+			Retries: Allowance{Ratio: 0.2, Slack: 58, Span: 10 * time.Second}})
 		calls.SetRouters(routers)
 		calls.SetProgram(Compile(plan(configure), 1, 1))
 		calls.SetServers(noon, w.list)
--- a/internal/testbed/fleet/callers.go
+++ b/internal/testbed/fleet/callers.go
@@ -140,7 +140,7 @@
 	ID           string `json:"id"`
 	Service      string `json:"service"`
 	Client       string `json:"origin"`
-	Repeatable   bool   `json:"repeatable"`
+	Idempotent   bool   `json:"repeatable"`
 	Limit        int    `json:"limit_milliseconds"`
 	PromptTokens int    `json:"prompt_tokens"`
 	Prefix       string `json:"prefix,omitempty"`
@@ -149,12 +149,12 @@
 }
 
 func (c *Callers) question(kind Kind, node *NodeProcess) (Question, Entry) {
-	repeatable := c.random.Float64() >= c.Once
-	question := Question{ID: dataplane.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(c.number%50), Repeatable: repeatable,
+	idempotent := c.random.Float64() >= c.Once
+	question := Question{ID: dataplane.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(c.number%50), Idempotent: idempotent,
 		Limit: 15_000, PromptTokens: kind.LeastTokens + c.random.IntN(kind.MostTokens-kind.LeastTokens),
 		Prefix: kind.Service + "-" + strconv.Itoa(c.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
 		Chunks: kind.LeastChunks + c.random.IntN(kind.MostChunks-kind.LeastChunks)}
-	return question, Entry{Request: question.ID, Router: node.Node.Name, Service: kind.Service, Repeatable: repeatable, Asked: question.Chunks}
+	return question, Entry{Request: question.ID, Router: node.Node.Name, Service: kind.Service, Idempotent: idempotent, Asked: question.Chunks}
 }
 
 // Send sends one request and writes down its reply, word for word. A reply
--- a/internal/testbed/fleet/checkers.go
+++ b/internal/testbed/fleet/checkers.go
@@ -15,7 +15,7 @@
 	inForceLimit  = 2 * time.Second
 	turnLimit     = 3 * time.Second
 	returnLimit   = 12 * time.Second
-	triesShare    = 0.2
+	attemptsShare = 0.2
 	coldSpan      = 2 * time.Second
 	coldDepth     = 8
 )
@@ -23,7 +23,7 @@
 // The checkers read only what stand-ins and callers wrote down.
 var checkers = []func([]Entry) Finding{
 	checkSecondRun, checkRefusedNeverRuns, checkReplies, checkMemory, checkLeaving, checkEvacuated, checkInForce, checkNeverBack,
-	checkRefusedRevisions, checkReads, checkTries, checkCold, checkCommands, checkFormats, checkReturn, checkHeldBack,
+	checkRefusedRevisions, checkReads, checkAttempts, checkCold, checkCommands, checkFormats, checkReturn, checkHeldBack,
 }
 
 // checkSecondRun: a request that is not idempotent is started once at most,
@@ -32,7 +32,7 @@
 	finding := Finding{Checker: "no second run"}
 	once := map[string]bool{}
 	for _, entry := range entries {
-		if entry.Kind == Sent && !entry.Repeatable {
+		if entry.Kind == Sent && !entry.Idempotent {
 			once[entry.Request] = true
 		}
 	}
@@ -276,15 +276,15 @@
 // loss: a burst of retries during one would show, and there are enough first
 // dispatches in it for a share to mean something.
 const (
-	triesWindow = 10 * time.Second
-	triesSaved  = 2
+	attemptsWindow = 10 * time.Second
+	attemptsSaved  = 2
 )
 
-// checkTries: extra dispatches, counted where they arrive, stay under a fifth
+// checkAttempts: extra dispatches, counted where they arrive, stay under a fifth
 // of the first ones, in the whole and in each window. An id that its caller
 // sends again has a first dispatch again.
-func checkTries(entries []Entry) Finding {
-	finding := Finding{Checker: "extra tries stay under a fifth", Limit: strconv.FormatFloat(triesShare, 'f', 2, 64)}
+func checkAttempts(entries []Entry) Finding {
+	finding := Finding{Checker: "extra tries stay under a fifth", Limit: strconv.FormatFloat(attemptsShare, 'f', 2, 64)}
 	type dispatch struct {
 		at    time.Time
 		extra bool
@@ -318,7 +318,7 @@
 			first++
 			recentFirst++
 		}
-		for entry.At.Sub(window[0].at) > triesWindow {
+		for entry.At.Sub(window[0].at) > attemptsWindow {
 			if window[0].extra {
 				recentExtra--
 			} else {
@@ -326,19 +326,19 @@
 			}
 			window = window[1:]
 		}
-		saved := triesSaved * len(routers)
+		saved := attemptsSaved * len(routers)
 		if recentExtra > saved {
 			worst = max(worst, float64(recentExtra-saved)/float64(max(recentFirst, 1)))
 		}
 		// A retried run asks twice, at a prefill and at a decode server: both count.
-		if float64(recentExtra) > triesShare*float64(recentFirst)+float64(saved) {
-			finding.Violate(fmt.Sprintf("%d extra tries for %d first ones within %s", recentExtra, recentFirst, triesWindow))
+		if float64(recentExtra) > attemptsShare*float64(recentFirst)+float64(saved) {
+			finding.Violate(fmt.Sprintf("%d extra tries for %d first ones within %s", recentExtra, recentFirst, attemptsWindow))
 		}
 	}
 	finding.Looked = first
 	share := float64(extra) / float64(max(first, 1))
 	finding.Worst = strconv.FormatFloat(share, 'f', 3, 64) + ", in a window " + strconv.FormatFloat(worst, 'f', 3, 64)
-	if float64(extra) > triesShare*float64(first)+float64(triesSaved*len(routers)) {
+	if float64(extra) > attemptsShare*float64(first)+float64(attemptsSaved*len(routers)) {
 		finding.Violate(fmt.Sprintf("%d extra tries for %d first ones", extra, first))
 	}
 	return finding
@@ -480,7 +480,7 @@
 		asked, sent := map[string]bool{}, map[string]int{}
 		revisions := map[int]bool{}
 		for _, later := range entries[position:] {
-			sort := fmt.Sprintf("%s at %s, repeatable %v", later.Service, later.Zone, later.Repeatable)
+			sort := fmt.Sprintf("%s at %s, repeatable %v", later.Service, later.Zone, later.Idempotent)
 			since := later.At.Sub(entry.At)
 			switch later.Kind {
 			case Sent:
--- a/internal/testbed/fleet/checkers_test.go
+++ b/internal/testbed/fleet/checkers_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func tries(from time.Time, count int) (entries []Entry) {
+func attempts(from time.Time, count int) (entries []Entry) {
 	for number := range count {
 		entries = append(entries, Entry{At: from.Add(time.Duration(number) * time.Millisecond), Kind: PrefillAsked, Request: "one", Run: number + 2, Server: "stove-2", Age: 9 * time.Second})
 	}
@@ -62,7 +62,7 @@
 		"configurations never go back":                       {{At: at(200), Kind: RevisionSeen, Router: "courier-1", Revision: 3}, {At: at(300), Kind: RevisionSeen, Router: "courier-1", Revision: 2}},
 		"refused configurations take no effect":              {{At: at(200), Kind: RevisionSeen, Router: "courier-3", Revision: 9}},
 		"reads are never older than what was accepted":       {{At: at(200), Kind: RevisionAccepted, Revision: 2}, {At: at(210), Kind: RevisionRead, Revision: 1}},
-		"extra tries stay under a fifth":                     tries(at(5100), 3),
+		"extra tries stay under a fifth":                     attempts(at(5100), 3),
 		"a cold server is not flooded":                       {{At: at(100), Kind: PrefillAsked, Request: "four", Server: "stove-2", Depth: 9, Age: time.Second}},
 		"one node at a time commands a server":               {{At: at(2000), Kind: Commanded, Server: "stove-1", Holder: "courier-2", FencingToken: 2}},
 		"a new format waits for every known member":          {{At: at(15), Kind: MemberKnown, Holder: "courier-2"}},
@@ -92,7 +92,7 @@
 		checker string
 		entries []Entry
 	}{
-		{"extra tries stay under a fifth", append(quiet(500), tries(at(60000), 14)...)},
+		{"extra tries stay under a fifth", append(quiet(500), attempts(at(60000), 14)...)},
 		{"refused means it never runs", []Entry{{At: at(5000), Kind: Sent, Request: "two"}, {At: at(5100), Kind: PrefillStarted, Request: "two", Server: "stove-2"}, {At: at(5200), Kind: Sent, Request: "two", Arrival: 1}}},
 		{"a new format waits for every known member", []Entry{enabled, {At: at(11), Kind: RecordSeen, Cause: "pair_v2", Part: "on a wire"}}},
 		{"a new format waits for every known member", []Entry{enabled, {At: at(11), Kind: MemberKnown, Holder: "courier-9", Flags: []string{"order_patience"}}}},
--- a/internal/testbed/fleet/entry.go
+++ b/internal/testbed/fleet/entry.go
@@ -14,7 +14,7 @@
 	Request    string    `json:"inquiry,omitempty"`
 	Run        int       `json:"run,omitempty"`
 	Handle     string    `json:"handle,omitempty"`
-	Repeatable bool      `json:"repeatable,omitempty"`
+	Idempotent bool      `json:"repeatable,omitempty"`
 	// Arrival tells the times apart that a caller sends one id.
 	Arrival int    `json:"arrival,omitempty"`
 	Router  string `json:"courier,omitempty"`
--- a/internal/testbed/replay/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -88,7 +88,7 @@
 			continue
 		}
 		finding.Looked++
-		seen := r.tries[event.Try]
+		seen := r.attempts[event.Try]
 		switch {
 		case seen == nil:
 			finding.Violate(event.Server + " ran " + event.Try + ", which no client sent")
@@ -101,7 +101,7 @@
 // checkTwice: what is not idempotent runs once at most.
 func checkTwice(r *record, finding *fleet.Finding) {
 	for _, seen := range r.order {
-		if seen.sent.Repeatable {
+		if seen.sent.Idempotent {
 			continue
 		}
 		finding.Looked++
@@ -114,7 +114,7 @@
 // checkRefused: what is not idempotent and was answered with a promise never runs.
 func checkRefused(r *record, finding *fleet.Finding) {
 	for _, seen := range r.order {
-		if seen.sent.Repeatable || !seen.over {
+		if seen.sent.Idempotent || !seen.over {
 			continue
 		}
 		finding.Looked++
@@ -140,7 +140,7 @@
 		always, ever := true, len(r.versions) > 0
 		for _, version := range r.versions {
 			_, found := version.Routes[seen.sent.Route]
-			if version.mayHold(seen.ended.At) && !r.outdated(version, seen.sent.At) {
+			if version.mayLease(seen.ended.At) && !r.outdated(version, seen.sent.At) {
 				always = always && found
 			}
 			ever = ever && found
@@ -185,7 +185,7 @@
 	finding.Limit = r.terms.Drain.String()
 	for _, event := range r.events {
 		since, leaving := r.shown[event.Server]
-		seen := r.tries[event.Try]
+		seen := r.attempts[event.Try]
 		if event.Kind != Arrived || event.Status == 421 || !leaving || seen == nil {
 			continue
 		}
--- a/internal/testbed/replay/checkers_test.go
+++ b/internal/testbed/replay/checkers_test.go
@@ -26,10 +26,10 @@
 }
 
 // call is a request that is read at one server, runs at another, and is answered whole.
-func (day seeded) call(name string, at int, route, service string, repeatable bool) []Event {
+func (day seeded) call(name string, at int, route, service string, idempotent bool) []Event {
 	seal, source := "seal-"+name, "handle-"+name
 	return []Event{
-		{At: day.at(at), Kind: TrySent, Machine: "edge-2", Try: name, Request: "request-" + name, Class: "chat", Route: route, Repeatable: repeatable, Digest: "digest-" + name, Deadline: 3 * time.Second, Aim: time.Second, Began: day.at(at)},
+		{At: day.at(at), Kind: TrySent, Machine: "edge-2", Try: name, Request: "request-" + name, Class: "chat", Route: route, Idempotent: idempotent, Digest: "digest-" + name, Deadline: 3 * time.Second, Aim: time.Second, Began: day.at(at)},
 		{At: day.at(at + 1), Kind: Arrived, Try: name, Server: "i-read", Service: service, Zone: "quay-hall", Stage: stagePrefill, Digest: "digest-" + name, Deadline: 2900 * time.Millisecond},
 		{At: day.at(at + 2), Kind: PromptRead, Try: name, Server: "i-read", Service: service, Stage: stagePrefill, Digest: "digest-" + name, Handle: source, Tokens: 100},
 		{At: day.at(at + 3), Kind: HandleTaken, Server: "i-make", Try: name, Request: name, Handle: source},
--- a/internal/testbed/replay/clients.go
+++ b/internal/testbed/replay/clients.go
@@ -108,7 +108,7 @@
 		connection, err := c.connection(one, sender, number)
 		var again *try
 		if err != nil {
-			c.book.Note(Event{Kind: TryEnded, Request: one.id, Class: one.class.Name, Route: one.route, Number: number, Repeatable: one.class.repeats(), Aim: one.class.Aim, Began: one.began, Cause: "no circuit: " + err.Error()})
+			c.book.Note(Event{Kind: TryEnded, Request: one.id, Class: one.class.Name, Route: one.route, Number: number, Idempotent: one.class.repeats(), Aim: one.class.Aim, Began: one.began, Cause: "no circuit: " + err.Error()})
 			again = &try{one: one, unread: true}
 		} else {
 			again = one.send(connection, number, behind, c.book)
--- a/internal/testbed/replay/configcheckers.go
+++ b/internal/testbed/replay/configcheckers.go
@@ -161,7 +161,7 @@
 	for _, seen := range r.order {
 		longest := time.Duration(0)
 		for _, version := range r.versions {
-			if version.mayHold(seen.ended.At) && !r.outdated(version, seen.sent.At) {
+			if version.mayLease(seen.ended.At) && !r.outdated(version, seen.sent.At) {
 				longest = max(longest, version.deadlineOf(seen.sent.Route))
 			}
 		}
--- a/internal/testbed/replay/edition.go
+++ b/internal/testbed/replay/edition.go
@@ -79,10 +79,10 @@
 		class := site.classOf(rule.Class)
 		page := map[string]any{
 			"name": name, "host": rule.Host, "pathPrefix": rule.Prefix, "routeKind": "streaming", "deadlineMs": rule.Deadline,
-			"targetMs": class.Aim.Milliseconds(), "priority": class.Priority, "maxTries": class.MaxTries,
+			"targetMs": class.Aim.Milliseconds(), "priority": class.Priority, "maxTries": class.MaxAttempts,
 		}
 		switch {
-		case class.Repeatable:
+		case class.Idempotent:
 			page["routeKind"] = "idempotent"
 		case class.Plain:
 			page["routeKind"] = "mutating"
--- a/internal/testbed/replay/event.go
+++ b/internal/testbed/replay/event.go
@@ -16,7 +16,7 @@
 	Route   string `json:"route,omitempty"`
 	// Number tells the tries of one request apart, from 0.
 	Number     int           `json:"number,omitempty"`
-	Repeatable bool          `json:"repeatable,omitempty"`
+	Idempotent bool          `json:"repeatable,omitempty"`
 	Probe      bool          `json:"probe,omitempty"`
 	Digest     string        `json:"digest,omitempty"`
 	Deadline   time.Duration `json:"deadline,omitempty"`
--- a/internal/testbed/replay/figures.go
+++ b/internal/testbed/replay/figures.go
@@ -71,8 +71,8 @@
 		if seen.sent.Probe || seen.sent.Number > 0 && len(r.requests[seen.sent.Request]) > 0 && r.requests[seen.sent.Request][0] != seen {
 			continue
 		}
-		tries := r.requests[seen.sent.Request]
-		last := tries[len(tries)-1]
+		attempts := r.requests[seen.sent.Request]
+		last := attempts[len(attempts)-1]
 		if !last.over || last.ended.Cause == causeLeft {
 			continue
 		}
@@ -85,7 +85,7 @@
 		class.Owed++
 		var first time.Time
 		stall, pause := 0.0, r.site.classOf(seen.sent.Class).Pause.Seconds()
-		for _, t := range tries {
+		for _, t := range attempts {
 			stall = max(stall, t.ended.Stall)
 			if first.IsZero() {
 				first = t.ended.First
@@ -93,7 +93,7 @@
 		}
 		length := first.Sub(seen.sent.Began)
 		switch {
-		case r.servedAt(seen.sent.Request) && length <= seen.sent.Aim && stall <= pause && len(tries) == 1:
+		case r.servedAt(seen.sent.Request) && length <= seen.sent.Aim && stall <= pause && len(attempts) == 1:
 			figures.InTime++
 			class.InTime++
 			figures.Seconds[second].InTime++
--- a/internal/testbed/replay/record.go
+++ b/internal/testbed/replay/record.go
@@ -11,7 +11,7 @@
 	site     Site
 	terms    Terms
 	contact  *contact
-	tries    map[string]*trySeen
+	attempts map[string]*trySeen
 	order    []*trySeen
 	requests map[string][]*trySeen
 	versions []*versionSeen
@@ -42,13 +42,13 @@
 }
 
 func newRecord(events []Event, site Site) *record {
-	r := &record{events: events, site: site, terms: site.Terms, contact: newContact(events, site.Terms.Contact), tries: map[string]*trySeen{}, requests: map[string][]*trySeen{}, shown: map[string]time.Time{}}
+	r := &record{events: events, site: site, terms: site.Terms, contact: newContact(events, site.Terms.Contact), attempts: map[string]*trySeen{}, requests: map[string][]*trySeen{}, shown: map[string]time.Time{}}
 	changes := map[string]*versionSeen{}
 	for _, event := range events {
-		seen := r.tries[event.Try]
+		seen := r.attempts[event.Try]
 		if event.Kind == TrySent {
 			seen = &trySeen{sent: event}
-			r.tries[event.Try] = seen
+			r.attempts[event.Try] = seen
 			r.order = append(r.order, seen)
 			r.requests[event.Request] = append(r.requests[event.Request], seen)
 		}
@@ -87,8 +87,8 @@
 	return r
 }
 
-// mayHold tells whether a revision may be in force by a moment.
-func (v *versionSeen) mayHold(by time.Time) bool {
+// mayLease tells whether a revision may be in force by a moment.
+func (v *versionSeen) mayLease(by time.Time) bool {
 	return !v.invalid && v.outcome != refused && !v.sent.After(by)
 }
 
@@ -137,7 +137,7 @@
 // in force by then.
 func (r *record) span(h handling) (oldest, newest int, found bool) {
 	for _, version := range r.versions {
-		if version.mayHold(h.at) && h.fits(version) {
+		if version.mayLease(h.at) && h.fits(version) {
 			if !found {
 				oldest, found = version.Revision, true
 			}
--- a/internal/testbed/replay/serverscheckers.go
+++ b/internal/testbed/replay/serverscheckers.go
@@ -80,7 +80,7 @@
 			servers[start.Server] = true
 		}
 		finding.Looked++
-		if limit := r.site.classOf(seen.sent.Class).MaxTries; limit > 0 && len(servers) > limit && !r.brokenByServer(seen) {
+		if limit := r.site.classOf(seen.sent.Class).MaxAttempts; limit > 0 && len(servers) > limit && !r.brokenByServer(seen) {
 			over++
 			example = seen.sent.Try
 		}
@@ -115,16 +115,16 @@
 // checkOrder: a stream's chunks come in order, none missing and none twice, and those of
 // another run only where the request may be resumed.
 func checkOrder(r *record, finding *fleet.Finding) {
-	for re, tries := range r.requests {
+	for re, attempts := range r.requests {
 		last := 0
-		for _, seen := range tries {
+		for _, seen := range attempts {
 			run := ""
 			for _, span := range seen.ended.Spans {
 				finding.Looked++
 				if span.From != last+1 || span.To < span.From || span.ID != span.To {
 					finding.Violate(fmt.Sprintf("%s: pieces %d to %d (id %d) behind %d", re, span.From, span.To, span.ID, last))
 				}
-				if run != "" && run != span.Run && !seen.sent.Repeatable {
+				if run != "" && run != span.Run && !seen.sent.Idempotent {
 					finding.Violate(fmt.Sprintf("%s: pieces of the runs %s and %s", re, run, span.Run))
 				}
 				last, run = span.To, span.Run
@@ -162,7 +162,7 @@
 				if arrival.At.Sub(other.At) >= time.Second {
 					break
 				}
-				if seen := r.tries[other.Try]; seen == nil || arrival.At.Sub(seen.sent.At) < time.Second {
+				if seen := r.attempts[other.Try]; seen == nil || arrival.At.Sub(seen.sent.At) < time.Second {
 					count++
 				}
 			}
@@ -186,7 +186,7 @@
 			delete(since, event.Zone)
 		case Arrived:
 			begun, evacuated := since[event.Zone]
-			seen := r.tries[event.Try]
+			seen := r.attempts[event.Try]
 			if len(since) > 0 && !evacuated {
 				finding.Looked++
 			}
--- a/internal/testbed/replay/site.go
+++ b/internal/testbed/replay/site.go
@@ -39,11 +39,11 @@
 	Pause     time.Duration
 	Resumable bool
 	// Plain requests are answered whole; Repeatable tells which of these may run again.
-	Plain      bool
-	Repeatable bool
-	MaxTries   int
-	Priority   int
-	Retries    int
+	Plain       bool
+	Idempotent  bool
+	MaxAttempts int
+	Priority    int
+	Retries     int
 	// Shared are the parts that requests have in common, from the widest: how many there
 	// are, and of how many tokens.
 	Shared     []SharedPart
@@ -72,17 +72,17 @@
 		Services: []ServiceShape{{Name: "desk", PerZone: 2, Readers: 2, Engine: e}, {Name: "annexe", PerZone: 1, Readers: 1, Engine: e}, {Name: "till", PerZone: 1, Engine: till}},
 		Classes: []Class{
 			{Name: "verdict", Service: "desk", Share: 0.45, Aim: 400 * time.Millisecond, Deadline: 3 * time.Second, Pause: 250 * time.Millisecond, Resumable: true,
-				MaxTries: 2, Priority: 0, Retries: 1, Shared: []SharedPart{{4, 2520}, {40, 3780}}, OwnTokens: 2890, MostTokens: 8, BodyBytes: 18_000},
+				MaxAttempts: 2, Priority: 0, Retries: 1, Shared: []SharedPart{{4, 2520}, {40, 3780}}, OwnTokens: 2890, MostTokens: 8, BodyBytes: 18_000},
 			{Name: "chat", Service: "desk", Share: 0.55, Aim: 500 * time.Millisecond, Deadline: 8 * time.Second, Pause: 250 * time.Millisecond,
-				MaxTries: 2, Priority: 1, Retries: 1, Shared: []SharedPart{{40, 119}, {80, 79}}, OwnTokens: 628, MostTokens: 40, BodyBytes: 1700},
-			{Name: "purchase", Service: "till", Share: 0.1, Plain: true, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, MaxTries: 2, Priority: 0, Retries: 1, BodyBytes: 900},
-			{Name: "stock", Service: "till", Share: 0.1, Plain: true, Repeatable: true, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, MaxTries: 3, Priority: 2, Retries: 2, BodyBytes: 100},
+				MaxAttempts: 2, Priority: 1, Retries: 1, Shared: []SharedPart{{40, 119}, {80, 79}}, OwnTokens: 628, MostTokens: 40, BodyBytes: 1700},
+			{Name: "purchase", Service: "till", Share: 0.1, Plain: true, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, MaxAttempts: 2, Priority: 0, Retries: 1, BodyBytes: 900},
+			{Name: "stock", Service: "till", Share: 0.1, Plain: true, Idempotent: true, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, MaxAttempts: 3, Priority: 2, Retries: 2, BodyBytes: 100},
 		},
 	}
 }
 
 // repeats tells whether a request of the kind may run more than once.
-func (c Class) repeats() bool { return c.Resumable || c.Repeatable }
+func (c Class) repeats() bool { return c.Resumable || c.Idempotent }
 
 // shapeOf finds a service of the site.
 func (s Site) shapeOf(service string) ServiceShape {
--- a/internal/testbed/replay/try.go
+++ b/internal/testbed/replay/try.go
@@ -32,7 +32,7 @@
 func (one *request) send(connection *conn, number, behind int, book *Book) *try {
 	try := &try{one: one, id: strings.ReplaceAll(uuid.NewString(), "-", "")[:16], number: number, behind: behind}
 	try.event = Event{Kind: TrySent, Machine: connection.machine, Try: try.id, Request: one.id, Class: one.class.Name, Route: one.route, Number: number,
-		Repeatable: one.class.repeats(), Probe: one.probe, Digest: one.digest(), Deadline: one.left(), Aim: one.class.Aim, Began: one.began, Behind: behind, At: time.Now()}
+		Idempotent: one.class.repeats(), Probe: one.probe, Digest: one.digest(), Deadline: one.left(), Aim: one.class.Aim, Began: one.began, Behind: behind, At: time.Now()}
 	outbound, err := http.NewRequest(http.MethodPost, "http://"+one.rule.Host+one.path, bytes.NewReader(one.body))
 	if err != nil {
 		try.event.Cause = err.Error()
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -33,7 +33,7 @@
 	world      *World
 	call       *scheduler.Call
 	chunks     int
-	repeatable bool
+	idempotent bool
 	runs       int
 	// promised tells that the origin was told that the call never runs.
 	promised bool
@@ -43,7 +43,7 @@
 func (w *worldCall) ran(s string) {
 	w.runs++
 	w.world.calls.Runs++
-	if w.runs > 1 && !w.repeatable {
+	if w.runs > 1 && !w.idempotent {
 		w.world.calls.violate("%s runs once more, at %s", w.call.ID, s)
 	}
 	if w.promised {
@@ -85,10 +85,10 @@
 func (w *World) originsOfCalls(until time.Duration) {
 	for number := 0; w.now < until; number++ {
 		w.outside.NewCond().Wait(min(time.Second, time.Duration(w.random.ExpFloat64()/20*float64(time.Second))), never)
-		c := &worldCall{world: w, repeatable: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
+		c := &worldCall{world: w, idempotent: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
 		c.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + w.random.IntN(12_000), OutputTokens: 400,
 			Parts: []scheduler.Part{{ID: 1, Tokens: 50}, {ID: uint64(10 + w.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
-		if c.repeatable {
+		if c.idempotent {
 			c.call.Path = "/again/x"
 		}
 		zone := w.deployment.Zones[w.random.IntN(len(w.deployment.Zones))]
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -184,9 +184,9 @@
 // CoreTroubles names the troubles that a core of so many borne losses is to bear.
 func CoreTroubles(losses int) []string {
 	var names []string
-	for _, trouble := range coreTroubles() {
-		if trouble.losses <= losses {
-			names = append(names, trouble.name)
+	for _, problem := range coreTroubles() {
+		if problem.losses <= losses {
+			names = append(names, problem.name)
 		}
 	}
 	return names
@@ -194,7 +194,7 @@
 
 // TryCore lets a core form, brings the trouble about right after an acknowledged change,
 // and tells how it went.
-func (w *World) TryCore(trouble string) CoreTrial {
+func (w *World) TryCore(problem string) CoreTrial {
 	w.diskSync = time.Duration(2+3*w.random.IntN(2)) * time.Millisecond
 	w.ways.AcknowledgeWait, w.ways.FormOnce = time.Second, true
 	for _, m := range w.machines {
@@ -221,8 +221,8 @@
 	}
 	ma.next(w.now)
 	for _, known := range coreTroubles() {
-		if known.name == trouble {
-			w.say("trouble: %s", trouble)
+		if known.name == problem {
+			w.say("trouble: %s", problem)
 			trial.Took = ma.longest(known.run(w))
 		}
 	}
--- a/internal/testbed/simulation/core_test.go
+++ b/internal/testbed/simulation/core_test.go
@@ -20,24 +20,24 @@
 func TestCoreBearsItsLosses(t *testing.T) {
 	first, count := seeds(t, 4)
 	for name, layout := range CoreLayouts() {
-		for _, trouble := range CoreTroubles(layout.BorneLosses) {
-			t.Run(name+"/"+trouble, func(t *testing.T) {
+		for _, problem := range CoreTroubles(layout.BorneLosses) {
+			t.Run(name+"/"+problem, func(t *testing.T) {
 				var took []time.Duration
-				for seed, trial := range tryCores(layout, trouble, first, count) {
+				for seed, trial := range tryCores(layout, problem, first, count) {
 					took = append(took, trial.Took)
 					if trial.Failed() || trial.Took > slowestAcknowledgement {
 						t.Errorf("seed %d: %+v", first+uint64(seed), trial)
 					}
 				}
 				slices.Sort(took)
-				t.Logf("%s, %s, %d seeds: median %s, worst %s", name, trouble, count, took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
+				t.Logf("%s, %s, %d seeds: median %s, worst %s", name, problem, count, took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
 			})
 		}
 	}
 }
 
 // tryCores runs seeds side by side.
-func tryCores(layout Layout, trouble string, first, count uint64) []CoreTrial {
+func tryCores(layout Layout, problem string, first, count uint64) []CoreTrial {
 	trials := make([]CoreTrial, count)
 	var working sync.WaitGroup
 	var mutex sync.Mutex
@@ -52,7 +52,7 @@
 				if seed >= count {
 					return
 				}
-				trials[seed] = NewLaidOut(layout, first+seed).TryCore(trouble)
+				trials[seed] = NewLaidOut(layout, first+seed).TryCore(problem)
 			}
 		})
 	}
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -355,7 +355,7 @@
 		w.wait(7000, 13000)
 	}
 	if !frozen.ended {
-		if m.router != nil && m.router.Core().InFlight() > 0 && frozen.Now().After(m.router.Core().HoldEnds()) {
+		if m.router != nil && m.router.Core().InFlight() > 0 && frozen.Now().After(m.router.Core().LeaseEnds()) {
 			w.tempt("a courier woken with inquiries under way, its hold over")
 		}
 		if m.control != nil && m.control.Store().Leading() {
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -193,7 +193,7 @@
 // held tells whether every router that runs has a hold.
 func (w *World) held() bool {
 	for _, m := range w.nodes(membership.Router) {
-		if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.Now().Before(m.router.Core().HoldEnds()) {
+		if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.Now().Before(m.router.Core().LeaseEnds()) {
 			return false
 		}
 	}
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -230,7 +230,7 @@
 		length    = 30 * time.Second
 		judging   = 20 * time.Second
 	)
-	for name, trouble := range controlTroubles {
+	for name, problem := range controlTroubles {
 		t.Run(name, func(t *testing.T) {
 			accepted, unknown := 0, 0
 			for seed := range uint64(12) {
@@ -240,7 +240,7 @@
 				for c := range operators {
 					fleet.outside.Go(func() { history.operate(c, until) })
 				}
-				fleet.outside.Go(func() { trouble(fleet, until-5*time.Second) })
+				fleet.outside.Go(func() { problem(fleet, until-5*time.Second) })
 				fleet.run(until + 15*time.Second)
 				if history.running > 0 {
 					t.Fatalf("seed %d: %d operators never ended", seed, history.running)
--- a/internal/testbed/simulation/ways.go
+++ b/internal/testbed/simulation/ways.go
@@ -10,9 +10,9 @@
 // Ways are the settings of a fleet on a platform that asks for others than the
 // product's own.
 type Ways struct {
-	AcknowledgeWait  time.Duration
-	ServeWithoutHold time.Duration
-	RetireAfter      time.Duration
+	AcknowledgeWait   time.Duration
+	ServeWithoutLease time.Duration
+	RetireAfter       time.Duration
 	// JoinOnly lets no blank disk form a first core; FormOnce only those that start
 	// with the fleet.
 	JoinOnly, FormOnce bool
@@ -36,7 +36,7 @@
 
 // PlatformWays are those of the users' platform.
 func PlatformWays() Ways {
-	return Ways{AcknowledgeWait: 600 * time.Millisecond, ServeWithoutHold: 24 * time.Hour, RetireAfter: 20 * time.Second, FormOnce: true, NoNodes: true, Calls: true}
+	return Ways{AcknowledgeWait: 600 * time.Millisecond, ServeWithoutLease: 24 * time.Hour, RetireAfter: 20 * time.Second, FormOnce: true, NoNodes: true, Calls: true}
 }
 
 // SetWays chooses them, before the fleet starts.
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestRolesNeedAHold: a router that serves without a hold has no duties.
-func TestRolesNeedAHold(t *testing.T) {
+// TestRolesNeedALease: a router that serves without a hold has no duties.
+func TestRolesNeedALease(t *testing.T) {
 	w := begun(t, 4, PlatformWays())
 	holder := w.holder()
 	if !holder.router.Core().Dutiful() {
@@ -93,7 +93,7 @@
 	}
 	w.cutOff(holder.name, true)
 	w.run(w.now + 9*time.Second)
-	if now := holder.incarnation.Now(); !now.Before(holder.router.Core().ServesUntil()) || now.Before(holder.router.Core().HoldEnds()) {
+	if now := holder.incarnation.Now(); !now.Before(holder.router.Core().ServesUntil()) || now.Before(holder.router.Core().LeaseEnds()) {
 		t.Error("it should serve, without a hold")
 	}
 	if took := w.since(w.now, func() bool { return w.rolesSettled([]*machine{holder}) }); took < 0 {
@@ -152,7 +152,7 @@
 	late := w.machineNamed("courier-3")
 	w.kill(late)
 	w.start(late)
-	found := w.since(w.now, func() bool { return late.incarnation.Now().Before(late.router.Core().HoldEnds()) })
+	found := w.since(w.now, func() bool { return late.incarnation.Now().Before(late.router.Core().LeaseEnds()) })
 	if found < 0 || found > 4*time.Second {
 		t.Errorf("a courier whose two seeds are gone found the core after %s", found)
 	}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -235,7 +235,7 @@
 	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
 	options := dataplane.Options{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedParts: w.fixedParts}, Address: m.address,
 		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
-	options.ServeWithoutHold = w.ways.ServeWithoutHold
+	options.ServeWithoutLease = w.ways.ServeWithoutLease
 	if w.ways.Calls {
 		options.Board = func(*scheduler.Window) dataplane.Board { return deaf{} }
 	}
--- a/options.go
+++ b/options.go
@@ -15,9 +15,9 @@
 	LeastLoaded bool
 	// FixedParts leaves every server the part that it was given first.
 	FixedParts bool
-	// FurtherTries bounds what all routers send beyond the first dispatch of each
+	// Retries bounds what all routers send beyond the first dispatch of each
 	// opaque call; what is left out is scheduler.DefaultAllowance.
-	FurtherTries scheduler.Allowance
+	Retries scheduler.Allowance
 }
 
 // DefaultMostRequests is how many requests a router admits at once.
