--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -7,6 +7,7 @@
 	"os"
 	"reflect"
 	"regexp"
+	"slices"
 	"strconv"
 	"time"
 
@@ -296,22 +297,24 @@
 	return features.Supported(withheld)
 }
 
-// Reload takes from the next settings what may change while the process runs,
-// and names what may not and has changed.
+// reloadable names the fields that may change while the process runs.
+var reloadable = []string{"Seeds", "Platform", "LogLevel", "AcknowledgeWait", "ServeWithoutLease", "Grace"}
+
+// Reload takes over from next what may change while the process runs, and returns the
+// names of the fields that have changed and only take effect at a restart.
 func (s *Settings) Reload(next Settings) []string {
-	var stays []string
-	old, fresh := reflect.ValueOf(s).Elem(), reflect.ValueOf(next)
-	for position := range old.NumField() {
-		name := old.Type().Field(position).Name
-		if reflect.DeepEqual(old.Field(position).Interface(), fresh.Field(position).Interface()) {
+	var needRestart []string
+	current, changed := reflect.ValueOf(s).Elem(), reflect.ValueOf(next)
+	for i := range current.NumField() {
+		name := current.Type().Field(i).Name
+		if reflect.DeepEqual(current.Field(i).Interface(), changed.Field(i).Interface()) {
 			continue
 		}
-		switch name {
-		case "Seeds", "Platform", "LogLevel", "AcknowledgeWait", "ServeWithoutHold", "Grace":
-			old.Field(position).Set(fresh.Field(position))
-		default:
-			stays = append(stays, name)
+		if slices.Contains(reloadable, name) {
+			current.Field(i).Set(changed.Field(i))
+		} else {
+			needRestart = append(needRestart, name)
 		}
 	}
-	return stays
+	return needRestart
 }
--- a/internal/adapters/settings/settings_test.go
+++ b/internal/adapters/settings/settings_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -101,3 +102,13 @@
 		t.Errorf("stays %v, %+v", stays, chosen)
 	}
 }
+
+// TestReloadableFieldsExist guards the names in reloadable: the compiler does not see a
+// field that was renamed.
+func TestReloadableFieldsExist(t *testing.T) {
+	for _, name := range reloadable {
+		if _, found := reflect.TypeFor[Settings]().FieldByName(name); !found {
+			t.Errorf("Settings has no field %s", name)
+		}
+	}
+}
