--- a/cmd/router/stream.go
+++ b/cmd/router/stream.go
@@ -23,7 +23,7 @@
 		Example: "  router stream --name router-1 --district north < events.jsonl > decisions.jsonl"}
 	command.Flags().StringVar(&options.Router, "name", "courier", "the courier's name")
 	command.Flags().StringVar(&options.Zone, "district", "", "the courier's zone")
-	command.Flags().IntVar(&options.MostRequests, "most-inquiries", seamloom.DefaultMostRequests, "how many inquiries are let in at once")
+	command.Flags().IntVar(&options.MaxRequests, "most-inquiries", seamloom.DefaultMaxRequests, "how many inquiries are let in at once")
 	command.RunE = func(*cobra.Command, []string) error {
 		return streamCore(seamloom.New(options), os.Stdin, os.Stdout)
 	}
--- a/core.go
+++ b/core.go
@@ -17,42 +17,42 @@
 // Core is one router's deterministic core. Apply may be called from several
 // threads; fed from one, the same events give the same decisions.
 type Core struct {
-	options  Options
-	market   *auction.Market
-	desk     *auction.Desk
-	balance  *auction.Balance
-	calls    *scheduler.Window
-	pools    *scheduler.Pools
-	enabled  atomic.Pointer[FlagList]
-	rejected atomic.Int64
+	options    Options
+	market     *auction.Market
+	dispatcher *auction.Dispatcher
+	balancer   *auction.Balancer
+	calls      *scheduler.Window
+	pools      *scheduler.Pools
+	enabled    atomic.Pointer[FlagList]
+	rejected   atomic.Int64
 
-	mutex     sync.Mutex
-	roles     []Role
-	roleEnds  time.Time
-	orders    map[string]Order
-	evacuated *config.Configuration
-	commanded map[string]time.Time
-	announced map[string]uint64
-	nextTurn  time.Time
-	tickets   map[string]*scheduler.Ticket
+	mutex          sync.Mutex
+	roles          []Role
+	roleEnds       time.Time
+	orders         map[string]Order
+	configuration  *config.Configuration
+	commandedAt    map[string]time.Time
+	announcedToken map[string]uint64
+	nextRoleTick   time.Time
+	openCalls      map[string]*scheduler.Ticket
 }
 
 // New makes a core.
 func New(options Options) *Core {
-	if options.MostRequests <= 0 {
-		options.MostRequests = DefaultMostRequests
+	if options.MaxRequests <= 0 {
+		options.MaxRequests = DefaultMaxRequests
 	}
 	market := auction.NewMarket(options.Router, options.Zone, options.LeastLoaded)
-	return &Core{options: options, market: market, desk: auction.NewDesk(market, options.Zone, options.MostRequests),
-		calls: scheduler.New(scheduler.Options{Router: options.Router, Zone: options.Zone, Retries: options.Retries}), pools: scheduler.NewPools(), tickets: map[string]*scheduler.Ticket{},
-		balance: auction.NewBalance(options.FixedParts), orders: map[string]Order{}, evacuated: config.Empty(), commanded: map[string]time.Time{}, announced: map[string]uint64{}}
+	return &Core{options: options, market: market, dispatcher: auction.NewDispatcher(market, options.Zone, options.MaxRequests),
+		calls: scheduler.New(scheduler.Options{Router: options.Router, Zone: options.Zone, Retries: options.Retries}), pools: scheduler.NewPools(), openCalls: map[string]*scheduler.Ticket{},
+		balancer: auction.NewBalancer(options.FixedParts), orders: map[string]Order{}, configuration: config.Empty(), commandedAt: map[string]time.Time{}, announcedToken: map[string]uint64{}}
 }
 
 // Apply takes one event and returns what is to be done now.
 func (c *Core) Apply(event Event) []Decision {
 	switch event.Kind {
 	case auction.Ticked:
-		return append(c.desk.Tick(event.At), c.dutiful(event.At)...)
+		return append(c.dispatcher.Tick(event.At), c.roleDecisions(event.At)...)
 	case auction.ServersListed:
 		c.market.List(event.Servers)
 		c.calls.SetServers(event.At, event.Servers)
@@ -62,15 +62,15 @@
 		}
 	case auction.ConfigurationReceived:
 		c.applyConfiguration(event)
-	case auction.ConfigurationLent:
+	case auction.ConfigurationProvisional:
 		c.applyConfiguration(event)
-		c.desk.ServeFrom(event.At)
+		c.dispatcher.ServeProvisionally(event.At)
 	case auction.LeaseRenewed:
 		c.applyLease(event)
 	case auction.FlagsRead:
 		enabled := event.Enabled
 		c.enabled.Store(&enabled)
-		c.desk.SetPassOn(c.Restricted())
+		c.dispatcher.SetForwarding(c.Restricted())
 	case auction.OrdersRead:
 		c.mutex.Lock()
 		c.orders = event.Orders
@@ -92,23 +92,23 @@
 		}
 	case auction.RequestArrived:
 		if event.Request != nil {
-			return c.desk.Arrive(event.At, event.Request)
+			return c.dispatcher.Arrive(event.At, event.Request)
 		}
 	case auction.ClaimAnswered:
-		return c.desk.Claimed(event.At, event.ID, event.Outcome, event.Detail)
+		return c.dispatcher.Claimed(event.At, event.ID, event.Outcome, event.Detail)
 	case auction.PrefillAnswered:
-		return c.desk.Prefilled(event.At, event.ID, event.Run, event.Outcome, event.Handle)
+		return c.dispatcher.Prefilled(event.At, event.ID, event.Run, event.Outcome, event.Handle)
 	case auction.ChunkReceived:
-		return c.desk.Chunk(event.At, event.ID, event.Run, event.Chunk, event.Text)
+		return c.dispatcher.Chunk(event.At, event.ID, event.Run, event.Chunk, event.Text)
 	case auction.DecodeEnded:
-		return c.desk.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Chunk)
-	case auction.ClientLeft:
-		return c.desk.Leave(event.At, event.ID)
+		return c.dispatcher.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Chunk)
+	case auction.ClientDisconnected:
+		return c.dispatcher.ClientDisconnected(event.At, event.ID)
 	case auction.RoutersCounted:
 		c.market.SetRouters(int(event.Number))
 		c.calls.SetRouters(int(event.Number))
 	case auction.DrainStarted:
-		c.desk.Drain()
+		c.dispatcher.Drain()
 		c.calls.Drain()
 	}
 	return nil
@@ -123,15 +123,15 @@
 		return
 	}
 	c.calls.SetProgram(scheduler.Compile(configuration, event.Epoch, event.Number))
-	if c.desk.SetProgram(auction.Compile(configuration, event.Epoch, event.Number)) {
+	if c.dispatcher.SetRouteTable(auction.Compile(configuration, event.Epoch, event.Number)) {
 		c.mutex.Lock()
-		c.evacuated = configuration
+		c.configuration = configuration
 		c.mutex.Unlock()
 	}
 }
 
 func (c *Core) applyLease(event Event) {
-	c.desk.Renew(event.LeaseEnds, event.Epoch, event.Number)
+	c.dispatcher.Renew(event.LeaseEnds, event.Epoch, event.Number)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.roles = event.Roles
@@ -143,10 +143,10 @@
 func (c *Core) Calls() *scheduler.Window { return c.calls }
 
 func (c *Core) callArrived(event Event) []Decision {
-	ticket, decision := c.calls.Arrive(event.At, event.Call)
-	if ticket != nil {
+	open, decision := c.calls.Arrive(event.At, event.Call)
+	if open != nil {
 		c.mutex.Lock()
-		c.tickets[event.Call.ID] = ticket
+		c.openCalls[event.Call.ID] = open
 		c.mutex.Unlock()
 	}
 	return []Decision{{Kind: auction.CallDecided, ID: event.Call.ID, Call: &decision}}
@@ -154,32 +154,32 @@
 
 func (c *Core) callEnded(event Event) []Decision {
 	c.mutex.Lock()
-	ticket, found := c.tickets[event.ID]
+	open, found := c.openCalls[event.ID]
 	c.mutex.Unlock()
 	if !found {
 		return nil
 	}
-	decision := c.calls.Ended(event.At, ticket, *event.Result)
+	decision := c.calls.Ended(event.At, open, *event.Result)
 	if decision.Kind != scheduler.Read && decision.Kind != scheduler.Run {
 		c.mutex.Lock()
-		delete(c.tickets, event.ID)
+		delete(c.openCalls, event.ID)
 		c.mutex.Unlock()
 	}
 	return []Decision{{Kind: auction.CallDecided, ID: event.ID, Call: &decision}}
 }
 
 // InForce is the version of the configuration in force, as epoch and number.
-func (c *Core) InForce() (epoch, number uint64) { return c.desk.InForce() }
+func (c *Core) InForce() (epoch, number uint64) { return c.dispatcher.InForce() }
 
 // LeaseEnds is when the router's hold runs out.
-func (c *Core) LeaseEnds() time.Time { return c.desk.LeaseEnds() }
+func (c *Core) LeaseEnds() time.Time { return c.dispatcher.LeaseEnds() }
 
 // SetServeWithoutLease chooses how long the router goes on letting in after its last
 // hold, with its last configuration. Duties always need a hold.
-func (c *Core) SetServeWithoutLease(length time.Duration) { c.desk.SetServeWithoutLease(length) }
+func (c *Core) SetServeWithoutLease(length time.Duration) { c.dispatcher.SetServeWithoutLease(length) }
 
 // ServesUntil is until when the router admits.
-func (c *Core) ServesUntil() time.Time { return c.desk.ServesUntil() }
+func (c *Core) ServesUntil() time.Time { return c.dispatcher.ServesUntil() }
 
 // Enabled is the enabled set that the core has read.
 func (c *Core) Enabled() FlagList {
@@ -197,47 +197,47 @@
 }
 
 // InFlight counts the requests that have no final line yet.
-func (c *Core) InFlight() int { return c.desk.InFlight() }
+func (c *Core) InFlight() int { return c.dispatcher.InFlight() }
 
 // InFlightRequests counts the requests of both kinds, requests and opaque calls, that
 // have not ended.
-func (c *Core) InFlightRequests() int { return c.desk.InFlight() + c.calls.InFlight() }
+func (c *Core) InFlightRequests() int { return c.dispatcher.InFlight() + c.calls.InFlight() }
 
-// Dutiful tells whether the router has duties.
-func (c *Core) Dutiful() bool {
+// HasRoles tells whether the router has duties.
+func (c *Core) HasRoles() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.roles) > 0
 }
 
 // Draining tells whether the core lets nothing in any more.
-func (c *Core) Draining() bool { return c.desk.Draining() }
+func (c *Core) Draining() bool { return c.dispatcher.Draining() }
 
 // Counts tells what the core has done, by name, for metrics.
 func (c *Core) Counts() map[string]int64 {
-	counters := c.desk.Counters()
-	first, extra := c.desk.Budget().Counts()
+	counters := c.dispatcher.Counters()
+	first, extra := c.dispatcher.Budget().Counts()
 	return map[string]int64{"arrived": counters.Arrived.Load(), "complete": counters.Complete.Load(),
 		"refused": counters.Refused.Load(), "failed": counters.Failed.Load(), "unknown": counters.Unknown.Load(),
-		"first_dispatches": int64(first), "extra_tries": int64(extra), "in_flight": int64(c.desk.InFlight()),
+		"first_dispatches": int64(first), "extra_tries": int64(extra), "in_flight": int64(c.dispatcher.InFlight()),
 		"unreadable_configurations": c.rejected.Load()}
 }
 
 // dutiful does what the held duties ask for: the parts duty decides orders,
 // and each server's key lets its holder carry them out.
-func (c *Core) dutiful(now time.Time) []Decision {
+func (c *Core) roleDecisions(now time.Time) []Decision {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !now.Before(c.roleEnds) || now.Before(c.nextTurn) || len(c.roles) == 0 {
+	if !now.Before(c.roleEnds) || now.Before(c.nextRoleTick) || len(c.roles) == 0 {
 		return nil
 	}
-	c.nextTurn = now.Add(100 * time.Millisecond)
+	c.nextRoleTick = now.Add(100 * time.Millisecond)
 	servers := c.market.Listing()
 	var decisions []Decision
 	for _, role := range c.roles {
 		if role.Key == lease.PartsKey {
-			if orders := c.balanced(now); len(orders) > 0 {
-				decisions = append(decisions, Decision{Kind: auction.GiveOrders, Role: role, Orders: orders, NotAfter: c.roleEnds})
+			if orders := c.dueOrders(now); len(orders) > 0 {
+				decisions = append(decisions, Decision{Kind: auction.SubmitOrders, Role: role, Orders: orders, NotAfter: c.roleEnds})
 			}
 			continue
 		}
@@ -246,19 +246,19 @@
 		if part, changing, listed := c.calls.Part(name); isServer && ordered && listed {
 			// A listed part needs an order only when it is another one: orders have a
 			// price. What was ordered shows in the reports a while later.
-			if changing || part == order.Part || now.Sub(c.commanded[name]) < commandShows {
+			if changing || part == order.Part || now.Sub(c.commandedAt[name]) < commandVisibleWithin {
 				continue
 			}
 			decisions = append(decisions, c.commandFor(now, name, role, order, servers)...)
 			continue
 		}
 		load, reported := c.market.Load(now, name)
-		if !isServer || !ordered || !reported || now.Sub(c.commanded[name]) < time.Second {
+		if !isServer || !ordered || !reported || now.Sub(c.commandedAt[name]) < time.Second {
 			continue
 		}
 		// A new holder commands once in any case: the server learns the fence,
 		// and refuses what an older holder may still send after a long sleep.
-		if string(load.Part) == order.Part && c.announced[name] == role.FencingToken {
+		if string(load.Part) == order.Part && c.announcedToken[name] == role.FencingToken {
 			continue
 		}
 		decisions = append(decisions, c.commandFor(now, name, role, order, servers)...)
@@ -267,15 +267,15 @@
 	return decisions
 }
 
-// commandShows is how long it may take until an order that a server took shows in what
+// commandVisibleWithin is how long it may take until an order that a server took shows in what
 // is reported of it. The value is ours.
-const commandShows = 3 * time.Second
+const commandVisibleWithin = 3 * time.Second
 
 func (c *Core) commandFor(now time.Time, name string, role Role, order Order, servers []Server) []Decision {
 	for _, server := range servers {
 		if server.Name == name {
-			c.commanded[name], c.announced[name] = now, role.FencingToken
-			return []Decision{{Kind: auction.Command, Server: name, Address: server.Address, Role: role,
+			c.commandedAt[name], c.announcedToken[name] = now, role.FencingToken
+			return []Decision{{Kind: auction.CommandServer, Server: name, Address: server.Address, Role: role,
 				Part: auction.Part(order.Part), Order: &order, NotAfter: c.roleEnds}}
 		}
 	}
@@ -284,13 +284,13 @@
 
 // balanced are the orders that the parts duty gives now: by the work of calls where the
 // list says what servers do, by the market's reports otherwise.
-func (c *Core) balanced(now time.Time) []Order {
+func (c *Core) dueOrders(now time.Time) []Order {
 	if !c.calls.Divided() {
-		if !c.balance.Due(now) {
+		if !c.balancer.Due(now) {
 			return nil
 		}
 		servers, loads := c.market.Loads(now)
-		return c.balance.Decide(now, servers, loads, c.orders, c.evacuated.Evacuated)
+		return c.balancer.Decide(now, servers, loads, c.orders, c.configuration.Evacuated)
 	}
 	if c.options.FixedParts {
 		return nil
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -96,12 +96,12 @@
 		core.Apply(Event{Kind: auction.LeaseRenewed, At: now, LeaseEnds: now.Add(time.Second), Roles: roles})
 		for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
 			switch decision.Kind {
-			case auction.GiveOrders:
+			case auction.SubmitOrders:
 				for _, order := range decision.Orders {
 					orders[order.Server] = order
 				}
 				core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: orders})
-			case auction.Command:
+			case auction.CommandServer:
 				commands[decision.Server]++
 				if decision.Role.FencingToken != 9 || string(decision.Part) != orders[decision.Server].Part || !decision.NotAfter.Equal(now.Add(time.Second)) {
 					t.Fatalf("%+v", decision)
--- a/core_test.go
+++ b/core_test.go
@@ -53,14 +53,14 @@
 	feed(Event{Kind: auction.ServersListed, Servers: servers})
 	feed(Event{Kind: auction.FlagsRead})
 	feed(Event{Kind: auction.ConfigurationReceived, Epoch: 1, Number: 1, Configuration: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)})
-	outcomes := []auction.Outcome{auction.Done, auction.Done, auction.Done, auction.NotStarted, auction.Broken, auction.Uncertain, auction.Lapsed}
+	outcomes := []auction.Outcome{auction.OutcomeDone, auction.OutcomeDone, auction.OutcomeDone, auction.OutcomeNotStarted, auction.OutcomeFailed, auction.OutcomeUnknown, auction.OutcomeHandleExpired}
 	for number := range 4000 {
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 		if number%20 == 0 {
 			feed(Event{Kind: auction.LeaseRenewed, LeaseEnds: now.Add(4 * time.Second), Epoch: 1, Number: 1, Roles: []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 1}}})
 			for position, server := range servers {
 				part := []auction.Part{auction.Prefill, auction.Decode}[position/2%2]
-				feed(Event{Kind: auction.LoadReported, Load: &Load{Server: server.Name, Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8,
+				feed(Event{Kind: auction.LoadReported, Load: &Load{Server: server.Name, Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillCapacity: 8,
 					DecodeSlots: 16, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000, PrefillQueueTokens: random.IntN(4000)}})
 			}
 		}
@@ -72,7 +72,7 @@
 		case 0, 1:
 			feed(Event{Kind: auction.RequestArrived, Request: &Request{ID: fmt.Sprint("inquiry-", number), Service: "chat", Idempotent: random.IntN(3) > 0, PromptTokens: 100 + random.IntN(900), Chunks: 2}})
 		case 2:
-			feed(Event{Kind: auction.ClaimAnswered, ID: id, Outcome: auction.Done})
+			feed(Event{Kind: auction.ClaimAnswered, ID: id, Outcome: auction.OutcomeDone})
 		case 3:
 			feed(Event{Kind: auction.PrefillAnswered, ID: id, Run: runs[id], Outcome: outcomes[random.IntN(len(outcomes))], Handle: "handle"})
 		case 4:
@@ -83,7 +83,7 @@
 			feed(Event{Kind: auction.Ticked})
 		}
 	}
-	for _, kind := range []auction.DecisionKind{auction.ClaimRequest, auction.DispatchPrefill, auction.DispatchDecode, auction.SendChunk, auction.Finish, auction.Cancel, auction.NoteRetry, auction.GiveOrders} {
+	for _, kind := range []auction.DecisionKind{auction.ClaimRequest, auction.DispatchPrefill, auction.DispatchDecode, auction.SendChunk, auction.Finish, auction.Cancel, auction.RecordRetry, auction.SubmitOrders} {
 		if seen[kind] == 0 {
 			t.Errorf("the stream brought about no %s", kind)
 		}
@@ -106,7 +106,7 @@
 				core.Apply(Event{Kind: auction.LeaseRenewed, At: now, LeaseEnds: now.Add(time.Second), Roles: []Role{{Key: lease.ServerKey("s"), Holder: "courier-1", FencingToken: fencingToken}}})
 			}
 			for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
-				if decision.Kind == auction.Command && decision.Role.FencingToken == fencingToken && decision.NotAfter.Equal(now.Add(time.Second)) {
+				if decision.Kind == auction.CommandServer && decision.Role.FencingToken == fencingToken && decision.NotAfter.Equal(now.Add(time.Second)) {
 					count++
 				}
 			}
--- a/internal/adapters/modelserver/fuzz_test.go
+++ b/internal/adapters/modelserver/fuzz_test.go
@@ -35,10 +35,10 @@
 			if failure.CodeOf(err) == failure.Unsorted {
 				t.Fatalf("an untyped failure: %v", err)
 			}
-		} else if load.PrefillRoom < 0 || load.DecodeSlots < 0 || load.MemoryFree < 0 {
+		} else if load.PrefillCapacity < 0 || load.DecodeSlots < 0 || load.MemoryFree < 0 {
 			t.Fatalf("%q passed as %+v", content, load)
 		}
-		if outcome, handle, _ := client.Prefill(decision, may); outcome == auction.Done && handle == "" {
+		if outcome, handle, _ := client.Prefill(decision, may); outcome == auction.OutcomeDone && handle == "" {
 			t.Fatalf("%q is done without memory", content)
 		}
 		_, _, _ = client.Decode(decision, may, func(chunk int, text string) {})
--- a/internal/adapters/modelserver/loadreport.go
+++ b/internal/adapters/modelserver/loadreport.go
@@ -59,7 +59,7 @@
 func (l LoadReport) Load() auction.Load {
 	return auction.Load{Server: l.Server, Incarnation: l.Incarnation, Part: auction.Part(l.Part), Leaving: l.Leaving,
 		Age: time.Duration(l.AgeMilliseconds) * time.Millisecond, PrefillQueueTokens: l.PrefillQueueTokens,
-		PrefillRate: l.PrefillRate, PrefillWaiting: l.PrefillWaiting, PrefillRoom: l.PrefillRoom,
+		PrefillRate: l.PrefillRate, PrefillWaiting: l.PrefillWaiting, PrefillCapacity: l.PrefillRoom,
 		DecodeActive: l.DecodeActive, DecodeSlots: l.DecodeSlots,
 		ChunkTime:  time.Duration(l.ChunkTimeMicroseconds) * time.Microsecond,
 		MemoryFree: l.MemoryFree, MemoryTotal: l.MemoryTotal, LinkRate: l.LinkRate, Prefixes: l.Prefixes}
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -100,15 +100,15 @@
 func readRefusal(inbound *http.Response) (auction.Outcome, string) {
 	var said refusal
 	if json.NewDecoder(io.LimitReader(inbound.Body, MostLine)).Decode(&said) != nil || said.Started == nil {
-		return auction.Uncertain, "status " + strconv.Itoa(inbound.StatusCode)
+		return auction.OutcomeUnknown, "status " + strconv.Itoa(inbound.StatusCode)
 	}
 	switch {
 	case said.Type == "handle_lapsed":
-		return auction.Lapsed, said.Type
+		return auction.OutcomeHandleExpired, said.Type
 	case !*said.Started:
-		return auction.NotStarted, said.Type
+		return auction.OutcomeNotStarted, said.Type
 	}
-	return auction.Broken, said.Type
+	return auction.OutcomeFailed, said.Type
 }
 
 // Prefill has a server read a prompt, and returns the handle of its memory.
@@ -118,9 +118,9 @@
 		Prompt: request.Prompt, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}, may)
 	if err != nil {
 		if !written {
-			return auction.NotStarted, "", err.Error()
+			return auction.OutcomeNotStarted, "", err.Error()
 		}
-		return auction.Uncertain, "", err.Error()
+		return auction.OutcomeUnknown, "", err.Error()
 	}
 	defer func() { _ = inbound.Body.Close() }()
 	if inbound.StatusCode != http.StatusOK {
@@ -129,12 +129,12 @@
 	}
 	var answer PrefillAnswer
 	if err := json.NewDecoder(io.LimitReader(inbound.Body, MostLine)).Decode(&answer); err != nil || answer.Handle == "" {
-		return auction.Uncertain, "", "the answer broke off"
+		return auction.OutcomeUnknown, "", "the answer broke off"
 	}
 	if answer.Request != request.ID || answer.Run != decision.Run {
-		return auction.Uncertain, "", "the answer is another inquiry's"
+		return auction.OutcomeUnknown, "", "the answer is another inquiry's"
 	}
-	return auction.Done, answer.Handle, ""
+	return auction.OutcomeDone, answer.Handle, ""
 }
 
 // Decode has a server take up a prompt's memory and answer; each chunk goes to
@@ -145,9 +145,9 @@
 		Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}, may)
 	if err != nil {
 		if !written {
-			return auction.NotStarted, 0, err.Error()
+			return auction.OutcomeNotStarted, 0, err.Error()
 		}
-		return auction.Uncertain, 0, err.Error()
+		return auction.OutcomeUnknown, 0, err.Error()
 	}
 	defer func() { _ = inbound.Body.Close() }()
 	if inbound.StatusCode != http.StatusOK {
@@ -159,17 +159,17 @@
 	for lines.Scan() {
 		var line StreamLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
-			return auction.Uncertain, 0, "a line that is no JSON"
+			return auction.OutcomeUnknown, 0, "a line that is no JSON"
 		}
 		if line.Request != request.ID || line.Run != decision.Run {
-			return auction.Uncertain, 0, "a line of another inquiry"
+			return auction.OutcomeUnknown, 0, "a line of another inquiry"
 		}
 		if line.Done {
-			return auction.Done, line.Chunks, ""
+			return auction.OutcomeDone, line.Chunks, ""
 		}
 		take(line.Chunk, line.Text)
 	}
-	return auction.Uncertain, 0, "the stream broke off"
+	return auction.OutcomeUnknown, 0, "the stream broke off"
 }
 
 // Cancel breaks a run's connection and has the server stop it.
--- a/internal/adapters/modelserver/stove_test.go
+++ b/internal/adapters/modelserver/stove_test.go
@@ -45,13 +45,13 @@
 		},
 	} {
 		may.Store(true)
-		if outcome := order(); outcome != auction.NotStarted || orders.Load() != 0 {
+		if outcome := order(); outcome != auction.OutcomeNotStarted || orders.Load() != 0 {
 			t.Errorf("the outcome is %s, and %d orders came", outcome, orders.Load())
 		}
 	}
 	waits = false
 	may.Store(true)
-	if outcome, _, _ := modelServer.Prefill(decision, may.Load); outcome == auction.NotStarted || orders.Load() != 1 {
+	if outcome, _, _ := modelServer.Prefill(decision, may.Load); outcome == auction.OutcomeNotStarted || orders.Load() != 1 {
 		t.Errorf("an order in time: %s, and %d orders came", outcome, orders.Load())
 	}
 }
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -72,7 +72,7 @@
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
 	kitchen := modelserver.New(process.lifetime, rt, rpc.Transport(chosen.Detours))
-	options := dataplane.Options{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MostRequests: chosen.MostRequests,
+	options := dataplane.Options{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MaxRequests: chosen.MostRequests,
 		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", Retries: reached.Retries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.noteEnd,
 		Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}, Board: process.prepareCalls(rt),
 		ServeWithoutLease: chosen.ServeWithoutLease, ApplyWithin: chosen.ApplyWithin}
--- a/internal/auction/balance.go
+++ b/internal/auction/balance.go
@@ -8,50 +8,50 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Balance decides which servers take which part. It changes one server at a
+// Balancer decides which servers take which part. It changes one server at a
 // time, only after the same need was seen several times, rests after each
 // change, and keeps at least one server of each part.
-type Balance struct {
-	needs     map[Part]int
-	lastTurn  time.Time
-	lastAsked time.Time
-	fixed     bool
+type Balancer struct {
+	consecutive  map[Part]int
+	lastChange   time.Time
+	lastDecision time.Time
+	fixed        bool
 }
 
 // The balance's measures. The values are ours.
 const (
-	balanceBeat  = 500 * time.Millisecond
-	balanceRest  = 6 * time.Second
-	balanceTimes = 3
+	balanceInterval  = 500 * time.Millisecond
+	balanceCooldown  = 6 * time.Second
+	balanceThreshold = 3
 	// heavy is a prefill backlog or a share of decode slots that asks for more
 	// servers; light is one that can spare some.
-	heavyBacklog = 600 * time.Millisecond
-	lightBacklog = 200 * time.Millisecond
-	heavySlots   = 0.70
-	lightSlots   = 0.45
-	// switchPatience is how long a server may finish what it runs.
-	switchPatience = 20 * time.Second
+	highBacklog = 600 * time.Millisecond
+	lowBacklog  = 200 * time.Millisecond
+	highSlotUse = 0.70
+	lowSlotUse  = 0.45
+	// drainTimeout is how long a server may finish what it runs.
+	drainTimeout = 20 * time.Second
 )
 
-// NewBalance starts without memory. A fixed one changes no part that a server
+// NewBalancer starts without memory. A fixed one changes no part that a server
 // has, save that there must be one of each, for comparison.
-func NewBalance(fixed bool) *Balance { return &Balance{needs: map[Part]int{}, fixed: fixed} }
+func NewBalancer(fixed bool) *Balancer { return &Balancer{consecutive: map[Part]int{}, fixed: fixed} }
 
 // Due tells whether enough time has passed since Decide was asked last for it to look
 // at the servers again.
-func (b *Balance) Due(now time.Time) bool { return now.Sub(b.lastAsked) >= balanceBeat }
+func (b *Balancer) Due(now time.Time) bool { return now.Sub(b.lastDecision) >= balanceInterval }
 
 // Decide gives the orders that are needed now. Evacuated and leaving servers
 // count for nothing; a leaving one is told to drain.
-func (b *Balance) Decide(now time.Time, servers []membership.Server, loads map[string]Load, standing map[string]codec.Order, evacuated func(string) bool) []codec.Order {
+func (b *Balancer) Decide(now time.Time, servers []membership.Server, loads map[string]Load, currentOrders map[string]codec.Order, evacuated func(string) bool) []codec.Order {
 	if !b.Due(now) {
 		return nil
 	}
-	b.lastAsked = now
+	b.lastDecision = now
 	var orders []codec.Order
 	var prefill, decode, vacant []membership.Server
 	part := func(server membership.Server) Part {
-		if order, found := standing[server.Name]; found {
+		if order, found := currentOrders[server.Name]; found {
 			return Part(order.Part)
 		}
 		return NoPart
@@ -63,7 +63,7 @@
 		switch {
 		case server.Leaving || (reported && load.Leaving):
 			if reported && part(server) != Drain {
-				orders = append(orders, codec.Order{Server: server.Name, Part: string(Drain), Patience: switchPatience, Cause: "the platform takes the server away"})
+				orders = append(orders, codec.Order{Server: server.Name, Part: string(Drain), Patience: drainTimeout, Cause: "the platform takes the server away"})
 			}
 		case !reported:
 		case part(server) == Prefill:
@@ -79,7 +79,7 @@
 		}
 	}
 	give := func(server membership.Server, to Part, cause string) {
-		orders = append(orders, codec.Order{Server: server.Name, Part: string(to), Patience: switchPatience, Cause: cause})
+		orders = append(orders, codec.Order{Server: server.Name, Part: string(to), Patience: drainTimeout, Cause: cause})
 	}
 	// Servers without a part come first: two of five read prompts, each
 	// zone in turn.
@@ -106,50 +106,50 @@
 		vacant = vacant[1:]
 	}
 	if len(orders) > 0 {
-		b.lastTurn = now
+		b.lastChange = now
 		return orders
 	}
 	// The floor: one of each, whatever the pressure.
 	if len(prefill) == 0 && len(decode) > 1 {
-		give(lightest(decode, loads), Prefill, "no server reads prompts")
+		give(leastLoadedServer(decode, loads), Prefill, "no server reads prompts")
 	} else if len(decode) == 0 && len(prefill) > 1 {
-		give(lightest(prefill, loads), Decode, "no server answers")
+		give(leastLoadedServer(prefill, loads), Decode, "no server answers")
 	}
 	if len(orders) > 0 {
-		b.lastTurn = now
+		b.lastChange = now
 		return orders
 	}
 	if len(prefill) == 0 || len(decode) == 0 || b.fixed {
 		return nil
 	}
 	backlog, slots := pressures(prefill, decode, loads)
-	needPrefill := backlog > heavyBacklog && slots < heavySlots && len(decode) > 1
-	needDecode := slots > heavySlots && backlog < heavyBacklog && len(prefill) > 1
-	needPrefill = needPrefill && (slots < lightSlots || backlog > 2*heavyBacklog)
-	needDecode = needDecode && (backlog < lightBacklog || slots > 0.9)
+	needPrefill := backlog > highBacklog && slots < highSlotUse && len(decode) > 1
+	needDecode := slots > highSlotUse && backlog < highBacklog && len(prefill) > 1
+	needPrefill = needPrefill && (slots < lowSlotUse || backlog > 2*highBacklog)
+	needDecode = needDecode && (backlog < lowBacklog || slots > 0.9)
 	b.count(Prefill, needPrefill)
 	b.count(Decode, needDecode)
-	if now.Sub(b.lastTurn) < balanceRest {
+	if now.Sub(b.lastChange) < balanceCooldown {
 		return nil
 	}
 	switch {
-	case b.needs[Prefill] >= balanceTimes:
-		give(lightest(decode, loads), Prefill, "prompts wait while answers have room")
-	case b.needs[Decode] >= balanceTimes:
-		give(lightest(prefill, loads), Decode, "answers wait while prompts have room")
+	case b.consecutive[Prefill] >= balanceThreshold:
+		give(leastLoadedServer(decode, loads), Prefill, "prompts wait while answers have room")
+	case b.consecutive[Decode] >= balanceThreshold:
+		give(leastLoadedServer(prefill, loads), Decode, "answers wait while prompts have room")
 	}
 	if len(orders) > 0 {
-		b.lastTurn = now
-		b.needs = map[Part]int{}
+		b.lastChange = now
+		b.consecutive = map[Part]int{}
 	}
 	return orders
 }
 
-func (b *Balance) count(part Part, needed bool) {
+func (b *Balancer) count(part Part, needed bool) {
 	if needed {
-		b.needs[part]++
+		b.consecutive[part]++
 	} else {
-		b.needs[part] = 0
+		b.consecutive[part] = 0
 	}
 }
 
@@ -167,14 +167,14 @@
 	return backlog / time.Duration(len(prefill)), float64(active) / float64(max(slots, 1))
 }
 
-func lightest(servers []membership.Server, loads map[string]Load) membership.Server {
+func leastLoadedServer(servers []membership.Server, loads map[string]Load) membership.Server {
 	best := servers[0]
-	weigh := func(server membership.Server) int {
+	loadOf := func(server membership.Server) int {
 		load := loads[server.Name]
 		return load.PrefillQueueTokens + 1000*(load.DecodeActive+load.PrefillWaiting)
 	}
 	for _, server := range servers[1:] {
-		if weigh(server) < weigh(best) {
+		if loadOf(server) < loadOf(best) {
 			best = server
 		}
 	}
--- a/internal/auction/balance_test.go
+++ b/internal/auction/balance_test.go
@@ -10,7 +10,7 @@
 // TestBalanceFollowsASwingWithoutFlapping lets prompts pile up and then
 // answers, and wants few turns, never below one server of each part.
 func TestBalanceFollowsASwingWithoutFlapping(t *testing.T) {
-	balance := NewBalance(false)
+	balance := NewBalancer(false)
 	var servers []membership.Server
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		servers = append(servers, membership.Server{Name: name, Zone: "north"})
@@ -34,7 +34,7 @@
 			standing[order.Server] = order
 			rt++
 		}
-		now = now.Add(balanceBeat)
+		now = now.Add(balanceInterval)
 	}
 	count := func(part Part) int {
 		count := 0
--- a/internal/auction/budget.go
+++ b/internal/auction/budget.go
@@ -2,45 +2,45 @@
 
 import "sync"
 
-// Budget bounds extra tries to a fifth of the first dispatches, and to a
+// RetryBudget bounds extra tries to a fifth of the first dispatches, and to a
 // handful at once.
-type Budget struct {
-	mutex sync.Mutex
-	first int
-	extra int
-	spare int
+type RetryBudget struct {
+	mutex           sync.Mutex
+	firstDispatches int
+	retries         int
+	credit          int
 }
 
 const (
-	attemptsShare = 5
-	// mostSpare is what a router that retries nothing saves: one lost hand-over,
+	creditPerRetry = 5
+	// maxCredit is what a router that retries nothing saves: one lost hand-over,
 	// which costs two tries, and no more, so that a loss does not bring a burst.
-	mostSpare = 2 * attemptsShare
+	maxCredit = 2 * creditPerRetry
 )
 
-// First earns a fifth of an extra try.
-func (b *Budget) First() {
+// RecordFirst earns a fifth of an extra try.
+func (b *RetryBudget) RecordFirst() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.first++
-	b.spare = min(b.spare+1, mostSpare)
+	b.firstDispatches++
+	b.credit = min(b.credit+1, maxCredit)
 }
 
-// Extra spends so many extra tries, if there are as many.
-func (b *Budget) Extra(count int) bool {
+// Spend spends so many extra tries, if there are as many.
+func (b *RetryBudget) Spend(count int) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.spare < count*attemptsShare {
+	if b.credit < count*creditPerRetry {
 		return false
 	}
-	b.spare -= count * attemptsShare
-	b.extra += count
+	b.credit -= count * creditPerRetry
+	b.retries += count
 	return true
 }
 
 // Counts tells how many first dispatches and extra tries there were.
-func (b *Budget) Counts() (first, extra int) {
+func (b *RetryBudget) Counts() (first, extra int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.first, b.extra
+	return b.firstDispatches, b.retries
 }
--- a/internal/auction/decision.go
+++ b/internal/auction/decision.go
@@ -10,7 +10,7 @@
 )
 
 // Decision is one thing to be done. NotAfter is checked again just before the
-// act: past it the act is left undone and its outcome is NotStarted.
+// act: past it the act is left undone and its outcome is OutcomeNotStarted.
 type Decision struct {
 	Kind     DecisionKind `json:"decision"`
 	ID       string       `json:"id,omitempty"`
@@ -28,7 +28,7 @@
 
 	Chunk  int          `json:"piece,omitempty"`
 	Text   string       `json:"text,omitempty"`
-	Final  Final        `json:"final,omitempty"`
+	Final  FinalStatus  `json:"final,omitempty"`
 	Cause  failure.Code `json:"cause,omitempty"`
 	Detail string       `json:"detail,omitempty"`
 	Chunks int          `json:"pieces,omitempty"`
--- a/internal/auction/decisionkind.go
+++ b/internal/auction/decisionkind.go
@@ -11,11 +11,11 @@
 	SendChunk       DecisionKind = "send_piece"
 	Finish          DecisionKind = "finish"
 	Cancel          DecisionKind = "cancel"
-	GiveOrders      DecisionKind = "give_orders"
-	Command         DecisionKind = "command"
-	NotePair        DecisionKind = "note_pair"
-	NoteRetry       DecisionKind = "note_retry"
-	PassOn          DecisionKind = "pass_on"
+	SubmitOrders    DecisionKind = "give_orders"
+	CommandServer   DecisionKind = "command"
+	RecordPair      DecisionKind = "note_pair"
+	RecordRetry     DecisionKind = "note_retry"
+	ForwardToPeer   DecisionKind = "pass_on"
 	// CallDecided is what is next with an opaque call.
 	CallDecided DecisionKind = "call"
 )
--- a/internal/auction/desk_test.go
+++ b/internal/auction/desk_test.go
@@ -12,39 +12,39 @@
 
 var noon = time.Unix(2_000_000, 0)
 
-// newTestDesk is a desk with two prefill and two decode servers and a hold.
-func newTestDesk(t *testing.T) *Desk {
+// newTestDispatcher is a desk with two prefill and two decode servers and a hold.
+func newTestDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
 	market := NewMarket("courier-1", "north", false)
 	market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "p2", Address: "p2", Zone: "south"},
 		{Name: "d1", Address: "d1", Zone: "north"}, {Name: "d2", Address: "d2", Zone: "south"}})
-	desk := NewDesk(market, "north", 100)
-	reportLoads(desk, noon)
-	configure(t, desk, 1, `{"services":{"chat":{"tries":3}},"routes":{"all":{"to":{}}}}`)
-	desk.Renew(noon.Add(4*time.Second), 1, 1)
-	return desk
+	dispatcher := NewDispatcher(market, "north", 100)
+	reportLoads(dispatcher, noon)
+	configure(t, dispatcher, 1, `{"services":{"chat":{"tries":3}},"routes":{"all":{"to":{}}}}`)
+	dispatcher.Renew(noon.Add(4*time.Second), 1, 1)
+	return dispatcher
 }
 
-func reportLoads(desk *Desk, now time.Time) {
+func reportLoads(dispatcher *Dispatcher, now time.Time) {
 	for _, name := range []string{"p1", "p2"} {
-		desk.market.Report(now, Load{Server: name, Part: Prefill, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 8, LinkRate: 400_000})
+		dispatcher.market.Report(now, Load{Server: name, Part: Prefill, Age: time.Hour, PrefillRate: 20_000, PrefillCapacity: 8, LinkRate: 400_000})
 	}
 	for _, name := range []string{"d1", "d2"} {
-		desk.market.Report(now, Load{Server: name, Part: Decode, Age: time.Hour, DecodeSlots: 16, ChunkTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+		dispatcher.market.Report(now, Load{Server: name, Part: Decode, Age: time.Hour, DecodeSlots: 16, ChunkTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
 	}
 }
 
-func configure(t *testing.T, desk *Desk, number uint64, text string) bool {
+func configure(t *testing.T, dispatcher *Dispatcher, number uint64, text string) bool {
 	t.Helper()
 	configuration, err := config.Check([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return desk.SetProgram(Compile(configuration, 1, number))
+	return dispatcher.SetRouteTable(Compile(configuration, 1, number))
 }
 
-func arrive(desk *Desk, now time.Time, id string, idempotent bool) []Decision {
-	return desk.Arrive(now, &Request{ID: id, Service: "chat", Idempotent: idempotent, PromptTokens: 500, Chunks: 3})
+func arrive(dispatcher *Dispatcher, now time.Time, id string, idempotent bool) []Decision {
+	return dispatcher.Arrive(now, &Request{ID: id, Service: "chat", Idempotent: idempotent, PromptTokens: 500, Chunks: 3})
 }
 
 func find(decisions []Decision, kind DecisionKind) *Decision {
@@ -57,57 +57,57 @@
 }
 
 // earn gives the budget room for extra tries.
-func earn(desk *Desk) {
+func earn(dispatcher *Dispatcher) {
 	for range 20 {
-		desk.budget.First()
+		dispatcher.budget.RecordFirst()
 	}
 }
 
 func TestRequestThatMayNotBeRepeatedIsDispatchedAgainOnlyIfCertainlyNotStarted(t *testing.T) {
-	for outcome, want := range map[Outcome]Final{Uncertain: Unknown, Broken: Failed} {
-		desk := newTestDesk(t)
-		earn(desk)
-		if find(arrive(desk, noon, "one", false), ClaimRequest) == nil {
+	for outcome, want := range map[Outcome]FinalStatus{OutcomeUnknown: Unknown, OutcomeFailed: Failed} {
+		dispatcher := newTestDispatcher(t)
+		earn(dispatcher)
+		if find(arrive(dispatcher, noon, "one", false), ClaimRequest) == nil {
 			t.Fatal("not claimed before its dispatch")
 		}
-		if find(desk.Claimed(noon, "one", Done, ""), DispatchPrefill) == nil {
+		if find(dispatcher.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill) == nil {
 			t.Fatal("not dispatched after its claim")
 		}
-		decisions := desk.Prefilled(noon, "one", 1, outcome, "")
+		decisions := dispatcher.Prefilled(noon, "one", 1, outcome, "")
 		if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != want {
 			t.Errorf("after %s: %+v", outcome, decisions)
 		}
 	}
-	desk := newTestDesk(t)
-	earn(desk)
-	arrive(desk, noon, "one", false)
-	first := find(desk.Claimed(noon, "one", Done, ""), DispatchPrefill)
-	second := find(desk.Prefilled(noon, "one", 1, NotStarted, ""), DispatchPrefill)
+	d := newTestDispatcher(t)
+	earn(d)
+	arrive(d, noon, "one", false)
+	first := find(d.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill)
+	second := find(d.Prefilled(noon, "one", 1, OutcomeNotStarted, ""), DispatchPrefill)
 	if second == nil || second.Server == first.Server {
 		t.Errorf("not tried elsewhere though it certainly did not start: %+v", second)
 	}
 }
 
 func TestNothingIsDispatchedPastItsLimitOrWithoutALease(t *testing.T) {
-	desk := newTestDesk(t)
-	if final := find(arrive(desk, noon.Add(4*time.Second), "late", true), Finish); final == nil || final.Cause != failure.NoLease {
+	dispatcher := newTestDispatcher(t)
+	if final := find(arrive(dispatcher, noon.Add(4*time.Second), "late", true), Finish); final == nil || final.Cause != failure.NoLease {
 		t.Errorf("let in without a hold: %+v", final)
 	}
-	request := &Request{ID: "one", Service: "chat", Idempotent: false, PromptTokens: 500, Chunks: 3, Limit: noon.Add(time.Second)}
-	desk.Arrive(noon, request)
-	decisions := desk.Claimed(noon.Add(time.Second), "one", Done, "")
+	request := &Request{ID: "one", Service: "chat", Idempotent: false, PromptTokens: 500, Chunks: 3, Deadline: noon.Add(time.Second)}
+	dispatcher.Arrive(noon, request)
+	decisions := dispatcher.Claimed(noon.Add(time.Second), "one", OutcomeDone, "")
 	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Refused {
 		t.Errorf("after the limit: %+v", decisions)
 	}
 	// A prompt that was read while the hold ran out waits for the next one.
-	arrive(desk, noon, "two", true)
+	arrive(dispatcher, noon, "two", true)
 	after := noon.Add(4 * time.Second)
-	if decisions := desk.Prefilled(after, "two", 1, Done, "handle"); len(decisions) != 0 {
+	if decisions := dispatcher.Prefilled(after, "two", 1, OutcomeDone, "handle"); len(decisions) != 0 {
 		t.Errorf("dispatched without a hold: %+v", decisions)
 	}
-	reportLoads(desk, after)
-	desk.Renew(after.Add(4*time.Second), 1, 1)
-	if decode := find(desk.Tick(after), DispatchDecode); decode == nil || decode.Handle != "handle" || !decode.NotAfter.Equal(after.Add(4*time.Second)) {
+	reportLoads(dispatcher, after)
+	dispatcher.Renew(after.Add(4*time.Second), 1, 1)
+	if decode := find(dispatcher.Tick(after), DispatchDecode); decode == nil || decode.Handle != "handle" || !decode.NotAfter.Equal(after.Add(4*time.Second)) {
 		t.Errorf("not dispatched under the new hold: %+v", decode)
 	}
 }
@@ -115,58 +115,58 @@
 // TestGivenUpRequestIsAnsweredAtOnce lets the hold stay away: the caller is told
 // soon, long before the limit, and when to come back.
 func TestGivenUpRequestIsAnsweredAtOnce(t *testing.T) {
-	desk := newTestDesk(t)
-	arrive(desk, noon, "one", false)
+	dispatcher := newTestDispatcher(t)
+	arrive(dispatcher, noon, "one", false)
 	after := noon.Add(4 * time.Second)
-	if decisions := desk.Claimed(after, "one", Done, ""); len(decisions) != 0 {
+	if decisions := dispatcher.Claimed(after, "one", OutcomeDone, ""); len(decisions) != 0 {
 		t.Errorf("without a hold: %+v", decisions)
 	}
-	if decisions := desk.Tick(after.Add(leaseTimeout)); len(decisions) != 0 {
+	if decisions := dispatcher.Tick(after.Add(leaseTimeout)); len(decisions) != 0 {
 		t.Errorf("given up early: %+v", decisions)
 	}
-	final := find(desk.Tick(after.Add(leaseTimeout+time.Millisecond)), Finish)
+	final := find(dispatcher.Tick(after.Add(leaseTimeout+time.Millisecond)), Finish)
 	if final == nil || final.Final != Refused || final.Cause != failure.NoLease || final.Retry == 0 {
 		t.Errorf("when no hold comes: %+v", final)
 	}
 }
 
 func TestStreamIsNeverSplicedAndNeverRunAgainAfterItsFirstChunk(t *testing.T) {
-	desk := newTestDesk(t)
-	earn(desk)
-	arrive(desk, noon, "one", true)
-	desk.Prefilled(noon, "one", 1, Done, "handle")
-	if chunk := find(desk.Chunk(noon, "one", 1, 1, "a"), SendChunk); chunk == nil {
+	dispatcher := newTestDispatcher(t)
+	earn(dispatcher)
+	arrive(dispatcher, noon, "one", true)
+	dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle")
+	if chunk := find(dispatcher.Chunk(noon, "one", 1, 1, "a"), SendChunk); chunk == nil {
 		t.Fatal("the first piece was not sent")
 	}
-	if late := desk.Chunk(noon, "one", 2, 2, "b"); len(late) != 0 {
+	if late := dispatcher.Chunk(noon, "one", 2, 2, "b"); len(late) != 0 {
 		t.Errorf("a piece of another run was taken: %+v", late)
 	}
-	decisions := desk.Decoded(noon, "one", 1, Uncertain, 0)
+	decisions := dispatcher.Decoded(noon, "one", 1, OutcomeUnknown, 0)
 	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Failed || final.Chunks != 1 {
 		t.Errorf("after the first piece: %+v", decisions)
 	}
-	arrive(desk, noon, "two", true)
-	desk.Prefilled(noon, "two", 1, Done, "handle")
-	if final := find(desk.Chunk(noon, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
+	arrive(dispatcher, noon, "two", true)
+	dispatcher.Prefilled(noon, "two", 1, OutcomeDone, "handle")
+	if final := find(dispatcher.Chunk(noon, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
 		t.Errorf("a stream with a missing piece went on: %+v", final)
 	}
 }
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
-	desk := newTestDesk(t)
+	dispatcher := newTestDispatcher(t)
 	extra := 0
 	for number := range 100 {
 		id := fmt.Sprint(number)
-		arrive(desk, noon, id, true)
+		arrive(dispatcher, noon, id, true)
 		for run := 1; run < 10; run++ {
-			reportLoads(desk, noon)
-			if find(desk.Prefilled(noon, id, run, NotStarted, ""), DispatchPrefill) == nil {
+			reportLoads(dispatcher, noon)
+			if find(dispatcher.Prefilled(noon, id, run, OutcomeNotStarted, ""), DispatchPrefill) == nil {
 				break
 			}
 			extra++
 		}
 	}
-	if first, counted := desk.budget.Counts(); extra == 0 || extra != counted || extra*5 > first {
+	if first, counted := dispatcher.budget.Counts(); extra == 0 || extra != counted || extra*5 > first {
 		t.Errorf("%d extra tries (%d counted) for %d first ones", extra, counted, first)
 	}
 }
@@ -174,14 +174,14 @@
 // TestARunAfterALostHandOverCostsTwoAttempts: it asks a prefill and a decode server
 // again.
 func TestARunAfterALostHandOverCostsTwoAttempts(t *testing.T) {
-	desk := newTestDesk(t)
-	earn(desk)
-	arrive(desk, noon, "one", true)
-	desk.Prefilled(noon, "one", 1, Done, "handle")
-	if find(desk.Decoded(noon, "one", 1, Lapsed, 0), DispatchPrefill) == nil {
+	dispatcher := newTestDispatcher(t)
+	earn(dispatcher)
+	arrive(dispatcher, noon, "one", true)
+	dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle")
+	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
 		t.Fatal("a lapsed handle was not made anew")
 	}
-	if _, extra := desk.budget.Counts(); extra != 2 {
+	if _, extra := dispatcher.budget.Counts(); extra != 2 {
 		t.Errorf("the run cost %d tries", extra)
 	}
 }
@@ -191,13 +191,13 @@
 func TestRoutersShareAColdServersRoom(t *testing.T) {
 	sent := 0
 	for router := range 7 {
-		desk := newTestDesk(t)
-		desk.market.SetRouters(7)
-		desk.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "d1", Address: "d1", Zone: "north"}})
-		desk.market.Report(noon, Load{Server: "p1", Part: Prefill, Age: time.Second, PrefillRate: 20_000, PrefillRoom: 12, LinkRate: 400_000})
-		desk.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+		dispatcher := newTestDispatcher(t)
+		dispatcher.market.SetRouters(7)
+		dispatcher.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "d1", Address: "d1", Zone: "north"}})
+		dispatcher.market.Report(noon, Load{Server: "p1", Part: Prefill, Age: time.Second, PrefillRate: 20_000, PrefillCapacity: 12, LinkRate: 400_000})
+		dispatcher.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
 		for number := range 10 {
-			if find(arrive(desk, noon, fmt.Sprint(router, "/", number), true), DispatchPrefill) != nil {
+			if find(arrive(dispatcher, noon, fmt.Sprint(router, "/", number), true), DispatchPrefill) != nil {
 				sent++
 			}
 		}
@@ -208,39 +208,39 @@
 }
 
 func TestConfigurationInForceNeverGoesBack(t *testing.T) {
-	desk := newTestDesk(t)
-	if !configure(t, desk, 5, `{"services":{},"routes":{}}`) {
+	dispatcher := newTestDispatcher(t)
+	if !configure(t, dispatcher, 5, `{"services":{},"routes":{}}`) {
 		t.Fatal("a newer configuration was not taken")
 	}
-	if configure(t, desk, 4, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`) {
+	if configure(t, dispatcher, 4, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`) {
 		t.Error("an older configuration was taken")
 	}
-	if desk.Renew(noon.Add(time.Hour), 1, 1) {
+	if dispatcher.Renew(noon.Add(time.Hour), 1, 1) {
 		t.Error("a hold for another configuration was taken")
 	}
-	if final := find(arrive(desk, noon, "one", true), Finish); final == nil || final.Cause != failure.UnknownService {
+	if final := find(arrive(dispatcher, noon, "one", true), Finish); final == nil || final.Cause != failure.UnknownService {
 		t.Errorf("%+v", final)
 	}
 }
 
 func TestEvacuatedAndLeavingServersGetNoWork(t *testing.T) {
-	desk := newTestDesk(t)
-	configure(t, desk, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{}}}`)
-	desk.Renew(noon.Add(4*time.Second), 1, 2)
-	if dispatched := find(arrive(desk, noon, "one", true), DispatchPrefill); dispatched == nil || dispatched.Server != "p2" {
+	dispatcher := newTestDispatcher(t)
+	configure(t, dispatcher, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{}}}`)
+	dispatcher.Renew(noon.Add(4*time.Second), 1, 2)
+	if dispatched := find(arrive(dispatcher, noon, "one", true), DispatchPrefill); dispatched == nil || dispatched.Server != "p2" {
 		t.Errorf("with north evacuated: %+v", dispatched)
 	}
-	if decode := find(desk.Prefilled(noon, "one", 1, Done, "handle"), DispatchDecode); decode == nil || decode.Server != "d2" {
+	if decode := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle"), DispatchDecode); decode == nil || decode.Server != "d2" {
 		t.Errorf("with north evacuated: %+v", decode)
 	}
-	desk.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "p2", Address: "p2", Zone: "south", Leaving: true},
+	dispatcher.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "p2", Address: "p2", Zone: "south", Leaving: true},
 		{Name: "d1", Address: "d1", Zone: "north"}, {Name: "d2", Address: "d2", Zone: "south"}})
-	if final := find(arrive(desk, noon, "two", true), Finish); final == nil || final.Final != Refused {
+	if final := find(arrive(dispatcher, noon, "two", true), Finish); final == nil || final.Final != Refused {
 		t.Errorf("with the last server leaving: %+v", final)
 	}
-	configure(t, desk, 3, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{},"south":{}}}`)
-	desk.Renew(noon.Add(4*time.Second), 1, 3)
-	if final := find(arrive(desk, noon, "three", true), Finish); final == nil || final.Cause != failure.Evacuated || final.Retry == 0 {
+	configure(t, dispatcher, 3, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{},"south":{}}}`)
+	dispatcher.Renew(noon.Add(4*time.Second), 1, 3)
+	if final := find(arrive(dispatcher, noon, "three", true), Finish); final == nil || final.Cause != failure.Evacuated || final.Retry == 0 {
 		t.Errorf("with every district evacuated: %+v", final)
 	}
 }
@@ -253,24 +253,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := Compile(configuration, 1, 1)
+	table := Compile(configuration, 1, 1)
 	for client, tokens := range map[string]int{"vip": 10, "other": 10, "long": 1000} {
-		ruling, refusal := program.Rule(&Request{Service: "chat", Client: client, PromptTokens: tokens}, "north")
+		route, refusal := table.Match(&Request{Service: "chat", Client: client, PromptTokens: tokens}, "north")
 		want := map[string]string{"vip": "a-second", "other": "b-third", "long": "z-first"}[client]
-		if ruling == nil || ruling.Route != want || (refusal != nil) != (client == "long") {
-			t.Errorf("%s: %+v, %v", client, ruling, refusal)
+		if route == nil || route.Route != want || (refusal != nil) != (client == "long") {
+			t.Errorf("%s: %+v, %v", client, route, refusal)
 		}
 	}
 }
 
 func TestColdServerIsOfferedLittle(t *testing.T) {
-	desk := newTestDesk(t)
-	desk.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "d1", Address: "d1", Zone: "north"}})
-	desk.market.Report(noon, Load{Server: "p1", Part: Prefill, PrefillRate: 20_000, PrefillRoom: 20, LinkRate: 400_000})
-	desk.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+	dispatcher := newTestDispatcher(t)
+	dispatcher.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "d1", Address: "d1", Zone: "north"}})
+	dispatcher.market.Report(noon, Load{Server: "p1", Part: Prefill, PrefillRate: 20_000, PrefillCapacity: 20, LinkRate: 400_000})
+	dispatcher.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
 	dispatched := 0
 	for number := range 20 {
-		if find(arrive(desk, noon, fmt.Sprint(number), true), DispatchPrefill) != nil {
+		if find(arrive(dispatcher, noon, fmt.Sprint(number), true), DispatchPrefill) != nil {
 			dispatched++
 		}
 	}
@@ -282,13 +282,13 @@
 // TestLateUpdateOfAnOlderRun lets the answer to a given-up run come after the next
 // one has begun.
 func TestLateUpdateOfAnOlderRun(t *testing.T) {
-	desk := newTestDesk(t)
-	earn(desk)
-	arrive(desk, noon, "one", true)
-	if find(desk.Prefilled(noon, "one", 1, Broken, ""), DispatchPrefill) == nil {
+	dispatcher := newTestDispatcher(t)
+	earn(dispatcher)
+	arrive(dispatcher, noon, "one", true)
+	if find(dispatcher.Prefilled(noon, "one", 1, OutcomeFailed, ""), DispatchPrefill) == nil {
 		t.Fatal("no second run")
 	}
-	if late := desk.Prefilled(noon, "one", 1, Done, "old memory"); len(late) != 0 {
+	if late := dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "old memory"); len(late) != 0 {
 		t.Errorf("late news of the first run led to %+v", late)
 	}
 }
@@ -296,25 +296,25 @@
 // TestHandleIsUsedByItsOwnRun wants the second run's decode to take the second
 // run's memory.
 func TestHandleIsUsedByItsOwnRun(t *testing.T) {
-	desk := newTestDesk(t)
-	earn(desk)
-	arrive(desk, noon, "one", true)
-	if decode := find(desk.Prefilled(noon, "one", 1, Done, "first"), DispatchDecode); decode == nil || decode.Handle != "first" {
+	dispatcher := newTestDispatcher(t)
+	earn(dispatcher)
+	arrive(dispatcher, noon, "one", true)
+	if decode := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "first"), DispatchDecode); decode == nil || decode.Handle != "first" {
 		t.Fatalf("the first decode: %+v", decode)
 	}
-	if find(desk.Decoded(noon, "one", 1, Lapsed, 0), DispatchPrefill) == nil {
+	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
 		t.Fatal("no second run after the handle lapsed")
 	}
-	if decode := find(desk.Prefilled(noon, "one", 2, Done, "second"), DispatchDecode); decode == nil || decode.Handle != "second" {
+	if decode := find(dispatcher.Prefilled(noon, "one", 2, OutcomeDone, "second"), DispatchDecode); decode == nil || decode.Handle != "second" {
 		t.Errorf("the second decode: %+v", decode)
 	}
 }
 
 // TestServerWithoutAFreshReportIsOfferedNothing lets all reports grow old.
 func TestServerWithoutAFreshReportIsOfferedNothing(t *testing.T) {
-	desk := newTestDesk(t)
-	late := noon.Add(reportFresh + time.Millisecond)
-	if decisions := arrive(desk, late, "one", true); find(decisions, DispatchPrefill) != nil {
+	dispatcher := newTestDispatcher(t)
+	late := noon.Add(reportMaxAge + time.Millisecond)
+	if decisions := arrive(dispatcher, late, "one", true); find(decisions, DispatchPrefill) != nil {
 		t.Errorf("work went to a server that does not report: %+v", decisions)
 	}
 }
@@ -322,12 +322,12 @@
 // TestLeaseOfAnotherVersionLetsNothingIn renews a hold for a configuration that
 // is not the one in force.
 func TestLeaseOfAnotherVersionLetsNothingIn(t *testing.T) {
-	desk := newTestDesk(t)
-	configure(t, desk, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
+	dispatcher := newTestDispatcher(t)
+	configure(t, dispatcher, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
 	later := noon.Add(5 * time.Second)
-	reportLoads(desk, later)
-	desk.Renew(later.Add(4*time.Second), 1, 1)
-	if decisions := arrive(desk, later, "one", true); find(decisions, DispatchPrefill) != nil {
+	reportLoads(dispatcher, later)
+	dispatcher.Renew(later.Add(4*time.Second), 1, 1)
+	if decisions := arrive(dispatcher, later, "one", true); find(decisions, DispatchPrefill) != nil {
 		t.Errorf("let in under a hold for an older configuration: %+v", decisions)
 	}
 }
@@ -337,14 +337,14 @@
 // is told at once. At one that is slow and reports, it goes on.
 func TestDarkServerEndsWhatMayNotBeRepeated(t *testing.T) {
 	for name, reports := range map[string]bool{"slow": true, "dark": false} {
-		desk := newTestDesk(t)
-		arrive(desk, noon, "one", false)
-		dispatch := find(desk.Claimed(noon, "one", Done, ""), DispatchPrefill)
+		dispatcher := newTestDispatcher(t)
+		arrive(dispatcher, noon, "one", false)
+		dispatch := find(dispatcher.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill)
 		late := noon.Add(3500 * time.Millisecond)
 		if reports {
-			reportLoads(desk, late)
+			reportLoads(dispatcher, late)
 		}
-		final := find(desk.Tick(late), Finish)
+		final := find(dispatcher.Tick(late), Finish)
 		if reports && final != nil {
 			t.Errorf("%s: ended, though %s reports: %+v", name, dispatch.Server, final)
 		}
@@ -357,12 +357,12 @@
 // TestBudgetSavesTwoAttemptsAndNoMore lets a router work long without trouble: a
 // loss must not bring a burst of tries that were saved in the quiet.
 func TestBudgetSavesTwoAttemptsAndNoMore(t *testing.T) {
-	budget := &Budget{}
+	budget := &RetryBudget{}
 	for range 1000 {
-		budget.First()
+		budget.RecordFirst()
 	}
 	saved := 0
-	for budget.Extra(1) {
+	for budget.Spend(1) {
 		saved++
 	}
 	if saved != 2 {
@@ -370,31 +370,31 @@
 	}
 }
 
-// TestDeskGoesOnWithoutALeaseAsLongAsItWasTold lets the hold end, and the time without
+// TestDispatcherServesWithoutALeaseForTheConfiguredPeriod lets the hold end, and the time without
 // one; a desk that never had a hold lets nothing in.
-func TestDeskGoesOnWithoutALeaseAsLongAsItWasTold(t *testing.T) {
-	arrives := func(desk *Desk, at time.Duration) failure.Code {
-		reportLoads(desk, noon.Add(at))
-		if final := find(arrive(desk, noon.Add(at), fmt.Sprint("at ", at, time.Now().UnixNano()), true), Finish); final != nil {
+func TestDispatcherServesWithoutALeaseForTheConfiguredPeriod(t *testing.T) {
+	arrives := func(d *Dispatcher, at time.Duration) failure.Code {
+		reportLoads(d, noon.Add(at))
+		if final := find(arrive(d, noon.Add(at), fmt.Sprint("at ", at, time.Now().UnixNano()), true), Finish); final != nil {
 			return final.Cause
 		}
 		return ""
 	}
-	desk := newTestDesk(t)
-	if cause := arrives(desk, 5*time.Second); cause != failure.NoLease {
+	dispatcher := newTestDispatcher(t)
+	if cause := arrives(dispatcher, 5*time.Second); cause != failure.NoLease {
 		t.Errorf("without being told: %q", cause)
 	}
-	desk.SetServeWithoutLease(time.Minute)
-	if cause := arrives(desk, 5*time.Second); cause != "" {
+	dispatcher.SetServeWithoutLease(time.Minute)
+	if cause := arrives(dispatcher, 5*time.Second); cause != "" {
 		t.Errorf("within its time without a hold: %q", cause)
 	}
-	if cause := arrives(desk, 65*time.Second); cause != failure.NoLease {
+	if cause := arrives(dispatcher, 65*time.Second); cause != failure.NoLease {
 		t.Errorf("after its time without a hold: %q", cause)
 	}
-	if !desk.LeaseEnds().Equal(noon.Add(4 * time.Second)) {
-		t.Errorf("the hold ends %s", desk.LeaseEnds())
+	if !dispatcher.LeaseEnds().Equal(noon.Add(4 * time.Second)) {
+		t.Errorf("the hold ends %s", dispatcher.LeaseEnds())
 	}
-	blank := NewDesk(NewMarket("courier-1", "north", false), "north", 100)
+	blank := NewDispatcher(NewMarket("courier-1", "north", false), "north", 100)
 	blank.SetServeWithoutLease(time.Hour)
 	configure(t, blank, 1, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
 	if cause := arrives(blank, 0); cause != failure.NoLease {
--- a/internal/auction/inquiry.go
+++ b/internal/auction/inquiry.go
@@ -8,7 +8,7 @@
 	Service      string    `json:"service"`
 	Client       string    `json:"origin,omitempty"`
 	Idempotent   bool      `json:"repeatable"`
-	Limit        time.Time `json:"limit"`
+	Deadline     time.Time `json:"limit"`
 	Prompt       string    `json:"prompt,omitempty"`
 	PromptTokens int       `json:"prompt_tokens"`
 	Prefix       string    `json:"prefix,omitempty"`
--- a/internal/auction/load.go
+++ b/internal/auction/load.go
@@ -12,7 +12,7 @@
 	PrefillQueueTokens int            `json:"prefill_queue_tokens"`
 	PrefillRate        int            `json:"prefill_rate"`
 	PrefillWaiting     int            `json:"prefill_waiting"`
-	PrefillRoom        int            `json:"prefill_room"`
+	PrefillCapacity    int            `json:"prefill_room"`
 	DecodeActive       int            `json:"decode_active"`
 	DecodeSlots        int            `json:"decode_slots"`
 	ChunkTime          time.Duration  `json:"piece_time"`
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -28,7 +28,7 @@
 		if number%5 < 2 {
 			part = Prefill
 		}
-		market.Report(now, Load{Server: fmt.Sprintf("stove-%d", number), Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillRoom: 12, DecodeSlots: 16,
+		market.Report(now, Load{Server: fmt.Sprintf("stove-%d", number), Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillCapacity: 12, DecodeSlots: 16,
 			ChunkTime: 8 * time.Millisecond, MemoryFree: 200_000, LinkRate: 400_000})
 	}
 }
@@ -43,7 +43,7 @@
 			request := &Request{ID: "one", Service: "chat", PromptTokens: 500, Chunks: 20}
 			benchmark.ReportAllocs()
 			for range benchmark.N {
-				if _, found := market.Choose(noon, request, &Ruling{HomeFirst: true}, anywhere, nil); !found {
+				if _, found := market.Choose(noon, request, &RouteDecision{HomeFirst: true}, anywhere, nil); !found {
 					benchmark.Fatal("no pair")
 				}
 			}
@@ -61,13 +61,13 @@
 		trading.Go(func() {
 			for number := range 400 {
 				request := &Request{ID: fmt.Sprintf("%d-%d", thread, number), PromptTokens: 100, Chunks: 5}
-				bid, found := market.Choose(noon, request, &Ruling{}, anywhere, nil)
+				bid, found := market.Choose(noon, request, &RouteDecision{}, anywhere, nil)
 				if !found {
 					continue
 				}
 				market.Reserve(bid, request)
 				if other, found := market.ChooseDecode(noon, request, bid.Prefill.server.Name, anywhere, nil); found {
-					market.Take(other, request)
+					market.StartDecode(other, request)
 				}
 				market.Release(bid)
 			}
@@ -85,9 +85,9 @@
 		}
 	})
 	trading.Wait()
-	for _, stall := range market.board.Load().stalls {
-		if left := stall.promised.Load(); left != 0 {
-			t.Errorf("%s has %d rooms promised to nobody", stall.server.Name, left)
+	for _, state := range market.snapshot.Load().servers {
+		if pending := state.pendingDecodes.Load(); pending != 0 {
+			t.Errorf("%s has %d rooms promised to nobody", state.server.Name, pending)
 		}
 	}
 }
--- a/internal/auction/offer.go
+++ b/internal/auction/offer.go
@@ -11,15 +11,15 @@
 
 // offer is what one server asks for its half of a request.
 type offer struct {
-	stall    *Stall
+	state    *ServerState
 	position int
 	ask      time.Duration
 	linkRate int
 	report   *report
 }
 
-func newOffer(stall *Stall, position int, ask time.Duration) offer {
-	made := offer{stall: stall, position: position, ask: ask, report: stall.report.Load()}
+func newOffer(state *ServerState, position int, ask time.Duration) offer {
+	made := offer{state: state, position: position, ask: ask, report: state.report.Load()}
 	if made.report != nil {
 		made.linkRate = made.report.load.LinkRate
 	}
@@ -28,34 +28,34 @@
 
 // least is the least time that the prompt's memory takes from this server to any
 // other: over its own link, and within its zone.
-func (o offer) least(request *Request) time.Duration {
+func (o offer) minTransferTime(request *Request) time.Duration {
 	return seconds(request.PromptTokens, o.linkRate)
 }
 
-// handOver is the time that the prompt's memory takes from one server to the
+// transferTime is the time that the prompt's memory takes from one server to the
 // other.
-func (o offer) handOver(decode offer, request *Request) time.Duration {
+func (o offer) transferTime(decode offer, request *Request) time.Duration {
 	rate := decode.linkRate
 	if o.report != nil && o.linkRate < rate {
 		rate = o.linkRate
 	}
 	took := seconds(request.PromptTokens, rate)
-	if o.stall.server.Zone != decode.stall.server.Zone {
-		took += took/2 + crossing/2
+	if o.state.server.Zone != decode.state.server.Zone {
+		took += took/2 + zonePenalty/2
 	}
 	return took
 }
 
-// offerBook holds the offers for one request.
-type offerBook struct {
+// offerSet holds the offers for one request.
+type offerSet struct {
 	prefill []offer
 	decode  []offer
 }
 
 // offers keeps the books that nobody uses just now.
-var offers = sync.Pool{New: func() any { return &offerBook{} }}
+var offerPool = sync.Pool{New: func() any { return &offerSet{} }}
 
-func (o *offerBook) clear() {
+func (o *offerSet) clear() {
 	o.prefill, o.decode = o.prefill[:0], o.decode[:0]
 }
 
@@ -69,12 +69,12 @@
 }
 
 // floor is added to each price, so that the spread counts for asks of nothing too.
-const floor = 5 * time.Millisecond
+const priceFloor = 5 * time.Millisecond
 
 // cheapest is the pair with the lowest price; of equal ones that which stands
 // first in the list. A price is never below the sum of what it is made of, so that
 // the lowest sum that is left bounds all prices that are left.
-func (o *offerBook) cheapest(request *Request) (Bid, bool) {
+func (o *offerSet) cheapest(request *Request) (Bid, bool) {
 	sortByAsk(o.prefill)
 	sortByAsk(o.decode)
 	var best Bid
@@ -84,29 +84,29 @@
 		if best.Prefill == nil {
 			return false
 		}
-		lowest := float64(least + floor)
+		lowest := float64(least + priceFloor)
 		return lowest > bestPrice || (lowest == bestPrice && (prefill > bestPrefill || (prefill == bestPrefill && decode > bestDecode)))
 	}
 	for _, prefill := range o.prefill {
-		least := prefill.ask + prefill.least(request)
+		least := prefill.ask + prefill.minTransferTime(request)
 		var weigher membership.Weigher
 		weighs := false
 		for _, decode := range o.decode {
 			if worse(least+decode.ask, prefill.position, decode.position) {
 				break
 			}
-			handOver := prefill.handOver(decode, request)
-			sum := prefill.ask + handOver + decode.ask
-			if decode.stall == prefill.stall || worse(sum, prefill.position, decode.position) {
+			transferTime := prefill.transferTime(decode, request)
+			sum := prefill.ask + transferTime + decode.ask
+			if decode.state == prefill.state || worse(sum, prefill.position, decode.position) {
 				continue
 			}
 			if !weighs {
-				weigher, weighs = membership.NewWeigher(request.ID+"/"+prefill.stall.server.Name), true
+				weigher, weighs = membership.NewWeigher(request.ID+"/"+prefill.state.server.Name), true
 			}
-			noise := float64(weigher.Weight(decode.stall.server.Name)%1024) / 1024
-			price := float64(sum+floor) * (1 + spread*noise)
+			noise := float64(weigher.Weight(decode.state.server.Name)%1024) / 1024
+			price := float64(sum+priceFloor) * (1 + priceSpread*noise)
 			if best.Prefill == nil || price < bestPrice || (price == bestPrice && (prefill.position < bestPrefill || (prefill.position == bestPrefill && decode.position < bestDecode))) {
-				best = Bid{Prefill: prefill.stall, Decode: decode.stall, Price: sum, HandOver: handOver}
+				best = Bid{Prefill: prefill.state, Decode: decode.state, Price: sum, TransferTime: transferTime}
 				bestPrice, bestPrefill, bestDecode = price, prefill.position, decode.position
 			}
 		}
@@ -117,7 +117,7 @@
 // leastLoaded is the plain choice: the first server with the shortest queue and
 // the first with the fewest answers under way, without prefixes, hand-over,
 // zones or own work in flight.
-func (o *offerBook) leastLoaded(_ time.Time, request *Request) (Bid, bool) {
+func (o *offerSet) leastLoaded(_ time.Time, request *Request) (Bid, bool) {
 	if len(o.prefill) == 0 || len(o.decode) == 0 {
 		return Bid{}, false
 	}
@@ -127,6 +127,6 @@
 	decode := slices.MinFunc(o.decode, func(left, right offer) int {
 		return left.report.load.DecodeActive - right.report.load.DecodeActive
 	})
-	handOver := prefill.handOver(decode, request)
-	return Bid{Prefill: prefill.stall, Decode: decode.stall, Price: prefill.ask + handOver + decode.ask, HandOver: handOver}, true
+	transferTime := prefill.transferTime(decode, request)
+	return Bid{Prefill: prefill.state, Decode: decode.state, Price: prefill.ask + transferTime + decode.ask, TransferTime: transferTime}, true
 }
--- a/internal/auction/offer_test.go
+++ b/internal/auction/offer_test.go
@@ -11,28 +11,28 @@
 
 // everyPair is the choice as its definition says it: every pair is priced, and the
 // first of the lowest is taken.
-func everyPair(market *Market, now time.Time, request *Request, ruling *Ruling, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
+func everyPair(market *Market, now time.Time, request *Request, route *RouteDecision, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
 	var best Bid
 	bestPrice, found := 0.0, false
-	stalls := market.board.Load().stalls
-	for _, prefill := range stalls {
-		prefillAsk, offered := market.askPrefill(now, prefill, request, ruling)
+	states := market.snapshot.Load().servers
+	for _, prefill := range states {
+		prefillAsk, offered := market.askPrefill(now, prefill, request, route)
 		if !offered || !allowed(prefill.server) || tried[prefill.server.Name] {
 			continue
 		}
-		for _, decode := range stalls {
+		for _, decode := range states {
 			decodeAsk, offered := market.askDecode(now, decode, request)
 			if !offered || decode == prefill || !allowed(decode.server) || tried[decode.server.Name] {
 				continue
 			}
-			handOver := newOffer(prefill, 0, 0).handOver(newOffer(decode, 0, 0), request)
-			sum := prefillAsk + handOver + decodeAsk
-			price := float64(sum+5*time.Millisecond) * (1 + spread*float64(membership.Weight(request.ID+"/"+prefill.server.Name, decode.server.Name)%1024)/1024)
-			if market.plain {
-				price = float64(prefill.fresh(now).load.PrefillWaiting)*1000 + float64(decode.fresh(now).load.DecodeActive)
+			transferTime := newOffer(prefill, 0, 0).transferTime(newOffer(decode, 0, 0), request)
+			sum := prefillAsk + transferTime + decodeAsk
+			price := float64(sum+5*time.Millisecond) * (1 + priceSpread*float64(membership.Weight(request.ID+"/"+prefill.server.Name, decode.server.Name)%1024)/1024)
+			if market.leastLoaded {
+				price = float64(prefill.freshReport(now).load.PrefillWaiting)*1000 + float64(decode.freshReport(now).load.DecodeActive)
 			}
 			if !found || price < bestPrice {
-				best, bestPrice, found = Bid{Prefill: prefill, Decode: decode, Price: sum, HandOver: handOver}, price, true
+				best, bestPrice, found = Bid{Prefill: prefill, Decode: decode, Price: sum, TransferTime: transferTime}, price, true
 			}
 		}
 	}
@@ -53,26 +53,26 @@
 		}
 		market.List(servers)
 		alike := day%2 == 0
-		draw := func(most int) int {
+		draw := func(limit int) int {
 			if alike {
 				return 0
 			}
-			return random.IntN(most)
+			return random.IntN(limit)
 		}
 		for _, server := range servers {
 			part := []Part{Prefill, Prefill, Decode, Decode, Decode, Drain}[random.IntN(6)]
-			market.Report(noon, Load{Server: server.Name, Part: part, Age: time.Hour - time.Duration(draw(2))*time.Hour, PrefillRate: 20_000 + draw(9000), PrefillRoom: 12,
+			market.Report(noon, Load{Server: server.Name, Part: part, Age: time.Hour - time.Duration(draw(2))*time.Hour, PrefillRate: 20_000 + draw(9000), PrefillCapacity: 12,
 				PrefillWaiting: draw(14), PrefillQueueTokens: draw(40_000), DecodeSlots: 16, DecodeActive: draw(17), ChunkTime: 8 * time.Millisecond,
 				MemoryFree: 200_000 - draw(205_000), LinkRate: 400_000 - draw(390_000), Prefixes: map[string]int{"shared": draw(900)}})
 		}
 		for number := range 12 {
 			now := noon.Add(time.Duration(random.IntN(1600)) * time.Millisecond)
 			request := &Request{ID: fmt.Sprintf("%d-%d", day, number), PromptTokens: 1 + random.IntN(6000), Prefix: "shared", PrefixTokens: 800, Chunks: 1 + random.IntN(40)}
-			ruling := &Ruling{HomeFirst: number%2 == 0}
+			route := &RouteDecision{HomeFirst: number%2 == 0}
 			allowed := func(server membership.Server) bool { return number%3 != 0 || server.Zone != "east" }
 			tried := map[string]bool{"stove-1": number%4 == 0}
-			want, wanted := everyPair(market, now, request, ruling, allowed, tried)
-			got, found := market.Choose(now, request, ruling, allowed, tried)
+			want, wanted := everyPair(market, now, request, route, allowed, tried)
+			got, found := market.Choose(now, request, route, allowed, tried)
 			if found != wanted || got != want {
 				t.Fatalf("day %d, inquiry %d: got %v, want %v", day, number, got, want)
 			}
@@ -82,7 +82,7 @@
 			}
 			chosen++
 			market.Reserve(got, request)
-			market.Take(got, request)
+			market.StartDecode(got, request)
 		}
 	}
 	if chosen < 1000 || none < 100 {
--- a/internal/auction/program.go
+++ b/internal/auction/program.go
@@ -8,17 +8,17 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Program is a configuration compiled for the request's path: for each service
+// RouteTable is a configuration compiled for the request's path: for each service
 // the steps of its routes, in order. It is never altered; a new configuration
 // is a new program.
-type Program struct {
+type RouteTable struct {
 	epoch       uint64
 	number      uint64
-	services    map[string]*compiledService
+	services    map[string]*serviceRoutes
 	evacuations map[string]bool
 }
 
-type compiledService struct {
+type serviceRoutes struct {
 	service config.Service
 	steps   []step
 }
@@ -28,34 +28,34 @@
 	text   string
 	number int
 	next   int
-	ruling *Ruling
+	route  *RouteDecision
 }
 
 // Compile makes the program of a configuration.
-func Compile(configuration *config.Configuration, epoch, number uint64) *Program {
-	program := &Program{epoch: epoch, number: number, services: map[string]*compiledService{}, evacuations: map[string]bool{}}
+func Compile(configuration *config.Configuration, epoch, number uint64) *RouteTable {
+	table := &RouteTable{epoch: epoch, number: number, services: map[string]*serviceRoutes{}, evacuations: map[string]bool{}}
 	for zone := range configuration.Evacuations {
-		program.evacuations[zone] = true
+		table.evacuations[zone] = true
 	}
 	for name, service := range configuration.Services {
-		program.services[name] = &compiledService{service: service}
+		table.services[name] = &serviceRoutes{service: service}
 	}
 	for _, route := range configuration.Routes {
 		if route.Calls != nil {
 			continue
 		}
 		if route.Match.Service != "" {
-			program.services[route.Match.Service].add(route)
+			table.services[route.Match.Service].add(route)
 			continue
 		}
-		for _, compiled := range program.services {
+		for _, compiled := range table.services {
 			compiled.add(route)
 		}
 	}
-	return program
+	return table
 }
 
-func (c *compiledService) add(route config.Route) {
+func (c *serviceRoutes) add(route config.Route) {
 	first := len(c.steps)
 	need := func(wanted bool, code opcode, text string, number int) {
 		if wanted {
@@ -68,25 +68,25 @@
 	need(match.Prefix != "", needPrefix, match.Prefix, 0)
 	need(match.PromptTokensAtLeast > 0, needAtLeast, "", match.PromptTokensAtLeast)
 	need(match.PromptTokensBelow > 0, needBelow, "", match.PromptTokensBelow)
-	ruling := &Ruling{Route: route.Name, Service: c.service, HomeFirst: route.To.HomeFirst}
+	decision := &RouteDecision{Route: route.Name, Service: c.service, HomeFirst: route.To.HomeFirst}
 	code := actSend
 	if route.To.Refuse {
 		code = actRefuse
 	}
 	if len(route.To.Zones) > 0 {
-		ruling.Zones = map[string]bool{}
+		decision.Zones = map[string]bool{}
 		for _, zone := range route.To.Zones {
-			ruling.Zones[zone] = true
+			decision.Zones[zone] = true
 		}
 	}
-	c.steps = append(c.steps, step{code: code, ruling: ruling})
+	c.steps = append(c.steps, step{code: code, route: decision})
 	for position := first; position < len(c.steps); position++ {
 		c.steps[position].next = len(c.steps)
 	}
 }
 
-// Rule interprets the program for one request that arrived in a zone.
-func (p *Program) Rule(request *Request, zone string) (*Ruling, *failure.Error) {
+// Match interprets the program for one request that arrived in a zone.
+func (p *RouteTable) Match(request *Request, zone string) (*RouteDecision, *failure.Error) {
 	compiled, found := p.services[request.Service]
 	if !found {
 		return nil, failure.New(failure.UnknownService, request.Service)
@@ -99,24 +99,24 @@
 	}
 	for position := 0; position < len(compiled.steps); {
 		s := &compiled.steps[position]
-		holds := true
+		matches := true
 		switch s.code {
 		case needZone:
-			holds = zone == s.text
+			matches = zone == s.text
 		case needClient:
-			holds = request.Client == s.text
+			matches = request.Client == s.text
 		case needPrefix:
-			holds = request.Prefix == s.text
+			matches = request.Prefix == s.text
 		case needAtLeast:
-			holds = request.PromptTokens >= s.number
+			matches = request.PromptTokens >= s.number
 		case needBelow:
-			holds = request.PromptTokens < s.number
+			matches = request.PromptTokens < s.number
 		case actRefuse:
-			return s.ruling, failure.New(failure.RouteRefuses, s.ruling.Route)
+			return s.route, failure.New(failure.RouteRefuses, s.route.Route)
 		case actSend:
-			return s.ruling, nil
+			return s.route, nil
 		}
-		if holds {
+		if matches {
 			position++
 		} else {
 			position = s.next
@@ -126,15 +126,15 @@
 }
 
 // Allows tells whether work may go to a server under the ruling.
-func (p *Program) Allows(ruling *Ruling, server membership.Server) bool {
-	return !p.evacuations[server.Zone] && (ruling.Zones == nil || ruling.Zones[server.Zone])
+func (p *RouteTable) Allows(route *RouteDecision, server membership.Server) bool {
+	return !p.evacuations[server.Zone] && (route.Zones == nil || route.Zones[server.Zone])
 }
 
 // limit is the latest moment of a request that came now.
-func (r *Ruling) limit(now, asked time.Time) time.Time {
+func (r *RouteDecision) deadline(now, requested time.Time) time.Time {
 	latest := now.Add(r.Service.Limit)
-	if asked.IsZero() || asked.After(latest) {
+	if requested.IsZero() || requested.After(latest) {
 		return latest
 	}
-	return asked
+	return requested
 }
--- a/internal/auction/program_test.go
+++ b/internal/auction/program_test.go
@@ -35,11 +35,11 @@
 				Compile(configuration, 1, 1)
 			}
 		})
-		program := Compile(configuration, 1, 1)
+		table := Compile(configuration, 1, 1)
 		request := &Request{Service: "chat", Client: "nobody"}
 		benchmark.Run(fmt.Sprintf("rule-%d", count), func(benchmark *testing.B) {
 			for benchmark.Loop() {
-				if _, refusal := program.Rule(request, "north"); refusal != nil {
+				if _, refusal := table.Match(request, "north"); refusal != nil {
 					benchmark.Fatal(refusal)
 				}
 			}
--- a/internal/auction/ruling.go
+++ b/internal/auction/ruling.go
@@ -2,8 +2,8 @@
 
 import "seamloom.example/seamloom/internal/config"
 
-// Ruling is what the route that matched says of a request.
-type Ruling struct {
+// RouteDecision is what the route that matched says of a request.
+type RouteDecision struct {
 	Route     string
 	Service   config.Service
 	Zones     map[string]bool
--- a/internal/auction/stage.go
+++ b/internal/auction/stage.go
@@ -1,14 +1,14 @@
 package auction
 
 // stage is where a request stands.
-type stage uint8
+type phase uint8
 
 const (
-	claiming stage = iota
+	claiming phase = iota
 	// ready waits for a hold to dispatch its prefill under.
-	ready
+	readyToPrefill
 	prefilling
 	// handing waits for a hold to dispatch its decode under.
-	handing
+	readyToDecode
 	decoding
 )
--- a/internal/auction/stall.go
+++ b/internal/auction/stall.go
@@ -7,16 +7,16 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Stall is one server's place in the market: what it is, its last load report,
+// ServerState is one server's place in the market: what it is, its last load report,
 // and this router's own work that the report can't show yet. Its counters are
 // atomics, so that several threads may trade at once.
-type Stall struct {
-	server membership.Server
-	report atomic.Pointer[report]
-	avoid  atomic.Int64
+type ServerState struct {
+	server       membership.Server
+	report       atomic.Pointer[report]
+	avoidedUntil atomic.Int64
 	// promised counts the requests whose prompts are being read for this
 	// server to answer; it is shared by the stall's successors in new lists.
-	promised *atomic.Int64
+	pendingDecodes *atomic.Int64
 }
 
 type report struct {
@@ -28,18 +28,18 @@
 	memory        atomic.Int64
 }
 
-// reportFresh is how long a load report counts; a server that has not reported
-// for longer is offered no work. rampTime is how long a cold server's room
+// reportMaxAge is how long a load report counts; a server that has not reported
+// for longer is offered no work. rampUpTime is how long a cold server's room
 // grows. The values are ours.
 const (
-	reportFresh = 1500 * time.Millisecond
-	rampTime    = 8 * time.Second
-	avoidTime   = 2 * time.Second
+	reportMaxAge = 1500 * time.Millisecond
+	rampUpTime   = 8 * time.Second
+	avoidPeriod  = 2 * time.Second
 )
 
-func (s *Stall) fresh(now time.Time) *report {
+func (s *ServerState) freshReport(now time.Time) *report {
 	current := s.report.Load()
-	if current == nil || now.Sub(current.at) > reportFresh || current.load.Leaving || s.server.Leaving {
+	if current == nil || now.Sub(current.at) > reportMaxAge || current.load.Leaving || s.server.Leaving {
 		return nil
 	}
 	return current
@@ -47,9 +47,9 @@
 
 // warmth is the share of its room that a server may use: a tenth when it has
 // just started, all of it after the ramp.
-func (r *report) warmth(now time.Time) float64 {
+func (r *report) rampUp(now time.Time) float64 {
 	age := r.load.Age + now.Sub(r.at)
-	return min(1, 0.1+0.9*float64(age)/float64(rampTime))
+	return min(1, 0.1+0.9*float64(age)/float64(rampUpTime))
 }
 
-func (s *Stall) avoided(now time.Time) bool { return now.UnixNano() < s.avoid.Load() }
+func (s *ServerState) avoided(now time.Time) bool { return now.UnixNano() < s.avoidedUntil.Load() }
--- a/internal/auction/tallies.go
+++ b/internal/auction/tallies.go
@@ -11,7 +11,7 @@
 	Unknown  atomic.Int64
 }
 
-func (c *Counters) count(final Final) {
+func (c *Counters) count(final FinalStatus) {
 	switch final {
 	case Complete:
 		c.Complete.Add(1)
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -15,7 +15,7 @@
 // comes back as an event.
 func (r *Router) carryOut(decision auction.Decision) {
 	switch decision.Kind {
-	case auction.SendChunk, auction.Finish, auction.PassOn:
+	case auction.SendChunk, auction.Finish, auction.ForwardToPeer:
 		r.mutex.Lock()
 		s := r.streams[decision.ID]
 		r.mutex.Unlock()
@@ -39,13 +39,13 @@
 	case auction.Cancel:
 		decision.Token = r.tokenOf(decision)
 		r.modelServer.Cancel(decision)
-	case auction.NotePair:
+	case auction.RecordPair:
 		r.notePair(decision)
-	case auction.NoteRetry:
+	case auction.RecordRetry:
 		r.noteRetry(decision)
-	case auction.GiveOrders:
+	case auction.SubmitOrders:
 		r.runtime.Go(func() { r.giveOrders(decision) })
-	case auction.Command:
+	case auction.CommandServer:
 		r.runtime.Go(func() { r.command(decision) })
 	}
 }
@@ -135,7 +135,7 @@
 // tells this arrival's own claim.
 func (r *Router) claim(decision auction.Decision) {
 	made, err := MadeAt(decision.ID)
-	event := auction.Event{Kind: auction.ClaimAnswered, ID: decision.ID, Outcome: auction.NotStarted}
+	event := auction.Event{Kind: auction.ClaimAnswered, ID: decision.ID, Outcome: auction.OutcomeNotStarted}
 	if err != nil {
 		r.Apply(event)
 		return
@@ -150,11 +150,11 @@
 		err := r.follower.Ask(wire.ClaimPath, question, &answer, time.Second, ends)
 		switch kind := failure.CodeOf(err); {
 		case err == nil && answer.Leads:
-			event.Outcome = auction.Done
+			event.Outcome = auction.OutcomeDone
 		case kind == failure.Duplicate:
-			event.Outcome, event.Detail = auction.Duplicate, err.Error()
+			event.Outcome, event.Detail = auction.OutcomeDuplicate, err.Error()
 		case kind == failure.TooOld || kind == failure.TooNew:
-			event.Outcome, event.Detail = auction.TooOld, err.Error()
+			event.Outcome, event.Detail = auction.OutcomeTooOld, err.Error()
 		default:
 			runtime.Sleep(r.runtime, claimPause)
 			continue
--- a/internal/dataplane/provisional_test.go
+++ b/internal/dataplane/provisional_test.go
@@ -31,7 +31,7 @@
 			ServeWithoutLease: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
 		copied := &wire.CopyState{Configuration: lent.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: lent}}
 		router.follower.TakeProvisional(rt.Now(), wire.UpdateResponse{Copy: copied})
-		if router.InForce() != lent.Version || router.Core().Dutiful() {
+		if router.InForce() != lent.Version || router.Core().HasRoles() {
 			t.Fatalf("%s: %s in force", row.name, router.InForce())
 		}
 		router.follower.Take(rt.Now(), row.answer)
--- a/internal/dataplane/replyline.go
+++ b/internal/dataplane/replyline.go
@@ -12,14 +12,14 @@
 
 // ReplyLine is one line of a reply: a numbered chunk, or the final line.
 type ReplyLine struct {
-	Request string        `json:"inquiry"`
-	Chunk   int           `json:"piece,omitempty"`
-	Text    string        `json:"text,omitempty"`
-	Final   auction.Final `json:"final,omitempty"`
-	Chunks  int           `json:"pieces,omitempty"`
-	Ran     *bool         `json:"ran,omitempty"`
-	Type    failure.Code  `json:"type,omitempty"`
-	Detail  string        `json:"detail,omitempty"`
+	Request string              `json:"inquiry"`
+	Chunk   int                 `json:"piece,omitempty"`
+	Text    string              `json:"text,omitempty"`
+	Final   auction.FinalStatus `json:"final,omitempty"`
+	Chunks  int                 `json:"pieces,omitempty"`
+	Ran     *bool               `json:"ran,omitempty"`
+	Type    failure.Code        `json:"type,omitempty"`
+	Detail  string              `json:"detail,omitempty"`
 	// RetryAfterSeconds says when to come back; it stands in the header too.
 	RetryAfterSeconds int `json:"retry_after_seconds,omitempty"`
 }
--- a/internal/dataplane/requestbody.go
+++ b/internal/dataplane/requestbody.go
@@ -85,7 +85,7 @@
 		mistakes = multierr.Append(mistakes, failure.At(failure.OutOfRange, "/pieces", "at least one piece is needed"))
 	}
 	if limit > 0 {
-		request.Limit = now.Add(time.Duration(limit) * time.Millisecond)
+		request.Deadline = now.Add(time.Duration(limit) * time.Millisecond)
 	}
 	return request, mistakes
 }
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -131,7 +131,7 @@
 	switch {
 	case r.core.InFlight() > 0:
 		return routerTick
-	case r.core.Dutiful():
+	case r.core.HasRoles():
 		return roleTick
 	}
 	return restTick
@@ -258,7 +258,7 @@
 	r.takeMembers(update, state)
 	r.takeLists(update)
 	section := update.Changed[replication.ConfigurationSection]
-	r.Apply(auction.Event{Kind: auction.ConfigurationLent, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+	r.Apply(auction.Event{Kind: auction.ConfigurationProvisional, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
 	r.showServing()
 	r.wakeTicker()
 	r.observe("configuration_lent", "version", section.Version.String())
@@ -422,7 +422,7 @@
 		decision, found := s.next()
 		if !found {
 			if s.gone() {
-				r.Apply(auction.Event{Kind: auction.ClientLeft, ID: request.ID})
+				r.Apply(auction.Event{Kind: auction.ClientDisconnected, ID: request.ID})
 				return
 			}
 			s.cond.Wait(time.Minute, s.update)
@@ -438,7 +438,7 @@
 			}
 			continue
 		}
-		if decision.Kind == auction.PassOn {
+		if decision.Kind == auction.ForwardToPeer {
 			r.forward(arrival, reply)
 			return
 		}
--- a/internal/dataplane/router_test.go
+++ b/internal/dataplane/router_test.go
@@ -114,7 +114,7 @@
 	if !board.until.Equal(runtimetest.AtNoon(5 * time.Second)) {
 		t.Errorf("after a reload it serves until %s", board.until)
 	}
-	if router.core.Dutiful() {
+	if router.core.HasRoles() {
 		t.Error("it has duties that nobody gave")
 	}
 }
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -125,22 +125,22 @@
 	said, told := message.content.(fleet.Refusal)
 	switch {
 	case !told:
-		return auction.Uncertain, "status " + strconv.Itoa(message.status)
+		return auction.OutcomeUnknown, "status " + strconv.Itoa(message.status)
 	case said.Type == "handle_lapsed":
-		return auction.Lapsed, said.Type
+		return auction.OutcomeHandleExpired, said.Type
 	case !said.Started:
-		return auction.NotStarted, said.Type
+		return auction.OutcomeNotStarted, said.Type
 	}
-	return auction.Broken, said.Type
+	return auction.OutcomeFailed, said.Type
 }
 
 // lostOutcome is what a connection without an answer means: where nobody listened
 // nothing was written.
 func (e *exchange) lostOutcome() auction.Outcome {
 	if e.refused {
-		return auction.NotStarted
+		return auction.OutcomeNotStarted
 	}
-	return auction.Uncertain
+	return auction.OutcomeUnknown
 }
 
 const exchangePatience = 2 * time.Minute
@@ -153,14 +153,14 @@
 		return top.Prefill(connection, order)
 	})
 	if begun == nil {
-		return auction.NotStarted, "", "nothing was sent"
+		return auction.OutcomeNotStarted, "", "nothing was sent"
 	}
 	message, found := begun.replies.take(exchangePatience, func() bool { return begun.quit })
 	if !found {
 		return begun.lostOutcome(), "", "the circuit broke"
 	}
 	if answer, well := message.(ended).content.(modelserver.PrefillAnswer); well {
-		return auction.Done, answer.Handle, ""
+		return auction.OutcomeDone, answer.Handle, ""
 	}
 	o, detail := refusalOf(message.(ended))
 	return o, "", detail
@@ -179,7 +179,7 @@
 		})
 	})
 	if begun == nil {
-		return auction.NotStarted, 0, "nothing was sent"
+		return auction.OutcomeNotStarted, 0, "nothing was sent"
 	}
 	for {
 		message, found := begun.replies.take(exchangePatience, func() bool { return begun.quit })
@@ -189,12 +189,12 @@
 		switch said := message.(type) {
 		case modelserver.StreamLine:
 			if said.Done {
-				return auction.Done, said.Chunks, ""
+				return auction.OutcomeDone, said.Chunks, ""
 			}
 			take(said.Chunk, said.Text)
 		case ended:
 			if said.status == http.StatusOK {
-				return auction.Uncertain, 0, "the stream broke off"
+				return auction.OutcomeUnknown, 0, "the stream broke off"
 			}
 			o, detail := refusalOf(said)
 			return o, 0, detail
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -88,7 +88,7 @@
 func TestRolesNeedALease(t *testing.T) {
 	w := begun(t, 4, PlatformWays())
 	holder := w.holder()
-	if !holder.router.Core().Dutiful() {
+	if !holder.router.Core().HasRoles() {
 		t.Fatal("the holder has no duties")
 	}
 	w.cutOff(holder.name, true)
--- a/options.go
+++ b/options.go
@@ -7,8 +7,8 @@
 	// Router is the node's name, and Zone the zone that it serves first.
 	Router string
 	Zone   string
-	// MostRequests bounds the requests that are admitted at once.
-	MostRequests int
+	// MaxRequests bounds the requests that are admitted at once.
+	MaxRequests int
 	// Supported is the build's list of flags.
 	Supported FlagList
 	// LeastLoaded replaces the market by a plain least-loaded choice.
@@ -20,5 +20,5 @@
 	Retries scheduler.Allowance
 }
 
-// DefaultMostRequests is how many requests a router admits at once.
-const DefaultMostRequests = 512
+// DefaultMaxRequests is how many requests a router admits at once.
+const DefaultMaxRequests = 512
