--- a/internal/controlplane/handlers.go
+++ b/internal/controlplane/handlers.go
@@ -114,7 +114,7 @@
 	c.mutex.Unlock()
 	if router {
 		c.lists.noteFailing(arrived, question)
-		current.Grants.Note(arrived, name, question.InForce.Number)
+		current.Grants.Acknowledge(arrived, name, question.InForce.Number)
 		c.confirmations.Broadcast()
 	}
 	state, err := c.state(current, view)
@@ -145,7 +145,7 @@
 			// From here the router may act for as long as the hold says,
 			// counted from when it asked, which was earlier.
 			current.Grants.Grant(now, name, question.InForce.Number)
-			answer.Lease = lease.DefaultTerms().Lease
+			answer.Lease = lease.DefaultTiming().Lease
 			answer.Roles = current.keys.Renew(now, name, state.Roles.Roles, current.candidates(now, state))
 			answer.Routers = current.routers(now, state)
 		}
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -127,7 +127,7 @@
 	for _, server := range c.Servers() {
 		wanted = append(wanted, lease.ServerKey(server.Name))
 	}
-	grants := current.keys.Vacant(now, wanted, state.Roles.Roles, current.candidates(now, state))
+	grants := current.keys.Assignments(now, wanted, state.Roles.Roles, current.candidates(now, state))
 	if len(grants) == 0 {
 		return
 	}
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -13,8 +13,8 @@
 // Term is what a primary remembers for as long as it is primary.
 type Term struct {
 	Since       time.Time
-	Grants      *lease.Grants
-	keys        *lease.Keys
+	Grants      *lease.RouterLeases
+	keys        *lease.RoleLeases
 	revisions   revisions
 	membersAt   replication.Version
 	settledFrom time.Time
@@ -27,7 +27,7 @@
 }
 
 func newTerm(now time.Time) *Term {
-	return &Term{Since: now, Grants: lease.NewGrants(lease.DefaultTerms(), now), keys: lease.NewKeys(lease.DefaultTerms()), asked: map[string]time.Time{}, unlisted: map[string]time.Time{}, settledFrom: now}
+	return &Term{Since: now, Grants: lease.NewRouterLeases(lease.DefaultTiming(), now), keys: lease.NewRoleLeases(lease.DefaultTiming()), asked: map[string]time.Time{}, unlisted: map[string]time.Time{}, settledFrom: now}
 }
 
 // candidates are the live routers that lack no enabled flag, with how long
@@ -114,7 +114,7 @@
 
 // routers is how many routers share the servers.
 func (t *Term) routers(now time.Time, state *replication.State) int {
-	heard := len(t.Grants.HeardWithin(now, countedTime))
+	heard := len(t.Grants.SeenWithin(now, countedTime))
 	if now.Sub(t.Since) >= countedTime {
 		return heard
 	}
@@ -124,7 +124,7 @@
 // behind lists the routers that were heard from within a time and have not
 // confirmed a version.
 func (t *Term) behind(now time.Time, version replication.Version, within time.Duration) []string {
-	return t.Grants.Behind(now, version.Number, within)
+	return t.Grants.LaggingSeenWithin(now, version.Number, within)
 }
 
 // Lagging lists the routers that may still admitted under a configuration older
--- a/internal/controlplane/term_test.go
+++ b/internal/controlplane/term_test.go
@@ -41,7 +41,7 @@
 	if gone := at(131*time.Second, listed[1:]); !slices.Equal(gone, []string{"a"}) {
 		t.Errorf("gone: %v", gone)
 	}
-	if terms := lease.DefaultTerms(); forgetTime-goneTime < terms.Lease+terms.Drift+terms.Rest {
+	if timing := lease.DefaultTiming(); forgetTime-goneTime < timing.Lease+timing.Drift+timing.Cooldown {
 		t.Error("a duty may still be held when its record goes")
 	}
 }
--- a/internal/runtime/runtimetest/runtimetest.go
+++ b/internal/runtime/runtimetest/runtimetest.go
@@ -1,5 +1,5 @@
-// Package runtimetest has runtimes for tests whose time stands still or is moved by the test.
-// Threads and conditions come from the runtime that they wrap, if there is one.
+// Package runtimetest has runtimes for unit tests, whose time stands still or is set by the
+// test. Goroutines and conditions come from the runtime that they embed, if there is one.
 package runtimetest
 
 import (
@@ -11,23 +11,23 @@
 // Noon is the moment at which the time of tests begins.
 var Noon = time.Unix(2_000_000, 0)
 
-// AtNoon is the moment so long after noon.
+// AtNoon returns the moment that is so long after Noon.
 func AtNoon(length time.Duration) time.Time { return Noon.Add(length) }
 
-// Fixed is a runtime whose time is always noon.
+// Fixed is a runtime whose time is always Noon.
 type Fixed struct{ runtime.Runtime }
 
-// Now is noon.
+// Now returns Noon.
 func (Fixed) Now() time.Time { return Noon }
 
-// Wall is noon.
+// Wall returns Noon.
 func (Fixed) Wall() time.Time { return Noon }
 
-// Moving is a runtime whose time the test moves.
+// Moving is a runtime whose monotonic time the test sets.
 type Moving struct {
 	runtime.Runtime
 	Time time.Time
 }
 
-// Now is the time that the test has set.
+// Now returns the time that the test has set.
 func (m *Moving) Now() time.Time { return m.Time }
