--- a/core.go
+++ b/core.go
@@ -21,8 +21,8 @@
 	market     *auction.Market
 	dispatcher *auction.Dispatcher
 	balancer   *auction.Balancer
-	calls      *scheduler.Window
-	pools      *scheduler.Pools
+	calls      *scheduler.Scheduler
+	pools      *scheduler.RoleBalancer
 	enabled    atomic.Pointer[FlagList]
 	rejected   atomic.Int64
 
@@ -34,7 +34,7 @@
 	commandedAt    map[string]time.Time
 	announcedToken map[string]uint64
 	nextRoleTick   time.Time
-	openCalls      map[string]*scheduler.Ticket
+	openCalls      map[string]*scheduler.CallState
 }
 
 // New makes a core.
@@ -44,7 +44,7 @@
 	}
 	market := auction.NewMarket(options.Router, options.Zone, options.LeastLoaded)
 	return &Core{options: options, market: market, dispatcher: auction.NewDispatcher(market, options.Zone, options.MaxRequests),
-		calls: scheduler.New(scheduler.Options{Router: options.Router, Zone: options.Zone, Retries: options.Retries}), pools: scheduler.NewPools(), openCalls: map[string]*scheduler.Ticket{},
+		calls: scheduler.New(scheduler.Options{Router: options.Router, Zone: options.Zone, Retries: options.Retries}), pools: scheduler.NewRoleBalancer(), openCalls: map[string]*scheduler.CallState{},
 		balancer: auction.NewBalancer(options.FixedParts), orders: map[string]Order{}, configuration: config.Empty(), commandedAt: map[string]time.Time{}, announcedToken: map[string]uint64{}}
 }
 
@@ -79,7 +79,7 @@
 		for server, order := range event.Orders {
 			parts[server] = order.Part
 		}
-		c.calls.SetOrders(event.At, parts)
+		c.calls.SetRoleOrders(event.At, parts)
 	case auction.LoadsReported:
 		c.calls.SetLoads(event.At, event.Loads)
 	case auction.CallArrived:
@@ -106,7 +106,7 @@
 		return c.dispatcher.ClientDisconnected(event.At, event.ID)
 	case auction.RoutersCounted:
 		c.market.SetRouters(int(event.Number))
-		c.calls.SetRouters(int(event.Number))
+		c.calls.SetRouterCount(int(event.Number))
 	case auction.DrainStarted:
 		c.dispatcher.Drain()
 		c.calls.Drain()
@@ -122,7 +122,7 @@
 		c.rejected.Add(1)
 		return
 	}
-	c.calls.SetProgram(scheduler.Compile(configuration, event.Epoch, event.Number))
+	c.calls.SetRouteTable(scheduler.Compile(configuration, event.Epoch, event.Number))
 	if c.dispatcher.SetRouteTable(auction.Compile(configuration, event.Epoch, event.Number)) {
 		c.mutex.Lock()
 		c.configuration = configuration
@@ -140,7 +140,7 @@
 
 // Calls is the part of the core that follows opaque calls. A program that serves each
 // call in a thread of its own asks it directly; it needs no call events then.
-func (c *Core) Calls() *scheduler.Window { return c.calls }
+func (c *Core) Calls() *scheduler.Scheduler { return c.calls }
 
 func (c *Core) callArrived(event Event) []Decision {
 	open, decision := c.calls.Arrive(event.At, event.Call)
@@ -160,7 +160,7 @@
 		return nil
 	}
 	decision := c.calls.Ended(event.At, open, *event.Result)
-	if decision.Kind != scheduler.Read && decision.Kind != scheduler.Run {
+	if decision.Kind != scheduler.Prefill && decision.Kind != scheduler.Generate {
 		c.mutex.Lock()
 		delete(c.openCalls, event.ID)
 		c.mutex.Unlock()
@@ -243,7 +243,7 @@
 		}
 		name, isServer := strings.CutPrefix(role.Key, lease.ServerKey(""))
 		order, ordered := c.orders[name]
-		if part, changing, listed := c.calls.Part(name); isServer && ordered && listed {
+		if part, changing, listed := c.calls.Role(name); isServer && ordered && listed {
 			// A listed part needs an order only when it is another one: orders have a
 			// price. What was ordered shows in the reports a while later.
 			if changing || part == order.Part || now.Sub(c.commandedAt[name]) < commandVisibleWithin {
@@ -285,7 +285,7 @@
 // balanced are the orders that the parts duty gives now: by the work of calls where the
 // list says what servers do, by the market's reports otherwise.
 func (c *Core) dueOrders(now time.Time) []Order {
-	if !c.calls.Divided() {
+	if !c.calls.Disaggregated() {
 		if !c.balancer.Due(now) {
 			return nil
 		}
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -51,11 +51,11 @@
 		}
 		return *decisions[0].Call
 	}
-	call := &Call{ID: "one", Host: "ask.example", Path: "/x", PromptTokens: 9000, OutputTokens: 50, Parts: []CallPart{{ID: 1, Tokens: 6000}, {ID: 2, Tokens: 3000}}}
-	if decision := step(Event{Kind: auction.CallArrived, Call: call}); decision.Kind != scheduler.Read {
+	call := &Call{ID: "one", Host: "ask.example", Path: "/x", PromptTokens: 9000, OutputTokens: 50, Segments: []CallPart{{ID: 1, Tokens: 6000}, {ID: 2, Tokens: 3000}}}
+	if decision := step(Event{Kind: auction.CallArrived, Call: call}); decision.Kind != scheduler.Prefill {
 		t.Fatalf("arrived: %+v", decision)
 	}
-	if decision := step(Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete, Handle: "h"}}); decision.Kind != scheduler.Run || decision.Source == nil {
+	if decision := step(Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete, Handle: "h"}}); decision.Kind != scheduler.Generate || decision.Source == nil {
 		t.Fatalf("read: %+v", decision)
 	}
 	if decision := step(Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete}}); decision.Kind != scheduler.Done {
@@ -85,9 +85,9 @@
 		var loads []CallLoad
 		roles := []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 4}}
 		for _, server := range callServers(callServerCount) {
-			load := CallLoad{Server: server.Name, Part: server.Part, Changing: changing[server.Name], Running: 3, MemoryTotal: 295_740}
+			load := CallLoad{Server: server.Name, Role: server.Part, ChangingRole: changing[server.Name], Running: 3, MemoryTotal: 295_740}
 			if part[server.Name] != "" {
-				load.Part = part[server.Name]
+				load.Role = part[server.Name]
 			}
 			loads = append(loads, load)
 			roles = append(roles, Role{Key: lease.ServerKey(server.Name), Holder: "courier-1", FencingToken: 9})
--- a/examples/embedded/calls.go
+++ b/examples/embedded/calls.go
@@ -21,7 +21,7 @@
 		{Kind: "menu_received", Epoch: 1, Number: 1, Configuration: []byte(`{"services":{"desk":{}},"routes":{"ask":{"match":{"host":"ask.example","path_prefix":"/"},` +
 			`"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":3000,"tries":2,"streams":true,"resumable":true}}}}`)},
 		{Kind: "call_arrived", Call: &seamloom.Call{ID: "one", Host: "ask.example", Path: "/today", PromptTokens: 9000, OutputTokens: 50, Bytes: 18_000,
-			Parts: []seamloom.CallPart{{ID: 7, Tokens: 6000}, {ID: 8, Tokens: 3000}}}},
+			Segments: []seamloom.CallPart{{ID: 7, Tokens: 6000}, {ID: 8, Tokens: 3000}}}},
 		{Kind: "call_ended", ID: "one", Result: &seamloom.CallOutcome{Result: "complete", Handle: "memory-7"}},
 		{Kind: "call_ended", ID: "one", Result: &seamloom.CallOutcome{Result: "complete"}},
 	}
--- a/internal/adapters/proxy/bench_test.go
+++ b/internal/adapters/proxy/bench_test.go
@@ -66,9 +66,9 @@
 // Serve reads and runs.
 func (h *halves) Serve(_ *scheduler.Call, e dataplane.Exchange) {
 	ends := time.Now().Add(5 * time.Second)
-	decision := scheduler.Decision{Kind: scheduler.Run, Server: h.runner, Ends: ends, Urgency: 1}
+	decision := scheduler.Decision{Kind: scheduler.Generate, Server: h.runner, Deadline: ends, Priority: 1}
 	if h.reader.Address != "" {
-		outcome := e.Read(scheduler.Decision{Kind: scheduler.Read, Server: h.reader, Ends: ends, Urgency: 1})
+		outcome := e.Read(scheduler.Decision{Kind: scheduler.Prefill, Server: h.reader, Deadline: ends, Priority: 1})
 		decision.Source = &scheduler.Source{Address: h.reader.Address, Handle: outcome.Handle}
 	}
 	if outcome := e.Run(&h.route, decision, func() {}); outcome.Result != scheduler.Complete {
--- a/internal/adapters/proxy/chain.go
+++ b/internal/adapters/proxy/chain.go
@@ -16,11 +16,11 @@
 
 // readParts reads a prompt's chain: ID:TOKENS with commas between, the ids in hex. A
 // chain that can't be read is none: it only says where a prompt is likely to be kept.
-func readParts(text string) []scheduler.Part {
+func readParts(text string) []scheduler.Segment {
 	if text == "" {
 		return nil
 	}
-	parts := make([]scheduler.Part, 0, 1+min(mostParts, strings.Count(text, ",")))
+	parts := make([]scheduler.Segment, 0, 1+min(mostParts, strings.Count(text, ",")))
 	for more := true; more; {
 		var entry string
 		entry, text, more = strings.Cut(text, ",")
@@ -42,7 +42,7 @@
 		if err != nil {
 			return nil
 		}
-		parts = append(parts, scheduler.Part{ID: number, Tokens: count})
+		parts = append(parts, scheduler.Segment{ID: number, Tokens: count})
 	}
 	return parts
 }
@@ -67,7 +67,7 @@
 }
 
 // readLoad reads running, waiting and slots.
-func readLoad(text string) *scheduler.AnswerLoad {
+func readLoad(text string) *scheduler.ResponseLoad {
 	var counts [3]int
 	for position := range counts {
 		var entry string
@@ -78,5 +78,5 @@
 		}
 		counts[position] = count
 	}
-	return &scheduler.AnswerLoad{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
+	return &scheduler.ResponseLoad{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
 }
--- a/internal/adapters/proxy/circuits_test.go
+++ b/internal/adapters/proxy/circuits_test.go
@@ -27,7 +27,7 @@
 	r.connections.now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
 	sc.decide = func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		decision := once(func() membership.Server { return s.server })(number, outcome)
-		decision.Ends = decision.Ends.Add(time.Hour)
+		decision.Deadline = decision.Deadline.Add(time.Hour)
 		return decision
 	}
 	for _, step := range []struct {
@@ -50,7 +50,7 @@
 	r := newRouter(t, sc)
 	for number := range 20 {
 		got := r.send(t, "id", "body")
-		if got.status != 200 && sc.last().Result != scheduler.Silent {
+		if got.status != 200 && sc.last().Result != scheduler.TimedOut {
 			t.Fatalf("%d: %+v %+v", number, got, sc.last())
 		}
 		until(t, "the circuit is seen closed", func() bool { return !restingGood(r.connections) })
@@ -99,7 +99,7 @@
 				t.Fatalf("%+v", got)
 			}
 			got := r.send(t, "second", "body")
-			if got.status == 200 && string(got.body) != "mine" || got.status != 200 && (extra != "late" || sc.last().Result != scheduler.Spoilt) {
+			if got.status == 200 && string(got.body) != "mine" || got.status != 200 && (extra != "late" || sc.last().Result != scheduler.Malformed) {
 				t.Fatalf("%+v %+v", got, sc.last())
 			}
 			if got := r.send(t, "third", "body"); string(got.body) != "mine" {
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -87,21 +87,21 @@
 	words := &e.intake.words
 	lifetime, cancel := context.WithCancel(e.inbound.Context())
 	sent := &dispatch{exchange: e, decision: decision, lifetime: lifetime, cancel: cancel,
-		until: time.Now().Add(decision.Ends.Sub(e.intake.now()))}
+		until: time.Now().Add(decision.Deadline.Sub(e.intake.now()))}
 	patience := sent.left()
-	if decision.Patience > 0 {
-		patience = min(patience, decision.Patience)
+	if decision.ResponseTimeout > 0 {
+		patience = min(patience, decision.ResponseTimeout)
 	}
 	sent.timer = time.AfterFunc(patience, sent.expire)
 	l, err := e.intake.connections.take(lifetime, decision.Server, sent.until)
 	if err != nil {
-		return sent, sent.fail(scheduler.Unreached)
+		return sent, sent.fail(scheduler.Unreachable)
 	}
 	sent.line = l
 	header := maps.Clone(e.header)
 	header[words.Target] = []string{decision.Server.Name}
-	if decision.Urgency >= 0 {
-		header[words.Urgency] = []string{strconv.Itoa(decision.Urgency)}
+	if decision.Priority >= 0 {
+		header[words.Urgency] = []string{strconv.Itoa(decision.Priority)}
 	}
 	change(header)
 	left := max(1, time.Until(sent.until).Milliseconds())
@@ -122,11 +122,11 @@
 		wrote, heard := l.connection.end()
 		switch {
 		case !wrote:
-			return sent, sent.fail(scheduler.Unreached)
+			return sent, sent.fail(scheduler.Unreachable)
 		case heard && lifetime.Err() == nil:
-			return sent, sent.fail(scheduler.Spoilt)
+			return sent, sent.fail(scheduler.Malformed)
 		}
-		return sent, sent.fail(scheduler.Silent)
+		return sent, sent.fail(scheduler.TimedOut)
 	}
 	return sent, sent.readHead()
 }
@@ -143,9 +143,9 @@
 // fail ends a dispatch whose answer can't be used; the connection goes with it.
 func (d *dispatch) fail(result scheduler.Result) bool {
 	if d.exchange.inbound.Context().Err() != nil {
-		result = scheduler.Gone
+		result = scheduler.ClientGone
 	}
-	if result == scheduler.Gone {
+	if result == scheduler.ClientGone {
 		d.exchange.ending = left
 	}
 	d.note(result)
@@ -173,8 +173,8 @@
 	if result == scheduler.Misdirected || d.response.Close {
 		d.line.close()
 	} else {
-		d.outcome.Rests = readRests(d.response.Header)
-		d.exchange.intake.connections.give(d.line, d.outcome.Rests)
+		d.outcome.KeepAlive = readRests(d.response.Header)
+		d.exchange.intake.connections.give(d.line, d.outcome.KeepAlive)
 	}
 	d.cancel()
 }
@@ -186,10 +186,10 @@
 	words := &e.intake.words
 	success := response.StatusCode >= 200 && response.StatusCode < 300
 	if response.StatusCode < 200 || response.StatusCode > 599 {
-		return d.fail(scheduler.Spoilt)
+		return d.fail(scheduler.Malformed)
 	}
 	if id, found := response.Header[words.ID]; found && (len(id) != 1 || id[0] != e.call.ID) || !found && success && e.call.ID != "" {
-		return d.fail(scheduler.Spoilt)
+		return d.fail(scheduler.Malformed)
 	}
 	d.outcome.Status = response.StatusCode
 	if load := response.Header[words.Load]; len(load) == 1 {
@@ -205,17 +205,17 @@
 	}
 	body, err := readBounded(response.Body, response.ContentLength, mostKept)
 	if err != nil {
-		return d.fail(scheduler.Silent)
+		return d.fail(scheduler.TimedOut)
 	}
-	d.outcome.First = e.intake.now()
-	result := scheduler.Answered
+	d.outcome.FirstByte = e.intake.now()
+	result := scheduler.ErrorResponse
 	switch _, never := response.Header[words.NotStarted]; {
 	case response.StatusCode == http.StatusMisdirectedRequest:
 		result = scheduler.Misdirected
 	case never:
 		result = scheduler.NotStarted
 	}
-	if result == scheduler.Answered && promises(response.StatusCode) {
+	if result == scheduler.ErrorResponse && promises(response.StatusCode) {
 		// The status would promise what the server did not: it goes no further.
 		e.kept = nil
 	} else {
@@ -275,15 +275,15 @@
 	}
 	body, err := readBounded(sent.response.Body, sent.response.ContentLength, mostReadAnswer)
 	if err != nil {
-		sent.fail(scheduler.Silent)
+		sent.fail(scheduler.TimedOut)
 		return sent.outcome
 	}
 	handle := fastjson.GetString(body, words.HandleField)
 	if handle == "" || strings.ContainsAny(handle, "/?#% \r\n") {
-		sent.fail(scheduler.Spoilt)
+		sent.fail(scheduler.Malformed)
 		return sent.outcome
 	}
-	sent.outcome.First = e.intake.now()
+	sent.outcome.FirstByte = e.intake.now()
 	sent.outcome.Handle = handle
 	sent.finish(scheduler.Complete)
 	return sent.outcome
@@ -294,7 +294,7 @@
 	words := &e.intake.words
 	if e.begun.Load() && e.lastEvent == "" {
 		// Nothing tells where to go on.
-		return scheduler.Outcome{Result: scheduler.Cut}
+		return scheduler.Outcome{Result: scheduler.Interrupted}
 	}
 	sent, success := e.send(decision, func(header http.Header) {
 		if decision.Source != nil {
@@ -312,7 +312,7 @@
 		return sent.outcome
 	}
 	if e.begun.Load() {
-		sent.fail(scheduler.Spoilt)
+		sent.fail(scheduler.Malformed)
 		return sent.outcome
 	}
 	sent.passWhole()
--- a/internal/adapters/proxy/exchange_test.go
+++ b/internal/adapters/proxy/exchange_test.go
@@ -36,7 +36,7 @@
 		t.Fatalf("headers: %v", inbound.Header)
 	}
 	call := sc.calls[0]
-	if call.Model != "m" || call.PromptTokens != 1460 || call.OutputTokens != 80 || len(call.Parts) != 2 || call.Parts[0] != (scheduler.Part{ID: 0x5c1e07a2, Tokens: 800}) || call.Path != "/chat//a%2fb/../c" || call.Bytes != len(body) {
+	if call.Model != "m" || call.PromptTokens != 1460 || call.OutputTokens != 80 || len(call.Segments) != 2 || call.Segments[0] != (scheduler.Segment{ID: 0x5c1e07a2, Tokens: 800}) || call.Path != "/chat//a%2fb/../c" || call.Bytes != len(body) {
 		t.Fatalf("the call was misread: %+v", call)
 	}
 }
@@ -78,18 +78,18 @@
 	}{
 		"full":                 {whole(503, "id", "busy", "Seamloom-Not-Started: 1", "Seamloom-Load: 3,1,8", "Retry-After: 0.2"), scheduler.NotStarted, 503},
 		"another life":         {whole(421, "id", ""), scheduler.Misdirected, 421},
-		"its own failure":      {whole(500, "id", "oops"), scheduler.Answered, 500},
-		"its own time":         {whole(504, "id", ""), scheduler.Answered, 504},
-		"a promise not given":  {whole(503, "id", "?"), scheduler.Answered, 502},
-		"another call's":       {whole(200, "id-0", "?"), scheduler.Spoilt, 503},
-		"nobody's success":     {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", scheduler.Spoilt, 503},
-		"another's failure":    {whole(503, "id-0", "?", "Seamloom-Not-Started: 1"), scheduler.Spoilt, 503},
-		"garbage":              {"\x00\x01 garbage\r\n\r\n", scheduler.Spoilt, 503},
-		"no such status":       {"HTTP/1.1 099 What\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx", scheduler.Spoilt, 503},
-		"another protocol":     {"HTTP/1.1 101 Switching Protocols\r\nSeamloom-Call: id\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nx", scheduler.Spoilt, 503},
-		"nothing":              {"", scheduler.Silent, 503},
-		"a body that breaks":   {"HTTP/1.1 200 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.Silent, 503},
-		"a failing one breaks": {"HTTP/1.1 500 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.Silent, 503},
+		"its own failure":      {whole(500, "id", "oops"), scheduler.ErrorResponse, 500},
+		"its own time":         {whole(504, "id", ""), scheduler.ErrorResponse, 504},
+		"a promise not given":  {whole(503, "id", "?"), scheduler.ErrorResponse, 502},
+		"another call's":       {whole(200, "id-0", "?"), scheduler.Malformed, 503},
+		"nobody's success":     {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", scheduler.Malformed, 503},
+		"another's failure":    {whole(503, "id-0", "?", "Seamloom-Not-Started: 1"), scheduler.Malformed, 503},
+		"garbage":              {"\x00\x01 garbage\r\n\r\n", scheduler.Malformed, 503},
+		"no such status":       {"HTTP/1.1 099 What\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx", scheduler.Malformed, 503},
+		"another protocol":     {"HTTP/1.1 101 Switching Protocols\r\nSeamloom-Call: id\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nx", scheduler.Malformed, 503},
+		"nothing":              {"", scheduler.TimedOut, 503},
+		"a body that breaks":   {"HTTP/1.1 200 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.TimedOut, 503},
+		"a failing one breaks": {"HTTP/1.1 500 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.TimedOut, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool { connection.say(given.answer); return false })
@@ -101,10 +101,10 @@
 			if s.count() != 1 {
 				t.Fatalf("sent %d times", s.count())
 			}
-			if name == "full" && (got.header.Get("Retry-After") != "0.2" || got.header.Get("X-Seal") != "seal-id" || string(got.body) != "busy" || *sc.last().Load != (scheduler.AnswerLoad{Running: 3, Waiting: 1, Slots: 8})) {
+			if name == "full" && (got.header.Get("Retry-After") != "0.2" || got.header.Get("X-Seal") != "seal-id" || string(got.body) != "busy" || *sc.last().Load != (scheduler.ResponseLoad{Running: 3, Waiting: 1, Slots: 8})) {
 				t.Fatalf("%+v, %+v", got, sc.last().Load)
 			}
-			if given.result == scheduler.Spoilt && got.header.Get("X-Seal") != "" {
+			if given.result == scheduler.Malformed && got.header.Get("X-Seal") != "" {
 				t.Fatal("a word of our own bears a server's seal")
 			}
 		})
@@ -116,7 +116,7 @@
 	_ = s.listener.Close()
 	sc := &scripted{decide: once(func() membership.Server { return s.server })}
 	newRouter(t, sc).send(t, "id", "body")
-	if sc.last().Result != scheduler.Unreached {
+	if sc.last().Result != scheduler.Unreachable {
 		t.Fatalf("%+v", sc.last())
 	}
 }
@@ -186,7 +186,7 @@
 			})
 			sc := &scripted{decide: once(func() membership.Server { return s.server })}
 			got := newRouter(t, sc).send(t, "id", "body")
-			if got.failure == nil || string(got.body) != joined(1, 2) || sc.last().Result != scheduler.Cut {
+			if got.failure == nil || string(got.body) != joined(1, 2) || sc.last().Result != scheduler.Interrupted {
 				t.Fatalf("%+v, %+v", got, sc.last())
 			}
 		})
@@ -205,11 +205,11 @@
 		return true
 	})
 	s := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
-		run := scheduler.Decision{Kind: scheduler.Run, Server: first.server, Ends: time.Now().Add(time.Second), Urgency: 3}
+		run := scheduler.Decision{Kind: scheduler.Generate, Server: first.server, Deadline: time.Now().Add(time.Second), Priority: 3}
 		switch {
 		case number == 0:
 			return run
-		case number == 1 && outcome.Result == scheduler.Cut:
+		case number == 1 && outcome.Result == scheduler.Interrupted:
 			run.Server = second.server
 			return run
 		}
@@ -243,11 +243,11 @@
 		ends := time.Now().Add(time.Second)
 		switch number {
 		case 0:
-			return scheduler.Decision{Kind: scheduler.Read, Server: reader.server, Ends: ends, Urgency: -1}
+			return scheduler.Decision{Kind: scheduler.Prefill, Server: reader.server, Deadline: ends, Priority: -1}
 		case 1:
-			return scheduler.Decision{Kind: scheduler.Run, Server: runner.server, Ends: ends, Urgency: -1, Source: &scheduler.Source{Address: reader.server.Address, Handle: outcome.Handle}}
+			return scheduler.Decision{Kind: scheduler.Generate, Server: runner.server, Deadline: ends, Priority: -1, Source: &scheduler.Source{Address: reader.server.Address, Handle: outcome.Handle}}
 		}
-		return scheduler.Decision{Kind: scheduler.Done, Free: []scheduler.Source{{Address: reader.server.Address, Handle: "left over"}}}
+		return scheduler.Decision{Kind: scheduler.Done, Release: []scheduler.Source{{Address: reader.server.Address, Handle: "left over"}}}
 	}}
 	got := newRouter(t, s).send(t, "id", "body")
 	if got.status != 200 || string(got.body) != "answer" {
@@ -284,7 +284,7 @@
 			_ = r.send(t, "id", "body")
 			<-ended
 			until(t, "the call ends", func() bool { return sc.active.Load() == 0 && sc.last().Result != "" })
-			if sc.last().Result != scheduler.Gone {
+			if sc.last().Result != scheduler.ClientGone {
 				t.Fatalf("%+v", sc.last())
 			}
 		})
@@ -293,8 +293,8 @@
 
 func TestPatienceAndEnds(t *testing.T) {
 	for name, decision := range map[string]scheduler.Decision{
-		"patience": {Ends: time.Now().Add(time.Hour), Patience: 20 * time.Millisecond},
-		"ends":     {Ends: time.Now().Add(50 * time.Millisecond)},
+		"patience": {Deadline: time.Now().Add(time.Hour), ResponseTimeout: 20 * time.Millisecond},
+		"ends":     {Deadline: time.Now().Add(50 * time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
@@ -305,11 +305,11 @@
 				if number > 0 {
 					return lastWord(outcome)
 				}
-				decision.Kind, decision.Server = scheduler.Run, s.server
+				decision.Kind, decision.Server = scheduler.Generate, s.server
 				return decision
 			}}
 			got := newRouter(t, sc).send(t, "id", "body")
-			if got.status != 503 || sc.last().Result != scheduler.Silent && sc.last().Result != scheduler.Unreached {
+			if got.status != 503 || sc.last().Result != scheduler.TimedOut && sc.last().Result != scheduler.Unreachable {
 				t.Fatalf("%+v %+v", got, sc.last())
 			}
 		})
@@ -344,7 +344,7 @@
 			if got, _ := io.ReadAll(reader); text == "" && len(got) != 0 || strings.HasSuffix(string(got), "0\r\n\r\n") {
 				t.Fatalf("got %q", got)
 			}
-			if sc.last().Result != scheduler.Gone {
+			if sc.last().Result != scheduler.ClientGone {
 				t.Fatalf("%+v", sc.last())
 			}
 		})
@@ -362,11 +362,11 @@
 		return true
 	})
 	s := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
-		run := scheduler.Decision{Kind: scheduler.Run, Server: first.server, Ends: time.Now().Add(5 * time.Second), Silence: 30 * time.Millisecond, Urgency: -1}
+		run := scheduler.Decision{Kind: scheduler.Generate, Server: first.server, Deadline: time.Now().Add(5 * time.Second), StreamTimeout: 30 * time.Millisecond, Priority: -1}
 		switch {
 		case number == 0:
 			return run
-		case number == 1 && outcome.Result == scheduler.Cut:
+		case number == 1 && outcome.Result == scheduler.Interrupted:
 			run.Server = second.server
 			return run
 		}
@@ -395,7 +395,7 @@
 	sc := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		if number == 0 {
 			ends = time.Now().Add(300 * time.Millisecond)
-			return scheduler.Decision{Kind: scheduler.Run, Server: s.server, Ends: ends, Silence: 30 * time.Millisecond, Urgency: -1}
+			return scheduler.Decision{Kind: scheduler.Generate, Server: s.server, Deadline: ends, StreamTimeout: 30 * time.Millisecond, Priority: -1}
 		}
 		return lastWord(outcome)
 	}}
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -164,7 +164,7 @@
 	lifetime, cancel := context.WithCancel(t.Context())
 	rt := osruntime.New(lifetime, osruntime.NewClock())
 	connections := NewConnections(nil)
-	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.Allowance{Ratio: 5, Slack: 1000, Span: time.Second}})
+	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.RetryAllowance{Ratio: 5, Slack: 1000, Window: time.Second}})
 	conduct := dataplane.NewCalls(rt, deciding, connections.SetServers)
 	conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
--- a/internal/adapters/proxy/intake.go
+++ b/internal/adapters/proxy/intake.go
@@ -122,7 +122,7 @@
 		return malformed
 	}
 	call := &scheduler.Call{ID: id, Host: inbound.Host, Model: inbound.Header.Get(words.Model),
-		Parts: readParts(inbound.Header.Get(words.Parts)), Bytes: len(body), Resumes: inbound.Header.Get(lastEventHeader) != ""}
+		Segments: readParts(inbound.Header.Get(words.Parts)), Bytes: len(body), Resumes: inbound.Header.Get(lastEventHeader) != ""}
 	target := inbound.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		target = inbound.URL.RequestURI()
@@ -130,7 +130,7 @@
 	call.Path, _, _ = strings.Cut(target, "?")
 	call.PromptTokens, call.OutputTokens = readTokens(inbound.Header.Get(words.Tokens))
 	if left, err := readCount(inbound.Header.Get(words.Limit)); err == nil {
-		call.Ends = arrived.Add(time.Duration(left) * time.Millisecond)
+		call.Deadline = arrived.Add(time.Duration(left) * time.Millisecond)
 	}
 	header := make(http.Header, len(inbound.Header)+4)
 	copyEndToEnd(header, inbound.Header, words.ID, words.Limit, words.Model, words.Tokens, words.Parts)
--- a/internal/adapters/proxy/meter.go
+++ b/internal/adapters/proxy/meter.go
@@ -40,18 +40,18 @@
 	set := metrics.NewSet()
 	m := &meter{set: set, endings: map[ending]*metrics.Counter{}, dispatches: map[scheduler.DecisionKind]map[scheduler.Result]*metrics.Counter{},
 		first: set.NewPrometheusHistogramExt("seamloom_call_first_seconds", bounds), whole: set.NewPrometheusHistogramExt("seamloom_call_seconds", bounds)}
-	for _, how := range []ending{served, through, cut, left, oversize, malformed, dismissed, ending(scheduler.NoRoute), ending(scheduler.NotReady), ending(scheduler.Full),
-		ending(scheduler.Leaving), ending(scheduler.Late), ending(scheduler.Broken), ending(scheduler.BrokenLate)} {
+	for _, how := range []ending{served, through, cut, left, oversize, malformed, dismissed, ending(scheduler.NoRoute), ending(scheduler.NotReady), ending(scheduler.Saturated),
+		ending(scheduler.Draining), ending(scheduler.DeadlinePassed), ending(scheduler.OutcomeUnknown), ending(scheduler.OutcomeUnknownLate)} {
 		m.endings[how] = set.NewCounter(`seamloom_calls_total{ending="` + string(how) + `"}`)
 	}
-	for _, kind := range []scheduler.DecisionKind{scheduler.Read, scheduler.Run} {
+	for _, kind := range []scheduler.DecisionKind{scheduler.Prefill, scheduler.Generate} {
 		m.dispatches[kind] = map[scheduler.Result]*metrics.Counter{}
-		for _, result := range []scheduler.Result{scheduler.Unreached, scheduler.NotStarted, scheduler.Misdirected, scheduler.Silent, scheduler.Spoilt, scheduler.Answered, scheduler.Cut, scheduler.Complete, scheduler.Gone} {
+		for _, result := range []scheduler.Result{scheduler.Unreachable, scheduler.NotStarted, scheduler.Misdirected, scheduler.TimedOut, scheduler.Malformed, scheduler.ErrorResponse, scheduler.Interrupted, scheduler.Complete, scheduler.ClientGone} {
 			m.dispatches[kind][result] = set.NewCounter(`seamloom_call_dispatches_total{kind="` + string(kind) + `",result="` + string(result) + `"}`)
 		}
 	}
 	m.givenUp = map[scheduler.Reason]*metrics.Counter{}
-	for _, reason := range []scheduler.Reason{scheduler.NoPlace, scheduler.AttemptsUsed, scheduler.BudgetUsed, scheduler.MayHaveRun, scheduler.TooDear, scheduler.TimeUsed} {
+	for _, reason := range []scheduler.Reason{scheduler.NoCapacity, scheduler.AttemptsUsed, scheduler.BudgetUsed, scheduler.MayHaveRun, scheduler.TooCostly, scheduler.DeadlineReached} {
 		m.givenUp[reason] = set.NewCounter(`seamloom_calls_given_up_total{reason="` + string(reason) + `"}`)
 	}
 	set.NewGauge("seamloom_call_circuits_opened_total", func() float64 { return float64(connections.Opened()) })
--- a/internal/adapters/proxy/passing.go
+++ b/internal/adapters/proxy/passing.go
@@ -14,18 +14,18 @@
 func (d *dispatch) passWhole() {
 	e, response := d.exchange, d.response
 	body, err := readBounded(response.Body, response.ContentLength, mostKept)
-	d.outcome.First = e.intake.now()
+	d.outcome.FirstByte = e.intake.now()
 	if err == nil {
 		e.passHead(response)
 		if _, err := e.writer.Write(body); err != nil && err != http.ErrBodyNotAllowed {
-			d.fail(scheduler.Gone)
+			d.fail(scheduler.ClientGone)
 			return
 		}
 		d.finish(scheduler.Complete)
 		return
 	}
 	if err != errOversize {
-		d.fail(scheduler.Silent)
+		d.fail(scheduler.TimedOut)
 		return
 	}
 	d.extend()
@@ -33,21 +33,21 @@
 	buffer := make([]byte, copyBuffer)
 	for {
 		if _, err := e.writer.Write(body); err != nil {
-			d.fail(scheduler.Gone)
+			d.fail(scheduler.ClientGone)
 			return
 		}
 		read, err := response.Body.Read(buffer)
 		body = buffer[:read]
 		if err == io.EOF {
 			if _, err := e.writer.Write(body); err != nil {
-				d.fail(scheduler.Gone)
+				d.fail(scheduler.ClientGone)
 				return
 			}
 			d.finish(scheduler.Complete)
 			return
 		}
 		if err != nil {
-			d.fail(scheduler.Cut)
+			d.fail(scheduler.Interrupted)
 			return
 		}
 	}
@@ -72,7 +72,7 @@
 			}
 			text = append(text, make([]byte, len(text))...)[:len(text)]
 		}
-		silence := d.decision.Silence
+		silence := d.decision.StreamTimeout
 		if silence > 0 && e.begun.Load() {
 			d.timer.Reset(min(silence, d.left()))
 		} else {
@@ -83,8 +83,8 @@
 			d.extend()
 		}
 		text = text[:len(text)+read]
-		if read > 0 && d.outcome.First.IsZero() {
-			d.outcome.First = e.intake.now()
+		if read > 0 && d.outcome.FirstByte.IsZero() {
+			d.outcome.FirstByte = e.intake.now()
 			d.extend()
 			began()
 		}
@@ -110,14 +110,14 @@
 				e.passHead(response)
 			}
 			if _, err := e.writer.Write(event); err != nil {
-				d.fail(scheduler.Gone)
+				d.fail(scheduler.ClientGone)
 				return
 			}
 			passed = true
 		}
 		if passed && ended != io.EOF {
 			if err := flusher.Flush(); err != nil {
-				d.fail(scheduler.Gone)
+				d.fail(scheduler.ClientGone)
 				return
 			}
 		}
@@ -139,10 +139,10 @@
 // breakOff ends a dispatch whose success broke off.
 func (d *dispatch) breakOff() {
 	if d.exchange.begun.Load() {
-		d.fail(scheduler.Cut)
+		d.fail(scheduler.Interrupted)
 		return
 	}
-	d.fail(scheduler.Silent)
+	d.fail(scheduler.TimedOut)
 }
 
 // behind tells whether an event comes after another, by their ids: as numbers, or else
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -192,20 +192,20 @@
 	var outcome scheduler.Outcome
 	for number := 0; ; number++ {
 		decision := s.decide(number, outcome)
-		for _, source := range decision.Free {
+		for _, source := range decision.Release {
 			e.Free(source)
 		}
 		switch decision.Kind {
-		case scheduler.Read:
+		case scheduler.Prefill:
 			outcome = e.Read(decision)
-		case scheduler.Run:
+		case scheduler.Generate:
 			outcome = e.Run(&s.route, decision, func() {})
-		case scheduler.Through:
+		case scheduler.PassThrough:
 			if !e.Through() {
-				e.Refuse(dataplane.Refusal{Cause: scheduler.Broken, Status: http.StatusBadGateway})
+				e.Refuse(dataplane.Refusal{Cause: scheduler.OutcomeUnknown, Status: http.StatusBadGateway})
 			}
 			return
-		case scheduler.Break:
+		case scheduler.BreakStream:
 			e.Break()
 			return
 		case scheduler.Refuse:
@@ -233,7 +233,7 @@
 func once(server func() membership.Server) func(number int, outcome scheduler.Outcome) scheduler.Decision {
 	return func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		if number == 0 {
-			return scheduler.Decision{Kind: scheduler.Run, Server: server(), Ends: time.Now().Add(5 * time.Second), Urgency: -1}
+			return scheduler.Decision{Kind: scheduler.Generate, Server: server(), Deadline: time.Now().Add(5 * time.Second), Priority: -1}
 		}
 		return lastWord(outcome)
 	}
@@ -241,14 +241,14 @@
 
 func lastWord(outcome scheduler.Outcome) scheduler.Decision {
 	switch outcome.Result {
-	case scheduler.Complete, scheduler.Gone:
+	case scheduler.Complete, scheduler.ClientGone:
 		return scheduler.Decision{Kind: scheduler.Done}
-	case scheduler.Cut:
-		return scheduler.Decision{Kind: scheduler.Break}
-	case scheduler.Answered, scheduler.NotStarted, scheduler.Misdirected:
-		return scheduler.Decision{Kind: scheduler.Through}
+	case scheduler.Interrupted:
+		return scheduler.Decision{Kind: scheduler.BreakStream}
+	case scheduler.ErrorResponse, scheduler.NotStarted, scheduler.Misdirected:
+		return scheduler.Decision{Kind: scheduler.PassThrough}
 	}
-	return scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.Broken}
+	return scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.OutcomeUnknown}
 }
 
 type router struct {
--- a/internal/adapters/router/calls.go
+++ b/internal/adapters/router/calls.go
@@ -19,13 +19,13 @@
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
-func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Window) dataplane.Board {
+func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Scheduler) dataplane.Board {
 	chosen := p.chosen
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
 	}
 	p.calls.connections = proxy.NewConnections(chosen.Detours)
-	return func(deciding *scheduler.Window) dataplane.Board {
+	return func(deciding *scheduler.Scheduler) dataplane.Board {
 		p.calls.conduct = dataplane.NewCalls(rt, deciding, p.calls.connections.SetServers)
 		return p.calls.conduct
 	}
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -59,7 +59,7 @@
 	CallsOnly bool
 	// Retries bounds what all routers send beyond the first dispatch of each
 	// opaque call.
-	Retries scheduler.Allowance
+	Retries scheduler.RetryAllowance
 }
 
 // Start listens and begins to work.
--- a/internal/backlog/ledger.go
+++ b/internal/backlog/ledger.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Lease is how long a router's share of a count lasts when nothing more is heard of it. It
+// ShareTTL is how long a router's share of a count lasts when nothing more is heard of it. It
 // is longer than a read takes on a server that is well.
-const Lease = 3 * time.Second
+const ShareTTL = 3 * time.Second
 
-// Ledger keeps the counts of the groups that a router was asked for. The zero value is
+// Table keeps the counts of the groups that a router was asked for. The zero value is
 // ready to use.
-type Ledger struct {
+type Table struct {
 	mutex  sync.Mutex
-	groups map[string]map[holding]*share
+	groups map[string]map[shareKey]*share
 	swept  time.Time
 }
 
 // holding is what one router has one server read.
-type holding struct{ server, router string }
+type shareKey struct{ server, router string }
 
 type share struct {
 	tokens  int
@@ -27,17 +27,17 @@
 }
 
 // Apply counts a question's changes, answers it and counts its intent.
-func (l *Ledger) Apply(now time.Time, question Question) Answer {
+func (l *Table) Apply(now time.Time, question Request) Response {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if now.Sub(l.swept) >= Lease {
+	if now.Sub(l.swept) >= ShareTTL {
 		l.sweep(now)
 	}
 	for _, change := range question.Changes {
 		l.count(now, question, change)
 	}
-	var answer Answer
-	if question.Asks {
+	var answer Response
+	if question.WantsCounts {
 		answer.Counts = l.counts(now, question.Group)
 	}
 	if question.Intent != nil {
@@ -46,30 +46,30 @@
 	return answer
 }
 
-func (l *Ledger) count(now time.Time, question Question, change Change) {
+func (l *Table) count(now time.Time, question Request, change Change) {
 	if l.groups == nil {
-		l.groups = map[string]map[holding]*share{}
+		l.groups = map[string]map[shareKey]*share{}
 	}
 	group, found := l.groups[question.Group]
 	if !found {
-		group = map[holding]*share{}
+		group = map[shareKey]*share{}
 		l.groups[question.Group] = group
 	}
-	holder := holding{server: change.Server, router: question.Router}
+	holder := shareKey{server: change.Server, router: question.Router}
 	held, found := group[holder]
 	if !found || !now.Before(held.expires) {
 		held = &share{}
 		group[holder] = held
 	}
 	held.tokens += change.Tokens
-	held.expires = now.Add(Lease)
+	held.expires = now.Add(ShareTTL)
 	if held.tokens <= 0 {
 		delete(group, holder)
 	}
 }
 
 // counts sums the shares of each server, the servers in order.
-func (l *Ledger) counts(now time.Time, group string) []Change {
+func (l *Table) counts(now time.Time, group string) []Change {
 	sums := map[string]int{}
 	for holder, held := range l.groups[group] {
 		if now.Before(held.expires) {
@@ -85,7 +85,7 @@
 }
 
 // sweep forgets shares that lapsed.
-func (l *Ledger) sweep(now time.Time) {
+func (l *Table) sweep(now time.Time) {
 	l.swept = now
 	for name, group := range l.groups {
 		for holder, held := range group {
--- a/internal/backlog/ledger_test.go
+++ b/internal/backlog/ledger_test.go
@@ -8,8 +8,8 @@
 
 var noon = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-func ask(ledger *Ledger, at time.Time, intent *Change, changes ...Change) map[string]int {
-	answer := ledger.Apply(at, Question{Router: "asking", Group: "g", Asks: true, Intent: intent, Changes: changes})
+func ask(ledger *Table, at time.Time, intent *Change, changes ...Change) map[string]int {
+	answer := ledger.Apply(at, Request{Router: "asking", Group: "g", WantsCounts: true, Intent: intent, Changes: changes})
 	counts := map[string]int{}
 	for _, count := range answer.Counts {
 		counts[count.Server] = count.Tokens
@@ -19,7 +19,7 @@
 
 // TestIntentIsSeenByTheNext has an intent counted after its own answer and before the next.
 func TestIntentIsSeenByTheNext(t *testing.T) {
-	var ledger Ledger
+	var ledger Table
 	if counts := ask(&ledger, noon, &Change{Server: "a", Tokens: 900}); len(counts) != 0 {
 		t.Errorf("the first answer: %v", counts)
 	}
@@ -33,11 +33,11 @@
 
 // TestSharesLapse has the share of a router that is gone lapse, and only that.
 func TestSharesLapse(t *testing.T) {
-	var ledger Ledger
+	var ledger Table
 	ask(&ledger, noon, nil)
-	lapses := noon.Add(Lease + time.Millisecond)
-	ledger.Apply(noon.Add(time.Millisecond), Question{Router: "gone", Group: "g", Changes: []Change{{Server: "a", Tokens: 700}}})
-	ask(&ledger, noon.Add(Lease/2), &Change{Server: "a", Tokens: 20})
+	lapses := noon.Add(ShareTTL + time.Millisecond)
+	ledger.Apply(noon.Add(time.Millisecond), Request{Router: "gone", Group: "g", Changes: []Change{{Server: "a", Tokens: 700}}})
+	ask(&ledger, noon.Add(ShareTTL/2), &Change{Server: "a", Tokens: 20})
 	// The sweep of this moment finds it still held; what is told a moment later leaves it out.
 	if counts := ask(&ledger, lapses.Add(-time.Millisecond), nil); counts["a"] != 720 {
 		t.Errorf("before the end of the lease: %v", counts)
@@ -45,7 +45,7 @@
 	if counts := ask(&ledger, lapses, nil); counts["a"] != 20 {
 		t.Errorf("at the end of the lease: %v", counts)
 	}
-	if counts := ask(&ledger, noon.Add(3*Lease), nil); len(counts) != 0 || len(ledger.groups) != 0 {
+	if counts := ask(&ledger, noon.Add(3*ShareTTL), nil); len(counts) != 0 || len(ledger.groups) != 0 {
 		t.Errorf("after all leases: %v, %d groups", counts, len(ledger.groups))
 	}
 }
@@ -53,8 +53,8 @@
 // TestNeverBelowZero has releases that come twice, or without what they release, do no
 // harm to what others have sent.
 func TestNeverBelowZero(t *testing.T) {
-	var ledger Ledger
-	ledger.Apply(noon, Question{Router: "other", Group: "g", Changes: []Change{{Server: "a", Tokens: 100}}})
+	var ledger Table
+	ledger.Apply(noon, Request{Router: "other", Group: "g", Changes: []Change{{Server: "a", Tokens: 100}}})
 	for range 3 {
 		ask(&ledger, noon, nil, Change{Server: "a", Tokens: -400})
 	}
@@ -67,19 +67,19 @@
 // shares do not lapse.
 func TestAgainstSum(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	var ledger Ledger
+	var ledger Table
 	want := map[string]int{}
-	under := map[holding]int{}
+	under := map[shareKey]int{}
 	servers, routers := []string{"a", "b", "c"}, []string{"x", "y", "z"}
 	for range 5000 {
-		holder := holding{servers[random.IntN(3)], routers[random.IntN(3)]}
+		holder := shareKey{servers[random.IntN(3)], routers[random.IntN(3)]}
 		tokens := 1 + random.IntN(500)
 		if under[holder] > 0 && random.IntN(2) == 0 {
 			tokens = -under[holder]
 		}
 		under[holder] += tokens
 		want[holder.server] += tokens
-		ledger.Apply(noon, Question{Router: holder.router, Group: "g", Changes: []Change{{Server: holder.server, Tokens: tokens}}})
+		ledger.Apply(noon, Request{Router: holder.router, Group: "g", Changes: []Change{{Server: holder.server, Tokens: tokens}}})
 	}
 	counts := ask(&ledger, noon, nil)
 	for _, server := range servers {
--- a/internal/backlog/message.go
+++ b/internal/backlog/message.go
@@ -14,21 +14,21 @@
 	Tokens int
 }
 
-// Question tells the keeper of a group's counts what changed and may ask for them.
-type Question struct {
+// Request tells the keeper of a group's counts what changed and may ask for them.
+type Request struct {
 	// Router is one life of the asking router.
 	Router string `msgpack:"router"`
 	Group  string `msgpack:"group"`
 	// Changes are counted before the answer is made.
 	Changes []Change `msgpack:"changes,omitempty"`
-	// Asks tells that the counts are wanted.
-	Asks bool `msgpack:"asks,omitempty"`
+	// WantsCounts tells that the counts are wanted.
+	WantsCounts bool `msgpack:"asks,omitempty"`
 	// Intent is what the asking router is about to send: it is counted after the answer
 	// was made, so that the next router sees it.
 	Intent *Change `msgpack:"intent,omitempty"`
 }
 
-// Answer has the counts of the servers that read anything.
-type Answer struct {
+// Response has the counts of the servers that read anything.
+type Response struct {
 	Counts []Change `msgpack:"counts,omitempty"`
 }
--- a/internal/controlplane/lists.go
+++ b/internal/controlplane/lists.go
@@ -185,7 +185,7 @@
 		return
 	}
 	reporter := outlier.Reporter{Name: question.Member.Name, Zone: question.Member.Zone}
-	l.outliers.Seen(reporter)
+	l.outliers.Observe(reporter)
 	if len(question.Failing) > 0 {
 		l.outliers.Report(now, reporter, question.Failing, len(l.servers(now)))
 	}
@@ -246,7 +246,7 @@
 		if server.Slots > 0 {
 			most = server.Slots / calmShare
 		}
-		if found && (reported.load.Waiting > 0 || reported.load.Running > most || reported.load.Changing) {
+		if found && (reported.load.Waiting > 0 || reported.load.Running > most || reported.load.ChangingRole) {
 			return false
 		}
 	}
--- a/internal/controlplane/lists_test.go
+++ b/internal/controlplane/lists_test.go
@@ -94,7 +94,7 @@
 
 // TestReportTravelsShort wants one server's report to stay a few dozen bytes.
 func TestReportTravelsShort(t *testing.T) {
-	line := wire.ReportOf(scheduler.Load{Server: "i-7f3a91c2", Part: "decode", Changing: true, Orders: 2, Waiting: 100, Running: 60, MemoryUsed: 200_000, MemoryTotal: 319_972, Handles: 12}, 240*time.Millisecond)
+	line := wire.ReportOf(scheduler.Load{Server: "i-7f3a91c2", Role: "decode", ChangingRole: true, Orders: 2, Waiting: 100, Running: 60, MemoryUsed: 200_000, MemoryTotal: 319_972, Handles: 12}, 240*time.Millisecond)
 	body, err := msgpack.Marshal(line)
 	if err != nil || len(body) > 48 {
 		t.Errorf("%d bytes, %v", len(body), err)
@@ -116,7 +116,7 @@
 		"a little":         {scheduler.Load{Server: "a", Running: 10}, true},
 		"more than a part": {scheduler.Load{Server: "a", Running: 11}, false},
 		"a call waits":     {scheduler.Load{Server: "a", Waiting: 1}, false},
-		"a change of part": {scheduler.Load{Server: "a", Changing: true}, false},
+		"a change of part": {scheduler.Load{Server: "a", ChangingRole: true}, false},
 	} {
 		var known lists
 		known.begin(1)
--- a/internal/dataplane/calls.go
+++ b/internal/dataplane/calls.go
@@ -17,7 +17,7 @@
 // serves one call.
 type Calls struct {
 	runtime runtime.Runtime
-	window  *scheduler.Window
+	window  *scheduler.Scheduler
 	// listed is told which servers there are, before any call is sent to them.
 	listed  func(servers []membership.Server)
 	servers atomic.Int64
@@ -29,13 +29,13 @@
 }
 
 // NewCalls makes the conduct over a window. Listed is told which servers there are.
-func NewCalls(rt runtime.Runtime, window *scheduler.Window, listed func(servers []membership.Server)) *Calls {
+func NewCalls(rt runtime.Runtime, window *scheduler.Scheduler, listed func(servers []membership.Server)) *Calls {
 	return &Calls{runtime: rt, window: window, listed: listed}
 }
 
 // SetConfiguration puts a configuration in force, unless a newer one is.
 func (c *Calls) SetConfiguration(configuration *config.Configuration, version replication.Version) {
-	c.window.SetProgram(scheduler.Compile(configuration, version.Epoch, version.Number))
+	c.window.SetRouteTable(scheduler.Compile(configuration, version.Epoch, version.Number))
 }
 
 // SetServing bounds until when calls are admitted.
@@ -68,12 +68,12 @@
 }
 
 // SetRouters tells how many routers share the servers.
-func (c *Calls) SetRouters(count int) { c.window.SetRouters(count) }
+func (c *Calls) SetRouters(count int) { c.window.SetRouterCount(count) }
 
 // Ready tells whether calls are welcome: a configuration is in force, servers are
 // known, and the router is not leaving.
 func (c *Calls) Ready() bool {
-	epoch, number := c.window.InForce()
+	epoch, number := c.window.ConfigVersion()
 	return (epoch > 0 || number > 0) && c.servers.Load() > 0 && !c.leaving.Load() && c.serves()
 }
 
@@ -129,19 +129,19 @@
 		if c.countOwners != nil {
 			c.countOwners.NoteChanges()
 		}
-		for _, source := range decision.Free {
+		for _, source := range decision.Release {
 			exchange.Free(source)
 		}
 		switch decision.Kind {
-		case scheduler.Ask:
+		case scheduler.QueryBacklog:
 			decision = c.told(ticket, decision)
 			continue
-		case scheduler.Read:
+		case scheduler.Prefill:
 			outcome = exchange.Read(decision)
 			if outcome.Handle != "" && outcome.Result != scheduler.Complete {
 				exchange.Free(scheduler.Source{Address: decision.Server.Address, Handle: outcome.Handle})
 			}
-		case scheduler.Run:
+		case scheduler.Generate:
 			outcome = exchange.Run(ticket.Route().Calls, decision, func() { c.window.Began(c.runtime.Now(), ticket) })
 			before, ran = ran, ran || outcome.Result.MayHaveRun()
 		default:
@@ -161,16 +161,16 @@
 func conclude(exchange Exchange, decision scheduler.Decision, ran, partly bool) {
 	switch decision.Kind {
 	case scheduler.Done:
-	case scheduler.Break:
+	case scheduler.BreakStream:
 		exchange.Break()
-	case scheduler.Through:
+	case scheduler.PassThrough:
 		if partly || !exchange.Through() {
-			exchange.Refuse(Refusal{Cause: scheduler.Broken, Status: http.StatusBadGateway})
+			exchange.Refuse(Refusal{Cause: scheduler.OutcomeUnknown, Status: http.StatusBadGateway})
 		}
 	default:
 		refusal := Refusal{Cause: decision.Cause, RetryAfter: decision.RetryAfter}
 		if ran && refusal.Cause.NeverRan() {
-			refusal = Refusal{Cause: scheduler.Broken}
+			refusal = Refusal{Cause: scheduler.OutcomeUnknown}
 		}
 		refusal.Status = statusOf(refusal.Cause)
 		exchange.Refuse(refusal)
@@ -183,16 +183,16 @@
 	switch cause {
 	case scheduler.NoRoute:
 		return http.StatusNotFound
-	case scheduler.Broken:
+	case scheduler.OutcomeUnknown:
 		return http.StatusBadGateway
-	case scheduler.BrokenLate:
+	case scheduler.OutcomeUnknownLate:
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusServiceUnavailable
 }
 
 // told asks the keepers of counts and has the window go on with their answers.
-func (c *Calls) told(ticket *scheduler.Ticket, decision scheduler.Decision) scheduler.Decision {
-	answers := c.countOwners.Ask(decision.Questions)
-	return c.window.Told(c.runtime.Now(), ticket, answers)
+func (c *Calls) told(ticket *scheduler.CallState, decision scheduler.Decision) scheduler.Decision {
+	answers := c.countOwners.Ask(decision.BacklogRequests)
+	return c.window.BacklogReported(c.runtime.Now(), ticket, answers)
 }
--- a/internal/dataplane/calls_test.go
+++ b/internal/dataplane/calls_test.go
@@ -56,7 +56,7 @@
 func newCalls(t *testing.T, parts ...string) (*Calls, *osruntime.Runtime) {
 	t.Helper()
 	rt := osruntime.New(t.Context(), osruntime.NewClock())
-	calls := NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.Allowance{Ratio: 9, Slack: 1000, Span: time.Second}}), func([]membership.Server) {})
+	calls := NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.RetryAllowance{Ratio: 9, Slack: 1000, Window: time.Second}}), func([]membership.Server) {})
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
 		LinkBits: 5e11, TokensAChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
@@ -77,7 +77,7 @@
 }
 
 func arriving(path string) *scheduler.Call {
-	return &scheduler.Call{ID: "id", Host: "h", Path: path, Model: "m", PromptTokens: 100, OutputTokens: 10, Ends: time.Now().Add(2 * time.Second)}
+	return &scheduler.Call{ID: "id", Host: "h", Path: path, Model: "m", PromptTokens: 100, OutputTokens: 10, Deadline: time.Now().Add(2 * time.Second)}
 }
 
 func TestCallsGiveNoPromiseOfWhatMayHaveRun(t *testing.T) {
@@ -89,14 +89,14 @@
 		last     string
 	}{
 		"no route":                     {"/none/", nil, false, 404, "refuse"},
-		"never reached":                {"/once/", []scheduler.Outcome{{Result: scheduler.Unreached}, {Result: scheduler.Unreached}, {Result: scheduler.Unreached}}, false, 503, "refuse"},
-		"silent once":                  {"/once/", []scheduler.Outcome{{Result: scheduler.Silent}}, false, 502, "refuse"},
-		"silent, then shed":            {"/again/", []scheduler.Outcome{{Result: scheduler.Silent}, {Result: scheduler.NotStarted, Status: 503}}, true, 502, "refuse"},
-		"its own failure":              {"/once/", []scheduler.Outcome{{Result: scheduler.Answered, Status: 500}}, true, 0, "through"},
-		"its own that can't be passed": {"/once/", []scheduler.Outcome{{Result: scheduler.Answered, Status: 503}}, false, 502, "refuse"},
-		"a cut":                        {"/once/", []scheduler.Outcome{{Result: scheduler.Cut}}, false, 0, "break"},
+		"never reached":                {"/once/", []scheduler.Outcome{{Result: scheduler.Unreachable}, {Result: scheduler.Unreachable}, {Result: scheduler.Unreachable}}, false, 503, "refuse"},
+		"silent once":                  {"/once/", []scheduler.Outcome{{Result: scheduler.TimedOut}}, false, 502, "refuse"},
+		"silent, then shed":            {"/again/", []scheduler.Outcome{{Result: scheduler.TimedOut}, {Result: scheduler.NotStarted, Status: 503}}, true, 502, "refuse"},
+		"its own failure":              {"/once/", []scheduler.Outcome{{Result: scheduler.ErrorResponse, Status: 500}}, true, 0, "through"},
+		"its own that can't be passed": {"/once/", []scheduler.Outcome{{Result: scheduler.ErrorResponse, Status: 503}}, false, 502, "refuse"},
+		"a cut":                        {"/once/", []scheduler.Outcome{{Result: scheduler.Interrupted}}, false, 0, "break"},
 		"complete":                     {"/once/", []scheduler.Outcome{{Result: scheduler.Complete}}, false, 0, "run"},
-		"the origin left":              {"/once/", []scheduler.Outcome{{Result: scheduler.Gone}}, false, 0, "run"},
+		"the origin left":              {"/once/", []scheduler.Outcome{{Result: scheduler.ClientGone}}, false, 0, "run"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls, _ := newCalls(t, "decode", "decode", "decode")
@@ -119,7 +119,7 @@
 	calls, _ := newCalls(t, "prefill", "decode")
 	call := arriving("/once/")
 	call.PromptTokens = 9000
-	exchange := &scriptedExchange{outcomes: []scheduler.Outcome{{Result: scheduler.Complete, Handle: "h1"}, {Result: scheduler.Gone}}}
+	exchange := &scriptedExchange{outcomes: []scheduler.Outcome{{Result: scheduler.Complete, Handle: "h1"}, {Result: scheduler.ClientGone}}}
 	calls.Serve(call, exchange)
 	if len(exchange.done) != 2 || len(exchange.freed) != 1 || exchange.freed[0] != (scheduler.Source{Address: "stove-a:1", Handle: "h1"}) {
 		t.Fatalf("%v %v", exchange.done, exchange.freed)
@@ -141,7 +141,7 @@
 	}
 	exchange := &scriptedExchange{}
 	calls.Serve(arriving("/once/"), exchange)
-	if exchange.refused.Status != 503 || exchange.refused.Cause != scheduler.Leaving {
+	if exchange.refused.Status != 503 || exchange.refused.Cause != scheduler.Draining {
 		t.Fatalf("%+v", exchange.refused)
 	}
 }
@@ -149,12 +149,12 @@
 // TestTheLastWordPromisesNothingOfWhatMayHaveRun whatever was decided.
 func TestTheLastWordPromisesNothingOfWhatMayHaveRun(t *testing.T) {
 	exchange := &scriptedExchange{kept: true}
-	conclude(exchange, scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.Full, RetryAfter: time.Second}, true, false)
+	conclude(exchange, scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.Saturated, RetryAfter: time.Second}, true, false)
 	if exchange.refused.Status != 502 || exchange.refused.RetryAfter != 0 {
 		t.Errorf("a refusal after a run: %+v", exchange.refused)
 	}
 	exchange = &scriptedExchange{kept: true}
-	conclude(exchange, scheduler.Decision{Kind: scheduler.Through}, true, true)
+	conclude(exchange, scheduler.Decision{Kind: scheduler.PassThrough}, true, true)
 	if exchange.refused.Status != 502 {
 		t.Errorf("a promise of the last server after another's run: %+v, %v", exchange.refused, exchange.done)
 	}
--- a/internal/dataplane/countowners.go
+++ b/internal/dataplane/countowners.go
@@ -19,10 +19,10 @@
 type CountOwners struct {
 	runtime runtime.Runtime
 	client  wire.Client
-	window  *scheduler.Window
+	window  *scheduler.Scheduler
 	// self is this node's name, life this life of it.
 	self, incarnation string
-	ledger            backlog.Ledger
+	ledger            backlog.Table
 	changed           runtime.Cond
 
 	mutex  sync.Mutex
@@ -43,7 +43,7 @@
 )
 
 // NewCountOwners makes the keepers' side and the asking side of one life of a node.
-func NewCountOwners(rt runtime.Runtime, line wire.Client, window *scheduler.Window, self, incarnation string) *CountOwners {
+func NewCountOwners(rt runtime.Runtime, line wire.Client, window *scheduler.Scheduler, self, incarnation string) *CountOwners {
 	return &CountOwners{runtime: rt, client: line, window: window, self: self, incarnation: incarnation, changed: rt.NewCond(),
 		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
 }
@@ -63,18 +63,18 @@
 }
 
 // Handle answers a question of another node.
-func (c *CountOwners) Answer(question backlog.Question) (backlog.Answer, error) {
+func (c *CountOwners) Answer(question backlog.Request) (backlog.Response, error) {
 	return c.ledger.Apply(c.runtime.Now(), question), nil
 }
 
 // Ask brings questions to their keepers, all at once, and gives the answers that come in
 // time, by group.
-func (c *CountOwners) Ask(questions []backlog.Question) map[string]backlog.Answer {
-	answers := make(map[string]backlog.Answer, len(questions))
+func (c *CountOwners) Ask(questions []backlog.Request) map[string]backlog.Response {
+	answers := make(map[string]backlog.Response, len(questions))
 	var mutex sync.Mutex
 	left := len(questions) - 1
 	done := c.runtime.NewCond()
-	ask := func(question backlog.Question) {
+	ask := func(question backlog.Request) {
 		answer, answered := c.send(question)
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -99,7 +99,7 @@
 	})
 	mutex.Lock()
 	defer mutex.Unlock()
-	complete := make(map[string]backlog.Answer, len(answers))
+	complete := make(map[string]backlog.Response, len(answers))
 	for group, answer := range answers {
 		complete[group] = answer
 	}
@@ -107,7 +107,7 @@
 }
 
 // bring has the keeper of a question's group answer it.
-func (c *CountOwners) send(question backlog.Question) (answer backlog.Answer, answered bool) {
+func (c *CountOwners) send(question backlog.Request) (answer backlog.Response, answered bool) {
 	question.Router = c.incarnation
 	keeper, found := c.owner(question.Group)
 	if !found {
@@ -168,7 +168,7 @@
 
 // NoteChanges has the keepers told, soon, of what changed by a decision.
 func (c *CountOwners) NoteChanges() {
-	if c.window.HasChanges() {
+	if c.window.HasBacklogChanges() {
 		c.changed.Broadcast()
 	}
 }
@@ -176,10 +176,10 @@
 // Run brings changes to the keepers whenever there are any.
 func (c *CountOwners) Run() {
 	for c.runtime.Alive() {
-		c.changed.Wait(restTick, c.window.HasChanges)
+		c.changed.Wait(restTick, c.window.HasBacklogChanges)
 		runtime.Sleep(c.runtime, changesPause)
-		for group, changes := range c.window.TakeChanges() {
-			c.send(backlog.Question{Group: group, Changes: changes})
+		for group, changes := range c.window.TakeBacklogChanges() {
+			c.send(backlog.Request{Group: group, Changes: changes})
 		}
 	}
 }
--- a/internal/dataplane/countowners_test.go
+++ b/internal/dataplane/countowners_test.go
@@ -32,7 +32,7 @@
 	if down || keeper == nil || path != wire.CountsPath {
 		return nil, failure.New(failure.Unreachable, "nobody answers")
 	}
-	var question backlog.Question
+	var question backlog.Request
 	if err := msgpack.Unmarshal(body, &question); err != nil {
 		return nil, failure.Wrap(failure.Garbage, err)
 	}
@@ -62,8 +62,8 @@
 	return line, all
 }
 
-func asks(group, server string, tokens int) []backlog.Question {
-	return []backlog.Question{{Group: group, Asks: true, Intent: &backlog.Change{Server: server, Tokens: tokens}}}
+func asks(group, server string, tokens int) []backlog.Request {
+	return []backlog.Request{{Group: group, WantsCounts: true, Intent: &backlog.Change{Server: server, Tokens: tokens}}}
 }
 
 // TestNodesAgreeOnTheKeeper has every node see what the others intend, in a group of its
@@ -155,12 +155,12 @@
 func TestCallsAskBeforeReads(t *testing.T) {
 	_, all := keeperFleet(t)
 	calls, _ := newCalls(t, "prefill", "decode")
-	calls.window.SetAsks(true)
+	calls.window.SetBacklogQueries(true)
 	keepers := all["a"]
 	keepers.window = calls.window
 	calls.SetCountOwners(keepers)
 	counted := func() []backlog.Change {
-		return all["b"].Ask([]backlog.Question{{Group: "desk/north/0", Asks: true}})["desk/north/0"].Counts
+		return all["b"].Ask([]backlog.Request{{Group: "desk/north/0", WantsCounts: true}})["desk/north/0"].Counts
 	}
 	exchange := &readingExchange{scriptedExchange: scriptedExchange{outcomes: []scheduler.Outcome{{Result: scheduler.Complete, Handle: "h"}, {Result: scheduler.Complete}}}}
 	exchange.during = func() {
@@ -171,8 +171,8 @@
 	call := arriving("/once/")
 	call.PromptTokens = 9000
 	calls.Serve(call, exchange)
-	for group, changes := range calls.window.TakeChanges() {
-		keepers.send(backlog.Question{Group: group, Changes: changes})
+	for group, changes := range calls.window.TakeBacklogChanges() {
+		keepers.send(backlog.Request{Group: group, Changes: changes})
 	}
 	if counts := counted(); len(counts) != 0 {
 		t.Errorf("after the prompt was read: %v", counts)
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -24,7 +24,7 @@
 	Pressures Pressures
 	// Board makes who serves opaque calls over the core's window; none: this router
 	// takes no calls, and follows no reports.
-	Board func(deciding *scheduler.Window) Board
+	Board func(deciding *scheduler.Scheduler) Board
 	// ServeWithoutLease is how long the router goes on letting in after its last hold.
 	ServeWithoutLease time.Duration
 	// Nonce gives a text that is new each time.
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -81,8 +81,8 @@
 	if options.Board != nil {
 		router.board = options.Board(router.core.Calls())
 		router.countOwners = NewCountOwners(rt, line, router.core.Calls(), options.Router, router.incarnation)
-		router.core.Calls().SetAsks(true)
-		router.follower.OnFailing(router.core.Calls().TakeFailing)
+		router.core.Calls().SetBacklogQueries(true)
+		router.follower.OnFailing(router.core.Calls().TakeFailures)
 		router.board.SetCountOwners(router.countOwners)
 	}
 	router.follower.Follow(options.Directory != nil, router.board != nil)
--- a/internal/dataplane/router_test.go
+++ b/internal/dataplane/router_test.go
@@ -94,7 +94,7 @@
 	board := &noted{until: runtimetest.AtNoon(time.Hour)}
 	rt := &runtimetest.Moving{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), Time: runtimetest.AtNoon(0)}
 	options := Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
-		Ended: func(*auction.Request, auction.Decision) {}, Board: func(*scheduler.Window) Board { return board }, ServeWithoutLease: time.Minute}
+		Ended: func(*auction.Request, auction.Decision) {}, Board: func(*scheduler.Scheduler) Board { return board }, ServeWithoutLease: time.Minute}
 	router := NewRouter(rt, nil, nil, nil, options, func(string, ...any) {})
 	if !board.until.IsZero() {
 		t.Errorf("before any hold it serves until %s", board.until)
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -12,7 +12,7 @@
 // The measures of the detection. The values are ours.
 const (
 	// window is how far back reports count together.
-	window = 1200 * time.Millisecond
+	reportWindow = 1200 * time.Millisecond
 	// leastReporters and leastZones are how many routers, and of how many zones, have to
 	// report a server: the routers of one zone may have lost the way to it.
 	leastReporters = 2
@@ -24,7 +24,7 @@
 	// trial is how long a few routers try a server before all use it again.
 	trial = time.Second
 	// memory is how long after a server's return its ejections are remembered.
-	memory = 10 * time.Second
+	forgetAfter = 10 * time.Second
 	// mostEjected is the part of the servers that may be ejected at a time: when more
 	// fail, something else is broken.
 	mostEjected = 3
@@ -54,8 +54,8 @@
 	until     time.Time
 }
 
-// Seen notes that a router is there, whether it reports anything or not.
-func (d *Detector) Seen(reporter Reporter) {
+// Observe notes that a router is there, whether it reports anything or not.
+func (d *Detector) Observe(reporter Reporter) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.zones == nil {
@@ -88,7 +88,7 @@
 		return
 	}
 	known.reports[reporter] = now
-	if !known.onTrial(now) && !d.agreed(now, known) || d.ejected(now) >= max(1, listed/mostEjected) {
+	if !known.onTrial(now) && !d.corroborated(now, known) || d.ejected(now) >= max(1, listed/mostEjected) {
 		return
 	}
 	length := min(firstEjection<<min(known.ejections, 8), longestEjection)
@@ -103,10 +103,10 @@
 }
 
 // agreed tells whether enough routers of enough zones reported the server.
-func (d *Detector) agreed(now time.Time, s *server) bool {
+func (d *Detector) corroborated(now time.Time, s *server) bool {
 	zones, reporters := map[string]bool{}, 0
 	for reporter, at := range s.reports {
-		if now.Sub(at) > window {
+		if now.Sub(at) > reportWindow {
 			delete(s.reports, reporter)
 			continue
 		}
@@ -137,8 +137,8 @@
 			advice.Ejected = append(advice.Ejected, name)
 		case known.onTrial(now):
 			advice.Trial = append(advice.Trial, name)
-		case known.ejections > 0 && now.Before(known.until.Add(memory)):
-		case !known.lately(now):
+		case known.ejections > 0 && now.Before(known.until.Add(forgetAfter)):
+		case !known.hasFreshReports(now):
 			delete(d.servers, name)
 		}
 	}
@@ -148,9 +148,9 @@
 }
 
 // lately tells whether any report still counts.
-func (s *server) lately(now time.Time) bool {
+func (s *server) hasFreshReports(now time.Time) bool {
 	for _, at := range s.reports {
-		if now.Sub(at) <= window {
+		if now.Sub(at) <= reportWindow {
 			return true
 		}
 	}
--- a/internal/outlier/detector_test.go
+++ b/internal/outlier/detector_test.go
@@ -17,7 +17,7 @@
 func fleet() *Detector {
 	detector := &Detector{}
 	for number := range 9 {
-		detector.Seen(router(number))
+		detector.Observe(router(number))
 	}
 	return detector
 }
@@ -54,7 +54,7 @@
 	if advice := detector.Advice(noon.Add(after)); len(advice.Ejected)+len(advice.Trial) != 0 {
 		t.Errorf("the trial was passed: %v", advice)
 	}
-	detector.Advice(noon.Add(after + memory))
+	detector.Advice(noon.Add(after + forgetAfter))
 	if len(detector.servers) != 0 {
 		t.Errorf("%d servers are remembered for ever", len(detector.servers))
 	}
@@ -69,8 +69,8 @@
 		}
 	}
 	single := &Detector{}
-	single.Seen(router(0))
-	single.Seen(router(3))
+	single.Observe(router(0))
+	single.Observe(router(3))
 	report(single, 0, 0, "a")
 	if advice := report(single, 0, 3, "a"); len(advice.Ejected) != 1 {
 		t.Errorf("a fleet of one zone ejects nothing: %v", advice)
@@ -81,7 +81,7 @@
 func TestOldReportsDoNotCount(t *testing.T) {
 	detector := fleet()
 	report(detector, 0, 0, "a")
-	if advice := report(detector, window+1, 1, "a"); len(advice.Ejected) != 0 {
+	if advice := report(detector, reportWindow+1, 1, "a"); len(advice.Ejected) != 0 {
 		t.Errorf("%v", advice)
 	}
 }
--- a/internal/scheduler/ablation_test.go
+++ b/internal/scheduler/ablation_test.go
@@ -11,13 +11,13 @@
 )
 
 // ablations take one mechanism of deciding away each.
-func ablations() map[string]func(*Window) {
-	cost := func(change func(*costs)) func(*Window) {
-		return func(calls *Window) { calls.SetAsks(true); change(&calls.costs) }
+func ablations() map[string]func(*Scheduler) {
+	cost := func(change func(*costs)) func(*Scheduler) {
+		return func(calls *Scheduler) { calls.SetBacklogQueries(true); change(&calls.costs) }
 	}
-	return map[string]func(*Window){
+	return map[string]func(*Scheduler){
 		"all of them":                         cost(func(*costs) {}),
-		"counts of what others have read":     func(*Window) {},
+		"counts of what others have read":     func(*Scheduler) {},
 		"idle connections first":              cost(func(costs *costs) { costs.connection = 0 }),
 		"shared parts read again":             cost(func(costs *costs) { costs.again = 0 }),
 		"first reader of a chain":             cost(func(costs *costs) { costs.home, costs.next = 0, 0 }),
@@ -75,7 +75,7 @@
 				for seed := range uint64(seeds) {
 					w := day.site.world(seed+30, ablations()[name])
 					if !strings.HasSuffix(name, "(pools)") {
-						w.pool(NewPools())
+						w.pool(NewRoleBalancer())
 					}
 					w.run(noon.Add(lead))
 					troubles()[day.trouble](w)
--- a/internal/scheduler/account.go
+++ b/internal/scheduler/account.go
@@ -112,7 +112,7 @@
 // answered takes what an answer said of the server's load.
 //
 // The call itself was among those that ran when the answer was made.
-func (a *account) answered(at time.Time, load AnswerLoad) {
+func (a *account) answered(at time.Time, load ResponseLoad) {
 	earlier := a.heard.Load()
 	if earlier != nil && at.Before(earlier.at) {
 		return
--- a/internal/scheduler/arrive.go
+++ b/internal/scheduler/arrive.go
@@ -8,10 +8,10 @@
 )
 
 // Arrive lets a call in, or refuses it; then there is no ticket.
-func (w *Window) Arrive(now time.Time, call *Call) (*Ticket, Decision) {
-	left := call.Ends.Sub(now)
+func (w *Scheduler) Arrive(now time.Time, call *Call) (*CallState, Decision) {
+	left := call.Deadline.Sub(now)
 	if w.draining.Load() {
-		return nil, refusal(Leaving, soon, left)
+		return nil, refusal(Draining, soon, left)
 	}
 	program := w.program.Load()
 	if program == nil {
@@ -26,16 +26,16 @@
 		limit = cmp.Or(service.Limit, config.DefaultLimit)
 	}
 	ends := now.Add(limit)
-	if !call.Ends.IsZero() && call.Ends.Before(ends) {
-		ends = call.Ends
+	if !call.Deadline.IsZero() && call.Deadline.Before(ends) {
+		ends = call.Deadline
 	}
 	if !now.Before(ends) {
-		return nil, Decision{Kind: Refuse, Cause: Late}
+		return nil, Decision{Kind: Refuse, Cause: DeadlinePassed}
 	}
 	if len(w.board.Load().all) == 0 {
 		return nil, refusal(NotReady, unready, ends.Sub(now))
 	}
-	ticket := &Ticket{call: call, routeRule: r, service: service, mark: nameKey(call.ID), arrived: now, ends: ends}
+	ticket := &CallState{call: call, routeRule: r, service: service, mark: nameKey(call.ID), arrived: now, ends: ends}
 	w.inFlight.Add(1)
 	decision := w.begin(now, ticket, w.weighing(now, ticket), true)
 	if decision.Kind == Refuse {
@@ -45,17 +45,17 @@
 }
 
 // begin finds a call's first dispatch, or refuses it. It may ask for counts first.
-func (w *Window) begin(now time.Time, ticket *Ticket, c *choice, mayAsk bool) Decision {
+func (w *Scheduler) begin(now time.Time, ticket *CallState, c *choice, mayAsk bool) Decision {
 	if mayAsk {
 		kind, best, found := c.cheapest(true)
 		if questions := c.questions(kind, best); found && len(questions) > 0 {
-			return Decision{Kind: Ask, Questions: questions}
+			return Decision{Kind: QueryBacklog, BacklogRequests: questions}
 		}
 	}
 	kind, way, found := c.find(func() (DecisionKind, offer, bool) { return c.cheapest(true) })
 	if !found || c.late(way) {
-		full := refusal(Full, c.relief(way, found), ticket.ends.Sub(now))
-		full.Reason = NoPlace
+		full := refusal(Saturated, c.relief(way, found), ticket.ends.Sub(now))
+		full.Reason = NoCapacity
 		return w.finish(now, ticket, full)
 	}
 	c.serviceState.retries.first(now, w.options.Retries)
--- a/internal/scheduler/backend.go
+++ b/internal/scheduler/backend.go
@@ -26,8 +26,8 @@
 
 // part is what the server does now, by the latest word of it.
 func (b *backend) part() string {
-	if h := b.heard.Load(); h != nil && h.load.Part != "" {
-		return h.load.Part
+	if h := b.heard.Load(); h != nil && h.load.Role != "" {
+		return h.load.Role
 	}
 	return b.server.Part
 }
@@ -35,7 +35,7 @@
 // changing tells that the server changes its part and begins nothing.
 func (b *backend) changing() bool {
 	h := b.heard.Load()
-	return h != nil && h.load.Changing
+	return h != nil && h.load.ChangingRole
 }
 
 // expectedToChange tells that the server was ordered to take another part and may begin nothing,
--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlogs.go
@@ -53,12 +53,12 @@
 	return changes
 }
 
-// SetAsks has the window ask for counts before reads: its conduct then answers decisions
-// of the kind Ask with Told, and brings TakeChanges to the keepers.
-func (w *Window) SetAsks(asks bool) { w.asks.Store(asks) }
+// SetBacklogQueries has the window ask for counts before reads: its conduct then answers decisions
+// of the kind Ask with Told, and brings TakeBacklogChanges to the keepers.
+func (w *Scheduler) SetBacklogQueries(asks bool) { w.asks.Store(asks) }
 
-// TakeChanges are the changes that the keepers have not been told of, by group.
-func (w *Window) TakeChanges() map[string][]backlog.Change {
+// TakeBacklogChanges are the changes that the keepers have not been told of, by group.
+func (w *Scheduler) TakeBacklogChanges() map[string][]backlog.Change {
 	w.outbox.mutex.Lock()
 	defer w.outbox.mutex.Unlock()
 	changes := w.outbox.changes
@@ -66,8 +66,8 @@
 	return changes
 }
 
-// HasChanges tells whether keepers are to be told of changes.
-func (w *Window) HasChanges() bool {
+// HasBacklogChanges tells whether keepers are to be told of changes.
+func (w *Scheduler) HasBacklogChanges() bool {
 	w.outbox.mutex.Lock()
 	defer w.outbox.mutex.Unlock()
 	return len(w.outbox.changes) > 0
@@ -75,17 +75,17 @@
 
 // questions are what to ask before a call is read, the group of the server that would be
 // chosen without an answer first; none if the answers would change nothing.
-func (c *choice) questions(kind DecisionKind, best offer) []backlog.Question {
-	if kind != Read || !c.window.asks.Load() {
+func (c *choice) questions(kind DecisionKind, best offer) []backlog.Request {
+	if kind != Prefill || !c.window.asks.Load() {
 		return nil
 	}
 	ticket, window := c.ticket, c.window
-	var questions []backlog.Question
+	var questions []backlog.Request
 	for _, b := range []*backend{best.backend, c.home, c.nextHome} {
 		if b == nil || b.group == "" || asksFor(questions, b.group) {
 			continue
 		}
-		question := backlog.Question{Group: b.group, Asks: true, Changes: window.outbox.take(b.group)}
+		question := backlog.Request{Group: b.group, WantsCounts: true, Changes: window.outbox.take(b.group)}
 		if b == best.backend {
 			ticket.booked = &booking{backend: b, tokens: best.unread}
 			question.Intent = &backlog.Change{Server: b.server.Name, Tokens: best.unread}
@@ -95,7 +95,7 @@
 	return questions
 }
 
-func asksFor(questions []backlog.Question, group string) bool {
+func asksFor(questions []backlog.Request, group string) bool {
 	for _, question := range questions {
 		if question.Group == group {
 			return true
@@ -104,9 +104,9 @@
 	return false
 }
 
-// Told takes the keepers' answers to a decision of the kind Ask, by group, and tells what
+// BacklogReported takes the keepers' answers to a decision of the kind Ask, by group, and tells what
 // is next. A keeper that did not answer is left out.
-func (w *Window) Told(now time.Time, ticket *Ticket, answers map[string]backlog.Answer) Decision {
+func (w *Scheduler) BacklogReported(now time.Time, ticket *CallState, answers map[string]backlog.Response) Decision {
 	if ticket.ended || ticket.dispatch.backend != nil {
 		return Decision{Kind: Done}
 	}
@@ -153,7 +153,7 @@
 }
 
 // unbook has the keeper know that what was booked for the call is read, or is not sent.
-func (w *Window) unbook(ticket *Ticket) {
+func (w *Scheduler) unbook(ticket *CallState) {
 	booked := ticket.booked
 	if booked == nil {
 		return
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -40,18 +40,18 @@
 	for _, routers := range []int{1, 3, 9, 30, 85} {
 		for seed := range uint64(4) {
 			random := rand.New(rand.NewPCG(seed, 5))
-			allowance := Allowance{Ratio: 0.2, Slack: 58, Span: 10 * time.Second}
+			allowance := RetryAllowance{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
 			if routers > 10 {
 				allowance.Slack = 216
 			}
-			start := func(number int) *Window {
+			start := func(number int) *Scheduler {
 				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north", Retries: allowance})
-				calls.SetRouters(routers)
-				calls.SetProgram(Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Attempts = 5 }), 1, 1))
+				calls.SetRouterCount(routers)
+				calls.SetRouteTable(Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Attempts = 5 }), 1, 1))
 				calls.SetServers(noon, servers(9))
 				return calls
 			}
-			var windows []*Window
+			var windows []*Scheduler
 			for number := range routers {
 				windows = append(windows, start(number))
 			}
@@ -64,12 +64,12 @@
 				ticket, decision := windows[number].Arrive(now, longCall(fmt.Sprint(now.UnixNano()), uint64(random.IntN(20))))
 				a = append(a, now)
 				counted, taken := 0, false
-				for ticket != nil && (decision.Kind == Read || decision.Kind == Run) {
-					outcome := Outcome{Result: []Result{NotStarted, Silent, Misdirected, Cut}[random.IntN(4)], First: now}
-					if decision.Kind == Read && random.IntN(2) == 0 {
+				for ticket != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
+					outcome := Outcome{Result: []Result{NotStarted, TimedOut, Misdirected, Interrupted}[random.IntN(4)], FirstByte: now}
+					if decision.Kind == Prefill && random.IntN(2) == 0 {
 						outcome = Outcome{Result: Complete, Handle: "h"}
 					}
-					if decision.Kind == Run || outcome.Result != Complete || taken {
+					if decision.Kind == Generate || outcome.Result != Complete || taken {
 						counted++
 						if counted > 1 {
 							extra = append(extra, now)
@@ -79,7 +79,7 @@
 					decision = windows[number].Ended(now, ticket, outcome)
 				}
 			}
-			most, beside := extra.most(allowance.Span, a)
+			most, beside := extra.most(allowance.Window, a)
 			if allowed := allowance.Ratio*float64(beside) + allowance.Slack; float64(most) > allowed {
 				t.Errorf("%d couriers: %d further tries for %d calls in a span, %.0f allowed", routers, most, beside, allowed)
 			}
@@ -96,11 +96,11 @@
 // same moment, which the list tells a little too early.
 func TestServersThatAreWarmAgainAreNotRunTo(t *testing.T) {
 	const routers, early = 72, 300 * time.Millisecond
-	var windows []*Window
+	var windows []*Scheduler
 	for number := range routers {
 		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north"})
-		calls.SetRouters(routers)
-		calls.SetProgram(Compile(plan(nil), 1, 1))
+		calls.SetRouterCount(routers)
+		calls.SetRouteTable(Compile(plan(nil), 1, 1))
 		windows = append(windows, calls)
 	}
 	list := servers(40)
@@ -111,7 +111,7 @@
 	}
 	var loads []Load
 	for position := range list {
-		loads = append(loads, Load{Server: list[position].Name, Part: list[position].Part, Running: 60, MemoryUsed: 100_000, MemoryTotal: 300_000})
+		loads = append(loads, Load{Server: list[position].Name, Role: list[position].Part, Running: 60, MemoryUsed: 100_000, MemoryTotal: 300_000})
 	}
 	loads[len(loads)-1].Running, loads[len(loads)-1].MemoryUsed = 0, 0
 	random := rand.New(rand.NewPCG(72, 5))
@@ -125,7 +125,7 @@
 			}
 		}
 		ticket, decision := windows[number].Arrive(now, chatCall(fmt.Sprint(now.UnixNano())))
-		for ticket != nil && (decision.Kind == Read || decision.Kind == Run) {
+		for ticket != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
 			if decision.Server.Name == cold.Name {
 				if now.Before(noon.Add(3*time.Second + early)) {
 					sent = append(sent, now)
@@ -137,7 +137,7 @@
 			if decision.Server.Name != cold.Name {
 				break
 			}
-			decision = windows[number].Ended(now, ticket, Outcome{Result: Complete, Handle: "h", First: now})
+			decision = windows[number].Ended(now, ticket, Outcome{Result: Complete, Handle: "h", FirstByte: now})
 		}
 	}
 	if most, _ := sent.most(time.Second, nil); most > 19 {
@@ -151,13 +151,13 @@
 func TestColdServersGetFewCalls(t *testing.T) {
 	for _, routers := range []int{1, 3, 9, 30, 85} {
 		for _, known := range []bool{true, false} {
-			var windows []*Window
+			var windows []*Scheduler
 			for number := range routers {
 				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north"})
 				if known {
-					calls.SetRouters(routers)
+					calls.SetRouterCount(routers)
 				}
-				calls.SetProgram(Compile(plan(nil), 1, 1))
+				calls.SetRouteTable(Compile(plan(nil), 1, 1))
 				list := servers(9)
 				for position := range list {
 					list[position].Warming = 30 * time.Second
@@ -179,10 +179,10 @@
 					call = longCall(call.ID, uint64(random.IntN(20)))
 				}
 				ticket, decision := windows[number].Arrive(now, call)
-				for ticket != nil && (decision.Kind == Read || decision.Kind == Run) {
+				for ticket != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
 					sent[decision.Server.Name] = append(sent[decision.Server.Name], now)
 					total++
-					decision = windows[number].Ended(now, ticket, Outcome{Result: Complete, Handle: "h", First: now})
+					decision = windows[number].Ended(now, ticket, Outcome{Result: Complete, Handle: "h", FirstByte: now})
 				}
 			}
 			for name, a := range sent {
@@ -202,14 +202,14 @@
 func TestHomesAgree(t *testing.T) {
 	home := func(router, zone string, count int, without string, chain uint64) string {
 		calls := New(Options{Router: router, Zone: zone})
-		calls.SetProgram(Compile(plan(nil), 1, 1))
+		calls.SetRouteTable(Compile(plan(nil), 1, 1))
 		list := servers(count)
 		for position := range list {
 			list[position].Leaving = list[position].Name == without
 		}
 		calls.SetServers(noon, list)
 		call := longCall("a", chain)
-		c := calls.weighing(noon, &Ticket{call: call, routeRule: calls.program.Load().hosts["long.example"][1].routeRule,
+		c := calls.weighing(noon, &CallState{call: call, routeRule: calls.program.Load().hosts["long.example"][1].routeRule,
 			service: calls.program.Load().services["desk"], ends: noon.Add(time.Second)})
 		c.homes()
 		return c.home.server.Name + " " + c.runnerHome.server.Name
@@ -248,13 +248,13 @@
 			calls := opened(count)
 			for number := range 2000 {
 				ticket, _ := calls.Arrive(noon, longCall(fmt.Sprint(number), uint64(number%100)))
-				calls.Ended(noon, ticket, Outcome{Result: Gone})
+				calls.Ended(noon, ticket, Outcome{Result: ClientGone})
 			}
 			call := longCall("a", 7)
 			benchmark.ReportAllocs()
 			for benchmark.Loop() {
 				ticket, _ := calls.Arrive(noon, call)
-				calls.Ended(noon, ticket, Outcome{Result: Gone})
+				calls.Ended(noon, ticket, Outcome{Result: ClientGone})
 			}
 		})
 	}
--- a/internal/scheduler/call.go
+++ b/internal/scheduler/call.go
@@ -15,21 +15,21 @@
 	Path string `json:"path"`
 	// Model names the weights wanted.
 	Model string `json:"model,omitempty"`
-	// Parts is the prompt's chain, in order; the last part is the call's own.
-	Parts []Part `json:"parts,omitempty"`
+	// Segments is the prompt's chain, in order; the last part is the call's own.
+	Segments []Segment `json:"parts,omitempty"`
 	// PromptTokens and OutputTokens are the origin's own figures.
 	PromptTokens int `json:"prompt_tokens,omitempty"`
 	OutputTokens int `json:"output_tokens,omitempty"`
 	// Bytes is the size of the body.
 	Bytes int `json:"bytes,omitempty"`
-	// Ends is the origin's limit; the route's may be sooner.
-	Ends time.Time `json:"ends,omitzero"`
+	// Deadline is the origin's limit; the route's may be sooner.
+	Deadline time.Time `json:"ends,omitzero"`
 	// Resumes tells that the origin goes on behind an event of an earlier stream.
 	Resumes bool `json:"resumes,omitempty"`
 }
 
-// Part is one part of a prompt's chain, shared with other prompts or the call's own.
-type Part struct {
+// Role is one part of a prompt's chain, shared with other prompts or the call's own.
+type Segment struct {
 	ID     uint64 `json:"id"`
 	Tokens int    `json:"tokens"`
 }
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -10,11 +10,11 @@
 // choice finds the server for a call's next dispatch. Costs and times are in
 // milliseconds; what is priced otherwise is turned into them.
 type choice struct {
-	window       *Window
+	window       *Scheduler
 	costs        costs
-	program      *Program
+	program      *RouteTable
 	now          time.Time
-	ticket       *Ticket
+	ticket       *CallState
 	service      *config.Service
 	serviceState *serviceState
 	backends     []*backend
@@ -59,7 +59,7 @@
 	othersRead = 1500.0
 )
 
-func (w *Window) weighing(now time.Time, ticket *Ticket) *choice {
+func (w *Scheduler) weighing(now time.Time, ticket *CallState) *choice {
 	program := w.program.Load()
 	w.cool(now)
 	service := ticket.service
@@ -378,7 +378,7 @@
 // unread is how many of the call's tokens a server would have to read, as far as is
 // believed, and how many of them are shared.
 func (c *choice) unread(b *backend) (unread, again float64) {
-	keeps := max(float64(b.kept.prefix(c.ticket.call.Parts)), c.belief(b)*float64(c.shared))
+	keeps := max(float64(b.kept.prefix(c.ticket.call.Segments)), c.belief(b)*float64(c.shared))
 	return max(float64(c.ticket.call.PromptTokens)-keeps, 1), max(float64(c.shared)-keeps, 0)
 }
 
@@ -412,7 +412,7 @@
 		places += c.slots(b)
 		taken += min(c.busy(b), c.slots(b))
 		if offered, may := c.direct(b); may && (!found || offered.cost < best.cost) {
-			kind, best, found = Run, offered, true
+			kind, best, found = Generate, offered, true
 		}
 		if !mayRead {
 			continue
@@ -451,7 +451,7 @@
 		offered.cost += cost
 		offered.time += time
 		if !found || offered.cost < best.cost {
-			kind, best, found = Read, offered, true
+			kind, best, found = Prefill, offered, true
 		}
 	}
 	return kind, best, found
@@ -484,5 +484,5 @@
 			}
 		}
 	}
-	return Run, best, found
+	return Generate, best, found
 }
--- a/internal/scheduler/connections_test.go
+++ b/internal/scheduler/connections_test.go
@@ -45,11 +45,11 @@
 	for number := range 40 {
 		at = at.Add(500 * time.Millisecond)
 		ticket, decision := calls.Arrive(at, chatCall(string(rune('a'+number))))
-		if decision.Kind != Run {
+		if decision.Kind != Generate {
 			t.Fatalf("%+v", decision)
 		}
 		seen[decision.Server.Name]++
-		calls.Ended(at.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, First: at.Add(20 * time.Millisecond), Rests: 10 * time.Second})
+		calls.Ended(at.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, FirstByte: at.Add(20 * time.Millisecond), KeepAlive: 10 * time.Second})
 	}
 	if len(seen) > 3 {
 		t.Errorf("%d servers for calls that one connection could carry: %v", len(seen), seen)
@@ -59,7 +59,7 @@
 // TestRoomForReading has the pause that reading may cause follow what routes allow.
 func TestRoomForReading(t *testing.T) {
 	calls := opened(9)
-	c := calls.weighing(noon, &Ticket{call: chatCall("a"), routeRule: &routeRule{calls: plan(nil).Routes[1].Calls}, service: calls.program.Load().services["desk"]})
+	c := calls.weighing(noon, &CallState{call: chatCall("a"), routeRule: &routeRule{calls: plan(nil).Routes[1].Calls}, service: calls.program.Load().services["desk"]})
 	if got, want := c.pauseRoom(), milliseconds(250*time.Millisecond)*pauseShare; got != want {
 		t.Errorf("%v ms for reading, want %v", got, want)
 	}
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -14,17 +14,17 @@
 	// Refuse ends the call with a word of our own: Cause says which, RetryAfter when
 	// to come back.
 	Refuse DecisionKind = "refuse"
-	// Ask has the keepers of counts asked Questions; Told takes the answers.
-	Ask DecisionKind = "ask"
-	// Read has Server read the prompt.
-	Read DecisionKind = "read"
-	// Run has Server make the answer, with the prompt's memory from Source if there
+	// QueryBacklog has the keepers of counts asked Questions; Told takes the answers.
+	QueryBacklog DecisionKind = "ask"
+	// Prefill has Server read the prompt.
+	Prefill DecisionKind = "read"
+	// Generate has Server make the answer, with the prompt's memory from Source if there
 	// is one.
-	Run DecisionKind = "run"
-	// Through passes the server's own failing answer to the origin unchanged.
-	Through DecisionKind = "through"
-	// Break ends a stream so that the origin sees that it is not complete.
-	Break DecisionKind = "break"
+	Generate DecisionKind = "run"
+	// PassThrough passes the server's own failing answer to the origin unchanged.
+	PassThrough DecisionKind = "through"
+	// BreakStream ends a stream so that the origin sees that it is not complete.
+	BreakStream DecisionKind = "break"
 	// Done means that nothing is left to do.
 	Done DecisionKind = "done"
 )
@@ -38,23 +38,23 @@
 	// NotReady: the router knows no configuration or no servers yet.
 	NotReady Cause = "not_ready"
 	// Full: no server has room that would be in time.
-	Full Cause = "full"
+	Saturated Cause = "full"
 	// Leaving: the router lets nothing in any more.
-	Leaving Cause = "leaving"
+	Draining Cause = "leaving"
 	// Late: the limit has passed and the call never ran.
-	Late Cause = "late"
+	DeadlinePassed Cause = "late"
 	// Broken: the call may have run and there is no answer to give.
-	Broken Cause = "broken"
-	// BrokenLate: the limit passed while the call may have been running.
-	BrokenLate Cause = "broken_late"
+	OutcomeUnknown Cause = "broken"
+	// OutcomeUnknownLate: the limit passed while the call may have been running.
+	OutcomeUnknownLate Cause = "broken_late"
 )
 
 // Reason says what of a router's own rules ended a call, for metrics and logs.
 type Reason string
 
 const (
-	// NoPlace: no server that may be used has room in time.
-	NoPlace Reason = "no_place"
+	// NoCapacity: no server that may be used has room in time.
+	NoCapacity Reason = "no_place"
 	// AttemptsUsed: the route allows no further server.
 	AttemptsUsed Reason = "tries_used"
 	// BudgetUsed: the retry budget has no retry.
@@ -62,14 +62,14 @@
 	// MayHaveRun: a server may have begun what must run once, or has begun a stream that
 	// can't be taken up.
 	MayHaveRun Reason = "may_have_run"
-	// TooDear: the only way left would harm other calls more than it helps this one.
-	TooDear Reason = "too_dear"
-	// TimeUsed: the call's time is over.
-	TimeUsed Reason = "time_used"
+	// TooCostly: the only way left would harm other calls more than it helps this one.
+	TooCostly Reason = "too_dear"
+	// DeadlineReached: the call's time is over.
+	DeadlineReached Reason = "time_used"
 )
 
 // NeverRan tells whether a refusal promises that the call has not run and never will.
-func (c Cause) NeverRan() bool { return c != Broken && c != BrokenLate }
+func (c Cause) NeverRan() bool { return c != OutcomeUnknown && c != OutcomeUnknownLate }
 
 // Source names a prompt's memory at the server that read it.
 type Source struct {
@@ -86,19 +86,19 @@
 	Reason Reason            `json:"reason,omitempty"`
 	Server membership.Server `json:"server,omitzero"`
 	Source *Source           `json:"source,omitempty"`
-	// Ends is when the server's work is to end at the latest: what is left of it
+	// Deadline is when the server's work is to end at the latest: what is left of it
 	// travels as the server's limit.
-	Ends time.Time `json:"ends,omitzero"`
-	// Patience ends a dispatch whose server says nothing; zero means no such end
+	Deadline time.Time `json:"ends,omitzero"`
+	// ResponseTimeout ends a dispatch whose server says nothing; zero means no such end
 	// before Ends.
-	Patience time.Duration `json:"patience,omitempty"`
-	// Silence ends a dispatch whose stream has begun and then brings nothing for so
+	ResponseTimeout time.Duration `json:"patience,omitempty"`
+	// StreamTimeout ends a dispatch whose stream has begun and then brings nothing for so
 	// long, so that it goes on elsewhere; zero means no such end before Ends.
-	Silence time.Duration `json:"silence,omitempty"`
-	// Urgency is passed to the server, 0 first; -1 leaves it out.
-	Urgency int `json:"urgency,omitempty"`
-	// Questions are for the keepers of counts, each for the one of its group.
-	Questions []backlog.Question `json:"-"`
-	// Free are handles that will not be taken and are to be given back.
-	Free []Source `json:"free,omitempty"`
+	StreamTimeout time.Duration `json:"silence,omitempty"`
+	// Priority is passed to the server, 0 first; -1 leaves it out.
+	Priority int `json:"urgency,omitempty"`
+	// BacklogRequests are for the keepers of counts, each for the one of its group.
+	BacklogRequests []backlog.Request `json:"-"`
+	// Release are handles that will not be taken and are to be given back.
+	Release []Source `json:"free,omitempty"`
 }
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Ended takes how the call's dispatch ended and tells what is next.
-func (w *Window) Ended(now time.Time, ticket *Ticket, outcome Outcome) Decision {
+func (w *Scheduler) Ended(now time.Time, ticket *CallState, outcome Outcome) Decision {
 	if ticket.ended || ticket.dispatch.backend == nil {
 		return Decision{Kind: Done}
 	}
@@ -12,21 +12,21 @@
 	ticket.dispatch = dispatch{}
 	if outcome.Load != nil {
 		at := now
-		if !outcome.First.IsZero() && outcome.First.Before(at) {
-			at = outcome.First
+		if !outcome.FirstByte.IsZero() && outcome.FirstByte.Before(at) {
+			at = outcome.FirstByte
 		}
 		sent.backend.answered(at, *outcome.Load)
 	}
 	if outcome.Warming > 0 {
 		sent.backend.coolUntil(now.Add(outcome.Warming + w.board.Load().warmth(sent.backend.key)))
 	}
-	if outcome.Result == Gone {
+	if outcome.Result == ClientGone {
 		if sent.source != nil {
 			ticket.spent = append(ticket.spent, *sent.source)
 		}
 		return w.finish(now, ticket, Decision{Kind: Done})
 	}
-	if sent.kind == Read {
+	if sent.kind == Prefill {
 		return w.readEnded(now, ticket, sent, outcome)
 	}
 	return w.runEnded(now, ticket, sent, outcome)
@@ -34,9 +34,9 @@
 
 // Began tells that the first event of a run's answer came. A router that tells it
 // notices servers that are stuck before their calls end.
-func (w *Window) Began(now time.Time, ticket *Ticket) {
+func (w *Scheduler) Began(now time.Time, ticket *CallState) {
 	sent := &ticket.dispatch
-	if sent.backend == nil || sent.kind != Run || sent.began {
+	if sent.backend == nil || sent.kind != Generate || sent.began {
 		return
 	}
 	sent.began = true
@@ -50,7 +50,7 @@
 	w.learnMove(now, ticket, *sent, now)
 }
 
-func (w *Window) readEnded(now time.Time, ticket *Ticket, sent dispatch, outcome Outcome) Decision {
+func (w *Scheduler) readEnded(now time.Time, ticket *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
 	switch outcome.Result {
 	case Complete:
@@ -58,7 +58,7 @@
 		ticket.taken, ticket.reader = true, b
 		ticket.source = &Source{Address: b.server.Address, Handle: outcome.Handle}
 		return w.next(now, ticket, lastWord{})
-	case Unreached:
+	case Unreachable:
 		if sent.counted {
 			ticket.counted--
 		}
@@ -72,17 +72,17 @@
 	return w.next(now, ticket, lastWord{})
 }
 
-func (w *Window) runEnded(now time.Time, ticket *Ticket, sent dispatch, outcome Outcome) Decision {
+func (w *Scheduler) runEnded(now time.Time, ticket *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
-	if outcome.Result != Unreached {
+	if outcome.Result != Unreachable {
 		ticket.counted++
 	}
 	switch outcome.Result {
 	case Complete:
-		w.learn(now, ticket, sent, outcome.First)
+		w.learn(now, ticket, sent, outcome.FirstByte)
 		w.serviceState(ticket.service.Name).runs.note(now.Sub(sent.sent))
 		return w.finish(now, ticket, Decision{Kind: Done})
-	case Unreached, Misdirected:
+	case Unreachable, Misdirected:
 		ticket.source = sent.source
 	case NotStarted:
 		if full := outcome.Load != nil && (outcome.Load.Waiting > 0 || outcome.Load.Running >= outcome.Load.Slots); full {
@@ -96,18 +96,18 @@
 			b.takes.failOften(now)
 			return w.next(now, ticket, lastWord{})
 		}
-	case Answered:
+	case ErrorResponse:
 		ticket.ran = true
 		if outcome.Status < 500 {
-			return w.finish(now, ticket, Decision{Kind: Through})
+			return w.finish(now, ticket, Decision{Kind: PassThrough})
 		}
 		w.failed(now, b, outcome.Result)
 		if !ticket.idempotent() {
-			return w.finish(now, ticket, Decision{Kind: Through})
+			return w.finish(now, ticket, Decision{Kind: PassThrough})
 		}
 		ticket.avoided = append(ticket.avoided, b)
-		return w.next(now, ticket, lastWord{Kind: Through})
-	case Cut:
+		return w.next(now, ticket, lastWord{Kind: PassThrough})
+	case Interrupted:
 		ticket.ran, ticket.begun = true, true
 	default:
 		ticket.ran = true
@@ -121,7 +121,7 @@
 type lastWord struct{ Kind DecisionKind }
 
 // next finds the next dispatch, or ends the call.
-func (w *Window) next(now time.Time, ticket *Ticket, answer lastWord) Decision {
+func (w *Scheduler) next(now time.Time, ticket *CallState, answer lastWord) Decision {
 	if reason := ticket.exhausted(now); reason != "" {
 		return w.end(now, ticket, answer, soon, reason)
 	}
@@ -137,18 +137,18 @@
 		mayRead := !ticket.direct && (!further || ticket.counted+1 < ticket.routeRule.calls.Attempts)
 		kind, way, found = c.find(func() (DecisionKind, offer, bool) { return c.cheapest(mayRead) })
 	}
-	if found && !way.sourced && kind == Run && ticket.counted > 0 && way.cost > c.dearest() {
+	if found && !way.sourced && kind == Generate && ticket.counted > 0 && way.cost > c.dearest() {
 		// There is room for the call as a new one, which may be read elsewhere.
-		return w.end(now, ticket, answer, shortestRelief, TooDear)
+		return w.end(now, ticket, answer, shortestRelief, TooCostly)
 	}
 	if !found || ticket.source == nil && c.late(way) {
-		return w.end(now, ticket, answer, c.relief(way, found), NoPlace)
+		return w.end(now, ticket, answer, c.relief(way, found), NoCapacity)
 	}
 	if !c.pay() {
 		return w.end(now, ticket, answer, soon, BudgetUsed)
 	}
 	decision := c.send(kind, way)
-	if kind == Read && ticket.taken {
+	if kind == Prefill && ticket.taken {
 		ticket.dispatch.counted = true
 		ticket.counted++
 	}
@@ -186,12 +186,12 @@
 const begunWorth = 4
 
 // exhausted tells why the call is tried no more, or nothing if it may be.
-func (t *Ticket) exhausted(now time.Time) Reason {
+func (t *CallState) exhausted(now time.Time) Reason {
 	switch {
 	case t.ran && !t.idempotent(), t.begun && !t.routeRule.calls.Resumable:
 		return MayHaveRun
 	case !now.Before(t.ends):
-		return TimeUsed
+		return DeadlineReached
 	case t.counted >= max(1, t.routeRule.calls.Attempts):
 		return AttemptsUsed
 	}
@@ -199,32 +199,32 @@
 }
 
 // end words the last decision when nothing more is tried.
-func (w *Window) end(now time.Time, ticket *Ticket, answer lastWord, after time.Duration, reason Reason) Decision {
+func (w *Scheduler) end(now time.Time, ticket *CallState, answer lastWord, after time.Duration, reason Reason) Decision {
 	decision := ticket.last(now, answer, after)
 	decision.Reason = reason
 	return w.finish(now, ticket, decision)
 }
 
 // last is the call's last decision, by what its origin may be told.
-func (t *Ticket) last(now time.Time, answer lastWord, after time.Duration) Decision {
+func (t *CallState) last(now time.Time, answer lastWord, after time.Duration) Decision {
 	late := !now.Before(t.ends)
 	switch {
 	case answer.Kind != "":
 		return Decision{Kind: answer.Kind}
 	case t.begun:
-		return Decision{Kind: Break}
+		return Decision{Kind: BreakStream}
 	case t.ran && late:
-		return Decision{Kind: Refuse, Cause: BrokenLate}
+		return Decision{Kind: Refuse, Cause: OutcomeUnknownLate}
 	case t.ran:
-		return Decision{Kind: Refuse, Cause: Broken}
+		return Decision{Kind: Refuse, Cause: OutcomeUnknown}
 	case late:
-		return Decision{Kind: Refuse, Cause: Late}
+		return Decision{Kind: Refuse, Cause: DeadlinePassed}
 	}
-	return refusal(Full, after, t.ends.Sub(now))
+	return refusal(Saturated, after, t.ends.Sub(now))
 }
 
 // finish gives back memory that nobody takes and forgets the call.
-func (w *Window) finish(now time.Time, ticket *Ticket, decision Decision) Decision {
+func (w *Scheduler) finish(now time.Time, ticket *CallState, decision Decision) Decision {
 	if ticket.reserved {
 		ticket.reserved = false
 		w.serviceState(ticket.service.Name).retries.release()
@@ -233,7 +233,7 @@
 		ticket.spent = append(ticket.spent, *ticket.source)
 		ticket.source = nil
 	}
-	decision.Free, ticket.spent = ticket.spent, nil
+	decision.Release, ticket.spent = ticket.spent, nil
 	w.unbook(ticket)
 	ticket.ended = true
 	w.inFlight.Add(-1)
@@ -241,7 +241,7 @@
 }
 
 // learn takes how long a dispatch took to its answer's beginning.
-func (w *Window) learn(now time.Time, ticket *Ticket, sent dispatch, first time.Time) {
+func (w *Scheduler) learn(now time.Time, ticket *CallState, sent dispatch, first time.Time) {
 	b := sent.backend
 	b.trust.succeed(now)
 	if sent.source != nil && ticket.reader != nil {
@@ -257,16 +257,16 @@
 		return
 	}
 	took := first.Sub(sent.sent)
-	if sent.kind == Read {
+	if sent.kind == Prefill {
 		w.serviceState(ticket.service.Name).pace.note(sent.unread, took)
 	}
-	if sent.kind == Run {
+	if sent.kind == Generate {
 		s := w.serviceState(ticket.service.Name)
 		s.begin.note(milliseconds(took-sent.expected) + s.begin.milliseconds())
 	}
 	if sent.expected > 0 {
 		ratio := float64(took) / float64(sent.expected+slack)
-		if sent.kind == Read {
+		if sent.kind == Prefill {
 			ratio /= usualWait
 		}
 		b.slow.note(now, ratio)
@@ -274,7 +274,7 @@
 }
 
 // learnMove takes how much longer than usual a run with moved memory took to begin.
-func (w *Window) learnMove(now time.Time, ticket *Ticket, sent dispatch, first time.Time) {
+func (w *Scheduler) learnMove(now time.Time, ticket *CallState, sent dispatch, first time.Time) {
 	if sent.source == nil || ticket.reader == nil || first.IsZero() {
 		return
 	}
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -16,26 +16,26 @@
 	calls := opened(9)
 	call := longCall("a", 77)
 	ticket, decision := calls.Arrive(noon, call)
-	if decision.Kind != Read {
+	if decision.Kind != Prefill {
 		t.Fatalf("%+v", decision)
 	}
 	decision = calls.Ended(noon.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, Handle: "h"})
 	runner := calls.board.Load().byName[decision.Server.Name]
-	if runner.kept.prefix(call.Parts) != 0 {
+	if runner.kept.prefix(call.Segments) != 0 {
 		t.Error("kept before it came")
 	}
 	decision = calls.Ended(noon.Add(110*time.Millisecond), ticket, Outcome{Result: NotStarted, Status: 503})
-	if runner.kept.prefix(call.Parts) != 0 {
+	if runner.kept.prefix(call.Segments) != 0 {
 		t.Error("kept though it never came")
 	}
-	if decision.Kind == Run && len(decision.Free) != 1 {
+	if decision.Kind == Generate && len(decision.Release) != 1 {
 		t.Errorf("the memory is not given back: %+v", decision)
 	}
 	// A read that failed leaves nothing either, but what was there before.
 	ticket, decision = calls.Arrive(noon, longCall("b", 78))
 	reader := calls.board.Load().byName[decision.Server.Name]
-	calls.Ended(noon.Add(time.Second), ticket, Outcome{Result: Silent})
-	if k := reader.kept.prefix(longCall("b", 78).Parts); k > 2520 {
+	calls.Ended(noon.Add(time.Second), ticket, Outcome{Result: TimedOut})
+	if k := reader.kept.prefix(longCall("b", 78).Segments); k > 2520 {
 		t.Errorf("%d tokens kept of a read that failed", k)
 	}
 }
@@ -47,8 +47,8 @@
 	calls := opened(9)
 	var loads []Load
 	for _, server := range servers(9) {
-		load := Load{Server: server.Name, Part: server.Part, MemoryTotal: 295_740}
-		if load.Part == decode {
+		load := Load{Server: server.Name, Role: server.Part, MemoryTotal: 295_740}
+		if load.Role == decode {
 			load.Running = 30
 		}
 		loads = append(loads, load)
@@ -57,7 +57,7 @@
 	ticket, _ := calls.Arrive(noon, longCall("a", 77))
 	calls.Ended(noon.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, Handle: "h"})
 	decision := calls.Ended(noon.Add(110*time.Millisecond), ticket, Outcome{Result: NotStarted, Status: 503})
-	if decision.Kind != Refuse || decision.Cause != Full || decision.RetryAfter != shortestRelief || len(decision.Free) != 1 {
+	if decision.Kind != Refuse || decision.Cause != Saturated || decision.RetryAfter != shortestRelief || len(decision.Release) != 1 {
 		t.Errorf("%+v", decision)
 	}
 }
@@ -66,31 +66,31 @@
 // another try, and the try back when it was not needed.
 func TestGivingUpHasATryBehindIt(t *testing.T) {
 	calls := opened(9)
-	calls.SetRouters(1)
+	calls.SetRouterCount(1)
 	program := Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Attempts = 4 }), 1, 2)
-	calls.SetProgram(program)
+	calls.SetRouteTable(program)
 	patient := 0
-	var tickets []*Ticket
+	var tickets []*CallState
 	now := noon
 	for number := range 40 {
 		now = now.Add(10 * time.Millisecond)
 		ticket, decision := calls.Arrive(now, longCall(fmt.Sprint(number), uint64(number)))
-		if decision.Patience > 0 {
+		if decision.ResponseTimeout > 0 {
 			patient++
 			tickets = append(tickets, ticket)
 		} else {
-			calls.Ended(now, ticket, Outcome{Result: Gone})
+			calls.Ended(now, ticket, Outcome{Result: ClientGone})
 		}
 	}
 	if patient == 0 || patient > 10 {
 		t.Fatalf("%d of 40 calls are given up on", patient)
 	}
 	for _, ticket := range tickets {
-		decision := calls.Ended(now.Add(time.Second), ticket, Outcome{Result: Silent})
-		if decision.Kind != Read && decision.Kind != Run {
+		decision := calls.Ended(now.Add(time.Second), ticket, Outcome{Result: TimedOut})
+		if decision.Kind != Prefill && decision.Kind != Generate {
 			t.Errorf("no try behind giving up: %+v", decision)
 		}
-		calls.Ended(now.Add(time.Second), ticket, Outcome{Result: Gone})
+		calls.Ended(now.Add(time.Second), ticket, Outcome{Result: ClientGone})
 	}
 }
 
@@ -98,18 +98,18 @@
 // the budget holds.
 func TestUnneededTryIsPaidBack(t *testing.T) {
 	calls := opened(9)
-	calls.SetRouters(1)
+	calls.SetRouterCount(1)
 	now, patient := noon.Add(10*time.Second), 0
 	s := calls.serviceState("desk")
-	s.retries.since = now.Add(-calls.options.Retries.Span)
+	s.retries.since = now.Add(-calls.options.Retries.Window)
 	for number := range 50 {
 		ticket, decision := calls.Arrive(now, longCall(fmt.Sprint(number), uint64(number)))
-		if decision.Patience > 0 {
+		if decision.ResponseTimeout > 0 {
 			patient++
 		}
 		decision = calls.Ended(now, ticket, Outcome{Result: Complete, Handle: "h"})
-		if decision.Kind == Run {
-			calls.Ended(now, ticket, Outcome{Result: Complete, First: now})
+		if decision.Kind == Generate {
+			calls.Ended(now, ticket, Outcome{Result: Complete, FirstByte: now})
 		}
 	}
 	if patient < 45 {
@@ -125,7 +125,7 @@
 		var loads []Load
 		for _, server := range servers(9) {
 			if server.Name != without {
-				loads = append(loads, Load{Server: server.Name, Part: server.Part, MemoryTotal: 295_740})
+				loads = append(loads, Load{Server: server.Name, Role: server.Part, MemoryTotal: 295_740})
 			}
 		}
 		calls.SetLoads(now, loads)
@@ -147,7 +147,7 @@
 		t.Error("a call to a server from which nothing comes")
 	}
 	// What was read elsewhere meanwhile draws nothing there: the client left.
-	calls.Ended(now, away, Outcome{Result: Gone})
+	calls.Ended(now, away, Outcome{Result: ClientGone})
 	calls.Ended(now, ticket, Outcome{Result: Complete, Handle: "h"})
 	if _, second := calls.Arrive(now, longCall("d", 77)); second.Server.Name != decision.Server.Name {
 		t.Error("the home is left though something came")
@@ -160,7 +160,7 @@
 	calls := opened(9)
 	_, decision := calls.Arrive(noon, chatCall("a"))
 	ordered := decision.Server.Name
-	calls.SetOrders(noon, map[string]string{ordered: prefill})
+	calls.SetRoleOrders(noon, map[string]string{ordered: prefill})
 	for number := range 50 {
 		if _, decision = calls.Arrive(noon.Add(time.Second), chatCall(fmt.Sprint(number))); decision.Server.Name == ordered {
 			t.Fatal("a call to a server that changes its part")
@@ -189,7 +189,7 @@
 		}
 	}
 	calls := opened(9)
-	calls.SetRouters(1)
+	calls.SetRouterCount(1)
 	list := servers(9)
 	for position := range list {
 		if list[position].Name == home {
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -16,7 +16,7 @@
 type history struct {
 	test     *testing.T
 	random   *rand.Rand
-	calls    *Window
+	calls    *Scheduler
 	now      time.Time
 	list     []membership.Server
 	evacuees map[string]bool
@@ -28,7 +28,7 @@
 // followed is one call of a history.
 type followed struct {
 	call     *Call
-	ticket   *Ticket
+	ticket   *CallState
 	decision Decision
 	route    *config.CallRoute
 	// arrivals are dispatches that may have reached a server, taken the reads that a
@@ -41,15 +41,15 @@
 
 func newHistory(t *testing.T, seed uint64) *history {
 	h := &history{test: t, random: rand.New(rand.NewPCG(seed, 11)), now: noon, list: servers(9), evacuees: map[string]bool{}, number: 1,
-		calls: New(Options{Router: "courier-1", Zone: "north", Retries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})}
-	h.calls.SetRouters(3)
+		calls: New(Options{Router: "courier-1", Zone: "north", Retries: RetryAllowance{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}})}
+	h.calls.SetRouterCount(3)
 	h.configure()
 	h.calls.SetServers(h.now, h.list)
 	return h
 }
 
 func (h *history) configure() {
-	h.calls.SetProgram(Compile(plan(func(configuration *config.Configuration) {
+	h.calls.SetRouteTable(Compile(plan(func(configuration *config.Configuration) {
 		for zone := range h.evacuees {
 			configuration.Evacuations = map[string]config.Evacuation{zone: {}}
 		}
@@ -96,7 +96,7 @@
 		call = longCall(id, uint64(h.random.IntN(20)))
 		call.Host = []string{"plain.example", "again.example"}[h.random.IntN(2)]
 	}
-	call.Ends = h.now.Add(time.Duration(100+h.random.IntN(4000)) * time.Millisecond)
+	call.Deadline = h.now.Add(time.Duration(100+h.random.IntN(4000)) * time.Millisecond)
 	ticket, decision := h.calls.Arrive(h.now, call)
 	f := &followed{call: call, ticket: ticket, handles: map[string]int{}}
 	if ticket != nil {
@@ -117,7 +117,7 @@
 		h.test.Helper()
 		h.test.Fatalf("%s: %s: %+v", f.call.ID, fmt.Sprintf(format, arguments...), decision)
 	}
-	for _, source := range decision.Free {
+	for _, source := range decision.Release {
 		f.handles[source.Handle]--
 		if f.handles[source.Handle] < 0 {
 			fail("given back twice")
@@ -127,12 +127,12 @@
 		fail("no end")
 	}
 	switch decision.Kind {
-	case Read, Run:
+	case Prefill, Generate:
 		server := decision.Server
 		if server.Leaving || h.evacuees[server.Zone] || server.Service != f.ticket.service.Name {
 			fail("a server that is not open to the call")
 		}
-		if (decision.Kind == Read) != (server.Part == prefill) {
+		if (decision.Kind == Prefill) != (server.Part == prefill) {
 			fail("the wrong part")
 		}
 		if f.arrivals >= f.route.Attempts {
@@ -145,7 +145,7 @@
 		if f.passed && !f.route.Resumable {
 			fail("a stream that may not go on elsewhere")
 		}
-		if decision.Ends.After(f.call.Ends) || !h.now.Before(decision.Ends) {
+		if decision.Deadline.After(f.call.Deadline) || !h.now.Before(decision.Deadline) {
 			fail("the limit")
 		}
 		if decision.Source != nil {
@@ -158,13 +158,13 @@
 		if decision.Cause.NeverRan() == (f.runs > 0) {
 			fail("a promise after %d runs", f.runs)
 		}
-		if left := f.call.Ends.Sub(h.now); left > 0 && decision.RetryAfter > left/3 {
+		if left := f.call.Deadline.Sub(h.now); left > 0 && decision.RetryAfter > left/3 {
 			fail("to come back later than an origin waits")
 		}
 		if f.passed {
 			fail("a word of our own behind an answer that began")
 		}
-	case Break:
+	case BreakStream:
 		if !f.passed {
 			fail("nothing to break")
 		}
@@ -186,34 +186,34 @@
 func (h *history) end(f *followed) {
 	decision := f.decision
 	outcome := Outcome{Result: Complete}
-	kinds := []Result{Complete, Complete, Complete, Complete, Unreached, NotStarted, Misdirected, Silent, Spoilt, Answered, Cut, Gone}
+	kinds := []Result{Complete, Complete, Complete, Complete, Unreachable, NotStarted, Misdirected, TimedOut, Malformed, ErrorResponse, Interrupted, ClientGone}
 	outcome.Result = kinds[h.random.IntN(len(kinds))]
-	if decision.Kind == Read && outcome.Result == Cut {
-		outcome.Result = Silent
+	if decision.Kind == Prefill && outcome.Result == Interrupted {
+		outcome.Result = TimedOut
 	}
 	if h.random.IntN(4) == 0 {
-		outcome.Load = &AnswerLoad{Running: h.random.IntN(70), Waiting: h.random.IntN(3), Slots: 64}
+		outcome.Load = &ResponseLoad{Running: h.random.IntN(70), Waiting: h.random.IntN(3), Slots: 64}
 	}
 	if h.random.IntN(20) == 0 {
 		outcome.Warming = time.Second
 	}
-	if outcome.Result == Answered {
+	if outcome.Result == ErrorResponse {
 		outcome.Status = []int{400, 500, 504}[h.random.IntN(3)]
 	}
-	if outcome.Result != Unreached && (decision.Kind == Run || outcome.Result != Complete || f.taken > 0) {
+	if outcome.Result != Unreachable && (decision.Kind == Generate || outcome.Result != Complete || f.taken > 0) {
 		f.arrivals++
 	}
-	if decision.Kind == Read {
+	if decision.Kind == Prefill {
 		if outcome.Result == Complete {
 			f.taken++
 			outcome.Handle = fmt.Sprintf("%s-%d", f.call.ID, f.taken)
 			f.handles[outcome.Handle] = 1
 		}
 	} else {
-		outcome.First = h.now
+		outcome.FirstByte = h.now
 		switch outcome.Result {
-		case Unreached, NotStarted, Misdirected:
-		case Cut:
+		case Unreachable, NotStarted, Misdirected:
+		case Interrupted:
 			f.passed = true
 			f.runs++
 		default:
@@ -221,7 +221,7 @@
 		}
 		if decision.Source != nil {
 			switch outcome.Result {
-			case Unreached, NotStarted, Misdirected, Gone:
+			case Unreachable, NotStarted, Misdirected, ClientGone:
 				// It is still there, or may be: it is used or given back.
 			default:
 				f.handles[decision.Source.Handle]--
@@ -229,7 +229,7 @@
 		}
 	}
 	next := h.calls.Ended(h.now, f.ticket, outcome)
-	if outcome.Result == Gone || outcome.Result == Complete && decision.Kind == Run {
+	if outcome.Result == ClientGone || outcome.Result == Complete && decision.Kind == Generate {
 		if next.Kind != Done {
 			h.test.Fatalf("%s: %s and then %+v", f.call.ID, outcome.Result, next)
 		}
@@ -260,7 +260,7 @@
 func (h *history) report() {
 	var loads []Load
 	for _, server := range h.list {
-		loads = append(loads, Load{Server: server.Name, Part: server.Part, Waiting: h.random.IntN(3), Running: h.random.IntN(66),
+		loads = append(loads, Load{Server: server.Name, Role: server.Part, Waiting: h.random.IntN(3), Running: h.random.IntN(66),
 			MemoryUsed: h.random.IntN(300_000), MemoryTotal: 295_740, Age: 300 * time.Millisecond})
 	}
 	h.calls.SetLoads(h.now, loads)
--- a/internal/scheduler/kept.go
+++ b/internal/scheduler/kept.go
@@ -27,7 +27,7 @@
 
 // prefix counts the tokens of a chain that are believed to be kept, whole parts from
 // its beginning.
-func (k *kept) prefix(parts []Part) int {
+func (k *kept) prefix(parts []Segment) int {
 	if k.count.Load() == 0 {
 		return 0
 	}
@@ -46,7 +46,7 @@
 
 // note counts a prompt as used at the server just now. others is how many routers
 // send such prompts there: own parts of theirs push out as many as this one's.
-func (k *kept) note(parts []Part, room, others, most int) {
+func (k *kept) note(parts []Segment, room, others, most int) {
 	if len(parts) == 0 {
 		return
 	}
@@ -83,7 +83,7 @@
 
 // forget drops the parts of a prompt that was not read after all, behind those that
 // were known before.
-func (k *kept) forget(parts []Part, known int) {
+func (k *kept) forget(parts []Segment, known int) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.order == nil {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -5,11 +5,11 @@
 // Load is what a model server reported of itself, read for all routers.
 type Load struct {
 	Server string `json:"server" msgpack:"server"`
-	// Part is prefill or decode; Changing that an order is being carried out; Orders
+	// Role is prefill or decode; Changing that an order is being carried out; Orders
 	// how many it took.
-	Part     string `json:"part" msgpack:"part"`
-	Changing bool   `json:"changing,omitempty" msgpack:"changing,omitempty"`
-	Orders   uint64 `json:"orders,omitempty" msgpack:"orders,omitempty"`
+	Role         string `json:"part" msgpack:"part"`
+	ChangingRole bool   `json:"changing,omitempty" msgpack:"changing,omitempty"`
+	Orders       uint64 `json:"orders,omitempty" msgpack:"orders,omitempty"`
 	// Waiting and Running are calls; MemoryUsed and MemoryTotal are tokens.
 	Waiting     int `json:"waiting" msgpack:"waiting"`
 	Running     int `json:"running" msgpack:"running"`
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -9,30 +9,32 @@
 	Zone   string
 	// Retries bounds what all routers send beyond the first dispatch of each
 	// call, service by service.
-	Retries Allowance
+	Retries RetryAllowance
 }
 
-// Allowance bounds retries: in any span as long as Span, over all routers, at
+// RetryAllowance bounds retries: in any span as long as Span, over all routers, at
 // most Ratio of the calls in it and Slack besides.
-type Allowance struct {
-	Ratio float64
-	Slack float64
-	Span  time.Duration
+type RetryAllowance struct {
+	Ratio  float64
+	Slack  float64
+	Window time.Duration
 }
 
-// DefaultAllowance is what holds where nobody said otherwise.
-func DefaultAllowance() Allowance { return Allowance{Ratio: 0.2, Slack: 10, Span: 10 * time.Second} }
+// DefaultRetryAllowance is what holds where nobody said otherwise.
+func DefaultRetryAllowance() RetryAllowance {
+	return RetryAllowance{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
+}
 
 func (o Options) checked() Options {
-	standard := DefaultAllowance()
+	standard := DefaultRetryAllowance()
 	if o.Retries.Ratio <= 0 {
 		o.Retries.Ratio = standard.Ratio
 	}
 	if o.Retries.Slack <= 0 {
 		o.Retries.Slack = standard.Slack
 	}
-	if o.Retries.Span <= 0 {
-		o.Retries.Span = standard.Span
+	if o.Retries.Window <= 0 {
+		o.Retries.Window = standard.Window
 	}
 	return o
 }
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -34,8 +34,8 @@
 	f.servers[server] = true
 }
 
-// TakeFailing are the servers that failed calls since it was last asked, in order.
-func (w *Window) TakeFailing() []string {
+// TakeFailures are the servers that failed calls since it was last asked, in order.
+func (w *Scheduler) TakeFailures() []string {
 	w.failures.mutex.Lock()
 	defer w.failures.mutex.Unlock()
 	if len(w.failures.servers) == 0 {
@@ -51,7 +51,7 @@
 }
 
 // SetOutliers takes the advice that comes of what all routers met.
-func (w *Window) SetOutliers(now time.Time, advice outlier.Advice) {
+func (w *Scheduler) SetOutliers(now time.Time, advice outlier.Advice) {
 	b := w.board.Load()
 	until := now.Add(adviceLasts).UnixNano()
 	avoided := make(map[string]bool, len(advice.Ejected)+len(advice.Trial))
@@ -73,7 +73,7 @@
 }
 
 // tries tells whether this router is one of those that use a server on trial.
-func (w *Window) attempts(b *backend) bool {
+func (w *Scheduler) attempts(b *backend) bool {
 	return w.routerCount() <= trialShare || weigh(nameKey(w.options.Router), b.key)%trialShare == 0
 }
 
@@ -84,7 +84,7 @@
 
 // failed notes that a server failed a call. One that turns calls away, or is not the one
 // that was meant, fails nobody else for that.
-func (w *Window) failed(now time.Time, b *backend, result Result) {
+func (w *Scheduler) failed(now time.Time, b *backend, result Result) {
 	b.trust.fail(now)
 	if result != NotStarted && result != Misdirected {
 		w.failures.add(b.server.Name)
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -15,19 +15,19 @@
 	calls := opened(9)
 	ticket, decision := calls.Arrive(noon, chatCall("first"))
 	bad := decision.Server.Name
-	calls.Ended(noon, ticket, Outcome{Result: Gone})
+	calls.Ended(noon, ticket, Outcome{Result: ClientGone})
 	calls.SetOutliers(noon, outlier.Advice{Ejected: []string{bad}})
 	count := func(now time.Time) int {
 		sent := 0
 		for number := range 40 {
 			now = now.Add(20 * time.Millisecond)
 			call := chatCall(fmt.Sprint(now.UnixNano(), number))
-			call.Parts = call.Parts[2:]
+			call.Segments = call.Segments[2:]
 			ticket, decision := calls.Arrive(now, call)
 			if decision.Server.Name == bad {
 				sent++
 			}
-			calls.Ended(now, ticket, Outcome{Result: Complete, First: now})
+			calls.Ended(now, ticket, Outcome{Result: Complete, FirstByte: now})
 		}
 		return sent
 	}
@@ -64,11 +64,11 @@
 	calls := opened(9)
 	ticket, decision := calls.Arrive(noon, chatCall("a"))
 	failing := decision.Server.Name
-	decision = calls.Ended(noon, ticket, Outcome{Result: Answered, Status: 500, First: noon})
-	if decision.Kind != Through {
+	decision = calls.Ended(noon, ticket, Outcome{Result: ErrorResponse, Status: 500, FirstByte: noon})
+	if decision.Kind != PassThrough {
 		t.Fatalf("%+v", decision)
 	}
-	if to := calls.TakeFailing(); !slices.Equal(to, []string{failing}) {
+	if to := calls.TakeFailures(); !slices.Equal(to, []string{failing}) {
 		t.Errorf("told of %v", to)
 	}
 	ticket, decision = calls.Arrive(noon, chatCall("b"))
@@ -76,7 +76,7 @@
 		t.Error("the next call goes to the server that has just failed one")
 	}
 	calls.Ended(noon, ticket, Outcome{Result: NotStarted, Status: 503})
-	if tl := calls.TakeFailing(); len(tl) != 0 {
+	if tl := calls.TakeFailures(); len(tl) != 0 {
 		t.Errorf("told of %v", tl)
 	}
 }
@@ -86,8 +86,8 @@
 	trying := 0
 	for number := range 90 {
 		calls := New(Options{Router: fmt.Sprint("courier-", number), Zone: "north"})
-		calls.SetRouters(90)
-		calls.SetProgram(Compile(plan(nil), 1, 1))
+		calls.SetRouterCount(90)
+		calls.SetRouteTable(Compile(plan(nil), 1, 1))
 		calls.SetServers(noon, servers(9))
 		calls.SetOutliers(noon, outlier.Advice{Trial: []string{"stove-5"}})
 		if !calls.board.Load().byName["stove-5"].outlier(noon) {
@@ -105,9 +105,9 @@
 		call     func(string) *Call
 		outcomes []Outcome
 	}{
-		MayHaveRun:   {chatCall, []Outcome{{Result: Silent}}},
+		MayHaveRun:   {chatCall, []Outcome{{Result: TimedOut}}},
 		AttemptsUsed: {chatCall, []Outcome{{Result: NotStarted, Status: 503}}},
-		BudgetUsed:   {func(id string) *Call { return longCall(id, 77) }, []Outcome{{Result: Silent}}},
+		BudgetUsed:   {func(id string) *Call { return longCall(id, 77) }, []Outcome{{Result: TimedOut}}},
 	} {
 		calls := opened(9)
 		now := noon
@@ -121,10 +121,10 @@
 	}
 	calls := opened(9)
 	ticket, _ := calls.Arrive(noon, longCall("a", 77))
-	if decision := calls.Ended(noon.Add(time.Minute), ticket, Outcome{Result: Silent}); decision.Reason != TimeUsed {
+	if decision := calls.Ended(noon.Add(time.Minute), ticket, Outcome{Result: TimedOut}); decision.Reason != DeadlineReached {
 		t.Errorf("%+v", decision)
 	}
-	if decision := calls.Ended(noon, ticket, Outcome{Result: Silent}); decision.Kind != Done {
+	if decision := calls.Ended(noon, ticket, Outcome{Result: TimedOut}); decision.Kind != Done {
 		t.Errorf("after its end: %+v", decision)
 	}
 }
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -9,10 +9,10 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// Pools decides how many servers of a service read prompts and how many make answers.
+// RoleBalancer decides how many servers of a service read prompts and how many make answers.
 // An order costs the server's work for a while and moves the homes of some chains, so
 // that it is given only for a need that was seen several times, and then rested upon.
-type Pools struct {
+type RoleBalancer struct {
 	mutex    sync.Mutex
 	services map[string]*pool
 	asked    time.Time
@@ -62,15 +62,15 @@
 	idle     = 0.05
 )
 
-// NewPools starts without memory.
-func NewPools() *Pools { return &Pools{services: map[string]*pool{}} }
+// NewRoleBalancer starts without memory.
+func NewRoleBalancer() *RoleBalancer { return &RoleBalancer{services: map[string]*pool{}} }
 
-// Divided tells whether the list says of servers what part they have.
-func (w *Window) Divided() bool { return w.board.Load().divided }
+// Disaggregated tells whether the list says of servers what part they have.
+func (w *Scheduler) Disaggregated() bool { return w.board.Load().divided }
 
-// Part is what a listed server does, and whether it changes that now. Listed is false
+// Role is what a listed server does, and whether it changes that now. Listed is false
 // for a server that isn't listed or has no part.
-func (w *Window) Part(server string) (part string, changing, listed bool) {
+func (w *Scheduler) Role(server string) (part string, changing, listed bool) {
 	b, found := w.board.Load().byName[server]
 	if !found || b.server.Part == "" {
 		return "", false, false
@@ -79,7 +79,7 @@
 }
 
 // Decide gives the orders that are needed now, by what the window knows of its servers.
-func (p *Pools) Decide(now time.Time, window *Window) []codec.Order {
+func (p *RoleBalancer) Decide(now time.Time, window *Scheduler) []codec.Order {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	program := window.program.Load()
@@ -99,7 +99,7 @@
 	return orders
 }
 
-func (p *pool) decide(now time.Time, window *Window, program *Program, service *config.Service) []codec.Order {
+func (p *pool) decide(now time.Time, window *Scheduler, program *RouteTable, service *config.Service) []codec.Order {
 	var readers, runners []*backend
 	r := window.reported.Load()
 	for _, b := range window.board.Load().byService[service.Name] {
--- a/internal/scheduler/pools_test.go
+++ b/internal/scheduler/pools_test.go
@@ -7,8 +7,8 @@
 
 // poolDay gives a window's servers steady work and carries the pools' orders out.
 type poolDay struct {
-	calls  *Window
-	pools  *Pools
+	calls  *Scheduler
+	pools  *RoleBalancer
 	parts  map[string]string
 	now    time.Time
 	count  int
@@ -16,7 +16,7 @@
 }
 
 func newPoolDay(count int) *poolDay {
-	day := &poolDay{calls: opened(count), pools: NewPools(), parts: map[string]string{}, now: noon, count: count}
+	day := &poolDay{calls: opened(count), pools: NewRoleBalancer(), parts: map[string]string{}, now: noon, count: count}
 	for _, server := range servers(count) {
 		day.parts[server.Name] = server.Part
 	}
@@ -46,8 +46,8 @@
 			if day.parts[server.Name] == "" {
 				continue
 			}
-			load := Load{Server: server.Name, Part: day.parts[server.Name], Running: atRunner, MemoryTotal: 295_740}
-			if load.Part == prefill {
+			load := Load{Server: server.Name, Role: day.parts[server.Name], Running: atRunner, MemoryTotal: 295_740}
+			if load.Role == prefill {
 				load.Running = atReader
 			}
 			loads = append(loads, load)
@@ -146,7 +146,7 @@
 // without orders: with a third of the servers reading, orders are worth a fiftieth.
 func TestPoolsHelpThePressed(t *testing.T) {
 	left, managed := nine().world(3, nil), nine().world(3, nil)
-	managed.pool(NewPools())
+	managed.pool(NewRoleBalancer())
 	day(left, 1.4, 30*time.Second)
 	day(managed, 1.4, 30*time.Second)
 	t.Logf("left alone\n%s\nwith %d orders\n%s", left, managed.orders, managed)
--- a/internal/scheduler/program.go
+++ b/internal/scheduler/program.go
@@ -9,10 +9,10 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Program is a configuration compiled for the calls' path: for each host the steps of
+// RouteTable is a configuration compiled for the calls' path: for each host the steps of
 // its routes, the longest prefix first. It is never altered; a new configuration is a
 // new program.
-type Program struct {
+type RouteTable struct {
 	epoch       uint64
 	number      uint64
 	hosts       map[string][]step
@@ -53,8 +53,8 @@
 }
 
 // Compile makes the program of a configuration.
-func Compile(configuration *config.Configuration, epoch, number uint64) *Program {
-	program := &Program{epoch: epoch, number: number, hosts: map[string][]step{}, services: map[string]*config.Service{},
+func Compile(configuration *config.Configuration, epoch, number uint64) *RouteTable {
+	program := &RouteTable{epoch: epoch, number: number, hosts: map[string][]step{}, services: map[string]*config.Service{},
 		evacuations: map[string]bool{}, limits: configuration.Limits, gaps: map[string]time.Duration{}}
 	for zone := range configuration.Evacuations {
 		program.evacuations[zone] = true
@@ -90,7 +90,7 @@
 	return program
 }
 
-func (p *Program) steps(route *config.Route, at int) []step {
+func (p *RouteTable) steps(route *config.Route, at int) []step {
 	r := &routeRule{route: route, calls: route.Calls}
 	for _, part := range route.Calls.Shares {
 		service, found := p.services[part.Service]
@@ -117,14 +117,14 @@
 }
 
 // narrow notes the longest pause between events that a route to a service allows.
-func (p *Program) narrow(service string, gap time.Duration) {
+func (p *RouteTable) narrow(service string, gap time.Duration) {
 	if known, found := p.gaps[service]; gap > 0 && (!found || gap < known) {
 		p.gaps[service] = gap
 	}
 }
 
 // rule interprets the program for one call: its route and the service that serves it.
-func (p *Program) rule(call *Call) (*routeRule, *config.Service) {
+func (p *RouteTable) rule(call *Call) (*routeRule, *config.Service) {
 	steps := p.hosts[hostOf(call.Host)]
 	for position := 0; position < len(steps); {
 		s := &steps[position]
@@ -160,6 +160,6 @@
 }
 
 // later tells whether the program is of a later version than the other one.
-func (p *Program) later(other *Program) bool {
+func (p *RouteTable) later(other *RouteTable) bool {
 	return other == nil || p.epoch > other.epoch || p.epoch == other.epoch && p.number > other.number
 }
--- a/internal/scheduler/rendezvous.go
+++ b/internal/scheduler/rendezvous.go
@@ -17,21 +17,21 @@
 
 // chain is what a call's home goes by: the last part that it shares with others.
 func (c *Call) chain() uint64 {
-	switch length := len(c.Parts); length {
+	switch length := len(c.Segments); length {
 	case 0:
 		return membership.Weight("call", c.ID)
 	case 1:
-		return c.Parts[0].ID
+		return c.Segments[0].ID
 	default:
-		return c.Parts[length-2].ID
+		return c.Segments[length-2].ID
 	}
 }
 
 // shared are the tokens of the parts that other calls may have as well.
 func (c *Call) shared() int {
 	tokens := 0
-	for position := 0; position < len(c.Parts)-1; position++ {
-		tokens += c.Parts[position].Tokens
+	for position := 0; position < len(c.Segments)-1; position++ {
+		tokens += c.Segments[position].Tokens
 	}
 	return tokens
 }
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -34,14 +34,14 @@
 )
 
 // first counts a call's first dispatch.
-func (r *retryBudget) first(now time.Time, allowance Allowance) {
+func (r *retryBudget) first(now time.Time, allowance RetryAllowance) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.turn(now, allowance).first++
 }
 
 // spend counts so many retries, or tells that there is no room for them.
-func (r *retryBudget) spend(now time.Time, count int, allowance Allowance, routers int) bool {
+func (r *retryBudget) spend(now time.Time, count int, allowance RetryAllowance, routers int) bool {
 	if count <= 0 {
 		return true
 	}
@@ -57,7 +57,7 @@
 
 // reserve keeps a retry for a call that may need one, out of a part of the budget:
 // the rest is for calls that do need one.
-func (r *retryBudget) reserve(now time.Time, allowance Allowance, routers int) bool {
+func (r *retryBudget) reserve(now time.Time, allowance RetryAllowance, routers int) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.turn(now, allowance)
@@ -69,7 +69,7 @@
 }
 
 // redeem counts a reserved try as sent.
-func (r *retryBudget) redeem(now time.Time, allowance Allowance) {
+func (r *retryBudget) redeem(now time.Time, allowance RetryAllowance) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.turn(now, allowance).further++
@@ -93,23 +93,23 @@
 }
 
 // room is how many retries the span allows.
-func (r *retryBudget) room(now time.Time, allowance Allowance, routers int) float64 {
+func (r *retryBudget) room(now time.Time, allowance RetryAllowance, routers int) float64 {
 	calls := 0
 	for _, slot := range r.slots {
 		calls += slot.first
 	}
 	s := allowance.Slack * slackUsed / float64(max(1, routers))
-	grown := min(1, now.Sub(r.since).Seconds()/allowance.Span.Seconds())
+	grown := min(1, now.Sub(r.since).Seconds()/allowance.Window.Seconds())
 	return allowance.Ratio*ratioUsed*float64(calls) + s*grown
 }
 
 // turn goes on to the slot of now and empties those that are outside of the span.
-func (r *retryBudget) turn(now time.Time, allowance Allowance) *budgetSlot {
+func (r *retryBudget) turn(now time.Time, allowance RetryAllowance) *budgetSlot {
 	if r.since.IsZero() {
 		r.since = now
 	}
 	// One slot less than there are makes a span, so that the oldest is outside of it.
-	length := allowance.Span / (budgetSlots - 1)
+	length := allowance.Window / (budgetSlots - 1)
 	current := now.Sub(r.since).Nanoseconds() / length.Nanoseconds()
 	for steps := 0; r.slot < current && steps < budgetSlots; steps++ {
 		r.slot++
--- a/internal/scheduler/retrybudget_test.go
+++ b/internal/scheduler/retrybudget_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-var tenSeconds = Allowance{Ratio: 0.2, Slack: 100, Span: 10 * time.Second}
+var tenSeconds = RetryAllowance{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
 
 // TestBudgetAllowsBurst has a router meet many failures at once: it may use what its calls
 // of the span earned.
@@ -40,7 +40,7 @@
 	if budget.spend(noon, 1, tenSeconds, 1) {
 		t.Error("a further try at the start")
 	}
-	if !budget.spend(noon.Add(tenSeconds.Span), 1, tenSeconds, 1) {
+	if !budget.spend(noon.Add(tenSeconds.Window), 1, tenSeconds, 1) {
 		t.Error("no slack after a span")
 	}
 }
@@ -50,7 +50,7 @@
 func TestReservedAttempts(t *testing.T) {
 	var budget retryBudget
 	budget.first(noon, tenSeconds)
-	now := noon.Add(tenSeconds.Span)
+	now := noon.Add(tenSeconds.Window)
 	reserved := 0
 	for budget.reserve(now, tenSeconds, 10) {
 		reserved++
@@ -89,7 +89,7 @@
 				further = append(further, now)
 			}
 		}
-		most, beside := further.most(tenSeconds.Span, first)
+		most, beside := further.most(tenSeconds.Window, first)
 		if allowed := tenSeconds.Ratio*float64(beside) + tenSeconds.Slack/5; float64(most) > allowed {
 			t.Errorf("seed %d: %d further tries for %d calls, %.0f allowed", seed, most, beside, allowed)
 		}
--- a/internal/scheduler/returned.go
+++ b/internal/scheduler/returned.go
@@ -11,7 +11,7 @@
 type returned map[string]bool
 
 // returning notes which zones come back with a program, before it is in force.
-func (w *Window) returning(current, next *Program) {
+func (w *Scheduler) returning(current, next *RouteTable) {
 	if current == nil || len(current.evacuations) == 0 {
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 // cool has the servers of zones that came back count as cold from now.
-func (w *Window) cool(now time.Time) {
+func (w *Scheduler) cool(now time.Time) {
 	zones := w.returned.Load()
 	if zones == nil || !w.returned.CompareAndSwap(zones, nil) {
 		return
--- a/internal/scheduler/returned_test.go
+++ b/internal/scheduler/returned_test.go
@@ -12,24 +12,24 @@
 // zone's servers to get no more in the next second than cold ones stand: they may
 // have become cold while nobody used them, and the list tells that later.
 func TestServersOfAZoneThatComesBackCountAsCold(t *testing.T) {
-	calls := New(Options{Router: "courier-1", Zone: "north", Retries: Allowance{Ratio: 0.2, Slack: 200, Span: 10 * time.Second}})
-	calls.SetRouters(1)
+	calls := New(Options{Router: "courier-1", Zone: "north", Retries: RetryAllowance{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}})
+	calls.SetRouterCount(1)
 	list := servers(9)
 	calls.SetServers(noon, list)
-	compile := func(number uint64, evacuated bool) *Program {
+	compile := func(number uint64, evacuated bool) *RouteTable {
 		return Compile(plan(func(configuration *config.Configuration) {
 			if evacuated {
 				configuration.Evacuations = map[string]config.Evacuation{"north": {}}
 			}
 		}), 1, number)
 	}
-	calls.SetProgram(compile(1, true))
+	calls.SetRouteTable(compile(1, true))
 	north := map[string]bool{}
 	for _, server := range list {
 		north[server.Name] = server.Zone == "north"
 	}
 	arrive := func(number int, now time.Time) string {
-		ticket, decision := calls.Arrive(now, &Call{ID: "call-" + strconv.Itoa(number), Host: "chat.example", Path: "/one", Model: "m", PromptTokens: 300, OutputTokens: 30, Ends: now.Add(8 * time.Second)})
+		ticket, decision := calls.Arrive(now, &Call{ID: "call-" + strconv.Itoa(number), Host: "chat.example", Path: "/one", Model: "m", PromptTokens: 300, OutputTokens: 30, Deadline: now.Add(8 * time.Second)})
 		if ticket == nil {
 			t.Fatalf("call %d was refused: %+v", number, decision)
 		}
@@ -41,7 +41,7 @@
 		}
 	}
 	back := noon.Add(time.Second)
-	calls.SetProgram(compile(2, false))
+	calls.SetRouteTable(compile(2, false))
 	counts := map[string]int{}
 	for number := range 400 {
 		counts[arrive(1000+number, back.Add(time.Duration(number)*2500*time.Microsecond))]++
--- a/internal/scheduler/send.go
+++ b/internal/scheduler/send.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Patience with a server that says nothing, in multiples of what was expected and at
+// ResponseTimeout with a server that says nothing, in multiples of what was expected and at
 // least so long. The values are ours.
 const (
 	readPatience      = 4
@@ -18,26 +18,26 @@
 	ticket, b := c.ticket, o.backend
 	now := c.now
 	ticket.dispatch = dispatch{backend: b, kind: kind, sent: now, unread: o.unread, expected: span(o.own)}
-	decision := Decision{Kind: kind, Server: b.server, Ends: ticket.ends, Urgency: ticket.routeRule.calls.Rank}
+	decision := Decision{Kind: kind, Server: b.server, Deadline: ticket.ends, Priority: ticket.routeRule.calls.Rank}
 	if len(ticket.spent) > 0 {
-		decision.Free, ticket.spent = ticket.spent, nil
+		decision.Release, ticket.spent = ticket.spent, nil
 	}
 	sent := &ticket.dispatch
 	b.idle.take(now)
-	if kind == Read {
+	if kind == Prefill {
 		sent.tokens = ticket.call.PromptTokens
 		c.book(b, sent.unread)
 		b.reading.Add(1)
 		b.readings.wait(now)
 		b.readingTokens.Add(int64(sent.unread))
-		decision.Patience = c.patience(max(readPatience*sent.expected, leastReadPatience))
+		decision.ResponseTimeout = c.patience(max(readPatience*sent.expected, leastReadPatience))
 	} else {
 		c.window.unbook(ticket)
 		sent.tokens = ticket.tokens()
 		if o.sourced {
 			sent.source, ticket.source = ticket.source, nil
 		} else if ticket.source != nil {
-			decision.Free = append(decision.Free, *ticket.source)
+			decision.Release = append(decision.Release, *ticket.source)
 			ticket.source, ticket.direct = nil, true
 		}
 		decision.Source = sent.source
@@ -52,14 +52,14 @@
 			c.serviceState.pressure.readDirectly(now, sent.unread)
 		}
 		if ticket.idempotent() && !ticket.begun && c.goesOn() {
-			decision.Patience = c.patience(max(runPatience*sent.expected, leastRunPatience))
+			decision.ResponseTimeout = c.patience(max(runPatience*sent.expected, leastRunPatience))
 		}
-		decision.Silence = c.silence()
+		decision.StreamTimeout = c.silence()
 	}
 	b.account.memory.Add(int64(sent.tokens))
 	// What reads a prompt keeps it from now on, as far as the next calls go; memory that
 	// is moved may not come.
-	sent.room, sent.known = c.memory(b), b.kept.prefix(ticket.call.Parts)
+	sent.room, sent.known = c.memory(b), b.kept.prefix(ticket.call.Segments)
 	if !o.sourced {
 		c.window.keeps(ticket, sent)
 	}
@@ -89,15 +89,15 @@
 }
 
 // keeps notes that a server keeps a call's prompt.
-func (w *Window) keeps(ticket *Ticket, sent *dispatch) {
-	sent.backend.kept.note(ticket.call.Parts, sent.room, w.routerCount(), w.mostKept())
+func (w *Scheduler) keeps(ticket *CallState, sent *dispatch) {
+	sent.backend.kept.note(ticket.call.Segments, sent.room, w.routerCount(), w.mostKept())
 }
 
 // settle takes a dispatch off the accounts.
-func (t *Ticket) settle(now time.Time, outcome Outcome, window *Window) {
+func (t *CallState) settle(now time.Time, outcome Outcome, window *Scheduler) {
 	sent := &t.dispatch
 	b := sent.backend
-	if sent.kind == Read {
+	if sent.kind == Prefill {
 		window.unbook(t)
 		b.reading.Add(-1)
 		b.readingTokens.Add(-int64(sent.unread))
@@ -109,9 +109,9 @@
 		}
 	}
 	b.account.memory.Add(-int64(sent.tokens))
-	b.idle.give(now, outcome.Rests)
-	if sent.source == nil && !sent.began && outcome.Result != Complete && outcome.Result != Cut {
-		b.kept.forget(t.call.Parts, sent.known)
+	b.idle.give(now, outcome.KeepAlive)
+	if sent.source == nil && !sent.began && outcome.Result != Complete && outcome.Result != Interrupted {
+		b.kept.forget(t.call.Segments, sent.known)
 	}
 }
 
@@ -125,11 +125,11 @@
 
 // came tells whether the server was heard.
 func (o Outcome) came() bool {
-	return o.Result != Unreached && o.Result != Silent && o.Result != Gone
+	return o.Result != Unreachable && o.Result != TimedOut && o.Result != ClientGone
 }
 
 // mostKept bounds the parts remembered for each server.
-func (w *Window) mostKept() int {
+func (w *Scheduler) mostKept() int {
 	return max(leastKept, mostKeptParts/max(1, len(w.board.Load().all)))
 }
 
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -49,8 +49,8 @@
 func TestCountsOfWhatOthersHaveRead(t *testing.T) {
 	play := func(asks bool) *world {
 		s := ninety()
-		w := s.world(4, func(calls *Window) { calls.SetAsks(asks) })
-		w.pool(NewPools())
+		w := s.world(4, func(calls *Scheduler) { calls.SetBacklogQueries(asks) })
+		w.pool(NewRoleBalancer())
 		w.run(noon.Add(lead))
 		s.play(w, 1, 6*time.Second)
 		return w
--- a/internal/scheduler/threads_test.go
+++ b/internal/scheduler/threads_test.go
@@ -10,7 +10,7 @@
 // TestManyThreads has calls come and end in many threads while lists, reports, orders
 // and configurations change, and wants nothing left over; the race detector looks on.
 func TestManyThreads(t *testing.T) {
-	calls, pools := opened(9), NewPools()
+	calls, pools := opened(9), NewRoleBalancer()
 	var waiting sync.WaitGroup
 	for thread := range 8 {
 		waiting.Add(1)
@@ -23,13 +23,13 @@
 					call = chatCall(call.ID)
 				}
 				ticket, decision := calls.Arrive(now, call)
-				for s := 0; ticket != nil && (decision.Kind == Read || decision.Kind == Run); s++ {
-					outcome := Outcome{Result: Complete, Handle: "h", First: now, Load: &AnswerLoad{Running: 3, Slots: 64}}
+				for s := 0; ticket != nil && (decision.Kind == Prefill || decision.Kind == Generate); s++ {
+					outcome := Outcome{Result: Complete, Handle: "h", FirstByte: now, Load: &ResponseLoad{Running: 3, Slots: 64}}
 					if (number+s)%5 == 0 {
-						outcome.Result = []Result{Unreached, NotStarted, Silent, Cut, Answered}[(number+thread)%5]
+						outcome.Result = []Result{Unreachable, NotStarted, TimedOut, Interrupted, ErrorResponse}[(number+thread)%5]
 						outcome.Status = 500
 					}
-					if decision.Kind == Run {
+					if decision.Kind == Generate {
 						calls.Began(now, ticket)
 					}
 					decision = calls.Ended(now.Add(5*time.Millisecond), ticket, outcome)
@@ -46,12 +46,12 @@
 			list[number%9].Leaving = number%3 == 0
 			list[(number+4)%9].Warming = time.Duration(number%2) * time.Second
 			calls.SetServers(now, list)
-			calls.SetProgram(Compile(plan(nil), 1, uint64(number+2)))
-			calls.SetRouters(1 + number%12)
-			calls.SetOrders(now, map[string]string{list[number%9].Name: prefill})
+			calls.SetRouteTable(Compile(plan(nil), 1, uint64(number+2)))
+			calls.SetRouterCount(1 + number%12)
+			calls.SetRoleOrders(now, map[string]string{list[number%9].Name: prefill})
 			var loads []Load
 			for _, server := range list {
-				loads = append(loads, Load{Server: server.Name, Part: server.Part, Running: number % 5, MemoryTotal: 295_740})
+				loads = append(loads, Load{Server: server.Name, Role: server.Part, Running: number % 5, MemoryTotal: 295_740})
 			}
 			calls.SetLoads(now, loads)
 			pools.Decide(now, calls)
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -6,9 +6,9 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// Ticket is what a window knows of one call that it admitted. One thread holds it at a
+// CallState is what a window knows of one call that it admitted. One thread holds it at a
 // time.
-type Ticket struct {
+type CallState struct {
 	call      *Call
 	routeRule *routeRule
 	service   *config.Service
@@ -64,9 +64,9 @@
 }
 
 // Route is the route that the call came on.
-func (t *Ticket) Route() *config.Route { return t.routeRule.route }
+func (t *CallState) Route() *config.Route { return t.routeRule.route }
 
-func (t *Ticket) avoids(b *backend) bool {
+func (t *CallState) avoids(b *backend) bool {
 	for _, avoided := range t.avoided {
 		if avoided == b || avoided.account == b.account {
 			return true
@@ -76,9 +76,9 @@
 }
 
 // repeatable tells whether the call may run more than once.
-func (t *Ticket) idempotent() bool {
+func (t *CallState) idempotent() bool {
 	return t.routeRule.calls.Idempotent || t.routeRule.calls.Streams && t.routeRule.calls.Resumable
 }
 
 // tokens is the memory that the call takes up at the server that makes its answer.
-func (t *Ticket) tokens() int { return t.call.PromptTokens + t.call.OutputTokens }
+func (t *CallState) tokens() int { return t.call.PromptTokens + t.call.OutputTokens }
--- a/internal/scheduler/troubles_test.go
+++ b/internal/scheduler/troubles_test.go
@@ -58,7 +58,7 @@
 	for name, problem := range troubles() {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(5, 9, 9, nil)
-			w.pool(NewPools())
+			w.pool(NewRoleBalancer())
 			problem(w)
 			day(w, 1, 30*time.Second)
 			t.Logf("%d orders\n%s", w.orders, w)
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -10,12 +10,12 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Window follows the calls of one router. Its methods may be called from several
+// Scheduler follows the calls of one router. Its methods may be called from several
 // threads; fed from one, the same events give the same decisions.
-type Window struct {
+type Scheduler struct {
 	options  Options
 	costs    costs
-	program  atomic.Pointer[Program]
+	program  atomic.Pointer[RouteTable]
 	board    atomic.Pointer[board]
 	routers  atomic.Int64
 	draining atomic.Bool
@@ -53,8 +53,8 @@
 const unknownRouters = 100
 
 // New makes a window that knows nothing yet.
-func New(options Options) *Window {
-	window := &Window{options: options.checked(), costs: standardCosts()}
+func New(options Options) *Scheduler {
+	window := &Scheduler{options: options.checked(), costs: standardCosts()}
 	first := newBoard()
 	first.router = nameKey(options.Router)
 	window.board.Store(first)
@@ -62,9 +62,9 @@
 	return window
 }
 
-// SetProgram puts a later version in force; an older one, or the same, is left aside
+// SetRouteTable puts a later version in force; an older one, or the same, is left aside
 // and the answer is false.
-func (w *Window) SetProgram(program *Program) bool {
+func (w *Scheduler) SetRouteTable(program *RouteTable) bool {
 	for {
 		current := w.program.Load()
 		if program == nil || !program.later(current) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// InForce is the version of the configuration in force, as epoch and number.
-func (w *Window) InForce() (epoch, number uint64) {
+// ConfigVersion is the version of the configuration in force, as epoch and number.
+func (w *Scheduler) ConfigVersion() (epoch, number uint64) {
 	if program := w.program.Load(); program != nil {
 		return program.epoch, program.number
 	}
@@ -86,7 +86,7 @@
 }
 
 // Limits bound what a caller may send, by the configuration in force.
-func (w *Window) Limits() config.Limits {
+func (w *Scheduler) Limits() config.Limits {
 	if program := w.program.Load(); program != nil {
 		return program.limits
 	}
@@ -94,14 +94,14 @@
 }
 
 // SetServers takes the list of servers.
-func (w *Window) SetServers(now time.Time, servers []membership.Server) {
+func (w *Scheduler) SetServers(now time.Time, servers []membership.Server) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.board.Store(w.board.Load().next(now, servers))
 }
 
 // SetLoads takes what the servers reported of themselves.
-func (w *Window) SetLoads(now time.Time, loads []Load) {
+func (w *Scheduler) SetLoads(now time.Time, loads []Load) {
 	b := w.board.Load()
 	var services []string
 	for _, load := range loads {
@@ -123,9 +123,9 @@
 	}
 }
 
-// SetOrders takes the parts that servers were ordered to take: one that is to take
+// SetRoleOrders takes the parts that servers were ordered to take: one that is to take
 // another begins nothing until that is done, and no call is sent to it.
-func (w *Window) SetOrders(now time.Time, parts map[string]string) {
+func (w *Scheduler) SetRoleOrders(now time.Time, parts map[string]string) {
 	b := w.board.Load()
 	for _, ba := range b.all {
 		part, found := parts[ba.server.Name]
@@ -141,10 +141,10 @@
 // server. The value is ours.
 const orderShows = 4 * time.Second
 
-// SetRouters tells how many routers share the servers.
-func (w *Window) SetRouters(count int) { w.routers.Store(int64(count)) }
+// SetRouterCount tells how many routers share the servers.
+func (w *Scheduler) SetRouterCount(count int) { w.routers.Store(int64(count)) }
 
-func (w *Window) routerCount() int {
+func (w *Scheduler) routerCount() int {
 	if count := w.routers.Load(); count > 0 {
 		return int(count)
 	}
@@ -152,13 +152,13 @@
 }
 
 // Drain lets no further calls in.
-func (w *Window) Drain() { w.draining.Store(true) }
+func (w *Scheduler) Drain() { w.draining.Store(true) }
 
 // InFlight counts the calls that have not ended.
-func (w *Window) InFlight() int { return int(w.inFlight.Load()) }
+func (w *Scheduler) InFlight() int { return int(w.inFlight.Load()) }
 
 // serviceState is the service's; it is made once.
-func (w *Window) serviceState(service string) *serviceState {
+func (w *Scheduler) serviceState(service string) *serviceState {
 	if found, known := (*w.serviceStates.Load())[service]; known {
 		return found
 	}
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -65,22 +65,22 @@
 	return list
 }
 
-func opened(count int) *Window {
+func opened(count int) *Scheduler {
 	calls := New(Options{Router: "courier-1", Zone: "north"})
-	calls.SetRouters(9)
-	calls.SetProgram(Compile(plan(nil), 1, 1))
+	calls.SetRouterCount(9)
+	calls.SetRouteTable(Compile(plan(nil), 1, 1))
 	calls.SetServers(noon, servers(count))
 	return calls
 }
 
 func longCall(id string, chain uint64) *Call {
 	return &Call{ID: id, Host: "long.example", Path: "/ask/one", Model: "m", PromptTokens: 9190, OutputTokens: 52, Bytes: 18_000,
-		Parts: []Part{{ID: 1, Tokens: 2520}, {ID: chain, Tokens: 3780}, {ID: nameKey(id), Tokens: 2890}}}
+		Segments: []Segment{{ID: 1, Tokens: 2520}, {ID: chain, Tokens: 3780}, {ID: nameKey(id), Tokens: 2890}}}
 }
 
 func chatCall(id string) *Call {
 	return &Call{ID: id, Host: "chat.example", Path: "/talk", Model: "m", PromptTokens: 826, OutputTokens: 290, Bytes: 1700,
-		Parts: []Part{{ID: 2, Tokens: 119}, {ID: 3, Tokens: 79}, {ID: nameKey(id), Tokens: 628}}}
+		Segments: []Segment{{ID: 2, Tokens: 119}, {ID: 3, Tokens: 79}, {ID: nameKey(id), Tokens: 628}}}
 }
 
 // TestTwoHalves follows one long call through a reader and a runner, and one chat
@@ -88,22 +88,22 @@
 func TestTwoHalves(t *testing.T) {
 	calls := opened(9)
 	ticket, decision := calls.Arrive(noon, longCall("a", 77))
-	if ticket == nil || decision.Kind != Read || decision.Server.Part != prefill {
+	if ticket == nil || decision.Kind != Prefill || decision.Server.Part != prefill {
 		t.Fatalf("a long prompt: %+v", decision)
 	}
 	decision = calls.Ended(noon.Add(180*time.Millisecond), ticket, Outcome{Result: Complete, Handle: "h"})
-	if decision.Kind != Run || decision.Server.Part != decode || decision.Source == nil || decision.Source.Handle != "h" {
+	if decision.Kind != Generate || decision.Server.Part != decode || decision.Source == nil || decision.Source.Handle != "h" {
 		t.Fatalf("after the read: %+v", decision)
 	}
-	decision = calls.Ended(noon.Add(600*time.Millisecond), ticket, Outcome{Result: Complete, First: noon.Add(200 * time.Millisecond)})
+	decision = calls.Ended(noon.Add(600*time.Millisecond), ticket, Outcome{Result: Complete, FirstByte: noon.Add(200 * time.Millisecond)})
 	if decision.Kind != Done || calls.InFlight() != 0 {
 		t.Fatalf("after the run: %+v, %d in flight", decision, calls.InFlight())
 	}
 	ticket, decision = calls.Arrive(noon, chatCall("b"))
-	if ticket == nil || decision.Kind != Run || decision.Server.Part != decode || decision.Source != nil || decision.Urgency != 1 {
+	if ticket == nil || decision.Kind != Generate || decision.Server.Part != decode || decision.Source != nil || decision.Priority != 1 {
 		t.Fatalf("a chat: %+v", decision)
 	}
-	if decision = calls.Ended(noon.Add(time.Second), ticket, Outcome{Result: Silent}); decision.Kind != Refuse || decision.Cause != Broken {
+	if decision = calls.Ended(noon.Add(time.Second), ticket, Outcome{Result: TimedOut}); decision.Kind != Refuse || decision.Cause != OutcomeUnknown {
 		t.Fatalf("a chat that may have run: %+v", decision)
 	}
 }
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -23,7 +23,7 @@
 	sequence int
 	random   *rand.Rand
 	engine   engineSheet
-	windows  []*Window
+	windows  []*Scheduler
 	places   []string
 	servers  map[string]*worldServer
 	list     []membership.Server
@@ -35,7 +35,7 @@
 	crossed                       float64
 	orders, dispatches, opened    int
 	idle                          map[connectionEnds]*connections
-	ledger                        backlog.Ledger
+	ledger                        backlog.Table
 	asked, toldOf                 int
 	update                        time.Duration
 	calls                         int
@@ -155,7 +155,7 @@
 }
 
 // world is a site in virtual time, with so much of its traffic for so long.
-func (s site) world(seed uint64, shape func(*Window)) *world {
+func (s site) world(seed uint64, shape func(*Scheduler)) *world {
 	w := dividedWorld(seed, s.routers, append([]membership.Server(nil), s.list...), s.configure, shape)
 	w.engine, w.crossing, w.prices = s.engine, s.crossing, s.prices
 	return w
@@ -266,7 +266,7 @@
 	believed    int
 }
 
-func (w *worldServer) kept(parts []Part, use bool) int {
+func (w *worldServer) kept(parts []Segment, use bool) int {
 	tokens := 0
 	for _, part := range parts {
 		entry, found := w.cache[part.ID]
@@ -281,7 +281,7 @@
 	return tokens
 }
 
-func (w *worldServer) keep(parts []Part) {
+func (w *worldServer) keep(parts []Segment) {
 	for position := len(parts) - 1; position >= 0; position-- {
 		part := parts[position]
 		if entry, found := w.cache[part.ID]; found {
@@ -370,7 +370,7 @@
 			continue
 		}
 		if !j.moved {
-			keeps := w.kept(j.call.Parts, true)
+			keeps := w.kept(j.call.Segments, true)
 			j.unread = max(j.call.PromptTokens-keeps, 1)
 			again := w.world.sharedAgain
 			w.world.countRead(j.call, keeps)
@@ -387,10 +387,10 @@
 
 func (w *world) countRead(call *Call, keeps int) {
 	at := 0
-	for position, part := range call.Parts {
+	for position, part := range call.Segments {
 		if at >= keeps {
 			w.read += part.Tokens
-			if position < len(call.Parts)-1 {
+			if position < len(call.Segments)-1 {
 				w.sharedRead += part.Tokens
 				if w.seen[part.ID] {
 					w.sharedAgain += part.Tokens
@@ -413,7 +413,7 @@
 		case j == reading:
 			j.unread -= chunk
 			if j.unread == 0 {
-				w.keep(j.call.Parts)
+				w.keep(j.call.Segments)
 			}
 			if j.unread == 0 && j.reads {
 				w.world.after(0, func() { j.ended(Complete) })
@@ -460,15 +460,15 @@
 	for _, j := range jobs {
 		switch {
 		case j.started:
-			j.ended(Cut)
+			j.ended(Interrupted)
 		default:
-			j.ended(Silent)
+			j.ended(TimedOut)
 		}
 	}
 }
 
 func (w *worldServer) report() Load {
-	return Load{Server: w.listed.Name, Part: w.part, Changing: w.changing, Waiting: len(w.waiting), Running: len(w.running),
+	return Load{Server: w.listed.Name, Role: w.part, ChangingRole: w.changing, Waiting: len(w.waiting), Running: len(w.running),
 		MemoryUsed: w.pinned, MemoryTotal: w.world.engine.memory}
 }
 
@@ -542,11 +542,11 @@
 	return min(mean*math.Exp(spread*random.NormFloat64()-spread*spread/2), most)
 }
 
-func newWorld(seed uint64, routers, count int, shape func(*Window)) *world {
+func newWorld(seed uint64, routers, count int, shape func(*Scheduler)) *world {
 	return dividedWorld(seed, routers, servers(count), nil, shape)
 }
 
-func dividedWorld(seed uint64, routers int, list []membership.Server, configure func(*config.Configuration), shape func(*Window)) *world {
+func dividedWorld(seed uint64, routers int, list []membership.Server, configure func(*config.Configuration), shape func(*Scheduler)) *world {
 	w := &world{now: noon, random: rand.New(rand.NewPCG(seed, 7)), engine: sheet(), servers: map[string]*worldServer{},
 		counter: map[string]*classCounter{}, seen: map[uint64]bool{}, ways: map[string]*wayCounter{}, idle: map[connectionEnds]*connections{}, ordered: map[string]string{}, update: 400 * time.Millisecond}
 	w.list = list
@@ -557,9 +557,9 @@
 	zones := []string{"north", "south", "west"}
 	for number := range routers {
 		calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: zones[number%3],
-			Retries: Allowance{Ratio: 0.2, Slack: 58, Span: 10 * time.Second}})
-		calls.SetRouters(routers)
-		calls.SetProgram(Compile(plan(configure), 1, 1))
+			Retries: RetryAllowance{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}})
+		calls.SetRouterCount(routers)
+		calls.SetRouteTable(Compile(plan(configure), 1, 1))
 		calls.SetServers(noon, w.list)
 		if shape != nil {
 			shape(calls)
@@ -672,11 +672,11 @@
 }
 
 // pool has the first router decide on the servers' parts.
-func (w *world) pool(pools *Pools) {
+func (w *world) pool(pools *RoleBalancer) {
 	for _, order := range pools.Decide(w.now, w.windows[0]) {
 		w.ordered[order.Server] = order.Part
 		for _, calls := range w.windows {
-			calls.SetOrders(w.now, w.ordered)
+			calls.SetRoleOrders(w.now, w.ordered)
 		}
 		w.after(200, func() { w.order(order.Server, order.Part) })
 	}
@@ -729,20 +729,20 @@
 func (w *world) ask(c class) {
 	w.calls++
 	id := fmt.Sprintf("%s-%d", c.name, w.calls)
-	call := &Call{ID: id, Host: c.host, Path: c.path + "x", Model: "m", Ends: w.now.Add(c.deadline)}
+	call := &Call{ID: id, Host: c.host, Path: c.path + "x", Model: "m", Deadline: w.now.Add(c.deadline)}
 	parent := uint64(0)
 	for depth, link := range c.chains {
 		thing := link.draw(w.random)
 		if depth > 0 {
 			// A deeper thing lies under one of those above.
 			parent = thing % uint64(c.chains[depth-1].things)
-			call.Parts[0] = w.thing(c, 0, parent)
+			call.Segments[0] = w.thing(c, 0, parent)
 		}
-		call.Parts = append(call.Parts, w.thing(c, depth, thing))
+		call.Segments = append(call.Segments, w.thing(c, depth, thing))
 	}
 	own := max(16, int(drawn(w.random, c.own, c.ownSpread, c.ownMost)))
-	call.Parts = append(call.Parts, Part{ID: nameKey(id), Tokens: own})
-	for _, part := range call.Parts {
+	call.Segments = append(call.Segments, Segment{ID: nameKey(id), Tokens: own})
+	for _, part := range call.Segments {
 		call.PromptTokens += part.Tokens
 	}
 	call.OutputTokens = max(1, int(drawn(w.random, c.chunks, c.spread, c.mostChunks)*float64(w.engine.stride)))
@@ -779,11 +779,11 @@
 }
 
 // thing is one shared part of a class's prompts, the same each time.
-func (w *world) thing(c class, depth int, thing uint64) Part {
+func (w *world) thing(c class, depth int, thing uint64) Segment {
 	link := c.chains[depth]
 	id := weigh(nameKey(c.name)+uint64(depth), thing)
 	random := rand.New(rand.NewPCG(id, 3))
-	return Part{ID: id, Tokens: max(16, int(drawn(random, link.mean, link.spread, link.most)))}
+	return Segment{ID: id, Tokens: max(16, int(drawn(random, link.mean, link.spread, link.most)))}
 }
 
 func (w *world) counterOf(name string) *classCounter {
@@ -801,7 +801,7 @@
 	call    *Call
 	at      time.Time
 	router  int
-	ticket  *Ticket
+	ticket  *CallState
 	first   time.Time
 	longest time.Duration
 	log     string
@@ -817,13 +817,13 @@
 func (w *world) follow(a *asked, decision Decision) {
 	w.tell(a.router)
 	counter := w.counterOf(a.class.name)
-	for _, source := range decision.Free {
+	for _, source := range decision.Release {
 		w.free(source)
 	}
 	switch decision.Kind {
-	case Ask:
+	case QueryBacklog:
 		w.consult(a, decision)
-	case Read, Run:
+	case Prefill, Generate:
 		w.dispatch(a, decision)
 	case Refuse:
 		if decision.Cause.NeverRan() {
@@ -862,16 +862,16 @@
 // consult brings a call's questions to the keepers of counts and back.
 func (w *world) consult(a *asked, decision Decision) {
 	router := strconv.Itoa(a.router)
-	answers := map[string]backlog.Answer{}
+	answers := map[string]backlog.Response{}
 	w.after(askTakes/2, func() {
-		for _, question := range decision.Questions {
+		for _, question := range decision.BacklogRequests {
 			question.Router = router
 			answers[question.Group] = w.ledger.Apply(w.now, question)
 			w.asked++
 		}
 	})
 	w.after(askTakes, func() {
-		w.follow(a, w.windows[a.router].Told(w.now, a.ticket, answers))
+		w.follow(a, w.windows[a.router].BacklogReported(w.now, a.ticket, answers))
 	})
 }
 
@@ -884,12 +884,12 @@
 
 // tell brings a router's changes to the keepers of counts.
 func (w *world) tell(router int) {
-	if !w.windows[router].HasChanges() {
+	if !w.windows[router].HasBacklogChanges() {
 		return
 	}
 	w.after(tellAfter, func() {
-		for group, changes := range w.windows[router].TakeChanges() {
-			w.ledger.Apply(w.now, backlog.Question{Router: strconv.Itoa(router), Group: group, Changes: changes})
+		for group, changes := range w.windows[router].TakeBacklogChanges() {
+			w.ledger.Apply(w.now, backlog.Request{Router: strconv.Itoa(router), Group: group, Changes: changes})
 			w.toldOf++
 		}
 	})
@@ -941,7 +941,7 @@
 		}
 		done = true
 		if outcome.Result == Complete {
-			outcome.Rests = keptOpen
+			outcome.KeepAlive = keptOpen
 			idle.give(w.now, keptOpen)
 		}
 		if job_ != nil {
@@ -950,24 +950,24 @@
 		}
 		w.follow(a, w.windows[a.router].Ended(w.now, a.ticket, outcome))
 	}
-	if decision.Patience > 0 {
-		w.after(milliseconds(decision.Patience), func() {
+	if decision.ResponseTimeout > 0 {
+		w.after(milliseconds(decision.ResponseTimeout), func() {
 			if job_ == nil || !job_.started {
-				end(Outcome{Result: Silent})
+				end(Outcome{Result: TimedOut})
 			}
 		})
 	}
-	w.after(milliseconds(decision.Ends.Sub(w.now)), func() {
+	w.after(milliseconds(decision.Deadline.Sub(w.now)), func() {
 		if job_ != nil && job_.started {
-			end(Outcome{Result: Cut, First: a.first})
+			end(Outcome{Result: Interrupted, FirstByte: a.first})
 		} else {
-			end(Outcome{Result: Silent})
+			end(Outcome{Result: TimedOut})
 		}
 	})
 	w.after(way, func() {
 		switch {
 		case server.down:
-			w.after(way, func() { end(Outcome{Result: Unreached}) })
+			w.after(way, func() { end(Outcome{Result: Unreachable}) })
 			return
 		case server.dark:
 			return
@@ -975,18 +975,18 @@
 		server.arrivals = append(server.arrivals, w.now)
 		turn := func(result Result) {
 			w.after(way, func() {
-				end(Outcome{Result: result, Status: 503, Load: &AnswerLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: w.engine.slots}})
+				end(Outcome{Result: result, Status: 503, Load: &ResponseLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: w.engine.slots}})
 			})
 		}
 		if server.changing {
 			turn(NotStarted)
 			return
 		}
-		if decision.Kind == Read != (server.part == prefill) {
+		if decision.Kind == Prefill != (server.part == prefill) {
 			turn(Misdirected)
 			return
 		}
-		j := &job{call: a.call, reads: decision.Kind == Read, left: a.call.OutputTokens, tokens: a.call.PromptTokens}
+		j := &job{call: a.call, reads: decision.Kind == Prefill, left: a.call.OutputTokens, tokens: a.call.PromptTokens}
 		job_ = j
 		j.way = a.class.name + " " + string(decision.Kind)
 		if j.reads {
@@ -1006,7 +1006,7 @@
 			}
 		}
 		j.ended = func(result Result) {
-			outcome := Outcome{Result: result, First: a.first}
+			outcome := Outcome{Result: result, FirstByte: a.first}
 			if j.reads && result == Complete {
 				handle := fmt.Sprintf("h%d", w.sequence)
 				server.handles[handle] = j.tokens
@@ -1018,7 +1018,7 @@
 					}
 				})
 			}
-			outcome.Load = &AnswerLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: w.engine.slots}
+			outcome.Load = &ResponseLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: w.engine.slots}
 			if result != Complete {
 				outcome.Load = nil
 			}
@@ -1074,7 +1074,7 @@
 	w.after(milliseconds(server.linkFree.Sub(w.now)), func() {
 		reader.pinned -= held
 		j.moved, j.unread = true, 0
-		server.keep(call.Parts)
+		server.keep(call.Segments)
 		b()
 	})
 }
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -75,7 +75,7 @@
 	if !w.ways.Calls {
 		return
 	}
-	options.Board = func(deciding *scheduler.Window) dataplane.Board {
+	options.Board = func(deciding *scheduler.Scheduler) dataplane.Board {
 		m.calls = dataplane.NewCalls(begun, deciding, func([]membership.Server) {})
 		return m.calls
 	}
@@ -87,7 +87,7 @@
 		w.outside.NewCond().Wait(min(time.Second, time.Duration(w.random.ExpFloat64()/20*float64(time.Second))), never)
 		c := &worldCall{world: w, idempotent: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
 		c.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + w.random.IntN(12_000), OutputTokens: 400,
-			Parts: []scheduler.Part{{ID: 1, Tokens: 50}, {ID: uint64(10 + w.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
+			Segments: []scheduler.Segment{{ID: 1, Tokens: 50}, {ID: uint64(10 + w.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
 		if c.idempotent {
 			c.call.Path = "/again/x"
 		}
@@ -119,7 +119,7 @@
 		w.after(0, there, func() {
 			there.Go(func() {
 				defer forget()
-				c.call.Ends = there.Now().Add(callLimit)
+				c.call.Deadline = there.Now().Add(callLimit)
 				conduct.Serve(c.call, e)
 				e.replies.put(callOver{})
 			})
@@ -188,9 +188,9 @@
 
 // patience is how long a decision lets its server say nothing.
 func (c *callExchange) patience(decision scheduler.Decision) time.Duration {
-	left := decision.Ends.Sub(c.incarnation.Now()) + callMargin
-	if decision.Patience > 0 {
-		left = min(left, decision.Patience)
+	left := decision.Deadline.Sub(c.incarnation.Now()) + callMargin
+	if decision.ResponseTimeout > 0 {
+		left = min(left, decision.ResponseTimeout)
 	}
 	return left
 }
@@ -199,13 +199,13 @@
 func (c *callExchange) lost(sending *callSending) scheduler.Result {
 	switch {
 	case c.left:
-		return scheduler.Gone
+		return scheduler.ClientGone
 	case sending.refused:
-		return scheduler.Unreached
+		return scheduler.Unreachable
 	case c.passed > 0:
-		return scheduler.Cut
+		return scheduler.Interrupted
 	}
-	return scheduler.Silent
+	return scheduler.TimedOut
 }
 
 // refused is the result of a server's promise.
@@ -223,19 +223,19 @@
 		return there.read(top, connection, c.call, decision.Server.Name)
 	})
 	if sending == nil {
-		return scheduler.Outcome{Result: scheduler.Unreached}
+		return scheduler.Outcome{Result: scheduler.Unreachable}
 	}
 	c.under = sending
 	defer sending.stop()
 	message, found := c.wait(sending, c.patience(decision))
 	switch said := message.(type) {
 	case callRead:
-		return scheduler.Outcome{Result: scheduler.Complete, Handle: said.handle, First: c.incarnation.Now()}
+		return scheduler.Outcome{Result: scheduler.Complete, Handle: said.handle, FirstByte: c.incarnation.Now()}
 	case callRefusal:
 		return c.refused(said)
 	}
 	if !found && !sending.refused && !c.left {
-		return scheduler.Outcome{Result: scheduler.Silent}
+		return scheduler.Outcome{Result: scheduler.TimedOut}
 	}
 	return scheduler.Outcome{Result: c.lost(sending)}
 }
@@ -247,7 +247,7 @@
 		return there.run(top, connection, c.call, decision.Server.Name, decision.Source, last, send)
 	})
 	if sending == nil {
-		return scheduler.Outcome{Result: scheduler.Unreached}
+		return scheduler.Outcome{Result: scheduler.Unreachable}
 	}
 	c.under = sending
 	defer sending.stop()
@@ -259,23 +259,23 @@
 			o.Result = c.lost(sending)
 			return o
 		}
-		if o.First.IsZero() {
+		if o.FirstByte.IsZero() {
 			if last > 0 {
 				c.incarnation.world.tempt("a stream of a call that went on elsewhere")
 			}
-			o.First = c.incarnation.Now()
+			o.FirstByte = c.incarnation.Now()
 			began()
 		}
 		switch said := message.(type) {
 		case callChunkSent:
 			c.passed = said.number
 			if !c.replies.put(said) {
-				o.Result = scheduler.Gone
+				o.Result = scheduler.ClientGone
 				return o
 			}
-			patience = decision.Ends.Sub(c.incarnation.Now()) + callMargin
-			if decision.Silence > 0 {
-				patience = min(patience, decision.Silence)
+			patience = decision.Deadline.Sub(c.incarnation.Now()) + callMargin
+			if decision.StreamTimeout > 0 {
+				patience = min(patience, decision.StreamTimeout)
 			}
 		case callRefusal:
 			return c.refused(said)
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -237,7 +237,7 @@
 		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
 	options.ServeWithoutLease = w.ways.ServeWithoutLease
 	if w.ways.Calls {
-		options.Board = func(*scheduler.Window) dataplane.Board { return deaf{} }
+		options.Board = func(*scheduler.Scheduler) dataplane.Board { return deaf{} }
 	}
 	if w.layout == nil {
 		options.Pressures = lists{w, begun}
--- a/internal/wire/loads.go
+++ b/internal/wire/loads.go
@@ -36,11 +36,11 @@
 }
 
 func ReportOf(load scheduler.Load, age time.Duration) LoadReport {
-	return LoadReport{Server: load.Server, Part: load.Part, Changing: load.Changing, Orders: uint(load.Orders), Waiting: load.Waiting, Running: load.Running,
+	return LoadReport{Server: load.Server, Part: load.Role, Changing: load.ChangingRole, Orders: uint(load.Orders), Waiting: load.Waiting, Running: load.Running,
 		MemoryUsed: load.MemoryUsed, MemoryTotal: load.MemoryTotal, Handles: load.Handles, Age: int((load.Age + age).Milliseconds())}
 }
 
 func (l LoadReport) Load(age time.Duration) scheduler.Load {
-	return scheduler.Load{Server: l.Server, Part: l.Part, Changing: l.Changing, Orders: uint64(l.Orders), Waiting: l.Waiting, Running: l.Running,
+	return scheduler.Load{Server: l.Server, Role: l.Part, ChangingRole: l.Changing, Orders: uint64(l.Orders), Waiting: l.Waiting, Running: l.Running,
 		MemoryUsed: l.MemoryUsed, MemoryTotal: l.MemoryTotal, Handles: l.Handles, Age: time.Duration(l.Age)*time.Millisecond + age}
 }
--- a/options.go
+++ b/options.go
@@ -17,7 +17,7 @@
 	FixedParts bool
 	// Retries bounds what all routers send beyond the first dispatch of each
 	// opaque call; what is left out is scheduler.DefaultAllowance.
-	Retries scheduler.Allowance
+	Retries scheduler.RetryAllowance
 }
 
 // DefaultMaxRequests is how many requests a router admits at once.
--- a/seamloom.go
+++ b/seamloom.go
@@ -33,14 +33,14 @@
 	// Call is one opaque request: its method, path and body are forwarded unchanged.
 	Call = scheduler.Call
 	// CallPart is one part of a call's prompt.
-	CallPart = scheduler.Part
+	CallPart = scheduler.Segment
 	// CallOutcome is how a dispatch of a call ended, CallDecision what is next.
 	CallOutcome  = scheduler.Outcome
 	CallDecision = scheduler.Decision
 	// CallLoad is what a server of calls reported of itself.
 	CallLoad = scheduler.Load
 	// Allowance bounds retries.
-	Allowance = scheduler.Allowance
+	Allowance = scheduler.RetryAllowance
 	// Flag names one breaking change of a record format.
 	Flag = features.Flag
 	// FlagList is a set of flags.
