--- a/internal/scheduler/ablation_test.go
+++ b/internal/scheduler/ablation_test.go
@@ -12,29 +12,29 @@
 
 // ablations take one mechanism of deciding away each.
 func ablations() map[string]func(*Scheduler) {
-	cost := func(change func(*costs)) func(*Scheduler) {
-		return func(calls *Scheduler) { calls.SetBacklogQueries(true); change(&calls.costs) }
+	cost := func(change func(*weights)) func(*Scheduler) {
+		return func(calls *Scheduler) { calls.SetBacklogQueries(true); change(&calls.weights) }
 	}
 	return map[string]func(*Scheduler){
-		"all of them":                         cost(func(*costs) {}),
+		"all of them":                         cost(func(*weights) {}),
 		"counts of what others have read":     func(*Scheduler) {},
-		"idle connections first":              cost(func(costs *costs) { costs.connection = 0 }),
-		"shared parts read again":             cost(func(costs *costs) { costs.again = 0 }),
-		"first reader of a chain":             cost(func(costs *costs) { costs.home, costs.next = 0, 0 }),
-		"second reader of a chain":            cost(func(costs *costs) { costs.next = 0 }),
-		"runner beside the first reader":      cost(func(costs *costs) { costs.runner, costs.awayThousand = 0, 0 }),
-		"price of memory moved":               cost(func(c *costs) { c.moveThousand = 0 }),
-		"price of bodies between zones":       cost(func(co *costs) { co.crossingKilobyte = 0 }),
-		"price of a second request":           cost(func(cs *costs) { cs.second = 0 }),
-		"pauses of others by reading":         cost(func(cst *costs) { cst.pauseHarm = 0 }),
-		"spread of equal servers":             cost(func(cos *costs) { cos.spread = 0 }),
-		"servers from which nothing comes":    cost(func(aCosts *costs) { aCosts.stuck = 0 }),
-		"servers that failed":                 cost(func(costs *costs) { costs.distrust = 0 }),
-		"risk of the only run after a read":   cost(func(costs *costs) { costs.lastTry = 0 }),
-		"price of a prompt read in vain":      cost(func(costs *costs) { costs.wasted = 0 }),
-		"sending away what would harm others": cost(func(costs *costs) { costs.refusal = 1e9 }),
-		"price of a cold server":              cost(func(costs *costs) { costs.cold = 0 }),
-		"parts that follow the work (pools)":  cost(func(*costs) {}),
+		"idle connections first":              cost(func(costs *weights) { costs.connection = 0 }),
+		"shared parts read again":             cost(func(costs *weights) { costs.rereadThousand = 0 }),
+		"first reader of a chain":             cost(func(costs *weights) { costs.homePrefill, costs.nextPrefill = 0, 0 }),
+		"second reader of a chain":            cost(func(costs *weights) { costs.nextPrefill = 0 }),
+		"runner beside the first reader":      cost(func(costs *weights) { costs.homeDecode, costs.awayThousand = 0, 0 }),
+		"price of memory moved":               cost(func(c *weights) { c.transferThousand = 0 }),
+		"price of bodies between zones":       cost(func(co *weights) { co.crossingKilobyte = 0 }),
+		"price of a second request":           cost(func(cs *weights) { cs.extraRequest = 0 }),
+		"pauses of others by reading":         cost(func(cst *weights) { cst.gapHarm = 0 }),
+		"spread of equal servers":             cost(func(cos *weights) { cos.tieBreak = 0 }),
+		"servers from which nothing comes":    cost(func(aCosts *weights) { aCosts.stalled = 0 }),
+		"servers that failed":                 cost(func(costs *weights) { costs.unhealthy = 0 }),
+		"risk of the only run after a read":   cost(func(costs *weights) { costs.lastAttempt = 0 }),
+		"price of a prompt read in vain":      cost(func(costs *weights) { costs.wastedThousand = 0 }),
+		"sending away what would harm others": cost(func(costs *weights) { costs.refusal = 1e9 }),
+		"price of a cold server":              cost(func(costs *weights) { costs.warming = 0 }),
+		"parts that follow the work (pools)":  cost(func(*weights) {}),
 	}
 }
 
--- a/internal/scheduler/arrive.go
+++ b/internal/scheduler/arrive.go
@@ -11,11 +11,11 @@
 func (w *Scheduler) Arrive(now time.Time, call *Call) (*CallState, Decision) {
 	left := call.Deadline.Sub(now)
 	if w.draining.Load() {
-		return nil, refusal(Draining, soon, left)
+		return nil, refusal(Draining, retryAfterSoon, left)
 	}
-	program := w.program.Load()
+	program := w.routes.Load()
 	if program == nil {
-		return nil, refusal(NotReady, unready, left)
+		return nil, refusal(NotReady, retryAfterUnready, left)
 	}
 	r, service := program.rule(call)
 	if r == nil {
@@ -32,12 +32,12 @@
 	if !now.Before(ends) {
 		return nil, Decision{Kind: Refuse, Cause: DeadlinePassed}
 	}
-	if len(w.board.Load().all) == 0 {
-		return nil, refusal(NotReady, unready, ends.Sub(now))
+	if len(w.snapshot.Load().all) == 0 {
+		return nil, refusal(NotReady, retryAfterUnready, ends.Sub(now))
 	}
-	ticket := &CallState{call: call, routeRule: r, service: service, mark: nameKey(call.ID), arrived: now, ends: ends}
+	ticket := &CallState{call: call, routeRule: r, service: service, key: nameKey(call.ID), arrived: now, deadline: ends}
 	w.inFlight.Add(1)
-	decision := w.begin(now, ticket, w.weighing(now, ticket), true)
+	decision := w.begin(now, ticket, w.newCycle(now, ticket), true)
 	if decision.Kind == Refuse {
 		return nil, decision
 	}
@@ -45,41 +45,41 @@
 }
 
 // begin finds a call's first dispatch, or refuses it. It may ask for counts first.
-func (w *Scheduler) begin(now time.Time, ticket *CallState, c *choice, mayAsk bool) Decision {
+func (w *Scheduler) begin(now time.Time, ticket *CallState, c *cycle, mayAsk bool) Decision {
 	if mayAsk {
-		kind, best, found := c.cheapest(true)
-		if questions := c.questions(kind, best); found && len(questions) > 0 {
+		kind, best, found := c.pickCheapest(true)
+		if questions := c.backlogRequests(kind, best); found && len(questions) > 0 {
 			return Decision{Kind: QueryBacklog, BacklogRequests: questions}
 		}
 	}
-	kind, way, found := c.find(func() (DecisionKind, offer, bool) { return c.cheapest(true) })
-	if !found || c.late(way) {
-		full := refusal(Saturated, c.relief(way, found), ticket.ends.Sub(now))
+	kind, way, found := c.pickAdmitted(func() (DecisionKind, candidate, bool) { return c.pickCheapest(true) })
+	if !found || c.tooLate(way) {
+		full := refusal(Saturated, c.retryAfter(way, found), ticket.deadline.Sub(now))
 		full.Reason = NoCapacity
 		return w.finish(now, ticket, full)
 	}
 	c.serviceState.retries.first(now, w.options.Retries)
-	return c.send(kind, way)
+	return c.dispatch(kind, way)
 }
 
 // late tells that a call would not begin in time, and that this is for want of places:
 // while half of them are free nothing is refused.
-func (c *choice) late(o offer) bool {
-	if span(o.time) <= c.ticket.ends.Sub(c.now) {
+func (c *cycle) tooLate(o candidate) bool {
+	if span(o.latency) <= c.state.deadline.Sub(c.now) {
 		return false
 	}
-	return c.free < freeEnough || c.busy(o.backend) >= freeEnough*c.slots(o.backend)
+	return c.freeShare < freeEnough || c.callsAt(o.backend) >= freeEnough*c.slots(o.backend)
 }
 
 // The measures of refusals. The values are ours.
 const (
-	soon    = 100 * time.Millisecond
-	unready = 1200 * time.Millisecond
+	retryAfterSoon    = 100 * time.Millisecond
+	retryAfterUnready = 1200 * time.Millisecond
 	// freeEnough is the part of the places that must be taken before a call is
 	// refused because it would be late.
-	freeEnough     = 0.5
-	shortestRelief = 50 * time.Millisecond
-	longestRelief  = 2 * time.Second
+	freeEnough    = 0.5
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
 // refusal tells when to come back: never later than a third of the time left, which
@@ -92,12 +92,12 @@
 }
 
 // relief is when a place is expected.
-func (c *choice) relief(best offer, found bool) time.Duration {
-	after := milliseconds(c.serviceState.runs.mean()) / 2
+func (c *cycle) retryAfter(best candidate, found bool) time.Duration {
+	after := milliseconds(c.serviceState.runDuration.mean()) / 2
 	if found {
-		after = best.time / 2
-	} else if c.soonest < after {
-		after = c.soonest
+		after = best.latency / 2
+	} else if c.soonestFree < after {
+		after = c.soonestFree
 	}
-	return min(max(span(after), shortestRelief), longestRelief)
+	return min(max(span(after), minRetryAfter), maxRetryAfter)
 }
--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlogs.go
@@ -13,16 +13,16 @@
 // the keepers of the counts for the servers that are likely to be chosen.
 
 // told is what the keeper of a server's count said.
-type told struct {
+type backlogCount struct {
 	tokens int
 	at     time.Time
 }
 
-// freshCount is how long a told count is better than what reports say. The value is ours.
-const freshCount = 25 * time.Millisecond
+// backlogCountFresh is how long a told count is better than what reports say. The value is ours.
+const backlogCountFresh = 25 * time.Millisecond
 
 // booking is what a keeper counts for a call that is to be read.
-type booking struct {
+type backlogEntry struct {
 	backend *backend
 	tokens  int
 }
@@ -55,7 +55,7 @@
 
 // SetBacklogQueries has the window ask for counts before reads: its conduct then answers decisions
 // of the kind Ask with Told, and brings TakeBacklogChanges to the keepers.
-func (w *Scheduler) SetBacklogQueries(asks bool) { w.asks.Store(asks) }
+func (w *Scheduler) SetBacklogQueries(asks bool) { w.queriesBacklog.Store(asks) }
 
 // TakeBacklogChanges are the changes that the keepers have not been told of, by group.
 func (w *Scheduler) TakeBacklogChanges() map[string][]backlog.Change {
@@ -75,27 +75,27 @@
 
 // questions are what to ask before a call is read, the group of the server that would be
 // chosen without an answer first; none if the answers would change nothing.
-func (c *choice) questions(kind DecisionKind, best offer) []backlog.Request {
-	if kind != Prefill || !c.window.asks.Load() {
+func (c *cycle) backlogRequests(kind DecisionKind, best candidate) []backlog.Request {
+	if kind != Prefill || !c.scheduler.queriesBacklog.Load() {
 		return nil
 	}
-	ticket, window := c.ticket, c.window
+	ticket, window := c.state, c.scheduler
 	var questions []backlog.Request
-	for _, b := range []*backend{best.backend, c.home, c.nextHome} {
-		if b == nil || b.group == "" || asksFor(questions, b.group) {
+	for _, b := range []*backend{best.backend, c.homePrefill, c.nextPrefill} {
+		if b == nil || b.backlogGroup == "" || hasGroup(questions, b.backlogGroup) {
 			continue
 		}
-		question := backlog.Request{Group: b.group, WantsCounts: true, Changes: window.outbox.take(b.group)}
+		question := backlog.Request{Group: b.backlogGroup, WantsCounts: true, Changes: window.outbox.take(b.backlogGroup)}
 		if b == best.backend {
-			ticket.booked = &booking{backend: b, tokens: best.unread}
-			question.Intent = &backlog.Change{Server: b.server.Name, Tokens: best.unread}
+			ticket.backlogEntry = &backlogEntry{backend: b, tokens: best.uncached}
+			question.Intent = &backlog.Change{Server: b.server.Name, Tokens: best.uncached}
 		}
 		questions = append(questions, question)
 	}
 	return questions
 }
 
-func asksFor(questions []backlog.Request, group string) bool {
+func hasGroup(questions []backlog.Request, group string) bool {
 	for _, question := range questions {
 		if question.Group == group {
 			return true
@@ -110,56 +110,56 @@
 	if ticket.ended || ticket.dispatch.backend != nil {
 		return Decision{Kind: Done}
 	}
-	for _, b := range w.board.Load().of(ticket.service.Name) {
-		answer, found := answers[b.group]
+	for _, b := range w.snapshot.Load().serving(ticket.service.Name) {
+		answer, found := answers[b.backlogGroup]
 		if !found {
 			continue
 		}
-		count := told{at: now}
+		count := backlogCount{at: now}
 		for _, counted := range answer.Counts {
 			if counted.Server == b.server.Name {
 				count.tokens = counted.Tokens
 			}
 		}
-		b.told.Store(&count)
+		b.backlogCount.Store(&count)
 	}
-	return w.begin(now, ticket, w.weighing(now, ticket), false)
+	return w.begin(now, ticket, w.newCycle(now, ticket), false)
 }
 
 // ahead is how many tokens a server is believed to read before a call's prompt.
-func (c *choice) ahead(b *backend) float64 {
-	if t := b.told.Load(); t != nil && c.now.Sub(t.at) <= freshCount {
+func (c *cycle) tokensAhead(b *backend) float64 {
+	if t := b.backlogCount.Load(); t != nil && c.now.Sub(t.at) <= backlogCountFresh {
 		return float64(t.tokens)
 	}
-	return float64(b.readingTokens.Load()) + b.others()*othersRead
+	return float64(b.prefillTokens.Load()) + b.otherCalls()*otherCallTokens
 }
 
 // book has the keeper of the server's count know that a call is read there.
-func (c *choice) book(b *backend, tokens int) {
-	ticket := c.ticket
-	if t := b.told.Load(); t != nil {
+func (c *cycle) countBacklog(b *backend, tokens int) {
+	ticket := c.state
+	if t := b.backlogCount.Load(); t != nil {
 		after := *t
 		after.tokens += tokens
-		b.told.CompareAndSwap(t, &after)
+		b.backlogCount.CompareAndSwap(t, &after)
 	}
-	if booked := ticket.booked; booked != nil && booked.backend.account == b.account && booked.tokens == tokens {
+	if booked := ticket.backlogEntry; booked != nil && booked.backend.serverState == b.serverState && booked.tokens == tokens {
 		return
 	}
-	c.window.unbook(ticket)
-	if c.window.asks.Load() {
-		ticket.booked = &booking{backend: b, tokens: tokens}
-		c.window.outbox.add(b.group, backlog.Change{Server: b.server.Name, Tokens: tokens})
+	c.scheduler.uncountBacklog(ticket)
+	if c.scheduler.queriesBacklog.Load() {
+		ticket.backlogEntry = &backlogEntry{backend: b, tokens: tokens}
+		c.scheduler.outbox.add(b.backlogGroup, backlog.Change{Server: b.server.Name, Tokens: tokens})
 	}
 }
 
 // unbook has the keeper know that what was booked for the call is read, or is not sent.
-func (w *Scheduler) unbook(ticket *CallState) {
-	booked := ticket.booked
+func (w *Scheduler) uncountBacklog(ticket *CallState) {
+	booked := ticket.backlogEntry
 	if booked == nil {
 		return
 	}
-	ticket.booked = nil
-	w.outbox.add(booked.backend.group, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
+	ticket.backlogEntry = nil
+	w.outbox.add(booked.backend.backlogGroup, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
 }
 
 // groupSize is how many servers a group has at most before there are twice as many groups:
@@ -176,13 +176,13 @@
 }
 
 // nameGroups names the group of each server.
-func (b *board) nameGroups() {
+func (b *snapshot) nameGroups() {
 	type p struct{ service, zone string }
 	sizes := map[p]int{}
 	for _, ba := range b.all {
 		sizes[p{ba.server.Service, ba.server.Zone}]++
 	}
 	for _, bc := range b.all {
-		bc.group = groupOf(bc, sizes[p{bc.server.Service, bc.server.Zone}])
+		bc.backlogGroup = groupOf(bc, sizes[p{bc.server.Service, bc.server.Zone}])
 	}
 }
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -7,34 +7,34 @@
 
 // begin is how long runs of a service take from their start to their first event, in
 // milliseconds, as their median.
-type begin struct{ bits atomic.Uint64 }
+type firstEventLatency struct{ bits atomic.Uint64 }
 
 // The measures of the beginning. The values are ours.
 const (
-	firstBegin = 20.0
-	beginStep  = 4.0
-	mostBegin  = 500.0
+	firstEventInitial = 20.0
+	firstEventStep    = 4.0
+	firstEventMax     = 500.0
 )
 
-func (b *begin) milliseconds() float64 {
+func (b *firstEventLatency) milliseconds() float64 {
 	if bits := b.bits.Load(); bits != 0 {
 		return math.Float64frombits(bits)
 	}
-	return firstBegin
+	return firstEventInitial
 }
 
-func (b *begin) note(milliseconds float64) {
+func (b *firstEventLatency) observe(milliseconds float64) {
 	for {
 		bits := b.bits.Load()
-		known := firstBegin
+		known := firstEventInitial
 		if bits != 0 {
 			known = math.Float64frombits(bits)
 		}
-		next := known - beginStep
+		next := known - firstEventStep
 		if milliseconds > known {
-			next = known + beginStep
+			next = known + firstEventStep
 		}
-		if b.bits.CompareAndSwap(bits, math.Float64bits(min(max(next, beginStep), mostBegin))) {
+		if b.bits.CompareAndSwap(bits, math.Float64bits(min(max(next, firstEventStep), firstEventMax))) {
 			return
 		}
 	}
--- a/internal/scheduler/board.go
+++ b/internal/scheduler/board.go
@@ -8,24 +8,24 @@
 )
 
 // board is all listed servers. It is never altered; a new list is a new board.
-type board struct {
-	all       []*backend
-	byName    map[string]*backend
-	byService map[string][]*backend
-	places    map[string]int
+type snapshot struct {
+	all         []*backend
+	byName      map[string]*backend
+	byService   map[string][]*backend
+	zoneIndexes map[string]int
 	// router is the key of the one whose board it is.
 	router uint64
 	// divided tells that the list says of a server what part it has.
-	divided bool
+	disaggregated bool
 }
 
-func newBoard() *board {
-	return &board{byName: map[string]*backend{}, byService: map[string][]*backend{}, places: map[string]int{}}
+func newSnapshot() *snapshot {
+	return &snapshot{byName: map[string]*backend{}, byService: map[string][]*backend{}, zoneIndexes: map[string]int{}}
 }
 
 // next is the board of a new list; servers that stay keep their accounts.
-func (b *board) next(now time.Time, servers []membership.Server) *board {
-	next := newBoard()
+func (b *snapshot) next(now time.Time, servers []membership.Server) *snapshot {
+	next := newSnapshot()
 	next.router = b.router
 	sorted := append([]membership.Server(nil), servers...)
 	sort.Slice(sorted, func(left, right int) bool { return sorted[left].Name < sorted[right].Name })
@@ -34,22 +34,22 @@
 		if _, twice := next.byName[server.Name]; twice {
 			continue
 		}
-		place, known := next.places[server.Zone]
+		place, known := next.zoneIndexes[server.Zone]
 		if !known {
-			place = len(next.places)
-			next.places[server.Zone] = place
+			place = len(next.zoneIndexes)
+			next.zoneIndexes[server.Zone] = place
 		}
-		listed := &backend{server: server, key: nameKey(server.Name), place: place}
+		listed := &backend{server: server, key: nameKey(server.Name), zoneIndex: place}
 		if earlier, found := b.byName[server.Name]; found && earlier.server.Address == server.Address {
-			listed.account = earlier.account
+			listed.serverState = earlier.serverState
 		} else {
-			listed.account = newAccount()
+			listed.serverState = newServerState()
 		}
 		if server.Warming > 0 {
-			listed.coolUntil(now.Add(server.Warming + b.warmth(listed.key)))
+			listed.markWarmingUntil(now.Add(server.Warming + b.warmingMargin(listed.key)))
 		}
 		next.byName[server.Name] = listed
-		next.divided = next.divided || server.Part != ""
+		next.disaggregated = next.disaggregated || server.Part != ""
 		next.all = append(next.all, listed)
 		if server.Service == "" {
 			everywhere = append(everywhere, listed)
@@ -68,7 +68,7 @@
 }
 
 // of lists the servers of a service.
-func (b *board) of(service string) []*backend {
+func (b *snapshot) serving(service string) []*backend {
 	if listed, found := b.byService[service]; found {
 		return listed
 	}
@@ -83,20 +83,20 @@
 	warmSpread = 900 * time.Millisecond
 )
 
-func (b *board) warmth(server uint64) time.Duration {
-	return warmMargin + time.Duration(weigh(b.router, server)%uint64(warmSpread))
+func (b *snapshot) warmingMargin(server uint64) time.Duration {
+	return warmMargin + time.Duration(rendezvousWeight(b.router, server)%uint64(warmSpread))
 }
 
 // pressed is how many readers of a service had a call when they last reported, and how
 // many calls the runners had.
-func (b *board) pressed(now time.Time, service string) (busy, running float64) {
+func (b *snapshot) demand(now time.Time, service string) (busy, running float64) {
 	for _, ba := range b.byService[service] {
-		report := ba.report.Load()
-		if report == nil || now.Sub(report.at) > pressureSpan {
+		report := ba.lastReport.Load()
+		if report == nil || now.Sub(report.at) > demandWindow {
 			continue
 		}
 		calls := float64(report.load.Running + report.load.Waiting)
-		if ba.reads() {
+		if ba.prefills() {
 			busy += min(1, calls)
 		} else {
 			running += calls
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -209,10 +209,10 @@
 		}
 		calls.SetServers(noon, list)
 		call := longCall("a", chain)
-		c := calls.weighing(noon, &CallState{call: call, routeRule: calls.program.Load().hosts["long.example"][1].routeRule,
-			service: calls.program.Load().services["desk"], ends: noon.Add(time.Second)})
-		c.homes()
-		return c.home.server.Name + " " + c.runnerHome.server.Name
+		c := calls.newCycle(noon, &CallState{call: call, routeRule: calls.routes.Load().hosts["long.example"][1].routeRule,
+			service: calls.routes.Load().services["desk"], deadline: noon.Add(time.Second)})
+		c.findHomes()
+		return c.homePrefill.server.Name + " " + c.homeDecode.server.Name
 	}
 	counts := map[string]int{}
 	moved := 0
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -9,447 +9,447 @@
 
 // choice finds the server for a call's next dispatch. Costs and times are in
 // milliseconds; what is priced otherwise is turned into them.
-type choice struct {
-	window       *Scheduler
-	costs        costs
-	program      *RouteTable
+type cycle struct {
+	scheduler    *Scheduler
+	weights      weights
+	routes       *RouteTable
 	now          time.Time
-	ticket       *CallState
+	state        *CallState
 	service      *config.Service
 	serviceState *serviceState
 	backends     []*backend
 	routerCount  int
 
-	chain                      uint64
-	home, nextHome, runnerHome *backend
-	shared                     int
-	pace                       float64
+	chain                                uint64
+	homePrefill, nextPrefill, homeDecode *backend
+	sharedTokens                         int
+	prefillRate                          float64
 	// held is how much longer runners read than by this router's own, begin how long
 	// a run takes to its first event, lapsing that hand-overs failed.
-	held, begin float64
-	lapsing     bool
+	decodeStretch, firstEventLatency float64
+	transfersFailing                 bool
 	// free is how much of the places there is not taken, from 0 to 1.
-	free float64
+	freeShare float64
 	// soonest is when a place may be had, if none is now.
-	soonest float64
-	// warmOnly leaves cold servers out, after another thread was first.
-	warmOnly bool
+	soonestFree float64
+	// excludeWarming leaves cold servers out, after another thread was first.
+	excludeWarming bool
 }
 
 // offer is one way that a call may go on.
-type offer struct {
+type candidate struct {
 	backend *backend
 	cost    float64
 	// time is when the first event of the answer is expected, own how long the
 	// dispatch itself takes.
-	time   float64
-	own    float64
-	unread int
+	latency    float64
+	ownLatency float64
+	uncached   int
 	// sourced tells that a run takes the memory that was read for it.
-	sourced bool
+	usesKV bool
 }
 
 // What moving memory takes, in milliseconds and tokens a millisecond, and how much of a
 // server's memory may be filled. The values are ours.
 const (
-	moveSetup  = 4.0
-	moveTokens = 4000.0
-	memoryUsed = 0.95
-	// othersRead is how many tokens a call of other routers is taken to read.
-	othersRead = 1500.0
+	transferSetup                = 4.0
+	transferTokensPerMillisecond = 4000.0
+	memoryUsed                   = 0.95
+	// otherCallTokens is how many tokens a call of other routers is taken to read.
+	otherCallTokens = 1500.0
 )
 
-func (w *Scheduler) weighing(now time.Time, ticket *CallState) *choice {
-	program := w.program.Load()
-	w.cool(now)
+func (w *Scheduler) newCycle(now time.Time, ticket *CallState) *cycle {
+	program := w.routes.Load()
+	w.warmReturnedZones(now)
 	service := ticket.service
 	if current, found := program.services[service.Name]; found {
 		service = current
 	}
 	s := w.serviceState(service.Name)
-	c := &choice{window: w, costs: w.costs, program: program, now: now, ticket: ticket, service: service, serviceState: s,
-		backends: w.board.Load().of(service.Name), routerCount: w.routerCount(),
-		chain: ticket.call.chain(), shared: ticket.call.shared(), pace: s.pace.tokens(), soonest: math.Inf(1)}
-	c.begin = s.begin.milliseconds()
-	c.crowd()
+	c := &cycle{scheduler: w, weights: w.weights, routes: program, now: now, state: ticket, service: service, serviceState: s,
+		backends: w.snapshot.Load().serving(service.Name), routerCount: w.routerCount(),
+		chain: ticket.call.chainKey(), sharedTokens: ticket.call.sharedTokens(), prefillRate: s.prefillRate.tokensPerMillisecond(), soonestFree: math.Inf(1)}
+	c.firstEventLatency = s.firstEvent.milliseconds()
+	c.measureDirectPrefill()
 	return c
 }
 
 // crowd weighs what runners are given to read by all routers, as this one does it.
-func (c *choice) crowd() {
-	tokens, lapsing := c.serviceState.pressure.directly(c.now)
-	c.lapsing = lapsing
+func (c *cycle) measureDirectPrefill() {
+	tokens, lapsing := c.serviceState.demand.directRate(c.now)
+	c.transfersFailing = lapsing
 	runners := 0
 	for _, b := range c.backends {
-		if b.splits() {
+		if b.decodesOnly() {
 			runners++
 		}
 	}
-	used := tokens * float64(c.routerCount) / float64(max(runners, 1)) / (c.pace * 1000 / 2)
-	c.held = 1 / (1 - min(used, mostHeld))
+	used := tokens * float64(c.routerCount) / float64(max(runners, 1)) / (c.prefillRate * 1000 / 2)
+	c.decodeStretch = 1 / (1 - min(used, maxDecodePrefill))
 }
 
-// mostHeld is the part of its time that a runner is at most taken to read.
-const mostHeld = 0.8
+// maxDecodePrefill is the part of its time that a runner is at most taken to read.
+const maxDecodePrefill = 0.8
 
 // open tells whether work of the call may be sent to a server at all.
-func (c *choice) open(b *backend) bool {
-	return !c.ticket.avoids(b) && !b.server.Leaving && !b.changing() && !b.expectedToChange(c.now) && !c.program.evacuations[b.server.Zone] &&
-		c.ticket.routeRule.allows(b.server.Zone) && b.has(c.ticket.call.Model)
+func (c *cycle) eligible(b *backend) bool {
+	return !c.state.avoids(b) && !b.server.Leaving && !b.changingRole() && !b.roleChangePending(c.now) && !c.routes.evacuations[b.server.Zone] &&
+		c.state.routeRule.allowsZone(b.server.Zone) && b.hasModel(c.state.call.Model)
 }
 
 // now there are room and leave for one more call at a server: cold ones take few.
-func (c *choice) admits(b *backend, tokens int) bool {
-	if total := c.memory(b); total > 0 && tokens > total {
+func (c *cycle) hasCapacity(b *backend, tokens int) bool {
+	if total := c.memoryTotal(b); total > 0 && tokens > total {
 		return false
 	}
-	if b.cold(c.now) {
-		rate, takes := c.coldRate(b)
-		if !takes || c.warmOnly || !b.rateLimit.ready(c.now, rate) {
-			c.soonest = min(c.soonest, 1000/max(rate, 0.5))
+	if b.warming(c.now) {
+		rate, takes := c.warmingRate(b)
+		if !takes || c.excludeWarming || !b.rateLimit.ready(c.now, rate) {
+			c.soonestFree = min(c.soonestFree, 1000/max(rate, 0.5))
 			return false
 		}
 	}
 	return true
 }
 
-// coldRate is this router's part of what a cold server stands. Of many routers only
+// warmingRate is this router's part of what a cold server stands. Of many routers only
 // some send to the same one.
-func (c *choice) coldRate(b *backend) (rate float64, takes bool) {
+func (c *cycle) warmingRate(b *backend) (rate float64, takes bool) {
 	perSecond := c.service.Warming.PerSecond
 	if perSecond <= 0 {
 		return 1, true
 	}
 	if c.routerCount <= fewRouters {
-		return perSecond * coldUsed / float64(c.routerCount), true
+		return perSecond * warmingShare / float64(c.routerCount), true
 	}
-	own := weigh(nameKey(c.window.options.Router), b.key) % uint64(c.routerCount)
-	return perSecond * coldUsed / fewRouters, own < chosenRouters
+	own := rendezvousWeight(nameKey(c.scheduler.options.Router), b.key) % uint64(c.routerCount)
+	return perSecond * warmingShare / fewRouters, own < chosenRouters
 }
 
 const (
 	fewRouters    = 6
 	chosenRouters = 3
-	coldUsed      = 0.8
+	warmingShare  = 0.8
 )
 
 // memory is how many tokens a server holds; zero if nobody said.
-func (c *choice) memory(b *backend) int {
-	if h := b.heard.Load(); h != nil && h.load.MemoryTotal > 0 {
+func (c *cycle) memoryTotal(b *backend) int {
+	if h := b.lastLoad.Load(); h != nil && h.load.MemoryTotal > 0 {
 		return h.load.MemoryTotal
 	}
 	return c.service.Engine.MemoryTokens
 }
 
 // tight is how long a call of so many tokens waits for memory.
-func (c *choice) tight(b *backend, tokens int) float64 {
-	total := c.memory(b)
+func (c *cycle) memoryWait(b *backend, tokens int) float64 {
+	total := c.memoryTotal(b)
 	if total == 0 {
 		return 0
 	}
-	used := int(b.account.memory.Load())
-	if h := b.heard.Load(); h != nil {
+	used := int(b.serverState.memory.Load())
+	if h := b.lastLoad.Load(); h != nil {
 		used = max(used, h.load.MemoryUsed)
 	}
 	if float64(used+tokens) <= memoryUsed*float64(total) {
 		return 0
 	}
-	return milliseconds(c.serviceState.runs.mean())
+	return milliseconds(c.serviceState.runDuration.mean())
 }
 
-func (c *choice) slots(b *backend) float64 {
+func (c *cycle) slots(b *backend) float64 {
 	switch {
 	case b.server.Slots > 0:
 		return float64(b.server.Slots)
 	case c.service.Engine.Slots > 0:
 		return float64(c.service.Engine.Slots)
 	}
-	return unknownSlots
+	return defaultSlots
 }
 
-const unknownSlots = 16
+const defaultSlots = 16
 
 // busy is how many calls a server has.
-func (c *choice) busy(b *backend) float64 {
-	return b.others() + float64(b.running.Load()+b.reading.Load())
+func (c *cycle) callsAt(b *backend) float64 {
+	return b.otherCalls() + float64(b.running.Load()+b.prefilling.Load())
 }
 
 // queue is how long a call waits for a place, from how many calls there are.
-func (c *choice) queue(b *backend, busy float64) float64 {
+func (c *cycle) queueTime(b *backend, busy float64) float64 {
 	slots := c.slots(b)
 	if busy < slots {
 		return 0
 	}
-	return (busy - slots + 1) / slots * milliseconds(c.serviceState.runs.mean())
+	return (busy - slots + 1) / slots * milliseconds(c.serviceState.runDuration.mean())
 }
 
 // burdens are costs that any work at a server has.
-func (c *choice) burdens(b *backend) float64 {
+func (c *cycle) endpointPenalty(b *backend) float64 {
 	cost := 0.0
-	if b.server.Zone != c.window.options.Zone {
-		cost += c.costs.crossingKilobyte * float64(c.ticket.call.Bytes) / 1024
+	if b.server.Zone != c.scheduler.options.Zone {
+		cost += c.weights.crossingKilobyte * float64(c.state.call.Bytes) / 1024
 	}
-	if b.trust.doubted(c.now, b.running.Load()+b.reading.Load()) {
-		cost += c.costs.distrust
+	if b.health.ejected(c.now, b.running.Load()+b.prefilling.Load()) {
+		cost += c.weights.unhealthy
 	} else if b.outlier(c.now) {
-		cost += c.costs.outlier
+		cost += c.weights.outlier
 	}
-	if b.cold(c.now) {
-		cost += c.costs.cold
+	if b.warming(c.now) {
+		cost += c.weights.warming
 	}
-	if !b.idle.available(c.now) {
-		cost += c.costs.connection
+	if !b.idleConnections.available(c.now) {
+		cost += c.weights.connection
 	}
-	cost += min(c.costs.stuck*c.stuck(b), c.costs.distrust)
-	if b.silent(c.window.reported.Load()) {
-		cost += c.costs.distrust
+	cost += min(c.weights.stalled*c.stalledFor(b), c.weights.unhealthy)
+	if b.stale(c.scheduler.latestReport.Load()) {
+		cost += c.weights.unhealthy
 	}
 	return cost
 }
 
 // stuck is how many milliseconds longer than is usual nothing has come from a server.
-func (c *choice) stuck(b *backend) float64 {
-	over := b.readings.stuck(c.now) - 2*float64(b.readingTokens.Load())/c.pace - usualStuck
-	if c.window.tells.Load() {
-		over = max(over, b.begins.stuck(c.now)-milliseconds(b.queued(c.now))-c.begin-usualStuck)
+func (c *cycle) stalledFor(b *backend) float64 {
+	over := b.prefillProgress.stalledFor(c.now) - 2*float64(b.prefillTokens.Load())/c.prefillRate - usualStall
+	if c.scheduler.reportsFirstEvents.Load() {
+		over = max(over, b.firstEventProgress.stalledFor(c.now)-milliseconds(b.directPrefillLeft(c.now))-c.firstEventLatency-usualStall)
 	}
 	return max(over, 0)
 }
 
-// pauseRoom is for how many milliseconds reading may hold up the tokens of others: a
+// gapBudget is for how many milliseconds reading may hold up the tokens of others: a
 // part of the shortest pause that a route to the service allows.
-func (c *choice) pauseRoom() float64 {
-	gap, found := c.program.gaps[c.service.Name]
+func (c *cycle) gapBudget() float64 {
+	gap, found := c.routes.gaps[c.service.Name]
 	if !found {
-		gap = unsaidGap
+		gap = defaultGap
 	}
-	return milliseconds(gap) * pauseShare
+	return milliseconds(gap) * gapShare
 }
 
 const (
-	// pauseShare leaves the rest of the pause to the usual time between two events.
-	pauseShare = 0.6
-	// unsaidGap is the pause where no route says one.
-	unsaidGap = 200 * time.Millisecond
+	// gapShare leaves the rest of the pause to the usual time between two events.
+	gapShare = 0.6
+	// defaultGap is the pause where no route says one.
+	defaultGap = 200 * time.Millisecond
 )
 
-// usualStuck is for how many milliseconds nothing may come from a server that is well.
-const usualStuck = 150
+// usualStall is for how many milliseconds nothing may come from a server that is well.
+const usualStall = 150
 
 // spread sets equal servers apart, for each call differently, so that routers that
 // see the same do not all run to one.
-func (c *choice) spread(b *backend) float64 {
-	return float64(weigh(b.key, c.ticket.mark)%1024) / 1024 * c.costs.spread
+func (c *cycle) tieBreak(b *backend) float64 {
+	return float64(rendezvousWeight(b.key, c.state.key)%1024) / 1024 * c.weights.tieBreak
 }
 
 // direct weighs a run at a server that reads the prompt itself.
-func (c *choice) direct(b *backend) (offer, bool) {
-	if !c.admits(b, c.ticket.tokens()) {
-		return offer{}, false
-	}
-	unread, again := c.unread(b)
-	p := c.pace / b.slow.factor(c.now)
-	busy := c.busy(b)
-	cost := c.burdens(b) + c.spread(b)
-	ahead := milliseconds(b.queued(c.now))
-	if b.splits() {
+func (c *cycle) scoreDirect(b *backend) (candidate, bool) {
+	if !c.hasCapacity(b, c.state.tokens()) {
+		return candidate{}, false
+	}
+	unread, again := c.uncachedTokens(b)
+	p := c.prefillRate / b.latency.factor(c.now)
+	busy := c.callsAt(b)
+	cost := c.endpointPenalty(b) + c.tieBreak(b)
+	ahead := milliseconds(b.directPrefillLeft(c.now))
+	if b.decodesOnly() {
 		p /= 2
-		held := (ahead + unread/p) * c.held / c.pauseRoom()
-		cost += held * held * c.costs.pauseHarm * (1 + busy)
+		held := (ahead + unread/p) * c.decodeStretch / c.gapBudget()
+		cost += held * held * c.weights.gapHarm * (1 + busy)
 	}
-	cost += c.costs.again * again / 1000
-	time := c.begin + ahead + unread/p + c.queue(b, busy) + c.tight(b, c.ticket.tokens())
+	cost += c.weights.rereadThousand * again / 1000
+	time := c.firstEventLatency + ahead + unread/p + c.queueTime(b, busy) + c.memoryWait(b, c.state.tokens())
 	cost += time
-	return offer{backend: b, cost: cost, time: time, own: time, unread: int(unread)}, true
+	return candidate{backend: b, cost: cost, latency: time, ownLatency: time, uncached: int(unread)}, true
 }
 
 // sourced weighs a run with memory that another server read, but for the move.
-func (c *choice) sourced(b *backend) (offer, bool) {
-	if !c.admits(b, c.ticket.tokens()) {
-		return offer{}, false
+func (c *cycle) scoreDecode(b *backend) (candidate, bool) {
+	if !c.hasCapacity(b, c.state.tokens()) {
+		return candidate{}, false
 	}
-	busy := c.busy(b)
-	time := c.begin + c.queue(b, busy) + c.tight(b, c.ticket.tokens())
-	cost := c.burdens(b) + c.spread(b) + time
-	if b.takes.failures.Load() >= oftenEnough && b.takes.doubted(c.now, 0) {
-		cost += c.costs.distrust
+	busy := c.callsAt(b)
+	time := c.firstEventLatency + c.queueTime(b, busy) + c.memoryWait(b, c.state.tokens())
+	cost := c.endpointPenalty(b) + c.tieBreak(b) + time
+	if b.kvReceiveHealth.failures.Load() >= repeatedFailures && b.kvReceiveHealth.ejected(c.now, 0) {
+		cost += c.weights.unhealthy
 	}
-	if b != c.runnerHome {
-		cost += c.costs.awayThousand * float64(c.shared) / 1000
+	if b != c.homeDecode {
+		cost += c.weights.awayThousand * float64(c.sharedTokens) / 1000
 	}
-	return offer{backend: b, cost: cost, time: time, own: time}, true
+	return candidate{backend: b, cost: cost, latency: time, ownLatency: time}, true
 }
 
 // move is what bringing the memory from a reader costs, and how long it takes.
-func (c *choice) move(reader, runner *backend) (cost, time float64) {
+func (c *cycle) transferCost(reader, runner *backend) (cost, time float64) {
 	near := reader != nil && reader.server.Zone == runner.server.Zone
-	thousands := float64(c.ticket.call.PromptTokens) / 1000
-	time = moveSetup + thousands*1000/moveTokens
-	cost = time + thousands*c.costs.moveThousand
+	thousands := float64(c.state.call.PromptTokens) / 1000
+	time = transferSetup + thousands*1000/transferTokensPerMillisecond
+	cost = time + thousands*c.weights.transferThousand
 	if !near {
 		time *= 2
-		cost = time + thousands*c.costs.moveThousand*c.costs.moveFar
+		cost = time + thousands*c.weights.transferThousand*c.weights.transferFar
 	}
-	late := between(c.now, reader, runner)
+	late := expectedTransferDelay(c.now, reader, runner)
 	return cost + late, time + late
 }
 
 // read weighs a read at a server.
-func (c *choice) read(b *backend) (offer, bool) {
-	call := c.ticket.call
-	if !c.admits(b, call.PromptTokens) {
-		return offer{}, false
-	}
-	unread, again := c.unread(b)
-	p := c.pace / b.slow.factor(c.now)
-	ahead := c.ahead(b)
-	time := readsCost + (ahead+unread)/p + c.tight(b, call.PromptTokens)
-	cost := c.burdens(b) + c.spread(b) + c.costs.second + c.risk(b) + time
-	cost += c.costs.again * again / 1000
-	if b.hands.doubted(c.now, b.reading.Load()) {
-		cost += c.costs.distrust
-	}
-	return offer{backend: b, cost: cost, time: time, own: time, unread: int(unread)}, true
+func (c *cycle) scorePrefill(b *backend) (candidate, bool) {
+	call := c.state.call
+	if !c.hasCapacity(b, call.PromptTokens) {
+		return candidate{}, false
+	}
+	unread, again := c.uncachedTokens(b)
+	p := c.prefillRate / b.latency.factor(c.now)
+	ahead := c.tokensAhead(b)
+	time := prefillOverhead + (ahead+unread)/p + c.memoryWait(b, call.PromptTokens)
+	cost := c.endpointPenalty(b) + c.tieBreak(b) + c.weights.extraRequest + c.transferRisk(b) + time
+	cost += c.weights.rereadThousand * again / 1000
+	if b.kvSendHealth.ejected(c.now, b.prefilling.Load()) {
+		cost += c.weights.unhealthy
+	}
+	return candidate{backend: b, cost: cost, latency: time, ownLatency: time, uncached: int(unread)}, true
 }
 
 // risk is that of a run that can't get the memory that was read for it: a call with one
 // try is lost then.
-func (c *choice) risk(reader *backend) float64 {
-	if !c.lapsing || c.now.UnixNano()-reader.handed.Load() < int64(handedLately) || c.ticket.counted+1 < c.ticket.routeRule.calls.Attempts {
+func (c *cycle) transferRisk(reader *backend) float64 {
+	if !c.transfersFailing || c.now.UnixNano()-reader.kvSentAt.Load() < int64(recentTransfer) || c.state.attempts+1 < c.state.routeRule.calls.Attempts {
 		return 0
 	}
-	return c.costs.lastTry
+	return c.weights.lastAttempt
 }
 
-// handedLately is how long a hand-over makes the next one likely while others fail.
-const handedLately = time.Second
+// recentTransfer is how long a hand-over makes the next one likely while others fail.
+const recentTransfer = time.Second
 
 // homes are the servers that rendezvous names for the call's chain, the same at every
 // router: two readers, and the runner beside the first of them.
-func (c *choice) homes() {
+func (c *cycle) findHomes() {
 	var readerWeight, nextWeight, farWeight uint64
-	var runners [mostPlaces]*backend
-	var weights [mostPlaces]uint64
+	var runners [maxZones]*backend
+	var weights [maxZones]uint64
 	var far *backend
-	c.home, c.nextHome, c.runnerHome = nil, nil, nil
+	c.homePrefill, c.nextPrefill, c.homeDecode = nil, nil, nil
 	for _, b := range c.backends {
-		if !c.open(b) {
+		if !c.eligible(b) {
 			continue
 		}
-		weight := weigh(c.chain, b.key)
-		if b.reads() {
+		weight := rendezvousWeight(c.chain, b.key)
+		if b.prefills() {
 			switch {
-			case c.home == nil || weight > readerWeight:
-				c.nextHome, nextWeight = c.home, readerWeight
-				c.home, readerWeight = b, weight
-			case c.nextHome == nil || weight > nextWeight:
-				c.nextHome, nextWeight = b, weight
+			case c.homePrefill == nil || weight > readerWeight:
+				c.nextPrefill, nextWeight = c.homePrefill, readerWeight
+				c.homePrefill, readerWeight = b, weight
+			case c.nextPrefill == nil || weight > nextWeight:
+				c.nextPrefill, nextWeight = b, weight
 			}
 			continue
 		}
 		if far == nil || weight > farWeight {
 			far, farWeight = b, weight
 		}
-		if place := b.place % mostPlaces; runners[place] == nil || weight > weights[place] {
+		if place := b.zoneIndex % maxZones; runners[place] == nil || weight > weights[place] {
 			runners[place], weights[place] = b, weight
 		}
 	}
-	c.runnerHome = far
-	if c.home != nil {
-		if near := runners[c.home.place%mostPlaces]; near != nil {
-			c.runnerHome = near
+	c.homeDecode = far
+	if c.homePrefill != nil {
+		if near := runners[c.homePrefill.zoneIndex%maxZones]; near != nil {
+			c.homeDecode = near
 		}
 	}
 }
 
 // belief is how surely a server keeps the call's shared parts by the home rule.
-func (c *choice) belief(b *backend) float64 {
+func (c *cycle) homeLikelihood(b *backend) float64 {
 	switch {
-	case b == c.home:
-		return c.costs.home
-	case b == c.nextHome:
-		return c.costs.next
-	case b == c.runnerHome:
-		return c.costs.runner
+	case b == c.homePrefill:
+		return c.weights.homePrefill
+	case b == c.nextPrefill:
+		return c.weights.nextPrefill
+	case b == c.homeDecode:
+		return c.weights.homeDecode
 	}
 	return 0
 }
 
 // unread is how many of the call's tokens a server would have to read, as far as is
 // believed, and how many of them are shared.
-func (c *choice) unread(b *backend) (unread, again float64) {
-	keeps := max(float64(b.kept.prefix(c.ticket.call.Segments)), c.belief(b)*float64(c.shared))
-	return max(float64(c.ticket.call.PromptTokens)-keeps, 1), max(float64(c.shared)-keeps, 0)
+func (c *cycle) uncachedTokens(b *backend) (unread, again float64) {
+	keeps := max(float64(b.prefixes.cachedTokens(c.state.call.Segments)), c.homeLikelihood(b)*float64(c.sharedTokens))
+	return max(float64(c.state.call.PromptTokens)-keeps, 1), max(float64(c.sharedTokens)-keeps, 0)
 }
 
 // find is the best way that may be gone now: a call to a cold server is counted before
 // it is sent.
-func (c *choice) find(way func() (DecisionKind, offer, bool)) (DecisionKind, offer, bool) {
+func (c *cycle) pickAdmitted(way func() (DecisionKind, candidate, bool)) (DecisionKind, candidate, bool) {
 	for {
 		kind, best, found := way()
-		if !found || !best.backend.cold(c.now) {
+		if !found || !best.backend.warming(c.now) {
 			return kind, best, found
 		}
-		if rate, _ := c.coldRate(best.backend); best.backend.rateLimit.take(c.now, rate) {
+		if rate, _ := c.warmingRate(best.backend); best.backend.rateLimit.take(c.now, rate) {
 			return kind, best, found
 		}
-		c.warmOnly = true
+		c.excludeWarming = true
 	}
 }
 
 // cheapest finds the way with the lowest cost: a read, or a run. mayRead says whether the
 // call may still be read elsewhere.
-func (c *choice) cheapest(mayRead bool) (kind DecisionKind, best offer, found bool) {
-	var near [mostPlaces]offer
-	var farthest offer
+func (c *cycle) pickCheapest(mayRead bool) (kind DecisionKind, best candidate, found bool) {
+	var near [maxZones]candidate
+	var farthest candidate
 	places, taken := 0.0, 0.0
 	anyRun := false
-	c.homes()
+	c.findHomes()
 	for _, b := range c.backends {
-		if !b.runs() || !c.open(b) {
+		if !b.generates() || !c.eligible(b) {
 			continue
 		}
 		places += c.slots(b)
-		taken += min(c.busy(b), c.slots(b))
-		if offered, may := c.direct(b); may && (!found || offered.cost < best.cost) {
+		taken += min(c.callsAt(b), c.slots(b))
+		if offered, may := c.scoreDirect(b); may && (!found || offered.cost < best.cost) {
 			kind, best, found = Generate, offered, true
 		}
 		if !mayRead {
 			continue
 		}
-		if offered, may := c.sourced(b); may {
+		if offered, may := c.scoreDecode(b); may {
 			if !anyRun || offered.cost < farthest.cost {
 				farthest, anyRun = offered, true
 			}
-			if slot := &near[b.place%mostPlaces]; slot.backend == nil || offered.cost < slot.cost {
+			if slot := &near[b.zoneIndex%maxZones]; slot.backend == nil || offered.cost < slot.cost {
 				*slot = offered
 			}
 		}
 	}
 	if places > 0 {
-		c.free = 1 - taken/places
+		c.freeShare = 1 - taken/places
 	}
 	if !mayRead || !anyRun {
 		return kind, best, found
 	}
 	for _, ba := range c.backends {
-		if !ba.reads() || !c.open(ba) {
+		if !ba.prefills() || !c.eligible(ba) {
 			continue
 		}
-		offered, may := c.read(ba)
+		offered, may := c.scorePrefill(ba)
 		if !may {
 			continue
 		}
-		moveCost, moveTime := c.move(ba, farthest.backend)
-		cost, time := farthest.cost+moveCost, farthest.time+moveTime
-		if runner := near[ba.place%mostPlaces]; runner.backend != nil && runner.backend.place == ba.place {
-			moveCost, moveTime = c.move(ba, runner.backend)
+		moveCost, moveTime := c.transferCost(ba, farthest.backend)
+		cost, time := farthest.cost+moveCost, farthest.latency+moveTime
+		if runner := near[ba.zoneIndex%maxZones]; runner.backend != nil && runner.backend.zoneIndex == ba.zoneIndex {
+			moveCost, moveTime = c.transferCost(ba, runner.backend)
 			if sum := runner.cost + moveCost; sum < cost {
-				cost, time = sum, runner.time+moveTime
+				cost, time = sum, runner.latency+moveTime
 			}
 		}
 		offered.cost += cost
-		offered.time += time
+		offered.latency += time
 		if !found || offered.cost < best.cost {
 			kind, best, found = Prefill, offered, true
 		}
@@ -457,28 +457,28 @@
 	return kind, best, found
 }
 
-const mostPlaces = 16
+const maxZones = 16
 
 // runner finds the server that makes the answer from memory that a reader has, or one
 // that reads the prompt itself because that is much better.
-func (c *choice) runner(reader *backend) (kind DecisionKind, best offer, found bool) {
-	c.homes()
+func (c *cycle) pickDecode(reader *backend) (kind DecisionKind, best candidate, found bool) {
+	c.findHomes()
 	for _, b := range c.backends {
-		if !b.splits() || !c.open(b) {
+		if !b.decodesOnly() || !c.eligible(b) {
 			continue
 		}
-		if offered, may := c.sourced(b); may {
-			cost, time := c.move(reader, b)
+		if offered, may := c.scoreDecode(b); may {
+			cost, time := c.transferCost(reader, b)
 			offered.cost += cost
-			offered.time += time
-			offered.own = offered.time
-			offered.sourced = true
+			offered.latency += time
+			offered.ownLatency = offered.latency
+			offered.usesKV = true
 			if !found || offered.cost < best.cost {
 				best, found = offered, true
 			}
 		}
-		if offered, may := c.direct(b); may {
-			offered.cost += c.costs.wasted * float64(c.ticket.call.PromptTokens) / 1000
+		if offered, may := c.scoreDirect(b); may {
+			offered.cost += c.weights.wastedThousand * float64(c.state.call.PromptTokens) / 1000
 			if !found || offered.cost < best.cost {
 				best, found = offered, true
 			}
--- a/internal/scheduler/connections.go
+++ b/internal/scheduler/connections.go
@@ -7,14 +7,14 @@
 
 // connections counts the idle connections to one server that the next calls may use,
 // by when each of them is closed.
-type connections struct {
+type idleConnections struct {
 	mutex sync.Mutex
 	// idle are the times of closing, the connection used last at the end.
 	idle []time.Time
 }
 
 // available tells whether a call would find an idle connection.
-func (c *connections) available(now time.Time) bool {
+func (c *idleConnections) available(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.idle) > 0 && now.Before(c.idle[len(c.idle)-1])
@@ -22,7 +22,7 @@
 
 // take uses the connection that was returned last. One that is closed by now is closed
 // with all that were returned before it.
-func (c *connections) take(now time.Time) {
+func (c *idleConnections) take(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	last := len(c.idle) - 1
@@ -36,17 +36,17 @@
 }
 
 // give returns a connection that stays open for so long.
-func (c *connections) give(now time.Time, keeps time.Duration) {
+func (c *idleConnections) give(now time.Time, keeps time.Duration) {
 	if keeps <= 0 {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.idle) >= mostIdleConnections {
+	if len(c.idle) >= maxIdleConnections {
 		c.idle = append(c.idle[:0], c.idle[1:]...)
 	}
 	c.idle = append(c.idle, now.Add(keeps))
 }
 
-// mostIdleConnections bounds what is remembered of one server.
-const mostIdleConnections = 16
+// maxIdleConnections bounds what is remembered of one server.
+const maxIdleConnections = 16
--- a/internal/scheduler/connections_test.go
+++ b/internal/scheduler/connections_test.go
@@ -7,7 +7,7 @@
 
 // TestConnections follows idle connections through use, return and closing.
 func TestConnections(t *testing.T) {
-	var idle connections
+	var idle idleConnections
 	if idle.available(noon) {
 		t.Error("a connection before any was opened")
 	}
@@ -28,10 +28,10 @@
 	if idle.available(noon.Add(10 * time.Second)) {
 		t.Error("a connection is idle after its server closed it")
 	}
-	for range 2 * mostIdleConnections {
+	for range 2 * maxIdleConnections {
 		idle.give(noon, time.Second)
 	}
-	if len(idle.idle) != mostIdleConnections {
+	if len(idle.idle) != maxIdleConnections {
 		t.Errorf("%d idle connections remembered", len(idle.idle))
 	}
 }
@@ -59,8 +59,8 @@
 // TestRoomForReading has the pause that reading may cause follow what routes allow.
 func TestRoomForReading(t *testing.T) {
 	calls := opened(9)
-	c := calls.weighing(noon, &CallState{call: chatCall("a"), routeRule: &routeRule{calls: plan(nil).Routes[1].Calls}, service: calls.program.Load().services["desk"]})
-	if got, want := c.pauseRoom(), milliseconds(250*time.Millisecond)*pauseShare; got != want {
+	c := calls.newCycle(noon, &CallState{call: chatCall("a"), routeRule: &routeRule{calls: plan(nil).Routes[1].Calls}, service: calls.routes.Load().services["desk"]})
+	if got, want := c.gapBudget(), milliseconds(250*time.Millisecond)*gapShare; got != want {
 		t.Errorf("%v ms for reading, want %v", got, want)
 	}
 }
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -8,28 +8,28 @@
 		return Decision{Kind: Done}
 	}
 	sent := ticket.dispatch
-	ticket.settle(now, outcome, w)
+	ticket.settleDispatch(now, outcome, w)
 	ticket.dispatch = dispatch{}
 	if outcome.Load != nil {
 		at := now
 		if !outcome.FirstByte.IsZero() && outcome.FirstByte.Before(at) {
 			at = outcome.FirstByte
 		}
-		sent.backend.answered(at, *outcome.Load)
+		sent.backend.takeResponseLoad(at, *outcome.Load)
 	}
 	if outcome.Warming > 0 {
-		sent.backend.coolUntil(now.Add(outcome.Warming + w.board.Load().warmth(sent.backend.key)))
+		sent.backend.markWarmingUntil(now.Add(outcome.Warming + w.snapshot.Load().warmingMargin(sent.backend.key)))
 	}
 	if outcome.Result == ClientGone {
 		if sent.source != nil {
-			ticket.spent = append(ticket.spent, *sent.source)
+			ticket.releasable = append(ticket.releasable, *sent.source)
 		}
 		return w.finish(now, ticket, Decision{Kind: Done})
 	}
 	if sent.kind == Prefill {
-		return w.readEnded(now, ticket, sent, outcome)
+		return w.prefillEnded(now, ticket, sent, outcome)
 	}
-	return w.runEnded(now, ticket, sent, outcome)
+	return w.generateEnded(now, ticket, sent, outcome)
 }
 
 // Began tells that the first event of a run's answer came. A router that tells it
@@ -41,46 +41,46 @@
 	}
 	sent.began = true
 	if sent.source != nil {
-		w.keeps(ticket, sent)
+		w.cachePrefix(ticket, sent)
 	}
-	sent.backend.begins.come(now)
-	if !w.tells.Load() {
-		w.tells.Store(true)
+	sent.backend.firstEventProgress.done(now)
+	if !w.reportsFirstEvents.Load() {
+		w.reportsFirstEvents.Store(true)
 	}
-	w.learnMove(now, ticket, *sent, now)
+	w.learnTransferDelay(now, ticket, *sent, now)
 }
 
-func (w *Scheduler) readEnded(now time.Time, ticket *CallState, sent dispatch, outcome Outcome) Decision {
+func (w *Scheduler) prefillEnded(now time.Time, ticket *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
 	switch outcome.Result {
 	case Complete:
-		w.learn(now, ticket, sent, now)
-		ticket.taken, ticket.reader = true, b
+		w.learnLatency(now, ticket, sent, now)
+		ticket.prefillTaken, ticket.prefillServer = true, b
 		ticket.source = &Source{Address: b.server.Address, Handle: outcome.Handle}
-		return w.next(now, ticket, lastWord{})
+		return w.nextDispatch(now, ticket, fallback{})
 	case Unreachable:
-		if sent.counted {
-			ticket.counted--
+		if sent.countedAttempt {
+			ticket.attempts--
 		}
 	default:
-		if !sent.counted {
-			ticket.counted++
+		if !sent.countedAttempt {
+			ticket.attempts++
 		}
 	}
 	w.failed(now, b, outcome.Result)
 	ticket.avoided = append(ticket.avoided, b)
-	return w.next(now, ticket, lastWord{})
+	return w.nextDispatch(now, ticket, fallback{})
 }
 
-func (w *Scheduler) runEnded(now time.Time, ticket *CallState, sent dispatch, outcome Outcome) Decision {
+func (w *Scheduler) generateEnded(now time.Time, ticket *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
 	if outcome.Result != Unreachable {
-		ticket.counted++
+		ticket.attempts++
 	}
 	switch outcome.Result {
 	case Complete:
-		w.learn(now, ticket, sent, outcome.FirstByte)
-		w.serviceState(ticket.service.Name).runs.note(now.Sub(sent.sent))
+		w.learnLatency(now, ticket, sent, outcome.FirstByte)
+		w.serviceState(ticket.service.Name).runDuration.observe(now.Sub(sent.sent))
 		return w.finish(now, ticket, Decision{Kind: Done})
 	case Unreachable, Misdirected:
 		ticket.source = sent.source
@@ -89,15 +89,15 @@
 			ticket.source = sent.source
 		} else if sent.source != nil {
 			// The memory may be gone, or the server be full: it reads the prompt itself.
-			ticket.spent = append(ticket.spent, *sent.source)
-			ticket.direct = true
-			w.serviceState(ticket.service.Name).pressure.lapse(now)
-			ticket.reader.hands.fail(now)
-			b.takes.failOften(now)
-			return w.next(now, ticket, lastWord{})
+			ticket.releasable = append(ticket.releasable, *sent.source)
+			ticket.noTransfer = true
+			w.serviceState(ticket.service.Name).demand.transferFailed(now)
+			ticket.prefillServer.kvSendHealth.fail(now)
+			b.kvReceiveHealth.failUncertain(now)
+			return w.nextDispatch(now, ticket, fallback{})
 		}
 	case ErrorResponse:
-		ticket.ran = true
+		ticket.mayHaveRun = true
 		if outcome.Status < 500 {
 			return w.finish(now, ticket, Decision{Kind: PassThrough})
 		}
@@ -106,121 +106,121 @@
 			return w.finish(now, ticket, Decision{Kind: PassThrough})
 		}
 		ticket.avoided = append(ticket.avoided, b)
-		return w.next(now, ticket, lastWord{Kind: PassThrough})
+		return w.nextDispatch(now, ticket, fallback{Kind: PassThrough})
 	case Interrupted:
-		ticket.ran, ticket.begun = true, true
+		ticket.mayHaveRun, ticket.streamBegun = true, true
 	default:
-		ticket.ran = true
+		ticket.mayHaveRun = true
 	}
 	w.failed(now, b, outcome.Result)
 	ticket.avoided = append(ticket.avoided, b)
-	return w.next(now, ticket, lastWord{})
+	return w.nextDispatch(now, ticket, fallback{})
 }
 
-// lastWord is what there is to give to the origin when nothing more is tried.
-type lastWord struct{ Kind DecisionKind }
+// fallback is what there is to give to the origin when nothing more is tried.
+type fallback struct{ Kind DecisionKind }
 
 // next finds the next dispatch, or ends the call.
-func (w *Scheduler) next(now time.Time, ticket *CallState, answer lastWord) Decision {
+func (w *Scheduler) nextDispatch(now time.Time, ticket *CallState, answer fallback) Decision {
 	if reason := ticket.exhausted(now); reason != "" {
-		return w.end(now, ticket, answer, soon, reason)
+		return w.end(now, ticket, answer, retryAfterSoon, reason)
 	}
-	c := w.weighing(now, ticket)
+	c := w.newCycle(now, ticket)
 	var kind DecisionKind
 	var found bool
-	var way offer
+	var way candidate
 	if ticket.source != nil {
-		kind, way, found = c.find(func() (DecisionKind, offer, bool) { return c.runner(ticket.reader) })
+		kind, way, found = c.pickAdmitted(func() (DecisionKind, candidate, bool) { return c.pickDecode(ticket.prefillServer) })
 	} else {
 		// A further read is paid as well and takes a try of its own.
-		further := ticket.taken || ticket.begun
-		mayRead := !ticket.direct && (!further || ticket.counted+1 < ticket.routeRule.calls.Attempts)
-		kind, way, found = c.find(func() (DecisionKind, offer, bool) { return c.cheapest(mayRead) })
+		further := ticket.prefillTaken || ticket.streamBegun
+		mayRead := !ticket.noTransfer && (!further || ticket.attempts+1 < ticket.routeRule.calls.Attempts)
+		kind, way, found = c.pickAdmitted(func() (DecisionKind, candidate, bool) { return c.pickCheapest(mayRead) })
 	}
-	if found && !way.sourced && kind == Generate && ticket.counted > 0 && way.cost > c.dearest() {
+	if found && !way.usesKV && kind == Generate && ticket.attempts > 0 && way.cost > c.maxRetryCost() {
 		// There is room for the call as a new one, which may be read elsewhere.
-		return w.end(now, ticket, answer, shortestRelief, TooCostly)
+		return w.end(now, ticket, answer, minRetryAfter, TooCostly)
 	}
-	if !found || ticket.source == nil && c.late(way) {
-		return w.end(now, ticket, answer, c.relief(way, found), NoCapacity)
+	if !found || ticket.source == nil && c.tooLate(way) {
+		return w.end(now, ticket, answer, c.retryAfter(way, found), NoCapacity)
 	}
-	if !c.pay() {
-		return w.end(now, ticket, answer, soon, BudgetUsed)
+	if !c.payRetries() {
+		return w.end(now, ticket, answer, retryAfterSoon, BudgetUsed)
 	}
-	decision := c.send(kind, way)
-	if kind == Prefill && ticket.taken {
-		ticket.dispatch.counted = true
-		ticket.counted++
+	decision := c.dispatch(kind, way)
+	if kind == Prefill && ticket.prefillTaken {
+		ticket.dispatch.countedAttempt = true
+		ticket.attempts++
 	}
 	return decision
 }
 
 // pay counts what the call was sent beyond its first try and has not paid for yet, a
 // reserved try first.
-func (c *choice) pay() bool {
-	ticket, allowance := c.ticket, c.window.options.Retries
-	owed := ticket.counted - ticket.paid
+func (c *cycle) payRetries() bool {
+	ticket, allowance := c.state, c.scheduler.options.Retries
+	owed := ticket.attempts - ticket.paidAttempts
 	if owed > 0 && ticket.reserved {
 		c.serviceState.retries.redeem(c.now, allowance)
 		ticket.reserved = false
-		ticket.paid++
+		ticket.paidAttempts++
 		owed--
 	}
 	if !c.serviceState.retries.spend(c.now, owed, allowance, c.routerCount) {
 		return false
 	}
-	ticket.paid = max(ticket.paid, ticket.counted)
+	ticket.paidAttempts = max(ticket.paidAttempts, ticket.attempts)
 	return true
 }
 
 // dearest is what a further run may cost: more where a stream has begun, which would be
 // broken off.
-func (c *choice) dearest() float64 {
-	if c.ticket.begun {
-		return begunWorth * c.costs.refusal
+func (c *cycle) maxRetryCost() float64 {
+	if c.state.streamBegun {
+		return begunWeight * c.weights.refusal
 	}
-	return c.costs.refusal
+	return c.weights.refusal
 }
 
-// begunWorth is how much more it costs to break a stream off than to refuse a call.
-const begunWorth = 4
+// begunWeight is how much more it costs to break a stream off than to refuse a call.
+const begunWeight = 4
 
 // exhausted tells why the call is tried no more, or nothing if it may be.
 func (t *CallState) exhausted(now time.Time) Reason {
 	switch {
-	case t.ran && !t.idempotent(), t.begun && !t.routeRule.calls.Resumable:
+	case t.mayHaveRun && !t.idempotent(), t.streamBegun && !t.routeRule.calls.Resumable:
 		return MayHaveRun
-	case !now.Before(t.ends):
+	case !now.Before(t.deadline):
 		return DeadlineReached
-	case t.counted >= max(1, t.routeRule.calls.Attempts):
+	case t.attempts >= max(1, t.routeRule.calls.Attempts):
 		return AttemptsUsed
 	}
 	return ""
 }
 
 // end words the last decision when nothing more is tried.
-func (w *Scheduler) end(now time.Time, ticket *CallState, answer lastWord, after time.Duration, reason Reason) Decision {
-	decision := ticket.last(now, answer, after)
+func (w *Scheduler) end(now time.Time, ticket *CallState, answer fallback, after time.Duration, reason Reason) Decision {
+	decision := ticket.fallbackDecision(now, answer, after)
 	decision.Reason = reason
 	return w.finish(now, ticket, decision)
 }
 
 // last is the call's last decision, by what its origin may be told.
-func (t *CallState) last(now time.Time, answer lastWord, after time.Duration) Decision {
-	late := !now.Before(t.ends)
+func (t *CallState) fallbackDecision(now time.Time, answer fallback, after time.Duration) Decision {
+	late := !now.Before(t.deadline)
 	switch {
 	case answer.Kind != "":
 		return Decision{Kind: answer.Kind}
-	case t.begun:
+	case t.streamBegun:
 		return Decision{Kind: BreakStream}
-	case t.ran && late:
+	case t.mayHaveRun && late:
 		return Decision{Kind: Refuse, Cause: OutcomeUnknownLate}
-	case t.ran:
+	case t.mayHaveRun:
 		return Decision{Kind: Refuse, Cause: OutcomeUnknown}
 	case late:
 		return Decision{Kind: Refuse, Cause: DeadlinePassed}
 	}
-	return refusal(Saturated, after, t.ends.Sub(now))
+	return refusal(Saturated, after, t.deadline.Sub(now))
 }
 
 // finish gives back memory that nobody takes and forgets the call.
@@ -230,27 +230,27 @@
 		w.serviceState(ticket.service.Name).retries.release()
 	}
 	if ticket.source != nil {
-		ticket.spent = append(ticket.spent, *ticket.source)
+		ticket.releasable = append(ticket.releasable, *ticket.source)
 		ticket.source = nil
 	}
-	decision.Release, ticket.spent = ticket.spent, nil
-	w.unbook(ticket)
+	decision.Release, ticket.releasable = ticket.releasable, nil
+	w.uncountBacklog(ticket)
 	ticket.ended = true
 	w.inFlight.Add(-1)
 	return decision
 }
 
 // learn takes how long a dispatch took to its answer's beginning.
-func (w *Scheduler) learn(now time.Time, ticket *CallState, sent dispatch, first time.Time) {
+func (w *Scheduler) learnLatency(now time.Time, ticket *CallState, sent dispatch, first time.Time) {
 	b := sent.backend
-	b.trust.succeed(now)
-	if sent.source != nil && ticket.reader != nil {
-		b.takes.succeed(now)
-		ticket.reader.hands.succeed(now)
-		ticket.reader.handed.Store(now.UnixNano())
+	b.health.succeed(now)
+	if sent.source != nil && ticket.prefillServer != nil {
+		b.kvReceiveHealth.succeed(now)
+		ticket.prefillServer.kvSendHealth.succeed(now)
+		ticket.prefillServer.kvSentAt.Store(now.UnixNano())
 		if !sent.began {
-			w.keeps(ticket, &sent)
-			w.learnMove(now, ticket, sent, first)
+			w.cachePrefix(ticket, &sent)
+			w.learnTransferDelay(now, ticket, sent, first)
 		}
 	}
 	if first.IsZero() || first.Before(sent.sent) {
@@ -258,38 +258,38 @@
 	}
 	took := first.Sub(sent.sent)
 	if sent.kind == Prefill {
-		w.serviceState(ticket.service.Name).pace.note(sent.unread, took)
+		w.serviceState(ticket.service.Name).prefillRate.observe(sent.uncached, took)
 	}
 	if sent.kind == Generate {
 		s := w.serviceState(ticket.service.Name)
-		s.begin.note(milliseconds(took-sent.expected) + s.begin.milliseconds())
+		s.firstEvent.observe(milliseconds(took-sent.expected) + s.firstEvent.milliseconds())
 	}
 	if sent.expected > 0 {
-		ratio := float64(took) / float64(sent.expected+slack)
+		ratio := float64(took) / float64(sent.expected+latencySlack)
 		if sent.kind == Prefill {
-			ratio /= usualWait
+			ratio /= usualPrefillRatio
 		}
-		b.slow.note(now, ratio)
+		b.latency.observe(now, ratio)
 	}
 }
 
-// learnMove takes how much longer than usual a run with moved memory took to begin.
-func (w *Scheduler) learnMove(now time.Time, ticket *CallState, sent dispatch, first time.Time) {
-	if sent.source == nil || ticket.reader == nil || first.IsZero() {
+// learnTransferDelay takes how much longer than usual a run with moved memory took to begin.
+func (w *Scheduler) learnTransferDelay(now time.Time, ticket *CallState, sent dispatch, first time.Time) {
+	if sent.source == nil || ticket.prefillServer == nil || first.IsZero() {
 		return
 	}
-	late := milliseconds(first.Sub(sent.sent)-sent.expected) - usualDelay
-	sent.backend.moves.note(now, late)
-	ticket.reader.moves.note(now, late)
+	late := milliseconds(first.Sub(sent.sent)-sent.expected) - usualTransferDelay
+	sent.backend.transferDelay.observe(now, late)
+	ticket.prefillServer.transferDelay.observe(now, late)
 }
 
-// usualDelay is how many milliseconds later than expected a run may begin without
+// usualTransferDelay is how many milliseconds later than expected a run may begin without
 // telling of a slow move.
-const usualDelay = 60
+const usualTransferDelay = 60
 
 // slack is what any answer may take longer without telling of a slow server.
-const slack = 20 * time.Millisecond
+const latencySlack = 20 * time.Millisecond
 
-// usualWait is how many times what was expected a read may take without telling of a
+// usualPrefillRatio is how many times what was expected a read may take without telling of a
 // slow server: it waits for the reads of other routers.
-const usualWait = 2
+const usualPrefillRatio = 2
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -20,12 +20,12 @@
 		t.Fatalf("%+v", decision)
 	}
 	decision = calls.Ended(noon.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, Handle: "h"})
-	runner := calls.board.Load().byName[decision.Server.Name]
-	if runner.kept.prefix(call.Segments) != 0 {
+	runner := calls.snapshot.Load().byName[decision.Server.Name]
+	if runner.prefixes.cachedTokens(call.Segments) != 0 {
 		t.Error("kept before it came")
 	}
 	decision = calls.Ended(noon.Add(110*time.Millisecond), ticket, Outcome{Result: NotStarted, Status: 503})
-	if runner.kept.prefix(call.Segments) != 0 {
+	if runner.prefixes.cachedTokens(call.Segments) != 0 {
 		t.Error("kept though it never came")
 	}
 	if decision.Kind == Generate && len(decision.Release) != 1 {
@@ -33,9 +33,9 @@
 	}
 	// A read that failed leaves nothing either, but what was there before.
 	ticket, decision = calls.Arrive(noon, longCall("b", 78))
-	reader := calls.board.Load().byName[decision.Server.Name]
+	reader := calls.snapshot.Load().byName[decision.Server.Name]
 	calls.Ended(noon.Add(time.Second), ticket, Outcome{Result: TimedOut})
-	if k := reader.kept.prefix(longCall("b", 78).Segments); k > 2520 {
+	if k := reader.prefixes.cachedTokens(longCall("b", 78).Segments); k > 2520 {
 		t.Errorf("%d tokens kept of a read that failed", k)
 	}
 }
@@ -57,7 +57,7 @@
 	ticket, _ := calls.Arrive(noon, longCall("a", 77))
 	calls.Ended(noon.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, Handle: "h"})
 	decision := calls.Ended(noon.Add(110*time.Millisecond), ticket, Outcome{Result: NotStarted, Status: 503})
-	if decision.Kind != Refuse || decision.Cause != Saturated || decision.RetryAfter != shortestRelief || len(decision.Release) != 1 {
+	if decision.Kind != Refuse || decision.Cause != Saturated || decision.RetryAfter != minRetryAfter || len(decision.Release) != 1 {
 		t.Errorf("%+v", decision)
 	}
 }
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -276,8 +276,8 @@
 	if left := h.calls.InFlight(); left != 0 {
 		h.test.Fatalf("%d calls in flight at the end", left)
 	}
-	for _, b := range h.calls.board.Load().all {
-		if b.reading.Load() != 0 || b.running.Load() != 0 || b.readingTokens.Load() != 0 || b.account.memory.Load() != 0 {
+	for _, b := range h.calls.snapshot.Load().all {
+		if b.prefilling.Load() != 0 || b.running.Load() != 0 || b.prefillTokens.Load() != 0 || b.serverState.memory.Load() != 0 {
 			h.test.Fatalf("%s keeps work on its account", b.server.Name)
 		}
 	}
--- a/internal/scheduler/kept.go
+++ b/internal/scheduler/kept.go
@@ -8,15 +8,15 @@
 
 // kept is what a router believes a server to keep of the prompts that it sent there:
 // the parts used last, as far as the server's memory goes.
-type kept struct {
-	mutex  sync.Mutex
-	parts  map[uint64]*list.Element
-	order  *list.List
-	tokens int
-	count  atomic.Int64
+type prefixCache struct {
+	mutex    sync.Mutex
+	segments map[uint64]*list.Element
+	order    *list.List
+	tokens   int
+	count    atomic.Int64
 }
 
-type keptPart struct {
+type cachedSegment struct {
 	id     uint64
 	tokens int
 	weight int
@@ -27,7 +27,7 @@
 
 // prefix counts the tokens of a chain that are believed to be kept, whole parts from
 // its beginning.
-func (k *kept) prefix(parts []Segment) int {
+func (k *prefixCache) cachedTokens(parts []Segment) int {
 	if k.count.Load() == 0 {
 		return 0
 	}
@@ -35,8 +35,8 @@
 	defer k.mutex.Unlock()
 	tokens := 0
 	for _, part := range parts {
-		element, found := k.parts[part.ID]
-		if !found || element.Value.(*keptPart).tokens < part.Tokens {
+		element, found := k.segments[part.ID]
+		if !found || element.Value.(*cachedSegment).tokens < part.Tokens {
 			break
 		}
 		tokens += part.Tokens
@@ -46,14 +46,14 @@
 
 // note counts a prompt as used at the server just now. others is how many routers
 // send such prompts there: own parts of theirs push out as many as this one's.
-func (k *kept) note(parts []Segment, room, others, most int) {
+func (k *prefixCache) add(parts []Segment, room, others, most int) {
 	if len(parts) == 0 {
 		return
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.parts == nil {
-		k.parts, k.order = map[uint64]*list.Element{}, list.New()
+	if k.segments == nil {
+		k.segments, k.order = map[uint64]*list.Element{}, list.New()
 	}
 	// The last part gives way first: parts are of use only behind those before.
 	for position := len(parts) - 1; position >= 0; position-- {
@@ -62,20 +62,20 @@
 		if position == len(parts)-1 {
 			weight *= max(1, others)
 		}
-		if element, found := k.parts[part.ID]; found {
-			known := element.Value.(*keptPart)
+		if element, found := k.segments[part.ID]; found {
+			known := element.Value.(*cachedSegment)
 			k.tokens += weight - known.weight
 			known.tokens, known.weight = max(known.tokens, part.Tokens), weight
 			k.order.MoveToFront(element)
 			continue
 		}
-		k.parts[part.ID] = k.order.PushFront(&keptPart{id: part.ID, tokens: part.Tokens, weight: weight})
+		k.segments[part.ID] = k.order.PushFront(&cachedSegment{id: part.ID, tokens: part.Tokens, weight: weight})
 		k.tokens += weight
 	}
 	for k.order.Len() > 0 && (k.tokens > room || k.order.Len() > most) {
 		oldest := k.order.Back()
-		gone := k.order.Remove(oldest).(*keptPart)
-		delete(k.parts, gone.id)
+		gone := k.order.Remove(oldest).(*cachedSegment)
+		delete(k.segments, gone.id)
 		k.tokens -= gone.weight
 	}
 	k.count.Store(int64(k.order.Len()))
@@ -83,7 +83,7 @@
 
 // forget drops the parts of a prompt that was not read after all, behind those that
 // were known before.
-func (k *kept) forget(parts []Segment, known int) {
+func (k *prefixCache) forget(parts []Segment, known int) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.order == nil {
@@ -93,9 +93,9 @@
 	at := 0
 	for _, part := range parts {
 		at += part.Tokens
-		if element, found := k.parts[part.ID]; found && at > known {
-			k.tokens -= k.order.Remove(element).(*keptPart).weight
-			delete(k.parts, part.ID)
+		if element, found := k.segments[part.ID]; found && at > known {
+			k.tokens -= k.order.Remove(element).(*cachedSegment).weight
+			delete(k.segments, part.ID)
 		}
 	}
 	k.count.Store(int64(k.order.Len()))
--- a/internal/scheduler/meanduration.go
+++ b/internal/scheduler/meanduration.go
@@ -18,7 +18,7 @@
 	return firstMean
 }
 
-func (m *meanDuration) note(took time.Duration) {
+func (m *meanDuration) observe(took time.Duration) {
 	for {
 		stored := m.nanoseconds.Load()
 		known := stored
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -11,10 +11,10 @@
 // What other routers met at a server counts for this one where it has no better knowledge
 // of its own. The values are ours.
 const (
-	// adviceLasts is how long advice holds when no more news comes.
-	adviceLasts = 3 * time.Second
-	// ownWord is how long a success of this router's own outweighs advice.
-	ownWord = time.Second
+	// adviceTTL is how long advice holds when no more news comes.
+	adviceTTL = 3 * time.Second
+	// ownSuccessSpan is how long a success of this router's own outweighs advice.
+	ownSuccessSpan = time.Second
 	// trialShare is the part of the routers that use a server on trial, one of so many.
 	trialShare = 8
 )
@@ -52,14 +52,14 @@
 
 // SetOutliers takes the advice that comes of what all routers met.
 func (w *Scheduler) SetOutliers(now time.Time, advice outlier.Advice) {
-	b := w.board.Load()
-	until := now.Add(adviceLasts).UnixNano()
+	b := w.snapshot.Load()
+	until := now.Add(adviceTTL).UnixNano()
 	avoided := make(map[string]bool, len(advice.Ejected)+len(advice.Trial))
 	for _, name := range advice.Ejected {
 		avoided[name] = true
 	}
 	for _, name := range advice.Trial {
-		if ba, found := b.byName[name]; found && !w.attempts(ba) {
+		if ba, found := b.byName[name]; found && !w.usesOnTrial(ba) {
 			avoided[name] = true
 		}
 	}
@@ -73,19 +73,19 @@
 }
 
 // tries tells whether this router is one of those that use a server on trial.
-func (w *Scheduler) attempts(b *backend) bool {
-	return w.routerCount() <= trialShare || weigh(nameKey(w.options.Router), b.key)%trialShare == 0
+func (w *Scheduler) usesOnTrial(b *backend) bool {
+	return w.routerCount() <= trialShare || rendezvousWeight(nameKey(w.options.Router), b.key)%trialShare == 0
 }
 
 // outlier tells whether other routers failed at the server and this one knows no better.
 func (b *backend) outlier(now time.Time) bool {
-	return now.UnixNano() < b.outlierUntil.Load() && now.UnixNano()-b.trust.succeeded.Load() > int64(ownWord)
+	return now.UnixNano() < b.outlierUntil.Load() && now.UnixNano()-b.health.succeeded.Load() > int64(ownSuccessSpan)
 }
 
 // failed notes that a server failed a call. One that turns calls away, or is not the one
 // that was meant, fails nobody else for that.
 func (w *Scheduler) failed(now time.Time, b *backend, result Result) {
-	b.trust.fail(now)
+	b.health.fail(now)
 	if result != NotStarted && result != Misdirected {
 		w.failures.add(b.server.Name)
 	}
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -39,7 +39,7 @@
 		t.Error("no calls at a server that is no outlier any more")
 	}
 	calls.SetOutliers(noon.Add(2*time.Second), outlier.Advice{Ejected: []string{bad}})
-	if sent := count(noon.Add(2*time.Second + adviceLasts)); sent == 0 {
+	if sent := count(noon.Add(2*time.Second + adviceTTL)); sent == 0 {
 		t.Error("old advice still holds")
 	}
 }
@@ -47,13 +47,13 @@
 // TestOwnWordOutweighsAdvice has a router that a server serves well go on using it.
 func TestOwnWordOutweighsAdvice(t *testing.T) {
 	calls := opened(9)
-	b := calls.board.Load().byName["stove-5"]
-	b.trust.succeed(noon)
+	b := calls.snapshot.Load().byName["stove-5"]
+	b.health.succeed(noon)
 	calls.SetOutliers(noon, outlier.Advice{Ejected: []string{"stove-5"}})
-	if b.outlier(noon.Add(ownWord)) {
+	if b.outlier(noon.Add(ownSuccessSpan)) {
 		t.Error("a server that serves this router well is an outlier")
 	}
-	if !b.outlier(noon.Add(ownWord + 1)) {
+	if !b.outlier(noon.Add(ownSuccessSpan + 1)) {
 		t.Error("an old success outweighs the others' word")
 	}
 }
@@ -90,7 +90,7 @@
 		calls.SetRouteTable(Compile(plan(nil), 1, 1))
 		calls.SetServers(noon, servers(9))
 		calls.SetOutliers(noon, outlier.Advice{Trial: []string{"stove-5"}})
-		if !calls.board.Load().byName["stove-5"].outlier(noon) {
+		if !calls.snapshot.Load().byName["stove-5"].outlier(noon) {
 			trying++
 		}
 	}
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -8,45 +8,45 @@
 
 // pace is how many prompt tokens a server of a service reads in a millisecond, as
 // learned from how long reads took. It starts from a guess.
-type pace struct{ bits atomic.Uint64 }
+type prefillRate struct{ bits atomic.Uint64 }
 
 // The measures of the pace. The values are ours.
 const (
-	// firstPace is rather too low: what is believed to be read slowly is spread better.
-	firstPace  = 30.0
-	leastPace  = 2.0
-	mostPace   = 1000.0
-	paceRise   = 1.03
-	paceFall   = 0.985
-	readsCost  = 15.0
-	tellTokens = 512
+	// initialPrefillRate is rather too low: what is believed to be read slowly is spread better.
+	initialPrefillRate = 30.0
+	minPrefillRate     = 2.0
+	maxPrefillRate     = 1000.0
+	prefillRateRise    = 1.03
+	prefillRateFall    = 0.985
+	prefillOverhead    = 15.0
+	minSampleTokens    = 512
 )
 
-func (p *pace) tokens() float64 {
+func (p *prefillRate) tokensPerMillisecond() float64 {
 	if bits := p.bits.Load(); bits != 0 {
 		return math.Float64frombits(bits)
 	}
-	return firstPace
+	return initialPrefillRate
 }
 
 // note takes one read: each moves the pace a little, so that single ones that waited
 // or met kept parts count for little.
-func (p *pace) note(unread int, took time.Duration) {
-	if unread < tellTokens {
+func (p *prefillRate) observe(unread int, took time.Duration) {
+	if unread < minSampleTokens {
 		return
 	}
-	seen := float64(unread) / max(milliseconds(took)-readsCost, 1)
+	seen := float64(unread) / max(milliseconds(took)-prefillOverhead, 1)
 	for {
 		bits := p.bits.Load()
-		known := firstPace
+		known := initialPrefillRate
 		if bits != 0 {
 			known = math.Float64frombits(bits)
 		}
-		next := known * paceFall
+		next := known * prefillRateFall
 		if seen > known {
-			next = known * paceRise
+			next = known * prefillRateRise
 		}
-		next = min(max(next, leastPace), mostPace)
+		next = min(max(next, minPrefillRate), maxPrefillRate)
 		if p.bits.CompareAndSwap(bits, math.Float64bits(next)) {
 			return
 		}
--- a/internal/scheduler/program.go
+++ b/internal/scheduler/program.go
@@ -13,13 +13,13 @@
 // its routes, the longest prefix first. It is never altered; a new configuration is a
 // new program.
 type RouteTable struct {
-	epoch       uint64
-	number      uint64
-	hosts       map[string][]step
-	services    map[string]*config.Service
-	names       []string
-	evacuations map[string]bool
-	limits      config.Limits
+	epoch        uint64
+	number       uint64
+	hosts        map[string][]step
+	services     map[string]*config.Service
+	serviceNames []string
+	evacuations  map[string]bool
+	limits       config.Limits
 	// gaps are the shortest pauses between events that the routes to a service allow.
 	gaps map[string]time.Duration
 }
@@ -43,7 +43,7 @@
 	zones map[string]bool
 }
 
-func (r *routeRule) allows(zone string) bool {
+func (r *routeRule) allowsZone(zone string) bool {
 	return r.zones == nil || r.zones[zone]
 }
 
@@ -62,9 +62,9 @@
 	for name, service := range configuration.Services {
 		service.Name = name
 		program.services[name] = &service
-		program.names = append(program.names, name)
+		program.serviceNames = append(program.serviceNames, name)
 	}
-	sort.Strings(program.names)
+	sort.Strings(program.serviceNames)
 	byHost := map[string][]*config.Route{}
 	for position := range configuration.Routes {
 		route := &configuration.Routes[position]
@@ -97,7 +97,7 @@
 		if found && part.Weight > 0 {
 			r.total += uint64(part.Weight)
 			r.shares = append(r.shares, share{service: service, upTo: r.total})
-			p.narrow(service.Name, route.Calls.Gap)
+			p.noteGap(service.Name, route.Calls.Gap)
 		}
 	}
 	if len(route.To.Zones) > 0 {
@@ -117,7 +117,7 @@
 }
 
 // narrow notes the longest pause between events that a route to a service allows.
-func (p *RouteTable) narrow(service string, gap time.Duration) {
+func (p *RouteTable) noteGap(service string, gap time.Duration) {
 	if known, found := p.gaps[service]; gap > 0 && (!found || gap < known) {
 		p.gaps[service] = gap
 	}
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -13,23 +13,23 @@
 }
 
 // wait counts one thing more that is waited for.
-func (p *progress) wait(now time.Time) {
+func (p *progress) start(now time.Time) {
 	if p.pending.Add(1) == 1 {
 		p.since.Store(now.UnixNano())
 	}
 }
 
 // come counts one that came: the server moves.
-func (p *progress) come(now time.Time) {
+func (p *progress) done(now time.Time) {
 	p.pending.Add(-1)
 	p.since.Store(now.UnixNano())
 }
 
 // leave counts one that is waited for no longer without having come.
-func (p *progress) leave() { p.pending.Add(-1) }
+func (p *progress) cancel() { p.pending.Add(-1) }
 
 // stuck is how long nothing came, in milliseconds.
-func (p *progress) stuck(now time.Time) float64 {
+func (p *progress) stalledFor(now time.Time) float64 {
 	if p.pending.Load() <= 0 {
 		return 0
 	}
--- a/internal/scheduler/rendezvous.go
+++ b/internal/scheduler/rendezvous.go
@@ -6,7 +6,7 @@
 func nameKey(name string) uint64 { return membership.Weight("window", name) }
 
 // weigh is the rendezvous weight of a server for a chain: the same at every router.
-func weigh(chain, server uint64) uint64 {
+func rendezvousWeight(chain, server uint64) uint64 {
 	sum := chain*0x9e3779b97f4a7c15 ^ server
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
@@ -16,7 +16,7 @@
 }
 
 // chain is what a call's home goes by: the last part that it shares with others.
-func (c *Call) chain() uint64 {
+func (c *Call) chainKey() uint64 {
 	switch length := len(c.Segments); length {
 	case 0:
 		return membership.Weight("call", c.ID)
@@ -28,7 +28,7 @@
 }
 
 // shared are the tokens of the parts that other calls may have as well.
-func (c *Call) shared() int {
+func (c *Call) sharedTokens() int {
 	tokens := 0
 	for position := 0; position < len(c.Segments)-1; position++ {
 		tokens += c.Segments[position].Tokens
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -37,7 +37,7 @@
 func (r *retryBudget) first(now time.Time, allowance RetryAllowance) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.turn(now, allowance).first++
+	r.advance(now, allowance).first++
 }
 
 // spend counts so many retries, or tells that there is no room for them.
@@ -47,8 +47,8 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	slot := r.turn(now, allowance)
-	if r.used()+float64(count) > r.room(now, allowance, routers) {
+	slot := r.advance(now, allowance)
+	if r.used()+float64(count) > r.allowed(now, allowance, routers) {
 		return false
 	}
 	slot.further += count
@@ -60,8 +60,8 @@
 func (r *retryBudget) reserve(now time.Time, allowance RetryAllowance, routers int) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.turn(now, allowance)
-	if r.used()+1 > reservableShare*r.room(now, allowance, routers) {
+	r.advance(now, allowance)
+	if r.used()+1 > reservableShare*r.allowed(now, allowance, routers) {
 		return false
 	}
 	r.reserved++
@@ -72,7 +72,7 @@
 func (r *retryBudget) redeem(now time.Time, allowance RetryAllowance) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.turn(now, allowance).further++
+	r.advance(now, allowance).further++
 	r.reserved--
 }
 
@@ -93,7 +93,7 @@
 }
 
 // room is how many retries the span allows.
-func (r *retryBudget) room(now time.Time, allowance RetryAllowance, routers int) float64 {
+func (r *retryBudget) allowed(now time.Time, allowance RetryAllowance, routers int) float64 {
 	calls := 0
 	for _, slot := range r.slots {
 		calls += slot.first
@@ -104,7 +104,7 @@
 }
 
 // turn goes on to the slot of now and empties those that are outside of the span.
-func (r *retryBudget) turn(now time.Time, allowance RetryAllowance) *budgetSlot {
+func (r *retryBudget) advance(now time.Time, allowance RetryAllowance) *budgetSlot {
 	if r.since.IsZero() {
 		r.since = now
 	}
--- a/internal/scheduler/returned.go
+++ b/internal/scheduler/returned.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// coldAfterReturn is how long the servers of a zone count as cold whose evacuation was
+// warmingAfterReturn is how long the servers of a zone count as cold whose evacuation was
 // taken back: they may have become cold while nobody used them, and the list tells that
 // only later. The value is ours, above the time that list and news take.
-const coldAfterReturn = 1600 * time.Millisecond
+const warmingAfterReturn = 1600 * time.Millisecond
 
 // returned are zones whose evacuation was taken back since the last call.
-type returned map[string]bool
+type returnedZones map[string]bool
 
 // returning notes which zones come back with a program, before it is in force.
-func (w *Scheduler) returning(current, next *RouteTable) {
+func (w *Scheduler) noteReturnedZones(current, next *RouteTable) {
 	if current == nil || len(current.evacuations) == 0 {
 		return
 	}
-	zones := returned{}
-	if pending := w.returned.Load(); pending != nil {
+	zones := returnedZones{}
+	if pending := w.returnedZones.Load(); pending != nil {
 		for zone := range *pending {
 			zones[zone] = true
 		}
@@ -27,19 +27,19 @@
 		}
 	}
 	if len(zones) > 0 {
-		w.returned.Store(&zones)
+		w.returnedZones.Store(&zones)
 	}
 }
 
 // cool has the servers of zones that came back count as cold from now.
-func (w *Scheduler) cool(now time.Time) {
-	zones := w.returned.Load()
-	if zones == nil || !w.returned.CompareAndSwap(zones, nil) {
+func (w *Scheduler) warmReturnedZones(now time.Time) {
+	zones := w.returnedZones.Load()
+	if zones == nil || !w.returnedZones.CompareAndSwap(zones, nil) {
 		return
 	}
-	for _, b := range w.board.Load().all {
+	for _, b := range w.snapshot.Load().all {
 		if (*zones)[b.server.Zone] {
-			b.coolUntil(now.Add(coldAfterReturn))
+			b.markWarmingUntil(now.Add(warmingAfterReturn))
 		}
 	}
 }
--- a/internal/scheduler/send.go
+++ b/internal/scheduler/send.go
@@ -5,83 +5,83 @@
 // ResponseTimeout with a server that says nothing, in multiples of what was expected and at
 // least so long. The values are ours.
 const (
-	readPatience      = 4
-	leastReadPatience = 800 * time.Millisecond
-	runPatience       = 8
-	leastRunPatience  = time.Second
-	// easilyRead is how long a prompt may be that another runner could read itself.
-	easilyRead = 3000
+	prefillTimeoutFactor  = 4
+	minPrefillTimeout     = 800 * time.Millisecond
+	generateTimeoutFactor = 8
+	minGenerateTimeout    = time.Second
+	// shortPrompt is how long a prompt may be that another runner could read itself.
+	shortPrompt = 3000
 )
 
 // send notes a dispatch as under way and words the decision.
-func (c *choice) send(kind DecisionKind, o offer) Decision {
-	ticket, b := c.ticket, o.backend
+func (c *cycle) dispatch(kind DecisionKind, o candidate) Decision {
+	ticket, b := c.state, o.backend
 	now := c.now
-	ticket.dispatch = dispatch{backend: b, kind: kind, sent: now, unread: o.unread, expected: span(o.own)}
-	decision := Decision{Kind: kind, Server: b.server, Deadline: ticket.ends, Priority: ticket.routeRule.calls.Rank}
-	if len(ticket.spent) > 0 {
-		decision.Release, ticket.spent = ticket.spent, nil
+	ticket.dispatch = dispatch{backend: b, kind: kind, sent: now, uncached: o.uncached, expected: span(o.ownLatency)}
+	decision := Decision{Kind: kind, Server: b.server, Deadline: ticket.deadline, Priority: ticket.routeRule.calls.Rank}
+	if len(ticket.releasable) > 0 {
+		decision.Release, ticket.releasable = ticket.releasable, nil
 	}
 	sent := &ticket.dispatch
-	b.idle.take(now)
+	b.idleConnections.take(now)
 	if kind == Prefill {
 		sent.tokens = ticket.call.PromptTokens
-		c.book(b, sent.unread)
-		b.reading.Add(1)
-		b.readings.wait(now)
-		b.readingTokens.Add(int64(sent.unread))
-		decision.ResponseTimeout = c.patience(max(readPatience*sent.expected, leastReadPatience))
+		c.countBacklog(b, sent.uncached)
+		b.prefilling.Add(1)
+		b.prefillProgress.start(now)
+		b.prefillTokens.Add(int64(sent.uncached))
+		decision.ResponseTimeout = c.responseTimeout(max(prefillTimeoutFactor*sent.expected, minPrefillTimeout))
 	} else {
-		c.window.unbook(ticket)
+		c.scheduler.uncountBacklog(ticket)
 		sent.tokens = ticket.tokens()
-		if o.sourced {
+		if o.usesKV {
 			sent.source, ticket.source = ticket.source, nil
 		} else if ticket.source != nil {
 			decision.Release = append(decision.Release, *ticket.source)
-			ticket.source, ticket.direct = nil, true
+			ticket.source, ticket.noTransfer = nil, true
 		}
 		decision.Source = sent.source
 		b.running.Add(1)
-		b.begins.wait(now)
+		b.firstEventProgress.start(now)
 		if sent.source == nil {
-			p := c.pace / b.slow.factor(now)
-			if b.splits() {
+			p := c.prefillRate / b.latency.factor(now)
+			if b.decodesOnly() {
 				p /= 2
 			}
-			b.queue(now, span(float64(sent.unread)/p))
-			c.serviceState.pressure.readDirectly(now, sent.unread)
+			b.addDirectPrefill(now, span(float64(sent.uncached)/p))
+			c.serviceState.demand.addDirect(now, sent.uncached)
 		}
-		if ticket.idempotent() && !ticket.begun && c.goesOn() {
-			decision.ResponseTimeout = c.patience(max(runPatience*sent.expected, leastRunPatience))
+		if ticket.idempotent() && !ticket.streamBegun && c.canGoOnElsewhere() {
+			decision.ResponseTimeout = c.responseTimeout(max(generateTimeoutFactor*sent.expected, minGenerateTimeout))
 		}
-		decision.StreamTimeout = c.silence()
+		decision.StreamTimeout = c.streamTimeout()
 	}
-	b.account.memory.Add(int64(sent.tokens))
+	b.serverState.memory.Add(int64(sent.tokens))
 	// What reads a prompt keeps it from now on, as far as the next calls go; memory that
 	// is moved may not come.
-	sent.room, sent.known = c.memory(b), b.kept.prefix(ticket.call.Segments)
-	if !o.sourced {
-		c.window.keeps(ticket, sent)
+	sent.memoryTotal, sent.cachedBefore = c.memoryTotal(b), b.prefixes.cachedTokens(ticket.call.Segments)
+	if !o.usesKV {
+		c.scheduler.cachePrefix(ticket, sent)
 	}
 	return decision
 }
 
-// goesOn tells whether the call could go on elsewhere if its run were given up: a long
+// canGoOnElsewhere tells whether the call could go on elsewhere if its run were given up: a long
 // prompt is read again only by a reader, which is a try of its own.
-func (c *choice) goesOn() bool {
-	ticket := c.ticket
-	return ticket.call.PromptTokens <= easilyRead || ticket.counted+2 < ticket.routeRule.calls.Attempts
+func (c *cycle) canGoOnElsewhere() bool {
+	ticket := c.state
+	return ticket.call.PromptTokens <= shortPrompt || ticket.attempts+2 < ticket.routeRule.calls.Attempts
 }
 
 // patience is given only when there is time and leave for another try behind it.
-func (c *choice) patience(wanted time.Duration) time.Duration {
-	ticket := c.ticket
-	left := ticket.ends.Sub(c.now)
-	if wanted > left*2/3 || ticket.counted+1 >= ticket.routeRule.calls.Attempts {
+func (c *cycle) responseTimeout(wanted time.Duration) time.Duration {
+	ticket := c.state
+	left := ticket.deadline.Sub(c.now)
+	if wanted > left*2/3 || ticket.attempts+1 >= ticket.routeRule.calls.Attempts {
 		return 0
 	}
 	// The retry is reserved now: giving up without one behind it would lose the call.
-	if !ticket.reserved && !c.serviceState.retries.reserve(c.now, c.window.options.Retries, c.routerCount) {
+	if !ticket.reserved && !c.serviceState.retries.reserve(c.now, c.scheduler.options.Retries, c.routerCount) {
 		return 0
 	}
 	ticket.reserved = true
@@ -89,51 +89,51 @@
 }
 
 // keeps notes that a server keeps a call's prompt.
-func (w *Scheduler) keeps(ticket *CallState, sent *dispatch) {
-	sent.backend.kept.note(ticket.call.Segments, sent.room, w.routerCount(), w.mostKept())
+func (w *Scheduler) cachePrefix(ticket *CallState, sent *dispatch) {
+	sent.backend.prefixes.add(ticket.call.Segments, sent.memoryTotal, w.routerCount(), w.maxCachedSegments())
 }
 
 // settle takes a dispatch off the accounts.
-func (t *CallState) settle(now time.Time, outcome Outcome, window *Scheduler) {
+func (t *CallState) settleDispatch(now time.Time, outcome Outcome, window *Scheduler) {
 	sent := &t.dispatch
 	b := sent.backend
 	if sent.kind == Prefill {
-		window.unbook(t)
-		b.reading.Add(-1)
-		b.readingTokens.Add(-int64(sent.unread))
-		arrive(&b.readings, now, outcome.came())
+		window.uncountBacklog(t)
+		b.prefilling.Add(-1)
+		b.prefillTokens.Add(-int64(sent.uncached))
+		finishProgress(&b.prefillProgress, now, outcome.serverResponded())
 	} else {
 		b.running.Add(-1)
 		if !sent.began {
-			arrive(&b.begins, now, outcome.came())
+			finishProgress(&b.firstEventProgress, now, outcome.serverResponded())
 		}
 	}
-	b.account.memory.Add(-int64(sent.tokens))
-	b.idle.give(now, outcome.KeepAlive)
+	b.serverState.memory.Add(-int64(sent.tokens))
+	b.idleConnections.give(now, outcome.KeepAlive)
 	if sent.source == nil && !sent.began && outcome.Result != Complete && outcome.Result != Interrupted {
-		b.kept.forget(t.call.Segments, sent.known)
+		b.prefixes.forget(t.call.Segments, sent.cachedBefore)
 	}
 }
 
-func arrive(p *progress, now time.Time, came bool) {
+func finishProgress(p *progress, now time.Time, came bool) {
 	if came {
-		p.come(now)
+		p.done(now)
 	} else {
-		p.leave()
+		p.cancel()
 	}
 }
 
 // came tells whether the server was heard.
-func (o Outcome) came() bool {
+func (o Outcome) serverResponded() bool {
 	return o.Result != Unreachable && o.Result != TimedOut && o.Result != ClientGone
 }
 
-// mostKept bounds the parts remembered for each server.
-func (w *Scheduler) mostKept() int {
-	return max(leastKept, mostKeptParts/max(1, len(w.board.Load().all)))
+// maxCachedSegments bounds the parts remembered for each server.
+func (w *Scheduler) maxCachedSegments() int {
+	return max(minCachedSegments, maxCachedSegmentsTotal/max(1, len(w.snapshot.Load().all)))
 }
 
 const (
-	leastKept     = 64
-	mostKeptParts = 40_000
+	minCachedSegments      = 64
+	maxCachedSegmentsTotal = 40_000
 )
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -6,16 +6,16 @@
 // longest pause that its route allows and at least so long: a server that puts a call
 // back and reads its prompt again is not given up for it. The values are ours.
 const (
-	silentGaps   = 4
-	leastSilence = 800 * time.Millisecond
+	streamTimeoutGaps = 4
+	minStreamTimeout  = 800 * time.Millisecond
 )
 
 // silence is given where the stream may go on at another server, and there is time and
 // leave for that.
-func (c *choice) silence() time.Duration {
-	calls := c.ticket.routeRule.calls
-	if !calls.Streams || !calls.Resumable || !c.goesOn() {
+func (c *cycle) streamTimeout() time.Duration {
+	calls := c.state.routeRule.calls
+	if !calls.Streams || !calls.Resumable || !c.canGoOnElsewhere() {
 		return 0
 	}
-	return c.patience(max(silentGaps*calls.Gap, leastSilence))
+	return c.responseTimeout(max(streamTimeoutGaps*calls.Gap, minStreamTimeout))
 }
--- a/internal/scheduler/slowness.go
+++ b/internal/scheduler/slowness.go
@@ -8,34 +8,34 @@
 
 // slowness is how much longer a server takes than was expected, for a while: 1 is as
 // long.
-type slowness struct{ known atomic.Pointer[slow] }
+type latencyRatio struct{ known atomic.Pointer[latencySample] }
 
-type slow struct {
+type latencySample struct {
 	factor float64
 	at     time.Time
 }
 
 // The measures of slowness. The values are ours.
 const (
-	mostSlow            = 8.0
-	slowSmooth          = 0.2
-	slowHalfIncarnation = 3 * time.Second
+	maxLatencyRatio  = 8.0
+	latencySmoothing = 0.2
+	latencyHalfLife  = 3 * time.Second
 )
 
-func (s *slowness) factor(now time.Time) float64 {
+func (s *latencyRatio) factor(now time.Time) float64 {
 	if known := s.known.Load(); known != nil {
 		return known.now(now)
 	}
 	return 1
 }
 
-func (s *slow) now(now time.Time) float64 {
+func (s *latencySample) now(now time.Time) float64 {
 	age := max(0, now.Sub(s.at))
-	return 1 + (s.factor-1)*math.Exp2(-float64(age)/float64(slowHalfIncarnation))
+	return 1 + (s.factor-1)*math.Exp2(-float64(age)/float64(latencyHalfLife))
 }
 
-func (s *slowness) note(now time.Time, ratio float64) {
-	seen := min(max(ratio, 1), mostSlow)
+func (s *latencyRatio) observe(now time.Time, ratio float64) {
+	seen := min(max(ratio, 1), maxLatencyRatio)
 	for {
 		known := s.known.Load()
 		factor := 1.0
@@ -44,7 +44,7 @@
 		} else if seen == 1 {
 			return
 		}
-		if s.known.CompareAndSwap(known, &slow{factor: factor + slowSmooth*(seen-factor), at: now}) {
+		if s.known.CompareAndSwap(known, &latencySample{factor: factor + latencySmoothing*(seen-factor), at: now}) {
 			return
 		}
 	}
--- a/internal/scheduler/sweep_test.go
+++ b/internal/scheduler/sweep_test.go
@@ -40,7 +40,7 @@
 	if os.Getenv("SWEEP") == "ninety" {
 		sites = []site{ninety()}
 	}
-	run := func(name string, change func(*costs)) {
+	run := func(name string, change func(*weights)) {
 		text, sum := fmt.Sprintf("%-28s", name), 0.0
 		for _, s := range sites {
 			for _, factor := range []float64{0.6, 1, 1.4} {
@@ -52,7 +52,7 @@
 					waiting.Add(1)
 					go func() {
 						defer waiting.Done()
-						worlds[seed] = s.world(seed+10, func(calls *Scheduler) { change(&calls.costs) })
+						worlds[seed] = s.world(seed+10, func(calls *Scheduler) { change(&calls.weights) })
 						worlds[seed].pool(NewRoleBalancer())
 						worlds[seed].run(noon.Add(lead))
 						s.play(worlds[seed], factor, 30*time.Second)
@@ -74,7 +74,7 @@
 		}
 		fmt.Printf("%.4f %s\n", sum, text)
 	}
-	run("standard", func(*costs) {})
+	run("standard", func(*weights) {})
 }
 
 // TestSweepTroubles prints how days of trouble go over several seeds; it runs when
--- a/internal/scheduler/threads_test.go
+++ b/internal/scheduler/threads_test.go
@@ -62,8 +62,8 @@
 	if left := calls.InFlight(); left != 0 {
 		t.Errorf("%d calls in flight", left)
 	}
-	for _, b := range calls.board.Load().all {
-		if b.reading.Load() != 0 || b.running.Load() != 0 || b.readings.pending.Load() != 0 || b.begins.pending.Load() != 0 {
+	for _, b := range calls.snapshot.Load().all {
+		if b.prefilling.Load() != 0 || b.running.Load() != 0 || b.prefillProgress.pending.Load() != 0 || b.firstEventProgress.pending.Load() != 0 {
 			t.Errorf("%s keeps work on its account", b.server.Name)
 		}
 	}
--- a/internal/scheduler/ticket.go
+++ b/internal/scheduler/ticket.go
@@ -13,31 +13,31 @@
 	routeRule *routeRule
 	service   *config.Service
 	// mark is a number that stands for the call's id.
-	mark    uint64
-	arrived time.Time
-	ends    time.Time
+	key      uint64
+	arrived  time.Time
+	deadline time.Time
 
 	// dispatch is what is under way now.
 	dispatch dispatch
 	// counted is how many dispatches count as tries: all that reached a server but
 	// the first read that one took up. paid is how many of them the retry budget
 	// has counted.
-	counted int
-	paid    int
+	attempts     int
+	paidAttempts int
 	// taken tells that a server took up a read, ran that the call may have run,
 	// begun that a stream's events were forwarded.
-	taken bool
-	ran   bool
-	begun bool
+	prefillTaken bool
+	mayHaveRun   bool
+	streamBegun  bool
 	// direct tells that the prompt's memory could not be had from a reader.
-	direct bool
+	noTransfer bool
 	// reader read the prompt; source is the memory that has not been taken yet, and
 	// spent is memory that may be left over and is to be given back.
-	reader *backend
-	source *Source
-	spent  []Source
+	prefillServer *backend
+	source        *Source
+	releasable    []Source
 	// booked is what a keeper counts for the call.
-	booked *booking
+	backlogEntry *backlogEntry
 	// avoided were tried for this call in vain.
 	avoided []*backend
 	ended   bool
@@ -52,15 +52,15 @@
 	sent    time.Time
 	source  *Source
 	// unread are the tokens believed to be read now, tokens the memory taken up.
-	unread   int
+	uncached int
 	tokens   int
 	expected time.Duration
 	// counted tells that a read was counted as a try when it was sent.
-	counted bool
+	countedAttempt bool
 	// began tells that the answer's first event came.
 	began bool
 	// room is the memory of the server, known what of the prompt it was believed to keep.
-	room, known int
+	memoryTotal, cachedBefore int
 }
 
 // Route is the route that the call came on.
@@ -68,7 +68,7 @@
 
 func (t *CallState) avoids(b *backend) bool {
 	for _, avoided := range t.avoided {
-		if avoided == b || avoided.account == b.account {
+		if avoided == b || avoided.serverState == b.serverState {
 			return true
 		}
 	}
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -14,22 +14,22 @@
 // threads; fed from one, the same events give the same decisions.
 type Scheduler struct {
 	options  Options
-	costs    costs
-	program  atomic.Pointer[RouteTable]
-	board    atomic.Pointer[board]
+	weights  weights
+	routes   atomic.Pointer[RouteTable]
+	snapshot atomic.Pointer[snapshot]
 	routers  atomic.Int64
 	draining atomic.Bool
 	inFlight atomic.Int64
 	// tells is whether the conduct tells when answers begin.
-	tells atomic.Bool
+	reportsFirstEvents atomic.Bool
 	// returned are zones that came back since the last call, or none.
-	returned atomic.Pointer[returned]
+	returnedZones atomic.Pointer[returnedZones]
 	// reported is when the latest report was made.
-	reported atomic.Int64
+	latestReport atomic.Int64
 
 	// asks is whether counts are asked for before reads, outbox what keepers are to know.
-	asks   atomic.Bool
-	outbox outbox
+	queriesBacklog atomic.Bool
+	outbox         outbox
 	// failures are for the others to know.
 	failures failures
 
@@ -40,12 +40,12 @@
 
 // serviceState is what the window keeps for one service.
 type serviceState struct {
-	retries retryBudget
-	pace    pace
-	runs    meanDuration
-	begin   begin
+	retries     retryBudget
+	prefillRate prefillRate
+	runDuration meanDuration
+	firstEvent  firstEventLatency
 	// pressure is what the parts of its servers go by.
-	pressure pressure
+	demand demand
 }
 
 // unknownCouriers is how many routers are taken to share the servers while nobody
@@ -54,10 +54,10 @@
 
 // New makes a window that knows nothing yet.
 func New(options Options) *Scheduler {
-	window := &Scheduler{options: options.checked(), costs: standardCosts()}
-	first := newBoard()
+	window := &Scheduler{options: options.checked(), weights: defaultWeights()}
+	first := newSnapshot()
 	first.router = nameKey(options.Router)
-	window.board.Store(first)
+	window.snapshot.Store(first)
 	window.serviceStates.Store(&map[string]*serviceState{})
 	return window
 }
@@ -66,12 +66,12 @@
 // and the answer is false.
 func (w *Scheduler) SetRouteTable(program *RouteTable) bool {
 	for {
-		current := w.program.Load()
+		current := w.routes.Load()
 		if program == nil || !program.later(current) {
 			return false
 		}
-		w.returning(current, program)
-		if w.program.CompareAndSwap(current, program) {
+		w.noteReturnedZones(current, program)
+		if w.routes.CompareAndSwap(current, program) {
 			return true
 		}
 	}
@@ -79,7 +79,7 @@
 
 // ConfigVersion is the version of the configuration in force, as epoch and number.
 func (w *Scheduler) ConfigVersion() (epoch, number uint64) {
-	if program := w.program.Load(); program != nil {
+	if program := w.routes.Load(); program != nil {
 		return program.epoch, program.number
 	}
 	return 0, 0
@@ -87,7 +87,7 @@
 
 // Limits bound what a caller may send, by the configuration in force.
 func (w *Scheduler) Limits() config.Limits {
-	if program := w.program.Load(); program != nil {
+	if program := w.routes.Load(); program != nil {
 		return program.limits
 	}
 	return config.Limits{}
@@ -97,49 +97,49 @@
 func (w *Scheduler) SetServers(now time.Time, servers []membership.Server) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.board.Store(w.board.Load().next(now, servers))
+	w.snapshot.Store(w.snapshot.Load().next(now, servers))
 }
 
 // SetLoads takes what the servers reported of themselves.
 func (w *Scheduler) SetLoads(now time.Time, loads []Load) {
-	b := w.board.Load()
+	b := w.snapshot.Load()
 	var services []string
 	for _, load := range loads {
 		ba, found := b.byName[load.Server]
 		if !found {
 			continue
 		}
-		ba.hear(now, load)
-		if at := now.Add(-load.Age).UnixNano(); at > w.reported.Load() {
-			w.reported.Store(at)
+		ba.takeReport(now, load)
+		if at := now.Add(-load.Age).UnixNano(); at > w.latestReport.Load() {
+			w.latestReport.Store(at)
 		}
 		if service := ba.server.Service; service != "" && !slices.Contains(services, service) {
 			services = append(services, service)
 		}
 	}
 	for _, service := range services {
-		busy, running := b.pressed(now, service)
-		w.serviceState(service).pressure.reported(now, busy, running)
+		busy, running := b.demand(now, service)
+		w.serviceState(service).demand.reported(now, busy, running)
 	}
 }
 
 // SetRoleOrders takes the parts that servers were ordered to take: one that is to take
 // another begins nothing until that is done, and no call is sent to it.
 func (w *Scheduler) SetRoleOrders(now time.Time, parts map[string]string) {
-	b := w.board.Load()
+	b := w.snapshot.Load()
 	for _, ba := range b.all {
 		part, found := parts[ba.server.Name]
-		if known := ba.due.Load(); !found || known != nil && *known == part {
+		if known := ba.orderedRole.Load(); !found || known != nil && *known == part {
 			continue
 		}
-		ba.dueUntil.Store(now.Add(orderShows).UnixNano())
-		ba.due.Store(&part)
+		ba.orderedRoleUntil.Store(now.Add(orderVisibleWithin).UnixNano())
+		ba.orderedRole.Store(&part)
 	}
 }
 
-// orderShows is how long it may take until an order shows in what is reported of its
+// orderVisibleWithin is how long it may take until an order shows in what is reported of its
 // server. The value is ours.
-const orderShows = 4 * time.Second
+const orderVisibleWithin = 4 * time.Second
 
 // SetRouterCount tells how many routers share the servers.
 func (w *Scheduler) SetRouterCount(count int) { w.routers.Store(int64(count)) }
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -34,7 +34,7 @@
 	nearMoves, farMoves           float64
 	crossed                       float64
 	orders, dispatches, opened    int
-	idle                          map[connectionEnds]*connections
+	idle                          map[connectionEnds]*idleConnections
 	ledger                        backlog.Table
 	asked, toldOf                 int
 	update                        time.Duration
@@ -548,7 +548,7 @@
 
 func dividedWorld(seed uint64, routers int, list []membership.Server, configure func(*config.Configuration), shape func(*Scheduler)) *world {
 	w := &world{now: noon, random: rand.New(rand.NewPCG(seed, 7)), engine: sheet(), servers: map[string]*worldServer{},
-		counter: map[string]*classCounter{}, seen: map[uint64]bool{}, ways: map[string]*wayCounter{}, idle: map[connectionEnds]*connections{}, ordered: map[string]string{}, update: 400 * time.Millisecond}
+		counter: map[string]*classCounter{}, seen: map[uint64]bool{}, ways: map[string]*wayCounter{}, idle: map[connectionEnds]*idleConnections{}, ordered: map[string]string{}, update: 400 * time.Millisecond}
 	w.list = list
 	for _, listed := range w.list {
 		w.servers[listed.Name] = &worldServer{world: w, listed: listed, part: listed.Part}
@@ -781,7 +781,7 @@
 // thing is one shared part of a class's prompts, the same each time.
 func (w *world) thing(c class, depth int, thing uint64) Segment {
 	link := c.chains[depth]
-	id := weigh(nameKey(c.name)+uint64(depth), thing)
+	id := rendezvousWeight(nameKey(c.name)+uint64(depth), thing)
 	random := rand.New(rand.NewPCG(id, 3))
 	return Segment{ID: id, Tokens: max(16, int(drawn(random, link.mean, link.spread, link.most)))}
 }
@@ -899,7 +899,7 @@
 func (w *world) rank(call *Call, server *worldServer) string {
 	rank := 0
 	for _, other := range w.servers {
-		if other.part == prefill && weigh(call.chain(), nameKey(other.listed.Name)) > weigh(call.chain(), nameKey(server.listed.Name)) {
+		if other.part == prefill && rendezvousWeight(call.chainKey(), nameKey(other.listed.Name)) > rendezvousWeight(call.chainKey(), nameKey(server.listed.Name)) {
 			rank++
 		}
 	}
@@ -918,12 +918,12 @@
 func (w *world) dispatch(a *asked, decision Decision) {
 	server := w.servers[decision.Server.Name]
 	way := w.way(a.router, server)
-	a.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(a.at).Milliseconds(), a.ticket.dispatch.unread, a.ticket.dispatch.expected)
+	a.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(a.at).Milliseconds(), a.ticket.dispatch.uncached, a.ticket.dispatch.expected)
 	w.dispatches++
 	ends := connectionEnds{a.router, decision.Server.Name}
 	idle, known := w.idle[ends]
 	if !known {
-		idle = &connections{}
+		idle = &idleConnections{}
 		w.idle[ends] = idle
 	}
 	if !idle.available(w.now) {
@@ -992,7 +992,7 @@
 		if j.reads {
 			j.way += w.rank(a.call, server)
 		}
-		j.believed = a.ticket.dispatch.unread
+		j.believed = a.ticket.dispatch.uncached
 		if !j.reads {
 			j.tokens += a.call.OutputTokens
 		}
