--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// nowhere tells whether evacuations leave a route no listed server.
+// allEvacuated tells whether evacuations leave a route no listed server.
 func (d *Dispatcher) allEvacuated(routes *RouteTable, route *RouteDecision) bool {
 	listed, _ := d.market.Loads(time.Time{})
 	for _, server := range listed {
@@ -19,6 +19,7 @@
 	return len(listed) > 0 && len(routes.evacuations) > 0
 }
 
+// choose finds the pair for a request among the servers that its route allows.
 func (d *Dispatcher) choose(now time.Time, entry *requestState) (Bid, bool) {
 	routes := d.routes.Load()
 	return d.market.Choose(now, entry.request, entry.route, func(server membership.Server) bool {
@@ -26,8 +27,8 @@
 	}, entry.tried)
 }
 
-// dispatchPrefill sends a run's prompt to the pair's first server. Each run
-// after the first is an extra try.
+// dispatchPrefill chooses a pair and starts a run with it. Each run after the first is a
+// retry.
 func (d *Dispatcher) dispatchPrefill(now time.Time, s *shard, entry *requestState) []Decision {
 	request := entry.request
 	if !now.Before(request.Deadline) {
@@ -45,7 +46,9 @@
 	return d.startRun(now, s, entry, bid, leaseEnds)
 }
 
-// startRun sends a run's prompt to the first server of a pair that was chosen now.
+// startRun sends the prompt to the prefill server of a pair that was chosen now, and
+// reserves a slot at its decode server. The handle is cleared: a run uses no KV cache but
+// its own. A retry is paid for before it is dispatched.
 func (d *Dispatcher) startRun(now time.Time, s *shard, entry *requestState, bid Bid, leaseEnds time.Time) []Decision {
 	request := entry.request
 	var decisions []Decision
@@ -68,36 +71,51 @@
 	entry.reserved = true
 	d.market.Reserve(bid, request)
 	entry.serverDeadline = now.Add(minServerTimeout + 4*bid.Price)
-	pair := &codec.Pair{Request: request.ID, Run: entry.run, Prefill: bid.Prefill.server.Name, Decode: bid.Decode.server.Name, Price: bid.Price, HandOver: bid.TransferTime}
+	pair := &codec.Pair{
+		Request:  request.ID,
+		Run:      entry.run,
+		Prefill:  bid.Prefill.server.Name,
+		Decode:   bid.Decode.server.Name,
+		Price:    bid.Price,
+		HandOver: bid.TransferTime,
+	}
 	return append(decisions,
 		Decision{Kind: RecordPair, ID: request.ID, Run: entry.run, Pair: pair},
-		Decision{Kind: DispatchPrefill, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Deadline, leaseEnds),
-			Server: bid.Prefill.server.Name, Address: bid.Prefill.server.Address})
+		Decision{
+			Kind:     DispatchPrefill,
+			ID:       request.ID,
+			Run:      entry.run,
+			Request:  request,
+			NotAfter: earlier(request.Deadline, leaseEnds),
+			Server:   bid.Prefill.server.Name,
+			Address:  bid.Prefill.server.Address,
+		})
 }
 
-// awaitLease keeps a request that was admitted for the next hold, but not until
-// its limit: when none comes soon its caller is told so.
-func (d *Dispatcher) awaitLease(now time.Time, s *shard, entry *requestState, st phase) []Decision {
+// awaitLease keeps an admitted request for the next lease, but not until its deadline:
+// after leaseTimeout it is aborted with failure.NoLease.
+func (d *Dispatcher) awaitLease(now time.Time, s *shard, entry *requestState, next phase) []Decision {
 	if entry.leaseMissingSince.IsZero() {
 		entry.leaseMissingSince = now
 	}
 	if now.Sub(entry.leaseMissingSince) > leaseTimeout {
 		return d.abort(now, s, entry, failure.NoLease)
 	}
-	entry.phase = st
+	entry.phase = next
 	return nil
 }
 
-func earlier(left, right time.Time) time.Time {
-	if left.Before(right) {
-		return left
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
 	}
-	return right
+	return b
 }
 
-// dispatchDecode hands the prompt's memory over to the pair's second server,
-// or to another when that one has no room any more.
-func (d *Dispatcher) dispatchDecode(now time.Time, s *shard, entry *requestState, extra bool) []Decision {
+// dispatchDecode has the pair's decode server fetch the KV cache and stream, or another
+// server when that one has no capacity any more. With retry it is a retry of a decode that
+// certainly did not start, and paid for before it is dispatched.
+func (d *Dispatcher) dispatchDecode(now time.Time, s *shard, entry *requestState, retry bool) []Decision {
 	request := entry.request
 	if !now.Before(request.Deadline) {
 		return d.abort(now, s, entry, failure.DeadlinePassed)
@@ -108,41 +126,56 @@
 	}
 	entry.leaseMissingSince = time.Time{}
 	d.release(entry)
-	routes := d.routes.Load()
-	allowed := func(server membership.Server) bool { return routes.Allows(entry.route, server) }
 	source := entry.bid.Prefill.server
-	planned := entry.bid.Decode.server.Name
-	var bid Bid
-	found := false
-	if !entry.tried[planned] {
-		bid, found = d.market.ChooseDecode(now, request, source.Name, func(server membership.Server) bool { return server.Name == planned && allowed(server) }, nil)
-	}
-	if !found {
-		bid, found = d.market.ChooseDecode(now, request, source.Name, allowed, entry.tried)
-	}
+	bid, found := d.chooseDecode(now, entry)
 	if !found {
-		// A prompt that was read is worth a short wait for room.
+		// A finished prefill is worth a short wait for capacity.
 		if now.Before(entry.serverDeadline) {
 			entry.phase = readyToDecode
 			return nil
 		}
 		return d.abort(now, s, entry, failure.Busy)
 	}
-	if extra && (entry.attempts >= entry.route.Service.Attempts || !d.budget.Spend(1)) {
+	if retry && (entry.attempts >= entry.route.Service.Attempts || !d.budget.Spend(1)) {
 		return d.abort(now, s, entry, failure.BudgetSpent)
 	}
 	var decisions []Decision
-	if extra {
+	if retry {
 		entry.attempts++
 		decisions = append(decisions, Decision{Kind: RecordRetry, ID: request.ID, Run: entry.run})
 	}
 	entry.bid, entry.phase, entry.decodeDispatched = bid, decoding, true
 	d.market.StartDecode(bid, request)
 	entry.serverDeadline = now.Add(minServerTimeout + 4*bid.TransferTime)
-	return append(decisions, Decision{Kind: DispatchDecode, ID: request.ID, Run: entry.run, Request: request, NotAfter: earlier(request.Deadline, leaseEnds),
-		Server: bid.Decode.server.Name, Address: bid.Decode.server.Address, SourceAddress: source.Address, Handle: entry.handle})
+	return append(decisions, Decision{
+		Kind:          DispatchDecode,
+		ID:            request.ID,
+		Run:           entry.run,
+		Request:       request,
+		NotAfter:      earlier(request.Deadline, leaseEnds),
+		Server:        bid.Decode.server.Name,
+		Address:       bid.Decode.server.Address,
+		SourceAddress: source.Address,
+		Handle:        entry.handle,
+	})
+}
+
+// chooseDecode finds the decode server for a finished prefill: the planned one if it still
+// has capacity, otherwise the cheapest that was not tried.
+func (d *Dispatcher) chooseDecode(now time.Time, entry *requestState) (Bid, bool) {
+	routes := d.routes.Load()
+	allowed := func(server membership.Server) bool { return routes.Allows(entry.route, server) }
+	source, planned := entry.bid.Prefill.server.Name, entry.bid.Decode.server.Name
+	if !entry.tried[planned] {
+		isPlanned := func(server membership.Server) bool { return server.Name == planned && allowed(server) }
+		if bid, found := d.market.ChooseDecode(now, entry.request, source, isPlanned, nil); found {
+			return bid, true
+		}
+	}
+	return d.market.ChooseDecode(now, entry.request, source, allowed, entry.tried)
 }
 
+// release gives the reserved decode slot back, once.
 func (d *Dispatcher) release(entry *requestState) {
 	if entry.reserved {
 		d.market.Release(entry.bid)
@@ -150,8 +183,8 @@
 	}
 }
 
-// again tries a request anew if that is allowed: one that is not idempotent
-// only when the server certainly did not start.
+// retry starts another run if that is allowed. A request that is not idempotent runs at
+// most once: it is retried only while no server can have started it.
 func (d *Dispatcher) retry(now time.Time, s *shard, entry *requestState, outcome Outcome) []Decision {
 	if !entry.request.Idempotent && entry.mayHaveRun {
 		final := Failed
--- a/internal/auction/desk.go
+++ b/internal/auction/dispatcher.go
@@ -9,54 +9,65 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Dispatcher follows every request of one router from its arrival to its final
-// line. Requests lie in shards, so that several threads may work on different
-// ones; the views that they share are replaced, never altered.
+// Dispatcher is the state machine of one router's requests, from their arrival to their
+// final status. Requests lie in shards, so that several threads may work on different
+// ones; the route table and the lease that they share are replaced, never altered. A
+// method that takes a shard is called with the shard locked.
 type Dispatcher struct {
-	market      *Market
-	budget      *RetryBudget
-	zone        string
+	market *Market
+	budget *RetryBudget
+	zone   string
+	// maxRequests bounds the requests in flight.
 	maxRequests int64
 	shards      [16]shard
 	routes      atomic.Pointer[RouteTable]
 	leaseEnds   atomic.Pointer[time.Time]
-	// withoutLease is how long the desk goes on after its last hold.
+	// withoutLease is for how many nanoseconds requests are admitted after the last lease.
 	withoutLease atomic.Int64
-	// provisionalAt is when a configuration was lent to it before its first hold.
-	provisionalAt     atomic.Pointer[time.Time]
-	forwarding        atomic.Bool
-	draining          atomic.Bool
-	inFlight          atomic.Int64
+	// provisionalAt is when a provisional configuration came, before the first lease.
+	provisionalAt atomic.Pointer[time.Time]
+	// forwarding sends new requests to another router.
+	forwarding atomic.Bool
+	draining   atomic.Bool
+	inFlight   atomic.Int64
+	// inFlightByService has an *atomic.Int64 for each service's name.
 	inFlightByService sync.Map
 	counters          Counters
 }
 
+// shard is a part of the requests in flight, by ID.
 type shard struct {
 	mutex    sync.Mutex
 	requests map[string]*requestState
 }
 
-// The patience with servers, beyond what their asks promise. The values are
-// ours.
+// The timeouts of servers. The values are ours.
 const (
+	// minServerTimeout is what a server gets beyond four times its ask.
 	minServerTimeout = 2 * time.Second
-	chunkTimeout     = 3 * time.Second
-	// leaseTimeout is how long a request that was admitted waits for the next
-	// hold.
+	// chunkTimeout is the longest gap between two chunks of a stream.
+	chunkTimeout = 3 * time.Second
+	// leaseTimeout is how long an admitted request waits for the next lease.
 	leaseTimeout = 2 * time.Second
 )
 
-// NewDispatcher makes the desk of a router that holds at most so many requests.
+// NewDispatcher makes a dispatcher for a router in a zone that has at most maxRequests in
+// flight.
 func NewDispatcher(market *Market, zone string, maxRequests int) *Dispatcher {
-	d := &Dispatcher{market: market, budget: &RetryBudget{}, zone: zone, maxRequests: int64(maxRequests)}
+	d := &Dispatcher{
+		market:      market,
+		budget:      &RetryBudget{},
+		zone:        zone,
+		maxRequests: int64(maxRequests),
+	}
 	for position := range d.shards {
 		d.shards[position].requests = map[string]*requestState{}
 	}
 	return d
 }
 
-// SetRouteTable puts a configuration in force. An older one is passed over: what
-// was in force never comes back.
+// SetRouteTable puts a configuration in force and returns true. It ignores one that is not
+// newer than the one in force, and returns false: versions only rise.
 func (d *Dispatcher) SetRouteTable(routes *RouteTable) bool {
 	for {
 		current := d.routes.Load()
@@ -77,8 +88,8 @@
 	return 0, 0
 }
 
-// Renew takes a hold that confirms a configuration's version. A hold for
-// another version than the one in force lets nothing in.
+// Renew extends the lease, if it confirms the version in force. One for another version
+// is ignored, so that no request is admitted under a configuration that is not confirmed.
 func (d *Dispatcher) Renew(leaseEnds time.Time, epoch, number uint64) bool {
 	routes := d.routes.Load()
 	if routes == nil || routes.epoch != epoch || routes.number != number {
@@ -90,7 +101,7 @@
 	return true
 }
 
-// LeaseEnds is when the router's hold runs out.
+// LeaseEnds is when the router's lease runs out; zero before the first one.
 func (d *Dispatcher) LeaseEnds() time.Time {
 	if ends := d.leaseEnds.Load(); ends != nil {
 		return *ends
@@ -98,16 +109,17 @@
 	return time.Time{}
 }
 
-// SetServeWithoutLease chooses how long the desk goes on after its last hold, with the
-// configuration that is in force.
+// SetServeWithoutLease sets for how long requests are admitted after the last lease ran
+// out, under the configuration in force.
 func (d *Dispatcher) SetServeWithoutLease(period time.Duration) { d.withoutLease.Store(int64(period)) }
 
-// ServeProvisionally has the desk admitted before its first hold, under a configuration that no
-// primary has confirmed in its life, for as long as it goes on without a hold.
+// ServeProvisionally admits requests from now on, before the first lease, under a
+// configuration that no primary has confirmed since the router started, for as long as
+// SetServeWithoutLease allows.
 func (d *Dispatcher) ServeProvisionally(now time.Time) { d.provisionalAt.CompareAndSwap(nil, &now) }
 
-// ServesUntil is until when the desk admits; without any hold in its life, and no
-// configuration lent to it, it lets nothing in.
+// ServesUntil is until when requests are admitted: zero, hence never, before the first
+// lease or provisional configuration.
 func (d *Dispatcher) ServesUntil() time.Time {
 	ends := d.LeaseEnds()
 	if lent := d.provisionalAt.Load(); ends.IsZero() && lent != nil && d.withoutLease.Load() > 0 {
@@ -119,23 +131,23 @@
 	return ends.Add(time.Duration(d.withoutLease.Load()))
 }
 
-// SetForwarding tells whether the router lacks an enabled flag and passes its
-// requests to a capable node.
+// SetForwarding sets whether the router lacks an enabled feature flag, and forwards its
+// requests to a router that has it.
 func (d *Dispatcher) SetForwarding(restricted bool) { d.forwarding.Store(restricted) }
 
-// Drain stops letting in.
+// Drain ends admission for good.
 func (d *Dispatcher) Drain() { d.draining.Store(true) }
 
-// Draining tells whether the desk lets nothing in any more.
+// Draining tells whether admission has ended.
 func (d *Dispatcher) Draining() bool { return d.draining.Load() }
 
-// InFlight counts the requests that have no final line yet.
+// InFlight counts the requests that have no final status yet.
 func (d *Dispatcher) InFlight() int { return int(d.inFlight.Load()) }
 
-// Counters counts what the desk has done.
+// Counters counts requests by what became of them.
 func (d *Dispatcher) Counters() *Counters { return &d.counters }
 
-// RetryBudget is the desk's budget of extra tries.
+// Budget is the budget of retries.
 func (d *Dispatcher) Budget() *RetryBudget { return d.budget }
 
 func (d *Dispatcher) shard(id string) *shard {
@@ -149,7 +161,8 @@
 	return count.(*atomic.Int64)
 }
 
-// Arrive lets a request in or refuses it at once.
+// Arrive admits a request, or refuses it at once with a failure code and a detail. An
+// idempotent one is dispatched right away, any other one is claimed first.
 func (d *Dispatcher) Arrive(now time.Time, request *Request) []Decision {
 	d.counters.Arrived.Add(1)
 	if d.draining.Load() {
@@ -198,8 +211,8 @@
 	return d.startRun(now, s, entry, bid, d.ServesUntil())
 }
 
-// find locks the shard of a request and returns its ticket if the run is the
-// present one; late news of an older run finds nothing.
+// find locks the shard of a request and returns the request's state, if run is the
+// current one or negative. A late answer to an older run finds nothing.
 func (d *Dispatcher) find(id string, run int) (*shard, *requestState) {
 	s := d.shard(id)
 	s.mutex.Lock()
@@ -211,7 +224,7 @@
 	return s, entry
 }
 
-// Claimed takes the answer to a claim.
+// Claimed handles the answer to a claim.
 func (d *Dispatcher) Claimed(now time.Time, id string, outcome Outcome, detail string) []Decision {
 	s, entry := d.find(id, 0)
 	if entry == nil || entry.phase != claiming {
@@ -236,7 +249,7 @@
 	return decisions
 }
 
-// Prefilled takes the answer to a prefill dispatch.
+// Prefilled handles the answer to a prefill dispatch; handle names the KV cache it made.
 func (d *Dispatcher) Prefilled(now time.Time, id string, run int, outcome Outcome, handle string) []Decision {
 	s, entry := d.find(id, run)
 	if entry == nil {
@@ -261,8 +274,8 @@
 	return d.retry(now, s, entry, outcome)
 }
 
-// Chunk takes one chunk of the stream. Chunks that are not the next one of the
-// present run end the stream: it is never spliced.
+// Chunk handles one chunk of the stream, numbered from 1. One of the current run that is
+// not the next ends the stream: it is never spliced.
 func (d *Dispatcher) Chunk(now time.Time, id string, run, chunk int, text string) []Decision {
 	s, entry := d.find(id, run)
 	if entry == nil {
@@ -282,7 +295,7 @@
 	return []Decision{{Kind: SendChunk, ID: id, Run: run, Chunk: chunk, Text: text}}
 }
 
-// Decoded takes the end of a decode.
+// Decoded handles the end of a decode, after so many chunks.
 func (d *Dispatcher) Decoded(now time.Time, id string, run int, outcome Outcome, chunks int) []Decision {
 	s, entry := d.find(id, run)
 	if entry == nil {
@@ -308,7 +321,7 @@
 	entry.tried[server] = true
 	switch outcome {
 	case OutcomeNotStarted:
-		// The handle was not taken up: another server may.
+		// The KV cache was not fetched: another server may fetch it.
 		entry.phase = readyToDecode
 		entry.serverDeadline = now.Add(minServerTimeout)
 		return d.dispatchDecode(now, s, entry, true)
--- a/internal/auction/ending.go
+++ b/internal/auction/finish.go
@@ -6,13 +6,14 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
+// refuse answers a request that is not admitted.
 func (d *Dispatcher) refuse(request *Request, cause failure.Code, detail string, retry time.Duration) []Decision {
 	d.counters.Refused.Add(1)
 	return []Decision{{Kind: Finish, ID: request.ID, Final: Refused, Cause: cause, Detail: detail, Retry: retry}}
 }
 
-// abort ends a request that gets no further dispatch, with the word that is
-// certain: refused when it never ran, unknown when a server may be running it.
+// abort ends a request that gets no further dispatch, with the status that is certain:
+// refused when it never ran, unknown when a server may be running it.
 func (d *Dispatcher) abort(now time.Time, s *shard, entry *requestState, cause failure.Code) []Decision {
 	final := Failed
 	switch {
@@ -28,43 +29,56 @@
 	return append(decisions, d.finish(now, s, entry, final, cause)...)
 }
 
+// cancelCurrent tells the server that was dispatched to last to give up.
 func (d *Dispatcher) cancelCurrent(entry *requestState) []Decision {
-	server := entry.bid.Prefill
-	if entry.phase == decoding {
-		server = entry.bid.Decode
-	}
-	if server == nil {
+	current := entry.currentServer()
+	if current == nil {
 		return nil
 	}
-	return []Decision{{Kind: Cancel, ID: entry.request.ID, Run: entry.run, Server: server.server.Name, Address: server.server.Address}}
+	return []Decision{{
+		Kind:    Cancel,
+		ID:      entry.request.ID,
+		Run:     entry.run,
+		Server:  current.server.Name,
+		Address: current.server.Address,
+	}}
 }
 
+// finish removes a request, whose shard is locked, and sends its final status.
 func (d *Dispatcher) finish(now time.Time, s *shard, entry *requestState, final FinalStatus, cause failure.Code) []Decision {
 	d.release(entry)
 	delete(s.requests, entry.request.ID)
 	d.inFlight.Add(-1)
 	d.serviceCount(entry.request.Service).Add(-1)
 	d.counters.count(final)
-	decision := Decision{Kind: Finish, ID: entry.request.ID, Run: entry.run, Final: final, Cause: cause, Chunks: entry.chunks}
+	decision := Decision{
+		Kind:   Finish,
+		ID:     entry.request.ID,
+		Run:    entry.run,
+		Final:  final,
+		Cause:  cause,
+		Chunks: entry.chunks,
+	}
 	if final == Refused || final == Failed {
 		decision.Retry = d.market.RetryAfter(now)
 	}
 	return []Decision{decision}
 }
 
-// ClientDisconnected takes the news that the origin closed its connection.
+// ClientDisconnected ends a request whose client closed its connection.
 func (d *Dispatcher) ClientDisconnected(now time.Time, id string) []Decision {
 	s, entry := d.find(id, -1)
 	if entry == nil {
 		return nil
 	}
 	defer s.mutex.Unlock()
-	entry.mayBeRunning = entry.mayBeRunning || entry.phase == prefilling || entry.phase == decoding
+	entry.mayBeRunning = entry.mayBeRunning || entry.dispatched()
 	return d.abort(now, s, entry, failure.ClientLeft)
 }
 
-// Tick ends what has lost its limit or its patience, and goes on with what
-// waited for a hold.
+// Tick ends the requests past their deadline, retries or ends those whose server has timed
+// out, and dispatches those that waited for a lease. Requests are visited by shard and ID,
+// so that the same events give the same decisions.
 func (d *Dispatcher) Tick(now time.Time) []Decision {
 	var decisions []Decision
 	for position := range d.shards {
@@ -79,9 +93,8 @@
 }
 
 func (d *Dispatcher) tickOne(now time.Time, s *shard, entry *requestState) []Decision {
-	dispatched := entry.phase == prefilling || entry.phase == decoding
 	if !now.Before(entry.request.Deadline) {
-		entry.mayBeRunning = entry.mayBeRunning || dispatched
+		entry.mayBeRunning = entry.mayBeRunning || entry.dispatched()
 		return d.abort(now, s, entry, failure.DeadlinePassed)
 	}
 	switch entry.phase {
@@ -95,27 +108,28 @@
 	if now.Before(entry.serverDeadline) {
 		return nil
 	}
-	// The server is dark, or far slower than it asked for.
-	server := entry.bid.Prefill
-	if entry.phase == decoding {
-		server = entry.bid.Decode
-	}
+	return d.serverTimedOut(now, s, entry)
+}
+
+// serverTimedOut handles a server that is unreachable, or far slower than its ask.
+func (d *Dispatcher) serverTimedOut(now time.Time, s *shard, entry *requestState) []Decision {
+	current := entry.currentServer()
 	if entry.chunks == 0 && !entry.request.Idempotent {
-		if d.market.reports(now, server.server) {
-			// It is slow, but there; nothing else could be tried.
+		if d.market.reports(now, current.server) {
+			// It is slow but reachable, and the request may not be sent elsewhere.
 			return nil
 		}
-		// Whether it ran can't be known any more, and waiting would not tell.
+		// Whether it ran can't be known any more, and waiting would not help.
 		entry.mayBeRunning = true
 		return d.abort(now, s, entry, failure.ServerFailed)
 	}
-	d.market.Avoid(now, server.server.Name)
+	d.market.Avoid(now, current.server.Name)
 	decisions := d.cancelCurrent(entry)
 	entry.mayHaveRun = true
 	if entry.chunks > 0 {
 		return append(decisions, d.finish(now, s, entry, Failed, failure.ServerFailed)...)
 	}
 	d.release(entry)
-	entry.tried[server.server.Name] = true
+	entry.tried[current.server.Name] = true
 	return append(decisions, d.retry(now, s, entry, OutcomeUnknown)...)
 }
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -1,5 +1,3 @@
-// Package pass owns the market in which requests bid for prefill and decode
-// servers, the dispatch of the chosen pair, and what is done in trouble.
 package auction
 
 import (
@@ -11,9 +9,11 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Market finds the pair of servers for a request as a whole: the prefill
-// server's ask, the hand-over between the two, and the decode server's ask.
+// Market finds the pair of servers for a request as a whole: the price of a pair is the
+// prefill server's ask, the KV transfer between the two, and the decode server's ask, all
+// estimated times. Methods may be called from several threads.
 type Market struct {
+	// mutex orders the lists; the snapshot is replaced under it.
 	mutex       sync.Mutex
 	snapshot    atomic.Pointer[snapshot]
 	router      string
@@ -22,26 +22,28 @@
 	routers     atomic.Int64
 }
 
+// snapshot is the servers as they were listed last; it is not altered.
 type snapshot struct {
+	// servers are sorted by name.
 	servers []*ServerState
 	byName  map[string]*ServerState
 	listing []membership.Server
 }
 
-// NewMarket makes a router's market. A plain one picks the least loaded
-// servers one by one, for comparison.
+// NewMarket makes the market of a router in a zone. With leastLoaded it picks the two
+// least loaded servers instead of the cheapest pair, for comparison.
 func NewMarket(router, zone string, leastLoaded bool) *Market {
 	market := &Market{router: router, zone: zone, leastLoaded: leastLoaded}
 	market.snapshot.Store(&snapshot{byName: map[string]*ServerState{}})
 	return market
 }
 
-// SetRouters tells how many routers share the servers.
+// SetRouters sets how many routers share the servers.
 func (m *Market) SetRouters(count int) { m.routers.Store(int64(count)) }
 
-// share is how much of the room left this router may fill before it sees the
-// next report: twice its own part, since not all others come at once; of a cold
-// server only its own part; but one at least.
+// localQuota is how much of the free capacity this router may fill before it sees the next
+// report: twice its own share, since not all others come at once; only its own share of a
+// server that is warming up; but one at least.
 func (m *Market) localQuota(free, ramp float64) int64 {
 	routers := max(1, m.routers.Load())
 	if routers == 1 {
@@ -50,7 +52,7 @@
 	return max(1, int64(free*(1+ramp*ramp)/float64(routers)))
 }
 
-// List takes the platform's server list.
+// List replaces the server list; a server whose address stays keeps its report.
 func (m *Market) List(servers []membership.Server) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -70,15 +72,14 @@
 	m.snapshot.Store(next)
 }
 
-// Report takes a server's load report.
+// Report takes the load report of a listed server.
 func (m *Market) Report(now time.Time, load Load) {
 	if state, found := m.snapshot.Load().byName[load.Server]; found {
 		state.report.Store(&report{load: load, at: now})
 	}
 }
 
-// reports tells whether a server is listed and reported a moment ago, leaving or
-// not.
+// reports tells whether a server is listed and has a report that counts, leaving or not.
 func (m *Market) reports(now time.Time, server membership.Server) bool {
 	state, found := m.snapshot.Load().byName[server.Name]
 	if !found || state.server.Address != server.Address {
@@ -88,33 +89,40 @@
 	return current != nil && now.Sub(current.at) <= reportMaxAge
 }
 
-// Avoid keeps a server out of the market for a while, after trouble with it.
+// Avoid offers a server no work for avoidPeriod, after a fault.
 func (m *Market) Avoid(now time.Time, server string) {
 	if state, found := m.snapshot.Load().byName[server]; found {
 		state.avoidedUntil.Store(now.Add(avoidPeriod).UnixNano())
 	}
 }
 
-// Bid is the offer that a request takes up.
+// Bid is the pair of servers that a request gets.
 type Bid struct {
-	Prefill      *ServerState
-	Decode       *ServerState
+	Prefill *ServerState
+	Decode  *ServerState
+	// Price is the estimated time of the request, TransferTime the KV transfer in it.
 	Price        time.Duration
 	TransferTime time.Duration
 }
 
-// crossing is what is added for work that leaves the router's zone.
+// zonePenalty is what is added for work that leaves the router's zone.
 const zonePenalty = 30 * time.Millisecond
 
-// spread is how far apart two asks must be for every router to prefer the
-// same one: within it the request's own hash decides, so that routers with
-// the same stale view do not all run to one server.
+// priceSpread is how far apart two prices must be for every router to prefer the same
+// pair: within it the request's own hash decides, so that routers with the same stale
+// reports do not all send to one server.
 const priceSpread = 0.25
 
-// Choose finds the pair with the lowest price, among servers that allowed says
-// may be used and whose names are not in tried. Each server is asked once; pairs
-// are priced from the lowest asks on, until none that is left can be cheaper.
-func (m *Market) Choose(now time.Time, request *Request, route *RouteDecision, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
+// Choose finds the pair with the lowest price, among servers that allowed accepts and
+// whose names are not in tried. Each server is asked once; pairs are priced from the
+// lowest asks on, until none that is left can be cheaper.
+func (m *Market) Choose(
+	now time.Time,
+	request *Request,
+	route *RouteDecision,
+	allowed func(membership.Server) bool,
+	tried map[string]bool,
+) (Bid, bool) {
 	collected := offerPool.Get().(*offerSet)
 	defer offerPool.Put(collected)
 	collected.clear()
@@ -130,13 +138,20 @@
 		}
 	}
 	if m.leastLoaded {
-		return collected.leastLoaded(now, request)
+		return collected.leastLoaded(request)
 	}
 	return collected.cheapest(request)
 }
 
-// ChooseDecode finds another decode server for a prompt that is already read.
-func (m *Market) ChooseDecode(now time.Time, request *Request, source string, allowed func(membership.Server) bool, tried map[string]bool) (Bid, bool) {
+// ChooseDecode finds the decode server with the lowest price for a request whose prefill
+// is done at the server source.
+func (m *Market) ChooseDecode(
+	now time.Time,
+	request *Request,
+	source string,
+	allowed func(membership.Server) bool,
+	tried map[string]bool,
+) (Bid, bool) {
 	current := m.snapshot.Load()
 	prefill, found := current.byName[source]
 	if !found {
@@ -160,18 +175,26 @@
 	return best, found
 }
 
+// seconds is the time for an amount at a rate per second.
 func seconds(amount, rate int) time.Duration {
 	return time.Duration(float64(amount) / float64(max(rate, 1)) * float64(time.Second))
 }
 
-func (m *Market) askPrefill(now time.Time, state *ServerState, request *Request, route *RouteDecision) (time.Duration, bool) {
+// askPrefill is the estimated time until the server has read the prompt, or false if it
+// offers nothing.
+func (m *Market) askPrefill(
+	now time.Time,
+	state *ServerState,
+	request *Request,
+	route *RouteDecision,
+) (time.Duration, bool) {
 	current := state.freshReport(now)
 	if current == nil || current.load.Part != Prefill || state.avoided(now) {
 		return 0, false
 	}
 	ramp := current.rampUp(now)
-	// What was read since the report has left the queue; of a cold server that
-	// is not counted on.
+	// What was read since the report has left the queue; a server that is still warming
+	// up is not trusted to have done so.
 	queued := float64(current.load.PrefillQueueTokens) + float64(current.prefillTokens.Load())
 	remaining := 1.0
 	if queued > 0 && ramp == 1 {
@@ -181,7 +204,7 @@
 	if free < 1 || int64(remaining*float64(current.prefills.Load())) >= m.localQuota(free, ramp) {
 		return 0, false
 	}
-	uncached := request.PromptTokens - min(request.PrefixTokens, current.load.Prefixes[request.Prefix])
+	uncached := current.uncachedTokens(request)
 	ask := seconds(int(remaining*queued)+max(uncached, 1), current.load.PrefillRate)
 	ask = time.Duration(float64(ask) / ramp)
 	if route.HomeFirst && state.server.Zone != m.zone {
@@ -190,6 +213,7 @@
 	return ask, true
 }
 
+// askDecode is the estimated time of the stream, or false if the server offers nothing.
 func (m *Market) askDecode(now time.Time, decode *ServerState, request *Request) (time.Duration, bool) {
 	current := decode.freshReport(now)
 	if current == nil || current.load.Part != Decode || decode.avoided(now) {
@@ -214,18 +238,17 @@
 	return time.Duration(float64(request.Chunks) * float64(current.load.ChunkTime) * (0.25 + fullness*fullness)), true
 }
 
-// Reserve counts a bid's prefill until the server's next report shows it, and
-// keeps the decode server's room until the prompt is read.
+// Reserve counts a bid's prefill until the server's next report shows it, and reserves a
+// slot at the decode server until Release.
 func (m *Market) Reserve(bid Bid, request *Request) {
 	if current := bid.Prefill.report.Load(); current != nil {
-		uncached := request.PromptTokens - min(request.PrefixTokens, current.load.Prefixes[request.Prefix])
-		current.prefillTokens.Add(int64(uncached))
+		current.prefillTokens.Add(int64(current.uncachedTokens(request)))
 		current.prefills.Add(1)
 	}
 	bid.Decode.pendingDecodes.Add(1)
 }
 
-// Release gives a reserved decode room back.
+// Release gives the reserved decode slot back.
 func (m *Market) Release(bid Bid) { bid.Decode.pendingDecodes.Add(-1) }
 
 // StartDecode counts a decode until the server's next report shows it.
@@ -236,7 +259,7 @@
 	}
 }
 
-// RetryAfter estimates when there may be room again.
+// RetryAfter estimates after what time there may be capacity again: one to ten seconds.
 func (m *Market) RetryAfter(now time.Time) time.Duration {
 	delay := time.Second
 	for _, state := range m.snapshot.Load().servers {
@@ -247,10 +270,10 @@
 	return min(delay, 10*time.Second)
 }
 
-// Listing is the platform's list as it was taken last.
+// Listing is the server list as List took it last.
 func (m *Market) Listing() []membership.Server { return m.snapshot.Load().listing }
 
-// Load is the report that counts now of one server, if it has one.
+// Load is the report of one server that counts now, if it has one.
 func (m *Market) Load(now time.Time, server string) (Load, bool) {
 	state, found := m.snapshot.Load().byName[server]
 	if !found {
--- a/internal/auction/offer.go
+++ b/internal/auction/offer.go
@@ -9,9 +9,10 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// offer is what one server asks for its half of a request.
+// offer is what one server asks for its half of a request, as an estimated time.
 type offer struct {
-	state    *ServerState
+	state *ServerState
+	// position in the sorted list breaks ties.
 	position int
 	ask      time.Duration
 	linkRate int
@@ -26,14 +27,14 @@
 	return made
 }
 
-// least is the least time that the prompt's memory takes from this server to any
+// minTransferTime is the least time that the prompt's KV cache takes from this server to any
 // other: over its own link, and within its zone.
 func (o offer) minTransferTime(request *Request) time.Duration {
 	return seconds(request.PromptTokens, o.linkRate)
 }
 
-// transferTime is the time that the prompt's memory takes from one server to the
-// other.
+// transferTime is the time that the prompt's KV cache takes from this server to the decode
+// server: at the slower of both links, and longer between zones.
 func (o offer) transferTime(decode offer, request *Request) time.Duration {
 	rate := decode.linkRate
 	if o.report != nil && o.linkRate < rate {
@@ -46,13 +47,13 @@
 	return took
 }
 
-// offerSet holds the offers for one request.
+// offerSet has the offers for one request.
 type offerSet struct {
 	prefill []offer
 	decode  []offer
 }
 
-// offers keeps the books that nobody uses just now.
+// offerPool keeps the sets that are not in use, to allocate none for each request.
 var offerPool = sync.Pool{New: func() any { return &offerSet{} }}
 
 func (o *offerSet) clear() {
@@ -71,21 +72,33 @@
 // floor is added to each price, so that the spread counts for asks of nothing too.
 const priceFloor = 5 * time.Millisecond
 
-// cheapest is the pair with the lowest price; of equal ones that which stands
-// first in the list. A price is never below the sum of what it is made of, so that
-// the lowest sum that is left bounds all prices that are left.
+// rank orders pairs by price, and those of one price by their place in the list.
+type rank struct {
+	price           float64
+	prefill, decode int
+}
+
+func (r rank) before(other rank) bool {
+	if r.price != other.price {
+		return r.price < other.price
+	}
+	if r.prefill != other.prefill {
+		return r.prefill < other.prefill
+	}
+	return r.decode < other.decode
+}
+
+// cheapest is the pair with the lowest price; of equal ones that which stands first in
+// the list. The spread only adds to the sum that a price is made of, so that the lowest
+// sum that is left bounds all prices that are left.
 func (o *offerSet) cheapest(request *Request) (Bid, bool) {
 	sortByAsk(o.prefill)
 	sortByAsk(o.decode)
 	var best Bid
-	bestPrice, bestPrefill, bestDecode := 0.0, 0, 0
-	// worse tells that no price from this sum on would be taken.
-	worse := func(least time.Duration, prefill, decode int) bool {
-		if best.Prefill == nil {
-			return false
-		}
-		lowest := float64(least + priceFloor)
-		return lowest > bestPrice || (lowest == bestPrice && (prefill > bestPrefill || (prefill == bestPrefill && decode > bestDecode)))
+	var bestRank rank
+	// worse tells that no pair whose parts sum up to this or more would be taken.
+	worse := func(sum time.Duration, prefill, decode int) bool {
+		return best.Prefill != nil && bestRank.before(rank{float64(sum + priceFloor), prefill, decode})
 	}
 	for _, prefill := range o.prefill {
 		least := prefill.ask + prefill.minTransferTime(request)
@@ -105,19 +118,20 @@
 			}
 			noise := float64(weigher.Weight(decode.state.server.Name)%1024) / 1024
 			price := float64(sum+priceFloor) * (1 + priceSpread*noise)
-			if best.Prefill == nil || price < bestPrice || (price == bestPrice && (prefill.position < bestPrefill || (prefill.position == bestPrefill && decode.position < bestDecode))) {
+			candidate := rank{price, prefill.position, decode.position}
+			if best.Prefill == nil || candidate.before(bestRank) {
 				best = Bid{Prefill: prefill.state, Decode: decode.state, Price: sum, TransferTime: transferTime}
-				bestPrice, bestPrefill, bestDecode = price, prefill.position, decode.position
+				bestRank = candidate
 			}
 		}
 	}
 	return best, best.Prefill != nil
 }
 
-// leastLoaded is the plain choice: the first server with the shortest queue and
-// the first with the fewest answers under way, without prefixes, hand-over,
-// zones or own work in flight.
-func (o *offerSet) leastLoaded(_ time.Time, request *Request) (Bid, bool) {
+// leastLoaded is the choice that the auction is compared with: the first server with the
+// shortest queue and the first with the fewest active decodes, regardless of prefixes, KV
+// transfer, zones and the router's own work in flight.
+func (o *offerSet) leastLoaded(request *Request) (Bid, bool) {
 	if len(o.prefill) == 0 || len(o.decode) == 0 {
 		return Bid{}, false
 	}
--- a/internal/auction/program.go
+++ b/internal/auction/routes.go
@@ -8,9 +8,8 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// RouteTable is a configuration compiled for the request's path: for each service
-// the steps of its routes, in order. It is never altered; a new configuration
-// is a new program.
+// RouteTable is a configuration compiled for matching requests: for each service the
+// steps of its routes, in order. It is immutable; a new configuration is a new table.
 type RouteTable struct {
 	epoch       uint64
 	number      uint64
@@ -23,6 +22,22 @@
 	steps   []step
 }
 
+// opcode is what one step of a compiled route does.
+type opcode uint8
+
+const (
+	// The needs skip to the next route when the request does not meet them.
+	needZone opcode = iota
+	needClient
+	needPrefix
+	needAtLeast
+	needBelow
+	// The actions end the interpretation.
+	actRefuse
+	actSend
+)
+
+// step is one need or action; next is the position of the next route's first step.
 type step struct {
 	code   opcode
 	text   string
@@ -31,9 +46,25 @@
 	route  *RouteDecision
 }
 
-// Compile makes the program of a configuration.
+// RouteDecision is what the route that matched says of a request.
+type RouteDecision struct {
+	// Route is the route's name.
+	Route   string
+	Service config.Service
+	// Zones are the zones whose servers may be used; nil allows all.
+	Zones map[string]bool
+	// HomeFirst prefers servers in the router's own zone.
+	HomeFirst bool
+}
+
+// Compile makes the route table of a configuration, whose version is epoch and number.
 func Compile(configuration *config.Configuration, epoch, number uint64) *RouteTable {
-	table := &RouteTable{epoch: epoch, number: number, services: map[string]*serviceRoutes{}, evacuations: map[string]bool{}}
+	table := &RouteTable{
+		epoch:       epoch,
+		number:      number,
+		services:    map[string]*serviceRoutes{},
+		evacuations: map[string]bool{},
+	}
 	for zone := range configuration.Evacuations {
 		table.evacuations[zone] = true
 	}
@@ -85,7 +116,8 @@
 	}
 }
 
-// Match interprets the program for one request that arrived in a zone.
+// Match finds the first route for a request that arrived at a router in a zone. Its
+// errors are failure.UnknownService, OutOfRange, NoRoute and RouteRefuses.
 func (p *RouteTable) Match(request *Request, zone string) (*RouteDecision, *failure.Error) {
 	compiled, found := p.services[request.Service]
 	if !found {
@@ -125,12 +157,13 @@
 	return nil, failure.New(failure.NoRoute, "no route matches the inquiry")
 }
 
-// Allows tells whether work may go to a server under the ruling.
+// Allows tells whether the route lets work go to a server, and its zone is not evacuated.
 func (p *RouteTable) Allows(route *RouteDecision, server membership.Server) bool {
 	return !p.evacuations[server.Zone] && (route.Zones == nil || route.Zones[server.Zone])
 }
 
-// limit is the latest moment of a request that came now.
+// deadline is the deadline of a request that came now: the requested one, but not later
+// than the service's time limit.
 func (r *RouteDecision) deadline(now, requested time.Time) time.Time {
 	latest := now.Add(r.Service.Limit)
 	if requested.IsZero() || requested.After(latest) {
