--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -44,7 +44,7 @@
 		}
 		daemon.LimitMemory(chosen.MostMemory)
 		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
-		process, err := controller.Start(chosen, logger, storage.RealDisk{}, osruntime.NewClock(), controller.Ports{})
+		process, err := controller.Start(chosen, logger, storage.OSDisk{}, osruntime.NewClock(), controller.Ports{})
 		if err != nil {
 			return err
 		}
--- a/core.go
+++ b/core.go
@@ -302,7 +302,7 @@
 func (c *Core) ReadOrders(records map[string]codec.Record) map[string]Order {
 	orders := map[string]Order{}
 	for server, record := range records {
-		if order, err := codec.ReadOrder(record, c.options.Supported); err == nil {
+		if order, err := codec.DecodeOrder(record, c.options.Supported); err == nil {
 			orders[server] = order
 		}
 	}
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -52,11 +52,11 @@
 		operatorsClient: rpc.NewClient(rpc.Transport(chosen.Detours))}
 	process.operatorsClient.Timeout = forwardPatience
 	process.lifetime = process.tomb.Context(context.Background())
-	keeping, err := storage.OpenFolder(disk, filepath.Join(chosen.DataFolder, "keeper"))
+	keeping, err := storage.OpenDirectory(disk, filepath.Join(chosen.DataFolder, "keeper"))
 	if err != nil {
 		return nil, err
 	}
-	copies, err := storage.OpenFolder(disk, filepath.Join(chosen.DataFolder, "larder"))
+	copies, err := storage.OpenDirectory(disk, filepath.Join(chosen.DataFolder, "larder"))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/adapters/controller/status.go
+++ b/internal/adapters/controller/status.go
@@ -29,11 +29,11 @@
 	}
 	orders := map[string]codec.Order{}
 	for server, record := range state.Orders.Records {
-		if order, err := codec.ReadOrder(record, p.conduct.Supported()); err == nil {
+		if order, err := codec.DecodeOrder(record, p.conduct.Supported()); err == nil {
 			orders[server] = order
 		}
 	}
-	batches, changes := p.conduct.Store().Work()
+	batches, changes := p.conduct.Store().CommitCounts()
 	servers := p.conduct.Servers()
 	holds := map[string]int64{}
 	for name, age := range live {
@@ -69,15 +69,15 @@
 }
 
 func (p *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
-	batches, changes := p.conduct.Store().Work()
+	batches, changes := p.conduct.Store().CommitCounts()
 	leads := 0
 	if p.conduct.Coordinator().HasLease() {
 		leads = 1
 	}
-	version := p.conduct.Store().Copy().Version()
+	version := p.conduct.Store().LocalReplica().Version()
 	answers, bytesSent, configurations := p.conduct.UpdateCounts()
 	damaged := 0
-	if p.conduct.Store().Copy().Damage() != "" {
+	if p.conduct.Store().LocalReplica().Damage() != "" {
 		damaged = 1
 	}
 	writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
--- a/internal/adapters/storage/folder.go
+++ b/internal/adapters/storage/folder.go
@@ -12,47 +12,47 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Folder is one folder under the data folder. Each file carries a checksum.
-type Folder struct {
+// Directory is one folder under the data folder. Each file carries a checksum.
+type Directory struct {
 	path string
 	disk Disk
 }
 
 const (
-	asideSuffix = ".aside"
-	magic       = "SLM1"
-	headerSize  = len(magic) + 4
+	temporarySuffix = ".aside"
+	magic           = "SLM1"
+	headerSize      = len(magic) + 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// OpenFolder makes the folder if it is missing.
-func OpenFolder(disk Disk, path string) (*Folder, error) {
-	if err := disk.MakeFolder(path); err != nil {
+// OpenDirectory makes the folder if it is missing.
+func OpenDirectory(disk Disk, path string) (*Directory, error) {
+	if err := disk.MakeDirectory(path); err != nil {
 		return nil, failure.Wrap(failure.Disk, err)
 	}
-	return &Folder{path: path, disk: disk}, nil
+	return &Directory{path: path, disk: disk}, nil
 }
 
 // Save writes a file aside, syncs it, renames it and syncs the folder.
-func (f *Folder) Save(name string, content []byte) error {
+func (f *Directory) Save(name string, content []byte) error {
 	framed := make([]byte, headerSize, headerSize+len(content))
 	copy(framed, magic)
 	binary.BigEndian.PutUint32(framed[len(magic):], crc32.Checksum(content, castagnoli))
 	framed = append(framed, content...)
 	path := filepath.Join(f.path, name)
-	if err := f.disk.WriteSynced(path+asideSuffix, framed); err != nil {
+	if err := f.disk.WriteSynced(path+temporarySuffix, framed); err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
-	if err := f.disk.Rename(path+asideSuffix, path); err != nil {
+	if err := f.disk.Rename(path+temporarySuffix, path); err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
-	return failure.Wrap(failure.Disk, f.disk.SyncFolder(f.path))
+	return failure.Wrap(failure.Disk, f.disk.SyncDirectory(f.path))
 }
 
 // Load reads every file; those with a wrong checksum are named as damaged.
 // What was written aside and never renamed is removed.
-func (f *Folder) Load() (map[string][]byte, []string, error) {
+func (f *Directory) Load() (map[string][]byte, []string, error) {
 	names, err := f.disk.List(f.path)
 	if err != nil {
 		return nil, nil, failure.Wrap(failure.Disk, err)
@@ -61,7 +61,7 @@
 	var damaged []string
 	for _, name := range names {
 		path := filepath.Join(f.path, name)
-		if strings.HasSuffix(name, asideSuffix) {
+		if strings.HasSuffix(name, temporarySuffix) {
 			_ = f.disk.Remove(path)
 			continue
 		}
@@ -77,7 +77,7 @@
 }
 
 // Remove deletes files; one that is gone already is no failure.
-func (f *Folder) Remove(names []string) error {
+func (f *Directory) Remove(names []string) error {
 	for _, name := range names {
 		if err := f.disk.Remove(filepath.Join(f.path, name)); err != nil && !os.IsNotExist(err) {
 			return failure.Wrap(failure.Disk, err)
--- a/internal/adapters/storage/realdisk.go
+++ b/internal/adapters/storage/realdisk.go
@@ -2,14 +2,14 @@
 
 import "os"
 
-// RealDisk is the machine's file system.
-type RealDisk struct{}
+// OSDisk is the machine's file system.
+type OSDisk struct{}
 
-// MakeFolder makes a folder and its parents.
-func (RealDisk) MakeFolder(path string) error { return os.MkdirAll(path, 0o755) }
+// MakeDirectory makes a folder and its parents.
+func (OSDisk) MakeDirectory(path string) error { return os.MkdirAll(path, 0o755) }
 
 // WriteSynced writes a file and syncs it.
-func (RealDisk) WriteSynced(path string, content []byte) error {
+func (OSDisk) WriteSynced(path string, content []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o644)
 	if err != nil {
 		return err
@@ -26,10 +26,10 @@
 }
 
 // Rename gives a file its name.
-func (RealDisk) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSDisk) Rename(from, to string) error { return os.Rename(from, to) }
 
-// SyncFolder syncs a folder, so that a rename in it lasts.
-func (RealDisk) SyncFolder(path string) error {
+// SyncDirectory syncs a folder, so that a rename in it lasts.
+func (OSDisk) SyncDirectory(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
 		return err
@@ -42,7 +42,7 @@
 }
 
 // List names the files of a folder.
-func (RealDisk) List(path string) ([]string, error) {
+func (OSDisk) List(path string) ([]string, error) {
 	entries, err := os.ReadDir(path)
 	var names []string
 	for _, entry := range entries {
@@ -54,7 +54,7 @@
 }
 
 // Read reads a whole file.
-func (RealDisk) Read(path string) ([]byte, error) { return os.ReadFile(path) }
+func (OSDisk) Read(path string) ([]byte, error) { return os.ReadFile(path) }
 
 // Remove deletes a file.
-func (RealDisk) Remove(path string) error { return os.Remove(path) }
+func (OSDisk) Remove(path string) error { return os.Remove(path) }
--- a/internal/codec/entry.go
+++ b/internal/codec/entry.go
@@ -12,15 +12,15 @@
 	Cause   string    `msgpack:"cause,omitempty" json:"cause,omitempty"`
 }
 
-// WriteEntry makes a retry or recover record.
-func WriteEntry(kind RecordKind, entry Entry) (Record, error) {
+// EncodeEntry makes a retry or recover record.
+func EncodeEntry(kind RecordKind, entry Entry) (Record, error) {
 	record := NewRecord(kind, entry.Request, entry.Router, uint64(entry.Run))
 	return record, record.Put("entry", entry)
 }
 
-// ReadEntry reads a retry or recover record.
-func ReadEntry(record Record) (Entry, error) {
+// DecodeEntry reads a retry or recover record.
+func DecodeEntry(record Record) (Entry, error) {
 	var entry Entry
-	_, err := record.readNewest(nil, format{"", "entry", &entry})
+	_, err := record.decodeNewest(nil, format{"", "entry", &entry})
 	return entry, err
 }
--- a/internal/codec/format.go
+++ b/internal/codec/format.go
@@ -26,9 +26,9 @@
 	return nil
 }
 
-// readNewest reads the first of the formats, newest first, that the build
+// decodeNewest reads the first of the formats, newest first, that the build
 // supports and the record has, and returns its key.
-func (r Record) readNewest(supported features.List, formats ...format) (string, error) {
+func (r Record) decodeNewest(supported features.List, formats ...format) (string, error) {
 	for _, f := range formats {
 		if f.flag != "" && !supported.Has(f.flag) {
 			continue
--- a/internal/codec/order.go
+++ b/internal/codec/order.go
@@ -14,7 +14,7 @@
 	Cause    string        `msgpack:"cause,omitempty" json:"cause,omitempty"`
 }
 
-type orderFirst struct {
+type orderV1 struct {
 	Server string `msgpack:"server"`
 	Part   string `msgpack:"part"`
 }
@@ -22,18 +22,18 @@
 // DefaultPatience is what an order of the first format gives running work.
 const DefaultPatience = 30 * time.Second
 
-// WriteOrder makes the order's record in the format that the enabled flags
+// EncodeOrder makes the order's record in the format that the enabled flags
 // allow: the first format always, the second beside it under OrderPatience.
-func WriteOrder(order Order, writer string, number uint64, enabled features.List) (Record, error) {
+func EncodeOrder(order Order, writer string, number uint64, enabled features.List) (Record, error) {
 	record := NewRecord(OrderRecord, order.Server, writer, number)
-	return record, record.putFormats(enabled, format{"", "order", orderFirst{Server: order.Server, Part: order.Part}}, format{features.OrderPatience, "order_v2", order})
+	return record, record.putFormats(enabled, format{"", "order", orderV1{Server: order.Server, Part: order.Part}}, format{features.OrderPatience, "order_v2", order})
 }
 
-// ReadOrder reads the newest key that this build supports and falls back.
-func ReadOrder(record Record, supported features.List) (Order, error) {
+// DecodeOrder reads the newest key that this build supports and falls back.
+func DecodeOrder(record Record, supported features.List) (Order, error) {
 	var order Order
-	var first orderFirst
-	key, err := record.readNewest(supported, format{features.OrderPatience, "order_v2", &order}, format{"", "order", &first})
+	var first orderV1
+	key, err := record.decodeNewest(supported, format{features.OrderPatience, "order_v2", &order}, format{"", "order", &first})
 	if key == "order" {
 		order = Order{Server: first.Server, Part: first.Part, Patience: DefaultPatience}
 	}
--- a/internal/codec/pair.go
+++ b/internal/codec/pair.go
@@ -16,7 +16,7 @@
 	HandOver time.Duration `msgpack:"hand_over,omitempty" json:"hand_over,omitempty"`
 }
 
-type pairFirst struct {
+type pairV1 struct {
 	Request string `msgpack:"inquiry"`
 	Run     int    `msgpack:"run"`
 	Prefill string `msgpack:"prefill"`
@@ -26,15 +26,15 @@
 // WritePair makes the pair's record in the format that the flags allow.
 func WritePair(pair Pair, writer string, enabled features.List) (Record, error) {
 	record := NewRecord(PairRecord, pair.Request, writer, uint64(pair.Run))
-	first := pairFirst{Request: pair.Request, Run: pair.Run, Prefill: pair.Prefill, Decode: pair.Decode}
+	first := pairV1{Request: pair.Request, Run: pair.Run, Prefill: pair.Prefill, Decode: pair.Decode}
 	return record, record.putFormats(enabled, format{"", "pair", first}, format{features.PairPrice, "pair_v2", pair})
 }
 
-// ReadPair reads the newest key that this build supports and falls back.
-func ReadPair(record Record, supported features.List) (Pair, error) {
+// DecodePair reads the newest key that this build supports and falls back.
+func DecodePair(record Record, supported features.List) (Pair, error) {
 	var pair Pair
-	var first pairFirst
-	key, err := record.readNewest(supported, format{features.PairPrice, "pair_v2", &pair}, format{"", "pair", &first})
+	var first pairV1
+	key, err := record.decodeNewest(supported, format{features.PairPrice, "pair_v2", &pair}, format{"", "pair", &first})
 	if key == "pair" {
 		pair = Pair{Request: first.Request, Run: first.Run, Prefill: first.Prefill, Decode: first.Decode}
 	}
--- a/internal/codec/record_test.go
+++ b/internal/codec/record_test.go
@@ -14,7 +14,7 @@
 	order := Order{Server: "stove-1", Part: "decode", Patience: 7 * time.Second, Cause: "answers wait"}
 	older, newer := features.Supported(features.List{features.OrderPatience}), features.Supported(nil)
 	for _, enabled := range []features.List{nil, {features.OrderPatience}} {
-		record, err := WriteOrder(order, "courier-1", 3, enabled)
+		record, err := EncodeOrder(order, "courier-1", 3, enabled)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,10 +29,10 @@
 		if err := msgpack.Unmarshal(encoded, &read); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := ReadOrder(read, older); err != nil || got.Server != "stove-1" || got.Part != "decode" || got.Cause != "" || got.Patience != DefaultPatience {
+		if got, err := DecodeOrder(read, older); err != nil || got.Server != "stove-1" || got.Part != "decode" || got.Cause != "" || got.Patience != DefaultPatience {
 			t.Errorf("the older build reads %+v, %v", got, err)
 		}
-		got, err := ReadOrder(read, newer)
+		got, err := DecodeOrder(read, newer)
 		if err != nil || got.Server != "stove-1" || got.Part != "decode" {
 			t.Errorf("the newer build reads %+v, %v", got, err)
 		}
@@ -40,7 +40,7 @@
 			t.Errorf("the newer build reads %+v from the new key", got)
 		}
 	}
-	if _, err := ReadOrder(NewRecord(OrderRecord, "stove-1", "courier-1", 4), newer); err == nil {
+	if _, err := DecodeOrder(NewRecord(OrderRecord, "stove-1", "courier-1", 4), newer); err == nil {
 		t.Error("an order without any format was read")
 	}
 }
@@ -54,10 +54,10 @@
 	if err := record.Put("pair_v9", map[string]string{"shape": "round"}); err != nil {
 		t.Fatal(err)
 	}
-	if pair, err := ReadPair(record, features.Supported(nil)); err != nil || pair.Price != time.Second || pair.Run != 2 {
+	if pair, err := DecodePair(record, features.Supported(nil)); err != nil || pair.Price != time.Second || pair.Run != 2 {
 		t.Errorf("%+v, %v", pair, err)
 	}
-	if pair, err := ReadPair(record, features.Supported(features.List{features.PairPrice})); err != nil || pair.Price != 0 || pair.Decode != "b" {
+	if pair, err := DecodePair(record, features.Supported(features.List{features.PairPrice})); err != nil || pair.Price != 0 || pair.Decode != "b" {
 		t.Errorf("%+v, %v", pair, err)
 	}
 }
--- a/internal/codec/streammessage.go
+++ b/internal/codec/streammessage.go
@@ -8,15 +8,15 @@
 	Retry   int    `msgpack:"retry"`
 }
 
-// WriteStreamMessage makes the message's record.
-func WriteStreamMessage(message StreamMessage, writer string, number uint64) (Record, error) {
+// EncodeStreamMessage makes the message's record.
+func EncodeStreamMessage(message StreamMessage, writer string, number uint64) (Record, error) {
 	record := NewRecord(StreamRecord, message.Request, writer, number)
 	return record, record.Put("stream", message)
 }
 
-// ReadStreamMessage reads the message's record.
-func ReadStreamMessage(record Record) (StreamMessage, error) {
+// DecodeStreamMessage reads the message's record.
+func DecodeStreamMessage(record Record) (StreamMessage, error) {
 	var message StreamMessage
-	_, err := record.readNewest(nil, format{"", "stream", &message})
+	_, err := record.decodeNewest(nil, format{"", "stream", &message})
 	return message, err
 }
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -85,7 +85,7 @@
 			return nil, true, err
 		}
 	}
-	copied, err := replication.OpenCopy(c)
+	copied, err := replication.OpenLocalReplica(c)
 	if err != nil {
 		return nil, blank, err
 	}
@@ -93,10 +93,10 @@
 		observe("copy_damaged", "damage", damage)
 	}
 	witness.Guard(runtime.NewLock(rt))
-	copied.Guard(runtime.NewLock(rt))
+	copied.SetLock(runtime.NewLock(rt))
 	controller := &Controller{runtime: rt, client: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
 		updated: rt.NewCond(), termBegan: rt.NewCond(), pending: rt.NewCond(), confirmations: rt.NewCond(), editTurn: rt.NewCond()}
-	controller.store.Guard(runtime.NewLock(rt))
+	controller.store.SetLock(runtime.NewLock(rt))
 	controller.coordinator = replication.NewCoordinator(rt, options.Seeds, witness, controller.store, &peers{client: line}, observe)
 	if options.JoinsOnly {
 		controller.coordinator.JoinOnly()
@@ -322,7 +322,7 @@
 			continue
 		}
 		pause := idlePause
-		if c.store.Waiting() {
+		if c.store.HasPending() {
 			pause = commitPause
 		}
 		c.pending.Wait(pause, func() bool { return c.submitted.Load() != seen })
@@ -334,7 +334,7 @@
 	if membership.Backup.Empty() || !c.coordinator.HasLease() {
 		return false
 	}
-	batch, found := c.store.Begin()
+	batch, found := c.store.NextBatch()
 	if !found || batch.Version.Epoch != membership.Epoch {
 		return false
 	}
@@ -357,9 +357,9 @@
 	kept := false
 	cond := c.runtime.NewCond()
 	c.runtime.Go(func() {
-		c.coordinator.OwnDisk(true)
-		err := c.store.KeepOwn(batch)
-		c.coordinator.OwnDisk(err != nil)
+		c.coordinator.SetDiskBusy(true)
+		err := c.store.WriteLocal(batch)
+		c.coordinator.SetDiskBusy(err != nil)
 		mutex.Lock()
 		own, kept = err, true
 		mutex.Unlock()
@@ -369,7 +369,7 @@
 	waits := 0
 	replicate := func(backup replication.Replica) {
 		err := (&peers{client: c.client}).Replicate(c.coordinator.Address(backup), backup.Identity, membership.Epoch, batch)
-		c.coordinator.BackupAnswered(backup.Identity, err == nil)
+		c.coordinator.RecordBackupResult(backup.Identity, err == nil)
 		mutex.Lock()
 		missing = multierr.Append(missing, err)
 		mutex.Unlock()
--- a/internal/controlplane/copystate.go
+++ b/internal/controlplane/copystate.go
@@ -11,7 +11,7 @@
 
 // copyUpdate tells of the own copy, with its sections if their version is the wanted one.
 func (c *Controller) copyUpdate(wanted replication.Version) *wire.CopyState {
-	copied := c.store.Copy()
+	copied := c.store.LocalReplica()
 	update := &wire.CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
 	sections := copied.Sections()
 	update.Configuration = sections[replication.ConfigurationSection].Version
--- a/internal/controlplane/edit.go
+++ b/internal/controlplane/edit.go
@@ -189,5 +189,5 @@
 	if _, live := current.Grants.Live(c.runtime.Now())[name]; live {
 		return replication.Version{}, failure.New(failure.LeaseActive, name+" is running; stop it first")
 	}
-	return c.submit(replication.Retire(name), changePatience)
+	return c.submit(replication.RemoveMember(name), changePatience)
 }
--- a/internal/controlplane/handlers.go
+++ b/internal/controlplane/handlers.go
@@ -60,14 +60,14 @@
 			if err := c.checkIdentity(question.To); err != nil {
 				return wire.Empty{}, err
 			}
-			return wire.Empty{}, c.store.Refresh(question.Snapshot)
+			return wire.Empty{}, c.store.CatchUp(question.Snapshot)
 		}),
 		wire.UpdatesPath: wire.HandlerFor(c.serveUpdate),
 		wire.ClaimPath: wire.HandlerFor(func(question wire.ClaimRequest) (wire.LedResponse, error) {
-			return c.led(replication.Claim(question.Made, question.Entry))
+			return c.led(replication.ClaimRequest(question.Made, question.Entry))
 		}),
 		wire.OrdersPath: wire.HandlerFor(func(question wire.OrdersRequest) (wire.LedResponse, error) {
-			return c.led(replication.GiveOrders(question.Role, question.Orders, question.Supported))
+			return c.led(replication.IssueOrders(question.Role, question.Orders, question.Supported))
 		}),
 	}
 }
@@ -124,7 +124,7 @@
 	if recorded, found := state.Members[name]; !found || !recorded.Same(question.Member) {
 		member := question.Member
 		member.Since = c.runtime.Wall()
-		if _, err := c.submit(replication.Register(member), registerPatience); err != nil {
+		if _, err := c.submit(replication.RegisterMember(member), registerPatience); err != nil {
 			return wire.UpdateResponse{}, err
 		}
 	}
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -65,7 +65,7 @@
 		}
 	}
 	if horizonDue && !restricted {
-		c.queue(replication.MoveHorizon(c.runtime.Wall(), step), func(replication.Version, error) {})
+		c.queue(replication.AdvanceHorizon(c.runtime.Wall(), step), func(replication.Version, error) {})
 	}
 	c.grantRoles(now, current, state)
 	c.retireSilent(now, current, state)
@@ -87,7 +87,7 @@
 	if len(gone) == 0 {
 		return
 	}
-	c.queue(replication.ForgetServers(gone, state.Roles.Roles), func(version replication.Version, err error) {
+	c.queue(replication.RemoveServers(gone, state.Roles.Roles), func(version replication.Version, err error) {
 		c.observe("servers_forgotten", "servers", gone, "version", version.String(), "trouble", err)
 	})
 }
@@ -108,7 +108,7 @@
 		if slices.ContainsFunc(membership.Electors(), func(replica replication.Replica) bool { return replica.Name == name }) || membership.Primary.Name == name {
 			continue
 		}
-		c.queue(replication.Retire(name), func(version replication.Version, err error) {
+		c.queue(replication.RemoveMember(name), func(version replication.Version, err error) {
 			c.observe("member_retired", "member", name, "version", version.String(), "trouble", err)
 		})
 	}
@@ -139,7 +139,7 @@
 // sweep reads the own files again, and finds the copies that no read has
 // mended.
 func (c *Controller) sweep() {
-	if mended, err := c.store.Copy().Sweep(); mended > 0 || err != nil {
+	if mended, err := c.store.LocalReplica().Sweep(); mended > 0 || err != nil {
 		c.observe("copy_swept", "mended", mended, "trouble", err)
 	}
 	if mended, err := c.witness.Sweep(); mended || err != nil {
@@ -172,7 +172,7 @@
 		c.repairing = false
 	}()
 	epoch := c.coordinator.Membership().Epoch
-	for _, replica := range c.coordinator.OldCopies(view.Version) {
+	for _, replica := range c.coordinator.StaleReplicas(view.Version) {
 		question := wire.InstallRequest{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
 		err := wire.Call(c.client, c.coordinator.Address(replica), wire.RefreshPath, question, nil, installPatience)
 		c.observe("copy_mended", "at", replica.Name, "version", view.Version.String(), "trouble", err)
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -106,7 +106,7 @@
 	if r.core.Restricted() {
 		return
 	}
-	record, err := codec.WriteEntry(codec.RetryRecord, codec.Entry{Request: decision.ID, Router: r.options.Router, Run: decision.Run, At: r.runtime.Wall()})
+	record, err := codec.EncodeEntry(codec.RetryRecord, codec.Entry{Request: decision.ID, Router: r.options.Router, Run: decision.Run, At: r.runtime.Wall()})
 	if err == nil {
 		r.journal.append(record, true)
 		r.recordsAdded.Broadcast()
--- a/internal/dataplane/forwarding.go
+++ b/internal/dataplane/forwarding.go
@@ -87,7 +87,7 @@
 }
 
 func (r *recordCopy) take(record codec.Record) bool {
-	message, err := codec.ReadStreamMessage(record)
+	message, err := codec.DecodeStreamMessage(record)
 	var line ReplyLine
 	if err == nil {
 		err = json.Unmarshal(message.Line, &line)
--- a/internal/dataplane/journal.go
+++ b/internal/dataplane/journal.go
@@ -68,11 +68,11 @@
 		}
 		switch record.Kind {
 		case codec.PairRecord:
-			if pair, err := codec.ReadPair(record, supported); err == nil {
+			if pair, err := codec.DecodePair(record, supported); err == nil {
 				folded.Pairs = append(folded.Pairs, pair)
 			}
 		case codec.RetryRecord:
-			if entry, err := codec.ReadEntry(record); err == nil {
+			if entry, err := codec.DecodeEntry(record); err == nil {
 				folded.Retries = append(folded.Retries, entry)
 			}
 		}
--- a/internal/dataplane/recordreply.go
+++ b/internal/dataplane/recordreply.go
@@ -27,7 +27,7 @@
 // Line sends one line as a record.
 func (r *RecordReply) Line(line []byte) error {
 	r.number++
-	record, err := codec.WriteStreamMessage(codec.StreamMessage{Request: r.Request, Line: line, Status: r.status, Retry: r.retry}, r.Writer, r.number)
+	record, err := codec.EncodeStreamMessage(codec.StreamMessage{Request: r.Request, Line: line, Status: r.status, Retry: r.retry}, r.Writer, r.number)
 	if err != nil {
 		return err
 	}
--- a/internal/membership/listing.go
+++ b/internal/membership/listing.go
@@ -12,10 +12,10 @@
 type Listing struct {
 	at      time.Time
 	servers []Server
-	// coldUntil is when a server is warm, by the reader's clock.
-	coldUntil map[string]time.Time
-	leaving   map[string]bool
-	gone      map[string]time.Time
+	// warmAt is when a server is warm, by the reader's clock.
+	warmAt  map[string]time.Time
+	leaving map[string]bool
+	gone    map[string]time.Time
 }
 
 const (
@@ -44,10 +44,10 @@
 		before[server.Name] = server
 	}
 	var next []Server
-	coldUntil := map[string]time.Time{}
+	warmAt := map[string]time.Time{}
 	changed := false
 	for _, server := range servers {
-		if vanished, found := l.gone[server.Name]; found && at.Sub(vanished) < listLag {
+		if removedAt, found := l.gone[server.Name]; found && at.Sub(removedAt) < listLag {
 			continue
 		}
 		delete(l.gone, server.Name)
@@ -63,12 +63,12 @@
 			changed = true
 		}
 		// Each read tells the same end a little differently.
-		if old := l.coldUntil[server.Name]; known && until.Sub(old).Abs() < coldStep {
+		if old := l.warmAt[server.Name]; known && until.Sub(old).Abs() < coldStep {
 			until = old
 		} else if known && (until.After(at) || old.After(at)) {
 			changed = true
 		}
-		coldUntil[server.Name] = until
+		warmAt[server.Name] = until
 		next = append(next, server)
 	}
 	for name := range before {
@@ -81,7 +81,7 @@
 			delete(l.leaving, name)
 		}
 	}
-	l.at, l.servers, l.coldUntil = at, next, coldUntil
+	l.at, l.servers, l.warmAt = at, next, warmAt
 	return changed || first
 }
 
@@ -99,7 +99,7 @@
 func (l *Listing) Servers(now time.Time) []Server {
 	servers := slices.Clone(l.servers)
 	for position := range servers {
-		servers[position].Warming = max(0, l.coldUntil[servers[position].Name].Sub(now))
+		servers[position].Warming = max(0, l.warmAt[servers[position].Name].Sub(now))
 	}
 	return servers
 }
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -12,7 +12,7 @@
 	// These may wait for the disk, and nobody may wait for them.
 	membership, replica := c.witness.Membership(), c.witness.Replica()
 	blank, holder := membership.Blank(), c.witness.Holder()
-	version, damage := c.store.Copy().Version(), c.store.Copy().Damage()
+	version, damage := c.store.LocalReplica().Version(), c.store.LocalReplica().Damage()
 	left := c.witness.LeaseEnds().Sub(c.runtime.Now())
 	leads := c.HasLease()
 	c.mutex.Lock()
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -9,8 +9,8 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// OwnDisk tells the steward that a write to the own disk begins or has ended.
-func (c *Coordinator) OwnDisk(busy bool) {
+// SetDiskBusy tells the steward that a write to the own disk begins or has ended.
+func (c *Coordinator) SetDiskBusy(busy bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !busy {
@@ -20,17 +20,17 @@
 	}
 }
 
-func (c *Coordinator) ownDiskStalls() bool {
+func (c *Coordinator) diskStalled() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.diskBusy.IsZero() && c.runtime.Now().Sub(c.diskBusy) > diskPatience
 }
 
-// BackupAnswered tells the steward how the last write to a backup ended.
-func (c *Coordinator) BackupAnswered(backup Identity, well bool) {
+// RecordBackupResult tells the steward how the last write to a backup ended.
+func (c *Coordinator) RecordBackupResult(backup Identity, ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if well {
+	if ok {
 		delete(c.backupFails, backup)
 	} else if _, known := c.backupFails[backup]; !known {
 		c.backupFails[backup] = c.runtime.Now()
@@ -38,31 +38,31 @@
 }
 
 // failing tells whether a backup's writes have failed for longer than it may.
-func (c *Coordinator) failing(backup Identity) bool {
+func (c *Coordinator) backupFailing(backup Identity) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.fails(backup)
+	return c.backupFailingLocked(backup)
 }
 
-func (c *Coordinator) fails(backup Identity) bool {
+func (c *Coordinator) backupFailingLocked(backup Identity) bool {
 	since, known := c.backupFails[backup]
 	return known && c.runtime.Now().Sub(since) > c.timing.BackupSilence
 }
 
 // healthy lists the backups that answer, whole and in time.
-func (c *Coordinator) healthy(membership Membership) []Replica {
+func (c *Coordinator) healthyBackups(membership Membership) []Replica {
 	var healthy []Replica
 	for _, replica := range membership.Backups() {
 		hello, seen := c.alive(replica.Identity, c.timing.BackupSilence+c.timing.Beat)
-		if seen && hello.Damage == "" && !hello.Restricted && !c.failing(replica.Identity) {
+		if seen && hello.Damage == "" && !hello.Restricted && !c.backupFailing(replica.Identity) {
 			healthy = append(healthy, replica)
 		}
 	}
 	return healthy
 }
 
-// anyLeaves tells whether one of the backups has said that it is about to end.
-func (c *Coordinator) anyLeaves(backups []Replica) bool {
+// anyLeaving tells whether one of the backups has said that it is about to end.
+func (c *Coordinator) anyLeaving(backups []Replica) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, replica := range backups {
@@ -82,28 +82,28 @@
 	c.mutex.Lock()
 	restricted := c.restricted
 	c.mutex.Unlock()
-	healthy := c.healthy(membership)
-	whole := !membership.Backup.Empty() && !c.unsettled && len(healthy) == len(membership.Backups())
-	if whole && len(healthy) >= wanted && !c.anyLeaves(healthy) && !c.crowded(membership, wanted) {
+	healthy := c.healthyBackups(membership)
+	complete := !membership.Backup.Empty() && !c.unsettled && len(healthy) == len(membership.Backups())
+	if complete && len(healthy) >= wanted && !c.anyLeaving(healthy) && !c.canSpreadZones(membership, wanted) {
 		if restricted {
 			c.handOver(membership)
 		}
 		return
 	}
 	candidates := c.backupCandidates(membership, wanted)
-	if !c.unsettled && !membership.Backup.Empty() && c.asGoodAsItGets(membership, healthy, candidates, wanted) {
+	if !c.unsettled && !membership.Backup.Empty() && c.noBetterBackups(membership, healthy, candidates, wanted) {
 		return
 	}
-	if whole && !c.copyAhead(membership, candidates, wanted) {
+	if complete && !c.installAhead(membership, candidates, wanted) {
 		return
 	}
 	if len(candidates) > 0 {
-		snapshot, leading := c.store.Freeze()
+		snapshot, leading := c.store.PauseCommits()
 		if !leading {
 			return
 		}
 		c.unsettled = true
-		installed := c.install(membership, snapshot, candidates, wanted)
+		installed := c.installSnapshot(membership, snapshot, candidates, wanted)
 		if c.mayGrant(membership, installed, wanted) {
 			c.grantPair(installed)
 			return
@@ -112,7 +112,7 @@
 	if c.unsettled && c.witness.Membership().Primary.Identity == c.witness.Replica().Identity {
 		// No backup can be had; the epoch is still asked for, so that reads and
 		// holds go on from this copy.
-		alone := len(candidates) == 0 && c.short()
+		alone := len(candidates) == 0 && c.shortOfReplicas()
 		won, err := c.elect(func(base Membership) (Membership, bool) {
 			if base.Primary.Identity != c.witness.Replica().Identity {
 				return base, false
@@ -129,7 +129,7 @@
 			if won.Backup.Empty() {
 				c.store.Show(won.Epoch)
 			} else {
-				c.store.Renumber(won.Epoch)
+				c.store.SetEpoch(won.Epoch)
 			}
 			c.confirm(won)
 		}
@@ -154,15 +154,15 @@
 	c.unsettled = false
 	c.shortSince = time.Time{}
 	for _, replica := range installed {
-		c.BackupAnswered(replica.Identity, true)
+		c.RecordBackupResult(replica.Identity, true)
 	}
-	c.store.Thaw(won.Epoch)
+	c.store.ResumeCommits(won.Epoch)
 	c.observe("pair_granted", "epoch", won.Epoch, "backups", installed)
 	c.confirm(won)
 }
 
 // short tells whether copies have been too few for longer than the primary waits.
-func (c *Coordinator) short() bool {
+func (c *Coordinator) shortOfReplicas() bool {
 	now := c.runtime.Now()
 	if c.shortSince.IsZero() {
 		c.shortSince = now
@@ -176,12 +176,12 @@
 	if len(installed) == 0 {
 		return false
 	}
-	return len(installed) >= min(wanted, max(len(membership.Backups()), 1)) || c.short()
+	return len(installed) >= min(wanted, max(len(membership.Backups()), 1)) || c.shortOfReplicas()
 }
 
-// asGoodAsItGets tells whether the backups that are there are those that would be
+// noBetterBackups tells whether the backups that are there are those that would be
 // chosen now, and none is dead, damaged or failing.
-func (c *Coordinator) asGoodAsItGets(membership Membership, healthy, candidates []Replica, wanted int) bool {
+func (c *Coordinator) noBetterBackups(membership Membership, healthy, candidates []Replica, wanted int) bool {
 	if len(candidates) == 0 {
 		return true
 	}
@@ -201,16 +201,16 @@
 		}
 		// One that is only restricted, while no other can be had, may stay.
 		hello, alive := c.alive(replica.Identity, c.timing.BackupSilence+c.timing.Beat)
-		if !alive || hello.Damage != "" || c.failing(replica.Identity) {
+		if !alive || hello.Damage != "" || c.backupFailing(replica.Identity) {
 			return false
 		}
 	}
 	return true
 }
 
-// copyAhead brings newcomers a snapshot while commits go on, so that commits stand
+// installAhead brings newcomers a snapshot while commits go on, so that commits stand
 // still only for what was written since. It tells whether a newcomer has it.
-func (c *Coordinator) copyAhead(membership Membership, candidates []Replica, wanted int) bool {
+func (c *Coordinator) installAhead(membership Membership, candidates []Replica, wanted int) bool {
 	snapshot, leading := c.store.Snapshot()
 	if !leading {
 		return false
@@ -224,24 +224,24 @@
 		}
 	}
 	c.mutex.Unlock()
-	return len(c.install(membership, snapshot, newcomers, max(wanted-len(membership.Backups()), 1))) > 0
+	return len(c.installSnapshot(membership, snapshot, newcomers, max(wanted-len(membership.Backups()), 1))) > 0
 }
 
 // install brings the snapshot to as many candidates as are wanted at once. When one
 // fails, or its disk takes its time, the next is tried beside it. The primary's hold
 // is renewed meanwhile.
-func (c *Coordinator) install(membership Membership, snapshot Snapshot, candidates []Replica, wanted int) []Replica {
+func (c *Coordinator) installSnapshot(membership Membership, snapshot Snapshot, candidates []Replica, wanted int) []Replica {
 	var mutex sync.Mutex
-	ended := map[Identity]error{}
+	results := map[Identity]error{}
 	cond := c.runtime.NewCond()
-	begun := 0
-	begin := func() {
-		replica := candidates[begun]
-		begun++
+	started := 0
+	start := func() {
+		replica := candidates[started]
+		started++
 		c.runtime.Go(func() {
 			err := c.peers.Install(c.Address(replica), replica.Identity, snapshot)
 			mutex.Lock()
-			ended[replica.Identity] = err
+			results[replica.Identity] = err
 			mutex.Unlock()
 			cond.Broadcast()
 		})
@@ -251,7 +251,7 @@
 		defer mutex.Unlock()
 		var installed []Replica
 		for _, replica := range candidates {
-			if err, over := ended[replica.Identity]; over && err == nil && len(installed) < wanted {
+			if err, over := results[replica.Identity]; over && err == nil && len(installed) < wanted {
 				installed = append(installed, replica)
 			}
 		}
@@ -260,17 +260,17 @@
 	running := func() int {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return begun - len(ended)
+		return started - len(results)
 	}
 	latest, confirmed := c.runtime.Now(), c.runtime.Now()
-	ends := latest.Add(gatherPatience)
-	for c.runtime.Now().Before(ends) {
-		well := len(installed())
-		for running() < wanted-well && begun < len(candidates) {
-			begin()
+	deadline := latest.Add(gatherPatience)
+	for c.runtime.Now().Before(deadline) {
+		ok := len(installed())
+		for running() < wanted-ok && started < len(candidates) {
+			start()
 		}
 		before := running()
-		if well >= wanted || before == 0 {
+		if ok >= wanted || before == 0 {
 			break
 		}
 		// Every install ends by itself, later than any patience of this steward.
@@ -283,27 +283,27 @@
 		if over || now.Sub(latest) < installPatience {
 			continue
 		}
-		if begun < len(candidates) {
-			begin()
+		if started < len(candidates) {
+			start()
 			latest = now
-		} else if (well > 0 || !c.unsettled) && now.Sub(latest) > c.timing.FewerCopies {
+		} else if (ok > 0 || !c.unsettled) && now.Sub(latest) > c.timing.FewerCopies {
 			break
 		}
 	}
 	chosen := installed()
 	mutex.Lock()
 	defer mutex.Unlock()
-	c.noteInstalls(candidates[:begun], ended)
+	c.recordInstalls(candidates[:started], results)
 	return chosen
 }
 
-// noteInstalls remembers who could not be brought a snapshot in time, and is tried
+// recordInstalls remembers who could not be brought a snapshot in time, and is tried
 // last for a while.
-func (c *Coordinator) noteInstalls(tried []Replica, ended map[Identity]error) {
+func (c *Coordinator) recordInstalls(tried []Replica, results map[Identity]error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, replica := range tried {
-		err, over := ended[replica.Identity]
+		err, over := results[replica.Identity]
 		delete(c.installFails, replica.Identity)
 		if err != nil || !over {
 			c.installFails[replica.Identity] = c.runtime.Now()
@@ -314,21 +314,21 @@
 
 // candidate is a controller that could be a backup. The lower its rank, the better;
 // among equals the one in the zone with the fewest copies goes first.
-type candidate struct {
-	seat  Replica
-	rank  int
-	crowd int
+type backupCandidate struct {
+	replica      Replica
+	rank         int
+	zoneReplicas int
 }
 
 // backupCandidates lists the controllers that could be backups, the best first.
 func (c *Coordinator) backupCandidates(membership Membership, wanted int) []Replica {
 	copies := membership.With(c.recorded(c.witness.Replica()), membership.Backups()).Copies()
-	var candidates []candidate
+	var candidates []backupCandidate
 	c.mutex.Lock()
 	for _, identity := range c.acquaintances() {
 		known := c.known[identity]
 		if rank, may := c.rank(membership, known, wanted > 1); may {
-			candidates = append(candidates, candidate{seat: known.hello.Seat, rank: rank, crowd: inZone(copies, known.hello.Seat.Zone)})
+			candidates = append(candidates, backupCandidate{replica: known.hello.Seat, rank: rank, zoneReplicas: countInZone(copies, known.hello.Seat.Zone)})
 		}
 	}
 	c.mutex.Unlock()
@@ -336,14 +336,14 @@
 		if candidates[left].rank != candidates[right].rank {
 			return candidates[left].rank < candidates[right].rank
 		}
-		return wanted > 1 && candidates[left].crowd < candidates[right].crowd
+		return wanted > 1 && candidates[left].zoneReplicas < candidates[right].zoneReplicas
 	})
 	ordered := make([]Replica, 0, len(candidates))
 	for _, ca := range candidates {
-		ordered = append(ordered, c.recorded(ca.seat))
+		ordered = append(ordered, c.recorded(ca.replica))
 	}
 	if wanted > 1 {
-		spreadOut(ordered, copies[0].Zone, wanted)
+		spreadZones(ordered, copies[0].Zone, wanted)
 	}
 	return ordered
 }
@@ -356,11 +356,11 @@
 	if known.hello.Kind != membership.Controller || silence >= c.timing.BackupSilence+c.timing.Beat {
 		return 0, false
 	}
-	failing := c.fails(identity)
+	failing := c.backupFailingLocked(identity)
 	present := hasReplica(m.Backups(), identity)
 	rank := 2
 	switch {
-	case known.hello.Restricted && !several && !m.Backup.Empty() && !c.fails(m.Backup.Identity) && !c.unsettled:
+	case known.hello.Restricted && !several && !m.Backup.Empty() && !c.backupFailingLocked(m.Backup.Identity) && !c.unsettled:
 		// A backup that is there is not exchanged for a restricted one.
 		return 0, false
 	case known.hello.Restricted:
@@ -391,10 +391,10 @@
 	return rank, true
 }
 
-// spreadOut brings a candidate of another zone forward when all that would be
+// spreadZones brings a candidate of another zone forward when all that would be
 // chosen are in the primary's.
-func spreadOut(candidates []Replica, zone string, wanted int) {
-	if zone == "" || len(candidates) <= wanted || inZone(candidates[:wanted], zone) < wanted {
+func spreadZones(candidates []Replica, zone string, wanted int) {
+	if zone == "" || len(candidates) <= wanted || countInZone(candidates[:wanted], zone) < wanted {
 		return
 	}
 	for position := wanted; position < len(candidates); position++ {
@@ -406,7 +406,7 @@
 	}
 }
 
-func inZone(replicas []Replica, zone string) int {
+func countInZone(replicas []Replica, zone string) int {
 	count := 0
 	for _, replica := range replicas {
 		if replica.Zone == zone {
@@ -417,22 +417,22 @@
 }
 
 // crowded tells whether all copies are in one zone and another could be had.
-func (c *Coordinator) crowded(membership Membership, wanted int) bool {
+func (c *Coordinator) canSpreadZones(membership Membership, wanted int) bool {
 	if wanted == 1 {
 		return false
 	}
 	zone := c.recorded(c.witness.Replica()).Zone
-	if inZone(membership.Backups(), zone) < len(membership.Backups()) {
+	if countInZone(membership.Backups(), zone) < len(membership.Backups()) {
 		return false
 	}
 	candidates := c.backupCandidates(membership, wanted)
 	chosen := candidates[:min(wanted, len(candidates))]
-	return inZone(chosen, zone) < len(chosen)
+	return countInZone(chosen, zone) < len(chosen)
 }
 
-// OldCopies lists the controllers out of the pair whose copies were older than
+// StaleReplicas lists the controllers out of the pair whose copies were older than
 // the version when they were heard last.
-func (c *Coordinator) OldCopies(version Version) []Replica {
+func (c *Coordinator) StaleReplicas(version Version) []Replica {
 	m := c.Membership()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/replication/changenote.go
+++ b/internal/replication/changenote.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ChangeNote remembers a configuration change by its id, so that an operator
+// ChangeRecord remembers a configuration change by its id, so that an operator
 // whose change had an unknown outcome can find out.
-type ChangeNote struct {
+type ChangeRecord struct {
 	ID      string  `msgpack:"id" json:"id"`
 	Version Version `msgpack:"version" json:"version"`
 	// Digest tells the same change sent again from another under its id.
@@ -18,10 +18,10 @@
 const (
 	// ChangeRetention is how long an accepted change is remembered at least: it may be
 	// sent again for as long, whatever else was accepted since.
-	ChangeRetention = Retention
-	// MostChangeNotes bounds the memory. Changes beyond it wait until older ones may be
+	ChangeRetention = ClaimRetention
+	// MaxChangeRecords bounds the memory. Changes beyond it wait until older ones may be
 	// forgotten; none is forgotten for its number.
-	MostChangeNotes = 8192
+	MaxChangeRecords = 8192
 )
 
 // changeTime is when a change that is accepted now counts as made.
@@ -29,27 +29,27 @@
 	if s.Horizon.IsZero() {
 		return time.Time{}
 	}
-	return s.Horizon.Add(Retention)
+	return s.Horizon.Add(ClaimRetention)
 }
 
-// forgetChanges lets go of the notes that are older than their retention, after the
+// dropExpiredChanges lets go of the notes that are older than their retention, after the
 // horizon has moved.
-func (s *State) forgetChanges() {
-	kept := make([]ChangeNote, 0, len(s.Changes))
+func (s *State) dropExpiredChanges() {
+	retained := make([]ChangeRecord, 0, len(s.Changes))
 	changed := false
-	for _, note := range s.Changes {
+	for _, record := range s.Changes {
 		switch {
-		case note.At.IsZero():
-			note.At = s.changeTime()
+		case record.At.IsZero():
+			record.At = s.changeTime()
 			changed = true
-		case note.At.Before(s.changeTime().Add(-ChangeRetention)):
+		case record.At.Before(s.changeTime().Add(-ChangeRetention)):
 			changed = true
 			continue
 		}
-		kept = append(kept, note)
+		retained = append(retained, record)
 	}
 	if changed {
-		s.Changes = kept
-		s.Touch(ChangesSection)
+		s.Changes = retained
+		s.MarkDirty(ChangesSection)
 	}
 }
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -22,66 +22,66 @@
 // another version is told that the configuration has moved.
 func ChangeConfiguration(id, digest string, expected *Version, prepared PreparedConfiguration, edit func(text []byte) ([]byte, error)) Change {
 	return func(state *State, version, configurationVersion Version) error {
-		for _, note := range state.Changes {
-			if id == "" || note.ID != id {
+		for _, record := range state.Changes {
+			if id == "" || record.ID != id {
 				continue
 			}
-			if note.Digest == digest {
+			if record.Digest == digest {
 				// The same change again, as a link may bring it twice: it was
 				// accepted, and saying anything else would be wrong.
 				return nil
 			}
-			return failure.New(failure.Duplicate, "another change with the id "+id+" was accepted as version "+note.Version.String())
+			return failure.New(failure.Duplicate, "another change with the id "+id+" was accepted as version "+record.Version.String())
 		}
 		if expected != nil && *expected != configurationVersion {
 			return failure.New(failure.VersionConflict, configurationVersion.String())
 		}
-		if !prepared.made || prepared.base != configurationVersion {
-			if prepared.made && len(state.Configuration) >= LargeConfiguration {
+		if !prepared.prepared || prepared.base != configurationVersion {
+			if prepared.prepared && len(state.Configuration) >= LargeConfiguration {
 				return failure.New(failure.Moved, configurationVersion.String())
 			}
 			prepared = PrepareConfiguration(configurationVersion, state.Configuration, edit, false)
 		}
-		if prepared.failure != nil {
-			return prepared.failure
+		if prepared.err != nil {
+			return prepared.err
 		}
 		if id == "" && bytes.Equal(prepared.text, state.Configuration) {
 			// What it wants holds already.
 			return nil
 		}
-		if id != "" && len(state.Changes) >= MostChangeNotes {
+		if id != "" && len(state.Changes) >= MaxChangeRecords {
 			return failure.New(failure.Busy, "too many changes were accepted lately; ask again")
 		}
 		state.Configuration = prepared.text
-		state.Touch(ConfigurationSection)
+		state.MarkDirty(ConfigurationSection)
 		if id != "" {
-			state.Changes = append(append([]ChangeNote(nil), state.Changes...), ChangeNote{ID: id, Version: version, Digest: digest, At: state.changeTime()})
-			state.Touch(ChangesSection)
+			state.Changes = append(append([]ChangeRecord(nil), state.Changes...), ChangeRecord{ID: id, Version: version, Digest: digest, At: state.changeTime()})
+			state.MarkDirty(ChangesSection)
 		}
 		return nil
 	}
 }
 
-// Register records a member with its supported list, as it says now.
-func Register(member membership.Member) Change {
+// RegisterMember records a member with its supported list, as it says now.
+func RegisterMember(member membership.Member) Change {
 	return func(state *State, _, _ Version) error {
 		if recorded, found := state.Members[member.Name]; found && recorded.Same(member) {
 			return nil
 		}
 		state.Members[member.Name] = member
-		state.Touch(MembersSection)
+		state.MarkDirty(MembersSection)
 		return nil
 	}
 }
 
-// Retire takes a stopped member out of the record, as an operator asks.
-func Retire(name string) Change {
+// RemoveMember takes a stopped member out of the record, as an operator asks.
+func RemoveMember(name string) Change {
 	return func(state *State, _, _ Version) error {
 		if _, found := state.Members[name]; !found {
 			return failure.New(failure.NoSuch, "no member "+name)
 		}
 		delete(state.Members, name)
-		state.Touch(MembersSection)
+		state.MarkDirty(MembersSection)
 		return nil
 	}
 }
@@ -98,7 +98,7 @@
 		}
 		if len(enabled) != len(state.Flags.Enabled) {
 			state.Flags.Enabled = enabled
-			state.Touch(FlagsSection)
+			state.MarkDirty(FlagsSection)
 		}
 		return nil
 	}
@@ -130,15 +130,15 @@
 			state.Roles.FencingToken++
 			grant.FencingToken = state.Roles.FencingToken
 			state.Roles.Roles[grant.Key] = grant
-			state.Touch(RolesSection)
+			state.MarkDirty(RolesSection)
 		}
 		return nil
 	}
 }
 
-// ForgetServers takes the duties and orders of servers out of the record that are gone
+// RemoveServers takes the duties and orders of servers out of the record that are gone
 // for good. A duty that has changed hands since it was looked at stays.
-func ForgetServers(names []string, seen map[string]lease.Role) Change {
+func RemoveServers(names []string, seen map[string]lease.Role) Change {
 	return func(state *State, _, _ Version) error {
 		for _, name := range names {
 			key := lease.ServerKey(name)
@@ -148,20 +148,20 @@
 			}
 			if found {
 				delete(state.Roles.Roles, key)
-				state.Touch(RolesSection)
+				state.MarkDirty(RolesSection)
 			}
 			if _, found := state.Orders.Records[name]; found {
 				delete(state.Orders.Records, name)
-				state.Touch(OrdersSection)
+				state.MarkDirty(OrdersSection)
 			}
 		}
 		return nil
 	}
 }
 
-// GiveOrders records orders from the holder of the parts duty. Orders under an
+// IssueOrders records orders from the holder of the parts duty. Orders under an
 // older fence are refused.
-func GiveOrders(duty lease.Role, orders []codec.Order, supported features.List) Change {
+func IssueOrders(duty lease.Role, orders []codec.Order, supported features.List) Change {
 	return func(state *State, _, _ Version) error {
 		if state.Roles.Roles[lease.PartsKey] != duty {
 			return failure.New(failure.NotHolder, "the duty "+lease.PartsKey+" has changed hands")
@@ -171,26 +171,26 @@
 			return failure.New(failure.Restricted, "this node may not write orders")
 		}
 		for _, o := range orders {
-			record, err := codec.WriteOrder(o, duty.Holder, state.Orders.Number+1, enabled)
+			record, err := codec.EncodeOrder(o, duty.Holder, state.Orders.Number+1, enabled)
 			if err != nil {
 				return err
 			}
 			state.Orders.Number++
 			state.Orders.Records[o.Server] = record
-			state.Touch(OrdersSection)
+			state.MarkDirty(OrdersSection)
 		}
 		return nil
 	}
 }
 
-// Retention is how long a claim is kept at least. An id older than the horizon
+// ClaimRetention is how long a claim is kept at least. An id older than the horizon
 // is refused. The value is ours.
-const Retention = 10 * time.Minute
+const ClaimRetention = 10 * time.Minute
 
-// Claim takes a request id for one arrival at a router, once. The entry's
+// ClaimRequest takes a request id for one arrival at a router, once. The entry's
 // cause is a nonce of that arrival: with it the router may ask again, since an
 // answer can be lost. The same id arriving again has another nonce.
-func Claim(made time.Time, entry codec.Entry) Change {
+func ClaimRequest(made time.Time, entry codec.Entry) Change {
 	return func(state *State, _, _ Version) error {
 		if state.Horizon.IsZero() {
 			return failure.New(failure.NoPrimary, "the larder was formed a moment ago; ask again")
@@ -198,12 +198,12 @@
 		if made.Before(state.Horizon) {
 			return failure.New(failure.TooOld, "inquiries that may not be repeated are remembered from "+state.Horizon.UTC().Format(time.RFC3339))
 		}
-		if made.After(state.Horizon.Add(Retention + time.Hour)) {
+		if made.After(state.Horizon.Add(ClaimRetention + time.Hour)) {
 			return failure.New(failure.TooNew, "the inquiry's id is from the future")
 		}
-		section := claimsSection(made)
+		section := claimsSectionName(made)
 		if record, found := state.Claims[section][entry.Request]; found {
-			earlier, err := codec.ReadEntry(record)
+			earlier, err := codec.DecodeEntry(record)
 			if err != nil {
 				return err
 			}
@@ -212,7 +212,7 @@
 			}
 			return failure.New(failure.Duplicate, "taken by "+earlier.Router+" at "+earlier.At.UTC().Format(time.RFC3339Nano))
 		}
-		record, err := codec.WriteEntry(codec.RecoverRecord, entry)
+		record, err := codec.EncodeEntry(codec.RecoverRecord, entry)
 		if err != nil {
 			return err
 		}
@@ -220,21 +220,21 @@
 			state.Claims[section] = map[string]codec.Record{}
 		}
 		state.Claims[section][entry.Request] = record
-		state.Touch(section)
+		state.MarkDirty(section)
 		return nil
 	}
 }
 
-// MoveHorizon forgets claims that are older than the retention. It moves at
+// AdvanceHorizon forgets claims that are older than the retention. It moves at
 // most by step, which the caller draws from monotonic time, so that a clock
 // that jumps forward neither forgets claims nor refuses new ones.
-func MoveHorizon(wall time.Time, step time.Duration) Change {
+func AdvanceHorizon(wall time.Time, step time.Duration) Change {
 	return func(state *State, _, _ Version) error {
-		goal := wall.Add(-Retention)
+		goal := wall.Add(-ClaimRetention)
 		if state.Horizon.IsZero() {
 			state.Horizon = goal
-			state.Touch(HorizonSection)
-			state.forgetChanges()
+			state.MarkDirty(HorizonSection)
+			state.dropExpiredChanges()
 			return nil
 		}
 		if furthest := state.Horizon.Add(step); goal.After(furthest) {
@@ -244,12 +244,12 @@
 			return nil
 		}
 		state.Horizon = goal
-		state.Touch(HorizonSection)
-		state.forgetChanges()
+		state.MarkDirty(HorizonSection)
+		state.dropExpiredChanges()
 		for section := range state.Claims {
-			if claimsSectionEnds(section).Before(goal) {
+			if claimsSectionEnd(section).Before(goal) {
 				delete(state.Claims, section)
-				state.Touch(section)
+				state.MarkDirty(section)
 			}
 		}
 		return nil
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -43,7 +43,7 @@
 
 func newChangeModel() *changeModel {
 	model := &changeModel{state: NewState(), wall: time.Unix(2_000_000_000, 0), accepted: map[string]time.Time{}, winners: map[uint64]string{}}
-	_ = MoveHorizon(model.wall, 0)(model.state, Version{}, Version{})
+	_ = AdvanceHorizon(model.wall, 0)(model.state, Version{}, Version{})
 	return model
 }
 
@@ -62,9 +62,9 @@
 // restart has another primary begin from what the disks hold.
 func (c *changeModel) restart(t *rapid.T) {
 	for _, name := range []string{ConfigurationSection, ChangesSection, HorizonSection} {
-		c.state.Touch(name)
+		c.state.MarkDirty(name)
 	}
-	sections, _, err := c.state.pack(c.configurationAt)
+	sections, _, err := c.state.encodeDirty(c.configurationAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 			"time": func(t *rapid.T) {
 				passed := time.Duration(rapid.IntRange(1, 240).Draw(t, "seconds")) * time.Second
 				model.wall = model.wall.Add(passed)
-				_ = MoveHorizon(model.wall, 2*passed)(model.state, Version{}, Version{})
+				_ = AdvanceHorizon(model.wall, 2*passed)(model.state, Version{}, Version{})
 			},
 		})
 	})
@@ -142,8 +142,8 @@
 	if err := model.submit(first); err != nil {
 		t.Fatal(err)
 	}
-	for number := range MostChangeNotes - 1 {
-		note := ChangeNote{ID: fmt.Sprint("other-", number), At: model.state.changeTime()}
+	for number := range MaxChangeRecords - 1 {
+		note := ChangeRecord{ID: fmt.Sprint("other-", number), At: model.state.changeTime()}
 		model.state.Changes = append(model.state.Changes, note)
 	}
 	next := order{builds: 1, gives: 2}
@@ -154,7 +154,7 @@
 		t.Errorf("the first one, sent again: %v", err)
 	}
 	later := model.wall.Add(ChangeRetention + time.Minute)
-	_ = MoveHorizon(later, time.Hour)(model.state, Version{}, Version{})
+	_ = AdvanceHorizon(later, time.Hour)(model.state, Version{}, Version{})
 	if err := model.submit(next); err != nil {
 		t.Errorf("after the retention: %v", err)
 	}
@@ -166,13 +166,13 @@
 // TestNotesOfAnOlderReleaseAreKept gives the state notes without a time.
 func TestNotesOfAnOlderReleaseAreKept(t *testing.T) {
 	state := NewState()
-	state.Changes = []ChangeNote{{ID: "old", Digest: "d", Version: Version{Epoch: 1, Number: 1}}}
+	state.Changes = []ChangeRecord{{ID: "old", Digest: "d", Version: Version{Epoch: 1, Number: 1}}}
 	start := time.Unix(2_000_000_000, 0)
-	_ = MoveHorizon(start, 0)(state, Version{}, Version{})
+	_ = AdvanceHorizon(start, 0)(state, Version{}, Version{})
 	if len(state.Changes) != 1 || state.Changes[0].At.IsZero() {
 		t.Fatalf("%+v", state.Changes)
 	}
-	_ = MoveHorizon(start.Add(ChangeRetention/2), time.Hour)(state, Version{}, Version{})
+	_ = AdvanceHorizon(start.Add(ChangeRetention/2), time.Hour)(state, Version{}, Version{})
 	if len(state.Changes) != 1 {
 		t.Fatalf("%+v", state.Changes)
 	}
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -216,7 +216,7 @@
 		c.resign("deposed", membership)
 		return
 	}
-	if c.ownDiskStalls() {
+	if c.diskStalled() {
 		// Its keepers are no longer asked, so that the backup may take over.
 		return
 	}
--- a/internal/replication/copy.go
+++ b/internal/replication/copy.go
@@ -11,63 +11,63 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Copy is one disk's copy of the replicated state: a file for each version, holding the
+// LocalReplica is one disk's copy of the replicated state: a file for each version, holding the
 // sections that the version changed. Files whose sections are all newer
 // elsewhere are removed.
-type Copy struct {
-	mutex    sync.Locker
-	storage  Storage
-	version  Version
-	sections map[string]Section
-	places   map[string]Version
-	files    map[string]bool
-	damage   string
+type LocalReplica struct {
+	mutex     sync.Locker
+	storage   Storage
+	version   Version
+	sections  map[string]Section
+	locations map[string]Version
+	files     map[string]bool
+	damage    string
 	// highest is the highest version of any file that was seen here.
 	highest Version
 }
 
-// OpenCopy reads a copy from its storage. A copy with a damaged or missing file
+// OpenLocalReplica reads a copy from its storage. A copy with a damaged or missing file
 // opens, but says so, and must be replaced from the other.
-func OpenCopy(storage Storage) (*Copy, error) {
+func OpenLocalReplica(storage Storage) (*LocalReplica, error) {
 	files, damaged, err := storage.Load()
 	if err != nil {
 		return nil, err
 	}
-	copied := &Copy{mutex: &sync.Mutex{}, storage: storage, sections: map[string]Section{}, places: map[string]Version{}, files: map[string]bool{}}
+	replica := &LocalReplica{mutex: &sync.Mutex{}, storage: storage, sections: map[string]Section{}, locations: map[string]Version{}, files: map[string]bool{}}
 	batches := map[Version]Batch{}
 	for name, content := range files {
-		copied.files[name] = true
+		replica.files[name] = true
 		var batch Batch
 		if msgpack.Unmarshal(content, &batch) != nil || fileName(batch.Version) != name {
 			damaged = append(damaged, name)
 			continue
 		}
 		batches[batch.Version] = batch
-		copied.note(batch.Version)
+		replica.recordVersion(batch.Version)
 	}
 	newest := newestOf(batches)
-	copied.version = newest.Version
-	for name, place := range newest.Places {
+	replica.version = newest.Version
+	for name, place := range newest.Locations {
 		section, found := batches[place].Sections[name]
 		if !found {
-			copied.damage = fmt.Sprintf("the file of version %s is missing, which holds %s", place, name)
+			replica.damage = fmt.Sprintf("the file of version %s is missing, which holds %s", place, name)
 			continue
 		}
-		copied.sections[name] = section
-		copied.places[name] = place
+		replica.sections[name] = section
+		replica.locations[name] = place
 	}
 	if len(damaged) > 0 {
 		sort.Strings(damaged)
-		copied.damage = fmt.Sprintf("damaged files: %v", damaged)
+		replica.damage = fmt.Sprintf("damaged files: %v", damaged)
 		for _, name := range damaged {
-			copied.files[name] = true
+			replica.files[name] = true
 		}
 	}
-	return copied, nil
+	return replica, nil
 }
 
 // note remembers a version whose file is on the storage, or may come back to it.
-func (c *Copy) note(version Version) {
+func (c *LocalReplica) recordVersion(version Version) {
 	if c.highest.Before(version) {
 		c.highest = version
 	}
@@ -77,7 +77,7 @@
 func newestOf(batches map[Version]Batch) Batch {
 	void := func(version Version) bool {
 		for _, snapshot := range batches {
-			if snapshot.Version.Before(version) && !snapshot.Voids.Before(version) {
+			if snapshot.Version.Before(version) && !snapshot.DiscardedThrough.Before(version) {
 				return true
 			}
 		}
@@ -92,26 +92,26 @@
 	return newest
 }
 
-// Guard chooses the copy's lock, which is held while it waits for the disk. It comes
+// SetLock chooses the copy's lock, which is held while it waits for the disk. It comes
 // before any other use.
-func (c *Copy) Guard(lock sync.Locker) { c.mutex = lock }
+func (c *LocalReplica) SetLock(lock sync.Locker) { c.mutex = lock }
 
 // Damage says what is wrong with the copy, or nothing.
-func (c *Copy) Damage() string {
+func (c *LocalReplica) Damage() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.damage
 }
 
 // Version is the newest version that the copy holds.
-func (c *Copy) Version() Version {
+func (c *LocalReplica) Version() Version {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version
 }
 
 // Sections is the copy's content. The map is the caller's, the bytes are not.
-func (c *Copy) Sections() map[string]Section {
+func (c *LocalReplica) Sections() map[string]Section {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	sections := make(map[string]Section, len(c.sections))
@@ -123,7 +123,7 @@
 
 // Write syncs a batch to disk and takes it up. The same batch again changes
 // nothing; one that does not follow the copy's version is refused as Behind.
-func (c *Copy) Write(batch Batch) error {
+func (c *LocalReplica) Write(batch Batch) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.damage != "" {
@@ -135,11 +135,11 @@
 	if batch.Base != c.version || !c.version.Before(batch.Version) {
 		return failure.New(failure.Behind, fmt.Sprintf("the copy is at %s, the batch follows %s", c.version, batch.Base))
 	}
-	return c.keep(batch)
+	return c.save(batch)
 }
 
-// Rewrite replaces the whole copy by a snapshot, in one file.
-func (c *Copy) Rewrite(snapshot Snapshot) error {
+// Restore replaces the whole copy by a snapshot, in one file.
+func (c *LocalReplica) Restore(snapshot Snapshot) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if snapshot.Version == c.version && c.damage == "" {
@@ -149,33 +149,33 @@
 	// synced here and never answered. Its file may come back after a loss of power.
 	batch := Batch{Version: snapshot.Version, Sections: snapshot.Sections}
 	if snapshot.Version.Before(c.highest) {
-		batch.Voids = c.highest
+		batch.DiscardedThrough = c.highest
 	}
 	c.sections = map[string]Section{}
-	c.places = map[string]Version{}
+	c.locations = map[string]Version{}
 	c.damage = "a rewrite was broken off"
-	if err := c.keep(batch); err != nil {
+	if err := c.save(batch); err != nil {
 		return err
 	}
 	c.damage = ""
 	return nil
 }
 
-// Refresh replaces a copy that is older than the snapshot; one that is as new
+// CatchUp replaces a copy that is older than the snapshot; one that is as new
 // is left as it is. It is how copies that are not in sync are mended.
-func (c *Copy) Refresh(snapshot Snapshot) error {
+func (c *LocalReplica) CatchUp(snapshot Snapshot) error {
 	c.mutex.Lock()
 	older := c.version.Before(snapshot.Version)
 	c.mutex.Unlock()
 	if !older {
 		return failure.New(failure.Behind, "the copy is as new as the snapshot")
 	}
-	return c.Rewrite(snapshot)
+	return c.Restore(snapshot)
 }
 
 // Sweep reads the copy's files again. One that has become damaged or is gone
 // is written anew from memory; the sweep tells how many there were.
-func (c *Copy) Sweep() (int, error) {
+func (c *LocalReplica) Sweep() (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.damage != "" || c.version == (Version{}) {
@@ -186,7 +186,7 @@
 		return 0, err
 	}
 	lost := len(damaged)
-	for _, place := range c.places {
+	for _, place := range c.locations {
 		if _, found := files[fileName(place)]; !found && !slices.Contains(damaged, fileName(place)) {
 			lost++
 		}
@@ -198,12 +198,12 @@
 		c.files[name] = true
 	}
 	// The whole copy goes into one file of the present version.
-	return lost, c.keep(Batch{Version: c.version, Sections: c.sections})
+	return lost, c.save(Batch{Version: c.version, Sections: c.sections})
 }
 
-func (c *Copy) keep(batch Batch) error {
+func (c *LocalReplica) save(batch Batch) error {
 	places := map[string]Version{}
-	for name, place := range c.places {
+	for name, place := range c.locations {
 		places[name] = place
 	}
 	for name := range batch.Sections {
@@ -212,7 +212,7 @@
 	for _, name := range batch.Removed {
 		delete(places, name)
 	}
-	batch.Places = places
+	batch.Locations = places
 	encoded, err := msgpack.Marshal(batch)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
@@ -222,9 +222,9 @@
 		return err
 	}
 	c.files[file] = true
-	c.note(batch.Version)
+	c.recordVersion(batch.Version)
 	c.version = batch.Version
-	c.places = places
+	c.locations = places
 	for name, section := range batch.Sections {
 		c.sections[name] = section
 	}
@@ -235,15 +235,15 @@
 	for _, place := range places {
 		needed[fileName(place)] = true
 	}
-	var useless []string
+	var obsolete []string
 	for name := range c.files {
 		if !needed[name] {
-			useless = append(useless, name)
+			obsolete = append(obsolete, name)
 		}
 	}
 	// Files that only take room are no failure of the write.
-	if c.storage.Remove(useless) == nil {
-		for _, name := range useless {
+	if c.storage.Remove(obsolete) == nil {
+		for _, name := range obsolete {
 			delete(c.files, name)
 		}
 	}
--- a/internal/replication/copy_test.go
+++ b/internal/replication/copy_test.go
@@ -67,7 +67,7 @@
 // was lost: the last that was synced, or one whose sync did not return.
 type copyModel struct {
 	storage *powerStorage
-	copied  *Copy
+	copied  *LocalReplica
 	synced  map[string]string
 	at      Version
 	// perhaps is the content of a write that lost its power, by its version.
@@ -99,7 +99,7 @@
 }
 
 func (c *copyModel) open(t *rapid.T) {
-	copied, err := OpenCopy(c.storage)
+	copied, err := OpenLocalReplica(c.storage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +168,7 @@
 					snapshot.Sections[name] = Section{Version: version, Content: []byte(content)}
 				}
 				model.epoch++
-				model.write(t, next, version, func() error { return model.copied.Rewrite(snapshot) })
+				model.write(t, next, version, func() error { return model.copied.Restore(snapshot) })
 			},
 			"power": func(t *rapid.T) {
 				model.storage.restore(t)
@@ -188,7 +188,7 @@
 	)
 	model := newChangeModel()
 	storage := newMemoryStorage()
-	copied, err := OpenCopy(storage)
+	copied, err := OpenLocalReplica(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,8 +200,8 @@
 		}
 		model.configurationAt, model.revision = version, sent.gives
 		model.wall = model.wall.Add(15 * time.Second)
-		_ = MoveHorizon(model.wall, 30*time.Second)(model.state, version, version)
-		sections, removed, err := model.state.pack(version)
+		_ = AdvanceHorizon(model.wall, 30*time.Second)(model.state, version, version)
+		sections, removed, err := model.state.encodeDirty(version)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -216,7 +216,7 @@
 			bytes += len(content)
 		}
 		began := time.Now()
-		again, err := OpenCopy(storage)
+		again, err := OpenLocalReplica(storage)
 		took := time.Since(began)
 		t.Logf("after %d changes: %d files, %d bytes, opened in %v", number, len(storage.files), bytes, took)
 		if err != nil || again.Damage() != "" || again.Version() != copied.Version() {
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -41,7 +41,7 @@
 	m := c.Membership()
 	own := c.witness.Replica()
 	now := c.runtime.Now()
-	if !m.InSync(own.Identity) || c.store.Copy().Damage() != "" || now.Before(c.backoff) {
+	if !m.InSync(own.Identity) || c.store.LocalReplica().Damage() != "" || now.Before(c.backoff) {
 		return
 	}
 	if c.quiet() || c.isLeaving() && c.otherInSyncAlive(m) {
@@ -189,7 +189,7 @@
 	}
 	own := c.witness.Replica().Identity
 	b := newBallot(own, max(base.Epoch, c.witness.Promised(), c.ballot)+1, base)
-	if err := c.store.Vow(c.runtime.Now(), b.epoch, own); err != nil {
+	if err := c.store.PromiseEpoch(c.runtime.Now(), b.epoch, own); err != nil {
 		return base, err
 	}
 	for {
@@ -365,7 +365,7 @@
 		c.unsettled = true
 		return
 	}
-	c.store.Thaw(won.Epoch)
+	c.store.ResumeCommits(won.Epoch)
 	c.confirm(won)
 }
 
@@ -426,7 +426,7 @@
 	if !found {
 		return
 	}
-	if _, leading := c.store.Freeze(); !leading {
+	if _, leading := c.store.PauseCommits(); !leading {
 		return
 	}
 	// The keepers let go of this primary's hold when they accept the next, so
--- a/internal/replication/fuzz_test.go
+++ b/internal/replication/fuzz_test.go
@@ -9,7 +9,7 @@
 // is not whole says so.
 func FuzzFiles(fuzzing *testing.F) {
 	storage := newMemoryStorage()
-	copied, err := OpenCopy(storage)
+	copied, err := OpenLocalReplica(storage)
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	fuzzing.Fuzz(func(t *testing.T, name string, content []byte) {
 		disk := newMemoryStorage()
 		disk.files[name] = content
-		copied, err := OpenCopy(disk)
+		copied, err := OpenLocalReplica(disk)
 		if err != nil {
 			return
 		}
--- a/internal/replication/leaving_test.go
+++ b/internal/replication/leaving_test.go
@@ -144,7 +144,7 @@
 	}
 	count := 0
 	for _, ma := range w.machines {
-		if ma.up.Load() && membership.InSync(ma.keeper.Replica().Identity) && revisionIn(ma.store.Copy().Sections()[ConfigurationSection].Content) >= w.accepted {
+		if ma.up.Load() && membership.InSync(ma.keeper.Replica().Identity) && revisionIn(ma.store.LocalReplica().Sections()[ConfigurationSection].Content) >= w.accepted {
 			count++
 		}
 	}
--- a/internal/replication/preparedmenu.go
+++ b/internal/replication/preparedmenu.go
@@ -5,10 +5,10 @@
 // PreparedConfiguration is what an edit makes of one version of the configuration,
 // checked.
 type PreparedConfiguration struct {
-	made    bool
-	base    Version
-	text    []byte
-	failure error
+	prepared bool
+	base     Version
+	text     []byte
+	err      error
 }
 
 // LargeConfiguration is the size from which a configuration is not edited and checked in
@@ -22,5 +22,5 @@
 	if err == nil && !sound {
 		_, err = config.Check(edited)
 	}
-	return PreparedConfiguration{made: true, base: base, text: edited, failure: err}
+	return PreparedConfiguration{prepared: true, base: base, text: edited, err: err}
 }
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -172,7 +172,7 @@
 	if blank {
 		m.copies = newMemoryStorage()
 	}
-	copied, err := OpenCopy(m.copies)
+	copied, err := OpenLocalReplica(m.copies)
 	if err != nil {
 		w.test.Fatal(err)
 	}
@@ -395,11 +395,11 @@
 	if membership.Backup.Empty() {
 		return
 	}
-	batch, found := m.store.Begin()
+	batch, found := m.store.NextBatch()
 	if !found || batch.Version.Epoch != membership.Epoch {
 		return
 	}
-	if m.store.KeepOwn(batch) != nil {
+	if m.store.WriteLocal(batch) != nil {
 		return
 	}
 	if !w.calm && w.random.IntN(25) == 0 {
@@ -409,7 +409,7 @@
 	synced := true
 	for _, backup := range membership.Backups() {
 		err := (&wire{world: w, from: m.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
-		m.steward.BackupAnswered(backup.Identity, err == nil)
+		m.steward.RecordBackupResult(backup.Identity, err == nil)
 		synced = synced && err == nil
 		if !w.calm && w.random.IntN(50) == 0 {
 			w.crash(m)
@@ -684,7 +684,7 @@
 // that are in use, and wants both whole after a sweep.
 func TestSweepMendsFilesThatBecameDamaged(t *testing.T) {
 	storage := newMemoryStorage()
-	copied, err := OpenCopy(storage)
+	copied, err := OpenLocalReplica(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -698,11 +698,11 @@
 	if mended, err := copied.Sweep(); mended != 1 || err != nil {
 		t.Fatalf("%d files were mended: %v", mended, err)
 	}
-	reopened, err := OpenCopy(storage)
+	reopened, err := OpenLocalReplica(storage)
 	if err != nil || reopened.Damage() != "" || string(reopened.Sections()["menu"].Content) != "menu" {
 		t.Fatalf("after the sweep: %q, %v", reopened.Damage(), err)
 	}
-	if older := reopened.Refresh(Snapshot{Epoch: 1, Version: Version{1, 1}}); failure.CodeOf(older) != failure.Behind || len(reopened.Sections()) != 2 {
+	if older := reopened.CatchUp(Snapshot{Epoch: 1, Version: Version{1, 1}}); failure.CodeOf(older) != failure.Behind || len(reopened.Sections()) != 2 {
 		t.Fatalf("an older snapshot was taken: %v", older)
 	}
 	keeping := newMemoryStorage()
@@ -724,7 +724,7 @@
 
 func TestCopyKeepsOneFileForEachVersionStillNeeded(t *testing.T) {
 	storage := newMemoryStorage()
-	copied, err := OpenCopy(storage)
+	copied, err := OpenLocalReplica(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -747,17 +747,17 @@
 		t.Fatalf("files left: %v", names)
 	}
 	delete(storage.files, names[0])
-	reopened, err := OpenCopy(storage)
+	reopened, err := OpenLocalReplica(storage)
 	if err != nil || reopened.Damage() == "" {
 		t.Fatalf("a copy without a file that it needs opened undamaged: %v", err)
 	}
 	if err := reopened.Write(Batch{Version: Version{1, 4}, Base: reopened.Version()}); failure.CodeOf(err) != failure.Damaged {
 		t.Fatalf("a damaged copy took a write: %v", err)
 	}
-	if err := reopened.Rewrite(Snapshot{Epoch: 2, Version: Version{2, 4}, Sections: copied.Sections()}); err != nil || reopened.Damage() != "" {
+	if err := reopened.Restore(Snapshot{Epoch: 2, Version: Version{2, 4}, Sections: copied.Sections()}); err != nil || reopened.Damage() != "" {
 		t.Fatalf("a damaged copy was not replaced: %v", err)
 	}
-	again, err := OpenCopy(storage)
+	again, err := OpenLocalReplica(storage)
 	if err != nil || again.Damage() != "" || string(again.Sections()["menu"].Content) != "a" || string(again.Sections()["flags"].Content) != "c" {
 		t.Fatalf("the replaced copy reads %v, %q, %v", again.Sections(), again.Damage(), err)
 	}
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -22,7 +22,7 @@
 	Flags         Flags
 	Roles         Roles
 	Orders        Orders
-	Changes       []ChangeNote
+	Changes       []ChangeRecord
 	Horizon       time.Time
 	Claims        map[string]map[string]codec.Record
 	dirty         map[string]bool
@@ -71,11 +71,11 @@
 	return state, nil
 }
 
-// Touch marks a section as changed.
-func (s *State) Touch(section string) { s.dirty[section] = true }
+// MarkDirty marks a section as changed.
+func (s *State) MarkDirty(section string) { s.dirty[section] = true }
 
 // pack encodes the changed sections and forgets that they were changed.
-func (s *State) pack(version Version) (map[string]Section, []string, error) {
+func (s *State) encodeDirty(version Version) (map[string]Section, []string, error) {
 	sections := map[string]Section{}
 	var removed []string
 	for name := range s.dirty {
@@ -118,11 +118,11 @@
 // ClaimSpan is how much time of request ids one claims section covers.
 const ClaimSpan = 5 * time.Second
 
-func claimsSection(made time.Time) string {
+func claimsSectionName(made time.Time) string {
 	return ClaimsPrefix + strconv.FormatInt(made.UnixMilli()/ClaimSpan.Milliseconds(), 10)
 }
 
-func claimsSectionEnds(name string) time.Time {
+func claimsSectionEnd(name string) time.Time {
 	span, _ := strconv.ParseInt(strings.TrimPrefix(name, ClaimsPrefix), 10, 64)
 	return time.UnixMilli((span + 1) * ClaimSpan.Milliseconds())
 }
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -11,40 +11,40 @@
 // Done is told how a change ended: the committed version, or the trouble.
 type Done func(version Version, failure error)
 
-type ticket struct {
-	change  Change
-	done    Done
-	failure error
+type pendingChange struct {
+	change Change
+	done   Done
+	err    error
 }
 
 // Store is one controller's part in the replicated state: its copy, and, while it is
 // primary, the working state and the changes that wait. One batch is under way
 // at a time; changes that arrive meanwhile share the next one and its sync.
 type Store struct {
-	mutex    sync.Locker
-	copied   *Copy
-	witness  *Witness
-	leading  bool
-	frozen   bool
-	hidden   atomic.Bool
-	epoch    uint64
-	working  *State
-	pending  []ticket
-	batch    *Batch
-	riding   []ticket
-	view     atomic.Pointer[View]
-	batches  uint64
-	answered uint64
+	mutex     sync.Locker
+	local     *LocalReplica
+	witness   *Witness
+	leading   bool
+	paused    bool
+	hidden    atomic.Bool
+	epoch     uint64
+	working   *State
+	pending   []pendingChange
+	batch     *Batch
+	inFlight  []pendingChange
+	view      atomic.Pointer[View]
+	batches   uint64
+	completed uint64
 }
 
 // NewStore joins a copy and the keeper of the same disk.
-func NewStore(copied *Copy, witness *Witness) *Store {
-	return &Store{mutex: &sync.Mutex{}, copied: copied, witness: witness}
+func NewStore(copied *LocalReplica, witness *Witness) *Store {
+	return &Store{mutex: &sync.Mutex{}, local: copied, witness: witness}
 }
 
-// Guard chooses the store's lock, which is held while it waits for the disk. It comes
+// SetLock chooses the store's lock, which is held while it waits for the disk. It comes
 // before any other use.
-func (s *Store) Guard(lock sync.Locker) { s.mutex = lock }
+func (s *Store) SetLock(lock sync.Locker) { s.mutex = lock }
 
 // Lead makes the store the primary of an epoch: it takes its own copy as the
 // committed state, under a first version of the new epoch, and shows it.
@@ -61,20 +61,20 @@
 		s.epoch = epoch
 		return nil
 	}
-	if damage := s.copied.Damage(); damage != "" {
+	if damage := s.local.Damage(); damage != "" {
 		return failure.New(failure.Damaged, damage)
 	}
-	base := s.copied.Version()
+	base := s.local.Version()
 	stamped := Version{Epoch: epoch, Number: base.Number + 1}
-	if err := s.copied.Write(Batch{Version: stamped, Base: base}); err != nil {
+	if err := s.local.Write(Batch{Version: stamped, Base: base}); err != nil {
 		return err
 	}
-	sections := s.copied.Sections()
+	sections := s.local.Sections()
 	working, err := ReadState(sections)
 	if err != nil {
 		return err
 	}
-	s.leading, s.frozen, s.epoch, s.working = true, hidden, epoch, working
+	s.leading, s.paused, s.epoch, s.working = true, hidden, epoch, working
 	s.hidden.Store(hidden)
 	s.view.Store(&View{Version: stamped, Sections: sections})
 	return nil
@@ -91,13 +91,13 @@
 // what still waited was not accepted.
 func (s *Store) StepDown() {
 	s.mutex.Lock()
-	riding, pending := s.riding, s.pending
-	s.leading, s.working, s.batch, s.riding, s.pending = false, nil, nil, nil, nil
+	inFlight, pending := s.inFlight, s.pending
+	s.leading, s.working, s.batch, s.inFlight, s.pending = false, nil, nil, nil, nil
 	s.view.Store(nil)
 	s.hidden.Store(false)
 	s.mutex.Unlock()
-	for _, rider := range riding {
-		rider.done(Version{}, failure.New(failure.Unknown, "the primary changed while the change was under way"))
+	for _, change := range inFlight {
+		change.done(Version{}, failure.New(failure.Unknown, "the primary changed while the change was under way"))
 	}
 	for _, waiting := range pending {
 		waiting.done(Version{}, failure.New(failure.NotPrimary, "the change was not accepted"))
@@ -124,16 +124,16 @@
 		done(Version{}, failure.New(failure.NotPrimary, "the change was not accepted"))
 		return
 	}
-	s.pending = append(s.pending, ticket{change: change, done: done})
+	s.pending = append(s.pending, pendingChange{change: change, done: done})
 	s.mutex.Unlock()
 }
 
-// Begin gives the batch to be synced on both copies now: the one under way,
+// NextBatch gives the batch to be synced on both copies now: the one under way,
 // stamped with the present epoch, or a new one made of all waiting changes.
-func (s *Store) Begin() (Batch, bool) {
+func (s *Store) NextBatch() (Batch, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.leading || s.frozen {
+	if !s.leading || s.paused {
 		return Batch{}, false
 	}
 	view := s.view.Load()
@@ -151,19 +151,19 @@
 	if len(s.pending) == 0 {
 		return Batch{}, false
 	}
-	s.riding, s.pending = s.pending, nil
+	s.inFlight, s.pending = s.pending, nil
 	configurationVersion := view.VersionOf(ConfigurationSection)
-	for position := range s.riding {
-		rider := &s.riding[position]
-		rider.failure = rider.change(s.working, version, configurationVersion)
+	for position := range s.inFlight {
+		change := &s.inFlight[position]
+		change.err = change.change(s.working, version, configurationVersion)
 		if s.working.dirty[ConfigurationSection] {
 			configurationVersion = version
 		}
 	}
-	sections, removed, err := s.working.pack(version)
+	sections, removed, err := s.working.encodeDirty(version)
 	if err != nil {
-		for position := range s.riding {
-			s.riding[position].failure = err
+		for position := range s.inFlight {
+			s.inFlight[position].err = err
 		}
 	}
 	s.batch = &Batch{Version: version, Base: view.Version, Sections: sections, Removed: removed}
@@ -173,32 +173,32 @@
 // Empty tells whether a batch changes nothing and needs no sync.
 func (b Batch) Empty() bool { return len(b.Sections) == 0 && len(b.Removed) == 0 }
 
-// KeepOwn syncs the batch on this store's own copy.
-func (s *Store) KeepOwn(batch Batch) error {
-	batch.Base = s.copied.Version()
-	return s.copied.Write(batch)
+// WriteLocal syncs the batch on this store's own copy.
+func (s *Store) WriteLocal(batch Batch) error {
+	batch.Base = s.local.Version()
+	return s.local.Write(batch)
 }
 
 // Commit shows a batch that is synced on both copies and tells its changes. It
 // returns false when the store no longer leads the batch's epoch.
 func (s *Store) Commit(batch Batch) bool {
 	s.mutex.Lock()
-	if !s.leading || s.frozen || s.batch == nil || s.batch.Version != batch.Version {
+	if !s.leading || s.paused || s.batch == nil || s.batch.Version != batch.Version {
 		s.mutex.Unlock()
 		return false
 	}
-	riding := s.riding
-	s.batch, s.riding = nil, nil
+	inFlight := s.inFlight
+	s.batch, s.inFlight = nil, nil
 	version := s.view.Load().Version
 	if !batch.Empty() {
 		version = batch.Version
 		s.view.Store(s.view.Load().after(batch))
 		s.batches++
 	}
-	s.answered += uint64(len(riding))
+	s.completed += uint64(len(inFlight))
 	s.mutex.Unlock()
-	for _, rider := range riding {
-		rider.done(version, rider.failure)
+	for _, change := range inFlight {
+		change.done(version, change.err)
 	}
 	return true
 }
@@ -217,29 +217,29 @@
 	return &View{Version: batch.Version, Sections: sections}
 }
 
-// Work counts the synced batches and the changes answered by them.
-func (s *Store) Work() (batches, changes uint64) {
+// CommitCounts counts the synced batches and the changes answered by them.
+func (s *Store) CommitCounts() (batches, changes uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.batches, s.answered
+	return s.batches, s.completed
 }
 
-// Waiting tells whether a change waits to be committed or is under way.
-func (s *Store) Waiting() bool {
+// HasPending tells whether a change waits to be committed or is under way.
+func (s *Store) HasPending() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.batch != nil || len(s.pending) > 0
 }
 
-// Freeze stops commits while a new pair is being granted, and cuts the
+// PauseCommits stops commits while a new pair is being granted, and cuts the
 // snapshot that the new backup starts from.
-func (s *Store) Freeze() (Snapshot, bool) {
+func (s *Store) PauseCommits() (Snapshot, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.leading {
 		return Snapshot{}, false
 	}
-	s.frozen = true
+	s.paused = true
 	return s.snapshot(), true
 }
 
@@ -258,11 +258,11 @@
 	return Snapshot{Epoch: s.epoch, Version: view.Version, Sections: view.Sections}
 }
 
-// Thaw lets commits go on, with the granted pair.
-func (s *Store) Thaw(epoch uint64) {
+// ResumeCommits lets commits go on, with the granted pair.
+func (s *Store) ResumeCommits(epoch uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.frozen = false
+	s.paused = false
 	s.hidden.Store(false)
 	s.epoch = epoch
 }
@@ -276,8 +276,8 @@
 	s.epoch = epoch
 }
 
-// Renumber takes a newly granted epoch while commits stay stopped.
-func (s *Store) Renumber(epoch uint64) {
+// SetEpoch takes a newly granted epoch while commits stay stopped.
+func (s *Store) SetEpoch(epoch uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.epoch = epoch
@@ -288,46 +288,46 @@
 func (s *Store) Replicate(epoch uint64, batch Batch) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.follow(epoch); err != nil {
+	if err := s.acceptEpoch(epoch); err != nil {
 		return err
 	}
-	return s.copied.Write(batch)
+	return s.local.Write(batch)
 }
 
 // Install is the new backup's side of a snapshot.
 func (s *Store) Install(snapshot Snapshot) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.follow(snapshot.Epoch); err != nil {
+	if err := s.acceptEpoch(snapshot.Epoch); err != nil {
 		return err
 	}
-	return s.copied.Rewrite(snapshot)
+	return s.local.Restore(snapshot)
 }
 
-// Refresh mends this store's copy when it is old and not in sync.
-func (s *Store) Refresh(snapshot Snapshot) error {
+// CatchUp mends this store's copy when it is old and not in sync.
+func (s *Store) CatchUp(snapshot Snapshot) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.follow(snapshot.Epoch); err != nil {
+	if err := s.acceptEpoch(snapshot.Epoch); err != nil {
 		return err
 	}
-	return s.copied.Refresh(snapshot)
+	return s.local.CatchUp(snapshot)
 }
 
-func (s *Store) follow(epoch uint64) error {
+func (s *Store) acceptEpoch(epoch uint64) error {
 	if s.leading {
 		return failure.New(failure.OldEpoch, "this copy leads")
 	}
 	return s.witness.Learn(epoch)
 }
 
-// Vow promises the epoch on the store's own disk, between two writes of an
+// PromiseEpoch promises the epoch on the store's own disk, between two writes of an
 // older primary and never during one.
-func (s *Store) Vow(now time.Time, epoch uint64, c Identity) error {
+func (s *Store) PromiseEpoch(now time.Time, epoch uint64, c Identity) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.witness.Vow(now, epoch, c)
 }
 
-// Copy is the store's copy, for status and for candidates' checks.
-func (s *Store) Copy() *Copy { return s.copied }
+// LocalReplica is the store's copy, for status and for candidates' checks.
+func (s *Store) LocalReplica() *LocalReplica { return s.local }
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := OpenCopy(newMemoryStorage())
+	copied, err := OpenLocalReplica(newMemoryStorage())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,11 +32,11 @@
 
 func commit(t *testing.T, store *Store) {
 	t.Helper()
-	batch, found := store.Begin()
+	batch, found := store.NextBatch()
 	if !found {
 		t.Fatal("nothing to commit")
 	}
-	if err := store.KeepOwn(batch); err != nil {
+	if err := store.WriteLocal(batch); err != nil {
 		t.Fatal(err)
 	}
 	if !store.Commit(batch) {
@@ -56,31 +56,31 @@
 var evening = time.UnixMilli(1_800_000_000_000)
 
 func claim(id, nonce string) Change {
-	return Claim(evening, codec.Entry{Request: id, Router: "courier-1", Run: 1, At: evening, Cause: nonce})
+	return ClaimRequest(evening, codec.Entry{Request: id, Router: "courier-1", Run: 1, At: evening, Cause: nonce})
 }
 
 // TestClaimsShareOneSync lets a hundred claims come while one sync is under
 // way, and wants them all in the next one, each id granted once.
 func TestClaimsShareOneSync(t *testing.T) {
 	store := newLeader(t)
-	if err := do(t, store, MoveHorizon(evening, 0)); err != nil {
+	if err := do(t, store, AdvanceHorizon(evening, 0)); err != nil {
 		t.Fatal(err)
 	}
 	store.Submit(claim("first", "n"), func(Version, error) {})
-	batch, _ := store.Begin()
+	batch, _ := store.NextBatch()
 	outcomes := map[failure.Code]int{}
 	for number := range 100 {
 		store.Submit(claim(fmt.Sprint(number%50), fmt.Sprint(number)), func(_ Version, err error) { outcomes[failure.CodeOf(err)]++ })
 	}
-	if again, _ := store.Begin(); again.Version != batch.Version {
+	if again, _ := store.NextBatch(); again.Version != batch.Version {
 		t.Fatalf("a second batch is under way: %s and %s", batch.Version, again.Version)
 	}
-	if err := store.KeepOwn(batch); err != nil || !store.Commit(batch) {
+	if err := store.WriteLocal(batch); err != nil || !store.Commit(batch) {
 		t.Fatal(err)
 	}
-	before, _ := store.Work()
+	before, _ := store.CommitCounts()
 	commit(t, store)
-	after, _ := store.Work()
+	after, _ := store.CommitCounts()
 	if after-before != 1 || outcomes[failure.Duplicate] != 50 || outcomes[failure.Unsorted] != 50 {
 		t.Errorf("%d syncs, outcomes %v", after-before, outcomes)
 	}
@@ -113,7 +113,7 @@
 	if err := do(t, store, claim("early", "n")); failure.CodeOf(err) != failure.NoPrimary {
 		t.Errorf("a claim before there is a horizon: %v", err)
 	}
-	for _, step := range []Change{MoveHorizon(evening, 0), claim("one", "n"), claim("one", "n"), MoveHorizon(evening.Add(48*time.Hour), 2*time.Second), claim("two", "n"), MoveHorizon(evening.Add(-48*time.Hour), 2*time.Second), claim("three", "n")} {
+	for _, step := range []Change{AdvanceHorizon(evening, 0), claim("one", "n"), claim("one", "n"), AdvanceHorizon(evening.Add(48*time.Hour), 2*time.Second), claim("two", "n"), AdvanceHorizon(evening.Add(-48*time.Hour), 2*time.Second), claim("three", "n")} {
 		if err := do(t, store, step); err != nil {
 			t.Fatal(err)
 		}
@@ -121,11 +121,11 @@
 	if err := do(t, store, claim("one", "another arrival")); failure.CodeOf(err) != failure.Duplicate {
 		t.Errorf("after the jumps a used id is taken: %v", err)
 	}
-	if err := do(t, store, Claim(evening.Add(-Retention-time.Minute), codec.Entry{Request: "old"})); failure.CodeOf(err) != failure.TooOld {
+	if err := do(t, store, ClaimRequest(evening.Add(-ClaimRetention-time.Minute), codec.Entry{Request: "old"})); failure.CodeOf(err) != failure.TooOld {
 		t.Errorf("an id older than the horizon: %v", err)
 	}
 	for range 400 {
-		if err := do(t, store, MoveHorizon(evening.Add(48*time.Hour), 4*time.Second)); err != nil {
+		if err := do(t, store, AdvanceHorizon(evening.Add(48*time.Hour), 4*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -153,7 +153,7 @@
 		return state.Flags.Enabled
 	}
 	member := func(name string, list features.List) Change {
-		return Register(membership.Member{Name: name, Kind: membership.Router, Supported: list})
+		return RegisterMember(membership.Member{Name: name, Kind: membership.Router, Supported: list})
 	}
 	for _, step := range []Change{member("a", supported), member("b", older), EnableFlags(supported)} {
 		if err := do(t, store, step); err != nil {
@@ -169,7 +169,7 @@
 	if err := do(t, store, EnableFlags(supported)); err != nil || enabled().Has(features.OrderPatience) {
 		t.Errorf("enabled though c was recorded just before: %v", err)
 	}
-	if err := do(t, store, Retire("c")); err != nil {
+	if err := do(t, store, RemoveMember("c")); err != nil {
 		t.Fatal(err)
 	}
 	if err := do(t, store, EnableFlags(supported)); err != nil || !enabled().Has(features.OrderPatience) {
@@ -186,10 +186,10 @@
 	if _, found := state.Roles.Roles[lease.PartsKey]; found {
 		t.Error("a restricted node was given a duty")
 	}
-	if err := do(t, store, GiveOrders(lease.Role{}, []codec.Order{{Server: "s", Part: "decode"}}, older)); failure.CodeOf(err) != failure.Restricted {
+	if err := do(t, store, IssueOrders(lease.Role{}, []codec.Order{{Server: "s", Part: "decode"}}, older)); failure.CodeOf(err) != failure.Restricted {
 		t.Errorf("a restricted node wrote orders: %v", err)
 	}
-	if err := do(t, store, GiveOrders(lease.Role{Key: lease.PartsKey, Holder: "x", FencingToken: 9}, nil, supported)); failure.CodeOf(err) != failure.NotHolder {
+	if err := do(t, store, IssueOrders(lease.Role{Key: lease.PartsKey, Holder: "x", FencingToken: 9}, nil, supported)); failure.CodeOf(err) != failure.NotHolder {
 		t.Errorf("orders under a fence that is not in force: %v", err)
 	}
 }
@@ -212,7 +212,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := OpenCopy(newMemoryStorage())
+	copied, err := OpenLocalReplica(newMemoryStorage())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 	state := &State{Roles: Roles{Roles: map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 2}}, FencingToken: 2},
 		Orders: Orders{Records: map[string]codec.Record{"a": {}, "b": {}, "c": {}}}, dirty: map[string]bool{}}
 	seen := map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 1}}
-	if err := ForgetServers([]string{"a", "b", "c", "d"}, seen)(state, Version{}, Version{}); err != nil {
+	if err := RemoveServers([]string{"a", "b", "c", "d"}, seen)(state, Version{}, Version{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, found := state.Roles.Roles[first]; found || state.Roles.Roles[second].FencingToken != 2 || state.Roles.FencingToken != 2 {
--- a/internal/replication/witnesses.go
+++ b/internal/replication/witnesses.go
@@ -36,7 +36,7 @@
 		c.unsettled = true
 		return
 	}
-	c.store.Thaw(won.Epoch)
+	c.store.ResumeCommits(won.Epoch)
 	c.confirm(won)
 	c.observe("keepers_granted", "epoch", won.Epoch, "keepers", won.Witnesses, "incoming", won.Incoming)
 }
--- a/internal/testbed/fleet/faultydisk.go
+++ b/internal/testbed/fleet/faultydisk.go
@@ -15,7 +15,7 @@
 // real disk only with the sync of its folder, so that a killed process loses
 // what it did not sync. It slows, stalls, fills and returns damage as told.
 type FaultyDisk struct {
-	real   storage.RealDisk
+	real   storage.OSDisk
 	faults func() NodeFaults
 
 	mutex   sync.Mutex
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// MakeFolder makes a folder.
-func (f *FaultyDisk) MakeFolder(path string) error { return f.real.MakeFolder(path) }
+// MakeDirectory makes a folder.
+func (f *FaultyDisk) MakeDirectory(path string) error { return f.real.MakeDirectory(path) }
 
 // WriteSynced writes and syncs a file.
 func (f *FaultyDisk) WriteSynced(path string, content []byte) error {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// SyncFolder makes the folder's renames and removals last.
-func (f *FaultyDisk) SyncFolder(path string) error {
+// SyncDirectory makes the folder's renames and removals last.
+func (f *FaultyDisk) SyncDirectory(path string) error {
 	if err := f.act(true); err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 			delete(f.removed, name)
 		}
 	}
-	return f.real.SyncFolder(path)
+	return f.real.SyncDirectory(path)
 }
 
 // List names the files as the process sees them.
--- a/internal/testbed/fleet/faultydisk_test.go
+++ b/internal/testbed/fleet/faultydisk_test.go
@@ -16,7 +16,7 @@
 	path := filepath.Join(t.TempDir(), "larder")
 	well := func() NodeFaults { return NodeFaults{} }
 	disk := NewFaultyDisk(well)
-	folder, err := storage.OpenFolder(disk, path)
+	folder, err := storage.OpenDirectory(disk, path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	if names, _ := disk.List(path); len(names) != 2 {
 		t.Errorf("before the power loss the process sees %v", names)
 	}
-	after, err := storage.OpenFolder(NewFaultyDisk(well), path)
+	after, err := storage.OpenDirectory(NewFaultyDisk(well), path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 // TestDamageIsNamedAndAFullDiskRefuses truncates and alters files.
 func TestDamageIsNamedAndAFullDiskRefuses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "larder")
-	folder, err := storage.OpenFolder(storage.RealDisk{}, path)
+	folder, err := storage.OpenDirectory(storage.OSDisk{}, path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	if err != nil || len(files) != 1 || string(files["whole"]) != "content of whole" || len(damaged) != 2 {
 		t.Errorf("%v, damaged %v, %v", files, damaged, err)
 	}
-	full, err := storage.OpenFolder(NewFaultyDisk(func() NodeFaults { return NodeFaults{Disk: "full"} }), path)
+	full, err := storage.OpenDirectory(NewFaultyDisk(func() NodeFaults { return NodeFaults{Disk: "full"} }), path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/simulation/disk.go
+++ b/internal/testbed/simulation/disk.go
@@ -72,8 +72,8 @@
 	panic(killed{})
 }
 
-// MakeFolder needs nothing.
-func (d *disk) MakeFolder(string) error { return nil }
+// MakeDirectory needs nothing.
+func (d *disk) MakeDirectory(string) error { return nil }
 
 // WriteSynced writes a file; its name lasts from the folder's sync on.
 func (d *disk) WriteSynced(path string, content []byte) error {
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// SyncFolder makes a folder's names last.
-func (d *disk) SyncFolder(path string) error {
+// SyncDirectory makes a folder's names last.
+func (d *disk) SyncDirectory(path string) error {
 	d.spend()
 	d.act("a folder's sync")
 	if d.full {
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -85,7 +85,7 @@
 			files++
 		}
 	}
-	copied := m.control.Store().Copy()
+	copied := m.control.Store().LocalReplica()
 	_, view, err := w.primary().control.Leading()
 	return files > 0 && err == nil && copied.Damage() == "" && copied.Version().Number+8 >= view.Version.Number
 }
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -256,8 +256,8 @@
 
 func (w *World) runController(m *machine, begun *incarnation, supported features.List, observe func(string, ...any)) {
 	m.disk.owner = begun
-	keeping, _ := storage.OpenFolder(m.disk, "keeper")
-	copies, _ := storage.OpenFolder(m.disk, "larder")
+	keeping, _ := storage.OpenDirectory(m.disk, "keeper")
+	copies, _ := storage.OpenDirectory(m.disk, "larder")
 	options := controlplane.Options{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
 		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, Reports: lists{w, begun}}
 	options.AcknowledgeWait, options.RetireAfter = w.ways.AcknowledgeWait, w.ways.RetireAfter
