--- a/internal/scheduler/arrive.go
+++ b/internal/scheduler/arrive.go
@@ -35,17 +35,17 @@
 	if len(w.snapshot.Load().all) == 0 {
 		return nil, refusal(NotReady, retryAfterUnready, ends.Sub(now))
 	}
-	ticket := &CallState{call: call, routeRule: r, service: service, key: nameKey(call.ID), arrived: now, deadline: ends}
+	state := &CallState{call: call, routeRule: r, service: service, key: nameKey(call.ID), arrived: now, deadline: ends}
 	w.inFlight.Add(1)
-	decision := w.begin(now, ticket, w.newCycle(now, ticket), true)
+	decision := w.begin(now, state, w.newCycle(now, state), true)
 	if decision.Kind == Refuse {
 		return nil, decision
 	}
-	return ticket, decision
+	return state, decision
 }
 
 // begin finds a call's first dispatch, or refuses it. It may ask for counts first.
-func (w *Scheduler) begin(now time.Time, ticket *CallState, c *cycle, mayAsk bool) Decision {
+func (w *Scheduler) begin(now time.Time, state *CallState, c *cycle, mayAsk bool) Decision {
 	if mayAsk {
 		kind, best, found := c.pickCheapest(true)
 		if questions := c.backlogRequests(kind, best); found && len(questions) > 0 {
@@ -54,9 +54,9 @@
 	}
 	kind, way, found := c.pickAdmitted(func() (DecisionKind, candidate, bool) { return c.pickCheapest(true) })
 	if !found || c.tooLate(way) {
-		full := refusal(Saturated, c.retryAfter(way, found), ticket.deadline.Sub(now))
+		full := refusal(Saturated, c.retryAfter(way, found), state.deadline.Sub(now))
 		full.Reason = NoCapacity
-		return w.finish(now, ticket, full)
+		return w.finish(now, state, full)
 	}
 	c.serviceState.retries.first(now, w.options.Retries)
 	return c.dispatch(kind, way)
--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlogs.go
@@ -79,7 +79,7 @@
 	if kind != Prefill || !c.scheduler.queriesBacklog.Load() {
 		return nil
 	}
-	ticket, window := c.state, c.scheduler
+	state, window := c.state, c.scheduler
 	var questions []backlog.Request
 	for _, b := range []*backend{best.backend, c.homePrefill, c.nextPrefill} {
 		if b == nil || b.backlogGroup == "" || hasGroup(questions, b.backlogGroup) {
@@ -87,7 +87,7 @@
 		}
 		question := backlog.Request{Group: b.backlogGroup, WantsCounts: true, Changes: window.outbox.take(b.backlogGroup)}
 		if b == best.backend {
-			ticket.backlogEntry = &backlogEntry{backend: b, tokens: best.uncached}
+			state.backlogEntry = &backlogEntry{backend: b, tokens: best.uncached}
 			question.Intent = &backlog.Change{Server: b.server.Name, Tokens: best.uncached}
 		}
 		questions = append(questions, question)
@@ -106,11 +106,11 @@
 
 // BacklogReported takes the keepers' answers to a decision of the kind Ask, by group, and tells what
 // is next. A keeper that did not answer is left out.
-func (w *Scheduler) BacklogReported(now time.Time, ticket *CallState, answers map[string]backlog.Response) Decision {
-	if ticket.ended || ticket.dispatch.backend != nil {
+func (w *Scheduler) BacklogReported(now time.Time, state *CallState, answers map[string]backlog.Response) Decision {
+	if state.ended || state.dispatch.backend != nil {
 		return Decision{Kind: Done}
 	}
-	for _, b := range w.snapshot.Load().serving(ticket.service.Name) {
+	for _, b := range w.snapshot.Load().serving(state.service.Name) {
 		answer, found := answers[b.backlogGroup]
 		if !found {
 			continue
@@ -123,7 +123,7 @@
 		}
 		b.backlogCount.Store(&count)
 	}
-	return w.begin(now, ticket, w.newCycle(now, ticket), false)
+	return w.begin(now, state, w.newCycle(now, state), false)
 }
 
 // ahead is how many tokens a server is believed to read before a call's prompt.
@@ -136,29 +136,29 @@
 
 // book has the keeper of the server's count know that a call is read there.
 func (c *cycle) countBacklog(b *backend, tokens int) {
-	ticket := c.state
+	state := c.state
 	if t := b.backlogCount.Load(); t != nil {
 		after := *t
 		after.tokens += tokens
 		b.backlogCount.CompareAndSwap(t, &after)
 	}
-	if booked := ticket.backlogEntry; booked != nil && booked.backend.serverState == b.serverState && booked.tokens == tokens {
+	if booked := state.backlogEntry; booked != nil && booked.backend.serverState == b.serverState && booked.tokens == tokens {
 		return
 	}
-	c.scheduler.uncountBacklog(ticket)
+	c.scheduler.uncountBacklog(state)
 	if c.scheduler.queriesBacklog.Load() {
-		ticket.backlogEntry = &backlogEntry{backend: b, tokens: tokens}
+		state.backlogEntry = &backlogEntry{backend: b, tokens: tokens}
 		c.scheduler.outbox.add(b.backlogGroup, backlog.Change{Server: b.server.Name, Tokens: tokens})
 	}
 }
 
 // unbook has the keeper know that what was booked for the call is read, or is not sent.
-func (w *Scheduler) uncountBacklog(ticket *CallState) {
-	booked := ticket.backlogEntry
+func (w *Scheduler) uncountBacklog(state *CallState) {
+	booked := state.backlogEntry
 	if booked == nil {
 		return
 	}
-	ticket.backlogEntry = nil
+	state.backlogEntry = nil
 	w.outbox.add(booked.backend.backlogGroup, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
 }
 
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -61,10 +61,10 @@
 				if random.IntN(200) == 0 {
 					windows[number] = start(number)
 				}
-				ticket, decision := windows[number].Arrive(now, longCall(fmt.Sprint(now.UnixNano()), uint64(random.IntN(20))))
+				state, decision := windows[number].Arrive(now, longCall(fmt.Sprint(now.UnixNano()), uint64(random.IntN(20))))
 				a = append(a, now)
 				counted, taken := 0, false
-				for ticket != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
+				for state != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
 					outcome := Outcome{Result: []Result{NotStarted, TimedOut, Misdirected, Interrupted}[random.IntN(4)], FirstByte: now}
 					if decision.Kind == Prefill && random.IntN(2) == 0 {
 						outcome = Outcome{Result: Complete, Handle: "h"}
@@ -76,7 +76,7 @@
 						}
 					}
 					taken = taken || outcome.Result == Complete
-					decision = windows[number].Ended(now, ticket, outcome)
+					decision = windows[number].Ended(now, state, outcome)
 				}
 			}
 			most, beside := extra.most(allowance.Window, a)
@@ -124,8 +124,8 @@
 				calls.SetLoads(now, loads)
 			}
 		}
-		ticket, decision := windows[number].Arrive(now, chatCall(fmt.Sprint(now.UnixNano())))
-		for ticket != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
+		state, decision := windows[number].Arrive(now, chatCall(fmt.Sprint(now.UnixNano())))
+		for state != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
 			if decision.Server.Name == cold.Name {
 				if now.Before(noon.Add(3*time.Second + early)) {
 					sent = append(sent, now)
@@ -137,7 +137,7 @@
 			if decision.Server.Name != cold.Name {
 				break
 			}
-			decision = windows[number].Ended(now, ticket, Outcome{Result: Complete, Handle: "h", FirstByte: now})
+			decision = windows[number].Ended(now, state, Outcome{Result: Complete, Handle: "h", FirstByte: now})
 		}
 	}
 	if most, _ := sent.most(time.Second, nil); most > 19 {
@@ -178,11 +178,11 @@
 				if random.IntN(2) == 0 {
 					call = longCall(call.ID, uint64(random.IntN(20)))
 				}
-				ticket, decision := windows[number].Arrive(now, call)
-				for ticket != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
+				state, decision := windows[number].Arrive(now, call)
+				for state != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
 					sent[decision.Server.Name] = append(sent[decision.Server.Name], now)
 					total++
-					decision = windows[number].Ended(now, ticket, Outcome{Result: Complete, Handle: "h", FirstByte: now})
+					decision = windows[number].Ended(now, state, Outcome{Result: Complete, Handle: "h", FirstByte: now})
 				}
 			}
 			for name, a := range sent {
@@ -227,17 +227,17 @@
 			moved++
 		}
 	}
-	readers := 0
+	prefillServers := 0
 	for _, server := range servers(20) {
 		if server.Part == prefill {
-			readers++
+			prefillServers++
 		}
 	}
-	if moved > chains*2/readers {
-		t.Errorf("%d of %d chains moved when one of %d readers left", moved, chains, readers)
+	if moved > chains*2/prefillServers {
+		t.Errorf("%d of %d chains moved when one of %d readers left", moved, chains, prefillServers)
 	}
-	if len(counts) < readers {
-		t.Errorf("%d homes of %d readers", len(counts), readers)
+	if len(counts) < prefillServers {
+		t.Errorf("%d homes of %d readers", len(counts), prefillServers)
 	}
 }
 
@@ -247,14 +247,14 @@
 		benchmark.Run(fmt.Sprint(count), func(benchmark *testing.B) {
 			calls := opened(count)
 			for number := range 2000 {
-				ticket, _ := calls.Arrive(noon, longCall(fmt.Sprint(number), uint64(number%100)))
-				calls.Ended(noon, ticket, Outcome{Result: ClientGone})
+				state, _ := calls.Arrive(noon, longCall(fmt.Sprint(number), uint64(number%100)))
+				calls.Ended(noon, state, Outcome{Result: ClientGone})
 			}
 			call := longCall("a", 7)
 			benchmark.ReportAllocs()
 			for benchmark.Loop() {
-				ticket, _ := calls.Arrive(noon, call)
-				calls.Ended(noon, ticket, Outcome{Result: ClientGone})
+				callState, _ := calls.Arrive(noon, call)
+				calls.Ended(noon, callState, Outcome{Result: ClientGone})
 			}
 		})
 	}
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -59,17 +59,17 @@
 	otherCallTokens = 1500.0
 )
 
-func (w *Scheduler) newCycle(now time.Time, ticket *CallState) *cycle {
+func (w *Scheduler) newCycle(now time.Time, state *CallState) *cycle {
 	program := w.routes.Load()
 	w.warmReturnedZones(now)
-	service := ticket.service
+	service := state.service
 	if current, found := program.services[service.Name]; found {
 		service = current
 	}
 	s := w.serviceState(service.Name)
-	c := &cycle{scheduler: w, weights: w.weights, routes: program, now: now, state: ticket, service: service, serviceState: s,
+	c := &cycle{scheduler: w, weights: w.weights, routes: program, now: now, state: state, service: service, serviceState: s,
 		backends: w.snapshot.Load().serving(service.Name), routerCount: w.routerCount(),
-		chain: ticket.call.chainKey(), sharedTokens: ticket.call.sharedTokens(), prefillRate: s.prefillRate.tokensPerMillisecond(), soonestFree: math.Inf(1)}
+		chain: state.call.chainKey(), sharedTokens: state.call.sharedTokens(), prefillRate: s.prefillRate.tokensPerMillisecond(), soonestFree: math.Inf(1)}
 	c.firstEventLatency = s.firstEvent.milliseconds()
 	c.measureDirectPrefill()
 	return c
@@ -79,13 +79,13 @@
 func (c *cycle) measureDirectPrefill() {
 	tokens, lapsing := c.serviceState.demand.directRate(c.now)
 	c.transfersFailing = lapsing
-	runners := 0
+	decodeServers := 0
 	for _, b := range c.backends {
 		if b.decodesOnly() {
-			runners++
+			decodeServers++
 		}
 	}
-	used := tokens * float64(c.routerCount) / float64(max(runners, 1)) / (c.prefillRate * 1000 / 2)
+	used := tokens * float64(c.routerCount) / float64(max(decodeServers, 1)) / (c.prefillRate * 1000 / 2)
 	c.decodeStretch = 1 / (1 - min(used, maxDecodePrefill))
 }
 
@@ -281,8 +281,8 @@
 }
 
 // move is what bringing the memory from a reader costs, and how long it takes.
-func (c *cycle) transferCost(reader, runner *backend) (cost, time float64) {
-	near := reader != nil && reader.server.Zone == runner.server.Zone
+func (c *cycle) transferCost(prefillServer, decodeServer *backend) (cost, time float64) {
+	near := prefillServer != nil && prefillServer.server.Zone == decodeServer.server.Zone
 	thousands := float64(c.state.call.PromptTokens) / 1000
 	time = transferSetup + thousands*1000/transferTokensPerMillisecond
 	cost = time + thousands*c.weights.transferThousand
@@ -290,7 +290,7 @@
 		time *= 2
 		cost = time + thousands*c.weights.transferThousand*c.weights.transferFar
 	}
-	late := expectedTransferDelay(c.now, reader, runner)
+	late := expectedTransferDelay(c.now, prefillServer, decodeServer)
 	return cost + late, time + late
 }
 
@@ -314,8 +314,8 @@
 
 // risk is that of a run that can't get the memory that was read for it: a call with one
 // try is lost then.
-func (c *cycle) transferRisk(reader *backend) float64 {
-	if !c.transfersFailing || c.now.UnixNano()-reader.kvSentAt.Load() < int64(recentTransfer) || c.state.attempts+1 < c.state.routeRule.calls.Attempts {
+func (c *cycle) transferRisk(prefillServer *backend) float64 {
+	if !c.transfersFailing || c.now.UnixNano()-prefillServer.kvSentAt.Load() < int64(recentTransfer) || c.state.attempts+1 < c.state.routeRule.calls.Attempts {
 		return 0
 	}
 	return c.weights.lastAttempt
@@ -327,8 +327,8 @@
 // homes are the servers that rendezvous names for the call's chain, the same at every
 // router: two readers, and the runner beside the first of them.
 func (c *cycle) findHomes() {
-	var readerWeight, nextWeight, farWeight uint64
-	var runners [maxZones]*backend
+	var prefillServerWeight, nextWeight, farWeight uint64
+	var decodeServers [maxZones]*backend
 	var weights [maxZones]uint64
 	var far *backend
 	c.homePrefill, c.nextPrefill, c.homeDecode = nil, nil, nil
@@ -339,9 +339,9 @@
 		weight := rendezvousWeight(c.chain, b.key)
 		if b.prefills() {
 			switch {
-			case c.homePrefill == nil || weight > readerWeight:
-				c.nextPrefill, nextWeight = c.homePrefill, readerWeight
-				c.homePrefill, readerWeight = b, weight
+			case c.homePrefill == nil || weight > prefillServerWeight:
+				c.nextPrefill, nextWeight = c.homePrefill, prefillServerWeight
+				c.homePrefill, prefillServerWeight = b, weight
 			case c.nextPrefill == nil || weight > nextWeight:
 				c.nextPrefill, nextWeight = b, weight
 			}
@@ -350,13 +350,13 @@
 		if far == nil || weight > farWeight {
 			far, farWeight = b, weight
 		}
-		if place := b.zoneIndex % maxZones; runners[place] == nil || weight > weights[place] {
-			runners[place], weights[place] = b, weight
+		if place := b.zoneIndex % maxZones; decodeServers[place] == nil || weight > weights[place] {
+			decodeServers[place], weights[place] = b, weight
 		}
 	}
 	c.homeDecode = far
 	if c.homePrefill != nil {
-		if near := runners[c.homePrefill.zoneIndex%maxZones]; near != nil {
+		if near := decodeServers[c.homePrefill.zoneIndex%maxZones]; near != nil {
 			c.homeDecode = near
 		}
 	}
@@ -442,10 +442,10 @@
 		}
 		moveCost, moveTime := c.transferCost(ba, farthest.backend)
 		cost, time := farthest.cost+moveCost, farthest.latency+moveTime
-		if runner := near[ba.zoneIndex%maxZones]; runner.backend != nil && runner.backend.zoneIndex == ba.zoneIndex {
-			moveCost, moveTime = c.transferCost(ba, runner.backend)
-			if sum := runner.cost + moveCost; sum < cost {
-				cost, time = sum, runner.latency+moveTime
+		if decodeServer := near[ba.zoneIndex%maxZones]; decodeServer.backend != nil && decodeServer.backend.zoneIndex == ba.zoneIndex {
+			moveCost, moveTime = c.transferCost(ba, decodeServer.backend)
+			if sum := decodeServer.cost + moveCost; sum < cost {
+				cost, time = sum, decodeServer.latency+moveTime
 			}
 		}
 		offered.cost += cost
@@ -461,14 +461,14 @@
 
 // runner finds the server that makes the answer from memory that a reader has, or one
 // that reads the prompt itself because that is much better.
-func (c *cycle) pickDecode(reader *backend) (kind DecisionKind, best candidate, found bool) {
+func (c *cycle) pickDecode(prefillServer *backend) (kind DecisionKind, best candidate, found bool) {
 	c.findHomes()
 	for _, b := range c.backends {
 		if !b.decodesOnly() || !c.eligible(b) {
 			continue
 		}
 		if offered, may := c.scoreDecode(b); may {
-			cost, time := c.transferCost(reader, b)
+			cost, time := c.transferCost(prefillServer, b)
 			offered.cost += cost
 			offered.latency += time
 			offered.ownLatency = offered.latency
--- a/internal/scheduler/connections_test.go
+++ b/internal/scheduler/connections_test.go
@@ -44,12 +44,12 @@
 	seen := map[string]int{}
 	for number := range 40 {
 		at = at.Add(500 * time.Millisecond)
-		ticket, decision := calls.Arrive(at, chatCall(string(rune('a'+number))))
+		state, decision := calls.Arrive(at, chatCall(string(rune('a'+number))))
 		if decision.Kind != Generate {
 			t.Fatalf("%+v", decision)
 		}
 		seen[decision.Server.Name]++
-		calls.Ended(at.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, FirstByte: at.Add(20 * time.Millisecond), KeepAlive: 10 * time.Second})
+		calls.Ended(at.Add(100*time.Millisecond), state, Outcome{Result: Complete, FirstByte: at.Add(20 * time.Millisecond), KeepAlive: 10 * time.Second})
 	}
 	if len(seen) > 3 {
 		t.Errorf("%d servers for calls that one connection could carry: %v", len(seen), seen)
--- a/internal/scheduler/delay.go
+++ b/internal/scheduler/delay.go
@@ -46,9 +46,9 @@
 
 // between is the delay that is expected of a move: one of the two servers makes it, and
 // only moves between slow ones are slow each time.
-func expectedTransferDelay(now time.Time, reader, runner *backend) float64 {
-	if reader == nil || runner == nil {
+func expectedTransferDelay(now time.Time, prefillServer, decodeServer *backend) float64 {
+	if prefillServer == nil || decodeServer == nil {
 		return 0
 	}
-	return math.Sqrt(reader.transferDelay.now(now) * runner.transferDelay.now(now))
+	return math.Sqrt(prefillServer.transferDelay.now(now) * decodeServer.transferDelay.now(now))
 }
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -3,13 +3,13 @@
 import "time"
 
 // Ended takes how the call's dispatch ended and tells what is next.
-func (w *Scheduler) Ended(now time.Time, ticket *CallState, outcome Outcome) Decision {
-	if ticket.ended || ticket.dispatch.backend == nil {
+func (w *Scheduler) Ended(now time.Time, state *CallState, outcome Outcome) Decision {
+	if state.ended || state.dispatch.backend == nil {
 		return Decision{Kind: Done}
 	}
-	sent := ticket.dispatch
-	ticket.settleDispatch(now, outcome, w)
-	ticket.dispatch = dispatch{}
+	sent := state.dispatch
+	state.settleDispatch(now, outcome, w)
+	state.dispatch = dispatch{}
 	if outcome.Load != nil {
 		at := now
 		if !outcome.FirstByte.IsZero() && outcome.FirstByte.Before(at) {
@@ -22,135 +22,135 @@
 	}
 	if outcome.Result == ClientGone {
 		if sent.source != nil {
-			ticket.releasable = append(ticket.releasable, *sent.source)
+			state.releasable = append(state.releasable, *sent.source)
 		}
-		return w.finish(now, ticket, Decision{Kind: Done})
+		return w.finish(now, state, Decision{Kind: Done})
 	}
 	if sent.kind == Prefill {
-		return w.prefillEnded(now, ticket, sent, outcome)
+		return w.prefillEnded(now, state, sent, outcome)
 	}
-	return w.generateEnded(now, ticket, sent, outcome)
+	return w.generateEnded(now, state, sent, outcome)
 }
 
 // Began tells that the first event of a run's answer came. A router that tells it
 // notices servers that are stuck before their calls end.
-func (w *Scheduler) Began(now time.Time, ticket *CallState) {
-	sent := &ticket.dispatch
+func (w *Scheduler) Began(now time.Time, state *CallState) {
+	sent := &state.dispatch
 	if sent.backend == nil || sent.kind != Generate || sent.began {
 		return
 	}
 	sent.began = true
 	if sent.source != nil {
-		w.cachePrefix(ticket, sent)
+		w.cachePrefix(state, sent)
 	}
 	sent.backend.firstEventProgress.done(now)
 	if !w.reportsFirstEvents.Load() {
 		w.reportsFirstEvents.Store(true)
 	}
-	w.learnTransferDelay(now, ticket, *sent, now)
+	w.learnTransferDelay(now, state, *sent, now)
 }
 
-func (w *Scheduler) prefillEnded(now time.Time, ticket *CallState, sent dispatch, outcome Outcome) Decision {
+func (w *Scheduler) prefillEnded(now time.Time, state *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
 	switch outcome.Result {
 	case Complete:
-		w.learnLatency(now, ticket, sent, now)
-		ticket.prefillTaken, ticket.prefillServer = true, b
-		ticket.source = &Source{Address: b.server.Address, Handle: outcome.Handle}
-		return w.nextDispatch(now, ticket, fallback{})
+		w.learnLatency(now, state, sent, now)
+		state.prefillTaken, state.prefillServer = true, b
+		state.source = &Source{Address: b.server.Address, Handle: outcome.Handle}
+		return w.nextDispatch(now, state, fallback{})
 	case Unreachable:
 		if sent.countedAttempt {
-			ticket.attempts--
+			state.attempts--
 		}
 	default:
 		if !sent.countedAttempt {
-			ticket.attempts++
+			state.attempts++
 		}
 	}
 	w.failed(now, b, outcome.Result)
-	ticket.avoided = append(ticket.avoided, b)
-	return w.nextDispatch(now, ticket, fallback{})
+	state.avoided = append(state.avoided, b)
+	return w.nextDispatch(now, state, fallback{})
 }
 
-func (w *Scheduler) generateEnded(now time.Time, ticket *CallState, sent dispatch, outcome Outcome) Decision {
+func (w *Scheduler) generateEnded(now time.Time, state *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
 	if outcome.Result != Unreachable {
-		ticket.attempts++
+		state.attempts++
 	}
 	switch outcome.Result {
 	case Complete:
-		w.learnLatency(now, ticket, sent, outcome.FirstByte)
-		w.serviceState(ticket.service.Name).runDuration.observe(now.Sub(sent.sent))
-		return w.finish(now, ticket, Decision{Kind: Done})
+		w.learnLatency(now, state, sent, outcome.FirstByte)
+		w.serviceState(state.service.Name).runDuration.observe(now.Sub(sent.sent))
+		return w.finish(now, state, Decision{Kind: Done})
 	case Unreachable, Misdirected:
-		ticket.source = sent.source
+		state.source = sent.source
 	case NotStarted:
 		if full := outcome.Load != nil && (outcome.Load.Waiting > 0 || outcome.Load.Running >= outcome.Load.Slots); full {
-			ticket.source = sent.source
+			state.source = sent.source
 		} else if sent.source != nil {
 			// The memory may be gone, or the server be full: it reads the prompt itself.
-			ticket.releasable = append(ticket.releasable, *sent.source)
-			ticket.noTransfer = true
-			w.serviceState(ticket.service.Name).demand.transferFailed(now)
-			ticket.prefillServer.kvSendHealth.fail(now)
+			state.releasable = append(state.releasable, *sent.source)
+			state.noTransfer = true
+			w.serviceState(state.service.Name).demand.transferFailed(now)
+			state.prefillServer.kvSendHealth.fail(now)
 			b.kvReceiveHealth.failUncertain(now)
-			return w.nextDispatch(now, ticket, fallback{})
+			return w.nextDispatch(now, state, fallback{})
 		}
 	case ErrorResponse:
-		ticket.mayHaveRun = true
+		state.mayHaveRun = true
 		if outcome.Status < 500 {
-			return w.finish(now, ticket, Decision{Kind: PassThrough})
+			return w.finish(now, state, Decision{Kind: PassThrough})
 		}
 		w.failed(now, b, outcome.Result)
-		if !ticket.idempotent() {
-			return w.finish(now, ticket, Decision{Kind: PassThrough})
+		if !state.idempotent() {
+			return w.finish(now, state, Decision{Kind: PassThrough})
 		}
-		ticket.avoided = append(ticket.avoided, b)
-		return w.nextDispatch(now, ticket, fallback{Kind: PassThrough})
+		state.avoided = append(state.avoided, b)
+		return w.nextDispatch(now, state, fallback{Kind: PassThrough})
 	case Interrupted:
-		ticket.mayHaveRun, ticket.streamBegun = true, true
+		state.mayHaveRun, state.streamBegun = true, true
 	default:
-		ticket.mayHaveRun = true
+		state.mayHaveRun = true
 	}
 	w.failed(now, b, outcome.Result)
-	ticket.avoided = append(ticket.avoided, b)
-	return w.nextDispatch(now, ticket, fallback{})
+	state.avoided = append(state.avoided, b)
+	return w.nextDispatch(now, state, fallback{})
 }
 
 // fallback is what there is to give to the origin when nothing more is tried.
 type fallback struct{ Kind DecisionKind }
 
 // next finds the next dispatch, or ends the call.
-func (w *Scheduler) nextDispatch(now time.Time, ticket *CallState, answer fallback) Decision {
-	if reason := ticket.exhausted(now); reason != "" {
-		return w.end(now, ticket, answer, retryAfterSoon, reason)
+func (w *Scheduler) nextDispatch(now time.Time, state *CallState, answer fallback) Decision {
+	if reason := state.exhausted(now); reason != "" {
+		return w.end(now, state, answer, retryAfterSoon, reason)
 	}
-	c := w.newCycle(now, ticket)
+	c := w.newCycle(now, state)
 	var kind DecisionKind
 	var found bool
 	var way candidate
-	if ticket.source != nil {
-		kind, way, found = c.pickAdmitted(func() (DecisionKind, candidate, bool) { return c.pickDecode(ticket.prefillServer) })
+	if state.source != nil {
+		kind, way, found = c.pickAdmitted(func() (DecisionKind, candidate, bool) { return c.pickDecode(state.prefillServer) })
 	} else {
 		// A further read is paid as well and takes a try of its own.
-		further := ticket.prefillTaken || ticket.streamBegun
-		mayRead := !ticket.noTransfer && (!further || ticket.attempts+1 < ticket.routeRule.calls.Attempts)
+		further := state.prefillTaken || state.streamBegun
+		mayRead := !state.noTransfer && (!further || state.attempts+1 < state.routeRule.calls.Attempts)
 		kind, way, found = c.pickAdmitted(func() (DecisionKind, candidate, bool) { return c.pickCheapest(mayRead) })
 	}
-	if found && !way.usesKV && kind == Generate && ticket.attempts > 0 && way.cost > c.maxRetryCost() {
+	if found && !way.usesKV && kind == Generate && state.attempts > 0 && way.cost > c.maxRetryCost() {
 		// There is room for the call as a new one, which may be read elsewhere.
-		return w.end(now, ticket, answer, minRetryAfter, TooCostly)
+		return w.end(now, state, answer, minRetryAfter, TooCostly)
 	}
-	if !found || ticket.source == nil && c.tooLate(way) {
-		return w.end(now, ticket, answer, c.retryAfter(way, found), NoCapacity)
+	if !found || state.source == nil && c.tooLate(way) {
+		return w.end(now, state, answer, c.retryAfter(way, found), NoCapacity)
 	}
 	if !c.payRetries() {
-		return w.end(now, ticket, answer, retryAfterSoon, BudgetUsed)
+		return w.end(now, state, answer, retryAfterSoon, BudgetUsed)
 	}
 	decision := c.dispatch(kind, way)
-	if kind == Prefill && ticket.prefillTaken {
-		ticket.dispatch.countedAttempt = true
-		ticket.attempts++
+	if kind == Prefill && state.prefillTaken {
+		state.dispatch.countedAttempt = true
+		state.attempts++
 	}
 	return decision
 }
@@ -158,18 +158,18 @@
 // pay counts what the call was sent beyond its first try and has not paid for yet, a
 // reserved try first.
 func (c *cycle) payRetries() bool {
-	ticket, allowance := c.state, c.scheduler.options.Retries
-	owed := ticket.attempts - ticket.paidAttempts
-	if owed > 0 && ticket.reserved {
+	state, allowance := c.state, c.scheduler.options.Retries
+	owed := state.attempts - state.paidAttempts
+	if owed > 0 && state.reserved {
 		c.serviceState.retries.redeem(c.now, allowance)
-		ticket.reserved = false
-		ticket.paidAttempts++
+		state.reserved = false
+		state.paidAttempts++
 		owed--
 	}
 	if !c.serviceState.retries.spend(c.now, owed, allowance, c.routerCount) {
 		return false
 	}
-	ticket.paidAttempts = max(ticket.paidAttempts, ticket.attempts)
+	state.paidAttempts = max(state.paidAttempts, state.attempts)
 	return true
 }
 
@@ -199,10 +199,10 @@
 }
 
 // end words the last decision when nothing more is tried.
-func (w *Scheduler) end(now time.Time, ticket *CallState, answer fallback, after time.Duration, reason Reason) Decision {
-	decision := ticket.fallbackDecision(now, answer, after)
+func (w *Scheduler) end(now time.Time, state *CallState, answer fallback, after time.Duration, reason Reason) Decision {
+	decision := state.fallbackDecision(now, answer, after)
 	decision.Reason = reason
-	return w.finish(now, ticket, decision)
+	return w.finish(now, state, decision)
 }
 
 // last is the call's last decision, by what its origin may be told.
@@ -224,33 +224,33 @@
 }
 
 // finish gives back memory that nobody takes and forgets the call.
-func (w *Scheduler) finish(now time.Time, ticket *CallState, decision Decision) Decision {
-	if ticket.reserved {
-		ticket.reserved = false
-		w.serviceState(ticket.service.Name).retries.release()
+func (w *Scheduler) finish(now time.Time, state *CallState, decision Decision) Decision {
+	if state.reserved {
+		state.reserved = false
+		w.serviceState(state.service.Name).retries.release()
 	}
-	if ticket.source != nil {
-		ticket.releasable = append(ticket.releasable, *ticket.source)
-		ticket.source = nil
+	if state.source != nil {
+		state.releasable = append(state.releasable, *state.source)
+		state.source = nil
 	}
-	decision.Release, ticket.releasable = ticket.releasable, nil
-	w.uncountBacklog(ticket)
-	ticket.ended = true
+	decision.Release, state.releasable = state.releasable, nil
+	w.uncountBacklog(state)
+	state.ended = true
 	w.inFlight.Add(-1)
 	return decision
 }
 
 // learn takes how long a dispatch took to its answer's beginning.
-func (w *Scheduler) learnLatency(now time.Time, ticket *CallState, sent dispatch, first time.Time) {
+func (w *Scheduler) learnLatency(now time.Time, state *CallState, sent dispatch, first time.Time) {
 	b := sent.backend
 	b.health.succeed(now)
-	if sent.source != nil && ticket.prefillServer != nil {
+	if sent.source != nil && state.prefillServer != nil {
 		b.kvReceiveHealth.succeed(now)
-		ticket.prefillServer.kvSendHealth.succeed(now)
-		ticket.prefillServer.kvSentAt.Store(now.UnixNano())
+		state.prefillServer.kvSendHealth.succeed(now)
+		state.prefillServer.kvSentAt.Store(now.UnixNano())
 		if !sent.began {
-			w.cachePrefix(ticket, &sent)
-			w.learnTransferDelay(now, ticket, sent, first)
+			w.cachePrefix(state, &sent)
+			w.learnTransferDelay(now, state, sent, first)
 		}
 	}
 	if first.IsZero() || first.Before(sent.sent) {
@@ -258,10 +258,10 @@
 	}
 	took := first.Sub(sent.sent)
 	if sent.kind == Prefill {
-		w.serviceState(ticket.service.Name).prefillRate.observe(sent.uncached, took)
+		w.serviceState(state.service.Name).prefillRate.observe(sent.uncached, took)
 	}
 	if sent.kind == Generate {
-		s := w.serviceState(ticket.service.Name)
+		s := w.serviceState(state.service.Name)
 		s.firstEvent.observe(milliseconds(took-sent.expected) + s.firstEvent.milliseconds())
 	}
 	if sent.expected > 0 {
@@ -274,13 +274,13 @@
 }
 
 // learnTransferDelay takes how much longer than usual a run with moved memory took to begin.
-func (w *Scheduler) learnTransferDelay(now time.Time, ticket *CallState, sent dispatch, first time.Time) {
-	if sent.source == nil || ticket.prefillServer == nil || first.IsZero() {
+func (w *Scheduler) learnTransferDelay(now time.Time, state *CallState, sent dispatch, first time.Time) {
+	if sent.source == nil || state.prefillServer == nil || first.IsZero() {
 		return
 	}
 	late := milliseconds(first.Sub(sent.sent)-sent.expected) - usualTransferDelay
 	sent.backend.transferDelay.observe(now, late)
-	ticket.prefillServer.transferDelay.observe(now, late)
+	state.prefillServer.transferDelay.observe(now, late)
 }
 
 // usualTransferDelay is how many milliseconds later than expected a run may begin without
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -15,27 +15,27 @@
 func TestMemoryThatDidNotComeIsNotKept(t *testing.T) {
 	calls := opened(9)
 	call := longCall("a", 77)
-	ticket, decision := calls.Arrive(noon, call)
+	state, decision := calls.Arrive(noon, call)
 	if decision.Kind != Prefill {
 		t.Fatalf("%+v", decision)
 	}
-	decision = calls.Ended(noon.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, Handle: "h"})
-	runner := calls.snapshot.Load().byName[decision.Server.Name]
-	if runner.prefixes.cachedTokens(call.Segments) != 0 {
+	decision = calls.Ended(noon.Add(100*time.Millisecond), state, Outcome{Result: Complete, Handle: "h"})
+	decodeServer := calls.snapshot.Load().byName[decision.Server.Name]
+	if decodeServer.prefixes.cachedTokens(call.Segments) != 0 {
 		t.Error("kept before it came")
 	}
-	decision = calls.Ended(noon.Add(110*time.Millisecond), ticket, Outcome{Result: NotStarted, Status: 503})
-	if runner.prefixes.cachedTokens(call.Segments) != 0 {
+	decision = calls.Ended(noon.Add(110*time.Millisecond), state, Outcome{Result: NotStarted, Status: 503})
+	if decodeServer.prefixes.cachedTokens(call.Segments) != 0 {
 		t.Error("kept though it never came")
 	}
 	if decision.Kind == Generate && len(decision.Release) != 1 {
 		t.Errorf("the memory is not given back: %+v", decision)
 	}
 	// A read that failed leaves nothing either, but what was there before.
-	ticket, decision = calls.Arrive(noon, longCall("b", 78))
-	reader := calls.snapshot.Load().byName[decision.Server.Name]
-	calls.Ended(noon.Add(time.Second), ticket, Outcome{Result: TimedOut})
-	if k := reader.prefixes.cachedTokens(longCall("b", 78).Segments); k > 2520 {
+	state, decision = calls.Arrive(noon, longCall("b", 78))
+	prefillServer := calls.snapshot.Load().byName[decision.Server.Name]
+	calls.Ended(noon.Add(time.Second), state, Outcome{Result: TimedOut})
+	if k := prefillServer.prefixes.cachedTokens(longCall("b", 78).Segments); k > 2520 {
 		t.Errorf("%d tokens kept of a read that failed", k)
 	}
 }
@@ -54,9 +54,9 @@
 		loads = append(loads, load)
 	}
 	calls.SetLoads(noon, loads)
-	ticket, _ := calls.Arrive(noon, longCall("a", 77))
-	calls.Ended(noon.Add(100*time.Millisecond), ticket, Outcome{Result: Complete, Handle: "h"})
-	decision := calls.Ended(noon.Add(110*time.Millisecond), ticket, Outcome{Result: NotStarted, Status: 503})
+	state, _ := calls.Arrive(noon, longCall("a", 77))
+	calls.Ended(noon.Add(100*time.Millisecond), state, Outcome{Result: Complete, Handle: "h"})
+	decision := calls.Ended(noon.Add(110*time.Millisecond), state, Outcome{Result: NotStarted, Status: 503})
 	if decision.Kind != Refuse || decision.Cause != Saturated || decision.RetryAfter != minRetryAfter || len(decision.Release) != 1 {
 		t.Errorf("%+v", decision)
 	}
@@ -70,27 +70,27 @@
 	program := Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Attempts = 4 }), 1, 2)
 	calls.SetRouteTable(program)
 	patient := 0
-	var tickets []*CallState
+	var states []*CallState
 	now := noon
 	for number := range 40 {
 		now = now.Add(10 * time.Millisecond)
-		ticket, decision := calls.Arrive(now, longCall(fmt.Sprint(number), uint64(number)))
+		state, decision := calls.Arrive(now, longCall(fmt.Sprint(number), uint64(number)))
 		if decision.ResponseTimeout > 0 {
 			patient++
-			tickets = append(tickets, ticket)
+			states = append(states, state)
 		} else {
-			calls.Ended(now, ticket, Outcome{Result: ClientGone})
+			calls.Ended(now, state, Outcome{Result: ClientGone})
 		}
 	}
 	if patient == 0 || patient > 10 {
 		t.Fatalf("%d of 40 calls are given up on", patient)
 	}
-	for _, ticket := range tickets {
-		decision := calls.Ended(now.Add(time.Second), ticket, Outcome{Result: TimedOut})
+	for _, callState := range states {
+		decision := calls.Ended(now.Add(time.Second), callState, Outcome{Result: TimedOut})
 		if decision.Kind != Prefill && decision.Kind != Generate {
 			t.Errorf("no try behind giving up: %+v", decision)
 		}
-		calls.Ended(now.Add(time.Second), ticket, Outcome{Result: ClientGone})
+		calls.Ended(now.Add(time.Second), callState, Outcome{Result: ClientGone})
 	}
 }
 
@@ -103,13 +103,13 @@
 	s := calls.serviceState("desk")
 	s.retries.since = now.Add(-calls.options.Retries.Window)
 	for number := range 50 {
-		ticket, decision := calls.Arrive(now, longCall(fmt.Sprint(number), uint64(number)))
+		state, decision := calls.Arrive(now, longCall(fmt.Sprint(number), uint64(number)))
 		if decision.ResponseTimeout > 0 {
 			patient++
 		}
-		decision = calls.Ended(now, ticket, Outcome{Result: Complete, Handle: "h"})
+		decision = calls.Ended(now, state, Outcome{Result: Complete, Handle: "h"})
 		if decision.Kind == Generate {
-			calls.Ended(now, ticket, Outcome{Result: Complete, FirstByte: now})
+			calls.Ended(now, state, Outcome{Result: Complete, FirstByte: now})
 		}
 	}
 	if patient < 45 {
@@ -139,7 +139,7 @@
 		t.Error("a call to a server that reports no more")
 	}
 	calls = opened(9)
-	ticket, decision := calls.Arrive(noon, longCall("a", 77))
+	state, decision := calls.Arrive(noon, longCall("a", 77))
 	calls.Arrive(noon, longCall("b", 77))
 	now = noon.Add(900 * time.Millisecond)
 	away, second := calls.Arrive(now, longCall("c", 77))
@@ -148,7 +148,7 @@
 	}
 	// What was read elsewhere meanwhile draws nothing there: the client left.
 	calls.Ended(now, away, Outcome{Result: ClientGone})
-	calls.Ended(now, ticket, Outcome{Result: Complete, Handle: "h"})
+	calls.Ended(now, state, Outcome{Result: Complete, Handle: "h"})
 	if _, second := calls.Arrive(now, longCall("d", 77)); second.Server.Name != decision.Server.Name {
 		t.Error("the home is left though something came")
 	}
@@ -201,11 +201,11 @@
 	got, now := 0, noon
 	for number, chain := range chains {
 		now = now.Add(150 * time.Millisecond)
-		ticket, decision := calls.Arrive(now, longCall(fmt.Sprint(number), chain))
+		state, decision := calls.Arrive(now, longCall(fmt.Sprint(number), chain))
 		if decision.Server.Name == home {
 			got++
 		}
-		calls.Ended(now, ticket, Outcome{Result: Complete, Handle: "h"})
+		calls.Ended(now, state, Outcome{Result: Complete, Handle: "h"})
 	}
 	if got < 15 {
 		t.Errorf("%d of %d calls went to the cold home", got, len(chains))
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -28,7 +28,7 @@
 // followed is one call of a history.
 type followed struct {
 	call     *Call
-	ticket   *CallState
+	state    *CallState
 	decision Decision
 	route    *config.CallRoute
 	// arrivals are dispatches that may have reached a server, taken the reads that a
@@ -97,10 +97,10 @@
 		call.Host = []string{"plain.example", "again.example"}[h.random.IntN(2)]
 	}
 	call.Deadline = h.now.Add(time.Duration(100+h.random.IntN(4000)) * time.Millisecond)
-	ticket, decision := h.calls.Arrive(h.now, call)
-	f := &followed{call: call, ticket: ticket, handles: map[string]int{}}
-	if ticket != nil {
-		f.route = ticket.Route().Calls
+	state, decision := h.calls.Arrive(h.now, call)
+	f := &followed{call: call, state: state, handles: map[string]int{}}
+	if state != nil {
+		f.route = state.Route().Calls
 		h.open = append(h.open, f)
 	} else if decision.Kind != Refuse {
 		h.test.Fatalf("no ticket with %+v", decision)
@@ -129,7 +129,7 @@
 	switch decision.Kind {
 	case Prefill, Generate:
 		server := decision.Server
-		if server.Leaving || h.evacuees[server.Zone] || server.Service != f.ticket.service.Name {
+		if server.Leaving || h.evacuees[server.Zone] || server.Service != f.state.service.Name {
 			fail("a server that is not open to the call")
 		}
 		if (decision.Kind == Prefill) != (server.Part == prefill) {
@@ -228,7 +228,7 @@
 			}
 		}
 	}
-	next := h.calls.Ended(h.now, f.ticket, outcome)
+	next := h.calls.Ended(h.now, f.state, outcome)
 	if outcome.Result == ClientGone || outcome.Result == Complete && decision.Kind == Generate {
 		if next.Kind != Done {
 			h.test.Fatalf("%s: %s and then %+v", f.call.ID, outcome.Result, next)
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -13,9 +13,9 @@
 // so no more.
 func TestOutliersAreLeft(t *testing.T) {
 	calls := opened(9)
-	ticket, decision := calls.Arrive(noon, chatCall("first"))
+	state, decision := calls.Arrive(noon, chatCall("first"))
 	bad := decision.Server.Name
-	calls.Ended(noon, ticket, Outcome{Result: ClientGone})
+	calls.Ended(noon, state, Outcome{Result: ClientGone})
 	calls.SetOutliers(noon, outlier.Advice{Ejected: []string{bad}})
 	count := func(now time.Time) int {
 		sent := 0
@@ -23,11 +23,11 @@
 			now = now.Add(20 * time.Millisecond)
 			call := chatCall(fmt.Sprint(now.UnixNano(), number))
 			call.Segments = call.Segments[2:]
-			ticket, decision := calls.Arrive(now, call)
+			callState, decision := calls.Arrive(now, call)
 			if decision.Server.Name == bad {
 				sent++
 			}
-			calls.Ended(now, ticket, Outcome{Result: Complete, FirstByte: now})
+			calls.Ended(now, callState, Outcome{Result: Complete, FirstByte: now})
 		}
 		return sent
 	}
@@ -62,20 +62,20 @@
 // is not idempotent, and one that turns calls away not at all.
 func TestFailingServersAreTold(t *testing.T) {
 	calls := opened(9)
-	ticket, decision := calls.Arrive(noon, chatCall("a"))
+	state, decision := calls.Arrive(noon, chatCall("a"))
 	failing := decision.Server.Name
-	decision = calls.Ended(noon, ticket, Outcome{Result: ErrorResponse, Status: 500, FirstByte: noon})
+	decision = calls.Ended(noon, state, Outcome{Result: ErrorResponse, Status: 500, FirstByte: noon})
 	if decision.Kind != PassThrough {
 		t.Fatalf("%+v", decision)
 	}
 	if to := calls.TakeFailures(); !slices.Equal(to, []string{failing}) {
 		t.Errorf("told of %v", to)
 	}
-	ticket, decision = calls.Arrive(noon, chatCall("b"))
+	state, decision = calls.Arrive(noon, chatCall("b"))
 	if decision.Server.Name == failing {
 		t.Error("the next call goes to the server that has just failed one")
 	}
-	calls.Ended(noon, ticket, Outcome{Result: NotStarted, Status: 503})
+	calls.Ended(noon, state, Outcome{Result: NotStarted, Status: 503})
 	if tl := calls.TakeFailures(); len(tl) != 0 {
 		t.Errorf("told of %v", tl)
 	}
@@ -111,20 +111,20 @@
 	} {
 		calls := opened(9)
 		now := noon
-		ticket, decision := calls.Arrive(now, given.call("a"))
+		state, decision := calls.Arrive(now, given.call("a"))
 		for _, outcome := range given.outcomes {
-			decision = calls.Ended(now, ticket, outcome)
+			decision = calls.Ended(now, state, outcome)
 		}
 		if decision.Reason != want {
 			t.Errorf("%q, want %q: %+v", decision.Reason, want, decision)
 		}
 	}
 	calls := opened(9)
-	ticket, _ := calls.Arrive(noon, longCall("a", 77))
-	if decision := calls.Ended(noon.Add(time.Minute), ticket, Outcome{Result: TimedOut}); decision.Reason != DeadlineReached {
+	callState, _ := calls.Arrive(noon, longCall("a", 77))
+	if decision := calls.Ended(noon.Add(time.Minute), callState, Outcome{Result: TimedOut}); decision.Reason != DeadlineReached {
 		t.Errorf("%+v", decision)
 	}
-	if decision := calls.Ended(noon, ticket, Outcome{Result: TimedOut}); decision.Kind != Done {
+	if decision := calls.Ended(noon, callState, Outcome{Result: TimedOut}); decision.Kind != Done {
 		t.Errorf("after its end: %+v", decision)
 	}
 }
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -100,7 +100,7 @@
 }
 
 func (p *servicePool) decide(now time.Time, window *Scheduler, program *RouteTable, service *config.Service) []codec.Order {
-	var readers, runners []*backend
+	var prefillServers, decodeServers []*backend
 	r := window.latestReport.Load()
 	for _, b := range window.snapshot.Load().byService[service.Name] {
 		switch {
@@ -109,21 +109,21 @@
 		case b.changingRole():
 			return nil
 		case b.prefills():
-			readers = append(readers, b)
+			prefillServers = append(prefillServers, b)
 		case b.decodesOnly():
-			runners = append(runners, b)
+			decodeServers = append(decodeServers, b)
 		}
 	}
-	if len(readers)+len(runners) < 2 {
+	if len(prefillServers)+len(decodeServers) < 2 {
 		return nil
 	}
 	give := func(from []*backend, part, cause string, count int) []codec.Order {
 		p.needSeen, p.wantedRole, p.orderedAt, p.lastRole = 0, "", now, part
 		var orders []codec.Order
 		for range count {
-			chosen := lightest(from, readers, part)
+			chosen := lightest(from, prefillServers, part)
 			orders = append(orders, codec.Order{Server: chosen.server.Name, Part: part, Patience: orderTimeout, Cause: cause})
-			if from, readers, runners = moved(chosen, part, readers, runners); len(from) < 2 {
+			if from, prefillServers, decodeServers = moved(chosen, part, prefillServers, decodeServers); len(from) < 2 {
 				break
 			}
 		}
@@ -133,38 +133,38 @@
 	switch {
 	case now.Sub(p.orderedAt) < orderInterval:
 		return nil
-	case len(readers) == 0:
-		return give(runners, prefill, "no server reads prompts", 1)
-	case len(runners) == 0:
-		return give(readers, decode, "no server makes answers", 1)
+	case len(prefillServers) == 0:
+		return give(decodeServers, prefill, "no server reads prompts", 1)
+	case len(decodeServers) == 0:
+		return give(prefillServers, decode, "no server makes answers", 1)
 	}
 	s := window.serviceState(service.Name)
 	busy, running, known := s.demand.now(now)
 	if !known {
 		return nil
 	}
-	all := len(readers) + len(runners)
+	all := len(prefillServers) + len(decodeServers)
 	if busy+running > idleCalls {
 		p.idleSince = time.Time{}
 	} else if p.idleSince.IsZero() {
 		p.idleSince = now
-	} else if even := all - reservedDecode(all); now.Sub(p.idleSince) >= idleDelay && len(readers) < even {
-		return give(runners, prefill, "the service is idle and too few servers read prompts", even-len(readers))
+	} else if even := all - reservedDecode(all); now.Sub(p.idleSince) >= idleDelay && len(prefillServers) < even {
+		return give(decodeServers, prefill, "the service is idle and too few servers read prompts", even-len(prefillServers))
 	}
 	slots := float64(service.Engine.Slots)
 	if slots == 0 {
 		slots = defaultSlots
 	}
-	leastRunners := min(max(1, int(math.Ceil(running/(slotsTarget*slots))), reservedDecode(all)), all-1)
-	wanted := min(max(1, int(math.Ceil(busy/prefillBusyTarget))), all-leastRunners)
-	pressed := running > slotsHigh*slots*float64(len(runners))
+	leastDecodeServers := min(max(1, int(math.Ceil(running/(slotsTarget*slots))), reservedDecode(all)), all-1)
+	wanted := min(max(1, int(math.Ceil(busy/prefillBusyTarget))), all-leastDecodeServers)
+	pressed := running > slotsHigh*slots*float64(len(decodeServers))
 	// Runners went away and those that are left are few: that can't wait.
-	urgent := len(runners) < int(math.Ceil(float64(all)*urgentDecodeShare))
+	urgent := len(decodeServers) < int(math.Ceil(float64(all)*urgentDecodeShare))
 	part := ""
 	switch {
-	case len(readers) > 1 && (urgent || pressed && busy < prefillBusyLow*float64(len(readers)-1)):
+	case len(prefillServers) > 1 && (urgent || pressed && busy < prefillBusyLow*float64(len(prefillServers)-1)):
 		part = decode
-	case wanted > len(readers) && busy > prefillBusyHigh*float64(len(readers)):
+	case wanted > len(prefillServers) && busy > prefillBusyHigh*float64(len(prefillServers)):
 		part = prefill
 	}
 	if part == "" || part != p.wantedRole {
@@ -178,9 +178,9 @@
 		return nil
 	}
 	if part == prefill {
-		return give(runners, prefill, "prompts wait while answers have room", min(wanted-len(readers), max(1, all/serversPerOrder)))
+		return give(decodeServers, prefill, "prompts wait while answers have room", min(wanted-len(prefillServers), max(1, all/serversPerOrder)))
 	}
-	return give(readers, decode, "answers wait while prompts have room", 1)
+	return give(prefillServers, decode, "answers wait while prompts have room", 1)
 }
 
 // reservedDecode is how many of so many servers no order takes from making answers.
@@ -191,9 +191,9 @@
 
 // lightest is the server that is best given the part: in the zone that has the
 // fewest with it for its size, with the least to do.
-func lightest(from, readers []*backend, part string) *backend {
+func lightest(from, prefillServers []*backend, part string) *backend {
 	in, all := map[string]int{}, map[string]int{}
-	for _, b := range readers {
+	for _, b := range prefillServers {
 		in[b.server.Zone]++
 	}
 	for _, ba := range from {
@@ -219,7 +219,7 @@
 const zoneWeight = 1000
 
 // moved is the two pools with a server given the part; from is the pool that it left.
-func moved(chosen *backend, part string, readers, runners []*backend) (from, nextReaders, nextRunners []*backend) {
+func moved(chosen *backend, part string, prefillServers, decodeServers []*backend) (from, nextPrefillServers, nextDecodeServers []*backend) {
 	without := func(p []*backend) []*backend {
 		var left []*backend
 		for _, b := range p {
@@ -230,9 +230,9 @@
 		return left
 	}
 	if part == prefill {
-		nextReaders, nextRunners = append(without(readers), chosen), without(runners)
-		return nextRunners, nextReaders, nextRunners
+		nextPrefillServers, nextDecodeServers = append(without(prefillServers), chosen), without(decodeServers)
+		return nextDecodeServers, nextPrefillServers, nextDecodeServers
 	}
-	nextReaders, nextRunners = without(readers), append(without(runners), chosen)
-	return nextReaders, nextReaders, nextRunners
+	nextPrefillServers, nextDecodeServers = without(prefillServers), append(without(decodeServers), chosen)
+	return nextPrefillServers, nextPrefillServers, nextDecodeServers
 }
--- a/internal/scheduler/pools_test.go
+++ b/internal/scheduler/pools_test.go
@@ -23,32 +23,32 @@
 	return day
 }
 
-func (day *poolDay) readers() int {
-	readers := 0
+func (day *poolDay) prefillServers() int {
+	prefillServers := 0
 	for _, part := range day.parts {
 		if part == prefill {
-			readers++
+			prefillServers++
 		}
 	}
-	return readers
+	return prefillServers
 }
 
 // last lets so much time pass with so many calls at each reader and at each runner.
-func (day *poolDay) last(span time.Duration, atReader, atRunner int) {
-	day.reporting(span, atReader, atRunner)
+func (day *poolDay) last(span time.Duration, atPrefillServer, atDecodeServer int) {
+	day.reporting(span, atPrefillServer, atDecodeServer)
 }
 
 // reporting is the same where those without a part have gone dark.
-func (day *poolDay) reporting(span time.Duration, atReader, atRunner int) {
+func (day *poolDay) reporting(span time.Duration, atPrefillServer, atDecodeServer int) {
 	for ends := day.now.Add(span); day.now.Before(ends); day.now = day.now.Add(100 * time.Millisecond) {
 		var loads []Load
 		for _, server := range servers(day.count) {
 			if day.parts[server.Name] == "" {
 				continue
 			}
-			load := Load{Server: server.Name, Role: day.parts[server.Name], Running: atRunner, MemoryTotal: 295_740}
+			load := Load{Server: server.Name, Role: day.parts[server.Name], Running: atDecodeServer, MemoryTotal: 295_740}
 			if load.Role == prefill {
-				load.Running = atReader
+				load.Running = atPrefillServer
 			}
 			loads = append(loads, load)
 		}
@@ -69,12 +69,12 @@
 		t.Errorf("%d orders without a need", day.orders)
 	}
 	day.last(30*time.Second, 4, 5)
-	if day.readers() != 5 || day.orders != 1 {
-		t.Errorf("while prompts pile up: %d readers by %d orders", day.readers(), day.orders)
+	if day.prefillServers() != 5 || day.orders != 1 {
+		t.Errorf("while prompts pile up: %d readers by %d orders", day.prefillServers(), day.orders)
 	}
 	day.last(60*time.Second, 0, 60)
-	if day.readers() > 2 || day.readers() < 1 {
-		t.Errorf("while answers pile up: %d readers", day.readers())
+	if day.prefillServers() > 2 || day.prefillServers() < 1 {
+		t.Errorf("while answers pile up: %d readers", day.prefillServers())
 	}
 	before := day.orders
 	for range 40 {
@@ -86,29 +86,29 @@
 	}
 }
 
-// TestPoolsBearDarkRunners has two of three runners go dark while prompts pile up: the
+// TestPoolsBearDarkDecodeServers has two of three runners go dark while prompts pile up: the
 // one that is left can't wait for its answers to pile up, too.
-func TestPoolsBearDarkRunners(t *testing.T) {
+func TestPoolsBearDarkDecodeServers(t *testing.T) {
 	day := newPoolDay(9)
-	runners := 0
+	decodeServers := 0
 	for _, server := range servers(9) {
 		if day.parts[server.Name] == decode {
-			if runners++; runners > 3 {
+			if decodeServers++; decodeServers > 3 {
 				day.parts[server.Name] = prefill
 			}
 		}
 	}
 	day.last(2*time.Second, 4, 20)
 	for _, server := range servers(9) {
-		if day.parts[server.Name] == decode && runners > 4 {
-			runners--
+		if day.parts[server.Name] == decode && decodeServers > 4 {
+			decodeServers--
 			delete(day.parts, server.Name)
 		}
 	}
-	before := day.readers()
+	before := day.prefillServers()
 	day.reporting(7*time.Second, 4, 20)
-	if day.readers() >= before {
-		t.Errorf("%d of %d readers while one runner is left", day.readers(), before)
+	if day.prefillServers() >= before {
+		t.Errorf("%d of %d readers while one runner is left", day.prefillServers(), before)
 	}
 }
 
@@ -120,8 +120,8 @@
 		day.parts[name] = decode
 	}
 	day.last(time.Second, 0, 1)
-	if day.readers() != 1 {
-		t.Errorf("%d readers of none", day.readers())
+	if day.prefillServers() != 1 {
+		t.Errorf("%d readers of none", day.prefillServers())
 	}
 	day.last(30*time.Second, 1, 1)
 	zones := map[string]int{}
@@ -137,7 +137,7 @@
 		day.parts[name] = prefill
 	}
 	day.last(4*time.Second, 1, 1)
-	if day.readers() == 9 {
+	if day.prefillServers() == 9 {
 		t.Error("no server makes answers")
 	}
 }
@@ -163,8 +163,8 @@
 func TestIdleServiceIsDividedEvenly(t *testing.T) {
 	day := newPoolDay(9)
 	day.last(20*time.Second, 0, 0)
-	if day.readers() != 5 || day.orders != 1 {
-		t.Errorf("%d readers by %d orders", day.readers(), day.orders)
+	if day.prefillServers() != 5 || day.orders != 1 {
+		t.Errorf("%d readers by %d orders", day.prefillServers(), day.orders)
 	}
 	day = newPoolDay(9)
 	for range 10 {
--- a/internal/scheduler/send.go
+++ b/internal/scheduler/send.go
@@ -15,30 +15,30 @@
 
 // send notes a dispatch as under way and words the decision.
 func (c *cycle) dispatch(kind DecisionKind, o candidate) Decision {
-	ticket, b := c.state, o.backend
+	state, b := c.state, o.backend
 	now := c.now
-	ticket.dispatch = dispatch{backend: b, kind: kind, sent: now, uncached: o.uncached, expected: span(o.ownLatency)}
-	decision := Decision{Kind: kind, Server: b.server, Deadline: ticket.deadline, Priority: ticket.routeRule.calls.Rank}
-	if len(ticket.releasable) > 0 {
-		decision.Release, ticket.releasable = ticket.releasable, nil
+	state.dispatch = dispatch{backend: b, kind: kind, sent: now, uncached: o.uncached, expected: span(o.ownLatency)}
+	decision := Decision{Kind: kind, Server: b.server, Deadline: state.deadline, Priority: state.routeRule.calls.Rank}
+	if len(state.releasable) > 0 {
+		decision.Release, state.releasable = state.releasable, nil
 	}
-	sent := &ticket.dispatch
+	sent := &state.dispatch
 	b.idleConnections.take(now)
 	if kind == Prefill {
-		sent.tokens = ticket.call.PromptTokens
+		sent.tokens = state.call.PromptTokens
 		c.countBacklog(b, sent.uncached)
 		b.prefilling.Add(1)
 		b.prefillProgress.start(now)
 		b.prefillTokens.Add(int64(sent.uncached))
 		decision.ResponseTimeout = c.responseTimeout(max(prefillTimeoutFactor*sent.expected, minPrefillTimeout))
 	} else {
-		c.scheduler.uncountBacklog(ticket)
-		sent.tokens = ticket.tokens()
+		c.scheduler.uncountBacklog(state)
+		sent.tokens = state.tokens()
 		if o.usesKV {
-			sent.source, ticket.source = ticket.source, nil
-		} else if ticket.source != nil {
-			decision.Release = append(decision.Release, *ticket.source)
-			ticket.source, ticket.noTransfer = nil, true
+			sent.source, state.source = state.source, nil
+		} else if state.source != nil {
+			decision.Release = append(decision.Release, *state.source)
+			state.source, state.noTransfer = nil, true
 		}
 		decision.Source = sent.source
 		b.running.Add(1)
@@ -51,7 +51,7 @@
 			b.addDirectPrefill(now, span(float64(sent.uncached)/p))
 			c.serviceState.demand.addDirect(now, sent.uncached)
 		}
-		if ticket.idempotent() && !ticket.streamBegun && c.canGoOnElsewhere() {
+		if state.idempotent() && !state.streamBegun && c.canGoOnElsewhere() {
 			decision.ResponseTimeout = c.responseTimeout(max(generateTimeoutFactor*sent.expected, minGenerateTimeout))
 		}
 		decision.StreamTimeout = c.streamTimeout()
@@ -59,9 +59,9 @@
 	b.serverState.memory.Add(int64(sent.tokens))
 	// What reads a prompt keeps it from now on, as far as the next calls go; memory that
 	// is moved may not come.
-	sent.memoryTotal, sent.cachedBefore = c.memoryTotal(b), b.prefixes.cachedTokens(ticket.call.Segments)
+	sent.memoryTotal, sent.cachedBefore = c.memoryTotal(b), b.prefixes.cachedTokens(state.call.Segments)
 	if !o.usesKV {
-		c.scheduler.cachePrefix(ticket, sent)
+		c.scheduler.cachePrefix(state, sent)
 	}
 	return decision
 }
@@ -69,28 +69,28 @@
 // canGoOnElsewhere tells whether the call could go on elsewhere if its run were given up: a long
 // prompt is read again only by a reader, which is a try of its own.
 func (c *cycle) canGoOnElsewhere() bool {
-	ticket := c.state
-	return ticket.call.PromptTokens <= shortPrompt || ticket.attempts+2 < ticket.routeRule.calls.Attempts
+	state := c.state
+	return state.call.PromptTokens <= shortPrompt || state.attempts+2 < state.routeRule.calls.Attempts
 }
 
 // patience is given only when there is time and leave for another try behind it.
 func (c *cycle) responseTimeout(wanted time.Duration) time.Duration {
-	ticket := c.state
-	left := ticket.deadline.Sub(c.now)
-	if wanted > left*2/3 || ticket.attempts+1 >= ticket.routeRule.calls.Attempts {
+	state := c.state
+	left := state.deadline.Sub(c.now)
+	if wanted > left*2/3 || state.attempts+1 >= state.routeRule.calls.Attempts {
 		return 0
 	}
 	// The retry is reserved now: giving up without one behind it would lose the call.
-	if !ticket.reserved && !c.serviceState.retries.reserve(c.now, c.scheduler.options.Retries, c.routerCount) {
+	if !state.reserved && !c.serviceState.retries.reserve(c.now, c.scheduler.options.Retries, c.routerCount) {
 		return 0
 	}
-	ticket.reserved = true
+	state.reserved = true
 	return wanted
 }
 
 // keeps notes that a server keeps a call's prompt.
-func (w *Scheduler) cachePrefix(ticket *CallState, sent *dispatch) {
-	sent.backend.prefixes.add(ticket.call.Segments, sent.memoryTotal, w.routerCount(), w.maxCachedSegments())
+func (w *Scheduler) cachePrefix(state *CallState, sent *dispatch) {
+	sent.backend.prefixes.add(state.call.Segments, sent.memoryTotal, w.routerCount(), w.maxCachedSegments())
 }
 
 // settle takes a dispatch off the accounts.
--- a/internal/scheduler/threads_test.go
+++ b/internal/scheduler/threads_test.go
@@ -22,17 +22,17 @@
 				if number%2 == 0 {
 					call = chatCall(call.ID)
 				}
-				ticket, decision := calls.Arrive(now, call)
-				for s := 0; ticket != nil && (decision.Kind == Prefill || decision.Kind == Generate); s++ {
+				state, decision := calls.Arrive(now, call)
+				for s := 0; state != nil && (decision.Kind == Prefill || decision.Kind == Generate); s++ {
 					outcome := Outcome{Result: Complete, Handle: "h", FirstByte: now, Load: &ResponseLoad{Running: 3, Slots: 64}}
 					if (number+s)%5 == 0 {
 						outcome.Result = []Result{Unreachable, NotStarted, TimedOut, Interrupted, ErrorResponse}[(number+thread)%5]
 						outcome.Status = 500
 					}
 					if decision.Kind == Generate {
-						calls.Began(now, ticket)
+						calls.Began(now, state)
 					}
-					decision = calls.Ended(now.Add(5*time.Millisecond), ticket, outcome)
+					decision = calls.Ended(now.Add(5*time.Millisecond), state, outcome)
 				}
 			}
 		}()
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -41,12 +41,12 @@
 func divided(count, tenths int) []membership.Server {
 	zones := []string{"north", "south", "west"}
 	var list []membership.Server
-	readers := 0
+	prefillServers := 0
 	for number := range count {
 		part := decode
-		if readers*10 < tenths*(number+1) {
+		if prefillServers*10 < tenths*(number+1) {
 			part = prefill
-			readers++
+			prefillServers++
 		}
 		list = append(list, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprintf("10.0.%d.%d:8080", number/250, number%250),
 			Zone: zones[number%3], Service: "desk", Part: part, Slots: 64, Models: []string{"m"}})
@@ -55,10 +55,10 @@
 }
 
 // zoned lists so many servers, of each zone's the first ones readers.
-func zoned(count, readers int) []membership.Server {
+func zoned(count, prefillServers int) []membership.Server {
 	list := divided(count, 0)
 	for position := range list {
-		if position < 3*readers {
+		if position < 3*prefillServers {
 			list[position].Part = prefill
 		}
 	}
@@ -87,23 +87,23 @@
 // straight through a runner.
 func TestTwoHalves(t *testing.T) {
 	calls := opened(9)
-	ticket, decision := calls.Arrive(noon, longCall("a", 77))
-	if ticket == nil || decision.Kind != Prefill || decision.Server.Part != prefill {
+	state, decision := calls.Arrive(noon, longCall("a", 77))
+	if state == nil || decision.Kind != Prefill || decision.Server.Part != prefill {
 		t.Fatalf("a long prompt: %+v", decision)
 	}
-	decision = calls.Ended(noon.Add(180*time.Millisecond), ticket, Outcome{Result: Complete, Handle: "h"})
+	decision = calls.Ended(noon.Add(180*time.Millisecond), state, Outcome{Result: Complete, Handle: "h"})
 	if decision.Kind != Generate || decision.Server.Part != decode || decision.Source == nil || decision.Source.Handle != "h" {
 		t.Fatalf("after the read: %+v", decision)
 	}
-	decision = calls.Ended(noon.Add(600*time.Millisecond), ticket, Outcome{Result: Complete, FirstByte: noon.Add(200 * time.Millisecond)})
+	decision = calls.Ended(noon.Add(600*time.Millisecond), state, Outcome{Result: Complete, FirstByte: noon.Add(200 * time.Millisecond)})
 	if decision.Kind != Done || calls.InFlight() != 0 {
 		t.Fatalf("after the run: %+v, %d in flight", decision, calls.InFlight())
 	}
-	ticket, decision = calls.Arrive(noon, chatCall("b"))
-	if ticket == nil || decision.Kind != Generate || decision.Server.Part != decode || decision.Source != nil || decision.Priority != 1 {
+	state, decision = calls.Arrive(noon, chatCall("b"))
+	if state == nil || decision.Kind != Generate || decision.Server.Part != decode || decision.Source != nil || decision.Priority != 1 {
 		t.Fatalf("a chat: %+v", decision)
 	}
-	if decision = calls.Ended(noon.Add(time.Second), ticket, Outcome{Result: TimedOut}); decision.Kind != Refuse || decision.Cause != OutcomeUnknown {
+	if decision = calls.Ended(noon.Add(time.Second), state, Outcome{Result: TimedOut}); decision.Kind != Refuse || decision.Cause != OutcomeUnknown {
 		t.Fatalf("a chat that may have run: %+v", decision)
 	}
 }
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -752,8 +752,8 @@
 	counter.owed += c.worth
 	w.owedAt[w.second(w.now)] += c.worth
 	number := w.random.IntN(len(w.windows))
-	ticket, decision := w.windows[number].Arrive(w.now, call)
-	w.follow(&asked{class: c, call: call, at: w.now, router: number, ticket: ticket}, decision)
+	state, decision := w.windows[number].Arrive(w.now, call)
+	w.follow(&asked{class: c, call: call, at: w.now, router: number, state: state}, decision)
 }
 
 func (w *world) second(at time.Time) int {
@@ -801,7 +801,7 @@
 	call    *Call
 	at      time.Time
 	router  int
-	ticket  *CallState
+	state   *CallState
 	first   time.Time
 	longest time.Duration
 	log     string
@@ -871,7 +871,7 @@
 		}
 	})
 	w.after(askTakes, func() {
-		w.follow(a, w.windows[a.router].BacklogReported(w.now, a.ticket, answers))
+		w.follow(a, w.windows[a.router].BacklogReported(w.now, a.state, answers))
 	})
 }
 
@@ -918,7 +918,7 @@
 func (w *world) dispatch(a *asked, decision Decision) {
 	server := w.servers[decision.Server.Name]
 	way := w.way(a.router, server)
-	a.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(a.at).Milliseconds(), a.ticket.dispatch.uncached, a.ticket.dispatch.expected)
+	a.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(a.at).Milliseconds(), a.state.dispatch.uncached, a.state.dispatch.expected)
 	w.dispatches++
 	ends := connectionEnds{a.router, decision.Server.Name}
 	idle, known := w.idle[ends]
@@ -948,7 +948,7 @@
 			job_.gone = true
 			a.longest = max(a.longest, job_.longest)
 		}
-		w.follow(a, w.windows[a.router].Ended(w.now, a.ticket, outcome))
+		w.follow(a, w.windows[a.router].Ended(w.now, a.state, outcome))
 	}
 	if decision.ResponseTimeout > 0 {
 		w.after(milliseconds(decision.ResponseTimeout), func() {
@@ -992,7 +992,7 @@
 		if j.reads {
 			j.way += w.rank(a.call, server)
 		}
-		j.believed = a.ticket.dispatch.uncached
+		j.believed = a.state.dispatch.uncached
 		if !j.reads {
 			j.tokens += a.call.OutputTokens
 		}
@@ -1002,7 +1002,7 @@
 			}
 			a.first = w.now.Add(span(way))
 			if w.tells {
-				w.after(way, func() { w.windows[a.router].Began(w.now, a.ticket) })
+				w.after(way, func() { w.windows[a.router].Began(w.now, a.state) })
 			}
 		}
 		j.ended = func(result Result) {
@@ -1041,22 +1041,22 @@
 }
 
 func (w *world) move(server *worldServer, call *Call, source Source, j *job, b func(), turn func(Result)) {
-	var reader *worldServer
+	var prefillServer *worldServer
 	for _, other := range w.servers {
 		if other.listed.Address == source.Address {
-			reader = other
+			prefillServer = other
 		}
 	}
-	held, found := reader.handles[source.Handle]
-	if reader.down || reader.dark || reader.refuses || !found {
+	held, found := prefillServer.handles[source.Handle]
+	if prefillServer.down || prefillServer.dark || prefillServer.refuses || !found {
 		turn(NotStarted)
 		return
 	}
-	delete(reader.handles, source.Handle)
+	delete(prefillServer.handles, source.Handle)
 	gigabytes := float64(call.PromptTokens) * w.engine.bytesAToken / 1e9
 	took := w.engine.setup + gigabytes*8e9/w.engine.linkBitsAMilli
-	took *= max(server.slowLink, reader.slowLink, 1)
-	if reader.listed.Zone != server.listed.Zone {
+	took *= max(server.slowLink, prefillServer.slowLink, 1)
+	if prefillServer.listed.Zone != server.listed.Zone {
 		took *= 2
 		w.farMoves += gigabytes
 	} else {
@@ -1072,7 +1072,7 @@
 	}
 	server.linkFree = start.Add(span(took))
 	w.after(milliseconds(server.linkFree.Sub(w.now)), func() {
-		reader.pinned -= held
+		prefillServer.pinned -= held
 		j.moved, j.unread = true, 0
 		server.keep(call.Segments)
 		b()
