--- a/internal/scheduler/backlogs.go
+++ b/internal/scheduler/backlog.go
@@ -27,52 +27,10 @@
 	tokens  int
 }
 
-// outbox holds the changes that keepers are still to be told of, by group.
-type outbox struct {
-	mutex   sync.Mutex
-	changes map[string][]backlog.Change
-}
-
-func (o *outbox) add(group string, change backlog.Change) {
-	if group == "" || change.Tokens == 0 {
-		return
-	}
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if o.changes == nil {
-		o.changes = map[string][]backlog.Change{}
-	}
-	o.changes[group] = append(o.changes[group], change)
-}
-
-func (o *outbox) take(group string) []backlog.Change {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	changes := o.changes[group]
-	delete(o.changes, group)
-	return changes
-}
-
 // SetBacklogQueries has the window ask for counts before reads: its conduct then answers decisions
 // of the kind Ask with Told, and brings TakeBacklogChanges to the keepers.
 func (w *Scheduler) SetBacklogQueries(asks bool) { w.queriesBacklog.Store(asks) }
 
-// TakeBacklogChanges are the changes that the keepers have not been told of, by group.
-func (w *Scheduler) TakeBacklogChanges() map[string][]backlog.Change {
-	w.outbox.mutex.Lock()
-	defer w.outbox.mutex.Unlock()
-	changes := w.outbox.changes
-	w.outbox.changes = nil
-	return changes
-}
-
-// HasBacklogChanges tells whether keepers are to be told of changes.
-func (w *Scheduler) HasBacklogChanges() bool {
-	w.outbox.mutex.Lock()
-	defer w.outbox.mutex.Unlock()
-	return len(w.outbox.changes) > 0
-}
-
 // questions are what to ask before a call is read, the group of the server that would be
 // chosen without an answer first; none if the answers would change nothing.
 func (c *cycle) backlogRequests(kind DecisionKind, best candidate) []backlog.Request {
@@ -162,6 +120,48 @@
 	w.outbox.add(booked.backend.backlogGroup, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
 }
 
+// outbox holds the changes that keepers are still to be told of, by group.
+type outbox struct {
+	mutex   sync.Mutex
+	changes map[string][]backlog.Change
+}
+
+func (o *outbox) add(group string, change backlog.Change) {
+	if group == "" || change.Tokens == 0 {
+		return
+	}
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	if o.changes == nil {
+		o.changes = map[string][]backlog.Change{}
+	}
+	o.changes[group] = append(o.changes[group], change)
+}
+
+func (o *outbox) take(group string) []backlog.Change {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	changes := o.changes[group]
+	delete(o.changes, group)
+	return changes
+}
+
+// TakeBacklogChanges are the changes that the keepers have not been told of, by group.
+func (w *Scheduler) TakeBacklogChanges() map[string][]backlog.Change {
+	w.outbox.mutex.Lock()
+	defer w.outbox.mutex.Unlock()
+	changes := w.outbox.changes
+	w.outbox.changes = nil
+	return changes
+}
+
+// HasBacklogChanges tells whether keepers are to be told of changes.
+func (w *Scheduler) HasBacklogChanges() bool {
+	w.outbox.mutex.Lock()
+	defer w.outbox.mutex.Unlock()
+	return len(w.outbox.changes) > 0
+}
+
 // groupSize is how many servers a group has at most before there are twice as many groups:
 // a keeper then answers for some hundred reads a second at the most. The value is ours.
 const groupSize = 16
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -7,6 +7,32 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
+// Decision is the next thing to be done with a call.
+type Decision struct {
+	Kind       DecisionKind  `json:"kind"`
+	Cause      Cause         `json:"cause,omitempty"`
+	RetryAfter time.Duration `json:"retry_after,omitempty"`
+	// Reason is why a call that was admitted was given up, or one was not for want of room.
+	Reason Reason            `json:"reason,omitempty"`
+	Server membership.Server `json:"server,omitzero"`
+	Source *Source           `json:"source,omitempty"`
+	// Deadline is when the server's work is to end at the latest: what is left of it
+	// travels as the server's limit.
+	Deadline time.Time `json:"ends,omitzero"`
+	// ResponseTimeout ends a dispatch whose server says nothing; zero means no such end
+	// before Ends.
+	ResponseTimeout time.Duration `json:"patience,omitempty"`
+	// StreamTimeout ends a dispatch whose stream has begun and then brings nothing for so
+	// long, so that it goes on elsewhere; zero means no such end before Ends.
+	StreamTimeout time.Duration `json:"silence,omitempty"`
+	// Priority is passed to the server, 0 first; -1 leaves it out.
+	Priority int `json:"urgency,omitempty"`
+	// BacklogRequests are for the keepers of counts, each for the one of its group.
+	BacklogRequests []backlog.Request `json:"-"`
+	// Release are handles that will not be taken and are to be given back.
+	Release []Source `json:"free,omitempty"`
+}
+
 // DecisionKind names what is to be done next with a call.
 type DecisionKind string
 
@@ -49,6 +75,9 @@
 	OutcomeUnknownLate Cause = "broken_late"
 )
 
+// NeverRan tells whether a refusal promises that the call has not run and never will.
+func (c Cause) NeverRan() bool { return c != OutcomeUnknown && c != OutcomeUnknownLate }
+
 // Reason says what of a router's own rules ended a call, for metrics and logs.
 type Reason string
 
@@ -68,37 +97,8 @@
 	DeadlineReached Reason = "time_used"
 )
 
-// NeverRan tells whether a refusal promises that the call has not run and never will.
-func (c Cause) NeverRan() bool { return c != OutcomeUnknown && c != OutcomeUnknownLate }
-
 // Source names a prompt's memory at the server that read it.
 type Source struct {
 	Address string `json:"address"`
 	Handle  string `json:"handle"`
 }
-
-// Decision is the next thing to be done with a call.
-type Decision struct {
-	Kind       DecisionKind  `json:"kind"`
-	Cause      Cause         `json:"cause,omitempty"`
-	RetryAfter time.Duration `json:"retry_after,omitempty"`
-	// Reason is why a call that was admitted was given up, or one was not for want of room.
-	Reason Reason            `json:"reason,omitempty"`
-	Server membership.Server `json:"server,omitzero"`
-	Source *Source           `json:"source,omitempty"`
-	// Deadline is when the server's work is to end at the latest: what is left of it
-	// travels as the server's limit.
-	Deadline time.Time `json:"ends,omitzero"`
-	// ResponseTimeout ends a dispatch whose server says nothing; zero means no such end
-	// before Ends.
-	ResponseTimeout time.Duration `json:"patience,omitempty"`
-	// StreamTimeout ends a dispatch whose stream has begun and then brings nothing for so
-	// long, so that it goes on elsewhere; zero means no such end before Ends.
-	StreamTimeout time.Duration `json:"silence,omitempty"`
-	// Priority is passed to the server, 0 first; -1 leaves it out.
-	Priority int `json:"urgency,omitempty"`
-	// BacklogRequests are for the keepers of counts, each for the one of its group.
-	BacklogRequests []backlog.Request `json:"-"`
-	// Release are handles that will not be taken and are to be given back.
-	Release []Source `json:"free,omitempty"`
-}
--- a/internal/scheduler/send.go
+++ b/internal/scheduler/dispatch.go
@@ -2,17 +2,6 @@
 
 import "time"
 
-// ResponseTimeout with a server that says nothing, in multiples of what was expected and at
-// least so long. The values are ours.
-const (
-	prefillTimeoutFactor  = 4
-	minPrefillTimeout     = 800 * time.Millisecond
-	generateTimeoutFactor = 8
-	minGenerateTimeout    = time.Second
-	// shortPrompt is how long a prompt may be that another runner could read itself.
-	shortPrompt = 3000
-)
-
 // send notes a dispatch as under way and words the decision.
 func (c *cycle) dispatch(kind DecisionKind, o candidate) Decision {
 	state, b := c.state, o.backend
@@ -66,33 +55,6 @@
 	return decision
 }
 
-// canGoOnElsewhere tells whether the call could go on elsewhere if its run were given up: a long
-// prompt is read again only by a reader, which is a try of its own.
-func (c *cycle) canGoOnElsewhere() bool {
-	state := c.state
-	return state.call.PromptTokens <= shortPrompt || state.attempts+2 < state.routeRule.calls.Attempts
-}
-
-// patience is given only when there is time and leave for another try behind it.
-func (c *cycle) responseTimeout(wanted time.Duration) time.Duration {
-	state := c.state
-	left := state.deadline.Sub(c.now)
-	if wanted > left*2/3 || state.attempts+1 >= state.routeRule.calls.Attempts {
-		return 0
-	}
-	// The retry is reserved now: giving up without one behind it would lose the call.
-	if !state.reserved && !c.serviceState.retries.reserve(c.now, c.scheduler.options.Retries, c.routerCount) {
-		return 0
-	}
-	state.reserved = true
-	return wanted
-}
-
-// keeps notes that a server keeps a call's prompt.
-func (w *Scheduler) cachePrefix(state *CallState, sent *dispatch) {
-	sent.backend.prefixes.add(state.call.Segments, sent.memoryTotal, w.routerCount(), w.maxCachedSegments())
-}
-
 // settle takes a dispatch off the accounts.
 func (t *CallState) settleDispatch(now time.Time, outcome Outcome, window *Scheduler) {
 	sent := &t.dispatch
@@ -123,9 +85,9 @@
 	}
 }
 
-// came tells whether the server was heard.
-func (o Outcome) serverResponded() bool {
-	return o.Result != Unreachable && o.Result != TimedOut && o.Result != ClientGone
+// keeps notes that a server keeps a call's prompt.
+func (w *Scheduler) cachePrefix(state *CallState, sent *dispatch) {
+	sent.backend.prefixes.add(state.call.Segments, sent.memoryTotal, w.routerCount(), w.maxCachedSegments())
 }
 
 // maxCachedSegments bounds the parts remembered for each server.
--- a/internal/scheduler/connections.go
+++ b/internal/scheduler/idleconnections.go
@@ -13,6 +13,9 @@
 	idle []time.Time
 }
 
+// maxIdleConnections bounds what is remembered of one server.
+const maxIdleConnections = 16
+
 // available tells whether a call would find an idle connection.
 func (c *idleConnections) available(now time.Time) bool {
 	c.mutex.Lock()
@@ -47,6 +50,3 @@
 	}
 	c.idle = append(c.idle, now.Add(keeps))
 }
-
-// maxIdleConnections bounds what is remembered of one server.
-const maxIdleConnections = 16
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -19,3 +19,72 @@
 	// Age is how old the report was when it was forwarded.
 	Age time.Duration `json:"age" msgpack:"age"`
 }
+
+// reported is what a server said when it was asked.
+type loadReport struct {
+	load Load
+	at   time.Time
+}
+
+// heard is the latest word of a server's load.
+type observedLoad struct {
+	load Load
+	at   time.Time
+	// others are the calls that are not this router's own, waiting ones among them.
+	others  float64
+	waiting float64
+}
+
+// hear takes a report.
+func (a *serverState) takeReport(now time.Time, load Load) {
+	at := now.Add(-load.Age)
+	a.lastReport.Store(&loadReport{load: load, at: at})
+	earlier := a.lastLoad.Load()
+	if earlier != nil && at.Before(earlier.at) {
+		return
+	}
+	own := float64(a.prefilling.Load() + a.running.Load())
+	next := &observedLoad{load: load, at: at, others: max(0, float64(load.Running+load.Waiting)-own), waiting: float64(load.Waiting)}
+	if earlier != nil {
+		// One report is a moment; what counts is about how much there is.
+		next.others = smooth(earlier.others, next.others)
+		if next.load.MemoryTotal == 0 {
+			next.load.MemoryTotal = earlier.load.MemoryTotal
+		}
+	}
+	a.lastLoad.Store(next)
+}
+
+// answered takes what an answer said of the server's load.
+//
+// The call itself was among those that ran when the answer was made.
+func (a *serverState) takeResponseLoad(at time.Time, load ResponseLoad) {
+	earlier := a.lastLoad.Load()
+	if earlier != nil && at.Before(earlier.at) {
+		return
+	}
+	next := &observedLoad{at: at}
+	if earlier != nil {
+		next.load = earlier.load
+	}
+	next.load.Running, next.load.Waiting = load.Running, load.Waiting
+	own := float64(a.prefilling.Load() + a.running.Load() + 1)
+	next.others = max(0, float64(load.Running+load.Waiting)-own)
+	if earlier != nil {
+		next.others = smooth(earlier.others, next.others)
+	}
+	next.waiting = float64(load.Waiting)
+	a.lastLoad.Store(next)
+}
+
+const smoothing = 0.5
+
+func smooth(old, latest float64) float64 { return old + smoothing*(latest-old) }
+
+// others are the calls there that are not this router's own, as far as is known.
+func (a *serverState) otherCalls() float64 {
+	if h := a.lastLoad.Load(); h != nil {
+		return h.others
+	}
+	return 0
+}
--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -2,6 +2,24 @@
 
 import "time"
 
+// Outcome is what the conduct tells of a dispatch.
+type Outcome struct {
+	Result Result `json:"result"`
+	// Status is the server's, if it gave one.
+	Status int `json:"status,omitempty"`
+	// Handle is the prompt's memory after a Read that is Complete.
+	Handle string `json:"handle,omitempty"`
+	// Load is what the server said of itself in its answer, if it did.
+	Load *ResponseLoad `json:"load,omitempty"`
+	// Warming is how long the server says it stays cold.
+	Warming time.Duration `json:"warming,omitempty"`
+	// KeepAlive is how long the connection stays open for further calls; zero if it was
+	// closed.
+	KeepAlive time.Duration `json:"rests,omitempty"`
+	// FirstByte is when the first event or byte of the answer came; zero if none did.
+	FirstByte time.Time `json:"first,omitzero"`
+}
+
 // Result is how a dispatch to a server ended.
 type Result string
 
@@ -36,27 +54,14 @@
 	return true
 }
 
-// Outcome is what the conduct tells of a dispatch.
-type Outcome struct {
-	Result Result `json:"result"`
-	// Status is the server's, if it gave one.
-	Status int `json:"status,omitempty"`
-	// Handle is the prompt's memory after a Read that is Complete.
-	Handle string `json:"handle,omitempty"`
-	// Load is what the server said of itself in its answer, if it did.
-	Load *ResponseLoad `json:"load,omitempty"`
-	// Warming is how long the server says it stays cold.
-	Warming time.Duration `json:"warming,omitempty"`
-	// KeepAlive is how long the connection stays open for further calls; zero if it was
-	// closed.
-	KeepAlive time.Duration `json:"rests,omitempty"`
-	// FirstByte is when the first event or byte of the answer came; zero if none did.
-	FirstByte time.Time `json:"first,omitzero"`
-}
-
 // ResponseLoad is what a server's answer says of its load.
 type ResponseLoad struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Slots   int `json:"slots"`
 }
+
+// came tells whether the server was heard.
+func (o Outcome) serverResponded() bool {
+	return o.Result != Unreachable && o.Result != TimedOut && o.Result != ClientGone
+}
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -19,37 +19,6 @@
 	trialShare = 8
 )
 
-// failures are the servers that failed since they were last told of.
-type failures struct {
-	mutex   sync.Mutex
-	servers map[string]bool
-}
-
-func (f *failures) add(server string) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if f.servers == nil {
-		f.servers = map[string]bool{}
-	}
-	f.servers[server] = true
-}
-
-// TakeFailures are the servers that failed calls since it was last asked, in order.
-func (w *Scheduler) TakeFailures() []string {
-	w.failures.mutex.Lock()
-	defer w.failures.mutex.Unlock()
-	if len(w.failures.servers) == 0 {
-		return nil
-	}
-	servers := make([]string, 0, len(w.failures.servers))
-	for server := range w.failures.servers {
-		servers = append(servers, server)
-	}
-	w.failures.servers = nil
-	sort.Strings(servers)
-	return servers
-}
-
 // SetOutliers takes the advice that comes of what all routers met.
 func (w *Scheduler) SetOutliers(now time.Time, advice outlier.Advice) {
 	b := w.snapshot.Load()
@@ -82,11 +51,33 @@
 	return now.UnixNano() < b.outlierUntil.Load() && now.UnixNano()-b.health.succeeded.Load() > int64(ownSuccessSpan)
 }
 
-// failed notes that a server failed a call. One that turns calls away, or is not the one
-// that was meant, fails nobody else for that.
-func (w *Scheduler) failed(now time.Time, b *backend, result Result) {
-	b.health.fail(now)
-	if result != NotStarted && result != Misdirected {
-		w.failures.add(b.server.Name)
+// failures are the servers that failed since they were last told of.
+type failures struct {
+	mutex   sync.Mutex
+	servers map[string]bool
+}
+
+func (f *failures) add(server string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.servers == nil {
+		f.servers = map[string]bool{}
 	}
+	f.servers[server] = true
+}
+
+// TakeFailures are the servers that failed calls since it was last asked, in order.
+func (w *Scheduler) TakeFailures() []string {
+	w.failures.mutex.Lock()
+	defer w.failures.mutex.Unlock()
+	if len(w.failures.servers) == 0 {
+		return nil
+	}
+	servers := make([]string, 0, len(w.failures.servers))
+	for server := range w.failures.servers {
+		servers = append(servers, server)
+	}
+	w.failures.servers = nil
+	sort.Strings(servers)
+	return servers
 }
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -5,6 +5,19 @@
 	"time"
 )
 
+// RetryAllowance bounds retries: in any span as long as Span, over all routers, at
+// most Ratio of the calls in it and Slack besides.
+type RetryAllowance struct {
+	Ratio  float64
+	Slack  float64
+	Window time.Duration
+}
+
+// DefaultRetryAllowance is what holds where nobody said otherwise.
+func DefaultRetryAllowance() RetryAllowance {
+	return RetryAllowance{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
+}
+
 // retryBudget bounds what one router sends for a service beyond the first dispatch of each
 // call, so that all routers together stay in the allowance: in any span a part of its own
 // calls of that span, and its share of the slack. A burst of failures may use all of it at
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/rolebalancer.go
@@ -65,19 +65,6 @@
 // NewRoleBalancer starts without memory.
 func NewRoleBalancer() *RoleBalancer { return &RoleBalancer{services: map[string]*servicePool{}} }
 
-// Disaggregated tells whether the list says of servers what part they have.
-func (w *Scheduler) Disaggregated() bool { return w.snapshot.Load().disaggregated }
-
-// Role is what a listed server does, and whether it changes that now. Listed is false
-// for a server that isn't listed or has no part.
-func (w *Scheduler) Role(server string) (part string, changing, listed bool) {
-	b, found := w.snapshot.Load().byName[server]
-	if !found || b.server.Part == "" {
-		return "", false, false
-	}
-	return b.role(), b.changingRole(), true
-}
-
 // Decide gives the orders that are needed now, by what the window knows of its servers.
 func (p *RoleBalancer) Decide(now time.Time, window *Scheduler) []codec.Order {
 	p.mutex.Lock()
@@ -236,3 +223,16 @@
 	nextPrefillServers, nextDecodeServers = without(prefillServers), append(without(decodeServers), chosen)
 	return nextPrefillServers, nextPrefillServers, nextDecodeServers
 }
+
+// Disaggregated tells whether the list says of servers what part they have.
+func (w *Scheduler) Disaggregated() bool { return w.snapshot.Load().disaggregated }
+
+// Role is what a listed server does, and whether it changes that now. Listed is false
+// for a server that isn't listed or has no part.
+func (w *Scheduler) Role(server string) (part string, changing, listed bool) {
+	b, found := w.snapshot.Load().byName[server]
+	if !found || b.server.Part == "" {
+		return "", false, false
+	}
+	return b.role(), b.changingRole(), true
+}
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/scheduler.go
@@ -10,6 +10,30 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
+// Options say for which router a window decides and what binds all routers together.
+type Options struct {
+	// Router is the node's name, Zone the one whose servers it prefers.
+	Router string
+	Zone   string
+	// Retries bounds what all routers send beyond the first dispatch of each
+	// call, service by service.
+	Retries RetryAllowance
+}
+
+func (o Options) checked() Options {
+	standard := DefaultRetryAllowance()
+	if o.Retries.Ratio <= 0 {
+		o.Retries.Ratio = standard.Ratio
+	}
+	if o.Retries.Slack <= 0 {
+		o.Retries.Slack = standard.Slack
+	}
+	if o.Retries.Window <= 0 {
+		o.Retries.Window = standard.Window
+	}
+	return o
+}
+
 // Scheduler follows the calls of one router. Its methods may be called from several
 // threads; fed from one, the same events give the same decisions.
 type Scheduler struct {
--- a/internal/scheduler/board.go
+++ b/internal/scheduler/snapshot.go
@@ -75,18 +75,6 @@
 	return b.byService[""]
 }
 
-// A server that is warm again by the list is still taken for cold: for warmMargin since
-// the list's word may be early, and up to warmSpread more, for each router another
-// time, so that not all of them run to it at once. The values are ours.
-const (
-	warmMargin = 600 * time.Millisecond
-	warmSpread = 900 * time.Millisecond
-)
-
-func (b *snapshot) warmingMargin(server uint64) time.Duration {
-	return warmMargin + time.Duration(rendezvousWeight(b.router, server)%uint64(warmSpread))
-}
-
 // pressed is how many readers of a service had a call when they last reported, and how
 // many calls the runners had.
 func (b *snapshot) demand(now time.Time, service string) (busy, running float64) {
@@ -104,3 +92,16 @@
 	}
 	return busy, running
 }
+
+// nameKey is the number that stands for a server's name in rendezvous.
+func nameKey(name string) uint64 { return membership.Weight("window", name) }
+
+// weigh is the rendezvous weight of a server for a chain: the same at every router.
+func rendezvousWeight(chain, server uint64) uint64 {
+	sum := chain*0x9e3779b97f4a7c15 ^ server
+	sum ^= sum >> 33
+	sum *= 0xff51afd7ed558ccd
+	sum ^= sum >> 33
+	sum *= 0xc4ceb9fe1a85ec53
+	return sum ^ sum>>33
+}
