--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -8,12 +8,12 @@
 )
 
 // Arrive lets a call in, or refuses it; then there is no ticket.
-func (w *Scheduler) Arrive(now time.Time, call *Call) (*CallState, Decision) {
+func (s *Scheduler) Arrive(now time.Time, call *Call) (*CallState, Decision) {
 	left := call.Deadline.Sub(now)
-	if w.draining.Load() {
+	if s.draining.Load() {
 		return nil, refusal(Draining, retryAfterSoon, left)
 	}
-	program := w.routes.Load()
+	program := s.routes.Load()
 	if program == nil {
 		return nil, refusal(NotReady, retryAfterUnready, left)
 	}
@@ -32,12 +32,12 @@
 	if !now.Before(ends) {
 		return nil, Decision{Kind: Refuse, Cause: DeadlinePassed}
 	}
-	if len(w.snapshot.Load().all) == 0 {
+	if len(s.snapshot.Load().all) == 0 {
 		return nil, refusal(NotReady, retryAfterUnready, ends.Sub(now))
 	}
 	state := &CallState{call: call, routeRule: r, service: service, key: nameKey(call.ID), arrived: now, deadline: ends}
-	w.inFlight.Add(1)
-	decision := w.begin(now, state, w.newCycle(now, state), true)
+	s.inFlight.Add(1)
+	decision := s.begin(now, state, s.newCycle(now, state), true)
 	if decision.Kind == Refuse {
 		return nil, decision
 	}
@@ -45,7 +45,7 @@
 }
 
 // begin finds a call's first dispatch, or refuses it. It may ask for counts first.
-func (w *Scheduler) begin(now time.Time, state *CallState, c *cycle, mayAsk bool) Decision {
+func (s *Scheduler) begin(now time.Time, state *CallState, c *cycle, mayAsk bool) Decision {
 	if mayAsk {
 		kind, best, found := c.pickCheapest(true)
 		if questions := c.backlogRequests(kind, best); found && len(questions) > 0 {
@@ -56,9 +56,9 @@
 	if !found || c.tooLate(way) {
 		full := refusal(Saturated, c.retryAfter(way, found), state.deadline.Sub(now))
 		full.Reason = NoCapacity
-		return w.finish(now, state, full)
+		return s.finish(now, state, full)
 	}
-	c.serviceState.retries.first(now, w.options.Retries)
+	c.serviceState.retries.first(now, s.options.Retries)
 	return c.dispatch(kind, way)
 }
 
--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -29,7 +29,7 @@
 
 // SetBacklogQueries has the window ask for counts before reads: its conduct then answers decisions
 // of the kind Ask with Told, and brings TakeBacklogChanges to the keepers.
-func (w *Scheduler) SetBacklogQueries(asks bool) { w.queriesBacklog.Store(asks) }
+func (s *Scheduler) SetBacklogQueries(asks bool) { s.queriesBacklog.Store(asks) }
 
 // questions are what to ask before a call is read, the group of the server that would be
 // chosen without an answer first; none if the answers would change nothing.
@@ -37,13 +37,13 @@
 	if kind != Prefill || !c.scheduler.queriesBacklog.Load() {
 		return nil
 	}
-	state, window := c.state, c.scheduler
+	state, sched := c.state, c.scheduler
 	var questions []backlog.Request
 	for _, b := range []*backend{best.backend, c.homePrefill, c.nextPrefill} {
 		if b == nil || b.backlogGroup == "" || hasGroup(questions, b.backlogGroup) {
 			continue
 		}
-		question := backlog.Request{Group: b.backlogGroup, WantsCounts: true, Changes: window.outbox.take(b.backlogGroup)}
+		question := backlog.Request{Group: b.backlogGroup, WantsCounts: true, Changes: sched.outbox.take(b.backlogGroup)}
 		if b == best.backend {
 			state.backlogEntry = &backlogEntry{backend: b, tokens: best.uncached}
 			question.Intent = &backlog.Change{Server: b.server.Name, Tokens: best.uncached}
@@ -64,11 +64,11 @@
 
 // BacklogReported takes the keepers' answers to a decision of the kind Ask, by group, and tells what
 // is next. A keeper that did not answer is left out.
-func (w *Scheduler) BacklogReported(now time.Time, state *CallState, answers map[string]backlog.Response) Decision {
+func (s *Scheduler) BacklogReported(now time.Time, state *CallState, answers map[string]backlog.Response) Decision {
 	if state.ended || state.dispatch.backend != nil {
 		return Decision{Kind: Done}
 	}
-	for _, b := range w.snapshot.Load().serving(state.service.Name) {
+	for _, b := range s.snapshot.Load().serving(state.service.Name) {
 		answer, found := answers[b.backlogGroup]
 		if !found {
 			continue
@@ -81,7 +81,7 @@
 		}
 		b.backlogCount.Store(&count)
 	}
-	return w.begin(now, state, w.newCycle(now, state), false)
+	return s.begin(now, state, s.newCycle(now, state), false)
 }
 
 // ahead is how many tokens a server is believed to read before a call's prompt.
@@ -111,13 +111,13 @@
 }
 
 // unbook has the keeper know that what was booked for the call is read, or is not sent.
-func (w *Scheduler) uncountBacklog(state *CallState) {
+func (s *Scheduler) uncountBacklog(state *CallState) {
 	booked := state.backlogEntry
 	if booked == nil {
 		return
 	}
 	state.backlogEntry = nil
-	w.outbox.add(booked.backend.backlogGroup, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
+	s.outbox.add(booked.backend.backlogGroup, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
 }
 
 // outbox holds the changes that keepers are still to be told of, by group.
@@ -147,19 +147,19 @@
 }
 
 // TakeBacklogChanges are the changes that the keepers have not been told of, by group.
-func (w *Scheduler) TakeBacklogChanges() map[string][]backlog.Change {
-	w.outbox.mutex.Lock()
-	defer w.outbox.mutex.Unlock()
-	changes := w.outbox.changes
-	w.outbox.changes = nil
+func (s *Scheduler) TakeBacklogChanges() map[string][]backlog.Change {
+	s.outbox.mutex.Lock()
+	defer s.outbox.mutex.Unlock()
+	changes := s.outbox.changes
+	s.outbox.changes = nil
 	return changes
 }
 
 // HasBacklogChanges tells whether keepers are to be told of changes.
-func (w *Scheduler) HasBacklogChanges() bool {
-	w.outbox.mutex.Lock()
-	defer w.outbox.mutex.Unlock()
-	return len(w.outbox.changes) > 0
+func (s *Scheduler) HasBacklogChanges() bool {
+	s.outbox.mutex.Lock()
+	defer s.outbox.mutex.Unlock()
+	return len(s.outbox.changes) > 0
 }
 
 // groupSize is how many servers a group has at most before there are twice as many groups:
@@ -176,13 +176,13 @@
 }
 
 // nameGroups names the group of each server.
-func (b *snapshot) nameGroups() {
+func (sn *snapshot) nameGroups() {
 	type p struct{ service, zone string }
 	sizes := map[p]int{}
-	for _, ba := range b.all {
-		sizes[p{ba.server.Service, ba.server.Zone}]++
+	for _, b := range sn.all {
+		sizes[p{b.server.Service, b.server.Zone}]++
 	}
-	for _, bc := range b.all {
-		bc.backlogGroup = groupOf(bc, sizes[p{bc.server.Service, bc.server.Zone}])
+	for _, b := range sn.all {
+		b.backlogGroup = groupOf(b, sizes[p{b.server.Service, b.server.Zone}])
 	}
 }
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -49,18 +49,18 @@
 	usesKV bool
 }
 
-func (w *Scheduler) newCycle(now time.Time, state *CallState) *cycle {
-	program := w.routes.Load()
-	w.warmReturnedZones(now)
+func (s *Scheduler) newCycle(now time.Time, state *CallState) *cycle {
+	program := s.routes.Load()
+	s.warmReturnedZones(now)
 	service := state.service
 	if current, found := program.services[service.Name]; found {
 		service = current
 	}
-	s := w.serviceState(service.Name)
-	c := &cycle{scheduler: w, weights: w.weights, routes: program, now: now, state: state, service: service, serviceState: s,
-		backends: w.snapshot.Load().serving(service.Name), routerCount: w.routerCount(),
-		chain: state.call.chainKey(), sharedTokens: state.call.sharedTokens(), prefillRate: s.prefillRate.tokensPerMillisecond(), soonestFree: math.Inf(1)}
-	c.firstEventLatency = s.firstEvent.milliseconds()
+	svc := s.serviceState(service.Name)
+	c := &cycle{scheduler: s, weights: s.weights, routes: program, now: now, state: state, service: service, serviceState: svc,
+		backends: s.snapshot.Load().serving(service.Name), routerCount: s.routerCount(),
+		chain: state.call.chainKey(), sharedTokens: state.call.sharedTokens(), prefillRate: svc.prefillRate.tokensPerMillisecond(), soonestFree: math.Inf(1)}
+	c.firstEventLatency = svc.firstEvent.milliseconds()
 	c.measureDirectPrefill()
 	return c
 }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -56,11 +56,11 @@
 }
 
 // settle takes a dispatch off the accounts.
-func (t *CallState) settleDispatch(now time.Time, outcome Outcome, window *Scheduler) {
+func (t *CallState) settleDispatch(now time.Time, outcome Outcome, s *Scheduler) {
 	sent := &t.dispatch
 	b := sent.backend
 	if sent.kind == Prefill {
-		window.uncountBacklog(t)
+		s.uncountBacklog(t)
 		b.prefilling.Add(-1)
 		b.prefillTokens.Add(-int64(sent.uncached))
 		finishProgress(&b.prefillProgress, now, outcome.serverResponded())
@@ -86,13 +86,13 @@
 }
 
 // keeps notes that a server keeps a call's prompt.
-func (w *Scheduler) cachePrefix(state *CallState, sent *dispatch) {
-	sent.backend.prefixes.add(state.call.Segments, sent.memoryTotal, w.routerCount(), w.maxCachedSegments())
+func (s *Scheduler) cachePrefix(state *CallState, sent *dispatch) {
+	sent.backend.prefixes.add(state.call.Segments, sent.memoryTotal, s.routerCount(), s.maxCachedSegments())
 }
 
 // maxCachedSegments bounds the parts remembered for each server.
-func (w *Scheduler) maxCachedSegments() int {
-	return max(minCachedSegments, maxCachedSegmentsTotal/max(1, len(w.snapshot.Load().all)))
+func (s *Scheduler) maxCachedSegments() int {
+	return max(minCachedSegments, maxCachedSegmentsTotal/max(1, len(s.snapshot.Load().all)))
 }
 
 const (
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -3,12 +3,12 @@
 import "time"
 
 // Ended takes how the call's dispatch ended and tells what is next.
-func (w *Scheduler) Ended(now time.Time, state *CallState, outcome Outcome) Decision {
+func (svc *Scheduler) Ended(now time.Time, state *CallState, outcome Outcome) Decision {
 	if state.ended || state.dispatch.backend == nil {
 		return Decision{Kind: Done}
 	}
 	sent := state.dispatch
-	state.settleDispatch(now, outcome, w)
+	state.settleDispatch(now, outcome, svc)
 	state.dispatch = dispatch{}
 	if outcome.Load != nil {
 		at := now
@@ -18,46 +18,46 @@
 		sent.backend.takeResponseLoad(at, *outcome.Load)
 	}
 	if outcome.Warming > 0 {
-		sent.backend.markWarmingUntil(now.Add(outcome.Warming + w.snapshot.Load().warmingMargin(sent.backend.key)))
+		sent.backend.markWarmingUntil(now.Add(outcome.Warming + svc.snapshot.Load().warmingMargin(sent.backend.key)))
 	}
 	if outcome.Result == ClientGone {
 		if sent.source != nil {
 			state.releasable = append(state.releasable, *sent.source)
 		}
-		return w.finish(now, state, Decision{Kind: Done})
+		return svc.finish(now, state, Decision{Kind: Done})
 	}
 	if sent.kind == Prefill {
-		return w.prefillEnded(now, state, sent, outcome)
+		return svc.prefillEnded(now, state, sent, outcome)
 	}
-	return w.generateEnded(now, state, sent, outcome)
+	return svc.generateEnded(now, state, sent, outcome)
 }
 
 // Began tells that the first event of a run's answer came. A router that tells it
 // notices servers that are stuck before their calls end.
-func (w *Scheduler) Began(now time.Time, state *CallState) {
+func (svc *Scheduler) Began(now time.Time, state *CallState) {
 	sent := &state.dispatch
 	if sent.backend == nil || sent.kind != Generate || sent.began {
 		return
 	}
 	sent.began = true
 	if sent.source != nil {
-		w.cachePrefix(state, sent)
+		svc.cachePrefix(state, sent)
 	}
 	sent.backend.firstEventProgress.done(now)
-	if !w.reportsFirstEvents.Load() {
-		w.reportsFirstEvents.Store(true)
+	if !svc.reportsFirstEvents.Load() {
+		svc.reportsFirstEvents.Store(true)
 	}
-	w.learnTransferDelay(now, state, *sent, now)
+	svc.learnTransferDelay(now, state, *sent, now)
 }
 
-func (w *Scheduler) prefillEnded(now time.Time, state *CallState, sent dispatch, outcome Outcome) Decision {
+func (svc *Scheduler) prefillEnded(now time.Time, state *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
 	switch outcome.Result {
 	case Complete:
-		w.learnLatency(now, state, sent, now)
+		svc.learnLatency(now, state, sent, now)
 		state.prefillTaken, state.prefillServer = true, b
 		state.source = &Source{Address: b.server.Address, Handle: outcome.Handle}
-		return w.nextDispatch(now, state, fallback{})
+		return svc.nextDispatch(now, state, fallback{})
 	case Unreachable:
 		if sent.countedAttempt {
 			state.attempts--
@@ -67,21 +67,21 @@
 			state.attempts++
 		}
 	}
-	w.failed(now, b, outcome.Result)
+	svc.failed(now, b, outcome.Result)
 	state.avoided = append(state.avoided, b)
-	return w.nextDispatch(now, state, fallback{})
+	return svc.nextDispatch(now, state, fallback{})
 }
 
-func (w *Scheduler) generateEnded(now time.Time, state *CallState, sent dispatch, outcome Outcome) Decision {
+func (svc *Scheduler) generateEnded(now time.Time, state *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
 	if outcome.Result != Unreachable {
 		state.attempts++
 	}
 	switch outcome.Result {
 	case Complete:
-		w.learnLatency(now, state, sent, outcome.FirstByte)
-		w.serviceState(state.service.Name).runDuration.observe(now.Sub(sent.sent))
-		return w.finish(now, state, Decision{Kind: Done})
+		svc.learnLatency(now, state, sent, outcome.FirstByte)
+		svc.serviceState(state.service.Name).runDuration.observe(now.Sub(sent.sent))
+		return svc.finish(now, state, Decision{Kind: Done})
 	case Unreachable, Misdirected:
 		state.source = sent.source
 	case NotStarted:
@@ -91,34 +91,34 @@
 			// The memory may be gone, or the server be full: it reads the prompt itself.
 			state.releasable = append(state.releasable, *sent.source)
 			state.noTransfer = true
-			w.serviceState(state.service.Name).demand.transferFailed(now)
+			svc.serviceState(state.service.Name).demand.transferFailed(now)
 			state.prefillServer.kvSendHealth.fail(now)
 			b.kvReceiveHealth.failUncertain(now)
-			return w.nextDispatch(now, state, fallback{})
+			return svc.nextDispatch(now, state, fallback{})
 		}
 	case ErrorResponse:
 		state.mayHaveRun = true
 		if outcome.Status < 500 {
-			return w.finish(now, state, Decision{Kind: PassThrough})
+			return svc.finish(now, state, Decision{Kind: PassThrough})
 		}
-		w.failed(now, b, outcome.Result)
+		svc.failed(now, b, outcome.Result)
 		if !state.idempotent() {
-			return w.finish(now, state, Decision{Kind: PassThrough})
+			return svc.finish(now, state, Decision{Kind: PassThrough})
 		}
 		state.avoided = append(state.avoided, b)
-		return w.nextDispatch(now, state, fallback{Kind: PassThrough})
+		return svc.nextDispatch(now, state, fallback{Kind: PassThrough})
 	case Interrupted:
 		state.mayHaveRun, state.streamBegun = true, true
 	default:
 		state.mayHaveRun = true
 	}
-	w.failed(now, b, outcome.Result)
+	svc.failed(now, b, outcome.Result)
 	state.avoided = append(state.avoided, b)
-	return w.nextDispatch(now, state, fallback{})
+	return svc.nextDispatch(now, state, fallback{})
 }
 
 // learn takes how long a dispatch took to its answer's beginning.
-func (w *Scheduler) learnLatency(now time.Time, state *CallState, sent dispatch, first time.Time) {
+func (s *Scheduler) learnLatency(now time.Time, state *CallState, sent dispatch, first time.Time) {
 	b := sent.backend
 	b.health.succeed(now)
 	if sent.source != nil && state.prefillServer != nil {
@@ -126,8 +126,8 @@
 		state.prefillServer.kvSendHealth.succeed(now)
 		state.prefillServer.kvSentAt.Store(now.UnixNano())
 		if !sent.began {
-			w.cachePrefix(state, &sent)
-			w.learnTransferDelay(now, state, sent, first)
+			s.cachePrefix(state, &sent)
+			s.learnTransferDelay(now, state, sent, first)
 		}
 	}
 	if first.IsZero() || first.Before(sent.sent) {
@@ -135,11 +135,11 @@
 	}
 	took := first.Sub(sent.sent)
 	if sent.kind == Prefill {
-		w.serviceState(state.service.Name).prefillRate.observe(sent.uncached, took)
+		s.serviceState(state.service.Name).prefillRate.observe(sent.uncached, took)
 	}
 	if sent.kind == Generate {
-		s := w.serviceState(state.service.Name)
-		s.firstEvent.observe(milliseconds(took-sent.expected) + s.firstEvent.milliseconds())
+		svc := s.serviceState(state.service.Name)
+		svc.firstEvent.observe(milliseconds(took-sent.expected) + svc.firstEvent.milliseconds())
 	}
 	if sent.expected > 0 {
 		ratio := float64(took) / float64(sent.expected+latencySlack)
@@ -151,7 +151,7 @@
 }
 
 // learnTransferDelay takes how much longer than usual a run with moved memory took to begin.
-func (w *Scheduler) learnTransferDelay(now time.Time, state *CallState, sent dispatch, first time.Time) {
+func (svc *Scheduler) learnTransferDelay(now time.Time, state *CallState, sent dispatch, first time.Time) {
 	if sent.source == nil || state.prefillServer == nil || first.IsZero() {
 		return
 	}
--- a/internal/scheduler/faults_test.go
+++ b/internal/scheduler/faults_test.go
@@ -7,45 +7,45 @@
 
 // troubles are days on which something happens to the servers.
 func troubles() map[string]func(*world) {
-	some := func(wrl *world, ofNine int, act func(*worldServer)) {
-		for position := range ofNine * len(wrl.list) / 9 {
-			act(wrl.servers[wrl.list[(position*4+1)%len(wrl.list)].Name])
+	some := func(w *world, ofNine int, act func(*worldServer)) {
+		for position := range ofNine * len(w.list) / 9 {
+			act(w.servers[w.list[(position*4+1)%len(w.list)].Name])
 		}
 	}
 	return map[string]func(*world){
 		"calm": func(*world) {},
-		"crash": func(aWorld *world) {
-			aWorld.after(10_000, func() {
-				some(aWorld, 2, func(server *worldServer) { aWorld.crash(server.listed.Name, false, 4500*time.Millisecond) })
+		"crash": func(w *world) {
+			w.after(10_000, func() {
+				some(w, 2, func(server *worldServer) { w.crash(server.listed.Name, false, 4500*time.Millisecond) })
 			})
 		},
-		"dark": func(world *world) {
-			world.after(10_000, func() {
-				some(world, 2, func(server *worldServer) { world.crash(server.listed.Name, true, 4500*time.Millisecond) })
+		"dark": func(w *world) {
+			w.after(10_000, func() {
+				some(w, 2, func(server *worldServer) { w.crash(server.listed.Name, true, 4500*time.Millisecond) })
 			})
 		},
-		"short handles": func(world *world) {
-			world.after(10_000, func() { some(world, 3, func(server *worldServer) { server.refuses = true }) })
-			world.after(14_000, func() { some(world, 3, func(server *worldServer) { server.refuses = false }) })
+		"short handles": func(w *world) {
+			w.after(10_000, func() { some(w, 3, func(server *worldServer) { server.refuses = true }) })
+			w.after(14_000, func() { some(w, 3, func(server *worldServer) { server.refuses = false }) })
 		},
 		"slow links": func(w *world) {
 			w.after(10_000, func() { some(w, 3, func(server *worldServer) { server.slowLink = 40 }) })
 			w.after(15_500, func() { some(w, 3, func(server *worldServer) { server.slowLink = 0 }) })
 		},
-		"slow servers": func(wo *world) {
-			wo.after(10_000, func() { some(wo, 2, func(server *worldServer) { server.slow = 5 }) })
-			wo.after(16_000, func() { some(wo, 2, func(server *worldServer) { server.slow = 0 }) })
+		"slow servers": func(w *world) {
+			w.after(10_000, func() { some(w, 2, func(server *worldServer) { server.slow = 5 }) })
+			w.after(16_000, func() { some(w, 2, func(server *worldServer) { server.slow = 0 }) })
 		},
-		"release": func(wr *world) {
-			wr.after(5_000, func() {
-				wr.release([]string{wr.list[0].Name, wr.list[4].Name, wr.list[5].Name, wr.list[8].Name}, time.Second)
+		"release": func(w *world) {
+			w.after(5_000, func() {
+				w.release([]string{w.list[0].Name, w.list[4].Name, w.list[5].Name, w.list[8].Name}, time.Second)
 			})
 		},
-		"chats": func(wor *world) {
-			wor.after(10_000, func() {
+		"chats": func(w *world) {
+			w.after(10_000, func() {
 				chat := chatClass()
 				chat.perSecond *= 0.9
-				wor.traffic(chat, noon.Add(20*time.Second))
+				w.traffic(chat, noon.Add(20*time.Second))
 			})
 		},
 	}
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -84,9 +84,9 @@
 
 // failed notes that a server failed a call. One that turns calls away, or is not the one
 // that was meant, fails nobody else for that.
-func (w *Scheduler) failed(now time.Time, b *backend, result Result) {
+func (s *Scheduler) failed(now time.Time, b *backend, result Result) {
 	b.health.fail(now)
 	if result != NotStarted && result != Misdirected {
-		w.failures.add(b.server.Name)
+		s.failures.add(b.server.Name)
 	}
 }
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -20,35 +20,35 @@
 )
 
 // SetOutliers takes the advice that comes of what all routers met.
-func (w *Scheduler) SetOutliers(now time.Time, advice outlier.Advice) {
-	b := w.snapshot.Load()
+func (s *Scheduler) SetOutliers(now time.Time, advice outlier.Advice) {
+	snap := s.snapshot.Load()
 	until := now.Add(adviceTTL).UnixNano()
 	avoided := make(map[string]bool, len(advice.Ejected)+len(advice.Trial))
 	for _, name := range advice.Ejected {
 		avoided[name] = true
 	}
 	for _, name := range advice.Trial {
-		if ba, found := b.byName[name]; found && !w.usesOnTrial(ba) {
+		if b, found := snap.byName[name]; found && !s.usesOnTrial(b) {
 			avoided[name] = true
 		}
 	}
-	for _, bc := range b.all {
-		if avoided[bc.server.Name] {
-			bc.outlierUntil.Store(until)
-		} else if bc.outlierUntil.Load() != 0 {
-			bc.outlierUntil.Store(0)
+	for _, b := range snap.all {
+		if avoided[b.server.Name] {
+			b.outlierUntil.Store(until)
+		} else if b.outlierUntil.Load() != 0 {
+			b.outlierUntil.Store(0)
 		}
 	}
 }
 
 // tries tells whether this router is one of those that use a server on trial.
-func (w *Scheduler) usesOnTrial(b *backend) bool {
-	return w.routerCount() <= trialShare || rendezvousWeight(nameKey(w.options.Router), b.key)%trialShare == 0
+func (s *Scheduler) usesOnTrial(snap *backend) bool {
+	return s.routerCount() <= trialShare || rendezvousWeight(nameKey(s.options.Router), snap.key)%trialShare == 0
 }
 
 // outlier tells whether other routers failed at the server and this one knows no better.
-func (b *backend) outlier(now time.Time) bool {
-	return now.UnixNano() < b.outlierUntil.Load() && now.UnixNano()-b.health.succeeded.Load() > int64(ownSuccessSpan)
+func (snap *backend) outlier(now time.Time) bool {
+	return now.UnixNano() < snap.outlierUntil.Load() && now.UnixNano()-snap.health.succeeded.Load() > int64(ownSuccessSpan)
 }
 
 // failures are the servers that failed since they were last told of.
@@ -67,17 +67,17 @@
 }
 
 // TakeFailures are the servers that failed calls since it was last asked, in order.
-func (w *Scheduler) TakeFailures() []string {
-	w.failures.mutex.Lock()
-	defer w.failures.mutex.Unlock()
-	if len(w.failures.servers) == 0 {
+func (s *Scheduler) TakeFailures() []string {
+	s.failures.mutex.Lock()
+	defer s.failures.mutex.Unlock()
+	if len(s.failures.servers) == 0 {
 		return nil
 	}
-	servers := make([]string, 0, len(w.failures.servers))
-	for server := range w.failures.servers {
+	servers := make([]string, 0, len(s.failures.servers))
+	for server := range s.failures.servers {
 		servers = append(servers, server)
 	}
-	w.failures.servers = nil
+	s.failures.servers = nil
 	sort.Strings(servers)
 	return servers
 }
--- a/internal/scheduler/pick.go
+++ b/internal/scheduler/pick.go
@@ -35,18 +35,18 @@
 	if !mayRead || !anyRun {
 		return kind, best, found
 	}
-	for _, ba := range c.backends {
-		if !ba.prefills() || !c.eligible(ba) {
+	for _, b := range c.backends {
+		if !b.prefills() || !c.eligible(b) {
 			continue
 		}
-		offered, may := c.scorePrefill(ba)
+		offered, may := c.scorePrefill(b)
 		if !may {
 			continue
 		}
-		moveCost, moveTime := c.transferCost(ba, farthest.backend)
+		moveCost, moveTime := c.transferCost(b, farthest.backend)
 		cost, time := farthest.cost+moveCost, farthest.latency+moveTime
-		if decodeServer := near[ba.zoneIndex%maxZones]; decodeServer.backend != nil && decodeServer.backend.zoneIndex == ba.zoneIndex {
-			moveCost, moveTime = c.transferCost(ba, decodeServer.backend)
+		if decodeServer := near[b.zoneIndex%maxZones]; decodeServer.backend != nil && decodeServer.backend.zoneIndex == b.zoneIndex {
+			moveCost, moveTime = c.transferCost(b, decodeServer.backend)
 			if sum := decodeServer.cost + moveCost; sum < cost {
 				cost, time = sum, decodeServer.latency+moveTime
 			}
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -6,11 +6,11 @@
 type fallback struct{ Kind DecisionKind }
 
 // next finds the next dispatch, or ends the call.
-func (w *Scheduler) nextDispatch(now time.Time, state *CallState, answer fallback) Decision {
+func (s *Scheduler) nextDispatch(now time.Time, state *CallState, answer fallback) Decision {
 	if reason := state.exhausted(now); reason != "" {
-		return w.end(now, state, answer, retryAfterSoon, reason)
+		return s.end(now, state, answer, retryAfterSoon, reason)
 	}
-	c := w.newCycle(now, state)
+	c := s.newCycle(now, state)
 	var kind DecisionKind
 	var found bool
 	var way candidate
@@ -24,13 +24,13 @@
 	}
 	if found && !way.usesKV && kind == Generate && state.attempts > 0 && way.cost > c.maxRetryCost() {
 		// There is room for the call as a new one, which may be read elsewhere.
-		return w.end(now, state, answer, minRetryAfter, TooCostly)
+		return s.end(now, state, answer, minRetryAfter, TooCostly)
 	}
 	if !found || state.source == nil && c.tooLate(way) {
-		return w.end(now, state, answer, c.retryAfter(way, found), NoCapacity)
+		return s.end(now, state, answer, c.retryAfter(way, found), NoCapacity)
 	}
 	if !c.payRetries() {
-		return w.end(now, state, answer, retryAfterSoon, BudgetUsed)
+		return s.end(now, state, answer, retryAfterSoon, BudgetUsed)
 	}
 	decision := c.dispatch(kind, way)
 	if kind == Prefill && state.prefillTaken {
@@ -84,10 +84,10 @@
 }
 
 // end words the last decision when nothing more is tried.
-func (w *Scheduler) end(now time.Time, state *CallState, answer fallback, after time.Duration, reason Reason) Decision {
+func (s *Scheduler) end(now time.Time, state *CallState, answer fallback, after time.Duration, reason Reason) Decision {
 	decision := state.fallbackDecision(now, answer, after)
 	decision.Reason = reason
-	return w.finish(now, state, decision)
+	return s.finish(now, state, decision)
 }
 
 // last is the call's last decision, by what its origin may be told.
@@ -109,18 +109,18 @@
 }
 
 // finish gives back memory that nobody takes and forgets the call.
-func (w *Scheduler) finish(now time.Time, state *CallState, decision Decision) Decision {
+func (s *Scheduler) finish(now time.Time, state *CallState, decision Decision) Decision {
 	if state.reserved {
 		state.reserved = false
-		w.serviceState(state.service.Name).retries.release()
+		s.serviceState(state.service.Name).retries.release()
 	}
 	if state.source != nil {
 		state.releasable = append(state.releasable, *state.source)
 		state.source = nil
 	}
 	decision.Release, state.releasable = state.releasable, nil
-	w.uncountBacklog(state)
+	s.uncountBacklog(state)
 	state.ended = true
-	w.inFlight.Add(-1)
+	s.inFlight.Add(-1)
 	return decision
 }
--- a/internal/scheduler/rolebalancer.go
+++ b/internal/scheduler/rolebalancer.go
@@ -66,10 +66,10 @@
 func NewRoleBalancer() *RoleBalancer { return &RoleBalancer{services: map[string]*servicePool{}} }
 
 // Decide gives the orders that are needed now, by what the window knows of its servers.
-func (p *RoleBalancer) Decide(now time.Time, window *Scheduler) []codec.Order {
+func (p *RoleBalancer) Decide(now time.Time, sched *Scheduler) []codec.Order {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	program := window.routes.Load()
+	program := sched.routes.Load()
 	if program == nil || now.Sub(p.lastDecision) < decisionInterval {
 		return nil
 	}
@@ -81,15 +81,15 @@
 			found = &servicePool{}
 			p.services[name] = found
 		}
-		orders = append(orders, found.decide(now, window, program, program.services[name])...)
+		orders = append(orders, found.decide(now, sched, program, program.services[name])...)
 	}
 	return orders
 }
 
-func (p *servicePool) decide(now time.Time, window *Scheduler, program *RouteTable, service *config.Service) []codec.Order {
+func (p *servicePool) decide(now time.Time, sched *Scheduler, program *RouteTable, service *config.Service) []codec.Order {
 	var prefillServers, decodeServers []*backend
-	r := window.latestReport.Load()
-	for _, b := range window.snapshot.Load().byService[service.Name] {
+	r := sched.latestReport.Load()
+	for _, b := range sched.snapshot.Load().byService[service.Name] {
 		switch {
 		case b.warming(now), b.stale(r):
 		case b.server.Leaving || program.evacuations[b.server.Zone]:
@@ -125,7 +125,7 @@
 	case len(decodeServers) == 0:
 		return give(prefillServers, decode, "no server makes answers", 1)
 	}
-	s := window.serviceState(service.Name)
+	s := sched.serviceState(service.Name)
 	busy, running, known := s.demand.now(now)
 	if !known {
 		return nil
@@ -183,21 +183,21 @@
 	for _, b := range prefillServers {
 		in[b.server.Zone]++
 	}
-	for _, ba := range from {
-		all[ba.server.Zone]++
+	for _, b := range from {
+		all[b.server.Zone]++
 	}
-	weight := func(bc *backend) float64 {
-		s := float64(in[bc.server.Zone]) / float64(in[bc.server.Zone]+all[bc.server.Zone])
+	weight := func(b *backend) float64 {
+		s := float64(in[b.server.Zone]) / float64(in[b.server.Zone]+all[b.server.Zone])
 		if part == decode {
-			s = -float64(in[bc.server.Zone])
+			s = -float64(in[b.server.Zone])
 		}
-		work := bc.otherCalls() + float64(bc.running.Load()+bc.prefilling.Load())
+		work := b.otherCalls() + float64(b.running.Load()+b.prefilling.Load())
 		return s*zoneWeight + work
 	}
 	best := from[0]
-	for _, bck := range from[1:] {
-		if weight(bck) < weight(best) {
-			best = bck
+	for _, b := range from[1:] {
+		if weight(b) < weight(best) {
+			best = b
 		}
 	}
 	return best
@@ -225,12 +225,12 @@
 }
 
 // Disaggregated tells whether the list says of servers what part they have.
-func (w *Scheduler) Disaggregated() bool { return w.snapshot.Load().disaggregated }
+func (s *Scheduler) Disaggregated() bool { return s.snapshot.Load().disaggregated }
 
 // Role is what a listed server does, and whether it changes that now. Listed is false
 // for a server that isn't listed or has no part.
-func (w *Scheduler) Role(server string) (part string, changing, listed bool) {
-	b, found := w.snapshot.Load().byName[server]
+func (s *Scheduler) Role(server string) (part string, changing, listed bool) {
+	b, found := s.snapshot.Load().byName[server]
 	if !found || b.server.Part == "" {
 		return "", false, false
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -78,86 +78,86 @@
 
 // New makes a window that knows nothing yet.
 func New(options Options) *Scheduler {
-	window := &Scheduler{options: options.checked(), weights: defaultWeights()}
+	s := &Scheduler{options: options.checked(), weights: defaultWeights()}
 	first := newSnapshot()
 	first.router = nameKey(options.Router)
-	window.snapshot.Store(first)
-	window.serviceStates.Store(&map[string]*serviceState{})
-	return window
+	s.snapshot.Store(first)
+	s.serviceStates.Store(&map[string]*serviceState{})
+	return s
 }
 
 // SetRouteTable puts a later version in force; an older one, or the same, is left aside
 // and the answer is false.
-func (w *Scheduler) SetRouteTable(program *RouteTable) bool {
+func (s *Scheduler) SetRouteTable(program *RouteTable) bool {
 	for {
-		current := w.routes.Load()
+		current := s.routes.Load()
 		if program == nil || !program.later(current) {
 			return false
 		}
-		w.noteReturnedZones(current, program)
-		if w.routes.CompareAndSwap(current, program) {
+		s.noteReturnedZones(current, program)
+		if s.routes.CompareAndSwap(current, program) {
 			return true
 		}
 	}
 }
 
 // ConfigVersion is the version of the configuration in force, as epoch and number.
-func (w *Scheduler) ConfigVersion() (epoch, number uint64) {
-	if program := w.routes.Load(); program != nil {
+func (s *Scheduler) ConfigVersion() (epoch, number uint64) {
+	if program := s.routes.Load(); program != nil {
 		return program.epoch, program.number
 	}
 	return 0, 0
 }
 
 // Limits bound what a caller may send, by the configuration in force.
-func (w *Scheduler) Limits() config.Limits {
-	if program := w.routes.Load(); program != nil {
+func (s *Scheduler) Limits() config.Limits {
+	if program := s.routes.Load(); program != nil {
 		return program.limits
 	}
 	return config.Limits{}
 }
 
 // SetServers takes the list of servers.
-func (w *Scheduler) SetServers(now time.Time, servers []membership.Server) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.snapshot.Store(w.snapshot.Load().next(now, servers))
+func (s *Scheduler) SetServers(now time.Time, servers []membership.Server) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.snapshot.Store(s.snapshot.Load().next(now, servers))
 }
 
 // SetLoads takes what the servers reported of themselves.
-func (w *Scheduler) SetLoads(now time.Time, loads []Load) {
-	b := w.snapshot.Load()
+func (s *Scheduler) SetLoads(now time.Time, loads []Load) {
+	snap := s.snapshot.Load()
 	var services []string
 	for _, load := range loads {
-		ba, found := b.byName[load.Server]
+		b, found := snap.byName[load.Server]
 		if !found {
 			continue
 		}
-		ba.takeReport(now, load)
-		if at := now.Add(-load.Age).UnixNano(); at > w.latestReport.Load() {
-			w.latestReport.Store(at)
+		b.takeReport(now, load)
+		if at := now.Add(-load.Age).UnixNano(); at > s.latestReport.Load() {
+			s.latestReport.Store(at)
 		}
-		if service := ba.server.Service; service != "" && !slices.Contains(services, service) {
+		if service := b.server.Service; service != "" && !slices.Contains(services, service) {
 			services = append(services, service)
 		}
 	}
 	for _, service := range services {
-		busy, running := b.demand(now, service)
-		w.serviceState(service).demand.reported(now, busy, running)
+		busy, running := snap.demand(now, service)
+		s.serviceState(service).demand.reported(now, busy, running)
 	}
 }
 
 // SetRoleOrders takes the parts that servers were ordered to take: one that is to take
 // another begins nothing until that is done, and no call is sent to it.
-func (w *Scheduler) SetRoleOrders(now time.Time, parts map[string]string) {
-	b := w.snapshot.Load()
-	for _, ba := range b.all {
-		part, found := parts[ba.server.Name]
-		if known := ba.orderedRole.Load(); !found || known != nil && *known == part {
+func (s *Scheduler) SetRoleOrders(now time.Time, parts map[string]string) {
+	snap := s.snapshot.Load()
+	for _, b := range snap.all {
+		part, found := parts[b.server.Name]
+		if known := b.orderedRole.Load(); !found || known != nil && *known == part {
 			continue
 		}
-		ba.orderedRoleUntil.Store(now.Add(orderVisibleWithin).UnixNano())
-		ba.orderedRole.Store(&part)
+		b.orderedRoleUntil.Store(now.Add(orderVisibleWithin).UnixNano())
+		b.orderedRole.Store(&part)
 	}
 }
 
@@ -166,29 +166,29 @@
 const orderVisibleWithin = 4 * time.Second
 
 // SetRouterCount tells how many routers share the servers.
-func (w *Scheduler) SetRouterCount(count int) { w.routers.Store(int64(count)) }
+func (s *Scheduler) SetRouterCount(count int) { s.routers.Store(int64(count)) }
 
-func (w *Scheduler) routerCount() int {
-	if count := w.routers.Load(); count > 0 {
+func (s *Scheduler) routerCount() int {
+	if count := s.routers.Load(); count > 0 {
 		return int(count)
 	}
 	return unknownRouters
 }
 
 // Drain lets no further calls in.
-func (w *Scheduler) Drain() { w.draining.Store(true) }
+func (s *Scheduler) Drain() { s.draining.Store(true) }
 
 // InFlight counts the calls that have not ended.
-func (w *Scheduler) InFlight() int { return int(w.inFlight.Load()) }
+func (s *Scheduler) InFlight() int { return int(s.inFlight.Load()) }
 
 // serviceState is the service's; it is made once.
-func (w *Scheduler) serviceState(service string) *serviceState {
-	if found, known := (*w.serviceStates.Load())[service]; known {
+func (s *Scheduler) serviceState(service string) *serviceState {
+	if found, known := (*s.serviceStates.Load())[service]; known {
 		return found
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	current := *w.serviceStates.Load()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	current := *s.serviceStates.Load()
 	if found, known := current[service]; known {
 		return found
 	}
@@ -198,6 +198,6 @@
 	}
 	made := &serviceState{}
 	next[service] = made
-	w.serviceStates.Store(&next)
+	s.serviceStates.Store(&next)
 	return made
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -24,9 +24,9 @@
 }
 
 // next is the board of a new list; servers that stay keep their accounts.
-func (b *snapshot) next(now time.Time, servers []membership.Server) *snapshot {
+func (sn *snapshot) next(now time.Time, servers []membership.Server) *snapshot {
 	next := newSnapshot()
-	next.router = b.router
+	next.router = sn.router
 	sorted := append([]membership.Server(nil), servers...)
 	sort.Slice(sorted, func(left, right int) bool { return sorted[left].Name < sorted[right].Name })
 	var everywhere []*backend
@@ -40,13 +40,13 @@
 			next.zoneIndexes[server.Zone] = place
 		}
 		listed := &backend{server: server, key: nameKey(server.Name), zoneIndex: place}
-		if earlier, found := b.byName[server.Name]; found && earlier.server.Address == server.Address {
+		if earlier, found := sn.byName[server.Name]; found && earlier.server.Address == server.Address {
 			listed.serverState = earlier.serverState
 		} else {
 			listed.serverState = newServerState()
 		}
 		if server.Warming > 0 {
-			listed.markWarmingUntil(now.Add(server.Warming + b.warmingMargin(listed.key)))
+			listed.markWarmingUntil(now.Add(server.Warming + sn.warmingMargin(listed.key)))
 		}
 		next.byName[server.Name] = listed
 		next.disaggregated = next.disaggregated || server.Part != ""
@@ -68,17 +68,17 @@
 }
 
 // of lists the servers of a service.
-func (b *snapshot) serving(service string) []*backend {
-	if listed, found := b.byService[service]; found {
+func (sn *snapshot) serving(service string) []*backend {
+	if listed, found := sn.byService[service]; found {
 		return listed
 	}
-	return b.byService[""]
+	return sn.byService[""]
 }
 
 // pressed is how many readers of a service had a call when they last reported, and how
 // many calls the runners had.
-func (b *snapshot) demand(now time.Time, service string) (busy, running float64) {
-	for _, ba := range b.byService[service] {
+func (sn *snapshot) demand(now time.Time, service string) (busy, running float64) {
+	for _, ba := range sn.byService[service] {
 		report := ba.lastReport.Load()
 		if report == nil || now.Sub(report.at) > demandWindow {
 			continue
--- a/internal/scheduler/warming.go
+++ b/internal/scheduler/warming.go
@@ -13,8 +13,8 @@
 	warmSpread = 900 * time.Millisecond
 )
 
-func (b *snapshot) warmingMargin(server uint64) time.Duration {
-	return warmMargin + time.Duration(rendezvousWeight(b.router, server)%uint64(warmSpread))
+func (sn *snapshot) warmingMargin(server uint64) time.Duration {
+	return warmMargin + time.Duration(rendezvousWeight(sn.router, server)%uint64(warmSpread))
 }
 
 // warmingAfterReturn is how long the servers of a zone count as cold whose evacuation was
@@ -26,12 +26,12 @@
 type returnedZones map[string]bool
 
 // returning notes which zones come back with a program, before it is in force.
-func (w *Scheduler) noteReturnedZones(current, next *RouteTable) {
+func (s *Scheduler) noteReturnedZones(current, next *RouteTable) {
 	if current == nil || len(current.evacuations) == 0 {
 		return
 	}
 	zones := returnedZones{}
-	if pending := w.returnedZones.Load(); pending != nil {
+	if pending := s.returnedZones.Load(); pending != nil {
 		for zone := range *pending {
 			zones[zone] = true
 		}
@@ -42,17 +42,17 @@
 		}
 	}
 	if len(zones) > 0 {
-		w.returnedZones.Store(&zones)
+		s.returnedZones.Store(&zones)
 	}
 }
 
 // cool has the servers of zones that came back count as cold from now.
-func (w *Scheduler) warmReturnedZones(now time.Time) {
-	zones := w.returnedZones.Load()
-	if zones == nil || !w.returnedZones.CompareAndSwap(zones, nil) {
+func (s *Scheduler) warmReturnedZones(now time.Time) {
+	zones := s.returnedZones.Load()
+	if zones == nil || !s.returnedZones.CompareAndSwap(zones, nil) {
 		return
 	}
-	for _, b := range w.snapshot.Load().all {
+	for _, b := range s.snapshot.Load().all {
 		if (*zones)[b.server.Zone] {
 			b.markWarmingUntil(now.Add(warmingAfterReturn))
 		}
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -153,7 +153,7 @@
 	{Name: "a circuit that rested too long is not used", Never: spliced, Package: "./internal/adapters/proxy", Test: "TestAConnectionThatRestedTooLongIsNotUsed",
 		Edits: []Edit{{"internal/adapters/proxy/circuit.go", "(!c.restedAt.IsZero() && now.Sub(c.restedAt) > c.rests)", "false"}}},
 	{Name: "servers of a district that comes back count as cold", Never: cold, Package: "./internal/scheduler", Test: "TestServersOfAZoneThatComesBackCountAsCold",
-		Edits: []Edit{{"internal/scheduler/cycle.go", "	w.warmReturnedZones(now)\n", ""}}},
+		Edits: []Edit{{"internal/scheduler/cycle.go", "	s.warmReturnedZones(now)\n", ""}}},
 	{Name: "signals stay caught while a process drains", Never: cut, Package: "./internal/adapters/daemon", Test: "TestSignalsStayCaughtAfterTheEndBegan",
 		Edits: []Edit{{"internal/adapters/daemon/signals.go", "	var looks <-chan time.Time\n", "	defer signal.Stop(s.caught)\n	var looks <-chan time.Time\n"}}},
 	{Name: "a request is admitted under the rule that dismisses its connection", Never: cut, Package: "./internal/adapters/proxy", Test: "TestNoInterleavingPassesARequestOnAndClosesItsConnection",
