--- a/core.go
+++ b/core.go
@@ -14,8 +14,10 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Core is one router's deterministic core. Apply may be called from several
-// threads; fed from one, the same events give the same decisions.
+// Core is the deterministic state machine of one router: it admits requests and opaque
+// calls, picks their servers, retries within a budget, and decides what the router's roles
+// ask for. Its methods may be called from several threads; fed from one, the same events
+// give the same decisions.
 type Core struct {
 	options    Options
 	market     *auction.Market
@@ -24,42 +26,122 @@
 	calls      *scheduler.Scheduler
 	pools      *scheduler.RoleBalancer
 	enabled    atomic.Pointer[FlagList]
-	rejected   atomic.Int64
+	// rejected counts the configurations that this build could not read.
+	rejected atomic.Int64
 
-	mutex          sync.Mutex
-	roles          []Role
-	roleEnds       time.Time
-	orders         map[string]Order
-	configuration  *config.Configuration
+	// mutex guards what follows.
+	mutex sync.Mutex
+	// roles are the keys that this router holds until roleEnds.
+	roles        []Role
+	roleEnds     time.Time
+	nextRoleTick time.Time
+	// orders are the orders in force, by server.
+	orders        map[string]Order
+	configuration *config.Configuration
+	// commandedAt and announcedToken are when, and with which fencing token, this router
+	// commanded a server last.
 	commandedAt    map[string]time.Time
 	announcedToken map[string]uint64
-	nextRoleTick   time.Time
-	openCalls      map[string]*scheduler.CallState
+	// openCalls are the calls that came by events and have not ended, by ID.
+	openCalls map[string]*scheduler.CallState
 }
 
-// New makes a core.
+// The intervals of a router's roles. The values are ours.
+const (
+	roleInterval = 100 * time.Millisecond
+	// commandInterval is the least time between two commands to a server that reports its
+	// own load.
+	commandInterval = time.Second
+	// commandVisibleWithin is how long it may take until an order that a server took shows
+	// in what the server list or a report says of it.
+	commandVisibleWithin = 3 * time.Second
+)
+
+// New makes the core of one router. It admits nothing before it was fed the servers, their
+// loads, the enabled flags, a configuration and a lease that confirms it.
 func New(options Options) *Core {
 	if options.MaxRequests <= 0 {
 		options.MaxRequests = DefaultMaxRequests
 	}
-	market := auction.NewMarket(options.Router, options.Zone, options.LeastLoaded)
-	return &Core{options: options, market: market, dispatcher: auction.NewDispatcher(market, options.Zone, options.MaxRequests),
-		calls: scheduler.New(scheduler.Options{Router: options.Router, Zone: options.Zone, Retries: options.Retries}), pools: scheduler.NewRoleBalancer(), openCalls: map[string]*scheduler.CallState{},
-		balancer: auction.NewBalancer(options.FixedParts), orders: map[string]Order{}, configuration: config.Empty(), commandedAt: map[string]time.Time{}, announcedToken: map[string]uint64{}}
+	market := auction.NewMarket(options.Zone, options.LeastLoaded)
+	calls := scheduler.New(scheduler.Options{
+		Router:  options.Router,
+		Zone:    options.Zone,
+		Retries: options.Retries,
+	})
+	return &Core{
+		options:        options,
+		market:         market,
+		dispatcher:     auction.NewDispatcher(market, options.Zone, options.MaxRequests),
+		balancer:       auction.NewBalancer(options.FixedParts),
+		calls:          calls,
+		pools:          scheduler.NewRoleBalancer(),
+		orders:         map[string]Order{},
+		configuration:  config.Empty(),
+		commandedAt:    map[string]time.Time{},
+		announcedToken: map[string]uint64{},
+		openCalls:      map[string]*scheduler.CallState{},
+	}
 }
 
-// Apply takes one event and returns what is to be done now.
+// Apply feeds the core one event and returns what is to be done now, in that order. It
+// never fails: an event that fits no request, or lacks its fields, changes nothing. Events
+// should come in the order of their times. Deadlines, timeouts and roles are looked at only
+// on those of kind auction.Ticked; feed one every few milliseconds while requests are in
+// flight.
 func (c *Core) Apply(event Event) []Decision {
 	switch event.Kind {
 	case auction.Ticked:
 		return append(c.dispatcher.Tick(event.At), c.roleDecisions(event.At)...)
-	case auction.ServersListed:
-		c.market.List(event.Servers)
-		c.calls.SetServers(event.At, event.Servers)
-	case auction.LoadReported:
-		if event.Load != nil {
-			c.market.Report(event.At, *event.Load)
+	case auction.RequestArrived, auction.ClaimAnswered, auction.PrefillAnswered,
+		auction.ChunkReceived, auction.DecodeEnded, auction.ClientDisconnected:
+		return c.applyToRequest(event)
+	case auction.CallArrived, auction.CallEnded:
+		return c.applyToCall(event)
+	case auction.ConfigurationReceived, auction.ConfigurationProvisional, auction.LeaseRenewed,
+		auction.FlagsRead, auction.OrdersRead, auction.DrainStarted:
+		c.applyControl(event)
+	default:
+		c.applyFleet(event)
+	}
+	return nil
+}
+
+// applyToRequest applies an event about one request.
+func (c *Core) applyToRequest(event Event) []Decision {
+	switch event.Kind {
+	case auction.RequestArrived:
+		if event.Request != nil {
+			return c.dispatcher.Arrive(event.At, event.Request)
 		}
+	case auction.ClaimAnswered:
+		return c.dispatcher.Claimed(event.At, event.ID, event.Outcome, event.Detail)
+	case auction.PrefillAnswered:
+		return c.dispatcher.Prefilled(event.At, event.ID, event.Run, event.Outcome, event.Handle)
+	case auction.ChunkReceived:
+		return c.dispatcher.Chunk(event.At, event.ID, event.Run, event.Chunk, event.Text)
+	case auction.DecodeEnded:
+		return c.dispatcher.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Chunk)
+	case auction.ClientDisconnected:
+		return c.dispatcher.ClientDisconnected(event.At, event.ID)
+	}
+	return nil
+}
+
+// applyToCall applies an event about one opaque call.
+func (c *Core) applyToCall(event Event) []Decision {
+	switch {
+	case event.Kind == auction.CallArrived && event.Call != nil:
+		return c.callArrived(event)
+	case event.Kind == auction.CallEnded && event.Result != nil:
+		return c.callEnded(event)
+	}
+	return nil
+}
+
+// applyControl applies an event from the control plane.
+func (c *Core) applyControl(event Event) {
+	switch event.Kind {
 	case auction.ConfigurationReceived:
 		c.applyConfiguration(event)
 	case auction.ConfigurationProvisional:
@@ -72,53 +154,47 @@
 		c.enabled.Store(&enabled)
 		c.dispatcher.SetForwarding(c.Restricted())
 	case auction.OrdersRead:
-		c.mutex.Lock()
-		c.orders = event.Orders
-		c.mutex.Unlock()
-		parts := make(map[string]string, len(event.Orders))
-		for server, order := range event.Orders {
-			parts[server] = order.Part
+		c.applyOrders(event)
+	case auction.DrainStarted:
+		c.dispatcher.Drain()
+		c.calls.Drain()
+	}
+}
+
+// applyFleet applies an event about the servers and the other routers.
+func (c *Core) applyFleet(event Event) {
+	switch event.Kind {
+	case auction.ServersListed:
+		c.market.List(event.Servers)
+		c.calls.SetServers(event.At, event.Servers)
+	case auction.LoadReported:
+		if event.Load != nil {
+			c.market.Report(event.At, *event.Load)
 		}
-		c.calls.SetRoleOrders(event.At, parts)
 	case auction.LoadsReported:
 		c.calls.SetLoads(event.At, event.Loads)
-	case auction.CallArrived:
-		if event.Call != nil {
-			return c.callArrived(event)
-		}
-	case auction.CallEnded:
-		if event.Result != nil {
-			return c.callEnded(event)
-		}
-	case auction.RequestArrived:
-		if event.Request != nil {
-			return c.dispatcher.Arrive(event.At, event.Request)
-		}
-	case auction.ClaimAnswered:
-		return c.dispatcher.Claimed(event.At, event.ID, event.Outcome, event.Detail)
-	case auction.PrefillAnswered:
-		return c.dispatcher.Prefilled(event.At, event.ID, event.Run, event.Outcome, event.Handle)
-	case auction.ChunkReceived:
-		return c.dispatcher.Chunk(event.At, event.ID, event.Run, event.Chunk, event.Text)
-	case auction.DecodeEnded:
-		return c.dispatcher.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Chunk)
-	case auction.ClientDisconnected:
-		return c.dispatcher.ClientDisconnected(event.At, event.ID)
 	case auction.RoutersCounted:
 		c.market.SetRouters(int(event.Number))
 		c.calls.SetRouterCount(int(event.Number))
-	case auction.DrainStarted:
-		c.dispatcher.Drain()
-		c.calls.Drain()
 	}
-	return nil
+}
+
+func (c *Core) applyOrders(event Event) {
+	c.mutex.Lock()
+	c.orders = event.Orders
+	c.mutex.Unlock()
+	parts := make(map[string]string, len(event.Orders))
+	for server, order := range event.Orders {
+		parts[server] = order.Part
+	}
+	c.calls.SetRoleOrders(event.At, parts)
 }
 
 func (c *Core) applyConfiguration(event Event) {
 	configuration, err := config.Check(event.Configuration)
 	if err != nil {
-		// A configuration is checked before it is accepted; one that this build
-		// can't read leaves the router without a hold for it.
+		// A configuration is checked before it is accepted; one that this build can't
+		// read leaves the router without a lease that confirms its version.
 		c.rejected.Add(1)
 		return
 	}
@@ -138,8 +214,8 @@
 	c.roleEnds = event.LeaseEnds
 }
 
-// Calls is the part of the core that follows opaque calls. A program that serves each
-// call in a thread of its own asks it directly; it needs no call events then.
+// Calls is the scheduler of opaque calls. A program that serves each call in a thread of
+// its own uses it directly instead of feeding events about calls.
 func (c *Core) Calls() *scheduler.Scheduler { return c.calls }
 
 func (c *Core) callArrived(event Event) []Decision {
@@ -168,20 +244,21 @@
 	return []Decision{{Kind: auction.CallDecided, ID: event.ID, Call: &decision}}
 }
 
-// InForce is the version of the configuration in force, as epoch and number.
+// InForce is the version of the configuration in force; zero before the first one.
 func (c *Core) InForce() (epoch, number uint64) { return c.dispatcher.InForce() }
 
-// LeaseEnds is when the router's hold runs out.
+// LeaseEnds is when the router's lease runs out; zero before the first one.
 func (c *Core) LeaseEnds() time.Time { return c.dispatcher.LeaseEnds() }
 
-// SetServeWithoutLease chooses how long the router goes on letting in after its last
-// hold, with its last configuration. Duties always need a hold.
-func (c *Core) SetServeWithoutLease(length time.Duration) { c.dispatcher.SetServeWithoutLease(length) }
+// SetServeWithoutLease sets for how long requests are admitted after the last lease ran
+// out, under the configuration in force; zero, the default, ends admission with the lease.
+// Roles always need a lease.
+func (c *Core) SetServeWithoutLease(period time.Duration) { c.dispatcher.SetServeWithoutLease(period) }
 
-// ServesUntil is until when the router admits.
+// ServesUntil is until when requests are admitted.
 func (c *Core) ServesUntil() time.Time { return c.dispatcher.ServesUntil() }
 
-// Enabled is the enabled set that the core has read.
+// Enabled are the enabled feature flags as they were read last, or nil.
 func (c *Core) Enabled() FlagList {
 	if enabled := c.enabled.Load(); enabled != nil {
 		return *enabled
@@ -189,101 +266,123 @@
 	return nil
 }
 
-// Restricted tells whether the node lacks an enabled flag, or has not read the
-// enabled set yet: it then writes no records and takes no duties.
+// Restricted tells whether this build lacks an enabled feature flag, or has not read the
+// enabled flags yet: the router then writes no records and takes no roles.
 func (c *Core) Restricted() bool {
 	enabled := c.enabled.Load()
 	return enabled == nil || len(c.options.Supported.Lacks(*enabled)) > 0
 }
 
-// InFlight counts the requests that have no final line yet.
+// InFlight counts the requests that have no final status yet, without opaque calls.
 func (c *Core) InFlight() int { return c.dispatcher.InFlight() }
 
-// InFlightRequests counts the requests of both kinds, requests and opaque calls, that
-// have not ended.
+// InFlightRequests counts requests and opaque calls that have not ended.
 func (c *Core) InFlightRequests() int { return c.dispatcher.InFlight() + c.calls.InFlight() }
 
-// HasRoles tells whether the router has duties.
+// HasRoles tells whether the last lease gave the router roles.
 func (c *Core) HasRoles() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.roles) > 0
 }
 
-// Draining tells whether the core lets nothing in any more.
+// Draining tells whether admission has ended for good.
 func (c *Core) Draining() bool { return c.dispatcher.Draining() }
 
-// Counts tells what the core has done, by name, for metrics.
+// Counts are counters since the start, by the names that the metrics use, and "in_flight".
 func (c *Core) Counts() map[string]int64 {
 	counters := c.dispatcher.Counters()
-	first, extra := c.dispatcher.Budget().Counts()
-	return map[string]int64{"arrived": counters.Arrived.Load(), "complete": counters.Complete.Load(),
-		"refused": counters.Refused.Load(), "failed": counters.Failed.Load(), "unknown": counters.Unknown.Load(),
-		"first_dispatches": int64(first), "extra_tries": int64(extra), "in_flight": int64(c.dispatcher.InFlight()),
-		"unreadable_configurations": c.rejected.Load()}
+	firstDispatches, retries := c.dispatcher.Budget().Counts()
+	return map[string]int64{
+		"arrived":                   counters.Arrived.Load(),
+		"complete":                  counters.Complete.Load(),
+		"refused":                   counters.Refused.Load(),
+		"failed":                    counters.Failed.Load(),
+		"unknown":                   counters.Unknown.Load(),
+		"first_dispatches":          int64(firstDispatches),
+		"extra_tries":               int64(retries),
+		"in_flight":                 int64(c.dispatcher.InFlight()),
+		"unreadable_configurations": c.rejected.Load(),
+	}
 }
 
-// dutiful does what the held duties ask for: the parts duty decides orders,
-// and each server's key lets its holder carry them out.
+// roleDecisions does what the router's roles ask for: the holder of the parts key submits
+// orders, and the holder of a server's key commands that server to take its order. Each
+// decision carries the role's fencing token and expires with the lease, so that a router
+// that slept through its lease can't overrule its successor.
 func (c *Core) roleDecisions(now time.Time) []Decision {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !now.Before(c.roleEnds) || now.Before(c.nextRoleTick) || len(c.roles) == 0 {
 		return nil
 	}
-	c.nextRoleTick = now.Add(100 * time.Millisecond)
+	c.nextRoleTick = now.Add(roleInterval)
 	servers := c.market.Listing()
 	var decisions []Decision
 	for _, role := range c.roles {
 		if role.Key == lease.PartsKey {
 			if orders := c.dueOrders(now); len(orders) > 0 {
-				decisions = append(decisions, Decision{Kind: auction.SubmitOrders, Role: role, Orders: orders, NotAfter: c.roleEnds})
+				decisions = append(decisions, Decision{
+					Kind:     auction.SubmitOrders,
+					Role:     role,
+					Orders:   orders,
+					NotAfter: c.roleEnds,
+				})
 			}
 			continue
 		}
-		name, isServer := strings.CutPrefix(role.Key, lease.ServerKey(""))
-		order, ordered := c.orders[name]
-		if part, changing, listed := c.calls.Role(name); isServer && ordered && listed {
-			// A listed part needs an order only when it is another one: orders have a
-			// price. What was ordered shows in the reports a while later.
-			if changing || part == order.Part || now.Sub(c.commandedAt[name]) < commandVisibleWithin {
-				continue
-			}
-			decisions = append(decisions, c.commandFor(now, name, role, order, servers)...)
-			continue
-		}
-		load, reported := c.market.Load(now, name)
-		if !isServer || !ordered || !reported || now.Sub(c.commandedAt[name]) < time.Second {
-			continue
-		}
-		// A new holder commands once in any case: the server learns the fence,
-		// and refuses what an older holder may still send after a long sleep.
-		if string(load.Part) == order.Part && c.announcedToken[name] == role.FencingToken {
-			continue
+		if name, isServer := strings.CutPrefix(role.Key, lease.ServerKey("")); isServer && c.commandDue(now, name, role) {
+			decisions = append(decisions, c.commandFor(now, name, role, servers)...)
 		}
-		decisions = append(decisions, c.commandFor(now, name, role, order, servers)...)
 	}
-	sort.SliceStable(decisions, func(left, right int) bool { return decisions[left].Server < decisions[right].Server })
+	sort.SliceStable(decisions, func(i, j int) bool { return decisions[i].Server < decisions[j].Server })
 	return decisions
 }
 
-// commandVisibleWithin is how long it may take until an order that a server took shows in what
-// is reported of it. The value is ours.
-const commandVisibleWithin = 3 * time.Second
+// commandDue tells whether a server is to be commanded now to take the order in force.
+func (c *Core) commandDue(now time.Time, server string, role Role) bool {
+	order, ordered := c.orders[server]
+	if !ordered {
+		return false
+	}
+	sinceCommand := now.Sub(c.commandedAt[server])
+	if part, changing, listed := c.calls.Role(server); listed {
+		// A server whose part is listed is commanded only to take another one: a change
+		// costs it time. That it took the order shows in the reports a while later.
+		return !changing && part != order.Part && sinceCommand >= commandVisibleWithin
+	}
+	load, reported := c.market.Load(now, server)
+	if !reported || sinceCommand < commandInterval {
+		return false
+	}
+	// A new holder commands once in any case: the server learns the fencing token, and
+	// refuses what an older holder may still send after a long pause.
+	return string(load.Part) != order.Part || c.announcedToken[server] != role.FencingToken
+}
 
-func (c *Core) commandFor(now time.Time, name string, role Role, order Order, servers []Server) []Decision {
+// commandFor commands a listed server to take the order in force.
+func (c *Core) commandFor(now time.Time, name string, role Role, servers []Server) []Decision {
+	order := c.orders[name]
 	for _, server := range servers {
 		if server.Name == name {
 			c.commandedAt[name], c.announcedToken[name] = now, role.FencingToken
-			return []Decision{{Kind: auction.CommandServer, Server: name, Address: server.Address, Role: role,
-				Part: auction.Part(order.Part), Order: &order, NotAfter: c.roleEnds}}
+			return []Decision{{
+				Kind:     auction.CommandServer,
+				Server:   name,
+				Address:  server.Address,
+				Role:     role,
+				Part:     auction.Part(order.Part),
+				Order:    &order,
+				NotAfter: c.roleEnds,
+			}}
 		}
 	}
 	return nil
 }
 
-// balanced are the orders that the parts duty gives now: by the work of calls where the
-// list says what servers do, by the market's reports otherwise.
+// dueOrders are the orders that the holder of the parts key submits now: by the load of
+// opaque calls where the server list says what servers do, by the market's reports
+// otherwise.
 func (c *Core) dueOrders(now time.Time) []Order {
 	if !c.calls.Disaggregated() {
 		if !c.balancer.Due(now) {
@@ -298,7 +397,8 @@
 	return c.pools.Decide(now, c.calls)
 }
 
-// ReadOrders decodes the standing orders' records with the core's own list.
+// ReadOrders decodes the records of the orders in force, by server. It leaves out those
+// that need a feature flag that this build lacks, or can't be read.
 func (c *Core) ReadOrders(records map[string]codec.Record) map[string]Order {
 	orders := map[string]Order{}
 	for server, record := range records {
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -11,9 +11,10 @@
 )
 
 const callConfiguration = `{"services":{"desk":{"engine":{"slots":64,"memory_tokens":295740}}},
-"routes":{"long":{"match":{"host":"ask.example","path_prefix":"/"},"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":3000,"tries":2,"streams":true,"resumable":true}}}}`
+"routes":{"long":{"match":{"host":"ask.example","path_prefix":"/"},
+"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":3000,"tries":2,"streams":true,"resumable":true}}}}`
 
-// callServerCount leaves room for two more readers beside the runners that stay.
+// callServerCount allows two more prefill servers beside the decode servers that stay.
 const callServerCount = 7
 
 func callServers(count int) []Server {
@@ -34,7 +35,13 @@
 	core.Apply(Event{Kind: auction.FlagsRead, At: now})
 	core.Apply(Event{Kind: auction.RoutersCounted, At: now, Number: 3})
 	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: callServers(callServerCount)})
-	core.Apply(Event{Kind: auction.ConfigurationReceived, At: now, Epoch: 1, Number: 1, Configuration: []byte(callConfiguration)})
+	core.Apply(Event{
+		Kind:          auction.ConfigurationReceived,
+		At:            now,
+		Epoch:         1,
+		Number:        1,
+		Configuration: []byte(callConfiguration),
+	})
 	return core
 }
 
@@ -51,17 +58,27 @@
 		}
 		return *decisions[0].Call
 	}
-	call := &Call{ID: "one", Host: "ask.example", Path: "/x", PromptTokens: 9000, OutputTokens: 50, Segments: []CallPart{{ID: 1, Tokens: 6000}, {ID: 2, Tokens: 3000}}}
+	ended := Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete}}
+	call := &Call{
+		ID:           "one",
+		Host:         "ask.example",
+		Path:         "/x",
+		PromptTokens: 9000,
+		OutputTokens: 50,
+		Segments:     []CallSegment{{ID: 1, Tokens: 6000}, {ID: 2, Tokens: 3000}},
+	}
 	if decision := step(Event{Kind: auction.CallArrived, Call: call}); decision.Kind != scheduler.Prefill {
 		t.Fatalf("arrived: %+v", decision)
 	}
-	if decision := step(Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete, Handle: "h"}}); decision.Kind != scheduler.Generate || decision.Source == nil {
+	prefilled := Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete, Handle: "h"}}
+	if decision := step(prefilled); decision.Kind != scheduler.Generate || decision.Source == nil {
 		t.Fatalf("read: %+v", decision)
 	}
-	if decision := step(Event{Kind: auction.CallEnded, ID: "one", Result: &CallOutcome{Result: scheduler.Complete}}); decision.Kind != scheduler.Done {
+	if decision := step(ended); decision.Kind != scheduler.Done {
 		t.Fatalf("run: %+v", decision)
 	}
-	if decisions := core.Apply(Event{Kind: auction.CallEnded, At: now, ID: "one", Result: &CallOutcome{Result: scheduler.Complete}}); decisions != nil || core.Calls().InFlight() != 0 {
+	ended.At = now
+	if decisions := core.Apply(ended); decisions != nil || core.Calls().InFlight() != 0 {
 		t.Fatalf("a call that is over: %+v", decisions)
 	}
 	call.Host = "nobody.example"
@@ -103,7 +120,8 @@
 				core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: orders})
 			case auction.CommandServer:
 				commands[decision.Server]++
-				if decision.Role.FencingToken != 9 || string(decision.Part) != orders[decision.Server].Part || !decision.NotAfter.Equal(now.Add(time.Second)) {
+				if decision.Role.FencingToken != 9 || string(decision.Part) != orders[decision.Server].Part ||
+					!decision.NotAfter.Equal(now.Add(time.Second)) {
 					t.Fatalf("%+v", decision)
 				}
 				part[decision.Server] = string(decision.Part)
--- a/core_test.go
+++ b/core_test.go
@@ -21,7 +21,11 @@
 	now := time.Unix(3_000_000, 0)
 	servers := []Server{}
 	for number := range 6 {
-		servers = append(servers, Server{Name: fmt.Sprint("s", number), Address: fmt.Sprint("s", number), Zone: []string{"north", "south"}[number%2]})
+		servers = append(servers, Server{
+			Name:    fmt.Sprint("s", number),
+			Address: fmt.Sprint("s", number),
+			Zone:    []string{"north", "south"}[number%2],
+		})
 	}
 	runs := map[string]int{}
 	var dispatched []string
@@ -52,16 +56,45 @@
 	}
 	feed(Event{Kind: auction.ServersListed, Servers: servers})
 	feed(Event{Kind: auction.FlagsRead})
-	feed(Event{Kind: auction.ConfigurationReceived, Epoch: 1, Number: 1, Configuration: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)})
-	outcomes := []auction.Outcome{auction.OutcomeDone, auction.OutcomeDone, auction.OutcomeDone, auction.OutcomeNotStarted, auction.OutcomeFailed, auction.OutcomeUnknown, auction.OutcomeHandleExpired}
+	feed(Event{
+		Kind:          auction.ConfigurationReceived,
+		Epoch:         1,
+		Number:        1,
+		Configuration: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`),
+	})
+	outcomes := []auction.Outcome{
+		auction.OutcomeDone,
+		auction.OutcomeDone,
+		auction.OutcomeDone,
+		auction.OutcomeNotStarted,
+		auction.OutcomeFailed,
+		auction.OutcomeUnknown,
+		auction.OutcomeHandleExpired,
+	}
 	for number := range 4000 {
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 		if number%20 == 0 {
-			feed(Event{Kind: auction.LeaseRenewed, LeaseEnds: now.Add(4 * time.Second), Epoch: 1, Number: 1, Roles: []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 1}}})
+			feed(Event{
+				Kind:      auction.LeaseRenewed,
+				LeaseEnds: now.Add(4 * time.Second),
+				Epoch:     1,
+				Number:    1,
+				Roles:     []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 1}},
+			})
 			for position, server := range servers {
 				part := []auction.Part{auction.Prefill, auction.Decode}[position/2%2]
-				feed(Event{Kind: auction.LoadReported, Load: &Load{Server: server.Name, Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillCapacity: 8,
-					DecodeSlots: 16, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000, PrefillQueueTokens: random.IntN(4000)}})
+				feed(Event{Kind: auction.LoadReported, Load: &Load{
+					Server:             server.Name,
+					Part:               part,
+					Age:                time.Hour,
+					PrefillRate:        20_000,
+					PrefillCapacity:    8,
+					DecodeSlots:        16,
+					ChunkTime:          time.Millisecond,
+					MemoryFree:         100_000,
+					LinkRate:           400_000,
+					PrefillQueueTokens: random.IntN(4000),
+				}})
 			}
 		}
 		id := fmt.Sprint("inquiry-", random.IntN(number+1))
@@ -70,7 +103,13 @@
 		}
 		switch random.IntN(7) {
 		case 0, 1:
-			feed(Event{Kind: auction.RequestArrived, Request: &Request{ID: fmt.Sprint("inquiry-", number), Service: "chat", Idempotent: random.IntN(3) > 0, PromptTokens: 100 + random.IntN(900), Chunks: 2}})
+			feed(Event{Kind: auction.RequestArrived, Request: &Request{
+				ID:           fmt.Sprint("inquiry-", number),
+				Service:      "chat",
+				Idempotent:   random.IntN(3) > 0,
+				PromptTokens: 100 + random.IntN(900),
+				Chunks:       2,
+			}})
 		case 2:
 			feed(Event{Kind: auction.ClaimAnswered, ID: id, Outcome: auction.OutcomeDone})
 		case 3:
@@ -83,7 +122,16 @@
 			feed(Event{Kind: auction.Ticked})
 		}
 	}
-	for _, kind := range []auction.DecisionKind{auction.ClaimRequest, auction.DispatchPrefill, auction.DispatchDecode, auction.SendChunk, auction.Finish, auction.Cancel, auction.RecordRetry, auction.SubmitOrders} {
+	for _, kind := range []auction.DecisionKind{
+		auction.ClaimRequest,
+		auction.DispatchPrefill,
+		auction.DispatchDecode,
+		auction.SendChunk,
+		auction.Finish,
+		auction.Cancel,
+		auction.RecordRetry,
+		auction.SubmitOrders,
+	} {
 		if seen[kind] == 0 {
 			t.Errorf("the stream brought about no %s", kind)
 		}
@@ -103,10 +151,16 @@
 			now = now.Add(200 * time.Millisecond)
 			core.Apply(Event{Kind: auction.LoadReported, At: now, Load: &Load{Server: "s", Part: auction.Decode}})
 			if fencingToken > 0 {
-				core.Apply(Event{Kind: auction.LeaseRenewed, At: now, LeaseEnds: now.Add(time.Second), Roles: []Role{{Key: lease.ServerKey("s"), Holder: "courier-1", FencingToken: fencingToken}}})
+				core.Apply(Event{
+					Kind:      auction.LeaseRenewed,
+					At:        now,
+					LeaseEnds: now.Add(time.Second),
+					Roles:     []Role{{Key: lease.ServerKey("s"), Holder: "courier-1", FencingToken: fencingToken}},
+				})
 			}
 			for _, decision := range core.Apply(Event{Kind: auction.Ticked, At: now}) {
-				if decision.Kind == auction.CommandServer && decision.Role.FencingToken == fencingToken && decision.NotAfter.Equal(now.Add(time.Second)) {
+				if decision.Kind == auction.CommandServer && decision.Role.FencingToken == fencingToken &&
+					decision.NotAfter.Equal(now.Add(time.Second)) {
 					count++
 				}
 			}
--- a/internal/auction/balancer.go
+++ b/internal/auction/balancer.go
@@ -75,9 +75,11 @@
 	}
 	switch {
 	case b.consecutive[Prefill] >= balanceThreshold:
-		orders = append(orders, newOrder(leastLoadedServer(pools.decode, loads), Prefill, "prompts wait while answers have room"))
+		server := leastLoadedServer(pools.decode, loads)
+		orders = append(orders, newOrder(server, Prefill, "prompts wait while answers have room"))
 	case b.consecutive[Decode] >= balanceThreshold:
-		orders = append(orders, newOrder(leastLoadedServer(pools.prefill, loads), Decode, "answers wait while prompts have room"))
+		server := leastLoadedServer(pools.prefill, loads)
+		orders = append(orders, newOrder(server, Decode, "answers wait while prompts have room"))
 	default:
 		return nil
 	}
--- a/internal/auction/dispatcher_test.go
+++ b/internal/auction/dispatcher_test.go
@@ -12,12 +12,16 @@
 
 var noon = time.Unix(2_000_000, 0)
 
-// newTestDispatcher is a desk with two prefill and two decode servers and a hold.
+// newTestDispatcher is a dispatcher with two prefill and two decode servers and a lease.
 func newTestDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
-	market := NewMarket("courier-1", "north", false)
-	market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "p2", Address: "p2", Zone: "south"},
-		{Name: "d1", Address: "d1", Zone: "north"}, {Name: "d2", Address: "d2", Zone: "south"}})
+	market := NewMarket("north", false)
+	market.List([]membership.Server{
+		{Name: "p1", Address: "p1", Zone: "north"},
+		{Name: "p2", Address: "p2", Zone: "south"},
+		{Name: "d1", Address: "d1", Zone: "north"},
+		{Name: "d2", Address: "d2", Zone: "south"},
+	})
 	dispatcher := NewDispatcher(market, "north", 100)
 	reportLoads(dispatcher, noon)
 	configure(t, dispatcher, 1, `{"services":{"chat":{"tries":3}},"routes":{"all":{"to":{}}}}`)
@@ -27,10 +31,33 @@
 
 func reportLoads(dispatcher *Dispatcher, now time.Time) {
 	for _, name := range []string{"p1", "p2"} {
-		dispatcher.market.Report(now, Load{Server: name, Part: Prefill, Age: time.Hour, PrefillRate: 20_000, PrefillCapacity: 8, LinkRate: 400_000})
+		dispatcher.market.Report(now, prefillLoad(name, time.Hour, 8))
 	}
 	for _, name := range []string{"d1", "d2"} {
-		dispatcher.market.Report(now, Load{Server: name, Part: Decode, Age: time.Hour, DecodeSlots: 16, ChunkTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+		dispatcher.market.Report(now, decodeLoad(name, 16, 8*time.Millisecond))
+	}
+}
+
+func prefillLoad(name string, age time.Duration, capacity int) Load {
+	return Load{
+		Server:          name,
+		Part:            Prefill,
+		Age:             age,
+		PrefillRate:     20_000,
+		PrefillCapacity: capacity,
+		LinkRate:        400_000,
+	}
+}
+
+func decodeLoad(name string, slots int, chunkTime time.Duration) Load {
+	return Load{
+		Server:      name,
+		Part:        Decode,
+		Age:         time.Hour,
+		DecodeSlots: slots,
+		ChunkTime:   chunkTime,
+		MemoryFree:  100_000,
+		LinkRate:    400_000,
 	}
 }
 
@@ -56,7 +83,7 @@
 	return nil
 }
 
-// earn gives the budget room for extra tries.
+// earn gives the budget credit for retries.
 func earn(dispatcher *Dispatcher) {
 	for range 20 {
 		dispatcher.budget.RecordFirst()
@@ -91,42 +118,50 @@
 func TestNothingIsDispatchedPastItsLimitOrWithoutALease(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	if final := find(arrive(dispatcher, noon.Add(4*time.Second), "late", true), Finish); final == nil || final.Cause != failure.NoLease {
-		t.Errorf("let in without a hold: %+v", final)
+		t.Errorf("admitted without a lease: %+v", final)
+	}
+	request := &Request{
+		ID:           "one",
+		Service:      "chat",
+		Idempotent:   false,
+		PromptTokens: 500,
+		Chunks:       3,
+		Deadline:     noon.Add(time.Second),
 	}
-	request := &Request{ID: "one", Service: "chat", Idempotent: false, PromptTokens: 500, Chunks: 3, Deadline: noon.Add(time.Second)}
 	dispatcher.Arrive(noon, request)
 	decisions := dispatcher.Claimed(noon.Add(time.Second), "one", OutcomeDone, "")
 	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Refused {
-		t.Errorf("after the limit: %+v", decisions)
+		t.Errorf("after the deadline: %+v", decisions)
 	}
-	// A prompt that was read while the hold ran out waits for the next one.
+	// A prompt that was read while the lease ran out waits for the next one.
 	arrive(dispatcher, noon, "two", true)
 	after := noon.Add(4 * time.Second)
 	if decisions := dispatcher.Prefilled(after, "two", 1, OutcomeDone, "handle"); len(decisions) != 0 {
-		t.Errorf("dispatched without a hold: %+v", decisions)
+		t.Errorf("dispatched without a lease: %+v", decisions)
 	}
 	reportLoads(dispatcher, after)
 	dispatcher.Renew(after.Add(4*time.Second), 1, 1)
-	if decode := find(dispatcher.Tick(after), DispatchDecode); decode == nil || decode.Handle != "handle" || !decode.NotAfter.Equal(after.Add(4*time.Second)) {
-		t.Errorf("not dispatched under the new hold: %+v", decode)
+	decode := find(dispatcher.Tick(after), DispatchDecode)
+	if decode == nil || decode.Handle != "handle" || !decode.NotAfter.Equal(after.Add(4*time.Second)) {
+		t.Errorf("not dispatched under the new lease: %+v", decode)
 	}
 }
 
-// TestGivenUpRequestIsAnsweredAtOnce lets the hold stay away: the caller is told
-// soon, long before the limit, and when to come back.
+// TestGivenUpRequestIsAnsweredAtOnce lets the lease stay away: the client is answered
+// soon, long before the deadline, and when to come back.
 func TestGivenUpRequestIsAnsweredAtOnce(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	arrive(dispatcher, noon, "one", false)
 	after := noon.Add(4 * time.Second)
 	if decisions := dispatcher.Claimed(after, "one", OutcomeDone, ""); len(decisions) != 0 {
-		t.Errorf("without a hold: %+v", decisions)
+		t.Errorf("without a lease: %+v", decisions)
 	}
 	if decisions := dispatcher.Tick(after.Add(leaseTimeout)); len(decisions) != 0 {
 		t.Errorf("given up early: %+v", decisions)
 	}
 	final := find(dispatcher.Tick(after.Add(leaseTimeout+time.Millisecond)), Finish)
 	if final == nil || final.Final != Refused || final.Cause != failure.NoLease || final.Retry == 0 {
-		t.Errorf("when no hold comes: %+v", final)
+		t.Errorf("when no lease comes: %+v", final)
 	}
 }
 
@@ -136,19 +171,20 @@
 	arrive(dispatcher, noon, "one", true)
 	dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle")
 	if chunk := find(dispatcher.Chunk(noon, "one", 1, 1, "a"), SendChunk); chunk == nil {
-		t.Fatal("the first piece was not sent")
+		t.Fatal("the first chunk was not sent")
 	}
 	if late := dispatcher.Chunk(noon, "one", 2, 2, "b"); len(late) != 0 {
-		t.Errorf("a piece of another run was taken: %+v", late)
+		t.Errorf("a chunk of another run was taken: %+v", late)
 	}
 	decisions := dispatcher.Decoded(noon, "one", 1, OutcomeUnknown, 0)
-	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Failed || final.Chunks != 1 {
-		t.Errorf("after the first piece: %+v", decisions)
+	final := find(decisions, Finish)
+	if find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Failed || final.Chunks != 1 {
+		t.Errorf("after the first chunk: %+v", decisions)
 	}
 	arrive(dispatcher, noon, "two", true)
 	dispatcher.Prefilled(noon, "two", 1, OutcomeDone, "handle")
 	if final := find(dispatcher.Chunk(noon, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
-		t.Errorf("a stream with a missing piece went on: %+v", final)
+		t.Errorf("a stream with a missing chunk went on: %+v", final)
 	}
 }
 
@@ -167,7 +203,7 @@
 		}
 	}
 	if first, counted := dispatcher.budget.Counts(); extra == 0 || extra != counted || extra*5 > first {
-		t.Errorf("%d extra tries (%d counted) for %d first ones", extra, counted, first)
+		t.Errorf("%d retries (%d counted) for %d first dispatches", extra, counted, first)
 	}
 }
 
@@ -179,23 +215,26 @@
 	arrive(dispatcher, noon, "one", true)
 	dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle")
 	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
-		t.Fatal("a lapsed handle was not made anew")
+		t.Fatal("no new run after the handle expired")
 	}
 	if _, extra := dispatcher.budget.Counts(); extra != 2 {
-		t.Errorf("the run cost %d tries", extra)
+		t.Errorf("the run cost %d retries", extra)
 	}
 }
 
-// TestRoutersShareAColdServersRoom: what seven routers may send to a cold
-// server between two reports stays within its room.
+// TestRoutersShareAColdServersRoom: what seven routers may send to a server
+// that is warming up between two reports stays within its capacity.
 func TestRoutersShareAColdServersRoom(t *testing.T) {
 	sent := 0
 	for router := range 7 {
 		dispatcher := newTestDispatcher(t)
 		dispatcher.market.SetRouters(7)
-		dispatcher.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "d1", Address: "d1", Zone: "north"}})
-		dispatcher.market.Report(noon, Load{Server: "p1", Part: Prefill, Age: time.Second, PrefillRate: 20_000, PrefillCapacity: 12, LinkRate: 400_000})
-		dispatcher.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+		dispatcher.market.List([]membership.Server{
+			{Name: "p1", Address: "p1", Zone: "north"},
+			{Name: "d1", Address: "d1", Zone: "north"},
+		})
+		dispatcher.market.Report(noon, prefillLoad("p1", time.Second, 12))
+		dispatcher.market.Report(noon, decodeLoad("d1", 100, time.Millisecond))
 		for number := range 10 {
 			if find(arrive(dispatcher, noon, fmt.Sprint(router, "/", number), true), DispatchPrefill) != nil {
 				sent++
@@ -203,7 +242,7 @@
 		}
 	}
 	if sent == 0 || sent > 8 {
-		t.Errorf("seven couriers sent %d prompts to a server one second old", sent)
+		t.Errorf("seven routers sent %d prompts to a server one second old", sent)
 	}
 }
 
@@ -216,7 +255,7 @@
 		t.Error("an older configuration was taken")
 	}
 	if dispatcher.Renew(noon.Add(time.Hour), 1, 1) {
-		t.Error("a hold for another configuration was taken")
+		t.Error("a lease for another configuration was taken")
 	}
 	if final := find(arrive(dispatcher, noon, "one", true), Finish); final == nil || final.Cause != failure.UnknownService {
 		t.Errorf("%+v", final)
@@ -233,15 +272,19 @@
 	if decode := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle"), DispatchDecode); decode == nil || decode.Server != "d2" {
 		t.Errorf("with north evacuated: %+v", decode)
 	}
-	dispatcher.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "p2", Address: "p2", Zone: "south", Leaving: true},
-		{Name: "d1", Address: "d1", Zone: "north"}, {Name: "d2", Address: "d2", Zone: "south"}})
+	dispatcher.market.List([]membership.Server{
+		{Name: "p1", Address: "p1", Zone: "north"},
+		{Name: "p2", Address: "p2", Zone: "south", Leaving: true},
+		{Name: "d1", Address: "d1", Zone: "north"},
+		{Name: "d2", Address: "d2", Zone: "south"},
+	})
 	if final := find(arrive(dispatcher, noon, "two", true), Finish); final == nil || final.Final != Refused {
 		t.Errorf("with the last server leaving: %+v", final)
 	}
 	configure(t, dispatcher, 3, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{},"south":{}}}`)
 	dispatcher.Renew(noon.Add(4*time.Second), 1, 3)
 	if final := find(arrive(dispatcher, noon, "three", true), Finish); final == nil || final.Cause != failure.Evacuated || final.Retry == 0 {
-		t.Errorf("with every district evacuated: %+v", final)
+		t.Errorf("with every zone evacuated: %+v", final)
 	}
 }
 
@@ -265,9 +308,12 @@
 
 func TestColdServerIsOfferedLittle(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	dispatcher.market.List([]membership.Server{{Name: "p1", Address: "p1", Zone: "north"}, {Name: "d1", Address: "d1", Zone: "north"}})
-	dispatcher.market.Report(noon, Load{Server: "p1", Part: Prefill, PrefillRate: 20_000, PrefillCapacity: 20, LinkRate: 400_000})
-	dispatcher.market.Report(noon, Load{Server: "d1", Part: Decode, Age: time.Hour, DecodeSlots: 100, ChunkTime: time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000})
+	dispatcher.market.List([]membership.Server{
+		{Name: "p1", Address: "p1", Zone: "north"},
+		{Name: "d1", Address: "d1", Zone: "north"},
+	})
+	dispatcher.market.Report(noon, prefillLoad("p1", 0, 20))
+	dispatcher.market.Report(noon, decodeLoad("d1", 100, time.Millisecond))
 	dispatched := 0
 	for number := range 20 {
 		if find(arrive(dispatcher, noon, fmt.Sprint(number), true), DispatchPrefill) != nil {
@@ -279,8 +325,8 @@
 	}
 }
 
-// TestLateUpdateOfAnOlderRun lets the answer to a given-up run come after the next
-// one has begun.
+// TestLateUpdateOfAnOlderRun lets the answer to an aborted run come after the next one
+// has begun.
 func TestLateUpdateOfAnOlderRun(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	earn(dispatcher)
@@ -289,12 +335,12 @@
 		t.Fatal("no second run")
 	}
 	if late := dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "old memory"); len(late) != 0 {
-		t.Errorf("late news of the first run led to %+v", late)
+		t.Errorf("a late answer of the first run led to %+v", late)
 	}
 }
 
-// TestHandleIsUsedByItsOwnRun wants the second run's decode to take the second
-// run's memory.
+// TestHandleIsUsedByItsOwnRun wants the second run's decode to use the second
+// run's KV cache.
 func TestHandleIsUsedByItsOwnRun(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	earn(dispatcher)
@@ -303,7 +349,7 @@
 		t.Fatalf("the first decode: %+v", decode)
 	}
 	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
-		t.Fatal("no second run after the handle lapsed")
+		t.Fatal("no second run after the handle expired")
 	}
 	if decode := find(dispatcher.Prefilled(noon, "one", 2, OutcomeDone, "second"), DispatchDecode); decode == nil || decode.Handle != "second" {
 		t.Errorf("the second decode: %+v", decode)
@@ -319,7 +365,7 @@
 	}
 }
 
-// TestLeaseOfAnotherVersionLetsNothingIn renews a hold for a configuration that
+// TestLeaseOfAnotherVersionLetsNothingIn renews a lease for a configuration that
 // is not the one in force.
 func TestLeaseOfAnotherVersionLetsNothingIn(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
@@ -328,13 +374,13 @@
 	reportLoads(dispatcher, later)
 	dispatcher.Renew(later.Add(4*time.Second), 1, 1)
 	if decisions := arrive(dispatcher, later, "one", true); find(decisions, DispatchPrefill) != nil {
-		t.Errorf("let in under a hold for an older configuration: %+v", decisions)
+		t.Errorf("let in under a lease for an older configuration: %+v", decisions)
 	}
 }
 
 // TestDarkServerEndsWhatMayNotBeRepeated leaves a request that may not be
 // repeated at a server that reports no more: nothing further can be known, so it
-// is told at once. At one that is slow and reports, it goes on.
+// is ended at once. At one that is slow and reports, it goes on.
 func TestDarkServerEndsWhatMayNotBeRepeated(t *testing.T) {
 	for name, reports := range map[string]bool{"slow": true, "dark": false} {
 		dispatcher := newTestDispatcher(t)
@@ -349,13 +395,13 @@
 			t.Errorf("%s: ended, though %s reports: %+v", name, dispatch.Server, final)
 		}
 		if !reports && (final == nil || final.Final != Unknown) {
-			t.Errorf("%s: not told: %+v", name, final)
+			t.Errorf("%s: not ended as unknown: %+v", name, final)
 		}
 	}
 }
 
-// TestBudgetSavesTwoAttemptsAndNoMore lets a router work long without trouble: a
-// loss must not bring a burst of tries that were saved in the quiet.
+// TestBudgetSavesTwoAttemptsAndNoMore lets a router work long without a fault: a
+// failure must not bring a burst of retries that were saved up before.
 func TestBudgetSavesTwoAttemptsAndNoMore(t *testing.T) {
 	budget := &RetryBudget{}
 	for range 1000 {
@@ -366,12 +412,12 @@
 		saved++
 	}
 	if saved != 2 {
-		t.Errorf("%d tries were saved", saved)
+		t.Errorf("%d retries were saved", saved)
 	}
 }
 
-// TestDispatcherServesWithoutALeaseForTheConfiguredPeriod lets the hold end, and the time without
-// one; a desk that never had a hold lets nothing in.
+// TestDispatcherServesWithoutALeaseForTheConfiguredPeriod lets the lease end, and the time
+// without one; a dispatcher that never had a lease admits nothing.
 func TestDispatcherServesWithoutALeaseForTheConfiguredPeriod(t *testing.T) {
 	arrives := func(d *Dispatcher, at time.Duration) failure.Code {
 		reportLoads(d, noon.Add(at))
@@ -382,22 +428,22 @@
 	}
 	dispatcher := newTestDispatcher(t)
 	if cause := arrives(dispatcher, 5*time.Second); cause != failure.NoLease {
-		t.Errorf("without being told: %q", cause)
+		t.Errorf("without the setting: %q", cause)
 	}
 	dispatcher.SetServeWithoutLease(time.Minute)
 	if cause := arrives(dispatcher, 5*time.Second); cause != "" {
-		t.Errorf("within its time without a hold: %q", cause)
+		t.Errorf("within its time without a lease: %q", cause)
 	}
 	if cause := arrives(dispatcher, 65*time.Second); cause != failure.NoLease {
-		t.Errorf("after its time without a hold: %q", cause)
+		t.Errorf("after its time without a lease: %q", cause)
 	}
 	if !dispatcher.LeaseEnds().Equal(noon.Add(4 * time.Second)) {
-		t.Errorf("the hold ends %s", dispatcher.LeaseEnds())
+		t.Errorf("the lease ends %s", dispatcher.LeaseEnds())
 	}
-	blank := NewDispatcher(NewMarket("courier-1", "north", false), "north", 100)
+	blank := NewDispatcher(NewMarket("north", false), "north", 100)
 	blank.SetServeWithoutLease(time.Hour)
 	configure(t, blank, 1, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
 	if cause := arrives(blank, 0); cause != failure.NoLease {
-		t.Errorf("a life without any hold: %q", cause)
+		t.Errorf("an incarnation without any lease: %q", cause)
 	}
 }
--- a/internal/auction/finish.go
+++ b/internal/auction/finish.go
@@ -45,7 +45,13 @@
 }
 
 // finish removes a request, whose shard is locked, and sends its final status.
-func (d *Dispatcher) finish(now time.Time, s *shard, entry *requestState, final FinalStatus, cause failure.Code) []Decision {
+func (d *Dispatcher) finish(
+	now time.Time,
+	s *shard,
+	entry *requestState,
+	final FinalStatus,
+	cause failure.Code,
+) []Decision {
 	d.release(entry)
 	delete(s.requests, entry.request.ID)
 	d.inFlight.Add(-1)
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -16,7 +16,6 @@
 	// mutex orders the lists; the snapshot is replaced under it.
 	mutex       sync.Mutex
 	snapshot    atomic.Pointer[snapshot]
-	router      string
 	zone        string
 	leastLoaded bool
 	routers     atomic.Int64
@@ -32,8 +31,8 @@
 
 // NewMarket makes the market of a router in a zone. With leastLoaded it picks the two
 // least loaded servers instead of the cheapest pair, for comparison.
-func NewMarket(router, zone string, leastLoaded bool) *Market {
-	market := &Market{router: router, zone: zone, leastLoaded: leastLoaded}
+func NewMarket(zone string, leastLoaded bool) *Market {
+	market := &Market{zone: zone, leastLoaded: leastLoaded}
 	market.snapshot.Store(&snapshot{byName: map[string]*ServerState{}})
 	return market
 }
@@ -68,7 +67,9 @@
 		next.byName[server.Name] = state
 		next.servers = append(next.servers, state)
 	}
-	sort.Slice(next.servers, func(free, right int) bool { return next.servers[free].server.Name < next.servers[right].server.Name })
+	sort.Slice(next.servers, func(i, j int) bool {
+		return next.servers[i].server.Name < next.servers[j].server.Name
+	})
 	m.snapshot.Store(next)
 }
 
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -11,10 +11,14 @@
 
 // newTestMarket has so many servers, two of five of which read prompts.
 func newTestMarket(count int) *Market {
-	market := NewMarket("courier-1", "north", false)
+	market := NewMarket("north", false)
 	var servers []membership.Server
 	for number := range count {
-		servers = append(servers, membership.Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprint(number), Zone: []string{"north", "south", "east"}[number%3]})
+		servers = append(servers, membership.Server{
+			Name:    fmt.Sprintf("stove-%d", number),
+			Address: fmt.Sprint(number),
+			Zone:    []string{"north", "south", "east"}[number%3],
+		})
 	}
 	market.List(servers)
 	market.SetRouters(7)
@@ -28,8 +32,17 @@
 		if number%5 < 2 {
 			part = Prefill
 		}
-		market.Report(now, Load{Server: fmt.Sprintf("stove-%d", number), Part: part, Age: time.Hour, PrefillRate: 20_000, PrefillCapacity: 12, DecodeSlots: 16,
-			ChunkTime: 8 * time.Millisecond, MemoryFree: 200_000, LinkRate: 400_000})
+		market.Report(now, Load{
+			Server:          fmt.Sprintf("stove-%d", number),
+			Part:            part,
+			Age:             time.Hour,
+			PrefillRate:     20_000,
+			PrefillCapacity: 12,
+			DecodeSlots:     16,
+			ChunkTime:       8 * time.Millisecond,
+			MemoryFree:      200_000,
+			LinkRate:        400_000,
+		})
 	}
 }
 
--- a/internal/auction/offer.go
+++ b/internal/auction/offer.go
@@ -40,11 +40,11 @@
 	if o.report != nil && o.linkRate < rate {
 		rate = o.linkRate
 	}
-	took := seconds(request.PromptTokens, rate)
+	total := seconds(request.PromptTokens, rate)
 	if o.state.server.Zone != decode.state.server.Zone {
-		took += took/2 + zonePenalty/2
+		total += total/2 + zonePenalty/2
 	}
-	return took
+	return total
 }
 
 // offerSet has the offers for one request.
@@ -60,6 +60,7 @@
 	o.prefill, o.decode = o.prefill[:0], o.decode[:0]
 }
 
+// sortByAsk sorts offers by their ask, and equal ones as they stand in the list.
 func sortByAsk(offers []offer) {
 	slices.SortFunc(offers, func(left, right offer) int {
 		if left.ask != right.ask {
@@ -142,5 +143,10 @@
 		return left.report.load.DecodeActive - right.report.load.DecodeActive
 	})
 	transferTime := prefill.transferTime(decode, request)
-	return Bid{Prefill: prefill.state, Decode: decode.state, Price: prefill.ask + transferTime + decode.ask, TransferTime: transferTime}, true
+	return Bid{
+		Prefill:      prefill.state,
+		Decode:       decode.state,
+		Price:        prefill.ask + transferTime + decode.ask,
+		TransferTime: transferTime,
+	}, true
 }
--- a/options.go
+++ b/options.go
@@ -1,24 +1,25 @@
 package seamloom
 
-import "seamloom.example/seamloom/internal/scheduler"
-
 // Options say which router a core decides for.
 type Options struct {
-	// Router is the node's name, and Zone the zone that it serves first.
+	// Router is the router's name in the fleet. It seeds how the core spreads its choices,
+	// so that routers with the same view do not all choose the same server.
 	Router string
-	Zone   string
-	// MaxRequests bounds the requests that are admitted at once.
+	// Zone is the router's own zone, which routes may prefer.
+	Zone string
+	// MaxRequests bounds the requests in flight, without opaque calls; beyond it they are
+	// refused as busy. Zero means DefaultMaxRequests.
 	MaxRequests int
-	// Supported is the build's list of flags.
+	// Supported are the feature flags that this build supports.
 	Supported FlagList
-	// LeastLoaded replaces the market by a plain least-loaded choice.
+	// LeastLoaded replaces the auction by a plain least-loaded choice, for comparison.
 	LeastLoaded bool
-	// FixedParts leaves every server the part that it was given first.
+	// FixedParts leaves every server the part that it was given first, for comparison.
 	FixedParts bool
-	// Retries bounds what all routers send beyond the first dispatch of each
-	// opaque call; what is left out is scheduler.DefaultAllowance.
-	Retries scheduler.RetryAllowance
+	// Retries bounds what all routers send beyond the first dispatch of each opaque call;
+	// fields that are left out are those of scheduler.DefaultRetryAllowance.
+	Retries RetryAllowance
 }
 
-// DefaultMaxRequests is how many requests a router admits at once.
+// DefaultMaxRequests is how many requests a router has in flight at most by default.
 const DefaultMaxRequests = 512
--- a/seamloom.go
+++ b/seamloom.go
@@ -1,7 +1,10 @@
-// Package seamloom is a router fleet's core for split prefill and decode, to be
-// embedded in a routing program: events go in, decisions come out. It does no
-// input or output, starts no threads, and reads no clock; the same events give
-// the same decisions.
+// Package seamloom is the core of a router fleet for split prefill and decode, to be
+// embedded in a routing program: events go in, decisions come out. It does no input or
+// output, starts no threads, and reads no clock; the same events give the same decisions.
+//
+// The program tells the core what happened (Event), carries out what the core decides
+// (Decision), and feeds back what came of it. Package internal/dataplane is such a program,
+// and examples/embedded a small one.
 package seamloom
 
 import (
@@ -14,43 +17,57 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// The types of the stream. They are documented where they are made.
+// The types of events and decisions.
 type (
 	// Event is one thing that happened.
 	Event = auction.Event
 	// Decision is one thing to be done.
 	Decision = auction.Decision
-	// Request is one caller's request.
-	Request = auction.Request
-	// Load is a model server's report of its pressure.
-	Load = auction.Load
 	// Server is a model server as the platform lists it.
 	Server = membership.Server
-	// Role is a key that this node holds, with its fence.
+	// Role is a key that this router holds, with its fencing token.
 	Role = lease.Role
-	// Order is what a model server is to do.
+	// Order says which part a model server is to take.
 	Order = codec.Order
-	// Call is one opaque request: its method, path and body are forwarded unchanged.
+)
+
+// The types of requests, whose prompt and stream pass through the core.
+type (
+	// Request is one client's request.
+	Request = auction.Request
+	// Load is a model server's report of its load.
+	Load = auction.Load
+)
+
+// The types of opaque calls, whose method, path and body are forwarded unchanged.
+type (
+	// Call is one opaque call.
 	Call = scheduler.Call
-	// CallPart is one part of a call's prompt.
-	CallPart = scheduler.Segment
-	// CallOutcome is how a dispatch of a call ended, CallDecision what is next.
-	CallOutcome  = scheduler.Outcome
+	// CallSegment is one segment of a call's prompt.
+	CallSegment = scheduler.Segment
+	// CallOutcome is how a dispatch of a call ended.
+	CallOutcome = scheduler.Outcome
+	// CallDecision is what is next with a call.
 	CallDecision = scheduler.Decision
-	// CallLoad is what a server of calls reported of itself.
+	// CallLoad is a report of the load of a server of calls.
 	CallLoad = scheduler.Load
-	// Allowance bounds retries.
-	Allowance = scheduler.RetryAllowance
+	// RetryAllowance bounds the retries of calls.
+	RetryAllowance = scheduler.RetryAllowance
+)
+
+// The types of feature flags.
+type (
 	// Flag names one breaking change of a record format.
 	Flag = features.Flag
 	// FlagList is a set of flags.
 	FlagList = features.List
 )
 
-// Supported is the list of flags that this build supports, less the withheld.
+// Supported are the feature flags that this build supports, less the withheld.
 func Supported(withheld FlagList) FlagList { return features.Supported(withheld) }
 
-// CheckConfiguration tells every failure of a configuration's text, or nil.
+// CheckConfiguration checks a configuration's text. It returns nil, or an error whose text
+// names the path and code of the first failure.
 func CheckConfiguration(text []byte) error {
 	_, err := config.Check(text)
 	return err
