--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -214,7 +214,7 @@
 		asking.Go(func() {
 			known := config.ServerFacts{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
 			if load, err := modelServers.Load(lifetime, server.Address); err == nil {
-				known.Reported, known.Part, known.Active, known.Slots = true, string(load.Part), load.DecodeActive, load.DecodeSlots
+				known.Reported, known.Part, known.Active, known.Slots = true, string(load.Role), load.DecodeActive, load.DecodeSlots
 				known.Leaving = known.Leaving || load.Leaving
 			}
 			facts.Servers[position] = known
--- a/core.go
+++ b/core.go
@@ -19,13 +19,13 @@
 // ask for. Its methods may be called from several threads; fed from one, the same events
 // give the same decisions.
 type Core struct {
-	options    Options
-	market     *auction.Market
-	dispatcher *auction.Dispatcher
-	balancer   *auction.Balancer
-	calls      *scheduler.Scheduler
-	pools      *scheduler.RoleBalancer
-	enabled    atomic.Pointer[FlagList]
+	options          Options
+	market           *auction.Market
+	dispatcher       *auction.Dispatcher
+	roleBalancer     *auction.RoleBalancer
+	calls            *scheduler.Scheduler
+	callRoleBalancer *scheduler.RoleBalancer
+	enabled          atomic.Pointer[FlagList]
 	// rejected counts the configurations that this build could not read.
 	rejected atomic.Int64
 
@@ -70,17 +70,17 @@
 		Retries: options.Retries,
 	})
 	return &Core{
-		options:        options,
-		market:         market,
-		dispatcher:     auction.NewDispatcher(market, options.Zone, options.MaxRequests),
-		balancer:       auction.NewBalancer(options.FixedParts),
-		calls:          calls,
-		pools:          scheduler.NewRoleBalancer(),
-		orders:         map[string]Order{},
-		configuration:  config.Empty(),
-		commandedAt:    map[string]time.Time{},
-		announcedToken: map[string]uint64{},
-		openCalls:      map[string]*scheduler.CallState{},
+		options:          options,
+		market:           market,
+		dispatcher:       auction.NewDispatcher(market, options.Zone, options.MaxRequests),
+		roleBalancer:     auction.NewRoleBalancer(options.FixedRoles),
+		calls:            calls,
+		callRoleBalancer: scheduler.NewRoleBalancer(),
+		orders:           map[string]Order{},
+		configuration:    config.Empty(),
+		commandedAt:      map[string]time.Time{},
+		announcedToken:   map[string]uint64{},
+		openCalls:        map[string]*scheduler.CallState{},
 	}
 }
 
@@ -183,11 +183,11 @@
 	c.mutex.Lock()
 	c.orders = event.Orders
 	c.mutex.Unlock()
-	parts := make(map[string]string, len(event.Orders))
+	roles := make(map[string]string, len(event.Orders))
 	for server, order := range event.Orders {
-		parts[server] = order.Part
+		roles[server] = order.Part
 	}
-	c.calls.SetRoleOrders(event.At, parts)
+	c.calls.SetRoleOrders(event.At, roles)
 }
 
 func (c *Core) applyConfiguration(event Event) {
@@ -321,7 +321,7 @@
 	var decisions []Decision
 	for _, role := range c.roles {
 		if role.Key == lease.PartsKey {
-			if orders := c.dueOrders(now); len(orders) > 0 {
+			if orders := c.roleOrders(now); len(orders) > 0 {
 				decisions = append(decisions, Decision{
 					Kind:     auction.SubmitOrders,
 					Role:     role,
@@ -346,10 +346,10 @@
 		return false
 	}
 	sinceCommand := now.Sub(c.commandedAt[server])
-	if part, changing, listed := c.calls.Role(server); listed {
-		// A server whose part is listed is commanded only to take another one: a change
+	if serverRole, changing, listed := c.calls.Role(server); listed {
+		// A server whose role is listed is commanded only to take another one: a change
 		// costs it time. That it took the order shows in the reports a while later.
-		return !changing && part != order.Part && sinceCommand >= commandVisibleWithin
+		return !changing && serverRole != order.Part && sinceCommand >= commandVisibleWithin
 	}
 	load, reported := c.market.Load(now, server)
 	if !reported || sinceCommand < commandInterval {
@@ -357,7 +357,7 @@
 	}
 	// A new holder commands once in any case: the server learns the fencing token, and
 	// refuses what an older holder may still send after a long pause.
-	return string(load.Part) != order.Part || c.announcedToken[server] != role.FencingToken
+	return string(load.Role) != order.Part || c.announcedToken[server] != role.FencingToken
 }
 
 // commandFor commands a listed server to take the order in force.
@@ -367,34 +367,34 @@
 		if server.Name == name {
 			c.commandedAt[name], c.announcedToken[name] = now, role.FencingToken
 			return []Decision{{
-				Kind:     auction.CommandServer,
-				Server:   name,
-				Address:  server.Address,
-				Role:     role,
-				Part:     auction.Part(order.Part),
-				Order:    &order,
-				NotAfter: c.roleEnds,
+				Kind:       auction.CommandServer,
+				Server:     name,
+				Address:    server.Address,
+				Role:       role,
+				ServerRole: auction.ServerRole(order.Part),
+				Order:      &order,
+				NotAfter:   c.roleEnds,
 			}}
 		}
 	}
 	return nil
 }
 
-// dueOrders are the orders that the holder of the parts key submits now: by the load of
+// roleOrders are the orders that the holder of the parts key submits now: by the load of
 // opaque calls where the server list says what servers do, by the market's reports
 // otherwise.
-func (c *Core) dueOrders(now time.Time) []Order {
+func (c *Core) roleOrders(now time.Time) []Order {
 	if !c.calls.Disaggregated() {
-		if !c.balancer.Due(now) {
+		if !c.roleBalancer.Due(now) {
 			return nil
 		}
 		servers, loads := c.market.Loads(now)
-		return c.balancer.Decide(now, servers, loads, c.orders, c.configuration.Evacuated)
+		return c.roleBalancer.Decide(now, servers, loads, c.orders, c.configuration.Evacuated)
 	}
-	if c.options.FixedParts {
+	if c.options.FixedRoles {
 		return nil
 	}
-	return c.pools.Decide(now, c.calls)
+	return c.callRoleBalancer.Decide(now, c.calls)
 }
 
 // ReadOrders decodes the records of the orders in force, by server. It leaves out those
--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -20,12 +20,12 @@
 func callServers(count int) []Server {
 	var servers []Server
 	for number := range count {
-		part := "decode"
+		role := "decode"
 		if number < 2 {
-			part = "prefill"
+			role = "prefill"
 		}
 		servers = append(servers, Server{Name: fmt.Sprintf("stove-%d", number), Address: fmt.Sprintf("10.0.0.%d:80", number),
-			Zone: []string{"north", "south"}[number%2], Service: "desk", Part: part, Slots: 64})
+			Zone: []string{"north", "south"}[number%2], Service: "desk", Part: role, Slots: 64})
 	}
 	return servers
 }
@@ -93,7 +93,7 @@
 func TestHolderGivesPartsByTheWorkOfCalls(t *testing.T) {
 	now := time.Unix(3_000_000, 0)
 	core := callCore(now)
-	part := map[string]string{}
+	role := map[string]string{}
 	changing := map[string]bool{}
 	orders := map[string]Order{}
 	commands := map[string]int{}
@@ -103,8 +103,8 @@
 		roles := []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 4}}
 		for _, server := range callServers(callServerCount) {
 			load := CallLoad{Server: server.Name, Role: server.Part, ChangingRole: changing[server.Name], Running: 3, MemoryTotal: 295_740}
-			if part[server.Name] != "" {
-				load.Role = part[server.Name]
+			if role[server.Name] != "" {
+				load.Role = role[server.Name]
 			}
 			loads = append(loads, load)
 			roles = append(roles, Role{Key: lease.ServerKey(server.Name), Holder: "courier-1", FencingToken: 9})
@@ -120,11 +120,11 @@
 				core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: orders})
 			case auction.CommandServer:
 				commands[decision.Server]++
-				if decision.Role.FencingToken != 9 || string(decision.Part) != orders[decision.Server].Part ||
+				if decision.Role.FencingToken != 9 || string(decision.ServerRole) != orders[decision.Server].Part ||
 					!decision.NotAfter.Equal(now.Add(time.Second)) {
 					t.Fatalf("%+v", decision)
 				}
-				part[decision.Server] = string(decision.Part)
+				role[decision.Server] = string(decision.ServerRole)
 			}
 		}
 	}
--- a/core_test.go
+++ b/core_test.go
@@ -82,10 +82,10 @@
 				Roles:     []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 1}},
 			})
 			for position, server := range servers {
-				part := []auction.Part{auction.Prefill, auction.Decode}[position/2%2]
+				role := []auction.ServerRole{auction.Prefill, auction.Decode}[position/2%2]
 				feed(Event{Kind: auction.LoadReported, Load: &Load{
 					Server:             server.Name,
-					Part:               part,
+					Role:               role,
 					Age:                time.Hour,
 					PrefillRate:        20_000,
 					PrefillCapacity:    8,
@@ -149,7 +149,7 @@
 		count := 0
 		for range 30 {
 			now = now.Add(200 * time.Millisecond)
-			core.Apply(Event{Kind: auction.LoadReported, At: now, Load: &Load{Server: "s", Part: auction.Decode}})
+			core.Apply(Event{Kind: auction.LoadReported, At: now, Load: &Load{Server: "s", Role: auction.Decode}})
 			if fencingToken > 0 {
 				core.Apply(Event{
 					Kind:      auction.LeaseRenewed,
--- a/example_test.go
+++ b/example_test.go
@@ -20,9 +20,9 @@
 			{Name: "stove-1", Address: "10.0.0.1:80", Zone: "north"},
 			{Name: "stove-2", Address: "10.0.0.2:80", Zone: "north"},
 		}},
-		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-1", Part: "prefill", Age: time.Hour,
+		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-1", Role: "prefill", Age: time.Hour,
 			PrefillRate: 20_000, PrefillCapacity: 8, LinkRate: 400_000}},
-		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-2", Part: "decode", Age: time.Hour,
+		{Kind: "load_reported", Load: &seamloom.Load{Server: "stove-2", Role: "decode", Age: time.Hour,
 			DecodeSlots: 8, ChunkTime: 8 * time.Millisecond, MemoryFree: 100_000, LinkRate: 400_000}},
 		{Kind: "flags_read"},
 		{Kind: "menu_received", Epoch: 1, Number: 1, Configuration: []byte(
--- a/examples/embedded/main.go
+++ b/examples/embedded/main.go
@@ -26,7 +26,7 @@
 var start = time.Date(2026, 1, 2, 18, 0, 0, 0, time.UTC)
 
 // feed applies events to a new core, one each interval, and prints the decisions.
-func feed(output io.Writer, events []seamloom.Event, interval time.Duration) error {
+func feed(output io.Writer, events []seamloom.Event, step time.Duration) error {
 	core := seamloom.New(seamloom.Options{
 		Router:    "courier-1",
 		Zone:      "north",
@@ -35,7 +35,7 @@
 	encoder := json.NewEncoder(output)
 	now := start
 	for _, event := range events {
-		now = now.Add(interval)
+		now = now.Add(step)
 		event.At = now
 		for _, decision := range core.Apply(event) {
 			if err := encoder.Encode(decision); err != nil {
@@ -55,7 +55,7 @@
 		}},
 		{Kind: "load_reported", Load: &seamloom.Load{
 			Server:          "stove-1",
-			Part:            "prefill",
+			Role:            "prefill",
 			Age:             time.Hour,
 			PrefillRate:     20_000,
 			PrefillCapacity: 8,
@@ -63,7 +63,7 @@
 		}},
 		{Kind: "load_reported", Load: &seamloom.Load{
 			Server:      "stove-2",
-			Part:        "decode",
+			Role:        "decode",
 			Age:         time.Hour,
 			DecodeSlots: 8,
 			ChunkTime:   8 * time.Millisecond,
--- a/internal/adapters/modelserver/loadreport.go
+++ b/internal/adapters/modelserver/loadreport.go
@@ -48,8 +48,8 @@
 			return failure.At(failure.OutOfRange, "/prefixes/"+prefix, strconv.Itoa(tokens))
 		}
 	}
-	switch auction.Part(l.Part) {
-	case auction.Prefill, auction.Decode, auction.Drain, auction.NoPart:
+	switch auction.ServerRole(l.Part) {
+	case auction.Prefill, auction.Decode, auction.Drain, auction.NoRole:
 		return nil
 	}
 	return failure.At(failure.OutOfRange, "/part", l.Part)
@@ -57,7 +57,7 @@
 
 // Load is the report in the core's terms.
 func (l LoadReport) Load() auction.Load {
-	return auction.Load{Server: l.Server, Incarnation: l.Incarnation, Part: auction.Part(l.Part), Leaving: l.Leaving,
+	return auction.Load{Server: l.Server, Incarnation: l.Incarnation, Role: auction.ServerRole(l.Part), Leaving: l.Leaving,
 		Age: time.Duration(l.AgeMilliseconds) * time.Millisecond, PrefillQueueTokens: l.PrefillQueueTokens,
 		PrefillRate: l.PrefillRate, PrefillWaiting: l.PrefillWaiting, PrefillCapacity: l.PrefillRoom,
 		DecodeActive: l.DecodeActive, DecodeSlots: l.DecodeSlots,
--- a/internal/adapters/modelserver/stove.go
+++ b/internal/adapters/modelserver/stove.go
@@ -188,7 +188,7 @@
 // Command has a server take a part, under the fence of its key's holder. One
 // that is late is worse than none: it ends with the duty's hold.
 func (m *ModelServer) Command(decision auction.Decision, may func() bool) error {
-	order := PartOrder{Part: string(decision.Part), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
+	order := PartOrder{Part: string(decision.ServerRole), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
 		order.PatienceMilliseconds = int(decision.Order.Patience / time.Millisecond)
 		order.Cause = decision.Order.Cause
--- a/internal/auction/decision.go
+++ b/internal/auction/decision.go
@@ -72,11 +72,11 @@
 	// Retry is after what time the client may come back.
 	Retry time.Duration `json:"retry,omitempty"`
 
-	Part   Part          `json:"part,omitempty"`
-	Role   lease.Role    `json:"duty,omitzero"`
-	Order  *codec.Order  `json:"order,omitempty"`
-	Orders []codec.Order `json:"orders,omitempty"`
-	Pair   *codec.Pair   `json:"pair,omitempty"`
+	ServerRole ServerRole    `json:"part,omitempty"`
+	Role       lease.Role    `json:"duty,omitzero"`
+	Order      *codec.Order  `json:"order,omitempty"`
+	Orders     []codec.Order `json:"orders,omitempty"`
+	Pair       *codec.Pair   `json:"pair,omitempty"`
 	// Call is what is next with the opaque call ID.
 	Call *scheduler.Decision `json:"call,omitempty"`
 }
--- a/internal/auction/dispatcher_test.go
+++ b/internal/auction/dispatcher_test.go
@@ -41,7 +41,7 @@
 func prefillLoad(name string, age time.Duration, capacity int) Load {
 	return Load{
 		Server:          name,
-		Part:            Prefill,
+		Role:            Prefill,
 		Age:             age,
 		PrefillRate:     20_000,
 		PrefillCapacity: capacity,
@@ -52,7 +52,7 @@
 func decodeLoad(name string, slots int, chunkTime time.Duration) Load {
 	return Load{
 		Server:      name,
-		Part:        Decode,
+		Role:        Decode,
 		Age:         time.Hour,
 		DecodeSlots: slots,
 		ChunkTime:   chunkTime,
--- a/internal/auction/doc.go
+++ b/internal/auction/doc.go
@@ -7,7 +7,7 @@
 //   - RouteTable is a configuration compiled for matching requests.
 //   - Dispatcher is the state machine of the requests in flight.
 //   - RetryBudget bounds what is sent beyond the first dispatch of each request.
-//   - Balancer decides which server takes which part (prefill or decode).
+//   - RoleBalancer decides which server takes which role (prefill or decode).
 //
 // Four invariants hold whatever the servers and links do, as long as OutcomeNotStarted is
 // reported only when it is certain:
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -190,7 +190,7 @@
 	route *RouteDecision,
 ) (time.Duration, bool) {
 	current := state.freshReport(now)
-	if current == nil || current.load.Part != Prefill || state.avoided(now) {
+	if current == nil || current.load.Role != Prefill || state.avoided(now) {
 		return 0, false
 	}
 	ramp := current.rampUp(now)
@@ -217,7 +217,7 @@
 // askDecode is the estimated time of the stream, or false if the server offers nothing.
 func (m *Market) askDecode(now time.Time, decode *ServerState, request *Request) (time.Duration, bool) {
 	current := decode.freshReport(now)
-	if current == nil || current.load.Part != Decode || decode.avoided(now) {
+	if current == nil || current.load.Role != Decode || decode.avoided(now) {
 		return 0, false
 	}
 	ramp := current.rampUp(now)
@@ -264,7 +264,7 @@
 func (m *Market) RetryAfter(now time.Time) time.Duration {
 	delay := time.Second
 	for _, state := range m.snapshot.Load().servers {
-		if current := state.freshReport(now); current != nil && current.load.Part == Prefill {
+		if current := state.freshReport(now); current != nil && current.load.Role == Prefill {
 			delay = max(delay, seconds(current.load.PrefillQueueTokens, current.load.PrefillRate)/2)
 		}
 	}
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -28,13 +28,13 @@
 
 func reportAll(market *Market, count int, now time.Time) {
 	for number := range count {
-		part := Decode
+		role := Decode
 		if number%5 < 2 {
-			part = Prefill
+			role = Prefill
 		}
 		market.Report(now, Load{
 			Server:          fmt.Sprintf("stove-%d", number),
-			Part:            part,
+			Role:            role,
 			Age:             time.Hour,
 			PrefillRate:     20_000,
 			PrefillCapacity: 12,
--- a/internal/auction/offer_test.go
+++ b/internal/auction/offer_test.go
@@ -74,10 +74,10 @@
 			return random.IntN(limit)
 		}
 		for _, server := range servers {
-			part := []Part{Prefill, Prefill, Decode, Decode, Decode, Drain}[random.IntN(6)]
+			role := []ServerRole{Prefill, Prefill, Decode, Decode, Decode, Drain}[random.IntN(6)]
 			market.Report(noon, Load{
 				Server:             server.Name,
-				Part:               part,
+				Role:               role,
 				Age:                time.Hour - time.Duration(draw(2))*time.Hour,
 				PrefillRate:        20_000 + draw(9000),
 				PrefillCapacity:    12,
--- a/internal/auction/balancer.go
+++ b/internal/auction/rolebalancer.go
@@ -8,12 +8,12 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Balancer decides which server takes which part. It changes one server at a time, only
+// RoleBalancer decides which server takes which role. It changes one server at a time, only
 // after the same need was seen several times in a row, waits after each change, and keeps
-// at least one server of each part.
-type Balancer struct {
-	// consecutive counts how often in a row a part needed one server more.
-	consecutive  map[Part]int
+// at least one server of each role.
+type RoleBalancer struct {
+	// consecutive counts how often in a row a role needed one server more.
+	consecutive  map[ServerRole]int
 	lastChange   time.Time
 	lastDecision time.Time
 	fixed        bool
@@ -34,19 +34,19 @@
 	drainTimeout = 20 * time.Second
 )
 
-// NewBalancer makes a balancer that has seen nothing yet. A fixed one changes no part that
+// NewRoleBalancer makes a balancer that has seen nothing yet. A fixed one changes no role that
 // a server has, save that there must be one of each, for comparison.
-func NewBalancer(fixed bool) *Balancer {
-	return &Balancer{consecutive: map[Part]int{}, fixed: fixed}
+func NewRoleBalancer(fixed bool) *RoleBalancer {
+	return &RoleBalancer{consecutive: map[ServerRole]int{}, fixed: fixed}
 }
 
 // Due tells whether enough time has passed since the last Decide for another one to look at
 // the servers.
-func (b *Balancer) Due(now time.Time) bool { return now.Sub(b.lastDecision) >= balanceInterval }
+func (b *RoleBalancer) Due(now time.Time) bool { return now.Sub(b.lastDecision) >= balanceInterval }
 
 // Decide returns the orders that are needed now. Evacuated and leaving servers do not
 // count; a leaving one is told to drain.
-func (b *Balancer) Decide(
+func (b *RoleBalancer) Decide(
 	now time.Time,
 	servers []membership.Server,
 	loads map[string]Load,
@@ -84,12 +84,12 @@
 		return nil
 	}
 	b.lastChange = now
-	b.consecutive = map[Part]int{}
+	b.consecutive = map[ServerRole]int{}
 	return orders
 }
 
-// countNeeds counts how often in a row each part needed a server that the other can spare.
-func (b *Balancer) countNeeds(pools *serverPools, loads map[string]Load) {
+// countNeeds counts how often in a row each role needed a server that the other can spare.
+func (b *RoleBalancer) countNeeds(pools *serverPools, loads map[string]Load) {
 	backlog, slotUse := pressures(pools.prefill, pools.decode, loads)
 	needPrefill := backlog > highBacklog && slotUse < highSlotUse && len(pools.decode) > 1
 	needDecode := slotUse > highSlotUse && backlog < highBacklog && len(pools.prefill) > 1
@@ -97,15 +97,15 @@
 	b.count(Decode, needDecode && (backlog < lowBacklog || slotUse > 0.9))
 }
 
-func (b *Balancer) count(part Part, needed bool) {
+func (b *RoleBalancer) count(role ServerRole, needed bool) {
 	if needed {
-		b.consecutive[part]++
+		b.consecutive[role]++
 	} else {
-		b.consecutive[part] = 0
+		b.consecutive[role] = 0
 	}
 }
 
-// serverPools are the servers that report, by the part that they are ordered to take.
+// serverPools are the servers that report, by the role that they are ordered to take.
 type serverPools struct {
 	prefill []membership.Server
 	decode  []membership.Server
@@ -125,18 +125,18 @@
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Name < sorted[j].Name })
 	for _, server := range sorted {
 		load, reported := loads[server.Name]
-		part := Part(currentOrders[server.Name].Part)
+		role := ServerRole(currentOrders[server.Name].Part)
 		switch {
 		case server.Leaving || (reported && load.Leaving):
-			if reported && part != Drain {
+			if reported && role != Drain {
 				orders = append(orders, newOrder(server, Drain, "the platform takes the server away"))
 			}
 		case !reported:
-		case part == Prefill:
+		case role == Prefill:
 			if !evacuated(server.Zone) {
 				pools.prefill = append(pools.prefill, server)
 			}
-		case part == Decode:
+		case role == Decode:
 			if !evacuated(server.Zone) {
 				pools.decode = append(pools.decode, server)
 			}
@@ -147,7 +147,7 @@
 	return pools, orders
 }
 
-// assignVacant gives a part to each server without one: two of five are prefill servers,
+// assignVacant gives a role to each server without one: two of five are prefill servers,
 // from each zone in turn.
 func (p *serverPools) assignVacant() []codec.Order {
 	var orders []codec.Order
@@ -174,7 +174,7 @@
 	return orders
 }
 
-// restoreMinimum has one server of each part, whatever the load.
+// restoreMinimum has one server of each role, whatever the load.
 func (p *serverPools) restoreMinimum(loads map[string]Load) []codec.Order {
 	switch {
 	case len(p.prefill) == 0 && len(p.decode) > 1:
@@ -185,8 +185,8 @@
 	return nil
 }
 
-func newOrder(server membership.Server, part Part, cause string) codec.Order {
-	return codec.Order{Server: server.Name, Part: string(part), Patience: drainTimeout, Cause: cause}
+func newOrder(server membership.Server, role ServerRole, cause string) codec.Order {
+	return codec.Order{Server: server.Name, Part: string(role), Patience: drainTimeout, Cause: cause}
 }
 
 // pressures are the mean time to read the waiting prompts and the share of busy slots.
@@ -203,7 +203,7 @@
 	return backlog / time.Duration(len(prefill)), float64(active) / float64(max(slots, 1))
 }
 
-// leastLoadedServer is the server that loses least by a change of its part.
+// leastLoadedServer is the server that loses least by a change of its role.
 func leastLoadedServer(servers []membership.Server, loads map[string]Load) membership.Server {
 	best := servers[0]
 	loadOf := func(server membership.Server) int {
--- a/internal/auction/balancer_test.go
+++ b/internal/auction/rolebalancer_test.go
@@ -10,66 +10,66 @@
 // TestBalanceFollowsASwingWithoutFlapping lets prompts pile up and then
 // answers, and wants few turns, never below one server of each part.
 func TestBalanceFollowsASwingWithoutFlapping(t *testing.T) {
-	balance := NewBalancer(false)
+	balance := NewRoleBalancer(false)
 	var servers []membership.Server
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		servers = append(servers, membership.Server{Name: name, Zone: "north"})
 	}
 	standing := map[string]codec.Order{}
 	now := noon
-	rt := 0
-	round := func(backlog int, active int) {
+	changes := 0
+	observe := func(backlog int, active int) {
 		loads := map[string]Load{}
 		for _, server := range servers {
-			load := Load{Server: server.Name, Part: Part(standing[server.Name].Part), PrefillRate: 20_000, DecodeSlots: 16}
-			if load.Part == Prefill {
+			load := Load{Server: server.Name, Role: ServerRole(standing[server.Name].Part), PrefillRate: 20_000, DecodeSlots: 16}
+			if load.Role == Prefill {
 				load.PrefillQueueTokens = backlog
 			}
-			if load.Part == Decode {
+			if load.Role == Decode {
 				load.DecodeActive = active
 			}
 			loads[server.Name] = load
 		}
 		for _, order := range balance.Decide(now, servers, loads, standing, func(string) bool { return false }) {
 			standing[order.Server] = order
-			rt++
+			changes++
 		}
 		now = now.Add(balanceInterval)
 	}
-	count := func(part Part) int {
+	count := func(role ServerRole) int {
 		count := 0
 		for _, order := range standing {
-			if Part(order.Part) == part {
+			if ServerRole(order.Part) == role {
 				count++
 			}
 		}
 		return count
 	}
-	round(0, 0)
+	observe(0, 0)
 	if count(Prefill) != 2 || count(Decode) != 3 {
 		t.Fatalf("first parts: %v", standing)
 	}
-	rt = 0
+	changes = 0
 	for range 80 {
-		round(30_000, 1)
+		observe(30_000, 1)
 	}
 	if count(Decode) != 1 {
 		t.Errorf("while prompts pile up: %v", standing)
 	}
-	if rt > 3 {
-		t.Errorf("%d turns in one swing", rt)
+	if changes > 3 {
+		t.Errorf("%d turns in one swing", changes)
 	}
 	for range 120 {
-		round(0, 15)
+		observe(0, 15)
 	}
 	if count(Prefill) != 1 {
 		t.Errorf("while answers pile up: %v", standing)
 	}
-	rt = 0
+	changes = 0
 	for number := range 40 {
-		round(30_000*(number%2), 8)
+		observe(30_000*(number%2), 8)
 	}
-	if rt != 0 {
-		t.Errorf("%d turns without a lasting need", rt)
+	if changes != 0 {
+		t.Errorf("%d turns without a lasting need", changes)
 	}
 }
--- a/internal/auction/server.go
+++ b/internal/auction/server.go
@@ -7,26 +7,26 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Part is what a model server does: prefill, decode, or finish its work and take no more.
-type Part string
+// ServerRole is what a model server does: prefill, decode, or finish its work and take no more.
+type ServerRole string
 
-// The parts of a server.
+// The roles of a server.
 const (
-	NoPart  Part = ""
-	Prefill Part = "prefill"
-	Decode  Part = "decode"
-	Drain   Part = "drain"
+	NoRole  ServerRole = ""
+	Prefill ServerRole = "prefill"
+	Decode  ServerRole = "decode"
+	Drain   ServerRole = "drain"
 )
 
 // Load is a model server's report of its load.
 type Load struct {
 	Server string `json:"server"`
 	// Incarnation is new with each start of the server's process.
-	Incarnation string `json:"incarnation"`
-	Part        Part   `json:"part"`
+	Incarnation string     `json:"incarnation"`
+	Role        ServerRole `json:"part"`
 	// Leaving tells that the server takes no new work.
 	Leaving bool `json:"leaving"`
-	// Age is how long the server has had its part; its usable capacity grows with it.
+	// Age is how long the server has had its role; its usable capacity grows with it.
 	Age time.Duration `json:"age"`
 	// PrefillQueueTokens wait to be read, at PrefillRate tokens a second.
 	PrefillQueueTokens int `json:"prefill_queue_tokens"`
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -127,7 +127,7 @@
 		return
 	}
 	err := r.modelServer.Command(decision, func() bool { return r.mayAct(decision) })
-	r.observe("commanded", "server", decision.Server, "part", decision.Part, "fence", decision.Role.FencingToken, "trouble", err)
+	r.observe("commanded", "server", decision.Server, "part", decision.ServerRole, "fence", decision.Role.FencingToken, "trouble", err)
 }
 
 // claim asks the primary for a request's id until it is answered, its limit
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -89,6 +89,6 @@
 func (l lists) Report(s membership.Server, patience time.Duration) (scheduler.Load, error) {
 	l.world.reportReads++
 	load, err := l.ask(s, patience)
-	return scheduler.Load{Server: load.Server, Role: string(load.Part), Waiting: load.PrefillWaiting, Running: load.DecodeActive,
+	return scheduler.Load{Server: load.Server, Role: string(load.Role), Waiting: load.PrefillWaiting, Running: load.DecodeActive,
 		MemoryUsed: load.MemoryTotal - load.MemoryFree, MemoryTotal: load.MemoryTotal}, err
 }
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -208,7 +208,7 @@
 	if !may() {
 		return failure.New(failure.DeadlinePassed, "the command may not go any more")
 	}
-	order := modelserver.PartOrder{Part: string(decision.Part), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
+	order := modelserver.PartOrder{Part: string(decision.ServerRole), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
 		order.Cause = decision.Order.Cause
 	}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -233,7 +233,7 @@
 		return
 	}
 	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
-	options := dataplane.Options{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedParts: w.fixedParts}, Address: m.address,
+	options := dataplane.Options{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedRoles: w.fixedParts}, Address: m.address,
 		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
 	options.ServeWithoutLease = w.ways.ServeWithoutLease
 	if w.ways.Calls {
--- a/options.go
+++ b/options.go
@@ -14,8 +14,8 @@
 	Supported FlagList
 	// LeastLoaded replaces the auction by a plain least-loaded choice, for comparison.
 	LeastLoaded bool
-	// FixedParts leaves every server the part that it was given first, for comparison.
-	FixedParts bool
+	// FixedRoles leaves every server the role that it was given first, for comparison.
+	FixedRoles bool
 	// Retries bounds what all routers send beyond the first dispatch of each opaque call;
 	// fields that are left out are those of scheduler.DefaultRetryAllowance.
 	Retries RetryAllowance
--- a/seamloom.go
+++ b/seamloom.go
@@ -27,7 +27,7 @@
 	Server = membership.Server
 	// Role is a key that this router holds, with its fencing token.
 	Role = lease.Role
-	// Order says which part a model server is to take.
+	// Order says which role a model server is to take.
 	Order = codec.Order
 )
 
