--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -7,8 +7,9 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// choice finds the server for a call's next dispatch. Costs and times are in
-// milliseconds; what is priced otherwise is turned into them.
+// cycle is one scheduling cycle: it finds the server for a call's next dispatch. filter.go
+// leaves servers out, score.go gives the rest a cost, pick.go takes the cheapest. Costs and
+// latencies are in milliseconds; what has another unit is turned into them by weights.
 type cycle struct {
 	scheduler    *Scheduler
 	weights      weights
@@ -20,55 +21,81 @@
 	backends     []*backend
 	routerCount  int
 
-	chain                                uint64
+	// chain is the key of the call's prompt prefix, sharedTokens the prefix's length.
+	chain        uint64
+	sharedTokens int
+	// homePrefill, nextPrefill and homeDecode are the servers that rendezvous hashing gives
+	// the chain; see findHomes.
 	homePrefill, nextPrefill, homeDecode *backend
-	sharedTokens                         int
-	prefillRate                          float64
-	// held is how much longer runners read than by this router's own, begin how long
-	// a run takes to its first event, lapsing that hand-overs failed.
-	decodeStretch, firstEventLatency float64
-	transfersFailing                 bool
-	// free is how much of the places there is not taken, from 0 to 1.
+	// prefillRate is in tokens a millisecond, firstEventLatency in milliseconds from a run's
+	// start to its first event.
+	prefillRate       float64
+	firstEventLatency float64
+	// decodeStretch is the factor by which prompts that decode servers read for all routers
+	// lengthen the read of one more.
+	decodeStretch float64
+	// transfersFailing is set while a KV cache transfer has failed lately.
+	transfersFailing bool
+	// freeShare is the part of the slots that is free, from 0 to 1.
 	freeShare float64
-	// soonest is when a place may be had, if none is now.
+	// soonestFree is in how many milliseconds a warming server takes a call; infinite if
+	// none was left out for its rate.
 	soonestFree float64
-	// excludeWarming leaves cold servers out, after another thread was first.
+	// excludeWarming leaves warming servers out, after another thread took the place.
 	excludeWarming bool
 }
 
-// offer is one way that a call may go on.
+// candidate is one way that a call may go on.
 type candidate struct {
 	backend *backend
 	cost    float64
-	// time is when the first event of the answer is expected, own how long the
-	// dispatch itself takes.
+	// latency is until the answer's first event, ownLatency until the dispatch's own: a
+	// prefill's ends with the handle.
 	latency    float64
 	ownLatency float64
-	uncached   int
-	// sourced tells that a run takes the memory that was read for it.
+	// uncached is how many prompt tokens the server has to read.
+	uncached int
+	// usesKV is set for a run that takes the KV cache of an earlier prefill.
 	usesKV bool
 }
 
+// newCycle begins a cycle for a call, with what the scheduler knows now.
 func (s *Scheduler) newCycle(now time.Time, state *CallState) *cycle {
-	program := s.routes.Load()
+	routes := s.routes.Load()
 	s.warmReturnedZones(now)
 	service := state.service
-	if current, found := program.services[service.Name]; found {
+	if current, found := routes.services[service.Name]; found {
 		service = current
 	}
 	svc := s.serviceState(service.Name)
-	c := &cycle{scheduler: s, weights: s.weights, routes: program, now: now, state: state, service: service, serviceState: svc,
-		backends: s.snapshot.Load().serving(service.Name), routerCount: s.routerCount(),
-		chain: state.call.chainKey(), sharedTokens: state.call.sharedTokens(), prefillRate: svc.prefillRate.tokensPerMillisecond(), soonestFree: math.Inf(1)}
-	c.firstEventLatency = svc.firstEvent.milliseconds()
+	c := &cycle{
+		scheduler:         s,
+		weights:           s.weights,
+		routes:            routes,
+		now:               now,
+		state:             state,
+		service:           service,
+		serviceState:      svc,
+		backends:          s.snapshot.Load().serving(service.Name),
+		routerCount:       s.routerCount(),
+		chain:             state.call.chainKey(),
+		sharedTokens:      state.call.sharedTokens(),
+		prefillRate:       svc.prefillRate.tokensPerMillisecond(),
+		firstEventLatency: svc.firstEvent.milliseconds(),
+		soonestFree:       math.Inf(1),
+	}
 	c.measureDirectPrefill()
 	return c
 }
 
-// crowd weighs what runners are given to read by all routers, as this one does it.
+// maxDecodePrefill bounds the part of its time that a decode server is taken to read.
+const maxDecodePrefill = 0.8
+
+// measureDirectPrefill estimates how much all routers have decode servers read, as if each
+// of them sent as much as this one.
 func (c *cycle) measureDirectPrefill() {
-	tokens, lapsing := c.serviceState.demand.directRate(c.now)
-	c.transfersFailing = lapsing
+	tokens, failing := c.serviceState.demand.directRate(c.now)
+	c.transfersFailing = failing
 	decodeServers := 0
 	for _, b := range c.backends {
 		if b.decodesOnly() {
@@ -78,6 +105,3 @@
 	used := tokens * float64(c.routerCount) / float64(max(decodeServers, 1)) / (c.prefillRate * 1000 / 2)
 	c.decodeStretch = 1 / (1 - min(used, maxDecodePrefill))
 }
-
-// maxDecodePrefill is the part of its time that a runner is at most taken to read.
-const maxDecodePrefill = 0.8
--- a/internal/scheduler/pick.go
+++ b/internal/scheduler/pick.go
@@ -1,38 +1,20 @@
 package scheduler
 
-// cheapest finds the way with the lowest cost: a read, or a run. mayRead says whether the
-// call may still be read elsewhere.
-func (c *cycle) pickCheapest(mayRead bool) (kind DecisionKind, best candidate, found bool) {
-	var near [maxZones]candidate
-	var farthest candidate
-	places, taken := 0.0, 0.0
-	anyRun := false
+// maxZones bounds the zones that are told apart when a decode server near a prefill server
+// is looked for; further ones share an index.
+const maxZones = 16
+
+// pickCheapest finds the dispatch with the lowest cost: a run at a server that reads the
+// prompt itself, or, if mayPrefill, a prefill followed by a run with its KV cache.
+func (c *cycle) pickCheapest(mayPrefill bool) (kind DecisionKind, best candidate, found bool) {
 	c.findHomes()
-	for _, b := range c.backends {
-		if !b.generates() || !c.eligible(b) {
-			continue
-		}
-		places += c.slots(b)
-		taken += min(c.callsAt(b), c.slots(b))
-		if offered, may := c.scoreDirect(b); may && (!found || offered.cost < best.cost) {
-			kind, best, found = Generate, offered, true
-		}
-		if !mayRead {
-			continue
-		}
-		if offered, may := c.scoreDecode(b); may {
-			if !anyRun || offered.cost < farthest.cost {
-				farthest, anyRun = offered, true
-			}
-			if slot := &near[b.zoneIndex%maxZones]; slot.backend == nil || offered.cost < slot.cost {
-				*slot = offered
-			}
-		}
-	}
-	if places > 0 {
-		c.freeShare = 1 - taken/places
+	var decode decodeCandidates
+	best = c.scoreGenerating(mayPrefill, &decode)
+	kind, found = Generate, best.backend != nil
+	if !found {
+		kind = ""
 	}
-	if !mayRead || !anyRun {
+	if !mayPrefill || decode.anywhere.backend == nil {
 		return kind, best, found
 	}
 	for _, b := range c.backends {
@@ -43,16 +25,9 @@
 		if !may {
 			continue
 		}
-		moveCost, moveTime := c.transferCost(b, farthest.backend)
-		cost, time := farthest.cost+moveCost, farthest.latency+moveTime
-		if decodeServer := near[b.zoneIndex%maxZones]; decodeServer.backend != nil && decodeServer.backend.zoneIndex == b.zoneIndex {
-			moveCost, moveTime = c.transferCost(b, decodeServer.backend)
-			if sum := decodeServer.cost + moveCost; sum < cost {
-				cost, time = sum, decodeServer.latency+moveTime
-			}
-		}
+		cost, latency := c.decodeAfter(b, &decode)
 		offered.cost += cost
-		offered.latency += time
+		offered.latency += latency
 		if !found || offered.cost < best.cost {
 			kind, best, found = Prefill, offered, true
 		}
@@ -60,8 +35,66 @@
 	return kind, best, found
 }
 
-// runner finds the server that makes the answer from memory that a reader has, or one
-// that reads the prompt itself because that is much better.
+// decodeCandidates are the cheapest runs with the KV cache of a prefill, without the
+// transfer: in each zone and anywhere. One without a backend is none.
+type decodeCandidates struct {
+	byZone   [maxZones]candidate
+	anywhere candidate
+}
+
+// scoreGenerating scores the servers that make answers: it gives the cheapest run without a
+// transfer and, if mayPrefill, fills in those with one. It also measures freeShare.
+func (c *cycle) scoreGenerating(mayPrefill bool, decode *decodeCandidates) (direct candidate) {
+	slots, taken := 0.0, 0.0
+	for _, b := range c.backends {
+		if !b.generates() || !c.eligible(b) {
+			continue
+		}
+		slots += c.slots(b)
+		taken += min(c.callsAt(b), c.slots(b))
+		if offered, may := c.scoreDirect(b); may {
+			direct.keepCheaper(offered)
+		}
+		if !mayPrefill {
+			continue
+		}
+		if offered, may := c.scoreDecode(b); may {
+			decode.anywhere.keepCheaper(offered)
+			decode.byZone[b.zoneIndex%maxZones].keepCheaper(offered)
+		}
+	}
+	if slots > 0 {
+		c.freeShare = 1 - taken/slots
+	}
+	return direct
+}
+
+// keepCheaper replaces the candidate by a cheaper one, or by the first; of equal ones the
+// earlier stays.
+func (cd *candidate) keepCheaper(other candidate) {
+	if cd.backend == nil || other.cost < cd.cost {
+		*cd = other
+	}
+}
+
+// decodeAfter is what the run after a server's prefill costs and how long it takes to its
+// first event, transfer included: on the cheapest server, or on the cheapest of the zone.
+func (c *cycle) decodeAfter(b *backend, decode *decodeCandidates) (cost, latency float64) {
+	transferCost, transferLatency := c.transferCost(b, decode.anywhere.backend)
+	cost, latency = decode.anywhere.cost+transferCost, decode.anywhere.latency+transferLatency
+	near := decode.byZone[b.zoneIndex%maxZones]
+	if near.backend == nil || near.backend.zoneIndex != b.zoneIndex {
+		return cost, latency
+	}
+	transferCost, transferLatency = c.transferCost(b, near.backend)
+	if sum := near.cost + transferCost; sum < cost {
+		cost, latency = sum, near.latency+transferLatency
+	}
+	return cost, latency
+}
+
+// pickDecode finds the server that makes the answer from the KV cache of a prefill, or one
+// that reads the prompt itself where that is much better.
 func (c *cycle) pickDecode(prefillServer *backend) (kind DecisionKind, best candidate, found bool) {
 	c.findHomes()
 	for _, b := range c.backends {
@@ -69,32 +102,26 @@
 			continue
 		}
 		if offered, may := c.scoreDecode(b); may {
-			cost, time := c.transferCost(prefillServer, b)
+			cost, latency := c.transferCost(prefillServer, b)
 			offered.cost += cost
-			offered.latency += time
+			offered.latency += latency
 			offered.ownLatency = offered.latency
 			offered.usesKV = true
-			if !found || offered.cost < best.cost {
-				best, found = offered, true
-			}
+			best.keepCheaper(offered)
 		}
 		if offered, may := c.scoreDirect(b); may {
 			offered.cost += c.weights.wastedThousand * float64(c.state.call.PromptTokens) / 1000
-			if !found || offered.cost < best.cost {
-				best, found = offered, true
-			}
+			best.keepCheaper(offered)
 		}
 	}
-	return Generate, best, found
+	return Generate, best, best.backend != nil
 }
 
-const maxZones = 16
-
-// find is the best way that may be gone now: a call to a cold server is counted before
-// it is sent.
-func (c *cycle) pickAdmitted(way func() (DecisionKind, candidate, bool)) (DecisionKind, candidate, bool) {
+// pickAdmitted repeats a pick until the picked server's rate limit lets the call through: a
+// call to a warming server is counted before it is sent, and another thread may be first.
+func (c *cycle) pickAdmitted(pick func() (DecisionKind, candidate, bool)) (DecisionKind, candidate, bool) {
 	for {
-		kind, best, found := way()
+		kind, best, found := pick()
 		if !found || !best.backend.warming(c.now) {
 			return kind, best, found
 		}
@@ -105,13 +132,13 @@
 	}
 }
 
-// homes are the servers that rendezvous names for the call's chain, the same at every
-// router: two readers, and the runner beside the first of them.
+// findHomes finds the home servers of the call's chain by rendezvous hashing, the same at
+// every router: the two prefill servers of most weight, and the decode server of most
+// weight in the zone of the first of them, or of all zones if that one has none.
 func (c *cycle) findHomes() {
-	var prefillServerWeight, nextWeight, farWeight uint64
-	var decodeServers [maxZones]*backend
-	var weights [maxZones]uint64
-	var far *backend
+	var homeWeight, nextWeight, decodeWeight uint64
+	var decodeByZone [maxZones]*backend
+	var zoneWeights [maxZones]uint64
 	c.homePrefill, c.nextPrefill, c.homeDecode = nil, nil, nil
 	for _, b := range c.backends {
 		if !c.eligible(b) {
@@ -120,37 +147,37 @@
 		weight := rendezvousWeight(c.chain, b.key)
 		if b.prefills() {
 			switch {
-			case c.homePrefill == nil || weight > prefillServerWeight:
-				c.nextPrefill, nextWeight = c.homePrefill, prefillServerWeight
-				c.homePrefill, prefillServerWeight = b, weight
+			case c.homePrefill == nil || weight > homeWeight:
+				c.nextPrefill, nextWeight = c.homePrefill, homeWeight
+				c.homePrefill, homeWeight = b, weight
 			case c.nextPrefill == nil || weight > nextWeight:
 				c.nextPrefill, nextWeight = b, weight
 			}
 			continue
 		}
-		if far == nil || weight > farWeight {
-			far, farWeight = b, weight
+		if c.homeDecode == nil || weight > decodeWeight {
+			c.homeDecode, decodeWeight = b, weight
 		}
-		if place := b.zoneIndex % maxZones; decodeServers[place] == nil || weight > weights[place] {
-			decodeServers[place], weights[place] = b, weight
+		if zone := b.zoneIndex % maxZones; decodeByZone[zone] == nil || weight > zoneWeights[zone] {
+			decodeByZone[zone], zoneWeights[zone] = b, weight
 		}
 	}
-	c.homeDecode = far
 	if c.homePrefill != nil {
-		if near := decodeServers[c.homePrefill.zoneIndex%maxZones]; near != nil {
+		if near := decodeByZone[c.homePrefill.zoneIndex%maxZones]; near != nil {
 			c.homeDecode = near
 		}
 	}
 }
 
-// belief is how surely a server keeps the call's shared parts by the home rule.
+// homeLikelihood is how surely, from 0 to 1, a server has the call's shared prefix cached
+// because it is one of the chain's homes.
 func (c *cycle) homeLikelihood(b *backend) float64 {
-	switch {
-	case b == c.homePrefill:
+	switch b {
+	case c.homePrefill:
 		return c.weights.homePrefill
-	case b == c.nextPrefill:
+	case c.nextPrefill:
 		return c.weights.nextPrefill
-	case b == c.homeDecode:
+	case c.homeDecode:
 		return c.weights.homeDecode
 	}
 	return 0
--- a/internal/scheduler/rolebalancer.go
+++ b/internal/scheduler/rolebalancer.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"sync"
 	"time"
 
@@ -10,164 +11,206 @@
 )
 
 // RoleBalancer decides how many servers of a service read prompts and how many make answers.
-// An order costs the server's work for a while and moves the homes of some chains, so
-// that it is given only for a need that was seen several times, and then rested upon.
+// An order costs the server's work for a while and moves the homes of some chains, so one is
+// given only for a need that was seen several times, and no other for a while after it.
 type RoleBalancer struct {
 	mutex        sync.Mutex
 	services     map[string]*servicePool
 	lastDecision time.Time
 }
 
+// servicePool is what the balancer remembers of one service.
 type servicePool struct {
-	needSeen   int
+	// wantedRole is the role that more servers need, needSeen how many times in a row that
+	// was so.
 	wantedRole string
-	orderedAt  time.Time
-	lastRole   string
-	// idle is since when the servers have nothing to do.
+	needSeen   int
+	// orderedAt and lastRole are of the last order.
+	orderedAt time.Time
+	lastRole  string
+	// idleSince is since when the servers have had nothing to do; zero while they have.
 	idleSince time.Time
 }
 
-// The measures of the pools. The values are ours.
+// When and how far the roles are changed. The values are ours.
 const (
+	// decisionInterval is between two decisions, needConfirmations how many decisions in a
+	// row must see a need.
 	decisionInterval  = 500 * time.Millisecond
 	needConfirmations = 3
-	orderInterval     = 3 * time.Second
-	// reversalInterval is the rest before an order that takes the last one back.
+	// orderInterval is the least time between two orders, reversalInterval between an order
+	// and one that takes it back.
+	orderInterval    = 3 * time.Second
 	reversalInterval = 12 * time.Second
-	// prefillBusyHigh is the part of the readers at which more are wanted, prefillBusyTarget the
-	// part that is busy when there are enough, prefillBusyLow what must be left of it when
-	// one reader less does the same.
+	// Parts of the prefill servers that are busy: at prefillBusyHigh more of them are wanted,
+	// as many as bring it down to prefillBusyTarget; one is given up if the rest would be
+	// below prefillBusyLow.
 	prefillBusyTarget = 0.38
 	prefillBusyHigh   = 0.5
 	prefillBusyLow    = 0.35
-	// slotsTarget is the part of the runners' slots that may be used, slotsHigh the
-	// part at which a reader is taken back for them.
+	// Parts of the decode servers' slots that are used: slotsTarget may be, at slotsHigh a
+	// prefill server is taken back for them.
 	slotsTarget = 0.3
 	slotsHigh   = 0.5
-	// reservedDecodeShare is the part of the servers that no order takes from making answers, and
-	// reservedDecodeFew how many of them in a small service, where it is under reservedDecodeFewShare of all: two
-	// servers that go dark must leave enough of them, since the parts are late to follow.
-	// Below urgentDecodeShare, whatever the pressure, a reader makes answers again.
+	// reservedDecodeShare is the part of the servers that no order takes from making
+	// answers, reservedDecodeFew how many of them in a small service, where that is under
+	// reservedDecodeFewShare of all: two servers that fail at once must leave enough of them,
+	// since roles change late. Below urgentDecodeShare a prefill server makes answers again,
+	// whatever the demand.
 	reservedDecodeShare    = 0.33
 	reservedDecodeFew      = 4
 	reservedDecodeFewShare = 0.4
 	urgentDecodeShare      = 0.3
 	// serversPerOrder is how many servers there are for each order given at once.
 	serversPerOrder = 4
-	orderTimeout    = 20 * time.Second
-	// A service that has been idle for idleDelay, all but idle calls, gets as many readers as
-	// orders may make: parts that change under traffic cost the memory of what moves, and
-	// reading is what fills up first, since nothing is kept at the start.
+	// orderTimeout is how long a server may take to carry an order out.
+	orderTimeout = 20 * time.Second
+	// A service that has had no more than idleCalls for idleDelay gets as many prefill
+	// servers as orders may make: roles that change under traffic cost the KV caches that
+	// move, and prefill fills up first, since nothing is cached at the start.
 	idleDelay = 3 * time.Second
 	idleCalls = 0.05
+	// zoneWeight sets the zones' balance above the servers' work in lightest.
+	zoneWeight = 1000
 )
 
-// NewRoleBalancer starts without memory.
+// NewRoleBalancer makes a balancer that remembers nothing; a new leader's starts so.
 func NewRoleBalancer() *RoleBalancer { return &RoleBalancer{services: map[string]*servicePool{}} }
 
-// Decide gives the orders that are needed now, by what the window knows of its servers.
-func (p *RoleBalancer) Decide(now time.Time, sched *Scheduler) []codec.Order {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	program := sched.routes.Load()
-	if program == nil || now.Sub(p.lastDecision) < decisionInterval {
+// Decide gives the orders that are needed now, by what the scheduler knows of its servers. It
+// gives none before the next decisionInterval.
+func (rb *RoleBalancer) Decide(now time.Time, sched *Scheduler) []codec.Order {
+	rb.mutex.Lock()
+	defer rb.mutex.Unlock()
+	routes := sched.routes.Load()
+	if routes == nil || now.Sub(rb.lastDecision) < decisionInterval {
 		return nil
 	}
-	p.lastDecision = now
+	rb.lastDecision = now
 	var orders []codec.Order
-	for _, name := range program.serviceNames {
-		found, known := p.services[name]
+	for _, name := range routes.serviceNames {
+		service, known := rb.services[name]
 		if !known {
-			found = &servicePool{}
-			p.services[name] = found
+			service = &servicePool{}
+			rb.services[name] = service
 		}
-		orders = append(orders, found.decide(now, sched, program, program.services[name])...)
+		orders = append(orders, service.decide(now, sched, routes, routes.services[name])...)
 	}
 	return orders
 }
 
-func (p *servicePool) decide(now time.Time, sched *Scheduler, program *RouteTable, service *config.Service) []codec.Order {
-	var prefillServers, decodeServers []*backend
-	r := sched.latestReport.Load()
-	for _, b := range sched.snapshot.Load().byService[service.Name] {
-		switch {
-		case b.warming(now), b.stale(r):
-		case b.server.Leaving || program.evacuations[b.server.Zone]:
-		case b.changingRole():
-			return nil
-		case b.prefills():
-			prefillServers = append(prefillServers, b)
-		case b.decodesOnly():
-			decodeServers = append(decodeServers, b)
-		}
-	}
-	if len(prefillServers)+len(decodeServers) < 2 {
+// decide gives the orders for one service.
+func (p *servicePool) decide(
+	now time.Time, sched *Scheduler, routes *RouteTable, service *config.Service,
+) []codec.Order {
+	r, settled := rolesOf(now, sched, routes, service.Name)
+	if !settled || r.all() < 2 || now.Sub(p.orderedAt) < orderInterval {
 		return nil
 	}
-	give := func(from []*backend, part, cause string, count int) []codec.Order {
-		p.needSeen, p.wantedRole, p.orderedAt, p.lastRole = 0, "", now, part
-		var orders []codec.Order
-		for range count {
-			chosen := lightest(from, prefillServers, part)
-			orders = append(orders, codec.Order{Server: chosen.server.Name, Part: part, Patience: orderTimeout, Cause: cause})
-			if from, prefillServers, decodeServers = moved(chosen, part, prefillServers, decodeServers); len(from) < 2 {
-				break
-			}
-		}
-		return orders
-	}
-	// The floor: one of each, whatever the pressure.
+	// At least one of each, whatever the demand.
 	switch {
-	case now.Sub(p.orderedAt) < orderInterval:
-		return nil
-	case len(prefillServers) == 0:
-		return give(decodeServers, prefill, "no server reads prompts", 1)
-	case len(decodeServers) == 0:
-		return give(prefillServers, decode, "no server makes answers", 1)
+	case len(r.prefill) == 0:
+		return p.order(now, r, change{role: prefill, cause: "no server reads prompts", count: 1})
+	case len(r.decode) == 0:
+		return p.order(now, r, change{role: decode, cause: "no server makes answers", count: 1})
 	}
-	s := sched.serviceState(service.Name)
-	busy, running, known := s.demand.now(now)
+	busy, running, known := sched.serviceState(service.Name).demand.now(now)
 	if !known {
 		return nil
 	}
-	all := len(prefillServers) + len(decodeServers)
-	if busy+running > idleCalls {
-		p.idleSince = time.Time{}
-	} else if p.idleSince.IsZero() {
-		p.idleSince = now
-	} else if even := all - reservedDecode(all); now.Sub(p.idleSince) >= idleDelay && len(prefillServers) < even {
-		return give(decodeServers, prefill, "the service is idle and too few servers read prompts", even-len(prefillServers))
+	if more := p.idlePrefill(now, r, busy+running); more > 0 {
+		const cause = "the service is idle and too few servers read prompts"
+		return p.order(now, r, change{role: prefill, cause: cause, count: more})
 	}
 	slots := float64(service.Engine.Slots)
 	if slots == 0 {
 		slots = defaultSlots
 	}
-	leastDecodeServers := min(max(1, int(math.Ceil(running/(slotsTarget*slots))), reservedDecode(all)), all-1)
-	wanted := min(max(1, int(math.Ceil(busy/prefillBusyTarget))), all-leastDecodeServers)
-	pressed := running > slotsHigh*slots*float64(len(decodeServers))
-	// Runners went away and those that are left are few: that can't wait.
-	urgent := len(decodeServers) < int(math.Ceil(float64(all)*urgentDecodeShare))
-	part := ""
-	switch {
-	case len(prefillServers) > 1 && (urgent || pressed && busy < prefillBusyLow*float64(len(prefillServers)-1)):
-		part = decode
-	case wanted > len(prefillServers) && busy > prefillBusyHigh*float64(len(prefillServers)):
-		part = prefill
+	needed, urgent := need(r, busy, running, slots)
+	if !p.confirmed(now, needed.role, urgent) {
+		return nil
 	}
-	if part == "" || part != p.wantedRole {
-		p.needSeen, p.wantedRole = 0, part
+	return p.order(now, r, needed)
+}
+
+// idlePrefill is how many more prefill servers an idle service gets, zero or less if none. It
+// notes since when the service is idle.
+func (p *servicePool) idlePrefill(now time.Time, r roles, calls float64) int {
+	if calls > idleCalls {
+		p.idleSince = time.Time{}
+		return 0
 	}
-	if part == "" {
-		return nil
+	if p.idleSince.IsZero() {
+		p.idleSince = now
+		return 0
+	}
+	if now.Sub(p.idleSince) < idleDelay {
+		return 0
+	}
+	return r.all() - reservedDecode(r.all()) - len(r.prefill)
+}
+
+// confirmed counts a need and tells whether it was seen often enough to be ordered. One that
+// takes the last order back waits longer, unless it is urgent.
+func (p *servicePool) confirmed(now time.Time, role string, urgent bool) bool {
+	if role == "" || role != p.wantedRole {
+		p.needSeen, p.wantedRole = 0, role
+	}
+	if role == "" {
+		return false
 	}
 	p.needSeen++
-	if p.needSeen < needConfirmations || !urgent && p.lastRole != "" && p.lastRole != part && now.Sub(p.orderedAt) < reversalInterval {
-		return nil
+	if p.needSeen < needConfirmations {
+		return false
+	}
+	reverses := p.lastRole != "" && p.lastRole != role
+	return urgent || !reverses || now.Sub(p.orderedAt) >= reversalInterval
+}
+
+// order words the orders of a change; the pool that gives servers keeps one.
+func (p *servicePool) order(now time.Time, r roles, c change) []codec.Order {
+	p.needSeen, p.wantedRole, p.orderedAt, p.lastRole = 0, "", now, c.role
+	var orders []codec.Order
+	for range c.count {
+		chosen := lightest(r, c.role)
+		orders = append(orders, codec.Order{
+			Server:   chosen.server.Name,
+			Part:     c.role,
+			Patience: orderTimeout,
+			Cause:    c.cause,
+		})
+		r = r.moved(chosen, c.role)
+		if len(r.giving(c.role)) < 2 {
+			break
+		}
 	}
-	if part == prefill {
-		return give(decodeServers, prefill, "prompts wait while answers have room", min(wanted-len(prefillServers), max(1, all/serversPerOrder)))
+	return orders
+}
+
+// change is a role that so many servers are to take, and why.
+type change struct {
+	role  string
+	cause string
+	count int
+}
+
+// need is the change that the demand calls for; its role is empty if none. busy is how many
+// prefill servers are busy, running how many calls the decode servers have, slots how many one
+// of them may have. urgent tells that decode servers went and too few are left.
+func need(r roles, busy, running, slots float64) (needed change, urgent bool) {
+	all, prefillCount := r.all(), len(r.prefill)
+	minDecode := min(max(1, int(math.Ceil(running/(slotsTarget*slots))), reservedDecode(all)), all-1)
+	wantedPrefill := min(max(1, int(math.Ceil(busy/prefillBusyTarget))), all-minDecode)
+	decodeFull := running > slotsHigh*slots*float64(len(r.decode))
+	urgent = len(r.decode) < int(math.Ceil(float64(all)*urgentDecodeShare))
+	switch {
+	case prefillCount > 1 && (urgent || decodeFull && busy < prefillBusyLow*float64(prefillCount-1)):
+		return change{role: decode, cause: "answers wait while prompts have room", count: 1}, urgent
+	case wantedPrefill > prefillCount && busy > prefillBusyHigh*float64(prefillCount):
+		count := min(wantedPrefill-prefillCount, max(1, all/serversPerOrder))
+		return change{role: prefill, cause: "prompts wait while answers have room", count: count}, urgent
 	}
-	return give(prefillServers, decode, "answers wait while prompts have room", 1)
+	return change{}, urgent
 }
 
 // reservedDecode is how many of so many servers no order takes from making answers.
@@ -176,23 +219,72 @@
 	return max(few, int(math.Ceil(float64(all)*reservedDecodeShare)))
 }
 
-// lightest is the server that is best given the part: in the zone that has the
-// fewest with it for its size, with the least to do.
-func lightest(from, prefillServers []*backend, part string) *backend {
-	in, all := map[string]int{}, map[string]int{}
-	for _, b := range prefillServers {
-		in[b.server.Zone]++
+// roles are a service's usable servers by what they do now.
+type roles struct{ prefill, decode []*backend }
+
+// rolesOf finds the roles of a service's servers; settled is false while one of them changes
+// its role.
+func rolesOf(now time.Time, sched *Scheduler, routes *RouteTable, service string) (r roles, settled bool) {
+	latest := sched.latestReport.Load()
+	for _, b := range sched.snapshot.Load().byService[service] {
+		switch {
+		case b.warming(now), b.stale(latest):
+		case b.server.Leaving || routes.evacuations[b.server.Zone]:
+		case b.changingRole():
+			return roles{}, false
+		case b.prefills():
+			r.prefill = append(r.prefill, b)
+		case b.decodesOnly():
+			r.decode = append(r.decode, b)
+		}
+	}
+	return r, true
+}
+
+func (r roles) all() int { return len(r.prefill) + len(r.decode) }
+
+// giving is the pool that servers leave to take a role.
+func (r roles) giving(role string) []*backend {
+	if role == prefill {
+		return r.decode
+	}
+	return r.prefill
+}
+
+// moved is the roles after a server took one.
+func (r roles) moved(chosen *backend, role string) roles {
+	isChosen := func(b *backend) bool { return b == chosen }
+	next := roles{
+		prefill: slices.DeleteFunc(slices.Clone(r.prefill), isChosen),
+		decode:  slices.DeleteFunc(slices.Clone(r.decode), isChosen),
+	}
+	if role == prefill {
+		next.prefill = append(next.prefill, chosen)
+	} else {
+		next.decode = append(next.decode, chosen)
+	}
+	return next
+}
+
+// lightest is the server that is best given a role: in the zone that has the smallest share
+// of prefill servers, or the most of them if one is given up, with the least to do.
+func lightest(r roles, role string) *backend {
+	from := r.giving(role)
+	prefillInZone, givingInZone := map[string]int{}, map[string]int{}
+	for _, b := range r.prefill {
+		prefillInZone[b.server.Zone]++
 	}
 	for _, b := range from {
-		all[b.server.Zone]++
+		givingInZone[b.server.Zone]++
 	}
 	weight := func(b *backend) float64 {
-		s := float64(in[b.server.Zone]) / float64(in[b.server.Zone]+all[b.server.Zone])
-		if part == decode {
-			s = -float64(in[b.server.Zone])
+		prefillCount := prefillInZone[b.server.Zone]
+		share := float64(prefillCount) / float64(prefillCount+givingInZone[b.server.Zone])
+		if role == decode {
+			share = -float64(prefillCount)
 		}
-		work := b.otherCalls() + float64(b.running.Load()+b.prefilling.Load())
-		return s*zoneWeight + work
+		calls := b.otherCalls() + float64(b.running.Load()+b.prefilling.Load())
+		return share*zoneWeight + calls
 	}
 	best := from[0]
 	for _, b := range from[1:] {
@@ -203,33 +295,12 @@
 	return best
 }
 
-const zoneWeight = 1000
-
-// moved is the two pools with a server given the part; from is the pool that it left.
-func moved(chosen *backend, part string, prefillServers, decodeServers []*backend) (from, nextPrefillServers, nextDecodeServers []*backend) {
-	without := func(p []*backend) []*backend {
-		var left []*backend
-		for _, b := range p {
-			if b != chosen {
-				left = append(left, b)
-			}
-		}
-		return left
-	}
-	if part == prefill {
-		nextPrefillServers, nextDecodeServers = append(without(prefillServers), chosen), without(decodeServers)
-		return nextDecodeServers, nextPrefillServers, nextDecodeServers
-	}
-	nextPrefillServers, nextDecodeServers = without(prefillServers), append(without(decodeServers), chosen)
-	return nextPrefillServers, nextPrefillServers, nextDecodeServers
-}
-
-// Disaggregated tells whether the list says of servers what part they have.
+// Disaggregated tells whether the list gives any server a role of prefill or decode.
 func (s *Scheduler) Disaggregated() bool { return s.snapshot.Load().disaggregated }
 
-// Role is what a listed server does, and whether it changes that now. Listed is false
-// for a server that isn't listed or has no part.
-func (s *Scheduler) Role(server string) (part string, changing, listed bool) {
+// Role is what a listed server does, and whether it changes that now. Listed is false for a
+// server that isn't listed or has no role.
+func (s *Scheduler) Role(server string) (role string, changing, listed bool) {
 	b, found := s.snapshot.Load().byName[server]
 	if !found || b.server.Part == "" {
 		return "", false, false
