--- a/internal/backlog/message.go
+++ b/internal/backlog/message.go
@@ -24,14 +24,14 @@
 	Group  string `msgpack:"group"`
 	// Changes are counted before the response is made.
 	Changes []Change `msgpack:"changes,omitempty"`
-	// WantsCounts tells that the counts are wanted.
+	// WantsCounts asks for the counts.
 	WantsCounts bool `msgpack:"asks,omitempty"`
 	// Intent is what the requesting router is about to send: it is counted after the
 	// response was made, so that the next router sees it.
 	Intent *Change `msgpack:"intent,omitempty"`
 }
 
-// Response has the counts of the servers that read anything.
+// Response has the counts of the servers that read anything, sorted by server.
 type Response struct {
 	Counts []Change `msgpack:"counts,omitempty"`
 }
--- a/internal/backlog/table.go
+++ b/internal/backlog/table.go
@@ -6,74 +6,78 @@
 	"time"
 )
 
-// ShareTTL is how long a router's share of a count lasts when nothing more is heard of it. It
-// is longer than a read takes on a server that is well.
+// ShareTTL is how long a router's share of a count lasts without a change from it. It is longer
+// than a prefill takes on a healthy server.
 const ShareTTL = 3 * time.Second
 
-// Table keeps the counts of the groups that a router was asked for. The zero value is
-// ready to use.
+// Table keeps the counts of the groups that a router owns. The zero value is ready to use; its
+// methods may be called from several threads.
 type Table struct {
 	mutex  sync.Mutex
 	groups map[string]map[shareKey]*share
-	swept  time.Time
+	// swept is when lapsed shares were last removed.
+	swept time.Time
 }
 
-// holding is what one router has one server read.
+// shareKey is for what one router has one server read.
 type shareKey struct{ server, router string }
 
+// share is in prompt tokens.
 type share struct {
 	tokens  int
 	expires time.Time
 }
 
-// Apply counts a question's changes, answers it and counts its intent.
-func (l *Table) Apply(now time.Time, question Request) Response {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if now.Sub(l.swept) >= ShareTTL {
-		l.sweep(now)
+// Apply counts a request's changes, makes the response and then counts the request's intent.
+func (t *Table) Apply(now time.Time, request Request) Response {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if now.Sub(t.swept) >= ShareTTL {
+		t.sweep(now)
 	}
-	for _, change := range question.Changes {
-		l.count(now, question, change)
+	for _, change := range request.Changes {
+		t.count(now, request, change)
 	}
-	var answer Response
-	if question.WantsCounts {
-		answer.Counts = l.counts(now, question.Group)
+	var response Response
+	if request.WantsCounts {
+		response.Counts = t.counts(now, request.Group)
 	}
-	if question.Intent != nil {
-		l.count(now, question, *question.Intent)
+	if request.Intent != nil {
+		t.count(now, request, *request.Intent)
 	}
-	return answer
+	return response
 }
 
-func (l *Table) count(now time.Time, question Request, change Change) {
-	if l.groups == nil {
-		l.groups = map[string]map[shareKey]*share{}
+// count adds a change to the share of the requesting router; a share at or below zero is dropped,
+// so that a change that comes twice takes nothing from other routers.
+func (t *Table) count(now time.Time, request Request, change Change) {
+	if t.groups == nil {
+		t.groups = map[string]map[shareKey]*share{}
 	}
-	group, found := l.groups[question.Group]
+	group, found := t.groups[request.Group]
 	if !found {
 		group = map[shareKey]*share{}
-		l.groups[question.Group] = group
+		t.groups[request.Group] = group
 	}
-	holder := shareKey{server: change.Server, router: question.Router}
-	held, found := group[holder]
-	if !found || !now.Before(held.expires) {
-		held = &share{}
-		group[holder] = held
+	key := shareKey{server: change.Server, router: request.Router}
+	current, found := group[key]
+	if !found || !now.Before(current.expires) {
+		current = &share{}
+		group[key] = current
 	}
-	held.tokens += change.Tokens
-	held.expires = now.Add(ShareTTL)
-	if held.tokens <= 0 {
-		delete(group, holder)
+	current.tokens += change.Tokens
+	current.expires = now.Add(ShareTTL)
+	if current.tokens <= 0 {
+		delete(group, key)
 	}
 }
 
-// counts sums the shares of each server, the servers in order.
-func (l *Table) counts(now time.Time, group string) []Change {
+// counts sums the shares of each server, sorted by server.
+func (t *Table) counts(now time.Time, group string) []Change {
 	sums := map[string]int{}
-	for holder, held := range l.groups[group] {
-		if now.Before(held.expires) {
-			sums[holder.server] += held.tokens
+	for key, current := range t.groups[group] {
+		if now.Before(current.expires) {
+			sums[key.server] += current.tokens
 		}
 	}
 	counts := make([]Change, 0, len(sums))
@@ -84,17 +88,17 @@
 	return counts
 }
 
-// sweep forgets shares that lapsed.
-func (l *Table) sweep(now time.Time) {
-	l.swept = now
-	for name, group := range l.groups {
-		for holder, held := range group {
-			if !now.Before(held.expires) {
-				delete(group, holder)
+// sweep removes lapsed shares.
+func (t *Table) sweep(now time.Time) {
+	t.swept = now
+	for name, group := range t.groups {
+		for key, current := range group {
+			if !now.Before(current.expires) {
+				delete(group, key)
 			}
 		}
 		if len(group) == 0 {
-			delete(l.groups, name)
+			delete(t.groups, name)
 		}
 	}
 }
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -1,6 +1,11 @@
-// Package outlier finds model servers that fail the requests of several routers, whatever
-// their health checks say, so that the other routers need not find out by themselves. What
-// it tells is advice: a router that has better knowledge of its own keeps to that.
+// Package outlier ejects model servers that fail the requests of several routers, whatever
+// their health checks say, so that the other routers need not find out by themselves. A server
+// is ejected when routers of enough zones report it within a short window; after the ejection a
+// few routers try it before all use it again.
+//
+// The leading controller runs the Detector (package controlplane); routers report failures to
+// it and fetch its Advice (package follower). Package scheduler applies the advice, unless the
+// router has had a newer success of its own.
 package outlier
 
 import (
@@ -9,37 +14,38 @@
 	"time"
 )
 
-// The measures of the detection. The values are ours.
+// When a server is ejected, and for how long. The values are ours.
 const (
-	// window is how far back reports count together.
+	// reportWindow is how far back reports count together.
 	reportWindow = 1200 * time.Millisecond
 	// leastReporters and leastZones are how many routers, and of how many zones, have to
 	// report a server: the routers of one zone may have lost the way to it.
 	leastReporters = 2
 	leastZones     = 2
-	// firstEjection is how long a server is left alone at first, twice as long each time
-	// that it fails its trial, up to longestEjection.
+	// firstEjection is how long a server is ejected at first; it doubles each time that the
+	// server fails its trial, up to longestEjection.
 	firstEjection   = 1500 * time.Millisecond
 	longestEjection = 6 * time.Second
 	// trial is how long a few routers try a server before all use it again.
 	trial = time.Second
-	// memory is how long after a server's return its ejections are remembered.
+	// forgetAfter is how long after a server's return its ejections are remembered.
 	forgetAfter = 10 * time.Second
-	// mostEjected is the part of the servers that may be ejected at a time: when more
-	// fail, something else is broken.
+	// mostEjected: one server of so many may be ejected at a time. When more fail,
+	// something else is broken.
 	mostEjected = 3
 )
 
 // Reporter is a router that reports.
 type Reporter struct{ Name, Zone string }
 
-// Advice lists the servers that are ejected, and those on trial, in order.
+// Advice lists the servers that are ejected, and those on trial, each sorted by name.
 type Advice struct {
 	Ejected []string `msgpack:"ejected,omitempty"`
 	Trial   []string `msgpack:"trial,omitempty"`
 }
 
-// Detector collects the reports of all routers. The zero value is ready to use.
+// Detector collects the reports of all routers. The zero value is ready to use; its methods may
+// be called from several threads.
 type Detector struct {
 	mutex   sync.Mutex
 	servers map[string]*server
@@ -64,8 +70,8 @@
 	d.zones[reporter.Zone] = true
 }
 
-// Report takes which servers failed a router's requests lately. Listed is how many servers
-// there are.
+// Report takes which servers failed a router's requests since its last report. listed is how
+// many servers there are.
 func (d *Detector) Report(now time.Time, reporter Reporter, failing []string, listed int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -126,7 +132,8 @@
 	return count
 }
 
-// Advice tells what routers should do now.
+// Advice tells which servers routers should leave out or try now, and forgets servers without
+// fresh reports.
 func (d *Detector) Advice(now time.Time) Advice {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -179,7 +179,7 @@
 	{Name: "the reports of one zone eject no server", Never: returns, Package: "./internal/outlier", Test: "TestOneZoneIsNotEnough",
 		Edits: []Edit{{"internal/outlier/detector.go", " && len(zones) >= min(leastZones, len(d.zones))", ""}}},
 	{Name: "the share of a router that is gone lapses", Never: returns, Package: "./internal/backlog", Test: "TestSharesLapse",
-		Edits: []Edit{{"internal/backlog/table.go", "		if now.Before(held.expires) {\n			sums", "		if true {\n			sums"}}},
+		Edits: []Edit{{"internal/backlog/table.go", "		if now.Before(current.expires) {\n			sums", "		if true {\n			sums"}}},
 	{Name: "a count keeper that is silent is passed over", Never: held, Package: "./internal/dataplane", Test: "TestSilentKeeperIsPassedOver",
 		Edits: []Edit{{"internal/dataplane/countowners.go", "		c.silent[keeper.Address] = c.runtime.Now()\n", ""}}},
 }
