--- /dev/null
+++ b/internal/failure/error_test.go
@@ -0,0 +1,46 @@
+package failure
+
+import (
+	stderrors "errors"
+	"fmt"
+	"testing"
+)
+
+func ExampleCodeOf() {
+	err := fmt.Errorf("save the state: %w", New(Disk, "no space left"))
+	fmt.Println(CodeOf(err), DetailOf(err))
+	fmt.Println(stderrors.Is(err, &Error{Code: Disk}), stderrors.Is(err, &Error{Code: Busy}))
+	// Output:
+	// disk no space left
+	// true false
+}
+
+// TestWrapKeepsTheFirstCode wraps errors with and without a code.
+func TestWrapKeepsTheFirstCode(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		cause error
+		code  Code
+	}{
+		{"nothing", nil, Unsorted},
+		{"no code", stderrors.New("x"), Disk},
+		{"a code", New(Busy, "x"), Busy},
+		{"a wrapped code", fmt.Errorf("y: %w", At(Missing, "/a", "x")), Missing},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			err := Wrap(Disk, test.cause)
+			if (err == nil) != (test.cause == nil) {
+				t.Fatalf("%v became %v", test.cause, err)
+			}
+			if got := CodeOf(err); got != test.code {
+				t.Errorf("code %s, not %s", got, test.code)
+			}
+			if err != nil && !stderrors.Is(err, &Error{Code: test.code}) {
+				t.Errorf("%v is not an error of code %s", err, test.code)
+			}
+			if stderrors.Is(err, &Error{Code: test.code, Detail: "another"}) {
+				t.Errorf("%v matches an error with another detail", err)
+			}
+		})
+	}
+}
