--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -89,7 +89,7 @@
 	{Name: "a write is synced on the primary before its answer", Never: read, Package: "./internal/controlplane", Test: "TestAnswerWaitsForBothDisks",
 		Edits: []Edit{{"internal/controlplane/controller.go", "	if missing != nil || own != nil {", "	if missing != nil {"}}},
 	{Name: "the folder is synced after the rename", Never: read, Worlds: true, Finds: "",
-		Edits: []Edit{{"internal/adapters/storage/folder.go", "return failure.Wrap(failure.Disk, f.disk.SyncDirectory(f.path))", "return nil"}}},
+		Edits: []Edit{{"internal/adapters/storage/directory.go", "return failure.Wrap(failure.Disk, d.disk.SyncDirectory(d.path))", "return nil"}}},
 	{Name: "only a copy in sync takes over", Never: read, Worlds: true, Finds: "reads are never older",
 		Edits: []Edit{{"internal/replication/election.go", "	if !m.InSync(own.Identity) || c.store", "	if c.store"}, {"internal/replication/election.go", "		if !base.InSync(own.Identity) {\n			return base, false\n		}\n", ""}}},
 	{Name: "a damaged copy does not stand", Never: read, Package: "./internal/replication", Test: "TestCopyKeepsOneFileForEachVersionStillNeeded",
