--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -1,12 +1,15 @@
 package membership
 
 import (
+	"hash"
 	"hash/fnv"
 	"iter"
 	"sort"
 )
 
-// Weight is the rendezvous weight of a name for a key.
+// Weight is the rendezvous weight of a name for a key (highest random weight hashing):
+// FNV-1a of both, mixed. Nodes of all releases must weigh alike, or they would disagree on
+// who is responsible.
 func Weight(key, name string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(key))
@@ -15,7 +18,8 @@
 	return finish(digest.Sum64())
 }
 
-// finish spreads near sums: FNV alone leaves near names with near ones.
+// finish mixes the sum's bits (the finalizer of MurmurHash3): FNV alone gives similar names
+// similar sums.
 func finish(sum uint64) uint64 {
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
@@ -24,8 +28,32 @@
 	return sum ^ sum>>33
 }
 
-// Ranked orders the names by their weight for the key, heaviest first. Each is weighed
-// once.
+// Weigher weighs many names for one key, which it digests once. Its weights are those of
+// the function Weight.
+type Weigher struct{ keyed hash.Cloner }
+
+// NewWeigher digests the key.
+func NewWeigher(key string) Weigher {
+	digest := fnv.New64a()
+	_, _ = digest.Write([]byte(key))
+	_, _ = digest.Write([]byte{0})
+	return Weigher{keyed: digest.(hash.Cloner)}
+}
+
+// Weight is the rendezvous weight of a name for the key.
+func (w Weigher) Weight(name string) uint64 {
+	cloned, err := w.keyed.Clone()
+	if err != nil {
+		// A digest in memory has nothing that could fail.
+		panic("membership: " + err.Error())
+	}
+	digest := cloned.(hash.Hash64)
+	_, _ = digest.Write([]byte(name))
+	return finish(digest.Sum64())
+}
+
+// Ranked orders the names by their weight for the key, heaviest first. The caller's slice
+// stays as it is.
 func Ranked(key string, names []string) []string {
 	ranked := append([]string(nil), names...)
 	weights := make([]uint64, len(ranked))
@@ -70,7 +98,7 @@
 	return heaviest
 }
 
-// Neighbours names the small set of others that a node knows and watches.
+// Neighbours names the few others, at most count, that a node knows and watches.
 func Neighbours(self string, names []string, count int) []string {
 	var others []string
 	for _, name := range names {
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"fmt"
 	"slices"
 	"sort"
 	"strconv"
@@ -34,3 +35,21 @@
 		}
 	}
 }
+
+// TestWeigherWeighsAsWeightDoes compares the two for several keys and names.
+func TestWeigherWeighsAsWeightDoes(t *testing.T) {
+	for _, key := range []string{"", "server/stove-1", "one/stove-17"} {
+		weigher := NewWeigher(key)
+		for _, name := range []string{"", "courier-1", "stove-2", "stove-22"} {
+			if weigher.Weight(name) != Weight(key, name) {
+				t.Errorf("%q for %q", name, key)
+			}
+		}
+	}
+}
+
+func ExampleRanked() {
+	fmt.Println(Ranked("server/a", []string{"courier-1", "courier-2", "courier-3"}))
+	// Output:
+	// [courier-3 courier-1 courier-2]
+}
--- a/internal/membership/listing.go
+++ b/internal/membership/servers.go
@@ -5,11 +5,36 @@
 	"time"
 )
 
+// Server is a model server as the platform lists it.
+type Server struct {
+	Name    string `json:"name" msgpack:"name"`
+	Address string `json:"address" msgpack:"address"`
+	Zone    string `json:"district" msgpack:"district"`
+	Leaving bool   `json:"leaving" msgpack:"leaving"`
+	// Service is the service that the server works for; empty: for all.
+	Service string `json:"service,omitempty" msgpack:"service,omitempty"`
+	// Part is what the list says that the server does: "prefill" or "decode".
+	Part string `json:"part,omitempty" msgpack:"part,omitempty"`
+	// Models are the weights that it has.
+	Models []string `json:"models,omitempty" msgpack:"models,omitempty"`
+	// Slots is how many requests it works on at once; zero: unknown.
+	Slots int `json:"slots,omitempty" msgpack:"slots,omitempty"`
+	// Warming is for how much longer it warms up, as of when the list was read; zero: warm.
+	Warming time.Duration `json:"warming,omitempty" msgpack:"warming,omitempty"`
+}
+
+// same tells whether two entries of one server say the same, its warming aside.
+func (s Server) same(other Server) bool {
+	return s.Name == other.Name && s.Address == other.Address && s.Zone == other.Zone && s.Leaving == other.Leaving &&
+		s.Service == other.Service && s.Part == other.Part && s.Slots == other.Slots && slices.Equal(s.Models, other.Models)
+}
+
 // Listing is what a node knows of the platform's list of servers, from whoever read
-// it. Reads come from several readers, late and out of turn: a server whose leaving
-// was seen once stays leaving, and one that has vanished is not brought back by a
-// read that is no newer. It has no lock of its own.
+// it. Reads come from several readers, late and out of order: a server that was once seen
+// leaving stays leaving, and one that was removed is not brought back by a read that is no
+// newer. The zero value is empty and ready to use. It is not safe for concurrent use.
 type Listing struct {
+	// at is when the newest read took place.
 	at      time.Time
 	servers []Server
 	// warmAt is when a server is warm, by the reader's clock.
@@ -22,15 +47,14 @@
 	// listLag is how far two reads of one list may differ in what they know. The
 	// value is ours.
 	listLag = time.Second
-	// goneKept is how long a vanished server is remembered.
+	// goneKept is for how long a removed server is remembered.
 	goneKept = time.Minute
-	// coldStep is the least change of a server's warming that counts as one.
+	// coldStep is the least change of the end of a server's warming that counts as one.
 	coldStep = 300 * time.Millisecond
 )
 
-// Take takes a list that was read at a moment and tells whether anything changed
-// that matters to who offers work to servers. One that is older than what is known
-// changes nothing.
+// Take takes over a list that was read at a moment and tells whether anything changed that
+// matters to the scheduler. A list older than the newest one known changes nothing.
 func (l *Listing) Take(at time.Time, servers []Server) bool {
 	if !l.at.IsZero() && at.Before(l.at) {
 		return false
@@ -47,7 +71,7 @@
 	warmAt := map[string]time.Time{}
 	changed := false
 	for _, server := range servers {
-		if removedAt, found := l.gone[server.Name]; found && at.Sub(removedAt) < listLag {
+		if removed, found := l.gone[server.Name]; found && at.Sub(removed) < listLag {
 			continue
 		}
 		delete(l.gone, server.Name)
@@ -62,7 +86,7 @@
 		if !known || !earlier.same(server) {
 			changed = true
 		}
-		// Each read tells the same end a little differently.
+		// Each read reports the same end a little differently.
 		if old := l.warmAt[server.Name]; known && until.Sub(old).Abs() < coldStep {
 			until = old
 		} else if known && (until.After(at) || old.After(at)) {
@@ -75,14 +99,19 @@
 		changed = true
 		l.gone[name] = at
 	}
-	for name, vanished := range l.gone {
-		if at.Sub(vanished) > goneKept {
+	l.forget(at)
+	l.at, l.servers, l.warmAt = at, next, warmAt
+	return changed || first
+}
+
+// forget drops the removed servers whose retention has passed.
+func (l *Listing) forget(now time.Time) {
+	for name, removed := range l.gone {
+		if now.Sub(removed) > goneKept {
 			delete(l.gone, name)
 			delete(l.leaving, name)
 		}
 	}
-	l.at, l.servers, l.warmAt = at, next, warmAt
-	return changed || first
 }
 
 // Confirm notes that the list was read again at a moment and had not changed.
@@ -103,9 +132,3 @@
 	}
 	return servers
 }
-
-// same tells whether two entries of one server say the same, its warming aside.
-func (s Server) same(other Server) bool {
-	return s.Name == other.Name && s.Address == other.Address && s.Zone == other.Zone && s.Leaving == other.Leaving &&
-		s.Service == other.Service && s.Part == other.Part && s.Slots == other.Slots && slices.Equal(s.Models, other.Models)
-}
