--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -2,7 +2,6 @@
 
 import (
 	"sort"
-	"strconv"
 	"strings"
 	"time"
 
@@ -10,31 +9,71 @@
 
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/failure"
+	"seamloom.example/seamloom/internal/features"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// State is the replicated state's content as the primary works on it. Changes check
-// first and then alter, so that a refused change leaves nothing behind.
+// The sections. Claims have one section for each span of time.
+const (
+	ConfigurationSection = "menu"
+	MembersSection       = "members"
+	FlagsSection         = "flags"
+	RolesSection         = "rota"
+	OrdersSection        = "orders"
+	ChangesSection       = "changes"
+	HorizonSection       = "horizon"
+	ClaimsPrefix         = "claims/"
+)
+
+// Flags is the durable list of enabled feature flags.
+type Flags struct {
+	Enabled features.List `msgpack:"enabled" json:"enabled"`
+}
+
+// Roles are the recorded holders of the roles by key, and the last fencing token given.
+type Roles struct {
+	Roles        map[string]lease.Role `msgpack:"duties"`
+	FencingToken uint64                `msgpack:"fence"`
+}
+
+// Orders are the standing orders, one for each server, and the last order's number.
+type Orders struct {
+	Records map[string]codec.Record `msgpack:"records"`
+	Number  uint64                  `msgpack:"number"`
+}
+
+// State is the replicated state's decoded content, as the primary works on it. Changes check
+// first and then alter, so that a refused change leaves nothing behind. Whoever alters a
+// field marks its section dirty; only dirty sections are written.
 type State struct {
 	Configuration []byte
 	Members       map[string]membership.Member
 	Flags         Flags
 	Roles         Roles
 	Orders        Orders
-	Changes       []ChangeRecord
-	Horizon       time.Time
-	Claims        map[string]map[string]codec.Record
-	dirty         map[string]bool
+	// Changes are the accepted configuration changes of the last ChangeRetention.
+	Changes []ChangeRecord
+	// Horizon is the time from which on claims are remembered; zero: none yet.
+	Horizon time.Time
+	// Claims are recover records by section name and request id.
+	Claims map[string]map[string]codec.Record
+	dirty  map[string]bool
 }
 
 // NewState is the content of a replicated state that was just formed.
 func NewState() *State {
-	return &State{Configuration: []byte(`{}`), Members: map[string]membership.Member{}, Roles: Roles{Roles: map[string]lease.Role{}},
-		Orders: Orders{Records: map[string]codec.Record{}}, Claims: map[string]map[string]codec.Record{}, dirty: map[string]bool{}}
+	return &State{
+		Configuration: []byte(`{}`),
+		Members:       map[string]membership.Member{},
+		Roles:         Roles{Roles: map[string]lease.Role{}},
+		Orders:        Orders{Records: map[string]codec.Record{}},
+		Claims:        map[string]map[string]codec.Record{},
+		dirty:         map[string]bool{},
+	}
 }
 
-// ReadState decodes the sections of a copy.
+// ReadState decodes the sections of a replica. An error has the code Garbage.
 func ReadState(sections map[string]Section) (*State, error) {
 	state := NewState()
 	for name, section := range sections {
@@ -71,10 +110,11 @@
 	return state, nil
 }
 
-// MarkDirty marks a section as changed.
+// MarkDirty marks a section as changed by the present batch.
 func (s *State) MarkDirty(section string) { s.dirty[section] = true }
 
-// pack encodes the changed sections and forgets that they were changed.
+// encodeDirty encodes the dirty sections for a version, lists the removed ones in order, and
+// marks all clean.
 func (s *State) encodeDirty(version Version) (map[string]Section, []string, error) {
 	sections := map[string]Section{}
 	var removed []string
@@ -114,15 +154,3 @@
 	sort.Strings(removed)
 	return sections, removed, nil
 }
-
-// ClaimSpan is how much time of request ids one claims section covers.
-const ClaimSpan = 5 * time.Second
-
-func claimsSectionName(made time.Time) string {
-	return ClaimsPrefix + strconv.FormatInt(made.UnixMilli()/ClaimSpan.Milliseconds(), 10)
-}
-
-func claimsSectionEnd(name string) time.Time {
-	span, _ := strconv.ParseInt(strings.TrimPrefix(name, ClaimsPrefix), 10, 64)
-	return time.UnixMilli((span + 1) * ClaimSpan.Milliseconds())
-}
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -8,50 +8,70 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Done is told how a change ended: the committed version, or the trouble.
-type Done func(version Version, failure error)
+// Done is called with a change's outcome: the version it was committed in, or why it was
+// not. The code OutcomeUnknown means that it may have been, or may still be, committed.
+type Done func(version Version, err error)
 
+// pendingChange is a submitted change that was not answered yet. Its err is set once it has
+// run.
 type pendingChange struct {
 	change Change
 	done   Done
 	err    error
 }
 
-// Store is one controller's part in the replicated state: its copy, and, while it is
-// primary, the working state and the changes that wait. One batch is under way
-// at a time; changes that arrive meanwhile share the next one and its sync.
+// Store is one controller's part in the replicated state: its local replica, and, while it is
+// primary, the working state and the pending changes. One batch is in flight at a time;
+// changes that arrive meanwhile share the next one and its sync.
+//
+// Invariant: a change is answered, and its state shown, only after its batch is synced on the
+// primary's disk and on every backup of the membership. The caller keeps the order NextBatch,
+// WriteLocal and Replicate on each backup, then Commit; Commit alone publishes the view and
+// answers. So whichever replica in sync leads next has everything that was answered.
 type Store struct {
-	mutex     sync.Locker
-	local     *LocalReplica
-	witness   *Witness
-	leading   bool
-	paused    bool
-	hidden    atomic.Bool
-	epoch     uint64
-	working   *State
-	pending   []pendingChange
-	batch     *Batch
-	inFlight  []pendingChange
-	view      atomic.Pointer[View]
+	mutex   sync.Locker
+	local   *LocalReplica
+	witness *Witness
+
+	leading bool
+	// paused stops commits; it is set while the backups change.
+	paused bool
+	// hidden keeps the view from readers although the store leads.
+	hidden atomic.Bool
+	epoch  uint64
+	// working is the committed state with the batch in flight applied.
+	working *State
+	// pending are changes that wait for the next batch.
+	pending []pendingChange
+	// batch is the one in flight, or nil, and inFlight its changes.
+	batch    *Batch
+	inFlight []pendingChange
+	// view is the committed state.
+	view atomic.Pointer[View]
+
+	// batches and completed count what was committed, for metrics.
 	batches   uint64
 	completed uint64
 }
 
-// NewStore joins a copy and the keeper of the same disk.
-func NewStore(copied *LocalReplica, witness *Witness) *Store {
-	return &Store{mutex: &sync.Mutex{}, local: copied, witness: witness}
+// NewStore joins the local replica and the witness of the same disk.
+func NewStore(local *LocalReplica, witness *Witness) *Store {
+	return &Store{mutex: &sync.Mutex{}, local: local, witness: witness}
 }
 
-// SetLock chooses the store's lock, which is held while it waits for the disk. It comes
-// before any other use.
+// SetLock chooses the store's lock, which is held while it waits for the disk. It must be
+// called before any other method.
 func (s *Store) SetLock(lock sync.Locker) { s.mutex = lock }
 
-// Lead makes the store the primary of an epoch: it takes its own copy as the
-// committed state, under a first version of the new epoch, and shows it.
+// Lead makes the store the primary of an epoch: it takes its local replica as the committed
+// state, stamps it with a first version of the new epoch, and shows it. The replica must be
+// in sync: it then has every answered change, and perhaps a batch that was never answered,
+// which is committed by this. Codes: Damaged, Disk, Garbage.
 func (s *Store) Lead(epoch uint64) error { return s.lead(epoch, false) }
 
-// LeadHidden does so while other copies count as in sync: nothing is shown or
-// committed until they are made the same, or no longer count, and Thaw says so.
+// LeadHidden does so while other replicas count as in sync: nothing is shown or committed
+// until they are brought to the same version, or no longer count, and ResumeCommits or Show
+// is called. Until then another of them could lead without that unanswered batch.
 func (s *Store) LeadHidden(epoch uint64) error { return s.lead(epoch, true) }
 
 func (s *Store) lead(epoch uint64, hidden bool) error {
@@ -80,15 +100,15 @@
 	return nil
 }
 
-// Leading tells whether the store is a primary's.
+// Leading tells whether the store is the primary's.
 func (s *Store) Leading() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.leading
 }
 
-// StepDown ends being primary. What was under way has an unknown outcome;
-// what still waited was not accepted.
+// StepDown ends being primary. The changes in flight have the code OutcomeUnknown, since their
+// batch may be on some disk; those pending were not accepted and have NotPrimary.
 func (s *Store) StepDown() {
 	s.mutex.Lock()
 	inFlight, pending := s.inFlight, s.pending
@@ -99,13 +119,13 @@
 	for _, change := range inFlight {
 		change.done(Version{}, failure.New(failure.Unknown, "the primary changed while the change was under way"))
 	}
-	for _, waiting := range pending {
-		waiting.done(Version{}, failure.New(failure.NotPrimary, "the change was not accepted"))
+	for _, change := range pending {
+		change.done(Version{}, failure.New(failure.NotPrimary, "the change was not accepted"))
 	}
 }
 
-// View is the committed state while the store is a primary's, else nil. Who
-// reads it must hold the primary's hold.
+// View is the committed state while the store leads and is not hidden, else nil. Whoever
+// answers from it must check the primary's lease after reading it.
 func (s *Store) View() *View {
 	if s.hidden.Load() {
 		return nil
@@ -116,7 +136,7 @@
 // Hidden tells whether the store leads and does not show its state yet.
 func (s *Store) Hidden() bool { return s.hidden.Load() }
 
-// Submit queues a change; done is called once, from another thread or this.
+// Submit queues a change; done is called once, from another thread or this one.
 func (s *Store) Submit(change Change, done Done) {
 	s.mutex.Lock()
 	if !s.leading {
@@ -128,8 +148,9 @@
 	s.mutex.Unlock()
 }
 
-// NextBatch gives the batch to be synced on both copies now: the one under way,
-// stamped with the present epoch, or a new one made of all waiting changes.
+// NextBatch is the batch to be synced on all replicas now: the one in flight, stamped with
+// the present epoch, or a new one made of all pending changes. There is none while commits
+// are paused.
 func (s *Store) NextBatch() (Batch, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -138,23 +159,35 @@
 	}
 	view := s.view.Load()
 	version := Version{Epoch: s.epoch, Number: view.Version.Number + 1}
-	if s.batch != nil {
-		if s.batch.Version != version {
-			s.batch.Version = version
-			for name, section := range s.batch.Sections {
-				section.Version = version
-				s.batch.Sections[name] = section
-			}
-		}
-		return *s.batch, true
-	}
-	if len(s.pending) == 0 {
+	switch {
+	case s.batch != nil:
+		s.restamp(version)
+	case len(s.pending) > 0:
+		s.makeBatch(view, version)
+	default:
 		return Batch{}, false
 	}
+	return *s.batch, true
+}
+
+// restamp gives the batch in flight the version of a newer epoch.
+func (s *Store) restamp(version Version) {
+	if s.batch.Version == version {
+		return
+	}
+	s.batch.Version = version
+	for name, section := range s.batch.Sections {
+		section.Version = version
+		s.batch.Sections[name] = section
+	}
+}
+
+// makeBatch runs all pending changes, one after another, and puts them in flight.
+func (s *Store) makeBatch(view *View, version Version) {
 	s.inFlight, s.pending = s.pending, nil
 	configurationVersion := view.VersionOf(ConfigurationSection)
-	for position := range s.inFlight {
-		change := &s.inFlight[position]
+	for i := range s.inFlight {
+		change := &s.inFlight[i]
 		change.err = change.change(s.working, version, configurationVersion)
 		if s.working.dirty[ConfigurationSection] {
 			configurationVersion = version
@@ -162,25 +195,23 @@
 	}
 	sections, removed, err := s.working.encodeDirty(version)
 	if err != nil {
-		for position := range s.inFlight {
-			s.inFlight[position].err = err
+		for i := range s.inFlight {
+			s.inFlight[i].err = err
 		}
 	}
 	s.batch = &Batch{Version: version, Base: view.Version, Sections: sections, Removed: removed}
-	return *s.batch, true
 }
 
-// Empty tells whether a batch changes nothing and needs no sync.
-func (b Batch) Empty() bool { return len(b.Sections) == 0 && len(b.Removed) == 0 }
-
-// WriteLocal syncs the batch on this store's own copy.
+// WriteLocal syncs the batch on the primary's own disk. The batch follows whatever version is
+// there, also its own with an older epoch.
 func (s *Store) WriteLocal(batch Batch) error {
 	batch.Base = s.local.Version()
 	return s.local.Write(batch)
 }
 
-// Commit shows a batch that is synced on both copies and tells its changes. It
-// returns false when the store no longer leads the batch's epoch.
+// Commit publishes a batch that is synced on the primary's disk and on every backup, and
+// answers its changes. It does nothing and returns false when the batch is no longer the one
+// in flight: the store stepped down, commits were paused, or it was stamped anew.
 func (s *Store) Commit(batch Batch) bool {
 	s.mutex.Lock()
 	if !s.leading || s.paused || s.batch == nil || s.batch.Version != batch.Version {
@@ -203,36 +234,22 @@
 	return true
 }
 
-func (v *View) after(batch Batch) *View {
-	sections := make(map[string]Section, len(v.Sections)+len(batch.Sections))
-	for name, section := range v.Sections {
-		sections[name] = section
-	}
-	for name, section := range batch.Sections {
-		sections[name] = section
-	}
-	for _, name := range batch.Removed {
-		delete(sections, name)
-	}
-	return &View{Version: batch.Version, Sections: sections}
-}
-
-// CommitCounts counts the synced batches and the changes answered by them.
+// CommitCounts is how many batches were committed and how many changes they answered.
 func (s *Store) CommitCounts() (batches, changes uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.batches, s.completed
 }
 
-// HasPending tells whether a change waits to be committed or is under way.
+// HasPending tells whether a change is pending or in flight.
 func (s *Store) HasPending() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.batch != nil || len(s.pending) > 0
 }
 
-// PauseCommits stops commits while a new pair is being granted, and cuts the
-// snapshot that the new backup starts from.
+// PauseCommits stops commits while other backups are granted, and takes the snapshot that
+// they start from: nothing is committed that it lacks until ResumeCommits.
 func (s *Store) PauseCommits() (Snapshot, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -243,7 +260,7 @@
 	return s.snapshot(), true
 }
 
-// Snapshot is the committed state, while commits go on.
+// Snapshot is the committed state, while commits continue.
 func (s *Store) Snapshot() (Snapshot, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -258,7 +275,8 @@
 	return Snapshot{Epoch: s.epoch, Version: view.Version, Sections: view.Sections}
 }
 
-// ResumeCommits lets commits go on, with the granted pair.
+// ResumeCommits lets commits continue in the epoch of the granted membership, and shows the
+// state.
 func (s *Store) ResumeCommits(epoch uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -267,8 +285,8 @@
 	s.epoch = epoch
 }
 
-// Show shows the state of a store that has become the only copy, while commits
-// stay stopped.
+// Show shows the state of a store whose replica has become the only one in sync, while
+// commits stay paused.
 func (s *Store) Show(epoch uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -276,15 +294,17 @@
 	s.epoch = epoch
 }
 
-// SetEpoch takes a newly granted epoch while commits stay stopped.
+// SetEpoch takes over a newly granted epoch while commits stay paused.
 func (s *Store) SetEpoch(epoch uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.epoch = epoch
 }
 
-// Replicate is the backup's side of a write: it refuses an older epoch than it
-// has promised, and a batch that does not follow its copy.
+// Replicate is the backup's side of a write. It refuses an older epoch than its witness has
+// promised, with the code OldEpoch, so that a deposed primary commits nothing, and a batch
+// that does not follow its replica, with Behind. It returns nil only once the batch is
+// synced.
 func (s *Store) Replicate(epoch uint64, batch Batch) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -294,7 +314,7 @@
 	return s.local.Write(batch)
 }
 
-// Install is the new backup's side of a snapshot.
+// Install is the new backup's side of a snapshot. Codes: OldEpoch, Disk.
 func (s *Store) Install(snapshot Snapshot) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -304,7 +324,8 @@
 	return s.local.Restore(snapshot)
 }
 
-// CatchUp mends this store's copy when it is old and not in sync.
+// CatchUp is the side of a replica that is not in sync: it takes a snapshot that is newer than
+// it. Codes: OldEpoch, Behind, Disk.
 func (s *Store) CatchUp(snapshot Snapshot) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -314,6 +335,8 @@
 	return s.local.CatchUp(snapshot)
 }
 
+// acceptEpoch promises the sender's epoch, or refuses it when a higher one is promised or
+// this store leads.
 func (s *Store) acceptEpoch(epoch uint64) error {
 	if s.leading {
 		return failure.New(failure.OldEpoch, "this copy leads")
@@ -321,13 +344,14 @@
 	return s.witness.Learn(epoch)
 }
 
-// PromiseEpoch promises the epoch on the store's own disk, between two writes of an
-// older primary and never during one.
+// PromiseEpoch promises the epoch on the store's own disk. It takes the store's lock, so that
+// the promise falls between two writes of an older primary and never into one: a write that
+// began under the old epoch is on the disk before the promise is given.
 func (s *Store) PromiseEpoch(now time.Time, epoch uint64, c Identity) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.witness.Vow(now, epoch, c)
 }
 
-// LocalReplica is the store's copy, for status and for candidates' checks.
+// LocalReplica is the store's replica, for status and for candidates' checks.
 func (s *Store) LocalReplica() *LocalReplica { return s.local }
