--- a/core_calls_test.go
+++ b/core_calls_test.go
@@ -87,10 +87,10 @@
 	}
 }
 
-// TestHolderGivesPartsByTheWorkOfCalls has readers pressed, wants an order from the
-// holder of the parts duty, and one command from the holder of the server's until the
-// server says that it has the part.
-func TestHolderGivesPartsByTheWorkOfCalls(t *testing.T) {
+// TestRolesFollowTheLoadOfCalls has prefill servers under load, wants an order from the
+// holder of the parts key, and one command from the holder of the server's key until the
+// server reports that it has the role.
+func TestRolesFollowTheLoadOfCalls(t *testing.T) {
 	now := time.Unix(3_000_000, 0)
 	core := callCore(now)
 	role := map[string]string{}
--- a/core_test.go
+++ b/core_test.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/lease"
 )
 
-// TestSameEventsGiveTheSameDecisions feeds two cores one long random stream.
+// TestSameEventsGiveTheSameDecisions feeds two cores one long random stream of events.
 func TestSameEventsGiveTheSameDecisions(t *testing.T) {
 	random := rand.New(rand.NewPCG(8, 8))
 	cores := []*Core{}
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestNewHolderTellsTheServerItsFencingToken wants one command for each new fence, even
-// when the server has the part already, and none without the duty's hold.
-func TestNewHolderTellsTheServerItsFencingToken(t *testing.T) {
+// TestNewRoleSendsTheServerItsFencingToken wants one command for each new fencing token,
+// even when the server has its role already, and none without the lease.
+func TestNewRoleSendsTheServerItsFencingToken(t *testing.T) {
 	core := New(Options{Router: "courier-1", Zone: "north", Supported: Supported(nil)})
 	now := time.Unix(3_000_000, 0)
 	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: []Server{{Name: "s", Address: "s", Zone: "north"}}})
@@ -168,11 +168,11 @@
 		return count
 	}
 	if first, second := commands(4), commands(9); first != 1 || second != 1 {
-		t.Errorf("%d commands under the first fence, %d under the second", first, second)
+		t.Errorf("%d commands under the first fencing token, %d under the second", first, second)
 	}
 	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "prefill"}}})
 	now = now.Add(5 * time.Second)
 	if late := commands(0); late != 0 {
-		t.Errorf("%d commands after the hold ran out", late)
+		t.Errorf("%d commands after the lease ran out", late)
 	}
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom"
 )
 
-// FuzzApply feeds a core events that may be anything that JSON can say: no
+// FuzzApply feeds a core events that may be anything that JSON can express, and wants no
 // panic.
 func FuzzApply(fuzzing *testing.F) {
 	for _, event := range []string{
@@ -24,7 +24,12 @@
 	}
 	fuzzing.Fuzz(func(_ *testing.T, first, second []byte) {
 		core := seamloom.New(seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)})
-		core.Apply(seamloom.Event{Kind: "menu_received", Configuration: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), Epoch: 1, Number: 1})
+		core.Apply(seamloom.Event{
+			Kind:          "menu_received",
+			Configuration: []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`),
+			Epoch:         1,
+			Number:        1,
+		})
 		for range 2 {
 			for _, text := range [][]byte{first, second} {
 				var event seamloom.Event
--- a/internal/auction/dispatcher_test.go
+++ b/internal/auction/dispatcher_test.go
@@ -117,8 +117,9 @@
 
 func TestNothingIsDispatchedPastItsLimitOrWithoutALease(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	if final := find(arrive(dispatcher, noon.Add(4*time.Second), "late", true), Finish); final == nil || final.Cause != failure.NoLease {
-		t.Errorf("admitted without a lease: %+v", final)
+	late := find(arrive(dispatcher, noon.Add(4*time.Second), "late", true), Finish)
+	if late == nil || late.Cause != failure.NoLease {
+		t.Errorf("admitted without a lease: %+v", late)
 	}
 	request := &Request{
 		ID:           "one",
@@ -222,9 +223,9 @@
 	}
 }
 
-// TestRoutersShareAColdServersRoom: what seven routers may send to a server
+// TestRoutersShareAWarmingServersCapacity: what seven routers may send to a server
 // that is warming up between two reports stays within its capacity.
-func TestRoutersShareAColdServersRoom(t *testing.T) {
+func TestRoutersShareAWarmingServersCapacity(t *testing.T) {
 	sent := 0
 	for router := range 7 {
 		dispatcher := newTestDispatcher(t)
@@ -269,7 +270,8 @@
 	if dispatched := find(arrive(dispatcher, noon, "one", true), DispatchPrefill); dispatched == nil || dispatched.Server != "p2" {
 		t.Errorf("with north evacuated: %+v", dispatched)
 	}
-	if decode := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle"), DispatchDecode); decode == nil || decode.Server != "d2" {
+	decode := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle"), DispatchDecode)
+	if decode == nil || decode.Server != "d2" {
 		t.Errorf("with north evacuated: %+v", decode)
 	}
 	dispatcher.market.List([]membership.Server{
@@ -283,7 +285,8 @@
 	}
 	configure(t, dispatcher, 3, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{},"south":{}}}`)
 	dispatcher.Renew(noon.Add(4*time.Second), 1, 3)
-	if final := find(arrive(dispatcher, noon, "three", true), Finish); final == nil || final.Cause != failure.Evacuated || final.Retry == 0 {
+	final := find(arrive(dispatcher, noon, "three", true), Finish)
+	if final == nil || final.Cause != failure.Evacuated || final.Retry == 0 {
 		t.Errorf("with every zone evacuated: %+v", final)
 	}
 }
@@ -306,7 +309,7 @@
 	}
 }
 
-func TestColdServerIsOfferedLittle(t *testing.T) {
+func TestWarmingServerGetsFewRequests(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	dispatcher.market.List([]membership.Server{
 		{Name: "p1", Address: "p1", Zone: "north"},
@@ -345,14 +348,16 @@
 	dispatcher := newTestDispatcher(t)
 	earn(dispatcher)
 	arrive(dispatcher, noon, "one", true)
-	if decode := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "first"), DispatchDecode); decode == nil || decode.Handle != "first" {
-		t.Fatalf("the first decode: %+v", decode)
+	first := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "first"), DispatchDecode)
+	if first == nil || first.Handle != "first" {
+		t.Fatalf("the first decode: %+v", first)
 	}
 	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
 		t.Fatal("no second run after the handle expired")
 	}
-	if decode := find(dispatcher.Prefilled(noon, "one", 2, OutcomeDone, "second"), DispatchDecode); decode == nil || decode.Handle != "second" {
-		t.Errorf("the second decode: %+v", decode)
+	second := find(dispatcher.Prefilled(noon, "one", 2, OutcomeDone, "second"), DispatchDecode)
+	if second == nil || second.Handle != "second" {
+		t.Errorf("the second decode: %+v", second)
 	}
 }
 
@@ -400,9 +405,9 @@
 	}
 }
 
-// TestBudgetSavesTwoAttemptsAndNoMore lets a router work long without a fault: a
+// TestRetryBudgetCapsItsCreditAtTwoRetries lets a router work long without a fault: a
 // failure must not bring a burst of retries that were saved up before.
-func TestBudgetSavesTwoAttemptsAndNoMore(t *testing.T) {
+func TestRetryBudgetCapsItsCreditAtTwoRetries(t *testing.T) {
 	budget := &RetryBudget{}
 	for range 1000 {
 		budget.RecordFirst()
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -233,7 +233,7 @@
 	if full || current.load.MemoryFree-int(current.memory.Load()) < needed {
 		return 0, false
 	}
-	// A fuller server makes chunks more slowly, and leaves less room for the
+	// A fuller server makes chunks more slowly, and leaves less capacity for the
 	// requests that come next.
 	fullness := float64(busy) / float64(slots)
 	return time.Duration(float64(request.Chunks) * float64(current.load.ChunkTime) * (0.25 + fullness*fullness)), true
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -65,8 +65,8 @@
 }
 
 // TestMarketIsTradedByManyThreads has threads bid, reserve and release while
-// reports and lists are replaced. The race detector watches; room that is
-// reserved must be given back whole.
+// reports and lists are replaced. The race detector watches; a slot that
+// is reserved must be given back.
 func TestMarketIsTradedByManyThreads(t *testing.T) {
 	market := newTestMarket(12)
 	var trading sync.WaitGroup
@@ -100,7 +100,7 @@
 	trading.Wait()
 	for _, state := range market.snapshot.Load().servers {
 		if pending := state.pendingDecodes.Load(); pending != 0 {
-			t.Errorf("%s has %d rooms promised to nobody", state.server.Name, pending)
+			t.Errorf("%s has %d slots reserved for nobody", state.server.Name, pending)
 		}
 	}
 }
--- a/internal/auction/server.go
+++ b/internal/auction/server.go
@@ -26,7 +26,7 @@
 	Role        ServerRole `json:"part"`
 	// Leaving tells that the server takes no new work.
 	Leaving bool `json:"leaving"`
-	// Age is how long the server has had its role; its usable capacity grows with it.
+	// Age is how long the server has run; its usable capacity grows with it.
 	Age time.Duration `json:"age"`
 	// PrefillQueueTokens wait to be read, at PrefillRate tokens a second.
 	PrefillQueueTokens int `json:"prefill_queue_tokens"`
