--- a/internal/adapters/modelserver/loadreport.go
+++ b/internal/adapters/modelserver/messages.go
@@ -8,6 +8,62 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
+// PrefillOrder is the body of POST /v1/prefill.
+type PrefillOrder struct {
+	Request      string `json:"inquiry"`
+	Order        string `json:"order,omitempty"`
+	Run          int    `json:"run"`
+	Prompt       string `json:"prompt,omitempty"`
+	PromptTokens int    `json:"prompt_tokens"`
+	Prefix       string `json:"prefix,omitempty"`
+	PrefixTokens int    `json:"prefix_tokens,omitempty"`
+}
+
+// PrefillAnswer is the answer to POST /v1/prefill.
+type PrefillAnswer struct {
+	Request string `json:"inquiry"`
+	Run     int    `json:"run"`
+	Handle  string `json:"handle"`
+}
+
+// DecodeOrder is the body of POST /v1/decode. Source is the address of the
+// server that read the prompt, from which its memory is fetched.
+type DecodeOrder struct {
+	Request string `json:"inquiry"`
+	Order   string `json:"order,omitempty"`
+	Run     int    `json:"run"`
+	Handle  string `json:"handle"`
+	Source  string `json:"source"`
+	Chunks  int    `json:"pieces"`
+}
+
+// StreamLine is one line of the answer to POST /v1/decode. The last one has
+// Done and the number of all chunks.
+type StreamLine struct {
+	Request string `json:"inquiry"`
+	Run     int    `json:"run"`
+	Chunk   int    `json:"piece,omitempty"`
+	Text    string `json:"text,omitempty"`
+	Done    bool   `json:"done,omitempty"`
+	Chunks  int    `json:"pieces,omitempty"`
+}
+
+// CancelOrder is the body of POST /v1/cancel.
+type CancelOrder struct {
+	Request string `json:"inquiry"`
+	Order   string `json:"order,omitempty"`
+	Run     int    `json:"run"`
+}
+
+// PartOrder is the body of POST /v1/part.
+type PartOrder struct {
+	Part                 string `json:"part"`
+	FencingToken         uint64 `json:"fence"`
+	Holder               string `json:"holder"`
+	PatienceMilliseconds int    `json:"patience_milliseconds"`
+	Cause                string `json:"cause,omitempty"`
+}
+
 // LoadReport is the answer to GET /v1/load.
 type LoadReport struct {
 	Server                string         `json:"server"`
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"net/http"
 	"sync"
 	"time"
 
@@ -11,8 +12,6 @@
 	"github.com/google/uuid"
 	"gopkg.in/tomb.v2"
 
-	"net/http"
-
 	"seamloom.example/seamloom"
 	"seamloom.example/seamloom/internal/adapters/daemon"
 	"seamloom.example/seamloom/internal/adapters/discovery"
@@ -161,3 +160,23 @@
 	defer p.mutex.Unlock()
 	return p.chosen.Grace
 }
+
+// commanding has servers commanded by a platform's own orders, if there are any.
+func commanding(kitchen *modelserver.ModelServer, orders ports.Orders) dataplane.ModelServer {
+	if orders == nil {
+		return kitchen
+	}
+	return &orderly{ModelServer: kitchen, orders: orders}
+}
+
+// orderly is a client to model servers whose parts are ordered in a platform's way.
+type orderly struct {
+	*modelserver.ModelServer
+	orders ports.Orders
+}
+
+// Command has a server take a part. One that is late is worse than none: it ends
+// with the duty's hold.
+func (o *orderly) Command(decision auction.Decision, may func() bool) error {
+	return o.Within(decision, func(lifetime context.Context) error { return o.orders.Order(lifetime, decision, may) })
+}
--- a/internal/adapters/rpc/caller.go
+++ b/internal/adapters/rpc/caller.go
@@ -13,7 +13,6 @@
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
-
 	"seamloom.example/seamloom/internal/failure"
 )
 
@@ -106,3 +105,14 @@
 func checksum(body []byte) string {
 	return strconv.FormatUint(uint64(crc32.Checksum(body, castagnoli)), 16)
 }
+
+// Line is a caller for as long as one process lives.
+type Line struct {
+	Caller   *Caller
+	Lifetime context.Context
+}
+
+// CallRaw sends an encoded message and returns the encoded answer.
+func (l Line) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
+	return l.Caller.CallRaw(l.Lifetime, address, path, body, patience)
+}
