--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -44,7 +44,7 @@
 	Detail  string          `json:"detail,omitempty"`
 }
 
-type taster struct {
+type checker struct {
 	addresses []string
 	asPatch   bool
 	asJSON    bool
@@ -53,7 +53,7 @@
 }
 
 func main() {
-	t := &taster{client: &http.Client{Timeout: 5 * time.Second}}
+	t := &checker{client: &http.Client{Timeout: 5 * time.Second}}
 	var to string
 	code := fine
 	root := &cobra.Command{Use: "configcheck FILE", Short: "check a proposed configuration against the fleet as it is", Args: cobra.ExactArgs(1), SilenceUsage: true, SilenceErrors: true,
@@ -65,9 +65,9 @@
 		Example: "  configcheck proposed.json --to 127.0.0.1:7101,127.0.0.1:7102\n  configcheck --patch change.json --expected 4.17 --json --to 127.0.0.1:7101",
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			t.addresses = strings.Split(to, ",")
-			var said report
-			code, said = t.check(arguments[0])
-			t.print(said)
+			var result report
+			code, result = t.check(arguments[0])
+			t.print(result)
 			return nil
 		}}
 	root.Flags().StringVar(&to, "to", "127.0.0.1:7101", "addresses of expediters, with commas between")
@@ -81,19 +81,19 @@
 	os.Exit(code)
 }
 
-func (t *taster) print(said report) {
+func (t *checker) print(result report) {
 	if t.asJSON {
-		if said.Remarks == nil {
-			said.Remarks = []config.Remark{}
+		if result.Remarks == nil {
+			result.Remarks = []config.Remark{}
 		}
-		encoded, _ := json.MarshalIndent(said, "", "  ")
+		encoded, _ := json.MarshalIndent(result, "", "  ")
 		fmt.Println(string(encoded))
 		return
 	}
-	for _, remark := range said.Remarks {
+	for _, remark := range result.Remarks {
 		fmt.Printf("%-8s %s\n", remark.Level, remark.Error.Error())
 	}
-	fmt.Println(strings.TrimSpace(said.Result + " " + said.Detail))
+	fmt.Println(strings.TrimSpace(result.Result + " " + result.Detail))
 }
 
 // status is the part of a controller's status that a tasting needs.
@@ -116,7 +116,7 @@
 	Configuration json.RawMessage `json:"configuration"`
 }
 
-func (t *taster) check(path string) (int, report) {
+func (t *checker) check(path string) (int, report) {
 	var text []byte
 	var err error
 	if path == "-" {
@@ -144,30 +144,30 @@
 		}
 	}
 	inForce, _ := config.Check(before.Configuration)
-	said := report{Result: "fine", Version: before.Version, Remarks: config.Taste(text, inForce, t.facts(fleet))}
+	result := report{Result: "fine", Version: before.Version, Remarks: config.Taste(text, inForce, t.facts(fleet))}
 	// What was checked against must still be in force when the answer is given.
 	var after current
 	if err := t.read("/v1/configuration", &after); err != nil {
 		return unreachable, report{Result: "unreachable", Detail: err.Error()}
 	}
 	if after.Version != before.Version || (t.expected != "" && t.expected != after.Version) {
-		said.Result, said.Detail = "raced", "the configuration in force is "+after.Version
-		return raced, said
+		result.Result, result.Detail = "raced", "the configuration in force is "+after.Version
+		return raced, result
 	}
-	for _, remark := range said.Remarks {
+	for _, remark := range result.Remarks {
 		if remark.Level == config.ErrorLevel {
-			said.Result = "errors"
-			return failures, said
+			result.Result = "errors"
+			return failures, result
 		}
 	}
-	if len(said.Remarks) > 0 {
-		said.Result = "warnings"
-		return warnings, said
+	if len(result.Remarks) > 0 {
+		result.Result = "warnings"
+		return warnings, result
 	}
-	return fine, said
+	return fine, result
 }
 
-func (t *taster) read(path string, target any) error {
+func (t *checker) read(path string, target any) error {
 	var last error = failure.New(failure.Unreachable, "no address")
 	for _, address := range t.addresses {
 		inbound, err := t.client.Get("http://" + address + path)
@@ -186,7 +186,7 @@
 }
 
 // facts asks every listed server for its pressure.
-func (t *taster) facts(fleet status) config.Facts {
+func (t *checker) facts(fleet status) config.Facts {
 	var facts config.Facts
 	for name, member := range fleet.Members {
 		if member.Kind != membership.Router {
@@ -205,15 +205,15 @@
 			facts.Blocked = append(facts.Blocked, string(flag.Name))
 		}
 	}
-	lifetime, end := context.WithTimeout(context.Background(), 2*time.Second)
-	defer end()
-	modelServers := modelserver.New(lifetime, osruntime.New(lifetime, osruntime.NewClock()), rpc.Transport(nil))
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	defer cancel()
+	modelServers := modelserver.New(ctx, osruntime.New(ctx, osruntime.NewClock()), rpc.Transport(nil))
 	facts.Servers = make([]config.ServerFacts, len(fleet.Servers))
 	var asking sync.WaitGroup
 	for position, server := range fleet.Servers {
 		asking.Go(func() {
 			known := config.ServerFacts{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
-			if load, err := modelServers.Load(lifetime, server.Address); err == nil {
+			if load, err := modelServers.Load(ctx, server.Address); err == nil {
 				known.Reported, known.Part, known.Active, known.Slots = true, string(load.Role), load.DecodeActive, load.DecodeSlots
 				known.Leaving = known.Leaving || load.Leaving
 			}
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -21,7 +21,7 @@
 	root.AddCommand(operatorCommands()...)
 	if err := root.Execute(); err != nil {
 		code := daemon.ExitCode(err)
-		if coded, found := err.(*operatorTrouble); found {
+		if coded, found := err.(*exitError); found {
 			code = coded.code
 		} else {
 			daemon.Explain(os.Stderr, err)
--- a/cmd/controller/operator.go
+++ b/cmd/controller/operator.go
@@ -17,19 +17,19 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// operatorTrouble ends a subcommand with a code that scripts can tell apart:
+// exitError ends a subcommand with a code that scripts can tell apart:
 // 1 refused, 3 unknown outcome, 4 unreachable or no primary.
-type operatorTrouble struct {
-	code int
-	said string
+type exitError struct {
+	code    int
+	message string
 }
 
-func (err *operatorTrouble) Error() string { return err.said }
+func (err *exitError) Error() string { return err.message }
 
 // operator speaks to one of the controllers.
 type operator struct {
 	addresses []string
-	patience  time.Duration
+	timeout   time.Duration
 	client    *http.Client
 }
 
@@ -86,9 +86,9 @@
 func subcommand(use, short string, arguments cobra.PositionalArgs, run func(*operator, *cobra.Command, []string) error) *cobra.Command {
 	command := &cobra.Command{Use: use, Short: short, Args: arguments}
 	to := command.Flags().String("to", "127.0.0.1:7101", "addresses of expediters, with commas between; each is tried")
-	patience := command.Flags().Duration("patience", 12*time.Second, "how long to wait for the answer")
+	timeout := command.Flags().Duration("patience", 12*time.Second, "how long to wait for the answer")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
-		return run(&operator{addresses: strings.Split(*to, ","), patience: *patience, client: &http.Client{Timeout: *patience}}, command, arguments)
+		return run(&operator{addresses: strings.Split(*to, ","), timeout: *timeout, client: &http.Client{Timeout: *timeout}}, command, arguments)
 	}
 	return command
 }
@@ -130,21 +130,21 @@
 	return o.call(method, "/v1/configuration", query, body)
 }
 
-type answered struct {
+type response struct {
 	status int
 	body   []byte
 }
 
 // ask tries one controller after another, but goes on only when the call
 // certainly changed nothing.
-func (o *operator) ask(method, path string, query url.Values, body []byte) (answered, error) {
+func (o *operator) ask(method, path string, query url.Values, body []byte) (response, error) {
 	last := "no address"
 	for _, address := range o.addresses {
-		outbound, err := http.NewRequest(method, "http://"+address+path+"?"+query.Encode(), bytes.NewReader(body))
+		request, err := http.NewRequest(method, "http://"+address+path+"?"+query.Encode(), bytes.NewReader(body))
 		if err != nil {
-			return answered{}, failure.Wrap(failure.Malformed, err)
+			return response{}, failure.Wrap(failure.Malformed, err)
 		}
-		inbound, err := o.client.Do(outbound)
+		received, err := o.client.Do(request)
 		if err != nil {
 			last = err.Error()
 			if method == http.MethodGet || strings.Contains(last, "connection refused") {
@@ -154,19 +154,19 @@
 			if query.Get("change") == "" {
 				how = "; send the same change again"
 			}
-			return answered{}, &operatorTrouble{code: 3, said: printed("the outcome is unknown: " + last + how)}
+			return response{}, &exitError{code: 3, message: printError("the outcome is unknown: " + last + how)}
 		}
-		content, err := io.ReadAll(inbound.Body)
-		_ = inbound.Body.Close()
+		content, err := io.ReadAll(received.Body)
+		_ = received.Body.Close()
 		if err != nil {
-			return answered{}, &operatorTrouble{code: 3, said: printed("the answer broke off: " + err.Error())}
+			return response{}, &exitError{code: 3, message: printError("the answer broke off: " + err.Error())}
 		}
-		return answered{status: inbound.StatusCode, body: content}, nil
+		return response{status: received.StatusCode, body: content}, nil
 	}
-	return answered{}, &operatorTrouble{code: 4, said: printed("no controller was reached: " + last)}
+	return response{}, &exitError{code: 4, message: printError("no controller was reached: " + last)}
 }
 
-func printed(text string) string {
+func printError(text string) string {
 	_, _ = io.WriteString(os.Stderr, text+"\n")
 	return text
 }
@@ -179,7 +179,7 @@
 	return o.show(a)
 }
 
-func (o *operator) show(a answered) error {
+func (o *operator) show(a response) error {
 	var indented bytes.Buffer
 	if json.Indent(&indented, a.body, "", "  ") != nil {
 		indented.Reset()
@@ -190,9 +190,9 @@
 	case a.status < 300:
 		return nil
 	case a.status == http.StatusServiceUnavailable && bytes.Contains(a.body, []byte(`"unknown"`)):
-		return &operatorTrouble{code: 3, said: "unknown outcome"}
+		return &exitError{code: 3, message: "unknown outcome"}
 	case a.status == http.StatusServiceUnavailable:
-		return &operatorTrouble{code: 4, said: "no primary"}
+		return &exitError{code: 4, message: "no primary"}
 	}
-	return &operatorTrouble{code: 1, said: "status " + strconv.Itoa(a.status)}
+	return &exitError{code: 1, message: "status " + strconv.Itoa(a.status)}
 }
--- a/cmd/controller/usage.go
+++ b/cmd/controller/usage.go
@@ -66,7 +66,7 @@
 		}
 		inbound, err := o.client.Get("http://" + member.Address + "/v1/usage")
 		if err != nil {
-			printed(name + " did not tell its usage: " + err.Error())
+			printError(name + " did not tell its usage: " + err.Error())
 			continue
 		}
 		var rows []usage.Row
--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -10,13 +10,13 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-func (p *Process) flagAnswers(current *controlplane.Term, state *replication.State) []flagAnswer {
+func (p *Process) flagStatuses(current *controlplane.Term, state *replication.State) []flagStatus {
 	now := p.clock.Now()
 	live := current.Grants.Live(now)
-	settling := p.conduct.Settling(current)
-	var answers []flagAnswer
+	settling := p.controller.Settling(current)
+	var answers []flagStatus
 	for _, description := range features.Book() {
-		answer := flagAnswer{Description: description, Enabled: state.Flags.Enabled.Has(description.Name), Lacking: state.Lacking(description.Name)}
+		answer := flagStatus{Description: description, Enabled: state.Flags.Enabled.Has(description.Name), Lacking: state.Lacking(description.Name)}
 		for _, name := range answer.Lacking {
 			if _, running := live[name]; !running && state.Members[name].Kind == membership.Router {
 				answer.Stopped = append(answer.Stopped, name)
@@ -43,17 +43,17 @@
 	if !readable {
 		return
 	}
-	answers := p.flagAnswers(current, state)
+	answers := p.flagStatuses(current, state)
 	name := inbound.URL.Query().Get("name")
 	if name == "" {
-		answerJSON(writer, http.StatusOK, map[string]any{"flags": answers})
+		writeJSON(writer, http.StatusOK, map[string]any{"flags": answers})
 		return
 	}
 	for _, answer := range answers {
 		if string(answer.Name) == name {
-			answerJSON(writer, http.StatusOK, answer)
+			writeJSON(writer, http.StatusOK, answer)
 			return
 		}
 	}
-	answerJSON(writer, http.StatusNotFound, operatorAnswer{Outcome: "not_accepted", Type: failure.NoSuch, Detail: "no flag " + name})
+	writeJSON(writer, http.StatusNotFound, changeResponse{Outcome: "not_accepted", Type: failure.NoSuch, Detail: "no flag " + name})
 }
--- a/internal/adapters/controller/fleet.go
+++ b/internal/adapters/controller/fleet.go
@@ -11,13 +11,13 @@
 // Edit changes the configuration if this controller is primary, and returns once the
 // change is in force.
 func (p *Process) Edit(edit controlplane.Edit) (replication.Version, error) {
-	return p.conduct.Edit(edit)
+	return p.controller.Edit(edit)
 }
 
 // Configuration is the newest configuration that was acknowledged, if this controller
 // is primary.
 func (p *Process) Configuration() ([]byte, error) {
-	_, _, state, err := p.conduct.Read()
+	_, _, state, err := p.controller.Read()
 	if err != nil {
 		return nil, err
 	}
@@ -27,11 +27,11 @@
 // Leads tells whether this controller is primary at this moment, and else the hotline
 // address of the one that is, as far as it has heard; empty if it has heard of none.
 func (p *Process) Leads() (leads bool, elsewhere string) {
-	if _, _, err := p.conduct.Leading(); err == nil {
+	if _, _, err := p.controller.Leading(); err == nil {
 		return true, ""
 	}
-	address := p.conduct.Coordinator().Membership().Primary.Address
-	if address == p.conduct.Witness().Replica().Address {
+	address := p.controller.Coordinator().Membership().Primary.Address
+	if address == p.controller.Witness().Replica().Address {
 		return false, ""
 	}
 	return false, address
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	forwardPatience = 10 * time.Second
+	forwardTimeout  = 10 * time.Second
 	forwardedHeader = "Seamloom-Forwarded"
 )
 
@@ -40,20 +40,20 @@
 	mux.HandleFunc(pat.Get("/v1/flags"), p.onPrimary(p.getFlags))
 	mux.HandleFunc(pat.Post("/v1/members/:name/retire"), p.onPrimary(p.retire))
 	mux.HandleFunc(pat.Get("/v1/health"), func(writer http.ResponseWriter, _ *http.Request) {
-		answerJSON(writer, http.StatusOK, map[string]any{"healthy": true})
+		writeJSON(writer, http.StatusOK, map[string]any{"healthy": true})
 	})
 	mux.HandleFunc(pat.Get("/v1/ready"), p.getReady)
 	mux.HandleFunc(pat.Get("/v1/metrics"), p.getMetrics)
 }
 
-func answerJSON(writer http.ResponseWriter, status int, content any) {
+func writeJSON(writer http.ResponseWriter, status int, content any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(content)
 }
 
-// operatorAnswer is what operators read of a change.
-type operatorAnswer struct {
+// changeResponse is what operators read of a change.
+type changeResponse struct {
 	Outcome  string           `json:"outcome"`
 	Version  string           `json:"version,omitempty"`
 	Change   string           `json:"change,omitempty"`
@@ -65,9 +65,9 @@
 
 // readable is the committed state for a read; without one the call is answered.
 func (p *Process) readable(writer http.ResponseWriter) (*controlplane.Term, *replication.View, *replication.State, bool) {
-	current, view, state, err := p.conduct.Read()
+	current, view, state, err := p.controller.Read()
 	if err != nil {
-		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.CodeOf(err), Detail: err.Error()})
+		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failure.CodeOf(err), Detail: err.Error()})
 		return nil, nil, nil, false
 	}
 	return current, view, state, true
@@ -80,7 +80,7 @@
 	}
 	version := view.VersionOf(replication.ConfigurationSection).String()
 	writer.Header().Set("ETag", `"`+version+`"`)
-	answerJSON(writer, http.StatusOK, map[string]any{"version": version, "configuration": json.RawMessage(state.Configuration)})
+	writeJSON(writer, http.StatusOK, map[string]any{"version": version, "configuration": json.RawMessage(state.Configuration)})
 }
 
 // expectedVersion reads the version that the operator changes from.
@@ -144,36 +144,36 @@
 func (p *Process) edit(writer http.ResponseWriter, inbound *http.Request, versioned bool, edit func(text, body []byte) ([]byte, error)) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MostBytes+1))
 	if err != nil {
-		answerJSON(writer, http.StatusUnprocessableEntity, operatorAnswer{Outcome: "not_accepted", Type: failure.Oversize, Failures: []*failure.Error{failure.At(failure.Oversize, "/", err.Error())}})
+		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{Outcome: "not_accepted", Type: failure.Oversize, Failures: []*failure.Error{failure.At(failure.Oversize, "/", err.Error())}})
 		return
 	}
 	var expected *replication.Version
-	var builds *uint64
+	var buildsOn *uint64
 	if on := inbound.URL.Query().Get("builds_on"); versioned && on != "" {
 		revision, err := strconv.ParseUint(on, 10, 64)
 		if err != nil {
-			answerJSON(writer, http.StatusBadRequest, operatorAnswer{Outcome: "not_accepted", Type: failure.Malformed, Detail: "builds_on is the number of a revision, such as 5"})
+			writeJSON(writer, http.StatusBadRequest, changeResponse{Outcome: "not_accepted", Type: failure.Malformed, Detail: "builds_on is the number of a revision, such as 5"})
 			return
 		}
-		builds = &revision
+		buildsOn = &revision
 	}
-	if versioned && builds == nil {
+	if versioned && buildsOn == nil {
 		if expected, err = expectedVersion(inbound); err != nil {
-			answerJSON(writer, http.StatusBadRequest, operatorAnswer{Outcome: "not_accepted", Type: failure.CodeOf(err), Detail: err.Error()})
+			writeJSON(writer, http.StatusBadRequest, changeResponse{Outcome: "not_accepted", Type: failure.CodeOf(err), Detail: err.Error()})
 			return
 		}
 	}
 	change := inbound.URL.Query().Get("change")
-	if change == "" && builds == nil {
+	if change == "" && buildsOn == nil {
 		change = uuid.NewString()
 	}
-	version, err := p.conduct.Edit(controlplane.Edit{Change: change, Digest: digestOf(inbound, body), Expected: expected, Builds: builds, Sound: !versioned,
+	version, err := p.controller.Edit(controlplane.Edit{Change: change, Digest: digestOf(inbound, body), Expected: expected, Builds: buildsOn, Sound: !versioned,
 		Apply: func(text []byte) ([]byte, error) { return edit(text, body) }})
 	if err != nil {
-		p.answerChangeTrouble(writer, change, err)
+		p.writeEditError(writer, change, err)
 		return
 	}
-	answerJSON(writer, http.StatusOK, operatorAnswer{Outcome: "accepted", Version: version.String(), Change: change})
+	writeJSON(writer, http.StatusOK, changeResponse{Outcome: "accepted", Version: version.String(), Change: change})
 }
 
 // digestOf tells one change from another: by its method, place, expected version
@@ -190,27 +190,27 @@
 	return hex.EncodeToString(digest.Sum(nil)[:16])
 }
 
-func (p *Process) answerChangeTrouble(writer http.ResponseWriter, change string, err error) {
+func (p *Process) writeEditError(writer http.ResponseWriter, change string, err error) {
 	var findings *config.Findings
 	if stderrors.As(err, &findings) {
-		answerJSON(writer, http.StatusUnprocessableEntity, operatorAnswer{Outcome: "not_accepted", Type: "refused", Change: change, Failures: findings.Troubles})
+		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{Outcome: "not_accepted", Type: "refused", Change: change, Failures: findings.Troubles})
 		return
 	}
-	said := &failure.Error{}
-	_ = stderrors.As(err, &said)
-	switch said.Code {
+	failed := &failure.Error{}
+	_ = stderrors.As(err, &failed)
+	switch failed.Code {
 	case failure.VersionConflict:
-		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Code, Change: change, Version: said.Detail, Detail: "the configuration is at another version"})
+		writeJSON(writer, http.StatusConflict, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Version: failed.Detail, Detail: "the configuration is at another version"})
 	case failure.RevisionConflict:
-		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Code, Change: change, Detail: "the configuration is at revision " + said.Detail})
+		writeJSON(writer, http.StatusConflict, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Detail: "the configuration is at revision " + failed.Detail})
 	case failure.Duplicate:
-		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: said.Code, Change: change, Detail: said.Detail})
+		writeJSON(writer, http.StatusConflict, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Detail: failed.Detail})
 	case failure.Busy:
-		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: said.Code, Change: change, Detail: said.Detail})
+		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Detail: failed.Detail})
 	case failure.NotPrimary, failure.NoPrimary:
-		answerJSON(writer, http.StatusServiceUnavailable, operatorAnswer{Outcome: "not_accepted", Type: failure.NoPrimary, Change: change, Detail: err.Error()})
+		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failure.NoPrimary, Change: change, Detail: err.Error()})
 	default:
-		answerUnknown(writer, change)
+		writeUnknown(writer, change)
 	}
 }
 
@@ -220,36 +220,36 @@
 		return
 	}
 	id := pat.Param(inbound, "id")
-	for _, note := range state.Changes {
-		if note.ID == id {
-			answerJSON(writer, http.StatusOK, operatorAnswer{Outcome: "accepted", Change: id, Version: note.Version.String()})
+	for _, accepted := range state.Changes {
+		if accepted.ID == id {
+			writeJSON(writer, http.StatusOK, changeResponse{Outcome: "accepted", Change: id, Version: accepted.Version.String()})
 			return
 		}
 	}
-	answerJSON(writer, http.StatusNotFound, operatorAnswer{Outcome: "not_accepted", Change: id, Type: failure.NoSuch,
+	writeJSON(writer, http.StatusNotFound, changeResponse{Outcome: "not_accepted", Change: id, Type: failure.NoSuch,
 		Detail: "the change is not among those accepted in the last " + replication.ChangeRetention.String()})
 }
 
 func (p *Process) retire(writer http.ResponseWriter, inbound *http.Request) {
 	name := pat.Param(inbound, "name")
-	version, err := p.conduct.Retire(name)
+	version, err := p.controller.Retire(name)
 	if failure.CodeOf(err) == failure.LeaseActive {
-		answerJSON(writer, http.StatusConflict, operatorAnswer{Outcome: "not_accepted", Type: failure.LeaseActive, Detail: failure.DetailOf(err)})
+		writeJSON(writer, http.StatusConflict, changeResponse{Outcome: "not_accepted", Type: failure.LeaseActive, Detail: failure.DetailOf(err)})
 		return
 	}
 	if failure.CodeOf(err) == failure.NoSuch {
-		answerJSON(writer, http.StatusNotFound, operatorAnswer{Outcome: "not_accepted", Type: failure.NoSuch, Detail: err.Error()})
+		writeJSON(writer, http.StatusNotFound, changeResponse{Outcome: "not_accepted", Type: failure.NoSuch, Detail: err.Error()})
 		return
 	}
 	if err != nil {
-		p.answerChangeTrouble(writer, "", err)
+		p.writeEditError(writer, "", err)
 		return
 	}
-	answerJSON(writer, http.StatusOK, operatorAnswer{Outcome: "accepted", Version: version.String()})
+	writeJSON(writer, http.StatusOK, changeResponse{Outcome: "accepted", Version: version.String()})
 }
 
-// flagAnswer is what operators read of a flag.
-type flagAnswer struct {
+// flagStatus is what operators read of a flag.
+type flagStatus struct {
 	features.Description
 	Enabled  bool     `json:"enabled"`
 	Lacking  []string `json:"lacking,omitempty"`
@@ -258,8 +258,8 @@
 	Settling bool     `json:"settling,omitempty"`
 }
 
-// memberAnswer is what operators read of a member.
-type memberAnswer struct {
+// memberStatus is what operators read of a member.
+type memberStatus struct {
 	membership.Member
 	Running    bool `json:"running"`
 	Restricted bool `json:"restricted"`
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -28,15 +28,15 @@
 
 // Process is one controller.
 type Process struct {
-	tomb            tomb.Tomb
-	lifetime        context.Context
-	logger          *log.Logger
-	clock           *osruntime.Clock
-	conduct         *controlplane.Controller
-	operatorsClient *http.Client
+	tomb          tomb.Tomb
+	ctx           context.Context
+	logger        *log.Logger
+	clock         *osruntime.Clock
+	controller    *controlplane.Controller
+	forwardClient *http.Client
 
-	mutex  sync.Mutex
-	chosen settings.Settings
+	mutex    sync.Mutex
+	settings settings.Settings
 }
 
 // Ports are what a controller reaches a platform by. Those left out are the
@@ -48,15 +48,15 @@
 
 // Start opens the disk, listens and begins to work.
 func Start(chosen settings.Settings, logger *log.Logger, disk storage.Disk, clock *osruntime.Clock, reached Ports) (*Process, error) {
-	process := &Process{logger: logger, clock: clock, chosen: chosen,
-		operatorsClient: rpc.NewClient(rpc.Transport(chosen.Detours))}
-	process.operatorsClient.Timeout = forwardPatience
-	process.lifetime = process.tomb.Context(context.Background())
-	keeping, err := storage.OpenDirectory(disk, filepath.Join(chosen.DataFolder, "keeper"))
+	process := &Process{logger: logger, clock: clock, settings: chosen,
+		forwardClient: rpc.NewClient(rpc.Transport(chosen.Detours))}
+	process.forwardClient.Timeout = forwardTimeout
+	process.ctx = process.tomb.Context(context.Background())
+	witnessFolder, err := storage.OpenDirectory(disk, filepath.Join(chosen.DataFolder, "keeper"))
 	if err != nil {
 		return nil, err
 	}
-	copies, err := storage.OpenDirectory(disk, filepath.Join(chosen.DataFolder, "larder"))
+	replicaFolder, err := storage.OpenDirectory(disk, filepath.Join(chosen.DataFolder, "larder"))
 	if err != nil {
 		return nil, err
 	}
@@ -65,16 +65,16 @@
 	}
 	options := controlplane.Options{Name: chosen.Name, Address: chosen.Address, Zone: chosen.Zone, Seeds: chosen.Seeds, Supported: chosen.Supported(),
 		FlagSettle: time.Duration(chosen.FlagSettle) * time.Millisecond, BorneLosses: chosen.BorneLosses, CatchUp: chosen.CatchUp, JoinsOnly: !chosen.Bootstrap, Fresh: replication.Identity(uuid.NewString()),
-		RetireAfter: chosen.RetireAfter, AcknowledgeWait: chosen.AcknowledgeWait, Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}}
+		RetireAfter: chosen.RetireAfter, AcknowledgeWait: chosen.AcknowledgeWait, Directory: ports.FixedDirectory{Directory: reached.Directory, Context: process.ctx, Address: process.platform}}
 	if reached.Reports != nil {
-		options.Reports = ports.Asking{Reports: reached.Reports, Lifetime: process.lifetime}
+		options.Reports = ports.LoadReader{Reports: reached.Reports, Context: process.ctx}
 	}
-	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime}
-	conduct, blank, err := controlplane.Open(osruntime.New(process.lifetime, clock), line, keeping, copies, options, process.observe)
+	client := rpc.Client{Caller: rpc.NewCaller(chosen.Detours), Context: process.ctx}
+	conduct, blank, err := controlplane.Open(osruntime.New(process.ctx, clock), client, witnessFolder, replicaFolder, options, process.observe)
 	if err != nil {
 		return nil, err
 	}
-	process.conduct = conduct
+	process.controller = conduct
 	if err := daemon.Serve(&process.tomb, chosen.Address, process.mux()); err != nil {
 		return nil, err
 	}
@@ -87,21 +87,21 @@
 
 func (p *Process) mux() http.Handler {
 	mux := goji.NewMux()
-	for path, answer := range p.conduct.Handlers() {
-		mux.Handle(pat.Post(path), rpc.Answerer(answer))
+	for path, answer := range p.controller.Handlers() {
+		mux.Handle(pat.Post(path), rpc.Handler(answer))
 	}
 	p.operatorRoutes(mux)
 	return mux
 }
 
-// Conduct is what the controller does, for who mounts further ways in.
-func (p *Process) Conduct() *controlplane.Controller { return p.conduct }
+// Controller is what the controller does, for who mounts further ways in.
+func (p *Process) Controller() *controlplane.Controller { return p.controller }
 
 // platform is the address of the platform's lists.
 func (p *Process) platform() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.chosen.Platform
+	return p.settings.Platform
 }
 
 func (p *Process) observe(event string, detail ...any) { p.logger.Info(event, detail...) }
@@ -114,9 +114,9 @@
 // no known outcome.
 func (p *Process) Stop() error {
 	p.mutex.Lock()
-	grace := p.chosen.Grace
+	grace := p.settings.Grace
 	p.mutex.Unlock()
-	p.conduct.Leave(max(grace-stopMargin, grace/2))
+	p.controller.Leave(max(grace-stopMargin, grace/2))
 	p.tomb.Kill(nil)
 	return p.tomb.Wait()
 }
@@ -127,11 +127,11 @@
 // Reload takes settings that may change while the process runs.
 func (p *Process) Reload(next settings.Settings) {
 	p.mutex.Lock()
-	stays := p.chosen.Reload(next)
-	seeds, level, wait := p.chosen.Seeds, p.chosen.LogLevel, p.chosen.AcknowledgeWait
+	stays := p.settings.Reload(next)
+	seeds, level, wait := p.settings.Seeds, p.settings.LogLevel, p.settings.AcknowledgeWait
 	p.mutex.Unlock()
-	p.conduct.SetSeeds(seeds)
-	p.conduct.SetAcknowledgeWait(wait)
+	p.controller.SetSeeds(seeds)
+	p.controller.SetAcknowledgeWait(wait)
 	if parsed, err := log.ParseLevel(level); err == nil {
 		p.logger.SetLevel(parsed)
 	}
--- a/internal/adapters/controller/redirector.go
+++ b/internal/adapters/controller/redirector.go
@@ -19,18 +19,18 @@
 // Redirector is the process that stands in for a controller on a machine without a disk:
 // it sends operators on to the primary.
 type Redirector struct {
-	tomb    tomb.Tomb
-	conduct *controlplane.Redirector
+	tomb       tomb.Tomb
+	redirector *controlplane.Redirector
 }
 
 // StartRedirector makes a redirector.
 func StartRedirector(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock) *Redirector {
 	redirector := &Redirector{}
-	lifetime := redirector.tomb.Context(context.Background())
-	line := rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: lifetime}
-	redirector.conduct = controlplane.NewRedirector(osruntime.New(lifetime, clock), line, chosen.Seeds)
+	ctx := redirector.tomb.Context(context.Background())
+	client := rpc.Client{Caller: rpc.NewCaller(chosen.Detours), Context: ctx}
+	redirector.redirector = controlplane.NewRedirector(osruntime.New(ctx, clock), client, chosen.Seeds)
 	redirector.tomb.Go(func() error {
-		redirector.conduct.Run()
+		redirector.redirector.Run()
 		return nil
 	})
 	logger.Info("no_disk", "what", "operators are sent on to the primary; nothing is kept here")
@@ -54,11 +54,11 @@
 
 // Leads is never true; it gives the hotline address of the primary, if one is found.
 func (r *Redirector) Leads() (leads bool, elsewhere string) {
-	return false, r.conduct.Leader()
+	return false, r.redirector.Leader()
 }
 
 // Reload takes the seeds.
-func (r *Redirector) Reload(next settings.Settings) { r.conduct.SetSeeds(next.Seeds) }
+func (r *Redirector) Reload(next settings.Settings) { r.redirector.SetSeeds(next.Seeds) }
 
 // Dead is closed when the process has ended by itself.
 func (r *Redirector) Dead() <-chan struct{} { return r.tomb.Dead() }
--- a/internal/adapters/controller/status.go
+++ b/internal/adapters/controller/status.go
@@ -18,33 +18,33 @@
 	}
 	now := p.clock.Now()
 	live := current.Grants.Live(now)
-	m := p.conduct.Coordinator().Membership()
-	members := map[string]memberAnswer{}
+	m := p.controller.Coordinator().Membership()
+	members := map[string]memberStatus{}
 	for name, member := range state.Members {
 		_, running := live[name]
 		if member.Kind == membership.Controller {
-			running = p.conduct.Coordinator().Sees(member.Address)
+			running = p.controller.Coordinator().Sees(member.Address)
 		}
-		members[name] = memberAnswer{Member: member, Running: running, Restricted: member.Restricted(state.Flags.Enabled)}
+		members[name] = memberStatus{Member: member, Running: running, Restricted: member.Restricted(state.Flags.Enabled)}
 	}
 	orders := map[string]codec.Order{}
 	for server, record := range state.Orders.Records {
-		if order, err := codec.DecodeOrder(record, p.conduct.Supported()); err == nil {
+		if order, err := codec.DecodeOrder(record, p.controller.Supported()); err == nil {
 			orders[server] = order
 		}
 	}
-	batches, changes := p.conduct.Store().CommitCounts()
-	servers := p.conduct.Servers()
-	holds := map[string]int64{}
+	batches, changes := p.controller.Store().CommitCounts()
+	servers := p.controller.Servers()
+	grants := map[string]int64{}
 	for name, age := range live {
-		holds[name] = age.Milliseconds()
+		grants[name] = age.Milliseconds()
 	}
-	answerJSON(writer, http.StatusOK, map[string]any{
-		"holds_live_milliseconds": holds,
+	writeJSON(writer, http.StatusOK, map[string]any{
+		"holds_live_milliseconds": grants,
 		"servers":                 servers, "claims_horizon": p.horizon(view),
 		"primary": m.Primary, "backup": m.Backup, "further_backups": m.Further, "keepers": m.Witnesses, "incoming_keepers": m.Incoming,
 		"epoch": m.Epoch, "version": view.Version.String(), "configuration_version": view.VersionOf(replication.ConfigurationSection).String(),
-		"members": members, "flags": p.flagAnswers(current, state), "duties": state.Roles.Roles, "orders": orders,
+		"members": members, "flags": p.flagStatuses(current, state), "duties": state.Roles.Roles, "orders": orders,
 		"lagging":        current.Lagging(now, view.VersionOf(replication.ConfigurationSection), state),
 		"synced_batches": batches, "answered_changes": changes, "primary_since_milliseconds": now.Sub(current.Since).Milliseconds(),
 	})
@@ -60,34 +60,34 @@
 }
 
 func (p *Process) getReady(writer http.ResponseWriter, _ *http.Request) {
-	silence := p.clock.Now().Sub(p.conduct.Heard())
+	sinceHeard := p.clock.Now().Sub(p.controller.Heard())
 	status := http.StatusOK
-	if silence > 3*time.Second {
+	if sinceHeard > 3*time.Second {
 		status = http.StatusServiceUnavailable
 	}
-	answerJSON(writer, status, map[string]any{"ready": status == http.StatusOK, "leads": p.conduct.Coordinator().HasLease(), "identity": p.conduct.Witness().Replica().Identity, "epoch": p.conduct.Coordinator().Membership().Epoch})
+	writeJSON(writer, status, map[string]any{"ready": status == http.StatusOK, "leads": p.controller.Coordinator().HasLease(), "identity": p.controller.Witness().Replica().Identity, "epoch": p.controller.Coordinator().Membership().Epoch})
 }
 
 func (p *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
-	batches, changes := p.conduct.Store().CommitCounts()
+	batches, changes := p.controller.Store().CommitCounts()
 	leads := 0
-	if p.conduct.Coordinator().HasLease() {
+	if p.controller.Coordinator().HasLease() {
 		leads = 1
 	}
-	version := p.conduct.Store().LocalReplica().Version()
-	answers, bytesSent, configurations := p.conduct.UpdateCounts()
+	version := p.controller.Store().LocalReplica().Version()
+	answers, bytesSent, configurations := p.controller.UpdateCounts()
 	damaged := 0
-	if p.conduct.Store().LocalReplica().Damage() != "" {
+	if p.controller.Store().LocalReplica().Damage() != "" {
 		damaged = 1
 	}
 	writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	for _, line := range []struct {
+	for _, metric := range []struct {
 		name  string
 		value uint64
-	}{{"seamloom_leads", uint64(leads)}, {"seamloom_epoch", p.conduct.Coordinator().Membership().Epoch}, {"seamloom_copy_number", version.Number},
+	}{{"seamloom_leads", uint64(leads)}, {"seamloom_epoch", p.controller.Coordinator().Membership().Epoch}, {"seamloom_copy_number", version.Number},
 		{"seamloom_copy_damaged", uint64(damaged)}, {"seamloom_synced_batches_total", batches}, {"seamloom_answered_changes_total", changes},
 		{"seamloom_news_answers_total", answers}, {"seamloom_news_drawer_bytes_total", bytesSent},
 		{"seamloom_configurations_sent_total", configurations}} {
-		_, _ = io.WriteString(writer, line.name+" "+strconv.FormatUint(line.value, 10)+"\n")
+		_, _ = io.WriteString(writer, metric.name+" "+strconv.FormatUint(metric.value, 10)+"\n")
 	}
 }
--- a/internal/adapters/daemon/flags.go
+++ b/internal/adapters/daemon/flags.go
@@ -1,5 +1,5 @@
-// Package program is what the commands have in common: flags over a settings
-// file, JSON log lines, and signals.
+// Package daemon is what the commands have in common: flags over a settings file, JSON
+// log lines, signals and listening.
 package daemon
 
 import (
@@ -79,9 +79,9 @@
 // Read makes the settings of file and flags and names all mistakes at once.
 func (f *Flags) Read() (settings.Settings, error) {
 	chosen := settings.Defaults(f.kind)
-	var mistakes error
+	var errs error
 	if f.file != "" {
-		mistakes = chosen.ReadFile(f.file)
+		errs = chosen.ReadFile(f.file)
 	}
 	changed := f.command.Flags().Changed
 	texts := map[string][2]*string{"name": {&chosen.Name, &f.flagged.Name}, "address": {&chosen.Address, &f.flagged.Address},
@@ -94,11 +94,11 @@
 			*pair[0] = *pair[1]
 		}
 	}
-	lengths := map[string][2]*time.Duration{"acknowledge-wait": {&chosen.AcknowledgeWait, &f.flagged.AcknowledgeWait},
+	durations := map[string][2]*time.Duration{"acknowledge-wait": {&chosen.AcknowledgeWait, &f.flagged.AcknowledgeWait},
 		"serve-without-hold": {&chosen.ServeWithoutLease, &f.flagged.ServeWithoutLease}, "grace": {&chosen.Grace, &f.flagged.Grace},
 		"retire-after": {&chosen.RetireAfter, &f.flagged.RetireAfter}, "catch-up": {&chosen.CatchUp, &f.flagged.CatchUp},
 		"apply-within": {&chosen.ApplyWithin, &f.flagged.ApplyWithin}}
-	for name, pair := range lengths {
+	for name, pair := range durations {
 		if changed(name) {
 			*pair[0] = *pair[1]
 		}
@@ -124,7 +124,7 @@
 	if changed("withhold-flags") {
 		chosen.Withhold = strings.Split(f.withhold, ",")
 	}
-	return chosen, multierr.Append(mistakes, chosen.Check())
+	return chosen, multierr.Append(errs, chosen.Check())
 }
 
 // Logger writes JSON lines.
@@ -139,8 +139,8 @@
 }
 
 // Explain writes each mistake on a line of its own.
-func Explain(target io.Writer, mistakes error) {
-	for _, mistake := range multierr.Errors(mistakes) {
+func Explain(target io.Writer, errs error) {
+	for _, mistake := range multierr.Errors(errs) {
 		_, _ = io.WriteString(target, mistake.Error()+"\n")
 	}
 }
@@ -156,22 +156,6 @@
 	return 2
 }
 
-// Every runs a task over and over, with a pause between, until the tomb dies.
-func Every(owner *tomb.Tomb, pause time.Duration, task func()) {
-	owner.Go(func() error {
-		ticker := time.NewTicker(pause)
-		defer ticker.Stop()
-		for {
-			task()
-			select {
-			case <-owner.Dying():
-				return nil
-			case <-ticker.C:
-			}
-		}
-	})
-}
-
 // Serve listens and answers until the tomb dies; then connections get a moment to
 // end by themselves.
 func Serve(owner *tomb.Tomb, address string, handler http.Handler) error {
--- a/internal/adapters/daemon/signals.go
+++ b/internal/adapters/daemon/signals.go
@@ -21,20 +21,20 @@
 	return signals
 }
 
-// filePause is the time between two looks at a settings file.
-const filePause = 3 * time.Second
+// filePollInterval is the time between two looks at a settings file.
+const filePollInterval = 3 * time.Second
 
 // Wait handles signals until the process is to end: SIGHUP reloads, SIGTERM and
 // SIGINT return true. A settings file, if one is named, is also looked at now and
 // then, and a change of it reloads. It returns false when the process ended by
 // itself. What is caught after that has no effect: the process ends within its grace.
 func (s *Signals) Wait(dead <-chan struct{}, file string, reload func()) bool {
-	var looks <-chan time.Time
-	seen := lookAt(file)
+	var polls <-chan time.Time
+	seen := statFile(file)
 	if file != "" {
-		ticker := time.NewTicker(filePause)
+		ticker := time.NewTicker(filePollInterval)
 		defer ticker.Stop()
-		looks = ticker.C
+		polls = ticker.C
 	}
 	for {
 		select {
@@ -44,10 +44,10 @@
 			if caught != syscall.SIGHUP {
 				return true
 			}
-			seen = lookAt(file)
+			seen = statFile(file)
 			reload()
-		case <-looks:
-			if found := lookAt(file); found != seen && found != (fileState{}) {
+		case <-polls:
+			if found := statFile(file); found != seen && found != (fileState{}) {
 				seen = found
 				reload()
 			}
@@ -61,7 +61,7 @@
 	size    int64
 }
 
-func lookAt(file string) fileState {
+func statFile(file string) fileState {
 	if file == "" {
 		return fileState{}
 	}
--- a/internal/adapters/daemon/signals_test.go
+++ b/internal/adapters/daemon/signals_test.go
@@ -27,7 +27,7 @@
 		t.Helper()
 		select {
 		case <-reloads:
-		case <-time.After(4 * filePause):
+		case <-time.After(4 * filePollInterval):
 			t.Fatal("no reload after " + what)
 		}
 	}
--- a/internal/adapters/discovery/discovery.go
+++ b/internal/adapters/discovery/discovery.go
@@ -19,7 +19,7 @@
 }
 
 // patience is how long the platform may take to answer.
-const patience = time.Second
+const requestTimeout = time.Second
 
 // New makes a directory over a transport.
 func New(transport http.RoundTripper) *Directory {
@@ -27,37 +27,37 @@
 }
 
 // Servers reads the server list.
-func (d *Directory) Servers(lifetime context.Context, address string) ([]membership.Server, error) {
+func (d *Directory) Servers(ctx context.Context, address string) ([]membership.Server, error) {
 	var list struct {
 		Servers []membership.Server `json:"servers"`
 	}
-	err := d.read(lifetime, "http://"+address+"/v1/servers", &list)
+	err := d.read(ctx, "http://"+address+"/v1/servers", &list)
 	return list.Servers, err
 }
 
 // Nodes reads the node list.
-func (d *Directory) Nodes(lifetime context.Context, address string) ([]membership.Node, error) {
+func (d *Directory) Nodes(ctx context.Context, address string) ([]membership.Node, error) {
 	var list struct {
 		Nodes []membership.Node `json:"nodes"`
 	}
-	err := d.read(lifetime, "http://"+address+"/v1/nodes", &list)
+	err := d.read(ctx, "http://"+address+"/v1/nodes", &list)
 	return list.Nodes, err
 }
 
-func (d *Directory) read(lifetime context.Context, location string, target any) error {
-	lifetime, end := context.WithTimeout(lifetime, patience)
-	defer end()
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodGet, location, nil)
+func (d *Directory) read(ctx context.Context, location string, target any) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, location, nil)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	inbound, err := d.client.Do(outbound)
+	response, err := d.client.Do(request)
 	if err != nil {
 		return failure.Wrap(failure.Unreachable, err)
 	}
-	defer func() { _ = inbound.Body.Close() }()
-	if inbound.StatusCode != http.StatusOK {
-		return failure.New(failure.Unreachable, "the platform answers "+strconv.Itoa(inbound.StatusCode))
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return failure.New(failure.Unreachable, "the platform answers "+strconv.Itoa(response.StatusCode))
 	}
-	return failure.Wrap(failure.Garbage, json.NewDecoder(io.LimitReader(inbound.Body, 4<<20)).Decode(target))
+	return failure.Wrap(failure.Garbage, json.NewDecoder(io.LimitReader(response.Body, 4<<20)).Decode(target))
 }
--- a/internal/adapters/modelserver/client.go
+++ b/internal/adapters/modelserver/client.go
@@ -20,75 +20,75 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// ModelServer is the client to all model servers.
-type ModelServer struct {
-	client   *http.Client
-	lifetime context.Context
-	runtime  runtime.Runtime
+// Client is the client to all model servers.
+type Client struct {
+	client  *http.Client
+	ctx     context.Context
+	runtime runtime.Runtime
 
 	mutex   sync.Mutex
 	running map[string]context.CancelFunc
 }
 
 // New makes a client over a transport, for as long as a process lives.
-func New(lifetime context.Context, rt runtime.Runtime, transport http.RoundTripper) *ModelServer {
-	return &ModelServer{client: rpc.NewClient(transport), lifetime: lifetime, runtime: rt, running: map[string]context.CancelFunc{}}
+func New(ctx context.Context, rt runtime.Runtime, transport http.RoundTripper) *Client {
+	return &Client{client: rpc.NewClient(transport), ctx: ctx, runtime: rt, running: map[string]context.CancelFunc{}}
 }
 
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
-// beginRun makes the lifetime of a run's dispatch, which ends with its cancel.
-func (m *ModelServer) beginRun(decision auction.Decision) context.Context {
-	lifetime, end := context.WithCancel(m.lifetime)
+// startRun makes the ctx of a run's dispatch, which ends with its cancel.
+func (m *Client) startRun(decision auction.Decision) context.Context {
+	ctx, cancel := context.WithCancel(m.ctx)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	key := runKey(decision.ID, decision.Run)
 	if earlier, found := m.running[key]; found {
 		earlier()
 	}
-	m.running[key] = end
-	return lifetime
+	m.running[key] = cancel
+	return ctx
 }
 
 // EndRun ends whatever a run still has under way.
-func (m *ModelServer) EndRun(id string, run int) {
+func (m *Client) EndRun(id string, run int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if end, found := m.running[runKey(id, run)]; found {
-		end()
+	if cancel, found := m.running[runKey(id, run)]; found {
+		cancel()
 		delete(m.running, runKey(id, run))
 	}
 }
 
-// MostLine bounds one line of a stream.
-const MostLine = 1 << 20
+// MaxLineBytes bounds one line of a stream.
+const MaxLineBytes = 1 << 20
 
 // post sends an order. Begun tells whether any of it may have reached the
 // server: if not, the server certainly did not start.
-func (m *ModelServer) post(lifetime context.Context, address, path string, order any, may func() bool) (inbound *http.Response, begun bool, err error) {
+func (m *Client) post(ctx context.Context, address, path string, order any, may func() bool) (response *http.Response, begun bool, err error) {
 	content, err := json.Marshal(order)
 	if err != nil {
 		return nil, false, failure.Wrap(failure.Garbage, err)
 	}
-	return Post(lifetime, m.client, "http://"+address+path, http.Header{"Content-Type": {"application/json"}}, content, may)
+	return Post(ctx, m.client, "http://"+address+path, http.Header{"Content-Type": {"application/json"}}, content, may)
 }
 
 // Post sends an order. May is asked at once and again when its body is taken, after
 // every wait for a connection; begun tells whether any of it may have reached the server.
-func Post(lifetime context.Context, client *http.Client, location string, header http.Header, content []byte, may func() bool) (inbound *http.Response, begun bool, err error) {
+func Post(ctx context.Context, client *http.Client, location string, header http.Header, content []byte, may func() bool) (response *http.Response, begun bool, err error) {
 	if !may() {
-		return nil, false, tooLate
+		return nil, false, errTooLate
 	}
-	var touched atomic.Bool
-	body := renew(content, may, &touched)
+	var started atomic.Bool
+	body := newBody(content, may, &started)
 	first, _ := body()
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, location, first)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, location, first)
 	if err != nil {
 		return nil, false, failure.Wrap(failure.Garbage, err)
 	}
-	outbound.ContentLength, outbound.GetBody, outbound.Header = int64(len(content)), body, header
-	inbound, err = client.Do(outbound)
-	return inbound, touched.Load(), failure.Wrap(failure.Unreachable, err)
+	request.ContentLength, request.GetBody, request.Header = int64(len(content)), body, header
+	response, err = client.Do(request)
+	return response, started.Load(), failure.Wrap(failure.Unreachable, err)
 }
 
 // refusal is what a server says with any status but 200.
@@ -97,27 +97,27 @@
 	Type    string `json:"type"`
 }
 
-func readRefusal(inbound *http.Response) (auction.Outcome, string) {
-	var said refusal
-	if json.NewDecoder(io.LimitReader(inbound.Body, MostLine)).Decode(&said) != nil || said.Started == nil {
-		return auction.OutcomeUnknown, "status " + strconv.Itoa(inbound.StatusCode)
+func readRefusal(response *http.Response) (auction.Outcome, string) {
+	var refused refusal
+	if json.NewDecoder(io.LimitReader(response.Body, MaxLineBytes)).Decode(&refused) != nil || refused.Started == nil {
+		return auction.OutcomeUnknown, "status " + strconv.Itoa(response.StatusCode)
 	}
 	switch {
-	case said.Type == "handle_lapsed":
-		return auction.OutcomeHandleExpired, said.Type
-	case !*said.Started:
-		return auction.OutcomeNotStarted, said.Type
+	case refused.Type == "handle_lapsed":
+		return auction.OutcomeHandleExpired, refused.Type
+	case !*refused.Started:
+		return auction.OutcomeNotStarted, refused.Type
 	}
-	return auction.OutcomeFailed, said.Type
+	return auction.OutcomeFailed, refused.Type
 }
 
 // Prefill has a server read a prompt, and returns the handle of its memory.
-func (m *ModelServer) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
+func (m *Client) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
-	inbound, written, err := m.post(m.beginRun(decision), decision.Address, "/v1/prefill", PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
+	inbound, started, err := m.post(m.startRun(decision), decision.Address, "/v1/prefill", PrefillRequest{Request: request.ID, Order: decision.Token, Run: decision.Run,
 		Prompt: request.Prompt, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}, may)
 	if err != nil {
-		if !written {
+		if !started {
 			return auction.OutcomeNotStarted, "", err.Error()
 		}
 		return auction.OutcomeUnknown, "", err.Error()
@@ -127,37 +127,37 @@
 		outcome, detail := readRefusal(inbound)
 		return outcome, "", detail
 	}
-	var answer PrefillAnswer
-	if err := json.NewDecoder(io.LimitReader(inbound.Body, MostLine)).Decode(&answer); err != nil || answer.Handle == "" {
+	var response PrefillResponse
+	if err := json.NewDecoder(io.LimitReader(inbound.Body, MaxLineBytes)).Decode(&response); err != nil || response.Handle == "" {
 		return auction.OutcomeUnknown, "", "the answer broke off"
 	}
-	if answer.Request != request.ID || answer.Run != decision.Run {
+	if response.Request != request.ID || response.Run != decision.Run {
 		return auction.OutcomeUnknown, "", "the answer is another inquiry's"
 	}
-	return auction.OutcomeDone, answer.Handle, ""
+	return auction.OutcomeDone, response.Handle, ""
 }
 
 // Decode has a server take up a prompt's memory and answer; each chunk goes to
 // take as it comes.
-func (m *ModelServer) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+func (m *Client) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
 	request := decision.Request
-	inbound, written, err := m.post(m.beginRun(decision), decision.Address, "/v1/decode", DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run,
+	response, started, err := m.post(m.startRun(decision), decision.Address, "/v1/decode", DecodeRequest{Request: request.ID, Order: decision.Token, Run: decision.Run,
 		Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}, may)
 	if err != nil {
-		if !written {
+		if !started {
 			return auction.OutcomeNotStarted, 0, err.Error()
 		}
 		return auction.OutcomeUnknown, 0, err.Error()
 	}
-	defer func() { _ = inbound.Body.Close() }()
-	if inbound.StatusCode != http.StatusOK {
-		outcome, detail := readRefusal(inbound)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		outcome, detail := readRefusal(response)
 		return outcome, 0, detail
 	}
-	lines := bufio.NewScanner(inbound.Body)
-	lines.Buffer(make([]byte, 0, 4096), MostLine)
+	lines := bufio.NewScanner(response.Body)
+	lines.Buffer(make([]byte, 0, 4096), MaxLineBytes)
 	for lines.Scan() {
-		var line StreamLine
+		var line DecodeChunk
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
 			return auction.OutcomeUnknown, 0, "a line that is no JSON"
 		}
@@ -173,68 +173,68 @@
 }
 
 // Cancel breaks a run's connection and has the server stop it.
-func (m *ModelServer) Cancel(decision auction.Decision) {
+func (m *Client) Cancel(decision auction.Decision) {
 	m.EndRun(decision.ID, decision.Run)
 	m.runtime.Go(func() {
-		lifetime, end := context.WithTimeout(m.lifetime, time.Second)
-		defer end()
-		inbound, _, err := m.post(lifetime, decision.Address, "/v1/cancel", CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}, func() bool { return true })
+		ctx, cancel := context.WithTimeout(m.ctx, time.Second)
+		defer cancel()
+		response, _, err := m.post(ctx, decision.Address, "/v1/cancel", CancelRequest{Request: decision.ID, Order: decision.Token, Run: decision.Run}, func() bool { return true })
 		if err == nil {
-			_ = inbound.Body.Close()
+			_ = response.Body.Close()
 		}
 	})
 }
 
 // Command has a server take a part, under the fence of its key's holder. One
 // that is late is worse than none: it ends with the duty's hold.
-func (m *ModelServer) Command(decision auction.Decision, may func() bool) error {
-	order := PartOrder{Part: string(decision.ServerRole), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
+func (m *Client) Command(decision auction.Decision, may func() bool) error {
+	order := PartRequest{Part: string(decision.ServerRole), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
 		order.PatienceMilliseconds = int(decision.Order.Patience / time.Millisecond)
 		order.Cause = decision.Order.Cause
 	}
-	return m.Within(decision, func(lifetime context.Context) error {
-		inbound, _, err := m.post(lifetime, decision.Address, "/v1/part", order, may)
+	return m.WithinGrant(decision, func(ctx context.Context) error {
+		response, _, err := m.post(ctx, decision.Address, "/v1/part", order, may)
 		if err != nil {
 			return err
 		}
-		defer func() { _ = inbound.Body.Close() }()
-		if inbound.StatusCode != http.StatusOK {
-			return failure.New(failure.NotHolder, "status "+strconv.Itoa(inbound.StatusCode))
+		defer func() { _ = response.Body.Close() }()
+		if response.StatusCode != http.StatusOK {
+			return failure.New(failure.NotHolder, "status "+strconv.Itoa(response.StatusCode))
 		}
 		return nil
 	})
 }
 
-// Within has a command given in a lifetime that ends with the duty's hold, and soon
+// WithinGrant has a command given in a ctx that ends with the duty's hold, and soon
 // in any case.
-func (m *ModelServer) Within(decision auction.Decision, act func(lifetime context.Context) error) error {
-	lifetime, end := context.WithTimeout(m.lifetime, min(time.Second, decision.NotAfter.Sub(m.runtime.Now())))
-	defer end()
-	return act(lifetime)
+func (m *Client) WithinGrant(decision auction.Decision, act func(ctx context.Context) error) error {
+	ctx, cancel := context.WithTimeout(m.ctx, min(time.Second, decision.NotAfter.Sub(m.runtime.Now())))
+	defer cancel()
+	return act(ctx)
 }
 
 // Pressure reads a server's pressure within a patience, for the market of requests.
-func (m *ModelServer) Pressure(server membership.Server, patience time.Duration) (auction.Load, error) {
-	lifetime, end := context.WithTimeout(m.lifetime, patience)
-	defer end()
-	return m.Load(lifetime, server.Address)
+func (m *Client) Pressure(server membership.Server, timeout time.Duration) (auction.Load, error) {
+	ctx, cancel := context.WithTimeout(m.ctx, timeout)
+	defer cancel()
+	return m.Load(ctx, server.Address)
 }
 
 // Load reads a server's pressure.
-func (m *ModelServer) Load(lifetime context.Context, address string) (auction.Load, error) {
+func (m *Client) Load(ctx context.Context, address string) (auction.Load, error) {
 	var load auction.Load
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodGet, "http://"+address+"/v1/load", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/load", nil)
 	if err != nil {
 		return load, failure.Wrap(failure.Garbage, err)
 	}
-	inbound, err := m.client.Do(outbound)
+	response, err := m.client.Do(request)
 	if err != nil {
 		return load, failure.Wrap(failure.Unreachable, err)
 	}
-	defer func() { _ = inbound.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	var report LoadReport
-	if err := json.NewDecoder(io.LimitReader(inbound.Body, MostLine)).Decode(&report); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, MaxLineBytes)).Decode(&report); err != nil {
 		return load, failure.Wrap(failure.Garbage, err)
 	}
 	if err := report.Check(); err != nil {
--- a/internal/adapters/modelserver/client_test.go
+++ b/internal/adapters/modelserver/client_test.go
@@ -28,19 +28,19 @@
 	may := atomic.Bool{}
 	may.Store(true)
 	waits := true
-	transport := &http.Transport{DialContext: func(lifetime context.Context, network, address string) (net.Conn, error) {
-		connection, err := (&net.Dialer{}).DialContext(lifetime, network, address)
+	transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+		connection, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		if waits {
 			may.Store(false)
 		}
 		return connection, err
 	}}
-	modelServer := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), transport)
+	client := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), transport)
 	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Request: &auction.Request{ID: "one"}}
 	for _, order := range []func() auction.Outcome{
-		func() auction.Outcome { outcome, _, _ := modelServer.Prefill(decision, may.Load); return outcome },
+		func() auction.Outcome { outcome, _, _ := client.Prefill(decision, may.Load); return outcome },
 		func() auction.Outcome {
-			outcome, _, _ := modelServer.Decode(decision, may.Load, func(int, string) {})
+			outcome, _, _ := client.Decode(decision, may.Load, func(int, string) {})
 			return outcome
 		},
 	} {
@@ -51,7 +51,7 @@
 	}
 	waits = false
 	may.Store(true)
-	if outcome, _, _ := modelServer.Prefill(decision, may.Load); outcome == auction.OutcomeNotStarted || orders.Load() != 1 {
+	if outcome, _, _ := client.Prefill(decision, may.Load); outcome == auction.OutcomeNotStarted || orders.Load() != 1 {
 		t.Errorf("an order in time: %s, and %d orders came", outcome, orders.Load())
 	}
 }
--- a/internal/adapters/modelserver/guardedbody.go
+++ b/internal/adapters/modelserver/guardedbody.go
@@ -12,22 +12,22 @@
 // first byte is taken, after every wait for a connection; an order without its
 // body is none.
 type guardedBody struct {
-	reader *bytes.Reader
-	may    func() bool
-	begun  *atomic.Bool
+	content *bytes.Reader
+	may     func() bool
+	started *atomic.Bool
 }
 
-var tooLate = failure.New(failure.DeadlinePassed, "the order may not go any more")
+var errTooLate = failure.New(failure.DeadlinePassed, "the order may not go any more")
 
 // Read gives the next bytes, the first of them only if they may still go.
 func (g *guardedBody) Read(buffer []byte) (int, error) {
-	if !g.begun.Load() {
+	if !g.started.Load() {
 		if !g.may() {
-			return 0, tooLate
+			return 0, errTooLate
 		}
-		g.begun.Store(true)
+		g.started.Store(true)
 	}
-	return g.reader.Read(buffer)
+	return g.content.Read(buffer)
 }
 
 // Close ends the body.
@@ -35,9 +35,9 @@
 
 // renew starts the order anew: the transport asks for it only when nothing of
 // the last try was written.
-func renew(content []byte, may func() bool, begun *atomic.Bool) func() (io.ReadCloser, error) {
+func newBody(content []byte, may func() bool, begun *atomic.Bool) func() (io.ReadCloser, error) {
 	return func() (io.ReadCloser, error) {
 		begun.Store(false)
-		return &guardedBody{reader: bytes.NewReader(content), may: may, begun: begun}, nil
+		return &guardedBody{content: bytes.NewReader(content), may: may, started: begun}, nil
 	}
 }
--- a/internal/adapters/modelserver/messages.go
+++ b/internal/adapters/modelserver/messages.go
@@ -8,8 +8,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// PrefillOrder is the body of POST /v1/prefill.
-type PrefillOrder struct {
+// PrefillRequest is the body of POST /v1/prefill.
+type PrefillRequest struct {
 	Request      string `json:"inquiry"`
 	Order        string `json:"order,omitempty"`
 	Run          int    `json:"run"`
@@ -19,16 +19,16 @@
 	PrefixTokens int    `json:"prefix_tokens,omitempty"`
 }
 
-// PrefillAnswer is the answer to POST /v1/prefill.
-type PrefillAnswer struct {
+// PrefillResponse is the answer to POST /v1/prefill.
+type PrefillResponse struct {
 	Request string `json:"inquiry"`
 	Run     int    `json:"run"`
 	Handle  string `json:"handle"`
 }
 
-// DecodeOrder is the body of POST /v1/decode. Source is the address of the
+// DecodeRequest is the body of POST /v1/decode. Source is the address of the
 // server that read the prompt, from which its memory is fetched.
-type DecodeOrder struct {
+type DecodeRequest struct {
 	Request string `json:"inquiry"`
 	Order   string `json:"order,omitempty"`
 	Run     int    `json:"run"`
@@ -37,9 +37,9 @@
 	Chunks  int    `json:"pieces"`
 }
 
-// StreamLine is one line of the answer to POST /v1/decode. The last one has
+// DecodeChunk is one line of the answer to POST /v1/decode. The last one has
 // Done and the number of all chunks.
-type StreamLine struct {
+type DecodeChunk struct {
 	Request string `json:"inquiry"`
 	Run     int    `json:"run"`
 	Chunk   int    `json:"piece,omitempty"`
@@ -48,15 +48,15 @@
 	Chunks  int    `json:"pieces,omitempty"`
 }
 
-// CancelOrder is the body of POST /v1/cancel.
-type CancelOrder struct {
+// CancelRequest is the body of POST /v1/cancel.
+type CancelRequest struct {
 	Request string `json:"inquiry"`
 	Order   string `json:"order,omitempty"`
 	Run     int    `json:"run"`
 }
 
-// PartOrder is the body of POST /v1/part.
-type PartOrder struct {
+// PartRequest is the body of POST /v1/part.
+type PartRequest struct {
 	Part                 string `json:"part"`
 	FencingToken         uint64 `json:"fence"`
 	Holder               string `json:"holder"`
@@ -84,8 +84,8 @@
 	Prefixes              map[string]int `json:"prefixes,omitempty"`
 }
 
-// mostReported bounds every number of a report.
-const mostReported = 1 << 40
+// maxReported bounds every number of a report.
+const maxReported = 1 << 40
 
 // Check refuses a report that can't be true, so that the market never trades on
 // it.
@@ -95,7 +95,7 @@
 		"piece_time_microseconds": l.ChunkTimeMicroseconds, "memory_free_tokens": l.MemoryFree, "memory_total_tokens": l.MemoryTotal,
 		"link_tokens_per_second": l.LinkRate}
 	for name, number := range numbers {
-		if number < 0 || number > mostReported {
+		if number < 0 || number > maxReported {
 			return failure.At(failure.OutOfRange, "/"+name, strconv.Itoa(number))
 		}
 	}
--- a/internal/adapters/proxy/bench_test.go
+++ b/internal/adapters/proxy/bench_test.go
@@ -93,8 +93,8 @@
 	if read {
 		conduct.reader = open(whole(200, "id", `{"handle":"3fa09c41b7d5","tokens":3}`, "Keep-Alive: timeout=9"), 0)
 	}
-	connections := NewConnections(nil)
-	intake, err := NewIntake(b.Context(), DefaultWords(), connections, conduct, time.Now)
+	connections := NewPool(nil)
+	handler, err := NewHandler(b.Context(), DefaultProtocol(), connections, conduct, time.Now)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	server := &http.Server{Handler: intake}
+	server := &http.Server{Handler: handler}
 	go func() { _ = server.Serve(listener) }()
 	b.Cleanup(func() { _ = server.Close() })
 	client, err := net.Dial("tcp", listener.Addr().String())
--- a/internal/adapters/proxy/clientconnection.go
+++ b/internal/adapters/proxy/clientconnection.go
@@ -42,7 +42,7 @@
 func (c *clientConnection) dismissIfLate(now time.Time, limits config.Limits) (http.ConnState, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.admitted && now.Sub(c.since) > c.patience(limits) {
+	if !c.admitted && now.Sub(c.since) > c.timeout(limits) {
 		c.dismissed = true
 	}
 	return c.state, c.dismissed
@@ -61,12 +61,12 @@
 }
 
 // patience is how long the connection may stay in its state. The caller has the mutex.
-func (c *clientConnection) patience(limits config.Limits) time.Duration {
+func (c *clientConnection) timeout(limits config.Limits) time.Duration {
 	switch c.state {
 	case http.StateNew:
 		return limits.HeaderPatience
 	case http.StateIdle:
 		return limits.IdlePatience
 	}
-	return bodyPatience
+	return bodyTimeout
 }
--- a/internal/adapters/proxy/clientconnection_test.go
+++ b/internal/adapters/proxy/clientconnection_test.go
@@ -32,7 +32,7 @@
 }
 
 func unmarkedDismissal(model *connectionModel, now time.Time, limits config.Limits) bool {
-	return !model.connection.admitted && now.Sub(model.connection.since) > model.connection.patience(limits)
+	return !model.connection.admitted && now.Sub(model.connection.since) > model.connection.timeout(limits)
 }
 
 const (
--- a/internal/adapters/proxy/conn.go
+++ b/internal/adapters/proxy/conn.go
@@ -11,68 +11,68 @@
 // connection is one connection to a model server. It knows for certain whether anything
 // of the present call was written, and takes nothing once its server may have closed
 // it for having rested too long.
-type conn struct {
+type trackedConn struct {
 	net.Conn
 	now func() time.Time
 
 	mutex sync.Mutex
-	// rests is how long the server keeps the connection while nothing is said; restedAt
+	// rests is how long the server keeps the connection while nothing is said; idleSince
 	// is when the last call on it ended.
-	rests    time.Duration
-	restedAt time.Time
+	keepAlive time.Duration
+	idleSince time.Time
 	// shut refuses every further write; writing is a write under way; wrote that
 	// something of the present call may have left; heard that something came since.
-	shut    bool
-	writing bool
-	wrote   bool
-	heard   bool
+	closed   bool
+	writing  bool
+	wrote    bool
+	received bool
 }
 
 // begin tells whether the connection can take a call. If not, nothing of it is written.
-func (c *conn) begin(ends time.Time) bool {
+func (c *trackedConn) begin(ends time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.now()
-	if !now.Before(ends) || (!c.restedAt.IsZero() && now.Sub(c.restedAt) > c.rests) {
-		c.shut = true
+	if !now.Before(ends) || (!c.idleSince.IsZero() && now.Sub(c.idleSince) > c.keepAlive) {
+		c.closed = true
 	}
-	c.wrote, c.heard = false, false
-	return !c.shut
+	c.wrote, c.received = false, false
+	return !c.closed
 }
 
 // rested tells whether the connection rested for as long as its server keeps it.
-func (c *conn) rested(now time.Time) bool {
+func (c *trackedConn) idleTooLong(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return now.Sub(c.restedAt) > c.rests
+	return now.Sub(c.idleSince) > c.keepAlive
 }
 
 // rest notes the end of a call, and how long the server then keeps the connection.
-func (c *conn) rest(length time.Duration) {
+func (c *trackedConn) becomeIdle(keepAlive time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.restedAt, c.rests = c.now(), length
+	c.idleSince, c.keepAlive = c.now(), keepAlive
 }
 
 // end closes the connection. After it the connection certainly takes nothing more; it tells
 // whether anything of the call may have left, and whether anything came.
-func (c *conn) end() (wrote, heard bool) {
+func (c *trackedConn) end() (wrote, received bool) {
 	c.mutex.Lock()
-	c.shut = true
-	wrote, heard = c.wrote || c.writing, c.heard
+	c.closed = true
+	wrote, received = c.wrote || c.writing, c.received
 	c.mutex.Unlock()
 	_ = c.Conn.Close()
-	return wrote, heard
+	return wrote, received
 }
 
-var errShut = failure.New(failure.Unreachable, "the circuit takes no more calls")
+var errConnClosed = failure.New(failure.Unreachable, "the circuit takes no more calls")
 
 // Write sends, unless the connection was shut before.
-func (c *conn) Write(content []byte) (int, error) {
+func (c *trackedConn) Write(content []byte) (int, error) {
 	c.mutex.Lock()
-	if c.shut {
+	if c.closed {
 		c.mutex.Unlock()
-		return 0, errShut
+		return 0, errConnClosed
 	}
 	c.writing = true
 	c.mutex.Unlock()
@@ -85,11 +85,11 @@
 }
 
 // Read receives.
-func (c *conn) Read(buffer []byte) (int, error) {
+func (c *trackedConn) Read(buffer []byte) (int, error) {
 	read, err := c.Conn.Read(buffer)
 	if read > 0 {
 		c.mutex.Lock()
-		c.heard = true
+		c.received = true
 		c.mutex.Unlock()
 	}
 	return read, err
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -21,24 +21,24 @@
 
 // The bounds of answers. The values are ours.
 const (
-	// mostKept bounds a failing answer that is kept to be forwarded, and an answer
+	// maxBufferedResponse bounds a failing answer that is kept to be forwarded, and an answer
 	// that is forwarded only when all of it is there.
-	mostKept = 1 << 20
-	// mostEvent bounds one event of a stream.
-	mostEvent = 4 << 20
-	// mostReadAnswer bounds the answer that names a prompt's memory.
-	mostReadAnswer = 64 << 10
-	// endsMargin is how much longer than a call's end a server's own word is waited
+	maxBufferedResponse = 1 << 20
+	// maxEventBytes bounds one event of a stream.
+	maxEventBytes = 4 << 20
+	// maxPrefillResponse bounds the answer that names a prompt's memory.
+	maxPrefillResponse = 64 << 10
+	// deadlineGrace is how much longer than a call's end a server's own word is waited
 	// for, which tells more than ours.
-	endsMargin = 60 * time.Millisecond
-	// freePatience is how long giving a handle back may take.
-	freePatience = time.Second
-	copyBuffer   = 16 << 10
+	deadlineGrace = 60 * time.Millisecond
+	// releaseTimeout is how long giving a handle back may take.
+	releaseTimeout  = time.Second
+	copyBufferBytes = 16 << 10
 )
 
 // exchange is one call between its origin and the servers.
 type exchange struct {
-	intake  *Intake
+	handler *Handler
 	writer  http.ResponseWriter
 	inbound *http.Request
 	call    *scheduler.Call
@@ -49,18 +49,18 @@
 	body   []byte
 
 	// reader is the server that read the prompt last.
-	reader membership.Server
-	kept   *answer
+	prefillServer  membership.Server
+	failedResponse *bufferedResponse
 	// begun tells that something of an answer was forwarded, lastEvent is the id of
 	// the last event that was.
-	begun     atomic.Bool
+	headSent  atomic.Bool
 	lastEvent string
 	// ending is how the call ended; cut at first, so that no answer is made up.
 	ending ending
 }
 
 // answer is a failing answer that is kept to be forwarded.
-type answer struct {
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -70,45 +70,45 @@
 type dispatch struct {
 	exchange *exchange
 	decision scheduler.Decision
-	line     *line
+	conn     *pooledConn
 	response *http.Response
-	lifetime context.Context
+	ctx      context.Context
 	cancel   context.CancelFunc
 	timer    *time.Timer
 	// until is the decision's end by the runtime's own clock, which costs no call to
 	// the kernel.
-	until   time.Time
-	outcome scheduler.Outcome
+	deadline time.Time
+	outcome  scheduler.Outcome
 }
 
 // send sends the call and waits for the head of the answer. When false is given, the
 // dispatch is over and its outcome is set.
 func (e *exchange) send(decision scheduler.Decision, change func(header http.Header)) (*dispatch, bool) {
-	words := &e.intake.words
-	lifetime, cancel := context.WithCancel(e.inbound.Context())
-	sent := &dispatch{exchange: e, decision: decision, lifetime: lifetime, cancel: cancel,
-		until: time.Now().Add(decision.Deadline.Sub(e.intake.now()))}
-	patience := sent.left()
+	protocol := &e.handler.protocol
+	ctx, cancel := context.WithCancel(e.inbound.Context())
+	sent := &dispatch{exchange: e, decision: decision, ctx: ctx, cancel: cancel,
+		deadline: time.Now().Add(decision.Deadline.Sub(e.handler.now()))}
+	timeout := sent.remaining()
 	if decision.ResponseTimeout > 0 {
-		patience = min(patience, decision.ResponseTimeout)
+		timeout = min(timeout, decision.ResponseTimeout)
 	}
-	sent.timer = time.AfterFunc(patience, sent.expire)
-	l, err := e.intake.connections.take(lifetime, decision.Server, sent.until)
+	sent.timer = time.AfterFunc(timeout, sent.expire)
+	conn, err := e.handler.pool.get(ctx, decision.Server, sent.deadline)
 	if err != nil {
 		return sent, sent.fail(scheduler.Unreachable)
 	}
-	sent.line = l
+	sent.conn = conn
 	header := maps.Clone(e.header)
-	header[words.Target] = []string{decision.Server.Name}
+	header[protocol.Target] = []string{decision.Server.Name}
 	if decision.Priority >= 0 {
-		header[words.Urgency] = []string{strconv.Itoa(decision.Priority)}
+		header[protocol.Urgency] = []string{strconv.Itoa(decision.Priority)}
 	}
 	change(header)
-	left := max(1, time.Until(sent.until).Milliseconds())
-	header[words.Limit] = []string{strconv.FormatInt(left, 10)}
+	remaining := max(1, time.Until(sent.deadline).Milliseconds())
+	header[protocol.Limit] = []string{strconv.FormatInt(remaining, 10)}
 	outbound := (&http.Request{Method: e.inbound.Method, URL: &url.URL{Scheme: "http", Host: decision.Server.Address, Opaque: e.target},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: e.inbound.Host,
-		Body: http.NoBody, ContentLength: int64(len(e.body))}).WithContext(lifetime)
+		Body: http.NoBody, ContentLength: int64(len(e.body))}).WithContext(ctx)
 	if len(e.body) > 0 {
 		outbound.Body = io.NopCloser(bytes.NewReader(e.body))
 	}
@@ -117,13 +117,13 @@
 		path, query, asked := strings.Cut(e.target, "?")
 		outbound.URL = &url.URL{Scheme: "http", Host: decision.Server.Address, Path: e.inbound.URL.Path, RawPath: path, RawQuery: query, ForceQuery: asked}
 	}
-	sent.response, err = l.client.RoundTrip(outbound)
+	sent.response, err = conn.http.RoundTrip(outbound)
 	if err != nil {
-		wrote, heard := l.connection.end()
+		wrote, received := conn.conn.end()
 		switch {
 		case !wrote:
 			return sent, sent.fail(scheduler.Unreachable)
-		case heard && lifetime.Err() == nil:
+		case received && ctx.Err() == nil:
 			return sent, sent.fail(scheduler.Malformed)
 		}
 		return sent, sent.fail(scheduler.TimedOut)
@@ -135,7 +135,7 @@
 // not waited for either.
 func (d *dispatch) expire() {
 	d.cancel()
-	if d.exchange.begun.Load() && !time.Now().Before(d.until) {
+	if d.exchange.headSent.Load() && !time.Now().Before(d.deadline) {
 		_ = http.NewResponseController(d.exchange.writer).SetWriteDeadline(time.Now())
 	}
 }
@@ -146,12 +146,12 @@
 		result = scheduler.ClientGone
 	}
 	if result == scheduler.ClientGone {
-		d.exchange.ending = left
+		d.exchange.ending = endClientGone
 	}
-	d.note(result)
+	d.record(result)
 	d.cancel()
-	if d.line != nil {
-		d.line.close()
+	if d.conn != nil {
+		d.conn.close()
 	}
 	if d.response != nil {
 		_ = d.response.Body.Close()
@@ -160,21 +160,21 @@
 }
 
 // note keeps the result of a dispatch that is over.
-func (d *dispatch) note(result scheduler.Result) {
+func (d *dispatch) record(result scheduler.Result) {
 	d.outcome.Result = result
 	d.timer.Stop()
-	d.exchange.intake.meter.dispatched(d.decision.Kind, result)
+	d.exchange.handler.meter.dispatched(d.decision.Kind, result)
 }
 
 // finish ends a dispatch whose answer was read to its end.
 func (d *dispatch) finish(result scheduler.Result) {
-	d.note(result)
+	d.record(result)
 	_ = d.response.Body.Close()
 	if result == scheduler.Misdirected || d.response.Close {
-		d.line.close()
+		d.conn.close()
 	} else {
-		d.outcome.KeepAlive = readRests(d.response.Header)
-		d.exchange.intake.connections.give(d.line, d.outcome.KeepAlive)
+		d.outcome.KeepAlive = readKeepAlive(d.response.Header)
+		d.exchange.handler.pool.put(d.conn, d.outcome.KeepAlive)
 	}
 	d.cancel()
 }
@@ -183,19 +183,19 @@
 // answer with another call's id belongs to that one.
 func (d *dispatch) readHead() bool {
 	e, response := d.exchange, d.response
-	words := &e.intake.words
+	protocol := &e.handler.protocol
 	success := response.StatusCode >= 200 && response.StatusCode < 300
 	if response.StatusCode < 200 || response.StatusCode > 599 {
 		return d.fail(scheduler.Malformed)
 	}
-	if id, found := response.Header[words.ID]; found && (len(id) != 1 || id[0] != e.call.ID) || !found && success && e.call.ID != "" {
+	if id, found := response.Header[protocol.ID]; found && (len(id) != 1 || id[0] != e.call.ID) || !found && success && e.call.ID != "" {
 		return d.fail(scheduler.Malformed)
 	}
 	d.outcome.Status = response.StatusCode
-	if load := response.Header[words.Load]; len(load) == 1 {
+	if load := response.Header[protocol.Load]; len(load) == 1 {
 		d.outcome.Load = readLoad(load[0])
 	}
-	if warming := response.Header[words.Warming]; len(warming) == 1 {
+	if warming := response.Header[protocol.Warming]; len(warming) == 1 {
 		if count, err := readCount(warming[0]); err == nil {
 			d.outcome.Warming = time.Duration(count) * time.Millisecond
 		}
@@ -203,30 +203,30 @@
 	if success {
 		return true
 	}
-	body, err := readBounded(response.Body, response.ContentLength, mostKept)
+	body, err := readBounded(response.Body, response.ContentLength, maxBufferedResponse)
 	if err != nil {
 		return d.fail(scheduler.TimedOut)
 	}
-	d.outcome.FirstByte = e.intake.now()
+	d.outcome.FirstByte = e.handler.now()
 	result := scheduler.ErrorResponse
-	switch _, never := response.Header[words.NotStarted]; {
+	switch _, never := response.Header[protocol.NotStarted]; {
 	case response.StatusCode == http.StatusMisdirectedRequest:
 		result = scheduler.Misdirected
 	case never:
 		result = scheduler.NotStarted
 	}
-	if result == scheduler.ErrorResponse && promises(response.StatusCode) {
+	if result == scheduler.ErrorResponse && impliesNotRun(response.StatusCode) {
 		// The status would promise what the server did not: it goes no further.
-		e.kept = nil
+		e.failedResponse = nil
 	} else {
-		e.kept = &answer{status: response.StatusCode, header: response.Header, body: body}
+		e.failedResponse = &bufferedResponse{status: response.StatusCode, header: response.Header, body: body}
 	}
 	d.finish(result)
 	return false
 }
 
 // promises tells whether a status says that a call has not run and never will.
-func promises(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -265,25 +265,25 @@
 
 // Read has a server read the prompt.
 func (e *exchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	words := &e.intake.words
-	e.reader = decision.Server
+	protocol := &e.handler.protocol
+	e.prefillServer = decision.Server
 	sent, success := e.send(decision, func(header http.Header) {
-		header[words.Stage] = []string{words.StageRead}
+		header[protocol.Stage] = []string{protocol.StageRead}
 	})
 	if !success {
 		return sent.outcome
 	}
-	body, err := readBounded(sent.response.Body, sent.response.ContentLength, mostReadAnswer)
+	body, err := readBounded(sent.response.Body, sent.response.ContentLength, maxPrefillResponse)
 	if err != nil {
 		sent.fail(scheduler.TimedOut)
 		return sent.outcome
 	}
-	handle := fastjson.GetString(body, words.HandleField)
+	handle := fastjson.GetString(body, protocol.HandleField)
 	if handle == "" || strings.ContainsAny(handle, "/?#% \r\n") {
 		sent.fail(scheduler.Malformed)
 		return sent.outcome
 	}
-	sent.outcome.FirstByte = e.intake.now()
+	sent.outcome.FirstByte = e.handler.now()
 	sent.outcome.Handle = handle
 	sent.finish(scheduler.Complete)
 	return sent.outcome
@@ -291,14 +291,14 @@
 
 // Run has a server make the answer, which is forwarded.
 func (e *exchange) Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
-	words := &e.intake.words
-	if e.begun.Load() && e.lastEvent == "" {
+	protocol := &e.handler.protocol
+	if e.headSent.Load() && e.lastEvent == "" {
 		// Nothing tells where to go on.
 		return scheduler.Outcome{Result: scheduler.Interrupted}
 	}
 	sent, success := e.send(decision, func(header http.Header) {
 		if decision.Source != nil {
-			header[words.Source] = []string{decision.Source.Address + "/" + decision.Source.Handle}
+			header[protocol.Source] = []string{decision.Source.Address + "/" + decision.Source.Handle}
 		}
 		if e.lastEvent != "" {
 			header[lastEventHeader] = []string{e.lastEvent}
@@ -308,36 +308,36 @@
 		return sent.outcome
 	}
 	if strings.HasPrefix(sent.response.Header.Get("Content-Type"), "text/event-stream") {
-		sent.passEvents(route, began)
+		sent.forwardEvents(route, began)
 		return sent.outcome
 	}
-	if e.begun.Load() {
+	if e.headSent.Load() {
 		sent.fail(scheduler.Malformed)
 		return sent.outcome
 	}
-	sent.passWhole()
+	sent.forwardBody()
 	return sent.outcome
 }
 
 const lastEventHeader = "Last-Event-Id"
 
 // extend has the dispatch go on to the call's end, now that its server speaks.
-func (d *dispatch) extend() { d.timer.Reset(d.left()) }
+func (d *dispatch) extend() { d.timer.Reset(d.remaining()) }
 
 // left is how long the dispatch may go on at the most.
-func (d *dispatch) left() time.Duration {
-	return time.Until(d.until) + endsMargin
+func (d *dispatch) remaining() time.Duration {
+	return time.Until(d.deadline) + deadlineGrace
 }
 
-// passHead gives the origin the status and the end-to-end headers of an answer.
-func (e *exchange) passHead(response *http.Response) {
+// forwardHead gives the origin the status and the end-to-end headers of an answer.
+func (e *exchange) forwardHead(response *http.Response) {
 	header := e.writer.Header()
 	copyEndToEnd(header, response.Header)
 	if response.ContentLength >= 0 {
 		header["Content-Length"] = []string{strconv.FormatInt(response.ContentLength, 10)}
 	}
-	e.begun.Store(true)
-	e.ending = served
-	e.intake.meter.first.UpdateDuration(e.began)
+	e.headSent.Store(true)
+	e.ending = endServed
+	e.handler.meter.timeToFirst.UpdateDuration(e.began)
 	e.writer.WriteHeader(response.StatusCode)
 }
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -161,15 +161,15 @@
 		servers = append(servers, unruly(t, fmt.Sprint("life-", number), part, l, seed*10+uint64(number)).server)
 	}
 	configuration := twoRoutes()
-	lifetime, cancel := context.WithCancel(t.Context())
-	rt := osruntime.New(lifetime, osruntime.NewClock())
-	connections := NewConnections(nil)
+	ctx, cancel := context.WithCancel(t.Context())
+	rt := osruntime.New(ctx, osruntime.NewClock())
+	connections := NewPool(nil)
 	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.RetryAllowance{Ratio: 5, Slack: 1000, Window: time.Second}})
 	conduct := dataplane.NewCalls(rt, deciding, connections.SetServers)
 	conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
 	conduct.SetServers(rt.Now(), servers)
-	intake, err := NewIntake(lifetime, DefaultWords(), connections, conduct, rt.Now)
+	handler, err := NewHandler(ctx, DefaultProtocol(), connections, conduct, rt.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: intake}
+	server := &http.Server{Handler: handler}
 	owner := tomb.Tomb{}
 	owner.Go(func() error { _ = server.Serve(listener); return nil })
 	defer func() { cancel(); _ = server.Close(); owner.Kill(nil); _ = owner.Wait() }()
@@ -232,7 +232,7 @@
 			t.Errorf("%s got %q, %v", id, text, got.header)
 		}
 		return true
-	case got.failure == nil && promises(got.status):
+	case got.failure == nil && impliesNotRun(got.status):
 		if runs > 0 {
 			t.Errorf("%s was promised not to have run and ran %d times: %+v", id, runs, got)
 		}
@@ -272,17 +272,17 @@
 	s.server.Service, s.server.Slots, s.server.Models = "desk", 64, []string{"m"}
 	owner := &tomb.Tomb{}
 	rt := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
-	connections := NewConnections(nil)
+	connections := NewPool(nil)
 	conduct := dataplane.NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), connections.SetServers)
 	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
 	conduct.SetRouters(1)
 	conduct.SetServers(rt.Now(), []membership.Server{s.server})
-	intake, err := NewIntake(owner.Context(context.Background()), DefaultWords(), connections, conduct, rt.Now)
+	handler, err := NewHandler(owner.Context(context.Background()), DefaultProtocol(), connections, conduct, rt.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := freeAddress(t)
-	gate, err := Open(owner, intake, address, "")
+	frontend, err := Listen(owner, handler, address, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -332,7 +332,7 @@
 	}
 	until(t, "calls are served", func() bool { return s.count() > 40 })
 	conduct.Retire(1500*time.Millisecond, func() {})
-	gate.Close()
+	frontend.Close()
 	owner.Kill(nil)
 	_ = owner.Wait()
 	origins.Wait()
--- a/internal/adapters/proxy/frontend.go
+++ b/internal/adapters/proxy/frontend.go
@@ -15,16 +15,16 @@
 
 // The patience with origins. The values are ours.
 const (
-	watchPause   = time.Second
-	bodyPatience = 30 * time.Second
-	// closePatience is how long connections get to end by themselves at the end.
-	closePatience = 500 * time.Millisecond
-	mostHeadBytes = 1 << 20
+	timeoutCheckInterval = time.Second
+	bodyTimeout          = 30 * time.Second
+	// shutdownTimeout is how long connections get to end by themselves at the end.
+	shutdownTimeout       = 500 * time.Millisecond
+	maxRequestHeaderBytes = 1 << 20
 )
 
-// Gate listens for origins and for who asks whether the router is ready.
-type Gate struct {
-	intake  *Intake
+// Frontend listens for origins and for who asks whether the router is ready.
+type Frontend struct {
+	handler *Handler
 	now     func() time.Time
 	servers []*http.Server
 
@@ -41,29 +41,29 @@
 	return !found || connection.admit()
 }
 
-// Open listens on the address for calls and on the one for readiness; either may be
+// Listen listens on the address for calls and on the one for readiness; either may be
 // empty.
-func Open(owner *tomb.Tomb, intake *Intake, address, readyAddress string) (*Gate, error) {
-	return open(owner, intake, address, readyAddress, time.Now)
+func Listen(owner *tomb.Tomb, handler *Handler, address, readyAddress string) (*Frontend, error) {
+	return listen(owner, handler, address, readyAddress, time.Now)
 }
 
-func open(owner *tomb.Tomb, intake *Intake, address, readyAddress string, now func() time.Time) (*Gate, error) {
-	gate := &Gate{intake: intake, now: now, connections: map[net.Conn]*clientConnection{}}
-	serving := &http.Server{Handler: http.HandlerFunc(gate.serveCall), MaxHeaderBytes: mostHeadBytes, ConnState: gate.note, ConnContext: gate.greet}
-	asked := &http.Server{Handler: http.HandlerFunc(gate.tellReady), ReadHeaderTimeout: defaultHeaderPatience, IdleTimeout: defaultIdlePatience}
-	for server, address := range map[*http.Server]string{serving: address, asked: readyAddress} {
+func listen(owner *tomb.Tomb, handler *Handler, address, readyAddress string, now func() time.Time) (*Frontend, error) {
+	frontend := &Frontend{handler: handler, now: now, connections: map[net.Conn]*clientConnection{}}
+	calls := &http.Server{Handler: http.HandlerFunc(frontend.serveCall), MaxHeaderBytes: maxRequestHeaderBytes, ConnState: frontend.trackState, ConnContext: frontend.trackConnection}
+	readiness := &http.Server{Handler: http.HandlerFunc(frontend.serveReady), ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
+	for server, address := range map[*http.Server]string{calls: address, readiness: readyAddress} {
 		if address == "" {
 			continue
 		}
 		// Origins that are gone are noticed by the bounds of calls and of rest; probes
 		// would only cost.
-		listening := net.ListenConfig{KeepAlive: -1}
-		listener, err := listening.Listen(context.Background(), "tcp", address)
+		listenConfig := net.ListenConfig{KeepAlive: -1}
+		listener, err := listenConfig.Listen(context.Background(), "tcp", address)
 		if err != nil {
-			gate.Close()
+			frontend.Close()
 			return nil, failure.Wrap(failure.Unreachable, err)
 		}
-		gate.servers = append(gate.servers, server)
+		frontend.servers = append(frontend.servers, server)
 		owner.Go(func() error {
 			if err := server.Serve(listener); err != http.ErrServerClosed {
 				return failure.Wrap(failure.Unreachable, err)
@@ -71,19 +71,19 @@
 			return nil
 		})
 	}
-	owner.Go(func() error { gate.watch(owner.Dying()); return nil })
-	return gate, nil
+	owner.Go(func() error { frontend.watchTimeouts(owner.Dying()); return nil })
+	return frontend, nil
 }
 
-func (g *Gate) serveCall(writer http.ResponseWriter, inbound *http.Request) {
-	if g.intake.conduct.Leaving() {
+func (g *Frontend) serveCall(writer http.ResponseWriter, inbound *http.Request) {
+	if g.handler.conduct.Leaving() {
 		writer.Header()["Connection"] = []string{"close"}
 	}
-	g.intake.ServeHTTP(writer, inbound)
+	g.handler.ServeHTTP(writer, inbound)
 }
 
-func (g *Gate) tellReady(writer http.ResponseWriter, _ *http.Request) {
-	if !g.intake.conduct.Ready() {
+func (g *Frontend) serveReady(writer http.ResponseWriter, _ *http.Request) {
+	if !g.handler.conduct.Ready() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(writer, "not ready\n")
 		return
@@ -92,24 +92,24 @@
 }
 
 // Close ends all connections; those under way get a moment.
-func (g *Gate) Close() {
-	lifetime, cancel := context.WithTimeout(context.Background(), closePatience)
+func (g *Frontend) Close() {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	for _, server := range g.servers {
-		_ = server.Shutdown(lifetime)
+		_ = server.Shutdown(ctx)
 		_ = server.Close()
 	}
 }
 
-func (g *Gate) greet(lifetime context.Context, connection net.Conn) context.Context {
+func (g *Frontend) trackConnection(ctx context.Context, connection net.Conn) context.Context {
 	arrived := &clientConnection{since: g.now()}
 	g.mutex.Lock()
 	g.connections[connection] = arrived
 	g.mutex.Unlock()
-	return context.WithValue(lifetime, clientConnectionKey{}, arrived)
+	return context.WithValue(ctx, clientConnectionKey{}, arrived)
 }
 
-func (g *Gate) note(connection net.Conn, state http.ConnState) {
+func (g *Frontend) trackState(connection net.Conn, state http.ConnState) {
 	g.mutex.Lock()
 	known := g.connections[connection]
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -122,31 +122,31 @@
 }
 
 // watch dismisses the connections of clients that take or rest too long.
-func (g *Gate) watch(dying <-chan struct{}) {
-	ticker := time.NewTicker(watchPause)
+func (g *Frontend) watchTimeouts(dying <-chan struct{}) {
+	ticker := time.NewTicker(timeoutCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-dying:
 			return
 		case <-ticker.C:
-			g.dismiss()
+			g.dismissLate()
 		}
 	}
 }
 
 // DismissIdle ends the connections that rest, as dismiss does. The node is leaving: its
 // clients find another one now, instead of being refused when they next ask.
-func (g *Gate) DismissIdle() {
-	var resting []net.Conn
+func (g *Frontend) DismissIdle() {
+	var idle []net.Conn
 	g.mutex.Lock()
 	for connection, known := range g.connections {
 		if known.dismissIfIdle() {
-			resting = append(resting, connection)
+			idle = append(idle, connection)
 		}
 	}
 	g.mutex.Unlock()
-	for _, connection := range resting {
+	for _, connection := range idle {
 		_ = connection.SetReadDeadline(time.Unix(1, 0))
 	}
 }
@@ -155,8 +155,8 @@
 // ends by itself when its next read fails, and never under a request: one that crosses
 // the dismissal is refused on the connection and was not forwarded. One whose first head
 // takes too long has no request, and is closed.
-func (g *Gate) dismiss() {
-	limits, now := g.intake.limits(), g.now()
+func (g *Frontend) dismissLate() {
+	limits, now := g.handler.limits(), g.now()
 	dismissed := map[net.Conn]http.ConnState{}
 	g.mutex.Lock()
 	for connection, known := range g.connections {
--- a/internal/adapters/proxy/frontend_test.go
+++ b/internal/adapters/proxy/frontend_test.go
@@ -27,20 +27,20 @@
 	return listener.Addr().String()
 }
 
-func openGate(t *testing.T, s *scripted, now func() time.Time) (gate *Gate, address, readyAddress string) {
+func openFrontend(t *testing.T, s *scripted, now func() time.Time) (frontend *Frontend, address, readyAddress string) {
 	t.Helper()
 	address, readyAddress = freeAddress(t), freeAddress(t)
-	intake, err := NewIntake(t.Context(), DefaultWords(), NewConnections(nil), s, time.Now)
+	handler, err := NewHandler(t.Context(), DefaultProtocol(), NewPool(nil), s, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	owner := &tomb.Tomb{}
-	gate, err = open(owner, intake, address, readyAddress, now)
+	frontend, err = listen(owner, handler, address, readyAddress, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { owner.Kill(nil); gate.Close(); _ = owner.Wait() })
-	return gate, address, readyAddress
+	t.Cleanup(func() { owner.Kill(nil); frontend.Close(); _ = owner.Wait() })
+	return frontend, address, readyAddress
 }
 
 func TestReadinessAndLeaving(t *testing.T) {
@@ -49,7 +49,7 @@
 		return true
 	})
 	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	_, address, readyAddress := openGate(t, sc, time.Now)
+	_, address, readyAddress := openFrontend(t, sc, time.Now)
 	ask := func(status int) {
 		t.Helper()
 		inbound, err := http.Get("http://" + readyAddress + "/any")
@@ -95,7 +95,7 @@
 	})
 	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
 	var ahead atomic.Int64
-	gate, address, _ := openGate(t, sc, func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
+	frontend, address, _ := openFrontend(t, sc, func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
 	slow, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -112,10 +112,10 @@
 	}
 	_ = inbound.Body.Close()
 	until(t, "both are known", func() bool {
-		gate.mutex.Lock()
-		defer gate.mutex.Unlock()
+		frontend.mutex.Lock()
+		defer frontend.mutex.Unlock()
 		states := map[http.ConnState]int{}
-		for _, known := range gate.connections {
+		for _, known := range frontend.connections {
 			known.mutex.Lock()
 			states[known.state]++
 			known.mutex.Unlock()
@@ -123,19 +123,19 @@
 		return states[http.StateNew] == 1 && states[http.StateIdle] == 1
 	})
 	ahead.Store(int64(4 * time.Second))
-	gate.dismiss()
+	frontend.dismissLate()
 	_ = slow.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := slow.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Fatal("a head that takes too long is waited for", err)
 	}
 	ahead.Store(int64(13 * time.Second))
-	gate.dismiss()
+	frontend.dismissLate()
 	_ = resting.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := resting.Read(make([]byte, 1)); err == nil || !strings.Contains(err.Error(), "timeout") {
 		t.Fatal("dismissed while it may rest", err)
 	}
 	ahead.Store(int64(16 * time.Second))
-	gate.dismiss()
+	frontend.dismissLate()
 	_ = resting.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := resting.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Fatal("an origin that rests too long is kept", err)
@@ -177,7 +177,7 @@
 		return true
 	})
 	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
-	gate, address, _ := openGate(t, sc, time.Now)
+	frontend, address, _ := openFrontend(t, sc, time.Now)
 	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -186,9 +186,9 @@
 	_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 2\r\n\r\nx")
 	var known *clientConnection
 	until(t, "the head is read", func() bool {
-		gate.mutex.Lock()
-		defer gate.mutex.Unlock()
-		for _, known = range gate.connections {
+		frontend.mutex.Lock()
+		defer frontend.mutex.Unlock()
+		for _, known = range frontend.connections {
 			known.mutex.Lock()
 			active := known.state == http.StateActive
 			known.mutex.Unlock()
--- a/internal/adapters/proxy/fuzz_test.go
+++ b/internal/adapters/proxy/fuzz_test.go
@@ -12,11 +12,11 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		parts := readParts(text)
-		if len(parts) > mostParts {
+		if len(parts) > maxPromptParts {
 			t.Fatalf("%d parts", len(parts))
 		}
 		for _, part := range parts {
-			if part.Tokens < 0 || part.Tokens > mostTokens {
+			if part.Tokens < 0 || part.Tokens > maxTokenCount {
 				t.Fatalf("%+v", part)
 			}
 		}
--- a/internal/adapters/proxy/handler.go
+++ b/internal/adapters/proxy/handler.go
@@ -17,13 +17,13 @@
 
 // The limits that hold when the configuration has none. The values are ours.
 const (
-	defaultHeaderBytes    = 64 << 10
-	defaultBodyBytes      = 16 << 20
-	defaultHeaderPatience = 5 * time.Second
-	defaultIdlePatience   = 60 * time.Second
-	// dismissedRetry is after how many seconds a call may come back that crossed the
+	defaultHeaderBytes   = 64 << 10
+	defaultBodyBytes     = 16 << 20
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 60 * time.Second
+	// dismissedRetryAfter is after how many seconds a call may come back that crossed the
 	// end of its connection: a new connection serves it at once.
-	dismissedRetry = "0.010"
+	dismissedRetryAfter = "0.010"
 )
 
 // Conduct serves one call from its arrival to its end.
@@ -37,29 +37,29 @@
 	Leaving() bool
 }
 
-// Intake takes calls from their origins.
-type Intake struct {
-	words       Words
-	connections *Connections
-	conduct     Conduct
-	now         func() time.Time
-	lifetime    context.Context
-	buffers     sync.Pool
-	meter       *meter
+// Handler takes calls from their origins.
+type Handler struct {
+	protocol Protocol
+	pool     *Pool
+	conduct  Conduct
+	now      func() time.Time
+	ctx      context.Context
+	buffers  sync.Pool
+	meter    *meter
 }
 
-// NewIntake makes the handler of opaque calls.
-func NewIntake(lifetime context.Context, words Words, connections *Connections, conduct Conduct, now func() time.Time) (*Intake, error) {
-	if err := words.Check(); err != nil {
+// NewHandler makes the handler of opaque calls.
+func NewHandler(ctx context.Context, protocol Protocol, pool *Pool, conduct Conduct, now func() time.Time) (*Handler, error) {
+	if err := protocol.Check(); err != nil {
 		return nil, err
 	}
-	intake := &Intake{words: words, connections: connections, conduct: conduct, now: now, lifetime: lifetime, meter: newMeter(connections)}
-	intake.buffers.New = func() any { buffer := make([]byte, copyBuffer); return &buffer }
-	return intake, nil
+	handler := &Handler{protocol: protocol, pool: pool, conduct: conduct, now: now, ctx: ctx, meter: newMeter(pool)}
+	handler.buffers.New = func() any { buffer := make([]byte, copyBufferBytes); return &buffer }
+	return handler, nil
 }
 
 // limits are the bounds in force, with defaults for what nobody said.
-func (i *Intake) limits() config.Limits {
+func (i *Handler) limits() config.Limits {
 	limits := i.conduct.Limits()
 	if limits.HeaderBytes == 0 {
 		limits.HeaderBytes = defaultHeaderBytes
@@ -68,80 +68,80 @@
 		limits.BodyBytes = defaultBodyBytes
 	}
 	if limits.HeaderPatience == 0 {
-		limits.HeaderPatience = defaultHeaderPatience
+		limits.HeaderPatience = defaultHeaderTimeout
 	}
 	if limits.IdlePatience == 0 {
-		limits.IdlePatience = defaultIdlePatience
+		limits.IdlePatience = defaultIdleTimeout
 	}
 	return limits
 }
 
 // ServeHTTP serves one call.
-func (i *Intake) ServeHTTP(writer http.ResponseWriter, inbound *http.Request) {
+func (i *Handler) ServeHTTP(writer http.ResponseWriter, inbound *http.Request) {
 	began := time.Now()
 	how := i.serve(writer, inbound, began)
 	i.meter.ended(how, time.Since(began))
-	if how == cut || how == left {
+	if how == endCut || how == endClientGone {
 		// Returning would look like an answer.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (i *Intake) serve(writer http.ResponseWriter, inbound *http.Request, began time.Time) ending {
+func (i *Handler) serve(writer http.ResponseWriter, inbound *http.Request, began time.Time) ending {
 	arrived := i.now()
-	words := &i.words
+	protocol := &i.protocol
 	limits := i.limits()
-	id := inbound.Header.Get(words.ID)
+	id := inbound.Header.Get(protocol.ID)
 	if headerBytes(inbound) > limits.HeaderBytes {
-		refuse(writer, words.ID, id, http.StatusRequestHeaderFieldsTooLarge, oversize)
-		return oversize
+		refuse(writer, protocol.ID, id, http.StatusRequestHeaderFieldsTooLarge, endOversize)
+		return endOversize
 	}
 	if inbound.ContentLength > int64(limits.BodyBytes) {
 		writer.Header()["Connection"] = []string{"close"}
-		refuse(writer, words.ID, id, http.StatusRequestEntityTooLarge, oversize)
-		return oversize
+		refuse(writer, protocol.ID, id, http.StatusRequestEntityTooLarge, endOversize)
+		return endOversize
 	}
 	body, err := readBounded(http.MaxBytesReader(writer, inbound.Body, int64(limits.BodyBytes)), inbound.ContentLength, limits.BodyBytes)
 	if !admit(inbound) {
 		writer.Header()["Connection"] = []string{"close"}
-		writer.Header()["Retry-After"] = []string{dismissedRetry}
-		refuse(writer, words.ID, id, http.StatusServiceUnavailable, dismissed)
-		return dismissed
+		writer.Header()["Retry-After"] = []string{dismissedRetryAfter}
+		refuse(writer, protocol.ID, id, http.StatusServiceUnavailable, endDismissed)
+		return endDismissed
 	}
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		switch {
 		case errors.As(err, &tooLarge) || err == errOversize:
-			refuse(writer, words.ID, id, http.StatusRequestEntityTooLarge, oversize)
-			return oversize
+			refuse(writer, protocol.ID, id, http.StatusRequestEntityTooLarge, endOversize)
+			return endOversize
 		case inbound.Context().Err() != nil:
-			return left
+			return endClientGone
 		}
 		writer.Header()["Connection"] = []string{"close"}
-		refuse(writer, words.ID, id, http.StatusBadRequest, malformed)
-		return malformed
+		refuse(writer, protocol.ID, id, http.StatusBadRequest, endMalformed)
+		return endMalformed
 	}
-	call := &scheduler.Call{ID: id, Host: inbound.Host, Model: inbound.Header.Get(words.Model),
-		Segments: readParts(inbound.Header.Get(words.Parts)), Bytes: len(body), Resumes: inbound.Header.Get(lastEventHeader) != ""}
+	call := &scheduler.Call{ID: id, Host: inbound.Host, Model: inbound.Header.Get(protocol.Model),
+		Segments: readParts(inbound.Header.Get(protocol.Parts)), Bytes: len(body), Resumes: inbound.Header.Get(lastEventHeader) != ""}
 	target := inbound.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		target = inbound.URL.RequestURI()
 	}
 	call.Path, _, _ = strings.Cut(target, "?")
-	call.PromptTokens, call.OutputTokens = readTokens(inbound.Header.Get(words.Tokens))
-	if left, err := readCount(inbound.Header.Get(words.Limit)); err == nil {
-		call.Deadline = arrived.Add(time.Duration(left) * time.Millisecond)
+	call.PromptTokens, call.OutputTokens = readTokens(inbound.Header.Get(protocol.Tokens))
+	if remaining, err := readCount(inbound.Header.Get(protocol.Limit)); err == nil {
+		call.Deadline = arrived.Add(time.Duration(remaining) * time.Millisecond)
 	}
 	header := make(http.Header, len(inbound.Header)+4)
-	copyEndToEnd(header, inbound.Header, words.ID, words.Limit, words.Model, words.Tokens, words.Parts)
+	copyEndToEnd(header, inbound.Header, protocol.ID, protocol.Limit, protocol.Model, protocol.Tokens, protocol.Parts)
 	// These are for a router to say, whatever an origin sent.
-	for _, ours := range [...]string{words.Target, words.Stage, words.Source, words.Urgency, "Expect"} {
+	for _, ours := range [...]string{protocol.Target, protocol.Stage, protocol.Source, protocol.Urgency, "Expect"} {
 		delete(header, ours)
 	}
 	if _, found := header["User-Agent"]; !found {
 		header["User-Agent"] = nil
 	}
-	e := &exchange{intake: i, writer: writer, inbound: inbound, began: began, call: call, target: target, header: header, body: body, ending: cut}
+	e := &exchange{handler: i, writer: writer, inbound: inbound, began: began, call: call, target: target, header: header, body: body, ending: endCut}
 	i.conduct.Serve(call, e)
 	return e.ending
 }
@@ -159,29 +159,29 @@
 
 // free gives a prompt's memory back. That it fails is no harm: memory that nobody
 // takes lapses.
-func (i *Intake) free(server membership.Server, handle string) {
-	lifetime, cancel := context.WithTimeout(i.lifetime, freePatience)
+func (i *Handler) releaseHandle(server membership.Server, handle string) {
+	ctx, cancel := context.WithTimeout(i.ctx, releaseTimeout)
 	defer cancel()
-	l, err := i.connections.take(lifetime, server, time.Now().Add(freePatience))
+	conn, err := i.pool.get(ctx, server, time.Now().Add(releaseTimeout))
 	if err != nil {
 		return
 	}
 	header := http.Header{"User-Agent": nil}
 	if server.Name != "" {
-		header[i.words.Target] = []string{server.Name}
+		header[i.protocol.Target] = []string{server.Name}
 	}
-	outbound := (&http.Request{Method: http.MethodDelete, URL: &url.URL{Scheme: "http", Host: server.Address, Path: i.words.HandlePath + handle},
-		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: server.Address, Body: http.NoBody}).WithContext(lifetime)
-	response, err := l.client.RoundTrip(outbound)
+	outbound := (&http.Request{Method: http.MethodDelete, URL: &url.URL{Scheme: "http", Host: server.Address, Path: i.protocol.HandlePath + handle},
+		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: server.Address, Body: http.NoBody}).WithContext(ctx)
+	response, err := conn.http.RoundTrip(outbound)
 	if err != nil {
-		l.close()
+		conn.close()
 		return
 	}
-	_, err = readBounded(response.Body, response.ContentLength, mostReadAnswer)
+	_, err = readBounded(response.Body, response.ContentLength, maxPrefillResponse)
 	_ = response.Body.Close()
 	if err != nil || response.Close {
-		l.close()
+		conn.close()
 		return
 	}
-	i.connections.give(l, readRests(response.Header))
+	i.pool.put(conn, readKeepAlive(response.Header))
 }
--- a/internal/adapters/proxy/headers.go
+++ b/internal/adapters/proxy/headers.go
@@ -9,15 +9,15 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// oneConnection are the headers that concern one connection only.
-var oneConnection = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
+// hopByHop are the headers that concern one connection only.
+var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
 
 // copyEndToEnd copies the headers that are not one connection's own, and leaves the
 // content's length to who writes the body.
 func copyEndToEnd(target, source http.Header, protected ...string) {
 	for name, values := range source {
-		if !oneConnection[name] && name != "Content-Length" {
+		if !hopByHop[name] && name != "Content-Length" {
 			target[name] = values
 		}
 	}
@@ -47,8 +47,8 @@
 
 // The bounds of what is read from a call's own figures. The values are ours.
 const (
-	mostParts  = 64
-	mostTokens = 1 << 30
+	maxPromptParts = 64
+	maxTokenCount  = 1 << 30
 )
 
 // readParts reads a prompt's chain: ID:TOKENS with commas between, the ids in hex. A
@@ -57,12 +57,12 @@
 	if text == "" {
 		return nil
 	}
-	parts := make([]scheduler.Segment, 0, 1+min(mostParts, strings.Count(text, ",")))
+	parts := make([]scheduler.Segment, 0, 1+min(maxPromptParts, strings.Count(text, ",")))
 	for more := true; more; {
 		var entry string
 		entry, text, more = strings.Cut(text, ",")
 		id, tokens, found := strings.Cut(strings.TrimSpace(entry), ":")
-		if !found || len(parts) == mostParts {
+		if !found || len(parts) == maxPromptParts {
 			return nil
 		}
 		number, err := strconv.ParseUint(id, 16, 64)
@@ -100,7 +100,7 @@
 
 func readCount(text string) (int, error) {
 	count, err := strconv.ParseUint(strings.TrimSpace(text), 10, 31)
-	return int(min(count, mostTokens)), err
+	return int(min(count, maxTokenCount)), err
 }
 
 // readLoad reads running, waiting and slots.
--- a/internal/adapters/proxy/leaving_test.go
+++ b/internal/adapters/proxy/leaving_test.go
@@ -27,7 +27,7 @@
 		return true
 	})
 	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	gate, address, _ := openGate(t, sc, time.Now)
+	frontend, address, _ := openFrontend(t, sc, time.Now)
 	dial := func(id string) (net.Conn, *bufio.Reader) {
 		client, err := net.Dial("tcp", address)
 		if err != nil {
@@ -46,9 +46,9 @@
 	_, busyReader := dial("slow")
 	<-arrived
 	until(t, "one rests", func() bool {
-		gate.mutex.Lock()
-		defer gate.mutex.Unlock()
-		for _, known := range gate.connections {
+		frontend.mutex.Lock()
+		defer frontend.mutex.Unlock()
+		for _, known := range frontend.connections {
 			known.mutex.Lock()
 			idle := known.state == http.StateIdle
 			known.mutex.Unlock()
@@ -58,7 +58,7 @@
 		}
 		return false
 	})
-	gate.DismissIdle()
+	frontend.DismissIdle()
 	_ = resting.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := restingReader.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the resting connection is kept: %v", err)
--- a/internal/adapters/proxy/meter.go
+++ b/internal/adapters/proxy/meter.go
@@ -11,36 +11,36 @@
 
 // meter counts what becomes of calls. It costs nothing while nothing happens.
 type meter struct {
-	set        *metrics.Set
-	endings    map[ending]*metrics.Counter
-	dispatches map[scheduler.DecisionKind]map[scheduler.Result]*metrics.Counter
-	givenUp    map[scheduler.Reason]*metrics.Counter
-	first      *metrics.PrometheusHistogram
-	whole      *metrics.PrometheusHistogram
+	set         *metrics.Set
+	endings     map[ending]*metrics.Counter
+	dispatches  map[scheduler.DecisionKind]map[scheduler.Result]*metrics.Counter
+	givenUp     map[scheduler.Reason]*metrics.Counter
+	timeToFirst *metrics.PrometheusHistogram
+	duration    *metrics.PrometheusHistogram
 }
 
 // ending is how a call ended for its origin: one of these, or the cause of a refusal.
 type ending string
 
 const (
-	served    ending = "served"
-	through   ending = "through"
-	cut       ending = "cut"
-	left      ending = "left"
-	oversize  ending = "oversize"
-	malformed ending = "malformed"
+	endServed           ending = "served"
+	endForwardedFailure ending = "through"
+	endCut              ending = "cut"
+	endClientGone       ending = "left"
+	endOversize         ending = "oversize"
+	endMalformed        ending = "malformed"
 	// dismissed is a call that crossed the end of its connection.
-	dismissed ending = "dismissed"
+	endDismissed ending = "dismissed"
 )
 
 // bounds are of the times in seconds that are told apart.
-var bounds = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 3, 5, 8, 15}
+var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 3, 5, 8, 15}
 
-func newMeter(connections *Connections) *meter {
+func newMeter(connections *Pool) *meter {
 	set := metrics.NewSet()
 	m := &meter{set: set, endings: map[ending]*metrics.Counter{}, dispatches: map[scheduler.DecisionKind]map[scheduler.Result]*metrics.Counter{},
-		first: set.NewPrometheusHistogramExt("seamloom_call_first_seconds", bounds), whole: set.NewPrometheusHistogramExt("seamloom_call_seconds", bounds)}
-	for _, how := range []ending{served, through, cut, left, oversize, malformed, dismissed, ending(scheduler.NoRoute), ending(scheduler.NotReady), ending(scheduler.Saturated),
+		timeToFirst: set.NewPrometheusHistogramExt("seamloom_call_first_seconds", latencyBuckets), duration: set.NewPrometheusHistogramExt("seamloom_call_seconds", latencyBuckets)}
+	for _, how := range []ending{endServed, endForwardedFailure, endCut, endClientGone, endOversize, endMalformed, endDismissed, ending(scheduler.NoRoute), ending(scheduler.NotReady), ending(scheduler.Saturated),
 		ending(scheduler.Draining), ending(scheduler.DeadlinePassed), ending(scheduler.OutcomeUnknown), ending(scheduler.OutcomeUnknownLate)} {
 		m.endings[how] = set.NewCounter(`seamloom_calls_total{ending="` + string(how) + `"}`)
 	}
@@ -63,8 +63,8 @@
 	if counter, found := m.endings[how]; found {
 		counter.Inc()
 	}
-	if how == served {
-		m.whole.Update(took.Seconds())
+	if how == endServed {
+		m.duration.Update(took.Seconds())
 	}
 }
 
@@ -76,4 +76,4 @@
 }
 
 // WriteMetrics writes what was counted in the text format of Prometheus.
-func (i *Intake) WriteMetrics(target io.Writer) { i.meter.set.WritePrometheus(target) }
+func (i *Handler) WriteMetrics(target io.Writer) { i.meter.set.WritePrometheus(target) }
--- a/internal/adapters/proxy/meter_test.go
+++ b/internal/adapters/proxy/meter_test.go
@@ -31,7 +31,7 @@
 		_ = r.send(t, "id", "")
 	}
 	var text bytes.Buffer
-	r.intake.WriteMetrics(&text)
+	r.handler.WriteMetrics(&text)
 	for _, l := range []string{`seamloom_calls_total{ending="served"} 1`, `seamloom_calls_total{ending="through"} 1`, `seamloom_calls_total{ending="cut"} 1`, `seamloom_calls_total{ending="broken"} 1`,
 		`seamloom_call_dispatches_total{kind="run",result="complete"} 1`, `seamloom_call_dispatches_total{kind="run",result="not_started"} 1`,
 		`seamloom_call_dispatches_total{kind="run",result="cut"} 1`, `seamloom_call_dispatches_total{kind="run",result="silent"} 1`,
--- a/internal/adapters/proxy/pool_test.go
+++ b/internal/adapters/proxy/pool_test.go
@@ -61,12 +61,12 @@
 }
 
 // restingGood tells whether any connection rests that looks good.
-func restingGood(connections *Connections) bool {
+func restingGood(connections *Pool) bool {
 	connections.mutex.Lock()
 	defer connections.mutex.Unlock()
-	for _, resting := range connections.resting {
+	for _, resting := range connections.idle {
 		for _, l := range resting {
-			if l.client.Err() == nil {
+			if l.http.Err() == nil {
 				return true
 			}
 		}
@@ -132,37 +132,37 @@
 
 func TestNothingWrittenIsCertain(t *testing.T) {
 	s := newStandin(t, func(*callerConnection, *http.Request) bool { return false })
-	connections := NewConnections(nil)
-	l, err := connections.take(t.Context(), s.server, time.Now().Add(time.Second))
+	connections := NewPool(nil)
+	l, err := connections.get(t.Context(), s.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wrote, _ := l.connection.end(); wrote {
+	if wrote, _ := l.conn.end(); wrote {
 		t.Fatal("nothing was written")
 	}
-	if _, err := l.connection.Write([]byte("x")); err == nil {
+	if _, err := l.conn.Write([]byte("x")); err == nil {
 		t.Fatal("an ended circuit took bytes")
 	}
-	l, err = connections.take(t.Context(), s.server, time.Now().Add(time.Second))
+	l, err = connections.get(t.Context(), s.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = l.connection.Write([]byte("GET"))
-	if wrote, _ := l.connection.end(); !wrote {
+	_, _ = l.conn.Write([]byte("GET"))
+	if wrote, _ := l.conn.end(); !wrote {
 		t.Fatal("something was written")
 	}
 	// One whose call's end has come takes nothing, though it is up.
-	l, err = connections.take(t.Context(), s.server, time.Now().Add(time.Second))
+	l, err = connections.get(t.Context(), s.server, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.connection.begin(time.Now().Add(-time.Second)) {
+	if l.conn.begin(time.Now().Add(-time.Second)) {
 		t.Fatal("a call began after its end")
 	}
-	if _, err := l.connection.Write([]byte("GET")); err == nil {
+	if _, err := l.conn.Write([]byte("GET")); err == nil {
 		t.Fatal("a circuit that was not begun took bytes")
 	}
-	if wrote, _ := l.connection.end(); wrote {
+	if wrote, _ := l.conn.end(); wrote {
 		t.Fatal("nothing was written")
 	}
 }
--- a/internal/adapters/proxy/protocol.go
+++ b/internal/adapters/proxy/protocol.go
@@ -12,9 +12,9 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Words are the names by which origins, routers and model servers speak of a call:
+// Protocol are the names by which origins, routers and model servers speak of a call:
 // headers, a path and the fields of an answer.
-type Words struct {
+type Protocol struct {
 	// ID is the header with the origin's own id of this sending; a server's answer
 	// has it too.
 	ID string
@@ -48,30 +48,30 @@
 	HandleField string
 }
 
-// DefaultWords are the product's own, as docs/protocol.md has them.
-func DefaultWords() Words {
-	return Words{ID: "Seamloom-Call", Limit: "Seamloom-Limit-Milliseconds", Model: "Seamloom-Model", Tokens: "Seamloom-Tokens",
+// DefaultProtocol are the product's own, as docs/protocol.md has them.
+func DefaultProtocol() Protocol {
+	return Protocol{ID: "Seamloom-Call", Limit: "Seamloom-Limit-Milliseconds", Model: "Seamloom-Model", Tokens: "Seamloom-Tokens",
 		Parts: "Seamloom-Parts", Target: "Seamloom-Server", Stage: "Seamloom-Stage", StageRead: "prefill", Source: "Seamloom-Source",
 		Urgency: "Seamloom-Urgency", NotStarted: "Seamloom-Not-Started", Load: "Seamloom-Load", Warming: "Seamloom-Warming-Milliseconds",
 		HandlePath: "/v1/handles/", HandleField: "handle"}
 }
 
 // Check names every word that is missing. Headers must be in HTTP's canonical case.
-func (w Words) Check() error {
-	var mistakes error
+func (w Protocol) Check() error {
+	var errs error
 	fields := reflect.ValueOf(w)
 	for position := range fields.NumField() {
 		name, text := fields.Type().Field(position).Name, fields.Field(position).String()
 		switch name {
 		case "StageRead", "HandlePath", "HandleField":
 			if text == "" {
-				mistakes = multierr.Append(mistakes, failure.At(failure.Missing, "words/"+name, "a word is needed"))
+				errs = multierr.Append(errs, failure.At(failure.Missing, "words/"+name, "a word is needed"))
 			}
 		default:
 			if text == "" || http.CanonicalHeaderKey(text) != text {
-				mistakes = multierr.Append(mistakes, failure.At(failure.Malformed, "words/"+name, "needs a header in canonical case, not \""+text+"\""))
+				errs = multierr.Append(errs, failure.At(failure.Malformed, "words/"+name, "needs a header in canonical case, not \""+text+"\""))
 			}
 		}
 	}
-	return mistakes
+	return errs
 }
--- a/internal/adapters/proxy/reply.go
+++ b/internal/adapters/proxy/reply.go
@@ -12,7 +12,7 @@
 
 // Refuse ends the call with a word of our own.
 func (e *exchange) Refuse(refusal dataplane.Refusal) {
-	if e.begun.Load() {
+	if e.headSent.Load() {
 		e.Break()
 		return
 	}
@@ -21,7 +21,7 @@
 	if refusal.RetryAfter > 0 {
 		header["Retry-After"] = []string{strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64)}
 	}
-	refuse(e.writer, e.intake.words.ID, e.call.ID, refusal.Status, ending(refusal.Cause))
+	refuse(e.writer, e.handler.protocol.ID, e.call.ID, refusal.Status, ending(refusal.Cause))
 }
 
 // refuse gives a final word of our own.
@@ -39,36 +39,36 @@
 
 // GivenUp counts why the call is tried no more.
 func (e *exchange) GivenUp(reason scheduler.Reason) {
-	if counter, found := e.intake.meter.givenUp[reason]; found {
+	if counter, found := e.handler.meter.givenUp[reason]; found {
 		counter.Inc()
 	}
 }
 
 // Through passes the failing answer of the last dispatch on.
 func (e *exchange) Through() bool {
-	kept := e.kept
-	if kept == nil || e.begun.Load() {
+	failed := e.failedResponse
+	if failed == nil || e.headSent.Load() {
 		return false
 	}
-	e.ending = through
+	e.ending = endForwardedFailure
 	header := e.writer.Header()
-	copyEndToEnd(header, kept.header)
+	copyEndToEnd(header, failed.header)
 	if e.inbound.Method != http.MethodHead {
-		header["Content-Length"] = []string{strconv.Itoa(len(kept.body))}
+		header["Content-Length"] = []string{strconv.Itoa(len(failed.body))}
 	}
-	e.writer.WriteHeader(kept.status)
-	_, _ = e.writer.Write(kept.body)
+	e.writer.WriteHeader(failed.status)
+	_, _ = e.writer.Write(failed.body)
 	return true
 }
 
 // Break ends the answer so that it does not look complete.
-func (e *exchange) Break() { e.ending = cut }
+func (e *exchange) Break() { e.ending = endCut }
 
 // Free gives a prompt's memory back, in a thread of its own.
 func (e *exchange) Free(source scheduler.Source) {
-	server := e.reader
+	server := e.prefillServer
 	if server.Address != source.Address {
 		server = membership.Server{Address: source.Address}
 	}
-	go e.intake.free(server, source.Handle)
+	go e.handler.releaseHandle(server, source.Handle)
 }
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -253,23 +253,23 @@
 
 type router struct {
 	*httptest.Server
-	intake      *Intake
-	connections *Connections
+	handler     *Handler
+	connections *Pool
 	scripted    *scripted
 }
 
 func newRouter(t *testing.T, s *scripted) *router {
 	t.Helper()
-	connections := NewConnections(nil)
-	lifetime, cancel := context.WithCancel(context.Background())
-	intake, err := NewIntake(lifetime, DefaultWords(), connections, s, time.Now)
+	connections := NewPool(nil)
+	ctx, cancel := context.WithCancel(context.Background())
+	handler, err := NewHandler(ctx, DefaultProtocol(), connections, s, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := httptest.NewServer(intake)
+	server := httptest.NewServer(handler)
 	server.Config.ErrorLog = nil
 	t.Cleanup(func() { cancel(); server.Close(); connections.SetServers(nil) })
-	return &router{Server: server, intake: intake, connections: connections, scripted: s}
+	return &router{Server: server, handler: handler, connections: connections, scripted: s}
 }
 
 func (r *router) request(t *testing.T, method, path, id, body string, headers ...string) *http.Request {
--- a/internal/adapters/proxy/streaming.go
+++ b/internal/adapters/proxy/streaming.go
@@ -10,14 +10,14 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// passWhole passes an answer on that is no stream: at once when it is all there, or,
+// forwardBody passes an answer on that is no stream: at once when it is all there, or,
 // when it is too large for that, as it comes.
-func (d *dispatch) passWhole() {
+func (d *dispatch) forwardBody() {
 	e, response := d.exchange, d.response
-	body, err := readBounded(response.Body, response.ContentLength, mostKept)
-	d.outcome.FirstByte = e.intake.now()
+	body, err := readBounded(response.Body, response.ContentLength, maxBufferedResponse)
+	d.outcome.FirstByte = e.handler.now()
 	if err == nil {
-		e.passHead(response)
+		e.forwardHead(response)
 		if _, err := e.writer.Write(body); err != nil && err != http.ErrBodyNotAllowed {
 			d.fail(scheduler.ClientGone)
 			return
@@ -30,8 +30,8 @@
 		return
 	}
 	d.extend()
-	e.passHead(response)
-	buffer := make([]byte, copyBuffer)
+	e.forwardHead(response)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		if _, err := e.writer.Write(body); err != nil {
 			d.fail(scheduler.ClientGone)
@@ -54,92 +54,92 @@
 	}
 }
 
-// passEvents passes a stream on, whole event by whole event, each at once.
-func (d *dispatch) passEvents(route *config.CallRoute, began func()) {
+// forwardEvents passes a stream on, whole event by whole event, each at once.
+func (d *dispatch) forwardEvents(route *config.CallRoute, began func()) {
 	e, response := d.exchange, d.response
-	resumed := e.begun.Load()
+	resumed := e.headSent.Load()
 	// A stream may go on from another server: its length is then not the first's.
 	response.ContentLength = -1
 	delete(response.Header, "Content-Length")
 	flusher := http.NewResponseController(e.writer)
-	buffered := e.intake.buffers.Get().(*[]byte)
-	defer e.intake.buffers.Put(buffered)
+	buffered := e.handler.buffers.Get().(*[]byte)
+	defer e.handler.buffers.Put(buffered)
 	text := (*buffered)[:0]
 	for {
 		if len(text) == cap(text) {
-			if len(text) >= mostEvent {
+			if len(text) >= maxEventBytes {
 				d.breakOff()
 				return
 			}
 			text = append(text, make([]byte, len(text))...)[:len(text)]
 		}
-		silence := d.decision.StreamTimeout
-		if silence > 0 && e.begun.Load() {
-			d.timer.Reset(min(silence, d.left()))
+		gapTimeout := d.decision.StreamTimeout
+		if gapTimeout > 0 && e.headSent.Load() {
+			d.timer.Reset(min(gapTimeout, d.remaining()))
 		} else {
-			silence = 0
+			gapTimeout = 0
 		}
-		read, ended := response.Body.Read(text[len(text):cap(text)])
-		if silence > 0 {
+		read, readErr := response.Body.Read(text[len(text):cap(text)])
+		if gapTimeout > 0 {
 			d.extend()
 		}
 		text = text[:len(text)+read]
 		if read > 0 && d.outcome.FirstByte.IsZero() {
-			d.outcome.FirstByte = e.intake.now()
+			d.outcome.FirstByte = e.handler.now()
 			d.extend()
 			began()
 		}
-		whole, passed := 0, false
+		consumed, forwarded := 0, false
 		for {
-			length := eventEnd(text[whole:])
+			length := eventEnd(text[consumed:])
 			if length < 0 {
-				if ended != io.EOF || whole == len(text) {
+				if readErr != io.EOF || consumed == len(text) {
 					break
 				}
 				// The rest of a stream that ended well is the server's as well.
-				length = len(text) - whole
+				length = len(text) - consumed
 			}
-			event := text[whole : whole+length]
-			whole += length
+			event := text[consumed : consumed+length]
+			consumed += length
 			if id, found := eventID(event); found {
-				if resumed && !behind(id, e.lastEvent) {
+				if resumed && !isAfter(id, e.lastEvent) {
 					continue
 				}
 				e.lastEvent = id
 			}
-			if !e.begun.Load() {
-				e.passHead(response)
+			if !e.headSent.Load() {
+				e.forwardHead(response)
 			}
 			if _, err := e.writer.Write(event); err != nil {
 				d.fail(scheduler.ClientGone)
 				return
 			}
-			passed = true
+			forwarded = true
 		}
-		if passed && ended != io.EOF {
+		if forwarded && readErr != io.EOF {
 			if err := flusher.Flush(); err != nil {
 				d.fail(scheduler.ClientGone)
 				return
 			}
 		}
-		if ended == io.EOF {
-			if !e.begun.Load() {
-				e.passHead(response)
+		if readErr == io.EOF {
+			if !e.headSent.Load() {
+				e.forwardHead(response)
 			}
 			d.finish(scheduler.Complete)
 			return
 		}
-		if ended != nil {
+		if readErr != nil {
 			d.breakOff()
 			return
 		}
-		text = text[:copy(text, text[whole:])]
+		text = text[:copy(text, text[consumed:])]
 	}
 }
 
 // breakOff ends a dispatch whose success broke off.
 func (d *dispatch) breakOff() {
-	if d.exchange.begun.Load() {
+	if d.exchange.headSent.Load() {
 		d.fail(scheduler.Interrupted)
 		return
 	}
@@ -148,10 +148,10 @@
 
 // behind tells whether an event comes after another, by their ids: as numbers, or else
 // it is another one.
-func behind(id, last string) bool {
+func isAfter(id, last string) bool {
 	number, err := strconv.ParseUint(id, 10, 64)
-	earlier, problem := strconv.ParseUint(last, 10, 64)
-	if err != nil || problem != nil {
+	earlier, lastErr := strconv.ParseUint(last, 10, 64)
+	if err != nil || lastErr != nil {
 		return id != last
 	}
 	return number > earlier
--- a/internal/adapters/router/calls.go
+++ b/internal/adapters/router/calls.go
@@ -9,63 +9,63 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// counterCalls are what serves opaque calls in a process, if its settings name an
+// callProxy are what serves opaque calls in a process, if its settings name an
 // address for them.
-type counterCalls struct {
-	connections *proxy.Connections
-	conduct     *dataplane.Calls
-	intake      *proxy.Intake
-	gate        *proxy.Gate
+type callProxy struct {
+	pool     *proxy.Pool
+	calls    *dataplane.Calls
+	handler  *proxy.Handler
+	frontend *proxy.Frontend
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
 func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Scheduler) dataplane.Board {
-	chosen := p.chosen
+	chosen := p.settings
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
 	}
-	p.calls.connections = proxy.NewConnections(chosen.Detours)
+	p.proxy.pool = proxy.NewPool(chosen.Detours)
 	return func(deciding *scheduler.Scheduler) dataplane.Board {
-		p.calls.conduct = dataplane.NewCalls(rt, deciding, p.calls.connections.SetServers)
-		return p.calls.conduct
+		p.proxy.calls = dataplane.NewCalls(rt, deciding, p.proxy.pool.SetServers)
+		return p.proxy.calls
 	}
 }
 
-// takeCalls makes the intake of calls; nothing listens yet.
-func (p *Process) takeCalls(rt *osruntime.Runtime, reached Ports) error {
-	if p.calls.conduct == nil {
+// newCallHandler makes the intake of calls; nothing listens yet.
+func (p *Process) newCallHandler(rt *osruntime.Runtime, reached Ports) error {
+	if p.proxy.calls == nil {
 		return nil
 	}
-	words := proxy.DefaultWords()
-	if reached.Words != nil {
-		words = *reached.Words
+	protocol := proxy.DefaultProtocol()
+	if reached.Protocol != nil {
+		protocol = *reached.Protocol
 	}
-	intake, err := proxy.NewIntake(p.lifetime, words, p.calls.connections, p.calls.conduct, rt.Now)
-	p.calls.intake = intake
+	handler, err := proxy.NewHandler(p.ctx, protocol, p.proxy.pool, p.proxy.calls, rt.Now)
+	p.proxy.handler = handler
 	return err
 }
 
-// openCalls begins to listen for calls.
-func (p *Process) openCalls() error {
-	if p.calls.intake == nil {
+// listenForCalls begins to listen for calls.
+func (p *Process) listenForCalls() error {
+	if p.proxy.handler == nil {
 		return nil
 	}
-	gate, err := proxy.Open(&p.tomb, p.calls.intake, p.chosen.CallsAddress, p.chosen.ReadyAddress)
-	p.calls.gate = gate
+	frontend, err := proxy.Listen(&p.tomb, p.proxy.handler, p.settings.CallsAddress, p.settings.ReadyAddress)
+	p.proxy.frontend = frontend
 	return err
 }
 
-// retireCalls lets the calls under way end, within the grace.
-func (p *Process) retireCalls(grace time.Duration) {
-	if p.calls.gate == nil {
+// drainCalls lets the calls under way end, within the grace.
+func (p *Process) drainCalls(grace time.Duration) {
+	if p.proxy.frontend == nil {
 		return
 	}
-	p.calls.conduct.Retire(grace, p.calls.gate.DismissIdle)
-	p.calls.gate.Close()
+	p.proxy.calls.Retire(grace, p.proxy.frontend.DismissIdle)
+	p.proxy.frontend.Close()
 }
 
-// giveUp ends a process that could not start, and gives the cause.
-func (p *Process) giveUp(cause error) error {
+// abort ends a process that could not start, and gives the cause.
+func (p *Process) abort(cause error) error {
 	p.tomb.Kill(cause)
 	_ = p.tomb.Wait()
 	return cause
--- a/internal/adapters/router/calls_test.go
+++ b/internal/adapters/router/calls_test.go
@@ -55,9 +55,9 @@
 	if inbound := get(t, chosen.CallsAddress); inbound.StatusCode != http.StatusServiceUnavailable || inbound.Header.Get("Retry-After") == "" {
 		t.Fatalf("%+v", inbound)
 	}
-	process.calls.conduct.SetConfiguration(config.Empty(), replication.Version{Epoch: 1, Number: 1})
-	process.calls.conduct.SetServing(time.Now().Add(time.Hour))
-	process.calls.conduct.SetServers(time.Now(), []membership.Server{{Name: "stove-1", Address: freeAddress(t)}})
+	process.proxy.calls.SetConfiguration(config.Empty(), replication.Version{Epoch: 1, Number: 1})
+	process.proxy.calls.SetServing(time.Now().Add(time.Hour))
+	process.proxy.calls.SetServers(time.Now(), []membership.Server{{Name: "stove-1", Address: freeAddress(t)}})
 	if status := get(t, chosen.ReadyAddress).StatusCode; status != http.StatusOK {
 		t.Fatalf("not ready with %d", status)
 	}
@@ -100,9 +100,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	process.calls.conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
-	process.calls.conduct.SetServing(time.Now().Add(time.Hour))
-	process.calls.conduct.SetServers(time.Now(), []membership.Server{{Name: "stove-1", Address: strings.TrimPrefix(server.URL, "http://"), Service: "desk", Part: "decode", Slots: 64}})
+	process.proxy.calls.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
+	process.proxy.calls.SetServing(time.Now().Add(time.Hour))
+	process.proxy.calls.SetServers(time.Now(), []membership.Server{{Name: "stove-1", Address: strings.TrimPrefix(server.URL, "http://"), Service: "desk", Part: "decode", Slots: 64}})
 	answered := make(chan string, 1)
 	go func() {
 		outbound, _ := http.NewRequest(http.MethodPost, "http://"+chosen.CallsAddress+"/x", strings.NewReader("q"))
@@ -119,7 +119,7 @@
 	<-begun
 	drained := make(chan error, 1)
 	go func() { drained <- process.Drain(20 * time.Second) }()
-	for !process.calls.conduct.Leaving() {
+	for !process.proxy.calls.Leaving() {
 		runtime.Gosched()
 	}
 	close(release)
--- a/internal/adapters/router/forwarding.go
+++ b/internal/adapters/router/forwarding.go
@@ -18,42 +18,42 @@
 
 // The headers that mark one forwarding.
 const (
-	passageHeader     = "Seamloom-Passage"
+	nonceHeader       = "Seamloom-Passage"
 	incarnationHeader = "Seamloom-Incarnation"
 )
 
-func answerJSON(writer http.ResponseWriter, status int, content any) {
+func writeJSON(writer http.ResponseWriter, status int, content any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(content)
 }
 
 // passing carries requests to other routers over HTTP.
-type passing struct {
-	client   *http.Client
-	lifetime context.Context
+type forwarder struct {
+	client *http.Client
+	ctx    context.Context
 }
 
 // Forward sends a request on and gives the records of its reply to take.
-func (p *passing) Forward(address string, passage wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+func (p *forwarder) Forward(address string, forwarding wire.Forwarding, body []byte, onClientGone func(act func()), take func(record codec.Record) bool) bool {
 	var touched atomic.Bool
 	// The connection closes when the reply is over or its origin is gone.
-	lifetime, end := context.WithCancel(p.lifetime)
-	defer end()
-	whenLeft(end)
-	lifetime = httptrace.WithClientTrace(lifetime, &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { touched.Store(true) }})
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+wire.ForwardPath, bytes.NewReader(body))
+	ctx, cancel := context.WithCancel(p.ctx)
+	defer cancel()
+	onClientGone(cancel)
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { touched.Store(true) }})
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+wire.ForwardPath, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
-	outbound.Header.Set(passageHeader, passage.Nonce)
-	outbound.Header.Set(incarnationHeader, passage.Incarnation)
-	answered, err := p.client.Do(outbound)
+	request.Header.Set(nonceHeader, forwarding.Nonce)
+	request.Header.Set(incarnationHeader, forwarding.Incarnation)
+	response, err := p.client.Do(request)
 	if err != nil {
 		return touched.Load()
 	}
-	defer func() { _ = answered.Body.Close() }()
-	decoder := msgpack.NewDecoder(io.LimitReader(answered.Body, rpc.MostBytes))
+	defer func() { _ = response.Body.Close() }()
+	decoder := msgpack.NewDecoder(io.LimitReader(response.Body, rpc.MaxMessageBytes))
 	for {
 		var record codec.Record
 		if decoder.Decode(&record) != nil || !take(record) {
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -31,28 +31,28 @@
 // Process is one router.
 type Process struct {
 	tomb      tomb.Tomb
-	lifetime  context.Context
+	ctx       context.Context
 	logger    *log.Logger
 	clock     *osruntime.Clock
-	conduct   *dataplane.Router
+	router    *dataplane.Router
 	supported features.List
-	ledger    *usage.Ledger
-	calls     counterCalls
+	usage     *usage.Ledger
+	proxy     callProxy
 
-	mutex  sync.Mutex
-	chosen settings.Settings
+	mutex    sync.Mutex
+	settings settings.Settings
 }
 
-// tickPause lies between two looks at what is still running while the process ends.
-const tickPause = 20 * time.Millisecond
+// drainPollInterval lies between two looks at what is still running while the process ends.
+const drainPollInterval = 20 * time.Millisecond
 
 // Ports are what a router reaches a platform by. Those left out are the product's
 // own.
 type Ports struct {
 	Directory ports.Directory
 	Orders    ports.Orders
-	// Words are the headers and paths of opaque calls.
-	Words *proxy.Words
+	// Protocol are the headers and paths of opaque calls.
+	Protocol *proxy.Protocol
 	// CallsOnly tells that servers speak no requests: they are not asked for what the
 	// market of requests needs.
 	CallsOnly bool
@@ -64,33 +64,33 @@
 // Start listens and begins to work.
 func Start(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock, reached Ports) (*Process, error) {
 	supported := chosen.Supported()
-	process := &Process{logger: logger, clock: clock, chosen: chosen, supported: supported, ledger: usage.NewLedger()}
-	process.lifetime = process.tomb.Context(context.Background())
-	rt := osruntime.New(process.lifetime, clock)
+	process := &Process{logger: logger, clock: clock, settings: chosen, supported: supported, usage: usage.NewLedger()}
+	process.ctx = process.tomb.Context(context.Background())
+	rt := osruntime.New(process.ctx, clock)
 	if reached.Directory == nil {
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
-	kitchen := modelserver.New(process.lifetime, rt, rpc.Transport(chosen.Detours))
+	servers := modelserver.New(process.ctx, rt, rpc.Transport(chosen.Detours))
 	options := dataplane.Options{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MaxRequests: chosen.MostRequests,
-		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", Retries: reached.Retries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.noteEnd,
-		Directory: ports.Here{Directory: reached.Directory, Lifetime: process.lifetime, Address: process.platform}, Board: process.prepareCalls(rt),
+		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", Retries: reached.Retries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, Ended: process.recordUsage,
+		Directory: ports.FixedDirectory{Directory: reached.Directory, Context: process.ctx, Address: process.platform}, Board: process.prepareCalls(rt),
 		ServeWithoutLease: chosen.ServeWithoutLease, ApplyWithin: chosen.ApplyWithin}
 	if !reached.CallsOnly {
-		options.Pressures = kitchen
+		options.Pressures = servers
 	}
-	process.conduct = dataplane.NewRouter(rt, rpc.Line{Caller: rpc.NewCaller(chosen.Detours), Lifetime: process.lifetime},
-		commanding(kitchen, reached.Orders),
-		&passing{client: rpc.NewClient(rpc.Transport(chosen.Detours)), lifetime: process.lifetime}, options, process.observe)
-	if err := process.takeCalls(rt, reached); err != nil {
+	process.router = dataplane.NewRouter(rt, rpc.Client{Caller: rpc.NewCaller(chosen.Detours), Context: process.ctx},
+		withOrders(servers, reached.Orders),
+		&forwarder{client: rpc.NewClient(rpc.Transport(chosen.Detours)), ctx: process.ctx}, options, process.observe)
+	if err := process.newCallHandler(rt, reached); err != nil {
 		return nil, err
 	}
 	if err := daemon.Serve(&process.tomb, chosen.Address, process.mux()); err != nil {
 		return nil, err
 	}
-	if err := process.openCalls(); err != nil {
-		return nil, process.giveUp(err)
+	if err := process.listenForCalls(); err != nil {
+		return nil, process.abort(err)
 	}
-	for _, round := range process.conduct.Rounds() {
+	for _, round := range process.router.Rounds() {
 		process.tomb.Go(func() error { round(); return nil })
 	}
 	logger.Info("listening", "address", chosen.Address, "supported", supported)
@@ -99,8 +99,8 @@
 
 func (p *Process) observe(event string, detail ...any) { p.logger.Info(event, detail...) }
 
-// Conduct is what the router does, for who mounts further ways in.
-func (p *Process) Conduct() *dataplane.Router { return p.conduct }
+// Router is what the router does, for who mounts further ways in.
+func (p *Process) Router() *dataplane.Router { return p.router }
 
 // Answer listens on a further address for as long as the process lives.
 func (p *Process) Answer(address string, handler http.Handler) error {
@@ -111,28 +111,28 @@
 func (p *Process) platform() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.chosen.Platform
+	return p.settings.Platform
 }
 
-// noteEnd counts a request's use.
-func (p *Process) noteEnd(request *auction.Request, decision auction.Decision) {
-	p.ledger.Note(p.clock.Wall(), usage.Row{Router: p.chosen.Name, Service: request.Service, Client: request.Client,
+// recordUsage counts a request's use.
+func (p *Process) recordUsage(request *auction.Request, decision auction.Decision) {
+	p.usage.Note(p.clock.Wall(), usage.Row{Router: p.settings.Name, Service: request.Service, Client: request.Client,
 		Final: string(decision.Final), PromptTokens: int64(request.PromptTokens), Chunks: int64(decision.Chunks)})
 }
 
 // Drain stops letting in, waits for what runs until the patience ends, and
 // ends the process.
-func (p *Process) Drain(patience time.Duration) error {
-	p.conduct.Apply(auction.Event{Kind: auction.DrainStarted})
-	p.logger.Info("draining", "in_flight", p.conduct.Core().InFlightRequests())
-	ends := p.clock.Now().Add(patience)
-	ticker := time.NewTicker(tickPause)
+func (p *Process) Drain(grace time.Duration) error {
+	p.router.Apply(auction.Event{Kind: auction.DrainStarted})
+	p.logger.Info("draining", "in_flight", p.router.Core().InFlightRequests())
+	deadline := p.clock.Now().Add(grace)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	p.retireCalls(patience)
-	for p.conduct.Core().InFlightRequests() > 0 && p.clock.Now().Before(ends) {
+	p.drainCalls(grace)
+	for p.router.Core().InFlightRequests() > 0 && p.clock.Now().Before(deadline) {
 		<-ticker.C
 	}
-	p.logger.Info("drained", "in_flight", p.conduct.Core().InFlightRequests())
+	p.logger.Info("drained", "in_flight", p.router.Core().InFlightRequests())
 	p.tomb.Kill(nil)
 	return p.tomb.Wait()
 }
@@ -143,11 +143,11 @@
 // Reload takes settings that may change while the process runs.
 func (p *Process) Reload(next settings.Settings) {
 	p.mutex.Lock()
-	stays := p.chosen.Reload(next)
-	seeds, level, without := p.chosen.Seeds, p.chosen.LogLevel, p.chosen.ServeWithoutLease
+	stays := p.settings.Reload(next)
+	seeds, level, without := p.settings.Seeds, p.settings.LogLevel, p.settings.ServeWithoutLease
 	p.mutex.Unlock()
-	p.conduct.SetSeeds(seeds)
-	p.conduct.SetServeWithoutLease(without)
+	p.router.SetSeeds(seeds)
+	p.router.SetServeWithoutLease(without)
 	if parsed, err := log.ParseLevel(level); err == nil {
 		p.logger.SetLevel(parsed)
 	}
@@ -158,25 +158,25 @@
 func (p *Process) Grace() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.chosen.Grace
+	return p.settings.Grace
 }
 
 // commanding has servers commanded by a platform's own orders, if there are any.
-func commanding(kitchen *modelserver.ModelServer, orders ports.Orders) dataplane.ModelServer {
+func withOrders(servers *modelserver.Client, orders ports.Orders) dataplane.ModelServer {
 	if orders == nil {
-		return kitchen
+		return servers
 	}
-	return &orderly{ModelServer: kitchen, orders: orders}
+	return &orderingClient{Client: servers, orders: orders}
 }
 
 // orderly is a client to model servers whose parts are ordered in a platform's way.
-type orderly struct {
-	*modelserver.ModelServer
+type orderingClient struct {
+	*modelserver.Client
 	orders ports.Orders
 }
 
 // Command has a server take a part. One that is late is worse than none: it ends
 // with the duty's hold.
-func (o *orderly) Command(decision auction.Decision, may func() bool) error {
-	return o.Within(decision, func(lifetime context.Context) error { return o.orders.Order(lifetime, decision, may) })
+func (o *orderingClient) Command(decision auction.Decision, may func() bool) error {
+	return o.WithinGrant(decision, func(ctx context.Context) error { return o.orders.Order(ctx, decision, may) })
 }
--- a/internal/adapters/rpc/caller.go
+++ b/internal/adapters/rpc/caller.go
@@ -16,16 +16,16 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// MostBytes is the largest message. It leaves room for the largest
+// MaxMessageBytes is the largest message. It leaves room for the largest
 // configuration, in a snapshot with all the rest.
-const MostBytes = 64 << 20
+const MaxMessageBytes = 64 << 20
 
 const checksumHeader = "Seamloom-Checksum"
 
 // Caller calls other processes.
 type Caller struct {
-	client *http.Client
-	takers takers
+	client      *http.Client
+	compression compressionPeers
 }
 
 // NewCaller makes a caller. Detours replace addresses when dialling: the
@@ -45,11 +45,11 @@
 func Transport(detours map[string]string) *http.Transport {
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second}
 	return &http.Transport{
-		DialContext: func(lifetime context.Context, network, address string) (net.Conn, error) {
+		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			if detour, found := detours[address]; found {
 				address = detour
 			}
-			return dialer.DialContext(lifetime, network, address)
+			return dialer.DialContext(ctx, network, address)
 		},
 		MaxIdleConnsPerHost: 64,
 		IdleConnTimeout:     30 * time.Second,
@@ -58,46 +58,46 @@
 
 // CallRaw sends an encoded message and returns the encoded answer, as relays
 // do for others.
-func (c *Caller) CallRaw(lifetime context.Context, address, path string, body []byte, patience time.Duration) ([]byte, error) {
-	lifetime, end := context.WithTimeout(lifetime, patience)
-	defer end()
-	header := http.Header{"Content-Type": {"application/msgpack"}, "Accept-Encoding": {packing}, "User-Agent": nil}
-	if len(body) >= leastPacked && c.takers.has(address) {
-		body = packInto(body, header)
+func (c *Caller) CallRaw(ctx context.Context, address, path string, body []byte, timeout time.Duration) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	header := http.Header{"Content-Type": {"application/msgpack"}, "Accept-Encoding": {encodingS2}, "User-Agent": nil}
+	if len(body) >= minCompressed && c.compression.has(address) {
+		body = compress(body, header)
 	}
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, failure.Wrap(failure.Garbage, err)
 	}
-	outbound.Header = header
-	outbound.Header.Set(checksumHeader, checksum(body))
-	inbound, err := c.client.Do(outbound)
+	request.Header = header
+	request.Header.Set(checksumHeader, checksum(body))
+	response, err := c.client.Do(request)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	defer func() { _ = inbound.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(inbound.Body, MostBytes+1))
+	defer func() { _ = response.Body.Close() }()
+	answer, err := io.ReadAll(io.LimitReader(response.Body, MaxMessageBytes+1))
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	c.takers.note(address, inbound.Header)
-	if len(answer) > MostBytes {
+	c.compression.record(address, response.Header)
+	if len(answer) > MaxMessageBytes {
 		return nil, failure.New(failure.Oversize, "an answer of more than the largest size")
 	}
-	if inbound.Header.Get(checksumHeader) != checksum(answer) {
+	if response.Header.Get(checksumHeader) != checksum(answer) {
 		return nil, failure.New(failure.Garbage, "the answer's checksum is wrong")
 	}
-	if answer, err = unpack(answer, inbound.Header); err != nil {
+	if answer, err = decompress(answer, response.Header); err != nil {
 		return nil, err
 	}
-	if inbound.StatusCode == http.StatusOK {
+	if response.StatusCode == http.StatusOK {
 		return answer, nil
 	}
-	said := &failure.Error{}
-	if msgpack.Unmarshal(answer, said) != nil || said.Code == "" {
-		return nil, failure.New(failure.Unreachable, "status "+strconv.Itoa(inbound.StatusCode))
+	remote := &failure.Error{}
+	if msgpack.Unmarshal(answer, remote) != nil || remote.Code == "" {
+		return nil, failure.New(failure.Unreachable, "status "+strconv.Itoa(response.StatusCode))
 	}
-	return nil, said
+	return nil, remote
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -106,13 +106,13 @@
 	return strconv.FormatUint(uint64(crc32.Checksum(body, castagnoli)), 16)
 }
 
-// Line is a caller for as long as one process lives.
-type Line struct {
-	Caller   *Caller
-	Lifetime context.Context
+// Client is a caller for as long as one process lives.
+type Client struct {
+	Caller  *Caller
+	Context context.Context
 }
 
 // CallRaw sends an encoded message and returns the encoded answer.
-func (l Line) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
-	return l.Caller.CallRaw(l.Lifetime, address, path, body, patience)
+func (l Client) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
+	return l.Caller.CallRaw(l.Context, address, path, body, timeout)
 }
--- a/internal/adapters/rpc/compression_test.go
+++ b/internal/adapters/rpc/compression_test.go
@@ -38,7 +38,7 @@
 
 func TestLongMessagesTravelPacked(t *testing.T) {
 	asked := 0
-	answerer := Answerer(func(body []byte) ([]byte, error) {
+	answerer := Handler(func(body []byte) ([]byte, error) {
 		if string(body) == "refuse" {
 			return nil, failure.New(failure.Busy, strings.Repeat("busy ", 1000))
 		}
@@ -101,9 +101,9 @@
 }
 
 func TestWhatWasNeverPackedIsGarbage(t *testing.T) {
-	header := http.Header{"Content-Encoding": {packing}}
+	header := http.Header{"Content-Encoding": {encodingS2}}
 	for _, answer := range [][]byte{nil, []byte("no packing"), {0xff, 0xff, 0xff, 0xff, 0x0f}} {
-		if _, err := unpack(answer, header); err == nil {
+		if _, err := decompress(answer, header); err == nil {
 			t.Errorf("%q was unpacked", answer)
 		}
 	}
--- a/internal/adapters/rpc/handler.go
+++ b/internal/adapters/rpc/handler.go
@@ -10,10 +10,10 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Answerer makes an HTTP handler of what answers encoded messages.
-func Answerer(answer func(body []byte) ([]byte, error)) http.Handler {
+// Handler makes an HTTP handler of what answers encoded messages.
+func Handler(answer func(body []byte) ([]byte, error)) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, MostBytes))
+		body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, MaxMessageBytes))
 		var encoded []byte
 		switch {
 		case err != nil:
@@ -21,22 +21,22 @@
 		case inbound.Header.Get(checksumHeader) != checksum(body):
 			err = failure.New(failure.Garbage, "the question's checksum is wrong")
 		default:
-			if body, err = unpack(body, inbound.Header); err == nil {
+			if body, err = decompress(body, inbound.Header); err == nil {
 				encoded, err = answer(body)
 			}
 		}
 		status := http.StatusOK
 		if err != nil {
 			status = http.StatusConflict
-			said := &failure.Error{}
-			if !stderrors.As(err, &said) {
-				said = failure.New(failure.Unsorted, err.Error())
+			remote := &failure.Error{}
+			if !stderrors.As(err, &remote) {
+				remote = failure.New(failure.Unsorted, err.Error())
 			}
-			encoded, _ = msgpack.Marshal(said)
+			encoded, _ = msgpack.Marshal(remote)
 		}
 		header := writer.Header()
-		encoded = pack(encoded, inbound.Header, header)
-		header.Set("Accept-Encoding", packing)
+		encoded = compressFor(encoded, inbound.Header, header)
+		header.Set("Accept-Encoding", encodingS2)
 		header.Set("Content-Type", "application/msgpack")
 		header.Set(checksumHeader, checksum(encoded))
 		// Nobody reads the date, and there are many messages.
--- a/internal/adapters/rpc/resend_test.go
+++ b/internal/adapters/rpc/resend_test.go
@@ -77,10 +77,10 @@
 		t.Run(name, func(t *testing.T) {
 			address, seen := endingPeer(t, end)
 			client := NewClient(Transport(nil))
-			lifetime, cancel := context.WithTimeout(t.Context(), 5*time.Second)
+			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
 			send := func() {
-				outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+"/", bytes.NewReader([]byte("once")))
+				outbound, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/", bytes.NewReader([]byte("once")))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -42,7 +42,7 @@
 	standIn.Engine = NewEngine(plan, book, standIn.runtime, uuid.NewString, standIn.fetchMemory)
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { say(writer, http.StatusOK, standIn.Load()) })
-	mux.HandleFunc(pat.Post("/v1/prefill"), takes(standIn, func(connection *Connection, order modelserver.PrefillOrder, writer http.ResponseWriter) {
+	mux.HandleFunc(pat.Post("/v1/prefill"), takes(standIn, func(connection *Connection, order modelserver.PrefillRequest, writer http.ResponseWriter) {
 		status, content := standIn.Prefill(connection, order)
 		say(writer, status, content)
 	}))
@@ -51,11 +51,11 @@
 		status, content := standIn.GiveMemory(question)
 		say(writer, status, content)
 	}))
-	mux.HandleFunc(pat.Post("/v1/cancel"), takes(standIn, func(_ *Connection, order modelserver.CancelOrder, writer http.ResponseWriter) {
+	mux.HandleFunc(pat.Post("/v1/cancel"), takes(standIn, func(_ *Connection, order modelserver.CancelRequest, writer http.ResponseWriter) {
 		standIn.Cancel(order)
 		say(writer, http.StatusOK, map[string]bool{"cancelled": true})
 	}))
-	mux.HandleFunc(pat.Post("/v1/part"), takes(standIn, func(_ *Connection, order modelserver.PartOrder, writer http.ResponseWriter) {
+	mux.HandleFunc(pat.Post("/v1/part"), takes(standIn, func(_ *Connection, order modelserver.PartRequest, writer http.ResponseWriter) {
 		status, content := standIn.TakePart(order)
 		say(writer, status, content)
 	}))
@@ -123,10 +123,10 @@
 	}
 }
 
-func (s *StandIn) decode(connection *Connection, order modelserver.DecodeOrder, writer http.ResponseWriter) {
+func (s *StandIn) decode(connection *Connection, order modelserver.DecodeRequest, writer http.ResponseWriter) {
 	flusher := http.NewResponseController(writer)
 	encoder := json.NewEncoder(writer)
-	status, content := s.Decode(connection, order, func(line modelserver.StreamLine) error {
+	status, content := s.Decode(connection, order, func(line modelserver.DecodeChunk) error {
 		if line.Chunk == 1 {
 			writer.Header().Set("Content-Type", "application/jsonl")
 		}
--- a/internal/testbed/fleet/stovetop.go
+++ b/internal/testbed/fleet/stovetop.go
@@ -212,7 +212,7 @@
 }
 
 // Prefill reads a prompt, and answers with its handle or a refusal.
-func (top *Engine) Prefill(connection *Connection, order modelserver.PrefillOrder) (int, any) {
+func (top *Engine) Prefill(connection *Connection, order modelserver.PrefillRequest) (int, any) {
 	top.mutex.Lock()
 	if top.again("prefill", order.Order, order.Request, order.Run) {
 		top.mutex.Unlock()
@@ -275,7 +275,7 @@
 	}
 	handle := top.nonce()
 	top.handles[handle] = &promptMemory{request: order.Request, run: order.Run, order: order.Order, tokens: order.PromptTokens, lapses: top.runtime.Now().Add(top.plan.HandleLifetime)}
-	return http.StatusOK, modelserver.PrefillAnswer{Request: order.Request, Run: order.Run, Handle: handle}
+	return http.StatusOK, modelserver.PrefillResponse{Request: order.Request, Run: order.Run, Handle: handle}
 }
 
 func removeOne(queue []int, tokens int) []int {
@@ -324,7 +324,7 @@
 
 // Decode takes a prompt's memory up and answers, line by line; with another
 // status than 200 there is a refusal and no line.
-func (top *Engine) Decode(connection *Connection, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) (int, any) {
+func (top *Engine) Decode(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) (int, any) {
 	top.mutex.Lock()
 	if top.again("decode", order.Order, order.Request, order.Run) {
 		top.mutex.Unlock()
@@ -382,7 +382,7 @@
 	return request + "/" + run + "/" + strconv.Itoa(chunk)
 }
 
-func (top *Engine) stream(connection *Connection, order modelserver.DecodeOrder, send func(line modelserver.StreamLine) error) {
+func (top *Engine) stream(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) {
 	run := strconv.Itoa(order.Run) + order.Order
 	for chunk := 1; chunk <= order.Chunks; chunk++ {
 		top.mutex.Lock()
@@ -394,15 +394,15 @@
 		if !connection.Pause(length) {
 			return
 		}
-		if send(modelserver.StreamLine{Request: order.Request, Run: order.Run, Chunk: chunk, Text: ChunkText(order.Request, run, chunk)}) != nil {
+		if send(modelserver.DecodeChunk{Request: order.Request, Run: order.Run, Chunk: chunk, Text: ChunkText(order.Request, run, chunk)}) != nil {
 			return
 		}
 	}
-	_ = send(modelserver.StreamLine{Request: order.Request, Run: order.Run, Done: true, Chunks: order.Chunks})
+	_ = send(modelserver.DecodeChunk{Request: order.Request, Run: order.Run, Done: true, Chunks: order.Chunks})
 }
 
 // Cancel stops a run and lets go of its memory.
-func (top *Engine) Cancel(order modelserver.CancelOrder) {
+func (top *Engine) Cancel(order modelserver.CancelRequest) {
 	top.mutex.Lock()
 	connection := top.runs[runName(order.Request, order.Run, order.Order)]
 	for name, held := range top.handles {
@@ -418,7 +418,7 @@
 }
 
 // TakePart takes a part from the holder of the server's key.
-func (top *Engine) TakePart(order modelserver.PartOrder) (int, any) {
+func (top *Engine) TakePart(order modelserver.PartRequest) (int, any) {
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	entry := Entry{Kind: Commanded, Server: top.plan.Name, Holder: order.Holder, FencingToken: order.FencingToken, Part: order.Part, Cause: order.Cause}
--- a/internal/testbed/simulation/stoves.go
+++ b/internal/testbed/simulation/stoves.go
@@ -148,7 +148,7 @@
 // Prefill has a server read a prompt.
 func (m *modelServers) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
-	order := modelserver.PrefillOrder{Request: request.ID, Order: decision.Token, Run: decision.Run, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}
+	order := modelserver.PrefillRequest{Request: request.ID, Order: decision.Token, Run: decision.Run, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}
 	begun := m.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
 		return top.Prefill(connection, order)
 	})
@@ -159,7 +159,7 @@
 	if !found {
 		return begun.lostOutcome(), "", "the circuit broke"
 	}
-	if answer, well := message.(ended).content.(modelserver.PrefillAnswer); well {
+	if answer, well := message.(ended).content.(modelserver.PrefillResponse); well {
 		return auction.OutcomeDone, answer.Handle, ""
 	}
 	o, detail := refusalOf(message.(ended))
@@ -169,9 +169,9 @@
 // Decode has a server answer.
 func (m *modelServers) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
 	request := decision.Request
-	order := modelserver.DecodeOrder{Request: request.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}
+	order := modelserver.DecodeRequest{Request: request.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}
 	begun := m.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
-		return top.Decode(connection, order, func(line modelserver.StreamLine) error {
+		return top.Decode(connection, order, func(line modelserver.DecodeChunk) error {
 			if !send(line) {
 				return failure.New(failure.Unreachable, "the courier is gone")
 			}
@@ -187,7 +187,7 @@
 			return begun.lostOutcome(), 0, "the stream broke off"
 		}
 		switch said := message.(type) {
-		case modelserver.StreamLine:
+		case modelserver.DecodeChunk:
 			if said.Done {
 				return auction.OutcomeDone, said.Chunks, ""
 			}
@@ -208,7 +208,7 @@
 	if !may() {
 		return failure.New(failure.DeadlinePassed, "the command may not go any more")
 	}
-	order := modelserver.PartOrder{Part: string(decision.ServerRole), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
+	order := modelserver.PartRequest{Part: string(decision.ServerRole), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
 	if decision.Order != nil {
 		order.Cause = decision.Order.Cause
 	}
@@ -219,7 +219,7 @@
 // Cancel breaks a run's connection and has the server stop it.
 func (m *modelServers) Cancel(decision auction.Decision) {
 	m.EndRun(decision.ID, decision.Run)
-	order := modelserver.CancelOrder{Request: decision.ID, Order: decision.Token, Run: decision.Run}
+	order := modelserver.CancelRequest{Request: decision.ID, Order: decision.Token, Run: decision.Run}
 	m.incarnation.Go(func() {
 		_, _ = m.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) {
 			top.Cancel(order)
