--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -86,8 +86,7 @@
 	if !found || state.server.Address != server.Address {
 		return false
 	}
-	current := state.report.Load()
-	return current != nil && now.Sub(current.at) <= reportMaxAge
+	return state.report.Load().recent(now)
 }
 
 // Avoid offers a server no work for avoidPeriod, after a fault.
@@ -170,7 +169,8 @@
 		}
 		transferTime := newOffer(prefill, 0, 0).transferTime(newOffer(decode, 0, 0), request)
 		if !found || ask+transferTime < best.Price {
-			best, found = Bid{Prefill: prefill, Decode: decode, Price: ask + transferTime, TransferTime: transferTime}, true
+			found = true
+			best = Bid{Prefill: prefill, Decode: decode, Price: ask + transferTime, TransferTime: transferTime}
 		}
 	}
 	return best, found
@@ -281,7 +281,7 @@
 		return Load{}, false
 	}
 	r := state.report.Load()
-	if r == nil || now.Sub(r.at) > reportMaxAge {
+	if !r.recent(now) {
 		return Load{}, false
 	}
 	return r.load, true
@@ -292,7 +292,7 @@
 	current := m.snapshot.Load()
 	loads := map[string]Load{}
 	for _, state := range current.servers {
-		if r := state.report.Load(); r != nil && now.Sub(r.at) <= reportMaxAge {
+		if r := state.report.Load(); r.recent(now) {
 			loads[state.server.Name] = r.load
 		}
 	}
--- a/internal/auction/server.go
+++ b/internal/auction/server.go
@@ -93,6 +93,9 @@
 
 func (s *ServerState) avoided(now time.Time) bool { return now.UnixNano() < s.avoidedUntil.Load() }
 
+// recent tells whether there is a report, and it is not older than reportMaxAge.
+func (r *report) recent(now time.Time) bool { return r != nil && now.Sub(r.at) <= reportMaxAge }
+
 // rampUp is the share of its capacity that a server may use: a tenth when it has just
 // started, all of it after rampUpTime.
 func (r *report) rampUp(now time.Time) float64 {
