--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -1,7 +1,7 @@
 package config
 
 import (
-	stderrors "errors"
+	"errors"
 	"testing"
 
 	"seamloom.example/seamloom/internal/failure"
@@ -9,19 +9,19 @@
 
 func TestCheckNamesEveryFailureWithPathAndType(t *testing.T) {
 	_, err := Check([]byte(`{"services":{"chat":{"tries":0,"colour":1},"chat":{}},"routes":{"a":{"to":{"refuse":true,"districts":["n"]}},"b":{}},"evacuations":{"n":{"reason":5}},"x":1}`))
-	var findings *Findings
-	if !stderrors.As(err, &findings) {
+	var validation *Findings
+	if !errors.As(err, &validation) {
 		t.Fatalf("no findings: %v", err)
 	}
 	found := map[string]failure.Code{}
-	for _, entry := range findings.Troubles {
+	for _, entry := range validation.Troubles {
 		found[entry.Path] = entry.Code
 	}
-	for path, kind := range map[string]failure.Code{"/services/chat/tries": failure.OutOfRange, "/services/chat/colour": failure.UnknownField,
+	for path, code := range map[string]failure.Code{"/services/chat/tries": failure.OutOfRange, "/services/chat/colour": failure.UnknownField,
 		"/services/chat": failure.Contradictory, "/routes/a/to": failure.Contradictory, "/routes/b/to": failure.Missing,
 		"/evacuations/n/reason": failure.WrongType, "/x": failure.UnknownField} {
-		if found[path] != kind {
-			t.Errorf("%s: %q, not %q", path, found[path], kind)
+		if found[path] != code {
+			t.Errorf("%s: %q, not %q", path, found[path], code)
 		}
 	}
 	if len(found) != 7 {
--- /dev/null
+++ b/internal/config/errors.go
@@ -0,0 +1,58 @@
+package config
+
+import (
+	"strings"
+
+	"seamloom.example/seamloom/internal/failure"
+)
+
+// Findings is returned for a configuration that is not valid. It holds all
+// failures that a check met, up to MostFindings, each with its code and its path (a JSON
+// pointer into the configuration).
+type Findings struct {
+	Troubles []*failure.Error `json:"failures"`
+}
+
+// MostFindings is how many failures one check reports at most.
+const MostFindings = 100
+
+// Error says how many failures there are, and the first.
+func (f *Findings) Error() string {
+	if len(f.Troubles) == 1 {
+		return f.Troubles[0].Error()
+	}
+	return "several failures, the first: " + f.Troubles[0].Error()
+}
+
+// invalid makes a Findings of one failure.
+func invalid(code failure.Code, path, detail string) *Findings {
+	return &Findings{Troubles: []*failure.Error{failure.At(code, path, detail)}}
+}
+
+func (f *Findings) add(code failure.Code, path, detail string) {
+	if len(f.Troubles) < MostFindings {
+		f.Troubles = append(f.Troubles, failure.At(code, path, detail))
+	}
+}
+
+// pointer is the place of a value in a configuration, as a linked list from the leaf to
+// the root: its text is made only when a failure needs it.
+type pointer struct {
+	parent *pointer
+	name   string
+}
+
+func (at pointer) field(name string) pointer { return pointer{parent: &at, name: name} }
+
+// String renders the place as a JSON pointer (RFC 6901); the root is "/".
+func (at pointer) String() string {
+	if at.parent == nil {
+		return "/"
+	}
+	before := at.parent.String()
+	return strings.TrimSuffix(before, "/") + "/" + escapeToken(at.name)
+}
+
+func escapeToken(name string) string {
+	return strings.ReplaceAll(strings.ReplaceAll(name, "~", "~0"), "/", "~1")
+}
--- /dev/null
+++ b/internal/config/evacuations.go
@@ -0,0 +1,95 @@
+package config
+
+import (
+	"strconv"
+
+	"github.com/valyala/fastjson"
+
+	"seamloom.example/seamloom/internal/failure"
+)
+
+// Evacuation keeps requests off a zone's servers until it is lifted.
+type Evacuation struct {
+	Zone   string
+	Reason string
+}
+
+// Evacuated reports whether a zone is evacuated.
+func (c *Configuration) Evacuated(zone string) bool {
+	_, found := c.Evacuations[zone]
+	return found
+}
+
+// Evacuate returns the configuration's text with the zone evacuated; text itself if it is
+// evacuated for that reason already. It fails with Malformed for an unreadable text and
+// with a *Findings for a zone that is no name or a result over MostBytes.
+func Evacuate(text []byte, zone, reason string) ([]byte, error) {
+	if current, evacuated, err := evacuationOf(text, zone); err != nil || evacuated && current == reason {
+		return text, err
+	}
+	arena := &fastjson.Arena{}
+	evacuation := arena.NewObject()
+	evacuation.Set("reason", arena.NewString(reason))
+	return mergeOne(text, arena, zone, evacuation)
+}
+
+// Restore returns the configuration's text with the zone's evacuation lifted; text itself
+// if there is none.
+func Restore(text []byte, zone string) ([]byte, error) {
+	if _, evacuated, err := evacuationOf(text, zone); err != nil || !evacuated {
+		return text, err
+	}
+	arena := &fastjson.Arena{}
+	return mergeOne(text, arena, zone, arena.NewNull())
+}
+
+// evacuationOf reports whether the text has the zone evacuated, and why.
+func evacuationOf(text []byte, zone string) (reason string, evacuated bool, err error) {
+	parser := parsers.Get()
+	defer parsers.Put(parser)
+	root, err := parser.ParseBytes(text)
+	if err != nil {
+		return "", false, failure.At(failure.Malformed, "/", err.Error())
+	}
+	found := root.Get("evacuations", zone)
+	return string(found.GetStringBytes("reason")), found != nil, nil
+}
+
+// mergeOne merges one zone's entry into the evacuations; null removes it.
+func mergeOne(text []byte, arena *fastjson.Arena, zone string, value *fastjson.Value) ([]byte, error) {
+	evacuations := arena.NewObject()
+	evacuations.Set(zone, value)
+	patch := arena.NewObject()
+	patch.Set("evacuations", evacuations)
+	// Only what is added is checked: the rest was, when it was taken.
+	if value.Type() != fastjson.TypeNull {
+		if _, err := Check(patch.MarshalTo(nil)); err != nil {
+			return nil, err
+		}
+	}
+	merged, err := Merge(text, patch.MarshalTo(nil))
+	if err == nil && len(merged) > MostBytes {
+		return nil, invalid(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MostBytes)+" bytes")
+	}
+	return merged, err
+}
+
+func (c *checker) evacuation(name string, value *fastjson.Value, at pointer) {
+	evacuation := Evacuation{Zone: name}
+	c.fields(value, at, func(name string, value *fastjson.Value, at pointer) bool {
+		if name == "annotations" {
+			c.annotations(value, at)
+			return true
+		}
+		if name != "reason" {
+			return false
+		}
+		text, err := value.StringBytes()
+		if err != nil {
+			c.failures.add(failure.WrongType, at.String(), "a text is needed")
+		}
+		evacuation.Reason = string(text)
+		return true
+	})
+	c.configuration.Evacuations[evacuation.Zone] = evacuation
+}
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -6,8 +6,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Merge applies a JSON merge patch (RFC 7396) to a configuration's text. The
-// result still has to be checked.
+// Merge applies a JSON merge patch (RFC 7396) to a configuration's text. The result is not
+// checked. It fails with Malformed, or with WrongType if the patch is no object.
 func Merge(text, patch []byte) ([]byte, error) {
 	targetParser, patchParser := parsers.Get(), parsers.Get()
 	defer parsers.Put(targetParser)
@@ -26,8 +26,8 @@
 	return appendMerged(nil, target, change), nil
 }
 
-// appendMerged writes what the patch makes of the target, in one pass over both:
-// a library's object looks through all its fields for each that is set.
+// appendMerged writes the patched target in one pass over both objects: setting fields one
+// by one in fastjson's object costs a search through all of them each time.
 func appendMerged(text []byte, target, patch *fastjson.Value) []byte {
 	if patch.Type() != fastjson.TypeObject {
 		return patch.MarshalTo(text)
--- a/internal/config/revise.go
+++ b/internal/config/revise.go
@@ -8,10 +8,12 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Revise makes the next revision of a configuration's text: the edit is made only
-// if the text has the revision that it builds on, and must give a higher one. A new
-// text that says nothing of evacuations keeps those in force.
-func Revise(text []byte, builds uint64, edit func(text []byte) ([]byte, error)) ([]byte, error) {
+// Revise makes the next revision of a configuration's text. The edit runs only if text is
+// at revision base (else RevisionConflict, with the current revision as detail), and its
+// result must have a higher revision, so that two operators can not overwrite one another.
+// A result without evacuations keeps those in force. An invalid result is a
+// *Findings.
+func Revise(text []byte, base uint64, edit func(text []byte) ([]byte, error)) ([]byte, error) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
 	root, err := parser.ParseBytes(text)
@@ -19,7 +21,7 @@
 		return nil, failure.At(failure.Malformed, "/", err.Error())
 	}
 	current := root.GetUint64("revision")
-	if current != builds {
+	if current != base {
 		return nil, failure.New(failure.RevisionConflict, strconv.FormatUint(current, 10))
 	}
 	edited, err := edit(text)
@@ -30,21 +32,21 @@
 	defer parsers.Put(nextParser)
 	next, err := nextParser.ParseBytes(edited)
 	if err != nil {
-		return nil, finding(failure.Malformed, "/", err.Error())
+		return nil, invalid(failure.Malformed, "/", err.Error())
 	}
 	if next.Type() != fastjson.TypeObject {
-		return nil, finding(failure.WrongType, "/", "an object is needed, not "+next.Type().String())
+		return nil, invalid(failure.WrongType, "/", "an object is needed, not "+next.Type().String())
 	}
-	given := next.Get("revision")
-	if given == nil {
-		return nil, finding(failure.Missing, "/revision", "a change that builds on a revision gives the next one")
+	revisionField := next.Get("revision")
+	if revisionField == nil {
+		return nil, invalid(failure.Missing, "/revision", "a change that builds on a revision gives the next one")
 	}
-	revision, err := given.Uint64()
+	revision, err := revisionField.Uint64()
 	switch {
 	case err != nil:
-		return nil, finding(failure.WrongType, "/revision", "a whole number is needed")
+		return nil, invalid(failure.WrongType, "/revision", "a whole number is needed")
 	case revision <= current:
-		return nil, finding(failure.OutOfRange, "/revision", "the revision must be above "+strconv.FormatUint(current, 10))
+		return nil, invalid(failure.OutOfRange, "/revision", "the revision must be above "+strconv.FormatUint(current, 10))
 	}
 	evacuations := root.Get("evacuations")
 	if evacuations == nil || next.Exists("evacuations") {
@@ -53,7 +55,3 @@
 	next.Set("evacuations", evacuations)
 	return next.MarshalTo(make([]byte, 0, len(edited)+64)), nil
 }
-
-func finding(kind failure.Code, path, detail string) *Findings {
-	return &Findings{Troubles: []*failure.Error{failure.At(kind, path, detail)}}
-}
--- a/internal/config/revise_test.go
+++ b/internal/config/revise_test.go
@@ -1,7 +1,7 @@
 package config
 
 import (
-	stderrors "errors"
+	"errors"
 	"testing"
 
 	"seamloom.example/seamloom/internal/failure"
@@ -14,7 +14,7 @@
 	for _, row := range []struct {
 		name, current, next, want string
 		builds                    uint64
-		kind                      failure.Code
+		code                      failure.Code
 	}{
 		{"the first", `{}`, `{"revision":3}`, `{"revision":3}`, 0, ""},
 		{"a later one", `{"revision":3}`, `{"revision":9,"services":{}}`, `{"revision":9,"services":{}}`, 3, ""},
@@ -29,15 +29,15 @@
 		{"a list", `{"revision":3}`, `[]`, "", 3, failure.WrongType},
 	} {
 		text, err := Revise([]byte(row.current), row.builds, to(row.next))
-		kind := failure.Code("")
-		var findings *Findings
+		code := failure.Code("")
+		var validation *Findings
 		switch {
-		case stderrors.As(err, &findings):
-			kind = findings.Troubles[0].Code
+		case errors.As(err, &validation):
+			code = validation.Troubles[0].Code
 		case err != nil:
-			kind = failure.CodeOf(err)
+			code = failure.CodeOf(err)
 		}
-		if kind != row.kind || string(text) != row.want {
+		if code != row.code || string(text) != row.want {
 			t.Errorf("%s: %s, %v", row.name, text, err)
 		}
 	}
