--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads and checks the settings of the processes, from a file
-// and from flags.
+// Package settings reads and checks the settings of one process. The daemon package sets
+// them from the command line's flags too, platform from the users' settings file; router
+// and controller are started with the checked result.
 package settings
 
 import (
@@ -20,70 +21,105 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Settings are what a process is told of its place.
+// Settings are the settings of one process. Reload takes over those in reloadable while
+// the process runs; all others need a restart. Each comment names the setting's key in the
+// file, its default if it has one, and its effect.
 type Settings struct {
-	Kind         membership.NodeKind
-	Name         string
-	Address      string
-	Zone         string
-	Seeds        []string
-	Platform     string
-	DataFolder   string
-	LogLevel     string
-	Market       string
+	// Kind is the kind of the process. It is chosen by the program, not in the file.
+	Kind membership.NodeKind
+	// Name (name) is the node's unique name, of at most 64 characters.
+	Name string
+	// Address (address) is the IP number and port on which the other nodes reach it.
+	Address string
+	// Zone (district) is the zone in which it runs.
+	Zone string
+	// Seeds (seeds) are the addresses of the first controllers: three to form a core,
+	// one to three to join one.
+	Seeds []string
+	// Platform (platform) is the address of the platform's list of servers.
+	Platform string
+	// DataFolder (data_folder) is where a controller keeps its files; other kinds have none.
+	DataFolder string
+	// LogLevel (log_level) is debug, info, warn or error; default info.
+	LogLevel string
+	// Market (market) is how a router chooses servers: pair or least_loaded; default pair.
+	Market string
+	// MostRequests (most_inquiries) bounds a router's requests in flight; default 512.
 	MostRequests int
-	FlagSettle   int
-	// MostMemory is how many megabytes the process may take; zero: nobody said.
+	// FlagSettle (flag_settle_milliseconds) is how long the members must
+	// not change before a feature flag is enabled; default 5000.
+	FlagSettle int
+	// MostMemory (most_memory_megabytes) is how much memory the process may take;
+	// zero, the default: not stated.
 	MostMemory int
-	// BorneLosses is how many machines with a disk may be lost at once.
+	// BorneLosses (borne_losses) is how many machines with a disk may be lost at
+	// once: 1, 2 or 3; default 1.
 	BorneLosses int
-	Withhold    []string
-	Detours     map[string]string
-	// Bootstrap allows a blank controller to form a first core with the other seeds.
-	// Where it is false there is a core already, and a blank disk only joins it.
+	// Withhold (withhold_flags) are feature flags that this process claims not to
+	// support; for tests.
+	Withhold []string
+	// Detours (detours) replace addresses when dialling: tests put faults between nodes.
+	Detours map[string]string
+	// Bootstrap (bootstrap) allows a blank controller to form a first core with the other
+	// seeds; default true. If false there is a core already: a blank disk only joins it.
 	Bootstrap bool
-	// AcknowledgeWait is how long a committed change waits for routers that are not
-	// heard from; zero: for as long as their holds run.
+	// AcknowledgeWait (acknowledge_wait) is how long a committed change waits for routers
+	// that are not heard from; zero, the default: until their leases have expired.
 	AcknowledgeWait time.Duration
-	// ServeWithoutLease is how long a router goes on letting in after its last hold;
-	// zero: not at all.
+	// ServeWithoutLease (serve_without_hold) is how long a router goes on admitting
+	// requests after its last lease; zero, the default: not at all.
 	ServeWithoutLease time.Duration
-	// CallsAddress, ReadyAddress and ControlAddress are further addresses to listen
-	// on: for opaque calls, for who asks whether the router is ready, and for
-	// operators. An empty one means the process's own address only.
+	// CallsAddress (calls_address), ReadyAddress (ready_address) and ControlAddress
+	// (control_address) are further addresses to listen on: a router's for opaque calls
+	// and for readiness checks, a controller's for operators. Empty, the default: the
+	// process's own address only.
 	CallsAddress   string
 	ReadyAddress   string
 	ControlAddress string
-	// RetireAfter is how long a recorded node may not be heard from before it is taken
-	// out of the record by itself; zero: only operators do so.
+	// RetireAfter (retire_after) is how long a recorded node may not be heard from before
+	// it is removed from the record; zero, the default: only operators remove nodes.
 	RetireAfter time.Duration
-	// ApplyWithin is how soon after its acknowledgement a change has to be in force at a
-	// router that reaches the core: it bounds how long a silent primary is believed.
+	// ApplyWithin (apply_within) is how soon after its acknowledgement a change has to be
+	// in force at a router that reaches the core: it bounds how long a silent primary is
+	// believed. Default 2s, at least 500ms.
 	ApplyWithin time.Duration
-	// CatchUp is how long a machine with a disk counts as lost after its return or after
-	// its successor's start: the waits of the core are derived from it.
+	// CatchUp (catch_up) is how long a machine with a disk counts as lost after its return
+	// or after its successor's start: the core's timeouts are derived from it. Default
+	// replication.DefaultCatchUp, at least 500ms.
 	CatchUp time.Duration
-	// Grace is how long what runs may go on after the process was told to end.
+	// Grace (grace) is how long running work may go on after the process was told to end;
+	// default DefaultGrace.
 	Grace time.Duration
 }
 
 // DefaultGrace is the grace of a process that was told nothing else.
 const DefaultGrace = 20 * time.Second
 
-// defaultApplyWithin is the brief's two seconds; shortestApplyWithin leaves a question and
+// defaultApplyWithin is the brief's two seconds; minApplyWithin leaves a question and
 // its answer time to cross.
 const (
-	defaultApplyWithin  = 2 * time.Second
-	shortestApplyWithin = 500 * time.Millisecond
+	defaultApplyWithin = 2 * time.Second
+	minApplyWithin     = 500 * time.Millisecond
 )
 
-// shortestCatchUp is the shortest bound that can be chosen: a lease and an election take
+// minCatchUp is the shortest bound that can be chosen: a lease and an election take
 // most of a second each.
-const shortestCatchUp = 500 * time.Millisecond
+const minCatchUp = 500 * time.Millisecond
 
 // Defaults are the settings before file and flags.
 func Defaults(kind membership.NodeKind) Settings {
-	return Settings{Kind: kind, LogLevel: "info", Market: "pair", MostRequests: 512, FlagSettle: 5000, BorneLosses: 1, Bootstrap: true, CatchUp: replication.DefaultCatchUp, ApplyWithin: defaultApplyWithin, Grace: DefaultGrace}
+	return Settings{
+		Kind:         kind,
+		LogLevel:     "info",
+		Market:       "pair",
+		MostRequests: 512,
+		FlagSettle:   5000,
+		BorneLosses:  1,
+		Bootstrap:    true,
+		CatchUp:      replication.DefaultCatchUp,
+		ApplyWithin:  defaultApplyWithin,
+		Grace:        DefaultGrace,
+	}
 }
 
 // ReadFile takes the settings of a JSON file over those given.
@@ -100,99 +136,148 @@
 	if err != nil {
 		return failure.At(failure.WrongType, path, "an object is needed")
 	}
-	var mistakes error
+	var errs error
 	object.Visit(func(key []byte, value *fastjson.Value) {
-		mistakes = multierr.Append(mistakes, s.readField(string(key), value))
+		errs = multierr.Append(errs, s.readField(string(key), value))
 	})
-	return mistakes
+	return errs
 }
 
+// readField sets the field of a key in the file.
 func (s *Settings) readField(name string, value *fastjson.Value) error {
-	texts := map[string]*string{"name": &s.Name, "address": &s.Address, "district": &s.Zone,
-		"platform": &s.Platform, "data_folder": &s.DataFolder, "log_level": &s.LogLevel, "market": &s.Market,
-		"calls_address": &s.CallsAddress, "ready_address": &s.ReadyAddress, "control_address": &s.ControlAddress}
-	lists := map[string]*[]string{"seeds": &s.Seeds, "withhold_flags": &s.Withhold}
-	numbers := map[string]*int{"most_inquiries": &s.MostRequests, "flag_settle_milliseconds": &s.FlagSettle, "borne_losses": &s.BorneLosses,
-		"most_memory_megabytes": &s.MostMemory}
-	lengths := map[string]*time.Duration{"acknowledge_wait": &s.AcknowledgeWait, "serve_without_hold": &s.ServeWithoutLease, "grace": &s.Grace, "retire_after": &s.RetireAfter, "catch_up": &s.CatchUp, "apply_within": &s.ApplyWithin}
-	if target, found := texts[name]; found {
-		text, err := value.StringBytes()
-		if err != nil {
-			return failure.At(failure.WrongType, name, "a text is needed")
-		}
-		*target = string(text)
-		return nil
+	switch target := s.fields()[name].(type) {
+	case *string:
+		return readText(target, name, value)
+	case *int:
+		return readNumber(target, name, value)
+	case *time.Duration:
+		return readDuration(target, name, value)
+	case *bool:
+		return readBoolean(target, name, value)
+	case *[]string:
+		return readTexts(target, name, value)
+	case *map[string]string:
+		return readAddresses(target, name, value)
 	}
-	if target, found := numbers[name]; found {
-		number, err := value.Int()
-		if err != nil {
-			return failure.At(failure.WrongType, name, "a whole number is needed")
-		}
-		*target = number
-		return nil
+	return failure.At(failure.UnknownField, name, "no such setting")
+}
+
+// fields gives the field of each key in the file.
+func (s *Settings) fields() map[string]any {
+	return map[string]any{
+		"name":                     &s.Name,
+		"address":                  &s.Address,
+		"district":                 &s.Zone,
+		"seeds":                    &s.Seeds,
+		"platform":                 &s.Platform,
+		"data_folder":              &s.DataFolder,
+		"log_level":                &s.LogLevel,
+		"market":                   &s.Market,
+		"most_inquiries":           &s.MostRequests,
+		"flag_settle_milliseconds": &s.FlagSettle,
+		"most_memory_megabytes":    &s.MostMemory,
+		"borne_losses":             &s.BorneLosses,
+		"withhold_flags":           &s.Withhold,
+		"detours":                  &s.Detours,
+		"bootstrap":                &s.Bootstrap,
+		"acknowledge_wait":         &s.AcknowledgeWait,
+		"serve_without_hold":       &s.ServeWithoutLease,
+		"calls_address":            &s.CallsAddress,
+		"ready_address":            &s.ReadyAddress,
+		"control_address":          &s.ControlAddress,
+		"retire_after":             &s.RetireAfter,
+		"apply_within":             &s.ApplyWithin,
+		"catch_up":                 &s.CatchUp,
+		"grace":                    &s.Grace,
 	}
-	if target, found := lengths[name]; found {
-		text, err := value.StringBytes()
-		if err != nil {
-			return failure.At(failure.WrongType, name, "a text such as 1s or 250ms is needed")
-		}
-		length, err := time.ParseDuration(string(text))
-		if err != nil {
-			return failure.At(failure.Malformed, name, "a length of time such as 1s or 250ms is needed, not \""+string(text)+"\"")
-		}
-		*target = length
-		return nil
+}
+
+func readText(target *string, name string, value *fastjson.Value) error {
+	text, err := value.StringBytes()
+	if err != nil {
+		return failure.At(failure.WrongType, name, "a text is needed")
 	}
-	if name == "bootstrap" {
-		chosen, err := value.Bool()
-		if err != nil {
-			return failure.At(failure.WrongType, name, "true or false is needed")
-		}
-		s.Bootstrap = chosen
-		return nil
+	*target = string(text)
+	return nil
+}
+
+func readNumber(target *int, name string, value *fastjson.Value) error {
+	number, err := value.Int()
+	if err != nil {
+		return failure.At(failure.WrongType, name, "a whole number is needed")
+	}
+	*target = number
+	return nil
+}
+
+func readDuration(target *time.Duration, name string, value *fastjson.Value) error {
+	text, err := value.StringBytes()
+	if err != nil {
+		return failure.At(failure.WrongType, name, "a text such as 1s or 250ms is needed")
+	}
+	duration, err := time.ParseDuration(string(text))
+	if err != nil {
+		return failure.At(failure.Malformed, name, "a length of time such as 1s or 250ms is needed, not \""+string(text)+"\"")
+	}
+	*target = duration
+	return nil
+}
+
+func readBoolean(target *bool, name string, value *fastjson.Value) error {
+	enabled, err := value.Bool()
+	if err != nil {
+		return failure.At(failure.WrongType, name, "true or false is needed")
 	}
-	if target, found := lists[name]; found {
-		entries, err := value.Array()
+	*target = enabled
+	return nil
+}
+
+func readTexts(target *[]string, name string, value *fastjson.Value) error {
+	entries, err := value.Array()
+	if err != nil {
+		return failure.At(failure.WrongType, name, "a list of texts is needed")
+	}
+	*target = nil
+	for i, entry := range entries {
+		text, err := entry.StringBytes()
 		if err != nil {
-			return failure.At(failure.WrongType, name, "a list of texts is needed")
-		}
-		*target = nil
-		for position, entry := range entries {
-			text, err := entry.StringBytes()
-			if err != nil {
-				return failure.At(failure.WrongType, name+"/"+strconv.Itoa(position), "a text is needed")
-			}
-			*target = append(*target, string(text))
+			return failure.At(failure.WrongType, name+"/"+strconv.Itoa(i), "a text is needed")
 		}
-		return nil
+		*target = append(*target, string(text))
+	}
+	return nil
+}
+
+func readAddresses(target *map[string]string, name string, value *fastjson.Value) error {
+	object, err := value.Object()
+	if err != nil {
+		return failure.At(failure.WrongType, name, "an object is needed")
 	}
-	if name == "detours" {
-		object, err := value.Object()
+	addresses := map[string]string{}
+	*target = addresses
+	var errs error
+	object.Visit(func(key []byte, value *fastjson.Value) {
+		text, err := value.StringBytes()
 		if err != nil {
-			return failure.At(failure.WrongType, name, "an object is needed")
+			errs = multierr.Append(errs, failure.At(failure.WrongType, name+"/"+string(key), "an address is needed"))
+			return
 		}
-		s.Detours = map[string]string{}
-		var mistakes error
-		object.Visit(func(key []byte, value *fastjson.Value) {
-			text, err := value.StringBytes()
-			if err != nil {
-				mistakes = multierr.Append(mistakes, failure.At(failure.WrongType, name+"/"+string(key), "an address is needed"))
-				return
-			}
-			s.Detours[string(key)] = string(text)
-		})
-		return mistakes
-	}
-	return failure.At(failure.UnknownField, name, "no such setting")
+		addresses[string(key)] = string(text)
+	})
+	return errs
 }
 
 var nameShape = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// Check names all mistakes at once.
+// report records one mistake in the settings, at a key of the file.
+type report func(code failure.Code, path, detail string)
+
+// Check returns all mistakes at once, each a *failure.Error with the key of its setting:
+// Missing, Malformed, OutOfRange or Contradictory.
 func (s *Settings) Check() error {
-	var mistakes error
-	wrong := func(kind failure.Code, path, detail string) {
-		mistakes = multierr.Append(mistakes, failure.At(kind, path, detail))
+	var errs error
+	wrong := func(code failure.Code, path, detail string) {
+		errs = multierr.Append(errs, failure.At(code, path, detail))
 	}
 	for path, name := range map[string]string{"name": s.Name, "district": s.Zone} {
 		if !nameShape.MatchString(name) {
@@ -200,11 +285,23 @@
 		}
 	}
 	addresses := map[string]string{"address": s.Address, "platform": s.Platform}
+	s.checkSeeds(addresses, wrong)
+	s.checkListeners(addresses, wrong)
+	s.checkDurations(wrong)
+	checkAddresses(addresses, wrong)
+	s.checkLogLevel(wrong)
+	s.checkKind(wrong)
+	s.checkBounds(wrong)
+	return errs
+}
+
+// checkSeeds checks the number of seeds, and adds them to addresses.
+func (s *Settings) checkSeeds(addresses map[string]string, wrong report) {
 	seen := map[string]bool{}
-	for position, seed := range s.Seeds {
-		addresses["seeds/"+strconv.Itoa(position)] = seed
+	for i, seed := range s.Seeds {
+		addresses["seeds/"+strconv.Itoa(i)] = seed
 		if seen[seed] {
-			wrong(failure.Contradictory, "seeds/"+strconv.Itoa(position), "the seed "+seed+" stands twice")
+			wrong(failure.Contradictory, "seeds/"+strconv.Itoa(i), "the seed "+seed+" stands twice")
 		}
 		seen[seed] = true
 	}
@@ -214,17 +311,27 @@
 	case count < 1 || count > 3:
 		wrong(failure.OutOfRange, "seeds", "one to three seeds are needed, there are "+strconv.Itoa(count))
 	}
-	s.checkFurther(addresses, wrong)
+}
+
+// checkAddresses checks that every address, by its key, is an IP number and a port.
+func checkAddresses(addresses map[string]string, wrong report) {
 	for path, address := range addresses {
 		if parsed, err := netip.ParseAddrPort(address); err != nil || parsed.Port() == 0 {
 			wrong(failure.Malformed, path, "needs an IP number and a port, such as 127.0.0.1:7101, not \""+address+"\"")
 		}
 	}
+}
+
+func (s *Settings) checkLogLevel(wrong report) {
 	switch s.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
 		wrong(failure.OutOfRange, "log_level", "is debug, info, warn or error, not \""+s.LogLevel+"\"")
 	}
+}
+
+// checkKind checks the settings that only some kinds of process have.
+func (s *Settings) checkKind(wrong report) {
 	if s.Kind == membership.Controller && s.DataFolder == "" {
 		wrong(failure.Missing, "data_folder", "an expediter keeps files")
 	}
@@ -239,6 +346,10 @@
 			wrong(failure.OutOfRange, "most_inquiries", "must be at least 1")
 		}
 	}
+}
+
+// checkBounds checks the settings that have a least or a greatest value.
+func (s *Settings) checkBounds(wrong report) {
 	if s.FlagSettle < 0 {
 		wrong(failure.OutOfRange, "flag_settle_milliseconds", "must not be negative")
 	}
@@ -248,27 +359,43 @@
 	if s.BorneLosses < 1 || s.BorneLosses > 3 {
 		wrong(failure.OutOfRange, "borne_losses", "is 1, 2 or 3")
 	}
-	if s.ApplyWithin < shortestApplyWithin {
-		wrong(failure.OutOfRange, "apply_within", "must be at least "+shortestApplyWithin.String())
+	if s.ApplyWithin < minApplyWithin {
+		wrong(failure.OutOfRange, "apply_within", "must be at least "+minApplyWithin.String())
 	}
-	if s.CatchUp < shortestCatchUp {
-		wrong(failure.OutOfRange, "catch_up", "must be at least "+shortestCatchUp.String())
+	if s.CatchUp < minCatchUp {
+		wrong(failure.OutOfRange, "catch_up", "must be at least "+minCatchUp.String())
 	}
 	for position, flag := range s.Withhold {
 		if !features.Supported(nil).Has(features.Flag(flag)) {
 			wrong(failure.OutOfRange, "withhold_flags/"+strconv.Itoa(position), "this build has no flag "+flag)
 		}
 	}
-	return mistakes
 }
 
-// checkFurther checks the further addresses and the lengths of time.
-func (s *Settings) checkFurther(addresses map[string]string, wrong func(kind failure.Code, path, detail string)) {
+func (s *Settings) checkDurations(wrong report) {
+	for path, duration := range map[string]time.Duration{
+		"acknowledge_wait":   s.AcknowledgeWait,
+		"serve_without_hold": s.ServeWithoutLease,
+		"grace":              s.Grace,
+		"retire_after":       s.RetireAfter,
+	} {
+		if duration < 0 {
+			wrong(failure.OutOfRange, path, "must not be negative")
+		}
+	}
+}
+
+// checkListeners checks the further addresses to listen on, and adds them to addresses.
+func (s *Settings) checkListeners(addresses map[string]string, wrong report) {
 	taken := map[string]string{s.Address: "address"}
 	for _, further := range []struct {
 		path, address string
 		kind          membership.NodeKind
-	}{{"calls_address", s.CallsAddress, membership.Router}, {"ready_address", s.ReadyAddress, membership.Router}, {"control_address", s.ControlAddress, membership.Controller}} {
+	}{
+		{"calls_address", s.CallsAddress, membership.Router},
+		{"ready_address", s.ReadyAddress, membership.Router},
+		{"control_address", s.ControlAddress, membership.Controller},
+	} {
 		if further.address == "" {
 			continue
 		}
@@ -281,11 +408,6 @@
 			wrong(failure.Contradictory, further.path, "is for the kind "+string(further.kind))
 		}
 	}
-	for path, length := range map[string]time.Duration{"acknowledge_wait": s.AcknowledgeWait, "serve_without_hold": s.ServeWithoutLease, "grace": s.Grace, "retire_after": s.RetireAfter} {
-		if length < 0 {
-			wrong(failure.OutOfRange, path, "must not be negative")
-		}
-	}
 }
 
 // Supported is the build's list less what the settings withhold.
