--- a/internal/adapters/usage/export.go
+++ b/internal/adapters/usage/export.go
@@ -10,18 +10,27 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Columns are the names of a row's fields, in order, in both formats.
+// Columns are the names of a row's fields, in order, as both formats give them.
 var Columns = []string{"minute", "courier", "service", "origin", "final", "inquiries", "prompt_tokens", "pieces"}
 
-// WriteCSV writes rows with a line of names first.
+// WriteCSV writes rows as CSV, the names in Columns first. It fails with Disk.
 func WriteCSV(target io.Writer, rows []Row) error {
 	writer := csv.NewWriter(target)
 	if err := writer.Write(Columns); err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
 	for _, row := range rows {
-		if err := writer.Write([]string{row.Minute, row.Router, row.Service, row.Client, row.Final, strconv.FormatInt(row.Requests, 10),
-			strconv.FormatInt(row.PromptTokens, 10), strconv.FormatInt(row.Chunks, 10)}); err != nil {
+		record := []string{
+			row.Minute,
+			row.Router,
+			row.Service,
+			row.Client,
+			row.Final,
+			strconv.FormatInt(row.Requests, 10),
+			strconv.FormatInt(row.PromptTokens, 10),
+			strconv.FormatInt(row.Chunks, 10),
+		}
+		if err := writer.Write(record); err != nil {
 			return failure.Wrap(failure.Disk, err)
 		}
 	}
@@ -29,7 +38,7 @@
 	return failure.Wrap(failure.Disk, writer.Error())
 }
 
-// WriteParquet writes rows with their schema.
+// WriteParquet writes rows as a Parquet file with the schema of Row. It fails with Disk.
 func WriteParquet(target io.Writer, rows []Row) error {
 	return failure.Wrap(failure.Disk, parquet.Write(target, rows))
 }
--- a/internal/adapters/usage/export_test.go
+++ b/internal/adapters/usage/export_test.go
@@ -12,13 +12,13 @@
 
 // TestBothFormatsGiveTheSameRowsBack counts requests and reads both files.
 func TestBothFormatsGiveTheSameRowsBack(t *testing.T) {
-	ledger := NewLedger()
+	meter := NewLedger()
 	noon := time.Date(2026, 1, 2, 12, 0, 10, 0, time.UTC)
 	for range 3 {
-		ledger.Note(noon, Row{Router: "courier-1", Service: "chat", Client: "a,b", Final: "complete", PromptTokens: 80, Chunks: 5})
+		meter.Note(noon, Row{Router: "courier-1", Service: "chat", Client: "a,b", Final: "complete", PromptTokens: 80, Chunks: 5})
 	}
-	ledger.Note(noon.Add(time.Minute), Row{Router: "courier-1", Service: "chat", Client: "a,b", Final: "refused", PromptTokens: 80})
-	rows := ledger.Rows()
+	meter.Note(noon.Add(time.Minute), Row{Router: "courier-1", Service: "chat", Client: "a,b", Final: "refused", PromptTokens: 80})
+	rows := meter.Rows()
 	if len(rows) != 2 || rows[0].Requests != 3 || rows[0].PromptTokens != 240 || rows[0].Chunks != 15 || rows[0].Minute != "2026-01-02T12:00:00Z" {
 		t.Fatalf("%+v", rows)
 	}
