--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -1,4 +1,4 @@
-// Command taster checks a proposed configuration against the fleet as it is.
+// Command configcheck checks a proposed configuration against the fleet as it is.
 // It changes nothing.
 package main
 
@@ -36,7 +36,7 @@
 	warnings    = 10
 )
 
-// report is what taster prints.
+// report is what configcheck prints.
 type report struct {
 	Result  string          `json:"result"`
 	Version string          `json:"checked_against,omitempty"`
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"errors"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -21,8 +22,9 @@
 	root.AddCommand(operatorCommands()...)
 	if err := root.Execute(); err != nil {
 		code := daemon.ExitCode(err)
-		if coded, found := err.(*exitError); found {
-			code = coded.code
+		var exit *exitError
+		if errors.As(err, &exit) {
+			code = exit.code
 		} else {
 			daemon.Explain(os.Stderr, err)
 		}
--- a/cmd/controller/operator.go
+++ b/cmd/controller/operator.go
@@ -17,14 +17,21 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
+// The exit codes of the operators' subcommands, for scripts; 2 is wrong use.
+const (
+	exitRefused     = 1
+	exitUnknown     = 3 // the change may or may not have been accepted
+	exitUnreachable = 4 // no controller was reached, or none is primary
+)
+
 // exitError ends a subcommand with a code that scripts can tell apart:
-// 1 refused, 3 unknown outcome, 4 unreachable or no primary.
+// exitRefused, exitUnknown or exitUnreachable.
 type exitError struct {
 	code    int
 	message string
 }
 
-func (err *exitError) Error() string { return err.message }
+func (e *exitError) Error() string { return e.message }
 
 // operator speaks to one of the controllers.
 type operator struct {
@@ -154,16 +161,16 @@
 			if query.Get("change") == "" {
 				how = "; send the same change again"
 			}
-			return response{}, &exitError{code: 3, message: printError("the outcome is unknown: " + last + how)}
+			return response{}, &exitError{code: exitUnknown, message: printError("the outcome is unknown: " + last + how)}
 		}
 		content, err := io.ReadAll(received.Body)
 		_ = received.Body.Close()
 		if err != nil {
-			return response{}, &exitError{code: 3, message: printError("the answer broke off: " + err.Error())}
+			return response{}, &exitError{code: exitUnknown, message: printError("the answer broke off: " + err.Error())}
 		}
 		return response{status: received.StatusCode, body: content}, nil
 	}
-	return response{}, &exitError{code: 4, message: printError("no controller was reached: " + last)}
+	return response{}, &exitError{code: exitUnreachable, message: printError("no controller was reached: " + last)}
 }
 
 func printError(text string) string {
@@ -190,9 +197,9 @@
 	case a.status < 300:
 		return nil
 	case a.status == http.StatusServiceUnavailable && bytes.Contains(a.body, []byte(`"unknown"`)):
-		return &exitError{code: 3, message: "unknown outcome"}
+		return &exitError{code: exitUnknown, message: "unknown outcome"}
 	case a.status == http.StatusServiceUnavailable:
-		return &exitError{code: 4, message: "no primary"}
+		return &exitError{code: exitUnreachable, message: "no primary"}
 	}
-	return &exitError{code: 1, message: "status " + strconv.Itoa(a.status)}
+	return &exitError{code: exitRefused, message: "status " + strconv.Itoa(a.status)}
 }
--- a/internal/adapters/discovery/discovery.go
+++ b/internal/adapters/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package directory reads the platform's lists of servers and nodes over HTTP.
+// Package discovery reads the platform's lists of servers and nodes over HTTP.
 package discovery
 
 import (
@@ -18,7 +18,7 @@
 	client *http.Client
 }
 
-// patience is how long the platform may take to answer.
+// requestTimeout is how long the platform may take to answer.
 const requestTimeout = time.Second
 
 // New makes a directory over a transport.
--- a/internal/adapters/modelserver/client.go
+++ b/internal/adapters/modelserver/client.go
@@ -37,7 +37,7 @@
 
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
-// startRun makes the ctx of a run's dispatch, which ends with its cancel.
+// startRun makes the context of a run's dispatch, which ends with its cancel.
 func (m *Client) startRun(decision auction.Decision) context.Context {
 	ctx, cancel := context.WithCancel(m.ctx)
 	m.mutex.Lock()
@@ -206,7 +206,7 @@
 	})
 }
 
-// WithinGrant has a command given in a ctx that ends with the duty's hold, and soon
+// WithinGrant has a command given in a context that ends with the duty's hold, and soon
 // in any case.
 func (m *Client) WithinGrant(decision auction.Decision, act func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(m.ctx, min(time.Second, decision.NotAfter.Sub(m.runtime.Now())))
--- a/internal/adapters/proxy/clientconnection.go
+++ b/internal/adapters/proxy/clientconnection.go
@@ -60,7 +60,7 @@
 	return true
 }
 
-// patience is how long the connection may stay in its state. The caller has the mutex.
+// timeout is how long the connection may stay in its state. The caller has the mutex.
 func (c *clientConnection) timeout(limits config.Limits) time.Duration {
 	switch c.state {
 	case http.StateNew:
--- a/internal/adapters/proxy/conn.go
+++ b/internal/adapters/proxy/conn.go
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// connection is one connection to a model server. It knows for certain whether anything
+// trackedConn is one connection to a model server. It knows for certain whether anything
 // of the present call was written, and takes nothing once its server may have closed
 // it for having rested too long.
 type trackedConn struct {
@@ -20,8 +20,8 @@
 	// is when the last call on it ended.
 	keepAlive time.Duration
 	idleSince time.Time
-	// shut refuses every further write; writing is a write under way; wrote that
-	// something of the present call may have left; heard that something came since.
+	// closed refuses every further write; writing is a write in flight; wrote that
+	// something of the present call may have left; received that something came since.
 	closed   bool
 	writing  bool
 	wrote    bool
@@ -40,14 +40,14 @@
 	return !c.closed
 }
 
-// rested tells whether the connection rested for as long as its server keeps it.
+// idleTooLong tells whether the server may have closed the connection as idle.
 func (c *trackedConn) idleTooLong(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return now.Sub(c.idleSince) > c.keepAlive
 }
 
-// rest notes the end of a call, and how long the server then keeps the connection.
+// becomeIdle records the end of a call, and how long the server then keeps the connection.
 func (c *trackedConn) becomeIdle(keepAlive time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -65,7 +65,7 @@
 	return wrote, received
 }
 
-var errConnClosed = failure.New(failure.Unreachable, "the circuit takes no more calls")
+var errConnClosed = failure.New(failure.Unreachable, "the connection takes no more calls")
 
 // Write sends, unless the connection was shut before.
 func (c *trackedConn) Write(content []byte) (int, error) {
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -48,10 +48,10 @@
 	header http.Header
 	body   []byte
 
-	// reader is the server that read the prompt last.
+	// prefillServer is the server that read the prompt last.
 	prefillServer  membership.Server
 	failedResponse *bufferedResponse
-	// begun tells that something of an answer was forwarded, lastEvent is the id of
+	// headSent tells that something of an answer was forwarded, lastEvent is the id of
 	// the last event that was.
 	headSent  atomic.Bool
 	lastEvent string
@@ -59,7 +59,7 @@
 	ending ending
 }
 
-// answer is a failing answer that is kept to be forwarded.
+// bufferedResponse is a failing response that is kept to be forwarded.
 type bufferedResponse struct {
 	status int
 	header http.Header
@@ -75,7 +75,7 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	timer    *time.Timer
-	// until is the decision's end by the runtime's own clock, which costs no call to
+	// deadline is the decision's end by the runtime's own clock, which costs no call to
 	// the kernel.
 	deadline time.Time
 	outcome  scheduler.Outcome
@@ -159,7 +159,7 @@
 	return false
 }
 
-// note keeps the result of a dispatch that is over.
+// record keeps the result of a dispatch that is over.
 func (d *dispatch) record(result scheduler.Result) {
 	d.outcome.Result = result
 	d.timer.Stop()
@@ -225,7 +225,7 @@
 	return false
 }
 
-// promises tells whether a status says that a call has not run and never will.
+// impliesNotRun tells whether a status says that a call has not run and never will.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -324,7 +324,7 @@
 // extend has the dispatch go on to the call's end, now that its server speaks.
 func (d *dispatch) extend() { d.timer.Reset(d.remaining()) }
 
-// left is how long the dispatch may go on at the most.
+// remaining is how long the dispatch may go on at the most.
 func (d *dispatch) remaining() time.Duration {
 	return time.Until(d.deadline) + deadlineGrace
 }
--- a/internal/adapters/proxy/frontend.go
+++ b/internal/adapters/proxy/frontend.go
@@ -13,7 +13,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// The patience with origins. The values are ours.
+// Timeouts and bounds of the connections of clients. The values are ours.
 const (
 	timeoutCheckInterval = time.Second
 	bodyTimeout          = 30 * time.Second
@@ -121,7 +121,7 @@
 	}
 }
 
-// watch dismisses the connections of clients that take or rest too long.
+// watchTimeouts dismisses the connections of clients that take or rest too long.
 func (g *Frontend) watchTimeouts(dying <-chan struct{}) {
 	ticker := time.NewTicker(timeoutCheckInterval)
 	defer ticker.Stop()
@@ -135,7 +135,7 @@
 	}
 }
 
-// DismissIdle ends the connections that rest, as dismiss does. The node is leaving: its
+// DismissIdle ends the connections that rest, as dismissLate does. The node is leaving: its
 // clients find another one now, instead of being refused when they next ask.
 func (g *Frontend) DismissIdle() {
 	var idle []net.Conn
@@ -151,7 +151,7 @@
 	}
 }
 
-// dismiss ends the connections of clients that take or rest too long. One that rests
+// dismissLate ends the connections of clients that take or rest too long. One that rests
 // ends by itself when its next read fails, and never under a request: one that crosses
 // the dismissal is refused on the connection and was not forwarded. One whose first head
 // takes too long has no request, and is closed.
--- a/internal/adapters/proxy/handler.go
+++ b/internal/adapters/proxy/handler.go
@@ -157,7 +157,7 @@
 	return count
 }
 
-// free gives a prompt's memory back. That it fails is no harm: memory that nobody
+// releaseHandle gives a prompt's memory back. That it fails is no harm: memory that nobody
 // takes lapses.
 func (i *Handler) releaseHandle(server membership.Server, handle string) {
 	ctx, cancel := context.WithTimeout(i.ctx, releaseTimeout)
--- a/internal/adapters/proxy/meter.go
+++ b/internal/adapters/proxy/meter.go
@@ -33,7 +33,7 @@
 	endDismissed ending = "dismissed"
 )
 
-// bounds are of the times in seconds that are told apart.
+// latencyBuckets are the upper bounds of the latency histograms, in seconds.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 3, 5, 8, 15}
 
 func newMeter(connections *Pool) *meter {
--- a/internal/adapters/proxy/pool.go
+++ b/internal/adapters/proxy/pool.go
@@ -16,7 +16,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// The patience with servers' connections. The values are ours.
+// Timeouts and bounds of the connections to servers. The values are ours.
 const (
 	// dialTimeout is how long a connection may take to come up: a server that is there
 	// takes a millisecond.
@@ -49,14 +49,14 @@
 	opened    uint64
 }
 
-// life is one life of a server at an address.
+// incarnation is one run of a server process at an address.
 type incarnation struct{ name, address string }
 
 func incarnationOf(server membership.Server) incarnation {
 	return incarnation{name: server.Name, address: server.Address}
 }
 
-// line is a connection with its HTTP/1.1 client.
+// pooledConn is a connection with its HTTP/1.1 client.
 type pooledConn struct {
 	incarnation incarnation
 	conn        *trackedConn
@@ -97,7 +97,7 @@
 	return err
 }
 
-// take gives a resting connection that is still good, or opens one. Failing means that
+// get gives an idle connection that is still good, or opens one. Failing means that
 // nothing was sent.
 func (c *Pool) get(ctx context.Context, server membership.Server, ends time.Time) (*pooledConn, error) {
 	key := incarnationOf(server)
@@ -140,7 +140,7 @@
 	return last
 }
 
-// give takes a connection back after a whole answer. Rests is what the answer said of how
+// put takes a connection back after a whole answer. Rests is what the answer said of how
 // long the server keeps it.
 func (c *Pool) put(used *pooledConn, keepAlive time.Duration) {
 	if used.http.Err() != nil || used.http.Available() == 0 {
@@ -189,7 +189,7 @@
 	return surplus
 }
 
-// SetServers drops the connections to lives that are listed no more.
+// SetServers drops the connections to incarnations that are no longer listed.
 func (c *Pool) SetServers(servers []membership.Server) {
 	known := make(map[incarnation]bool, len(servers))
 	for _, server := range servers {
--- a/internal/adapters/proxy/protocol.go
+++ b/internal/adapters/proxy/protocol.go
@@ -1,6 +1,8 @@
-// Package calls carries opaque calls over HTTP/1.1: from their origins to a router
-// and on to model servers, with method, path and body unchanged. What the headers are
-// called stands in Words; what is done with a call is decided by the window.
+// Package proxy is the router's HTTP/1.1 reverse proxy for opaque calls: method, path and
+// body go from a client to a model server unchanged. Protocol names the headers. Frontend
+// listens for clients, Handler reads a call, Pool keeps the connections to servers. Which
+// server gets a call, and whether it is retried, is decided by package scheduler, which
+// package dataplane drives through Conduct.
 package proxy
 
 import (
@@ -56,7 +58,7 @@
 		HandlePath: "/v1/handles/", HandleField: "handle"}
 }
 
-// Check names every word that is missing. Headers must be in HTTP's canonical case.
+// Check names every field that is missing or malformed. Headers must be in HTTP's canonical case.
 func (w Protocol) Check() error {
 	var errs error
 	fields := reflect.ValueOf(w)
--- a/internal/adapters/proxy/streaming.go
+++ b/internal/adapters/proxy/streaming.go
@@ -146,7 +146,7 @@
 	d.fail(scheduler.TimedOut)
 }
 
-// behind tells whether an event comes after another, by their ids: as numbers, or else
+// isAfter tells whether an event comes after another, by their ids: as numbers, or else
 // it is another one.
 func isAfter(id, last string) bool {
 	number, err := strconv.ParseUint(id, 10, 64)
--- a/internal/adapters/router/forwarding.go
+++ b/internal/adapters/router/forwarding.go
@@ -28,7 +28,7 @@
 	_ = json.NewEncoder(writer).Encode(content)
 }
 
-// passing carries requests to other routers over HTTP.
+// forwarder carries requests to other routers over HTTP.
 type forwarder struct {
 	client *http.Client
 	ctx    context.Context
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -161,7 +161,7 @@
 	return p.settings.Grace
 }
 
-// commanding has servers commanded by a platform's own orders, if there are any.
+// withOrders has servers commanded by a platform's own orders, if there are any.
 func withOrders(servers *modelserver.Client, orders ports.Orders) dataplane.ModelServer {
 	if orders == nil {
 		return servers
@@ -169,7 +169,7 @@
 	return &orderingClient{Client: servers, orders: orders}
 }
 
-// orderly is a client to model servers whose parts are ordered in a platform's way.
+// orderingClient is a client to model servers whose parts are ordered in a platform's way.
 type orderingClient struct {
 	*modelserver.Client
 	orders ports.Orders
--- a/internal/adapters/rpc/compression.go
+++ b/internal/adapters/rpc/compression.go
@@ -17,7 +17,7 @@
 	minCompressed = 160
 )
 
-// pack makes a message smaller for a receiver that takes it so, as its header says.
+// compressFor makes a message smaller for a receiver that takes it so, as its header says.
 func compressFor(message []byte, takes, header http.Header) []byte {
 	if len(message) < minCompressed || !strings.Contains(takes.Get("Accept-Encoding"), encodingS2) {
 		return message
@@ -34,7 +34,7 @@
 	return compressed
 }
 
-// unpack gives back the message that was packed, if it was.
+// decompress gives back the message that was packed, if it was.
 func decompress(message []byte, header http.Header) ([]byte, error) {
 	if header.Get("Content-Encoding") != encodingS2 {
 		return message, nil
@@ -50,7 +50,7 @@
 	return decompressed, failure.Wrap(failure.Garbage, err)
 }
 
-// takers are the addresses whose last answer said that they take packed questions.
+// compressionPeers are the addresses whose last answer said that they take packed questions.
 // One that was restarted into an older release does not say so, and is believed at
 // once.
 type compressionPeers struct {
