--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -92,19 +92,19 @@
 	if damage := copied.Damage(); damage != "" {
 		observe("copy_damaged", "damage", damage)
 	}
-	witness.Guard(runtime.NewLock(rt))
+	witness.SetLock(runtime.NewLock(rt))
 	copied.SetLock(runtime.NewLock(rt))
 	controller := &Controller{runtime: rt, client: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
 		updated: rt.NewCond(), termBegan: rt.NewCond(), pending: rt.NewCond(), confirmations: rt.NewCond(), editTurn: rt.NewCond()}
 	controller.store.SetLock(runtime.NewLock(rt))
 	controller.coordinator = replication.NewCoordinator(rt, options.Seeds, witness, controller.store, &peers{client: line}, observe)
 	if options.JoinsOnly {
-		controller.coordinator.JoinOnly()
+		controller.coordinator.SetJoinOnly()
 	}
 	timing := replication.TimingFor(options.CatchUp)
 	controller.coordinator.SetTiming(timing)
-	controller.coordinator.Bear(options.BorneLosses, options.Zone)
-	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.Repair().String(), "margin", timing.Margin().String())
+	controller.coordinator.SetTolerance(options.BorneLosses, options.Zone)
+	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.RepairTime().String(), "margin", timing.Margin().String())
 	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
 	controller.follower = follower.New(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
 	controller.follower.Follow(options.Directory != nil, false)
@@ -148,10 +148,10 @@
 func (c *Controller) Leave(patience time.Duration) {
 	ends := c.runtime.Now().Add(patience)
 	c.coordinator.Leave()
-	for !c.coordinator.Released() && c.runtime.Now().Before(ends) {
+	for !c.coordinator.ReadyToStop() && c.runtime.Now().Before(ends) {
 		runtime.Sleep(c.runtime, leavePause)
 	}
-	c.observe("left", "released", c.coordinator.Released())
+	c.observe("left", "released", c.coordinator.ReadyToStop())
 }
 
 // SetSeeds exchanges the seeds, after a reload.
@@ -204,8 +204,8 @@
 		p = append(p, c.members[name].Address)
 	}
 	c.mutex.Unlock()
-	c.coordinator.SetContacts(contacts)
-	c.coordinator.SetRecorded(append(slices.Clone(recorded), p...))
+	c.coordinator.SetDiscovered(contacts)
+	c.coordinator.SetMemberAddresses(append(slices.Clone(recorded), p...))
 	for _, address := range recorded {
 		if !slices.Contains(contacts, address) {
 			contacts = append(contacts, address)
--- a/internal/controlplane/handlers.go
+++ b/internal/controlplane/handlers.go
@@ -24,25 +24,25 @@
 func (c *Controller) handlers() wire.Handlers {
 	return wire.Handlers{
 		wire.HelloPath: wire.HandlerFor(func(hello replication.Hello) (replication.Hello, error) {
-			return c.coordinator.Greet(hello), nil
+			return c.coordinator.HandleHello(hello), nil
 		}),
-		wire.PreparePath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Promise, error) {
+		wire.PreparePath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Vote, error) {
 			if err := c.checkIdentity(question.To); err != nil {
-				return replication.Promise{}, err
+				return replication.Vote{}, err
 			}
 			return c.witness.Prepare(c.runtime.Now(), question.Epoch, question.From)
 		}),
-		wire.AcceptPath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Promise, error) {
+		wire.AcceptPath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Vote, error) {
 			if err := c.checkIdentity(question.To); err != nil {
-				return replication.Promise{}, err
+				return replication.Vote{}, err
 			}
 			return c.witness.Accept(c.runtime.Now(), question.Membership)
 		}),
-		wire.ConfirmPath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Promise, error) {
+		wire.ConfirmPath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Vote, error) {
 			if err := c.checkIdentity(question.To); err != nil {
-				return replication.Promise{}, err
+				return replication.Vote{}, err
 			}
-			return c.witness.Confirm(c.runtime.Now(), question.Epoch, question.From), nil
+			return c.witness.RenewLease(c.runtime.Now(), question.Epoch, question.From), nil
 		}),
 		wire.ReplicatePath: wire.HandlerFor(func(question wire.ReplicateRequest) (wire.Empty, error) {
 			if err := c.checkIdentity(question.To); err != nil {
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -105,7 +105,7 @@
 	c.mutex.Unlock()
 	for _, name := range silent {
 		// Who has a seat is not forgotten before another has it.
-		if slices.ContainsFunc(membership.Electors(), func(replica replication.Replica) bool { return replica.Name == name }) || membership.Primary.Name == name {
+		if slices.ContainsFunc(membership.Voters(), func(replica replication.Replica) bool { return replica.Name == name }) || membership.Primary.Name == name {
 			continue
 		}
 		c.queue(replication.RemoveMember(name), func(version replication.Version, err error) {
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -22,21 +22,21 @@
 	return answer, err
 }
 
-func (p *peers) ask(address, path string, question wire.WitnessRequest) (replication.Promise, error) {
-	var promise replication.Promise
+func (p *peers) ask(address, path string, question wire.WitnessRequest) (replication.Vote, error) {
+	var promise replication.Vote
 	err := wire.Call(p.client, address, path, question, &promise, peerPatience)
 	return promise, err
 }
 
-func (p *peers) Prepare(address string, witness replication.Identity, epoch uint64, candidate replication.Identity) (replication.Promise, error) {
+func (p *peers) Prepare(address string, witness replication.Identity, epoch uint64, candidate replication.Identity) (replication.Vote, error) {
 	return p.ask(address, wire.PreparePath, wire.WitnessRequest{To: witness, From: candidate, Epoch: epoch})
 }
 
-func (p *peers) Accept(address string, witness replication.Identity, membership replication.Membership) (replication.Promise, error) {
+func (p *peers) Accept(address string, witness replication.Identity, membership replication.Membership) (replication.Vote, error) {
 	return p.ask(address, wire.AcceptPath, wire.WitnessRequest{To: witness, Membership: membership})
 }
 
-func (p *peers) Confirm(address string, witness replication.Identity, epoch uint64, primary replication.Identity) (replication.Promise, error) {
+func (p *peers) RenewLease(address string, witness replication.Identity, epoch uint64, primary replication.Identity) (replication.Vote, error) {
 	return p.ask(address, wire.ConfirmPath, wire.WitnessRequest{To: witness, From: primary, Epoch: epoch})
 }
 
--- a/internal/controlplane/redirector.go
+++ b/internal/controlplane/redirector.go
@@ -79,7 +79,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	candidates := []string{r.leader, r.membership.Primary.Address}
-	for _, replica := range slices.Concat(r.membership.Copies(), r.membership.Electors()) {
+	for _, replica := range slices.Concat(r.membership.InSyncReplicas(), r.membership.Voters()) {
 		candidates = append(candidates, replica.Address)
 	}
 	var addresses []string
--- a/internal/controlplane/redirector_test.go
+++ b/internal/controlplane/redirector_test.go
@@ -54,7 +54,7 @@
 	if found := NewRedirector(primary.runtime, formed, []string{"gone"}).Leader(); found != "" {
 		t.Errorf("found %q", found)
 	}
-	if greeted := primary.Coordinator().Greet(replication.Hello{}); greeted.Seat.Empty() {
+	if greeted := primary.Coordinator().HandleHello(replication.Hello{}); greeted.Replica.Empty() {
 		t.Error("a hello from nobody has no answer")
 	}
 }
--- a/internal/follower/ask.go
+++ b/internal/follower/ask.go
@@ -114,7 +114,7 @@
 	for _, backup := range f.membership.Backups() {
 		candidates = append(candidates, backup.Address)
 	}
-	for _, replica := range f.membership.Electors() {
+	for _, replica := range f.membership.Voters() {
 		candidates = append(candidates, replica.Address)
 	}
 	candidates = append(candidates, f.seeds...)
--- a/internal/follower/copystates.go
+++ b/internal/follower/copystates.go
@@ -50,10 +50,10 @@
 		}
 		spoken[said.copied.Identity], at[said.copied.Identity] = true, place
 	}
-	if membership.Blank() || !membership.Quorum(spoken) {
+	if membership.Blank() || !membership.HasQuorum(spoken) {
 		return "", version, false
 	}
-	for _, replica := range membership.Copies() {
+	for _, replica := range membership.InSyncReplicas() {
 		if !spoken[replica.Identity] {
 			if another, heard := c.said[replica.Address]; heard && now.Sub(another.at) <= copyFresh {
 				// Another disk is at its address: its own is lost.
--- a/internal/replication/acquaintance.go
+++ b/internal/replication/acquaintance.go
@@ -7,11 +7,11 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Own is the hello that this controller says.
-func (c *Coordinator) Own() Hello {
+// OwnHello is the hello that this controller says.
+func (c *Coordinator) OwnHello() Hello {
 	// These may wait for the disk, and nobody may wait for them.
 	membership, replica := c.witness.Membership(), c.witness.Replica()
-	blank, holder := membership.Blank(), c.witness.Holder()
+	blank, holder := membership.Blank(), c.witness.LeaseHolder()
 	version, damage := c.store.LocalReplica().Version(), c.store.LocalReplica().Damage()
 	left := c.witness.LeaseEnds().Sub(c.runtime.Now())
 	leads := c.HasLease()
@@ -20,87 +20,87 @@
 	if c.membership.Epoch > membership.Epoch {
 		membership = c.membership
 	}
-	if c.borne > 1 {
+	if c.lossesTolerated > 1 {
 		replica.Zone = c.zone
 	}
-	return Hello{Seat: replica, Kind: c.kind, Blank: blank, Restricted: c.restricted,
-		Membership: membership, Leads: leads, LeaseLeft: max(left, 0), Holder: holder,
+	return Hello{Replica: replica, Kind: c.kind, Blank: blank, Restricted: c.restricted,
+		Membership: membership, Leads: leads, LeaseLeft: max(left, 0), LeaseHolder: holder,
 		Version: version, Damage: damage, Leaving: c.leaving}
 }
 
-// Greet takes another's hello and answers it.
-func (c *Coordinator) Greet(hello Hello) Hello {
-	if hello.Seat.Empty() {
+// HandleHello takes another's hello and answers it.
+func (c *Coordinator) HandleHello(hello Hello) Hello {
+	if hello.Replica.Empty() {
 		// Somebody who only wants to know who leads.
-		return c.Own()
+		return c.OwnHello()
 	}
-	c.note(hello, false)
+	c.recordHello(hello, false)
 	membership := c.Membership()
 	c.mutex.Lock()
-	c.greeted = c.runtime.Now()
-	if hello.Leads && hello.Seat.Identity == membership.Primary.Identity {
-		c.ledBy = c.greeted
+	c.helloReceivedAt = c.runtime.Now()
+	if hello.Leads && hello.Replica.Identity == membership.Primary.Identity {
+		c.primaryHelloAt = c.helloReceivedAt
 	}
 	c.mutex.Unlock()
-	return c.Own()
+	return c.OwnHello()
 }
 
 // note takes a hello. A node that keeps nothing has no seat, but may know of a newer
 // membership.
-func (c *Coordinator) note(hello Hello, answered bool) {
+func (c *Coordinator) recordHello(hello Hello, answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if hello.Membership.Epoch > c.membership.Epoch {
 		c.membership = hello.Membership
 	}
-	if hello.Seat.Empty() || hello.Seat.Identity == c.witness.Replica().Identity {
+	if hello.Replica.Empty() || hello.Replica.Identity == c.witness.Replica().Identity {
 		return
 	}
-	known, found := c.known[hello.Seat.Identity]
+	status, found := c.peerStatuses[hello.Replica.Identity]
 	if !found {
-		known = &acquaintance{}
-		c.known[hello.Seat.Identity] = known
+		status = &peerStatus{}
+		c.peerStatuses[hello.Replica.Identity] = status
 	}
-	known.hello, known.lastSeen = hello, c.runtime.Now()
+	status.hello, status.lastSeen = hello, c.runtime.Now()
 	if answered {
-		known.answered = known.lastSeen
+		status.lastResponse = status.lastSeen
 	}
 }
 
-// greetAll says hello to every address that may have a controller.
-func (c *Coordinator) greetAll() {
-	own := c.Own()
-	if c.rests() {
+// exchangeHellos says hello to every address that may have a controller.
+func (c *Coordinator) exchangeHellos() {
+	own := c.OwnHello()
+	if c.skipsRound() {
 		return
 	}
-	if c.quiet() {
+	if c.followsPrimary() {
 		primary := c.Membership().Primary
 		if hello, err := c.peers.Hello(c.Address(primary), own); err == nil {
-			c.note(hello, true)
+			c.recordHello(hello, true)
 		}
 		return
 	}
 	addresses := map[string]bool{}
-	for _, replica := range c.Membership().Electors() {
+	for _, replica := range c.Membership().Voters() {
 		addresses[replica.Address] = true
 	}
 	c.mutex.Lock()
 	for _, address := range c.seeds {
 		addresses[address] = true
 	}
-	for _, address := range c.contacts {
+	for _, address := range c.discovered {
 		addresses[address] = true
 	}
-	for _, known := range c.known {
-		if c.runtime.Now().Sub(known.lastSeen) < time.Minute {
-			addresses[known.hello.Seat.Address] = true
+	for _, status := range c.peerStatuses {
+		if c.runtime.Now().Sub(status.lastSeen) < time.Minute {
+			addresses[status.hello.Replica.Address] = true
 		}
 	}
 	c.mutex.Unlock()
-	for _, address := range c.strangers() {
+	for _, address := range c.membersToGreet() {
 		addresses[address] = true
 	}
-	delete(addresses, own.Seat.Address)
+	delete(addresses, own.Replica.Address)
 	// One waits here only for those who should answer: the others' hellos are
 	// noted whenever they come.
 	var replicas []Replica
@@ -109,10 +109,10 @@
 	}
 	sort.Slice(replicas, func(left, right int) bool { return replicas[left].Address < replicas[right].Address })
 	answered := 0
-	gatherWithin(c.runtime, helloPatience, replicas, func(replica Replica) (Hello, error) {
+	gatherWithin(c.runtime, helloTimeout, replicas, func(replica Replica) (Hello, error) {
 		hello, err := c.peers.Hello(replica.Address, own)
 		if err == nil {
-			c.note(hello, true)
+			c.recordHello(hello, true)
 		}
 		return hello, err
 	}, func(_ Replica, _ Hello, err error) {
@@ -122,59 +122,59 @@
 	}, func() bool { return answered >= 2 })
 }
 
-// strangersPerRound is how many recorded members are greeted in a round while no majority
+// membersPerRound is how many recorded members are greeted in a round while no majority
 // of the witnesses answers. The rounds go through all of them in turn.
-const strangersPerRound = 3
+const membersPerRound = 3
 
 // strangers are recorded members to be greeted now: none while a majority of the
 // witnesses answers.
-func (c *Coordinator) strangers() []string {
+func (c *Coordinator) membersToGreet() []string {
 	membership := c.Membership()
-	if !membership.Blank() && c.reaches(membership) {
+	if !membership.Blank() && c.reachesQuorum(membership) {
 		return nil
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var strangers []string
-	for range min(strangersPerRound, len(c.recordedAt)) {
-		strangers = append(strangers, c.recordedAt[c.nextPeer%len(c.recordedAt)])
-		c.nextPeer++
+	var members []string
+	for range min(membersPerRound, len(c.memberAddresses)) {
+		members = append(members, c.memberAddresses[c.nextMember%len(c.memberAddresses)])
+		c.nextMember++
 	}
-	return strangers
+	return members
 }
 
-func (c *Coordinator) seenAt(address string) (Replica, bool) {
+func (c *Coordinator) applicantAt(address string) (Replica, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var found *acquaintance
-	for _, identity := range c.acquaintances() {
-		known := c.known[identity]
-		if known.hello.Seat.Address == address && (found == nil || known.lastSeen.After(found.lastSeen)) {
-			found = known
+	var found *peerStatus
+	for _, identity := range c.knownIdentities() {
+		status := c.peerStatuses[identity]
+		if status.hello.Replica.Address == address && (found == nil || status.lastSeen.After(found.lastSeen)) {
+			found = status
 		}
 	}
-	if found == nil || c.runtime.Now().Sub(found.lastSeen) > applicantFresh {
+	if found == nil || c.runtime.Now().Sub(found.lastSeen) > applicantFreshness {
 		return Replica{}, false
 	}
-	return found.hello.Seat, found.hello.Blank && found.hello.Kind == membership.Controller
+	return found.hello.Replica, found.hello.Blank && found.hello.Kind == membership.Controller
 }
 
 func (c *Coordinator) alive(identity Identity, fresh time.Duration) (Hello, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known, found := c.known[identity]
-	if !found || c.runtime.Now().Sub(known.answered) > fresh {
+	status, found := c.peerStatuses[identity]
+	if !found || c.runtime.Now().Sub(status.lastResponse) > fresh {
 		return Hello{}, false
 	}
-	return known.hello, true
+	return status.hello, true
 }
 
 // Address is where the seat's identity was heard from last.
 func (c *Coordinator) Address(replica Replica) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if known, found := c.known[replica.Identity]; found {
-		return known.hello.Seat.Address
+	if status, found := c.peerStatuses[replica.Identity]; found {
+		return status.hello.Replica.Address
 	}
 	return replica.Address
 }
@@ -186,8 +186,8 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, known := range c.known {
-		if known.hello.Seat.Address == address && c.runtime.Now().Sub(known.lastSeen) < applicantFresh {
+	for _, status := range c.peerStatuses {
+		if status.hello.Replica.Address == address && c.runtime.Now().Sub(status.lastSeen) < applicantFreshness {
 			return true
 		}
 	}
@@ -196,9 +196,9 @@
 
 // acquaintances are the identities that were ever heard, in order, so that the
 // same messages lead to the same choices. The caller has the mutex.
-func (c *Coordinator) acquaintances() []Identity {
-	identities := make([]Identity, 0, len(c.known))
-	for identity := range c.known {
+func (c *Coordinator) knownIdentities() []Identity {
+	identities := make([]Identity, 0, len(c.peerStatuses))
+	for identity := range c.peerStatuses {
 		identities = append(identities, identity)
 	}
 	sort.Slice(identities, func(left, right int) bool { return identities[left] < identities[right] })
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -18,11 +18,11 @@
 	}
 }
 
-// diskStalled tells whether a write to the own disk takes longer than diskPatience.
+// diskStalled tells whether a write to the own disk takes longer than diskTimeout.
 func (c *Coordinator) diskStalled() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.diskBusy.IsZero() && c.runtime.Now().Sub(c.diskBusy) > diskPatience
+	return !c.diskBusy.IsZero() && c.runtime.Now().Sub(c.diskBusy) > diskTimeout
 }
 
 // RecordBackupResult tells the coordinator how the last write to a backup ended.
@@ -31,13 +31,13 @@
 	defer c.mutex.Unlock()
 	if ok {
 		delete(c.backupFails, backup)
-	} else if _, known := c.backupFails[backup]; !known {
+	} else if _, status := c.backupFails[backup]; !status {
 		c.backupFails[backup] = c.runtime.Now()
 	}
 }
 
 // backupFailing tells whether a backup's writes have failed for longer than
-// Timing.BackupSilence.
+// Timing.BackupTimeout.
 func (c *Coordinator) backupFailing(backup Identity) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -46,8 +46,8 @@
 
 // backupFailingLocked is backupFailing for a caller that has the mutex.
 func (c *Coordinator) backupFailingLocked(backup Identity) bool {
-	since, known := c.backupFails[backup]
-	return known && c.runtime.Now().Sub(since) > c.timing.BackupSilence
+	since, status := c.backupFails[backup]
+	return status && c.runtime.Now().Sub(since) > c.timing.BackupTimeout
 }
 
 // healthyBackups lists the backups that respond in time, undamaged and unrestricted, and whose
@@ -55,7 +55,7 @@
 func (c *Coordinator) healthyBackups(membership Membership) []Replica {
 	var healthy []Replica
 	for _, replica := range membership.Backups() {
-		hello, seen := c.alive(replica.Identity, c.timing.BackupSilence+c.timing.Beat)
+		hello, seen := c.alive(replica.Identity, c.timing.BackupTimeout+c.timing.MaxHeartbeatGap)
 		if seen && hello.Damage == "" && !hello.Restricted && !c.backupFailing(replica.Identity) {
 			healthy = append(healthy, replica)
 		}
@@ -68,7 +68,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, replica := range backups {
-		if known, found := c.known[replica.Identity]; found && known.hello.Leaving {
+		if status, found := c.peerStatuses[replica.Identity]; found && status.hello.Leaving {
 			return true
 		}
 	}
@@ -81,20 +81,20 @@
 // nothing that is not on all of them.
 func (c *Coordinator) ensureBackups() {
 	membership := c.Membership()
-	wanted := c.wanted()
+	wanted := c.wantedBackups()
 	c.mutex.Lock()
 	restricted := c.restricted
 	c.mutex.Unlock()
 	healthy := c.healthyBackups(membership)
-	complete := !membership.Backup.Empty() && !c.unsettled && len(healthy) == len(membership.Backups())
+	complete := !membership.Backup.Empty() && !c.membershipUnknown && len(healthy) == len(membership.Backups())
 	if complete && len(healthy) >= wanted && !c.anyLeaving(healthy) && !c.canSpreadZones(membership, wanted) {
 		if restricted {
-			c.handOver(membership)
+			c.transferLeadership(membership)
 		}
 		return
 	}
 	candidates := c.backupCandidates(membership, wanted)
-	if !c.unsettled && !membership.Backup.Empty() && c.noBetterBackups(membership, healthy, candidates, wanted) {
+	if !c.membershipUnknown && !membership.Backup.Empty() && c.noBetterBackups(membership, healthy, candidates, wanted) {
 		return
 	}
 	if complete && !c.installAhead(membership, candidates, wanted) {
@@ -105,14 +105,14 @@
 		if !leading {
 			return
 		}
-		c.unsettled = true
+		c.membershipUnknown = true
 		installed := c.installSnapshot(membership, snapshot, candidates, wanted)
 		if c.mayGrant(membership, installed, wanted) {
 			c.grantPair(installed)
 			return
 		}
 	}
-	if c.unsettled && c.witness.Membership().Primary.Identity == c.witness.Replica().Identity {
+	if c.membershipUnknown && c.witness.Membership().Primary.Identity == c.witness.Replica().Identity {
 		c.grantAlone(len(candidates) == 0 && c.shortOfReplicas())
 	}
 }
@@ -121,62 +121,62 @@
 // continue from this replica. Only if it leads hidden and there is nobody else does it give
 // up the backups that count as in sync.
 func (c *Coordinator) grantAlone(alone bool) {
-	won, err := c.elect(func(base Membership) (Membership, bool) {
+	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		if base.Primary.Identity != c.witness.Replica().Identity {
 			return base, false
 		}
 		if c.store.Hidden() && alone {
-			return base.With(c.recorded(c.witness.Replica()), nil), true
+			return base.WithReplicas(c.withZone(c.witness.Replica()), nil), true
 		}
-		base.Primary = c.recorded(c.witness.Replica())
+		base.Primary = c.withZone(c.witness.Replica())
 		return base, true
 	})
 	if failure.CodeOf(err) == failure.Deposed {
-		c.resign("deposed", won)
+		c.stepDown("deposed", won)
 	} else if err == nil {
 		if won.Backup.Empty() {
 			c.store.Show(won.Epoch)
 		} else {
 			c.store.SetEpoch(won.Epoch)
 		}
-		c.confirm(won)
+		c.renewLease(won)
 	}
 }
 
 // grantPair asks for the membership in which the installed replicas are the backups, and
 // resumes commits with it.
 func (c *Coordinator) grantPair(installed []Replica) {
-	won, err := c.elect(func(base Membership) (Membership, bool) {
+	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		if base.Primary.Identity != c.witness.Replica().Identity {
 			return base, false
 		}
-		return base.With(c.recorded(c.witness.Replica()), installed), true
+		return base.WithReplicas(c.withZone(c.witness.Replica()), installed), true
 	})
 	if err != nil {
 		c.observe("pair_not_granted", "backups", installed, "cause", err)
 		if failure.CodeOf(err) == failure.Deposed {
-			c.resign("deposed", won)
+			c.stepDown("deposed", won)
 		}
 		return
 	}
-	c.unsettled = false
+	c.membershipUnknown = false
 	c.shortSince = time.Time{}
 	for _, replica := range installed {
 		c.RecordBackupResult(replica.Identity, true)
 	}
 	c.store.ResumeCommits(won.Epoch)
 	c.observe("pair_granted", "epoch", won.Epoch, "backups", installed)
-	c.confirm(won)
+	c.renewLease(won)
 }
 
 // shortOfReplicas tells whether replicas have been too few for longer than the primary waits
-// (Timing.FewerCopies).
+// (Timing.ReplacementTimeout).
 func (c *Coordinator) shortOfReplicas() bool {
 	now := c.runtime.Now()
 	if c.shortSince.IsZero() {
 		c.shortSince = now
 	}
-	return now.Sub(c.shortSince) >= c.timing.FewerCopies
+	return now.Sub(c.shortSince) >= c.timing.ReplacementTimeout
 }
 
 // mayGrant tells whether the installed replicas may become the backups: they are no fewer
@@ -209,7 +209,7 @@
 			continue
 		}
 		// One that is only restricted, while no other can be had, may stay.
-		hello, alive := c.alive(replica.Identity, c.timing.BackupSilence+c.timing.Beat)
+		hello, alive := c.alive(replica.Identity, c.timing.BackupTimeout+c.timing.MaxHeartbeatGap)
 		if !alive || hello.Damage != "" || c.backupFailing(replica.Identity) {
 			return false
 		}
@@ -224,11 +224,11 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var old []Replica
-	for _, identity := range c.acquaintances() {
-		known := c.known[identity]
-		fresh := c.runtime.Now().Sub(known.lastSeen) < applicantFresh && !c.superseded(known)
-		if fresh && known.hello.Kind == membership.Controller && !m.InSync(identity) && known.hello.Version.Before(version) {
-			old = append(old, known.hello.Seat)
+	for _, identity := range c.knownIdentities() {
+		status := c.peerStatuses[identity]
+		fresh := c.runtime.Now().Sub(status.lastSeen) < applicantFreshness && !c.superseded(status)
+		if fresh && status.hello.Kind == membership.Controller && !m.InSync(identity) && status.hello.Version.Before(version) {
+			old = append(old, status.hello.Replica)
 		}
 	}
 	return old
@@ -236,9 +236,9 @@
 
 // superseded tells whether another disk was heard at the acquaintance's address
 // since: the old one is gone. The caller has the mutex.
-func (c *Coordinator) superseded(known *acquaintance) bool {
-	for _, other := range c.known {
-		if other != known && other.hello.Seat.Address == known.hello.Seat.Address && other.lastSeen.After(known.lastSeen) {
+func (c *Coordinator) superseded(status *peerStatus) bool {
+	for _, other := range c.peerStatuses {
+		if other != status && other.hello.Replica.Address == status.hello.Replica.Address && other.lastSeen.After(status.lastSeen) {
 			return true
 		}
 	}
--- a/internal/replication/candidates.go
+++ b/internal/replication/candidates.go
@@ -34,16 +34,16 @@
 
 // backupCandidates lists the controllers that could be backups, the best first.
 func (c *Coordinator) backupCandidates(membership Membership, wanted int) []Replica {
-	copies := membership.With(c.recorded(c.witness.Replica()), membership.Backups()).Copies()
+	copies := membership.WithReplicas(c.withZone(c.witness.Replica()), membership.Backups()).InSyncReplicas()
 	var candidates []backupCandidate
 	c.mutex.Lock()
-	for _, identity := range c.acquaintances() {
-		known := c.known[identity]
+	for _, identity := range c.knownIdentities() {
+		known := c.peerStatuses[identity]
 		if rank, may := c.rank(membership, known, wanted > 1); may {
 			candidates = append(candidates, backupCandidate{
-				replica:      known.hello.Seat,
+				replica:      known.hello.Replica,
 				rank:         rank,
-				zoneReplicas: countInZone(copies, known.hello.Seat.Zone),
+				zoneReplicas: countInZone(copies, known.hello.Replica.Zone),
 			})
 		}
 	}
@@ -56,7 +56,7 @@
 	})
 	ordered := make([]Replica, 0, len(candidates))
 	for _, candidate := range candidates {
-		ordered = append(ordered, c.recorded(candidate.replica))
+		ordered = append(ordered, c.withZone(candidate.replica))
 	}
 	if wanted > 1 {
 		spreadZones(ordered, copies[0].Zone, wanted)
@@ -66,17 +66,17 @@
 
 // rank tells how well an acquaintance would do as a backup, or false if it can't be one.
 // The caller has the mutex.
-func (c *Coordinator) rank(m Membership, known *acquaintance, several bool) (int, bool) {
+func (c *Coordinator) rank(m Membership, known *peerStatus, several bool) (int, bool) {
 	now := c.runtime.Now()
-	identity, silence := known.hello.Seat.Identity, now.Sub(known.answered)
-	if known.hello.Kind != membership.Controller || silence >= c.timing.BackupSilence+c.timing.Beat {
+	identity, silence := known.hello.Replica.Identity, now.Sub(known.lastResponse)
+	if known.hello.Kind != membership.Controller || silence >= c.timing.BackupTimeout+c.timing.MaxHeartbeatGap {
 		return 0, false
 	}
 	failing := c.backupFailingLocked(identity)
 	present := hasReplica(m.Backups(), identity)
 	rank := rankOther
 	switch {
-	case known.hello.Restricted && !several && !m.Backup.Empty() && !c.backupFailingLocked(m.Backup.Identity) && !c.unsettled:
+	case known.hello.Restricted && !several && !m.Backup.Empty() && !c.backupFailingLocked(m.Backup.Identity) && !c.membershipUnknown:
 		// A backup that works is not exchanged for a restricted one.
 		return 0, false
 	case known.hello.Restricted:
@@ -90,16 +90,16 @@
 		rank = rankFailing
 	case present:
 		rank = rankPresent
-	case m.Keeps(identity) && !several:
+	case m.HasVoter(identity) && !several:
 		rank = rankWitness
 	}
-	if failed, tried := c.installFails[identity]; tried && now.Sub(failed) < applicantFresh {
+	if failed, tried := c.installFails[identity]; tried && now.Sub(failed) < applicantFreshness {
 		rank += penaltyInstallFailed
 	}
 	if known.hello.Leaving {
 		rank += penaltyLeaving
 	}
-	if silence > staleAnswer {
+	if silence > responseFreshness {
 		rank += penaltyStale
 	}
 	return rank, true
@@ -137,7 +137,7 @@
 	if wanted == 1 {
 		return false
 	}
-	zone := c.recorded(c.witness.Replica()).Zone
+	zone := c.withZone(c.witness.Replica()).Zone
 	if countInZone(membership.Backups(), zone) < len(membership.Backups()) {
 		return false
 	}
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -13,33 +13,33 @@
 	// leaseDrift is taken off the primary's own hold for clocks that run at
 	// different speeds.
 	leaseDrift = 150 * time.Millisecond
-	// diskPatience is how long one write to the primary's own disk may take
+	// diskTimeout is how long one write to the primary's own disk may take
 	// before it lets the backup take over.
-	diskPatience = 1500 * time.Millisecond
-	// unheardPatience is how long a primary may be greeted by nobody, while it
+	diskTimeout = 1500 * time.Millisecond
+	// inboundTimeout is how long a primary may be greeted by nobody, while it
 	// reaches its backup, before it hands over.
-	unheardPatience = 1500 * time.Millisecond
-	// deafMargin is how much longer than a lease a primary that hears nobody keeps silent
+	inboundTimeout = 1500 * time.Millisecond
+	// silentMargin is how much longer than a lease a primary that hears nobody keeps silent
 	// between two tries: past the holds that its keepers may have renewed, and long enough
 	// for the backup to notice.
-	deafMargin = 700 * time.Millisecond
-	// applicantFresh is how long a newcomer's hello counts.
-	applicantFresh = 3 * time.Second
-	// staleAnswer is after which silence a candidate is tried after the others.
-	staleAnswer = 700 * time.Millisecond
-	// standTurn is how long a copy in sync lets another that goes before it stand.
-	standTurn = 200 * time.Millisecond
-	// installPatience is after how long another candidate is tried beside the one
+	silentMargin = 700 * time.Millisecond
+	// applicantFreshness is how long a newcomer's hello counts.
+	applicantFreshness = 3 * time.Second
+	// responseFreshness is after which silence a candidate is tried after the others.
+	responseFreshness = 700 * time.Millisecond
+	// candidateStagger is how long a copy in sync lets another that goes before it stand.
+	candidateStagger = 200 * time.Millisecond
+	// installTimeout is after how long another candidate is tried beside the one
 	// whose disk takes its time.
-	installPatience = 600 * time.Millisecond
-	// helloPatience is how long a round of hellos is waited for: a machine without
+	installTimeout = 600 * time.Millisecond
+	// helloTimeout is how long a round of hellos is waited for: a machine without
 	// power must not hold up the others' election.
-	helloPatience = 150 * time.Millisecond
-	// seatPatience is how long a controller that leaves waits for another to take its
+	helloTimeout = 150 * time.Millisecond
+	// witnessHandoverTimeout is how long a controller that leaves waits for another to take its
 	// witness's seat, once its copy does not count any more.
-	seatPatience = time.Second
-	// slowAnswer is how long a hello that came after its round counts in the next.
-	slowAnswer = 450 * time.Millisecond
+	witnessHandoverTimeout = time.Second
+	// slowResponseFreshness is how long a hello that came after its round counts in the next.
+	slowResponseFreshness = 450 * time.Millisecond
 )
 
 // Coordinator decides who is primary, backup and keeper, from one controller's
@@ -54,53 +54,53 @@
 	observe func(event string, detail ...any)
 	timing  Timing
 
-	mutex      sync.Mutex
-	leaseEnds  time.Time
-	membership Membership
-	restricted bool
-	known      map[Identity]*acquaintance
-	contacts   []string
-	recordedAt []string
-	nextPeer   int
-	borne      int
-	zone       string
-	backupList bool
-	joinsOnly  bool
+	mutex           sync.Mutex
+	leaseEnds       time.Time
+	membership      Membership
+	restricted      bool
+	peerStatuses    map[Identity]*peerStatus
+	discovered      []string
+	memberAddresses []string
+	nextMember      int
+	lossesTolerated int
+	zone            string
+	backupList      bool
+	joinOnly        bool
 
-	unsettled    bool
-	outrun       bool
-	unconfirmed  bool
-	backupFails  map[Identity]time.Time
-	installFails map[Identity]time.Time
-	shortSince   time.Time
-	diskBusy     time.Time
-	confirming   time.Time
-	greeted      time.Time
-	ledBy        time.Time
-	roundAt      time.Time
-	confirmedAt  time.Time
-	freeFrom     time.Time
-	leadsFrom    time.Time
-	leaving      bool
-	copyLeftAt   time.Time
-	backoff      time.Time
-	ballot       uint64
+	membershipUnknown bool
+	higherPromiseSeen bool
+	renewalFailed     bool
+	backupFails       map[Identity]time.Time
+	installFails      map[Identity]time.Time
+	shortSince        time.Time
+	diskBusy          time.Time
+	renewalSentAt     time.Time
+	helloReceivedAt   time.Time
+	primaryHelloAt    time.Time
+	roundStartedAt    time.Time
+	renewedAt         time.Time
+	quorumFreeSince   time.Time
+	leadsSince        time.Time
+	leaving           bool
+	outOfSyncSince    time.Time
+	backoff           time.Time
+	highestEpoch      uint64
 	// overtaken is the highest epoch that a keeper told when it refused a hold.
-	overtaken uint64
+	highestRefused uint64
 }
 
 // acquaintance is another controller: when it was heard last, and when it
 // answered last, which shows that it can be reached, too.
-type acquaintance struct {
-	hello    Hello
-	lastSeen time.Time
-	answered time.Time
+type peerStatus struct {
+	hello        Hello
+	lastSeen     time.Time
+	lastResponse time.Time
 }
 
 // NewCoordinator makes the steward of one controller.
 func NewCoordinator(rt runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
 	return &Coordinator{runtime: rt, seeds: seeds, kind: membership.Controller, witness: witness, store: store, peers: peers,
-		observe: observe, timing: TimingFor(DefaultCatchUp), known: map[Identity]*acquaintance{}, borne: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
+		observe: observe, timing: TimingFor(DefaultCatchUp), peerStatuses: map[Identity]*peerStatus{}, lossesTolerated: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
 }
 
 // HasLease tells whether this controller is primary at this moment: its own hold
@@ -129,28 +129,28 @@
 	if primary.Empty() || primary.Identity == c.witness.Replica().Identity {
 		return
 	}
-	if hello, err := c.peers.Hello(c.Address(primary), c.Own()); err == nil {
-		c.note(hello, true)
+	if hello, err := c.peers.Hello(c.Address(primary), c.OwnHello()); err == nil {
+		c.recordHello(hello, true)
 	}
 }
 
-// Released tells whether nothing depends on this controller any more: it leads not, no
+// ReadyToStop tells whether nothing depends on this controller any more: it leads not, no
 // membership counts its copy, and another has its witness's seat. A seat for which nobody
 // came for a while goes with it.
-func (c *Coordinator) Released() bool {
+func (c *Coordinator) ReadyToStop() bool {
 	own, membership := c.witness.Replica().Identity, c.Membership()
 	if c.store.Leading() || membership.InSync(own) {
 		return false
 	}
-	if !membership.Keeps(own) {
+	if !membership.HasVoter(own) {
 		return true
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.copyLeftAt.IsZero() {
-		c.copyLeftAt = c.runtime.Now()
+	if c.outOfSyncSince.IsZero() {
+		c.outOfSyncSince = c.runtime.Now()
 	}
-	return len(membership.Incoming) == 0 && c.runtime.Now().Sub(c.copyLeftAt) >= seatPatience
+	return len(membership.Incoming) == 0 && c.runtime.Now().Sub(c.outOfSyncSince) >= witnessHandoverTimeout
 }
 
 func (c *Coordinator) isLeaving() bool {
@@ -159,28 +159,28 @@
 	return c.leaving
 }
 
-// JoinOnly keeps this controller from forming a first core: there is one already,
+// SetJoinOnly keeps this controller from forming a first core: there is one already,
 // which a blank disk joins, whatever the seeds are.
-func (c *Coordinator) JoinOnly() {
+func (c *Coordinator) SetJoinOnly() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.joinsOnly = true
+	c.joinOnly = true
 }
 
-// SetContacts gives addresses besides the seeds and the membership's to say hello
+// SetDiscovered gives addresses besides the seeds and the membership's to say hello
 // to, as the platform lists them.
-func (c *Coordinator) SetContacts(addresses []string) {
+func (c *Coordinator) SetDiscovered(addresses []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.contacts = addresses
+	c.discovered = addresses
 }
 
-// SetRecorded gives the addresses of the recorded members, the likeliest to know the
+// SetMemberAddresses gives the addresses of the recorded members, the likeliest to know the
 // core first. They are greeted while no majority of the witnesses answers.
-func (c *Coordinator) SetRecorded(addresses []string) {
+func (c *Coordinator) SetMemberAddresses(addresses []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.recordedAt = addresses
+	c.memberAddresses = addresses
 }
 
 // Membership is the newest membership that this controller has heard of.
@@ -196,53 +196,53 @@
 
 // Tick does the next thing that is due.
 func (c *Coordinator) Tick() {
-	c.greetAll()
+	c.exchangeHellos()
 	switch {
 	case c.witness.Membership().Blank() && c.Membership().Blank():
-		c.form()
+		c.bootstrap()
 	case c.store.Leading():
-		c.lead()
+		c.tickPrimary()
 	default:
-		c.watch()
+		c.tickStandby()
 	}
 }
 
 // lead is what the primary does: renew its hold, keep a backup in sync, keep
 // three keepers, and hand over when it is restricted.
-func (c *Coordinator) lead() {
+func (c *Coordinator) tickPrimary() {
 	membership := c.Membership()
 	own := c.witness.Replica()
 	if membership.Primary.Identity != own.Identity {
-		c.resign("deposed", membership)
+		c.stepDown("deposed", membership)
 		return
 	}
 	if c.diskStalled() {
 		// Its keepers are no longer asked, so that the backup may take over.
 		return
 	}
-	if c.deaf() || c.unconfirmed && !c.reaches(membership) {
+	if c.receivesNothing() || c.renewalFailed && !c.reachesQuorum(membership) {
 		return
 	}
-	if c.confirmDue() {
-		c.unconfirmed = !c.confirm(membership)
+	if c.renewalDue() {
+		c.renewalFailed = !c.renewLease(membership)
 	}
 	if !c.store.Leading() {
 		return
 	}
-	if c.isLeaving() && !membership.Backup.Empty() && !c.unsettled {
-		c.handOver(membership)
+	if c.isLeaving() && !membership.Backup.Empty() && !c.membershipUnknown {
+		c.transferLeadership(membership)
 		return
 	}
-	if c.unheardOf(membership) {
+	if c.inboundCut(membership) {
 		c.observe("hands_over", "cause", "nobody reaches this expediter")
-		c.handOver(membership)
+		c.transferLeadership(membership)
 		return
 	}
-	if c.outrun && !c.unsettled {
-		c.regrant(membership)
+	if c.higherPromiseSeen && !c.membershipUnknown {
+		c.reproposeMembership(membership)
 	}
 	c.ensureBackups()
-	c.ensureWitnesses()
+	c.reconcileWitnesses()
 }
 
 // SetTiming chooses the waits of the core. It comes before any other use.
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -9,21 +9,21 @@
 
 // form begins the first core: only from the first seed, only when all three seeds
 // are blank, and never where there is said to be a core already.
-func (c *Coordinator) form() {
+func (c *Coordinator) bootstrap() {
 	own := c.witness.Replica()
 	c.mutex.Lock()
-	seeds, joinsOnly := c.seeds, c.joinsOnly
+	seeds, joinsOnly := c.seeds, c.joinOnly
 	c.mutex.Unlock()
 	if joinsOnly || len(seeds) != 3 || seeds[0] != own.Address {
 		return
 	}
 	replicas := []Replica{own}
 	for _, address := range seeds[1:] {
-		replica, blank := c.seenAt(address)
+		replica, blank := c.applicantAt(address)
 		if !blank {
 			return
 		}
-		replicas = append(replicas, c.recorded(replica))
+		replicas = append(replicas, c.withZone(replica))
 	}
 	membership := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
 	if _, err := c.witness.Accept(c.runtime.Now(), membership); err != nil {
@@ -37,14 +37,14 @@
 }
 
 // watch is what a copy in sync does while another is primary, or none is.
-func (c *Coordinator) watch() {
+func (c *Coordinator) tickStandby() {
 	m := c.Membership()
 	own := c.witness.Replica()
 	now := c.runtime.Now()
 	if !m.InSync(own.Identity) || c.store.LocalReplica().Damage() != "" || now.Before(c.backoff) {
 		return
 	}
-	if c.quiet() || c.isLeaving() && c.otherInSyncAlive(m) {
+	if c.followsPrimary() || c.isLeaving() && c.otherCandidateAlive(m) {
 		return
 	}
 	// A candidate that nobody can elect yet would only disturb the primary, so
@@ -53,49 +53,51 @@
 	c.mutex.Lock()
 	restricted := c.restricted
 	c.mutex.Unlock()
-	stands := func(hello Hello) bool { return !hello.Leads && (hello.LeaseLeft == 0 || hello.Holder == own.Identity) }
-	gatherWithin(c.runtime, helloPatience, m.Electors(), func(replica Replica) (Hello, error) {
+	permits := func(hello Hello) bool {
+		return !hello.Leads && (hello.LeaseLeft == 0 || hello.LeaseHolder == own.Identity)
+	}
+	gatherWithin(c.runtime, helloTimeout, m.Voters(), func(replica Replica) (Hello, error) {
 		if replica.Identity == own.Identity {
-			return c.Own(), nil
+			return c.OwnHello(), nil
 		}
-		hello, err := c.peers.Hello(c.Address(replica), c.Own())
+		hello, err := c.peers.Hello(c.Address(replica), c.OwnHello())
 		if err == nil {
-			c.note(hello, true)
+			c.recordHello(hello, true)
 		}
 		return hello, err
 	}, func(replica Replica, hello Hello, err error) {
-		if err == nil && hello.Seat.Identity == replica.Identity {
-			free[replica.Identity] = stands(hello)
+		if err == nil && hello.Replica.Identity == replica.Identity {
+			free[replica.Identity] = permits(hello)
 		}
-	}, func() bool { return m.Quorum(free) })
-	for _, replica := range m.Electors() {
+	}, func() bool { return m.HasQuorum(free) })
+	for _, replica := range m.Voters() {
 		// One that is slow has told it in the round before.
-		if _, told := free[replica.Identity]; !told {
-			if hello, alive := c.alive(replica.Identity, slowAnswer); alive {
-				free[replica.Identity] = stands(hello)
+		if _, responded := free[replica.Identity]; !responded {
+			if hello, alive := c.alive(replica.Identity, slowResponseFreshness); alive {
+				free[replica.Identity] = permits(hello)
 			}
 		}
 	}
-	if !m.Quorum(free) {
-		c.freeFrom = time.Time{}
+	if !m.HasQuorum(free) {
+		c.quorumFreeSince = time.Time{}
 		return
 	}
-	if c.letsOthersStand(m) {
+	if c.defersCandidacy(m) {
 		return
 	}
 	if restricted {
 		// It takes over only when the other copy in sync cannot, and then hands
 		// over as soon as a capable controller is in sync.
 		c.backoff = now.Add(2 * time.Second)
-		if c.otherInSyncAlive(m) {
+		if c.otherCandidateAlive(m) {
 			return
 		}
 	}
-	won, err := c.elect(func(base Membership) (Membership, bool) {
+	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		if !base.InSync(own.Identity) {
 			return base, false
 		}
-		return base.With(c.recorded(own), c.remaining(base)), true
+		return base.WithReplicas(c.withZone(own), c.backupsAfterTakeover(base)), true
 	})
 	if err != nil {
 		// Two candidates part by different patience.
@@ -111,15 +113,15 @@
 		c.observe("lead_failed", "cause", err)
 		return
 	}
-	c.unsettled = c.store.Hidden()
+	c.membershipUnknown = c.store.Hidden()
 	c.shortSince = time.Time{}
 	c.mutex.Lock()
-	c.leadsFrom = c.runtime.Now()
+	c.leadsSince = c.runtime.Now()
 	clear(c.backupFails)
 	clear(c.installFails)
 	c.mutex.Unlock()
 	c.observe("became_primary", "epoch", won.Epoch)
-	c.confirm(won)
+	c.renewLease(won)
 	c.ensureBackups()
 }
 
@@ -127,9 +129,9 @@
 // does: the new primary is alone until it has another, and shows what it has. Of
 // more all do, since a second loss must find them: nothing is shown until they are
 // the same. So does the old primary of a pair that handed over and is still there.
-func (c *Coordinator) remaining(membership Membership) []Replica {
-	if len(membership.Copies()) < 3 {
-		if _, alive := c.alive(membership.Backup.Identity, staleAnswer); alive && membership.Primary.Identity == c.witness.Replica().Identity {
+func (c *Coordinator) backupsAfterTakeover(membership Membership) []Replica {
+	if len(membership.InSyncReplicas()) < 3 {
+		if _, alive := c.alive(membership.Backup.Identity, responseFreshness); alive && membership.Primary.Identity == c.witness.Replica().Identity {
 			return membership.Backups()
 		}
 		return nil
@@ -143,36 +145,36 @@
 	return others
 }
 
-// letsOthersStand tells whether a copy in sync that goes before this one has been
+// defersCandidacy tells whether a copy in sync that goes before this one has been
 // heard a moment ago and has its turn to stand: several candidates at once would
 // only take promises from each other.
-func (c *Coordinator) letsOthersStand(membership Membership) bool {
-	if len(membership.Copies()) < 3 {
+func (c *Coordinator) defersCandidacy(membership Membership) bool {
+	if len(membership.InSyncReplicas()) < 3 {
 		return false
 	}
 	now := c.runtime.Now()
-	if c.freeFrom.IsZero() {
-		c.freeFrom = now
+	if c.quorumFreeSince.IsZero() {
+		c.quorumFreeSince = now
 	}
 	before := time.Duration(0)
-	for _, replica := range membership.Copies() {
+	for _, replica := range membership.InSyncReplicas() {
 		if replica.Identity == c.witness.Replica().Identity {
 			break
 		}
-		if hello, alive := c.alive(replica.Identity, staleAnswer); alive && !hello.Restricted && hello.Damage == "" {
+		if hello, alive := c.alive(replica.Identity, responseFreshness); alive && !hello.Restricted && hello.Damage == "" {
 			before++
 		}
 	}
-	return now.Sub(c.freeFrom) < before*standTurn
+	return now.Sub(c.quorumFreeSince) < before*candidateStagger
 }
 
-// otherInSyncAlive tells whether the other copy in sync can take over: its node is
+// otherCandidateAlive tells whether the other copy in sync can take over: its node is
 // there, lacks no flag, and its copy is whole.
-func (c *Coordinator) otherInSyncAlive(membership Membership) bool {
+func (c *Coordinator) otherCandidateAlive(membership Membership) bool {
 	own := c.witness.Replica().Identity
-	for _, replica := range membership.Copies() {
+	for _, replica := range membership.InSyncReplicas() {
 		if replica.Identity != own {
-			if hello, alive := c.alive(replica.Identity, applicantFresh); alive && !hello.Restricted && hello.Damage == "" {
+			if hello, alive := c.alive(replica.Identity, applicantFreshness); alive && !hello.Restricted && hello.Damage == "" {
 				return true
 			}
 		}
@@ -182,110 +184,110 @@
 
 // elect asks for the next epoch: first for promises, by which the newest
 // membership is found, then for acceptance of the membership made from it.
-func (c *Coordinator) elect(make func(base Membership) (Membership, bool)) (Membership, error) {
+func (c *Coordinator) proposeMembership(alter func(base Membership) (Membership, bool)) (Membership, error) {
 	base := c.witness.Membership()
-	if known := c.Membership(); known.Epoch > base.Epoch {
-		base = known
+	if newest := c.Membership(); newest.Epoch > base.Epoch {
+		base = newest
 	}
 	own := c.witness.Replica().Identity
-	b := newBallot(own, max(base.Epoch, c.witness.Promised(), c.ballot)+1, base)
-	if err := c.store.PromiseEpoch(c.runtime.Now(), b.epoch, own); err != nil {
+	p := newProposal(own, max(base.Epoch, c.witness.Promised(), c.highestEpoch)+1, base)
+	if err := c.store.PromiseEpoch(c.runtime.Now(), p.epoch, own); err != nil {
 		return base, err
 	}
 	for {
-		replicas := b.unasked()
+		replicas := p.unpolledWitnesses()
 		if len(replicas) == 0 {
 			break
 		}
-		c.gatherPromises(b, replicas)
-		c.ballot = max(c.ballot, b.highest)
-		if !b.hasPromises() {
-			return b.newest, failure.New(failure.NoPrimary, "no quorum of keepers promised the epoch")
+		c.preparePhase(p, replicas)
+		c.highestEpoch = max(c.highestEpoch, p.highestSeen)
+		if !p.hasPromiseQuorum() {
+			return p.newest, failure.New(failure.NoPrimary, "no quorum of keepers promised the epoch")
 		}
-		if !b.rebase() {
+		if !p.rebase() {
 			break
 		}
 	}
-	if err := b.propose(make); err != nil {
-		return b.base, err
+	if err := p.choose(alter); err != nil {
+		return p.base, err
 	}
-	c.gatherAcceptances(b)
-	c.ballot = max(c.ballot, b.highest)
-	if !b.isGranted() {
-		return b.base, failure.New(failure.Unknown, "no quorum of keepers accepted the charter")
+	c.acceptPhase(p)
+	c.highestEpoch = max(c.highestEpoch, p.highestSeen)
+	if !p.hasAcceptQuorum() {
+		return p.base, failure.New(failure.Unknown, "no quorum of keepers accepted the charter")
 	}
 	c.mutex.Lock()
-	c.membership = b.next
+	c.membership = p.next
 	c.mutex.Unlock()
-	return b.next, nil
+	return p.next, nil
 }
 
-// gatherPromises asks witnesses for their promise until a majority has given it.
-func (c *Coordinator) gatherPromises(b *ballot, replicas []Replica) {
-	current := b.base
-	gather(c.runtime, replicas, func(replica Replica) (Promise, error) {
-		if replica.Identity == b.candidate {
+// preparePhase asks witnesses for their promise until a majority has given it.
+func (c *Coordinator) preparePhase(p *proposal, replicas []Replica) {
+	current := p.base
+	gather(c.runtime, replicas, func(replica Replica) (Vote, error) {
+		if replica.Identity == p.candidate {
 			// The vow has promised this epoch on the own disk already.
-			return Promise{Witness: replica.Identity, Granted: true, Membership: c.witness.Membership()}, nil
+			return Vote{Witness: replica.Identity, Granted: true, Membership: c.witness.Membership()}, nil
 		}
-		promise, err := c.peers.Prepare(c.Address(replica), replica.Identity, b.epoch, b.candidate)
-		if err == nil && promise.Refusal == failure.NotAdmitted && current.Keeps(replica.Identity) {
+		promise, err := c.peers.Prepare(c.Address(replica), replica.Identity, p.epoch, p.candidate)
+		if err == nil && promise.Refusal == failure.NotAdmitted && current.HasVoter(replica.Identity) {
 			// It was named a keeper and has not heard of it.
 			if _, err := c.peers.Accept(c.Address(replica), replica.Identity, current); err == nil {
-				return c.peers.Prepare(c.Address(replica), replica.Identity, b.epoch, b.candidate)
+				return c.peers.Prepare(c.Address(replica), replica.Identity, p.epoch, p.candidate)
 			}
 		}
 		return promise, err
-	}, func(replica Replica, promise Promise, err error) {
+	}, func(replica Replica, vote Vote, err error) {
 		if err == nil {
-			b.takePromise(replica.Identity, promise)
+			p.recordPromise(replica.Identity, vote)
 		}
-	}, b.hasPromises)
+	}, p.hasPromiseQuorum)
 }
 
-// gatherAcceptances has the proposed membership accepted, until majorities have done so.
-func (c *Coordinator) gatherAcceptances(b *ballot) {
-	gather(c.runtime, b.acceptors(), func(replica Replica) (Promise, error) {
-		if replica.Identity == b.candidate {
-			return c.witness.Accept(c.runtime.Now(), b.next)
-		}
-		return c.peers.Accept(c.Address(replica), replica.Identity, b.next)
-	}, func(replica Replica, promise Promise, err error) {
+// acceptPhase has the proposed membership accepted, until majorities have done so.
+func (c *Coordinator) acceptPhase(p *proposal) {
+	gather(c.runtime, p.acceptors(), func(replica Replica) (Vote, error) {
+		if replica.Identity == p.candidate {
+			return c.witness.Accept(c.runtime.Now(), p.next)
+		}
+		return c.peers.Accept(c.Address(replica), replica.Identity, p.next)
+	}, func(replica Replica, vote Vote, err error) {
 		if err == nil {
-			b.takeAcceptance(replica.Identity, promise)
+			p.recordAcceptance(replica.Identity, vote)
 		}
-	}, b.isGranted)
+	}, p.hasAcceptQuorum)
 }
 
 // confirm renews the primary's own hold from a quorum of keepers.
-func (c *Coordinator) confirm(membership Membership) bool {
+func (c *Coordinator) renewLease(membership Membership) bool {
 	own := c.witness.Replica()
-	asked := c.runtime.Now()
+	sentAt := c.runtime.Now()
 	c.mutex.Lock()
-	c.confirming = asked
+	c.renewalSentAt = sentAt
 	c.mutex.Unlock()
 	confirmed := map[Identity]bool{}
 	lease := c.timing.Lease
 	var newer Membership
 	outdated := false
-	gather(c.runtime, membership.Electors(), func(replica Replica) (Promise, error) {
+	gather(c.runtime, membership.Voters(), func(replica Replica) (Vote, error) {
 		if replica.Identity == own.Identity {
-			promise := c.witness.Confirm(asked, membership.Epoch, own.Identity)
-			c.noteOvertaken(promise)
-			return promise, nil
+			vote := c.witness.RenewLease(sentAt, membership.Epoch, own.Identity)
+			c.recordRefusal(vote)
+			return vote, nil
 		}
-		promise, err := c.peers.Confirm(c.Address(replica), replica.Identity, membership.Epoch, own.Identity)
+		promise, err := c.peers.RenewLease(c.Address(replica), replica.Identity, membership.Epoch, own.Identity)
 		if err == nil {
-			c.noteOvertaken(promise)
+			c.recordRefusal(promise)
 		}
 		if err == nil && promise.Membership.Epoch < membership.Epoch && promise.Refusal != failure.OldEpoch {
 			// It was away when the membership was granted.
 			if _, err := c.peers.Accept(c.Address(replica), replica.Identity, membership); err == nil {
-				return c.peers.Confirm(c.Address(replica), replica.Identity, membership.Epoch, own.Identity)
+				return c.peers.RenewLease(c.Address(replica), replica.Identity, membership.Epoch, own.Identity)
 			}
 		}
 		return promise, err
-	}, func(replica Replica, promise Promise, err error) {
+	}, func(replica Replica, promise Vote, err error) {
 		if err != nil {
 			return
 		}
@@ -294,82 +296,82 @@
 			lease = min(lease, promise.Lease)
 		}
 		outdated = outdated || promise.Refusal == failure.OldEpoch
-		c.ballot = max(c.ballot, promise.Promised)
+		c.highestEpoch = max(c.highestEpoch, promise.Promised)
 		if promise.Membership.Epoch > newer.Epoch {
 			newer = promise.Membership
 		}
-	}, func() bool { return membership.Quorum(confirmed) })
-	if overtaken := c.overtakenTo(); overtaken > membership.Epoch {
+	}, func() bool { return membership.HasQuorum(confirmed) })
+	if refused := c.highestRefusedEpoch(); refused > membership.Epoch {
 		outdated = true
-		c.ballot = max(c.ballot, overtaken)
+		c.highestEpoch = max(c.highestEpoch, refused)
 	}
 	if newer.Epoch > membership.Epoch && newer.Primary.Identity != own.Identity {
-		c.resign("deposed", newer)
+		c.stepDown("deposed", newer)
 		return false
 	}
-	if !membership.Quorum(confirmed) {
+	if !membership.HasQuorum(confirmed) {
 		if outdated {
 			// An epoch was promised and not used, perhaps to this steward
 			// itself: the membership is asked for anew.
-			c.unsettled = true
+			c.membershipUnknown = true
 		}
 		return false
 	}
-	c.outrun = outdated
-	c.confirmedAt = asked
+	c.higherPromiseSeen = outdated
+	c.renewedAt = sentAt
 	c.mutex.Lock()
-	c.leaseEnds = asked.Add(lease - leaseDrift)
+	c.leaseEnds = sentAt.Add(lease - leaseDrift)
 	c.mutex.Unlock()
 	return true
 }
 
-// noteOvertaken notes that a keeper has promised an epoch and confirms no lower one. It
+// recordRefusal notes that a keeper has promised an epoch and confirms no lower one. It
 // is noted as the answer comes, since a quorum may be there before it in each round.
-func (c *Coordinator) noteOvertaken(promise Promise) {
-	if promise.Refusal != failure.OldEpoch {
+func (c *Coordinator) recordRefusal(vote Vote) {
+	if vote.Refusal != failure.OldEpoch {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.overtaken = max(c.overtaken, promise.Promised)
+	c.highestRefused = max(c.highestRefused, vote.Promised)
 }
 
-func (c *Coordinator) overtakenTo() uint64 {
+func (c *Coordinator) highestRefusedEpoch() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.overtaken
+	return c.highestRefused
 }
 
 // reaches tells whether a quorum of keepers has answered a hello a moment ago. A primary
 // whose last question was not confirmed asks no more until they do: what it asks may
 // arrive though the answers do not.
-func (c *Coordinator) reaches(membership Membership) bool {
+func (c *Coordinator) reachesQuorum(membership Membership) bool {
 	r := map[Identity]bool{c.witness.Replica().Identity: true}
-	for _, replica := range membership.Electors() {
-		if _, alive := c.alive(replica.Identity, staleAnswer); alive {
+	for _, replica := range membership.Voters() {
+		if _, alive := c.alive(replica.Identity, responseFreshness); alive {
 			r[replica.Identity] = true
 		}
 	}
-	return membership.Quorum(r)
+	return membership.HasQuorum(r)
 }
 
 // regrant asks for the same membership under a higher epoch, when a keeper has
 // promised one that nobody was granted and so can't confirm the present one.
-func (c *Coordinator) regrant(membership Membership) {
-	c.outrun = false
-	won, err := c.elect(func(base Membership) (Membership, bool) {
+func (c *Coordinator) reproposeMembership(membership Membership) {
+	c.higherPromiseSeen = false
+	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		return base, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
 		c.observe("not_regranted", "cause", err)
-		c.unsettled = true
+		c.membershipUnknown = true
 		return
 	}
 	c.store.ResumeCommits(won.Epoch)
-	c.confirm(won)
+	c.renewLease(won)
 }
 
-func (c *Coordinator) resign(cause string, newer Membership) {
+func (c *Coordinator) stepDown(cause string, newer Membership) {
 	c.mutex.Lock()
 	c.leaseEnds = time.Time{}
 	if newer.Epoch > c.membership.Epoch {
@@ -383,24 +385,24 @@
 // deaf tells whether this primary has lost its hold and hears from nobody. It may
 // still be heard itself: its keepers would go on renewing a hold that it knows nothing
 // of, and the backup could never take over. So it keeps silent for most of the time.
-func (c *Coordinator) deaf() bool {
+func (c *Coordinator) receivesNothing() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.runtime.Now()
 	lost := !c.leaseEnds.IsZero() && now.Sub(c.leaseEnds) > 2*leaseDrift
-	return lost && now.Sub(c.greeted) > c.timing.Beat && now.Sub(c.confirming) < c.timing.Lease+deafMargin
+	return lost && now.Sub(c.helloReceivedAt) > c.timing.MaxHeartbeatGap && now.Sub(c.renewalSentAt) < c.timing.Lease+silentMargin
 }
 
-// unheardOf tells whether this primary reaches its backup while no controller
+// inboundCut tells whether this primary reaches its backup while no controller
 // reaches it: its link has failed in one direction, and nodes that ask it are
 // not heard either.
-func (c *Coordinator) unheardOf(membership Membership) bool {
-	if membership.Backup.Empty() || c.unsettled {
+func (c *Coordinator) inboundCut(membership Membership) bool {
+	if membership.Backup.Empty() || c.membershipUnknown {
 		return false
 	}
 	r := false
 	for _, backup := range membership.Backups() {
-		if _, alive := c.alive(backup.Identity, c.timing.Beat); alive {
+		if _, alive := c.alive(backup.Identity, c.timing.MaxHeartbeatGap); alive {
 			r = true
 		}
 	}
@@ -409,19 +411,19 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.leadsFrom.IsZero() {
-		c.leadsFrom = c.runtime.Now()
+	if c.leadsSince.IsZero() {
+		c.leadsSince = c.runtime.Now()
 	}
-	latest := c.greeted
-	if latest.Before(c.leadsFrom) {
-		latest = c.leadsFrom
+	latest := c.helloReceivedAt
+	if latest.Before(c.leadsSince) {
+		latest = c.leadsSince
 	}
-	return c.runtime.Now().Sub(latest) > unheardPatience
+	return c.runtime.Now().Sub(latest) > inboundTimeout
 }
 
-// handOver makes the backup primary and stays in sync beside it: what a
+// transferLeadership makes the backup primary and stays in sync beside it: what a
 // primary does that lacks an enabled flag.
-func (c *Coordinator) handOver(membership Membership) {
+func (c *Coordinator) transferLeadership(membership Membership) {
 	next, found := c.successor(membership)
 	if !found {
 		return
@@ -434,12 +436,12 @@
 	c.mutex.Lock()
 	c.leaseEnds = time.Time{}
 	c.mutex.Unlock()
-	won, err := c.elect(func(base Membership) (Membership, bool) {
+	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		if base.Primary.Identity != c.witness.Replica().Identity || !hasReplica(base.Backups(), next.Identity) {
 			return base, false
 		}
 		var others []Replica
-		if len(base.Copies()) > 2 || c.isLeaving() {
+		if len(base.InSyncReplicas()) > 2 || c.isLeaving() {
 			// All stay in sync: the successor answers nothing before they are the same.
 			// One that leaves counts until another has its place.
 			for _, replica := range append(base.Backups(), base.Primary) {
@@ -448,16 +450,16 @@
 				}
 			}
 		}
-		return base.With(next, others), true
+		return base.WithReplicas(next, others), true
 	})
 	if err != nil {
-		c.unsettled = true
+		c.membershipUnknown = true
 		return
 	}
-	c.resign("handed_over", won)
-	if len(won.Copies()) > 1 {
+	c.stepDown("handed_over", won)
+	if len(won.InSyncReplicas()) > 1 {
 		// The successor may be no keeper, and hears of it in this way.
-		c.greetAll()
+		c.exchangeHellos()
 	}
 }
 
@@ -465,8 +467,8 @@
 // sync with it, the only other one of a pair.
 func (c *Coordinator) successor(membership Membership) (Replica, bool) {
 	for _, backup := range membership.Backups() {
-		hello, err := c.peers.Hello(c.Address(backup), c.Own())
-		if err == nil && hello.Seat.Identity == backup.Identity && hello.Damage == "" && !hello.Leaving && !(len(membership.Further) > 0 && hello.Restricted) {
+		hello, err := c.peers.Hello(c.Address(backup), c.OwnHello())
+		if err == nil && hello.Replica.Identity == backup.Identity && hello.Damage == "" && !hello.Leaving && !(len(membership.Further) > 0 && hello.Restricted) {
 			return backup, true
 		}
 		c.observe("not_handed_over", "backup", backup.Name, "cause", err)
--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -22,13 +22,13 @@
 // coreMember is one machine of the explored core: its witness is the product's Keeper, its
 // candidacy the product's ballot; its copy is a number, that of the last write it holds.
 type coreMember struct {
-	keeper       *Witness
+	witness      *Witness
 	version      int
 	up           bool
 	incarnations int
 	// ballot is the candidacy under way, and plan what it is to make of the base.
-	ballot *ballot
-	plan   string
+	proposal *proposal
+	plan     string
 	// membership is the one that it leads by, if it leads; unsynced tells of a write that is
 	// on its own copy only.
 	leads      bool
@@ -38,10 +38,10 @@
 	unsynced   bool
 	// unsettled tells that a ballot of its own was begun and not granted: what the core
 	// has agreed on is not known, and nothing is written until it is.
-	unsettled bool
+	membershipUnknown bool
 }
 
-func (c *coreMember) identity() Identity { return c.keeper.self.Identity }
+func (c *coreMember) identity() Identity { return c.witness.self.Identity }
 
 // lateMessage is a request whose answer nobody waits for any more.
 type lateMessage struct {
@@ -58,7 +58,7 @@
 	acked   int
 	newest  Membership
 	// What may still happen.
-	ballots, crashes, restarts, wipes, writes, delays int
+	proposals, crashes, restarts, wipes, writes, delays int
 }
 
 // explorer visits every state that can be reached, once each.
@@ -87,14 +87,14 @@
 	next.members = make([]*coreMember, len(c.members))
 	for position, old := range c.members {
 		copied := *old
-		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: old.keeper.self, note: old.keeper.note, lease: old.keeper.lease, holder: old.keeper.holder, leaseEnds: old.keeper.leaseEnds}
-		witness.note.Sequence = 0
-		copied.keeper = witness
+		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: old.witness.self, record: old.witness.record, lease: old.witness.lease, leaseHolder: old.witness.leaseHolder, leaseEnds: old.witness.leaseEnds}
+		witness.record.Sequence = 0
+		copied.witness = witness
 		copied.confirmed = cloneSet(old.confirmed)
-		if old.ballot != nil {
-			b := *old.ballot
-			b.asked, b.promised, b.accepted = cloneSet(b.asked), cloneSet(b.promised), cloneSet(b.accepted)
-			copied.ballot = &b
+		if old.proposal != nil {
+			b := *old.proposal
+			b.polled, b.promised, b.accepted = cloneSet(b.polled), cloneSet(b.promised), cloneSet(b.accepted)
+			copied.proposal = &b
 		}
 		next.members[position] = &copied
 	}
@@ -143,24 +143,24 @@
 func (c *coreState) key() [16]byte {
 	text := make([]byte, 0, 1024)
 	for _, member := range c.members {
-		witness := member.keeper
-		text = append(append(append(text, witness.self.Identity...), byte(witness.note.Promised), byte(member.version)), witness.holder...)
-		text = appendMembership(text, witness.note.Membership)
-		text = appendFlags(text, witness.leaseEnds.IsZero(), member.up, member.leads, member.lease, member.unsynced, member.unsettled)
+		witness := member.witness
+		text = append(append(append(text, witness.self.Identity...), byte(witness.record.Promised), byte(member.version)), witness.leaseHolder...)
+		text = appendMembership(text, witness.record.Membership)
+		text = appendFlags(text, witness.leaseEnds.IsZero(), member.up, member.leads, member.lease, member.unsynced, member.membershipUnknown)
 		text = append(text, member.plan...)
 		text = appendMembership(text, member.membership)
 		text = appendSet(text, member.confirmed)
-		if b := member.ballot; b != nil {
+		if b := member.proposal; b != nil {
 			text = append(text, byte(b.epoch))
 			text = appendMembership(appendMembership(appendMembership(text, b.base), b.newest), b.next)
-			text = appendSet(appendSet(appendSet(text, b.asked), b.promised), b.accepted)
+			text = appendSet(appendSet(appendSet(text, b.polled), b.promised), b.accepted)
 		}
 	}
 	for _, message := range c.late {
 		text = append(append(text, byte(message.to), byte(message.epoch)), message.from...)
 		text = appendMembership(text, message.membership)
 	}
-	text = append(text, byte(c.acked), byte(c.ballots), byte(c.crashes), byte(c.restarts), byte(c.wipes), byte(c.writes), byte(c.delays))
+	text = append(text, byte(c.acked), byte(c.proposals), byte(c.crashes), byte(c.restarts), byte(c.wipes), byte(c.writes), byte(c.delays))
 	text = appendMembership(text, c.newest)
 	hash := fnv.New128a()
 	_, _ = hash.Write(text)
@@ -177,9 +177,9 @@
 	}
 	membership := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
 	for number, replica := range replicas {
-		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, holder: replicas[0].Identity, leaseEnds: explorationNow.Add(PrimaryLease),
-			note: witnessNote{Identity: replica.Identity, Promised: 1, Membership: membership}}
-		member := &coreMember{keeper: witness, up: true, confirmed: map[Identity]bool{}}
+		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, leaseHolder: replicas[0].Identity, leaseEnds: explorationNow.Add(PrimaryLease),
+			record: witnessRecord{Identity: replica.Identity, Promised: 1, Membership: membership}}
+		member := &coreMember{witness: witness, up: true, confirmed: map[Identity]bool{}}
 		if number < 2 {
 			member.version = 1
 		}
@@ -259,15 +259,15 @@
 		e.accept(member, message.membership)
 		return
 	}
-	_, _ = member.keeper.Prepare(explorationNow, message.epoch, message.from)
+	_, _ = member.witness.Prepare(explorationNow, message.epoch, message.from)
 }
 
-func (e *explorer) accept(member *coreMember, membership Membership) Promise {
+func (e *explorer) accept(member *coreMember, membership Membership) Vote {
 	if e.forgetful {
-		member.keeper.note.Promised = member.keeper.note.Membership.Epoch
+		member.witness.record.Promised = member.witness.record.Membership.Epoch
 	}
-	promise, _ := member.keeper.Accept(explorationNow, membership)
-	return promise
+	vote, _ := member.witness.Accept(explorationNow, membership)
+	return vote
 }
 
 // exploreMember follows all that one machine can do, or that can happen to it.
@@ -290,7 +290,7 @@
 	if state.crashes > 0 {
 		branch(func(next *coreState, member *coreMember) { next.crashes--; member.fall() })
 	}
-	if !member.keeper.leaseEnds.IsZero() && !state.leaseHeldBy(member.keeper.holder) {
+	if !member.witness.leaseEnds.IsZero() && !state.leaseHeldBy(member.witness.leaseHolder) {
 		branch(func(next *coreState, member *coreMember) { next.expire(member) })
 	}
 	if member.lease {
@@ -299,11 +299,11 @@
 			clear(member.confirmed)
 		})
 	}
-	if member.ballot != nil {
+	if member.proposal != nil {
 		e.exploreBallot(state, position)
 		return
 	}
-	if state.ballots > 0 {
+	if state.proposals > 0 {
 		e.exploreCandidacy(state, position, branch)
 	}
 	if member.leads {
@@ -320,8 +320,8 @@
 // expire ends the lease that a witness gave. A confirmation that is older than that counts
 // no more for its holder, whose lease runs from when it asked.
 func (c *coreState) expire(witness *coreMember) {
-	witness.keeper.leaseEnds = time.Time{}
-	if _, holder := c.at(witness.keeper.holder); holder != nil {
+	witness.witness.leaseEnds = time.Time{}
+	if _, holder := c.at(witness.witness.leaseHolder); holder != nil {
 		delete(holder.confirmed, witness.identity())
 	}
 }
@@ -337,7 +337,7 @@
 }
 
 func (c *coreMember) fall() {
-	c.up, c.leads, c.lease, c.unsynced, c.unsettled, c.ballot, c.plan = false, false, false, false, false, nil, ""
+	c.up, c.leads, c.lease, c.unsynced, c.membershipUnknown, c.proposal, c.plan = false, false, false, false, false, nil, ""
 	c.membership = Membership{}
 	clear(c.confirmed)
 }
@@ -345,16 +345,16 @@
 // restart reads the disk again: the witness keeps still for one lease.
 func (c *coreState) restart(member *coreMember) {
 	member.up = true
-	member.keeper.holder = member.keeper.note.Membership.Primary.Identity
-	member.keeper.leaseEnds = explorationNow.Add(PrimaryLease)
+	member.witness.leaseHolder = member.witness.record.Membership.Primary.Identity
+	member.witness.leaseEnds = explorationNow.Add(PrimaryLease)
 }
 
 // wipe gives the machine an empty disk, which is a new identity.
 func (c *coreState) wipe(member *coreMember) {
 	c.wipes--
 	member.incarnations++
-	replica := Replica{Identity: Identity(fmt.Sprintf("%s'", member.identity())), Address: member.keeper.self.Address}
-	member.keeper = &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, note: witnessNote{Identity: replica.Identity}}
+	replica := Replica{Identity: Identity(fmt.Sprintf("%s'", member.identity())), Address: member.witness.self.Address}
+	member.witness = &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, record: witnessRecord{Identity: replica.Identity}}
 	member.version = 0
 }
 
@@ -362,10 +362,10 @@
 func (e *explorer) exploreCandidacy(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
 	member := state.members[position]
 	begin := func(next *coreState, member *coreMember, plan string) {
-		next.ballots--
+		next.proposals--
 		member.begin(plan)
 	}
-	if !member.leads && member.keeper.note.Membership.InSync(member.identity()) {
+	if !member.leads && member.witness.record.Membership.InSync(member.identity()) {
 		branch(func(next *coreState, member *coreMember) { begin(next, member, "takeover") })
 	}
 	if !member.leads {
@@ -373,12 +373,12 @@
 	}
 	_, backup := state.at(member.membership.Backup.Identity)
 	for other, c := range state.members {
-		if other == position || !c.up || backup != nil && !member.unsettled {
+		if other == position || !c.up || backup != nil && !member.membershipUnknown {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
 			installed := next.members[other]
-			if installed.keeper.Learn(member.membership.Epoch) != nil || installed.leads {
+			if installed.witness.ObserveEpoch(member.membership.Epoch) != nil || installed.leads {
 				return
 			}
 			installed.version = member.version
@@ -386,12 +386,12 @@
 			begin(next, member, "pair "+string(installed.identity()))
 		})
 	}
-	if vacant, newcomer := state.exchangeOf(member.membership); backup != nil && !member.unsettled && !newcomer.Empty() {
+	if vacant, newcomer := state.exchangeOf(member.membership); backup != nil && !member.membershipUnknown && !newcomer.Empty() {
 		branch(func(next *coreState, member *coreMember) {
 			begin(next, member, "exchange "+string(vacant)+" "+string(newcomer.Identity))
 		})
 	}
-	if backup != nil && !member.unsettled && len(member.membership.Incoming) > 0 {
+	if backup != nil && !member.membershipUnknown && len(member.membership.Incoming) > 0 {
 		branch(func(next *coreState, member *coreMember) { begin(next, member, "complete") })
 	}
 }
@@ -410,8 +410,8 @@
 			continue
 		}
 		for _, member := range c.members {
-			if member.up && !membership.Keeps(member.identity()) {
-				return replica.Identity, member.keeper.self
+			if member.up && !membership.HasVoter(member.identity()) {
+				return replica.Identity, member.witness.self
 			}
 		}
 	}
@@ -420,34 +420,34 @@
 
 // begin starts a ballot as the product does: with a vow on the own disk.
 func (c *coreMember) begin(plan string) {
-	base := c.keeper.note.Membership
+	base := c.witness.record.Membership
 	if c.leads && c.membership.Epoch > base.Epoch {
 		base = c.membership
 	}
-	epoch := max(base.Epoch, c.keeper.note.Promised) + 1
-	if c.keeper.Vow(explorationNow, epoch, c.identity()) != nil {
+	epoch := max(base.Epoch, c.witness.record.Promised) + 1
+	if c.witness.PromiseSelf(explorationNow, epoch, c.identity()) != nil {
 		return
 	}
-	c.ballot, c.plan, c.unsettled = newBallot(c.identity(), epoch, base), plan, c.leads
-	if base.Keeps(c.identity()) {
-		c.ballot.asked[c.identity()] = true
-		c.ballot.takePromise(c.identity(), Promise{Granted: true, Membership: c.keeper.note.Membership})
+	c.proposal, c.plan, c.membershipUnknown = newProposal(c.identity(), epoch, base), plan, c.leads
+	if base.HasVoter(c.identity()) {
+		c.proposal.polled[c.identity()] = true
+		c.proposal.recordPromise(c.identity(), Vote{Granted: true, Membership: c.witness.record.Membership})
 	}
 }
 
 // make is what the plan makes of the newest membership.
 func (c *coreMember) make(state *coreState) func(base Membership) (Membership, bool) {
-	own := c.keeper.self
-	words := strings.Fields(c.plan)
+	own := c.witness.self
+	parts := strings.Fields(c.plan)
 	led := c.membership
 	return func(base Membership) (Membership, bool) {
-		switch words[0] {
+		switch parts[0] {
 		case "takeover":
-			return base.With(own, nil), base.InSync(own.Identity)
+			return base.WithReplicas(own, nil), base.InSync(own.Identity)
 		case "pair":
 			for _, other := range state.members {
-				if string(other.identity()) == words[1] {
-					return base.With(own, []Replica{other.keeper.self}), base.Primary.Identity == own.Identity
+				if string(other.identity()) == parts[1] {
+					return base.WithReplicas(own, []Replica{other.witness.self}), base.Primary.Identity == own.Identity
 				}
 			}
 			return base, false
@@ -455,10 +455,10 @@
 			next := base
 			next.Incoming = nil
 			for _, replica := range base.Witnesses {
-				if string(replica.Identity) == words[1] {
+				if string(replica.Identity) == parts[1] {
 					for _, other := range state.members {
-						if string(other.identity()) == words[2] {
-							replica = other.keeper.self
+						if string(other.identity()) == parts[2] {
+							replica = other.witness.self
 						}
 					}
 				}
@@ -481,14 +481,14 @@
 		e.explore(next)
 	}
 	c := state.members[position]
-	branch(func(_ *coreState, member *coreMember) { member.ballot, member.plan = nil, "" })
-	accepting := c.ballot.next.Epoch > 0
-	replicas := c.ballot.base.Electors()
+	branch(func(_ *coreState, member *coreMember) { member.proposal, member.plan = nil, "" })
+	accepting := c.proposal.next.Epoch > 0
+	replicas := c.proposal.base.Voters()
 	if accepting {
-		replicas = c.ballot.acceptors()
+		replicas = c.proposal.acceptors()
 	}
 	for _, replica := range replicas {
-		if _, answered := c.ballot.accepted[replica.Identity]; accepting && answered || !accepting && c.ballot.asked[replica.Identity] {
+		if _, answered := c.proposal.accepted[replica.Identity]; accepting && answered || !accepting && c.proposal.polled[replica.Identity] {
 			continue
 		}
 		to, r := state.at(replica.Identity)
@@ -497,23 +497,23 @@
 		}
 		branch(func(next *coreState, member *coreMember) {
 			if accepting {
-				member.ballot.takeAcceptance(replica.Identity, e.accept(next.members[to], member.ballot.next))
+				member.proposal.recordAcceptance(replica.Identity, e.accept(next.members[to], member.proposal.next))
 			} else {
-				member.ballot.asked[replica.Identity] = true
-				promise, _ := next.members[to].keeper.Prepare(explorationNow, member.ballot.epoch, member.identity())
-				member.ballot.takePromise(replica.Identity, promise)
+				member.proposal.polled[replica.Identity] = true
+				vote, _ := next.members[to].witness.Prepare(explorationNow, member.proposal.epoch, member.identity())
+				member.proposal.recordPromise(replica.Identity, vote)
 			}
 			e.advance(next, member)
 		})
 		if state.delays > 0 {
 			branch(func(next *coreState, member *coreMember) {
 				next.delays--
-				message := lateMessage{to: to, epoch: member.ballot.epoch, from: member.identity()}
+				message := lateMessage{to: to, epoch: member.proposal.epoch, from: member.identity()}
 				if accepting {
-					message.membership = member.ballot.next
-					member.ballot.accepted[replica.Identity] = false
+					message.membership = member.proposal.next
+					member.proposal.accepted[replica.Identity] = false
 				} else {
-					member.ballot.asked[replica.Identity] = true
+					member.proposal.polled[replica.Identity] = true
 				}
 				next.late = append(next.late, message)
 			})
@@ -523,47 +523,47 @@
 
 // advance takes a ballot to its next stage as soon as it may.
 func (e *explorer) advance(state *coreState, member *coreMember) {
-	b := member.ballot
+	b := member.proposal
 	if b.next.Epoch == 0 {
-		if !b.hasPromises() || b.rebase() || !b.hasPromises() {
+		if !b.hasPromiseQuorum() || b.rebase() || !b.hasPromiseQuorum() {
 			return
 		}
-		if b.propose(member.make(state)) != nil {
-			member.ballot, member.plan = nil, ""
+		if b.choose(member.make(state)) != nil {
+			member.proposal, member.plan = nil, ""
 		}
 		return
 	}
-	if !b.isGranted() {
+	if !b.hasAcceptQuorum() {
 		return
 	}
 	if b.next.Epoch > state.newest.Epoch {
 		state.newest = b.next
 	}
-	member.leads, member.membership, member.ballot, member.plan = true, b.next, nil, ""
-	member.lease, member.unsettled = false, false
+	member.leads, member.membership, member.proposal, member.plan = true, b.next, nil, ""
+	member.lease, member.membershipUnknown = false, false
 	clear(member.confirmed)
 }
 
 // exploreLeader follows what a primary does: it renews its lease and writes.
 func (e *explorer) exploreLeader(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
 	leader := state.members[position]
-	for _, replica := range leader.membership.Electors() {
+	for _, replica := range leader.membership.Voters() {
 		to, c := state.at(replica.Identity)
 		if c == nil || leader.confirmed[replica.Identity] {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
-			witness := next.members[to].keeper
-			if witness.note.Membership.Epoch < member.membership.Epoch {
+			witness := next.members[to].witness
+			if witness.record.Membership.Epoch < member.membership.Epoch {
 				e.accept(next.members[to], member.membership)
 			}
-			if promise := witness.Confirm(explorationNow, member.membership.Epoch, member.identity()); promise.Granted {
+			if vote := witness.RenewLease(explorationNow, member.membership.Epoch, member.identity()); vote.Granted {
 				member.confirmed[replica.Identity] = true
 			}
-			member.lease = member.lease || member.membership.Quorum(member.confirmed) || e.leaseless && len(member.confirmed) > 0
+			member.lease = member.lease || member.membership.HasQuorum(member.confirmed) || e.leaseless && len(member.confirmed) > 0
 		})
 	}
-	if !leader.lease || leader.unsettled || leader.membership.Backup.Empty() {
+	if !leader.lease || leader.membershipUnknown || leader.membership.Backup.Empty() {
 		return
 	}
 	if !leader.unsynced && state.writes > 0 {
@@ -576,7 +576,7 @@
 	if to, backup := state.at(leader.membership.Backup.Identity); backup != nil && leader.unsynced {
 		branch(func(next *coreState, member *coreMember) {
 			copied := next.members[to]
-			if copied.leads || copied.keeper.Learn(member.membership.Epoch) != nil || copied.version != member.version-1 && copied.version != member.version {
+			if copied.leads || copied.witness.ObserveEpoch(member.membership.Epoch) != nil || copied.version != member.version-1 && copied.version != member.version {
 				return
 			}
 			copied.version = member.version
@@ -593,19 +593,19 @@
 	const mostStates = 300_000
 	three := func(ballots, crashes, restarts, wipes, writes, delays int) *coreState {
 		state := newCoreState(3)
-		state.ballots, state.crashes, state.restarts = ballots, crashes, restarts
+		state.proposals, state.crashes, state.restarts = ballots, crashes, restarts
 		state.wipes, state.writes, state.delays = wipes, writes, delays
 		return state
 	}
 	// Five witnesses and three copies, of which the primary's machine is gone and two stand.
 	five := newCoreState(5)
-	five.ballots, five.delays = 2, 0
-	membership := five.newest.With(five.newest.Primary, []Replica{five.members[1].keeper.self, five.members[2].keeper.self})
+	five.proposals, five.delays = 2, 0
+	membership := five.newest.WithReplicas(five.newest.Primary, []Replica{five.members[1].witness.self, five.members[2].witness.self})
 	five.newest = membership
 	five.members[2].version = 1
 	for _, member := range five.members {
-		member.keeper.note.Membership = membership
-		member.keeper.leaseEnds = time.Time{}
+		member.witness.record.Membership = membership
+		member.witness.leaseEnds = time.Time{}
 	}
 	five.members[0].fall()
 	for _, row := range []struct {
--- a/internal/replication/install.go
+++ b/internal/replication/install.go
@@ -17,7 +17,7 @@
 	c.mutex.Lock()
 	for _, replica := range candidates {
 		failed, tried := c.installFails[replica.Identity]
-		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && c.runtime.Now().Sub(failed) < applicantFresh) {
+		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && c.runtime.Now().Sub(failed) < applicantFreshness) {
 			newcomers = append(newcomers, replica)
 		}
 	}
@@ -88,7 +88,7 @@
 		results:    map[Identity]error{},
 	}
 	latest, confirmed := c.runtime.Now(), c.runtime.Now()
-	deadline := latest.Add(gatherPatience)
+	deadline := latest.Add(gatherTimeout)
 	for c.runtime.Now().Before(deadline) {
 		installed := len(i.installed())
 		for i.running() < wanted-installed && i.started < len(candidates) {
@@ -103,15 +103,15 @@
 		now := c.runtime.Now()
 		if now.Sub(confirmed) >= c.timing.Lease/5 {
 			confirmed = now
-			c.confirm(membership)
+			c.renewLease(membership)
 		}
-		if ended || now.Sub(latest) < installPatience {
+		if ended || now.Sub(latest) < installTimeout {
 			continue
 		}
 		if i.started < len(candidates) {
 			c.startInstall(i, snapshot)
 			latest = now
-		} else if (installed > 0 || !c.unsettled) && now.Sub(latest) > c.timing.FewerCopies {
+		} else if (installed > 0 || !c.membershipUnknown) && now.Sub(latest) > c.timing.ReplacementTimeout {
 			break
 		}
 	}
--- a/internal/replication/leaving_test.go
+++ b/internal/replication/leaving_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// tickPause is the time between two ticks of a process.
-const tickPause = 150 * time.Millisecond
+// tickInterval is the time between two ticks of a process.
+const tickInterval = 150 * time.Millisecond
 
 // coreShape is a core's number of machines, their zones and the losses to be borne.
 type coreShape struct{ machines, zones, borne int }
@@ -32,7 +32,7 @@
 	w := newWorldOf(t, seed, shape.machines, shape.zones, shape.borne)
 	w.catchUp = catchUp
 	for _, m := range w.machines {
-		m.steward.SetTiming(TimingFor(catchUp))
+		m.coordinator.SetTiming(TimingFor(catchUp))
 	}
 	if !w.heal(20 * time.Second) {
 		w.fail("no core was formed")
@@ -46,10 +46,10 @@
 // held after each step. It ends early when over says so.
 func (w *world) run(length time.Duration, over func() bool) bool {
 	for ends := w.clock().Add(length); w.clock().Before(ends); {
-		w.advance(tickPause)
+		w.advance(tickInterval)
 		for _, m := range w.machines {
 			if m.up.Load() && !m.frozen {
-				m.steward.Tick()
+				m.coordinator.Tick()
 				w.check()
 				w.write(m)
 				w.check()
@@ -68,13 +68,13 @@
 	if leader == nil || !m.up.Load() {
 		return ""
 	}
-	membership, identity := leader.steward.Membership(), m.keeper.Replica().Identity
+	membership, identity := leader.coordinator.Membership(), m.witness.Replica().Identity
 	switch {
 	case m == leader:
 		return primaryRole
 	case membership.InSync(identity):
 		return backupRole
-	case membership.Keeps(identity):
+	case membership.HasVoter(identity):
 		return witnessRole
 	}
 	return ""
@@ -138,13 +138,13 @@
 func (w *world) copiesOfTheNewest() int {
 	var membership Membership
 	for _, m := range w.machines {
-		if known := m.keeper.Membership(); m.up.Load() && known.Epoch > membership.Epoch {
+		if known := m.witness.Membership(); m.up.Load() && known.Epoch > membership.Epoch {
 			membership = known
 		}
 	}
 	count := 0
 	for _, ma := range w.machines {
-		if ma.up.Load() && membership.InSync(ma.keeper.Replica().Identity) && revisionIn(ma.store.LocalReplica().Sections()[ConfigurationSection].Content) >= w.accepted {
+		if ma.up.Load() && membership.InSync(ma.witness.Replica().Identity) && revisionIn(ma.store.LocalReplica().Sections()[ConfigurationSection].Content) >= w.accepted {
 			count++
 		}
 	}
@@ -169,15 +169,15 @@
 						t.Skip("nobody has the role")
 					}
 					began := w.clock()
-					leaver.steward.Leave()
+					leaver.coordinator.Leave()
 					released := w.run(patience, func() bool {
 						if copies := w.copiesOfTheNewest(); copies < shape.borne+1 {
 							w.fail("%v after it began to leave %d disks have every acknowledged write", w.clock().Sub(began), copies)
 						}
-						return leaver.steward.Released()
+						return leaver.coordinator.ReadyToStop()
 					})
 					if !released {
-						w.fail("%s is not released: %+v", leaver.address, leaver.steward.Membership())
+						w.fail("%s is not released: %+v", leaver.address, leaver.coordinator.Membership())
 					}
 					w.say("%s is released after %v", leaver.address, w.clock().Sub(began))
 					w.gone(leaver)
@@ -200,8 +200,8 @@
 	w := calmWorld(t, coreShapes[0], 4, DefaultCatchUp)
 	leaver := w.inRole(backupRole)
 	began := w.clock()
-	leaver.steward.Leave()
-	if !w.run(3*time.Second, func() bool { return !w.leader().steward.Membership().InSync(leaver.keeper.Replica().Identity) }) {
+	leaver.coordinator.Leave()
+	if !w.run(3*time.Second, func() bool { return !w.leader().coordinator.Membership().InSync(leaver.witness.Replica().Identity) }) {
 		w.fail("the backup that leaves is not replaced")
 	}
 	if took := w.clock().Sub(began); took > time.Second {
@@ -222,8 +222,8 @@
 	w := calmWorld(t, coreShapes[0], 5, DefaultCatchUp)
 	leaver := w.leader()
 	successor := w.inRole(backupRole)
-	leaver.steward.Leave()
-	leaver.steward.Tick()
+	leaver.coordinator.Leave()
+	leaver.coordinator.Tick()
 	if leaver.store.Leading() {
 		w.fail("the primary did not hand over at once")
 	}
@@ -258,7 +258,7 @@
 		w.start(lost)
 	case exchange:
 		w.gone(lost)
-		w.run(tickPause, nil)
+		w.run(tickInterval, nil)
 		w.join(lost.zone)
 	}
 	return w.clock()
--- a/internal/replication/losses.go
+++ b/internal/replication/losses.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Bear tells how many machines may be lost at once with all that is on their
+// SetTolerance tells how many machines may be lost at once with all that is on their
 // disks, and in which zone this one is. With one loss, the default, there
 // is one backup and there are three keepers; with more, as many backups as losses,
 // and two keepers for each loss and one more, spread over the zones so that a
 // whole one may go.
-func (c *Coordinator) Bear(losses int, zone string) {
+func (c *Coordinator) SetTolerance(losses int, zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.borne, c.zone = max(losses, 1), zone
+	c.lossesTolerated, c.zone = max(losses, 1), zone
 }
 
 // SetBackupList tells whether the flag backup_list is enabled: whether every
@@ -22,19 +22,19 @@
 }
 
 // wanted is how many backups there should be.
-func (c *Coordinator) wanted() int {
+func (c *Coordinator) wantedBackups() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.backupList {
 		return 1
 	}
-	return c.borne
+	return c.lossesTolerated
 }
 
 // recorded is a seat as it may stand in a membership now.
-func (c *Coordinator) recorded(replica Replica) Replica {
+func (c *Coordinator) withZone(replica Replica) Replica {
 	switch {
-	case !c.several():
+	case !c.toleratesSeveral():
 		replica.Zone = ""
 	case replica.Identity == c.witness.Replica().Identity:
 		replica.Zone = c.zone
@@ -42,41 +42,41 @@
 	return replica
 }
 
-func (c *Coordinator) several() bool { return c.wanted() > 1 }
+func (c *Coordinator) toleratesSeveral() bool { return c.wantedBackups() > 1 }
 
 // quiet tells whether this controller was greeted by the primary a moment ago, so
 // that it need not look around.
-func (c *Coordinator) quiet() bool {
+func (c *Coordinator) followsPrimary() bool {
 	if c.store.Leading() {
 		return false
 	}
 	membership := c.Membership()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return membership.Primary.Identity != c.witness.Replica().Identity && !c.ledBy.IsZero() &&
-		c.runtime.Now().Sub(c.ledBy) < c.timing.Round*5/3
+	return membership.Primary.Identity != c.witness.Replica().Identity && !c.primaryHelloAt.IsZero() &&
+		c.runtime.Now().Sub(c.primaryHelloAt) < c.timing.HeartbeatInterval*5/3
 }
 
 // rests tells whether this round of hellos is left out: the primary's next one is
 // not due yet, or this controller is quiet and greeted the primary a moment ago.
-func (c *Coordinator) rests() bool {
-	if c.unsettled {
+func (c *Coordinator) skipsRound() bool {
+	if c.membershipUnknown {
 		return false
 	}
-	pause := time.Duration(0)
+	interval := time.Duration(0)
 	if c.store.Leading() {
-		pause = c.timing.Round
-	} else if c.quiet() {
-		pause = 2 * c.timing.Round
+		interval = c.timing.HeartbeatInterval
+	} else if c.followsPrimary() {
+		interval = 2 * c.timing.HeartbeatInterval
 	}
-	if now := c.runtime.Now(); now.Sub(c.roundAt) >= pause {
-		c.roundAt = now
+	if now := c.runtime.Now(); now.Sub(c.roundStartedAt) >= interval {
+		c.roundStartedAt = now
 		return false
 	}
 	return true
 }
 
-// confirmDue tells whether the primary's hold is to be renewed in this round.
-func (c *Coordinator) confirmDue() bool {
-	return c.unsettled || c.runtime.Now().Sub(c.confirmedAt) >= c.timing.Round
+// renewalDue tells whether the primary's hold is to be renewed in this round.
+func (c *Coordinator) renewalDue() bool {
+	return c.membershipUnknown || c.runtime.Now().Sub(c.renewedAt) >= c.timing.HeartbeatInterval
 }
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -18,7 +18,7 @@
 
 // InSync tells whether the copy of the identity has everything answered.
 func (m Membership) InSync(identity Identity) bool {
-	return identity != "" && hasReplica(m.Copies(), identity)
+	return identity != "" && hasReplica(m.InSyncReplicas(), identity)
 }
 
 // Backups lists the copies that every write is synced on besides the primary's.
@@ -29,16 +29,16 @@
 	return append([]Replica{m.Backup}, m.Further...)
 }
 
-// Copies lists all copies in sync, the primary's first.
-func (m Membership) Copies() []Replica {
+// InSyncReplicas lists all copies in sync, the primary's first.
+func (m Membership) InSyncReplicas() []Replica {
 	if m.Primary.Empty() {
 		return nil
 	}
 	return append([]Replica{m.Primary}, m.Backups()...)
 }
 
-// With is the membership with other copies.
-func (m Membership) With(primary Replica, backups []Replica) Membership {
+// WithReplicas is the membership with other copies.
+func (m Membership) WithReplicas(primary Replica, backups []Replica) Membership {
 	m.Primary, m.Backup, m.Further = primary, Replica{}, nil
 	if len(backups) > 0 {
 		m.Backup = backups[0]
@@ -49,8 +49,8 @@
 	return m
 }
 
-// Electors lists the keepers of both sets, each once.
-func (m Membership) Electors() []Replica {
+// Voters lists the keepers of both sets, each once.
+func (m Membership) Voters() []Replica {
 	electors := append([]Replica(nil), m.Witnesses...)
 	for _, replica := range m.Incoming {
 		if !hasReplica(electors, replica.Identity) {
@@ -60,13 +60,13 @@
 	return electors
 }
 
-// Keeps tells whether the identity is a keeper of either set.
-func (m Membership) Keeps(identity Identity) bool {
+// HasVoter tells whether the identity is a keeper of either set.
+func (m Membership) HasVoter(identity Identity) bool {
 	return hasReplica(m.Witnesses, identity) || hasReplica(m.Incoming, identity)
 }
 
-// Quorum tells whether those who granted are a majority of each set.
-func (m Membership) Quorum(granted map[Identity]bool) bool {
+// HasQuorum tells whether those who granted are a majority of each set.
+func (m Membership) HasQuorum(granted map[Identity]bool) bool {
 	return majority(m.Witnesses, granted) && (len(m.Incoming) == 0 || majority(m.Incoming, granted))
 }
 
--- a/internal/replication/promise.go
+++ b/internal/replication/promise.go
@@ -6,8 +6,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Promise is a keeper's answer.
-type Promise struct {
+// Vote is a keeper's answer.
+type Vote struct {
 	Witness    Identity     `msgpack:"keeper"`
 	Granted    bool         `msgpack:"granted"`
 	Refusal    failure.Code `msgpack:"refusal,omitempty"`
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -24,7 +24,7 @@
 		w.advance(time.Duration(w.random.IntN(300)) * time.Millisecond)
 		for _, other := range w.machines {
 			if other.up.Load() && !other.frozen {
-				other.steward.Tick()
+				other.coordinator.Tick()
 				w.check()
 			}
 		}
@@ -52,7 +52,7 @@
 	begun := w.clock()
 	for w.whole() == nil {
 		for _, mc := range w.machines {
-			mc.steward.Tick()
+			mc.coordinator.Tick()
 			w.check()
 		}
 		if w.clock().Sub(begun) > 500*time.Millisecond {
@@ -85,9 +85,9 @@
 	begun := w.clock()
 	for {
 		for _, ma := range others {
-			ma.steward.Tick()
+			ma.coordinator.Tick()
 			w.check()
-			if !ma.steward.HasLease() {
+			if !ma.coordinator.HasLease() {
 				continue
 			}
 			if after := w.clock().Sub(begun); after < PrimaryLease {
@@ -102,10 +102,10 @@
 	}
 }
 
-// TestKeeperConfirmsOnlyTheMembershipOnItsDisk wants a keeper that was away when a membership
+// TestWitnessRenewsOnlyTheMembershipOnItsDisk wants a keeper that was away when a membership
 // was granted to take it down first: after a restart its disk is all that tells whom it
 // held still for.
-func TestKeeperConfirmsOnlyTheMembershipOnItsDisk(t *testing.T) {
+func TestWitnessRenewsOnlyTheMembershipOnItsDisk(t *testing.T) {
 	now := time.Unix(1000, 0)
 	storage := newMemoryStorage()
 	witness, _, err := OpenWitness(now, storage, Replica{Address: "c"}, "c")
@@ -117,19 +117,19 @@
 	if promise, err := witness.Accept(now, old); err != nil || !promise.Granted {
 		t.Fatalf("%+v, %v", promise, err)
 	}
-	if promise := witness.Confirm(now, 5, "b"); promise.Granted || promise.Refusal != failure.Behind {
+	if promise := witness.RenewLease(now, 5, "b"); promise.Granted || promise.Refusal != failure.Behind {
 		t.Errorf("a hold under an unknown charter: %+v", promise)
 	}
 	next := Membership{Epoch: 5, Primary: replicas[1], Witnesses: replicas}
 	if promise, err := witness.Accept(now, next); err != nil || !promise.Granted {
 		t.Fatalf("%+v, %v", promise, err)
 	}
-	if promise := witness.Confirm(now, 5, "b"); !promise.Granted {
-		t.Errorf("no hold: %+v", promise)
+	if vote := witness.RenewLease(now, 5, "b"); !vote.Granted {
+		t.Errorf("no hold: %+v", vote)
 	}
 	again, _, err := OpenWitness(now.Add(time.Second), storage, Replica{Address: "c"}, "other")
-	if err != nil || again.Holder() != "b" {
-		t.Fatalf("it holds still for %q, %v", again.Holder(), err)
+	if err != nil || again.LeaseHolder() != "b" {
+		t.Fatalf("it holds still for %q, %v", again.LeaseHolder(), err)
 	}
 	if promise, err := again.Prepare(now.Add(time.Second), 6, "a"); err != nil || promise.Refusal != failure.LeaseActive {
 		t.Errorf("another candidate: %+v, %v", promise, err)
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestKeeperThatPromisedMoreIsTakenInAgain has each keeper in turn promise an epoch that
+// TestWitnessThatPromisedMoreIsReadmitted has each keeper in turn promise an epoch that
 // nobody used, while the others are a quorum without it and answer sooner.
-func TestKeeperThatPromisedMoreIsTakenInAgain(t *testing.T) {
+func TestWitnessThatPromisedMoreIsReadmitted(t *testing.T) {
 	for number := range 3 {
 		w := newWorld(t, 9)
 		if !w.heal(10 * time.Second) {
@@ -179,20 +179,20 @@
 		}
 		w.calm = true
 		leader, ahead := w.whole(), w.machines[number]
-		if err := ahead.keeper.Learn(leader.steward.Membership().Epoch + 20); err != nil {
+		if err := ahead.witness.ObserveEpoch(leader.coordinator.Membership().Epoch + 20); err != nil {
 			t.Fatal(err)
 		}
 		takenIn := func() bool {
-			membership := leader.steward.Membership()
-			return membership.Epoch > 20 && ahead.keeper.Membership().Epoch == membership.Epoch && leader.steward.HasLease()
+			membership := leader.coordinator.Membership()
+			return membership.Epoch > 20 && ahead.witness.Membership().Epoch == membership.Epoch && leader.coordinator.HasLease()
 		}
 		for begun := w.clock(); !takenIn(); w.advance(100 * time.Millisecond) {
 			for _, m := range w.machines {
-				m.steward.Tick()
+				m.coordinator.Tick()
 				w.check()
 			}
 			if w.clock().Sub(begun) > 5*time.Second {
-				w.fail("the charter is %+v, that of %s %+v", leader.steward.Membership(), ahead.address, ahead.keeper.Membership())
+				w.fail("the charter is %+v, that of %s %+v", leader.coordinator.Membership(), ahead.address, ahead.witness.Membership())
 			}
 		}
 	}
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -121,7 +121,7 @@
 	}
 	for _, ma := range w.machines {
 		if ma != added {
-			ma.steward.SetSeeds(w.seeds)
+			ma.coordinator.SetSeeds(w.seeds)
 		}
 	}
 	w.say("%s gives way to %s, seeds %v", old.address, added.address, w.seeds)
@@ -188,7 +188,7 @@
 	w.advance(length)
 	for _, m := range w.machines {
 		if m.up.Load() && !m.frozen {
-			m.steward.Tick()
+			m.coordinator.Tick()
 			w.check()
 		}
 	}
@@ -261,7 +261,7 @@
 // leader is who may answer now.
 func (w *world) leader() *machine {
 	for _, m := range w.machines {
-		if m.up.Load() && !m.frozen && m.steward.HasLease() {
+		if m.up.Load() && !m.frozen && m.coordinator.HasLease() {
 			return m
 		}
 	}
@@ -286,9 +286,9 @@
 		w.fail("no core was formed")
 	}
 	leader := w.acknowledge()
-	backup := leader.steward.Membership().Backup.Identity
+	backup := leader.coordinator.Membership().Backup.Identity
 	for _, m := range w.machines {
-		if m == leader || m.keeper.Replica().Identity == backup {
+		if m == leader || m.witness.Replica().Identity == backup {
 			w.crash(m)
 			m.keeping = newMemoryStorage()
 		}
@@ -313,7 +313,7 @@
 		}
 		leader := w.acknowledge()
 		w.wipe(leader)
-		// Copies are brought by several threads at once.
+		// InSyncReplicas are brought by several threads at once.
 		var ended atomic.Bool
 		w.installs = func(from string) {
 			for _, m := range w.machines {
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -95,9 +95,9 @@
 	zone         string
 	keeping      *memoryStorage
 	copies       *memoryStorage
-	keeper       *Witness
+	witness      *Witness
 	store        *Store
-	steward      *Coordinator
+	coordinator  *Coordinator
 	up           atomic.Bool
 	frozen       bool
 	incarnations int
@@ -181,13 +181,13 @@
 		w.say("%s %s %v", m.address, event, detail)
 	})
 	if w.borne > 1 && (m.incarnations > 1 || w.formed) {
-		coordinator.JoinOnly()
+		coordinator.SetJoinOnly()
 	}
 	coordinator.SetTiming(TimingFor(w.catchUp))
-	coordinator.Bear(w.borne, m.zone)
+	coordinator.SetTolerance(w.borne, m.zone)
 	coordinator.SetBackupList(w.borne > 1)
 	w.mutex.Lock()
-	m.keeper, m.store, m.steward = witness, store, coordinator
+	m.witness, m.store, m.coordinator = witness, store, coordinator
 	m.up.Store(true)
 	m.frozen = false
 	w.mutex.Unlock()
@@ -205,9 +205,9 @@
 
 // reached is one life of a machine, as a call meets it.
 type reached struct {
-	keeper  *Witness
-	store   *Store
-	steward *Coordinator
+	witness     *Witness
+	store       *Store
+	coordinator *Coordinator
 }
 
 func (w *wire) reach(address string) (*reached, error) {
@@ -222,15 +222,15 @@
 	for _, ma := range wo.machines {
 		if ma.address == address && ma.up.Load() && !ma.frozen && !wo.cut[w.from+">"+address] {
 			// A late call reaches the life that it was sent to.
-			return &reached{keeper: ma.keeper, store: ma.store, steward: ma.steward}, nil
+			return &reached{witness: ma.witness, store: ma.store, coordinator: ma.coordinator}, nil
 		}
 	}
 	return nil, failure.New(failure.Unreachable, address)
 }
 
-func (w *wire) keeperAt(address string, identity Identity) (*reached, error) {
+func (w *wire) witnessAt(address string, identity Identity) (*reached, error) {
 	m, err := w.reach(address)
-	if err == nil && m.keeper.Replica().Identity != identity {
+	if err == nil && m.witness.Replica().Identity != identity {
 		return nil, failure.New(failure.NotAdmitted, "another disk")
 	}
 	return m, err
@@ -241,35 +241,35 @@
 	if err != nil {
 		return Hello{}, err
 	}
-	return m.steward.Greet(own), nil
+	return m.coordinator.HandleHello(own), nil
 }
 
-func (w *wire) Prepare(address string, witness Identity, epoch uint64, c Identity) (Promise, error) {
-	m, err := w.keeperAt(address, witness)
+func (w *wire) Prepare(address string, witness Identity, epoch uint64, c Identity) (Vote, error) {
+	m, err := w.witnessAt(address, witness)
 	if err != nil {
-		return Promise{}, err
+		return Vote{}, err
 	}
-	return m.keeper.Prepare(w.world.clock(), epoch, c)
+	return m.witness.Prepare(w.world.clock(), epoch, c)
 }
 
-func (w *wire) Accept(address string, witness Identity, membership Membership) (Promise, error) {
-	m, err := w.keeperAt(address, witness)
+func (w *wire) Accept(address string, witness Identity, membership Membership) (Vote, error) {
+	m, err := w.witnessAt(address, witness)
 	if err != nil {
-		return Promise{}, err
+		return Vote{}, err
 	}
-	return m.keeper.Accept(w.world.clock(), membership)
+	return m.witness.Accept(w.world.clock(), membership)
 }
 
-func (w *wire) Confirm(address string, witness Identity, epoch uint64, primary Identity) (Promise, error) {
-	m, err := w.keeperAt(address, witness)
+func (w *wire) RenewLease(address string, witness Identity, epoch uint64, primary Identity) (Vote, error) {
+	m, err := w.witnessAt(address, witness)
 	if err != nil {
-		return Promise{}, err
+		return Vote{}, err
 	}
-	return m.keeper.Confirm(w.world.clock(), epoch, primary), nil
+	return m.witness.RenewLease(w.world.clock(), epoch, primary), nil
 }
 
 func (w *wire) Replicate(address string, backup Identity, epoch uint64, batch Batch) error {
-	m, err := w.keeperAt(address, backup)
+	m, err := w.witnessAt(address, backup)
 	if err != nil {
 		return err
 	}
@@ -279,7 +279,7 @@
 
 func (w *wire) Install(address string, backup Identity, snapshot Snapshot) error {
 	w.mayEnd()
-	m, err := w.keeperAt(address, backup)
+	m, err := w.witnessAt(address, backup)
 	if err != nil {
 		return err
 	}
@@ -378,7 +378,7 @@
 // write asks a machine for the next revision and carries the commit out, with
 // a crash of the world possible between any two of its steps.
 func (w *world) write(m *machine) {
-	if !m.steward.HasLease() {
+	if !m.coordinator.HasLease() {
 		return
 	}
 	w.tried++
@@ -386,12 +386,12 @@
 	m.store.Submit(ChangeConfiguration("", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) {
 		return []byte(`{"routes":{"` + strconv.Itoa(revision) + `":{"to":{"refuse":true}}}}`), nil
 	}), func(version Version, err error) {
-		if err == nil && m.steward.HasLease() {
+		if err == nil && m.coordinator.HasLease() {
 			w.answered++
 			w.accepted = max(w.accepted, revision)
 		}
 	})
-	membership := m.steward.Membership()
+	membership := m.coordinator.Membership()
 	if membership.Backup.Empty() {
 		return
 	}
@@ -409,7 +409,7 @@
 	synced := true
 	for _, backup := range membership.Backups() {
 		err := (&wire{world: w, from: m.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
-		m.steward.RecordBackupResult(backup.Identity, err == nil)
+		m.coordinator.RecordBackupResult(backup.Identity, err == nil)
 		synced = synced && err == nil
 		if !w.calm && w.random.IntN(50) == 0 {
 			w.crash(m)
@@ -437,10 +437,10 @@
 // disk that is at its address now, so that one more loss can be borne.
 func (w *world) whole() *machine {
 	for _, m := range w.machines {
-		if !m.up.Load() || m.frozen || !m.steward.HasLease() || m.steward.unsettled {
+		if !m.up.Load() || m.frozen || !m.coordinator.HasLease() || m.coordinator.membershipUnknown {
 			continue
 		}
-		membership := m.steward.Membership()
+		membership := m.coordinator.Membership()
 		if len(membership.Backups()) != w.borne || len(membership.Incoming) > 0 || len(membership.Witnesses) != 2*w.borne+1 {
 			continue
 		}
@@ -451,10 +451,10 @@
 			if !other.up.Load() {
 				continue
 			}
-			if hasReplica(membership.Backups(), other.keeper.Replica().Identity) {
+			if hasReplica(membership.Backups(), other.witness.Replica().Identity) {
 				there++
 			}
-			if hasReplica(membership.Witnesses, other.keeper.Replica().Identity) && other.keeper.Membership().Epoch == membership.Epoch {
+			if hasReplica(membership.Witnesses, other.witness.Replica().Identity) && other.witness.Membership().Epoch == membership.Epoch {
 				healthy++
 				inZone[other.zone]++
 				most = max(most, inZone[other.zone])
@@ -472,7 +472,7 @@
 func (w *world) check() {
 	var holders []string
 	for _, m := range w.machines {
-		if !m.up.Load() || m.frozen || !m.steward.HasLease() {
+		if !m.up.Load() || m.frozen || !m.coordinator.HasLease() {
 			continue
 		}
 		holders = append(holders, m.address)
@@ -508,7 +508,7 @@
 	for _, position := range w.random.Perm(len(w.machines)) {
 		m := w.machines[position]
 		if m.up.Load() && !m.frozen {
-			m.steward.Tick()
+			m.coordinator.Tick()
 			w.check()
 			if w.random.IntN(3) == 0 {
 				w.write(m)
@@ -577,7 +577,7 @@
 	for w.clock().Before(ends) {
 		w.advance(100 * time.Millisecond)
 		for _, mc := range w.machines {
-			mc.steward.Tick()
+			mc.coordinator.Tick()
 			w.check()
 		}
 		if w.whole() != nil {
@@ -622,29 +622,29 @@
 		w.fail("no core was formed")
 	}
 	leader := w.whole()
-	membership := leader.steward.Membership()
+	membership := leader.coordinator.Membership()
 	for _, m := range w.machines {
-		m.keeper.mutex.Lock()
-		m.keeper.leaseEnds = time.Time{}
-		m.keeper.mutex.Unlock()
+		m.witness.mutex.Lock()
+		m.witness.leaseEnds = time.Time{}
+		m.witness.mutex.Unlock()
 	}
 	var backup *machine
 	for _, ma := range w.machines {
-		if ma.keeper.Replica().Identity == membership.Backup.Identity {
+		if ma.witness.Replica().Identity == membership.Backup.Identity {
 			backup = ma
 		}
 	}
 	// The leader is not heard for a moment, as if cut off.
 	w.cut = map[string]bool{leader.address + ">" + backup.address: true, backup.address + ">" + leader.address: true}
-	leader.steward.mutex.Lock()
-	leader.steward.leaseEnds = w.clock().Add(time.Hour)
-	leader.steward.mutex.Unlock()
+	leader.coordinator.mutex.Lock()
+	leader.coordinator.leaseEnds = w.clock().Add(time.Hour)
+	leader.coordinator.mutex.Unlock()
 	for range 40 {
-		backup.steward.Tick()
+		backup.coordinator.Tick()
 	}
 	holders := 0
 	for _, mc := range w.machines {
-		if mc.steward.HasLease() {
+		if mc.coordinator.HasLease() {
 			holders++
 		}
 	}
@@ -665,19 +665,19 @@
 	for w.answered == 0 {
 		w.write(first)
 	}
-	first.steward.SetRestricted(true)
+	first.coordinator.SetRestricted(true)
 	for range 100 {
 		w.advance(100 * time.Millisecond)
 		for _, m := range w.machines {
-			m.steward.Tick()
+			m.coordinator.Tick()
 			w.check()
 		}
 		leader := w.whole()
-		if leader != nil && leader != first && leader.steward.Membership().Backup.Identity != first.keeper.Replica().Identity {
+		if leader != nil && leader != first && leader.coordinator.Membership().Backup.Identity != first.witness.Replica().Identity {
 			return
 		}
 	}
-	w.fail("the restricted expediter still leads or backs up: %+v", first.steward.Membership())
+	w.fail("the restricted expediter still leads or backs up: %+v", first.coordinator.Membership())
 }
 
 // TestSweepMendsFilesThatBecameDamaged damages files of a copy and of a keeper
@@ -777,32 +777,32 @@
 	for _, m := range w.machines {
 		switch {
 		case m == leader:
-		case m.keeper.Replica().Identity == leader.steward.Membership().Backup.Identity:
+		case m.witness.Replica().Identity == leader.coordinator.Membership().Backup.Identity:
 			backup = m
 		default:
 			third = m
 		}
 	}
-	third.steward.SetRestricted(true)
+	third.coordinator.SetRestricted(true)
 	w.crash(backup)
 	paired := func(with *machine) bool {
 		for range 60 {
 			w.advance(100 * time.Millisecond)
 			for _, ma := range w.machines {
 				if ma.up.Load() {
-					ma.steward.Tick()
+					ma.coordinator.Tick()
 				}
 			}
 			w.write(leader)
 			w.check()
-			if leader.steward.HasLease() && leader.steward.Membership().Backup.Identity == with.keeper.Replica().Identity {
+			if leader.coordinator.HasLease() && leader.coordinator.Membership().Backup.Identity == with.witness.Replica().Identity {
 				return true
 			}
 		}
 		return false
 	}
 	if !paired(third) {
-		w.fail("no backup is better than a restricted one: %+v", leader.steward.Membership())
+		w.fail("no backup is better than a restricted one: %+v", leader.coordinator.Membership())
 	}
 	before := w.answered
 	w.write(leader)
@@ -811,7 +811,7 @@
 	}
 	w.start(backup)
 	if !paired(backup) {
-		w.fail("the restricted backup was not exchanged for a capable one: %+v", leader.steward.Membership())
+		w.fail("the restricted backup was not exchanged for a capable one: %+v", leader.coordinator.Membership())
 	}
 }
 
@@ -826,10 +826,10 @@
 	w.calm = true
 	leader := w.whole()
 	w.write(leader)
-	backup := leader.steward.Membership().Backup.Identity
+	backup := leader.coordinator.Membership().Backup.Identity
 	for _, m := range w.machines {
-		if m.keeper.Replica().Identity == backup {
-			m.steward.SetRestricted(true)
+		if m.witness.Replica().Identity == backup {
+			m.coordinator.SetRestricted(true)
 		}
 	}
 	w.crash(leader)
@@ -842,11 +842,11 @@
 	for range 100 {
 		w.advance(100 * time.Millisecond)
 		for _, ma := range w.machines {
-			ma.steward.Tick()
+			ma.coordinator.Tick()
 		}
 		w.check()
 		for _, mc := range w.machines {
-			if mc.steward.HasLease() {
+			if mc.coordinator.HasLease() {
 				return
 			}
 		}
@@ -871,19 +871,19 @@
 			leader := w.whole()
 			w.write(leader)
 			for _, m := range w.machines {
-				if m.keeper.Replica().Identity == leader.steward.Membership().Backup.Identity {
+				if m.witness.Replica().Identity == leader.coordinator.Membership().Backup.Identity {
 					w.crash(m)
 					m.keeping, m.copies = newMemoryStorage(), newMemoryStorage()
 				}
 			}
-			begin(leader.steward)
+			begin(leader.coordinator)
 			for range 5 {
-				leader.steward.Tick()
+				leader.coordinator.Tick()
 				w.advance(100 * time.Millisecond)
 			}
 			w.crash(leader)
 			if !w.heal(20 * time.Second) {
-				w.fail("the core is not whole again: %+v", leader.keeper.Membership())
+				w.fail("the core is not whole again: %+v", leader.witness.Membership())
 			}
 			w.check()
 		})
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -341,7 +341,7 @@
 	if s.leading {
 		return failure.New(failure.OldEpoch, "this copy leads")
 	}
-	return s.witness.Learn(epoch)
+	return s.witness.ObserveEpoch(epoch)
 }
 
 // PromiseEpoch promises the epoch on the store's own disk. It takes the store's lock, so that
@@ -350,7 +350,7 @@
 func (s *Store) PromiseEpoch(now time.Time, epoch uint64, c Identity) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.witness.Vow(now, epoch, c)
+	return s.witness.PromiseSelf(now, epoch, c)
 }
 
 // LocalReplica is the store's replica, for status and for candidates' checks.
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -10,19 +10,19 @@
 	CatchUp time.Duration
 	// Lease is how long a witness holds still for the primary that it confirmed.
 	Lease time.Duration
-	// Round is the time between two rounds of hellos and of lease renewals of a core that
+	// HeartbeatInterval is the time between two rounds of hellos and of lease renewals of a core that
 	// is whole. A lease lasts five of them.
-	Round time.Duration
-	// Beat is the longest time between two hellos of a machine that is there.
-	Beat time.Duration
-	// BackupSilence is how long a backup's writes may fail before another takes its place.
-	BackupSilence time.Duration
-	// WitnessSilence is how long a witness may not answer before a newcomer is admitted
+	HeartbeatInterval time.Duration
+	// MaxHeartbeatGap is the longest time between two hellos of a machine that is there.
+	MaxHeartbeatGap time.Duration
+	// BackupTimeout is how long a backup's writes may fail before another takes its place.
+	BackupTimeout time.Duration
+	// WitnessTimeout is how long a witness may not answer before a newcomer is admitted
 	// in its place. It also bounds how long a new primary waits to hear from all.
-	WitnessSilence time.Duration
-	// FewerCopies is how long a primary looks for a copy in the place of one that is gone
+	WitnessTimeout time.Duration
+	// ReplacementTimeout is how long a primary looks for a copy in the place of one that is gone
 	// before it goes on with fewer, where several backups are wanted.
-	FewerCopies time.Duration
+	ReplacementTimeout time.Duration
 }
 
 const (
@@ -34,13 +34,13 @@
 	// ExchangeTime is what it costs to admit a witness: two grants, a round apart.
 	ExchangeTime = 400 * time.Millisecond
 
-	shortestLease          = 600 * time.Millisecond
-	shortestWitnessSilence = 400 * time.Millisecond
-	longestWitnessSilence  = time.Second
-	longestRound           = 290 * time.Millisecond
-	longestBeat            = 800 * time.Millisecond
-	longestBackupSilence   = 700 * time.Millisecond
-	longestFewerCopies     = 2 * time.Second
+	minLease              = 600 * time.Millisecond
+	minWitnessTimeout     = 400 * time.Millisecond
+	maxWitnessTimeout     = time.Second
+	maxHeartbeatInterval  = 290 * time.Millisecond
+	maxHeartbeatGap       = 800 * time.Millisecond
+	maxBackupTimeout      = 700 * time.Millisecond
+	maxReplacementTimeout = 2 * time.Second
 )
 
 // TimingFor derives the waits from a bound; zero or less means the default one. A longer
@@ -49,25 +49,25 @@
 	if catchUp <= 0 {
 		catchUp = DefaultCatchUp
 	}
-	lease := min(max(catchUp*3/8, shortestLease), PrimaryLease)
+	lease := min(max(catchUp*3/8, minLease), PrimaryLease)
 	return Timing{
-		CatchUp:        catchUp,
-		Lease:          lease,
-		Round:          min(lease/5, longestRound),
-		Beat:           min(lease*8/15, longestBeat),
-		BackupSilence:  min(lease*7/15, longestBackupSilence),
-		WitnessSilence: min(max(catchUp/5, shortestWitnessSilence), longestWitnessSilence),
-		FewerCopies:    min(catchUp/2, longestFewerCopies),
+		CatchUp:            catchUp,
+		Lease:              lease,
+		HeartbeatInterval:  min(lease/5, maxHeartbeatInterval),
+		MaxHeartbeatGap:    min(lease*8/15, maxHeartbeatGap),
+		BackupTimeout:      min(lease*7/15, maxBackupTimeout),
+		WitnessTimeout:     min(max(catchUp/5, minWitnessTimeout), maxWitnessTimeout),
+		ReplacementTimeout: min(catchUp/2, maxReplacementTimeout),
 	}
 }
 
-// Repair is the longest time from the loss of a machine, the primary too, until the core
+// RepairTime is the longest time from the loss of a machine, the primary too, until the core
 // is whole again, when another can be had and disks and links are sound: the lease, a
 // takeover, the new primary's wait to hear from all, the exchange of a witness.
-func (t Timing) Repair() time.Duration {
-	return t.Lease + ElectionTime + t.WitnessSilence + ExchangeTime
+func (t Timing) RepairTime() time.Duration {
+	return t.Lease + ElectionTime + t.WitnessTimeout + ExchangeTime
 }
 
 // Margin is how much earlier than the bound the core is whole again. Below zero a second
 // loss may come too soon.
-func (t Timing) Margin() time.Duration { return t.CatchUp - t.Repair() }
+func (t Timing) Margin() time.Duration { return t.CatchUp - t.RepairTime() }
--- a/internal/replication/timing_test.go
+++ b/internal/replication/timing_test.go
@@ -17,13 +17,13 @@
 	}{{2 * time.Second, 0}, {3 * time.Second, 400 * time.Millisecond}, {4 * time.Second, 900 * time.Millisecond}, {8 * time.Second, 4 * time.Second}} {
 		timing := TimingFor(row.bound)
 		if timing.Margin() < row.margin {
-			t.Errorf("%v: repaired after %v, a margin of %v", row.bound, timing.Repair(), timing.Margin())
+			t.Errorf("%v: repaired after %v, a margin of %v", row.bound, timing.RepairTime(), timing.Margin())
 		}
-		if timing.Lease > usual.Lease || timing.Round > usual.Round || timing.WitnessSilence > longestWitnessSilence {
+		if timing.Lease > usual.Lease || timing.HeartbeatInterval > usual.HeartbeatInterval || timing.WitnessTimeout > maxWitnessTimeout {
 			t.Errorf("%v: %+v", row.bound, timing)
 		}
-		if timing.Lease < 4*timing.Round || timing.Lease <= 2*leaseDrift {
-			t.Errorf("%v: a lease of %v is renewed each %v", row.bound, timing.Lease, timing.Round)
+		if timing.Lease < 4*timing.HeartbeatInterval || timing.Lease <= 2*leaseDrift {
+			t.Errorf("%v: a lease of %v is renewed each %v", row.bound, timing.Lease, timing.HeartbeatInterval)
 		}
 	}
 }
@@ -36,18 +36,18 @@
 	short := TimingFor(2 * time.Second)
 	for _, m := range w.machines {
 		if m != leader {
-			m.keeper.SetLease(short.Lease)
+			m.witness.SetLease(short.Lease)
 		}
 	}
-	leader.steward.Tick()
+	leader.coordinator.Tick()
 	w.advance(short.Lease)
-	if !leader.steward.HasLease() {
+	if !leader.coordinator.HasLease() {
 		return
 	}
 	// What it holds was given before the witnesses' leases were shortened, at most.
 	w.run(time.Second, nil)
 	w.advance(short.Lease)
-	if leader.steward.HasLease() {
+	if leader.coordinator.HasLease() {
 		w.fail("the primary holds for longer than its witnesses hold still")
 	}
 }
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -18,16 +18,16 @@
 // Witness is an epoch witness. It keeps only the membership and the highest epoch
 // that it has promised, both synced before it answers.
 type Witness struct {
-	mutex     sync.Locker
-	storage   Storage
-	self      Replica
-	note      witnessNote
-	lease     time.Duration
-	holder    Identity
-	leaseEnds time.Time
+	mutex       sync.Locker
+	storage     Storage
+	self        Replica
+	record      witnessRecord
+	lease       time.Duration
+	leaseHolder Identity
+	leaseEnds   time.Time
 }
 
-type witnessNote struct {
+type witnessRecord struct {
 	Identity   Identity   `msgpack:"identity"`
 	Sequence   uint64     `msgpack:"sequence"`
 	Promised   uint64     `msgpack:"promised"`
@@ -52,23 +52,23 @@
 	sort.Strings(names)
 	if len(names) > 0 {
 		newest := names[len(names)-1]
-		if content, intact := files[newest]; intact && msgpack.Unmarshal(content, &witness.note) == nil && witness.note.Identity != "" {
-			witness.self.Identity = witness.note.Identity
-			witness.holder = witness.note.Membership.Primary.Identity
+		if content, intact := files[newest]; intact && msgpack.Unmarshal(content, &witness.record) == nil && witness.record.Identity != "" {
+			witness.self.Identity = witness.record.Identity
+			witness.leaseHolder = witness.record.Membership.Primary.Identity
 			return witness, false, nil
 		}
 	}
-	witness.note = witnessNote{Identity: fresh, Sequence: uint64(len(names))}
+	witness.record = witnessRecord{Identity: fresh, Sequence: uint64(len(names))}
 	witness.self.Identity = fresh
 	if err := storage.Remove(names); err != nil {
 		return nil, true, err
 	}
-	return witness, true, witness.save(witness.note)
+	return witness, true, witness.save(witness.record)
 }
 
-// Guard chooses the keeper's lock, which is held while it waits for the disk. It comes
+// SetLock chooses the keeper's lock, which is held while it waits for the disk. It comes
 // before any other use.
-func (w *Witness) Guard(lock sync.Locker) { w.mutex = lock }
+func (w *Witness) SetLock(lock sync.Locker) { w.mutex = lock }
 
 // SetLease chooses how long the keeper holds still for a primary, no longer than
 // PrimaryLease: for that long it keeps still at its start, whatever it was told before.
@@ -85,14 +85,14 @@
 func (w *Witness) Membership() Membership {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.note.Membership
+	return w.record.Membership
 }
 
 // Promised is the highest epoch that the keeper has promised.
 func (w *Witness) Promised() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.note.Promised
+	return w.record.Promised
 }
 
 // LeaseEnds tells when the hold that the keeper gave a primary runs out.
@@ -102,112 +102,112 @@
 	return w.leaseEnds
 }
 
-// Holder is whom the hold that runs was given to.
-func (w *Witness) Holder() Identity {
+// LeaseHolder is whom the hold that runs was given to.
+func (w *Witness) LeaseHolder() Identity {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.holder
+	return w.leaseHolder
 }
 
 // Prepare promises an epoch to a candidate, unless a higher or equal one is
 // promised or another primary's hold runs.
-func (w *Witness) Prepare(now time.Time, epoch uint64, c Identity) (Promise, error) {
+func (w *Witness) Prepare(now time.Time, epoch uint64, candidate Identity) (Vote, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	promise := Promise{Witness: w.self.Identity, Promised: w.note.Promised, Membership: w.note.Membership}
+	vote := Vote{Witness: w.self.Identity, Promised: w.record.Promised, Membership: w.record.Membership}
 	switch {
-	case w.note.Membership.Blank():
-		promise.Refusal = failure.NotAdmitted
-	case epoch <= w.note.Promised:
-		promise.Refusal = failure.OldEpoch
-	case now.Before(w.leaseEnds) && w.holder != c:
-		promise.Refusal = failure.LeaseActive
+	case w.record.Membership.Blank():
+		vote.Refusal = failure.NotAdmitted
+	case epoch <= w.record.Promised:
+		vote.Refusal = failure.OldEpoch
+	case now.Before(w.leaseEnds) && w.leaseHolder != candidate:
+		vote.Refusal = failure.LeaseActive
 	default:
-		note := w.note
-		note.Promised = epoch
-		if err := w.save(note); err != nil {
-			return promise, err
+		record := w.record
+		record.Promised = epoch
+		if err := w.save(record); err != nil {
+			return vote, err
 		}
-		promise.Granted = true
-		promise.Promised = epoch
+		vote.Granted = true
+		vote.Promised = epoch
 	}
-	return promise, nil
+	return vote, nil
 }
 
 // Accept takes a membership, unless a higher epoch is promised. A blank keeper
 // takes only one that names it: that is how it is admitted.
-func (w *Witness) Accept(now time.Time, membership Membership) (Promise, error) {
+func (w *Witness) Accept(now time.Time, membership Membership) (Vote, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	promise := Promise{Witness: w.self.Identity, Promised: w.note.Promised, Membership: w.note.Membership}
+	vote := Vote{Witness: w.self.Identity, Promised: w.record.Promised, Membership: w.record.Membership}
 	switch {
-	case membership.Epoch < w.note.Promised || membership.Epoch < w.note.Membership.Epoch:
-		promise.Refusal = failure.OldEpoch
-	case w.note.Membership.Blank() && !membership.Keeps(w.self.Identity):
-		promise.Refusal = failure.NotAdmitted
-	case membership.Epoch == w.note.Membership.Epoch && membership.Primary.Identity != w.note.Membership.Primary.Identity:
-		promise.Refusal = failure.OldEpoch
+	case membership.Epoch < w.record.Promised || membership.Epoch < w.record.Membership.Epoch:
+		vote.Refusal = failure.OldEpoch
+	case w.record.Membership.Blank() && !membership.HasVoter(w.self.Identity):
+		vote.Refusal = failure.NotAdmitted
+	case membership.Epoch == w.record.Membership.Epoch && membership.Primary.Identity != w.record.Membership.Primary.Identity:
+		vote.Refusal = failure.OldEpoch
 	default:
-		note := w.note
-		note.Promised = membership.Epoch
-		note.Membership = membership
-		if err := w.save(note); err != nil {
-			return promise, err
+		record := w.record
+		record.Promised = membership.Epoch
+		record.Membership = membership
+		if err := w.save(record); err != nil {
+			return vote, err
 		}
-		if w.holder != membership.Primary.Identity {
+		if w.leaseHolder != membership.Primary.Identity {
 			// Whoever could propose another primary knew the old hold to be over
 			// at a quorum, or had it and gave it up.
-			w.holder, w.leaseEnds = membership.Primary.Identity, time.Time{}
+			w.leaseHolder, w.leaseEnds = membership.Primary.Identity, time.Time{}
 		}
-		promise.Granted = true
-		promise.Promised = membership.Epoch
-		promise.Membership = membership
+		vote.Granted = true
+		vote.Promised = membership.Epoch
+		vote.Membership = membership
 	}
-	return promise, nil
+	return vote, nil
 }
 
-// Confirm gives the primary of the epoch its hold: for that long the keeper
+// RenewLease gives the primary of the epoch its hold: for that long the keeper
 // promises no other epoch to another candidate. A membership that it has not accepted
 // must be brought first, so that its disk tells after a restart whom it held still for.
-func (w *Witness) Confirm(now time.Time, epoch uint64, primary Identity) Promise {
+func (w *Witness) RenewLease(now time.Time, epoch uint64, primary Identity) Vote {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	promise := Promise{Witness: w.self.Identity, Promised: w.note.Promised, Membership: w.note.Membership}
-	if w.note.Membership.Blank() {
-		promise.Refusal = failure.NotAdmitted
-		return promise
+	vote := Vote{Witness: w.self.Identity, Promised: w.record.Promised, Membership: w.record.Membership}
+	if w.record.Membership.Blank() {
+		vote.Refusal = failure.NotAdmitted
+		return vote
 	}
-	if epoch < w.note.Promised || epoch < w.note.Membership.Epoch {
-		promise.Refusal = failure.OldEpoch
-		return promise
+	if epoch < w.record.Promised || epoch < w.record.Membership.Epoch {
+		vote.Refusal = failure.OldEpoch
+		return vote
 	}
-	if epoch > w.note.Membership.Epoch {
-		promise.Refusal = failure.Behind
-		return promise
+	if epoch > w.record.Membership.Epoch {
+		vote.Refusal = failure.Behind
+		return vote
 	}
-	w.holder = primary
+	w.leaseHolder = primary
 	if ends := now.Add(w.lease); ends.After(w.leaseEnds) {
 		w.leaseEnds = ends
 	}
-	promise.Granted = true
-	promise.Lease = w.lease
-	return promise
+	vote.Granted = true
+	vote.Lease = w.lease
+	return vote
 }
 
-// Vow promises an epoch on the candidate's own disk, by the same rule as for
+// PromiseSelf promises an epoch on the candidate's own disk, by the same rule as for
 // another candidate, whether or not this disk is a keeper's.
-func (w *Witness) Vow(now time.Time, epoch uint64, c Identity) error {
+func (w *Witness) PromiseSelf(now time.Time, epoch uint64, candidate Identity) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if epoch <= w.note.Promised {
-		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.note.Promised))
+	if epoch <= w.record.Promised {
+		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.record.Promised))
 	}
-	if now.Before(w.leaseEnds) && w.holder != c {
+	if now.Before(w.leaseEnds) && w.leaseHolder != candidate {
 		return failure.New(failure.LeaseActive, "another primary's hold runs")
 	}
-	note := w.note
-	note.Promised = epoch
-	return w.save(note)
+	record := w.record
+	record.Promised = epoch
+	return w.save(record)
 }
 
 // Sweep reads the keeper's note again, and writes it anew when the file has
@@ -219,42 +219,42 @@
 	if err != nil {
 		return false, err
 	}
-	if _, intact := files[noteName(w.note.Sequence)]; intact {
+	if _, intact := files[recordName(w.record.Sequence)]; intact {
 		return false, nil
 	}
-	return true, w.save(w.note)
+	return true, w.save(w.record)
 }
 
-// Learn takes the identity's promise as a backup: it must never again serve an
+// ObserveEpoch takes the identity's promise as a backup: it must never again serve an
 // older epoch.
-func (w *Witness) Learn(epoch uint64) error {
+func (w *Witness) ObserveEpoch(epoch uint64) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if epoch < w.note.Promised {
-		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.note.Promised))
+	if epoch < w.record.Promised {
+		return failure.New(failure.OldEpoch, fmt.Sprintf("epoch %d is promised", w.record.Promised))
 	}
-	if epoch == w.note.Promised {
+	if epoch == w.record.Promised {
 		return nil
 	}
-	note := w.note
-	note.Promised = epoch
-	return w.save(note)
+	record := w.record
+	record.Promised = epoch
+	return w.save(record)
 }
 
-func (w *Witness) save(note witnessNote) error {
-	old := w.note.Sequence
-	note.Sequence = old + 1
-	encoded, err := msgpack.Marshal(note)
+func (w *Witness) save(record witnessRecord) error {
+	old := w.record.Sequence
+	record.Sequence = old + 1
+	encoded, err := msgpack.Marshal(record)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	if err := w.storage.Save(noteName(note.Sequence), encoded); err != nil {
+	if err := w.storage.Save(recordName(record.Sequence), encoded); err != nil {
 		return err
 	}
-	w.note = note
+	w.record = record
 	// The older file only takes room: that it stays is no failure.
-	_ = w.storage.Remove([]string{noteName(old)})
+	_ = w.storage.Remove([]string{recordName(old)})
 	return nil
 }
 
-func noteName(sequence uint64) string { return fmt.Sprintf("keeper-%020d", sequence) }
+func recordName(sequence uint64) string { return fmt.Sprintf("keeper-%020d", sequence) }
--- a/internal/replication/witnessplan.go
+++ b/internal/replication/witnessplan.go
@@ -3,56 +3,56 @@
 // witnessPlan chooses keepers from those that are, of which some may be gone, and
 // from spares that are there.
 type witnessPlan struct {
-	keepers []plannedWitness
-	spares  []Replica
-	wanted  int
+	witnesses []plannedWitness
+	spares    []Replica
+	wanted    int
 }
 
 type plannedWitness struct {
-	seat Replica
-	gone bool
+	replica Replica
+	gone    bool
 }
 
 // next gives the next keepers, or tells that nothing is to be done. Their number
 // stays odd.
 func (w *witnessPlan) next() ([]Replica, bool) {
 	changed := false
-	for position := range w.keepers {
-		if !w.keepers[position].gone {
+	for position := range w.witnesses {
+		if !w.witnesses[position].gone {
 			continue
 		}
 		// One that has come back blank has its old place.
-		spare, found := w.spareAt(w.keepers[position].seat.Address)
+		spare, found := w.spareAt(w.witnesses[position].replica.Address)
 		if !found {
 			spare, found = w.bestSpare()
 		}
 		if found {
-			w.keepers[position] = plannedWitness{seat: w.take(spare)}
+			w.witnesses[position] = plannedWitness{replica: w.takeSpare(spare)}
 			changed = true
 		}
 	}
-	for len(w.keepers)+2 <= w.wanted && len(w.spares) >= 2 {
+	for len(w.witnesses)+2 <= w.wanted && len(w.spares) >= 2 {
 		for range 2 {
 			best, _ := w.bestSpare()
-			w.keepers = append(w.keepers, plannedWitness{seat: w.take(best)})
+			w.witnesses = append(w.witnesses, plannedWitness{replica: w.takeSpare(best)})
 		}
 		changed = true
 	}
 	// A zone may have as many as leave a majority when it goes.
-	most := (len(w.keepers) - 1) / 2
-	for position := range w.keepers {
-		replica := w.keepers[position].seat
+	most := (len(w.witnesses) - 1) / 2
+	for position := range w.witnesses {
+		replica := w.witnesses[position].replica
 		if replica.Zone == "" || w.inZone(replica.Zone) <= most {
 			continue
 		}
 		if spare, found := w.bestSpare(); found && w.inZone(w.spares[spare].Zone) < most {
-			w.keepers[position] = plannedWitness{seat: w.take(spare)}
+			w.witnesses[position] = plannedWitness{replica: w.takeSpare(spare)}
 			changed = true
 		}
 	}
 	var replicas []Replica
-	for _, witness := range w.keepers {
-		replicas = append(replicas, witness.seat)
+	for _, witness := range w.witnesses {
+		replicas = append(replicas, witness.replica)
 	}
 	return replicas, changed
 }
@@ -77,7 +77,7 @@
 	return best, found
 }
 
-func (w *witnessPlan) take(position int) Replica {
+func (w *witnessPlan) takeSpare(position int) Replica {
 	taken := w.spares[position]
 	w.spares = append(w.spares[:position:position], w.spares[position+1:]...)
 	return taken
@@ -86,8 +86,8 @@
 // inZone counts the keepers of a zone that are not gone.
 func (w *witnessPlan) inZone(zone string) int {
 	count := 0
-	for _, witness := range w.keepers {
-		if witness.seat.Zone == zone && !witness.gone {
+	for _, witness := range w.witnesses {
+		if witness.replica.Zone == zone && !witness.gone {
 			count++
 		}
 	}
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -307,7 +307,7 @@
 		for _, seat := range append(m.Backups(), m.Witnesses...) {
 			there := w.machineNamed(w.nameAt(seat.Address))
 			if there == nil || there.incarnation == nil || there.incarnation.ended || there.incarnation.frozen || there.control == nil ||
-				there.control.Witness().Replica().Identity != seat.Identity || m.Keeps(seat.Identity) && there.control.Witness().Membership().Epoch != m.Epoch {
+				there.control.Witness().Replica().Identity != seat.Identity || m.HasVoter(seat.Identity) && there.control.Witness().Membership().Epoch != m.Epoch {
 				return false
 			}
 		}
--- a/internal/testbed/simulation/ways_test.go
+++ b/internal/testbed/simulation/ways_test.go
@@ -140,7 +140,7 @@
 				return false
 			}
 			m := w.primary().control.Coordinator().Membership()
-			return m.Keeps(joined.control.Witness().Replica().Identity) && len(m.Incoming) == 0
+			return m.HasVoter(joined.control.Witness().Replica().Identity) && len(m.Incoming) == 0
 		})
 		if took < 0 || took > 15*time.Second {
 			t.Fatalf("%s is no keeper after %s", joined.name, took)
