--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -8,42 +8,43 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// The steward's lengths of time. The values are ours.
+// The coordinator's lengths of time that do not depend on Timing. All are constants of the product.
 const (
-	// leaseDrift is taken off the primary's own hold for clocks that run at
-	// different speeds.
+	// leaseDrift is taken off the primary's own lease for clocks that run at different speeds.
 	leaseDrift = 150 * time.Millisecond
-	// diskTimeout is how long one write to the primary's own disk may take
-	// before it lets the backup take over.
+	// diskTimeout is how long one write to the primary's own disk may take before the primary
+	// stops renewing its lease, so that the backup takes over.
 	diskTimeout = 1500 * time.Millisecond
-	// inboundTimeout is how long a primary may be greeted by nobody, while it
-	// reaches its backup, before it hands over.
+	// inboundTimeout is how long a primary may receive no hello, while it reaches its backup,
+	// before it transfers leadership.
 	inboundTimeout = 1500 * time.Millisecond
-	// silentMargin is how much longer than a lease a primary that hears nobody keeps silent
-	// between two tries: past the holds that its keepers may have renewed, and long enough
-	// for the backup to notice.
+	// silentMargin is how much longer than a lease a primary that receives nothing waits between
+	// two renewals: past the leases that its witnesses may have renewed, and long enough for the
+	// backup to notice.
 	silentMargin = 700 * time.Millisecond
-	// applicantFreshness is how long a newcomer's hello counts.
+	// applicantFreshness is how long the hello counts of a controller that may become backup or
+	// witness.
 	applicantFreshness = 3 * time.Second
-	// responseFreshness is after which silence a candidate is tried after the others.
+	// responseFreshness is how recent a response must be for its sender to count as reachable.
 	responseFreshness = 700 * time.Millisecond
-	// candidateStagger is how long a copy in sync lets another that goes before it stand.
+	// candidateStagger is how much later a replica in sync stands for each other one that comes
+	// before it in the membership.
 	candidateStagger = 200 * time.Millisecond
-	// installTimeout is after how long another candidate is tried beside the one
-	// whose disk takes its time.
+	// installTimeout is how long a snapshot may take to install before another candidate is
+	// tried beside the slow one.
 	installTimeout = 600 * time.Millisecond
-	// helloTimeout is how long a round of hellos is waited for: a machine without
-	// power must not hold up the others' election.
+	// helloTimeout is how long a round of hellos is waited for: a machine without power must not
+	// delay the others' election.
 	helloTimeout = 150 * time.Millisecond
-	// witnessHandoverTimeout is how long a controller that leaves waits for another to take its
-	// witness's seat, once its copy does not count any more.
+	// witnessHandoverTimeout is how long a leaving controller waits for another to become witness
+	// in its place, once its copy does not count any more.
 	witnessHandoverTimeout = time.Second
-	// slowResponseFreshness is how long a hello that came after its round counts in the next.
+	// slowResponseFreshness is how long a response that came after its round counts in the next.
 	slowResponseFreshness = 450 * time.Millisecond
 )
 
-// Coordinator decides who is primary, backup and keeper, from one controller's
-// point of view. Tick is called by one thread, over and over.
+// Coordinator decides from one controller's point of view who is primary, backup and witness. Tick
+// is called by one goroutine, again and again; the other methods may be called by any.
 type Coordinator struct {
 	runtime runtime.Runtime
 	seeds   []string
@@ -54,136 +55,174 @@
 	observe func(event string, detail ...any)
 	timing  Timing
 
-	mutex           sync.Mutex
-	leaseEnds       time.Time
-	membership      Membership
-	restricted      bool
-	peerStatuses    map[Identity]*peerStatus
-	discovered      []string
-	memberAddresses []string
-	nextMember      int
+	// mutex guards the fields below, but for those that only Tick and what it calls use:
+	// roundStartedAt, renewedAt, renewalFailed, membershipUnknown, higherPromiseSeen,
+	// highestEpoch, shortSince, quorumFreeSince, backoff.
+	mutex sync.Mutex
+	// leaseEnds is when the own lease as primary ends; zero without one.
+	leaseEnds time.Time
+	// membership is the newest that any hello or proposal showed; the witness may have a newer.
+	membership Membership
+	// restricted: the controller lacks an enabled flag. joinOnly: it forms no first membership.
+	// leaving: its process is about to end.
+	restricted, joinOnly, leaving bool
+	// lossesTolerated, zone and backupList are what SetTolerance and SetBackupList gave.
 	lossesTolerated int
 	zone            string
 	backupList      bool
-	joinOnly        bool
 
+	// peerStatuses is the failure detector's table.
+	peerStatuses map[Identity]*peerStatus
+	// discovered and memberAddresses are greeted besides seeds and witnesses; nextMember is the
+	// position in memberAddresses to go on from.
+	discovered      []string
+	memberAddresses []string
+	nextMember      int
+	// helloReceivedAt is when any controller's hello came in, primaryHelloAt the primary's.
+	helloReceivedAt time.Time
+	primaryHelloAt  time.Time
+	roundStartedAt  time.Time
+
+	// renewalSentAt is when the last renewal of the lease was sent, renewedAt when the last one
+	// that a quorum granted was.
+	renewalSentAt time.Time
+	renewedAt     time.Time
+	renewalFailed bool
+	// membershipUnknown: a proposal of this primary failed, or witnesses refuse to renew, so that
+	// the granted membership is to be proposed again before anything is built on it.
 	membershipUnknown bool
+	// higherPromiseSeen: some witness promised an epoch above the present one, though a quorum
+	// renews; highestRefused is the highest epoch that a witness reported as it refused.
 	higherPromiseSeen bool
-	renewalFailed     bool
-	backupFails       map[Identity]time.Time
-	installFails      map[Identity]time.Time
-	shortSince        time.Time
-	diskBusy          time.Time
-	renewalSentAt     time.Time
-	helloReceivedAt   time.Time
-	primaryHelloAt    time.Time
-	roundStartedAt    time.Time
-	renewedAt         time.Time
-	quorumFreeSince   time.Time
-	leadsSince        time.Time
-	leaving           bool
-	outOfSyncSince    time.Time
-	backoff           time.Time
-	highestEpoch      uint64
-	// overtaken is the highest epoch that a keeper told when it refused a hold.
-	highestRefused uint64
+	highestRefused    uint64
+	// highestEpoch is the highest epoch seen in any vote; the next proposal takes a higher one.
+	highestEpoch uint64
+
+	// backupFails is since when each backup's writes fail, installFails when installing a
+	// snapshot failed.
+	backupFails  map[Identity]time.Time
+	installFails map[Identity]time.Time
+	// shortSince is since when there are fewer backups than wanted, diskBusy since when a write
+	// to the own disk is under way.
+	shortSince time.Time
+	diskBusy   time.Time
+
+	leadsSince      time.Time
+	quorumFreeSince time.Time
+	outOfSyncSince  time.Time
+	// backoff is when this controller may stand as a candidate again.
+	backoff time.Time
 }
 
-// acquaintance is another controller: when it was heard last, and when it
-// answered last, which shows that it can be reached, too.
-type peerStatus struct {
-	hello        Hello
-	lastSeen     time.Time
-	lastResponse time.Time
+// NewCoordinator returns the coordinator of one controller, with the default timing and one loss
+// tolerated. Observe is called for each event that is worth a log entry.
+func NewCoordinator(
+	rt runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any),
+) *Coordinator {
+	return &Coordinator{
+		runtime:         rt,
+		seeds:           seeds,
+		kind:            membership.Controller,
+		witness:         witness,
+		store:           store,
+		peers:           peers,
+		observe:         observe,
+		timing:          TimingFor(DefaultCatchUp),
+		lossesTolerated: 1,
+		peerStatuses:    map[Identity]*peerStatus{},
+		backupFails:     map[Identity]time.Time{},
+		installFails:    map[Identity]time.Time{},
+	}
 }
 
-// NewCoordinator makes the steward of one controller.
-func NewCoordinator(rt runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any)) *Coordinator {
-	return &Coordinator{runtime: rt, seeds: seeds, kind: membership.Controller, witness: witness, store: store, peers: peers,
-		observe: observe, timing: TimingFor(DefaultCatchUp), peerStatuses: map[Identity]*peerStatus{}, lossesTolerated: 1, backupFails: map[Identity]time.Time{}, installFails: map[Identity]time.Time{}}
+// SetTiming sets the coordinator's waits. It comes before any other use.
+func (c *Coordinator) SetTiming(timing Timing) {
+	c.timing = timing
+	c.witness.SetLease(timing.Lease)
 }
 
-// HasLease tells whether this controller is primary at this moment: its own hold
-// runs. It is asked just before every answer.
-func (c *Coordinator) HasLease() bool {
+// SetSeeds replaces the seeds, after a reload.
+func (c *Coordinator) SetSeeds(seeds []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.runtime.Now().Before(c.leaseEnds) && c.store.View() != nil
+	c.seeds = seeds
 }
 
-// SetRestricted tells the steward whether its node lacks an enabled flag; a
-// restricted node keeps epochs but stands for nothing.
-func (c *Coordinator) SetRestricted(restricted bool) {
+// SetDiscovered sets addresses, as the platform lists them, that are sent hellos besides the seeds
+// and the witnesses.
+func (c *Coordinator) SetDiscovered(addresses []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.restricted = restricted
+	c.discovered = addresses
 }
 
-// Leave makes this controller hand over what it has, and stand no more while another can:
-// its process is about to end. The primary is told at once.
-func (c *Coordinator) Leave() {
+// SetMemberAddresses sets the addresses of the recorded members, those that likely know the
+// membership first. They are sent hellos while no majority of the witnesses responds.
+func (c *Coordinator) SetMemberAddresses(addresses []string) {
 	c.mutex.Lock()
-	c.leaving = true
-	c.mutex.Unlock()
-	primary := c.Membership().Primary
-	if primary.Empty() || primary.Identity == c.witness.Replica().Identity {
-		return
-	}
-	if hello, err := c.peers.Hello(c.Address(primary), c.OwnHello()); err == nil {
-		c.recordHello(hello, true)
-	}
+	defer c.mutex.Unlock()
+	c.memberAddresses = addresses
 }
 
-// ReadyToStop tells whether nothing depends on this controller any more: it leads not, no
-// membership counts its copy, and another has its witness's seat. A seat for which nobody
-// came for a while goes with it.
-func (c *Coordinator) ReadyToStop() bool {
-	own, membership := c.witness.Replica().Identity, c.Membership()
-	if c.store.Leading() || membership.InSync(own) {
-		return false
-	}
-	if !membership.HasVoter(own) {
-		return true
-	}
+// SetJoinOnly keeps this controller from forming a first membership: there is a core already, which
+// a blank disk joins, whatever the seeds are.
+func (c *Coordinator) SetJoinOnly() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.outOfSyncSince.IsZero() {
-		c.outOfSyncSince = c.runtime.Now()
-	}
-	return len(membership.Incoming) == 0 && c.runtime.Now().Sub(c.outOfSyncSince) >= witnessHandoverTimeout
+	c.joinOnly = true
 }
 
-func (c *Coordinator) isLeaving() bool {
+// SetRestricted tells whether the controller lacks an enabled flag. A restricted controller is a
+// witness, and a backup or primary only while no other can be.
+func (c *Coordinator) SetRestricted(restricted bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.leaving
+	c.restricted = restricted
 }
 
-// SetJoinOnly keeps this controller from forming a first core: there is one already,
-// which a blank disk joins, whatever the seeds are.
-func (c *Coordinator) SetJoinOnly() {
+// SetTolerance sets how many machines may be lost at once with their disks, and the zone of this
+// one. With one loss, the default, there are one backup and three witnesses. With more there are as
+// many backups as losses, and two witnesses for each loss and one more, spread over the zones so
+// that a whole zone may be lost. docs/design/replication.md, "More than one loss".
+func (c *Coordinator) SetTolerance(losses int, zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.joinOnly = true
+	c.lossesTolerated, c.zone = max(losses, 1), zone
 }
 
-// SetDiscovered gives addresses besides the seeds and the membership's to say hello
-// to, as the platform lists them.
-func (c *Coordinator) SetDiscovered(addresses []string) {
+// SetBackupList tells whether the flag backup_list is enabled: every recorded member then reads
+// memberships with more than one backup.
+func (c *Coordinator) SetBackupList(enabled bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.discovered = addresses
+	c.backupList = enabled
 }
 
-// SetMemberAddresses gives the addresses of the recorded members, the likeliest to know the
-// core first. They are greeted while no majority of the witnesses answers.
-func (c *Coordinator) SetMemberAddresses(addresses []string) {
+// wantedBackups returns how many backups there should be.
+func (c *Coordinator) wantedBackups() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.memberAddresses = addresses
+	if !c.backupList {
+		return 1
+	}
+	return c.lossesTolerated
 }
 
-// Membership is the newest membership that this controller has heard of.
+func (c *Coordinator) toleratesSeveral() bool { return c.wantedBackups() > 1 }
+
+// withZone returns the replica as it is written to a membership: with its zone only where several
+// losses are tolerated.
+func (c *Coordinator) withZone(replica Replica) Replica {
+	switch {
+	case !c.toleratesSeveral():
+		replica.Zone = ""
+	case replica.Identity == c.witness.Replica().Identity:
+		replica.Zone = c.zone
+	}
+	return replica
+}
+
+// Membership returns the newest membership that this controller knows.
 func (c *Coordinator) Membership() Membership {
 	own := c.witness.Membership()
 	c.mutex.Lock()
@@ -194,7 +233,8 @@
 	return c.membership
 }
 
-// Tick does the next thing that is due.
+// Tick exchanges hellos where they are due, then does the next step of a blank, a leading or a
+// standby controller. It may wait for the network and the own disk.
 func (c *Coordinator) Tick() {
 	c.exchangeHellos()
 	switch {
@@ -207,8 +247,8 @@
 	}
 }
 
-// lead is what the primary does: renew its hold, keep a backup in sync, keep
-// three keepers, and hand over when it is restricted.
+// tickPrimary is the Tick of the primary: it renews the lease, transfers leadership where it has to,
+// and keeps as many backups and witnesses as are wanted.
 func (c *Coordinator) tickPrimary() {
 	membership := c.Membership()
 	own := c.witness.Replica()
@@ -217,7 +257,7 @@
 		return
 	}
 	if c.diskStalled() {
-		// Its keepers are no longer asked, so that the backup may take over.
+		// The lease is not renewed, so that the backup may take over.
 		return
 	}
 	if c.receivesNothing() || c.renewalFailed && !c.reachesQuorum(membership) {
@@ -244,16 +284,3 @@
 	c.ensureBackups()
 	c.reconcileWitnesses()
 }
-
-// SetTiming chooses the waits of the core. It comes before any other use.
-func (c *Coordinator) SetTiming(timing Timing) {
-	c.timing = timing
-	c.witness.SetLease(timing.Lease)
-}
-
-// SetSeeds exchanges the seeds, after a reload.
-func (c *Coordinator) SetSeeds(seeds []string) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.seeds = seeds
-}
--- a/internal/replication/hello.go
+++ b/internal/replication/hello.go
@@ -1,12 +1,14 @@
 package replication
 
 import (
+	"sort"
 	"time"
 
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Hello is what controllers tell each other of themselves.
+// Hello is the heartbeat that controllers exchange: what the sender is and knows. A sender that
+// stores nothing, as a redirector, has no replica.
 type Hello struct {
 	Replica    Replica             `msgpack:"seat"`
 	Kind       membership.NodeKind `msgpack:"kind"`
@@ -15,10 +17,182 @@
 	Membership Membership          `msgpack:"charter"`
 	Leads      bool                `msgpack:"leads"`
 	LeaseLeft  time.Duration       `msgpack:"hold_left"`
-	// LeaseHolder is whom the keeper holds still for.
+	// LeaseHolder is the primary that the sender's witness granted its lease to, which runs for
+	// LeaseLeft.
 	LeaseHolder Identity `msgpack:"holder,omitempty"`
 	Version     Version  `msgpack:"version"`
 	Damage      string   `msgpack:"damage,omitempty"`
-	// Leaving tells that the process is about to end and hands over what it has.
+	// Leaving reports that the process is about to end and hands over its roles.
 	Leaving bool `msgpack:"leaving,omitempty"`
 }
+
+// OwnHello returns the hello of this controller.
+func (c *Coordinator) OwnHello() Hello {
+	// The witness may be waiting for its disk: its lock comes before the coordinator's, which
+	// nobody holds meanwhile.
+	membership, replica := c.witness.Membership(), c.witness.Replica()
+	blank, holder := membership.Blank(), c.witness.LeaseHolder()
+	version, damage := c.store.LocalReplica().Version(), c.store.LocalReplica().Damage()
+	left := c.witness.LeaseEnds().Sub(c.runtime.Now())
+	leads := c.HasLease()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.membership.Epoch > membership.Epoch {
+		membership = c.membership
+	}
+	if c.lossesTolerated > 1 {
+		replica.Zone = c.zone
+	}
+	return Hello{Replica: replica, Kind: c.kind, Blank: blank, Restricted: c.restricted,
+		Membership: membership, Leads: leads, LeaseLeft: max(left, 0), LeaseHolder: holder,
+		Version: version, Damage: damage, Leaving: c.leaving}
+}
+
+// HandleHello takes the hello of another controller and returns the own one.
+func (c *Coordinator) HandleHello(hello Hello) Hello {
+	if hello.Replica.Empty() {
+		// The sender only wants to know who leads.
+		return c.OwnHello()
+	}
+	c.recordHello(hello, false)
+	membership := c.Membership()
+	c.mutex.Lock()
+	c.helloReceivedAt = c.runtime.Now()
+	if hello.Leads && hello.Replica.Identity == membership.Primary.Identity {
+		c.primaryHelloAt = c.helloReceivedAt
+	}
+	c.mutex.Unlock()
+	return c.OwnHello()
+}
+
+// recordHello records a hello; answered tells that it came as a response, so that its sender can be
+// reached. A sender without a replica may still know a newer membership.
+func (c *Coordinator) recordHello(hello Hello, answered bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if hello.Membership.Epoch > c.membership.Epoch {
+		c.membership = hello.Membership
+	}
+	if hello.Replica.Empty() || hello.Replica.Identity == c.witness.Replica().Identity {
+		return
+	}
+	status, found := c.peerStatuses[hello.Replica.Identity]
+	if !found {
+		status = &peerStatus{}
+		c.peerStatuses[hello.Replica.Identity] = status
+	}
+	status.hello, status.lastSeen = hello, c.runtime.Now()
+	if answered {
+		status.lastResponse = status.lastSeen
+	}
+}
+
+// exchangeHellos sends a hello to each address that may have a controller, or to the primary alone
+// while this one follows it, so that the number of hellos does not grow with the square of the
+// controllers.
+func (c *Coordinator) exchangeHellos() {
+	own := c.OwnHello()
+	if c.skipsRound() {
+		return
+	}
+	if c.followsPrimary() {
+		primary := c.Membership().Primary
+		if hello, err := c.peers.Hello(c.Address(primary), own); err == nil {
+			c.recordHello(hello, true)
+		}
+		return
+	}
+	addresses := map[string]bool{}
+	for _, replica := range c.Membership().Voters() {
+		addresses[replica.Address] = true
+	}
+	c.mutex.Lock()
+	for _, address := range c.seeds {
+		addresses[address] = true
+	}
+	for _, address := range c.discovered {
+		addresses[address] = true
+	}
+	for _, status := range c.peerStatuses {
+		if c.runtime.Now().Sub(status.lastSeen) < time.Minute {
+			addresses[status.hello.Replica.Address] = true
+		}
+	}
+	c.mutex.Unlock()
+	for _, address := range c.membersToGreet() {
+		addresses[address] = true
+	}
+	delete(addresses, own.Replica.Address)
+	// Two responses are waited for, helloTimeout at most: dark machines delay nobody. Later ones
+	// are recorded as they arrive.
+	var replicas []Replica
+	for address := range addresses {
+		replicas = append(replicas, Replica{Address: address})
+	}
+	sort.Slice(replicas, func(i, j int) bool { return replicas[i].Address < replicas[j].Address })
+	answered := 0
+	gatherWithin(c.runtime, helloTimeout, replicas, func(replica Replica) (Hello, error) {
+		hello, err := c.peers.Hello(replica.Address, own)
+		if err == nil {
+			c.recordHello(hello, true)
+		}
+		return hello, err
+	}, func(_ Replica, _ Hello, err error) {
+		if err == nil {
+			answered++
+		}
+	}, func() bool { return answered >= 2 })
+}
+
+// membersPerRound is how many recorded members are sent a hello in a round while no majority of the
+// witnesses responds. The rounds go through all of them in turn.
+const membersPerRound = 3
+
+// membersToGreet returns recorded members to send a hello to in this round: none while a majority of
+// the witnesses responds.
+func (c *Coordinator) membersToGreet() []string {
+	membership := c.Membership()
+	if !membership.Blank() && c.reachesQuorum(membership) {
+		return nil
+	}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	var members []string
+	for range min(membersPerRound, len(c.memberAddresses)) {
+		members = append(members, c.memberAddresses[c.nextMember%len(c.memberAddresses)])
+		c.nextMember++
+	}
+	return members
+}
+
+// followsPrimary reports whether the primary's hello arrived within the last intervals, so that this
+// controller need not look for others.
+func (c *Coordinator) followsPrimary() bool {
+	if c.store.Leading() {
+		return false
+	}
+	membership := c.Membership()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return membership.Primary.Identity != c.witness.Replica().Identity && !c.primaryHelloAt.IsZero() &&
+		c.runtime.Now().Sub(c.primaryHelloAt) < c.timing.HeartbeatInterval*5/3
+}
+
+// skipsRound reports whether this round of hellos is left out: the primary sends one each
+// HeartbeatInterval, a follower of it every other.
+func (c *Coordinator) skipsRound() bool {
+	if c.membershipUnknown {
+		return false
+	}
+	interval := time.Duration(0)
+	if c.store.Leading() {
+		interval = c.timing.HeartbeatInterval
+	} else if c.followsPrimary() {
+		interval = 2 * c.timing.HeartbeatInterval
+	}
+	if now := c.runtime.Now(); now.Sub(c.roundStartedAt) >= interval {
+		c.roundStartedAt = now
+		return false
+	}
+	return true
+}
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -1,9 +1,9 @@
 package replication
 
-// Membership is what the witnesss keep: who is primary and who is in sync
-// with it, and who the keepers are. While a keeper is exchanged, Incoming is
-// the next set, and both sets must agree to everything. Further are the backups
-// beside the first; they are written only under the flag backup_list.
+// Membership is the value that the witnesses vote on: who is primary, who is in sync with it, and who
+// the witnesses are. While witnesses are replaced, Incoming is the next set, and majorities of both
+// sets must agree to everything, as in Raft's joint consensus. Further are the backups beside the
+// first; they are written only under the flag backup_list. On wires and disks its name is charter.
 type Membership struct {
 	Epoch     uint64    `msgpack:"epoch" json:"epoch"`
 	Primary   Replica   `msgpack:"primary" json:"primary"`
@@ -13,15 +13,15 @@
 	Incoming  []Replica `msgpack:"incoming,omitempty" json:"incoming,omitempty"`
 }
 
-// Blank tells whether there is no membership yet.
+// Blank reports whether there is no membership yet.
 func (m Membership) Blank() bool { return m.Epoch == 0 }
 
-// InSync tells whether the copy of the identity has everything answered.
+// InSync reports whether the identity's copy has every acknowledged change.
 func (m Membership) InSync(identity Identity) bool {
 	return identity != "" && hasReplica(m.InSyncReplicas(), identity)
 }
 
-// Backups lists the copies that every write is synced on besides the primary's.
+// Backups lists the replicas besides the primary that each write is synced on.
 func (m Membership) Backups() []Replica {
 	if m.Backup.Empty() {
 		return nil
@@ -29,7 +29,7 @@
 	return append([]Replica{m.Backup}, m.Further...)
 }
 
-// InSyncReplicas lists all copies in sync, the primary's first.
+// InSyncReplicas lists all replicas in sync, the primary first.
 func (m Membership) InSyncReplicas() []Replica {
 	if m.Primary.Empty() {
 		return nil
@@ -37,7 +37,7 @@
 	return append([]Replica{m.Primary}, m.Backups()...)
 }
 
-// WithReplicas is the membership with other copies.
+// WithReplicas returns the membership with another primary and other backups.
 func (m Membership) WithReplicas(primary Replica, backups []Replica) Membership {
 	m.Primary, m.Backup, m.Further = primary, Replica{}, nil
 	if len(backups) > 0 {
@@ -49,7 +49,7 @@
 	return m
 }
 
-// Voters lists the keepers of both sets, each once.
+// Voters lists the witnesses of both sets, each once.
 func (m Membership) Voters() []Replica {
 	electors := append([]Replica(nil), m.Witnesses...)
 	for _, replica := range m.Incoming {
@@ -60,16 +60,18 @@
 	return electors
 }
 
-// HasVoter tells whether the identity is a keeper of either set.
+// HasVoter reports whether the identity is a witness of either set.
 func (m Membership) HasVoter(identity Identity) bool {
 	return hasReplica(m.Witnesses, identity) || hasReplica(m.Incoming, identity)
 }
 
-// HasQuorum tells whether those who granted are a majority of each set.
+// HasQuorum reports whether those that granted are a majority of each set. Two quorums of a
+// membership always have a witness in common.
 func (m Membership) HasQuorum(granted map[Identity]bool) bool {
 	return majority(m.Witnesses, granted) && (len(m.Incoming) == 0 || majority(m.Incoming, granted))
 }
 
+// majority reports whether more than half of the replicas granted.
 func majority(replicas []Replica, granted map[Identity]bool) bool {
 	count := 0
 	for _, replica := range replicas {
@@ -80,6 +82,7 @@
 	return count*2 > len(replicas)
 }
 
+// hasReplica reports whether the identity is among the replicas.
 func hasReplica(replicas []Replica, identity Identity) bool {
 	for _, replica := range replicas {
 		if replica.Identity == identity {
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -4,16 +4,16 @@
 
 // Timing holds the waits of a core. All are derived from one bound: how long a machine
 // counts as lost after its return, or after its successor's start. Within that time the
-// core must be whole again, since the next loss may come then.
+// core must be complete again, since the next loss may come then.
 type Timing struct {
 	// CatchUp is the bound that the others are derived from.
 	CatchUp time.Duration
-	// Lease is how long a witness holds still for the primary that it confirmed.
+	// Lease is the length of the primary's lease at a witness.
 	Lease time.Duration
 	// HeartbeatInterval is the time between two rounds of hellos and of lease renewals of a core that
-	// is whole. A lease lasts five of them.
+	// is complete. A lease lasts five of them.
 	HeartbeatInterval time.Duration
-	// MaxHeartbeatGap is the longest time between two hellos of a machine that is there.
+	// MaxHeartbeatGap is the longest time between two hellos of a machine that is up.
 	MaxHeartbeatGap time.Duration
 	// BackupTimeout is how long a backup's writes may fail before another takes its place.
 	BackupTimeout time.Duration
@@ -44,7 +44,7 @@
 )
 
 // TimingFor derives the waits from a bound; zero or less means the default one. A longer
-// bound than the default changes nothing but the margin.
+// bound than the default changes only WitnessTimeout and the margin.
 func TimingFor(catchUp time.Duration) Timing {
 	if catchUp <= 0 {
 		catchUp = DefaultCatchUp
@@ -68,6 +68,6 @@
 	return t.Lease + ElectionTime + t.WitnessTimeout + ExchangeTime
 }
 
-// Margin is how much earlier than the bound the core is whole again. Below zero a second
+// Margin returns how much earlier than the bound the core is complete again. Below zero a second
 // loss may come too soon.
 func (t Timing) Margin() time.Duration { return t.CatchUp - t.RepairTime() }
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -11,12 +11,35 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// PrimaryLease is how long a keeper holds still at most for the primary it confirmed.
-// The value is ours.
+// PrimaryLease is the longest lease that a witness grants a primary.
 const PrimaryLease = 1500 * time.Millisecond
 
-// Witness is an epoch witness. It keeps only the membership and the highest epoch
-// that it has promised, both synced before it answers.
+// Vote is a witness's response to Prepare, Accept and RenewLease: whether it granted the request, or
+// the failure code for which it refused, and the highest epoch and the newest membership on its
+// disk, by which the sender catches up.
+type Vote struct {
+	Witness    Identity     `msgpack:"keeper"`
+	Granted    bool         `msgpack:"granted"`
+	Refusal    failure.Code `msgpack:"refusal,omitempty"`
+	Promised   uint64       `msgpack:"promised"`
+	Membership Membership   `msgpack:"charter"`
+	// Lease is the length of the lease that was granted. An older release does not send it; its
+	// lease is PrimaryLease.
+	Lease time.Duration `msgpack:"lease,omitempty"`
+}
+
+// Witness is the voter on one controller's disk. Its disk holds the highest epoch that it promised
+// and the newest membership that it accepted.
+//
+// Invariants:
+//   - Epoch fencing: it grants nothing for an epoch below the highest promised one, also after a
+//     restart, because both are synced before the response.
+//   - Lease: while the lease runs that it granted to one primary it promises no epoch to another
+//     candidate. Leases are not stored: a witness that starts waits for the longest lease
+//     (PrimaryLease), except for the primary of the membership on its disk, which is whom it
+//     granted a lease to, since it grants one only under a membership that it has accepted.
+//
+// docs/design/replication.md, "How it works"; docs/design/control-safety.md, points 1 and 3.
 type Witness struct {
 	mutex       sync.Locker
 	storage     Storage
@@ -27,6 +50,7 @@
 	leaseEnds   time.Time
 }
 
+// witnessRecord is what a witness stores; Sequence numbers the files, of which the newest counts.
 type witnessRecord struct {
 	Identity   Identity   `msgpack:"identity"`
 	Sequence   uint64     `msgpack:"sequence"`
@@ -34,16 +58,21 @@
 	Membership Membership `msgpack:"charter"`
 }
 
-// OpenWitness reads the keeper's note from its storage. When there is none, or
-// the newest is damaged, the disk counts as blank and fresh is the identity
-// that it takes. A keeper that starts holds still for one hold, since it may
-// have confirmed a primary just before it stopped.
+// OpenWitness reads a witness from its storage. When there is none, or the newest record is damaged,
+// the disk counts as blank: it takes the identity fresh, and the second result is true.
 func OpenWitness(now time.Time, storage Storage, replica Replica, fresh Identity) (*Witness, bool, error) {
 	files, damaged, err := storage.Load()
 	if err != nil {
 		return nil, false, err
 	}
-	witness := &Witness{mutex: &sync.Mutex{}, storage: storage, self: replica, lease: PrimaryLease, leaseEnds: now.Add(PrimaryLease)}
+	witness := &Witness{
+		mutex:   &sync.Mutex{},
+		storage: storage,
+		self:    replica,
+		lease:   PrimaryLease,
+		// It may have granted a lease just before it stopped.
+		leaseEnds: now.Add(PrimaryLease),
+	}
 	var names []string
 	for name := range files {
 		names = append(names, name)
@@ -66,51 +95,52 @@
 	return witness, true, witness.save(witness.record)
 }
 
-// SetLock chooses the keeper's lock, which is held while it waits for the disk. It comes
-// before any other use.
+// SetLock sets the witness's lock, which is held during writes to the disk. It comes before any other
+// use.
 func (w *Witness) SetLock(lock sync.Locker) { w.mutex = lock }
 
-// SetLease chooses how long the keeper holds still for a primary, no longer than
-// PrimaryLease: for that long it keeps still at its start, whatever it was told before.
+// SetLease sets the length of the lease that the witness grants, PrimaryLease at most, because that
+// is how long it waits at its start.
 func (w *Witness) SetLease(lease time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.lease = min(lease, PrimaryLease)
 }
 
-// Replica is the keeper's own seat, which stays.
+// Replica returns the controller that the witness belongs to. It never changes.
 func (w *Witness) Replica() Replica { return w.self }
 
-// Membership is the newest membership that the keeper has accepted.
+// Membership returns the newest membership that the witness accepted.
 func (w *Witness) Membership() Membership {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.record.Membership
 }
 
-// Promised is the highest epoch that the keeper has promised.
+// Promised returns the highest epoch that the witness promised.
 func (w *Witness) Promised() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.record.Promised
 }
 
-// LeaseEnds tells when the hold that the keeper gave a primary runs out.
+// LeaseEnds returns when the lease ends that the witness granted last.
 func (w *Witness) LeaseEnds() time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.leaseEnds
 }
 
-// LeaseHolder is whom the hold that runs was given to.
+// LeaseHolder returns the primary that the lease was granted to.
 func (w *Witness) LeaseHolder() Identity {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.leaseHolder
 }
 
-// Prepare promises an epoch to a candidate, unless a higher or equal one is
-// promised or another primary's hold runs.
+// Prepare promises an epoch to a candidate (phase 1 of Paxos). It refuses with OldEpoch when an equal
+// or higher one is promised, with LeaseActive while another primary's lease runs, and with
+// NotAdmitted on a blank disk. The error is that of the disk.
 func (w *Witness) Prepare(now time.Time, epoch uint64, candidate Identity) (Vote, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -134,8 +164,10 @@
 	return vote, nil
 }
 
-// Accept takes a membership, unless a higher epoch is promised. A blank keeper
-// takes only one that names it: that is how it is admitted.
+// Accept stores a membership (phase 2 of Paxos). It refuses with OldEpoch when a higher epoch is
+// promised or another primary's membership of the same epoch is stored, and with NotAdmitted when
+// a blank disk is not named in it: by being named a blank disk becomes a witness. The error is that
+// of the disk.
 func (w *Witness) Accept(now time.Time, membership Membership) (Vote, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -155,8 +187,8 @@
 			return vote, err
 		}
 		if w.leaseHolder != membership.Primary.Identity {
-			// Whoever could propose another primary knew the old hold to be over
-			// at a quorum, or had it and gave it up.
+			// Whoever proposes another primary knows the old lease to be over at a quorum, or
+			// had it and gave it up.
 			w.leaseHolder, w.leaseEnds = membership.Primary.Identity, time.Time{}
 		}
 		vote.Granted = true
@@ -166,9 +198,9 @@
 	return vote, nil
 }
 
-// RenewLease gives the primary of the epoch its hold: for that long the keeper
-// promises no other epoch to another candidate. A membership that it has not accepted
-// must be brought first, so that its disk tells after a restart whom it held still for.
+// RenewLease grants the primary of the epoch its lease, from now. It refuses with OldEpoch when a
+// higher epoch is promised, and with Behind when the membership has not been accepted here: it must
+// be sent first, so that the disk tells after a restart whom the lease was granted to.
 func (w *Witness) RenewLease(now time.Time, epoch uint64, primary Identity) Vote {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -194,8 +226,9 @@
 	return vote
 }
 
-// PromiseSelf promises an epoch on the candidate's own disk, by the same rule as for
-// another candidate, whether or not this disk is a keeper's.
+// PromiseSelf promises an epoch on the candidate's own disk before it asks others, by the rules of
+// Prepare, whether or not this disk is a witness of the membership. A backup that has promised
+// takes no more writes of lower epochs. It fails with OldEpoch or LeaseActive.
 func (w *Witness) PromiseSelf(now time.Time, epoch uint64, candidate Identity) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -210,23 +243,8 @@
 	return w.save(record)
 }
 
-// Sweep reads the keeper's note again, and writes it anew when the file has
-// become damaged or is gone.
-func (w *Witness) Sweep() (bool, error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	files, _, err := w.storage.Load()
-	if err != nil {
-		return false, err
-	}
-	if _, intact := files[recordName(w.record.Sequence)]; intact {
-		return false, nil
-	}
-	return true, w.save(w.record)
-}
-
-// ObserveEpoch takes the identity's promise as a backup: it must never again serve an
-// older epoch.
+// ObserveEpoch promises the epoch that a backup is written to under, so that it never again takes a
+// write of a lower one. It fails with OldEpoch when a higher one is promised.
 func (w *Witness) ObserveEpoch(epoch uint64) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -241,6 +259,21 @@
 	return w.save(record)
 }
 
+// Sweep reads the stored record again, and writes it anew when the file is damaged or gone; it
+// reports whether it did.
+func (w *Witness) Sweep() (bool, error) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	files, _, err := w.storage.Load()
+	if err != nil {
+		return false, err
+	}
+	if _, intact := files[recordName(w.record.Sequence)]; intact {
+		return false, nil
+	}
+	return true, w.save(w.record)
+}
+
 func (w *Witness) save(record witnessRecord) error {
 	old := w.record.Sequence
 	record.Sequence = old + 1
@@ -252,7 +285,7 @@
 		return err
 	}
 	w.record = record
-	// The older file only takes room: that it stays is no failure.
+	// An older file that stays only takes space.
 	_ = w.storage.Remove([]string{recordName(old)})
 	return nil
 }
--- a/internal/replication/witnesses.go
+++ b/internal/replication/witnesses.go
@@ -6,8 +6,12 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// reconcileWitnesses exchanges a keeper that is gone for a controller that is
-// there: first both sets must agree, then only the new one.
+// reconcileWitnesses replaces witnesses that are gone or leave, in two grants as in joint consensus:
+// first majorities of both sets must agree (Incoming), then only of the new one.
+//
+// Invariant: the second grant is built only on a first that this primary saw granted, so that the
+// sets of two neighbouring memberships always have intersecting majorities.
+// docs/design/control-safety.md, point 3.
 func (c *Coordinator) reconcileWitnesses() {
 	membership := c.Membership()
 	if c.membershipUnknown || !c.store.Leading() || membership.Backup.Empty() {
@@ -28,7 +32,7 @@
 		next.Incoming = incoming
 	}
 	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
-		// Only the membership that this steward has seen granted may be built on.
+		// Only the membership that this primary has seen granted may be built on.
 		return next, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
@@ -41,26 +45,7 @@
 	c.observe("keepers_granted", "epoch", won.Epoch, "keepers", won.Witnesses, "incoming", won.Incoming)
 }
 
-// replaced tells whether another disk answers at the keeper's address since the
-// keeper was heard last: its own is lost, and nothing is to be waited for.
-func (c *Coordinator) diskReplaced(replica Replica) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	address, lastSeen := replica.Address, time.Time{}
-	if status, found := c.peerStatuses[replica.Identity]; found {
-		address, lastSeen = status.hello.Replica.Address, status.lastSeen
-	}
-	for identity, other := range c.peerStatuses {
-		if identity != replica.Identity && other.hello.Kind == membership.Controller && other.hello.Replica.Address == address &&
-			other.lastResponse.After(lastSeen) && c.runtime.Now().Sub(other.lastResponse) <= applicantFreshness {
-			return true
-		}
-	}
-	return false
-}
-
-// witnessToReplace is a keeper's seat that another should have: that of one that is gone, or
-// else of one that is about to end.
+// witnessToReplace returns the first witness that is gone, or else one that leaves.
 func (c *Coordinator) witnessToReplace(membership Membership) (Replica, bool) {
 	var vacant Replica
 	for _, replica := range membership.Witnesses {
@@ -78,8 +63,8 @@
 	return vacant, !vacant.Empty()
 }
 
-// exchange plans the next keepers where one loss is borne: whoever is gone or leaves gives
-// way to a controller that is there.
+// planReplacement plans the witnesses where one loss is tolerated: a controller that responds takes
+// the place of one that is gone or leaves. The result is false when nothing is to be changed.
 func (c *Coordinator) planReplacement(m Membership) ([]Replica, bool) {
 	vacant, found := c.witnessToReplace(m)
 	if !found {
@@ -90,13 +75,14 @@
 	defer c.mutex.Unlock()
 	var newcomer Replica
 	if !m.HasVoter(own) {
-		// A primary that came as a newcomer itself.
+		// A primary that is no witness itself comes first.
 		newcomer = c.witness.Replica()
 	}
 	for _, identity := range c.knownIdentities() {
 		status := c.peerStatuses[identity]
 		hello := status.hello
-		if hello.Kind != membership.Controller || hello.Leaving || m.HasVoter(hello.Replica.Identity) || c.runtime.Now().Sub(status.lastResponse) > applicantFreshness {
+		able := hello.Kind == membership.Controller && !hello.Leaving && !m.HasVoter(hello.Replica.Identity)
+		if !able || c.runtime.Now().Sub(status.lastResponse) > applicantFreshness {
 			continue
 		}
 		if newcomer.Empty() || hello.Replica.Address == vacant.Address || hello.Replica.Identity < newcomer.Identity {
@@ -116,9 +102,9 @@
 	return incoming, true
 }
 
-// spread plans the next keepers where several losses are borne: those that are gone
-// give way to controllers that are there, there are as many as wanted if they can be
-// had, and no zone has so many that its loss would leave no majority.
+// planAcrossZones plans the witnesses where several losses are tolerated: controllers that respond
+// take the place of those that are gone, there are as many as wanted if they can be had, and no
+// zone has so many that its loss would leave no majority.
 func (c *Coordinator) planAcrossZones(m Membership, wanted int) ([]Replica, bool) {
 	c.mutex.Lock()
 	heardFromAll := c.runtime.Now().Sub(c.leadsSince) >= c.timing.WitnessTimeout
@@ -131,8 +117,9 @@
 		} else if hello, known := c.alive(replica.Identity, time.Minute); known {
 			replica = c.withZone(hello.Replica)
 		}
-		// A primary that has just begun has not heard from everybody yet.
-		plan.witnesses = append(plan.witnesses, plannedWitness{replica: replica, gone: !alive && heardFromAll || alive && said.Leaving || c.diskReplaced(replica)})
+		// A primary that has just taken over has not heard from everybody yet.
+		gone := !alive && heardFromAll || alive && said.Leaving || c.diskReplaced(replica)
+		plan.witnesses = append(plan.witnesses, plannedWitness{replica: replica, gone: gone})
 	}
 	if own := c.witness.Replica(); !m.HasVoter(own.Identity) {
 		plan.spares = append(plan.spares, c.withZone(own))
--- a/internal/replication/witnessplan.go
+++ b/internal/replication/witnessplan.go
@@ -1,33 +1,34 @@
 package replication
 
-// witnessPlan chooses keepers from those that are, of which some may be gone, and
-// from spares that are there.
+// witnessPlan chooses the next witnesses from the present ones, some of which may be gone, and from
+// spares, controllers that respond and are no witnesses.
 type witnessPlan struct {
 	witnesses []plannedWitness
 	spares    []Replica
 	wanted    int
 }
 
+// plannedWitness is a present or chosen witness; gone asks for a replacement.
 type plannedWitness struct {
 	replica Replica
 	gone    bool
 }
 
-// next gives the next keepers, or tells that nothing is to be done. Their number
-// stays odd.
+// next returns the next witnesses, and whether they differ from the present ones. Their number stays
+// odd.
 func (w *witnessPlan) next() ([]Replica, bool) {
 	changed := false
-	for position := range w.witnesses {
-		if !w.witnesses[position].gone {
+	for i := range w.witnesses {
+		if !w.witnesses[i].gone {
 			continue
 		}
-		// One that has come back blank has its old place.
-		spare, found := w.spareAt(w.witnesses[position].replica.Address)
+		// A witness that came back with a blank disk takes its old place.
+		spare, found := w.spareAt(w.witnesses[i].replica.Address)
 		if !found {
 			spare, found = w.bestSpare()
 		}
 		if found {
-			w.witnesses[position] = plannedWitness{replica: w.takeSpare(spare)}
+			w.witnesses[i] = plannedWitness{replica: w.takeSpare(spare)}
 			changed = true
 		}
 	}
@@ -38,15 +39,15 @@
 		}
 		changed = true
 	}
-	// A zone may have as many as leave a majority when it goes.
+	// A zone may have so many that its loss leaves a majority.
 	most := (len(w.witnesses) - 1) / 2
-	for position := range w.witnesses {
-		replica := w.witnesses[position].replica
+	for i := range w.witnesses {
+		replica := w.witnesses[i].replica
 		if replica.Zone == "" || w.inZone(replica.Zone) <= most {
 			continue
 		}
 		if spare, found := w.bestSpare(); found && w.inZone(w.spares[spare].Zone) < most {
-			w.witnesses[position] = plannedWitness{replica: w.takeSpare(spare)}
+			w.witnesses[i] = plannedWitness{replica: w.takeSpare(spare)}
 			changed = true
 		}
 	}
@@ -57,33 +58,35 @@
 	return replicas, changed
 }
 
+// spareAt returns the position of the spare at an address.
 func (w *witnessPlan) spareAt(address string) (int, bool) {
-	for position, spare := range w.spares {
+	for i, spare := range w.spares {
 		if spare.Address == address {
-			return position, true
+			return i, true
 		}
 	}
 	return 0, false
 }
 
-// bestSpare is the first one of the zone with the fewest keepers.
+// bestSpare returns the position of the first spare of the zone with the fewest witnesses.
 func (w *witnessPlan) bestSpare() (int, bool) {
 	best, found := 0, false
-	for position, spare := range w.spares {
+	for i, spare := range w.spares {
 		if !found || w.inZone(spare.Zone) < w.inZone(w.spares[best].Zone) {
-			best, found = position, true
+			best, found = i, true
 		}
 	}
 	return best, found
 }
 
-func (w *witnessPlan) takeSpare(position int) Replica {
-	taken := w.spares[position]
-	w.spares = append(w.spares[:position:position], w.spares[position+1:]...)
+// takeSpare removes a spare and returns it.
+func (w *witnessPlan) takeSpare(i int) Replica {
+	taken := w.spares[i]
+	w.spares = append(w.spares[:i:i], w.spares[i+1:]...)
 	return taken
 }
 
-// inZone counts the keepers of a zone that are not gone.
+// inZone counts the witnesses of a zone that are not gone.
 func (w *witnessPlan) inZone(zone string) int {
 	count := 0
 	for _, witness := range w.witnesses {
