--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -19,32 +19,32 @@
 func (noStorage) Load() (map[string][]byte, []string, error) { return nil, nil, nil }
 func (noStorage) Remove([]string) error                      { return nil }
 
-// coreMember is one machine of the explored core: its witness is the product's Keeper, its
-// candidacy the product's ballot; its copy is a number, that of the last write it holds.
+// coreMember is one machine of the explored core: its witness is the product's Witness, its
+// candidacy the product's proposal; its copy is a number, that of the last write it holds.
 type coreMember struct {
 	witness      *Witness
 	version      int
 	up           bool
 	incarnations int
-	// ballot is the candidacy under way, and plan what it is to make of the base.
+	// proposal is the candidacy under way, and plan what it is to make of the base.
 	proposal *proposal
 	plan     string
 	// membership is the one that it leads by, if it leads; unsynced tells of a write that is
 	// on its own copy only.
 	leads      bool
 	membership Membership
-	confirmed  map[Identity]bool
+	renewedBy  map[Identity]bool
 	lease      bool
 	unsynced   bool
-	// unsettled tells that a ballot of its own was begun and not granted: what the core
+	// membershipUnknown tells that a proposal of its own was begun and not granted: what the core
 	// has agreed on is not known, and nothing is written until it is.
 	membershipUnknown bool
 }
 
 func (c *coreMember) identity() Identity { return c.witness.self.Identity }
 
-// lateMessage is a request whose answer nobody waits for any more.
-type lateMessage struct {
+// delayedMessage is a request whose answer nobody waits for any more.
+type delayedMessage struct {
 	to         int
 	membership Membership
 	epoch      uint64
@@ -53,10 +53,10 @@
 
 // coreState is one state of the exploration.
 type coreState struct {
-	members []*coreMember
-	late    []lateMessage
-	acked   int
-	newest  Membership
+	members      []*coreMember
+	delayed      []delayedMessage
+	acknowledged int
+	newest       Membership
 	// What may still happen.
 	proposals, crashes, restarts, wipes, writes, delays int
 }
@@ -66,9 +66,9 @@
 	seen map[[16]byte]struct{}
 	// forgetful has witnesses forget their promises, leaseless has leases given without a
 	// majority: the known bad variants.
-	forgetful, leaseless bool
-	broken               string
-	limit                int
+	forgetsPromises, leaseWithoutQuorum bool
+	violation                           string
+	limit                               int
 }
 
 var explorationNow = time.Unix(1_000_000, 0)
@@ -83,25 +83,25 @@
 
 func (c *coreState) clone() *coreState {
 	next := *c
-	next.late = slices.Clone(c.late)
+	next.delayed = slices.Clone(c.delayed)
 	next.members = make([]*coreMember, len(c.members))
-	for position, old := range c.members {
+	for i, old := range c.members {
 		copied := *old
 		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: old.witness.self, record: old.witness.record, lease: old.witness.lease, leaseHolder: old.witness.leaseHolder, leaseEnds: old.witness.leaseEnds}
 		witness.record.Sequence = 0
 		copied.witness = witness
-		copied.confirmed = cloneSet(old.confirmed)
+		copied.renewedBy = cloneSet(old.renewedBy)
 		if old.proposal != nil {
-			b := *old.proposal
-			b.polled, b.promised, b.accepted = cloneSet(b.polled), cloneSet(b.promised), cloneSet(b.accepted)
-			copied.proposal = &b
+			p := *old.proposal
+			p.polled, p.promised, p.accepted = cloneSet(p.polled), cloneSet(p.promised), cloneSet(p.accepted)
+			copied.proposal = &p
 		}
-		next.members[position] = &copied
+		next.members[i] = &copied
 	}
 	return &next
 }
 
-func appendSeats(text []byte, replicas ...Replica) []byte {
+func appendReplicas(text []byte, replicas ...Replica) []byte {
 	for _, replica := range replicas {
 		text = append(append(text, replica.Identity...), ',')
 	}
@@ -110,10 +110,10 @@
 
 func appendMembership(text []byte, membership Membership) []byte {
 	text = append(text, byte(membership.Epoch))
-	text = appendSeats(text, membership.Primary, membership.Backup)
-	text = appendSeats(text, membership.Further...)
-	text = appendSeats(text, membership.Witnesses...)
-	return appendSeats(text, membership.Incoming...)
+	text = appendReplicas(text, membership.Primary, membership.Backup)
+	text = appendReplicas(text, membership.Further...)
+	text = appendReplicas(text, membership.Witnesses...)
+	return appendReplicas(text, membership.Incoming...)
 }
 
 func appendFlags(text []byte, flags ...bool) []byte {
@@ -149,18 +149,18 @@
 		text = appendFlags(text, witness.leaseEnds.IsZero(), member.up, member.leads, member.lease, member.unsynced, member.membershipUnknown)
 		text = append(text, member.plan...)
 		text = appendMembership(text, member.membership)
-		text = appendSet(text, member.confirmed)
-		if b := member.proposal; b != nil {
-			text = append(text, byte(b.epoch))
-			text = appendMembership(appendMembership(appendMembership(text, b.base), b.newest), b.next)
-			text = appendSet(appendSet(appendSet(text, b.polled), b.promised), b.accepted)
+		text = appendSet(text, member.renewedBy)
+		if p := member.proposal; p != nil {
+			text = append(text, byte(p.epoch))
+			text = appendMembership(appendMembership(appendMembership(text, p.base), p.newest), p.next)
+			text = appendSet(appendSet(appendSet(text, p.polled), p.promised), p.accepted)
 		}
 	}
-	for _, message := range c.late {
+	for _, message := range c.delayed {
 		text = append(append(text, byte(message.to), byte(message.epoch)), message.from...)
 		text = appendMembership(text, message.membership)
 	}
-	text = append(text, byte(c.acked), byte(c.proposals), byte(c.crashes), byte(c.restarts), byte(c.wipes), byte(c.writes), byte(c.delays))
+	text = append(text, byte(c.acknowledged), byte(c.proposals), byte(c.crashes), byte(c.restarts), byte(c.wipes), byte(c.writes), byte(c.delays))
 	text = appendMembership(text, c.newest)
 	hash := fnv.New128a()
 	_, _ = hash.Write(text)
@@ -170,7 +170,7 @@
 // newCoreState is a core that is whole, with one acknowledged write: the first machine
 // leads, the second is its backup.
 func newCoreState(witnesses int) *coreState {
-	state := &coreState{acked: 1}
+	state := &coreState{acknowledged: 1}
 	var replicas []Replica
 	for number := range witnesses {
 		replicas = append(replicas, Replica{Identity: Identity(fmt.Sprintf("d%d", number)), Address: fmt.Sprintf("m%d", number)})
@@ -179,7 +179,7 @@
 	for number, replica := range replicas {
 		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, leaseHolder: replicas[0].Identity, leaseEnds: explorationNow.Add(PrimaryLease),
 			record: witnessRecord{Identity: replica.Identity, Promised: 1, Membership: membership}}
-		member := &coreMember{witness: witness, up: true, confirmed: map[Identity]bool{}}
+		member := &coreMember{witness: witness, up: true, renewedBy: map[Identity]bool{}}
 		if number < 2 {
 			member.version = 1
 		}
@@ -188,7 +188,7 @@
 	leader := state.members[0]
 	leader.leads, leader.membership, leader.lease = true, membership, true
 	for _, replica := range replicas {
-		leader.confirmed[replica.Identity] = true
+		leader.renewedBy[replica.Identity] = true
 	}
 	state.newest = membership
 	return state
@@ -196,9 +196,9 @@
 
 // at finds the machine that has an identity's disk and is up.
 func (c *coreState) at(identity Identity) (int, *coreMember) {
-	for position, member := range c.members {
+	for i, member := range c.members {
 		if member.identity() == identity && member.up {
-			return position, member
+			return i, member
 		}
 	}
 	return -1, nil
@@ -206,51 +206,51 @@
 
 // check holds what must be so in every state.
 func (c *coreState) check() string {
-	holders, durable := 0, false
+	leaseHolders, durable := 0, false
 	for _, member := range c.members {
 		if member.up && member.lease {
-			holders++
-			if member.version < c.acked {
-				return fmt.Sprintf("%s has the lease with write %d, and %d was acknowledged", member.identity(), member.version, c.acked)
+			leaseHolders++
+			if member.version < c.acknowledged {
+				return fmt.Sprintf("%s has the lease with write %d, and %d was acknowledged", member.identity(), member.version, c.acknowledged)
 			}
 		}
-		durable = durable || c.newest.InSync(member.identity()) && member.version >= c.acked
+		durable = durable || c.newest.InSync(member.identity()) && member.version >= c.acknowledged
 	}
 	switch {
-	case holders > 1:
+	case leaseHolders > 1:
 		return "two primaries have the lease"
 	case !durable:
-		return fmt.Sprintf("no copy of the newest charter has the acknowledged write %d", c.acked)
+		return fmt.Sprintf("no copy of the newest charter has the acknowledged write %d", c.acknowledged)
 	}
 	return ""
 }
 
 // explore visits what can follow a state.
 func (e *explorer) explore(state *coreState) {
-	if e.broken != "" || len(e.seen) >= e.limit {
+	if e.violation != "" || len(e.seen) >= e.limit {
 		return
 	}
 	key := state.key()
-	if _, known := e.seen[key]; known {
+	if _, visited := e.seen[key]; visited {
 		return
 	}
 	e.seen[key] = struct{}{}
-	if e.broken = state.check(); e.broken != "" {
+	if e.violation = state.check(); e.violation != "" {
 		return
 	}
-	for position := range state.members {
-		e.exploreMember(state, position)
+	for i := range state.members {
+		e.exploreMember(state, i)
 	}
-	for position := range state.late {
+	for position := range state.delayed {
 		next := state.clone()
-		message := next.late[position]
-		next.late = slices.Delete(next.late, position, position+1)
-		next.deliverLate(e, message)
+		message := next.delayed[position]
+		next.delayed = slices.Delete(next.delayed, position, position+1)
+		next.deliverDelayed(e, message)
 		e.explore(next)
 	}
 }
 
-func (c *coreState) deliverLate(e *explorer, message lateMessage) {
+func (c *coreState) deliverDelayed(e *explorer, message delayedMessage) {
 	member := c.members[message.to]
 	if !member.up {
 		return
@@ -263,7 +263,7 @@
 }
 
 func (e *explorer) accept(member *coreMember, membership Membership) Vote {
-	if e.forgetful {
+	if e.forgetsPromises {
 		member.witness.record.Promised = member.witness.record.Membership.Epoch
 	}
 	vote, _ := member.witness.Accept(explorationNow, membership)
@@ -271,49 +271,49 @@
 }
 
 // exploreMember follows all that one machine can do, or that can happen to it.
-func (e *explorer) exploreMember(state *coreState, position int) {
-	branch := func(act func(next *coreState, member *coreMember)) {
+func (e *explorer) exploreMember(state *coreState, i int) {
+	branch := func(f func(next *coreState, member *coreMember)) {
 		next := state.clone()
-		act(next, next.members[position])
+		f(next, next.members[i])
 		e.explore(next)
 	}
-	member := state.members[position]
+	member := state.members[i]
 	if !member.up {
 		if state.restarts > 0 {
 			branch(func(next *coreState, member *coreMember) { next.restarts--; next.restart(member) })
 		}
-		if state.wipes > 0 && state.mayWipe(position) {
+		if state.wipes > 0 && state.canWipe(i) {
 			branch(func(next *coreState, member *coreMember) { next.wipe(member) })
 		}
 		return
 	}
 	if state.crashes > 0 {
-		branch(func(next *coreState, member *coreMember) { next.crashes--; member.fall() })
+		branch(func(next *coreState, member *coreMember) { next.crashes--; member.crash() })
 	}
-	if !member.witness.leaseEnds.IsZero() && !state.leaseHeldBy(member.witness.leaseHolder) {
+	if !member.witness.leaseEnds.IsZero() && !state.hasLease(member.witness.leaseHolder) {
 		branch(func(next *coreState, member *coreMember) { next.expire(member) })
 	}
 	if member.lease {
 		branch(func(_ *coreState, member *coreMember) {
 			member.lease = false
-			clear(member.confirmed)
+			clear(member.renewedBy)
 		})
 	}
 	if member.proposal != nil {
-		e.exploreBallot(state, position)
+		e.exploreProposal(state, i)
 		return
 	}
 	if state.proposals > 0 {
-		e.exploreCandidacy(state, position, branch)
+		e.exploreCandidacy(state, i, branch)
 	}
 	if member.leads {
-		e.exploreLeader(state, position, branch)
+		e.exploreLeader(state, i, branch)
 	}
 }
 
-// leaseHeldBy tells whether the holder's own lease runs: it ends before the witnesses'.
-func (c *coreState) leaseHeldBy(holder Identity) bool {
-	_, member := c.at(holder)
+// hasLease tells whether the holder's own lease runs: it ends before the witnesses'.
+func (c *coreState) hasLease(leaseHolder Identity) bool {
+	_, member := c.at(leaseHolder)
 	return member != nil && member.lease
 }
 
@@ -321,25 +321,25 @@
 // no more for its holder, whose lease runs from when it asked.
 func (c *coreState) expire(witness *coreMember) {
 	witness.witness.leaseEnds = time.Time{}
-	if _, holder := c.at(witness.witness.leaseHolder); holder != nil {
-		delete(holder.confirmed, witness.identity())
+	if _, leaseHolder := c.at(witness.witness.leaseHolder); leaseHolder != nil {
+		delete(leaseHolder.renewedBy, witness.identity())
 	}
 }
 
-// mayWipe bounds losses to what may be borne: all others are there, and a pair leads.
-func (c *coreState) mayWipe(position int) bool {
+// canWipe bounds losses to what may be borne: all others are there, and a pair leads.
+func (c *coreState) canWipe(i int) bool {
 	for other, member := range c.members {
-		if other != position && !member.up {
+		if other != i && !member.up {
 			return false
 		}
 	}
 	return !c.newest.Backup.Empty() && len(c.newest.Incoming) == 0
 }
 
-func (c *coreMember) fall() {
+func (c *coreMember) crash() {
 	c.up, c.leads, c.lease, c.unsynced, c.membershipUnknown, c.proposal, c.plan = false, false, false, false, false, nil, ""
 	c.membership = Membership{}
-	clear(c.confirmed)
+	clear(c.renewedBy)
 }
 
 // restart reads the disk again: the witness keeps still for one lease.
@@ -358,12 +358,12 @@
 	member.version = 0
 }
 
-// exploreCandidacy begins each ballot that a machine could begin.
-func (e *explorer) exploreCandidacy(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
-	member := state.members[position]
+// exploreCandidacy begins each proposal that a machine could begin.
+func (e *explorer) exploreCandidacy(state *coreState, i int, branch func(func(*coreState, *coreMember))) {
+	member := state.members[i]
 	begin := func(next *coreState, member *coreMember, plan string) {
 		next.proposals--
-		member.begin(plan)
+		member.beginProposal(plan)
 	}
 	if !member.leads && member.witness.record.Membership.InSync(member.identity()) {
 		branch(func(next *coreState, member *coreMember) { begin(next, member, "takeover") })
@@ -373,7 +373,7 @@
 	}
 	_, backup := state.at(member.membership.Backup.Identity)
 	for other, c := range state.members {
-		if other == position || !c.up || backup != nil && !member.membershipUnknown {
+		if other == i || !c.up || backup != nil && !member.membershipUnknown {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
@@ -386,7 +386,7 @@
 			begin(next, member, "pair "+string(installed.identity()))
 		})
 	}
-	if vacant, newcomer := state.exchangeOf(member.membership); backup != nil && !member.membershipUnknown && !newcomer.Empty() {
+	if vacant, newcomer := state.witnessExchange(member.membership); backup != nil && !member.membershipUnknown && !newcomer.Empty() {
 		branch(func(next *coreState, member *coreMember) {
 			begin(next, member, "exchange "+string(vacant)+" "+string(newcomer.Identity))
 		})
@@ -396,8 +396,8 @@
 	}
 }
 
-// exchangeOf finds a witness whose disk is gone and a machine that has no seat.
-func (c *coreState) exchangeOf(membership Membership) (Identity, Replica) {
+// witnessExchange finds a witness whose disk is gone and a machine that has no seat.
+func (c *coreState) witnessExchange(membership Membership) (Identity, Replica) {
 	if len(membership.Incoming) > 0 {
 		return "", Replica{}
 	}
@@ -418,8 +418,8 @@
 	return "", Replica{}
 }
 
-// begin starts a ballot as the product does: with a vow on the own disk.
-func (c *coreMember) begin(plan string) {
+// begin starts a proposal as the product does: with a promise on the own disk.
+func (c *coreMember) beginProposal(plan string) {
 	base := c.witness.record.Membership
 	if c.leads && c.membership.Epoch > base.Epoch {
 		base = c.membership
@@ -436,7 +436,7 @@
 }
 
 // make is what the plan makes of the newest membership.
-func (c *coreMember) make(state *coreState) func(base Membership) (Membership, bool) {
+func (c *coreMember) alteration(state *coreState) func(base Membership) (Membership, bool) {
 	own := c.witness.self
 	parts := strings.Fields(c.plan)
 	led := c.membership
@@ -472,15 +472,15 @@
 	}
 }
 
-// exploreBallot follows each message that a ballot can send now: answered, delayed, or
-// none, since the ballot may be given up at any time.
-func (e *explorer) exploreBallot(state *coreState, position int) {
-	branch := func(act func(next *coreState, member *coreMember)) {
+// exploreProposal follows each message that a proposal can send now: answered, delayed, or
+// none, since the proposal may be given up at any time.
+func (e *explorer) exploreProposal(state *coreState, i int) {
+	branch := func(f func(next *coreState, member *coreMember)) {
 		next := state.clone()
-		act(next, next.members[position])
+		f(next, next.members[i])
 		e.explore(next)
 	}
-	c := state.members[position]
+	c := state.members[i]
 	branch(func(_ *coreState, member *coreMember) { member.proposal, member.plan = nil, "" })
 	accepting := c.proposal.next.Epoch > 0
 	replicas := c.proposal.base.Voters()
@@ -488,7 +488,7 @@
 		replicas = c.proposal.acceptors()
 	}
 	for _, replica := range replicas {
-		if _, answered := c.proposal.accepted[replica.Identity]; accepting && answered || !accepting && c.proposal.polled[replica.Identity] {
+		if _, responded := c.proposal.accepted[replica.Identity]; accepting && responded || !accepting && c.proposal.polled[replica.Identity] {
 			continue
 		}
 		to, r := state.at(replica.Identity)
@@ -508,48 +508,48 @@
 		if state.delays > 0 {
 			branch(func(next *coreState, member *coreMember) {
 				next.delays--
-				message := lateMessage{to: to, epoch: member.proposal.epoch, from: member.identity()}
+				message := delayedMessage{to: to, epoch: member.proposal.epoch, from: member.identity()}
 				if accepting {
 					message.membership = member.proposal.next
 					member.proposal.accepted[replica.Identity] = false
 				} else {
 					member.proposal.polled[replica.Identity] = true
 				}
-				next.late = append(next.late, message)
+				next.delayed = append(next.delayed, message)
 			})
 		}
 	}
 }
 
-// advance takes a ballot to its next stage as soon as it may.
+// advance takes a proposal to its next stage as soon as it may.
 func (e *explorer) advance(state *coreState, member *coreMember) {
-	b := member.proposal
-	if b.next.Epoch == 0 {
-		if !b.hasPromiseQuorum() || b.rebase() || !b.hasPromiseQuorum() {
+	p := member.proposal
+	if p.next.Epoch == 0 {
+		if !p.hasPromiseQuorum() || p.rebase() || !p.hasPromiseQuorum() {
 			return
 		}
-		if b.choose(member.make(state)) != nil {
+		if p.choose(member.alteration(state)) != nil {
 			member.proposal, member.plan = nil, ""
 		}
 		return
 	}
-	if !b.hasAcceptQuorum() {
+	if !p.hasAcceptQuorum() {
 		return
 	}
-	if b.next.Epoch > state.newest.Epoch {
-		state.newest = b.next
+	if p.next.Epoch > state.newest.Epoch {
+		state.newest = p.next
 	}
-	member.leads, member.membership, member.proposal, member.plan = true, b.next, nil, ""
+	member.leads, member.membership, member.proposal, member.plan = true, p.next, nil, ""
 	member.lease, member.membershipUnknown = false, false
-	clear(member.confirmed)
+	clear(member.renewedBy)
 }
 
 // exploreLeader follows what a primary does: it renews its lease and writes.
-func (e *explorer) exploreLeader(state *coreState, position int, branch func(func(*coreState, *coreMember))) {
-	leader := state.members[position]
+func (e *explorer) exploreLeader(state *coreState, i int, branch func(func(*coreState, *coreMember))) {
+	leader := state.members[i]
 	for _, replica := range leader.membership.Voters() {
 		to, c := state.at(replica.Identity)
-		if c == nil || leader.confirmed[replica.Identity] {
+		if c == nil || leader.renewedBy[replica.Identity] {
 			continue
 		}
 		branch(func(next *coreState, member *coreMember) {
@@ -558,9 +558,9 @@
 				e.accept(next.members[to], member.membership)
 			}
 			if vote := witness.RenewLease(explorationNow, member.membership.Epoch, member.identity()); vote.Granted {
-				member.confirmed[replica.Identity] = true
+				member.renewedBy[replica.Identity] = true
 			}
-			member.lease = member.lease || member.membership.HasQuorum(member.confirmed) || e.leaseless && len(member.confirmed) > 0
+			member.lease = member.lease || member.membership.HasQuorum(member.renewedBy) || e.leaseWithoutQuorum && len(member.renewedBy) > 0
 		})
 	}
 	if !leader.lease || leader.membershipUnknown || leader.membership.Backup.Empty() {
@@ -581,19 +581,19 @@
 			}
 			copied.version = member.version
 			member.unsynced = false
-			next.acked = max(next.acked, member.version)
+			next.acknowledged = max(next.acknowledged, member.version)
 		})
 	}
 }
 
 // TestElectionAndReplicationExplored visits every state that bounded cores can reach with
 // crashes, a lost disk, an exchanged witness and delayed messages, over the product's own
-// witnesses, memberships and ballots. Each known bad variant is found.
+// witnesses, memberships and proposals. Each known bad variant is found.
 func TestElectionAndReplicationExplored(t *testing.T) {
-	const mostStates = 300_000
-	three := func(ballots, crashes, restarts, wipes, writes, delays int) *coreState {
+	const maxStates = 300_000
+	three := func(proposals, crashes, restarts, wipes, writes, delays int) *coreState {
 		state := newCoreState(3)
-		state.proposals, state.crashes, state.restarts = ballots, crashes, restarts
+		state.proposals, state.crashes, state.restarts = proposals, crashes, restarts
 		state.wipes, state.writes, state.delays = wipes, writes, delays
 		return state
 	}
@@ -607,7 +607,7 @@
 		member.witness.record.Membership = membership
 		member.witness.leaseEnds = time.Time{}
 	}
-	five.members[0].fall()
+	five.members[0].crash()
 	for _, row := range []struct {
 		name     string
 		explorer explorer
@@ -619,17 +619,17 @@
 		{"a lost disk and a new pair", explorer{}, three(1, 1, 1, 1, 1, 0), false},
 		{"a lost disk and its witness's exchange", explorer{}, three(2, 1, 1, 1, 0, 0), false},
 		{"five witnesses, two candidates", explorer{}, five, false},
-		{"witnesses that forget their promises", explorer{forgetful: true}, three(2, 1, 1, 0, 0, 1), true},
-		{"the lease of one witness", explorer{leaseless: true}, three(2, 0, 0, 0, 1, 0), true},
+		{"witnesses that forget their promises", explorer{forgetsPromises: true}, three(2, 1, 1, 0, 0, 1), true},
+		{"the lease of one witness", explorer{leaseWithoutQuorum: true}, three(2, 0, 0, 0, 1, 0), true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			e := row.explorer
-			e.seen, e.limit = map[[16]byte]struct{}{}, mostStates
+			e.seen, e.limit = map[[16]byte]struct{}{}, maxStates
 			e.explore(row.from)
-			t.Logf("%d states, exhausted %v: %s", len(e.seen), len(e.seen) < e.limit, e.broken)
-			if row.found != (e.broken != "") {
-				t.Errorf("%d states: %q", len(e.seen), e.broken)
+			t.Logf("%d states, exhausted %v: %s", len(e.seen), len(e.seen) < e.limit, e.violation)
+			if row.found != (e.violation != "") {
+				t.Errorf("%d states: %q", len(e.seen), e.violation)
 			}
 			if !row.found && len(e.seen) >= e.limit {
 				t.Errorf("the exploration is not whole after %d states", len(e.seen))
--- a/internal/replication/leaving_test.go
+++ b/internal/replication/leaving_test.go
@@ -12,7 +12,7 @@
 const tickInterval = 150 * time.Millisecond
 
 // coreShape is a core's number of machines, their zones and the losses to be borne.
-type coreShape struct{ machines, zones, borne int }
+type coreShape struct{ machines, zones, tolerated int }
 
 var coreShapes = []coreShape{{3, 3, 1}, {6, 3, 2}, {8, 4, 2}}
 
@@ -25,11 +25,11 @@
 	witnessRole role = "witness only"
 )
 
-// calmWorld is a core that is whole, with an acknowledged write, whose machines do nothing
+// newCalmCluster is a core that is whole, with an acknowledged write, whose machines do nothing
 // but what the test has them do.
-func calmWorld(t *testing.T, shape coreShape, seed uint64, catchUp time.Duration) *world {
+func newCalmCluster(t *testing.T, shape coreShape, seed uint64, catchUp time.Duration) *cluster {
 	t.Helper()
-	w := newWorldOf(t, seed, shape.machines, shape.zones, shape.borne)
+	w := newClusterOf(t, seed, shape.machines, shape.zones, shape.tolerated)
 	w.catchUp = catchUp
 	for _, m := range w.machines {
 		m.coordinator.SetTiming(TimingFor(catchUp))
@@ -37,14 +37,14 @@
 	if !w.heal(20 * time.Second) {
 		w.fail("no core was formed")
 	}
-	w.calm = true
+	w.noFaults = true
 	w.run(time.Second, nil)
 	return w
 }
 
 // run lets time pass: every machine that is up ticks, the primary writes, and the rules are
 // held after each step. It ends early when over says so.
-func (w *world) run(length time.Duration, over func() bool) bool {
+func (w *cluster) run(length time.Duration, done func() bool) bool {
 	for ends := w.clock().Add(length); w.clock().Before(ends); {
 		w.advance(tickInterval)
 		for _, m := range w.machines {
@@ -55,7 +55,7 @@
 				w.check()
 			}
 		}
-		if over != nil && over() {
+		if done != nil && done() {
 			return true
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 // roleOf is what a machine is to the core now, if it is anything.
-func (w *world) roleOf(m *machine) role {
+func (w *cluster) roleOf(m *machine) role {
 	leader := w.leader()
 	if leader == nil || !m.up.Load() {
 		return ""
@@ -81,7 +81,7 @@
 }
 
 // inRole finds a machine by what it is to the core, if there is one.
-func (w *world) inRole(wanted role) *machine {
+func (w *cluster) inRole(wanted role) *machine {
 	for _, m := range w.machines {
 		if w.roleOf(m) == wanted {
 			return m
@@ -91,11 +91,11 @@
 }
 
 // victims are as many machines as losses are borne, those of one role first.
-func (w *world) victims(wanted role) []*machine {
+func (w *cluster) victims(wanted role) []*machine {
 	var victims []*machine
 	for _, found := range []role{wanted, backupRole, witnessRole, primaryRole} {
 		for _, m := range w.machines {
-			if len(victims) < w.borne && w.roleOf(m) == found && !slices.Contains(victims, m) {
+			if len(victims) < w.tolerated && w.roleOf(m) == found && !slices.Contains(victims, m) {
 				victims = append(victims, m)
 			}
 		}
@@ -104,7 +104,7 @@
 }
 
 // gone takes a machine away for good, with its disk.
-func (w *world) gone(lost *machine) {
+func (w *cluster) remove(lost *machine) {
 	w.crash(lost)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -118,9 +118,9 @@
 }
 
 // join starts an empty machine at a new address, in a zone.
-func (w *world) join(zone string) *machine {
-	w.offered++
-	added := &machine{address: "n" + strconv.Itoa(w.offered), zone: zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
+func (w *cluster) join(zone string) *machine {
+	w.joined++
+	added := &machine{address: "n" + strconv.Itoa(w.joined), zone: zone, witnessDisk: newMemoryStorage(), copyDisk: newMemoryStorage()}
 	w.mutex.Lock()
 	w.machines = append(append([]*machine{}, w.machines...), added)
 	w.mutex.Unlock()
@@ -135,7 +135,7 @@
 
 // copiesOfTheNewest counts the machines that are up, count as copies, and hold every
 // acknowledged write.
-func (w *world) copiesOfTheNewest() int {
+func (w *cluster) copiesOfTheNewest() int {
 	var membership Membership
 	for _, m := range w.machines {
 		if known := m.witness.Membership(); m.up.Load() && known.Epoch > membership.Epoch {
@@ -156,12 +156,12 @@
 // released every acknowledged write is on as many disks as losses are borne, and one more;
 // after that its disk and as many others as are borne go, at once.
 func TestWhoLeavesHandsOverBeforeItEnds(t *testing.T) {
-	const patience = 6500 * time.Millisecond
+	const timeout = 6500 * time.Millisecond
 	for _, shape := range coreShapes {
 		for _, leaves := range []role{primaryRole, backupRole, witnessRole} {
 			for _, lost := range []role{primaryRole, backupRole, witnessRole} {
 				t.Run(fmt.Sprintf("%d disks/%s leaves/%s lost", shape.machines, leaves, lost), func(t *testing.T) {
-					w := calmWorld(t, shape, 3, DefaultCatchUp)
+					w := newCalmCluster(t, shape, 3, DefaultCatchUp)
 					leaver := w.inRole(leaves)
 					w.join(leaver.zone)
 					w.run(time.Second, nil)
@@ -170,22 +170,22 @@
 					}
 					began := w.clock()
 					leaver.coordinator.Leave()
-					released := w.run(patience, func() bool {
-						if copies := w.copiesOfTheNewest(); copies < shape.borne+1 {
+					ready := w.run(timeout, func() bool {
+						if copies := w.copiesOfTheNewest(); copies < shape.tolerated+1 {
 							w.fail("%v after it began to leave %d disks have every acknowledged write", w.clock().Sub(began), copies)
 						}
 						return leaver.coordinator.ReadyToStop()
 					})
-					if !released {
+					if !ready {
 						w.fail("%s is not released: %+v", leaver.address, leaver.coordinator.Membership())
 					}
-					w.say("%s is released after %v", leaver.address, w.clock().Sub(began))
-					w.gone(leaver)
+					w.logf("%s is released after %v", leaver.address, w.clock().Sub(began))
+					w.remove(leaver)
 					for _, second := range w.victims(lost) {
-						w.gone(second)
+						w.remove(second)
 						w.join(second.zone)
 					}
-					if !w.run(12*time.Second, func() bool { return w.leader() != nil && w.whole() != nil }) {
+					if !w.run(12*time.Second, func() bool { return w.leader() != nil && w.completeLeader() != nil }) {
 						w.fail("no core after the second loss")
 					}
 				})
@@ -197,7 +197,7 @@
 // TestABackupThatLeavesAloneIsReplacedByTheThird stops the backup of three, without any
 // newcomer: the third has its copy before it ends, and no write is refused.
 func TestABackupThatLeavesAloneIsReplacedByTheThird(t *testing.T) {
-	w := calmWorld(t, coreShapes[0], 4, DefaultCatchUp)
+	w := newCalmCluster(t, coreShapes[0], 4, DefaultCatchUp)
 	leaver := w.inRole(backupRole)
 	began := w.clock()
 	leaver.coordinator.Leave()
@@ -219,7 +219,7 @@
 // that leaves has handed over to it: the leaver's copy is the only one left, and it must
 // not stay out for being about to end.
 func TestWhoLeavesAsTheLastCopyLeadsAgain(t *testing.T) {
-	w := calmWorld(t, coreShapes[0], 5, DefaultCatchUp)
+	w := newCalmCluster(t, coreShapes[0], 5, DefaultCatchUp)
 	leaver := w.leader()
 	successor := w.inRole(backupRole)
 	leaver.coordinator.Leave()
@@ -227,7 +227,7 @@
 	if leaver.store.Leading() {
 		w.fail("the primary did not hand over at once")
 	}
-	w.gone(successor)
+	w.remove(successor)
 	if !w.run(6*time.Second, func() bool { return w.leader() != nil }) {
 		w.fail("nobody leads, though the leaver has everything")
 	}
@@ -244,7 +244,7 @@
 )
 
 // lose loses a machine and gives the time of its return, or of its successor's start.
-func (w *world) lose(lost *machine, kind lossKind) time.Time {
+func (w *cluster) lose(lost *machine, kind lossKind) time.Time {
 	switch kind {
 	case killed:
 		w.crash(lost)
@@ -252,12 +252,12 @@
 		w.start(lost)
 	case wiped:
 		w.crash(lost)
-		lost.keeping, lost.copies = newMemoryStorage(), newMemoryStorage()
+		lost.witnessDisk, lost.copyDisk = newMemoryStorage(), newMemoryStorage()
 		w.run(900*time.Millisecond, nil)
 		w.formed = true
 		w.start(lost)
 	case exchange:
-		w.gone(lost)
+		w.remove(lost)
 		w.run(tickInterval, nil)
 		w.join(lost.zone)
 	}
@@ -275,7 +275,7 @@
 				for _, firstKind := range []lossKind{killed, wiped, exchange} {
 					for position, first := range roles {
 						for _, second := range roles {
-							w := calmWorld(t, shape, uint64(10+position), catchUp)
+							w := newCalmCluster(t, shape, uint64(10+position), catchUp)
 							for _, lost := range w.victims(first) {
 								w.lose(lost, firstKind)
 							}
@@ -284,7 +284,7 @@
 								w.fail("%s %s: nobody leads %v later", first, firstKind, catchUp)
 							}
 							for _, lost := range w.victims(second) {
-								w.gone(lost)
+								w.remove(lost)
 							}
 							if !w.run(8*time.Second, func() bool { return w.leader() != nil }) {
 								w.fail("%s %s, then %s lost: nobody leads", first, firstKind, second)
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -11,7 +11,7 @@
 
 // restartAll ends every machine at the same moment and starts them again, in any
 // order and with some time between.
-func (w *world) restartAll() {
+func (w *cluster) restartAll() {
 	for _, m := range w.machines {
 		if m.up.Load() {
 			w.crash(m)
@@ -32,15 +32,15 @@
 }
 
 // TestPrimaryLeadsAgainSoonAfterAllRestarted ends all processes at once, as a loss of
-// power does. The hold that the primary had is of use to nobody else, and its own next
+// power does. The lease that the primary had is of use to nobody else, and its own next
 // life may have it at once.
 func TestPrimaryLeadsAgainSoonAfterAllRestarted(t *testing.T) {
-	w := newWorld(t, 7)
+	w := newCluster(t, 7)
 	if !w.heal(10 * time.Second) {
 		w.fail("no core was formed")
 	}
-	w.calm = true
-	leader := w.whole()
+	w.noFaults = true
+	leader := w.completeLeader()
 	w.write(leader)
 	for _, m := range w.machines {
 		w.crash(m)
@@ -50,7 +50,7 @@
 		w.start(ma)
 	}
 	begun := w.clock()
-	for w.whole() == nil {
+	for w.completeLeader() == nil {
 		for _, mc := range w.machines {
 			mc.coordinator.Tick()
 			w.check()
@@ -60,7 +60,7 @@
 		}
 		w.advance(100 * time.Millisecond)
 	}
-	if w.whole() != leader {
+	if w.completeLeader() != leader {
 		w.fail("another machine leads")
 	}
 }
@@ -68,11 +68,11 @@
 // TestOtherCopyWaitsForTheLeaseAfterAllRestarted leaves the primary out, which may have
 // kept running for all that the others know.
 func TestOtherCopyWaitsForTheLeaseAfterAllRestarted(t *testing.T) {
-	w := newWorld(t, 8)
+	w := newCluster(t, 8)
 	if !w.heal(10 * time.Second) {
 		w.fail("no core was formed")
 	}
-	leader := w.whole()
+	leader := w.completeLeader()
 	var others []*machine
 	for _, m := range w.machines {
 		if m != leader {
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestWitnessRenewsOnlyTheMembershipOnItsDisk wants a keeper that was away when a membership
+// TestWitnessRenewsOnlyTheMembershipOnItsDisk wants a witness that was away when a membership
 // was granted to take it down first: after a restart its disk is all that tells whom it
 // held still for.
 func TestWitnessRenewsOnlyTheMembershipOnItsDisk(t *testing.T) {
@@ -148,7 +148,7 @@
 	}
 	answered := 0
 	for seed := range seeds {
-		w := newWorld(t, 1_000_000+seed)
+		w := newCluster(t, 1_000_000+seed)
 		if !w.heal(10 * time.Second) {
 			w.fail("seed %d: no core was formed", seed)
 		}
@@ -169,16 +169,16 @@
 	}
 }
 
-// TestWitnessThatPromisedMoreIsReadmitted has each keeper in turn promise an epoch that
+// TestWitnessThatPromisedMoreIsReadmitted has each witness in turn promise an epoch that
 // nobody used, while the others are a quorum without it and answer sooner.
 func TestWitnessThatPromisedMoreIsReadmitted(t *testing.T) {
 	for number := range 3 {
-		w := newWorld(t, 9)
+		w := newCluster(t, 9)
 		if !w.heal(10 * time.Second) {
 			w.fail("no core was formed")
 		}
-		w.calm = true
-		leader, ahead := w.whole(), w.machines[number]
+		w.noFaults = true
+		leader, ahead := w.completeLeader(), w.machines[number]
 		if err := ahead.witness.ObserveEpoch(leader.coordinator.Membership().Epoch + 20); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -8,51 +8,51 @@
 	"time"
 )
 
-// severalWorlds are the shapes that bear two losses: six disks in three zones,
+// severalShapes are the shapes that bear two losses: six disks in three zones,
 // and eight in four.
-var severalWorlds = []struct{ machines, zones int }{{6, 3}, {8, 4}}
+var severalShapes = []struct{ machines, zones int }{{6, 3}, {8, 4}}
 
 func simulatedSeeds(usual uint64) uint64 {
-	if asked, err := strconv.ParseUint(os.Getenv("SEAMLOOM_SEEDS"), 10, 32); err == nil {
-		return asked
+	if seeds, err := strconv.ParseUint(os.Getenv("SEAMLOOM_SEEDS"), 10, 32); err == nil {
+		return seeds
 	}
 	return usual
 }
 
 // pick gives a machine by chance.
-func (w *world) pick() *machine { return w.machines[w.random.IntN(len(w.machines))] }
+func (w *cluster) randomMachine() *machine { return w.machines[w.random.IntN(len(w.machines))] }
 
 // wipe takes a machine's disk while it loses its power, as often as may be since the
 // core was whole.
-func (w *world) wipe(m *machine) bool {
-	if w.whole() != nil {
-		w.spare = w.borne
+func (w *cluster) wipe(m *machine) bool {
+	if w.completeLeader() != nil {
+		w.lossesLeft = w.tolerated
 	}
-	if w.spare == 0 {
+	if w.lossesLeft == 0 {
 		return false
 	}
-	w.spare--
+	w.lossesLeft--
 	w.wiped++
 	w.mutex.Lock()
 	m.up.Store(false)
 	w.mutex.Unlock()
-	m.keeping = newMemoryStorage()
-	w.say("%s loses its disk", m.address)
+	m.witnessDisk = newMemoryStorage()
+	w.logf("%s loses its disk", m.address)
 	return true
 }
 
 // severalFault is a fault beside those of step.
-func (w *world) severalFault() {
+func (w *cluster) severalFault() {
 	switch w.random.IntN(60) {
 	case 0:
 		// Two disks at once, right after whatever was answered last.
-		w.wipe(w.pick())
-		w.wipe(w.pick())
+		w.wipe(w.randomMachine())
+		w.wipe(w.randomMachine())
 	case 1:
-		w.wipe(w.pick())
+		w.wipe(w.randomMachine())
 	case 2:
 		// A zone loses its power, and at times its disks.
-		zone := w.pick().zone
+		zone := w.randomMachine().zone
 		lost := w.random.IntN(2) == 0
 		for _, m := range w.machines {
 			if m.zone == zone && m.up.Load() {
@@ -62,33 +62,33 @@
 			}
 		}
 	case 3:
-		w.everything(w.random.IntN(3))
+		w.restartEverything(w.random.IntN(3))
 	case 4:
 		// A zone is cut off, one way or both.
-		district := w.pick().zone
+		cutZone := w.randomMachine().zone
 		way := w.random.IntN(3)
 		w.mutex.Lock()
 		for _, from := range w.machines {
 			for _, to := range w.machines {
-				if from.zone == district && to.zone != district && way != 1 {
+				if from.zone == cutZone && to.zone != cutZone && way != 1 {
 					w.cut[from.address+">"+to.address] = true
 				}
-				if from.zone != district && to.zone == district && way != 0 {
+				if from.zone != cutZone && to.zone == cutZone && way != 0 {
 					w.cut[from.address+">"+to.address] = true
 				}
 			}
 		}
 		w.mutex.Unlock()
-		w.say("%s is cut off", district)
+		w.logf("%s is cut off", cutZone)
 	case 5:
 		w.replace()
 	}
 }
 
 // everything takes all power, and some disks with it, and gives it back.
-func (w *world) everything(wiped int) {
+func (w *cluster) restartEverything(wiped int) {
 	for range wiped {
-		w.wipe(w.pick())
+		w.wipe(w.randomMachine())
 	}
 	for _, m := range w.machines {
 		if m.up.Load() {
@@ -103,14 +103,14 @@
 
 // replace puts an empty machine at a new address in a machine's place, and names
 // other seeds to all.
-func (w *world) replace() {
+func (w *cluster) replace() {
 	position := w.random.IntN(len(w.machines))
 	old := w.machines[position]
 	if !w.wipe(old) {
 		return
 	}
-	w.offered++
-	added := &machine{address: "n" + strconv.Itoa(w.offered), zone: old.zone, keeping: newMemoryStorage(), copies: newMemoryStorage()}
+	w.joined++
+	added := &machine{address: "n" + strconv.Itoa(w.joined), zone: old.zone, witnessDisk: newMemoryStorage(), copyDisk: newMemoryStorage()}
 	w.mutex.Lock()
 	w.machines = append(append([]*machine{}, w.machines...), added)
 	w.machines = append(w.machines[:position:position], w.machines[position+1:]...)
@@ -124,7 +124,7 @@
 			ma.coordinator.SetSeeds(w.seeds)
 		}
 	}
-	w.say("%s gives way to %s, seeds %v", old.address, added.address, w.seeds)
+	w.logf("%s gives way to %s, seeds %v", old.address, added.address, w.seeds)
 	w.start(added)
 }
 
@@ -135,13 +135,13 @@
 // once or one while the other is being made good, lost and cut zones, power lost
 // everywhere, exchanged machines, and all faults of the smaller core.
 func TestTwoLossesAtOnce(t *testing.T) {
-	for _, shape := range severalWorlds {
+	for _, shape := range severalShapes {
 		for share := range uint64(shares) {
 			t.Run(strconv.Itoa(shape.machines)+"/"+strconv.FormatUint(share, 10), func(t *testing.T) {
 				t.Parallel()
 				answered, wiped := 0, 0
 				for seed := share; seed < simulatedSeeds(24); seed += shares {
-					w := newWorldOf(t, seed, shape.machines, shape.zones, 2)
+					w := newClusterOf(t, seed, shape.machines, shape.zones, 2)
 					w.bearLosses(seed)
 					answered, wiped = answered+w.answered, wiped+w.wiped
 				}
@@ -152,7 +152,7 @@
 }
 
 // bearLosses is one seed's life of a core.
-func (w *world) bearLosses(seed uint64) {
+func (w *cluster) bearLosses(seed uint64) {
 	for step := range 400 {
 		if step%40 == 0 && !w.heal(30*time.Second) {
 			w.fail("seed %d: the core is not whole", seed)
@@ -167,10 +167,10 @@
 }
 
 // acknowledge has the primary answer one more change.
-func (w *world) acknowledge() *machine {
+func (w *cluster) acknowledge() *machine {
 	before := w.answered
 	for range 100 {
-		if leader := w.whole(); leader != nil {
+		if leader := w.completeLeader(); leader != nil {
 			w.write(leader)
 			if w.answered > before {
 				return leader
@@ -183,8 +183,8 @@
 }
 
 // tick lets time pass, and all who run do what is due.
-func (w *world) tick(length time.Duration) {
-	w.takeDisks()
+func (w *cluster) tick(length time.Duration) {
+	w.wipeLostDisks()
 	w.advance(length)
 	for _, m := range w.machines {
 		if m.up.Load() && !m.frozen {
@@ -196,7 +196,7 @@
 
 // losses lists every set of machines that may be lost at once: any two, or one
 // zone.
-func (w *world) losses() [][]int {
+func (w *cluster) losses() [][]int {
 	var sets [][]int
 	for first := range w.machines {
 		for second := range first {
@@ -210,12 +210,12 @@
 // others go on or lose their power, too, and wants the answered change and a core
 // that is whole again; likewise every zone, whose two machines are such a pair.
 func TestEveryPairOfDisksLost(t *testing.T) {
-	for _, shape := range severalWorlds {
+	for _, shape := range severalShapes {
 		for seed := range simulatedSeeds(2) {
 			for _, others := range []bool{false, true} {
-				for _, pair := range newWorldOf(t, seed, shape.machines, shape.zones, 2).losses() {
-					w := newWorldOf(t, seed, shape.machines, shape.zones, 2)
-					w.calm = true
+				for _, pair := range newClusterOf(t, seed, shape.machines, shape.zones, 2).losses() {
+					w := newClusterOf(t, seed, shape.machines, shape.zones, 2)
+					w.noFaults = true
 					if !w.heal(15 * time.Second) {
 						w.fail("no core was formed")
 					}
@@ -259,7 +259,7 @@
 }
 
 // leader is who may answer now.
-func (w *world) leader() *machine {
+func (w *cluster) leader() *machine {
 	for _, m := range w.machines {
 		if m.up.Load() && !m.frozen && m.coordinator.HasLease() {
 			return m
@@ -280,8 +280,8 @@
 // TestPairOfDisksIsLostByAPair shows that the test above can fail: a core that bears
 // one loss does not bear two.
 func TestPairOfDisksIsLostByAPair(t *testing.T) {
-	w := newWorldOf(t, 1, 6, 3, 1)
-	w.calm = true
+	w := newClusterOf(t, 1, 6, 3, 1)
+	w.noFaults = true
 	if !w.heal(15 * time.Second) {
 		w.fail("no core was formed")
 	}
@@ -290,7 +290,7 @@
 	for _, m := range w.machines {
 		if m == leader || m.witness.Replica().Identity == backup {
 			w.crash(m)
-			m.keeping = newMemoryStorage()
+			m.witnessDisk = newMemoryStorage()
 		}
 	}
 	for range 100 {
@@ -305,9 +305,9 @@
 // and the successor's when it has been granted the epoch and before it has brought
 // anybody its copy: the third copy must still count as in sync.
 func TestSecondLossInTheMiddleOfATakeover(t *testing.T) {
-	for _, shape := range severalWorlds {
-		w := newWorldOf(t, 1, shape.machines, shape.zones, 2)
-		w.calm = true
+	for _, shape := range severalShapes {
+		w := newClusterOf(t, 1, shape.machines, shape.zones, 2)
+		w.noFaults = true
 		if !w.heal(15 * time.Second) {
 			w.fail("no core was formed")
 		}
@@ -318,7 +318,7 @@
 		w.installs = func(from string) {
 			for _, m := range w.machines {
 				if m.address == from && m.store.Leading() && ended.CompareAndSwap(false, true) {
-					w.endInTheMiddle(m, true)
+					w.crashNow(m, true)
 				}
 			}
 		}
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -55,46 +55,46 @@
 	return nil
 }
 
-// threads are real ones, under the clock that the test moves.
-type threads struct{ now func() time.Time }
-
-func (t threads) Now() time.Time  { return t.now() }
-func (t threads) Wall() time.Time { return t.now() }
-func (t threads) Go(act func())   { go act() }
-func (t threads) Alive() bool     { return true }
-func (t threads) NewCond() runtime.Cond {
-	cond := &condition{}
-	cond.rung = sync.NewCond(&cond.mutex)
+// testRuntime has real goroutines, under the clock that the test moves.
+type testRuntime struct{ now func() time.Time }
+
+func (t testRuntime) Now() time.Time  { return t.now() }
+func (t testRuntime) Wall() time.Time { return t.now() }
+func (t testRuntime) Go(f func())     { go f() }
+func (t testRuntime) Alive() bool     { return true }
+func (t testRuntime) NewCond() runtime.Cond {
+	cond := &testCond{}
+	cond.cond = sync.NewCond(&cond.mutex)
 	return cond
 }
 
-// condition is a bell without patience: every call of the test's network ends.
-type condition struct {
+// testCond is a condition without timeout: every call of the test's network ends.
+type testCond struct {
 	mutex sync.Mutex
-	rung  *sync.Cond
+	cond  *sync.Cond
 }
 
-func (c *condition) Wait(_ time.Duration, over func() bool) bool {
+func (c *testCond) Wait(_ time.Duration, done func() bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for !over() {
-		c.rung.Wait()
+	for !done() {
+		c.cond.Wait()
 	}
 	return true
 }
 
-func (c *condition) Broadcast() {
+func (c *testCond) Broadcast() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.rung.Broadcast()
+	c.cond.Broadcast()
 }
 
 // machine is one controller of the simulated core.
 type machine struct {
 	address      string
 	zone         string
-	keeping      *memoryStorage
-	copies       *memoryStorage
+	witnessDisk  *memoryStorage
+	copyDisk     *memoryStorage
 	witness      *Witness
 	store        *Store
 	coordinator  *Coordinator
@@ -103,45 +103,45 @@
 	incarnations int
 }
 
-// world is a core of machines under a clock that the test moves.
-type world struct {
+// cluster is a core of machines under a clock that the test moves.
+type cluster struct {
 	test     *testing.T
 	mutex    sync.Mutex
 	now      time.Time
 	random   *rand.Rand
 	machines []*machine
 	cut      map[string]bool
-	late     []func()
-	calm     bool
+	delayed  []func()
+	noFaults bool
 	accepted int
 	tried    int
 	answered int
 	log      []string
 	// borne is how many disks may be lost at once, and spare how many may be lost
 	// now, since the core was whole.
-	borne int
-	spare int
+	tolerated  int
+	lossesLeft int
 	// catchUp is the bound that the core's waits are derived from.
 	catchUp time.Duration
 	// losing are machines whose disk is to be taken.
-	losing  []*machine
-	zones   int
-	seeds   []string
-	offered int
-	wiped   int
-	formed  bool
+	diskLosses []*machine
+	zones      int
+	seeds      []string
+	joined     int
+	wiped      int
+	formed     bool
 	// installs is told who brings a snapshot, just before.
 	installs func(from string)
 }
 
-func newWorld(t *testing.T, seed uint64) *world { return newWorldOf(t, seed, 3, 3, 1) }
+func newCluster(t *testing.T, seed uint64) *cluster { return newClusterOf(t, seed, 3, 3, 1) }
 
-// newWorldOf is a core of machines in zones, which bears some losses at once.
-func newWorldOf(t *testing.T, seed uint64, machines, zones, borne int) *world {
-	w := &world{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, borne: borne, zones: zones,
+// newClusterOf is a core of machines in zones, which bears some losses at once.
+func newClusterOf(t *testing.T, seed uint64, machines, zones, tolerated int) *cluster {
+	w := &cluster{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, tolerated: tolerated, zones: zones,
 		seeds: []string{"m0", "m1", "m2"}}
 	for number := range machines {
-		w.machines = append(w.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), keeping: newMemoryStorage(), copies: newMemoryStorage()})
+		w.machines = append(w.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), witnessDisk: newMemoryStorage(), copyDisk: newMemoryStorage()})
 	}
 	for _, m := range w.machines {
 		w.start(m)
@@ -149,216 +149,216 @@
 	return w
 }
 
-func (w *world) clock() time.Time {
+func (w *cluster) clock() time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.now
 }
 
-func (w *world) say(format string, values ...any) {
+func (w *cluster) logf(format string, values ...any) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.log = append(w.log, fmt.Sprintf("%6.2f ", w.now.Sub(time.Unix(1_000_000, 0)).Seconds())+fmt.Sprintf(format, values...))
 }
 
-func (w *world) start(m *machine) {
-	w.takeDisks()
+func (w *cluster) start(m *machine) {
+	w.wipeLostDisks()
 	m.incarnations++
 	replica := Replica{Address: m.address, Name: m.address}
-	witness, blank, err := OpenWitness(w.clock(), m.keeping, replica, Identity(m.address+"/"+strconv.Itoa(m.incarnations)))
+	witness, blank, err := OpenWitness(w.clock(), m.witnessDisk, replica, Identity(m.address+"/"+strconv.Itoa(m.incarnations)))
 	if err != nil {
 		w.test.Fatal(err)
 	}
 	if blank {
-		m.copies = newMemoryStorage()
+		m.copyDisk = newMemoryStorage()
 	}
-	copied, err := OpenLocalReplica(m.copies)
+	copied, err := OpenLocalReplica(m.copyDisk)
 	if err != nil {
 		w.test.Fatal(err)
 	}
 	store := NewStore(copied, witness)
-	coordinator := NewCoordinator(threads{w.clock}, w.seeds, witness, store, &wire{world: w, from: m.address, incarnation: m.incarnations}, func(event string, detail ...any) {
-		w.say("%s %s %v", m.address, event, detail)
+	coordinator := NewCoordinator(testRuntime{w.clock}, w.seeds, witness, store, &network{cluster: w, from: m.address, incarnation: m.incarnations}, func(event string, detail ...any) {
+		w.logf("%s %s %v", m.address, event, detail)
 	})
-	if w.borne > 1 && (m.incarnations > 1 || w.formed) {
+	if w.tolerated > 1 && (m.incarnations > 1 || w.formed) {
 		coordinator.SetJoinOnly()
 	}
 	coordinator.SetTiming(TimingFor(w.catchUp))
-	coordinator.SetTolerance(w.borne, m.zone)
-	coordinator.SetBackupList(w.borne > 1)
+	coordinator.SetTolerance(w.tolerated, m.zone)
+	coordinator.SetBackupList(w.tolerated > 1)
 	w.mutex.Lock()
 	m.witness, m.store, m.coordinator = witness, store, coordinator
 	m.up.Store(true)
 	m.frozen = false
 	w.mutex.Unlock()
-	w.say("%s starts, blank %v, version %s", m.address, blank, copied.Version())
+	w.logf("%s starts, blank %v, version %s", m.address, blank, copied.Version())
 }
 
-// wire is the network: a call reaches a machine that is up and not cut off.
-type wire struct {
-	world *world
-	from  string
-	// life is which of the machine's processes sends; one that has ended sends
+// network brings calls: a call reaches a machine that is up and not cut off.
+type network struct {
+	cluster *cluster
+	from    string
+	// incarnation is which of the machine's processes sends; one that has ended sends
 	// nothing. None is a test's own.
 	incarnation int
 }
 
-// reached is one life of a machine, as a call meets it.
-type reached struct {
+// endpoint is one incarnation of a machine, as a call meets it.
+type endpoint struct {
 	witness     *Witness
 	store       *Store
 	coordinator *Coordinator
 }
 
-func (w *wire) reach(address string) (*reached, error) {
-	wo := w.world
-	wo.mutex.Lock()
-	defer wo.mutex.Unlock()
-	for _, m := range wo.machines {
+func (w *network) endpointAt(address string) (*endpoint, error) {
+	cl := w.cluster
+	cl.mutex.Lock()
+	defer cl.mutex.Unlock()
+	for _, m := range cl.machines {
 		if w.incarnation > 0 && m.address == w.from && (!m.up.Load() || m.incarnations != w.incarnation) {
 			return nil, failure.New(failure.Unreachable, "the sender has ended")
 		}
 	}
-	for _, ma := range wo.machines {
-		if ma.address == address && ma.up.Load() && !ma.frozen && !wo.cut[w.from+">"+address] {
+	for _, ma := range cl.machines {
+		if ma.address == address && ma.up.Load() && !ma.frozen && !cl.cut[w.from+">"+address] {
 			// A late call reaches the life that it was sent to.
-			return &reached{witness: ma.witness, store: ma.store, coordinator: ma.coordinator}, nil
+			return &endpoint{witness: ma.witness, store: ma.store, coordinator: ma.coordinator}, nil
 		}
 	}
 	return nil, failure.New(failure.Unreachable, address)
 }
 
-func (w *wire) witnessAt(address string, identity Identity) (*reached, error) {
-	m, err := w.reach(address)
+func (w *network) witnessAt(address string, identity Identity) (*endpoint, error) {
+	m, err := w.endpointAt(address)
 	if err == nil && m.witness.Replica().Identity != identity {
 		return nil, failure.New(failure.NotAdmitted, "another disk")
 	}
 	return m, err
 }
 
-func (w *wire) Hello(address string, own Hello) (Hello, error) {
-	m, err := w.reach(address)
+func (w *network) Hello(address string, own Hello) (Hello, error) {
+	m, err := w.endpointAt(address)
 	if err != nil {
 		return Hello{}, err
 	}
 	return m.coordinator.HandleHello(own), nil
 }
 
-func (w *wire) Prepare(address string, witness Identity, epoch uint64, c Identity) (Vote, error) {
+func (w *network) Prepare(address string, witness Identity, epoch uint64, c Identity) (Vote, error) {
 	m, err := w.witnessAt(address, witness)
 	if err != nil {
 		return Vote{}, err
 	}
-	return m.witness.Prepare(w.world.clock(), epoch, c)
+	return m.witness.Prepare(w.cluster.clock(), epoch, c)
 }
 
-func (w *wire) Accept(address string, witness Identity, membership Membership) (Vote, error) {
+func (w *network) Accept(address string, witness Identity, membership Membership) (Vote, error) {
 	m, err := w.witnessAt(address, witness)
 	if err != nil {
 		return Vote{}, err
 	}
-	return m.witness.Accept(w.world.clock(), membership)
+	return m.witness.Accept(w.cluster.clock(), membership)
 }
 
-func (w *wire) RenewLease(address string, witness Identity, epoch uint64, primary Identity) (Vote, error) {
+func (w *network) RenewLease(address string, witness Identity, epoch uint64, primary Identity) (Vote, error) {
 	m, err := w.witnessAt(address, witness)
 	if err != nil {
 		return Vote{}, err
 	}
-	return m.witness.RenewLease(w.world.clock(), epoch, primary), nil
+	return m.witness.RenewLease(w.cluster.clock(), epoch, primary), nil
 }
 
-func (w *wire) Replicate(address string, backup Identity, epoch uint64, batch Batch) error {
+func (w *network) Replicate(address string, backup Identity, epoch uint64, batch Batch) error {
 	m, err := w.witnessAt(address, backup)
 	if err != nil {
 		return err
 	}
-	w.world.again(func() { _ = m.store.Replicate(epoch, batch) })
+	w.cluster.maybeDuplicate(func() { _ = m.store.Replicate(epoch, batch) })
 	return m.store.Replicate(epoch, batch)
 }
 
-func (w *wire) Install(address string, backup Identity, snapshot Snapshot) error {
-	w.mayEnd()
+func (w *network) Install(address string, backup Identity, snapshot Snapshot) error {
+	w.maybeCrash()
 	m, err := w.witnessAt(address, backup)
 	if err != nil {
 		return err
 	}
-	w.world.again(func() { _ = m.store.Install(snapshot) })
+	w.cluster.maybeDuplicate(func() { _ = m.store.Install(snapshot) })
 	return m.store.Install(snapshot)
 }
 
-// mayEnd has the sender lose its power and at times its disk in the middle of what
+// maybeCrash has the sender lose its power and at times its disk in the middle of what
 // it does, where more than one loss is borne.
-func (w *wire) mayEnd() {
-	wo := w.world
-	if wo.installs != nil {
-		wo.installs(w.from)
+func (w *network) maybeCrash() {
+	cl := w.cluster
+	if cl.installs != nil {
+		cl.installs(w.from)
 	}
-	if wo.borne == 1 || wo.calm {
+	if cl.tolerated == 1 || cl.noFaults {
 		return
 	}
-	wo.mutex.Lock()
-	drawn := wo.random.IntN(24)
-	wo.mutex.Unlock()
+	cl.mutex.Lock()
+	drawn := cl.random.IntN(24)
+	cl.mutex.Unlock()
 	if drawn > 1 {
 		return
 	}
-	for _, m := range wo.machines {
+	for _, m := range cl.machines {
 		if m.address != w.from || !m.up.Load() {
 			continue
 		}
-		wo.endInTheMiddle(m, drawn == 0)
+		cl.crashNow(m, drawn == 0)
 	}
 }
 
-// endInTheMiddle has a machine lose its power at once, in whatever thread. Its disk is
+// crashNow has a machine lose its power at once, in whatever thread. Its disk is
 // lost before it starts again: the world's own thread takes that away.
-func (w *world) endInTheMiddle(m *machine, wiped bool) {
+func (w *cluster) crashNow(m *machine, wiped bool) {
 	w.crash(m)
 	if !wiped {
 		return
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.losing = append(w.losing, m)
+	w.diskLosses = append(w.diskLosses, m)
 }
 
-// takeDisks takes the disks that were lost in the middle of something.
-func (w *world) takeDisks() {
+// wipeLostDisks takes the disks that were lost in the middle of something.
+func (w *cluster) wipeLostDisks() {
 	w.mutex.Lock()
-	losing := w.losing
-	w.losing = nil
+	losing := w.diskLosses
+	w.diskLosses = nil
 	w.mutex.Unlock()
 	for _, m := range losing {
-		if w.spare == 0 {
+		if w.lossesLeft == 0 {
 			continue
 		}
-		w.spare--
+		w.lossesLeft--
 		w.wiped++
-		w.say("%s loses its disk in the middle", m.address)
-		m.keeping = newMemoryStorage()
+		w.logf("%s loses its disk in the middle", m.address)
+		m.witnessDisk = newMemoryStorage()
 	}
 }
 
 // again keeps a message back that the network will bring a second time.
-func (w *world) again(message func()) {
+func (w *cluster) maybeDuplicate(message func()) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.random.IntN(8) == 0 {
-		w.late = append(w.late, message)
+		w.delayed = append(w.delayed, message)
 	}
 }
 
 // deliver brings one of the messages that were kept back.
-func (w *world) deliver() {
+func (w *cluster) deliver() {
 	w.mutex.Lock()
-	if len(w.late) == 0 {
+	if len(w.delayed) == 0 {
 		w.mutex.Unlock()
 		return
 	}
-	position := w.random.IntN(len(w.late))
-	message := w.late[position]
-	w.late = append(w.late[:position], w.late[position+1:]...)
+	i := w.random.IntN(len(w.delayed))
+	message := w.delayed[i]
+	w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
 	w.mutex.Unlock()
 	message()
 }
@@ -377,7 +377,7 @@
 
 // write asks a machine for the next revision and carries the commit out, with
 // a crash of the world possible between any two of its steps.
-func (w *world) write(m *machine) {
+func (w *cluster) write(m *machine) {
 	if !m.coordinator.HasLease() {
 		return
 	}
@@ -402,16 +402,16 @@
 	if m.store.WriteLocal(batch) != nil {
 		return
 	}
-	if !w.calm && w.random.IntN(25) == 0 {
+	if !w.noFaults && w.random.IntN(25) == 0 {
 		w.crash(m)
 		return
 	}
 	synced := true
 	for _, backup := range membership.Backups() {
-		err := (&wire{world: w, from: m.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
+		err := (&network{cluster: w, from: m.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
 		m.coordinator.RecordBackupResult(backup.Identity, err == nil)
 		synced = synced && err == nil
-		if !w.calm && w.random.IntN(50) == 0 {
+		if !w.noFaults && w.random.IntN(50) == 0 {
 			w.crash(m)
 			return
 		}
@@ -419,29 +419,29 @@
 	if !synced {
 		return
 	}
-	if !w.calm && w.random.IntN(25) == 0 {
+	if !w.noFaults && w.random.IntN(25) == 0 {
 		w.crash(m)
 		return
 	}
 	m.store.Commit(batch)
 }
 
-func (w *world) crash(m *machine) {
+func (w *cluster) crash(m *machine) {
 	w.mutex.Lock()
 	m.up.Store(false)
 	w.mutex.Unlock()
-	w.say("%s crashes", m.address)
+	w.logf("%s crashes", m.address)
 }
 
-// whole tells whether a primary with a backup leads and every keeper is the
+// whole tells whether a primary with a backup leads and every witness is the
 // disk that is at its address now, so that one more loss can be borne.
-func (w *world) whole() *machine {
+func (w *cluster) completeLeader() *machine {
 	for _, m := range w.machines {
 		if !m.up.Load() || m.frozen || !m.coordinator.HasLease() || m.coordinator.membershipUnknown {
 			continue
 		}
 		membership := m.coordinator.Membership()
-		if len(membership.Backups()) != w.borne || len(membership.Incoming) > 0 || len(membership.Witnesses) != 2*w.borne+1 {
+		if len(membership.Backups()) != w.tolerated || len(membership.Incoming) > 0 || len(membership.Witnesses) != 2*w.tolerated+1 {
 			continue
 		}
 		healthy, there := 0, 0
@@ -460,7 +460,7 @@
 				most = max(most, inZone[other.zone])
 			}
 		}
-		if there == w.borne && healthy == 2*w.borne+1 && most <= w.borne {
+		if there == w.tolerated && healthy == 2*w.tolerated+1 && most <= w.tolerated {
 			return m
 		}
 	}
@@ -469,7 +469,7 @@
 
 // check holds the two rules: one machine at a time may answer, and whoever may
 // answer has everything that was answered before.
-func (w *world) check() {
+func (w *cluster) check() {
 	var holders []string
 	for _, m := range w.machines {
 		if !m.up.Load() || m.frozen || !m.coordinator.HasLease() {
@@ -489,24 +489,24 @@
 	}
 }
 
-func (w *world) fail(format string, values ...any) {
+func (w *cluster) fail(format string, values ...any) {
 	for _, line := range w.log[max(0, len(w.log)-60):] {
 		w.test.Log(line)
 	}
 	w.test.Fatalf(format, values...)
 }
 
-func (w *world) advance(length time.Duration) {
+func (w *cluster) advance(length time.Duration) {
 	w.mutex.Lock()
 	w.now = w.now.Add(length)
 	w.mutex.Unlock()
 }
 
-func (w *world) step() {
-	w.takeDisks()
+func (w *cluster) step() {
+	w.wipeLostDisks()
 	w.advance(time.Duration(20+w.random.IntN(120)) * time.Millisecond)
-	for _, position := range w.random.Perm(len(w.machines)) {
-		m := w.machines[position]
+	for _, i := range w.random.Perm(len(w.machines)) {
+		m := w.machines[i]
 		if m.up.Load() && !m.frozen {
 			m.coordinator.Tick()
 			w.check()
@@ -534,13 +534,13 @@
 		w.mutex.Lock()
 		w.cut[ma.address+">"+other.address] = true
 		w.mutex.Unlock()
-		w.say("cut %s>%s", ma.address, other.address)
+		w.logf("cut %s>%s", ma.address, other.address)
 	case 5, 6, 7:
 		w.mutex.Lock()
 		w.cut = map[string]bool{}
 		w.mutex.Unlock()
 	case 8:
-		if w.whole() != nil && ma.up.Load() && w.wipe(ma) {
+		if w.completeLeader() != nil && ma.up.Load() && w.wipe(ma) {
 			w.start(ma)
 		}
 	case 9:
@@ -548,7 +548,7 @@
 			w.mutex.Lock()
 			ma.frozen = !ma.frozen
 			w.mutex.Unlock()
-			w.say("%s frozen %v", ma.address, ma.frozen)
+			w.logf("%s frozen %v", ma.address, ma.frozen)
 		}
 	case 10, 11:
 		w.mutex.Lock()
@@ -558,10 +558,10 @@
 }
 
 // heal ends all faults and gives the core time.
-func (w *world) heal(length time.Duration) bool {
-	before := w.calm
-	w.calm = true
-	defer func() { w.calm = before }()
+func (w *cluster) heal(length time.Duration) bool {
+	before := w.noFaults
+	w.noFaults = true
+	defer func() { w.noFaults = before }()
 	w.mutex.Lock()
 	w.cut = map[string]bool{}
 	for _, m := range w.machines {
@@ -580,7 +580,7 @@
 			mc.coordinator.Tick()
 			w.check()
 		}
-		if w.whole() != nil {
+		if w.completeLeader() != nil {
 			return true
 		}
 	}
@@ -596,7 +596,7 @@
 	}
 	answered := 0
 	for seed := range seeds {
-		w := newWorld(t, seed)
+		w := newCluster(t, seed)
 		if !w.heal(10 * time.Second) {
 			w.fail("seed %d: no core was formed", seed)
 		}
@@ -614,14 +614,14 @@
 	}
 }
 
-// TestSimulationSeesASecondPrimary shows that the rule can fail: a keeper that
-// forgets its hold lets two machines answer at once.
+// TestSimulationSeesASecondPrimary shows that the rule can fail: a witness that
+// forgets its lease lets two machines answer at once.
 func TestSimulationSeesASecondPrimary(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	if !w.heal(10 * time.Second) {
 		w.fail("no core was formed")
 	}
-	leader := w.whole()
+	leader := w.completeLeader()
 	membership := leader.coordinator.Membership()
 	for _, m := range w.machines {
 		m.witness.mutex.Lock()
@@ -656,12 +656,12 @@
 // TestRestrictedPrimaryHandsOver restricts the primary, and wants another to
 // lead with everything that was accepted, and the restricted one to be neither.
 func TestRestrictedPrimaryHandsOver(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	if !w.heal(10 * time.Second) {
 		w.fail("no core was formed")
 	}
-	first := w.whole()
-	w.calm = true
+	first := w.completeLeader()
+	w.noFaults = true
 	for w.answered == 0 {
 		w.write(first)
 	}
@@ -672,7 +672,7 @@
 			m.coordinator.Tick()
 			w.check()
 		}
-		leader := w.whole()
+		leader := w.completeLeader()
 		if leader != nil && leader != first && leader.coordinator.Membership().Backup.Identity != first.witness.Replica().Identity {
 			return
 		}
@@ -680,7 +680,7 @@
 	w.fail("the restricted expediter still leads or backs up: %+v", first.coordinator.Membership())
 }
 
-// TestSweepMendsFilesThatBecameDamaged damages files of a copy and of a keeper
+// TestSweepMendsFilesThatBecameDamaged damages files of a copy and of a witness
 // that are in use, and wants both whole after a sweep.
 func TestSweepMendsFilesThatBecameDamaged(t *testing.T) {
 	storage := newMemoryStorage()
@@ -767,12 +767,12 @@
 // ends the backup, and wants the pair whole with the restricted one that is
 // left, and with the capable one as soon as it is back.
 func TestRestrictedControllerIsABackupBeforeNone(t *testing.T) {
-	w := newWorld(t, 3)
+	w := newCluster(t, 3)
 	if !w.heal(10 * time.Second) {
 		w.fail("no core was formed")
 	}
-	w.calm = true
-	leader := w.whole()
+	w.noFaults = true
+	leader := w.completeLeader()
 	var backup, third *machine
 	for _, m := range w.machines {
 		switch {
@@ -819,12 +819,12 @@
 // has become damaged while its backup is restricted: the backup must lead, since
 // it has everything and the other can't.
 func TestRestrictedTakesOverFromADamagedCopy(t *testing.T) {
-	w := newWorld(t, 4)
+	w := newCluster(t, 4)
 	if !w.heal(10 * time.Second) {
 		w.fail("no core was formed")
 	}
-	w.calm = true
-	leader := w.whole()
+	w.noFaults = true
+	leader := w.completeLeader()
 	w.write(leader)
 	backup := leader.coordinator.Membership().Backup.Identity
 	for _, m := range w.machines {
@@ -833,11 +833,11 @@
 		}
 	}
 	w.crash(leader)
-	leader.copies.mutex.Lock()
-	for name := range leader.copies.files {
-		leader.copies.files[name] = []byte("damage")
+	leader.copyDisk.mutex.Lock()
+	for name := range leader.copyDisk.files {
+		leader.copyDisk.files[name] = []byte("damage")
 	}
-	leader.copies.mutex.Unlock()
+	leader.copyDisk.mutex.Unlock()
 	w.start(leader)
 	for range 100 {
 		w.advance(100 * time.Millisecond)
@@ -863,17 +863,17 @@
 		"restricted": func(coordinator *Coordinator) { coordinator.SetRestricted(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 5)
+			w := newCluster(t, 5)
 			if !w.heal(10 * time.Second) {
 				w.fail("no core was formed")
 			}
-			w.calm = true
-			leader := w.whole()
+			w.noFaults = true
+			leader := w.completeLeader()
 			w.write(leader)
 			for _, m := range w.machines {
 				if m.witness.Replica().Identity == leader.coordinator.Membership().Backup.Identity {
 					w.crash(m)
-					m.keeping, m.copies = newMemoryStorage(), newMemoryStorage()
+					m.witnessDisk, m.copyDisk = newMemoryStorage(), newMemoryStorage()
 				}
 			}
 			begin(leader.coordinator)
--- a/internal/replication/timing_test.go
+++ b/internal/replication/timing_test.go
@@ -31,7 +31,7 @@
 // TestPrimaryHoldsNoLongerThanItsWitnesses gives the primary a longer lease than its
 // witnesses, as settings that differ would.
 func TestPrimaryHoldsNoLongerThanItsWitnesses(t *testing.T) {
-	w := calmWorld(t, coreShapes[0], 6, DefaultCatchUp)
+	w := newCalmCluster(t, coreShapes[0], 6, DefaultCatchUp)
 	leader := w.leader()
 	short := TimingFor(2 * time.Second)
 	for _, m := range w.machines {
