--- a/internal/scheduler/ablation_test.go
+++ b/internal/scheduler/ablation_test.go
@@ -45,8 +45,8 @@
 		t.Skip("compares mechanisms by hand")
 	}
 	type day struct {
-		site    site
-		trouble string
+		site  site
+		fault string
 	}
 	var days []day
 	for _, s := range []site{nine(), twelve(), sixty(), ninety()} {
@@ -78,7 +78,7 @@
 						w.pool(NewRoleBalancer())
 					}
 					w.run(noon.Add(lead))
-					troubles()[day.trouble](w)
+					faults()[day.fault](w)
 					day.site.play(w, 1, 13*time.Second)
 					sum += w.score() / seeds
 				}
@@ -91,18 +91,18 @@
 	running.Wait()
 	header := "| without |"
 	for _, day := range days {
-		header += " " + day.site.name + " " + day.trouble + " |"
+		header += " " + day.site.name + " " + day.fault + " |"
 	}
 	fmt.Println(header)
 	for _, name := range names {
-		line := "| " + name + " |"
+		text := "| " + name + " |"
 		for position, score := range scores[name] {
 			if name == "all of them" {
-				line += fmt.Sprintf(" %.3f |", score)
+				text += fmt.Sprintf(" %.3f |", score)
 			} else {
-				line += fmt.Sprintf(" %+.3f |", score-scores["all of them"][position])
+				text += fmt.Sprintf(" %+.3f |", score-scores["all of them"][position])
 			}
 		}
-		fmt.Println(line)
+		fmt.Println(text)
 	}
 }
--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -104,7 +104,8 @@
 		after.tokens += tokens
 		b.backlogCount.CompareAndSwap(t, &after)
 	}
-	if booked := state.backlogEntry; booked != nil && booked.backend.serverState == b.serverState && booked.tokens == tokens {
+	entry := state.backlogEntry
+	if entry != nil && entry.backend.serverState == b.serverState && entry.tokens == tokens {
 		return
 	}
 	c.scheduler.uncountBacklog(state)
@@ -117,12 +118,12 @@
 // uncountBacklog has the owner know that what was counted for the call is read, or is not
 // sent.
 func (s *Scheduler) uncountBacklog(state *CallState) {
-	booked := state.backlogEntry
-	if booked == nil {
+	entry := state.backlogEntry
+	if entry == nil {
 		return
 	}
 	state.backlogEntry = nil
-	s.outbox.add(booked.backend.backlogGroup, backlog.Change{Server: booked.backend.server.Name, Tokens: -booked.tokens})
+	s.outbox.add(entry.backend.backlogGroup, backlog.Change{Server: entry.backend.server.Name, Tokens: -entry.tokens})
 }
 
 // outbox holds the changes that owners are still to be sent, by group.
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestColdServersGetFewCalls has all routers press on servers that all are cold, and
+// TestWarmingServersGetFewCalls has all routers press on servers that all are cold, and
 // wants no second with more calls at one of them than it stands.
 // A server that becomes warm is the emptiest of all, and every router learns it at the
 // same moment, which the list tells a little too early.
@@ -104,8 +104,8 @@
 		windows = append(windows, calls)
 	}
 	list := servers(40)
-	cold := &list[len(list)-1]
-	cold.Zone, cold.Warming = "north", 3*time.Second
+	warming := &list[len(list)-1]
+	warming.Zone, warming.Warming = "north", 3*time.Second
 	for _, calls := range windows {
 		calls.SetServers(noon, list)
 	}
@@ -126,7 +126,7 @@
 		}
 		state, decision := windows[number].Arrive(now, chatCall(fmt.Sprint(now.UnixNano())))
 		for state != nil && (decision.Kind == Prefill || decision.Kind == Generate) {
-			if decision.Server.Name == cold.Name {
+			if decision.Server.Name == warming.Name {
 				if now.Before(noon.Add(3*time.Second + early)) {
 					sent = append(sent, now)
 				} else {
@@ -134,7 +134,7 @@
 				}
 			}
 			// The others are kept busy: nothing ends there.
-			if decision.Server.Name != cold.Name {
+			if decision.Server.Name != warming.Name {
 				break
 			}
 			decision = windows[number].Ended(now, state, Outcome{Result: Complete, Handle: "h", FirstByte: now})
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestColdServersGetFewCalls(t *testing.T) {
+func TestWarmingServersGetFewCalls(t *testing.T) {
 	for _, routers := range []int{1, 3, 9, 30, 85} {
 		for _, known := range []bool{true, false} {
 			var windows []*Scheduler
@@ -209,7 +209,7 @@
 		}
 		calls.SetServers(noon, list)
 		call := longCall("a", chain)
-		c := calls.newCycle(noon, &CallState{call: call, routeRule: calls.routes.Load().hosts["long.example"][1].routeRule,
+		c := calls.newCycle(noon, &CallState{call: call, routeRule: calls.routes.Load().hosts["long.example"][0],
 			service: calls.routes.Load().services["desk"], deadline: noon.Add(time.Second)})
 		c.findHomes()
 		return c.homePrefill.server.Name + " " + c.homeDecode.server.Name
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -39,10 +39,12 @@
 
 // directRate is how many tokens a second decode servers are given to read themselves by this
 // router, and whether a transfer failed within transferFailureSpan.
-func (p *demand) directRate(now time.Time) (tokens float64, lapsing bool) {
+func (p *demand) directRate(now time.Time) (tokens float64, failing bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.directTokens * decay(now.Sub(p.directAt)) / demandWindow.Seconds(), !p.transferFailedAt.IsZero() && now.Sub(p.transferFailedAt) < transferFailureSpan
+	tokens = p.directTokens * decay(now.Sub(p.directAt)) / demandWindow.Seconds()
+	failing = !p.transferFailedAt.IsZero() && now.Sub(p.transferFailedAt) < transferFailureSpan
+	return tokens, failing
 }
 
 // transferFailed takes that a KV cache transfer failed.
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -77,8 +77,8 @@
 	decision.StreamTimeout = c.streamTimeout()
 }
 
-// settleDispatch takes the dispatch that ended out of its server's state.
-func (t *CallState) settleDispatch(now time.Time, outcome Outcome, s *Scheduler) {
+// finishDispatch takes the dispatch that ended out of its server's state.
+func (t *CallState) finishDispatch(now time.Time, outcome Outcome, s *Scheduler) {
 	sent := &t.dispatch
 	b := sent.backend
 	if sent.kind == Prefill {
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -9,7 +9,7 @@
 		return Decision{Kind: Done}
 	}
 	sent := state.dispatch
-	state.settleDispatch(now, outcome, s)
+	state.finishDispatch(now, outcome, s)
 	state.dispatch = dispatch{}
 	if outcome.Load != nil {
 		at := now
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -10,9 +10,9 @@
 
 // These are failures that the simulated world showed, each by itself.
 
-// TestMemoryThatDidNotComeIsNotKept has a runner fail to fetch a prompt's memory, and
+// TestKVCacheThatDidNotArriveIsNotCached has a runner fail to fetch a prompt's memory, and
 // wants nobody to believe that it keeps the prompt.
-func TestMemoryThatDidNotComeIsNotKept(t *testing.T) {
+func TestKVCacheThatDidNotArriveIsNotCached(t *testing.T) {
 	calls := opened(9)
 	call := longCall("a", 77)
 	state, decision := calls.Arrive(noon, call)
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestUnneededTryIsPaidBack has calls end well that a try was paid for, many more than
+// TestUnneededRetryIsReleased has calls end well that a try was paid for, many more than
 // the budget holds.
-func TestUnneededTryIsPaidBack(t *testing.T) {
+func TestUnneededRetryIsReleased(t *testing.T) {
 	calls := opened(9)
 	calls.SetRouterCount(1)
 	now, patient := noon.Add(10*time.Second), 0
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestColdHomeLearnsItsChains wants a home that came back cold to get the calls of its
+// TestWarmingHomeLearnsItsChains wants a home that came back cold to get the calls of its
 // chains as far as its rate allows, not the next reader all of them.
-func TestColdHomeLearnsItsChains(t *testing.T) {
+func TestWarmingHomeLearnsItsChains(t *testing.T) {
 	home := ""
 	var chains []uint64
 	for chain := uint64(1000); len(chains) < 20; chain++ {
--- a/internal/scheduler/faults_test.go
+++ b/internal/scheduler/faults_test.go
@@ -6,7 +6,7 @@
 )
 
 // troubles are days on which something happens to the servers.
-func troubles() map[string]func(*world) {
+func faults() map[string]func(*world) {
 	some := func(w *world, ofNine int, act func(*worldServer)) {
 		for position := range ofNine * len(w.list) / 9 {
 			act(w.servers[w.list[(position*4+1)%len(w.list)].Name])
@@ -51,11 +51,11 @@
 	}
 }
 
-// TestTroubles plays days on which servers crash, go dark, slow down, are replaced or
+// TestFaults plays days on which servers crash, go dark, slow down, are replaced or
 // lose handles, and wants most calls served and nothing cut that could go on.
-func TestTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	floors := map[string]float64{"calm": 0.9, "crash": 0.85, "dark": 0.8, "short handles": 0.85, "slow links": 0.78, "slow servers": 0.85, "release": 0.85, "chats": 0.85}
-	for name, problem := range troubles() {
+	for name, problem := range faults() {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(5, 9, 9, nil)
 			w.pool(NewRoleBalancer())
--- a/internal/scheduler/idleconnections_test.go
+++ b/internal/scheduler/idleconnections_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestRoomForReading has the pause that reading may cause follow what routes allow.
-func TestRoomForReading(t *testing.T) {
+// TestGapBudget has the pause that reading may cause follow what routes allow.
+func TestGapBudget(t *testing.T) {
 	calls := opened(9)
 	c := calls.newCycle(noon, &CallState{call: chatCall("a"), routeRule: &routeRule{calls: plan(nil).Routes[1].Calls}, service: calls.routes.Load().services["desk"]})
 	if got, want := c.gapBudget(), milliseconds(250*time.Millisecond)*gapShare; got != want {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -31,8 +31,7 @@
 	load Load
 	at   time.Time
 	// others are the calls that are not this router's own, smoothed; waiting are among them.
-	others  float64
-	waiting float64
+	others float64
 }
 
 // takeReport takes a report, which may be older than what is known from responses.
@@ -44,7 +43,11 @@
 		return
 	}
 	own := float64(a.prefilling.Load() + a.running.Load())
-	next := &observedLoad{load: load, at: at, others: max(0, float64(load.Running+load.Waiting)-own), waiting: float64(load.Waiting)}
+	next := &observedLoad{
+		load:   load,
+		at:     at,
+		others: max(0, float64(load.Running+load.Waiting)-own),
+	}
 	if earlier != nil {
 		// One report is a moment; what counts is about how much there is.
 		next.others = smooth(earlier.others, next.others)
@@ -72,7 +75,6 @@
 	if earlier != nil {
 		next.others = smooth(earlier.others, next.others)
 	}
-	next.waiting = float64(load.Waiting)
 	a.lastLoad.Store(next)
 }
 
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -43,13 +43,13 @@
 }
 
 // usesOnTrial tells whether this router is one of those that use a server on trial.
-func (s *Scheduler) usesOnTrial(snap *backend) bool {
-	return s.routerCount() <= trialShare || rendezvousWeight(nameKey(s.options.Router), snap.key)%trialShare == 0
+func (s *Scheduler) usesOnTrial(b *backend) bool {
+	return s.routerCount() <= trialShare || rendezvousWeight(nameKey(s.options.Router), b.key)%trialShare == 0
 }
 
 // outlier tells whether the server fails other routers and had no success with this one since.
-func (snap *backend) outlier(now time.Time) bool {
-	return now.UnixNano() < snap.outlierUntil.Load() && now.UnixNano()-snap.health.succeeded.Load() > int64(ownSuccessSpan)
+func (b *backend) outlier(now time.Time) bool {
+	return now.UnixNano() < b.outlierUntil.Load() && now.UnixNano()-b.health.succeeded.Load() > int64(ownSuccessSpan)
 }
 
 // failures are the servers that failed since they were last reported.
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestOwnWordOutweighsAdvice has a router that a server serves well go on using it.
-func TestOwnWordOutweighsAdvice(t *testing.T) {
+// TestOwnSuccessOutweighsAdvice has a router that a server serves well go on using it.
+func TestOwnSuccessOutweighsAdvice(t *testing.T) {
 	calls := opened(9)
 	b := calls.snapshot.Load().byName["stove-5"]
 	b.health.succeed(noon)
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestFailingServersAreTold has a server that fails calls told of once, also when the call
+// TestFailingServersAreReported has a server that fails calls told of once, also when the call
 // is not idempotent, and one that turns calls away not at all.
-func TestFailingServersAreTold(t *testing.T) {
+func TestFailingServersAreReported(t *testing.T) {
 	calls := opened(9)
 	state, decision := calls.Arrive(noon, chatCall("a"))
 	failing := decision.Server.Name
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestFewRoutersTry has a server on trial used by some routers only.
-func TestFewRoutersTry(t *testing.T) {
+// TestFewRoutersUseServersOnTrial has a server on trial used by some routers only.
+func TestFewRoutersUseServersOnTrial(t *testing.T) {
 	trying := 0
 	for number := range 90 {
 		calls := New(Options{Router: fmt.Sprint("courier-", number), Zone: "north"})
--- a/internal/scheduler/prefixcache.go
+++ b/internal/scheduler/prefixcache.go
@@ -46,7 +46,7 @@
 // add counts a prompt as used at the server just now. room is the server's memory in tokens,
 // most the bound on segments; others is how many routers send such prompts there: their own
 // segments evict as many as this one's.
-func (k *prefixCache) add(parts []Segment, room, others, most int) {
+func (k *prefixCache) add(parts []Segment, memoryTotal, others, most int) {
 	if len(parts) == 0 {
 		return
 	}
@@ -72,7 +72,7 @@
 		k.segments[part.ID] = k.order.PushFront(&cachedSegment{id: part.ID, tokens: part.Tokens, weight: weight})
 		k.tokens += weight
 	}
-	for k.order.Len() > 0 && (k.tokens > room || k.order.Len() > most) {
+	for k.order.Len() > 0 && (k.tokens > memoryTotal || k.order.Len() > most) {
 		oldest := k.order.Back()
 		gone := k.order.Remove(oldest).(*cachedSegment)
 		delete(k.segments, gone.id)
--- a/internal/scheduler/rolebalancer.go
+++ b/internal/scheduler/rolebalancer.go
@@ -103,8 +103,8 @@
 func (p *servicePool) decide(
 	now time.Time, sched *Scheduler, routes *RouteTable, service *config.Service,
 ) []codec.Order {
-	r, settled := rolesOf(now, sched, routes, service.Name)
-	if !settled || r.all() < 2 || now.Sub(p.orderedAt) < orderInterval {
+	r, stable := rolesOf(now, sched, routes, service.Name)
+	if !stable || r.all() < 2 || now.Sub(p.orderedAt) < orderInterval {
 		return nil
 	}
 	// At least one of each, whatever the demand.
@@ -224,7 +224,7 @@
 
 // rolesOf finds the roles of a service's servers; settled is false while one of them changes
 // its role.
-func rolesOf(now time.Time, sched *Scheduler, routes *RouteTable, service string) (r roles, settled bool) {
+func rolesOf(now time.Time, sched *Scheduler, routes *RouteTable, service string) (r roles, stable bool) {
 	latest := sched.latestReport.Load()
 	for _, b := range sched.snapshot.Load().byService[service] {
 		switch {
--- a/internal/scheduler/routetable.go
+++ b/internal/scheduler/routetable.go
@@ -9,14 +9,17 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// RouteTable is a configuration compiled for lookup: for each host the steps of its routes,
-// the longest path prefix first. It is never altered; a new configuration is a new route
-// table.
+// RouteTable is a configuration compiled for lookup. It is never altered; a new configuration is
+// a new route table.
 type RouteTable struct {
-	epoch        uint64
-	number       uint64
-	hosts        map[string][]step
-	services     map[string]*config.Service
+	// epoch and number are the configuration's version.
+	epoch  uint64
+	number uint64
+	// hosts are the rules of each host, the longest path prefix first: the first that fits a
+	// call's path counts.
+	hosts    map[string][]*routeRule
+	services map[string]*config.Service
+	// serviceNames are the names of services, sorted.
 	serviceNames []string
 	evacuations  map[string]bool
 	limits       config.Limits
@@ -24,42 +27,20 @@
 	gaps map[string]time.Duration
 }
 
-// step is one instruction of a host's routes.
-type step struct {
-	code opcode
-	text string
-	// next is the step where a needPrefix that does not hold goes on.
-	next      int
-	routeRule *routeRule
-}
-
-// opcode is what a step does.
-type opcode uint8
-
-const (
-	// needPrefix goes on to the next route when the path begins otherwise.
-	needPrefix opcode = iota
-	// actSend has the one service serve the call, actShare the service that the
-	// call's id falls to, actRefuse none.
-	actSend
-	actShare
-	actRefuse
-)
-
 // routeRule is what a route says of its calls.
 type routeRule struct {
-	route  *config.Route
-	calls  *config.CallRoute
+	route *config.Route
+	calls *config.CallRoute
+	// shares are the services that share the route's calls; none if it refuses them.
 	shares []share
-	total  uint64
+	// total is the sum of the shares' weights.
+	total uint64
 	// zones are those whose servers may be used; nil means all.
 	zones map[string]bool
 }
 
-func (r *routeRule) allowsZone(zone string) bool {
-	return r.zones == nil || r.zones[zone]
-}
-
+// share is a service's part of a route's calls: the weights from the earlier share's upTo to
+// its own.
 type share struct {
 	service *config.Service
 	upTo    uint64
@@ -67,99 +48,105 @@
 
 // Compile makes the route table of a checked configuration; epoch and number are its version.
 func Compile(configuration *config.Configuration, epoch, number uint64) *RouteTable {
-	program := &RouteTable{epoch: epoch, number: number, hosts: map[string][]step{}, services: map[string]*config.Service{},
-		evacuations: map[string]bool{}, limits: configuration.Limits, gaps: map[string]time.Duration{}}
+	rt := &RouteTable{
+		epoch:       epoch,
+		number:      number,
+		hosts:       map[string][]*routeRule{},
+		services:    map[string]*config.Service{},
+		evacuations: map[string]bool{},
+		limits:      configuration.Limits,
+		gaps:        map[string]time.Duration{},
+	}
 	for zone := range configuration.Evacuations {
-		program.evacuations[zone] = true
+		rt.evacuations[zone] = true
 	}
 	for name, service := range configuration.Services {
 		service.Name = name
-		program.services[name] = &service
-		program.serviceNames = append(program.serviceNames, name)
+		rt.services[name] = &service
+		rt.serviceNames = append(rt.serviceNames, name)
 	}
-	sort.Strings(program.serviceNames)
-	byHost := map[string][]*config.Route{}
+	sort.Strings(rt.serviceNames)
 	for position := range configuration.Routes {
 		route := &configuration.Routes[position]
 		if route.Calls != nil && route.Match.Host != "" {
 			host := strings.ToLower(route.Match.Host)
-			byHost[host] = append(byHost[host], route)
+			rt.hosts[host] = append(rt.hosts[host], rt.compileRule(route))
 		}
 	}
-	for host, routes := range byHost {
-		sort.SliceStable(routes, func(left, right int) bool {
-			first, second := routes[left].Match.PathPrefix, routes[right].Match.PathPrefix
+	for _, rules := range rt.hosts {
+		sort.SliceStable(rules, func(left, right int) bool {
+			first, second := rules[left].route.Match.PathPrefix, rules[right].route.Match.PathPrefix
 			if len(first) != len(second) {
 				return len(first) > len(second)
 			}
 			return first < second
 		})
-		var steps []step
-		for _, route := range routes {
-			steps = append(steps, program.steps(route, len(steps))...)
-		}
-		program.hosts[host] = steps
 	}
-	return program
+	return rt
 }
 
-func (p *RouteTable) steps(route *config.Route, at int) []step {
+func (rt *RouteTable) compileRule(route *config.Route) *routeRule {
 	r := &routeRule{route: route, calls: route.Calls}
-	for _, part := range route.Calls.Shares {
-		service, found := p.services[part.Service]
-		if found && part.Weight > 0 {
-			r.total += uint64(part.Weight)
+	for _, s := range route.Calls.Shares {
+		service, found := rt.services[s.Service]
+		if found && s.Weight > 0 {
+			r.total += uint64(s.Weight)
 			r.shares = append(r.shares, share{service: service, upTo: r.total})
-			p.noteGap(service.Name, route.Calls.Gap)
+			rt.noteGap(service.Name, route.Calls.Gap)
 		}
 	}
+	if route.To.Refuse {
+		r.shares = nil
+	}
 	if len(route.To.Zones) > 0 {
 		r.zones = map[string]bool{}
 		for _, zone := range route.To.Zones {
 			r.zones[zone] = true
 		}
 	}
-	action := step{code: actSend, routeRule: r}
-	switch {
-	case route.To.Refuse || len(r.shares) == 0:
-		action.code = actRefuse
-	case len(r.shares) > 1:
-		action.code = actShare
+	return r
+}
+
+// allowsZone tells whether servers of a zone may be used.
+func (r *routeRule) allowsZone(zone string) bool {
+	return r.zones == nil || r.zones[zone]
+}
+
+// service is the one that serves a call, by the hash of its id where several share; nil if the
+// route refuses it.
+func (r *routeRule) service(call *Call) *config.Service {
+	switch len(r.shares) {
+	case 0:
+		return nil
+	case 1:
+		return r.shares[0].service
 	}
-	return []step{{code: needPrefix, text: route.Match.PathPrefix, next: at + 2}, action}
+	spot := membership.Weight(r.route.Name, call.ID) % r.total
+	for _, sh := range r.shares {
+		if spot < sh.upTo {
+			return sh.service
+		}
+	}
+	return nil
 }
 
 // noteGap keeps the shortest gap between events that a route to a service allows.
-func (p *RouteTable) noteGap(service string, gap time.Duration) {
-	if known, found := p.gaps[service]; gap > 0 && (!found || gap < known) {
-		p.gaps[service] = gap
+func (rt *RouteTable) noteGap(service string, gap time.Duration) {
+	if known, found := rt.gaps[service]; gap > 0 && (!found || gap < known) {
+		rt.gaps[service] = gap
 	}
 }
 
 // rule finds a call's route and the service that serves it; nil if none does.
-func (p *RouteTable) rule(call *Call) (*routeRule, *config.Service) {
-	steps := p.hosts[hostOf(call.Host)]
-	for position := 0; position < len(steps); {
-		s := &steps[position]
-		switch s.code {
-		case needPrefix:
-			if !strings.HasPrefix(call.Path, s.text) {
-				position = s.next
-				continue
-			}
-			position++
-		case actSend:
-			return s.routeRule, s.routeRule.shares[0].service
-		case actShare:
-			spot := membership.Weight(s.routeRule.route.Name, call.ID) % s.routeRule.total
-			for _, sh := range s.routeRule.shares {
-				if spot < sh.upTo {
-					return s.routeRule, sh.service
-				}
-			}
-		case actRefuse:
-			return nil, nil
+func (rt *RouteTable) rule(call *Call) (*routeRule, *config.Service) {
+	for _, r := range rt.hosts[hostOf(call.Host)] {
+		if !strings.HasPrefix(call.Path, r.route.Match.PathPrefix) {
+			continue
+		}
+		if service := r.service(call); service != nil {
+			return r, service
 		}
+		return nil, nil
 	}
 	return nil, nil
 }
@@ -173,6 +160,6 @@
 }
 
 // later tells whether the route table is of a later version than the other one.
-func (p *RouteTable) later(other *RouteTable) bool {
-	return other == nil || p.epoch > other.epoch || p.epoch == other.epoch && p.number > other.number
+func (rt *RouteTable) later(other *RouteTable) bool {
+	return other == nil || rt.epoch > other.epoch || rt.epoch == other.epoch && rt.number > other.number
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -38,8 +38,8 @@
 	ahead := milliseconds(b.directPrefillLeft(c.now))
 	if b.decodesOnly() {
 		rate /= 2
-		stall := (ahead + uncached/rate) * c.decodeStretch / c.gapBudget()
-		cost += stall * stall * c.weights.gapHarm * (1 + busy)
+		hold := (ahead + uncached/rate) * c.decodeStretch / c.gapBudget()
+		cost += hold * hold * c.weights.gapHarm * (1 + busy)
 	}
 	cost += c.weights.rereadThousand * reread / 1000
 	latency := c.firstEventLatency + ahead + uncached/rate + c.queueTime(b, busy) + c.memoryWait(b, c.state.tokens())
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -28,7 +28,7 @@
 		t.Logf("x%.1f\n%s", want.factor, w)
 		for name, floor := range map[string]float64{"long": want.long, "chat": want.chat} {
 			counter := w.counter[name]
-			if s := float64(counter.inAim) / float64(counter.calls); s < floor {
+			if s := float64(counter.onTarget) / float64(counter.calls); s < floor {
 				t.Errorf("%s: %.3f in aim at x%.1f", name, s, want.factor)
 			}
 		}
@@ -57,11 +57,11 @@
 	}
 	alone, counted := play(false), play(true)
 	t.Logf("without\n%s\nwith\n%s", alone, counted)
-	inAim := func(wo *world, c string) float64 {
-		return float64(wo.counter[c].inAim) / float64(wo.counter[c].calls)
+	onTarget := func(wo *world, c string) float64 {
+		return float64(wo.counter[c].onTarget) / float64(wo.counter[c].calls)
 	}
 	for cl, better := range map[string]float64{"long": 0.03, "chat": 0.03} {
-		if before, after := inAim(alone, cl), inAim(counted, cl); after < before+better {
+		if before, after := onTarget(alone, cl), onTarget(counted, cl); after < before+better {
 			t.Errorf("%s: %.3f in aim without counts, %.3f with them", cl, before, after)
 		}
 	}
--- a/internal/scheduler/sweep_test.go
+++ b/internal/scheduler/sweep_test.go
@@ -44,7 +44,7 @@
 		text, sum := fmt.Sprintf("%-28s", name), 0.0
 		for _, s := range sites {
 			for _, factor := range []float64{0.6, 1, 1.4} {
-				score, again, aim, chat, crossed, moved, orders := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
+				score, again, target, chat, crossed, moved, orders := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
 				const seeds = 6
 				worlds := make([]*world, seeds)
 				var waiting sync.WaitGroup
@@ -63,13 +63,13 @@
 					score += w.score() / seeds
 					orders += float64(w.orders) / seeds
 					again += float64(w.sharedAgain) / 1000 / seeds
-					aim += float64(w.counter["long"].inAim) / float64(w.counter["long"].calls) / seeds
-					chat += float64(w.counter["chat"].inAim) / float64(w.counter["chat"].calls) / seeds
+					target += float64(w.counter["long"].onTarget) / float64(w.counter["long"].calls) / seeds
+					chat += float64(w.counter["chat"].onTarget) / float64(w.counter["chat"].calls) / seeds
 					crossed += w.crossed * 1000 / seeds
 					moved += w.farMoves / (w.nearMoves + w.farMoves) / seeds
 				}
 				sum += score / float64(3*len(sites))
-				text += fmt.Sprintf(" | %.4f %.3f %.3f %4.0fk %2.0fMB %.2f %.1f", score, aim, chat, again, crossed, moved, orders)
+				text += fmt.Sprintf(" | %.4f %.3f %.3f %4.0fk %2.0fMB %.2f %.1f", score, target, chat, again, crossed, moved, orders)
 			}
 		}
 		fmt.Printf("%.4f %s\n", sum, text)
@@ -77,13 +77,13 @@
 	run("standard", func(*weights) {})
 }
 
-// TestSweepTroubles prints how days of trouble go over several seeds; it runs when
+// TestSweepFaults prints how days of trouble go over several seeds; it runs when
 // SWEEP is set.
-func TestSweepTroubles(t *testing.T) {
+func TestSweepFaults(t *testing.T) {
 	if os.Getenv("SWEEP") == "" {
 		t.Skip("compares costs by hand")
 	}
-	days := troubles()
+	days := faults()
 	var names []string
 	for name := range days {
 		names = append(names, name)
@@ -114,14 +114,14 @@
 			for _, w := range worlds {
 				counter := w.counter[c]
 				all.calls += counter.calls
-				all.inAim += counter.inAim
+				all.onTarget += counter.onTarget
 				all.late += counter.late
 				all.paused += counter.paused
 				all.refused += counter.refused
 				all.lost += counter.lost
 				all.broken += counter.broken
 			}
-			text += fmt.Sprintf(" | %s in aim %.3f late %d paused %d refused %d lost %d broken %d", c, float64(all.inAim)/float64(all.calls),
+			text += fmt.Sprintf(" | %s in aim %.3f late %d paused %d refused %d lost %d broken %d", c, float64(all.onTarget)/float64(all.calls),
 				all.late, all.paused, all.refused, all.lost, all.broken)
 		}
 		for _, wo := range worlds {
--- a/internal/scheduler/warming_test.go
+++ b/internal/scheduler/warming_test.go
@@ -8,10 +8,10 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// TestServersOfAZoneThatComesBackCountAsCold takes an evacuation back, and wants the
+// TestServersOfAZoneThatComesBackCountAsWarming takes an evacuation back, and wants the
 // zone's servers to get no more in the next second than cold ones stand: they may
 // have become cold while nobody used them, and the list tells that later.
-func TestServersOfAZoneThatComesBackCountAsCold(t *testing.T) {
+func TestServersOfAZoneThatComesBackCountAsWarming(t *testing.T) {
 	calls := New(Options{Router: "courier-1", Zone: "north", Retries: RetryAllowance{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}})
 	calls.SetRouterCount(1)
 	list := servers(9)
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -35,18 +35,18 @@
 	crossed                       float64
 	orders, dispatches, opened    int
 	idle                          map[connectionEnds]*idleConnections
-	ledger                        backlog.Table
-	asked, toldOf                 int
+	backlogTable                  backlog.Table
+	asked, updatedAt              int
 	update                        time.Duration
 	calls                         int
 	ways                          map[string]*wayCounter
 	ordered                       map[string]string
-	tells                         bool
+	reportsFirstEvents            bool
 	crossing                      float64
 	prices                        prices
 	owedAt, earnedAt              [60]float64
-	onLost                        func(*asked, Decision)
-	onLate                        func(*asked, time.Duration)
+	onLost                        func(*simulatedCall, Decision)
+	onLate                        func(*simulatedCall, time.Duration)
 }
 
 // wayCounter is how many dispatches went one way, and what was read again there.
@@ -67,8 +67,8 @@
 	server string
 }
 
-// keptOpen is how long servers keep an idle connection.
-const keptOpen = 9700 * time.Millisecond
+// keepAlive is how long servers keep an idle connection.
+const keepAlive = 9700 * time.Millisecond
 
 // engineSheet is what servers are made of.
 type engineSheet struct {
@@ -113,18 +113,18 @@
 		reportLag: 100 * time.Millisecond, inZone: 0.2, betweenZones: 0.9}
 	s.long.perSecond, s.long.chains[1].things, s.long.chains[1].skew, s.long.ownMost = 130, 735, 0.3, 18_300
 	s.long.chunks, s.long.spread, s.long.mostChunks, s.long.bytes = 6.51, 1.4, 26, 9200
-	s.long.worth, s.long.late, s.long.aim, s.long.deadline, s.long.gap = 2, 0.6, 800*time.Millisecond, 4*time.Second, 200*time.Millisecond
+	s.long.weight, s.long.late, s.long.target, s.long.deadline, s.long.gap = 2, 0.6, 800*time.Millisecond, 4*time.Second, 200*time.Millisecond
 	s.chat.perSecond, s.chat.chains[1].things, s.chat.chains[1].skew, s.chat.bytes = 163, 922, 0.3, 830
 	s.chat.chunks, s.chat.mostChunks = 36.4, 119
-	s.chat.worth, s.chat.late, s.chat.aim, s.chat.deadline, s.chat.gap = 3, 0.9, 400*time.Millisecond, 12*time.Second, 200*time.Millisecond
+	s.chat.weight, s.chat.late, s.chat.target, s.chat.deadline, s.chat.gap = 3, 0.9, 400*time.Millisecond, 12*time.Second, 200*time.Millisecond
 	s.configure = func(configuration *config.Configuration) {
 		service := configuration.Services["desk"]
 		service.Warming = config.Warming{}
 		service.Engine.Slots, service.Engine.MemoryTokens, service.Engine.TokenBytes, service.Engine.LinkBits, service.Engine.TokensAChunk = 48, 198_631, 131_072, 630e9, 8
 		configuration.Services["desk"] = service
 		long, chat := configuration.Routes[0].Calls, configuration.Routes[1].Calls
-		long.Limit, long.Aim, long.Gap, long.Rank, long.Attempts, long.Resumable = s.long.deadline, s.long.aim, s.long.gap, 1, 1, false
-		chat.Limit, chat.Aim, chat.Gap, chat.Rank, chat.Attempts, chat.Resumable = s.chat.deadline, s.chat.aim, s.chat.gap, 0, 2, true
+		long.Limit, long.Aim, long.Gap, long.Rank, long.Attempts, long.Resumable = s.long.deadline, s.long.target, s.long.gap, 1, 1, false
+		chat.Limit, chat.Aim, chat.Gap, chat.Rank, chat.Attempts, chat.Resumable = s.chat.deadline, s.chat.target, s.chat.gap, 0, 2, true
 	}
 	return s
 }
@@ -147,10 +147,10 @@
 func sixty() site {
 	s := site{name: "sixty", routers: 85, list: zoned(60, 8), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 2200, prices: prices{0.36, 0.15, 0.012}}
 	s.engine.memory, s.engine.stride = 276_487, 14
-	s.long.perSecond, s.long.chains[1].things, s.long.bytes, s.long.aim = 136, 512, 9200, 500*time.Millisecond
+	s.long.perSecond, s.long.chains[1].things, s.long.bytes, s.long.target = 136, 512, 9200, 500*time.Millisecond
 	s.long.chunks, s.long.mostChunks, s.long.gap = 3.72, 14.9, 300*time.Millisecond
 	s.chat.perSecond, s.chat.chains[0].things, s.chat.chains[1].things, s.chat.bytes = 171, 80, 968, 830
-	s.chat.chunks, s.chat.mostChunks, s.chat.aim, s.chat.gap = 20.8, 68.1, 600*time.Millisecond, 300*time.Millisecond
+	s.chat.chunks, s.chat.mostChunks, s.chat.target, s.chat.gap = 20.8, 68.1, 600*time.Millisecond, 300*time.Millisecond
 	return s
 }
 
@@ -339,11 +339,11 @@
 	duration += engine.perRunning*float64(makers) + engine.perThousand*float64(context)/1000
 	chunk := 0
 	if reading != nil {
-		p, piece := engine.readPace, engine.chunk
+		p, segment := engine.readPace, engine.chunk
 		if w.part == decode {
-			p, piece = p/2, piece/4
+			p, segment = p/2, segment/4
 		}
-		chunk = min(reading.unread, piece)
+		chunk = min(reading.unread, segment)
 		done := reading.call.PromptTokens - reading.unread
 		duration += float64(chunk)/p + engine.pairs*float64(chunk)*(float64(done)+float64(chunk)/2)/1e6
 	}
@@ -474,13 +474,13 @@
 
 // classCounter is how the calls of one class went.
 type classCounter struct {
-	owed, earned   float64
-	calls, inAim   int
-	late, lost     int
-	refused        int
-	paused         int
-	first          []float64
-	served, broken int
+	owed, earned    float64
+	calls, onTarget int
+	late, lost      int
+	refused         int
+	paused          int
+	first           []float64
+	served, broken  int
 }
 
 func (c *classCounter) at(s float64) float64 {
@@ -493,18 +493,18 @@
 
 // class is a sort of call in the world.
 type class struct {
-	name           string
-	host, path     string
-	perSecond      float64
-	chains         []chainLink
-	own, ownSpread float64
-	ownMost        float64
-	chunks, spread float64
-	mostChunks     float64
-	bytes          int
-	worth, late    float64
-	aim, deadline  time.Duration
-	gap            time.Duration
+	name             string
+	host, path       string
+	perSecond        float64
+	chains           []chainLink
+	own, ownSpread   float64
+	ownMost          float64
+	chunks, spread   float64
+	mostChunks       float64
+	bytes            int
+	weight, late     float64
+	target, deadline time.Duration
+	gap              time.Duration
 }
 
 type chainLink struct {
@@ -526,15 +526,15 @@
 func longClass() class {
 	return class{name: "long", host: "long.example", path: "/ask/", perSecond: 22.2,
 		chains: []chainLink{{2520, 0.4, 6290, 4, 0}, {3780, 0.7, 11300, 84, 0}}, own: 2890, ownSpread: 1, ownMost: 39600,
-		chunks: 4.73, spread: 1.4, mostChunks: 18.9, bytes: 18000, worth: 3, late: 0.9,
-		aim: 400 * time.Millisecond, deadline: 3 * time.Second, gap: 250 * time.Millisecond}
+		chunks: 4.73, spread: 1.4, mostChunks: 18.9, bytes: 18000, weight: 3, late: 0.9,
+		target: 400 * time.Millisecond, deadline: 3 * time.Second, gap: 250 * time.Millisecond}
 }
 
 func chatClass() class {
 	return class{name: "chat", host: "chat.example", path: "/", perSecond: 28,
 		chains: []chainLink{{119, 0.4, 298, 40, 0}, {79.4, 0.7, 238, 158, 0}}, own: 628, ownSpread: 1, ownMost: 3310,
-		chunks: 26.5, spread: 0.69, mostChunks: 86.7, bytes: 1700, worth: 2, late: 0.6,
-		aim: 500 * time.Millisecond, deadline: 8 * time.Second, gap: 250 * time.Millisecond}
+		chunks: 26.5, spread: 0.69, mostChunks: 86.7, bytes: 1700, weight: 2, late: 0.6,
+		target: 500 * time.Millisecond, deadline: 8 * time.Second, gap: 250 * time.Millisecond}
 }
 
 // drawn is a log-normal draw with a mean.
@@ -569,7 +569,7 @@
 		number := number
 		w.after(w.random.Float64()*milliseconds(w.update), func() { w.renew(number) })
 	}
-	w.tells = true
+	w.reportsFirstEvents = true
 	w.after(0, w.sample)
 	return w
 }
@@ -598,7 +598,7 @@
 
 // release has servers replaced one after the other: each is shown as leaving, ends
 // three seconds later, and its successor comes cold.
-func (w *world) release(names []string, pause time.Duration) {
+func (w *world) release(names []string, interval time.Duration) {
 	if len(names) == 0 {
 		return
 	}
@@ -611,7 +611,7 @@
 	}
 	w.announce()
 	w.after(3500, func() { w.crash(name, false, 500*time.Millisecond) })
-	w.after(milliseconds(pause), func() { w.release(names[1:], pause) })
+	w.after(milliseconds(interval), func() { w.release(names[1:], interval) })
 }
 
 func (w *world) start(listed membership.Server) {
@@ -721,12 +721,12 @@
 		if w.now.After(until) {
 			return
 		}
-		w.ask(c)
+		w.arrive(c)
 		w.traffic(c, until)
 	})
 }
 
-func (w *world) ask(c class) {
+func (w *world) arrive(c class) {
 	w.calls++
 	id := fmt.Sprintf("%s-%d", c.name, w.calls)
 	call := &Call{ID: id, Host: c.host, Path: c.path + "x", Model: "m", Deadline: w.now.Add(c.deadline)}
@@ -749,11 +749,11 @@
 	call.Bytes = c.bytes * call.PromptTokens / int(c.own+c.chains[0].mean+c.chains[1].mean)
 	counter := w.counterOf(c.name)
 	counter.calls++
-	counter.owed += c.worth
-	w.owedAt[w.second(w.now)] += c.worth
+	counter.owed += c.weight
+	w.owedAt[w.second(w.now)] += c.weight
 	number := w.random.IntN(len(w.windows))
 	state, decision := w.windows[number].Arrive(w.now, call)
-	w.follow(&asked{class: c, call: call, at: w.now, router: number, state: state}, decision)
+	w.follow(&simulatedCall{class: c, call: call, at: w.now, router: number, state: state}, decision)
 }
 
 func (w *world) second(at time.Time) int {
@@ -796,7 +796,7 @@
 }
 
 // asked is one call's way through the world.
-type asked struct {
+type simulatedCall struct {
 	class   class
 	call    *Call
 	at      time.Time
@@ -814,8 +814,8 @@
 	return w.engine.betweenZones
 }
 
-func (w *world) follow(a *asked, decision Decision) {
-	w.tell(a.router)
+func (w *world) follow(a *simulatedCall, decision Decision) {
+	w.sendChanges(a.router)
 	counter := w.counterOf(a.class.name)
 	for _, source := range decision.Release {
 		w.free(source)
@@ -839,10 +839,10 @@
 		took := a.first.Sub(a.at) + 2*time.Millisecond
 		counter.first = append(counter.first, milliseconds(took))
 		switch {
-		case took <= a.class.aim && a.longest <= a.class.gap:
-			counter.inAim++
-			counter.earned += a.class.worth
-			w.earnedAt[w.second(a.at)] += a.class.worth
+		case took <= a.class.target && a.longest <= a.class.gap:
+			counter.onTarget++
+			counter.earned += a.class.weight
+			w.earnedAt[w.second(a.at)] += a.class.weight
 		default:
 			if a.longest > a.class.gap {
 				counter.paused++
@@ -860,13 +860,13 @@
 }
 
 // consult brings a call's questions to the keepers of counts and back.
-func (w *world) consult(a *asked, decision Decision) {
+func (w *world) consult(a *simulatedCall, decision Decision) {
 	router := strconv.Itoa(a.router)
 	answers := map[string]backlog.Response{}
 	w.after(askTakes/2, func() {
 		for _, question := range decision.BacklogRequests {
 			question.Router = router
-			answers[question.Group] = w.ledger.Apply(w.now, question)
+			answers[question.Group] = w.backlogTable.Apply(w.now, question)
 			w.asked++
 		}
 	})
@@ -875,22 +875,22 @@
 	})
 }
 
-// askTakes is how many milliseconds a question to a keeper takes there and back, tellAfter
+// askTakes is how many milliseconds a question to a keeper takes there and back, sendAfter
 // how long it takes until a change is told of.
 const (
 	askTakes  = 3.0
-	tellAfter = 2.0
+	sendAfter = 2.0
 )
 
 // tell brings a router's changes to the keepers of counts.
-func (w *world) tell(router int) {
+func (w *world) sendChanges(router int) {
 	if !w.windows[router].HasBacklogChanges() {
 		return
 	}
-	w.after(tellAfter, func() {
+	w.after(sendAfter, func() {
 		for group, changes := range w.windows[router].TakeBacklogChanges() {
-			w.ledger.Apply(w.now, backlog.Request{Router: strconv.Itoa(router), Group: group, Changes: changes})
-			w.toldOf++
+			w.backlogTable.Apply(w.now, backlog.Request{Router: strconv.Itoa(router), Group: group, Changes: changes})
+			w.updatedAt++
 		}
 	})
 }
@@ -915,7 +915,7 @@
 	}
 }
 
-func (w *world) dispatch(a *asked, decision Decision) {
+func (w *world) dispatch(a *simulatedCall, decision Decision) {
 	server := w.servers[decision.Server.Name]
 	way := w.way(a.router, server)
 	a.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(a.at).Milliseconds(), a.state.dispatch.uncached, a.state.dispatch.expected)
@@ -941,8 +941,8 @@
 		}
 		done = true
 		if outcome.Result == Complete {
-			outcome.KeepAlive = keptOpen
-			idle.give(w.now, keptOpen)
+			outcome.KeepAlive = keepAlive
+			idle.give(w.now, keepAlive)
 		}
 		if job_ != nil {
 			job_.gone = true
@@ -1001,7 +1001,7 @@
 				return
 			}
 			a.first = w.now.Add(span(way))
-			if w.tells {
+			if w.reportsFirstEvents {
 				w.after(way, func() { w.windows[a.router].Began(w.now, a.state) })
 			}
 		}
@@ -1012,7 +1012,7 @@
 				server.handles[handle] = j.tokens
 				outcome = Outcome{Result: Complete, Handle: handle}
 				w.after(5000, func() {
-					if _, held := server.handles[handle]; held {
+					if _, reserved := server.handles[handle]; reserved {
 						server.pinned -= server.handles[handle]
 						delete(server.handles, handle)
 					}
@@ -1047,7 +1047,7 @@
 			prefillServer = other
 		}
 	}
-	held, found := prefillServer.handles[source.Handle]
+	reserved, found := prefillServer.handles[source.Handle]
 	if prefillServer.down || prefillServer.dark || prefillServer.refuses || !found {
 		turn(NotStarted)
 		return
@@ -1072,7 +1072,7 @@
 	}
 	server.linkFree = start.Add(span(took))
 	w.after(milliseconds(server.linkFree.Sub(w.now)), func() {
-		prefillServer.pinned -= held
+		prefillServer.pinned -= reserved
 		j.moved, j.unread = true, 0
 		server.keep(call.Segments)
 		b()
@@ -1090,7 +1090,7 @@
 	for _, name := range names {
 		counter := w.counter[name]
 		text += fmt.Sprintf("%s: worth %.3f, in aim %.3f, late %d (pauses %d), refused %d, lost %d, broken %d, first event p50 %.0f p95 %.0f p99 %.0f ms\n", name,
-			counter.earned/counter.owed, float64(counter.inAim)/float64(counter.calls), counter.late, counter.paused, counter.refused, counter.lost, counter.broken,
+			counter.earned/counter.owed, float64(counter.onTarget)/float64(counter.calls), counter.late, counter.paused, counter.refused, counter.lost, counter.broken,
 			counter.at(0.5), counter.at(0.95), counter.at(0.99))
 	}
 	names = nil
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -152,7 +152,7 @@
 		Edits: []Edit{{"internal/adapters/proxy/handler.go", "	if how == endCut || how == endClientGone {", "	if how == endCut {"}}},
 	{Name: "a circuit that rested too long is not used", Never: spliced, Package: "./internal/adapters/proxy", Test: "TestAConnectionThatRestedTooLongIsNotUsed",
 		Edits: []Edit{{"internal/adapters/proxy/conn.go", "(!c.idleSince.IsZero() && now.Sub(c.idleSince) > c.keepAlive)", "false"}}},
-	{Name: "servers of a district that comes back count as cold", Never: cold, Package: "./internal/scheduler", Test: "TestServersOfAZoneThatComesBackCountAsCold",
+	{Name: "servers of a district that comes back count as cold", Never: cold, Package: "./internal/scheduler", Test: "TestServersOfAZoneThatComesBackCountAsWarming",
 		Edits: []Edit{{"internal/scheduler/cycle.go", "	s.warmReturnedZones(now)\n", ""}}},
 	{Name: "signals stay caught while a process drains", Never: cut, Package: "./internal/adapters/daemon", Test: "TestSignalsStayCaughtAfterTheEndBegan",
 		Edits: []Edit{{"internal/adapters/daemon/signals.go", "	var polls <-chan time.Time\n", "	defer signal.Stop(s.caught)\n	var polls <-chan time.Time\n"}}},
