--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -111,7 +111,13 @@
 	}
 	var loads []Load
 	for position := range list {
-		loads = append(loads, Load{Server: list[position].Name, Role: list[position].Part, Running: 60, MemoryUsed: 100_000, MemoryTotal: 300_000})
+		loads = append(loads, Load{
+			Server:      list[position].Name,
+			Role:        list[position].Part,
+			Running:     60,
+			MemoryUsed:  100_000,
+			MemoryTotal: 300_000,
+		})
 	}
 	loads[len(loads)-1].Running, loads[len(loads)-1].MemoryUsed = 0, 0
 	random := rand.New(rand.NewPCG(72, 5))
--- a/internal/scheduler/faults_test.go
+++ b/internal/scheduler/faults_test.go
@@ -54,7 +54,16 @@
 // TestFaults plays days on which servers crash, go dark, slow down, are replaced or
 // lose handles, and wants most calls served and nothing cut that could go on.
 func TestFaults(t *testing.T) {
-	floors := map[string]float64{"calm": 0.9, "crash": 0.85, "dark": 0.8, "short handles": 0.85, "slow links": 0.78, "slow servers": 0.85, "release": 0.85, "chats": 0.85}
+	floors := map[string]float64{
+		"calm":          0.9,
+		"crash":         0.85,
+		"dark":          0.8,
+		"short handles": 0.85,
+		"slow links":    0.78,
+		"slow servers":  0.85,
+		"release":       0.85,
+		"chats":         0.85,
+	}
 	for name, problem := range faults() {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(5, 9, 9, nil)
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -186,7 +186,10 @@
 func (h *history) end(f *followed) {
 	decision := f.decision
 	outcome := Outcome{Result: Complete}
-	kinds := []Result{Complete, Complete, Complete, Complete, Unreachable, NotStarted, Misdirected, TimedOut, Malformed, ErrorResponse, Interrupted, ClientGone}
+	kinds := []Result{
+		Complete, Complete, Complete, Complete, Unreachable, NotStarted,
+		Misdirected, TimedOut, Malformed, ErrorResponse, Interrupted, ClientGone,
+	}
 	outcome.Result = kinds[h.random.IntN(len(kinds))]
 	if decision.Kind == Prefill && outcome.Result == Interrupted {
 		outcome.Result = TimedOut
--- a/internal/scheduler/idleconnections_test.go
+++ b/internal/scheduler/idleconnections_test.go
@@ -49,7 +49,11 @@
 			t.Fatalf("%+v", decision)
 		}
 		seen[decision.Server.Name]++
-		calls.Ended(at.Add(100*time.Millisecond), state, Outcome{Result: Complete, FirstByte: at.Add(20 * time.Millisecond), KeepAlive: 10 * time.Second})
+		calls.Ended(at.Add(100*time.Millisecond), state, Outcome{
+			Result:    Complete,
+			FirstByte: at.Add(20 * time.Millisecond),
+			KeepAlive: 10 * time.Second,
+		})
 	}
 	if len(seen) > 3 {
 		t.Errorf("%d servers for calls that one connection could carry: %v", len(seen), seen)
@@ -59,7 +63,11 @@
 // TestGapBudget has the pause that reading may cause follow what routes allow.
 func TestGapBudget(t *testing.T) {
 	calls := opened(9)
-	c := calls.newCycle(noon, &CallState{call: chatCall("a"), routeRule: &routeRule{calls: plan(nil).Routes[1].Calls}, service: calls.routes.Load().services["desk"]})
+	c := calls.newCycle(noon, &CallState{
+		call:      chatCall("a"),
+		routeRule: &routeRule{calls: plan(nil).Routes[1].Calls},
+		service:   calls.routes.Load().services["desk"],
+	})
 	if got, want := c.gapBudget(), milliseconds(250*time.Millisecond)*gapShare; got != want {
 		t.Errorf("%v ms for reading, want %v", got, want)
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -103,7 +103,8 @@
 	if state == nil || decision.Kind != Generate || decision.Server.Part != decode || decision.Source != nil || decision.Priority != 1 {
 		t.Fatalf("a chat: %+v", decision)
 	}
-	if decision = calls.Ended(noon.Add(time.Second), state, Outcome{Result: TimedOut}); decision.Kind != Refuse || decision.Cause != OutcomeUnknown {
+	decision = calls.Ended(noon.Add(time.Second), state, Outcome{Result: TimedOut})
+	if decision.Kind != Refuse || decision.Cause != OutcomeUnknown {
 		t.Fatalf("a chat that may have run: %+v", decision)
 	}
 }
--- a/internal/scheduler/threads_test.go
+++ b/internal/scheduler/threads_test.go
@@ -63,7 +63,8 @@
 		t.Errorf("%d calls in flight", left)
 	}
 	for _, b := range calls.snapshot.Load().all {
-		if b.prefilling.Load() != 0 || b.running.Load() != 0 || b.prefillProgress.pending.Load() != 0 || b.firstEventProgress.pending.Load() != 0 {
+		if b.prefilling.Load() != 0 || b.running.Load() != 0 ||
+			b.prefillProgress.pending.Load() != 0 || b.firstEventProgress.pending.Load() != 0 {
 			t.Errorf("%s keeps work on its account", b.server.Name)
 		}
 	}
--- a/internal/scheduler/warming_test.go
+++ b/internal/scheduler/warming_test.go
@@ -29,7 +29,15 @@
 		north[server.Name] = server.Zone == "north"
 	}
 	arrive := func(number int, now time.Time) string {
-		state, decision := calls.Arrive(now, &Call{ID: "call-" + strconv.Itoa(number), Host: "chat.example", Path: "/one", Model: "m", PromptTokens: 300, OutputTokens: 30, Deadline: now.Add(8 * time.Second)})
+		state, decision := calls.Arrive(now, &Call{
+			ID:           "call-" + strconv.Itoa(number),
+			Host:         "chat.example",
+			Path:         "/one",
+			Model:        "m",
+			PromptTokens: 300,
+			OutputTokens: 30,
+			Deadline:     now.Add(8 * time.Second),
+		})
 		if state == nil {
 			t.Fatalf("call %d was refused: %+v", number, decision)
 		}
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -107,7 +107,16 @@
 
 // ninety is a deployment whose engines read slowly and whose long prompts may run once.
 func ninety() site {
-	s := site{name: "ninety", routers: 90, list: zoned(90, 12), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1800, prices: prices{0.05, 0.16, 0.06}}
+	s := site{
+		name:     "ninety",
+		routers:  90,
+		list:     zoned(90, 12),
+		engine:   sheet(),
+		long:     longClass(),
+		chat:     chatClass(),
+		crossing: 1800,
+		prices:   prices{0.05, 0.16, 0.06},
+	}
 	s.engine = engineSheet{step: 6.12, perRunning: 0.0234, perThousand: 0.0131, readPace: 32.4, pairs: 1.18, first: 64, setup: 3.3,
 		chunk: 2048, memory: 198_631, stride: 8, slots: 48, bytesAToken: 131_072, linkBitsAMilli: 630e6,
 		reportLag: 100 * time.Millisecond, inZone: 0.2, betweenZones: 0.9}
@@ -120,7 +129,11 @@
 	s.configure = func(configuration *config.Configuration) {
 		service := configuration.Services["desk"]
 		service.Warming = config.Warming{}
-		service.Engine.Slots, service.Engine.MemoryTokens, service.Engine.TokenBytes, service.Engine.LinkBits, service.Engine.TokensAChunk = 48, 198_631, 131_072, 630e9, 8
+		service.Engine.Slots = 48
+		service.Engine.MemoryTokens = 198_631
+		service.Engine.TokenBytes = 131_072
+		service.Engine.LinkBits = 630e9
+		service.Engine.TokensAChunk = 8
 		configuration.Services["desk"] = service
 		long, chat := configuration.Routes[0].Calls, configuration.Routes[1].Calls
 		long.Limit, long.Aim, long.Gap, long.Rank, long.Attempts, long.Resumable = s.long.deadline, s.long.target, s.long.gap, 1, 1, false
@@ -130,11 +143,29 @@
 }
 
 func nine() site {
-	return site{name: "nine", routers: 9, list: zoned(9, 1), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 1500, prices: prices{0.36, 0.15, 0.012}}
+	return site{
+		name:     "nine",
+		routers:  9,
+		list:     zoned(9, 1),
+		engine:   sheet(),
+		long:     longClass(),
+		chat:     chatClass(),
+		crossing: 1500,
+		prices:   prices{0.36, 0.15, 0.012},
+	}
 }
 
 func twelve() site {
-	s := site{name: "twelve", routers: 10, list: zoned(12, 2), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 6900, prices: prices{0.36, 0.15, 0.012}}
+	s := site{
+		name:     "twelve",
+		routers:  10,
+		list:     zoned(12, 2),
+		engine:   sheet(),
+		long:     longClass(),
+		chat:     chatClass(),
+		crossing: 6900,
+		prices:   prices{0.36, 0.15, 0.012},
+	}
 	s.engine.step, s.engine.perRunning, s.engine.readPace, s.engine.first, s.engine.setup = 3.79, 0.0893, 56.6, 16, 5
 	s.engine.stride, s.engine.memory, s.engine.linkBitsAMilli, s.engine.reportLag = 9, 319_972, 370e6, 200*time.Millisecond
 	s.long.perSecond, s.long.chains[1].things, s.long.late = 30.4, 172, 1.5
@@ -145,7 +176,16 @@
 }
 
 func sixty() site {
-	s := site{name: "sixty", routers: 85, list: zoned(60, 8), engine: sheet(), long: longClass(), chat: chatClass(), crossing: 2200, prices: prices{0.36, 0.15, 0.012}}
+	s := site{
+		name:     "sixty",
+		routers:  85,
+		list:     zoned(60, 8),
+		engine:   sheet(),
+		long:     longClass(),
+		chat:     chatClass(),
+		crossing: 2200,
+		prices:   prices{0.36, 0.15, 0.012},
+	}
 	s.engine.memory, s.engine.stride = 276_487, 14
 	s.long.perSecond, s.long.chains[1].things, s.long.bytes, s.long.target = 136, 512, 9200, 500*time.Millisecond
 	s.long.chunks, s.long.mostChunks, s.long.gap = 3.72, 14.9, 300*time.Millisecond
@@ -546,9 +586,22 @@
 	return dividedWorld(seed, routers, servers(count), nil, shape)
 }
 
-func dividedWorld(seed uint64, routers int, list []membership.Server, configure func(*config.Configuration), shape func(*Scheduler)) *world {
-	w := &world{now: noon, random: rand.New(rand.NewPCG(seed, 7)), engine: sheet(), servers: map[string]*worldServer{},
-		counter: map[string]*classCounter{}, seen: map[uint64]bool{}, ways: map[string]*wayCounter{}, idle: map[connectionEnds]*idleConnections{}, ordered: map[string]string{}, update: 400 * time.Millisecond}
+func dividedWorld(
+	seed uint64, routers int, list []membership.Server,
+	configure func(*config.Configuration), shape func(*Scheduler),
+) *world {
+	w := &world{
+		now:     noon,
+		random:  rand.New(rand.NewPCG(seed, 7)),
+		engine:  sheet(),
+		servers: map[string]*worldServer{},
+		counter: map[string]*classCounter{},
+		seen:    map[uint64]bool{},
+		ways:    map[string]*wayCounter{},
+		idle:    map[connectionEnds]*idleConnections{},
+		ordered: map[string]string{},
+		update:  400 * time.Millisecond,
+	}
 	w.list = list
 	for _, listed := range w.list {
 		w.servers[listed.Name] = &worldServer{world: w, listed: listed, part: listed.Part}
@@ -897,9 +950,10 @@
 
 // rank tells which reader of the call's chain a server is.
 func (w *world) rank(call *Call, server *worldServer) string {
+	weight := func(s *worldServer) uint64 { return rendezvousWeight(call.chainKey(), nameKey(s.listed.Name)) }
 	rank := 0
 	for _, other := range w.servers {
-		if other.part == prefill && rendezvousWeight(call.chainKey(), nameKey(other.listed.Name)) > rendezvousWeight(call.chainKey(), nameKey(server.listed.Name)) {
+		if other.part == prefill && weight(other) > weight(server) {
 			rank++
 		}
 	}
@@ -918,7 +972,8 @@
 func (w *world) dispatch(a *simulatedCall, decision Decision) {
 	server := w.servers[decision.Server.Name]
 	way := w.way(a.router, server)
-	a.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name, w.now.Sub(a.at).Milliseconds(), a.state.dispatch.uncached, a.state.dispatch.expected)
+	a.log += fmt.Sprintf("%s %s +%dms unread %d expected %v; ", decision.Kind, decision.Server.Name,
+		w.now.Sub(a.at).Milliseconds(), a.state.dispatch.uncached, a.state.dispatch.expected)
 	w.dispatches++
 	ends := connectionEnds{a.router, decision.Server.Name}
 	idle, known := w.idle[ends]
@@ -975,7 +1030,11 @@
 		server.arrivals = append(server.arrivals, w.now)
 		turn := func(result Result) {
 			w.after(way, func() {
-				end(Outcome{Result: result, Status: 503, Load: &ResponseLoad{Running: len(server.running), Waiting: len(server.waiting), Slots: w.engine.slots}})
+				end(Outcome{Result: result, Status: 503, Load: &ResponseLoad{
+					Running: len(server.running),
+					Waiting: len(server.waiting),
+					Slots:   w.engine.slots,
+				}})
 			})
 		}
 		if server.changing {
@@ -1089,8 +1148,10 @@
 	sort.Strings(names)
 	for _, name := range names {
 		counter := w.counter[name]
-		text += fmt.Sprintf("%s: worth %.3f, in aim %.3f, late %d (pauses %d), refused %d, lost %d, broken %d, first event p50 %.0f p95 %.0f p99 %.0f ms\n", name,
-			counter.earned/counter.owed, float64(counter.onTarget)/float64(counter.calls), counter.late, counter.paused, counter.refused, counter.lost, counter.broken,
+		text += fmt.Sprintf("%s: worth %.3f, in aim %.3f, late %d (pauses %d), refused %d, lost %d, broken %d, ", name,
+			counter.earned/counter.owed, float64(counter.onTarget)/float64(counter.calls),
+			counter.late, counter.paused, counter.refused, counter.lost, counter.broken)
+		text += fmt.Sprintf("first event p50 %.0f p95 %.0f p99 %.0f ms\n",
 			counter.at(0.5), counter.at(0.95), counter.at(0.99))
 	}
 	names = nil
@@ -1102,6 +1163,7 @@
 		way := w.ways[name]
 		text += fmt.Sprintf("  %s: %d, again %d, unread %d believed %d\n", name, way.count, way.again, way.unread, way.believed)
 	}
-	return text + fmt.Sprintf("read %d tokens, shared %d, again %d; moves near %.1f far %.1f GB; bodies crossed %.4f GB; %d dispatches for %d calls",
+	return text + fmt.Sprintf("read %d tokens, shared %d, again %d; moves near %.1f far %.1f GB; "+
+		"bodies crossed %.4f GB; %d dispatches for %d calls",
 		w.read, w.sharedRead, w.sharedAgain, w.nearMoves, w.farMoves, w.crossed, w.dispatches, w.calls)
 }
