--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestWarmingServersGetFewCalls has all routers press on servers that all are cold, and
+// TestWarmingServersGetFewCalls has all routers press on servers that all are warming, and
 // wants no second with more calls at one of them than it stands.
 // A server that becomes warm is the emptiest of all, and every router learns it at the
 // same moment, which the list tells a little too early.
@@ -203,7 +203,7 @@
 	}
 }
 
-// TestHomesAgree wants routers to come to the same reader for a chain without talk,
+// TestHomesAgree wants routers to come to the same prefill server for a chain without talk,
 // and few chains to move when a server leaves.
 func TestHomesAgree(t *testing.T) {
 	home := func(router, zone string, count int, without string, chain uint64) string {
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -45,7 +45,7 @@
 	excludeWarming bool
 }
 
-// candidate is one way that a call may go on.
+// candidate is one dispatch that may be next for a call.
 type candidate struct {
 	backend *backend
 	cost    float64
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -10,7 +10,7 @@
 
 // These are failures that the simulated world showed, each by itself.
 
-// TestKVCacheThatDidNotArriveIsNotCached has a runner fail to fetch a prompt's memory, and
+// TestKVCacheThatDidNotArriveIsNotCached has a decode server fail to fetch a prompt's memory, and
 // wants nobody to believe that it keeps the prompt.
 func TestKVCacheThatDidNotArriveIsNotCached(t *testing.T) {
 	calls := opened(9)
@@ -41,7 +41,7 @@
 }
 
 // TestWhatIsTooDearComesBackAtOnce has a long prompt's memory fail to come while all
-// runners are busy: reading it there would hold up many, so that the call is sent away
+// decode servers are busy: reading it there would hold up many, so that the call is sent away
 // to come back at once, with the promise that it never ran.
 func TestWhatIsTooDearComesBackAtOnce(t *testing.T) {
 	calls := opened(9)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestGivingUpHasATryBehindIt wants patience only where the retry budget has kept
-// another try, and the try back when it was not needed.
+// TestGivingUpHasATryBehindIt wants a timeout only where the retry budget has kept
+// another attempt, and the reserved retry released when it was not needed.
 func TestGivingUpHasATryBehindIt(t *testing.T) {
 	calls := opened(9)
 	calls.SetRouterCount(1)
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestUnneededRetryIsReleased has calls end well that a try was paid for, many more than
+// TestUnneededRetryIsReleased has calls end well that a retry was reserved for, many more than
 // the budget holds.
 func TestUnneededRetryIsReleased(t *testing.T) {
 	calls := opened(9)
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestWarmingHomeLearnsItsChains wants a home that came back cold to get the calls of its
-// chains as far as its rate allows, not the next reader all of them.
+// TestWarmingHomeLearnsItsChains wants a home that came back warming to get the calls of its
+// chains as far as its rate allows, not the next prefill server all of them.
 func TestWarmingHomeLearnsItsChains(t *testing.T) {
 	home := ""
 	var chains []uint64
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// history drives one window with random events and judges each decision by what a
+// history drives one scheduler with random events and judges each decision by what a
 // call's dispatches were and how they ended.
 type history struct {
 	test     *testing.T
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestFailingServersAreReported has a server that fails calls told of once, also when the call
+// TestFailingServersAreReported has a server that fails calls reported once, also when the call
 // is not idempotent, and one that turns calls away not at all.
 func TestFailingServersAreReported(t *testing.T) {
 	calls := opened(9)
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestReasonsOfGivingUp wants the reason told why a call is tried no more.
+// TestReasonsOfGivingUp wants the reason why a call is not retried.
 func TestReasonsOfGivingUp(t *testing.T) {
 	for want, given := range map[Reason]struct {
 		call     func(string) *Call
--- a/internal/scheduler/retrybudget_test.go
+++ b/internal/scheduler/retrybudget_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestReservedAttempts keeps reserved tries out of what others may spend, and leaves a part of
-// the room to those who need a try now.
+// TestReservedAttempts keeps reserved retries out of what others may spend, and leaves a part of
+// the room to those who need a retry now.
 func TestReservedAttempts(t *testing.T) {
 	var budget retryBudget
 	budget.first(noon, tenSeconds)
--- a/internal/scheduler/rolebalancer_test.go
+++ b/internal/scheduler/rolebalancer_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// poolDay gives a window's servers steady work and carries the pools' orders out.
+// poolDay gives a scheduler's servers steady work and carries the balancer's orders out.
 type poolDay struct {
 	calls  *Scheduler
 	pools  *RoleBalancer
@@ -33,7 +33,7 @@
 	return prefillServers
 }
 
-// last lets so much time pass with so many calls at each reader and at each runner.
+// last lets so much time pass with so many calls at each prefill server and at each decode server.
 func (day *poolDay) last(span time.Duration, atPrefillServer, atDecodeServer int) {
 	day.reporting(span, atPrefillServer, atDecodeServer)
 }
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestPoolsBearDarkDecodeServers has two of three runners go dark while prompts pile up: the
+// TestPoolsBearDarkDecodeServers has two of three decode servers go dark while prompts pile up: the
 // one that is left can't wait for its answers to pile up, too.
 func TestPoolsBearDarkDecodeServers(t *testing.T) {
 	day := newPoolDay(9)
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestPoolsKeepOneOfEach wants a reader and a runner while two servers are open, and
-// the readers in all zones.
+// TestPoolsKeepOneOfEach wants a prefill and a decode server while two servers are open, and
+// the prefill servers in all zones.
 func TestPoolsKeepOneOfEach(t *testing.T) {
 	day := newPoolDay(9)
 	for name := range day.parts {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -34,10 +34,10 @@
 	return configuration
 }
 
-// servers lists so many servers over three zones, four in ten of them readers.
+// servers lists so many servers over three zones, four in ten of them prefill servers.
 func servers(count int) []membership.Server { return divided(count, 4) }
 
-// divided lists so many servers, so many in ten of them readers.
+// divided lists so many servers, so many in ten of them prefill servers.
 func divided(count, tenths int) []membership.Server {
 	zones := []string{"north", "south", "west"}
 	var list []membership.Server
@@ -54,7 +54,7 @@
 	return list
 }
 
-// zoned lists so many servers, of each zone's the first ones readers.
+// zoned lists so many servers, of each zone's the first ones prefill servers.
 func zoned(count, prefillServers int) []membership.Server {
 	list := divided(count, 0)
 	for position := range list {
@@ -83,8 +83,8 @@
 		Segments: []Segment{{ID: 2, Tokens: 119}, {ID: 3, Tokens: 79}, {ID: nameKey(id), Tokens: 628}}}
 }
 
-// TestTwoHalves follows one long call through a reader and a runner, and one chat
-// straight through a runner.
+// TestTwoHalves follows one long call through a prefill and a decode server, and one chat
+// straight through a decode server.
 func TestTwoHalves(t *testing.T) {
 	calls := opened(9)
 	state, decision := calls.Arrive(noon, longCall("a", 77))
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestCountsOfWhatOthersHaveRead plays ninety routers before slow engines, with and without
-// counts: without them each router sees its own calls only, and runs to the readers that the
+// counts: without them each router sees its own calls only, and runs to the prefill servers that the
 // others have just filled.
 func TestCountsOfWhatOthersHaveRead(t *testing.T) {
 	play := func(asks bool) *world {
--- a/internal/scheduler/warming_test.go
+++ b/internal/scheduler/warming_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestServersOfAZoneThatComesBackCountAsWarming takes an evacuation back, and wants the
-// zone's servers to get no more in the next second than cold ones stand: they may
+// zone's servers to get no more in the next second than warming ones stand: they may
 // have become cold while nobody used them, and the list tells that later.
 func TestServersOfAZoneThatComesBackCountAsWarming(t *testing.T) {
 	calls := New(Options{Router: "courier-1", Zone: "north", Retries: RetryAllowance{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}})
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -15,7 +15,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// world is a small fleet in virtual time: routers with a window each, servers that
+// world is a small fleet in virtual time: routers with a scheduler each, servers that
 // work in steps, and origins. It compares choices; it is no stand-in of a server.
 type world struct {
 	now      time.Time
@@ -628,7 +628,7 @@
 }
 
 // crash has a server fail, or go dark; it is listed for two seconds more, and a new one
-// in its place comes cold after a while.
+// in its place comes warming after a while.
 func (w *world) crash(name string, dark bool, length time.Duration) {
 	server := w.servers[name]
 	server.crash(dark)
@@ -650,7 +650,7 @@
 }
 
 // release has servers replaced one after the other: each is shown as leaving, ends
-// three seconds later, and its successor comes cold.
+// three seconds later, and its successor comes warming.
 func (w *world) release(names []string, interval time.Duration) {
 	if len(names) == 0 {
 		return
@@ -724,7 +724,7 @@
 	wait()
 }
 
-// pool has the first router decide on the servers' parts.
+// pool has the first router decide on the servers' roles.
 func (w *world) pool(pools *RoleBalancer) {
 	for _, order := range pools.Decide(w.now, w.windows[0]) {
 		w.ordered[order.Server] = order.Part
@@ -912,7 +912,7 @@
 	}
 }
 
-// consult brings a call's questions to the keepers of counts and back.
+// consult brings a call's requests to the owners of counts and back.
 func (w *world) consult(a *simulatedCall, decision Decision) {
 	router := strconv.Itoa(a.router)
 	answers := map[string]backlog.Response{}
@@ -928,14 +928,14 @@
 	})
 }
 
-// askTakes is how many milliseconds a question to a keeper takes there and back, sendAfter
-// how long it takes until a change is told of.
+// askTakes is how many milliseconds a request to an owner takes there and back, sendAfter
+// how long it takes until a change is sent.
 const (
 	askTakes  = 3.0
 	sendAfter = 2.0
 )
 
-// tell brings a router's changes to the keepers of counts.
+// sendChanges brings a router's changes to the owners of counts.
 func (w *world) sendChanges(router int) {
 	if !w.windows[router].HasBacklogChanges() {
 		return
@@ -948,7 +948,7 @@
 	})
 }
 
-// rank tells which reader of the call's chain a server is.
+// rank tells which prefill server of the call's chain a server is.
 func (w *world) rank(call *Call, server *worldServer) string {
 	weight := func(s *worldServer) uint64 { return rendezvousWeight(call.chainKey(), nameKey(s.listed.Name)) }
 	rank := 0
