--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -41,7 +41,6 @@
 		routeRule: r,
 		service:   service,
 		key:       nameKey(call.ID),
-		arrived:   now,
 		deadline:  deadline,
 	}
 	s.inFlight.Add(1)
--- a/internal/scheduler/call.go
+++ b/internal/scheduler/call.go
@@ -65,7 +65,6 @@
 	service   *config.Service
 	// key stands for the call's id in rendezvous hashing.
 	key      uint64
-	arrived  time.Time
 	deadline time.Time
 
 	// dispatch is the one in flight; its backend is nil if there is none.
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -8,8 +8,11 @@
 // RetryAllowance bounds retries: in any window, over all routers, at most Ratio of the calls
 // in it and Slack besides. Defaults: DefaultRetryAllowance.
 type RetryAllowance struct {
-	Ratio  float64
-	Slack  float64
+	// Ratio is retries per call, default 0.2.
+	Ratio float64
+	// Slack is how many retries a window allows whatever the calls, default 10.
+	Slack float64
+	// Window is the span that both hold for, default 10 s.
 	Window time.Duration
 }
 
--- a/internal/scheduler/rolebalancer_test.go
+++ b/internal/scheduler/rolebalancer_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// poolDay gives a scheduler's servers steady work and carries the balancer's orders out.
-type poolDay struct {
-	calls  *Scheduler
-	pools  *RoleBalancer
-	parts  map[string]string
-	now    time.Time
-	count  int
-	orders int
+// roleDay gives a scheduler's servers steady work and carries the balancer's orders out.
+type roleDay struct {
+	calls    *Scheduler
+	balancer *RoleBalancer
+	parts    map[string]string
+	now      time.Time
+	count    int
+	orders   int
 }
 
-func newPoolDay(count int) *poolDay {
-	day := &poolDay{calls: opened(count), pools: NewRoleBalancer(), parts: map[string]string{}, now: noon, count: count}
+func newPoolDay(count int) *roleDay {
+	day := &roleDay{calls: opened(count), balancer: NewRoleBalancer(), parts: map[string]string{}, now: noon, count: count}
 	for _, server := range servers(count) {
 		day.parts[server.Name] = server.Part
 	}
 	return day
 }
 
-func (day *poolDay) prefillServers() int {
+func (day *roleDay) prefillServers() int {
 	prefillServers := 0
 	for _, part := range day.parts {
 		if part == prefill {
@@ -34,12 +34,12 @@
 }
 
 // last lets so much time pass with so many calls at each prefill server and at each decode server.
-func (day *poolDay) last(span time.Duration, atPrefillServer, atDecodeServer int) {
+func (day *roleDay) last(span time.Duration, atPrefillServer, atDecodeServer int) {
 	day.reporting(span, atPrefillServer, atDecodeServer)
 }
 
 // reporting is the same where those without a part have gone dark.
-func (day *poolDay) reporting(span time.Duration, atPrefillServer, atDecodeServer int) {
+func (day *roleDay) reporting(span time.Duration, atPrefillServer, atDecodeServer int) {
 	for ends := day.now.Add(span); day.now.Before(ends); day.now = day.now.Add(100 * time.Millisecond) {
 		var loads []Load
 		for _, server := range servers(day.count) {
@@ -53,7 +53,7 @@
 			loads = append(loads, load)
 		}
 		day.calls.SetLoads(day.now, loads)
-		for _, order := range day.pools.Decide(day.now, day.calls) {
+		for _, order := range day.balancer.Decide(day.now, day.calls) {
 			day.parts[order.Server] = order.Part
 			day.orders++
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -89,14 +89,14 @@
 
 // SetRouteTable puts a later version in force; it returns false and does nothing for an older
 // one or the same.
-func (s *Scheduler) SetRouteTable(program *RouteTable) bool {
+func (s *Scheduler) SetRouteTable(routes *RouteTable) bool {
 	for {
 		current := s.routes.Load()
-		if program == nil || !program.later(current) {
+		if routes == nil || !routes.later(current) {
 			return false
 		}
-		s.noteReturnedZones(current, program)
-		if s.routes.CompareAndSwap(current, program) {
+		s.noteReturnedZones(current, routes)
+		if s.routes.CompareAndSwap(current, routes) {
 			return true
 		}
 	}
@@ -104,16 +104,16 @@
 
 // ConfigVersion is the version of the configuration in force, as epoch and number.
 func (s *Scheduler) ConfigVersion() (epoch, number uint64) {
-	if program := s.routes.Load(); program != nil {
-		return program.epoch, program.number
+	if routes := s.routes.Load(); routes != nil {
+		return routes.epoch, routes.number
 	}
 	return 0, 0
 }
 
 // Limits bound what a caller may send, by the configuration in force.
 func (s *Scheduler) Limits() config.Limits {
-	if program := s.routes.Load(); program != nil {
-		return program.limits
+	if routes := s.routes.Load(); routes != nil {
+		return routes.limits
 	}
 	return config.Limits{}
 }
