--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -38,10 +38,10 @@
 
 // report is what configcheck prints.
 type report struct {
-	Result  string          `json:"result"`
-	Version string          `json:"checked_against,omitempty"`
-	Remarks []config.Remark `json:"remarks"`
-	Detail  string          `json:"detail,omitempty"`
+	Result  string              `json:"result"`
+	Version string              `json:"checked_against,omitempty"`
+	Remarks []config.Diagnostic `json:"remarks"`
+	Detail  string              `json:"detail,omitempty"`
 }
 
 type checker struct {
@@ -84,7 +84,7 @@
 func (t *checker) print(result report) {
 	if t.asJSON {
 		if result.Remarks == nil {
-			result.Remarks = []config.Remark{}
+			result.Remarks = []config.Diagnostic{}
 		}
 		encoded, _ := json.MarshalIndent(result, "", "  ")
 		fmt.Println(string(encoded))
@@ -128,7 +128,7 @@
 		err = fastjson.ValidateBytes(text)
 	}
 	if err != nil {
-		return malformed, report{Result: "malformed", Detail: err.Error(), Remarks: []config.Remark{{Level: config.ErrorLevel, Error: *failure.At(failure.Malformed, "/", err.Error())}}}
+		return malformed, report{Result: "malformed", Detail: err.Error(), Remarks: []config.Diagnostic{{Level: config.LevelError, Error: *failure.At(failure.Malformed, "/", err.Error())}}}
 	}
 	var before current
 	var fleet status
@@ -144,7 +144,7 @@
 		}
 	}
 	inForce, _ := config.Check(before.Configuration)
-	result := report{Result: "fine", Version: before.Version, Remarks: config.Taste(text, inForce, t.facts(fleet))}
+	result := report{Result: "fine", Version: before.Version, Remarks: config.ValidateAgainst(text, inForce, t.facts(fleet))}
 	// What was checked against must still be in force when the answer is given.
 	var after current
 	if err := t.read("/v1/configuration", &after); err != nil {
@@ -155,7 +155,7 @@
 		return raced, result
 	}
 	for _, remark := range result.Remarks {
-		if remark.Level == config.ErrorLevel {
+		if remark.Level == config.LevelError {
 			result.Result = "errors"
 			return failures, result
 		}
@@ -186,8 +186,8 @@
 }
 
 // facts asks every listed server for its pressure.
-func (t *checker) facts(fleet status) config.Facts {
-	var facts config.Facts
+func (t *checker) facts(fleet status) config.FleetState {
+	var facts config.FleetState
 	for name, member := range fleet.Members {
 		if member.Kind != membership.Router {
 			continue
@@ -208,13 +208,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	modelServers := modelserver.New(ctx, osruntime.New(ctx, osruntime.NewClock()), rpc.Transport(nil))
-	facts.Servers = make([]config.ServerFacts, len(fleet.Servers))
+	facts.Servers = make([]config.ServerState, len(fleet.Servers))
 	var asking sync.WaitGroup
 	for position, server := range fleet.Servers {
 		asking.Go(func() {
-			known := config.ServerFacts{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
+			known := config.ServerState{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
 			if load, err := modelServers.Load(ctx, server.Address); err == nil {
-				known.Reported, known.Part, known.Active, known.Slots = true, string(load.Role), load.DecodeActive, load.DecodeSlots
+				known.Reported, known.Role, known.Active, known.Slots = true, string(load.Role), load.DecodeActive, load.DecodeSlots
 				known.Leaving = known.Leaving || load.Leaving
 			}
 			facts.Servers[position] = known
--- a/internal/adapters/controller/forwarding.go
+++ b/internal/adapters/controller/forwarding.go
@@ -29,7 +29,7 @@
 }
 
 func (p *Process) forward(writer http.ResponseWriter, inbound *http.Request, address string) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MostBytes+1))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MaxBytes+1))
 	if err != nil {
 		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{Outcome: "not_accepted", Type: failure.Oversize, Detail: err.Error()})
 		return
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -109,7 +109,7 @@
 		// fastjson writes the text anew, so that what is kept is compact.
 		value, err := fastjson.ParseBytes(body)
 		if err != nil {
-			return nil, &config.Findings{Troubles: []*failure.Error{failure.At(failure.Malformed, "/", err.Error())}}
+			return nil, &config.ValidationError{Errors: []*failure.Error{failure.At(failure.Malformed, "/", err.Error())}}
 		}
 		return value.MarshalTo(nil), nil
 	})
@@ -120,7 +120,7 @@
 		merged, err := config.Merge(text, body)
 		var found *failure.Error
 		if stderrors.As(err, &found) {
-			return nil, &config.Findings{Troubles: []*failure.Error{found}}
+			return nil, &config.ValidationError{Errors: []*failure.Error{found}}
 		}
 		return merged, err
 	})
@@ -142,7 +142,7 @@
 // edit changes the configuration and answers "accepted" only when it is in
 // force everywhere.
 func (p *Process) edit(writer http.ResponseWriter, inbound *http.Request, versioned bool, edit func(text, body []byte) ([]byte, error)) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MostBytes+1))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MaxBytes+1))
 	if err != nil {
 		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{Outcome: "not_accepted", Type: failure.Oversize, Failures: []*failure.Error{failure.At(failure.Oversize, "/", err.Error())}})
 		return
@@ -191,9 +191,9 @@
 }
 
 func (p *Process) writeEditError(writer http.ResponseWriter, change string, err error) {
-	var findings *config.Findings
+	var findings *config.ValidationError
 	if stderrors.As(err, &findings) {
-		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{Outcome: "not_accepted", Type: "refused", Change: change, Failures: findings.Troubles})
+		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{Outcome: "not_accepted", Type: "refused", Change: change, Failures: findings.Errors})
 		return
 	}
 	failed := &failure.Error{}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -16,16 +16,16 @@
 // maxTextBytes bounds a string that is no name, such as a path.
 const maxTextBytes = 4096
 
-// MostBytes is the size of the largest configuration that is read.
-const MostBytes = 16 << 20
+// MaxBytes is the size of the largest configuration that is read.
+const MaxBytes = 16 << 20
 
 // Check reads a complete configuration. It returns either the configuration or a
-// *Findings with the code and path of every failure: Oversize and Malformed for
+// *ValidationError with the code and path of every failure: Oversize and Malformed for
 // the text, WrongType, OutOfRange, Missing, UnknownField and Contradictory for fields.
 func Check(text []byte) (*Configuration, error) {
-	failures := &Findings{}
-	if len(text) > MostBytes {
-		failures.add(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MostBytes)+" bytes")
+	failures := &ValidationError{}
+	if len(text) > MaxBytes {
+		failures.add(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MaxBytes)+" bytes")
 		return nil, failures
 	}
 	if !utf8.Valid(text) {
@@ -47,7 +47,7 @@
 	c := &checker{failures: failures, configuration: Empty(), hostPaths: map[hostPath]string{}}
 	c.configuration.Text = append([]byte(nil), text...)
 	c.root(root, pointer{})
-	if len(failures.Troubles) > 0 {
+	if len(failures.Errors) > 0 {
 		return nil, failures
 	}
 	routes := c.configuration.Routes
@@ -63,7 +63,7 @@
 // checker fills a configuration from its JSON and collects the failures. Each method
 // checks one kind of object; those in values.go check single values.
 type checker struct {
-	failures      *Findings
+	failures      *ValidationError
 	configuration *Configuration
 	// places are the hosts and prefixes that routes of calls have, by route.
 	hostPaths map[hostPath]string
--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -9,12 +9,12 @@
 
 func TestCheckNamesEveryFailureWithPathAndType(t *testing.T) {
 	_, err := Check([]byte(`{"services":{"chat":{"tries":0,"colour":1},"chat":{}},"routes":{"a":{"to":{"refuse":true,"districts":["n"]}},"b":{}},"evacuations":{"n":{"reason":5}},"x":1}`))
-	var validation *Findings
+	var validation *ValidationError
 	if !errors.As(err, &validation) {
 		t.Fatalf("no findings: %v", err)
 	}
 	found := map[string]failure.Code{}
-	for _, entry := range validation.Troubles {
+	for _, entry := range validation.Errors {
 		found[entry.Path] = entry.Code
 	}
 	for path, code := range map[string]failure.Code{"/services/chat/tries": failure.OutOfRange, "/services/chat/colour": failure.UnknownField,
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -1,7 +1,7 @@
 // Package config is the operators' configuration: services, routes and evacuations. It
 // checks a configuration (Check), merges a partial one into it (Merge), builds the next
 // revision (Revise) and compares a proposed one with the state of the fleet
-// (Taste). It is pure: the control plane stores and distributes what it makes,
+// (ValidateAgainst). It is pure: the control plane stores and distributes what it makes,
 // scheduler and auction read the checked Configuration, platform translates the users'
 // format to its own.
 package config
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,32 +6,32 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Findings is returned for a configuration that is not valid. It holds all
-// failures that a check met, up to MostFindings, each with its code and its path (a JSON
+// ValidationError is returned for a configuration that is not valid. It holds all
+// failures that a check met, up to MaxErrors, each with its code and its path (a JSON
 // pointer into the configuration).
-type Findings struct {
-	Troubles []*failure.Error `json:"failures"`
+type ValidationError struct {
+	Errors []*failure.Error `json:"failures"`
 }
 
-// MostFindings is how many failures one check reports at most.
-const MostFindings = 100
+// MaxErrors is how many failures one check reports at most.
+const MaxErrors = 100
 
 // Error says how many failures there are, and the first.
-func (f *Findings) Error() string {
-	if len(f.Troubles) == 1 {
-		return f.Troubles[0].Error()
+func (f *ValidationError) Error() string {
+	if len(f.Errors) == 1 {
+		return f.Errors[0].Error()
 	}
-	return "several failures, the first: " + f.Troubles[0].Error()
+	return "several failures, the first: " + f.Errors[0].Error()
 }
 
-// invalid makes a Findings of one failure.
-func invalid(code failure.Code, path, detail string) *Findings {
-	return &Findings{Troubles: []*failure.Error{failure.At(code, path, detail)}}
+// invalid makes a ValidationError of one failure.
+func invalid(code failure.Code, path, detail string) *ValidationError {
+	return &ValidationError{Errors: []*failure.Error{failure.At(code, path, detail)}}
 }
 
-func (f *Findings) add(code failure.Code, path, detail string) {
-	if len(f.Troubles) < MostFindings {
-		f.Troubles = append(f.Troubles, failure.At(code, path, detail))
+func (f *ValidationError) add(code failure.Code, path, detail string) {
+	if len(f.Errors) < MaxErrors {
+		f.Errors = append(f.Errors, failure.At(code, path, detail))
 	}
 }
 
--- a/internal/config/evacuations.go
+++ b/internal/config/evacuations.go
@@ -22,7 +22,7 @@
 
 // Evacuate returns the configuration's text with the zone evacuated; text itself if it is
 // evacuated for that reason already. It fails with Malformed for an unreadable text and
-// with a *Findings for a zone that is no name or a result over MostBytes.
+// with a *ValidationError for a zone that is no name or a result over MaxBytes.
 func Evacuate(text []byte, zone, reason string) ([]byte, error) {
 	if current, evacuated, err := evacuationOf(text, zone); err != nil || evacuated && current == reason {
 		return text, err
@@ -68,8 +68,8 @@
 		}
 	}
 	merged, err := Merge(text, patch.MarshalTo(nil))
-	if err == nil && len(merged) > MostBytes {
-		return nil, invalid(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MostBytes)+" bytes")
+	if err == nil && len(merged) > MaxBytes {
+		return nil, invalid(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MaxBytes)+" bytes")
 	}
 	return merged, err
 }
--- a/internal/config/example_test.go
+++ b/internal/config/example_test.go
@@ -9,9 +9,9 @@
 
 func ExampleCheck() {
 	_, err := config.Check([]byte(`{"services":{"chat":{"tries":0}},"routes":{"all":{"order":1}}}`))
-	var invalid *config.Findings
+	var invalid *config.ValidationError
 	if errors.As(err, &invalid) {
-		for _, found := range invalid.Troubles {
+		for _, found := range invalid.Errors {
 			fmt.Println(found.Path, found.Code)
 		}
 	}
@@ -35,10 +35,10 @@
 	// Output: {"revision":4,"evacuations":{"north":{}}} <nil>
 }
 
-func ExampleTaste() {
-	fleet := config.Facts{Servers: []config.ServerFacts{{Name: "a", Zone: "north"}}}
+func ExampleValidateAgainst() {
+	fleet := config.FleetState{Servers: []config.ServerState{{Name: "a", Zone: "north"}}}
 	proposed := []byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{}}}`)
-	for _, diagnostic := range config.Taste(proposed, nil, fleet) {
+	for _, diagnostic := range config.ValidateAgainst(proposed, nil, fleet) {
 		fmt.Println(diagnostic.Level, diagnostic.Path, diagnostic.Code)
 	}
 	// Output: warning /routes/all no_servers_left
--- a/internal/config/revise.go
+++ b/internal/config/revise.go
@@ -12,7 +12,7 @@
 // at revision base (else RevisionConflict, with the current revision as detail), and its
 // result must have a higher revision, so that two operators can not overwrite one another.
 // A result without evacuations keeps those in force. An invalid result is a
-// *Findings.
+// *ValidationError.
 func Revise(text []byte, base uint64, edit func(text []byte) ([]byte, error)) ([]byte, error) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
--- a/internal/config/revise_test.go
+++ b/internal/config/revise_test.go
@@ -30,10 +30,10 @@
 	} {
 		text, err := Revise([]byte(row.current), row.builds, to(row.next))
 		code := failure.Code("")
-		var validation *Findings
+		var validation *ValidationError
 		switch {
 		case errors.As(err, &validation):
-			code = validation.Troubles[0].Code
+			code = validation.Errors[0].Code
 		case err != nil:
 			code = failure.CodeOf(err)
 		}
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -183,25 +183,25 @@
 		},
 	} {
 		_, err := Check([]byte(`{"services":{"desk":{}},"routes":{` + row.routes + `}}`))
-		var validation *Findings
+		var validation *ValidationError
 		if !errors.As(err, &validation) {
 			t.Errorf("%s: no findings, %v", row.name, err)
 			continue
 		}
 		found := false
-		for _, entry := range validation.Troubles {
+		for _, entry := range validation.Errors {
 			found = found || entry.Path == row.path && entry.Code == row.code
 		}
 		if !found {
-			t.Errorf("%s: no %s at %s in %v", row.name, row.code, row.path, validation.Troubles)
+			t.Errorf("%s: no %s at %s in %v", row.name, row.code, row.path, validation.Errors)
 		}
 	}
 }
 
 func TestValidateAgainstKnowsRoutesOfCalls(t *testing.T) {
-	diagnostics := Taste([]byte(`{"services":{"desk":{}},"routes":{"all":{"order":0,"match":{"service":"desk"},"to":{}},
+	diagnostics := ValidateAgainst([]byte(`{"services":{"desk":{}},"routes":{"all":{"order":0,"match":{"service":"desk"},"to":{}},
 		"a":{"order":1,"match":{"host":"h","path_prefix":"/"},"calls":{"limit_milliseconds":1,"shares":[{"service":"desk"}]}}}}`), nil,
-		Facts{Servers: []ServerFacts{{Name: "s", Zone: "north"}}})
+		FleetState{Servers: []ServerState{{Name: "s", Zone: "north"}}})
 	if len(diagnostics) != 0 {
 		t.Errorf("remarks %v", diagnostics)
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -11,23 +11,23 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Remark is one result of Taste: an error, for which the fleet would refuse
+// Diagnostic is one result of ValidateAgainst: an error, for which the fleet would refuse
 // the configuration, or a warning, with which it would accept it.
-type Remark struct {
+type Diagnostic struct {
 	Level string `json:"level"`
 	failure.Error
 }
 
 // The levels of a diagnostic.
 const (
-	ErrorLevel   = "error"
-	WarningLevel = "warning"
+	LevelError   = "error"
+	LevelWarning = "warning"
 )
 
-// Facts is what is known of the running fleet.
-type Facts struct {
+// FleetState is what is known of the running fleet.
+type FleetState struct {
 	// Servers are those that the platform lists.
-	Servers []ServerFacts
+	Servers []ServerState
 	// Restricted are the members that lack an enabled feature flag.
 	Restricted []string
 	// Stopped are the recorded routers that do not run.
@@ -38,42 +38,42 @@
 	Blocked []string
 }
 
-// ServerFacts is one model server in a Facts.
-type ServerFacts struct {
+// ServerState is one model server in a Facts.
+type ServerState struct {
 	Name    string
 	Zone    string
 	Leaving bool
 	// Reported states that the server has reported its load: Role (prefill or decode),
 	// Active (requests under way) and Slots (how many it runs at once) are known.
 	Reported bool
-	Part     string
+	Role     string
 	Active   int
 	Slots    int
 }
 
 // The codes of warnings. FewRouters and others keep their old texts: scripts read them.
 const (
-	UnknownZone   failure.Code = "unknown_district"
-	NoServersLeft failure.Code = "no_servers_left"
-	NoPartLeft    failure.Code = "no_part_left"
-	LittleRoom    failure.Code = "little_room"
-	NeverReached  failure.Code = "never_reached"
-	NoRouteTo     failure.Code = "no_route_to_service"
-	MixedFormats  failure.Code = "mixed_formats"
-	FewRouters    failure.Code = "few_couriers"
-	Shrinks       failure.Code = "service_disappears"
+	UnknownZone       failure.Code = "unknown_district"
+	NoServersLeft     failure.Code = "no_servers_left"
+	NoServersOfRole   failure.Code = "no_part_left"
+	LowCapacity       failure.Code = "little_room"
+	RouteNeverReached failure.Code = "never_reached"
+	NoRouteToService  failure.Code = "no_route_to_service"
+	MixedFeatures     failure.Code = "mixed_formats"
+	FewRouters        failure.Code = "few_couriers"
+	ServiceRemoved    failure.Code = "service_disappears"
 )
 
-// Taste checks a proposed configuration on its own, and if it is valid against
+// ValidateAgainst checks a proposed configuration on its own, and if it is valid against
 // the state of the fleet and the configuration in force (nil if there is none). Errors come
 // in the order of the text, warnings in that of their paths.
-func Taste(proposed []byte, current *Configuration, fleet Facts) []Remark {
+func ValidateAgainst(proposed []byte, current *Configuration, fleet FleetState) []Diagnostic {
 	configuration, err := Check(proposed)
-	var validation *Findings
+	var validation *ValidationError
 	if errors.As(err, &validation) {
-		var diagnostics []Remark
-		for _, finding := range validation.Troubles {
-			diagnostics = append(diagnostics, Remark{Level: ErrorLevel, Error: *finding})
+		var diagnostics []Diagnostic
+		for _, finding := range validation.Errors {
+			diagnostics = append(diagnostics, Diagnostic{Level: LevelError, Error: *finding})
 		}
 		return diagnostics
 	}
@@ -95,13 +95,13 @@
 // fleetValidator collects the warnings about a valid configuration.
 type fleetValidator struct {
 	proposed    *Configuration
-	fleet       Facts
+	fleet       FleetState
 	zones       map[string]int
-	diagnostics []Remark
+	diagnostics []Diagnostic
 }
 
 func (v *fleetValidator) warn(code failure.Code, path, detail string) {
-	v.diagnostics = append(v.diagnostics, Remark{Level: WarningLevel, Error: *failure.At(code, path, detail)})
+	v.diagnostics = append(v.diagnostics, Diagnostic{Level: LevelWarning, Error: *failure.At(code, path, detail)})
 }
 
 // evacuations warns of evacuated zones without servers.
@@ -124,11 +124,11 @@
 		path := "/routes/" + escapeToken(route.Name)
 		service := route.Match.Service
 		if earlier, found := caughtBy[""]; found {
-			v.warn(NeverReached, path, "the route "+earlier+" matches everything before it")
+			v.warn(RouteNeverReached, path, "the route "+earlier+" matches everything before it")
 			continue
 		}
 		if earlier, found := caughtBy[service]; found && service != "" {
-			v.warn(NeverReached, path, "the route "+earlier+" matches everything of "+service+" before it")
+			v.warn(RouteNeverReached, path, "the route "+earlier+" matches everything of "+service+" before it")
 			continue
 		}
 		if bare := route.Match; bare == (Match{Service: service}) {
@@ -173,10 +173,10 @@
 			continue
 		}
 		reported++
-		roles[server.Part]++
+		roles[server.Role]++
 		active += server.Active
 		if !v.proposed.Evacuated(server.Zone) {
-			leftRoles[server.Part]++
+			leftRoles[server.Role]++
 			slots += server.Slots
 		}
 	}
@@ -185,11 +185,11 @@
 	}
 	for _, role := range []string{"prefill", "decode"} {
 		if roles[role] > 0 && leftRoles[role] == 0 {
-			v.warn(NoPartLeft, "/evacuations", "no server with the part "+role+" is left until parts change")
+			v.warn(NoServersOfRole, "/evacuations", "no server with the part "+role+" is left until parts change")
 		}
 	}
 	if slots > 0 && active*10 > slots*8 {
-		v.warn(LittleRoom, "/evacuations", "answers under way fill "+strconv.Itoa(active*100/slots)+" of 100 slots that are left")
+		v.warn(LowCapacity, "/evacuations", "answers under way fill "+strconv.Itoa(active*100/slots)+" of 100 slots that are left")
 	}
 }
 
@@ -201,7 +201,7 @@
 			reached = reached || route.reaches(name)
 		}
 		if !reached {
-			v.warn(NoRouteTo, "/services/"+escapeToken(name), "no route can match its inquiries")
+			v.warn(NoRouteToService, "/services/"+escapeToken(name), "no route can match its inquiries")
 		}
 	}
 	if current == nil {
@@ -209,7 +209,7 @@
 	}
 	for name := range current.Services {
 		if _, found := v.proposed.Services[name]; !found {
-			v.warn(Shrinks, "/services/"+escapeToken(name), "the service in force now would be gone")
+			v.warn(ServiceRemoved, "/services/"+escapeToken(name), "the service in force now would be gone")
 		}
 	}
 }
@@ -217,10 +217,10 @@
 // members warns if members lack features or do not run.
 func (v *fleetValidator) members() {
 	if restricted := v.fleet.Restricted; len(restricted) > 0 {
-		v.warn(MixedFormats, "/", "members that lack an enabled flag pass their inquiries on: "+strings.Join(restricted, ", "))
+		v.warn(MixedFeatures, "/", "members that lack an enabled flag pass their inquiries on: "+strings.Join(restricted, ", "))
 	}
 	if blocked := v.fleet.Blocked; len(blocked) > 0 {
-		v.warn(MixedFormats, "/", "an upgrade is under way; flags that wait: "+strings.Join(blocked, ", "))
+		v.warn(MixedFeatures, "/", "an upgrade is under way; flags that wait: "+strings.Join(blocked, ", "))
 	}
 	if stopped := len(v.fleet.Stopped); stopped > 0 && stopped*2 >= v.fleet.Routers {
 		v.warn(FewRouters, "/", "half of the couriers or more do not run: "+strings.Join(v.fleet.Stopped, ", "))
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -7,27 +7,27 @@
 )
 
 func TestValidateAgainstWarnsOfWhatTheFleetWouldTake(t *testing.T) {
-	fleet := Facts{
+	fleet := FleetState{
 		Routers:    3,
 		Stopped:    []string{"courier-1", "courier-2"},
 		Restricted: []string{"courier-3"},
 		Blocked:    []string{"pair_price"},
-		Servers: []ServerFacts{
-			{Name: "a", Zone: "north", Reported: true, Part: "prefill", Slots: 10},
-			{Name: "b", Zone: "south", Reported: true, Part: "decode", Slots: 10, Active: 9},
+		Servers: []ServerState{
+			{Name: "a", Zone: "north", Reported: true, Role: "prefill", Slots: 10},
+			{Name: "b", Zone: "south", Reported: true, Role: "decode", Slots: 10, Active: 9},
 		},
 	}
 	current, err := Check([]byte(`{"services":{"old":{}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	diagnostics := Taste([]byte(`{"services":{"chat":{},"lost":{}},"routes":{
+	diagnostics := ValidateAgainst([]byte(`{"services":{"chat":{},"lost":{}},"routes":{
 		"all":{"order":1,"match":{"service":"chat"},"to":{"districts":["west"]}},
 		"late":{"order":2,"match":{"service":"chat","origin":"x"},"to":{}}},
 		"evacuations":{"north":{},"nowhere":{}}}`), current, fleet)
 	found := map[string]bool{}
 	for _, diagnostic := range diagnostics {
-		if diagnostic.Level != WarningLevel {
+		if diagnostic.Level != LevelWarning {
 			t.Errorf("%+v is no warning", diagnostic)
 		}
 		found[string(diagnostic.Code)+" "+diagnostic.Path] = true
@@ -48,13 +48,13 @@
 			t.Errorf("no %s in %v", want, found)
 		}
 	}
-	healthy := Facts{Routers: 3, Servers: fleet.Servers}
-	diagnostics = Taste([]byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), nil, healthy)
+	healthy := FleetState{Routers: 3, Servers: fleet.Servers}
+	diagnostics = ValidateAgainst([]byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), nil, healthy)
 	if len(diagnostics) != 0 {
 		t.Errorf("a good configuration: %v", diagnostics)
 	}
-	diagnostics = Taste([]byte(`{"x":1}`), nil, fleet)
-	if len(diagnostics) != 1 || diagnostics[0].Level != ErrorLevel || diagnostics[0].Code != failure.UnknownField {
+	diagnostics = ValidateAgainst([]byte(`{"x":1}`), nil, fleet)
+	if len(diagnostics) != 1 || diagnostics[0].Level != LevelError || diagnostics[0].Code != failure.UnknownField {
 		t.Errorf("an error: %v", diagnostics)
 	}
 }
--- a/internal/controlplane/edit_test.go
+++ b/internal/controlplane/edit_test.go
@@ -55,9 +55,9 @@
 		}
 	}
 	formed.mustBe(t, primary, `"word":"c"`)
-	var findings *config.Findings
+	var findings *config.ValidationError
 	for name, edit := range map[string]Edit{"not above": revision(10, 10, "e"), "below": revision(10, 4, "e")} {
-		if _, err := primary.Edit(edit); !stderrors.As(err, &findings) || findings.Troubles[0].Path != "/revision" {
+		if _, err := primary.Edit(edit); !stderrors.As(err, &findings) || findings.Errors[0].Path != "/revision" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
