--- a/cmd/controller/status.go
+++ b/cmd/controller/status.go
@@ -12,26 +12,42 @@
 
 // statusAnswer is what the status says, as far as people read it.
 type statusAnswer struct {
-	Primary, Backup struct{ Name, Address string }
-	Keepers         []struct{ Name string }
-	Incoming        []struct{ Name string } `json:"incoming_keepers"`
-	Epoch           uint64
-	Version         string
-	Configuration   string `json:"configuration_version"`
-	Since           int64  `json:"primary_since_milliseconds"`
-	Lagging         []string
-	Members         map[string]struct {
-		Kind, District      string
-		Running, Restricted bool
-	}
+	Primary struct {
+		Name    string `json:"name"`
+		Address string `json:"address"`
+	} `json:"primary"`
+	Backup struct {
+		Name string `json:"name"`
+	} `json:"backup"`
+	Witnesses []struct {
+		Name string `json:"name"`
+	} `json:"keepers"`
+	Incoming []struct {
+		Name string `json:"name"`
+	} `json:"incoming_keepers"`
+	Epoch         uint64   `json:"epoch"`
+	Version       string   `json:"version"`
+	Configuration string   `json:"configuration_version"`
+	Since         int64    `json:"primary_since_milliseconds"`
+	Lagging       []string `json:"lagging"`
+	Members       map[string]struct {
+		Kind       string `json:"kind"`
+		Zone       string `json:"district"`
+		Running    bool   `json:"running"`
+		Restricted bool   `json:"restricted"`
+	} `json:"members"`
 	Flags []struct {
-		Name    string
-		Enabled bool
-		Why     string
-		Lacking []string
-	}
-	Roles  map[string]struct{ Holder string } `json:"duties"`
-	Orders map[string]struct{ Part string }
+		Name    string   `json:"name"`
+		Enabled bool     `json:"enabled"`
+		Why     string   `json:"why"`
+		Lacking []string `json:"lacking"`
+	} `json:"flags"`
+	Roles map[string]struct {
+		Holder string `json:"holder"`
+	} `json:"duties"`
+	Orders map[string]struct {
+		Part string `json:"part"`
+	} `json:"orders"`
 }
 
 // showStatus prints the status for people, with a line for each thing that wants
@@ -58,7 +74,7 @@
 		backup = "NONE: nothing is written until there is one"
 	}
 	var keepers []string
-	for _, seat := range s.Keepers {
+	for _, seat := range s.Witnesses {
 		keepers = append(keepers, seat.Name)
 	}
 	line("primary        %s (%s), for %s, epoch %d", s.Primary.Name, s.Primary.Address, (time.Duration(s.Since) * time.Millisecond).Round(time.Second), s.Epoch)
@@ -81,7 +97,7 @@
 		if member.Restricted {
 			state += ", RESTRICTED: it lacks an enabled flag"
 		}
-		line("%-14s %-10s %-12s %s", name, member.Kind, member.District, state)
+		line("%-14s %-10s %-12s %s", name, member.Kind, member.Zone, state)
 	}
 	line("")
 	for _, flag := range s.Flags {
