--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -15,7 +15,7 @@
 	live := current.Grants.Live(now)
 	settling := p.controller.Settling(current)
 	var answers []flagStatus
-	for _, description := range features.Book() {
+	for _, description := range features.Descriptions() {
 		answer := flagStatus{Description: description, Enabled: state.Flags.Enabled.Has(description.Name), Lacking: state.Lacking(description.Name)}
 		for _, name := range answer.Lacking {
 			if _, running := live[name]; !running && state.Members[name].Kind == membership.Router {
--- a/internal/codec/pair.go
+++ b/internal/codec/pair.go
@@ -26,9 +26,9 @@
 	Decode  string `msgpack:"decode"`
 }
 
-// WritePair makes the pair's record in the formats that the enabled flags allow: the first
+// EncodePair makes the pair's record in the formats that the enabled flags allow: the first
 // always, the second beside it under PairPrice.
-func WritePair(pair Pair, writer string, enabled features.List) (Record, error) {
+func EncodePair(pair Pair, writer string, enabled features.List) (Record, error) {
 	record := NewRecord(PairRecord, pair.Request, writer, uint64(pair.Run))
 	first := pairV1{Request: pair.Request, Run: pair.Run, Prefill: pair.Prefill, Decode: pair.Decode}
 	return record, record.putFormats(enabled,
--- a/internal/codec/record_test.go
+++ b/internal/codec/record_test.go
@@ -50,7 +50,7 @@
 // TestOldCodeLeavesUnknownKeysAlone reads a record with a key from the future.
 func TestOldCodeLeavesUnknownKeysAlone(t *testing.T) {
 	pair := Pair{Request: "one", Run: 2, Prefill: "a", Decode: "b", Price: time.Second}
-	record, err := WritePair(pair, "courier-1", features.List{features.PairPrice})
+	record, err := EncodePair(pair, "courier-1", features.List{features.PairPrice})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/edit.go
+++ b/internal/controlplane/edit.go
@@ -95,7 +95,7 @@
 		if large {
 			c.endEdit()
 		}
-		if failure.CodeOf(err) != failure.Moved {
+		if failure.CodeOf(err) != failure.ConfigurationMoved {
 			return current, version, err
 		}
 		if !c.runtime.Now().Before(ends) {
--- a/internal/controlplane/lists.go
+++ b/internal/controlplane/lists.go
@@ -21,7 +21,7 @@
 // the news, so that they lead with it at once.
 type lists struct {
 	mutex   sync.Mutex
-	listing membership.Listing
+	listing membership.ServerList
 	// epoch is that of the term whose marks these are, and zero outside of one.
 	epoch     uint64
 	changes   uint64
@@ -125,7 +125,7 @@
 func (l *lists) take(at time.Time, servers []membership.Server) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	changed := l.listing.Take(at, servers)
+	changed := l.listing.Update(at, servers)
 	if changed {
 		l.changes++
 	}
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -95,7 +95,7 @@
 	if r.core.Restricted() {
 		return
 	}
-	record, err := codec.WritePair(*decision.Pair, r.options.Router, r.core.Enabled())
+	record, err := codec.EncodePair(*decision.Pair, r.options.Router, r.core.Enabled())
 	if err == nil {
 		r.journal.append(record, true)
 		r.recordsAdded.Broadcast()
--- a/internal/dataplane/lists.go
+++ b/internal/dataplane/lists.go
@@ -37,7 +37,7 @@
 func (r *Router) takeServers(at time.Time, servers []membership.Server) {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
-	if !r.listing.Take(at, servers) {
+	if !r.listing.Update(at, servers) {
 		return
 	}
 	now := r.runtime.Now()
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -49,7 +49,7 @@
 	nodes   []membership.Node
 
 	listMutex sync.Mutex
-	listing   membership.Listing
+	listing   membership.ServerList
 	watched   map[string]bool
 }
 
--- a/internal/failure/code.go
+++ b/internal/failure/code.go
@@ -42,8 +42,8 @@
 	VersionConflict Code = "version_conflict"
 	// RevisionConflict: the configuration is not at the expected revision.
 	RevisionConflict Code = "revision_conflict"
-	// Moved: the configuration changed while an edit of it was prepared.
-	Moved Code = "configuration_moved"
+	// ConfigurationMoved: the configuration changed while an edit of it was prepared.
+	ConfigurationMoved Code = "configuration_moved"
 	// NoLease: the router's lease on the configuration has run out.
 	NoLease Code = "no_hold"
 	// Restricted: the node lacks a feature flag that is enabled.
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -35,8 +35,8 @@
 	Text  string `json:"description"`
 }
 
-// book is in order of name. The texts are part of the operators' interface.
-var book = []Description{
+// descriptions is in order of name. The texts are part of the operators' interface.
+var descriptions = []Description{
 	{
 		Name:  BackupList,
 		Since: "0.3",
@@ -56,8 +56,8 @@
 	},
 }
 
-// Book lists the flags that this build knows, in order of name.
-func Book() []Description { return append([]Description(nil), book...) }
+// Descriptions lists the flags that this build knows, in order of name.
+func Descriptions() []Description { return append([]Description(nil), descriptions...) }
 
 // List is a sorted set of flags: what a build supports, or what is enabled.
 type List []Flag
@@ -66,7 +66,7 @@
 // setting so that an older release can be run beside a newer one.
 func Supported(withheld List) List {
 	supported := List{}
-	for _, description := range book {
+	for _, description := range descriptions {
 		if !withheld.Has(description.Name) {
 			supported = append(supported, description.Name)
 		}
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -47,7 +47,7 @@
 	lists, loads bool
 	listMark     uint64
 	loadsMark    uint64
-	listing      membership.Listing
+	listing      membership.ServerList
 }
 
 // Update is one answer of the primary, as the node takes it.
@@ -325,8 +325,8 @@
 	if said := update.Answer.Servers; said != nil {
 		at := told.Add(-said.Age)
 		if said.Sent {
-			f.listing = membership.Listing{}
-			f.listing.Take(at, said.Servers)
+			f.listing = membership.ServerList{}
+			f.listing.Update(at, said.Servers)
 			f.listMark = said.Mark
 		}
 		if said.Mark == f.listMark {
--- a/internal/membership/servers.go
+++ b/internal/membership/servers.go
@@ -23,45 +23,46 @@
 	Warming time.Duration `json:"warming,omitempty" msgpack:"warming,omitempty"`
 }
 
-// same tells whether two entries of one server say the same, its warming aside.
-func (s Server) same(other Server) bool {
+// equal tells whether two entries of one server report the same, its warming aside.
+func (s Server) equal(other Server) bool {
 	return s.Name == other.Name && s.Address == other.Address && s.Zone == other.Zone && s.Leaving == other.Leaving &&
 		s.Service == other.Service && s.Part == other.Part && s.Slots == other.Slots && slices.Equal(s.Models, other.Models)
 }
 
-// Listing is what a node knows of the platform's list of servers, from whoever read
+// ServerList is what a node knows of the platform's list of servers, from whoever read
 // it. Reads come from several readers, late and out of order: a server that was once seen
 // leaving stays leaving, and one that was removed is not brought back by a read that is no
 // newer. The zero value is empty and ready to use. It is not safe for concurrent use.
-type Listing struct {
+type ServerList struct {
 	// at is when the newest read took place.
 	at      time.Time
 	servers []Server
 	// warmAt is when a server is warm, by the reader's clock.
 	warmAt  map[string]time.Time
 	leaving map[string]bool
-	gone    map[string]time.Time
+	// removed is when a removed server was first missing.
+	removed map[string]time.Time
 }
 
 const (
 	// listLag is how far two reads of one list may differ in what they know. The
 	// value is ours.
 	listLag = time.Second
-	// goneKept is for how long a removed server is remembered.
-	goneKept = time.Minute
-	// coldStep is the least change of the end of a server's warming that counts as one.
-	coldStep = 300 * time.Millisecond
+	// removedRetention is for how long a removed server is remembered.
+	removedRetention = time.Minute
+	// minWarmingChange is the least change of the end of a server's warming that counts as one.
+	minWarmingChange = 300 * time.Millisecond
 )
 
-// Take takes over a list that was read at a moment and tells whether anything changed that
+// Update takes over a list that was read at a moment and tells whether anything changed that
 // matters to the scheduler. A list older than the newest one known changes nothing.
-func (l *Listing) Take(at time.Time, servers []Server) bool {
+func (l *ServerList) Update(at time.Time, servers []Server) bool {
 	if !l.at.IsZero() && at.Before(l.at) {
 		return false
 	}
 	first := l.at.IsZero()
 	if l.leaving == nil {
-		l.leaving, l.gone = map[string]bool{}, map[string]time.Time{}
+		l.leaving, l.removed = map[string]bool{}, map[string]time.Time{}
 	}
 	before := map[string]Server{}
 	for _, server := range l.servers {
@@ -71,10 +72,10 @@
 	warmAt := map[string]time.Time{}
 	changed := false
 	for _, server := range servers {
-		if removed, found := l.gone[server.Name]; found && at.Sub(removed) < listLag {
+		if removed, found := l.removed[server.Name]; found && at.Sub(removed) < listLag {
 			continue
 		}
-		delete(l.gone, server.Name)
+		delete(l.removed, server.Name)
 		until := at.Add(server.Warming)
 		server.Warming = 0
 		if server.Leaving {
@@ -83,11 +84,11 @@
 		server.Leaving = l.leaving[server.Name]
 		earlier, known := before[server.Name]
 		delete(before, server.Name)
-		if !known || !earlier.same(server) {
+		if !known || !earlier.equal(server) {
 			changed = true
 		}
 		// Each read reports the same end a little differently.
-		if old := l.warmAt[server.Name]; known && until.Sub(old).Abs() < coldStep {
+		if old := l.warmAt[server.Name]; known && until.Sub(old).Abs() < minWarmingChange {
 			until = old
 		} else if known && (until.After(at) || old.After(at)) {
 			changed = true
@@ -97,7 +98,7 @@
 	}
 	for name := range before {
 		changed = true
-		l.gone[name] = at
+		l.removed[name] = at
 	}
 	l.forget(at)
 	l.at, l.servers, l.warmAt = at, next, warmAt
@@ -105,27 +106,27 @@
 }
 
 // forget drops the removed servers whose retention has passed.
-func (l *Listing) forget(now time.Time) {
-	for name, removed := range l.gone {
-		if now.Sub(removed) > goneKept {
-			delete(l.gone, name)
+func (l *ServerList) forget(now time.Time) {
+	for name, removed := range l.removed {
+		if now.Sub(removed) > removedRetention {
+			delete(l.removed, name)
 			delete(l.leaving, name)
 		}
 	}
 }
 
 // Confirm notes that the list was read again at a moment and had not changed.
-func (l *Listing) Confirm(at time.Time) {
+func (l *ServerList) Confirm(at time.Time) {
 	if !l.at.IsZero() && at.After(l.at) {
 		l.at = at
 	}
 }
 
 // At is when the list was read; zero if it never was.
-func (l *Listing) At() time.Time { return l.at }
+func (l *ServerList) At() time.Time { return l.at }
 
 // Servers is the list, with each server's warming as it is now.
-func (l *Listing) Servers(now time.Time) []Server {
+func (l *ServerList) Servers(now time.Time) []Server {
 	servers := slices.Clone(l.servers)
 	for position := range servers {
 		servers[position].Warming = max(0, l.warmAt[servers[position].Name].Sub(now))
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -33,7 +33,7 @@
 	number          uint64
 	configurationAt Version
 	revision        uint64
-	wall            time.Time
+	now             time.Time
 	// accepted tells when each order was accepted, by the model's own clock.
 	accepted map[string]time.Time
 	// winners are the orders that were accepted on each base.
@@ -42,8 +42,8 @@
 }
 
 func newChangeModel() *changeModel {
-	model := &changeModel{state: NewState(), wall: time.Unix(2_000_000_000, 0), accepted: map[string]time.Time{}, winners: map[uint64]string{}}
-	_ = AdvanceHorizon(model.wall, 0)(model.state, Version{}, Version{})
+	model := &changeModel{state: NewState(), now: time.Unix(2_000_000_000, 0), accepted: map[string]time.Time{}, winners: map[uint64]string{}}
+	_ = AdvanceHorizon(model.now, 0)(model.state, Version{}, Version{})
 	return model
 }
 
@@ -104,8 +104,8 @@
 			"takeover": func(t *rapid.T) { model.restart(t) },
 			"time": func(t *rapid.T) {
 				passed := time.Duration(rapid.IntRange(1, 240).Draw(t, "seconds")) * time.Second
-				model.wall = model.wall.Add(passed)
-				_ = AdvanceHorizon(model.wall, 2*passed)(model.state, Version{}, Version{})
+				model.now = model.now.Add(passed)
+				_ = AdvanceHorizon(model.now, 2*passed)(model.state, Version{}, Version{})
 			},
 		})
 	})
@@ -117,8 +117,8 @@
 	before := c.configurationAt
 	err := c.submit(sent)
 	switch {
-	case taken && c.wall.Sub(at) < ChangeRetention && err != nil:
-		t.Fatalf("%s was accepted %v ago and is refused: %v", sent.id(), c.wall.Sub(at), err)
+	case taken && c.now.Sub(at) < ChangeRetention && err != nil:
+		t.Fatalf("%s was accepted %v ago and is refused: %v", sent.id(), c.now.Sub(at), err)
 	case taken && c.configurationAt != before:
 		t.Fatalf("%s was made twice", sent.id())
 	case taken || err != nil:
@@ -130,7 +130,7 @@
 	if sent.builds != c.revision {
 		t.Fatalf("%s was accepted on %d", sent.id(), c.revision)
 	}
-	c.accepted[sent.id()], c.winners[sent.builds] = c.wall, sent.id()
+	c.accepted[sent.id()], c.winners[sent.builds] = c.now, sent.id()
 	c.revision = sent.gives
 	c.orders = append(c.orders, sent)
 }
@@ -143,8 +143,8 @@
 		t.Fatal(err)
 	}
 	for number := range MaxChangeRecords - 1 {
-		note := ChangeRecord{ID: fmt.Sprint("other-", number), At: model.state.changeTime()}
-		model.state.Changes = append(model.state.Changes, note)
+		record := ChangeRecord{ID: fmt.Sprint("other-", number), At: model.state.changeTime()}
+		model.state.Changes = append(model.state.Changes, record)
 	}
 	next := order{builds: 1, gives: 2}
 	if err := model.submit(next); failure.CodeOf(err) != failure.Busy {
@@ -153,7 +153,7 @@
 	if err := model.submit(first); err != nil {
 		t.Errorf("the first one, sent again: %v", err)
 	}
-	later := model.wall.Add(ChangeRetention + time.Minute)
+	later := model.now.Add(ChangeRetention + time.Minute)
 	_ = AdvanceHorizon(later, time.Hour)(model.state, Version{}, Version{})
 	if err := model.submit(next); err != nil {
 		t.Errorf("after the retention: %v", err)
--- a/internal/replication/claims.go
+++ b/internal/replication/claims.go
@@ -20,19 +20,19 @@
 // An id is never claimed twice: claims are dropped only behind the horizon, and an id from
 // before the horizon is refused as TooOld. One from the future is refused as TooNew, since
 // its claim would be kept too long; before there is a horizon the code is NoPrimary.
-func ClaimRequest(made time.Time, entry codec.Entry) Change {
+func ClaimRequest(madeAt time.Time, entry codec.Entry) Change {
 	return func(state *State, _, _ Version) error {
 		if state.Horizon.IsZero() {
 			return failure.New(failure.NoPrimary, "the larder was formed a moment ago; ask again")
 		}
-		if made.Before(state.Horizon) {
+		if madeAt.Before(state.Horizon) {
 			return failure.New(failure.TooOld,
 				"inquiries that may not be repeated are remembered from "+state.Horizon.UTC().Format(time.RFC3339))
 		}
-		if made.After(state.Horizon.Add(ClaimRetention + time.Hour)) {
+		if madeAt.After(state.Horizon.Add(ClaimRetention + time.Hour)) {
 			return failure.New(failure.TooNew, "the inquiry's id is from the future")
 		}
-		section := claimsSectionName(made)
+		section := claimsSectionName(madeAt)
 		if record, found := state.Claims[section][entry.Request]; found {
 			earlier, err := codec.DecodeEntry(record)
 			if err != nil {
@@ -93,8 +93,8 @@
 const ClaimSpan = 5 * time.Second
 
 // claimsSectionName is the section for ids made at a moment.
-func claimsSectionName(made time.Time) string {
-	return ClaimsPrefix + strconv.FormatInt(made.UnixMilli()/ClaimSpan.Milliseconds(), 10)
+func claimsSectionName(madeAt time.Time) string {
+	return ClaimsPrefix + strconv.FormatInt(madeAt.UnixMilli()/ClaimSpan.Milliseconds(), 10)
 }
 
 // claimsSectionEnd is the moment after the last id of a section.
--- a/internal/replication/configuration.go
+++ b/internal/replication/configuration.go
@@ -41,7 +41,7 @@
 // configuration is not checked between the other changes.
 //
 // The codes: VersionConflict when an expected version is given and is not the current one;
-// Moved when a large configuration is no longer at the version the edit was prepared for;
+// ConfigurationMoved when a large configuration is no longer at the version the edit was prepared for;
 // Duplicate when another change was accepted under the id; Busy when there are
 // MaxChangeRecords; and those of the edit and of the check.
 func ChangeConfiguration(
@@ -65,7 +65,7 @@
 		}
 		if !prepared.prepared || prepared.base != configurationVersion {
 			if prepared.prepared && len(state.Configuration) >= LargeConfiguration {
-				return failure.New(failure.Moved, configurationVersion.String())
+				return failure.New(failure.ConfigurationMoved, configurationVersion.String())
 			}
 			prepared = PrepareConfiguration(configurationVersion, state.Configuration, edit, false)
 		}
--- a/internal/replication/fuzz_test.go
+++ b/internal/replication/fuzz_test.go
@@ -9,11 +9,11 @@
 // is not whole says so.
 func FuzzFiles(fuzzing *testing.F) {
 	storage := newMemoryStorage()
-	copied, err := OpenLocalReplica(storage)
+	replica, err := OpenLocalReplica(storage)
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
-	if err := copied.Write(Batch{Version: Version{1, 1}, Sections: map[string]Section{ConfigurationSection: {Version: Version{1, 1}, Content: []byte(`{}`)}}}); err != nil {
+	if err := replica.Write(Batch{Version: Version{1, 1}, Sections: map[string]Section{ConfigurationSection: {Version: Version{1, 1}, Content: []byte(`{}`)}}}); err != nil {
 		fuzzing.Fatal(err)
 	}
 	for name, content := range storage.files {
--- a/internal/replication/localreplica_test.go
+++ b/internal/replication/localreplica_test.go
@@ -63,24 +63,24 @@
 	p.loses = false
 }
 
-// copyModel is a copy on such a folder, and the contents that it may have after its power
+// replicaModel is a copy on such a folder, and the contents that it may have after its power
 // was lost: the last that was synced, or one whose sync did not return.
-type copyModel struct {
+type replicaModel struct {
 	storage *powerStorage
-	copied  *LocalReplica
+	replica *LocalReplica
 	synced  map[string]string
 	at      Version
 	// perhaps is the content of a write that lost its power, by its version.
-	perhaps map[string]string
-	later   Version
-	number  uint64
-	epoch   uint64
+	uncertain   map[string]string
+	uncertainAt Version
+	number      uint64
+	epoch       uint64
 	// history is what each version holds that leads to the present one.
 	history map[Version]map[string]string
 }
 
 // settle takes a version as the present one; those after it never were.
-func (c *copyModel) settle(content map[string]string, version Version) {
+func (c *replicaModel) commit(content map[string]string, version Version) {
 	c.synced, c.at = content, version
 	for other := range c.history {
 		if version.Before(other) {
@@ -90,44 +90,44 @@
 	c.history[version] = content
 }
 
-func (c *copyModel) content() map[string]string {
+func (c *replicaModel) content() map[string]string {
 	contents := map[string]string{}
-	for name, section := range c.copied.Sections() {
+	for name, section := range c.replica.Sections() {
 		contents[name] = string(section.Content)
 	}
 	return contents
 }
 
-func (c *copyModel) open(t *rapid.T) {
-	copied, err := OpenLocalReplica(c.storage)
+func (c *replicaModel) open(t *rapid.T) {
+	replica, err := OpenLocalReplica(c.storage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.copied = copied
+	c.replica = replica
 	got := c.content()
 	switch {
-	case copied.Damage() != "":
-		t.Fatalf("after a loss of power: %s", copied.Damage())
-	case copied.Version() == c.at && maps.Equal(got, c.synced):
-	case c.perhaps != nil && copied.Version() == c.later && maps.Equal(got, c.perhaps):
-		c.settle(c.perhaps, c.later)
+	case replica.Damage() != "":
+		t.Fatalf("after a loss of power: %s", replica.Damage())
+	case replica.Version() == c.at && maps.Equal(got, c.synced):
+	case c.uncertain != nil && replica.Version() == c.uncertainAt && maps.Equal(got, c.uncertain):
+		c.commit(c.uncertain, c.uncertainAt)
 	default:
-		t.Fatalf("%s %v after a loss of power, and %s %v was synced", copied.Version(), got, c.at, c.synced)
+		t.Fatalf("%s %v after a loss of power, and %s %v was synced", replica.Version(), got, c.at, c.synced)
 	}
-	c.perhaps = nil
+	c.uncertain = nil
 }
 
 // write keeps a batch or a snapshot, during which the power may go.
-func (c *copyModel) write(t *rapid.T, next map[string]string, version Version, keep func() error) {
+func (c *replicaModel) write(t *rapid.T, next map[string]string, version Version, keep func() error) {
 	c.storage.loses = rapid.IntRange(0, 4).Draw(t, "power") == 0
 	c.storage.keeps = rapid.Bool().Draw(t, "kept")
 	if err := keep(); err != nil {
-		c.perhaps, c.later = next, version
+		c.uncertain, c.uncertainAt = next, version
 		c.storage.restore(t)
 		c.open(t)
 		return
 	}
-	c.settle(next, version)
+	c.commit(next, version)
 }
 
 // TestACopyOutlivesEveryLossOfPower draws writes, snapshots of an older version than the
@@ -135,7 +135,7 @@
 // that bring some removed files back: the copy opens whole, with all that was synced.
 func TestACopyOutlivesEveryLossOfPower(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := &copyModel{storage: newPowerStorage(), synced: map[string]string{}, epoch: 1, history: map[Version]map[string]string{}}
+		model := &replicaModel{storage: newPowerStorage(), synced: map[string]string{}, epoch: 1, history: map[Version]map[string]string{}}
 		model.open(t)
 		sections := []string{"a", "b", "c", "d"}
 		t.Repeat(map[string]func(*rapid.T){
@@ -150,7 +150,7 @@
 						batch.Sections[name] = Section{Version: version, Content: []byte(next[name])}
 					}
 				}
-				model.write(t, next, version, func() error { return model.copied.Write(batch) })
+				model.write(t, next, version, func() error { return model.replica.Write(batch) })
 			},
 			"snapshot": func(t *rapid.T) {
 				// A version has one content: that of the present one, or of one before it.
@@ -168,7 +168,7 @@
 					snapshot.Sections[name] = Section{Version: version, Content: []byte(content)}
 				}
 				model.epoch++
-				model.write(t, next, version, func() error { return model.copied.Restore(snapshot) })
+				model.write(t, next, version, func() error { return model.replica.Restore(snapshot) })
 			},
 			"power": func(t *rapid.T) {
 				model.storage.restore(t)
@@ -188,24 +188,24 @@
 	)
 	model := newChangeModel()
 	storage := newMemoryStorage()
-	copied, err := OpenLocalReplica(storage)
+	replica, err := OpenLocalReplica(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for number := 1; number <= 10_000; number++ {
 		sent := order{builds: model.revision, gives: model.revision + 1}
-		version := Version{Epoch: 1, Number: copied.Version().Number + 1}
+		version := Version{Epoch: 1, Number: replica.Version().Number + 1}
 		if err := ChangeConfiguration(sent.id(), sent.id(), nil, PreparedConfiguration{}, sent.apply)(model.state, version, model.configurationAt); err != nil {
 			t.Fatal(err)
 		}
 		model.configurationAt, model.revision = version, sent.gives
-		model.wall = model.wall.Add(15 * time.Second)
-		_ = AdvanceHorizon(model.wall, 30*time.Second)(model.state, version, version)
+		model.now = model.now.Add(15 * time.Second)
+		_ = AdvanceHorizon(model.now, 30*time.Second)(model.state, version, version)
 		sections, removed, err := model.state.encodeDirty(version)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := copied.Write(Batch{Version: version, Base: copied.Version(), Sections: sections, Removed: removed}); err != nil {
+		if err := replica.Write(Batch{Version: version, Base: replica.Version(), Sections: sections, Removed: removed}); err != nil {
 			t.Fatal(err)
 		}
 		if number != 100 && number != 1000 && number != 10_000 {
@@ -219,7 +219,7 @@
 		again, err := OpenLocalReplica(storage)
 		took := time.Since(began)
 		t.Logf("after %d changes: %d files, %d bytes, opened in %v", number, len(storage.files), bytes, took)
-		if err != nil || again.Damage() != "" || again.Version() != copied.Version() {
+		if err != nil || again.Damage() != "" || again.Version() != replica.Version() {
 			t.Fatalf("%v %s %s", err, again.Damage(), again.Version())
 		}
 		if len(storage.files) > mostFiles || bytes > mostBytes || took > mostStart {
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -9,7 +9,7 @@
 )
 
 // Done is called with a change's outcome: the version it was committed in, or why it was
-// not. The code OutcomeUnknown means that it may have been, or may still be, committed.
+// not. The code Unknown means that it may have been, or may still be, committed.
 type Done func(version Version, err error)
 
 // pendingChange is a submitted change that was not answered yet. Its err is set once it has
@@ -107,7 +107,7 @@
 	return s.leading
 }
 
-// StepDown ends being primary. The changes in flight have the code OutcomeUnknown, since their
+// StepDown ends being primary. The changes in flight have the code Unknown, since their
 // batch may be on some disk; those pending were not accepted and have NotPrimary.
 func (s *Store) StepDown() {
 	s.mutex.Lock()
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -19,11 +19,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := OpenLocalReplica(newMemoryStorage())
+	local, err := OpenLocalReplica(newMemoryStorage())
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := NewStore(copied, witness)
+	store := NewStore(local, witness)
 	if err := store.Lead(1); err != nil {
 		t.Fatal(err)
 	}
@@ -212,11 +212,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := OpenLocalReplica(newMemoryStorage())
+	local, err := OpenLocalReplica(newMemoryStorage())
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := NewStore(copied, witness)
+	store := NewStore(local, witness)
 	if err := store.Replicate(4, Batch{Version: Version{4, 1}}); err != nil {
 		t.Fatal(err)
 	}
