--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -11,19 +11,19 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// order is one operator's change: what it builds on, and a word that tells it from others.
+// order is one operator's change: what it builds on, and a number that tells it from others.
 type order struct {
 	builds, gives uint64
-	word          int
+	variant       int
 }
 
 func (o order) id() string {
-	return fmt.Sprintf("order-%d-%d-%d", o.builds, o.gives, o.word)
+	return fmt.Sprintf("order-%d-%d-%d", o.builds, o.gives, o.variant)
 }
 
 func (o order) apply(text []byte) ([]byte, error) {
 	return config.Revise(text, o.builds, func([]byte) ([]byte, error) {
-		return fmt.Appendf(nil, `{"revision":%d,"annotations":{"word":%d}}`, o.gives, o.word), nil
+		return fmt.Appendf(nil, `{"revision":%d,"annotations":{"word":%d}}`, o.gives, o.variant), nil
 	})
 }
 
@@ -42,7 +42,12 @@
 }
 
 func newChangeModel() *changeModel {
-	model := &changeModel{state: NewState(), now: time.Unix(2_000_000_000, 0), accepted: map[string]time.Time{}, winners: map[uint64]string{}}
+	model := &changeModel{
+		state:    NewState(),
+		now:      time.Unix(2_000_000_000, 0),
+		accepted: map[string]time.Time{},
+		winners:  map[uint64]string{},
+	}
 	_ = AdvanceHorizon(model.now, 0)(model.state, Version{}, Version{})
 	return model
 }
@@ -82,7 +87,11 @@
 		model := newChangeModel()
 		t.Repeat(map[string]func(*rapid.T){
 			"new order": func(t *rapid.T) {
-				sent := order{builds: model.revision, gives: model.revision + rapid.Uint64Range(1, 3).Draw(t, "step"), word: rapid.IntRange(0, 5).Draw(t, "word")}
+				sent := order{
+					builds:  model.revision,
+					gives:   model.revision + rapid.Uint64Range(1, 3).Draw(t, "step"),
+					variant: rapid.IntRange(0, 5).Draw(t, "word"),
+				}
 				if rapid.IntRange(0, 3).Draw(t, "base") == 0 && len(model.orders) > 0 {
 					sent.builds = model.orders[rapid.IntRange(0, len(model.orders)-1).Draw(t, "old")].builds
 				}
@@ -98,7 +107,7 @@
 					t.Skip("once in a history")
 				}
 				for range 300 {
-					model.send(t, order{builds: model.revision, gives: model.revision + 1, word: 9})
+					model.send(t, order{builds: model.revision, gives: model.revision + 1, variant: 9})
 				}
 			},
 			"takeover": func(t *rapid.T) { model.restart(t) },
--- a/internal/replication/fuzz_test.go
+++ b/internal/replication/fuzz_test.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// FuzzFiles opens disks whose files may hold anything: no panic, and a copy that
-// is not whole says so.
+// FuzzFiles opens disks whose files may hold anything: no panic, and a replica that is not
+// complete says so.
 func FuzzFiles(fuzzing *testing.F) {
 	storage := newMemoryStorage()
 	replica, err := OpenLocalReplica(storage)
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
-	if err := replica.Write(Batch{Version: Version{1, 1}, Sections: map[string]Section{ConfigurationSection: {Version: Version{1, 1}, Content: []byte(`{}`)}}}); err != nil {
+	section := Section{Version: Version{1, 1}, Content: []byte(`{}`)}
+	batch := Batch{Version: Version{1, 1}, Sections: map[string]Section{ConfigurationSection: section}}
+	if err := replica.Write(batch); err != nil {
 		fuzzing.Fatal(err)
 	}
 	for name, content := range storage.files {
@@ -24,18 +26,18 @@
 	fuzzing.Fuzz(func(t *testing.T, name string, content []byte) {
 		disk := newMemoryStorage()
 		disk.files[name] = content
-		copied, err := OpenLocalReplica(disk)
+		replica, err := OpenLocalReplica(disk)
 		if err != nil {
 			return
 		}
-		if copied.Damage() == "" {
-			for section := range copied.Sections() {
-				if _, found := copied.Sections()[section]; !found {
+		if replica.Damage() == "" {
+			for section := range replica.Sections() {
+				if _, found := replica.Sections()[section]; !found {
 					t.Fatalf("%s is missing from an undamaged copy", section)
 				}
 			}
 		}
-		_, _ = ReadState(copied.Sections())
+		_, _ = ReadState(replica.Sections())
 		if witness, _, err := OpenWitness(time.Unix(0, 0), disk, Replica{Address: "a"}, "a/1"); err == nil {
 			_, _ = witness.Prepare(time.Unix(9, 0), 7, "b")
 		}
--- a/internal/replication/localreplica_test.go
+++ b/internal/replication/localreplica_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// powerStorage is a folder whose machine may lose power: a file is there for certain once
-// Save has returned; a file that was removed may come back, each by itself.
+// powerStorage is a directory whose machine may lose power: a file is there for certain once
+// Save has returned; each removed file may come back.
 type powerStorage struct {
 	files, removed map[string][]byte
 	// loses has the power go in the middle of the next Save, before it returns.
@@ -79,7 +79,7 @@
 	history map[Version]map[string]string
 }
 
-// settle takes a version as the present one; those after it never were.
+// commit takes a version as the present one; those after it never were.
 func (c *replicaModel) commit(content map[string]string, version Version) {
 	c.synced, c.at = content, version
 	for other := range c.history {
@@ -117,7 +117,7 @@
 	c.uncertain = nil
 }
 
-// write keeps a batch or a snapshot, during which the power may go.
+// write saves a batch or a snapshot, during which the power may fail.
 func (c *replicaModel) write(t *rapid.T, next map[string]string, version Version, keep func() error) {
 	c.storage.loses = rapid.IntRange(0, 4).Draw(t, "power") == 0
 	c.storage.keeps = rapid.Bool().Draw(t, "kept")
@@ -135,7 +135,12 @@
 // that bring some removed files back: the copy opens whole, with all that was synced.
 func TestACopyOutlivesEveryLossOfPower(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := &replicaModel{storage: newPowerStorage(), synced: map[string]string{}, epoch: 1, history: map[Version]map[string]string{}}
+		model := &replicaModel{
+			storage: newPowerStorage(),
+			synced:  map[string]string{},
+			epoch:   1,
+			history: map[Version]map[string]string{},
+		}
 		model.open(t)
 		sections := []string{"a", "b", "c", "d"}
 		t.Repeat(map[string]func(*rapid.T){
@@ -195,7 +200,8 @@
 	for number := 1; number <= 10_000; number++ {
 		sent := order{builds: model.revision, gives: model.revision + 1}
 		version := Version{Epoch: 1, Number: replica.Version().Number + 1}
-		if err := ChangeConfiguration(sent.id(), sent.id(), nil, PreparedConfiguration{}, sent.apply)(model.state, version, model.configurationAt); err != nil {
+		change := ChangeConfiguration(sent.id(), sent.id(), nil, PreparedConfiguration{}, sent.apply)
+		if err := change(model.state, version, model.configurationAt); err != nil {
 			t.Fatal(err)
 		}
 		model.configurationAt, model.revision = version, sent.gives
@@ -205,7 +211,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := replica.Write(Batch{Version: version, Base: replica.Version(), Sections: sections, Removed: removed}); err != nil {
+		batch := Batch{Version: version, Base: replica.Version(), Sections: sections, Removed: removed}
+		if err := replica.Write(batch); err != nil {
 			t.Fatal(err)
 		}
 		if number != 100 && number != 1000 && number != 10_000 {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -1,10 +1,11 @@
 package replication
 
-// Identity names one disk. A process that finds its disk blank takes a new one.
+// Identity names one disk. A process that finds its disk blank takes a new identity, so that
+// a disk that was lost never counts as one that promised or stored something.
 type Identity string
 
-// Replica is a controller in a membership: whose disk, and where it is reached. The
-// zone is told only where more than one loss is to be borne.
+// Replica is a controller in a membership: whose disk, and where it is reached. Zone is set
+// only where more than one loss is to be survived.
 type Replica struct {
 	Identity Identity `msgpack:"identity" json:"identity"`
 	Address  string   `msgpack:"address" json:"address"`
@@ -12,5 +13,5 @@
 	Zone     string   `msgpack:"district,omitempty" json:"district,omitempty"`
 }
 
-// Empty tells whether nobody has the seat.
+// Empty tells whether there is no such replica.
 func (r Replica) Empty() bool { return r.Identity == "" }
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -70,7 +70,9 @@
 	batch, _ := store.NextBatch()
 	outcomes := map[failure.Code]int{}
 	for number := range 100 {
-		store.Submit(claim(fmt.Sprint(number%50), fmt.Sprint(number)), func(_ Version, err error) { outcomes[failure.CodeOf(err)]++ })
+		store.Submit(claim(fmt.Sprint(number%50), fmt.Sprint(number)), func(_ Version, err error) {
+			outcomes[failure.CodeOf(err)]++
+		})
 	}
 	if again, _ := store.NextBatch(); again.Version != batch.Version {
 		t.Fatalf("a second batch is under way: %s and %s", batch.Version, again.Version)
@@ -101,7 +103,8 @@
 	if err := do(t, store, first); err != nil || store.View().VersionOf(ConfigurationSection) != version {
 		t.Errorf("the same change again: %v, version %s became %s", err, version, store.View().VersionOf(ConfigurationSection))
 	}
-	if err := do(t, store, ChangeConfiguration("change-1", "digest-2", &version, PreparedConfiguration{}, put(`{}`))); failure.CodeOf(err) != failure.Duplicate {
+	other := ChangeConfiguration("change-1", "digest-2", &version, PreparedConfiguration{}, put(`{}`))
+	if err := do(t, store, other); failure.CodeOf(err) != failure.Duplicate {
 		t.Errorf("another change under the same id: %v", err)
 	}
 }
@@ -113,7 +116,15 @@
 	if err := do(t, store, claim("early", "n")); failure.CodeOf(err) != failure.NoPrimary {
 		t.Errorf("a claim before there is a horizon: %v", err)
 	}
-	for _, step := range []Change{AdvanceHorizon(evening, 0), claim("one", "n"), claim("one", "n"), AdvanceHorizon(evening.Add(48*time.Hour), 2*time.Second), claim("two", "n"), AdvanceHorizon(evening.Add(-48*time.Hour), 2*time.Second), claim("three", "n")} {
+	for _, step := range []Change{
+		AdvanceHorizon(evening, 0),
+		claim("one", "n"),
+		claim("one", "n"),
+		AdvanceHorizon(evening.Add(48*time.Hour), 2*time.Second),
+		claim("two", "n"),
+		AdvanceHorizon(evening.Add(-48*time.Hour), 2*time.Second),
+		claim("three", "n"),
+	} {
 		if err := do(t, store, step); err != nil {
 			t.Fatal(err)
 		}
@@ -121,7 +132,8 @@
 	if err := do(t, store, claim("one", "another arrival")); failure.CodeOf(err) != failure.Duplicate {
 		t.Errorf("after the jumps a used id is taken: %v", err)
 	}
-	if err := do(t, store, ClaimRequest(evening.Add(-ClaimRetention-time.Minute), codec.Entry{Request: "old"})); failure.CodeOf(err) != failure.TooOld {
+	old := ClaimRequest(evening.Add(-ClaimRetention-time.Minute), codec.Entry{Request: "old"})
+	if err := do(t, store, old); failure.CodeOf(err) != failure.TooOld {
 		t.Errorf("an id older than the horizon: %v", err)
 	}
 	for range 400 {
@@ -131,7 +143,7 @@
 	}
 	for name := range store.View().Sections {
 		if len(name) > len(ClaimsPrefix) && name[:len(ClaimsPrefix)] == ClaimsPrefix {
-			t.Errorf("the drawer %s is kept for ever", name)
+			t.Errorf("the section %s is kept for ever", name)
 		}
 	}
 	if err := do(t, store, claim("one", "much later")); failure.CodeOf(err) != failure.TooOld {
@@ -178,19 +190,21 @@
 	if err := do(t, store, member("c", older)); err != nil || len(enabled()) != len(supported) {
 		t.Errorf("a flag was disabled again: %v", enabled())
 	}
-	// A restricted node gets no duty, and may write no orders.
+	// A restricted node gets no role, and may write no orders.
 	if err := do(t, store, GrantRoles([]lease.Role{{Key: lease.PartsKey, Holder: "c"}}, nil)); err != nil {
 		t.Fatal(err)
 	}
 	state, _ := store.View().State()
 	if _, found := state.Roles.Roles[lease.PartsKey]; found {
-		t.Error("a restricted node was given a duty")
+		t.Error("a restricted node was given a role")
 	}
-	if err := do(t, store, IssueOrders(lease.Role{}, []codec.Order{{Server: "s", Part: "decode"}}, older)); failure.CodeOf(err) != failure.Restricted {
+	restricted := IssueOrders(lease.Role{}, []codec.Order{{Server: "s", Part: "decode"}}, older)
+	if err := do(t, store, restricted); failure.CodeOf(err) != failure.Restricted {
 		t.Errorf("a restricted node wrote orders: %v", err)
 	}
-	if err := do(t, store, IssueOrders(lease.Role{Key: lease.PartsKey, Holder: "x", FencingToken: 9}, nil, supported)); failure.CodeOf(err) != failure.NotHolder {
-		t.Errorf("orders under a fence that is not in force: %v", err)
+	deposed := IssueOrders(lease.Role{Key: lease.PartsKey, Holder: "x", FencingToken: 9}, nil, supported)
+	if err := do(t, store, deposed); failure.CodeOf(err) != failure.NotHolder {
+		t.Errorf("orders under a fencing token that is not in force: %v", err)
 	}
 }
 
@@ -199,7 +213,8 @@
 func TestConfigurationIsCheckedBeforeItIsTaken(t *testing.T) {
 	state := NewState()
 	before := string(state.Configuration)
-	change := ChangeConfiguration("one", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) { return []byte(`{"services":{"a":{"tries":0}}}`), nil })
+	edit := func([]byte) ([]byte, error) { return []byte(`{"services":{"a":{"tries":0}}}`), nil }
+	change := ChangeConfiguration("one", "", nil, PreparedConfiguration{}, edit)
 	if err := change(state, Version{1, 2}, Version{}); err == nil || string(state.Configuration) != before || len(state.Changes) != 0 {
 		t.Errorf("it was taken: %v, %s", err, state.Configuration)
 	}
@@ -229,16 +244,31 @@
 // another holder meanwhile.
 func TestServersAreForgotten(t *testing.T) {
 	first, second := lease.ServerKey("a"), lease.ServerKey("b")
-	state := &State{Roles: Roles{Roles: map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 2}}, FencingToken: 2},
-		Orders: Orders{Records: map[string]codec.Record{"a": {}, "b": {}, "c": {}}}, dirty: map[string]bool{}}
-	seen := map[string]lease.Role{first: {Key: first, FencingToken: 1}, second: {Key: second, FencingToken: 1}}
+	state := &State{
+		Roles: Roles{
+			Roles: map[string]lease.Role{
+				first:  {Key: first, FencingToken: 1},
+				second: {Key: second, FencingToken: 2},
+			},
+			FencingToken: 2,
+		},
+		Orders: Orders{Records: map[string]codec.Record{"a": {}, "b": {}, "c": {}}},
+		dirty:  map[string]bool{},
+	}
+	seen := map[string]lease.Role{
+		first:  {Key: first, FencingToken: 1},
+		second: {Key: second, FencingToken: 1},
+	}
 	if err := RemoveServers([]string{"a", "b", "c", "d"}, seen)(state, Version{}, Version{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, found := state.Roles.Roles[first]; found || state.Roles.Roles[second].FencingToken != 2 || state.Roles.FencingToken != 2 {
-		t.Errorf("duties: %+v", state.Roles)
+		t.Errorf("roles: %+v", state.Roles)
+	}
+	if _, found := state.Orders.Records["b"]; !found || len(state.Orders.Records) != 1 {
+		t.Errorf("orders: %+v", state.Orders)
 	}
-	if _, found := state.Orders.Records["b"]; !found || len(state.Orders.Records) != 1 || !state.dirty[RolesSection] || !state.dirty[OrdersSection] {
+	if !state.dirty[RolesSection] || !state.dirty[OrdersSection] {
 		t.Errorf("orders: %+v, changed %v", state.Orders, state.dirty)
 	}
 }
