--- a/internal/adapters/proxy/clientconnection.go
+++ b/internal/adapters/proxy/clientconnection.go
@@ -64,9 +64,9 @@
 func (c *clientConnection) timeout(limits config.Limits) time.Duration {
 	switch c.state {
 	case http.StateNew:
-		return limits.HeaderPatience
+		return limits.HeaderTimeout
 	case http.StateIdle:
-		return limits.IdlePatience
+		return limits.IdleTimeout
 	}
 	return bodyTimeout
 }
--- a/internal/adapters/proxy/clientconnection_test.go
+++ b/internal/adapters/proxy/clientconnection_test.go
@@ -73,7 +73,7 @@
 // explore runs all interleavings and counts them, and those in which a request was passed
 // on and its connection closed before the answer.
 func exploreConnection(model *connectionModel, decide dismissalDecision) (interleavings, broken int) {
-	limits := config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}
+	limits := config.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 	now := time.Unix(100, 0)
 	if model.served == servedSteps && model.dismissal == dismissalSteps {
 		if model.passed && model.closed {
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -250,11 +250,11 @@
 func twoRoutes() *config.Configuration {
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
-		LinkBits: 5e11, TokensAChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
+		LinkBitsPerSecond: 5e11, TokensPerChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
 	shares := []config.Share{{Service: "desk", Weight: 1}}
 	configuration.Routes = []config.Route{
-		{Name: "once", Match: config.Match{Host: "calls.example", PathPrefix: "/once/"}, Calls: &config.CallRoute{Shares: shares, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Attempts: 3, Streams: true}},
-		{Name: "again", Match: config.Match{Host: "calls.example", PathPrefix: "/again/"}, Calls: &config.CallRoute{Shares: shares, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Attempts: 3, Streams: true, Resumable: true}},
+		{Name: "once", Match: config.Match{Host: "calls.example", PathPrefix: "/once/"}, Calls: &config.CallRoute{Shares: shares, Timeout: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, MaxAttempts: 3, Streams: true}},
+		{Name: "again", Match: config.Match{Host: "calls.example", PathPrefix: "/again/"}, Calls: &config.CallRoute{Shares: shares, Timeout: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, MaxAttempts: 3, Streams: true, Resumable: true}},
 	}
 	return configuration
 }
--- a/internal/adapters/proxy/frontend_test.go
+++ b/internal/adapters/proxy/frontend_test.go
@@ -93,7 +93,7 @@
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
+	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
 	var ahead atomic.Int64
 	frontend, address, _ := openFrontend(t, sc, func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
 	slow, err := net.Dial("tcp", address)
@@ -176,7 +176,7 @@
 		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderPatience: 3 * time.Second, IdlePatience: 15 * time.Second}}
+	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
 	frontend, address, _ := openFrontend(t, sc, time.Now)
 	client, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/adapters/proxy/handler.go
+++ b/internal/adapters/proxy/handler.go
@@ -67,11 +67,11 @@
 	if limits.BodyBytes == 0 {
 		limits.BodyBytes = defaultBodyBytes
 	}
-	if limits.HeaderPatience == 0 {
-		limits.HeaderPatience = defaultHeaderTimeout
+	if limits.HeaderTimeout == 0 {
+		limits.HeaderTimeout = defaultHeaderTimeout
 	}
-	if limits.IdlePatience == 0 {
-		limits.IdlePatience = defaultIdleTimeout
+	if limits.IdleTimeout == 0 {
+		limits.IdleTimeout = defaultIdleTimeout
 	}
 	return limits
 }
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -59,7 +59,7 @@
 		if entry.decodeDispatched {
 			cost = 2
 		}
-		if entry.attempts >= entry.route.Service.Attempts || !d.budget.Spend(cost) {
+		if entry.attempts >= entry.route.Service.MaxAttempts || !d.budget.Spend(cost) {
 			return d.abort(now, s, entry, failure.BudgetSpent)
 		}
 		entry.decodeDispatched = false
@@ -136,7 +136,7 @@
 		}
 		return d.abort(now, s, entry, failure.Busy)
 	}
-	if retry && (entry.attempts >= entry.route.Service.Attempts || !d.budget.Spend(1)) {
+	if retry && (entry.attempts >= entry.route.Service.MaxAttempts || !d.budget.Spend(1)) {
 		return d.abort(now, s, entry, failure.BudgetSpent)
 	}
 	var decisions []Decision
--- a/internal/auction/dispatcher.go
+++ b/internal/auction/dispatcher.go
@@ -179,7 +179,7 @@
 	if err != nil {
 		return d.refuse(request, err.Code, err.Detail, 0)
 	}
-	if d.inFlight.Load() >= d.maxRequests || d.serviceCount(request.Service).Load() >= int64(route.Service.InFlight) {
+	if d.inFlight.Load() >= d.maxRequests || d.serviceCount(request.Service).Load() >= int64(route.Service.MaxInFlight) {
 		return d.refuse(request, failure.Busy, "the courier has as many inquiries as it takes", d.market.RetryAfter(now))
 	}
 	admitted := *request
--- a/internal/auction/routes.go
+++ b/internal/auction/routes.go
@@ -99,7 +99,7 @@
 	need(match.Prefix != "", needPrefix, match.Prefix, 0)
 	need(match.PromptTokensAtLeast > 0, needAtLeast, "", match.PromptTokensAtLeast)
 	need(match.PromptTokensBelow > 0, needBelow, "", match.PromptTokensBelow)
-	decision := &RouteDecision{Route: route.Name, Service: c.service, HomeFirst: route.To.HomeFirst}
+	decision := &RouteDecision{Route: route.Name, Service: c.service, HomeFirst: route.To.PreferOwnZone}
 	code := actSend
 	if route.To.Refuse {
 		code = actRefuse
@@ -165,7 +165,7 @@
 // deadline is the deadline of a request that came now: the requested one, but not later
 // than the service's time limit.
 func (r *RouteDecision) deadline(now, requested time.Time) time.Time {
-	latest := now.Add(r.Service.Limit)
+	latest := now.Add(r.Service.Timeout)
 	if requested.IsZero() || requested.After(latest) {
 		return latest
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -135,9 +135,9 @@
 		case "body_bytes":
 			c.integer(&limits.BodyBytes, 1, 1<<40, value, at)
 		case "header_patience_milliseconds":
-			c.milliseconds(&limits.HeaderPatience, 1, LongestCallLimit, value, at)
+			c.milliseconds(&limits.HeaderTimeout, 1, MaxCallTimeout, value, at)
 		case "idle_patience_milliseconds":
-			c.milliseconds(&limits.IdlePatience, 1, LongestCallLimit, value, at)
+			c.milliseconds(&limits.IdleTimeout, 1, MaxCallTimeout, value, at)
 		default:
 			return false
 		}
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -28,10 +28,10 @@
 	// HeaderBytes and BodyBytes bound the sizes of a request's header and body.
 	HeaderBytes int
 	BodyBytes   int
-	// HeaderPatience is how long a caller may take to send a header.
-	HeaderPatience time.Duration
-	// IdlePatience is how long a connection may stay without a request.
-	IdlePatience time.Duration
+	// HeaderTimeout is how long a caller may take to send a header.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long a connection may stay without a request.
+	IdleTimeout time.Duration
 }
 
 // Empty is the configuration of a fleet that was given none: it has no
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -24,19 +24,19 @@
 type CallRoute struct {
 	// Shares are the services that serve the calls, with their weights.
 	Shares []Share
-	// Limit bounds a call from its arrival to its reply; at least a millisecond.
-	Limit time.Duration
-	// Aim is the time within which a reply has its full worth; zero means
+	// Timeout bounds a call from its arrival to its reply; at least a millisecond.
+	Timeout time.Duration
+	// LatencyTarget is the time within which a reply has its full worth; zero means
 	// none was stated.
-	Aim time.Duration
-	// Gap is the longest interval between two events of a stream; zero means
+	LatencyTarget time.Duration
+	// MaxEventGap is the longest interval between two events of a stream; zero means
 	// none was stated.
-	Gap time.Duration
-	// Rank is the urgency among the routes: 0 is the most urgent.
-	Rank int
-	// Attempts is how many servers one call may be sent to, the first included;
+	MaxEventGap time.Duration
+	// Priority is the urgency among the routes: 0 is the most urgent.
+	Priority int
+	// MaxAttempts is how many servers one call may be sent to, the first included;
 	// default DefaultAttempts.
-	Attempts int
+	MaxAttempts int
 	// Streams states that replies are streams of events.
 	Streams bool
 	// Idempotent states that a call may run more than once.
@@ -87,14 +87,14 @@
 type Target struct {
 	// Zones are those whose servers may be used; none named means all.
 	Zones []string
-	// HomeFirst prefers servers in the router's own zone; default true.
-	HomeFirst bool
+	// PreferOwnZone prefers servers in the router's own zone; default true.
+	PreferOwnZone bool
 	// Refuse refuses the request; no zones may be named with it.
 	Refuse bool
 }
 
 func (c *checker) route(name string, value *fastjson.Value, at pointer) {
-	route := Route{Name: name, To: Target{HomeFirst: true}}
+	route := Route{Name: name, To: Target{PreferOwnZone: true}}
 	seenTo := false
 	if !c.fields(value, at, func(name string, value *fastjson.Value, at pointer) bool {
 		switch name {
@@ -106,7 +106,7 @@
 			seenTo = true
 			c.target(&route.To, value, at)
 		case "calls":
-			route.Calls = &CallRoute{Attempts: DefaultAttempts}
+			route.Calls = &CallRoute{MaxAttempts: DefaultAttempts}
 			c.calls(route.Calls, value, at)
 		case "annotations":
 			c.annotations(value, at)
@@ -171,15 +171,15 @@
 			c.shares(calls, value, at)
 		case "limit_milliseconds":
 			seenLimit = true
-			c.milliseconds(&calls.Limit, 1, LongestCallLimit, value, at)
+			c.milliseconds(&calls.Timeout, 1, MaxCallTimeout, value, at)
 		case "aim_milliseconds":
-			c.milliseconds(&calls.Aim, 0, LongestCallLimit, value, at)
+			c.milliseconds(&calls.LatencyTarget, 0, MaxCallTimeout, value, at)
 		case "gap_milliseconds":
-			c.milliseconds(&calls.Gap, 0, LongestCallLimit, value, at)
+			c.milliseconds(&calls.MaxEventGap, 0, MaxCallTimeout, value, at)
 		case "rank":
-			c.integer(&calls.Rank, 0, 1_000_000, value, at)
+			c.integer(&calls.Priority, 0, 1_000_000, value, at)
 		case "tries":
-			c.integer(&calls.Attempts, 1, 1_000_000, value, at)
+			c.integer(&calls.MaxAttempts, 1, 1_000_000, value, at)
 		case "streams":
 			c.boolean(&calls.Streams, value, at)
 		case "repeatable":
@@ -268,7 +268,7 @@
 		case "districts":
 			c.names(&target.Zones, value, at)
 		case "home_first":
-			c.boolean(&target.HomeFirst, value, at)
+			c.boolean(&target.PreferOwnZone, value, at)
 		case "refuse":
 			c.boolean(&target.Refuse, value, at)
 		default:
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -34,34 +34,34 @@
 		t.Fatal(err)
 	}
 	wantLimits := Limits{
-		HeaderBytes:    16384,
-		BodyBytes:      4194304,
-		HeaderPatience: 3 * time.Second,
-		IdlePatience:   15 * time.Second,
+		HeaderBytes:   16384,
+		BodyBytes:     4194304,
+		HeaderTimeout: 3 * time.Second,
+		IdleTimeout:   15 * time.Second,
 	}
 	if configuration.Revision != 7 || configuration.Limits != wantLimits {
 		t.Errorf("revision %d, limits %+v", configuration.Revision, configuration.Limits)
 	}
 	wantService := Service{
 		Name:            "desk",
-		Limit:           DefaultLimit,
+		Timeout:         DefaultTimeout,
 		MaxPromptTokens: DefaultMaxPromptTokens,
 		MaxChunks:       DefaultMaxChunks,
-		InFlight:        DefaultInFlight,
-		Attempts:        DefaultAttempts,
+		MaxInFlight:     DefaultInFlight,
+		MaxAttempts:     DefaultAttempts,
 		IDsUsedOnce:     true,
-		Health:          "/health",
+		HealthPath:      "/health",
 		Connections:     360,
-		Warming:         Warming{Length: 3 * time.Second, PerSecond: 12.5},
+		Warming:         Warming{Duration: 3 * time.Second, RequestsPerSecond: 12.5},
 		Engine: Engine{
-			Slots:          64,
-			MemoryTokens:   319972,
-			TokenBytes:     18432,
-			LinkBits:       370e9,
-			TokensAChunk:   9,
-			HandleLifetime: 5 * time.Second,
-			PartChange:     1700 * time.Millisecond,
-			Models:         []string{"m/1"},
+			Slots:             64,
+			MemoryTokens:      319972,
+			TokenBytes:        18432,
+			LinkBitsPerSecond: 370e9,
+			TokensPerChunk:    9,
+			HandleLifetime:    5 * time.Second,
+			RoleChange:        1700 * time.Millisecond,
+			Models:            []string{"m/1"},
 		},
 	}
 	if service := configuration.Services["desk"]; !reflect.DeepEqual(service, wantService) {
@@ -72,16 +72,16 @@
 		t.Errorf("match %+v", route.Match)
 	}
 	wantCalls := CallRoute{
-		Shares:     []Share{{Service: "desk", Weight: 90}, {Service: "desk", Weight: 10}},
-		Limit:      3 * time.Second,
-		Aim:        400 * time.Millisecond,
-		Gap:        250 * time.Millisecond,
-		Rank:       1,
-		Attempts:   2,
-		Streams:    true,
-		Idempotent: true,
-		Resumable:  true,
-		Sticky:     true,
+		Shares:        []Share{{Service: "desk", Weight: 90}, {Service: "desk", Weight: 10}},
+		Timeout:       3 * time.Second,
+		LatencyTarget: 400 * time.Millisecond,
+		MaxEventGap:   250 * time.Millisecond,
+		Priority:      1,
+		MaxAttempts:   2,
+		Streams:       true,
+		Idempotent:    true,
+		Resumable:     true,
+		Sticky:        true,
 	}
 	if !reflect.DeepEqual(*route.Calls, wantCalls) {
 		t.Errorf("calls %+v, not %+v", *route.Calls, wantCalls)
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -9,24 +9,24 @@
 // Service is one kind of streamed request that operators offer.
 type Service struct {
 	Name string
-	// Limit bounds a request from its arrival to its last chunk; default
-	// DefaultLimit, at most LongestLimit.
-	Limit time.Duration
+	// Timeout bounds a request from its arrival to its last chunk; default
+	// DefaultTimeout, at most MaxTimeout.
+	Timeout time.Duration
 	// MaxPromptTokens is the longest prompt that is accepted, in tokens; default
 	// DefaultMaxPromptTokens.
 	MaxPromptTokens int
 	// MaxChunks is the longest reply, in chunks; default DefaultMaxChunks.
 	MaxChunks int
-	// InFlight bounds the service's requests in flight; default DefaultInFlight.
-	InFlight int
-	// Attempts is how many servers one request may be sent to, the first included;
+	// MaxInFlight bounds the service's requests in flight; default DefaultInFlight.
+	MaxInFlight int
+	// MaxAttempts is how many servers one request may be sent to, the first included;
 	// default DefaultAttempts.
-	Attempts int
+	MaxAttempts int
 	// IDsUsedOnce states that clients give every attempt an id of its own: at most one
 	// run then needs no claim.
 	IDsUsedOnce bool
-	// Health is the path at which a server answers health checks; empty means none.
-	Health string
+	// HealthPath is the path at which a server answers health checks; empty means none.
+	HealthPath string
 	// Connections is how many connections each server accepts from all callers together;
 	// zero means unknown.
 	Connections int
@@ -39,8 +39,8 @@
 // Warming says how long a server warms up after its start, and how many requests a
 // second it takes meanwhile from all routers together. Both zero: it does not warm up.
 type Warming struct {
-	Length    time.Duration
-	PerSecond float64
+	Duration          time.Duration
+	RequestsPerSecond float64
 }
 
 // Engine is what operators state of a service's servers. A zero means unknown.
@@ -51,24 +51,24 @@
 	MemoryTokens int
 	// TokenBytes is the size of one token's KV entry, in bytes.
 	TokenBytes int
-	// LinkBits is the bandwidth for transfers of KV entries between servers.
-	LinkBits float64
-	// TokensAChunk is how many tokens a decode server puts into one chunk.
-	TokensAChunk int
+	// LinkBitsPerSecond is the bandwidth for transfers of KV entries between servers.
+	LinkBitsPerSecond float64
+	// TokensPerChunk is how many tokens a decode server puts into one chunk.
+	TokensPerChunk int
 	// HandleLifetime is how long the handle of a prefill result stays valid.
 	HandleLifetime time.Duration
-	// PartChange is how long a server takes to change between prefill and decode.
-	PartChange time.Duration
+	// RoleChange is how long a server takes to change between prefill and decode.
+	RoleChange time.Duration
 	// Models are the names of the models that every server of the service has.
 	Models []string
 }
 
 // The bounds and defaults of a service; the users' pages leave the values to us.
-// LongestCallLimit bounds every duration of a route of calls.
+// MaxCallTimeout bounds every duration of a route of calls.
 const (
-	DefaultLimit           = 30 * time.Second
-	LongestLimit           = 10 * time.Minute
-	LongestCallLimit       = 24 * time.Hour
+	DefaultTimeout         = 30 * time.Second
+	MaxTimeout             = 10 * time.Minute
+	MaxCallTimeout         = 24 * time.Hour
 	DefaultMaxPromptTokens = 32_000
 	DefaultMaxChunks       = 512
 	DefaultInFlight        = 128
@@ -78,27 +78,27 @@
 func (c *checker) service(name string, value *fastjson.Value, at pointer) {
 	service := Service{
 		Name:            name,
-		Limit:           DefaultLimit,
+		Timeout:         DefaultTimeout,
 		MaxPromptTokens: DefaultMaxPromptTokens,
 		MaxChunks:       DefaultMaxChunks,
-		InFlight:        DefaultInFlight,
-		Attempts:        DefaultAttempts,
+		MaxInFlight:     DefaultInFlight,
+		MaxAttempts:     DefaultAttempts,
 	}
 	var milliseconds int
 	c.fields(value, at, func(name string, value *fastjson.Value, at pointer) bool {
 		switch name {
 		case "limit_milliseconds":
-			c.integer(&milliseconds, 1, int(LongestLimit/time.Millisecond), value, at)
+			c.integer(&milliseconds, 1, int(MaxTimeout/time.Millisecond), value, at)
 		case "max_prompt_tokens":
 			c.integer(&service.MaxPromptTokens, 1, 10_000_000, value, at)
 		case "max_pieces":
 			c.integer(&service.MaxChunks, 1, 1_000_000, value, at)
 		case "in_flight":
-			c.integer(&service.InFlight, 1, 1_000_000, value, at)
+			c.integer(&service.MaxInFlight, 1, 1_000_000, value, at)
 		case "tries":
-			c.integer(&service.Attempts, 1, 10, value, at)
+			c.integer(&service.MaxAttempts, 1, 10, value, at)
 		case "health":
-			c.path(&service.Health, value, at)
+			c.path(&service.HealthPath, value, at)
 		case "circuits":
 			c.integer(&service.Connections, 0, 1_000_000, value, at)
 		case "warming":
@@ -115,7 +115,7 @@
 		return true
 	})
 	if milliseconds > 0 {
-		service.Limit = time.Duration(milliseconds) * time.Millisecond
+		service.Timeout = time.Duration(milliseconds) * time.Millisecond
 	}
 	c.configuration.Services[service.Name] = service
 }
@@ -124,9 +124,9 @@
 	c.fields(value, at, func(name string, value *fastjson.Value, at pointer) bool {
 		switch name {
 		case "length_milliseconds":
-			c.milliseconds(&warming.Length, 0, LongestCallLimit, value, at)
+			c.milliseconds(&warming.Duration, 0, MaxCallTimeout, value, at)
 		case "per_second":
-			c.number(&warming.PerSecond, value, at)
+			c.number(&warming.RequestsPerSecond, value, at)
 		default:
 			return false
 		}
@@ -144,13 +144,13 @@
 		case "token_bytes":
 			c.integer(&engine.TokenBytes, 0, 1<<40, value, at)
 		case "link_bits":
-			c.number(&engine.LinkBits, value, at)
+			c.number(&engine.LinkBitsPerSecond, value, at)
 		case "tokens_a_piece":
-			c.integer(&engine.TokensAChunk, 0, 1_000_000, value, at)
+			c.integer(&engine.TokensPerChunk, 0, 1_000_000, value, at)
 		case "handle_life_milliseconds":
-			c.milliseconds(&engine.HandleLifetime, 0, LongestCallLimit, value, at)
+			c.milliseconds(&engine.HandleLifetime, 0, MaxCallTimeout, value, at)
 		case "part_change_milliseconds":
-			c.milliseconds(&engine.PartChange, 0, LongestCallLimit, value, at)
+			c.milliseconds(&engine.RoleChange, 0, MaxCallTimeout, value, at)
 		case "models":
 			c.texts(&engine.Models, value, at)
 		default:
--- a/internal/dataplane/calls_test.go
+++ b/internal/dataplane/calls_test.go
@@ -59,11 +59,11 @@
 	calls := NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.RetryAllowance{Ratio: 9, Slack: 1000, Window: time.Second}}), func([]membership.Server) {})
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
-		LinkBits: 5e11, TokensAChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
+		LinkBitsPerSecond: 5e11, TokensPerChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
 	configuration.Limits.BodyBytes = 7
 	for name, idempotent := range map[string]bool{"once": false, "again": true} {
 		configuration.Routes = append(configuration.Routes, config.Route{Name: name, Match: config.Match{Host: "h", PathPrefix: "/" + name + "/"},
-			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 3 * time.Second, Aim: 400 * time.Millisecond, Attempts: 2, Idempotent: idempotent}})
+			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Timeout: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, MaxAttempts: 2, Idempotent: idempotent}})
 	}
 	calls.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	var servers []membership.Server
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -22,9 +22,9 @@
 	if r == nil {
 		return nil, Decision{Kind: Refuse, Cause: NoRoute}
 	}
-	limit := r.calls.Limit
+	limit := r.calls.Timeout
 	if limit <= 0 {
-		limit = cmp.Or(service.Limit, config.DefaultLimit)
+		limit = cmp.Or(service.Timeout, config.DefaultTimeout)
 	}
 	deadline := now.Add(limit)
 	if !call.Deadline.IsZero() && call.Deadline.Before(deadline) {
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -47,7 +47,7 @@
 			start := func(number int) *Scheduler {
 				calls := New(Options{Router: fmt.Sprintf("courier-%d", number), Zone: "north", Retries: allowance})
 				calls.SetRouterCount(routers)
-				calls.SetRouteTable(Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Attempts = 5 }), 1, 1))
+				calls.SetRouteTable(Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.MaxAttempts = 5 }), 1, 1))
 				calls.SetServers(noon, servers(9))
 				return calls
 			}
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -16,7 +16,7 @@
 		Kind:     kind,
 		Server:   b.server,
 		Deadline: state.deadline,
-		Priority: state.routeRule.calls.Rank,
+		Priority: state.routeRule.calls.Priority,
 	}
 	if len(state.releasable) > 0 {
 		decision.Release, state.releasable = state.releasable, nil
--- a/internal/scheduler/example_test.go
+++ b/internal/scheduler/example_test.go
@@ -18,7 +18,7 @@
 		Routes: []config.Route{{
 			Name:  "chat",
 			Match: config.Match{Host: "chat.example", PathPrefix: "/"},
-			Calls: &config.CallRoute{Shares: []config.Share{{Service: "chat", Weight: 1}}, Attempts: 2},
+			Calls: &config.CallRoute{Shares: []config.Share{{Service: "chat", Weight: 1}}, MaxAttempts: 2},
 		}},
 	}, 1, 1))
 	s.SetServers(now, []membership.Server{
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -67,7 +67,7 @@
 func TestGivingUpHasATryBehindIt(t *testing.T) {
 	calls := opened(9)
 	calls.SetRouterCount(1)
-	program := Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.Attempts = 4 }), 1, 2)
+	program := Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.MaxAttempts = 4 }), 1, 2)
 	calls.SetRouteTable(program)
 	patient := 0
 	var states []*CallState
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -53,11 +53,11 @@
 		for zone := range h.evacuees {
 			configuration.Evacuations = map[string]config.Evacuation{zone: {}}
 		}
-		configuration.Routes[0].Calls.Attempts = 3
+		configuration.Routes[0].Calls.MaxAttempts = 3
 		configuration.Routes = append(configuration.Routes, config.Route{Name: "plain", Match: config.Match{Host: "plain.example", PathPrefix: "/"},
-			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 3}, {Service: "other", Weight: 1}}, Limit: 5 * time.Second, Attempts: 3}},
+			Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 3}, {Service: "other", Weight: 1}}, Timeout: 5 * time.Second, MaxAttempts: 3}},
 			config.Route{Name: "again", Match: config.Match{Host: "again.example", PathPrefix: "/"},
-				Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 5 * time.Second, Attempts: 2, Idempotent: true}})
+				Calls: &config.CallRoute{Shares: []config.Share{{Service: "desk", Weight: 1}}, Timeout: 5 * time.Second, MaxAttempts: 2, Idempotent: true}})
 	}), 1, h.number))
 	h.number++
 }
@@ -135,8 +135,8 @@
 		if (decision.Kind == Prefill) != (server.Part == prefill) {
 			fail("the wrong part")
 		}
-		if f.arrivals >= f.route.Attempts {
-			fail("more tries than %d", f.route.Attempts)
+		if f.arrivals >= f.route.MaxAttempts {
+			fail("more tries than %d", f.route.MaxAttempts)
 		}
 		idempotent := f.route.Idempotent || f.route.Resumable
 		if f.runs > 0 && !idempotent {
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -41,7 +41,7 @@
 func (c *cycle) mayPrefill() bool {
 	state := c.state
 	again := state.prefillTaken || state.streamBegun
-	return !state.noTransfer && (!again || state.attempts+1 < state.routeRule.calls.Attempts)
+	return !state.noTransfer && (!again || state.attempts+1 < state.routeRule.calls.MaxAttempts)
 }
 
 // payRetries takes from the retry budget what the call was sent beyond its first attempt and
@@ -82,7 +82,7 @@
 		return MayHaveRun
 	case !now.Before(t.deadline):
 		return DeadlineReached
-	case t.attempts >= max(1, t.routeRule.calls.Attempts):
+	case t.attempts >= max(1, t.routeRule.calls.MaxAttempts):
 		return AttemptsUsed
 	}
 	return ""
--- a/internal/scheduler/routetable.go
+++ b/internal/scheduler/routetable.go
@@ -92,7 +92,7 @@
 		if found && s.Weight > 0 {
 			r.total += uint64(s.Weight)
 			r.shares = append(r.shares, share{service: service, upTo: r.total})
-			rt.noteGap(service.Name, route.Calls.Gap)
+			rt.noteGap(service.Name, route.Calls.MaxEventGap)
 		}
 	}
 	if route.To.Refuse {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -14,19 +14,19 @@
 // plan is a configuration with one split service, a route of long prompts whose
 // streams may go on elsewhere and one of chats that may run once.
 func plan(change func(*config.Configuration)) *config.Configuration {
-	service := config.Service{Name: "desk", Limit: 30 * time.Second, Connections: 370,
-		Warming: config.Warming{Length: 3 * time.Second, PerSecond: 12},
-		Engine: config.Engine{Slots: 64, MemoryTokens: 295_740, TokenBytes: 18_432, LinkBits: 550e9, TokensAChunk: 11,
-			HandleLifetime: 5 * time.Second, PartChange: 1500 * time.Millisecond, Models: []string{"m"}}}
+	service := config.Service{Name: "desk", Timeout: 30 * time.Second, Connections: 370,
+		Warming: config.Warming{Duration: 3 * time.Second, RequestsPerSecond: 12},
+		Engine: config.Engine{Slots: 64, MemoryTokens: 295_740, TokenBytes: 18_432, LinkBitsPerSecond: 550e9, TokensPerChunk: 11,
+			HandleLifetime: 5 * time.Second, RoleChange: 1500 * time.Millisecond, Models: []string{"m"}}}
 	configuration := config.Empty()
 	configuration.Services = map[string]config.Service{"desk": service, "other": {Name: "other"}}
 	configuration.Routes = []config.Route{
 		{Name: "long", Match: config.Match{Host: "long.example", PathPrefix: "/ask/"}, Calls: &config.CallRoute{
-			Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 3 * time.Second, Aim: 400 * time.Millisecond,
-			Gap: 250 * time.Millisecond, Rank: 0, Attempts: 2, Streams: true, Resumable: true, Sticky: true}},
+			Shares: []config.Share{{Service: "desk", Weight: 1}}, Timeout: 3 * time.Second, LatencyTarget: 400 * time.Millisecond,
+			MaxEventGap: 250 * time.Millisecond, Priority: 0, MaxAttempts: 2, Streams: true, Resumable: true, Sticky: true}},
 		{Name: "chat", Match: config.Match{Host: "chat.example", PathPrefix: "/"}, Calls: &config.CallRoute{
-			Shares: []config.Share{{Service: "desk", Weight: 1}}, Limit: 8 * time.Second, Aim: 500 * time.Millisecond,
-			Gap: 250 * time.Millisecond, Rank: 1, Attempts: 1, Streams: true, Sticky: true}},
+			Shares: []config.Share{{Service: "desk", Weight: 1}}, Timeout: 8 * time.Second, LatencyTarget: 500 * time.Millisecond,
+			MaxEventGap: 250 * time.Millisecond, Priority: 1, MaxAttempts: 1, Streams: true, Sticky: true}},
 	}
 	if change != nil {
 		change(configuration)
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -105,7 +105,7 @@
 	switch {
 	case !c.transfersFailing,
 		c.now.UnixNano()-prefillServer.kvSentAt.Load() < int64(recentTransfer),
-		c.state.attempts+1 < c.state.routeRule.calls.Attempts:
+		c.state.attempts+1 < c.state.routeRule.calls.MaxAttempts:
 		return 0
 	}
 	return c.weights.lastAttempt
--- a/internal/scheduler/timeout.go
+++ b/internal/scheduler/timeout.go
@@ -25,7 +25,7 @@
 func (c *cycle) responseTimeout(wanted time.Duration) time.Duration {
 	state := c.state
 	left := state.deadline.Sub(c.now)
-	if wanted > left*2/3 || state.attempts+1 >= state.routeRule.calls.Attempts {
+	if wanted > left*2/3 || state.attempts+1 >= state.routeRule.calls.MaxAttempts {
 		return 0
 	}
 	// The retry is reserved now: giving up without one behind it would lose the call.
@@ -40,7 +40,7 @@
 // long prompt is read again only by a prefill server, which takes an attempt of its own.
 func (c *cycle) canGoOnElsewhere() bool {
 	state := c.state
-	return state.call.PromptTokens <= shortPrompt || state.attempts+2 < state.routeRule.calls.Attempts
+	return state.call.PromptTokens <= shortPrompt || state.attempts+2 < state.routeRule.calls.MaxAttempts
 }
 
 // streamTimeout is the timeout between two events where the stream may go on at another
@@ -50,5 +50,5 @@
 	if !calls.Streams || !calls.Resumable || !c.canGoOnElsewhere() {
 		return 0
 	}
-	return c.responseTimeout(max(streamTimeoutGaps*calls.Gap, minStreamTimeout))
+	return c.responseTimeout(max(streamTimeoutGaps*calls.MaxEventGap, minStreamTimeout))
 }
--- a/internal/scheduler/warming.go
+++ b/internal/scheduler/warming.go
@@ -63,7 +63,7 @@
 // warmingRate is how many calls a second this router may send to a warming server, and whether
 // any: of many routers only some send to the same one.
 func (c *cycle) warmingRate(b *backend) (rate float64, takes bool) {
-	perSecond := c.service.Warming.PerSecond
+	perSecond := c.service.Warming.RequestsPerSecond
 	if perSecond <= 0 {
 		return 1, true
 	}
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -132,12 +132,12 @@
 		service.Engine.Slots = 48
 		service.Engine.MemoryTokens = 198_631
 		service.Engine.TokenBytes = 131_072
-		service.Engine.LinkBits = 630e9
-		service.Engine.TokensAChunk = 8
+		service.Engine.LinkBitsPerSecond = 630e9
+		service.Engine.TokensPerChunk = 8
 		configuration.Services["desk"] = service
 		long, chat := configuration.Routes[0].Calls, configuration.Routes[1].Calls
-		long.Limit, long.Aim, long.Gap, long.Rank, long.Attempts, long.Resumable = s.long.deadline, s.long.target, s.long.gap, 1, 1, false
-		chat.Limit, chat.Aim, chat.Gap, chat.Rank, chat.Attempts, chat.Resumable = s.chat.deadline, s.chat.target, s.chat.gap, 0, 2, true
+		long.Timeout, long.LatencyTarget, long.MaxEventGap, long.Priority, long.MaxAttempts, long.Resumable = s.long.deadline, s.long.target, s.long.gap, 1, 1, false
+		chat.Timeout, chat.LatencyTarget, chat.MaxEventGap, chat.Priority, chat.MaxAttempts, chat.Resumable = s.chat.deadline, s.chat.target, s.chat.gap, 0, 2, true
 	}
 	return s
 }
