--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -145,10 +145,10 @@
 // Leave hands over what this controller has, the lead, its copy and its witness's seat, and
 // returns when nothing depends on it any more or the patience ends. It goes on as before
 // until then. What was not answered yet has no known outcome.
-func (c *Controller) Leave(patience time.Duration) {
-	ends := c.runtime.Now().Add(patience)
+func (c *Controller) Leave(timeout time.Duration) {
+	deadline := c.runtime.Now().Add(timeout)
 	c.coordinator.Leave()
-	for !c.coordinator.ReadyToStop() && c.runtime.Now().Before(ends) {
+	for !c.coordinator.ReadyToStop() && c.runtime.Now().Before(deadline) {
 		runtime.Sleep(c.runtime, leavePause)
 	}
 	c.observe("left", "released", c.coordinator.ReadyToStop())
@@ -415,7 +415,7 @@
 
 // submit waits until a change is synced on every copy in sync. When that can't be
 // known in time the outcome is called unknown.
-func (c *Controller) submit(change replication.Change, patience time.Duration) (replication.Version, error) {
+func (c *Controller) submit(change replication.Change, timeout time.Duration) (replication.Version, error) {
 	var mutex sync.Mutex
 	var version replication.Version
 	var err error
@@ -427,7 +427,7 @@
 		mutex.Unlock()
 		cond.Broadcast()
 	})
-	cond.Wait(patience, func() bool {
+	cond.Wait(timeout, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return answered
--- a/internal/controlplane/controller_test.go
+++ b/internal/controlplane/controller_test.go
@@ -43,8 +43,8 @@
 		hooks[hooked] = hooked
 		return hooked
 	})
-	question := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
-	if _, err := primary.serveUpdate(question); err != nil {
+	request := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Have: map[string]replication.Version{}}
+	if _, err := primary.serveUpdate(request); err != nil {
 		t.Fatal(err)
 	}
 	asked, committed := 0, false
@@ -62,14 +62,14 @@
 		_, err := primary.submit(replication.ChangeConfiguration("meanwhile", "", nil, replication.PreparedConfiguration{}, rev("meanwhile")), changePatience)
 		committed = err == nil
 	}
-	question.Patience = 0
+	request.Patience = 0
 	hooks[primary.runtime].hook.Store(&hook)
-	answer, err := primary.serveUpdate(question)
+	response, err := primary.serveUpdate(request)
 	if err != nil || !committed {
 		t.Fatalf("committed meanwhile: %v, %v", committed, err)
 	}
-	if latest := primary.store.View().VersionOf(replication.ConfigurationSection); answer.Configuration != latest && answer.Leads {
-		t.Fatalf("the hold confirms version %s, and %s was committed before it was granted", answer.Configuration, latest)
+	if latest := primary.store.View().VersionOf(replication.ConfigurationSection); response.Configuration != latest && response.Leads {
+		t.Fatalf("the hold confirms version %s, and %s was committed before it was granted", response.Configuration, latest)
 	}
 }
 
@@ -81,9 +81,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for path, answer := range primary.Handlers() {
+	for path, response := range primary.Handlers() {
 		for _, body := range [][]byte{nil, []byte("garbage"), strange} {
-			if _, err := answer(body); failure.CodeOf(err) == failure.Unsorted {
+			if _, err := response(body); failure.CodeOf(err) == failure.Unsorted {
 				t.Errorf("%s: %v", path, err)
 			}
 		}
--- a/internal/controlplane/copystate.go
+++ b/internal/controlplane/copystate.go
@@ -29,14 +29,14 @@
 
 // elsewhere is the answer of a controller that is not primary. The membership is read
 // before the copy: a copy that the membership names is then no older than its grant.
-func (c *Controller) followerResponse(question wire.UpdateRequest) wire.UpdateResponse {
-	answer := wire.UpdateResponse{Membership: c.coordinator.Membership()}
-	if !question.Provisional {
-		return answer
+func (c *Controller) followerResponse(request wire.UpdateRequest) wire.UpdateResponse {
+	response := wire.UpdateResponse{Membership: c.coordinator.Membership()}
+	if !request.Provisional {
+		return response
 	}
-	if question.Lists {
-		answer.Servers = c.provisionalServers(question.Wanted != (replication.Version{}))
+	if request.Lists {
+		response.Servers = c.provisionalServers(request.Wanted != (replication.Version{}))
 	}
-	answer.Copy = c.copyUpdate(question.Wanted)
-	return answer
+	response.Copy = c.copyUpdate(request.Wanted)
+	return response
 }
--- a/internal/controlplane/edit.go
+++ b/internal/controlplane/edit.go
@@ -68,7 +68,7 @@
 // that has moved meanwhile. Edits of a large configuration are prepared one after
 // another, so that one whose turn it is need not be made again.
 func (c *Controller) change(edit Edit) (*Term, replication.Version, error) {
-	ends := c.runtime.Now().Add(changePatience)
+	deadline := c.runtime.Now().Add(changePatience)
 	for {
 		current, view, err := c.Leading()
 		if err != nil {
@@ -80,7 +80,7 @@
 		}
 		large := len(section.Content) >= replication.LargeConfiguration
 		if large {
-			if !c.beginEdit(ends) {
+			if !c.beginEdit(deadline) {
 				return nil, replication.Version{}, failure.New(failure.Busy, "other changes of this large configuration go first; ask again")
 			}
 			if _, newest, err := c.Leading(); err == nil {
@@ -98,7 +98,7 @@
 		if failure.CodeOf(err) != failure.ConfigurationMoved {
 			return current, version, err
 		}
-		if !c.runtime.Now().Before(ends) {
+		if !c.runtime.Now().Before(deadline) {
 			return nil, replication.Version{}, failure.New(failure.Busy, "the configuration changes faster than this change can be made; ask again")
 		}
 	}
@@ -119,8 +119,8 @@
 	return false
 }
 
-func (c *Controller) beginEdit(ends time.Time) bool {
-	return c.editTurn.Wait(ends.Sub(c.runtime.Now()), func() bool {
+func (c *Controller) beginEdit(deadline time.Time) bool {
+	return c.editTurn.Wait(deadline.Sub(c.runtime.Now()), func() bool {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		taken := c.editing
@@ -149,8 +149,8 @@
 	everywhere := false
 	committed := c.runtime.Now()
 	wait := time.Duration(c.acknowledgeWait.Load())
-	ends := committed.Add(inForcePatience)
-	for c.runtime.Now().Before(ends) {
+	deadline := committed.Add(inForcePatience)
+	for c.runtime.Now().Before(deadline) {
 		lost := false
 		// Grants run out without a ring: the wait is cut into short ones.
 		over := c.confirmations.Wait(50*time.Millisecond, func() bool {
--- a/internal/controlplane/handlers.go
+++ b/internal/controlplane/handlers.go
@@ -32,17 +32,17 @@
 			}
 			return c.witness.Prepare(c.runtime.Now(), question.Epoch, question.From)
 		}),
-		wire.AcceptPath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Vote, error) {
-			if err := c.checkIdentity(question.To); err != nil {
+		wire.AcceptPath: wire.HandlerFor(func(request wire.WitnessRequest) (replication.Vote, error) {
+			if err := c.checkIdentity(request.To); err != nil {
 				return replication.Vote{}, err
 			}
-			return c.witness.Accept(c.runtime.Now(), question.Membership)
+			return c.witness.Accept(c.runtime.Now(), request.Membership)
 		}),
-		wire.ConfirmPath: wire.HandlerFor(func(question wire.WitnessRequest) (replication.Vote, error) {
-			if err := c.checkIdentity(question.To); err != nil {
+		wire.ConfirmPath: wire.HandlerFor(func(req wire.WitnessRequest) (replication.Vote, error) {
+			if err := c.checkIdentity(req.To); err != nil {
 				return replication.Vote{}, err
 			}
-			return c.witness.RenewLease(c.runtime.Now(), question.Epoch, question.From), nil
+			return c.witness.RenewLease(c.runtime.Now(), req.Epoch, req.From), nil
 		}),
 		wire.ReplicatePath: wire.HandlerFor(func(question wire.ReplicateRequest) (wire.Empty, error) {
 			if err := c.checkIdentity(question.To); err != nil {
@@ -97,46 +97,46 @@
 
 // serveUpdate registers the node if needed, waits for news, and grants a hold
 // for the configuration that the answer confirms.
-func (c *Controller) serveUpdate(question wire.UpdateRequest) (wire.UpdateResponse, error) {
-	elsewhere := func() (wire.UpdateResponse, error) { return c.followerResponse(question), nil }
+func (c *Controller) serveUpdate(request wire.UpdateRequest) (wire.UpdateResponse, error) {
+	elsewhere := func() (wire.UpdateResponse, error) { return c.followerResponse(request), nil }
 	current, view, err := c.Leading()
 	if err != nil {
 		return elsewhere()
 	}
-	if question.Brief {
+	if request.Brief {
 		return wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
 	}
-	name := question.Member.Name
-	router := question.Member.Kind == membership.Router
+	name := request.Member.Name
+	router := request.Member.Kind == membership.Router
 	arrived := c.runtime.Now()
 	c.mutex.Lock()
 	current.asked[name] = arrived
 	c.mutex.Unlock()
 	if router {
-		c.lists.noteFailing(arrived, question)
-		current.Grants.Acknowledge(arrived, name, question.InForce.Number)
+		c.lists.noteFailing(arrived, request)
+		current.Grants.Acknowledge(arrived, name, request.InForce.Number)
 		c.confirmations.Broadcast()
 	}
 	state, err := c.state(current, view)
 	if err != nil {
 		return wire.UpdateResponse{}, err
 	}
-	if recorded, found := state.Members[name]; !found || !recorded.Same(question.Member) {
-		member := question.Member
+	if recorded, found := state.Members[name]; !found || !recorded.Same(request.Member) {
+		member := request.Member
 		member.Since = c.runtime.Wall()
 		if _, err := c.submit(replication.RegisterMember(member), registerPatience); err != nil {
 			return wire.UpdateResponse{}, err
 		}
 	}
 	for {
-		if view = c.awaitChange(question); view == nil {
+		if view = c.awaitChange(request); view == nil {
 			return elsewhere()
 		}
-		answer := wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, question.Have)}
-		shorten(&answer, question, current)
+		response := wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, request.Have)}
+		shorten(&response, request, current)
 		now := c.runtime.Now()
-		answer.Held = now.Sub(arrived)
-		c.lists.tell(now, question, &answer)
+		response.Held = now.Sub(arrived)
+		c.lists.tell(now, request, &response)
 		if router {
 			state, err := c.state(current, view)
 			if err != nil {
@@ -144,10 +144,10 @@
 			}
 			// From here the router may act for as long as the hold says,
 			// counted from when it asked, which was earlier.
-			current.Grants.Grant(now, name, question.InForce.Number)
-			answer.Lease = lease.DefaultTiming().Lease
-			answer.Roles = current.keys.Renew(now, name, state.Roles.Roles, current.candidates(now, state))
-			answer.Routers = current.routers(now, state)
+			current.Grants.Grant(now, name, request.InForce.Number)
+			response.Lease = lease.DefaultTiming().Lease
+			response.Roles = current.keys.Renew(now, name, state.Roles.Roles, current.candidates(now, state))
+			response.Routers = current.routers(now, state)
 		}
 		// The grant is noted before this look: a configuration committed since
 		// is either seen here, or its change sees the grant and waits for it.
@@ -155,41 +155,41 @@
 		if latest == nil || !c.coordinator.HasLease() {
 			return elsewhere()
 		}
-		if latest.VersionOf(replication.ConfigurationSection) == answer.Configuration {
-			if answer.Membership.Epoch <= question.Membership {
-				answer.Membership = replication.Membership{}
+		if latest.VersionOf(replication.ConfigurationSection) == response.Configuration {
+			if response.Membership.Epoch <= request.Membership {
+				response.Membership = replication.Membership{}
 			}
-			c.countResponse(answer)
-			return answer, nil
+			c.countResponse(response)
+			return response, nil
 		}
 	}
 }
 
 // shorten sends what changed of the configuration instead of all of it, if the
 // node takes that and has a version that was shown here.
-func shorten(answer *wire.UpdateResponse, question wire.UpdateRequest, current *Term) {
-	section, found := answer.Sections[replication.ConfigurationSection]
+func shorten(response *wire.UpdateResponse, request wire.UpdateRequest, current *Term) {
+	section, found := response.Sections[replication.ConfigurationSection]
 	if !found {
 		return
 	}
-	delta, made := current.revisions.towards(section, question.Have[replication.ConfigurationSection])
-	if !made || !question.Deltas {
+	delta, made := current.revisions.towards(section, request.Have[replication.ConfigurationSection])
+	if !made || !request.Deltas {
 		return
 	}
-	delete(answer.Sections, replication.ConfigurationSection)
-	answer.Deltas = map[string]wire.Delta{replication.ConfigurationSection: delta}
+	delete(response.Sections, replication.ConfigurationSection)
+	response.Deltas = map[string]wire.Delta{replication.ConfigurationSection: delta}
 }
 
 // count adds an answer's sections to what news has cost.
-func (c *Controller) countResponse(answer wire.UpdateResponse) {
+func (c *Controller) countResponse(response wire.UpdateResponse) {
 	c.updateAnswers.Add(1)
-	for name, section := range answer.Sections {
+	for name, section := range response.Sections {
 		c.updateBytes.Add(uint64(len(section.Content)))
 		if name == replication.ConfigurationSection {
 			c.configurationsSent.Add(1)
 		}
 	}
-	for _, delta := range answer.Deltas {
+	for _, delta := range response.Deltas {
 		c.updateBytes.Add(uint64(len(delta.Middle)))
 		c.configurationsSent.Add(1)
 	}
@@ -222,22 +222,22 @@
 // hasNewerMembership tells whether the membership has changed since the asker heard of it: who
 // belongs to the core, and where, is to reach every node while it can. An older release
 // does not tell what it has heard of, and is told with its next answer.
-func (c *Controller) hasNewerMembership(question wire.UpdateRequest) bool {
-	return question.Membership != 0 && c.coordinator.Membership().Epoch > question.Membership
+func (c *Controller) hasNewerMembership(request wire.UpdateRequest) bool {
+	return request.Membership != 0 && c.coordinator.Membership().Epoch > request.Membership
 }
 
 // awaitChange returns the view as soon as it has news for the question, or when
 // its patience ends; nil when this controller is not primary any more.
-func (c *Controller) awaitChange(question wire.UpdateRequest) *replication.View {
+func (c *Controller) awaitChange(request wire.UpdateRequest) *replication.View {
 	var seen *replication.View
-	c.updated.Wait(min(max(question.Patience, 0), mostUpdateWait), func() bool {
+	c.updated.Wait(min(max(request.Patience, 0), mostUpdateWait), func() bool {
 		_, view, err := c.Leading()
 		if err != nil {
 			seen = nil
 			return true
 		}
 		seen = view
-		return len(newer(view, question.Have)) > 0 || c.lists.newer(question) || c.hasNewerMembership(question)
+		return len(newer(view, request.Have)) > 0 || c.lists.newer(request) || c.hasNewerMembership(request)
 	})
 	if !c.runtime.Alive() {
 		return nil
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -173,8 +173,8 @@
 	}()
 	epoch := c.coordinator.Membership().Epoch
 	for _, replica := range c.coordinator.StaleReplicas(view.Version) {
-		question := wire.InstallRequest{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
-		err := wire.Call(c.client, c.coordinator.Address(replica), wire.RefreshPath, question, nil, installPatience)
+		request := wire.InstallRequest{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
+		err := wire.Call(c.client, c.coordinator.Address(replica), wire.RefreshPath, request, nil, installPatience)
 		c.observe("copy_mended", "at", replica.Name, "version", view.Version.String(), "trouble", err)
 	}
 }
--- a/internal/controlplane/lists.go
+++ b/internal/controlplane/lists.go
@@ -148,46 +148,46 @@
 }
 
 // newer tells whether there is a list or a round of reports that the asker has not.
-func (l *lists) newer(question wire.UpdateRequest) bool {
+func (l *lists) newer(request wire.UpdateRequest) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return question.Lists && l.listMark() != 0 && l.listMark() != question.ListMark ||
-		question.Loads && l.reportsMark() != 0 && l.reportsMark() != question.LoadsMark
+	return request.Lists && l.listMark() != 0 && l.listMark() != request.ListMark ||
+		request.Loads && l.reportsMark() != 0 && l.reportsMark() != request.LoadsMark
 }
 
 // tell writes into an answer what the asker follows and has not.
-func (l *lists) tell(now time.Time, question wire.UpdateRequest, answer *wire.UpdateResponse) {
+func (l *lists) tell(now time.Time, request wire.UpdateRequest, response *wire.UpdateResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if question.Loads {
+	if request.Loads {
 		l.wantedAt = now
 	}
-	if current := l.listMark(); question.Lists && current != 0 {
-		answer.Servers = &wire.ServersUpdate{Mark: current, Age: now.Sub(l.listing.At())}
-		if current != question.ListMark {
-			answer.Servers.Sent, answer.Servers.Servers = true, l.listing.Servers(now)
+	if current := l.listMark(); request.Lists && current != 0 {
+		response.Servers = &wire.ServersUpdate{Mark: current, Age: now.Sub(l.listing.At())}
+		if current != request.ListMark {
+			response.Servers.Sent, response.Servers.Servers = true, l.listing.Servers(now)
 		}
 	}
-	if current := l.reportsMark(); question.Loads && current != 0 && current != question.LoadsMark {
-		answer.Loads = &wire.LoadsUpdate{Mark: current, Outliers: l.outliers.Advice(now)}
+	if current := l.reportsMark(); request.Loads && current != 0 && current != request.LoadsMark {
+		response.Loads = &wire.LoadsUpdate{Mark: current, Outliers: l.outliers.Advice(now)}
 		for _, reported := range l.reports {
 			if age := now.Sub(reported.at); age < reportKept {
-				answer.Loads.Lines = append(answer.Loads.Lines, wire.ReportOf(reported.load, age))
+				response.Loads.Lines = append(response.Loads.Lines, wire.ReportOf(reported.load, age))
 			}
 		}
-		slices.SortFunc(answer.Loads.Lines, func(left, right wire.LoadReport) int { return strings.Compare(left.Server, right.Server) })
+		slices.SortFunc(response.Loads.Lines, func(left, right wire.LoadReport) int { return strings.Compare(left.Server, right.Server) })
 	}
 }
 
 // noteFailing takes what a node met at servers.
-func (l *lists) noteFailing(now time.Time, question wire.UpdateRequest) {
-	if !question.Loads {
+func (l *lists) noteFailing(now time.Time, request wire.UpdateRequest) {
+	if !request.Loads {
 		return
 	}
-	reporter := outlier.Reporter{Name: question.Member.Name, Zone: question.Member.Zone}
+	reporter := outlier.Reporter{Name: request.Member.Name, Zone: request.Member.Zone}
 	l.outliers.Observe(reporter)
-	if len(question.Failing) > 0 {
-		l.outliers.Report(now, reporter, question.Failing, len(l.servers(now)))
+	if len(request.Failing) > 0 {
+		l.outliers.Report(now, reporter, request.Failing, len(l.servers(now)))
 	}
 }
 
--- a/internal/controlplane/lists_test.go
+++ b/internal/controlplane/lists_test.go
@@ -25,19 +25,19 @@
 		t.Error("who does not lead has news")
 	}
 	known.begin(7)
-	var answer wire.UpdateResponse
-	known.tell(runtimetest.AtNoon(500*time.Millisecond), asker, &answer)
-	if answer.Servers == nil || !answer.Servers.Sent || answer.Servers.Age != 500*time.Millisecond || answer.Servers.Servers[0].Warming != 1500*time.Millisecond || answer.Loads != nil {
-		t.Fatalf("%+v", answer.Servers)
+	var response wire.UpdateResponse
+	known.tell(runtimetest.AtNoon(500*time.Millisecond), asker, &response)
+	if response.Servers == nil || !response.Servers.Sent || response.Servers.Age != 500*time.Millisecond || response.Servers.Servers[0].Warming != 1500*time.Millisecond || response.Loads != nil {
+		t.Fatalf("%+v", response.Servers)
 	}
-	asker.ListMark = answer.Servers.Mark
+	asker.ListMark = response.Servers.Mark
 	if known.newer(asker) {
 		t.Error("the same list is news")
 	}
-	answer = wire.UpdateResponse{}
-	known.tell(runtimetest.AtNoon(time.Second), asker, &answer)
-	if answer.Servers == nil || answer.Servers.Sent || answer.Servers.Mark != asker.ListMark {
-		t.Errorf("the list was told again: %+v", answer.Servers)
+	response = wire.UpdateResponse{}
+	known.tell(runtimetest.AtNoon(time.Second), asker, &response)
+	if response.Servers == nil || response.Servers.Sent || response.Servers.Mark != asker.ListMark {
+		t.Errorf("the list was told again: %+v", response.Servers)
 	}
 	// A router asked, so reports are read, each server once at a time.
 	if wanted := known.wanted(runtimetest.AtNoon(time.Second)); len(wanted) != 1 {
@@ -49,10 +49,10 @@
 	known.note(6, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "a"}, nil)
 	known.note(7, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "another"}, nil)
 	known.round(runtimetest.AtNoon(time.Second))
-	answer = wire.UpdateResponse{}
-	known.tell(runtimetest.AtNoon(time.Second), asker, &answer)
-	if answer.Loads == nil || len(answer.Loads.Lines) != 0 {
-		t.Errorf("a report of another reign or server was told: %+v", answer.Loads)
+	response = wire.UpdateResponse{}
+	known.tell(runtimetest.AtNoon(time.Second), asker, &response)
+	if response.Loads == nil || len(response.Loads.Lines) != 0 {
+		t.Errorf("a report of another reign or server was told: %+v", response.Loads)
 	}
 	known.wanted(runtimetest.AtNoon(time.Second))
 	known.note(7, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "a", Running: 3, Age: 100 * time.Millisecond}, nil)
@@ -60,12 +60,12 @@
 	if !known.newer(asker) {
 		t.Error("a round of reports is no news")
 	}
-	answer = wire.UpdateResponse{}
-	known.tell(runtimetest.AtNoon(1200*time.Millisecond), asker, &answer)
-	if answer.Loads == nil || len(answer.Loads.Lines) != 1 || answer.Loads.Lines[0].Load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
-		t.Errorf("%+v", answer.Loads)
+	response = wire.UpdateResponse{}
+	known.tell(runtimetest.AtNoon(1200*time.Millisecond), asker, &response)
+	if response.Loads == nil || len(response.Loads.Lines) != 1 || response.Loads.Lines[0].Load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
+		t.Errorf("%+v", response.Loads)
 	}
-	asker.LoadsMark = answer.Loads.Mark
+	asker.LoadsMark = response.Loads.Mark
 	if known.newer(asker) {
 		t.Error("the same round is news")
 	}
@@ -73,10 +73,10 @@
 	known.wanted(runtimetest.AtNoon(4 * time.Second))
 	known.note(7, "a", runtimetest.AtNoon(4*time.Second), scheduler.Load{}, failure.New(failure.Unreachable, ""))
 	known.round(runtimetest.AtNoon(4200 * time.Millisecond))
-	answer = wire.UpdateResponse{}
-	known.tell(runtimetest.AtNoon(4200*time.Millisecond), asker, &answer)
-	if answer.Loads == nil || len(answer.Loads.Lines) != 0 {
-		t.Errorf("an old report is told: %+v", answer.Loads)
+	response = wire.UpdateResponse{}
+	known.tell(runtimetest.AtNoon(4200*time.Millisecond), asker, &response)
+	if response.Loads == nil || len(response.Loads.Lines) != 0 {
+		t.Errorf("an old report is told: %+v", response.Loads)
 	}
 	if wanted := known.wanted(runtimetest.AtNoon(10 * time.Second)); len(wanted) != 0 {
 		t.Errorf("nobody follows reports, and %v are read", wanted)
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -17,14 +17,14 @@
 type peers struct{ client wire.Client }
 
 func (p *peers) Hello(address string, own replication.Hello) (replication.Hello, error) {
-	var answer replication.Hello
-	err := wire.Call(p.client, address, wire.HelloPath, own, &answer, peerPatience)
-	return answer, err
+	var response replication.Hello
+	err := wire.Call(p.client, address, wire.HelloPath, own, &response, peerPatience)
+	return response, err
 }
 
-func (p *peers) ask(address, path string, question wire.WitnessRequest) (replication.Vote, error) {
+func (p *peers) ask(address, path string, request wire.WitnessRequest) (replication.Vote, error) {
 	var promise replication.Vote
-	err := wire.Call(p.client, address, path, question, &promise, peerPatience)
+	err := wire.Call(p.client, address, path, request, &promise, peerPatience)
 	return promise, err
 }
 
--- a/internal/controlplane/provisional_test.go
+++ b/internal/controlplane/provisional_test.go
@@ -91,11 +91,11 @@
 		}
 		told := turns.NewCond()
 		router := newRouterAt(turns, c, row.without, told)
-		patience := 5 * time.Second
+		timeout := 5 * time.Second
 		if !row.served {
-			patience = 400 * time.Millisecond
+			timeout = 400 * time.Millisecond
 		}
-		told.Wait(patience, func() bool { return router.InForce() == version && len(router.Servers()) == 1 })
+		told.Wait(timeout, func() bool { return router.InForce() == version && len(router.Servers()) == 1 })
 		until := router.Core().ServesUntil()
 		if row.served != (router.InForce() == version) || row.served != until.After(turns.Now()) {
 			t.Errorf("%s: %s in force, serves until %v", row.name, router.InForce(), until)
--- a/internal/controlplane/reports.go
+++ b/internal/controlplane/reports.go
@@ -10,5 +10,5 @@
 // Reports is the port by which the primary asks a model server for its load, for
 // all routers.
 type Reports interface {
-	Report(server membership.Server, patience time.Duration) (scheduler.Load, error)
+	Report(server membership.Server, timeout time.Duration) (scheduler.Load, error)
 }
--- a/internal/controlplane/updates_test.go
+++ b/internal/controlplane/updates_test.go
@@ -30,13 +30,13 @@
 // recorded by that, no lease is given, and no configuration goes out.
 func TestABriefQuestionIsAnsweredWithoutContent(t *testing.T) {
 	_, primary := newCore(t, plain)
-	question := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
-	answer, err := primary.serveUpdate(question)
-	if err != nil || !answer.Leads || answer.Membership.Blank() {
-		t.Fatalf("%+v %v", answer, err)
+	request := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
+	response, err := primary.serveUpdate(request)
+	if err != nil || !response.Leads || response.Membership.Blank() {
+		t.Fatalf("%+v %v", response, err)
 	}
-	if len(answer.Sections) > 0 || answer.Lease > 0 {
-		t.Errorf("content or a lease: %+v", answer)
+	if len(response.Sections) > 0 || response.Lease > 0 {
+		t.Errorf("content or a lease: %+v", response)
 	}
 	if _, _, state, _ := primary.Read(); len(state.Members) > 0 && state.Members["courier-1"].Name != "" {
 		t.Error("the asker was recorded")
--- a/internal/dataplane/board.go
+++ b/internal/dataplane/board.go
@@ -13,7 +13,7 @@
 	// and what it goes on without one.
 	SetServing(until time.Time)
 	// SetCountOwners gives the way to those who keep counts of what servers read.
-	SetCountOwners(keepers *CountOwners)
+	SetCountOwners(owners *CountOwners)
 	// SetServers tells which servers there are, before the window knows them.
 	SetServers(now time.Time, servers []membership.Server)
 }
--- a/internal/dataplane/calls.go
+++ b/internal/dataplane/calls.go
@@ -43,7 +43,7 @@
 
 // SetCountOwners gives the way to those who keep counts of what servers read, before any call
 // comes.
-func (c *Calls) SetCountOwners(keepers *CountOwners) { c.countOwners = keepers }
+func (c *Calls) SetCountOwners(owners *CountOwners) { c.countOwners = owners }
 
 // serves tells whether calls may be admitted now.
 func (c *Calls) serves() bool {
@@ -101,12 +101,12 @@
 // the grace is over. Noticed is told when those who look have noticed: clients whose
 // connections rest had better not come back on them.
 func (c *Calls) Retire(grace time.Duration, noticed func()) {
-	ends := c.runtime.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
+	deadline := c.runtime.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
 	c.Leave()
 	runtime.Sleep(c.runtime, min(noticePause, grace/3))
 	noticed()
 	c.window.Drain()
-	for c.runtime.Alive() && c.window.InFlight() > 0 && c.runtime.Now().Before(ends) {
+	for c.runtime.Alive() && c.window.InFlight() > 0 && c.runtime.Now().Before(deadline) {
 		runtime.Sleep(c.runtime, leavingPause)
 	}
 }
--- a/internal/dataplane/countowners.go
+++ b/internal/dataplane/countowners.go
@@ -63,8 +63,8 @@
 }
 
 // Handle answers a question of another node.
-func (c *CountOwners) Answer(question backlog.Request) (backlog.Response, error) {
-	return c.ledger.Apply(c.runtime.Now(), question), nil
+func (c *CountOwners) Answer(request backlog.Request) (backlog.Response, error) {
+	return c.ledger.Apply(c.runtime.Now(), request), nil
 }
 
 // Ask brings questions to their keepers, all at once, and gives the answers that come in
@@ -74,17 +74,17 @@
 	var mutex sync.Mutex
 	left := len(questions) - 1
 	done := c.runtime.NewCond()
-	ask := func(question backlog.Request) {
-		answer, answered := c.send(question)
+	ask := func(request backlog.Request) {
+		response, answered := c.send(request)
 		mutex.Lock()
 		defer mutex.Unlock()
 		if answered {
-			answers[question.Group] = answer
+			answers[request.Group] = response
 		}
 	}
-	for _, question := range questions[1:] {
+	for _, req := range questions[1:] {
 		c.runtime.Go(func() {
-			ask(question)
+			ask(req)
 			mutex.Lock()
 			left--
 			mutex.Unlock()
@@ -100,29 +100,29 @@
 	mutex.Lock()
 	defer mutex.Unlock()
 	complete := make(map[string]backlog.Response, len(answers))
-	for group, answer := range answers {
-		complete[group] = answer
+	for group, resp := range answers {
+		complete[group] = resp
 	}
 	return complete
 }
 
 // bring has the keeper of a question's group answer it.
-func (c *CountOwners) send(question backlog.Request) (answer backlog.Response, answered bool) {
-	question.Router = c.incarnation
-	keeper, found := c.owner(question.Group)
+func (c *CountOwners) send(request backlog.Request) (response backlog.Response, answered bool) {
+	request.Router = c.incarnation
+	owner, found := c.owner(request.Group)
 	if !found {
-		return answer, false
+		return response, false
 	}
-	if keeper.Name == c.self {
-		return c.ledger.Apply(c.runtime.Now(), question), true
+	if owner.Name == c.self {
+		return c.ledger.Apply(c.runtime.Now(), request), true
 	}
-	if err := wire.Call(c.client, keeper.Address, wire.CountsPath, question, &answer, countPatience); err != nil {
+	if err := wire.Call(c.client, owner.Address, wire.CountsPath, request, &response, countPatience); err != nil {
 		c.mutex.Lock()
-		c.silent[keeper.Address] = c.runtime.Now()
+		c.silent[owner.Address] = c.runtime.Now()
 		c.mutex.Unlock()
-		return answer, false
+		return response, false
 	}
-	return answer, true
+	return response, true
 }
 
 // keeper is the node that keeps a group's counts.
--- a/internal/dataplane/countowners_test.go
+++ b/internal/dataplane/countowners_test.go
@@ -27,20 +27,20 @@
 func (k *keeperLine) CallRaw(address, path string, body []byte, _ time.Duration) ([]byte, error) {
 	k.calls.Add(1)
 	k.mutex.Lock()
-	keeper, down := k.keepers[address], k.down[address]
+	owner, down := k.keepers[address], k.down[address]
 	k.mutex.Unlock()
-	if down || keeper == nil || path != wire.CountsPath {
+	if down || owner == nil || path != wire.CountsPath {
 		return nil, failure.New(failure.Unreachable, "nobody answers")
 	}
-	var question backlog.Request
-	if err := msgpack.Unmarshal(body, &question); err != nil {
+	var request backlog.Request
+	if err := msgpack.Unmarshal(body, &request); err != nil {
 		return nil, failure.Wrap(failure.Garbage, err)
 	}
-	answer, err := keeper.Answer(question)
+	response, err := owner.Answer(request)
 	if err != nil {
 		return nil, err
 	}
-	return msgpack.Marshal(answer)
+	return msgpack.Marshal(response)
 }
 
 // keeperFleet is six nodes in two zones.
@@ -56,8 +56,8 @@
 		all[name] = NewCountOwners(rt, line, scheduler.New(scheduler.Options{Router: name, Zone: zone}), name, "life-of-"+name)
 		line.keepers["at-"+name] = all[name]
 	}
-	for _, keepers := range all {
-		keepers.SetMembers(members)
+	for _, owners := range all {
+		owners.SetMembers(members)
 	}
 	return line, all
 }
@@ -73,12 +73,12 @@
 	for _, group := range []string{"desk/north/0", "desk/south/1", "desk/elsewhere/0"} {
 		want := 0
 		for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
-			answer, answered := all[name].Ask(asks(group, "s", 100))[group]
+			response, answered := all[name].Ask(asks(group, "s", 100))[group]
 			if !answered {
 				t.Fatalf("%s has no answer for %s", name, group)
 			}
 			got := 0
-			for _, count := range answer.Counts {
+			for _, count := range response.Counts {
 				got += count.Tokens
 			}
 			if got != want {
@@ -93,8 +93,8 @@
 func TestKeeperInTheZone(t *testing.T) {
 	_, all := keeperFleet(t)
 	for _, group := range []string{"desk/north/0", "desk/north/1", "desk/north/2"} {
-		if keeper, found := all["b"].owner(group); !found || keeper.Zone != "north" || keeper.Kind != membership.Router {
-			t.Errorf("%s is kept by %+v", group, keeper)
+		if owner, found := all["b"].owner(group); !found || owner.Zone != "north" || owner.Kind != membership.Router {
+			t.Errorf("%s is kept by %+v", group, owner)
 		}
 	}
 }
@@ -156,9 +156,9 @@
 	_, all := keeperFleet(t)
 	calls, _ := newCalls(t, "prefill", "decode")
 	calls.window.SetBacklogQueries(true)
-	keepers := all["a"]
-	keepers.window = calls.window
-	calls.SetCountOwners(keepers)
+	owners := all["a"]
+	owners.window = calls.window
+	calls.SetCountOwners(owners)
 	counted := func() []backlog.Change {
 		return all["b"].Ask([]backlog.Request{{Group: "desk/north/0", WantsCounts: true}})["desk/north/0"].Counts
 	}
@@ -172,7 +172,7 @@
 	call.PromptTokens = 9000
 	calls.Serve(call, exchange)
 	for group, changes := range calls.window.TakeBacklogChanges() {
-		keepers.send(backlog.Request{Group: group, Changes: changes})
+		owners.send(backlog.Request{Group: group, Changes: changes})
 	}
 	if counts := counted(); len(counts) != 0 {
 		t.Errorf("after the prompt was read: %v", counts)
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -117,8 +117,8 @@
 	if !r.mayAct(decision) || r.core.Restricted() {
 		return
 	}
-	var answer wire.LedResponse
-	err := r.follower.Ask(wire.OrdersPath, wire.OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &answer, actPatience, decision.NotAfter)
+	var response wire.LedResponse
+	err := r.follower.Ask(wire.OrdersPath, wire.OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &response, actPatience, decision.NotAfter)
 	r.observe("orders_given", "orders", decision.Orders, "trouble", err)
 }
 
@@ -140,16 +140,16 @@
 		r.Apply(event)
 		return
 	}
-	question := wire.ClaimRequest{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
+	request := wire.ClaimRequest{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
 		At: r.runtime.Wall(), Cause: r.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
 	// that the request never ran, and when to come back.
-	ends := r.runtime.Now().Add(claimTime)
-	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(ends) && r.runtime.Now().Before(r.core.ServesUntil()) {
-		var answer wire.LedResponse
-		err := r.follower.Ask(wire.ClaimPath, question, &answer, time.Second, ends)
+	deadline := r.runtime.Now().Add(claimTime)
+	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(deadline) && r.runtime.Now().Before(r.core.ServesUntil()) {
+		var response wire.LedResponse
+		err := r.follower.Ask(wire.ClaimPath, request, &response, time.Second, deadline)
 		switch kind := failure.CodeOf(err); {
-		case err == nil && answer.Leads:
+		case err == nil && response.Leads:
 			event.Outcome = auction.OutcomeDone
 		case kind == failure.Duplicate:
 			event.Outcome, event.Detail = auction.OutcomeDuplicate, err.Error()
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -36,5 +36,5 @@
 // Pressures is the port by which a router asks a model server itself, for the
 // market of requests.
 type Pressures interface {
-	Pressure(server membership.Server, patience time.Duration) (auction.Load, error)
+	Pressure(server membership.Server, timeout time.Duration) (auction.Load, error)
 }
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -364,8 +364,8 @@
 		return
 	}
 	for _, member := range r.nearest(follower.Neighbours) {
-		var answer bool
-		if wire.Call(r.client, member.Address, wire.RecordsPath, records, &answer, actPatience) == nil {
+		var response bool
+		if wire.Call(r.client, member.Address, wire.RecordsPath, records, &response, actPatience) == nil {
 			return
 		}
 	}
--- a/internal/follower/ask.go
+++ b/internal/follower/ask.go
@@ -20,19 +20,19 @@
 // Ask sends a message to the primary, wherever it is, or through a neighbour
 // when it can't be reached. The answer must say whether its giver leads. Each
 // address is given the patience; altogether it ends by a moment, if one is given.
-func (f *Follower) Ask(path string, question, answer any, patience time.Duration, ends time.Time) error {
-	body, err := msgpack.Marshal(question)
+func (f *Follower) Ask(path string, request, response any, timeout time.Duration, deadline time.Time) error {
+	body, err := msgpack.Marshal(request)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	reply, err := f.AskRaw(path, body, patience, ends)
+	reply, err := f.AskRaw(path, body, timeout, deadline)
 	if err != nil && noPrimaryReached(err) {
-		reply, err = f.viaNeighbour(path, body, patience, ends)
+		reply, err = f.viaNeighbour(path, body, timeout, deadline)
 	}
 	if err != nil {
 		return err
 	}
-	return failure.Wrap(failure.Garbage, msgpack.Unmarshal(reply, answer))
+	return failure.Wrap(failure.Garbage, msgpack.Unmarshal(reply, response))
 }
 
 // unheard tells whether a failure says only that no primary was reached, and
@@ -46,13 +46,13 @@
 }
 
 // AskRaw sends an encoded message to the primary without a neighbour's help.
-func (f *Follower) AskRaw(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
+func (f *Follower) AskRaw(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
 	asked := map[string]bool{}
 	var last error = failure.New(failure.NoPrimary, "no expediter is known")
 	for _, address := range f.candidates() {
-		for address != "" && !asked[address] && f.runtime.Alive() && f.left(patience, ends) > 0 {
+		for address != "" && !asked[address] && f.runtime.Alive() && f.left(timeout, deadline) > 0 {
 			asked[address] = true
-			reply, err := f.client.CallRaw(address, path, body, f.left(patience, ends))
+			reply, err := f.client.CallRaw(address, path, body, f.left(timeout, deadline))
 			if err != nil {
 				last = err
 				if !noPrimaryReached(err) {
@@ -133,24 +133,24 @@
 
 // left is how long a call may take that is given so much patience and must end
 // by a moment, if one is given.
-func (f *Follower) left(patience time.Duration, ends time.Time) time.Duration {
-	if ends.IsZero() {
-		return patience
+func (f *Follower) left(timeout time.Duration, deadline time.Time) time.Duration {
+	if deadline.IsZero() {
+		return timeout
 	}
-	return min(patience, ends.Sub(f.runtime.Now()))
+	return min(timeout, deadline.Sub(f.runtime.Now()))
 }
 
-func (f *Follower) viaNeighbour(path string, body []byte, patience time.Duration, ends time.Time) ([]byte, error) {
+func (f *Follower) viaNeighbour(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
 	f.mutex.Lock()
 	relays := append([]string(nil), f.peers[:min(Neighbours, len(f.peers))]...)
 	f.mutex.Unlock()
 	var last error = failure.New(failure.NoPrimary, "no neighbour is known")
 	for _, address := range relays {
-		if f.left(patience, ends) <= 0 {
+		if f.left(timeout, deadline) <= 0 {
 			break
 		}
 		var reply []byte
-		err := wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: path, Body: body}, &reply, f.left(patience+200*time.Millisecond, ends))
+		err := wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: path, Body: body}, &reply, f.left(timeout+200*time.Millisecond, deadline))
 		if err == nil || !noPrimaryReached(err) {
 			return reply, err
 		}
@@ -160,17 +160,17 @@
 }
 
 // Relay passes another node's message to the primary that this node knows.
-func (f *Follower) Relay(question wire.RelayRequest) ([]byte, error) {
-	switch question.Path {
+func (f *Follower) Relay(request wire.RelayRequest) ([]byte, error) {
+	switch request.Path {
 	case wire.UpdatesPath, wire.ClaimPath, wire.OrdersPath:
 	default:
-		return nil, failure.New(failure.NoSuch, "no such path to relay: "+question.Path)
+		return nil, failure.New(failure.NoSuch, "no such path to relay: "+request.Path)
 	}
 	address, known := f.knownPrimary()
 	if !known {
 		return nil, failure.New(failure.NoPrimary, "this node knows no primary")
 	}
-	reply, err := f.client.CallRaw(address, question.Path, question.Body, relayPatience)
+	reply, err := f.client.CallRaw(address, request.Path, request.Body, relayPatience)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/follower/copystates.go
+++ b/internal/follower/copystates.go
@@ -22,15 +22,15 @@
 const copyFresh = time.Second
 
 // note takes an answer; one without word of a copy takes back what was said before.
-func (c *copyStates) note(address string, at time.Time, answer wire.UpdateResponse) {
-	if answer.Copy == nil {
+func (c *copyStates) note(address string, at time.Time, response wire.UpdateResponse) {
+	if response.Copy == nil {
 		delete(c.said, address)
 		return
 	}
 	if c.said == nil {
 		c.said = map[string]reportedCopy{}
 	}
-	c.said[address] = reportedCopy{at: at, membership: answer.Membership, copied: *answer.Copy}
+	c.said[address] = reportedCopy{at: at, membership: response.Membership, copied: *response.Copy}
 }
 
 // choose gives the configuration that may be served before there is a primary, and
--- a/internal/follower/copystates_test.go
+++ b/internal/follower/copystates_test.go
@@ -16,11 +16,11 @@
 	replica := func(name string) replication.Replica {
 		return replication.Replica{Identity: replication.Identity("disk " + name), Address: name}
 	}
-	keepers := []replication.Replica{replica("a"), replica("b"), replica("c")}
-	pair := replication.Membership{Epoch: 4, Primary: replica("a"), Backup: replica("b"), Witnesses: keepers}
-	alone := replication.Membership{Epoch: 5, Primary: replica("b"), Witnesses: keepers}
+	owners := []replication.Replica{replica("a"), replica("b"), replica("c")}
+	pair := replication.Membership{Epoch: 4, Primary: replica("a"), Backup: replica("b"), Witnesses: owners}
+	alone := replication.Membership{Epoch: 5, Primary: replica("b"), Witnesses: owners}
 	five := replication.Membership{Epoch: 6, Primary: replica("a"), Backup: replica("b"), Further: []replication.Replica{replica("d")},
-		Witnesses: append(append([]replication.Replica{}, keepers...), replica("d"), replica("e"))}
+		Witnesses: append(append([]replication.Replica{}, owners...), replica("d"), replica("e"))}
 	version := func(number uint64) replication.Version { return replication.Version{Epoch: 3, Number: number} }
 	says := func(name string, membership replication.Membership, number uint64) wire.UpdateResponse {
 		return wire.UpdateResponse{Membership: membership, Copy: &wire.CopyState{Identity: replication.Identity("disk " + name), Configuration: version(number)}}
@@ -55,8 +55,8 @@
 		{"an older release", map[string]wire.UpdateResponse{"a": says("a", pair, 7), "b": {Membership: pair}}, 0, "", replication.Version{}},
 	} {
 		told := &copyStates{}
-		for address, answer := range row.said {
-			told.note(address, now.Add(-row.age), answer)
+		for address, response := range row.said {
+			told.note(address, now.Add(-row.age), response)
 		}
 		address, chosen, found := told.choose(now)
 		if chosen != row.version && found || found != (row.version != replication.Version{}) || row.address != "" && address != row.address {
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -212,10 +212,10 @@
 // poll asks the primary once and takes its answer. One that is silent is looked for
 // anew: its successor may have been elected.
 func (f *Follower) poll(address string) {
-	question, patience := f.pollRequest()
+	request, timeout := f.pollRequest()
 	asked := f.runtime.Now()
-	var answer wire.UpdateResponse
-	err := wire.Call(f.client, address, wire.UpdatesPath, question, &answer, patience)
+	var response wire.UpdateResponse
+	err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, timeout)
 	if err != nil {
 		if noPrimaryReached(err) {
 			f.forget(address)
@@ -224,8 +224,8 @@
 		runtime.Sleep(f.runtime, retryPause)
 		return
 	}
-	f.learn(address, leaderResponse{Leads: answer.Leads, Membership: answer.Membership})
-	if answer.Leads && !f.Take(asked, answer) {
+	f.learn(address, leaderResponse{Leads: response.Leads, Membership: response.Membership})
+	if response.Leads && !f.Take(asked, response) {
 		runtime.Sleep(f.runtime, retryPause)
 	}
 }
@@ -233,18 +233,18 @@
 // leaderRequest asks only who leads, and what the copies are like: a whole fleet asks it at
 // once after a loss.
 func (f *Follower) leaderRequest() wire.UpdateRequest {
-	question := f.searchRequest()
-	question.Brief = true
-	return question
+	request := f.searchRequest()
+	request.Brief = true
+	return request
 }
 
 // searchRequest is to be answered at once, so that those who are dark cost little time.
 func (f *Follower) searchRequest() wire.UpdateRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	question := f.request()
-	question.Provisional = f.provisional && len(question.Have) == 0
-	return question
+	request := f.request()
+	request.Provisional = f.provisional && len(request.Have) == 0
+	return request
 }
 
 // pollRequest is held back by the primary until there is news. The first one to a primary
@@ -252,20 +252,20 @@
 func (f *Follower) pollRequest() (wire.UpdateRequest, time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	question := f.request()
+	request := f.request()
 	_, has := f.sections[replication.ConfigurationSection]
 	switch {
 	case !f.current && !has:
-		return question, wholePatience
+		return request, wholePatience
 	case !f.current:
-		return question, firstPatience
+		return request, firstPatience
 	}
 	held, margin := f.waits()
-	question.Patience = held
+	request.Patience = held
 	if f.failing != nil {
-		question.Failing = f.failing()
+		request.Failing = f.failing()
 	}
-	return question, held + margin
+	return request, held + margin
 }
 
 // question tells what the node has. The caller has the mutex.
@@ -280,9 +280,9 @@
 
 // Take takes a primary's answer and tells whether it did: an older primary's word
 // is passed over, since versions never go back.
-func (f *Follower) Take(asked time.Time, answer wire.UpdateResponse) bool {
+func (f *Follower) Take(asked time.Time, response wire.UpdateResponse) bool {
 	f.mutex.Lock()
-	for name, delta := range answer.Deltas {
+	for name, delta := range response.Deltas {
 		section, fits := delta.Apply(f.sections[name])
 		if !fits {
 			// The next question asks for the whole; this answer's hold is not used.
@@ -290,27 +290,27 @@
 			f.mutex.Unlock()
 			return false
 		}
-		if answer.Sections == nil {
-			answer.Sections = map[string]replication.Section{}
+		if response.Sections == nil {
+			response.Sections = map[string]replication.Section{}
 		}
-		answer.Sections[name] = section
+		response.Sections[name] = section
 	}
-	for name, section := range answer.Sections {
+	for name, section := range response.Sections {
 		if section.Version.Before(f.sections[name].Version) {
 			f.mutex.Unlock()
 			return false
 		}
 	}
-	if have := f.sections[replication.ConfigurationSection].Version; answer.Configuration.Before(have) && have != f.unconfirmed {
+	if have := f.sections[replication.ConfigurationSection].Version; response.Configuration.Before(have) && have != f.unconfirmed {
 		f.mutex.Unlock()
 		return false
 	}
-	for name, section := range answer.Sections {
+	for name, section := range response.Sections {
 		f.sections[name] = section
 	}
 	f.heard = f.runtime.Now()
 	f.current = f.primary != ""
-	update := Update{Asked: asked, Answer: answer, Changed: answer.Sections}
+	update := Update{Asked: asked, Answer: response, Changed: response.Sections}
 	f.takeLists(&update)
 	f.mutex.Unlock()
 	f.take(update)
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -23,38 +23,38 @@
 	closed  chan struct{}
 }
 
-func (d *darkLine) set(address string, answer *wire.UpdateResponse) {
+func (d *darkLine) set(address string, response *wire.UpdateResponse) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if answer == nil {
+	if response == nil {
 		delete(d.answers, address)
 		return
 	}
-	d.answers[address] = *answer
+	d.answers[address] = *response
 }
 
-func (d *darkLine) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
+func (d *darkLine) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
 	d.mutex.Lock()
-	answer, lit := d.answers[address]
+	response, lit := d.answers[address]
 	d.mutex.Unlock()
 	if !lit || path != wire.UpdatesPath {
 		select {
-		case <-time.After(patience):
+		case <-time.After(timeout):
 		case <-d.closed:
 		}
 		return nil, failure.New(failure.Unreachable, address)
 	}
-	var question wire.UpdateRequest
-	if err := msgpack.Unmarshal(body, &question); err != nil {
+	var request wire.UpdateRequest
+	if err := msgpack.Unmarshal(body, &request); err != nil {
 		return nil, err
 	}
-	if answer.Leads && question.Patience > 0 {
+	if response.Leads && request.Patience > 0 {
 		select {
-		case <-time.After(question.Patience / 20):
+		case <-time.After(request.Patience / 20):
 		case <-d.closed:
 		}
 	}
-	return msgpack.Marshal(answer)
+	return msgpack.Marshal(response)
 }
 
 func seats(prefix string) replication.Membership {
--- a/internal/follower/search.go
+++ b/internal/follower/search.go
@@ -104,16 +104,16 @@
 }
 
 // end notes the end of a call to an address.
-func (s *search) end(address string, asked, now time.Time, answer wire.UpdateResponse, err error) {
+func (s *search) end(address string, asked, now time.Time, response wire.UpdateResponse, err error) {
 	s.mutex.Lock()
 	current := s.asking[address]
 	current.calls--
-	if err == nil && !answer.Leads {
+	if err == nil && !response.Leads {
 		current.answered = now
 	}
 	s.mutex.Unlock()
 	if err == nil {
-		s.note(address, asked, now, answer)
+		s.note(address, asked, now, response)
 	}
 	s.cond.Broadcast()
 }
@@ -131,14 +131,14 @@
 }
 
 // note takes an answer: a primary's, or what another says of its copy.
-func (s *search) note(address string, asked, now time.Time, answer wire.UpdateResponse) {
+func (s *search) note(address string, asked, now time.Time, response wire.UpdateResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if answer.Leads {
-		s.leading = &ledUpdate{asked: asked, answer: answer}
+	if response.Leads {
+		s.leading = &ledUpdate{asked: asked, answer: response}
 		return
 	}
-	s.copies.note(address, now, answer)
+	s.copies.note(address, now, response)
 }
 
 // led tells whether a primary has answered.
@@ -190,12 +190,12 @@
 func (f *Follower) searchOnce(s *search) bool {
 	began := f.runtime.Now()
 	candidates := f.candidates()
-	question := f.leaderRequest()
+	request := f.leaderRequest()
 	for _, address := range candidates {
-		f.askOne(s, address, question)
+		f.askOne(s, address, request)
 	}
 	if s.rounds > 0 && !s.answeredWithin(candidates, began, coreSilence) {
-		f.askPeers(s, question)
+		f.askPeers(s, request)
 	}
 	s.rounds++
 	if s.rounds%relayRounds == 0 && !s.answeredWithin([]string{f.Membership().Primary.Address}, began, coreSilence) {
@@ -232,19 +232,19 @@
 
 // askPeers asks a few routers, others in each round: one that has followed the core
 // longer knows who belongs to it now.
-func (f *Follower) askPeers(s *search, question wire.UpdateRequest) {
-	question.Provisional = false
+func (f *Follower) askPeers(s *search, request wire.UpdateRequest) {
+	request.Provisional = false
 	f.mutex.Lock()
 	p := f.peers
 	f.mutex.Unlock()
 	for position := range min(peersPerRound, len(p)) {
 		next := (s.rounds-1)*peersPerRound + position
-		f.askOne(s, p[next%len(p)], question)
+		f.askOne(s, p[next%len(p)], request)
 	}
 }
 
 // askOne asks an address in a thread of its own, unless it was asked just now.
-func (f *Follower) askOne(s *search, address string, question wire.UpdateRequest) {
+func (f *Follower) askOne(s *search, address string, request wire.UpdateRequest) {
 	f.mutex.Lock()
 	membership, fleet := f.membership, len(f.peers)
 	f.mutex.Unlock()
@@ -253,21 +253,21 @@
 	}
 	f.runtime.Go(func() {
 		asked := f.runtime.Now()
-		var answer wire.UpdateResponse
-		err := wire.Call(f.client, address, wire.UpdatesPath, question, &answer, searchPatience)
+		var response wire.UpdateResponse
+		err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, searchPatience)
 		if err == nil {
-			f.learn(address, leaderResponse{Leads: answer.Leads, Membership: answer.Membership})
+			f.learn(address, leaderResponse{Leads: response.Leads, Membership: response.Membership})
 		}
-		s.end(address, asked, f.runtime.Now(), answer, err)
+		s.end(address, asked, f.runtime.Now(), response, err)
 	})
 }
 
 // askRelays has the nearest routers pass the question on to the primary that they know:
 // the path to it may be cut for this node alone.
 func (f *Follower) askRelays(s *search) {
-	question := f.searchRequest()
-	question.Provisional = false
-	body, err := msgpack.Marshal(question)
+	request := f.searchRequest()
+	request.Provisional = false
+	body, err := msgpack.Marshal(request)
 	if err != nil {
 		return
 	}
@@ -285,50 +285,50 @@
 	if wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: wire.UpdatesPath, Body: body}, &reply, relayPatience) != nil {
 		return
 	}
-	var answer wire.UpdateResponse
-	if msgpack.Unmarshal(reply, &answer) != nil || !answer.Leads {
+	var response wire.UpdateResponse
+	if msgpack.Unmarshal(reply, &response) != nil || !response.Leads {
 		return
 	}
-	f.learnMembership(answer.Membership)
-	s.note(address, asked, f.runtime.Now(), answer)
+	f.learnMembership(response.Membership)
+	s.note(address, asked, f.runtime.Now(), response)
 	s.cond.Broadcast()
 }
 
 // fetch takes the configuration of a version from the copy at an address. It gives no
 // hold, and nothing is acknowledged by it.
 func (f *Follower) fetch(address string, version replication.Version) {
-	question := f.searchRequest()
-	question.Wanted = version
+	request := f.searchRequest()
+	request.Wanted = version
 	asked := f.runtime.Now()
-	var answer wire.UpdateResponse
-	if err := wire.Call(f.client, address, wire.UpdatesPath, question, &answer, firstPatience); err != nil {
+	var response wire.UpdateResponse
+	if err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, firstPatience); err != nil {
 		return
 	}
-	if answer.Leads {
-		f.learn(address, leaderResponse{Leads: true, Membership: answer.Membership})
-		f.Take(asked, answer)
+	if response.Leads {
+		f.learn(address, leaderResponse{Leads: true, Membership: response.Membership})
+		f.Take(asked, response)
 		return
 	}
-	if answer.Copy == nil || answer.Copy.Sections[replication.ConfigurationSection].Version != version {
+	if response.Copy == nil || response.Copy.Sections[replication.ConfigurationSection].Version != version {
 		return
 	}
-	f.TakeProvisional(asked, answer)
+	f.TakeProvisional(asked, response)
 }
 
 // TakeProvisional takes the configuration of a copy, as it came in an answer, unless the node
 // has one. The primary will confirm it or replace it by a newer one; it never replaces it by
 // an older one, since a configuration never goes back.
-func (f *Follower) TakeProvisional(asked time.Time, answer wire.UpdateResponse) {
+func (f *Follower) TakeProvisional(asked time.Time, response wire.UpdateResponse) {
 	f.mutex.Lock()
 	if _, has := f.sections[replication.ConfigurationSection]; has || !f.provisional {
 		f.mutex.Unlock()
 		return
 	}
 	// The primary need not send again what is the same; all else it tells itself.
-	section := answer.Copy.Sections[replication.ConfigurationSection]
+	section := response.Copy.Sections[replication.ConfigurationSection]
 	f.sections[replication.ConfigurationSection] = section
 	f.unconfirmed = section.Version
-	update := Update{Asked: asked, Answer: wire.UpdateResponse{Servers: answer.Servers}, Changed: answer.Copy.Sections, Provisional: true}
+	update := Update{Asked: asked, Answer: wire.UpdateResponse{Servers: response.Servers}, Changed: response.Copy.Sections, Provisional: true}
 	f.takeLists(&update)
 	f.mutex.Unlock()
 	f.take(update)
--- a/internal/follower/taking_test.go
+++ b/internal/follower/taking_test.go
@@ -23,9 +23,9 @@
 	delta := wire.NewDelta(first, second)
 	delta.Checksum++
 	follower.Take(runtimetest.Fixed{}.Now(), wire.UpdateResponse{Leads: true, Configuration: second.Version, Deltas: map[string]wire.Delta{replication.ConfigurationSection: delta}})
-	question, _ := follower.pollRequest()
-	if _, told := question.Have[replication.ConfigurationSection]; told || taken != 1 {
-		t.Fatalf("a delta that does not fit was taken: %d answers, the node says that it has %v", taken, question.Have)
+	request, _ := follower.pollRequest()
+	if _, told := request.Have[replication.ConfigurationSection]; told || taken != 1 {
+		t.Fatalf("a delta that does not fit was taken: %d answers, the node says that it has %v", taken, request.Have)
 	}
 	delta.Checksum--
 	follower.Take(runtimetest.Fixed{}.Now(), wire.UpdateResponse{Leads: true, Configuration: first.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: first}})
@@ -61,22 +61,22 @@
 	follower.Follow(true, true)
 	rt.Time = runtimetest.AtNoon(800 * time.Millisecond)
 	l := []wire.LoadReport{wire.ReportOf(scheduler.Load{Server: "a"}, 200*time.Millisecond)}
-	answer := wire.UpdateResponse{Leads: true, Held: 600 * time.Millisecond, Servers: &wire.ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
+	response := wire.UpdateResponse{Leads: true, Held: 600 * time.Millisecond, Servers: &wire.ServersUpdate{Mark: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
 		Loads: &wire.LoadsUpdate{Mark: 9, Lines: l}}
-	follower.Take(runtimetest.AtNoon(0), answer)
+	follower.Take(runtimetest.AtNoon(0), response)
 	if heard.Servers == nil || !heard.Servers.At.Equal(runtimetest.AtNoon(300*time.Millisecond)) {
 		t.Errorf("the list was read at %+v", heard.Servers)
 	}
 	if len(heard.Loads) != 1 || heard.Loads[0].Age != 400*time.Millisecond {
 		t.Errorf("the report is %+v", heard.Loads)
 	}
-	if question, _ := follower.pollRequest(); question.ListMark != 5 || question.LoadsMark != 9 || !question.Lists || !question.Loads {
-		t.Errorf("asks with %+v", question)
+	if request, _ := follower.pollRequest(); request.ListMark != 5 || request.LoadsMark != 9 || !request.Lists || !request.Loads {
+		t.Errorf("asks with %+v", request)
 	}
 	// A confirmation makes it younger; another mark without the list says nothing.
 	rt.Time = runtimetest.AtNoon(1200 * time.Millisecond)
-	answer.Servers, answer.Loads = &wire.ServersUpdate{Mark: 5, Age: 100 * time.Millisecond}, nil
-	follower.Take(runtimetest.AtNoon(800*time.Millisecond), wire.UpdateResponse{Leads: true, Servers: answer.Servers})
+	response.Servers, response.Loads = &wire.ServersUpdate{Mark: 5, Age: 100 * time.Millisecond}, nil
+	follower.Take(runtimetest.AtNoon(800*time.Millisecond), wire.UpdateResponse{Leads: true, Servers: response.Servers})
 	if heard.Servers == nil || !heard.Servers.At.Equal(runtimetest.AtNoon(700*time.Millisecond)) || len(heard.Servers.Servers) != 1 {
 		t.Errorf("confirmed as %+v", heard.Servers)
 	}
@@ -85,7 +85,7 @@
 		t.Errorf("a list that was not told was taken: %+v", heard.Servers)
 	}
 	follower.ForgetList()
-	if question, _ := follower.pollRequest(); question.ListMark != 0 {
+	if req, _ := follower.pollRequest(); req.ListMark != 0 {
 		t.Error("the list is not told anew")
 	}
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -15,32 +15,32 @@
 // Client is the port to other processes. A call ends within its patience; a
 // failure of kind Unreachable or Garbage says that no answer was had.
 type Client interface {
-	CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error)
+	CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error)
 }
 
 // Call sends a message and reads the answer, within the patience.
-func Call(line Client, address, path string, question, answer any, patience time.Duration) error {
-	body, err := msgpack.Marshal(question)
+func Call(line Client, address, path string, request, response any, timeout time.Duration) error {
+	body, err := msgpack.Marshal(request)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	answered, err := line.CallRaw(address, path, body, patience)
-	if err != nil || answer == nil {
+	answered, err := line.CallRaw(address, path, body, timeout)
+	if err != nil || response == nil {
 		return err
 	}
-	return failure.Wrap(failure.Garbage, msgpack.Unmarshal(answered, answer))
+	return failure.Wrap(failure.Garbage, msgpack.Unmarshal(answered, response))
 }
 
 // answerer turns an encoded question into an encoded answer.
 type Handler func(body []byte) ([]byte, error)
 
-func HandlerFor[Question, Answer any](answer func(question Question) (Answer, error)) Handler {
+func HandlerFor[Request, Response any](response func(request Request) (Response, error)) Handler {
 	return func(body []byte) ([]byte, error) {
-		var question Question
-		if err := msgpack.Unmarshal(body, &question); err != nil {
+		var req Request
+		if err := msgpack.Unmarshal(body, &req); err != nil {
 			return nil, failure.Wrap(failure.Garbage, err)
 		}
-		said, err := answer(question)
+		said, err := response(req)
 		if err != nil {
 			return nil, err
 		}
@@ -54,11 +54,11 @@
 
 // Handle answers one message.
 func (a Handlers) Handle(path string, body []byte) ([]byte, error) {
-	answer, found := a[path]
+	response, found := a[path]
 	if !found {
 		return nil, failure.New(failure.NoSuch, "no such path: "+path)
 	}
-	return answer(body)
+	return response(body)
 }
 
 // nothing is an answer without content.
