--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -13,7 +13,7 @@
 func (p *Process) flagStatuses(current *controlplane.Term, state *replication.State) []flagStatus {
 	now := p.clock.Now()
 	live := current.Grants.Live(now)
-	settling := p.controller.Settling(current)
+	settling := p.controller.MembersUnstable(current)
 	var answers []flagStatus
 	for _, description := range features.Descriptions() {
 		answer := flagStatus{Description: description, Enabled: state.Flags.Enabled.Has(description.Name), Lacking: state.Lacking(description.Name)}
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -167,7 +167,7 @@
 	if change == "" && buildsOn == nil {
 		change = uuid.NewString()
 	}
-	version, err := p.controller.Edit(controlplane.Edit{Change: change, Digest: digestOf(inbound, body), Expected: expected, Builds: buildsOn, Sound: !versioned,
+	version, err := p.controller.Edit(controlplane.Edit{Change: change, Digest: digestOf(inbound, body), Expected: expected, BaseRevision: buildsOn, ValidatesItself: !versioned,
 		Apply: func(text []byte) ([]byte, error) { return edit(text, body) }})
 	if err != nil {
 		p.writeEditError(writer, change, err)
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -64,10 +64,10 @@
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
 	options := controlplane.Options{Name: chosen.Name, Address: chosen.Address, Zone: chosen.Zone, Seeds: chosen.Seeds, Supported: chosen.Supported(),
-		FlagSettle: time.Duration(chosen.FlagSettle) * time.Millisecond, BorneLosses: chosen.BorneLosses, CatchUp: chosen.CatchUp, JoinsOnly: !chosen.Bootstrap, Fresh: replication.Identity(uuid.NewString()),
+		FlagStableTime: time.Duration(chosen.FlagSettle) * time.Millisecond, ToleratedLosses: chosen.BorneLosses, CatchUp: chosen.CatchUp, JoinsOnly: !chosen.Bootstrap, Fresh: replication.Identity(uuid.NewString()),
 		RetireAfter: chosen.RetireAfter, AcknowledgeWait: chosen.AcknowledgeWait, Directory: ports.FixedDirectory{Directory: reached.Directory, Context: process.ctx, Address: process.platform}}
 	if reached.Reports != nil {
-		options.Reports = ports.LoadReader{Reports: reached.Reports, Context: process.ctx}
+		options.LoadReader = ports.LoadReader{Reports: reached.Reports, Context: process.ctx}
 	}
 	client := rpc.Client{Caller: rpc.NewCaller(chosen.Detours), Context: process.ctx}
 	conduct, blank, err := controlplane.Open(osruntime.New(process.ctx, clock), client, witnessFolder, replicaFolder, options, process.observe)
@@ -78,7 +78,7 @@
 	if err := daemon.Serve(&process.tomb, chosen.Address, process.mux()); err != nil {
 		return nil, err
 	}
-	for _, round := range conduct.Rounds() {
+	for _, round := range conduct.Loops() {
 		process.tomb.Go(func() error { round(); return nil })
 	}
 	logger.Info("listening", "address", chosen.Address, "identity", string(conduct.Witness().Replica().Identity), "blank", blank)
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -90,7 +90,7 @@
 	if err := process.listenForCalls(); err != nil {
 		return nil, process.abort(err)
 	}
-	for _, round := range process.router.Rounds() {
+	for _, round := range process.router.Loops() {
 		process.tomb.Go(func() error { round(); return nil })
 	}
 	logger.Info("listening", "address", chosen.Address, "supported", supported)
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -33,10 +33,10 @@
 	handlerTable  wire.Handlers
 	updated       runtime.Cond
 	termBegan     runtime.Cond
-	lists         lists
+	serverList    serverList
 	pending       runtime.Cond
 	confirmations runtime.Cond
-	editTurn      runtime.Cond
+	editDone      runtime.Cond
 
 	submitted          atomic.Uint64
 	updateAnswers      atomic.Uint64
@@ -58,22 +58,22 @@
 
 // The pauses of a controller's rounds. The values are ours.
 const (
-	tickPause         = 150 * time.Millisecond
-	housekeepingPause = 300 * time.Millisecond
-	sweepPause        = 5 * time.Second
-	commitPause       = 100 * time.Millisecond
-	// idlePause lies between two looks when there is nothing to do.
-	idlePause      = time.Second
+	tickInterval         = 150 * time.Millisecond
+	housekeepingInterval = 300 * time.Millisecond
+	sweepInterval        = 5 * time.Second
+	commitInterval       = 100 * time.Millisecond
+	// idleInterval lies between two looks when there is nothing to do.
+	idleInterval   = time.Second
 	repairInterval = time.Second
-	// leavePause lies between two looks of a controller that leaves.
-	leavePause = 20 * time.Millisecond
-	// horizonPause is the time between two moves of the claims' horizon.
-	horizonPause = 10 * time.Second
+	// leaveInterval lies between two looks of a controller that leaves.
+	leaveInterval = 20 * time.Millisecond
+	// horizonInterval is the time between two moves of the claims' horizon.
+	horizonInterval = 10 * time.Second
 )
 
 // Open opens what the disk holds. A blank or damaged keeper's storage is
 // a new identity, for which the copy that may lie there is emptied.
-func Open(rt runtime.Runtime, line wire.Client, keeping, c replication.Storage, options Options, observe func(string, ...any)) (*Controller, bool, error) {
+func Open(rt runtime.Runtime, client wire.Client, keeping, c replication.Storage, options Options, observe func(string, ...any)) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
 	witness, blank, err := replication.OpenWitness(rt.Now(), keeping, replica, options.Fresh)
 	if err != nil {
@@ -94,23 +94,23 @@
 	}
 	witness.SetLock(runtime.NewLock(rt))
 	copied.SetLock(runtime.NewLock(rt))
-	controller := &Controller{runtime: rt, client: line, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
-		updated: rt.NewCond(), termBegan: rt.NewCond(), pending: rt.NewCond(), confirmations: rt.NewCond(), editTurn: rt.NewCond()}
+	controller := &Controller{runtime: rt, client: client, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
+		updated: rt.NewCond(), termBegan: rt.NewCond(), pending: rt.NewCond(), confirmations: rt.NewCond(), editDone: rt.NewCond()}
 	controller.store.SetLock(runtime.NewLock(rt))
-	controller.coordinator = replication.NewCoordinator(rt, options.Seeds, witness, controller.store, &peers{client: line}, observe)
+	controller.coordinator = replication.NewCoordinator(rt, options.Seeds, witness, controller.store, &peers{client: client}, observe)
 	if options.JoinsOnly {
 		controller.coordinator.SetJoinOnly()
 	}
 	timing := replication.TimingFor(options.CatchUp)
 	controller.coordinator.SetTiming(timing)
-	controller.coordinator.SetTolerance(options.BorneLosses, options.Zone)
+	controller.coordinator.SetTolerance(options.ToleratedLosses, options.Zone)
 	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.RepairTime().String(), "margin", timing.Margin().String())
 	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	controller.follower = follower.New(rt, line, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.takeUpdate)
+	controller.follower = follower.New(rt, client, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.applyUpdate)
 	controller.follower.Follow(options.Directory != nil, false)
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
 	// Who was recorded when this disk was written last may know where the core is now.
-	controller.takeMembers(follower.Update{Changed: copied.Sections()})
+	controller.applyMembers(follower.Update{Changed: copied.Sections()})
 	controller.handlerTable = controller.handlers()
 	return controller, blank, nil
 }
@@ -126,17 +126,17 @@
 	return storage.Remove(damaged)
 }
 
-// Rounds are what a controller does over and over, each in a thread of its own.
-func (c *Controller) Rounds() []func() {
+// Loops are what a controller does over and over, each in a thread of its own.
+func (c *Controller) Loops() []func() {
 	every := func(pause time.Duration, task func()) func() {
 		return func() { runtime.Every(c.runtime, pause, task) }
 	}
-	rounds := []func(){every(tickPause, c.tick), c.keepHouse, every(sweepPause, c.sweep),
+	rounds := []func(){every(tickInterval, c.tick), c.housekeepWhileLeading, every(sweepInterval, c.sweep),
 		c.commit, c.follower.Run}
 	if c.options.Directory != nil {
 		rounds = append(rounds, c.readServers, c.readNodes)
 	}
-	if c.options.Reports != nil {
+	if c.options.LoadReader != nil {
 		rounds = append(rounds, c.readReports)
 	}
 	return rounds
@@ -149,7 +149,7 @@
 	deadline := c.runtime.Now().Add(timeout)
 	c.coordinator.Leave()
 	for !c.coordinator.ReadyToStop() && c.runtime.Now().Before(deadline) {
-		runtime.Sleep(c.runtime, leavePause)
+		runtime.Sleep(c.runtime, leaveInterval)
 	}
 	c.observe("left", "released", c.coordinator.ReadyToStop())
 }
@@ -162,7 +162,7 @@
 
 // Servers is the platform's list as it was read last.
 func (c *Controller) Servers() []membership.Server {
-	return c.lists.servers(c.runtime.Now())
+	return c.serverList.servers(c.runtime.Now())
 }
 
 // setNodes takes the platform's list of nodes.
@@ -249,11 +249,11 @@
 	}
 	c.mutex.Unlock()
 	if begun {
-		c.lists.begin(c.coordinator.Membership().Epoch)
+		c.serverList.begin(c.coordinator.Membership().Epoch)
 		c.termBegan.Broadcast()
 	}
 	if ended {
-		c.lists.end()
+		c.serverList.end()
 	}
 	if ended || moved {
 		c.updated.Broadcast()
@@ -296,7 +296,7 @@
 func (c *Controller) state(current *Term, view *replication.View) (*replication.State, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if current.state != nil && current.stateAt == view.Version {
+	if current.state != nil && current.stateVersion == view.Version {
 		return current.state, nil
 	}
 	// Claims are many and asked for nowhere but in their own changes.
@@ -310,7 +310,7 @@
 	if err != nil {
 		return nil, err
 	}
-	current.state, current.stateAt = state, view.Version
+	current.state, current.stateVersion = state, view.Version
 	return state, nil
 }
 
@@ -321,9 +321,9 @@
 		if c.commitOne() {
 			continue
 		}
-		pause := idlePause
+		pause := idleInterval
 		if c.store.HasPending() {
-			pause = commitPause
+			pause = commitInterval
 		}
 		c.pending.Wait(pause, func() bool { return c.submitted.Load() != seen })
 	}
@@ -448,13 +448,13 @@
 	return version, nil
 }
 
-// takeUpdate follows the enabled set as every node does, and the list of servers, to
+// applyUpdate follows the enabled set as every node does, and the list of servers, to
 // lead with it at once.
-func (c *Controller) takeUpdate(update follower.Update) {
-	if update.Servers != nil && !c.lists.leading() {
-		c.lists.take(update.Servers.At, update.Servers.Servers)
+func (c *Controller) applyUpdate(update follower.Update) {
+	if update.Servers != nil && !c.serverList.leading() {
+		c.serverList.take(update.Servers.At, update.Servers.Servers)
 	}
-	c.takeMembers(update)
+	c.applyMembers(update)
 	section, found := update.Changed[replication.FlagsSection]
 	if !found {
 		return
@@ -470,8 +470,8 @@
 	c.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
 }
 
-// takeMembers takes the recorded members from news, or from the own copy.
-func (c *Controller) takeMembers(update follower.Update) {
+// applyMembers takes the recorded members from news, or from the own copy.
+func (c *Controller) applyMembers(update follower.Update) {
 	section, found := update.Changed[replication.MembersSection]
 	if !found {
 		return
--- a/internal/controlplane/controller_test.go
+++ b/internal/controlplane/controller_test.go
@@ -59,10 +59,10 @@
 		if asked++; asked != 2 {
 			return
 		}
-		_, err := primary.submit(replication.ChangeConfiguration("meanwhile", "", nil, replication.PreparedConfiguration{}, rev("meanwhile")), changePatience)
+		_, err := primary.submit(replication.ChangeConfiguration("meanwhile", "", nil, replication.PreparedConfiguration{}, rev("meanwhile")), changeTimeout)
 		committed = err == nil
 	}
-	request.Patience = 0
+	request.MaxWait = 0
 	hooks[primary.runtime].hook.Store(&hook)
 	response, err := primary.serveUpdate(request)
 	if err != nil || !committed {
--- a/internal/controlplane/copystate.go
+++ b/internal/controlplane/copystate.go
@@ -9,8 +9,8 @@
 // not among them: they need a primary.
 var provisionalSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
-// copyUpdate tells of the own copy, with its sections if their version is the wanted one.
-func (c *Controller) copyUpdate(wanted replication.Version) *wire.CopyState {
+// copyState tells of the own copy, with its sections if their version is the wanted one.
+func (c *Controller) copyState(wanted replication.Version) *wire.CopyState {
 	copied := c.store.LocalReplica()
 	update := &wire.CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
 	sections := copied.Sections()
@@ -31,12 +31,12 @@
 // before the copy: a copy that the membership names is then no older than its grant.
 func (c *Controller) followerResponse(request wire.UpdateRequest) wire.UpdateResponse {
 	response := wire.UpdateResponse{Membership: c.coordinator.Membership()}
-	if !request.Provisional {
+	if !request.WantProvisional {
 		return response
 	}
-	if request.Lists {
-		response.Servers = c.provisionalServers(request.Wanted != (replication.Version{}))
+	if request.WantServers {
+		response.Servers = c.provisionalServers(request.WantedVersion != (replication.Version{}))
 	}
-	response.Copy = c.copyUpdate(request.Wanted)
+	response.Copy = c.copyState(request.WantedVersion)
 	return response
 }
--- a/internal/controlplane/core_test.go
+++ b/internal/controlplane/core_test.go
@@ -106,7 +106,7 @@
 		formed.mutex.Unlock()
 	}
 	for _, node := range formed.nodes {
-		for _, round := range node.Rounds() {
+		for _, round := range node.Loops() {
 			rt.Go(round)
 		}
 	}
--- a/internal/controlplane/edit.go
+++ b/internal/controlplane/edit.go
@@ -17,18 +17,18 @@
 	Digest string
 	// Expected is the version that it is made from, if it insists on one.
 	Expected *replication.Version
-	// Builds is the revision that it builds on, if it insists on one; it then gives
+	// BaseRevision is the revision that it builds on, if it insists on one; it then gives
 	// a higher one, and its digest is its id if it has none.
-	Builds *uint64
+	BaseRevision *uint64
 	// Apply makes the new text of the old one.
 	Apply func(text []byte) ([]byte, error)
-	// Sound tells that it checks by itself what it adds.
-	Sound bool
+	// ValidatesItself tells that it checks by itself what it adds.
+	ValidatesItself bool
 }
 
 const (
-	changePatience  = 3 * time.Second
-	inForcePatience = 6 * time.Second
+	changeTimeout  = 3 * time.Second
+	inForceTimeout = 6 * time.Second
 	// roundTrip is what an answer and the next question may take on their way.
 	roundTrip = 150 * time.Millisecond
 )
@@ -36,8 +36,8 @@
 // Edit changes the configuration and returns the version once it is in force
 // everywhere. A failure of kind Unknown says that it may have been accepted.
 func (c *Controller) Edit(edit Edit) (replication.Version, error) {
-	if edit.Builds != nil {
-		edit = edit.revising()
+	if edit.BaseRevision != nil {
+		edit = edit.withRevisionCheck()
 	}
 	current, version, err := c.change(edit)
 	if err != nil {
@@ -55,8 +55,8 @@
 }
 
 // revising is an edit that checks the revision it builds on each time it is made.
-func (e Edit) revising() Edit {
-	builds, apply := *e.Builds, e.Apply
+func (e Edit) withRevisionCheck() Edit {
+	builds, apply := *e.BaseRevision, e.Apply
 	e.Apply = func(text []byte) ([]byte, error) { return config.Revise(text, builds, apply) }
 	if e.Change == "" {
 		e.Change = "revision-" + e.Digest
@@ -68,7 +68,7 @@
 // that has moved meanwhile. Edits of a large configuration are prepared one after
 // another, so that one whose turn it is need not be made again.
 func (c *Controller) change(edit Edit) (*Term, replication.Version, error) {
-	deadline := c.runtime.Now().Add(changePatience)
+	deadline := c.runtime.Now().Add(changeTimeout)
 	for {
 		current, view, err := c.Leading()
 		if err != nil {
@@ -88,10 +88,10 @@
 			}
 		}
 		var prepared replication.PreparedConfiguration
-		if !c.noted(current, view, edit) {
-			prepared = replication.PrepareConfiguration(section.Version, section.Content, edit.Apply, edit.Sound)
+		if !c.alreadyCommitted(current, view, edit) {
+			prepared = replication.PrepareConfiguration(section.Version, section.Content, edit.Apply, edit.ValidatesItself)
 		}
-		version, err := c.submit(replication.ChangeConfiguration(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changePatience)
+		version, err := c.submit(replication.ChangeConfiguration(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply), changeTimeout)
 		if large {
 			c.endEdit()
 		}
@@ -106,7 +106,7 @@
 
 // noted tells whether the very change was committed before: then it is answered in
 // its turn, and need not be prepared.
-func (c *Controller) noted(current *Term, view *replication.View, edit Edit) bool {
+func (c *Controller) alreadyCommitted(current *Term, view *replication.View, edit Edit) bool {
 	state, err := c.state(current, view)
 	if err != nil || edit.Change == "" {
 		return false
@@ -120,7 +120,7 @@
 }
 
 func (c *Controller) beginEdit(deadline time.Time) bool {
-	return c.editTurn.Wait(deadline.Sub(c.runtime.Now()), func() bool {
+	return c.editDone.Wait(deadline.Sub(c.runtime.Now()), func() bool {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		taken := c.editing
@@ -133,7 +133,7 @@
 	c.mutex.Lock()
 	c.editing = false
 	c.mutex.Unlock()
-	c.editTurn.Broadcast()
+	c.editDone.Broadcast()
 }
 
 // SetAcknowledgeWait chooses how long a committed change waits for routers that are
@@ -149,7 +149,7 @@
 	everywhere := false
 	committed := c.runtime.Now()
 	wait := time.Duration(c.acknowledgeWait.Load())
-	deadline := committed.Add(inForcePatience)
+	deadline := committed.Add(inForceTimeout)
 	for c.runtime.Now().Before(deadline) {
 		lost := false
 		// Grants run out without a ring: the wait is cut into short ones.
@@ -189,5 +189,5 @@
 	if _, live := current.Grants.Live(c.runtime.Now())[name]; live {
 		return replication.Version{}, failure.New(failure.LeaseActive, name+" is running; stop it first")
 	}
-	return c.submit(replication.RemoveMember(name), changePatience)
+	return c.submit(replication.RemoveMember(name), changeTimeout)
 }
--- a/internal/controlplane/edit_test.go
+++ b/internal/controlplane/edit_test.go
@@ -19,11 +19,11 @@
 // by a word.
 func revision(builds, next uint64, word string) Edit {
 	text := fmt.Sprintf(`{"revision":%d,"annotations":{"word":%q}}`, next, word)
-	return Edit{Builds: &builds, Digest: fmt.Sprintf("%d %s", builds, text), Apply: func([]byte) ([]byte, error) { return []byte(text), nil }}
+	return Edit{BaseRevision: &builds, Digest: fmt.Sprintf("%d %s", builds, text), Apply: func([]byte) ([]byte, error) { return []byte(text), nil }}
 }
 
 func evacuation(zone string) Edit {
-	return Edit{Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "") }}
+	return Edit{ValidatesItself: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "") }}
 }
 
 func (c *core) mustBe(t *testing.T, primary *Controller, want string) replication.Version {
@@ -151,7 +151,7 @@
 	if err != nil || configuration.Revision != 2 || !configuration.Evacuated("north") || !configuration.Evacuated("south") {
 		t.Fatalf("%s: %v", state.Configuration, err)
 	}
-	lift := Edit{Sound: true, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, "north") }}
+	lift := Edit{ValidatesItself: true, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, "north") }}
 	for range 2 {
 		if _, err := primary.Edit(lift); err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/handlers.go
+++ b/internal/controlplane/handlers.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	registerPatience = 1200 * time.Millisecond
-	claimPatience    = 1200 * time.Millisecond
-	// mostUpdateWait bounds how long a question is held back.
-	mostUpdateWait = 2 * time.Second
+	registerTimeout = 1200 * time.Millisecond
+	claimTimeout    = 1200 * time.Millisecond
+	// maxUpdateWait bounds how long a question is held back.
+	maxUpdateWait = 2 * time.Second
 )
 
 // Handlers is what the controller answers on the hotline.
@@ -63,11 +63,11 @@
 			return wire.Empty{}, c.store.CatchUp(question.Snapshot)
 		}),
 		wire.UpdatesPath: wire.HandlerFor(c.serveUpdate),
-		wire.ClaimPath: wire.HandlerFor(func(question wire.ClaimRequest) (wire.LedResponse, error) {
-			return c.led(replication.ClaimRequest(question.Made, question.Entry))
+		wire.ClaimPath: wire.HandlerFor(func(question wire.ClaimRequest) (wire.LeaderResponse, error) {
+			return c.submitAsLeader(replication.ClaimRequest(question.Made, question.Entry))
 		}),
-		wire.OrdersPath: wire.HandlerFor(func(question wire.OrdersRequest) (wire.LedResponse, error) {
-			return c.led(replication.IssueOrders(question.Role, question.Orders, question.Supported))
+		wire.OrdersPath: wire.HandlerFor(func(question wire.OrdersRequest) (wire.LeaderResponse, error) {
+			return c.submitAsLeader(replication.IssueOrders(question.Role, question.Orders, question.Supported))
 		}),
 	}
 }
@@ -81,15 +81,15 @@
 }
 
 // led carries out a node's change if this controller is primary.
-func (c *Controller) led(change replication.Change) (wire.LedResponse, error) {
+func (c *Controller) submitAsLeader(change replication.Change) (wire.LeaderResponse, error) {
 	if _, _, err := c.Leading(); err != nil {
-		return wire.LedResponse{Membership: c.coordinator.Membership()}, nil
+		return wire.LeaderResponse{Membership: c.coordinator.Membership()}, nil
 	}
-	_, err := c.submit(change, claimPatience)
+	_, err := c.submit(change, claimTimeout)
 	if failure.CodeOf(err) == failure.NotPrimary {
-		return wire.LedResponse{Membership: c.coordinator.Membership()}, nil
+		return wire.LeaderResponse{Membership: c.coordinator.Membership()}, nil
 	}
-	return wire.LedResponse{Leads: true}, err
+	return wire.LeaderResponse{Leads: true}, err
 }
 
 // followedSections are those that nodes follow.
@@ -103,17 +103,17 @@
 	if err != nil {
 		return elsewhere()
 	}
-	if request.Brief {
+	if request.LeaderOnly {
 		return wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
 	}
 	name := request.Member.Name
 	router := request.Member.Kind == membership.Router
 	arrived := c.runtime.Now()
 	c.mutex.Lock()
-	current.asked[name] = arrived
+	current.lastPoll[name] = arrived
 	c.mutex.Unlock()
 	if router {
-		c.lists.noteFailing(arrived, request)
+		c.serverList.noteFailing(arrived, request)
 		current.Grants.Acknowledge(arrived, name, request.InForce.Number)
 		c.confirmations.Broadcast()
 	}
@@ -124,19 +124,19 @@
 	if recorded, found := state.Members[name]; !found || !recorded.Same(request.Member) {
 		member := request.Member
 		member.Since = c.runtime.Wall()
-		if _, err := c.submit(replication.RegisterMember(member), registerPatience); err != nil {
+		if _, err := c.submit(replication.RegisterMember(member), registerTimeout); err != nil {
 			return wire.UpdateResponse{}, err
 		}
 	}
 	for {
-		if view = c.awaitChange(request); view == nil {
+		if view = c.awaitUpdate(request); view == nil {
 			return elsewhere()
 		}
-		response := wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newer(view, request.Have)}
-		shorten(&response, request, current)
+		response := wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newerSections(view, request.Have)}
+		useDelta(&response, request, current)
 		now := c.runtime.Now()
-		response.Held = now.Sub(arrived)
-		c.lists.tell(now, request, &response)
+		response.Waited = now.Sub(arrived)
+		c.serverList.tell(now, request, &response)
 		if router {
 			state, err := c.state(current, view)
 			if err != nil {
@@ -167,13 +167,13 @@
 
 // shorten sends what changed of the configuration instead of all of it, if the
 // node takes that and has a version that was shown here.
-func shorten(response *wire.UpdateResponse, request wire.UpdateRequest, current *Term) {
+func useDelta(response *wire.UpdateResponse, request wire.UpdateRequest, current *Term) {
 	section, found := response.Sections[replication.ConfigurationSection]
 	if !found {
 		return
 	}
-	delta, made := current.revisions.towards(section, request.Have[replication.ConfigurationSection])
-	if !made || !request.Deltas {
+	delta, made := current.deltas.towards(section, request.Have[replication.ConfigurationSection])
+	if !made || !request.AcceptDeltas {
 		return
 	}
 	delete(response.Sections, replication.ConfigurationSection)
@@ -195,7 +195,7 @@
 	}
 }
 
-func newer(view *replication.View, have map[string]replication.Version) map[string]replication.Section {
+func newerSections(view *replication.View, have map[string]replication.Version) map[string]replication.Section {
 	sections := map[string]replication.Section{}
 	for _, name := range followedSections {
 		section, found := view.Sections[name]
@@ -226,18 +226,18 @@
 	return request.Membership != 0 && c.coordinator.Membership().Epoch > request.Membership
 }
 
-// awaitChange returns the view as soon as it has news for the question, or when
+// awaitUpdate returns the view as soon as it has news for the question, or when
 // its patience ends; nil when this controller is not primary any more.
-func (c *Controller) awaitChange(request wire.UpdateRequest) *replication.View {
+func (c *Controller) awaitUpdate(request wire.UpdateRequest) *replication.View {
 	var seen *replication.View
-	c.updated.Wait(min(max(request.Patience, 0), mostUpdateWait), func() bool {
+	c.updated.Wait(min(max(request.MaxWait, 0), maxUpdateWait), func() bool {
 		_, view, err := c.Leading()
 		if err != nil {
 			seen = nil
 			return true
 		}
 		seen = view
-		return len(newer(view, request.Have)) > 0 || c.lists.newer(request) || c.hasNewerMembership(request)
+		return len(newerSections(view, request.Have)) > 0 || c.serverList.newer(request) || c.hasNewerMembership(request)
 	})
 	if !c.runtime.Alive() {
 		return nil
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -10,14 +10,14 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// keepHouse does so for as long as this controller leads, and rests while it does not.
-func (c *Controller) keepHouse() {
+// housekeepWhileLeading does so for as long as this controller leads, and rests while it does not.
+func (c *Controller) housekeepWhileLeading() {
 	for c.runtime.Alive() {
-		if !c.lists.leading() {
-			c.termBegan.Wait(time.Minute, c.lists.leading)
+		if !c.serverList.leading() {
+			c.termBegan.Wait(time.Minute, c.serverList.leading)
 			continue
 		}
-		next := c.runtime.Now().Add(housekeepingPause)
+		next := c.runtime.Now().Add(housekeepingInterval)
 		c.housekeep()
 		if left := next.Sub(c.runtime.Now()); left > 0 {
 			runtime.Sleep(c.runtime, left)
@@ -39,17 +39,17 @@
 	}
 	now := c.runtime.Now()
 	c.mutex.Lock()
-	if version := view.VersionOf(replication.MembersSection); version != current.membersAt {
-		current.membersAt, current.settledFrom = version, now
+	if version := view.VersionOf(replication.MembersSection); version != current.membersVersion {
+		current.membersVersion, current.membersStableSince = version, now
 	}
-	settled := now.Sub(current.settledFrom) >= c.options.FlagSettle
-	horizonDue := now.Sub(current.horizonAt) >= horizonPause
-	step := 2 * now.Sub(current.horizonAt)
-	if current.horizonAt.IsZero() {
+	settled := now.Sub(current.membersStableSince) >= c.options.FlagStableTime
+	horizonDue := now.Sub(current.horizonMovedAt) >= horizonInterval
+	step := 2 * now.Sub(current.horizonMovedAt)
+	if current.horizonMovedAt.IsZero() {
 		step = 0
 	}
 	if horizonDue {
-		current.horizonAt = now
+		current.horizonMovedAt = now
 	}
 	c.mutex.Unlock()
 	supported := c.options.Supported
@@ -72,15 +72,15 @@
 	c.forgetServers(now, current, state)
 }
 
-// listYoung is how old the list may be by which servers are held to be gone.
-const listYoung = 5 * time.Second
+// maxListAge is how old the list may be by which servers are held to be gone.
+const maxListAge = 5 * time.Second
 
 // forgetServers takes the records of servers away that are gone for good.
 func (c *Controller) forgetServers(now time.Time, current *Term, state *replication.State) {
-	if age, read := c.lists.age(now); !read || age > listYoung {
+	if age, read := c.serverList.age(now); !read || age > maxListAge {
 		return
 	}
-	listed := c.lists.servers(now)
+	listed := c.serverList.servers(now)
 	c.mutex.Lock()
 	gone := current.goneServers(now, state, listed)
 	c.mutex.Unlock()
@@ -114,12 +114,12 @@
 	}
 }
 
-// Settling tells whether the members changed too short a time ago for a flag to
+// MembersUnstable tells whether the members changed too short a time ago for a flag to
 // be enabled.
-func (c *Controller) Settling(current *Term) bool {
+func (c *Controller) MembersUnstable(current *Term) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.runtime.Now().Sub(current.settledFrom) < c.options.FlagSettle
+	return c.runtime.Now().Sub(current.membersStableSince) < c.options.FlagStableTime
 }
 
 func (c *Controller) grantRoles(now time.Time, current *Term, state *replication.State) {
@@ -174,7 +174,7 @@
 	epoch := c.coordinator.Membership().Epoch
 	for _, replica := range c.coordinator.StaleReplicas(view.Version) {
 		request := wire.InstallRequest{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
-		err := wire.Call(c.client, c.coordinator.Address(replica), wire.RefreshPath, request, nil, installPatience)
+		err := wire.Call(c.client, c.coordinator.Address(replica), wire.RefreshPath, request, nil, installTimeout)
 		c.observe("copy_mended", "at", replica.Name, "version", view.Version.String(), "trouble", err)
 	}
 }
--- a/internal/controlplane/lists.go
+++ b/internal/controlplane/lists.go
@@ -19,7 +19,7 @@
 // lists is what a controller knows of the platform's list of servers and of their
 // reports. The primary reads both for the whole fleet; the others have the list from
 // the news, so that they lead with it at once.
-type lists struct {
+type serverList struct {
 	mutex   sync.Mutex
 	listing membership.ServerList
 	// epoch is that of the term whose marks these are, and zero outside of one.
@@ -43,57 +43,57 @@
 
 // The pauses of reading. The values are ours.
 const (
-	listPause   = 500 * time.Millisecond
-	reportPause = 333 * time.Millisecond
-	// calmReportPause lies between two rounds while no server has much to do: then
+	listInterval   = 500 * time.Millisecond
+	reportInterval = 333 * time.Millisecond
+	// idleReportInterval lies between two rounds while no server has much to do: then
 	// reports wake nobody whose question would not be answered by then anyway.
-	calmReportPause = follower.UpdateWait
-	// calmShare is the part of its slots up to which a server has little to do, and
-	// calmRunning that of one which does not tell its slots.
-	calmShare   = 6
-	calmRunning = 8
-	// reportPatience is how long a server may take to report. A round waits no
-	// longer than roundPatience: a late report goes out with the next.
-	reportPatience = 700 * time.Millisecond
-	roundPatience  = 120 * time.Millisecond
-	// reportKept is how long a report that no other followed is forwarded.
-	reportKept = 3 * time.Second
-	// wantedTime is how long after a router's last question reports are read for.
-	wantedTime = 3 * time.Second
+	idleReportInterval = follower.UpdateWait
+	// idleSlotShare is the part of its slots up to which a server has little to do, and
+	// idleRunning that of one which does not tell its slots.
+	idleSlotShare = 6
+	idleRunning   = 8
+	// reportTimeout is how long a server may take to report. A round waits no
+	// longer than roundTimeout: a late report goes out with the next.
+	reportTimeout = 700 * time.Millisecond
+	roundTimeout  = 120 * time.Millisecond
+	// reportTTL is how long a report that no other followed is forwarded.
+	reportTTL = 3 * time.Second
+	// followedTime is how long after a router's last question reports are read for.
+	followedTime = 3 * time.Second
 )
 
 // mark tells one list, or one round of reports, from all others: an epoch has one
 // primary.
-func mark(epoch, count uint64) uint64 { return epoch<<32 | count&0xffffffff }
+func revisionOf(epoch, count uint64) uint64 { return epoch<<32 | count&0xffffffff }
 
-func (l *lists) listMark() uint64 {
+func (l *serverList) listMark() uint64 {
 	if l.epoch == 0 || l.listing.At().IsZero() {
 		return 0
 	}
-	return mark(l.epoch, l.changes)
+	return revisionOf(l.epoch, l.changes)
 }
 
-func (l *lists) reportsMark() uint64 {
+func (l *serverList) reportsMark() uint64 {
 	if l.epoch == 0 || l.rounds == 0 {
 		return 0
 	}
-	return mark(l.epoch, l.rounds)
+	return revisionOf(l.epoch, l.rounds)
 }
 
 // begin starts a term's own marks, from what is known; end ends them.
-func (l *lists) begin(epoch uint64) {
+func (l *serverList) begin(epoch uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.epoch, l.changes, l.rounds, l.reports, l.asking = epoch, 1, 0, map[string]report{}, map[string]bool{}
 }
 
-func (l *lists) end() {
+func (l *serverList) end() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.epoch = 0
 }
 
-func (l *lists) leading() bool {
+func (l *serverList) leading() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.epoch != 0
@@ -101,10 +101,10 @@
 
 // readsNow tells whether the list is to be read for routers without a primary, and
 // notes that it is.
-func (l *lists) readsNow(now time.Time) bool {
+func (l *serverList) readsNow(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.epoch != 0 || now.Sub(l.readAt) < listPause || now.Sub(l.listing.At()) < listPause {
+	if l.epoch != 0 || now.Sub(l.readAt) < listInterval || now.Sub(l.listing.At()) < listInterval {
 		return false
 	}
 	l.readAt = now
@@ -112,7 +112,7 @@
 }
 
 // fresh is the list without a mark, if it is not older than a router would bear.
-func (l *lists) fresh(now time.Time) *wire.ServersUpdate {
+func (l *serverList) fresh(now time.Time) *wire.ServersUpdate {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if at := l.listing.At(); at.IsZero() || now.Sub(at) >= discovery.ListTimeout {
@@ -122,7 +122,7 @@
 }
 
 // take takes a list and tells whether it changed anything.
-func (l *lists) take(at time.Time, servers []membership.Server) bool {
+func (l *serverList) take(at time.Time, servers []membership.Server) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	changed := l.listing.Update(at, servers)
@@ -133,14 +133,14 @@
 }
 
 // servers is the list as it is known now.
-func (l *lists) servers(now time.Time) []membership.Server {
+func (l *serverList) servers(now time.Time) []membership.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.listing.Servers(now)
 }
 
 // age is how old the list is, if it was ever read.
-func (l *lists) age(now time.Time) (time.Duration, bool) {
+func (l *serverList) age(now time.Time) (time.Duration, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	at := l.listing.At()
@@ -148,40 +148,40 @@
 }
 
 // newer tells whether there is a list or a round of reports that the asker has not.
-func (l *lists) newer(request wire.UpdateRequest) bool {
+func (l *serverList) newer(request wire.UpdateRequest) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return request.Lists && l.listMark() != 0 && l.listMark() != request.ListMark ||
-		request.Loads && l.reportsMark() != 0 && l.reportsMark() != request.LoadsMark
+	return request.WantServers && l.listMark() != 0 && l.listMark() != request.ServersRevision ||
+		request.WantLoads && l.reportsMark() != 0 && l.reportsMark() != request.LoadsRevision
 }
 
 // tell writes into an answer what the asker follows and has not.
-func (l *lists) tell(now time.Time, request wire.UpdateRequest, response *wire.UpdateResponse) {
+func (l *serverList) tell(now time.Time, request wire.UpdateRequest, response *wire.UpdateResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if request.Loads {
+	if request.WantLoads {
 		l.wantedAt = now
 	}
-	if current := l.listMark(); request.Lists && current != 0 {
-		response.Servers = &wire.ServersUpdate{Mark: current, Age: now.Sub(l.listing.At())}
-		if current != request.ListMark {
+	if current := l.listMark(); request.WantServers && current != 0 {
+		response.Servers = &wire.ServersUpdate{Revision: current, Age: now.Sub(l.listing.At())}
+		if current != request.ServersRevision {
 			response.Servers.Sent, response.Servers.Servers = true, l.listing.Servers(now)
 		}
 	}
-	if current := l.reportsMark(); request.Loads && current != 0 && current != request.LoadsMark {
-		response.Loads = &wire.LoadsUpdate{Mark: current, Outliers: l.outliers.Advice(now)}
+	if current := l.reportsMark(); request.WantLoads && current != 0 && current != request.LoadsRevision {
+		response.Loads = &wire.LoadsUpdate{Revision: current, Outliers: l.outliers.Advice(now)}
 		for _, reported := range l.reports {
-			if age := now.Sub(reported.at); age < reportKept {
-				response.Loads.Lines = append(response.Loads.Lines, wire.ReportOf(reported.load, age))
+			if age := now.Sub(reported.at); age < reportTTL {
+				response.Loads.Reports = append(response.Loads.Reports, wire.NewLoadReport(reported.load, age))
 			}
 		}
-		slices.SortFunc(response.Loads.Lines, func(left, right wire.LoadReport) int { return strings.Compare(left.Server, right.Server) })
+		slices.SortFunc(response.Loads.Reports, func(left, right wire.LoadReport) int { return strings.Compare(left.Server, right.Server) })
 	}
 }
 
 // noteFailing takes what a node met at servers.
-func (l *lists) noteFailing(now time.Time, request wire.UpdateRequest) {
-	if !request.Loads {
+func (l *serverList) noteFailing(now time.Time, request wire.UpdateRequest) {
+	if !request.WantLoads {
 		return
 	}
 	reporter := outlier.Reporter{Name: request.Member.Name, Zone: request.Member.Zone}
@@ -193,10 +193,10 @@
 
 // wanted lists the servers to ask for a report now: those listed that are not being
 // asked, if a router follows reports.
-func (l *lists) wanted(now time.Time) []membership.Server {
+func (l *serverList) wanted(now time.Time) []membership.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.epoch == 0 || l.wantedAt.IsZero() || now.Sub(l.wantedAt) > wantedTime {
+	if l.epoch == 0 || l.wantedAt.IsZero() || now.Sub(l.wantedAt) > followedTime {
 		return nil
 	}
 	var wanted []membership.Server
@@ -210,7 +210,7 @@
 }
 
 // note takes a server's answer, or that there was none.
-func (l *lists) note(epoch uint64, server string, at time.Time, load scheduler.Load, err error) {
+func (l *serverList) note(epoch uint64, server string, at time.Time, load scheduler.Load, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.epoch != epoch {
@@ -223,11 +223,11 @@
 }
 
 // round ends a round of reading and forgets the servers that are gone.
-func (l *lists) round(now time.Time) {
+func (l *serverList) round(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for name, reported := range l.reports {
-		if now.Sub(reported.at) >= reportKept {
+		if now.Sub(reported.at) >= reportTTL {
 			delete(l.reports, name)
 		}
 	}
@@ -237,14 +237,14 @@
 }
 
 // calm tells whether all servers reported lately that they have little to do.
-func (l *lists) calm(now time.Time) bool {
+func (l *serverList) calm(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, server := range l.listing.Servers(now) {
 		reported, found := l.reports[server.Name]
-		most := calmRunning
+		most := idleRunning
 		if server.Slots > 0 {
-			most = server.Slots / calmShare
+			most = server.Slots / idleSlotShare
 		}
 		if found && (reported.load.Waiting > 0 || reported.load.Running > most || reported.load.ChangingRole) {
 			return false
@@ -257,26 +257,26 @@
 // leads, and at once when it begins to.
 func (c *Controller) readServers() {
 	for c.runtime.Alive() {
-		if !c.lists.leading() {
-			c.termBegan.Wait(time.Minute, c.lists.leading)
+		if !c.serverList.leading() {
+			c.termBegan.Wait(time.Minute, c.serverList.leading)
 			continue
 		}
 		asked := c.runtime.Now()
 		servers, err := c.options.Directory.Servers()
 		// A list that could not be read leaves what is known as it is.
-		if err == nil && c.lists.take(asked, servers) {
+		if err == nil && c.serverList.take(asked, servers) {
 			c.updated.Broadcast()
 		}
-		c.noteListTrouble(err)
-		if left := listPause - c.runtime.Now().Sub(asked); left > 0 {
+		c.logListError(err)
+		if left := listInterval - c.runtime.Now().Sub(asked); left > 0 {
 			runtime.Sleep(c.runtime, left)
 		}
 	}
 }
 
-// provisionalPatience is how long a router that fetches a configuration from a copy
+// provisionalTimeout is how long a router that fetches a configuration from a copy
 // waits for the list that is being read. The value is ours.
-const provisionalPatience = 150 * time.Millisecond
+const provisionalTimeout = 150 * time.Millisecond
 
 // provisionalServers is the list of servers for routers that have no primary. It is
 // read when the first of them asks, so that they need not all read it themselves, and
@@ -285,38 +285,38 @@
 	if c.options.Directory == nil {
 		return nil
 	}
-	if c.lists.readsNow(c.runtime.Now()) {
+	if c.serverList.readsNow(c.runtime.Now()) {
 		c.runtime.Go(func() {
 			asked := c.runtime.Now()
 			servers, err := c.options.Directory.Servers()
 			if err == nil {
-				c.lists.take(asked, servers)
+				c.serverList.take(asked, servers)
 				c.updated.Broadcast()
 			}
-			c.noteListTrouble(err)
+			c.logListError(err)
 		})
 	}
 	if !fetches {
 		return nil
 	}
 	var told *wire.ServersUpdate
-	c.updated.Wait(provisionalPatience, func() bool {
-		told = c.lists.fresh(c.runtime.Now())
+	c.updated.Wait(provisionalTimeout, func() bool {
+		told = c.serverList.fresh(c.runtime.Now())
 		return told != nil
 	})
 	return told
 }
 
-// noteListTrouble logs that the list can't be read, and that it can again, once.
-func (c *Controller) noteListTrouble(err error) {
+// logListError logs that the list can't be read, and that it can again, once.
+func (c *Controller) logListError(err error) {
 	cause := ""
 	if err != nil {
 		cause = string(failure.CodeOf(err))
 	}
-	c.lists.mutex.Lock()
-	told := c.lists.failedFor == cause
-	c.lists.failedFor = cause
-	c.lists.mutex.Unlock()
+	c.serverList.mutex.Lock()
+	told := c.serverList.failedFor == cause
+	c.serverList.failedFor = cause
+	c.serverList.mutex.Unlock()
 	if !told {
 		c.observe("list_read", "trouble", err)
 	}
@@ -326,19 +326,19 @@
 // leads and a router follows reports.
 func (c *Controller) readReports() {
 	for c.runtime.Alive() {
-		if !c.lists.leading() {
-			c.termBegan.Wait(time.Minute, c.lists.leading)
+		if !c.serverList.leading() {
+			c.termBegan.Wait(time.Minute, c.serverList.leading)
 			continue
 		}
 		began := c.runtime.Now()
-		if wanted := c.lists.wanted(began); len(wanted) > 0 {
-			c.askAll(wanted)
-			c.lists.round(c.runtime.Now())
+		if wanted := c.serverList.wanted(began); len(wanted) > 0 {
+			c.pollServers(wanted)
+			c.serverList.round(c.runtime.Now())
 			c.updated.Broadcast()
 		}
-		pause := reportPause
-		if c.lists.calm(c.runtime.Now()) {
-			pause = calmReportPause
+		pause := reportInterval
+		if c.serverList.calm(c.runtime.Now()) {
+			pause = idleReportInterval
 		}
 		if left := pause - c.runtime.Now().Sub(began); left > 0 {
 			runtime.Sleep(c.runtime, left)
@@ -346,19 +346,19 @@
 	}
 }
 
-// askAll asks servers at once and waits for those that answer soon.
-func (c *Controller) askAll(servers []membership.Server) {
-	c.lists.mutex.Lock()
-	epoch := c.lists.epoch
-	c.lists.mutex.Unlock()
+// pollServers asks servers at once and waits for those that answer soon.
+func (c *Controller) pollServers(servers []membership.Server) {
+	c.serverList.mutex.Lock()
+	epoch := c.serverList.epoch
+	c.serverList.mutex.Unlock()
 	cond := c.runtime.NewCond()
 	var mutex sync.Mutex
 	left := len(servers)
 	for _, server := range servers {
 		c.runtime.Go(func() {
 			asked := c.runtime.Now()
-			load, err := c.options.Reports.Report(server, reportPatience)
-			c.lists.note(epoch, server.Name, asked, load, err)
+			load, err := c.options.LoadReader.Report(server, reportTimeout)
+			c.serverList.note(epoch, server.Name, asked, load, err)
 			mutex.Lock()
 			left--
 			last := left == 0
@@ -368,7 +368,7 @@
 			}
 		})
 	}
-	cond.Wait(roundPatience, func() bool {
+	cond.Wait(roundTimeout, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return left == 0
--- a/internal/controlplane/lists_test.go
+++ b/internal/controlplane/lists_test.go
@@ -15,8 +15,8 @@
 
 // TestListsTellWhatTheAskerLacks follows a list and a report through their marks.
 func TestListsTellWhatTheAskerLacks(t *testing.T) {
-	var known lists
-	asker := wire.UpdateRequest{Lists: true, Loads: true}
+	var known serverList
+	asker := wire.UpdateRequest{WantServers: true, WantLoads: true}
 	if known.newer(asker) {
 		t.Error("nothing is known, and is news")
 	}
@@ -30,13 +30,13 @@
 	if response.Servers == nil || !response.Servers.Sent || response.Servers.Age != 500*time.Millisecond || response.Servers.Servers[0].Warming != 1500*time.Millisecond || response.Loads != nil {
 		t.Fatalf("%+v", response.Servers)
 	}
-	asker.ListMark = response.Servers.Mark
+	asker.ServersRevision = response.Servers.Revision
 	if known.newer(asker) {
 		t.Error("the same list is news")
 	}
 	response = wire.UpdateResponse{}
 	known.tell(runtimetest.AtNoon(time.Second), asker, &response)
-	if response.Servers == nil || response.Servers.Sent || response.Servers.Mark != asker.ListMark {
+	if response.Servers == nil || response.Servers.Sent || response.Servers.Revision != asker.ServersRevision {
 		t.Errorf("the list was told again: %+v", response.Servers)
 	}
 	// A router asked, so reports are read, each server once at a time.
@@ -51,7 +51,7 @@
 	known.round(runtimetest.AtNoon(time.Second))
 	response = wire.UpdateResponse{}
 	known.tell(runtimetest.AtNoon(time.Second), asker, &response)
-	if response.Loads == nil || len(response.Loads.Lines) != 0 {
+	if response.Loads == nil || len(response.Loads.Reports) != 0 {
 		t.Errorf("a report of another reign or server was told: %+v", response.Loads)
 	}
 	known.wanted(runtimetest.AtNoon(time.Second))
@@ -62,10 +62,10 @@
 	}
 	response = wire.UpdateResponse{}
 	known.tell(runtimetest.AtNoon(1200*time.Millisecond), asker, &response)
-	if response.Loads == nil || len(response.Loads.Lines) != 1 || response.Loads.Lines[0].Load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
+	if response.Loads == nil || len(response.Loads.Reports) != 1 || response.Loads.Reports[0].Load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
 		t.Errorf("%+v", response.Loads)
 	}
-	asker.LoadsMark = response.Loads.Mark
+	asker.LoadsRevision = response.Loads.Revision
 	if known.newer(asker) {
 		t.Error("the same round is news")
 	}
@@ -75,7 +75,7 @@
 	known.round(runtimetest.AtNoon(4200 * time.Millisecond))
 	response = wire.UpdateResponse{}
 	known.tell(runtimetest.AtNoon(4200*time.Millisecond), asker, &response)
-	if response.Loads == nil || len(response.Loads.Lines) != 0 {
+	if response.Loads == nil || len(response.Loads.Reports) != 0 {
 		t.Errorf("an old report is told: %+v", response.Loads)
 	}
 	if wanted := known.wanted(runtimetest.AtNoon(10 * time.Second)); len(wanted) != 0 {
@@ -94,7 +94,7 @@
 
 // TestReportTravelsShort wants one server's report to stay a few dozen bytes.
 func TestReportTravelsShort(t *testing.T) {
-	line := wire.ReportOf(scheduler.Load{Server: "i-7f3a91c2", Role: "decode", ChangingRole: true, Orders: 2, Waiting: 100, Running: 60, MemoryUsed: 200_000, MemoryTotal: 319_972, Handles: 12}, 240*time.Millisecond)
+	line := wire.NewLoadReport(scheduler.Load{Server: "i-7f3a91c2", Role: "decode", ChangingRole: true, Orders: 2, Waiting: 100, Running: 60, MemoryUsed: 200_000, MemoryTotal: 319_972, Handles: 12}, 240*time.Millisecond)
 	body, err := msgpack.Marshal(line)
 	if err != nil || len(body) > 48 {
 		t.Errorf("%d bytes, %v", len(body), err)
@@ -118,7 +118,7 @@
 		"a call waits":     {scheduler.Load{Server: "a", Waiting: 1}, false},
 		"a change of part": {scheduler.Load{Server: "a", ChangingRole: true}, false},
 	} {
-		var known lists
+		var known serverList
 		known.begin(1)
 		known.take(runtimetest.AtNoon(0), []membership.Server{{Name: "a", Slots: 64}, {Name: "b"}})
 		known.note(1, "a", runtimetest.AtNoon(0), one.load, nil)
--- a/internal/controlplane/options.go
+++ b/internal/controlplane/options.go
@@ -15,13 +15,13 @@
 	Zone      string
 	Seeds     []string
 	Supported features.List
-	// FlagSettle is how long the members must not change before a flag is
+	// FlagStableTime is how long the members must not change before a flag is
 	// enabled.
-	FlagSettle time.Duration
+	FlagStableTime time.Duration
 	// JoinsOnly keeps a blank disk from forming a first core.
 	JoinsOnly bool
-	// BorneLosses is how many disks may be lost at once; one when it is zero.
-	BorneLosses int
+	// ToleratedLosses is how many disks may be lost at once; one when it is zero.
+	ToleratedLosses int
 	// RetireAfter is how long a recorded member may not be heard from before it is
 	// taken out of the record; zero: for ever.
 	RetireAfter time.Duration
@@ -35,6 +35,6 @@
 	Fresh replication.Identity
 	// Directory reads the platform's lists, and Reports the servers' loads, for the
 	// whole fleet while this controller is primary.
-	Directory discovery.Directory
-	Reports   Reports
+	Directory  discovery.Directory
+	LoadReader LoadReader
 }
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	peerPatience    = 450 * time.Millisecond
-	batchPatience   = 1200 * time.Millisecond
-	installPatience = 6 * time.Second
+	peerTimeout    = 450 * time.Millisecond
+	batchTimeout   = 1200 * time.Millisecond
+	installTimeout = 6 * time.Second
 )
 
 // peers reaches the other controllers over the hotline.
@@ -18,32 +18,32 @@
 
 func (p *peers) Hello(address string, own replication.Hello) (replication.Hello, error) {
 	var response replication.Hello
-	err := wire.Call(p.client, address, wire.HelloPath, own, &response, peerPatience)
+	err := wire.Call(p.client, address, wire.HelloPath, own, &response, peerTimeout)
 	return response, err
 }
 
-func (p *peers) ask(address, path string, request wire.WitnessRequest) (replication.Vote, error) {
+func (p *peers) askWitness(address, path string, request wire.WitnessRequest) (replication.Vote, error) {
 	var promise replication.Vote
-	err := wire.Call(p.client, address, path, request, &promise, peerPatience)
+	err := wire.Call(p.client, address, path, request, &promise, peerTimeout)
 	return promise, err
 }
 
 func (p *peers) Prepare(address string, witness replication.Identity, epoch uint64, candidate replication.Identity) (replication.Vote, error) {
-	return p.ask(address, wire.PreparePath, wire.WitnessRequest{To: witness, From: candidate, Epoch: epoch})
+	return p.askWitness(address, wire.PreparePath, wire.WitnessRequest{To: witness, From: candidate, Epoch: epoch})
 }
 
 func (p *peers) Accept(address string, witness replication.Identity, membership replication.Membership) (replication.Vote, error) {
-	return p.ask(address, wire.AcceptPath, wire.WitnessRequest{To: witness, Membership: membership})
+	return p.askWitness(address, wire.AcceptPath, wire.WitnessRequest{To: witness, Membership: membership})
 }
 
 func (p *peers) RenewLease(address string, witness replication.Identity, epoch uint64, primary replication.Identity) (replication.Vote, error) {
-	return p.ask(address, wire.ConfirmPath, wire.WitnessRequest{To: witness, From: primary, Epoch: epoch})
+	return p.askWitness(address, wire.ConfirmPath, wire.WitnessRequest{To: witness, From: primary, Epoch: epoch})
 }
 
 func (p *peers) Replicate(address string, backup replication.Identity, epoch uint64, batch replication.Batch) error {
-	return wire.Call(p.client, address, wire.ReplicatePath, wire.ReplicateRequest{To: backup, Epoch: epoch, Batch: batch}, nil, batchPatience)
+	return wire.Call(p.client, address, wire.ReplicatePath, wire.ReplicateRequest{To: backup, Epoch: epoch, Batch: batch}, nil, batchTimeout)
 }
 
 func (p *peers) Install(address string, backup replication.Identity, snapshot replication.Snapshot) error {
-	return wire.Call(p.client, address, wire.InstallPath, wire.InstallRequest{To: backup, Snapshot: snapshot}, nil, installPatience)
+	return wire.Call(p.client, address, wire.InstallPath, wire.InstallRequest{To: backup, Snapshot: snapshot}, nil, installTimeout)
 }
--- a/internal/controlplane/redirector.go
+++ b/internal/controlplane/redirector.go
@@ -20,25 +20,25 @@
 	seeds      []string
 	membership replication.Membership
 	leader     string
-	asked      time.Time
+	answeredAt time.Time
 }
 
 const (
-	// redirectorPatience is how long each controller may take to say who leads: all are
+	// redirectorTimeout is how long each controller may take to say who leads: all are
 	// asked at once.
-	redirectorPatience = 300 * time.Millisecond
-	// redirectorSearches is how often the search goes on with what it has just learnt.
-	redirectorSearches = 2
-	// redirectorFresh is how long an answer is believed.
-	redirectorFresh = 500 * time.Millisecond
-	// redirectorRefresh lies between two looks at the membership while nobody asks: what is
+	redirectorTimeout = 300 * time.Millisecond
+	// redirectorRounds is how often the search goes on with what it has just learnt.
+	redirectorRounds = 2
+	// redirectorTTL is how long an answer is believed.
+	redirectorTTL = 500 * time.Millisecond
+	// redirectorInterval lies between two looks at the membership while nobody asks: what is
 	// known of it must not outlive the machines that it names.
-	redirectorRefresh = 2 * time.Second
+	redirectorInterval = 2 * time.Second
 )
 
 // NewRedirector makes a redirector that begins its search at the seeds.
-func NewRedirector(rt runtime.Runtime, line wire.Client, seeds []string) *Redirector {
-	return &Redirector{runtime: rt, client: line, seeds: seeds}
+func NewRedirector(rt runtime.Runtime, client wire.Client, seeds []string) *Redirector {
+	return &Redirector{runtime: rt, client: client, seeds: seeds}
 }
 
 // SetSeeds exchanges the seeds, after a reload.
@@ -50,20 +50,20 @@
 
 // Run follows the membership until the process ends.
 func (r *Redirector) Run() {
-	runtime.Every(r.runtime, redirectorRefresh, func() { r.Leader() })
+	runtime.Every(r.runtime, redirectorInterval, func() { r.Leader() })
 }
 
 // Leader is the address of the controller that is primary, or empty if none says so.
 func (r *Redirector) Leader() string {
 	r.mutex.Lock()
-	known, fresh := r.leader, r.runtime.Now().Sub(r.asked) < redirectorFresh
+	known, fresh := r.leader, r.runtime.Now().Sub(r.answeredAt) < redirectorTTL
 	r.mutex.Unlock()
 	if known != "" && fresh {
 		return known
 	}
 	asked := map[string]bool{}
-	for range redirectorSearches {
-		if leader := r.askAll(r.unasked(asked)); leader != "" {
+	for range redirectorRounds {
+		if leader := r.askAll(r.nextCandidates(asked)); leader != "" {
 			return leader
 		}
 	}
@@ -75,7 +75,7 @@
 
 // unasked are the addresses that may know, and were not asked in this search: who led
 // last, those of the newest membership, the seeds.
-func (r *Redirector) unasked(asked map[string]bool) []string {
+func (r *Redirector) nextCandidates(asked map[string]bool) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	candidates := []string{r.leader, r.membership.Primary.Address}
@@ -92,7 +92,7 @@
 	return addresses
 }
 
-// askAll asks all addresses at once, and gives the first that leads.
+// pollServers asks all addresses at once, and gives the first that leads.
 func (r *Redirector) askAll(addresses []string) string {
 	var mutex sync.Mutex
 	cond := r.runtime.NewCond()
@@ -101,7 +101,7 @@
 		r.runtime.Go(func() {
 			var hello replication.Hello
 			// A hello from nobody is answered, and leaves no trace.
-			err := wire.Call(r.client, address, wire.HelloPath, replication.Hello{}, &hello, redirectorPatience)
+			err := wire.Call(r.client, address, wire.HelloPath, replication.Hello{}, &hello, redirectorTimeout)
 			leads := err == nil && r.learn(address, hello)
 			mutex.Lock()
 			left--
@@ -112,7 +112,7 @@
 			cond.Broadcast()
 		})
 	}
-	cond.Wait(redirectorPatience, func() bool {
+	cond.Wait(redirectorTimeout, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return leader != "" || left == 0
@@ -130,7 +130,7 @@
 		r.membership = hello.Membership
 	}
 	if hello.Leads {
-		r.leader, r.asked = address, r.runtime.Now()
+		r.leader, r.answeredAt = address, r.runtime.Now()
 	}
 	return hello.Leads
 }
--- a/internal/controlplane/reports.go
+++ b/internal/controlplane/reports.go
@@ -7,8 +7,8 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Reports is the port by which the primary asks a model server for its load, for
+// LoadReader is the port by which the primary asks a model server for its load, for
 // all routers.
-type Reports interface {
+type LoadReader interface {
 	Report(server membership.Server, timeout time.Duration) (scheduler.Load, error)
 }
--- a/internal/controlplane/revisions.go
+++ b/internal/controlplane/revisions.go
@@ -9,21 +9,21 @@
 
 // revisions are the configurations that a primary has shown lately, so that a
 // node which has one of them is sent only what changed.
-type revisions struct {
+type deltaCache struct {
 	mutex sync.Mutex
 	shown []replication.Section
 	// made are the deltas towards the newest one, by the version they start from.
 	made map[replication.Version]wire.Delta
 }
 
-// mostRevisions bounds the memory, and mostRevisionBytes their size together.
+// maxRevisions bounds the memory, and maxRevisionBytes their size together.
 const (
-	mostRevisions     = 24
-	mostRevisionBytes = 48 << 20
+	maxRevisions     = 24
+	maxRevisionBytes = 48 << 20
 )
 
 // towards gives the delta from the version that a node has to the newest.
-func (r *revisions) towards(newest replication.Section, have replication.Version) (wire.Delta, bool) {
+func (r *deltaCache) towards(newest replication.Section, have replication.Version) (wire.Delta, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(newest.Content) < wire.MinDeltaContent {
@@ -36,7 +36,7 @@
 		for _, section := range r.shown {
 			size += len(section.Content)
 		}
-		for len(r.shown) > 1 && (len(r.shown) > mostRevisions || size > mostRevisionBytes) {
+		for len(r.shown) > 1 && (len(r.shown) > maxRevisions || size > maxRevisionBytes) {
 			size -= len(r.shown[0].Content)
 			r.shown = r.shown[1:]
 		}
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -12,22 +12,22 @@
 
 // Term is what a primary remembers for as long as it is primary.
 type Term struct {
-	Since       time.Time
-	Grants      *lease.RouterLeases
-	keys        *lease.RoleLeases
-	revisions   revisions
-	membersAt   replication.Version
-	settledFrom time.Time
-	horizonAt   time.Time
-	asked       map[string]time.Time
+	Since              time.Time
+	Grants             *lease.RouterLeases
+	keys               *lease.RoleLeases
+	deltas             deltaCache
+	membersVersion     replication.Version
+	membersStableSince time.Time
+	horizonMovedAt     time.Time
+	lastPoll           map[string]time.Time
 	// unlisted is since when a recorded server is not on the platform's list.
-	unlisted map[string]time.Time
-	state    *replication.State
-	stateAt  replication.Version
+	unlistedSince map[string]time.Time
+	state         *replication.State
+	stateVersion  replication.Version
 }
 
 func newTerm(now time.Time) *Term {
-	return &Term{Since: now, Grants: lease.NewRouterLeases(lease.DefaultTiming(), now), keys: lease.NewRoleLeases(lease.DefaultTiming()), asked: map[string]time.Time{}, unlisted: map[string]time.Time{}, settledFrom: now}
+	return &Term{Since: now, Grants: lease.NewRouterLeases(lease.DefaultTiming(), now), keys: lease.NewRoleLeases(lease.DefaultTiming()), lastPoll: map[string]time.Time{}, unlistedSince: map[string]time.Time{}, membersStableSince: now}
 }
 
 // candidates are the live routers that lack no enabled flag, with how long
@@ -48,7 +48,7 @@
 func (t *Term) silent(now time.Time, state *replication.State, length time.Duration) []string {
 	var silent []string
 	for name := range state.Members {
-		last := t.asked[name]
+		last := t.lastPoll[name]
 		if last.Before(t.Since) {
 			last = t.Since
 		}
@@ -60,12 +60,12 @@
 	return silent
 }
 
-// A server that has not been on the list for goneTime is gone for good. Its duty is
+// A server that has not been on the list for unlistedTimeout is gone for good. Its duty is
 // renewed no more then, and its records go when nobody can hold it any more. The
 // values are ours.
 const (
-	goneTime   = time.Minute
-	forgetTime = goneTime + 10*time.Second
+	unlistedTimeout = time.Minute
+	forgetTimeout   = unlistedTimeout + 10*time.Second
 )
 
 // gone lists the recorded servers that were not listed for so long that their records
@@ -84,22 +84,22 @@
 	for _, server := range listed {
 		delete(recorded, server.Name)
 	}
-	for name := range t.unlisted {
+	for name := range t.unlistedSince {
 		if !recorded[name] {
-			delete(t.unlisted, name)
+			delete(t.unlistedSince, name)
 		}
 	}
 	var gone []string
 	for name := range recorded {
-		since, found := t.unlisted[name]
+		since, found := t.unlistedSince[name]
 		if !found {
-			t.unlisted[name] = now
+			t.unlistedSince[name] = now
 			continue
 		}
-		if role, found := state.Roles.Roles[lease.ServerKey(name)]; found && now.Sub(since) >= goneTime {
+		if role, found := state.Roles.Roles[lease.ServerKey(name)]; found && now.Sub(since) >= unlistedTimeout {
 			t.keys.Release(now, role)
 		}
-		if now.Sub(since) >= forgetTime {
+		if now.Sub(since) >= forgetTimeout {
 			gone = append(gone, name)
 		}
 	}
@@ -107,15 +107,15 @@
 	return gone
 }
 
-// countedTime is how long a router that is not heard from any more counts among
+// routerCountTime is how long a router that is not heard from any more counts among
 // those that share the servers; for as long a new primary counts all that are
 // recorded. The value is ours.
-const countedTime = 10 * time.Second
+const routerCountTime = 10 * time.Second
 
 // routers is how many routers share the servers.
 func (t *Term) routers(now time.Time, state *replication.State) int {
-	heard := len(t.Grants.SeenWithin(now, countedTime))
-	if now.Sub(t.Since) >= countedTime {
+	heard := len(t.Grants.SeenWithin(now, routerCountTime))
+	if now.Sub(t.Since) >= routerCountTime {
 		return heard
 	}
 	return max(heard, len(membership.RouterNames(state.Members)))
--- a/internal/controlplane/term_test.go
+++ b/internal/controlplane/term_test.go
@@ -41,7 +41,7 @@
 	if gone := at(131*time.Second, listed[1:]); !slices.Equal(gone, []string{"a"}) {
 		t.Errorf("gone: %v", gone)
 	}
-	if timing := lease.DefaultTiming(); forgetTime-goneTime < timing.Lease+timing.Drift+timing.Cooldown {
+	if timing := lease.DefaultTiming(); forgetTimeout-unlistedTimeout < timing.Lease+timing.Drift+timing.Cooldown {
 		t.Error("a duty may still be held when its record goes")
 	}
 }
@@ -50,8 +50,8 @@
 func TestSilentMembersAreThoseThatAskedNobody(t *testing.T) {
 	term := newTerm(runtimetest.AtNoon(0))
 	state := &replication.State{Members: map[string]membership.Member{"a": {}, "b": {}, "c": {}}}
-	term.asked["a"] = runtimetest.AtNoon(50 * time.Second)
-	term.asked["b"] = runtimetest.AtNoon(-time.Minute)
+	term.lastPoll["a"] = runtimetest.AtNoon(50 * time.Second)
+	term.lastPoll["b"] = runtimetest.AtNoon(-time.Minute)
 	if silent := term.silent(runtimetest.AtNoon(59*time.Second), state, time.Minute); len(silent) > 0 {
 		t.Errorf("silent: %v", silent)
 	}
--- a/internal/controlplane/updates_test.go
+++ b/internal/controlplane/updates_test.go
@@ -30,7 +30,7 @@
 // recorded by that, no lease is given, and no configuration goes out.
 func TestABriefQuestionIsAnsweredWithoutContent(t *testing.T) {
 	_, primary := newCore(t, plain)
-	request := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, Brief: true}
+	request := wire.UpdateRequest{Member: membership.Member{Name: "courier-1", Kind: membership.Router, Address: "c1"}, LeaderOnly: true}
 	response, err := primary.serveUpdate(request)
 	if err != nil || !response.Leads || response.Membership.Blank() {
 		t.Fatalf("%+v %v", response, err)
--- a/internal/dataplane/countowners.go
+++ b/internal/dataplane/countowners.go
@@ -43,8 +43,8 @@
 )
 
 // NewCountOwners makes the keepers' side and the asking side of one life of a node.
-func NewCountOwners(rt runtime.Runtime, line wire.Client, window *scheduler.Scheduler, self, incarnation string) *CountOwners {
-	return &CountOwners{runtime: rt, client: line, window: window, self: self, incarnation: incarnation, changed: rt.NewCond(),
+func NewCountOwners(rt runtime.Runtime, client wire.Client, window *scheduler.Scheduler, self, incarnation string) *CountOwners {
+	return &CountOwners{runtime: rt, client: client, window: window, self: self, incarnation: incarnation, changed: rt.NewCond(),
 		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
 }
 
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -117,7 +117,7 @@
 	if !r.mayAct(decision) || r.core.Restricted() {
 		return
 	}
-	var response wire.LedResponse
+	var response wire.LeaderResponse
 	err := r.follower.Ask(wire.OrdersPath, wire.OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &response, actPatience, decision.NotAfter)
 	r.observe("orders_given", "orders", decision.Orders, "trouble", err)
 }
@@ -146,7 +146,7 @@
 	// that the request never ran, and when to come back.
 	deadline := r.runtime.Now().Add(claimTime)
 	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(deadline) && r.runtime.Now().Before(r.core.ServesUntil()) {
-		var response wire.LedResponse
+		var response wire.LeaderResponse
 		err := r.follower.Ask(wire.ClaimPath, request, &response, time.Second, deadline)
 		switch kind := failure.CodeOf(err); {
 		case err == nil && response.Leads:
--- a/internal/dataplane/provisional_test.go
+++ b/internal/dataplane/provisional_test.go
@@ -30,11 +30,11 @@
 		router := NewRouter(rt, nil, nil, nil, Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 			ServeWithoutLease: time.Minute, Nonce: func() string { return "nonce" }}, func(string, ...any) {})
 		copied := &wire.CopyState{Configuration: lent.Version, Sections: map[string]replication.Section{replication.ConfigurationSection: lent}}
-		router.follower.TakeProvisional(rt.Now(), wire.UpdateResponse{Copy: copied})
+		router.follower.ApplyProvisional(rt.Now(), wire.UpdateResponse{Copy: copied})
 		if router.InForce() != lent.Version || router.Core().HasRoles() {
 			t.Fatalf("%s: %s in force", row.name, router.InForce())
 		}
-		router.follower.Take(rt.Now(), row.answer)
+		router.follower.Apply(rt.Now(), row.answer)
 		if router.InForce() != row.inForce || router.Core().LeaseEnds().IsZero() == row.lease {
 			t.Errorf("%s: %s in force, hold until %v", row.name, router.InForce(), router.Core().LeaseEnds())
 		}
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -72,17 +72,17 @@
 )
 
 // NewRouter makes the conduct of one router.
-func NewRouter(rt runtime.Runtime, line wire.Client, modelServer ModelServer, passing Forwarder, options Options, observe func(string, ...any)) *Router {
-	router := &Router{runtime: rt, client: line, modelServer: modelServer, forwarder: passing, options: options, observe: observe,
+func NewRouter(rt runtime.Runtime, client wire.Client, modelServer ModelServer, passing Forwarder, options Options, observe func(string, ...any)) *Router {
+	router := &Router{runtime: rt, client: client, modelServer: modelServer, forwarder: passing, options: options, observe: observe,
 		core: seamloom.New(options.Options), busier: rt.NewCond(), recordsAdded: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
 	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	router.follower = follower.New(rt, line, member, options.Seeds, router.InForce, router.takeUpdate)
+	router.follower = follower.New(rt, client, member, options.Seeds, router.InForce, router.takeUpdate)
 	if options.Board != nil {
 		router.board = options.Board(router.core.Calls())
-		router.countOwners = NewCountOwners(rt, line, router.core.Calls(), options.Router, router.incarnation)
+		router.countOwners = NewCountOwners(rt, client, router.core.Calls(), options.Router, router.incarnation)
 		router.core.Calls().SetBacklogQueries(true)
-		router.follower.OnFailing(router.core.Calls().TakeFailures)
+		router.follower.SetFailing(router.core.Calls().TakeFailures)
 		router.board.SetCountOwners(router.countOwners)
 	}
 	router.follower.Follow(options.Directory != nil, router.board != nil)
@@ -92,8 +92,8 @@
 	return router
 }
 
-// Rounds are what a router does over and over, each in a thread of its own.
-func (r *Router) Rounds() []func() {
+// Loops are what a router does over and over, each in a thread of its own.
+func (r *Router) Loops() []func() {
 	rounds := []func(){
 		r.tick,
 		r.replicateRecords,
@@ -238,9 +238,9 @@
 	}
 	r.takeMembers(update, state)
 	r.takeLists(update)
-	if update.Answer.Lease > 0 {
-		r.Apply(auction.Event{Kind: auction.LeaseRenewed, LeaseEnds: update.Asked.Add(update.Answer.Lease), Epoch: update.Answer.Configuration.Epoch,
-			Number: update.Answer.Configuration.Number, Roles: update.Answer.Roles})
+	if update.Response.Lease > 0 {
+		r.Apply(auction.Event{Kind: auction.LeaseRenewed, LeaseEnds: update.RequestedAt.Add(update.Response.Lease), Epoch: update.Response.Configuration.Epoch,
+			Number: update.Response.Configuration.Number, Roles: update.Response.Roles})
 		r.showServing()
 		r.wakeTicker()
 	}
@@ -275,7 +275,7 @@
 	if r.countOwners != nil {
 		r.countOwners.SetMembers(state.Members)
 	}
-	if update.Answer.Routers == 0 {
+	if update.Response.Routers == 0 {
 		// Nobody counts them: an older release's primary, or a copy.
 		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(membership.RouterNames(state.Members)))})
 	}
@@ -284,7 +284,7 @@
 
 // takeLists takes what the news says of servers and of those who share them.
 func (r *Router) takeLists(update follower.Update) {
-	if count := update.Answer.Routers; count > 0 {
+	if count := update.Response.Routers; count > 0 {
 		r.routers.Store(int64(count))
 		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(count)})
 	}
@@ -442,21 +442,21 @@
 			r.forward(arrival, reply)
 			return
 		}
-		line := lineOf(decision)
+		client := lineOf(decision)
 		if decision.Kind == auction.SendChunk {
 			if decision.Chunk == 1 {
-				reply.Begin(line.Status(), 0)
+				reply.Begin(client.Status(), 0)
 			}
-			if reply.Line(line.encode()) != nil {
+			if reply.Line(client.encode()) != nil {
 				s.leave()
 			}
 			continue
 		}
 		r.options.Ended(request, decision)
 		if decision.Chunks > 0 {
-			_ = reply.Line(line.encode())
+			_ = reply.Line(client.encode())
 		} else {
-			writeLine(reply, line)
+			writeLine(reply, client)
 		}
 		return
 	}
--- a/internal/dataplane/router_test.go
+++ b/internal/dataplane/router_test.go
@@ -101,12 +101,12 @@
 	}
 	version := replication.Version{Epoch: 1, Number: 4}
 	sections := map[string]replication.Section{replication.ConfigurationSection: {Version: version, Content: config.Empty().Text}}
-	router.takeUpdate(follower.Update{Asked: runtimetest.AtNoon(0), Answer: wire.UpdateResponse{Leads: true, Configuration: version}, Changed: sections})
+	router.takeUpdate(follower.Update{RequestedAt: runtimetest.AtNoon(0), Response: wire.UpdateResponse{Leads: true, Configuration: version}, Changed: sections})
 	if !board.until.IsZero() || router.InForce() != version {
 		t.Errorf("a configuration without a hold: serves until %s with %s", board.until, router.InForce())
 	}
-	router.takeUpdate(follower.Update{Asked: runtimetest.AtNoon(time.Second), Answer: wire.UpdateResponse{Leads: true, Configuration: version, Lease: 4 * time.Second, Routers: 9},
-		Servers: &follower.Listed{At: runtimetest.AtNoon(0), Servers: []membership.Server{{Name: "a"}}}})
+	router.takeUpdate(follower.Update{RequestedAt: runtimetest.AtNoon(time.Second), Response: wire.UpdateResponse{Leads: true, Configuration: version, Lease: 4 * time.Second, Routers: 9},
+		Servers: &follower.ServerList{At: runtimetest.AtNoon(0), Servers: []membership.Server{{Name: "a"}}}})
 	if !board.until.Equal(runtimetest.AtNoon(65*time.Second)) || len(board.servers) != 1 || router.routers.Load() != 9 {
 		t.Errorf("serves until %s, servers %v", board.until, board.servers)
 	}
--- a/internal/follower/ask.go
+++ b/internal/follower/ask.go
@@ -27,7 +27,7 @@
 	}
 	reply, err := f.AskRaw(path, body, timeout, deadline)
 	if err != nil && noPrimaryReached(err) {
-		reply, err = f.viaNeighbour(path, body, timeout, deadline)
+		reply, err = f.askThroughPeers(path, body, timeout, deadline)
 	}
 	if err != nil {
 		return err
@@ -50,9 +50,9 @@
 	asked := map[string]bool{}
 	var last error = failure.New(failure.NoPrimary, "no expediter is known")
 	for _, address := range f.candidates() {
-		for address != "" && !asked[address] && f.runtime.Alive() && f.left(timeout, deadline) > 0 {
+		for address != "" && !asked[address] && f.runtime.Alive() && f.remaining(timeout, deadline) > 0 {
 			asked[address] = true
-			reply, err := f.client.CallRaw(address, path, body, f.left(timeout, deadline))
+			reply, err := f.client.CallRaw(address, path, body, f.remaining(timeout, deadline))
 			if err != nil {
 				last = err
 				if !noPrimaryReached(err) {
@@ -92,9 +92,9 @@
 	defer f.mutex.Unlock()
 	switch {
 	case said.Leads && f.primary != address:
-		f.primary, f.current = address, false
+		f.primary, f.confirmed = address, false
 	case !said.Leads && f.primary == address:
-		f.primary, f.current = "", false
+		f.primary, f.confirmed = "", false
 	}
 }
 
@@ -103,7 +103,7 @@
 	defer f.mutex.Unlock()
 	f.unreachable[address] = f.runtime.Now()
 	if f.primary == address {
-		f.primary, f.current = "", false
+		f.primary, f.confirmed = "", false
 	}
 }
 
@@ -128,29 +128,29 @@
 
 func (f *Follower) isUnreachable(address string) bool {
 	since, found := f.unreachable[address]
-	return found && f.runtime.Now().Sub(since) < unreachableTime
+	return found && f.runtime.Now().Sub(since) < unreachableTTL
 }
 
 // left is how long a call may take that is given so much patience and must end
 // by a moment, if one is given.
-func (f *Follower) left(timeout time.Duration, deadline time.Time) time.Duration {
+func (f *Follower) remaining(timeout time.Duration, deadline time.Time) time.Duration {
 	if deadline.IsZero() {
 		return timeout
 	}
 	return min(timeout, deadline.Sub(f.runtime.Now()))
 }
 
-func (f *Follower) viaNeighbour(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
+func (f *Follower) askThroughPeers(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
 	f.mutex.Lock()
 	relays := append([]string(nil), f.peers[:min(Neighbours, len(f.peers))]...)
 	f.mutex.Unlock()
 	var last error = failure.New(failure.NoPrimary, "no neighbour is known")
 	for _, address := range relays {
-		if f.left(timeout, deadline) <= 0 {
+		if f.remaining(timeout, deadline) <= 0 {
 			break
 		}
 		var reply []byte
-		err := wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: path, Body: body}, &reply, f.left(timeout+200*time.Millisecond, deadline))
+		err := wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: path, Body: body}, &reply, f.remaining(timeout+200*time.Millisecond, deadline))
 		if err == nil || !noPrimaryReached(err) {
 			return reply, err
 		}
@@ -170,7 +170,7 @@
 	if !known {
 		return nil, failure.New(failure.NoPrimary, "this node knows no primary")
 	}
-	reply, err := f.client.CallRaw(address, request.Path, request.Body, relayPatience)
+	reply, err := f.client.CallRaw(address, request.Path, request.Body, relayTimeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/follower/copystates.go
+++ b/internal/follower/copystates.go
@@ -9,28 +9,28 @@
 
 // copies are what controllers that are not primary said of their copies, by address.
 type copyStates struct {
-	said map[string]reportedCopy
+	reports map[string]reportedCopy
 }
 
 type reportedCopy struct {
 	at         time.Time
 	membership replication.Membership
-	copied     wire.CopyState
+	state      wire.CopyState
 }
 
-// copyFresh is how long an answer counts.
-const copyFresh = time.Second
+// copyStateTTL is how long an answer counts.
+const copyStateTTL = time.Second
 
 // note takes an answer; one without word of a copy takes back what was said before.
-func (c *copyStates) note(address string, at time.Time, response wire.UpdateResponse) {
+func (c *copyStates) record(address string, at time.Time, response wire.UpdateResponse) {
 	if response.Copy == nil {
-		delete(c.said, address)
+		delete(c.reports, address)
 		return
 	}
-	if c.said == nil {
-		c.said = map[string]reportedCopy{}
+	if c.reports == nil {
+		c.reports = map[string]reportedCopy{}
 	}
-	c.said[address] = reportedCopy{at: at, membership: response.Membership, copied: *response.Copy}
+	c.reports[address] = reportedCopy{at: at, membership: response.Membership, state: *response.Copy}
 }
 
 // choose gives the configuration that may be served before there is a primary, and
@@ -41,27 +41,27 @@
 	var membership replication.Membership
 	spoken := map[replication.Identity]bool{}
 	at := map[replication.Identity]string{}
-	for place, said := range c.said {
-		if now.Sub(said.at) > copyFresh {
+	for place, said := range c.reports {
+		if now.Sub(said.at) > copyStateTTL {
 			continue
 		}
 		if said.membership.Epoch > membership.Epoch {
 			membership = said.membership
 		}
-		spoken[said.copied.Identity], at[said.copied.Identity] = true, place
+		spoken[said.state.Identity], at[said.state.Identity] = true, place
 	}
 	if membership.Blank() || !membership.HasQuorum(spoken) {
 		return "", version, false
 	}
 	for _, replica := range membership.InSyncReplicas() {
 		if !spoken[replica.Identity] {
-			if another, heard := c.said[replica.Address]; heard && now.Sub(another.at) <= copyFresh {
+			if another, heard := c.reports[replica.Address]; heard && now.Sub(another.at) <= copyStateTTL {
 				// Another disk is at its address: its own is lost.
 				continue
 			}
 			return "", version, false
 		}
-		said := c.said[at[replica.Identity]].copied
+		said := c.reports[at[replica.Identity]].state
 		if said.Damaged {
 			// It can't lead, and is replaced.
 			continue
--- a/internal/follower/copystates_test.go
+++ b/internal/follower/copystates_test.go
@@ -56,7 +56,7 @@
 	} {
 		told := &copyStates{}
 		for address, response := range row.said {
-			told.note(address, now.Add(-row.age), response)
+			told.record(address, now.Add(-row.age), response)
 		}
 		address, chosen, found := told.choose(now)
 		if chosen != row.version && found || found != (row.version != replication.Version{}) || row.address != "" && address != row.address {
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -15,16 +15,16 @@
 // Follower keeps one node up to date: it asks the primary with the versions that
 // it has and is answered when there is news.
 type Follower struct {
-	runtime runtime.Runtime
-	client  wire.Client
-	member  membership.Member
-	inForce func() replication.Version
-	take    func(Update)
+	runtime  runtime.Runtime
+	client   wire.Client
+	member   membership.Member
+	inForce  func() replication.Version
+	onUpdate func(Update)
 
 	mutex   sync.Mutex
 	primary string
 	// current tells that the present primary has answered in full.
-	current     bool
+	confirmed   bool
 	seeds       []string
 	contacts    []string
 	peers       []string
@@ -44,29 +44,29 @@
 	// failing gives the servers that failed requests lately; nil: nobody knows.
 	failing func() []string
 
-	lists, loads bool
-	listMark     uint64
-	loadsMark    uint64
-	listing      membership.ServerList
+	wantServers, wantLoads bool
+	serversRevision        uint64
+	loadsRevision          uint64
+	listing                membership.ServerList
 }
 
 // Update is one answer of the primary, as the node takes it.
 type Update struct {
-	Asked   time.Time
-	Answer  wire.UpdateResponse
-	Changed map[string]replication.Section
+	RequestedAt time.Time
+	Response    wire.UpdateResponse
+	Changed     map[string]replication.Section
 	// Provisional tells that the sections are those of a copy and no primary's word.
 	Provisional bool
 	// Servers is the list as the primary has it, if it has one.
-	Servers *Listed
+	Servers *ServerList
 	// Loads are the servers' reports, if there are newer ones, Outliers what comes with
 	// them.
 	Loads    []scheduler.Load
 	Outliers outlier.Advice
 }
 
-// Listed is a list of servers and when it was read.
-type Listed struct {
+// ServerList is a list of servers and when it was read.
+type ServerList struct {
 	At      time.Time
 	Servers []membership.Server
 }
@@ -81,29 +81,29 @@
 	// LoadsWait is that of a node that follows reports: a little longer than reports
 	// come in calm times, so that each round needs one answer only.
 	LoadsWait = UpdateWait + 200*time.Millisecond
-	// answerMargin is how much longer than the primary may hold a question back the
+	// responseMargin is how much longer than the primary may hold a question back the
 	// answer may take. After that the primary counts as silent.
-	answerMargin = 300 * time.Millisecond
-	// firstPatience is how long a primary that was just found may take to answer, and
-	// wholePatience how long when the node has no configuration yet: a large one goes to
+	responseMargin = 300 * time.Millisecond
+	// firstTimeout is how long a primary that was just found may take to answer, and
+	// fullTimeout how long when the node has no configuration yet: a large one goes to
 	// the whole fleet at once then.
-	firstPatience = 1200 * time.Millisecond
-	wholePatience = 2 * time.Second
-	// relayPatience is how long the primary may take to answer a relayed message.
-	relayPatience = 1200 * time.Millisecond
-	// searchPatience is how long each address may take while the primary is
+	firstTimeout = 1200 * time.Millisecond
+	fullTimeout  = 2 * time.Second
+	// relayTimeout is how long the primary may take to answer a relayed message.
+	relayTimeout = 1200 * time.Millisecond
+	// searchTimeout is how long each address may take while the primary is
 	// looked for. It leaves room for a registration's sync.
-	searchPatience = 500 * time.Millisecond
-	// retryPause is the pause after a round in which nobody led.
-	retryPause = 80 * time.Millisecond
-	// unreachableTime is how long an address that did not answer is asked last.
-	unreachableTime = 3 * time.Second
+	searchTimeout = 500 * time.Millisecond
+	// retryInterval is the pause after a round in which nobody led.
+	retryInterval = 80 * time.Millisecond
+	// unreachableTTL is how long an address that did not answer is asked last.
+	unreachableTTL = 3 * time.Second
 )
 
 // New makes a follower for a member. Take is called for every answer,
 // in turn.
-func New(rt runtime.Runtime, line wire.Client, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
-	return &Follower{runtime: rt, client: line, member: member, seeds: seeds, inForce: inForce, take: take,
+func New(rt runtime.Runtime, client wire.Client, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
+	return &Follower{runtime: rt, client: client, member: member, seeds: seeds, inForce: inForce, onUpdate: take,
 		sections: map[string]replication.Section{}, unreachable: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
 }
 
@@ -124,23 +124,23 @@
 
 // waits are how long a question may be held back, and how much longer its answer may take.
 // The caller has the mutex.
-func (f *Follower) waits() (held, margin time.Duration) {
+func (f *Follower) pollTimes() (held, margin time.Duration) {
 	held = UpdateWait
-	if f.loads {
+	if f.wantLoads {
 		held = LoadsWait
 	}
-	return min(held, f.applyWithin*2/5), min(answerMargin, f.applyWithin*3/20)
+	return min(held, f.applyWithin*2/5), min(responseMargin, f.applyWithin*3/20)
 }
 
 // Follow chooses whether the list of servers and their reports are followed, too.
 func (f *Follower) Follow(l, loads bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.lists, f.loads = l, loads
+	f.wantServers, f.wantLoads = l, loads
 }
 
-// OnFailing gives the way to the servers that failed requests lately: each is told once.
-func (f *Follower) OnFailing(failing func() []string) {
+// SetFailing gives the way to the servers that failed requests lately: each is told once.
+func (f *Follower) SetFailing(failing func() []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.failing = failing
@@ -150,7 +150,7 @@
 func (f *Follower) ForgetList() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.listMark = 0
+	f.serversRevision = 0
 }
 
 // SetContacts gives the controllers' addresses that the platform or the record lists,
@@ -221,12 +221,12 @@
 			f.forget(address)
 			return
 		}
-		runtime.Sleep(f.runtime, retryPause)
+		runtime.Sleep(f.runtime, retryInterval)
 		return
 	}
 	f.learn(address, leaderResponse{Leads: response.Leads, Membership: response.Membership})
-	if response.Leads && !f.Take(asked, response) {
-		runtime.Sleep(f.runtime, retryPause)
+	if response.Leads && !f.Apply(asked, response) {
+		runtime.Sleep(f.runtime, retryInterval)
 	}
 }
 
@@ -234,7 +234,7 @@
 // once after a loss.
 func (f *Follower) leaderRequest() wire.UpdateRequest {
 	request := f.searchRequest()
-	request.Brief = true
+	request.LeaderOnly = true
 	return request
 }
 
@@ -243,7 +243,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	request := f.request()
-	request.Provisional = f.provisional && len(request.Have) == 0
+	request.WantProvisional = f.provisional && len(request.Have) == 0
 	return request
 }
 
@@ -255,13 +255,13 @@
 	request := f.request()
 	_, has := f.sections[replication.ConfigurationSection]
 	switch {
-	case !f.current && !has:
-		return request, wholePatience
-	case !f.current:
-		return request, firstPatience
+	case !f.confirmed && !has:
+		return request, fullTimeout
+	case !f.confirmed:
+		return request, firstTimeout
 	}
-	held, margin := f.waits()
-	request.Patience = held
+	held, margin := f.pollTimes()
+	request.MaxWait = held
 	if f.failing != nil {
 		request.Failing = f.failing()
 	}
@@ -274,13 +274,13 @@
 	for name, section := range f.sections {
 		have[name] = section.Version
 	}
-	return wire.UpdateRequest{Member: f.member, Have: have, InForce: f.inForce(), Deltas: true, Membership: f.membership.Epoch,
-		Lists: f.lists, ListMark: f.listMark, Loads: f.loads, LoadsMark: f.loadsMark}
+	return wire.UpdateRequest{Member: f.member, Have: have, InForce: f.inForce(), AcceptDeltas: true, Membership: f.membership.Epoch,
+		WantServers: f.wantServers, ServersRevision: f.serversRevision, WantLoads: f.wantLoads, LoadsRevision: f.loadsRevision}
 }
 
-// Take takes a primary's answer and tells whether it did: an older primary's word
+// Apply takes a primary's answer and tells whether it did: an older primary's word
 // is passed over, since versions never go back.
-func (f *Follower) Take(asked time.Time, response wire.UpdateResponse) bool {
+func (f *Follower) Apply(asked time.Time, response wire.UpdateResponse) bool {
 	f.mutex.Lock()
 	for name, delta := range response.Deltas {
 		section, fits := delta.Apply(f.sections[name])
@@ -309,37 +309,37 @@
 		f.sections[name] = section
 	}
 	f.heard = f.runtime.Now()
-	f.current = f.primary != ""
-	update := Update{Asked: asked, Answer: response, Changed: response.Sections}
-	f.takeLists(&update)
+	f.confirmed = f.primary != ""
+	update := Update{RequestedAt: asked, Response: response, Changed: response.Sections}
+	f.applyLists(&update)
 	f.mutex.Unlock()
-	f.take(update)
+	f.onUpdate(update)
 	return true
 }
 
-// takeLists takes the list of servers and their reports out of an answer. The caller
+// applyLists takes the list of servers and their reports out of an answer. The caller
 // has the mutex. An age counts from the latest moment at which the question surely
 // had not been answered yet, so that nothing is taken for younger than it is.
-func (f *Follower) takeLists(update *Update) {
-	told := update.Asked.Add(update.Answer.Held)
-	if said := update.Answer.Servers; said != nil {
+func (f *Follower) applyLists(update *Update) {
+	told := update.RequestedAt.Add(update.Response.Waited)
+	if said := update.Response.Servers; said != nil {
 		at := told.Add(-said.Age)
 		if said.Sent {
 			f.listing = membership.ServerList{}
 			f.listing.Update(at, said.Servers)
-			f.listMark = said.Mark
+			f.serversRevision = said.Revision
 		}
-		if said.Mark == f.listMark {
+		if said.Revision == f.serversRevision {
 			f.listing.Confirm(at)
-			update.Servers = &Listed{At: at, Servers: f.listing.Servers(at)}
+			update.Servers = &ServerList{At: at, Servers: f.listing.Servers(at)}
 		}
 	}
-	if said := update.Answer.Loads; said != nil && f.loads {
-		f.loadsMark = said.Mark
+	if said := update.Response.Loads; said != nil && f.wantLoads {
+		f.loadsRevision = said.Revision
 		update.Outliers = said.Outliers
 		late := f.runtime.Now().Sub(told)
-		for _, line := range said.Lines {
-			update.Loads = append(update.Loads, line.Load(late))
+		for _, client := range said.Reports {
+			update.Loads = append(update.Loads, client.Load(late))
 		}
 	}
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -48,9 +48,9 @@
 	if err := msgpack.Unmarshal(body, &request); err != nil {
 		return nil, err
 	}
-	if response.Leads && request.Patience > 0 {
+	if response.Leads && request.MaxWait > 0 {
 		select {
-		case <-time.After(request.Patience / 20):
+		case <-time.After(request.MaxWait / 20):
 		case <-d.closed:
 		}
 	}
@@ -88,7 +88,7 @@
 			rt := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
 			follower := New(rt, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
-				func() replication.Version { return replication.Version{} }, func(update Update) { taken <- update.Answer.Configuration })
+				func() replication.Version { return replication.Version{} }, func(update Update) { taken <- update.Response.Configuration })
 			follower.Follow(true, true)
 			var p []string
 			for number := range row.peers {
--- a/internal/follower/search.go
+++ b/internal/follower/search.go
@@ -14,16 +14,16 @@
 // search is one look for the primary, at a node's start or after the primary was lost.
 // All known addresses are asked at once, since any of them may be dark.
 type search struct {
-	mutex   sync.Mutex
-	cond    runtime.Cond
-	asking  map[string]*asking
-	copies  copyStates
-	leading *ledUpdate
-	rounds  int
+	mutex    sync.Mutex
+	cond     runtime.Cond
+	attempts map[string]*attempts
+	copies   copyStates
+	leader   *leaderUpdate
+	rounds   int
 }
 
 // asking is what is under way to one address, and what came of it last.
-type asking struct {
+type attempts struct {
 	calls int
 	since time.Time
 	// epoch is that of the newest membership known when the address was asked last.
@@ -32,30 +32,30 @@
 	answered time.Time
 }
 
-// ledUpdate is a primary's answer, and when it was asked for.
-type ledUpdate struct {
+// leaderUpdate is a primary's answer, and when it was asked for.
+type leaderUpdate struct {
 	asked  time.Time
 	answer wire.UpdateResponse
 }
 
 const (
-	// searchRound is how long one round waits for an answer that ends it.
-	searchRound = 100 * time.Millisecond
-	// askAgain is after how long an address that has not answered is asked once more: a
+	// searchRoundTimeout is how long one round waits for an answer that ends it.
+	searchRoundTimeout = 100 * time.Millisecond
+	// retryAfter is after how long an address that has not answered is asked once more: a
 	// call to a machine without power hangs, also when it is back. No more than
-	// mostAsking are under way to one address. A search of more than eagerRounds goes
+	// maxInFlight are under way to one address. A search of more than fastRounds goes
 	// on with the longer time: a node that is cut off for long asks less.
-	askAgain        = 150 * time.Millisecond
-	askAgainPatient = 300 * time.Millisecond
-	eagerRounds     = 30
-	mostAsking      = 3
-	// answeredPause is after how long one that answered without leading is asked again,
-	// and answeredShare is added for each router: the whole fleet asks the core at once.
+	retryAfter     = 150 * time.Millisecond
+	slowRetryAfter = 300 * time.Millisecond
+	fastRounds     = 30
+	maxInFlight    = 3
+	// answeredRetryAfter is after how long one that answered without leading is asked again,
+	// and answeredRetryPerRouter is added for each router: the whole fleet asks the core at once.
 	// One that a newer membership names as primary is asked without a pause.
-	answeredPause = 150 * time.Millisecond
-	answeredShare = time.Millisecond
-	// coreSilence is after how long without any controller's answer others are asked.
-	coreSilence = 250 * time.Millisecond
+	answeredRetryAfter     = 150 * time.Millisecond
+	answeredRetryPerRouter = time.Millisecond
+	// coreTimeout is after how long without any controller's answer others are asked.
+	coreTimeout = 250 * time.Millisecond
 	// peersPerRound is how many other routers are then asked in each round where the
 	// core is. The rounds go through all of them in turn.
 	peersPerRound = 3
@@ -65,7 +65,7 @@
 )
 
 func newSearch(rt runtime.Runtime) *search {
-	return &search{cond: rt.NewCond(), asking: map[string]*asking{}}
+	return &search{cond: rt.NewCond(), attempts: map[string]*attempts{}}
 }
 
 // begin notes that an address is asked, unless it was asked just now.
@@ -75,13 +75,13 @@
 	if address == "" {
 		return false
 	}
-	current := s.asking[address]
+	current := s.attempts[address]
 	if current == nil {
-		current = &asking{}
-		s.asking[address] = current
+		current = &attempts{}
+		s.attempts[address] = current
 	}
 	named := membership.Epoch > current.epoch && membership.Primary.Address == address
-	if current.calls >= mostAsking || !named && now.Before(s.due(current, fleet)) {
+	if current.calls >= maxInFlight || !named && now.Before(s.due(current, fleet)) {
 		return false
 	}
 	current.calls++
@@ -90,30 +90,30 @@
 }
 
 // due is when an address may be asked again. The caller has the mutex.
-func (s *search) due(current *asking, fleet int) time.Time {
+func (s *search) due(current *attempts, fleet int) time.Time {
 	if !current.answered.IsZero() && !current.answered.Before(current.since) {
-		return current.answered.Add(answeredPause + time.Duration(fleet)*answeredShare)
+		return current.answered.Add(answeredRetryAfter + time.Duration(fleet)*answeredRetryPerRouter)
 	}
 	if current.calls == 0 {
 		return time.Time{}
 	}
-	if s.rounds > eagerRounds {
-		return current.since.Add(askAgainPatient)
+	if s.rounds > fastRounds {
+		return current.since.Add(slowRetryAfter)
 	}
-	return current.since.Add(askAgain)
+	return current.since.Add(retryAfter)
 }
 
 // end notes the end of a call to an address.
 func (s *search) end(address string, asked, now time.Time, response wire.UpdateResponse, err error) {
 	s.mutex.Lock()
-	current := s.asking[address]
+	current := s.attempts[address]
 	current.calls--
 	if err == nil && !response.Leads {
 		current.answered = now
 	}
 	s.mutex.Unlock()
 	if err == nil {
-		s.note(address, asked, now, response)
+		s.record(address, asked, now, response)
 	}
 	s.cond.Broadcast()
 }
@@ -123,7 +123,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, address := range addresses {
-		if current := s.asking[address]; current != nil && !current.answered.IsZero() && now.Sub(current.answered) <= length {
+		if current := s.attempts[address]; current != nil && !current.answered.IsZero() && now.Sub(current.answered) <= length {
 			return true
 		}
 	}
@@ -131,29 +131,29 @@
 }
 
 // note takes an answer: a primary's, or what another says of its copy.
-func (s *search) note(address string, asked, now time.Time, response wire.UpdateResponse) {
+func (s *search) record(address string, asked, now time.Time, response wire.UpdateResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if response.Leads {
-		s.leading = &ledUpdate{asked: asked, answer: response}
+		s.leader = &leaderUpdate{asked: asked, answer: response}
 		return
 	}
-	s.copies.note(address, now, response)
+	s.copies.record(address, now, response)
 }
 
 // led tells whether a primary has answered.
-func (s *search) led() bool {
+func (s *search) hasLeader() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.leading != nil
+	return s.leader != nil
 }
 
 // take gives a primary's answer, if there is one, once.
-func (s *search) take() *ledUpdate {
+func (s *search) takeLeader() *leaderUpdate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	leading := s.leading
-	s.leading = nil
+	leading := s.leader
+	s.leader = nil
 	return leading
 }
 
@@ -194,18 +194,18 @@
 	for _, address := range candidates {
 		f.askOne(s, address, request)
 	}
-	if s.rounds > 0 && !s.answeredWithin(candidates, began, coreSilence) {
+	if s.rounds > 0 && !s.answeredWithin(candidates, began, coreTimeout) {
 		f.askPeers(s, request)
 	}
 	s.rounds++
-	if s.rounds%relayRounds == 0 && !s.answeredWithin([]string{f.Membership().Primary.Address}, began, coreSilence) {
+	if s.rounds%relayRounds == 0 && !s.answeredWithin([]string{f.Membership().Primary.Address}, began, coreTimeout) {
 		f.askRelays(s)
 	}
 	f.awaitRound(s)
 	if _, known := f.knownPrimary(); known {
 		return true
 	}
-	if leading := s.take(); leading != nil && leading.answer.Lease > 0 && f.Take(leading.asked, leading.answer) {
+	if leading := s.takeLeader(); leading != nil && leading.answer.Lease > 0 && f.Apply(leading.asked, leading.answer) {
 		return true
 	}
 	if f.needsConfiguration() {
@@ -213,7 +213,7 @@
 			f.fetch(address, version)
 		}
 	}
-	if left := retryPause - f.runtime.Now().Sub(began); left > 0 {
+	if left := retryInterval - f.runtime.Now().Sub(began); left > 0 {
 		runtime.Sleep(f.runtime, left)
 	}
 	return false
@@ -221,9 +221,9 @@
 
 // awaitRound waits for an answer that ends a round.
 func (f *Follower) awaitRound(s *search) {
-	s.cond.Wait(searchRound, func() bool {
-		if s.led() || !f.needsConfiguration() {
-			return s.led()
+	s.cond.Wait(searchRoundTimeout, func() bool {
+		if s.hasLeader() || !f.needsConfiguration() {
+			return s.hasLeader()
 		}
 		_, _, found := s.choose(f.runtime.Now())
 		return found
@@ -233,7 +233,7 @@
 // askPeers asks a few routers, others in each round: one that has followed the core
 // longer knows who belongs to it now.
 func (f *Follower) askPeers(s *search, request wire.UpdateRequest) {
-	request.Provisional = false
+	request.WantProvisional = false
 	f.mutex.Lock()
 	p := f.peers
 	f.mutex.Unlock()
@@ -254,7 +254,7 @@
 	f.runtime.Go(func() {
 		asked := f.runtime.Now()
 		var response wire.UpdateResponse
-		err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, searchPatience)
+		err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, searchTimeout)
 		if err == nil {
 			f.learn(address, leaderResponse{Leads: response.Leads, Membership: response.Membership})
 		}
@@ -266,7 +266,7 @@
 // the path to it may be cut for this node alone.
 func (f *Follower) askRelays(s *search) {
 	request := f.searchRequest()
-	request.Provisional = false
+	request.WantProvisional = false
 	body, err := msgpack.Marshal(request)
 	if err != nil {
 		return
@@ -282,7 +282,7 @@
 func (f *Follower) askRelay(s *search, address string, body []byte) {
 	asked := f.runtime.Now()
 	var reply []byte
-	if wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: wire.UpdatesPath, Body: body}, &reply, relayPatience) != nil {
+	if wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: wire.UpdatesPath, Body: body}, &reply, relayTimeout) != nil {
 		return
 	}
 	var response wire.UpdateResponse
@@ -290,7 +290,7 @@
 		return
 	}
 	f.learnMembership(response.Membership)
-	s.note(address, asked, f.runtime.Now(), response)
+	s.record(address, asked, f.runtime.Now(), response)
 	s.cond.Broadcast()
 }
 
@@ -298,27 +298,27 @@
 // hold, and nothing is acknowledged by it.
 func (f *Follower) fetch(address string, version replication.Version) {
 	request := f.searchRequest()
-	request.Wanted = version
+	request.WantedVersion = version
 	asked := f.runtime.Now()
 	var response wire.UpdateResponse
-	if err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, firstPatience); err != nil {
+	if err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, firstTimeout); err != nil {
 		return
 	}
 	if response.Leads {
 		f.learn(address, leaderResponse{Leads: true, Membership: response.Membership})
-		f.Take(asked, response)
+		f.Apply(asked, response)
 		return
 	}
 	if response.Copy == nil || response.Copy.Sections[replication.ConfigurationSection].Version != version {
 		return
 	}
-	f.TakeProvisional(asked, response)
+	f.ApplyProvisional(asked, response)
 }
 
-// TakeProvisional takes the configuration of a copy, as it came in an answer, unless the node
+// ApplyProvisional takes the configuration of a copy, as it came in an answer, unless the node
 // has one. The primary will confirm it or replace it by a newer one; it never replaces it by
 // an older one, since a configuration never goes back.
-func (f *Follower) TakeProvisional(asked time.Time, response wire.UpdateResponse) {
+func (f *Follower) ApplyProvisional(asked time.Time, response wire.UpdateResponse) {
 	f.mutex.Lock()
 	if _, has := f.sections[replication.ConfigurationSection]; has || !f.provisional {
 		f.mutex.Unlock()
@@ -328,8 +328,8 @@
 	section := response.Copy.Sections[replication.ConfigurationSection]
 	f.sections[replication.ConfigurationSection] = section
 	f.unconfirmed = section.Version
-	update := Update{Asked: asked, Answer: wire.UpdateResponse{Servers: response.Servers}, Changed: response.Copy.Sections, Provisional: true}
-	f.takeLists(&update)
+	update := Update{RequestedAt: asked, Response: wire.UpdateResponse{Servers: response.Servers}, Changed: response.Copy.Sections, Provisional: true}
+	f.applyLists(&update)
 	f.mutex.Unlock()
-	f.take(update)
+	f.onUpdate(update)
 }
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -73,7 +73,7 @@
 	{Name: "an older configuration is passed over", Never: back, Package: "./internal/auction", Test: "TestConfigurationInForceNeverGoesBack",
 		Edits: []Edit{{"internal/auction/dispatcher.go", "if current != nil && (routes.epoch < current.epoch || routes.number <= current.number) {", "if false {"}}},
 	{Name: "a provisional configuration is on every copy in sync", Never: inForce, Package: "./internal/follower", Test: "TestProvisionalConfigurationIsOnEveryCopyInSync",
-		Edits: []Edit{{"internal/follower/copystates.go", "	if membership.Blank() || !membership.HasQuorum(spoken) {", "	if membership.Blank() {"}, {"internal/follower/copystates.go", "			return \"\", version, false\n		}\n		said :=", "			continue\n		}\n		said :="}}},
+		Edits: []Edit{{"internal/follower/copystates.go", "	if membership.Blank() || !membership.HasQuorum(spoken) {", "	if membership.Blank() {"}, {"internal/follower/copystates.go", "			return \"\", version, false\n		}\n		said :=", "			continue\n		}\n		reports :="}}},
 	{Name: "without the setting nothing is served before a hold", Never: inForce, Package: "./internal/controlplane", Test: "TestRouterServesByTheCopiesBeforeThereIsAPrimary",
 		Edits: []Edit{{"internal/dataplane/router.go", "	r.follower.SetProvisional(length > 0)", "	r.follower.SetProvisional(true)"}}},
 	{Name: "an older primary's news is passed over", Never: back, Package: "./internal/follower", Test: "TestFollowerPassesOlderUpdateOver",
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -127,7 +127,7 @@
 		if m.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
-		return m.control.Edit(controlplane.Edit{Builds: &asked.builds, Digest: text, Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
+		return m.control.Edit(controlplane.Edit{BaseRevision: &asked.builds, Digest: text, Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
 	})
 	if err == nil {
 		o.note(c, asked, changeOutput{outcome: acceptedOutcome}, began)
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -246,7 +246,7 @@
 	router := dataplane.NewRouter(begun, simulatedClient{begun}, servers, &passing{incarnation: begun}, options, observe)
 	m.router = router
 	begun.answer = router.Handlers().Handle
-	for _, round := range router.Rounds() {
+	for _, round := range router.Loops() {
 		begun.Go(round)
 	}
 	if len(m.withheld) > 0 {
@@ -259,7 +259,7 @@
 	keeping, _ := storage.OpenDirectory(m.disk, "keeper")
 	copies, _ := storage.OpenDirectory(m.disk, "larder")
 	options := controlplane.Options{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
-		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, Reports: lists{w, begun}}
+		FlagStableTime: 2 * time.Second, ToleratedLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, LoadReader: lists{w, begun}}
 	options.AcknowledgeWait, options.RetireAfter = w.ways.AcknowledgeWait, w.ways.RetireAfter
 	options.JoinsOnly = w.ways.JoinOnly || w.ways.FormOnce && m.starts > 1 || w.ways.FormOnce && w.now > opening
 	control, blank, err := controlplane.Open(begun, simulatedClient{begun}, keeping, copies, options, observe)
@@ -271,7 +271,7 @@
 	w.say("%s opened its disk, blank %v", m.name, blank)
 	m.control = control
 	begun.answer = control.Handlers().Handle
-	for _, round := range control.Rounds() {
+	for _, round := range control.Loops() {
 		begun.Go(round)
 	}
 	if len(m.withheld) > 0 {
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -19,12 +19,12 @@
 }
 
 // Call sends a message and reads the answer, within the patience.
-func Call(line Client, address, path string, request, response any, timeout time.Duration) error {
+func Call(client Client, address, path string, request, response any, timeout time.Duration) error {
 	body, err := msgpack.Marshal(request)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	answered, err := line.CallRaw(address, path, body, timeout)
+	answered, err := client.CallRaw(address, path, body, timeout)
 	if err != nil || response == nil {
 		return err
 	}
--- a/internal/wire/led.go
+++ b/internal/wire/led.go
@@ -2,8 +2,8 @@
 
 import "seamloom.example/seamloom/internal/replication"
 
-// LedResponse says whether its giver leads, and nothing besides.
-type LedResponse struct {
+// LeaderResponse says whether its giver leads, and nothing besides.
+type LeaderResponse struct {
 	Leads      bool                   `msgpack:"leads"`
 	Membership replication.Membership `msgpack:"charter"`
 }
--- a/internal/wire/loads.go
+++ b/internal/wire/loads.go
@@ -10,8 +10,8 @@
 // LoadsUpdate are the servers' reports as the primary read them last. Its mark tells
 // one round of reading from another.
 type LoadsUpdate struct {
-	Mark  uint64       `msgpack:"mark"`
-	Lines []LoadReport `msgpack:"lines"`
+	Revision uint64       `msgpack:"mark"`
+	Reports  []LoadReport `msgpack:"lines"`
 	// Outliers are the servers that are better left alone, by what all nodes met there.
 	Outliers outlier.Advice `msgpack:"outliers,omitempty"`
 }
@@ -35,7 +35,7 @@
 	Age int
 }
 
-func ReportOf(load scheduler.Load, age time.Duration) LoadReport {
+func NewLoadReport(load scheduler.Load, age time.Duration) LoadReport {
 	return LoadReport{Server: load.Server, Part: load.Role, Changing: load.ChangingRole, Orders: uint(load.Orders), Waiting: load.Waiting, Running: load.Running,
 		MemoryUsed: load.MemoryUsed, MemoryTotal: load.MemoryTotal, Handles: load.Handles, Age: int((load.Age + age).Milliseconds())}
 }
--- a/internal/wire/updateresponse.go
+++ b/internal/wire/updateresponse.go
@@ -18,9 +18,9 @@
 	Configuration replication.Version            `msgpack:"menu"`
 	Lease         time.Duration                  `msgpack:"hold"`
 	Roles         []lease.Role                   `msgpack:"duties,omitempty"`
-	// Held is how long the question was held back, so that ages are counted from
+	// Waited is how long the question was held back, so that ages are counted from
 	// no earlier than they were told.
-	Held time.Duration `msgpack:"held,omitempty"`
+	Waited time.Duration `msgpack:"held,omitempty"`
 	// Routers is how many routers share the servers.
 	Routers int            `msgpack:"couriers,omitempty"`
 	Servers *ServersUpdate `msgpack:"servers,omitempty"`
