--- a/internal/adapters/modelserver/client.go
+++ b/internal/adapters/modelserver/client.go
@@ -214,8 +214,8 @@
 	return act(ctx)
 }
 
-// Pressure reads a server's pressure within a patience, for the market of requests.
-func (m *Client) Pressure(server membership.Server, timeout time.Duration) (auction.Load, error) {
+// ReadAuctionLoad reads a server's pressure within a patience, for the market of requests.
+func (m *Client) ReadAuctionLoad(server membership.Server, timeout time.Duration) (auction.Load, error) {
 	ctx, cancel := context.WithTimeout(m.ctx, timeout)
 	defer cancel()
 	return m.Load(ctx, server.Address)
--- a/internal/adapters/ports/ports.go
+++ b/internal/adapters/ports/ports.go
@@ -53,8 +53,8 @@
 	Context context.Context
 }
 
-// Report asks one server, within the patience.
-func (a LoadReader) Report(server membership.Server, timeout time.Duration) (scheduler.Load, error) {
+// ReadLoad reads one server's load, within the timeout.
+func (a LoadReader) ReadLoad(server membership.Server, timeout time.Duration) (scheduler.Load, error) {
 	ctx, cancel := context.WithTimeout(a.Context, timeout)
 	defer cancel()
 	return a.Reports.Report(ctx, server)
--- a/internal/adapters/proxy/reply.go
+++ b/internal/adapters/proxy/reply.go
@@ -37,8 +37,8 @@
 	_, _ = io.WriteString(writer, body)
 }
 
-// GivenUp counts why the call is tried no more.
-func (e *exchange) GivenUp(reason scheduler.Reason) {
+// OnGiveUp counts why the call is tried no more.
+func (e *exchange) OnGiveUp(reason scheduler.Reason) {
 	if counter, found := e.handler.meter.givenUp[reason]; found {
 		counter.Inc()
 	}
--- a/internal/adapters/router/api.go
+++ b/internal/adapters/router/api.go
@@ -45,7 +45,7 @@
 // serveRequest takes a request from its origin, or from a restricted router
 // that passed it on; one that was forwarded is not forwarded again.
 func (p *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, forwarding *wire.Forwarding) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, dataplane.MostRequestBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, dataplane.MaxRequestBytes))
 	if err != nil {
 		refuse(writer, failure.At(failure.Oversize, "/", err.Error()))
 		return
@@ -63,7 +63,7 @@
 	}
 	writer.Header().Set("Content-Type", "application/msgpack")
 	encoder := msgpack.NewEncoder(writer)
-	p.router.Serve(arrival, &dataplane.RecordReply{Request: request.ID, Writer: p.settings.Name, Left: client.OnClientGone, Send: func(record codec.Record) error {
+	p.router.Serve(arrival, &dataplane.RecordReply{Request: request.ID, Writer: p.settings.Name, ClientGone: client.OnClientGone, Send: func(record codec.Record) error {
 		if err := encoder.Encode(record); err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 }
 
 func (p *Process) getTrace(writer http.ResponseWriter, inbound *http.Request) {
-	folded, found := p.router.Journal().Fold(pat.Param(inbound, "id"), p.supported)
+	folded, found := p.router.Journal().Trace(pat.Param(inbound, "id"), p.supported)
 	if !found {
 		writeJSON(writer, http.StatusNotFound, dataplane.ReplyLine{Request: folded.Request, Type: failure.NoSuch, Detail: "this courier's journal has nothing of it"})
 		return
--- a/internal/adapters/router/calls.go
+++ b/internal/adapters/router/calls.go
@@ -19,13 +19,13 @@
 }
 
 // prepareCalls makes the conduct of opaque calls over the core's window.
-func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Scheduler) dataplane.Board {
+func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Scheduler) dataplane.CallService {
 	chosen := p.settings
 	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
 		return nil
 	}
 	p.proxy.pool = proxy.NewPool(chosen.Detours)
-	return func(deciding *scheduler.Scheduler) dataplane.Board {
+	return func(deciding *scheduler.Scheduler) dataplane.CallService {
 		p.proxy.calls = dataplane.NewCalls(rt, deciding, p.proxy.pool.SetServers)
 		return p.proxy.calls
 	}
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -249,11 +249,11 @@
 	}
 	c.mutex.Unlock()
 	if begun {
-		c.serverList.begin(c.coordinator.Membership().Epoch)
+		c.serverList.beginTerm(c.coordinator.Membership().Epoch)
 		c.termBegan.Broadcast()
 	}
 	if ended {
-		c.serverList.end()
+		c.serverList.endTerm()
 	}
 	if ended || moved {
 		c.updated.Broadcast()
@@ -452,7 +452,7 @@
 // lead with it at once.
 func (c *Controller) applyUpdate(update follower.Update) {
 	if update.Servers != nil && !c.serverList.leading() {
-		c.serverList.take(update.Servers.At, update.Servers.Servers)
+		c.serverList.update(update.Servers.ReadAt, update.Servers.Servers)
 	}
 	c.applyMembers(update)
 	section, found := update.Changed[replication.FlagsSection]
--- a/internal/controlplane/handlers.go
+++ b/internal/controlplane/handlers.go
@@ -113,7 +113,7 @@
 	current.lastPoll[name] = arrived
 	c.mutex.Unlock()
 	if router {
-		c.serverList.noteFailing(arrived, request)
+		c.serverList.recordFailing(arrived, request)
 		current.Grants.Acknowledge(arrived, name, request.InForce.Number)
 		c.confirmations.Broadcast()
 	}
@@ -136,7 +136,7 @@
 		useDelta(&response, request, current)
 		now := c.runtime.Now()
 		response.Waited = now.Sub(arrived)
-		c.serverList.tell(now, request, &response)
+		c.serverList.fill(now, request, &response)
 		if router {
 			state, err := c.state(current, view)
 			if err != nil {
@@ -172,7 +172,7 @@
 	if !found {
 		return
 	}
-	delta, made := current.deltas.towards(section, request.Have[replication.ConfigurationSection])
+	delta, made := current.deltas.deltaTo(section, request.Have[replication.ConfigurationSection])
 	if !made || !request.AcceptDeltas {
 		return
 	}
@@ -237,7 +237,7 @@
 			return true
 		}
 		seen = view
-		return len(newerSections(view, request.Have)) > 0 || c.serverList.newer(request) || c.hasNewerMembership(request)
+		return len(newerSections(view, request.Have)) > 0 || c.serverList.hasNewer(request) || c.hasNewerMembership(request)
 	})
 	if !c.runtime.Alive() {
 		return nil
--- a/internal/controlplane/lists.go
+++ b/internal/controlplane/lists.go
@@ -23,14 +23,14 @@
 	mutex   sync.Mutex
 	listing membership.ServerList
 	// epoch is that of the term whose marks these are, and zero outside of one.
-	epoch     uint64
-	changes   uint64
-	rounds    uint64
-	reports   map[string]report
-	asking    map[string]bool
-	wantedAt  time.Time
-	outliers  outlier.Detector
-	failedFor string
+	epoch        uint64
+	changes      uint64
+	reportRounds uint64
+	reports      map[string]report
+	polling      map[string]bool
+	followedAt   time.Time
+	outliers     outlier.Detector
+	lastError    string
 	// readAt is when this controller last began to read for routers without a primary.
 	readAt time.Time
 }
@@ -66,28 +66,28 @@
 // primary.
 func revisionOf(epoch, count uint64) uint64 { return epoch<<32 | count&0xffffffff }
 
-func (l *serverList) listMark() uint64 {
+func (l *serverList) revision() uint64 {
 	if l.epoch == 0 || l.listing.At().IsZero() {
 		return 0
 	}
 	return revisionOf(l.epoch, l.changes)
 }
 
-func (l *serverList) reportsMark() uint64 {
-	if l.epoch == 0 || l.rounds == 0 {
+func (l *serverList) reportsRevision() uint64 {
+	if l.epoch == 0 || l.reportRounds == 0 {
 		return 0
 	}
-	return revisionOf(l.epoch, l.rounds)
+	return revisionOf(l.epoch, l.reportRounds)
 }
 
 // begin starts a term's own marks, from what is known; end ends them.
-func (l *serverList) begin(epoch uint64) {
+func (l *serverList) beginTerm(epoch uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.epoch, l.changes, l.rounds, l.reports, l.asking = epoch, 1, 0, map[string]report{}, map[string]bool{}
+	l.epoch, l.changes, l.reportRounds, l.reports, l.polling = epoch, 1, 0, map[string]report{}, map[string]bool{}
 }
 
-func (l *serverList) end() {
+func (l *serverList) endTerm() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.epoch = 0
@@ -99,9 +99,9 @@
 	return l.epoch != 0
 }
 
-// readsNow tells whether the list is to be read for routers without a primary, and
+// startRead tells whether the list is to be read for routers without a primary, and
 // notes that it is.
-func (l *serverList) readsNow(now time.Time) bool {
+func (l *serverList) startRead(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.epoch != 0 || now.Sub(l.readAt) < listInterval || now.Sub(l.listing.At()) < listInterval {
@@ -112,7 +112,7 @@
 }
 
 // fresh is the list without a mark, if it is not older than a router would bear.
-func (l *serverList) fresh(now time.Time) *wire.ServersUpdate {
+func (l *serverList) recent(now time.Time) *wire.ServersUpdate {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if at := l.listing.At(); at.IsZero() || now.Sub(at) >= discovery.ListTimeout {
@@ -122,7 +122,7 @@
 }
 
 // take takes a list and tells whether it changed anything.
-func (l *serverList) take(at time.Time, servers []membership.Server) bool {
+func (l *serverList) update(at time.Time, servers []membership.Server) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	changed := l.listing.Update(at, servers)
@@ -148,27 +148,27 @@
 }
 
 // newer tells whether there is a list or a round of reports that the asker has not.
-func (l *serverList) newer(request wire.UpdateRequest) bool {
+func (l *serverList) hasNewer(request wire.UpdateRequest) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return request.WantServers && l.listMark() != 0 && l.listMark() != request.ServersRevision ||
-		request.WantLoads && l.reportsMark() != 0 && l.reportsMark() != request.LoadsRevision
+	return request.WantServers && l.revision() != 0 && l.revision() != request.ServersRevision ||
+		request.WantLoads && l.reportsRevision() != 0 && l.reportsRevision() != request.LoadsRevision
 }
 
 // tell writes into an answer what the asker follows and has not.
-func (l *serverList) tell(now time.Time, request wire.UpdateRequest, response *wire.UpdateResponse) {
+func (l *serverList) fill(now time.Time, request wire.UpdateRequest, response *wire.UpdateResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if request.WantLoads {
-		l.wantedAt = now
+		l.followedAt = now
 	}
-	if current := l.listMark(); request.WantServers && current != 0 {
+	if current := l.revision(); request.WantServers && current != 0 {
 		response.Servers = &wire.ServersUpdate{Revision: current, Age: now.Sub(l.listing.At())}
 		if current != request.ServersRevision {
 			response.Servers.Sent, response.Servers.Servers = true, l.listing.Servers(now)
 		}
 	}
-	if current := l.reportsMark(); request.WantLoads && current != 0 && current != request.LoadsRevision {
+	if current := l.reportsRevision(); request.WantLoads && current != 0 && current != request.LoadsRevision {
 		response.Loads = &wire.LoadsUpdate{Revision: current, Outliers: l.outliers.Advice(now)}
 		for _, reported := range l.reports {
 			if age := now.Sub(reported.at); age < reportTTL {
@@ -179,8 +179,8 @@
 	}
 }
 
-// noteFailing takes what a node met at servers.
-func (l *serverList) noteFailing(now time.Time, request wire.UpdateRequest) {
+// recordFailing takes what a node met at servers.
+func (l *serverList) recordFailing(now time.Time, request wire.UpdateRequest) {
 	if !request.WantLoads {
 		return
 	}
@@ -193,16 +193,16 @@
 
 // wanted lists the servers to ask for a report now: those listed that are not being
 // asked, if a router follows reports.
-func (l *serverList) wanted(now time.Time) []membership.Server {
+func (l *serverList) startPolls(now time.Time) []membership.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.epoch == 0 || l.wantedAt.IsZero() || now.Sub(l.wantedAt) > followedTime {
+	if l.epoch == 0 || l.followedAt.IsZero() || now.Sub(l.followedAt) > followedTime {
 		return nil
 	}
 	var wanted []membership.Server
 	for _, server := range l.listing.Servers(now) {
-		if !l.asking[server.Name] {
-			l.asking[server.Name] = true
+		if !l.polling[server.Name] {
+			l.polling[server.Name] = true
 			wanted = append(wanted, server)
 		}
 	}
@@ -210,20 +210,20 @@
 }
 
 // note takes a server's answer, or that there was none.
-func (l *serverList) note(epoch uint64, server string, at time.Time, load scheduler.Load, err error) {
+func (l *serverList) endPoll(epoch uint64, server string, at time.Time, load scheduler.Load, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.epoch != epoch {
 		return
 	}
-	delete(l.asking, server)
+	delete(l.polling, server)
 	if err == nil && load.Server == server && !at.Before(l.reports[server].at) {
 		l.reports[server] = report{load: load, at: at}
 	}
 }
 
 // round ends a round of reading and forgets the servers that are gone.
-func (l *serverList) round(now time.Time) {
+func (l *serverList) endRound(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for name, reported := range l.reports {
@@ -232,12 +232,12 @@
 		}
 	}
 	if l.epoch != 0 {
-		l.rounds++
+		l.reportRounds++
 	}
 }
 
 // calm tells whether all servers reported lately that they have little to do.
-func (l *serverList) calm(now time.Time) bool {
+func (l *serverList) idle(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, server := range l.listing.Servers(now) {
@@ -264,7 +264,7 @@
 		asked := c.runtime.Now()
 		servers, err := c.options.Directory.Servers()
 		// A list that could not be read leaves what is known as it is.
-		if err == nil && c.serverList.take(asked, servers) {
+		if err == nil && c.serverList.update(asked, servers) {
 			c.updated.Broadcast()
 		}
 		c.logListError(err)
@@ -285,12 +285,12 @@
 	if c.options.Directory == nil {
 		return nil
 	}
-	if c.serverList.readsNow(c.runtime.Now()) {
+	if c.serverList.startRead(c.runtime.Now()) {
 		c.runtime.Go(func() {
 			asked := c.runtime.Now()
 			servers, err := c.options.Directory.Servers()
 			if err == nil {
-				c.serverList.take(asked, servers)
+				c.serverList.update(asked, servers)
 				c.updated.Broadcast()
 			}
 			c.logListError(err)
@@ -301,7 +301,7 @@
 	}
 	var told *wire.ServersUpdate
 	c.updated.Wait(provisionalTimeout, func() bool {
-		told = c.serverList.fresh(c.runtime.Now())
+		told = c.serverList.recent(c.runtime.Now())
 		return told != nil
 	})
 	return told
@@ -314,8 +314,8 @@
 		cause = string(failure.CodeOf(err))
 	}
 	c.serverList.mutex.Lock()
-	told := c.serverList.failedFor == cause
-	c.serverList.failedFor = cause
+	told := c.serverList.lastError == cause
+	c.serverList.lastError = cause
 	c.serverList.mutex.Unlock()
 	if !told {
 		c.observe("list_read", "trouble", err)
@@ -331,13 +331,13 @@
 			continue
 		}
 		began := c.runtime.Now()
-		if wanted := c.serverList.wanted(began); len(wanted) > 0 {
+		if wanted := c.serverList.startPolls(began); len(wanted) > 0 {
 			c.pollServers(wanted)
-			c.serverList.round(c.runtime.Now())
+			c.serverList.endRound(c.runtime.Now())
 			c.updated.Broadcast()
 		}
 		pause := reportInterval
-		if c.serverList.calm(c.runtime.Now()) {
+		if c.serverList.idle(c.runtime.Now()) {
 			pause = idleReportInterval
 		}
 		if left := pause - c.runtime.Now().Sub(began); left > 0 {
@@ -357,8 +357,8 @@
 	for _, server := range servers {
 		c.runtime.Go(func() {
 			asked := c.runtime.Now()
-			load, err := c.options.LoadReader.Report(server, reportTimeout)
-			c.serverList.note(epoch, server.Name, asked, load, err)
+			load, err := c.options.LoadReader.ReadLoad(server, reportTimeout)
+			c.serverList.endPoll(epoch, server.Name, asked, load, err)
 			mutex.Lock()
 			left--
 			last := left == 0
--- a/internal/controlplane/lists_test.go
+++ b/internal/controlplane/lists_test.go
@@ -17,77 +17,77 @@
 func TestListsTellWhatTheAskerLacks(t *testing.T) {
 	var known serverList
 	asker := wire.UpdateRequest{WantServers: true, WantLoads: true}
-	if known.newer(asker) {
+	if known.hasNewer(asker) {
 		t.Error("nothing is known, and is news")
 	}
-	known.take(runtimetest.AtNoon(0), []membership.Server{{Name: "a", Warming: 2 * time.Second}})
-	if known.newer(asker) {
+	known.update(runtimetest.AtNoon(0), []membership.Server{{Name: "a", Warming: 2 * time.Second}})
+	if known.hasNewer(asker) {
 		t.Error("who does not lead has news")
 	}
-	known.begin(7)
+	known.beginTerm(7)
 	var response wire.UpdateResponse
-	known.tell(runtimetest.AtNoon(500*time.Millisecond), asker, &response)
+	known.fill(runtimetest.AtNoon(500*time.Millisecond), asker, &response)
 	if response.Servers == nil || !response.Servers.Sent || response.Servers.Age != 500*time.Millisecond || response.Servers.Servers[0].Warming != 1500*time.Millisecond || response.Loads != nil {
 		t.Fatalf("%+v", response.Servers)
 	}
 	asker.ServersRevision = response.Servers.Revision
-	if known.newer(asker) {
+	if known.hasNewer(asker) {
 		t.Error("the same list is news")
 	}
 	response = wire.UpdateResponse{}
-	known.tell(runtimetest.AtNoon(time.Second), asker, &response)
+	known.fill(runtimetest.AtNoon(time.Second), asker, &response)
 	if response.Servers == nil || response.Servers.Sent || response.Servers.Revision != asker.ServersRevision {
 		t.Errorf("the list was told again: %+v", response.Servers)
 	}
 	// A router asked, so reports are read, each server once at a time.
-	if wanted := known.wanted(runtimetest.AtNoon(time.Second)); len(wanted) != 1 {
+	if wanted := known.startPolls(runtimetest.AtNoon(time.Second)); len(wanted) != 1 {
 		t.Errorf("wanted %v", wanted)
 	}
-	if wanted := known.wanted(runtimetest.AtNoon(time.Second)); len(wanted) != 0 {
+	if wanted := known.startPolls(runtimetest.AtNoon(time.Second)); len(wanted) != 0 {
 		t.Errorf("asked again while it is being asked: %v", wanted)
 	}
-	known.note(6, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "a"}, nil)
-	known.note(7, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "another"}, nil)
-	known.round(runtimetest.AtNoon(time.Second))
+	known.endPoll(6, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "a"}, nil)
+	known.endPoll(7, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "another"}, nil)
+	known.endRound(runtimetest.AtNoon(time.Second))
 	response = wire.UpdateResponse{}
-	known.tell(runtimetest.AtNoon(time.Second), asker, &response)
+	known.fill(runtimetest.AtNoon(time.Second), asker, &response)
 	if response.Loads == nil || len(response.Loads.Reports) != 0 {
 		t.Errorf("a report of another reign or server was told: %+v", response.Loads)
 	}
-	known.wanted(runtimetest.AtNoon(time.Second))
-	known.note(7, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "a", Running: 3, Age: 100 * time.Millisecond}, nil)
-	known.round(runtimetest.AtNoon(1100 * time.Millisecond))
-	if !known.newer(asker) {
+	known.startPolls(runtimetest.AtNoon(time.Second))
+	known.endPoll(7, "a", runtimetest.AtNoon(time.Second), scheduler.Load{Server: "a", Running: 3, Age: 100 * time.Millisecond}, nil)
+	known.endRound(runtimetest.AtNoon(1100 * time.Millisecond))
+	if !known.hasNewer(asker) {
 		t.Error("a round of reports is no news")
 	}
 	response = wire.UpdateResponse{}
-	known.tell(runtimetest.AtNoon(1200*time.Millisecond), asker, &response)
+	known.fill(runtimetest.AtNoon(1200*time.Millisecond), asker, &response)
 	if response.Loads == nil || len(response.Loads.Reports) != 1 || response.Loads.Reports[0].Load(50*time.Millisecond) != (scheduler.Load{Server: "a", Running: 3, Age: 350 * time.Millisecond}) {
 		t.Errorf("%+v", response.Loads)
 	}
 	asker.LoadsRevision = response.Loads.Revision
-	if known.newer(asker) {
+	if known.hasNewer(asker) {
 		t.Error("the same round is news")
 	}
 	// A server that does not report any more is left out after a while.
-	known.wanted(runtimetest.AtNoon(4 * time.Second))
-	known.note(7, "a", runtimetest.AtNoon(4*time.Second), scheduler.Load{}, failure.New(failure.Unreachable, ""))
-	known.round(runtimetest.AtNoon(4200 * time.Millisecond))
+	known.startPolls(runtimetest.AtNoon(4 * time.Second))
+	known.endPoll(7, "a", runtimetest.AtNoon(4*time.Second), scheduler.Load{}, failure.New(failure.Unreachable, ""))
+	known.endRound(runtimetest.AtNoon(4200 * time.Millisecond))
 	response = wire.UpdateResponse{}
-	known.tell(runtimetest.AtNoon(4200*time.Millisecond), asker, &response)
+	known.fill(runtimetest.AtNoon(4200*time.Millisecond), asker, &response)
 	if response.Loads == nil || len(response.Loads.Reports) != 0 {
 		t.Errorf("an old report is told: %+v", response.Loads)
 	}
-	if wanted := known.wanted(runtimetest.AtNoon(10 * time.Second)); len(wanted) != 0 {
+	if wanted := known.startPolls(runtimetest.AtNoon(10 * time.Second)); len(wanted) != 0 {
 		t.Errorf("nobody follows reports, and %v are read", wanted)
 	}
 	// The next term's marks are others, though the list is the same.
-	known.end()
-	known.begin(8)
-	if !known.newer(asker) {
+	known.endTerm()
+	known.beginTerm(8)
+	if !known.hasNewer(asker) {
 		t.Error("the next reign's list has the old one's mark")
 	}
-	if known.newer(wire.UpdateRequest{}) {
+	if known.hasNewer(wire.UpdateRequest{}) {
 		t.Error("who follows no lists has news of them")
 	}
 }
@@ -119,10 +119,10 @@
 		"a change of part": {scheduler.Load{Server: "a", ChangingRole: true}, false},
 	} {
 		var known serverList
-		known.begin(1)
-		known.take(runtimetest.AtNoon(0), []membership.Server{{Name: "a", Slots: 64}, {Name: "b"}})
-		known.note(1, "a", runtimetest.AtNoon(0), one.load, nil)
-		if calm := known.calm(runtimetest.AtNoon(0)); calm != one.calm {
+		known.beginTerm(1)
+		known.update(runtimetest.AtNoon(0), []membership.Server{{Name: "a", Slots: 64}, {Name: "b"}})
+		known.endPoll(1, "a", runtimetest.AtNoon(0), one.load, nil)
+		if calm := known.idle(runtimetest.AtNoon(0)); calm != one.calm {
 			t.Errorf("%s: calm %v", name, calm)
 		}
 	}
--- a/internal/controlplane/provisional_test.go
+++ b/internal/controlplane/provisional_test.go
@@ -51,7 +51,7 @@
 func newRouterAt(rt runtime.Runtime, line wire.Client, without time.Duration, told runtime.Cond) *dataplane.Router {
 	router := dataplane.NewRouter(rt, line, nil, nil, dataplane.Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
 		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutLease: without, Nonce: func() string { return "nonce" },
-		Directory: oneServer{}, Ended: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
+		Directory: oneServer{}, OnEnded: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
 	rt.Go(router.Follower().Run)
 	return router
 }
--- a/internal/controlplane/reports.go
+++ b/internal/controlplane/reports.go
@@ -10,5 +10,5 @@
 // LoadReader is the port by which the primary asks a model server for its load, for
 // all routers.
 type LoadReader interface {
-	Report(server membership.Server, timeout time.Duration) (scheduler.Load, error)
+	ReadLoad(server membership.Server, timeout time.Duration) (scheduler.Load, error)
 }
--- a/internal/controlplane/revisions.go
+++ b/internal/controlplane/revisions.go
@@ -10,10 +10,10 @@
 // revisions are the configurations that a primary has shown lately, so that a
 // node which has one of them is sent only what changed.
 type deltaCache struct {
-	mutex sync.Mutex
-	shown []replication.Section
+	mutex  sync.Mutex
+	recent []replication.Section
 	// made are the deltas towards the newest one, by the version they start from.
-	made map[replication.Version]wire.Delta
+	deltas map[replication.Version]wire.Delta
 }
 
 // maxRevisions bounds the memory, and maxRevisionBytes their size together.
@@ -23,31 +23,31 @@
 )
 
 // towards gives the delta from the version that a node has to the newest.
-func (r *deltaCache) towards(newest replication.Section, have replication.Version) (wire.Delta, bool) {
+func (r *deltaCache) deltaTo(newest replication.Section, have replication.Version) (wire.Delta, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(newest.Content) < wire.MinDeltaContent {
 		return wire.Delta{}, false
 	}
-	if count := len(r.shown); count == 0 || r.shown[count-1].Version != newest.Version {
-		r.shown = append(r.shown, newest)
-		r.made = map[replication.Version]wire.Delta{}
+	if count := len(r.recent); count == 0 || r.recent[count-1].Version != newest.Version {
+		r.recent = append(r.recent, newest)
+		r.deltas = map[replication.Version]wire.Delta{}
 		size := 0
-		for _, section := range r.shown {
+		for _, section := range r.recent {
 			size += len(section.Content)
 		}
-		for len(r.shown) > 1 && (len(r.shown) > maxRevisions || size > maxRevisionBytes) {
-			size -= len(r.shown[0].Content)
-			r.shown = r.shown[1:]
+		for len(r.recent) > 1 && (len(r.recent) > maxRevisions || size > maxRevisionBytes) {
+			size -= len(r.recent[0].Content)
+			r.recent = r.recent[1:]
 		}
 	}
-	if delta, found := r.made[have]; found {
+	if delta, found := r.deltas[have]; found {
 		return delta, true
 	}
-	for _, section := range r.shown {
+	for _, section := range r.recent {
 		if section.Version == have && have != newest.Version {
 			delta := wire.NewDelta(section, newest)
-			r.made[have] = delta
+			r.deltas[have] = delta
 			return delta, len(delta.Middle) < len(newest.Content)/2
 		}
 	}
--- a/internal/dataplane/board.go
+++ b/internal/dataplane/board.go
@@ -6,9 +6,9 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Board is who serves opaque calls beside the core's window. A router tells it what
+// CallService is who serves opaque calls beside the core's window. A router tells it what
 // it needs to know besides.
-type Board interface {
+type CallService interface {
 	// SetServing tells until when calls may be admitted: not beyond the router's hold
 	// and what it goes on without one.
 	SetServing(until time.Time)
--- a/internal/dataplane/calls.go
+++ b/internal/dataplane/calls.go
@@ -19,18 +19,18 @@
 	runtime runtime.Runtime
 	window  *scheduler.Scheduler
 	// listed is told which servers there are, before any call is sent to them.
-	listed  func(servers []membership.Server)
-	servers atomic.Int64
-	leaving atomic.Bool
+	onServers   func(servers []membership.Server)
+	serverCount atomic.Int64
+	leaving     atomic.Bool
 	// serving is until when calls are admitted; nil: nobody bounds it.
-	serving atomic.Pointer[time.Time]
+	servingUntil atomic.Pointer[time.Time]
 	// keepers are asked for counts before reads; nil: nobody is.
 	countOwners *CountOwners
 }
 
 // NewCalls makes the conduct over a window. Listed is told which servers there are.
 func NewCalls(rt runtime.Runtime, window *scheduler.Scheduler, listed func(servers []membership.Server)) *Calls {
-	return &Calls{runtime: rt, window: window, listed: listed}
+	return &Calls{runtime: rt, window: window, onServers: listed}
 }
 
 // SetConfiguration puts a configuration in force, unless a newer one is.
@@ -39,7 +39,7 @@
 }
 
 // SetServing bounds until when calls are admitted.
-func (c *Calls) SetServing(until time.Time) { c.serving.Store(&until) }
+func (c *Calls) SetServing(until time.Time) { c.servingUntil.Store(&until) }
 
 // SetCountOwners gives the way to those who keep counts of what servers read, before any call
 // comes.
@@ -47,19 +47,19 @@
 
 // serves tells whether calls may be admitted now.
 func (c *Calls) serves() bool {
-	until := c.serving.Load()
+	until := c.servingUntil.Load()
 	return until == nil || c.runtime.Now().Before(*until)
 }
 
-// unheldRetry is when a call may come back that met a router without a hold: the
+// noLeaseRetryAfter is when a call may come back that met a router without a hold: the
 // next news is a moment away, or another router has it.
-const unheldRetry = 300 * time.Millisecond
+const noLeaseRetryAfter = 300 * time.Millisecond
 
 // SetServers takes the list of servers.
 func (c *Calls) SetServers(now time.Time, servers []membership.Server) {
-	c.listed(servers)
+	c.onServers(servers)
 	c.window.SetServers(now, servers)
-	c.servers.Store(int64(len(servers)))
+	c.serverCount.Store(int64(len(servers)))
 }
 
 // SetLoads takes what the servers reported of themselves.
@@ -74,7 +74,7 @@
 // known, and the router is not leaving.
 func (c *Calls) Ready() bool {
 	epoch, number := c.window.ConfigVersion()
-	return (epoch > 0 || number > 0) && c.servers.Load() > 0 && !c.leaving.Load() && c.serves()
+	return (epoch > 0 || number > 0) && c.serverCount.Load() > 0 && !c.leaving.Load() && c.serves()
 }
 
 // Leave says that the router is leaving. Calls that still come are served until
@@ -86,14 +86,14 @@
 
 // The pauses of leaving. The values are ours.
 const (
-	// noticePause is how long it takes those who ask whether a router is ready to
+	// drainNoticeTime is how long it takes those who ask whether a router is ready to
 	// send no more: two questions in a row, one a second.
-	noticePause = 2500 * time.Millisecond
-	// leaveMarginShare is the part of the grace that is kept for ending the process: an
+	drainNoticeTime = 2500 * time.Millisecond
+	// exitMarginShare is the part of the grace that is kept for ending the process: an
 	// eighth, so that what is cut off at the end was at work in the last sixth.
-	leaveMarginShare = 8
-	mostLeaveMargin  = time.Second
-	leavingPause     = 20 * time.Millisecond
+	exitMarginShare = 8
+	maxExitMargin   = time.Second
+	drainInterval   = 20 * time.Millisecond
 )
 
 // Retire has the router leave: it is not ready from now on, serves what still comes
@@ -101,13 +101,13 @@
 // the grace is over. Noticed is told when those who look have noticed: clients whose
 // connections rest had better not come back on them.
 func (c *Calls) Retire(grace time.Duration, noticed func()) {
-	deadline := c.runtime.Now().Add(grace - min(mostLeaveMargin, grace/leaveMarginShare))
+	deadline := c.runtime.Now().Add(grace - min(maxExitMargin, grace/exitMarginShare))
 	c.Leave()
-	runtime.Sleep(c.runtime, min(noticePause, grace/3))
+	runtime.Sleep(c.runtime, min(drainNoticeTime, grace/3))
 	noticed()
 	c.window.Drain()
 	for c.runtime.Alive() && c.window.InFlight() > 0 && c.runtime.Now().Before(deadline) {
-		runtime.Sleep(c.runtime, leavingPause)
+		runtime.Sleep(c.runtime, drainInterval)
 	}
 }
 
@@ -117,24 +117,24 @@
 // Serve serves one call and returns when it is over.
 func (c *Calls) Serve(call *scheduler.Call, exchange Exchange) {
 	if !c.serves() {
-		exchange.Refuse(Refusal{Cause: scheduler.NotReady, Status: statusOf(scheduler.NotReady), RetryAfter: unheldRetry})
+		exchange.Refuse(Refusal{Cause: scheduler.NotReady, Status: statusOf(scheduler.NotReady), RetryAfter: noLeaseRetryAfter})
 		return
 	}
 	ticket, decision := c.window.Arrive(c.runtime.Now(), call)
 	// ran tells that a server may have begun the call, before that an earlier one than
 	// the last may have.
-	ran, before := false, false
+	mayHaveRun, before := false, false
 	var outcome scheduler.Outcome
 	for {
 		if c.countOwners != nil {
-			c.countOwners.NoteChanges()
+			c.countOwners.SendChanges()
 		}
 		for _, source := range decision.Release {
 			exchange.Free(source)
 		}
 		switch decision.Kind {
 		case scheduler.QueryBacklog:
-			decision = c.told(ticket, decision)
+			decision = c.askOwners(ticket, decision)
 			continue
 		case scheduler.Prefill:
 			outcome = exchange.Read(decision)
@@ -143,12 +143,12 @@
 			}
 		case scheduler.Generate:
 			outcome = exchange.Run(ticket.Route().Calls, decision, func() { c.window.Began(c.runtime.Now(), ticket) })
-			before, ran = ran, ran || outcome.Result.MayHaveRun()
+			before, mayHaveRun = mayHaveRun, mayHaveRun || outcome.Result.MayHaveRun()
 		default:
 			if decision.Reason != "" {
-				exchange.GivenUp(decision.Reason)
+				exchange.OnGiveUp(decision.Reason)
 			}
-			conclude(exchange, decision, ran, before && !outcome.Result.MayHaveRun())
+			conclude(exchange, decision, mayHaveRun, before && !outcome.Result.MayHaveRun())
 			return
 		}
 		decision = c.window.Ended(c.runtime.Now(), ticket, outcome)
@@ -158,18 +158,18 @@
 // conclude gives the origin the last word. Whatever was decided, no promise is given of
 // what may have run: not our own, and not that of the last server when an earlier one may
 // have begun, which partly tells.
-func conclude(exchange Exchange, decision scheduler.Decision, ran, partly bool) {
+func conclude(exchange Exchange, decision scheduler.Decision, mayHaveRun, ranBefore bool) {
 	switch decision.Kind {
 	case scheduler.Done:
 	case scheduler.BreakStream:
 		exchange.Break()
 	case scheduler.PassThrough:
-		if partly || !exchange.Through() {
+		if ranBefore || !exchange.Through() {
 			exchange.Refuse(Refusal{Cause: scheduler.OutcomeUnknown, Status: http.StatusBadGateway})
 		}
 	default:
 		refusal := Refusal{Cause: decision.Cause, RetryAfter: decision.RetryAfter}
-		if ran && refusal.Cause.NeverRan() {
+		if mayHaveRun && refusal.Cause.NeverRan() {
 			refusal = Refusal{Cause: scheduler.OutcomeUnknown}
 		}
 		refusal.Status = statusOf(refusal.Cause)
@@ -192,7 +192,7 @@
 }
 
 // told asks the keepers of counts and has the window go on with their answers.
-func (c *Calls) told(ticket *scheduler.CallState, decision scheduler.Decision) scheduler.Decision {
+func (c *Calls) askOwners(ticket *scheduler.CallState, decision scheduler.Decision) scheduler.Decision {
 	answers := c.countOwners.Ask(decision.BacklogRequests)
 	return c.window.BacklogReported(c.runtime.Now(), ticket, answers)
 }
--- a/internal/dataplane/calls_test.go
+++ b/internal/dataplane/calls_test.go
@@ -45,7 +45,7 @@
 	return s.kept
 }
 
-func (s *scriptedExchange) GivenUp(reason scheduler.Reason) { s.reason = reason }
+func (s *scriptedExchange) OnGiveUp(reason scheduler.Reason) { s.reason = reason }
 
 func (s *scriptedExchange) Break() { s.done = append(s.done, "break") }
 
--- a/internal/dataplane/countowners.go
+++ b/internal/dataplane/countowners.go
@@ -21,31 +21,31 @@
 	client  wire.Client
 	window  *scheduler.Scheduler
 	// self is this node's name, life this life of it.
-	self, incarnation string
-	ledger            backlog.Table
+	name, incarnation string
+	counts            backlog.Table
 	changed           runtime.Cond
 
-	mutex  sync.Mutex
-	nodes  map[string]membership.Member
-	ranked map[string][]membership.Member
-	silent map[string]time.Time
+	mutex    sync.Mutex
+	nodes    map[string]membership.Member
+	ranked   map[string][]membership.Member
+	failedAt map[string]time.Time
 }
 
 // The patience with keepers. The values are ours.
 const (
-	// countPatience is how long an answer is waited for: longer than a healthy keeper
+	// countTimeout is how long an answer is waited for: longer than a healthy keeper
 	// in the same region takes, and short beside the aim of a call.
-	countPatience = 30 * time.Millisecond
-	// keeperSilence is how long a keeper that did not answer is passed over.
-	keeperSilence = 2 * time.Second
-	// changesPause lets the changes of a moment go in one message.
-	changesPause = 2 * time.Millisecond
+	countTimeout = 30 * time.Millisecond
+	// ownerRetryAfter is how long a keeper that did not answer is passed over.
+	ownerRetryAfter = 2 * time.Second
+	// changesInterval lets the changes of a moment go in one message.
+	changesInterval = 2 * time.Millisecond
 )
 
 // NewCountOwners makes the keepers' side and the asking side of one life of a node.
 func NewCountOwners(rt runtime.Runtime, client wire.Client, window *scheduler.Scheduler, self, incarnation string) *CountOwners {
-	return &CountOwners{runtime: rt, client: client, window: window, self: self, incarnation: incarnation, changed: rt.NewCond(),
-		ranked: map[string][]membership.Member{}, silent: map[string]time.Time{}}
+	return &CountOwners{runtime: rt, client: client, window: window, name: self, incarnation: incarnation, changed: rt.NewCond(),
+		ranked: map[string][]membership.Member{}, failedAt: map[string]time.Time{}}
 }
 
 // SetMembers tells which nodes of the data plane are recorded.
@@ -64,7 +64,7 @@
 
 // Handle answers a question of another node.
 func (c *CountOwners) Answer(request backlog.Request) (backlog.Response, error) {
-	return c.ledger.Apply(c.runtime.Now(), request), nil
+	return c.counts.Apply(c.runtime.Now(), request), nil
 }
 
 // Ask brings questions to their keepers, all at once, and gives the answers that come in
@@ -92,7 +92,7 @@
 		})
 	}
 	ask(questions[0])
-	done.Wait(countPatience, func() bool {
+	done.Wait(countTimeout, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return left == 0
@@ -113,12 +113,12 @@
 	if !found {
 		return response, false
 	}
-	if owner.Name == c.self {
-		return c.ledger.Apply(c.runtime.Now(), request), true
+	if owner.Name == c.name {
+		return c.counts.Apply(c.runtime.Now(), request), true
 	}
-	if err := wire.Call(c.client, owner.Address, wire.CountsPath, request, &response, countPatience); err != nil {
+	if err := wire.Call(c.client, owner.Address, wire.CountsPath, request, &response, countTimeout); err != nil {
 		c.mutex.Lock()
-		c.silent[owner.Address] = c.runtime.Now()
+		c.failedAt[owner.Address] = c.runtime.Now()
 		c.mutex.Unlock()
 		return response, false
 	}
@@ -136,7 +136,7 @@
 		c.ranked[group] = ranked
 	}
 	for _, node := range ranked {
-		if silent, found := c.silent[node.Address]; !found || now.Sub(silent) >= keeperSilence {
+		if silent, found := c.failedAt[node.Address]; !found || now.Sub(silent) >= ownerRetryAfter {
 			return node, true
 		}
 	}
@@ -166,8 +166,8 @@
 	return ranked
 }
 
-// NoteChanges has the keepers told, soon, of what changed by a decision.
-func (c *CountOwners) NoteChanges() {
+// SendChanges has the keepers told, soon, of what changed by a decision.
+func (c *CountOwners) SendChanges() {
 	if c.window.HasBacklogChanges() {
 		c.changed.Broadcast()
 	}
@@ -176,8 +176,8 @@
 // Run brings changes to the keepers whenever there are any.
 func (c *CountOwners) Run() {
 	for c.runtime.Alive() {
-		c.changed.Wait(restTick, c.window.HasBacklogChanges)
-		runtime.Sleep(c.runtime, changesPause)
+		c.changed.Wait(idleTick, c.window.HasBacklogChanges)
+		runtime.Sleep(c.runtime, changesInterval)
 		for group, changes := range c.window.TakeBacklogChanges() {
 			c.send(backlog.Request{Group: group, Changes: changes})
 		}
--- a/internal/dataplane/countowners_test.go
+++ b/internal/dataplane/countowners_test.go
@@ -16,18 +16,18 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// keeperLine joins keepers by direct calls; those that are down don't answer.
-type keeperLine struct {
-	mutex   sync.Mutex
-	keepers map[string]*CountOwners
-	down    map[string]bool
-	calls   atomic.Int64
+// ownerClient joins keepers by direct calls; those that are down don't answer.
+type ownerClient struct {
+	mutex  sync.Mutex
+	owners map[string]*CountOwners
+	down   map[string]bool
+	calls  atomic.Int64
 }
 
-func (k *keeperLine) CallRaw(address, path string, body []byte, _ time.Duration) ([]byte, error) {
+func (k *ownerClient) CallRaw(address, path string, body []byte, _ time.Duration) ([]byte, error) {
 	k.calls.Add(1)
 	k.mutex.Lock()
-	owner, down := k.keepers[address], k.down[address]
+	owner, down := k.owners[address], k.down[address]
 	k.mutex.Unlock()
 	if down || owner == nil || path != wire.CountsPath {
 		return nil, failure.New(failure.Unreachable, "nobody answers")
@@ -43,23 +43,23 @@
 	return msgpack.Marshal(response)
 }
 
-// keeperFleet is six nodes in two zones.
-func keeperFleet(t *testing.T) (*keeperLine, map[string]*CountOwners) {
+// ownerFleet is six nodes in two zones.
+func ownerFleet(t *testing.T) (*ownerClient, map[string]*CountOwners) {
 	t.Helper()
 	rt := osruntime.New(t.Context(), osruntime.NewClock())
-	line := &keeperLine{keepers: map[string]*CountOwners{}, down: map[string]bool{}}
+	client := &ownerClient{owners: map[string]*CountOwners{}, down: map[string]bool{}}
 	members := map[string]membership.Member{"expediter-1": {Name: "expediter-1", Kind: membership.Controller, Address: "e1", Zone: "north"}}
 	all := map[string]*CountOwners{}
 	for position, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		zone := []string{"north", "south"}[position%2]
 		members[name] = membership.Member{Name: name, Kind: membership.Router, Address: "at-" + name, Zone: zone}
-		all[name] = NewCountOwners(rt, line, scheduler.New(scheduler.Options{Router: name, Zone: zone}), name, "life-of-"+name)
-		line.keepers["at-"+name] = all[name]
+		all[name] = NewCountOwners(rt, client, scheduler.New(scheduler.Options{Router: name, Zone: zone}), name, "life-of-"+name)
+		client.owners["at-"+name] = all[name]
 	}
 	for _, owners := range all {
 		owners.SetMembers(members)
 	}
-	return line, all
+	return client, all
 }
 
 func asks(group, server string, tokens int) []backlog.Request {
@@ -69,7 +69,7 @@
 // TestNodesAgreeOnTheKeeper has every node see what the others intend, in a group of its
 // own zone and in one of the other.
 func TestNodesAgreeOnTheKeeper(t *testing.T) {
-	_, all := keeperFleet(t)
+	_, all := ownerFleet(t)
 	for _, group := range []string{"desk/north/0", "desk/south/1", "desk/elsewhere/0"} {
 		want := 0
 		for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -91,7 +91,7 @@
 
 // TestKeeperInTheZone has the keeper of a group be a node of the group's zone.
 func TestKeeperInTheZone(t *testing.T) {
-	_, all := keeperFleet(t)
+	_, all := ownerFleet(t)
 	for _, group := range []string{"desk/north/0", "desk/north/1", "desk/north/2"} {
 		if owner, found := all["b"].owner(group); !found || owner.Zone != "north" || owner.Kind != membership.Router {
 			t.Errorf("%s is kept by %+v", group, owner)
@@ -102,22 +102,22 @@
 // TestSilentKeeperIsPassedOver has a keeper die: the call that meets it has no answer, the
 // next ones have the next keeper's, and the dead one is not asked again for a while.
 func TestSilentKeeperIsPassedOver(t *testing.T) {
-	line, all := keeperFleet(t)
+	client, all := ownerFleet(t)
 	const group = "desk/north/0"
 	first, _ := all["b"].owner(group)
-	line.mutex.Lock()
-	line.down[first.Address] = true
-	line.mutex.Unlock()
+	client.mutex.Lock()
+	client.down[first.Address] = true
+	client.mutex.Unlock()
 	if answers := all["b"].Ask(asks(group, "s", 100)); len(answers) != 0 {
 		t.Errorf("a dead keeper answers: %v", answers)
 	}
-	before := line.calls.Load()
+	before := client.calls.Load()
 	for range 5 {
 		if answers := all["b"].Ask(asks(group, "s", 100)); len(answers) != 1 {
 			t.Error("no answer of the next keeper")
 		}
 	}
-	if asked := line.calls.Load() - before; asked > 5 {
+	if asked := client.calls.Load() - before; asked > 5 {
 		t.Errorf("%d messages for 5 questions", asked)
 	}
 	if next, _ := all["b"].owner(group); next.Name == first.Name {
@@ -127,12 +127,12 @@
 
 // TestSeveralGroupsAtOnce has one ask bring all answers that there are.
 func TestSeveralGroupsAtOnce(t *testing.T) {
-	line, all := keeperFleet(t)
-	line.mutex.Lock()
+	client, all := ownerFleet(t)
+	client.mutex.Lock()
 	for _, name := range []string{"b", "d", "f"} {
-		line.down["at-"+name] = true
+		client.down["at-"+name] = true
 	}
-	line.mutex.Unlock()
+	client.mutex.Unlock()
 	questions := append(asks("desk/north/0", "s", 1), asks("desk/south/0", "s", 1)...)
 	answers := all["a"].Ask(questions)
 	if _, found := answers["desk/north/0"]; !found || len(answers) != 1 {
@@ -153,7 +153,7 @@
 
 // TestCallsAskBeforeReads has a call counted while its prompt is read, and not after.
 func TestCallsAskBeforeReads(t *testing.T) {
-	_, all := keeperFleet(t)
+	_, all := ownerFleet(t)
 	calls, _ := newCalls(t, "prefill", "decode")
 	calls.window.SetBacklogQueries(true)
 	owners := all["a"]
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -40,9 +40,9 @@
 		decision.Token = r.tokenOf(decision)
 		r.modelServer.Cancel(decision)
 	case auction.RecordPair:
-		r.notePair(decision)
+		r.recordPair(decision)
 	case auction.RecordRetry:
-		r.noteRetry(decision)
+		r.recordRetry(decision)
 	case auction.SubmitOrders:
 		r.runtime.Go(func() { r.giveOrders(decision) })
 	case auction.CommandServer:
@@ -91,7 +91,7 @@
 	r.Apply(event)
 }
 
-func (r *Router) notePair(decision auction.Decision) {
+func (r *Router) recordPair(decision auction.Decision) {
 	if r.core.Restricted() {
 		return
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-func (r *Router) noteRetry(decision auction.Decision) {
+func (r *Router) recordRetry(decision auction.Decision) {
 	if r.core.Restricted() {
 		return
 	}
@@ -118,7 +118,7 @@
 		return
 	}
 	var response wire.LeaderResponse
-	err := r.follower.Ask(wire.OrdersPath, wire.OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &response, actPatience, decision.NotAfter)
+	err := r.follower.Ask(wire.OrdersPath, wire.OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &response, sendTimeout, decision.NotAfter)
 	r.observe("orders_given", "orders", decision.Orders, "trouble", err)
 }
 
@@ -144,7 +144,7 @@
 		At: r.runtime.Wall(), Cause: r.nonce()}}
 	// Without a hold there would be no dispatch: then the caller is told at once
 	// that the request never ran, and when to come back.
-	deadline := r.runtime.Now().Add(claimTime)
+	deadline := r.runtime.Now().Add(claimTimeout)
 	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(deadline) && r.runtime.Now().Before(r.core.ServesUntil()) {
 		var response wire.LeaderResponse
 		err := r.follower.Ask(wire.ClaimPath, request, &response, time.Second, deadline)
@@ -156,7 +156,7 @@
 		case kind == failure.TooOld || kind == failure.TooNew:
 			event.Outcome, event.Detail = auction.OutcomeTooOld, err.Error()
 		default:
-			runtime.Sleep(r.runtime, claimPause)
+			runtime.Sleep(r.runtime, claimRetryAfter)
 			continue
 		}
 		break
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -23,8 +23,8 @@
 	Through() bool
 	// Break ends the answer so that the origin sees that it is not complete.
 	Break()
-	// GivenUp is told why a call is tried no more, before its last word.
-	GivenUp(reason scheduler.Reason)
+	// OnGiveUp is told why a call is tried no more, before its last word.
+	OnGiveUp(reason scheduler.Reason)
 	// Free gives a prompt's memory back that nobody will take.
 	Free(source scheduler.Source)
 }
--- a/internal/dataplane/forwarding.go
+++ b/internal/dataplane/forwarding.go
@@ -17,11 +17,11 @@
 	// Forward sends the request's body with its passage, and gives the records of
 	// the reply to take, as they come, until take says no or the origin has
 	// left. Begun is false only when certainly nothing of it has left.
-	Forward(address string, passage wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
+	Forward(address string, forwarding wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
 }
 
-// incarnationPatience is how long a router may take to say which life it is in.
-const incarnationPatience = 500 * time.Millisecond
+// incarnationTimeout is how long a router may take to say which life it is in.
+const incarnationTimeout = 500 * time.Millisecond
 
 // capable lists the routers that lack no enabled flag, this request's own
 // order first.
@@ -50,17 +50,17 @@
 	refused := ReplyLine{Request: arrival.Request.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
 	if arrival.Forwarding == nil {
 		for _, member := range r.capableRouters(arrival.Request.ID) {
-			passage := wire.Forwarding{Nonce: r.nonce()}
+			forwarding := wire.Forwarding{Nonce: r.nonce()}
 			if !arrival.Request.Idempotent {
 				var said wire.IncarnationResponse
-				err := wire.Call(r.client, member.Address, wire.IncarnationPath, wire.Empty{}, &said, incarnationPatience)
-				if failure.CodeOf(err) == failure.Unreachable && !r.old(err) {
+				err := wire.Call(r.client, member.Address, wire.IncarnationPath, wire.Empty{}, &said, incarnationTimeout)
+				if failure.CodeOf(err) == failure.Unreachable && !r.isOldRelease(err) {
 					continue
 				}
-				passage.Incarnation = said.Incarnation
+				forwarding.Incarnation = said.Incarnation
 			}
-			copied := &recordCopy{reply: reply, request: arrival.Request.ID}
-			if !r.forwarder.Forward(member.Address, passage, arrival.Body, reply.OnClientGone, copied.take) {
+			copied := &replyRelay{reply: reply, request: arrival.Request.ID}
+			if !r.forwarder.Forward(member.Address, forwarding, arrival.Body, reply.OnClientGone, copied.take) {
 				continue
 			}
 			if !copied.ended {
@@ -73,20 +73,20 @@
 }
 
 // old tells whether a failure is that of a release which knows no such path.
-func (r *Router) old(err error) bool {
+func (r *Router) isOldRelease(err error) bool {
 	return err != nil && failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) == "status 404"
 }
 
-// recordCopy gives the lines of stream records on as they come. A reply that
+// replyRelay gives the lines of stream records on as they come. A reply that
 // breaks off ends with a line that says what is known.
-type recordCopy struct {
+type replyRelay struct {
 	reply   Reply
 	request string
 	lines   int
 	ended   bool
 }
 
-func (r *recordCopy) take(record codec.Record) bool {
+func (r *replyRelay) take(record codec.Record) bool {
 	message, err := codec.DecodeStreamMessage(record)
 	var line ReplyLine
 	if err == nil {
@@ -106,7 +106,7 @@
 	return !r.ended
 }
 
-func (r *recordCopy) breakOff() {
+func (r *replyRelay) breakOff() {
 	broken := ReplyLine{Request: r.request, Type: failure.Unreachable, Detail: "the reply broke off between two couriers"}
 	if r.lines == 0 {
 		broken.Final = auction.Unknown
--- a/internal/dataplane/journal.go
+++ b/internal/dataplane/journal.go
@@ -16,27 +16,27 @@
 	outbox  []codec.Record
 }
 
-const mostRecords = 16384
+const maxRecords = 16384
 
-func newJournal() *Journal { return &Journal{records: make([]codec.Record, 0, mostRecords)} }
+func newJournal() *Journal { return &Journal{records: make([]codec.Record, 0, maxRecords)} }
 
 // append notes a record; own ones also go to a neighbour.
 func (j *Journal) append(record codec.Record, own bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if len(j.records) < mostRecords {
+	if len(j.records) < maxRecords {
 		j.records = append(j.records, record)
 	} else {
 		j.records[j.next] = record
-		j.next = (j.next + 1) % mostRecords
+		j.next = (j.next + 1) % maxRecords
 	}
-	if own && len(j.outbox) < mostRecords {
+	if own && len(j.outbox) < maxRecords {
 		j.outbox = append(j.outbox, record)
 	}
 }
 
 // outgoing tells whether there are records for a neighbour.
-func (j *Journal) outgoing() bool {
+func (j *Journal) hasOutgoing() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return len(j.outbox) > 0
@@ -57,8 +57,8 @@
 	Retries []codec.Entry `json:"retries,omitempty"`
 }
 
-// Fold tells what is known of one request.
-func (j *Journal) Fold(request string, supported features.List) (Trace, bool) {
+// Trace tells what is known of one request.
+func (j *Journal) Trace(request string, supported features.List) (Trace, bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	folded := Trace{Request: request}
--- a/internal/dataplane/lists.go
+++ b/internal/dataplane/lists.go
@@ -13,17 +13,17 @@
 
 // A router has the list of servers from the primary. The values are ours.
 const (
-	// firstListPatience is how long a router that has no list waits for the primary's.
-	firstListPatience = 300 * time.Millisecond
-	// ownListPause lies between two reads of its own, and up to ownListSpread more,
-	// so that the fleet does not read all at once; ownListShare is added for each
+	// firstListTimeout is how long a router that has no list waits for the primary's.
+	firstListTimeout = 300 * time.Millisecond
+	// ownListInterval lies between two reads of its own, and up to ownListJitter more,
+	// so that the fleet does not read all at once; ownListPerRouter is added for each
 	// router, so that a large one reads no more than fifty times a second.
-	ownListPause  = time.Second
-	ownListSpread = 500 * time.Millisecond
-	ownListShare  = 20 * time.Millisecond
-	// pressurePause lies between two reads of a server's load by a router itself.
-	pressurePause    = 150 * time.Millisecond
-	pressurePatience = 700 * time.Millisecond
+	ownListInterval  = time.Second
+	ownListJitter    = 500 * time.Millisecond
+	ownListPerRouter = 20 * time.Millisecond
+	// loadInterval lies between two reads of a server's load by a router itself.
+	loadInterval = 150 * time.Millisecond
+	loadTimeout  = 700 * time.Millisecond
 )
 
 // Servers is the list of servers as the router knows it.
@@ -33,8 +33,8 @@
 	return r.listing.Servers(r.runtime.Now())
 }
 
-// takeServers takes a list that was read at a moment, by whomever.
-func (r *Router) takeServers(at time.Time, servers []membership.Server) {
+// applyServers takes a list that was read at a moment, by whomever.
+func (r *Router) applyServers(at time.Time, servers []membership.Server) {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
 	if !r.listing.Update(at, servers) {
@@ -42,11 +42,11 @@
 	}
 	now := r.runtime.Now()
 	listed := r.listing.Servers(now)
-	if r.board != nil {
-		r.board.SetServers(now, listed)
+	if r.callService != nil {
+		r.callService.SetServers(now, listed)
 	}
 	r.Apply(auction.Event{Kind: auction.ServersListed, At: now, Servers: listed})
-	r.watchPressures(listed)
+	r.watchLoads(listed)
 }
 
 // readList reads the list itself while there is no news of it.
@@ -61,13 +61,13 @@
 		asked := r.runtime.Now()
 		servers, err := r.options.Directory.Servers()
 		if err == nil {
-			r.takeServers(asked, servers)
+			r.applyServers(asked, servers)
 			// Whatever list the primary has is told anew, since this one differs.
 			r.follower.ForgetList()
 		}
 		r.observe("list_read_itself", "servers", len(servers), "trouble", err)
 		reads++
-		runtime.Sleep(r.runtime, ownListPause+time.Duration(r.routers.Load())*ownListShare+r.spread(reads))
+		runtime.Sleep(r.runtime, ownListInterval+time.Duration(r.routers.Load())*ownListPerRouter+r.jitter(reads))
 	}
 }
 
@@ -76,14 +76,14 @@
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
 	if at := r.listing.At(); !at.IsZero() {
-		return at.Add(discovery.ListTimeout + r.spread(0)/4)
+		return at.Add(discovery.ListTimeout + r.jitter(0)/4)
 	}
-	return began.Add(firstListPatience + r.spread(0))
+	return began.Add(firstListTimeout + r.jitter(0))
 }
 
 // spread is a length of time that differs from router to router.
-func (r *Router) spread(reads int) time.Duration {
-	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), r.options.Router) % uint64(ownListSpread))
+func (r *Router) jitter(reads int) time.Duration {
+	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), r.options.Router) % uint64(ownListJitter))
 }
 
 // readNodes reads the platform's list of nodes, where there is one.
@@ -100,10 +100,10 @@
 	}
 }
 
-// watchPressures has each listed server's load read for the market of requests. The
+// watchLoads has each listed server's load read for the market of requests. The
 // caller has the list's mutex.
-func (r *Router) watchPressures(servers []membership.Server) {
-	if r.options.Pressures == nil {
+func (r *Router) watchLoads(servers []membership.Server) {
+	if r.options.LoadReader == nil {
 		return
 	}
 	listed := map[string]bool{}
@@ -112,7 +112,7 @@
 		listed[key] = true
 		if !r.watched[key] {
 			r.watched[key] = true
-			r.runtime.Go(func() { r.watchPressure(key, server) })
+			r.runtime.Go(func() { r.watchLoad(key, server) })
 		}
 	}
 	for key := range r.watched {
@@ -122,8 +122,8 @@
 	}
 }
 
-// watchPressure reads one server's load until it is listed no more.
-func (r *Router) watchPressure(key string, server membership.Server) {
+// watchLoad reads one server's load until it is listed no more.
+func (r *Router) watchLoad(key string, server membership.Server) {
 	watched := func() bool {
 		r.listMutex.Lock()
 		defer r.listMutex.Unlock()
@@ -131,11 +131,11 @@
 	}
 	for r.runtime.Alive() && watched() {
 		began := r.runtime.Now()
-		load, err := r.options.Pressures.Pressure(server, pressurePatience)
+		load, err := r.options.LoadReader.ReadAuctionLoad(server, loadTimeout)
 		if err == nil && load.Server == server.Name {
 			r.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
 		}
-		if left := pressurePause - r.runtime.Now().Sub(began); left > 0 {
+		if left := loadInterval - r.runtime.Now().Sub(began); left > 0 {
 			runtime.Sleep(r.runtime, left)
 		}
 	}
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -20,21 +20,21 @@
 	Seeds   []string
 	// Directory reads the platform's lists where the news does not tell them.
 	Directory discovery.Directory
-	// Pressures reads servers' loads for the market of requests; none: it has none.
-	Pressures Pressures
-	// Board makes who serves opaque calls over the core's window; none: this router
+	// LoadReader reads servers' loads for the market of requests; none: it has none.
+	LoadReader LoadReader
+	// CallService makes who serves opaque calls over the core's window; none: this router
 	// takes no calls, and follows no reports.
-	Board func(deciding *scheduler.Scheduler) Board
+	CallService func(deciding *scheduler.Scheduler) CallService
 	// ServeWithoutLease is how long the router goes on letting in after its last hold.
 	ServeWithoutLease time.Duration
 	// Nonce gives a text that is new each time.
 	Nonce func() string
-	// Ended is told how each request ended that this router decided on.
-	Ended func(request *auction.Request, decision auction.Decision)
+	// OnEnded is told how each request ended that this router decided on.
+	OnEnded func(request *auction.Request, decision auction.Decision)
 }
 
-// Pressures is the port by which a router asks a model server itself, for the
+// LoadReader is the port by which a router asks a model server itself, for the
 // market of requests.
-type Pressures interface {
-	Pressure(server membership.Server, timeout time.Duration) (auction.Load, error)
+type LoadReader interface {
+	ReadAuctionLoad(server membership.Server, timeout time.Duration) (auction.Load, error)
 }
--- a/internal/dataplane/recordreply.go
+++ b/internal/dataplane/recordreply.go
@@ -11,8 +11,8 @@
 	Writer  string
 	// Send brings a record to that router.
 	Send func(record codec.Record) error
-	// Left is how its origin's leaving is heard.
-	Left func(act func())
+	// ClientGone is how its origin's leaving is heard.
+	ClientGone func(act func())
 
 	status int
 	retry  int
@@ -35,4 +35,4 @@
 }
 
 // OnClientGone has act called when the origin closes its connection.
-func (r *RecordReply) OnClientGone(act func()) { r.Left(act) }
+func (r *RecordReply) OnClientGone(act func()) { r.ClientGone(act) }
--- a/internal/dataplane/requestbody.go
+++ b/internal/dataplane/requestbody.go
@@ -13,8 +13,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// MostRequestBytes bounds a request's body.
-const MostRequestBytes = 4 << 20
+// MaxRequestBytes bounds a request's body.
+const MaxRequestBytes = 4 << 20
 
 // tokenBytes is how many bytes of a prompt count as one token when the caller
 // does not say how many there are.
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -27,11 +27,11 @@
 	options     Options
 	observe     func(event string, detail ...any)
 	core        *seamloom.Core
-	board       Board
+	callService CallService
 	// stirred rings when there is more to do than before, crumbs when records are to
 	// go to a neighbour.
-	busier   runtime.Cond
-	tickWait atomic.Int64
+	moreWork    runtime.Cond
+	currentTick atomic.Int64
 	// routers is how many share the servers.
 	routers         atomic.Int64
 	recordsAdded    runtime.Cond
@@ -55,37 +55,37 @@
 
 // The pauses of a router's rounds. The values are ours.
 const (
-	routerTick = 20 * time.Millisecond
+	busyTick = 20 * time.Millisecond
 	// roleTick is the tick of a router that has duties and no requests, and
-	// restTick of one that has neither.
+	// idleTick of one that has neither.
 	roleTick        = 200 * time.Millisecond
-	restTick        = time.Minute
+	idleTick        = time.Minute
 	recordsInterval = 250 * time.Millisecond
-	// claimTime is how long a claim is tried for altogether: a pair that was
+	// claimTimeout is how long a claim is tried for altogether: a pair that was
 	// broken is whole again in about a second. Longer would only hold the caller
 	// back.
-	claimTime = 3 * time.Second
-	// claimPause is the time between two tries of a claim.
-	claimPause = 60 * time.Millisecond
-	// actPatience is how long an order or a command may take.
-	actPatience = time.Second
+	claimTimeout = 3 * time.Second
+	// claimRetryAfter is the time between two tries of a claim.
+	claimRetryAfter = 60 * time.Millisecond
+	// sendTimeout is how long an order or a command may take.
+	sendTimeout = time.Second
 )
 
 // NewRouter makes the conduct of one router.
-func NewRouter(rt runtime.Runtime, client wire.Client, modelServer ModelServer, passing Forwarder, options Options, observe func(string, ...any)) *Router {
-	router := &Router{runtime: rt, client: client, modelServer: modelServer, forwarder: passing, options: options, observe: observe,
-		core: seamloom.New(options.Options), busier: rt.NewCond(), recordsAdded: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
+func NewRouter(rt runtime.Runtime, client wire.Client, modelServer ModelServer, forwarder Forwarder, options Options, observe func(string, ...any)) *Router {
+	router := &Router{runtime: rt, client: client, modelServer: modelServer, forwarder: forwarder, options: options, observe: observe,
+		core: seamloom.New(options.Options), moreWork: rt.NewCond(), recordsAdded: rt.NewCond(), journal: newJournal(), incarnation: options.Nonce(),
 		streams: map[string]*stream{}, tokens: map[string]string{}, members: map[string]membership.Member{}, watched: map[string]bool{}}
 	member := membership.Member{Name: options.Router, Kind: membership.Router, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	router.follower = follower.New(rt, client, member, options.Seeds, router.InForce, router.takeUpdate)
-	if options.Board != nil {
-		router.board = options.Board(router.core.Calls())
+	router.follower = follower.New(rt, client, member, options.Seeds, router.InForce, router.applyUpdate)
+	if options.CallService != nil {
+		router.callService = options.CallService(router.core.Calls())
 		router.countOwners = NewCountOwners(rt, client, router.core.Calls(), options.Router, router.incarnation)
 		router.core.Calls().SetBacklogQueries(true)
 		router.follower.SetFailing(router.core.Calls().TakeFailures)
-		router.board.SetCountOwners(router.countOwners)
+		router.callService.SetCountOwners(router.countOwners)
 	}
-	router.follower.Follow(options.Directory != nil, router.board != nil)
+	router.follower.Follow(options.Directory != nil, router.callService != nil)
 	router.follower.SetApplyWithin(options.ApplyWithin)
 	router.SetServeWithoutLease(options.ServeWithoutLease)
 	router.handlerTable = router.handlers()
@@ -113,28 +113,28 @@
 func (r *Router) tick() {
 	for r.runtime.Alive() {
 		r.Apply(auction.Event{Kind: auction.Ticked})
-		pause := r.tickPause()
+		pause := r.tickInterval()
 		// Whoever gives the core more to do looks at this after it has, and rings.
-		r.tickWait.Store(int64(pause))
-		r.busier.Wait(pause, func() bool { return r.tickPause() < pause })
+		r.currentTick.Store(int64(pause))
+		r.moreWork.Wait(pause, func() bool { return r.tickInterval() < pause })
 	}
 }
 
 // stir wakes the ticking if it rests for longer than it should.
 func (r *Router) wakeTicker() {
-	if int64(r.tickPause()) < r.tickWait.Load() {
-		r.busier.Broadcast()
+	if int64(r.tickInterval()) < r.currentTick.Load() {
+		r.moreWork.Broadcast()
 	}
 }
 
-func (r *Router) tickPause() time.Duration {
+func (r *Router) tickInterval() time.Duration {
 	switch {
 	case r.core.InFlight() > 0:
-		return routerTick
+		return busyTick
 	case r.core.HasRoles():
 		return roleTick
 	}
-	return restTick
+	return idleTick
 }
 
 // Core is the deciding core.
@@ -157,13 +157,13 @@
 func (r *Router) SetServeWithoutLease(length time.Duration) {
 	r.core.SetServeWithoutLease(length)
 	r.follower.SetProvisional(length > 0)
-	r.showServing()
+	r.updateServing()
 }
 
-// showServing tells the board until when calls may be admitted.
-func (r *Router) showServing() {
-	if r.board != nil {
-		r.board.SetServing(r.core.ServesUntil())
+// updateServing tells the board until when calls may be admitted.
+func (r *Router) updateServing() {
+	if r.callService != nil {
+		r.callService.SetServing(r.core.ServesUntil())
 	}
 }
 
@@ -213,11 +213,11 @@
 	return answers
 }
 
-// takeUpdate puts a configuration in force before it uses the hold that
+// applyUpdate puts a configuration in force before it uses the hold that
 // confirms it.
-func (r *Router) takeUpdate(update follower.Update) {
+func (r *Router) applyUpdate(update follower.Update) {
 	if update.Provisional {
-		r.takeProvisional(update)
+		r.applyProvisional(update)
 		return
 	}
 	if section, found := update.Changed[replication.ConfigurationSection]; found {
@@ -236,36 +236,36 @@
 	if _, found := update.Changed[replication.OrdersSection]; found {
 		r.Apply(auction.Event{Kind: auction.OrdersRead, Orders: r.core.ReadOrders(state.Orders.Records)})
 	}
-	r.takeMembers(update, state)
-	r.takeLists(update)
+	r.applyMembers(update, state)
+	r.applyLists(update)
 	if update.Response.Lease > 0 {
 		r.Apply(auction.Event{Kind: auction.LeaseRenewed, LeaseEnds: update.RequestedAt.Add(update.Response.Lease), Epoch: update.Response.Configuration.Epoch,
 			Number: update.Response.Configuration.Number, Roles: update.Response.Roles})
-		r.showServing()
+		r.updateServing()
 		r.wakeTicker()
 	}
 }
 
-// takeProvisional serves by what the copies hold, before there is a primary: what the
+// applyProvisional serves by what the copies hold, before there is a primary: what the
 // configuration is read by comes first. It is no hold, and allows no duty.
-func (r *Router) takeProvisional(update follower.Update) {
+func (r *Router) applyProvisional(update follower.Update) {
 	state, err := replication.ReadState(update.Changed)
 	if err != nil {
 		r.observe("news_unreadable", "cause", err)
 		return
 	}
 	r.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
-	r.takeMembers(update, state)
-	r.takeLists(update)
+	r.applyMembers(update, state)
+	r.applyLists(update)
 	section := update.Changed[replication.ConfigurationSection]
 	r.Apply(auction.Event{Kind: auction.ConfigurationProvisional, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
-	r.showServing()
+	r.updateServing()
 	r.wakeTicker()
 	r.observe("configuration_lent", "version", section.Version.String())
 }
 
-// takeMembers takes the recorded members, if there are others.
-func (r *Router) takeMembers(update follower.Update, state *replication.State) {
+// applyMembers takes the recorded members, if there are others.
+func (r *Router) applyMembers(update follower.Update, state *replication.State) {
 	if _, found := update.Changed[replication.MembersSection]; !found {
 		return
 	}
@@ -282,14 +282,14 @@
 	r.setContacts()
 }
 
-// takeLists takes what the news says of servers and of those who share them.
-func (r *Router) takeLists(update follower.Update) {
+// applyLists takes what the news says of servers and of those who share them.
+func (r *Router) applyLists(update follower.Update) {
 	if count := update.Response.Routers; count > 0 {
 		r.routers.Store(int64(count))
 		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(count)})
 	}
 	if update.Servers != nil {
-		r.takeServers(update.Servers.At, update.Servers.Servers)
+		r.applyServers(update.Servers.ReadAt, update.Servers.Servers)
 	}
 	if len(update.Loads) > 0 {
 		r.core.Calls().SetOutliers(r.runtime.Now(), update.Outliers)
@@ -350,7 +350,7 @@
 // replicateRecords does so whenever there are any.
 func (r *Router) replicateRecords() {
 	for r.runtime.Alive() {
-		r.recordsAdded.Wait(restTick, r.journal.outgoing)
+		r.recordsAdded.Wait(idleTick, r.journal.hasOutgoing)
 		r.sendRecords()
 		runtime.Sleep(r.runtime, recordsInterval)
 	}
@@ -365,7 +365,7 @@
 	}
 	for _, member := range r.nearest(follower.Neighbours) {
 		var response bool
-		if wire.Call(r.client, member.Address, wire.RecordsPath, records, &response, actPatience) == nil {
+		if wire.Call(r.client, member.Address, wire.RecordsPath, records, &response, sendTimeout) == nil {
 			return
 		}
 	}
@@ -377,7 +377,7 @@
 // over.
 func (r *Router) Serve(arrival Arrival, reply Reply) {
 	request := arrival.Request
-	if !r.meant(arrival) {
+	if !r.acceptsForwarding(arrival) {
 		writeLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
 		return
 	}
@@ -397,7 +397,7 @@
 		defer r.mutex.Unlock()
 		delete(r.streams, request.ID)
 	}()
-	reply.OnClientGone(s.leave)
+	reply.OnClientGone(s.markClientGone)
 	r.Apply(auction.Event{Kind: auction.RequestArrived, Request: request})
 	r.wakeTicker()
 	r.answer(arrival, reply, s)
@@ -405,15 +405,15 @@
 
 // meant tells whether a passed-on request was meant for this life of the
 // router and comes for the first time.
-func (r *Router) meant(arrival Arrival) bool {
-	passage := arrival.Forwarding
-	if passage == nil || passage.Nonce == "" {
+func (r *Router) acceptsForwarding(arrival Arrival) bool {
+	forwarding := arrival.Forwarding
+	if forwarding == nil || forwarding.Nonce == "" {
 		return true
 	}
-	if passage.Incarnation != "" && passage.Incarnation != r.incarnation {
+	if forwarding.Incarnation != "" && forwarding.Incarnation != r.incarnation {
 		return false
 	}
-	return r.seenForwardings.first(r.runtime.Now(), passage.Nonce)
+	return r.seenForwardings.first(r.runtime.Now(), forwarding.Nonce)
 }
 
 func (r *Router) answer(arrival Arrival, reply Reply, s *stream) {
@@ -421,11 +421,11 @@
 	for {
 		decision, found := s.next()
 		if !found {
-			if s.gone() {
+			if s.isClientGone() {
 				r.Apply(auction.Event{Kind: auction.ClientDisconnected, ID: request.ID})
 				return
 			}
-			s.cond.Wait(time.Minute, s.update)
+			s.cond.Wait(time.Minute, s.ready)
 			if !r.runtime.Alive() {
 				// The process ends in the middle: what happened to the run is
 				// not known here any more.
@@ -448,11 +448,11 @@
 				reply.Begin(client.Status(), 0)
 			}
 			if reply.Line(client.encode()) != nil {
-				s.leave()
+				s.markClientGone()
 			}
 			continue
 		}
-		r.options.Ended(request, decision)
+		r.options.OnEnded(request, decision)
 		if decision.Chunks > 0 {
 			_ = reply.Line(client.encode())
 		} else {
--- a/internal/dataplane/router_test.go
+++ b/internal/dataplane/router_test.go
@@ -38,7 +38,7 @@
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	options := Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return nonce },
-		Ended: func(*auction.Request, auction.Decision) {}}
+		OnEnded: func(*auction.Request, auction.Decision) {}}
 	router := NewRouter(osruntime.New(lifetime, osruntime.NewClock()), nil, nil, nil, options, func(string, ...any) {})
 	router.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: features.List{}})
 	return router
@@ -94,19 +94,19 @@
 	board := &noted{until: runtimetest.AtNoon(time.Hour)}
 	rt := &runtimetest.Moving{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), Time: runtimetest.AtNoon(0)}
 	options := Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
-		Ended: func(*auction.Request, auction.Decision) {}, Board: func(*scheduler.Scheduler) Board { return board }, ServeWithoutLease: time.Minute}
+		OnEnded: func(*auction.Request, auction.Decision) {}, CallService: func(*scheduler.Scheduler) CallService { return board }, ServeWithoutLease: time.Minute}
 	router := NewRouter(rt, nil, nil, nil, options, func(string, ...any) {})
 	if !board.until.IsZero() {
 		t.Errorf("before any hold it serves until %s", board.until)
 	}
 	version := replication.Version{Epoch: 1, Number: 4}
 	sections := map[string]replication.Section{replication.ConfigurationSection: {Version: version, Content: config.Empty().Text}}
-	router.takeUpdate(follower.Update{RequestedAt: runtimetest.AtNoon(0), Response: wire.UpdateResponse{Leads: true, Configuration: version}, Changed: sections})
+	router.applyUpdate(follower.Update{RequestedAt: runtimetest.AtNoon(0), Response: wire.UpdateResponse{Leads: true, Configuration: version}, Changed: sections})
 	if !board.until.IsZero() || router.InForce() != version {
 		t.Errorf("a configuration without a hold: serves until %s with %s", board.until, router.InForce())
 	}
-	router.takeUpdate(follower.Update{RequestedAt: runtimetest.AtNoon(time.Second), Response: wire.UpdateResponse{Leads: true, Configuration: version, Lease: 4 * time.Second, Routers: 9},
-		Servers: &follower.ServerList{At: runtimetest.AtNoon(0), Servers: []membership.Server{{Name: "a"}}}})
+	router.applyUpdate(follower.Update{RequestedAt: runtimetest.AtNoon(time.Second), Response: wire.UpdateResponse{Leads: true, Configuration: version, Lease: 4 * time.Second, Routers: 9},
+		Servers: &follower.ServerList{ReadAt: runtimetest.AtNoon(0), Servers: []membership.Server{{Name: "a"}}}})
 	if !board.until.Equal(runtimetest.AtNoon(65*time.Second)) || len(board.servers) != 1 || router.routers.Load() != 9 {
 		t.Errorf("serves until %s, servers %v", board.until, board.servers)
 	}
--- a/internal/dataplane/seenforwardings.go
+++ b/internal/dataplane/seenforwardings.go
@@ -13,10 +13,10 @@
 	order []string
 }
 
-// mostPassages bounds the memory; passageTime is how long one is remembered.
+// maxForwardings bounds the memory; forwardingTTL is how long one is remembered.
 const (
-	mostPassages = 65536
-	passageTime  = 10 * time.Minute
+	maxForwardings = 65536
+	forwardingTTL  = 10 * time.Minute
 )
 
 // first tells whether the nonce comes for the first time.
@@ -31,7 +31,7 @@
 	}
 	p.seen[nonce] = now
 	p.order = append(p.order, nonce)
-	for len(p.order) > mostPassages || (len(p.order) > 0 && now.Sub(p.seen[p.order[0]]) > passageTime) {
+	for len(p.order) > maxForwardings || (len(p.order) > 0 && now.Sub(p.seen[p.order[0]]) > forwardingTTL) {
 		delete(p.seen, p.order[0])
 		p.order = p.order[1:]
 	}
--- a/internal/dataplane/stream.go
+++ b/internal/dataplane/stream.go
@@ -11,12 +11,12 @@
 // origin. It gives chunks in their order and the final line after them all,
 // whichever threads they came from.
 type stream struct {
-	mutex  sync.Mutex
-	chunks map[int]auction.Decision
-	last   *auction.Decision
-	sent   int
-	left   bool
-	cond   runtime.Cond
+	mutex      sync.Mutex
+	chunks     map[int]auction.Decision
+	final      *auction.Decision
+	sent       int
+	clientGone bool
+	cond       runtime.Cond
 }
 
 func newStream(rt runtime.Runtime) *stream {
@@ -29,32 +29,32 @@
 		s.chunks[decision.Chunk] = decision
 	} else {
 		final := decision
-		s.last = &final
+		s.final = &final
 	}
 	s.mutex.Unlock()
 	s.cond.Broadcast()
 }
 
 // leave notes that the origin is gone.
-func (s *stream) leave() {
+func (s *stream) markClientGone() {
 	s.mutex.Lock()
-	s.left = true
+	s.clientGone = true
 	s.mutex.Unlock()
 	s.cond.Broadcast()
 }
 
 // news tells whether there is anything to do for the thread that answers.
-func (s *stream) update() bool {
+func (s *stream) ready() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	_, found := s.chunks[s.sent+1]
-	return found || s.left || (s.last != nil && s.sent >= s.last.Chunks)
+	return found || s.clientGone || (s.final != nil && s.sent >= s.final.Chunks)
 }
 
-func (s *stream) gone() bool {
+func (s *stream) isClientGone() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.left
+	return s.clientGone
 }
 
 // next gives the next decision that may be sent, if it is there.
@@ -66,8 +66,8 @@
 		s.sent++
 		return decision, true
 	}
-	if s.last != nil && s.sent >= s.last.Chunks {
-		return *s.last, true
+	if s.final != nil && s.sent >= s.final.Chunks {
+		return *s.final, true
 	}
 	return auction.Decision{}, false
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -67,7 +67,7 @@
 
 // ServerList is a list of servers and when it was read.
 type ServerList struct {
-	At      time.Time
+	ReadAt  time.Time
 	Servers []membership.Server
 }
 
@@ -331,7 +331,7 @@
 		}
 		if said.Revision == f.serversRevision {
 			f.listing.Confirm(at)
-			update.Servers = &ServerList{At: at, Servers: f.listing.Servers(at)}
+			update.Servers = &ServerList{ReadAt: at, Servers: f.listing.Servers(at)}
 		}
 	}
 	if said := update.Response.Loads; said != nil && f.wantLoads {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -15,15 +15,15 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// darkLine is a network on which some addresses answer news and all others say nothing,
+// unreachableClient is a network on which some addresses answer news and all others say nothing,
 // as machines without power do.
-type darkLine struct {
+type unreachableClient struct {
 	mutex   sync.Mutex
 	answers map[string]wire.UpdateResponse
 	closed  chan struct{}
 }
 
-func (d *darkLine) set(address string, response *wire.UpdateResponse) {
+func (d *unreachableClient) set(address string, response *wire.UpdateResponse) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if response == nil {
@@ -33,7 +33,7 @@
 	d.answers[address] = *response
 }
 
-func (d *darkLine) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
+func (d *unreachableClient) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
 	d.mutex.Lock()
 	response, lit := d.answers[address]
 	d.mutex.Unlock()
@@ -83,11 +83,11 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			line := &darkLine{answers: map[string]wire.UpdateResponse{}, closed: make(chan struct{})}
-			defer close(line.closed)
+			client := &unreachableClient{answers: map[string]wire.UpdateResponse{}, closed: make(chan struct{})}
+			defer close(client.closed)
 			rt := osruntime.New(t.Context(), osruntime.NewClock())
 			taken := make(chan replication.Version, 1000)
-			follower := New(rt, line, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
+			follower := New(rt, client, membership.Member{Name: "courier-1", Kind: membership.Router}, []string{"old0", "old1", "old2"},
 				func() replication.Version { return replication.Version{} }, func(update Update) { taken <- update.Response.Configuration })
 			follower.Follow(true, true)
 			var p []string
@@ -97,14 +97,14 @@
 			follower.SetContacts([]string{"old3", "old4", "old5", "old6"}, p)
 			before, after := seats("old"), seats("new")
 			before.Epoch, after.Epoch = 4, 19
-			line.set("old0", &wire.UpdateResponse{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Lease: time.Second})
+			client.set("old0", &wire.UpdateResponse{Leads: true, Membership: before, Configuration: replication.Version{Epoch: 4, Number: 9}, Lease: time.Second})
 			rt.Go(follower.Run)
 			<-taken
-			line.set(fmt.Sprintf("courier%d", row.lit), &wire.UpdateResponse{Membership: after})
+			client.set(fmt.Sprintf("courier%d", row.lit), &wire.UpdateResponse{Membership: after})
 			newest := replication.Version{Epoch: 19, Number: 33}
-			line.set("new0", &wire.UpdateResponse{Leads: true, Membership: after, Configuration: newest, Lease: time.Second})
+			client.set("new0", &wire.UpdateResponse{Leads: true, Membership: after, Configuration: newest, Lease: time.Second})
 			lost := time.Now()
-			line.set("old0", nil)
+			client.set("old0", nil)
 			for found := false; !found; {
 				select {
 				case version := <-taken:
--- a/internal/follower/search.go
+++ b/internal/follower/search.go
@@ -24,18 +24,18 @@
 
 // asking is what is under way to one address, and what came of it last.
 type attempts struct {
-	calls int
-	since time.Time
+	inFlight int
+	lastAt   time.Time
 	// epoch is that of the newest membership known when the address was asked last.
 	epoch uint64
 	// answered is when it answered last without leading.
-	answered time.Time
+	answeredAt time.Time
 }
 
 // leaderUpdate is a primary's answer, and when it was asked for.
 type leaderUpdate struct {
-	asked  time.Time
-	answer wire.UpdateResponse
+	requestedAt time.Time
+	response    wire.UpdateResponse
 }
 
 const (
@@ -81,35 +81,35 @@
 		s.attempts[address] = current
 	}
 	named := membership.Epoch > current.epoch && membership.Primary.Address == address
-	if current.calls >= maxInFlight || !named && now.Before(s.due(current, fleet)) {
+	if current.inFlight >= maxInFlight || !named && now.Before(s.due(current, fleet)) {
 		return false
 	}
-	current.calls++
-	current.since, current.epoch = now, membership.Epoch
+	current.inFlight++
+	current.lastAt, current.epoch = now, membership.Epoch
 	return true
 }
 
 // due is when an address may be asked again. The caller has the mutex.
 func (s *search) due(current *attempts, fleet int) time.Time {
-	if !current.answered.IsZero() && !current.answered.Before(current.since) {
-		return current.answered.Add(answeredRetryAfter + time.Duration(fleet)*answeredRetryPerRouter)
+	if !current.answeredAt.IsZero() && !current.answeredAt.Before(current.lastAt) {
+		return current.answeredAt.Add(answeredRetryAfter + time.Duration(fleet)*answeredRetryPerRouter)
 	}
-	if current.calls == 0 {
+	if current.inFlight == 0 {
 		return time.Time{}
 	}
 	if s.rounds > fastRounds {
-		return current.since.Add(slowRetryAfter)
+		return current.lastAt.Add(slowRetryAfter)
 	}
-	return current.since.Add(retryAfter)
+	return current.lastAt.Add(retryAfter)
 }
 
 // end notes the end of a call to an address.
 func (s *search) end(address string, asked, now time.Time, response wire.UpdateResponse, err error) {
 	s.mutex.Lock()
 	current := s.attempts[address]
-	current.calls--
+	current.inFlight--
 	if err == nil && !response.Leads {
-		current.answered = now
+		current.answeredAt = now
 	}
 	s.mutex.Unlock()
 	if err == nil {
@@ -123,7 +123,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, address := range addresses {
-		if current := s.attempts[address]; current != nil && !current.answered.IsZero() && now.Sub(current.answered) <= length {
+		if current := s.attempts[address]; current != nil && !current.answeredAt.IsZero() && now.Sub(current.answeredAt) <= length {
 			return true
 		}
 	}
@@ -135,7 +135,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if response.Leads {
-		s.leader = &leaderUpdate{asked: asked, answer: response}
+		s.leader = &leaderUpdate{requestedAt: asked, response: response}
 		return
 	}
 	s.copies.record(address, now, response)
@@ -205,7 +205,7 @@
 	if _, known := f.knownPrimary(); known {
 		return true
 	}
-	if leading := s.takeLeader(); leading != nil && leading.answer.Lease > 0 && f.Apply(leading.asked, leading.answer) {
+	if leading := s.takeLeader(); leading != nil && leading.response.Lease > 0 && f.Apply(leading.requestedAt, leading.response) {
 		return true
 	}
 	if f.needsConfiguration() {
--- a/internal/follower/taking_test.go
+++ b/internal/follower/taking_test.go
@@ -64,7 +64,7 @@
 	response := wire.UpdateResponse{Leads: true, Waited: 600 * time.Millisecond, Servers: &wire.ServersUpdate{Revision: 5, Age: 300 * time.Millisecond, Sent: true, Servers: []membership.Server{{Name: "a"}}},
 		Loads: &wire.LoadsUpdate{Revision: 9, Reports: l}}
 	follower.Apply(runtimetest.AtNoon(0), response)
-	if heard.Servers == nil || !heard.Servers.At.Equal(runtimetest.AtNoon(300*time.Millisecond)) {
+	if heard.Servers == nil || !heard.Servers.ReadAt.Equal(runtimetest.AtNoon(300*time.Millisecond)) {
 		t.Errorf("the list was read at %+v", heard.Servers)
 	}
 	if len(heard.Loads) != 1 || heard.Loads[0].Age != 400*time.Millisecond {
@@ -77,7 +77,7 @@
 	rt.Time = runtimetest.AtNoon(1200 * time.Millisecond)
 	response.Servers, response.Loads = &wire.ServersUpdate{Revision: 5, Age: 100 * time.Millisecond}, nil
 	follower.Apply(runtimetest.AtNoon(800*time.Millisecond), wire.UpdateResponse{Leads: true, Servers: response.Servers})
-	if heard.Servers == nil || !heard.Servers.At.Equal(runtimetest.AtNoon(700*time.Millisecond)) || len(heard.Servers.Servers) != 1 {
+	if heard.Servers == nil || !heard.Servers.ReadAt.Equal(runtimetest.AtNoon(700*time.Millisecond)) || len(heard.Servers.Servers) != 1 {
 		t.Errorf("confirmed as %+v", heard.Servers)
 	}
 	follower.Apply(runtimetest.AtNoon(800*time.Millisecond), wire.UpdateResponse{Leads: true, Servers: &wire.ServersUpdate{Revision: 6}})
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -75,7 +75,7 @@
 	if !w.ways.Calls {
 		return
 	}
-	options.Board = func(deciding *scheduler.Scheduler) dataplane.Board {
+	options.CallService = func(deciding *scheduler.Scheduler) dataplane.CallService {
 		m.calls = dataplane.NewCalls(begun, deciding, func([]membership.Server) {})
 		return m.calls
 	}
@@ -302,8 +302,8 @@
 // Break ends the answer without its end.
 func (c *callExchange) Break() { c.replies.snap() }
 
-// GivenUp takes no notice.
-func (c *callExchange) GivenUp(scheduler.Reason) {}
+// OnGiveUp takes no notice.
+func (c *callExchange) OnGiveUp(scheduler.Reason) {}
 
 // Free gives a prompt's memory back.
 func (c *callExchange) Free(source scheduler.Source) {
--- a/internal/testbed/simulation/passing.go
+++ b/internal/testbed/simulation/passing.go
@@ -35,7 +35,7 @@
 			forget = there.incarnation.atEnd(replies.snap)
 		}
 		conduct, target := there.router, there.incarnation
-		reply := &dataplane.RecordReply{Writer: to, Left: func(act func()) {
+		reply := &dataplane.RecordReply{Writer: to, ClientGone: func(act func()) {
 			if first {
 				whenLeft(func() { world.carry(here.name, to, target, act) })
 				here.atEnd(func() { world.carry(here.name, to, target, act) })
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -80,13 +80,13 @@
 	return content.(modelserver.LoadReport).Load(), nil
 }
 
-// Pressure reads a server's load for the market of requests.
-func (l lists) Pressure(s membership.Server, patience time.Duration) (auction.Load, error) {
+// ReadAuctionLoad reads a server's load for the market of requests.
+func (l lists) ReadAuctionLoad(s membership.Server, patience time.Duration) (auction.Load, error) {
 	return l.ask(s, patience)
 }
 
-// Report reads a server's load for all routers.
-func (l lists) Report(s membership.Server, patience time.Duration) (scheduler.Load, error) {
+// ReadLoad reads a server's load for all routers.
+func (l lists) ReadLoad(s membership.Server, patience time.Duration) (scheduler.Load, error) {
 	l.world.reportReads++
 	load, err := l.ask(s, patience)
 	return scheduler.Load{Server: load.Server, Role: string(load.Role), Waiting: load.PrefillWaiting, Running: load.DecodeActive,
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -234,13 +234,13 @@
 	}
 	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
 	options := dataplane.Options{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedRoles: w.fixedParts}, Address: m.address,
-		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
+		Seeds: m.seeds, Nonce: w.nonce, OnEnded: endedHere, Directory: lists{w, begun}}
 	options.ServeWithoutLease = w.ways.ServeWithoutLease
 	if w.ways.Calls {
-		options.Board = func(*scheduler.Scheduler) dataplane.Board { return deaf{} }
+		options.CallService = func(*scheduler.Scheduler) dataplane.CallService { return deaf{} }
 	}
 	if w.layout == nil {
-		options.Pressures = lists{w, begun}
+		options.LoadReader = lists{w, begun}
 	}
 	w.prepareCalls(m, begun, &options)
 	router := dataplane.NewRouter(begun, simulatedClient{begun}, servers, &passing{incarnation: begun}, options, observe)
