--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -1,4 +1,4 @@
-// Package hatch is the port to the platform's lists of servers and nodes. The control plane
+// Package discovery is the port to the platform's lists of servers and nodes. The control plane
 // reads them for the whole fleet; a router does so itself only when it has had no list from a
 // primary for ListTimeout.
 package discovery
--- a/internal/wire/delta.go
+++ b/internal/wire/delta.go
@@ -7,8 +7,8 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Delta is what changed in a section since a version that the node has: all but
-// the middle is the same.
+// Delta is the change of a section's content from a base version that the node has: Prefix
+// and Suffix bytes of the base stay, Middle replaces what is between them.
 type Delta struct {
 	Base     replication.Version `msgpack:"base"`
 	Version  replication.Version `msgpack:"version"`
@@ -18,12 +18,12 @@
 	Checksum uint32              `msgpack:"checksum"`
 }
 
-// MinDeltaContent is the size from which a section is worth a delta.
+// MinDeltaContent is the size in bytes from which a section is worth a delta.
 const MinDeltaContent = 256
 
 var deltaTable = crc32.MakeTable(crc32.Castagnoli)
 
-// NewDelta compares two contents from both ends.
+// NewDelta is the delta that turns base into target: it compares them from both ends.
 func NewDelta(base, target replication.Section) Delta {
 	least := min(len(base.Content), len(target.Content))
 	prefix := 0
@@ -38,11 +38,18 @@
 	for suffix < least-prefix && base.Content[len(base.Content)-1-suffix] == target.Content[len(target.Content)-1-suffix] {
 		suffix++
 	}
-	return Delta{Base: base.Version, Version: target.Version, Prefix: prefix, Suffix: suffix,
-		Middle: target.Content[prefix : len(target.Content)-suffix], Checksum: crc32.Checksum(target.Content, deltaTable)}
+	return Delta{
+		Base:     base.Version,
+		Version:  target.Version,
+		Prefix:   prefix,
+		Suffix:   suffix,
+		Middle:   target.Content[prefix : len(target.Content)-suffix],
+		Checksum: crc32.Checksum(target.Content, deltaTable),
+	}
 }
 
-// apply makes the new content of the old one; false means that it does not fit.
+// Apply gives the new section; false means that the delta does not fit the base, by its
+// version, its lengths or the checksum of the result.
 func (d Delta) Apply(base replication.Section) (replication.Section, bool) {
 	length := len(base.Content)
 	if d.Base != base.Version || d.Prefix < 0 || d.Suffix < 0 || d.Prefix > length || d.Suffix > length-d.Prefix {
