--- a/internal/adapters/proxy/reply.go
+++ b/internal/adapters/proxy/reply.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Through passes the failing answer of the last dispatch on.
-func (e *exchange) Through() bool {
+// PassThrough passes the failing answer of the last dispatch on.
+func (e *exchange) PassThrough() bool {
 	failed := e.failedResponse
 	if failed == nil || e.headSent.Load() {
 		return false
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -201,7 +201,7 @@
 		case scheduler.Generate:
 			outcome = e.Run(&s.route, decision, func() {})
 		case scheduler.PassThrough:
-			if !e.Through() {
+			if !e.PassThrough() {
 				e.Refuse(dataplane.Refusal{Cause: scheduler.OutcomeUnknown, Status: http.StatusBadGateway})
 			}
 			return
--- a/internal/dataplane/calls.go
+++ b/internal/dataplane/calls.go
@@ -164,7 +164,7 @@
 	case scheduler.BreakStream:
 		exchange.Break()
 	case scheduler.PassThrough:
-		if ranBefore || !exchange.Through() {
+		if ranBefore || !exchange.PassThrough() {
 			exchange.Refuse(Refusal{Cause: scheduler.OutcomeUnknown, Status: http.StatusBadGateway})
 		}
 	default:
--- a/internal/dataplane/calls_test.go
+++ b/internal/dataplane/calls_test.go
@@ -40,7 +40,7 @@
 	s.done, s.refused = append(s.done, "refuse"), refusal
 }
 
-func (s *scriptedExchange) Through() bool {
+func (s *scriptedExchange) PassThrough() bool {
 	s.done = append(s.done, "through")
 	return s.kept
 }
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -18,9 +18,9 @@
 	Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome
 	// Refuse ends the call with a word of our own.
 	Refuse(refusal Refusal)
-	// Through passes the failing answer of the last dispatch to the origin unchanged;
+	// PassThrough passes the failing answer of the last dispatch to the origin unchanged;
 	// false when there is none that can be forwarded.
-	Through() bool
+	PassThrough() bool
 	// Break ends the answer so that the origin sees that it is not complete.
 	Break()
 	// OnGiveUp is told why a call is tried no more, before its last word.
--- a/internal/follower/ask.go
+++ b/internal/follower/ask.go
@@ -11,15 +11,16 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// leaderResponse is the part that all answers of controllers have in common.
+// leaderResponse is what all responses of controllers have in common.
 type leaderResponse struct {
 	Leads      bool                   `msgpack:"leads"`
 	Membership replication.Membership `msgpack:"charter"`
 }
 
-// Ask sends a message to the primary, wherever it is, or through a neighbour
-// when it can't be reached. The answer must say whether its giver leads. Each
-// address is given the patience; altogether it ends by a moment, if one is given.
+// Ask sends a request to the primary, wherever it is, or through another router if it can't be
+// reached. The response must say whether its sender leads. Each address has the timeout; all
+// calls together end by the deadline, if it is not zero. Errors are the primary's own, or
+// Unreachable, Garbage or NoPrimary when no primary responded.
 func (f *Follower) Ask(path string, request, response any, timeout time.Duration, deadline time.Time) error {
 	body, err := msgpack.Marshal(request)
 	if err != nil {
@@ -35,8 +36,8 @@
 	return failure.Wrap(failure.Garbage, msgpack.Unmarshal(reply, response))
 }
 
-// unheard tells whether a failure says only that no primary was reached, and
-// not what the primary said.
+// noPrimaryReached tells whether an error says only that no primary responded, and is not the
+// primary's own.
 func noPrimaryReached(err error) bool {
 	switch failure.CodeOf(err) {
 	case failure.Unreachable, failure.Garbage, failure.NoPrimary:
@@ -45,7 +46,8 @@
 	return false
 }
 
-// AskRaw sends an encoded message to the primary without a neighbour's help.
+// AskRaw sends an encoded request to the primary, not through other routers. It follows the
+// memberships in the responses, and asks no address twice.
 func (f *Follower) AskRaw(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
 	asked := map[string]bool{}
 	var last error = failure.New(failure.NoPrimary, "no expediter is known")
@@ -61,17 +63,17 @@
 				f.forget(address)
 				break
 			}
-			var said leaderResponse
-			if err := msgpack.Unmarshal(reply, &said); err != nil {
+			var response leaderResponse
+			if err := msgpack.Unmarshal(reply, &response); err != nil {
 				last = failure.Wrap(failure.Garbage, err)
 				break
 			}
-			f.learn(address, said)
-			if said.Leads {
+			f.learn(address, response)
+			if response.Leads {
 				return reply, nil
 			}
 			last = failure.New(failure.NoPrimary, "no expediter leads")
-			address = said.Membership.Primary.Address
+			address = response.Membership.Primary.Address
 		}
 	}
 	return nil, last
@@ -86,18 +88,20 @@
 	}
 }
 
-func (f *Follower) learn(address string, said leaderResponse) {
-	f.learnMembership(said.Membership)
+// learn takes from a response whether its sender is the primary, and the membership.
+func (f *Follower) learn(address string, response leaderResponse) {
+	f.learnMembership(response.Membership)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	switch {
-	case said.Leads && f.primary != address:
+	case response.Leads && f.primary != address:
 		f.primary, f.confirmed = address, false
-	case !said.Leads && f.primary == address:
+	case !response.Leads && f.primary == address:
 		f.primary, f.confirmed = "", false
 	}
 }
 
+// forget marks an address that did not respond.
 func (f *Follower) forget(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -107,6 +111,7 @@
 	}
 }
 
+// candidates are the addresses that may be the primary's, the likeliest first.
 func (f *Follower) candidates() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -119,7 +124,7 @@
 	}
 	candidates = append(candidates, f.seeds...)
 	candidates = append(candidates, f.contacts...)
-	// Who did not answer just now is asked after all others.
+	// Addresses that did not respond lately are asked after all others.
 	sort.SliceStable(candidates, func(left, right int) bool {
 		return !f.isUnreachable(candidates[left]) && f.isUnreachable(candidates[right])
 	})
@@ -131,8 +136,7 @@
 	return found && f.runtime.Now().Sub(since) < unreachableTTL
 }
 
-// left is how long a call may take that is given so much patience and must end
-// by a moment, if one is given.
+// remaining is the timeout of a call, cut short by the deadline if there is one.
 func (f *Follower) remaining(timeout time.Duration, deadline time.Time) time.Duration {
 	if deadline.IsZero() {
 		return timeout
@@ -140,6 +144,7 @@
 	return min(timeout, deadline.Sub(f.runtime.Now()))
 }
 
+// askThroughPeers has the nearest routers relay an encoded request, one after another.
 func (f *Follower) askThroughPeers(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
 	f.mutex.Lock()
 	relays := append([]string(nil), f.peers[:min(Neighbours, len(f.peers))]...)
@@ -159,7 +164,8 @@
 	return nil, last
 }
 
-// Relay passes another node's message to the primary that this node knows.
+// Relay sends another node's request on to the primary that this node knows. It fails with
+// NoSuch for a path that is not relayed and NoPrimary if this node knows no primary.
 func (f *Follower) Relay(request wire.RelayRequest) ([]byte, error) {
 	switch request.Path {
 	case wire.UpdatesPath, wire.ClaimPath, wire.OrdersPath:
@@ -174,12 +180,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var said leaderResponse
-	if err := msgpack.Unmarshal(reply, &said); err != nil {
+	var response leaderResponse
+	if err := msgpack.Unmarshal(reply, &response); err != nil {
 		return nil, failure.Wrap(failure.Garbage, err)
 	}
-	f.learn(address, said)
-	if !said.Leads {
+	f.learn(address, response)
+	if !response.Leads {
 		return nil, failure.New(failure.NoPrimary, "the primary that this node knew leads no more")
 	}
 	return reply, nil
--- a/internal/follower/copystates.go
+++ b/internal/follower/copystates.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// copies are what controllers that are not primary said of their copies, by address.
+// copyStates are the states of the copies of controllers that are not primary, by address.
 type copyStates struct {
 	reports map[string]reportedCopy
 }
@@ -18,10 +18,10 @@
 	state      wire.CopyState
 }
 
-// copyStateTTL is how long an answer counts.
+// copyStateTTL is how long a report counts.
 const copyStateTTL = time.Second
 
-// note takes an answer; one without word of a copy takes back what was said before.
+// record takes a response; one without the state of a copy withdraws the report before.
 func (c *copyStates) record(address string, at time.Time, response wire.UpdateResponse) {
 	if response.Copy == nil {
 		delete(c.reports, address)
@@ -33,41 +33,42 @@
 	c.reports[address] = reportedCopy{at: at, membership: response.Membership, state: *response.Copy}
 }
 
-// choose gives the configuration that may be served before there is a primary, and
-// where it lies. What was acknowledged is on every copy that the newest membership names,
-// so it takes the oldest among them, and only when each has spoken or is lost, and when
-// a quorum of the keepers has told the membership.
+// choose gives the configuration that may be served before there is a primary, and the address
+// of a copy that has it. An acknowledged change is on every copy that the newest membership
+// names, so the oldest of their configurations has all that was acknowledged under that
+// membership. It takes that one, once each copy has reported or is lost, and a quorum of the
+// witnesses has reported too: no newer membership can be in force unknown to all of a quorum.
 func (c *copyStates) choose(now time.Time) (address string, version replication.Version, found bool) {
 	var membership replication.Membership
-	spoken := map[replication.Identity]bool{}
-	at := map[replication.Identity]string{}
-	for place, said := range c.reports {
-		if now.Sub(said.at) > copyStateTTL {
+	reported := map[replication.Identity]bool{}
+	addresses := map[replication.Identity]string{}
+	for from, report := range c.reports {
+		if now.Sub(report.at) > copyStateTTL {
 			continue
 		}
-		if said.membership.Epoch > membership.Epoch {
-			membership = said.membership
+		if report.membership.Epoch > membership.Epoch {
+			membership = report.membership
 		}
-		spoken[said.state.Identity], at[said.state.Identity] = true, place
+		reported[report.state.Identity], addresses[report.state.Identity] = true, from
 	}
-	if membership.Blank() || !membership.HasQuorum(spoken) {
+	if membership.Blank() || !membership.HasQuorum(reported) {
 		return "", version, false
 	}
 	for _, replica := range membership.InSyncReplicas() {
-		if !spoken[replica.Identity] {
-			if another, heard := c.reports[replica.Address]; heard && now.Sub(another.at) <= copyStateTTL {
+		if !reported[replica.Identity] {
+			if other, known := c.reports[replica.Address]; known && now.Sub(other.at) <= copyStateTTL {
 				// Another disk is at its address: its own is lost.
 				continue
 			}
 			return "", version, false
 		}
-		said := c.reports[at[replica.Identity]].state
-		if said.Damaged {
+		state := c.reports[addresses[replica.Identity]].state
+		if state.Damaged {
 			// It can't lead, and is replaced.
 			continue
 		}
-		if !found || said.Configuration.Before(version) {
-			address, version, found = at[replica.Identity], said.Configuration, true
+		if !found || state.Configuration.Before(version) {
+			address, version, found = addresses[replica.Identity], state.Configuration, true
 		}
 	}
 	return address, version, found && version != (replication.Version{})
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,3 +1,9 @@
+// Package follower keeps a node up to date with the primary: it finds the primary, polls it
+// for newer versions of the replicated sections, and holds the lease that comes with a
+// response. Nodes of both planes use it; it knows them only by the callbacks that they give it.
+//
+// Its invariant: a node never goes back to an older version. Of a response that holds an older
+// version of any section, nothing is applied and no lease is used: it is a deposed primary's.
 package follower
 
 import (
@@ -12,8 +18,8 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Follower keeps one node up to date: it asks the primary with the versions that
-// it has and is answered when there is news.
+// Follower keeps one node up to date: it polls the primary with the versions that it has, and
+// has the response when there are newer ones or the poll's wait is over.
 type Follower struct {
 	runtime  runtime.Runtime
 	client   wire.Client
@@ -23,7 +29,7 @@
 
 	mutex   sync.Mutex
 	primary string
-	// current tells that the present primary has answered in full.
+	// confirmed tells that the present primary has responded in full.
 	confirmed   bool
 	seeds       []string
 	contacts    []string
@@ -41,7 +47,7 @@
 	// applyWithin is how soon a change has to be in force after its acknowledgement.
 	applyWithin time.Duration
 
-	// failing gives the servers that failed requests lately; nil: nobody knows.
+	// failing gives the servers that failed requests lately; nil: the node sends none.
 	failing func() []string
 
 	wantServers, wantLoads bool
@@ -50,12 +56,12 @@
 	listing                membership.ServerList
 }
 
-// Update is one answer of the primary, as the node takes it.
+// Update is one response of the primary, as the node applies it.
 type Update struct {
 	RequestedAt time.Time
 	Response    wire.UpdateResponse
 	Changed     map[string]replication.Section
-	// Provisional tells that the sections are those of a copy and no primary's word.
+	// Provisional tells that the sections are those of a copy that no primary has confirmed.
 	Provisional bool
 	// Servers is the list as the primary has it, if it has one.
 	Servers *ServerList
@@ -76,17 +82,17 @@
 const Neighbours = 3
 
 const (
-	// UpdateWait is how long the primary holds a question back without news.
+	// UpdateWait is how long the primary holds a poll back that it has no update for.
 	UpdateWait = 600 * time.Millisecond
 	// LoadsWait is that of a node that follows reports: a little longer than reports
-	// come in calm times, so that each round needs one answer only.
+	// come while the servers are idle, so that each round needs one response only.
 	LoadsWait = UpdateWait + 200*time.Millisecond
-	// responseMargin is how much longer than the primary may hold a question back the
-	// answer may take. After that the primary counts as silent.
+	// responseMargin is how much longer than the poll's wait the response may take. After
+	// that the primary counts as lost.
 	responseMargin = 300 * time.Millisecond
-	// firstTimeout is how long a primary that was just found may take to answer, and
+	// firstTimeout is how long a primary that was just found may take to respond, and
 	// fullTimeout how long when the node has no configuration yet: a large one goes to
-	// the whole fleet at once then.
+	// all nodes at once then.
 	firstTimeout = 1200 * time.Millisecond
 	fullTimeout  = 2 * time.Second
 	// relayTimeout is how long the primary may take to answer a relayed message.
@@ -94,25 +100,42 @@
 	// searchTimeout is how long each address may take while the primary is
 	// looked for. It leaves room for a registration's sync.
 	searchTimeout = 500 * time.Millisecond
-	// retryInterval is the pause after a round in which nobody led.
+	// retryInterval is the least time from one round of a search to the next.
 	retryInterval = 80 * time.Millisecond
-	// unreachableTTL is how long an address that did not answer is asked last.
+	// unreachableTTL is how long an address that did not respond is asked after all others.
 	unreachableTTL = 3 * time.Second
 )
 
-// New makes a follower for a member. Take is called for every answer,
-// in turn.
-func New(rt runtime.Runtime, client wire.Client, member membership.Member, seeds []string, inForce func() replication.Version, take func(Update)) *Follower {
-	return &Follower{runtime: rt, client: client, member: member, seeds: seeds, inForce: inForce, onUpdate: take,
-		sections: map[string]replication.Section{}, unreachable: map[string]time.Time{}, applyWithin: DefaultApplyWithin}
+// New makes a follower for a member. InForce gives the version that the node has in force;
+// onUpdate is called for every response that is applied, one after another.
+func New(
+	rt runtime.Runtime,
+	client wire.Client,
+	member membership.Member,
+	seeds []string,
+	inForce func() replication.Version,
+	onUpdate func(Update),
+) *Follower {
+	return &Follower{
+		runtime:     rt,
+		client:      client,
+		member:      member,
+		seeds:       seeds,
+		inForce:     inForce,
+		onUpdate:    onUpdate,
+		sections:    map[string]replication.Section{},
+		unreachable: map[string]time.Time{},
+		applyWithin: DefaultApplyWithin,
+	}
 }
 
-// DefaultApplyWithin is how soon a change has to be in force when nobody said.
+// DefaultApplyWithin is how soon after its acknowledgement a change has to be in force if
+// SetApplyWithin was not called.
 const DefaultApplyWithin = 2 * time.Second
 
-// SetApplyWithin tells how soon after its acknowledgement a change has to be in force: a
-// primary's silence is noticed within eleven twentieths of that, 1.1 s at most, and the rest
-// is left to find the next one. Zero means the default.
+// SetApplyWithin sets how soon after its acknowledgement a change has to be in force: the loss
+// of the primary is noticed within eleven twentieths of that, 1.1 s at most, and the rest is
+// left to find the next one. Zero means the default.
 func (f *Follower) SetApplyWithin(bound time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -122,46 +145,48 @@
 	}
 }
 
-// waits are how long a question may be held back, and how much longer its answer may take.
-// The caller has the mutex.
-func (f *Follower) pollTimes() (held, margin time.Duration) {
-	held = UpdateWait
+// pollTimes are how long the primary may hold a poll back, and how much longer its response
+// may take. The caller has the mutex.
+func (f *Follower) pollTimes() (maxWait, margin time.Duration) {
+	maxWait = UpdateWait
 	if f.wantLoads {
-		held = LoadsWait
+		maxWait = LoadsWait
 	}
-	return min(held, f.applyWithin*2/5), min(responseMargin, f.applyWithin*3/20)
+	return min(maxWait, f.applyWithin*2/5), min(responseMargin, f.applyWithin*3/20)
 }
 
-// Follow chooses whether the list of servers and their reports are followed, too.
-func (f *Follower) Follow(l, loads bool) {
+// Follow chooses whether the node wants the list of servers and their load reports, too.
+func (f *Follower) Follow(servers, loads bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.wantServers, f.wantLoads = l, loads
+	f.wantServers, f.wantLoads = servers, loads
 }
 
-// SetFailing gives the way to the servers that failed requests lately: each is told once.
+// SetFailing sets the source of the servers that failed requests since it was called last;
+// each poll reports them to the primary.
 func (f *Follower) SetFailing(failing func() []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.failing = failing
 }
 
-// ForgetList has the primary tell its list of servers anew.
+// ForgetList has the primary send its list of servers anew.
 func (f *Follower) ForgetList() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.serversRevision = 0
 }
 
-// SetContacts gives the controllers' addresses that the platform or the record lists,
-// and the other routers, the nearest first: they may relay, and tell where the core is.
-func (f *Follower) SetContacts(contacts, p []string) {
+// SetContacts sets the addresses of the controllers that the platform lists or that are
+// recorded, and of the other routers, the nearest first: those relay messages to the primary,
+// and know the membership.
+func (f *Follower) SetContacts(contacts, peers []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.contacts, f.peers = contacts, p
+	f.contacts, f.peers = contacts, peers
 }
 
-// SetSeeds exchanges the seeds, after a reload.
+// SetSeeds replaces the seeds, after a reload of the settings.
 func (f *Follower) SetSeeds(seeds []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -175,7 +200,7 @@
 	return f.membership
 }
 
-// Heard is when the primary answered last.
+// Heard is when a response of a primary was applied last.
 func (f *Follower) Heard() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -189,8 +214,8 @@
 	return f.sections[name]
 }
 
-// Run asks until the process ends: the primary while it answers, and all that may know
-// it while it does not.
+// Run polls the primary while it responds and searches for one while it does not, until the
+// process ends.
 func (f *Follower) Run() {
 	for f.runtime.Alive() {
 		if address, known := f.knownPrimary(); known {
@@ -201,16 +226,16 @@
 	}
 }
 
-// knownPrimary is the address of the primary that answered last, until it is silent or
-// says that it leads no more.
+// knownPrimary is the address of the primary that responded last, until a call to it fails or
+// it says that it leads no more.
 func (f *Follower) knownPrimary() (string, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.primary, f.primary != ""
 }
 
-// poll asks the primary once and takes its answer. One that is silent is looked for
-// anew: its successor may have been elected.
+// poll polls the primary once and applies its response. If there is none the follower searches
+// anew: a successor may have been elected.
 func (f *Follower) poll(address string) {
 	request, timeout := f.pollRequest()
 	asked := f.runtime.Now()
@@ -230,15 +255,15 @@
 	}
 }
 
-// leaderRequest asks only who leads, and what the copies are like: a whole fleet asks it at
-// once after a loss.
+// leaderRequest asks only who leads, and for the state of the copies, to keep the response
+// small: all nodes send it at once after the loss of a primary.
 func (f *Follower) leaderRequest() wire.UpdateRequest {
 	request := f.searchRequest()
 	request.LeaderOnly = true
 	return request
 }
 
-// searchRequest is to be answered at once, so that those who are dark cost little time.
+// searchRequest is to be answered at once (MaxWait is zero), so that a short timeout will do.
 func (f *Follower) searchRequest() wire.UpdateRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -247,8 +272,8 @@
 	return request
 }
 
-// pollRequest is held back by the primary until there is news. The first one to a primary
-// is answered at once; it may bring a whole configuration.
+// pollRequest is a poll and its timeout. The primary holds it back until there is an update,
+// but for the first one, which may bring a complete configuration.
 func (f *Follower) pollRequest() (wire.UpdateRequest, time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -260,15 +285,15 @@
 	case !f.confirmed:
 		return request, firstTimeout
 	}
-	held, margin := f.pollTimes()
-	request.MaxWait = held
+	maxWait, margin := f.pollTimes()
+	request.MaxWait = maxWait
 	if f.failing != nil {
 		request.Failing = f.failing()
 	}
-	return request, held + margin
+	return request, maxWait + margin
 }
 
-// question tells what the node has. The caller has the mutex.
+// request tells what the node has. The caller has the mutex.
 func (f *Follower) request() wire.UpdateRequest {
 	have := map[string]replication.Version{}
 	for name, section := range f.sections {
@@ -278,14 +303,15 @@
 		WantServers: f.wantServers, ServersRevision: f.serversRevision, WantLoads: f.wantLoads, LoadsRevision: f.loadsRevision}
 }
 
-// Apply takes a primary's answer and tells whether it did: an older primary's word
-// is passed over, since versions never go back.
+// Apply applies a primary's response and tells whether it did. A response with an older
+// version than the node's is a deposed primary's, and is dropped with its lease; so is one
+// with a delta that does not fit, whose section the next request asks for in full.
 func (f *Follower) Apply(asked time.Time, response wire.UpdateResponse) bool {
 	f.mutex.Lock()
 	for name, delta := range response.Deltas {
 		section, fits := delta.Apply(f.sections[name])
 		if !fits {
-			// The next question asks for the whole; this answer's hold is not used.
+			// The next request asks for the complete section; this lease is not used.
 			delete(f.sections, name)
 			f.mutex.Unlock()
 			return false
@@ -317,29 +343,29 @@
 	return true
 }
 
-// applyLists takes the list of servers and their reports out of an answer. The caller
-// has the mutex. An age counts from the latest moment at which the question surely
-// had not been answered yet, so that nothing is taken for younger than it is.
+// applyLists takes the list of servers and their reports out of a response. The caller has
+// the mutex. Ages count from RequestedAt and the time for which the request was held back: the
+// response was made no earlier, so nothing counts as younger than it is.
 func (f *Follower) applyLists(update *Update) {
-	told := update.RequestedAt.Add(update.Response.Waited)
-	if said := update.Response.Servers; said != nil {
-		at := told.Add(-said.Age)
-		if said.Sent {
+	respondedAt := update.RequestedAt.Add(update.Response.Waited)
+	if list := update.Response.Servers; list != nil {
+		at := respondedAt.Add(-list.Age)
+		if list.Sent {
 			f.listing = membership.ServerList{}
-			f.listing.Update(at, said.Servers)
-			f.serversRevision = said.Revision
+			f.listing.Update(at, list.Servers)
+			f.serversRevision = list.Revision
 		}
-		if said.Revision == f.serversRevision {
+		if list.Revision == f.serversRevision {
 			f.listing.Confirm(at)
 			update.Servers = &ServerList{ReadAt: at, Servers: f.listing.Servers(at)}
 		}
 	}
-	if said := update.Response.Loads; said != nil && f.wantLoads {
-		f.loadsRevision = said.Revision
-		update.Outliers = said.Outliers
-		late := f.runtime.Now().Sub(told)
-		for _, client := range said.Reports {
-			update.Loads = append(update.Loads, client.Load(late))
+	if loads := update.Response.Loads; loads != nil && f.wantLoads {
+		f.loadsRevision = loads.Revision
+		update.Outliers = loads.Outliers
+		delay := f.runtime.Now().Sub(respondedAt)
+		for _, report := range loads.Reports {
+			update.Loads = append(update.Loads, report.Load(delay))
 		}
 	}
 }
--- a/internal/follower/search.go
+++ b/internal/follower/search.go
@@ -11,8 +11,8 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// search is one look for the primary, at a node's start or after the primary was lost.
-// All known addresses are asked at once, since any of them may be dark.
+// search is one search for the primary, at a node's start or after the primary was lost. All
+// known addresses are asked at once, since any of them may not respond.
 type search struct {
 	mutex    sync.Mutex
 	cond     runtime.Cond
@@ -22,24 +22,24 @@
 	rounds   int
 }
 
-// asking is what is under way to one address, and what came of it last.
+// attempts are the calls in flight to one address, and how they ended last.
 type attempts struct {
 	inFlight int
 	lastAt   time.Time
 	// epoch is that of the newest membership known when the address was asked last.
 	epoch uint64
-	// answered is when it answered last without leading.
+	// answeredAt is when it responded last without leading.
 	answeredAt time.Time
 }
 
-// leaderUpdate is a primary's answer, and when it was asked for.
+// leaderUpdate is a primary's response, and when it was requested.
 type leaderUpdate struct {
 	requestedAt time.Time
 	response    wire.UpdateResponse
 }
 
 const (
-	// searchRoundTimeout is how long one round waits for an answer that ends it.
+	// searchRoundTimeout is how long one round waits for a response that ends it.
 	searchRoundTimeout = 100 * time.Millisecond
 	// retryAfter is after how long an address that has not answered is asked once more: a
 	// call to a machine without power hangs, also when it is back. No more than
@@ -59,8 +59,8 @@
 	// peersPerRound is how many other routers are then asked in each round where the
 	// core is. The rounds go through all of them in turn.
 	peersPerRound = 3
-	// relayRounds is after how many rounds in vain neighbours are asked to relay, if the
-	// primary that the membership names does not answer.
+	// relayRounds is after how many rounds without a primary the nearest routers are asked to
+	// relay, if the primary that the membership names does not respond.
 	relayRounds = 4
 )
 
@@ -130,7 +130,7 @@
 	return false
 }
 
-// note takes an answer: a primary's, or what another says of its copy.
+// record takes a response: a primary's, or the state of another's copy.
 func (s *search) record(address string, asked, now time.Time, response wire.UpdateResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -141,14 +141,14 @@
 	s.copies.record(address, now, response)
 }
 
-// led tells whether a primary has answered.
+// hasLeader tells whether a primary has responded.
 func (s *search) hasLeader() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.leader != nil
 }
 
-// take gives a primary's answer, if there is one, once.
+// takeLeader gives a primary's response, if there is one, once.
 func (s *search) takeLeader() *leaderUpdate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -171,7 +171,7 @@
 	f.provisional = may
 }
 
-// lacks tells whether the node would take a provisional configuration now.
+// needsConfiguration tells whether the node would take a provisional configuration now.
 func (f *Follower) needsConfiguration() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -262,8 +262,8 @@
 	})
 }
 
-// askRelays has the nearest routers pass the question on to the primary that they know:
-// the path to it may be cut for this node alone.
+// askRelays has the nearest routers relay the request to the primary that they know: the
+// network may be partitioned for this node alone.
 func (f *Follower) askRelays(s *search) {
 	request := f.searchRequest()
 	request.WantProvisional = false
@@ -294,8 +294,8 @@
 	s.cond.Broadcast()
 }
 
-// fetch takes the configuration of a version from the copy at an address. It gives no
-// hold, and nothing is acknowledged by it.
+// fetch takes the configuration of a version from the copy at an address. It gives no lease,
+// and acknowledges nothing.
 func (f *Follower) fetch(address string, version replication.Version) {
 	request := f.searchRequest()
 	request.WantedVersion = version
@@ -315,16 +315,16 @@
 	f.ApplyProvisional(asked, response)
 }
 
-// ApplyProvisional takes the configuration of a copy, as it came in an answer, unless the node
-// has one. The primary will confirm it or replace it by a newer one; it never replaces it by
-// an older one, since a configuration never goes back.
+// ApplyProvisional applies a copy's configuration, unless the node has one or provisional
+// configurations are not allowed. The primary will confirm it or replace it by a newer one,
+// never by an older one, since Apply drops older sections.
 func (f *Follower) ApplyProvisional(asked time.Time, response wire.UpdateResponse) {
 	f.mutex.Lock()
 	if _, has := f.sections[replication.ConfigurationSection]; has || !f.provisional {
 		f.mutex.Unlock()
 		return
 	}
-	// The primary need not send again what is the same; all else it tells itself.
+	// Only the configuration is kept: the primary sends all other sections itself.
 	section := response.Copy.Sections[replication.ConfigurationSection]
 	f.sections[replication.ConfigurationSection] = section
 	f.unconfirmed = section.Version
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -290,8 +290,8 @@
 // Refuse ends the call with a word of the router's own.
 func (c *callExchange) Refuse(refusal dataplane.Refusal) { c.replies.put(refusal) }
 
-// Through passes a server's promise on.
-func (c *callExchange) Through() bool {
+// PassThrough passes a server's promise on.
+func (c *callExchange) PassThrough() bool {
 	if c.kept == nil || c.passed > 0 {
 		return false
 	}
