--- a/internal/dataplane/calls.go
+++ b/internal/dataplane/calls.go
@@ -12,28 +12,27 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Calls is the conduct of opaque calls at one router: it has the window decide on
-// each, carries the decisions out, and tells the window how they ended. One thread
-// serves one call.
+// Calls serves opaque calls at one router: it has the scheduler decide on each, carries the
+// decisions out, and reports to the scheduler how they ended. One thread serves one call.
 type Calls struct {
 	runtime runtime.Runtime
 	window  *scheduler.Scheduler
-	// listed is told which servers there are, before any call is sent to them.
+	// onServers is called with each list of servers, before any call is sent to them.
 	onServers   func(servers []membership.Server)
 	serverCount atomic.Int64
 	leaving     atomic.Bool
-	// serving is until when calls are admitted; nil: nobody bounds it.
+	// servingUntil is until when calls are admitted; nil: without a bound.
 	servingUntil atomic.Pointer[time.Time]
-	// keepers are asked for counts before reads; nil: nobody is.
+	// countOwners are asked for counts before prefills; nil: no counts are asked for.
 	countOwners *CountOwners
 }
 
-// NewCalls makes the conduct over a window. Listed is told which servers there are.
+// NewCalls serves calls over a scheduler. OnServers is called with each list of servers.
 func NewCalls(rt runtime.Runtime, window *scheduler.Scheduler, listed func(servers []membership.Server)) *Calls {
 	return &Calls{runtime: rt, window: window, onServers: listed}
 }
 
-// SetConfiguration puts a configuration in force, unless a newer one is.
+// SetConfiguration puts a configuration in force, unless a newer one is in force.
 func (c *Calls) SetConfiguration(configuration *config.Configuration, version replication.Version) {
 	c.window.SetRouteTable(scheduler.Compile(configuration, version.Epoch, version.Number))
 }
@@ -41,8 +40,7 @@
 // SetServing bounds until when calls are admitted.
 func (c *Calls) SetServing(until time.Time) { c.servingUntil.Store(&until) }
 
-// SetCountOwners gives the way to those who keep counts of what servers read, before any call
-// comes.
+// SetCountOwners sets the owners of the counts of what servers prefill, before the first call.
 func (c *Calls) SetCountOwners(owners *CountOwners) { c.countOwners = owners }
 
 // serves tells whether calls may be admitted now.
@@ -51,8 +49,8 @@
 	return until == nil || c.runtime.Now().Before(*until)
 }
 
-// noLeaseRetryAfter is when a call may come back that met a router without a hold: the
-// next news is a moment away, or another router has it.
+// noLeaseRetryAfter is after how long a call may be retried that met a router without a lease:
+// its next update comes soon, or another router has a lease.
 const noLeaseRetryAfter = 300 * time.Millisecond
 
 // SetServers takes the list of servers.
@@ -62,44 +60,43 @@
 	c.serverCount.Store(int64(len(servers)))
 }
 
-// SetLoads takes what the servers reported of themselves.
+// SetLoads takes the loads that the servers reported.
 func (c *Calls) SetLoads(now time.Time, loads []scheduler.Load) {
 	c.window.SetLoads(now, loads)
 }
 
-// SetRouters tells how many routers share the servers.
+// SetRouters sets how many routers share the servers.
 func (c *Calls) SetRouters(count int) { c.window.SetRouterCount(count) }
 
-// Ready tells whether calls are welcome: a configuration is in force, servers are
-// known, and the router is not leaving.
+// Ready tells whether the router is ready for calls: a configuration is in force, servers are
+// known, the lease allows it, and the router is not leaving.
 func (c *Calls) Ready() bool {
 	epoch, number := c.window.ConfigVersion()
 	return (epoch > 0 || number > 0) && c.serverCount.Load() > 0 && !c.leaving.Load() && c.serves()
 }
 
-// Leave says that the router is leaving. Calls that still come are served until
-// Drain.
+// Leave marks the router as leaving. Calls that still come are served until it drains.
 func (c *Calls) Leave() { c.leaving.Store(true) }
 
 // Leaving tells whether the router is leaving.
 func (c *Calls) Leaving() bool { return c.leaving.Load() }
 
-// The pauses of leaving. The values are ours.
+// The times of leaving. The values are ours.
 const (
-	// drainNoticeTime is how long it takes those who ask whether a router is ready to
-	// send no more: two questions in a row, one a second.
+	// drainNoticeTime is how long it takes load balancers to notice that a router is not
+	// ready: two health checks in a row, one a second.
 	drainNoticeTime = 2500 * time.Millisecond
-	// exitMarginShare is the part of the grace that is kept for ending the process: an
-	// eighth, so that what is cut off at the end was at work in the last sixth.
+	// One part in exitMarginShare of the grace is reserved for ending the process, so that
+	// what is cut off at the end was in flight in the last sixth.
 	exitMarginShare = 8
 	maxExitMargin   = time.Second
 	drainInterval   = 20 * time.Millisecond
 )
 
-// Retire has the router leave: it is not ready from now on, serves what still comes
-// until that is noticed, refuses after that, and returns when nothing is under way or
-// the grace is over. Noticed is told when those who look have noticed: clients whose
-// connections rest had better not come back on them.
+// Retire has the router leave: it is not ready from now on, serves what still comes until load
+// balancers have noticed, refuses after that, and returns when no call is in flight or the
+// grace is over. Noticed is called when they have noticed: from then on idle connections of
+// clients had better be closed.
 func (c *Calls) Retire(grace time.Duration, noticed func()) {
 	deadline := c.runtime.Now().Add(grace - min(maxExitMargin, grace/exitMarginShare))
 	c.Leave()
@@ -111,7 +108,7 @@
 	}
 }
 
-// Limits bound what an origin may send.
+// Limits bound what a client may send.
 func (c *Calls) Limits() config.Limits { return c.window.Limits() }
 
 // Serve serves one call and returns when it is over.
@@ -121,8 +118,8 @@
 		return
 	}
 	ticket, decision := c.window.Arrive(c.runtime.Now(), call)
-	// ran tells that a server may have begun the call, before that an earlier one than
-	// the last may have.
+	// mayHaveRun tells that a server may have begun the call, before that one before the last
+	// server may have.
 	mayHaveRun, before := false, false
 	var outcome scheduler.Outcome
 	for {
@@ -155,9 +152,9 @@
 	}
 }
 
-// conclude gives the origin the last word. Whatever was decided, no promise is given of
-// what may have run: not our own, and not that of the last server when an earlier one may
-// have begun, which partly tells.
+// conclude sends the client the final response. Its invariant: no response says that a call has
+// not run which may have run. So after a run our own refusal promises nothing, and the last
+// server's error is not passed through when an earlier server may have begun (ranBefore).
 func conclude(exchange Exchange, decision scheduler.Decision, mayHaveRun, ranBefore bool) {
 	switch decision.Kind {
 	case scheduler.Done:
@@ -177,8 +174,8 @@
 	}
 }
 
-// statusOf is the status of a refusal. 503 promises that the call has not run and
-// never will; 502 and 504 promise nothing.
+// statusOf is the HTTP status of a refusal. 503 says that the call has not run and never will;
+// 502 and 504 leave that open.
 func statusOf(cause scheduler.Cause) int {
 	switch cause {
 	case scheduler.NoRoute:
@@ -191,7 +188,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// told asks the keepers of counts and has the window go on with their answers.
+// askOwners asks the owners of counts and has the scheduler go on with their responses.
 func (c *Calls) askOwners(ticket *scheduler.CallState, decision scheduler.Decision) scheduler.Decision {
 	answers := c.countOwners.Ask(decision.BacklogRequests)
 	return c.window.BacklogReported(c.runtime.Now(), ticket, answers)
--- a/internal/dataplane/countowners.go
+++ b/internal/dataplane/countowners.go
@@ -12,15 +12,15 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// CountOwners reach the nodes that keep the counts of what all nodes have model servers
-// read, and are one of them. The keeper of a group is the recorded node of the group's
-// zone that rendezvous hashing puts first, but for those that did not answer lately. Two
-// nodes may take different ones for the keeper for a while: the counts are hints.
+// CountOwners reaches the routers that own the counts of what all routers have model servers
+// prefill, and owns some itself. The owner of a group is the recorded router of the group's zone
+// that rendezvous hashing ranks first, but for those that did not respond lately. Two routers
+// may disagree on the owner for a while: the counts are hints.
 type CountOwners struct {
 	runtime runtime.Runtime
 	client  wire.Client
 	window  *scheduler.Scheduler
-	// self is this node's name, life this life of it.
+	// name is this router's, incarnation that of its process.
 	name, incarnation string
 	counts            backlog.Table
 	changed           runtime.Cond
@@ -31,24 +31,24 @@
 	failedAt map[string]time.Time
 }
 
-// The patience with keepers. The values are ours.
+// The timeouts of owners. The values are ours.
 const (
-	// countTimeout is how long an answer is waited for: longer than a healthy keeper
-	// in the same region takes, and short beside the aim of a call.
+	// countTimeout is how long a response is waited for: longer than a healthy owner in the
+	// same region takes, and short beside the latency target of a call.
 	countTimeout = 30 * time.Millisecond
-	// ownerRetryAfter is how long a keeper that did not answer is passed over.
+	// ownerRetryAfter is how long an owner that did not respond is passed over.
 	ownerRetryAfter = 2 * time.Second
-	// changesInterval lets the changes of a moment go in one message.
+	// changesInterval is how long changes are batched before they are sent.
 	changesInterval = 2 * time.Millisecond
 )
 
-// NewCountOwners makes the keepers' side and the asking side of one life of a node.
-func NewCountOwners(rt runtime.Runtime, client wire.Client, window *scheduler.Scheduler, self, incarnation string) *CountOwners {
-	return &CountOwners{runtime: rt, client: client, window: window, name: self, incarnation: incarnation, changed: rt.NewCond(),
+// NewCountOwners makes one router's part in owning counts and its client of the other owners.
+func NewCountOwners(rt runtime.Runtime, client wire.Client, window *scheduler.Scheduler, name, incarnation string) *CountOwners {
+	return &CountOwners{runtime: rt, client: client, window: window, name: name, incarnation: incarnation, changed: rt.NewCond(),
 		ranked: map[string][]membership.Member{}, failedAt: map[string]time.Time{}}
 }
 
-// SetMembers tells which nodes of the data plane are recorded.
+// SetMembers takes the recorded members.
 func (c *CountOwners) SetMembers(members map[string]membership.Member) {
 	nodes := map[string]membership.Member{}
 	for name, member := range members {
@@ -62,13 +62,13 @@
 	c.ranked = map[string][]membership.Member{}
 }
 
-// Handle answers a question of another node.
+// Answer serves another router's request to this owner.
 func (c *CountOwners) Answer(request backlog.Request) (backlog.Response, error) {
 	return c.counts.Apply(c.runtime.Now(), request), nil
 }
 
-// Ask brings questions to their keepers, all at once, and gives the answers that come in
-// time, by group.
+// Ask sends questions to their owners, all at once, and gives the answers that come within
+// countTimeout, by group.
 func (c *CountOwners) Ask(questions []backlog.Request) map[string]backlog.Response {
 	answers := make(map[string]backlog.Response, len(questions))
 	var mutex sync.Mutex
@@ -106,7 +106,7 @@
 	return complete
 }
 
-// bring has the keeper of a question's group answer it.
+// send sends a question to the owner of its group.
 func (c *CountOwners) send(request backlog.Request) (response backlog.Response, answered bool) {
 	request.Router = c.incarnation
 	owner, found := c.owner(request.Group)
@@ -125,7 +125,7 @@
 	return response, true
 }
 
-// keeper is the node that keeps a group's counts.
+// owner is the router that owns a group's counts; false if none is recorded or responds.
 func (c *CountOwners) owner(group string) (membership.Member, bool) {
 	now := c.runtime.Now()
 	c.mutex.Lock()
@@ -143,7 +143,7 @@
 	return membership.Member{}, false
 }
 
-// rank orders the nodes for a group: those of its zone, or all if there are none.
+// rank ranks the routers for a group: those of its zone, or all if it has none.
 func (c *CountOwners) rank(group string) []membership.Member {
 	zone := ""
 	if parts := strings.Split(group, "/"); len(parts) >= 2 {
@@ -166,14 +166,14 @@
 	return ranked
 }
 
-// SendChanges has the keepers told, soon, of what changed by a decision.
+// SendChanges has Run send the changes of a decision, if there are any.
 func (c *CountOwners) SendChanges() {
 	if c.window.HasBacklogChanges() {
 		c.changed.Broadcast()
 	}
 }
 
-// Run brings changes to the keepers whenever there are any.
+// Run sends changes to their owners whenever there are any.
 func (c *CountOwners) Run() {
 	for c.runtime.Alive() {
 		c.changed.Wait(idleTick, c.window.HasBacklogChanges)
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -11,8 +11,8 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// carryOut does one decision. What waits for others runs in its own thread and
-// comes back as an event.
+// carryOut carries out one decision. What waits for other processes runs in a thread of its own
+// and comes back as an event.
 func (r *Router) carryOut(decision auction.Decision) {
 	switch decision.Kind {
 	case auction.SendChunk, auction.Finish, auction.ForwardToPeer:
@@ -72,7 +72,8 @@
 	delete(r.tokens, runKey(id, run))
 }
 
-// mayAct is asked just before the act, after every wait.
+// mayAct tells whether a decision may still be carried out. It is asked after every wait, just
+// before the first byte is sent.
 func (r *Router) mayAct(decision auction.Decision) bool {
 	return r.runtime.Now().Before(decision.NotAfter)
 }
@@ -130,9 +131,8 @@
 	r.observe("commanded", "server", decision.Server, "part", decision.ServerRole, "fence", decision.Role.FencingToken, "trouble", err)
 }
 
-// claim asks the primary for a request's id until it is answered, its limit
-// comes, or its origin has had the final word. Asking again is safe: the nonce
-// tells this arrival's own claim.
+// claim claims a request's id at the primary until it responds, the decision's deadline or
+// claimTimeout passes. Repeating it is safe: the nonce identifies this arrival's own claim.
 func (r *Router) claim(decision auction.Decision) {
 	made, err := MadeAt(decision.ID)
 	event := auction.Event{Kind: auction.ClaimAnswered, ID: decision.ID, Outcome: auction.OutcomeNotStarted}
@@ -142,8 +142,8 @@
 	}
 	request := wire.ClaimRequest{Made: made, Entry: codec.Entry{Request: decision.ID, Router: r.options.Router, Run: 1,
 		At: r.runtime.Wall(), Cause: r.nonce()}}
-	// Without a hold there would be no dispatch: then the caller is told at once
-	// that the request never ran, and when to come back.
+	// Without a lease there would be no dispatch: then the client hears at once that the
+	// request has not run, and when to retry.
 	deadline := r.runtime.Now().Add(claimTimeout)
 	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(deadline) && r.runtime.Now().Before(r.core.ServesUntil()) {
 		var response wire.LeaderResponse
--- a/internal/dataplane/forwarding.go
+++ b/internal/dataplane/forwarding.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"net/http"
+	"sync"
 	"time"
 
 	"seamloom.example/seamloom/internal/auction"
@@ -12,19 +13,19 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Forwarder is the port by which a request goes on to another router.
+// Forwarder is the port by which a request is forwarded to another router.
 type Forwarder interface {
-	// Forward sends the request's body with its passage, and gives the records of
-	// the reply to take, as they come, until take says no or the origin has
-	// left. Begun is false only when certainly nothing of it has left.
+	// Forward sends the request's body, and gives the records of the reply to take, as they
+	// come, until take returns false or the client has left. Begun is false only when
+	// certainly no byte was sent.
 	Forward(address string, forwarding wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
 }
 
-// incarnationTimeout is how long a router may take to say which life it is in.
+// incarnationTimeout is how long a router may take to tell its incarnation.
 const incarnationTimeout = 500 * time.Millisecond
 
-// capable lists the routers that lack no enabled flag, this request's own
-// order first.
+// capableRouters are the other routers that support all enabled flags, in the order of
+// rendezvous hashing for the request.
 func (r *Router) capableRouters(request string) []membership.Member {
 	enabled := r.core.Enabled()
 	r.mutex.Lock()
@@ -42,9 +43,9 @@
 	return members
 }
 
-// forward gives a request to a capable router and its reply to the origin, as
-// it comes. Another router is tried only when the first certainly has not
-// begun.
+// forward forwards a request to a capable router and streams its reply to the client. Another
+// router is tried only when the one before certainly has not begun: so a request that is not
+// idempotent runs at most once.
 func (r *Router) forward(arrival Arrival, reply Reply) {
 	never := false
 	refused := ReplyLine{Request: arrival.Request.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
@@ -72,7 +73,7 @@
 	writeLine(reply, refused)
 }
 
-// old tells whether a failure is that of a release which knows no such path.
+// isOldRelease tells whether an error is that of a release which does not know the path.
 func (r *Router) isOldRelease(err error) bool {
 	return err != nil && failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) == "status 404"
 }
@@ -116,3 +117,81 @@
 	}
 	_ = r.reply.Line(broken.encode())
 }
+
+// acceptsForwarding tells whether a forwarded request is for this incarnation of the router and
+// is delivered for the first time.
+func (r *Router) acceptsForwarding(arrival Arrival) bool {
+	forwarding := arrival.Forwarding
+	if forwarding == nil || forwarding.Nonce == "" {
+		return true
+	}
+	if forwarding.Incarnation != "" && forwarding.Incarnation != r.incarnation {
+		return false
+	}
+	return r.seenForwardings.first(r.runtime.Now(), forwarding.Nonce)
+}
+
+// seenForwardings remembers the forwardings that this router accepted, to refuse duplicates.
+type seenForwardings struct {
+	mutex sync.Mutex
+	seen  map[string]time.Time
+	order []string
+}
+
+// maxForwardings bounds the memory; forwardingTTL is how long one is remembered.
+const (
+	maxForwardings = 65536
+	forwardingTTL  = 10 * time.Minute
+)
+
+// first tells whether the nonce comes for the first time.
+func (p *seenForwardings) first(now time.Time, nonce string) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.seen == nil {
+		p.seen = map[string]time.Time{}
+	}
+	if _, found := p.seen[nonce]; found {
+		return false
+	}
+	p.seen[nonce] = now
+	p.order = append(p.order, nonce)
+	for len(p.order) > maxForwardings || (len(p.order) > 0 && now.Sub(p.seen[p.order[0]]) > forwardingTTL) {
+		delete(p.seen, p.order[0])
+		p.order = p.order[1:]
+	}
+	return true
+}
+
+// RecordReply is a Reply that sends its lines as stream records to the router that forwarded the
+// request.
+type RecordReply struct {
+	Request string
+	Writer  string
+	// Send sends a record to that router.
+	Send func(record codec.Record) error
+	// ClientGone is how its origin's leaving is heard.
+	ClientGone func(act func())
+
+	status int
+	retry  int
+	number uint64
+}
+
+// Begin keeps the status for the records.
+func (r *RecordReply) Begin(status, retrySeconds int) {
+	r.status, r.retry = status, retrySeconds
+}
+
+// Line sends one line as a record.
+func (r *RecordReply) Line(line []byte) error {
+	r.number++
+	record, err := codec.EncodeStreamMessage(codec.StreamMessage{Request: r.Request, Line: line, Status: r.status, Retry: r.retry}, r.Writer, r.number)
+	if err != nil {
+		return err
+	}
+	return r.Send(record)
+}
+
+// OnClientGone has act called when the forwarding router closes its connection.
+func (r *RecordReply) OnClientGone(act func()) { r.ClientGone(act) }
--- a/internal/dataplane/journal.go
+++ b/internal/dataplane/journal.go
@@ -5,10 +5,13 @@
 
 	"seamloom.example/seamloom/internal/codec"
 	"seamloom.example/seamloom/internal/features"
+	"seamloom.example/seamloom/internal/follower"
+	"seamloom.example/seamloom/internal/runtime"
+	"seamloom.example/seamloom/internal/wire"
 )
 
-// Journal keeps the newest records of this router and of those that name it
-// their neighbour, and folds what is known of one request.
+// Journal holds the newest records of this router and of the routers that replicate theirs to
+// it, and gives the trace of a request.
 type Journal struct {
 	mutex   sync.Mutex
 	records []codec.Record
@@ -16,11 +19,13 @@
 	outbox  []codec.Record
 }
 
+// maxRecords bounds the records in a journal and in its outbox.
 const maxRecords = 16384
 
 func newJournal() *Journal { return &Journal{records: make([]codec.Record, 0, maxRecords)} }
 
-// append notes a record; own ones also go to a neighbour.
+// append adds a record, over the oldest one if the journal is full; own ones also go to the
+// outbox.
 func (j *Journal) append(record codec.Record, own bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -35,7 +40,7 @@
 	}
 }
 
-// outgoing tells whether there are records for a neighbour.
+// hasOutgoing tells whether there are records to replicate.
 func (j *Journal) hasOutgoing() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -61,7 +66,7 @@
 func (j *Journal) Trace(request string, supported features.List) (Trace, bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	folded := Trace{Request: request}
+	trace := Trace{Request: request}
 	for _, record := range j.records {
 		if record.Key != request {
 			continue
@@ -69,13 +74,37 @@
 		switch record.Kind {
 		case codec.PairRecord:
 			if pair, err := codec.DecodePair(record, supported); err == nil {
-				folded.Pairs = append(folded.Pairs, pair)
+				trace.Pairs = append(trace.Pairs, pair)
 			}
 		case codec.RetryRecord:
 			if entry, err := codec.DecodeEntry(record); err == nil {
-				folded.Retries = append(folded.Retries, entry)
+				trace.Retries = append(trace.Retries, entry)
 			}
 		}
 	}
-	return folded, len(folded.Pairs) > 0
+	return trace, len(trace.Pairs) > 0
+}
+
+// replicateRecords sends new records to a replica whenever there are any.
+func (r *Router) replicateRecords() {
+	for r.runtime.Alive() {
+		r.recordsAdded.Wait(idleTick, r.journal.hasOutgoing)
+		r.sendRecords()
+		runtime.Sleep(r.runtime, recordsInterval)
+	}
+}
+
+// sendRecords sends the outbox to the nearest router that responds, so that the records outlive
+// this router.
+func (r *Router) sendRecords() {
+	records := r.journal.takeOutbox()
+	if len(records) == 0 {
+		return
+	}
+	for _, member := range r.nearest(follower.Neighbours) {
+		var response bool
+		if wire.Call(r.client, member.Address, wire.RecordsPath, records, &response, sendTimeout) == nil {
+			return
+		}
+	}
 }
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -10,7 +10,7 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Options say which router a core is.
+// Options are a router's settings and ports. Zero values are the defaults named.
 type Options struct {
 	// ApplyWithin is how soon after its acknowledgement a change has to be in force here;
 	// zero: the default.
@@ -18,23 +18,25 @@
 	seamloom.Options
 	Address string
 	Seeds   []string
-	// Directory reads the platform's lists where the news does not tell them.
+	// Directory reads the platform's lists while there is no list from a primary; nil: it
+	// does not.
 	Directory discovery.Directory
-	// LoadReader reads servers' loads for the market of requests; none: it has none.
+	// LoadReader reads the servers' loads for the auction of requests; nil: it has no loads.
 	LoadReader LoadReader
-	// CallService makes who serves opaque calls over the core's window; none: this router
-	// takes no calls, and follows no reports.
+	// CallService makes the service of opaque calls over the core's scheduler; nil: this router
+	// serves no calls, and does not follow load reports.
 	CallService func(deciding *scheduler.Scheduler) CallService
-	// ServeWithoutLease is how long the router goes on letting in after its last hold.
+	// ServeWithoutLease is for how long the router goes on admitting requests after its last
+	// lease ended; zero: it does not, and takes no provisional configuration.
 	ServeWithoutLease time.Duration
-	// Nonce gives a text that is new each time.
+	// Nonce gives a unique string.
 	Nonce func() string
-	// OnEnded is told how each request ended that this router decided on.
+	// OnEnded is called with the final decision on each request.
 	OnEnded func(request *auction.Request, decision auction.Decision)
 }
 
-// LoadReader is the port by which a router asks a model server itself, for the
-// market of requests.
+// LoadReader is the port by which a router reads a model server's load itself, for the auction
+// of requests.
 type LoadReader interface {
 	ReadAuctionLoad(server membership.Server, timeout time.Duration) (auction.Load, error)
 }
--- a/internal/dataplane/lists.go
+++ b/internal/dataplane/serverlist.go
@@ -11,7 +11,8 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// A router has the list of servers from the primary. The values are ours.
+// A router has the list of servers from the primary, and reads it itself while none comes. The
+// values are ours.
 const (
 	// firstListTimeout is how long a router that has no list waits for the primary's.
 	firstListTimeout = 300 * time.Millisecond
@@ -33,7 +34,7 @@
 	return r.listing.Servers(r.runtime.Now())
 }
 
-// applyServers takes a list that was read at a moment, by whomever.
+// applyServers takes a list, read by a primary or by this router at the given time.
 func (r *Router) applyServers(at time.Time, servers []membership.Server) {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
@@ -49,12 +50,12 @@
 	r.watchLoads(listed)
 }
 
-// readList reads the list itself while there is no news of it.
+// readList reads the list itself while none comes from a primary.
 func (r *Router) readList() {
 	began := r.runtime.Now()
 	for reads := 0; r.runtime.Alive(); {
 		if left := r.listDue(began).Sub(r.runtime.Now()); left > 0 {
-			// Clocks are coarse: a pause of nothing would be made over and over.
+			// Clocks are coarse: without a least sleep this would spin.
 			runtime.Sleep(r.runtime, max(left, time.Millisecond))
 			continue
 		}
@@ -62,7 +63,7 @@
 		servers, err := r.options.Directory.Servers()
 		if err == nil {
 			r.applyServers(asked, servers)
-			// Whatever list the primary has is told anew, since this one differs.
+			// The next primary is to send its list, whatever revision it has.
 			r.follower.ForgetList()
 		}
 		r.observe("list_read_itself", "servers", len(servers), "trouble", err)
@@ -71,7 +72,7 @@
 	}
 }
 
-// listDue is when the router is to read the list itself, if no news of it comes.
+// listDue is when the router is to read the list itself, if none comes until then.
 func (r *Router) listDue(began time.Time) time.Time {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
@@ -81,7 +82,7 @@
 	return began.Add(firstListTimeout + r.jitter(0))
 }
 
-// spread is a length of time that differs from router to router.
+// jitter is a length of time that differs from router to router.
 func (r *Router) jitter(reads int) time.Duration {
 	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), r.options.Router) % uint64(ownListJitter))
 }
@@ -100,8 +101,8 @@
 	}
 }
 
-// watchLoads has each listed server's load read for the market of requests. The
-// caller has the list's mutex.
+// watchLoads has each listed server's load read for the auction of requests. The caller has
+// listMutex.
 func (r *Router) watchLoads(servers []membership.Server) {
 	if r.options.LoadReader == nil {
 		return
--- /dev/null
+++ b/internal/dataplane/updates.go
@@ -0,0 +1,143 @@
+package dataplane
+
+import (
+	"slices"
+
+	"seamloom.example/seamloom/internal/auction"
+	"seamloom.example/seamloom/internal/follower"
+	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/replication"
+)
+
+// applyUpdate applies an update of the follower. The configuration is put in force before the
+// lease that confirms it is used: under a lease nothing is admitted by an older version.
+func (r *Router) applyUpdate(update follower.Update) {
+	if update.Provisional {
+		r.applyProvisional(update)
+		return
+	}
+	if section, found := update.Changed[replication.ConfigurationSection]; found {
+		r.Apply(auction.Event{Kind: auction.ConfigurationReceived, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+		r.observe("configuration_in_force", "version", section.Version.String())
+	}
+	state, err := replication.ReadState(update.Changed)
+	if err != nil {
+		r.observe("news_unreadable", "cause", err)
+		return
+	}
+	if _, found := update.Changed[replication.FlagsSection]; found {
+		r.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
+		r.observe("flags_read", "enabled", state.Flags.Enabled, "restricted", r.core.Restricted())
+	}
+	if _, found := update.Changed[replication.OrdersSection]; found {
+		r.Apply(auction.Event{Kind: auction.OrdersRead, Orders: r.core.ReadOrders(state.Orders.Records)})
+	}
+	r.applyMembers(update, state)
+	r.applyLists(update)
+	if update.Response.Lease > 0 {
+		r.Apply(auction.Event{Kind: auction.LeaseRenewed, LeaseEnds: update.RequestedAt.Add(update.Response.Lease), Epoch: update.Response.Configuration.Epoch,
+			Number: update.Response.Configuration.Number, Roles: update.Response.Roles})
+		r.updateServing()
+		r.wakeTicker()
+	}
+}
+
+// applyProvisional serves by a copy's configuration, before there is a primary. The flags by
+// which the configuration is read come first. It gives no lease and allows no role.
+func (r *Router) applyProvisional(update follower.Update) {
+	state, err := replication.ReadState(update.Changed)
+	if err != nil {
+		r.observe("news_unreadable", "cause", err)
+		return
+	}
+	r.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
+	r.applyMembers(update, state)
+	r.applyLists(update)
+	section := update.Changed[replication.ConfigurationSection]
+	r.Apply(auction.Event{Kind: auction.ConfigurationProvisional, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+	r.updateServing()
+	r.wakeTicker()
+	r.observe("configuration_lent", "version", section.Version.String())
+}
+
+// applyMembers takes the recorded members, if they changed.
+func (r *Router) applyMembers(update follower.Update, state *replication.State) {
+	if _, found := update.Changed[replication.MembersSection]; !found {
+		return
+	}
+	r.mutex.Lock()
+	r.members = state.Members
+	r.mutex.Unlock()
+	if r.countOwners != nil {
+		r.countOwners.SetMembers(state.Members)
+	}
+	if update.Response.Routers == 0 {
+		// There is no count in the response: it is an older release's primary's, or a copy's.
+		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(membership.RouterNames(state.Members)))})
+	}
+	r.setContacts()
+}
+
+// applyLists takes the list of servers, their loads, and the number of routers that share them.
+func (r *Router) applyLists(update follower.Update) {
+	if count := update.Response.Routers; count > 0 {
+		r.routers.Store(int64(count))
+		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(count)})
+	}
+	if update.Servers != nil {
+		r.applyServers(update.Servers.ReadAt, update.Servers.Servers)
+	}
+	if len(update.Loads) > 0 {
+		r.core.Calls().SetOutliers(r.runtime.Now(), update.Outliers)
+		r.Apply(auction.Event{Kind: auction.LoadsReported, Loads: update.Loads})
+	}
+}
+
+// setNodes takes the platform's list of nodes.
+func (r *Router) setNodes(nodes []membership.Node) {
+	r.mutex.Lock()
+	r.nodes = nodes
+	r.mutex.Unlock()
+	r.setContacts()
+}
+
+// setContacts gives the follower the controllers that the platform lists or that are recorded,
+// and the other routers, the nearest first by rendezvous hashing.
+func (r *Router) setContacts() {
+	r.mutex.Lock()
+	var contacts []string
+	for _, node := range r.nodes {
+		if node.Kind == membership.Controller {
+			contacts = append(contacts, node.Address)
+		}
+	}
+	var names []string
+	for name := range r.members {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	for _, name := range names {
+		member := r.members[name]
+		if member.Kind == membership.Controller && !slices.Contains(contacts, member.Address) {
+			contacts = append(contacts, member.Address)
+		}
+	}
+	r.mutex.Unlock()
+	var peers []string
+	for _, member := range r.nearest(len(names)) {
+		peers = append(peers, member.Address)
+	}
+	r.follower.SetContacts(contacts, peers)
+}
+
+// nearest are the other recorded routers, by rendezvous hashing, at most limit of them.
+func (r *Router) nearest(limit int) []membership.Member {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	names := membership.RouterNames(r.members)
+	var members []membership.Member
+	for _, name := range membership.Neighbours(r.options.Router, names, limit) {
+		members = append(members, r.members[name])
+	}
+	return members
+}
