--- /dev/null
+++ b/internal/controlplane/contacts.go
@@ -0,0 +1,113 @@
+package controlplane
+
+import (
+	"maps"
+	"slices"
+
+	"seamloom.example/seamloom/internal/discovery"
+	"seamloom.example/seamloom/internal/failure"
+	"seamloom.example/seamloom/internal/features"
+	"seamloom.example/seamloom/internal/follower"
+	"seamloom.example/seamloom/internal/membership"
+	"seamloom.example/seamloom/internal/replication"
+	"seamloom.example/seamloom/internal/runtime"
+)
+
+// applyUpdate follows the enabled set as every node does, and the list of servers, to
+// lead with it at once.
+func (c *Controller) applyUpdate(update follower.Update) {
+	if update.Servers != nil && !c.serverList.leading() {
+		c.serverList.update(update.Servers.ReadAt, update.Servers.Servers)
+	}
+	c.applyMembers(update)
+	section, found := update.Changed[replication.FlagsSection]
+	if !found {
+		return
+	}
+	state, err := replication.ReadState(map[string]replication.Section{replication.FlagsSection: section})
+	if err != nil {
+		c.observe("flags_unreadable", "cause", err)
+		return
+	}
+	lacking := c.options.Supported.Lacks(state.Flags.Enabled)
+	c.coordinator.SetRestricted(len(lacking) > 0)
+	c.coordinator.SetBackupList(state.Flags.Enabled.Has(features.BackupList))
+	c.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
+}
+
+// applyMembers takes the recorded members from news, or from the own copy.
+func (c *Controller) applyMembers(update follower.Update) {
+	section, found := update.Changed[replication.MembersSection]
+	if !found {
+		return
+	}
+	state, err := replication.ReadState(map[string]replication.Section{replication.MembersSection: section})
+	if err != nil {
+		c.observe("members_unreadable", "cause", err)
+		return
+	}
+	c.setMembers(state.Members)
+}
+
+// setNodes takes the platform's list of nodes.
+func (c *Controller) setNodes(nodes []membership.Node) {
+	var addresses []string
+	for _, node := range nodes {
+		if node.Kind == membership.Controller && node.Address != c.options.Address {
+			addresses = append(addresses, node.Address)
+		}
+	}
+	c.mutex.Lock()
+	c.nodes = addresses
+	c.mutex.Unlock()
+	c.setContacts()
+}
+
+// setMembers takes the recorded members.
+func (c *Controller) setMembers(members map[string]membership.Member) {
+	c.mutex.Lock()
+	c.members = members
+	c.mutex.Unlock()
+	c.setContacts()
+}
+
+// setContacts names the other controllers that the platform or the record knows, and the
+// recorded routers, the nearest first: when the seeds and all that this controller knew
+// are replaced, one of these tells where the core is.
+func (c *Controller) setContacts() {
+	c.mutex.Lock()
+	contacts := slices.Clone(c.nodes)
+	var recorded []string
+	for _, name := range slices.Sorted(maps.Keys(c.members)) {
+		if member := c.members[name]; member.Kind == membership.Controller && name != c.options.Name {
+			recorded = append(recorded, member.Address)
+		}
+	}
+	var p []string
+	for _, name := range membership.Ranked(c.options.Name, membership.RouterNames(c.members)) {
+		p = append(p, c.members[name].Address)
+	}
+	c.mutex.Unlock()
+	c.coordinator.SetDiscovered(contacts)
+	c.coordinator.SetMemberAddresses(append(slices.Clone(recorded), p...))
+	for _, address := range recorded {
+		if !slices.Contains(contacts, address) {
+			contacts = append(contacts, address)
+		}
+	}
+	c.follower.SetContacts(contacts, p)
+}
+
+// readNodes reads the platform's list of nodes, where there is one.
+func (c *Controller) readNodes() {
+	for c.runtime.Alive() {
+		nodes, err := c.options.Directory.Nodes()
+		if failure.CodeOf(err) == failure.NoSuch {
+			return
+		}
+		if err == nil {
+			c.setNodes(nodes)
+		}
+		runtime.Sleep(c.runtime, discovery.NodesInterval)
+	}
+}
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"seamloom.example/seamloom/internal/failure"
 	"seamloom.example/seamloom/internal/lease"
 	"seamloom.example/seamloom/internal/membership"
 	"seamloom.example/seamloom/internal/replication"
@@ -132,3 +133,85 @@
 func (t *Term) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
 	return t.Grants.Lagging(now, version.Number, membership.RouterNames(state.Members))
 }
+
+func (c *Controller) tick() {
+	c.coordinator.Tick()
+	// It may wait for the disk, and nobody may wait for that here.
+	leading := c.store.Leading()
+	epoch := c.coordinator.Membership().Epoch
+	c.mutex.Lock()
+	moved := epoch != c.epoch
+	c.epoch = epoch
+	begun, ended := leading && c.term == nil, !leading && c.term != nil
+	if begun {
+		c.term = newTerm(c.runtime.Now())
+	}
+	if ended {
+		c.term = nil
+	}
+	c.mutex.Unlock()
+	if begun {
+		c.serverList.beginTerm(c.coordinator.Membership().Epoch)
+		c.termBegan.Broadcast()
+	}
+	if ended {
+		c.serverList.endTerm()
+	}
+	if ended || moved {
+		c.updated.Broadcast()
+	}
+}
+
+// Leading gives the term and the committed view if this controller is primary at
+// this moment.
+func (c *Controller) Leading() (*Term, *replication.View, error) {
+	c.mutex.Lock()
+	current := c.term
+	c.mutex.Unlock()
+	view := c.store.View()
+	if current == nil || view == nil || !c.coordinator.HasLease() {
+		return nil, nil, failure.New(failure.NoPrimary, "this expediter is not primary")
+	}
+	return current, view, nil
+}
+
+// Read is the committed state for a reader: the hold is checked after the view
+// was taken, so that it was the newest at some moment of the call. The copies
+// that it finds old are mended.
+func (c *Controller) Read() (*Term, *replication.View, *replication.State, error) {
+	current, view, err := c.Leading()
+	if err != nil {
+		return nil, nil, nil, err
+	}
+	state, err := c.state(current, view)
+	if err != nil {
+		return nil, nil, nil, err
+	}
+	if !c.coordinator.HasLease() {
+		return nil, nil, nil, failure.New(failure.NoPrimary, "the hold ran out")
+	}
+	c.runtime.Go(func() { c.repairCopies(view) })
+	return current, view, state, nil
+}
+
+// state is the committed state, decoded once for each version.
+func (c *Controller) state(current *Term, view *replication.View) (*replication.State, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if current.state != nil && current.stateVersion == view.Version {
+		return current.state, nil
+	}
+	// Claims are many and asked for nowhere but in their own changes.
+	sections := map[string]replication.Section{}
+	for _, name := range []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.RolesSection, replication.OrdersSection, replication.ChangesSection} {
+		if section, found := view.Sections[name]; found {
+			sections[name] = section
+		}
+	}
+	state, err := replication.ReadState(sections)
+	if err != nil {
+		return nil, err
+	}
+	current.state, current.stateVersion = state, view.Version
+	return state, nil
+}
