--- a/internal/controlplane/commit.go
+++ b/internal/controlplane/commit.go
@@ -10,7 +10,8 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// commit syncs batches on every copy in sync, one after another.
+// commit commits batches, one after another: a batch is committed once it is on the disk of
+// every copy in sync, and its version is visible only then.
 func (c *Controller) commit() {
 	for c.runtime.Alive() {
 		seen := c.submitted.Load()
@@ -46,7 +47,7 @@
 	return true
 }
 
-// sync brings a batch to all disks at once and tells whether it is on each.
+// sync sends a batch to all disks at once and tells whether it is on each.
 func (c *Controller) sync(membership replication.Membership, batch replication.Batch) bool {
 	var mutex sync.Mutex
 	var own error
@@ -86,8 +87,7 @@
 		defer mutex.Unlock()
 		return kept && waits == 0
 	}
-	// The own disk may stall for as long as it likes: nothing else is written
-	// meanwhile.
+	// There is no timeout for the own disk: nothing else is written while it stalls.
 	for !cond.Wait(time.Second, ended) {
 		if !c.runtime.Alive() {
 			return false
@@ -102,15 +102,16 @@
 	return true
 }
 
-// queue hands a change to the next batch.
+// queue adds a change to the next batch; done is called with its outcome.
 func (c *Controller) queue(change replication.Change, done replication.Done) {
 	c.store.Submit(change, done)
 	c.submitted.Add(1)
 	c.pending.Broadcast()
 }
 
-// submit waits until a change is synced on every copy in sync. When that can't be
-// known in time the outcome is called unknown.
+// submit commits a change and gives its version. It fails with Unknown when the outcome is not
+// known within the timeout, or the lease ended meanwhile; with NotPrimary when this controller
+// does not lead; and with the change's own codes.
 func (c *Controller) submit(change replication.Change, timeout time.Duration) (replication.Version, error) {
 	var mutex sync.Mutex
 	var version replication.Version
--- a/internal/controlplane/contacts.go
+++ b/internal/controlplane/contacts.go
@@ -13,8 +13,8 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// applyUpdate follows the enabled set as every node does, and the list of servers, to
-// lead with it at once.
+// applyUpdate follows the enabled flags as every node does, and the list of servers, which a
+// new primary sends from its first response on.
 func (c *Controller) applyUpdate(update follower.Update) {
 	if update.Servers != nil && !c.serverList.leading() {
 		c.serverList.update(update.Servers.ReadAt, update.Servers.Servers)
@@ -35,7 +35,7 @@
 	c.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
 }
 
-// applyMembers takes the recorded members from news, or from the own copy.
+// applyMembers takes the recorded members from an update, or from the own copy.
 func (c *Controller) applyMembers(update follower.Update) {
 	section, found := update.Changed[replication.MembersSection]
 	if !found {
@@ -71,9 +71,9 @@
 	c.setContacts()
 }
 
-// setContacts names the other controllers that the platform or the record knows, and the
-// recorded routers, the nearest first: when the seeds and all that this controller knew
-// are replaced, one of these tells where the core is.
+// setContacts gives the coordinator and the follower the other controllers that the platform
+// lists or that are recorded, and the recorded routers, the nearest first: when all seeds and
+// members that this controller knew are replaced, one of these knows the membership.
 func (c *Controller) setContacts() {
 	c.mutex.Lock()
 	contacts := slices.Clone(c.nodes)
@@ -83,19 +83,19 @@
 			recorded = append(recorded, member.Address)
 		}
 	}
-	var p []string
+	var routers []string
 	for _, name := range membership.Ranked(c.options.Name, membership.RouterNames(c.members)) {
-		p = append(p, c.members[name].Address)
+		routers = append(routers, c.members[name].Address)
 	}
 	c.mutex.Unlock()
 	c.coordinator.SetDiscovered(contacts)
-	c.coordinator.SetMemberAddresses(append(slices.Clone(recorded), p...))
+	c.coordinator.SetMemberAddresses(append(slices.Clone(recorded), routers...))
 	for _, address := range recorded {
 		if !slices.Contains(contacts, address) {
 			contacts = append(contacts, address)
 		}
 	}
-	c.follower.SetContacts(contacts, p)
+	c.follower.SetContacts(contacts, routers)
 }
 
 // readNodes reads the platform's list of nodes, where there is one.
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -1,3 +1,9 @@
+// Package controlplane is the control plane: a controller holds a copy of the replicated state
+// and a witness of the election (package replication), and, while it is primary, sends updates
+// and leases to the nodes, commits the operators' edits, and reads the servers' loads for the
+// whole fleet. A redirector knows which controller is primary. The data plane reaches it by
+// package follower and the messages of package wire. Time, threads, disks and the network are
+// ports, so that the simulation runs this very code.
 package controlplane
 
 import (
@@ -13,9 +19,8 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Controller is the control plane's conduct at one node: the copy and the epoch
-// keeper on its disk, and, while it is primary, the answers to nodes and
-// operators.
+// Controller is one node of the control plane: the copy and the witness on its disk, and, while
+// it is primary, the responses to nodes and operators.
 type Controller struct {
 	runtime       runtime.Runtime
 	client        wire.Client
@@ -42,7 +47,7 @@
 
 	mutex sync.Mutex
 	term  *Term
-	// epoch is that of the newest membership that was told to those who ask for news.
+	// epoch is that of the newest membership for which waiting polls were woken.
 	epoch      uint64
 	nodes      []string
 	members    map[string]membership.Member
@@ -51,36 +56,42 @@
 	editing    bool
 }
 
-// The pauses of a controller's rounds. The values are ours.
+// The intervals of a controller's loops. The values are ours.
 const (
 	tickInterval         = 150 * time.Millisecond
 	housekeepingInterval = 300 * time.Millisecond
 	sweepInterval        = 5 * time.Second
 	commitInterval       = 100 * time.Millisecond
-	// idleInterval lies between two looks when there is nothing to do.
+	// idleInterval is how long the commit loop waits when there is nothing to commit.
 	idleInterval   = time.Second
 	repairInterval = time.Second
-	// leaveInterval lies between two looks of a controller that leaves.
+	// leaveInterval is how often a controller that leaves checks whether it is released.
 	leaveInterval = 20 * time.Millisecond
 	// horizonInterval is the time between two moves of the claims' horizon.
 	horizonInterval = 10 * time.Second
 )
 
-// Open opens what the disk holds. A blank or damaged keeper's storage is
-// a new identity, for which the copy that may lie there is emptied.
-func Open(rt runtime.Runtime, client wire.Client, keeping, c replication.Storage, options Options, observe func(string, ...any)) (*Controller, bool, error) {
+// Open opens the witness and the copy on the disk, and tells whether the witness was blank. A
+// blank or damaged witness takes a new identity: the copy beside it belonged to the old one and
+// is emptied. Errors are the storages' own.
+func Open(
+	rt runtime.Runtime,
+	client wire.Client,
+	witnessStorage, copyStorage replication.Storage,
+	options Options,
+	observe func(event string, detail ...any),
+) (*Controller, bool, error) {
 	replica := replication.Replica{Address: options.Address, Name: options.Name}
-	witness, blank, err := replication.OpenWitness(rt.Now(), keeping, replica, options.Fresh)
+	witness, blank, err := replication.OpenWitness(rt.Now(), witnessStorage, replica, options.Fresh)
 	if err != nil {
 		return nil, false, err
 	}
 	if blank {
-		// Whatever copy lies here belonged to an identity that is gone.
-		if err := empty(c); err != nil {
+		if err := empty(copyStorage); err != nil {
 			return nil, true, err
 		}
 	}
-	copied, err := replication.OpenLocalReplica(c)
+	copied, err := replication.OpenLocalReplica(copyStorage)
 	if err != nil {
 		return nil, blank, err
 	}
@@ -89,8 +100,19 @@
 	}
 	witness.SetLock(runtime.NewLock(rt))
 	copied.SetLock(runtime.NewLock(rt))
-	controller := &Controller{runtime: rt, client: client, options: options, observe: observe, witness: witness, store: replication.NewStore(copied, witness),
-		updated: rt.NewCond(), termBegan: rt.NewCond(), pending: rt.NewCond(), confirmations: rt.NewCond(), editDone: rt.NewCond()}
+	controller := &Controller{
+		runtime:       rt,
+		client:        client,
+		options:       options,
+		observe:       observe,
+		witness:       witness,
+		store:         replication.NewStore(copied, witness),
+		updated:       rt.NewCond(),
+		termBegan:     rt.NewCond(),
+		pending:       rt.NewCond(),
+		confirmations: rt.NewCond(),
+		editDone:      rt.NewCond(),
+	}
 	controller.store.SetLock(runtime.NewLock(rt))
 	controller.coordinator = replication.NewCoordinator(rt, options.Seeds, witness, controller.store, &peers{client: client}, observe)
 	if options.JoinsOnly {
@@ -99,17 +121,26 @@
 	timing := replication.TimingFor(options.CatchUp)
 	controller.coordinator.SetTiming(timing)
 	controller.coordinator.SetTolerance(options.ToleratedLosses, options.Zone)
-	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(), "repair", timing.RepairTime().String(), "margin", timing.Margin().String())
-	member := membership.Member{Name: options.Name, Kind: membership.Controller, Address: options.Address, Zone: options.Zone, Supported: options.Supported}
-	controller.follower = follower.New(rt, client, member, options.Seeds, func() replication.Version { return replication.Version{} }, controller.applyUpdate)
+	observe("timing", "catch_up", timing.CatchUp.String(), "lease", timing.Lease.String(),
+		"repair", timing.RepairTime().String(), "margin", timing.Margin().String())
+	member := membership.Member{
+		Name:      options.Name,
+		Kind:      membership.Controller,
+		Address:   options.Address,
+		Zone:      options.Zone,
+		Supported: options.Supported,
+	}
+	noVersion := func() replication.Version { return replication.Version{} }
+	controller.follower = follower.New(rt, client, member, options.Seeds, noVersion, controller.applyUpdate)
 	controller.follower.Follow(options.Directory != nil, false)
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
-	// Who was recorded when this disk was written last may know where the core is now.
+	// The members recorded in the copy may know the present membership.
 	controller.applyMembers(follower.Update{Changed: copied.Sections()})
 	controller.handlerTable = controller.handlers()
 	return controller, blank, nil
 }
 
+// empty removes all files of a storage.
 func empty(storage replication.Storage) error {
 	files, damaged, err := storage.Load()
 	if err != nil {
@@ -121,7 +152,7 @@
 	return storage.Remove(damaged)
 }
 
-// Loops are what a controller does over and over, each in a thread of its own.
+// Loops are the controller's loops; each runs in a thread of its own until the process ends.
 func (c *Controller) Loops() []func() {
 	every := func(pause time.Duration, task func()) func() {
 		return func() { runtime.Every(c.runtime, pause, task) }
@@ -137,9 +168,9 @@
 	return rounds
 }
 
-// Leave hands over what this controller has, the lead, its copy and its witness's seat, and
-// returns when nothing depends on it any more or the patience ends. It goes on as before
-// until then. What was not answered yet has no known outcome.
+// Leave transfers what this controller has, the leadership, its copy and its witness's seat, and
+// returns when nothing depends on it any more or the timeout passes. It goes on as before until
+// then. Changes without a response have an unknown outcome.
 func (c *Controller) Leave(timeout time.Duration) {
 	deadline := c.runtime.Now().Add(timeout)
 	c.coordinator.Leave()
@@ -149,7 +180,7 @@
 	c.observe("left", "released", c.coordinator.ReadyToStop())
 }
 
-// SetSeeds exchanges the seeds, after a reload.
+// SetSeeds replaces the seeds, after a reload of the settings.
 func (c *Controller) SetSeeds(seeds []string) {
 	c.coordinator.SetSeeds(seeds)
 	c.follower.SetSeeds(seeds)
@@ -169,11 +200,11 @@
 // Coordinator decides who is primary, from this node's point of view.
 func (c *Controller) Coordinator() *replication.Coordinator { return c.coordinator }
 
-// Heard is when a primary answered this node last.
+// Heard is when a response of a primary was applied last.
 func (c *Controller) Heard() time.Time { return c.follower.Heard() }
 
-// UpdateCounts tells how many answers, bytes of sections and configurations went
-// out.
+// UpdateCounts counts the responses to polls, and the bytes of sections and the configurations
+// in them.
 func (c *Controller) UpdateCounts() (answers, bytes, configurations uint64) {
 	return c.updateAnswers.Load(), c.updateBytes.Load(), c.configurationsSent.Load()
 }
--- a/internal/controlplane/handlers.go
+++ b/internal/controlplane/handlers.go
@@ -11,11 +11,11 @@
 const (
 	registerTimeout = 1200 * time.Millisecond
 	claimTimeout    = 1200 * time.Millisecond
-	// maxUpdateWait bounds how long a question is held back.
+	// maxUpdateWait bounds how long a poll is held back.
 	maxUpdateWait = 2 * time.Second
 )
 
-// Handlers is what the controller answers on the hotline.
+// Handlers are the controller's handlers of messages from other processes.
 func (c *Controller) Handlers() wire.Handlers { return c.handlerTable }
 
 func (c *Controller) handlers() wire.Handlers {
@@ -69,7 +69,7 @@
 	}
 }
 
-// mine guards against messages for another disk at the same address.
+// checkIdentity fails with NotAdmitted for a message to another disk at the same address.
 func (c *Controller) checkIdentity(identity replication.Identity) error {
 	if own := c.witness.Replica().Identity; identity != own {
 		return failure.New(failure.NotAdmitted, "another disk is at this address now")
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// led carries out a node's change if this controller is primary.
+// submitAsLeader commits a node's change if this controller is primary.
 func (c *Controller) submitAsLeader(change replication.Change) (wire.LeaderResponse, error) {
 	if _, _, err := c.Leading(); err != nil {
 		return wire.LeaderResponse{Membership: c.coordinator.Membership()}, nil
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -10,7 +10,7 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// housekeepWhileLeading does so for as long as this controller leads, and rests while it does not.
+// housekeepWhileLeading runs housekeep at its interval while this controller leads.
 func (c *Controller) housekeepWhileLeading() {
 	for c.runtime.Alive() {
 		if !c.serverList.leading() {
@@ -25,8 +25,8 @@
 	}
 }
 
-// housekeep does what a primary does without being asked: enable flags, give
-// duties, forget old claims.
+// housekeep does a primary's periodic work: it enables flags, grants roles, moves the claims'
+// horizon, retires members and forgets servers.
 func (c *Controller) housekeep() {
 	current, view, err := c.Leading()
 	if err != nil {
@@ -72,10 +72,10 @@
 	c.forgetServers(now, current, state)
 }
 
-// maxListAge is how old the list may be by which servers are held to be gone.
+// maxListAge is how old the list may be by which servers count as gone.
 const maxListAge = 5 * time.Second
 
-// forgetServers takes the records of servers away that are gone for good.
+// forgetServers removes the records of servers that are gone for good.
 func (c *Controller) forgetServers(now time.Time, current *Term, state *replication.State) {
 	if age, read := c.serverList.age(now); !read || age > maxListAge {
 		return
@@ -136,8 +136,8 @@
 	})
 }
 
-// sweep reads the own files again, and finds the copies that no read has
-// mended.
+// sweep reads the own files again and repairs damaged ones, and repairs the other copies that are
+// behind.
 func (c *Controller) sweep() {
 	if mended, err := c.store.LocalReplica().Sweep(); mended > 0 || err != nil {
 		c.observe("copy_swept", "mended", mended, "trouble", err)
--- a/internal/controlplane/options.go
+++ b/internal/controlplane/options.go
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Options say which controller a core is.
+// Options are a controller's settings and ports.
 type Options struct {
 	Name      string
 	Address   string
@@ -18,15 +18,15 @@
 	// FlagStableTime is how long the members must not change before a flag is
 	// enabled.
 	FlagStableTime time.Duration
-	// JoinsOnly keeps a blank disk from forming a first core.
+	// JoinsOnly keeps a blank disk from forming a new core; false: it may.
 	JoinsOnly bool
-	// ToleratedLosses is how many disks may be lost at once; one when it is zero.
+	// ToleratedLosses is how many disks may be lost at once; zero: one.
 	ToleratedLosses int
-	// RetireAfter is how long a recorded member may not be heard from before it is
-	// taken out of the record; zero: for ever.
+	// RetireAfter is after how long without a poll a recorded member is removed from the
+	// record; zero: never.
 	RetireAfter time.Duration
-	// AcknowledgeWait is how long a committed change waits for routers that are not
-	// heard from; zero: for as long as their holds run.
+	// AcknowledgeWait is how long the acknowledgement of a committed change waits for routers
+	// that do not poll; zero: until their leases end.
 	AcknowledgeWait time.Duration
 	// CatchUp is how long a machine counts as lost after its return or after its
 	// successor's start; the core's waits are derived from it. Zero: the default.
--- a/internal/controlplane/readers.go
+++ b/internal/controlplane/readers.go
@@ -71,7 +71,7 @@
 	return told
 }
 
-// logListError logs that the list can't be read, and that it can again, once.
+// logListError logs that the list can't be read, and that it can again, once each.
 func (c *Controller) logListError(err error) {
 	cause := ""
 	if err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// pollServers asks servers at once and waits for those that answer soon.
+// pollServers reads all servers' loads at once and waits roundTimeout for them.
 func (c *Controller) pollServers(servers []membership.Server) {
 	c.serverList.mutex.Lock()
 	epoch := c.serverList.epoch
--- a/internal/controlplane/serverlist.go
+++ b/internal/controlplane/serverlist.go
@@ -14,13 +14,13 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// lists is what a controller knows of the platform's list of servers and of their
-// reports. The primary reads both for the whole fleet; the others have the list from
-// the news, so that they lead with it at once.
+// serverList is the platform's list of servers and their load reports. The primary reads both
+// for the whole fleet; the other controllers have the list from updates, to send it from their
+// first response as primary on.
 type serverList struct {
 	mutex   sync.Mutex
 	listing membership.ServerList
-	// epoch is that of the term whose marks these are, and zero outside of one.
+	// epoch is that of the term, and zero while this controller does not lead.
 	epoch        uint64
 	changes      uint64
 	reportRounds uint64
@@ -39,7 +39,7 @@
 	at   time.Time
 }
 
-// The pauses of reading. The values are ours.
+// The intervals of reading. The values are ours.
 const (
 	listInterval   = 500 * time.Millisecond
 	reportInterval = 333 * time.Millisecond
@@ -60,8 +60,8 @@
 	followedTime = 3 * time.Second
 )
 
-// mark tells one list, or one round of reports, from all others: an epoch has one
-// primary.
+// revisionOf is the revision of a list or of a round of reports. It is unique in the fleet, since
+// an epoch has one primary.
 func revisionOf(epoch, count uint64) uint64 { return epoch<<32 | count&0xffffffff }
 
 func (l *serverList) revision() uint64 {
@@ -78,7 +78,7 @@
 	return revisionOf(l.epoch, l.reportRounds)
 }
 
-// begin starts a term's own marks, from what is known; end ends them.
+// beginTerm starts the revisions of a term, with the list that is known; endTerm ends them.
 func (l *serverList) beginTerm(epoch uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -153,7 +153,7 @@
 		request.WantLoads && l.reportsRevision() != 0 && l.reportsRevision() != request.LoadsRevision
 }
 
-// tell writes into an answer what the asker follows and has not.
+// fill adds to a response what the node wants and does not have.
 func (l *serverList) fill(now time.Time, request wire.UpdateRequest, response *wire.UpdateResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -177,7 +177,7 @@
 	}
 }
 
-// recordFailing takes what a node met at servers.
+// recordFailing takes a node's report of the servers that failed its requests.
 func (l *serverList) recordFailing(now time.Time, request wire.UpdateRequest) {
 	if !request.WantLoads {
 		return
@@ -207,7 +207,7 @@
 	return wanted
 }
 
-// note takes a server's answer, or that there was none.
+// endPoll takes a server's report, or that there was none.
 func (l *serverList) endPoll(epoch uint64, server string, at time.Time, load scheduler.Load, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Term is what a primary remembers for as long as it is primary.
+// Term is the state that a primary has for as long as it is primary.
 type Term struct {
 	Since              time.Time
 	Grants             *lease.RouterLeases
@@ -28,7 +28,14 @@
 }
 
 func newTerm(now time.Time) *Term {
-	return &Term{Since: now, Grants: lease.NewRouterLeases(lease.DefaultTiming(), now), keys: lease.NewRoleLeases(lease.DefaultTiming()), lastPoll: map[string]time.Time{}, unlistedSince: map[string]time.Time{}, membersStableSince: now}
+	return &Term{
+		Since:              now,
+		Grants:             lease.NewRouterLeases(lease.DefaultTiming(), now),
+		keys:               lease.NewRoleLeases(lease.DefaultTiming()),
+		lastPoll:           map[string]time.Time{},
+		unlistedSince:      map[string]time.Time{},
+		membersStableSince: now,
+	}
 }
 
 // candidates are the live routers that lack no enabled flag, with how long
@@ -44,8 +51,8 @@
 	return live
 }
 
-// silent lists the recorded members that have not asked for news for a time. A new
-// primary takes all to have asked when it began. The caller has the controller's mutex.
+// silent lists the recorded members that have not polled for a time. A new primary counts all
+// as having polled at the beginning of its term. The caller has the controller's mutex.
 func (t *Term) silent(now time.Time, state *replication.State, length time.Duration) []string {
 	var silent []string
 	for name := range state.Members {
@@ -69,9 +76,9 @@
 	forgetTimeout   = unlistedTimeout + 10*time.Second
 )
 
-// gone lists the recorded servers that were not listed for so long that their records
-// may go, and lets go of the duties of those that were not listed for a while. The
-// caller has the controller's mutex.
+// goneServers lists the recorded servers that were unlisted for forgetTimeout, whose records may
+// be removed, and releases the roles of those unlisted for unlistedTimeout. The caller has the
+// controller's mutex.
 func (t *Term) goneServers(now time.Time, state *replication.State, listed []membership.Server) []string {
 	recorded := map[string]bool{}
 	for key := range state.Roles.Roles {
--- a/internal/controlplane/updates.go
+++ b/internal/controlplane/updates.go
@@ -13,8 +13,12 @@
 // followedSections are those that nodes follow.
 var followedSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.OrdersSection}
 
-// serveUpdate registers the node if needed, waits for news, and grants a hold
-// for the configuration that the answer confirms.
+// serveUpdate serves a poll: it records the node if needed, waits for an update, and grants the
+// node a lease on the configuration that the response confirms.
+//
+// Its invariant: a change is acknowledged only when no node may still act by an older version.
+// So the lease is granted before the configuration is read again: a version committed since is
+// either seen here, and the response is made anew, or its commit sees the grant and waits for it.
 func (c *Controller) serveUpdate(request wire.UpdateRequest) (wire.UpdateResponse, error) {
 	elsewhere := func() (wire.UpdateResponse, error) { return c.followerResponse(request), nil }
 	current, view, err := c.Leading()
@@ -60,15 +64,13 @@
 			if err != nil {
 				return wire.UpdateResponse{}, err
 			}
-			// From here the router may act for as long as the hold says,
-			// counted from when it asked, which was earlier.
+			// From here on the router may act for the length of the lease, which it counts
+			// from when it sent the request, so that its lease ends before this grant.
 			current.Grants.Grant(now, name, request.InForce.Number)
 			response.Lease = lease.DefaultTiming().Lease
 			response.Roles = current.keys.Renew(now, name, state.Roles.Roles, current.candidates(now, state))
 			response.Routers = current.routers(now, state)
 		}
-		// The grant is noted before this look: a configuration committed since
-		// is either seen here, or its change sees the grant and waits for it.
 		latest := c.store.View()
 		if latest == nil || !c.coordinator.HasLease() {
 			return elsewhere()
@@ -83,8 +85,8 @@
 	}
 }
 
-// shorten sends what changed of the configuration instead of all of it, if the
-// node takes that and has a version that was shown here.
+// useDelta replaces the configuration by its delta, if the node accepts that and has a version
+// that is in the term's cache.
 func useDelta(response *wire.UpdateResponse, request wire.UpdateRequest, current *Term) {
 	section, found := response.Sections[replication.ConfigurationSection]
 	if !found {
@@ -98,7 +100,7 @@
 	response.Deltas = map[string]wire.Delta{replication.ConfigurationSection: delta}
 }
 
-// count adds an answer's sections to what news has cost.
+// countResponse adds a response's sections to the counts of UpdateCounts.
 func (c *Controller) countResponse(response wire.UpdateResponse) {
 	c.updateAnswers.Add(1)
 	for name, section := range response.Sections {
@@ -113,6 +115,7 @@
 	}
 }
 
+// newerSections are the followed sections of which the node has an older version or none.
 func newerSections(view *replication.View, have map[string]replication.Version) map[string]replication.Section {
 	sections := map[string]replication.Section{}
 	for _, name := range followedSections {
@@ -137,15 +140,15 @@
 	return sections
 }
 
-// hasNewerMembership tells whether the membership has changed since the asker heard of it: who
-// belongs to the core, and where, is to reach every node while it can. An older release
-// does not tell what it has heard of, and is told with its next answer.
+// hasNewerMembership tells whether there is a newer membership than the node knows: all nodes
+// are to know the members and their addresses before the old ones are gone. An older release
+// does not send the epoch that it knows, and has the membership with its next response.
 func (c *Controller) hasNewerMembership(request wire.UpdateRequest) bool {
 	return request.Membership != 0 && c.coordinator.Membership().Epoch > request.Membership
 }
 
-// awaitUpdate returns the view as soon as it has news for the question, or when
-// its patience ends; nil when this controller is not primary any more.
+// awaitUpdate returns the view as soon as there is an update for the node, or when the poll's
+// wait is over; nil when this controller is not primary any more.
 func (c *Controller) awaitUpdate(request wire.UpdateRequest) *replication.View {
 	var seen *replication.View
 	c.updated.Wait(min(max(request.MaxWait, 0), maxUpdateWait), func() bool {
@@ -163,11 +166,11 @@
 	return seen
 }
 
-// provisionalSections are those that a router has from a copy. Orders and duties are
-// not among them: they need a primary.
+// provisionalSections are those that a router takes from a copy. Orders and roles are not among
+// them: they need a primary.
 var provisionalSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
-// copyState tells of the own copy, with its sections if their version is the wanted one.
+// copyState is the state of the own copy, with its sections if it has the wanted version.
 func (c *Controller) copyState(wanted replication.Version) *wire.CopyState {
 	copied := c.store.LocalReplica()
 	update := &wire.CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
@@ -185,8 +188,8 @@
 	return update
 }
 
-// elsewhere is the answer of a controller that is not primary. The membership is read
-// before the copy: a copy that the membership names is then no older than its grant.
+// followerResponse is the response of a controller that is not primary. The membership is read
+// before the copy: a copy that the membership names is then no older than the membership.
 func (c *Controller) followerResponse(request wire.UpdateRequest) wire.UpdateResponse {
 	response := wire.UpdateResponse{Membership: c.coordinator.Membership()}
 	if !request.WantProvisional {
@@ -199,12 +202,12 @@
 	return response
 }
 
-// revisions are the configurations that a primary has shown lately, so that a
-// node which has one of them is sent only what changed.
+// deltaCache has the configurations that a primary sent lately, so that a node which has one of
+// them is sent only the delta to the newest.
 type deltaCache struct {
 	mutex  sync.Mutex
 	recent []replication.Section
-	// made are the deltas towards the newest one, by the version they start from.
+	// deltas are those to the newest version, by their base.
 	deltas map[replication.Version]wire.Delta
 }
 
@@ -214,7 +217,7 @@
 	maxRevisionBytes = 48 << 20
 )
 
-// towards gives the delta from the version that a node has to the newest.
+// deltaTo gives the delta from the version that a node has to the newest.
 func (r *deltaCache) deltaTo(newest replication.Section, have replication.Version) (wire.Delta, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
