--- a/internal/controlplane/updates.go
+++ b/internal/controlplane/updates.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"seamloom.example/seamloom/internal/config"
 	"seamloom.example/seamloom/internal/lease"
@@ -11,7 +12,12 @@
 )
 
 // followedSections are those that nodes follow.
-var followedSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.OrdersSection}
+var followedSections = []string{
+	replication.ConfigurationSection,
+	replication.MembersSection,
+	replication.FlagsSection,
+	replication.OrdersSection,
+}
 
 // serveUpdate serves a poll: it records the node if needed, waits for an update, and grants the
 // node a lease on the configuration that the response confirms.
@@ -20,41 +26,34 @@
 // So the lease is granted before the configuration is read again: a version committed since is
 // either seen here, and the response is made anew, or its commit sees the grant and waits for it.
 func (c *Controller) serveUpdate(request wire.UpdateRequest) (wire.UpdateResponse, error) {
-	elsewhere := func() (wire.UpdateResponse, error) { return c.followerResponse(request), nil }
 	current, view, err := c.Leading()
 	if err != nil {
-		return elsewhere()
+		return c.followerResponse(request), nil
 	}
 	if request.LeaderOnly {
-		return wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection)}, nil
+		return wire.UpdateResponse{
+			Leads:         true,
+			Membership:    c.coordinator.Membership(),
+			Configuration: view.VersionOf(replication.ConfigurationSection),
+		}, nil
 	}
 	name := request.Member.Name
 	router := request.Member.Kind == membership.Router
 	arrived := c.runtime.Now()
-	c.mutex.Lock()
-	current.lastPoll[name] = arrived
-	c.mutex.Unlock()
-	if router {
-		c.serverList.recordFailing(arrived, request)
-		current.Grants.Acknowledge(arrived, name, request.InForce.Number)
-		c.confirmations.Broadcast()
-	}
-	state, err := c.state(current, view)
-	if err != nil {
+	c.recordPoll(arrived, current, request)
+	if err := c.register(current, view, request.Member); err != nil {
 		return wire.UpdateResponse{}, err
 	}
-	if recorded, found := state.Members[name]; !found || !recorded.Same(request.Member) {
-		member := request.Member
-		member.Since = c.runtime.Wall()
-		if _, err := c.submit(replication.RegisterMember(member), registerTimeout); err != nil {
-			return wire.UpdateResponse{}, err
-		}
-	}
 	for {
 		if view = c.awaitUpdate(request); view == nil {
-			return elsewhere()
+			return c.followerResponse(request), nil
+		}
+		response := wire.UpdateResponse{
+			Leads:         true,
+			Membership:    c.coordinator.Membership(),
+			Configuration: view.VersionOf(replication.ConfigurationSection),
+			Sections:      newerSections(view, request.Have),
 		}
-		response := wire.UpdateResponse{Leads: true, Membership: c.coordinator.Membership(), Configuration: view.VersionOf(replication.ConfigurationSection), Sections: newerSections(view, request.Have)}
 		useDelta(&response, request, current)
 		now := c.runtime.Now()
 		response.Waited = now.Sub(arrived)
@@ -73,7 +72,7 @@
 		}
 		latest := c.store.View()
 		if latest == nil || !c.coordinator.HasLease() {
-			return elsewhere()
+			return c.followerResponse(request), nil
 		}
 		if latest.VersionOf(replication.ConfigurationSection) == response.Configuration {
 			if response.Membership.Epoch <= request.Membership {
@@ -85,6 +84,34 @@
 	}
 }
 
+// recordPoll records that a node polled, which version it has in force, and which servers failed
+// its requests.
+func (c *Controller) recordPoll(arrived time.Time, current *Term, request wire.UpdateRequest) {
+	name := request.Member.Name
+	c.mutex.Lock()
+	current.lastPoll[name] = arrived
+	c.mutex.Unlock()
+	if request.Member.Kind == membership.Router {
+		c.serverList.recordFailing(arrived, request)
+		current.Grants.Acknowledge(arrived, name, request.InForce.Number)
+		c.confirmations.Broadcast()
+	}
+}
+
+// register commits a node as a member unless it is recorded as it is.
+func (c *Controller) register(current *Term, view *replication.View, member membership.Member) error {
+	state, err := c.state(current, view)
+	if err != nil {
+		return err
+	}
+	if recorded, found := state.Members[member.Name]; found && recorded.Same(member) {
+		return nil
+	}
+	member.Since = c.runtime.Wall()
+	_, err = c.submit(replication.RegisterMember(member), registerTimeout)
+	return err
+}
+
 // useDelta replaces the configuration by its delta, if the node accepts that and has a version
 // that is in the term's cache.
 func useDelta(response *wire.UpdateResponse, request wire.UpdateRequest, current *Term) {
