--- a/internal/controlplane/edit.go
+++ b/internal/controlplane/edit.go
@@ -11,11 +11,11 @@
 
 // Edit is one operator's change of the configuration.
 type Edit struct {
-	// Change is its id, and Digest tells it from another under the same id. Without
-	// an id nothing is noted: sent again, it is made again.
+	// Change is its id: a change is made once under an id, and Digest tells it from another
+	// under the same id. Without an id it is made again when it is sent again.
 	Change string
 	Digest string
-	// Expected is the version that it is made from, if it insists on one.
+	// Expected is the version that it must be made from; nil: any.
 	Expected *replication.Version
 	// BaseRevision is the revision that it builds on, if it insists on one; it then gives
 	// a higher one, and its digest is its id if it has none.
@@ -29,12 +29,13 @@
 const (
 	changeTimeout  = 3 * time.Second
 	inForceTimeout = 6 * time.Second
-	// roundTrip is what an answer and the next question may take on their way.
+	// roundTrip is how long a response and the next poll may take on the network.
 	roundTrip = 150 * time.Millisecond
 )
 
-// Edit changes the configuration and returns the version once it is in force
-// everywhere. A failure of kind Unknown says that it may have been accepted.
+// Edit changes the configuration and returns its version once it is in force everywhere. An error
+// with the code Unknown says that the change may have been committed; Busy that it was not, and
+// can be sent again.
 func (c *Controller) Edit(edit Edit) (replication.Version, error) {
 	if edit.BaseRevision != nil {
 		edit = edit.withRevisionCheck()
@@ -104,8 +105,7 @@
 	}
 }
 
-// noted tells whether the very change was committed before: then it is answered in
-// its turn, and need not be prepared.
+// alreadyCommitted tells whether this change was committed before: then it need not be prepared.
 func (c *Controller) alreadyCommitted(current *Term, view *replication.View, edit Edit) bool {
 	state, err := c.state(current, view)
 	if err != nil || edit.Change == "" {
@@ -136,15 +136,16 @@
 	c.editDone.Broadcast()
 }
 
-// SetAcknowledgeWait chooses how long a committed change waits for routers that are
-// not heard from; zero: for as long as their holds run.
+// SetAcknowledgeWait sets how long the acknowledgement of a committed change waits for routers
+// that do not poll; zero: until their leases end.
 func (c *Controller) SetAcknowledgeWait(length time.Duration) {
 	c.acknowledgeWait.Store(int64(length))
 }
 
-// awaitInForce waits until every router that has a hold has confirmed the
-// version, or its hold ran out; where a wait is chosen, until every router that was
-// heard from within it has, or the wait has passed. Its own hold is checked last.
+// awaitInForce waits until every router has acknowledged the version or its lease has ended: after
+// that no router admits by an older one. With SetAcknowledgeWait it waits only for the routers
+// that polled within that time, and no longer than that. This controller's own lease is checked
+// last: a deposed primary may not know of all routers' leases.
 func (c *Controller) awaitInForce(current *Term, version replication.Version) bool {
 	everywhere := false
 	committed := c.runtime.Now()
@@ -152,10 +153,10 @@
 	deadline := committed.Add(inForceTimeout)
 	for c.runtime.Now().Before(deadline) {
 		lost := false
-		// Grants run out without a ring: the wait is cut into short ones.
+		// Leases end without a broadcast: the wait is cut into short ones.
 		over := c.confirmations.Wait(50*time.Millisecond, func() bool {
-			ruling, view, err := c.Leading()
-			if err != nil || ruling != current {
+			term, view, err := c.Leading()
+			if err != nil || term != current {
 				lost = true
 				return true
 			}
@@ -166,7 +167,7 @@
 			}
 			now := c.runtime.Now()
 			if wait > 0 {
-				// A question that is held back counts from when it came.
+				// A poll that is held back counts from when it came.
 				everywhere = now.Sub(committed) >= wait || len(current.behind(now, version, max(wait, follower.LoadsWait+roundTrip))) == 0
 			} else {
 				everywhere = len(current.Lagging(now, version, state)) == 0
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -7,15 +7,18 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
+// The timeouts of calls to other controllers. The values are ours.
 const (
 	peerTimeout    = 450 * time.Millisecond
 	batchTimeout   = 1200 * time.Millisecond
 	installTimeout = 6 * time.Second
 )
 
-// peers reaches the other controllers over the hotline.
+// peers is the client of the other controllers' coordinators, witnesses and stores: the
+// network port of package replication.
 type peers struct{ client wire.Client }
 
+// Hello exchanges greetings: who is at an address, and which membership it knows.
 func (p *peers) Hello(address string, own replication.Hello) (replication.Hello, error) {
 	var response replication.Hello
 	err := wire.Call(p.client, address, wire.HelloPath, own, &response, peerTimeout)
@@ -23,27 +26,32 @@
 }
 
 func (p *peers) askWitness(address, path string, request wire.WitnessRequest) (replication.Vote, error) {
-	var promise replication.Vote
-	err := wire.Call(p.client, address, path, request, &promise, peerTimeout)
-	return promise, err
+	var vote replication.Vote
+	err := wire.Call(p.client, address, path, request, &vote, peerTimeout)
+	return vote, err
 }
 
+// Prepare asks a witness for its vote in an epoch.
 func (p *peers) Prepare(address string, witness replication.Identity, epoch uint64, candidate replication.Identity) (replication.Vote, error) {
 	return p.askWitness(address, wire.PreparePath, wire.WitnessRequest{To: witness, From: candidate, Epoch: epoch})
 }
 
+// Accept asks a witness to accept a membership.
 func (p *peers) Accept(address string, witness replication.Identity, membership replication.Membership) (replication.Vote, error) {
 	return p.askWitness(address, wire.AcceptPath, wire.WitnessRequest{To: witness, Membership: membership})
 }
 
+// RenewLease asks a witness to renew the primary's lease.
 func (p *peers) RenewLease(address string, witness replication.Identity, epoch uint64, primary replication.Identity) (replication.Vote, error) {
 	return p.askWitness(address, wire.ConfirmPath, wire.WitnessRequest{To: witness, From: primary, Epoch: epoch})
 }
 
+// Replicate sends a batch to a backup.
 func (p *peers) Replicate(address string, backup replication.Identity, epoch uint64, batch replication.Batch) error {
 	return wire.Call(p.client, address, wire.ReplicatePath, wire.ReplicateRequest{To: backup, Epoch: epoch, Batch: batch}, nil, batchTimeout)
 }
 
+// Install sends a complete copy to a backup.
 func (p *peers) Install(address string, backup replication.Identity, snapshot replication.Snapshot) error {
 	return wire.Call(p.client, address, wire.InstallPath, wire.InstallRequest{To: backup, Snapshot: snapshot}, nil, installTimeout)
 }
--- a/internal/controlplane/readers.go
+++ b/internal/controlplane/readers.go
@@ -38,13 +38,13 @@
 	}
 }
 
-// provisionalTimeout is how long a router that fetches a configuration from a copy
-// waits for the list that is being read. The value is ours.
+// provisionalTimeout is how long the response to a router that fetches a configuration from a
+// copy waits for the list that is being read. The value is ours.
 const provisionalTimeout = 150 * time.Millisecond
 
 // provisionalServers is the list of servers for routers that have no primary. It is
 // read when the first of them asks, so that they need not all read it themselves, and
-// told to who fetches a configuration.
+// sent to those that fetch a configuration.
 func (c *Controller) provisionalServers(fetches bool) *wire.ServersUpdate {
 	if c.options.Directory == nil {
 		return nil
@@ -63,12 +63,12 @@
 	if !fetches {
 		return nil
 	}
-	var told *wire.ServersUpdate
+	var servers *wire.ServersUpdate
 	c.updated.Wait(provisionalTimeout, func() bool {
-		told = c.serverList.recent(c.runtime.Now())
-		return told != nil
+		servers = c.serverList.recent(c.runtime.Now())
+		return servers != nil
 	})
-	return told
+	return servers
 }
 
 // logListError logs that the list can't be read, and that it can again, once each.
@@ -78,10 +78,10 @@
 		cause = string(failure.CodeOf(err))
 	}
 	c.serverList.mutex.Lock()
-	told := c.serverList.lastError == cause
+	logged := c.serverList.lastError == cause
 	c.serverList.lastError = cause
 	c.serverList.mutex.Unlock()
-	if !told {
+	if !logged {
 		c.observe("list_read", "trouble", err)
 	}
 }
--- a/internal/controlplane/redirector.go
+++ b/internal/controlplane/redirector.go
@@ -10,8 +10,8 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Redirector is the control plane's conduct at a node without a disk: it keeps nothing
-// and belongs to no core, but knows which controller is primary when it is asked.
+// Redirector is a node of the control plane without a disk: it stores nothing and is no member,
+// but finds the controller that is primary, for operators whose requests it redirects.
 type Redirector struct {
 	runtime runtime.Runtime
 	client  wire.Client
--- a/internal/dataplane/forwarding.go
+++ b/internal/dataplane/forwarding.go
@@ -48,7 +48,14 @@
 // idempotent runs at most once.
 func (r *Router) forward(arrival Arrival, reply Reply) {
 	never := false
-	refused := ReplyLine{Request: arrival.Request.ID, Final: auction.Refused, Ran: &never, Type: failure.Restricted, Detail: "this courier lacks an enabled flag and no capable one was reached", RetryAfterSeconds: 1}
+	refused := ReplyLine{
+		Request:           arrival.Request.ID,
+		Final:             auction.Refused,
+		Ran:               &never,
+		Type:              failure.Restricted,
+		Detail:            "this courier lacks an enabled flag and no capable one was reached",
+		RetryAfterSeconds: 1,
+	}
 	if arrival.Forwarding == nil {
 		for _, member := range r.capableRouters(arrival.Request.ID) {
 			forwarding := wire.Forwarding{Nonce: r.nonce()}
