--- a/cmd/testbed/each.go
+++ b/cmd/testbed/each.go
@@ -19,7 +19,7 @@
 	chosen := &plan{once: 0.3}
 	command := &cobra.Command{Use: "each", Short: "every fault alone, each in a day of its own, as a table", Args: cobra.NoArgs,
 		Example: "  testbed each --deployment kochloeffel --length 20s --parallel 3"}
-	common(command, chosen)
+	addFleetFlags(command, chosen)
 	command.Flags().DurationVar(&chosen.length, "length", 20*time.Second, "how long each day is")
 	parallel := command.Flags().Int("parallel", 1, "how many fleets run at once")
 	command.RunE = func(*cobra.Command, []string) error {
@@ -29,7 +29,7 @@
 		}
 		var names []string
 		for _, name := range fleet.FaultNames() {
-			if only, found := own[name]; (!found || only == chosen.deployment) && name != "upgrade-builds" {
+			if only, found := onlyIn[name]; (!found || only == chosen.deployment) && name != "upgrade-builds" {
 				names = append(names, name)
 			}
 		}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -45,7 +45,7 @@
 
 func main() {
 	root := &cobra.Command{Use: "testbed", Short: "seamloom's test kit", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(fleetCommand(), runCommand(), seasonCommand(), worldsCommand(), removalsCommand(), eachCommand(), regionsCommand(), compareCommand(), platformDayCommand(), platformDaysCommand(), scriptCommand(membership.Router), scriptCommand(membership.Controller))
+	root.AddCommand(fleetCommand(), runCommand(), soakCommand(), simulateCommand(), mutateCommand(), eachCommand(), regionsCommand(), compareCommand(), replayCommand(), replayDrawnCommand(), scriptCommand(membership.Router), scriptCommand(membership.Controller))
 	if err := root.Execute(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "rehearsal:", err)
 		var m mistaken
@@ -56,7 +56,7 @@
 	}
 }
 
-func common(command *cobra.Command, chosen *plan) {
+func addFleetFlags(command *cobra.Command, chosen *plan) {
 	own, _ := os.Executable()
 	set := command.Flags()
 	set.StringVar(&chosen.deployment, "deployment", "sahil", "sahil or kochloeffel")
@@ -122,7 +122,7 @@
 func fleetCommand() *cobra.Command {
 	chosen := &plan{}
 	command := &cobra.Command{Use: "fleet", Short: "start a fleet on this machine and leave it running until interrupted", Args: cobra.NoArgs}
-	common(command, chosen)
+	addFleetFlags(command, chosen)
 	configured := command.Flags().Bool("configured", true, "put the deployment's first configuration")
 	load := command.Flags().Bool("load", false, "let callers send inquiries")
 	command.RunE = func(*cobra.Command, []string) error {
@@ -141,9 +141,9 @@
 		lifetime, end := interrupted()
 		defer end()
 		if *load {
-			day.Callers.SetRates(chosen.long, chosen.short)
-			day.Callers.Run(lifetime)
-			fmt.Print(fleet.Judge(running.Book.Entries()))
+			day.Clients.SetRates(chosen.long, chosen.short)
+			day.Clients.Run(lifetime)
+			fmt.Print(fleet.Judge(running.Events.Entries()))
 		}
 		<-lifetime.Done()
 		return nil
@@ -155,7 +155,7 @@
 	chosen := &plan{}
 	command := &cobra.Command{Use: "run", Short: "one seeded day with faults, and the checkers' verdict", Args: cobra.NoArgs,
 		Example: "  testbed run --deployment sahil --seed 7 --seconds 40s --faults kill-courier,crash-server,kill-primary"}
-	common(command, chosen)
+	addFleetFlags(command, chosen)
 	command.Flags().DurationVar(&chosen.length, "length", 30*time.Second, "how long the day is")
 	command.Flags().StringVar(&chosen.faults, "faults", "", "faults in their order, with commas between: "+strings.Join(fleet.FaultNames(), ", "))
 	command.Flags().StringVar(&chosen.closing, "closing", "", "a fault at the end of the day, after which service must return in time")
@@ -213,7 +213,7 @@
 	defer running.Close()
 	day := fleet.NewDay(running, p.seed, log)
 	day.Long, day.Short = p.long, p.short
-	day.Callers.Once = p.once
+	day.Clients.Once = p.once
 	if err := day.Open(); err != nil {
 		return verdict, err
 	}
@@ -228,5 +228,5 @@
 			primary.Metric("seamloom_answered_changes_total"), primary.Metric("seamloom_synced_batches_total"), primary.Metric("seamloom_configurations_sent_total"),
 			primary.Metric("seamloom_news_drawer_bytes_total"), primary.Metric("seamloom_news_answers_total"))
 	}
-	return verdict, running.Book.Save(filepath.Join(p.folder, "book.jsonl"))
+	return verdict, running.Events.Save(filepath.Join(p.folder, "book.jsonl"))
 }
--- a/cmd/testbed/mutate.go
+++ b/cmd/testbed/mutate.go
@@ -17,12 +17,12 @@
 	"seamloom.example/seamloom/internal/testbed/mutation"
 )
 
-// removalPatience bounds one removal's test.
-const removalPatience = 8 * time.Minute
+// mutationTimeout bounds one removal's test.
+const mutationTimeout = 8 * time.Minute
 
-// removalsCommand takes each protection away in a copy of the source and wants
+// mutateCommand takes each protection away in a copy of the source and wants
 // its test to fail there.
-func removalsCommand() *cobra.Command {
+func mutateCommand() *cobra.Command {
 	command := &cobra.Command{Use: "mutate", Aliases: []string{"removals"}, Short: "take each protection away in a copy of the source and run the test that must then fail", Args: cobra.NoArgs,
 		Long: "removals copies the source to a scratch folder, takes one protection away, and runs the test that guards it,\n" +
 			"for each protection. It must be run in the source's folder. A test that passes without its protection, and a\n" +
@@ -41,17 +41,17 @@
 		}
 		defer func() { _ = os.RemoveAll(scratch) }()
 		failed := 0
-		for number, removal := range mutation.All {
-			if !chosen.MatchString(removal.Name) {
+		for number, m := range mutation.All {
+			if !chosen.MatchString(m.Name) {
 				continue
 			}
-			said, err := tryRemoval(removal, *source, filepath.Join(scratch, fmt.Sprint(number)))
+			outcome, err := runMutation(m, *source, filepath.Join(scratch, fmt.Sprint(number)))
 			if err != nil {
 				failed++
 				text := err.Error()
-				said = "NOT SEEN: " + text[:min(len(text), 400)]
+				outcome = "NOT SEEN: " + text[:min(len(text), 400)]
 			}
-			fmt.Printf("%-66s | %-44s | %s\n", removal.Name, removal.Never, said)
+			fmt.Printf("%-66s | %-44s | %s\n", m.Name, m.Never, outcome)
 		}
 		if failed > 0 {
 			return failure.New(failure.Contradictory, fmt.Sprintf("%d protections can go without a test seeing it", failed))
@@ -61,29 +61,29 @@
 	return command
 }
 
-// tryRemoval tells how the test saw the removal.
-func tryRemoval(removal mutation.Removal, source, folder string) (string, error) {
+// runMutation tells how the test saw the removal.
+func runMutation(m mutation.Mutation, source, folder string) (string, error) {
 	if err := os.CopyFS(folder, os.DirFS(source)); err != nil {
 		return "", failure.Wrap(failure.Disk, err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	if err := removal.Apply(folder); err != nil {
+	if err := m.Apply(folder); err != nil {
 		return "", err
 	}
 	if output, err := runIn(folder, "go", "vet", "./internal/wire", "./internal/follower", "./internal/controlplane", "./internal/dataplane", "./internal/replication", "./internal/auction", "./internal/lease", "./internal/adapters/..."); err != nil {
 		return "", failure.New(failure.Malformed, "without it the source does not build: "+output)
 	}
-	if !removal.Worlds {
-		output, err := runIn(folder, "go", "test", "-count=1", "-run", "^("+removal.Test+")", removal.Package)
+	if !m.Worlds {
+		output, err := runIn(folder, "go", "test", "-count=1", "-run", "^("+m.Test+")", m.Package)
 		if err == nil {
-			return "", failure.New(failure.Missing, removal.Test+" passes without it")
+			return "", failure.New(failure.Missing, m.Test+" passes without it")
 		}
-		if !strings.Contains(output, "--- FAIL: "+removal.Test) {
-			return "", failure.New(failure.Malformed, removal.Test+" did not run: "+output)
+		if !strings.Contains(output, "--- FAIL: "+m.Test) {
+			return "", failure.New(failure.Malformed, m.Test+" did not run: "+output)
 		}
-		return removal.Test + " fails", nil
+		return m.Test + " fails", nil
 	}
-	arguments := append([]string{"run", "./cmd/testbed", "simulate", "--from", "1", "--count", "600", "--until-broken", removal.Finds}, removal.Flags...)
+	arguments := append([]string{"run", "./cmd/testbed", "simulate", "--from", "1", "--count", "600", "--until-broken", m.Finds}, m.Flags...)
 	output, err := runIn(folder, "go", arguments...)
 	found := regexp.MustCompile(`after (\d+) days seed (\d+) FAILED`).FindStringSubmatch(output)
 	if err == nil || found == nil {
@@ -93,7 +93,7 @@
 }
 
 func runIn(folder, program string, arguments ...string) (string, error) {
-	lifetime, end := context.WithTimeout(context.Background(), removalPatience)
+	lifetime, end := context.WithTimeout(context.Background(), mutationTimeout)
 	defer end()
 	command := exec.CommandContext(lifetime, program, arguments...)
 	command.Dir = folder
--- a/cmd/testbed/regions.go
+++ b/cmd/testbed/regions.go
@@ -36,7 +36,7 @@
 			return failure.New(failure.OutOfRange, "a fleet has three expediters at least, and a courier")
 		}
 		fleet := simulation.NewLaidOut(layout, *seed)
-		fleet.SetWays(simulation.Ways{AcknowledgeWait: *wait})
+		fleet.SetSettings(simulation.Settings{AcknowledgeWait: *wait})
 		if *trace {
 			fleet.Log = func(line string) { _, _ = fmt.Fprintln(os.Stderr, line) }
 		}
--- a/cmd/testbed/replay.go
+++ b/cmd/testbed/replay.go
@@ -26,9 +26,9 @@
 	return text
 }
 
-// platformDayCommand plays a day of the users' platform around the programs of a deploy
+// replayCommand plays a day of the users' platform around the programs of a deploy
 // file.
-func platformDayCommand() *cobra.Command {
+func replayCommand() *cobra.Command {
 	var deploy, binaries, folder string
 	command := &cobra.Command{Use: "replay FILE", Aliases: []string{"platform-day"}, Short: "play a day of the users' platform around the deployed programs", Args: cobra.ExactArgs(1),
 		Long: "Plays a day file: model servers, the list of servers, operators, clients and machines over loopback,\n" +
@@ -60,8 +60,8 @@
 	return command
 }
 
-// platformDaysCommand plays drawn days of the platform, one after another.
-func platformDaysCommand() *cobra.Command {
+// replayDrawnCommand plays drawn days of the platform, one after another.
+func replayDrawnCommand() *cobra.Command {
 	var deploy, binaries, folder string
 	var from uint64
 	var count, faults int
--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -14,8 +14,8 @@
 	"seamloom.example/seamloom/internal/testbed/simulation"
 )
 
-// worldsCommand runs many days in virtual time, or replays one.
-func worldsCommand() *cobra.Command {
+// simulateCommand runs many days in virtual time, or replays one.
+func simulateCommand() *cobra.Command {
 	campaign := &simulation.Campaign{Day: simulation.DefaultDay()}
 	command := &cobra.Command{Use: "simulate", Aliases: []string{"worlds"}, Short: "many seeded days of whole fleets in virtual time, or the replay of one", Args: cobra.NoArgs,
 		Example: "  testbed simulate --from 1 --count 5000\n  testbed simulate --from 17 --count 1 --trace\n  testbed simulate --only 'a disk is lost' --count 200"}
@@ -31,7 +31,7 @@
 	set.Float64Var(&campaign.Day.Long, "long", campaign.Day.Long, "long-prompt inquiries a second")
 	set.Float64Var(&campaign.Day.Short, "short", campaign.Day.Short, "short chats a second")
 	trace := set.Bool("trace", false, "print every step of the first seed's day and its verdict")
-	book := set.String("book", "", "with --trace: save the book here, as JSON lines")
+	eventsFile := set.String("book", "", "with --trace: save the book here, as JSON lines")
 	length := set.Duration("for", 0, "begin no further day after this time (default: run all)")
 	untilBroken := set.String("until-broken", "", "stop at the first day that breaks a rule whose name has this in it, or at any that fails if it is empty")
 	each := set.Bool("each", false, "run the count for every fault alone, a line each")
@@ -48,12 +48,12 @@
 			fleet := simulation.New(deployment, campaign.First)
 			fleet.Log = func(line string) { fmt.Println(line) }
 			result := fleet.Run(campaign.Day)
-			if *book != "" {
-				if err := fleet.Book.Save(*book); err != nil {
+			if *eventsFile != "" {
+				if err := fleet.Events.Save(*eventsFile); err != nil {
 					return err
 				}
 			}
-			fmt.Printf("%swhole at the end: %v, digest %s\n", result.Verdict, result.Whole, fleet.Trace())
+			fmt.Printf("%swhole at the end: %v, digest %s\n", result.Verdict, result.Restored, fleet.Trace())
 			return broken(result.Failed())
 		}
 		if *each {
@@ -81,7 +81,7 @@
 			until := command.Flags().Changed("until-broken")
 			if result.Failed() && (!until || (result.Broke(*untilBroken) && !campaign.Stop.Load())) {
 				campaign.Stop.Store(until)
-				fmt.Printf("after %d days seed %d FAILED, whole at the end: %v, two primaries at once: %d\n%sreplay: testbed simulate --from %d --count 1 --trace%s\n", days, seed, result.Whole, result.Twice, result.Verdict, seed, flags(campaign))
+				fmt.Printf("after %d days seed %d FAILED, whole at the end: %v, two primaries at once: %d\n%sreplay: testbed simulate --from %d --count 1 --trace%s\n", days, seed, result.Restored, result.TwoPrimaries, result.Verdict, seed, flags(campaign))
 			}
 		})
 		report(tally, time.Since(began))
@@ -118,7 +118,7 @@
 	for _, checker := range slices.Sorted(maps.Keys(counter.Violations)) {
 		fmt.Printf("violations %4d  %-52s worst %.2f s\n", counter.Violations[checker], checker, counter.Longest[checker])
 	}
-	for _, what := range slices.Sorted(maps.Keys(counter.Temptations)) {
-		fmt.Printf("tempted %7d times in %5d days: %s\n", counter.Temptations[what], counter.Tempted[what], what)
+	for _, what := range slices.Sorted(maps.Keys(counter.Encounters)) {
+		fmt.Printf("tempted %7d times in %5d days: %s\n", counter.Encounters[what], counter.DaysWith[what], what)
 	}
 }
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -15,7 +15,7 @@
 )
 
 // own lists the faults that only one deployment sees.
-var own = map[string]string{"replace-core": "sahil", "exchange-seeds": "kochloeffel", "large-configuration": "kochloeffel", "large-storm": "kochloeffel", "freeze-primary": "kochloeffel", "freeze-courier": "kochloeffel", "freeze-holder": "kochloeffel"}
+var onlyIn = map[string]string{"replace-core": "sahil", "exchange-seeds": "kochloeffel", "large-configuration": "kochloeffel", "large-storm": "kochloeffel", "freeze-primary": "kochloeffel", "freeze-courier": "kochloeffel", "freeze-holder": "kochloeffel"}
 
 var closings = []string{"herd-couriers", "herd-expediters", "cold-start", "lose-zone", "kill-primary", "power-loss", "crash-server"}
 
@@ -24,7 +24,7 @@
 	random := rand.New(rand.NewPCG(seed, 5))
 	var names []string
 	for _, name := range fleet.FaultNames() {
-		if only, found := own[name]; !found || only == deployment {
+		if only, found := onlyIn[name]; !found || only == deployment {
 			names = append(names, name)
 		}
 	}
@@ -32,13 +32,13 @@
 	return names[:min(count, len(names))], closings[random.IntN(len(closings))]
 }
 
-// seasonCommand runs many seeded days, one after another. Each seed draws its
+// soakCommand runs many seeded days, one after another. Each seed draws its
 // own faults; a day that fails is named with the command that replays it.
-func seasonCommand() *cobra.Command {
+func soakCommand() *cobra.Command {
 	chosen := &plan{once: 0.3}
 	command := &cobra.Command{Use: "soak", Aliases: []string{"season"}, Short: "many seeded days with drawn faults, one after another", Args: cobra.NoArgs,
 		Example: "  testbed soak --deployment kochloeffel --from 1 --days 20"}
-	common(command, chosen)
+	addFleetFlags(command, chosen)
 	from := command.Flags().Uint64("from", 1, "the first seed")
 	days := command.Flags().Int("days", 5, "how many days")
 	count := command.Flags().Int("count", 5, "how many faults a day")
--- a/internal/testbed/fleet/checkers.go
+++ b/internal/testbed/fleet/checkers.go
@@ -16,14 +16,14 @@
 	turnLimit     = 3 * time.Second
 	returnLimit   = 12 * time.Second
 	attemptsShare = 0.2
-	coldSpan      = 2 * time.Second
-	coldDepth     = 8
+	warmupSpan    = 2 * time.Second
+	warmupDepth   = 8
 )
 
 // The checkers read only what stand-ins and callers wrote down.
 var checkers = []func([]Entry) Finding{
 	checkSecondRun, checkRefusedNeverRuns, checkReplies, checkMemory, checkLeaving, checkEvacuated, checkInForce, checkNeverBack,
-	checkRefusedRevisions, checkReads, checkAttempts, checkCold, checkCommands, checkFormats, checkReturn, checkHeldBack,
+	checkRefusedRevisions, checkReads, checkAttempts, checkWarmup, checkCommands, checkFormats, checkReturn, checkQueueTime,
 }
 
 // checkSecondRun: a request that is not idempotent is started once at most,
@@ -344,17 +344,17 @@
 	return finding
 }
 
-// checkCold: in its first moments a server is asked for little at once.
-func checkCold(entries []Entry) Finding {
-	finding := Finding{Checker: "a cold server is not flooded", Limit: strconv.Itoa(coldDepth)}
+// checkWarmup: in its first moments a server is asked for little at once.
+func checkWarmup(entries []Entry) Finding {
+	finding := Finding{Checker: "a cold server is not flooded", Limit: strconv.Itoa(warmupDepth)}
 	worst := 0
 	for _, entry := range entries {
-		if (entry.Kind != PrefillAsked && entry.Kind != DecodeAsked) || entry.Age > coldSpan {
+		if (entry.Kind != PrefillAsked && entry.Kind != DecodeAsked) || entry.Age > warmupSpan {
 			continue
 		}
 		finding.Looked++
 		worst = max(worst, entry.Depth)
-		if entry.Depth > coldDepth {
+		if entry.Depth > warmupDepth {
 			finding.Violate(fmt.Sprintf("%s had %d at once, %s old", entry.Server, entry.Depth, entry.Age))
 		}
 	}
@@ -525,14 +525,14 @@
 	return finding
 }
 
-// heldLimit is how long a request that never ran may wait for its word: two
+// queueTimeLimit is how long a request that never ran may wait for its word: two
 // seconds for a hold and three for a claim, and what their last tries take.
-const heldLimit = 6 * time.Second
+const queueTimeLimit = 6 * time.Second
 
-// checkHeldBack: a request that is given up before anything was begun for it has
+// checkQueueTime: a request that is given up before anything was begun for it has
 // its final word at once, long before its limit.
-func checkHeldBack(entries []Entry) Finding {
-	finding := Finding{Checker: "a given-up inquiry is answered at once", Limit: heldLimit.String()}
+func checkQueueTime(entries []Entry) Finding {
+	finding := Finding{Checker: "a given-up inquiry is answered at once", Limit: queueTimeLimit.String()}
 	var worst time.Duration
 	var woken []Entry
 	for _, entry := range entries {
@@ -558,7 +558,7 @@
 			took -= max(0, until.Sub(from))
 		}
 		worst = max(worst, took)
-		if took > heldLimit {
+		if took > queueTimeLimit {
 			finding.Violate(fmt.Sprintf("%s was refused (%s) after %s", entry.Request, entry.Cause, entry.Took))
 		}
 	}
--- a/internal/testbed/fleet/checkers_test.go
+++ b/internal/testbed/fleet/checkers_test.go
@@ -100,20 +100,20 @@
 		{"service returns after a closing fault", []Entry{{At: at(40000), Kind: ClosingFault}, {At: at(41000), Kind: Replied, Final: "complete"}}},
 	}
 	for _, hidden := range subtle {
-		book := &Book{}
+		book := &EventLog{}
 		for _, entry := range append(cleanDay(start), hidden.entries...) {
-			book.Note(entry)
+			book.Append(entry)
 		}
 		if verdict := Judge(book.Entries()); verdict.Finding(hidden.checker).Violations == 0 {
 			t.Errorf("%s does not see %+v", hidden.checker, hidden.entries[len(hidden.entries)-1])
 		}
 	}
 	for checker, entries := range seeded {
-		book := &Book{}
+		events := &EventLog{}
 		for _, entry := range append(cleanDay(start), entries...) {
-			book.Note(entry)
+			events.Append(entry)
 		}
-		if verdict := Judge(book.Entries()); verdict.Finding(checker).Violations == 0 {
+		if verdict := Judge(events.Entries()); verdict.Finding(checker).Violations == 0 {
 			t.Errorf("%s does not see its seeded violation", checker)
 		}
 	}
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -17,10 +17,10 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Callers are the stand-ins of restaurants, riders and cooks: they send
+// Clients are the stand-ins of restaurants, riders and cooks: they send
 // requests at a steady rate, whatever becomes of them, and write down what
 // they read.
-type Callers struct {
+type Clients struct {
 	fleet  *Fleet
 	client *http.Client
 	random *rand.Rand
@@ -33,29 +33,29 @@
 	Once float64
 }
 
-// NewCallers makes callers with a seed. The share once of the requests may
+// NewClients makes callers with a seed. The share once of the requests may
 // not be repeated.
-func NewCallers(fleet *Fleet, seed uint64, once float64) *Callers {
-	return &Callers{fleet: fleet, random: rand.New(rand.NewPCG(seed, 77)), Once: once,
+func NewClients(fleet *Fleet, seed uint64, once float64) *Clients {
+	return &Clients{fleet: fleet, random: rand.New(rand.NewPCG(seed, 77)), Once: once,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}}
 }
 
 // SetRates sets how many requests of each kind come in a second.
-func (c *Callers) SetRates(long, short float64) {
+func (c *Clients) SetRates(long, short float64) {
 	c.longRate.Store(int64(long * 1000))
 	c.shortRate.Store(int64(short * 1000))
 }
 
 // Run sends requests until the lifetime ends, then waits for the replies.
-func (c *Callers) Run(lifetime context.Context) {
+func (c *Clients) Run(lifetime context.Context) {
 	defer c.waiting.Wait()
 	for lifetime.Err() == nil {
 		long, short := float64(c.longRate.Load())/1000, float64(c.shortRate.Load())/1000
-		pause := time.Duration(c.random.ExpFloat64() / max(long+short, 0.01) * float64(time.Second))
-		if !pauseFor(lifetime, min(pause, time.Second)) {
+		interval := time.Duration(c.random.ExpFloat64() / max(long+short, 0.01) * float64(time.Second))
+		if !sleep(lifetime, min(interval, time.Second)) {
 			return
 		}
-		if pause > time.Second {
+		if interval > time.Second {
 			continue
 		}
 		kind := c.fleet.Deployment.Short
@@ -93,20 +93,20 @@
 // converse sends a request and, as callers do, sends the same id again: after a
 // refusal, after a broken connection at another router, and now and then after any
 // word.
-func (c *Callers) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, h habit) {
+func (c *Clients) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, h habit) {
 	for arrival := range 3 {
 		entry.Arrival, entry.Router = arrival, node.Node.Name
 		reply, retry := c.send(context.Background(), node.Node.Address, question, entry, h.leaves)
-		pause := 100 * time.Millisecond
+		interval := 100 * time.Millisecond
 		switch {
 		case reply.Cause == CallerLeft, reply.Final == "complete" && !h.persists:
 			return
 		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && h.obeys:
-			pause = retry
+			interval = retry
 		case reply.Final != "" && !h.persists:
 			return
 		}
-		if !pauseFor(lifetime, pause) {
+		if !sleep(lifetime, interval) {
 			return
 		}
 		if node = c.pick(entry.Zone, h.elsewhere+arrival); node == nil {
@@ -118,7 +118,7 @@
 
 // pick is the node that the platform hands a client of the zone to: one of
 // its own that is up, or any other.
-func (c *Callers) pick(zone string, draw int) *NodeProcess {
+func (c *Clients) pick(zone string, draw int) *NodeProcess {
 	running := c.fleet.Running(membership.Router)
 	var near []*NodeProcess
 	for _, node := range running {
@@ -148,7 +148,7 @@
 	Chunks       int    `json:"pieces"`
 }
 
-func (c *Callers) question(kind Kind, node *NodeProcess) (Question, Entry) {
+func (c *Clients) question(kind Kind, node *NodeProcess) (Question, Entry) {
 	idempotent := c.random.Float64() >= c.Once
 	question := Question{ID: dataplane.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(c.number%50), Idempotent: idempotent,
 		Limit: 15_000, PromptTokens: kind.LeastTokens + c.random.IntN(kind.MostTokens-kind.LeastTokens),
@@ -159,7 +159,7 @@
 
 // Send sends one request and writes down its reply, word for word. A reply
 // that breaks off without a final line is noted without one.
-func (c *Callers) Send(lifetime context.Context, address string, question Question, entry Entry) Entry {
+func (c *Clients) Send(lifetime context.Context, address string, question Question, entry Entry) Entry {
 	reply, _ := c.send(lifetime, address, question, entry, -1)
 	return reply
 }
@@ -169,11 +169,11 @@
 
 // send sends one request; it also tells when the caller may come back. A caller
 // that leaves closes the connection after so many chunks.
-func (c *Callers) send(lifetime context.Context, address string, question Question, entry Entry, leaves int) (Entry, time.Duration) {
+func (c *Clients) send(lifetime context.Context, address string, question Question, entry Entry, leaves int) (Entry, time.Duration) {
 	began := time.Now()
 	sent := entry
 	sent.Kind = Sent
-	c.fleet.Book.Note(sent)
+	c.fleet.Events.Append(sent)
 	entry.Kind = Replied
 	lifetime, end := context.WithTimeout(lifetime, time.Duration(question.Limit)*time.Millisecond+5*time.Second)
 	defer end()
@@ -186,11 +186,11 @@
 			entry.Cause = CallerLeft
 		}
 	}
-	c.fleet.Book.Note(entry)
+	c.fleet.Events.Append(entry)
 	return entry, retry
 }
 
-func (c *Callers) read(lifetime context.Context, address string, question Question, entry *Entry, leaves int) (int, time.Duration, error) {
+func (c *Clients) read(lifetime context.Context, address string, question Question, entry *Entry, leaves int) (int, time.Duration, error) {
 	body, err := json.Marshal(question)
 	if err != nil {
 		return 0, 0, failure.Wrap(failure.Malformed, err)
--- a/internal/testbed/fleet/connection.go
+++ b/internal/testbed/fleet/connection.go
@@ -32,8 +32,8 @@
 	return c.closed
 }
 
-// Pause lets work take its time; false means that the connection was closed.
-func (c *Connection) Pause(length time.Duration) bool {
+// Wait lets work take its time; false means that the connection was closed.
+func (c *Connection) Wait(length time.Duration) bool {
 	c.cond.Wait(length, c.Closed)
 	return !c.Closed()
 }
--- a/internal/testbed/fleet/day.go
+++ b/internal/testbed/fleet/day.go
@@ -17,7 +17,7 @@
 // work, faults in a seeded order, and an end-of-day read.
 type Day struct {
 	Fleet     *Fleet
-	Callers   *Callers
+	Clients   *Clients
 	Operators *Operators
 	Long      float64
 	Short     float64
@@ -29,7 +29,7 @@
 
 // NewDay prepares a day over a fleet that is ready.
 func NewDay(fleet *Fleet, seed uint64, log io.Writer) *Day {
-	return &Day{Fleet: fleet, Callers: NewCallers(fleet, seed, 0.3), Operators: NewOperators(fleet), Long: 8, Short: 10,
+	return &Day{Fleet: fleet, Clients: NewClients(fleet, seed, 0.3), Operators: NewOperators(fleet), Long: 8, Short: 10,
 		random: rand.New(rand.NewPCG(seed, 11)), log: log}
 }
 
@@ -85,28 +85,28 @@
 func (day *Day) Run(lifetime context.Context, length time.Duration, faults []Fault) Verdict {
 	lifetime, end := context.WithTimeout(lifetime, length)
 	defer end()
-	day.Callers.SetRates(day.Long, day.Short)
+	day.Clients.SetRates(day.Long, day.Short)
 	var tasks sync.WaitGroup
-	tasks.Go(func() { day.Callers.Run(lifetime) })
+	tasks.Go(func() { day.Clients.Run(lifetime) })
 	tasks.Go(func() { day.look(lifetime) })
 	tasks.Go(func() { day.operate(lifetime) })
 	tasks.Go(func() { day.swing(lifetime, length) })
 	began := time.Now()
 	gap := length / time.Duration(len(faults)+1)
 	for number, fault := range faults {
-		if !pauseFor(lifetime, time.Until(began.Add(gap*time.Duration(number+1)))) {
+		if !sleep(lifetime, time.Until(began.Add(gap*time.Duration(number+1)))) {
 			day.Say("the day was too short for %s", fault.Name)
 			break
 		}
 		day.Say("fault: %s", fault.Name)
-		day.Fleet.Book.Note(Entry{Kind: FaultBegan, Cause: fault.Name})
+		day.Fleet.Events.Append(Entry{Kind: FaultBegan, Cause: fault.Name})
 		fault.Run(lifetime, day)
 		day.Say("over: %s", fault.Name)
 	}
 	<-lifetime.Done()
 	tasks.Wait()
 	day.EndOfDayRead()
-	return Judge(day.Fleet.Book.Entries())
+	return Judge(day.Fleet.Events.Entries())
 }
 
 // Close ends the day with a fault under traffic, and lets the checkers see
@@ -114,16 +114,16 @@
 func (day *Day) Close(lifetime context.Context, fault Fault) Verdict {
 	lifetime, end := context.WithTimeout(lifetime, returnLimit+8*time.Second)
 	defer end()
-	day.Callers.SetRates(day.Long, day.Short)
+	day.Clients.SetRates(day.Long, day.Short)
 	var tasks sync.WaitGroup
-	tasks.Go(func() { day.Callers.Run(lifetime) })
+	tasks.Go(func() { day.Clients.Run(lifetime) })
 	tasks.Go(func() { day.operate(lifetime) })
-	day.Fleet.Book.Note(Entry{Kind: ClosingFault, Cause: fault.Name})
+	day.Fleet.Events.Append(Entry{Kind: ClosingFault, Cause: fault.Name})
 	fault.Run(lifetime, day)
 	<-lifetime.Done()
 	tasks.Wait()
 	day.EndOfDayRead()
-	return Judge(day.Fleet.Book.Entries())
+	return Judge(day.Fleet.Events.Entries())
 }
 
 // EndOfDayRead reads the configuration at every controller that answers.
@@ -137,13 +137,13 @@
 }
 
 func (day *Day) look(lifetime context.Context) {
-	for pauseFor(lifetime, 250*time.Millisecond) {
+	for sleep(lifetime, 250*time.Millisecond) {
 		day.Operators.LookAtRevisions()
 	}
 }
 
 func (day *Day) operate(lifetime context.Context) {
-	for pauseFor(lifetime, 2*time.Second) {
+	for sleep(lifetime, 2*time.Second) {
 		day.NextRevision()
 		if node := day.anyController(); node != nil {
 			day.Operators.ReadRevision(node)
@@ -152,16 +152,16 @@
 }
 
 func (day *Day) swing(lifetime context.Context, length time.Duration) {
-	if !pauseFor(lifetime, length/4) {
+	if !sleep(lifetime, length/4) {
 		return
 	}
-	day.Callers.SetRates(day.Long*1.7, day.Short*0.4)
-	if !pauseFor(lifetime, length/4) {
+	day.Clients.SetRates(day.Long*1.7, day.Short*0.4)
+	if !sleep(lifetime, length/4) {
 		return
 	}
-	day.Callers.SetRates(day.Long*0.3, day.Short*2)
-	if !pauseFor(lifetime, length/4) {
+	day.Clients.SetRates(day.Long*0.3, day.Short*2)
+	if !sleep(lifetime, length/4) {
 		return
 	}
-	day.Callers.SetRates(day.Long, day.Short)
+	day.Clients.SetRates(day.Long, day.Short)
 }
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -72,7 +72,7 @@
 				}
 			}
 			// The pair is whole again without an operator.
-			if !Await(25*time.Second, fleet.CoreIsWhole) {
+			if !Await(25*time.Second, fleet.CoreIsComplete) {
 				t.Error("the core is not whole at the end of the day")
 			}
 		})
@@ -85,7 +85,7 @@
 func TestReadsMendTheCopyThatIsOut(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 34)
-	if !Await(15*time.Second, fleet.CoreIsWhole) {
+	if !Await(15*time.Second, fleet.CoreIsComplete) {
 		t.Fatal("the core is not whole")
 	}
 	primary, backup := fleet.Primary(), day.seat("backup")
@@ -136,7 +136,7 @@
 			t.Fatal(err)
 		}
 	}
-	wantClean(t, Judge(fleet.Book.Entries()), 0.5)
+	wantClean(t, Judge(fleet.Events.Entries()), 0.5)
 }
 
 // TestCoreIsReplacedByEmptyMachinesAtNewAddresses replaces all three, with
@@ -152,7 +152,7 @@
 			t.Errorf("%s still runs", node.Node.Name)
 		}
 	}
-	if !Await(20*time.Second, fleet.CoreIsWhole) {
+	if !Await(20*time.Second, fleet.CoreIsComplete) {
 		t.Fatal("the new core is not whole")
 	}
 	if !Await(10*time.Second, day.NextRevision) {
@@ -175,7 +175,7 @@
 	before, _ := day.Operators.ReadRevision(fleet.Controllers[0])
 	folder := t.TempDir()
 	good := strings.Replace(fleet.Deployment.Configuration(7), `"routes":{`, `"evacuations":{},"routes":{`, 1)
-	taste := func(text string, arguments ...string) (int, report) {
+	checked := func(text string, arguments ...string) (int, report) {
 		path := filepath.Join(folder, "proposed.json")
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
@@ -205,7 +205,7 @@
 		"unreachable": {good, []string{"--to", "127.0.0.1:9"}, 4, ""},
 		"warnings":    {`{"evacuations":{"harbour":{},"medina":{},"dunes":{}}}`, []string{"--patch"}, 10, "no_servers_left"},
 	} {
-		code, said := taste(want.text, want.arguments...)
+		code, said := checked(want.text, want.arguments...)
 		found := want.kind == ""
 		for _, remark := range said.Remarks {
 			found = found || remark.Type == want.kind
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -16,7 +16,7 @@
 // speed. It writes everything that it is asked to do into the book.
 type Engine struct {
 	plan        ServerPlan
-	book        *Book
+	events      *EventLog
 	runtime     runtime.Runtime
 	fetch       Fetch
 	nonce       func() string
@@ -74,15 +74,15 @@
 }
 
 // NewEngine starts a server, cold.
-func NewEngine(plan ServerPlan, book *Book, rt runtime.Runtime, nonce func() string, fetch Fetch) *Engine {
-	book.Note(Entry{Kind: ServerBorn, Server: plan.Name, Zone: plan.Zone})
-	return &Engine{plan: plan, book: book, runtime: rt, fetch: fetch, nonce: nonce, incarnation: nonce(), free: rt.NewCond(), born: rt.Now(),
+func NewEngine(plan ServerPlan, events *EventLog, rt runtime.Runtime, nonce func() string, fetch Fetch) *Engine {
+	events.Append(Entry{Kind: ServerBorn, Server: plan.Name, Zone: plan.Zone})
+	return &Engine{plan: plan, events: events, runtime: rt, fetch: fetch, nonce: nonce, incarnation: nonce(), free: rt.NewCond(), born: rt.Now(),
 		handles: map[string]*promptMemory{}, prefixes: map[string]int{}, runs: map[string]*Connection{}, taken: map[string]bool{}, slowLink: 1}
 }
 
 // Die notes the crash, with which all memory is gone.
 func (top *Engine) Die() {
-	top.book.Note(Entry{Kind: ServerCrashed, Server: top.plan.Name})
+	top.events.Append(Entry{Kind: ServerCrashed, Server: top.plan.Name})
 	top.mutex.Lock()
 	top.dead = true
 	var connections []*Connection
@@ -167,7 +167,7 @@
 	}
 	return modelserver.LoadReport{Server: top.plan.Name, Incarnation: top.incarnation, Part: top.part, Leaving: top.leaving,
 		AgeMilliseconds: int(top.age().Milliseconds()), PrefillQueueTokens: waiting, PrefillRate: top.plan.PrefillRate,
-		PrefillWaiting: len(top.queue), PrefillRoom: top.plan.PrefillRoom, DecodeActive: top.active, DecodeSlots: top.plan.DecodeSlots,
+		PrefillWaiting: len(top.queue), PrefillRoom: top.plan.PrefillQueue, DecodeActive: top.active, DecodeSlots: top.plan.DecodeSlots,
 		ChunkTimeMicroseconds: int(top.plan.ChunkTime.Microseconds()), MemoryFree: top.plan.Memory - top.memory,
 		MemoryTotal: top.plan.Memory, LinkRate: top.plan.LinkRate / top.slowLink, Prefixes: prefixes}
 }
@@ -175,36 +175,36 @@
 func (top *Engine) age() time.Duration { return top.runtime.Now().Sub(top.born) }
 
 func (top *Engine) sweepHandles() {
-	for name, held := range top.handles {
-		if top.runtime.Now().After(held.lapses) {
+	for name, memory := range top.handles {
+		if top.runtime.Now().After(memory.lapses) {
 			delete(top.handles, name)
-			top.memory -= held.tokens
+			top.memory -= memory.tokens
 		}
 	}
 }
 
 // cold slows a server down that has just started.
-func (top *Engine) cold() float64 {
+func (top *Engine) warmingUp() float64 {
 	age := top.age()
-	if age >= top.plan.ColdTime {
+	if age >= top.plan.WarmupTime {
 		return 1
 	}
-	return 3 - 2*float64(age)/float64(top.plan.ColdTime)
+	return 3 - 2*float64(age)/float64(top.plan.WarmupTime)
 }
 
-func (top *Engine) note(kind EntryKind, request string, run int) {
-	top.book.Note(Entry{Kind: kind, Server: top.plan.Name, Zone: top.plan.Zone, Request: request, Run: run})
+func (top *Engine) record(kind EntryKind, request string, run int) {
+	top.events.Append(Entry{Kind: kind, Server: top.plan.Name, Zone: top.plan.Zone, Request: request, Run: run})
 }
 
 // again tells whether an order was had before: a link brought it twice. A
 // server takes an order once, as the protocol asks, and says of the second that
 // it was begun: the first may have been the copy.
-func (top *Engine) again(kind, order, request string, run int) bool {
+func (top *Engine) repeated(kind, order, request string, run int) bool {
 	if order == "" {
 		return false
 	}
 	if top.taken[kind+order] {
-		top.note(OrderRepeated, request, run)
+		top.record(OrderRepeated, request, run)
 		return true
 	}
 	top.taken[kind+order] = true
@@ -214,17 +214,17 @@
 // Prefill reads a prompt, and answers with its handle or a refusal.
 func (top *Engine) Prefill(connection *Connection, order modelserver.PrefillRequest) (int, any) {
 	top.mutex.Lock()
-	if top.again("prefill", order.Order, order.Request, order.Run) {
+	if top.repeated("prefill", order.Order, order.Request, order.Run) {
 		top.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
-	top.book.Note(Entry{Kind: PrefillAsked, Server: top.plan.Name, Zone: top.plan.Zone, Request: order.Request, Run: order.Run, Depth: len(top.queue), Age: top.age()})
+	top.events.Append(Entry{Kind: PrefillAsked, Server: top.plan.Name, Zone: top.plan.Zone, Request: order.Request, Run: order.Run, Depth: len(top.queue), Age: top.age()})
 	top.sweepHandles()
 	refusal, status := "", http.StatusTooManyRequests
 	switch {
 	case top.part != "prefill":
 		refusal, status = "wrong_part", http.StatusServiceUnavailable
-	case len(top.queue) >= top.plan.PrefillRoom:
+	case len(top.queue) >= top.plan.PrefillQueue:
 		refusal = "queue_full"
 	case top.memory+order.PromptTokens > top.plan.Memory:
 		refusal = "memory_full"
@@ -236,7 +236,7 @@
 	top.memory += order.PromptTokens
 	uncached := order.PromptTokens - min(order.PrefixTokens, top.prefixes[order.Prefix])
 	top.queue = append(top.queue, uncached)
-	top.note(PrefillStarted, order.Request, order.Run)
+	top.record(PrefillStarted, order.Request, order.Run)
 	key := runName(order.Request, order.Run, order.Order)
 	top.runs[key] = connection
 	top.mutex.Unlock()
@@ -254,9 +254,9 @@
 	}
 	if mine {
 		top.mutex.Lock()
-		cost := time.Duration(float64(uncached) / float64(top.plan.PrefillRate) * top.cold() * float64(time.Second))
+		cost := time.Duration(float64(uncached) / float64(top.plan.PrefillRate) * top.warmingUp() * float64(time.Second))
 		top.mutex.Unlock()
-		finished = connection.Pause(cost)
+		finished = connection.Wait(cost)
 	}
 	top.mutex.Lock()
 	defer top.free.Broadcast()
@@ -311,26 +311,26 @@
 	top.mutex.Lock()
 	defer top.mutex.Unlock()
 	top.sweepHandles()
-	held, found := top.handles[question.Handle]
-	if !found || held.request != question.Request || held.run != question.Run {
-		top.book.Note(Entry{Kind: MemoryRefused, Server: top.plan.Name, Request: question.Request, Run: question.Run, Handle: question.Handle, Holder: question.Taker})
+	memory, found := top.handles[question.Handle]
+	if !found || memory.request != question.Request || memory.run != question.Run {
+		top.events.Append(Entry{Kind: MemoryRefused, Server: top.plan.Name, Request: question.Request, Run: question.Run, Handle: question.Handle, Holder: question.Taker})
 		return http.StatusConflict, Refusal{Type: "handle_lapsed"}
 	}
 	delete(top.handles, question.Handle)
-	top.memory -= held.tokens
-	top.book.Note(Entry{Kind: MemoryTaken, Server: top.plan.Name, Request: held.request, Run: held.run, Handle: question.Handle, Holder: question.Taker})
-	return http.StatusOK, MemoryAnswer{Tokens: held.tokens, LinkRate: top.plan.LinkRate / top.slowLink}
+	top.memory -= memory.tokens
+	top.events.Append(Entry{Kind: MemoryTaken, Server: top.plan.Name, Request: memory.request, Run: memory.run, Handle: question.Handle, Holder: question.Taker})
+	return http.StatusOK, MemoryAnswer{Tokens: memory.tokens, LinkRate: top.plan.LinkRate / top.slowLink}
 }
 
 // Decode takes a prompt's memory up and answers, line by line; with another
 // status than 200 there is a refusal and no line.
 func (top *Engine) Decode(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) (int, any) {
 	top.mutex.Lock()
-	if top.again("decode", order.Order, order.Request, order.Run) {
+	if top.repeated("decode", order.Order, order.Request, order.Run) {
 		top.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
-	top.book.Note(Entry{Kind: DecodeAsked, Server: top.plan.Name, Zone: top.plan.Zone, Request: order.Request, Run: order.Run, Depth: top.active, Age: top.age()})
+	top.events.Append(Entry{Kind: DecodeAsked, Server: top.plan.Name, Zone: top.plan.Zone, Request: order.Request, Run: order.Run, Depth: top.active, Age: top.age()})
 	refusal, status := "", http.StatusTooManyRequests
 	switch {
 	case top.part != "decode":
@@ -348,12 +348,12 @@
 	key := runName(order.Request, order.Run, order.Order)
 	top.runs[key] = connection
 	top.mutex.Unlock()
-	held := 0
+	memory := 0
 	defer func() {
 		top.mutex.Lock()
 		defer top.mutex.Unlock()
 		top.active--
-		top.memory -= held
+		top.memory -= memory
 		delete(top.runs, key)
 	}()
 	given, status := top.fetch(connection, order.Source, MemoryQuestion{Handle: order.Handle, Request: order.Request, Run: order.Run, Taker: top.plan.Name})
@@ -364,12 +364,12 @@
 		return http.StatusBadGateway, Refusal{Started: true, Type: "source_lost"}
 	}
 	top.mutex.Lock()
-	held = given.Tokens + order.Chunks
-	top.memory += held
+	memory = given.Tokens + order.Chunks
+	top.memory += memory
 	rate := min(given.LinkRate, top.plan.LinkRate/top.slowLink)
 	top.mutex.Unlock()
-	top.note(DecodeStarted, order.Request, order.Run)
-	if !connection.Pause(time.Duration(float64(given.Tokens) / float64(max(rate, 1)) * float64(time.Second))) {
+	top.record(DecodeStarted, order.Request, order.Run)
+	if !connection.Wait(time.Duration(float64(given.Tokens) / float64(max(rate, 1)) * float64(time.Second))) {
 		return http.StatusGone, Refusal{Started: true, Type: "cancelled"}
 	}
 	top.stream(connection, order, send)
@@ -386,12 +386,12 @@
 	run := strconv.Itoa(order.Run) + order.Order
 	for chunk := 1; chunk <= order.Chunks; chunk++ {
 		top.mutex.Lock()
-		crowd := max(1, float64(top.active)/float64(top.plan.DecodeSlots))
-		length := time.Duration(float64(top.plan.ChunkTime) * crowd * (0.5 + top.cold()/2))
+		queueing := max(1, float64(top.active)/float64(top.plan.DecodeSlots))
+		length := time.Duration(float64(top.plan.ChunkTime) * queueing * (0.5 + top.warmingUp()/2))
 		top.mutex.Unlock()
-		for top.Dark() && connection.Pause(time.Second) {
+		for top.Dark() && connection.Wait(time.Second) {
 		}
-		if !connection.Pause(length) {
+		if !connection.Wait(length) {
 			return
 		}
 		if send(modelserver.DecodeChunk{Request: order.Request, Run: order.Run, Chunk: chunk, Text: ChunkText(order.Request, run, chunk)}) != nil {
@@ -405,10 +405,10 @@
 func (top *Engine) Cancel(order modelserver.CancelRequest) {
 	top.mutex.Lock()
 	connection := top.runs[runName(order.Request, order.Run, order.Order)]
-	for name, held := range top.handles {
-		if held.request == order.Request && held.run == order.Run {
+	for name, memory := range top.handles {
+		if memory.request == order.Request && memory.run == order.Run {
 			delete(top.handles, name)
-			top.memory -= held.tokens
+			top.memory -= memory.tokens
 		}
 	}
 	top.mutex.Unlock()
@@ -424,10 +424,10 @@
 	entry := Entry{Kind: Commanded, Server: top.plan.Name, Holder: order.Holder, FencingToken: order.FencingToken, Part: order.Part, Cause: order.Cause}
 	if order.FencingToken < top.fencingToken {
 		entry.Kind = CommandRefused
-		top.book.Note(entry)
+		top.events.Append(entry)
 		return http.StatusConflict, Refusal{Type: "old_fence"}
 	}
-	top.book.Note(entry)
+	top.events.Append(entry)
 	top.fencingToken = order.FencingToken
 	top.part = order.Part
 	return http.StatusOK, map[string]string{"part": top.part}
--- a/internal/testbed/fleet/eventlog.go
+++ b/internal/testbed/fleet/eventlog.go
@@ -13,17 +13,17 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Book is the record of one test, in the order in which things happened
+// Events is the record of one test, in the order in which things happened
 // on this one machine.
-type Book struct {
+type EventLog struct {
 	mutex   sync.Mutex
 	entries []Entry
 	// Clock tells the time of entries; nil means the machine's.
 	Clock func() time.Time
 }
 
-// Note writes an entry down, at this moment unless it says another.
-func (b *Book) Note(entry Entry) {
+// Append writes an entry down, at this moment unless it says another.
+func (b *EventLog) Append(entry Entry) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if entry.At.IsZero() {
@@ -36,7 +36,7 @@
 }
 
 // Entries gives all entries in the order of their time.
-func (b *Book) Entries() []Entry {
+func (b *EventLog) Entries() []Entry {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	entries := append([]Entry(nil), b.entries...)
@@ -45,7 +45,7 @@
 }
 
 // Save writes the book as JSON lines.
-func (b *Book) Save(path string) error {
+func (b *EventLog) Save(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -72,7 +72,7 @@
 	"upgrade-builds":       {Run: upgradeBuilds},
 	"platform-down": {Run: func(lifetime context.Context, day *Day) {
 		day.Fleet.Platform.SetDown(true)
-		pauseFor(lifetime, 6*time.Second)
+		sleep(lifetime, 6*time.Second)
 		day.Fleet.Platform.SetDown(false)
 	}},
 }
@@ -120,7 +120,7 @@
 func (day *Day) killFor(lifetime context.Context, node *NodeProcess, away time.Duration) {
 	day.Say("kill %s", node.Node.Name)
 	node.Kill()
-	pauseFor(lifetime, away)
+	sleep(lifetime, away)
 	day.begin(node)
 }
 
@@ -181,7 +181,7 @@
 	primary.Kill()
 	backup.Kill()
 	day.Say("power loss of %s and %s", primary.Node.Name, backup.Node.Name)
-	pauseFor(lifetime, time.Second)
+	sleep(lifetime, time.Second)
 	day.begin(primary)
 	day.begin(backup)
 }
@@ -198,7 +198,7 @@
 		day.Say("%v", err)
 	}
 	day.Say("%s has lost its disk", primary.Node.Name)
-	pauseFor(lifetime, time.Second)
+	sleep(lifetime, time.Second)
 	day.begin(primary)
 }
 
@@ -217,7 +217,7 @@
 	if next == nil {
 		return
 	}
-	pauseFor(lifetime, 300*time.Millisecond)
+	sleep(lifetime, 300*time.Millisecond)
 	day.killFor(lifetime, next, time.Second)
 }
 
@@ -232,7 +232,7 @@
 		}
 		day.Say("%s disk of %s", faults.Disk, node.Node.Name)
 		_ = node.SetFaults(faults)
-		pauseFor(lifetime, length)
+		sleep(lifetime, length)
 		_ = node.SetFaults(NodeFaults{})
 	}
 }
@@ -247,7 +247,7 @@
 	node.Kill()
 	_ = node.SetFaults(NodeFaults{Disk: "damage"})
 	day.begin(node)
-	pauseFor(lifetime, 5*time.Second)
+	sleep(lifetime, 5*time.Second)
 	_ = node.SetFaults(NodeFaults{})
 }
 
@@ -259,7 +259,7 @@
 				_ = node.SetFaults(NodeFaults{Jump: length})
 			}
 		}
-		pauseFor(lifetime, 6*time.Second)
+		sleep(lifetime, 6*time.Second)
 		for _, node := range day.running("") {
 			_ = node.SetFaults(NodeFaults{})
 		}
@@ -274,7 +274,7 @@
 		case "primary":
 			node = day.primary()
 		case "holder":
-			node = day.holder()
+			node = day.partsHolder()
 		}
 		if node == nil {
 			return
@@ -282,14 +282,14 @@
 		day.Say("freeze %s", node.Node.Name)
 		began := time.Now()
 		node.Signal(syscall.SIGSTOP)
-		pauseFor(lifetime, length)
+		sleep(lifetime, length)
 		node.Signal(syscall.SIGCONT)
-		day.Fleet.Book.Note(Entry{Kind: NodeWoken, Router: node.Node.Name, Took: time.Since(began)})
+		day.Fleet.Events.Append(Entry{Kind: NodeWoken, Router: node.Node.Name, Took: time.Since(began)})
 	}
 }
 
 // holder finds the router that has the duty of deciding the parts.
-func (day *Day) holder() *NodeProcess {
+func (day *Day) partsHolder() *NodeProcess {
 	primary := day.primary()
 	if primary == nil {
 		return nil
@@ -315,7 +315,7 @@
 		for _, node := range nodes {
 			node.Kill()
 		}
-		pauseFor(lifetime, 500*time.Millisecond)
+		sleep(lifetime, 500*time.Millisecond)
 		for _, node := range nodes {
 			day.begin(node)
 		}
@@ -361,7 +361,7 @@
 	for _, name := range names {
 		day.Fleet.Server(name).Crash()
 	}
-	pauseFor(lifetime, 6*time.Second)
+	sleep(lifetime, 6*time.Second)
 	for _, node := range nodes {
 		day.begin(node)
 	}
@@ -379,7 +379,7 @@
 	name := day.anyServer()
 	day.Say("crash %s", name)
 	day.Fleet.Server(name).Crash()
-	pauseFor(lifetime, 1500*time.Millisecond)
+	sleep(lifetime, 1500*time.Millisecond)
 	if err := day.Fleet.Replace(name); err != nil {
 		day.Say("replacement failed: %v", err)
 	}
@@ -390,7 +390,7 @@
 	day.Say("%s goes dark", name)
 	server := day.Fleet.Server(name)
 	server.SetDark(true)
-	pauseFor(lifetime, 4*time.Second)
+	sleep(lifetime, 4*time.Second)
 	server.SetDark(false)
 }
 
@@ -398,7 +398,7 @@
 	for _, name := range day.Fleet.ServerNames()[:3] {
 		day.Fleet.Server(name).Crash()
 		_ = day.Fleet.Replace(name)
-		if !pauseFor(lifetime, 3*time.Second) {
+		if !sleep(lifetime, 3*time.Second) {
 			return
 		}
 	}
@@ -419,10 +419,10 @@
 		day.Fleet.Platform.UnlistServer(name)
 	default:
 		day.Say("%s leaves by its load report", name)
-		day.Fleet.Book.Note(Entry{Kind: ServerLeaving, Server: name})
+		day.Fleet.Events.Append(Entry{Kind: ServerLeaving, Server: name})
 		server.SetLeaving(true)
 	}
-	pauseFor(lifetime, 6*time.Second)
+	sleep(lifetime, 6*time.Second)
 	server.Crash()
 	_ = day.Fleet.Replace(name)
 }
@@ -431,7 +431,7 @@
 	for _, name := range day.Fleet.ServerNames()[:3] {
 		day.Fleet.Server(name).SetHandleLifetime(time.Microsecond)
 	}
-	pauseFor(lifetime, 3*time.Second)
+	sleep(lifetime, 3*time.Second)
 	for _, name := range day.Fleet.ServerNames()[:3] {
 		day.Fleet.Server(name).SetHandleLifetime(5 * time.Second)
 	}
@@ -441,21 +441,21 @@
 	for _, name := range day.Fleet.ServerNames()[:4] {
 		day.Fleet.Server(name).SlowLink(40)
 	}
-	pauseFor(lifetime, 5*time.Second)
+	sleep(lifetime, 5*time.Second)
 	for _, name := range day.Fleet.ServerNames()[:4] {
 		day.Fleet.Server(name).SlowLink(1)
 	}
 }
 
 func flood(lifetime context.Context, day *Day) {
-	day.Callers.SetRates(day.Long*5, day.Short*5)
-	pauseFor(lifetime, 5*time.Second)
-	day.Callers.SetRates(day.Long, day.Short)
+	day.Clients.SetRates(day.Long*5, day.Short*5)
+	sleep(lifetime, 5*time.Second)
+	day.Clients.SetRates(day.Long, day.Short)
 }
 
 func (day *Day) darken(lifetime context.Context, length time.Duration, chosen func(from, to string) bool) {
 	day.Fleet.Links.Each(chosen, func(relay *Relay) { relay.SetDark(true) })
-	pauseFor(lifetime, length)
+	sleep(lifetime, length)
 	day.Fleet.Links.Heal()
 }
 
@@ -505,7 +505,7 @@
 	day.Fleet.Links.Each(chance, func(relay *Relay) { relay.SetDelay(60 * time.Millisecond) })
 	day.Fleet.Links.Each(chance, func(relay *Relay) { relay.SetDuplicate(true); relay.Drop() })
 	for range 6 {
-		if !pauseFor(lifetime, time.Second) {
+		if !sleep(lifetime, time.Second) {
 			break
 		}
 		day.Fleet.Links.Each(chance, func(relay *Relay) { relay.Drop() })
@@ -519,7 +519,7 @@
 	chance := func(_, to string) bool { return strings.HasPrefix(to, "stove-") && day.draw(3) == 0 }
 	day.Fleet.Links.Each(chance, func(relay *Relay) { relay.SetDuplicate(true); relay.Drop() })
 	for range 8 {
-		if !pauseFor(lifetime, 700*time.Millisecond) {
+		if !sleep(lifetime, 700*time.Millisecond) {
 			break
 		}
 		day.Fleet.Links.Each(func(_, to string) bool { return strings.HasPrefix(to, "stove-") && day.draw(8) == 0 }, func(relay *Relay) { relay.Drop() })
@@ -541,7 +541,7 @@
 			})
 		}
 		evacuating.Wait()
-		pauseFor(lifetime, 6500*time.Millisecond)
+		sleep(lifetime, 6500*time.Millisecond)
 		for number := range count {
 			district := zones[(first+number)%len(zones)]
 			Await(10*time.Second, func() bool {
@@ -587,7 +587,7 @@
 func race(lifetime context.Context, day *Day) {
 	for range 5 {
 		node := day.anyController()
-		if node == nil || !pauseFor(lifetime, 100*time.Millisecond) {
+		if node == nil || !sleep(lifetime, 100*time.Millisecond) {
 			return
 		}
 		current, err := day.Operators.Call(node, http.MethodGet, "/v1/configuration", nil, "")
@@ -609,7 +609,7 @@
 
 // largeConfiguration puts many thousand routes and takes them away again.
 func largeConfiguration(lifetime context.Context, day *Day) {
-	day.withManyRoutes(lifetime, func() { pauseFor(lifetime, 4*time.Second) })
+	day.withManyRoutes(lifetime, func() { sleep(lifetime, 4*time.Second) })
 }
 
 // largeStorm has a storm of changes over a configuration of many thousand
@@ -648,7 +648,7 @@
 		if routes == many.String() {
 			act()
 		}
-		pauseFor(lifetime, time.Second)
+		sleep(lifetime, time.Second)
 	}
 }
 
@@ -697,7 +697,7 @@
 		fresh := day.Fleet.AddNode(membership.Controller, fmt.Sprintf("expediter-%d", 11+number), addresses[0], old.Node.Zone, seeds)
 		fresh.staged = old.staged
 		day.begin(fresh)
-		day.Say("%s gives way to %s: whole again %v", old.Node.Name, fresh.Node.Name, Await(25*time.Second, day.Fleet.CoreIsWhole))
+		day.Say("%s gives way to %s: whole again %v", old.Node.Name, fresh.Node.Name, Await(25*time.Second, day.Fleet.CoreIsComplete))
 		if lifetime.Err() != nil {
 			return
 		}
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -20,7 +20,7 @@
 // stand-ins for servers and platform.
 type Fleet struct {
 	Deployment  Deployment
-	Book        *Book
+	Events      *EventLog
 	Platform    *Platform
 	Routers     []*NodeProcess
 	Controllers []*NodeProcess
@@ -37,12 +37,12 @@
 // NewFleet lays a fleet out in a folder; binaries is where router and
 // controller are. Extra settings go to every router and controller.
 func NewFleet(deployment Deployment, folder, binaries string, extra map[string]any) (*Fleet, error) {
-	book := &Book{}
-	platform, err := StartPlatform(book)
+	events := &EventLog{}
+	platform, err := StartPlatform(events)
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Deployment: deployment, Book: book, Platform: platform, folder: folder, binaries: binaries, extra: extra, plans: map[string]ServerPlan{}}
+	fleet := &Fleet{Deployment: deployment, Events: events, Platform: platform, folder: folder, binaries: binaries, extra: extra, plans: map[string]ServerPlan{}}
 	for position := range deployment.Servers {
 		zone := deployment.Zones[position%len(deployment.Zones)]
 		if _, err := fleet.AddServer(DefaultPlan("stove-"+strconv.Itoa(position+1), zone)); err != nil {
@@ -86,7 +86,7 @@
 
 // AddServer starts a stand-in server and lists it with the platform.
 func (f *Fleet) AddServer(plan ServerPlan) (*StandIn, error) {
-	standIn, err := StartStandIn(plan, "127.0.0.1:0", f.Book)
+	standIn, err := StartStandIn(plan, "127.0.0.1:0", f.Events)
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +156,7 @@
 				flags = append(flags, string(flag))
 			}
 		}
-		f.Book.Note(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
+		f.Events.Append(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
 	}
 	return nil
 }
@@ -325,9 +325,9 @@
 	return text
 }
 
-// CoreIsWhole tells whether the primary has a backup, and each keeper seat is
+// CoreIsComplete tells whether the primary has a backup, and each keeper seat is
 // held by a running controller's present disk.
-func (f *Fleet) CoreIsWhole() bool {
+func (f *Fleet) CoreIsComplete() bool {
 	primary := f.Primary()
 	if primary == nil {
 		return false
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -77,7 +77,7 @@
 	}
 	// A router is ready before its servers have all told their pressure: the
 	// day begins when each has completed a request.
-	probes := NewCallers(fleet, seed+1000, 0)
+	probes := NewClients(fleet, seed+1000, 0)
 	for _, node := range fleet.Routers {
 		if !Await(15*time.Second, func() bool {
 			question, entry := probes.question(fleet.Deployment.Short, node)
@@ -128,7 +128,7 @@
 	day := openDay(t, fleet, 2)
 	verdict := day.Run(context.Background(), 40*time.Second, named(t, "freeze-primary", "evacuate", "freeze-courier"))
 	wantClean(t, verdict, 0.75)
-	if evacuations := evacuationsIn(fleet.Book.Entries()); evacuations == 0 {
+	if evacuations := evacuationsIn(fleet.Events.Entries()); evacuations == 0 {
 		t.Error("no evacuation was accepted: the day shows nothing of it")
 	}
 }
@@ -165,12 +165,12 @@
 			t.Fatal(err)
 		}
 		// Whole again: three keepers, all of them disks that are there.
-		if !Await(25*time.Second, func() bool { return fleet.CoreIsWhole() }) {
+		if !Await(25*time.Second, func() bool { return fleet.CoreIsComplete() }) {
 			t.Fatalf("round %d: the core is not whole again", round)
 		}
 	}
 	day.EndOfDayRead()
-	verdict := Judge(fleet.Book.Entries())
+	verdict := Judge(fleet.Events.Entries())
 	if finding := verdict.Finding("reads are never older than what was accepted"); finding.Looked == 0 || finding.Violations > 0 {
 		t.Errorf("%+v", finding)
 	}
--- a/internal/testbed/fleet/history_test.go
+++ b/internal/testbed/fleet/history_test.go
@@ -56,7 +56,7 @@
 	var mutex sync.Mutex
 	var history []porcupine.Operation
 	revision := 1
-	note := func(client int, asked registerInput, answered registerOutput, from, to time.Duration) {
+	record := func(client int, asked registerInput, answered registerOutput, from, to time.Duration) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		history = append(history, porcupine.Operation{ClientId: client, Input: asked, Output: answered, Call: from.Nanoseconds(), Return: to.Nanoseconds()})
@@ -78,11 +78,11 @@
 				from := time.Since(began)
 				current, err := day.Operators.Call(node, http.MethodGet, "/v1/configuration", nil, "")
 				if err != nil || current.Status != http.StatusOK {
-					pauseFor(t.Context(), 50*time.Millisecond)
+					sleep(t.Context(), 50*time.Millisecond)
 					continue
 				}
 				seen := RevisionOf(current.Configuration)
-				note(client, registerInput{read: true}, registerOutput{revision: seen}, from, time.Since(began))
+				record(client, registerInput{read: true}, registerOutput{revision: seen}, from, time.Since(began))
 				next := fresh()
 				from = time.Since(began)
 				query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
@@ -98,15 +98,15 @@
 				default:
 					to = never
 				}
-				note(client, registerInput{expected: seen, next: next}, registerOutput{outcome: outcome}, from, to)
+				record(client, registerInput{expected: seen, next: next}, registerOutput{outcome: outcome}, from, to)
 			}
 		})
 	}
 	for range 2 {
-		pauseFor(t.Context(), 6*time.Second)
+		sleep(t.Context(), 6*time.Second)
 		if primary := fleet.Primary(); primary != nil {
 			primary.Kill()
-			pauseFor(t.Context(), time.Second)
+			sleep(t.Context(), time.Second)
 			if err := primary.Begin(); err != nil {
 				t.Error(err)
 			}
--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -61,7 +61,7 @@
 // one, and notes how it was answered. The current revision's route goes and the
 // new one's comes; evacuations stay.
 func (o *Operators) PutRevision(node *NodeProcess, revision int, current Answer) Answer {
-	o.fleet.Book.Note(Entry{Kind: RevisionAsked, Revision: revision, Router: node.Node.Name})
+	o.fleet.Events.Append(Entry{Kind: RevisionAsked, Revision: revision, Router: node.Node.Name})
 	query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
 	patch := o.fleet.Deployment.Configuration(revision)
 	if before := RevisionOf(current.Configuration); before > 0 {
@@ -78,7 +78,7 @@
 		entry.Kind = RevisionRefused
 	}
 	entry.Cause = answer.Version
-	o.fleet.Book.Note(entry)
+	o.fleet.Events.Append(entry)
 	return answer
 }
 
@@ -91,7 +91,7 @@
 	}
 	revision := RevisionOf(answer.Configuration)
 	// The read is as old as its asking, for those who judge it.
-	o.fleet.Book.Note(Entry{Kind: RevisionRead, At: time.Now(), Revision: revision, Router: node.Node.Name, Took: time.Since(began)})
+	o.fleet.Events.Append(Entry{Kind: RevisionRead, At: time.Now(), Revision: revision, Router: node.Node.Name, Took: time.Since(began)})
 	return answer, revision
 }
 
@@ -115,10 +115,10 @@
 
 // Evacuate evacuates a zone and notes the moment of acceptance.
 func (o *Operators) Evacuate(node *NodeProcess, zone string) bool {
-	o.fleet.Book.Note(Entry{Kind: EvacuationAsked, Zone: zone})
+	o.fleet.Events.Append(Entry{Kind: EvacuationAsked, Zone: zone})
 	answer, err := o.Call(node, http.MethodPost, "/v1/evacuations/"+url.PathEscape(zone), nil, `{"reason":"rehearsal"}`)
 	if err == nil && answer.Outcome == "accepted" {
-		o.fleet.Book.Note(Entry{Kind: Evacuated, Zone: zone})
+		o.fleet.Events.Append(Entry{Kind: Evacuated, Zone: zone})
 		return true
 	}
 	return false
@@ -127,7 +127,7 @@
 // Restore lifts an evacuation; the asking is noted, since it may take effect
 // before it is answered.
 func (o *Operators) Restore(node *NodeProcess, zone string) bool {
-	o.fleet.Book.Note(Entry{Kind: RestoreAsked, Zone: zone})
+	o.fleet.Events.Append(Entry{Kind: RestoreAsked, Zone: zone})
 	answer, err := o.Call(node, http.MethodDelete, "/v1/evacuations/"+url.PathEscape(zone), nil, "")
 	return err == nil && answer.Outcome == "accepted"
 }
@@ -156,6 +156,6 @@
 	}
 	if number, found := strings.CutPrefix(line.Detail, "edition-"); found {
 		revision, _ := strconv.Atoi(number)
-		o.fleet.Book.Note(Entry{Kind: RevisionSeen, Router: node.Node.Name, Revision: revision, Took: time.Since(began)})
+		o.fleet.Events.Append(Entry{Kind: RevisionSeen, Router: node.Node.Name, Revision: revision, Took: time.Since(began)})
 	}
 }
--- a/internal/testbed/fleet/platform.go
+++ b/internal/testbed/fleet/platform.go
@@ -16,7 +16,7 @@
 
 // Platform is the stand-in of what lists servers and nodes.
 type Platform struct {
-	book    *Book
+	events  *EventLog
 	address string
 	server  *http.Server
 
@@ -27,12 +27,12 @@
 }
 
 // StartPlatform begins the platform at any port.
-func StartPlatform(book *Book) (*Platform, error) {
+func StartPlatform(events *EventLog) (*Platform, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	platform := &Platform{book: book, address: listener.Addr().String(), servers: map[string]membership.Server{}, nodes: map[string]membership.Node{}}
+	platform := &Platform{events: events, address: listener.Addr().String(), servers: map[string]membership.Server{}, nodes: map[string]membership.Node{}}
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/servers"), func(writer http.ResponseWriter, _ *http.Request) {
 		say(writer, http.StatusOK, map[string]any{"servers": platform.listServers()})
@@ -77,7 +77,7 @@
 	defer p.mutex.Unlock()
 	p.servers[server.Name] = server
 	if server.Leaving {
-		p.book.Note(Entry{Kind: ServerLeaving, Server: server.Name})
+		p.events.Append(Entry{Kind: ServerLeaving, Server: server.Name})
 	}
 }
 
@@ -86,7 +86,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.servers, name)
-	p.book.Note(Entry{Kind: ServerLeaving, Server: name})
+	p.events.Append(Entry{Kind: ServerLeaving, Server: name})
 }
 
 // ListNode adds a node or changes it.
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -31,7 +31,7 @@
 }
 
 // StartStandIn begins a stand-in at an address; an empty one means any port.
-func StartStandIn(plan ServerPlan, address string, book *Book) (*StandIn, error) {
+func StartStandIn(plan ServerPlan, address string, events *EventLog) (*StandIn, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
@@ -39,7 +39,7 @@
 	standIn := &StandIn{address: listener.Addr().String(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	standIn.lifetime, standIn.end = context.WithCancel(context.Background())
 	standIn.runtime = osruntime.New(standIn.lifetime, osruntime.NewClock())
-	standIn.Engine = NewEngine(plan, book, standIn.runtime, uuid.NewString, standIn.fetchMemory)
+	standIn.Engine = NewEngine(plan, events, standIn.runtime, uuid.NewString, standIn.fetchMemory)
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { say(writer, http.StatusOK, standIn.Load()) })
 	mux.HandleFunc(pat.Post("/v1/prefill"), takes(standIn, func(connection *Connection, order modelserver.PrefillRequest, writer http.ResponseWriter) {
@@ -111,8 +111,8 @@
 	_ = json.NewEncoder(writer).Encode(content)
 }
 
-// pauseFor waits for a length of time; false means it was broken off.
-func pauseFor(lifetime context.Context, length time.Duration) bool {
+// sleep waits for a length of time; false means it was broken off.
+func sleep(lifetime context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
--- a/internal/testbed/fleet/upgrade_test.go
+++ b/internal/testbed/fleet/upgrade_test.go
@@ -14,7 +14,7 @@
 var oldRelease = []string{"backup_list", "order_patience", "pair_price"}
 
 func (f *Fleet) noteMember(node *NodeProcess, flags ...string) {
-	f.Book.Note(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
+	f.Events.Append(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
 }
 
 // restart stops a node in an orderly way and begins it as another release.
@@ -80,9 +80,9 @@
 	}
 	lifetime, end := context.WithCancel(context.Background())
 	defer end()
-	day.Callers.SetRates(2, 3)
+	day.Clients.SetRates(2, 3)
 	var traffic sync.WaitGroup
-	traffic.Go(func() { day.Callers.Run(lifetime) })
+	traffic.Go(func() { day.Clients.Run(lifetime) })
 	defer traffic.Wait()
 	defer end()
 	nodes := fleet.Nodes()
@@ -95,7 +95,7 @@
 	restart(t, fleet, back, nil)
 	last.Kill()
 	// Long past the settling time the stopped member still counts.
-	pauseFor(lifetime, 4*time.Second)
+	sleep(lifetime, 4*time.Second)
 	if enabled := enabledFlags(fleet); enabled != 0 {
 		t.Fatalf("%d flags are enabled while a recorded member that is stopped lacks them", enabled)
 	}
@@ -112,7 +112,7 @@
 	begin(t, fleet, newcomer, oldRelease)
 	newcomer.Kill()
 	begin(t, fleet, last, nil)
-	pauseFor(lifetime, 4*time.Second)
+	sleep(lifetime, 4*time.Second)
 	if enabled := enabledFlags(fleet); enabled != 0 {
 		t.Fatalf("%d flags are enabled while a member that joined and stopped lacks them", enabled)
 	}
@@ -137,7 +137,7 @@
 		t.Fatal("a node that lacks an enabled flag does not say that it is restricted")
 	}
 	complete := 0
-	others := NewCallers(fleet, 5, 0.3)
+	others := NewClients(fleet, 5, 0.3)
 	for range 10 {
 		question, entry := others.question(fleet.Deployment.Short, last)
 		if reply := others.Send(lifetime, last.Node.Address, question, entry); reply.Final == "complete" {
@@ -154,5 +154,5 @@
 	}
 	end()
 	traffic.Wait()
-	wantClean(t, Judge(fleet.Book.Entries()), 0.9)
+	wantClean(t, Judge(fleet.Events.Entries()), 0.9)
 }
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -88,11 +88,11 @@
 func (v Verdict) String() string {
 	var text strings.Builder
 	for _, finding := range v.Findings {
-		mark := "held  "
+		sign := "held  "
 		if finding.Violations > 0 {
-			mark = "BROKEN"
+			sign = "BROKEN"
 		}
-		_, _ = fmt.Fprintf(&text, "%s  %-52s looked at %6d", mark, finding.Checker, finding.Looked)
+		_, _ = fmt.Fprintf(&text, "%s  %-52s looked at %6d", sign, finding.Checker, finding.Looked)
 		if finding.Worst != "" {
 			_, _ = fmt.Fprintf(&text, "  worst %s (limit %s)", finding.Worst, finding.Limit)
 		}
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -21,7 +21,7 @@
 )
 
 // All lists the protections, with the test that guards each.
-var All = []Removal{
+var All = []Mutation{
 	{Name: "an inquiry is claimed before its dispatch", Never: second, Worlds: true, Finds: "no second run",
 		Edits: []Edit{{"internal/auction/dispatcher.go", "	if !admitted.Idempotent {\n		entry.phase = claiming", "	if false {\n		entry.phase = claiming"}}},
 	{Name: "a claim is taken once", Never: second, Worlds: true, Finds: "no second run",
--- a/internal/testbed/mutation/list_test.go
+++ b/internal/testbed/mutation/list_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// TestEveryRemovalStillApplies makes each edit in a copy: a protection that has
+// TestEveryMutationStillApplies makes each edit in a copy: a protection that has
 // moved must be found again by whoever moved it.
-func TestEveryRemovalStillApplies(t *testing.T) {
-	for _, removal := range All {
+func TestEveryMutationStillApplies(t *testing.T) {
+	for _, m := range All {
 		folder := t.TempDir()
 		if err := os.CopyFS(folder+"/internal", os.DirFS("../..")); err != nil {
 			t.Fatal(err)
 		}
-		if err := removal.Apply(folder); err != nil {
-			t.Errorf("%s: %v", removal.Name, err)
+		if err := m.Apply(folder); err != nil {
+			t.Errorf("%s: %v", m.Name, err)
 		}
-		if (removal.Test == "") != removal.Worlds || (removal.Package == "") != removal.Worlds {
-			t.Errorf("%s names no test, or two", removal.Name)
+		if (m.Test == "") != m.Worlds || (m.Package == "") != m.Worlds {
+			t.Errorf("%s names no test, or two", m.Name)
 		}
-		if removal.Test != "" && !hasTest(t, removal.Package, removal.Test) {
-			t.Errorf("%s: there is no %s in %s", removal.Name, removal.Test, removal.Package)
+		if m.Test != "" && !hasTest(t, m.Package, m.Test) {
+			t.Errorf("%s: there is no %s in %s", m.Name, m.Test, m.Package)
 		}
 	}
 }
--- a/internal/testbed/mutation/mutation.go
+++ b/internal/testbed/mutation/mutation.go
@@ -1,4 +1,4 @@
-// Package removals takes the product's protections away, one at a time, in a
+// Package mutation takes the product's protections away, one at a time, in a
 // copy of the source, and runs the test that must then fail. A test that passes
 // without the protection proves nothing of it.
 package mutation
@@ -18,8 +18,8 @@
 	New  string
 }
 
-// Removal takes one protection away.
-type Removal struct {
+// Mutation takes one protection away.
+type Mutation struct {
 	// Name says which protection.
 	Name string
 	// Never is the line of the brief that it serves.
@@ -36,7 +36,7 @@
 
 // Apply makes the edits in a copy of the source. One that does not fit any more
 // is a failure.
-func (r Removal) Apply(folder string) error {
+func (r Mutation) Apply(folder string) error {
 	for _, edit := range r.Edits {
 		path := filepath.Join(folder, edit.File)
 		content, err := os.ReadFile(path)
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -72,7 +72,7 @@
 // prepareCalls gives a router what serves opaque calls, where the world has them.
 func (w *World) prepareCalls(m *machine, begun *incarnation, options *dataplane.Options) {
 	m.calls = nil
-	if !w.ways.Calls {
+	if !w.settings.Calls {
 		return
 	}
 	options.CallService = func(deciding *scheduler.Scheduler) dataplane.CallService {
@@ -112,10 +112,10 @@
 	e := &callExchange{incarnation: there, call: c, replies: newPipe(w, m.name, "outside", w.outside)}
 	w.carry("outside", m.name, nil, func() {
 		if there.ended {
-			e.replies.snap()
+			e.replies.disconnect()
 			return
 		}
-		forget := there.atEnd(e.replies.snap)
+		forget := there.onEnd(e.replies.disconnect)
 		w.after(0, there, func() {
 			there.Go(func() {
 				defer forget()
@@ -177,7 +177,7 @@
 	replies     *pipe
 	under       *callSending
 	passed      int
-	kept        *callRefusal
+	refusal     *callRefusal
 	left        bool
 }
 
@@ -210,7 +210,7 @@
 
 // refused is the result of a server's promise.
 func (c *callExchange) refused(said callRefusal) scheduler.Outcome {
-	c.kept = &said
+	c.refusal = &said
 	if said.status == misdirected {
 		return scheduler.Outcome{Result: scheduler.Misdirected, Status: said.status}
 	}
@@ -261,7 +261,7 @@
 		}
 		if o.FirstByte.IsZero() {
 			if last > 0 {
-				c.incarnation.world.tempt("a stream of a call that went on elsewhere")
+				c.incarnation.world.encounter("a stream of a call that went on elsewhere")
 			}
 			o.FirstByte = c.incarnation.Now()
 			began()
@@ -290,17 +290,17 @@
 // Refuse ends the call with a word of the router's own.
 func (c *callExchange) Refuse(refusal dataplane.Refusal) { c.replies.put(refusal) }
 
-// PassThrough passes a server's promise on.
-func (c *callExchange) PassThrough() bool {
-	if c.kept == nil || c.passed > 0 {
+// Through passes a server's promise on.
+func (c *callExchange) Through() bool {
+	if c.refusal == nil || c.passed > 0 {
 		return false
 	}
-	c.replies.put(dataplane.Refusal{Status: c.kept.status})
+	c.replies.put(dataplane.Refusal{Status: c.refusal.status})
 	return true
 }
 
 // Break ends the answer without its end.
-func (c *callExchange) Break() { c.replies.snap() }
+func (c *callExchange) Break() { c.replies.disconnect() }
 
 // OnGiveUp takes no notice.
 func (c *callExchange) OnGiveUp(scheduler.Reason) {}
--- a/internal/testbed/simulation/calls_test.go
+++ b/internal/testbed/simulation/calls_test.go
@@ -17,12 +17,12 @@
 	tempted := map[string]int{}
 	for seed := first; seed < first+count; seed++ {
 		w := New(fleet.Sahil(), seed)
-		ways := Ways{Calls: true}
+		ways := Settings{Calls: true}
 		if seed%2 == 0 {
-			ways = PlatformWays()
+			ways = PlatformSettings()
 			ways.Calls = true
 		}
-		w.SetWays(ways)
+		w.SetSettings(ways)
 		result := w.Run(DefaultDay())
 		calls := result.Calls
 		t.Logf("seed %d: %d sent, %d complete, %d refused, %d failed, %d broken, %d runs, last %d of %d", seed, calls.Sent, calls.Complete, calls.Refused, calls.Failed, calls.Broken, calls.Runs, calls.Returned, calls.Last)
@@ -31,13 +31,13 @@
 		}
 		// By the platform's ways a change does not wait for who is out of touch: that
 		// rule of the product's own is judged by its own ways.
-		if seed%2 == 1 && result.Failed() || !result.Whole || result.Twice > 0 {
-			t.Errorf("seed %d, whole %v\n%s", seed, result.Whole, result.Verdict)
+		if seed%2 == 1 && result.Failed() || !result.Restored || result.TwoPrimaries > 0 {
+			t.Errorf("seed %d, whole %v\n%s", seed, result.Restored, result.Verdict)
 		}
 		if calls.Complete < calls.Sent/2 || calls.Returned < calls.Last/2 {
 			t.Errorf("seed %d: only %d of %d calls were complete, of the last %d of %d", seed, calls.Complete, calls.Sent, calls.Returned, calls.Last)
 		}
-		for what, times := range result.Temptations {
+		for what, times := range result.Encounters {
 			tempted[what] += times
 		}
 	}
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -60,7 +60,7 @@
 	}
 	c.reading++
 	defer func() { c.reading-- }()
-	if !connection.Pause(time.Duration(w.call.PromptTokens/callTokens) * time.Millisecond) {
+	if !connection.Wait(time.Duration(w.call.PromptTokens/callTokens) * time.Millisecond) {
 		return nil
 	}
 	handle := c.world.nonce()
@@ -84,14 +84,14 @@
 		if there != nil && !c.world.link(c.name, there.name).cut {
 			memory = there.handles[source.Handle]
 		}
-		if !connection.Pause(callFetchTime) {
+		if !connection.Wait(callFetchTime) {
 			return nil
 		}
 		if c.world.random.IntN(200) == 0 {
 			memory = nil
 		}
 		if memory == nil || memory.lapses < c.world.now || there.handles[source.Handle] == nil {
-			c.world.tempt("a call's memory that could not be had")
+			c.world.encounter("a call's memory that could not be had")
 			return callRefusal{http.StatusServiceUnavailable}
 		}
 		delete(there.handles, source.Handle)
@@ -101,16 +101,16 @@
 	}
 	w.ran(c.name)
 	if c.world.random.IntN(100) == 0 {
-		c.world.tempt("a call that began and broke before its first event")
+		c.world.encounter("a call that began and broke before its first event")
 		return nil
 	}
-	if source == nil && !connection.Pause(time.Duration(2*w.call.PromptTokens/callTokens)*time.Millisecond) {
+	if source == nil && !connection.Wait(time.Duration(2*w.call.PromptTokens/callTokens)*time.Millisecond) {
 		return nil
 	}
 	for number := last + 1; number <= w.chunks; number++ {
-		for top.Dark() && connection.Pause(time.Second) {
+		for top.Dark() && connection.Wait(time.Second) {
 		}
-		if !connection.Pause(callChunk) || !send(callChunkSent{w.call.ID, number}) {
+		if !connection.Wait(callChunk) || !send(callChunkSent{w.call.ID, number}) {
 			return nil
 		}
 	}
@@ -136,27 +136,27 @@
 		there := world.servers[to]
 		if there == nil || there.incarnation.ended || there.incarnation.address != s.Address {
 			sending.refused = true
-			sending.replies.snap()
+			sending.replies.disconnect()
 			return
 		}
 		conn := fleet.NewConnection(there.incarnation)
-		forgetServer := there.incarnation.atEnd(sending.replies.snap)
+		forgetServer := there.incarnation.onEnd(sending.replies.disconnect)
 		sending.hangUp = func() { world.carry(here.name, to, there.incarnation, conn.Close) }
-		forgetRouter := here.atEnd(sending.hangUp)
+		forgetRouter := here.onEnd(sending.hangUp)
 		there.incarnation.Go(func() {
 			defer forgetRouter()
 			if there.top.Dark() {
-				conn.Pause(time.Minute)
+				conn.Wait(time.Minute)
 				return
 			}
 			answer := serve(there.calls, there.top, conn, func(message any) bool { return !sending.quit && sending.replies.put(message) })
 			forgetServer()
 			switch {
 			case answer == nil:
-				sending.replies.snap()
+				sending.replies.disconnect()
 			case world.loseAnswers > 0 && world.random.Float64() < world.loseAnswers:
-				world.tempt("a call's answer lost after the work")
-				sending.replies.snap()
+				world.encounter("a call's answer lost after the work")
+				sending.replies.disconnect()
 			default:
 				sending.replies.put(answer)
 			}
@@ -168,7 +168,7 @@
 			here.NewCond().Wait(300*time.Millisecond, never)
 			return nil
 		}
-		world.tempt("a call lost on a circuit that was up")
+		world.encounter("a call lost on a circuit that was up")
 	}
 	return sending
 }
--- a/internal/testbed/simulation/campaign.go
+++ b/internal/testbed/simulation/campaign.go
@@ -23,14 +23,14 @@
 
 // Counter is what a campaign came to.
 type Counter struct {
-	Days        uint64
-	Failed      []uint64
-	Violations  map[string]int
-	Temptations map[string]int
-	// Tempted counts the days in which each temptation occurred at all.
-	Tempted map[string]int
-	Share   float64
-	Lowest  float64
+	Days       uint64
+	Failed     []uint64
+	Violations map[string]int
+	Encounters map[string]int
+	// DaysWith counts the days in which each temptation occurred at all.
+	DaysWith map[string]int
+	Share    float64
+	Lowest   float64
 	// Longest is the worst value of each checker that has a limit in seconds.
 	Longest map[string]float64
 	Replies int
@@ -51,8 +51,8 @@
 }
 
 // Run runs all days; told is called for each, one at a time.
-func (c *Campaign) Run(told func(seed uint64, result Result)) Counter {
-	counter := Counter{Violations: map[string]int{}, Temptations: map[string]int{}, Tempted: map[string]int{}, Lowest: 1, Longest: map[string]float64{}}
+func (c *Campaign) Run(observe func(seed uint64, result Result)) Counter {
+	counter := Counter{Violations: map[string]int{}, Encounters: map[string]int{}, DaysWith: map[string]int{}, Lowest: 1, Longest: map[string]float64{}}
 	var mutex sync.Mutex
 	var working sync.WaitGroup
 	next := c.First
@@ -70,7 +70,7 @@
 				result := New(deployment, seed).Run(c.Day)
 				mutex.Lock()
 				counter.add(seed, result)
-				told(seed, result)
+				observe(seed, result)
 				mutex.Unlock()
 			}
 		})
@@ -90,9 +90,9 @@
 	if result.Failed() {
 		c.Failed = append(c.Failed, seed)
 	}
-	for what, times := range result.Temptations {
-		c.Temptations[what] += times
-		c.Tempted[what]++
+	for what, times := range result.Encounters {
+		c.Encounters[what] += times
+		c.DaysWith[what]++
 	}
 	for _, finding := range result.Verdict.Findings {
 		c.Violations[finding.Checker] += finding.Violations
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -14,7 +14,7 @@
 
 // callers send requests at the world's rates until it says stop. The platform
 // hands them to a router of their zone that runs, or to any other.
-func (w *World) callers(until time.Duration) {
+func (w *World) runClients(until time.Duration) {
 	for w.now < until {
 		total := w.long + w.short
 		w.outside.NewCond().Wait(min(time.Second, time.Duration(w.random.ExpFloat64()/total*float64(time.Second))), never)
@@ -28,13 +28,13 @@
 			Limit: 15_000, PromptTokens: kind.LeastTokens + w.random.IntN(kind.MostTokens-kind.LeastTokens),
 			Prefix: kind.Service + "-" + strconv.Itoa(w.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
 			Chunks: kind.LeastChunks + w.random.IntN(kind.MostChunks-kind.LeastChunks)}
-		w.outside.Go(func() { w.caller(question, zone) })
+		w.outside.Go(func() { w.runClient(question, zone) })
 	}
 }
 
 // caller sends one request, and perhaps sends it again: it obeys the time to
 // come back, or ignores it, or asks elsewhere after a broken connection.
-func (w *World) caller(question fleet.Question, zone string) {
+func (w *World) runClient(question fleet.Question, zone string) {
 	for arrival := range 3 {
 		m := w.routerFor(zone)
 		if m == nil {
@@ -47,13 +47,13 @@
 			if again == 0 {
 				pause = retry
 			}
-			w.tempt("an id sent again after a refusal")
+			w.encounter("an id sent again after a refusal")
 		case reply.Final == "" && again < 3:
-			w.tempt("an id sent again after a broken circuit")
+			w.encounter("an id sent again after a broken circuit")
 		case (reply.Final == "unknown" || reply.Final == "failed") && again == 0:
-			w.tempt("an id sent again after its final word")
+			w.encounter("an id sent again after its final word")
 		case reply.Final == "complete" && again == 0 && w.random.IntN(20) == 0:
-			w.tempt("an id sent again after its final word")
+			w.encounter("an id sent again after its final word")
 		default:
 			return
 		}
@@ -118,14 +118,14 @@
 		Arrival: arrival, Zone: zone}
 	sent := entry
 	sent.Kind = fleet.Sent
-	w.Book.Note(sent)
+	w.Events.Append(sent)
 	leavesAt := -1
 	if w.random.IntN(40) == 0 {
 		leavesAt = w.random.IntN(question.Chunks + 1)
 	}
 	retry := w.exchange(m, question, leavesAt, &entry)
 	entry.Kind, entry.Took = fleet.Replied, w.now-began
-	w.Book.Note(entry)
+	w.Events.Append(entry)
 	return entry, retry
 }
 
@@ -138,10 +138,10 @@
 	caller := &client{world: w, there: there, pipe: replies}
 	w.carry("outside", m.name, nil, func() {
 		if there.ended {
-			replies.snap()
+			replies.disconnect()
 			return
 		}
-		forget := there.atEnd(replies.snap)
+		forget := there.onEnd(replies.disconnect)
 		w.after(0, there, func() {
 			there.Go(func() {
 				defer forget()
@@ -160,7 +160,7 @@
 	patience := time.Duration(question.Limit)*time.Millisecond + 5*time.Second
 	for {
 		if leavesAt == len(entry.Texts) {
-			w.tempt("a caller left")
+			w.encounter("a caller left")
 			caller.leave()
 			entry.Cause = fleet.CallerLeft
 			return 0
@@ -187,9 +187,9 @@
 	}
 }
 
-// lookAtRevision asks a router, as a caller, which revision is in force there:
+// readRevision asks a router, as a caller, which revision is in force there:
 // the route that refuses the service "revision" is named by it.
-func (w *World) lookAtRevision(m *machine) {
+func (w *World) readRevision(m *machine) {
 	began := w.now
 	entry := fleet.Entry{}
 	question := fleet.Question{ID: "look-" + w.nonce(), Service: "edition", Idempotent: true, Limit: 1000, PromptTokens: 1, Chunks: 1}
@@ -207,29 +207,29 @@
 		}
 		// The moment of asking is that at which the router takes it up.
 		began = w.now
-		conduct.Serve(dataplane.Arrival{Request: request, Body: body}, &looker{take: func(line dataplane.ReplyLine) {
+		conduct.Serve(dataplane.Arrival{Request: request, Body: body}, &revisionReader{take: func(line dataplane.ReplyLine) {
 			if line.Type == failure.RouteRefuses {
 				detail = line.Detail
 			}
 			if number, found := strings.CutPrefix(detail, "edition-"); found {
 				revision, _ := strconv.Atoi(number)
 				entry = fleet.Entry{Kind: fleet.RevisionSeen, Router: m.name, Revision: revision, Took: w.now - began}
-				w.Book.Note(entry)
+				w.Events.Append(entry)
 			}
 		}})
 	})
 }
 
 // looker reads a reply of one line.
-type looker struct {
+type revisionReader struct {
 	take func(line dataplane.ReplyLine)
 }
 
 // Begin needs nothing.
-func (*looker) Begin(int, int) {}
+func (*revisionReader) Begin(int, int) {}
 
 // Line reads the line.
-func (l *looker) Line(content []byte) error {
+func (l *revisionReader) Line(content []byte) error {
 	var line dataplane.ReplyLine
 	if err := json.Unmarshal(content, &line); err != nil {
 		return failure.Wrap(failure.Garbage, err)
@@ -239,4 +239,4 @@
 }
 
 // OnClientGone needs nothing: it stays.
-func (*looker) OnClientGone(func()) {}
+func (*revisionReader) OnClientGone(func()) {}
--- a/internal/testbed/simulation/core.go
+++ b/internal/testbed/simulation/core.go
@@ -34,27 +34,27 @@
 	Took time.Duration
 	// Lost are acknowledged changes that were not read back.
 	Lost []string
-	// Twice counts the moments at which two controllers led.
-	Twice int
-	// Whole tells whether the core became whole again.
-	Whole bool
+	// TwoPrimaries counts the moments at which two controllers led.
+	TwoPrimaries int
+	// Restored tells whether the core became whole again.
+	Restored bool
 }
 
 // Failed tells whether something happened that must not.
 func (c CoreTrial) Failed() bool {
-	return c.Took < 0 || len(c.Lost) > 0 || c.Twice > 0 || !c.Whole
+	return c.Took < 0 || len(c.Lost) > 0 || c.TwoPrimaries > 0 || !c.Restored
 }
 
-// coreTrouble is one trouble of a core; it tells from when on the next change counts.
-type coreTrouble struct {
+// coreFault is one trouble of a core; it tells from when on the next change counts.
+type coreFault struct {
 	name string
 	// losses is from how many borne losses on the trouble is to be borne.
 	losses int
 	run    func(world *World) (from time.Duration)
 }
 
-func coreTroubles() []coreTrouble {
-	return []coreTrouble{
+func coreFaults() []coreFault {
+	return []coreFault{
 		{"a disk is wiped, the others lose their power", 1, func(world *World) time.Duration { return world.wipeAmidPowerLoss(1) }},
 		{"the primary's disk is wiped", 1, func(world *World) time.Duration {
 			primary := world.primary()
@@ -99,8 +99,8 @@
 				k = append(k, m)
 			}
 			world.run(world.now + time.Duration(100+world.random.IntN(900))*time.Millisecond)
-			for _, ma := range k {
-				world.start(ma)
+			for _, changes := range k {
+				world.start(changes)
 			}
 			return world.now
 		}},
@@ -110,9 +110,9 @@
 			from := world.now
 			world.kill(primary)
 			var others []*machine
-			for _, mc := range world.nodes(membership.Controller) {
-				if mc != primary {
-					others = append(others, mc)
+			for _, controller := range world.nodes(membership.Controller) {
+				if controller != primary {
+					others = append(others, controller)
 				}
 			}
 			other := others[world.random.IntN(len(others))]
@@ -137,11 +137,11 @@
 		}},
 		{"two disks are wiped, the others go on", 2, func(world *World) time.Duration {
 			from := world.now
-			for _, mch := range world.anyTwo() {
-				world.wipe(mch)
+			for _, lost := range world.anyTwo() {
+				world.wipe(lost)
 				world.outside.Go(func() {
 					world.wait(200, 6000)
-					world.start(mch)
+					world.start(lost)
 				})
 			}
 			return from
@@ -181,10 +181,10 @@
 	}
 }
 
-// CoreTroubles names the troubles that a core of so many borne losses is to bear.
-func CoreTroubles(losses int) []string {
+// CoreFaultNames names the troubles that a core of so many borne losses is to bear.
+func CoreFaultNames(losses int) []string {
 	var names []string
-	for _, problem := range coreTroubles() {
+	for _, problem := range coreFaults() {
 		if problem.losses <= losses {
 			names = append(names, problem.name)
 		}
@@ -192,11 +192,11 @@
 	return names
 }
 
-// TryCore lets a core form, brings the trouble about right after an acknowledged change,
+// RunCoreTrial lets a core form, brings the trouble about right after an acknowledged change,
 // and tells how it went.
-func (w *World) TryCore(problem string) CoreTrial {
+func (w *World) RunCoreTrial(problem string) CoreTrial {
 	w.diskSync = time.Duration(2+3*w.random.IntN(2)) * time.Millisecond
-	w.ways.AcknowledgeWait, w.ways.FormOnce = time.Second, true
+	w.settings.AcknowledgeWait, w.settings.FormOnce = time.Second, true
 	for _, m := range w.machines {
 		if m.disk != nil {
 			m.disk.sync = w.diskSync
@@ -209,40 +209,40 @@
 	w.outside.Go(func() { w.watchPrimaries(time.Hour) })
 	trial := CoreTrial{Took: -1}
 	w.run(w.now + 500*time.Millisecond)
-	if w.changed(w.now, w.configuration()) < 0 || w.since(w.now, w.whole) < 0 {
+	if w.changed(w.now, w.configuration()) < 0 || w.since(w.now, w.coreComplete) < 0 {
 		return trial
 	}
-	w.ways.JoinOnly = true
-	ma := &marks{world: w}
+	w.settings.JoinOnly = true
+	changes := &trackedChanges{world: w}
 	for range 3 + w.random.IntN(3) {
-		ma.next(w.now)
+		changes.next(w.now)
 		w.run(w.now + time.Duration(w.random.IntN(700))*time.Millisecond)
-		w.since(w.now, w.whole)
+		w.since(w.now, w.coreComplete)
 	}
-	ma.next(w.now)
-	for _, known := range coreTroubles() {
+	changes.next(w.now)
+	for _, known := range coreFaults() {
 		if known.name == problem {
-			w.say("trouble: %s", problem)
-			trial.Took = ma.longest(known.run(w))
+			w.tracef("trouble: %s", problem)
+			trial.Took = changes.longest(known.run(w))
 		}
 	}
-	w.say("acknowledged after %s", trial.Took)
+	w.tracef("acknowledged after %s", trial.Took)
 	// Everything comes back, and the core is to be whole by itself.
-	w.mend()
-	trial.Whole = w.since(w.now, w.whole) >= 0
+	w.repairAll()
+	trial.Restored = w.since(w.now, w.coreComplete) >= 0
 	for range 2 {
-		ma.next(w.now)
+		changes.next(w.now)
 	}
-	trial.Lost, trial.Twice = ma.lost(), w.twice
+	trial.Lost, trial.TwoPrimaries = changes.lost(), w.twoPrimaries
 	return trial
 }
 
 // marks are changes that each leave something in the configuration by which it is known
 // later that they are there.
-type marks struct {
+type trackedChanges struct {
 	world        *World
 	acknowledged []string
-	asked        int
+	requested    int
 }
 
 // gapWatch is for how long after a trouble changes are asked for.
@@ -250,7 +250,7 @@
 
 // longest has changes made for some time after the moment and tells the longest time
 // without an acknowledged one.
-func (m *marks) longest(from time.Duration) time.Duration {
+func (m *trackedChanges) longest(from time.Duration) time.Duration {
 	longest, latest := time.Duration(0), from
 	for ends := from + gapWatch; latest < ends; {
 		if m.next(m.world.now) < 0 {
@@ -265,17 +265,17 @@
 
 // next asks for changes, a new one every tenth of a second, until one is acknowledged,
 // and tells how long that took.
-func (m *marks) next(from time.Duration) time.Duration {
+func (m *trackedChanges) next(from time.Duration) time.Duration {
 	world, over := m.world, false
 	world.outside.Go(func() {
 		for ends := world.now + incidentPatience; world.now < ends && !over; world.wait(100, 100) {
-			m.asked++
-			mark := "mark-" + strconv.Itoa(m.asked)
+			m.requested++
+			change := "mark-" + strconv.Itoa(m.requested)
 			world.outside.Go(func() {
-				edit := controlplane.Edit{Change: mark, Digest: mark, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, mark, "rehearsal") }}
+				edit := controlplane.Edit{Change: change, Digest: change, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, change, "rehearsal") }}
 				if world.editSomewhere(edit) {
 					over = true
-					m.acknowledged = append(m.acknowledged, mark)
+					m.acknowledged = append(m.acknowledged, change)
 				}
 			})
 		}
@@ -299,7 +299,7 @@
 }
 
 // lost reads the configuration back and names the acknowledged changes that it lacks.
-func (m *marks) lost() []string {
+func (m *trackedChanges) lost() []string {
 	var text []byte
 	read := false
 	m.world.outside.Go(func() {
@@ -311,9 +311,9 @@
 	})
 	m.world.since(m.world.now, func() bool { return read })
 	var lost []string
-	for _, mark := range m.acknowledged {
-		if !strings.Contains(string(text), `"`+mark+`"`) {
-			lost = append(lost, mark)
+	for _, change := range m.acknowledged {
+		if !strings.Contains(string(text), `"`+change+`"`) {
+			lost = append(lost, change)
 		}
 	}
 	return lost
@@ -321,7 +321,7 @@
 
 // wipe takes a machine's power and disk.
 func (w *World) wipe(m *machine) {
-	w.say("%s loses its disk", m.name)
+	w.tracef("%s loses its disk", m.name)
 	w.powerOff(m.name)
 	m.disk = newDisk(w)
 }
@@ -358,11 +358,11 @@
 	}
 	w.run(w.now + time.Second)
 	late := w.random.IntN(2) * 5000
-	for position, ma := range machines {
+	for position, changes := range machines {
 		if position < wiped && late > 0 {
-			w.back(ma, 0, late)
+			w.back(changes, 0, late)
 		} else {
-			w.start(ma)
+			w.start(changes)
 		}
 	}
 	return w.now
--- a/internal/testbed/simulation/core_test.go
+++ b/internal/testbed/simulation/core_test.go
@@ -20,10 +20,10 @@
 func TestCoreBearsItsLosses(t *testing.T) {
 	first, count := seeds(t, 4)
 	for name, layout := range CoreLayouts() {
-		for _, problem := range CoreTroubles(layout.BorneLosses) {
+		for _, problem := range CoreFaultNames(layout.BorneLosses) {
 			t.Run(name+"/"+problem, func(t *testing.T) {
 				var took []time.Duration
-				for seed, trial := range tryCores(layout, problem, first, count) {
+				for seed, trial := range runCoreTrials(layout, problem, first, count) {
 					took = append(took, trial.Took)
 					if trial.Failed() || trial.Took > slowestAcknowledgement {
 						t.Errorf("seed %d: %+v", first+uint64(seed), trial)
@@ -36,8 +36,8 @@
 	}
 }
 
-// tryCores runs seeds side by side.
-func tryCores(layout Layout, problem string, first, count uint64) []CoreTrial {
+// runCoreTrials runs seeds side by side.
+func runCoreTrials(layout Layout, problem string, first, count uint64) []CoreTrial {
 	trials := make([]CoreTrial, count)
 	var working sync.WaitGroup
 	var mutex sync.Mutex
@@ -52,7 +52,7 @@
 				if seed >= count {
 					return
 				}
-				trials[seed] = NewLaidOut(layout, first+seed).TryCore(problem)
+				trials[seed] = NewLaidOut(layout, first+seed).RunCoreTrial(problem)
 			}
 		})
 	}
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -44,20 +44,20 @@
 	// Runtime counts the parts that servers changed after they had one, Flaps those
 	// that were taken back within fifteen seconds.
 	Runtime, Flaps int
-	// Twice counts the moments at which two controllers could answer as primary.
-	Twice int
-	// Whole tells whether the core was whole again at the end, without an
+	// TwoPrimaries counts the moments at which two controllers could answer as primary.
+	TwoPrimaries int
+	// Restored tells whether the core was whole again at the end, without an
 	// operator.
-	Whole       bool
-	Temptations map[string]int
-	Steps       uint64
+	Restored   bool
+	Encounters map[string]int
+	Steps      uint64
 	// Calls is what became of opaque calls.
 	Calls CallCounter
 }
 
 // Failed tells whether something happened that must not.
 func (r Result) Failed() bool {
-	return r.Verdict.Violations() > 0 || !r.Whole || r.Twice > 0
+	return r.Verdict.Violations() > 0 || !r.Restored || r.TwoPrimaries > 0
 }
 
 // Broke tells whether a rule was broken whose name has the text in it; with no
@@ -110,14 +110,14 @@
 	if w.random.IntN(4) == 0 {
 		// The platform comes later than the fleet.
 		w.platform.down = true
-		w.tempt("a start without the platform")
+		w.encounter("a start without the platform")
 		w.outside.Go(func() {
 			w.wait(500, 5000)
 			w.platform.down = false
 		})
 	}
-	w.outside.Go(func() { w.callers(ends) })
-	if w.ways.Calls {
+	w.outside.Go(func() { w.runClients(ends) })
+	if w.settings.Calls {
 		w.outside.Go(func() { w.originsOfCalls(ends) })
 	}
 	w.outside.Go(func() { w.operate(ends) })
@@ -131,7 +131,7 @@
 	w.faultsOver = true
 	w.outside.Go(w.upgradeAll)
 	w.run(closes)
-	w.mend()
+	w.repairAll()
 	w.run(closes + time.Millisecond)
 	if !day.Swings {
 		w.outside.Go(w.close)
@@ -141,19 +141,19 @@
 	for range 10 {
 		w.outside.Go(func() { w.readConfiguration(true) })
 		w.run(w.now + 2*time.Second)
-		if w.whole() {
+		if w.coreComplete() {
 			break
 		}
 	}
-	result := Result{Verdict: fleet.Judge(w.Book.Entries()), Whole: w.whole(), Twice: w.twice, Temptations: w.temptations, Steps: w.acted, Calls: *w.calls}
-	result.Runtime, result.Flaps = rt(w.Book.Entries())
+	result := Result{Verdict: fleet.Judge(w.Events.Entries()), Restored: w.coreComplete(), TwoPrimaries: w.twoPrimaries, Encounters: w.encounters, Steps: w.acted, Calls: *w.calls}
+	result.Runtime, result.Flaps = countPartChanges(w.Events.Entries())
 	for _, i := range w.incarnations {
 		if !i.ended {
 			i.ended = true
 			w.dead = append(w.dead, i)
 		}
 	}
-	w.bury()
+	w.unwindDead()
 	return result
 }
 
@@ -163,7 +163,7 @@
 	for _, m := range w.nodes("") {
 		if len(m.withheld) > 0 {
 			m.withheld = nil
-			w.tempt("a node restarted as a newer release")
+			w.encounter("a node restarted as a newer release")
 			w.killFor(m, 50, 300)
 			w.wait(300, 600)
 		}
@@ -187,7 +187,7 @@
 
 // turns counts the changes of parts in a book, and those that were taken back
 // soon.
-func rt(entries []fleet.Entry) (changes, flaps int) {
+func countPartChanges(entries []fleet.Entry) (changes, flaps int) {
 	type part struct {
 		name  string
 		since time.Time
@@ -213,15 +213,15 @@
 // watchPrimaries looks, over and over, whether two controllers hold at once.
 func (w *World) watchPrimaries(until time.Duration) {
 	for w.now < until {
-		holders := 0
+		leaders := 0
 		for _, m := range w.machines {
 			if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.frozen && m.control != nil && m.control.Coordinator().HasLease() {
-				holders++
+				leaders++
 			}
 		}
-		if holders > 1 {
-			w.twice++
-			w.say("%d expediters hold at once", holders)
+		if leaders > 1 {
+			w.twoPrimaries++
+			w.tracef("%d expediters hold at once", leaders)
 		}
 		w.outside.NewCond().Wait(20*time.Millisecond, never)
 	}
@@ -242,8 +242,8 @@
 				continue
 			}
 			if drawn -= fa.weight; drawn < 0 || only != "" {
-				w.say("fault: %s", fa.name)
-				w.Book.Note(fleet.Entry{Kind: fleet.FaultBegan, Cause: fa.name})
+				w.tracef("fault: %s", fa.name)
+				w.Events.Append(fleet.Entry{Kind: fleet.FaultBegan, Cause: fa.name})
 				w.outside.Go(func() { fa.run(w) })
 				break
 			}
@@ -253,7 +253,7 @@
 }
 
 // mend ends whatever is still wrong, as those who run the fleet would.
-func (w *World) mend() {
+func (w *World) repairAll() {
 	w.heal()
 	w.platform.down, w.loseAnswers = false, 0
 	for _, m := range w.machines {
@@ -274,8 +274,8 @@
 func (w *World) close() {
 	kinds := []string{"herd of couriers", "herd of expediters", "cold start", "zone", "primary", "power"}
 	kind := kinds[w.random.IntN(len(kinds))]
-	w.say("closing fault: %s", kind)
-	w.Book.Note(fleet.Entry{Kind: fleet.ClosingFault, Cause: kind})
+	w.tracef("closing fault: %s", kind)
+	w.Events.Append(fleet.Entry{Kind: fleet.ClosingFault, Cause: kind})
 	switch kind {
 	case "herd of couriers":
 		w.herd(membership.Router)
--- a/internal/testbed/simulation/disk.go
+++ b/internal/testbed/simulation/disk.go
@@ -49,7 +49,7 @@
 // lose forgets what was not synced.
 func (d *disk) lose() {
 	if len(d.seen) != len(d.names) {
-		d.world.tempt("a power loss with renames not synced")
+		d.world.encounter("a power loss with renames not synced")
 	}
 	d.seen = map[string][]byte{}
 	for name, content := range d.names {
@@ -66,8 +66,8 @@
 	if d.powerFailsIn > 0 || d.owner == nil || d.owner.ended {
 		return
 	}
-	d.world.tempt("the power fails before " + what)
-	d.world.say("%s: the power fails before %s", d.owner.name, what)
+	d.world.encounter("the power fails before " + what)
+	d.world.tracef("%s: the power fails before %s", d.owner.name, what)
 	d.world.powerOff(d.owner.name)
 	panic(killed{})
 }
@@ -140,7 +140,7 @@
 	content = slices.Clone(content)
 	if d.damage > 0 && strings.Contains(path, "larder") && len(content) > 0 {
 		d.damage--
-		d.world.tempt("a file came back damaged")
+		d.world.encounter("a file came back damaged")
 		content[len(content)/2] ^= 0x40
 	}
 	return content, nil
--- a/internal/testbed/simulation/encounters.go
+++ b/internal/testbed/simulation/encounters.go
@@ -1,8 +1,8 @@
 package simulation
 
-// Wanted are the temptations without which days prove nothing: moments in which
+// RequiredEncounters are the temptations without which days prove nothing: moments in which
 // something that must never happen could.
-var Wanted = []string{
+var RequiredEncounters = []string{
 	"a claim in flight at a kill",
 	"inquiries under way at a kill",
 	"an id sent again after a refusal",
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -23,7 +23,7 @@
 	return []fault{
 		{"kill a courier", 6, func(world *World) { world.killFor(world.anyNode(membership.Router), 100, 4000) }},
 		{"a courier stays away", 5, func(world *World) { world.killFor(world.anyNode(membership.Router), 8000, 12000) }},
-		{"the holder of the parts stays away", 3, func(world *World) { world.killFor(world.holder(), 8000, 12000) }},
+		{"the holder of the parts stays away", 3, func(world *World) { world.killFor(world.partsHolder(), 8000, 12000) }},
 		{"kill an expediter", 6, func(world *World) { world.killFor(world.anyNode(membership.Controller), 100, 5000) }},
 		{"kill the primary", 4, func(world *World) { world.killFor(world.primary(), 50, 5000) }},
 		{"power off a machine", 4, func(world *World) { world.powerOffFor(world.anyNode(""), 500, 6000) }},
@@ -50,7 +50,7 @@
 		{"freeze a courier", 6, func(world *World) { world.freezeFor(world.anyNode(membership.Router)) }},
 		{"freeze an expediter", 3, func(world *World) { world.freezeFor(world.anyNode(membership.Controller)) }},
 		{"freeze the primary", 4, func(world *World) { world.freezeFor(world.primary()) }},
-		{"freeze the holder of the parts", 4, func(world *World) { world.freezeFor(world.holder()) }},
+		{"freeze the holder of the parts", 4, func(world *World) { world.freezeFor(world.partsHolder()) }},
 		{"a wall clock jumps", 3, func(world *World) {
 			if mc := world.anyNode(""); mc.incarnation != nil {
 				mc.incarnation.jump = time.Duration(world.random.IntN(14400)-7200) * time.Second
@@ -205,7 +205,7 @@
 }
 
 // holder is the router that decides the parts, or any.
-func (w *World) holder() *machine {
+func (w *World) partsHolder() *machine {
 	for _, m := range w.nodes(membership.Controller) {
 		if m.incarnation == nil || m.incarnation.ended || m.control == nil {
 			continue
@@ -232,9 +232,9 @@
 	}
 	stopping, control := m.incarnation, m.control
 	if control.Coordinator().HasLease() {
-		w.tempt("a primary handed over")
+		w.encounter("a primary handed over")
 	}
-	w.say("%s is stopped", m.name)
+	w.tracef("%s is stopped", m.name)
 	left := false
 	stopping.Go(func() {
 		control.Leave(leavePatience)
@@ -252,7 +252,7 @@
 }
 
 func (w *World) powerOffFor(m *machine, least, most int) {
-	w.say("%s loses its power", m.name)
+	w.tracef("%s loses its power", m.name)
 	w.powerOff(m.name)
 	w.wait(least, most)
 	w.start(m)
@@ -266,7 +266,7 @@
 		m.disk.powerFailsIn = 1 + w.random.IntN(14)
 		w.wait(1000, 6000)
 		m.disk.powerFailsIn = 0
-		w.tempt("the power fails while the first core forms")
+		w.encounter("the power fails while the first core forms")
 		w.start(m)
 		return
 	}
@@ -274,8 +274,8 @@
 		w.wait(0, 20)
 	}
 	w.wait(0, 1500)
-	w.say("%s loses its disk", m.name)
-	w.tempt("a disk lost while the first core forms")
+	w.tracef("%s loses its disk", m.name)
+	w.encounter("a disk lost while the first core forms")
 	w.kill(m)
 	m.disk = newDisk(w)
 	w.wait(0, 1500)
@@ -294,14 +294,14 @@
 
 // whole tells whether a primary with a backup leads and every keeper is the
 // disk that runs at its address, so that one more disk may be lost.
-func (w *World) whole() bool {
+func (w *World) coreComplete() bool {
 	for _, ma := range w.nodes(membership.Controller) {
 		if ma.incarnation == nil || ma.incarnation.ended || ma.incarnation.frozen || ma.control == nil || !ma.control.Coordinator().HasLease() {
 			continue
 		}
 		m := ma.control.Coordinator().Membership()
-		borne := max(w.borneLosses(), 1)
-		if len(m.Backups()) != borne || len(m.Incoming) > 0 || len(m.Witnesses) != 2*borne+1 {
+		losses := max(w.borneLosses(), 1)
+		if len(m.Backups()) != losses || len(m.Incoming) > 0 || len(m.Witnesses) != 2*losses+1 {
 			return false
 		}
 		for _, seat := range append(m.Backups(), m.Witnesses...) {
@@ -319,19 +319,19 @@
 // loseDisk takes a machine's whole disk while the core is whole: one disk may be
 // lost, and the next only when that is made good.
 func loseDisk(world *World) {
-	if !world.whole() {
+	if !world.coreComplete() {
 		return
 	}
 	m := world.anyNode(membership.Controller)
 	if world.random.IntN(2) == 0 {
 		m = world.primary()
 		world.nextRevision(1)
-		if !world.whole() {
+		if !world.coreComplete() {
 			return
 		}
 	}
-	world.say("%s loses its disk", m.name)
-	world.tempt("a disk lost")
+	world.tracef("%s loses its disk", m.name)
+	world.encounter("a disk lost")
 	world.kill(m)
 	m.disk = newDisk(world)
 	world.wait(50, 2000)
@@ -342,11 +342,11 @@
 	if m.incarnation == nil || m.incarnation.ended || m.incarnation.frozen {
 		return
 	}
-	w.say("%s freezes", m.name)
+	w.tracef("%s freezes", m.name)
 	frozen, since := m.incarnation, w.now
 	frozen.freeze()
 	defer func() {
-		w.Book.Note(fleet.Entry{Kind: fleet.NodeWoken, Router: m.name, Took: w.now - since})
+		w.Events.Append(fleet.Entry{Kind: fleet.NodeWoken, Router: m.name, Took: w.now - since})
 	}()
 	if w.random.IntN(2) == 0 {
 		w.wait(300, 5000)
@@ -356,12 +356,12 @@
 	}
 	if !frozen.ended {
 		if m.router != nil && m.router.Core().InFlight() > 0 && frozen.Now().After(m.router.Core().LeaseEnds()) {
-			w.tempt("a courier woken with inquiries under way, its hold over")
+			w.encounter("a courier woken with inquiries under way, its hold over")
 		}
 		if m.control != nil && m.control.Store().Leading() {
-			w.tempt("a primary woken")
+			w.encounter("a primary woken")
 		}
-		w.say("%s wakes", m.name)
+		w.tracef("%s wakes", m.name)
 		frozen.wake()
 	}
 }
@@ -390,7 +390,7 @@
 }
 
 func (w *World) isolate(name string, inwards, outwards bool) {
-	w.say("%s is cut off, inwards %v, outwards %v", name, inwards, outwards)
+	w.tracef("%s is cut off, inwards %v, outwards %v", name, inwards, outwards)
 	w.cutFor(func(from, to string) bool { return (inwards && to == name) || (outwards && from == name) })
 }
 
@@ -399,7 +399,7 @@
 	first := world.random.IntN(len(found))
 	left, right := found[first].name, found[(first+1)%len(found)].name
 	oneWay := world.random.IntN(3) == 0
-	world.say("%s and %s are cut from each other, one way %v", left, right, oneWay)
+	world.tracef("%s and %s are cut from each other, one way %v", left, right, oneWay)
 	world.cutFor(func(from, to string) bool {
 		return (from == left && to == right) || (!oneWay && from == right && to == left)
 	})
@@ -451,7 +451,7 @@
 }
 
 func (w *World) herd(kind membership.NodeKind) {
-	w.say("a herd is killed: %s", kind)
+	w.tracef("a herd is killed: %s", kind)
 	var k []*machine
 	for _, m := range w.nodes(kind) {
 		if m.incarnation != nil && !m.incarnation.ended {
@@ -467,7 +467,7 @@
 
 func loseZone(world *World) {
 	zone := world.anyZone()
-	world.say("the zone %s is lost", zone)
+	world.tracef("the zone %s is lost", zone)
 	for _, m := range world.nodes("") {
 		if m.zone == zone {
 			world.outside.Go(func() { world.powerOffFor(m, 4000, 7000) })
@@ -484,9 +484,9 @@
 		return
 	}
 	if w.servers[name].top.Active() > 0 {
-		w.tempt("answers under way at a server's crash")
+		w.encounter("answers under way at a server's crash")
 	}
-	w.say("%s crashes", name)
+	w.tracef("%s crashes", name)
 	w.crashServer(name)
 	w.wait(least, most)
 	w.startServer(w.servers[name].plan)
@@ -509,9 +509,9 @@
 		return
 	}
 	listed := world.platform.servers[name]
-	world.Book.Note(fleet.Entry{Kind: fleet.ServerLeaving, Server: name})
+	world.Events.Append(fleet.Entry{Kind: fleet.ServerLeaving, Server: name})
 	if s.top.Active() > 0 {
-		world.tempt("answers under way at a leaving server")
+		world.encounter("answers under way at a leaving server")
 	}
 	switch way {
 	case 0:
@@ -522,7 +522,7 @@
 	default:
 		s.top.SetLeaving(true)
 	}
-	world.say("%s leaves", name)
+	world.tracef("%s leaves", name)
 	world.wait(4500, 8000)
 	if world.servers[name] == s {
 		world.crashFor(name, 0, 1000)
@@ -538,13 +538,13 @@
 	}
 	if len(m.withheld) == 0 && !world.faultsOver {
 		m.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
-		world.tempt("a node restarted as an older release")
+		world.encounter("a node restarted as an older release")
 	} else {
 		m.withheld = nil
-		world.tempt("a node restarted as a newer release")
+		world.encounter("a node restarted as a newer release")
 	}
 	if world.anyWithheld() && !world.seenKeys["flag/"+string(features.PairPrice)] {
-		world.tempt("a member stopped while flags wait for an older one")
+		world.encounter("a member stopped while flags wait for an older one")
 	}
 	world.kill(m)
 	world.wait(200, 8000)
@@ -575,7 +575,7 @@
 
 // replaceCore puts an empty machine at a new address in the place of one.
 func replaceCore(world *World) {
-	if !world.whole() {
+	if !world.coreComplete() {
 		return
 	}
 	old := world.anyNode(membership.Controller)
@@ -586,8 +586,8 @@
 		}
 	}
 	number := strconv.Itoa(len(world.machines) + 1)
-	world.say("%s gives way to expediter-%s", old.name, number)
-	world.tempt("a core machine replaced")
+	world.tracef("%s gives way to expediter-%s", old.name, number)
+	world.encounter("a core machine replaced")
 	world.powerOff(old.name)
 	old.gone = true
 	added := world.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.zone, seeds)
--- a/internal/testbed/simulation/forwarding.go
+++ b/internal/testbed/simulation/forwarding.go
@@ -13,10 +13,10 @@
 func endedHere(*auction.Request, auction.Decision) {}
 
 // passing carries requests from one router to another.
-type passing struct{ incarnation *incarnation }
+type forwarder struct{ incarnation *incarnation }
 
 // Forward sends a request on and gives the records of its reply to take.
-func (p *passing) Forward(address string, passage wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+func (p *forwarder) Forward(address string, forwarding wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
 	here, world := p.incarnation, p.incarnation.world
 	to := world.nameAt(address)
 	replies := newPipe(world, to, here.name, here)
@@ -26,19 +26,19 @@
 		if there == nil || there.incarnation == nil || there.incarnation.ended || there.router == nil {
 			if first && world.powered(to) {
 				refused = true
-				replies.snap()
+				replies.disconnect()
 			}
 			return
 		}
 		forget := func() {}
 		if first {
-			forget = there.incarnation.atEnd(replies.snap)
+			forget = there.incarnation.onEnd(replies.disconnect)
 		}
 		conduct, target := there.router, there.incarnation
 		reply := &dataplane.RecordReply{Writer: to, ClientGone: func(act func()) {
 			if first {
 				whenLeft(func() { world.carry(here.name, to, target, act) })
-				here.atEnd(func() { world.carry(here.name, to, target, act) })
+				here.onEnd(func() { world.carry(here.name, to, target, act) })
 			}
 		}, Send: func(record codec.Record) error {
 			world.tapRecord(record, "on a wire")
@@ -56,13 +56,13 @@
 					return
 				}
 				reply.Request = request.ID
-				conduct.Serve(dataplane.Arrival{Request: request, Body: body, Forwarding: &passage}, reply)
+				conduct.Serve(dataplane.Arrival{Request: request, Body: body, Forwarding: &forwarding}, reply)
 			})
 		})
 	}
 	if world.carry(here.name, to, nil, func() { arrive(true) }) {
 		if over := world.link(here.name, to); over.duplicate > 0 && world.random.IntN(2) == 0 {
-			world.tempt("a passed-on inquiry brought twice")
+			world.encounter("a passed-on inquiry brought twice")
 			world.after(time.Duration(world.random.IntN(4000))*time.Millisecond, nil, func() { arrive(false) })
 		}
 	}
--- a/internal/testbed/simulation/incarnation.go
+++ b/internal/testbed/simulation/incarnation.go
@@ -18,18 +18,18 @@
 	world   *World
 	name    string
 	address string
-	// bornAt is when it started, wall what its clock said then, and drift how
+	// startedAt is when it started, wall what its clock said then, and drift how
 	// much faster than the world its clock runs.
-	bornAt  time.Duration
-	wall    time.Time
-	jump    time.Duration
-	drift   float64
-	ended   bool
-	frozen  bool
-	backlog []*alarm
-	threads map[*thread]bool
-	endings map[uint64]func()
-	answer  func(path string, body []byte) ([]byte, error)
+	startedAt time.Duration
+	wall      time.Time
+	jump      time.Duration
+	drift     float64
+	ended     bool
+	frozen    bool
+	backlog   []*alarm
+	threads   map[*thread]bool
+	onEndActs map[uint64]func()
+	handle    func(path string, body []byte) ([]byte, error)
 }
 
 // thread is one of a life's threads, as a coroutine: it runs until it waits.
@@ -46,14 +46,14 @@
 type killed struct{}
 
 // Now is the life's own steady clock.
-func (i *incarnation) Now() time.Time { return i.wall.Add(i.lived()) }
+func (i *incarnation) Now() time.Time { return i.wall.Add(i.elapsed()) }
 
-func (i *incarnation) lived() time.Duration {
-	return time.Duration(float64(i.world.now-i.bornAt) * (1 + i.drift))
+func (i *incarnation) elapsed() time.Duration {
+	return time.Duration(float64(i.world.now-i.startedAt) * (1 + i.drift))
 }
 
 // Wall is the life's wall clock, which faults set.
-func (i *incarnation) Wall() time.Time { return i.wall.Add(i.lived() + i.jump) }
+func (i *incarnation) Wall() time.Time { return i.wall.Add(i.elapsed() + i.jump) }
 
 // Alive tells whether the life goes on.
 func (i *incarnation) Alive() bool { return !i.ended }
@@ -92,7 +92,7 @@
 	if !waits {
 		delete(t.incarnation.threads, t)
 	}
-	t.incarnation.world.bury()
+	t.incarnation.world.unwindDead()
 }
 
 // suspend gives the turn back to the world until the thread is resumed.
@@ -110,29 +110,29 @@
 	}
 	i.ended = true
 	i.world.dead = append(i.world.dead, i)
-	for _, number := range slices.Sorted(maps.Keys(i.endings)) {
-		i.endings[number]()
+	for _, number := range slices.Sorted(maps.Keys(i.onEndActs)) {
+		i.onEndActs[number]()
 	}
-	i.endings = nil
+	i.onEndActs = nil
 	if i.world.running == nil {
-		i.world.bury()
+		i.world.unwindDead()
 	}
 }
 
-// atEnd has something done when the life ends; forget takes that back.
-func (i *incarnation) atEnd(act func()) (forget func()) {
+// onEnd has something done when the life ends; forget takes that back.
+func (i *incarnation) onEnd(act func()) (forget func()) {
 	if i.ended {
 		act()
 		return func() {}
 	}
 	i.world.sequence++
 	number := i.world.sequence
-	i.endings[number] = act
-	return func() { delete(i.endings, number) }
+	i.onEndActs[number] = act
+	return func() { delete(i.onEndActs, number) }
 }
 
 // bury unwinds the threads of lives that have ended, once none of them runs.
-func (w *World) bury() {
+func (w *World) unwindDead() {
 	if w.running != nil {
 		return
 	}
@@ -166,7 +166,7 @@
 // looks past it: nothing runs while it looks.
 type lock struct {
 	cond    *cond
-	held    bool
+	locked  bool
 	visited bool
 }
 
@@ -179,9 +179,9 @@
 		l.visited = true
 		return
 	}
-	for !l.cond.Wait(time.Hour, func() bool { return !l.held }) {
+	for !l.cond.Wait(time.Hour, func() bool { return !l.locked }) {
 	}
-	l.held = true
+	l.locked = true
 }
 
 // Unlock lets the next have it.
@@ -190,7 +190,7 @@
 		l.visited = false
 		return
 	}
-	l.held = false
+	l.locked = false
 	l.cond.Broadcast()
 }
 
@@ -204,16 +204,16 @@
 }
 
 type waiter struct {
-	thread *thread
-	rung   bool
-	late   bool
+	thread   *thread
+	notified bool
+	timedOut bool
 }
 
 // Broadcast has all who wait ask again.
 func (c *cond) Broadcast() {
 	for _, waiting := range c.waiters {
-		if !waiting.rung {
-			waiting.rung = true
+		if !waiting.notified {
+			waiting.notified = true
 			c.incarnation.world.after(0, c.incarnation, waiting.thread.resume)
 		}
 	}
@@ -235,7 +235,7 @@
 	c.waiters = append(c.waiters, waiting)
 	length := time.Duration(float64(patience) / (1 + c.incarnation.drift))
 	timer := c.incarnation.world.after(length, c.incarnation, func() {
-		waiting.late = true
+		waiting.timedOut = true
 		t.resume()
 	})
 	defer func() {
@@ -249,11 +249,11 @@
 	}()
 	for {
 		t.suspend()
-		waiting.rung = false
+		waiting.notified = false
 		if over() {
 			return true
 		}
-		if waiting.late {
+		if waiting.timedOut {
 			return false
 		}
 	}
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -64,9 +64,9 @@
 			})
 		}
 		w.run(w.now + 2100*time.Millisecond)
-		incident.Led = w.since(began, w.led)
-		incident.Held = w.since(began, w.held)
-		incident.Whole = w.since(began, w.whole)
+		incident.Led = w.since(began, w.hasLeader)
+		incident.Held = w.since(began, w.allHaveLeases)
+		incident.Whole = w.since(began, w.coreComplete)
 		incident.InForce = w.changed(w.now, w.configuration())
 		// Duties are given, and those who came late take theirs over.
 		w.since(w.now, func() bool { return w.rolesSettled(nil) })
@@ -107,7 +107,7 @@
 			w.run(w.now + 300*time.Millisecond)
 			began := w.now
 			w.start(ma)
-			incident.Held = later(incident.Held, w.since(began, w.held))
+			incident.Held = later(incident.Held, w.since(began, w.allHaveLeases))
 			w.run(w.now + 500*time.Millisecond)
 		}
 	})
@@ -146,7 +146,7 @@
 			w.dead = append(w.dead, i)
 		}
 	}
-	w.bury()
+	w.unwindDead()
 	return incidents
 }
 
@@ -159,8 +159,8 @@
 
 // since lets time pass until the condition holds and tells how long that was from the
 // moment, or -1 when the patience ended.
-func (w *World) since(from time.Duration, holds func() bool) time.Duration {
-	for ends := w.now + incidentPatience; !holds(); {
+func (w *World) since(from time.Duration, condition func() bool) time.Duration {
+	for ends := w.now + incidentPatience; !condition(); {
 		if w.now >= ends {
 			return -1
 		}
@@ -170,7 +170,7 @@
 }
 
 // led tells whether a controller leads.
-func (w *World) led() bool {
+func (w *World) hasLeader() bool {
 	for _, m := range w.nodes(membership.Controller) {
 		if m.incarnation != nil && !m.incarnation.ended && m.control != nil {
 			if _, _, err := m.control.Leading(); err == nil {
@@ -191,7 +191,7 @@
 }
 
 // held tells whether every router that runs has a hold.
-func (w *World) held() bool {
+func (w *World) allHaveLeases() bool {
 	for _, m := range w.nodes(membership.Router) {
 		if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.Now().Before(m.router.Core().LeaseEnds()) {
 			return false
@@ -262,7 +262,7 @@
 
 // change makes one change and adds how long it took.
 func (w *World) change(incident *Incident) {
-	took := w.changed(w.now, w.nowhere("nowhere", len(w.temptations)))
+	took := w.changed(w.now, w.nowhere("nowhere", len(w.encounters)))
 	incident.InForce = later(incident.InForce, took)
 	incident.InForceMean += took / time.Duration(max(incident.Times, 1))
 }
@@ -273,18 +273,18 @@
 	for _, m := range gone {
 		w.powerOff(m.name)
 	}
-	incident.Led = later(incident.Led, w.since(began, w.led))
+	incident.Led = later(incident.Led, w.since(began, w.hasLeader))
 	took := w.changed(began, w.nowhere("nowhere-"+w.nonce(), 0))
 	incident.InForce = later(incident.InForce, took)
 	incident.InForceMean += took / time.Duration(max(incident.Times, 1))
 	incident.Moved = later(incident.Moved, w.since(began, func() bool { return w.rolesSettled(gone) }))
-	incident.Whole = later(incident.Whole, w.since(began, w.whole))
+	incident.Whole = later(incident.Whole, w.since(began, w.coreComplete))
 	w.run(max(w.now, began+length))
 	for _, ma := range gone {
 		w.start(ma)
 	}
-	incident.Held = later(incident.Held, w.since(w.now, w.held))
-	w.since(w.now, w.whole)
+	incident.Held = later(incident.Held, w.since(w.now, w.allHaveLeases))
+	w.since(w.now, w.coreComplete)
 	w.run(w.now + 10*time.Second)
 }
 
@@ -318,7 +318,7 @@
 	if cut != nil {
 		w.run(w.now + 10*time.Millisecond)
 		incident.Led = w.since(began, func() bool {
-			return w.led() && !cut(w.layout.region(w.primary().zone)) || w.led() && w.now-began > 5*time.Second
+			return w.hasLeader() && !cut(w.layout.region(w.primary().zone)) || w.hasLeader() && w.now-began > 5*time.Second
 		})
 		incident.InForce = w.changed(began, w.nowhere("nowhere-"+w.nonce(), 0))
 		incident.InForceMean = incident.InForce
@@ -328,8 +328,8 @@
 	for _, li := range links {
 		li.cut = false
 	}
-	incident.Held = w.since(healed, w.held)
-	incident.Whole = w.since(healed, w.whole)
+	incident.Held = w.since(healed, w.allHaveLeases)
+	incident.Whole = w.since(healed, w.coreComplete)
 	if cut == nil {
 		incident.InForce = w.changed(healed, w.nowhere("nowhere-"+w.nonce(), 0))
 		incident.InForceMean = incident.InForce
@@ -342,7 +342,7 @@
 	if _, err := fmt.Fprintln(target, "| what | times | led again | duties moved | change in force, mean | longest | all held | core whole | looked at | messages | bytes | at rest in this time, messages | bytes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"); err != nil {
 		return err
 	}
-	told := func(length time.Duration) string {
+	seconds := func(length time.Duration) string {
 		switch {
 		case length < 0:
 			return "never"
@@ -352,8 +352,8 @@
 		return strconv.FormatFloat(length.Seconds(), 'f', 2, 64) + " s"
 	}
 	for _, incident := range incidents {
-		if _, err := fmt.Fprintf(target, "| %s | %d | %s | %s | %s | %s | %s | %s | %s | %d | %d kB | %d | %d kB |\n", incident.Name, incident.Times, told(incident.Led), told(incident.Moved),
-			told(incident.InForceMean), told(incident.InForce), told(incident.Held), told(incident.Whole), told(incident.Span), incident.Traffic.Messages, incident.Traffic.Bytes/1000,
+		if _, err := fmt.Fprintf(target, "| %s | %d | %s | %s | %s | %s | %s | %s | %s | %d | %d kB | %d | %d kB |\n", incident.Name, incident.Times, seconds(incident.Led), seconds(incident.Moved),
+			seconds(incident.InForceMean), seconds(incident.InForce), seconds(incident.Held), seconds(incident.Whole), seconds(incident.Span), incident.Traffic.Messages, incident.Traffic.Bytes/1000,
 			incident.Rest.Messages, incident.Rest.Bytes/1000); err != nil {
 			return err
 		}
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -164,8 +164,8 @@
 	o.running--
 }
 
-// controlTroubles are what happens to the core meanwhile, by their names.
-var controlTroubles = map[string]func(fleet *World, until time.Duration){
+// controlFaults are what happens to the core meanwhile, by their names.
+var controlFaults = map[string]func(fleet *World, until time.Duration){
 	"a primary cut off for 20 s": func(fleet *World, until time.Duration) {
 		primary := fleet.primary()
 		if primary == nil {
@@ -230,11 +230,11 @@
 		length    = 30 * time.Second
 		judging   = 20 * time.Second
 	)
-	for name, problem := range controlTroubles {
+	for name, problem := range controlFaults {
 		t.Run(name, func(t *testing.T) {
 			accepted, unknown := 0, 0
 			for seed := range uint64(12) {
-				fleet := begun(t, 400+seed, PlatformWays())
+				fleet := begun(t, 400+seed, PlatformSettings())
 				history := &operatorsHistory{world: fleet, running: operators}
 				until := fleet.now + length
 				for c := range operators {
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -38,12 +38,12 @@
 }
 
 // carry brings one message over a link, or loses it.
-func (w *World) carry(from, to string, life *incarnation, act func()) bool {
+func (w *World) carry(from, to string, owner *incarnation, act func()) bool {
 	over := w.link(from, to)
 	if over.cut || (over.loss > 0 && w.random.Float64() < over.loss) {
 		return false
 	}
-	w.after(w.latency(over), life, act)
+	w.after(w.latency(over), owner, act)
 	return true
 }
 
@@ -53,7 +53,7 @@
 
 // call is one question under way.
 type call struct {
-	caller   *incarnation
+	client   *incarnation
 	from, to string
 	cond     *cond
 	over     bool
@@ -65,7 +65,7 @@
 func (c *call) broken() { c.fail("the circuit broke") }
 
 func (c *call) fail(detail string) {
-	c.caller.world.carry(c.to, c.from, c.caller, func() {
+	c.client.world.carry(c.to, c.from, c.client, func() {
 		c.finish(nil, failure.New(failure.Unreachable, detail))
 	})
 }
@@ -83,7 +83,7 @@
 // link may bring the question twice.
 func (i *incarnation) ask(to string, patience time.Duration, serve func(there *incarnation) (any, error)) (any, error) {
 	world := i.world
-	asked := &call{caller: i, from: i.name, to: to, cond: &cond{incarnation: i}}
+	asked := &call{client: i, from: i.name, to: to, cond: &cond{incarnation: i}}
 	arrive := func(first bool) {
 		there := world.incarnations[to]
 		if there == nil || there.ended {
@@ -100,7 +100,7 @@
 		}
 		forget := func() {}
 		if first {
-			forget = there.atEnd(asked.broken)
+			forget = there.onEnd(asked.broken)
 		}
 		// The question lies there until the process runs.
 		world.after(0, there, func() {
@@ -116,7 +116,7 @@
 	}
 	world.carry(i.name, to, nil, func() { arrive(true) })
 	if over := world.link(i.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
-		world.tempt("a question brought twice")
+		world.encounter("a question brought twice")
 		world.after(time.Duration(world.random.IntN(2500))*time.Millisecond, nil, func() { arrive(false) })
 	}
 	if !asked.cond.Wait(patience, func() bool { return asked.over }) {
@@ -125,19 +125,19 @@
 	return asked.content, asked.err
 }
 
-// simulatedClient is the RPC client of a simulated process.
-type simulatedClient struct{ incarnation *incarnation }
+// rpcClient is the RPC client of a simulated process.
+type rpcClient struct{ incarnation *incarnation }
 
 // CallRaw sends a message to the process at an address.
-func (w simulatedClient) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
+func (w rpcClient) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
 	world := w.incarnation.world
 	world.tapMessage(path, body)
 	world.countSnapshot(path, body)
 	content, err := w.incarnation.ask(world.nameAt(address), patience, func(there *incarnation) (any, error) {
-		if there.answer == nil {
+		if there.handle == nil {
 			return nil, failure.New(failure.Unreachable, "nobody listens yet")
 		}
-		answer, err := there.answer(path, body)
+		answer, err := there.handle(path, body)
 		world.countTraffic(path, len(body)+len(answer))
 		if err != nil {
 			// An error crosses the wire as its kind and detail.
--- a/internal/testbed/simulation/modelservers.go
+++ b/internal/testbed/simulation/modelservers.go
@@ -58,7 +58,7 @@
 	world := m.incarnation.world
 	m.dial()
 	if !may() {
-		world.tempt("an order held back after a wait")
+		world.encounter("an order held back after a wait")
 		return nil
 	}
 	to := world.nameAt(decision.Address)
@@ -72,24 +72,24 @@
 		if there == nil || there.incarnation.ended || there.incarnation.address != decision.Address {
 			if first {
 				begun.refused = true
-				begun.replies.snap()
+				begun.replies.disconnect()
 			}
 			return
 		}
 		conn := fleet.NewConnection(there.incarnation)
 		forgetServer := func() {}
 		if first {
-			forgetServer = there.incarnation.atEnd(begun.replies.snap)
+			forgetServer = there.incarnation.onEnd(begun.replies.disconnect)
 		}
 		hangUp := func() { world.carry(m.incarnation.name, to, there.incarnation, conn.Close) }
 		if first {
 			begun.hangUp = hangUp
 		}
-		forgetRouter := m.incarnation.atEnd(hangUp)
+		forgetRouter := m.incarnation.onEnd(hangUp)
 		there.incarnation.Go(func() {
 			defer forgetRouter()
 			if there.top.Dark() {
-				conn.Pause(time.Minute)
+				conn.Wait(time.Minute)
 				return
 			}
 			status, content := serve(there.top, conn, func(message any) bool {
@@ -102,8 +102,8 @@
 			if first {
 				forgetServer()
 				if world.loseAnswers > 0 && world.random.Float64() < world.loseAnswers {
-					world.tempt("a server's answer lost after the work")
-					begun.replies.snap()
+					world.encounter("a server's answer lost after the work")
+					begun.replies.disconnect()
 					return
 				}
 				begun.replies.put(ended{status, content})
@@ -115,23 +115,23 @@
 		return begun
 	}
 	if over := world.link(m.incarnation.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
-		world.tempt("an order brought twice to a server")
+		world.encounter("an order brought twice to a server")
 		world.after(time.Duration(world.random.IntN(800))*time.Millisecond, nil, func() { arrive(false) })
 	}
 	return begun
 }
 
 func refusalOf(message ended) (auction.Outcome, string) {
-	said, told := message.content.(fleet.Refusal)
+	refusal, refused := message.content.(fleet.Refusal)
 	switch {
-	case !told:
+	case !refused:
 		return auction.OutcomeUnknown, "status " + strconv.Itoa(message.status)
-	case said.Type == "handle_lapsed":
-		return auction.OutcomeHandleExpired, said.Type
-	case !said.Started:
-		return auction.OutcomeNotStarted, said.Type
+	case refusal.Type == "handle_lapsed":
+		return auction.OutcomeHandleExpired, refusal.Type
+	case !refusal.Started:
+		return auction.OutcomeNotStarted, refusal.Type
 	}
-	return auction.OutcomeFailed, said.Type
+	return auction.OutcomeFailed, refusal.Type
 }
 
 // lostOutcome is what a connection without an answer means: where nobody listened
@@ -186,17 +186,17 @@
 		if !found {
 			return begun.lostOutcome(), 0, "the stream broke off"
 		}
-		switch said := message.(type) {
+		switch refusal := message.(type) {
 		case modelserver.DecodeChunk:
-			if said.Done {
-				return auction.OutcomeDone, said.Chunks, ""
+			if refusal.Done {
+				return auction.OutcomeDone, refusal.Chunks, ""
 			}
-			take(said.Chunk, said.Text)
+			take(refusal.Chunk, refusal.Text)
 		case ended:
-			if said.status == http.StatusOK {
+			if refusal.status == http.StatusOK {
 				return auction.OutcomeUnknown, 0, "the stream broke off"
 			}
-			o, detail := refusalOf(said)
+			o, detail := refusalOf(refusal)
 			return o, 0, detail
 		}
 	}
@@ -246,7 +246,7 @@
 			return nil, failure.New(failure.Unreachable, "another server is there")
 		}
 		if s.top.Dark() {
-			fleet.NewConnection(there).Pause(time.Minute)
+			fleet.NewConnection(there).Wait(time.Minute)
 			return nil, failure.New(failure.Unreachable, "dark")
 		}
 		status, content := serve(s.top)
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -68,7 +68,7 @@
 	}
 	read := content.(configurationRead)
 	if note {
-		w.Book.Note(fleet.Entry{Kind: fleet.RevisionRead, Revision: fleet.RevisionOf(read.text), Took: w.now - began})
+		w.Events.Append(fleet.Entry{Kind: fleet.RevisionRead, Revision: fleet.RevisionOf(read.text), Took: w.now - began})
 	}
 	return read, true
 }
@@ -80,7 +80,7 @@
 	case err == nil:
 		return "accepted"
 	case failure.CodeOf(err) == failure.Unknown, failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) != "nobody listens":
-		w.tempt("a change with an unknown outcome")
+		w.encounter("a change with an unknown outcome")
 		return "unknown"
 	}
 	return "refused"
@@ -110,18 +110,18 @@
 }
 
 func (w *World) putRevision(revision int, read configurationRead) bool {
-	w.Book.Note(fleet.Entry{Kind: fleet.RevisionAsked, Revision: revision})
+	w.Events.Append(fleet.Entry{Kind: fleet.RevisionAsked, Revision: revision})
 	patch := w.deployment.Configuration(revision)
 	if before := fleet.RevisionOf(read.text); before > 0 {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{"edition-`+strconv.Itoa(before)+`":null,`, 1)
 	}
-	if w.ways.Calls {
+	if w.settings.Calls {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{`+w.callRoutes(), 1)
 	}
 	o := w.edit(controlplane.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
 		Apply: func(text []byte) ([]byte, error) { return config.Merge(text, []byte(patch)) }})
 	kinds := map[string]fleet.EntryKind{"accepted": fleet.RevisionAccepted, "refused": fleet.RevisionRefused, "unknown": fleet.RevisionUnknown}
-	w.Book.Note(fleet.Entry{Kind: kinds[o], Revision: revision})
+	w.Events.Append(fleet.Entry{Kind: kinds[o], Revision: revision})
 	return o == "accepted"
 }
 
@@ -138,17 +138,17 @@
 		under += w.servers[name].top.Active()
 	}
 	if under > 0 {
-		w.tempt("answers under way at an evacuation")
+		w.encounter("answers under way at an evacuation")
 	}
-	w.Book.Note(fleet.Entry{Kind: fleet.EvacuationAsked, Zone: zone})
+	w.Events.Append(fleet.Entry{Kind: fleet.EvacuationAsked, Zone: zone})
 	o := w.edit(controlplane.Edit{Change: "evacuate-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") }})
-	w.say("evacuate %s: %s", zone, o)
+	w.tracef("evacuate %s: %s", zone, o)
 	if o == "accepted" {
-		w.Book.Note(fleet.Entry{Kind: fleet.Evacuated, Zone: zone})
+		w.Events.Append(fleet.Entry{Kind: fleet.Evacuated, Zone: zone})
 	}
 	w.outside.NewCond().Wait(length, never)
 	for range 40 {
-		w.Book.Note(fleet.Entry{Kind: fleet.RestoreAsked, Zone: zone})
+		w.Events.Append(fleet.Entry{Kind: fleet.RestoreAsked, Zone: zone})
 		if w.edit(controlplane.Edit{Change: "restore-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, zone) }}) == "accepted" {
 			return
 		}
@@ -163,7 +163,7 @@
 		for w.now < until {
 			for _, m := range w.machines {
 				if m.kind == membership.Router {
-					w.lookAtRevision(m)
+					w.readRevision(m)
 				}
 			}
 			w.outside.NewCond().Wait(200*time.Millisecond, never)
--- a/internal/testbed/simulation/pipe.go
+++ b/internal/testbed/simulation/pipe.go
@@ -7,7 +7,7 @@
 type pipe struct {
 	world    *World
 	from, to string
-	reader   *incarnation
+	receiver *incarnation
 	cond     *cond
 	waiting  []any
 	lost     bool
@@ -16,12 +16,12 @@
 }
 
 func newPipe(world *World, from, to string, reader *incarnation) *pipe {
-	return &pipe{world: world, from: from, to: to, reader: reader, cond: &cond{incarnation: reader}}
+	return &pipe{world: world, from: from, to: to, receiver: reader, cond: &cond{incarnation: reader}}
 }
 
 // put sends one message; false means that the connection is broken.
 func (p *pipe) put(message any) bool {
-	if p.broken || p.reader.ended {
+	if p.broken || p.receiver.ended {
 		return false
 	}
 	over := p.world.link(p.from, p.to)
@@ -30,11 +30,11 @@
 		return true
 	}
 	if p.lost {
-		p.snap()
+		p.disconnect()
 		return false
 	}
 	p.last = max(p.last, p.world.now+p.world.latency(over))
-	p.world.after(p.last-p.world.now, p.reader, func() {
+	p.world.after(p.last-p.world.now, p.receiver, func() {
 		if !p.broken {
 			p.waiting = append(p.waiting, message)
 			p.cond.Broadcast()
@@ -44,12 +44,12 @@
 }
 
 // snap breaks the connection; the reader hears of it unless its link is cut.
-func (p *pipe) snap() {
+func (p *pipe) disconnect() {
 	if p.world.link(p.from, p.to).cut {
 		return
 	}
 	p.last = max(p.last, p.world.now)
-	p.world.after(p.last-p.world.now, p.reader, func() {
+	p.world.after(p.last-p.world.now, p.receiver, func() {
 		p.broken = true
 		p.cond.Broadcast()
 	})
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -55,7 +55,7 @@
 
 // Nodes reads the list of nodes.
 func (l lists) Nodes() ([]membership.Node, error) {
-	if l.world.ways.NoNodes {
+	if l.world.settings.NoNodes {
 		return nil, failure.New(failure.NoSuch, "a list of nodes")
 	}
 	if err := l.reached(); err != nil {
--- a/internal/testbed/simulation/recordtaps.go
+++ b/internal/testbed/simulation/recordtaps.go
@@ -23,7 +23,7 @@
 			continue
 		}
 		w.seenKeys[name] = true
-		w.Book.Note(fleet.Entry{Kind: fleet.RecordSeen, Cause: key, Part: where, Holder: record.Writer})
+		w.Events.Append(fleet.Entry{Kind: fleet.RecordSeen, Cause: key, Part: where, Holder: record.Writer})
 	}
 }
 
@@ -52,8 +52,8 @@
 	for _, flag := range state.Flags.Enabled {
 		if name := "flag/" + string(flag); !w.seenKeys[name] {
 			w.seenKeys[name] = true
-			w.Book.Note(fleet.Entry{Kind: fleet.FlagEnabled, Cause: string(flag)})
-			w.tempt("a flag enabled")
+			w.Events.Append(fleet.Entry{Kind: fleet.FlagEnabled, Cause: string(flag)})
+			w.encounter("a flag enabled")
 		}
 	}
 	for _, record := range state.Orders.Records {
@@ -67,22 +67,22 @@
 	}
 }
 
-// noteMember writes down what a member's release reads.
-func (w *World) noteMember(m *machine) {
+// recordMember writes down what a member's release reads.
+func (w *World) recordMember(m *machine) {
 	var flags []string
 	for _, flag := range features.Supported(m.withheld) {
 		flags = append(flags, string(flag))
 	}
-	w.Book.Note(fleet.Entry{Kind: fleet.MemberKnown, Holder: m.name, Flags: flags})
+	w.Events.Append(fleet.Entry{Kind: fleet.MemberKnown, Holder: m.name, Flags: flags})
 }
 
-// noteOldMember writes down what an older release lacks, once it is recorded:
+// recordOldMember writes down what an older release lacks, once it is recorded:
 // the primary has answered it.
-func (w *World) noteOldMember(m *machine, begun *incarnation, heard func() time.Time) {
+func (w *World) recordOldMember(m *machine, begun *incarnation, heard func() time.Time) {
 	begun.Go(func() {
 		for heard().IsZero() {
 			begun.NewCond().Wait(5*time.Millisecond, never)
 		}
-		w.noteMember(m)
+		w.recordMember(m)
 	})
 }
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -21,7 +21,7 @@
 		w.outside.Go(func() { w.start(mc) })
 	}
 	const patience = 90 * time.Second
-	w.outside.Go(func() { w.callers(patience) })
+	w.outside.Go(func() { w.runClients(patience) })
 	w.outside.Go(func() {
 		for range 6 {
 			w.outside.NewCond().Wait(time.Second, never)
@@ -69,16 +69,16 @@
 	}
 	for w.now < patience {
 		w.run(w.now + 20*time.Millisecond)
-		if w.whole() && out.control != nil && w.copyIsWhole(out) {
+		if w.coreComplete() && out.control != nil && w.replicaComplete(out) {
 			return w.now - began, w.snapshotBytes - sent, true
 		}
 	}
 	return w.now - began, w.snapshotBytes - sent, false
 }
 
-// copyIsWhole tells whether a machine's copy has all its files, undamaged, and is
+// replicaComplete tells whether a machine's copy has all its files, undamaged, and is
 // as new as what was last written for good, save the last moments' claims.
-func (w *World) copyIsWhole(m *machine) bool {
+func (w *World) replicaComplete(m *machine) bool {
 	files := 0
 	for name := range m.disk.names {
 		if strings.HasPrefix(name, "larder/") {
--- a/internal/testbed/simulation/settings.go
+++ b/internal/testbed/simulation/settings.go
@@ -7,9 +7,9 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Ways are the settings of a fleet on a platform that asks for others than the
+// Settings are the settings of a fleet on a platform that asks for others than the
 // product's own.
-type Ways struct {
+type Settings struct {
 	AcknowledgeWait   time.Duration
 	ServeWithoutLease time.Duration
 	RetireAfter       time.Duration
@@ -23,21 +23,21 @@
 }
 
 // deaf is a board on which nothing is done: no calls come in these days.
-type deaf struct{}
+type ignoringBoard struct{}
 
 // SetServing is not minded.
-func (deaf) SetServing(time.Time) {}
+func (ignoringBoard) SetServing(time.Time) {}
 
 // SetCountOwners takes no notice.
-func (deaf) SetCountOwners(*dataplane.CountOwners) {}
+func (ignoringBoard) SetCountOwners(*dataplane.CountOwners) {}
 
 // SetServers is not minded.
-func (deaf) SetServers(time.Time, []membership.Server) {}
+func (ignoringBoard) SetServers(time.Time, []membership.Server) {}
 
-// PlatformWays are those of the users' platform.
-func PlatformWays() Ways {
-	return Ways{AcknowledgeWait: 600 * time.Millisecond, ServeWithoutLease: 24 * time.Hour, RetireAfter: 20 * time.Second, FormOnce: true, NoNodes: true, Calls: true}
+// PlatformSettings are those of the users' platform.
+func PlatformSettings() Settings {
+	return Settings{AcknowledgeWait: 600 * time.Millisecond, ServeWithoutLease: 24 * time.Hour, RetireAfter: 20 * time.Second, FormOnce: true, NoNodes: true, Calls: true}
 }
 
-// SetWays chooses them, before the fleet starts.
-func (w *World) SetWays(ways Ways) { w.ways = ways }
+// SetSettings chooses them, before the fleet starts.
+func (w *World) SetSettings(ways Settings) { w.settings = ways }
--- a/internal/testbed/simulation/settings_test.go
+++ b/internal/testbed/simulation/settings_test.go
@@ -13,14 +13,16 @@
 )
 
 // begun is a fleet whose nodes all run, with a core and holds.
-func begun(t *testing.T, seed uint64, ways Ways) *World {
+func begun(t *testing.T, seed uint64, variants Settings) *World {
 	t.Helper()
 	w := New(fleet.Sahil(), seed)
-	w.SetWays(ways)
+	w.SetSettings(variants)
 	for _, m := range w.machines {
 		w.outside.Go(func() { w.start(m) })
 	}
-	if w.since(0, func() bool { return w.led() && w.held() && w.primary().control != nil && w.whole() }) < 0 {
+	if w.since(0, func() bool {
+		return w.hasLeader() && w.allHaveLeases() && w.primary().control != nil && w.coreComplete()
+	}) < 0 {
 		t.Fatal("the fleet did not begin")
 	}
 	w.run(w.now + 5*time.Second)
@@ -54,8 +56,8 @@
 // nothing in; in the platform's way at once, and the router goes on. Those in touch
 // have it in force in both, and the one that comes back has it soon.
 func TestAcknowledgementOfAChange(t *testing.T) {
-	for name, ways := range map[string]Ways{"strict": {}, "platform": PlatformWays()} {
-		w := begun(t, 3, ways)
+	for name, variants := range map[string]Settings{"strict": {}, "platform": PlatformSettings()} {
+		w := begun(t, 3, variants)
 		alone := w.machineNamed("courier-2")
 		w.cutOff(alone.name, true)
 		w.run(w.now + 700*time.Millisecond)
@@ -70,7 +72,7 @@
 		switch {
 		case name == "strict" && (serves || took < 2*time.Second || took > 5*time.Second):
 			t.Errorf("%s: acknowledged after %s while a courier without the change serves: %v", name, took, serves)
-		case name == "platform" && (!serves || took > ways.AcknowledgeWait+300*time.Millisecond):
+		case name == "platform" && (!serves || took > variants.AcknowledgeWait+300*time.Millisecond):
 			t.Errorf("%s: acknowledged after %s, the courier alone serves: %v", name, took, serves)
 		}
 		t.Logf("%s: acknowledged after %s", name, took)
@@ -86,8 +88,8 @@
 
 // TestRolesNeedALease: a router that serves without a hold has no duties.
 func TestRolesNeedALease(t *testing.T) {
-	w := begun(t, 4, PlatformWays())
-	holder := w.holder()
+	w := begun(t, 4, PlatformSettings())
+	holder := w.partsHolder()
 	if !holder.router.Core().HasRoles() {
 		t.Fatal("the holder has no duties")
 	}
@@ -100,7 +102,7 @@
 		t.Error("its duties did not move")
 	}
 	// The commands since then are judged: none by the one without a hold.
-	if verdict := fleet.Judge(w.Book.Entries()); verdict.Violations() > 0 {
+	if verdict := fleet.Judge(w.Events.Entries()); verdict.Violations() > 0 {
 		t.Error(verdict)
 	}
 }
@@ -108,7 +110,7 @@
 // TestBlankDisksThatOnlyJoinFormNothing starts a whole fleet of them.
 func TestBlankDisksThatOnlyJoinFormNothing(t *testing.T) {
 	w := New(fleet.Sahil(), 5)
-	w.SetWays(Ways{JoinOnly: true})
+	w.SetSettings(Settings{JoinOnly: true})
 	for _, m := range w.machines {
 		w.outside.Go(func() { w.start(m) })
 	}
@@ -125,8 +127,8 @@
 // nodes. Routers that start with the old seeds find the core, and the records of
 // those who are gone end by themselves.
 func TestReplacedControllerIsTakenIn(t *testing.T) {
-	ways := PlatformWays()
-	w := begun(t, 6, ways)
+	variants := PlatformSettings()
+	w := begun(t, 6, variants)
 	seeds := w.machines[0].seeds
 	for number, gone := range []string{"expediter-1", "expediter-2"} {
 		leaving := w.machineNamed(gone)
@@ -136,7 +138,7 @@
 		joined := w.addMachine(membership.Controller, "newcomer-"+string(rune('1'+number)), address, leaving.zone, seeds)
 		w.start(joined)
 		took := w.since(w.now, func() bool {
-			if joined.control == nil || !w.led() {
+			if joined.control == nil || !w.hasLeader() {
 				return false
 			}
 			m := w.primary().control.Coordinator().Membership()
@@ -161,7 +163,7 @@
 		_, _, state, err := w.primary().control.Read()
 		return err == nil && len(state.Members) == len(w.nodes(""))
 	})
-	if retired < 0 || retired > 2*ways.RetireAfter {
+	if retired < 0 || retired > 2*variants.RetireAfter {
 		t.Errorf("the record still has those who are gone after %s", retired)
 	}
 	if took := w.changed(w.now, w.nowhere("nowhere", 0)); took > time.Second {
@@ -173,7 +175,7 @@
 // server leave meanwhile: each router hears of it, without reading often. When
 // nobody can read it, nothing is forgotten.
 func TestRoutersReadTheListThemselves(t *testing.T) {
-	w := begun(t, 7, PlatformWays())
+	w := begun(t, 7, PlatformSettings())
 	if reads := len(w.listReads); reads > 2*len(w.nodes(membership.Router)) {
 		t.Errorf("couriers read the list %d times before the fleet was calm", reads)
 	}
@@ -241,13 +243,13 @@
 // TestReportsAreReadOnceForTheFleet counts what servers are asked in a calm fleet: by
 // the primary alone, and only while a router follows reports.
 func TestReportsAreReadOnceForTheFleet(t *testing.T) {
-	for name, ways := range map[string]Ways{"calls": PlatformWays(), "no calls": {}} {
-		w := begun(t, 8, ways)
+	for name, variants := range map[string]Settings{"calls": PlatformSettings(), "no calls": {}} {
+		w := begun(t, 8, variants)
 		before := w.reportReads
 		w.run(w.now + 10*time.Second)
 		each := float64(w.reportReads-before) / 10 / float64(len(w.plans))
 		t.Logf("%s: %.2f reports a second from each server", name, each)
-		if ways.Calls && (each < 1.4 || each > 3.2) || !ways.Calls && each > 0 {
+		if variants.Calls && (each < 1.4 || each > 3.2) || !variants.Calls && each > 0 {
 			t.Errorf("%s: %.2f reports a second from each server", name, each)
 		}
 	}
@@ -256,7 +258,7 @@
 // TestChangesAndUpdateAfterThePrimary is lost in each way: how long until a change is
 // acknowledged, and until every router in touch has news again.
 func TestChangesAndUpdateAfterThePrimary(t *testing.T) {
-	ways := map[string]func(w *World, primary *machine){
+	variants := map[string]func(w *World, primary *machine){
 		"killed":     func(w *World, primary *machine) { w.kill(primary) },
 		"power lost": func(w *World, primary *machine) { w.powerOff(primary.name) },
 		"frozen":     func(_ *World, primary *machine) { primary.incarnation.freeze() },
@@ -279,10 +281,10 @@
 			i.Go(func() { control.Leave(leavePatience); i.world.outside.Go(func() { w.kill(primary) }) })
 		},
 	}
-	for name, lose := range ways {
+	for name, lose := range variants {
 		var worstChange, worstUpdate time.Duration
 		for seed := range uint64(6) {
-			w := begun(t, 20+seed, PlatformWays())
+			w := begun(t, 20+seed, PlatformSettings())
 			began, primary := w.now, w.primary()
 			lose(w, primary)
 			heard := map[string]time.Time{}
--- a/internal/testbed/simulation/settingsdays_test.go
+++ b/internal/testbed/simulation/settingsdays_test.go
@@ -55,7 +55,7 @@
 			}
 			if has := m.router.InForce(); has != (replication.Version{}) && has.Before(due) {
 				t.late++
-				world.say("%s is in touch and has %s, %s is due", m.name, has, due)
+				world.tracef("%s is in touch and has %s, %s is due", m.name, has, due)
 			}
 		}
 		world.outside.NewCond().Wait(50*time.Millisecond, never)
@@ -66,7 +66,7 @@
 // hold and changes that wait for those in touch alone. What is given up is the bound for
 // routers out of touch; everything else holds, and the bound for those in touch.
 func TestDaysInThePlatformsWays(t *testing.T) {
-	ways := PlatformWays()
+	ways := PlatformSettings()
 	// Who is retired counts no more for new formats, which is weighed elsewhere.
 	ways.RetireAfter = 0
 	first, count := seeds(t, 24)
@@ -78,13 +78,13 @@
 				deployment = fleet.Kochloeffel()
 			}
 			w := New(deployment, seed)
-			w.SetWays(ways)
+			w.SetSettings(ways)
 			touching := &touch{world: w, answered: map[replication.Version]time.Duration{}}
 			w.Log = touching.take
 			w.outside.Go(touching.watch)
 			result := w.Run(DefaultDay())
-			if touching.late > 0 || !result.Whole || result.Twice > 0 || len(touching.answered) < 5 {
-				t.Errorf("seed %d: %d looks at a courier in touch without an answered change, whole %v, two primaries at once %d times, %d changes", seed, touching.late, result.Whole, result.Twice, len(touching.answered))
+			if touching.late > 0 || !result.Restored || result.TwoPrimaries > 0 || len(touching.answered) < 5 {
+				t.Errorf("seed %d: %d looks at a courier in touch without an answered change, whole %v, two primaries at once %d times, %d changes", seed, touching.late, result.Restored, result.TwoPrimaries, len(touching.answered))
 			}
 			for _, finding := range result.Verdict.Findings {
 				if finding.Violations > 0 && finding.Checker != "an accepted configuration is in force" {
--- a/internal/testbed/simulation/timeline.go
+++ b/internal/testbed/simulation/timeline.go
@@ -50,7 +50,7 @@
 }
 
 // clockwork moves the world's time from alarm to alarm.
-type clockwork struct {
+type timeline struct {
 	now      time.Duration
 	sequence uint64
 	due      alarms
@@ -58,15 +58,15 @@
 }
 
 // after sets an alarm; an earlier moment than the present counts as now.
-func (c *clockwork) after(length time.Duration, life *incarnation, act func()) *alarm {
+func (c *timeline) after(length time.Duration, owner *incarnation, act func()) *alarm {
 	c.sequence++
-	set := &alarm{at: c.now + max(0, length), sequence: c.sequence, incarnation: life, act: act}
+	set := &alarm{at: c.now + max(0, length), sequence: c.sequence, incarnation: owner, act: act}
 	heap.Push(&c.due, set)
 	return set
 }
 
 // run acts on alarms until the moment comes.
-func (c *clockwork) run(until time.Duration) {
+func (c *timeline) run(until time.Duration) {
 	for len(c.due) > 0 && c.due[0].at <= until {
 		next := heap.Pop(&c.due).(*alarm)
 		c.now = max(c.now, next.at)
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -26,8 +26,8 @@
 
 // World is one fleet in virtual time.
 type World struct {
-	clockwork
-	Book         *fleet.Book
+	timeline
+	Events       *fleet.EventLog
 	deployment   fleet.Deployment
 	random       *rand.Rand
 	running      *thread
@@ -42,19 +42,19 @@
 	slowDials    float64
 	loseAnswers  float64
 	outside      *incarnation
-	temptations  map[string]int
+	encounters   map[string]int
 	nonces       uint64
 	seenKeys     map[string]bool
 	revision     int
 	long, short  float64
 	number       int
 	faultsOver   bool
-	twice        int
+	twoPrimaries int
 	// snapshotBytes are those of whole copies sent.
 	snapshotBytes int
 	fixedParts    bool
 	// ways are the settings that a platform asks for.
-	ways Ways
+	settings Settings
 	// listReads are the moments at which routers read the list themselves.
 	listReads []time.Duration
 	// reportReads counts the reports that controllers asked servers for.
@@ -92,7 +92,7 @@
 	// calls serves opaque calls, where the world has them.
 	calls *dataplane.Calls
 	// starts counts its processes.
-	starts int
+	startCount int
 }
 
 var epoch = time.Unix(1_800_000_000, 0).UTC()
@@ -100,9 +100,9 @@
 // New lays a world out: the deployment's machines and servers, all cold.
 func New(deployment fleet.Deployment, seed uint64) *World {
 	world := &World{deployment: deployment, random: rand.New(rand.NewPCG(seed, 0x5ea)), byAddress: map[string]string{}, incarnations: map[string]*incarnation{},
-		servers: map[string]*server{}, links: map[[2]string]*link{}, temptations: map[string]int{}, seenKeys: map[string]bool{}, claiming: map[string]int{}, evacuating: map[string]bool{},
+		servers: map[string]*server{}, links: map[[2]string]*link{}, encounters: map[string]int{}, seenKeys: map[string]bool{}, claiming: map[string]int{}, evacuating: map[string]bool{},
 		calls: &CallCounter{}, trace: sha256.New(), traffic: map[string]Traffic{}, Log: func(string) {}}
-	world.Book = &fleet.Book{Clock: func() time.Time { return epoch.Add(world.now) }}
+	world.Events = &fleet.EventLog{Clock: func() time.Time { return epoch.Add(world.now) }}
 	world.platform.servers = map[string]membership.Server{}
 	world.outside = world.newIncarnation("outside", "outside", 0)
 	for position := range deployment.Servers {
@@ -136,7 +136,7 @@
 }
 
 // say adds a line to the trace.
-func (w *World) say(format string, values ...any) {
+func (w *World) tracef(format string, values ...any) {
 	line := fmt.Sprintf("%9.4f ", w.now.Seconds()) + fmt.Sprintf(format, values...)
 	_, _ = w.trace.Write([]byte(line + "\n"))
 	w.Log(line)
@@ -145,21 +145,21 @@
 // Trace is a digest of everything that happened: the world's steps and the
 // book.
 func (w *World) Trace() string {
-	whole := sha256.New()
-	_, _ = whole.Write(w.trace.Sum(nil))
-	encoder := json.NewEncoder(whole)
-	for _, entry := range w.Book.Entries() {
+	digest := sha256.New()
+	_, _ = digest.Write(w.trace.Sum(nil))
+	encoder := json.NewEncoder(digest)
+	for _, entry := range w.Events.Entries() {
 		_ = encoder.Encode(entry)
 	}
-	_ = binary.Write(whole, binary.BigEndian, w.acted)
-	return hex.EncodeToString(whole.Sum(nil))
+	_ = binary.Write(digest, binary.BigEndian, w.acted)
+	return hex.EncodeToString(digest.Sum(nil))
 }
 
 // tempt counts a moment in which something that must never happen could.
-func (w *World) tempt(what string) { w.temptations[what]++ }
+func (w *World) encounter(what string) { w.encounters[what]++ }
 
-// Temptations tells how often each really occurred.
-func (w *World) Temptations() map[string]int { return w.temptations }
+// Encounters tells how often each really occurred.
+func (w *World) Encounters() map[string]int { return w.encounters }
 
 func (w *World) nameAt(address string) string { return w.byAddress[address] }
 
@@ -189,8 +189,8 @@
 }
 
 func (w *World) newIncarnation(name, address string, drift float64) *incarnation {
-	begun := &incarnation{world: w, name: name, address: address, bornAt: w.now, wall: epoch.Add(w.now), drift: drift,
-		threads: map[*thread]bool{}, endings: map[uint64]func(){}}
+	begun := &incarnation{world: w, name: name, address: address, startedAt: w.now, wall: epoch.Add(w.now), drift: drift,
+		threads: map[*thread]bool{}, onEndActs: map[uint64]func(){}}
 	w.incarnations[name] = begun
 	return begun
 }
@@ -200,7 +200,7 @@
 	address := "10.1." + strconv.FormatUint(w.nonces>>8, 10) + "." + strconv.FormatUint(w.nonces&0xff, 10) + ":1"
 	begun := w.newIncarnation(plan.Name, address, 0)
 	w.byAddress[address] = plan.Name
-	w.servers[plan.Name] = &server{plan: plan, incarnation: begun, top: fleet.NewEngine(plan, w.Book, begun, w.nonce, w.fetchFrom(begun)),
+	w.servers[plan.Name] = &server{plan: plan, incarnation: begun, top: fleet.NewEngine(plan, w.Events, begun, w.nonce, w.fetchFrom(begun)),
 		calls: &callServer{world: w, name: plan.Name, handles: map[string]*callMemory{}}}
 	w.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, Zone: plan.Zone}
 }
@@ -218,39 +218,39 @@
 		return
 	}
 	m.off = false
-	m.starts++
+	m.startCount++
 	begun := w.newIncarnation(m.name, m.address, m.drift)
 	m.incarnation, m.router, m.control = begun, nil, nil
 	supported := features.Supported(m.withheld)
-	w.say("%s starts, %d flags", m.name, len(supported))
+	w.tracef("%s starts, %d flags", m.name, len(supported))
 	if len(m.withheld) == 0 {
 		// From here on it reads the new formats.
-		w.noteMember(m)
+		w.recordMember(m)
 	}
-	observe := func(event string, detail ...any) { w.say("%s %s %v", m.name, event, detail) }
+	observe := func(event string, detail ...any) { w.tracef("%s %s %v", m.name, event, detail) }
 	if m.kind == membership.Controller {
 		begun.Go(func() { w.runController(m, begun, supported, observe) })
 		return
 	}
 	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
 	options := dataplane.Options{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedRoles: w.fixedParts}, Address: m.address,
-		Seeds: m.seeds, Nonce: w.nonce, OnEnded: endedHere, Directory: lists{w, begun}}
-	options.ServeWithoutLease = w.ways.ServeWithoutLease
-	if w.ways.Calls {
-		options.CallService = func(*scheduler.Scheduler) dataplane.CallService { return deaf{} }
+		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
+	options.ServeWithoutLease = w.settings.ServeWithoutLease
+	if w.settings.Calls {
+		options.Board = func(*scheduler.Scheduler) dataplane.Board { return ignoringBoard{} }
 	}
 	if w.layout == nil {
 		options.LoadReader = lists{w, begun}
 	}
 	w.prepareCalls(m, begun, &options)
-	router := dataplane.NewRouter(begun, simulatedClient{begun}, servers, &passing{incarnation: begun}, options, observe)
+	router := dataplane.NewRouter(begun, rpcClient{begun}, servers, &forwarder{incarnation: begun}, options, observe)
 	m.router = router
-	begun.answer = router.Handlers().Handle
-	for _, round := range router.Loops() {
+	begun.handle = router.Handlers().Handle
+	for _, round := range router.Rounds() {
 		begun.Go(round)
 	}
 	if len(m.withheld) > 0 {
-		w.noteOldMember(m, begun, router.Heard)
+		w.recordOldMember(m, begun, router.Heard)
 	}
 }
 
@@ -259,23 +259,23 @@
 	keeping, _ := storage.OpenDirectory(m.disk, "keeper")
 	copies, _ := storage.OpenDirectory(m.disk, "larder")
 	options := controlplane.Options{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
-		FlagStableTime: 2 * time.Second, ToleratedLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, LoadReader: lists{w, begun}}
-	options.AcknowledgeWait, options.RetireAfter = w.ways.AcknowledgeWait, w.ways.RetireAfter
-	options.JoinsOnly = w.ways.JoinOnly || w.ways.FormOnce && m.starts > 1 || w.ways.FormOnce && w.now > opening
-	control, blank, err := controlplane.Open(begun, simulatedClient{begun}, keeping, copies, options, observe)
+		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, Reports: lists{w, begun}}
+	options.AcknowledgeWait, options.RetireAfter = w.settings.AcknowledgeWait, w.settings.RetireAfter
+	options.JoinsOnly = w.settings.JoinOnly || w.settings.FormOnce && m.startCount > 1 || w.settings.FormOnce && w.now > opening
+	control, blank, err := controlplane.Open(begun, rpcClient{begun}, keeping, copies, options, observe)
 	if err != nil {
-		w.say("%s can't open its disk: %v", m.name, err)
+		w.tracef("%s can't open its disk: %v", m.name, err)
 		begun.end()
 		return
 	}
-	w.say("%s opened its disk, blank %v", m.name, blank)
+	w.tracef("%s opened its disk, blank %v", m.name, blank)
 	m.control = control
-	begun.answer = control.Handlers().Handle
-	for _, round := range control.Loops() {
+	begun.handle = control.Handlers().Handle
+	for _, round := range control.Rounds() {
 		begun.Go(round)
 	}
 	if len(m.withheld) > 0 {
-		w.noteOldMember(m, begun, control.Heard)
+		w.recordOldMember(m, begun, control.Heard)
 	}
 }
 
@@ -285,15 +285,15 @@
 		return
 	}
 	if m.router != nil && w.claiming[m.name] > 0 {
-		w.tempt("a claim in flight at a kill")
+		w.encounter("a claim in flight at a kill")
 	}
 	if m.router != nil && m.router.Core().InFlight() > 0 {
-		w.tempt("inquiries under way at a kill")
+		w.encounter("inquiries under way at a kill")
 	}
 	if m.control != nil && m.control.Coordinator().HasLease() {
-		w.tempt("a primary killed under its hold")
+		w.encounter("a primary killed under its hold")
 	}
-	w.say("%s is killed", m.name)
+	w.tracef("%s is killed", m.name)
 	m.incarnation.end()
 	if m.disk != nil {
 		m.disk.owner = nil
--- a/internal/testbed/simulation/world_test.go
+++ b/internal/testbed/simulation/world_test.go
@@ -45,15 +45,15 @@
 	first, count := seeds(t, usualSeeds)
 	counter := (&Campaign{First: first, Count: count, Day: DefaultDay()}).Run(func(seed uint64, result Result) {
 		if result.Failed() {
-			t.Errorf("seed %d, whole %v\n%s", seed, result.Whole, result.Verdict)
+			t.Errorf("seed %d, whole %v\n%s", seed, result.Restored, result.Verdict)
 		}
 	})
-	t.Logf("%d days, %d replies, complete %.3f, lowest %.3f, temptations %v", counter.Days, counter.Replies, counter.Share, counter.Lowest, counter.Temptations)
+	t.Logf("%d days, %d replies, complete %.3f, lowest %.3f, temptations %v", counter.Days, counter.Replies, counter.Share, counter.Lowest, counter.Encounters)
 	if count < 200 {
 		return
 	}
-	for _, what := range Wanted {
-		if counter.Temptations[what] == 0 {
+	for _, what := range RequiredEncounters {
+		if counter.Encounters[what] == 0 {
 			t.Errorf("never occurred: %s", what)
 		}
 	}
@@ -94,10 +94,10 @@
 	first, count := seeds(t, usualSeeds/4)
 	counter := (&Campaign{First: first, Count: count, Day: day}).Run(func(seed uint64, result Result) {
 		if result.Failed() {
-			t.Errorf("seed %d, whole %v, two at once %d\n%s", seed, result.Whole, result.Twice, result.Verdict)
+			t.Errorf("seed %d, whole %v, two at once %d\n%s", seed, result.Restored, result.TwoPrimaries, result.Verdict)
 		}
 	})
-	t.Logf("%d days, temptations %v", counter.Days, counter.Temptations)
+	t.Logf("%d days, temptations %v", counter.Days, counter.Encounters)
 }
 
 // TestRepairMakesEveryCopyWhole brings about each loss, with reads and with the
