--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -229,7 +229,7 @@
 
 // drawFaults has faults begin one after another; they last as they last.
 func (w *World) drawFaults(from, until time.Duration, only string) {
-	all := faults()
+	all := faults
 	total := 0
 	for _, f := range all {
 		total += f.weight
