--- a/internal/testbed/simulation/nodefaults.go
+++ b/internal/testbed/simulation/nodefaults.go
@@ -42,6 +42,9 @@
 	w.start(m)
 }
 
+// leavePatience is how long a controller that is stopped may hand over.
+const leavePatience = 3 * time.Second
+
 // stopFor stops a controller as its operator does: it hands over first.
 func (w *World) stopFor(m *machine, least, most int) {
 	if !m.running() || m.control == nil {
