--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -101,7 +101,7 @@
 		}
 	}
 	if p.staged {
-		running.Stage()
+		running.UseScriptedNodes()
 	}
 	if p.older != "" {
 		running.Mix(p.older)
@@ -204,7 +204,7 @@
 	}
 	for _, fault := range append([]fleet.Fault{closing}, faults...) {
 		p.linked = p.linked || fault.Links
-		p.staged = p.staged || fault.Staged
+		p.staged = p.staged || fault.Scripted
 	}
 	running, err := p.start()
 	if err != nil {
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -71,16 +71,16 @@
 		}
 		question, entry := c.question(kind, node)
 		entry.Zone = zone
-		h := habit{leaves: -1, obeys: c.random.IntN(2) == 0, persists: c.random.IntN(3) == 0, elsewhere: c.random.IntN(1 << 20)}
+		h := behaviour{leaves: -1, obeys: c.random.IntN(2) == 0, persists: c.random.IntN(3) == 0, elsewhere: c.random.IntN(1 << 20)}
 		if c.random.IntN(40) == 0 {
 			h.leaves = c.random.IntN(question.Chunks)
 		}
-		c.waiting.Go(func() { c.converse(lifetime, node, question, entry, h) })
+		c.waiting.Go(func() { c.runClient(lifetime, node, question, entry, h) })
 	}
 }
 
 // habit is how a caller goes about what it reads.
-type habit struct {
+type behaviour struct {
 	// leaves is the chunk after which it closes the connection, or none when -1.
 	leaves int
 	// obeys tells that it comes back when it is told to, else at once; persists
@@ -93,7 +93,7 @@
 // converse sends a request and, as callers do, sends the same id again: after a
 // refusal, after a broken connection at another router, and now and then after any
 // word.
-func (c *Clients) converse(lifetime context.Context, node *NodeProcess, question Question, entry Entry, h habit) {
+func (c *Clients) runClient(lifetime context.Context, node *NodeProcess, question Question, entry Entry, h behaviour) {
 	for arrival := range 3 {
 		entry.Arrival, entry.Router = arrival, node.Node.Name
 		reply, retry := c.send(context.Background(), node.Node.Address, question, entry, h.leaves)
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -56,8 +56,8 @@
 						t.Fatal(err)
 					}
 				}
-				if fault.Staged {
-					fleet.Stage()
+				if fault.Scripted {
+					fleet.UseScriptedNodes()
 				}
 			}
 			if err := fleet.Begin(40 * time.Second); err != nil {
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -10,6 +10,27 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
+// ServerPlan is how a stand-in server behaves.
+type ServerPlan struct {
+	Name           string
+	Zone           string
+	PrefillRate    int
+	PrefillQueue   int
+	DecodeSlots    int
+	ChunkTime      time.Duration
+	Memory         int
+	LinkRate       int
+	HandleLifetime time.Duration
+	WarmupTime     time.Duration
+	Prefixes       int
+}
+
+// DefaultPlan is a server of middling speed.
+func DefaultPlan(name, zone string) ServerPlan {
+	return ServerPlan{Name: name, Zone: zone, PrefillRate: 20_000, PrefillQueue: 12, DecodeSlots: 16, ChunkTime: 8 * time.Millisecond,
+		Memory: 200_000, LinkRate: 400_000, HandleLifetime: 5 * time.Second, WarmupTime: 4 * time.Second, Prefixes: 8}
+}
+
 // Engine is what a stand-in model server does, whatever carries its calls: a
 // queue of prompts read one by one, slots for answers, bounded memory for
 // prompts, a prefix cache, handles that lapse, a cold start, and a link of some
@@ -81,200 +102,200 @@
 }
 
 // Die notes the crash, with which all memory is gone.
-func (top *Engine) Die() {
-	top.events.Append(Entry{Kind: ServerCrashed, Server: top.plan.Name})
-	top.mutex.Lock()
-	top.dead = true
+func (e *Engine) Die() {
+	e.events.Append(Entry{Kind: ServerCrashed, Server: e.plan.Name})
+	e.mutex.Lock()
+	e.dead = true
 	var connections []*Connection
-	for _, connection := range top.runs {
+	for _, connection := range e.runs {
 		connections = append(connections, connection)
 	}
-	top.mutex.Unlock()
+	e.mutex.Unlock()
 	for _, conn := range connections {
 		conn.Close()
 	}
-	top.free.Broadcast()
+	e.free.Broadcast()
 }
 
 // SetDark makes the stand-in accept connections and never answer, or end that.
-func (top *Engine) SetDark(dark bool) {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	top.dark = dark
+func (e *Engine) SetDark(dark bool) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.dark = dark
 }
 
 // SetLeaving makes the load reports say that the server leaves.
-func (top *Engine) SetLeaving(leaving bool) {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	top.leaving = leaving
+func (e *Engine) SetLeaving(leaving bool) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.leaving = leaving
 }
 
 // SetHandleLifetime makes handles lapse after another time.
-func (top *Engine) SetHandleLifetime(incarnation time.Duration) {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	top.plan.HandleLifetime = incarnation
+func (e *Engine) SetHandleLifetime(incarnation time.Duration) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.plan.HandleLifetime = incarnation
 }
 
 // SlowLink makes the link so many times slower.
-func (top *Engine) SlowLink(times int) {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	top.slowLink = times
+func (e *Engine) SlowLink(times int) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.slowLink = times
 }
 
 // Part is the part that the server has.
-func (top *Engine) Part() string {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	return top.part
+func (e *Engine) Part() string {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.part
 }
 
 // Active counts the answers under way.
-func (top *Engine) Active() int {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	return top.active
+func (e *Engine) Active() int {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.active
 }
 
 // Dark tells whether the server takes connections and never answers.
-func (top *Engine) Dark() bool {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	return top.dark
+func (e *Engine) Dark() bool {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.dark
 }
 
 // Dead tells whether the server has crashed.
-func (top *Engine) Dead() bool {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	return top.dead
+func (e *Engine) Dead() bool {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.dead
 }
 
 // Load is the server's report.
-func (top *Engine) Load() modelserver.LoadReport {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	top.sweepHandles()
+func (e *Engine) Load() modelserver.LoadReport {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.sweepHandles()
 	waiting := 0
-	for _, tokens := range top.queue {
+	for _, tokens := range e.queue {
 		waiting += tokens
 	}
 	prefixes := map[string]int{}
-	for name, tokens := range top.prefixes {
+	for name, tokens := range e.prefixes {
 		prefixes[name] = tokens
 	}
-	return modelserver.LoadReport{Server: top.plan.Name, Incarnation: top.incarnation, Part: top.part, Leaving: top.leaving,
-		AgeMilliseconds: int(top.age().Milliseconds()), PrefillQueueTokens: waiting, PrefillRate: top.plan.PrefillRate,
-		PrefillWaiting: len(top.queue), PrefillRoom: top.plan.PrefillQueue, DecodeActive: top.active, DecodeSlots: top.plan.DecodeSlots,
-		ChunkTimeMicroseconds: int(top.plan.ChunkTime.Microseconds()), MemoryFree: top.plan.Memory - top.memory,
-		MemoryTotal: top.plan.Memory, LinkRate: top.plan.LinkRate / top.slowLink, Prefixes: prefixes}
+	return modelserver.LoadReport{Server: e.plan.Name, Incarnation: e.incarnation, Part: e.part, Leaving: e.leaving,
+		AgeMilliseconds: int(e.age().Milliseconds()), PrefillQueueTokens: waiting, PrefillRate: e.plan.PrefillRate,
+		PrefillWaiting: len(e.queue), PrefillRoom: e.plan.PrefillQueue, DecodeActive: e.active, DecodeSlots: e.plan.DecodeSlots,
+		ChunkTimeMicroseconds: int(e.plan.ChunkTime.Microseconds()), MemoryFree: e.plan.Memory - e.memory,
+		MemoryTotal: e.plan.Memory, LinkRate: e.plan.LinkRate / e.slowLink, Prefixes: prefixes}
 }
 
-func (top *Engine) age() time.Duration { return top.runtime.Now().Sub(top.born) }
+func (e *Engine) age() time.Duration { return e.runtime.Now().Sub(e.born) }
 
-func (top *Engine) sweepHandles() {
-	for name, memory := range top.handles {
-		if top.runtime.Now().After(memory.lapses) {
-			delete(top.handles, name)
-			top.memory -= memory.tokens
+func (e *Engine) sweepHandles() {
+	for name, memory := range e.handles {
+		if e.runtime.Now().After(memory.lapses) {
+			delete(e.handles, name)
+			e.memory -= memory.tokens
 		}
 	}
 }
 
 // cold slows a server down that has just started.
-func (top *Engine) warmingUp() float64 {
-	age := top.age()
-	if age >= top.plan.WarmupTime {
+func (e *Engine) warmingUp() float64 {
+	age := e.age()
+	if age >= e.plan.WarmupTime {
 		return 1
 	}
-	return 3 - 2*float64(age)/float64(top.plan.WarmupTime)
+	return 3 - 2*float64(age)/float64(e.plan.WarmupTime)
 }
 
-func (top *Engine) record(kind EntryKind, request string, run int) {
-	top.events.Append(Entry{Kind: kind, Server: top.plan.Name, Zone: top.plan.Zone, Request: request, Run: run})
+func (e *Engine) record(kind EntryKind, request string, run int) {
+	e.events.Append(Entry{Kind: kind, Server: e.plan.Name, Zone: e.plan.Zone, Request: request, Run: run})
 }
 
 // again tells whether an order was had before: a link brought it twice. A
 // server takes an order once, as the protocol asks, and says of the second that
 // it was begun: the first may have been the copy.
-func (top *Engine) repeated(kind, order, request string, run int) bool {
+func (e *Engine) repeated(kind, order, request string, run int) bool {
 	if order == "" {
 		return false
 	}
-	if top.taken[kind+order] {
-		top.record(OrderRepeated, request, run)
+	if e.taken[kind+order] {
+		e.record(OrderRepeated, request, run)
 		return true
 	}
-	top.taken[kind+order] = true
+	e.taken[kind+order] = true
 	return false
 }
 
 // Prefill reads a prompt, and answers with its handle or a refusal.
-func (top *Engine) Prefill(connection *Connection, order modelserver.PrefillRequest) (int, any) {
-	top.mutex.Lock()
-	if top.repeated("prefill", order.Order, order.Request, order.Run) {
-		top.mutex.Unlock()
+func (e *Engine) Prefill(connection *Connection, order modelserver.PrefillRequest) (int, any) {
+	e.mutex.Lock()
+	if e.repeated("prefill", order.Order, order.Request, order.Run) {
+		e.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
-	top.events.Append(Entry{Kind: PrefillAsked, Server: top.plan.Name, Zone: top.plan.Zone, Request: order.Request, Run: order.Run, Depth: len(top.queue), Age: top.age()})
-	top.sweepHandles()
+	e.events.Append(Entry{Kind: PrefillAsked, Server: e.plan.Name, Zone: e.plan.Zone, Request: order.Request, Run: order.Run, Depth: len(e.queue), Age: e.age()})
+	e.sweepHandles()
 	refusal, status := "", http.StatusTooManyRequests
 	switch {
-	case top.part != "prefill":
+	case e.part != "prefill":
 		refusal, status = "wrong_part", http.StatusServiceUnavailable
-	case len(top.queue) >= top.plan.PrefillQueue:
+	case len(e.queue) >= e.plan.PrefillQueue:
 		refusal = "queue_full"
-	case top.memory+order.PromptTokens > top.plan.Memory:
+	case e.memory+order.PromptTokens > e.plan.Memory:
 		refusal = "memory_full"
 	}
 	if refusal != "" {
-		top.mutex.Unlock()
+		e.mutex.Unlock()
 		return status, Refusal{Type: refusal}
 	}
-	top.memory += order.PromptTokens
-	uncached := order.PromptTokens - min(order.PrefixTokens, top.prefixes[order.Prefix])
-	top.queue = append(top.queue, uncached)
-	top.record(PrefillStarted, order.Request, order.Run)
+	e.memory += order.PromptTokens
+	uncached := order.PromptTokens - min(order.PrefixTokens, e.prefixes[order.Prefix])
+	e.queue = append(e.queue, uncached)
+	e.record(PrefillStarted, order.Request, order.Run)
 	key := runName(order.Request, order.Run, order.Order)
-	top.runs[key] = connection
-	top.mutex.Unlock()
+	e.runs[key] = connection
+	e.mutex.Unlock()
 	mine := false
 	finished := false
-	for !top.Dead() && !mine && !connection.Closed() {
-		top.free.Wait(time.Second, func() bool {
-			top.mutex.Lock()
-			defer top.mutex.Unlock()
-			if !top.reading && !top.dead {
-				top.reading, mine = true, true
+	for !e.Dead() && !mine && !connection.Closed() {
+		e.free.Wait(time.Second, func() bool {
+			e.mutex.Lock()
+			defer e.mutex.Unlock()
+			if !e.reading && !e.dead {
+				e.reading, mine = true, true
 			}
-			return mine || top.dead || connection.Closed()
+			return mine || e.dead || connection.Closed()
 		})
 	}
 	if mine {
-		top.mutex.Lock()
-		cost := time.Duration(float64(uncached) / float64(top.plan.PrefillRate) * top.warmingUp() * float64(time.Second))
-		top.mutex.Unlock()
+		e.mutex.Lock()
+		cost := time.Duration(float64(uncached) / float64(e.plan.PrefillRate) * e.warmingUp() * float64(time.Second))
+		e.mutex.Unlock()
 		finished = connection.Wait(cost)
 	}
-	top.mutex.Lock()
-	defer top.free.Broadcast()
-	defer top.mutex.Unlock()
+	e.mutex.Lock()
+	defer e.free.Broadcast()
+	defer e.mutex.Unlock()
 	if mine {
-		top.reading = false
+		e.reading = false
 	}
-	delete(top.runs, key)
-	top.queue = removeOne(top.queue, uncached)
+	delete(e.runs, key)
+	e.queue = removeOne(e.queue, uncached)
 	if !finished {
-		top.memory -= order.PromptTokens
+		e.memory -= order.PromptTokens
 		return http.StatusGone, Refusal{Started: true, Type: "cancelled"}
 	}
 	if order.Prefix != "" && order.PrefixTokens > 0 {
-		top.cache(order.Prefix, order.PrefixTokens)
+		e.cache(order.Prefix, order.PrefixTokens)
 	}
-	handle := top.nonce()
-	top.handles[handle] = &promptMemory{request: order.Request, run: order.Run, order: order.Order, tokens: order.PromptTokens, lapses: top.runtime.Now().Add(top.plan.HandleLifetime)}
+	handle := e.nonce()
+	e.handles[handle] = &promptMemory{request: order.Request, run: order.Run, order: order.Order, tokens: order.PromptTokens, lapses: e.runtime.Now().Add(e.plan.HandleLifetime)}
 	return http.StatusOK, modelserver.PrefillResponse{Request: order.Request, Run: order.Run, Handle: handle}
 }
 
@@ -287,18 +308,18 @@
 	return queue
 }
 
-func (top *Engine) cache(prefix string, tokens int) {
-	for position, name := range top.prefixOrder {
+func (e *Engine) cache(prefix string, tokens int) {
+	for position, name := range e.prefixOrder {
 		if name == prefix {
-			top.prefixOrder = append(top.prefixOrder[:position], top.prefixOrder[position+1:]...)
+			e.prefixOrder = append(e.prefixOrder[:position], e.prefixOrder[position+1:]...)
 			break
 		}
 	}
-	top.prefixOrder = append(top.prefixOrder, prefix)
-	top.prefixes[prefix] = tokens
-	if len(top.prefixOrder) > top.plan.Prefixes {
-		delete(top.prefixes, top.prefixOrder[0])
-		top.prefixOrder = top.prefixOrder[1:]
+	e.prefixOrder = append(e.prefixOrder, prefix)
+	e.prefixes[prefix] = tokens
+	if len(e.prefixOrder) > e.plan.Prefixes {
+		delete(e.prefixes, e.prefixOrder[0])
+		e.prefixOrder = e.prefixOrder[1:]
 	}
 }
 
@@ -307,72 +328,72 @@
 }
 
 // GiveMemory hands a prompt's memory over, once and to its own request and run.
-func (top *Engine) GiveMemory(question MemoryQuestion) (int, any) {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	top.sweepHandles()
-	memory, found := top.handles[question.Handle]
+func (e *Engine) GiveMemory(question MemoryQuestion) (int, any) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.sweepHandles()
+	memory, found := e.handles[question.Handle]
 	if !found || memory.request != question.Request || memory.run != question.Run {
-		top.events.Append(Entry{Kind: MemoryRefused, Server: top.plan.Name, Request: question.Request, Run: question.Run, Handle: question.Handle, Holder: question.Taker})
+		e.events.Append(Entry{Kind: MemoryRefused, Server: e.plan.Name, Request: question.Request, Run: question.Run, Handle: question.Handle, Holder: question.Taker})
 		return http.StatusConflict, Refusal{Type: "handle_lapsed"}
 	}
-	delete(top.handles, question.Handle)
-	top.memory -= memory.tokens
-	top.events.Append(Entry{Kind: MemoryTaken, Server: top.plan.Name, Request: memory.request, Run: memory.run, Handle: question.Handle, Holder: question.Taker})
-	return http.StatusOK, MemoryAnswer{Tokens: memory.tokens, LinkRate: top.plan.LinkRate / top.slowLink}
+	delete(e.handles, question.Handle)
+	e.memory -= memory.tokens
+	e.events.Append(Entry{Kind: MemoryTaken, Server: e.plan.Name, Request: memory.request, Run: memory.run, Handle: question.Handle, Holder: question.Taker})
+	return http.StatusOK, MemoryAnswer{Tokens: memory.tokens, LinkRate: e.plan.LinkRate / e.slowLink}
 }
 
 // Decode takes a prompt's memory up and answers, line by line; with another
 // status than 200 there is a refusal and no line.
-func (top *Engine) Decode(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) (int, any) {
-	top.mutex.Lock()
-	if top.repeated("decode", order.Order, order.Request, order.Run) {
-		top.mutex.Unlock()
+func (e *Engine) Decode(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) (int, any) {
+	e.mutex.Lock()
+	if e.repeated("decode", order.Order, order.Request, order.Run) {
+		e.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
-	top.events.Append(Entry{Kind: DecodeAsked, Server: top.plan.Name, Zone: top.plan.Zone, Request: order.Request, Run: order.Run, Depth: top.active, Age: top.age()})
+	e.events.Append(Entry{Kind: DecodeAsked, Server: e.plan.Name, Zone: e.plan.Zone, Request: order.Request, Run: order.Run, Depth: e.active, Age: e.age()})
 	refusal, status := "", http.StatusTooManyRequests
 	switch {
-	case top.part != "decode":
+	case e.part != "decode":
 		refusal, status = "wrong_part", http.StatusServiceUnavailable
-	case top.active >= 2*top.plan.DecodeSlots:
+	case e.active >= 2*e.plan.DecodeSlots:
 		refusal = "slots_full"
-	case top.memory+order.Chunks > top.plan.Memory:
+	case e.memory+order.Chunks > e.plan.Memory:
 		refusal = "memory_full"
 	}
 	if refusal != "" {
-		top.mutex.Unlock()
+		e.mutex.Unlock()
 		return status, Refusal{Type: refusal}
 	}
-	top.active++
+	e.active++
 	key := runName(order.Request, order.Run, order.Order)
-	top.runs[key] = connection
-	top.mutex.Unlock()
+	e.runs[key] = connection
+	e.mutex.Unlock()
 	memory := 0
 	defer func() {
-		top.mutex.Lock()
-		defer top.mutex.Unlock()
-		top.active--
-		top.memory -= memory
-		delete(top.runs, key)
+		e.mutex.Lock()
+		defer e.mutex.Unlock()
+		e.active--
+		e.memory -= memory
+		delete(e.runs, key)
 	}()
-	given, status := top.fetch(connection, order.Source, MemoryQuestion{Handle: order.Handle, Request: order.Request, Run: order.Run, Taker: top.plan.Name})
+	given, status := e.fetch(connection, order.Source, MemoryQuestion{Handle: order.Handle, Request: order.Request, Run: order.Run, Taker: e.plan.Name})
 	switch {
 	case status == http.StatusConflict:
 		return status, Refusal{Type: "handle_lapsed"}
 	case status != http.StatusOK:
 		return http.StatusBadGateway, Refusal{Started: true, Type: "source_lost"}
 	}
-	top.mutex.Lock()
+	e.mutex.Lock()
 	memory = given.Tokens + order.Chunks
-	top.memory += memory
-	rate := min(given.LinkRate, top.plan.LinkRate/top.slowLink)
-	top.mutex.Unlock()
-	top.record(DecodeStarted, order.Request, order.Run)
+	e.memory += memory
+	rate := min(given.LinkRate, e.plan.LinkRate/e.slowLink)
+	e.mutex.Unlock()
+	e.record(DecodeStarted, order.Request, order.Run)
 	if !connection.Wait(time.Duration(float64(given.Tokens) / float64(max(rate, 1)) * float64(time.Second))) {
 		return http.StatusGone, Refusal{Started: true, Type: "cancelled"}
 	}
-	top.stream(connection, order, send)
+	e.stream(connection, order, send)
 	return http.StatusOK, nil
 }
 
@@ -382,14 +403,14 @@
 	return request + "/" + run + "/" + strconv.Itoa(chunk)
 }
 
-func (top *Engine) stream(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) {
+func (e *Engine) stream(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) {
 	run := strconv.Itoa(order.Run) + order.Order
 	for chunk := 1; chunk <= order.Chunks; chunk++ {
-		top.mutex.Lock()
-		queueing := max(1, float64(top.active)/float64(top.plan.DecodeSlots))
-		length := time.Duration(float64(top.plan.ChunkTime) * queueing * (0.5 + top.warmingUp()/2))
-		top.mutex.Unlock()
-		for top.Dark() && connection.Wait(time.Second) {
+		e.mutex.Lock()
+		queueing := max(1, float64(e.active)/float64(e.plan.DecodeSlots))
+		length := time.Duration(float64(e.plan.ChunkTime) * queueing * (0.5 + e.warmingUp()/2))
+		e.mutex.Unlock()
+		for e.Dark() && connection.Wait(time.Second) {
 		}
 		if !connection.Wait(length) {
 			return
@@ -402,33 +423,33 @@
 }
 
 // Cancel stops a run and lets go of its memory.
-func (top *Engine) Cancel(order modelserver.CancelRequest) {
-	top.mutex.Lock()
-	connection := top.runs[runName(order.Request, order.Run, order.Order)]
-	for name, memory := range top.handles {
+func (e *Engine) Cancel(order modelserver.CancelRequest) {
+	e.mutex.Lock()
+	connection := e.runs[runName(order.Request, order.Run, order.Order)]
+	for name, memory := range e.handles {
 		if memory.request == order.Request && memory.run == order.Run {
-			delete(top.handles, name)
-			top.memory -= memory.tokens
+			delete(e.handles, name)
+			e.memory -= memory.tokens
 		}
 	}
-	top.mutex.Unlock()
+	e.mutex.Unlock()
 	if connection != nil {
 		connection.Close()
 	}
 }
 
 // TakePart takes a part from the holder of the server's key.
-func (top *Engine) TakePart(order modelserver.PartRequest) (int, any) {
-	top.mutex.Lock()
-	defer top.mutex.Unlock()
-	entry := Entry{Kind: Commanded, Server: top.plan.Name, Holder: order.Holder, FencingToken: order.FencingToken, Part: order.Part, Cause: order.Cause}
-	if order.FencingToken < top.fencingToken {
+func (e *Engine) TakePart(order modelserver.PartRequest) (int, any) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	entry := Entry{Kind: Commanded, Server: e.plan.Name, Holder: order.Holder, FencingToken: order.FencingToken, Part: order.Part, Cause: order.Cause}
+	if order.FencingToken < e.fencingToken {
 		entry.Kind = CommandRefused
-		top.events.Append(entry)
+		e.events.Append(entry)
 		return http.StatusConflict, Refusal{Type: "old_fence"}
 	}
-	top.events.Append(entry)
-	top.fencingToken = order.FencingToken
-	top.part = order.Part
-	return http.StatusOK, map[string]string{"part": top.part}
+	e.events.Append(entry)
+	e.fencingToken = order.FencingToken
+	e.part = order.Part
+	return http.StatusOK, map[string]string{"part": e.part}
 }
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -130,10 +130,10 @@
 	}
 }
 
-// Stage makes the nodes run with a faulty disk and a faulty clock.
-func (f *Fleet) Stage() {
+// UseScriptedNodes makes the nodes run with a faulty disk and a faulty clock.
+func (f *Fleet) UseScriptedNodes() {
 	for _, node := range f.Nodes() {
-		node.staged = true
+		node.scripted = true
 	}
 }
 
--- a/internal/testbed/fleet/nodeprocess.go
+++ b/internal/testbed/fleet/nodeprocess.go
@@ -23,7 +23,7 @@
 	binary   string
 	folder   string
 	settings map[string]any
-	staged   bool
+	scripted bool
 
 	mutex   sync.Mutex
 	command *exec.Cmd
@@ -43,7 +43,7 @@
 		return failure.Wrap(failure.Disk, err)
 	}
 	command := exec.Command(n.binary, "serve", "--settings", settingsPath)
-	if n.staged {
+	if n.scripted {
 		command = exec.Command(filepath.Join(filepath.Dir(n.binary), "testbed"), "script-"+ProgramName(n.Node.Kind), "--settings", settingsPath, "--faults", n.faultsPath())
 	}
 	command.Stdout, command.Stderr = logFile, logFile
--- a/internal/testbed/fleet/platform.go
+++ b/internal/testbed/fleet/platform.go
@@ -35,10 +35,10 @@
 	platform := &Platform{events: events, address: listener.Addr().String(), servers: map[string]membership.Server{}, nodes: map[string]membership.Node{}}
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/servers"), func(writer http.ResponseWriter, _ *http.Request) {
-		say(writer, http.StatusOK, map[string]any{"servers": platform.listServers()})
+		writeJSON(writer, http.StatusOK, map[string]any{"servers": platform.listServers()})
 	})
 	mux.HandleFunc(pat.Get("/v1/nodes"), func(writer http.ResponseWriter, _ *http.Request) {
-		say(writer, http.StatusOK, map[string]any{"nodes": platform.listNodes()})
+		writeJSON(writer, http.StatusOK, map[string]any{"nodes": platform.listNodes()})
 	})
 	platform.server = &http.Server{Handler: platform.shade(mux), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = platform.server.Serve(listener) }()
@@ -58,7 +58,7 @@
 		down := p.down
 		p.mutex.Unlock()
 		if down {
-			say(writer, http.StatusServiceUnavailable, Refusal{Type: "down"})
+			writeJSON(writer, http.StatusServiceUnavailable, Refusal{Type: "down"})
 			return
 		}
 		next.ServeHTTP(writer, inbound)
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -41,25 +41,25 @@
 	standIn.runtime = osruntime.New(standIn.lifetime, osruntime.NewClock())
 	standIn.Engine = NewEngine(plan, events, standIn.runtime, uuid.NewString, standIn.fetchMemory)
 	mux := goji.NewMux()
-	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { say(writer, http.StatusOK, standIn.Load()) })
+	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, http.StatusOK, standIn.Load()) })
 	mux.HandleFunc(pat.Post("/v1/prefill"), takes(standIn, func(connection *Connection, order modelserver.PrefillRequest, writer http.ResponseWriter) {
 		status, content := standIn.Prefill(connection, order)
-		say(writer, status, content)
+		writeJSON(writer, status, content)
 	}))
 	mux.HandleFunc(pat.Post("/v1/decode"), takes(standIn, standIn.decode))
 	mux.HandleFunc(pat.Post("/v1/memory"), takes(standIn, func(_ *Connection, question MemoryQuestion, writer http.ResponseWriter) {
 		status, content := standIn.GiveMemory(question)
-		say(writer, status, content)
+		writeJSON(writer, status, content)
 	}))
 	mux.HandleFunc(pat.Post("/v1/cancel"), takes(standIn, func(_ *Connection, order modelserver.CancelRequest, writer http.ResponseWriter) {
 		standIn.Cancel(order)
-		say(writer, http.StatusOK, map[string]bool{"cancelled": true})
+		writeJSON(writer, http.StatusOK, map[string]bool{"cancelled": true})
 	}))
 	mux.HandleFunc(pat.Post("/v1/part"), takes(standIn, func(_ *Connection, order modelserver.PartRequest, writer http.ResponseWriter) {
 		status, content := standIn.TakePart(order)
-		say(writer, status, content)
+		writeJSON(writer, status, content)
 	}))
-	standIn.server = &http.Server{Handler: standIn.shade(mux), BaseContext: func(net.Listener) context.Context { return standIn.lifetime }}
+	standIn.server = &http.Server{Handler: standIn.silenceWhileDark(mux), BaseContext: func(net.Listener) context.Context { return standIn.lifetime }}
 	go func() { _ = standIn.server.Serve(listener) }()
 	return standIn, nil
 }
@@ -70,7 +70,7 @@
 		var order Order
 		content, err := io.ReadAll(inbound.Body)
 		if err != nil || json.Unmarshal(content, &order) != nil {
-			say(writer, http.StatusBadRequest, Refusal{Type: "malformed"})
+			writeJSON(writer, http.StatusBadRequest, Refusal{Type: "malformed"})
 			return
 		}
 		conn := NewConnection(standIn.runtime)
@@ -93,7 +93,7 @@
 
 // shade leaves every call without an answer while the server is dark. What was
 // dark when it came is never done.
-func (s *StandIn) shade(next http.Handler) http.Handler {
+func (s *StandIn) silenceWhileDark(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
 		if s.Dark() {
 			// The body is read so that the closing of the connection is noticed.
@@ -105,7 +105,7 @@
 	})
 }
 
-func say(writer http.ResponseWriter, status int, content any) {
+func writeJSON(writer http.ResponseWriter, status int, content any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(content)
@@ -136,7 +136,7 @@
 		return flusher.Flush()
 	})
 	if content != nil {
-		say(writer, status, content)
+		writeJSON(writer, status, content)
 	}
 }
 
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -219,8 +219,8 @@
 
 // Read has a server read the prompt.
 func (c *callExchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	sending := c.send(decision.Server, func(there *callServer, top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
-		return there.read(top, connection, c.call, decision.Server.Name)
+	sending := c.send(decision.Server, func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
+		return there.read(engine, connection, c.call, decision.Server.Name)
 	})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreachable}
@@ -243,8 +243,8 @@
 // Run has a server make the answer and passes it on.
 func (c *callExchange) Run(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
 	last := c.passed
-	sending := c.send(decision.Server, func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
-		return there.run(top, connection, c.call, decision.Server.Name, decision.Source, last, send)
+	sending := c.send(decision.Server, func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
+		return there.run(engine, connection, c.call, decision.Server.Name, decision.Source, last, send)
 	})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreachable}
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -51,9 +51,9 @@
 type callStreamEnd struct{}
 
 // read reads a prompt and keeps its memory.
-func (c *callServer) read(top *fleet.Engine, connection *fleet.Connection, w *worldCall, name string) any {
+func (c *callServer) read(engine *fleet.Engine, connection *fleet.Connection, w *worldCall, name string) any {
 	switch {
-	case name != c.name || top.Part() != "prefill":
+	case name != c.name || engine.Part() != "prefill":
 		return callRefusal{misdirected}
 	case c.reading >= callReads:
 		return callRefusal{http.StatusServiceUnavailable}
@@ -69,9 +69,9 @@
 }
 
 // run makes a stream, behind the event that its origin had last.
-func (c *callServer) run(top *fleet.Engine, connection *fleet.Connection, w *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
+func (c *callServer) run(engine *fleet.Engine, connection *fleet.Connection, w *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
 	switch {
-	case name != c.name || top.Part() != "decode":
+	case name != c.name || engine.Part() != "decode":
 		return callRefusal{misdirected}
 	case c.running >= callRuns:
 		return callRefusal{http.StatusServiceUnavailable}
@@ -108,7 +108,7 @@
 		return nil
 	}
 	for number := last + 1; number <= w.chunks; number++ {
-		for top.Dark() && connection.Wait(time.Second) {
+		for engine.Dark() && connection.Wait(time.Second) {
 		}
 		if !connection.Wait(callChunk) || !send(callChunkSent{w.call.ID, number}) {
 			return nil
@@ -128,7 +128,7 @@
 
 // send sends a call to a server and gives what it answers to the pipe; nil means
 // that certainly nothing went.
-func (c *callExchange) send(s membership.Server, serve func(there *callServer, top *fleet.Engine, connection *fleet.Connection, send func(any) bool) any) *callSending {
+func (c *callExchange) send(s membership.Server, serve func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any) *callSending {
 	world, here := c.incarnation.world, c.incarnation
 	to := world.nameAt(s.Address)
 	sending := &callSending{replies: newPipe(world, to, here.name, here)}
@@ -145,11 +145,11 @@
 		forgetRouter := here.onEnd(sending.hangUp)
 		there.incarnation.Go(func() {
 			defer forgetRouter()
-			if there.top.Dark() {
+			if there.engine.Dark() {
 				conn.Wait(time.Minute)
 				return
 			}
-			answer := serve(there.calls, there.top, conn, func(message any) bool { return !sending.quit && sending.replies.put(message) })
+			answer := serve(there.calls, there.engine, conn, func(message any) bool { return !sending.quit && sending.replies.put(message) })
 			forgetServer()
 			switch {
 			case answer == nil:
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -41,23 +41,23 @@
 			return
 		}
 		reply, retry := w.send(m, zone, question, arrival)
-		again, pause := w.random.IntN(4), time.Duration(w.random.IntN(300))*time.Millisecond
+		behaviour, backoff := w.random.IntN(4), time.Duration(w.random.IntN(300))*time.Millisecond
 		switch {
-		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && again < 2:
-			if again == 0 {
-				pause = retry
+		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && behaviour < 2:
+			if behaviour == 0 {
+				backoff = retry
 			}
 			w.encounter("an id sent again after a refusal")
-		case reply.Final == "" && again < 3:
+		case reply.Final == "" && behaviour < 3:
 			w.encounter("an id sent again after a broken circuit")
-		case (reply.Final == "unknown" || reply.Final == "failed") && again == 0:
+		case (reply.Final == "unknown" || reply.Final == "failed") && behaviour == 0:
 			w.encounter("an id sent again after its final word")
-		case reply.Final == "complete" && again == 0 && w.random.IntN(20) == 0:
+		case reply.Final == "complete" && behaviour == 0 && w.random.IntN(20) == 0:
 			w.encounter("an id sent again after its final word")
 		default:
 			return
 		}
-		w.outside.NewCond().Wait(pause, never)
+		w.outside.NewCond().Wait(backoff, never)
 	}
 }
 
@@ -135,7 +135,7 @@
 	body, _ := json.Marshal(question)
 	there, conduct := m.incarnation, m.router
 	replies := newPipe(w, m.name, "outside", w.outside)
-	caller := &client{world: w, there: there, pipe: replies}
+	c := &client{world: w, there: there, pipe: replies}
 	w.carry("outside", m.name, nil, func() {
 		if there.ended {
 			replies.disconnect()
@@ -153,7 +153,7 @@
 					w.claiming[m.name]++
 					defer func() { w.claiming[m.name]-- }()
 				}
-				conduct.Serve(dataplane.Arrival{Request: request, Body: body}, caller)
+				conduct.Serve(dataplane.Arrival{Request: request, Body: body}, c)
 			})
 		})
 	})
@@ -161,7 +161,7 @@
 	for {
 		if leavesAt == len(entry.Texts) {
 			w.encounter("a caller left")
-			caller.leave()
+			c.leave()
 			entry.Cause = fleet.CallerLeft
 			return 0
 		}
@@ -170,7 +170,7 @@
 			entry.Cause = "the circuit broke"
 			if !replies.broken {
 				entry.Cause = "no reply in time"
-				caller.leave()
+				c.leave()
 			}
 			return 0
 		}
--- a/internal/testbed/simulation/coretrial.go
+++ b/internal/testbed/simulation/coretrial.go
@@ -139,7 +139,7 @@
 			continue
 		}
 		control := m.control
-		_, err := w.outside.ask(m.name, operatorPatience, func(*incarnation) (any, error) { return control.Edit(edit) })
+		_, err := w.outside.call(m.name, operatorPatience, func(*incarnation) (any, error) { return control.Edit(edit) })
 		if err == nil {
 			return true
 		}
--- a/internal/testbed/simulation/serverfaults.go
+++ b/internal/testbed/simulation/faults_servers.go
@@ -11,7 +11,7 @@
 	if w.servers[name].incarnation.ended {
 		return
 	}
-	if w.servers[name].top.Active() > 0 {
+	if w.servers[name].engine.Active() > 0 {
 		w.encounter("answers under way at a server's crash")
 	}
 	w.tracef("%s crashes", name)
@@ -38,7 +38,7 @@
 	}
 	listed := world.platform.servers[name]
 	world.Events.Append(fleet.Entry{Kind: fleet.ServerLeaving, Server: name})
-	if s.top.Active() > 0 {
+	if s.engine.Active() > 0 {
 		world.encounter("answers under way at a leaving server")
 	}
 	switch way {
@@ -48,7 +48,7 @@
 	case 1:
 		delete(world.platform.servers, name)
 	default:
-		s.top.SetLeaving(true)
+		s.engine.SetLeaving(true)
 	}
 	world.tracef("%s leaves", name)
 	world.wait(4500, 8000)
@@ -67,7 +67,7 @@
 
 // darkenServer has a server take requests and answer none.
 func darkenServer(w *World) {
-	engine := w.servers[w.anyServer()].top
+	engine := w.servers[w.anyServer()].engine
 	engine.SetDark(true)
 	w.wait(1000, 5000)
 	engine.SetDark(false)
@@ -83,7 +83,7 @@
 
 // lapseHandles has a server forget prompts before anybody can fetch them.
 func lapseHandles(w *World) {
-	engine := w.servers[w.anyServer()].top
+	engine := w.servers[w.anyServer()].engine
 	engine.SetHandleLifetime(time.Microsecond)
 	w.wait(1000, 4000)
 	engine.SetHandleLifetime(5 * time.Second)
@@ -91,7 +91,7 @@
 
 // slowServerLink makes what a server fetches of others take forty times as long.
 func slowServerLink(w *World) {
-	engine := w.servers[w.anyServer()].top
+	engine := w.servers[w.anyServer()].engine
 	engine.SlowLink(40)
 	w.wait(1000, 5000)
 	engine.SlowLink(1)
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -98,7 +98,7 @@
 // read asks one controller for the configuration; who can't be sure gives no answer.
 func (o *operatorsHistory) read(c int) (uint64, bool) {
 	m, began := o.anyControl(), o.world.now
-	content, err := o.world.outside.ask(m.name, time.Second, func(*incarnation) (any, error) {
+	content, err := o.world.outside.call(m.name, time.Second, func(*incarnation) (any, error) {
 		if m.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
@@ -123,7 +123,7 @@
 func (o *operatorsHistory) send(c int, asked changeInput) {
 	m, began := o.anyControl(), o.world.now
 	text := fmt.Sprintf(`{"revision":%d,"annotations":{"order":%d}}`, asked.next, asked.order)
-	_, err := o.world.outside.ask(m.name, 2*time.Second, func(*incarnation) (any, error) {
+	_, err := o.world.outside.call(m.name, 2*time.Second, func(*incarnation) (any, error) {
 		if m.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -81,7 +81,7 @@
 // ask has serve answered by the process that runs at the machine when the
 // question comes there; the caller's thread waits until its patience ends. A
 // link may bring the question twice.
-func (i *incarnation) ask(to string, patience time.Duration, serve func(there *incarnation) (any, error)) (any, error) {
+func (i *incarnation) call(to string, patience time.Duration, serve func(there *incarnation) (any, error)) (any, error) {
 	world := i.world
 	asked := &call{client: i, from: i.name, to: to, cond: &cond{incarnation: i}}
 	arrive := func(first bool) {
@@ -133,7 +133,7 @@
 	world := w.incarnation.world
 	world.tapMessage(path, body)
 	world.countSnapshot(path, body)
-	content, err := w.incarnation.ask(world.nameAt(address), patience, func(there *incarnation) (any, error) {
+	content, err := w.incarnation.call(world.nameAt(address), patience, func(there *incarnation) (any, error) {
 		if there.handle == nil {
 			return nil, failure.New(failure.Unreachable, "nobody listens yet")
 		}
--- a/internal/testbed/simulation/modelservers.go
+++ b/internal/testbed/simulation/modelservers.go
@@ -12,13 +12,13 @@
 )
 
 // model servers are the connections of one router to the model servers.
-type modelServers struct {
+type serverClient struct {
 	incarnation *incarnation
-	running     map[string]*exchange
+	running     map[string]*serverExchange
 }
 
 // exchange is one order under way at a server.
-type exchange struct {
+type serverExchange struct {
 	replies *pipe
 	quit    bool
 	refused bool
@@ -26,7 +26,7 @@
 }
 
 // stop closes the router's side.
-func (e *exchange) stop() {
+func (e *serverExchange) stop() {
 	e.quit = true
 	e.replies.cond.Broadcast()
 	if e.hangUp != nil {
@@ -43,7 +43,7 @@
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
 // dial waits for a connection, which may take its time.
-func (m *modelServers) dial() {
+func (m *serverClient) dial() {
 	world := m.incarnation.world
 	length := time.Duration(world.random.IntN(400)) * time.Microsecond
 	if world.slowDials > 0 && world.random.Float64() < world.slowDials {
@@ -54,7 +54,7 @@
 
 // order sends one order to a server and returns its exchange, or nil when it
 // certainly did not go.
-func (m *modelServers) order(decision auction.Decision, may func() bool, serve func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any)) *exchange {
+func (m *serverClient) order(decision auction.Decision, may func() bool, serve func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any)) *serverExchange {
 	world := m.incarnation.world
 	m.dial()
 	if !may() {
@@ -62,7 +62,7 @@
 		return nil
 	}
 	to := world.nameAt(decision.Address)
-	begun := &exchange{replies: newPipe(world, to, m.incarnation.name, m.incarnation)}
+	begun := &serverExchange{replies: newPipe(world, to, m.incarnation.name, m.incarnation)}
 	if earlier, found := m.running[runKey(decision.ID, decision.Run)]; found {
 		earlier.stop()
 	}
@@ -88,11 +88,11 @@
 		forgetRouter := m.incarnation.onEnd(hangUp)
 		there.incarnation.Go(func() {
 			defer forgetRouter()
-			if there.top.Dark() {
+			if there.engine.Dark() {
 				conn.Wait(time.Minute)
 				return
 			}
-			status, content := serve(there.top, conn, func(message any) bool {
+			status, content := serve(there.engine, conn, func(message any) bool {
 				if begun.quit {
 					// The router has closed its side.
 					return false
@@ -136,7 +136,7 @@
 
 // lostOutcome is what a connection without an answer means: where nobody listened
 // nothing was written.
-func (e *exchange) lostOutcome() auction.Outcome {
+func (e *serverExchange) lostOutcome() auction.Outcome {
 	if e.refused {
 		return auction.OutcomeNotStarted
 	}
@@ -146,11 +146,11 @@
 const exchangePatience = 2 * time.Minute
 
 // Prefill has a server read a prompt.
-func (m *modelServers) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
+func (m *serverClient) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
 	order := modelserver.PrefillRequest{Request: request.ID, Order: decision.Token, Run: decision.Run, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}
-	begun := m.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
-		return top.Prefill(connection, order)
+	begun := m.order(decision, may, func(engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
+		return engine.Prefill(connection, order)
 	})
 	if begun == nil {
 		return auction.OutcomeNotStarted, "", "nothing was sent"
@@ -167,11 +167,11 @@
 }
 
 // Decode has a server answer.
-func (m *modelServers) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+func (m *serverClient) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
 	request := decision.Request
 	order := modelserver.DecodeRequest{Request: request.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}
-	begun := m.order(decision, may, func(top *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
-		return top.Decode(connection, order, func(line modelserver.DecodeChunk) error {
+	begun := m.order(decision, may, func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
+		return engine.Decode(connection, order, func(line modelserver.DecodeChunk) error {
 			if !send(line) {
 				return failure.New(failure.Unreachable, "the courier is gone")
 			}
@@ -203,7 +203,7 @@
 }
 
 // Command has a server take a part.
-func (m *modelServers) Command(decision auction.Decision, may func() bool) error {
+func (m *serverClient) Command(decision auction.Decision, may func() bool) error {
 	m.dial()
 	if !may() {
 		return failure.New(failure.DeadlinePassed, "the command may not go any more")
@@ -212,24 +212,24 @@
 	if decision.Order != nil {
 		order.Cause = decision.Order.Cause
 	}
-	_, err := m.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) { return top.TakePart(order) })
+	_, err := m.incarnation.askServer(decision.Address, time.Second, func(engine *fleet.Engine) (int, any) { return engine.TakePart(order) })
 	return err
 }
 
 // Cancel breaks a run's connection and has the server stop it.
-func (m *modelServers) Cancel(decision auction.Decision) {
+func (m *serverClient) Cancel(decision auction.Decision) {
 	m.EndRun(decision.ID, decision.Run)
 	order := modelserver.CancelRequest{Request: decision.ID, Order: decision.Token, Run: decision.Run}
 	m.incarnation.Go(func() {
-		_, _ = m.incarnation.askServer(decision.Address, time.Second, func(top *fleet.Engine) (int, any) {
-			top.Cancel(order)
+		_, _ = m.incarnation.askServer(decision.Address, time.Second, func(engine *fleet.Engine) (int, any) {
+			engine.Cancel(order)
 			return http.StatusOK, nil
 		})
 	})
 }
 
 // EndRun ends whatever a run still has under way.
-func (m *modelServers) EndRun(id string, run int) {
+func (m *serverClient) EndRun(id string, run int) {
 	if begun, found := m.running[runKey(id, run)]; found {
 		delete(m.running, runKey(id, run))
 		begun.stop()
@@ -237,19 +237,19 @@
 }
 
 // askServer has a server answer one short question.
-func (i *incarnation) askServer(address string, patience time.Duration, serve func(top *fleet.Engine) (int, any)) (any, error) {
+func (i *incarnation) askServer(address string, patience time.Duration, serve func(engine *fleet.Engine) (int, any)) (any, error) {
 	world := i.world
 	to := world.nameAt(address)
-	return i.ask(to, patience, func(there *incarnation) (any, error) {
+	return i.call(to, patience, func(there *incarnation) (any, error) {
 		s := world.servers[to]
 		if s == nil || s.incarnation != there || there.address != address {
 			return nil, failure.New(failure.Unreachable, "another server is there")
 		}
-		if s.top.Dark() {
+		if s.engine.Dark() {
 			fleet.NewConnection(there).Wait(time.Minute)
 			return nil, failure.New(failure.Unreachable, "dark")
 		}
-		status, content := serve(s.top)
+		status, content := serve(s.engine)
 		if status != http.StatusOK {
 			return content, failure.New(failure.NotHolder, "status "+strconv.Itoa(status))
 		}
@@ -258,10 +258,10 @@
 }
 
 // server is one model server of the world.
-type server struct {
+type modelServer struct {
 	plan        fleet.ServerPlan
 	incarnation *incarnation
-	top         *fleet.Engine
+	engine      *fleet.Engine
 	// calls is what it does for opaque calls.
 	calls *callServer
 }
@@ -270,8 +270,8 @@
 func (w *World) fetchFrom(here *incarnation) fleet.Fetch {
 	return func(_ *fleet.Connection, address string, question fleet.MemoryQuestion) (fleet.MemoryAnswer, int) {
 		status := http.StatusBadGateway
-		content, err := here.askServer(address, 2*time.Second, func(top *fleet.Engine) (int, any) {
-			given, content := top.GiveMemory(question)
+		content, err := here.askServer(address, 2*time.Second, func(engine *fleet.Engine) (int, any) {
+			given, content := engine.GiveMemory(question)
 			status = given
 			return http.StatusOK, content
 		})
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -24,7 +24,7 @@
 		if m.kind != membership.Controller || m.gone {
 			continue
 		}
-		content, err := w.outside.ask(m.name, operatorPatience, func(*incarnation) (any, error) {
+		content, err := w.outside.call(m.name, operatorPatience, func(*incarnation) (any, error) {
 			if m.control == nil {
 				return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 			}
@@ -54,7 +54,7 @@
 }
 
 // readConfiguration reads the configuration as an operator does, and notes its revision.
-func (w *World) readConfiguration(note bool) (configurationRead, bool) {
+func (w *World) readConfiguration(record bool) (configurationRead, bool) {
 	began := w.now
 	content, err := w.atPrimary(func(control *controlplane.Controller) (any, error) {
 		_, view, state, err := control.Read()
@@ -67,7 +67,7 @@
 		return configurationRead{}, false
 	}
 	read := content.(configurationRead)
-	if note {
+	if record {
 		w.Events.Append(fleet.Entry{Kind: fleet.RevisionRead, Revision: fleet.RevisionOf(read.text), Took: w.now - began})
 	}
 	return read, true
@@ -95,17 +95,17 @@
 	}
 	accepted := false
 	left := racers
-	c := w.outside.NewCond()
+	done := w.outside.NewCond()
 	for range racers {
 		w.revision++
 		revision := w.revision
 		w.outside.Go(func() {
 			accepted = w.putRevision(revision, read) || accepted
 			left--
-			c.Broadcast()
+			done.Broadcast()
 		})
 	}
-	c.Wait(time.Minute, func() bool { return left == 0 })
+	done.Wait(time.Minute, func() bool { return left == 0 })
 	return accepted
 }
 
@@ -135,7 +135,7 @@
 	defer delete(w.evacuating, zone)
 	under := 0
 	for _, name := range w.serversOf(zone) {
-		under += w.servers[name].top.Active()
+		under += w.servers[name].engine.Active()
 	}
 	if under > 0 {
 		w.encounter("answers under way at an evacuation")
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -30,12 +30,12 @@
 
 // lists is the platform's directory and the servers' reports, as one life reaches
 // them.
-type lists struct {
+type directory struct {
 	world       *World
 	incarnation *incarnation
 }
 
-func (l lists) reached() error {
+func (l directory) reached() error {
 	if l.world.platform.down || l.world.link("platform", l.incarnation.name).cut {
 		return failure.New(failure.Unreachable, "the platform")
 	}
@@ -43,7 +43,7 @@
 }
 
 // Servers reads the list of servers.
-func (l lists) Servers() ([]membership.Server, error) {
+func (l directory) Servers() ([]membership.Server, error) {
 	if !l.world.isController(l.incarnation.name) {
 		l.world.listReads = append(l.world.listReads, l.world.now)
 	}
@@ -54,7 +54,7 @@
 }
 
 // Nodes reads the list of nodes.
-func (l lists) Nodes() ([]membership.Node, error) {
+func (l directory) Nodes() ([]membership.Node, error) {
 	if l.world.settings.NoNodes {
 		return nil, failure.New(failure.NoSuch, "a list of nodes")
 	}
@@ -70,9 +70,9 @@
 	return l.world.listNodes(), nil
 }
 
-func (l lists) ask(s membership.Server, patience time.Duration) (auction.Load, error) {
-	content, err := l.incarnation.askServer(s.Address, patience, func(top *fleet.Engine) (int, any) {
-		return http.StatusOK, top.Load()
+func (l directory) ask(s membership.Server, patience time.Duration) (auction.Load, error) {
+	content, err := l.incarnation.askServer(s.Address, patience, func(engine *fleet.Engine) (int, any) {
+		return http.StatusOK, engine.Load()
 	})
 	if err != nil {
 		return auction.Load{}, err
@@ -80,13 +80,13 @@
 	return content.(modelserver.LoadReport).Load(), nil
 }
 
-// ReadAuctionLoad reads a server's load for the market of requests.
-func (l lists) ReadAuctionLoad(s membership.Server, patience time.Duration) (auction.Load, error) {
+// Pressure reads a server's load for the market of requests.
+func (l directory) Pressure(s membership.Server, patience time.Duration) (auction.Load, error) {
 	return l.ask(s, patience)
 }
 
-// ReadLoad reads a server's load for all routers.
-func (l lists) ReadLoad(s membership.Server, patience time.Duration) (scheduler.Load, error) {
+// Report reads a server's load for all routers.
+func (l directory) Report(s membership.Server, patience time.Duration) (scheduler.Load, error) {
 	l.world.reportReads++
 	load, err := l.ask(s, patience)
 	return scheduler.Load{Server: load.Server, Role: string(load.Role), Waiting: load.PrefillWaiting, Running: load.DecodeActive,
--- a/internal/testbed/simulation/settings_test.go
+++ b/internal/testbed/simulation/settings_test.go
@@ -323,7 +323,7 @@
 					continue
 				}
 				control := m.control
-				_, err := w.outside.ask(m.name, time.Second, func(*incarnation) (any, error) { return control.Edit(edit) })
+				_, err := w.outside.call(m.name, time.Second, func(*incarnation) (any, error) { return control.Edit(edit) })
 				over = over || err == nil
 			}
 		}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -35,7 +35,7 @@
 	machines     []*machine
 	byAddress    map[string]string
 	incarnations map[string]*incarnation
-	servers      map[string]*server
+	servers      map[string]*modelServer
 	plans        []fleet.ServerPlan
 	platform     platform
 	links        map[[2]string]*link
@@ -100,7 +100,7 @@
 // New lays a world out: the deployment's machines and servers, all cold.
 func New(deployment fleet.Deployment, seed uint64) *World {
 	world := &World{deployment: deployment, random: rand.New(rand.NewPCG(seed, 0x5ea)), byAddress: map[string]string{}, incarnations: map[string]*incarnation{},
-		servers: map[string]*server{}, links: map[[2]string]*link{}, encounters: map[string]int{}, seenKeys: map[string]bool{}, claiming: map[string]int{}, evacuating: map[string]bool{},
+		servers: map[string]*modelServer{}, links: map[[2]string]*link{}, encounters: map[string]int{}, seenKeys: map[string]bool{}, claiming: map[string]int{}, evacuating: map[string]bool{},
 		calls: &CallCounter{}, trace: sha256.New(), traffic: map[string]Traffic{}, Log: func(string) {}}
 	world.Events = &fleet.EventLog{Clock: func() time.Time { return epoch.Add(world.now) }}
 	world.platform.servers = map[string]membership.Server{}
@@ -200,14 +200,14 @@
 	address := "10.1." + strconv.FormatUint(w.nonces>>8, 10) + "." + strconv.FormatUint(w.nonces&0xff, 10) + ":1"
 	begun := w.newIncarnation(plan.Name, address, 0)
 	w.byAddress[address] = plan.Name
-	w.servers[plan.Name] = &server{plan: plan, incarnation: begun, top: fleet.NewEngine(plan, w.Events, begun, w.nonce, w.fetchFrom(begun)),
+	w.servers[plan.Name] = &modelServer{plan: plan, incarnation: begun, engine: fleet.NewEngine(plan, w.Events, begun, w.nonce, w.fetchFrom(begun)),
 		calls: &callServer{world: w, name: plan.Name, handles: map[string]*callMemory{}}}
 	w.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, Zone: plan.Zone}
 }
 
 func (w *World) crashServer(name string) {
 	if s := w.servers[name]; !s.incarnation.ended {
-		s.top.Die()
+		s.engine.Die()
 		s.incarnation.end()
 	}
 }
@@ -232,15 +232,15 @@
 		begun.Go(func() { w.runController(m, begun, supported, observe) })
 		return
 	}
-	servers := &modelServers{incarnation: begun, running: map[string]*exchange{}}
+	servers := &serverClient{incarnation: begun, running: map[string]*serverExchange{}}
 	options := dataplane.Options{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedRoles: w.fixedParts}, Address: m.address,
-		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: lists{w, begun}}
+		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: directory{w, begun}}
 	options.ServeWithoutLease = w.settings.ServeWithoutLease
 	if w.settings.Calls {
 		options.Board = func(*scheduler.Scheduler) dataplane.Board { return ignoringBoard{} }
 	}
 	if w.layout == nil {
-		options.LoadReader = lists{w, begun}
+		options.Pressures = directory{w, begun}
 	}
 	w.prepareCalls(m, begun, &options)
 	router := dataplane.NewRouter(begun, rpcClient{begun}, servers, &forwarder{incarnation: begun}, options, observe)
@@ -259,7 +259,7 @@
 	keeping, _ := storage.OpenDirectory(m.disk, "keeper")
 	copies, _ := storage.OpenDirectory(m.disk, "larder")
 	options := controlplane.Options{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
-		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: lists{w, begun}, Reports: lists{w, begun}}
+		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: directory{w, begun}, Reports: directory{w, begun}}
 	options.AcknowledgeWait, options.RetireAfter = w.settings.AcknowledgeWait, w.settings.RetireAfter
 	options.JoinsOnly = w.settings.JoinOnly || w.settings.FormOnce && m.startCount > 1 || w.settings.FormOnce && w.now > opening
 	control, blank, err := controlplane.Open(begun, rpcClient{begun}, keeping, copies, options, observe)
