--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command test is seamloom's test kit: it starts a whole fleet on this
-// machine, with stand-ins for callers, model servers and the platform, lets
+// Command testbed is seamloom's test kit: it starts a whole fleet on this
+// machine, with stand-ins for clients, model servers and the platform, lets
 // things fail, and judges what the stand-ins wrote down.
 package main
 
@@ -184,7 +184,7 @@
 	return command
 }
 
-// run starts a fleet, runs one day on it, and judges its book.
+// run starts a fleet, runs one day on it, and judges its event log.
 func (p *plan) run(log io.Writer) (fleet.Verdict, error) {
 	var verdict fleet.Verdict
 	var faults []fleet.Fault
--- a/cmd/testbed/replay.go
+++ b/cmd/testbed/replay.go
@@ -14,7 +14,7 @@
 	"seamloom.example/seamloom/internal/testbed/replay"
 )
 
-// mistaken is what the caller wrote wrongly: the program ends with 2.
+// mistaken is what the client wrote wrongly: the program ends with 2.
 type mistaken struct{ mistakes error }
 
 // Error lists the mistakes, one a line.
--- a/internal/testbed/fleet/checkers.go
+++ b/internal/testbed/fleet/checkers.go
@@ -14,7 +14,7 @@
 	warmupDepth   = 8
 )
 
-// The checkers read only what stand-ins and callers wrote down.
+// The checkers read only what stand-ins and clients wrote down.
 var checkers = []func([]Entry) Finding{
 	checkSecondRun, checkRefusedNeverRuns, checkReplies, checkMemory, checkLeaving, checkEvacuated, checkInForce, checkNeverBack,
 	checkRefusedRevisions, checkReads, checkAttempts, checkWarmup, checkCommands, checkFormats, checkReturn, checkQueueTime,
--- a/internal/testbed/fleet/checkers_requests.go
+++ b/internal/testbed/fleet/checkers_requests.go
@@ -33,7 +33,7 @@
 	return finding
 }
 
-// checkRefusedNeverRuns: whatever starts belongs to an arrival whose caller was
+// checkRefusedNeverRuns: whatever starts belongs to an arrival whose client was
 // not told that it never would, before or after that word. The same id sent
 // again is another arrival.
 func checkRefusedNeverRuns(entries []Entry) Finding {
@@ -129,7 +129,7 @@
 )
 
 // checkAttempts: extra dispatches, counted where they arrive, stay under a fifth
-// of the first ones, in the whole and in each window. An id that its caller
+// of the first ones, in the whole and in each window. An id that its client
 // sends again has a first dispatch again.
 func checkAttempts(entries []Entry) Finding {
 	finding := Finding{Checker: "extra tries stay under a fifth", Limit: strconv.FormatFloat(attemptsShare, 'f', 2, 64)}
@@ -202,7 +202,7 @@
 
 // checkReturn: after a closing fault there are in time, for requests sent after
 // it, complete replies of each service, repeatable and not, at each zone
-// whose callers go on asking, and an accepted change.
+// whose clients go on asking, and an accepted change.
 func checkReturn(entries []Entry) Finding {
 	finding := Finding{Checker: "service returns after a closing fault", Limit: returnLimit.String()}
 	var worst time.Duration
@@ -261,7 +261,7 @@
 }
 
 // queueTimeLimit is how long a request that never ran may wait for its word: two
-// seconds for a hold and three for a claim, and what their last tries take.
+// seconds for a lease and three for a claim, and what their last tries take.
 const queueTimeLimit = 6 * time.Second
 
 // checkQueueTime: a request that is given up before anything was begun for it has
--- a/internal/testbed/fleet/checkers_test.go
+++ b/internal/testbed/fleet/checkers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// cleanDay is a book in which nothing that must never happen happens.
+// cleanDay is an event log in which nothing that must never happen happens.
 func cleanDay(start time.Time) []Entry {
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 	return []Entry{
@@ -44,7 +44,7 @@
 }
 
 // TestEachCheckerCatchesASeededViolation seeds one violation for each checker
-// and wants that checker, and no clean book, to speak.
+// and wants that checker, and no clean log, to speak.
 func TestEachCheckerCatchesASeededViolation(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -33,7 +33,7 @@
 	Once float64
 }
 
-// NewClients makes callers with a seed. The share once of the requests may
+// NewClients makes clients with a seed. The share once of the requests may
 // not be repeated.
 func NewClients(fleet *Fleet, seed uint64, once float64) *Clients {
 	return &Clients{fleet: fleet, random: rand.New(rand.NewPCG(seed, 77)), Once: once,
@@ -79,7 +79,7 @@
 	}
 }
 
-// habit is how a caller goes about what it reads.
+// behaviour is how a client goes about what it reads.
 type behaviour struct {
 	// leaves is the chunk after which it closes the connection, or none when -1.
 	leaves int
@@ -90,7 +90,7 @@
 	elsewhere int
 }
 
-// converse sends a request and, as callers do, sends the same id again: after a
+// runClient sends a request and, as clients do, sends the same id again: after a
 // refusal, after a broken connection at another router, and now and then after any
 // word.
 func (c *Clients) runClient(lifetime context.Context, node *NodeProcess, question Question, entry Entry, h behaviour) {
@@ -135,7 +135,7 @@
 	return running[draw%len(running)]
 }
 
-// Question is the body of a request, as a caller writes it.
+// Question is the body of a request, as a client writes it.
 type Question struct {
 	ID           string `json:"id"`
 	Service      string `json:"service"`
@@ -164,10 +164,10 @@
 	return reply
 }
 
-// CallerLeft is the cause of a reply that its own caller broke off.
+// CallerLeft is the cause of a reply that its own client broke off.
 const CallerLeft = "the caller left"
 
-// send sends one request; it also tells when the caller may come back. A caller
+// send sends one request; it also tells when the client may come back. A client
 // that leaves closes the connection after so many chunks.
 func (c *Clients) send(lifetime context.Context, address string, question Question, entry Entry, leaves int) (Entry, time.Duration) {
 	began := time.Now()
--- a/internal/testbed/fleet/deployment.go
+++ b/internal/testbed/fleet/deployment.go
@@ -48,7 +48,7 @@
 }
 
 // Configuration is the deployment's first configuration. Each revision of it
-// has a route whose name tells the revision, so that any caller can see which
+// has a route whose name tells the revision, so that any client can see which
 // one is in force at a router.
 func (d Deployment) Configuration(revision int) string {
 	return `{"services":{"` + d.Long.Service + `":{"limit_milliseconds":20000},"` + d.Short.Service +
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -34,7 +34,7 @@
 // Engine is what a stand-in model server does, whatever carries its calls: a
 // queue of prompts read one by one, slots for answers, bounded memory for
 // prompts, a prefix cache, handles that lapse, a cold start, and a link of some
-// speed. It writes everything that it is asked to do into the book.
+// speed. It records everything that it is asked to do in the event log.
 type Engine struct {
 	plan        ServerPlan
 	events      *EventLog
@@ -204,7 +204,7 @@
 	}
 }
 
-// cold slows a server down that has just started.
+// warmingUp slows a server down that has just started.
 func (e *Engine) warmingUp() float64 {
 	age := e.age()
 	if age >= e.plan.WarmupTime {
@@ -217,7 +217,7 @@
 	e.events.Append(Entry{Kind: kind, Server: e.plan.Name, Zone: e.plan.Zone, Request: request, Run: run})
 }
 
-// again tells whether an order was had before: a link brought it twice. A
+// repeated tells whether an order was had before: a link brought it twice. A
 // server takes an order once, as the protocol asks, and says of the second that
 // it was begun: the first may have been the copy.
 func (e *Engine) repeated(kind, order, request string, run int) bool {
--- a/internal/testbed/fleet/eventlog.go
+++ b/internal/testbed/fleet/eventlog.go
@@ -16,7 +16,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Events is the record of one test, in the order in which things happened
+// EventLog is the record of one test, in the order in which things happened
 // on this one machine.
 type EventLog struct {
 	mutex   sync.Mutex
@@ -47,7 +47,7 @@
 	return entries
 }
 
-// Save writes the book as JSON lines.
+// Save writes the log as JSON lines.
 func (b *EventLog) Save(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return failure.Wrap(failure.Disk, file.Close())
 }
 
-// Entry is one line of the book: what a stand-in or a caller saw itself.
+// Entry is one line of the event log: what a stand-in or a client saw itself.
 type Entry struct {
 	At         time.Time `json:"at"`
 	Kind       EntryKind `json:"kind"`
@@ -73,7 +73,7 @@
 	Run        int       `json:"run,omitempty"`
 	Handle     string    `json:"handle,omitempty"`
 	Idempotent bool      `json:"repeatable,omitempty"`
-	// Arrival tells the times apart that a caller sends one id.
+	// Arrival tells the times apart that a client sends one id.
 	Arrival int    `json:"arrival,omitempty"`
 	Router  string `json:"courier,omitempty"`
 	Service string `json:"service,omitempty"`
@@ -100,7 +100,7 @@
 // EntryKind names a sort of entry.
 type EntryKind string
 
-// The kinds of entry. The servers', the platform's, the callers' and the
+// The kinds of entry. The servers', the platform's, the clients' and the
 // operators' own notes.
 const (
 	PrefillAsked     EntryKind = "prefill_asked"
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// holder finds the router that has the duty of deciding the parts.
+// partsHolder finds the router that has the role of deciding the parts.
 func (d *Day) partsHolder() *NodeProcess {
 	primary := d.primary()
 	if primary == nil {
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -325,7 +325,7 @@
 	return text
 }
 
-// CoreIsComplete tells whether the primary has a backup, and each keeper seat is
+// CoreIsComplete tells whether the primary has a backup, and each witness seat is
 // held by a running controller's present disk.
 func (f *Fleet) CoreIsComplete() bool {
 	primary := f.Primary()
--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -32,7 +32,7 @@
 	return inbound.StatusCode, inbound.Header, string(content)
 }
 
-// TestBadInputIsRefusedWithItsReason sends what callers and operators must not
+// TestBadInputIsRefusedWithItsReason sends what clients and operators must not
 // send, to a running fleet, and wants each refused by type and nothing changed.
 func TestBadInputIsRefusedWithItsReason(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
@@ -109,8 +109,8 @@
 		t.Errorf("refused changes took effect: %s became %s", before.Version, after.Version)
 	}
 	defer func() {
-		// Two of three are gone: no change is accepted, and that is said; callers
-		// are refused at once when the hold has run out.
+		// Two of three are gone: no change is accepted, and that is said; clients
+		// are refused at once when the lease has run out.
 		fleet.Controllers[0].Kill()
 		fleet.Controllers[1].Kill()
 		if !Await(12*time.Second, func() bool {
@@ -141,7 +141,7 @@
 	}
 }
 
-// TestCallersLeavingCancelsTheirWork closes a caller's connection in the middle of
+// TestCallersLeavingCancelsTheirWork closes a client's connection in the middle of
 // a reply and wants the server to stop soon, long before it would be done.
 func TestCallersLeavingCancelsTheirWork(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -132,7 +132,7 @@
 	return err == nil && answer.Outcome == "accepted"
 }
 
-// LookAtRevisions asks every running router, as a caller, which revision is in
+// LookAtRevisions asks every running router, as a client, which revision is in
 // force there: the route that refuses the service "revision" is named by it.
 func (o *Operators) LookAtRevisions() {
 	for _, node := range o.fleet.Running(membership.Router) {
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -91,7 +91,7 @@
 	s.client.CloseIdleConnections()
 }
 
-// shade leaves every call without an answer while the server is dark. What was
+// silenceWhileDark leaves every call without an answer while the server is dark. What was
 // dark when it came is never done.
 func (s *StandIn) silenceWhileDark(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Verdict is what all checkers say of a book, with how the replies ended.
+// Verdict is what all checkers say of an event log, with how the replies ended.
 type Verdict struct {
 	Findings []Finding      `json:"findings"`
 	Replies  map[string]int `json:"replies"`
@@ -33,7 +33,7 @@
 		if entry.Kind != Replied {
 			continue
 		}
-		// What the callers brought about themselves says nothing of the fleet: they
+		// What the clients brought about themselves says nothing of the fleet: they
 		// left, or sent an id again that was taken.
 		own := entry.Cause == CallerLeft || (entry.Arrival > 0 && entry.Cause == string(failure.Duplicate))
 		if !own {
@@ -134,7 +134,7 @@
 	}
 }
 
-// late notes the worst length of time.
+// setWorst records the worst length of time.
 func (f *Finding) setWorst(worst time.Duration) {
 	f.Worst, f.Seconds = worst.String(), worst.Seconds()
 }
--- a/internal/testbed/mutation/mutation.go
+++ b/internal/testbed/mutation/mutation.go
@@ -25,8 +25,8 @@
 	// Never is the line of the brief that it serves.
 	Never string
 	Edits []Edit
-	// Worlds tells that simulated days must find it, in a rule of which Finds is
-	// a part, or that the core is not whole; else Package and Test name the test.
+	// Worlds tells that simulated days must find it, in a checker whose name contains
+	// Finds, or by an incomplete core; else Package and Test name the test.
 	Worlds  bool
 	Finds   string
 	Flags   []string
@@ -36,8 +36,8 @@
 
 // Apply makes the edits in a copy of the source. One that does not fit any more
 // is a failure.
-func (r Mutation) Apply(folder string) error {
-	for _, edit := range r.Edits {
+func (m Mutation) Apply(folder string) error {
+	for _, edit := range m.Edits {
 		path := filepath.Join(folder, edit.File)
 		content, err := os.ReadFile(path)
 		if err != nil {
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -36,7 +36,7 @@
 	callFetchTime = 3 * time.Millisecond
 )
 
-// refusal is a promise of a server: it did not begin and never will.
+// callRefusal is a server's word that it did not begin a call and never will.
 type callRefusal struct{ status int }
 
 // callRead is the answer to a reading.
--- a/internal/testbed/simulation/campaign.go
+++ b/internal/testbed/simulation/campaign.go
@@ -27,7 +27,7 @@
 	Failed     []uint64
 	Violations map[string]int
 	Encounters map[string]int
-	// DaysWith counts the days in which each temptation occurred at all.
+	// DaysWith counts the days in which each encounter occurred at all.
 	DaysWith map[string]int
 	Share    float64
 	Lowest   float64
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -12,7 +12,7 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// callers send requests at the world's rates until it says stop. The platform
+// runClients sends requests at the world's rates until the moment. The platform
 // hands them to a router of their zone that runs, or to any other.
 func (w *World) runClients(until time.Duration) {
 	for w.now < until {
@@ -32,7 +32,7 @@
 	}
 }
 
-// caller sends one request, and perhaps sends it again: it obeys the time to
+// runClient sends one request, and perhaps sends it again: it obeys the time to
 // come back, or ignores it, or asks elsewhere after a broken connection.
 func (w *World) runClient(question fleet.Question, zone string) {
 	for arrival := range 3 {
@@ -81,7 +81,7 @@
 	return any[w.random.IntN(len(any))]
 }
 
-// origin is a caller at the other end of a connection.
+// client is a client at the other end of a connection.
 type client struct {
 	world  *World
 	there  *incarnation
@@ -130,7 +130,7 @@
 }
 
 // exchange carries one request to a router and reads what comes back; it tells
-// when the caller may come again.
+// when the client may come again.
 func (w *World) exchange(m *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
 	body, _ := json.Marshal(question)
 	there, conduct := m.incarnation, m.router
@@ -187,7 +187,7 @@
 	}
 }
 
-// readRevision asks a router, as a caller, which revision is in force there:
+// readRevision asks a router, as a client, which revision is in force there:
 // the route that refuses the service "revision" is named by it.
 func (w *World) readRevision(m *machine) {
 	began := w.now
@@ -220,7 +220,7 @@
 	})
 }
 
-// looker reads a reply of one line.
+// revisionReader reads a reply of one line.
 type revisionReader struct {
 	take func(line dataplane.ReplyLine)
 }
--- a/internal/testbed/simulation/coretrial.go
+++ b/internal/testbed/simulation/coretrial.go
@@ -76,7 +76,7 @@
 		}
 	}
 	w.tracef("acknowledged after %s", trial.Took)
-	// Everything comes back, and the core is to be whole by itself.
+	// Everything comes back, and the core is to be complete again by itself.
 	w.repairAll()
 	trial.Restored = w.since(w.now, w.coreComplete) >= 0
 	for range 2 {
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -14,7 +14,7 @@
 type Day struct {
 	// Faulty is how long faults are drawn; a calm follows, then a closing fault.
 	Faulty time.Duration
-	// Forming troubles the first core while it forms: late machines, and one whose
+	// Forming disturbs the first core while it forms: late machines, and one whose
 	// power fails at its disk's act or whose disk is lost in the middle.
 	Forming bool
 	// Swings lets traffic swing between many long prompts and many chats, instead
@@ -46,7 +46,7 @@
 	Runtime, Flaps int
 	// TwoPrimaries counts the moments at which two controllers could answer as primary.
 	TwoPrimaries int
-	// Restored tells whether the core was whole again at the end, without an
+	// Restored tells whether the core was complete again at the end, without an
 	// operator.
 	Restored   bool
 	Encounters map[string]int
@@ -78,14 +78,55 @@
 	return replication.Identity(m.name + "/" + world.nonce())
 }
 
-// Run lets a day pass and judges it.
+// Run lets a day pass and judges it: an opening, faults, a calm, a closing fault and
+// an evening without requests.
 func (w *World) Run(day Day) Result {
 	w.long, w.short = day.Long, day.Short
 	w.fixedParts = day.FixedParts
-	faultsFrom := opening
-	faultsEnd := faultsFrom + day.Faulty
+	faultsEnd := opening + day.Faulty
 	closes := faultsEnd + calm
 	ends := closes + closing
+	w.startNodes(day)
+	w.startTraffic(ends)
+	if day.Swings {
+		w.outside.Go(func() { w.swing(opening, ends) })
+	} else {
+		w.outside.Go(func() { w.drawFaults(opening, faultsEnd, day.Only) })
+	}
+	w.run(faultsEnd)
+	w.faultsOver = true
+	w.outside.Go(w.upgradeAll)
+	w.run(closes)
+	w.repairAll()
+	w.run(closes + time.Millisecond)
+	if !day.Swings {
+		w.outside.Go(w.close)
+	}
+	w.run(ends)
+	w.run(ends + evening)
+	for range 10 {
+		w.outside.Go(func() { w.readConfiguration(true) })
+		w.run(w.now + 2*time.Second)
+		if w.coreComplete() {
+			break
+		}
+	}
+	entries := w.Events.Entries()
+	result := Result{
+		Verdict:      fleet.Judge(entries),
+		Restored:     w.coreComplete(),
+		TwoPrimaries: w.twoPrimaries,
+		Encounters:   w.encounters,
+		Steps:        w.acted,
+		Calls:        *w.calls,
+	}
+	result.Runtime, result.Flaps = countPartChanges(entries)
+	w.endAll()
+	return result
+}
+
+// startNodes starts all machines, some of them late or as the older release.
+func (w *World) startNodes(day Day) {
 	// On every other day some nodes begin as the older release, and become the
 	// newest one after another.
 	if w.random.IntN(2) == 0 {
@@ -95,13 +136,13 @@
 			}
 		}
 	}
-	for _, ma := range w.machines {
+	for _, m := range w.machines {
 		w.outside.Go(func() {
 			w.wait(0, 400)
-			if day.Forming && ma.kind == membership.Controller {
+			if day.Forming && m.kind == membership.Controller {
 				w.wait(0, 4000)
 			}
-			w.start(ma)
+			w.start(m)
 		})
 	}
 	if day.Forming {
@@ -116,37 +157,21 @@
 			w.platform.down = false
 		})
 	}
-	w.outside.Go(func() { w.runClients(ends) })
+}
+
+// startTraffic starts clients and operators until the moment, and the watch for two
+// primaries until the evening is over.
+func (w *World) startTraffic(until time.Duration) {
+	w.outside.Go(func() { w.runClients(until) })
 	if w.settings.Calls {
-		w.outside.Go(func() { w.originsOfCalls(ends) })
-	}
-	w.outside.Go(func() { w.operate(ends) })
-	w.outside.Go(func() { w.watchPrimaries(ends + evening) })
-	if day.Swings {
-		w.outside.Go(func() { w.swing(faultsFrom, ends) })
-	} else {
-		w.outside.Go(func() { w.drawFaults(faultsFrom, faultsEnd, day.Only) })
-	}
-	w.run(faultsEnd)
-	w.faultsOver = true
-	w.outside.Go(w.upgradeAll)
-	w.run(closes)
-	w.repairAll()
-	w.run(closes + time.Millisecond)
-	if !day.Swings {
-		w.outside.Go(w.close)
+		w.outside.Go(func() { w.originsOfCalls(until) })
 	}
-	w.run(ends)
-	w.run(ends + evening)
-	for range 10 {
-		w.outside.Go(func() { w.readConfiguration(true) })
-		w.run(w.now + 2*time.Second)
-		if w.coreComplete() {
-			break
-		}
-	}
-	result := Result{Verdict: fleet.Judge(w.Events.Entries()), Restored: w.coreComplete(), TwoPrimaries: w.twoPrimaries, Encounters: w.encounters, Steps: w.acted, Calls: *w.calls}
-	result.Runtime, result.Flaps = countPartChanges(w.Events.Entries())
+	w.outside.Go(func() { w.operate(until) })
+	w.outside.Go(func() { w.watchPrimaries(until + evening) })
+}
+
+// endAll ends every process, so that no thread outlives the world.
+func (w *World) endAll() {
 	for _, i := range w.incarnations {
 		if !i.ended {
 			i.ended = true
@@ -154,7 +179,6 @@
 		}
 	}
 	w.unwindDead()
-	return result
 }
 
 // upgradeAll makes every node the newest release, one after another, as an
@@ -185,7 +209,7 @@
 // flapTime is within how long a part that is taken back counts as a flap.
 const flapTime = 15 * time.Second
 
-// turns counts the changes of parts in a book, and those that were taken back
+// countPartChanges counts the changes of parts in the event log, and those that were taken back
 // soon.
 func countPartChanges(entries []fleet.Entry) (changes, flaps int) {
 	type part struct {
@@ -210,7 +234,7 @@
 	return changes, flaps
 }
 
-// watchPrimaries looks, over and over, whether two controllers hold at once.
+// watchPrimaries looks, over and over, whether two controllers have the lease at once.
 func (w *World) watchPrimaries(until time.Duration) {
 	for w.now < until {
 		leaders := 0
@@ -237,14 +261,14 @@
 	w.outside.NewCond().Wait(from-w.now, never)
 	for w.now < until {
 		drawn := w.random.IntN(total)
-		for _, fa := range all {
-			if only != "" && fa.name != only {
+		for _, f := range all {
+			if only != "" && f.name != only {
 				continue
 			}
-			if drawn -= fa.weight; drawn < 0 || only != "" {
-				w.tracef("fault: %s", fa.name)
-				w.Events.Append(fleet.Entry{Kind: fleet.FaultBegan, Cause: fa.name})
-				w.outside.Go(func() { fa.run(w) })
+			if drawn -= f.weight; drawn < 0 || only != "" {
+				w.tracef("fault: %s", f.name)
+				w.Events.Append(fleet.Entry{Kind: fleet.FaultBegan, Cause: f.name})
+				w.outside.Go(func() { f.run(w) })
 				break
 			}
 		}
@@ -252,7 +276,7 @@
 	}
 }
 
-// mend ends whatever is still wrong, as those who run the fleet would.
+// repairAll ends whatever is still wrong, as those who run the fleet would.
 func (w *World) repairAll() {
 	w.heal()
 	w.platform.down, w.loseAnswers = false, 0
--- a/internal/testbed/simulation/encounters.go
+++ b/internal/testbed/simulation/encounters.go
@@ -1,6 +1,6 @@
 package simulation
 
-// RequiredEncounters are the temptations without which days prove nothing: moments in which
+// RequiredEncounters are the encounters without which days prove nothing: moments in which
 // something that must never happen could.
 var RequiredEncounters = []string{
 	"a claim in flight at a kill",
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -137,7 +137,7 @@
 	return w.anyNode(membership.Controller)
 }
 
-// holder is the router that decides the parts, or any.
+// partsHolder is the router that decides the parts, or any.
 func (w *World) partsHolder() *machine {
 	for _, m := range w.nodes(membership.Controller) {
 		if !m.running() || m.control == nil {
--- a/internal/testbed/simulation/faults_nodes.go
+++ b/internal/testbed/simulation/faults_nodes.go
@@ -115,7 +115,7 @@
 	if w.random.IntN(2) == 0 {
 		w.wait(300, 5000)
 	} else {
-		// Long enough for a duty to have been given to another.
+		// Long enough for a role to have been given to another.
 		w.wait(7000, 13000)
 	}
 	if !frozen.ended {
--- a/internal/testbed/simulation/forwarding.go
+++ b/internal/testbed/simulation/forwarding.go
@@ -12,7 +12,7 @@
 
 func endedHere(*auction.Request, auction.Decision) {}
 
-// passing carries requests from one router to another.
+// forwarder carries requests from one router to another.
 type forwarder struct{ incarnation *incarnation }
 
 // Forward sends a request on and gives the records of its reply to take.
--- a/internal/testbed/simulation/incarnation.go
+++ b/internal/testbed/simulation/incarnation.go
@@ -12,7 +12,7 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// life is one process from its start to its end. It is the process's threads
+// incarnation is one process from its start to its end. It is the process's threads
 // and clock, as the core packages see them.
 type incarnation struct {
 	world   *World
@@ -32,7 +32,7 @@
 	handle    func(path string, body []byte) ([]byte, error)
 }
 
-// thread is one of a life's threads, as a coroutine: it runs until it waits.
+// thread is one of an incarnation's threads, as a coroutine: it runs until it waits.
 type thread struct {
 	incarnation *incarnation
 	next        func() (struct{}, bool)
@@ -42,20 +42,20 @@
 	ended       bool
 }
 
-// killed unwinds the threads of a life that has ended.
+// killed unwinds the threads of an incarnation that has ended.
 type killed struct{}
 
-// Now is the life's own steady clock.
+// Now is the incarnation's own steady clock.
 func (i *incarnation) Now() time.Time { return i.wall.Add(i.elapsed()) }
 
 func (i *incarnation) elapsed() time.Duration {
 	return time.Duration(float64(i.world.now-i.startedAt) * (1 + i.drift))
 }
 
-// Wall is the life's wall clock, which faults set.
+// Wall is the incarnation's wall clock, which faults set.
 func (i *incarnation) Wall() time.Time { return i.wall.Add(i.elapsed() + i.jump) }
 
-// Alive tells whether the life goes on.
+// Alive tells whether the incarnation goes on.
 func (i *incarnation) Alive() bool { return !i.ended }
 
 // Go starts a thread.
@@ -102,7 +102,7 @@
 	}
 }
 
-// end ends the life at once: its threads never run again, and whoever waits for
+// end ends the incarnation at once: its threads never run again, and whoever waits for
 // an answer from it hears that the connection broke, if it can be heard.
 func (i *incarnation) end() {
 	if i.ended {
@@ -119,7 +119,7 @@
 	}
 }
 
-// onEnd has something done when the life ends; forget takes that back.
+// onEnd has something done when the incarnation ends; forget takes that back.
 func (i *incarnation) onEnd(act func()) (forget func()) {
 	if i.ended {
 		act()
@@ -131,7 +131,7 @@
 	return func() { delete(i.onEndActs, number) }
 }
 
-// bury unwinds the threads of lives that have ended, once none of them runs.
+// unwindDead unwinds the threads of incarnations that have ended, once none of them runs.
 func (w *World) unwindDead() {
 	if w.running != nil {
 		return
@@ -149,10 +149,10 @@
 	}
 }
 
-// freeze stops the life without ending it; everything that comes waits.
+// freeze stops the incarnation without ending it; everything that comes waits.
 func (i *incarnation) freeze() { i.frozen = true }
 
-// wake lets a frozen life go on, with all that came meanwhile.
+// wake lets a frozen incarnation go on, with all that came meanwhile.
 func (i *incarnation) wake() {
 	i.frozen = false
 	for _, late := range i.backlog {
@@ -162,7 +162,7 @@
 	i.backlog = nil
 }
 
-// lock is held by one of a life's threads while it waits for the disk. The world
+// lock is held by one of an incarnation's threads while it waits for the disk. The world
 // looks past it: nothing runs while it looks.
 type lock struct {
 	cond    *cond
@@ -194,10 +194,10 @@
 	l.cond.Broadcast()
 }
 
-// NewCond makes a bell.
+// NewCond makes a condition variable.
 func (i *incarnation) NewCond() runtime.Cond { return &cond{incarnation: i} }
 
-// bell is a bell under the world's clock.
+// cond is a runtime.Cond under the simulated clock.
 type cond struct {
 	incarnation *incarnation
 	waiters     []*waiter
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -18,9 +18,9 @@
 type Incident struct {
 	Name  string
 	Times int
-	// Led is until a controller leads again, Moved until the duties of lost nodes have
+	// Led is until a controller leads again, Moved until the roles of lost nodes have
 	// other holders, InForce until a change that is made at once is in force, Held until
-	// every node that runs has a hold, Whole until the core has all copies and keepers.
+	// every node that runs has a lease, Whole until the core has all replicas and witnesses.
 	// Of several times the longest.
 	Led, Moved, InForce, Held, Whole time.Duration
 	// InForceMean is the mean of several changes.
@@ -102,11 +102,11 @@
 	})
 	record(Incident{Name: "a node restarted", Times: 2 * losses}, func(incident *Incident) {
 		for range incident.Times {
-			ma := w.anyNode(membership.Router)
-			w.kill(ma)
+			m := w.anyNode(membership.Router)
+			w.kill(m)
 			w.run(w.now + 300*time.Millisecond)
 			began := w.now
-			w.start(ma)
+			w.start(m)
 			incident.Held = later(incident.Held, w.since(began, w.allHaveLeases))
 			w.run(w.now + 500*time.Millisecond)
 		}
@@ -120,9 +120,9 @@
 	record(Incident{Name: "the backup's machine lost"}, func(incident *Incident) { w.lose(incident, []*machine{w.backup()}, lost) })
 	record(Incident{Name: "a rack of ten nodes and the backup lost"}, func(incident *Incident) {
 		gone := []*machine{w.backup()}
-		for _, mc := range w.nodes(membership.Router) {
-			if mc.zone == gone[0].zone && len(gone) < 11 {
-				gone = append(gone, mc)
+		for _, m := range w.nodes(membership.Router) {
+			if m.zone == gone[0].zone && len(gone) < 11 {
+				gone = append(gone, m)
 			}
 		}
 		w.lose(incident, gone, lost)
@@ -140,13 +140,7 @@
 		w.apart(incident, func(region int) bool { return region == own }, lost)
 	})
 	record(Incident{Name: "all regions apart"}, func(incident *Incident) { w.apart(incident, nil, lost) })
-	for _, i := range w.incarnations {
-		if !i.ended {
-			i.ended = true
-			w.dead = append(w.dead, i)
-		}
-	}
-	w.unwindDead()
+	w.endAll()
 	return incidents
 }
 
@@ -169,7 +163,7 @@
 	return w.now - from
 }
 
-// led tells whether a controller leads.
+// hasLeader tells whether a controller leads.
 func (w *World) hasLeader() bool {
 	for _, m := range w.nodes(membership.Controller) {
 		if m.incarnation != nil && !m.incarnation.ended && m.control != nil {
@@ -183,14 +177,14 @@
 
 // backup is the machine of the primary's backup.
 func (w *World) backup() *machine {
-	m := w.primary().control.Coordinator().Membership()
-	if ma := w.machineNamed(w.nameAt(m.Backup.Address)); ma != nil {
-		return ma
+	members := w.primary().control.Coordinator().Membership()
+	if m := w.machineNamed(w.nameAt(members.Backup.Address)); m != nil {
+		return m
 	}
 	return w.anyNode(membership.Controller)
 }
 
-// held tells whether every router that runs has a hold.
+// allHaveLeases tells whether every router that runs has a lease.
 func (w *World) allHaveLeases() bool {
 	for _, m := range w.nodes(membership.Router) {
 		if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.Now().Before(m.router.Core().LeaseEnds()) {
@@ -280,8 +274,8 @@
 	incident.Moved = later(incident.Moved, w.since(began, func() bool { return w.rolesSettled(gone) }))
 	incident.Whole = later(incident.Whole, w.since(began, w.coreComplete))
 	w.run(max(w.now, began+length))
-	for _, ma := range gone {
-		w.start(ma)
+	for _, m := range gone {
+		w.start(m)
 	}
 	incident.Held = later(incident.Held, w.since(w.now, w.allHaveLeases))
 	w.since(w.now, w.coreComplete)
@@ -325,8 +319,8 @@
 	}
 	w.run(max(w.now, began+length))
 	healed := w.now
-	for _, li := range links {
-		li.cut = false
+	for _, l := range links {
+		l.cut = false
 	}
 	incident.Held = w.since(healed, w.allHaveLeases)
 	incident.Whole = w.since(healed, w.coreComplete)
--- a/internal/testbed/simulation/layout.go
+++ b/internal/testbed/simulation/layout.go
@@ -116,7 +116,7 @@
 	return nodes
 }
 
-// Traffic is what went over the hotline.
+// Traffic is what went over the RPC client.
 type Traffic struct {
 	Messages int
 	Bytes    int
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -223,7 +223,7 @@
 }
 
 // TestOrdersAndReadsAreLinearizable has four operators race, repeat and read at any controller
-// through each trouble of the control side, under several seeds, in virtual time.
+// through each fault of the control side, under several seeds, in virtual time.
 func TestOrdersAndReadsAreLinearizable(t *testing.T) {
 	const (
 		operators = 4
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -61,7 +61,7 @@
 	err      error
 }
 
-// broken tells the caller that the connection broke, if that can be heard.
+// broken tells the client that the connection broke, if that can be heard.
 func (c *call) broken() { c.fail("the circuit broke") }
 
 func (c *call) fail(detail string) {
@@ -78,8 +78,8 @@
 	c.cond.Broadcast()
 }
 
-// ask has serve answered by the process that runs at the machine when the
-// question comes there; the caller's thread waits until its patience ends. A
+// call has serve answered by the process that runs at the machine when the
+// question comes there; the client's thread waits until its patience ends. A
 // link may bring the question twice.
 func (i *incarnation) call(to string, patience time.Duration, serve func(there *incarnation) (any, error)) (any, error) {
 	world := i.world
--- a/internal/testbed/simulation/modelservers.go
+++ b/internal/testbed/simulation/modelservers.go
@@ -11,13 +11,13 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// model servers are the connections of one router to the model servers.
+// serverClient is the connections of one router to the model servers.
 type serverClient struct {
 	incarnation *incarnation
 	running     map[string]*serverExchange
 }
 
-// exchange is one order under way at a server.
+// serverExchange is one order under way at a server.
 type serverExchange struct {
 	replies *pipe
 	quit    bool
@@ -257,7 +257,7 @@
 	})
 }
 
-// server is one model server of the world.
+// modelServer is one simulated model server.
 type modelServer struct {
 	plan        fleet.ServerPlan
 	incarnation *incarnation
--- a/internal/testbed/simulation/pipe.go
+++ b/internal/testbed/simulation/pipe.go
@@ -43,7 +43,7 @@
 	return true
 }
 
-// snap breaks the connection; the reader hears of it unless its link is cut.
+// disconnect breaks the connection; the reader hears of it unless its link is cut.
 func (p *pipe) disconnect() {
 	if p.world.link(p.from, p.to).cut {
 		return
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -28,7 +28,7 @@
 	return servers
 }
 
-// lists is the platform's directory and the servers' reports, as one life reaches
+// directory is the platform's directory and the servers' reports, as one process reaches
 // them.
 type directory struct {
 	world       *World
--- a/internal/testbed/simulation/recordtaps.go
+++ b/internal/testbed/simulation/recordtaps.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// tapFile reads what a version's file holds, framed as the pantry frames it.
+// tapFile reads what a version's file holds, framed as the storage adapter frames it.
 func (w *World) tapFile(name string, framed []byte) {
 	var batch replication.Batch
 	if !strings.HasPrefix(name, "larder/") || len(framed) < 8 || msgpack.Unmarshal(framed[8:], &batch) != nil {
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -90,7 +90,7 @@
 	return files > 0 && err == nil && copied.Damage() == "" && copied.Version().Number+8 >= view.Version.Number
 }
 
-// countSnapshot adds what a whole copy costs on its way.
+// countSnapshot adds the bytes of a complete replica sent.
 func (w *World) countSnapshot(path string, body []byte) {
 	if path == wire.InstallPath || path == wire.RefreshPath {
 		w.snapshotBytes += len(body)
--- a/internal/testbed/simulation/settings.go
+++ b/internal/testbed/simulation/settings.go
@@ -22,7 +22,7 @@
 	Calls bool
 }
 
-// deaf is a board on which nothing is done: no calls come in these days.
+// ignoringBoard is a board on which nothing is done: no calls come in these days.
 type ignoringBoard struct{}
 
 // SetServing is not minded.
--- a/internal/testbed/simulation/settings_test.go
+++ b/internal/testbed/simulation/settings_test.go
@@ -52,7 +52,7 @@
 }
 
 // TestAcknowledgementOfAChange cuts a router off and makes a change. In the
-// product's way the change is answered when the router's hold is over and it lets
+// product's way the change is answered when the router's lease is over and it lets
 // nothing in; in the platform's way at once, and the router goes on. Those in touch
 // have it in force in both, and the one that comes back has it soon.
 func TestAcknowledgementOfAChange(t *testing.T) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestRolesNeedALease: a router that serves without a hold has no duties.
+// TestRolesNeedALease: a router that serves without a lease has no roles.
 func TestRolesNeedALease(t *testing.T) {
 	w := begun(t, 4, PlatformSettings())
 	holder := w.partsHolder()
@@ -101,7 +101,7 @@
 	if took := w.since(w.now, func() bool { return w.rolesSettled([]*machine{holder}) }); took < 0 {
 		t.Error("its duties did not move")
 	}
-	// The commands since then are judged: none by the one without a hold.
+	// The commands since then are judged: none by the one without a lease.
 	if verdict := fleet.Judge(w.Events.Entries()); verdict.Violations() > 0 {
 		t.Error(verdict)
 	}
--- a/internal/testbed/simulation/timeline.go
+++ b/internal/testbed/simulation/timeline.go
@@ -1,7 +1,8 @@
-// Package world rehearses a whole fleet in virtual time: the product's own
-// conduct of every router and controller, stand-in servers, callers, operators
+// Package simulation runs a whole fleet in virtual time: the product's own
+// code of every router and controller, stand-in servers, clients, operators
 // and the platform, under faults drawn from a seed. One thread runs at a time,
-// so that the same seed gives the same trace.
+// so that the same seed gives the same trace. The stand-ins, the event log and the
+// checkers are those of package fleet, which runs the same days as processes.
 package simulation
 
 import (
@@ -13,8 +14,8 @@
 type alarm struct {
 	at       time.Duration
 	sequence uint64
-	// life is whose it is: a life that has ended is not bothered, and one that
-	// is frozen not before it wakes. None means the world's own.
+	// incarnation is whose it is. Alarms of one that has ended are dropped, those of a
+	// frozen one wait until it wakes; nil means the world's own.
 	incarnation *incarnation
 	act         func()
 	canceled    bool
@@ -49,7 +50,7 @@
 	return last
 }
 
-// clockwork moves the world's time from alarm to alarm.
+// timeline moves the world's time from alarm to alarm.
 type timeline struct {
 	now      time.Duration
 	sequence uint64
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -50,7 +50,7 @@
 	number       int
 	faultsOver   bool
 	twoPrimaries int
-	// snapshotBytes are those of whole copies sent.
+	// snapshotBytes are those of complete replicas sent.
 	snapshotBytes int
 	fixedParts    bool
 	// ways are the settings that a platform asks for.
@@ -135,7 +135,7 @@
 	return added
 }
 
-// say adds a line to the trace.
+// tracef adds a line to the trace.
 func (w *World) tracef(format string, values ...any) {
 	line := fmt.Sprintf("%9.4f ", w.now.Seconds()) + fmt.Sprintf(format, values...)
 	_, _ = w.trace.Write([]byte(line + "\n"))
@@ -143,7 +143,7 @@
 }
 
 // Trace is a digest of everything that happened: the world's steps and the
-// book.
+// event log.
 func (w *World) Trace() string {
 	digest := sha256.New()
 	_, _ = digest.Write(w.trace.Sum(nil))
@@ -155,7 +155,7 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// tempt counts a moment in which something that must never happen could.
+// encounter counts a moment in which something that must never happen could.
 func (w *World) encounter(what string) { w.encounters[what]++ }
 
 // Encounters tells how often each really occurred.
@@ -178,7 +178,7 @@
 	return "n" + strconv.FormatUint(w.nonces, 36)
 }
 
-// requestID is a UUID of version 7, made at the moment that a caller's clock
+// requestID is a UUID of version 7, made at the moment that a client's clock
 // shows.
 func (w *World) requestID() string {
 	var id uuid.UUID
--- a/internal/testbed/simulation/world_test.go
+++ b/internal/testbed/simulation/world_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestDaysInVirtualTime runs a fixed few hundred seeds of both deployments, and
-// wants each temptation that the brief's rules are about to have occurred.
+// wants each encounter that the brief's rules are about to have occurred.
 func TestDaysInVirtualTime(t *testing.T) {
 	first, count := seeds(t, usualSeeds)
 	counter := (&Campaign{First: first, Count: count, Day: DefaultDay()}).Run(func(seed uint64, result Result) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestFirstCoreForms troubles the first core while it forms, one disk's loss
+// TestFirstCoreForms disturbs the first core while it forms, one disk's loss
 // included, and wants one core, whole, that takes changes, without an operator.
 func TestFirstCoreForms(t *testing.T) {
 	day := DefaultDay()
