--- a/cmd/testbed/compare.go
+++ b/cmd/testbed/compare.go
@@ -27,10 +27,14 @@
 
 func compareCommand() *cobra.Command {
 	var chosen comparing
-	command := &cobra.Command{Use: "compare", Short: "hold two trees against each other on the same drawn days", Args: cobra.NoArgs,
+	command := &cobra.Command{
+		Use:   "compare",
+		Short: "hold two trees against each other on the same drawn days",
+		Args:  cobra.NoArgs,
 		Long: "compare has a bench play the same drawn days with two trees of sources, or reads the reports of earlier runs\n" +
 			"(--bench left out: --before and --after are then folders of reports), and tells the paired differences\n" +
-			"with their 95% confidence intervals. A star marks those that leave out zero."}
+			"with their 95% confidence intervals. A star marks those that leave out zero.",
+	}
 	flags := command.Flags()
 	flags.StringVar(&chosen.bench, "bench", "", "the bench's program; left out, reports are only read")
 	flags.StringVar(&chosen.site, "site", "", "the deployment's site file")
@@ -115,7 +119,8 @@
 }
 
 func (c *comparing) playDay(tree, reports, seed string) {
-	bench := exec.Command(c.bench, "run", c.site, "mix", "--seed", seed, "--report", filepath.Join(reports, seed+".json"), "--why", c.why)
+	bench := exec.Command(c.bench, "run", c.site, "mix", "--seed", seed, "--report",
+		filepath.Join(reports, seed+".json"), "--why", c.why)
 	bench.Dir = tree
 	said, err := bench.CombinedOutput()
 	if writing := os.WriteFile(filepath.Join(reports, seed+".txt"), said, 0o644); writing != nil || err != nil {
--- a/cmd/testbed/each.go
+++ b/cmd/testbed/each.go
@@ -17,8 +17,12 @@
 // eachCommand runs every fault alone, in a day of its own.
 func eachCommand() *cobra.Command {
 	chosen := &plan{once: 0.3}
-	command := &cobra.Command{Use: "each", Short: "every fault alone, each in a day of its own, as a table", Args: cobra.NoArgs,
-		Example: "  testbed each --deployment kochloeffel --length 20s --parallel 3"}
+	command := &cobra.Command{
+		Use:     "each",
+		Short:   "every fault alone, each in a day of its own, as a table",
+		Args:    cobra.NoArgs,
+		Example: "  testbed each --deployment kochloeffel --length 20s --parallel 3",
+	}
 	addFleetFlags(command, chosen)
 	command.Flags().DurationVar(&chosen.length, "length", 20*time.Second, "how long each day is")
 	parallel := command.Flags().Int("parallel", 1, "how many fleets run at once")
@@ -54,7 +58,8 @@
 					if err != nil || verdict.Violations() > 0 || verdict.Share < floor {
 						failed++
 					}
-					fmt.Printf("| %s | %s | %.3f | %.2f | %s | %d | %v |\n", chosen.deployment, names[number], verdict.Share, floor, verdict.Gap.Round(10*time.Millisecond), verdict.Violations(), err)
+					fmt.Printf("| %s | %s | %.3f | %.2f | %s | %d | %v |\n", chosen.deployment, names[number],
+						verdict.Share, floor, verdict.Gap.Round(10*time.Millisecond), verdict.Violations(), err)
 					if verdict.Violations() > 0 {
 						fmt.Print(verdict)
 					}
@@ -64,7 +69,8 @@
 		}
 		working.Wait()
 		if failed > 0 {
-			return failure.New(failure.Contradictory, fmt.Sprintf("%d of %d days failed; logs are in %s", failed, len(names), base))
+			return failure.New(failure.Contradictory,
+				fmt.Sprintf("%d of %d days failed; logs are in %s", failed, len(names), base))
 		}
 		return os.RemoveAll(base)
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -45,7 +45,9 @@
 
 func main() {
 	root := &cobra.Command{Use: "testbed", Short: "seamloom's test kit", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(fleetCommand(), runCommand(), soakCommand(), simulateCommand(), mutateCommand(), eachCommand(), regionsCommand(), compareCommand(), replayCommand(), replayDrawnCommand(), scriptCommand(membership.Router), scriptCommand(membership.Controller))
+	root.AddCommand(fleetCommand(), runCommand(), soakCommand(), simulateCommand(), mutateCommand(), eachCommand(),
+		regionsCommand(), compareCommand(), replayCommand(), replayDrawnCommand(), scriptCommand(membership.Router),
+		scriptCommand(membership.Controller))
 	if err := root.Execute(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "rehearsal:", err)
 		var m mistaken
@@ -63,7 +65,8 @@
 	set.StringVar(&chosen.folder, "folder", "", "folder for settings, logs, disks and the book (default: a new one)")
 	set.StringVar(&chosen.binaries, "binaries", filepath.Dir(own), "where router and controller are")
 	set.StringVar(&chosen.market, "market", "pair", "the couriers' market: pair or least_loaded")
-	set.StringVar(&chosen.older, "older-binaries", "", "a folder with an older build's programs, which every other node runs")
+	set.StringVar(&chosen.older, "older-binaries", "",
+		"a folder with an older build's programs, which every other node runs")
 	set.Uint64Var(&chosen.seed, "seed", 1, "the same seed gives the same inquiries and the same faults")
 	set.IntVar(&chosen.routers, "couriers", 0, "another number of couriers than the deployment's")
 	set.IntVar(&chosen.servers, "servers", 0, "another number of model servers than the deployment's")
@@ -121,7 +124,11 @@
 
 func fleetCommand() *cobra.Command {
 	chosen := &plan{}
-	command := &cobra.Command{Use: "fleet", Short: "start a fleet on this machine and leave it running until interrupted", Args: cobra.NoArgs}
+	command := &cobra.Command{
+		Use:   "fleet",
+		Short: "start a fleet on this machine and leave it running until interrupted",
+		Args:  cobra.NoArgs,
+	}
 	addFleetFlags(command, chosen)
 	configured := command.Flags().Bool("configured", true, "put the deployment's first configuration")
 	load := command.Flags().Bool("load", false, "let callers send inquiries")
@@ -157,8 +164,10 @@
 		Example: "  testbed run --deployment sahil --seed 7 --seconds 40s --faults kill-courier,crash-server,kill-primary"}
 	addFleetFlags(command, chosen)
 	command.Flags().DurationVar(&chosen.length, "length", 30*time.Second, "how long the day is")
-	command.Flags().StringVar(&chosen.faults, "faults", "", "faults in their order, with commas between: "+strings.Join(fleet.FaultNames(), ", "))
-	command.Flags().StringVar(&chosen.closing, "closing", "", "a fault at the end of the day, after which service must return in time")
+	command.Flags().StringVar(&chosen.faults, "faults", "",
+		"faults in their order, with commas between: "+strings.Join(fleet.FaultNames(), ", "))
+	command.Flags().StringVar(&chosen.closing, "closing", "",
+		"a fault at the end of the day, after which service must return in time")
 	command.Flags().Float64Var(&chosen.once, "once", 0.3, "the share of inquiries that may not be repeated")
 	command.Flags().BoolVar(&chosen.asJSON, "json", false, "print the verdict as JSON")
 	command.RunE = func(*cobra.Command, []string) error {
@@ -224,7 +233,8 @@
 		verdict = day.Close(lifetime, closing)
 	}
 	if primary := running.Primary(); primary != nil {
-		_, _ = fmt.Fprintf(log, "the primary answered %d changes with %d synced versions; %d configurations and %d bytes of news went out in %d answers\n",
+		_, _ = fmt.Fprintf(log,
+			"the primary answered %d changes with %d synced versions; %d configurations and %d bytes of news went out in %d answers\n",
 			primary.Metric("seamloom_answered_changes_total"), primary.Metric("seamloom_synced_batches_total"), primary.Metric("seamloom_configurations_sent_total"),
 			primary.Metric("seamloom_news_drawer_bytes_total"), primary.Metric("seamloom_news_answers_total"))
 	}
--- a/cmd/testbed/mutate.go
+++ b/cmd/testbed/mutate.go
@@ -23,11 +23,16 @@
 // mutateCommand takes each protection away in a copy of the source and wants
 // its test to fail there.
 func mutateCommand() *cobra.Command {
-	command := &cobra.Command{Use: "mutate", Aliases: []string{"removals"}, Short: "take each protection away in a copy of the source and run the test that must then fail", Args: cobra.NoArgs,
+	command := &cobra.Command{
+		Use:     "mutate",
+		Aliases: []string{"removals"},
+		Short:   "take each protection away in a copy of the source and run the test that must then fail",
+		Args:    cobra.NoArgs,
 		Long: "removals copies the source to a scratch folder, takes one protection away, and runs the test that guards it,\n" +
 			"for each protection. It must be run in the source's folder. A test that passes without its protection, and a\n" +
 			"removal that does not apply any more, are failures.",
-		Example: "  testbed mutate\n  testbed mutate --match 'claim'"}
+		Example: "  testbed mutate\n  testbed mutate --match 'claim'",
+	}
 	match := command.Flags().String("match", "", "only removals whose name matches this expression")
 	source := command.Flags().String("source", ".", "the folder of the source")
 	command.RunE = func(*cobra.Command, []string) error {
@@ -70,7 +75,9 @@
 	if err := m.Apply(folder); err != nil {
 		return "", err
 	}
-	if output, err := runIn(folder, "go", "vet", "./internal/wire", "./internal/follower", "./internal/controlplane", "./internal/dataplane", "./internal/replication", "./internal/auction", "./internal/lease", "./internal/adapters/..."); err != nil {
+	if output, err := runIn(folder, "go", "vet", "./internal/wire", "./internal/follower", "./internal/controlplane",
+		"./internal/dataplane", "./internal/replication", "./internal/auction", "./internal/lease",
+		"./internal/adapters/..."); err != nil {
 		return "", failure.New(failure.Malformed, "without it the source does not build: "+output)
 	}
 	if !m.Worlds {
@@ -83,7 +90,8 @@
 		}
 		return m.Test + " fails", nil
 	}
-	arguments := append([]string{"run", "./cmd/testbed", "simulate", "--from", "1", "--count", "600", "--until-broken", m.Finds}, m.Flags...)
+	arguments := append([]string{"run", "./cmd/testbed", "simulate", "--from", "1", "--count", "600", "--until-broken", m.Finds},
+		m.Flags...)
 	output, err := runIn(folder, "go", arguments...)
 	found := regexp.MustCompile(`after (\d+) days seed (\d+) FAILED`).FindStringSubmatch(output)
 	if err == nil || found == nil {
--- a/cmd/testbed/replay.go
+++ b/cmd/testbed/replay.go
@@ -30,11 +30,16 @@
 // file.
 func replayCommand() *cobra.Command {
 	var deploy, binaries, folder string
-	command := &cobra.Command{Use: "replay FILE", Aliases: []string{"platform-day"}, Short: "play a day of the users' platform around the deployed programs", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{
+		Use:     "replay FILE",
+		Aliases: []string{"platform-day"},
+		Short:   "play a day of the users' platform around the deployed programs",
+		Args:    cobra.ExactArgs(1),
 		Long: "Plays a day file: model servers, the list of servers, operators, clients and machines over loopback,\n" +
 			"around the programs that the deploy file names. Writes verdict.json, verdict.txt, book.jsonl and plots.\n" +
 			"Ends with 1 when a rule is broken or the day can't begin, with 2 when the day file has mistakes.",
-		Example: "  go build -o target/ ./platform/cmd/...\n  testbed replay internal/testbed/replay/days/loss.toml"}
+		Example: "  go build -o target/ ./platform/cmd/...\n  testbed replay internal/testbed/replay/days/loss.toml",
+	}
 	command.Flags().StringVar(&deploy, "deploy", "deploy/system.toml", "the deploy file")
 	command.Flags().StringVar(&binaries, "binaries", "target", "the folder of the programs")
 	command.Flags().StringVar(&folder, "folder", "", "folder for settings, logs, disks and the report (default: a new one)")
@@ -66,15 +71,21 @@
 	var from uint64
 	var count, faults int
 	var hard bool
-	command := &cobra.Command{Use: "replay-drawn", Aliases: []string{"platform-days"}, Short: "play drawn days of the users' platform, one after another", Args: cobra.NoArgs,
-		Example: "  testbed replay-drawn --from 1 --count 10\n  testbed replay-drawn --hard --count 3"}
+	command := &cobra.Command{
+		Use:     "replay-drawn",
+		Aliases: []string{"platform-days"},
+		Short:   "play drawn days of the users' platform, one after another",
+		Args:    cobra.NoArgs,
+		Example: "  testbed replay-drawn --from 1 --count 10\n  testbed replay-drawn --hard --count 3",
+	}
 	command.Flags().StringVar(&deploy, "deploy", "deploy/system.toml", "the deploy file")
 	command.Flags().StringVar(&binaries, "binaries", "target", "the folder of the programs")
 	command.Flags().StringVar(&folder, "folder", "", "folder for the days that failed (default: a new one)")
 	command.Flags().Uint64Var(&from, "from", 1, "the first seed")
 	command.Flags().IntVar(&count, "count", 5, "how many days")
 	command.Flags().IntVar(&faults, "faults", 5, "how many faults a day has")
-	command.Flags().BoolVar(&hard, "hard", false, "dense days: storms and races, losses as soon as the budget allows, stops and reloads at once; 60 or 90 s each")
+	command.Flags().BoolVar(&hard, "hard", false,
+		"dense days: storms and races, losses as soon as the budget allows, stops and reloads at once; 60 or 90 s each")
 	command.RunE = func(*cobra.Command, []string) error {
 		roles, err := replay.ReadRoles(deploy, binaries)
 		if err != nil {
@@ -96,7 +107,8 @@
 			}
 		}
 		if failed > 0 {
-			return failure.New(failure.Contradictory, fmt.Sprintf("%d of %d days failed; they are in %s", failed, count, folder))
+			return failure.New(failure.Contradictory,
+				fmt.Sprintf("%d of %d days failed; they are in %s", failed, count, folder))
 		}
 		return nil
 	}
@@ -119,7 +131,8 @@
 	}
 	verdict, err := playPlatformDay(p, roles, folder)
 	if err != nil {
-		fmt.Printf("seed %d FAILED (%s): %s\n  replay: testbed replay %s\n", p.Seed, p.Title(), err, filepath.Join(folder, "day.toml"))
+		fmt.Printf("seed %d FAILED (%s): %s\n  replay: testbed replay %s\n", p.Seed, p.Title(), err,
+			filepath.Join(folder, "day.toml"))
 		return false
 	}
 	fmt.Printf("seed %d held, served %.3f (%s)\n", p.Seed, verdict.Figures.Served(), p.Title())
@@ -142,7 +155,8 @@
 	if err != nil {
 		return verdict, failure.Wrap(failure.Malformed, err)
 	}
-	err = multierr.Combine(os.WriteFile(filepath.Join(folder, "verdict.json"), text, 0o644), os.WriteFile(filepath.Join(folder, "verdict.txt"), []byte(verdict.String()), 0o644),
+	err = multierr.Combine(os.WriteFile(filepath.Join(folder, "verdict.json"), text, 0o644),
+		os.WriteFile(filepath.Join(folder, "verdict.txt"), []byte(verdict.String()), 0o644),
 		day.Book.Save(filepath.Join(folder, "book.jsonl")), verdict.Figures.Plot(folder, replay.Marks(day.Book.Events())))
 	if err != nil {
 		return verdict, failure.Wrap(failure.Disk, err)
--- a/cmd/testbed/script.go
+++ b/cmd/testbed/script.go
@@ -18,7 +18,13 @@
 // scriptCommand runs a node with a faulty disk and a wall clock that jumps, both
 // told by a faults file.
 func scriptCommand(kind membership.NodeKind) *cobra.Command {
-	command := &cobra.Command{Use: "script-" + fleet.ProgramName(kind), Aliases: []string{"stage-" + string(kind)}, Short: "run one " + fleet.ProgramName(kind) + " with a faulty disk and clock", Args: cobra.NoArgs, Hidden: true}
+	command := &cobra.Command{
+		Use:     "script-" + fleet.ProgramName(kind),
+		Aliases: []string{"stage-" + string(kind)},
+		Short:   "run one " + fleet.ProgramName(kind) + " with a faulty disk and clock",
+		Args:    cobra.NoArgs,
+		Hidden:  true,
+	}
 	flags := daemon.AddFlags(command, kind)
 	path := command.Flags().String("faults", "", "the faults file")
 	command.RunE = func(*cobra.Command, []string) error {
--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -17,8 +17,13 @@
 // simulateCommand runs many days in virtual time, or replays one.
 func simulateCommand() *cobra.Command {
 	campaign := &simulation.Campaign{Day: simulation.DefaultDay()}
-	command := &cobra.Command{Use: "simulate", Aliases: []string{"worlds"}, Short: "many seeded days of whole fleets in virtual time, or the replay of one", Args: cobra.NoArgs,
-		Example: "  testbed simulate --from 1 --count 5000\n  testbed simulate --from 17 --count 1 --trace\n  testbed simulate --only 'a disk is lost' --count 200"}
+	command := &cobra.Command{
+		Use:     "simulate",
+		Aliases: []string{"worlds"},
+		Short:   "many seeded days of whole fleets in virtual time, or the replay of one",
+		Args:    cobra.NoArgs,
+		Example: "  testbed simulate --from 1 --count 5000\n  testbed simulate --from 17 --count 1 --trace\n  testbed simulate --only 'a disk is lost' --count 200",
+	}
 	set := command.Flags()
 	set.StringVar(&campaign.Deployment, "deployment", "", "sahil or kochloeffel (default: each in turn)")
 	set.Uint64Var(&campaign.First, "from", 1, "the first seed")
@@ -26,14 +31,16 @@
 	set.DurationVar(&campaign.Day.Faulty, "faulty", campaign.Day.Faulty, "how long faults are drawn in each day")
 	set.BoolVar(&campaign.Day.Forming, "forming", false, "trouble the first core while it forms")
 	set.BoolVar(&campaign.Day.Swings, "swings", false, "swings of traffic instead of faults")
-	set.BoolVar(&campaign.Day.FixedParts, "fixed-parts", false, "leave servers the parts that they were given first, for comparison")
+	set.BoolVar(&campaign.Day.FixedParts, "fixed-parts", false,
+		"leave servers the parts that they were given first, for comparison")
 	set.StringVar(&campaign.Day.Only, "only", "", "draw this fault alone")
 	set.Float64Var(&campaign.Day.Long, "long", campaign.Day.Long, "long-prompt inquiries a second")
 	set.Float64Var(&campaign.Day.Short, "short", campaign.Day.Short, "short chats a second")
 	trace := set.Bool("trace", false, "print every step of the first seed's day and its verdict")
 	eventsFile := set.String("book", "", "with --trace: save the book here, as JSON lines")
 	length := set.Duration("for", 0, "begin no further day after this time (default: run all)")
-	untilBroken := set.String("until-broken", "", "stop at the first day that breaks a rule whose name has this in it, or at any that fails if it is empty")
+	untilBroken := set.String("until-broken", "",
+		"stop at the first day that breaks a rule whose name has this in it, or at any that fails if it is empty")
 	each := set.Bool("each", false, "run the count for every fault alone, a line each")
 	command.RunE = func(*cobra.Command, []string) error {
 		debug.SetGCPercent(400)
@@ -62,8 +69,10 @@
 				campaign.Day.Only = name
 				counter := campaign.Run(func(uint64, simulation.Result) {})
 				failed = failed || len(counter.Failed) > 0
-				fmt.Printf("%-34s days %d, failed %d, complete %.3f, lowest %.3f, longest gap %s, mean %s, service back after %.2f s at most\n", name, counter.Days, len(counter.Failed),
-					counter.Share, counter.Lowest, counter.Gap.Round(10*time.Millisecond), (counter.Gaps / time.Duration(max(counter.Days, 1))).Round(10*time.Millisecond), counter.Longest["service returns after a closing fault"])
+				fmt.Printf("%-34s days %d, failed %d, complete %.3f, lowest %.3f, longest gap %s, mean %s, service back after %.2f s at most\n",
+					name, counter.Days, len(counter.Failed),
+					counter.Share, counter.Lowest, counter.Gap.Round(10*time.Millisecond), (counter.Gaps / time.Duration(max(counter.Days,
+						1))).Round(10*time.Millisecond), counter.Longest["service returns after a closing fault"])
 			}
 			return broken(failed)
 		}
@@ -75,13 +84,15 @@
 		tally := campaign.Run(func(seed uint64, result simulation.Result) {
 			days++
 			if campaign.Day.Swings {
-				fmt.Printf("seed %d: %d complete, share %.3f, median %s, 95th %s, parts changed %d, flaps %d\n", seed, result.Verdict.Replies["complete"], result.Verdict.Share,
+				fmt.Printf("seed %d: %d complete, share %.3f, median %s, 95th %s, parts changed %d, flaps %d\n", seed,
+					result.Verdict.Replies["complete"], result.Verdict.Share,
 					result.Verdict.Median.Round(time.Millisecond), result.Verdict.Tail.Round(time.Millisecond), result.Runtime, result.Flaps)
 			}
 			until := command.Flags().Changed("until-broken")
 			if result.Failed() && (!until || (result.Broke(*untilBroken) && !campaign.Stop.Load())) {
 				campaign.Stop.Store(until)
-				fmt.Printf("after %d days seed %d FAILED, whole at the end: %v, two primaries at once: %d\n%sreplay: testbed simulate --from %d --count 1 --trace%s\n", days, seed, result.Restored, result.TwoPrimaries, result.Verdict, seed, flags(campaign))
+				fmt.Printf("after %d days seed %d FAILED, whole at the end: %v, two primaries at once: %d\n%sreplay: testbed simulate --from %d --count 1 --trace%s\n",
+					days, seed, result.Restored, result.TwoPrimaries, result.Verdict, seed, flags(campaign))
 			}
 		})
 		report(tally, time.Since(began))
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -15,7 +15,15 @@
 )
 
 // own lists the faults that only one deployment sees.
-var onlyIn = map[string]string{"replace-core": "sahil", "exchange-seeds": "kochloeffel", "large-configuration": "kochloeffel", "large-storm": "kochloeffel", "freeze-primary": "kochloeffel", "freeze-courier": "kochloeffel", "freeze-holder": "kochloeffel"}
+var onlyIn = map[string]string{
+	"replace-core":        "sahil",
+	"exchange-seeds":      "kochloeffel",
+	"large-configuration": "kochloeffel",
+	"large-storm":         "kochloeffel",
+	"freeze-primary":      "kochloeffel",
+	"freeze-courier":      "kochloeffel",
+	"freeze-holder":       "kochloeffel",
+}
 
 var closings = []string{"herd-couriers", "herd-expediters", "cold-start", "lose-zone", "kill-primary", "power-loss", "crash-server"}
 
@@ -36,8 +44,13 @@
 // own faults; a day that fails is named with the command that replays it.
 func soakCommand() *cobra.Command {
 	chosen := &plan{once: 0.3}
-	command := &cobra.Command{Use: "soak", Aliases: []string{"season"}, Short: "many seeded days with drawn faults, one after another", Args: cobra.NoArgs,
-		Example: "  testbed soak --deployment kochloeffel --from 1 --days 20"}
+	command := &cobra.Command{
+		Use:     "soak",
+		Aliases: []string{"season"},
+		Short:   "many seeded days with drawn faults, one after another",
+		Args:    cobra.NoArgs,
+		Example: "  testbed soak --deployment kochloeffel --from 1 --days 20",
+	}
 	addFleetFlags(command, chosen)
 	from := command.Flags().Uint64("from", 1, "the first seed")
 	days := command.Flags().Int("days", 5, "how many days")
@@ -67,7 +80,8 @@
 				failed++
 			case verdict.Violations() > 0 || verdict.Share < *floor:
 				line += fmt.Sprintf("FAILED, %d violations, complete %.3f\n%s", verdict.Violations(), verdict.Share, verdict)
-				line += fmt.Sprintf("replay: testbed run --deployment %s --seed %d --length %s --faults %s --closing %s", chosen.deployment, seed, today.length, today.faults, closing)
+				line += fmt.Sprintf("replay: testbed run --deployment %s --seed %d --length %s --faults %s --closing %s",
+					chosen.deployment, seed, today.length, today.faults, closing)
 				failed++
 			default:
 				line += fmt.Sprintf("held, complete %.3f, median %s", verdict.Share, verdict.Median.Round(time.Millisecond))
@@ -76,7 +90,8 @@
 			fmt.Println(line)
 		}
 		if failed > 0 {
-			return failure.New(failure.Contradictory, fmt.Sprintf("%d of %d days failed; logs are in %s", failed, *days, base))
+			return failure.New(failure.Contradictory,
+				fmt.Sprintf("%d of %d days failed; logs are in %s", failed, *days, base))
 		}
 		return nil
 	}
--- a/internal/testbed/compare/compare.go
+++ b/internal/testbed/compare/compare.go
@@ -119,7 +119,8 @@
 		if difference.Clear() {
 			mark = " *"
 		}
-		fmt.Fprintf(&text, "%-52s %10.4f %10.4f %+10.4f %10.4f%s\n", difference.Figure, difference.Before, difference.After, difference.Mean, difference.Margin, mark)
+		fmt.Fprintf(&text, "%-52s %10.4f %10.4f %+10.4f %10.4f%s\n", difference.Figure, difference.Before,
+			difference.After, difference.Mean, difference.Margin, mark)
 	}
 	return text.String()
 }
--- a/internal/testbed/fleet/checkers_configuration.go
+++ b/internal/testbed/fleet/checkers_configuration.go
@@ -25,7 +25,8 @@
 			}
 			worst = max(worst, late)
 			if late > inForceLimit {
-				finding.Violate(fmt.Sprintf("%s shows edition %d, %s after edition %d was accepted", entry.Router, entry.Revision, late, acceptance.Revision))
+				finding.Violate(fmt.Sprintf("%s shows edition %d, %s after edition %d was accepted", entry.Router,
+					entry.Revision, late, acceptance.Revision))
 			}
 		}
 	}
@@ -90,7 +91,8 @@
 		finding.Looked++
 		for _, acceptance := range accepted {
 			if acceptance.At.Before(entry.At.Add(-entry.Took)) && entry.Revision < acceptance.Revision {
-				finding.Violate(fmt.Sprintf("read edition %d, and %d was accepted %s earlier", entry.Revision, acceptance.Revision, entry.At.Sub(acceptance.At)))
+				finding.Violate(fmt.Sprintf("read edition %d, and %d was accepted %s earlier", entry.Revision,
+					acceptance.Revision, entry.At.Sub(acceptance.At)))
 			}
 		}
 	}
--- a/internal/testbed/fleet/checkers_requests.go
+++ b/internal/testbed/fleet/checkers_requests.go
@@ -55,7 +55,8 @@
 			open[entry.Request] = open[entry.Request] || !refused[entry.arrivalName()]
 		case PrefillStarted, DecodeStarted:
 			if came[entry.Request] && !open[entry.Request] {
-				finding.Violate(fmt.Sprintf("%s was refused at each arrival and %s at %s", entry.Request, entry.Kind, entry.Server))
+				finding.Violate(fmt.Sprintf("%s was refused at each arrival and %s at %s", entry.Request, entry.Kind,
+					entry.Server))
 			}
 		}
 	}
@@ -104,7 +105,8 @@
 		case MemoryTaken:
 			finding.Looked++
 			if earlier, found := taken[entry.Handle]; found {
-				finding.Violate(fmt.Sprintf("handle %s taken for %s and for %s", entry.Handle, earlier.Request, entry.Request))
+				finding.Violate(fmt.Sprintf("handle %s taken for %s and for %s", entry.Handle, earlier.Request,
+					entry.Request))
 			}
 			taken[entry.Handle] = entry
 			runs[run]++
@@ -180,7 +182,8 @@
 		}
 		// A retried run asks twice, at a prefill and at a decode server: both count.
 		if float64(recentExtra) > attemptsShare*float64(recentFirst)+float64(saved) {
-			finding.Violate(fmt.Sprintf("%d extra tries for %d first ones within %s", recentExtra, recentFirst, attemptsWindow))
+			finding.Violate(fmt.Sprintf("%d extra tries for %d first ones within %s", recentExtra, recentFirst,
+				attemptsWindow))
 		}
 	}
 	finding.Looked = first
--- a/internal/testbed/fleet/checkers_servers.go
+++ b/internal/testbed/fleet/checkers_servers.go
@@ -103,7 +103,8 @@
 		earlier, found := last[entry.Server]
 		last[entry.Server] = entry
 		if entry.Kind == CommandRefused {
-			finding.Violate(fmt.Sprintf("%s was commanded by %s under the old fence %d", entry.Server, entry.Holder, entry.FencingToken))
+			finding.Violate(fmt.Sprintf("%s was commanded by %s under the old fence %d", entry.Server, entry.Holder,
+				entry.FencingToken))
 		}
 		if !found || earlier.Holder == entry.Holder {
 			continue
@@ -113,7 +114,8 @@
 			shortest = between
 		}
 		if between < turnLimit {
-			finding.Violate(fmt.Sprintf("%s was commanded by %s and %s later by %s", entry.Server, earlier.Holder, between, entry.Holder))
+			finding.Violate(fmt.Sprintf("%s was commanded by %s and %s later by %s", entry.Server, earlier.Holder,
+				between, entry.Holder))
 		}
 	}
 	if shortest > 0 {
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -71,7 +71,12 @@
 		}
 		question, entry := c.question(kind, node)
 		entry.Zone = zone
-		h := behaviour{leaves: -1, obeys: c.random.IntN(2) == 0, persists: c.random.IntN(3) == 0, elsewhere: c.random.IntN(1 << 20)}
+		h := behaviour{
+			leaves:    -1,
+			obeys:     c.random.IntN(2) == 0,
+			persists:  c.random.IntN(3) == 0,
+			elsewhere: c.random.IntN(1 << 20),
+		}
 		if c.random.IntN(40) == 0 {
 			h.leaves = c.random.IntN(question.Chunks)
 		}
@@ -150,11 +155,24 @@
 
 func (c *Clients) question(kind Kind, node *NodeProcess) (Question, Entry) {
 	idempotent := c.random.Float64() >= c.Once
-	question := Question{ID: dataplane.NewRequestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(c.number%50), Idempotent: idempotent,
-		Limit: 15_000, PromptTokens: kind.LeastTokens + c.random.IntN(kind.MostTokens-kind.LeastTokens),
-		Prefix: kind.Service + "-" + strconv.Itoa(c.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
-		Chunks: kind.LeastChunks + c.random.IntN(kind.MostChunks-kind.LeastChunks)}
-	return question, Entry{Request: question.ID, Router: node.Node.Name, Service: kind.Service, Idempotent: idempotent, Asked: question.Chunks}
+	question := Question{
+		ID:           dataplane.NewRequestID(),
+		Service:      kind.Service,
+		Client:       "origin-" + strconv.Itoa(c.number%50),
+		Idempotent:   idempotent,
+		Limit:        15_000,
+		PromptTokens: kind.LeastTokens + c.random.IntN(kind.MostTokens-kind.LeastTokens),
+		Prefix:       kind.Service + "-" + strconv.Itoa(c.random.IntN(kind.Prefixes)),
+		PrefixTokens: kind.PrefixTokens,
+		Chunks:       kind.LeastChunks + c.random.IntN(kind.MostChunks-kind.LeastChunks),
+	}
+	return question, Entry{
+		Request:    question.ID,
+		Router:     node.Node.Name,
+		Service:    kind.Service,
+		Idempotent: idempotent,
+		Asked:      question.Chunks,
+	}
 }
 
 // Send sends one request and writes down its reply, word for word. A reply
@@ -169,7 +187,13 @@
 
 // send sends one request; it also tells when the client may come back. A client
 // that leaves closes the connection after so many chunks.
-func (c *Clients) send(lifetime context.Context, address string, question Question, entry Entry, leaves int) (Entry, time.Duration) {
+func (c *Clients) send(
+	lifetime context.Context,
+	address string,
+	question Question,
+	entry Entry,
+	leaves int,
+) (Entry, time.Duration) {
 	began := time.Now()
 	sent := entry
 	sent.Kind = Sent
@@ -190,12 +214,19 @@
 	return entry, retry
 }
 
-func (c *Clients) read(lifetime context.Context, address string, question Question, entry *Entry, leaves int) (int, time.Duration, error) {
+func (c *Clients) read(
+	lifetime context.Context,
+	address string,
+	question Question,
+	entry *Entry,
+	leaves int,
+) (int, time.Duration, error) {
 	body, err := json.Marshal(question)
 	if err != nil {
 		return 0, 0, failure.Wrap(failure.Malformed, err)
 	}
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+"/v1/inquiries", bytes.NewReader(body))
+	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+address+"/v1/inquiries",
+		bytes.NewReader(body))
 	if err != nil {
 		return 0, 0, failure.Wrap(failure.Malformed, err)
 	}
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -106,7 +106,8 @@
 		day.Operators.ReadRevision(primary)
 		return third.Metric("seamloom_copy_number") >= primary.Metric("seamloom_copy_number")-3 && third.Metric("seamloom_copy_number") > 0
 	}) {
-		t.Errorf("the third copy is at %d, the primary at %d", third.Metric("seamloom_copy_number"), primary.Metric("seamloom_copy_number"))
+		t.Errorf("the third copy is at %d, the primary at %d", third.Metric("seamloom_copy_number"),
+			primary.Metric("seamloom_copy_number"))
 	}
 }
 
@@ -180,7 +181,8 @@
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		command := exec.Command(filepath.Join(binaries, "configcheck"), append([]string{path, "--json", "--to", fleet.Controllers[1].Node.Address}, arguments...)...)
+		command := exec.Command(filepath.Join(binaries, "configcheck"),
+			append([]string{path, "--json", "--to", fleet.Controllers[1].Node.Address}, arguments...)...)
 		output, _ := command.Output()
 		var said report
 		if err := json.Unmarshal(output, &said); err != nil {
--- a/internal/testbed/fleet/deployment.go
+++ b/internal/testbed/fleet/deployment.go
@@ -26,15 +26,47 @@
 // Sahil is the desk for zones: nine servers, three controllers, seven routers.
 func Sahil() Deployment {
 	return Deployment{Name: "sahil", Zones: []string{"harbour", "medina", "dunes"}, Routers: 7, Servers: 9,
-		Long:  Kind{Service: "zone-verdict", LeastTokens: 2500, MostTokens: 6000, PrefixTokens: 1800, Prefixes: 6, LeastChunks: 6, MostChunks: 16},
-		Short: Kind{Service: "rider-chat", LeastTokens: 60, MostTokens: 300, PrefixTokens: 40, Prefixes: 2, LeastChunks: 20, MostChunks: 50}}
+		Long: Kind{
+			Service:      "zone-verdict",
+			LeastTokens:  2500,
+			MostTokens:   6000,
+			PrefixTokens: 1800,
+			Prefixes:     6,
+			LeastChunks:  6,
+			MostChunks:   16,
+		},
+		Short: Kind{
+			Service:      "rider-chat",
+			LeastTokens:  60,
+			MostTokens:   300,
+			PrefixTokens: 40,
+			Prefixes:     2,
+			LeastChunks:  20,
+			MostChunks:   50,
+		}}
 }
 
 // Kochloeffel is the pantry desk: twelve servers on the same three zones.
 func Kochloeffel() Deployment {
 	return Deployment{Name: "kochloeffel", Zones: []string{"nord", "mitte", "sued"}, Routers: 7, Servers: 12,
-		Long:  Kind{Service: "pantry-check", LeastTokens: 1500, MostTokens: 5000, PrefixTokens: 1000, Prefixes: 8, LeastChunks: 5, MostChunks: 12},
-		Short: Kind{Service: "step-rewrite", LeastTokens: 80, MostTokens: 400, PrefixTokens: 60, Prefixes: 3, LeastChunks: 16, MostChunks: 40}}
+		Long: Kind{
+			Service:      "pantry-check",
+			LeastTokens:  1500,
+			MostTokens:   5000,
+			PrefixTokens: 1000,
+			Prefixes:     8,
+			LeastChunks:  5,
+			MostChunks:   12,
+		},
+		Short: Kind{
+			Service:      "step-rewrite",
+			LeastTokens:  80,
+			MostTokens:   400,
+			PrefixTokens: 60,
+			Prefixes:     3,
+			LeastChunks:  16,
+			MostChunks:   40,
+		}}
 }
 
 // DeploymentNamed finds a deployment, or tells false.
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -27,8 +27,19 @@
 
 // DefaultPlan is a server of middling speed.
 func DefaultPlan(name, zone string) ServerPlan {
-	return ServerPlan{Name: name, Zone: zone, PrefillRate: 20_000, PrefillQueue: 12, DecodeSlots: 16, ChunkTime: 8 * time.Millisecond,
-		Memory: 200_000, LinkRate: 400_000, HandleLifetime: 5 * time.Second, WarmupTime: 4 * time.Second, Prefixes: 8}
+	return ServerPlan{
+		Name:           name,
+		Zone:           zone,
+		PrefillRate:    20_000,
+		PrefillQueue:   12,
+		DecodeSlots:    16,
+		ChunkTime:      8 * time.Millisecond,
+		Memory:         200_000,
+		LinkRate:       400_000,
+		HandleLifetime: 5 * time.Second,
+		WarmupTime:     4 * time.Second,
+		Prefixes:       8,
+	}
 }
 
 // Engine is what a stand-in model server does, whatever carries its calls: a
@@ -97,8 +108,21 @@
 // NewEngine starts a server, cold.
 func NewEngine(plan ServerPlan, events *EventLog, rt runtime.Runtime, nonce func() string, fetch Fetch) *Engine {
 	events.Append(Entry{Kind: ServerBorn, Server: plan.Name, Zone: plan.Zone})
-	return &Engine{plan: plan, events: events, runtime: rt, fetch: fetch, nonce: nonce, incarnation: nonce(), free: rt.NewCond(), born: rt.Now(),
-		handles: map[string]*promptMemory{}, prefixes: map[string]int{}, runs: map[string]*Connection{}, taken: map[string]bool{}, slowLink: 1}
+	return &Engine{
+		plan:        plan,
+		events:      events,
+		runtime:     rt,
+		fetch:       fetch,
+		nonce:       nonce,
+		incarnation: nonce(),
+		free:        rt.NewCond(),
+		born:        rt.Now(),
+		handles:     map[string]*promptMemory{},
+		prefixes:    map[string]int{},
+		runs:        map[string]*Connection{},
+		taken:       map[string]bool{},
+		slowLink:    1,
+	}
 }
 
 // Die notes the crash, with which all memory is gone.
@@ -239,7 +263,15 @@
 		e.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
-	e.events.Append(Entry{Kind: PrefillAsked, Server: e.plan.Name, Zone: e.plan.Zone, Request: order.Request, Run: order.Run, Depth: len(e.queue), Age: e.age()})
+	e.events.Append(Entry{
+		Kind:    PrefillAsked,
+		Server:  e.plan.Name,
+		Zone:    e.plan.Zone,
+		Request: order.Request,
+		Run:     order.Run,
+		Depth:   len(e.queue),
+		Age:     e.age(),
+	})
 	e.sweepHandles()
 	refusal, status := "", http.StatusTooManyRequests
 	switch {
@@ -295,7 +327,13 @@
 		e.cache(order.Prefix, order.PrefixTokens)
 	}
 	handle := e.nonce()
-	e.handles[handle] = &promptMemory{request: order.Request, run: order.Run, order: order.Order, tokens: order.PromptTokens, lapses: e.runtime.Now().Add(e.plan.HandleLifetime)}
+	e.handles[handle] = &promptMemory{
+		request: order.Request,
+		run:     order.Run,
+		order:   order.Order,
+		tokens:  order.PromptTokens,
+		lapses:  e.runtime.Now().Add(e.plan.HandleLifetime),
+	}
 	return http.StatusOK, modelserver.PrefillResponse{Request: order.Request, Run: order.Run, Handle: handle}
 }
 
@@ -334,24 +372,50 @@
 	e.sweepHandles()
 	memory, found := e.handles[question.Handle]
 	if !found || memory.request != question.Request || memory.run != question.Run {
-		e.events.Append(Entry{Kind: MemoryRefused, Server: e.plan.Name, Request: question.Request, Run: question.Run, Handle: question.Handle, Holder: question.Taker})
+		e.events.Append(Entry{
+			Kind:    MemoryRefused,
+			Server:  e.plan.Name,
+			Request: question.Request,
+			Run:     question.Run,
+			Handle:  question.Handle,
+			Holder:  question.Taker,
+		})
 		return http.StatusConflict, Refusal{Type: "handle_lapsed"}
 	}
 	delete(e.handles, question.Handle)
 	e.memory -= memory.tokens
-	e.events.Append(Entry{Kind: MemoryTaken, Server: e.plan.Name, Request: memory.request, Run: memory.run, Handle: question.Handle, Holder: question.Taker})
+	e.events.Append(Entry{
+		Kind:    MemoryTaken,
+		Server:  e.plan.Name,
+		Request: memory.request,
+		Run:     memory.run,
+		Handle:  question.Handle,
+		Holder:  question.Taker,
+	})
 	return http.StatusOK, MemoryAnswer{Tokens: memory.tokens, LinkRate: e.plan.LinkRate / e.slowLink}
 }
 
 // Decode takes a prompt's memory up and answers, line by line; with another
 // status than 200 there is a refusal and no line.
-func (e *Engine) Decode(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) (int, any) {
+func (e *Engine) Decode(
+	connection *Connection,
+	order modelserver.DecodeRequest,
+	send func(line modelserver.DecodeChunk) error,
+) (int, any) {
 	e.mutex.Lock()
 	if e.repeated("decode", order.Order, order.Request, order.Run) {
 		e.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
-	e.events.Append(Entry{Kind: DecodeAsked, Server: e.plan.Name, Zone: e.plan.Zone, Request: order.Request, Run: order.Run, Depth: e.active, Age: e.age()})
+	e.events.Append(Entry{
+		Kind:    DecodeAsked,
+		Server:  e.plan.Name,
+		Zone:    e.plan.Zone,
+		Request: order.Request,
+		Run:     order.Run,
+		Depth:   e.active,
+		Age:     e.age(),
+	})
 	refusal, status := "", http.StatusTooManyRequests
 	switch {
 	case e.part != "decode":
@@ -377,7 +441,12 @@
 		e.memory -= memory
 		delete(e.runs, key)
 	}()
-	given, status := e.fetch(connection, order.Source, MemoryQuestion{Handle: order.Handle, Request: order.Request, Run: order.Run, Taker: e.plan.Name})
+	given, status := e.fetch(connection, order.Source, MemoryQuestion{
+		Handle:  order.Handle,
+		Request: order.Request,
+		Run:     order.Run,
+		Taker:   e.plan.Name,
+	})
 	switch {
 	case status == http.StatusConflict:
 		return status, Refusal{Type: "handle_lapsed"}
@@ -403,7 +472,11 @@
 	return request + "/" + run + "/" + strconv.Itoa(chunk)
 }
 
-func (e *Engine) stream(connection *Connection, order modelserver.DecodeRequest, send func(line modelserver.DecodeChunk) error) {
+func (e *Engine) stream(
+	connection *Connection,
+	order modelserver.DecodeRequest,
+	send func(line modelserver.DecodeChunk) error,
+) {
 	run := strconv.Itoa(order.Run) + order.Order
 	for chunk := 1; chunk <= order.Chunks; chunk++ {
 		e.mutex.Lock()
@@ -415,7 +488,12 @@
 		if !connection.Wait(length) {
 			return
 		}
-		if send(modelserver.DecodeChunk{Request: order.Request, Run: order.Run, Chunk: chunk, Text: ChunkText(order.Request, run, chunk)}) != nil {
+		if send(modelserver.DecodeChunk{
+			Request: order.Request,
+			Run:     order.Run,
+			Chunk:   chunk,
+			Text:    ChunkText(order.Request, run, chunk),
+		}) != nil {
 			return
 		}
 	}
@@ -442,7 +520,14 @@
 func (e *Engine) TakePart(order modelserver.PartRequest) (int, any) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	entry := Entry{Kind: Commanded, Server: e.plan.Name, Holder: order.Holder, FencingToken: order.FencingToken, Part: order.Part, Cause: order.Cause}
+	entry := Entry{
+		Kind:         Commanded,
+		Server:       e.plan.Name,
+		Holder:       order.Holder,
+		FencingToken: order.FencingToken,
+		Part:         order.Part,
+		Cause:        order.Cause,
+	}
 	if order.FencingToken < e.fencingToken {
 		entry.Kind = CommandRefused
 		e.events.Append(entry)
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -19,12 +19,13 @@
 
 // faults are all that the brief names under "What fails".
 var faults = map[string]Fault{
-	"kill-courier":         {Run: killOne(membership.Router, time.Second)},
-	"kill-primary":         {Run: killPrimary(4 * time.Second)},
-	"kill-backup":          {Run: killSeat("backup", 4*time.Second)},
-	"power-loss":           {Scripted: true, Run: powerLoss},
-	"lose-disk":            {Run: loseDisk},
-	"slow-disk":            {Scripted: true, Run: diskFault(NodeFaults{Disk: "slow", Delay: 80 * time.Millisecond}, 4*time.Second)},
+	"kill-courier": {Run: killOne(membership.Router, time.Second)},
+	"kill-primary": {Run: killPrimary(4 * time.Second)},
+	"kill-backup":  {Run: killSeat("backup", 4*time.Second)},
+	"power-loss":   {Scripted: true, Run: powerLoss},
+	"lose-disk":    {Run: loseDisk},
+	"slow-disk": {Scripted: true, Run: diskFault(NodeFaults{Disk: "slow", Delay: 80 * time.Millisecond},
+		4*time.Second)},
 	"stall-disk":           {Scripted: true, Run: diskFault(NodeFaults{Disk: "stall"}, 5*time.Second)},
 	"full-disk":            {Scripted: true, Run: diskFault(NodeFaults{Disk: "full"}, 5*time.Second)},
 	"damaged-disk":         {Scripted: true, Run: damagedDisk},
--- a/internal/testbed/fleet/faults_network.go
+++ b/internal/testbed/fleet/faults_network.go
@@ -75,7 +75,8 @@
 		if !sleep(lifetime, 700*time.Millisecond) {
 			break
 		}
-		d.Fleet.Links.Each(func(_, to string) bool { return strings.HasPrefix(to, "stove-") && d.draw(8) == 0 }, func(relay *Relay) { relay.Drop() })
+		d.Fleet.Links.Each(func(_, to string) bool { return strings.HasPrefix(to, "stove-") && d.draw(8) == 0 },
+			func(relay *Relay) { relay.Drop() })
 	}
 	d.Fleet.Links.Heal()
 }
--- a/internal/testbed/fleet/faults_nodes.go
+++ b/internal/testbed/fleet/faults_nodes.go
@@ -167,7 +167,8 @@
 		routers = append(routers, node.Node.Address)
 	}
 	for _, node := range d.running("") {
-		node.Set("seeds", []string{routers[d.draw(len(routers)/2)], routers[len(routers)/2+d.draw(len(routers)/2)], controllers[d.draw(len(controllers))]})
+		node.Set("seeds",
+			[]string{routers[d.draw(len(routers)/2)], routers[len(routers)/2+d.draw(len(routers)/2)], controllers[d.draw(len(controllers))]})
 		if err := node.WriteSettings(); err != nil {
 			d.Logf("%v", err)
 		}
@@ -199,10 +200,12 @@
 		old.Kill()
 		_ = old.WipeDisk()
 		d.Fleet.Platform.UnlistNode(old.Node.Name)
-		fresh := d.Fleet.AddNode(membership.Controller, fmt.Sprintf("expediter-%d", 11+number), addresses[0], old.Node.Zone, seeds)
+		fresh := d.Fleet.AddNode(membership.Controller, fmt.Sprintf("expediter-%d", 11+number), addresses[0],
+			old.Node.Zone, seeds)
 		fresh.scripted = old.scripted
 		d.begin(fresh)
-		d.Logf("%s gives way to %s: whole again %v", old.Node.Name, fresh.Node.Name, Await(25*time.Second, d.Fleet.CoreIsComplete))
+		d.Logf("%s gives way to %s: whole again %v", old.Node.Name, fresh.Node.Name,
+			Await(25*time.Second, d.Fleet.CoreIsComplete))
 		if lifetime.Err() != nil {
 			return
 		}
--- a/internal/testbed/fleet/faults_operators.go
+++ b/internal/testbed/fleet/faults_operators.go
@@ -119,7 +119,8 @@
 		if number == 0 {
 			comma = ""
 		}
-		_, _ = fmt.Fprintf(&many, `%s"many-%d":{"order":5,"match":{"service":"%s","origin":"nobody-%d"},"to":{"districts":["%s"]}}`,
+		_, _ = fmt.Fprintf(&many,
+			`%s"many-%d":{"order":5,"match":{"service":"%s","origin":"nobody-%d"},"to":{"districts":["%s"]}}`,
 			comma, number, d.Fleet.Deployment.Short.Service, number, d.Fleet.Deployment.Zones[number%3])
 		_, _ = fmt.Fprintf(&none, `%s"many-%d":null`, comma, number)
 	}
@@ -133,7 +134,8 @@
 			if err != nil {
 				return false
 			}
-			answer, err := d.Operators.Call(node, http.MethodPatch, "/v1/configuration", url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}, `{"routes":{`+routes+`}}`)
+			answer, err := d.Operators.Call(node, http.MethodPatch, "/v1/configuration",
+				url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}, `{"routes":{`+routes+`}}`)
 			return err == nil && answer.Outcome == "accepted"
 		})
 		d.Logf("a configuration of %d bytes was accepted: %v", len(routes), accepted)
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -42,7 +42,15 @@
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Deployment: deployment, Events: events, Platform: platform, folder: folder, binaries: binaries, extra: extra, plans: map[string]ServerPlan{}}
+	fleet := &Fleet{
+		Deployment: deployment,
+		Events:     events,
+		Platform:   platform,
+		folder:     folder,
+		binaries:   binaries,
+		extra:      extra,
+		plans:      map[string]ServerPlan{},
+	}
 	for position := range deployment.Servers {
 		zone := deployment.Zones[position%len(deployment.Zones)]
 		if _, err := fleet.AddServer(DefaultPlan("stove-"+strconv.Itoa(position+1), zone)); err != nil {
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -21,7 +21,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	build := exec.Command("go", "build", "-race", "-o", folder+string(filepath.Separator), "seamloom.example/seamloom/cmd/router", "seamloom.example/seamloom/cmd/controller", "seamloom.example/seamloom/cmd/testbed", "seamloom.example/seamloom/cmd/configcheck")
+	build := exec.Command("go", "build", "-race", "-o", folder+string(filepath.Separator),
+		"seamloom.example/seamloom/cmd/router", "seamloom.example/seamloom/cmd/controller",
+		"seamloom.example/seamloom/cmd/testbed", "seamloom.example/seamloom/cmd/configcheck")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/testbed/fleet/history_test.go
+++ b/internal/testbed/fleet/history_test.go
@@ -59,7 +59,13 @@
 	record := func(client int, asked registerInput, answered registerOutput, from, to time.Duration) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		history = append(history, porcupine.Operation{ClientId: client, Input: asked, Output: answered, Call: from.Nanoseconds(), Return: to.Nanoseconds()})
+		history = append(history, porcupine.Operation{
+			ClientId: client,
+			Input:    asked,
+			Output:   answered,
+			Call:     from.Nanoseconds(),
+			Return:   to.Nanoseconds(),
+		})
 	}
 	fresh := func() int {
 		mutex.Lock()
@@ -86,7 +92,8 @@
 				next := fresh()
 				from = time.Since(began)
 				query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
-				answer, err := day.Operators.Call(fleet.Controllers[random.IntN(3)], http.MethodPut, "/v1/configuration", query, fleet.Deployment.Configuration(next))
+				answer, err := day.Operators.Call(fleet.Controllers[random.IntN(3)], http.MethodPut, "/v1/configuration",
+					query, fleet.Deployment.Configuration(next))
 				to, outcome := time.Since(began), "unknown"
 				switch {
 				case err == nil && answer.Outcome == "accepted":
@@ -127,8 +134,13 @@
 		t.Errorf("the history is not that of one register: %v", result)
 	}
 	// The check itself can fail: a read of something long replaced is seen.
-	stale := append(append([]porcupine.Operation(nil), history...), porcupine.Operation{ClientId: 9, Input: registerInput{read: true},
-		Output: registerOutput{revision: 1}, Call: time.Since(began).Nanoseconds(), Return: time.Since(began).Nanoseconds() + 1})
+	stale := append(append([]porcupine.Operation(nil), history...), porcupine.Operation{
+		ClientId: 9,
+		Input:    registerInput{read: true},
+		Output:   registerOutput{revision: 1},
+		Call:     time.Since(began).Nanoseconds(),
+		Return:   time.Since(began).Nanoseconds() + 1,
+	})
 	if result := porcupine.CheckOperationsTimeout(register, stale, time.Minute); result == porcupine.Ok {
 		t.Error("porcupine does not see a stale read")
 	}
--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -20,7 +20,8 @@
 
 func post(t *testing.T, address, path, body string) (int, http.Header, string) {
 	t.Helper()
-	inbound, err := (&http.Client{Timeout: 20 * time.Second}).Post("http://"+address+path, "application/json", bytes.NewReader([]byte(body)))
+	inbound, err := (&http.Client{Timeout: 20 * time.Second}).Post("http://"+address+path, "application/json",
+		bytes.NewReader([]byte(body)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,26 +52,31 @@
 		"an id without its time": {`{"id":"a","service":"rider-chat","repeatable":false}`, 400, "malformed"},
 		"an unknown service":     {`{"id":"a","service":"nothing"}`, 404, "unknown_service"},
 		"too long a prompt":      {`{"id":"a","service":"rider-chat","prompt_tokens":90000000}`, 400, "out_of_range"},
-		"a body that is too big": {`{"id":"a","service":"rider-chat","prompt":"` + strings.Repeat("x", dataplane.MaxRequestBytes) + `"}`, 413, "oversize"},
+		"a body that is too big": {`{"id":"a","service":"rider-chat","prompt":"` + strings.Repeat("x",
+			dataplane.MostRequestBytes) + `"}`, 413, "oversize"},
 	} {
 		status, _, body := post(t, front, "/v1/inquiries", want.body)
-		if status != want.status || !strings.Contains(body, `"type":"`+want.kind+`"`) || !strings.Contains(body, `"ran":false`) {
+		if status != want.status || !strings.Contains(body, `"type":"`+want.kind+`"`) || !strings.Contains(body,
+			`"ran":false`) {
 			t.Errorf("%s: %d %.200s", name, status, body)
 		}
 	}
 	// The same id of a request that is not idempotent, at another router.
 	id := dataplane.NewRequestID()
 	once := `{"id":"` + id + `","service":"rider-chat","repeatable":false,"prompt_tokens":80,"pieces":3}`
-	if status, _, body := post(t, front, "/v1/inquiries", once); status != 200 || !strings.Contains(body, `"final":"complete"`) {
+	if status, _, body := post(t, front, "/v1/inquiries", once); status != 200 || !strings.Contains(body,
+		`"final":"complete"`) {
 		t.Errorf("an inquiry that may not be repeated: %d %s", status, body)
 	}
 	for _, node := range fleet.Routers[:3] {
-		if status, _, body := post(t, node.Node.Address, "/v1/inquiries", once); status != 409 || !strings.Contains(body, "duplicate_inquiry") {
+		if status, _, body := post(t, node.Node.Address, "/v1/inquiries", once); status != 409 || !strings.Contains(body,
+			"duplicate_inquiry") {
 			t.Errorf("a used id at %s: %d %s", node.Node.Name, status, body)
 		}
 	}
 	old := "017f22e2-79b0-7cc3-98c4-dc0c0c07398f"
-	if status, _, body := post(t, front, "/v1/inquiries", strings.Replace(once, id, old, 1)); status != 409 || !strings.Contains(body, "inquiry_too_old") {
+	if status, _, body := post(t, front, "/v1/inquiries", strings.Replace(once, id, old, 1)); status != 409 || !strings.Contains(body,
+		"inquiry_too_old") {
 		t.Errorf("an id from years ago: %d %s", status, body)
 	}
 	before, revision := day.Operators.ReadRevision(fleet.Controllers[0])
@@ -87,7 +93,9 @@
 		"too big":              {http.MethodPut, `{"services":{"a":{"` + strings.Repeat("x", 17<<20) + `":1}}}`, before.Version, 422, []string{"oversize"}},
 	} {
 		for _, node := range fleet.Controllers {
-			outbound, err := http.NewRequest(want.method, "http://"+node.Node.Address+"/v1/configuration?"+url.Values{"expected": {want.expected}}.Encode(), strings.NewReader(want.body))
+			outbound, err := http.NewRequest(want.method,
+				"http://"+node.Node.Address+"/v1/configuration?"+url.Values{"expected": {want.expected}}.Encode(),
+				strings.NewReader(want.body))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -114,7 +122,8 @@
 		fleet.Controllers[0].Kill()
 		fleet.Controllers[1].Kill()
 		if !Await(12*time.Second, func() bool {
-			answer, err := day.Operators.Call(fleet.Controllers[2], http.MethodPut, "/v1/configuration", url.Values{"expected": {before.Version}}, `{}`)
+			answer, err := day.Operators.Call(fleet.Controllers[2], http.MethodPut, "/v1/configuration",
+				url.Values{"expected": {before.Version}}, `{}`)
 			return err == nil && answer.Status == http.StatusServiceUnavailable && answer.Outcome == "not_accepted" && answer.Type == "no_primary"
 		}) {
 			t.Error("without a core a change is not answered 503, not accepted")
@@ -149,7 +158,8 @@
 	lifetime, leave := context.WithCancel(context.Background())
 	defer leave()
 	body := `{"id":"leaver","service":"rider-chat","prompt_tokens":80,"pieces":500}`
-	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost, "http://"+fleet.Routers[0].Node.Address+"/v1/inquiries", strings.NewReader(body))
+	outbound, err := http.NewRequestWithContext(lifetime, http.MethodPost,
+		"http://"+fleet.Routers[0].Node.Address+"/v1/inquiries", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +197,8 @@
 	}
 	file := filepath.Join(t.TempDir(), "usage.parquet")
 	run := func(arguments ...string) (int, string) {
-		command := exec.Command(filepath.Join(binaries, "controller"), append(arguments, "--to", strings.Join(addresses, ","))...)
+		command := exec.Command(filepath.Join(binaries, "controller"),
+			append(arguments, "--to", strings.Join(addresses, ","))...)
 		output, _ := command.CombinedOutput()
 		return command.ProcessState.ExitCode(), string(output)
 	}
@@ -254,7 +265,8 @@
 
 // TestSettingsNameAllMistakesAtOnce starts programs with bad settings.
 func TestSettingsNameAllMistakesAtOnce(t *testing.T) {
-	output, err := exec.Command(filepath.Join(binaries, "router"), "serve", "--name", "not a name", "--address", "here", "--seeds", "127.0.0.1:1,127.0.0.1:1", "--market", "bazaar").CombinedOutput()
+	output, err := exec.Command(filepath.Join(binaries, "router"), "serve", "--name", "not a name", "--address", "here",
+		"--seeds", "127.0.0.1:1,127.0.0.1:1", "--market", "bazaar").CombinedOutput()
 	exit, ended := err.(*exec.ExitError)
 	if !ended || exit.ExitCode() != 2 {
 		t.Fatalf("bad settings ended with %v", err)
@@ -267,7 +279,8 @@
 	if strings.Contains(string(output), "panic") {
 		t.Errorf("a panic:\n%s", output)
 	}
-	if output, err := exec.Command(filepath.Join(binaries, "controller"), "--help").CombinedOutput(); err != nil || !strings.Contains(string(output), "evacuate") {
+	if output, err := exec.Command(filepath.Join(binaries, "controller"), "--help").CombinedOutput(); err != nil || !strings.Contains(string(output),
+		"evacuate") {
 		t.Errorf("help: %v\n%s", err, output)
 	}
 }
@@ -302,9 +315,11 @@
 		arguments []string
 		says      string
 	}{
-		"busy address":              {"router", append([]string{"serve"}, common(busy.Addr().String())...), "address already in use"},
-		"a data folder that is one": {"controller", append([]string{"serve", "--data-folder", file}, common(addresses[0])...), "not a directory"},
-		"a full disk":               {"testbed", append([]string{"script-controller", "--data-folder", filepath.Join(folder, "disk"), "--faults", faults}, common(addresses[0])...), "no space left"},
+		"busy address": {"router", append([]string{"serve"}, common(busy.Addr().String())...), "address already in use"},
+		"a data folder that is one": {"controller", append([]string{"serve", "--data-folder", file},
+			common(addresses[0])...), "not a directory"},
+		"a full disk": {"testbed", append([]string{"script-controller", "--data-folder", filepath.Join(folder, "disk"), "--faults", faults},
+			common(addresses[0])...), "no space left"},
 	} {
 		command := exec.Command(filepath.Join(binaries, want.program), want.arguments...)
 		var output strings.Builder
@@ -322,7 +337,8 @@
 			t.Errorf("%s: stuck", name)
 		}
 		stuck.Stop()
-		if code := command.ProcessState.ExitCode(); code != 1 || !strings.Contains(output.String(), want.says) || strings.Contains(output.String(), "panic") {
+		if code := command.ProcessState.ExitCode(); code != 1 || !strings.Contains(output.String(), want.says) || strings.Contains(output.String(),
+			"panic") {
 			t.Errorf("%s: exit code %d:\n%s", name, code, output.String())
 		}
 	}
--- a/internal/testbed/fleet/nodeprocess.go
+++ b/internal/testbed/fleet/nodeprocess.go
@@ -44,7 +44,8 @@
 	}
 	command := exec.Command(n.binary, "serve", "--settings", settingsPath)
 	if n.scripted {
-		command = exec.Command(filepath.Join(filepath.Dir(n.binary), "testbed"), "script-"+ProgramName(n.Node.Kind), "--settings", settingsPath, "--faults", n.faultsPath())
+		command = exec.Command(filepath.Join(filepath.Dir(n.binary), "testbed"), "script-"+ProgramName(n.Node.Kind),
+			"--settings", settingsPath, "--faults", n.faultsPath())
 	}
 	command.Stdout, command.Stderr = logFile, logFile
 	// The node ends with the test, however that ends.
--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -40,7 +40,8 @@
 
 // Call sends one operator's call to a controller.
 func (o *Operators) Call(node *NodeProcess, method, path string, query url.Values, body string) (Answer, error) {
-	outbound, err := http.NewRequest(method, "http://"+node.Node.Address+path+"?"+query.Encode(), bytes.NewReader([]byte(body)))
+	outbound, err := http.NewRequest(method, "http://"+node.Node.Address+path+"?"+query.Encode(),
+		bytes.NewReader([]byte(body)))
 	if err != nil {
 		return Answer{}, failure.Wrap(failure.Malformed, err)
 	}
@@ -91,7 +92,13 @@
 	}
 	revision := RevisionOf(answer.Configuration)
 	// The read is as old as its asking, for those who judge it.
-	o.fleet.Events.Append(Entry{Kind: RevisionRead, At: time.Now(), Revision: revision, Router: node.Node.Name, Took: time.Since(began)})
+	o.fleet.Events.Append(Entry{
+		Kind:     RevisionRead,
+		At:       time.Now(),
+		Revision: revision,
+		Router:   node.Node.Name,
+		Took:     time.Since(began),
+	})
 	return answer, revision
 }
 
@@ -143,7 +150,8 @@
 func (o *Operators) lookAtRevision(node *NodeProcess) {
 	began := time.Now()
 	body := `{"id":"` + uuid.NewString() + `","service":"edition","pieces":1,"prompt_tokens":1}`
-	inbound, err := probe.Post("http://"+node.Node.Address+"/v1/inquiries", "application/json", bytes.NewReader([]byte(body)))
+	inbound, err := probe.Post("http://"+node.Node.Address+"/v1/inquiries", "application/json",
+		bytes.NewReader([]byte(body)))
 	if err != nil {
 		return
 	}
--- a/internal/testbed/fleet/platform.go
+++ b/internal/testbed/fleet/platform.go
@@ -32,7 +32,12 @@
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	platform := &Platform{events: events, address: listener.Addr().String(), servers: map[string]membership.Server{}, nodes: map[string]membership.Node{}}
+	platform := &Platform{
+		events:  events,
+		address: listener.Addr().String(),
+		servers: map[string]membership.Server{},
+		nodes:   map[string]membership.Node{},
+	}
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/v1/servers"), func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, http.StatusOK, map[string]any{"servers": platform.listServers()})
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -41,31 +41,39 @@
 	standIn.runtime = osruntime.New(standIn.lifetime, osruntime.NewClock())
 	standIn.Engine = NewEngine(plan, events, standIn.runtime, uuid.NewString, standIn.fetchMemory)
 	mux := goji.NewMux()
-	mux.HandleFunc(pat.Get("/v1/load"), func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, http.StatusOK, standIn.Load()) })
-	mux.HandleFunc(pat.Post("/v1/prefill"), takes(standIn, func(connection *Connection, order modelserver.PrefillRequest, writer http.ResponseWriter) {
-		status, content := standIn.Prefill(connection, order)
-		writeJSON(writer, status, content)
-	}))
+	mux.HandleFunc(pat.Get("/v1/load"),
+		func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, http.StatusOK, standIn.Load()) })
+	mux.HandleFunc(pat.Post("/v1/prefill"),
+		takes(standIn, func(connection *Connection, order modelserver.PrefillRequest, writer http.ResponseWriter) {
+			status, content := standIn.Prefill(connection, order)
+			writeJSON(writer, status, content)
+		}))
 	mux.HandleFunc(pat.Post("/v1/decode"), takes(standIn, standIn.decode))
-	mux.HandleFunc(pat.Post("/v1/memory"), takes(standIn, func(_ *Connection, question MemoryQuestion, writer http.ResponseWriter) {
-		status, content := standIn.GiveMemory(question)
-		writeJSON(writer, status, content)
-	}))
-	mux.HandleFunc(pat.Post("/v1/cancel"), takes(standIn, func(_ *Connection, order modelserver.CancelRequest, writer http.ResponseWriter) {
-		standIn.Cancel(order)
-		writeJSON(writer, http.StatusOK, map[string]bool{"cancelled": true})
-	}))
-	mux.HandleFunc(pat.Post("/v1/part"), takes(standIn, func(_ *Connection, order modelserver.PartRequest, writer http.ResponseWriter) {
-		status, content := standIn.TakePart(order)
-		writeJSON(writer, status, content)
-	}))
+	mux.HandleFunc(pat.Post("/v1/memory"),
+		takes(standIn, func(_ *Connection, question MemoryQuestion, writer http.ResponseWriter) {
+			status, content := standIn.GiveMemory(question)
+			writeJSON(writer, status, content)
+		}))
+	mux.HandleFunc(pat.Post("/v1/cancel"),
+		takes(standIn, func(_ *Connection, order modelserver.CancelRequest, writer http.ResponseWriter) {
+			standIn.Cancel(order)
+			writeJSON(writer, http.StatusOK, map[string]bool{"cancelled": true})
+		}))
+	mux.HandleFunc(pat.Post("/v1/part"),
+		takes(standIn, func(_ *Connection, order modelserver.PartRequest, writer http.ResponseWriter) {
+			status, content := standIn.TakePart(order)
+			writeJSON(writer, status, content)
+		}))
 	standIn.server = &http.Server{Handler: standIn.silenceWhileDark(mux), BaseContext: func(net.Listener) context.Context { return standIn.lifetime }}
 	go func() { _ = standIn.server.Serve(listener) }()
 	return standIn, nil
 }
 
 // takes reads an order whole before anything is done for it.
-func takes[Order any](standIn *StandIn, act func(connection *Connection, order Order, writer http.ResponseWriter)) http.HandlerFunc {
+func takes[Order any](
+	standIn *StandIn,
+	act func(connection *Connection, order Order, writer http.ResponseWriter),
+) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
 		var order Order
 		content, err := io.ReadAll(inbound.Body)
@@ -149,7 +157,8 @@
 	}
 	asking, end := context.WithTimeout(s.lifetime, 2*time.Second)
 	defer end()
-	outbound, err := http.NewRequestWithContext(asking, http.MethodPost, "http://"+address+"/v1/memory", bytes.NewReader(body))
+	outbound, err := http.NewRequestWithContext(asking, http.MethodPost, "http://"+address+"/v1/memory",
+		bytes.NewReader(body))
 	if err != nil {
 		return MemoryAnswer{}, http.StatusBadRequest
 	}
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -109,7 +109,9 @@
 	for _, final := range finals {
 		_, _ = fmt.Fprintf(&text, "replies  %-40s %6d\n", final, v.Replies[final])
 	}
-	_, _ = fmt.Fprintf(&text, "complete %.1f%%, median %s, 95th of 100 %s, longest without one %s, violations %d\n", 100*v.Share, v.Median.Round(time.Millisecond), v.Tail.Round(time.Millisecond), v.Gap.Round(time.Millisecond), v.Violations())
+	_, _ = fmt.Fprintf(&text, "complete %.1f%%, median %s, 95th of 100 %s, longest without one %s, violations %d\n",
+		100*v.Share, v.Median.Round(time.Millisecond), v.Tail.Round(time.Millisecond), v.Gap.Round(time.Millisecond),
+		v.Violations())
 	return text.String()
 }
 
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -86,8 +86,14 @@
 	for number := 0; w.now < until; number++ {
 		w.outside.NewCond().Wait(min(time.Second, time.Duration(w.random.ExpFloat64()/20*float64(time.Second))), never)
 		c := &worldCall{world: w, idempotent: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
-		c.call = &scheduler.Call{ID: "call-" + strconv.Itoa(number), Host: "calls", Path: "/once/x", PromptTokens: 100 + w.random.IntN(12_000), OutputTokens: 400,
-			Segments: []scheduler.Segment{{ID: 1, Tokens: 50}, {ID: uint64(10 + w.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}}}
+		c.call = &scheduler.Call{
+			ID:           "call-" + strconv.Itoa(number),
+			Host:         "calls",
+			Path:         "/once/x",
+			PromptTokens: 100 + w.random.IntN(12_000),
+			OutputTokens: 400,
+			Segments:     []scheduler.Segment{{ID: 1, Tokens: 50}, {ID: uint64(10 + w.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}},
+		}
 		if c.idempotent {
 			c.call.Path = "/again/x"
 		}
@@ -219,9 +225,10 @@
 
 // Read has a server read the prompt.
 func (c *callExchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	sending := c.send(decision.Server, func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
-		return there.read(engine, connection, c.call, decision.Server.Name)
-	})
+	sending := c.send(decision.Server,
+		func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
+			return there.read(engine, connection, c.call, decision.Server.Name)
+		})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreachable}
 	}
@@ -243,9 +250,10 @@
 // Run has a server make the answer and passes it on.
 func (c *callExchange) Run(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
 	last := c.passed
-	sending := c.send(decision.Server, func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
-		return there.run(engine, connection, c.call, decision.Server.Name, decision.Source, last, send)
-	})
+	sending := c.send(decision.Server,
+		func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
+			return there.run(engine, connection, c.call, decision.Server.Name, decision.Source, last, send)
+		})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreachable}
 	}
--- a/internal/testbed/simulation/calls_test.go
+++ b/internal/testbed/simulation/calls_test.go
@@ -25,7 +25,9 @@
 		w.SetSettings(ways)
 		result := w.Run(DefaultDay())
 		calls := result.Calls
-		t.Logf("seed %d: %d sent, %d complete, %d refused, %d failed, %d broken, %d runs, last %d of %d", seed, calls.Sent, calls.Complete, calls.Refused, calls.Failed, calls.Broken, calls.Runs, calls.Returned, calls.Last)
+		t.Logf("seed %d: %d sent, %d complete, %d refused, %d failed, %d broken, %d runs, last %d of %d", seed,
+			calls.Sent, calls.Complete, calls.Refused, calls.Failed, calls.Broken, calls.Runs, calls.Returned,
+			calls.Last)
 		for _, violation := range calls.Violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
@@ -35,7 +37,8 @@
 			t.Errorf("seed %d, whole %v\n%s", seed, result.Restored, result.Verdict)
 		}
 		if calls.Complete < calls.Sent/2 || calls.Returned < calls.Last/2 {
-			t.Errorf("seed %d: only %d of %d calls were complete, of the last %d of %d", seed, calls.Complete, calls.Sent, calls.Returned, calls.Last)
+			t.Errorf("seed %d: only %d of %d calls were complete, of the last %d of %d", seed, calls.Complete,
+				calls.Sent, calls.Returned, calls.Last)
 		}
 		for what, times := range result.Encounters {
 			tempted[what] += times
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -69,7 +69,15 @@
 }
 
 // run makes a stream, behind the event that its origin had last.
-func (c *callServer) run(engine *fleet.Engine, connection *fleet.Connection, w *worldCall, name string, source *scheduler.Source, last int, send func(any) bool) any {
+func (c *callServer) run(
+	engine *fleet.Engine,
+	connection *fleet.Connection,
+	w *worldCall,
+	name string,
+	source *scheduler.Source,
+	last int,
+	send func(any) bool,
+) any {
 	switch {
 	case name != c.name || engine.Part() != "decode":
 		return callRefusal{misdirected}
@@ -128,7 +136,10 @@
 
 // send sends a call to a server and gives what it answers to the pipe; nil means
 // that certainly nothing went.
-func (c *callExchange) send(s membership.Server, serve func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any) *callSending {
+func (c *callExchange) send(
+	s membership.Server,
+	serve func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any,
+) *callSending {
 	world, here := c.incarnation.world, c.incarnation
 	to := world.nameAt(s.Address)
 	sending := &callSending{replies: newPipe(world, to, here.name, here)}
@@ -149,7 +160,8 @@
 				conn.Wait(time.Minute)
 				return
 			}
-			answer := serve(there.calls, there.engine, conn, func(message any) bool { return !sending.quit && sending.replies.put(message) })
+			answer := serve(there.calls, there.engine, conn,
+				func(message any) bool { return !sending.quit && sending.replies.put(message) })
 			forgetServer()
 			switch {
 			case answer == nil:
--- a/internal/testbed/simulation/campaign.go
+++ b/internal/testbed/simulation/campaign.go
@@ -52,7 +52,13 @@
 
 // Run runs all days; told is called for each, one at a time.
 func (c *Campaign) Run(observe func(seed uint64, result Result)) Counter {
-	counter := Counter{Violations: map[string]int{}, Encounters: map[string]int{}, DaysWith: map[string]int{}, Lowest: 1, Longest: map[string]float64{}}
+	counter := Counter{
+		Violations: map[string]int{},
+		Encounters: map[string]int{},
+		DaysWith:   map[string]int{},
+		Lowest:     1,
+		Longest:    map[string]float64{},
+	}
 	var mutex sync.Mutex
 	var working sync.WaitGroup
 	next := c.First
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -24,10 +24,17 @@
 		}
 		w.number++
 		zone := w.deployment.Zones[w.random.IntN(len(w.deployment.Zones))]
-		question := fleet.Question{ID: w.requestID(), Service: kind.Service, Client: "origin-" + strconv.Itoa(w.number%50), Idempotent: w.random.Float64() >= 0.4,
-			Limit: 15_000, PromptTokens: kind.LeastTokens + w.random.IntN(kind.MostTokens-kind.LeastTokens),
-			Prefix: kind.Service + "-" + strconv.Itoa(w.random.IntN(kind.Prefixes)), PrefixTokens: kind.PrefixTokens,
-			Chunks: kind.LeastChunks + w.random.IntN(kind.MostChunks-kind.LeastChunks)}
+		question := fleet.Question{
+			ID:           w.requestID(),
+			Service:      kind.Service,
+			Client:       "origin-" + strconv.Itoa(w.number%50),
+			Idempotent:   w.random.Float64() >= 0.4,
+			Limit:        15_000,
+			PromptTokens: kind.LeastTokens + w.random.IntN(kind.MostTokens-kind.LeastTokens),
+			Prefix:       kind.Service + "-" + strconv.Itoa(w.random.IntN(kind.Prefixes)),
+			PrefixTokens: kind.PrefixTokens,
+			Chunks:       kind.LeastChunks + w.random.IntN(kind.MostChunks-kind.LeastChunks),
+		}
 		w.outside.Go(func() { w.runClient(question, zone) })
 	}
 }
@@ -114,8 +121,15 @@
 // send sends one request to a router and writes its reply down.
 func (w *World) send(m *machine, zone string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
 	began := w.now
-	entry := fleet.Entry{Request: question.ID, Router: m.name, Service: question.Service, Idempotent: question.Idempotent, Asked: question.Chunks,
-		Arrival: arrival, Zone: zone}
+	entry := fleet.Entry{
+		Request:    question.ID,
+		Router:     m.name,
+		Service:    question.Service,
+		Idempotent: question.Idempotent,
+		Asked:      question.Chunks,
+		Arrival:    arrival,
+		Zone:       zone,
+	}
 	sent := entry
 	sent.Kind = fleet.Sent
 	w.Events.Append(sent)
@@ -192,7 +206,14 @@
 func (w *World) readRevision(m *machine) {
 	began := w.now
 	entry := fleet.Entry{}
-	question := fleet.Question{ID: "look-" + w.nonce(), Service: "edition", Idempotent: true, Limit: 1000, PromptTokens: 1, Chunks: 1}
+	question := fleet.Question{
+		ID:           "look-" + w.nonce(),
+		Service:      "edition",
+		Idempotent:   true,
+		Limit:        1000,
+		PromptTokens: 1,
+		Chunks:       1,
+	}
 	body, _ := json.Marshal(question)
 	there, conduct := m.incarnation, m.router
 	// A restricted router passes on: what one sees there is another's.
--- a/internal/testbed/simulation/coretrial.go
+++ b/internal/testbed/simulation/coretrial.go
@@ -121,7 +121,11 @@
 			m.requested++
 			change := "mark-" + strconv.Itoa(m.requested)
 			world.outside.Go(func() {
-				edit := controlplane.Edit{Change: change, Digest: change, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, change, "rehearsal") }}
+				edit := controlplane.Edit{
+					Change: change,
+					Digest: change,
+					Apply:  func(text []byte) ([]byte, error) { return config.Evacuate(text, change, "rehearsal") },
+				}
 				if world.editSomewhere(edit) {
 					over = true
 					m.acknowledged = append(m.acknowledged, change)
--- a/internal/testbed/simulation/coretrial_test.go
+++ b/internal/testbed/simulation/coretrial_test.go
@@ -30,7 +30,8 @@
 					}
 				}
 				slices.Sort(took)
-				t.Logf("%s, %s, %d seeds: median %s, worst %s", name, fault, count, took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
+				t.Logf("%s, %s, %d seeds: median %s, worst %s", name, fault, count,
+					took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
 			})
 		}
 	}
--- a/internal/testbed/simulation/faults_core.go
+++ b/internal/testbed/simulation/faults_core.go
@@ -195,7 +195,8 @@
 func wipeAmidPowerLoss(wiped int) func(w *World) time.Duration {
 	return func(w *World) time.Duration {
 		machines := w.nodes(membership.Controller)
-		w.random.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
+		w.random.Shuffle(len(machines),
+			func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
 		if wiped > 0 && w.random.IntN(2) == 0 {
 			// The one that answered last is among them.
 			primary := w.primary()
@@ -288,7 +289,8 @@
 			seeds = append(seeds, other.address)
 		}
 	}
-	added := w.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.zone, append(seeds, old.address)[:3])
+	added := w.addMachine(membership.Controller, "expediter-"+number, "10.0.2."+number+":1", old.zone,
+		append(seeds, old.address)[:3])
 	w.start(added)
 	return added
 }
@@ -340,6 +342,7 @@
 
 func (w *World) anyTwo() []*machine {
 	machines := w.nodes(membership.Controller)
-	w.random.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
+	w.random.Shuffle(len(machines),
+		func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
 	return machines[:2]
 }
--- a/internal/testbed/simulation/faults_nodes.go
+++ b/internal/testbed/simulation/faults_nodes.go
@@ -195,7 +195,8 @@
 		return
 	}
 	number := strconv.Itoa(len(world.machines) + 1)
-	added := world.addMachine(membership.Router, "courier-"+number, "10.0.1."+number+":1", world.anyZone(), world.machines[0].seeds)
+	added := world.addMachine(membership.Router, "courier-"+number, "10.0.1."+number+":1", world.anyZone(),
+		world.machines[0].seeds)
 	if world.random.IntN(3) == 0 {
 		added.withheld = features.List{features.PairPrice}
 	}
--- a/internal/testbed/simulation/forwarding.go
+++ b/internal/testbed/simulation/forwarding.go
@@ -16,7 +16,13 @@
 type forwarder struct{ incarnation *incarnation }
 
 // Forward sends a request on and gives the records of its reply to take.
-func (p *forwarder) Forward(address string, forwarding wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) bool {
+func (p *forwarder) Forward(
+	address string,
+	forwarding wire.Forwarding,
+	body []byte,
+	whenLeft func(act func()),
+	take func(record codec.Record) bool,
+) bool {
 	here, world := p.incarnation, p.incarnation.world
 	to := world.nameAt(address)
 	replies := newPipe(world, to, here.name, here)
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -116,8 +116,10 @@
 			w.lose(incident, []*machine{w.anyNode(membership.Router)}, 15*time.Second)
 		}
 	})
-	record(Incident{Name: "the primary's machine lost"}, func(incident *Incident) { w.lose(incident, []*machine{w.primary()}, lost) })
-	record(Incident{Name: "the backup's machine lost"}, func(incident *Incident) { w.lose(incident, []*machine{w.backup()}, lost) })
+	record(Incident{Name: "the primary's machine lost"},
+		func(incident *Incident) { w.lose(incident, []*machine{w.primary()}, lost) })
+	record(Incident{Name: "the backup's machine lost"},
+		func(incident *Incident) { w.lose(incident, []*machine{w.backup()}, lost) })
 	record(Incident{Name: "a rack of ten nodes and the backup lost"}, func(incident *Incident) {
 		gone := []*machine{w.backup()}
 		for _, m := range w.nodes(membership.Router) {
@@ -223,7 +225,12 @@
 // nowhere is a change that takes nothing away: it evacuates a zone that is not there,
 // or restores it.
 func (w *World) nowhere(name string, number int) controlplane.Edit {
-	edit := controlplane.Edit{Change: name + "-" + w.nonce(), Digest: name, ValidatesItself: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") }}
+	edit := controlplane.Edit{
+		Change: name + "-" + w.nonce(),
+		Digest: name,
+		Sound:  true,
+		Apply:  func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") },
+	}
 	if number%2 == 1 {
 		edit.Apply = func(text []byte) ([]byte, error) { return config.Restore(text, name) }
 	}
@@ -237,7 +244,11 @@
 		text += `"route-` + strconv.Itoa(number+1) + `":{"order":7,"match":{"service":"chat","prefix":"prefix-` + strconv.Itoa(number+1) + `"},"to":{"home_first":true}},`
 	}
 	text += `"all":{"order":9,"to":{"home_first":true}}}}`
-	return controlplane.Edit{Change: "first", Digest: "first", Apply: func([]byte) ([]byte, error) { return []byte(text), nil }}
+	return controlplane.Edit{
+		Change: "first",
+		Digest: "first",
+		Apply:  func([]byte) ([]byte, error) { return []byte(text), nil },
+	}
 }
 
 // changed makes a change over and over until one is accepted, and tells how long that
@@ -333,7 +344,8 @@
 
 // WriteIncidents writes incidents as a table.
 func WriteIncidents(target io.Writer, incidents []Incident) error {
-	if _, err := fmt.Fprintln(target, "| what | times | led again | duties moved | change in force, mean | longest | all held | core whole | looked at | messages | bytes | at rest in this time, messages | bytes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"); err != nil {
+	if _, err := fmt.Fprintln(target,
+		"| what | times | led again | duties moved | change in force, mean | longest | all held | core whole | looked at | messages | bytes | at rest in this time, messages | bytes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"); err != nil {
 		return err
 	}
 	seconds := func(length time.Duration) string {
@@ -346,7 +358,8 @@
 		return strconv.FormatFloat(length.Seconds(), 'f', 2, 64) + " s"
 	}
 	for _, incident := range incidents {
-		if _, err := fmt.Fprintf(target, "| %s | %d | %s | %s | %s | %s | %s | %s | %s | %d | %d kB | %d | %d kB |\n", incident.Name, incident.Times, seconds(incident.Led), seconds(incident.Moved),
+		if _, err := fmt.Fprintf(target, "| %s | %d | %s | %s | %s | %s | %s | %s | %s | %d | %d kB | %d | %d kB |\n",
+			incident.Name, incident.Times, seconds(incident.Led), seconds(incident.Moved),
 			seconds(incident.InForceMean), seconds(incident.InForce), seconds(incident.Held), seconds(incident.Whole), seconds(incident.Span), incident.Traffic.Messages, incident.Traffic.Bytes/1000,
 			incident.Rest.Messages, incident.Rest.Bytes/1000); err != nil {
 			return err
--- a/internal/testbed/simulation/incident_test.go
+++ b/internal/testbed/simulation/incident_test.go
@@ -11,7 +11,15 @@
 // TestIncidentsOfAFleetInRegions lets a small fleet in two regions meet each incident
 // twice over: the same seed gives the same figures, and everything comes back.
 func TestIncidentsOfAFleetInRegions(t *testing.T) {
-	layout := Layout{Zones: [][]string{{"east-1", "east-2"}, {"west-1", "west-2"}, {"north-1"}}, Between: 20 * time.Millisecond, Routers: 5, Servers: 6, Controllers: 6, BorneLosses: 1, Routes: 5}
+	layout := Layout{
+		Zones:       [][]string{{"east-1", "east-2"}, {"west-1", "west-2"}, {"north-1"}},
+		Between:     20 * time.Millisecond,
+		Routers:     5,
+		Servers:     6,
+		Controllers: 6,
+		BorneLosses: 1,
+		Routes:      5,
+	}
 	first := NewLaidOut(layout, 3).Incidents(8*time.Second, 1)
 	again := NewLaidOut(layout, 3).Incidents(8*time.Second, 1)
 	if !reflect.DeepEqual(first, again) {
--- a/internal/testbed/simulation/layout.go
+++ b/internal/testbed/simulation/layout.go
@@ -28,8 +28,15 @@
 
 // FutureLayout is the fleet of two years from now.
 func FutureLayout() Layout {
-	return Layout{Zones: [][]string{{"east-1", "east-2", "east-3"}, {"west-1", "west-2", "west-3"}, {"north-1", "north-2", "north-3"}, {"south-1", "south-2"}},
-		Between: 20 * time.Millisecond, Routers: 324, Servers: 1100, Controllers: 6, BorneLosses: 1, Routes: 300}
+	return Layout{
+		Zones:       [][]string{{"east-1", "east-2", "east-3"}, {"west-1", "west-2", "west-3"}, {"north-1", "north-2", "north-3"}, {"south-1", "south-2"}},
+		Between:     20 * time.Millisecond,
+		Routers:     324,
+		Servers:     1100,
+		Controllers: 6,
+		BorneLosses: 1,
+		Routes:      300,
+	}
 }
 
 // zones are all zones, one of each region in turn.
@@ -72,7 +79,8 @@
 		seeds = append(seeds, "10.0.0."+strconv.Itoa(position+1)+":1")
 	}
 	for position := range layout.Controllers {
-		world.addMachine(membership.Controller, "expediter-"+strconv.Itoa(position+1), "10.0.0."+strconv.Itoa(position+1)+":1", zones[position%len(zones)], seeds)
+		world.addMachine(membership.Controller, "expediter-"+strconv.Itoa(position+1),
+			"10.0.0."+strconv.Itoa(position+1)+":1", zones[position%len(zones)], seeds)
 	}
 	for position := range layout.Routers {
 		address := "10.2." + strconv.Itoa(position/250) + "." + strconv.Itoa(position%250+1) + ":1"
@@ -80,7 +88,11 @@
 	}
 	for position := range layout.Servers {
 		name := "stove-" + strconv.Itoa(position+1)
-		world.platform.servers[name] = membership.Server{Name: name, Address: "10.3." + strconv.Itoa(position/250) + "." + strconv.Itoa(position%250+1) + ":1", Zone: zones[position%len(zones)]}
+		world.platform.servers[name] = membership.Server{
+			Name:    name,
+			Address: "10.3." + strconv.Itoa(position/250) + "." + strconv.Itoa(position%250+1) + ":1",
+			Zone:    zones[position%len(zones)],
+		}
 	}
 	return world
 }
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -87,7 +87,13 @@
 	if answered.outcome == unknownOutcome {
 		e = math.MaxInt64 / 2
 	}
-	o.operations = append(o.operations, porcupine.Operation{ClientId: c, Input: asked, Output: answered, Call: from.Nanoseconds(), Return: e})
+	o.operations = append(o.operations, porcupine.Operation{
+		ClientId: c,
+		Input:    asked,
+		Output:   answered,
+		Call:     from.Nanoseconds(),
+		Return:   e,
+	})
 }
 
 // anyControl is a controller that runs, whether it leads or not.
@@ -127,7 +133,11 @@
 		if m.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
-		return m.control.Edit(controlplane.Edit{BaseRevision: &asked.builds, Digest: text, Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
+		return m.control.Edit(controlplane.Edit{
+			Builds: &asked.builds,
+			Digest: text,
+			Apply:  func([]byte) ([]byte, error) { return []byte(text), nil },
+		})
 	})
 	if err == nil {
 		o.note(c, asked, changeOutput{outcome: acceptedOutcome}, began)
@@ -276,7 +286,8 @@
 		"two on one base":        {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: order(1, 0), Output: says(acceptedOutcome)}},
 		"sent again and refused": {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: order(0, 0), Output: says(conflictOutcome)}},
 		"an old read":            {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: changeInput{read: true}, Output: read(0)}},
-		"made twice":             {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: order(1, 1), Output: says(acceptedOutcome)}, {Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: changeInput{read: true}, Output: read(1)}},
+		"made twice": {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: order(1, 1), Output: says(acceptedOutcome)}, {Input: order(0,
+			0), Output: says(acceptedOutcome)}, {Input: changeInput{read: true}, Output: read(1)}},
 		"refused by an old base": {{Input: order(0, 0), Output: says(conflictOutcome)}},
 	} {
 		for position := range steps {
--- a/internal/testbed/simulation/modelservers.go
+++ b/internal/testbed/simulation/modelservers.go
@@ -54,7 +54,11 @@
 
 // order sends one order to a server and returns its exchange, or nil when it
 // certainly did not go.
-func (m *serverClient) order(decision auction.Decision, may func() bool, serve func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any)) *serverExchange {
+func (m *serverClient) order(
+	decision auction.Decision,
+	may func() bool,
+	serve func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any),
+) *serverExchange {
 	world := m.incarnation.world
 	m.dial()
 	if !may() {
@@ -148,7 +152,14 @@
 // Prefill has a server read a prompt.
 func (m *serverClient) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
-	order := modelserver.PrefillRequest{Request: request.ID, Order: decision.Token, Run: decision.Run, PromptTokens: request.PromptTokens, Prefix: request.Prefix, PrefixTokens: request.PrefixTokens}
+	order := modelserver.PrefillRequest{
+		Request:      request.ID,
+		Order:        decision.Token,
+		Run:          decision.Run,
+		PromptTokens: request.PromptTokens,
+		Prefix:       request.Prefix,
+		PrefixTokens: request.PrefixTokens,
+	}
 	begun := m.order(decision, may, func(engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
 		return engine.Prefill(connection, order)
 	})
@@ -167,17 +178,29 @@
 }
 
 // Decode has a server answer.
-func (m *serverClient) Decode(decision auction.Decision, may func() bool, take func(chunk int, text string)) (auction.Outcome, int, string) {
+func (m *serverClient) Decode(
+	decision auction.Decision,
+	may func() bool,
+	take func(chunk int, text string),
+) (auction.Outcome, int, string) {
 	request := decision.Request
-	order := modelserver.DecodeRequest{Request: request.ID, Order: decision.Token, Run: decision.Run, Handle: decision.Handle, Source: decision.SourceAddress, Chunks: request.Chunks}
-	begun := m.order(decision, may, func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
-		return engine.Decode(connection, order, func(line modelserver.DecodeChunk) error {
-			if !send(line) {
-				return failure.New(failure.Unreachable, "the courier is gone")
-			}
-			return nil
+	order := modelserver.DecodeRequest{
+		Request: request.ID,
+		Order:   decision.Token,
+		Run:     decision.Run,
+		Handle:  decision.Handle,
+		Source:  decision.SourceAddress,
+		Chunks:  request.Chunks,
+	}
+	begun := m.order(decision, may,
+		func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
+			return engine.Decode(connection, order, func(line modelserver.DecodeChunk) error {
+				if !send(line) {
+					return failure.New(failure.Unreachable, "the courier is gone")
+				}
+				return nil
+			})
 		})
-	})
 	if begun == nil {
 		return auction.OutcomeNotStarted, 0, "nothing was sent"
 	}
@@ -208,11 +231,16 @@
 	if !may() {
 		return failure.New(failure.DeadlinePassed, "the command may not go any more")
 	}
-	order := modelserver.PartRequest{Part: string(decision.ServerRole), FencingToken: decision.Role.FencingToken, Holder: decision.Role.Holder}
+	order := modelserver.PartRequest{
+		Part:         string(decision.ServerRole),
+		FencingToken: decision.Role.FencingToken,
+		Holder:       decision.Role.Holder,
+	}
 	if decision.Order != nil {
 		order.Cause = decision.Order.Cause
 	}
-	_, err := m.incarnation.askServer(decision.Address, time.Second, func(engine *fleet.Engine) (int, any) { return engine.TakePart(order) })
+	_, err := m.incarnation.askServer(decision.Address, time.Second,
+		func(engine *fleet.Engine) (int, any) { return engine.TakePart(order) })
 	return err
 }
 
@@ -237,7 +265,11 @@
 }
 
 // askServer has a server answer one short question.
-func (i *incarnation) askServer(address string, patience time.Duration, serve func(engine *fleet.Engine) (int, any)) (any, error) {
+func (i *incarnation) askServer(
+	address string,
+	patience time.Duration,
+	serve func(engine *fleet.Engine) (int, any),
+) (any, error) {
 	world := i.world
 	to := world.nameAt(address)
 	return i.call(to, patience, func(there *incarnation) (any, error) {
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -120,7 +120,11 @@
 	}
 	o := w.edit(controlplane.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
 		Apply: func(text []byte) ([]byte, error) { return config.Merge(text, []byte(patch)) }})
-	kinds := map[string]fleet.EntryKind{"accepted": fleet.RevisionAccepted, "refused": fleet.RevisionRefused, "unknown": fleet.RevisionUnknown}
+	kinds := map[string]fleet.EntryKind{
+		"accepted": fleet.RevisionAccepted,
+		"refused":  fleet.RevisionRefused,
+		"unknown":  fleet.RevisionUnknown,
+	}
 	w.Events.Append(fleet.Entry{Kind: kinds[o], Revision: revision})
 	return o == "accepted"
 }
@@ -141,7 +145,11 @@
 		w.encounter("answers under way at an evacuation")
 	}
 	w.Events.Append(fleet.Entry{Kind: fleet.EvacuationAsked, Zone: zone})
-	o := w.edit(controlplane.Edit{Change: "evacuate-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") }})
+	o := w.edit(controlplane.Edit{
+		Change: "evacuate-" + w.nonce(),
+		Digest: zone,
+		Apply:  func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") },
+	})
 	w.tracef("evacuate %s: %s", zone, o)
 	if o == "accepted" {
 		w.Events.Append(fleet.Entry{Kind: fleet.Evacuated, Zone: zone})
@@ -149,7 +157,11 @@
 	w.outside.NewCond().Wait(length, never)
 	for range 40 {
 		w.Events.Append(fleet.Entry{Kind: fleet.RestoreAsked, Zone: zone})
-		if w.edit(controlplane.Edit{Change: "restore-" + w.nonce(), Digest: zone, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, zone) }}) == "accepted" {
+		if w.edit(controlplane.Edit{
+			Change: "restore-" + w.nonce(),
+			Digest: zone,
+			Apply:  func(text []byte) ([]byte, error) { return config.Restore(text, zone) },
+		}) == "accepted" {
 			return
 		}
 		w.outside.NewCond().Wait(700*time.Millisecond, never)
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -89,6 +89,12 @@
 func (l directory) Report(s membership.Server, patience time.Duration) (scheduler.Load, error) {
 	l.world.reportReads++
 	load, err := l.ask(s, patience)
-	return scheduler.Load{Server: load.Server, Role: string(load.Role), Waiting: load.PrefillWaiting, Running: load.DecodeActive,
-		MemoryUsed: load.MemoryTotal - load.MemoryFree, MemoryTotal: load.MemoryTotal}, err
+	return scheduler.Load{
+		Server:      load.Server,
+		Role:        string(load.Role),
+		Waiting:     load.PrefillWaiting,
+		Running:     load.DecodeActive,
+		MemoryUsed:  load.MemoryTotal - load.MemoryFree,
+		MemoryTotal: load.MemoryTotal,
+	}, err
 }
--- a/internal/testbed/simulation/settings.go
+++ b/internal/testbed/simulation/settings.go
@@ -36,7 +36,14 @@
 
 // PlatformSettings are those of the users' platform.
 func PlatformSettings() Settings {
-	return Settings{AcknowledgeWait: 600 * time.Millisecond, ServeWithoutLease: 24 * time.Hour, RetireAfter: 20 * time.Second, FormOnce: true, NoNodes: true, Calls: true}
+	return Settings{
+		AcknowledgeWait:   600 * time.Millisecond,
+		ServeWithoutLease: 24 * time.Hour,
+		RetireAfter:       20 * time.Second,
+		FormOnce:          true,
+		NoNodes:           true,
+		Calls:             true,
+	}
 }
 
 // SetSettings chooses them, before the fleet starts.
--- a/internal/testbed/simulation/settings_test.go
+++ b/internal/testbed/simulation/settings_test.go
@@ -264,7 +264,8 @@
 		"frozen":     func(_ *World, primary *machine) { primary.incarnation.freeze() },
 		"cut off":    func(w *World, primary *machine) { w.cutOff(primary.name, true) },
 		"cut from the core": func(w *World, primary *machine) {
-			w.cutOff(primary.name, true, "courier-1", "courier-2", "courier-3", "courier-4", "courier-5", "courier-6", "courier-7")
+			w.cutOff(primary.name, true, "courier-1", "courier-2", "courier-3", "courier-4", "courier-5", "courier-6",
+				"courier-7")
 		},
 		"its answers lost": func(w *World, primary *machine) {
 			for _, other := range w.machines {
--- a/internal/testbed/simulation/settingsdays_test.go
+++ b/internal/testbed/simulation/settingsdays_test.go
@@ -84,7 +84,8 @@
 			w.outside.Go(touching.watch)
 			result := w.Run(DefaultDay())
 			if touching.late > 0 || !result.Restored || result.TwoPrimaries > 0 || len(touching.answered) < 5 {
-				t.Errorf("seed %d: %d looks at a courier in touch without an answered change, whole %v, two primaries at once %d times, %d changes", seed, touching.late, result.Restored, result.TwoPrimaries, len(touching.answered))
+				t.Errorf("seed %d: %d looks at a courier in touch without an answered change, whole %v, two primaries at once %d times, %d changes",
+					seed, touching.late, result.Restored, result.TwoPrimaries, len(touching.answered))
 			}
 			for _, finding := range result.Verdict.Findings {
 				if finding.Violations > 0 && finding.Checker != "an accepted configuration is in force" {
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -99,9 +99,22 @@
 
 // New lays a world out: the deployment's machines and servers, all cold.
 func New(deployment fleet.Deployment, seed uint64) *World {
-	world := &World{deployment: deployment, random: rand.New(rand.NewPCG(seed, 0x5ea)), byAddress: map[string]string{}, incarnations: map[string]*incarnation{},
-		servers: map[string]*modelServer{}, links: map[[2]string]*link{}, encounters: map[string]int{}, seenKeys: map[string]bool{}, claiming: map[string]int{}, evacuating: map[string]bool{},
-		calls: &CallCounter{}, trace: sha256.New(), traffic: map[string]Traffic{}, Log: func(string) {}}
+	world := &World{
+		deployment:   deployment,
+		random:       rand.New(rand.NewPCG(seed, 0x5ea)),
+		byAddress:    map[string]string{},
+		incarnations: map[string]*incarnation{},
+		servers:      map[string]*modelServer{},
+		links:        map[[2]string]*link{},
+		encounters:   map[string]int{},
+		seenKeys:     map[string]bool{},
+		claiming:     map[string]int{},
+		evacuating:   map[string]bool{},
+		calls:        &CallCounter{},
+		trace:        sha256.New(),
+		traffic:      map[string]Traffic{},
+		Log:          func(string) {},
+	}
 	world.Events = &fleet.EventLog{Clock: func() time.Time { return epoch.Add(world.now) }}
 	world.platform.servers = map[string]membership.Server{}
 	world.outside = world.newIncarnation("outside", "outside", 0)
@@ -126,7 +139,14 @@
 }
 
 func (w *World) addMachine(kind membership.NodeKind, name, address, zone string, seeds []string) *machine {
-	added := &machine{name: name, kind: kind, address: address, zone: zone, seeds: seeds, drift: (w.random.Float64() - 0.5) / 25}
+	added := &machine{
+		name:    name,
+		kind:    kind,
+		address: address,
+		zone:    zone,
+		seeds:   seeds,
+		drift:   (w.random.Float64() - 0.5) / 25,
+	}
 	if kind == membership.Controller {
 		added.disk = newDisk(w)
 	}
@@ -200,8 +220,12 @@
 	address := "10.1." + strconv.FormatUint(w.nonces>>8, 10) + "." + strconv.FormatUint(w.nonces&0xff, 10) + ":1"
 	begun := w.newIncarnation(plan.Name, address, 0)
 	w.byAddress[address] = plan.Name
-	w.servers[plan.Name] = &modelServer{plan: plan, incarnation: begun, engine: fleet.NewEngine(plan, w.Events, begun, w.nonce, w.fetchFrom(begun)),
-		calls: &callServer{world: w, name: plan.Name, handles: map[string]*callMemory{}}}
+	w.servers[plan.Name] = &modelServer{
+		plan:        plan,
+		incarnation: begun,
+		engine:      fleet.NewEngine(plan, w.Events, begun, w.nonce, w.fetchFrom(begun)),
+		calls:       &callServer{world: w, name: plan.Name, handles: map[string]*callMemory{}},
+	}
 	w.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, Zone: plan.Zone}
 }
 
@@ -233,8 +257,14 @@
 		return
 	}
 	servers := &serverClient{incarnation: begun, running: map[string]*serverExchange{}}
-	options := dataplane.Options{Options: seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedRoles: w.fixedParts}, Address: m.address,
-		Seeds: m.seeds, Nonce: w.nonce, Ended: endedHere, Directory: directory{w, begun}}
+	options := dataplane.Options{
+		Options:   seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedRoles: w.fixedParts},
+		Address:   m.address,
+		Seeds:     m.seeds,
+		Nonce:     w.nonce,
+		Ended:     endedHere,
+		Directory: directory{w, begun},
+	}
 	options.ServeWithoutLease = w.settings.ServeWithoutLease
 	if w.settings.Calls {
 		options.Board = func(*scheduler.Scheduler) dataplane.Board { return ignoringBoard{} }
--- a/internal/testbed/simulation/world_test.go
+++ b/internal/testbed/simulation/world_test.go
@@ -48,7 +48,8 @@
 			t.Errorf("seed %d, whole %v\n%s", seed, result.Restored, result.Verdict)
 		}
 	})
-	t.Logf("%d days, %d replies, complete %.3f, lowest %.3f, temptations %v", counter.Days, counter.Replies, counter.Share, counter.Lowest, counter.Encounters)
+	t.Logf("%d days, %d replies, complete %.3f, lowest %.3f, temptations %v", counter.Days, counter.Replies,
+		counter.Share, counter.Lowest, counter.Encounters)
 	if count < 200 {
 		return
 	}
