--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -103,18 +103,38 @@
 	}
 }
 
-// clientOfCall sends one call to a router and holds what comes back against what ran.
+// clientOfCall sends one call to a router and compares what comes back with what ran.
 func (w *World) clientOfCall(c *worldCall, zone string, last bool) {
-	counter := w.calls
 	m := w.routerFor(zone)
 	if m == nil || m.calls == nil {
 		return
 	}
-	counter.Sent++
+	w.calls.Sent++
 	if last {
-		counter.Last++
+		w.calls.Last++
 	}
-	there, conduct := m.incarnation, m.calls
+	e := w.sendCall(m, c)
+	leaves := w.random.IntN(30) == 0
+	reply := callReply{call: c, last: last}
+	for {
+		message, found := e.replies.take(callLimit+3*time.Second, never)
+		if !found || leaves && reply.chunks > 1 {
+			e.left = true
+			if e.under != nil {
+				e.under.replies.cond.Broadcast()
+			}
+			w.calls.Broken++
+			return
+		}
+		if over := reply.take(message); over {
+			return
+		}
+	}
+}
+
+// sendCall brings a call to a router, which serves it in a thread of its own.
+func (w *World) sendCall(m *machine, c *worldCall) *callExchange {
+	there, calls := m.incarnation, m.calls
 	e := &callExchange{incarnation: there, call: c, replies: newPipe(w, m.name, "outside", w.outside)}
 	w.carry("outside", m.name, nil, func() {
 		if there.ended {
@@ -126,51 +146,53 @@
 			there.Go(func() {
 				defer forget()
 				c.call.Deadline = there.Now().Add(callLimit)
-				conduct.Serve(c.call, e)
+				calls.Serve(c.call, e)
 				e.replies.put(callOver{})
 			})
 		})
 	})
-	leaves := w.random.IntN(30) == 0
-	passed := 0
-	for {
-		message, found := e.replies.take(callLimit+3*time.Second, never)
-		if !found || leaves && passed > 1 {
-			e.left = true
-			if e.under != nil {
-				e.under.replies.cond.Broadcast()
-			}
-			counter.Broken++
-			return
+	return e
+}
+
+// callReply is what a call's origin has received so far.
+type callReply struct {
+	call   *worldCall
+	chunks int
+	// last tells that the call is one of the day's last seconds.
+	last bool
+}
+
+// take checks and counts one message; over tells that it was the last.
+func (r *callReply) take(message any) (over bool) {
+	c, counter := r.call, r.call.world.calls
+	switch m := message.(type) {
+	case callChunkSent:
+		r.chunks++
+		if m.id != c.call.ID || m.number != r.chunks {
+			counter.violate("%s got piece %d of %s in the place of %d", c.call.ID, m.number, m.id, r.chunks)
 		}
-		switch said := message.(type) {
-		case callChunkSent:
-			passed++
-			if said.id != c.call.ID || said.number != passed {
-				counter.violate("%s got piece %d of %s in the place of %d", c.call.ID, said.number, said.id, passed)
-			}
-		case callStreamEnd:
-			if passed != c.chunks {
-				counter.violate("%s is complete with %d pieces of %d", c.call.ID, passed, c.chunks)
-			}
-			counter.Complete++
-			if last {
-				counter.Returned++
-			}
-		case dataplane.Refusal:
-			if said.Status == http.StatusBadGateway || said.Status == http.StatusGatewayTimeout {
-				counter.Failed++
-				break
-			}
-			counter.Refused++
-			c.promised = true
-			if c.runs > 0 {
-				counter.violate("%s was refused with %d and had run", c.call.ID, said.Status)
-			}
-		case callOver:
-			return
+	case callStreamEnd:
+		if r.chunks != c.chunks {
+			counter.violate("%s is complete with %d pieces of %d", c.call.ID, r.chunks, c.chunks)
+		}
+		counter.Complete++
+		if r.last {
+			counter.Returned++
+		}
+	case dataplane.Refusal:
+		if m.Status == http.StatusBadGateway || m.Status == http.StatusGatewayTimeout {
+			counter.Failed++
+			break
+		}
+		counter.Refused++
+		c.promised = true
+		if c.runs > 0 {
+			counter.violate("%s was refused with %d and had run", c.call.ID, m.Status)
 		}
+	case callOver:
+		return true
 	}
+	return false
 }
 
 // callOver is the end of what a router does for a call.
@@ -252,7 +274,12 @@
 	last := c.passed
 	sending := c.send(decision.Server,
 		func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
-			return there.run(engine, connection, c.call, decision.Server.Name, decision.Source, last, send)
+			return there.run(engine, connection, callRun{
+				call:   c.call,
+				name:   decision.Server.Name,
+				source: decision.Source,
+				last:   last,
+			}, send)
 		})
 	if sending == nil {
 		return scheduler.Outcome{Result: scheduler.Unreachable}
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -68,29 +68,37 @@
 	return callRead{handle}
 }
 
+// callRun is what a router orders of the server that makes a call's stream.
+type callRun struct {
+	call *worldCall
+	// name is the server that the router means.
+	name string
+	// source is where the prompt's memory lies; nil means that this server reads it.
+	source *scheduler.Source
+	// last is the number of the event that the origin had last.
+	last int
+}
+
 // run makes a stream, behind the event that its origin had last.
 func (c *callServer) run(
 	engine *fleet.Engine,
 	connection *fleet.Connection,
-	w *worldCall,
-	name string,
-	source *scheduler.Source,
-	last int,
+	order callRun,
 	send func(any) bool,
 ) any {
 	switch {
-	case name != c.name || engine.Part() != "decode":
+	case order.name != c.name || engine.Part() != "decode":
 		return callRefusal{misdirected}
 	case c.running >= callRuns:
 		return callRefusal{http.StatusServiceUnavailable}
 	}
 	c.running++
 	defer func() { c.running-- }()
-	if source != nil {
-		there := c.world.callServerAt(source.Address)
+	if order.source != nil {
+		there := c.world.callServerAt(order.source.Address)
 		memory := (*callMemory)(nil)
 		if there != nil && !c.world.link(c.name, there.name).cut {
-			memory = there.handles[source.Handle]
+			memory = there.handles[order.source.Handle]
 		}
 		if !connection.Wait(callFetchTime) {
 			return nil
@@ -98,27 +106,27 @@
 		if c.world.random.IntN(200) == 0 {
 			memory = nil
 		}
-		if memory == nil || memory.lapses < c.world.now || there.handles[source.Handle] == nil {
+		if memory == nil || memory.lapses < c.world.now || there.handles[order.source.Handle] == nil {
 			c.world.encounter("a call's memory that could not be had")
 			return callRefusal{http.StatusServiceUnavailable}
 		}
-		delete(there.handles, source.Handle)
-		if memory.id != w.call.ID {
-			c.world.calls.violate("%s goes on from the memory of %s", w.call.ID, memory.id)
+		delete(there.handles, order.source.Handle)
+		if memory.id != order.call.call.ID {
+			c.world.calls.violate("%s goes on from the memory of %s", order.call.call.ID, memory.id)
 		}
 	}
-	w.ran(c.name)
+	order.call.ran(c.name)
 	if c.world.random.IntN(100) == 0 {
 		c.world.encounter("a call that began and broke before its first event")
 		return nil
 	}
-	if source == nil && !connection.Wait(time.Duration(2*w.call.PromptTokens/callTokens)*time.Millisecond) {
+	if order.source == nil && !connection.Wait(time.Duration(2*order.call.call.PromptTokens/callTokens)*time.Millisecond) {
 		return nil
 	}
-	for number := last + 1; number <= w.chunks; number++ {
+	for number := order.last + 1; number <= order.call.chunks; number++ {
 		for engine.Dark() && connection.Wait(time.Second) {
 		}
-		if !connection.Wait(callChunk) || !send(callChunkSent{w.call.ID, number}) {
+		if !connection.Wait(callChunk) || !send(callChunkSent{order.call.call.ID, number}) {
 			return nil
 		}
 	}
--- a/internal/testbed/simulation/modelservers.go
+++ b/internal/testbed/simulation/modelservers.go
@@ -52,13 +52,13 @@
 	m.incarnation.NewCond().Wait(length, func() bool { return false })
 }
 
+// serve is what a server does for an order: it may send messages before it returns a
+// status and what comes with it. send is false when nobody takes more.
+type serve func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (status int, content any)
+
 // order sends one order to a server and returns its exchange, or nil when it
 // certainly did not go.
-func (m *serverClient) order(
-	decision auction.Decision,
-	may func() bool,
-	serve func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any),
-) *serverExchange {
+func (m *serverClient) order(decision auction.Decision, may func() bool, act serve) *serverExchange {
 	world := m.incarnation.world
 	m.dial()
 	if !may() {
@@ -80,39 +80,7 @@
 			}
 			return
 		}
-		conn := fleet.NewConnection(there.incarnation)
-		forgetServer := func() {}
-		if first {
-			forgetServer = there.incarnation.onEnd(begun.replies.disconnect)
-		}
-		hangUp := func() { world.carry(m.incarnation.name, to, there.incarnation, conn.Close) }
-		if first {
-			begun.hangUp = hangUp
-		}
-		forgetRouter := m.incarnation.onEnd(hangUp)
-		there.incarnation.Go(func() {
-			defer forgetRouter()
-			if there.engine.Dark() {
-				conn.Wait(time.Minute)
-				return
-			}
-			status, content := serve(there.engine, conn, func(message any) bool {
-				if begun.quit {
-					// The router has closed its side.
-					return false
-				}
-				return !first || begun.replies.put(message)
-			})
-			if first {
-				forgetServer()
-				if world.loseAnswers > 0 && world.random.Float64() < world.loseAnswers {
-					world.encounter("a server's answer lost after the work")
-					begun.replies.disconnect()
-					return
-				}
-				begun.replies.put(ended{status, content})
-			}
-		})
+		m.arrive(there, begun, first, act)
 	}
 	if !world.carry(m.incarnation.name, to, nil, func() { arrive(true) }) {
 		// It lies in the network until the router gives up.
@@ -125,6 +93,47 @@
 	return begun
 }
 
+// arrive has a server act on an order. What it sends and returns is for the first
+// arrival alone: a duplicate's work is done and nobody hears of it.
+func (m *serverClient) arrive(there *modelServer, begun *serverExchange, first bool, act serve) {
+	world := m.incarnation.world
+	conn := fleet.NewConnection(there.incarnation)
+	forgetServer := func() {}
+	if first {
+		forgetServer = there.incarnation.onEnd(begun.replies.disconnect)
+	}
+	hangUp := func() { world.carry(m.incarnation.name, there.plan.Name, there.incarnation, conn.Close) }
+	if first {
+		begun.hangUp = hangUp
+	}
+	forgetRouter := m.incarnation.onEnd(hangUp)
+	there.incarnation.Go(func() {
+		defer forgetRouter()
+		if there.engine.Dark() {
+			conn.Wait(time.Minute)
+			return
+		}
+		status, content := act(there.engine, conn, func(message any) bool {
+			if begun.quit {
+				// The router has closed its side.
+				return false
+			}
+			return !first || begun.replies.put(message)
+		})
+		if !first {
+			return
+		}
+		forgetServer()
+		if world.loseAnswers > 0 && world.random.Float64() < world.loseAnswers {
+			world.encounter("a server's answer lost after the work")
+			begun.replies.disconnect()
+			return
+		}
+		begun.replies.put(ended{status, content})
+	})
+}
+
+// refusalOf is what a server's answer other than success means.
 func refusalOf(message ended) (auction.Outcome, string) {
 	refusal, refused := message.content.(fleet.Refusal)
 	switch {
