--- a/cmd/testbed/replay.go
+++ b/cmd/testbed/replay.go
@@ -157,7 +157,7 @@
 	}
 	err = multierr.Combine(os.WriteFile(filepath.Join(folder, "verdict.json"), text, 0o644),
 		os.WriteFile(filepath.Join(folder, "verdict.txt"), []byte(verdict.String()), 0o644),
-		day.Book.Save(filepath.Join(folder, "book.jsonl")), verdict.Figures.Plot(folder, replay.Marks(day.Book.Events())))
+		day.Events.Save(filepath.Join(folder, "book.jsonl")), verdict.Figures.Plot(folder, replay.Marks(day.Events.Events())))
 	if err != nil {
 		return verdict, failure.Wrap(failure.Disk, err)
 	}
--- a/internal/testbed/replay/addressrange.go
+++ b/internal/testbed/replay/addressrange.go
@@ -19,9 +19,9 @@
 // addressRange is a range of loopback addresses that one day has for itself: each machine and
 // server has its own.
 type addressRange struct {
-	prefix string
-	next   atomic.Int32
-	held   net.Listener
+	prefix   string
+	next     atomic.Int32
+	reserved net.Listener
 }
 
 // takeAddresses finds a range that no other day on this computer has taken.
@@ -30,11 +30,11 @@
 		first := 20_000 + rand.IntN(100)*100
 		chosen := ports{front: strconv.Itoa(first), ready: strconv.Itoa(first + 1), control: strconv.Itoa(first + 2), list: strconv.Itoa(first + 3), server: strconv.Itoa(first + 4), free: []int{first + 20, first + 35}}
 		prefix := fmt.Sprintf("127.%d.%d.", 1+rand.IntN(250), rand.IntN(250))
-		held, err := net.Listen("tcp", prefix+"250:19999")
+		reserved, err := net.Listen("tcp", prefix+"250:19999")
 		if err != nil {
 			continue
 		}
-		return &addressRange{prefix: prefix, held: held}, chosen, nil
+		return &addressRange{prefix: prefix, reserved: reserved}, chosen, nil
 	}
 	return nil, ports{}, failure.New(failure.Busy, "no free range of loopback addresses")
 }
--- a/internal/testbed/replay/balancer.go
+++ b/internal/testbed/replay/balancer.go
@@ -11,7 +11,7 @@
 // Balancer hands new connections of clients to machines: it asks each every second whether it
 // is ready, and leaves out those that missed twice.
 type Balancer struct {
-	book   *Book
+	events *EventLog
 	client *http.Client
 
 	mutex   sync.Mutex
@@ -24,8 +24,8 @@
 	missed                      int
 }
 
-func newBalancer(book *Book) *Balancer {
-	return &Balancer{book: book, client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+func newBalancer(events *EventLog) *Balancer {
+	return &Balancer{events: events, client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // open adds a machine; shut takes it away.
@@ -43,7 +43,7 @@
 
 // run asks every machine each second.
 func (b *Balancer) run(lifetime context.Context) {
-	for pause(lifetime, time.Second) {
+	for sleep(lifetime, time.Second) {
 		b.askAll()
 	}
 }
@@ -59,7 +59,7 @@
 			if ready == http.StatusOK {
 				one.missed = 0
 			}
-			b.book.Note(Event{Kind: ReadyAsked, Machine: one.machine, Zone: one.zone, Status: ready})
+			b.events.Append(Event{Kind: ReadyAsked, Machine: one.machine, Zone: one.zone, Status: ready})
 		})
 	}
 	asking.Wait()
--- a/internal/testbed/replay/balancer_test.go
+++ b/internal/testbed/replay/balancer_test.go
@@ -10,7 +10,7 @@
 
 // TestMachinesThatMissTwiceGetNoClients has machines of two zones answer and fall silent.
 func TestMachinesThatMissTwiceGetNoClients(t *testing.T) {
-	balancer := newBalancer(&Book{})
+	balancer := newBalancer(&EventLog{})
 	ready := map[string]*atomic.Bool{}
 	for _, machine := range []string{"east-1", "east-2", "east-3", "west-1"} {
 		answers := &atomic.Bool{}
--- a/internal/testbed/replay/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -15,7 +15,7 @@
 }{
 	{"MIXED answers", checkMixed}, {"MIXED handles", checkHandles}, {"UNASKED", checkUnasked}, {"TWICE", checkTwice}, {"REFUSED", checkRefused}, {"DENIED", checkDenied}, {"ROUTE", checkRoute},
 	{"DRAIN servers", checkDrain}, {"DRAIN readiness", checkUnready}, {"LOST", checkLost}, {"CONFIG applied", checkApplied}, {"CONFIG later routes", checkLaterRoutes}, {"CONFIG back", checkBack},
-	{"CONFIG refused", checkRefusedVersions}, {"CONFIG acknowledged", checkAcknowledged}, {"CONFIG read back", checkReadBack}, {"CONFIG held", checkHeld},
+	{"CONFIG refused", checkRefusedVersions}, {"CONFIG acknowledged", checkAcknowledged}, {"CONFIG read back", checkReadBack}, {"CONFIG held", checkInForce},
 	{"BUDGET", checkBudget}, {"BUDGET servers", checkServers}, {"BUDGET deadline", checkDeadlines}, {"ORDER", checkOrder}, {"FAILBACK", checkFailback}, {"EVAC", checkEvacuated},
 	{"RECOVER", checkRecover}, {"ONE", checkOne}, {"GONE", checkGone}, {"ACKS", checkAcks}, {"ENDED", checkEnded},
 }
@@ -65,7 +65,7 @@
 }
 
 // sealed tells whether a server ended an answer of a try under that seal.
-func (r *record) sealed(seal string, seen *trySeen) bool {
+func (r *record) sealed(seal string, seen *attemptSeen) bool {
 	return slices.ContainsFunc(seen.ends, func(end Event) bool { return end.Seal == seal })
 }
 
@@ -258,7 +258,7 @@
 }
 
 // brokenByServer tells whether the server of a try broke off, crashed or was silent.
-func (r *record) brokenByServer(seen *trySeen) bool {
+func (r *record) brokenByServer(seen *attemptSeen) bool {
 	for _, end := range seen.ends {
 		if end.Cause == "broken off" || end.Cause == "spoilt" || end.Cause == "answer lost" || end.Cause == "dark" {
 			return true
--- a/internal/testbed/replay/configcheckers.go
+++ b/internal/testbed/replay/checkers_configuration.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// checkHeld: requests have their answer by their route's own limit.
-func checkHeld(r *record, finding *fleet.Finding) {
+// checkInForce: requests have their answer by their route's own limit.
+func checkInForce(r *record, finding *fleet.Finding) {
 	long, late := 0, 0
 	for _, seen := range r.order {
 		longest := time.Duration(0)
--- a/internal/testbed/replay/serverscheckers.go
+++ b/internal/testbed/replay/checkers_servers.go
@@ -11,12 +11,12 @@
 
 // attempts are a try's arrivals at servers that count: all but the first reading that a
 // server takes up.
-func (t *trySeen) attempts() []Event {
+func (t *attemptSeen) attempts() []Event {
 	var attempts []Event
 	free := true
 	for _, arrival := range t.arrivals {
 		turned := arrival.Status != 0 || slices.ContainsFunc(t.turned, func(event Event) bool { return event.Server == arrival.Server && event.Stage == arrival.Stage })
-		if arrival.Stage == stagePrefill && free && !turned {
+		if arrival.Stage == phasePrefill && free && !turned {
 			free = false
 			continue
 		}
@@ -240,7 +240,7 @@
 
 // servedAt tells whether a request was answered whole by any of its tries.
 func (r *record) servedAt(re string) bool {
-	return slices.ContainsFunc(r.requests[re], func(seen *trySeen) bool {
+	return slices.ContainsFunc(r.requests[re], func(seen *attemptSeen) bool {
 		return seen.over && seen.ended.Complete && seen.ended.Status/100 == 2
 	})
 }
--- a/internal/testbed/replay/checkers_test.go
+++ b/internal/testbed/replay/checkers_test.go
@@ -30,11 +30,11 @@
 	seal, source := "seal-"+name, "handle-"+name
 	return []Event{
 		{At: day.at(at), Kind: TrySent, Machine: "edge-2", Try: name, Request: "request-" + name, Class: "chat", Route: route, Idempotent: idempotent, Digest: "digest-" + name, Deadline: 3 * time.Second, Aim: time.Second, Began: day.at(at)},
-		{At: day.at(at + 1), Kind: Arrived, Try: name, Server: "i-read", Service: service, Zone: "quay-hall", Stage: stagePrefill, Digest: "digest-" + name, Deadline: 2900 * time.Millisecond},
-		{At: day.at(at + 2), Kind: PromptRead, Try: name, Server: "i-read", Service: service, Stage: stagePrefill, Digest: "digest-" + name, Handle: source, Tokens: 100},
+		{At: day.at(at + 1), Kind: Arrived, Try: name, Server: "i-read", Service: service, Zone: "quay-hall", Stage: phasePrefill, Digest: "digest-" + name, Deadline: 2900 * time.Millisecond},
+		{At: day.at(at + 2), Kind: PromptRead, Try: name, Server: "i-read", Service: service, Stage: phasePrefill, Digest: "digest-" + name, Handle: source, Tokens: 100},
 		{At: day.at(at + 3), Kind: HandleTaken, Server: "i-make", Try: name, Request: name, Handle: source},
-		{At: day.at(at + 3), Kind: Arrived, Try: name, Server: "i-make", Service: service, Zone: "hill-hall", Stage: stageDecode, Digest: "digest-" + name, Deadline: 2900 * time.Millisecond},
-		{At: day.at(at + 4), Kind: RunStarted, Try: name, Server: "i-make", Service: service, Stage: stageDecode, Seal: seal, Digest: "digest-" + name},
+		{At: day.at(at + 3), Kind: Arrived, Try: name, Server: "i-make", Service: service, Zone: "hill-hall", Stage: phaseDecode, Digest: "digest-" + name, Deadline: 2900 * time.Millisecond},
+		{At: day.at(at + 4), Kind: RunStarted, Try: name, Server: "i-make", Service: service, Stage: phaseDecode, Seal: seal, Digest: "digest-" + name},
 		{At: day.at(at + 5), Kind: RunEnded, Try: name, Server: "i-make", Seal: seal, Complete: true, Status: 200, Tokens: 3},
 		{At: day.at(at + 6), Kind: TryEnded, Machine: "edge-2", Try: name, Request: "request-" + name, Class: "chat", Route: route, Status: 200, Seal: seal, Bears: name, Complete: true, First: day.at(at + 4),
 			Spans: []Span{{ID: 2, From: 1, To: 2, Run: seal, Whose: "digest-" + name}, {ID: 3, From: 3, To: 3, Run: seal, Whose: "digest-" + name}}},
@@ -68,9 +68,9 @@
 func TestEachCheckerCatchesASeededViolation(t *testing.T) {
 	day := seeded{start: time.Unix(1_700_000_000, 0)}
 	judge := func(events []Event) Verdict {
-		book := &Book{}
+		book := &EventLog{}
 		for _, event := range events {
-			book.Note(event)
+			book.Append(event)
 		}
 		return Judge(book.Events(), SmallSite())
 	}
@@ -84,7 +84,7 @@
 		return events
 	}
 	again := func(at int, server string) Event {
-		return Event{At: day.at(at), Kind: Arrived, Try: "one", Server: server, Service: "desk", Zone: "quay-hall", Stage: stageDecode, Deadline: time.Millisecond}
+		return Event{At: day.at(at), Kind: Arrived, Try: "one", Server: server, Service: "desk", Zone: "quay-hall", Stage: phaseDecode, Deadline: time.Millisecond}
 	}
 	repeated := func(count int, make func(number int) []Event) []Event {
 		var events []Event
@@ -145,7 +145,7 @@
 			events[4].Cold = true
 			return events
 		}),
-		"EVAC": {{At: day.at(26_000), Kind: Arrived, Try: "one", Server: "i-make", Service: "desk", Zone: "mill-hall", Stage: stageDecode, Deadline: time.Millisecond}},
+		"EVAC": {{At: day.at(26_000), Kind: Arrived, Try: "one", Server: "i-make", Service: "desk", Zone: "mill-hall", Stage: phaseDecode, Deadline: time.Millisecond}},
 		"RECOVER": append(repeated(4, func(number int) []Event {
 			name := "four-" + strconv.Itoa(number)
 			events := day.call(name, 60_000+number, "r-chat", "desk", true)
@@ -195,11 +195,11 @@
 func TestOutOfTouchMachinesAreNotBoundByTime(t *testing.T) {
 	day := seeded{start: time.Unix(1_700_000_000, 0)}
 	events := append(day.clean(),
-		Event{At: day.at(23_200), Kind: Arrived, Try: "one", Server: "i-old", Service: "desk", Zone: "quay-hall", Stage: stageDecode, Deadline: time.Millisecond},
+		Event{At: day.at(23_200), Kind: Arrived, Try: "one", Server: "i-old", Service: "desk", Zone: "quay-hall", Stage: phaseDecode, Deadline: time.Millisecond},
 		Event{At: day.at(22_000), Kind: MachineKilled, Machine: "edge-2"}, Event{At: day.at(22_500), Kind: MachineUp, Machine: "edge-2"})
-	book := &Book{}
+	book := &EventLog{}
 	for _, event := range events {
-		book.Note(event)
+		book.Append(event)
 	}
 	if finding := Judge(book.Events(), SmallSite()).Finding("DRAIN servers"); finding.Violations != 0 || finding.Looked == 0 {
 		t.Errorf("%+v", finding)
--- a/internal/testbed/replay/clients.go
+++ b/internal/testbed/replay/clients.go
@@ -10,7 +10,7 @@
 
 // Clients send requests at a steady seeded rate, whatever becomes of them.
 type Clients struct {
-	book     *Book
+	events   *EventLog
 	site     Site
 	balancer *Balancer
 	clients  []*client
@@ -32,8 +32,8 @@
 	rest   []*conn
 }
 
-func newClients(book *Book, site Site, balancer *Balancer, seed uint64) *Clients {
-	clients := &Clients{book: book, site: site, balancer: balancer, random: rand.New(rand.NewPCG(seed, 3)), times: 1}
+func newClients(events *EventLog, site Site, balancer *Balancer, seed uint64) *Clients {
+	clients := &Clients{events: events, site: site, balancer: balancer, random: rand.New(rand.NewPCG(seed, 3)), times: 1}
 	for _, zone := range site.Zones {
 		for number := range site.Clients {
 			clients.clients = append(clients.clients, &client{zone: zone, number: len(clients.clients)*7919 + number, keeps: number%3 != 0})
@@ -90,62 +90,62 @@
 	defer c.waiting.Wait()
 	for {
 		gap, one, sender := c.next()
-		if !pause(lifetime, min(gap, time.Second)) {
+		if !sleep(lifetime, min(gap, time.Second)) {
 			return
 		}
 		one.began = time.Now()
-		c.waiting.Go(func() { c.converse(one, sender) })
+		c.waiting.Go(func() { c.runClient(one, sender) })
 	}
 }
 
 // converse sends a request and, as clients do, tries again on a new connection.
-func (c *Clients) converse(one *request, sender *client) {
+func (c *Clients) runClient(one *request, sender *client) {
 	behind := 0
 	for number := 0; ; number++ {
 		if one.left() <= 0 {
 			return
 		}
 		connection, err := c.connection(one, sender, number)
-		var again *try
+		var again *attempt
 		if err != nil {
-			c.book.Note(Event{Kind: TryEnded, Request: one.id, Class: one.class.Name, Route: one.route, Number: number, Idempotent: one.class.repeats(), Aim: one.class.Aim, Began: one.began, Cause: "no circuit: " + err.Error()})
-			again = &try{one: one, unread: true}
+			c.events.Append(Event{Kind: TryEnded, Request: one.id, Class: one.class.Name, Route: one.route, Number: number, Idempotent: one.class.repeats(), Aim: one.class.Aim, Began: one.began, Cause: "no circuit: " + err.Error()})
+			again = &attempt{r: one, notRead: true}
 		} else {
-			again = one.send(connection, number, behind, c.book)
+			again = one.send(connection, number, behind, c.events)
 			c.rest(sender, connection, again)
 		}
 		if spans := again.event.Spans; len(spans) > 0 && one.class.Resumable {
 			behind = spans[len(spans)-1].To
 		}
-		wait, comes := again.comesBack()
+		wait, comes := again.retries()
 		if !comes || number >= one.class.Retries {
 			return
 		}
 		if one.class.Retries > 3 {
 			wait = 5 * time.Millisecond
 		}
-		if !pause(context.Background(), wait) {
+		if !sleep(context.Background(), wait) {
 			return
 		}
 	}
 }
 
-// comesBack tells whether, and after which pause, a client tries again.
-func (try *try) comesBack() (time.Duration, bool) {
-	event, usual := try.event, 60*time.Millisecond
+// retries tells whether, and after which pause, a client tries again.
+func (a *attempt) retries() (time.Duration, bool) {
+	event, usual := a.event, 60*time.Millisecond
 	switch event.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		return max(usual, min(try.retry, try.one.left()/3)), true
+		return max(usual, min(a.retry, a.r.left()/3)), true
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
 		return 0, false
 	}
 	switch {
 	case event.Status/100 == 2 && event.Complete, event.Cause == causeLeft:
 		return 0, false
-	case try.unread:
+	case a.notRead:
 		return usual, true
 	}
-	return usual, try.one.class.repeats()
+	return usual, a.r.class.repeats()
 }
 
 // connection takes up a resting connection, or opens one to a machine of the client's zone: a
@@ -159,7 +159,7 @@
 			}
 			open, stray := connection.quiet()
 			if stray {
-				c.book.Note(Event{Kind: StrayBytes, Machine: connection.machine})
+				c.events.Append(Event{Kind: StrayBytes, Machine: connection.machine})
 			}
 			if open {
 				one.machines[connection.machine] = true
@@ -192,7 +192,7 @@
 	for len(c.rest) > 0 {
 		connection := c.rest[len(c.rest)-1]
 		c.rest = c.rest[:len(c.rest)-1]
-		if time.Now().Before(connection.rests) {
+		if time.Now().Before(connection.reusableUntil) {
 			return connection
 		}
 		_ = connection.Close()
@@ -201,7 +201,7 @@
 }
 
 // rest keeps a connection for the next request, or closes it.
-func (c *Clients) rest(sender *client, connection *conn, last *try) {
+func (c *Clients) rest(sender *client, connection *conn, last *attempt) {
 	if !last.keeps || !sender.keeps {
 		_ = connection.Close()
 		return
@@ -226,7 +226,7 @@
 		return
 	}
 	defer func() { _ = connection.Close() }()
-	one.send(connection, 0, 0, c.book)
+	one.send(connection, 0, 0, c.events)
 }
 
 // close closes what rests.
@@ -238,7 +238,7 @@
 				break
 			}
 			if _, stray := connection.quiet(); stray {
-				c.book.Note(Event{Kind: StrayBytes, Machine: connection.machine})
+				c.events.Append(Event{Kind: StrayBytes, Machine: connection.machine})
 			}
 			_ = connection.Close()
 		}
--- a/internal/testbed/replay/circuit.go
+++ b/internal/testbed/replay/connection.go
@@ -17,7 +17,7 @@
 	reader  *bufio.Reader
 	machine string
 	// rests is until when the client may take it up again.
-	rests time.Time
+	reusableUntil time.Time
 }
 
 // dial connects to a machine; it gets a second to come up.
--- a/internal/testbed/replay/day.go
+++ b/internal/testbed/replay/day.go
@@ -17,7 +17,7 @@
 // Day is a whole deployment on this computer, through one day.
 type Day struct {
 	Site       Site
-	Book       *Book
+	Events     *EventLog
 	ServerPool *ServerPool
 	Directory  *Directory
 	Balancer   *Balancer
@@ -53,16 +53,16 @@
 	if err != nil {
 		return nil, err
 	}
-	day := &Day{Site: site, Book: &Book{}, roles: roles, folder: folder, log: log, addressRange: a, ports: p, seed: seed, random: rand.New(rand.NewPCG(seed, 1))}
+	day := &Day{Site: site, Events: &EventLog{}, roles: roles, folder: folder, log: log, addressRange: a, ports: p, seed: seed, random: rand.New(rand.NewPCG(seed, 1))}
 	day.lifetime, day.end = context.WithCancel(context.Background())
-	if day.ServerPool, err = startServerPool(day.Book, site, seed, func() string { return a.address() + ":" + p.server }); err != nil {
+	if day.ServerPool, err = startServerPool(day.Events, site, seed, func() string { return a.address() + ":" + p.server }); err != nil {
 		return nil, err
 	}
-	if day.Directory, err = startDirectory(day.Book, day.ServerPool, site, a.address()+":"+p.list); err != nil {
+	if day.Directory, err = startDirectory(day.Events, day.ServerPool, site, a.address()+":"+p.list); err != nil {
 		return nil, err
 	}
-	day.Balancer = newBalancer(day.Book)
-	day.Clients = newClients(day.Book, site, day.Balancer, seed)
+	day.Balancer = newBalancer(day.Events)
+	day.Clients = newClients(day.Events, site, day.Balancer, seed)
 	day.Operators = newOperators(day, seed)
 	for _, zone := range site.Zones {
 		for place := range 1 + site.Plain {
@@ -160,15 +160,15 @@
 	}
 	taken := time.Since(began)
 	for len(day.Balancer.all()) > 0 && !day.Balancer.allReady() {
-		if !pause(waiting, 50*time.Millisecond) {
+		if !sleep(waiting, 50*time.Millisecond) {
 			return failure.New(failure.Unreachable, "not all machines are ready in "+patience.String())
 		}
 	}
-	day.say("the first configuration was taken after %s, all were ready after %s", taken.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
+	day.logf("the first configuration was taken after %s, all were ready after %s", taken.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-func (day *Day) say(format string, values ...any) {
+func (day *Day) logf(format string, values ...any) {
 	if day.log != nil {
 		_, _ = fmt.Fprintf(day.log, format+"\n", values...)
 	}
@@ -189,32 +189,32 @@
 	running.Go(func() { day.probe(traffic) })
 	for _, fault := range plan.Faults {
 		faults.Go(func() {
-			if pause(traffic, seconds(fault.At)) {
-				day.say("%6.1f s  %s %s", time.Since(day.began).Seconds(), fault.Kind, fault.How)
-				day.Book.Note(Event{Kind: FaultBegan, Cause: fault.Kind + " " + fault.How})
+			if sleep(traffic, seconds(fault.At)) {
+				day.logf("%6.1f s  %s %s", time.Since(day.began).Seconds(), fault.Kind, fault.How)
+				day.Events.Append(Event{Kind: FaultBegan, Cause: fault.Kind + " " + fault.How})
 				faultBodies[fault.Kind](day, traffic, fault)
 			}
 		})
 	}
 	// What lasts longer than the day, such as an evacuation, lasts through its closing fault.
-	pause(traffic, seconds(plan.Length))
+	sleep(traffic, seconds(plan.Length))
 	if plan.Closing != nil {
 		day.close(traffic, *plan.Closing)
-		pause(traffic, day.Site.Terms.Recovery+3*time.Second)
+		sleep(traffic, day.Site.Terms.Recovery+3*time.Second)
 	}
 	stop()
 	faults.Wait()
 	running.Wait()
 	day.Clients.close()
 	day.Operators.readBack(day.lifetime)
-	return Judge(day.Book.Events(), day.Site)
+	return Judge(day.Events.Events(), day.Site)
 }
 
 // probe asks for the watched routes, one after another, straight at each machine that
 // takes clients.
 func (day *Day) probe(lifetime context.Context) {
 	turn := 0
-	for pause(lifetime, 700*time.Millisecond) {
+	for sleep(lifetime, 700*time.Millisecond) {
 		watched := day.Operators.watchList()
 		watched["r-never"] = RouteRule{Host: "never.example", Prefix: "/never/", Class: day.Site.Classes[0].Name}
 		names := make([]string, 0, len(watched))
@@ -242,7 +242,7 @@
 	day.end()
 	day.Directory.close()
 	day.ServerPool.close()
-	_ = day.addressRange.held.Close()
+	_ = day.addressRange.reserved.Close()
 }
 
 // Crashed names the processes whose logs hold a panic or a race.
--- a/internal/testbed/replay/directory.go
+++ b/internal/testbed/replay/directory.go
@@ -40,11 +40,11 @@
 type Directory struct {
 	Address string
 
-	book *Book
-	pool *ServerPool
-	site Site
-	http *http.Server
-	end  context.CancelFunc
+	events *EventLog
+	pool   *ServerPool
+	site   Site
+	http   *http.Server
+	end    context.CancelFunc
 
 	mutex     sync.Mutex
 	snapshots []snapshot
@@ -59,12 +59,12 @@
 }
 
 // startDirectory begins the list at an address.
-func startDirectory(book *Book, pool *ServerPool, site Site, address string) (*Directory, error) {
+func startDirectory(events *EventLog, pool *ServerPool, site Site, address string) (*Directory, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	directory := &Directory{Address: address, book: book, pool: pool, site: site}
+	directory := &Directory{Address: address, events: events, pool: pool, site: site}
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(pathServers), directory.list)
 	directory.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
@@ -73,7 +73,7 @@
 	directory.snapshot(time.Now().Add(-time.Hour))
 	go func() { _ = directory.http.Serve(listener) }()
 	go func() {
-		for pause(lifetime, directoryBeat) {
+		for sleep(lifetime, directoryBeat) {
 			directory.snapshot(time.Now())
 		}
 	}()
@@ -111,7 +111,7 @@
 				crashed[page.ID] = since
 				pages = append(pages, page)
 			} else {
-				d.book.Note(Event{Kind: Shown, At: now.Add(d.site.ListLag + directoryBeat), Server: page.ID, Service: page.Backend, Cause: "gone"})
+				d.events.Append(Event{Kind: Shown, At: now.Add(d.site.ListLag + directoryBeat), Server: page.ID, Service: page.Backend, Cause: "gone"})
 			}
 		}
 	}
@@ -136,7 +136,7 @@
 	if over {
 		status = http.StatusTooManyRequests
 	}
-	d.book.Note(Event{Kind: ListRead, Status: status})
+	d.events.Append(Event{Kind: ListRead, Status: status})
 	if over {
 		writer.WriteHeader(status)
 		return
@@ -154,7 +154,7 @@
 	if len(pages) > listPage {
 		pages, next = pages[:listPage], "p-"+strconv.Itoa(skipped+listPage)
 	}
-	say(writer, http.StatusOK, map[string]any{"servers": pages, "nextToken": next})
+	writeJSON(writer, http.StatusOK, map[string]any{"servers": pages, "nextToken": next})
 }
 
 func (d *Directory) close() {
--- a/internal/testbed/replay/engine.go
+++ b/internal/testbed/replay/engine.go
@@ -28,7 +28,7 @@
 // answered, and reads a chunk of the prompts that are not read yet. Time is an input.
 type engine struct {
 	shape   Shape
-	memory  *keptParts
+	memory  *prefixCache
 	running []*work
 	waiting []*work
 	// readsOwn: prompts are read between the tokens of others, at half the pace and in
@@ -38,7 +38,7 @@
 }
 
 func newEngine(shape Shape) *engine {
-	return &engine{shape: shape, memory: newKeptParts(shape.Capacity, shape.Block)}
+	return &engine{shape: shape, memory: newPrefixCache(shape.Capacity, shape.Block)}
 }
 
 // enter lets a request in; false means that the server is full, or too small. A more
--- a/internal/testbed/replay/engine_test.go
+++ b/internal/testbed/replay/engine_test.go
@@ -52,8 +52,8 @@
 	if tokens := e.memory.missing("m", chain); tokens != 150 {
 		t.Errorf("%d tokens are missing after others took the room", tokens)
 	}
-	if e.memory.kept > 400 || e.memory.fixed != 0 || e.memory.pinned() != 0 {
-		t.Errorf("kept %d, fixed %d, pinned %d", e.memory.kept, e.memory.fixed, e.memory.pinned())
+	if e.memory.cached > 400 || e.memory.fixed != 0 || e.memory.pinnedTokens() != 0 {
+		t.Errorf("kept %d, fixed %d, pinned %d", e.memory.cached, e.memory.fixed, e.memory.pinnedTokens())
 	}
 }
 
--- a/internal/testbed/replay/book.go
+++ b/internal/testbed/replay/eventlog.go
@@ -1,4 +1,4 @@
-// Package platformday plays days of the users' platform over loopback, around the
+// Package replay plays days of the users' platform over loopback, around the
 // product's programs as they are deployed: model servers with engines, the list of
 // servers, operators, clients and the machines that the programs run on. The rules
 // are judged by what these saw.
@@ -14,14 +14,14 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Book is the record of one day.
-type Book struct {
+// Events is the record of one day.
+type EventLog struct {
 	mutex  sync.Mutex
 	events []Event
 }
 
-// Note writes an event down, at this moment unless it says another.
-func (b *Book) Note(event Event) {
+// Append writes an event down, at this moment unless it says another.
+func (b *EventLog) Append(event Event) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if event.At.IsZero() {
@@ -31,7 +31,7 @@
 }
 
 // Events gives all events in the order of their time.
-func (b *Book) Events() []Event {
+func (b *EventLog) Events() []Event {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	events := append([]Event(nil), b.events...)
@@ -40,7 +40,7 @@
 }
 
 // Save writes the book as JSON lines.
-func (b *Book) Save(path string) error {
+func (b *EventLog) Save(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
--- a/internal/testbed/replay/exchange.go
+++ b/internal/testbed/replay/exchange.go
@@ -38,8 +38,8 @@
 		deadline = 0
 	}
 	e.behind, _ = strconv.Atoi(header.Get(headerLastEvent))
-	s := stageOf(header)
-	e.event = Event{Server: server.ID, Service: server.Service, Zone: server.Zone, Try: header.Get(headerTry), Stage: s, Behind: e.behind,
+	s := phaseOf(header)
+	e.event = Event{Server: server.ID, Service: server.Service, Zone: server.Zone, Try: header.Get(headerAttempt), Stage: s, Behind: e.behind,
 		Digest: digestOf(inbound.Method, inbound.URL.RequestURI(), inbound.Host, header, body), Deadline: time.Duration(deadline * float64(time.Millisecond))}
 	return e
 }
@@ -77,12 +77,12 @@
 func (e *exchange) turnAway(writer http.ResponseWriter, status int) {
 	event := e.event
 	event.Kind, event.Status = TurnedAway, status
-	e.server.pool.book.Note(event)
-	writer.Header().Set(headerTry, event.Try)
+	e.server.pool.events.Append(event)
+	writer.Header().Set(headerAttempt, event.Try)
 	writer.Header().Set(headerServer, e.server.ID)
 	writer.Header().Set(headerNotRun, "1")
 	e.server.mutex.Lock()
-	e.server.tellLoad(writer.Header())
+	e.server.writeLoadHeader(writer.Header())
 	e.server.mutex.Unlock()
 	writer.WriteHeader(status)
 }
@@ -104,14 +104,14 @@
 	if server.shape.Plain > 0 {
 		most = server.shape.Plain
 	}
-	e.one = &work{onlyRead: e.event.Stage == stagePrefill, model: e.header.Get(headerModel), chain: chain, most: most,
+	e.one = &work{onlyRead: e.event.Stage == phasePrefill, model: e.header.Get(headerModel), chain: chain, most: most,
 		made: e.behind, urgency: urgency, arrived: now}
 	if e.event.Deadline > 0 {
 		e.one.ends = now.Add(e.event.Deadline)
 	}
 	started := e.event
 	started.Kind, started.Seal = RunStarted, e.seal
-	e.one.started = func() { server.pool.book.Note(started) }
+	e.one.started = func() { server.pool.events.Append(started) }
 	if len(server.engine.waiting) >= server.shape.Queue && e.source != "" {
 		e.refused = true
 		return
@@ -139,12 +139,12 @@
 		e.turnAway(writer, http.StatusServiceUnavailable)
 		return
 	}
-	if e.event.Stage == stagePrefill {
+	if e.event.Stage == phasePrefill {
 		e.answerRead(writer)
 		return
 	}
 	if e.server.shape.Plain > 0 {
-		e.answerWhole(writer)
+		e.answerPlain(writer)
 		return
 	}
 	e.answerStream(writer)
@@ -184,16 +184,16 @@
 	server.handles[name] = &handle{try: e.event.Try, tokens: tokens, held: e.one.held, lapses: time.Now().Add(server.shape.HandleLifetime)}
 	read := e.event
 	read.Kind, read.Handle, read.Tokens = PromptRead, name, tokens
-	server.pool.book.Note(read)
+	server.pool.events.Append(read)
 	server.lapse(time.Now())
-	writer.Header().Set(headerTry, e.event.Try)
-	server.tellLoad(writer.Header())
+	writer.Header().Set(headerAttempt, e.event.Try)
+	server.writeLoadHeader(writer.Header())
 	revision := server.revision
 	server.mutex.Unlock()
 	if e.spoiling == lost {
 		panic(http.ErrAbortHandler)
 	}
-	say(writer, http.StatusOK, map[string]any{"prefillHandle": name, "tokenCount": tokens, "revision": revision})
+	writeJSON(writer, http.StatusOK, map[string]any{"prefillHandle": name, "tokenCount": tokens, "revision": revision})
 }
 
 // head writes the head of an answer.
@@ -201,11 +201,11 @@
 	server := e.server
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	header.Set(headerTry, e.event.Try)
+	header.Set(headerAttempt, e.event.Try)
 	header.Set(headerSeal, e.seal)
 	header.Set(headerServer, server.ID)
 	header.Set("Content-Type", "text/event-stream")
-	server.tellLoad(header)
+	server.writeLoadHeader(header)
 	if server.draining || server.random.IntN(60) == 0 {
 		header.Set("Connection", "close")
 	}
@@ -220,7 +220,7 @@
 	sent, begun, flusher := e.behind, false, http.NewResponseController(writer)
 	ended := e.event
 	ended.Kind, ended.Seal = RunEnded, e.seal
-	defer func() { e.server.pool.book.Note(ended) }()
+	defer func() { e.server.pool.events.Append(ended) }()
 	for {
 		made, finished, ending := e.await(sent)
 		if e.server.silent() {
@@ -292,11 +292,11 @@
 	}
 }
 
-// answerWhole answers a plain request once its work is done.
-func (e *exchange) answerWhole(writer http.ResponseWriter) {
+// answerPlain answers a plain request once its work is done.
+func (e *exchange) answerPlain(writer http.ResponseWriter) {
 	ended := e.event
 	ended.Kind, ended.Seal = RunEnded, e.seal
-	defer func() { e.server.pool.book.Note(ended) }()
+	defer func() { e.server.pool.events.Append(ended) }()
 	made, _, ending := e.await(1 << 30)
 	if e.server.silent() {
 		<-e.server.lifetime.Done()
@@ -324,7 +324,7 @@
 	default:
 		ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, made
 	}
-	text := e.wholeText(made)
+	text := e.plainText(made)
 	e.head(writer.Header())
 	writer.Header().Set("Content-Type", "application/json")
 	if ended.Status == http.StatusOK {
@@ -343,8 +343,8 @@
 	_, _ = writer.Write([]byte(text))
 }
 
-// wholeText is the body of a plain answer.
-func (e *exchange) wholeText(made int) string {
+// plainText is the body of a plain answer.
+func (e *exchange) plainText(made int) string {
 	return fmt.Sprintf("{\"answer\":\"/%s/%s/1-%d\"}%s", e.event.Digest, e.seal, made, strings.Repeat(" ", 400))
 }
 
@@ -385,7 +385,7 @@
 		_, _ = connection.Write([]byte("\r\n"))
 		body := httputil.NewChunkedWriter(connection)
 		if e.server.shape.Plain > 0 {
-			_, _ = body.Write([]byte(e.wholeText(made)))
+			_, _ = body.Write([]byte(e.plainText(made)))
 		} else {
 			_, _ = body.Write([]byte(e.spanText(e.behind+1, made)))
 		}
@@ -401,17 +401,17 @@
 		return
 	}
 	_, _ = io.Copy(io.Discard, next.Body)
-	e.server.pool.book.Note(Event{Kind: Arrived, Server: e.server.ID, Service: e.server.Service, Zone: e.server.Zone, Try: next.Header.Get(headerTry),
-		Stage: stageOf(next.Header), Cause: "its answer was another's"})
+	e.server.pool.events.Append(Event{Kind: Arrived, Server: e.server.ID, Service: e.server.Service, Zone: e.server.Zone, Try: next.Header.Get(headerAttempt),
+		Stage: phaseOf(next.Header), Cause: "its answer was another's"})
 	write()
 	_ = connection.SetDeadline(time.Now().Add(time.Second))
 	_, _ = io.Copy(io.Discard, buffered)
 }
 
-// stageOf is the part of the work that a request asks for.
-func stageOf(header http.Header) string {
-	if header.Get(headerStage) == stagePrefill {
-		return stagePrefill
+// phaseOf is the part of the work that a request asks for.
+func phaseOf(header http.Header) string {
+	if header.Get(headerStage) == phasePrefill {
+		return phasePrefill
 	}
-	return stageDecode
+	return phaseDecode
 }
--- a/internal/testbed/replay/faults.go
+++ b/internal/testbed/replay/faults.go
@@ -14,7 +14,7 @@
 
 // faultBodies are the troubles and the planned work of a day, by their kind.
 var faultBodies = map[string]func(day *Day, lifetime context.Context, fault Fault){
-	"burst": (*Day).burst, "srv_crash": (*Day).crashServers, "release": (*Day).release, "answer_lost": (*Day).loseAnswers, "garble": (*Day).garble,
+	"burst": (*Day).burst, "srv_crash": (*Day).crashServers, "release": (*Day).release, "answer_lost": (*Day).loseAnswers, "garble": (*Day).garbleAnswers,
 	"node_kill": (*Day).killMachines, "node_freeze": (*Day).freezeMachines, "roll_term": (*Day).roll, "herd_kill": (*Day).killHerd,
 	"seed_turnover": (*Day).turnSeedsOver, "replace_core": (*Day).replaceCore, "after_ack_wipe": (*Day).wipeAfterAnswer, "after_ack_kill": (*Day).wipeAfterAnswer,
 	"config_change": (*Day).changeOnce, "config_storm": (*Day).storm, "config_race": (*Day).race, "bad_config": (*Day).sendInvalid, "big_config": (*Day).growConfiguration,
@@ -34,7 +34,7 @@
 // burst presses for a while.
 func (day *Day) burst(lifetime context.Context, fault Fault) {
 	day.Clients.press(fault.Class, fault.timesOr(2))
-	pause(lifetime, fault.lasts())
+	sleep(lifetime, fault.lasts())
 	day.Clients.press("", 1)
 }
 
@@ -49,7 +49,7 @@
 	for _, server := range servers {
 		server.misbehave(begin)
 	}
-	pause(lifetime, fault.lasts())
+	sleep(lifetime, fault.lasts())
 	for _, server := range servers {
 		server.misbehave(func(own *misbehaviour) { *own = misbehaviour{} })
 	}
@@ -65,10 +65,10 @@
 		phase := server.playing()
 		day.ServerPool.remove(server)
 		if fault.says("gone") {
-			day.passAddressOn(lifetime, server)
+			day.reuseAddress(lifetime, server)
 			continue
 		}
-		if pause(lifetime, fault.lasts()) {
+		if sleep(lifetime, fault.lasts()) {
 			_, _ = day.ServerPool.add(day.Site.shapeOf(server.Service), server.Zone, phase, true)
 		}
 	}
@@ -91,22 +91,22 @@
 		}
 		leaving.Go(func() {
 			day.ServerPool.drain(server, time.Second)
-			day.passAddressOn(lifetime, server)
+			day.reuseAddress(lifetime, server)
 		})
-		if !pause(lifetime, fault.gap()) {
+		if !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
 }
 
-// passAddressOn has a server of another service begin where one has ended.
-func (day *Day) passAddressOn(lifetime context.Context, old *modelServer) {
-	if !pause(lifetime, day.Site.Terms.AddressReuse) {
+// reuseAddress has a server of another service begin where one has ended.
+func (day *Day) reuseAddress(lifetime context.Context, old *modelServer) {
+	if !sleep(lifetime, day.Site.Terms.AddressReuse) {
 		return
 	}
 	for _, service := range day.Site.Services {
 		if service.Name != old.Service && service.Engine.Plain == 0 {
-			_, _ = day.ServerPool.addAt(old.Address, service, old.Zone, stageDecode, true)
+			_, _ = day.ServerPool.addAt(old.Address, service, old.Zone, phaseDecode, true)
 			return
 		}
 	}
@@ -120,14 +120,14 @@
 		for position, server := range servers {
 			phase := server.playing()
 			day.ServerPool.remove(server)
-			if !pause(lifetime, fault.gap()) {
+			if !sleep(lifetime, fault.gap()) {
 				return
 			}
 			if next, err := day.ServerPool.addAt(server.Address, day.Site.shapeOf(server.Service), server.Zone, phase, true); err == nil {
 				servers[position] = next
 			}
 		}
-		if !pause(lifetime, fault.gap()) {
+		if !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
@@ -144,7 +144,7 @@
 // abuseRetries has clients try again at once and often.
 func (day *Day) abuseRetries(lifetime context.Context, fault Fault) {
 	day.Clients.abuse(true)
-	pause(lifetime, fault.lasts())
+	sleep(lifetime, fault.lasts())
 	day.Clients.abuse(false)
 }
 
@@ -162,7 +162,7 @@
 		phases[position] = server.playing()
 		day.ServerPool.remove(server)
 	}
-	day.bounceAll(slices.DeleteFunc(day.all(), func(machine *Machine) bool { return machine.Zone != zone }), fault.lasts())
+	day.restartAll(slices.DeleteFunc(day.all(), func(machine *Machine) bool { return machine.Zone != zone }), fault.lasts())
 	for position, server := range servers {
 		_, _ = day.ServerPool.add(day.Site.shapeOf(server.Service), zone, phases[position], true)
 	}
@@ -172,7 +172,7 @@
 	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) { m.loses = fault.timesOr(0.03) })
 }
 
-func (day *Day) garble(lifetime context.Context, fault Fault) {
+func (day *Day) garbleAnswers(lifetime context.Context, fault Fault) {
 	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) {
 		m.spoils, m.late = fault.timesOr(0.02), fault.says("extra")
 	})
@@ -210,7 +210,7 @@
 		return func() {}
 	}
 	day.coreTurn.Lock()
-	pause(day.lifetime, time.Until(day.coreBack.Add(day.Site.Terms.CatchUp)))
+	sleep(day.lifetime, time.Until(day.coreBack.Add(day.Site.Terms.CatchUp)))
 	return func() {
 		day.coreBack = time.Now()
 		day.coreTurn.Unlock()
@@ -223,7 +223,7 @@
 	defer back()
 	var killing sync.WaitGroup
 	for _, machine := range day.leading(fault) {
-		killing.Go(func() { day.bounce(machine, fault.lasts(), false) })
+		killing.Go(func() { day.restartMachines(machine, fault.lasts(), false) })
 	}
 	killing.Wait()
 }
@@ -239,7 +239,7 @@
 }
 
 // bounce kills a machine and starts it again later, perhaps with an empty disk.
-func (day *Day) bounce(machine *Machine, down time.Duration, wipes bool) {
+func (day *Day) restartMachines(machine *Machine, down time.Duration, wipes bool) {
 	machine.kill()
 	if wipes {
 		_ = machine.wipe()
@@ -247,7 +247,7 @@
 	machine.mutex.Lock()
 	machine.first = false
 	machine.mutex.Unlock()
-	if pause(day.lifetime, down) {
+	if sleep(day.lifetime, down) {
 		_ = machine.up()
 	}
 }
@@ -259,7 +259,7 @@
 	for _, machine := range machines {
 		machine.freeze()
 	}
-	pause(day.lifetime, fault.lasts())
+	sleep(day.lifetime, fault.lasts())
 	for _, machine := range machines {
 		machine.thaw()
 	}
@@ -278,10 +278,10 @@
 		machine.first = false
 		machine.mutex.Unlock()
 		machine.stop()
-		pause(day.lifetime, 300*time.Millisecond)
+		sleep(day.lifetime, 300*time.Millisecond)
 		_ = machine.up()
 		back()
-		if !pause(lifetime, fault.gap()) {
+		if !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
@@ -293,7 +293,7 @@
 	count := max(1, int(fault.shareOr(0.3)*float64(len(machines))+0.5))
 	for _, machine := range machines[:count] {
 		machine.reload()
-		if fault.Gap > 0 && !pause(lifetime, fault.gap()) {
+		if fault.Gap > 0 && !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
@@ -313,13 +313,13 @@
 		day.mutex.Unlock()
 		machines = machines[:max(1, int(fault.shareOr(0.6)*float64(len(machines))+0.5))]
 	}
-	day.bounceAll(machines, min(fault.lasts(), time.Second))
+	day.restartAll(machines, min(fault.lasts(), time.Second))
 }
 
-func (day *Day) bounceAll(machines []*Machine, down time.Duration) {
+func (day *Day) restartAll(machines []*Machine, down time.Duration) {
 	var killing sync.WaitGroup
 	for _, machine := range machines {
-		killing.Go(func() { day.bounce(machine, down, false) })
+		killing.Go(func() { day.restartMachines(machine, down, false) })
 	}
 	killing.Wait()
 }
@@ -329,7 +329,7 @@
 	seeds := day.controls(day.Site.Terms.SeedLag)
 	slices.Reverse(seeds)
 	for _, machine := range day.all() {
-		_ = machine.retell(seeds[:min(seedCount, len(seeds))])
+		_ = machine.rewriteSettings(seeds[:min(seedCount, len(seeds))])
 	}
 }
 
@@ -347,17 +347,17 @@
 	}
 	if fault.says("planned") {
 		begin()
-		pause(day.lifetime, seconds(fault.timesOr(1)))
+		sleep(day.lifetime, seconds(fault.timesOr(1)))
 		old.stop()
 		old.leave()
 	} else {
 		old.kill()
 		old.leave()
-		if pause(day.lifetime, seconds(fault.timesOr(1))) {
+		if sleep(day.lifetime, seconds(fault.timesOr(1))) {
 			begin()
 		}
 	}
-	pause(day.lifetime, day.Site.Terms.CatchUp)
+	sleep(day.lifetime, day.Site.Terms.CatchUp)
 }
 
 // wipeAfterAnswer kills the machine that acknowledges a change as soon as it has, and
@@ -370,30 +370,30 @@
 	if machine == nil {
 		machine = day.core()[0]
 	}
-	day.bounce(machine, fault.lasts(), strings.HasSuffix(fault.Kind, "wipe"))
+	day.restartMachines(machine, fault.lasts(), strings.HasSuffix(fault.Kind, "wipe"))
 }
 
 // close strikes at the end of the day, right after a change was acknowledged.
 func (day *Day) close(lifetime context.Context, closing Closing) {
 	back := day.loseCore(true)
 	defer back()
-	pause(lifetime, day.Site.Terms.CatchUp)
+	sleep(lifetime, day.Site.Terms.CatchUp)
 	day.change(lifetime, "idle")
-	day.say("%6.1f s  closing: %s", time.Since(day.began).Seconds(), closing.Kind)
-	day.Book.Note(Event{Kind: ClosingFault, Cause: closing.Kind})
+	day.logf("%6.1f s  closing: %s", time.Since(day.began).Seconds(), closing.Kind)
+	day.Events.Append(Event{Kind: ClosingFault, Cause: closing.Kind})
 	closings[closing.Kind](day, seconds(max(closing.Down, 0.3)))
-	day.Book.Note(Event{Kind: ClosingBack})
+	day.Events.Append(Event{Kind: ClosingBack})
 }
 
 // killAll kills every process at once.
-func (day *Day) killAll(down time.Duration) { day.bounceAll(day.all(), down) }
+func (day *Day) killAll(down time.Duration) { day.restartAll(day.all(), down) }
 
 // wipeOne takes the disk of one machine of the core while all others are killed.
 func (day *Day) wipeOne(down time.Duration) {
 	unlucky := day.core()[day.random.IntN(len(day.core()))]
 	var killing sync.WaitGroup
 	for _, machine := range day.all() {
-		killing.Go(func() { day.bounce(machine, down, machine == unlucky) })
+		killing.Go(func() { day.restartMachines(machine, down, machine == unlucky) })
 	}
 	killing.Wait()
 }
@@ -454,7 +454,7 @@
 	}
 	for number := range count {
 		day.change(lifetime, []string{"idle", "timeout"}[number%2])
-		if !pause(lifetime, fault.gap()) {
+		if !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
@@ -477,7 +477,7 @@
 		}
 		racing.Wait()
 		operators.resync(lifetime)
-		if !pause(lifetime, fault.gap()) {
+		if !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
@@ -500,7 +500,7 @@
 		patience, end := context.WithTimeout(lifetime, 2*day.Site.Terms.Acknowledge)
 		operators.propose(patience, base, next, false, true, func(page map[string]any) []byte { return spoilers[way](page, base) })
 		end()
-		if !pause(lifetime, fault.gap()) {
+		if !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
@@ -579,7 +579,7 @@
 	if zone == "" {
 		zone = day.Site.Zones[day.seed%uint64(len(day.Site.Zones))]
 	}
-	if day.Operators.evacuate(lifetime, zone) && pause(lifetime, fault.lasts()) {
+	if day.Operators.evacuate(lifetime, zone) && sleep(lifetime, fault.lasts()) {
 		for _, server := range day.ServerPool.all() {
 			if server.Zone == zone {
 				server.cool()
--- a/internal/testbed/replay/machine.go
+++ b/internal/testbed/replay/machine.go
@@ -109,7 +109,7 @@
 // up starts the processes.
 func (m *Machine) up() error {
 	m.renewSeeds()
-	m.day.Book.Note(Event{Kind: MachineUp, Machine: m.Name, Zone: m.Zone, Core: m.Core})
+	m.day.Events.Append(Event{Kind: MachineUp, Machine: m.Name, Zone: m.Zone, Core: m.Core})
 	for _, p := range m.processes {
 		if err := p.start(); err != nil {
 			return err
@@ -131,11 +131,11 @@
 
 // kill ends all processes at once.
 func (m *Machine) kill() {
-	m.day.Book.Note(Event{Kind: MachineKilled, Machine: m.Name, Core: m.Core})
+	m.day.Events.Append(Event{Kind: MachineKilled, Machine: m.Name, Core: m.Core})
 	for _, p := range m.processes {
 		p.kill()
 	}
-	m.day.Book.Note(Event{Kind: MachineKilled, Machine: m.Name, Core: m.Core})
+	m.day.Events.Append(Event{Kind: MachineKilled, Machine: m.Name, Core: m.Core})
 }
 
 // wipe takes the disk's content away; the processes must have ended.
@@ -145,7 +145,7 @@
 
 // stop sends SIGTERM, and SIGKILL after the time of grace.
 func (m *Machine) stop() {
-	m.day.Book.Note(Event{Kind: MachineTerm, Machine: m.Name, Core: m.Core, Planned: true})
+	m.day.Events.Append(Event{Kind: MachineTerm, Machine: m.Name, Core: m.Core, Planned: true})
 	var ending sync.WaitGroup
 	for _, p := range m.processes {
 		ending.Go(func() { p.stop(m.day.Site.Terms.Grace) })
@@ -155,7 +155,7 @@
 
 // freeze stands the processes still; thaw lets them go on.
 func (m *Machine) freeze() {
-	m.day.Book.Note(Event{Kind: MachineFrozen, Machine: m.Name, Core: m.Core})
+	m.day.Events.Append(Event{Kind: MachineFrozen, Machine: m.Name, Core: m.Core})
 	for _, p := range m.processes {
 		p.signal(syscall.SIGSTOP)
 	}
@@ -165,7 +165,7 @@
 	for _, p := range m.processes {
 		p.signal(syscall.SIGCONT)
 	}
-	m.day.Book.Note(Event{Kind: MachineThawed, Machine: m.Name, Core: m.Core})
+	m.day.Events.Append(Event{Kind: MachineThawed, Machine: m.Name, Core: m.Core})
 }
 
 // leave notes that the machine is gone for good.
@@ -174,11 +174,11 @@
 	m.gone, m.unlisted = true, time.Now()
 	m.mutex.Unlock()
 	m.day.Balancer.shut(m.Name)
-	m.day.Book.Note(Event{Kind: MachineGone, Machine: m.Name, Core: m.Core})
+	m.day.Events.Append(Event{Kind: MachineGone, Machine: m.Name, Core: m.Core})
 }
 
 // retell writes other seeds into the settings files, and tells the processes.
-func (m *Machine) retell(seeds []string) error {
+func (m *Machine) rewriteSettings(seeds []string) error {
 	m.mutex.Lock()
 	m.seeds, m.first = seeds, false
 	m.mutex.Unlock()
--- a/internal/testbed/replay/machine_test.go
+++ b/internal/testbed/replay/machine_test.go
@@ -24,7 +24,7 @@
 		t.Errorf("process %d runs beside %d", second, first)
 	}
 	machine.kill()
-	for _, event := range day.Book.Events() {
+	for _, event := range day.Events.Events() {
 		if event.Kind == EndedByItself {
 			t.Errorf("%+v", event)
 		}
--- a/internal/testbed/replay/modelserver.go
+++ b/internal/testbed/replay/modelserver.go
@@ -43,7 +43,7 @@
 	orders    int
 	revision  int
 	draining  bool
-	coldUntil time.Time
+	warmUntil time.Time
 	arrivals  []time.Time
 	handles   map[string]*handle
 	// linkFree is when the link has ended its last move.
@@ -59,7 +59,7 @@
 type handle struct {
 	try    string
 	tokens int
-	held   []*keptPart
+	held   []*prefixPart
 	lapses time.Time
 }
 
@@ -90,27 +90,27 @@
 	}
 	server := &modelServer{ID: "i-" + uuid.NewString()[:8], Service: service.Name, Zone: zone, Address: address, pool: pool, shape: service.Engine,
 		engine: newEngine(service.Engine), phase: phase, revision: 1, handles: map[string]*handle{}, random: rand.New(rand.NewPCG(pool.seed, uint64(pool.count())))}
-	server.engine.readsOwn = phase == stageDecode
+	server.engine.readsOwn = phase == phaseDecode
 	server.progress = sync.NewCond(&server.mutex)
 	server.lifetime, server.end = context.WithCancel(context.Background())
 	if cold {
-		server.coldUntil = time.Now().Add(service.Engine.Cold)
+		server.warmUntil = time.Now().Add(service.Engine.Cold)
 	}
 	mux := goji.NewMux()
-	mux.HandleFunc(pat.Get(pathHealth), server.tellHealth)
+	mux.HandleFunc(pat.Get(pathHealth), server.serveHealth)
 	if service.Engine.Plain > 0 {
 		mux.HandleFunc(pat.Get(pathReport), func(writer http.ResponseWriter, _ *http.Request) {
-			server.pool.book.Note(Event{Kind: Probed, Server: server.ID, Stage: pathReport})
+			server.pool.events.Append(Event{Kind: Probed, Server: server.ID, Stage: pathReport})
 			writer.WriteHeader(http.StatusNotFound)
 		})
 	} else {
-		mux.HandleFunc(pat.Get(pathReport), server.tellReport)
+		mux.HandleFunc(pat.Get(pathReport), server.serveReport)
 		mux.HandleFunc(pat.Post(pathOrder), server.takeOrder)
 		mux.HandleFunc(pat.Delete(pathHandle+":handle"), server.freeHandle)
 	}
 	mux.HandleFunc(pat.New("/*"), server.serve)
-	server.server = &http.Server{Handler: server.shade(mux), IdleTimeout: service.Engine.Idle, BaseContext: func(net.Listener) context.Context { return server.lifetime }, ConnState: server.countConnections}
-	pool.book.Note(Event{Kind: ServerBorn, Server: server.ID, Service: server.Service, Zone: zone, Cold: cold})
+	server.server = &http.Server{Handler: server.silenceWhileDark(mux), IdleTimeout: service.Engine.Idle, BaseContext: func(net.Listener) context.Context { return server.lifetime }, ConnState: server.countConnections}
+	pool.events.Append(Event{Kind: ServerBorn, Server: server.ID, Service: server.Service, Zone: zone, Cold: cold})
 	go func() { _ = server.server.Serve(listener) }()
 	go server.work()
 	return server, nil
@@ -139,7 +139,7 @@
 }
 
 // shade leaves calls without an answer while the server is dark.
-func (m *modelServer) shade(next http.Handler) http.Handler {
+func (m *modelServer) silenceWhileDark(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
 		if m.silent() {
 			_, _ = io.Copy(io.Discard, inbound.Body)
@@ -172,7 +172,7 @@
 		now := time.Now()
 		length, chunks := m.engine.plan(now)
 		m.mutex.Unlock()
-		if !pause(m.lifetime, length) {
+		if !sleep(m.lifetime, length) {
 			return
 		}
 		m.mutex.Lock()
@@ -190,7 +190,7 @@
 }
 
 // pause waits for a length of time; false means that it was broken off.
-func pause(lifetime context.Context, length time.Duration) bool {
+func sleep(lifetime context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
@@ -205,17 +205,17 @@
 func (m *modelServer) crash() {
 	m.end()
 	_ = m.server.Close()
-	m.pool.book.Note(Event{Kind: ServerGone, Server: m.ID, Service: m.Service, Zone: m.Zone})
+	m.pool.events.Append(Event{Kind: ServerGone, Server: m.ID, Service: m.Service, Zone: m.Zone})
 }
 
-// tellReport answers with the state of some time ago.
-func (m *modelServer) tellReport(writer http.ResponseWriter, _ *http.Request) {
+// serveReport answers with the state of some time ago.
+func (m *modelServer) serveReport(writer http.ResponseWriter, _ *http.Request) {
 	m.mutex.Lock()
 	page := m.aged(time.Now())
 	m.mutex.Unlock()
-	m.pool.book.Note(Event{Kind: Probed, Server: m.ID, Stage: pathReport})
+	m.pool.events.Append(Event{Kind: Probed, Server: m.ID, Stage: pathReport})
 	writer.Header().Set(headerServer, m.ID)
-	say(writer, http.StatusOK, page)
+	writeJSON(writer, http.StatusOK, page)
 }
 
 // aged is the state as it was a lag ago, as near as it was looked at.
@@ -231,7 +231,7 @@
 }
 
 func (m *modelServer) state() reportPage {
-	used := m.engine.memory.pinned()
+	used := m.engine.memory.pinnedTokens()
 	return reportPage{Phase: m.phase, ModelIDs: m.models(), Utilization: m.turning, CallSeq: m.orders, Queued: len(m.engine.waiting),
 		Active: len(m.engine.running), KVUsed: used, KVTotal: m.shape.Capacity, OpenHandles: len(m.handles)}
 }
@@ -240,15 +240,15 @@
 	return []modelPage{{Name: modelName, Revision: m.revision, AdapterIDs: []string{}}}
 }
 
-// tellHealth answers as a request would be answered: it is turned away when the server
+// serveHealth answers as a request would be answered: it is turned away when the server
 // is full.
-func (m *modelServer) tellHealth(writer http.ResponseWriter, _ *http.Request) {
+func (m *modelServer) serveHealth(writer http.ResponseWriter, _ *http.Request) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.pool.book.Note(Event{Kind: Probed, Server: m.ID, Stage: pathHealth})
+	m.pool.events.Append(Event{Kind: Probed, Server: m.ID, Stage: pathHealth})
 	writer.Header().Set(headerServer, m.ID)
-	m.tellLoad(writer.Header())
-	if left := time.Until(m.coldUntil); left > 0 {
+	m.writeLoadHeader(writer.Header())
+	if left := time.Until(m.warmUntil); left > 0 {
 		writer.Header().Set(headerCold, strconv.FormatInt(left.Milliseconds(), 10))
 	}
 	if (m.draining || len(m.engine.waiting) >= m.shape.Queue) != m.misbehaviour.lies {
@@ -259,7 +259,7 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-func (m *modelServer) tellLoad(header http.Header) {
+func (m *modelServer) writeLoadHeader(header http.Header) {
 	header.Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(m.engine.running), len(m.engine.waiting), m.shape.Slots))
 	if m.shape.Plain == 0 {
 		header.Set(headerRevision, strconv.Itoa(m.revision))
@@ -271,12 +271,12 @@
 func (m *modelServer) cool() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.coldUntil = time.Now().Add(m.shape.Cold)
+	m.warmUntil = time.Now().Add(m.shape.Cold)
 }
 
 // overrun counts what comes while the server is cold; well above its rate it falls over.
 func (m *modelServer) overrun(now time.Time) (cold, falls bool) {
-	if !now.Before(m.coldUntil) {
+	if !now.Before(m.warmUntil) {
 		return false, false
 	}
 	m.arrivals = append(m.arrivals, now)
@@ -303,7 +303,7 @@
 	}
 	arrived := e.event
 	arrived.Kind, arrived.Status = Arrived, status
-	m.pool.book.Note(arrived)
+	m.pool.events.Append(arrived)
 	if falls {
 		m.mutex.Unlock()
 		m.crash()
@@ -359,7 +359,7 @@
 	from.linkFree, m.linkFree = begins.Add(length), begins.Add(length)
 	delete(from.handles, name)
 	from.engine.memory.unpin(held.held)
-	m.pool.book.Note(Event{Kind: HandleTaken, Server: m.ID, Handle: name, Try: t, Request: held.try, Tokens: held.tokens})
+	m.pool.events.Append(Event{Kind: HandleTaken, Server: m.ID, Handle: name, Try: t, Request: held.try, Tokens: held.tokens})
 	return held.tokens, begins.Add(length), true
 }
 
@@ -369,7 +369,7 @@
 		if m.misbehaviour.lapses || now.After(held.lapses) {
 			delete(m.handles, name)
 			m.engine.memory.unpin(held.held)
-			m.pool.book.Note(Event{Kind: HandleLost, Server: m.ID, Handle: name, Try: held.try, Tokens: held.tokens})
+			m.pool.events.Append(Event{Kind: HandleLost, Server: m.ID, Handle: name, Try: held.try, Tokens: held.tokens})
 		}
 	}
 }
@@ -386,6 +386,6 @@
 	}
 	delete(m.handles, name)
 	m.engine.memory.unpin(held.held)
-	m.pool.book.Note(Event{Kind: HandleFreed, Server: m.ID, Handle: name, Try: held.try, Tokens: held.tokens})
+	m.pool.events.Append(Event{Kind: HandleFreed, Server: m.ID, Handle: name, Try: held.try, Tokens: held.tokens})
 	writer.WriteHeader(http.StatusOK)
 }
--- a/internal/testbed/replay/modelserver_test.go
+++ b/internal/testbed/replay/modelserver_test.go
@@ -13,7 +13,7 @@
 
 // bench is a pool of model servers and a list over them.
 type bench struct {
-	book      *Book
+	events    *EventLog
 	pool      *ServerPool
 	directory *Directory
 	site      Site
@@ -25,21 +25,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := &Book{}
-	pool, err := startServerPool(book, site, 1, func() string { return addresses.address() + ":" + p.server })
+	events := &EventLog{}
+	pool, err := startServerPool(events, site, 1, func() string { return addresses.address() + ":" + p.server })
 	if err != nil {
 		t.Fatal(err)
 	}
-	directory, err := startDirectory(book, pool, site, addresses.address()+":"+p.list)
+	directory, err := startDirectory(events, pool, site, addresses.address()+":"+p.list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		directory.close()
 		pool.close()
-		_ = addresses.held.Close()
+		_ = addresses.reserved.Close()
 	})
-	return &bench{book, pool, directory, site}
+	return &bench{events, pool, directory, site}
 }
 
 // playing finds a server by the part that it plays.
@@ -56,7 +56,7 @@
 func (b *bench) ask(t *testing.T, server *modelServer, tr string, extra map[string]string) (*http.Response, string) {
 	t.Helper()
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", strings.NewReader("{}"))
-	outbound.Header = http.Header{headerTry: {tr}, headerModel: {modelName}, headerTokens: {"900,20"}, headerParts: {"a:500,b:400"}, headerDeadline: {"3000"}}
+	outbound.Header = http.Header{headerAttempt: {tr}, headerModel: {modelName}, headerTokens: {"900,20"}, headerParts: {"a:500,b:400"}, headerDeadline: {"3000"}}
 	for name, value := range extra {
 		outbound.Header.Set(name, value)
 	}
@@ -72,7 +72,7 @@
 // read has a prompt read, and gives where its memory waits.
 func (b *bench) read(t *testing.T, server *modelServer, tr string) string {
 	t.Helper()
-	a, body := b.ask(t, server, tr, map[string]string{headerStage: stagePrefill})
+	a, body := b.ask(t, server, tr, map[string]string{headerStage: phasePrefill})
 	var page struct {
 		PrefillHandle string
 		TokenCount    int
@@ -86,10 +86,10 @@
 // TestHandlesAreTakenOnce reads a prompt at one server and has it answered at another.
 func TestHandlesAreTakenOnce(t *testing.T) {
 	b := startBench(t, SmallSite())
-	reader, maker := b.playing(stagePrefill), b.playing(stageDecode)
+	reader, maker := b.playing(phasePrefill), b.playing(phaseDecode)
 	source := b.read(t, reader, "t1")
 	a, body := b.ask(t, maker, "t1", map[string]string{headerSource: source})
-	if a.StatusCode != http.StatusOK || a.Header.Get(headerSeal) == "" || a.Header.Get(headerTry) != "t1" || !strings.HasPrefix(body, "id: ") {
+	if a.StatusCode != http.StatusOK || a.Header.Get(headerSeal) == "" || a.Header.Get(headerAttempt) != "t1" || !strings.HasPrefix(body, "id: ") {
 		t.Fatalf("%d %v %s", a.StatusCode, a.Header, body)
 	}
 	if an, _ := b.ask(t, maker, "t1", map[string]string{headerSource: source}); an.StatusCode != http.StatusServiceUnavailable || an.Header.Get(headerNotRun) == "" {
@@ -114,8 +114,8 @@
 // other weights.
 func TestWhatIsMeantForAnotherServerIsTurnedAway(t *testing.T) {
 	b := startBench(t, SmallSite())
-	reader, maker := b.playing(stagePrefill), b.playing(stageDecode)
-	for name, extra := range map[string]map[string]string{"another life": {headerTarget: "i-other"}, "another part": {headerStage: stagePrefill}, "other weights": {headerExpected: "9"}} {
+	reader, maker := b.playing(phasePrefill), b.playing(phaseDecode)
+	for name, extra := range map[string]map[string]string{"another life": {headerTarget: "i-other"}, "another part": {headerStage: phasePrefill}, "other weights": {headerExpected: "9"}} {
 		a, _ := b.ask(t, maker, name, extra)
 		if a.StatusCode != http.StatusMisdirectedRequest || a.Header.Get(headerServer) != maker.ID {
 			t.Errorf("%s: %d", name, a.StatusCode)
@@ -139,7 +139,7 @@
 		site.Services[position].Engine.Switch = 50 * time.Millisecond
 	}
 	b := startBench(t, site)
-	maker := b.playing(stageDecode)
+	maker := b.playing(phaseDecode)
 	order := func(body string) int {
 		a, err := http.Post("http://"+maker.Address+pathOrder, "application/json", bytes.NewReader([]byte(body)))
 		if err != nil {
@@ -161,11 +161,11 @@
 		t.Fatalf("the order was answered %d", given)
 	}
 	deadline := time.Now().Add(5 * time.Second)
-	for maker.playing() != stagePrefill {
+	for maker.playing() != phasePrefill {
 		if time.Now().After(deadline) {
 			t.Fatal("the server never changed its part")
 		}
-		pause(maker.lifetime, 5*time.Millisecond)
+		sleep(maker.lifetime, 5*time.Millisecond)
 	}
 	b.read(t, maker, "t1")
 }
@@ -173,14 +173,14 @@
 // TestColdServersFallOver sends well above a cold server's rate.
 func TestColdServersFallOver(t *testing.T) {
 	b := startBench(t, SmallSite())
-	server, err := b.pool.add(b.site.Services[0], b.site.Zones[0], stageDecode, true)
+	server, err := b.pool.add(b.site.Services[0], b.site.Zones[0], phaseDecode, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fell := false
 	for number := range 80 {
 		outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", nil)
-		outbound.Header.Set(headerTry, strconv.Itoa(number))
+		outbound.Header.Set(headerAttempt, strconv.Itoa(number))
 		outbound.Header.Set(headerTokens, "1,1")
 		a, err := http.DefaultClient.Do(outbound)
 		if err != nil {
@@ -237,13 +237,13 @@
 		if time.Since(began) > 5*time.Second {
 			t.Fatal("the list never shows the server leaving")
 		}
-		pause(leaving.lifetime, 150*time.Millisecond)
+		sleep(leaving.lifetime, 150*time.Millisecond)
 		states, _ = list()
 	}
 	if took := time.Since(began); took < site.ListLag {
 		t.Errorf("the list showed it after %s", took)
 	}
-	shown := newRecord(b.book.Events(), site).shown[leaving.ID]
+	shown := newRecord(b.events.Events(), site).shown[leaving.ID]
 	if shown.IsZero() || shown.Sub(began) < site.ListLag {
 		t.Errorf("the book says that it was shown after %s", shown.Sub(began))
 	}
@@ -262,19 +262,19 @@
 // the first one's answer again.
 func TestAnExtraAnswerComesInThePlaceOfTheNext(t *testing.T) {
 	b := startBench(t, SmallSite())
-	maker := b.playing(stageDecode)
+	maker := b.playing(phaseDecode)
 	maker.misbehave(func(m *misbehaviour) { m.spoils, m.late = 1, true })
 	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	ask := func(tr string) string {
 		outbound, _ := http.NewRequest(http.MethodPost, "http://"+maker.Address+"/chat/1", strings.NewReader("{}"))
-		outbound.Header = http.Header{headerTry: {tr}, headerModel: {modelName}, headerTokens: {"10,2"}, headerParts: {"a:10"}, headerDeadline: {"3000"}}
+		outbound.Header = http.Header{headerAttempt: {tr}, headerModel: {modelName}, headerTokens: {"10,2"}, headerParts: {"a:10"}, headerDeadline: {"3000"}}
 		a, err := c.Do(outbound)
 		if err != nil {
 			return ""
 		}
 		_, _ = io.Copy(io.Discard, a.Body)
 		_ = a.Body.Close()
-		return a.Header.Get(headerTry)
+		return a.Header.Get(headerAttempt)
 	}
 	for number := range 40 {
 		own, other := "own-"+strconv.Itoa(number), "next-"+strconv.Itoa(number)
--- a/internal/testbed/replay/operators.go
+++ b/internal/testbed/replay/operators.go
@@ -88,7 +88,7 @@
 		default:
 			hazy = true
 		}
-		if !pause(lifetime, rest) {
+		if !sleep(lifetime, rest) {
 			break
 		}
 		rest = min(2*rest, 600*time.Millisecond)
@@ -182,10 +182,10 @@
 		body = spoil(text)
 	}
 	change := uuid.NewString()[:8]
-	o.day.Book.Note(Event{Kind: ChangeSent, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Version: &next})
+	o.day.Events.Append(Event{Kind: ChangeSent, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Version: &next})
 	header := http.Header{headerBase: {strconv.Itoa(base.Revision)}, "Content-Type": {"application/json"}}
 	given := o.call(lifetime, http.MethodPost, path, header, body)
-	o.day.Book.Note(Event{Kind: ChangeClosed, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Status: given.status, Cause: string(given.outcome), Version: &next})
+	o.day.Events.Append(Event{Kind: ChangeClosed, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Status: given.status, Cause: string(given.outcome), Version: &next})
 	if given.outcome == acknowledged && !invalid {
 		o.mutex.Lock()
 		if next.Revision > o.current.Revision {
@@ -236,22 +236,22 @@
 				last.Cause = string(text[:min(len(text), 600)])
 			}
 		}
-		pause(asking, 300*time.Millisecond)
+		sleep(asking, 300*time.Millisecond)
 	}
-	o.day.Book.Note(last)
+	o.day.Events.Append(last)
 }
 
 // evacuate asks that nothing more be sent to a zone's servers; takeBack ends that.
 func (o *Operators) evacuate(lifetime context.Context, zone string) bool {
-	o.day.Book.Note(Event{Kind: EvacuateSent, Zone: zone})
+	o.day.Events.Append(Event{Kind: EvacuateSent, Zone: zone})
 	if o.call(lifetime, http.MethodPost, pathEvacuate+zone, nil, nil).outcome != acknowledged {
 		return false
 	}
-	o.day.Book.Note(Event{Kind: Evacuated, Zone: zone})
+	o.day.Events.Append(Event{Kind: Evacuated, Zone: zone})
 	return true
 }
 
 func (o *Operators) takeBack(lifetime context.Context, zone string) bool {
-	o.day.Book.Note(Event{Kind: TakenBack, Zone: zone})
+	o.day.Events.Append(Event{Kind: TakenBack, Zone: zone})
 	return o.call(lifetime, http.MethodPost, pathTakeBack+zone, nil, nil).outcome == acknowledged
 }
--- a/internal/testbed/replay/command.go
+++ b/internal/testbed/replay/order.go
@@ -7,7 +7,7 @@
 )
 
 // command is an order to a server, as its caller writes it.
-type command struct {
+type serverOrder struct {
 	Kind         string  `json:"opKind"`
 	Phase        string  `json:"phase"`
 	Owner        string  `json:"owner"`
@@ -17,7 +17,7 @@
 
 // takeOrder takes an order up, or says why not.
 func (m *modelServer) takeOrder(writer http.ResponseWriter, inbound *http.Request) {
-	var asked command
+	var asked serverOrder
 	err := json.NewDecoder(inbound.Body).Decode(&asked)
 	event := Event{Kind: Ordered, Server: m.ID, Service: m.Service, Zone: m.Zone, Owner: asked.Owner, Stage: asked.Phase}
 	if asked.FencingToken != nil {
@@ -29,7 +29,7 @@
 	switch {
 	case t != "" && t != m.ID:
 		event.Status = http.StatusMisdirectedRequest
-	case err != nil, asked.Owner == "", asked.FencingToken == nil, asked.Kind != "phase", asked.Phase != stagePrefill && asked.Phase != stageDecode:
+	case err != nil, asked.Owner == "", asked.FencingToken == nil, asked.Kind != "phase", asked.Phase != phasePrefill && asked.Phase != phaseDecode:
 		event.Status = http.StatusBadRequest
 	case asked.Expected != nil && *asked.Expected != m.orders, m.turning:
 		event.Status = http.StatusConflict
@@ -38,16 +38,16 @@
 	default:
 		event.Status = http.StatusAccepted
 		m.orders++
-		m.turn(asked.Phase)
+		m.changePhase(asked.Phase)
 	}
-	m.pool.book.Note(event)
+	m.pool.events.Append(event)
 	writer.Header().Set(headerServer, m.ID)
 	writer.WriteHeader(event.Status)
 }
 
 // turn changes the server's part: what runs comes to its end, what has not begun is
 // turned away.
-func (m *modelServer) turn(phase string) {
+func (m *modelServer) changePhase(phase string) {
 	m.turning = true
 	for len(m.engine.waiting) > 0 {
 		m.engine.end(m.engine.waiting[0], "order")
@@ -59,12 +59,12 @@
 			m.progress.Wait()
 		}
 		m.mutex.Unlock()
-		if !pause(m.lifetime, m.shape.Switch) {
+		if !sleep(m.lifetime, m.shape.Switch) {
 			return
 		}
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		m.phase, m.turning, m.engine.readsOwn = phase, false, phase == stageDecode
+		m.phase, m.turning, m.engine.readsOwn = phase, false, phase == phaseDecode
 		m.progress.Broadcast()
 	}()
 }
@@ -81,7 +81,7 @@
 	if m.draining {
 		page.State = stateDraining
 	}
-	if left := m.coldUntil.Sub(now); left > 0 {
+	if left := m.warmUntil.Sub(now); left > 0 {
 		page.ColdLeft = left.Milliseconds()
 	}
 	return page
--- a/internal/testbed/replay/passthrough_test.go
+++ b/internal/testbed/replay/passthrough_test.go
@@ -121,7 +121,7 @@
 		}
 		var fitting []serverPage
 		for _, page := range p.servers {
-			if page.Backend == fields["backend"] && page.Phase != stagePrefill && page.State == stateServing {
+			if page.Backend == fields["backend"] && page.Phase != phasePrefill && page.State == stateServing {
 				fitting = append(fitting, page)
 			}
 		}
--- a/internal/testbed/replay/keptparts.go
+++ b/internal/testbed/replay/prefixcache.go
@@ -1,32 +1,32 @@
 package replay
 
-// keptParts is the memory of an engine, in tokens: parts of prompts that are kept for
+// prefixCache is the memory of an engine, in tokens: parts of prompts that are kept for
 // the next request with the same beginning, and what can't give way.
-type keptParts struct {
+type prefixCache struct {
 	capacity, block int
-	parts           map[string]*keptPart
-	kept            int
+	parts           map[string]*prefixPart
+	cached          int
 	// fixed is what running requests hold beside parts.
 	fixed int
 	turn  int
 }
 
-// keptPart is one part of a prompt behind all parts before it.
-type keptPart struct {
+// prefixPart is one part of a prompt behind all parts before it.
+type prefixPart struct {
 	name     string
 	tokens   int
 	used     int
 	pins     int
-	parent   *keptPart
+	parent   *prefixPart
 	children int
 }
 
-func newKeptParts(capacity, block int) *keptParts {
-	return &keptParts{capacity: capacity, block: block, parts: map[string]*keptPart{}}
+func newPrefixCache(capacity, block int) *prefixCache {
+	return &prefixCache{capacity: capacity, block: block, parts: map[string]*prefixPart{}}
 }
 
 // rounded is how many tokens' places so many tokens take up.
-func (k *keptParts) rounded(tokens int) int {
+func (k *prefixCache) rounded(tokens int) int {
 	return (tokens + k.block - 1) / k.block * k.block
 }
 
@@ -43,7 +43,7 @@
 
 // missing is how many tokens of a chain are not kept: all behind the first part that
 // isn't.
-func (k *keptParts) missing(model string, chain []part) int {
+func (k *prefixCache) missing(model string, chain []part) int {
 	tokens, broken := 0, false
 	for position, name := range chainNames(model, chain) {
 		if k.parts[name] == nil {
@@ -57,7 +57,7 @@
 }
 
 // pinned is what can't give way.
-func (k *keptParts) pinned() int {
+func (k *prefixCache) pinnedTokens() int {
 	pinned := k.fixed
 	for _, one := range k.parts {
 		if one.pins > 0 {
@@ -69,9 +69,9 @@
 
 // pin keeps a chain for one request, and makes room for what is missing of it; it tells
 // whether there was room.
-func (k *keptParts) pin(model string, chain []part) ([]*keptPart, bool) {
-	var held []*keptPart
-	var parent *keptPart
+func (k *prefixCache) pin(model string, chain []part) ([]*prefixPart, bool) {
+	var pinned []*prefixPart
+	var parent *prefixPart
 	names := chainNames(model, chain)
 	// What is kept is held first, so that it doesn't give way for the rest.
 	for _, name := range names {
@@ -80,30 +80,30 @@
 			break
 		}
 		one.pins++
-		held = append(held, one)
+		pinned = append(pinned, one)
 		parent = one
 	}
-	for position := len(held); position < len(chain); position++ {
+	for position := len(pinned); position < len(chain); position++ {
 		places := k.rounded(chain[position].tokens)
-		if !k.makeRoom(places) {
-			k.unpin(held)
+		if !k.evict(places) {
+			k.unpin(pinned)
 			return nil, false
 		}
-		one := &keptPart{name: names[position], tokens: chain[position].tokens, pins: 1, parent: parent}
+		one := &prefixPart{name: names[position], tokens: chain[position].tokens, pins: 1, parent: parent}
 		if parent != nil {
 			parent.children++
 		}
 		k.parts[one.name] = one
-		k.kept += places
-		held = append(held, one)
+		k.cached += places
+		pinned = append(pinned, one)
 		parent = one
 	}
-	return held, true
+	return pinned, true
 }
 
 // unpin lets parts give way again; they stay as long as nobody needs their room.
-func (k *keptParts) unpin(held []*keptPart) {
-	for _, one := range held {
+func (k *prefixCache) unpin(pinned []*prefixPart) {
+	for _, one := range pinned {
 		k.turn++
 		one.pins--
 		one.used = k.turn
@@ -111,27 +111,27 @@
 }
 
 // forget takes parts away that were never read to their end.
-func (k *keptParts) forget(held []*keptPart) {
-	for position := len(held) - 1; position >= 0; position-- {
-		if one := held[position]; one.pins == 0 && one.children == 0 && k.parts[one.name] == one {
+func (k *prefixCache) forget(pinned []*prefixPart) {
+	for position := len(pinned) - 1; position >= 0; position-- {
+		if one := pinned[position]; one.pins == 0 && one.children == 0 && k.parts[one.name] == one {
 			k.drop(one)
 		}
 	}
 }
 
-func (k *keptParts) drop(one *keptPart) {
+func (k *prefixCache) drop(one *prefixPart) {
 	delete(k.parts, one.name)
-	k.kept -= k.rounded(one.tokens)
+	k.cached -= k.rounded(one.tokens)
 	if one.parent != nil {
 		one.parent.children--
 	}
 }
 
-// makeRoom lets the parts give way that were unused for longest, the last of a chain
+// evict lets the parts give way that were unused for longest, the last of a chain
 // first.
-func (k *keptParts) makeRoom(places int) bool {
-	for k.capacity-k.kept-k.fixed < places {
-		var oldest *keptPart
+func (k *prefixCache) evict(places int) bool {
+	for k.capacity-k.cached-k.fixed < places {
+		var oldest *prefixPart
 		for _, one := range k.parts {
 			if one.pins == 0 && one.children == 0 && (oldest == nil || one.used < oldest.used) {
 				oldest = one
@@ -146,8 +146,8 @@
 }
 
 // grow takes room for a running request's own tokens.
-func (k *keptParts) grow(places int) bool {
-	if !k.makeRoom(places) {
+func (k *prefixCache) grow(places int) bool {
+	if !k.evict(places) {
 		return false
 	}
 	k.fixed += places
--- a/internal/testbed/replay/process.go
+++ b/internal/testbed/replay/process.go
@@ -60,8 +60,8 @@
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
-	words := p.role.words()
-	c := exec.Command(words[0], words[1:]...)
+	arguments := p.role.arguments()
+	c := exec.Command(arguments[0], arguments[1:]...)
 	c.Env = []string{settingsName + "=" + path}
 	for _, name := range []string{"PATH", "HOME", "LANG", "GORACE"} {
 		c.Env = append(c.Env, name+"="+os.Getenv(name))
@@ -78,21 +78,21 @@
 		_ = c.Wait()
 		_ = log.Close()
 		close(ended)
-		p.mourn(c)
+		p.awaitEnd(c)
 	}()
 	return nil
 }
 
 // mourn starts a process again that ended though it was wanted.
-func (p *process) mourn(c *exec.Cmd) {
+func (p *process) awaitEnd(c *exec.Cmd) {
 	p.mutex.Lock()
 	own := p.wanted && p.command == c
 	p.mutex.Unlock()
 	if !own {
 		return
 	}
-	p.machine.day.Book.Note(Event{Kind: EndedByItself, Machine: p.machine.Name, Cause: p.role.Name + ": " + c.ProcessState.String()})
-	if !pause(p.machine.day.lifetime, restartsAfter) {
+	p.machine.day.Events.Append(Event{Kind: EndedByItself, Machine: p.machine.Name, Cause: p.role.Name + ": " + c.ProcessState.String()})
+	if !sleep(p.machine.day.lifetime, restartsAfter) {
 		return
 	}
 	p.mutex.Lock()
--- a/internal/testbed/replay/record.go
+++ b/internal/testbed/replay/record.go
@@ -11,15 +11,15 @@
 	site     Site
 	terms    Terms
 	contact  *contact
-	attempts map[string]*trySeen
-	order    []*trySeen
-	requests map[string][]*trySeen
+	attempts map[string]*attemptSeen
+	order    []*attemptSeen
+	requests map[string][]*attemptSeen
 	versions []*versionSeen
 	shown    map[string]time.Time
 }
 
-// trySeen is all that was seen of one try.
-type trySeen struct {
+// attemptSeen is all that was seen of one try.
+type attemptSeen struct {
 	sent     Event
 	ended    Event
 	over     bool
@@ -42,12 +42,12 @@
 }
 
 func newRecord(events []Event, site Site) *record {
-	r := &record{events: events, site: site, terms: site.Terms, contact: newContact(events, site.Terms.Contact), attempts: map[string]*trySeen{}, requests: map[string][]*trySeen{}, shown: map[string]time.Time{}}
+	r := &record{events: events, site: site, terms: site.Terms, contact: newContact(events, site.Terms.Contact), attempts: map[string]*attemptSeen{}, requests: map[string][]*attemptSeen{}, shown: map[string]time.Time{}}
 	changes := map[string]*versionSeen{}
 	for _, event := range events {
 		seen := r.attempts[event.Try]
 		if event.Kind == TrySent {
-			seen = &trySeen{sent: event}
+			seen = &attemptSeen{sent: event}
 			r.attempts[event.Try] = seen
 			r.order = append(r.order, seen)
 			r.requests[event.Request] = append(r.requests[event.Request], seen)
@@ -100,7 +100,7 @@
 // handling is what a machine did with a request, as far as it shows which configuration
 // it went by.
 type handling struct {
-	try     *trySeen
+	try     *attemptSeen
 	machine string
 	route   string
 	// service is empty when the machine said that there is no such route.
--- a/internal/testbed/replay/request.go
+++ b/internal/testbed/replay/request.go
@@ -30,7 +30,7 @@
 
 // newRequest draws a request of a kind.
 func newRequest(class Class, route string, rule RouteRule, random *rand.Rand) *request {
-	one := &request{id: uuid.NewString(), class: class, route: route, rule: rule, path: rule.Prefix + strconv.Itoa(random.IntN(1000)), began: time.Now(),
+	r := &request{id: uuid.NewString(), class: class, route: route, rule: rule, path: rule.Prefix + strconv.Itoa(random.IntN(1000)), began: time.Now(),
 		chunked: random.IntN(3) == 0, leaves: random.IntN(40) == 0, machines: map[string]bool{}}
 	var chain []string
 	total := 0
@@ -45,32 +45,32 @@
 	if class.Plain {
 		chain = nil
 	}
-	one.tokens = fmt.Sprintf("%d,%d", total+own, 1+class.MostTokens/2+random.IntN(max(1, class.MostTokens)))
-	one.parts = strings.Join(chain, ",")
-	one.body = []byte(`{"ask":"` + one.id + `","text":"` + strings.Repeat("menu ", max(0, class.BodyBytes-60)/5) + `"}`)
-	return one
+	r.tokens = fmt.Sprintf("%d,%d", total+own, 1+class.MostTokens/2+random.IntN(max(1, class.MostTokens)))
+	r.parts = strings.Join(chain, ",")
+	r.body = []byte(`{"ask":"` + r.id + `","text":"` + strings.Repeat("menu ", max(0, class.BodyBytes-60)/5) + `"}`)
+	return r
 }
 
 // header writes what a try says, save its own id and deadline.
-func (one *request) header() http.Header {
-	if one.class.Plain {
+func (r *request) header() http.Header {
+	if r.class.Plain {
 		return http.Header{"Content-Type": {"application/json"}}
 	}
-	return http.Header{headerModel: {modelName}, headerTokens: {one.tokens}, headerParts: {one.parts}, "Content-Type": {"application/json"}}
+	return http.Header{headerModel: {modelName}, headerTokens: {r.tokens}, headerParts: {r.parts}, "Content-Type": {"application/json"}}
 }
 
 // digest names what the request asks.
-func (one *request) digest() string {
-	return digestOf(http.MethodPost, one.path, one.rule.Host, one.header(), one.body)
+func (r *request) digest() string {
+	return digestOf(http.MethodPost, r.path, r.rule.Host, r.header(), r.body)
 }
 
 // patience is the silence after which the client gives a stream up.
-func (one *request) patience() time.Duration {
-	if one.class.Plain {
-		return one.class.Deadline
+func (r *request) patience() time.Duration {
+	if r.class.Plain {
+		return r.class.Deadline
 	}
-	return max(2*time.Second, 4*one.class.Aim, 8*one.class.Pause)
+	return max(2*time.Second, 4*r.class.Aim, 8*r.class.Pause)
 }
 
 // left is how long the client still waits.
-func (one *request) left() time.Duration { return one.class.Deadline - time.Since(one.began) }
+func (r *request) left() time.Duration { return r.class.Deadline - time.Since(r.began) }
--- a/internal/testbed/replay/role.go
+++ b/internal/testbed/replay/role.go
@@ -52,10 +52,10 @@
 }
 
 // words are the program and its arguments.
-func (r Role) words() []string {
-	words := strings.Fields(r.Run)
-	words[0] = filepath.Join(r.binaries, filepath.Base(words[0]))
-	return words
+func (r Role) arguments() []string {
+	arguments := strings.Fields(r.Run)
+	arguments[0] = filepath.Join(r.binaries, filepath.Base(arguments[0]))
+	return arguments
 }
 
 // serving tells whether the role may be called from outside for that.
--- a/internal/testbed/replay/say.go
+++ b/internal/testbed/replay/say.go
@@ -6,7 +6,7 @@
 )
 
 // say answers with JSON.
-func say(writer http.ResponseWriter, status int, content any) {
+func writeJSON(writer http.ResponseWriter, status int, content any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(content)
--- a/internal/testbed/replay/serverpool.go
+++ b/internal/testbed/replay/serverpool.go
@@ -10,9 +10,9 @@
 
 // ServerPool holds the model servers of a day, those that are up.
 type ServerPool struct {
-	book *Book
-	site Site
-	seed uint64
+	events *EventLog
+	site   Site
+	seed   uint64
 	// place gives the next address for a server.
 	place func() string
 
@@ -22,15 +22,15 @@
 }
 
 // startServerPool begins the model servers of a site.
-func startServerPool(book *Book, site Site, seed uint64, place func() string) (*ServerPool, error) {
-	pool := &ServerPool{book: book, site: site, seed: seed, place: place}
+func startServerPool(events *EventLog, site Site, seed uint64, place func() string) (*ServerPool, error) {
+	pool := &ServerPool{events: events, site: site, seed: seed, place: place}
 	for _, service := range site.Services {
 		for number := range service.PerZone * len(site.Zones) {
-			phase := stageDecode
+			phase := phaseDecode
 			if service.Engine.Plain > 0 {
 				phase = ""
 			} else if number < service.Readers {
-				phase = stagePrefill
+				phase = phasePrefill
 			}
 			if _, err := pool.add(service, site.Zones[number%len(site.Zones)], phase, false); err != nil {
 				pool.close()
@@ -134,8 +134,8 @@
 	server.mutex.Lock()
 	server.draining = true
 	server.mutex.Unlock()
-	s.book.Note(Event{Kind: Shown, At: time.Now().Add(s.site.ListLag + 2*directoryBeat), Server: server.ID, Service: server.Service, Cause: stateDraining})
-	if pause(server.lifetime, s.site.ListLag+s.site.Terms.Drain+last) {
+	s.events.Append(Event{Kind: Shown, At: time.Now().Add(s.site.ListLag + 2*directoryBeat), Server: server.ID, Service: server.Service, Cause: stateDraining})
+	if sleep(server.lifetime, s.site.ListLag+s.site.Terms.Drain+last) {
 		s.remove(server)
 	}
 }
--- a/internal/testbed/replay/words.go
+++ b/internal/testbed/replay/wire.go
@@ -3,7 +3,7 @@
 // The platform's names on the wire, as its pages give them. They stand in the
 // test kit and in platform/, and nowhere else in the repository.
 const (
-	headerTry        = "X-Attempt-Id"
+	headerAttempt    = "X-Attempt-Id"
 	headerSeal       = "X-Server-Seal"
 	headerDeadline   = "X-Deadline-Ms"
 	headerTarget     = "X-Target-Server"
@@ -35,8 +35,8 @@
 	pathEvacuate  = "/Evacuation.Begin/"
 	pathTakeBack  = "/Evacuation.Finish/"
 	settingsName  = "SEAMLOOM_NODE_FILE"
-	stagePrefill  = "prefill"
-	stageDecode   = "decode"
+	phasePrefill  = "prefill"
+	phaseDecode   = "decode"
 	stateServing  = "serving"
 	stateDraining = "draining"
 )
--- a/internal/testbed/replay/work.go
+++ b/internal/testbed/replay/work.go
@@ -30,10 +30,10 @@
 }
 
 // stage is how far a server is with a request.
-type stage int
+type phase int
 
 const (
-	waiting stage = iota
+	waiting phase = iota
 	reading
 	making
 	over
@@ -56,9 +56,9 @@
 	// begun: the first token was made.
 	begun bool
 	left  int
-	held  []*keptPart
+	held  []*prefixPart
 	own   int
-	stage stage
+	stage phase
 	// started is called when the first token is made.
 	started func()
 	// ending says why the engine gave the request up, when it did.
