--- a/internal/testbed/replay/attempt.go
+++ b/internal/testbed/replay/attempt.go
@@ -15,7 +15,7 @@
 	"github.com/juju/errors"
 )
 
-// try is one sending of a request.
+// attempt is one sending of a request.
 type attempt struct {
 	r      *request
 	id     string
@@ -31,8 +31,23 @@
 // send writes the request to a machine and reads what comes back.
 func (r *request) send(connection *conn, number, behind int, events *EventLog) *attempt {
 	a := &attempt{r: r, id: strings.ReplaceAll(uuid.NewString(), "-", "")[:16], number: number, behind: behind}
-	a.event = Event{Kind: TrySent, Machine: connection.machine, Try: a.id, Request: r.id, Class: r.class.Name, Route: r.route, Number: number,
-		Idempotent: r.class.repeats(), Probe: r.probe, Digest: r.digest(), Deadline: r.left(), Aim: r.class.Aim, Began: r.began, Behind: behind, At: time.Now()}
+	a.event = Event{
+		Kind:       TrySent,
+		Machine:    connection.machine,
+		Try:        a.id,
+		Request:    r.id,
+		Class:      r.class.Name,
+		Route:      r.route,
+		Number:     number,
+		Idempotent: r.class.repeats(),
+		Probe:      r.probe,
+		Digest:     r.digest(),
+		Deadline:   r.left(),
+		Aim:        r.class.Aim,
+		Began:      r.began,
+		Behind:     behind,
+		At:         time.Now(),
+	}
 	outbound, err := http.NewRequest(http.MethodPost, "http://"+r.rule.Host+r.path, bytes.NewReader(r.body))
 	if err != nil {
 		a.event.Cause = err.Error()
@@ -66,7 +81,7 @@
 	return a
 }
 
-// ends notes why the answer isn't whole.
+// fail notes why the answer isn't complete.
 func (a *attempt) fail(err error) {
 	a.event.Complete = false
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -76,7 +91,7 @@
 	a.event.Cause = err.Error()
 }
 
-// listen sets how long the client waits for the next bytes.
+// extendDeadline sets how long the client waits for the next bytes.
 func (a *attempt) extendDeadline(connection *conn) {
 	ends := time.Now().Add(a.r.patience())
 	if last := a.r.began.Add(a.r.class.Deadline); last.Before(ends) {
--- a/internal/testbed/replay/balancer.go
+++ b/internal/testbed/replay/balancer.go
@@ -80,7 +80,7 @@
 	return slices.Clone(b.targets)
 }
 
-// ready tells whether every machine answered that it is ready when it was asked last.
+// allReady tells whether every machine answered that it is ready when it was asked last.
 func (b *Balancer) allReady() bool {
 	b.askAll()
 	b.mutex.Lock()
--- a/internal/testbed/replay/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -50,9 +50,11 @@
 			// A run whose first event was cut with its server may have no start of its own
 			// in the answer's head; its seal is the server's all the same.
 			if ended.Seal == "" || !runs[ended.Seal] && !r.sealed(ended.Seal, seen) {
-				finding.Violate(fmt.Sprintf("%s got %d with the seal %q, which no server gave to it", name, ended.Status, ended.Seal))
+				finding.Violate(fmt.Sprintf("%s got %d with the seal %q, which no server gave to it", name, ended.Status,
+					ended.Seal))
 			}
-		} else if ended.Seal != "" && !slices.ContainsFunc(seen.ends, func(end Event) bool { return end.Seal == ended.Seal && end.Status == ended.Status }) {
+		} else if ended.Seal != "" && !slices.ContainsFunc(seen.ends,
+			func(end Event) bool { return end.Seal == ended.Seal && end.Status == ended.Status }) {
 			finding.Violate(fmt.Sprintf("%s got %d under a seal whose server said otherwise", name, ended.Status))
 		}
 		for _, span := range ended.Spans {
@@ -106,7 +108,8 @@
 		}
 		finding.Looked++
 		if len(seen.starts) > 1 {
-			finding.Violate(fmt.Sprintf("%s ran %d times, at %s and %s", seen.sent.Try, len(seen.starts), seen.starts[0].Server, seen.starts[1].Server))
+			finding.Violate(fmt.Sprintf("%s ran %d times, at %s and %s", seen.sent.Try, len(seen.starts),
+				seen.starts[0].Server, seen.starts[1].Server))
 		}
 	}
 }
@@ -119,7 +122,8 @@
 		}
 		finding.Looked++
 		if promised(seen.ended.Status) && len(seen.starts) > 0 {
-			finding.Violate(fmt.Sprintf("%s was answered %d and ran at %s", seen.sent.Try, seen.ended.Status, seen.starts[0].Server))
+			finding.Violate(fmt.Sprintf("%s was answered %d and ran at %s", seen.sent.Try, seen.ended.Status,
+				seen.starts[0].Server))
 		}
 	}
 }
@@ -196,7 +200,8 @@
 		}
 		worst = max(worst, late)
 		if late > r.terms.Drain {
-			finding.Violate(fmt.Sprintf("%s from %s reached %s %s after the list showed it leaving", event.Try, seen.sent.Machine, event.Server, late))
+			finding.Violate(fmt.Sprintf("%s from %s reached %s %s after the list showed it leaving", event.Try,
+				seen.sent.Machine, event.Server, late))
 		}
 	}
 	finding.Worst, finding.Seconds = worst.String(), worst.Seconds()
@@ -251,7 +256,8 @@
 			case r.contact.unplanned(seen.sent.Machine, seen.sent.At.Add(-r.terms.Contact), seen.ended.At):
 			case slices.ContainsFunc(seen.ends, func(end Event) bool { return end.At.After(event.At.Add(grace / 2)) }) && !seen.sent.At.After(event.At.Add(3*time.Second)):
 			default:
-				finding.Violate(fmt.Sprintf("%s at %s was cut (%s) %s after the SIGTERM", seen.sent.Try, seen.sent.Machine, seen.ended.Cause, seen.ended.At.Sub(event.At).Round(time.Millisecond)))
+				finding.Violate(fmt.Sprintf("%s at %s was cut (%s) %s after the SIGTERM", seen.sent.Try,
+					seen.sent.Machine, seen.ended.Cause, seen.ended.At.Sub(event.At).Round(time.Millisecond)))
 			}
 		}
 	}
--- a/internal/testbed/replay/checkers_configuration.go
+++ b/internal/testbed/replay/checkers_configuration.go
@@ -27,7 +27,8 @@
 			continue
 		}
 		if _, newest, found := r.span(h); found && newest < due {
-			finding.Violate(fmt.Sprintf("%s handled %s on %s (%q) as version %d would, with %d in force", h.machine, h.try.sent.Try, h.route, h.service, newest, due))
+			finding.Violate(fmt.Sprintf("%s handled %s on %s (%q) as version %d would, with %d in force", h.machine,
+				h.try.sent.Try, h.route, h.service, newest, due))
 		}
 	}
 }
@@ -43,7 +44,8 @@
 		if later {
 			held := slices.ContainsFunc(r.versions, func(version *versionSeen) bool {
 				_, found := version.Routes[seen.sent.Route]
-				return found && version.outcome == acknowledged && version.closed.Add(r.terms.Apply).Before(seen.sent.At) && !r.outdated(version, seen.ended.At.Add(r.terms.Apply))
+				return found && version.outcome == acknowledged && version.closed.Add(r.terms.Apply).Before(seen.sent.At) && !r.outdated(version,
+					seen.ended.At.Add(r.terms.Apply))
 			})
 			if !held {
 				continue
@@ -61,7 +63,8 @@
 	}
 	firsts, laters := counts[false], counts[true]
 	if laters[0] >= 20 && laters[1]*firsts[0]*4 < firsts[1]*laters[0] {
-		finding.Violate(fmt.Sprintf("%d of %d on later routes, %d of %d on the first", laters[1], laters[0], firsts[1], firsts[0]))
+		finding.Violate(fmt.Sprintf("%d of %d on later routes, %d of %d on the first", laters[1], laters[0], firsts[1],
+			firsts[0]))
 	}
 }
 
@@ -81,7 +84,8 @@
 		incarnation := fmt.Sprintf("%s#%d", h.machine, r.contact.incarnation(h.machine, h.sent))
 		for _, earlier := range effects[incarnation] {
 			if h.sent.After(earlier.at.Add(r.terms.RevertSlack)) && newest < earlier.version {
-				finding.Violate(fmt.Sprintf("%s showed version %d and later handled %s on %s as version %d would", h.machine, earlier.version, h.try.sent.Try, h.route, newest))
+				finding.Violate(fmt.Sprintf("%s showed version %d and later handled %s on %s as version %d would",
+					h.machine, earlier.version, h.try.sent.Try, h.route, newest))
 				break
 			}
 		}
@@ -103,7 +107,8 @@
 		}
 		for _, version := range r.versions {
 			if !version.sent.After(h.at) && h.fits(version) {
-				finding.Violate(fmt.Sprintf("%s ran %s on %s, which only version %d (%s) allows", h.machine, h.try.sent.Try, h.route, version.Revision, version.outcome))
+				finding.Violate(fmt.Sprintf("%s ran %s on %s, which only version %d (%s) allows", h.machine,
+					h.try.sent.Try, h.route, version.Revision, version.outcome))
 				break
 			}
 		}
@@ -124,7 +129,8 @@
 			continue
 		}
 		if other, twice := bases[version.base]; twice && other != version.Revision {
-			finding.Violate(fmt.Sprintf("versions %d and %d on top of %d were both acknowledged", other, version.Revision, version.base))
+			finding.Violate(fmt.Sprintf("versions %d and %d on top of %d were both acknowledged", other,
+				version.Revision, version.base))
 		}
 		bases[version.base] = version.Revision
 	}
@@ -176,7 +182,8 @@
 		}
 	}
 	if late >= 8 && late*4 > long {
-		finding.Violate(fmt.Sprintf("%d of %d that lasted longer than their route allows had no answer half a second later", late, long))
+		finding.Violate(fmt.Sprintf("%d of %d that lasted longer than their route allows had no answer half a second later",
+			late, long))
 	}
 }
 
--- a/internal/testbed/replay/checkers_servers.go
+++ b/internal/testbed/replay/checkers_servers.go
@@ -15,7 +15,8 @@
 	var attempts []Event
 	free := true
 	for _, arrival := range t.arrivals {
-		turned := arrival.Status != 0 || slices.ContainsFunc(t.turned, func(event Event) bool { return event.Server == arrival.Server && event.Stage == arrival.Stage })
+		turned := arrival.Status != 0 || slices.ContainsFunc(t.turned,
+			func(event Event) bool { return event.Server == arrival.Server && event.Stage == arrival.Stage })
 		if arrival.Stage == phasePrefill && free && !turned {
 			free = false
 			continue
@@ -31,7 +32,8 @@
 	extras, requests := map[string][]time.Time{}, map[string][]time.Time{}
 	for _, seen := range r.order {
 		for _, service := range r.site.Services {
-			if slices.ContainsFunc(r.versions, func(version *versionSeen) bool { return version.Allows(seen.sent.Route, service.Name) }) {
+			if slices.ContainsFunc(r.versions,
+				func(version *versionSeen) bool { return version.Allows(seen.sent.Route, service.Name) }) {
 				requests[service.Name] = append(requests[service.Name], seen.sent.At)
 			}
 		}
@@ -103,7 +105,8 @@
 			left := seen.sent.Deadline - arrival.At.Sub(seen.sent.At)
 			if arrival.Deadline == 0 || arrival.Deadline > max(left, 0)+500*time.Millisecond {
 				wrong++
-				example = fmt.Sprintf("%s had %s left and %s was handed %s", seen.sent.Try, left, arrival.Server, arrival.Deadline)
+				example = fmt.Sprintf("%s had %s left and %s was handed %s", seen.sent.Try, left, arrival.Server,
+					arrival.Deadline)
 			}
 		}
 	}
@@ -122,7 +125,8 @@
 			for _, span := range seen.ended.Spans {
 				finding.Looked++
 				if span.From != last+1 || span.To < span.From || span.ID != span.To {
-					finding.Violate(fmt.Sprintf("%s: pieces %d to %d (id %d) behind %d", re, span.From, span.To, span.ID, last))
+					finding.Violate(fmt.Sprintf("%s: pieces %d to %d (id %d) behind %d", re, span.From, span.To, span.ID,
+						last))
 				}
 				if run != "" && run != span.Run && !seen.sent.Idempotent {
 					finding.Violate(fmt.Sprintf("%s: pieces of the runs %s and %s", re, run, span.Run))
@@ -131,7 +135,8 @@
 			}
 			if seen.over && seen.ended.Complete && seen.ended.Status == 200 {
 				finding.Looked++
-				if !slices.ContainsFunc(seen.ends, func(end Event) bool { return end.Complete && end.Tokens == last && (run == "" || end.Seal == run) }) {
+				if !slices.ContainsFunc(seen.ends,
+					func(end Event) bool { return end.Complete && end.Tokens == last && (run == "" || end.Seal == run) }) {
 					finding.Violate(fmt.Sprintf("%s: ended as complete with %d pieces, which no run ended with", re, last))
 				}
 			}
@@ -168,7 +173,8 @@
 			}
 			worst = max(worst, count)
 			if float64(count) > limit {
-				finding.Violate(fmt.Sprintf("%s got %d requests in a second while it was cold, %.0f were allowed", server, count, limit))
+				finding.Violate(fmt.Sprintf("%s got %d requests in a second while it was cold, %.0f were allowed",
+					server, count, limit))
 			}
 		}
 	}
@@ -195,7 +201,8 @@
 			}
 			finding.Looked++
 			if late := event.At.Sub(begun); late > r.terms.Evacuate && r.contact.inTouch(seen.sent.Machine, event.At) {
-				finding.Violate(fmt.Sprintf("%s from %s reached %s in %s %s after its evacuation", event.Try, seen.sent.Machine, event.Server, event.Zone, late))
+				finding.Violate(fmt.Sprintf("%s from %s reached %s in %s %s after its evacuation", event.Try,
+					seen.sent.Machine, event.Server, event.Zone, late))
 			}
 		}
 	}
@@ -257,14 +264,17 @@
 		if found {
 			switch {
 			case event.FencingToken < earlier.FencingToken:
-				finding.Violate(fmt.Sprintf("%s got fence %d of %s after fence %d of %s", event.Server, event.FencingToken, event.Owner, earlier.FencingToken, earlier.Owner))
+				finding.Violate(fmt.Sprintf("%s got fence %d of %s after fence %d of %s", event.Server,
+					event.FencingToken, event.Owner, earlier.FencingToken, earlier.Owner))
 			case event.Owner != earlier.Owner && event.At.Sub(earlier.At) < r.terms.Lease:
-				finding.Violate(fmt.Sprintf("%s got orders of %s and of %s within %s", event.Server, earlier.Owner, event.Owner, event.At.Sub(earlier.At)))
+				finding.Violate(fmt.Sprintf("%s got orders of %s and of %s within %s", event.Server, earlier.Owner,
+					event.Owner, event.At.Sub(earlier.At)))
 			}
 		}
 		fencingToken := fmt.Sprintf("%s#%d", event.Server, event.FencingToken)
 		if holder, known := holders[fencingToken]; known && holder != event.Owner {
-			finding.Violate(fmt.Sprintf("%s got fence %d of %s and of %s", event.Server, event.FencingToken, holder, event.Owner))
+			finding.Violate(fmt.Sprintf("%s got fence %d of %s and of %s", event.Server, event.FencingToken, holder,
+				event.Owner))
 		}
 		holders[fencingToken], last[event.Server] = event.Owner, event
 	}
--- a/internal/testbed/replay/checkers_test.go
+++ b/internal/testbed/replay/checkers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// seeded is a book in which nothing is broken, and a clock to add to it.
+// seeded is an event log in which nothing is broken, and a clock to add to it.
 type seeded struct{ start time.Time }
 
 func (day seeded) at(milliseconds int) time.Time {
@@ -29,15 +29,95 @@
 func (day seeded) call(name string, at int, route, service string, idempotent bool) []Event {
 	seal, source := "seal-"+name, "handle-"+name
 	return []Event{
-		{At: day.at(at), Kind: TrySent, Machine: "edge-2", Try: name, Request: "request-" + name, Class: "chat", Route: route, Idempotent: idempotent, Digest: "digest-" + name, Deadline: 3 * time.Second, Aim: time.Second, Began: day.at(at)},
-		{At: day.at(at + 1), Kind: Arrived, Try: name, Server: "i-read", Service: service, Zone: "quay-hall", Stage: phasePrefill, Digest: "digest-" + name, Deadline: 2900 * time.Millisecond},
-		{At: day.at(at + 2), Kind: PromptRead, Try: name, Server: "i-read", Service: service, Stage: phasePrefill, Digest: "digest-" + name, Handle: source, Tokens: 100},
+		{
+			At:         day.at(at),
+			Kind:       TrySent,
+			Machine:    "edge-2",
+			Try:        name,
+			Request:    "request-" + name,
+			Class:      "chat",
+			Route:      route,
+			Idempotent: idempotent,
+			Digest:     "digest-" + name,
+			Deadline:   3 * time.Second,
+			Aim:        time.Second,
+			Began:      day.at(at),
+		},
+		{
+			At:       day.at(at + 1),
+			Kind:     Arrived,
+			Try:      name,
+			Server:   "i-read",
+			Service:  service,
+			Zone:     "quay-hall",
+			Stage:    phasePrefill,
+			Digest:   "digest-" + name,
+			Deadline: 2900 * time.Millisecond,
+		},
+		{
+			At:      day.at(at + 2),
+			Kind:    PromptRead,
+			Try:     name,
+			Server:  "i-read",
+			Service: service,
+			Stage:   phasePrefill,
+			Digest:  "digest-" + name,
+			Handle:  source,
+			Tokens:  100,
+		},
 		{At: day.at(at + 3), Kind: HandleTaken, Server: "i-make", Try: name, Request: name, Handle: source},
-		{At: day.at(at + 3), Kind: Arrived, Try: name, Server: "i-make", Service: service, Zone: "hill-hall", Stage: phaseDecode, Digest: "digest-" + name, Deadline: 2900 * time.Millisecond},
-		{At: day.at(at + 4), Kind: RunStarted, Try: name, Server: "i-make", Service: service, Stage: phaseDecode, Seal: seal, Digest: "digest-" + name},
-		{At: day.at(at + 5), Kind: RunEnded, Try: name, Server: "i-make", Seal: seal, Complete: true, Status: 200, Tokens: 3},
-		{At: day.at(at + 6), Kind: TryEnded, Machine: "edge-2", Try: name, Request: "request-" + name, Class: "chat", Route: route, Status: 200, Seal: seal, Bears: name, Complete: true, First: day.at(at + 4),
-			Spans: []Span{{ID: 2, From: 1, To: 2, Run: seal, Whose: "digest-" + name}, {ID: 3, From: 3, To: 3, Run: seal, Whose: "digest-" + name}}},
+		{
+			At:       day.at(at + 3),
+			Kind:     Arrived,
+			Try:      name,
+			Server:   "i-make",
+			Service:  service,
+			Zone:     "hill-hall",
+			Stage:    phaseDecode,
+			Digest:   "digest-" + name,
+			Deadline: 2900 * time.Millisecond,
+		},
+		{
+			At:      day.at(at + 4),
+			Kind:    RunStarted,
+			Try:     name,
+			Server:  "i-make",
+			Service: service,
+			Stage:   phaseDecode,
+			Seal:    seal,
+			Digest:  "digest-" + name,
+		},
+		{
+			At:       day.at(at + 5),
+			Kind:     RunEnded,
+			Try:      name,
+			Server:   "i-make",
+			Seal:     seal,
+			Complete: true,
+			Status:   200,
+			Tokens:   3,
+		},
+		{
+			At:       day.at(at + 6),
+			Kind:     TryEnded,
+			Machine:  "edge-2",
+			Try:      name,
+			Request:  "request-" + name,
+			Class:    "chat",
+			Route:    route,
+			Status:   200,
+			Seal:     seal,
+			Bears:    name,
+			Complete: true,
+			First:    day.at(at + 4),
+			Spans: []Span{{
+				ID:    2,
+				From:  1,
+				To:    2,
+				Run:   seal,
+				Whose: "digest-" + name,
+			}, {ID: 3, From: 3, To: 3, Run: seal, Whose: "digest-" + name}},
+		},
 	}
 }
 
@@ -46,13 +126,38 @@
 		{At: day.at(0), Kind: MachineUp, Machine: "edge-1", Core: true}, {At: day.at(0), Kind: MachineUp, Machine: "edge-2"},
 		{At: day.at(0), Kind: MachineUp, Machine: "edge-3"},
 		{At: day.at(10), Kind: ChangeSent, Change: "a", Revision: 3, Version: day.version(3, "r-chat", "r-verdict")},
-		{At: day.at(20), Kind: ChangeClosed, Change: "a", Revision: 3, Cause: string(acknowledged), Version: day.version(3, "r-chat", "r-verdict")},
-		{At: day.at(11_000), Kind: ChangeSent, Change: "b", Revision: 5, Base: 3, Version: day.version(5, "r-chat", "r-verdict", "r-late-1")},
+		{
+			At:       day.at(20),
+			Kind:     ChangeClosed,
+			Change:   "a",
+			Revision: 3,
+			Cause:    string(acknowledged),
+			Version:  day.version(3, "r-chat", "r-verdict"),
+		},
+		{
+			At:       day.at(11_000),
+			Kind:     ChangeSent,
+			Change:   "b",
+			Revision: 5,
+			Base:     3,
+			Version:  day.version(5, "r-chat", "r-verdict", "r-late-1"),
+		},
 		{At: day.at(11_020), Kind: ChangeClosed, Change: "b", Revision: 5, Base: 3, Cause: string(acknowledged)},
-		{At: day.at(12_000), Kind: ChangeSent, Change: "c", Revision: 6, Base: 5, Version: day.version(6, "r-chat", "r-verdict", "r-lost")},
+		{
+			At:       day.at(12_000),
+			Kind:     ChangeSent,
+			Change:   "c",
+			Revision: 6,
+			Base:     5,
+			Version:  day.version(6, "r-chat", "r-verdict", "r-lost"),
+		},
 		{At: day.at(12_020), Kind: ChangeClosed, Change: "c", Revision: 6, Base: 5, Cause: string(refused)},
 		{At: day.at(20_000), Kind: Shown, Server: "i-old", Cause: stateDraining},
-		{At: day.at(20_000), Kind: EvacuateSent, Zone: "mill-hall"}, {At: day.at(20_010), Kind: Evacuated, Zone: "mill-hall"},
+		{
+			At:   day.at(20_000),
+			Kind: EvacuateSent,
+			Zone: "mill-hall",
+		}, {At: day.at(20_010), Kind: Evacuated, Zone: "mill-hall"},
 		{At: day.at(21_000), Kind: Ordered, Server: "i-read", Owner: "edge-1", FencingToken: 4, Status: 202},
 		{At: day.at(25_000), Kind: Ordered, Server: "i-read", Owner: "edge-3", FencingToken: 5, Status: 202},
 		{At: day.at(90_000), Kind: ReadBack, Revision: 5, Complete: true},
@@ -84,7 +189,16 @@
 		return events
 	}
 	again := func(at int, server string) Event {
-		return Event{At: day.at(at), Kind: Arrived, Try: "one", Server: server, Service: "desk", Zone: "quay-hall", Stage: phaseDecode, Deadline: time.Millisecond}
+		return Event{
+			At:       day.at(at),
+			Kind:     Arrived,
+			Try:      "one",
+			Server:   server,
+			Service:  "desk",
+			Zone:     "quay-hall",
+			Stage:    phaseDecode,
+			Deadline: time.Millisecond,
+		}
 	}
 	repeated := func(count int, make func(number int) []Event) []Event {
 		var events []Event
@@ -94,31 +208,88 @@
 		return events
 	}
 	cases := map[string][]Event{
-		"MIXED answers":   call(7, func(event *Event) { event.Seal = "seal-one" }),
-		"MIXED handles":   call(3, func(event *Event) { event.Request = "one" }),
-		"UNASKED":         call(5, func(event *Event) { event.Digest = "other" }),
-		"TWICE":           {{At: day.at(10_100), Kind: RunStarted, Try: "one", Server: "i-other", Service: "desk", Digest: "digest-one", Seal: "x"}},
-		"REFUSED":         call(7, func(event *Event) { event.Status, event.Seal, event.Spans = 503, "", nil }),
-		"ROUTE":           call(5, func(event *Event) { event.Service = "nowhere" }),
-		"DRAIN servers":   {again(23_200, "i-old")},
-		"DRAIN readiness": {{At: day.at(40_000), Kind: MachineTerm, Machine: "edge-2"}, {At: day.at(44_500), Kind: ReadyAsked, Machine: "edge-2", Status: 200}, {At: day.at(40_000), Kind: MachineTerm, Machine: "edge-3"}, {At: day.at(44_500), Kind: ReadyAsked, Machine: "edge-3", Status: 200}},
+		"MIXED answers": call(7, func(event *Event) { event.Seal = "seal-one" }),
+		"MIXED handles": call(3, func(event *Event) { event.Request = "one" }),
+		"UNASKED":       call(5, func(event *Event) { event.Digest = "other" }),
+		"TWICE": {{
+			At:      day.at(10_100),
+			Kind:    RunStarted,
+			Try:     "one",
+			Server:  "i-other",
+			Service: "desk",
+			Digest:  "digest-one",
+			Seal:    "x",
+		}},
+		"REFUSED":       call(7, func(event *Event) { event.Status, event.Seal, event.Spans = 503, "", nil }),
+		"ROUTE":         call(5, func(event *Event) { event.Service = "nowhere" }),
+		"DRAIN servers": {again(23_200, "i-old")},
+		"DRAIN readiness": {{
+			At:      day.at(40_000),
+			Kind:    MachineTerm,
+			Machine: "edge-2",
+		}, {
+			At:      day.at(44_500),
+			Kind:    ReadyAsked,
+			Machine: "edge-2",
+			Status:  200,
+		}, {
+			At:      day.at(40_000),
+			Kind:    MachineTerm,
+			Machine: "edge-3",
+		}, {At: day.at(44_500), Kind: ReadyAsked, Machine: "edge-3", Status: 200}},
 		"LOST": append(call(7, func(event *Event) {
 			event.Status, event.Seal, event.Spans, event.Complete, event.Cause = 200, "seal-four", nil, false, "unexpected EOF"
 		}),
 			Event{At: day.at(29_900), Kind: MachineTerm, Machine: "edge-2", Planned: true}),
 		"CONFIG applied": append(day.call("four", 30_000, "r-verdict", "desk", false),
-			Event{At: day.at(25_000), Kind: ChangeSent, Change: "d", Revision: 7, Base: 5, Version: day.version(7, "r-chat", "r-verdict", "r-late-1")},
-			Event{At: day.at(25_010), Kind: ChangeClosed, Change: "d", Revision: 7, Base: 5, Cause: string(acknowledged)}, Event{At: day.at(90_001), Kind: ReadBack, Revision: 7, Complete: true}),
+			Event{
+				At:       day.at(25_000),
+				Kind:     ChangeSent,
+				Change:   "d",
+				Revision: 7,
+				Base:     5,
+				Version:  day.version(7, "r-chat", "r-verdict", "r-late-1"),
+			},
+			Event{
+				At:       day.at(25_010),
+				Kind:     ChangeClosed,
+				Change:   "d",
+				Revision: 7,
+				Base:     5,
+				Cause:    string(acknowledged),
+			}, Event{At: day.at(90_001), Kind: ReadBack, Revision: 7, Complete: true}),
 		"CONFIG later routes": repeated(25, func(number int) []Event {
 			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-late-1", "desk", true)
 			events[7].Status, events[7].Seal, events[7].Spans = 504, "", nil
 			return events
 		}),
-		"CONFIG back": append(append(day.call("four", 25_200, "r-verdict", "annexe", false), day.call("five", 25_800, "r-verdict", "desk", false)...),
-			Event{At: day.at(25_000), Kind: ChangeSent, Change: "d", Revision: 7, Base: 5, Version: day.version(7, "r-chat", "r-verdict", "r-late-1")},
-			Event{At: day.at(25_700), Kind: ChangeClosed, Change: "d", Revision: 7, Base: 5, Cause: string(acknowledged)}, Event{At: day.at(90_001), Kind: ReadBack, Revision: 7, Complete: true}),
+		"CONFIG back": append(append(day.call("four", 25_200, "r-verdict", "annexe", false),
+			day.call("five", 25_800, "r-verdict", "desk", false)...),
+			Event{
+				At:       day.at(25_000),
+				Kind:     ChangeSent,
+				Change:   "d",
+				Revision: 7,
+				Base:     5,
+				Version:  day.version(7, "r-chat", "r-verdict", "r-late-1"),
+			},
+			Event{
+				At:       day.at(25_700),
+				Kind:     ChangeClosed,
+				Change:   "d",
+				Revision: 7,
+				Base:     5,
+				Cause:    string(acknowledged),
+			}, Event{At: day.at(90_001), Kind: ReadBack, Revision: 7, Complete: true}),
 		"CONFIG refused": day.call("four", 30_000, "r-lost", "desk", false),
-		"CONFIG acknowledged": {{At: day.at(13_000), Kind: ChangeSent, Change: "d", Revision: 8, Base: 3, Version: day.version(8, "r-chat", "r-verdict", "r-late-1")},
+		"CONFIG acknowledged": {{
+			At:       day.at(13_000),
+			Kind:     ChangeSent,
+			Change:   "d",
+			Revision: 8,
+			Base:     3,
+			Version:  day.version(8, "r-chat", "r-verdict", "r-late-1"),
+		},
 			{At: day.at(13_020), Kind: ChangeClosed, Change: "d", Revision: 8, Base: 3, Cause: string(acknowledged)}},
 		"CONFIG read back": {{At: day.at(90_010), Kind: ReadBack, Revision: 3, Complete: true}},
 		"CONFIG held": repeated(9, func(number int) []Event {
@@ -129,7 +300,15 @@
 		"BUDGET": repeated(70, func(number int) []Event { return []Event{again(30_000+number, "i-make")} }),
 		"BUDGET servers": repeated(4, func(number int) []Event {
 			name := "four-" + strconv.Itoa(number)
-			another := Event{At: day.at(30_100 + number), Kind: RunStarted, Try: name, Server: "i-other", Service: "desk", Digest: "digest-" + name, Seal: "x"}
+			another := Event{
+				At:      day.at(30_100 + number),
+				Kind:    RunStarted,
+				Try:     name,
+				Server:  "i-other",
+				Service: "desk",
+				Digest:  "digest-" + name,
+				Seal:    "x",
+			}
 			third := another
 			third.Server = "i-third"
 			return append(day.call(name, 30_000+number, "r-chat", "desk", true), another, third)
@@ -145,7 +324,16 @@
 			events[4].Cold = true
 			return events
 		}),
-		"EVAC": {{At: day.at(26_000), Kind: Arrived, Try: "one", Server: "i-make", Service: "desk", Zone: "mill-hall", Stage: phaseDecode, Deadline: time.Millisecond}},
+		"EVAC": {{
+			At:       day.at(26_000),
+			Kind:     Arrived,
+			Try:      "one",
+			Server:   "i-make",
+			Service:  "desk",
+			Zone:     "mill-hall",
+			Stage:    phaseDecode,
+			Deadline: time.Millisecond,
+		}},
 		"RECOVER": append(repeated(4, func(number int) []Event {
 			name := "four-" + strconv.Itoa(number)
 			events := day.call(name, 60_000+number, "r-chat", "desk", true)
@@ -160,7 +348,14 @@
 			events[6].At = events[7].At.Add(time.Second)
 			return events
 		}),
-		"ACKS": {{At: day.at(30_000), Kind: ChangeSent, Change: "d", Revision: 8, Base: 5, Version: day.version(5, "r-chat", "r-verdict", "r-late-1")},
+		"ACKS": {{
+			At:       day.at(30_000),
+			Kind:     ChangeSent,
+			Change:   "d",
+			Revision: 8,
+			Base:     5,
+			Version:  day.version(5, "r-chat", "r-verdict", "r-late-1"),
+		},
 			{At: day.at(36_000), Kind: ChangeClosed, Change: "d", Revision: 8, Base: 5, Cause: string(unclear)}},
 		"DENIED": repeated(7, func(number int) []Event {
 			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
@@ -195,8 +390,21 @@
 func TestOutOfTouchMachinesAreNotBoundByTime(t *testing.T) {
 	day := seeded{start: time.Unix(1_700_000_000, 0)}
 	events := append(day.clean(),
-		Event{At: day.at(23_200), Kind: Arrived, Try: "one", Server: "i-old", Service: "desk", Zone: "quay-hall", Stage: phaseDecode, Deadline: time.Millisecond},
-		Event{At: day.at(22_000), Kind: MachineKilled, Machine: "edge-2"}, Event{At: day.at(22_500), Kind: MachineUp, Machine: "edge-2"})
+		Event{
+			At:       day.at(23_200),
+			Kind:     Arrived,
+			Try:      "one",
+			Server:   "i-old",
+			Service:  "desk",
+			Zone:     "quay-hall",
+			Stage:    phaseDecode,
+			Deadline: time.Millisecond,
+		},
+		Event{
+			At:      day.at(22_000),
+			Kind:    MachineKilled,
+			Machine: "edge-2",
+		}, Event{At: day.at(22_500), Kind: MachineUp, Machine: "edge-2"})
 	book := &EventLog{}
 	for _, event := range events {
 		book.Append(event)
--- a/internal/testbed/replay/clients.go
+++ b/internal/testbed/replay/clients.go
@@ -36,7 +36,11 @@
 	clients := &Clients{events: events, site: site, balancer: balancer, random: rand.New(rand.NewPCG(seed, 3)), times: 1}
 	for _, zone := range site.Zones {
 		for number := range site.Clients {
-			clients.clients = append(clients.clients, &client{zone: zone, number: len(clients.clients)*7919 + number, keeps: number%3 != 0})
+			clients.clients = append(clients.clients, &client{
+				zone:   zone,
+				number: len(clients.clients)*7919 + number,
+				keeps:  number%3 != 0,
+			})
 		}
 	}
 	return clients
@@ -98,7 +102,7 @@
 	}
 }
 
-// converse sends a request and, as clients do, tries again on a new connection.
+// runClient sends a request and, as clients do, tries again on a new connection.
 func (c *Clients) runClient(one *request, sender *client) {
 	behind := 0
 	for number := 0; ; number++ {
@@ -108,7 +112,17 @@
 		connection, err := c.connection(one, sender, number)
 		var again *attempt
 		if err != nil {
-			c.events.Append(Event{Kind: TryEnded, Request: one.id, Class: one.class.Name, Route: one.route, Number: number, Idempotent: one.class.repeats(), Aim: one.class.Aim, Began: one.began, Cause: "no circuit: " + err.Error()})
+			c.events.Append(Event{
+				Kind:       TryEnded,
+				Request:    one.id,
+				Class:      one.class.Name,
+				Route:      one.route,
+				Number:     number,
+				Idempotent: one.class.repeats(),
+				Aim:        one.class.Aim,
+				Began:      one.began,
+				Cause:      "no circuit: " + err.Error(),
+			})
 			again = &attempt{r: one, notRead: true}
 		} else {
 			again = one.send(connection, number, behind, c.events)
--- a/internal/testbed/replay/connection.go
+++ b/internal/testbed/replay/connection.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// connection is a client's connection to a machine. One request at a time uses it.
+// conn is a client's connection to a machine. One request at a time uses it.
 type conn struct {
 	net.Conn
 	reader  *bufio.Reader
--- a/internal/testbed/replay/contact.go
+++ b/internal/testbed/replay/contact.go
@@ -15,7 +15,15 @@
 	closed   time.Time
 }
 
-var disturbing = map[EventKind]bool{MachineUp: true, MachineKilled: true, MachineTerm: true, MachineFrozen: true, MachineThawed: true, MachineGone: true, EndedByItself: true}
+var disturbing = map[EventKind]bool{
+	MachineUp:     true,
+	MachineKilled: true,
+	MachineTerm:   true,
+	MachineFrozen: true,
+	MachineThawed: true,
+	MachineGone:   true,
+	EndedByItself: true,
+}
 
 func newContact(events []Event, length time.Duration) *contact {
 	c := &contact{length: length, machines: map[string][]Event{}}
@@ -111,7 +119,7 @@
 	return false
 }
 
-// life numbers the lives of a machine's processes.
+// incarnation numbers the incarnations of a machine's processes.
 func (c *contact) incarnation(machine string, at time.Time) int {
 	incarnation := 0
 	for _, event := range c.machines[machine] {
--- a/internal/testbed/replay/day.go
+++ b/internal/testbed/replay/day.go
@@ -53,9 +53,20 @@
 	if err != nil {
 		return nil, err
 	}
-	day := &Day{Site: site, Events: &EventLog{}, roles: roles, folder: folder, log: log, addressRange: a, ports: p, seed: seed, random: rand.New(rand.NewPCG(seed, 1))}
+	day := &Day{
+		Site:         site,
+		Events:       &EventLog{},
+		roles:        roles,
+		folder:       folder,
+		log:          log,
+		addressRange: a,
+		ports:        p,
+		seed:         seed,
+		random:       rand.New(rand.NewPCG(seed, 1)),
+	}
 	day.lifetime, day.end = context.WithCancel(context.Background())
-	if day.ServerPool, err = startServerPool(day.Events, site, seed, func() string { return a.address() + ":" + p.server }); err != nil {
+	if day.ServerPool, err = startServerPool(day.Events, site, seed,
+		func() string { return a.address() + ":" + p.server }); err != nil {
 		return nil, err
 	}
 	if day.Directory, err = startDirectory(day.Events, day.ServerPool, site, a.address()+":"+p.list); err != nil {
@@ -81,7 +92,12 @@
 func (day *Day) layOut(zone string, place int, core bool) *Machine {
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
-	machine := &Machine{Name: "edge-" + zone + "-" + strconv.Itoa(len(day.machines)+1), Zone: zone, IP: day.addressRange.address(), day: day}
+	machine := &Machine{
+		Name: "edge-" + zone + "-" + strconv.Itoa(len(day.machines)+1),
+		Zone: zone,
+		IP:   day.addressRange.address(),
+		day:  day,
+	}
 	machine.folder = filepath.Join(day.folder, machine.Name)
 	for _, role := range day.roles {
 		if role.on(place, 1+day.Site.Plain) {
@@ -156,7 +172,8 @@
 	defer end()
 	first := FirstVersion(day.Site)
 	if given := day.Operators.propose(waiting, Version{}, first, false, false, nil); given.outcome != acknowledged {
-		return failure.New(failure.Unreachable, fmt.Sprintf("the first configuration was never acknowledged: %s %d", given.outcome, given.status))
+		return failure.New(failure.Unreachable,
+			fmt.Sprintf("the first configuration was never acknowledged: %s %d", given.outcome, given.status))
 	}
 	taken := time.Since(began)
 	for len(day.Balancer.all()) > 0 && !day.Balancer.allReady() {
@@ -164,7 +181,8 @@
 			return failure.New(failure.Unreachable, "not all machines are ready in "+patience.String())
 		}
 	}
-	day.logf("the first configuration was taken after %s, all were ready after %s", taken.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
+	day.logf("the first configuration was taken after %s, all were ready after %s", taken.Round(time.Millisecond),
+		time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
@@ -272,3 +290,31 @@
 	}
 	return logs
 }
+
+// Running is one process of a day: its machine, its role, and its number.
+type Running struct {
+	Machine string
+	Role    string
+	Number  int
+}
+
+// Running lists the processes of all machines that have not ended.
+func (day *Day) Running() []Running {
+	var running []Running
+	for _, machine := range day.all() {
+		for _, p := range machine.processes {
+			p.mutex.Lock()
+			c, ended := p.command, p.ended
+			p.mutex.Unlock()
+			if c == nil {
+				continue
+			}
+			select {
+			case <-ended:
+			default:
+				running = append(running, Running{Machine: machine.Name, Role: p.role.Name, Number: c.Process.Pid})
+			}
+		}
+	}
+	return running
+}
--- a/internal/testbed/replay/directory.go
+++ b/internal/testbed/replay/directory.go
@@ -111,7 +111,13 @@
 				crashed[page.ID] = since
 				pages = append(pages, page)
 			} else {
-				d.events.Append(Event{Kind: Shown, At: now.Add(d.site.ListLag + directoryBeat), Server: page.ID, Service: page.Backend, Cause: "gone"})
+				d.events.Append(Event{
+					Kind:    Shown,
+					At:      now.Add(d.site.ListLag + directoryBeat),
+					Server:  page.ID,
+					Service: page.Backend,
+					Cause:   "gone",
+				})
 			}
 		}
 	}
--- a/internal/testbed/replay/drawn.go
+++ b/internal/testbed/replay/drawn.go
@@ -14,15 +14,84 @@
 
 // usualFaults are those that drawn days mix, as strong as days of the platform have them.
 var usualFaults = []Fault{
-	{Kind: "burst", Class: "chat", Times: 1.9, For: 6}, {Kind: "srv_crash", Share: 0.17, For: 4, Service: "desk"}, {Kind: "srv_crash", Share: 0.17, For: 4, How: "dark", Service: "desk"},
-	{Kind: "release", Share: 0.45, Gap: 1}, {Kind: "answer_lost", Share: 0.5, Times: 0.05, For: 4}, {Kind: "garble", Share: 0.6, Times: 0.03, For: 5, How: "extra"},
-	{Kind: "node_kill", Share: 0.3, For: 3}, {Kind: "node_kill", On: "core", Count: 1, For: 3, How: "leader"}, {Kind: "node_freeze", Share: 0.3, For: 3}, {Kind: "roll_term", Share: 0.45, Gap: 1},
-	{Kind: "herd_kill", Share: 0.55, For: 1}, {Kind: "herd_kill", On: "core", For: 1}, {Kind: "seed_turnover"}, {Kind: "replace_core", Times: 2, How: "leader"}, {Kind: "replace_core", Times: 1, How: "planned"},
+	{
+		Kind:  "burst",
+		Class: "chat",
+		Times: 1.9,
+		For:   6,
+	}, {
+		Kind:    "srv_crash",
+		Share:   0.17,
+		For:     4,
+		Service: "desk",
+	}, {Kind: "srv_crash", Share: 0.17, For: 4, How: "dark", Service: "desk"},
+	{
+		Kind:  "release",
+		Share: 0.45,
+		Gap:   1,
+	}, {
+		Kind:  "answer_lost",
+		Share: 0.5,
+		Times: 0.05,
+		For:   4,
+	}, {Kind: "garble", Share: 0.6, Times: 0.03, For: 5, How: "extra"},
+	{
+		Kind:  "node_kill",
+		Share: 0.3,
+		For:   3,
+	}, {
+		Kind:  "node_kill",
+		On:    "core",
+		Count: 1,
+		For:   3,
+		How:   "leader",
+	}, {Kind: "node_freeze", Share: 0.3, For: 3}, {Kind: "roll_term", Share: 0.45, Gap: 1},
+	{
+		Kind:  "herd_kill",
+		Share: 0.55,
+		For:   1,
+	}, {
+		Kind: "herd_kill",
+		On:   "core",
+		For:  1,
+	}, {Kind: "seed_turnover"}, {
+		Kind:  "replace_core",
+		Times: 2,
+		How:   "leader",
+	}, {Kind: "replace_core", Times: 1, How: "planned"},
 	{Kind: "after_ack_wipe", For: 2}, {Kind: "after_ack_kill", For: 2}, {Kind: "config_change", How: "weights"}, {Kind: "config_change", How: "route"}, {Kind: "config_change", How: "timeout"},
-	{Kind: "config_storm", For: 3, Gap: 0.3}, {Kind: "config_race", Count: 3, Gap: 1}, {Kind: "bad_config", Count: 3, Gap: 0.7}, {Kind: "big_config", Count: 150}, {Kind: "evacuate", For: 8},
-	{Kind: "kv_slow", Share: 0.3, Times: 8, For: 5, Service: "desk"}, {Kind: "handle_short", Share: 0.35, For: 4, Service: "desk"}, {Kind: "node_freeze", On: "core", For: 3},
-	{Kind: "zone_loss", For: 3}, {Kind: "srv_flap", Share: 0.1, For: 6, Gap: 0.8, Service: "desk"}, {Kind: "srv_grey", Share: 0.2, Times: 0.5, For: 5, Service: "desk"},
-	{Kind: "srv_lying_health", Share: 0.3, For: 5}, {Kind: "retry_abuse", For: 5}, {Kind: "hup", Share: 0.5, Gap: 0.3}, {Kind: "srv_crash", Share: 0.1, How: "gone", Service: "desk"},
+	{
+		Kind: "config_storm",
+		For:  3,
+		Gap:  0.3,
+	}, {
+		Kind:  "config_race",
+		Count: 3,
+		Gap:   1,
+	}, {Kind: "bad_config", Count: 3, Gap: 0.7}, {Kind: "big_config", Count: 150}, {Kind: "evacuate", For: 8},
+	{
+		Kind:    "kv_slow",
+		Share:   0.3,
+		Times:   8,
+		For:     5,
+		Service: "desk",
+	}, {Kind: "handle_short", Share: 0.35, For: 4, Service: "desk"}, {Kind: "node_freeze", On: "core", For: 3},
+	{Kind: "zone_loss", For: 3}, {
+		Kind:    "srv_flap",
+		Share:   0.1,
+		For:     6,
+		Gap:     0.8,
+		Service: "desk",
+	}, {Kind: "srv_grey", Share: 0.2, Times: 0.5, For: 5, Service: "desk"},
+	{
+		Kind:  "srv_lying_health",
+		Share: 0.3,
+		For:   5,
+	}, {Kind: "retry_abuse", For: 5}, {
+		Kind:  "hup",
+		Share: 0.5,
+		Gap:   0.3,
+	}, {Kind: "srv_crash", Share: 0.1, How: "gone", Service: "desk"},
 }
 
 // DrawPlan draws a day with so many faults: the same seed gives the same day.
@@ -44,8 +113,22 @@
 // hardFaults are the losses of machines with a disk that hard days ask for, one after
 // another: each comes the moment the site's budget allows it.
 var hardFaults = []Fault{
-	{Kind: "replace_core", Times: 0.2, How: "leader"}, {Kind: "replace_core", Times: 0.2, How: "planned"}, {Kind: "replace_core", Times: 0.2, How: "leader planned"}, {Kind: "replace_core", Times: 1},
-	{Kind: "after_ack_wipe", For: 1}, {Kind: "after_ack_kill", For: 1}, {Kind: "node_kill", On: "core", Count: 1, For: 2, How: "leader"}, {Kind: "node_freeze", On: "core", For: 2},
+	{
+		Kind:  "replace_core",
+		Times: 0.2,
+		How:   "leader",
+	}, {
+		Kind:  "replace_core",
+		Times: 0.2,
+		How:   "planned",
+	}, {Kind: "replace_core", Times: 0.2, How: "leader planned"}, {Kind: "replace_core", Times: 1},
+	{Kind: "after_ack_wipe", For: 1}, {Kind: "after_ack_kill", For: 1}, {
+		Kind:  "node_kill",
+		On:    "core",
+		Count: 1,
+		For:   2,
+		How:   "leader",
+	}, {Kind: "node_freeze", On: "core", For: 2},
 	{Kind: "herd_kill", On: "core", For: 1}, {Kind: "zone_loss", For: 1},
 }
 
@@ -69,14 +152,24 @@
 	if random.IntN(longShare) == 0 {
 		plan.Length = longHardLength
 	}
-	plan.Faults = []Fault{{Kind: "config_storm", At: 1.5, For: plan.Length * 0.8, Gap: 0.3 + random.Float64()/2}, {Kind: "config_race", At: 5, Count: 4, Gap: 2}}
+	plan.Faults = []Fault{{
+		Kind: "config_storm",
+		At:   1.5,
+		For:  plan.Length * 0.8,
+		Gap:  0.3 + random.Float64()/2,
+	}, {Kind: "config_race", At: 5, Count: 4, Gap: 2}}
 	for number := range hardLosses {
 		loss := hardFaults[random.IntN(len(hardFaults))]
 		loss.At = hardFrom + hardGap*float64(number)
 		plan.Faults = append(plan.Faults, loss)
 	}
 	stops := plan.Length * (0.6 + random.Float64()/10)
-	plan.Faults = append(plan.Faults, Fault{Kind: "roll_term", At: stops, Share: 1, Gap: 0.8}, Fault{Kind: "hup", At: stops + 4, Share: 1})
+	plan.Faults = append(plan.Faults, Fault{
+		Kind:  "roll_term",
+		At:    stops,
+		Share: 1,
+		Gap:   0.8,
+	}, Fault{Kind: "hup", At: stops + 4, Share: 1})
 	for _, position := range random.Perm(len(usualFaults))[:3] {
 		other := usualFaults[position]
 		other.At = 5 + random.Float64()*plan.Length/2
--- a/internal/testbed/replay/exchange.go
+++ b/internal/testbed/replay/exchange.go
@@ -39,8 +39,16 @@
 	}
 	e.behind, _ = strconv.Atoi(header.Get(headerLastEvent))
 	s := phaseOf(header)
-	e.event = Event{Server: server.ID, Service: server.Service, Zone: server.Zone, Try: header.Get(headerAttempt), Stage: s, Behind: e.behind,
-		Digest: digestOf(inbound.Method, inbound.URL.RequestURI(), inbound.Host, header, body), Deadline: time.Duration(deadline * float64(time.Millisecond))}
+	e.event = Event{
+		Server:   server.ID,
+		Service:  server.Service,
+		Zone:     server.Zone,
+		Try:      header.Get(headerAttempt),
+		Stage:    s,
+		Behind:   e.behind,
+		Digest:   digestOf(inbound.Method, inbound.URL.RequestURI(), inbound.Host, header, body),
+		Deadline: time.Duration(deadline * float64(time.Millisecond)),
+	}
 	return e
 }
 
@@ -181,7 +189,12 @@
 	}
 	name := strings.ReplaceAll(uuid.NewString(), "-", "")[:12]
 	server.mutex.Lock()
-	server.handles[name] = &handle{try: e.event.Try, tokens: tokens, held: e.one.held, lapses: time.Now().Add(server.shape.HandleLifetime)}
+	server.handles[name] = &handle{
+		try:    e.event.Try,
+		tokens: tokens,
+		held:   e.one.held,
+		lapses: time.Now().Add(server.shape.HandleLifetime),
+	}
 	read := e.event
 	read.Kind, read.Handle, read.Tokens = PromptRead, name, tokens
 	server.pool.events.Append(read)
@@ -401,8 +414,15 @@
 		return
 	}
 	_, _ = io.Copy(io.Discard, next.Body)
-	e.server.pool.events.Append(Event{Kind: Arrived, Server: e.server.ID, Service: e.server.Service, Zone: e.server.Zone, Try: next.Header.Get(headerAttempt),
-		Stage: phaseOf(next.Header), Cause: "its answer was another's"})
+	e.server.pool.events.Append(Event{
+		Kind:    Arrived,
+		Server:  e.server.ID,
+		Service: e.server.Service,
+		Zone:    e.server.Zone,
+		Try:     next.Header.Get(headerAttempt),
+		Stage:   phaseOf(next.Header),
+		Cause:   "its answer was another's",
+	})
 	write()
 	_ = connection.SetDeadline(time.Now().Add(time.Second))
 	_, _ = io.Copy(io.Discard, buffered)
--- a/internal/testbed/replay/figures.go
+++ b/internal/testbed/replay/figures.go
@@ -144,7 +144,9 @@
 // String writes the figures for people.
 func (f Figures) String() string {
 	var text strings.Builder
-	_, _ = fmt.Fprintf(&text, "owed %d: in time %d, late %d, refused %d, failed %d; served %.3f; first event after %s, 95th of 100 %s; refusals within %s\n", f.Owed, f.InTime, f.Late, f.Refused, f.Failed,
+	_, _ = fmt.Fprintf(&text,
+		"owed %d: in time %d, late %d, refused %d, failed %d; served %.3f; first event after %s, 95th of 100 %s; refusals within %s\n",
+		f.Owed, f.InTime, f.Late, f.Refused, f.Failed,
 		f.Served(), f.Median.Round(time.Millisecond), f.Tail.Round(time.Millisecond), f.Held.Round(time.Millisecond))
 	for _, name := range slices.Sorted(maps.Keys(f.Classes)) {
 		class := f.Classes[name]
@@ -153,7 +155,8 @@
 	for _, cause := range slices.Sorted(maps.Keys(f.Causes)) {
 		_, _ = fmt.Fprintf(&text, "  %-40s %d\n", cause, f.Causes[cause])
 	}
-	_, _ = fmt.Fprintf(&text, "probes and reports %d, readings of the list %d, orders %d, moves of memory %d, repeats %d, tokens read for nothing %d\n",
+	_, _ = fmt.Fprintf(&text,
+		"probes and reports %d, readings of the list %d, orders %d, moves of memory %d, repeats %d, tokens read for nothing %d\n",
 		f.Probes, f.Lists, f.Orders, f.Moves, f.Repeats, f.ReadForNothing)
 	return text.String()
 }
--- a/internal/testbed/replay/machine.go
+++ b/internal/testbed/replay/machine.go
@@ -2,9 +2,14 @@
 
 import (
 	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
 	"os"
 	"path/filepath"
+	"strconv"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -72,7 +77,12 @@
 		"countsAsLoss": m.Core, "limits": limits, "discoverySource": "platform", "entryKind": "virtual_ip", "beatIntervalMs": 1200,
 		"activeContracts": []string{"base", "drain", "config", "cost", "retry", "recover", "split", "stream", "engine", "places"},
 		"faultBudget":     map[string]any{"machineLosses": 1, "zones": 1, "regionLosses": 0}, "bounds": site.Terms.page(),
-		"platformApi": map[string]any{"address": m.day.Directory.Address, "ratePerS": site.ListRate, "duties": []string{}, "maxLagMs": site.ListLag.Milliseconds()},
+		"platformApi": map[string]any{
+			"address":  m.day.Directory.Address,
+			"ratePerS": site.ListRate,
+			"duties":   []string{},
+			"maxLagMs": site.ListLag.Milliseconds(),
+		},
 	}
 	if m.Core {
 		limits["diskMb"] = 64
@@ -177,7 +187,7 @@
 	m.day.Events.Append(Event{Kind: MachineGone, Machine: m.Name, Core: m.Core})
 }
 
-// retell writes other seeds into the settings files, and tells the processes.
+// rewriteSettings writes other seeds into the settings files, and tells the processes.
 func (m *Machine) rewriteSettings(seeds []string) error {
 	m.mutex.Lock()
 	m.seeds, m.first = seeds, false
@@ -197,3 +207,44 @@
 		p.signal(syscall.SIGHUP)
 	}
 }
+
+// ports are alike on all machines of a day.
+type ports struct {
+	front, ready, control, list, server string
+	free                                []int
+}
+
+// addressRange is a range of loopback addresses that one day has for itself: each machine and
+// server has its own.
+type addressRange struct {
+	prefix   string
+	next     atomic.Int32
+	reserved net.Listener
+}
+
+// takeAddresses finds a range that no other day on this computer has taken.
+func takeAddresses() (*addressRange, ports, error) {
+	for range 200 {
+		first := 20_000 + rand.IntN(100)*100
+		chosen := ports{
+			front:   strconv.Itoa(first),
+			ready:   strconv.Itoa(first + 1),
+			control: strconv.Itoa(first + 2),
+			list:    strconv.Itoa(first + 3),
+			server:  strconv.Itoa(first + 4),
+			free:    []int{first + 20, first + 35},
+		}
+		prefix := fmt.Sprintf("127.%d.%d.", 1+rand.IntN(250), rand.IntN(250))
+		reserved, err := net.Listen("tcp", prefix+"250:19999")
+		if err != nil {
+			continue
+		}
+		return &addressRange{prefix: prefix, reserved: reserved}, chosen, nil
+	}
+	return nil, ports{}, failure.New(failure.Busy, "no free range of loopback addresses")
+}
+
+// address gives the next address of the range.
+func (a *addressRange) address() string {
+	return a.prefix + strconv.Itoa(int(a.next.Add(1)))
+}
--- a/internal/testbed/replay/modelserver.go
+++ b/internal/testbed/replay/modelserver.go
@@ -88,8 +88,19 @@
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	server := &modelServer{ID: "i-" + uuid.NewString()[:8], Service: service.Name, Zone: zone, Address: address, pool: pool, shape: service.Engine,
-		engine: newEngine(service.Engine), phase: phase, revision: 1, handles: map[string]*handle{}, random: rand.New(rand.NewPCG(pool.seed, uint64(pool.count())))}
+	server := &modelServer{
+		ID:       "i-" + uuid.NewString()[:8],
+		Service:  service.Name,
+		Zone:     zone,
+		Address:  address,
+		pool:     pool,
+		shape:    service.Engine,
+		engine:   newEngine(service.Engine),
+		phase:    phase,
+		revision: 1,
+		handles:  map[string]*handle{},
+		random:   rand.New(rand.NewPCG(pool.seed, uint64(pool.count()))),
+	}
 	server.engine.readsOwn = phase == phaseDecode
 	server.progress = sync.NewCond(&server.mutex)
 	server.lifetime, server.end = context.WithCancel(context.Background())
@@ -109,7 +120,12 @@
 		mux.HandleFunc(pat.Delete(pathHandle+":handle"), server.freeHandle)
 	}
 	mux.HandleFunc(pat.New("/*"), server.serve)
-	server.server = &http.Server{Handler: server.silenceWhileDark(mux), IdleTimeout: service.Engine.Idle, BaseContext: func(net.Listener) context.Context { return server.lifetime }, ConnState: server.countConnections}
+	server.server = &http.Server{
+		Handler:     server.silenceWhileDark(mux),
+		IdleTimeout: service.Engine.Idle,
+		BaseContext: func(net.Listener) context.Context { return server.lifetime },
+		ConnState:   server.countConnections,
+	}
 	pool.events.Append(Event{Kind: ServerBorn, Server: server.ID, Service: server.Service, Zone: zone, Cold: cold})
 	go func() { _ = server.server.Serve(listener) }()
 	go server.work()
@@ -138,7 +154,7 @@
 	_ = connection.Close()
 }
 
-// shade leaves calls without an answer while the server is dark.
+// silenceWhileDark leaves calls without an answer while the server is dark.
 func (m *modelServer) silenceWhileDark(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
 		if m.silent() {
@@ -189,7 +205,7 @@
 	}
 }
 
-// pause waits for a length of time; false means that it was broken off.
+// sleep waits for a length of time; false means that it was broken off.
 func sleep(lifetime context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -232,8 +248,17 @@
 
 func (m *modelServer) state() reportPage {
 	used := m.engine.memory.pinnedTokens()
-	return reportPage{Phase: m.phase, ModelIDs: m.models(), Utilization: m.turning, CallSeq: m.orders, Queued: len(m.engine.waiting),
-		Active: len(m.engine.running), KVUsed: used, KVTotal: m.shape.Capacity, OpenHandles: len(m.handles)}
+	return reportPage{
+		Phase:       m.phase,
+		ModelIDs:    m.models(),
+		Utilization: m.turning,
+		CallSeq:     m.orders,
+		Queued:      len(m.engine.waiting),
+		Active:      len(m.engine.running),
+		KVUsed:      used,
+		KVTotal:     m.shape.Capacity,
+		OpenHandles: len(m.handles),
+	}
 }
 
 func (m *modelServer) models() []modelPage {
@@ -359,7 +384,14 @@
 	from.linkFree, m.linkFree = begins.Add(length), begins.Add(length)
 	delete(from.handles, name)
 	from.engine.memory.unpin(held.held)
-	m.pool.events.Append(Event{Kind: HandleTaken, Server: m.ID, Handle: name, Try: t, Request: held.try, Tokens: held.tokens})
+	m.pool.events.Append(Event{
+		Kind:    HandleTaken,
+		Server:  m.ID,
+		Handle:  name,
+		Try:     t,
+		Request: held.try,
+		Tokens:  held.tokens,
+	})
 	return held.tokens, begins.Add(length), true
 }
 
--- a/internal/testbed/replay/modelserver_test.go
+++ b/internal/testbed/replay/modelserver_test.go
@@ -56,7 +56,13 @@
 func (b *bench) ask(t *testing.T, server *modelServer, tr string, extra map[string]string) (*http.Response, string) {
 	t.Helper()
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", strings.NewReader("{}"))
-	outbound.Header = http.Header{headerAttempt: {tr}, headerModel: {modelName}, headerTokens: {"900,20"}, headerParts: {"a:500,b:400"}, headerDeadline: {"3000"}}
+	outbound.Header = http.Header{
+		headerAttempt:  {tr},
+		headerModel:    {modelName},
+		headerTokens:   {"900,20"},
+		headerParts:    {"a:500,b:400"},
+		headerDeadline: {"3000"},
+	}
 	for name, value := range extra {
 		outbound.Header.Set(name, value)
 	}
@@ -89,14 +95,16 @@
 	reader, maker := b.playing(phasePrefill), b.playing(phaseDecode)
 	source := b.read(t, reader, "t1")
 	a, body := b.ask(t, maker, "t1", map[string]string{headerSource: source})
-	if a.StatusCode != http.StatusOK || a.Header.Get(headerSeal) == "" || a.Header.Get(headerAttempt) != "t1" || !strings.HasPrefix(body, "id: ") {
+	if a.StatusCode != http.StatusOK || a.Header.Get(headerSeal) == "" || a.Header.Get(headerAttempt) != "t1" || !strings.HasPrefix(body,
+		"id: ") {
 		t.Fatalf("%d %v %s", a.StatusCode, a.Header, body)
 	}
 	if an, _ := b.ask(t, maker, "t1", map[string]string{headerSource: source}); an.StatusCode != http.StatusServiceUnavailable || an.Header.Get(headerNotRun) == "" {
 		t.Errorf("a handle was taken twice: %d", an.StatusCode)
 	}
 	source = b.read(t, reader, "t2")
-	freed, _ := http.NewRequest(http.MethodDelete, "http://"+reader.Address+pathHandle+source[strings.Index(source, "/")+1:], nil)
+	freed, _ := http.NewRequest(http.MethodDelete,
+		"http://"+reader.Address+pathHandle+source[strings.Index(source, "/")+1:], nil)
 	if ans, err := http.DefaultClient.Do(freed); err != nil || ans.StatusCode != http.StatusOK {
 		t.Errorf("freeing: %v", err)
 	}
@@ -115,7 +123,11 @@
 func TestWhatIsMeantForAnotherServerIsTurnedAway(t *testing.T) {
 	b := startBench(t, SmallSite())
 	reader, maker := b.playing(phasePrefill), b.playing(phaseDecode)
-	for name, extra := range map[string]map[string]string{"another life": {headerTarget: "i-other"}, "another part": {headerStage: phasePrefill}, "other weights": {headerExpected: "9"}} {
+	for name, extra := range map[string]map[string]string{
+		"another life":  {headerTarget: "i-other"},
+		"another part":  {headerStage: phasePrefill},
+		"other weights": {headerExpected: "9"},
+	} {
 		a, _ := b.ask(t, maker, name, extra)
 		if a.StatusCode != http.StatusMisdirectedRequest || a.Header.Get(headerServer) != maker.ID {
 			t.Errorf("%s: %d", name, a.StatusCode)
@@ -127,7 +139,8 @@
 	if ans, _ := b.ask(t, maker, "", nil); ans.StatusCode != http.StatusBadRequest {
 		t.Errorf("a request without an id: %d", ans.StatusCode)
 	}
-	if aAnswer, body := b.ask(t, maker, "resumed", map[string]string{headerLastEvent: "2"}); aAnswer.StatusCode != http.StatusOK || !strings.Contains(body, "/3-") {
+	if aAnswer, body := b.ask(t, maker, "resumed", map[string]string{headerLastEvent: "2"}); aAnswer.StatusCode != http.StatusOK || !strings.Contains(body,
+		"/3-") {
 		t.Errorf("a resumed stream: %d %s", aAnswer.StatusCode, body)
 	}
 }
@@ -267,7 +280,13 @@
 	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	ask := func(tr string) string {
 		outbound, _ := http.NewRequest(http.MethodPost, "http://"+maker.Address+"/chat/1", strings.NewReader("{}"))
-		outbound.Header = http.Header{headerAttempt: {tr}, headerModel: {modelName}, headerTokens: {"10,2"}, headerParts: {"a:10"}, headerDeadline: {"3000"}}
+		outbound.Header = http.Header{
+			headerAttempt:  {tr},
+			headerModel:    {modelName},
+			headerTokens:   {"10,2"},
+			headerParts:    {"a:10"},
+			headerDeadline: {"3000"},
+		}
 		a, err := c.Do(outbound)
 		if err != nil {
 			return ""
--- a/internal/testbed/replay/operators.go
+++ b/internal/testbed/replay/operators.go
@@ -32,8 +32,14 @@
 }
 
 func newOperators(day *Day, seed uint64) *Operators {
-	return &Operators{day: day, random: rand.New(rand.NewPCG(seed, 11)), sent: map[int]map[string]any{}, versions: map[int]Version{}, watched: map[string]RouteRule{},
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: follow}}
+	return &Operators{
+		day:      day,
+		random:   rand.New(rand.NewPCG(seed, 11)),
+		sent:     map[int]map[string]any{},
+		versions: map[int]Version{},
+		watched:  map[string]RouteRule{},
+		client:   &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: follow},
+	}
 }
 
 // follow goes where a 307 sends a caller, twice.
@@ -166,7 +172,12 @@
 }
 
 // propose sends a revision over another until it has a clear answer.
-func (o *Operators) propose(lifetime context.Context, base, next Version, amends, invalid bool, spoil func(page map[string]any) []byte) answer {
+func (o *Operators) propose(
+	lifetime context.Context,
+	base, next Version,
+	amends, invalid bool,
+	spoil func(page map[string]any) []byte,
+) answer {
 	page := next.page(o.day.Site)
 	o.mutex.Lock()
 	if !invalid {
@@ -182,10 +193,26 @@
 		body = spoil(text)
 	}
 	change := uuid.NewString()[:8]
-	o.day.Events.Append(Event{Kind: ChangeSent, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Version: &next})
+	o.day.Events.Append(Event{
+		Kind:     ChangeSent,
+		Change:   change,
+		Revision: next.Revision,
+		Base:     base.Revision,
+		Invalid:  invalid,
+		Version:  &next,
+	})
 	header := http.Header{headerBase: {strconv.Itoa(base.Revision)}, "Content-Type": {"application/json"}}
 	given := o.call(lifetime, http.MethodPost, path, header, body)
-	o.day.Events.Append(Event{Kind: ChangeClosed, Change: change, Revision: next.Revision, Base: base.Revision, Invalid: invalid, Status: given.status, Cause: string(given.outcome), Version: &next})
+	o.day.Events.Append(Event{
+		Kind:     ChangeClosed,
+		Change:   change,
+		Revision: next.Revision,
+		Base:     base.Revision,
+		Invalid:  invalid,
+		Status:   given.status,
+		Cause:    string(given.outcome),
+		Version:  &next,
+	})
 	if given.outcome == acknowledged && !invalid {
 		o.mutex.Lock()
 		if next.Revision > o.current.Revision {
--- a/internal/testbed/replay/order.go
+++ b/internal/testbed/replay/order.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// command is an order to a server, as its caller writes it.
+// serverOrder is an order to a server, as its caller writes it.
 type serverOrder struct {
 	Kind         string  `json:"opKind"`
 	Phase        string  `json:"phase"`
@@ -45,7 +45,7 @@
 	writer.WriteHeader(event.Status)
 }
 
-// turn changes the server's part: what runs comes to its end, what has not begun is
+// changePhase changes the server's part: what runs comes to its end, what has not begun is
 // turned away.
 func (m *modelServer) changePhase(phase string) {
 	m.turning = true
@@ -73,8 +73,16 @@
 func (m *modelServer) listed(now time.Time) serverPage {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	page := serverPage{ID: m.ID, Backend: m.Service, Address: m.Address, Zone: m.Zone, Revision: "v1", Slots: m.shape.Slots, State: stateServing,
-		Phase: m.phase}
+	page := serverPage{
+		ID:       m.ID,
+		Backend:  m.Service,
+		Address:  m.Address,
+		Zone:     m.Zone,
+		Revision: "v1",
+		Slots:    m.shape.Slots,
+		State:    stateServing,
+		Phase:    m.phase,
+	}
 	if m.shape.Plain == 0 {
 		page.ModelIDs = m.models()
 	}
--- a/internal/testbed/replay/passthrough_test.go
+++ b/internal/testbed/replay/passthrough_test.go
@@ -53,7 +53,11 @@
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	for name, handler := range map[string]http.Handler{"controlPlane": control, "readiness": ready, "frontHttp": http.HandlerFunc(through.pass)} {
+	for name, handler := range map[string]http.Handler{
+		"controlPlane": control,
+		"readiness":    ready,
+		"frontHttp":    http.HandlerFunc(through.pass),
+	} {
 		go func() { _ = http.ListenAndServe(through.settings.BindAddrs[name], handler) }()
 	}
 	ended := make(chan os.Signal, 1)
--- a/internal/testbed/replay/plan.go
+++ b/internal/testbed/replay/plan.go
@@ -65,7 +65,8 @@
 		var mistakes error
 		if errors.As(err, &strict) {
 			for _, missing := range strict.Errors {
-				mistakes = multierr.Append(mistakes, failure.At(failure.UnknownField, "/"+strings.Join(missing.Key(), "/"), "no such field"))
+				mistakes = multierr.Append(mistakes,
+					failure.At(failure.UnknownField, "/"+strings.Join(missing.Key(), "/"), "no such field"))
 			}
 			return plan, mistakes
 		}
@@ -139,7 +140,7 @@
 	return seconds(f.Gap)
 }
 
-// share is the share that the fault says, or another.
+// shareOr is the share that the fault says, or another.
 func (f Fault) shareOr(usual float64) float64 {
 	if f.Share == 0 {
 		return usual
@@ -147,7 +148,7 @@
 	return f.Share
 }
 
-// times is how strong the fault is, or another strength.
+// timesOr is how strong the fault is, or another strength.
 func (f Fault) timesOr(usual float64) float64 {
 	if f.Times == 0 {
 		return usual
--- a/internal/testbed/replay/plan_test.go
+++ b/internal/testbed/replay/plan_test.go
@@ -23,10 +23,12 @@
 			t.Errorf("%s is not among\n%s", wanted, text)
 		}
 	}
-	if _, mistakes := ParsePlan([]byte("length_s = 20\n[[fault]]\nkind = \"burst\"\nwhen = 3\n")); mistakes == nil || !strings.Contains(mistakes.Error(), "unknown_field at /fault/when") {
+	if _, mistakes := ParsePlan([]byte("length_s = 20\n[[fault]]\nkind = \"burst\"\nwhen = 3\n")); mistakes == nil || !strings.Contains(mistakes.Error(),
+		"unknown_field at /fault/when") {
 		t.Errorf("an unknown field: %v", mistakes)
 	}
-	if _, mistakes := ParsePlan([]byte("length_s = [")); mistakes == nil || !strings.Contains(mistakes.Error(), "malformed") {
+	if _, mistakes := ParsePlan([]byte("length_s = [")); mistakes == nil || !strings.Contains(mistakes.Error(),
+		"malformed") {
 		t.Errorf("no TOML: %v", mistakes)
 	}
 }
--- a/internal/testbed/replay/plots.go
+++ b/internal/testbed/replay/plots.go
@@ -50,7 +50,8 @@
 		count("refused", func(second Second) float64 { return float64(second.Refused) }, blue),
 		count("failed", func(second Second) float64 { return float64(second.Failed) }, red),
 	}
-	if err := draw(filepath.Join(folder, "requests.png"), "Requests by the second in which they began", "requests", ends, marks); err != nil {
+	if err := draw(filepath.Join(folder, "requests.png"), "Requests by the second in which they began", "requests", ends,
+		marks); err != nil {
 		return err
 	}
 	firsts := []series{count("median", func(second Second) float64 { return float64(second.Median.Milliseconds()) }, green)}
--- a/internal/testbed/replay/plots_test.go
+++ b/internal/testbed/replay/plots_test.go
@@ -11,7 +11,11 @@
 // TestPlotsAreDrawn draws a day of three seconds.
 func TestPlotsAreDrawn(t *testing.T) {
 	folder := t.TempDir()
-	figures := Figures{Seconds: []Second{{InTime: 5, Median: 80 * time.Millisecond}, {InTime: 2, Late: 3, Median: time.Second}, {Failed: 1, Refused: 4}}}
+	figures := Figures{Seconds: []Second{{InTime: 5, Median: 80 * time.Millisecond}, {
+		InTime: 2,
+		Late:   3,
+		Median: time.Second,
+	}, {Failed: 1, Refused: 4}}}
 	if err := figures.Plot(folder, []Mark{{1, "node_kill"}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/replay/prefixcache.go
+++ b/internal/testbed/replay/prefixcache.go
@@ -30,7 +30,7 @@
 	return (tokens + k.block - 1) / k.block * k.block
 }
 
-// names gives each part of a chain the name of the chain up to it.
+// chainNames gives each part of a chain the name of the chain up to it.
 func chainNames(model string, chain []part) []string {
 	names := make([]string, 0, len(chain))
 	name := model
@@ -56,7 +56,7 @@
 	return tokens
 }
 
-// pinned is what can't give way.
+// pinnedTokens is what can't give way.
 func (k *prefixCache) pinnedTokens() int {
 	pinned := k.fixed
 	for _, one := range k.parts {
--- a/internal/testbed/replay/process.go
+++ b/internal/testbed/replay/process.go
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// mourn starts a process again that ended though it was wanted.
+// awaitEnd starts a process again that ended though it was wanted.
 func (p *process) awaitEnd(c *exec.Cmd) {
 	p.mutex.Lock()
 	own := p.wanted && p.command == c
@@ -91,7 +91,11 @@
 	if !own {
 		return
 	}
-	p.machine.day.Events.Append(Event{Kind: EndedByItself, Machine: p.machine.Name, Cause: p.role.Name + ": " + c.ProcessState.String()})
+	p.machine.day.Events.Append(Event{
+		Kind:    EndedByItself,
+		Machine: p.machine.Name,
+		Cause:   p.role.Name + ": " + c.ProcessState.String(),
+	})
 	if !sleep(p.machine.day.lifetime, restartsAfter) {
 		return
 	}
--- a/internal/testbed/replay/processes_test.go
+++ b/internal/testbed/replay/processes_test.go
@@ -16,7 +16,8 @@
 	if err != nil {
 		return "", err
 	}
-	output, err := exec.Command("go", "build", "-race", "-o", folder+string(filepath.Separator), "seamloom.example/seamloom/platform/cmd/...").CombinedOutput()
+	output, err := exec.Command("go", "build", "-race", "-o", folder+string(filepath.Separator),
+		"seamloom.example/seamloom/platform/cmd/...").CombinedOutput()
 	if err != nil {
 		return folder, fmt.Errorf("%w: %s", err, output)
 	}
--- a/internal/testbed/replay/record.go
+++ b/internal/testbed/replay/record.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// record is a book with what belongs together laid side by side, for the checkers.
+// record is an event log with what belongs together laid side by side, for the checkers.
 type record struct {
 	events   []Event
 	site     Site
@@ -42,7 +42,15 @@
 }
 
 func newRecord(events []Event, site Site) *record {
-	r := &record{events: events, site: site, terms: site.Terms, contact: newContact(events, site.Terms.Contact), attempts: map[string]*attemptSeen{}, requests: map[string][]*attemptSeen{}, shown: map[string]time.Time{}}
+	r := &record{
+		events:   events,
+		site:     site,
+		terms:    site.Terms,
+		contact:  newContact(events, site.Terms.Contact),
+		attempts: map[string]*attemptSeen{},
+		requests: map[string][]*attemptSeen{},
+		shown:    map[string]time.Time{},
+	}
 	changes := map[string]*versionSeen{}
 	for _, event := range events {
 		seen := r.attempts[event.Try]
@@ -54,7 +62,14 @@
 		}
 		switch event.Kind {
 		case ChangeSent:
-			changes[event.Change] = &versionSeen{Version: *event.Version, change: event.Change, base: event.Base, invalid: event.Invalid, sent: event.At, outcome: unclear}
+			changes[event.Change] = &versionSeen{
+				Version: *event.Version,
+				change:  event.Change,
+				base:    event.Base,
+				invalid: event.Invalid,
+				sent:    event.At,
+				outcome: unclear,
+			}
 			r.versions = append(r.versions, changes[event.Change])
 		case ChangeClosed:
 			if change := changes[event.Change]; change != nil {
@@ -83,7 +98,8 @@
 			seen.reads = append(seen.reads, event)
 		}
 	}
-	sort.SliceStable(r.versions, func(left, right int) bool { return r.versions[left].Revision < r.versions[right].Revision })
+	sort.SliceStable(r.versions,
+		func(left, right int) bool { return r.versions[left].Revision < r.versions[right].Revision })
 	return r
 }
 
@@ -114,10 +130,12 @@
 	var handlings []handling
 	for _, seen := range r.order {
 		for _, event := range append(append([]Event(nil), seen.starts...), seen.reads...) {
-			handlings = append(handlings, handling{seen, seen.sent.Machine, seen.sent.Route, event.Service, seen.sent.At, event.At})
+			handlings = append(handlings,
+				handling{seen, seen.sent.Machine, seen.sent.Route, event.Service, seen.sent.At, event.At})
 		}
 		if seen.over && seen.ended.Status == 404 && seen.ended.Seal == "" {
-			handlings = append(handlings, handling{seen, seen.sent.Machine, seen.sent.Route, "", seen.sent.At, seen.ended.At})
+			handlings = append(handlings,
+				handling{seen, seen.sent.Machine, seen.sent.Route, "", seen.sent.At, seen.ended.At})
 		}
 	}
 	sort.SliceStable(handlings, func(left, right int) bool { return handlings[left].at.Before(handlings[right].at) })
--- a/internal/testbed/replay/request.go
+++ b/internal/testbed/replay/request.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"hash/fnv"
 	"math/rand/v2"
 	"net/http"
 	"strconv"
@@ -30,8 +31,17 @@
 
 // newRequest draws a request of a kind.
 func newRequest(class Class, route string, rule RouteRule, random *rand.Rand) *request {
-	r := &request{id: uuid.NewString(), class: class, route: route, rule: rule, path: rule.Prefix + strconv.Itoa(random.IntN(1000)), began: time.Now(),
-		chunked: random.IntN(3) == 0, leaves: random.IntN(40) == 0, machines: map[string]bool{}}
+	r := &request{
+		id:       uuid.NewString(),
+		class:    class,
+		route:    route,
+		rule:     rule,
+		path:     rule.Prefix + strconv.Itoa(random.IntN(1000)),
+		began:    time.Now(),
+		chunked:  random.IntN(3) == 0,
+		leaves:   random.IntN(40) == 0,
+		machines: map[string]bool{},
+	}
 	var chain []string
 	total := 0
 	thing := 0
@@ -56,7 +66,12 @@
 	if r.class.Plain {
 		return http.Header{"Content-Type": {"application/json"}}
 	}
-	return http.Header{headerModel: {modelName}, headerTokens: {r.tokens}, headerParts: {r.parts}, "Content-Type": {"application/json"}}
+	return http.Header{
+		headerModel:    {modelName},
+		headerTokens:   {r.tokens},
+		headerParts:    {r.parts},
+		"Content-Type": {"application/json"},
+	}
 }
 
 // digest names what the request asks.
@@ -74,3 +89,24 @@
 
 // left is how long the client still waits.
 func (r *request) left() time.Duration { return r.class.Deadline - time.Since(r.began) }
+
+// modelName is the model that the kit's servers run.
+const modelName = "m"
+
+// digestOf names what a request asks: its method, path, query, body and what it says of
+// its prompt. Two attempts of one request have the same.
+func digestOf(method, path, host string, header http.Header, body []byte) string {
+	sum := fnv.New64a()
+	for _, text := range []string{method, path, host, header.Get(headerModel), header.Get(headerTokens), header.Get(headerParts)} {
+		_, _ = sum.Write([]byte(text))
+		_, _ = sum.Write([]byte{0})
+	}
+	_, _ = sum.Write(body)
+	return strconv.FormatUint(sum.Sum64(), 16)
+}
+
+// tokensOf is how many tokens the model answers a request with: the same at each server.
+func tokensOf(digest string, most int) int {
+	number, _ := strconv.ParseUint(digest, 16, 64)
+	return max(1, most-int(number%uint64(max(1, most*2/5))))
+}
--- a/internal/testbed/replay/role.go
+++ b/internal/testbed/replay/role.go
@@ -51,7 +51,7 @@
 	return roles, nil
 }
 
-// words are the program and its arguments.
+// arguments are the program and its arguments.
 func (r Role) arguments() []string {
 	arguments := strings.Fields(r.Run)
 	arguments[0] = filepath.Join(r.binaries, filepath.Base(arguments[0]))
--- a/internal/testbed/replay/serverpool.go
+++ b/internal/testbed/replay/serverpool.go
@@ -134,7 +134,13 @@
 	server.mutex.Lock()
 	server.draining = true
 	server.mutex.Unlock()
-	s.events.Append(Event{Kind: Shown, At: time.Now().Add(s.site.ListLag + 2*directoryBeat), Server: server.ID, Service: server.Service, Cause: stateDraining})
+	s.events.Append(Event{
+		Kind:    Shown,
+		At:      time.Now().Add(s.site.ListLag + 2*directoryBeat),
+		Server:  server.ID,
+		Service: server.Service,
+		Cause:   stateDraining,
+	})
 	if sleep(server.lifetime, s.site.ListLag+s.site.Terms.Drain+last) {
 		s.remove(server)
 	}
--- a/internal/testbed/replay/version.go
+++ b/internal/testbed/replay/version.go
@@ -33,8 +33,13 @@
 func FirstVersion(site Site) Version {
 	version := Version{Revision: 3, Routes: map[string]RouteRule{}}
 	for _, class := range site.Classes {
-		version.Routes["r-"+class.Name] = RouteRule{Host: class.Name + ".example", Prefix: "/" + class.Name + "/", Class: class.Name,
-			Deadline: int(class.Deadline.Milliseconds()), Services: map[string]int{class.Service: 1}}
+		version.Routes["r-"+class.Name] = RouteRule{
+			Host:     class.Name + ".example",
+			Prefix:   "/" + class.Name + "/",
+			Class:    class.Name,
+			Deadline: int(class.Deadline.Milliseconds()),
+			Services: map[string]int{class.Service: 1},
+		}
 	}
 	for number := range idleRoutes {
 		name, rule := idleRule(site, "r-idle-"+strconv.Itoa(number))
@@ -46,7 +51,13 @@
 // idleRule is a route that only the kit's probes use.
 func idleRule(site Site, name string) (string, RouteRule) {
 	class := site.Classes[1]
-	return name, RouteRule{Host: name + ".example", Prefix: "/" + name + "/", Class: class.Name, Deadline: int(class.Deadline.Milliseconds()), Services: map[string]int{class.Service: 1}}
+	return name, RouteRule{
+		Host:     name + ".example",
+		Prefix:   "/" + name + "/",
+		Class:    class.Name,
+		Deadline: int(class.Deadline.Milliseconds()),
+		Services: map[string]int{class.Service: 1},
+	}
 }
 
 // Next copies a revision under another number.
@@ -68,7 +79,12 @@
 func (v Version) page(site Site) map[string]any {
 	return map[string]any{
 		"revision": v.Revision, "routes": v.routePages(site, slices.Sorted(maps.Keys(v.Routes))), "backends": servicePages(site),
-		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 4 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
+		"limits": map[string]any{
+			"maxHeaderBytes":  16384,
+			"maxBodyBytes":    4 << 20,
+			"headerTimeoutMs": 3000,
+			"idleTimeoutMs":   15000,
+		},
 	}
 }
 
@@ -113,8 +129,16 @@
 			"coldStartS": shape.Cold.Seconds(), "coldPerS": shape.ColdPerSecond,
 		}
 		if shape.Plain == 0 {
-			page["runtime"] = map[string]any{"slots": shape.Slots, "kvCapacity": shape.Capacity, "kvTokenBytes": int(shape.TokenBytes), "linkMbps": shape.LinkMegabits,
-				"stride": 1, "handleTtlS": shape.HandleLifetime.Seconds(), "roleSwitchS": shape.Switch.Seconds(), "modelIds": []any{map[string]any{"name": modelName}}}
+			page["runtime"] = map[string]any{
+				"slots":        shape.Slots,
+				"kvCapacity":   shape.Capacity,
+				"kvTokenBytes": int(shape.TokenBytes),
+				"linkMbps":     shape.LinkMegabits,
+				"stride":       1,
+				"handleTtlS":   shape.HandleLifetime.Seconds(),
+				"roleSwitchS":  shape.Switch.Seconds(),
+				"modelIds":     []any{map[string]any{"name": modelName}},
+			}
 		}
 		pages = append(pages, page)
 	}
--- a/internal/testbed/replay/wire.go
+++ b/internal/testbed/replay/wire.go
@@ -1,5 +1,10 @@
 package replay
 
+import (
+	"encoding/json"
+	"net/http"
+)
+
 // The platform's names on the wire, as its pages give them. They stand in the
 // test kit and in platform/, and nowhere else in the repository.
 const (
@@ -40,3 +45,10 @@
 	stateServing  = "serving"
 	stateDraining = "draining"
 )
+
+// writeJSON answers with JSON.
+func writeJSON(writer http.ResponseWriter, status int, content any) {
+	writer.Header().Set("Content-Type", "application/json")
+	writer.WriteHeader(status)
+	_ = json.NewEncoder(writer).Encode(content)
+}
--- a/internal/testbed/replay/work.go
+++ b/internal/testbed/replay/work.go
@@ -29,7 +29,7 @@
 	return chain, true
 }
 
-// stage is how far a server is with a request.
+// phase is how far a server is with a request.
 type phase int
 
 const (
