--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -273,16 +273,7 @@
 		Age:     e.age(),
 	})
 	e.sweepHandles()
-	refusal, status := "", http.StatusTooManyRequests
-	switch {
-	case e.part != "prefill":
-		refusal, status = "wrong_part", http.StatusServiceUnavailable
-	case len(e.queue) >= e.plan.PrefillQueue:
-		refusal = "queue_full"
-	case e.memory+order.PromptTokens > e.plan.Memory:
-		refusal = "memory_full"
-	}
-	if refusal != "" {
+	if status, refusal := e.refusePrefill(order); refusal != "" {
 		e.mutex.Unlock()
 		return status, Refusal{Type: refusal}
 	}
@@ -293,18 +284,8 @@
 	key := runName(order.Request, order.Run, order.Order)
 	e.runs[key] = connection
 	e.mutex.Unlock()
-	mine := false
 	finished := false
-	for !e.Dead() && !mine && !connection.Closed() {
-		e.free.Wait(time.Second, func() bool {
-			e.mutex.Lock()
-			defer e.mutex.Unlock()
-			if !e.reading && !e.dead {
-				e.reading, mine = true, true
-			}
-			return mine || e.dead || connection.Closed()
-		})
-	}
+	mine := e.awaitTurn(connection)
 	if mine {
 		e.mutex.Lock()
 		cost := time.Duration(float64(uncached) / float64(e.plan.PrefillRate) * e.warmingUp() * float64(time.Second))
@@ -337,6 +318,36 @@
 	return http.StatusOK, modelserver.PrefillResponse{Request: order.Request, Run: order.Run, Handle: handle}
 }
 
+// refusePrefill tells with which status and type an order can't be taken; the type is
+// empty if it can. The caller holds the mutex.
+func (e *Engine) refusePrefill(order modelserver.PrefillRequest) (status int, refusal string) {
+	switch {
+	case e.part != "prefill":
+		return http.StatusServiceUnavailable, "wrong_part"
+	case len(e.queue) >= e.plan.PrefillQueue:
+		return http.StatusTooManyRequests, "queue_full"
+	case e.memory+order.PromptTokens > e.plan.Memory:
+		return http.StatusTooManyRequests, "memory_full"
+	}
+	return http.StatusOK, ""
+}
+
+// awaitTurn waits until no other prompt is being read; false means that the server
+// died or the connection was closed before.
+func (e *Engine) awaitTurn(connection *Connection) (mine bool) {
+	for !e.Dead() && !mine && !connection.Closed() {
+		e.free.Wait(time.Second, func() bool {
+			e.mutex.Lock()
+			defer e.mutex.Unlock()
+			if !e.reading && !e.dead {
+				e.reading, mine = true, true
+			}
+			return mine || e.dead || connection.Closed()
+		})
+	}
+	return mine
+}
+
 func removeOne(queue []int, tokens int) []int {
 	for position, entry := range queue {
 		if entry == tokens {
