--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -53,7 +53,7 @@
 		"an unknown service":     {`{"id":"a","service":"nothing"}`, 404, "unknown_service"},
 		"too long a prompt":      {`{"id":"a","service":"rider-chat","prompt_tokens":90000000}`, 400, "out_of_range"},
 		"a body that is too big": {`{"id":"a","service":"rider-chat","prompt":"` + strings.Repeat("x",
-			dataplane.MostRequestBytes) + `"}`, 413, "oversize"},
+			dataplane.MaxRequestBytes) + `"}`, 413, "oversize"},
 	} {
 		status, _, body := post(t, front, "/v1/inquiries", want.body)
 		if status != want.status || !strings.Contains(body, `"type":"`+want.kind+`"`) || !strings.Contains(body,
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -326,7 +326,7 @@
 func (c *callExchange) Refuse(refusal dataplane.Refusal) { c.replies.put(refusal) }
 
 // Through passes a server's promise on.
-func (c *callExchange) Through() bool {
+func (c *callExchange) PassThrough() bool {
 	if c.refusal == nil || c.passed > 0 {
 		return false
 	}
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -226,10 +226,10 @@
 // or restores it.
 func (w *World) nowhere(name string, number int) controlplane.Edit {
 	edit := controlplane.Edit{
-		Change: name + "-" + w.nonce(),
-		Digest: name,
-		Sound:  true,
-		Apply:  func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") },
+		Change:          name + "-" + w.nonce(),
+		Digest:          name,
+		ValidatesItself: true,
+		Apply:           func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") },
 	}
 	if number%2 == 1 {
 		edit.Apply = func(text []byte) ([]byte, error) { return config.Restore(text, name) }
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -134,9 +134,9 @@
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
 		return m.control.Edit(controlplane.Edit{
-			Builds: &asked.builds,
-			Digest: text,
-			Apply:  func([]byte) ([]byte, error) { return []byte(text), nil },
+			BaseRevision: &asked.builds,
+			Digest:       text,
+			Apply:        func([]byte) ([]byte, error) { return []byte(text), nil },
 		})
 	})
 	if err == nil {
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -80,13 +80,13 @@
 	return content.(modelserver.LoadReport).Load(), nil
 }
 
-// Pressure reads a server's load for the market of requests.
-func (l directory) Pressure(s membership.Server, patience time.Duration) (auction.Load, error) {
+// ReadAuctionLoad reads a server's load for the market of requests.
+func (l directory) ReadAuctionLoad(s membership.Server, patience time.Duration) (auction.Load, error) {
 	return l.ask(s, patience)
 }
 
-// Report reads a server's load for all routers.
-func (l directory) Report(s membership.Server, patience time.Duration) (scheduler.Load, error) {
+// ReadLoad reads a server's load for all routers.
+func (l directory) ReadLoad(s membership.Server, patience time.Duration) (scheduler.Load, error) {
 	l.world.reportReads++
 	load, err := l.ask(s, patience)
 	return scheduler.Load{
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -262,21 +262,21 @@
 		Address:   m.address,
 		Seeds:     m.seeds,
 		Nonce:     w.nonce,
-		Ended:     endedHere,
+		OnEnded:   endedHere,
 		Directory: directory{w, begun},
 	}
 	options.ServeWithoutLease = w.settings.ServeWithoutLease
 	if w.settings.Calls {
-		options.Board = func(*scheduler.Scheduler) dataplane.Board { return ignoringBoard{} }
+		options.CallService = func(*scheduler.Scheduler) dataplane.CallService { return ignoringBoard{} }
 	}
 	if w.layout == nil {
-		options.Pressures = directory{w, begun}
+		options.LoadReader = directory{w, begun}
 	}
 	w.prepareCalls(m, begun, &options)
 	router := dataplane.NewRouter(begun, rpcClient{begun}, servers, &forwarder{incarnation: begun}, options, observe)
 	m.router = router
 	begun.handle = router.Handlers().Handle
-	for _, round := range router.Rounds() {
+	for _, round := range router.Loops() {
 		begun.Go(round)
 	}
 	if len(m.withheld) > 0 {
@@ -289,7 +289,7 @@
 	keeping, _ := storage.OpenDirectory(m.disk, "keeper")
 	copies, _ := storage.OpenDirectory(m.disk, "larder")
 	options := controlplane.Options{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
-		FlagSettle: 2 * time.Second, BorneLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: directory{w, begun}, Reports: directory{w, begun}}
+		FlagStableTime: 2 * time.Second, ToleratedLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: directory{w, begun}, LoadReader: directory{w, begun}}
 	options.AcknowledgeWait, options.RetireAfter = w.settings.AcknowledgeWait, w.settings.RetireAfter
 	options.JoinsOnly = w.settings.JoinOnly || w.settings.FormOnce && m.startCount > 1 || w.settings.FormOnce && w.now > opening
 	control, blank, err := controlplane.Open(begun, rpcClient{begun}, keeping, copies, options, observe)
@@ -301,7 +301,7 @@
 	w.tracef("%s opened its disk, blank %v", m.name, blank)
 	m.control = control
 	begun.handle = control.Handlers().Handle
-	for _, round := range control.Rounds() {
+	for _, round := range control.Loops() {
 		begun.Go(round)
 	}
 	if len(m.withheld) > 0 {
