--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -56,12 +56,57 @@
 }
 
 // testRuntime has real goroutines, under the clock that the test moves.
-type testRuntime struct{ now func() time.Time }
+type testRuntime struct {
+	now   func() time.Time
+	calls *callCount
+}
 
 func (t testRuntime) Now() time.Time  { return t.now() }
 func (t testRuntime) Wall() time.Time { return t.now() }
-func (t testRuntime) Go(f func())     { go f() }
-func (t testRuntime) Alive() bool     { return true }
+func (t testRuntime) Go(f func()) {
+	t.calls.begin()
+	go func() {
+		defer t.calls.end()
+		f()
+	}()
+}
+
+// callCount counts the goroutines that a cluster has under way.
+type callCount struct {
+	mutex sync.Mutex
+	idle  *sync.Cond
+	count int
+}
+
+func newCallCount() *callCount {
+	c := &callCount{}
+	c.idle = sync.NewCond(&c.mutex)
+	return c
+}
+
+func (c *callCount) begin() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.count++
+}
+
+func (c *callCount) end() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.count--; c.count == 0 {
+		c.idle.Broadcast()
+	}
+}
+
+// wait returns when no goroutine is under way: each call of the test's network ends.
+func (c *callCount) wait() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for c.count > 0 {
+		c.idle.Wait()
+	}
+}
+func (t testRuntime) Alive() bool { return true }
 func (t testRuntime) NewCond() runtime.Cond {
 	cond := &testCond{}
 	cond.cond = sync.NewCond(&cond.mutex)
@@ -109,6 +154,7 @@
 	mutex    sync.Mutex
 	now      time.Time
 	random   *rand.Rand
+	calls    *callCount
 	machines []*machine
 	cut      map[string]bool
 	delayed  []func()
@@ -138,7 +184,7 @@
 
 // newClusterOf is a core of machines in zones, which bears some losses at once.
 func newClusterOf(t *testing.T, seed uint64, machines, zones, tolerated int) *cluster {
-	w := &cluster{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, tolerated: tolerated, zones: zones,
+	w := &cluster{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), calls: newCallCount(), cut: map[string]bool{}, tolerated: tolerated, zones: zones,
 		seeds: []string{"m0", "m1", "m2"}}
 	for number := range machines {
 		w.machines = append(w.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), witnessDisk: newMemoryStorage(), copyDisk: newMemoryStorage()})
@@ -177,7 +223,7 @@
 		w.test.Fatal(err)
 	}
 	store := NewStore(copied, witness)
-	coordinator := NewCoordinator(testRuntime{w.clock}, w.seeds, witness, store, &network{cluster: w, from: m.address, incarnation: m.incarnations}, func(event string, detail ...any) {
+	coordinator := NewCoordinator(testRuntime{w.clock, w.calls}, w.seeds, witness, store, &network{cluster: w, from: m.address, incarnation: m.incarnations}, func(event string, detail ...any) {
 		w.logf("%s %s %v", m.address, event, detail)
 	})
 	if w.tolerated > 1 && (m.incarnations > 1 || w.formed) {
@@ -580,6 +626,9 @@
 			mc.coordinator.Tick()
 			w.check()
 		}
+		// Healing is bounded by the cluster's time: on a busy machine it would pass while
+		// the calls of a tick are not scheduled yet.
+		w.calls.wait()
 		if w.completeLeader() != nil {
 			return true
 		}
