--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -96,7 +96,7 @@
 		return nil, blank, err
 	}
 	if damage := copied.Damage(); damage != "" {
-		observe("copy_damaged", "damage", damage)
+		observe("replica_damaged", "damage", damage)
 	}
 	witness.SetLock(runtime.NewLock(rt))
 	copied.SetLock(runtime.NewLock(rt))
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -58,7 +58,7 @@
 		for _, flag := range supported {
 			if !state.Flags.Enabled.Has(flag) && len(state.Lacking(flag)) == 0 {
 				c.queue(replication.EnableFlags(supported), func(version replication.Version, err error) {
-					c.observe("flags_enabled", "version", version.String(), "trouble", err)
+					c.observe("flags_enabled", "version", version.String(), "error", err)
 				})
 				break
 			}
@@ -88,7 +88,7 @@
 		return
 	}
 	c.queue(replication.RemoveServers(gone, state.Roles.Roles), func(version replication.Version, err error) {
-		c.observe("servers_forgotten", "servers", gone, "version", version.String(), "trouble", err)
+		c.observe("servers_forgotten", "servers", gone, "version", version.String(), "error", err)
 	})
 }
 
@@ -109,7 +109,7 @@
 			continue
 		}
 		c.queue(replication.RemoveMember(name), func(version replication.Version, err error) {
-			c.observe("member_retired", "member", name, "version", version.String(), "trouble", err)
+			c.observe("member_retired", "member", name, "version", version.String(), "error", err)
 		})
 	}
 }
@@ -132,7 +132,7 @@
 		return
 	}
 	c.queue(replication.GrantRoles(grants, state.Roles.Roles), func(version replication.Version, err error) {
-		c.observe("duties_granted", "version", version.String(), "grants", grants, "trouble", err)
+		c.observe("roles_granted", "version", version.String(), "grants", grants, "error", err)
 	})
 }
 
@@ -140,10 +140,10 @@
 // behind.
 func (c *Controller) sweep() {
 	if mended, err := c.store.LocalReplica().Sweep(); mended > 0 || err != nil {
-		c.observe("copy_swept", "mended", mended, "trouble", err)
+		c.observe("replica_swept", "repaired", mended, "error", err)
 	}
 	if mended, err := c.witness.Sweep(); mended || err != nil {
-		c.observe("keeper_swept", "mended", mended, "trouble", err)
+		c.observe("witness_swept", "repaired", mended, "error", err)
 	}
 	if _, view, err := c.Leading(); err == nil {
 		c.repairCopies(view)
@@ -175,6 +175,6 @@
 	for _, replica := range c.coordinator.StaleReplicas(view.Version) {
 		request := wire.InstallRequest{To: replica.Identity, Snapshot: replication.Snapshot{Epoch: epoch, Version: view.Version, Sections: view.Sections}}
 		err := wire.Call(c.client, c.coordinator.Address(replica), wire.RefreshPath, request, nil, installTimeout)
-		c.observe("copy_mended", "at", replica.Name, "version", view.Version.String(), "trouble", err)
+		c.observe("replica_repaired", "at", replica.Name, "version", view.Version.String(), "error", err)
 	}
 }
--- a/internal/controlplane/readers.go
+++ b/internal/controlplane/readers.go
@@ -82,7 +82,7 @@
 	c.serverList.lastError = cause
 	c.serverList.mutex.Unlock()
 	if !logged {
-		c.observe("list_read", "trouble", err)
+		c.observe("list_read", "error", err)
 	}
 }
 
--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -120,7 +120,7 @@
 	}
 	var response wire.LeaderResponse
 	err := r.follower.Ask(wire.OrdersPath, wire.OrdersRequest{Role: decision.Role, Orders: decision.Orders, Supported: r.options.Supported}, &response, sendTimeout, decision.NotAfter)
-	r.observe("orders_given", "orders", decision.Orders, "trouble", err)
+	r.observe("orders_given", "orders", decision.Orders, "error", err)
 }
 
 func (r *Router) command(decision auction.Decision) {
@@ -128,7 +128,7 @@
 		return
 	}
 	err := r.modelServer.Command(decision, func() bool { return r.mayAct(decision) })
-	r.observe("commanded", "server", decision.Server, "part", decision.ServerRole, "fence", decision.Role.FencingToken, "trouble", err)
+	r.observe("commanded", "server", decision.Server, "part", decision.ServerRole, "fencing_token", decision.Role.FencingToken, "error", err)
 }
 
 // claim claims a request's id at the primary until it responds, the decision's deadline or
--- a/internal/dataplane/serverlist.go
+++ b/internal/dataplane/serverlist.go
@@ -66,7 +66,7 @@
 			// The next primary is to send its list, whatever revision it has.
 			r.follower.ForgetList()
 		}
-		r.observe("list_read_itself", "servers", len(servers), "trouble", err)
+		r.observe("list_read_directly", "servers", len(servers), "error", err)
 		reads++
 		runtime.Sleep(r.runtime, ownListInterval+time.Duration(r.routers.Load())*ownListPerRouter+r.jitter(reads))
 	}
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -22,7 +22,7 @@
 	}
 	state, err := replication.ReadState(update.Changed)
 	if err != nil {
-		r.observe("news_unreadable", "cause", err)
+		r.observe("updates_unreadable", "cause", err)
 		return
 	}
 	if _, found := update.Changed[replication.FlagsSection]; found {
@@ -47,7 +47,7 @@
 func (r *Router) applyProvisional(update follower.Update) {
 	state, err := replication.ReadState(update.Changed)
 	if err != nil {
-		r.observe("news_unreadable", "cause", err)
+		r.observe("updates_unreadable", "cause", err)
 		return
 	}
 	r.Apply(auction.Event{Kind: auction.FlagsRead, Enabled: state.Flags.Enabled})
@@ -57,7 +57,7 @@
 	r.Apply(auction.Event{Kind: auction.ConfigurationProvisional, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
 	r.updateServing()
 	r.wakeTicker()
-	r.observe("configuration_lent", "version", section.Version.String())
+	r.observe("configuration_provisional", "version", section.Version.String())
 }
 
 // applyMembers takes the recorded members, if they changed.
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -153,7 +153,7 @@
 		return base.WithReplicas(c.withZone(c.witness.Replica()), installed), true
 	})
 	if err != nil {
-		c.observe("pair_not_granted", "backups", installed, "cause", err)
+		c.observe("backups_not_granted", "backups", installed, "cause", err)
 		if failure.CodeOf(err) == failure.Deposed {
 			c.stepDown("deposed", won)
 		}
@@ -165,7 +165,7 @@
 		c.RecordBackupResult(replica.Identity, true)
 	}
 	c.store.ResumeCommits(won.Epoch)
-	c.observe("pair_granted", "epoch", won.Epoch, "backups", installed)
+	c.observe("backups_granted", "epoch", won.Epoch, "backups", installed)
 	c.renewLease(won)
 }
 
--- a/internal/replication/campaign.go
+++ b/internal/replication/campaign.go
@@ -33,7 +33,7 @@
 	for _, replica := range replicas[1:] {
 		_, _ = c.peers.Accept(replica.Address, replica.Identity, membership)
 	}
-	c.observe("core_formed", "keepers", replicas)
+	c.observe("core_formed", "witnesses", replicas)
 }
 
 // tickStandby is the Tick of a controller that does not lead. A replica in sync stands as a
@@ -129,7 +129,7 @@
 		lead = c.store.LeadHidden
 	}
 	if err := lead(won.Epoch); err != nil {
-		c.observe("lead_failed", "cause", err)
+		c.observe("takeover_failed", "cause", err)
 		return
 	}
 	c.membershipUnknown = c.store.Hidden()
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -274,7 +274,7 @@
 		return
 	}
 	if c.inboundCut(membership) {
-		c.observe("hands_over", "cause", "nobody reaches this expediter")
+		c.observe("leadership_transfer", "cause", "nobody reaches this controller")
 		c.transferLeadership(membership)
 		return
 	}
--- a/internal/replication/renewal.go
+++ b/internal/replication/renewal.go
@@ -126,7 +126,7 @@
 		return base, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
-		c.observe("not_regranted", "cause", err)
+		c.observe("membership_not_renewed", "cause", err)
 		c.membershipUnknown = true
 		return
 	}
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -121,7 +121,7 @@
 		if able && !(len(membership.Further) > 0 && hello.Restricted) {
 			return backup, true
 		}
-		c.observe("not_handed_over", "backup", backup.Name, "cause", err)
+		c.observe("leadership_transfer_failed", "backup", backup.Name, "cause", err)
 	}
 	return Replica{}, false
 }
--- a/internal/replication/witnesses.go
+++ b/internal/replication/witnesses.go
@@ -36,13 +36,13 @@
 		return next, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
-		c.observe("keepers_not_granted", "cause", err)
+		c.observe("witnesses_not_granted", "cause", err)
 		c.membershipUnknown = true
 		return
 	}
 	c.store.ResumeCommits(won.Epoch)
 	c.renewLease(won)
-	c.observe("keepers_granted", "epoch", won.Epoch, "keepers", won.Witnesses, "incoming", won.Incoming)
+	c.observe("witnesses_granted", "epoch", won.Epoch, "witnesses", won.Witnesses, "incoming", won.Incoming)
 }
 
 // witnessToReplace returns the first witness that is gone, or else one that leaves.
