--- a/internal/testbed/replay/attempt.go
+++ b/internal/testbed/replay/attempt.go
@@ -100,36 +100,36 @@
 	_ = connection.SetReadDeadline(ends)
 }
 
-func (try *attempt) read(connection *conn, outbound *http.Request) {
-	try.extendDeadline(connection)
-	a, err := http.ReadResponse(connection.reader, outbound)
+func (a *attempt) read(connection *conn, outbound *http.Request) {
+	a.extendDeadline(connection)
+	response, err := http.ReadResponse(connection.reader, outbound)
 	if err != nil {
-		try.fail(err)
+		a.fail(err)
 		if strings.Contains(err.Error(), "malformed") {
-			try.event.Cause = causeNoAnswer
+			a.event.Cause = causeNoAnswer
 		}
 		return
 	}
-	defer func() { _ = a.Body.Close() }()
-	try.event.Status, try.event.Seal, try.event.Bears = a.StatusCode, a.Header.Get(headerSeal), a.Header.Get(headerAttempt)
-	if text := a.Header.Get(headerRetryAfter); text != "" {
+	defer func() { _ = response.Body.Close() }()
+	a.event.Status, a.event.Seal, a.event.Bears = response.StatusCode, response.Header.Get(headerSeal), response.Header.Get(headerAttempt)
+	if text := response.Header.Get(headerRetryAfter); text != "" {
 		seconds, _ := strconv.ParseFloat(text, 64)
-		try.retry = time.Duration(seconds * float64(time.Second))
+		a.retry = time.Duration(seconds * float64(time.Second))
 	}
-	if a.StatusCode/100 != 2 {
-		_, err = io.Copy(io.Discard, a.Body)
-	} else if try.r.class.Plain {
-		err = try.readPlain(a.Body)
+	if response.StatusCode/100 != 2 {
+		_, err = io.Copy(io.Discard, response.Body)
+	} else if a.r.class.Plain {
+		err = a.readPlain(response.Body)
 	} else {
-		err = try.readStream(connection, a.Body)
+		err = a.readStream(connection, response.Body)
 	}
 	if err != nil {
-		try.fail(err)
+		a.fail(err)
 		return
 	}
-	try.event.Complete = true
-	try.keeps = !a.Close
-	connection.reusableUntil = time.Now().Add(keepAliveTime(a.Header.Get("Keep-Alive")))
+	a.event.Complete = true
+	a.keeps = !response.Close
+	connection.reusableUntil = time.Now().Add(keepAliveTime(response.Header.Get("Keep-Alive")))
 }
 
 // keepAliveTime is how long a client takes up a resting connection again.
--- a/internal/testbed/replay/passthrough_test.go
+++ b/internal/testbed/replay/passthrough_test.go
@@ -20,8 +20,8 @@
 // a configuration in memory and hands requests on. The stand-ins are tried against it.
 type passThrough struct {
 	settings struct {
-		BindAddrs   map[string]string `json:"bindAddrs"`
-		PlatformApi struct{ Address string }
+		BindAddrs   map[string]string        `json:"bindAddrs"`
+		PlatformAPI struct{ Address string } `json:"platformApi"`
 	}
 	mutex   sync.Mutex
 	current map[string]any
@@ -70,7 +70,7 @@
 		var all []serverPage
 		token := ""
 		for {
-			a, err := http.Get("http://" + p.settings.PlatformApi.Address + pathServers + "?pageToken=" + token)
+			a, err := http.Get("http://" + p.settings.PlatformAPI.Address + pathServers + "?pageToken=" + token)
 			if err != nil {
 				break
 			}
