--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -44,7 +44,7 @@
 		if mistakes != nil {
 			return mistakes
 		}
-		daemon.LimitMemory(chosen.MostMemory)
+		daemon.LimitMemory(chosen.MaxMemoryMegabytes)
 		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
 		process, err := controller.Start(chosen, logger, storage.OSDisk{}, osruntime.NewClock(), controller.Ports{})
 		if err != nil {
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -36,7 +36,7 @@
 		if mistakes != nil {
 			return mistakes
 		}
-		daemon.LimitMemory(chosen.MostMemory)
+		daemon.LimitMemory(chosen.MaxMemoryMegabytes)
 		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
 		process, err := router.Start(chosen, logger, osruntime.NewClock(), router.Ports{})
 		if err != nil {
--- a/internal/adapters/daemon/flags.go
+++ b/internal/adapters/daemon/flags.go
@@ -44,7 +44,7 @@
 	set.StringVar(&flags.flagged.Platform, "platform", "", "address of the platform's lists of servers and nodes")
 	set.StringVar(&flags.flagged.LogLevel, "log-level", defaults.LogLevel, "debug, info, warn or error")
 	set.StringVar(&flags.withhold, "withhold-flags", "", "for tests: feature flags that this node claims not to support, with commas between")
-	set.IntVar(&flags.flagged.MostMemory, "most-memory-megabytes", 0, "how much memory the process may take; 0: nobody said")
+	set.IntVar(&flags.flagged.MaxMemoryMegabytes, "most-memory-megabytes", 0, "how much memory the process may take; 0: nobody said")
 	set.DurationVar(&flags.flagged.Grace, "grace", defaults.Grace, "how long what runs may go on after SIGTERM")
 	set.SetNormalizeFunc(func(_ *pflag.FlagSet, name string) pflag.NormalizedName {
 		if name == "drain" {
@@ -60,15 +60,15 @@
 		set.DurationVar(&flags.flagged.RetireAfter, "retire-after", defaults.RetireAfter, "how long a node may not be heard from before it is taken out of the record; 0: only operators do so")
 		set.StringVar(&flags.flagged.ControlAddress, "control-address", "", "a further address for operators")
 		set.StringVar(&flags.flagged.DataFolder, "data-folder", "", "folder for all files")
-		set.IntVar(&flags.flagged.BorneLosses, "borne-losses", defaults.BorneLosses, "how many machines with a disk may be lost at once")
-		set.IntVar(&flags.flagged.FlagSettle, "flag-settle-milliseconds", defaults.FlagSettle, "how long the members must not change before a feature flag is enabled")
+		set.IntVar(&flags.flagged.ToleratedLosses, "borne-losses", defaults.ToleratedLosses, "how many machines with a disk may be lost at once")
+		set.IntVar(&flags.flagged.FlagSettleMilliseconds, "flag-settle-milliseconds", defaults.FlagSettleMilliseconds, "how long the members must not change before a feature flag is enabled")
 	} else {
 		set.DurationVar(&flags.flagged.ApplyWithin, "apply-within", defaults.ApplyWithin, "how soon after its acknowledgement a change has to be in force here")
 		set.DurationVar(&flags.flagged.ServeWithoutLease, "serve-without-hold", defaults.ServeWithoutLease, "how long a courier goes on letting in after its last hold")
 		set.StringVar(&flags.flagged.CallsAddress, "calls-address", "", "a further address for opaque calls")
 		set.StringVar(&flags.flagged.ReadyAddress, "ready-address", "", "a further address that tells whether the courier is ready")
 		set.StringVar(&flags.flagged.Market, "market", defaults.Market, "pair, or least_loaded for comparison")
-		set.IntVar(&flags.flagged.MostRequests, "most-inquiries", defaults.MostRequests, "how many inquiries are let in at once")
+		set.IntVar(&flags.flagged.MaxRequests, "most-inquiries", defaults.MaxRequests, "how many inquiries are let in at once")
 	}
 	return flags
 }
@@ -107,22 +107,22 @@
 		chosen.Bootstrap = f.flagged.Bootstrap
 	}
 	if changed("most-inquiries") {
-		chosen.MostRequests = f.flagged.MostRequests
+		chosen.MaxRequests = f.flagged.MaxRequests
 	}
 	if changed("most-memory-megabytes") {
-		chosen.MostMemory = f.flagged.MostMemory
+		chosen.MaxMemoryMegabytes = f.flagged.MaxMemoryMegabytes
 	}
 	if changed("borne-losses") {
-		chosen.BorneLosses = f.flagged.BorneLosses
+		chosen.ToleratedLosses = f.flagged.ToleratedLosses
 	}
 	if changed("flag-settle-milliseconds") {
-		chosen.FlagSettle = f.flagged.FlagSettle
+		chosen.FlagSettleMilliseconds = f.flagged.FlagSettleMilliseconds
 	}
 	if changed("seeds") {
 		chosen.Seeds = strings.Split(f.seeds, ",")
 	}
 	if changed("withhold-flags") {
-		chosen.Withhold = strings.Split(f.withhold, ",")
+		chosen.WithheldFlags = strings.Split(f.withhold, ",")
 	}
 	return chosen, multierr.Append(errs, chosen.Check())
 }
--- a/internal/adapters/proxy/exchange_test.go
+++ b/internal/adapters/proxy/exchange_test.go
@@ -213,7 +213,7 @@
 			run.Server = second.server
 			return run
 		}
-		return lastWord(outcome)
+		return finalReply(outcome)
 	}}
 	got := newRouter(t, s).send(t, "id", "body")
 	if got.failure != nil || string(got.body) != joined(1, 2, 3, 4) || got.header.Get("X-Seal") != "seal-id" {
@@ -303,7 +303,7 @@
 			})
 			sc := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 				if number > 0 {
-					return lastWord(outcome)
+					return finalReply(outcome)
 				}
 				decision.Kind, decision.Server = scheduler.Generate, s.server
 				return decision
@@ -370,7 +370,7 @@
 			run.Server = second.server
 			return run
 		}
-		return lastWord(outcome)
+		return finalReply(outcome)
 	}}
 	got := newRouter(t, s).send(t, "id", "body")
 	if got.failure != nil || string(got.body) != joined(1, 2) {
@@ -397,7 +397,7 @@
 			ends = time.Now().Add(300 * time.Millisecond)
 			return scheduler.Decision{Kind: scheduler.Generate, Server: s.server, Deadline: ends, StreamTimeout: 30 * time.Millisecond, Priority: -1}
 		}
-		return lastWord(outcome)
+		return finalReply(outcome)
 	}}
 	r := newRouter(t, sc)
 	client, err := net.Dial("tcp", r.Listener.Addr().String())
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -26,19 +26,19 @@
 )
 
 // ledger is what servers did, by the id of each call.
-type ledger struct {
+type callLog struct {
 	mutex sync.Mutex
 	ran   map[string]int
 	wrong []string
 }
 
-func (l *ledger) run(id string) {
+func (l *callLog) run(id string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.ran[id]++
 }
 
-func (l *ledger) runs(id string) int {
+func (l *callLog) runs(id string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.ran[id]
@@ -47,7 +47,7 @@
 const chunks = 6
 
 // unruly is a model server that misbehaves by a seed.
-func unruly(t *testing.T, name, part string, l *ledger, seed uint64) *standin {
+func unruly(t *testing.T, name, part string, l *callLog, seed uint64) *standin {
 	chance := rand.New(rand.NewPCG(seed, 1))
 	var mutex sync.Mutex
 	draw := func(most int) int {
@@ -154,7 +154,7 @@
 }
 
 func sendFleet(t *testing.T, seed uint64, count int) {
-	l := &ledger{ran: map[string]int{}}
+	l := &callLog{ran: map[string]int{}}
 	var servers []membership.Server
 	for number := range 4 {
 		part := map[bool]string{true: "prefill", false: "decode"}[number < 2]
@@ -210,7 +210,7 @@
 
 // sendCall sends one call and holds what its origin got against what ran; it tells
 // whether the answer was complete.
-func sendCall(t *testing.T, address, route, id string, l *ledger) bool {
+func sendCall(t *testing.T, address, route, id string, l *callLog) bool {
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+address+"/"+route+"/x", strings.NewReader("body of "+id))
 	outbound.Host = "calls.example"
 	for name, value := range map[string]string{"Seamloom-Call": id, "Seamloom-Limit-Milliseconds": "2000", "Seamloom-Model": "m", "Seamloom-Tokens": "9000,6",
--- a/internal/adapters/proxy/pool.go
+++ b/internal/adapters/proxy/pool.go
@@ -217,9 +217,9 @@
 	return c.opened
 }
 
-func (conn *pooledConn) close() {
-	_, _ = conn.conn.end()
-	_ = conn.http.Close()
+func (p *pooledConn) close() {
+	_, _ = p.conn.end()
+	_ = p.http.Close()
 }
 
 // readKeepAlive reads how long a server keeps the connection.
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -235,11 +235,11 @@
 		if number == 0 {
 			return scheduler.Decision{Kind: scheduler.Generate, Server: server(), Deadline: time.Now().Add(5 * time.Second), Priority: -1}
 		}
-		return lastWord(outcome)
+		return finalReply(outcome)
 	}
 }
 
-func lastWord(outcome scheduler.Outcome) scheduler.Decision {
+func finalReply(outcome scheduler.Outcome) scheduler.Decision {
 	switch outcome.Result {
 	case scheduler.Complete, scheduler.ClientGone:
 		return scheduler.Decision{Kind: scheduler.Done}
--- a/internal/adapters/router/calls_test.go
+++ b/internal/adapters/router/calls_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-const heldRoute = `{"services":{"desk":{"engine":{"slots":64,"memory_tokens":295740}}},
+const pendingRoute = `{"services":{"desk":{"engine":{"slots":64,"memory_tokens":295740}}},
 "routes":{"held":{"match":{"host":"ask.example","path_prefix":"/"},"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":30000,"tries":1}}}}`
 
 // TestDrainCountsAndAwaitsCallsUnderWay drains a router while a model server holds a
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configuration, err := config.Check([]byte(heldRoute))
+	configuration, err := config.Check([]byte(pendingRoute))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -36,7 +36,7 @@
 	clock     *osruntime.Clock
 	router    *dataplane.Router
 	supported features.List
-	usage     *usage.Ledger
+	usage     *usage.Meter
 	proxy     callProxy
 
 	mutex    sync.Mutex
@@ -64,14 +64,14 @@
 // Start listens and begins to work.
 func Start(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock, reached Ports) (*Process, error) {
 	supported := chosen.Supported()
-	process := &Process{logger: logger, clock: clock, settings: chosen, supported: supported, usage: usage.NewLedger()}
+	process := &Process{logger: logger, clock: clock, settings: chosen, supported: supported, usage: usage.NewMeter()}
 	process.ctx = process.tomb.Context(context.Background())
 	rt := osruntime.New(process.ctx, clock)
 	if reached.Directory == nil {
 		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
 	}
 	servers := modelserver.New(process.ctx, rt, rpc.Transport(chosen.Detours))
-	options := dataplane.Options{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MaxRequests: chosen.MostRequests,
+	options := dataplane.Options{Options: seamloom.Options{Router: chosen.Name, Zone: chosen.Zone, MaxRequests: chosen.MaxRequests,
 		Supported: supported, LeastLoaded: chosen.Market == "least_loaded", Retries: reached.Retries}, Address: chosen.Address, Seeds: chosen.Seeds, Nonce: uuid.NewString, OnEnded: process.recordUsage,
 		Directory: ports.FixedDirectory{Directory: reached.Directory, Context: process.ctx, Address: process.platform}, CallService: process.prepareCalls(rt),
 		ServeWithoutLease: chosen.ServeWithoutLease, ApplyWithin: chosen.ApplyWithin}
@@ -116,7 +116,7 @@
 
 // recordUsage counts a request's use.
 func (p *Process) recordUsage(request *auction.Request, decision auction.Decision) {
-	p.usage.Note(p.clock.Wall(), usage.Row{Router: p.settings.Name, Service: request.Service, Client: request.Client,
+	p.usage.Record(p.clock.Wall(), usage.Row{Router: p.settings.Name, Service: request.Service, Client: request.Client,
 		Final: string(decision.Final), PromptTokens: int64(request.PromptTokens), Chunks: int64(decision.Chunks)})
 }
 
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -44,20 +44,20 @@
 	LogLevel string
 	// Market (market) is how a router chooses servers: pair or least_loaded; default pair.
 	Market string
-	// MostRequests (most_inquiries) bounds a router's requests in flight; default 512.
-	MostRequests int
-	// FlagSettle (flag_settle_milliseconds) is how long the members must
+	// MaxRequests (most_inquiries) bounds a router's requests in flight; default 512.
+	MaxRequests int
+	// FlagSettleMilliseconds (flag_settle_milliseconds) is how long the members must
 	// not change before a feature flag is enabled; default 5000.
-	FlagSettle int
-	// MostMemory (most_memory_megabytes) is how much memory the process may take;
+	FlagSettleMilliseconds int
+	// MaxMemoryMegabytes (most_memory_megabytes) is how much memory the process may take;
 	// zero, the default: not stated.
-	MostMemory int
-	// BorneLosses (borne_losses) is how many machines with a disk may be lost at
+	MaxMemoryMegabytes int
+	// ToleratedLosses (borne_losses) is how many machines with a disk may be lost at
 	// once: 1, 2 or 3; default 1.
-	BorneLosses int
-	// Withhold (withhold_flags) are feature flags that this process claims not to
+	ToleratedLosses int
+	// WithheldFlags (withhold_flags) are feature flags that this process claims not to
 	// support; for tests.
-	Withhold []string
+	WithheldFlags []string
 	// Detours (detours) replace addresses when dialling: tests put faults between nodes.
 	Detours map[string]string
 	// Bootstrap (bootstrap) allows a blank controller to form a first core with the other
@@ -109,16 +109,16 @@
 // Defaults are the settings before file and flags.
 func Defaults(kind membership.NodeKind) Settings {
 	return Settings{
-		Kind:         kind,
-		LogLevel:     "info",
-		Market:       "pair",
-		MostRequests: 512,
-		FlagSettle:   5000,
-		BorneLosses:  1,
-		Bootstrap:    true,
-		CatchUp:      replication.DefaultCatchUp,
-		ApplyWithin:  defaultApplyWithin,
-		Grace:        DefaultGrace,
+		Kind:                   kind,
+		LogLevel:               "info",
+		Market:                 "pair",
+		MaxRequests:            512,
+		FlagSettleMilliseconds: 5000,
+		ToleratedLosses:        1,
+		Bootstrap:              true,
+		CatchUp:                replication.DefaultCatchUp,
+		ApplyWithin:            defaultApplyWithin,
+		Grace:                  DefaultGrace,
 	}
 }
 
@@ -173,11 +173,11 @@
 		"data_folder":              &s.DataFolder,
 		"log_level":                &s.LogLevel,
 		"market":                   &s.Market,
-		"most_inquiries":           &s.MostRequests,
-		"flag_settle_milliseconds": &s.FlagSettle,
-		"most_memory_megabytes":    &s.MostMemory,
-		"borne_losses":             &s.BorneLosses,
-		"withhold_flags":           &s.Withhold,
+		"most_inquiries":           &s.MaxRequests,
+		"flag_settle_milliseconds": &s.FlagSettleMilliseconds,
+		"most_memory_megabytes":    &s.MaxMemoryMegabytes,
+		"borne_losses":             &s.ToleratedLosses,
+		"withhold_flags":           &s.WithheldFlags,
 		"detours":                  &s.Detours,
 		"bootstrap":                &s.Bootstrap,
 		"acknowledge_wait":         &s.AcknowledgeWait,
@@ -342,7 +342,7 @@
 		if s.Market != "pair" && s.Market != "least_loaded" {
 			wrong(failure.OutOfRange, "market", "is pair or least_loaded, not \""+s.Market+"\"")
 		}
-		if s.MostRequests < 1 {
+		if s.MaxRequests < 1 {
 			wrong(failure.OutOfRange, "most_inquiries", "must be at least 1")
 		}
 	}
@@ -350,13 +350,13 @@
 
 // checkBounds checks the settings that have a least or a greatest value.
 func (s *Settings) checkBounds(wrong report) {
-	if s.FlagSettle < 0 {
+	if s.FlagSettleMilliseconds < 0 {
 		wrong(failure.OutOfRange, "flag_settle_milliseconds", "must not be negative")
 	}
-	if s.MostMemory < 0 {
+	if s.MaxMemoryMegabytes < 0 {
 		wrong(failure.OutOfRange, "most_memory_megabytes", "must not be negative")
 	}
-	if s.BorneLosses < 1 || s.BorneLosses > 3 {
+	if s.ToleratedLosses < 1 || s.ToleratedLosses > 3 {
 		wrong(failure.OutOfRange, "borne_losses", "is 1, 2 or 3")
 	}
 	if s.ApplyWithin < minApplyWithin {
@@ -365,7 +365,7 @@
 	if s.CatchUp < minCatchUp {
 		wrong(failure.OutOfRange, "catch_up", "must be at least "+minCatchUp.String())
 	}
-	for position, flag := range s.Withhold {
+	for position, flag := range s.WithheldFlags {
 		if !features.Supported(nil).Has(features.Flag(flag)) {
 			wrong(failure.OutOfRange, "withhold_flags/"+strconv.Itoa(position), "this build has no flag "+flag)
 		}
@@ -413,7 +413,7 @@
 // Supported is the build's list less what the settings withhold.
 func (s *Settings) Supported() features.List {
 	var withheld features.List
-	for _, flag := range s.Withhold {
+	for _, flag := range s.WithheldFlags {
 		withheld = append(withheld, features.Flag(flag))
 	}
 	return features.Supported(withheld)
--- a/internal/adapters/usage/export_test.go
+++ b/internal/adapters/usage/export_test.go
@@ -12,12 +12,12 @@
 
 // TestBothFormatsGiveTheSameRowsBack counts requests and reads both files.
 func TestBothFormatsGiveTheSameRowsBack(t *testing.T) {
-	meter := NewLedger()
+	meter := NewMeter()
 	noon := time.Date(2026, 1, 2, 12, 0, 10, 0, time.UTC)
 	for range 3 {
-		meter.Note(noon, Row{Router: "courier-1", Service: "chat", Client: "a,b", Final: "complete", PromptTokens: 80, Chunks: 5})
+		meter.Record(noon, Row{Router: "courier-1", Service: "chat", Client: "a,b", Final: "complete", PromptTokens: 80, Chunks: 5})
 	}
-	meter.Note(noon.Add(time.Minute), Row{Router: "courier-1", Service: "chat", Client: "a,b", Final: "refused", PromptTokens: 80})
+	meter.Record(noon.Add(time.Minute), Row{Router: "courier-1", Service: "chat", Client: "a,b", Final: "refused", PromptTokens: 80})
 	rows := meter.Rows()
 	if len(rows) != 2 || rows[0].Requests != 3 || rows[0].PromptTokens != 240 || rows[0].Chunks != 15 || rows[0].Minute != "2026-01-02T12:00:00Z" {
 		t.Fatalf("%+v", rows)
--- a/internal/adapters/usage/meter.go
+++ b/internal/adapters/usage/meter.go
@@ -25,22 +25,22 @@
 	Chunks       int64 `json:"pieces" parquet:"pieces"`
 }
 
-// MostRows bounds a router's meter; past it the rows of the oldest minute are dropped.
-const MostRows = 50_000
+// MaxRows bounds a router's meter; past it the rows of the oldest minute are dropped.
+const MaxRows = 50_000
 
-// Ledger is one router's usage, in memory only: it is lost when the process ends. It is safe
+// Meter is one router's usage, in memory only: it is lost when the process ends. It is safe
 // for concurrent use.
-type Ledger struct {
+type Meter struct {
 	mutex sync.Mutex
 	rows  map[Row]*Row
 }
 
-// NewLedger makes an empty meter.
-func NewLedger() *Ledger { return &Ledger{rows: map[Row]*Row{}} }
+// NewMeter makes an empty meter.
+func NewMeter() *Meter { return &Meter{rows: map[Row]*Row{}} }
 
-// Note adds one request that has ended at now. It reads all fields of ended but Minute
+// Record adds one request that has ended at now. It reads all fields of ended but Minute
 // and Requests.
-func (m *Ledger) Note(now time.Time, ended Row) {
+func (m *Meter) Record(now time.Time, ended Row) {
 	ended.Minute = now.UTC().Truncate(time.Minute).Format(time.RFC3339)
 	key := Row{
 		Minute:  ended.Minute,
@@ -53,7 +53,7 @@
 	defer m.mutex.Unlock()
 	row, found := m.rows[key]
 	if !found {
-		if len(m.rows) >= MostRows {
+		if len(m.rows) >= MaxRows {
 			m.dropOldest()
 		}
 		first := key
@@ -66,7 +66,7 @@
 }
 
 // dropOldest drops all rows of the oldest minute. The caller holds the lock.
-func (m *Ledger) dropOldest() {
+func (m *Meter) dropOldest() {
 	oldest := ""
 	for key := range m.rows {
 		if oldest == "" || key.Minute < oldest {
@@ -81,7 +81,7 @@
 }
 
 // Rows returns the usage so far, sorted.
-func (m *Ledger) Rows() []Row {
+func (m *Meter) Rows() []Row {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	rows := make([]Row, 0, len(m.rows))
--- a/internal/controlplane/edit_test.go
+++ b/internal/controlplane/edit_test.go
@@ -122,7 +122,7 @@
 	formed.mustBe(t, next, `"word":"again"`)
 }
 
-func TestEvacuationThatHoldsIsNotMadeAgain(t *testing.T) {
+func TestEvacuationInForceIsNotMadeAgain(t *testing.T) {
 	formed, primary := newCore(t, plain)
 	if _, err := primary.Edit(revision(0, 1, "a")); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/lists_test.go
+++ b/internal/controlplane/lists_test.go
@@ -13,8 +13,8 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// TestListsTellWhatTheAskerLacks follows a list and a report through their marks.
-func TestListsTellWhatTheAskerLacks(t *testing.T) {
+// TestListsSendWhatTheAskerLacks follows a list and a report through their marks.
+func TestListsSendWhatTheAskerLacks(t *testing.T) {
 	var known serverList
 	asker := wire.UpdateRequest{WantServers: true, WantLoads: true}
 	if known.hasNewer(asker) {
--- a/internal/dataplane/calls_test.go
+++ b/internal/dataplane/calls_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestTheLastWordPromisesNothingOfWhatMayHaveRun whatever was decided.
-func TestTheLastWordPromisesNothingOfWhatMayHaveRun(t *testing.T) {
+// TestTheFinalReplyPromisesNothingOfWhatMayHaveRun whatever was decided.
+func TestTheFinalReplyPromisesNothingOfWhatMayHaveRun(t *testing.T) {
 	exchange := &scriptedExchange{kept: true}
 	conclude(exchange, scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.Saturated, RetryAfter: time.Second}, true, false)
 	if exchange.refused.Status != 502 || exchange.refused.RetryAfter != 0 {
--- a/internal/dataplane/countowners_test.go
+++ b/internal/dataplane/countowners_test.go
@@ -66,9 +66,9 @@
 	return []backlog.Request{{Group: group, WantsCounts: true, Intent: &backlog.Change{Server: server, Tokens: tokens}}}
 }
 
-// TestNodesAgreeOnTheKeeper has every node see what the others intend, in a group of its
+// TestNodesAgreeOnTheCountOwner has every node see what the others intend, in a group of its
 // own zone and in one of the other.
-func TestNodesAgreeOnTheKeeper(t *testing.T) {
+func TestNodesAgreeOnTheCountOwner(t *testing.T) {
 	_, all := ownerFleet(t)
 	for _, group := range []string{"desk/north/0", "desk/south/1", "desk/elsewhere/0"} {
 		want := 0
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestKeeperInTheZone has the keeper of a group be a node of the group's zone.
-func TestKeeperInTheZone(t *testing.T) {
+// TestCountOwnerInTheZone has the keeper of a group be a node of the group's zone.
+func TestCountOwnerInTheZone(t *testing.T) {
 	_, all := ownerFleet(t)
 	for _, group := range []string{"desk/north/0", "desk/north/1", "desk/north/2"} {
 		if owner, found := all["b"].owner(group); !found || owner.Zone != "north" || owner.Kind != membership.Router {
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestSilentKeeperIsPassedOver has a keeper die: the call that meets it has no answer, the
+// TestSilentCountOwnerIsSkipped has a keeper die: the call that meets it has no answer, the
 // next ones have the next keeper's, and the dead one is not asked again for a while.
-func TestSilentKeeperIsPassedOver(t *testing.T) {
+func TestSilentCountOwnerIsSkipped(t *testing.T) {
 	client, all := ownerFleet(t)
 	const group = "desk/north/0"
 	first, _ := all["b"].owner(group)
--- a/internal/dataplane/router_test.go
+++ b/internal/dataplane/router_test.go
@@ -89,8 +89,8 @@
 func (n *noted) SetServing(until time.Time)                          { n.until = until }
 func (n *noted) SetServers(_ time.Time, servers []membership.Server) { n.servers = servers }
 
-// TestBoardIsToldUntilWhenItMayServe brings news with and without a hold, and settings.
-func TestBoardIsToldUntilWhenItMayServe(t *testing.T) {
+// TestCallServiceKnowsUntilWhenItMayServe brings news with and without a hold, and settings.
+func TestCallServiceKnowsUntilWhenItMayServe(t *testing.T) {
 	board := &noted{until: runtimetest.AtNoon(time.Hour)}
 	rt := &runtimetest.Moving{Runtime: osruntime.New(context.Background(), osruntime.NewClock()), Time: runtimetest.AtNoon(0)}
 	options := Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)}, Nonce: func() string { return "one" },
--- a/internal/membership/servers_test.go
+++ b/internal/membership/servers_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestVanishedServerComesBackOnlyWithLaterWord wants a server that has vanished to
+// TestVanishedServerComesBackOnlyWithALaterRead wants a server that has vanished to
 // stay away while reads that lag may still name it, and no longer.
-func TestVanishedServerComesBackOnlyWithLaterWord(t *testing.T) {
+func TestVanishedServerComesBackOnlyWithALaterRead(t *testing.T) {
 	var list ServerList
 	list.Update(after(0), []Server{{Name: "a"}, {Name: "b"}})
 	if !list.Update(after(time.Second), []Server{{Name: "b"}}) {
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestNotesOfAnOlderReleaseAreKept gives the state notes without a time.
-func TestNotesOfAnOlderReleaseAreKept(t *testing.T) {
+// TestChangeRecordsOfAnOlderReleaseStay gives the state notes without a time.
+func TestChangeRecordsOfAnOlderReleaseStay(t *testing.T) {
 	state := NewState()
 	state.Changes = []ChangeRecord{{ID: "old", Digest: "d", Version: Version{Epoch: 1, Number: 1}}}
 	start := time.Unix(2_000_000_000, 0)
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -729,9 +729,9 @@
 	w.fail("the restricted expediter still leads or backs up: %+v", first.coordinator.Membership())
 }
 
-// TestSweepMendsFilesThatBecameDamaged damages files of a copy and of a witness
+// TestSweepRepairsFilesThatBecameDamaged damages files of a copy and of a witness
 // that are in use, and wants both whole after a sweep.
-func TestSweepMendsFilesThatBecameDamaged(t *testing.T) {
+func TestSweepRepairsFilesThatBecameDamaged(t *testing.T) {
 	storage := newMemoryStorage()
 	copied, err := OpenLocalReplica(storage)
 	if err != nil {
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestClaimsAreKeptThroughClockJumps moves the wall clock forward and back and
+// TestClaimsOutliveClockJumps moves the wall clock forward and back and
 // wants no claim forgotten early and no new one refused.
-func TestClaimsAreKeptThroughClockJumps(t *testing.T) {
+func TestClaimsOutliveClockJumps(t *testing.T) {
 	store := newLeader(t)
 	if err := do(t, store, claim("early", "n")); failure.CodeOf(err) != failure.NoPrimary {
 		t.Errorf("a claim before there is a horizon: %v", err)
--- a/internal/replication/timing_test.go
+++ b/internal/replication/timing_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestPrimaryHoldsNoLongerThanItsWitnesses gives the primary a longer lease than its
+// TestPrimarysLeaseIsNoLongerThanItsWitnesses gives the primary a longer lease than its
 // witnesses, as settings that differ would.
-func TestPrimaryHoldsNoLongerThanItsWitnesses(t *testing.T) {
+func TestPrimarysLeaseIsNoLongerThanItsWitnesses(t *testing.T) {
 	w := newCalmCluster(t, coreShapes[0], 6, DefaultCatchUp)
 	leader := w.leader()
 	short := TimingFor(2 * time.Second)
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestGivingUpHasATryBehindIt wants a timeout only where the retry budget has kept
+// TestGivingUpFollowsAnAttempt wants a timeout only where the retry budget has kept
 // another attempt, and the reserved retry released when it was not needed.
-func TestGivingUpHasATryBehindIt(t *testing.T) {
+func TestGivingUpFollowsAnAttempt(t *testing.T) {
 	calls := opened(9)
 	calls.SetRouterCount(1)
 	program := Compile(plan(func(configuration *config.Configuration) { configuration.Routes[0].Calls.MaxAttempts = 4 }), 1, 2)
