--- a/cmd/controller/status.go
+++ b/cmd/controller/status.go
@@ -73,13 +73,13 @@
 	if backup == "" {
 		backup = "NONE: nothing is written until there is one"
 	}
-	var keepers []string
+	var witnesses []string
 	for _, seat := range s.Witnesses {
-		keepers = append(keepers, seat.Name)
+		witnesses = append(witnesses, seat.Name)
 	}
 	line("primary        %s (%s), for %s, epoch %d", s.Primary.Name, s.Primary.Address, (time.Duration(s.Since) * time.Millisecond).Round(time.Second), s.Epoch)
 	line("backup         %s", backup)
-	line("keepers        %s", strings.Join(keepers, ", "))
+	line("keepers        %s", strings.Join(witnesses, ", "))
 	if len(s.Incoming) > 0 {
 		line("               a keeper is being exchanged")
 	}
--- a/internal/adapters/proxy/standin_test.go
+++ b/internal/adapters/proxy/standin_test.go
@@ -65,10 +65,10 @@
 			}
 			s.mutex.Lock()
 			s.connections++
-			circuit := &callerConnection{Conn: connection, reader: bufio.NewReader(connection), number: s.connections}
+			conn := &callerConnection{Conn: connection, reader: bufio.NewReader(connection), number: s.connections}
 			s.open = append(s.open, connection)
 			s.mutex.Unlock()
-			workers.Go(func() { s.serve(circuit) })
+			workers.Go(func() { s.serve(conn) })
 		}
 	})
 	t.Cleanup(func() {
--- a/internal/dataplane/calls.go
+++ b/internal/dataplane/calls.go
@@ -117,7 +117,7 @@
 		exchange.Refuse(Refusal{Cause: scheduler.NotReady, Status: statusOf(scheduler.NotReady), RetryAfter: noLeaseRetryAfter})
 		return
 	}
-	ticket, decision := c.window.Arrive(c.runtime.Now(), call)
+	state, decision := c.window.Arrive(c.runtime.Now(), call)
 	// mayHaveRun tells that a server may have begun the call, before that one before the last
 	// server may have.
 	mayHaveRun, before := false, false
@@ -131,7 +131,7 @@
 		}
 		switch decision.Kind {
 		case scheduler.QueryBacklog:
-			decision = c.askOwners(ticket, decision)
+			decision = c.askOwners(state, decision)
 			continue
 		case scheduler.Prefill:
 			outcome = exchange.Read(decision)
@@ -139,7 +139,7 @@
 				exchange.Free(scheduler.Source{Address: decision.Server.Address, Handle: outcome.Handle})
 			}
 		case scheduler.Generate:
-			outcome = exchange.Run(ticket.Route().Calls, decision, func() { c.window.Began(c.runtime.Now(), ticket) })
+			outcome = exchange.Run(state.Route().Calls, decision, func() { c.window.Began(c.runtime.Now(), state) })
 			before, mayHaveRun = mayHaveRun, mayHaveRun || outcome.Result.MayHaveRun()
 		default:
 			if decision.Reason != "" {
@@ -148,7 +148,7 @@
 			conclude(exchange, decision, mayHaveRun, before && !outcome.Result.MayHaveRun())
 			return
 		}
-		decision = c.window.Ended(c.runtime.Now(), ticket, outcome)
+		decision = c.window.Ended(c.runtime.Now(), state, outcome)
 	}
 }
 
@@ -189,7 +189,7 @@
 }
 
 // askOwners asks the owners of counts and has the scheduler go on with their responses.
-func (c *Calls) askOwners(ticket *scheduler.CallState, decision scheduler.Decision) scheduler.Decision {
+func (c *Calls) askOwners(state *scheduler.CallState, decision scheduler.Decision) scheduler.Decision {
 	answers := c.countOwners.Ask(decision.BacklogRequests)
-	return c.window.BacklogReported(c.runtime.Now(), ticket, answers)
+	return c.window.BacklogReported(c.runtime.Now(), state, answers)
 }
--- a/internal/dataplane/router_test.go
+++ b/internal/dataplane/router_test.go
@@ -49,9 +49,9 @@
 // others nobody knows here what became.
 func TestPassingOnIsTakenOnce(t *testing.T) {
 	router := newTestRouter(t, "this life")
-	serve := func(passage wire.Forwarding) ReplyLine {
+	serve := func(forwarding wire.Forwarding) ReplyLine {
 		reply := &lines{}
-		router.Serve(Arrival{Request: &auction.Request{ID: "one", Service: "chat"}, Forwarding: &passage}, reply)
+		router.Serve(Arrival{Request: &auction.Request{ID: "one", Service: "chat"}, Forwarding: &forwarding}, reply)
 		return reply.said[0]
 	}
 	if first := serve(wire.Forwarding{Nonce: "first", Incarnation: "this life"}); first.Type != failure.NoLease || first.Final != auction.Refused {
