--- a/internal/adapters/usage/meter.go
+++ b/internal/adapters/usage/meter.go
@@ -1,5 +1,5 @@
 // Package usage counts what was used, and writes it as CSV or Parquet. A router
-// records each request that has ended in its Ledger; whoever wants the fleet's usage gathers
+// records each request that has ended in its Meter; whoever wants the fleet's usage gathers
 // the rows of all routers and sorts them.
 package usage
 
