--- a/cmd/controller/operator.go
+++ b/cmd/controller/operator.go
@@ -31,6 +31,7 @@
 	message string
 }
 
+// Error is the text for the operator; the exit code tells scripts what it is.
 func (e *exitError) Error() string { return e.message }
 
 // operator speaks to one of the controllers.
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -39,7 +39,7 @@
 	{Name: "the limit and hold are looked at when the first byte leaves", Never: refused, Package: "./internal/adapters/modelserver", Test: "TestOrderThatWaitedTooLongDoesNotLeave",
 		Edits: []Edit{{"internal/adapters/modelserver/guardedbody.go", "		if !g.may() {", "		if false {"}}},
 	{Name: "nothing is dispatched past its limit", Never: refused, Package: "./internal/auction", Test: "TestNothingIsDispatchedPastItsLimitOrWithoutALease",
-		Edits: []Edit{{"internal/auction/dispatch.go", "	if !now.Before(request.Deadline) {\n		return d.abort(now, s, entry, failure.DeadlinePassed)\n	}\n	leaseEnds := d.ServesUntil()\n	if !now.Before(leaseEnds) {\n		return d.awaitLease(now, s, entry, readyToPrefill)", "	leaseEnds := d.ServesUntil()\n	if !now.Before(leaseEnds) {\n		return d.awaitLease(now, s, entry, readyToPrefill)"}}},
+		Edits: []Edit{{"internal/auction/dispatch.go", "	if !now.Before(request.Deadline) {\n		return d.abort(now, s, entry, failure.DeadlinePassed)\n	}\n	leaseEnds := d.ServesUntil()\n	if !now.Before(leaseEnds) {\n		return d.awaitLease(now, s, entry, readyToPrefill)", "	_ = request\n	leaseEnds := d.ServesUntil()\n	if !now.Before(leaseEnds) {\n		return d.awaitLease(now, s, entry, readyToPrefill)"}}},
 	{Name: "a stream ends when a piece is not the next", Never: spliced, Package: "./internal/auction", Test: "TestStreamIsNeverSplicedAndNeverRunAgainAfterItsFirstChunk",
 		Edits: []Edit{{"internal/auction/dispatcher.go", "	if chunk != entry.chunks+1 {", "	if false {"}}},
 	{Name: "no second run after the first piece", Never: spliced, Worlds: true, Finds: "replies are whole",
