--- a/ci_test.go
+++ b/ci_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// knownRed runs the script by which CI reads KNOWN-RED.txt.
+// knownRed runs the CI script that reads KNOWN-RED.txt on a file with the given content. It returns the names of
+// the tests of one kind that the script prints, separated by spaces.
 func knownRed(t *testing.T, kind, content string) (string, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
@@ -19,38 +20,39 @@
 	return strings.Join(strings.Fields(string(printed)), " "), err
 }
 
-// TestKnownRedEntriesAreReadByKind has exact and occasional failures told apart, remarks and blank
-// lines passed over, and the last line read without its line feed.
+// TestKnownRedEntriesAreReadByKind checks that the script distinguishes tests that always fail (kind exact) from
+// tests that fail sometimes, skips comments and blank lines, and reads a last line without a line feed.
 func TestKnownRedEntriesAreReadByKind(t *testing.T) {
-	const content = "# a remark\n\nTestAlways go test ./x; fails; issue 35\nTestRarely sometimes seed 7; issue 35\nTestSometimesInText fails sometimes; issue 35\nTestLast"
+	const content = "# a remark\n\nTestAlways go test ./x; fails; issue 35\n" +
+		"TestRarely sometimes seed 7; issue 35\nTestSometimesInText fails sometimes; issue 35\nTestLast"
 	for kind, want := range map[string]string{
 		"exact":     "TestAlways TestSometimesInText TestLast",
 		"sometimes": "TestRarely",
 		"all":       "TestAlways TestRarely TestSometimesInText TestLast",
 	} {
 		if got, err := knownRed(t, kind, content); err != nil || got != want {
-			t.Errorf("%s: %q, %v; want %q", kind, got, err, want)
+			t.Errorf("entries of kind %s: got %q (error %v), want %q", kind, got, err, want)
 		}
 	}
 }
 
-// TestKnownRedRejectsWhatIsNoTest has a line refused that names no test: a typing error must not
-// become a pattern that leaves other tests out.
-func TestKnownRedRejectsWhatIsNoTest(t *testing.T) {
+// TestKnownRedRejectsLinesWithoutATest checks that the script fails on a line that names no test: a
+// typing error must not become a pattern that excludes other tests.
+func TestKnownRedRejectsLinesWithoutATest(t *testing.T) {
 	for _, line := range []string{".* everything", "go test ./...", "TestA|TestB both"} {
 		if got, err := knownRed(t, "all", line+"\n"); err == nil {
-			t.Errorf("%q was read as %q", line, got)
+			t.Errorf("line %q: got the entry %q, want an error", line, got)
 		}
 	}
 	if _, err := knownRed(t, "some", "TestA\n"); err == nil {
-		t.Error("an unknown kind was taken")
+		t.Error("unknown kind: got no error, want one")
 	}
 }
 
-// TestKnownRedFileMayBeMissing has CI run without the file.
+// TestKnownRedFileMayBeMissing checks that the script succeeds and prints nothing without the file.
 func TestKnownRedFileMayBeMissing(t *testing.T) {
 	printed, err := exec.Command("bash", ".ci/known-red", "all", filepath.Join(t.TempDir(), "none")).Output()
 	if err != nil || len(printed) != 0 {
-		t.Errorf("%q, %v", printed, err)
+		t.Errorf("missing file: got output %q and error %v, want neither", printed, err)
 	}
 }
--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -1,5 +1,5 @@
-// Command configcheck checks a proposed configuration against the fleet as it is.
-// It changes nothing.
+// Command configcheck validates a proposed configuration against the current state of the
+// fleet. It changes nothing.
 package main
 
 import (
@@ -26,25 +26,27 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// The exit codes, for scripts.
+// The exit codes. Scripts use them to distinguish the results.
 const (
-	fine        = 0
-	failures    = 1
-	wrongUse    = 2
-	malformed   = 3
-	unreachable = 4
-	raced       = 5
-	warnings    = 10
+	exitFine        = 0
+	exitErrors      = 1
+	exitUsage       = 2
+	exitMalformed   = 3
+	exitUnreachable = 4
+	// exitRaced means that the configuration in force changed during the check, or is not the expected one.
+	exitRaced    = 5
+	exitWarnings = 10
 )
 
-// report is what configcheck prints.
+// report is the result that configcheck prints.
 type report struct {
-	Result  string              `json:"result"`
-	Version string              `json:"checked_against,omitempty"`
-	Remarks []config.Diagnostic `json:"remarks"`
-	Detail  string              `json:"detail,omitempty"`
+	Result      string              `json:"result"`
+	Version     string              `json:"checked_against,omitempty"`
+	Diagnostics []config.Diagnostic `json:"remarks"`
+	Detail      string              `json:"detail,omitempty"`
 }
 
+// checker holds the options of the command line and the HTTP client to the controllers.
 type checker struct {
 	addresses []string
 	asPatch   bool
@@ -54,54 +56,57 @@
 }
 
 func main() {
-	t := &checker{client: &http.Client{Timeout: 5 * time.Second}}
+	c := &checker{client: &http.Client{Timeout: 5 * time.Second}}
 	var to string
-	code := fine
-	root := &cobra.Command{Use: "configcheck FILE", Short: "check a proposed configuration against the fleet as it is", Args: cobra.ExactArgs(1), SilenceUsage: true, SilenceErrors: true,
-		Long: "configcheck reads a whole configuration (or, with --patch, a partial one) from FILE or, with -, from standard input,\n" +
-			"and checks it against the fleet: its servers and zones, the room that evacuations leave, and its members' formats.\n" +
-			"Nothing is changed.\n\n" +
-			"Exit codes: 0 fine, 1 errors, 2 wrong use, 3 malformed input, 4 the fleet can't be reached,\n" +
-			"5 the configuration in force changed meanwhile, 10 warnings only.",
-		Example: "  configcheck proposed.json --to 127.0.0.1:7101,127.0.0.1:7102\n  configcheck --patch change.json --expected 4.17 --json --to 127.0.0.1:7101",
+	code := exitFine
+	root := &cobra.Command{Use: "configcheck FILE", Short: "validate a proposed configuration against the current state of the fleet",
+		Args: cobra.ExactArgs(1), SilenceUsage: true, SilenceErrors: true,
+		Long: "configcheck reads a complete configuration (or, with --patch, a merge patch) from FILE or, with -, from standard input.\n" +
+			"It validates the configuration against the fleet: its servers and zones, the capacity that remains after evacuations,\n" +
+			"and the feature flags of its members. It changes nothing.\n\n" +
+			"Exit codes: 0 fine, 1 errors, 2 invalid arguments, 3 malformed input, 4 the fleet can't be reached,\n" +
+			"5 the configuration in force changed during the check or is not the one of --expected, 10 warnings only.",
+		Example: "  configcheck proposed.json --to 127.0.0.1:7101,127.0.0.1:7102\n" +
+			"  configcheck --patch change.json --expected 4.17 --json --to 127.0.0.1:7101",
 		RunE: func(_ *cobra.Command, arguments []string) error {
-			t.addresses = strings.Split(to, ",")
+			c.addresses = strings.Split(to, ",")
 			var result report
-			code, result = t.check(arguments[0])
-			t.print(result)
+			code, result = c.check(arguments[0])
+			c.print(result)
 			return nil
 		}}
-	root.Flags().StringVar(&to, "to", "127.0.0.1:7101", "addresses of expediters, with commas between")
-	root.Flags().BoolVar(&t.asPatch, "patch", false, "FILE is a merge patch (RFC 7396) for the configuration in force")
-	root.Flags().BoolVar(&t.asJSON, "json", false, "print JSON")
-	root.Flags().StringVar(&t.expected, "expected", "", "the version that the proposal was written for")
+	root.Flags().StringVar(&to, "to", "127.0.0.1:7101", "comma-separated addresses of controllers")
+	root.Flags().BoolVar(&c.asPatch, "patch", false, "FILE is a merge patch (RFC 7396) for the configuration in force")
+	root.Flags().BoolVar(&c.asJSON, "json", false, "print JSON")
+	root.Flags().StringVar(&c.expected, "expected", "", "the version in force for which the proposal was written")
 	if err := root.Execute(); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "taster:", err)
-		os.Exit(wrongUse)
+		_, _ = fmt.Fprintln(os.Stderr, "configcheck:", err)
+		os.Exit(exitUsage)
 	}
 	os.Exit(code)
 }
 
-func (t *checker) print(result report) {
-	if t.asJSON {
-		if result.Remarks == nil {
-			result.Remarks = []config.Diagnostic{}
+// print writes the report as text or as JSON.
+func (c *checker) print(result report) {
+	if c.asJSON {
+		if result.Diagnostics == nil {
+			result.Diagnostics = []config.Diagnostic{}
 		}
 		encoded, _ := json.MarshalIndent(result, "", "  ")
 		fmt.Println(string(encoded))
 		return
 	}
-	for _, remark := range result.Remarks {
-		fmt.Printf("%-8s %s\n", remark.Level, remark.Error.Error())
+	for _, diagnostic := range result.Diagnostics {
+		fmt.Printf("%-8s %s\n", diagnostic.Level, diagnostic.Error.Error())
 	}
 	fmt.Println(strings.TrimSpace(result.Result + " " + result.Detail))
 }
 
-// status is the part of a controller's status that a tasting needs.
-type status struct {
-	Configuration string              `json:"configuration_version"`
-	Servers       []membership.Server `json:"servers"`
-	Members       map[string]struct {
+// fleetStatus is the part of a controller's status that the validation needs.
+type fleetStatus struct {
+	ConfigurationVersion string              `json:"configuration_version"`
+	Servers              []membership.Server `json:"servers"`
+	Members              map[string]struct {
 		Kind       membership.NodeKind `json:"kind"`
 		Running    bool                `json:"running"`
 		Restricted bool                `json:"restricted"`
@@ -112,12 +117,14 @@
 	} `json:"flags"`
 }
 
-type current struct {
+// versionedConfiguration is a configuration with its version.
+type versionedConfiguration struct {
 	Version       string          `json:"version"`
 	Configuration json.RawMessage `json:"configuration"`
 }
 
-func (t *checker) check(path string) (int, report) {
+// check validates the configuration or patch in a file and returns the exit code and the report.
+func (c *checker) check(path string) (int, report) {
 	var text []byte
 	var err error
 	if path == "-" {
@@ -129,98 +136,102 @@
 		err = errors.New(config.SyntaxDetail(text))
 	}
 	if err != nil {
-		return malformed, report{Result: "malformed", Detail: err.Error(), Remarks: []config.Diagnostic{{Level: config.LevelError, Error: *failure.At(failure.Malformed, "/", err.Error())}}}
+		return exitMalformed, report{Result: "malformed", Detail: err.Error(),
+			Diagnostics: []config.Diagnostic{{Level: config.LevelError, Error: *failure.At(failure.Malformed, "/", err.Error())}}}
 	}
-	var before current
-	var fleet status
-	if err := t.read("/v1/configuration", &before); err != nil {
-		return unreachable, report{Result: "unreachable", Detail: err.Error()}
+	var before versionedConfiguration
+	var fleet fleetStatus
+	if err := c.read("/v1/configuration", &before); err != nil {
+		return exitUnreachable, report{Result: "unreachable", Detail: err.Error()}
 	}
-	if err := t.read("/v1/status", &fleet); err != nil {
-		return unreachable, report{Result: "unreachable", Detail: err.Error()}
+	if err := c.read("/v1/status", &fleet); err != nil {
+		return exitUnreachable, report{Result: "unreachable", Detail: err.Error()}
 	}
-	if t.asPatch {
+	if c.asPatch {
 		if text, err = config.Merge(before.Configuration, text); err != nil {
-			return malformed, report{Result: "malformed", Detail: err.Error(), Version: before.Version}
+			return exitMalformed, report{Result: "malformed", Detail: err.Error(), Version: before.Version}
 		}
 	}
 	inForce, _ := config.Check(before.Configuration)
-	result := report{Result: "fine", Version: before.Version, Remarks: config.ValidateAgainst(text, inForce, t.facts(fleet))}
-	// What was checked against must still be in force when the answer is given.
-	var after current
-	if err := t.read("/v1/configuration", &after); err != nil {
-		return unreachable, report{Result: "unreachable", Detail: err.Error()}
+	result := report{Result: "fine", Version: before.Version, Diagnostics: config.ValidateAgainst(text, inForce, c.fleetState(fleet))}
+	// The report is valid only if the configuration that it was compared with is still in force.
+	var after versionedConfiguration
+	if err := c.read("/v1/configuration", &after); err != nil {
+		return exitUnreachable, report{Result: "unreachable", Detail: err.Error()}
 	}
-	if after.Version != before.Version || (t.expected != "" && t.expected != after.Version) {
+	if after.Version != before.Version || (c.expected != "" && c.expected != after.Version) {
 		result.Result, result.Detail = "raced", "the configuration in force is "+after.Version
-		return raced, result
+		return exitRaced, result
 	}
-	for _, remark := range result.Remarks {
-		if remark.Level == config.LevelError {
+	for _, diagnostic := range result.Diagnostics {
+		if diagnostic.Level == config.LevelError {
 			result.Result = "errors"
-			return failures, result
+			return exitErrors, result
 		}
 	}
-	if len(result.Remarks) > 0 {
+	if len(result.Diagnostics) > 0 {
 		result.Result = "warnings"
-		return warnings, result
+		return exitWarnings, result
 	}
-	return fine, result
+	return exitFine, result
 }
 
-func (t *checker) read(path string, target any) error {
-	var last error = failure.New(failure.Unreachable, "no address")
-	for _, address := range t.addresses {
-		inbound, err := t.client.Get("http://" + address + path)
+// read decodes the response of the first controller that returns status 200 with valid JSON into target.
+func (c *checker) read(path string, target any) error {
+	var lastErr error = failure.New(failure.Unreachable, "no controller address was given")
+	for _, address := range c.addresses {
+		response, err := c.client.Get("http://" + address + path)
 		if err != nil {
-			last = failure.Wrap(failure.Unreachable, err)
+			lastErr = failure.Wrap(failure.Unreachable, err)
 			continue
 		}
-		err = json.NewDecoder(inbound.Body).Decode(target)
-		_ = inbound.Body.Close()
-		if inbound.StatusCode == http.StatusOK && err == nil {
+		err = json.NewDecoder(response.Body).Decode(target)
+		_ = response.Body.Close()
+		if response.StatusCode == http.StatusOK && err == nil {
 			return nil
 		}
-		last = failure.New(failure.Unreachable, fmt.Sprintf("%s answers %d", address, inbound.StatusCode))
+		lastErr = failure.New(failure.Unreachable, fmt.Sprintf(
+			"%s responded with status %d, want status 200 and valid JSON", address, response.StatusCode))
 	}
-	return last
+	return lastErr
 }
 
-// facts asks every listed server for its pressure.
-func (t *checker) facts(fleet status) config.FleetState {
-	var facts config.FleetState
+// fleetState converts the fleet's status to the form that the validation needs, and reads the load of every listed
+// server.
+func (c *checker) fleetState(fleet fleetStatus) config.FleetState {
+	var fleetState config.FleetState
 	for name, member := range fleet.Members {
 		if member.Kind != membership.Router {
 			continue
 		}
-		facts.Routers++
+		fleetState.Routers++
 		if member.Restricted {
-			facts.Restricted = append(facts.Restricted, name)
+			fleetState.Restricted = append(fleetState.Restricted, name)
 		}
 		if !member.Running {
-			facts.Stopped = append(facts.Stopped, name)
+			fleetState.Stopped = append(fleetState.Stopped, name)
 		}
 	}
 	for _, flag := range fleet.Flags {
 		if !flag.Enabled {
-			facts.Blocked = append(facts.Blocked, string(flag.Name))
+			fleetState.Blocked = append(fleetState.Blocked, string(flag.Name))
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	modelServers := modelserver.New(ctx, osruntime.New(ctx, osruntime.NewClock()), rpc.Transport(nil))
-	facts.Servers = make([]config.ServerState, len(fleet.Servers))
-	var asking sync.WaitGroup
+	fleetState.Servers = make([]config.ServerState, len(fleet.Servers))
+	var polls sync.WaitGroup
 	for position, server := range fleet.Servers {
-		asking.Go(func() {
+		polls.Go(func() {
 			known := config.ServerState{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
 			if load, err := modelServers.Load(ctx, server.Address); err == nil {
 				known.Reported, known.Role, known.Active, known.Slots = true, string(load.Role), load.DecodeActive, load.DecodeSlots
 				known.Leaving = known.Leaving || load.Leaving
 			}
-			facts.Servers[position] = known
+			fleetState.Servers[position] = known
 		})
 	}
-	asking.Wait()
-	return facts
+	polls.Wait()
+	return fleetState
 }
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,4 @@
-// Command controller is seamloom's control plane, and the operators' tool.
+// Command controller runs seamloom's control plane and is the operators' command-line tool.
 package main
 
 import (
@@ -16,8 +16,8 @@
 
 func main() {
 	root := &cobra.Command{Use: "controller", Short: "seamloom's control plane and operators' tool", SilenceUsage: true, SilenceErrors: true,
-		Long: "controller serve runs one of the three control-plane daemons.\n" +
-			"The other subcommands speak to any controller (--to) and read or change the fleet."}
+		Long: "controller serve runs a control-plane daemon.\n" +
+			"The other subcommands send requests to any controller (--to) to read or change the state of the fleet."}
 	root.AddCommand(serveCommand())
 	root.AddCommand(operatorCommands()...)
 	if err := root.Execute(); err != nil {
@@ -26,35 +26,36 @@
 		if errors.As(err, &exit) {
 			code = exit.code
 		} else {
-			daemon.Explain(os.Stderr, err)
+			daemon.PrintErrors(os.Stderr, err)
 		}
 		os.Exit(code)
 	}
 }
 
+// serveCommand returns the subcommand that runs the daemon until a signal ends it.
 func serveCommand() *cobra.Command {
-	command := &cobra.Command{Use: "serve", Short: "run the daemon", Args: cobra.NoArgs,
-		Long: "serve runs one control-plane daemon. SIGTERM ends it; SIGHUP reads the settings again.",
+	command := &cobra.Command{Use: "serve", Short: "run the control-plane daemon", Args: cobra.NoArgs,
+		Long: "serve runs one control-plane daemon. SIGTERM ends it; SIGHUP or a change of the settings file makes it reload the settings.",
 		Example: "  controller serve --name controller-1 --address 127.0.0.1:7101 --district north --data-folder /var/lib/seamloom \\\n" +
 			"    --seeds 127.0.0.1:7101,127.0.0.1:7102,127.0.0.1:7103 --platform 127.0.0.1:7000"}
 	flags := daemon.AddFlags(command, membership.Controller)
 	command.RunE = func(*cobra.Command, []string) error {
 		signals := daemon.CatchSignals()
-		chosen, mistakes := flags.Read()
-		if mistakes != nil {
-			return mistakes
+		nodeSettings, settingsErr := flags.Read()
+		if settingsErr != nil {
+			return settingsErr
 		}
-		daemon.LimitMemory(chosen.MaxMemoryMegabytes)
-		daemon.CollectSeldom(chosen.MaxMemoryMegabytes)
-		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
-		process, err := controller.Start(chosen, logger, storage.OSDisk{}, osruntime.NewClock(), controller.Ports{})
+		daemon.LimitMemory(nodeSettings.MaxMemoryMegabytes)
+		daemon.ReduceGCFrequency(nodeSettings.MaxMemoryMegabytes)
+		logger := daemon.Logger(os.Stderr, nodeSettings.LogLevel, nodeSettings.Name)
+		process, err := controller.Start(nodeSettings, logger, storage.OSDisk{}, osruntime.NewClock(), controller.Ports{})
 		if err != nil {
 			return err
 		}
 		if !signals.Wait(process.Dead(), flags.File(), func() {
-			next, mistakes := flags.Read()
-			if mistakes != nil {
-				daemon.Explain(os.Stderr, mistakes)
+			next, settingsErr := flags.Read()
+			if settingsErr != nil {
+				daemon.PrintErrors(os.Stderr, settingsErr)
 				return
 			}
 			process.Reload(next)
--- a/cmd/controller/operator.go
+++ b/cmd/controller/operator.go
@@ -17,83 +17,93 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// The exit codes of the operators' subcommands, for scripts; 2 is wrong use.
+// The exit codes of the operators' subcommands. Scripts use them to distinguish the results. Code 2 means
+// invalid arguments.
 const (
 	exitRefused     = 1
 	exitUnknown     = 3 // the change may or may not have been accepted
-	exitUnreachable = 4 // no controller was reached, or none is primary
+	exitUnreachable = 4 // no controller responded, or none is primary
 )
 
-// exitError ends a subcommand with a code that scripts can tell apart:
-// exitRefused, exitUnknown or exitUnreachable.
+// exitError ends a subcommand with the exit code exitRefused, exitUnknown or exitUnreachable.
 type exitError struct {
 	code    int
 	message string
 }
 
-// Error is the text for the operator; the exit code tells scripts what it is.
+// Error returns the message for the operator; scripts use the exit code.
 func (e *exitError) Error() string { return e.message }
 
-// operator speaks to one of the controllers.
+// operator sends an operator's requests to the controllers at addresses.
 type operator struct {
 	addresses []string
 	timeout   time.Duration
 	client    *http.Client
 }
 
+// operatorCommands returns all subcommands except serve.
 func operatorCommands() []*cobra.Command {
-	get := subcommand("get", "print the configuration in force and its version", cobra.NoArgs, func(operator *operator, command *cobra.Command, _ []string) error {
-		return operator.call(http.MethodGet, "/v1/configuration", nil, nil)
-	})
-	status := subcommand("status", "who leads, who is there, flags, duties, orders, and what lags", cobra.NoArgs, func(o *operator, command *cobra.Command, _ []string) error {
-		asJSON, _ := command.Flags().GetBool("json")
-		return o.showStatus(asJSON)
-	})
-	status.Flags().Bool("json", false, "print all of it as JSON, for scripts")
-	put := subcommand("put FILE", "replace the whole configuration; - reads standard input", cobra.ExactArgs(1), func(op *operator, command *cobra.Command, arguments []string) error {
-		return op.change(command, http.MethodPut, arguments[0])
-	})
-	patch := subcommand("patch FILE", "merge a partial configuration (RFC 7396); - reads standard input", cobra.ExactArgs(1), func(opr *operator, command *cobra.Command, arguments []string) error {
-		return opr.change(command, http.MethodPatch, arguments[0])
-	})
+	get := subcommand("get", "print the configuration in force and its version", cobra.NoArgs,
+		func(o *operator, command *cobra.Command, _ []string) error {
+			return o.call(http.MethodGet, "/v1/configuration", nil, nil)
+		})
+	status := subcommand("status", "print the primary, the members, feature flags, roles, orders and lagging routers", cobra.NoArgs,
+		func(o *operator, command *cobra.Command, _ []string) error {
+			asJSON, _ := command.Flags().GetBool("json")
+			return o.showStatus(asJSON)
+		})
+	status.Flags().Bool("json", false, "print the complete status as JSON, for scripts")
+	put := subcommand("put FILE", "replace the complete configuration; - reads standard input", cobra.ExactArgs(1),
+		func(o *operator, command *cobra.Command, arguments []string) error {
+			return o.change(command, http.MethodPut, arguments[0])
+		})
+	patch := subcommand("patch FILE", "apply a merge patch (RFC 7396) to the configuration; - reads standard input", cobra.ExactArgs(1),
+		func(o *operator, command *cobra.Command, arguments []string) error {
+			return o.change(command, http.MethodPatch, arguments[0])
+		})
 	for _, command := range []*cobra.Command{put, patch} {
-		command.Flags().String("expected", "", "the version that is changed, such as 2.9 (default: the one in force now)")
-		command.Flags().Int64("builds-on", -1, "the revision that is changed, in the place of a version; the file gives a higher one")
-		command.Flags().String("change", "", "an id for this change, to ask for it later (default: a new one)")
+		command.Flags().String("expected", "", "the version to change, such as 2.9 (default: the version in force)")
+		command.Flags().Int64("builds-on", -1, "the revision to change, instead of a version; the file must set a higher revision")
+		command.Flags().String("change", "", "an id for this change, to query its outcome later (default: a new id)")
 	}
-	evacuate := subcommand("evacuate DISTRICT", "keep new work out of a zone's servers", cobra.ExactArgs(1), func(ope *operator, command *cobra.Command, arguments []string) error {
-		reason, _ := command.Flags().GetString("reason")
-		body, err := json.Marshal(map[string]string{"reason": reason})
-		if err != nil {
-			return failure.Wrap(failure.Malformed, err)
-		}
-		return ope.call(http.MethodPost, "/v1/evacuations/"+url.PathEscape(arguments[0]), zoneOrderQuery(command), body)
-	})
-	evacuate.Flags().String("reason", "", "why, for other operators")
-	restore := subcommand("restore DISTRICT", "lift a zone's evacuation", cobra.ExactArgs(1), func(aOperator *operator, command *cobra.Command, arguments []string) error {
-		return aOperator.call(http.MethodDelete, "/v1/evacuations/"+url.PathEscape(arguments[0]), zoneOrderQuery(command), nil)
-	})
+	evacuate := subcommand("evacuate ZONE", "send no new requests to the servers of a zone", cobra.ExactArgs(1),
+		func(o *operator, command *cobra.Command, arguments []string) error {
+			reason, _ := command.Flags().GetString("reason")
+			body, err := json.Marshal(map[string]string{"reason": reason})
+			if err != nil {
+				return failure.Wrap(failure.Malformed, err)
+			}
+			return o.call(http.MethodPost, "/v1/evacuations/"+url.PathEscape(arguments[0]), zoneOrderQuery(command), body)
+		})
+	evacuate.Flags().String("reason", "", "the reason, as information for other operators")
+	restore := subcommand("restore ZONE", "end the evacuation of a zone", cobra.ExactArgs(1),
+		func(o *operator, command *cobra.Command, arguments []string) error {
+			return o.call(http.MethodDelete, "/v1/evacuations/"+url.PathEscape(arguments[0]), zoneOrderQuery(command), nil)
+		})
 	for _, command := range []*cobra.Command{evacuate, restore} {
-		command.Flags().String("expected", "", "the version of the configuration that the order was decided on, such as 2.9 (default: any)")
+		command.Flags().String("expected", "", "the version of the configuration that must be in force, such as 2.9 (default: any)")
 	}
-	change := subcommand("change ID", "find out what became of a change with an unknown outcome", cobra.ExactArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
-		return operator.call(http.MethodGet, "/v1/changes/"+url.PathEscape(arguments[0]), nil, nil)
-	})
-	retire := subcommand("retire NODE", "take a stopped node that will not come back out of the record", cobra.ExactArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
-		return operator.call(http.MethodPost, "/v1/members/"+url.PathEscape(arguments[0])+"/retire", nil, nil)
-	})
-	flags := subcommand("flags [NAME]", "list the feature flags, or explain one: who lacks it, and why it is not enabled yet", cobra.MaximumNArgs(1), func(operator *operator, command *cobra.Command, arguments []string) error {
-		query := url.Values{}
-		if len(arguments) == 1 {
-			query.Set("name", arguments[0])
-		}
-		return operator.call(http.MethodGet, "/v1/flags", query, nil)
-	})
+	change := subcommand("change ID", "query the result of a change whose outcome is unknown", cobra.ExactArgs(1),
+		func(o *operator, command *cobra.Command, arguments []string) error {
+			return o.call(http.MethodGet, "/v1/changes/"+url.PathEscape(arguments[0]), nil, nil)
+		})
+	retire := subcommand("retire NODE", "remove a permanently stopped node from the recorded members", cobra.ExactArgs(1),
+		func(o *operator, command *cobra.Command, arguments []string) error {
+			return o.call(http.MethodPost, "/v1/members/"+url.PathEscape(arguments[0])+"/retire", nil, nil)
+		})
+	flags := subcommand("flags [NAME]", "list the feature flags, or explain which nodes lack a flag and why it is not enabled yet",
+		cobra.MaximumNArgs(1), func(o *operator, command *cobra.Command, arguments []string) error {
+			query := url.Values{}
+			if len(arguments) == 1 {
+				query.Set("name", arguments[0])
+			}
+			return o.call(http.MethodGet, "/v1/flags", query, nil)
+		})
 	return []*cobra.Command{get, status, put, patch, evacuate, restore, change, retire, flags, tenantsCommand(), usageCommand()}
 }
 
-// zoneOrderQuery gives an order on a zone its id, and the version that it was decided on, if one is
-// named.
+// zoneOrderQuery returns the query of a request to evacuate or restore a zone: a new change id, and the
+// expected version if the flag is set.
 func zoneOrderQuery(command *cobra.Command) url.Values {
 	query := newChange()
 	if expected, _ := command.Flags().GetString("expected"); expected != "" {
@@ -102,18 +112,28 @@
 	return query
 }
 
+// newChange returns a query with a new change id.
 func newChange() url.Values { return url.Values{"change": {uuid.NewString()}} }
 
-func subcommand(use, short string, arguments cobra.PositionalArgs, run func(*operator, *cobra.Command, []string) error) *cobra.Command {
+// subcommand makes a subcommand whose run function gets an operator for the controllers named by --to.
+func subcommand(
+	use, short string, arguments cobra.PositionalArgs, run func(*operator, *cobra.Command, []string) error,
+) *cobra.Command {
 	command := &cobra.Command{Use: use, Short: short, Args: arguments}
-	to := command.Flags().String("to", "127.0.0.1:7101", "addresses of expediters, with commas between; each is tried")
-	timeout := command.Flags().Duration("patience", 12*time.Second, "how long to wait for the answer")
+	to := command.Flags().String("to", "127.0.0.1:7101", "comma-separated addresses of controllers, tried in this order")
+	timeout := command.Flags().Duration("patience", 12*time.Second, "how long to wait for the response of a controller")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
-		return run(&operator{addresses: strings.Split(*to, ","), timeout: *timeout, client: &http.Client{Timeout: *timeout}}, command, arguments)
+		return run(&operator{
+			addresses: strings.Split(*to, ","),
+			timeout:   *timeout,
+			client:    &http.Client{Timeout: *timeout},
+		}, command, arguments)
 	}
 	return command
 }
 
+// change sends the configuration or patch in a file. Unless --builds-on is set, the request contains a change id
+// and the version to change: that of --expected, or else the version in force.
 func (o *operator) change(command *cobra.Command, method, path string) error {
 	var body []byte
 	var err error
@@ -126,7 +146,7 @@
 		return failure.At(failure.Missing, path, err.Error())
 	}
 	if revision, _ := command.Flags().GetInt64("builds-on"); revision >= 0 {
-		// Its content is its id: sent again, it is the same change.
+		// Controllers identify this change by its content, so it needs no id and can be sent again.
 		return o.call(method, "/v1/configuration", url.Values{"builds_on": {strconv.FormatInt(revision, 10)}}, body)
 	}
 	query := newChange()
@@ -135,15 +155,15 @@
 	}
 	expected, _ := command.Flags().GetString("expected")
 	if expected == "" {
-		a, err := o.ask(http.MethodGet, "/v1/configuration", nil, nil)
+		received, err := o.send(http.MethodGet, "/v1/configuration", nil, nil)
 		if err != nil {
 			return err
 		}
 		var current struct {
 			Version string `json:"version"`
 		}
-		if err := json.Unmarshal(a.body, &current); err != nil || current.Version == "" {
-			return o.show(a)
+		if err := json.Unmarshal(received.body, &current); err != nil || current.Version == "" {
+			return o.show(received)
 		}
 		expected = current.Version
 	}
@@ -151,15 +171,17 @@
 	return o.call(method, "/v1/configuration", query, body)
 }
 
+// response is a controller's response.
 type response struct {
 	status int
 	body   []byte
 }
 
-// ask tries one controller after another, but goes on only when the call
-// certainly changed nothing.
-func (o *operator) ask(method, path string, query url.Values, body []byte) (response, error) {
-	last := "no address"
+// send tries the controllers in order until one responds. After a request without a response, send continues with
+// the next controller only if the request cannot have changed anything: if it is a GET, or if the connection was
+// refused.
+func (o *operator) send(method, path string, query url.Values, body []byte) (response, error) {
+	lastError := "no address is given"
 	for _, address := range o.addresses {
 		request, err := http.NewRequest(method, "http://"+address+path+"?"+query.Encode(), bytes.NewReader(body))
 		if err != nil {
@@ -167,53 +189,57 @@
 		}
 		received, err := o.client.Do(request)
 		if err != nil {
-			last = err.Error()
-			if method == http.MethodGet || strings.Contains(last, "connection refused") {
+			lastError = err.Error()
+			if method == http.MethodGet || strings.Contains(lastError, "connection refused") {
 				continue
 			}
-			how := "; ask with: controller change " + query.Get("change")
+			advice := "; query it with: controller change " + query.Get("change")
 			if query.Get("change") == "" {
-				how = "; send the same change again"
+				advice = "; send the same change again"
 			}
-			return response{}, &exitError{code: exitUnknown, message: printError("the outcome is unknown: " + last + how)}
+			return response{}, &exitError{code: exitUnknown, message: printError("the outcome is unknown: " + lastError + advice)}
 		}
 		content, err := io.ReadAll(received.Body)
 		_ = received.Body.Close()
 		if err != nil {
-			return response{}, &exitError{code: exitUnknown, message: printError("the answer broke off: " + err.Error())}
+			return response{}, &exitError{code: exitUnknown, message: printError("the response is incomplete: " + err.Error())}
 		}
 		return response{status: received.StatusCode, body: content}, nil
 	}
-	return response{}, &exitError{code: exitUnreachable, message: printError("no controller was reached: " + last)}
+	return response{}, &exitError{code: exitUnreachable, message: printError("no controller responded: " + lastError)}
 }
 
+// printError prints an error message to standard error and returns it.
 func printError(text string) string {
 	_, _ = io.WriteString(os.Stderr, text+"\n")
 	return text
 }
 
+// call sends a request and prints the response.
 func (o *operator) call(method, path string, query url.Values, body []byte) error {
-	a, err := o.ask(method, path, query, body)
+	received, err := o.send(method, path, query, body)
 	if err != nil {
 		return err
 	}
-	return o.show(a)
+	return o.show(received)
 }
 
-func (o *operator) show(a response) error {
+// show prints the body of a response, indented if it is JSON. It returns nil for a status below 300, and an
+// exitError otherwise.
+func (o *operator) show(received response) error {
 	var indented bytes.Buffer
-	if json.Indent(&indented, a.body, "", "  ") != nil {
+	if json.Indent(&indented, received.body, "", "  ") != nil {
 		indented.Reset()
-		indented.Write(a.body)
+		indented.Write(received.body)
 	}
 	_, _ = os.Stdout.WriteString(strings.TrimRight(indented.String(), "\n") + "\n")
 	switch {
-	case a.status < 300:
+	case received.status < 300:
 		return nil
-	case a.status == http.StatusServiceUnavailable && bytes.Contains(a.body, []byte(`"unknown"`)):
-		return &exitError{code: exitUnknown, message: "unknown outcome"}
-	case a.status == http.StatusServiceUnavailable:
-		return &exitError{code: exitUnreachable, message: "no primary"}
+	case received.status == http.StatusServiceUnavailable && bytes.Contains(received.body, []byte(`"unknown"`)):
+		return &exitError{code: exitUnknown, message: "the outcome is unknown"}
+	case received.status == http.StatusServiceUnavailable:
+		return &exitError{code: exitUnreachable, message: "no controller is primary"}
 	}
-	return &exitError{code: exitRefused, message: "status " + strconv.Itoa(a.status)}
+	return &exitError{code: exitRefused, message: "status " + strconv.Itoa(received.status)}
 }
--- a/cmd/controller/tenants_test.go
+++ b/cmd/controller/tenants_test.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// startWitnesses starts servers that answer as witnesses; those without tenants answer 503.
-func startWitnesses(t *testing.T, ledgers [][]tenantStatus) *operator {
+// startWitnesses starts one witness server for each list of tenants, and returns an operator that knows the first
+// of them. A witness with a nil list responds with status 503.
+func startWitnesses(t *testing.T, tenantsByWitness [][]tenantStatus) *operator {
 	t.Helper()
 	var witnesses []witnessReplica
-	for i, tenants := range ledgers {
+	for i, tenants := range tenantsByWitness {
 		identity := string(rune('a' + i))
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 			if tenants == nil {
 				writer.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
-			_ = json.NewEncoder(writer).Encode(tenantsAnswer{Identity: identity, Epoch: 7, Witnesses: witnesses, Tenants: tenants})
+			_ = json.NewEncoder(writer).Encode(tenantsResponse{Identity: identity, Epoch: 7, Witnesses: witnesses, Tenants: tenants})
 		}))
 		t.Cleanup(server.Close)
 		witnesses = append(witnesses, witnessReplica{Identity: identity, Address: strings.TrimPrefix(server.URL, "http://")})
@@ -28,7 +29,9 @@
 	return &operator{addresses: []string{witnesses[0].Address}, timeout: time.Second, client: http.DefaultClient}
 }
 
-// TestTenantsShowsWhatAQuorumCanGrant has a witness that was never asked count as full, and a silent one as empty.
+// TestTenantsShowsWhatAQuorumCanGrant checks that a witness that was never asked for a tenant counts with the full
+// capacity, and a witness without a response with zero. Of the values 20, 9, 3.5, 3.5 and 0, a quorum of three
+// witnesses can grant 3.5, which is rounded down.
 func TestTenantsShowsWhatAQuorumCanGrant(t *testing.T) {
 	low := []tenantStatus{{Tenant: "a", PerSecond: 5, Capacity: 20, Left: 3.5, Held: 2, Routers: 1, Granted: 40, Refused: 1}}
 	high := []tenantStatus{{Tenant: "a", PerSecond: 5, Capacity: 20, Left: 9, Held: 1, Routers: 2, Granted: 30, Refused: 4}}
@@ -38,17 +41,18 @@
 	}
 	want := tenantStatus{Tenant: "a", PerSecond: 5, Capacity: 20, Left: 3, Held: 2, Routers: 2, Granted: 40, Refused: 4}
 	if len(report.Tenants) != 1 || report.Tenants[0] != want || report.Answered != 4 || report.Witnesses != 5 {
-		t.Errorf("%+v", report)
+		t.Errorf("got report %+v, want tenant %+v from 4 of 5 witnesses", report, want)
 	}
 	var text strings.Builder
 	if err := report.write(&text, false); err != nil || !strings.Contains(text.String(), "4 of 5 witnesses answered, epoch 7") {
-		t.Errorf("%v: %s", err, text.String())
+		t.Errorf("got table %s (error %v), want a line with 4 of 5 witnesses and epoch 7", text.String(), err)
 	}
 }
 
-// TestTenantsNeedsAMajorityOfWitnesses guards against a table of a minority, whose ledgers may be empty.
+// TestTenantsNeedsAMajorityOfWitnesses guards against a report from a minority of witnesses, whose counts may be
+// empty.
 func TestTenantsNeedsAMajorityOfWitnesses(t *testing.T) {
 	if report, err := startWitnesses(t, [][]tenantStatus{{}, nil, nil}).tenants(); err == nil {
-		t.Errorf("%+v", report)
+		t.Errorf("one of three witnesses: got report %+v, want an error", report)
 	}
 }
--- a/cmd/router/stream_test.go
+++ b/cmd/router/stream_test.go
@@ -9,11 +9,11 @@
 	"seamloom.example/seamloom"
 )
 
-// goldenFolder holds events, and the decisions of release facc4d7's core on them.
+// goldenFolder holds recorded events and the decisions that the core of release facc4d7 made on them.
 const goldenFolder = "testdata/facc4d7"
 
-// TestStreamDecidesAsEarlierReleases feeds the core the recorded events, line by line: its
-// decisions are those of the earlier release, byte for byte.
+// TestStreamDecidesAsEarlierReleases feeds the recorded events to the core line by line. It checks that the
+// output is identical, byte for byte, to that of the earlier release.
 func TestStreamDecidesAsEarlierReleases(t *testing.T) {
 	for _, recording := range []string{"request", "call"} {
 		t.Run(recording, func(t *testing.T) {
@@ -32,7 +32,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(decisions.Bytes(), want) {
-				t.Errorf("decided\n%swanted\n%s", decisions.Bytes(), want)
+				t.Errorf("got decisions\n%swant\n%s", decisions.Bytes(), want)
 			}
 		})
 	}
--- a/cmd/testbed/each.go
+++ b/cmd/testbed/each.go
@@ -14,24 +14,25 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// eachCommand runs every fault alone, in a day of its own.
+// eachCommand returns the command that runs a separate day for every fault.
 func eachCommand() *cobra.Command {
-	chosen := &plan{once: 0.3}
+	chosen := &fleetOptions{nonIdempotentShare: 0.3}
 	command := &cobra.Command{
 		Use:     "each",
-		Short:   "every fault alone, each in a day of its own, as a table",
+		Short:   "run a separate day for every fault and print a table",
 		Args:    cobra.NoArgs,
 		Example: "  testbed each --deployment kochloeffel --length 20s --parallel 3",
 	}
 	addFleetFlags(command, chosen)
-	command.Flags().DurationVar(&chosen.length, "length", 20*time.Second, "how long each day is")
-	parallel := command.Flags().Int("parallel", 1, "how many fleets run at once")
+	command.Flags().DurationVar(&chosen.length, "length", 20*time.Second, "length of each day")
+	parallel := command.Flags().Int("parallel", 1, "number of fleets that run at once")
 	command.RunE = func(*cobra.Command, []string) error { return runEach(chosen, *parallel) }
 	return command
 }
 
-// runEach runs a day for each fault, so many at once, and prints their table.
-func runEach(chosen *plan, parallel int) error {
+// runEach runs a day for each fault and prints a table row for each. Up to parallel days run at the
+// same time.
+func runEach(chosen *fleetOptions, parallel int) error {
 	base, err := os.MkdirTemp("", "each-")
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
@@ -49,20 +50,20 @@
 	return os.RemoveAll(base)
 }
 
-// faultsOf lists the faults that a deployment's fleet can have without another build.
+// faultsOf lists the faults that apply to a deployment and need no older build of the programs.
 func faultsOf(deployment string) []string {
 	var names []string
 	for _, name := range fleet.FaultNames() {
-		if only, found := onlyIn[name]; (!found || only == deployment) && name != "upgrade-builds" {
+		if only, found := deploymentOfFault[name]; (!found || only == deployment) && name != "upgrade-builds" {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// faultDays are days of one fault each, which several workers take one after another.
+// faultDays is a queue of days with one fault each, shared by several workers.
 type faultDays struct {
-	chosen *plan
+	chosen *fleetOptions
 	base   string
 	names  []string
 
@@ -71,7 +72,7 @@
 	failed int
 }
 
-// work runs days until none is left.
+// work runs days, one after another, until the queue is empty.
 func (d *faultDays) work() {
 	for {
 		d.mutex.Lock()
@@ -85,11 +86,11 @@
 	}
 }
 
-// run runs one day and prints its line.
+// run runs one day and prints its table row.
 func (d *faultDays) run(name string) {
-	today := *d.chosen
-	today.faults, today.folder = name, filepath.Join(d.base, name)
-	verdict, err := today.run(io.Discard)
+	options := *d.chosen
+	options.faults, options.folder = name, filepath.Join(d.base, name)
+	verdict, err := options.run(io.Discard)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	floor := fleet.FloorOf(name)
--- a/cmd/testbed/explore.go
+++ b/cmd/testbed/explore.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// explorationTest is the test that goes on for the time that explorationSeconds names.
+	// explorationTest runs for the number of seconds in the environment variable explorationSeconds.
 	explorationTest    = "TestExplorationAtRandom"
 	explorationPackage = "./internal/replication"
 	explorationSeconds = "SEAMLOOM_EXPLORE_SECONDS"
-	// explorationSlack is what building and the last states take.
+	// explorationSlack is the time that the test's timeout allows beyond the exploration: for the
+	// build, and for the states that are still being checked at the end.
 	explorationSlack = 5 * time.Minute
 )
 
+// exploreCommand returns the command that explores the states of a core for some minutes.
 func exploreCommand() *cobra.Command {
 	var minutes int
 	var source string
-	command := &cobra.Command{Use: "explore", Short: "explore the states of bounded cores, in an order that is drawn", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "explore", Short: "explore the states of a bounded core in random order", Args: cobra.NoArgs,
 		Long: "explore drives the product's own witnesses, memberships and proposals through crashes, lost disks,\n" +
-			"transfers, late and doubled messages, and holds the invariants in each state. It prints how many\n" +
-			"states it visited, and how many a second; the path to a violation, if it finds one. It runs the\n" +
-			"test " + explorationTest + " of the source, which needs Go.",
+			"transfers, and late and duplicated messages, and checks the invariants in each state. It prints the\n" +
+			"number of states visited, the states per second, and the path to a violation if it finds one. It runs\n" +
+			"the test " + explorationTest + " of the source tree, so Go must be installed.",
 		Example: "  testbed explore --minutes 30"}
-	command.Flags().IntVar(&minutes, "minutes", 10, "for how long")
-	command.Flags().StringVar(&source, "source", ".", "the folder of the source")
+	command.Flags().IntVar(&minutes, "minutes", 10, "length of the exploration in minutes")
+	command.Flags().StringVar(&source, "source", ".", "root folder of the source tree")
 	command.RunE = func(*cobra.Command, []string) error {
 		if minutes < 1 {
 			return failure.At(failure.OutOfRange, "minutes", "must be at least 1")
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,6 +1,8 @@
-// Command testbed is seamloom's test kit: it starts a whole fleet on this
-// machine, with stand-ins for clients, model servers and the platform, lets
-// things fail, and judges what the stand-ins wrote down.
+// Command testbed runs seamloom's system tests. It starts a fleet on this machine
+// with stand-ins for clients, model servers and the platform, injects faults, and
+// checks the events that the stand-ins recorded. Such a run is called a day; its seed
+// determines the requests and the faults. Further subcommands run simulated days,
+// replays, mutations and state exploration.
 package main
 
 import (
@@ -23,91 +25,96 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-type plan struct {
-	deployment string
-	folder     string
-	binaries   string
-	seed       uint64
-	length     time.Duration
-	faults     string
-	market     string
-	long       float64
-	short      float64
-	asJSON     bool
-	once       float64
-	closing    string
-	linked     bool
-	staged     bool
-	older      string
-	routers    int
-	servers    int
+// fleetOptions holds the flags of the commands that start a fleet. The fields relayed and scripted are not flags:
+// run sets relayed if one of the faults needs a relay on each link, and scripted if one needs nodes with scripted
+// disks and clocks.
+type fleetOptions struct {
+	deployment         string
+	folder             string
+	binaries           string
+	seed               uint64
+	length             time.Duration
+	faults             string
+	market             string
+	longRate           float64
+	shortRate          float64
+	asJSON             bool
+	nonIdempotentShare float64
+	closing            string
+	relayed            bool
+	scripted           bool
+	older              string
+	routers            int
+	servers            int
 }
 
 func main() {
-	root := &cobra.Command{Use: "testbed", Short: "seamloom's test kit", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "testbed", Short: "runs seamloom's system tests", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(fleetCommand(), runCommand(), soakCommand(), simulateCommand(), mutateCommand(), exploreCommand(), eachCommand(),
 		regionsCommand(), compareCommand(), replayCommand(), replayDrawnCommand(), scriptCommand(membership.Router),
 		scriptCommand(membership.Controller))
 	if err := root.Execute(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "testbed:", err)
-		var m mistaken
-		if errors.As(err, &m) {
+		var usage usageError
+		if errors.As(err, &usage) {
 			os.Exit(2)
 		}
 		os.Exit(1)
 	}
 }
 
-func addFleetFlags(command *cobra.Command, chosen *plan) {
-	own, _ := os.Executable()
+// addFleetFlags adds the flags that all commands that start a fleet have in common.
+func addFleetFlags(command *cobra.Command, chosen *fleetOptions) {
+	executable, _ := os.Executable()
 	set := command.Flags()
 	set.StringVar(&chosen.deployment, "deployment", "sahil", "sahil or kochloeffel")
-	set.StringVar(&chosen.folder, "folder", "", "folder for settings, logs, disks and the book (default: a new one)")
-	set.StringVar(&chosen.binaries, "binaries", filepath.Dir(own), "where router and controller are")
-	set.StringVar(&chosen.market, "market", "pair", "the couriers' market: pair or least_loaded")
+	set.StringVar(&chosen.folder, "folder", "", "folder for settings, logs, disks and the event log (default: a new one)")
+	set.StringVar(&chosen.binaries, "binaries", filepath.Dir(executable), "folder of the router and controller programs")
+	set.StringVar(&chosen.market, "market", "pair", "how routers choose servers: pair or least_loaded")
 	set.StringVar(&chosen.older, "older-binaries", "",
-		"a folder with an older build's programs, which every other node runs")
-	set.Uint64Var(&chosen.seed, "seed", 1, "the same seed gives the same inquiries and the same faults")
-	set.IntVar(&chosen.routers, "couriers", 0, "another number of couriers than the deployment's")
-	set.IntVar(&chosen.servers, "servers", 0, "another number of model servers than the deployment's")
-	set.Float64Var(&chosen.long, "long", 8, "long-prompt inquiries a second")
-	set.Float64Var(&chosen.short, "short", 10, "short chats a second")
+		"folder with the programs of an older build, which every second node runs")
+	set.Uint64Var(&chosen.seed, "seed", 1, "the same seed gives the same requests and the same faults")
+	set.IntVar(&chosen.routers, "couriers", 0, "number of routers (default: the deployment's)")
+	set.IntVar(&chosen.servers, "servers", 0, "number of model servers (default: the deployment's)")
+	set.Float64Var(&chosen.longRate, "long", 8, "long-prompt requests a second")
+	set.Float64Var(&chosen.shortRate, "short", 10, "short chat requests a second")
 }
 
-func (p *plan) start() (*fleet.Fleet, error) {
-	deployment, found := fleet.DeploymentNamed(p.deployment)
+// start starts a fleet and waits until it is ready.
+func (o *fleetOptions) start() (*fleet.Fleet, error) {
+	deployment, found := fleet.DeploymentNamed(o.deployment)
 	if !found {
-		return nil, failure.New(failure.NoSuch, "no deployment "+p.deployment)
+		return nil, failure.New(failure.NoSuch, "no deployment "+o.deployment)
 	}
-	if p.routers > 0 {
-		deployment.Routers = p.routers
+	if o.routers > 0 {
+		deployment.Routers = o.routers
 	}
-	if p.servers > 0 {
-		deployment.Servers = p.servers
+	if o.servers > 0 {
+		deployment.Servers = o.servers
 	}
-	if p.folder == "" {
+	if o.folder == "" {
 		folder, err := os.MkdirTemp("", "testbed-")
 		if err != nil {
 			return nil, failure.Wrap(failure.Disk, err)
 		}
-		p.folder = folder
-	} else if err := os.MkdirAll(p.folder, 0o755); err != nil {
+		o.folder = folder
+	} else if err := os.MkdirAll(o.folder, 0o755); err != nil {
 		return nil, failure.Wrap(failure.Disk, err)
 	}
-	running, err := fleet.NewFleet(deployment, p.folder, p.binaries, map[string]any{"market": p.market})
+	running, err := fleet.NewFleet(deployment, o.folder, o.binaries, map[string]any{"market": o.market})
 	if err != nil {
 		return nil, err
 	}
-	if p.linked {
+	if o.relayed {
 		if err := running.LinkNodes(); err != nil {
 			return nil, err
 		}
 	}
-	if p.staged {
+	if o.scripted {
 		running.UseScriptedNodes()
 	}
-	if p.older != "" {
-		running.Mix(p.older)
+	if o.older != "" {
+		running.UseOlderBinaries(o.older)
 	}
 	began := time.Now()
 	if err := running.Begin(30 * time.Second); err != nil {
@@ -118,20 +125,22 @@
 	return running, nil
 }
 
+// interrupted returns a context that ends on SIGINT or SIGTERM.
 func interrupted() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
+// fleetCommand returns the command that starts a fleet and keeps it running.
 func fleetCommand() *cobra.Command {
-	chosen := &plan{}
+	chosen := &fleetOptions{}
 	command := &cobra.Command{
 		Use:   "fleet",
-		Short: "start a fleet on this machine and leave it running until interrupted",
+		Short: "start a fleet on this machine and keep it running until interrupted",
 		Args:  cobra.NoArgs,
 	}
 	addFleetFlags(command, chosen)
-	configured := command.Flags().Bool("configured", true, "put the deployment's first configuration")
-	load := command.Flags().Bool("load", false, "let callers send inquiries")
+	configured := command.Flags().Bool("configured", true, "apply the deployment's first configuration")
+	load := command.Flags().Bool("load", false, "let clients send requests")
 	command.RunE = func(*cobra.Command, []string) error {
 		running, err := chosen.start()
 		if err != nil {
@@ -148,9 +157,9 @@
 		lifetime, end := interrupted()
 		defer end()
 		if *load {
-			day.Clients.SetRates(chosen.long, chosen.short)
+			day.Clients.SetRates(chosen.longRate, chosen.shortRate)
 			day.Clients.Run(lifetime)
-			fmt.Print(fleet.Judge(running.Events.Entries()))
+			fmt.Print(fleet.CheckEvents(running.Events.Entries()))
 		}
 		<-lifetime.Done()
 		return nil
@@ -158,17 +167,18 @@
 	return command
 }
 
+// runCommand returns the command that runs one day on a fleet.
 func runCommand() *cobra.Command {
-	chosen := &plan{}
-	command := &cobra.Command{Use: "run", Short: "one seeded day with faults, and the checkers' verdict", Args: cobra.NoArgs,
-		Example: "  testbed run --deployment sahil --seed 7 --seconds 40s --faults kill-courier,crash-server,kill-primary"}
+	chosen := &fleetOptions{}
+	command := &cobra.Command{Use: "run", Short: "run one seeded day with faults and print the checkers' verdict", Args: cobra.NoArgs,
+		Example: "  testbed run --deployment sahil --seed 7 --length 40s --faults kill-courier,crash-server,kill-primary"}
 	addFleetFlags(command, chosen)
-	command.Flags().DurationVar(&chosen.length, "length", 30*time.Second, "how long the day is")
+	command.Flags().DurationVar(&chosen.length, "length", 30*time.Second, "length of the day")
 	command.Flags().StringVar(&chosen.faults, "faults", "",
-		"faults in their order, with commas between: "+strings.Join(fleet.FaultNames(), ", "))
+		"faults in the order in which they are injected, separated by commas: "+strings.Join(fleet.FaultNames(), ", "))
 	command.Flags().StringVar(&chosen.closing, "closing", "",
-		"a fault at the end of the day, after which service must return in time")
-	command.Flags().Float64Var(&chosen.once, "once", 0.3, "the share of inquiries that may not be repeated")
+		"a fault at the end of the day, after which service must return within its limit")
+	command.Flags().Float64Var(&chosen.nonIdempotentShare, "once", 0.3, "share of requests that are not idempotent")
 	command.Flags().BoolVar(&chosen.asJSON, "json", false, "print the verdict as JSON")
 	command.RunE = func(*cobra.Command, []string) error {
 		verdict, err := chosen.run(os.Stderr)
@@ -184,20 +194,20 @@
 		} else {
 			fmt.Print(verdict)
 		}
-		_, _ = fmt.Fprintln(os.Stderr, "the book and the logs are in", chosen.folder)
+		_, _ = fmt.Fprintln(os.Stderr, "the event log and the node logs are in", chosen.folder)
 		if verdict.Violations() > 0 {
-			return failure.New(failure.Contradictory, "something happened that must never happen")
+			return failure.New(failure.Contradictory, "at least one checker found a violation")
 		}
 		return nil
 	}
 	return command
 }
 
-// run starts a fleet, runs one day on it, and judges its event log.
-func (p *plan) run(log io.Writer) (fleet.Verdict, error) {
+// run starts a fleet, runs one day on it, checks its event log, and saves the log.
+func (o *fleetOptions) run(log io.Writer) (fleet.Verdict, error) {
 	var verdict fleet.Verdict
 	var faults []fleet.Fault
-	for _, name := range strings.Split(p.faults, ",") {
+	for _, name := range strings.Split(o.faults, ",") {
 		if name == "" {
 			continue
 		}
@@ -207,36 +217,37 @@
 		}
 		faults = append(faults, fault)
 	}
-	closing, closes := fleet.FaultNamed(p.closing)
-	if p.closing != "" && !closes {
-		return verdict, failure.New(failure.NoSuch, "no fault "+p.closing)
+	closing, hasClosing := fleet.FaultNamed(o.closing)
+	if o.closing != "" && !hasClosing {
+		return verdict, failure.New(failure.NoSuch, "no fault "+o.closing)
 	}
 	for _, fault := range append([]fleet.Fault{closing}, faults...) {
-		p.linked = p.linked || fault.Links
-		p.staged = p.staged || fault.Scripted
+		o.relayed = o.relayed || fault.Links
+		o.scripted = o.scripted || fault.Scripted
 	}
-	running, err := p.start()
+	running, err := o.start()
 	if err != nil {
 		return verdict, err
 	}
 	defer running.Close()
-	day := fleet.NewDay(running, p.seed, log)
-	day.Long, day.Short = p.long, p.short
-	day.Clients.Once = p.once
+	day := fleet.NewDay(running, o.seed, log)
+	day.Long, day.Short = o.longRate, o.shortRate
+	day.Clients.NonIdempotentShare = o.nonIdempotentShare
 	if err := day.Open(); err != nil {
 		return verdict, err
 	}
 	lifetime, end := interrupted()
 	defer end()
-	verdict = day.Run(lifetime, p.length, faults)
-	if closes {
-		verdict = day.Close(lifetime, closing)
+	verdict = day.Run(lifetime, o.length, faults)
+	if hasClosing {
+		verdict = day.RunClosingFault(lifetime, closing)
 	}
 	if primary := running.Primary(); primary != nil {
 		_, _ = fmt.Fprintf(log,
-			"the primary answered %d changes with %d synced versions; %d configurations and %d bytes of news went out in %d answers\n",
-			primary.Metric("seamloom_answered_changes_total"), primary.Metric("seamloom_synced_batches_total"), primary.Metric("seamloom_configurations_sent_total"),
-			primary.Metric("seamloom_news_drawer_bytes_total"), primary.Metric("seamloom_news_answers_total"))
+			"the primary answered %d changes with %d synced versions; it sent %d configurations and %d bytes of updates in %d answers\n",
+			primary.Metric("seamloom_answered_changes_total"), primary.Metric("seamloom_synced_batches_total"),
+			primary.Metric("seamloom_configurations_sent_total"), primary.Metric("seamloom_news_drawer_bytes_total"),
+			primary.Metric("seamloom_news_answers_total"))
 	}
-	return verdict, running.Events.Save(filepath.Join(p.folder, "book.jsonl"))
+	return verdict, running.Events.Save(filepath.Join(o.folder, "book.jsonl"))
 }
--- a/cmd/testbed/regions.go
+++ b/cmd/testbed/regions.go
@@ -12,34 +12,34 @@
 	"seamloom.example/seamloom/internal/testbed/simulation"
 )
 
-// regionsCommand lets a large fleet of several regions meet what a year brings, in
-// virtual time.
+// regionsCommand returns the command that simulates, in virtual time, a year's incidents in a
+// large fleet that spans four regions.
 func regionsCommand() *cobra.Command {
 	layout := simulation.FutureLayout()
 	command := &cobra.Command{
 		Use:     "regions",
-		Short:   "a large fleet of four regions in virtual time: losses, restarts, regions apart, and what each costs",
+		Short:   "simulate losses, restarts and partitions in a large fleet of four regions, and print the cost of each",
 		Args:    cobra.NoArgs,
 		Example: "  testbed regions\n  testbed regions --couriers 100 --expediters 3 --between 60ms",
 	}
 	set := command.Flags()
-	set.IntVar(&layout.Routers, "couriers", layout.Routers, "how many couriers")
-	set.IntVar(&layout.Servers, "servers", layout.Servers, "how many listed servers, each with a duty; none of them works")
-	set.IntVar(&layout.Controllers, "expediters", layout.Controllers, "how many expediters")
-	set.IntVar(&layout.BorneLosses, "borne-losses", layout.BorneLosses, "how many disks may be lost at once")
+	set.IntVar(&layout.Routers, "couriers", layout.Routers, "number of routers")
+	set.IntVar(&layout.Servers, "servers", layout.Servers, "number of listed servers, each with a role lease; they serve no requests")
+	set.IntVar(&layout.Controllers, "expediters", layout.Controllers, "number of controllers")
+	set.IntVar(&layout.ToleratedLosses, "borne-losses", layout.ToleratedLosses, "number of disks that may be lost at once")
 	wait := set.Duration("acknowledge-wait", 0,
-		"how long a change waits for nodes that are not heard from (default: for as long as their holds run)")
-	set.IntVar(&layout.Routes, "routes", layout.Routes, "how many routes the configuration has")
-	set.DurationVar(&layout.Between, "between", layout.Between, "how long a message takes from one region to another")
+		"how long a change waits for unreachable nodes (default: until their leases expire)")
+	set.IntVar(&layout.Routes, "routes", layout.Routes, "number of routes in the configuration")
+	set.DurationVar(&layout.Between, "between", layout.Between, "latency of a message from one region to another")
 	seed := set.Uint64("seed", 1, "the same seed gives the same figures")
-	lost := set.Duration("lost", 2*time.Minute, "how long machines and links stay away")
+	lost := set.Duration("lost", 2*time.Minute, "how long machines and links stay unavailable")
 	losses := set.Int("losses", 8,
-		"how many machines of nodes are lost, one after another; twice as many nodes are restarted")
+		"number of node machines that are lost, one after another; twice as many nodes are restarted")
 	trace := set.Bool("trace", false, "print every step")
 	command.RunE = func(*cobra.Command, []string) error {
 		debug.SetGCPercent(400)
 		if layout.Controllers < 3 || layout.Routers < 1 {
-			return failure.New(failure.OutOfRange, "a fleet has three expediters at least, and a courier")
+			return failure.New(failure.OutOfRange, "a fleet needs at least three controllers and one router")
 		}
 		fleet := simulation.NewLaidOut(layout, *seed)
 		fleet.SetSettings(simulation.Settings{AcknowledgeWait: *wait})
@@ -48,7 +48,7 @@
 		}
 		began := time.Now()
 		incidents := fleet.Incidents(*lost, *losses)
-		_, _ = fmt.Fprintf(os.Stderr, "%d couriers, %d expediters, %d servers: took %s\n", layout.Routers,
+		_, _ = fmt.Fprintf(os.Stderr, "%d routers, %d controllers, %d servers: took %s\n", layout.Routers,
 			layout.Controllers, layout.Servers, time.Since(began).Round(time.Second))
 		return failure.Wrap(failure.Disk, simulation.WriteIncidents(os.Stdout, incidents))
 	}
--- a/cmd/testbed/script.go
+++ b/cmd/testbed/script.go
@@ -15,18 +15,18 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// scriptCommand runs a node with a faulty disk and a wall clock that jumps, both
-// told by a faults file.
+// scriptCommand returns the command that runs a node whose disk and wall clock follow a
+// faults file. A router has no disk, so only its clock follows the file.
 func scriptCommand(kind membership.NodeKind) *cobra.Command {
 	command := &cobra.Command{
 		Use:     "script-" + fleet.ProgramName(kind),
 		Aliases: []string{"stage-" + string(kind)},
-		Short:   "run one " + fleet.ProgramName(kind) + " with a faulty disk and clock",
+		Short:   "run one " + fleet.ProgramName(kind) + " with the disk and clock faults of a faults file",
 		Args:    cobra.NoArgs,
 		Hidden:  true,
 	}
 	flags := daemon.AddFlags(command, kind)
-	path := command.Flags().String("faults", "", "the faults file")
+	path := command.Flags().String("faults", "", "path of the faults file")
 	command.RunE = func(*cobra.Command, []string) error {
 		chosen, mistakes := flags.Read()
 		if mistakes != nil {
@@ -34,7 +34,7 @@
 		}
 		logger := daemon.Logger(os.Stderr, chosen.LogLevel, chosen.Name)
 		faults := func() fleet.NodeFaults { return fleet.ReadNodeFaults(*path) }
-		clock := osruntime.NewClockOver(func() time.Time { return time.Now().Add(faults().Jump) })
+		clock := osruntime.NewClockFrom(func() time.Time { return time.Now().Add(faults().Jump) })
 		if kind == membership.Router {
 			process, err := router.Start(chosen, logger, clock, router.Ports{})
 			if err != nil {
@@ -43,7 +43,7 @@
 			if daemon.Wait(process.Dead(), func() {}) {
 				return process.Drain(10 * time.Second)
 			}
-			return failure.New(failure.Unsorted, "ended by itself")
+			return failure.New(failure.Unclassified, "ended by itself")
 		}
 		process, err := controller.Start(chosen, logger, fleet.NewFaultyDisk(faults), clock, controller.Ports{})
 		if err != nil {
@@ -56,7 +56,7 @@
 		}) {
 			return process.Stop()
 		}
-		return failure.New(failure.Unsorted, "ended by itself")
+		return failure.New(failure.Unclassified, "ended by itself")
 	}
 	return command
 }
--- a/core.go
+++ b/core.go
@@ -13,10 +13,10 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Core is the deterministic state machine of one router: it admits requests and opaque
-// calls, picks their servers, retries within a budget, and decides what the router's roles
-// ask for. Its methods may be called from several threads; fed from one, the same events
-// give the same decisions.
+// Core is the deterministic state machine of one router. It admits requests and opaque calls,
+// selects their servers, retries within a budget, and makes the decisions of the roles that the
+// router holds. Its methods are safe for concurrent use. If all events come from one goroutine,
+// the same sequence of events gives the same decisions.
 type Core struct {
 	options          Options
 	market           *auction.Market
@@ -25,28 +25,29 @@
 	calls            *scheduler.Scheduler
 	callRoleBalancer *scheduler.RoleBalancer
 	enabled          atomic.Pointer[FlagList]
-	// rejected counts the configurations that this build could not read.
+	// rejected counts the received configurations that this build could not read.
 	rejected atomic.Int64
 
-	// mutex guards what follows.
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// roles are the keys that this router holds until roleEnds.
+	// roles are the roles that this router holds until roleEnds.
 	roles        []Role
 	roleEnds     time.Time
 	nextRoleTick time.Time
-	// orders are the orders in force, by server.
+	// orders are the orders in force, by the name of the server.
 	orders        map[string]Order
 	configuration *config.Configuration
-	// commandedAt and announcedToken are when, and with which fencing token, this router
-	// commanded a server last.
+	// commandedAt is the time of this router's last command to each server, and
+	// commandedToken is the fencing token that the command carried.
 	commandedAt    map[string]time.Time
-	announcedToken map[string]uint64
-	// openCalls are the calls that came by events and have not ended, by ID.
+	commandedToken map[string]uint64
+	// openCalls are the calls, by ID, that arrived as events and have not ended.
 	openCalls map[string]*scheduler.CallState
 }
 
-// New makes the core of one router. It admits nothing before it was fed the servers, their
-// loads, the enabled flags, a configuration and a lease that confirms it.
+// New makes the core of one router. The core admits no request until it has received the list
+// of servers, their loads, the enabled feature flags, a configuration, and a lease that
+// confirms the version of that configuration.
 func New(options Options) *Core {
 	if options.MaxRequests <= 0 {
 		options.MaxRequests = DefaultMaxRequests
@@ -67,16 +68,16 @@
 		orders:           map[string]Order{},
 		configuration:    config.Empty(),
 		commandedAt:      map[string]time.Time{},
-		announcedToken:   map[string]uint64{},
+		commandedToken:   map[string]uint64{},
 		openCalls:        map[string]*scheduler.CallState{},
 	}
 }
 
-// Apply feeds the core one event and returns what is to be done now, in that order. It
-// never fails: an event that fits no request, or lacks its fields, changes nothing. Events
-// should come in the order of their times. Deadlines, timeouts and roles are looked at only
-// on those of kind auction.Ticked; feed one every few milliseconds while requests are in
-// flight.
+// Apply applies one event and returns the decisions that the program must carry out now, in the
+// returned order. It never fails: an event that matches no request or call, or that lacks a required
+// field, changes nothing. Events should arrive in the order of their times. Deadlines, timeouts and
+// roles are checked only on events of kind auction.Ticked; send one every few milliseconds
+// while requests are in flight.
 func (c *Core) Apply(event Event) []Decision {
 	switch event.Kind {
 	case auction.Ticked:
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// applyToRequest applies an event about one request.
+// applyToRequest applies an event that concerns one request.
 func (c *Core) applyToRequest(event Event) []Decision {
 	switch event.Kind {
 	case auction.RequestArrived:
@@ -107,7 +108,7 @@
 	case auction.PrefillAnswered:
 		return c.dispatcher.Prefilled(event.At, event.ID, event.Run, event.Outcome, event.Handle)
 	case auction.ChunkReceived:
-		return c.dispatcher.Chunk(event.At, event.ID, event.Run, event.Chunk, event.Text)
+		return c.dispatcher.HandleChunk(event.At, event.ID, event.Run, event.Chunk, event.Text)
 	case auction.DecodeEnded:
 		return c.dispatcher.Decoded(event.At, event.ID, event.Run, event.Outcome, event.Chunk)
 	case auction.ClientDisconnected:
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// applyToCall applies an event about one opaque call.
+// applyToCall applies an event that concerns one opaque call.
 func (c *Core) applyToCall(event Event) []Decision {
 	switch {
 	case event.Kind == auction.CallArrived && event.Call != nil:
@@ -149,11 +150,11 @@
 	}
 }
 
-// applyFleet applies an event about the servers and the other routers.
+// applyFleet applies an event that concerns the servers or the number of routers.
 func (c *Core) applyFleet(event Event) {
 	switch event.Kind {
 	case auction.ServersListed:
-		c.market.List(event.Servers)
+		c.market.SetServers(event.Servers)
 		c.calls.SetServers(event.At, event.Servers)
 	case auction.LoadReported:
 		if event.Load != nil {
@@ -167,22 +168,25 @@
 	}
 }
 
+// applyOrders applies the orders in force, by the name of the server.
 func (c *Core) applyOrders(event Event) {
 	c.mutex.Lock()
 	c.orders = event.Orders
 	c.mutex.Unlock()
 	roles := make(map[string]string, len(event.Orders))
 	for server, order := range event.Orders {
-		roles[server] = order.Part
+		roles[server] = order.Role
 	}
 	c.calls.SetRoleOrders(event.At, roles)
 }
 
+// applyConfiguration brings a received configuration into force.
 func (c *Core) applyConfiguration(event Event) {
 	configuration, err := c.readConfiguration(event.Configuration)
 	if err != nil {
-		// A configuration is checked before it is accepted; one that this build can't
-		// read leaves the router without a lease that confirms its version.
+		// Controllers validate a configuration before they accept it. If this build can't
+		// read it, the router keeps the configuration in force, and the dispatcher ignores
+		// leases that confirm the new version.
 		c.rejected.Add(1)
 		return
 	}
@@ -194,7 +198,7 @@
 	}
 }
 
-// readConfiguration reads a stored configuration.
+// readConfiguration parses and validates a configuration in its stored form.
 func (c *Core) readConfiguration(text []byte) (*config.Configuration, error) {
 	if c.options.StoredConfiguration != nil {
 		var err error
@@ -204,24 +208,27 @@
 	}
 	configuration, err := config.Check(text)
 	if err == nil && configuration.Tenants != nil && !c.options.Supported.Has(features.Tenants) {
-		// A build without tenants would serve calls that show no key.
-		return nil, failure.New(failure.NotSupported, "the configuration has tenants")
+		// A build that doesn't support tenants would serve calls without an API key.
+		return nil, failure.New(failure.NotSupported, "the configuration has tenants, which this build does not support")
 	}
 	return configuration, err
 }
 
+// applyLease extends the router's lease and replaces the router's roles by those in the event. ExtendLease
+// ignores a lease on a version that is not in force; the roles are replaced even then.
 func (c *Core) applyLease(event Event) {
-	c.dispatcher.Renew(event.LeaseEnds, event.Epoch, event.Number)
+	c.dispatcher.ExtendLease(event.LeaseEnds, event.Epoch, event.Number)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.roles = event.Roles
 	c.roleEnds = event.LeaseEnds
 }
 
-// Calls is the scheduler of opaque calls. A program that serves each call in a thread of
-// its own uses it directly instead of feeding events about calls.
+// Calls returns the scheduler of opaque calls. A program that serves each call in its own
+// goroutine uses the scheduler directly instead of sending events about calls.
 func (c *Core) Calls() *scheduler.Scheduler { return c.calls }
 
+// callArrived admits a call and returns its first decision.
 func (c *Core) callArrived(event Event) []Decision {
 	open, decision := c.calls.Arrive(event.At, event.Call)
 	if open != nil {
@@ -232,6 +239,7 @@
 	return []Decision{{Kind: auction.CallDecided, ID: event.Call.ID, Call: &decision}}
 }
 
+// callEnded applies the end of a dispatch of a call and returns the call's next decision.
 func (c *Core) callEnded(event Event) []Decision {
 	c.mutex.Lock()
 	open, found := c.openCalls[event.ID]
@@ -248,21 +256,21 @@
 	return []Decision{{Kind: auction.CallDecided, ID: event.ID, Call: &decision}}
 }
 
-// InForce is the version of the configuration in force; zero before the first one.
+// InForce returns the version of the configuration in force, or zero before the first one.
 func (c *Core) InForce() (epoch, number uint64) { return c.dispatcher.InForce() }
 
-// LeaseEnds is when the router's lease runs out; zero before the first one.
+// LeaseEnds returns when the router's lease expires, or the zero time before the first lease.
 func (c *Core) LeaseEnds() time.Time { return c.dispatcher.LeaseEnds() }
 
-// SetServeWithoutLease sets for how long requests are admitted after the last lease ran
-// out, under the configuration in force; zero, the default, ends admission with the lease.
-// Roles always need a lease.
+// SetServeWithoutLease sets how long requests are still admitted after the last lease has
+// expired, under the configuration in force. With zero, the default, admission ends with the
+// lease. Roles always require a lease.
 func (c *Core) SetServeWithoutLease(period time.Duration) { c.dispatcher.SetServeWithoutLease(period) }
 
-// ServesUntil is until when requests are admitted.
+// ServesUntil returns the time at which admission of requests ends.
 func (c *Core) ServesUntil() time.Time { return c.dispatcher.ServesUntil() }
 
-// Enabled are the enabled feature flags as they were read last, or nil.
+// Enabled returns the enabled feature flags that were read last, or nil before the first read.
 func (c *Core) Enabled() FlagList {
 	if enabled := c.enabled.Load(); enabled != nil {
 		return *enabled
@@ -270,30 +278,33 @@
 	return nil
 }
 
-// Restricted tells whether this build lacks an enabled feature flag, or has not read the
-// enabled flags yet: the router then writes no records and takes no roles.
+// Restricted reports whether this build lacks an enabled feature flag, or has not read the
+// enabled flags yet. A restricted router writes no records and takes no roles.
 func (c *Core) Restricted() bool {
 	enabled := c.enabled.Load()
-	return enabled == nil || len(c.options.Supported.Lacks(*enabled)) > 0
+	return enabled == nil || len(c.options.Supported.Missing(*enabled)) > 0
 }
 
-// InFlight counts the requests that have no final status yet, without opaque calls.
+// InFlight returns the number of requests that have no final status yet. It does not count opaque calls;
+// InFlightRequests does.
 func (c *Core) InFlight() int { return c.dispatcher.InFlight() }
 
-// InFlightRequests counts requests and opaque calls that have not ended.
+// InFlightRequests returns the sum of InFlight and the number of opaque calls that have not ended.
 func (c *Core) InFlightRequests() int { return c.dispatcher.InFlight() + c.calls.InFlight() }
 
-// HasRoles tells whether the last lease gave the router roles.
+// HasRoles reports whether the last lease assigned any roles to the router.
 func (c *Core) HasRoles() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.roles) > 0
 }
 
-// Draining tells whether admission has ended for good.
+// Draining reports whether the router is draining. A draining router admits no further requests
+// or calls.
 func (c *Core) Draining() bool { return c.dispatcher.Draining() }
 
-// Counts are counters since the start, by the names that the metrics use, and "in_flight".
+// Counts returns the counters since the start, by their names in the metrics, and the number
+// of requests "in_flight".
 func (c *Core) Counts() map[string]int64 {
 	counters := c.dispatcher.Counters()
 	firstDispatches, retries := c.dispatcher.Budget().Counts()
@@ -310,15 +321,16 @@
 		"unreadable_configurations": c.rejected.Load(),
 		"recorded_routers":          int64(c.calls.RecordedRouters()),
 		"warming_dispatches":        warming.Dispatches,
-		// The age of the list of servers at these dispatches, all together and the most of any.
+		// The sum and the maximum, over the warming dispatches, of the age that the list of servers had
+		// at the dispatch.
 		"warming_list_age_milliseconds":      warming.ListAge.Milliseconds(),
-		"most_warming_list_age_milliseconds": warming.MostListAge.Milliseconds(),
-		"warming_late_news":                  warming.LateNews,
+		"most_warming_list_age_milliseconds": warming.MaxListAge.Milliseconds(),
+		"warming_late_news":                  warming.LateNotices,
 	}
 }
 
-// ReadOrders decodes the records of the orders in force, by server. It leaves out those
-// that need a feature flag that this build lacks, or can't be read.
+// ReadOrders decodes the records of the orders in force, by the name of the server. It skips
+// records that can't be decoded or that require a feature flag that this build lacks.
 func (c *Core) ReadOrders(records map[string]codec.Record) map[string]Order {
 	orders := map[string]Order{}
 	for server, record := range records {
--- a/core_configuration_test.go
+++ b/core_configuration_test.go
@@ -9,9 +9,9 @@
 	"seamloom.example/seamloom/internal/features"
 )
 
-// TestAStoredConfigurationThatIsRefusedIsNotInForce guards against calls without a key being served by a
-// stored configuration whose tenants can't be read, and against reading a stored text as if it were present.
-func TestAStoredConfigurationThatIsRefusedIsNotInForce(t *testing.T) {
+// TestUntranslatableStoredConfigurationIsNotInForce guards against two faults: serving calls without an API
+// key under a stored configuration whose tenants can't be read, and using a stored text without translation.
+func TestUntranslatableStoredConfigurationIsNotInForce(t *testing.T) {
 	stored := func(text []byte) ([]byte, error) {
 		if string(text) == `{"revision":2}` {
 			return nil, errors.New("refused")
@@ -22,27 +22,27 @@
 	now := time.Unix(3_000_000, 0)
 	core.Apply(Event{Kind: auction.ConfigurationReceived, At: now, Configuration: []byte(`{"revision":2}`), Epoch: 1, Number: 1})
 	if epoch, number := core.InForce(); epoch != 0 || number != 0 {
-		t.Errorf("version %d.%d is in force", epoch, number)
+		t.Errorf("after a failed translation: got version %d.%d in force, want none", epoch, number)
 	}
 	if core.Counts()["unreadable_configurations"] != 1 {
-		t.Error("the refusal is not counted")
+		t.Error("the failed translation is not counted")
 	}
 	core.Apply(Event{Kind: auction.ConfigurationReceived, At: now, Configuration: []byte(`{"revision":3}`), Epoch: 1, Number: 2})
 	if _, number := core.InForce(); number != 2 || len(core.configuration.Tenants) != 1 {
-		t.Errorf("version %d is in force, with tenants %v", number, core.configuration.Tenants)
+		t.Errorf("got version %d in force with tenants %v, want version 2 with one tenant", number, core.configuration.Tenants)
 	}
 }
 
-// TestACoreWithoutTenantsKeepsItsConfiguration guards against an older build serving calls without a key: it
-// refuses a configuration with tenants as an unknown field.
-func TestACoreWithoutTenantsKeepsItsConfiguration(t *testing.T) {
+// TestCoreWithoutTenantSupportRejectsTenants guards against a build without tenant support serving calls
+// without an API key: it must reject a configuration with tenants and keep the one in force.
+func TestCoreWithoutTenantSupportRejectsTenants(t *testing.T) {
 	core := New(Options{Router: "router-1", Supported: Supported(FlagList{features.Tenants})})
 	now := time.Unix(3_000_000, 0)
 	for number, text := range []string{`{"revision":1}`, `{"revision":2,"tenants":{}}`, `{"revision":3}`} {
 		core.Apply(Event{Kind: auction.ConfigurationReceived, At: now, Configuration: []byte(text), Epoch: 1, Number: uint64(number + 1)})
 		want := []uint64{1, 1, 3}[number]
 		if _, inForce := core.InForce(); inForce != want {
-			t.Errorf("after %s version %d is in force, want %d", text, inForce, want)
+			t.Errorf("after %s: got version %d in force, want %d", text, inForce, want)
 		}
 	}
 }
--- a/core_test.go
+++ b/core_test.go
@@ -11,7 +11,8 @@
 	"seamloom.example/seamloom/internal/lease"
 )
 
-// TestSameEventsGiveTheSameDecisions feeds two cores one long random stream of events.
+// TestSameEventsGiveTheSameDecisions feeds two cores the same long random sequence of events and compares their
+// decisions. The events must lead to decisions of each kind that is listed at the end.
 func TestSameEventsGiveTheSameDecisions(t *testing.T) {
 	random := rand.New(rand.NewPCG(8, 8))
 	cores := []*Core{}
@@ -51,7 +52,7 @@
 			}
 		}
 		if texts[0] != texts[1] {
-			t.Fatalf("%+v:\n%s\n%s", event, texts[0], texts[1])
+			t.Fatalf("the cores decide differently on %+v:\n%s\n%s", event, texts[0], texts[1])
 		}
 	}
 	feed(Event{Kind: auction.ServersListed, Servers: servers})
@@ -79,7 +80,7 @@
 				LeaseEnds: now.Add(4 * time.Second),
 				Epoch:     1,
 				Number:    1,
-				Roles:     []Role{{Key: lease.PartsKey, Holder: "courier-1", FencingToken: 1}},
+				Roles:     []Role{{Key: lease.ServerRolesKey, Holder: "courier-1", FencingToken: 1}},
 			})
 			for position, server := range servers {
 				role := []auction.ServerRole{auction.Prefill, auction.Decode}[position/2%2]
@@ -97,6 +98,7 @@
 				}})
 			}
 		}
+		// Half of the answers are for one of the latest dispatches, so that many of them have an effect.
 		id := fmt.Sprint("inquiry-", random.IntN(number+1))
 		if len(dispatched) > 0 && random.IntN(2) == 0 {
 			id = dispatched[len(dispatched)-1-random.IntN(min(8, len(dispatched)))]
@@ -133,18 +135,18 @@
 		auction.SubmitOrders,
 	} {
 		if seen[kind] == 0 {
-			t.Errorf("the stream brought about no %s", kind)
+			t.Errorf("the events led to no decision of kind %s", kind)
 		}
 	}
 }
 
-// TestNewRoleSendsTheServerItsFencingToken wants one command for each new fencing token,
-// even when the server has its role already, and none without the lease.
-func TestNewRoleSendsTheServerItsFencingToken(t *testing.T) {
+// TestNewHolderSendsItsFencingToken checks that a server gets exactly one command for each new fencing
+// token, even if it already has the ordered role, and none after the lease has expired.
+func TestNewHolderSendsItsFencingToken(t *testing.T) {
 	core := New(Options{Router: "courier-1", Zone: "north", Supported: Supported(nil)})
 	now := time.Unix(3_000_000, 0)
 	core.Apply(Event{Kind: auction.ServersListed, At: now, Servers: []Server{{Name: "s", Address: "s", Zone: "north"}}})
-	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "decode"}}})
+	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Role: "decode"}}})
 	commands := func(fencingToken uint64) int {
 		count := 0
 		for range 30 {
@@ -168,11 +170,11 @@
 		return count
 	}
 	if first, second := commands(4), commands(9); first != 1 || second != 1 {
-		t.Errorf("%d commands under the first fencing token, %d under the second", first, second)
+		t.Errorf("commands under the two fencing tokens: got %d and %d, want one each", first, second)
 	}
-	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Part: "prefill"}}})
+	core.Apply(Event{Kind: auction.OrdersRead, At: now, Orders: map[string]Order{"s": {Server: "s", Role: "prefill"}}})
 	now = now.Add(5 * time.Second)
 	if late := commands(0); late != 0 {
-		t.Errorf("%d commands after the lease ran out", late)
+		t.Errorf("commands after the lease expired: got %d, want none", late)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom"
 )
 
-// A request goes to the cheapest pair of servers; the core says what to send where.
+// The core dispatches a request to the cheapest pair of a prefill and a decode server.
 func ExampleCore_Apply() {
 	core := seamloom.New(seamloom.Options{
 		Router:    "courier-1",
@@ -54,5 +54,5 @@
 		`{"services":{},"routes":{"all":{"match":{"service":"chat"},"to":{}}}}`)))
 	// Output:
 	// <nil>
-	// contradictory at /routes/all/match/service: no service chat
+	// contradictory at /routes/all/match/service: there is no service chat
 }
--- a/examples/embedded/main.go
+++ b/examples/embedded/main.go
@@ -1,6 +1,6 @@
-// Command embedded shows how a routing program embeds seamloom: it feeds the core the
-// events of one request, then those of one opaque call, and prints each decision as a JSON
-// line. A real program would carry the decisions out and feed back what came of them.
+// Command embedded shows how a routing program embeds seamloom. It feeds one core the events of
+// a request and another core the events of an opaque call, and prints each decision as a line of
+// JSON. A real program would carry out the decisions and report their results as events.
 package main
 
 import (
@@ -22,10 +22,10 @@
 	}
 }
 
-// start is the time of the examples; the core reads no clock.
+// start is the time at which the examples begin. The core reads no clock: events carry their times.
 var start = time.Date(2026, 1, 2, 18, 0, 0, 0, time.UTC)
 
-// feed applies events to a new core, one each interval, and prints the decisions.
+// feed applies the events to a new core, one per step of time, and prints the decisions.
 func feed(output io.Writer, events []seamloom.Event, step time.Duration) error {
 	core := seamloom.New(seamloom.Options{
 		Router:    "courier-1",
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -7,13 +7,13 @@
 	"seamloom.example/seamloom"
 )
 
-// FuzzApply feeds a core events that may be anything that JSON can express, and wants no
-// panic.
+// FuzzApply decodes arbitrary JSON into events and feeds them to a core, which must not panic.
 func FuzzApply(fuzzing *testing.F) {
 	for _, event := range []string{
 		`{"event":"ticked","at":"2026-01-01T00:00:00Z"}`,
 		`{"event":"servers_listed","servers":[{"name":"a","address":"a"},{"name":"a"}]}`,
-		`{"event":"load_reported","at":"2026-01-01T00:00:00Z","load":{"server":"a","part":"prefill","prefill_rate":-1,"prefill_room":-5,"decode_slots":-2}}`,
+		`{"event":"load_reported","at":"2026-01-01T00:00:00Z",` +
+			`"load":{"server":"a","part":"prefill","prefill_rate":-1,"prefill_room":-5,"decode_slots":-2}}`,
 		`{"event":"menu_received","menu":"e30="}`,
 		`{"event":"inquiry_arrived","inquiry":{"id":"one","service":"chat","prompt_tokens":-9,"pieces":-3}}`,
 		`{"event":"piece_received","id":"one","run":-1,"piece":0}`,
--- a/internal/adapters/controller/earlierdata.go
+++ b/internal/adapters/controller/earlierdata.go
@@ -10,20 +10,21 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// The folders of a controller's data folder, by the names of the first release.
+// The subfolders of a controller's data folder. The first release chose these names; they are kept so that the
+// data of earlier releases is found.
 const (
 	witnessFolder = "keeper"
 	replicaFolder = "larder"
 )
 
-// readOnlyStorage is a folder that is looked at and not changed. One that is not there, or that the
-// process may not see, is empty.
+// readOnlyStorage implements replication.Storage for a folder that must not be changed. A folder that does
+// not exist, or that the process has no permission to read, is treated as empty.
 type readOnlyStorage struct {
 	disk storage.Disk
 	path string
 }
 
-// Load reads the files, if there are any.
+// Load reads the files of the folder.
 func (r readOnlyStorage) Load() (map[string][]byte, []string, error) {
 	_, err := r.disk.List(r.path)
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, fs.ErrPermission) {
@@ -32,31 +33,33 @@
 	return storage.ReadFiles(r.disk, r.path)
 }
 
-// Save fails with Contradictory.
+// Save always fails, with the code Contradictory.
 func (r readOnlyStorage) Save(name string, _ []byte) error {
-	return failure.At(failure.Contradictory, filepath.Join(r.path, name), "this folder is only read")
+	return failure.At(failure.Contradictory, filepath.Join(r.path, name), "the folder is read-only")
 }
 
-// Remove fails with Contradictory.
+// Remove always fails, with the code Contradictory.
 func (r readOnlyStorage) Remove([]string) error {
-	return failure.At(failure.Contradictory, r.path, "this folder is only read")
+	return failure.At(failure.Contradictory, r.path, "the folder is read-only")
 }
 
+// readStoredData describes the data in a controller's data folder without changing it.
 func readStoredData(disk storage.Disk, folder string) (replication.StoredData, error) {
 	return replication.ReadStoredData(folder,
 		readOnlyStorage{disk: disk, path: filepath.Join(folder, witnessFolder)},
 		readOnlyStorage{disk: disk, path: filepath.Join(folder, replicaFolder)})
 }
 
-// adoptEarlierData moves the data of an earlier release, which named its data folder otherwise, into
-// the own folder, if the own folder holds nothing. It returns the folder that the data came from,
-// empty if there was nothing to move. Codes: Contradictory, where nothing was moved because two
-// folders hold data; Disk.
+// adoptEarlierData moves the data of an earlier release, whose data folder had another name, into the
+// controller's dataFolder if dataFolder contains no data. It returns the folder from which data was moved,
+// or the empty string if there was nothing to move. It fails with Contradictory, and moves nothing, if two
+// folders contain data; other errors have the code Disk.
 //
-// The copy moves first and the witness after it, each by one rename that is synced before the next:
-// a controller that stops in between finds the witness still in the earlier folder, and goes on.
-func adoptEarlierData(disk storage.Disk, own string, earlier []string) (string, error) {
-	present, err := readStoredData(disk, own)
+// The replica is moved first and the witness second, each with one rename that is synced before the next. A
+// controller that stops between the two renames finds the witness still in the earlier folder when it starts
+// again, and completes the move.
+func adoptEarlierData(disk storage.Disk, dataFolder string, earlier []string) (string, error) {
+	ownData, err := readStoredData(disk, dataFolder)
 	if err != nil {
 		return "", err
 	}
@@ -68,39 +71,41 @@
 		}
 		candidates = append(candidates, data)
 	}
-	if moveWasInterrupted(present, candidates) {
-		present.Files = false
+	if moveWasInterrupted(ownData, candidates) {
+		ownData.Files = false
 	}
-	chosen, found, err := replication.ChooseEarlierData(present, candidates)
+	source, found, err := replication.ChooseEarlierData(ownData, candidates)
 	if err != nil || !found {
 		return "", err
 	}
-	if chosen.Files {
-		if err := moveFolder(disk, chosen.Folder, own, replicaFolder); err != nil {
+	if source.Files {
+		if err := moveFolder(disk, source.Folder, dataFolder, replicaFolder); err != nil {
 			return "", err
 		}
 	}
-	return chosen.Folder, moveFolder(disk, chosen.Folder, own, witnessFolder)
+	return source.Folder, moveFolder(disk, source.Folder, dataFolder, witnessFolder)
 }
 
-// moveWasInterrupted reports whether the own folder has only the copy of one earlier folder that has
-// only the witness: the controller stopped between the two renames.
+// moveWasInterrupted reports whether an earlier move stopped between its two renames: the controller's data
+// folder (own) contains only a replica, exactly one earlier folder contains a witness without a replica, and
+// the other earlier folders contain no data.
 func moveWasInterrupted(own replication.StoredData, earlier []replication.StoredData) bool {
-	left := 0
+	witnessOnly := 0
 	for _, data := range earlier {
 		if data.Epoch > 0 && !data.Files {
-			left++
+			witnessOnly++
 		} else if data.Joined() {
 			return false
 		}
 	}
-	return left == 1 && own.Files && own.Epoch == 0 && !own.Damaged
+	return witnessOnly == 1 && own.Files && own.Epoch == 0 && !own.Damaged
 }
 
-// moveFolder renames a folder of the earlier data folder to its place in the own one, and syncs both.
-// What is in its place is an identity that joined no core, or nothing.
-func moveFolder(disk storage.Disk, from, own, name string) error {
-	target := filepath.Join(own, name)
+// moveFolder moves the subfolder with this name from the earlier data folder from to dataFolder, and syncs both. It
+// first removes the subfolder of that name in dataFolder, which is empty or contains only the identity of a
+// witness that has never joined a core.
+func moveFolder(disk storage.Disk, from, dataFolder, name string) error {
+	target := filepath.Join(dataFolder, name)
 	if err := disk.MakeDirectory(target); err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
@@ -119,7 +124,7 @@
 	if err := disk.Rename(filepath.Join(from, name), target); err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
-	if err := disk.SyncDirectory(own); err != nil {
+	if err := disk.SyncDirectory(dataFolder); err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
 	return failure.Wrap(failure.Disk, disk.SyncDirectory(from))
--- a/internal/adapters/controller/earlierdata_test.go
+++ b/internal/adapters/controller/earlierdata_test.go
@@ -12,20 +12,23 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// goldenDisk is a controller's disk as release facc4d7 left it.
+// goldenDisk is a controller's data folder as release facc4d7 wrote it.
 const goldenDisk = "../../replication/testdata/facc4d7/disk-2"
 
-var errStopped = errors.New("the machine stopped")
+var errStopped = errors.New("the machine has stopped")
 
-// stoppingDisk fails every call after a number of renames, removals and syncs.
+// stoppingDisk simulates a machine that stops: after a number of renames, removals and directory syncs, all
+// further calls of these kinds fail.
 type stoppingDisk struct {
 	storage.OSDisk
-	left int
+	// remaining is the number of renames, removals and directory syncs that still succeed.
+	remaining int
 }
 
+// step counts a call, and fails if no more calls are allowed.
 func (s *stoppingDisk) step() error {
-	s.left--
-	if s.left < 0 {
+	s.remaining--
+	if s.remaining < 0 {
 		return errStopped
 	}
 	return nil
@@ -52,20 +55,22 @@
 	return s.OSDisk.Remove(path)
 }
 
-// earlierFolders makes an own folder and that of an earlier release, which has a golden disk.
-func earlierFolders(t *testing.T) (own, earlier string) {
+// earlierFolders creates an empty data folder of the current release, and one of an earlier release that contains
+// a copy of goldenDisk.
+func earlierFolders(t *testing.T) (dataFolder, earlier string) {
 	t.Helper()
 	root := t.TempDir()
-	own, earlier = filepath.Join(root, "controller"), filepath.Join(root, "expediter")
+	dataFolder, earlier = filepath.Join(root, "controller"), filepath.Join(root, "expediter")
 	if err := os.CopyFS(earlier, os.DirFS(goldenDisk)); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(own, 0o755); err != nil {
+	if err := os.Mkdir(dataFolder, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	return own, earlier
+	return dataFolder, earlier
 }
 
+// openWitness opens the witness in a data folder, and reports whether it is blank.
 func openWitness(t *testing.T, folder string) (*replication.Witness, bool) {
 	t.Helper()
 	directory, err := storage.OpenDirectory(storage.OSDisk{}, filepath.Join(folder, witnessFolder))
@@ -79,57 +84,59 @@
 	return witness, blank
 }
 
-// TestEarlierDataIsMovedThoughTheMoveIsInterrupted stops the machine after each step of the
-// move and starts it again: the identity is used from one folder, with its copy, whatever the step.
-func TestEarlierDataIsMovedThoughTheMoveIsInterrupted(t *testing.T) {
-	for steps := range 12 {
-		own, earlier := earlierFolders(t)
-		before, err := readStoredData(storage.OSDisk{}, earlier)
+// TestInterruptedMoveIsCompleted stops the machine after each step of the move and starts it again. The witness's
+// identity and the replica's files must then be in the controller's data folder, and no longer in the earlier one.
+func TestInterruptedMoveIsCompleted(t *testing.T) {
+	for calls := range 12 {
+		dataFolder, earlier := earlierFolders(t)
+		original, err := readStoredData(storage.OSDisk{}, earlier)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// A start on the empty folder, as by a release that knew of no earlier one.
-		openWitness(t, own)
-		_, err = adoptEarlierData(&stoppingDisk{left: steps}, own, []string{earlier})
+		// The controller has started on the empty folder before, with a release that did not move data.
+		openWitness(t, dataFolder)
+		_, err = adoptEarlierData(&stoppingDisk{remaining: calls}, dataFolder, []string{earlier})
 		if err != nil && failure.CodeOf(err) != failure.Disk {
 			t.Fatal(err)
 		}
-		if _, err := adoptEarlierData(storage.OSDisk{}, own, []string{earlier}); err != nil {
-			t.Fatalf("after %d steps: %v", steps, err)
+		if _, err := adoptEarlierData(storage.OSDisk{}, dataFolder, []string{earlier}); err != nil {
+			t.Fatalf("restart after %d steps: got error %v, want none", calls, err)
 		}
-		after, err := readStoredData(storage.OSDisk{}, own)
-		if err != nil || after.Identity != before.Identity || after.Epoch != before.Epoch || !after.Files {
-			t.Fatalf("after %d steps: %+v, %v", steps, after, err)
+		moved, err := readStoredData(storage.OSDisk{}, dataFolder)
+		if err != nil || moved.Identity != original.Identity || moved.Epoch != original.Epoch || !moved.Files {
+			t.Fatalf("restart after %d steps: the data folder contains %+v, error %v, want %+v", calls, moved, err, original)
 		}
-		if left, err := readStoredData(storage.OSDisk{}, earlier); err != nil || left.Joined() {
-			t.Fatalf("after %d steps the earlier folder still holds %+v, %v", steps, left, err)
+		if rest, err := readStoredData(storage.OSDisk{}, earlier); err != nil || rest.Joined() {
+			t.Fatalf("restart after %d steps: the earlier folder contains %+v, error %v, want no data", calls, rest, err)
 		}
-		if witness, blank := openWitness(t, own); blank || witness.Replica().Identity != before.Identity {
-			t.Fatalf("after %d steps the witness is %+v, blank %t", steps, witness.Replica(), blank)
+		if witness, blank := openWitness(t, dataFolder); blank || witness.Replica().Identity != original.Identity {
+			t.Fatalf("restart after %d steps: got witness %+v, blank %t, want identity %s", calls, witness.Replica(), blank, original.Identity)
 		}
 	}
 }
 
-// TestTwoFoldersWithDataAreLeftAsTheyAre: nobody can tell from the disks which is the newer one.
-func TestTwoFoldersWithDataAreLeftAsTheyAre(t *testing.T) {
-	own, earlier := earlierFolders(t)
-	if err := os.CopyFS(own, os.DirFS(filepath.Join(filepath.Dir(goldenDisk), "disk-3"))); err != nil {
+// TestDataInTwoFoldersIsNotMoved checks that nothing is moved if both folders contain data, because the disks do
+// not show which data is newer.
+func TestDataInTwoFoldersIsNotMoved(t *testing.T) {
+	dataFolder, earlier := earlierFolders(t)
+	if err := os.CopyFS(dataFolder, os.DirFS(filepath.Join(filepath.Dir(goldenDisk), "disk-3"))); err != nil {
 		t.Fatal(err)
 	}
-	before, _ := openWitness(t, own)
-	from, err := adoptEarlierData(storage.OSDisk{}, own, []string{earlier})
+	before, _ := openWitness(t, dataFolder)
+	from, err := adoptEarlierData(storage.OSDisk{}, dataFolder, []string{earlier})
 	if from != "" || failure.CodeOf(err) != failure.Contradictory {
-		t.Errorf("adopted %q, %v", from, err)
+		t.Errorf("got data from %q, error %v, want none and code %s", from, err, failure.Contradictory)
 	}
-	if after, _ := openWitness(t, own); after.Replica().Identity != before.Replica().Identity {
-		t.Errorf("the own identity became %s", after.Replica().Identity)
+	if after, _ := openWitness(t, dataFolder); after.Replica().Identity != before.Replica().Identity {
+		t.Errorf("got identity %s in the data folder, want %s", after.Replica().Identity, before.Replica().Identity)
 	}
 }
 
-func TestNothingIsAdoptedWhereThereIsNothing(t *testing.T) {
-	own := t.TempDir()
-	from, err := adoptEarlierData(storage.OSDisk{}, own, []string{filepath.Join(own, "..", "expediter")})
+// TestMissingEarlierFolderIsIgnored checks a new controller, which has no data in any folder.
+func TestMissingEarlierFolderIsIgnored(t *testing.T) {
+	dataFolder := t.TempDir()
+	from, err := adoptEarlierData(storage.OSDisk{}, dataFolder, []string{filepath.Join(dataFolder, "..", "expediter")})
 	if from != "" || err != nil {
-		t.Errorf("adopted %q, %v", from, err)
+		t.Errorf("got data from %q, error %v, want none", from, err)
 	}
 }
--- a/internal/adapters/controller/flags.go
+++ b/internal/adapters/controller/flags.go
@@ -10,48 +10,52 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-func (p *Process) flagStatuses(current *controlplane.Term, state *replication.State) []flagStatus {
+// flagStatuses returns the status of every feature flag that this build knows, given the primary's current term and
+// state.
+func (p *Process) flagStatuses(term *controlplane.Term, state *replication.State) []flagStatus {
 	now := p.clock.Now()
-	live := current.Grants.Live(now)
-	settling := p.controller.MembersUnstable(current)
-	var answers []flagStatus
+	liveLeases := term.RouterLeases.Live(now)
+	unstable := p.controller.MembersUnstable(term)
+	var statuses []flagStatus
 	for _, description := range features.Descriptions() {
-		answer := flagStatus{Description: description, Enabled: state.Flags.Enabled.Has(description.Name), Lacking: state.Lacking(description.Name)}
-		for _, name := range answer.Lacking {
-			if _, running := live[name]; !running && state.Members[name].Kind == membership.Router {
-				answer.Stopped = append(answer.Stopped, name)
+		status := flagStatus{
+			Description: description, Enabled: state.Flags.Enabled.Has(description.Name), MembersWithout: state.MembersWithout(description.Name)}
+		for _, name := range status.MembersWithout {
+			if _, running := liveLeases[name]; !running && state.Members[name].Kind == membership.Router {
+				status.Stopped = append(status.Stopped, name)
 			}
 		}
 		switch {
-		case answer.Enabled:
-			answer.Why = "enabled: nodes write the new format; it is never disabled"
-		case len(answer.Lacking) > 0:
-			answer.Why = "not enabled: the members in \"lacking\" do not support it; upgrade them, or retire those that will not come back"
-		case settling:
-			answer.Settling = true
-			answer.Why = "not enabled yet: the members changed a moment ago"
+		case status.Enabled:
+			status.Reason = "enabled: nodes write the new format; it is never disabled"
+		case len(status.MembersWithout) > 0:
+			status.Reason = "not enabled: the members in \"lacking\" do not support it; upgrade them, or retire those that will not come back"
+		case unstable:
+			status.Unstable = true
+			status.Reason = "not enabled yet: the members changed a moment ago"
 		default:
-			answer.Why = "not enabled yet: the primary does so at its next round"
+			status.Reason = "not enabled yet: the primary does so at its next round"
 		}
-		answers = append(answers, answer)
+		statuses = append(statuses, status)
 	}
-	return answers
+	return statuses
 }
 
+// getFlags responds with the status of all flags, or of the flag that the query names.
 func (p *Process) getFlags(writer http.ResponseWriter, inbound *http.Request) {
-	current, _, state, readable := p.readable(writer)
-	if !readable {
+	term, _, state, ok := p.readState(writer)
+	if !ok {
 		return
 	}
-	answers := p.flagStatuses(current, state)
+	statuses := p.flagStatuses(term, state)
 	name := inbound.URL.Query().Get("name")
 	if name == "" {
-		writeJSON(writer, http.StatusOK, map[string]any{"flags": answers})
+		writeJSON(writer, http.StatusOK, map[string]any{"flags": statuses})
 		return
 	}
-	for _, answer := range answers {
-		if string(answer.Name) == name {
-			writeJSON(writer, http.StatusOK, answer)
+	for _, status := range statuses {
+		if string(status.Name) == name {
+			writeJSON(writer, http.StatusOK, status)
 			return
 		}
 	}
--- a/internal/adapters/controller/fleet.go
+++ b/internal/adapters/controller/fleet.go
@@ -8,14 +8,14 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Edit changes the configuration if this controller is primary, and returns once the
-// change is in force.
+// Edit changes the configuration if this controller is primary. It returns the version of the
+// change once the change is in force.
 func (p *Process) Edit(edit controlplane.Edit) (replication.Version, error) {
 	return p.controller.Edit(edit)
 }
 
-// Configuration is the newest configuration that was acknowledged, if this controller
-// is primary.
+// Configuration returns the newest committed configuration if this controller is primary, and
+// an error otherwise.
 func (p *Process) Configuration() ([]byte, error) {
 	_, _, state, err := p.controller.Read()
 	if err != nil {
@@ -24,9 +24,10 @@
 	return state.Configuration, nil
 }
 
-// Leads tells whether this controller is primary at this moment, and else the hotline
-// address of the one that is, as far as it has heard; empty if it has heard of none.
-func (p *Process) Leads() (leads bool, elsewhere string) {
+// IsPrimary reports whether this controller is currently primary. If it is not, IsPrimary also returns the
+// address at which other nodes reach the primary. The address is empty if this controller does not know the
+// primary, or if the newest membership that it knows still names this controller as primary.
+func (p *Process) IsPrimary() (isPrimary bool, primary string) {
 	if _, _, err := p.controller.Leading(); err == nil {
 		return true, ""
 	}
@@ -37,7 +38,7 @@
 	return false, address
 }
 
-// Answer listens on a further address for as long as the process lives.
-func (p *Process) Answer(address string, handler http.Handler) error {
+// Serve serves the handler on an additional address until the process ends.
+func (p *Process) Serve(address string, handler http.Handler) error {
 	return daemon.Serve(&p.tomb, address, handler, p.clock.Now)
 }
--- a/internal/adapters/controller/forwarding.go
+++ b/internal/adapters/controller/forwarding.go
@@ -18,14 +18,17 @@
 )
 
 const (
-	forwardTimeout  = 10 * time.Second
+	forwardTimeout = 10 * time.Second
+	// forwardedHeader marks a request that another controller has forwarded.
 	forwardedHeader = "Seamloom-Forwarded"
-	// connectionAgeHeader is how long before it was forwarded the operator's call was sent at the
-	// most, in milliseconds (daemon.Connection).
+	// connectionAgeHeader contains the maximum time, in milliseconds, between the sending of an
+	// operator's request and its forwarding (see SentAfter of daemon.Connection).
 	connectionAgeHeader = "Seamloom-Connection-Age"
 )
 
-// connectionOf is the operator's connection, which may have been made to another controller.
+// connectionOf returns the operator's connection. For a request that another controller forwarded, this is the
+// operator's connection to that controller. Only its SentAfter is known then, from connectionAgeHeader; without
+// a valid header, connectionOf returns the zero value.
 func (p *Process) connectionOf(inbound *http.Request) controlplane.Connection {
 	if inbound.Header.Get(forwardedHeader) == "" {
 		return controlplane.Connection(daemon.ConnectionOf(inbound.Context()))
@@ -37,22 +40,26 @@
 	return controlplane.Connection{SentAfter: p.clock.Now().Add(-time.Duration(age) * time.Millisecond)}
 }
 
-// onPrimary carries the call out here, or passes it to the primary once.
-func (p *Process) onPrimary(answer http.HandlerFunc) http.HandlerFunc {
+// onPrimary returns a handler that calls the given one if this controller is primary. Otherwise it forwards the
+// request to the primary, unless another controller has already forwarded it.
+func (p *Process) onPrimary(handler http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
 		if _, _, err := p.controller.Leading(); err == nil {
-			answer(writer, inbound)
+			handler(writer, inbound)
 			return
 		}
 		address := p.controller.Coordinator().Membership().Primary.Address
 		if inbound.Header.Get(forwardedHeader) != "" || address == "" || address == p.controller.Witness().Replica().Address {
-			writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "no expediter is primary at this moment; ask again"})
+			writeJSON(writer, http.StatusServiceUnavailable, changeResponse{
+				Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "no controller is currently primary; retry later"})
 			return
 		}
 		p.forward(writer, inbound, address)
 	}
 }
 
+// forward forwards a request to the primary and copies the primary's response. A change without an id or a base
+// revision gets an id, so that its outcome can be queried if the response is lost.
 func (p *Process) forward(writer http.ResponseWriter, inbound *http.Request, address string) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MaxBytes+1))
 	if err != nil {
@@ -60,14 +67,15 @@
 		return
 	}
 	query := inbound.URL.Query()
-	reads := inbound.Method == http.MethodGet
-	if !reads && query.Get("change") == "" && query.Get("builds_on") == "" {
+	isRead := inbound.Method == http.MethodGet
+	if !isRead && query.Get("change") == "" && query.Get("builds_on") == "" {
 		query.Set("change", uuid.NewString())
 	}
 	location := *inbound.URL
 	location.Scheme, location.Host, location.RawQuery = "http", address, query.Encode()
 	var written atomic.Bool
-	ctx := httptrace.WithClientTrace(inbound.Context(), &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { written.Store(true) }})
+	ctx := httptrace.WithClientTrace(inbound.Context(),
+		&httptrace.ClientTrace{WroteHeaderField: func(string, []string) { written.Store(true) }})
 	outbound, err := http.NewRequestWithContext(ctx, inbound.Method, location.String(), bytes.NewReader(body))
 	if err != nil {
 		writeJSON(writer, http.StatusBadRequest, changeResponse{Outcome: "not_accepted", Type: failure.Malformed, Detail: err.Error()})
@@ -81,8 +89,9 @@
 	}
 	response, err := p.forwardClient.Do(outbound)
 	if err != nil {
-		if reads || !written.Load() {
-			writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "the primary can't be reached; ask again"})
+		if isRead || !written.Load() {
+			writeJSON(writer, http.StatusServiceUnavailable, changeResponse{
+				Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "the primary cannot be reached; retry later"})
 			return
 		}
 		writeUnknown(writer, query.Get("change"))
@@ -91,8 +100,9 @@
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		if reads {
-			writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "the primary's answer broke off; ask again"})
+		if isRead {
+			writeJSON(writer, http.StatusServiceUnavailable, changeResponse{
+				Outcome: "not_accepted", Type: failure.NoPrimary, Detail: "the response of the primary is incomplete; retry later"})
 			return
 		}
 		writeUnknown(writer, query.Get("change"))
@@ -103,7 +113,8 @@
 	_, _ = writer.Write(content)
 }
 
+// writeUnknown responds that the outcome of a change is unknown, and with which request it can be queried.
 func writeUnknown(writer http.ResponseWriter, change string) {
-	writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "unknown", Type: failure.Unknown, Change: change,
-		Detail: "it can't be known yet whether the change was accepted", How: "GET /v1/changes/" + change})
+	writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "unknown", Type: failure.OutcomeUnknown, Change: change,
+		Detail: "it is not known yet whether the change was accepted", StatusRequest: "GET /v1/changes/" + change})
 }
--- a/internal/adapters/controller/metrics_test.go
+++ b/internal/adapters/controller/metrics_test.go
@@ -27,13 +27,13 @@
 	return listener.Addr().String()
 }
 
-// startBlank starts a controller on an empty disk, which finds no other.
+// startBlank starts a controller that has an empty data folder and knows no other controller.
 func startBlank(t *testing.T) *Process {
 	t.Helper()
-	chosen := settings.Defaults(membership.Controller)
-	chosen.Name, chosen.Address, chosen.DataFolder = "controller-1", freeAddress(t), t.TempDir()
-	chosen.Seeds, chosen.Platform = []string{chosen.Address}, freeAddress(t)
-	process, err := Start(chosen, log.New(io.Discard), storage.OSDisk{}, osruntime.NewClock(), Ports{})
+	nodeSettings := settings.Defaults(membership.Controller)
+	nodeSettings.Name, nodeSettings.Address, nodeSettings.DataFolder = "controller-1", freeAddress(t), t.TempDir()
+	nodeSettings.Seeds, nodeSettings.Platform = []string{nodeSettings.Address}, freeAddress(t)
+	process, err := Start(nodeSettings, log.New(io.Discard), storage.OSDisk{}, osruntime.NewClock(), Ports{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 	return process
 }
 
-// TestMetricsOfEarlierReleasesAreThere wants every metric of release facc4d7 under its name.
-func TestMetricsOfEarlierReleasesAreThere(t *testing.T) {
+// TestMetricsOfEarlierReleasesExist checks that every metric of release facc4d7 still has its name.
+func TestMetricsOfEarlierReleasesExist(t *testing.T) {
 	process := startBlank(t)
 	response, err := http.Get("http://" + process.settings.Address + "/v1/metrics")
 	if err != nil {
@@ -63,7 +63,7 @@
 	for line := range strings.Lines(string(earlier)) {
 		name, _, _ := strings.Cut(line, " ")
 		if !strings.Contains("\n"+string(metrics), "\n"+name+" ") {
-			t.Errorf("%s is not among\n%s", name, metrics)
+			t.Errorf("the metric %s is missing from\n%s", name, metrics)
 		}
 	}
 }
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -23,6 +23,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
+// operatorRoutes adds the handlers for operators.
 func (p *Process) operatorRoutes(mux *goji.Mux) {
 	mux.HandleFunc(pat.Get("/v1/configuration"), p.onPrimary(p.getConfiguration))
 	mux.HandleFunc(pat.Put("/v1/configuration"), p.onPrimary(p.putConfiguration))
@@ -41,13 +42,14 @@
 	mux.HandleFunc(pat.Get("/v1/tenants"), p.getTenants)
 }
 
+// writeJSON responds with a status and the content as JSON.
 func writeJSON(writer http.ResponseWriter, status int, content any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(content)
 }
 
-// changeResponse is what operators read of a change.
+// changeResponse is the response to a change, and the error response to other requests.
 type changeResponse struct {
 	Outcome  string           `json:"outcome"`
 	Version  string           `json:"version,omitempty"`
@@ -55,22 +57,25 @@
 	Type     failure.Code     `json:"type,omitempty"`
 	Detail   string           `json:"detail,omitempty"`
 	Failures []*failure.Error `json:"failures,omitempty"`
-	How      string           `json:"how,omitempty"`
+	// StatusRequest is the request by which the outcome of the change can be queried.
+	StatusRequest string `json:"how,omitempty"`
 }
 
-// readable is the committed state for a read; without one the call is answered.
-func (p *Process) readable(writer http.ResponseWriter) (*controlplane.Term, *replication.View, *replication.State, bool) {
-	current, view, state, err := p.controller.Read()
+// readState returns the committed state. If the state cannot be read, for example because this controller is not
+// primary, readState responds with the error and returns false.
+func (p *Process) readState(writer http.ResponseWriter) (*controlplane.Term, *replication.View, *replication.State, bool) {
+	term, view, state, err := p.controller.Read()
 	if err != nil {
 		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failure.CodeOf(err), Detail: err.Error()})
 		return nil, nil, nil, false
 	}
-	return current, view, state, true
+	return term, view, state, true
 }
 
+// getConfiguration responds with the committed configuration and its version, which is also the ETag.
 func (p *Process) getConfiguration(writer http.ResponseWriter, _ *http.Request) {
-	_, view, state, readable := p.readable(writer)
-	if !readable {
+	_, view, state, ok := p.readState(writer)
+	if !ok {
 		return
 	}
 	version := view.VersionOf(replication.ConfigurationSection).String()
@@ -78,7 +83,8 @@
 	writeJSON(writer, http.StatusOK, map[string]any{"version": version, "configuration": json.RawMessage(state.Configuration)})
 }
 
-// expectedVersion reads the version that the operator changes from.
+// expectedVersion returns the version on which the operator's change is based, from the query parameter expected
+// or, if that is missing, from the If-Match header.
 func expectedVersion(inbound *http.Request) (*replication.Version, error) {
 	text := inbound.URL.Query().Get("expected")
 	if text == "" {
@@ -86,7 +92,7 @@
 	}
 	epoch, number, found := strings.Cut(text, ".")
 	if !found {
-		return nil, failure.At(failure.Missing, "expected", "the version that is changed is needed, such as expected=2.9")
+		return nil, failure.At(failure.Missing, "expected", "the request must name the version that it changes, such as expected=2.9")
 	}
 	var version replication.Version
 	var err error
@@ -94,39 +100,42 @@
 		version.Number, err = strconv.ParseUint(number, 10, 64)
 	}
 	if err != nil {
-		return nil, failure.At(failure.Malformed, "expected", "a version is two numbers, such as 2.9")
+		return nil, failure.At(failure.Malformed, "expected", "a version consists of two numbers, such as 2.9")
 	}
 	return &version, nil
 }
 
+// putConfiguration replaces the whole configuration.
 func (p *Process) putConfiguration(writer http.ResponseWriter, inbound *http.Request) {
 	p.edit(writer, inbound, func(_, body []byte) ([]byte, error) {
-		// fastjson writes the text anew, so that what is kept is compact.
+		// The text is parsed and written again, so that the stored text is compact.
 		value, err := fastjson.ParseBytes(body)
 		if err != nil {
-			return nil, &config.ValidationError{Errors: []*failure.Error{failure.At(failure.Malformed, "/", config.SyntaxDetail(body))}}
+			return nil, &config.ValidationError{Failures: []*failure.Error{failure.At(failure.Malformed, "/", config.SyntaxDetail(body))}}
 		}
 		return value.MarshalTo(nil), nil
 	})
 }
 
+// patchConfiguration merges the body into the configuration.
 func (p *Process) patchConfiguration(writer http.ResponseWriter, inbound *http.Request) {
 	p.edit(writer, inbound, func(text, body []byte) ([]byte, error) {
 		merged, err := config.Merge(text, body)
-		var found *failure.Error
-		if stderrors.As(err, &found) {
-			return nil, &config.ValidationError{Errors: []*failure.Error{found}}
+		var mergeError *failure.Error
+		if stderrors.As(err, &mergeError) {
+			return nil, &config.ValidationError{Failures: []*failure.Error{mergeError}}
 		}
 		return merged, err
 	})
 }
 
-// orderZone evacuates a zone or restores it. It may name the version that it was decided on; an order
-// without one is made on any, unless it comes late.
+// orderZone returns a handler that evacuates a zone or restores it. A request may name the version of the
+// configuration that must be in force. A request that names none applies to any version, but is refused if it
+// arrives late (see controlplane.ZoneOrder).
 func (p *Process) orderZone(evacuate bool) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
-		body, read := readBody(writer, inbound)
-		if !read {
+		body, ok := readBody(writer, inbound)
+		if !ok {
 			return
 		}
 		order := controlplane.ZoneOrder{
@@ -154,17 +163,19 @@
 	}
 }
 
-// readBody reads the body of a change; one that is too large is answered.
+// readBody returns the body of a change. If it is too large, readBody responds with the error and returns false.
 func readBody(writer http.ResponseWriter, inbound *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MaxBytes+1))
 	if err != nil {
-		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{Outcome: "not_accepted", Type: failure.Oversize, Failures: []*failure.Error{failure.At(failure.Oversize, "/", err.Error())}})
+		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{
+			Outcome: "not_accepted", Type: failure.Oversize,
+			Failures: []*failure.Error{failure.At(failure.Oversize, "/", err.Error())}})
 		return nil, false
 	}
 	return body, true
 }
 
-// respondEdit makes an edit and answers "accepted" only when it is in force everywhere.
+// respondEdit makes an edit, and responds with "accepted" once the edit is in force everywhere.
 func (p *Process) respondEdit(writer http.ResponseWriter, edit controlplane.Edit) {
 	version, err := p.controller.Edit(edit)
 	if err != nil {
@@ -174,23 +185,25 @@
 	writeJSON(writer, http.StatusOK, changeResponse{Outcome: "accepted", Version: version.String(), Change: edit.Change})
 }
 
-// edit changes the configuration from the version or the revision that the operator names.
-func (p *Process) edit(writer http.ResponseWriter, inbound *http.Request, edit func(text, body []byte) ([]byte, error)) {
-	body, read := readBody(writer, inbound)
-	if !read {
+// edit passes the body of the request to apply, which returns the new configuration, and makes the edit if the
+// configuration still has the version or the revision that the request names.
+func (p *Process) edit(writer http.ResponseWriter, inbound *http.Request, apply func(text, body []byte) ([]byte, error)) {
+	body, ok := readBody(writer, inbound)
+	if !ok {
 		return
 	}
 	var expected *replication.Version
-	var buildsOn *uint64
-	if on := inbound.URL.Query().Get("builds_on"); on != "" {
-		revision, err := strconv.ParseUint(on, 10, 64)
+	var baseRevision *uint64
+	if text := inbound.URL.Query().Get("builds_on"); text != "" {
+		revision, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			writeJSON(writer, http.StatusBadRequest, changeResponse{Outcome: "not_accepted", Type: failure.Malformed, Detail: "builds_on is the number of a revision, such as 5"})
+			writeJSON(writer, http.StatusBadRequest, changeResponse{
+				Outcome: "not_accepted", Type: failure.Malformed, Detail: "builds_on must be the number of a revision, such as 5"})
 			return
 		}
-		buildsOn = &revision
+		baseRevision = &revision
 	}
-	if buildsOn == nil {
+	if baseRevision == nil {
 		var err error
 		if expected, err = expectedVersion(inbound); err != nil {
 			writeJSON(writer, http.StatusBadRequest, changeResponse{Outcome: "not_accepted", Type: failure.CodeOf(err), Detail: err.Error()})
@@ -198,68 +211,84 @@
 		}
 	}
 	change := inbound.URL.Query().Get("change")
-	if change == "" && buildsOn == nil {
+	if change == "" && baseRevision == nil {
 		change = uuid.NewString()
 	}
 	p.respondEdit(writer, controlplane.Edit{
 		Change:       change,
 		Digest:       digestOf(inbound, body),
 		Expected:     expected,
-		BaseRevision: buildsOn,
-		Apply:        func(text []byte) ([]byte, error) { return edit(text, body) },
+		BaseRevision: baseRevision,
+		Apply:        func(text []byte) ([]byte, error) { return apply(text, body) },
 	})
 }
 
-// digestOf tells one change from another: by its method, place, expected version
-// and body.
+// digestOf returns a digest of a change's method, path, expected version or revision, and body. It distinguishes
+// a repeated change from another change with the same id.
 func digestOf(inbound *http.Request, body []byte) string {
 	digest := sha256.New()
-	if on := inbound.URL.Query().Get("builds_on"); on != "" {
-		_, _ = digest.Write([]byte("builds_on=" + on + "\x00"))
+	if revision := inbound.URL.Query().Get("builds_on"); revision != "" {
+		_, _ = digest.Write([]byte("builds_on=" + revision + "\x00"))
 	}
-	for _, part := range []string{inbound.Method, inbound.URL.Path, inbound.URL.Query().Get("expected"), inbound.Header.Get("If-Match"), string(body)} {
+	for _, part := range []string{
+		inbound.Method, inbound.URL.Path, inbound.URL.Query().Get("expected"), inbound.Header.Get("If-Match"), string(body),
+	} {
 		_, _ = digest.Write([]byte(part))
 		_, _ = digest.Write([]byte{0})
 	}
 	return hex.EncodeToString(digest.Sum(nil)[:16])
 }
 
+// writeEditError responds to an edit that was not accepted, or whose outcome is unknown.
 func (p *Process) writeEditError(writer http.ResponseWriter, change string, err error) {
-	var findings *config.ValidationError
-	if stderrors.As(err, &findings) {
-		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{Outcome: "not_accepted", Type: "refused", Change: change, Failures: findings.Errors})
+	var validation *config.ValidationError
+	if stderrors.As(err, &validation) {
+		writeJSON(writer, http.StatusUnprocessableEntity, changeResponse{
+			Outcome: "not_accepted", Type: "refused", Change: change, Failures: validation.Failures})
 		return
 	}
-	failed := &failure.Error{}
-	_ = stderrors.As(err, &failed)
-	switch failed.Code {
+	editError := &failure.Error{}
+	_ = stderrors.As(err, &editError)
+	switch editError.Code {
 	case failure.VersionConflict:
-		writeJSON(writer, http.StatusConflict, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Version: failed.Detail, Detail: "the configuration is at another version"})
+		writeJSON(writer, http.StatusConflict, changeResponse{
+			Outcome: "not_accepted", Type: editError.Code, Change: change,
+			Version: editError.Detail, Detail: "the configuration is at another version"})
 	case failure.RevisionConflict:
-		writeJSON(writer, http.StatusConflict, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Detail: "the configuration is at revision " + failed.Detail})
+		writeJSON(writer, http.StatusConflict, changeResponse{
+			Outcome: "not_accepted", Type: editError.Code, Change: change,
+			Detail: "the configuration is at revision " + editError.Detail})
 	case failure.Duplicate:
-		writeJSON(writer, http.StatusConflict, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Detail: failed.Detail})
+		writeJSON(writer, http.StatusConflict, changeResponse{
+			Outcome: "not_accepted", Type: editError.Code, Change: change, Detail: editError.Detail})
 	case failure.LateOrder:
+		// A client that still waits for the response sends the order again on a new connection, on which the
+		// order is not late.
 		writer.Header().Set("Connection", "close")
-		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Detail: failed.Detail})
+		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{
+			Outcome: "not_accepted", Type: editError.Code, Change: change, Detail: editError.Detail})
 	case failure.Busy, failure.NotSupported:
-		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failed.Code, Change: change, Detail: failed.Detail})
+		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{
+			Outcome: "not_accepted", Type: editError.Code, Change: change, Detail: editError.Detail})
 	case failure.NotPrimary, failure.NoPrimary:
-		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "not_accepted", Type: failure.NoPrimary, Change: change, Detail: err.Error()})
+		writeJSON(writer, http.StatusServiceUnavailable, changeResponse{
+			Outcome: "not_accepted", Type: failure.NoPrimary, Change: change, Detail: err.Error()})
 	default:
 		writeUnknown(writer, change)
 	}
 }
 
+// getChange responds with the outcome of a change.
 func (p *Process) getChange(writer http.ResponseWriter, inbound *http.Request) {
-	_, view, _, readable := p.readable(writer)
-	if !readable {
+	_, view, _, ok := p.readState(writer)
+	if !ok {
 		return
 	}
 	id := pat.Param(inbound, "id")
 	records, err := view.ChangeRecords()
 	if err != nil {
-		writeJSON(writer, http.StatusInternalServerError, changeResponse{Outcome: "not_accepted", Change: id, Type: failure.CodeOf(err), Detail: err.Error()})
+		writeJSON(writer, http.StatusInternalServerError, changeResponse{
+			Outcome: "not_accepted", Change: id, Type: failure.CodeOf(err), Detail: err.Error()})
 		return
 	}
 	if accepted, found := records.Find(id); found {
@@ -267,9 +296,10 @@
 		return
 	}
 	writeJSON(writer, http.StatusNotFound, changeResponse{Outcome: "not_accepted", Change: id, Type: failure.NoSuch,
-		Detail: "the change is not among those accepted in the last " + replication.ChangeRetention.String()})
+		Detail: "there is no such change among those accepted in the last " + replication.ChangeRetention.String()})
 }
 
+// retire removes a stopped member from the list of members. It refuses to remove a router whose lease is live.
 func (p *Process) retire(writer http.ResponseWriter, inbound *http.Request) {
 	name := pat.Param(inbound, "name")
 	version, err := p.controller.Retire(name)
@@ -288,17 +318,21 @@
 	writeJSON(writer, http.StatusOK, changeResponse{Outcome: "accepted", Version: version.String()})
 }
 
-// flagStatus is what operators read of a flag.
+// flagStatus is the status of a feature flag in responses to operators.
 type flagStatus struct {
 	features.Description
-	Enabled  bool     `json:"enabled"`
-	Lacking  []string `json:"lacking,omitempty"`
-	Stopped  []string `json:"lacking_and_stopped,omitempty"`
-	Why      string   `json:"why"`
-	Settling bool     `json:"settling,omitempty"`
+	Enabled bool `json:"enabled"`
+	// MembersWithout are the names of the members that do not support the flag.
+	MembersWithout []string `json:"lacking,omitempty"`
+	// Stopped are the routers in MembersWithout that are not running.
+	Stopped []string `json:"lacking_and_stopped,omitempty"`
+	// Reason is why the flag is or is not enabled.
+	Reason string `json:"why"`
+	// Unstable means that the flag is not enabled yet because the members have changed recently.
+	Unstable bool `json:"settling,omitempty"`
 }
 
-// memberStatus is what operators read of a member.
+// memberStatus is the status of a member in responses to operators.
 type memberStatus struct {
 	membership.Member
 	Running    bool `json:"running"`
--- a/internal/adapters/controller/process.go
+++ b/internal/adapters/controller/process.go
@@ -1,5 +1,6 @@
-// Package controller is the control plane's process: its conduct, and the
-// adapters to its disk, to other processes and to operators.
+// Package controller runs a controller, the process of the control plane. It connects the logic
+// of package controlplane to the disk, to other processes and to operators. On a machine without
+// a disk it runs a redirector instead.
 package controller
 
 import (
@@ -40,75 +41,84 @@
 	settings settings.Settings
 }
 
-// Ports are what a controller reaches a platform by. Those left out are the
-// product's own; without Reports no report is read for the routers.
+// Ports are the interfaces by which a controller is adapted to a platform. If Directory is nil, the controller
+// reads the lists of servers and nodes with seamloom's own protocol. If Reports is nil, a primary does not read
+// the servers' loads for the routers.
 type Ports struct {
 	Directory ports.Directory
-	Reports   ports.Reports
+	Reports   ports.LoadReporter
 }
 
-// Start opens the disk, listens and begins to work.
-func Start(chosen settings.Settings, logger *log.Logger, disk storage.Disk, clock *osruntime.Clock, reached Ports) (*Process, error) {
-	process := &Process{logger: logger, clock: clock, settings: chosen,
-		forwardClient: rpc.NewClient(rpc.Transport(chosen.Detours))}
+// Start starts a controller: it opens the stored data, listens on its address and runs the controller's loops.
+func Start(
+	nodeSettings settings.Settings,
+	logger *log.Logger,
+	disk storage.Disk,
+	clock *osruntime.Clock,
+	platformPorts Ports,
+) (*Process, error) {
+	process := &Process{logger: logger, clock: clock, settings: nodeSettings,
+		forwardClient: rpc.NewClient(rpc.Transport(nodeSettings.Detours))}
 	process.forwardClient.Timeout = forwardTimeout
 	process.ctx = process.tomb.Context(context.Background())
 	process.adoptEarlierData(disk)
-	witnessStorage, err := storage.OpenDirectory(disk, filepath.Join(chosen.DataFolder, witnessFolder))
+	witnessStorage, err := storage.OpenDirectory(disk, filepath.Join(nodeSettings.DataFolder, witnessFolder))
 	if err != nil {
 		return nil, err
 	}
-	replicaStorage, err := storage.OpenDirectory(disk, filepath.Join(chosen.DataFolder, replicaFolder))
+	replicaStorage, err := storage.OpenDirectory(disk, filepath.Join(nodeSettings.DataFolder, replicaFolder))
 	if err != nil {
 		return nil, err
 	}
-	if reached.Directory == nil {
-		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
+	if platformPorts.Directory == nil {
+		platformPorts.Directory = discovery.New(rpc.Transport(nodeSettings.Detours))
 	}
-	options := process.options(reached.Directory)
-	if reached.Reports != nil {
-		options.LoadReader = ports.LoadReader{Reports: reached.Reports, Context: process.ctx}
+	options := process.options(platformPorts.Directory)
+	if platformPorts.Reports != nil {
+		options.LoadReader = ports.LoadReader{Reports: platformPorts.Reports, Context: process.ctx}
 	}
-	client := rpc.Client{Caller: rpc.NewCaller(chosen.Detours), Context: process.ctx}
+	client := rpc.Client{Caller: rpc.NewCaller(nodeSettings.Detours), Context: process.ctx}
 	rt := osruntime.New(process.ctx, clock)
-	conduct, blank, err := controlplane.Open(rt, client, witnessStorage, replicaStorage, options, process.observe)
+	controlPlane, blank, err := controlplane.Open(rt, client, witnessStorage, replicaStorage, options, process.observe)
 	if err != nil {
 		return nil, err
 	}
-	process.controller = conduct
-	if err := daemon.Serve(&process.tomb, chosen.Address, process.mux(), clock.Now); err != nil {
+	process.controller = controlPlane
+	if err := daemon.Serve(&process.tomb, nodeSettings.Address, process.mux(), clock.Now); err != nil {
 		return nil, err
 	}
-	for _, round := range conduct.Loops() {
-		process.tomb.Go(func() error { round(); return nil })
+	for _, loop := range controlPlane.Loops() {
+		process.tomb.Go(func() error { loop(); return nil })
 	}
-	logger.Info("listening", "address", chosen.Address, "identity", string(conduct.Witness().Replica().Identity), "blank", blank)
+	logger.Info("listening", "address", nodeSettings.Address,
+		"identity", string(controlPlane.Witness().Replica().Identity), "blank", blank)
 	return process, nil
 }
 
-// options are the controller's, by the process's settings.
+// options returns the options of the control plane for the process's settings.
 func (p *Process) options(directory ports.Directory) controlplane.Options {
-	chosen := p.settings
+	nodeSettings := p.settings
 	return controlplane.Options{
-		Name:            chosen.Name,
-		Address:         chosen.Address,
-		Zone:            chosen.Zone,
-		Seeds:           chosen.Seeds,
-		Neighbours:      chosen.Neighbours,
-		Supported:       chosen.Supported(),
-		FlagStableTime:  time.Duration(chosen.FlagSettleMilliseconds) * time.Millisecond,
-		ToleratedLosses: chosen.ToleratedLosses,
-		CatchUp:         chosen.CatchUp,
-		JoinsOnly:       !chosen.Bootstrap,
-		Fresh:           replication.Identity(uuid.NewString()),
-		RetireAfter:     chosen.RetireAfter,
-		AcknowledgeWait: chosen.AcknowledgeWait,
-		Directory:       ports.FixedDirectory{Directory: directory, Context: p.ctx, Address: p.platform},
+		Name:            nodeSettings.Name,
+		Address:         nodeSettings.Address,
+		Zone:            nodeSettings.Zone,
+		Seeds:           nodeSettings.Seeds,
+		Neighbours:      nodeSettings.Neighbours,
+		Supported:       nodeSettings.Supported(),
+		FlagStableTime:  time.Duration(nodeSettings.FlagSettleMilliseconds) * time.Millisecond,
+		ToleratedLosses: nodeSettings.ToleratedLosses,
+		CatchUp:         nodeSettings.CatchUp,
+		JoinsOnly:       !nodeSettings.Bootstrap,
+		NewIdentity:     replication.Identity(uuid.NewString()),
+		RetireAfter:     nodeSettings.RetireAfter,
+		AcknowledgeWait: nodeSettings.AcknowledgeWait,
+		Directory:       ports.ProcessDirectory{Directory: directory, Context: p.ctx, Address: p.platformAddress},
 	}
 }
 
-// adoptEarlierData takes over the data of an earlier release and logs what came of it. A controller
-// whose disk does not let it starts on its own folder all the same: a blank one is taken in.
+// adoptEarlierData moves the data of an earlier release into the data folder and logs the result. After an
+// error the controller starts with its own data folder, even an empty one: a controller without data can join
+// the core.
 func (p *Process) adoptEarlierData(disk storage.Disk) {
 	from, err := adoptEarlierData(disk, p.settings.DataFolder, p.settings.EarlierDataFolders)
 	if err != nil {
@@ -118,33 +128,37 @@
 	}
 }
 
+// mux returns the handler for the requests of other processes and of operators.
 func (p *Process) mux() http.Handler {
 	mux := goji.NewMux()
-	for path, answer := range p.controller.Handlers() {
-		mux.Handle(pat.Post(path), rpc.Handler(answer))
+	for path, handler := range p.controller.Handlers() {
+		mux.Handle(pat.Post(path), rpc.Handler(handler))
 	}
 	p.operatorRoutes(mux)
 	return mux
 }
 
-// Controller is what the controller does, for who mounts further ways in.
+// Controller returns the control plane's controller, for handlers on additional addresses.
 func (p *Process) Controller() *controlplane.Controller { return p.controller }
 
-// platform is the address of the platform's lists.
-func (p *Process) platform() string {
+// platformAddress returns the address, in the current settings, of the platform that provides the lists of
+// servers and nodes.
+func (p *Process) platformAddress() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.settings.Platform
 }
 
+// observe logs an event of the control plane.
 func (p *Process) observe(event string, detail ...any) { p.logger.Info(event, detail...) }
 
-// stopMargin is kept of the grace for ending the process.
+// stopMargin is the part of the grace period that Stop reserves for terminating the process. Stop reserves at
+// most half of the grace period.
 const stopMargin = 1500 * time.Millisecond
 
-// Stop hands over the lead, the copy and the witness's seat, goes on as before until that
-// is done or the grace is nearly over, and ends the process. What was not answered yet has
-// no known outcome.
+// Stop transfers this controller's leadership, replica and membership as a witness to other controllers.
+// The process continues to serve until these transfers are done or the grace period is nearly over; Stop then
+// terminates it. The outcome of changes that have no response by then is unknown.
 func (p *Process) Stop() error {
 	p.mutex.Lock()
 	grace := p.settings.Grace
@@ -154,19 +168,19 @@
 	return p.tomb.Wait()
 }
 
-// Dead is closed when the process has ended by itself.
+// Dead returns a channel that is closed when the controller has ended, whether or not Stop was called.
 func (p *Process) Dead() <-chan struct{} { return p.tomb.Dead() }
 
-// Reload takes settings that may change while the process runs.
+// Reload applies the settings that can change while the process runs, and logs which other changes need a restart.
 func (p *Process) Reload(next settings.Settings) {
 	p.mutex.Lock()
-	stays := p.settings.Reload(next)
-	seeds, level, wait := p.settings.Seeds, p.settings.LogLevel, p.settings.AcknowledgeWait
+	needRestart := p.settings.Reload(next)
+	seeds, level, acknowledgeWait := p.settings.Seeds, p.settings.LogLevel, p.settings.AcknowledgeWait
 	p.mutex.Unlock()
 	p.controller.SetSeeds(seeds)
-	p.controller.SetAcknowledgeWait(wait)
+	p.controller.SetAcknowledgeWait(acknowledgeWait)
 	if parsed, err := log.ParseLevel(level); err == nil {
 		p.logger.SetLevel(parsed)
 	}
-	p.logger.Info("reloaded", "needs_restart", stays)
+	p.logger.Info("reloaded", "needs_restart", needRestart)
 }
--- a/internal/adapters/controller/redirector.go
+++ b/internal/adapters/controller/redirector.go
@@ -17,54 +17,55 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Redirector is the process that stands in for a controller on a machine without a disk:
-// it sends operators on to the primary.
+// Redirector is the process that runs instead of a controller on a machine without a disk. It
+// redirects operators to the primary.
 type Redirector struct {
 	tomb       tomb.Tomb
 	redirector *controlplane.Redirector
 }
 
-// StartRedirector makes a redirector.
-func StartRedirector(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock) *Redirector {
+// StartRedirector starts a redirector. To find the primary, it asks the seeds first.
+func StartRedirector(nodeSettings settings.Settings, logger *log.Logger, clock *osruntime.Clock) *Redirector {
 	redirector := &Redirector{}
 	ctx := redirector.tomb.Context(context.Background())
-	client := rpc.Client{Caller: rpc.NewCaller(chosen.Detours), Context: ctx}
-	redirector.redirector = controlplane.NewRedirector(osruntime.New(ctx, clock), client, chosen.Seeds)
+	client := rpc.Client{Caller: rpc.NewCaller(nodeSettings.Detours), Context: ctx}
+	redirector.redirector = controlplane.NewRedirector(osruntime.New(ctx, clock), client, nodeSettings.Seeds)
 	redirector.tomb.Go(func() error {
 		redirector.redirector.Run()
 		return nil
 	})
-	logger.Info("no_disk", "what", "operators are sent on to the primary; nothing is kept here")
+	logger.Info("no_disk", "what", "operators are redirected to the primary; this node stores no data")
 	return redirector
 }
 
-// Answer listens on an address for as long as the process lives.
-func (r *Redirector) Answer(address string, handler http.Handler) error {
+// Serve serves the handler on an address until the process ends.
+func (r *Redirector) Serve(address string, handler http.Handler) error {
 	return daemon.Serve(&r.tomb, address, handler, time.Now)
 }
 
-// Edit changes nothing here.
+// Edit always fails, with the code NoPrimary.
 func (r *Redirector) Edit(controlplane.Edit) (replication.Version, error) {
-	return replication.Version{}, failure.New(failure.NoPrimary, "nothing is kept here")
+	return replication.Version{}, failure.New(failure.NoPrimary, "this node stores no configuration")
 }
 
-// Configuration is not kept here.
+// Configuration always fails, with the code NoPrimary.
 func (r *Redirector) Configuration() ([]byte, error) {
-	return nil, failure.New(failure.NoPrimary, "nothing is kept here")
+	return nil, failure.New(failure.NoPrimary, "this node stores no configuration")
 }
 
-// Leads is never true; it gives the hotline address of the primary, if one is found.
-func (r *Redirector) Leads() (leads bool, elsewhere string) {
+// IsPrimary always returns false. It also returns the address at which other nodes reach the primary, or the
+// empty string if no primary is found.
+func (r *Redirector) IsPrimary() (isPrimary bool, primary string) {
 	return false, r.redirector.Leader()
 }
 
-// Reload takes the seeds.
+// Reload applies the seeds of the next settings.
 func (r *Redirector) Reload(next settings.Settings) { r.redirector.SetSeeds(next.Seeds) }
 
-// Dead is closed when the process has ended by itself.
+// Dead returns a channel that is closed when the redirector has ended, whether or not Stop was called.
 func (r *Redirector) Dead() <-chan struct{} { return r.tomb.Dead() }
 
-// Stop ends the process.
+// Stop terminates the process.
 func (r *Redirector) Stop() error {
 	r.tomb.Kill(nil)
 	return r.tomb.Wait()
--- a/internal/adapters/controller/status.go
+++ b/internal/adapters/controller/status.go
@@ -13,19 +13,20 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
+// getStatus responds with the state of the fleet as the primary knows it.
 func (p *Process) getStatus(writer http.ResponseWriter, _ *http.Request) {
-	current, view, state, readable := p.readable(writer)
-	if !readable {
+	term, view, state, ok := p.readState(writer)
+	if !ok {
 		return
 	}
 	now := p.clock.Now()
-	live := current.Grants.Live(now)
-	m := p.controller.Coordinator().Membership()
+	liveLeases := term.RouterLeases.Live(now)
+	core := p.controller.Coordinator().Membership()
 	members := map[string]memberStatus{}
 	for name, member := range state.Members {
-		_, running := live[name]
+		_, running := liveLeases[name]
 		if member.Kind == membership.Controller {
-			running = p.controller.Coordinator().Sees(member.Address)
+			running = p.controller.Coordinator().HeardRecently(member.Address)
 		}
 		members[name] = memberStatus{Member: member, Running: running, Restricted: member.Restricted(state.Flags.Enabled)}
 	}
@@ -37,23 +38,35 @@
 	}
 	batches, changes := p.controller.Store().CommitCounts()
 	servers := p.controller.Servers()
-	grants := map[string]int64{}
-	for name, age := range live {
-		grants[name] = age.Milliseconds()
+	leaseAges := map[string]int64{}
+	for name, age := range liveLeases {
+		leaseAges[name] = age.Milliseconds()
 	}
 	writeJSON(writer, http.StatusOK, map[string]any{
-		"holds_live_milliseconds": grants,
-		"servers":                 servers, "claims_horizon": p.horizon(view),
-		"primary": m.Primary, "backup": m.Backup, "further_backups": m.Further, "keepers": m.Witnesses, "incoming_keepers": m.Incoming,
-		"epoch": m.Epoch, "version": view.Version.String(), "configuration_version": view.VersionOf(replication.ConfigurationSection).String(),
-		"members": members, "flags": p.flagStatuses(current, state), "duties": state.Roles.Roles, "orders": orders,
-		"lagging":        current.Lagging(now, view.VersionOf(replication.ConfigurationSection), state),
-		"synced_batches": batches, "answered_changes": changes, "primary_since_milliseconds": now.Sub(current.Since).Milliseconds(),
+		"holds_live_milliseconds":    leaseAges,
+		"servers":                    servers,
+		"claims_horizon":             p.claimHorizon(view),
+		"primary":                    core.Primary,
+		"backup":                     core.Backup,
+		"further_backups":            core.FurtherBackups,
+		"keepers":                    core.Witnesses,
+		"incoming_keepers":           core.Incoming,
+		"epoch":                      core.Epoch,
+		"version":                    view.Version.String(),
+		"configuration_version":      view.VersionOf(replication.ConfigurationSection).String(),
+		"members":                    members,
+		"flags":                      p.flagStatuses(term, state),
+		"duties":                     state.Roles.Roles,
+		"orders":                     orders,
+		"lagging":                    term.Lagging(now, view.VersionOf(replication.ConfigurationSection), state),
+		"synced_batches":             batches,
+		"answered_changes":           changes,
+		"primary_since_milliseconds": now.Sub(term.Since).Milliseconds(),
 	})
 }
 
-// horizon is the age before which claims are forgotten.
-func (p *Process) horizon(view *replication.View) time.Time {
+// claimHorizon returns the time before which claims are no longer stored; zero if that time cannot be decoded.
+func (p *Process) claimHorizon(view *replication.View) time.Time {
 	state, err := replication.ReadState(map[string]replication.Section{replication.HorizonSection: view.Sections[replication.HorizonSection]})
 	if err != nil {
 		return time.Time{}
@@ -61,10 +74,11 @@
 	return state.Horizon
 }
 
+// getReady reports a controller as ready if it has applied a response of a primary within the last three seconds.
 func (p *Process) getReady(writer http.ResponseWriter, _ *http.Request) {
-	sinceHeard := p.clock.Now().Sub(p.controller.Heard())
+	sinceLastResponse := p.clock.Now().Sub(p.controller.LastUpdateAt())
 	status := http.StatusOK
-	if sinceHeard > 3*time.Second {
+	if sinceLastResponse > 3*time.Second {
 		status = http.StatusServiceUnavailable
 	}
 	coordinator := p.controller.Coordinator()
@@ -80,7 +94,8 @@
 	writeJSON(writer, status, content)
 }
 
-// tenantsStatus is what one witness knows of the limits of tenants, and who the witnesses are.
+// tenantsStatus is the response of one witness: the tenants' quotas as this witness has recorded them, and the
+// witnesses that it knows.
 type tenantsStatus struct {
 	Identity  replication.Identity  `json:"identity"`
 	Epoch     uint64                `json:"epoch"`
@@ -89,14 +104,17 @@
 	Tenants   []quota.Status        `json:"tenants"`
 }
 
-// getTenants answers with this controller's own ledger, whoever is primary.
+// getTenants responds with the quotas that this controller has recorded as a witness, whether or not it is
+// primary.
 func (p *Process) getTenants(writer http.ResponseWriter, _ *http.Request) {
 	witness := p.controller.Witness()
-	m := witness.AcceptedMembership()
-	writeJSON(writer, http.StatusOK, tenantsStatus{Identity: witness.Replica().Identity, Epoch: m.Epoch, Witnesses: m.Witnesses,
-		Incoming: m.Incoming, Tenants: p.controller.Quotas()})
+	accepted := witness.AcceptedMembership()
+	writeJSON(writer, http.StatusOK, tenantsStatus{
+		Identity: witness.Replica().Identity, Epoch: accepted.Epoch, Witnesses: accepted.Witnesses,
+		Incoming: accepted.Incoming, Tenants: p.controller.Quotas()})
 }
 
+// getMetrics writes the controller's metrics in the text format of Prometheus.
 func (p *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
 	batches, changes := p.controller.Store().CommitCounts()
 	leads := 0
@@ -104,7 +122,7 @@
 		leads = 1
 	}
 	version := p.controller.Store().LocalReplica().Version()
-	answers, bytesSent, configurations := p.controller.UpdateCounts()
+	responses, bytesSent, configurations := p.controller.UpdateCounts()
 	sent := p.controller.UpdateBytes()
 	waiting := 0
 	if wait, _ := p.controller.WaitingFor(); wait != replication.CoreKnown {
@@ -115,7 +133,7 @@
 		damaged = 1
 	}
 	edits := p.controller.ChangeCounts()
-	milliseconds := func(length time.Duration) uint64 { return uint64(length.Milliseconds()) }
+	milliseconds := func(duration time.Duration) uint64 { return uint64(duration.Milliseconds()) }
 	writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	for _, metric := range []struct {
 		name  string
@@ -126,19 +144,23 @@
 		{`seamloom_edit_phase_milliseconds_total{phase="commit"}`, milliseconds(edits.Commit)},
 		{`seamloom_edit_phase_milliseconds_total{phase="own_disk"}`, milliseconds(edits.OwnDisk)},
 		{`seamloom_edit_phase_milliseconds_total{phase="slowest_backup"}`, milliseconds(edits.SlowestBackup)},
-		{`seamloom_edit_phase_milliseconds_total{phase="confirmation"}`, milliseconds(edits.Confirmation)}, {"seamloom_leads", uint64(leads)}, {"seamloom_epoch", p.controller.Coordinator().Membership().Epoch}, {"seamloom_copy_number", version.Number},
+		{`seamloom_edit_phase_milliseconds_total{phase="confirmation"}`, milliseconds(edits.Confirmation)},
+		{"seamloom_leads", uint64(leads)},
+		{"seamloom_epoch", p.controller.Coordinator().Membership().Epoch},
+		{"seamloom_copy_number", version.Number},
 		{"seamloom_copy_damaged", uint64(damaged)}, {"seamloom_synced_batches_total", batches}, {"seamloom_answered_changes_total", changes},
-		{"seamloom_news_answers_total", answers}, {"seamloom_news_drawer_bytes_total", bytesSent},
+		{"seamloom_news_answers_total", responses}, {"seamloom_news_drawer_bytes_total", bytesSent},
 		{"seamloom_configurations_sent_total", configurations}, {"seamloom_waiting_for_core", uint64(waiting)},
 		{`seamloom_update_bytes_total{kind="servers"}`, sent.Servers}, {`seamloom_update_bytes_total{kind="loads"}`, sent.Loads},
-		{`seamloom_update_bytes_total{kind="configuration"}`, sent.Configuration}, {`seamloom_update_bytes_total{kind="other"}`, sent.OtherSections}} {
+		{`seamloom_update_bytes_total{kind="configuration"}`, sent.Configuration},
+		{`seamloom_update_bytes_total{kind="other"}`, sent.OtherSections}} {
 		_, _ = io.WriteString(writer, metric.name+" "+strconv.FormatUint(metric.value, 10)+"\n")
 	}
 	writeTenantMetrics(writer, p.controller.Quotas())
 }
 
-// writeTenantMetrics writes what this witness granted and refused: the first quota.MaxCounted tenants one by one,
-// the others together.
+// writeTenantMetrics writes how many tokens this witness has granted and refused: one metric for each of the
+// first quota.MaxCounted tenants, and one for the sum of the others.
 func writeTenantMetrics(target io.Writer, statuses []quota.Status) {
 	others := quota.Status{Subject: quota.OtherSubjects}
 	for i, status := range statuses {
@@ -152,6 +174,7 @@
 	writeTenantMetric(target, others)
 }
 
+// writeTenantMetric writes how many tokens were granted and refused: for one tenant, or for the sum of the others.
 func writeTenantMetric(target io.Writer, status quota.Status) {
 	_, _ = fmt.Fprintf(target, "seamloom_tenant_tokens_total{tenant=%q,outcome=\"granted\"} %d\n", status.Subject, status.Granted)
 	_, _ = fmt.Fprintf(target, "seamloom_tenant_tokens_total{tenant=%q,outcome=\"refused\"} %d\n", status.Subject, status.Refused)
--- a/internal/adapters/daemon/memory.go
+++ b/internal/adapters/daemon/memory.go
@@ -2,22 +2,24 @@
 
 import "runtime/debug"
 
-// LimitMemory has the collector work harder as the process nears a limit, given in
-// megabytes; nothing changes when it is zero. A quarter is left for what the
-// collector does not see, such as stacks and the kernel's buffers.
+// LimitMemory sets the garbage collector's soft memory limit for a process that may use the given number
+// of megabytes; zero sets no limit. The soft limit is three quarters of that number: the rest is reserved
+// for memory that the collector does not manage, such as the kernel's buffers.
 func LimitMemory(megabytes int) {
 	if megabytes > 0 {
 		debug.SetMemoryLimit(int64(megabytes) << 20 / 4 * 3)
 	}
 }
 
-// collectorPercent is by how much of its live part the heap of a controller grows before it is collected.
-const collectorPercent = 300
+// gcPercent is how far a controller's heap may grow beyond its live data before the next collection, in
+// percent of the live data.
+const gcPercent = 300
 
-// CollectSeldom has the collector run a third as often where LimitMemory has set a limit: a primary makes
-// many short-lived responses beside a small state.
-func CollectSeldom(megabytes int) {
+// ReduceGCFrequency makes the garbage collector run about a third as often as by default, because the live heap
+// of a primary is small compared with the many short-lived responses that it allocates. Megabytes is the limit
+// that was passed to LimitMemory: a process without a limit keeps the default, so that its heap does not grow.
+func ReduceGCFrequency(megabytes int) {
 	if megabytes > 0 {
-		debug.SetGCPercent(collectorPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 }
--- a/internal/adapters/daemon/server.go
+++ b/internal/adapters/daemon/server.go
@@ -13,32 +13,33 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// The times of a server's end. The values are ours.
 const (
-	// headerTimeout is how long the head of a request may take.
+	// headerTimeout limits how long a client may take to send the headers of a request.
 	headerTimeout = 5 * time.Second
-	// shutdownTimeout is how long requests under way may go on when the server ends.
+	// shutdownTimeout limits how long requests in flight may continue when the server shuts down.
 	shutdownTimeout = time.Second
 )
 
-// Connection is what a server knows of the connection on which a request came: its number in this
-// process, and after which moment, by the server's clock, the request was sent: the connection was made
-// then, or the response to the request before it was ready. Clients of HTTP/1.1 wait for that response
-// (a client that does not, by pipelining, is not told from one that does).
+// Connection describes the connection on which a request arrived.
 type Connection struct {
-	ID        uint64
+	// ID is the number of the connection among those that one call of Serve has accepted.
+	ID uint64
+	// SentAfter is a time, by the server's clock, before which the request cannot have been sent: when
+	// the connection was accepted, or when the response to the previous request on it was ready. Clients
+	// of HTTP/1.1 wait for that response before they send the next request; a client that uses pipelining
+	// does not, and the server cannot detect it.
 	SentAfter time.Time
 }
 
-// servedConnection is the state of one connection. Its requests come one after another.
+// servedConnection is the state of one connection, on which requests are served one after another.
 type servedConnection struct {
 	id        uint64
 	mutex     sync.Mutex
 	sentAfter time.Time
 }
 
-// respond notes that a response is ready.
-func (s *servedConnection) respond(now time.Time) {
+// recordResponse records that a response is ready.
+func (s *servedConnection) recordResponse(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.sentAfter = now
@@ -47,8 +48,8 @@
 // connectionKey is the context key of a request's servedConnection.
 type connectionKey struct{}
 
-// ConnectionOf returns the connection on which a request came, from the request's context; zero for
-// one that Serve does not answer.
+// ConnectionOf returns the connection on which a request arrived, given the request's context. It returns
+// the zero value for a request that is not served by Serve.
 func ConnectionOf(ctx context.Context) Connection {
 	served, found := ctx.Value(connectionKey{}).(*servedConnection)
 	if !found {
@@ -59,19 +60,20 @@
 	return Connection{ID: served.id, SentAfter: served.sentAfter}
 }
 
-// notingResponses has each connection note when its responses are ready.
-func notingResponses(handler http.Handler, now func() time.Time) http.Handler {
+// recordResponses returns a handler that calls the given handler and then records in the servedConnection of the
+// request that the response is ready.
+func recordResponses(handler http.Handler, now func() time.Time) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		handler.ServeHTTP(writer, request)
 		if served, found := request.Context().Value(connectionKey{}).(*servedConnection); found {
-			served.respond(now())
+			served.recordResponse(now())
 		}
 	})
 }
 
-// Serve listens and answers until the tomb dies; then requests under way get a moment to end by
-// themselves. Now is the clock of ConnectionOf. An error has the code
-// Unreachable.
+// Serve listens on the address and serves requests in goroutines of the tomb until the tomb dies. Requests
+// in flight then have shutdownTimeout to finish. The parameter now is the clock for Connection.SentAfter. An
+// error has the code Unreachable.
 func Serve(owner *tomb.Tomb, address string, handler http.Handler, now func() time.Time) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -79,7 +81,7 @@
 	}
 	var connections atomic.Uint64
 	server := &http.Server{
-		Handler:           notingResponses(handler, now),
+		Handler:           recordResponses(handler, now),
 		ReadHeaderTimeout: headerTimeout,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, &servedConnection{id: connections.Add(1), sentAfter: now()})
--- a/internal/adapters/daemon/signals.go
+++ b/internal/adapters/daemon/signals.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// Signals are those that a process acts on. They are caught from its very start to its
-// very end: their default effect would end a process that still starts, or that still
-// serves what is under way after it was told to end.
+// Signals receives the signals that a process handles. The signals stay caught from the start of the
+// process to its exit: their default action would kill a process that is still starting, or one that is
+// still serving requests in flight after it was asked to terminate.
 type Signals struct {
 	caught chan os.Signal
 }
 
-// CatchSignals is called first of all.
+// CatchSignals begins to catch signals. A process calls it before anything else.
 func CatchSignals() *Signals {
 	signals := &Signals{caught: make(chan os.Signal, 8)}
 	signal.Notify(signals.caught, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
 	return signals
 }
 
-// filePollInterval is the time between two looks at a settings file.
+// filePollInterval is the time between two checks of the settings file for changes.
 const filePollInterval = 3 * time.Second
 
-// Wait handles signals until the process is to end: SIGHUP reloads, SIGTERM and
-// SIGINT return true. A settings file, if one is named, is also looked at now and
-// then, and a change of it reloads. It returns false when the process ended by
-// itself. What is caught after that has no effect: the process ends within its grace.
+// Wait handles signals until the process is to terminate. It calls reload on SIGHUP and, if file is not
+// empty, whenever a poll of that settings file finds it changed (a missing file is ignored). It reports
+// whether a signal ended the wait: true on SIGTERM and SIGINT, and false when dead is closed because the
+// process ended by itself. Signals that arrive after Wait has returned have no effect: the process
+// terminates within its grace period.
 func (s *Signals) Wait(dead <-chan struct{}, file string, reload func()) bool {
 	var polls <-chan time.Time
-	seen := statFile(file)
+	known := statFile(file)
 	if file != "" {
 		ticker := time.NewTicker(filePollInterval)
 		defer ticker.Stop()
@@ -44,35 +45,38 @@
 			if caught != syscall.SIGHUP {
 				return true
 			}
-			seen = statFile(file)
+			known = statFile(file)
 			reload()
 		case <-polls:
-			if found := statFile(file); found != seen && found != (fileState{}) {
-				seen = found
+			if current := statFile(file); current != known && current != (fileState{}) {
+				known = current
 				reload()
 			}
 		}
 	}
 }
 
-// fileState tells one content of a file from another, as far as its folder says.
+// fileState is the metadata by which a changed file is detected without reading its content.
 type fileState struct {
-	changed time.Time
+	modTime time.Time
 	size    int64
 }
 
+// statFile returns the state of a file. It returns the zero value if the path is empty or the file's metadata
+// cannot be read.
 func statFile(file string) fileState {
 	if file == "" {
 		return fileState{}
 	}
-	found, err := os.Stat(file)
+	info, err := os.Stat(file)
 	if err != nil {
 		return fileState{}
 	}
-	return fileState{changed: found.ModTime(), size: found.Size()}
+	return fileState{modTime: info.ModTime(), size: info.Size()}
 }
 
-// Wait is Signals.Wait for a process that has no settings file to look at.
+// Wait calls CatchSignals and then Signals.Wait, for a process without a settings file. It reports whether a
+// signal ended the wait.
 func Wait(dead <-chan struct{}, reload func()) bool {
 	return CatchSignals().Wait(dead, "", reload)
 }
--- a/internal/adapters/daemon/signals_test.go
+++ b/internal/adapters/daemon/signals_test.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// TestSignalsReloadAndEnd sends signals to the test's own process.
+// TestSignalsReloadAndEnd checks that SIGHUP and a changed settings file each cause a reload, and that SIGTERM ends
+// Wait.
 func TestSignalsReloadAndEnd(t *testing.T) {
 	signals := CatchSignals()
-	// This one comes while the process still starts.
+	// This signal arrives before Wait is called, as in a process that is still starting.
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -23,48 +24,48 @@
 		t.Fatal(err)
 	}
 	go func() { ended <- signals.Wait(nil, file, func() { reloads <- struct{}{} }) }()
-	await := func(what string) {
+	awaitReload := func(cause string) {
 		t.Helper()
 		select {
 		case <-reloads:
 		case <-time.After(4 * filePollInterval):
-			t.Fatal("no reload after " + what)
+			t.Fatal("got no reload after " + cause)
 		}
 	}
-	await("a signal at the start")
+	awaitReload("a signal before Wait")
 	if err := os.WriteFile(file, []byte("{ }"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	await("a change without a signal")
+	awaitReload("a change of the file without a signal")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if !<-ended {
-		t.Error("a signal to end is no end by itself")
+		t.Error("Wait returned false after SIGTERM, want true")
 	}
 }
 
-func TestProcessThatEndsByItself(t *testing.T) {
+func TestWaitReturnsFalseWhenProcessEndsByItself(t *testing.T) {
 	dead := make(chan struct{})
 	close(dead)
 	if CatchSignals().Wait(dead, "", func() {}) {
-		t.Error("nobody asked it to end")
+		t.Error("Wait returned true without a signal, want false")
 	}
 }
 
-// TestSignalsStayCaughtAfterTheEndBegan sends, while the process drains, what would end
-// it by default.
-func TestSignalsStayCaughtAfterTheEndBegan(t *testing.T) {
-	// Without the process's own care these would end the test itself.
-	others := make(chan os.Signal, 8)
-	signal.Notify(others, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
-	defer signal.Stop(others)
+// TestSignalsStayCaughtDuringDrain sends signals after Wait has returned, while the process would drain. Their
+// default action would kill the process before its requests in flight have finished.
+func TestSignalsStayCaughtDuringDrain(t *testing.T) {
+	// This channel keeps the signals from killing the test process if Signals no longer catches them.
+	fallback := make(chan os.Signal, 8)
+	signal.Notify(fallback, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
+	defer signal.Stop(fallback)
 	signals := CatchSignals()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if !signals.Wait(nil, "", func() {}) {
-		t.Fatal("a signal to end is no end by itself")
+		t.Fatal("Wait returned false after SIGTERM, want true")
 	}
 	for _, late := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
 		if err := syscall.Kill(os.Getpid(), late); err != nil {
@@ -73,10 +74,10 @@
 		select {
 		case caught := <-signals.caught:
 			if caught != late {
-				t.Errorf("%v was caught instead of %v", caught, late)
+				t.Errorf("caught %v, want %v", caught, late)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("%v is not caught any more", late)
+			t.Errorf("%v was not caught after Wait had returned", late)
 		}
 	}
 }
--- a/internal/adapters/discovery/discovery.go
+++ b/internal/adapters/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery reads the platform's lists of servers and nodes over HTTP.
+// Package discovery reads the platform's server list and node list over HTTP.
 package discovery
 
 import (
@@ -13,20 +13,20 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Directory asks one platform.
+// Directory is an HTTP client for the platform's lists.
 type Directory struct {
 	client *http.Client
 }
 
-// requestTimeout is how long the platform may take to answer.
+// requestTimeout limits how long one request to the platform may take.
 const requestTimeout = time.Second
 
-// New makes a directory over a transport.
+// New returns a directory that sends its requests over the given transport.
 func New(transport http.RoundTripper) *Directory {
 	return &Directory{client: &http.Client{Transport: transport}}
 }
 
-// Servers reads the server list.
+// Servers reads the server list of the platform at address.
 func (d *Directory) Servers(ctx context.Context, address string) ([]membership.Server, error) {
 	var list struct {
 		Servers []membership.Server `json:"servers"`
@@ -35,7 +35,7 @@
 	return list.Servers, err
 }
 
-// Nodes reads the node list.
+// Nodes reads the node list of the platform at address.
 func (d *Directory) Nodes(ctx context.Context, address string) ([]membership.Node, error) {
 	var list struct {
 		Nodes []membership.Node `json:"nodes"`
@@ -44,10 +44,12 @@
 	return list.Nodes, err
 }
 
-func (d *Directory) read(ctx context.Context, location string, target any) error {
+// read decodes the JSON document at the URL into target. It fails with Unreachable if the platform
+// does not respond with status 200, and with Garbage if the response is not the expected JSON.
+func (d *Directory) read(ctx context.Context, url string, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, location, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
@@ -57,7 +59,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return failure.New(failure.Unreachable, "the platform answers "+strconv.Itoa(response.StatusCode))
+		return failure.New(failure.Unreachable, "the platform responded with status "+strconv.Itoa(response.StatusCode))
 	}
 	return failure.Wrap(failure.Garbage, json.NewDecoder(io.LimitReader(response.Body, 4<<20)).Decode(target))
 }
--- a/internal/adapters/modelserver/client_test.go
+++ b/internal/adapters/modelserver/client_test.go
@@ -12,46 +12,46 @@
 	"seamloom.example/seamloom/internal/auction"
 )
 
-// TestOrderThatWaitedTooLongDoesNotLeave has the connection come about only after
-// the order may not go any more: nothing may reach the server, and the outcome
-// is certain.
-func TestOrderThatWaitedTooLongDoesNotLeave(t *testing.T) {
-	var orders atomic.Int64
+// TestRequestThatExpiresWhileDiallingIsNotSent establishes the connection only after the
+// request may no longer be sent: no body may reach the server, and the outcome must be
+// NotStarted.
+func TestRequestThatExpiresWhileDiallingIsNotSent(t *testing.T) {
+	var bodiesReceived atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
 		buffer := make([]byte, 1)
 		if count, _ := inbound.Body.Read(buffer); count > 0 {
-			orders.Add(1)
+			bodiesReceived.Add(1)
 		}
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer server.Close()
-	may := atomic.Bool{}
-	may.Store(true)
-	waits := true
+	maySend := atomic.Bool{}
+	maySend.Store(true)
+	expireWhileDialling := true
 	transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		if waits {
-			may.Store(false)
+		if expireWhileDialling {
+			maySend.Store(false)
 		}
 		return connection, err
 	}}
 	client := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), transport)
 	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Request: &auction.Request{ID: "one"}}
-	for _, order := range []func() auction.Outcome{
-		func() auction.Outcome { outcome, _, _ := client.Prefill(decision, may.Load); return outcome },
+	for _, send := range []func() auction.Outcome{
+		func() auction.Outcome { outcome, _, _ := client.Prefill(decision, maySend.Load); return outcome },
 		func() auction.Outcome {
-			outcome, _, _ := client.Decode(decision, may.Load, func(int, string) {})
+			outcome, _, _ := client.Decode(decision, maySend.Load, func(int, string) {})
 			return outcome
 		},
 	} {
-		may.Store(true)
-		if outcome := order(); outcome != auction.OutcomeNotStarted || orders.Load() != 0 {
-			t.Errorf("the outcome is %s, and %d orders came", outcome, orders.Load())
+		maySend.Store(true)
+		if outcome := send(); outcome != auction.OutcomeNotStarted || bodiesReceived.Load() != 0 {
+			t.Errorf("got outcome %s and %d bodies at the server, want %s and none", outcome, bodiesReceived.Load(), auction.OutcomeNotStarted)
 		}
 	}
-	waits = false
-	may.Store(true)
-	if outcome, _, _ := client.Prefill(decision, may.Load); outcome == auction.OutcomeNotStarted || orders.Load() != 1 {
-		t.Errorf("an order in time: %s, and %d orders came", outcome, orders.Load())
+	expireWhileDialling = false
+	maySend.Store(true)
+	if outcome, _, _ := client.Prefill(decision, maySend.Load); outcome == auction.OutcomeNotStarted || bodiesReceived.Load() != 1 {
+		t.Errorf("request in time: got outcome %s and %d bodies at the server, want another outcome and 1", outcome, bodiesReceived.Load())
 	}
 }
--- a/internal/adapters/modelserver/fuzz_test.go
+++ b/internal/adapters/modelserver/fuzz_test.go
@@ -11,8 +11,9 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// FuzzServerAnswers has a server answer anything with any status: no panic, a
-// load only if it can be true, memory and chunks only of the own request and run.
+// FuzzServerAnswers has a server respond with any status and any body. The client must not
+// panic. Each error of Load must have a failure code. The client must accept no load with
+// negative values, and must not report a prefill as done without a handle.
 func FuzzServerAnswers(fuzzing *testing.F) {
 	fuzzing.Add(200, []byte(`{"server":"a","part":"prefill","prefill_room":-4}`))
 	fuzzing.Add(200, []byte(`{"inquiry":"one","run":1,"handle":"memory"}`))
@@ -28,19 +29,19 @@
 	fuzzing.Cleanup(server.Close)
 	client := New(context.Background(), osruntime.New(context.Background(), osruntime.NewClock()), &http.Transport{})
 	decision := auction.Decision{ID: "one", Run: 1, Address: server.Listener.Addr().String(), Request: &auction.Request{ID: "one"}}
-	may := func() bool { return true }
-	fuzzing.Fuzz(func(t *testing.T, said int, content []byte) {
-		status, body = said, content
+	maySend := func() bool { return true }
+	fuzzing.Fuzz(func(t *testing.T, responseStatus int, content []byte) {
+		status, body = responseStatus, content
 		if load, err := client.Load(context.Background(), decision.Address); err != nil {
-			if failure.CodeOf(err) == failure.Unsorted {
-				t.Fatalf("an untyped failure: %v", err)
+			if failure.CodeOf(err) == failure.Unclassified {
+				t.Fatalf("got error %v without a failure code", err)
 			}
 		} else if load.PrefillCapacity < 0 || load.DecodeSlots < 0 || load.MemoryFree < 0 {
-			t.Fatalf("%q passed as %+v", content, load)
+			t.Fatalf("the report %q was accepted as %+v", content, load)
 		}
-		if outcome, handle, _ := client.Prefill(decision, may); outcome == auction.OutcomeDone && handle == "" {
-			t.Fatalf("%q is done without memory", content)
+		if outcome, handle, _ := client.Prefill(decision, maySend); outcome == auction.OutcomeDone && handle == "" {
+			t.Fatalf("the response %q was accepted as a prefill without a handle", content)
 		}
-		_, _, _ = client.Decode(decision, may, func(chunk int, text string) {})
+		_, _, _ = client.Decode(decision, maySend, func(chunk int, text string) {})
 	})
 }
--- a/internal/adapters/osruntime/clock.go
+++ b/internal/adapters/osruntime/clock.go
@@ -6,34 +6,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock starts at the time of the wall clock and then follows the machine's boot time
-// (CLOCK_BOOTTIME): it does not jump when the wall clock is set, and it goes on while the
-// machine is suspended, so that a lease ends meanwhile.
+// Clock is a monotonic clock. It starts at the current wall-clock time and then advances with the
+// machine's boot-time clock (CLOCK_BOOTTIME): it does not jump when the wall clock is set, and it
+// advances while the machine is suspended, so that leases expire during a suspension.
 type Clock struct {
-	began time.Time
-	boot  time.Duration
-	wall  func() time.Time
+	start       time.Time
+	bootAtStart time.Duration
+	wall        func() time.Time
 }
 
 // NewClock returns a clock that starts now.
-func NewClock() *Clock { return NewClockOver(time.Now) }
+func NewClock() *Clock { return NewClockFrom(time.Now) }
 
-// NewClockOver returns a clock with another source of the wall clock's time, such as one that
-// jumps in tests.
-func NewClockOver(wall func() time.Time) *Clock {
-	return &Clock{began: wall().Round(0), boot: sinceBoot(), wall: wall}
+// NewClockFrom returns a clock that starts now and reads the wall-clock time from the given function.
+// Tests use it to simulate a wall clock that jumps.
+func NewClockFrom(wall func() time.Time) *Clock {
+	return &Clock{start: wall().Round(0), bootAtStart: sinceBoot(), wall: wall}
 }
 
-// Now returns the monotonic time, for leases, deadlines and timeouts.
-func (c *Clock) Now() time.Time { return c.began.Add(sinceBoot() - c.boot) }
+// Now returns the monotonic time, which leases, deadlines and timeouts are based on.
+func (c *Clock) Now() time.Time { return c.start.Add(sinceBoot() - c.bootAtStart) }
 
 // Wall returns the time of the machine's wall clock, which may jump.
 func (c *Clock) Wall() time.Time { return c.wall().Round(0) }
 
+// sinceBoot returns the time since the machine booted, including the time it was suspended.
 func sinceBoot() time.Duration {
-	var moment unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &moment); err != nil {
-		panic("osruntime: the machine has no boot-time clock: " + err.Error())
+	var timespec unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &timespec); err != nil {
+		panic("osruntime: cannot read the boot-time clock: " + err.Error())
 	}
-	return time.Duration(moment.Nano())
+	return time.Duration(timespec.Nano())
 }
--- a/internal/adapters/osruntime/osruntime.go
+++ b/internal/adapters/osruntime/osruntime.go
@@ -1,5 +1,5 @@
-// Package osruntime implements the port of package runtime for a real process: with the
-// machine's clocks, goroutines, and conditions that end with the process's context.
+// Package osruntime implements package runtime's interfaces for a real process: with the machine's
+// clocks, with goroutines, and with condition variables whose waits end when the process ends.
 package osruntime
 
 import (
@@ -9,13 +9,13 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Runtime is the runtime of one process, until its context ends.
+// Runtime implements runtime.Runtime for one process, which lives until its context ends.
 type Runtime struct {
 	clock    *Clock
 	lifetime context.Context
 }
 
-// New returns the runtime of a process that ends with the context.
+// New returns the runtime of a process that ends when the context lifetime ends.
 func New(lifetime context.Context, clock *Clock) *Runtime {
 	return &Runtime{clock: clock, lifetime: lifetime}
 }
@@ -26,13 +26,13 @@
 // Wall returns the time of the machine's wall clock.
 func (r *Runtime) Wall() time.Time { return r.clock.Wall() }
 
-// Alive reports whether the context has not ended.
+// Alive reports whether the process is still running, that is, its context has not ended.
 func (r *Runtime) Alive() bool { return r.lifetime.Err() == nil }
 
-// Go starts a goroutine.
+// Go runs f in a new goroutine.
 func (r *Runtime) Go(f func()) { go f() }
 
-// NewCond makes a condition whose waits end with the process.
+// NewCond returns a condition variable whose waits end when the process ends.
 func (r *Runtime) NewCond() runtime.Cond {
 	return &cond{lifetime: r.lifetime, next: make(chan struct{})}
 }
--- a/internal/adapters/ports/ports.go
+++ b/internal/adapters/ports/ports.go
@@ -1,5 +1,6 @@
-// Package ports are what the processes reach a platform by. The product has adapters
-// of its own; a platform that speaks otherwise gives others.
+// Package ports defines the interfaces through which routers and controllers use a platform. With seamloom's
+// own protocols, package discovery implements Directory and package modelserver sends orders. A platform with
+// other protocols provides its own implementations.
 package ports
 
 import (
@@ -11,51 +12,55 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Directory reads the lists that the platform has at an address. Where there is no
-// list of nodes, Nodes fails with the kind NoSuch and is not called again.
+// Directory reads the server list and the node list of the platform at an address. On a platform without a
+// node list, Nodes fails with the code NoSuch and is not called again.
 type Directory interface {
 	Servers(ctx context.Context, address string) ([]membership.Server, error)
 	Nodes(ctx context.Context, address string) ([]membership.Node, error)
 }
 
-// Reports asks a model server for its load.
-type Reports interface {
+// LoadReporter requests the load of a model server.
+type LoadReporter interface {
 	Report(ctx context.Context, server membership.Server) (scheduler.Load, error)
 }
 
-// Orders commands a model server to take a part, under the fence of its key's
-// holder. May is asked at the last moment before anything leaves.
-type Orders interface {
-	Order(ctx context.Context, decision auction.Decision, may func() bool) error
+// OrderSender orders model servers to take a role.
+type OrderSender interface {
+	// Order sends the order of a decision, with the fencing token of the router that holds the lease to
+	// command the server. It calls maySend immediately before it sends anything, and sends nothing if
+	// maySend returns false.
+	Order(ctx context.Context, decision auction.Decision, maySend func() bool) error
 }
 
-// FixedDirectory reads a platform's lists for as long as one process lives, at the address
-// that its settings name at the moment.
-type FixedDirectory struct {
+// ProcessDirectory reads a platform's lists for one process: with the process's context, and at the address
+// that Address returns at the time of the read, because a reload of the settings can change it. It implements
+// the interface Directory of package internal/discovery.
+type ProcessDirectory struct {
 	Directory Directory
 	Context   context.Context
 	Address   func() string
 }
 
-// Servers reads the list of servers.
-func (h FixedDirectory) Servers() ([]membership.Server, error) {
-	return h.Directory.Servers(h.Context, h.Address())
+// Servers reads the server list.
+func (d ProcessDirectory) Servers() ([]membership.Server, error) {
+	return d.Directory.Servers(d.Context, d.Address())
 }
 
-// Nodes reads the list of nodes.
-func (h FixedDirectory) Nodes() ([]membership.Node, error) {
-	return h.Directory.Nodes(h.Context, h.Address())
+// Nodes reads the node list.
+func (d ProcessDirectory) Nodes() ([]membership.Node, error) {
+	return d.Directory.Nodes(d.Context, d.Address())
 }
 
-// LoadReader asks servers for their loads for as long as one process lives.
+// LoadReader reads the loads of model servers for one process, with the process's context. It implements
+// the interface LoadReader of package controlplane.
 type LoadReader struct {
-	Reports Reports
+	Reports LoadReporter
 	Context context.Context
 }
 
-// ReadLoad reads one server's load, within the timeout.
-func (a LoadReader) ReadLoad(server membership.Server, timeout time.Duration) (scheduler.Load, error) {
-	ctx, cancel := context.WithTimeout(a.Context, timeout)
+// ReadLoad reads the load of one server within the timeout.
+func (l LoadReader) ReadLoad(server membership.Server, timeout time.Duration) (scheduler.Load, error) {
+	ctx, cancel := context.WithTimeout(l.Context, timeout)
 	defer cancel()
-	return a.Reports.Report(ctx, server)
+	return l.Reports.Report(ctx, server)
 }
--- a/internal/adapters/proxy/clientconnection.go
+++ b/internal/adapters/proxy/clientconnection.go
@@ -9,108 +9,111 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// clientConnection is the state of one connection of a client. Its mutex decides
-// between a request that is about to be forwarded and the connection's dismissal:
-// whichever comes first excludes the other.
-type clientConnection struct {
+// clientConnState is the state of one client connection. Its mutex orders two competing
+// steps: admitting a request for forwarding, and marking the connection as closing.
+// Whichever happens first excludes the other.
+type clientConnState struct {
 	mutex sync.Mutex
-	state http.ConnState
-	since time.Time
-	// admitted tells that the present request was read whole and may be forwarded.
+	// httpState is the state that net/http reported last; since is the time of that report.
+	httpState http.ConnState
+	since     time.Time
+	// admitted is set once the current request has been read completely and may be forwarded.
 	admitted bool
-	// dismissed tells that the connection is to end and passes nothing on any more.
-	dismissed bool
-	// begun tells that the first bytes of the next request have come.
+	// closing is set when the connection is about to be closed: further requests are refused.
+	closing bool
+	// begun is set once the first bytes of the next request have arrived.
 	begun bool
 }
 
-// clientConn notes when the bytes of a request begin to come on a client's connection. A rest that is
-// ended by a read deadline after that would cut a request line in two, which net/http answers with 400
-// as if the client had sent it so.
+// clientConn is a client connection that records that the first bytes of a request have arrived. From then on
+// the read of an idle connection must not be interrupted: net/http would see only a part of the request line
+// and respond with 400, as though the client had sent a malformed request.
 type clientConn struct {
 	net.Conn
-	known *clientConnection
+	state *clientConnState
 }
 
-// Read reads from the connection.
-func (t *clientConn) Read(content []byte) (int, error) {
-	count, err := t.Conn.Read(content)
+// Read reads from the connection and records that bytes arrived.
+func (c *clientConn) Read(content []byte) (int, error) {
+	count, err := c.Conn.Read(content)
 	if count > 0 {
-		t.known.begin(func() { _ = t.SetReadDeadline(time.Now().Add(crossingTimeout)) })
+		c.state.begin(func() { _ = c.SetReadDeadline(time.Now().Add(lateRequestTimeout)) })
 	}
 	return count, err
 }
 
-// clientListener gives its connections their state.
+// clientListener accepts client connections and attaches a clientConnState to each.
 type clientListener struct {
 	net.Listener
 	now func() time.Time
 }
 
 // Accept accepts a connection.
-func (t clientListener) Accept() (net.Conn, error) {
-	connection, err := t.Listener.Accept()
+func (l clientListener) Accept() (net.Conn, error) {
+	connection, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: connection, known: &clientConnection{since: t.now()}}, nil
+	return &clientConn{Conn: connection, state: &clientConnState{since: l.now()}}, nil
 }
 
-// begin notes that bytes have come. If the connection was dismissed just before, extend gives the rest of
-// the request's head time to come: it is then refused.
-func (c *clientConnection) begin(extend func()) {
+// begin records that bytes of a request have arrived. If the idle connection was marked as closing just
+// before, extend moves the read deadline so that the rest of the request's head can arrive; the request
+// is then refused.
+func (c *clientConnState) begin(extend func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.begun = true
-	if c.dismissed && c.state == http.StateIdle {
+	if c.closing && c.httpState == http.StateIdle {
 		extend()
 	}
 }
 
-// enter notes that the connection changed its state.
-func (c *clientConnection) enter(state http.ConnState, now time.Time) {
+// setHTTPState records that net/http moved the connection to another state, and clears the
+// state of the previous request.
+func (c *clientConnState) setHTTPState(httpState http.ConnState, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.state, c.since, c.admitted, c.begun = state, now, false, false
+	c.httpState, c.since, c.admitted, c.begun = httpState, now, false, false
 }
 
-// admit tells whether the request that was read whole may be forwarded. From then on
-// until its answer is over the connection is not dismissed.
-func (c *clientConnection) admit() bool {
+// admit reports whether the request, which has been read completely, may be forwarded. If so, the
+// connection is not marked as closing until the response is complete.
+func (c *clientConnState) admit() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.admitted = !c.dismissed
+	c.admitted = !c.closing
 	return c.admitted
 }
 
-// dismissIfLate tells whether the client took or rested too long, and has the
-// connection pass nothing on from then on. Headless tells that no whole head of a request came on it,
-// though one began, or none ever did.
-func (c *clientConnection) dismissIfLate(now time.Time, limits config.Limits) (headless, late bool) {
+// markTimedOut marks the connection as closing if its timeout has passed without an admitted request,
+// and returns in isClosing whether it is marked. The result noRequest is true if no complete request head
+// has arrived: the connection is new, or only the first bytes of its next request have arrived.
+func (c *clientConnState) markTimedOut(now time.Time, limits config.Limits) (noRequest, isClosing bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.admitted && now.Sub(c.since) > c.timeout(limits) {
-		c.dismissed = true
+		c.closing = true
 	}
-	headless = c.state == http.StateNew || c.state == http.StateIdle && c.begun
-	return headless, c.dismissed
+	noRequest = c.httpState == http.StateNew || c.httpState == http.StateIdle && c.begun
+	return noRequest, c.closing
 }
 
-// dismissIfIdle has a connection that rests pass nothing on from now on, and interrupts its read. One
-// on which a request has begun to come is left to serve it.
-func (c *clientConnection) dismissIfIdle(interrupt func()) {
+// interruptIfIdle marks an idle connection as closing and calls interrupt, which ends its pending read.
+// A connection on which a request has begun to arrive is left open to serve that request.
+func (c *clientConnState) interruptIfIdle(interrupt func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.state != http.StateIdle || c.admitted || c.begun {
+	if c.httpState != http.StateIdle || c.admitted || c.begun {
 		return
 	}
-	c.dismissed = true
+	c.closing = true
 	interrupt()
 }
 
-// timeout is how long the connection may stay in its state. The caller has the mutex.
-func (c *clientConnection) timeout(limits config.Limits) time.Duration {
-	switch c.state {
+// timeout returns how long the connection may stay in its current state. The caller holds the mutex.
+func (c *clientConnState) timeout(limits config.Limits) time.Duration {
+	switch c.httpState {
 	case http.StateNew:
 		return limits.HeaderTimeout
 	case http.StateIdle:
