--- a/internal/adapters/proxy/clientconnection_test.go
+++ b/internal/adapters/proxy/clientconnection_test.go
@@ -8,110 +8,119 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// connectionModel is one connection of a client with a request on its way, and the gate's
-// two threads that meet on it: the one that serves the connection and the one that
-// dismisses those that rested too long.
+// connectionModel is one client connection on which a request arrives, with the frontend's two
+// goroutines that compete for it: one serves the connection, and one closes connections that
+// timed out.
 type connectionModel struct {
-	connection clientConnection
-	// served and dismissal are the next step of each thread.
-	served, dismissal int
-	// decided is what the dismissal found, or, in the known bad variant, saw earlier.
-	decided bool
-	passed  bool
-	closed  bool
-	refused bool
+	connection clientConnState
+	// servingStep and closingStep are the next step of each goroutine.
+	servingStep, closingStep int
+	// timedOut is the result of the closing goroutine's first step: the connection is to be closed.
+	timedOut bool
+	// forwarded is set while a forwarded request waits for its response. It stays set if the
+	// connection was closed before the response.
+	forwarded bool
+	closed    bool
+	refused   bool
 }
 
-// dismissalDecision is how the dismissing thread decides; the bad variant looks first and
-// acts later, without telling the connection.
-type dismissalDecision func(model *connectionModel, now time.Time, limits config.Limits) bool
+// timeoutDecision reports whether the connection timed out and is to be closed.
+type timeoutDecision func(model *connectionModel, now time.Time, limits config.Limits) bool
 
-func markedDismissal(model *connectionModel, now time.Time, limits config.Limits) bool {
-	_, late := model.connection.dismissIfLate(now, limits)
-	return late
+// markingDecision is the correct decision: it marks the connection as closing.
+func markingDecision(model *connectionModel, now time.Time, limits config.Limits) bool {
+	_, timedOut := model.connection.markTimedOut(now, limits)
+	return timedOut
 }
 
-func unmarkedDismissal(model *connectionModel, now time.Time, limits config.Limits) bool {
+// nonMarkingDecision is a known faulty variant: it checks the timeout without marking the
+// connection, which is closed later.
+func nonMarkingDecision(model *connectionModel, now time.Time, limits config.Limits) bool {
 	return !model.connection.admitted && now.Sub(model.connection.since) > model.connection.timeout(limits)
 }
 
 const (
-	servedSteps    = 4
-	dismissalSteps = 2
+	servingSteps = 4
+	closingSteps = 2
 )
 
-// stepServed is one step of the serving thread: the head is read, the body is read and
-// asked for, the request is forwarded, its answer is over and the connection rests.
-func (c *connectionModel) stepServed(now time.Time) {
-	switch c.served {
+// stepServing is one step of the serving goroutine: the head is read; the body is read and the
+// request is admitted or refused; the request is forwarded; the response is complete and the
+// connection becomes idle.
+func (m *connectionModel) stepServing(now time.Time) {
+	switch m.servingStep {
 	case 0:
-		c.connection.enter(http.StateActive, now)
+		m.connection.setHTTPState(http.StateActive, now)
 	case 1:
-		c.refused = !c.connection.admit()
+		m.refused = !m.connection.admit()
 	case 2:
-		c.passed = !c.refused
+		m.forwarded = !m.refused
 	case 3:
-		// The answer: it is lost if the connection was closed.
-		if !c.closed {
-			c.passed = false
+		// The response is lost if the connection was closed.
+		if !m.closed {
+			m.forwarded = false
 		}
-		c.connection.enter(http.StateIdle, now)
+		m.connection.setHTTPState(http.StateIdle, now)
 	}
-	c.served++
+	m.servingStep++
 }
 
-func (c *connectionModel) stepDismissal(now time.Time, limits config.Limits, decide dismissalDecision) {
-	switch c.dismissal {
+// stepClosing is one step of the closing goroutine: it decides, then closes the connection.
+func (m *connectionModel) stepClosing(now time.Time, limits config.Limits, decide timeoutDecision) {
+	switch m.closingStep {
 	case 0:
-		c.decided = decide(c, now, limits)
+		m.timedOut = decide(m, now, limits)
 	case 1:
-		c.closed = c.closed || c.decided
+		m.closed = m.closed || m.timedOut
 	}
-	c.dismissal++
+	m.closingStep++
 }
 
-// explore runs all interleavings and counts them, and those in which a request was passed
-// on and its connection closed before the answer.
-func exploreConnection(model *connectionModel, decide dismissalDecision) (interleavings, broken int) {
+// exploreConnection runs all interleavings of the remaining steps of the two goroutines from the model's state. It returns
+// the number of interleavings, and the number of those in which the connection of a forwarded request
+// was closed before the response.
+func exploreConnection(model *connectionModel, decide timeoutDecision) (interleavings, violations int) {
 	limits := config.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 	now := time.Unix(100, 0)
-	if model.served == servedSteps && model.dismissal == dismissalSteps {
-		if model.passed && model.closed {
+	if model.servingStep == servingSteps && model.closingStep == closingSteps {
+		if model.forwarded && model.closed {
 			return 1, 1
 		}
 		return 1, 0
 	}
 	branch := func(step func(next *connectionModel)) {
-		next := &connectionModel{served: model.served, dismissal: model.dismissal, decided: model.decided, passed: model.passed, closed: model.closed, refused: model.refused}
-		next.connection.state, next.connection.since = model.connection.state, model.connection.since
-		next.connection.admitted, next.connection.dismissed, next.connection.begun = model.connection.admitted, model.connection.dismissed, model.connection.begun
+		next := &connectionModel{servingStep: model.servingStep, closingStep: model.closingStep, timedOut: model.timedOut,
+			forwarded: model.forwarded, closed: model.closed, refused: model.refused}
+		next.connection.httpState, next.connection.since = model.connection.httpState, model.connection.since
+		next.connection.admitted, next.connection.closing, next.connection.begun =
+			model.connection.admitted, model.connection.closing, model.connection.begun
 		step(next)
-		more, worse := exploreConnection(next, decide)
-		interleavings, broken = interleavings+more, broken+worse
+		branchInterleavings, branchViolations := exploreConnection(next, decide)
+		interleavings, violations = interleavings+branchInterleavings, violations+branchViolations
 	}
-	if model.served < servedSteps {
-		branch(func(next *connectionModel) { next.stepServed(now) })
+	if model.servingStep < servingSteps {
+		branch(func(next *connectionModel) { next.stepServing(now) })
 	}
-	if model.dismissal < dismissalSteps {
-		branch(func(next *connectionModel) { next.stepDismissal(now, limits, decide) })
+	if model.closingStep < closingSteps {
+		branch(func(next *connectionModel) { next.stepClosing(now, limits, decide) })
 	}
-	return interleavings, broken
+	return interleavings, violations
 }
 
-// TestNoInterleavingPassesARequestOnAndClosesItsConnection explores every order of the
-// serving and the dismissing thread's steps, from a connection that rested too long.
-func TestNoInterleavingPassesARequestOnAndClosesItsConnection(t *testing.T) {
-	rested := func() *connectionModel {
+// TestNoInterleavingClosesTheConnectionOfAForwardedRequest explores every order of the steps of the
+// serving and the closing goroutine, from a connection that has been idle for too long.
+func TestNoInterleavingClosesTheConnectionOfAForwardedRequest(t *testing.T) {
+	idleModel := func() *connectionModel {
 		model := &connectionModel{}
-		model.connection.enter(http.StateIdle, time.Unix(0, 0))
+		model.connection.setHTTPState(http.StateIdle, time.Unix(0, 0))
 		return model
 	}
-	interleavings, broken := exploreConnection(rested(), markedDismissal)
+	interleavings, violations := exploreConnection(idleModel(), markingDecision)
 	t.Logf("%d interleavings", interleavings)
-	if interleavings != 15 || broken != 0 {
-		t.Errorf("%d of %d interleavings pass a request on and close its connection", broken, interleavings)
+	if interleavings != 15 || violations != 0 {
+		t.Errorf("a request was forwarded and its connection closed in %d of %d interleavings, want 0 of 15", violations, interleavings)
 	}
-	if _, broken := exploreConnection(rested(), unmarkedDismissal); broken == 0 {
-		t.Error("the variant that looks and closes later is not found")
+	if _, violations := exploreConnection(idleModel(), nonMarkingDecision); violations == 0 {
+		t.Error("found no violation with the variant that does not mark the connection as closing")
 	}
 }
--- a/internal/adapters/proxy/conn.go
+++ b/internal/adapters/proxy/conn.go
@@ -8,54 +8,58 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// trackedConn is one connection to a model server. It knows for certain whether anything
-// of the present call was written, and takes nothing once its server may have closed
-// it for having rested too long.
+// trackedConn is one connection to a model server. It records whether any byte of the
+// current call may have been written. It accepts no call once it was idle for so long that the
+// server may have closed it.
 type trackedConn struct {
 	net.Conn
 	now func() time.Time
 
 	mutex sync.Mutex
-	// rests is how long the server keeps the connection while nothing is said; idleSince
-	// is when the last call on it ended.
+	// keepAlive is how long the connection may be idle and still be used; idleSince is when
+	// the last call on the connection ended.
 	keepAlive time.Duration
 	idleSince time.Time
-	// closed refuses every further write; writing is a write in flight; wrote that
-	// something of the present call may have left; received that something came since.
+	// closed is set when the connection accepts no further writes; writing is set while a write
+	// is in progress. wrote and received report whether bytes were written and whether bytes
+	// arrived since the current call began.
 	closed   bool
 	writing  bool
 	wrote    bool
 	received bool
 }
 
-// begin tells whether the connection can take a call. If not, nothing of it is written.
-func (c *trackedConn) begin(ends time.Time) bool {
+// begin starts a call and reports whether the connection accepts it. The call is refused if its
+// deadline has passed, if the connection was idle for longer than keepAlive, or if the connection is
+// closed. No byte of a refused call is ever written.
+func (c *trackedConn) begin(deadline time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.now()
-	if !now.Before(ends) || (!c.idleSince.IsZero() && now.Sub(c.idleSince) > c.keepAlive) {
+	if !now.Before(deadline) || (!c.idleSince.IsZero() && now.Sub(c.idleSince) > c.keepAlive) {
 		c.closed = true
 	}
 	c.wrote, c.received = false, false
 	return !c.closed
 }
 
-// idleTooLong tells whether the server may have closed the connection as idle.
+// idleTooLong reports whether the connection was idle for longer than keepAlive, so that the server may
+// have closed it.
 func (c *trackedConn) idleTooLong(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return now.Sub(c.idleSince) > c.keepAlive
 }
 
-// becomeIdle records the end of a call, and how long the server then keeps the connection.
+// becomeIdle records the end of a call, and how long the connection may be idle before the next call.
 func (c *trackedConn) becomeIdle(keepAlive time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.idleSince, c.keepAlive = c.now(), keepAlive
 }
 
-// end closes the connection. After it the connection certainly takes nothing more; it tells
-// whether anything of the call may have left, and whether anything came.
+// end closes the connection, so that no further byte is written. It reports whether bytes of
+// the call may have been sent, and whether any arrived.
 func (c *trackedConn) end() (wrote, received bool) {
 	c.mutex.Lock()
 	c.closed = true
@@ -65,9 +69,9 @@
 	return wrote, received
 }
 
-var errConnClosed = failure.New(failure.Unreachable, "the connection takes no more calls")
+var errConnClosed = failure.New(failure.Unreachable, "the connection accepts no further calls")
 
-// Write sends, unless the connection was shut before.
+// Write writes to the connection, unless the connection was closed before.
 func (c *trackedConn) Write(content []byte) (int, error) {
 	c.mutex.Lock()
 	if c.closed {
@@ -84,7 +88,7 @@
 	return written, err
 }
 
-// Read receives.
+// Read reads from the connection and records that bytes arrived.
 func (c *trackedConn) Read(buffer []byte) (int, error) {
 	read, err := c.Conn.Read(buffer)
 	if read > 0 {
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -19,54 +19,59 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// The bounds of answers. The values are ours.
+// The bounds of responses.
 const (
-	// maxBufferedResponse bounds a failing answer that is kept to be forwarded, and an answer
-	// that is forwarded only when all of it is there.
+	// maxBufferedResponse bounds a failed response that is buffered for forwarding, and a
+	// response that is forwarded only once complete.
 	maxBufferedResponse = 1 << 20
 	// maxEventBytes bounds one event of a stream.
 	maxEventBytes = 4 << 20
-	// maxPrefillResponse bounds the answer that names a prompt's memory.
+	// maxPrefillResponse bounds the response to a prefill, which names the handle of the
+	// prompt's KV cache.
 	maxPrefillResponse = 64 << 10
-	// deadlineGrace is how much longer than a call's end a server's own word is waited
-	// for, which tells more than ours.
+	// deadlineGrace is how long past the deadline a dispatch still waits for the server's
+	// own response, which gives a more precise cause than a timeout at the router.
 	deadlineGrace = 60 * time.Millisecond
-	// releaseTimeout is how long giving a handle back may take.
-	releaseTimeout  = time.Second
+	// releaseTimeout is how long releasing a handle may take.
+	releaseTimeout = time.Second
+	// copyBufferBytes is the initial size of the buffers through which responses are forwarded.
 	copyBufferBytes = 16 << 10
 )
 
-// exchange is one call between its origin and the servers.
+// exchange is the HTTP side of one call, between the client and the model servers. It
+// implements dataplane.Exchange.
 type exchange struct {
-	handler *Handler
-	writer  http.ResponseWriter
-	inbound *http.Request
-	call    *scheduler.Call
-	began   time.Time
-	// target, header and body are the call as it goes on.
+	handler   *Handler
+	writer    http.ResponseWriter
+	inbound   *http.Request
+	call      *scheduler.Call
+	startTime time.Time
+	// target, header and body are the request as it is forwarded.
 	target string
 	header http.Header
 	body   []byte
 
-	// prefillServer is the server that read the prompt last.
-	prefillServer  membership.Server
+	// prefillServer is the server of the last prefill.
+	prefillServer membership.Server
+	// failedResponse is the last failed response, or nil if none can be forwarded.
 	failedResponse *bufferedResponse
-	// headSent tells that something of an answer was forwarded, lastEvent is the id of
-	// the last event that was.
+	// headSent is set once the head of a response has been forwarded; lastEvent is the ID
+	// of the last event forwarded.
 	headSent  atomic.Bool
 	lastEvent string
-	// ending is how the call ended; cut at first, so that no answer is made up.
+	// ending is how the call ended. It starts as endInterrupted, so that a call without a
+	// response is aborted rather than answered with an empty success.
 	ending ending
 }
 
-// bufferedResponse is a failing response that is kept to be forwarded.
+// bufferedResponse is a failed response, buffered for forwarding to the client.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// dispatch is one sending of the call to one server.
+// dispatch is one request for the call to one model server.
 type dispatch struct {
 	exchange *exchange
 	decision scheduler.Decision
@@ -75,29 +80,29 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	timer    *time.Timer
-	// deadline is the decision's end by the runtime's own clock, which costs no call to
-	// the kernel.
+	// deadline is the decision's deadline, converted from the handler's clock to that of time.Now,
+	// which is read without a system call.
 	deadline time.Time
 	outcome  scheduler.Outcome
 }
 
-// send sends the call and waits for the head of the answer. When false is given, the
-// dispatch is over and its outcome is set.
-func (e *exchange) send(decision scheduler.Decision, change func(header http.Header)) (*dispatch, bool) {
+// send sends the call to the decision's server and waits for the head of the response. If it
+// returns false, the dispatch is over and its outcome is set.
+func (e *exchange) send(decision scheduler.Decision, setHeaders func(header http.Header)) (*dispatch, bool) {
 	protocol := &e.handler.protocol
 	ctx, cancel := context.WithCancel(e.inbound.Context())
-	sent := &dispatch{exchange: e, decision: decision, ctx: ctx, cancel: cancel,
+	attempt := &dispatch{exchange: e, decision: decision, ctx: ctx, cancel: cancel,
 		deadline: time.Now().Add(decision.Deadline.Sub(e.handler.now()))}
-	timeout := sent.remaining()
+	timeout := attempt.remaining()
 	if decision.ResponseTimeout > 0 {
 		timeout = min(timeout, decision.ResponseTimeout)
 	}
-	sent.timer = time.AfterFunc(timeout, sent.expire)
-	conn, err := e.handler.pool.get(ctx, decision.Server, sent.deadline)
+	attempt.timer = time.AfterFunc(timeout, attempt.expire)
+	conn, err := e.handler.pool.get(ctx, decision.Server, attempt.deadline)
 	if err != nil {
-		return sent, sent.fail(scheduler.Unreachable)
+		return attempt, attempt.fail(scheduler.Unreachable)
 	}
-	sent.conn = conn
+	attempt.conn = conn
 	header := maps.Clone(e.header)
 	header[protocol.Target] = []string{decision.Server.Name}
 	if decision.Priority >= 0 {
@@ -106,36 +111,38 @@
 	if decision.Tenant != "" {
 		header[protocol.Tenant] = []string{decision.Tenant}
 	}
-	change(header)
-	remaining := max(1, time.Until(sent.deadline).Milliseconds())
+	setHeaders(header)
+	remaining := max(1, time.Until(attempt.deadline).Milliseconds())
 	header[protocol.Limit] = []string{strconv.FormatInt(remaining, 10)}
-	outbound := (&http.Request{Method: e.inbound.Method, URL: &url.URL{Scheme: "http", Host: decision.Server.Address, Opaque: e.target},
+	outbound := (&http.Request{Method: e.inbound.Method,
+		URL:   &url.URL{Scheme: "http", Host: decision.Server.Address, Opaque: e.target},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: e.inbound.Host,
 		Body: http.NoBody, ContentLength: int64(len(e.body))}).WithContext(ctx)
 	if len(e.body) > 0 {
 		outbound.Body = io.NopCloser(bytes.NewReader(e.body))
 	}
 	if strings.HasPrefix(e.target, "//") {
-		// An opaque part with two slashes would be sent in the absolute form.
-		path, query, asked := strings.Cut(e.target, "?")
-		outbound.URL = &url.URL{Scheme: "http", Host: decision.Server.Address, Path: e.inbound.URL.Path, RawPath: path, RawQuery: query, ForceQuery: asked}
+		// An opaque URL that begins with two slashes would be sent in absolute form.
+		path, query, hasQuery := strings.Cut(e.target, "?")
+		outbound.URL = &url.URL{Scheme: "http", Host: decision.Server.Address, Path: e.inbound.URL.Path, RawPath: path,
+			RawQuery: query, ForceQuery: hasQuery}
 	}
-	sent.response, err = conn.http.RoundTrip(outbound)
+	attempt.response, err = conn.http.RoundTrip(outbound)
 	if err != nil {
 		wrote, received := conn.conn.end()
 		switch {
 		case !wrote:
-			return sent, sent.fail(scheduler.Unreachable)
+			return attempt, attempt.fail(scheduler.Unreachable)
 		case received && ctx.Err() == nil:
-			return sent, sent.fail(scheduler.Malformed)
+			return attempt, attempt.fail(scheduler.Malformed)
 		}
-		return sent, sent.fail(scheduler.TimedOut)
+		return attempt, attempt.fail(scheduler.TimedOut)
 	}
-	return sent, sent.readHead()
+	return attempt, attempt.readHead()
 }
 
-// expire ends a dispatch that takes too long. An origin that takes too long to read is
-// not waited for either.
+// expire ends a dispatch whose timeout has passed. If the call's deadline has passed too, a
+// pending write to a client that reads too slowly is also ended.
 func (d *dispatch) expire() {
 	d.cancel()
 	if d.exchange.headSent.Load() && !time.Now().Before(d.deadline) {
@@ -143,7 +150,8 @@
 	}
 }
 
-// fail ends a dispatch whose answer can't be used; the connection goes with it.
+// fail ends a dispatch whose response can't be used, and closes its connection. It always
+// returns false, so that send and readHead can return its result as their own.
 func (d *dispatch) fail(result scheduler.Result) bool {
 	if d.exchange.inbound.Context().Err() != nil {
 		result = scheduler.ClientGone
@@ -162,14 +170,15 @@
 	return false
 }
 
-// record keeps the result of a dispatch that is over.
+// record stores and counts the result of a dispatch that is over.
 func (d *dispatch) record(result scheduler.Result) {
 	d.outcome.Result = result
 	d.timer.Stop()
 	d.exchange.handler.meter.dispatched(d.decision.Kind, result)
 }
 
-// finish ends a dispatch whose answer was read to its end.
+// finish ends a dispatch whose response was read completely, and returns its connection to
+// the pool if the connection can be reused.
 func (d *dispatch) finish(result scheduler.Result) {
 	d.record(result)
 	_ = d.response.Body.Close()
@@ -182,8 +191,10 @@
 	d.cancel()
 }
 
-// readHead judges the head of an answer: whose it is, and whether it is a success. An
-// answer with another call's id belongs to that one.
+// readHead checks the head of the response and reports whether the response is a success
+// whose body remains to be read. A response with the ID of another call belongs to that call,
+// so the response is treated as malformed, as is a success without the call's ID. A failed
+// response is read completely, and the dispatch is over.
 func (d *dispatch) readHead() bool {
 	e, response := d.exchange, d.response
 	protocol := &e.handler.protocol
@@ -212,14 +223,15 @@
 	}
 	d.outcome.FirstByte = e.handler.now()
 	result := scheduler.ErrorResponse
-	switch _, never := response.Header[protocol.NotStarted]; {
+	switch _, notStarted := response.Header[protocol.NotStarted]; {
 	case response.StatusCode == http.StatusMisdirectedRequest:
 		result = scheduler.Misdirected
-	case never:
+	case notStarted:
 		result = scheduler.NotStarted
 	}
 	if result == scheduler.ErrorResponse && impliesNotRun(response.StatusCode) {
-		// The status would promise what the server did not: it goes no further.
+		// The status would tell the client that the call never ran, which the server did
+		// not promise: the response is not forwarded.
 		e.failedResponse = nil
 	} else {
 		e.failedResponse = &bufferedResponse{status: response.StatusCode, header: response.Header, body: body}
@@ -228,7 +240,8 @@
 	return false
 }
 
-// impliesNotRun tells whether a status says that a call has not run and never will.
+// impliesNotRun reports whether a status tells the client that the call has not run and
+// never will.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -237,11 +250,15 @@
 	return false
 }
 
+// errOversize reports a body that exceeds its limit.
 var errOversize = io.ErrShortBuffer
 
-// readBounded reads a whole body.
-func readBounded(body io.Reader, length int64, most int) ([]byte, error) {
-	if length > int64(most) {
+// readBounded reads a body to its end. The length is the declared one, or negative if unknown.
+// For a body over the limit it returns errOversize and the part read so far, which is empty if the
+// declared length exceeds the limit. The limit is checked only when the buffer is full, so a body of
+// unknown length may exceed it by less than one growth of the buffer.
+func readBounded(body io.Reader, length int64, limit int) ([]byte, error) {
+	if length > int64(limit) {
 		return nil, errOversize
 	}
 	if length < 0 {
@@ -250,7 +267,7 @@
 	content := make([]byte, 0, length+1)
 	for {
 		if len(content) == cap(content) {
-			if len(content) > most {
+			if len(content) > limit {
 				return content, errOversize
 			}
 			content = append(content, 0)[:len(content)]
@@ -266,40 +283,40 @@
 	}
 }
 
-// Read has a server read the prompt.
-func (e *exchange) Read(decision scheduler.Decision) scheduler.Outcome {
+// Prefill has the decision's server prefill the prompt.
+func (e *exchange) Prefill(decision scheduler.Decision) scheduler.Outcome {
 	protocol := &e.handler.protocol
 	e.prefillServer = decision.Server
-	sent, success := e.send(decision, func(header http.Header) {
+	attempt, success := e.send(decision, func(header http.Header) {
 		header[protocol.Stage] = []string{protocol.StageRead}
 	})
 	if !success {
-		return sent.outcome
+		return attempt.outcome
 	}
-	body, err := readBounded(sent.response.Body, sent.response.ContentLength, maxPrefillResponse)
+	body, err := readBounded(attempt.response.Body, attempt.response.ContentLength, maxPrefillResponse)
 	if err != nil {
-		sent.fail(scheduler.TimedOut)
-		return sent.outcome
+		attempt.fail(scheduler.TimedOut)
+		return attempt.outcome
 	}
 	handle := fastjson.GetString(body, protocol.HandleField)
 	if handle == "" || strings.ContainsAny(handle, "/?#% \r\n") {
-		sent.fail(scheduler.Malformed)
-		return sent.outcome
+		attempt.fail(scheduler.Malformed)
+		return attempt.outcome
 	}
-	sent.outcome.FirstByte = e.handler.now()
-	sent.outcome.Handle = handle
-	sent.finish(scheduler.Complete)
-	return sent.outcome
+	attempt.outcome.FirstByte = e.handler.now()
+	attempt.outcome.Handle = handle
+	attempt.finish(scheduler.Complete)
+	return attempt.outcome
 }
 
-// Run has a server make the answer, which is forwarded.
-func (e *exchange) Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
+// Generate has the decision's server generate the response, and forwards it to the client.
+func (e *exchange) Generate(route *config.CallRoute, decision scheduler.Decision, onFirstChunk func()) scheduler.Outcome {
 	protocol := &e.handler.protocol
 	if e.headSent.Load() && e.lastEvent == "" {
-		// Nothing tells where to go on.
+		// Without an event ID the stream can't be resumed.
 		return scheduler.Outcome{Result: scheduler.Interrupted}
 	}
-	sent, success := e.send(decision, func(header http.Header) {
+	attempt, success := e.send(decision, func(header http.Header) {
 		if decision.Source != nil {
 			header[protocol.Source] = []string{decision.Source.Address + "/" + decision.Source.Handle}
 		}
@@ -308,31 +325,34 @@
 		}
 	})
 	if !success {
-		return sent.outcome
+		return attempt.outcome
 	}
-	if strings.HasPrefix(sent.response.Header.Get("Content-Type"), "text/event-stream") {
-		sent.forwardEvents(route, began)
-		return sent.outcome
+	if strings.HasPrefix(attempt.response.Header.Get("Content-Type"), "text/event-stream") {
+		attempt.forwardEvents(route, onFirstChunk)
+		return attempt.outcome
 	}
 	if e.headSent.Load() {
-		sent.fail(scheduler.Malformed)
-		return sent.outcome
+		attempt.fail(scheduler.Malformed)
+		return attempt.outcome
 	}
-	sent.forwardBody()
-	return sent.outcome
+	attempt.forwardBody()
+	return attempt.outcome
 }
 
+// lastEventHeader is the standard header of event streams that names the last event that the
+// receiver has.
 const lastEventHeader = "Last-Event-Id"
 
-// extend has the dispatch go on to the call's end, now that its server speaks.
+// extend lets the dispatch run until deadlineGrace after its deadline, in place of a shorter
+// timeout. It is called only after the server has begun to respond.
 func (d *dispatch) extend() { d.timer.Reset(d.remaining()) }
 
-// remaining is how long the dispatch may go on at the most.
+// remaining returns how long the dispatch may still run: until deadlineGrace after its deadline.
 func (d *dispatch) remaining() time.Duration {
 	return time.Until(d.deadline) + deadlineGrace
 }
 
-// forwardHead gives the origin the status and the end-to-end headers of an answer.
+// forwardHead sends the status and the end-to-end headers of a response to the client.
 func (e *exchange) forwardHead(response *http.Response) {
 	header := e.writer.Header()
 	copyEndToEnd(header, response.Header)
@@ -341,6 +361,6 @@
 	}
 	e.headSent.Store(true)
 	e.ending = endServed
-	e.handler.meter.timeToFirst.UpdateDuration(e.began)
+	e.handler.meter.timeToFirstByte.UpdateDuration(e.startTime)
 	e.writer.WriteHeader(response.StatusCode)
 }
--- a/internal/adapters/proxy/exchange_test.go
+++ b/internal/adapters/proxy/exchange_test.go
@@ -14,332 +14,367 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-func TestACallGoesOnUnchangedAndItsAnswerComesBackUnchanged(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "the body", "Keep-Alive: timeout=4", "X-Other: 7"))
+// TestCallAndResponseAreForwardedUnchanged sends a call with an unusual path, with hop-by-hop headers and with headers that
+// only the router may set. Everything but these headers must arrive unchanged, and so must the response, except for
+// its hop-by-hop headers.
+func TestCallAndResponseAreForwardedUnchanged(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "the body", "Keep-Alive: timeout=4", "X-Other: 7"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	r := newRouter(t, sc)
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+	router := newRouter(t, executor)
 	body := strings.Repeat("0123456789", 9000)
-	outbound := r.request(t, http.MethodPost, "/chat//a%2fb/../c?x=%20y&&z", "id-1", body, "X-Kept", "yes", "Connection", "X-Dropped", "X-Dropped", "no",
-		"Seamloom-Server", "forged", "Seamloom-Stage", "prefill", "Seamloom-Source", "forged", "Seamloom-Parts", "5c1e07a2:800,91bd3f06:410", "Seamloom-Tokens", "1460,80", "Seamloom-Model", "m")
+	outbound := router.request(t, http.MethodPost, "/chat//a%2fb/../c?x=%20y&&z", "id-1", body,
+		"X-Kept", "yes", "Connection", "X-Dropped", "X-Dropped", "no",
+		"Seamloom-Server", "forged", "Seamloom-Stage", "prefill", "Seamloom-Source", "forged",
+		"Seamloom-Parts", "5c1e07a2:800,91bd3f06:410", "Seamloom-Tokens", "1460,80", "Seamloom-Model", "m")
 	got := send(outbound)
-	if got.failure != nil || got.status != 200 || string(got.body) != "the body" || got.header.Get("X-Seal") != "seal-id-1" || got.header.Get("X-Other") != "7" || got.header.Get("Keep-Alive") != "" {
-		t.Fatalf("the answer was changed: %+v", got)
+	if got.failure != nil || got.status != 200 || string(got.body) != "the body" || got.header.Get("X-Seal") != "seal-id-1" ||
+		got.header.Get("X-Other") != "7" || got.header.Get("Keep-Alive") != "" {
+		t.Fatalf("the response was changed: %+v", got)
 	}
-	inbound, sent := s.call(0)
-	if inbound.Method != http.MethodPost || inbound.RequestURI != "/chat//a%2fb/../c?x=%20y&&z" || string(sent) != body || inbound.Host != "calls.example" {
+	inbound, sent := server.request(0)
+	if inbound.Method != http.MethodPost || inbound.RequestURI != "/chat//a%2fb/../c?x=%20y&&z" || string(sent) != body ||
+		inbound.Host != "calls.example" {
 		t.Fatalf("the call was changed: %s %s %s, %d bytes", inbound.Method, inbound.RequestURI, inbound.Host, len(sent))
 	}
-	if inbound.Header.Get("X-Kept") != "yes" || inbound.Header.Get("X-Dropped") != "" || inbound.Header.Get("Seamloom-Server") != "life-1" ||
+	if inbound.Header.Get("X-Kept") != "yes" || inbound.Header.Get("X-Dropped") != "" || inbound.Header.Get("Seamloom-Server") != "server-1" ||
 		inbound.Header.Get("Seamloom-Stage") != "" || inbound.Header.Get("Seamloom-Source") != "" {
-		t.Fatalf("headers: %v", inbound.Header)
+		t.Fatalf("the server got the wrong headers: %v", inbound.Header)
 	}
-	// The server is handed what is left of the decision's five seconds, and not the client's own four.
+	// The server gets the remaining time of the decision's five seconds, not the client's four seconds.
 	if left, err := strconv.Atoi(inbound.Header.Get("Seamloom-Limit-Milliseconds")); err != nil || left <= 4000 || left > 5000 {
-		t.Fatalf("headers: %v", inbound.Header)
+		t.Fatalf("the server got the wrong time limit, want over 4000 and at most 5000 ms: %v", inbound.Header)
 	}
-	call := sc.calls[0]
-	if call.Model != "m" || call.PromptTokens != 1460 || call.OutputTokens != 80 || len(call.Segments) != 2 || call.Segments[0] != (scheduler.Segment{ID: 0x5c1e07a2, Tokens: 800}) || call.Path != "/chat//a%2fb/../c" || call.Bytes != len(body) {
-		t.Fatalf("the call was misread: %+v", call)
+	call := executor.calls[0]
+	if call.Model != "m" || call.PromptTokens != 1460 || call.OutputTokens != 80 || len(call.Segments) != 2 ||
+		call.Segments[0] != (scheduler.Segment{ID: 0x5c1e07a2, Tokens: 800}) || call.Path != "/chat//a%2fb/../c" || call.Bytes != len(body) {
+		t.Fatalf("the head of the call was parsed wrongly: %+v", call)
 	}
 }
 
+// TestMethodsWithAndWithoutBodies checks that an empty body stays empty, that a chunked body gets a Content-Length, and
+// that sequential calls share one connection.
 func TestMethodsWithAndWithoutBodies(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	r := newRouter(t, &scripted{decide: once(func() membership.Server { return s.server })})
+	router := newRouter(t, &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })})
 	for number, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
-		got := send(r.request(t, method, "//twice", "id", "", "Idempotency-Key", "key"))
+		got := send(router.request(t, method, "//twice", "id", "", "Idempotency-Key", "key"))
 		if got.status != 200 {
-			t.Fatalf("%s: %+v", method, got)
+			t.Fatalf("%s: got %+v, want status 200", method, got)
 		}
-		inbound, body := s.call(number)
-		if inbound.Method != method || inbound.RequestURI != "//twice" || len(body) != 0 || inbound.TransferEncoding != nil || inbound.Header.Get("Idempotency-Key") != "key" {
-			t.Fatalf("%s went on as %s %s %v %v", method, inbound.Method, inbound.RequestURI, inbound.TransferEncoding, inbound.Header)
+		inbound, body := server.request(number)
+		if inbound.Method != method || inbound.RequestURI != "//twice" || len(body) != 0 || inbound.TransferEncoding != nil ||
+			inbound.Header.Get("Idempotency-Key") != "key" {
+			t.Fatalf("%s was forwarded as %s %s, transfer encoding %v, headers %v",
+				method, inbound.Method, inbound.RequestURI, inbound.TransferEncoding, inbound.Header)
 		}
 	}
-	chunked := r.request(t, http.MethodPost, "/chunks", "id", "")
-	chunked.Body, chunked.ContentLength = http.MaxBytesReader(nil, asBody("in chunks"), 100), -1
+	chunked := router.request(t, http.MethodPost, "/chunks", "id", "")
+	chunked.Body, chunked.ContentLength = http.MaxBytesReader(nil, bodyOf("in chunks"), 100), -1
 	if got := send(chunked); got.status != 200 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("chunked body: got %+v, want status 200", got)
 	}
-	if inbound, body := s.call(4); string(body) != "in chunks" || inbound.ContentLength != 9 {
-		t.Fatalf("a chunked body went on as %q", body)
+	if inbound, body := server.request(4); string(body) != "in chunks" || inbound.ContentLength != 9 {
+		t.Fatalf("a chunked body was forwarded as %q", body)
 	}
-	if s.opened() != 1 {
-		t.Fatalf("%d circuits for calls one after the other", s.opened())
+	if server.connectionCount() != 1 {
+		t.Fatalf("sequential calls opened %d connections, want 1", server.connectionCount())
 	}
 }
 
-func TestFailingAnswersAreSorted(t *testing.T) {
-	for name, given := range map[string]struct {
-		answer string
-		result scheduler.Result
-		status int
+// TestFailedResponsesAreClassified has a server fail in various ways. Each failure must have its result, which decides
+// whether the call may be retried, and the client must get the right status.
+func TestFailedResponsesAreClassified(t *testing.T) {
+	for name, test := range map[string]struct {
+		response string
+		result   scheduler.Result
+		status   int
 	}{
-		"full":                 {whole(503, "id", "busy", "Seamloom-Not-Started: 1", "Seamloom-Load: 3,1,8", "Retry-After: 0.2"), scheduler.NotStarted, 503},
-		"another life":         {whole(421, "id", ""), scheduler.Misdirected, 421},
-		"its own failure":      {whole(500, "id", "oops"), scheduler.ErrorResponse, 500},
-		"its own time":         {whole(504, "id", ""), scheduler.ErrorResponse, 504},
-		"a promise not given":  {whole(503, "id", "?"), scheduler.ErrorResponse, 502},
-		"another call's":       {whole(200, "id-0", "?"), scheduler.Malformed, 503},
-		"nobody's success":     {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", scheduler.Malformed, 503},
-		"another's failure":    {whole(503, "id-0", "?", "Seamloom-Not-Started: 1"), scheduler.Malformed, 503},
-		"garbage":              {"\x00\x01 garbage\r\n\r\n", scheduler.Malformed, 503},
-		"no such status":       {"HTTP/1.1 099 What\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx", scheduler.Malformed, 503},
-		"another protocol":     {"HTTP/1.1 101 Switching Protocols\r\nSeamloom-Call: id\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nx", scheduler.Malformed, 503},
-		"nothing":              {"", scheduler.TimedOut, 503},
-		"a body that breaks":   {"HTTP/1.1 200 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.TimedOut, 503},
-		"a failing one breaks": {"HTTP/1.1 500 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.TimedOut, 503},
+		"full": {responseText(503, "id", "busy", "Seamloom-Not-Started: 1", "Seamloom-Load: 3,1,8", "Retry-After: 0.2"),
+			scheduler.NotStarted, 503},
+		"another incarnation":            {responseText(421, "id", ""), scheduler.Misdirected, 421},
+		"the server's own error":         {responseText(500, "id", "oops"), scheduler.ErrorResponse, 500},
+		"the server's own timeout":       {responseText(504, "id", ""), scheduler.ErrorResponse, 504},
+		"503 without not-started header": {responseText(503, "id", "?"), scheduler.ErrorResponse, 502},
+		"success of another call":        {responseText(200, "id-0", "?"), scheduler.Malformed, 503},
+		"success without a call ID":      {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", scheduler.Malformed, 503},
+		"failure of another call":        {responseText(503, "id-0", "?", "Seamloom-Not-Started: 1"), scheduler.Malformed, 503},
+		"garbage":                        {"\x00\x01 garbage\r\n\r\n", scheduler.Malformed, 503},
+		"invalid status code": {"HTTP/1.1 099 What\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx",
+			scheduler.Malformed, 503},
+		"switch to another protocol": {"HTTP/1.1 101 Switching Protocols\r\nSeamloom-Call: id\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nx",
+			scheduler.Malformed, 503},
+		"no response":             {"", scheduler.TimedOut, 503},
+		"success with a cut body": {"HTTP/1.1 200 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.TimedOut, 503},
+		"failure with a cut body": {"HTTP/1.1 500 OK\r\nSeamloom-Call: id\r\nContent-Length: 10\r\n\r\nx", scheduler.TimedOut, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool { connection.say(given.answer); return false })
-			sc := &scripted{decide: once(func() membership.Server { return s.server })}
-			got := newRouter(t, sc).send(t, "id", "body")
-			if got.failure != nil || got.status != given.status || sc.last().Result != given.result {
-				t.Fatalf("%+v, %+v", got, sc.last())
+			server := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+				connection.writeText(test.response)
+				return false
+			})
+			executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+			got := newRouter(t, executor).send(t, "id", "body")
+			if got.failure != nil || got.status != test.status || executor.last().Result != test.result {
+				t.Fatalf("got %+v and outcome %+v, want status %d and result %s", got, executor.last(), test.status, test.result)
 			}
-			if s.count() != 1 {
-				t.Fatalf("sent %d times", s.count())
+			if server.count() != 1 {
+				t.Fatalf("the call was sent %d times, want once", server.count())
 			}
-			if name == "full" && (got.header.Get("Retry-After") != "0.2" || got.header.Get("X-Seal") != "seal-id" || string(got.body) != "busy" || *sc.last().Load != (scheduler.ResponseLoad{Running: 3, Waiting: 1, Slots: 8})) {
-				t.Fatalf("%+v, %+v", got, sc.last().Load)
+			if name == "full" && (got.header.Get("Retry-After") != "0.2" || got.header.Get("X-Seal") != "seal-id" ||
+				string(got.body) != "busy" || *executor.last().Load != (scheduler.ResponseLoad{Running: 3, Waiting: 1, Slots: 8})) {
+				t.Fatalf("the server's response was changed or its load misread: got %+v, load %+v", got, executor.last().Load)
 			}
-			if given.result == scheduler.Malformed && got.header.Get("X-Seal") != "" {
-				t.Fatal("a word of our own bears a server's seal")
+			if test.result == scheduler.Malformed && got.header.Get("X-Seal") != "" {
+				t.Fatal("the router's own response has a header of the server")
 			}
 		})
 	}
 }
 
-func TestNobodyListensIsUnreached(t *testing.T) {
-	s := newStandin(t, nil)
-	_ = s.listener.Close()
-	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	newRouter(t, sc).send(t, "id", "body")
-	if sc.last().Result != scheduler.Unreachable {
-		t.Fatalf("%+v", sc.last())
+func TestRefusedConnectionIsUnreachable(t *testing.T) {
+	server := newFakeServer(t, nil)
+	_ = server.listener.Close()
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+	newRouter(t, executor).send(t, "id", "body")
+	if executor.last().Result != scheduler.Unreachable {
+		t.Fatalf("got outcome %+v, want result %s", executor.last(), scheduler.Unreachable)
 	}
 }
 
-func TestAStreamIsPassedOnEventByEvent(t *testing.T) {
-	further := make(chan string)
-	s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
-		connection.say(stream("id"))
-		for text := range further {
-			connection.say(text)
+// TestStreamIsForwardedEventByEvent checks that each event is forwarded once it is complete, before the next one arrives.
+func TestStreamIsForwardedEventByEvent(t *testing.T) {
+	texts := make(chan string)
+	server := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+		connection.writeText(streamHead("id"))
+		for text := range texts {
+			connection.writeText(text)
 		}
-		connection.say("0\r\n\r\n")
+		connection.writeText("0\r\n\r\n")
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	r := newRouter(t, sc)
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+	router := newRouter(t, executor)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	answered := make(chan *http.Response)
+	responses := make(chan *http.Response)
 	go func() {
-		inbound, err := client.Do(r.request(t, http.MethodPost, "/", "id", "body"))
+		response, err := client.Do(router.request(t, http.MethodPost, "/", "id", "body"))
 		if err != nil {
 			t.Error(err)
 		}
-		answered <- inbound
+		responses <- response
 	}()
-	further <- chunk(event(1))
-	inbound := <-answered
-	defer func() { _ = inbound.Body.Close() }()
+	texts <- chunk(event(1))
+	response := <-responses
+	defer func() { _ = response.Body.Close() }()
 	buffer := make([]byte, 1000)
 	expect := func(text string) {
 		t.Helper()
 		var got string
 		for len(got) < len(text) {
-			read, err := inbound.Body.Read(buffer)
+			read, err := response.Body.Read(buffer)
 			got += string(buffer[:read])
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
 		if got != text {
-			t.Fatalf("%q, not %q", got, text)
+			t.Fatalf("got %q, want %q", got, text)
 		}
 	}
 	expect(event(1))
-	// Half an event is not forwarded; its rest brings it.
-	further <- chunk(event(2)[:9])
-	further <- chunk(event(2)[9:] + event(3) + "id: 4\n")
+	// An incomplete event is not forwarded until the rest of it has arrived.
+	texts <- chunk(event(2)[:9])
+	texts <- chunk(event(2)[9:] + event(3) + "id: 4\n")
 	expect(event(2) + event(3))
-	further <- chunk("data: x\n\n")
+	texts <- chunk("data: x\n\n")
 	expect("id: 4\ndata: x\n\n")
-	close(further)
-	if read, err := inbound.Body.Read(buffer); read != 0 || err == nil || err.Error() != "EOF" {
-		t.Fatalf("%d %v", read, err)
+	close(texts)
+	if read, err := response.Body.Read(buffer); read != 0 || err == nil || err.Error() != "EOF" {
+		t.Fatalf("read %d bytes with error %v, want the end of the stream", read, err)
 	}
-	until(t, "the call ends", func() bool { return sc.active.Load() == 0 })
-	if sc.last().Result != scheduler.Complete || inbound.Header.Get("X-Seal") != "seal-id" {
-		t.Fatalf("%+v", sc.last())
+	waitUntil(t, "the call ends", func() bool { return executor.active.Load() == 0 })
+	if executor.last().Result != scheduler.Complete || response.Header.Get("X-Seal") != "seal-id" {
+		t.Fatalf("got outcome %+v and headers %v, want a complete stream with X-Seal", executor.last(), response.Header)
 	}
 }
 
-func TestAStreamThatBreaksOffDoesNotLookComplete(t *testing.T) {
-	for name, e := range map[string]string{"between events": "", "in an event": chunk("id: 3\nda"), "in a chunk": "20\r\nid: 3"} {
+// TestInterruptedStreamDoesNotLookComplete has a server close the connection within a stream: the client must get the
+// complete events, and then an aborted response instead of the end of the stream.
+func TestInterruptedStreamDoesNotLookComplete(t *testing.T) {
+	for name, tail := range map[string]string{"between events": "", "in an event": chunk("id: 3\nda"), "in a chunk": "20\r\nid: 3"} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
-				connection.say(stream("id") + chunk(joined(1, 2)) + e)
+			server := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+				connection.writeText(streamHead("id") + chunk(joinedEvents(1, 2)) + tail)
 				return false
 			})
-			sc := &scripted{decide: once(func() membership.Server { return s.server })}
-			got := newRouter(t, sc).send(t, "id", "body")
-			if got.failure == nil || string(got.body) != joined(1, 2) || sc.last().Result != scheduler.Interrupted {
-				t.Fatalf("%+v, %+v", got, sc.last())
+			executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+			got := newRouter(t, executor).send(t, "id", "body")
+			if got.failure == nil || string(got.body) != joinedEvents(1, 2) || executor.last().Result != scheduler.Interrupted {
+				t.Fatalf("got %+v and outcome %+v, want two events, then an aborted response", got, executor.last())
 			}
 		})
 	}
 }
 
-func TestAStreamGoesOnAtAnotherServer(t *testing.T) {
-	first := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
-		connection.say(stream("id") + chunk(joined(1, 2)+"id: 3\nda"))
+// TestStreamResumesAtAnotherServer resets the connection to the first server within an event. The second server gets the
+// ID of the last event that was forwarded, and the client gets each event once.
+func TestStreamResumesAtAnotherServer(t *testing.T) {
+	first := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+		connection.writeText(streamHead("id") + chunk(joinedEvents(1, 2)+"id: 3\nda"))
 		connection.reset()
 		return false
 	})
-	second := newStandin(t, func(c *callerConnection, _ *http.Request) bool {
-		// The second one repeats an event: it is forwarded once.
-		c.say(strings.Replace(stream("id"), "seal-id", "other", 1) + chunk(joined(2, 3, 4)) + "0\r\n\r\n")
+	second := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+		// The second server repeats event 2, which must be forwarded only once.
+		connection.writeText(strings.Replace(streamHead("id"), "seal-id", "other", 1) + chunk(joinedEvents(2, 3, 4)) + "0\r\n\r\n")
 		return true
 	})
-	s := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
-		run := scheduler.Decision{Kind: scheduler.Generate, Server: first.server, Deadline: time.Now().Add(time.Second), Priority: 3}
+	executor := &scriptedExecutor{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+		run := scheduler.Decision{Kind: scheduler.Generate, Server: first.record, Deadline: time.Now().Add(time.Second), Priority: 3}
 		switch {
 		case number == 0:
 			return run
 		case number == 1 && outcome.Result == scheduler.Interrupted:
-			run.Server = second.server
+			run.Server = second.record
 			return run
 		}
-		return finalReply(outcome)
+		return finalDecision(outcome)
 	}}
-	got := newRouter(t, s).send(t, "id", "body")
-	if got.failure != nil || string(got.body) != joined(1, 2, 3, 4) || got.header.Get("X-Seal") != "seal-id" {
-		t.Fatalf("%+v", got)
+	got := newRouter(t, executor).send(t, "id", "body")
+	if got.failure != nil || string(got.body) != joinedEvents(1, 2, 3, 4) || got.header.Get("X-Seal") != "seal-id" {
+		t.Fatalf("got %+v, want events 1 to 4 once each", got)
 	}
-	if inbound, body := second.call(0); inbound.Header.Get("Last-Event-Id") != "2" || string(body) != "body" || inbound.Header.Get("Seamloom-Urgency") != "3" {
-		t.Fatalf("%v", inbound.Header)
+	if inbound, body := second.request(0); inbound.Header.Get("Last-Event-Id") != "2" || string(body) != "body" ||
+		inbound.Header.Get("Seamloom-Urgency") != "3" {
+		t.Fatalf("the second server got body %q and headers %v", body, inbound.Header)
 	}
 }
 
-func TestTwoHalves(t *testing.T) {
-	freed := make(chan string, 1)
-	reader := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+// TestPrefillAndDecodeAtTwoServers checks the headers of both phases, and that the prefill server gets the request to
+// release a handle.
+func TestPrefillAndDecodeAtTwoServers(t *testing.T) {
+	releasedPaths := make(chan string, 1)
+	prefillServer := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
 		if inbound.Method == http.MethodDelete {
-			freed <- inbound.RequestURI
-			connection.say(whole(200, "", ""))
+			releasedPaths <- inbound.RequestURI
+			connection.writeText(responseText(200, "", ""))
 			return true
 		}
-		connection.say(whole(200, "id", `{"handle":"3fa09c41b7d5","tokens":3}`))
+		connection.writeText(responseText(200, "id", `{"handle":"3fa09c41b7d5","tokens":3}`))
 		return true
 	})
-	runner := newStandin(t, func(c *callerConnection, _ *http.Request) bool {
-		c.say(whole(200, "id", "answer"))
+	decodeServer := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+		connection.writeText(responseText(200, "id", "answer"))
 		return true
 	})
-	s := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
-		ends := time.Now().Add(time.Second)
+	executor := &scriptedExecutor{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+		deadline := time.Now().Add(time.Second)
 		switch number {
 		case 0:
-			return scheduler.Decision{Kind: scheduler.Prefill, Server: reader.server, Deadline: ends, Priority: -1}
+			return scheduler.Decision{Kind: scheduler.Prefill, Server: prefillServer.record, Deadline: deadline, Priority: -1}
 		case 1:
-			return scheduler.Decision{Kind: scheduler.Generate, Server: runner.server, Deadline: ends, Priority: -1, Source: &scheduler.Source{Address: reader.server.Address, Handle: outcome.Handle}}
+			return scheduler.Decision{Kind: scheduler.Generate, Server: decodeServer.record, Deadline: deadline, Priority: -1,
+				Source: &scheduler.Source{Address: prefillServer.record.Address, Handle: outcome.Handle}}
 		}
-		return scheduler.Decision{Kind: scheduler.Done, Release: []scheduler.Source{{Address: reader.server.Address, Handle: "left over"}}}
+		return scheduler.Decision{Kind: scheduler.Done, Release: []scheduler.Source{{Address: prefillServer.record.Address, Handle: "left over"}}}
 	}}
-	got := newRouter(t, s).send(t, "id", "body")
+	got := newRouter(t, executor).send(t, "id", "body")
 	if got.status != 200 || string(got.body) != "answer" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want the decode server's response", got)
 	}
-	reading, body := reader.call(0)
-	running, _ := runner.call(0)
-	if reading.Header.Get("Seamloom-Stage") != "prefill" || string(body) != "body" || running.Header.Get("Seamloom-Stage") != "" ||
-		running.Header.Get("Seamloom-Source") != reader.server.Address+"/3fa09c41b7d5" {
-		t.Fatalf("%v, %v", reading.Header, running.Header)
+	prefillRequest, body := prefillServer.request(0)
+	decodeRequest, _ := decodeServer.request(0)
+	if prefillRequest.Header.Get("Seamloom-Stage") != "prefill" || string(body) != "body" ||
+		decodeRequest.Header.Get("Seamloom-Stage") != "" ||
+		decodeRequest.Header.Get("Seamloom-Source") != prefillServer.record.Address+"/3fa09c41b7d5" {
+		t.Fatalf("wrong headers: prefill %v, decode %v", prefillRequest.Header, decodeRequest.Header)
 	}
-	if path := <-freed; path != "/v1/handles/left%20over" {
-		t.Fatal(path)
+	if path := <-releasedPaths; path != "/v1/handles/left%20over" {
+		t.Fatalf("a handle was released with path %s, want /v1/handles/left%%20over", path)
 	}
 }
 
-func TestServersWorkEndsWhenTheClientLeaves(t *testing.T) {
-	for name, text := range map[string]string{"before the head": "", "within the stream": stream("id") + chunk(event(1))} {
+// TestServerWorkEndsWhenTheClientDisconnects guards against servers that continue to work on the call of a client that
+// has disconnected.
+func TestServerWorkEndsWhenTheClientDisconnects(t *testing.T) {
+	for name, text := range map[string]string{"before the head": "", "within the stream": streamHead("id") + chunk(event(1))} {
 		t.Run(name, func(t *testing.T) {
 			begun, ended := make(chan bool, 1), make(chan bool, 1)
-			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
-				connection.say(text)
+			server := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+				connection.writeText(text)
 				begun <- true
 				_, _ = connection.reader.Peek(1)
 				ended <- true
 				return false
 			})
-			sc := &scripted{decide: once(func() membership.Server { return s.server })}
-			r := newRouter(t, sc)
-			left := make(chan time.Time, 1)
+			executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+			router := newRouter(t, executor)
+			disconnectedAt := make(chan time.Time, 1)
 			go func() {
 				<-begun
-				left <- time.Now()
-				r.CloseClientConnections()
+				disconnectedAt <- time.Now()
+				router.CloseClientConnections()
 			}()
-			_ = r.send(t, "id", "body")
+			_ = router.send(t, "id", "body")
 			<-ended
-			// The call's own time would be over after four seconds.
-			if took := time.Since(<-left); took > 2*time.Second {
-				t.Errorf("the server works on for %v", took)
+			// The deadline of the decision would end this work only after five seconds.
+			if took := time.Since(<-disconnectedAt); took > 2*time.Second {
+				t.Errorf("the server still worked %v after the client disconnected, want at most 2s", took)
 			}
-			until(t, "the call ends", func() bool { return sc.active.Load() == 0 && sc.last().Result != "" })
-			if sc.last().Result != scheduler.ClientGone {
-				t.Fatalf("%+v", sc.last())
+			waitUntil(t, "the call ends", func() bool { return executor.active.Load() == 0 && executor.last().Result != "" })
+			if executor.last().Result != scheduler.ClientGone {
+				t.Fatalf("got outcome %+v, want result %s", executor.last(), scheduler.ClientGone)
 			}
 		})
 	}
 }
 
-func TestPatienceAndEnds(t *testing.T) {
+// TestResponseTimeoutAndDeadline has a server that never responds: the call must end at the response timeout or at the
+// deadline. The result is Unreachable if the deadline passes before the call is sent.
+func TestResponseTimeoutAndDeadline(t *testing.T) {
 	for name, decision := range map[string]scheduler.Decision{
-		"patience": {Deadline: time.Now().Add(time.Hour), ResponseTimeout: 20 * time.Millisecond},
-		"ends":     {Deadline: time.Now().Add(50 * time.Millisecond)},
+		"response timeout": {Deadline: time.Now().Add(time.Hour), ResponseTimeout: 20 * time.Millisecond},
+		"deadline":         {Deadline: time.Now().Add(50 * time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
+			server := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
 				_, _ = connection.reader.Peek(1)
 				return false
 			})
-			sc := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+			executor := &scriptedExecutor{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 				if number > 0 {
-					return finalReply(outcome)
+					return finalDecision(outcome)
 				}
-				decision.Kind, decision.Server = scheduler.Generate, s.server
+				decision.Kind, decision.Server = scheduler.Generate, server.record
 				return decision
 			}}
-			got := newRouter(t, sc).send(t, "id", "body")
-			if got.status != 503 || sc.last().Result != scheduler.TimedOut && sc.last().Result != scheduler.Unreachable {
-				t.Fatalf("%+v %+v", got, sc.last())
+			got := newRouter(t, executor).send(t, "id", "body")
+			if got.status != 503 || executor.last().Result != scheduler.TimedOut && executor.last().Result != scheduler.Unreachable {
+				t.Fatalf("got %+v and outcome %+v, want status 503 after a timeout", got, executor.last())
 			}
 		})
 	}
 }
 
-// TestAnClientThatClosedItsHalfGetsNoAnswerMadeUp: an origin that looks gone must not
-// read an empty success.
-func TestAnClientThatClosedItsHalfGetsNoAnswerMadeUp(t *testing.T) {
-	for name, text := range map[string]string{"before the head": "", "within the stream": stream("id") + chunk(event(1))} {
+// TestHalfClosedClientGetsNoInventedResponse guards against a response that looks complete although the server
+// has not completed it: a client that closes its sending half counts as disconnected, but can still read.
+func TestHalfClosedClientGetsNoInventedResponse(t *testing.T) {
+	for name, text := range map[string]string{"before the head": "", "within the stream": streamHead("id") + chunk(event(1))} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
-				connection.say(text)
+			server := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+				connection.writeText(text)
 				_, _ = connection.reader.Peek(1)
 				return false
 			})
-			sc := &scripted{decide: once(func() membership.Server { return s.server })}
-			r := newRouter(t, sc)
-			client, err := net.Dial("tcp", r.Listener.Addr().String())
+			executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+			router := newRouter(t, executor)
+			client, err := net.Dial("tcp", router.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -347,79 +382,84 @@
 			_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
 			reader := bufio.NewReader(client)
 			if text == "" {
-				until(t, "the call reaches the server", func() bool { return s.count() == 1 })
+				waitUntil(t, "the call reaches the server", func() bool { return server.count() == 1 })
 			} else if _, err := reader.Peek(1); err != nil {
 				t.Fatal(err)
 			}
 			_ = client.(*net.TCPConn).CloseWrite()
 			if got, _ := io.ReadAll(reader); text == "" && len(got) != 0 || strings.HasSuffix(string(got), "0\r\n\r\n") {
-				t.Fatalf("got %q", got)
+				t.Fatalf("got %q, want a response that does not look complete", got)
 			}
-			if sc.last().Result != scheduler.ClientGone {
-				t.Fatalf("%+v", sc.last())
+			if executor.last().Result != scheduler.ClientGone {
+				t.Fatalf("got outcome %+v, want result %s", executor.last(), scheduler.ClientGone)
 			}
 		})
 	}
 }
 
-func TestASilentStreamGoesOnElsewhere(t *testing.T) {
-	first := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
-		connection.say(stream("id") + chunk(joined(1)))
+// TestStalledStreamResumesAtAnotherServer has a server that stops sending within a stream: after the stream timeout, the
+// stream must be resumed at another server.
+func TestStalledStreamResumesAtAnotherServer(t *testing.T) {
+	first := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+		connection.writeText(streamHead("id") + chunk(joinedEvents(1)))
 		_, _ = connection.reader.Peek(1)
 		return false
 	})
-	second := newStandin(t, func(c *callerConnection, _ *http.Request) bool {
-		c.say(stream("id") + chunk(joined(2)) + "0\r\n\r\n")
+	second := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+		connection.writeText(streamHead("id") + chunk(joinedEvents(2)) + "0\r\n\r\n")
 		return true
 	})
-	s := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
-		run := scheduler.Decision{Kind: scheduler.Generate, Server: first.server, Deadline: time.Now().Add(5 * time.Second), StreamTimeout: 30 * time.Millisecond, Priority: -1}
+	executor := &scriptedExecutor{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+		run := scheduler.Decision{Kind: scheduler.Generate, Server: first.record, Deadline: time.Now().Add(5 * time.Second),
+			StreamTimeout: 30 * time.Millisecond, Priority: -1}
 		switch {
 		case number == 0:
 			return run
 		case number == 1 && outcome.Result == scheduler.Interrupted:
-			run.Server = second.server
+			run.Server = second.record
 			return run
 		}
-		return finalReply(outcome)
+		return finalDecision(outcome)
 	}}
-	got := newRouter(t, s).send(t, "id", "body")
-	if got.failure != nil || string(got.body) != joined(1, 2) {
-		t.Fatalf("%+v", got)
+	got := newRouter(t, executor).send(t, "id", "body")
+	if got.failure != nil || string(got.body) != joinedEvents(1, 2) {
+		t.Fatalf("got %+v, want events 1 and 2", got)
 	}
 }
 
-// TestAnClientThatDoesNotReadIsNotWaitedFor past the call's end, and its server is not
-// taken to be silent meanwhile.
-func TestAnClientThatDoesNotReadIsNotWaitedFor(t *testing.T) {
-	piece := "id: 1\ndata: " + strings.Repeat("x", 1<<16) + "\n\n"
-	s := newStandin(t, func(connection *callerConnection, _ *http.Request) bool {
-		connection.say(stream("id"))
+// TestClientThatDoesNotReadIsCutOffAtTheDeadline has a client that never reads its stream: the call ends at
+// its deadline. Until then the router must not conclude that the server has stalled, because it is the client
+// that blocks the stream.
+func TestClientThatDoesNotReadIsCutOffAtTheDeadline(t *testing.T) {
+	largeEvent := "id: 1\ndata: " + strings.Repeat("x", 1<<16) + "\n\n"
+	server := newFakeServer(t, func(connection *serverConnection, _ *http.Request) bool {
+		connection.writeText(streamHead("id"))
 		for range 1000 {
-			if _, err := io.WriteString(connection, chunk(piece)); err != nil {
+			if _, err := io.WriteString(connection, chunk(largeEvent)); err != nil {
 				return false
 			}
 		}
 		return false
 	})
-	var ends time.Time
-	sc := &scripted{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
+	var deadline time.Time
+	executor := &scriptedExecutor{decide: func(number int, outcome scheduler.Outcome) scheduler.Decision {
 		if number == 0 {
-			ends = time.Now().Add(300 * time.Millisecond)
-			return scheduler.Decision{Kind: scheduler.Generate, Server: s.server, Deadline: ends, StreamTimeout: 30 * time.Millisecond, Priority: -1}
+			deadline = time.Now().Add(300 * time.Millisecond)
+			return scheduler.Decision{Kind: scheduler.Generate, Server: server.record, Deadline: deadline,
+				StreamTimeout: 30 * time.Millisecond, Priority: -1}
 		}
-		return finalReply(outcome)
+		return finalDecision(outcome)
 	}}
-	r := newRouter(t, sc)
-	client, err := net.Dial("tcp", r.Listener.Addr().String())
+	router := newRouter(t, executor)
+	client, err := net.Dial("tcp", router.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = client.Close() }()
 	_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
-	until(t, "the call begins", func() bool { return sc.active.Load() == 1 })
-	until(t, "the call ends", func() bool { return sc.active.Load() == 0 })
-	if time.Now().Before(ends) {
-		t.Fatal("cut before its end")
+	waitUntil(t, "the call begins", func() bool { return executor.active.Load() == 1 })
+	waitUntil(t, "the call ends", func() bool { return executor.active.Load() == 0 })
+	if time.Now().Before(deadline) {
+		t.Fatal("the call ended before its deadline")
 	}
 }
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -25,151 +25,157 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// ledger is what servers did, by the id of each call.
+// callLog records the runs of calls on all servers. The counts are the number of runs of each call, by its ID;
+// the violations describe calls that used the KV cache of another call.
 type callLog struct {
-	mutex sync.Mutex
-	ran   map[string]int
-	wrong []string
+	mutex      sync.Mutex
+	counts     map[string]int
+	violations []string
 }
 
-func (l *callLog) run(id string) {
+func (l *callLog) recordRun(id string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ran[id]++
+	l.counts[id]++
 }
 
-func (l *callLog) runs(id string) int {
+func (l *callLog) runCount(id string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ran[id]
+	return l.counts[id]
 }
 
-const chunks = 6
+// eventCount is the number of events in the stream of a call.
+const eventCount = 6
 
-// unruly is a model server that misbehaves by a seed.
-func unruly(t *testing.T, name, part string, l *callLog, seed uint64) *standin {
-	chance := rand.New(rand.NewPCG(seed, 1))
+// newFaultyServer starts a model server with random faults, which the seed determines. The server records in log each
+// call that it runs.
+func newFaultyServer(t *testing.T, name, role string, log *callLog, seed uint64) *fakeServer {
+	random := rand.New(rand.NewPCG(seed, 1))
 	var mutex sync.Mutex
-	draw := func(most int) int {
+	draw := func(limit int) int {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return chance.IntN(most)
+		return random.IntN(limit)
 	}
-	server := newStandin(t, nil)
-	server.server.Name, server.server.Part, server.server.Service, server.server.Zone, server.server.Slots = name, part, "desk", "north", 64
-	server.server.Models = []string{"m"}
-	server.act = func(connection *callerConnection, inbound *http.Request) bool {
+	server := newFakeServer(t, nil)
+	server.record.Name, server.record.Role, server.record.Service, server.record.Zone, server.record.Slots = name, role, "desk", "north", 64
+	server.record.Models = []string{"m"}
+	server.respond = func(connection *serverConnection, inbound *http.Request) bool {
 		id := inbound.Header.Get("Seamloom-Call")
-		a := func(text string) bool { connection.say(text); return true }
+		respond := func(text string) bool { connection.writeText(text); return true }
 		switch {
 		case inbound.Method == http.MethodDelete:
-			return a(whole(200, id, ""))
+			return respond(responseText(200, id, ""))
 		case inbound.Header.Get("Seamloom-Server") != name:
-			return a(whole(421, id, ""))
+			return respond(responseText(421, id, ""))
 		}
-		kind := draw(20)
-		switch kind {
+		behavior := draw(20)
+		switch behavior {
 		case 0:
-			return a(whole(503, id, "full", "Seamloom-Not-Started: 1"))
+			return respond(responseText(503, id, "full", "Seamloom-Not-Started: 1"))
 		case 1:
-			return a(whole(421, id, ""))
+			return respond(responseText(421, id, ""))
 		case 2:
-			// Dropped before it began.
+			// The connection fails before the call has started.
 			connection.reset()
 			return false
 		}
 		if inbound.Header.Get("Seamloom-Stage") != "" {
-			switch kind {
+			switch behavior {
 			case 3:
-				return a(whole(500, id, "?"))
+				return respond(responseText(500, id, "?"))
 			case 4:
-				connection.say(whole(200, id, `{"handle":"h-`+id+`"}`)[:40])
+				connection.writeText(responseText(200, id, `{"handle":"h-`+id+`"}`)[:40])
 				return false
 			}
-			return a(whole(200, id, `{"handle":"h-`+id+`"}`))
+			return respond(responseText(200, id, `{"handle":"h-`+id+`"}`))
 		}
 		if source := inbound.Header.Get("Seamloom-Source"); source != "" && !strings.HasSuffix(source, "/h-"+id) {
-			l.mutex.Lock()
-			l.wrong = append(l.wrong, id+" goes on from "+source)
-			l.mutex.Unlock()
+			log.mutex.Lock()
+			log.violations = append(log.violations, id+" decodes from the KV cache of "+source)
+			log.mutex.Unlock()
 		}
-		l.run(id)
+		log.recordRun(id)
 		first, _ := strconv.Atoi(inbound.Header.Get("Last-Event-Id"))
-		text := stream(id)
-		for piece := first + 1; piece <= chunks; piece++ {
-			text += chunk("id: " + strconv.Itoa(piece) + "\ndata: " + id + " piece " + strconv.Itoa(piece) + "\n\n")
+		text := streamHead(id)
+		for number := first + 1; number <= eventCount; number++ {
+			text += chunk("id: " + strconv.Itoa(number) + "\ndata: " + id + " event " + strconv.Itoa(number) + "\n\n")
 		}
 		text += "0\r\n\r\n"
-		switch kind {
+		switch behavior {
 		case 3:
-			return a(whole(500, id, "oops"))
+			return respond(responseText(500, id, "oops"))
 		case 4:
 			connection.reset()
 			return false
 		case 5:
-			connection.say(text[:draw(len(text))])
+			connection.writeText(text[:draw(len(text))])
 			return false
 		case 6:
-			connection.say(text[:draw(len(text))])
+			connection.writeText(text[:draw(len(text))])
 			connection.reset()
 			return false
 		case 7:
-			return a("\x16\x03 garbage \r\n\r\n" + text)
+			return respond("\x16\x03 garbage \r\n\r\n" + text)
 		case 8:
-			return a(text + "and more")
+			return respond(text + "and more")
 		case 9:
-			return a(text + text)
+			return respond(text + text)
 		case 10:
-			connection.say(text)
+			connection.writeText(text)
 			return false
 		case 11:
-			connection.say(text)
-			// A late second answer, in the place of the next.
-			go func() { connection.say(text) }()
+			connection.writeText(text)
+			// The response is sent a second time, possibly when the router waits for the response to the next call.
+			go func() { connection.writeText(text) }()
 			return true
 		case 12:
-			connection.say(whole(200, "another", "not yours"))
+			connection.writeText(responseText(200, "another", "not yours"))
 			return true
 		case 13:
 			middle := draw(len(text))
-			connection.say(text[:middle])
+			connection.writeText(text[:middle])
 			time.Sleep(time.Millisecond)
-			return a(text[middle:])
+			return respond(text[middle:])
 		}
-		return a(text)
+		return respond(text)
 	}
 	return server
 }
 
-// TestNothingRunsTwiceAndNothingIsMixed sends calls through a router to servers that
-// misbehave at every cut, by a seed, and holds what origins got against what ran.
-func TestNothingRunsTwiceAndNothingIsMixed(t *testing.T) {
+// TestNoCallRunsTwiceAndNoResponseIsMixedUp sends calls through a router to faulty servers, and
+// compares what the clients got with what the servers ran.
+func TestNoCallRunsTwiceAndNoResponseIsMixedUp(t *testing.T) {
 	seeds := 6
 	if text := os.Getenv("SEAMLOOM_SEEDS"); text != "" {
 		seeds, _ = strconv.Atoi(text)
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { sendFleet(t, uint64(seed), 150) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { sendCallsToFaultyFleet(t, uint64(seed), 150) })
 	}
 }
 
-func sendFleet(t *testing.T, seed uint64, count int) {
-	l := &callLog{ran: map[string]int{}}
+// sendCallsToFaultyFleet sends count calls from four clients to four faulty servers. At least a
+// third of the calls must be served.
+func sendCallsToFaultyFleet(t *testing.T, seed uint64, count int) {
+	log := &callLog{counts: map[string]int{}}
 	var servers []membership.Server
 	for number := range 4 {
-		part := map[bool]string{true: "prefill", false: "decode"}[number < 2]
-		servers = append(servers, unruly(t, fmt.Sprint("life-", number), part, l, seed*10+uint64(number)).server)
+		role := map[bool]string{true: "prefill", false: "decode"}[number < 2]
+		servers = append(servers, newFaultyServer(t, fmt.Sprint("server-", number), role, log, seed*10+uint64(number)).record)
 	}
 	configuration := twoRoutes()
 	ctx, cancel := context.WithCancel(t.Context())
 	rt := osruntime.New(ctx, osruntime.NewClock())
-	connections := NewPool(nil)
-	deciding := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north", Retries: scheduler.RetryAllowance{Ratio: 5, Slack: 1000, Window: time.Second}})
-	conduct := dataplane.NewCalls(rt, deciding, connections.SetServers)
-	conduct.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
-	conduct.SetRouters(1)
-	conduct.SetServers(rt.Now(), servers)
-	handler, err := NewHandler(ctx, DefaultProtocol(), connections, conduct, rt.Now)
+	pool := NewPool(nil)
+	callScheduler := scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north",
+		Retries: scheduler.RetryAllowance{Ratio: 5, Slack: 1000, Window: time.Second}})
+	calls := dataplane.NewCalls(rt, callScheduler, pool.SetServers)
+	calls.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
+	calls.SetRouters(1)
+	calls.SetServers(rt.Now(), servers)
+	handler, err := NewHandler(ctx, DefaultProtocol(), pool, calls, rt.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,103 +187,108 @@
 	owner := tomb.Tomb{}
 	owner.Go(func() error { _ = server.Serve(listener); return nil })
 	defer func() { cancel(); _ = server.Close(); owner.Kill(nil); _ = owner.Wait() }()
-	var complete, taken atomic.Int64
-	var origins sync.WaitGroup
+	var complete, started atomic.Int64
+	var clients sync.WaitGroup
 	for range 4 {
-		origins.Go(func() {
+		clients.Go(func() {
 			for {
-				number := int(taken.Add(1)) - 1
+				number := int(started.Add(1)) - 1
 				if number >= count {
 					return
 				}
 				route := map[bool]string{true: "once", false: "again"}[number%2 == 0]
 				id := fmt.Sprintf("%s-%d-%d", route, seed, number)
-				if sendCall(t, listener.Addr().String(), route, id, l) {
+				if sendCall(t, listener.Addr().String(), route, id, log) {
 					complete.Add(1)
 				}
 			}
 		})
 	}
-	origins.Wait()
-	if len(l.wrong) > 0 {
-		t.Fatal(l.wrong)
+	clients.Wait()
+	if len(log.violations) > 0 {
+		t.Fatal(log.violations)
 	}
 	if complete.Load() < int64(count/3) {
-		t.Fatalf("only %d of %d calls were complete", complete.Load(), count)
+		t.Fatalf("%d of %d calls were served, want at least a third", complete.Load(), count)
 	}
-	until(t, "no call is left", func() bool { return deciding.InFlight() == 0 })
+	waitUntil(t, "no call is in flight", func() bool { return callScheduler.InFlight() == 0 })
 }
 
-// sendCall sends one call and holds what its origin got against what ran; it tells
-// whether the answer was complete.
-func sendCall(t *testing.T, address, route, id string, l *callLog) bool {
+// sendCall sends one call and compares the response with what the servers ran. It reports whether
+// the response was complete.
+func sendCall(t *testing.T, address, route, id string, log *callLog) bool {
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+address+"/"+route+"/x", strings.NewReader("body of "+id))
 	outbound.Host = "calls.example"
-	for name, value := range map[string]string{"Seamloom-Call": id, "Seamloom-Limit-Milliseconds": "2000", "Seamloom-Model": "m", "Seamloom-Tokens": "9000,6",
-		"Seamloom-Parts": "1:5000,2:3000,3:1000"} {
+	for name, value := range map[string]string{"Seamloom-Call": id, "Seamloom-Limit-Milliseconds": "2000",
+		"Seamloom-Model": "m", "Seamloom-Tokens": "9000,6", "Seamloom-Parts": "1:5000,2:3000,3:1000"} {
 		outbound.Header.Set(name, value)
 	}
 	got := send(outbound)
-	runs := l.runs(id)
+	runs := log.runCount(id)
 	text := string(got.body)
 	switch {
 	case route == "once" && runs > 1:
-		t.Errorf("%s ran %d times", id, runs)
+		t.Errorf("call %s ran %d times, want at most once", id, runs)
 	case got.failure == nil && got.status == 200:
 		var expected string
-		for chunk := 1; chunk <= chunks; chunk++ {
-			expected += "id: " + strconv.Itoa(chunk) + "\ndata: " + id + " piece " + strconv.Itoa(chunk) + "\n\n"
+		for number := 1; number <= eventCount; number++ {
+			expected += "id: " + strconv.Itoa(number) + "\ndata: " + id + " event " + strconv.Itoa(number) + "\n\n"
 		}
 		if text != expected || got.header.Get("X-Seal") != "seal-"+id {
-			t.Errorf("%s got %q, %v", id, text, got.header)
+			t.Errorf("call %s: got body %q and headers %v, want body %q", id, text, got.header, expected)
 		}
 		return true
 	case got.failure == nil && impliesNotRun(got.status):
 		if runs > 0 {
-			t.Errorf("%s was promised not to have run and ran %d times: %+v", id, runs, got)
+			t.Errorf("call %s: the status says that the call did not run, but it ran %d times: %+v", id, runs, got)
 		}
 	case got.failure == nil && strings.Contains(got.header.Get("X-Seal"), "seal-") && got.header.Get("X-Seal") != "seal-"+id:
-		t.Errorf("%s got another's answer: %+v", id, got)
+		t.Errorf("call %s got the response of another call: %+v", id, got)
 	}
 	if text != "" && got.status == 200 && !strings.Contains(text, id) {
-		t.Errorf("%s got %q", id, text)
+		t.Errorf("call %s: got body %q, which lacks the call's ID", id, text)
 	}
 	return false
 }
 
-// twoRoutes is a configuration with a route of calls that may run once and one of
-// streams that may go on elsewhere.
+// twoRoutes returns a configuration with two routes: calls of "once" may run only once, and streams
+// of "again" may be resumed at another server.
 func twoRoutes() *config.Configuration {
 	configuration := config.Empty()
-	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
+	configuration.Services = map[string]config.Service{"desk": {Name: "desk", Connections: 300, Engine: config.Engine{
+		Slots: 64, MemoryTokens: 300_000, TokenBytes: 18_000,
 		LinkBitsPerSecond: 5e11, TokensPerChunk: 5, HandleLifetime: 5 * time.Second, Models: []string{"m"}}}}
 	shares := []config.Share{{Service: "desk", Weight: 1}}
 	configuration.Routes = []config.Route{
-		{Name: "once", Match: config.Match{Host: "calls.example", PathPrefix: "/once/"}, Calls: &config.CallRoute{Shares: shares, Timeout: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, MaxAttempts: 3, Streams: true}},
-		{Name: "again", Match: config.Match{Host: "calls.example", PathPrefix: "/again/"}, Calls: &config.CallRoute{Shares: shares, Timeout: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, MaxAttempts: 3, Streams: true, Resumable: true}},
+		{Name: "once", Match: config.Match{Host: "calls.example", PathPrefix: "/once/"},
+			Calls: &config.CallRoute{Shares: shares, Timeout: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, MaxAttempts: 3,
+				Streams: true}},
+		{Name: "again", Match: config.Match{Host: "calls.example", PathPrefix: "/again/"},
+			Calls: &config.CallRoute{Shares: shares, Timeout: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, MaxAttempts: 3,
+				Streams: true, Resumable: true}},
 	}
 	return configuration
 }
 
-// TestLeavingUnderTraffic: while a router leaves, no call that was read is cut, and
-// after it takes no more, origins are told when to come back.
-func TestLeavingUnderTraffic(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+// TestDrainingUnderTraffic drains a router under load: each call that a server got must be served completely, and
+// the router must refuse further calls with Retry-After or close their connections.
+func TestDrainingUnderTraffic(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
 		id := inbound.Header.Get("Seamloom-Call")
-		connection.say(stream(id) + chunk(event(1)))
+		connection.writeText(streamHead(id) + chunk(event(1)))
 		time.Sleep(30 * time.Millisecond)
-		connection.say(chunk(event(2)) + "0\r\n\r\n")
+		connection.writeText(chunk(event(2)) + "0\r\n\r\n")
 		return true
 	})
-	s.server.Service, s.server.Slots, s.server.Models = "desk", 64, []string{"m"}
+	server.record.Service, server.record.Slots, server.record.Models = "desk", 64, []string{"m"}
 	owner := &tomb.Tomb{}
 	rt := osruntime.New(owner.Context(context.Background()), osruntime.NewClock())
-	connections := NewPool(nil)
-	conduct := dataplane.NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), connections.SetServers)
-	conduct.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
-	conduct.SetRouters(1)
-	conduct.SetServers(rt.Now(), []membership.Server{s.server})
-	handler, err := NewHandler(owner.Context(context.Background()), DefaultProtocol(), connections, conduct, rt.Now)
+	pool := NewPool(nil)
+	calls := dataplane.NewCalls(rt, scheduler.New(scheduler.Options{Router: "courier-1", Zone: "north"}), pool.SetServers)
+	calls.SetConfiguration(twoRoutes(), replication.Version{Epoch: 1, Number: 1})
+	calls.SetRouters(1)
+	calls.SetServers(rt.Now(), []membership.Server{server.record})
+	handler, err := NewHandler(owner.Context(context.Background()), DefaultProtocol(), pool, calls, rt.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -288,14 +299,14 @@
 	}
 	var mutex sync.Mutex
 	counts := map[string]int{}
-	note := func(what string) {
+	increment := func(outcome string) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		counts[what]++
+		counts[outcome]++
 	}
-	var origins sync.WaitGroup
+	var clients sync.WaitGroup
 	for number := range 8 {
-		origins.Go(func() {
+		clients.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for call := 0; ; call++ {
@@ -306,42 +317,42 @@
 				outbound.Header.Set("Seamloom-Limit-Milliseconds", "2000")
 				outbound.Header.Set("Seamloom-Model", "m")
 				outbound.Header.Set("Seamloom-Tokens", "10,2")
-				inbound, err := client.Do(outbound)
+				response, err := client.Do(outbound)
 				if err != nil {
-					if s.saw(id) {
-						note("cut: " + err.Error())
+					if server.received(id) {
+						increment("cut: " + err.Error())
 					}
-					note("away")
+					increment("disconnected")
 					return
 				}
-				body, err := io.ReadAll(inbound.Body)
-				_ = inbound.Body.Close()
+				body, err := io.ReadAll(response.Body)
+				_ = response.Body.Close()
 				switch {
-				case inbound.StatusCode == 200 && err == nil && string(body) == joined(1, 2):
-					note("served")
-				case inbound.StatusCode == 503 && inbound.Header.Get("Retry-After") != "":
-					note("refused")
-					if s.saw(id) {
-						note("cut: refused after it was sent")
+				case response.StatusCode == 200 && err == nil && string(body) == joinedEvents(1, 2):
+					increment("served")
+				case response.StatusCode == 503 && response.Header.Get("Retry-After") != "":
+					increment("refused")
+					if server.received(id) {
+						increment("cut: refused after it was sent")
 					}
 				default:
-					note(fmt.Sprintf("cut: %d %v %q", inbound.StatusCode, err, body))
+					increment(fmt.Sprintf("cut: %d %v %q", response.StatusCode, err, body))
 				}
 			}
 		})
 	}
-	until(t, "calls are served", func() bool { return s.count() > 40 })
-	conduct.Retire(1500*time.Millisecond, func() {})
+	waitUntil(t, "calls are served", func() bool { return server.count() > 40 })
+	calls.Shutdown(1500*time.Millisecond, func() {})
 	frontend.Close()
 	owner.Kill(nil)
 	_ = owner.Wait()
-	origins.Wait()
-	for what, count := range counts {
-		if strings.HasPrefix(what, "cut") {
-			t.Errorf("%s: %d times", what, count)
+	clients.Wait()
+	for outcome, count := range counts {
+		if strings.HasPrefix(outcome, "cut") {
+			t.Errorf("outcome %q: got %d, want 0", outcome, count)
 		}
 	}
-	if counts["served"] < 40 || counts["away"] != 8 {
-		t.Error(counts)
+	if counts["served"] < 40 || counts["disconnected"] != 8 {
+		t.Errorf("got outcomes %v, want at least 40 served and 8 disconnected", counts)
 	}
 }
--- a/internal/adapters/proxy/frontend.go
+++ b/internal/adapters/proxy/frontend.go
@@ -13,53 +13,60 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Timeouts and bounds of the connections of clients. The values are ours.
+// Timeouts and bounds of client connections.
 const (
 	timeoutCheckInterval = time.Second
-	bodyTimeout          = 30 * time.Second
-	// crossingTimeout is how long the head of a request may take that crosses its connection's
-	// dismissal.
-	crossingTimeout = 2 * time.Second
-	// shutdownTimeout is how long connections get to end by themselves at the end.
+	// bodyTimeout is how long a client may take to send the body of a request.
+	bodyTimeout = 30 * time.Second
+	// lateRequestTimeout limits how long the rest of a request's head may take if its first
+	// bytes arrive just after the idle connection was marked as closing.
+	lateRequestTimeout = 2 * time.Second
+	// shutdownTimeout is how long Close waits for requests in progress.
 	shutdownTimeout       = 500 * time.Millisecond
 	maxRequestHeaderBytes = 1 << 20
 )
 
-// Frontend listens for origins and for who asks whether the router is ready.
+// Frontend listens for the calls of clients and for readiness probes.
 type Frontend struct {
 	handler *Handler
 	now     func() time.Time
 	servers []*http.Server
 
 	mutex       sync.Mutex
-	connections map[net.Conn]*clientConnection
+	connections map[net.Conn]*clientConnState
 }
 
-type clientConnectionKey struct{}
+// clientConnStateKey is the context key of a request's clientConnState.
+type clientConnStateKey struct{}
 
-// admit tells whether a request that was read whole may be forwarded: not when its
-// connection was dismissed meanwhile. One that came in another way is always admitted.
+// admit reports whether a completely read request may be forwarded. A request on a connection that
+// is marked as closing is not admitted. A request that was not served by a Frontend, as in tests of
+// the Handler, is always admitted.
 func admit(inbound *http.Request) bool {
-	connection, found := inbound.Context().Value(clientConnectionKey{}).(*clientConnection)
+	connection, found := inbound.Context().Value(clientConnStateKey{}).(*clientConnState)
 	return !found || connection.admit()
 }
 
-// Listen listens on the address for calls and on the one for readiness; either may be
-// empty.
+// Listen listens on address for calls and on readyAddress for readiness probes. If either is
+// empty, the frontend does not listen for that kind of request. The servers and the timeout checks
+// run in goroutines of owner.
 func Listen(owner *tomb.Tomb, handler *Handler, address, readyAddress string) (*Frontend, error) {
 	return listen(owner, handler, address, readyAddress, time.Now)
 }
 
+// listen does what Listen does, with the given clock instead of time.Now. Tests set the clock.
 func listen(owner *tomb.Tomb, handler *Handler, address, readyAddress string, now func() time.Time) (*Frontend, error) {
-	frontend := &Frontend{handler: handler, now: now, connections: map[net.Conn]*clientConnection{}}
-	calls := &http.Server{Handler: http.HandlerFunc(frontend.serveCall), MaxHeaderBytes: maxRequestHeaderBytes, ConnState: frontend.trackState, ConnContext: frontend.trackConnection}
-	readiness := &http.Server{Handler: http.HandlerFunc(frontend.serveReady), ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
+	frontend := &Frontend{handler: handler, now: now, connections: map[net.Conn]*clientConnState{}}
+	calls := &http.Server{Handler: http.HandlerFunc(frontend.serveCall), MaxHeaderBytes: maxRequestHeaderBytes,
+		ConnState: frontend.trackState, ConnContext: frontend.trackConnection}
+	readiness := &http.Server{Handler: http.HandlerFunc(frontend.serveReady), ReadHeaderTimeout: defaultHeaderTimeout,
+		IdleTimeout: defaultIdleTimeout}
 	for server, address := range map[*http.Server]string{calls: address, readiness: readyAddress} {
 		if address == "" {
 			continue
 		}
-		// Origins that are gone are noticed by the bounds of calls and of rest; probes
-		// would only cost.
+		// TCP keep-alive probes are disabled: the deadlines of calls and the idle timeout already
+		// close connections whose client is gone.
 		listenConfig := net.ListenConfig{KeepAlive: -1}
 		listener, err := listenConfig.Listen(context.Background(), "tcp", address)
 		if err != nil {
@@ -78,15 +85,17 @@
 	return frontend, nil
 }
 
-func (g *Frontend) serveCall(writer http.ResponseWriter, inbound *http.Request) {
-	if g.handler.conduct.Leaving() {
+// serveCall serves one call. While the router is draining, the connection is closed after the response.
+func (f *Frontend) serveCall(writer http.ResponseWriter, inbound *http.Request) {
+	if f.handler.executor.Draining() {
 		writer.Header()["Connection"] = []string{"close"}
 	}
-	g.handler.ServeHTTP(writer, inbound)
+	f.handler.ServeHTTP(writer, inbound)
 }
 
-func (g *Frontend) serveReady(writer http.ResponseWriter, _ *http.Request) {
-	if !g.handler.conduct.Ready() {
+// serveReady responds to a readiness probe: 200 if the router accepts calls, and 503 otherwise.
+func (f *Frontend) serveReady(writer http.ResponseWriter, _ *http.Request) {
+	if !f.handler.executor.Ready() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(writer, "not ready\n")
 		return
@@ -94,38 +103,42 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-// Close ends all connections; those under way get a moment.
-func (g *Frontend) Close() {
+// Close stops listening and closes all connections. Requests in progress get shutdownTimeout
+// to complete.
+func (f *Frontend) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	for _, server := range g.servers {
+	for _, server := range f.servers {
 		_ = server.Shutdown(ctx)
 		_ = server.Close()
 	}
 }
 
-func (g *Frontend) trackConnection(ctx context.Context, connection net.Conn) context.Context {
-	arrived := connection.(*clientConn).known
-	g.mutex.Lock()
-	g.connections[connection] = arrived
-	g.mutex.Unlock()
-	return context.WithValue(ctx, clientConnectionKey{}, arrived)
+// trackConnection records a new connection and puts its state into the context of its requests.
+func (f *Frontend) trackConnection(ctx context.Context, connection net.Conn) context.Context {
+	connState := connection.(*clientConn).state
+	f.mutex.Lock()
+	f.connections[connection] = connState
+	f.mutex.Unlock()
+	return context.WithValue(ctx, clientConnStateKey{}, connState)
 }
 
-func (g *Frontend) trackState(connection net.Conn, state http.ConnState) {
-	g.mutex.Lock()
-	known := g.connections[connection]
-	if state == http.StateClosed || state == http.StateHijacked {
-		delete(g.connections, connection)
+// trackState records that a connection changed its state, and forgets a closed connection.
+func (f *Frontend) trackState(connection net.Conn, httpState http.ConnState) {
+	f.mutex.Lock()
+	connState := f.connections[connection]
+	if httpState == http.StateClosed || httpState == http.StateHijacked {
+		delete(f.connections, connection)
 	}
-	g.mutex.Unlock()
-	if known != nil {
-		known.enter(state, g.now())
+	f.mutex.Unlock()
+	if connState != nil {
+		connState.setHTTPState(httpState, f.now())
 	}
 }
 
-// watchTimeouts dismisses the connections of clients that take or rest too long.
-func (g *Frontend) watchTimeouts(dying <-chan struct{}) {
+// watchTimeouts periodically closes the connections of clients that are too slow or idle for
+// too long.
+func (f *Frontend) watchTimeouts(dying <-chan struct{}) {
 	ticker := time.NewTicker(timeoutCheckInterval)
 	defer ticker.Stop()
 	for {
@@ -133,43 +146,46 @@
 		case <-dying:
 			return
 		case <-ticker.C:
-			g.dismissLate()
+			f.closeTimedOut()
 		}
 	}
 }
 
-// DismissIdle ends the connections that rest, as dismissLate does. The node is leaving: its
-// clients find another one now, instead of being refused when they next ask.
-func (g *Frontend) DismissIdle() {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	for connection, known := range g.connections {
-		known.dismissIfIdle(func() { _ = connection.SetReadDeadline(longAgo) })
+// CloseIdleConnections closes the idle connections because the router is draining. Clients then
+// connect to another router right away, instead of being refused with their next request.
+func (f *Frontend) CloseIdleConnections() {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for connection, connState := range f.connections {
+		connState.interruptIfIdle(func() { _ = connection.SetReadDeadline(expiredDeadline) })
 	}
 }
 
-// longAgo is the read deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
-
-// dismissLate ends the connections of clients that take or rest too long. One that rests
-// ends by itself when its next read fails, and never under a request: one that crosses
-// the dismissal is refused on the connection and was not forwarded. One on which a head
-// takes too long has no request, and is closed.
-func (g *Frontend) dismissLate() {
-	limits, now := g.handler.limits(), g.now()
-	dismissed := map[net.Conn]bool{}
-	g.mutex.Lock()
-	for connection, known := range g.connections {
-		if headless, late := known.dismissIfLate(now, limits); late {
-			dismissed[connection] = headless
+// expiredDeadline is a read deadline in the past, which ends a pending read at once.
+var expiredDeadline = time.Unix(1, 0)
+
+// closeTimedOut closes the connections of clients that are too slow or idle for too long. A
+// connection without a complete request head is closed at once. On any other timed-out
+// connection, the pending or next read fails, and net/http then closes the connection. No
+// forwarded request is lost: a connection whose request was admitted is not marked as timed out,
+// and on a connection that is marked, every later request is refused instead of forwarded.
+func (f *Frontend) closeTimedOut() {
+	limits, now := f.handler.limits(), f.now()
+	// closing contains the connections that are marked as closing. The value is true for a
+	// connection on which no complete request head has arrived.
+	closing := map[net.Conn]bool{}
+	f.mutex.Lock()
+	for connection, connState := range f.connections {
+		if noRequest, isClosing := connState.markTimedOut(now, limits); isClosing {
+			closing[connection] = noRequest
 		}
 	}
-	g.mutex.Unlock()
-	for connection, headless := range dismissed {
-		if headless {
+	f.mutex.Unlock()
+	for connection, noRequest := range closing {
+		if noRequest {
 			_ = connection.Close()
 			continue
 		}
-		_ = connection.SetReadDeadline(longAgo)
+		_ = connection.SetReadDeadline(expiredDeadline)
 	}
 }
--- a/internal/adapters/proxy/frontend_test.go
+++ b/internal/adapters/proxy/frontend_test.go
@@ -16,7 +16,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// freeAddress is one that nobody listens on.
+// freeAddress returns an address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,10 +27,11 @@
 	return listener.Addr().String()
 }
 
-func openFrontend(t *testing.T, s *scripted, now func() time.Time) (frontend *Frontend, address, readyAddress string) {
+// openFrontend starts a frontend that reads the time from now, and returns its addresses.
+func openFrontend(t *testing.T, executor *scriptedExecutor, now func() time.Time) (frontend *Frontend, address, readyAddress string) {
 	t.Helper()
 	address, readyAddress = freeAddress(t), freeAddress(t)
-	handler, err := NewHandler(t.Context(), DefaultProtocol(), NewPool(nil), s, time.Now)
+	handler, err := NewHandler(t.Context(), DefaultProtocol(), NewPool(nil), executor, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,174 +44,180 @@
 	return frontend, address, readyAddress
 }
 
-func TestReadinessAndLeaving(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+// TestReadinessAndDraining checks that a draining router is not ready, but still serves a call on an open connection and
+// then closes that connection.
+func TestReadinessAndDraining(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	_, address, readyAddress := openFrontend(t, sc, time.Now)
-	ask := func(status int) {
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+	_, address, readyAddress := openFrontend(t, executor, time.Now)
+	expectReadiness := func(status int) {
 		t.Helper()
-		inbound, err := http.Get("http://" + readyAddress + "/any")
+		response, err := http.Get("http://" + readyAddress + "/any")
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = inbound.Body.Close()
-		if inbound.StatusCode != status {
-			t.Fatalf("status %d", inbound.StatusCode)
+		_ = response.Body.Close()
+		if response.StatusCode != status {
+			t.Fatalf("readiness: got status %d, want %d", response.StatusCode, status)
 		}
 	}
-	ask(200)
-	c, err := net.Dial("tcp", address)
+	expectReadiness(200)
+	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	reader := bufio.NewReader(c)
+	defer func() { _ = client.Close() }()
+	reader := bufio.NewReader(client)
 	call := func() *http.Response {
 		t.Helper()
-		_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
-		inbound, err := http.ReadResponse(reader, nil)
+		_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 1\r\n\r\nx")
+		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.ReadAll(inbound.Body)
-		return inbound
+		_, _ = io.ReadAll(response.Body)
+		return response
 	}
-	if inbound := call(); inbound.Close || inbound.StatusCode != 200 {
-		t.Fatalf("%+v", inbound)
+	if response := call(); response.Close || response.StatusCode != 200 {
+		t.Fatalf("got %+v, want status 200 on a connection that stays open", response)
 	}
-	sc.leaving.Store(true)
-	ask(503)
-	if inbound := call(); !inbound.Close || inbound.StatusCode != 200 {
-		t.Fatalf("%+v", inbound)
+	executor.draining.Store(true)
+	expectReadiness(503)
+	if response := call(); !response.Close || response.StatusCode != 200 {
+		t.Fatalf("got %+v, want status 200 with Connection: close", response)
 	}
 }
 
-func TestOriginsThatTakeOrRestTooLongAreDismissed(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+// TestSlowAndIdleClientsAreDisconnected moves the clock of the frontend past the header timeout, and then past the idle
+// timeout. Each timeout must close only the connection to which it applies.
+func TestSlowAndIdleClientsAreDisconnected(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
-	var ahead atomic.Int64
-	frontend, address, _ := openFrontend(t, sc, func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record }),
+		limits: config.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
+	var clockOffset atomic.Int64
+	frontend, address, _ := openFrontend(t, executor, func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) })
 	slow, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(slow, "POST /x HT")
-	resting, err := net.Dial("tcp", address)
+	idle, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(resting, "GET /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\n\r\n")
-	inbound, err := http.ReadResponse(bufio.NewReader(resting), nil)
+	_, _ = io.WriteString(idle, "GET /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\n\r\n")
+	response, err := http.ReadResponse(bufio.NewReader(idle), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = inbound.Body.Close()
-	until(t, "both are known", func() bool {
+	_ = response.Body.Close()
+	waitUntil(t, "one connection is new and one is idle", func() bool {
 		frontend.mutex.Lock()
 		defer frontend.mutex.Unlock()
 		states := map[http.ConnState]int{}
-		for _, known := range frontend.connections {
-			known.mutex.Lock()
-			states[known.state]++
-			known.mutex.Unlock()
+		for _, connState := range frontend.connections {
+			connState.mutex.Lock()
+			states[connState.httpState]++
+			connState.mutex.Unlock()
 		}
 		return states[http.StateNew] == 1 && states[http.StateIdle] == 1
 	})
-	ahead.Store(int64(4 * time.Second))
-	frontend.dismissLate()
+	clockOffset.Store(int64(4 * time.Second))
+	frontend.closeTimedOut()
 	_ = slow.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := slow.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Fatal("a head that takes too long is waited for", err)
+		t.Fatal("a connection without a complete head is still open after the header timeout:", err)
 	}
-	ahead.Store(int64(13 * time.Second))
-	frontend.dismissLate()
-	_ = resting.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if _, err := resting.Read(make([]byte, 1)); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Fatal("dismissed while it may rest", err)
+	clockOffset.Store(int64(13 * time.Second))
+	frontend.closeTimedOut()
+	_ = idle.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	if _, err := idle.Read(make([]byte, 1)); err == nil || !strings.Contains(err.Error(), "timeout") {
+		t.Fatal("an idle connection was closed before the idle timeout:", err)
 	}
-	ahead.Store(int64(16 * time.Second))
-	frontend.dismissLate()
-	_ = resting.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := resting.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Fatal("an origin that rests too long is kept", err)
+	clockOffset.Store(int64(16 * time.Second))
+	frontend.closeTimedOut()
+	_ = idle.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := idle.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
+		t.Fatal("an idle connection is still open after the idle timeout:", err)
 	}
 }
 
-func TestLimitsOnWhatAnClientSends(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+func TestLimitsOnClientRequests(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderBytes: 1000, BodyBytes: 100}}
-	r := newRouter(t, sc)
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record }),
+		limits: config.Limits{HeaderBytes: 1000, BodyBytes: 100}}
+	router := newRouter(t, executor)
 	for status, outbound := range map[int]*http.Request{
-		200: r.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 100)),
-		413: r.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 101)),
-		431: r.request(t, http.MethodPost, "/", "id", "", "X-Long", strings.Repeat("x", 1000)),
+		200: router.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 100)),
+		413: router.request(t, http.MethodPost, "/", "id", strings.Repeat("x", 101)),
+		431: router.request(t, http.MethodPost, "/", "id", "", "X-Long", strings.Repeat("x", 1000)),
 	} {
 		if got := send(outbound); got.status != status {
-			t.Fatalf("%+v, not %d", got, status)
+			t.Fatalf("got %+v, want status %d", got, status)
 		}
 	}
-	chunked := r.request(t, http.MethodPost, "/", "id", "")
-	chunked.Body, chunked.ContentLength = asBody(strings.Repeat("x", 101)), -1
+	chunked := router.request(t, http.MethodPost, "/", "id", "")
+	chunked.Body, chunked.ContentLength = bodyOf(strings.Repeat("x", 101)), -1
 	if got := send(chunked); got.status != 413 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("chunked body: got %+v, want status 413", got)
 	}
-	if s.count() != 1 {
-		t.Fatalf("%d calls went on", s.count())
+	if server.count() != 1 {
+		t.Fatalf("%d calls were forwarded, want 1", server.count())
 	}
 }
 
-// TestARequestThatCrossesADismissalIsRefused lets a connection rest too long, and sends a
-// request on it that the gate has read whole when the connection is dismissed: it gets
-// the promise that it never runs, and no server sees it.
-func TestARequestThatCrossesADismissalIsRefused(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+// TestRequestOnAClosingConnectionIsRefused marks a connection as closing while the body of a request is
+// still arriving. The request must be refused with 503 and Retry-After, and no server may get it.
+func TestRequestOnAClosingConnectionIsRefused(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server }), limits: config.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
-	frontend, address, _ := openFrontend(t, sc, time.Now)
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record }),
+		limits: config.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
+	frontend, address, _ := openFrontend(t, executor, time.Now)
 	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = client.Close() }()
 	_, _ = io.WriteString(client, "POST /x HTTP/1.1\r\nHost: h\r\nSeamloom-Call: id\r\nContent-Length: 2\r\n\r\nx")
-	var known *clientConnection
-	until(t, "the head is read", func() bool {
+	var connState *clientConnState
+	waitUntil(t, "the head is read", func() bool {
 		frontend.mutex.Lock()
 		defer frontend.mutex.Unlock()
-		for _, known = range frontend.connections {
-			known.mutex.Lock()
-			active := known.state == http.StateActive
-			known.mutex.Unlock()
+		for _, connState = range frontend.connections {
+			connState.mutex.Lock()
+			active := connState.httpState == http.StateActive
+			connState.mutex.Unlock()
 			if active {
 				return true
 			}
 		}
 		return false
 	})
-	// The dismissal has decided; the connection's reads do not fail yet.
-	known.mutex.Lock()
-	known.dismissed = true
-	known.mutex.Unlock()
+	// The connection is marked as closing, but its reads do not fail yet.
+	connState.mutex.Lock()
+	connState.closing = true
+	connState.mutex.Unlock()
 	_, _ = io.WriteString(client, "x")
-	inbound, err := http.ReadResponse(bufio.NewReader(client), nil)
+	response, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if inbound.StatusCode != http.StatusServiceUnavailable || !inbound.Close || inbound.Header.Get("Retry-After") == "" {
-		t.Errorf("%d %v", inbound.StatusCode, inbound.Header)
+	if response.StatusCode != http.StatusServiceUnavailable || !response.Close || response.Header.Get("Retry-After") == "" {
+		t.Errorf("got status %d and headers %v, want 503 with Connection: close and Retry-After", response.StatusCode, response.Header)
 	}
-	if s.count() != 0 {
-		t.Error("the request was passed on")
+	if server.count() != 0 {
+		t.Error("the request was forwarded")
 	}
 }
--- a/internal/adapters/proxy/handler.go
+++ b/internal/adapters/proxy/handler.go
@@ -15,54 +15,55 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// The limits that hold when the configuration has none. The values are ours.
+// The limits that apply where the configuration sets none.
 const (
 	defaultHeaderBytes   = 64 << 10
 	defaultBodyBytes     = 16 << 20
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
-	// dismissedRetryAfter is after how many seconds a call may come back that crossed the
-	// end of its connection: a new connection serves it at once.
-	dismissedRetryAfter = "0.010"
+	// closingRetryAfter is the Retry-After, in seconds, of a call refused because its
+	// connection was closing: the call can be served at once on a new connection.
+	closingRetryAfter = "0.010"
 )
 
-// Conduct serves one call from its arrival to its end.
-type Conduct interface {
+// CallExecutor decides how calls are handled, and executes the decisions through an Exchange.
+type CallExecutor interface {
+	// Serve serves one call to its end.
 	Serve(call *scheduler.Call, e dataplane.Exchange)
-	// Screen tells whether a call is refused by its head alone: its body need not be read then.
+	// Screen reports whether a call is refused by its head alone, so that its body need not be read.
 	Screen(call *scheduler.Call) (refusal dataplane.Refusal, refused bool)
-	// Limits bound what an origin may send.
+	// Limits returns the configured bounds on the requests and connections of clients.
 	Limits() config.Limits
-	// Ready tells whether calls are welcome, Leaving that connections are to end with the
-	// answer under way.
+	// Ready reports whether the router accepts calls. Draining reports whether the router is
+	// draining, so that each connection is to be closed after its current response.
 	Ready() bool
-	Leaving() bool
+	Draining() bool
 }
 
-// Handler takes calls from their origins.
+// Handler serves the HTTP requests that carry opaque calls.
 type Handler struct {
 	protocol Protocol
 	pool     *Pool
-	conduct  Conduct
+	executor CallExecutor
 	now      func() time.Time
 	ctx      context.Context
 	buffers  sync.Pool
 	meter    *meter
 }
 
-// NewHandler makes the handler of opaque calls.
-func NewHandler(ctx context.Context, protocol Protocol, pool *Pool, conduct Conduct, now func() time.Time) (*Handler, error) {
+// NewHandler returns a handler of opaque calls. It fails if the protocol is not valid.
+func NewHandler(ctx context.Context, protocol Protocol, pool *Pool, executor CallExecutor, now func() time.Time) (*Handler, error) {
 	if err := protocol.Check(); err != nil {
 		return nil, err
 	}
-	handler := &Handler{protocol: protocol, pool: pool, conduct: conduct, now: now, ctx: ctx, meter: newMeter(pool)}
+	handler := &Handler{protocol: protocol, pool: pool, executor: executor, now: now, ctx: ctx, meter: newMeter(pool)}
 	handler.buffers.New = func() any { buffer := make([]byte, copyBufferBytes); return &buffer }
 	return handler, nil
 }
 
-// limits are the bounds in force, with defaults for what nobody said.
-func (i *Handler) limits() config.Limits {
-	limits := i.conduct.Limits()
+// limits returns the configured limits, with defaults for those that are not set.
+func (h *Handler) limits() config.Limits {
+	limits := h.executor.Limits()
 	if limits.HeaderBytes == 0 {
 		limits.HeaderBytes = defaultHeaderBytes
 	}
@@ -79,71 +80,73 @@
 }
 
 // ServeHTTP serves one call.
-func (i *Handler) ServeHTTP(writer http.ResponseWriter, inbound *http.Request) {
-	began := time.Now()
-	how := i.serve(writer, inbound, began)
-	i.meter.ended(how, time.Since(began))
-	if how == endCut || how == endClientGone {
-		// Returning would look like an answer.
+func (h *Handler) ServeHTTP(writer http.ResponseWriter, inbound *http.Request) {
+	startTime := time.Now()
+	result := h.serve(writer, inbound, startTime)
+	h.meter.ended(result, time.Since(startTime))
+	if result == endInterrupted || result == endClientGone {
+		// A normal return would complete the response; this panic makes net/http abort the
+		// connection instead.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (i *Handler) serve(writer http.ResponseWriter, inbound *http.Request, began time.Time) ending {
-	arrived := i.now()
-	protocol := &i.protocol
-	limits := i.limits()
+// serve serves one call and returns how the call ended.
+func (h *Handler) serve(writer http.ResponseWriter, inbound *http.Request, startTime time.Time) ending {
+	arrived := h.now()
+	protocol := &h.protocol
+	limits := h.limits()
 	id := inbound.Header.Get(protocol.ID)
 	if headerBytes(inbound) > limits.HeaderBytes {
-		refuse(writer, protocol.ID, id, http.StatusRequestHeaderFieldsTooLarge, endOversize)
+		writeRefusal(writer, protocol.ID, id, http.StatusRequestHeaderFieldsTooLarge, endOversize)
 		return endOversize
 	}
 	if inbound.ContentLength > int64(limits.BodyBytes) {
 		writer.Header()["Connection"] = []string{"close"}
-		refuse(writer, protocol.ID, id, http.StatusRequestEntityTooLarge, endOversize)
+		writeRefusal(writer, protocol.ID, id, http.StatusRequestEntityTooLarge, endOversize)
 		return endOversize
 	}
-	call := i.newCall(inbound, arrived)
-	if refusal, refused := i.conduct.Screen(call); refused {
+	call := h.newCall(inbound, arrived)
+	if refusal, refused := h.executor.Screen(call); refused {
 		if !admit(inbound) {
 			writer.Header()["Connection"] = []string{"close"}
 		}
 		setRetryAfter(writer.Header(), refusal.RetryAfter)
-		refuse(writer, protocol.ID, id, refusal.Status, ending(refusal.Cause))
+		writeRefusal(writer, protocol.ID, id, refusal.Status, ending(refusal.Cause))
 		return endingOf(refusal.Cause, call)
 	}
 	body, err := readBounded(http.MaxBytesReader(writer, inbound.Body, int64(limits.BodyBytes)), inbound.ContentLength, limits.BodyBytes)
 	if !admit(inbound) {
 		writer.Header()["Connection"] = []string{"close"}
-		writer.Header()["Retry-After"] = []string{dismissedRetryAfter}
-		refuse(writer, protocol.ID, id, http.StatusServiceUnavailable, endDismissed)
-		return endDismissed
+		writer.Header()["Retry-After"] = []string{closingRetryAfter}
+		writeRefusal(writer, protocol.ID, id, http.StatusServiceUnavailable, endConnectionClosing)
+		return endConnectionClosing
 	}
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		switch {
 		case errors.As(err, &tooLarge) || err == errOversize:
-			refuse(writer, protocol.ID, id, http.StatusRequestEntityTooLarge, endOversize)
+			writeRefusal(writer, protocol.ID, id, http.StatusRequestEntityTooLarge, endOversize)
 			return endOversize
 		case inbound.Context().Err() != nil:
 			return endClientGone
 		}
 		writer.Header()["Connection"] = []string{"close"}
-		refuse(writer, protocol.ID, id, http.StatusBadRequest, endMalformed)
+		writeRefusal(writer, protocol.ID, id, http.StatusBadRequest, endMalformed)
 		return endMalformed
 	}
 	call.Bytes = len(body)
-	e := &exchange{handler: i, writer: writer, inbound: inbound, began: began, call: call, target: requestTarget(inbound),
-		header: i.forwardedHeader(inbound.Header), body: body, ending: endCut}
-	i.conduct.Serve(call, e)
+	e := &exchange{handler: h, writer: writer, inbound: inbound, startTime: startTime, call: call, target: requestTarget(inbound),
+		header: h.forwardedHeader(inbound.Header), body: body, ending: endInterrupted}
+	h.executor.Serve(call, e)
 	return e.ending
 }
 
-// newCall reads a call's head.
-func (i *Handler) newCall(inbound *http.Request, arrived time.Time) *scheduler.Call {
-	protocol, header := &i.protocol, inbound.Header
+// newCall builds the scheduler's view of a call from the head of its request.
+func (h *Handler) newCall(inbound *http.Request, arrived time.Time) *scheduler.Call {
+	protocol, header := &h.protocol, inbound.Header
 	call := &scheduler.Call{ID: header.Get(protocol.ID), Host: inbound.Host, Key: header.Get(protocol.Key), Model: header.Get(protocol.Model),
-		Segments: readParts(header.Get(protocol.Parts)), Resumes: header.Get(lastEventHeader) != ""}
+		Segments: readSegments(header.Get(protocol.Parts)), Resumes: header.Get(lastEventHeader) != ""}
 	call.Path, _, _ = strings.Cut(requestTarget(inbound), "?")
 	call.PromptTokens, call.OutputTokens = readTokens(header.Get(protocol.Tokens))
 	if remaining, err := readCount(header.Get(protocol.Limit)); err == nil {
@@ -152,7 +155,7 @@
 	return call
 }
 
-// requestTarget is the path and query of a request, as they were sent.
+// requestTarget returns the path and query of a request exactly as the client sent them.
 func requestTarget(inbound *http.Request) string {
 	if strings.HasPrefix(inbound.RequestURI, "/") {
 		return inbound.RequestURI
@@ -160,14 +163,16 @@
 	return inbound.URL.RequestURI()
 }
 
-// forwardedHeader is what goes on to a server of a client's header.
-func (i *Handler) forwardedHeader(inbound http.Header) http.Header {
-	protocol := &i.protocol
+// forwardedHeader returns the headers of a client's request that are forwarded to a server.
+func (h *Handler) forwardedHeader(inbound http.Header) http.Header {
+	protocol := &h.protocol
 	header := make(http.Header, len(inbound)+4)
 	copyEndToEnd(header, inbound, protocol.ID, protocol.Limit, protocol.Model, protocol.Tokens, protocol.Parts)
-	// These are for a router to say, whatever an origin sent; the key is for nobody else to see.
-	for _, ours := range [...]string{protocol.Target, protocol.Stage, protocol.Source, protocol.Urgency, protocol.Key, protocol.Tenant, protocol.Revision, "Expect"} {
-		delete(header, ours)
+	// Only the router may set these headers, so the client's values are dropped. The key is
+	// secret and stays at the router.
+	for _, name := range [...]string{protocol.Target, protocol.Stage, protocol.Source,
+		protocol.Urgency, protocol.Key, protocol.Tenant, protocol.Revision, "Expect"} {
+		delete(header, name)
 	}
 	if _, found := header["User-Agent"]; !found {
 		header["User-Agent"] = nil
@@ -175,7 +180,7 @@
 	return header
 }
 
-// headerBytes is about what a head took on the wire.
+// headerBytes estimates the size of a request's head on the wire.
 func headerBytes(inbound *http.Request) int {
 	count := len(inbound.Method) + len(inbound.RequestURI) + len(inbound.Host) + len(" HTTP/1.1\r\nHost: \r\n\r\n")
 	for name, values := range inbound.Header {
@@ -186,20 +191,21 @@
 	return count
 }
 
-// releaseHandle gives a prompt's memory back. That it fails is no harm: memory that nobody
-// takes lapses.
-func (i *Handler) releaseHandle(server membership.Server, handle string) {
-	ctx, cancel := context.WithTimeout(i.ctx, releaseTimeout)
+// releaseHandle releases the KV cache of a prompt at its server. Failures are ignored, because
+// the server frees a KV cache that is not used in time.
+func (h *Handler) releaseHandle(server membership.Server, handle string) {
+	ctx, cancel := context.WithTimeout(h.ctx, releaseTimeout)
 	defer cancel()
-	conn, err := i.pool.get(ctx, server, time.Now().Add(releaseTimeout))
+	conn, err := h.pool.get(ctx, server, time.Now().Add(releaseTimeout))
 	if err != nil {
 		return
 	}
 	header := http.Header{"User-Agent": nil}
 	if server.Name != "" {
-		header[i.protocol.Target] = []string{server.Name}
+		header[h.protocol.Target] = []string{server.Name}
 	}
-	outbound := (&http.Request{Method: http.MethodDelete, URL: &url.URL{Scheme: "http", Host: server.Address, Path: i.protocol.HandlePath + handle},
+	outbound := (&http.Request{Method: http.MethodDelete,
+		URL:   &url.URL{Scheme: "http", Host: server.Address, Path: h.protocol.HandlePath + handle},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header, Host: server.Address, Body: http.NoBody}).WithContext(ctx)
 	response, err := conn.http.RoundTrip(outbound)
 	if err != nil {
@@ -212,5 +218,5 @@
 		conn.close()
 		return
 	}
-	i.pool.put(conn, readKeepAlive(response.Header))
+	h.pool.put(conn, readKeepAlive(response.Header))
 }
--- a/internal/adapters/proxy/headers.go
+++ b/internal/adapters/proxy/headers.go
@@ -9,12 +9,12 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection and are never forwarded.
 var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
 
-// copyEndToEnd copies the headers that are not one connection's own, and leaves the
-// content's length to who writes the body.
+// copyEndToEnd copies the end-to-end headers. It omits Content-Length, which the writer of the body
+// sets, and the headers that the Connection header lists, except the protected ones.
 func copyEndToEnd(target, source http.Header, protected ...string) {
 	for name, values := range source {
 		if !hopByHop[name] && name != "Content-Length" {
@@ -30,39 +30,42 @@
 		}
 	}
 	if _, found := target["Content-Type"]; !found {
-		// Nothing is to be guessed.
+		// A nil value keeps net/http from guessing the content type.
 		target["Content-Type"] = nil
 	}
 }
 
-// isProtected tells whether a header stays even when its connection is said to own it.
+// isProtected reports whether protected contains the header, which is then forwarded even if the Connection
+// header lists it.
 func isProtected(name string, protected []string) bool {
-	for _, word := range protected {
-		if word == name {
+	for _, candidate := range protected {
+		if candidate == name {
 			return true
 		}
 	}
 	return false
 }
 
-// The bounds of what is read from a call's own figures. The values are ours.
+// The limits on the values in a call's headers: a longer list of segments counts as malformed, and a higher
+// count is reduced to maxTokenCount.
 const (
-	maxPromptParts = 64
-	maxTokenCount  = 1 << 30
+	maxSegments   = 64
+	maxTokenCount = 1 << 30
 )
 
-// readParts reads a prompt's chain: ID:TOKENS with commas between, the ids in hex. A
-// chain that can't be read is none: it only says where a prompt is likely to be kept.
-func readParts(text string) []scheduler.Segment {
+// readSegments reads the list of a prompt's segments: ID:TOKENS entries separated by commas, with the
+// IDs in hexadecimal. A malformed list counts as absent: the list is only a hint as to which servers
+// have the prompt in their prefix cache.
+func readSegments(text string) []scheduler.Segment {
 	if text == "" {
 		return nil
 	}
-	parts := make([]scheduler.Segment, 0, 1+min(maxPromptParts, strings.Count(text, ",")))
+	segments := make([]scheduler.Segment, 0, 1+min(maxSegments, strings.Count(text, ",")))
 	for more := true; more; {
 		var entry string
 		entry, text, more = strings.Cut(text, ",")
 		id, tokens, found := strings.Cut(strings.TrimSpace(entry), ":")
-		if !found || len(parts) == maxPromptParts {
+		if !found || len(segments) == maxSegments {
 			return nil
 		}
 		number, err := strconv.ParseUint(id, 16, 64)
@@ -70,7 +73,7 @@
 			if id == "" {
 				return nil
 			}
-			// Longer ids, or such in other letters, still are names.
+			// An ID that is no 64-bit hex number still identifies a segment: its hash is used.
 			digest := fnv.New64a()
 			_, _ = digest.Write([]byte(id))
 			number = digest.Sum64()
@@ -79,12 +82,13 @@
 		if err != nil {
 			return nil
 		}
-		parts = append(parts, scheduler.Segment{ID: number, Tokens: count})
+		segments = append(segments, scheduler.Segment{ID: number, Tokens: count})
 	}
-	return parts
+	return segments
 }
 
-// readTokens reads the prompt's tokens and the most tokens out.
+// readTokens reads the number of prompt tokens and the maximum number of output tokens, separated by a
+// comma. A malformed number counts as zero, and so does an output count after a malformed prompt count.
 func readTokens(text string) (prompt, output int) {
 	first, second, _ := strings.Cut(text, ",")
 	prompt, err := readCount(first)
@@ -98,12 +102,14 @@
 	return prompt, output
 }
 
+// readCount reads a decimal number, and caps it at maxTokenCount. It fails if the number does not fit in 31 bits.
 func readCount(text string) (int, error) {
 	count, err := strconv.ParseUint(strings.TrimSpace(text), 10, 31)
 	return int(min(count, maxTokenCount)), err
 }
 
-// readLoad reads running, waiting and slots.
+// readLoad reads a server's load: the numbers of running calls, waiting calls and slots, separated by
+// commas. It returns nil if the text is malformed.
 func readLoad(text string) *scheduler.ResponseLoad {
 	var counts [3]int
 	for position := range counts {
--- a/internal/adapters/proxy/pool.go
+++ b/internal/adapters/proxy/pool.go
@@ -16,35 +16,38 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Timeouts and bounds of the connections to servers. The values are ours.
+// Timeouts and bounds of the connections to model servers.
 const (
-	// dialTimeout is how long a connection may take to come up: a server that is there
-	// takes a millisecond.
+	// dialTimeout is how long opening a connection may take. A server that is up accepts
+	// within a millisecond.
 	dialTimeout = 300 * time.Millisecond
-	// unackedTimeout is how long what was sent may go unacknowledged, and how long a
-	// connection on which nothing is said may be dead before it shows.
+	// unackedTimeout is the TCP_USER_TIMEOUT: how long sent data may stay unacknowledged, and
+	// how long the failure of an idle connection may stay undetected.
 	unackedTimeout = 1500 * time.Millisecond
-	// defaultKeepAlive is how long a connection is kept when its server does not say how long
-	// it keeps it; keepAliveMargin what is taken off when it does.
+	// defaultKeepAlive is how long an idle connection is kept if its server states no
+	// keep-alive timeout. keepAliveMargin is subtracted from a stated timeout, so that no call
+	// is sent while the server closes the connection.
 	defaultKeepAlive = 700 * time.Millisecond
 	keepAliveMargin  = 300 * time.Millisecond
-	// maxIdlePerServer bounds the connections kept for one server.
+	// maxIdlePerServer bounds the idle connections to one server.
 	maxIdlePerServer = 16
-	// sweepInterval is how long resting connections may outlive their use.
+	// sweepInterval is the minimum time between two sweeps, which close idle connections that
+	// can't be reused.
 	sweepInterval          = time.Second
 	maxResponseHeaderBytes = 256 << 10
 )
 
-// Pool are the connections to model servers that rest between calls, each for one
-// life of a server. A call takes one alone; whether it is used again is decided when
-// the call is over.
+// Pool holds the idle connections to model servers, each to one incarnation of a server. A
+// connection serves one call at a time. When the call is over, the connection is returned to the pool
+// or closed.
 type Pool struct {
 	transport *http.Transport
 	now       func() time.Time
 
-	mutex     sync.Mutex
-	idle      map[incarnation][]*pooledConn
-	known     map[incarnation]bool
+	mutex sync.Mutex
+	idle  map[incarnation][]*pooledConn
+	// listed contains the incarnations in the current list of servers; nil before the first list.
+	listed    map[incarnation]bool
 	lastSweep time.Time
 	opened    uint64
 }
@@ -63,114 +66,118 @@
 	http        *http.ClientConn
 }
 
-type connectionKey struct{}
+// trackedConnKey is the context key of the trackedConn that the dialer fills.
+type trackedConnKey struct{}
 
-// NewPool makes the connections of a router. Detours replace addresses when dialling.
-func NewPool(detours map[string]string) *Pool {
+// NewPool returns an empty pool. AddressOverrides maps addresses of servers to the addresses that
+// are dialed in their place.
+func NewPool(addressOverrides map[string]string) *Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout, Control: setUnackedTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	pool := &Pool{now: time.Now, idle: map[incarnation][]*pooledConn{}}
 	pool.transport = &http.Transport{DisableCompression: true, MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			if detour, found := detours[address]; found {
-				address = detour
+			if override, found := addressOverrides[address]; found {
+				address = override
 			}
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			tracked := ctx.Value(connectionKey{}).(*trackedConn)
+			tracked := ctx.Value(trackedConnKey{}).(*trackedConn)
 			tracked.Conn = conn
 			return tracked, nil
 		}}
 	return pool
 }
 
-// setUnackedTimeout has a dead connection show soon.
+// setUnackedTimeout sets TCP_USER_TIMEOUT to unackedTimeout on a new socket, so that a dead connection is
+// detected soon.
 func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
-	if outer := raw.Control(func(descriptor uintptr) {
+	if controlErr := raw.Control(func(descriptor uintptr) {
 		err = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond))
-	}); outer != nil {
-		return outer
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
-// get gives an idle connection that is still good, or opens one. Failing means that
-// nothing was sent.
-func (c *Pool) get(ctx context.Context, server membership.Server, ends time.Time) (*pooledConn, error) {
+// get returns an idle connection that is still usable, or opens one, and starts a call with this
+// deadline on it. An error means that nothing was sent.
+func (p *Pool) get(ctx context.Context, server membership.Server, deadline time.Time) (*pooledConn, error) {
 	key := incarnationOf(server)
 	for {
-		idle := c.popIdle(key)
+		idle := p.popIdle(key)
 		if idle == nil {
 			break
 		}
-		if idle.http.Err() == nil && idle.conn.begin(ends) {
+		if idle.http.Err() == nil && idle.conn.begin(deadline) {
 			return idle, nil
 		}
 		idle.close()
 	}
-	conn := &trackedConn{now: c.now}
-	client, err := c.transport.NewClientConn(context.WithValue(ctx, connectionKey{}, conn), "http", server.Address)
+	conn := &trackedConn{now: p.now}
+	client, err := p.transport.NewClientConn(context.WithValue(ctx, trackedConnKey{}, conn), "http", server.Address)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	c.mutex.Lock()
-	c.opened++
-	c.mutex.Unlock()
+	p.mutex.Lock()
+	p.opened++
+	p.mutex.Unlock()
 	opened := &pooledConn{incarnation: key, conn: conn, http: client}
-	if !conn.begin(ends) {
+	if !conn.begin(deadline) {
 		opened.close()
 		return nil, errConnClosed
 	}
 	return opened, nil
 }
 
-func (c *Pool) popIdle(key incarnation) *pooledConn {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	idle := c.idle[key]
+// popIdle removes and returns the connection that became idle last, or nil if there is none.
+func (p *Pool) popIdle(key incarnation) *pooledConn {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	idle := p.idle[key]
 	if len(idle) == 0 {
 		return nil
 	}
 	last := idle[len(idle)-1]
 	idle[len(idle)-1] = nil
-	c.idle[key] = idle[:len(idle)-1]
+	p.idle[key] = idle[:len(idle)-1]
 	return last
 }
 
-// put takes a connection back after a whole answer. Rests is what the answer said of how
-// long the server keeps it.
-func (c *Pool) put(used *pooledConn, keepAlive time.Duration) {
+// put returns a connection to the pool after a complete response, or closes it if it can't be
+// reused. keepAlive is how long the connection may be idle and still be used.
+func (p *Pool) put(used *pooledConn, keepAlive time.Duration) {
 	if used.http.Err() != nil || used.http.Available() == 0 {
 		used.close()
 		return
 	}
 	used.conn.becomeIdle(keepAlive)
-	now := c.now()
+	now := p.now()
 	var surplus []*pooledConn
-	c.mutex.Lock()
-	if c.known != nil && !c.known[used.incarnation] {
+	p.mutex.Lock()
+	if p.listed != nil && !p.listed[used.incarnation] {
 		surplus = append(surplus, used)
 	} else {
-		c.idle[used.incarnation] = append(c.idle[used.incarnation], used)
+		p.idle[used.incarnation] = append(p.idle[used.incarnation], used)
 	}
-	if now.Sub(c.lastSweep) >= sweepInterval {
-		c.lastSweep = now
-		surplus = append(surplus, c.sweep(now)...)
+	if now.Sub(p.lastSweep) >= sweepInterval {
+		p.lastSweep = now
+		surplus = append(surplus, p.sweep(now)...)
 	}
-	c.mutex.Unlock()
+	p.mutex.Unlock()
 	for _, conn := range surplus {
 		conn.close()
 	}
 }
 
-// sweep takes out the connections that rested too long, that their servers closed or that
-// are too many.
-func (c *Pool) sweep(now time.Time) []*pooledConn {
+// sweep removes and returns the idle connections that have been idle for too long, that their
+// servers closed, or that exceed maxIdlePerServer. The caller holds the mutex.
+func (p *Pool) sweep(now time.Time) []*pooledConn {
 	var surplus []*pooledConn
-	for key, idle := range c.idle {
+	for key, idle := range p.idle {
 		remaining := idle[:0]
 		for position, conn := range idle {
 			if conn.http.Err() != nil || conn.conn.idleTooLong(now) || len(idle)-position > maxIdlePerServer {
@@ -181,48 +188,50 @@
 		}
 		clear(idle[len(remaining):])
 		if len(remaining) == 0 {
-			delete(c.idle, key)
+			delete(p.idle, key)
 		} else {
-			c.idle[key] = remaining
+			p.idle[key] = remaining
 		}
 	}
 	return surplus
 }
 
-// SetServers drops the connections to incarnations that are no longer listed.
-func (c *Pool) SetServers(servers []membership.Server) {
-	known := make(map[incarnation]bool, len(servers))
+// SetServers sets the current servers and closes the idle connections to all other incarnations.
+func (p *Pool) SetServers(servers []membership.Server) {
+	listed := make(map[incarnation]bool, len(servers))
 	for _, server := range servers {
-		known[incarnationOf(server)] = true
+		listed[incarnationOf(server)] = true
 	}
 	var surplus []*pooledConn
-	c.mutex.Lock()
-	c.known = known
-	for key, idle := range c.idle {
-		if !known[key] {
+	p.mutex.Lock()
+	p.listed = listed
+	for key, idle := range p.idle {
+		if !listed[key] {
 			surplus = append(surplus, idle...)
-			delete(c.idle, key)
+			delete(p.idle, key)
 		}
 	}
-	c.mutex.Unlock()
+	p.mutex.Unlock()
 	for _, conn := range surplus {
 		conn.close()
 	}
 }
 
-// Opened counts the connections that came up.
-func (c *Pool) Opened() uint64 {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.opened
+// Opened returns how many connections have been opened.
+func (p *Pool) Opened() uint64 {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.opened
 }
 
-func (p *pooledConn) close() {
-	_, _ = p.conn.end()
-	_ = p.http.Close()
+// close closes the connection. No byte of a call is written to it afterwards.
+func (c *pooledConn) close() {
+	_, _ = c.conn.end()
+	_ = c.http.Close()
 }
 
-// readKeepAlive reads how long a server keeps the connection.
+// readKeepAlive returns how long a connection may be idle and still be used, according to the
+// Keep-Alive header of a response, or defaultKeepAlive if the header states no timeout.
 func readKeepAlive(header http.Header) time.Duration {
 	for _, text := range header["Keep-Alive"] {
 		for entry := range strings.SplitSeq(text, ",") {
--- a/internal/adapters/proxy/pool_test.go
+++ b/internal/adapters/proxy/pool_test.go
@@ -14,59 +14,65 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-func asBody(text string) io.ReadCloser { return io.NopCloser(strings.NewReader(text)) }
+// bodyOf returns a request body with the text.
+func bodyOf(text string) io.ReadCloser { return io.NopCloser(strings.NewReader(text)) }
 
-func TestAConnectionThatRestedTooLongIsNotUsed(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=2"))
+// TestConnectionIdleForTooLongIsNotReused guards against a call that is sent while the server closes the connection. The
+// server states a keep-alive timeout of two seconds, from which the pool subtracts keepAliveMargin.
+func TestConnectionIdleForTooLongIsNotReused(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=2"))
 		return true
 	})
-	var ahead atomic.Int64
-	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	r := newRouter(t, sc)
-	r.connections.now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
-	sc.decide = func(number int, outcome scheduler.Outcome) scheduler.Decision {
-		decision := once(func() membership.Server { return s.server })(number, outcome)
+	var clockOffset atomic.Int64
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+	router := newRouter(t, executor)
+	router.connections.now = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
+	executor.decide = func(number int, outcome scheduler.Outcome) scheduler.Decision {
+		decision := runOnce(func() membership.Server { return server.record })(number, outcome)
 		decision.Deadline = decision.Deadline.Add(time.Hour)
 		return decision
 	}
 	for _, step := range []struct {
-		later       time.Duration
+		idleTime    time.Duration
 		connections int
 	}{{0, 1}, {time.Second, 1}, {1800 * time.Millisecond, 2}} {
-		ahead.Add(int64(step.later))
-		if got := r.send(t, "id", ""); got.status != 200 || s.opened() != step.connections {
-			t.Fatalf("after %v: %+v, %d circuits", step.later, got, s.opened())
+		clockOffset.Add(int64(step.idleTime))
+		if got := router.send(t, "id", ""); got.status != 200 || server.connectionCount() != step.connections {
+			t.Fatalf("after %v of idle time: got %+v and %d connections, want status 200 and %d connections",
+				step.idleTime, got, server.connectionCount(), step.connections)
 		}
 	}
 }
 
-func TestAConnectionThatItsServerClosedIsNotUsed(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x"))
+// TestConnectionClosedByItsServerIsNotReused has a server that closes each connection after its response without a
+// Connection: close header: every call must still reach the server exactly once.
+func TestConnectionClosedByItsServerIsNotReused(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x"))
 		return false
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	r := newRouter(t, sc)
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+	router := newRouter(t, executor)
 	for number := range 20 {
-		got := r.send(t, "id", "body")
-		if got.status != 200 && sc.last().Result != scheduler.TimedOut {
-			t.Fatalf("%d: %+v %+v", number, got, sc.last())
+		got := router.send(t, "id", "body")
+		if got.status != 200 && executor.last().Result != scheduler.TimedOut {
+			t.Fatalf("call %d: got %+v and outcome %+v, want status 200 or a timeout", number, got, executor.last())
 		}
-		until(t, "the circuit is seen closed", func() bool { return !restingGood(r.connections) })
+		waitUntil(t, "the closed connection is detected", func() bool { return !hasUsableIdleConnection(router.connections) })
 	}
-	if s.count() != 20 {
-		t.Fatalf("%d calls for 20", s.count())
+	if server.count() != 20 {
+		t.Fatalf("the server got %d calls, want 20", server.count())
 	}
 }
 
-// restingGood tells whether any connection rests that looks good.
-func restingGood(connections *Pool) bool {
-	connections.mutex.Lock()
-	defer connections.mutex.Unlock()
-	for _, resting := range connections.idle {
-		for _, l := range resting {
-			if l.http.Err() == nil {
+// hasUsableIdleConnection reports whether the pool has an idle connection without an error.
+func hasUsableIdleConnection(pool *Pool) bool {
+	pool.mutex.Lock()
+	defer pool.mutex.Unlock()
+	for _, idle := range pool.idle {
+		for _, conn := range idle {
+			if conn.http.Err() == nil {
 				return true
 			}
 		}
@@ -74,125 +80,137 @@
 	return false
 }
 
-func TestWhatFollowsAWholeAnswerBelongsToNoCall(t *testing.T) {
-	for name, extra := range map[string]string{"bytes": "more bytes", "an answer": whole(200, "id", "again"), "a late answer": "late"} {
+// TestBytesAfterACompleteResponseBelongToNoCall has a server that sends more bytes after a complete response: a later call
+// on the connection must not get them as its response.
+func TestBytesAfterACompleteResponseBelongToNoCall(t *testing.T) {
+	for name, extra := range map[string]string{
+		"bytes that are no response": "more bytes", "a second response": responseText(200, "id", "again"),
+		"a late second response": "late"} {
 		t.Run(name, func(t *testing.T) {
 			var number atomic.Int64
-			s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
+			server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
 				id := inbound.Header.Get("Seamloom-Call")
 				if number.Add(1) > 1 {
-					connection.say(whole(200, id, "mine"))
+					connection.writeText(responseText(200, id, "mine"))
 					return true
 				}
+				// In the case "a late response", the server sends a second response to the first call when the second
+				// call arrives.
 				if extra != "late" {
-					connection.say(whole(200, id, "mine") + extra)
+					connection.writeText(responseText(200, id, "mine") + extra)
 					return true
 				}
-				connection.say(whole(200, id, "mine"))
+				connection.writeText(responseText(200, id, "mine"))
 				_, _ = connection.reader.Peek(1)
-				connection.say(whole(200, id, "again"))
+				connection.writeText(responseText(200, id, "again"))
 				return true
 			})
-			sc := &scripted{decide: once(func() membership.Server { return s.server })}
-			r := newRouter(t, sc)
-			if got := r.send(t, "first", "body"); string(got.body) != "mine" {
-				t.Fatalf("%+v", got)
+			executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+			router := newRouter(t, executor)
+			if got := router.send(t, "first", "body"); string(got.body) != "mine" {
+				t.Fatalf("first call: got %+v, want its own response", got)
 			}
-			got := r.send(t, "second", "body")
-			if got.status == 200 && string(got.body) != "mine" || got.status != 200 && (extra != "late" || sc.last().Result != scheduler.Malformed) {
-				t.Fatalf("%+v %+v", got, sc.last())
+			got := router.send(t, "second", "body")
+			if got.status == 200 && string(got.body) != "mine" ||
+				got.status != 200 && (extra != "late" || executor.last().Result != scheduler.Malformed) {
+				t.Fatalf("second call: got %+v and outcome %+v, want its own response, or malformed after a late first response", got, executor.last())
 			}
-			if got := r.send(t, "third", "body"); string(got.body) != "mine" {
-				t.Fatalf("%+v", got)
+			if got := router.send(t, "third", "body"); string(got.body) != "mine" {
+				t.Fatalf("third call: got %+v, want its own response", got)
 			}
 		})
 	}
 }
 
+// TestConnectionsToAnEarlierIncarnationAreDropped lists another server at the same address: the pool must drop its
+// connections to the earlier one, and must not keep any that a call to the earlier one opens afterwards.
 func TestConnectionsToAnEarlierIncarnationAreDropped(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=9"))
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=9"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	r := newRouter(t, sc)
-	r.connections.SetServers([]membership.Server{s.server})
-	_ = r.send(t, "id", "")
-	next := s.server
-	next.Name = "life-2"
-	r.connections.SetServers([]membership.Server{next})
-	if restingGood(r.connections) {
-		t.Fatal("a circuit to a life that is gone still rests")
-	}
-	_ = r.send(t, "id", "")
-	if s.opened() != 2 || restingGood(r.connections) {
-		t.Fatalf("%d circuits", s.opened())
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+	router := newRouter(t, executor)
+	router.connections.SetServers([]membership.Server{server.record})
+	_ = router.send(t, "id", "")
+	next := server.record
+	next.Name = "server-2"
+	router.connections.SetServers([]membership.Server{next})
+	if hasUsableIdleConnection(router.connections) {
+		t.Fatal("the pool still has a connection to an earlier incarnation")
+	}
+	_ = router.send(t, "id", "")
+	if server.connectionCount() != 2 || hasUsableIdleConnection(router.connections) {
+		t.Fatalf("got %d connections, want 2 and none of them reusable", server.connectionCount())
 	}
 }
 
-func TestNothingWrittenIsCertain(t *testing.T) {
-	s := newStandin(t, func(*callerConnection, *http.Request) bool { return false })
-	connections := NewPool(nil)
-	l, err := connections.get(t.Context(), s.server, time.Now().Add(time.Second))
+// TestEndReportsWhetherBytesWereWritten guards against both errors of end: a call that may have been sent would be
+// retried, or a call that was certainly not sent would be reported as possibly run.
+func TestEndReportsWhetherBytesWereWritten(t *testing.T) {
+	server := newFakeServer(t, func(*serverConnection, *http.Request) bool { return false })
+	pool := NewPool(nil)
+	pooled, err := pool.get(t.Context(), server.record, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wrote, _ := l.conn.end(); wrote {
-		t.Fatal("nothing was written")
+	if wrote, _ := pooled.conn.end(); wrote {
+		t.Fatal("end reports written bytes, but none were written")
 	}
-	if _, err := l.conn.Write([]byte("x")); err == nil {
-		t.Fatal("an ended circuit took bytes")
+	if _, err := pooled.conn.Write([]byte("x")); err == nil {
+		t.Fatal("a write succeeded on a connection that was ended")
 	}
-	l, err = connections.get(t.Context(), s.server, time.Now().Add(time.Second))
+	pooled, err = pool.get(t.Context(), server.record, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = l.conn.Write([]byte("GET"))
-	if wrote, _ := l.conn.end(); !wrote {
-		t.Fatal("something was written")
+	_, _ = pooled.conn.Write([]byte("GET"))
+	if wrote, _ := pooled.conn.end(); !wrote {
+		t.Fatal("end reports no written bytes, but some were written")
 	}
-	// One whose call's end has come takes nothing, though it is up.
-	l, err = connections.get(t.Context(), s.server, time.Now().Add(time.Second))
+	// A connection that is still open accepts no bytes of a call whose deadline has passed.
+	pooled, err = pool.get(t.Context(), server.record, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.conn.begin(time.Now().Add(-time.Second)) {
-		t.Fatal("a call began after its end")
+	if pooled.conn.begin(time.Now().Add(-time.Second)) {
+		t.Fatal("begin accepted a call whose deadline has passed")
 	}
-	if _, err := l.conn.Write([]byte("GET")); err == nil {
-		t.Fatal("a circuit that was not begun took bytes")
+	if _, err := pooled.conn.Write([]byte("GET")); err == nil {
+		t.Fatal("a write succeeded although begin refused the call")
 	}
-	if wrote, _ := l.conn.end(); wrote {
-		t.Fatal("nothing was written")
+	if wrote, _ := pooled.conn.end(); wrote {
+		t.Fatal("end reports written bytes, but none were written")
 	}
 }
 
-func TestAConnectionThatAnotherIncarnationAnsweredOnIsNotUsedAgain(t *testing.T) {
-	s := newStandin(t, func(connection *callerConnection, inbound *http.Request) bool {
-		connection.say(whole(421, inbound.Header.Get("Seamloom-Call"), "", "Keep-Alive: timeout=9"))
+func TestConnectionAnsweredByAnotherIncarnationIsNotReused(t *testing.T) {
+	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
+		connection.writeText(responseText(421, inbound.Header.Get("Seamloom-Call"), "", "Keep-Alive: timeout=9"))
 		return true
 	})
-	sc := &scripted{decide: once(func() membership.Server { return s.server })}
-	r := newRouter(t, sc)
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server.record })}
+	router := newRouter(t, executor)
 	for range 2 {
-		if got := r.send(t, "id", ""); got.status != 421 || sc.last().Result != scheduler.Misdirected {
-			t.Fatalf("%+v", got)
+		if got := router.send(t, "id", ""); got.status != 421 || executor.last().Result != scheduler.Misdirected {
+			t.Fatalf("got %+v and outcome %+v, want status 421", got, executor.last())
 		}
 	}
-	if s.opened() != 2 {
-		t.Fatalf("%d circuits", s.opened())
+	if server.connectionCount() != 2 {
+		t.Fatalf("got %d connections, want 2", server.connectionCount())
 	}
 }
 
-// TestAServerThatAnswersEarlyGetsNoOtherBytes: one that says no before it has read a
-// long body, and reads on later, reads the rest of that body or nothing.
-func TestAServerThatAnswersEarlyGetsNoOtherBytes(t *testing.T) {
+// TestServerThatRespondsEarlyGetsNoOtherBytes has a server refuse a call before it has read the long
+// body. If the server later reads on, it may get only the rest of that body, and no bytes of another
+// call.
+func TestServerThatRespondsEarlyGetsNoOtherBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	rests := make(chan string, 2)
+	remainders := make(chan string, 2)
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -205,28 +223,28 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.WriteString(connection, whole(503, inbound.Header.Get("Seamloom-Call"), "", "Seamloom-Not-Started: 1"))
+				_, _ = io.WriteString(connection, responseText(503, inbound.Header.Get("Seamloom-Call"), "", "Seamloom-Not-Started: 1"))
 				if inbound.ContentLength < 1000 {
 					_ = connection.Close()
 					return
 				}
 				time.Sleep(200 * time.Millisecond)
-				rest, _ := io.ReadAll(reader)
-				rests <- string(rest)
+				remainder, _ := io.ReadAll(reader)
+				remainders <- string(remainder)
 				_ = connection.Close()
 			}()
 		}
 	}()
-	server := membership.Server{Name: "life-1", Address: listener.Addr().String()}
-	s := &scripted{decide: once(func() membership.Server { return server })}
-	r := newRouter(t, s)
-	if got := r.send(t, "long", strings.Repeat("x", 8<<20)); got.status != 503 || s.last().Result != scheduler.NotStarted {
-		t.Fatalf("%+v", got)
+	server := membership.Server{Name: "server-1", Address: listener.Addr().String()}
+	executor := &scriptedExecutor{decide: runOnce(func() membership.Server { return server })}
+	router := newRouter(t, executor)
+	if got := router.send(t, "long", strings.Repeat("x", 8<<20)); got.status != 503 || executor.last().Result != scheduler.NotStarted {
+		t.Fatalf("long call: got %+v and outcome %+v, want status 503 and result %s", got, executor.last(), scheduler.NotStarted)
 	}
-	if got := r.send(t, "short", "y"); got.status != 503 {
-		t.Fatalf("%+v", got)
+	if got := router.send(t, "short", "y"); got.status != 503 {
+		t.Fatalf("short call: got %+v, want status 503", got)
 	}
-	if rest := <-rests; strings.Trim(rest, "x") != "" {
-		t.Fatalf("other bytes: %q", strings.Trim(rest, "x"))
+	if remainder := <-remainders; strings.Trim(remainder, "x") != "" {
+		t.Fatalf("the server got bytes of another call: %q", strings.Trim(remainder, "x"))
 	}
 }
--- a/internal/adapters/proxy/reply.go
+++ b/internal/adapters/proxy/reply.go
@@ -11,26 +11,27 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Refuse ends the call with a word of our own.
+// Refuse ends the call with a response of the router. If a response has already begun, the call
+// is aborted instead.
 func (e *exchange) Refuse(refusal dataplane.Refusal) {
 	if e.headSent.Load() {
-		e.Break()
+		e.Abort()
 		return
 	}
 	e.ending = endingOf(refusal.Cause, e.call)
 	setRetryAfter(e.writer.Header(), refusal.RetryAfter)
-	refuse(e.writer, e.handler.protocol.ID, e.call.ID, refusal.Status, ending(refusal.Cause))
+	writeRefusal(e.writer, e.handler.protocol.ID, e.call.ID, refusal.Status, ending(refusal.Cause))
 }
 
-// setRetryAfter tells after how long a refused call may come back, if that is known.
+// setRetryAfter sets the Retry-After header, in seconds, if the time is known.
 func setRetryAfter(header http.Header, after time.Duration) {
 	if after > 0 {
 		header["Retry-After"] = []string{strconv.FormatFloat(after.Seconds(), 'f', 3, 64)}
 	}
 }
 
-// refuse gives a final word of our own.
-func refuse(writer http.ResponseWriter, idHeader, id string, status int, cause ending) {
+// writeRefusal writes an error response of the router, with the cause in its body.
+func writeRefusal(writer http.ResponseWriter, idHeader, id string, status int, cause ending) {
 	header := writer.Header()
 	if id != "" {
 		header[idHeader] = []string{id}
@@ -42,15 +43,16 @@
 	_, _ = io.WriteString(writer, body)
 }
 
-// OnGiveUp counts why the call is tried no more.
+// OnGiveUp counts the reason for which the call is not retried.
 func (e *exchange) OnGiveUp(reason scheduler.Reason) {
 	if counter, found := e.handler.meter.givenUp[reason]; found {
 		counter.Inc()
 	}
 }
 
-// PassThrough passes the failing answer of the last dispatch on.
-func (e *exchange) PassThrough() bool {
+// ForwardFailure forwards the last failed response, and reports whether it did so. It forwards
+// nothing if no failed response is stored, or if another response has already begun.
+func (e *exchange) ForwardFailure() bool {
 	failed := e.failedResponse
 	if failed == nil || e.headSent.Load() {
 		return false
@@ -66,11 +68,11 @@
 	return true
 }
 
-// Break ends the answer so that it does not look complete.
-func (e *exchange) Break() { e.ending = endCut }
+// Abort ends the call so that its response does not look complete to the client.
+func (e *exchange) Abort() { e.ending = endInterrupted }
 
-// Free gives a prompt's memory back, in a thread of its own.
-func (e *exchange) Free(source scheduler.Source) {
+// ReleaseHandle releases the KV cache of a prefill, in a goroutine of its own.
+func (e *exchange) ReleaseHandle(source scheduler.Source) {
 	server := e.prefillServer
 	if server.Address != source.Address {
 		server = membership.Server{Address: source.Address}
--- a/internal/adapters/proxy/streaming.go
+++ b/internal/adapters/proxy/streaming.go
@@ -10,8 +10,8 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// forwardBody passes an answer on that is no stream: at once when it is all there, or,
-// when it is too large for that, as it comes.
+// forwardBody forwards a response that is not an event stream: in one piece once it is
+// complete, or, if it exceeds maxBufferedResponse, while it arrives.
 func (d *dispatch) forwardBody() {
 	e, response := d.exchange, d.response
 	body, err := readBounded(response.Body, response.ContentLength, maxBufferedResponse)
@@ -54,52 +54,55 @@
 	}
 }
 
-// forwardEvents passes a stream on, whole event by whole event, each at once.
-func (d *dispatch) forwardEvents(route *config.CallRoute, began func()) {
+// forwardEvents forwards an event stream. Only complete events are forwarded, each as soon as
+// it has arrived. A resumed stream skips the events that the client already has.
+func (d *dispatch) forwardEvents(route *config.CallRoute, onFirstChunk func()) {
 	e, response := d.exchange, d.response
+	// If an earlier dispatch of the call has forwarded the head, this stream resumes the earlier one.
 	resumed := e.headSent.Load()
-	// A stream may go on from another server: its length is then not the first's.
+	// The stream may be resumed at another server: the first server's Content-Length is then wrong.
 	response.ContentLength = -1
 	delete(response.Header, "Content-Length")
 	flusher := http.NewResponseController(e.writer)
-	buffered := e.handler.buffers.Get().(*[]byte)
-	defer e.handler.buffers.Put(buffered)
-	text := (*buffered)[:0]
+	pooledBuffer := e.handler.buffers.Get().(*[]byte)
+	defer e.handler.buffers.Put(pooledBuffer)
+	buffer := (*pooledBuffer)[:0]
 	for {
-		if len(text) == cap(text) {
-			if len(text) >= maxEventBytes {
-				d.breakOff()
+		if len(buffer) == cap(buffer) {
+			if len(buffer) >= maxEventBytes {
+				d.failStream()
 				return
 			}
-			text = append(text, make([]byte, len(text))...)[:len(text)]
+			buffer = append(buffer, make([]byte, len(buffer))...)[:len(buffer)]
 		}
-		gapTimeout := d.decision.StreamTimeout
-		if gapTimeout > 0 && e.headSent.Load() {
-			d.timer.Reset(min(gapTimeout, d.remaining()))
+		// Once the head is forwarded, StreamTimeout limits the wait for each read.
+		readTimeout := d.decision.StreamTimeout
+		if readTimeout > 0 && e.headSent.Load() {
+			d.timer.Reset(min(readTimeout, d.remaining()))
 		} else {
-			gapTimeout = 0
+			readTimeout = 0
 		}
-		read, readErr := response.Body.Read(text[len(text):cap(text)])
-		if gapTimeout > 0 {
+		read, readErr := response.Body.Read(buffer[len(buffer):cap(buffer)])
+		if readTimeout > 0 {
 			d.extend()
 		}
-		text = text[:len(text)+read]
+		buffer = buffer[:len(buffer)+read]
 		if read > 0 && d.outcome.FirstByte.IsZero() {
 			d.outcome.FirstByte = e.handler.now()
 			d.extend()
-			began()
+			onFirstChunk()
 		}
 		consumed, forwarded := 0, false
 		for {
-			length := eventEnd(text[consumed:])
+			length := eventEnd(buffer[consumed:])
 			if length < 0 {
-				if readErr != io.EOF || consumed == len(text) {
+				if readErr != io.EOF || consumed == len(buffer) {
 					break
 				}
-				// The rest of a stream that ended well is the server's as well.
-				length = len(text) - consumed
+				// The stream ended regularly: forward the rest, although no blank line ends it.
+				length = len(buffer) - consumed
 			}
-			event := text[consumed : consumed+length]
+			event := buffer[consumed : consumed+length]
 			consumed += length
 			if id, found := eventID(event); found {
 				if resumed && !isAfter(id, e.lastEvent) {
@@ -130,15 +133,16 @@
 			return
 		}
 		if readErr != nil {
-			d.breakOff()
+			d.failStream()
 			return
 		}
-		text = text[:copy(text, text[consumed:])]
+		buffer = buffer[:copy(buffer, buffer[consumed:])]
 	}
 }
 
-// breakOff ends a dispatch whose success broke off.
-func (d *dispatch) breakOff() {
+// failStream ends a dispatch whose successful response was interrupted. If nothing was forwarded to
+// the client yet, the result is TimedOut.
+func (d *dispatch) failStream() {
 	if d.exchange.headSent.Load() {
 		d.fail(scheduler.Interrupted)
 		return
@@ -146,8 +150,8 @@
 	d.fail(scheduler.TimedOut)
 }
 
-// isAfter tells whether an event comes after another, by their ids: as numbers, or else
-// it is another one.
+// isAfter reports whether the event id comes after the event last. Numeric IDs are compared as
+// numbers; otherwise every ID that differs counts as later.
 func isAfter(id, last string) bool {
 	number, err := strconv.ParseUint(id, 10, 64)
 	earlier, lastErr := strconv.ParseUint(last, 10, 64)
@@ -157,9 +161,9 @@
 	return number > earlier
 }
 
-// eventEnd finds the end of the first whole event of a stream: behind the blank line
-// that closes it, or -1 when it is not all there. Lines end with LF, CR LF or CR; a CR
-// at the very end may be the first half of a CR LF and closes nothing yet.
+// eventEnd returns the end of the first event of a stream, just after the blank line that ends
+// the event, or -1 if the event is incomplete. Lines end with LF, CR LF or CR. A CR at the very
+// end of the text may be the first half of a CR LF, so it does not end a line yet.
 func eventEnd(text []byte) int {
 	for start := 0; start < len(text); {
 		length := bytes.IndexAny(text[start:], "\r\n")
@@ -183,20 +187,20 @@
 	return -1
 }
 
-// eventID finds the id in a whole event; nothing when it has none.
+// eventID returns the ID of a complete event, and false if the event has none.
 func eventID(event []byte) (string, bool) {
 	var id []byte
 	found := false
 	for len(event) > 0 {
 		end := bytes.IndexAny(event, "\r\n")
-		l := event
+		line := event
 		if end >= 0 {
-			l, event = event[:end], event[end+1:]
+			line, event = event[:end], event[end+1:]
 		} else {
 			event = nil
 		}
-		if value, is := bytes.CutPrefix(l, []byte("id:")); is {
-			// An id with a NUL is none, by the standard of event streams.
+		if value, isID := bytes.CutPrefix(line, []byte("id:")); isID {
+			// The standard for event streams says that an ID with a NUL must be ignored.
 			if value = bytes.TrimPrefix(value, []byte(" ")); bytes.IndexByte(value, 0) < 0 {
 				id, found = value, true
 			}
--- a/internal/adapters/router/api.go
+++ b/internal/adapters/router/api.go
@@ -20,13 +20,15 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
+// mux returns the handler for requests of clients and for messages of other processes.
 func (p *Process) mux() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Post("/v1/inquiries"), func(writer http.ResponseWriter, inbound *http.Request) {
 		p.serveRequest(writer, inbound, nil)
 	})
 	mux.HandleFunc(pat.Post(wire.ForwardPath), func(writer http.ResponseWriter, inbound *http.Request) {
-		p.serveRequest(writer, inbound, &wire.Forwarding{Nonce: inbound.Header.Get(nonceHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
+		p.serveRequest(writer, inbound,
+			&wire.Forwarding{Nonce: inbound.Header.Get(nonceHeader), Incarnation: inbound.Header.Get(incarnationHeader)})
 	})
 	mux.HandleFunc(pat.Get("/v1/inquiries/:id"), p.getTrace)
 	mux.HandleFunc(pat.Get("/v1/health"), func(writer http.ResponseWriter, _ *http.Request) {
@@ -37,14 +39,14 @@
 	})
 	mux.HandleFunc(pat.Get("/v1/ready"), p.getReady)
 	mux.HandleFunc(pat.Get("/v1/metrics"), p.getMetrics)
-	for path, answer := range p.router.Handlers() {
-		mux.Handle(pat.Post(path), rpc.Handler(answer))
+	for path, handler := range p.router.Handlers() {
+		mux.Handle(pat.Post(path), rpc.Handler(handler))
 	}
 	return mux
 }
 
-// serveRequest takes a request from its origin, or from a restricted router
-// that passed it on; one that was forwarded is not forwarded again.
+// serveRequest serves a request. If forwarding is nil, the request is from a client; otherwise a restricted
+// router, which lacks an enabled feature flag, has forwarded it. A forwarded request is not forwarded again.
 func (p *Process) serveRequest(writer http.ResponseWriter, inbound *http.Request, forwarding *wire.Forwarding) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, dataplane.MaxRequestBytes))
 	if err != nil {
@@ -64,18 +66,20 @@
 	}
 	writer.Header().Set("Content-Type", "application/msgpack")
 	encoder := msgpack.NewEncoder(writer)
-	p.router.Serve(arrival, &dataplane.RecordReply{Request: request.ID, Writer: p.settings.Name, ClientGone: client.OnClientGone, Send: func(record codec.Record) error {
-		if err := encoder.Encode(record); err != nil {
-			return err
-		}
-		return client.flusher.Flush()
-	}})
+	p.router.Serve(arrival, &dataplane.RecordReply{
+		Request: request.ID, Writer: p.settings.Name, RegisterClientGone: client.OnClientGone,
+		Send: func(record codec.Record) error {
+			if err := encoder.Encode(record); err != nil {
+				return err
+			}
+			return client.flusher.Flush()
+		}})
 }
 
-// refuse answers what is no request.
+// refuse responds to a request whose body is too large or invalid.
 func refuse(writer http.ResponseWriter, err error) {
-	never := false
-	line := dataplane.ReplyLine{Final: auction.Refused, Ran: &never, Type: failure.CodeOf(err), Detail: err.Error()}
+	ran := false
+	line := dataplane.ReplyLine{Final: auction.Refused, Ran: &ran, Type: failure.CodeOf(err), Detail: err.Error()}
 	status := http.StatusBadRequest
 	if line.Type == failure.Oversize {
 		status = http.StatusRequestEntityTooLarge
@@ -83,21 +87,28 @@
 	writeJSON(writer, status, line)
 }
 
+// getTrace responds with the trace of a request from this router's journal.
 func (p *Process) getTrace(writer http.ResponseWriter, inbound *http.Request) {
-	folded, found := p.router.Journal().Trace(pat.Param(inbound, "id"), p.supported)
+	trace, found := p.router.Journal().Trace(pat.Param(inbound, "id"), p.supported)
 	if !found {
-		writeJSON(writer, http.StatusNotFound, dataplane.ReplyLine{Request: folded.Request, Type: failure.NoSuch, Detail: "this courier's journal has nothing of it"})
+		writeJSON(writer, http.StatusNotFound, dataplane.ReplyLine{
+			Request: trace.Request, Type: failure.NoSuch, Detail: "the journal of this router has no record of the request"})
 		return
 	}
-	writeJSON(writer, http.StatusOK, folded)
+	writeJSON(writer, http.StatusOK, trace)
 }
 
+// getReady reports whether the router admits requests, knows servers and is not draining.
 func (p *Process) getReady(writer http.ResponseWriter, _ *http.Request) {
 	now := p.clock.Now()
 	servers := len(p.router.Servers())
 	version := p.router.InForce()
-	content := map[string]any{"ready": now.Before(p.router.Core().ServesUntil()) && servers > 0 && !p.router.Core().Draining(), "configuration": version.String(),
-		"servers": servers, "restricted": p.router.Core().Restricted()}
+	content := map[string]any{
+		"ready":         now.Before(p.router.Core().ServesUntil()) && servers > 0 && !p.router.Core().Draining(),
+		"configuration": version.String(),
+		"servers":       servers,
+		"restricted":    p.router.Core().Restricted(),
+	}
 	if p.router.Follower().Membership().Blank() {
 		content["waiting_for"] = "core"
 	}
@@ -108,6 +119,7 @@
 	writeJSON(writer, status, content)
 }
 
+// getMetrics writes the router's metrics in the text format of Prometheus.
 func (p *Process) getMetrics(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	counts := p.router.Core().Counts()
@@ -120,7 +132,7 @@
 		counts["waiting_for_core"] = 1
 	}
 	counts["hold_left_milliseconds"] = max(0, p.router.Core().LeaseEnds().Sub(p.clock.Now()).Milliseconds())
-	counts["news_silence_milliseconds"] = min(time.Hour.Milliseconds(), p.clock.Now().Sub(p.router.Heard()).Milliseconds())
+	counts["news_silence_milliseconds"] = min(time.Hour.Milliseconds(), p.clock.Now().Sub(p.router.LastUpdateAt()).Milliseconds())
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
@@ -138,15 +150,16 @@
 	}
 }
 
-// writeQuotaMetrics writes how the calls of tenants with limits ended, and what was asked of witnesses for them.
+// writeQuotaMetrics writes the number of requests for tokens that were sent to witnesses, the total number of
+// tenants in these requests, and, for each tenant with a limit, the number of claims to a token by result.
 func writeQuotaMetrics(target io.Writer, quotas *dataplane.Quotas) {
-	requests, wants := quotas.Traffic()
-	_, _ = fmt.Fprintf(target, "seamloom_quota_requests_total %d\nseamloom_quota_wants_total %d\n", requests, wants)
+	requests, tenants := quotas.Traffic()
+	_, _ = fmt.Fprintf(target, "seamloom_quota_requests_total %d\nseamloom_quota_wants_total %d\n", requests, tenants)
 	for _, counts := range quotas.Counts() {
 		for _, outcome := range []struct {
 			name  string
 			calls uint64
-		}{{"held", counts.Held}, {"asked", counts.Asked}, {"denied", counts.Denied}, {"unknown", counts.Unknown}} {
+		}{{"held", counts.Prefetched}, {"asked", counts.Requested}, {"denied", counts.Denied}, {"unknown", counts.Unknown}} {
 			_, _ = fmt.Fprintf(target, "seamloom_tenant_calls_total{tenant=%q,token=%q} %d\n", counts.Subject, outcome.name, outcome.calls)
 		}
 	}
--- a/internal/adapters/router/calls.go
+++ b/internal/adapters/router/calls.go
@@ -9,8 +9,9 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// callProxy are what serves opaque calls in a process, if its settings name an
-// address for them.
+// callProxy holds the parts of a router process that serve opaque calls: requests that are
+// forwarded to model servers unchanged. The parts are nil if the settings contain no address for
+// calls or readiness checks.
 type callProxy struct {
 	pool     *proxy.Pool
 	calls    *dataplane.Calls
@@ -18,34 +19,37 @@
 	frontend *proxy.Frontend
 }
 
-// prepareCalls makes the conduct of opaque calls over the core's window.
-func (p *Process) prepareCalls(rt *osruntime.Runtime) func(deciding *scheduler.Scheduler) dataplane.CallService {
-	chosen := p.settings
-	if chosen.CallsAddress == "" && chosen.ReadyAddress == "" {
+// prepareCalls creates the connection pool for opaque calls. It returns a function that creates the CallService,
+// given the scheduler of the router's core. If the settings contain no address for calls or readiness checks, it
+// creates no pool and returns nil.
+func (p *Process) prepareCalls(rt *osruntime.Runtime) func(callScheduler *scheduler.Scheduler) dataplane.CallService {
+	nodeSettings := p.settings
+	if nodeSettings.CallsAddress == "" && nodeSettings.ReadyAddress == "" {
 		return nil
 	}
-	p.proxy.pool = proxy.NewPool(chosen.Detours)
-	return func(deciding *scheduler.Scheduler) dataplane.CallService {
-		p.proxy.calls = dataplane.NewCalls(rt, deciding, p.proxy.pool.SetServers)
+	p.proxy.pool = proxy.NewPool(nodeSettings.Detours)
+	return func(callScheduler *scheduler.Scheduler) dataplane.CallService {
+		p.proxy.calls = dataplane.NewCalls(rt, callScheduler, p.proxy.pool.SetServers)
 		return p.proxy.calls
 	}
 }
 
-// newCallHandler makes the intake of calls; nothing listens yet.
-func (p *Process) newCallHandler(rt *osruntime.Runtime, reached Ports) error {
+// newCallHandler creates the HTTP handler for calls. It fails if the platform's Protocol is invalid. Start calls
+// it before the process listens, so that such a process accepts no connections.
+func (p *Process) newCallHandler(rt *osruntime.Runtime, platformPorts Ports) error {
 	if p.proxy.calls == nil {
 		return nil
 	}
 	protocol := proxy.DefaultProtocol()
-	if reached.Protocol != nil {
-		protocol = *reached.Protocol
+	if platformPorts.Protocol != nil {
+		protocol = *platformPorts.Protocol
 	}
 	handler, err := proxy.NewHandler(p.ctx, protocol, p.proxy.pool, p.proxy.calls, rt.Now)
 	p.proxy.handler = handler
 	return err
 }
 
-// listenForCalls begins to listen for calls.
+// listenForCalls starts to listen for calls and readiness checks.
 func (p *Process) listenForCalls() error {
 	if p.proxy.handler == nil {
 		return nil
@@ -55,16 +59,17 @@
 	return err
 }
 
-// drainCalls lets the calls under way end, within the grace.
+// drainCalls waits until no call is in flight or the grace period is nearly over, and then closes the listeners.
+// While it waits, it closes idle connections once load balancers have noticed that the router is not ready.
 func (p *Process) drainCalls(grace time.Duration) {
 	if p.proxy.frontend == nil {
 		return
 	}
-	p.proxy.calls.Retire(grace, p.proxy.frontend.DismissIdle)
+	p.proxy.calls.Shutdown(grace, p.proxy.frontend.CloseIdleConnections)
 	p.proxy.frontend.Close()
 }
 
-// abort ends a process that could not start, and gives the cause.
+// abort terminates a process that failed to start, and returns the cause.
 func (p *Process) abort(cause error) error {
 	p.tomb.Kill(cause)
 	_ = p.tomb.Wait()
--- a/internal/adapters/router/calls_test.go
+++ b/internal/adapters/router/calls_test.go
@@ -18,6 +18,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
+// freeAddress returns a loopback address that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,127 +29,135 @@
 	return listener.Addr().String()
 }
 
+// get sends a GET request and returns the response without its body.
 func get(t *testing.T, address string) *http.Response {
 	t.Helper()
-	inbound, err := http.Get("http://" + address + "/x")
+	response, err := http.Get("http://" + address + "/x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = inbound.Body.Close()
-	return inbound
+	_ = response.Body.Close()
+	return response
 }
 
-func TestARouterServesCallsAndSaysWhenItIsReady(t *testing.T) {
-	chosen := settings.Defaults(membership.Router)
-	chosen.Name, chosen.Zone, chosen.Address = "courier-1", "north", freeAddress(t)
-	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), freeAddress(t)
-	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
-	chosen.Platform = freeAddress(t)
-	process, err := Start(chosen, daemon.Logger(io.Discard, "error", "courier-1"), osruntime.NewClock(), Ports{})
+// TestRouterServesCallsAndReadinessChecks starts a router, gives it a configuration, a lease and a server, and
+// drains it.
+func TestRouterServesCallsAndReadinessChecks(t *testing.T) {
+	nodeSettings := settings.Defaults(membership.Router)
+	nodeSettings.Name, nodeSettings.Zone, nodeSettings.Address = "courier-1", "north", freeAddress(t)
+	nodeSettings.CallsAddress, nodeSettings.ReadyAddress = freeAddress(t), freeAddress(t)
+	nodeSettings.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
+	nodeSettings.Platform = freeAddress(t)
+	process, err := Start(nodeSettings, daemon.Logger(io.Discard, "error", "courier-1"), osruntime.NewClock(), Ports{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Nothing is known yet: not ready, and no call is admitted.
-	if status := get(t, chosen.ReadyAddress).StatusCode; status != http.StatusServiceUnavailable {
-		t.Fatalf("ready with %d", status)
+	// The router has no configuration, lease or servers yet: it is not ready and admits no call.
+	if status := get(t, nodeSettings.ReadyAddress).StatusCode; status != http.StatusServiceUnavailable {
+		t.Fatalf("before the configuration: got readiness status %d, want 503", status)
 	}
-	if inbound := get(t, chosen.CallsAddress); inbound.StatusCode != http.StatusServiceUnavailable || inbound.Header.Get("Retry-After") == "" {
-		t.Fatalf("%+v", inbound)
+	if response := get(t, nodeSettings.CallsAddress); response.StatusCode != http.StatusServiceUnavailable ||
+		response.Header.Get("Retry-After") == "" {
+		t.Fatalf("call before the configuration: got %+v, want status 503 with Retry-After", response)
 	}
 	process.proxy.calls.SetConfiguration(config.Empty(), replication.Version{Epoch: 1, Number: 1})
 	process.proxy.calls.SetServing(time.Now().Add(time.Hour))
 	process.proxy.calls.SetServers(time.Now(), []membership.Server{{Name: "stove-1", Address: freeAddress(t)}})
-	if status := get(t, chosen.ReadyAddress).StatusCode; status != http.StatusOK {
-		t.Fatalf("not ready with %d", status)
+	if status := get(t, nodeSettings.ReadyAddress).StatusCode; status != http.StatusOK {
+		t.Fatalf("after the configuration: got readiness status %d, want 200", status)
 	}
-	if inbound := get(t, chosen.CallsAddress); inbound.StatusCode != http.StatusNotFound {
-		t.Fatalf("%+v", inbound)
+	if response := get(t, nodeSettings.CallsAddress); response.StatusCode != http.StatusNotFound {
+		t.Fatalf("call without a route: got %+v, want status 404", response)
 	}
 	if err := process.Drain(300 * time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := net.Dial("tcp", chosen.CallsAddress); err == nil {
-		t.Fatal("a process that ended listens")
+	if _, err := net.Dial("tcp", nodeSettings.CallsAddress); err == nil {
+		t.Fatal("the address accepts connections after the process has ended")
 	}
 }
 
-const pendingRoute = `{"services":{"desk":{"engine":{"slots":64,"memory_tokens":295740}}},
-"routes":{"held":{"match":{"host":"ask.example","path_prefix":"/"},"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":30000,"tries":1}}}}`
+// oneRoute is a configuration with one route, for the host ask.example.
+const oneRoute = `{"services":{"desk":{"engine":{"slots":64,"memory_tokens":295740}}},
+"routes":{"held":{"match":{"host":"ask.example","path_prefix":"/"},
+"calls":{"shares":[{"service":"desk","weight":1}],"limit_milliseconds":30000,"tries":1}}}}`
 
-// TestDrainCountsAndAwaitsCallsUnderWay drains a router while a model server holds a
-// call's answer back.
-func TestDrainCountsAndAwaitsCallsUnderWay(t *testing.T) {
-	begun, release := make(chan struct{}), make(chan struct{})
+// TestDrainWaitsForCallsInFlight drains a router while a model server delays the response to a call: the call
+// must be counted as in flight and must complete.
+func TestDrainWaitsForCallsInFlight(t *testing.T) {
+	received, release := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
-		close(begun)
+		close(received)
 		<-release
 		writer.Header().Set("Seamloom-Call", inbound.Header.Get("Seamloom-Call"))
 		_, _ = io.WriteString(writer, "done")
 	}))
 	defer server.Close()
-	chosen := settings.Defaults(membership.Router)
-	chosen.Name, chosen.Zone, chosen.Address = "courier-1", "north", freeAddress(t)
-	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), freeAddress(t)
-	chosen.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
-	chosen.Platform = freeAddress(t)
+	nodeSettings := settings.Defaults(membership.Router)
+	nodeSettings.Name, nodeSettings.Zone, nodeSettings.Address = "courier-1", "north", freeAddress(t)
+	nodeSettings.CallsAddress, nodeSettings.ReadyAddress = freeAddress(t), freeAddress(t)
+	nodeSettings.Seeds = []string{freeAddress(t), freeAddress(t), freeAddress(t)}
+	nodeSettings.Platform = freeAddress(t)
 	var logged strings.Builder
-	process, err := Start(chosen, daemon.Logger(&logged, "info", "courier-1"), osruntime.NewClock(), Ports{})
+	process, err := Start(nodeSettings, daemon.Logger(&logged, "info", "courier-1"), osruntime.NewClock(), Ports{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	configuration, err := config.Check([]byte(pendingRoute))
+	configuration, err := config.Check([]byte(oneRoute))
 	if err != nil {
 		t.Fatal(err)
 	}
 	process.proxy.calls.SetConfiguration(configuration, replication.Version{Epoch: 1, Number: 1})
 	process.proxy.calls.SetServing(time.Now().Add(time.Hour))
-	process.proxy.calls.SetServers(time.Now(), []membership.Server{{Name: "stove-1", Address: strings.TrimPrefix(server.URL, "http://"), Service: "desk", Part: "decode", Slots: 64}})
-	answered := make(chan string, 1)
+	process.proxy.calls.SetServers(time.Now(), []membership.Server{
+		{Name: "stove-1", Address: strings.TrimPrefix(server.URL, "http://"), Service: "desk", Role: "decode", Slots: 64}})
+	responses := make(chan string, 1)
 	go func() {
-		outbound, _ := http.NewRequest(http.MethodPost, "http://"+chosen.CallsAddress+"/x", strings.NewReader("q"))
+		outbound, _ := http.NewRequest(http.MethodPost, "http://"+nodeSettings.CallsAddress+"/x", strings.NewReader("q"))
 		outbound.Host = "ask.example"
 		outbound.Header.Set("Seamloom-Call", "one")
-		inbound, err := http.DefaultClient.Do(outbound)
+		response, err := http.DefaultClient.Do(outbound)
 		if err != nil {
-			answered <- err.Error()
+			responses <- err.Error()
 			return
 		}
-		content, _ := io.ReadAll(inbound.Body)
-		answered <- string(content)
+		content, _ := io.ReadAll(response.Body)
+		responses <- string(content)
 	}()
-	<-begun
+	<-received
 	drained := make(chan error, 1)
 	go func() { drained <- process.Drain(20 * time.Second) }()
-	for !process.proxy.calls.Leaving() {
+	for !process.proxy.calls.Draining() {
 		runtime.Gosched()
 	}
 	close(release)
-	if got := <-answered; got != "done" {
-		t.Errorf("the call under way got %q", got)
+	if got := <-responses; got != "done" {
+		t.Errorf("the call in flight got the response %q, want \"done\"", got)
 	}
 	if err := <-drained; err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{`"msg":"draining","node":"courier-1","in_flight":1`, `"msg":"drained","node":"courier-1","in_flight":0`} {
 		if !strings.Contains(logged.String(), line) {
-			t.Errorf("%s is not logged:\n%s", line, logged.String())
+			t.Errorf("the line %s is missing from the log:\n%s", line, logged.String())
 		}
 	}
 }
 
-func TestAnAddressThatIsTakenEndsTheStart(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+// TestStartFailsWhenAnAddressIsInUse checks that a failed start returns an error and closes its listeners.
+func TestStartFailsWhenAnAddressIsInUse(t *testing.T) {
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = taken.Close() }()
-	chosen := settings.Defaults(membership.Router)
-	chosen.Name, chosen.Zone, chosen.Address = "courier-1", "north", freeAddress(t)
-	chosen.CallsAddress, chosen.ReadyAddress = freeAddress(t), taken.Addr().String()
-	if _, err := Start(chosen, daemon.Logger(io.Discard, "error", "courier-1"), osruntime.NewClock(), Ports{}); err == nil {
-		t.Fatal("started at an address that is taken")
+	defer func() { _ = occupied.Close() }()
+	nodeSettings := settings.Defaults(membership.Router)
+	nodeSettings.Name, nodeSettings.Zone, nodeSettings.Address = "courier-1", "north", freeAddress(t)
+	nodeSettings.CallsAddress, nodeSettings.ReadyAddress = freeAddress(t), occupied.Addr().String()
+	if _, err := Start(nodeSettings, daemon.Logger(io.Discard, "error", "courier-1"), osruntime.NewClock(), Ports{}); err == nil {
+		t.Fatal("Start succeeded with an address that is in use, want an error")
 	}
-	if _, err := net.Dial("tcp", chosen.CallsAddress); err == nil {
-		t.Fatal("a process that did not start listens")
+	if _, err := net.Dial("tcp", nodeSettings.CallsAddress); err == nil {
+		t.Fatal("the address accepts connections although the process did not start")
 	}
 }
--- a/internal/adapters/router/forwarding.go
+++ b/internal/adapters/router/forwarding.go
@@ -16,47 +16,56 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// The headers that mark one forwarding.
+// The headers that hold the fields of wire.Forwarding in a forwarded request.
 const (
 	nonceHeader       = "Seamloom-Passage"
 	incarnationHeader = "Seamloom-Incarnation"
 )
 
+// writeJSON responds with a status and the content as JSON.
 func writeJSON(writer http.ResponseWriter, status int, content any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(content)
 }
 
-// forwarder carries requests to other routers over HTTP.
+// forwarder implements dataplane.Forwarder over HTTP.
 type forwarder struct {
 	client *http.Client
 	ctx    context.Context
 }
 
-// Forward sends a request on and gives the records of its reply to take.
-func (p *forwarder) Forward(address string, forwarding wire.Forwarding, body []byte, onClientGone func(act func()), take func(record codec.Record) bool) bool {
-	var touched atomic.Bool
-	// The connection closes when the reply is over or its origin is gone.
-	ctx, cancel := context.WithCancel(p.ctx)
+// Forward forwards a request to the router at the address, and passes the records of the reply to onRecord
+// until onRecord returns false, the reply ends or the client is gone. It reports whether any part of the
+// request may have been sent: false means that certainly nothing was sent.
+func (f *forwarder) Forward(
+	address string,
+	forwarding wire.Forwarding,
+	body []byte,
+	onClientGone func(callback func()),
+	onRecord func(record codec.Record) bool,
+) bool {
+	var sent atomic.Bool
+	// Cancelling the context closes the connection when the reply has ended or the client is gone.
+	ctx, cancel := context.WithCancel(f.ctx)
 	defer cancel()
 	onClientGone(cancel)
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { touched.Store(true) }})
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { sent.Store(true) }})
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+wire.ForwardPath, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
 	request.Header.Set(nonceHeader, forwarding.Nonce)
 	request.Header.Set(incarnationHeader, forwarding.Incarnation)
-	response, err := p.client.Do(request)
+	response, err := f.client.Do(request)
 	if err != nil {
-		return touched.Load()
+		return sent.Load()
 	}
 	defer func() { _ = response.Body.Close() }()
 	decoder := msgpack.NewDecoder(io.LimitReader(response.Body, rpc.MaxMessageBytes))
 	for {
 		var record codec.Record
-		if decoder.Decode(&record) != nil || !take(record) {
+		if decoder.Decode(&record) != nil || !onRecord(record) {
 			return true
 		}
 	}
--- a/internal/adapters/router/metrics_test.go
+++ b/internal/adapters/router/metrics_test.go
@@ -14,13 +14,13 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// startAlone starts a router that finds no controller.
+// startAlone starts a router whose seeds do not respond.
 func startAlone(t *testing.T) *Process {
 	t.Helper()
-	chosen := settings.Defaults(membership.Router)
-	chosen.Name, chosen.Address = "router-1", freeAddress(t)
-	chosen.Seeds, chosen.Platform = []string{freeAddress(t)}, freeAddress(t)
-	process, err := Start(chosen, log.New(io.Discard), osruntime.NewClock(), Ports{})
+	nodeSettings := settings.Defaults(membership.Router)
+	nodeSettings.Name, nodeSettings.Address = "router-1", freeAddress(t)
+	nodeSettings.Seeds, nodeSettings.Platform = []string{freeAddress(t)}, freeAddress(t)
+	process, err := Start(nodeSettings, log.New(io.Discard), osruntime.NewClock(), Ports{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,8 +31,8 @@
 	return process
 }
 
-// TestMetricsOfEarlierReleasesAreThere wants every metric of release facc4d7 under its name.
-func TestMetricsOfEarlierReleasesAreThere(t *testing.T) {
+// TestMetricsOfEarlierReleasesExist checks that every metric of release facc4d7 still has its name.
+func TestMetricsOfEarlierReleasesExist(t *testing.T) {
 	process := startAlone(t)
 	response, err := http.Get("http://" + process.settings.Address + "/v1/metrics")
 	if err != nil {
@@ -50,7 +50,7 @@
 	for line := range strings.Lines(string(earlier)) {
 		name, _, _ := strings.Cut(line, " ")
 		if !strings.Contains("\n"+string(metrics), "\n"+name+" ") {
-			t.Errorf("%s is not among\n%s", name, metrics)
+			t.Errorf("the metric %s is missing from\n%s", name, metrics)
 		}
 	}
 }
--- a/internal/adapters/router/process.go
+++ b/internal/adapters/router/process.go
@@ -1,5 +1,5 @@
-// Package router is the data plane's process: its conduct and the adapters
-// that carry it out.
+// Package router runs a router, the process of the data plane. It connects the
+// logic of package dataplane to the network, the clock and the platform.
 package router
 
 import (
@@ -44,108 +44,114 @@
 	settings settings.Settings
 }
 
-// drainPollInterval lies between two looks at what is still running while the process ends.
+// drainPollInterval is the interval at which Drain counts the requests in flight.
 const drainPollInterval = 20 * time.Millisecond
 
-// Ports are what a router reaches a platform by. Those left out are the product's
-// own.
+// Ports are the interfaces and parameters by which a router is adapted to a platform. If a field has its zero
+// value, the router uses seamloom's own implementation or a default.
 type Ports struct {
+	// Directory reads the lists of servers and nodes, and Orders sends orders to model servers.
 	Directory ports.Directory
-	Orders    ports.Orders
-	// Protocol are the headers and paths of opaque calls.
+	Orders    ports.OrderSender
+	// Protocol defines the headers and paths of opaque calls.
 	Protocol *proxy.Protocol
-	// CallsOnly tells that servers speak no requests: they are not asked for what the
-	// market of requests needs.
+	// CallsOnly means that the model servers serve only opaque calls. The router then does not
+	// read the loads that the auction of requests needs.
 	CallsOnly bool
-	// Retries bounds what all routers send beyond the first dispatch of each
-	// opaque call.
+	// Retries limits the dispatches that all routers together send beyond the first dispatch
+	// of each opaque call.
 	Retries scheduler.RetryAllowance
-	// StoredConfiguration translates what earlier releases stored; nil: nothing needs it.
+	// StoredConfiguration converts a configuration that an earlier release stored to the current
+	// format. Nil means that no conversion is needed.
 	StoredConfiguration func(text []byte) ([]byte, error)
-	// QuotaTolerance is how far the calls of a tenant may go beyond its limit.
+	// QuotaTolerance is how far the calls of a tenant may exceed its limit.
 	QuotaTolerance dataplane.QuotaTolerance
 }
 
-// Start listens and begins to work.
-func Start(chosen settings.Settings, logger *log.Logger, clock *osruntime.Clock, reached Ports) (*Process, error) {
-	supported := chosen.Supported()
-	process := &Process{logger: logger, clock: clock, settings: chosen, supported: supported, usage: usage.NewMeter(), ages: newUpdateAges()}
+// Start starts a router: it listens on the addresses in the settings and runs the router's loops.
+func Start(nodeSettings settings.Settings, logger *log.Logger, clock *osruntime.Clock, platformPorts Ports) (*Process, error) {
+	supported := nodeSettings.Supported()
+	process := &Process{
+		logger: logger, clock: clock, settings: nodeSettings, supported: supported, usage: usage.NewMeter(), ages: newUpdateAges(),
+	}
 	process.ctx = process.tomb.Context(context.Background())
 	rt := osruntime.New(process.ctx, clock)
-	if reached.Directory == nil {
-		reached.Directory = discovery.New(rpc.Transport(chosen.Detours))
+	if platformPorts.Directory == nil {
+		platformPorts.Directory = discovery.New(rpc.Transport(nodeSettings.Detours))
 	}
-	servers := modelserver.New(process.ctx, rt, rpc.Transport(chosen.Detours))
+	modelServers := modelserver.New(process.ctx, rt, rpc.Transport(nodeSettings.Detours))
 	options := dataplane.Options{
 		Options: seamloom.Options{
-			Router:      chosen.Name,
-			Zone:        chosen.Zone,
-			MaxRequests: chosen.MaxRequests,
+			Router:      nodeSettings.Name,
+			Zone:        nodeSettings.Zone,
+			MaxRequests: nodeSettings.MaxRequests,
 			Supported:   supported,
-			LeastLoaded: chosen.Market == "least_loaded",
-			Retries:     reached.Retries,
+			LeastLoaded: nodeSettings.Market == "least_loaded",
+			Retries:     platformPorts.Retries,
 
-			StoredConfiguration: reached.StoredConfiguration,
+			StoredConfiguration: platformPorts.StoredConfiguration,
 		},
-		Address:           chosen.Address,
-		Seeds:             chosen.Seeds,
-		Neighbours:        chosen.Neighbours,
+		Address:           nodeSettings.Address,
+		Seeds:             nodeSettings.Seeds,
+		Neighbours:        nodeSettings.Neighbours,
 		ObserveAge:        process.ages.observe,
 		Nonce:             uuid.NewString,
 		OnEnded:           process.recordUsage,
-		Directory:         ports.FixedDirectory{Directory: reached.Directory, Context: process.ctx, Address: process.platform},
+		Directory:         ports.ProcessDirectory{Directory: platformPorts.Directory, Context: process.ctx, Address: process.platformAddress},
 		CallService:       process.prepareCalls(rt),
-		ServeWithoutLease: chosen.ServeWithoutLease,
-		ApplyWithin:       chosen.ApplyWithin,
-		QuotaTolerance:    reached.QuotaTolerance,
+		ServeWithoutLease: nodeSettings.ServeWithoutLease,
+		ApplyWithin:       nodeSettings.ApplyWithin,
+		QuotaTolerance:    platformPorts.QuotaTolerance,
 	}
-	if !reached.CallsOnly {
-		options.LoadReader = servers
+	if !platformPorts.CallsOnly {
+		options.LoadReader = modelServers
 	}
-	process.router = dataplane.NewRouter(rt, rpc.Client{Caller: rpc.NewCaller(chosen.Detours), Context: process.ctx},
-		withOrders(servers, reached.Orders),
-		&forwarder{client: rpc.NewClient(rpc.Transport(chosen.Detours)), ctx: process.ctx}, options, process.observe)
-	if err := process.newCallHandler(rt, reached); err != nil {
+	process.router = dataplane.NewRouter(rt, rpc.Client{Caller: rpc.NewCaller(nodeSettings.Detours), Context: process.ctx},
+		withOrders(modelServers, platformPorts.Orders),
+		&forwarder{client: rpc.NewClient(rpc.Transport(nodeSettings.Detours)), ctx: process.ctx}, options, process.observe)
+	if err := process.newCallHandler(rt, platformPorts); err != nil {
 		return nil, err
 	}
-	if err := daemon.Serve(&process.tomb, chosen.Address, process.mux(), clock.Now); err != nil {
+	if err := daemon.Serve(&process.tomb, nodeSettings.Address, process.mux(), clock.Now); err != nil {
 		return nil, err
 	}
 	if err := process.listenForCalls(); err != nil {
 		return nil, process.abort(err)
 	}
-	for _, round := range process.router.Loops() {
-		process.tomb.Go(func() error { round(); return nil })
+	for _, loop := range process.router.Loops() {
+		process.tomb.Go(func() error { loop(); return nil })
 	}
-	logger.Info("listening", "address", chosen.Address, "supported", supported)
+	logger.Info("listening", "address", nodeSettings.Address, "supported", supported)
 	return process, nil
 }
 
+// observe logs an event of the data plane.
 func (p *Process) observe(event string, detail ...any) { p.logger.Info(event, detail...) }
 
-// Router is what the router does, for who mounts further ways in.
+// Router returns the data plane's router, for handlers on additional addresses.
 func (p *Process) Router() *dataplane.Router { return p.router }
 
-// Answer listens on a further address for as long as the process lives.
-func (p *Process) Answer(address string, handler http.Handler) error {
+// Serve serves the handler on an additional address until the process ends.
+func (p *Process) Serve(address string, handler http.Handler) error {
 	return daemon.Serve(&p.tomb, address, handler, p.clock.Now)
 }
 
-// platform is the address of the platform's lists.
-func (p *Process) platform() string {
+// platformAddress returns the address, in the current settings, of the platform that provides the lists of
+// servers and nodes.
+func (p *Process) platformAddress() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.settings.Platform
 }
 
-// recordUsage counts a request's use.
+// recordUsage records the usage of a request that has ended.
 func (p *Process) recordUsage(request *auction.Request, decision auction.Decision) {
 	p.usage.Record(p.clock.Wall(), usage.Row{Router: p.settings.Name, Service: request.Service, Client: request.Client,
 		Final: string(decision.Final), PromptTokens: int64(request.PromptTokens), Chunks: int64(decision.Chunks)})
 }
 
-// Drain stops letting in, waits for what runs until the patience ends, and
-// ends the process.
+// Drain stops admission, waits until no request is in flight or the grace period is over, and then
+// terminates the process.
 func (p *Process) Drain(grace time.Duration) error {
 	p.router.Apply(auction.Event{Kind: auction.DrainStarted})
 	p.logger.Info("draining", "in_flight", p.router.Core().InFlightRequests())
@@ -161,46 +167,47 @@
 	return p.tomb.Wait()
 }
 
-// Dead is closed when the process has ended by itself.
+// Dead returns a channel that is closed when the router has ended, whether or not Drain was called.
 func (p *Process) Dead() <-chan struct{} { return p.tomb.Dead() }
 
-// Reload takes settings that may change while the process runs.
+// Reload applies the settings that can change while the process runs, and logs which other changes need a restart.
 func (p *Process) Reload(next settings.Settings) {
 	p.mutex.Lock()
-	stays := p.settings.Reload(next)
-	seeds, level, without := p.settings.Seeds, p.settings.LogLevel, p.settings.ServeWithoutLease
+	needRestart := p.settings.Reload(next)
+	seeds, level, serveWithoutLease := p.settings.Seeds, p.settings.LogLevel, p.settings.ServeWithoutLease
 	p.mutex.Unlock()
 	p.router.SetSeeds(seeds)
-	p.router.SetServeWithoutLease(without)
+	p.router.SetServeWithoutLease(serveWithoutLease)
 	if parsed, err := log.ParseLevel(level); err == nil {
 		p.logger.SetLevel(parsed)
 	}
-	p.logger.Info("reloaded", "needs_restart", stays)
+	p.logger.Info("reloaded", "needs_restart", needRestart)
 }
 
-// Grace is how long what runs may go on after the process was told to end.
+// Grace returns how long requests in flight may continue after the process was asked to terminate.
 func (p *Process) Grace() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.settings.Grace
 }
 
-// withOrders has servers commanded by a platform's own orders, if there are any.
-func withOrders(servers *modelserver.Client, orders ports.Orders) dataplane.ModelServer {
+// withOrders returns the client to model servers, which sends orders through the platform's OrderSender if
+// orders is not nil.
+func withOrders(modelServers *modelserver.Client, orders ports.OrderSender) dataplane.ModelServer {
 	if orders == nil {
-		return servers
+		return modelServers
 	}
-	return &orderingClient{Client: servers, orders: orders}
+	return &orderingClient{Client: modelServers, orders: orders}
 }
 
-// orderingClient is a client to model servers whose parts are ordered in a platform's way.
+// orderingClient is a client to model servers that sends orders through a platform's OrderSender.
 type orderingClient struct {
 	*modelserver.Client
-	orders ports.Orders
+	orders ports.OrderSender
 }
 
-// Command has a server take a part. One that is late is worse than none: it ends
-// with the duty's hold.
-func (o *orderingClient) Command(decision auction.Decision, may func() bool) error {
-	return o.WithinGrant(decision, func(ctx context.Context) error { return o.orders.Order(ctx, decision, may) })
+// Command sends the order through the OrderSender instead of by modelserver's protocol. The command is abandoned
+// when the lease to command the server ends, because a late command does more harm than a missing one.
+func (o *orderingClient) Command(decision auction.Decision, maySend func() bool) error {
+	return o.WithLeaseContext(decision, func(ctx context.Context) error { return o.orders.Order(ctx, decision, maySend) })
 }
