--- a/internal/adapters/router/reply.go
+++ b/internal/adapters/router/reply.go
@@ -6,21 +6,21 @@
 	"strconv"
 )
 
-// reply is an origin at the other end of an HTTP connection.
+// reply implements dataplane.Reply for a client at the other end of an HTTP connection.
 type reply struct {
 	writer  http.ResponseWriter
 	flusher *http.ResponseController
 	inbound *http.Request
 }
 
-// Begin gives status and headers.
+// Begin sends the status and the headers, with a Retry-After header if retrySeconds is positive.
 func (r *reply) Begin(status, retrySeconds int) {
-	kind := "application/jsonl"
+	contentType := "application/jsonl"
 	if status != http.StatusOK {
-		kind = "application/json"
+		contentType = "application/json"
 	}
 	if r.writer.Header().Get("Content-Type") == "" {
-		r.writer.Header().Set("Content-Type", kind)
+		r.writer.Header().Set("Content-Type", contentType)
 	}
 	if retrySeconds > 0 {
 		r.writer.Header().Set("Retry-After", strconv.Itoa(retrySeconds))
@@ -28,7 +28,7 @@
 	r.writer.WriteHeader(status)
 }
 
-// Line sends one line.
+// Line sends one line immediately.
 func (r *reply) Line(line []byte) error {
 	if _, err := r.writer.Write(line); err != nil {
 		return err
@@ -36,5 +36,5 @@
 	return r.flusher.Flush()
 }
 
-// OnClientGone has act called when the origin closes its connection.
-func (r *reply) OnClientGone(act func()) { context.AfterFunc(r.inbound.Context(), act) }
+// OnClientGone calls callback when the client closes its connection, or when the request has been served.
+func (r *reply) OnClientGone(callback func()) { context.AfterFunc(r.inbound.Context(), callback) }
--- a/internal/adapters/router/updateages.go
+++ b/internal/adapters/router/updateages.go
@@ -9,10 +9,10 @@
 	"seamloom.example/seamloom/internal/dataplane"
 )
 
-// ageBuckets are the upper bounds of the histograms of ages, in seconds.
+// ageBuckets are the upper bounds of the buckets of the histograms, in seconds.
 var ageBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 4, 5, 8}
 
-// updateAges has a histogram of the ages of updates for each of their kinds.
+// updateAges records the ages of updates in one histogram for each kind of update.
 type updateAges struct {
 	set        *metrics.Set
 	histograms map[dataplane.UpdateKind]*metrics.PrometheusHistogram
--- a/internal/adapters/router/updateages_test.go
+++ b/internal/adapters/router/updateages_test.go
@@ -8,8 +8,9 @@
 	"seamloom.example/seamloom/internal/dataplane"
 )
 
-// TestLateListsAreToldFromLateLoads wants the ages of each kind of update in a histogram of its own.
-func TestLateListsAreToldFromLateLoads(t *testing.T) {
+// TestUpdateAgesAreRecordedByKind guards against a histogram that mixes kinds of updates, in which late server
+// lists could not be distinguished from late loads.
+func TestUpdateAgesAreRecordedByKind(t *testing.T) {
 	ages := newUpdateAges()
 	ages.observe(dataplane.ServersUpdated, 4500*time.Millisecond)
 	ages.observe(dataplane.LoadsUpdated, 80*time.Millisecond)
@@ -22,7 +23,7 @@
 		`seamloom_update_age_seconds_count{kind="configuration"} 0`,
 	} {
 		if !strings.Contains(written.String(), line+"\n") {
-			t.Errorf("%s is not among\n%s", line, written.String())
+			t.Errorf("the line %s is missing from\n%s", line, written.String())
 		}
 	}
 }
--- a/internal/adapters/rpc/caller.go
+++ b/internal/adapters/rpc/caller.go
@@ -1,5 +1,5 @@
-// Package rpc carries msgpack messages over HTTP between seamloom's own
-// processes. Each message has a checksum and a bounded size.
+// Package rpc sends msgpack messages over HTTP between seamloom's own processes.
+// Each message has a checksum and a bounded size.
 package rpc
 
 import (
@@ -16,32 +16,32 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// MaxMessageBytes is the largest message. It leaves room for the largest
-// configuration, in a snapshot with all the rest.
+// MaxMessageBytes limits the size of a message. It is large enough for a snapshot
+// of the complete state with the largest configuration.
 const MaxMessageBytes = 64 << 20
 
 const checksumHeader = "Seamloom-Checksum"
 
-// Caller calls other processes.
+// Caller sends messages to other processes. It is safe for concurrent use.
 type Caller struct {
 	client      *http.Client
 	compression compressionPeers
 }
 
-// NewCaller makes a caller. Detours replace addresses when dialling: the
-// test's relays stand there.
+// NewCaller returns a caller that uses Transport with the given detours.
 func NewCaller(detours map[string]string) *Caller {
 	return &Caller{client: NewClient(Transport(detours))}
 }
 
-// NewClient makes the HTTP client for calls between processes and to model servers. It
-// sends nothing twice: a redirection is an answer like any other, and the transport sends
-// a POST again only when nothing of it was written.
+// NewClient returns an HTTP client for calls between processes and to model servers. The client sends no
+// request twice: it returns redirect responses instead of following them, and its transport retries a POST
+// only if no byte of it has been written.
 func NewClient(transport http.RoundTripper) *http.Client {
 	return &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Transport is a plain HTTP/1.1 transport that follows the detours.
+// Transport returns a plain HTTP/1.1 transport. Detours map an address to the address that is dialled
+// instead of it; tests use them to put faulty relays between processes.
 func Transport(detours map[string]string) *http.Transport {
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second}
 	return &http.Transport{
@@ -56,8 +56,8 @@
 	}
 }
 
-// CallRaw sends an encoded message and returns the encoded answer, as relays
-// do for others.
+// CallRaw sends an encoded message and returns the encoded response. If the other process refused the message,
+// CallRaw returns that process's error. Any other error has the code Unreachable, Garbage or Oversize.
 func (c *Caller) CallRaw(ctx context.Context, address, path string, body []byte, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -76,25 +76,25 @@
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, MaxMessageBytes+1))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, MaxMessageBytes+1))
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
 	c.compression.record(address, response.Header)
-	if len(answer) > MaxMessageBytes {
-		return nil, failure.New(failure.Oversize, "an answer of more than the largest size")
+	if len(responseBody) > MaxMessageBytes {
+		return nil, failure.New(failure.Oversize, "the response exceeds the maximum message size")
 	}
-	if response.Header.Get(checksumHeader) != checksum(answer) {
-		return nil, failure.New(failure.Garbage, "the answer's checksum is wrong")
+	if response.Header.Get(checksumHeader) != checksum(responseBody) {
+		return nil, failure.New(failure.Garbage, "the checksum of the response does not match")
 	}
-	if answer, err = decompress(answer, response.Header); err != nil {
+	if responseBody, err = decompress(responseBody, response.Header); err != nil {
 		return nil, err
 	}
 	if response.StatusCode == http.StatusOK {
-		return answer, nil
+		return responseBody, nil
 	}
 	remote := &failure.Error{}
-	if msgpack.Unmarshal(answer, remote) != nil || remote.Code == "" {
+	if msgpack.Unmarshal(responseBody, remote) != nil || remote.Code == "" {
 		return nil, failure.New(failure.Unreachable, "status "+strconv.Itoa(response.StatusCode))
 	}
 	return nil, remote
@@ -106,13 +106,13 @@
 	return strconv.FormatUint(uint64(crc32.Checksum(body, castagnoli)), 16)
 }
 
-// Client is a caller for as long as one process lives.
+// Client sends messages with a Caller until the process's context ends.
 type Client struct {
 	Caller  *Caller
 	Context context.Context
 }
 
-// CallRaw sends an encoded message and returns the encoded answer.
-func (l Client) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
-	return l.Caller.CallRaw(l.Context, address, path, body, timeout)
+// CallRaw calls Caller.CallRaw with the process's context.
+func (c Client) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
+	return c.Caller.CallRaw(c.Context, address, path, body, timeout)
 }
--- a/internal/adapters/rpc/compression.go
+++ b/internal/adapters/rpc/compression.go
@@ -12,19 +12,22 @@
 
 const (
 	encodingS2 = "s2"
-	// minCompressed is the size from which a message is worth packing: names of fields
-	// and seats stand in most messages more than once.
+	// minCompressed is the size in bytes from which a message is compressed. Most messages
+	// of this size contain the same field names and addresses more than once.
 	minCompressed = 160
 )
 
-// compressFor makes a message smaller for a receiver that takes it so, as its header says.
-func compressFor(message []byte, takes, header http.Header) []byte {
-	if len(message) < minCompressed || !strings.Contains(takes.Get("Accept-Encoding"), encodingS2) {
+// compressResponse compresses a response message if it is long enough and the request's headers accept it, and
+// sets the response's headers accordingly.
+func compressResponse(message []byte, requestHeader, responseHeader http.Header) []byte {
+	if len(message) < minCompressed || !strings.Contains(requestHeader.Get("Accept-Encoding"), encodingS2) {
 		return message
 	}
-	return compress(message, header)
+	return compress(message, responseHeader)
 }
 
+// compress returns the compressed message and sets its Content-Encoding header. A message that would not
+// become smaller by at least an eighth is returned unchanged.
 func compress(message []byte, header http.Header) []byte {
 	compressed := s2.Encode(nil, message)
 	if len(compressed) > len(message)/8*7 {
@@ -34,7 +37,8 @@
 	return compressed
 }
 
-// decompress gives back the message that was packed, if it was.
+// decompress returns the original message, given the headers that it was sent with. An error has the code
+// Garbage or Oversize.
 func decompress(message []byte, header http.Header) ([]byte, error) {
 	if header.Get("Content-Encoding") != encodingS2 {
 		return message, nil
@@ -44,42 +48,45 @@
 		return nil, failure.Wrap(failure.Garbage, err)
 	}
 	if size > MaxMessageBytes {
-		return nil, failure.New(failure.Oversize, "a message of more than the largest size")
+		return nil, failure.New(failure.Oversize, "the decompressed message exceeds the maximum message size")
 	}
 	decompressed, err := s2.Decode(nil, message)
 	return decompressed, failure.Wrap(failure.Garbage, err)
 }
 
-// compressionPeers are the addresses whose last answer said that they take packed questions.
-// One that was restarted into an older release does not say so, and is believed at
-// once.
+// compressionPeers records the addresses whose last response advertised that they accept compressed
+// requests. A process that was restarted with an older release does not advertise it: its next response
+// removes the address.
 type compressionPeers struct {
 	mutex     sync.Mutex
 	addresses map[string]bool
 }
 
-// maxCompressionPeers bounds the memory: who is forgotten is asked plainly once.
+// maxCompressionPeers limits the number of recorded addresses. When it is reached, all of them are dropped,
+// and the next request to each is sent uncompressed.
 const maxCompressionPeers = 4096
 
-func (t *compressionPeers) has(address string) bool {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.addresses[address]
+// has reports whether the last response from the address advertised that it accepts compressed requests.
+func (c *compressionPeers) has(address string) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.addresses[address]
 }
 
-func (t *compressionPeers) record(address string, answer http.Header) {
-	takes := strings.Contains(answer.Get("Accept-Encoding"), encodingS2)
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.addresses[address] == takes {
+// record stores whether the headers of a response from the address advertise that it accepts compressed requests.
+func (c *compressionPeers) record(address string, responseHeader http.Header) {
+	accepts := strings.Contains(responseHeader.Get("Accept-Encoding"), encodingS2)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.addresses[address] == accepts {
 		return
 	}
-	if t.addresses == nil || len(t.addresses) >= maxCompressionPeers {
-		t.addresses = map[string]bool{}
+	if c.addresses == nil || len(c.addresses) >= maxCompressionPeers {
+		c.addresses = map[string]bool{}
 	}
-	if takes {
-		t.addresses[address] = true
+	if accepts {
+		c.addresses[address] = true
 	} else {
-		delete(t.addresses, address)
+		delete(c.addresses, address)
 	}
 }
--- a/internal/adapters/rpc/handler.go
+++ b/internal/adapters/rpc/handler.go
@@ -10,8 +10,9 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Handler makes an HTTP handler of what answers encoded messages.
-func Handler(answer func(body []byte) ([]byte, error)) http.Handler {
+// Handler returns an HTTP handler that passes each encoded message to handle and responds with the encoded
+// result, or with status 409 and an encoded failure.Error. An error of another type gets the code Unclassified.
+func Handler(handle func(body []byte) ([]byte, error)) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, MaxMessageBytes))
 		var encoded []byte
@@ -19,10 +20,10 @@
 		case err != nil:
 			err = failure.Wrap(failure.Oversize, err)
 		case inbound.Header.Get(checksumHeader) != checksum(body):
-			err = failure.New(failure.Garbage, "the question's checksum is wrong")
+			err = failure.New(failure.Garbage, "the checksum of the request does not match")
 		default:
 			if body, err = decompress(body, inbound.Header); err == nil {
-				encoded, err = answer(body)
+				encoded, err = handle(body)
 			}
 		}
 		status := http.StatusOK
@@ -30,16 +31,16 @@
 			status = http.StatusConflict
 			remote := &failure.Error{}
 			if !stderrors.As(err, &remote) {
-				remote = failure.New(failure.Unsorted, err.Error())
+				remote = failure.New(failure.Unclassified, err.Error())
 			}
 			encoded, _ = msgpack.Marshal(remote)
 		}
 		header := writer.Header()
-		encoded = compressFor(encoded, inbound.Header, header)
+		encoded = compressResponse(encoded, inbound.Header, header)
 		header.Set("Accept-Encoding", encodingS2)
 		header.Set("Content-Type", "application/msgpack")
 		header.Set(checksumHeader, checksum(encoded))
-		// Nobody reads the date, and there are many messages.
+		// The Date header is omitted: no caller reads it, and messages are frequent.
 		header["Date"] = nil
 		writer.WriteHeader(status)
 		_, _ = writer.Write(encoded)
--- a/internal/adapters/rpc/resend_test.go
+++ b/internal/adapters/rpc/resend_test.go
@@ -12,18 +12,20 @@
 	"time"
 )
 
-// ending is what a peer does with the second request on a kept connection.
-type ending func(connection net.Conn, address string)
+// failingResponse fails in response to the second request on a connection. The server then closes the
+// connection. address is the server's address, to which a redirect leads.
+type failingResponse func(connection net.Conn, address string)
 
-// endingPeer answers the first request on each connection, and ends the next as told.
-func endingPeer(t *testing.T, end ending) (address string, seen *atomic.Int64) {
+// startFailingServer starts a server that responds with status 200 to the first request on each connection,
+// and with fail to the second one. It counts the requests that it receives.
+func startFailingServer(t *testing.T, fail failingResponse) (address string, received *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	seen = &atomic.Int64{}
+	received = &atomic.Int64{}
 	address = listener.Addr().String()
 	go func() {
 		for {
@@ -42,9 +44,9 @@
 					if _, err := io.Copy(io.Discard, inbound.Body); err != nil {
 						return
 					}
-					seen.Add(1)
+					received.Add(1)
 					if number > 0 {
-						end(connection, address)
+						fail(connection, address)
 						return
 					}
 					_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -52,30 +54,31 @@
 			}()
 		}
 	}()
-	return address, seen
+	return address, received
 }
 
-// TestNoClientSendsAgain has a peer read a request on a kept connection and end it in each
-// way that tempts a library to send it again: the peer sees it once.
-func TestNoClientSendsAgain(t *testing.T) {
-	for name, end := range map[string]ending{
-		"closed without an answer": func(net.Conn, string) {},
-		"reset": func(connection net.Conn, _ string) {
+// TestClientDoesNotResendRequests guards against requests that are executed twice. The server reads a
+// request on a reused connection and then fails in each way after which an HTTP library may send the request
+// again: the server must receive each request only once.
+func TestClientDoesNotResendRequests(t *testing.T) {
+	for name, fail := range map[string]failingResponse{
+		"closed without a response": func(net.Conn, string) {},
+		"connection reset": func(connection net.Conn, _ string) {
 			_ = connection.(*net.TCPConn).SetLinger(0)
 		},
-		"cut in the head": func(connection net.Conn, _ string) { _, _ = io.WriteString(connection, "HTTP/1.1 20") },
-		"cut in the body": func(connection net.Conn, _ string) {
+		"closed within the headers": func(connection net.Conn, _ string) { _, _ = io.WriteString(connection, "HTTP/1.1 20") },
+		"closed within the body": func(connection net.Conn, _ string) {
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab")
 		},
-		"sent elsewhere": func(connection net.Conn, address string) {
+		"redirect": func(connection net.Conn, address string) {
 			_, _ = io.WriteString(connection, "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://"+address+"/other\r\nContent-Length: 0\r\n\r\n")
 		},
-		"told to come again": func(connection net.Conn, _ string) {
+		"request timeout": func(connection net.Conn, _ string) {
 			_, _ = io.WriteString(connection, "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, seen := endingPeer(t, end)
+			address, received := startFailingServer(t, fail)
 			client := NewClient(Transport(nil))
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
@@ -84,16 +87,16 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				inbound, err := client.Do(outbound)
+				response, err := client.Do(outbound)
 				if err == nil {
-					_, _ = io.Copy(io.Discard, inbound.Body)
-					_ = inbound.Body.Close()
+					_, _ = io.Copy(io.Discard, response.Body)
+					_ = response.Body.Close()
 				}
 			}
 			send()
 			send()
-			if count := seen.Load(); count != 2 {
-				t.Errorf("%d requests arrived, of two", count)
+			if count := received.Load(); count != 2 {
+				t.Errorf("the server received %d requests, want 2", count)
 			}
 		})
 	}
--- a/internal/adapters/settings/golden_test.go
+++ b/internal/adapters/settings/golden_test.go
@@ -7,15 +7,16 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// TestSettingsOfEarlierReleasesAreRead reads settings files as they were written for release
-// facc4d7: each key has its field, and the whole is valid.
+// TestSettingsOfEarlierReleasesAreRead reads settings files that were written for release facc4d7: each key
+// must still be known, and the settings must be valid.
 func TestSettingsOfEarlierReleasesAreRead(t *testing.T) {
 	for _, file := range []struct {
 		name string
 		kind membership.NodeKind
 		want Settings
 	}{
-		{"controller.json", membership.Controller, Settings{Name: "expediter-1", Address: "127.0.0.1:10454", DataFolder: "/tmp/oldfleet/expediter-1-disk"}},
+		{"controller.json", membership.Controller,
+			Settings{Name: "expediter-1", Address: "127.0.0.1:10454", DataFolder: "/tmp/oldfleet/expediter-1-disk"}},
 		{"router.json", membership.Router, Settings{Name: "courier-1", Address: "127.0.0.1:14241"}},
 	} {
 		t.Run(file.name, func(t *testing.T) {
@@ -28,7 +29,7 @@
 			}
 			if read.Name != file.want.Name || read.Address != file.want.Address || read.DataFolder != file.want.DataFolder ||
 				read.Zone != "harbour" || read.Platform != "127.0.0.1:33693" || len(read.Seeds) != 3 {
-				t.Errorf("%+v", read)
+				t.Errorf("got %+v, want %+v with the zone, platform and seeds of the file", read, file.want)
 			}
 		})
 	}
--- a/internal/adapters/settings/settings_test.go
+++ b/internal/adapters/settings/settings_test.go
@@ -12,99 +12,109 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-func sound(kind membership.NodeKind) Settings {
-	chosen := Defaults(kind)
-	chosen.Name, chosen.Address, chosen.Zone, chosen.Platform = "node-1", "127.0.0.1:7101", "north", "127.0.0.1:7000"
-	chosen.Seeds = []string{"127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"}
+// validSettings returns settings that pass Check.
+func validSettings(kind membership.NodeKind) Settings {
+	settings := Defaults(kind)
+	settings.Name, settings.Address, settings.Zone, settings.Platform = "node-1", "127.0.0.1:7101", "north", "127.0.0.1:7000"
+	settings.Seeds = []string{"127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"}
 	if kind == membership.Controller {
-		chosen.DataFolder = "folder"
+		settings.DataFolder = "folder"
 	}
-	return chosen
+	return settings
 }
 
-// TestDefaultsKeepTheStrictConduct wants settings that say nothing of holds to
-// mean that holds are waited for, and that nothing is admitted without one.
-func TestDefaultsKeepTheStrictConduct(t *testing.T) {
+// TestDefaultsRequireLeases checks that by default changes wait for the leases of unresponsive routers, and
+// that no request is admitted without a lease.
+func TestDefaultsRequireLeases(t *testing.T) {
 	for _, kind := range []membership.NodeKind{membership.Router, membership.Controller} {
-		chosen := sound(kind)
-		if err := chosen.Check(); err != nil {
-			t.Errorf("%s: %v", kind, err)
+		settings := validSettings(kind)
+		if err := settings.Check(); err != nil {
+			t.Errorf("%s: Check failed: %v", kind, err)
 		}
-		if chosen.AcknowledgeWait != 0 || chosen.ServeWithoutLease != 0 || !chosen.Bootstrap || chosen.Grace != 20*time.Second {
-			t.Errorf("%s: %+v", kind, chosen)
+		if settings.AcknowledgeWait != 0 || settings.ServeWithoutLease != 0 || !settings.Bootstrap || settings.Grace != 20*time.Second {
+			t.Errorf("%s: got defaults %+v, want no acknowledge wait, no serving without a lease, bootstrap and a grace of 20s", kind, settings)
 		}
 	}
 }
 
-// TestFileGivesTheNewFields reads each new field from a file, and each in a form
-// that it can't have.
-func TestFileGivesTheNewFields(t *testing.T) {
+// TestReadFileSetsFields reads booleans, durations and additional addresses from a file, and rejects values
+// of the wrong type or format.
+func TestReadFileSetsFields(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	read := func(text string) (Settings, error) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		chosen := sound(membership.Router)
-		err := chosen.ReadFile(path)
-		return chosen, err
+		settings := validSettings(membership.Router)
+		err := settings.ReadFile(path)
+		return settings, err
 	}
-	chosen, err := read(`{"bootstrap":false,"acknowledge_wait":"1s","serve_without_hold":"90s","grace":"8s",
+	settings, err := read(`{"bootstrap":false,"acknowledge_wait":"1s","serve_without_hold":"90s","grace":"8s",
 		"calls_address":"10.0.0.1:80","ready_address":"10.0.0.1:81","control_address":"10.0.0.1:82"}`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if chosen.Bootstrap || chosen.AcknowledgeWait != time.Second || chosen.ServeWithoutLease != 90*time.Second || chosen.Grace != 8*time.Second ||
-		chosen.CallsAddress != "10.0.0.1:80" || chosen.ReadyAddress != "10.0.0.1:81" || chosen.ControlAddress != "10.0.0.1:82" {
-		t.Errorf("%+v", chosen)
+	if settings.Bootstrap || settings.AcknowledgeWait != time.Second || settings.ServeWithoutLease != 90*time.Second ||
+		settings.Grace != 8*time.Second ||
+		settings.CallsAddress != "10.0.0.1:80" || settings.ReadyAddress != "10.0.0.1:81" || settings.ControlAddress != "10.0.0.1:82" {
+		t.Errorf("got %+v, want the values of the file", settings)
 	}
-	for _, wrong := range []string{`{"bootstrap":"yes"}`, `{"acknowledge_wait":1}`, `{"acknowledge_wait":"soon"}`, `{"grace":true}`, `{"calls_address":5}`} {
-		if _, err := read(wrong); err == nil {
-			t.Errorf("%s was taken", wrong)
+	for _, invalid := range []string{
+		`{"bootstrap":"yes"}`,
+		`{"acknowledge_wait":1}`,
+		`{"acknowledge_wait":"soon"}`,
+		`{"grace":true}`,
+		`{"calls_address":5}`,
+	} {
+		if _, err := read(invalid); err == nil {
+			t.Errorf("%s was accepted, want an error", invalid)
 		}
 	}
 }
 
-// TestCheckNamesWhatIsWrong brings each mistake about the new fields.
-func TestCheckNamesWhatIsWrong(t *testing.T) {
-	for path, mistake := range map[string]func(*Settings){
-		"acknowledge_wait":   func(chosen *Settings) { chosen.AcknowledgeWait = -1 },
-		"serve_without_hold": func(chosen *Settings) { chosen.ServeWithoutLease = -1 },
-		"grace":              func(chosen *Settings) { chosen.Grace = -1 },
-		"calls_address":      func(chosen *Settings) { chosen.CallsAddress = "here" },
-		"ready_address":      func(chosen *Settings) { chosen.ReadyAddress = chosen.Address },
-		"control_address":    func(chosen *Settings) { chosen.ControlAddress = "127.0.0.1:9" },
-		"seeds":              func(chosen *Settings) { chosen.Bootstrap, chosen.Seeds = false, nil },
+// TestCheckNamesInvalidSettings makes one setting invalid at a time: the error must contain its key.
+func TestCheckNamesInvalidSettings(t *testing.T) {
+	for key, invalidate := range map[string]func(*Settings){
+		"acknowledge_wait":   func(settings *Settings) { settings.AcknowledgeWait = -1 },
+		"serve_without_hold": func(settings *Settings) { settings.ServeWithoutLease = -1 },
+		"grace":              func(settings *Settings) { settings.Grace = -1 },
+		"calls_address":      func(settings *Settings) { settings.CallsAddress = "here" },
+		"ready_address":      func(settings *Settings) { settings.ReadyAddress = settings.Address },
+		"control_address":    func(settings *Settings) { settings.ControlAddress = "127.0.0.1:9" },
+		"seeds":              func(settings *Settings) { settings.Bootstrap, settings.Seeds = false, nil },
 	} {
-		chosen := sound(membership.Router)
-		mistake(&chosen)
-		if err := chosen.Check(); err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s: %v", path, err)
+		settings := validSettings(membership.Router)
+		invalidate(&settings)
+		if err := settings.Check(); err == nil || !strings.Contains(err.Error(), key) {
+			t.Errorf("got error %v, want one that names %s", err, key)
 		}
 	}
-	joining := sound(membership.Controller)
+	joining := validSettings(membership.Controller)
 	joining.Bootstrap, joining.Seeds = false, joining.Seeds[:1]
 	if err := joining.Check(); err != nil {
-		t.Errorf("one seed is enough to join: %v", err)
+		t.Errorf("got error %v for one seed without bootstrap, want none", err)
 	}
 	joining.Bootstrap = true
 	if joining.Check() == nil {
-		t.Error("a first core was to be formed with one seed")
+		t.Error("bootstrap with one seed was accepted, want an error")
 	}
 }
 
-// TestReloadTakesLengthsAndLeavesAddresses changes fields while the process runs.
-func TestReloadTakesLengthsAndLeavesAddresses(t *testing.T) {
-	chosen := sound(membership.Router)
-	next := chosen
+// TestReloadChangesOnlyReloadableFields changes durations, which can be reloaded, and an address, which
+// needs a restart.
+func TestReloadChangesOnlyReloadableFields(t *testing.T) {
+	settings := validSettings(membership.Router)
+	next := settings
 	next.AcknowledgeWait, next.ServeWithoutLease, next.Grace, next.CallsAddress = time.Second, time.Minute, 8*time.Second, "127.0.0.1:9"
-	stays := chosen.Reload(next)
-	if !slices.Equal(stays, []string{"CallsAddress"}) || chosen.Grace != 8*time.Second || chosen.ServeWithoutLease != time.Minute || chosen.AcknowledgeWait != time.Second || chosen.CallsAddress != "" {
-		t.Errorf("stays %v, %+v", stays, chosen)
+	needRestart := settings.Reload(next)
+	if !slices.Equal(needRestart, []string{"CallsAddress"}) || settings.Grace != 8*time.Second ||
+		settings.ServeWithoutLease != time.Minute || settings.AcknowledgeWait != time.Second || settings.CallsAddress != "" {
+		t.Errorf("got fields that need a restart %v, settings %+v, want CallsAddress unchanged and the durations changed", needRestart, settings)
 	}
 }
 
-// TestReloadableFieldsExist guards the names in reloadable: the compiler does not see a
-// field that was renamed.
+// TestReloadableFieldsExist checks the names in reloadable, because the compiler does not find a name whose
+// field was renamed.
 func TestReloadableFieldsExist(t *testing.T) {
 	for _, name := range reloadable {
 		if _, found := reflect.TypeFor[Settings]().FieldByName(name); !found {
--- a/internal/adapters/storage/directory.go
+++ b/internal/adapters/storage/directory.go
@@ -1,7 +1,8 @@
-// Package storage keeps whole files in a directory: package replication's port Storage on
-// the machine's disk. A file is written under a temporary name, synced and renamed, and the
-// directory is synced, so that after a loss of power it is there complete or not at all.
-// Each file carries a checksum, which finds content that went bad on the disk.
+// Package storage implements replication.Storage with files in a directory on the machine's
+// disk. A file is written under a temporary name, synced and renamed, and the directory is
+// synced, so that after a power failure the file has either its complete new content or its
+// previous content, or is absent if it is new. Each file contains a checksum of its content, by
+// which corruption is detected.
 package storage
 
 import (
@@ -14,22 +15,24 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Directory is one directory under the data directory. A file in it is the magic number,
-// the CRC-32C of the content (4 bytes, big endian) and the content.
+// Directory stores files in one directory of the data folder. A file consists of the magic
+// number, the CRC-32C of the content (4 bytes, big endian) and the content.
 type Directory struct {
 	path string
 	disk Disk
 }
 
 const (
+	// temporarySuffix marks files that are being written.
 	temporarySuffix = ".aside"
-	magic           = "SLM1"
-	headerSize      = len(magic) + 4
+	// magic is the magic number at the start of each file.
+	magic      = "SLM1"
+	headerSize = len(magic) + 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// OpenDirectory makes the directory if it is missing. An error has the code Disk.
+// OpenDirectory opens a directory and creates it if it is missing. An error has the code Disk.
 func OpenDirectory(disk Disk, path string) (*Directory, error) {
 	if err := disk.MakeDirectory(path); err != nil {
 		return nil, failure.Wrap(failure.Disk, err)
@@ -38,8 +41,8 @@
 }
 
 // Save writes a file under a temporary name, syncs it, renames it and syncs the directory.
-// Once it returns nil the file outlives a loss of power; after an error (code Disk) it may
-// or may not be there, but never in part.
+// Once Save has returned nil, the file survives a power failure. After an error, which has the
+// code Disk, the file has either the complete new content or its previous state.
 func (d *Directory) Save(name string, content []byte) error {
 	path := filepath.Join(d.path, name)
 	if err := d.disk.WriteSynced(path+temporarySuffix, frame(content)); err != nil {
@@ -51,8 +54,9 @@
 	return failure.Wrap(failure.Disk, d.disk.SyncDirectory(d.path))
 }
 
-// Load reads every file; those with a wrong checksum are named as damaged. Files left under
-// a temporary name are removed: no Save of them returned. An error has the code Disk.
+// Load returns the contents of all files by name, and the names of the damaged files: those that cannot be
+// read, or have an invalid header or a wrong checksum. It removes files with a temporary name, because the Save
+// that wrote such a file was interrupted. An error has the code Disk.
 func (d *Directory) Load() (map[string][]byte, []string, error) {
 	files, damaged, err := ReadFiles(d.disk, d.path)
 	if err != nil {
@@ -70,8 +74,8 @@
 	return files, damaged, nil
 }
 
-// ReadFiles reads every file of a directory and changes nothing; those with a wrong checksum are named
-// as damaged. An error has the code Disk.
+// ReadFiles returns the same as Directory.Load for the directory at path, but changes nothing on the disk. An
+// error has the code Disk.
 func ReadFiles(disk Disk, path string) (map[string][]byte, []string, error) {
 	names, err := disk.List(path)
 	if err != nil {
@@ -94,8 +98,8 @@
 	return files, damaged, nil
 }
 
-// Remove deletes files; one that is gone already is no error. The directory is not synced:
-// a loss of power may bring the files back.
+// Remove deletes files; a file that does not exist is not an error. The directory is not synced,
+// so the files may reappear after a power failure. Remove stops at the first error, which has the code Disk.
 func (d *Directory) Remove(names []string) error {
 	for _, name := range names {
 		if err := d.disk.Remove(filepath.Join(d.path, name)); err != nil && !os.IsNotExist(err) {
@@ -105,7 +109,7 @@
 	return nil
 }
 
-// frame puts the header before the content.
+// frame returns the content preceded by its header.
 func frame(content []byte) []byte {
 	framed := make([]byte, headerSize, headerSize+len(content))
 	copy(framed, magic)
@@ -113,7 +117,8 @@
 	return append(framed, content...)
 }
 
-// unframe takes the header off and tells whether the checksum is right.
+// unframe returns the content without its header, and reports whether the magic number and the checksum are
+// valid.
 func unframe(framed []byte) ([]byte, bool) {
 	if len(framed) < headerSize || string(framed[:len(magic)]) != magic {
 		return nil, false
--- a/internal/adapters/storage/directory_test.go
+++ b/internal/adapters/storage/directory_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestStoredFilesAreReadByTheirOwnerOnly guards against keys of tenants that any user of the machine can read.
+// TestStoredFilesAreReadByTheirOwnerOnly guards against permissions that let other users of the machine read
+// the keys of tenants, which stored configurations contain.
 func TestStoredFilesAreReadByTheirOwnerOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "data")
 	directory, err := OpenDirectory(OSDisk{}, path)
@@ -18,14 +19,14 @@
 	}
 	for name, want := range map[string]os.FileMode{path: 0o700, filepath.Join(path, "menu"): 0o600} {
 		if info, err := os.Stat(name); err != nil || info.Mode().Perm() != want {
-			t.Errorf("%s: %v, %v", name, info.Mode(), err)
+			t.Errorf("%s: got mode %v, error %v, want mode %v", name, info.Mode(), err, want)
 		}
 	}
 }
 
-// TestDirectoryTellsDamagedFilesFromSound saves files on the machine's disk, damages one,
-// and leaves one under its temporary name, as a loss of power may.
-func TestDirectoryTellsDamagedFilesFromSound(t *testing.T) {
+// TestLoadReportsDamagedFiles saves files on the machine's disk, damages two of them, and leaves a file with
+// a temporary name, as an interrupted Save does.
+func TestLoadReportsDamagedFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	directory, err := OpenDirectory(OSDisk{}, path)
 	if err != nil {
@@ -57,13 +58,13 @@
 		t.Fatal(err)
 	}
 	if len(files) != 2 || string(files["sound"]) != "sound" || len(files["empty"]) != 0 {
-		t.Errorf("sound files: %q", files)
+		t.Errorf("got intact files %q, want the files \"sound\" and \"empty\" with their contents", files)
 	}
 	if len(damaged) != 2 || damaged[0] != "flipped" || damaged[1] != "short" {
-		t.Errorf("damaged files: %v", damaged)
+		t.Errorf("got damaged files %v, want \"flipped\" and \"short\"", damaged)
 	}
 	if _, err := os.Stat(filepath.Join(path, "torn"+temporarySuffix)); !os.IsNotExist(err) {
-		t.Errorf("the temporary file is left: %v", err)
+		t.Errorf("the file with the temporary name was not removed: got error %v", err)
 	}
 	if err := directory.Remove([]string{"sound", "never there"}); err != nil {
 		t.Error(err)
--- a/internal/adapters/storage/disk.go
+++ b/internal/adapters/storage/disk.go
@@ -2,31 +2,34 @@
 
 import "os"
 
-// Disk is the port to the file system; tests put a faulty one there that forgets what was
-// not synced, stalls, fills up or returns damaged content. Its errors carry no codes.
+// Disk is the interface to the file system. Tests implement it with a simulated disk that loses
+// unsynced content, stalls, is full or returns corrupted content. The errors of its methods have no
+// failure code.
 type Disk interface {
 	MakeDirectory(path string) error
-	// WriteSynced returns only when the content is on the disk.
+	// WriteSynced writes a file and returns once its content is on the disk.
 	WriteSynced(path string, content []byte) error
 	Rename(from, to string) error
-	// SyncDirectory returns only when the names in the directory are on the disk.
+	// SyncDirectory returns once the directory's entries are on the disk, so that they survive a
+	// power failure.
 	SyncDirectory(path string) error
-	// List names the files of a directory, without its subdirectories.
+	// List returns the names of a directory's files, without its subdirectories.
 	List(path string) ([]string, error)
 	Read(path string) ([]byte, error)
 	Remove(path string) error
 }
 
-// OSDisk is the machine's file system.
+// OSDisk implements Disk with the machine's file system.
 type OSDisk struct{}
 
-// The modes of what is stored: configurations hold the keys of tenants, which nobody else may read.
+// The permissions of stored directories and files. Configurations contain the keys of tenants, which
+// other users of the machine must not be able to read.
 const (
 	directoryMode = 0o700
 	fileMode      = 0o600
 )
 
-// MakeDirectory makes a directory and its parents.
+// MakeDirectory creates a directory and its missing parents.
 func (OSDisk) MakeDirectory(path string) error { return os.MkdirAll(path, directoryMode) }
 
 // WriteSynced writes a file and syncs it.
@@ -46,10 +49,10 @@
 	return file.Close()
 }
 
-// Rename gives a file its name.
+// Rename renames a file or directory.
 func (OSDisk) Rename(from, to string) error { return os.Rename(from, to) }
 
-// SyncDirectory syncs a directory, so that a rename in it lasts.
+// SyncDirectory syncs a directory, so that new and renamed files in it survive a power failure.
 func (OSDisk) SyncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -62,7 +65,7 @@
 	return directory.Close()
 }
 
-// List names the files of a directory.
+// List returns the names of a directory's files.
 func (OSDisk) List(path string) ([]string, error) {
 	entries, err := os.ReadDir(path)
 	var names []string
--- a/internal/adapters/usage/export.go
+++ b/internal/adapters/usage/export.go
@@ -10,10 +10,10 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Columns are the names of a row's fields, in order, as both formats give them.
+// Columns are the column names in order, which CSV and Parquet share.
 var Columns = []string{"minute", "courier", "service", "origin", "final", "inquiries", "prompt_tokens", "pieces"}
 
-// WriteCSV writes rows as CSV, the names in Columns first. It fails with Disk.
+// WriteCSV writes rows as CSV, with Columns as the first line. An error has the code Disk.
 func WriteCSV(target io.Writer, rows []Row) error {
 	writer := csv.NewWriter(target)
 	if err := writer.Write(Columns); err != nil {
@@ -38,7 +38,7 @@
 	return failure.Wrap(failure.Disk, writer.Error())
 }
 
-// WriteParquet writes rows as a Parquet file with the schema of Row. It fails with Disk.
+// WriteParquet writes rows as a Parquet file with the schema of Row. An error has the code Disk.
 func WriteParquet(target io.Writer, rows []Row) error {
 	return failure.Wrap(failure.Disk, parquet.Write(target, rows))
 }
--- a/internal/adapters/usage/meter.go
+++ b/internal/adapters/usage/meter.go
@@ -1,6 +1,6 @@
-// Package usage counts what was used, and writes it as CSV or Parquet. A router
-// records each request that has ended in its Meter; whoever wants the fleet's usage gathers
-// the rows of all routers and sorts them.
+// Package usage counts requests, prompt tokens and chunks for each service and client, and writes the
+// counts as CSV or Parquet. Each router records the requests that have ended in its Meter. The usage of the
+// fleet consists of the rows of all routers, ordered by Sort.
 package usage
 
 import (
@@ -9,37 +9,38 @@
 	"time"
 )
 
-// Row is the usage of one service by one client in one minute, at one router, by how the
-// replies ended. Its tags are the schema of both formats.
+// Row is the usage of one service by one client through one router in one minute, for the requests whose
+// replies ended with the same final status. Its struct tags hold the column names, which Columns repeats
+// for CSV.
 type Row struct {
-	// Minute is the minute's beginning in UTC, as RFC 3339.
+	// Minute is the start of the minute in UTC, in the format of RFC 3339.
 	Minute  string `json:"minute" parquet:"minute"`
 	Router  string `json:"courier" parquet:"courier,dict"`
 	Service string `json:"service" parquet:"service,dict"`
 	Client  string `json:"origin" parquet:"origin,dict"`
-	// Final is how the replies ended.
+	// Final is the final status of the replies.
 	Final string `json:"final" parquet:"final,dict"`
-	// Requests, PromptTokens and Chunks are sums over the requests that ended so.
+	// Requests is the number of requests; PromptTokens and Chunks are sums over these requests.
 	Requests     int64 `json:"inquiries" parquet:"inquiries"`
 	PromptTokens int64 `json:"prompt_tokens" parquet:"prompt_tokens"`
 	Chunks       int64 `json:"pieces" parquet:"pieces"`
 }
 
-// MaxRows bounds a router's meter; past it the rows of the oldest minute are dropped.
+// MaxRows limits the number of rows of a router's meter. When it is reached, the rows of the oldest minute
+// are dropped.
 const MaxRows = 50_000
 
-// Meter is one router's usage, in memory only: it is lost when the process ends. It is safe
-// for concurrent use.
+// Meter counts the usage of one router. It keeps the counts in memory only, so they are lost when the
+// process ends. It is safe for concurrent use.
 type Meter struct {
 	mutex sync.Mutex
 	rows  map[Row]*Row
 }
 
-// NewMeter makes an empty meter.
+// NewMeter returns an empty meter.
 func NewMeter() *Meter { return &Meter{rows: map[Row]*Row{}} }
 
-// Record adds one request that has ended at now. It reads all fields of ended but Minute
-// and Requests.
+// Record adds one request that ended at the time now. It ignores the fields Minute and Requests of ended.
 func (m *Meter) Record(now time.Time, ended Row) {
 	ended.Minute = now.UTC().Truncate(time.Minute).Format(time.RFC3339)
 	key := Row{
@@ -65,7 +66,7 @@
 	row.Chunks += ended.Chunks
 }
 
-// dropOldest drops all rows of the oldest minute. The caller holds the lock.
+// dropOldest drops all rows of the oldest minute. The caller holds the mutex.
 func (m *Meter) dropOldest() {
 	oldest := ""
 	for key := range m.rows {
@@ -80,7 +81,7 @@
 	}
 }
 
-// Rows returns the usage so far, sorted.
+// Rows returns the current rows in the order of Sort.
 func (m *Meter) Rows() []Row {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -92,7 +93,7 @@
 	return rows
 }
 
-// Sort orders rows by minute, router, service, client and end.
+// Sort sorts rows by minute, router, service, client and final status.
 func Sort(rows []Row) {
 	key := func(row Row) string {
 		return row.Minute + "\x00" + row.Router + "\x00" + row.Service + "\x00" + row.Client + "\x00" + row.Final
--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// allEvacuated tells whether evacuations leave a route no listed server.
+// allEvacuated reports whether zones are evacuated and the route allows none of the listed servers.
 func (d *Dispatcher) allEvacuated(routes *RouteTable, route *RouteDecision) bool {
 	listed, _ := d.market.Loads(time.Time{})
 	for _, server := range listed {
@@ -19,7 +19,7 @@
 	return len(listed) > 0 && len(routes.evacuations) > 0
 }
 
-// choose finds the pair for a request among the servers that its route allows.
+// choose finds the pair of servers for a request among those that its route allows.
 func (d *Dispatcher) choose(now time.Time, entry *requestState) (Bid, bool) {
 	routes := d.routes.Load()
 	return d.market.Choose(now, entry.request, entry.route, func(server membership.Server) bool {
@@ -46,9 +46,9 @@
 	return d.startRun(now, s, entry, bid, leaseEnds)
 }
 
-// startRun sends the prompt to the prefill server of a pair that was chosen now, and
-// reserves a slot at its decode server. The handle is cleared: a run uses no KV cache but
-// its own. A retry is paid for before it is dispatched.
+// startRun sends the prompt to the prefill server of a newly chosen pair, and reserves a
+// slot at the pair's decode server. The handle is cleared, because a run uses only the KV
+// cache that its own prefill creates. A retry is charged to the budget before its dispatch.
 func (d *Dispatcher) startRun(now time.Time, s *shard, entry *requestState, bid Bid, leaseEnds time.Time) []Decision {
 	request := entry.request
 	var decisions []Decision
@@ -72,12 +72,12 @@
 	d.market.Reserve(bid, request)
 	entry.serverDeadline = now.Add(minServerTimeout + 4*bid.Price)
 	pair := &codec.Pair{
-		Request:  request.ID,
-		Run:      entry.run,
-		Prefill:  bid.Prefill.server.Name,
-		Decode:   bid.Decode.server.Name,
-		Price:    bid.Price,
-		HandOver: bid.TransferTime,
+		Request:      request.ID,
+		Attempt:      entry.run,
+		Prefill:      bid.Prefill.server.Name,
+		Decode:       bid.Decode.server.Name,
+		Price:        bid.Price,
+		TransferTime: bid.TransferTime,
 	}
 	return append(decisions,
 		Decision{Kind: RecordPair, ID: request.ID, Run: entry.run, Pair: pair},
@@ -92,8 +92,8 @@
 		})
 }
 
-// awaitLease keeps an admitted request for the next lease, but not until its deadline:
-// after leaseTimeout it is aborted with failure.NoLease.
+// awaitLease keeps an admitted request waiting for the next lease. After leaseTimeout it
+// aborts the request with failure.NoLease rather than let it wait until its deadline.
 func (d *Dispatcher) awaitLease(now time.Time, s *shard, entry *requestState, next phase) []Decision {
 	if entry.leaseMissingSince.IsZero() {
 		entry.leaseMissingSince = now
@@ -112,9 +112,9 @@
 	return b
 }
 
-// dispatchDecode has the pair's decode server fetch the KV cache and stream, or another
-// server when that one has no capacity any more. With retry it is a retry of a decode that
-// certainly did not start, and paid for before it is dispatched.
+// dispatchDecode has the pair's decode server fetch the KV cache and stream the reply. If that
+// server no longer has capacity, it selects another decode server. If retry is set, the previous
+// decode certainly did not start, and the retry is charged to the budget before its dispatch.
 func (d *Dispatcher) dispatchDecode(now time.Time, s *shard, entry *requestState, retry bool) []Decision {
 	request := entry.request
 	if !now.Before(request.Deadline) {
@@ -129,7 +129,8 @@
 	source := entry.bid.Prefill.server
 	bid, found := d.chooseDecode(now, entry)
 	if !found {
-		// A finished prefill is worth a short wait for capacity.
+		// The prefill is already done: wait for decode capacity until serverDeadline
+		// rather than abort at once.
 		if now.Before(entry.serverDeadline) {
 			entry.phase = readyToDecode
 			return nil
@@ -160,8 +161,8 @@
 	})
 }
 
-// chooseDecode finds the decode server for a finished prefill: the planned one if it still
-// has capacity, otherwise the cheapest that was not tried.
+// chooseDecode finds the decode server for a finished prefill: the planned server if it was
+// not tried and still has capacity, otherwise the cheapest server that was not tried.
 func (d *Dispatcher) chooseDecode(now time.Time, entry *requestState) (Bid, bool) {
 	routes := d.routes.Load()
 	allowed := func(server membership.Server) bool { return routes.Allows(entry.route, server) }
@@ -175,7 +176,7 @@
 	return d.market.ChooseDecode(now, entry.request, source, allowed, entry.tried)
 }
 
-// release gives the reserved decode slot back, once.
+// release frees the reserved decode slot, if the request has one.
 func (d *Dispatcher) release(entry *requestState) {
 	if entry.reserved {
 		d.market.Release(entry.bid)
@@ -183,8 +184,9 @@
 	}
 }
 
-// retry starts another run if that is allowed. A request that is not idempotent runs at
-// most once: it is retried only while no server can have started it.
+// retry starts another run if the request may be retried, and ends the request otherwise. A
+// request that is not idempotent runs at most once: it is retried only if no server can have
+// started it.
 func (d *Dispatcher) retry(now time.Time, s *shard, entry *requestState, outcome Outcome) []Decision {
 	if !entry.request.Idempotent && entry.mayHaveRun {
 		final := Failed
--- a/internal/auction/dispatcher.go
+++ b/internal/auction/dispatcher.go
@@ -10,9 +10,9 @@
 )
 
 // Dispatcher is the state machine of one router's requests, from their arrival to their
-// final status. Requests lie in shards, so that several threads may work on different
-// ones; the route table and the lease that they share are replaced, never altered. A
-// method that takes a shard is called with the shard locked.
+// final status. Requests are sharded by ID, so that several threads can work on different
+// shards; the shared route table and lease are replaced, never modified. A method that
+// takes a shard is called with the shard locked.
 type Dispatcher struct {
 	market *Market
 	budget *RetryBudget
@@ -22,28 +22,31 @@
 	shards      [16]shard
 	routes      atomic.Pointer[RouteTable]
 	leaseEnds   atomic.Pointer[time.Time]
-	// withoutLease is for how many nanoseconds requests are admitted after the last lease.
+	// withoutLease is how long requests are admitted after the last lease has expired, in
+	// nanoseconds (see SetServeWithoutLease).
 	withoutLease atomic.Int64
-	// provisionalAt is when a provisional configuration came, before the first lease.
+	// provisionalAt is when the first provisional configuration was received. It has no effect once
+	// there is a lease.
 	provisionalAt atomic.Pointer[time.Time]
-	// forwarding sends new requests to another router.
+	// forwarding is set if new requests are forwarded to another router.
 	forwarding atomic.Bool
 	draining   atomic.Bool
 	inFlight   atomic.Int64
-	// inFlightByService has an *atomic.Int64 for each service's name.
+	// inFlightByService maps the name of a service to an *atomic.Int64.
 	inFlightByService sync.Map
 	counters          Counters
 }
 
-// shard is a part of the requests in flight, by ID.
+// shard holds a part of the requests in flight by their IDs.
 type shard struct {
 	mutex    sync.Mutex
 	requests map[string]*requestState
 }
 
-// The timeouts of servers. The values are ours.
+// Timeouts of requests in flight.
 const (
-	// minServerTimeout is what a server gets beyond four times its ask.
+	// minServerTimeout is the time that a server gets in addition to four times the
+	// estimated time.
 	minServerTimeout = 2 * time.Second
 	// chunkTimeout is the longest gap between two chunks of a stream.
 	chunkTimeout = 3 * time.Second
@@ -51,8 +54,8 @@
 	leaseTimeout = 2 * time.Second
 )
 
-// NewDispatcher makes a dispatcher for a router in a zone that has at most maxRequests in
-// flight.
+// NewDispatcher returns a dispatcher for a router in a zone, with at most maxRequests
+// requests in flight.
 func NewDispatcher(market *Market, zone string, maxRequests int) *Dispatcher {
 	d := &Dispatcher{
 		market:      market,
@@ -66,8 +69,8 @@
 	return d
 }
 
-// SetRouteTable puts a configuration in force and returns true. It ignores one that is not
-// newer than the one in force, and returns false: versions only rise.
+// SetRouteTable puts a configuration in force and returns true. It ignores a configuration
+// that is not newer than the one in force, and returns false: versions only increase.
 func (d *Dispatcher) SetRouteTable(routes *RouteTable) bool {
 	for {
 		current := d.routes.Load()
@@ -80,7 +83,7 @@
 	}
 }
 
-// InForce is the version of the configuration in force.
+// InForce returns the version of the configuration in force.
 func (d *Dispatcher) InForce() (epoch, number uint64) {
 	if routes := d.routes.Load(); routes != nil {
 		return routes.epoch, routes.number
@@ -88,9 +91,10 @@
 	return 0, 0
 }
 
-// Renew extends the lease, if it confirms the version in force. One for another version
-// is ignored, so that no request is admitted under a configuration that is not confirmed.
-func (d *Dispatcher) Renew(leaseEnds time.Time, epoch, number uint64) bool {
+// ExtendLease extends the lease if it confirms the version in force, and reports whether it does.
+// A lease for another version is ignored, so that no request is admitted under a
+// configuration that is not confirmed.
+func (d *Dispatcher) ExtendLease(leaseEnds time.Time, epoch, number uint64) bool {
 	routes := d.routes.Load()
 	if routes == nil || routes.epoch != epoch || routes.number != number {
 		return false
@@ -101,7 +105,7 @@
 	return true
 }
 
-// LeaseEnds is when the router's lease runs out; zero before the first one.
+// LeaseEnds returns when the router's lease expires; zero before the first lease.
 func (d *Dispatcher) LeaseEnds() time.Time {
 	if ends := d.leaseEnds.Load(); ends != nil {
 		return *ends
@@ -109,8 +113,8 @@
 	return time.Time{}
 }
 
-// SetServeWithoutLease sets for how long requests are admitted after the last lease ran
-// out, under the configuration in force.
+// SetServeWithoutLease sets how long requests are admitted after the last lease has
+// expired, under the configuration in force.
 func (d *Dispatcher) SetServeWithoutLease(period time.Duration) { d.withoutLease.Store(int64(period)) }
 
 // ServeProvisionally admits requests from now on, before the first lease, under a
@@ -118,12 +122,13 @@
 // SetServeWithoutLease allows.
 func (d *Dispatcher) ServeProvisionally(now time.Time) { d.provisionalAt.CompareAndSwap(nil, &now) }
 
-// ServesUntil is until when requests are admitted: zero, hence never, before the first
-// lease or provisional configuration.
+// ServesUntil returns the time until which requests are admitted. Before the first lease this is
+// the zero time, and no request is admitted, unless there is a provisional configuration and
+// SetServeWithoutLease permits serving under it.
 func (d *Dispatcher) ServesUntil() time.Time {
 	ends := d.LeaseEnds()
-	if lent := d.provisionalAt.Load(); ends.IsZero() && lent != nil && d.withoutLease.Load() > 0 {
-		ends = *lent
+	if provisional := d.provisionalAt.Load(); ends.IsZero() && provisional != nil && d.withoutLease.Load() > 0 {
+		ends = *provisional
 	}
 	if ends.IsZero() {
 		return ends
@@ -131,23 +136,23 @@
 	return ends.Add(time.Duration(d.withoutLease.Load()))
 }
 
-// SetForwarding sets whether the router lacks an enabled feature flag, and forwards its
-// requests to a router that has it.
-func (d *Dispatcher) SetForwarding(restricted bool) { d.forwarding.Store(restricted) }
+// SetForwarding sets whether new requests are forwarded to another router, because this
+// router does not support an enabled feature flag.
+func (d *Dispatcher) SetForwarding(enabled bool) { d.forwarding.Store(enabled) }
 
-// Drain ends admission for good.
+// Drain permanently stops the admission of requests.
 func (d *Dispatcher) Drain() { d.draining.Store(true) }
 
-// Draining tells whether admission has ended.
+// Draining reports whether Drain was called.
 func (d *Dispatcher) Draining() bool { return d.draining.Load() }
 
-// InFlight counts the requests that have no final status yet.
+// InFlight returns the number of requests that have no final status yet.
 func (d *Dispatcher) InFlight() int { return int(d.inFlight.Load()) }
 
-// Counters counts requests by what became of them.
+// Counters returns the counters of requests by final status.
 func (d *Dispatcher) Counters() *Counters { return &d.counters }
 
-// Budget is the budget of retries.
+// Budget returns the retry budget.
 func (d *Dispatcher) Budget() *RetryBudget { return d.budget }
 
 func (d *Dispatcher) shard(id string) *shard {
@@ -162,25 +167,25 @@
 }
 
 // Arrive admits a request, or refuses it at once with a failure code and a detail. An
-// idempotent one is dispatched right away, any other one is claimed first.
+// idempotent request is dispatched immediately; any other request is claimed first.
 func (d *Dispatcher) Arrive(now time.Time, request *Request) []Decision {
 	d.counters.Arrived.Add(1)
 	if d.draining.Load() {
-		return d.refuse(request, failure.Draining, "this courier is leaving", time.Second)
+		return d.refuse(request, failure.Draining, "this router is draining", time.Second)
 	}
 	if d.forwarding.Load() {
 		return []Decision{{Kind: ForwardToPeer, ID: request.ID, Request: request}}
 	}
 	routes := d.routes.Load()
 	if routes == nil || !now.Before(d.ServesUntil()) {
-		return d.refuse(request, failure.NoLease, "the configuration in force is not confirmed", time.Second)
+		return d.refuse(request, failure.NoLease, "no lease confirms the configuration of this router", time.Second)
 	}
 	route, err := routes.Match(request, d.zone)
 	if err != nil {
 		return d.refuse(request, err.Code, err.Detail, 0)
 	}
 	if d.inFlight.Load() >= d.maxRequests || d.serviceCount(request.Service).Load() >= int64(route.Service.MaxInFlight) {
-		return d.refuse(request, failure.Busy, "the courier has as many inquiries as it takes", d.market.RetryAfter(now))
+		return d.refuse(request, failure.Busy, "the router or the service has reached its limit of requests in flight", d.market.RetryAfter(now))
 	}
 	admitted := *request
 	admitted.Deadline = route.deadline(now, request.Deadline)
@@ -188,18 +193,18 @@
 	bid, found := d.choose(now, entry)
 	if !found {
 		if d.allEvacuated(routes, route) {
-			return d.refuse(request, failure.Evacuated, "every district that the route names is evacuated", 5*time.Second)
+			return d.refuse(request, failure.Evacuated, "every zone that the route allows is evacuated", 5*time.Second)
 		}
-		return d.refuse(request, failure.Busy, "no pair of servers has room", d.market.RetryAfter(now))
+		return d.refuse(request, failure.Busy, "no pair of servers has free capacity", d.market.RetryAfter(now))
 	}
 	if now.Add(bid.Price).After(admitted.Deadline) {
-		return d.refuse(request, failure.Busy, "no pair of servers would be in time", d.market.RetryAfter(now))
+		return d.refuse(request, failure.Busy, "no pair of servers would finish before the deadline", d.market.RetryAfter(now))
 	}
 	s := d.shard(request.ID)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, found := s.requests[request.ID]; found {
-		return d.refuse(request, failure.Duplicate, "the inquiry is under way", 0)
+		return d.refuse(request, failure.Duplicate, "a request with this ID is in flight", 0)
 	}
 	s.requests[request.ID] = entry
 	d.inFlight.Add(1)
@@ -211,8 +216,9 @@
 	return d.startRun(now, s, entry, bid, d.ServesUntil())
 }
 
-// find locks the shard of a request and returns the request's state, if run is the
-// current one or negative. A late answer to an older run finds nothing.
+// find returns the state of a request and its shard, which the caller must unlock. It returns nil,
+// and leaves the shard unlocked, if the request is not in flight, or if run is not negative and is
+// not the request's current run, so that a late answer to an older run is dropped.
 func (d *Dispatcher) find(id string, run int) (*shard, *requestState) {
 	s := d.shard(id)
 	s.mutex.Lock()
@@ -249,7 +255,8 @@
 	return decisions
 }
 
-// Prefilled handles the answer to a prefill dispatch; handle names the KV cache it made.
+// Prefilled handles the answer to a prefill dispatch; handle names the KV cache that the
+// prefill created.
 func (d *Dispatcher) Prefilled(now time.Time, id string, run int, outcome Outcome, handle string) []Decision {
 	s, entry := d.find(id, run)
 	if entry == nil {
@@ -274,9 +281,9 @@
 	return d.retry(now, s, entry, outcome)
 }
 
-// Chunk handles one chunk of the stream, numbered from 1. One of the current run that is
-// not the next ends the stream: it is never spliced.
-func (d *Dispatcher) Chunk(now time.Time, id string, run, chunk int, text string) []Decision {
+// HandleChunk handles one chunk of the stream, numbered from 1. If a chunk of the current run is
+// not the next in order, the request ends as failed, so that no chunk is lost or repeated within a reply.
+func (d *Dispatcher) HandleChunk(now time.Time, id string, run, chunk int, text string) []Decision {
 	s, entry := d.find(id, run)
 	if entry == nil {
 		return nil
@@ -295,7 +302,7 @@
 	return []Decision{{Kind: SendChunk, ID: id, Run: run, Chunk: chunk, Text: text}}
 }
 
-// Decoded handles the end of a decode, after so many chunks.
+// Decoded handles the end of a decode that sent the given number of chunks.
 func (d *Dispatcher) Decoded(now time.Time, id string, run int, outcome Outcome, chunks int) []Decision {
 	s, entry := d.find(id, run)
 	if entry == nil {
@@ -321,7 +328,7 @@
 	entry.tried[server] = true
 	switch outcome {
 	case OutcomeNotStarted:
-		// The KV cache was not fetched: another server may fetch it.
+		// The KV cache was not fetched, so another decode server may fetch it.
 		entry.phase = readyToDecode
 		entry.serverDeadline = now.Add(minServerTimeout)
 		return d.dispatchDecode(now, s, entry, true)
--- a/internal/auction/dispatcher_test.go
+++ b/internal/auction/dispatcher_test.go
@@ -12,11 +12,12 @@
 
 var noon = time.Unix(2_000_000, 0)
 
-// newTestDispatcher is a dispatcher with two prefill and two decode servers and a lease.
+// newTestDispatcher returns a dispatcher with two prefill servers, two decode servers and a
+// lease.
 func newTestDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
 	market := NewMarket("north", false)
-	market.List([]membership.Server{
+	market.SetServers([]membership.Server{
 		{Name: "p1", Address: "p1", Zone: "north"},
 		{Name: "p2", Address: "p2", Zone: "south"},
 		{Name: "d1", Address: "d1", Zone: "north"},
@@ -25,7 +26,7 @@
 	dispatcher := NewDispatcher(market, "north", 100)
 	reportLoads(dispatcher, noon)
 	configure(t, dispatcher, 1, `{"services":{"chat":{"tries":3}},"routes":{"all":{"to":{}}}}`)
-	dispatcher.Renew(noon.Add(4*time.Second), 1, 1)
+	dispatcher.ExtendLease(noon.Add(4*time.Second), 1, 1)
 	return dispatcher
 }
 
@@ -74,6 +75,7 @@
 	return dispatcher.Arrive(now, &Request{ID: id, Service: "chat", Idempotent: idempotent, PromptTokens: 500, Chunks: 3})
 }
 
+// find returns the first decision of the given kind, or nil.
 func find(decisions []Decision, kind DecisionKind) *Decision {
 	for position := range decisions {
 		if decisions[position].Kind == kind {
@@ -83,43 +85,43 @@
 	return nil
 }
 
-// earn gives the budget credit for retries.
-func earn(dispatcher *Dispatcher) {
+// addRetryCredit fills the retry budget.
+func addRetryCredit(dispatcher *Dispatcher) {
 	for range 20 {
 		dispatcher.budget.RecordFirst()
 	}
 }
 
-func TestRequestThatMayNotBeRepeatedIsDispatchedAgainOnlyIfCertainlyNotStarted(t *testing.T) {
+func TestNonIdempotentRequestIsRetriedOnlyIfNotStarted(t *testing.T) {
 	for outcome, want := range map[Outcome]FinalStatus{OutcomeUnknown: Unknown, OutcomeFailed: Failed} {
 		dispatcher := newTestDispatcher(t)
-		earn(dispatcher)
+		addRetryCredit(dispatcher)
 		if find(arrive(dispatcher, noon, "one", false), ClaimRequest) == nil {
-			t.Fatal("not claimed before its dispatch")
+			t.Fatal("a request that is not idempotent was not claimed before its dispatch")
 		}
 		if find(dispatcher.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill) == nil {
-			t.Fatal("not dispatched after its claim")
+			t.Fatal("the request was not dispatched after its claim")
 		}
 		decisions := dispatcher.Prefilled(noon, "one", 1, outcome, "")
 		if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != want {
-			t.Errorf("after %s: %+v", outcome, decisions)
+			t.Errorf("after outcome %s: got %+v, want final status %s and no retry", outcome, decisions, want)
 		}
 	}
 	d := newTestDispatcher(t)
-	earn(d)
+	addRetryCredit(d)
 	arrive(d, noon, "one", false)
 	first := find(d.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill)
 	second := find(d.Prefilled(noon, "one", 1, OutcomeNotStarted, ""), DispatchPrefill)
 	if second == nil || second.Server == first.Server {
-		t.Errorf("not tried elsewhere though it certainly did not start: %+v", second)
+		t.Errorf("after outcome not_started: got %+v, want a retry at another server", second)
 	}
 }
 
-func TestNothingIsDispatchedPastItsLimitOrWithoutALease(t *testing.T) {
+func TestNoDispatchAfterDeadlineOrWithoutLease(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	late := find(arrive(dispatcher, noon.Add(4*time.Second), "late", true), Finish)
 	if late == nil || late.Cause != failure.NoLease {
-		t.Errorf("admitted without a lease: %+v", late)
+		t.Errorf("arrival without a lease: got %+v, want cause NoLease", late)
 	}
 	request := &Request{
 		ID:           "one",
@@ -132,66 +134,66 @@
 	dispatcher.Arrive(noon, request)
 	decisions := dispatcher.Claimed(noon.Add(time.Second), "one", OutcomeDone, "")
 	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Refused {
-		t.Errorf("after the deadline: %+v", decisions)
+		t.Errorf("claim answered after the deadline: got %+v, want Refused and no dispatch", decisions)
 	}
-	// A prompt that was read while the lease ran out waits for the next one.
+	// A request whose lease expires during its prefill waits for the next lease.
 	arrive(dispatcher, noon, "two", true)
 	after := noon.Add(4 * time.Second)
 	if decisions := dispatcher.Prefilled(after, "two", 1, OutcomeDone, "handle"); len(decisions) != 0 {
-		t.Errorf("dispatched without a lease: %+v", decisions)
+		t.Errorf("prefill done without a lease: got %+v, want no decisions", decisions)
 	}
 	reportLoads(dispatcher, after)
-	dispatcher.Renew(after.Add(4*time.Second), 1, 1)
+	dispatcher.ExtendLease(after.Add(4*time.Second), 1, 1)
 	decode := find(dispatcher.Tick(after), DispatchDecode)
 	if decode == nil || decode.Handle != "handle" || !decode.NotAfter.Equal(after.Add(4*time.Second)) {
-		t.Errorf("not dispatched under the new lease: %+v", decode)
+		t.Errorf("after the new lease: got %+v, want a decode dispatch with the handle, until the lease expires", decode)
 	}
 }
 
-// TestGivenUpRequestIsAnsweredAtOnce lets the lease stay away: the client is answered
-// soon, long before the deadline, and when to come back.
-func TestGivenUpRequestIsAnsweredAtOnce(t *testing.T) {
+// TestRequestIsRefusedWhenNoLeaseComesInTime checks that a request that waits for a lease is
+// refused after leaseTimeout, long before its deadline, with a time to retry.
+func TestRequestIsRefusedWhenNoLeaseComesInTime(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	arrive(dispatcher, noon, "one", false)
 	after := noon.Add(4 * time.Second)
 	if decisions := dispatcher.Claimed(after, "one", OutcomeDone, ""); len(decisions) != 0 {
-		t.Errorf("without a lease: %+v", decisions)
+		t.Errorf("claim answered without a lease: got %+v, want no decisions", decisions)
 	}
 	if decisions := dispatcher.Tick(after.Add(leaseTimeout)); len(decisions) != 0 {
-		t.Errorf("given up early: %+v", decisions)
+		t.Errorf("before leaseTimeout has passed: got %+v, want no decisions", decisions)
 	}
 	final := find(dispatcher.Tick(after.Add(leaseTimeout+time.Millisecond)), Finish)
-	if final == nil || final.Final != Refused || final.Cause != failure.NoLease || final.Retry == 0 {
-		t.Errorf("when no lease comes: %+v", final)
+	if final == nil || final.Final != Refused || final.Cause != failure.NoLease || final.RetryAfter == 0 {
+		t.Errorf("after leaseTimeout: got %+v, want Refused with cause NoLease and a time to retry", final)
 	}
 }
 
-func TestStreamIsNeverSplicedAndNeverRunAgainAfterItsFirstChunk(t *testing.T) {
+func TestStreamIsNeverSplicedOrRetriedAfterItsFirstChunk(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	earn(dispatcher)
+	addRetryCredit(dispatcher)
 	arrive(dispatcher, noon, "one", true)
 	dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle")
-	if chunk := find(dispatcher.Chunk(noon, "one", 1, 1, "a"), SendChunk); chunk == nil {
+	if chunk := find(dispatcher.HandleChunk(noon, "one", 1, 1, "a"), SendChunk); chunk == nil {
 		t.Fatal("the first chunk was not sent")
 	}
-	if late := dispatcher.Chunk(noon, "one", 2, 2, "b"); len(late) != 0 {
-		t.Errorf("a chunk of another run was taken: %+v", late)
+	if late := dispatcher.HandleChunk(noon, "one", 2, 2, "b"); len(late) != 0 {
+		t.Errorf("chunk of another run: got %+v, want no decisions", late)
 	}
 	decisions := dispatcher.Decoded(noon, "one", 1, OutcomeUnknown, 0)
 	final := find(decisions, Finish)
 	if find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Failed || final.Chunks != 1 {
-		t.Errorf("after the first chunk: %+v", decisions)
+		t.Errorf("decode lost after its first chunk: got %+v, want Failed with 1 chunk and no retry", decisions)
 	}
 	arrive(dispatcher, noon, "two", true)
 	dispatcher.Prefilled(noon, "two", 1, OutcomeDone, "handle")
-	if final := find(dispatcher.Chunk(noon, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
-		t.Errorf("a stream with a missing chunk went on: %+v", final)
+	if final := find(dispatcher.HandleChunk(noon, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
+		t.Errorf("stream with a missing chunk: got %+v, want Failed", final)
 	}
 }
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	extra := 0
+	retries := 0
 	for number := range 100 {
 		id := fmt.Sprint(number)
 		arrive(dispatcher, noon, id, true)
@@ -200,37 +202,38 @@
 			if find(dispatcher.Prefilled(noon, id, run, OutcomeNotStarted, ""), DispatchPrefill) == nil {
 				break
 			}
-			extra++
+			retries++
 		}
 	}
-	if first, counted := dispatcher.budget.Counts(); extra == 0 || extra != counted || extra*5 > first {
-		t.Errorf("%d retries (%d counted) for %d first dispatches", extra, counted, first)
+	if first, counted := dispatcher.budget.Counts(); retries == 0 || retries != counted || retries*5 > first {
+		t.Errorf("got %d retries (%d counted) for %d first dispatches, want at most a fifth, all counted", retries, counted, first)
 	}
 }
 
-// TestARunAfterALostHandOverCostsTwoAttempts: it asks a prefill and a decode server
-// again.
-func TestARunAfterALostHandOverCostsTwoAttempts(t *testing.T) {
+// TestRunAfterExpiredHandleCostsTwoRetries checks that a new run counts as two retries in the budget
+// if it repeats both a prefill and a decode.
+func TestRunAfterExpiredHandleCostsTwoRetries(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	earn(dispatcher)
+	addRetryCredit(dispatcher)
 	arrive(dispatcher, noon, "one", true)
 	dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle")
 	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
 		t.Fatal("no new run after the handle expired")
 	}
-	if _, extra := dispatcher.budget.Counts(); extra != 2 {
-		t.Errorf("the run cost %d retries", extra)
+	if _, retries := dispatcher.budget.Counts(); retries != 2 {
+		t.Errorf("the new run cost %d retries, want 2", retries)
 	}
 }
 
-// TestRoutersShareAWarmingServersCapacity: what seven routers may send to a server
-// that is warming up between two reports stays within its capacity.
+// TestRoutersShareAWarmingServersCapacity checks how many prompts seven routers together send
+// between two reports to a server that is warming up. The server has a capacity of 12 prompts, of
+// which fewer than three may be used so early, but each router may send at least one prompt.
 func TestRoutersShareAWarmingServersCapacity(t *testing.T) {
 	sent := 0
 	for router := range 7 {
 		dispatcher := newTestDispatcher(t)
 		dispatcher.market.SetRouters(7)
-		dispatcher.market.List([]membership.Server{
+		dispatcher.market.SetServers([]membership.Server{
 			{Name: "p1", Address: "p1", Zone: "north"},
 			{Name: "d1", Address: "d1", Zone: "north"},
 		})
@@ -243,55 +246,55 @@
 		}
 	}
 	if sent == 0 || sent > 8 {
-		t.Errorf("seven routers sent %d prompts to a server one second old", sent)
+		t.Errorf("seven routers sent %d prompts to a server that is one second old, want 1 to 8", sent)
 	}
 }
 
-func TestConfigurationInForceNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	if !configure(t, dispatcher, 5, `{"services":{},"routes":{}}`) {
-		t.Fatal("a newer configuration was not taken")
+		t.Fatal("a newer configuration was not put in force")
 	}
 	if configure(t, dispatcher, 4, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`) {
-		t.Error("an older configuration was taken")
+		t.Error("an older configuration was put in force")
 	}
-	if dispatcher.Renew(noon.Add(time.Hour), 1, 1) {
-		t.Error("a lease for another configuration was taken")
+	if dispatcher.ExtendLease(noon.Add(time.Hour), 1, 1) {
+		t.Error("a lease for another configuration version was accepted")
 	}
 	if final := find(arrive(dispatcher, noon, "one", true), Finish); final == nil || final.Cause != failure.UnknownService {
-		t.Errorf("%+v", final)
+		t.Errorf("request for a service that the newer configuration lacks: got %+v, want cause UnknownService", final)
 	}
 }
 
 func TestEvacuatedAndLeavingServersGetNoWork(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	configure(t, dispatcher, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{}}}`)
-	dispatcher.Renew(noon.Add(4*time.Second), 1, 2)
+	dispatcher.ExtendLease(noon.Add(4*time.Second), 1, 2)
 	if dispatched := find(arrive(dispatcher, noon, "one", true), DispatchPrefill); dispatched == nil || dispatched.Server != "p2" {
-		t.Errorf("with north evacuated: %+v", dispatched)
+		t.Errorf("with north evacuated: got %+v, want a prefill at p2", dispatched)
 	}
 	decode := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle"), DispatchDecode)
 	if decode == nil || decode.Server != "d2" {
-		t.Errorf("with north evacuated: %+v", decode)
+		t.Errorf("with north evacuated: got %+v, want a decode at d2", decode)
 	}
-	dispatcher.market.List([]membership.Server{
+	dispatcher.market.SetServers([]membership.Server{
 		{Name: "p1", Address: "p1", Zone: "north"},
 		{Name: "p2", Address: "p2", Zone: "south", Leaving: true},
 		{Name: "d1", Address: "d1", Zone: "north"},
 		{Name: "d2", Address: "d2", Zone: "south"},
 	})
 	if final := find(arrive(dispatcher, noon, "two", true), Finish); final == nil || final.Final != Refused {
-		t.Errorf("with the last server leaving: %+v", final)
+		t.Errorf("with the last prefill server leaving: got %+v, want Refused", final)
 	}
 	configure(t, dispatcher, 3, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{},"south":{}}}`)
-	dispatcher.Renew(noon.Add(4*time.Second), 1, 3)
+	dispatcher.ExtendLease(noon.Add(4*time.Second), 1, 3)
 	final := find(arrive(dispatcher, noon, "three", true), Finish)
-	if final == nil || final.Cause != failure.Evacuated || final.Retry == 0 {
-		t.Errorf("with every zone evacuated: %+v", final)
+	if final == nil || final.Cause != failure.Evacuated || final.RetryAfter == 0 {
+		t.Errorf("with every zone evacuated: got %+v, want cause Evacuated and a time to retry", final)
 	}
 }
 
-func TestRoutesAreAskedInTheirOrder(t *testing.T) {
+func TestRoutesAreMatchedInOrder(t *testing.T) {
 	configuration, err := config.Check([]byte(`{"services":{"chat":{}},"routes":{
 		"z-first":{"order":1,"match":{"service":"chat","prompt_tokens_at_least":1000},"to":{"refuse":true}},
 		"a-second":{"order":2,"match":{"origin":"vip"},"to":{"districts":["south"]}},
@@ -304,14 +307,14 @@
 		route, refusal := table.Match(&Request{Service: "chat", Client: client, PromptTokens: tokens}, "north")
 		want := map[string]string{"vip": "a-second", "other": "b-third", "long": "z-first"}[client]
 		if route == nil || route.Route != want || (refusal != nil) != (client == "long") {
-			t.Errorf("%s: %+v, %v", client, route, refusal)
+			t.Errorf("client %s: got %+v, refusal %v, want route %s", client, route, refusal, want)
 		}
 	}
 }
 
 func TestWarmingServerGetsFewRequests(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	dispatcher.market.List([]membership.Server{
+	dispatcher.market.SetServers([]membership.Server{
 		{Name: "p1", Address: "p1", Zone: "north"},
 		{Name: "d1", Address: "d1", Zone: "north"},
 	})
@@ -324,70 +327,71 @@
 		}
 	}
 	if dispatched == 0 || dispatched > 3 {
-		t.Errorf("a server that has just started was given %d prompts at once", dispatched)
+		t.Errorf("got %d prompts for a server that has just started, want 1 to 3", dispatched)
 	}
 }
 
-// TestLateUpdateOfAnOlderRun lets the answer to an aborted run come after the next one
-// has begun.
-func TestLateUpdateOfAnOlderRun(t *testing.T) {
+// TestLateAnswerToAnOlderRunIsIgnored delivers the answer to the first run's prefill after the
+// second run has started.
+func TestLateAnswerToAnOlderRunIsIgnored(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	earn(dispatcher)
+	addRetryCredit(dispatcher)
 	arrive(dispatcher, noon, "one", true)
 	if find(dispatcher.Prefilled(noon, "one", 1, OutcomeFailed, ""), DispatchPrefill) == nil {
 		t.Fatal("no second run")
 	}
-	if late := dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "old memory"); len(late) != 0 {
-		t.Errorf("a late answer of the first run led to %+v", late)
+	if late := dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "old handle"); len(late) != 0 {
+		t.Errorf("late answer to the first run: got %+v, want no decisions", late)
 	}
 }
 
-// TestHandleIsUsedByItsOwnRun wants the second run's decode to use the second
-// run's KV cache.
-func TestHandleIsUsedByItsOwnRun(t *testing.T) {
+// TestDecodeUsesTheHandleOfItsOwnRun checks that the decode of the second run uses the
+// KV cache that the second run's prefill created.
+func TestDecodeUsesTheHandleOfItsOwnRun(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	earn(dispatcher)
+	addRetryCredit(dispatcher)
 	arrive(dispatcher, noon, "one", true)
 	first := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "first"), DispatchDecode)
 	if first == nil || first.Handle != "first" {
-		t.Fatalf("the first decode: %+v", first)
+		t.Fatalf("first decode: got %+v, want handle first", first)
 	}
 	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
 		t.Fatal("no second run after the handle expired")
 	}
 	second := find(dispatcher.Prefilled(noon, "one", 2, OutcomeDone, "second"), DispatchDecode)
 	if second == nil || second.Handle != "second" {
-		t.Errorf("the second decode: %+v", second)
+		t.Errorf("second decode: got %+v, want handle second", second)
 	}
 }
 
-// TestServerWithoutAFreshReportIsOfferedNothing lets all reports grow old.
-func TestServerWithoutAFreshReportIsOfferedNothing(t *testing.T) {
+// TestServerWithoutAFreshReportGetsNoWork checks that no request is dispatched once all load reports have expired.
+func TestServerWithoutAFreshReportGetsNoWork(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	late := noon.Add(reportMaxAge + time.Millisecond)
 	if decisions := arrive(dispatcher, late, "one", true); find(decisions, DispatchPrefill) != nil {
-		t.Errorf("work went to a server that does not report: %+v", decisions)
+		t.Errorf("with expired load reports: got %+v, want no dispatch", decisions)
 	}
 }
 
-// TestLeaseOfAnotherVersionLetsNothingIn renews a lease for a configuration that
-// is not the one in force.
-func TestLeaseOfAnotherVersionLetsNothingIn(t *testing.T) {
+// TestLeaseForAnotherVersionAdmitsNothing checks that no request is admitted under a lease for a
+// configuration version that is not in force.
+func TestLeaseForAnotherVersionAdmitsNothing(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	configure(t, dispatcher, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
 	later := noon.Add(5 * time.Second)
 	reportLoads(dispatcher, later)
-	dispatcher.Renew(later.Add(4*time.Second), 1, 1)
+	dispatcher.ExtendLease(later.Add(4*time.Second), 1, 1)
 	if decisions := arrive(dispatcher, later, "one", true); find(decisions, DispatchPrefill) != nil {
-		t.Errorf("let in under a lease for an older configuration: %+v", decisions)
+		t.Errorf("with a lease for an older configuration: got %+v, want no dispatch", decisions)
 	}
 }
 
-// TestDarkServerEndsWhatMayNotBeRepeated leaves a request that may not be
-// repeated at a server that reports no more: nothing further can be known, so it
-// is ended at once. At one that is slow and reports, it goes on.
-func TestDarkServerEndsWhatMayNotBeRepeated(t *testing.T) {
-	for name, reports := range map[string]bool{"slow": true, "dark": false} {
+// TestUnreachableServerEndsANonIdempotentRequest lets a request that is not idempotent wait for a
+// server for too long. If the server no longer reports its load, the outcome cannot be known and
+// the request ends at once with status Unknown. If the server still reports its load, the request
+// continues.
+func TestUnreachableServerEndsANonIdempotentRequest(t *testing.T) {
+	for name, reports := range map[string]bool{"slow server": true, "unreachable server": false} {
 		dispatcher := newTestDispatcher(t)
 		arrive(dispatcher, noon, "one", false)
 		dispatch := find(dispatcher.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill)
@@ -397,34 +401,36 @@
 		}
 		final := find(dispatcher.Tick(late), Finish)
 		if reports && final != nil {
-			t.Errorf("%s: ended, though %s reports: %+v", name, dispatch.Server, final)
+			t.Errorf("%s: ended while %s still reports: got %+v, want no final status", name, dispatch.Server, final)
 		}
 		if !reports && (final == nil || final.Final != Unknown) {
-			t.Errorf("%s: not ended as unknown: %+v", name, final)
+			t.Errorf("%s: got %+v, want Unknown", name, final)
 		}
 	}
 }
 
-// TestRetryBudgetCapsItsCreditAtTwoRetries lets a router work long without a fault: a
-// failure must not bring a burst of retries that were saved up before.
+// TestRetryBudgetCapsItsCreditAtTwoRetries checks that the credit that accrues over a long time
+// without retries does not allow a burst of retries after a failure.
 func TestRetryBudgetCapsItsCreditAtTwoRetries(t *testing.T) {
 	budget := &RetryBudget{}
 	for range 1000 {
 		budget.RecordFirst()
 	}
-	saved := 0
+	allowed := 0
 	for budget.Spend(1) {
-		saved++
+		allowed++
 	}
-	if saved != 2 {
-		t.Errorf("%d retries were saved", saved)
+	if allowed != 2 {
+		t.Errorf("got credit for %d retries, want 2", allowed)
 	}
 }
 
-// TestDispatcherServesWithoutALeaseForTheConfiguredPeriod lets the lease end, and the time
-// without one; a dispatcher that never had a lease admits nothing.
+// TestDispatcherServesWithoutALeaseForTheConfiguredPeriod checks admission after the lease
+// has expired, within the configured period and after it. A dispatcher that never had a
+// lease admits nothing.
 func TestDispatcherServesWithoutALeaseForTheConfiguredPeriod(t *testing.T) {
-	arrives := func(d *Dispatcher, at time.Duration) failure.Code {
+	// The id of each request contains the wall-clock time, because ids must not repeat.
+	arrivalCause := func(d *Dispatcher, at time.Duration) failure.Code {
 		reportLoads(d, noon.Add(at))
 		if final := find(arrive(d, noon.Add(at), fmt.Sprint("at ", at, time.Now().UnixNano()), true), Finish); final != nil {
 			return final.Cause
@@ -432,23 +438,23 @@
 		return ""
 	}
 	dispatcher := newTestDispatcher(t)
-	if cause := arrives(dispatcher, 5*time.Second); cause != failure.NoLease {
-		t.Errorf("without the setting: %q", cause)
+	if cause := arrivalCause(dispatcher, 5*time.Second); cause != failure.NoLease {
+		t.Errorf("expired lease without the setting: got cause %q, want NoLease", cause)
 	}
 	dispatcher.SetServeWithoutLease(time.Minute)
-	if cause := arrives(dispatcher, 5*time.Second); cause != "" {
-		t.Errorf("within its time without a lease: %q", cause)
+	if cause := arrivalCause(dispatcher, 5*time.Second); cause != "" {
+		t.Errorf("within the period without a lease: got cause %q, want none", cause)
 	}
-	if cause := arrives(dispatcher, 65*time.Second); cause != failure.NoLease {
-		t.Errorf("after its time without a lease: %q", cause)
+	if cause := arrivalCause(dispatcher, 65*time.Second); cause != failure.NoLease {
+		t.Errorf("after the period without a lease: got cause %q, want NoLease", cause)
 	}
 	if !dispatcher.LeaseEnds().Equal(noon.Add(4 * time.Second)) {
-		t.Errorf("the lease ends %s", dispatcher.LeaseEnds())
+		t.Errorf("got lease end %s, want noon plus 4 seconds", dispatcher.LeaseEnds())
 	}
-	blank := NewDispatcher(NewMarket("north", false), "north", 100)
-	blank.SetServeWithoutLease(time.Hour)
-	configure(t, blank, 1, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
-	if cause := arrives(blank, 0); cause != failure.NoLease {
-		t.Errorf("an incarnation without any lease: %q", cause)
+	withoutLease := NewDispatcher(NewMarket("north", false), "north", 100)
+	withoutLease.SetServeWithoutLease(time.Hour)
+	configure(t, withoutLease, 1, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
+	if cause := arrivalCause(withoutLease, 0); cause != failure.NoLease {
+		t.Errorf("without any lease since the start: got cause %q, want NoLease", cause)
 	}
 }
--- a/internal/auction/event.go
+++ b/internal/auction/event.go
@@ -13,59 +13,65 @@
 // EventKind names a kind of event.
 type EventKind string
 
-// The kinds of event about the fleet, with the fields of Event that each reads besides At.
+// Kinds of events about the fleet. Each comment ends with the fields of Event that the kind
+// uses in addition to At.
 const (
-	// Ticked lets time pass: deadlines, timeouts and roles are looked at.
+	// Ticked advances the time: deadlines, timeouts and roles are checked. No fields.
 	Ticked EventKind = "ticked"
-	// ServersListed replaces the list of servers: Servers.
+	// ServersListed replaces the list of servers. Fields: Servers.
 	ServersListed EventKind = "servers_listed"
-	// LoadReported brings one model server's report: Load.
+	// LoadReported carries the load report of one model server. Fields: Load.
 	LoadReported EventKind = "load_reported"
-	// LoadsReported brings the reports of servers of opaque calls: Loads.
+	// LoadsReported carries load reports of the servers of opaque calls. Fields: Loads.
 	LoadsReported EventKind = "loads_reported"
-	// RoutersCounted tells how many routers share the servers: Number.
+	// RoutersCounted sets how many routers share the servers. Fields: Number.
 	RoutersCounted EventKind = "couriers_counted"
-	// ConfigurationReceived brings an accepted configuration: Configuration, Epoch, Number.
+	// ConfigurationReceived carries an accepted configuration.
+	// Fields: Configuration, Epoch, Number.
 	ConfigurationReceived EventKind = "menu_received"
-	// ConfigurationProvisional brings one that no primary has confirmed since the router
-	// started; the fields are the same.
+	// ConfigurationProvisional carries a configuration that no primary has confirmed since
+	// the router started. Fields: Configuration, Epoch, Number.
 	ConfigurationProvisional EventKind = "menu_lent"
-	// LeaseRenewed brings the router's lease: LeaseEnds, Epoch, Number, Roles.
+	// LeaseRenewed renews the router's lease. Fields: LeaseEnds, Epoch, Number, Roles.
 	LeaseRenewed EventKind = "hold_renewed"
-	// FlagsRead brings the enabled feature flags: Enabled.
+	// FlagsRead carries the enabled feature flags. Fields: Enabled.
 	FlagsRead EventKind = "flags_read"
-	// OrdersRead brings the orders in force by server: Orders.
+	// OrdersRead carries the orders in force by server. Fields: Orders.
 	OrdersRead EventKind = "orders_read"
-	// DrainStarted ends admission.
+	// DrainStarted stops the admission of requests. No fields.
 	DrainStarted EventKind = "drain_started"
 )
 
-// The kinds of event about one request, named by ID, and by Run from its dispatch on.
+// Kinds of events about one request. Except for RequestArrived they have the request's ID;
+// PrefillAnswered, ChunkReceived and DecodeEnded also have the Run. Each comment ends with
+// the other fields that the kind uses.
 const (
-	// RequestArrived brings a new request: Request.
+	// RequestArrived carries a new request. Fields: Request.
 	RequestArrived EventKind = "inquiry_arrived"
-	// ClaimAnswered answers ClaimRequest: Outcome, Detail.
+	// ClaimAnswered is the answer to ClaimRequest. Fields: Outcome, Detail.
 	ClaimAnswered EventKind = "claim_answered"
-	// PrefillAnswered answers DispatchPrefill: Outcome, Handle.
+	// PrefillAnswered is the answer to DispatchPrefill. Fields: Outcome, Handle.
 	PrefillAnswered EventKind = "prefill_answered"
-	// ChunkReceived brings the stream's next chunk: Chunk (its number from 1), Text.
+	// ChunkReceived carries the next chunk of the stream.
+	// Fields: Chunk (its number, starting at 1), Text.
 	ChunkReceived EventKind = "piece_received"
-	// DecodeEnded answers DispatchDecode: Outcome, Chunk (how many there were).
+	// DecodeEnded is the answer to DispatchDecode. Fields: Outcome, Chunk (the number of
+	// chunks sent).
 	DecodeEnded EventKind = "decode_ended"
-	// ClientDisconnected tells that nobody waits for the reply any more.
+	// ClientDisconnected reports that the client has closed its connection.
 	ClientDisconnected EventKind = "origin_left"
 )
 
-// The kinds of event about an opaque call.
+// Kinds of events about an opaque call.
 const (
-	// CallArrived brings a new call: Call.
+	// CallArrived carries a new call. Fields: Call.
 	CallArrived EventKind = "call_arrived"
-	// CallEnded tells how the dispatch of a call ended: ID, Result.
+	// CallEnded reports how the dispatch of a call ended. Fields: ID, Result.
 	CallEnded EventKind = "call_ended"
 )
 
-// Event is one thing that happened, at a time. Which fields it has besides depends on its
-// kind; fields of other kinds are ignored.
+// Event is one input of the core, with the time (At) at which it happened. Its kind determines
+// which other fields are used; the rest are ignored.
 type Event struct {
 	Kind    EventKind `json:"event"`
 	At      time.Time `json:"at"`
--- a/internal/auction/finish.go
+++ b/internal/auction/finish.go
@@ -6,14 +6,15 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// refuse answers a request that is not admitted.
+// refuse returns the final decision on a request that is not admitted.
 func (d *Dispatcher) refuse(request *Request, cause failure.Code, detail string, retry time.Duration) []Decision {
 	d.counters.Refused.Add(1)
-	return []Decision{{Kind: Finish, ID: request.ID, Final: Refused, Cause: cause, Detail: detail, Retry: retry}}
+	return []Decision{{Kind: Finish, ID: request.ID, Final: Refused, Cause: cause, Detail: detail, RetryAfter: retry}}
 }
 
-// abort ends a request that gets no further dispatch, with the status that is certain:
-// refused when it never ran, unknown when a server may be running it.
+// abort ends a request that gets no further dispatch. The final status is Refused if no
+// server can have run the request, Unknown if a server may be running a request that is not
+// idempotent and no chunk was sent, and Failed otherwise.
 func (d *Dispatcher) abort(now time.Time, s *shard, entry *requestState, cause failure.Code) []Decision {
 	final := Failed
 	switch {
@@ -29,7 +30,7 @@
 	return append(decisions, d.finish(now, s, entry, final, cause)...)
 }
 
-// cancelCurrent tells the server that was dispatched to last to give up.
+// cancelCurrent cancels the request's current run at its current server.
 func (d *Dispatcher) cancelCurrent(entry *requestState) []Decision {
 	current := entry.currentServer()
 	if current == nil {
@@ -44,7 +45,7 @@
 	}}
 }
 
-// finish removes a request, whose shard is locked, and sends its final status.
+// finish removes a request from its shard and sends the final status to the client.
 func (d *Dispatcher) finish(
 	now time.Time,
 	s *shard,
@@ -66,7 +67,7 @@
 		Chunks: entry.chunks,
 	}
 	if final == Refused || final == Failed {
-		decision.Retry = d.market.RetryAfter(now)
+		decision.RetryAfter = d.market.RetryAfter(now)
 	}
 	return []Decision{decision}
 }
@@ -79,26 +80,26 @@
 	}
 	defer s.mutex.Unlock()
 	entry.mayBeRunning = entry.mayBeRunning || entry.dispatched()
-	return d.abort(now, s, entry, failure.ClientLeft)
+	return d.abort(now, s, entry, failure.ClientDisconnected)
 }
 
 // Tick ends the requests past their deadline, retries or ends those whose server has timed
-// out, and dispatches those that waited for a lease. Requests are visited by shard and ID,
-// so that the same events give the same decisions.
+// out, and dispatches those that waited for a lease or for decode capacity. Requests are
+// visited in order of shard and ID, so that the same events give the same decisions.
 func (d *Dispatcher) Tick(now time.Time) []Decision {
 	var decisions []Decision
 	for position := range d.shards {
 		s := &d.shards[position]
 		s.mutex.Lock()
 		for _, id := range sortedIDs(s.requests) {
-			decisions = append(decisions, d.tickOne(now, s, s.requests[id])...)
+			decisions = append(decisions, d.tickRequest(now, s, s.requests[id])...)
 		}
 		s.mutex.Unlock()
 	}
 	return decisions
 }
 
-func (d *Dispatcher) tickOne(now time.Time, s *shard, entry *requestState) []Decision {
+func (d *Dispatcher) tickRequest(now time.Time, s *shard, entry *requestState) []Decision {
 	if !now.Before(entry.request.Deadline) {
 		entry.mayBeRunning = entry.mayBeRunning || entry.dispatched()
 		return d.abort(now, s, entry, failure.DeadlinePassed)
@@ -117,15 +118,16 @@
 	return d.serverTimedOut(now, s, entry)
 }
 
-// serverTimedOut handles a server that is unreachable, or far slower than its ask.
+// serverTimedOut handles a server that is unreachable, or far slower than estimated.
 func (d *Dispatcher) serverTimedOut(now time.Time, s *shard, entry *requestState) []Decision {
 	current := entry.currentServer()
 	if entry.chunks == 0 && !entry.request.Idempotent {
-		if d.market.reports(now, current.server) {
-			// It is slow but reachable, and the request may not be sent elsewhere.
+		if d.market.hasRecentReport(now, current.server) {
+			// The server is slow but reachable. The request is not idempotent, so it must
+			// not be sent to another server.
 			return nil
 		}
-		// Whether it ran can't be known any more, and waiting would not help.
+		// It can no longer be known whether the request ran, so waiting would not help.
 		entry.mayBeRunning = true
 		return d.abort(now, s, entry, failure.ServerFailed)
 	}
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -9,11 +9,11 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Market finds the pair of servers for a request as a whole: the price of a pair is the
-// prefill server's ask, the KV transfer between the two, and the decode server's ask, all
-// estimated times. Methods may be called from several threads.
+// Market picks the pair of servers for a request. The price of a pair is the sum of three
+// estimated times: the prefill server's ask, the KV transfer between the two servers, and
+// the decode server's ask. Its methods may be called from several threads.
 type Market struct {
-	// mutex orders the lists; the snapshot is replaced under it.
+	// mutex serializes replacements of the snapshot.
 	mutex       sync.Mutex
 	snapshot    atomic.Pointer[snapshot]
 	zone        string
@@ -21,16 +21,18 @@
 	routers     atomic.Int64
 }
 
-// snapshot is the servers as they were listed last; it is not altered.
+// snapshot holds the servers of the last list. It is replaced, never modified; only the
+// atomic fields of the server states change.
 type snapshot struct {
-	// servers are sorted by name.
+	// servers are sorted by name; listing is the list in its original order.
 	servers []*ServerState
 	byName  map[string]*ServerState
 	listing []membership.Server
 }
 
-// NewMarket makes the market of a router in a zone. With leastLoaded it picks the two
-// least loaded servers instead of the cheapest pair, for comparison.
+// NewMarket returns the market of a router in a zone. If leastLoaded is set, the market picks the
+// least loaded prefill server and the least loaded decode server instead of the cheapest pair, as a
+// baseline for comparison.
 func NewMarket(zone string, leastLoaded bool) *Market {
 	market := &Market{zone: zone, leastLoaded: leastLoaded}
 	market.snapshot.Store(&snapshot{byName: map[string]*ServerState{}})
@@ -40,9 +42,10 @@
 // SetRouters sets how many routers share the servers.
 func (m *Market) SetRouters(count int) { m.routers.Store(int64(count)) }
 
-// localQuota is how much of the free capacity this router may fill before it sees the next
-// report: twice its own share, since not all others come at once; only its own share of a
-// server that is warming up; but one at least.
+// localQuota returns how much of a server's free capacity this router may use before the
+// next load report. A single router may use all of it. Several routers may each use twice an
+// equal share, because not all of them send at the same time; the factor falls to one for a
+// server that has just started (see rampUp), and the result is at least one.
 func (m *Market) localQuota(free, ramp float64) int64 {
 	routers := max(1, m.routers.Load())
 	if routers == 1 {
@@ -51,8 +54,9 @@
 	return max(1, int64(free*(1+ramp*ramp)/float64(routers)))
 }
 
-// List replaces the server list; a server whose address stays keeps its report.
-func (m *Market) List(servers []membership.Server) {
+// SetServers replaces the server list. A server with an unchanged name and address keeps its
+// report, its avoidance period and its pending decodes.
+func (m *Market) SetServers(servers []membership.Server) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	old := m.snapshot.Load()
@@ -73,15 +77,16 @@
 	m.snapshot.Store(next)
 }
 
-// Report takes the load report of a listed server.
+// Report stores the load report of a listed server.
 func (m *Market) Report(now time.Time, load Load) {
 	if state, found := m.snapshot.Load().byName[load.Server]; found {
 		state.report.Store(&report{load: load, at: now})
 	}
 }
 
-// reports tells whether a server is listed and has a report that counts, leaving or not.
-func (m *Market) reports(now time.Time, server membership.Server) bool {
+// hasRecentReport reports whether a server is still listed at the same address and has a recent
+// load report. A leaving server counts as well.
+func (m *Market) hasRecentReport(now time.Time, server membership.Server) bool {
 	state, found := m.snapshot.Load().byName[server.Name]
 	if !found || state.server.Address != server.Address {
 		return false
@@ -89,33 +94,35 @@
 	return state.report.Load().recent(now)
 }
 
-// Avoid offers a server no work for avoidPeriod, after a fault.
+// Avoid keeps new work away from a server for avoidPeriod. It is called after a fault of the server.
 func (m *Market) Avoid(now time.Time, server string) {
 	if state, found := m.snapshot.Load().byName[server]; found {
 		state.avoidedUntil.Store(now.Add(avoidPeriod).UnixNano())
 	}
 }
 
-// Bid is the pair of servers that a request gets.
+// Bid is the pair of servers chosen for a request.
 type Bid struct {
 	Prefill *ServerState
 	Decode  *ServerState
-	// Price is the estimated time of the request, TransferTime the KV transfer in it.
+	// Price is the estimated time of the request; it includes TransferTime, the estimated
+	// time of the KV transfer.
 	Price        time.Duration
 	TransferTime time.Duration
 }
 
-// zonePenalty is what is added for work that leaves the router's zone.
+// zonePenalty is added to the price of work outside the router's own zone, for a route that
+// prefers this zone. Half of it is added to each KV transfer between zones.
 const zonePenalty = 30 * time.Millisecond
 
-// priceSpread is how far apart two prices must be for every router to prefer the same
-// pair: within it the request's own hash decides, so that routers with the same stale
-// reports do not all send to one server.
+// priceSpread is the largest relative increase of a price by a hash of the request and the
+// pair. It spreads requests over pairs of similar price, so that routers with the same
+// stale reports do not all send to one server.
 const priceSpread = 0.25
 
-// Choose finds the pair with the lowest price, among servers that allowed accepts and
-// whose names are not in tried. Each server is asked once; pairs are priced from the
-// lowest asks on, until none that is left can be cheaper.
+// Choose finds the pair with the lowest price among the servers that allowed accepts and
+// whose names are not in tried. It computes one ask per server, then prices pairs in order
+// of their asks until no remaining pair can be cheaper.
 func (m *Market) Choose(
 	now time.Time,
 	request *Request,
@@ -144,7 +151,7 @@
 }
 
 // ChooseDecode finds the decode server with the lowest price for a request whose prefill
-// is done at the server source.
+// was done by the server named source.
 func (m *Market) ChooseDecode(
 	now time.Time,
 	request *Request,
@@ -176,13 +183,13 @@
 	return best, found
 }
 
-// seconds is the time for an amount at a rate per second.
+// seconds returns the time that an amount takes at a rate per second.
 func seconds(amount, rate int) time.Duration {
 	return time.Duration(float64(amount) / float64(max(rate, 1)) * float64(time.Second))
 }
 
-// askPrefill is the estimated time until the server has read the prompt, or false if it
-// offers nothing.
+// askPrefill returns the estimated time until the server has prefilled the prompt, or false
+// if the server can take no prefill.
 func (m *Market) askPrefill(
 	now time.Time,
 	state *ServerState,
@@ -194,8 +201,8 @@
 		return 0, false
 	}
 	ramp := current.rampUp(now)
-	// What was read since the report has left the queue; a server that is still warming
-	// up is not trusted to have done so.
+	// remaining is the estimated share of the queue that the server has not yet prefilled. A
+	// server that is still warming up is assumed to have prefilled nothing since its report.
 	queued := float64(current.load.PrefillQueueTokens) + float64(current.prefillTokens.Load())
 	remaining := 1.0
 	if queued > 0 && ramp == 1 {
@@ -214,7 +221,8 @@
 	return ask, true
 }
 
-// askDecode is the estimated time of the stream, or false if the server offers nothing.
+// askDecode returns the estimated time of the stream, or false if the server can take no
+// decode.
 func (m *Market) askDecode(now time.Time, decode *ServerState, request *Request) (time.Duration, bool) {
 	current := decode.freshReport(now)
 	if current == nil || current.load.Role != Decode || decode.avoided(now) {
@@ -233,14 +241,14 @@
 	if full || current.load.MemoryFree-int(current.memory.Load()) < needed {
 		return 0, false
 	}
-	// A fuller server makes chunks more slowly, and leaves less capacity for the
-	// requests that come next.
+	// A fuller server produces chunks more slowly and has less capacity left for later
+	// requests.
 	fullness := float64(busy) / float64(slots)
 	return time.Duration(float64(request.Chunks) * float64(current.load.ChunkTime) * (0.25 + fullness*fullness)), true
 }
 
-// Reserve counts a bid's prefill until the server's next report shows it, and reserves a
-// slot at the decode server until Release.
+// Reserve adds a bid's prefill to the load of the prefill server until its next report, and
+// reserves a slot at the decode server until Release.
 func (m *Market) Reserve(bid Bid, request *Request) {
 	if current := bid.Prefill.report.Load(); current != nil {
 		current.prefillTokens.Add(int64(current.uncachedTokens(request)))
@@ -249,10 +257,10 @@
 	bid.Decode.pendingDecodes.Add(1)
 }
 
-// Release gives the reserved decode slot back.
+// Release frees the decode slot that Reserve has reserved.
 func (m *Market) Release(bid Bid) { bid.Decode.pendingDecodes.Add(-1) }
 
-// StartDecode counts a decode until the server's next report shows it.
+// StartDecode adds a decode to the load of the decode server until its next report.
 func (m *Market) StartDecode(bid Bid, request *Request) {
 	if current := bid.Decode.report.Load(); current != nil {
 		current.decodes.Add(1)
@@ -260,7 +268,8 @@
 	}
 }
 
-// RetryAfter estimates after what time there may be capacity again: one to ten seconds.
+// RetryAfter estimates the time until there is capacity again, between one and ten seconds:
+// half the time that the longest prefill queue takes.
 func (m *Market) RetryAfter(now time.Time) time.Duration {
 	delay := time.Second
 	for _, state := range m.snapshot.Load().servers {
@@ -271,10 +280,10 @@
 	return min(delay, 10*time.Second)
 }
 
-// Listing is the server list as List took it last.
-func (m *Market) Listing() []membership.Server { return m.snapshot.Load().listing }
+// Servers returns the server list of the last call of SetServers.
+func (m *Market) Servers() []membership.Server { return m.snapshot.Load().listing }
 
-// Load is the report of one server that counts now, if it has one.
+// Load returns the recent load report of one server, if there is one.
 func (m *Market) Load(now time.Time, server string) (Load, bool) {
 	state, found := m.snapshot.Load().byName[server]
 	if !found {
@@ -287,7 +296,7 @@
 	return r.load, true
 }
 
-// Loads lists the servers with the reports that count now.
+// Loads returns the server list, and the recent load reports by server.
 func (m *Market) Loads(now time.Time) ([]membership.Server, map[string]Load) {
 	current := m.snapshot.Load()
 	loads := map[string]Load{}
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// newTestMarket has so many servers, two of five of which read prompts.
+// newTestMarket returns a market with count servers. Two of each five servers are prefill servers.
 func newTestMarket(count int) *Market {
 	market := NewMarket("north", false)
 	var servers []membership.Server
@@ -20,7 +20,7 @@
 			Zone:    []string{"north", "south", "east"}[number%3],
 		})
 	}
-	market.List(servers)
+	market.SetServers(servers)
 	market.SetRouters(7)
 	reportAll(market, count, noon)
 	return market
@@ -46,9 +46,9 @@
 	}
 }
 
-func anywhere(membership.Server) bool { return true }
+func allowAll(membership.Server) bool { return true }
 
-// BenchmarkChoose is what the market costs a request.
+// BenchmarkChoose measures the choice of a pair of servers for one request.
 func BenchmarkChoose(benchmark *testing.B) {
 	for _, count := range []int{9, 12, 100, 300, 1100} {
 		benchmark.Run(fmt.Sprintf("%d servers", count), func(benchmark *testing.B) {
@@ -56,7 +56,7 @@
 			request := &Request{ID: "one", Service: "chat", PromptTokens: 500, Chunks: 20}
 			benchmark.ReportAllocs()
 			for range benchmark.N {
-				if _, found := market.Choose(noon, request, &RouteDecision{HomeFirst: true}, anywhere, nil); !found {
+				if _, found := market.Choose(noon, request, &RouteDecision{HomeFirst: true}, allowAll, nil); !found {
 					benchmark.Fatal("no pair")
 				}
 			}
@@ -64,43 +64,43 @@
 	}
 }
 
-// TestMarketIsTradedByManyThreads has threads bid, reserve and release while
-// reports and lists are replaced. The race detector watches; a slot that
-// is reserved must be given back.
-func TestMarketIsTradedByManyThreads(t *testing.T) {
+// TestMarketIsSafeForConcurrentUse has several threads choose pairs, reserve and release
+// them while load reports and server lists are replaced. The race detector must find no
+// data race, and all reserved slots must be free at the end.
+func TestMarketIsSafeForConcurrentUse(t *testing.T) {
 	market := newTestMarket(12)
-	var trading sync.WaitGroup
+	var workers sync.WaitGroup
 	for thread := range 8 {
-		trading.Go(func() {
+		workers.Go(func() {
 			for number := range 400 {
 				request := &Request{ID: fmt.Sprintf("%d-%d", thread, number), PromptTokens: 100, Chunks: 5}
-				bid, found := market.Choose(noon, request, &RouteDecision{}, anywhere, nil)
+				bid, found := market.Choose(noon, request, &RouteDecision{}, allowAll, nil)
 				if !found {
 					continue
 				}
 				market.Reserve(bid, request)
-				if other, found := market.ChooseDecode(noon, request, bid.Prefill.server.Name, anywhere, nil); found {
-					market.StartDecode(other, request)
+				if decodeBid, found := market.ChooseDecode(noon, request, bid.Prefill.server.Name, allowAll, nil); found {
+					market.StartDecode(decodeBid, request)
 				}
 				market.Release(bid)
 			}
 		})
 	}
-	trading.Go(func() {
+	workers.Go(func() {
 		for range 200 {
 			reportAll(market, 12, noon)
 		}
 	})
-	trading.Go(func() {
+	workers.Go(func() {
 		for range 200 {
-			listing, _ := market.Loads(noon)
-			market.List(listing)
+			listed, _ := market.Loads(noon)
+			market.SetServers(listed)
 		}
 	})
-	trading.Wait()
+	workers.Wait()
 	for _, state := range market.snapshot.Load().servers {
 		if pending := state.pendingDecodes.Load(); pending != 0 {
-			t.Errorf("%s has %d slots reserved for nobody", state.server.Name, pending)
+			t.Errorf("%s still has %d reserved slots, want 0", state.server.Name, pending)
 		}
 	}
 }
--- a/internal/auction/offer.go
+++ b/internal/auction/offer.go
@@ -9,32 +9,34 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// offer is what one server asks for its half of a request, as an estimated time.
+// offer is one server's offer for the prefill or the decode of a request.
 type offer struct {
 	state *ServerState
-	// position in the sorted list breaks ties.
+	// position is the index of the server in the sorted list; it breaks ties.
 	position int
+	// ask is the estimated time of the server's part of the request.
 	ask      time.Duration
 	linkRate int
 	report   *report
 }
 
 func newOffer(state *ServerState, position int, ask time.Duration) offer {
-	made := offer{state: state, position: position, ask: ask, report: state.report.Load()}
-	if made.report != nil {
-		made.linkRate = made.report.load.LinkRate
+	result := offer{state: state, position: position, ask: ask, report: state.report.Load()}
+	if result.report != nil {
+		result.linkRate = result.report.load.LinkRate
 	}
-	return made
+	return result
 }
 
-// minTransferTime is the least time that the prompt's KV cache takes from this server to any
-// other: over its own link, and within its zone.
+// minTransferTime returns a lower bound of transferTime for all decode servers: the time of a
+// transfer within the zone that only this server's own link limits.
 func (o offer) minTransferTime(request *Request) time.Duration {
 	return seconds(request.PromptTokens, o.linkRate)
 }
 
-// transferTime is the time that the prompt's KV cache takes from this server to the decode
-// server: at the slower of both links, and longer between zones.
+// transferTime returns the estimated time to transfer the prompt's KV cache from this server to the
+// decode server. The slower of the two links determines the rate; a transfer between zones takes
+// 1.5 times as long, plus half of zonePenalty.
 func (o offer) transferTime(decode offer, request *Request) time.Duration {
 	rate := decode.linkRate
 	if o.report != nil && o.linkRate < rate {
@@ -47,20 +49,20 @@
 	return total
 }
 
-// offerSet has the offers for one request.
+// offerSet holds the offers for one request.
 type offerSet struct {
 	prefill []offer
 	decode  []offer
 }
 
-// offerPool keeps the sets that are not in use, to allocate none for each request.
+// offerPool reuses offer sets, to avoid an allocation for each request.
 var offerPool = sync.Pool{New: func() any { return &offerSet{} }}
 
 func (o *offerSet) clear() {
 	o.prefill, o.decode = o.prefill[:0], o.decode[:0]
 }
 
-// sortByAsk sorts offers by their ask, and equal ones as they stand in the list.
+// sortByAsk sorts offers by ask, then by position in the server list.
 func sortByAsk(offers []offer) {
 	slices.SortFunc(offers, func(left, right offer) int {
 		if left.ask != right.ask {
@@ -70,10 +72,10 @@
 	})
 }
 
-// floor is added to each price, so that the spread counts for asks of nothing too.
+// priceFloor is added to each price, so that priceSpread has an effect on asks of zero too.
 const priceFloor = 5 * time.Millisecond
 
-// rank orders pairs by price, and those of one price by their place in the list.
+// rank orders pairs by price, then by the positions of the prefill and the decode server.
 type rank struct {
 	price           float64
 	prefill, decode int
@@ -89,33 +91,35 @@
 	return r.decode < other.decode
 }
 
-// cheapest is the pair with the lowest price; of equal ones that which stands first in
-// the list. The spread only adds to the sum that a price is made of, so that the lowest
-// sum that is left bounds all prices that are left.
+// cheapest returns the pair with the lowest price, and among equal prices the pair with the
+// lowest positions in the server list. The spread only increases the sum of the estimated
+// times, so the lowest remaining sum is a lower bound of all remaining prices, and the
+// search can stop there.
 func (o *offerSet) cheapest(request *Request) (Bid, bool) {
 	sortByAsk(o.prefill)
 	sortByAsk(o.decode)
 	var best Bid
 	var bestRank rank
-	// worse tells that no pair whose parts sum up to this or more would be taken.
-	worse := func(sum time.Duration, prefill, decode int) bool {
+	// isWorse reports whether a pair whose estimated times add up to at least sum ranks
+	// behind the best pair found so far.
+	isWorse := func(sum time.Duration, prefill, decode int) bool {
 		return best.Prefill != nil && bestRank.before(rank{float64(sum + priceFloor), prefill, decode})
 	}
 	for _, prefill := range o.prefill {
-		least := prefill.ask + prefill.minTransferTime(request)
+		minSum := prefill.ask + prefill.minTransferTime(request)
 		var weigher membership.Weigher
-		weighs := false
+		weigherReady := false
 		for _, decode := range o.decode {
-			if worse(least+decode.ask, prefill.position, decode.position) {
+			if isWorse(minSum+decode.ask, prefill.position, decode.position) {
 				break
 			}
 			transferTime := prefill.transferTime(decode, request)
 			sum := prefill.ask + transferTime + decode.ask
-			if decode.state == prefill.state || worse(sum, prefill.position, decode.position) {
+			if decode.state == prefill.state || isWorse(sum, prefill.position, decode.position) {
 				continue
 			}
-			if !weighs {
-				weigher, weighs = membership.NewWeigher(request.ID+"/"+prefill.state.server.Name), true
+			if !weigherReady {
+				weigher, weigherReady = membership.NewWeigher(request.ID+"/"+prefill.state.server.Name), true
 			}
 			noise := float64(weigher.Weight(decode.state.server.Name)%1024) / 1024
 			price := float64(sum+priceFloor) * (1 + priceSpread*noise)
@@ -129,9 +133,10 @@
 	return best, best.Prefill != nil
 }
 
-// leastLoaded is the choice that the auction is compared with: the first server with the
-// shortest queue and the first with the fewest active decodes, regardless of prefixes, KV
-// transfer, zones and the router's own work in flight.
+// leastLoaded returns the pair of the baseline that the auction is compared with: the first
+// prefill server with the fewest waiting prompts and the first decode server with the fewest
+// active decodes. It ignores cached prefixes, KV transfers, zones and the router's own work
+// in flight.
 func (o *offerSet) leastLoaded(request *Request) (Bid, bool) {
 	if len(o.prefill) == 0 || len(o.decode) == 0 {
 		return Bid{}, false
--- a/internal/auction/offer_test.go
+++ b/internal/auction/offer_test.go
@@ -9,9 +9,9 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// everyPair is the choice as its definition says it: every pair is priced, and the
-// first of the lowest is taken.
-func everyPair(
+// choosePairExhaustively is a reference implementation of Market.Choose: it prices every
+// pair and returns the first pair with the lowest price.
+func choosePairExhaustively(
 	market *Market,
 	now time.Time,
 	request *Request,
@@ -48,13 +48,13 @@
 	return best, found
 }
 
-// TestChoiceIsThatOfEveryPair has drawn markets, with equal asks and with very
-// different ones, give the pair that pricing every pair gives.
-func TestChoiceIsThatOfEveryPair(t *testing.T) {
+// TestChooseMatchesExhaustiveSearch compares Market.Choose with choosePairExhaustively in random
+// markets, half of them with equal loads on all servers and half with random loads.
+func TestChooseMatchesExhaustiveSearch(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
-	chosen, none := 0, 0
-	for day := range 400 {
-		market := NewMarket("north", day%5 == 4)
+	chosen, withoutPair := 0, 0
+	for trial := range 400 {
+		market := NewMarket("north", trial%5 == 4)
 		market.SetRouters(1 + random.IntN(9))
 		var servers []membership.Server
 		for number := range 1 + random.IntN(60) {
@@ -65,10 +65,10 @@
 				Leaving: random.IntN(15) == 0,
 			})
 		}
-		market.List(servers)
-		alike := day%2 == 0
-		draw := func(limit int) int {
-			if alike {
+		market.SetServers(servers)
+		equalLoads := trial%2 == 0
+		randomBelow := func(limit int) int {
+			if equalLoads {
 				return 0
 			}
 			return random.IntN(limit)
@@ -78,23 +78,23 @@
 			market.Report(noon, Load{
 				Server:             server.Name,
 				Role:               role,
-				Age:                time.Hour - time.Duration(draw(2))*time.Hour,
-				PrefillRate:        20_000 + draw(9000),
+				Age:                time.Hour - time.Duration(randomBelow(2))*time.Hour,
+				PrefillRate:        20_000 + randomBelow(9000),
 				PrefillCapacity:    12,
-				PrefillWaiting:     draw(14),
-				PrefillQueueTokens: draw(40_000),
+				PrefillWaiting:     randomBelow(14),
+				PrefillQueueTokens: randomBelow(40_000),
 				DecodeSlots:        16,
-				DecodeActive:       draw(17),
+				DecodeActive:       randomBelow(17),
 				ChunkTime:          8 * time.Millisecond,
-				MemoryFree:         200_000 - draw(205_000),
-				LinkRate:           400_000 - draw(390_000),
-				Prefixes:           map[string]int{"shared": draw(900)},
+				MemoryFree:         200_000 - randomBelow(205_000),
+				LinkRate:           400_000 - randomBelow(390_000),
+				Prefixes:           map[string]int{"shared": randomBelow(900)},
 			})
 		}
 		for number := range 12 {
 			now := noon.Add(time.Duration(random.IntN(1600)) * time.Millisecond)
 			request := &Request{
-				ID:           fmt.Sprintf("%d-%d", day, number),
+				ID:           fmt.Sprintf("%d-%d", trial, number),
 				PromptTokens: 1 + random.IntN(6000),
 				Prefix:       "shared",
 				PrefixTokens: 800,
@@ -103,13 +103,13 @@
 			route := &RouteDecision{HomeFirst: number%2 == 0}
 			allowed := func(server membership.Server) bool { return number%3 != 0 || server.Zone != "east" }
 			tried := map[string]bool{"stove-1": number%4 == 0}
-			want, wanted := everyPair(market, now, request, route, allowed, tried)
+			want, wantFound := choosePairExhaustively(market, now, request, route, allowed, tried)
 			got, found := market.Choose(now, request, route, allowed, tried)
-			if found != wanted || got != want {
-				t.Fatalf("day %d, inquiry %d: got %v, want %v", day, number, got, want)
+			if found != wantFound || got != want {
+				t.Fatalf("trial %d, request %d: got %v, want %v", trial, number, got, want)
 			}
 			if !found {
-				none++
+				withoutPair++
 				continue
 			}
 			chosen++
@@ -117,7 +117,7 @@
 			market.StartDecode(got, request)
 		}
 	}
-	if chosen < 1000 || none < 100 {
-		t.Errorf("%d choices and %d without a pair say little", chosen, none)
+	if chosen < 1000 || withoutPair < 100 {
+		t.Errorf("got %d choices and %d without a pair, want at least 1000 and 100 for a significant comparison", chosen, withoutPair)
 	}
 }
--- a/internal/auction/request.go
+++ b/internal/auction/request.go
@@ -10,21 +10,22 @@
 type Request struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
-	// Client names who asks; routes may match on it.
+	// Client is the name of the client; routes may match on it.
 	Client string `json:"origin,omitempty"`
 	// Idempotent allows running the request again after a server may have started it.
 	// Any other request is claimed at the primary before its first dispatch.
 	Idempotent bool `json:"repeatable"`
-	// Deadline is the moment past which nothing is dispatched any more; the zero time
-	// asks for the service's own time limit, and a later deadline is cut to it.
+	// Deadline is the time after which the request is not dispatched. The service's timeout
+	// limits it; the zero time asks for the service's timeout.
 	Deadline     time.Time `json:"limit"`
 	Prompt       string    `json:"prompt,omitempty"`
 	PromptTokens int       `json:"prompt_tokens"`
-	// Prefix identifies the prompt's shared beginning in the servers' prefix caches, and
+	// Prefix identifies the shared prefix of the prompt in the servers' prefix caches, and
 	// PrefixTokens is its length.
 	Prefix       string `json:"prefix,omitempty"`
 	PrefixTokens int    `json:"prefix_tokens,omitempty"`
-	// Chunks is how many chunks the reply is to have; one takes a token of KV cache.
+	// Chunks is the requested number of chunks of the reply; each takes one token of KV
+	// cache.
 	Chunks int `json:"pieces"`
 }
 
@@ -39,11 +40,13 @@
 	OutcomeFailed     Outcome = "failed"
 	// OutcomeUnknown means that the server may or may not have run the step.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeDuplicate and OutcomeTooOld refuse a claim: the request's ID was claimed
-	// before, or the request is older than what the claims are kept for.
+	// OutcomeDuplicate means that the claim was refused because the request's ID was
+	// claimed before.
 	OutcomeDuplicate Outcome = "duplicate"
-	OutcomeTooOld    Outcome = "too_old"
-	// OutcomeHandleExpired means that the prefill server no longer keeps the KV cache.
+	// OutcomeTooOld means that the claim was refused because the request is older than the
+	// claims that the primary retains, or because its ID has a time in the future.
+	OutcomeTooOld Outcome = "too_old"
+	// OutcomeHandleExpired means that the prefill server no longer has the KV cache.
 	OutcomeHandleExpired Outcome = "handle_lapsed"
 )
 
@@ -56,60 +59,62 @@
 	// Refused means that the request never ran and never will.
 	Refused FinalStatus = "refused"
 	Failed  FinalStatus = "failed"
-	// Unknown means that a server may have run the request, and nobody can tell.
+	// Unknown means that a server may or may not have run the request.
 	Unknown FinalStatus = "unknown"
 )
 
-// phase is what a request in flight waits for.
+// phase is the step that a request in flight has reached.
 type phase uint8
 
 const (
 	// claiming waits for the primary's answer to the claim.
 	claiming phase = iota
-	// readyToPrefill waits for a lease to dispatch its prefill under.
+	// readyToPrefill waits for a lease to dispatch the prefill.
 	readyToPrefill
 	prefilling
-	// readyToDecode waits for a lease, or for capacity, to dispatch its decode.
+	// readyToDecode waits for a lease or for capacity to dispatch the decode.
 	readyToDecode
 	decoding
 )
 
-// requestState is what the dispatcher knows of one admitted request.
+// requestState is the dispatcher's state of one admitted request.
 type requestState struct {
 	request *Request
 	route   *RouteDecision
 	phase   phase
-	// run counts the prefills that were dispatched; each makes a KV cache of its own.
+	// run counts the dispatched prefills; each creates a KV cache of its own.
 	run int
 	bid Bid
-	// reserved tells that the bid's decode slot is reserved in the market.
+	// reserved is set while the market has the bid's decode slot reserved.
 	reserved bool
-	// tried are the servers that are not to be asked again.
+	// tried holds the names of the servers that the request is not sent to again.
 	tried map[string]bool
-	// attempts counts the dispatches that count against the service's attempts.
+	// attempts counts the dispatches that MaxAttempts of the service limits: each prefill, and each
+	// decode that is retried without another prefill.
 	attempts int
-	// decodeDispatched tells that a decode server was asked in this run: a further run
-	// asks a prefill and a decode server again, and costs two retries.
+	// decodeDispatched is set once the current run was sent to a decode server. Another run
+	// then repeats both a prefill and a decode, and costs two retries.
 	decodeDispatched bool
-	// mayBeRunning tells that a server may be at work on it now, mayHaveRun that one may
-	// have started it at any time; a request that is not idempotent is then not retried.
+	// mayBeRunning is set if a server may be working on the request now.
 	mayBeRunning bool
-	mayHaveRun   bool
-	// handle names the KV cache that this run's prefill made.
+	// mayHaveRun is set if a server may have started the request at any time. A request
+	// that is not idempotent is then not retried.
+	mayHaveRun bool
+	// handle names the KV cache that the current run's prefill created.
 	handle string
-	// chunks counts the chunks that were sent on.
+	// chunks counts the chunks forwarded to the client.
 	chunks int
-	// serverDeadline is until when the current server must make progress.
+	// serverDeadline is the time by which the current server must make progress.
 	serverDeadline time.Time
-	// leaseMissingSince is when the request began to wait for a lease, or zero.
+	// leaseMissingSince is when the request began to wait for a lease; zero if it does not.
 	leaseMissingSince time.Time
 }
 
-// dispatched tells whether a server was sent the request and has not answered yet.
+// dispatched reports whether a server is prefilling or decoding the request.
 func (r *requestState) dispatched() bool { return r.phase == prefilling || r.phase == decoding }
 
-// currentServer is the server of the pair that the request's phase is about; nil before
-// the first bid.
+// currentServer returns the decode server of the pair while the request is decoding, and the
+// prefill server otherwise; nil before the first bid.
 func (r *requestState) currentServer() *ServerState {
 	if r.phase == decoding {
 		return r.bid.Decode
@@ -117,7 +122,8 @@
 	return r.bid.Prefill
 }
 
-// sortedIDs keeps the order of decisions the same for the same events.
+// sortedIDs returns the request IDs in sorted order, so that the same events give the same
+// decisions in the same order.
 func sortedIDs(requests map[string]*requestState) []string {
 	if len(requests) == 0 {
 		return nil
@@ -130,7 +136,7 @@
 	return ids
 }
 
-// Counters counts requests: those that arrived, and those that ended by final status.
+// Counters counts the requests that arrived, and those that ended by final status.
 type Counters struct {
 	Arrived  atomic.Int64
 	Complete atomic.Int64
--- a/internal/auction/retrybudget.go
+++ b/internal/auction/retrybudget.go
@@ -2,26 +2,26 @@
 
 import "sync"
 
-// RetryBudget bounds the dispatches beyond each request's first to a fifth of the first
-// ones, in the manner of a token bucket that is filled by first dispatches rather than by
-// time: a fleet in trouble is not loaded further by its own retries.
+// RetryBudget limits retries to a fifth of the requests' first dispatches, so that retries do not
+// add much load to a fleet that already has faults. It is a token bucket that is refilled by first
+// dispatches, not by the passage of time.
 type RetryBudget struct {
 	mutex           sync.Mutex
 	firstDispatches int
 	retries         int
-	// credit is counted in first dispatches; creditPerRetry of them pay for a retry.
+	// credit is the unspent credit: each first dispatch adds one, and each retry costs creditPerRetry.
 	credit int
 }
 
 const (
 	// creditPerRetry is how many first dispatches earn one retry.
 	creditPerRetry = 5
-	// maxCredit is what a router that retries nothing saves: one failed KV transfer,
-	// which costs two retries, and no more, so that a failure does not bring a burst.
+	// maxCredit bounds the credit to two retries, the cost of one failed KV transfer, so
+	// that a failure after a long time without retries does not cause a burst of them.
 	maxCredit = 2 * creditPerRetry
 )
 
-// RecordFirst counts the first dispatch of a request, which earns a fifth of a retry.
+// RecordFirst counts the first dispatch of a request, which adds one credit.
 func (b *RetryBudget) RecordFirst() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -29,8 +29,8 @@
 	b.credit = min(b.credit+1, maxCredit)
 }
 
-// Spend takes count retries from the budget; it takes none and returns false if there
-// are fewer.
+// Spend takes count retries from the budget. If the credit does not suffice, it takes none
+// and returns false.
 func (b *RetryBudget) Spend(count int) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -42,7 +42,7 @@
 	return true
 }
 
-// Counts returns how many first dispatches and retries there were.
+// Counts returns the numbers of first dispatches and of retries so far.
 func (b *RetryBudget) Counts() (firstDispatches, retries int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/auction/rolebalancer.go
+++ b/internal/auction/rolebalancer.go
@@ -8,44 +8,48 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// RoleBalancer decides which server takes which role. It changes one server at a time, only
-// after the same need was seen several times in a row, waits after each change, and keeps
-// at least one server of each role.
+// RoleBalancer assigns roles to servers. To avoid flapping, it changes the role of one
+// server at a time, only after balanceThreshold consecutive checks found the same need, and
+// waits for balanceCooldown after each change. It keeps at least one server in each role.
 type RoleBalancer struct {
-	// consecutive counts how often in a row a role needed one server more.
+	// consecutive counts the consecutive checks in which a role needed one more server.
 	consecutive  map[ServerRole]int
 	lastChange   time.Time
 	lastDecision time.Time
 	fixed        bool
 }
 
-// The values are ours.
 const (
-	balanceInterval  = 500 * time.Millisecond
-	balanceCooldown  = 6 * time.Second
+	// balanceInterval is the minimum time between two checks.
+	balanceInterval = 500 * time.Millisecond
+	// balanceCooldown is the minimum time from the last orders, for whatever cause, to a change of a
+	// role by load.
+	balanceCooldown = 6 * time.Second
+	// balanceThreshold is the number of consecutive checks that must find the same need before a
+	// role is changed.
 	balanceThreshold = 3
-	// A prefill backlog or a share of busy decode slots that is high asks for more
-	// servers; one that is low can spare some.
+	// The prefill role needs another server if its backlog is above highBacklog, and the decode
+	// role if its share of busy slots is above highSlotUse. The other role can spare a server if
+	// its own value is below lowBacklog or lowSlotUse.
 	highBacklog = 600 * time.Millisecond
 	lowBacklog  = 200 * time.Millisecond
 	highSlotUse = 0.70
 	lowSlotUse  = 0.45
-	// drainTimeout is how long a server may finish what it runs.
+	// drainTimeout is how long a server may take to finish its work in flight.
 	drainTimeout = 20 * time.Second
 )
 
-// NewRoleBalancer makes a balancer that has seen nothing yet. A fixed one changes no role that
-// a server has, save that there must be one of each, for comparison.
+// NewRoleBalancer returns a balancer. If fixed is set, the balancer changes no roles by load and
+// only keeps at least one server in each role; this is a baseline for comparison.
 func NewRoleBalancer(fixed bool) *RoleBalancer {
 	return &RoleBalancer{consecutive: map[ServerRole]int{}, fixed: fixed}
 }
 
-// Due tells whether enough time has passed since the last Decide for another one to look at
-// the servers.
+// Due reports whether balanceInterval has passed since the last check by Decide.
 func (b *RoleBalancer) Due(now time.Time) bool { return now.Sub(b.lastDecision) >= balanceInterval }
 
-// Decide returns the orders that are needed now. Evacuated and leaving servers do not
-// count; a leaving one is told to drain.
+// Decide returns the orders that are needed now. Servers that are leaving or in an evacuated
+// zone do not count towards a role; a leaving server is ordered to drain.
 func (b *RoleBalancer) Decide(
 	now time.Time,
 	servers []membership.Server,
@@ -57,8 +61,8 @@
 		return nil
 	}
 	b.lastDecision = now
-	pools, orders := poolsOf(servers, loads, currentOrders, evacuated)
-	orders = append(orders, pools.assignVacant()...)
+	pools, orders := groupByRole(servers, loads, currentOrders, evacuated)
+	orders = append(orders, pools.assignRoles()...)
 	if len(orders) == 0 {
 		orders = pools.restoreMinimum(loads)
 	}
@@ -88,9 +92,11 @@
 	return orders
 }
 
-// countNeeds counts how often in a row each role needed a server that the other can spare.
+// countNeeds updates the counts of consecutive checks in which a role needed a server that the
+// other role can spare. If the need of a role is very high, it is enough that the value of the
+// other role is not high.
 func (b *RoleBalancer) countNeeds(pools *serverPools, loads map[string]Load) {
-	backlog, slotUse := pressures(pools.prefill, pools.decode, loads)
+	backlog, slotUse := backlogAndSlotUse(pools.prefill, pools.decode, loads)
 	needPrefill := backlog > highBacklog && slotUse < highSlotUse && len(pools.decode) > 1
 	needDecode := slotUse > highSlotUse && backlog < highBacklog && len(pools.prefill) > 1
 	b.count(Prefill, needPrefill && (slotUse < lowSlotUse || backlog > 2*highBacklog))
@@ -105,15 +111,16 @@
 	}
 }
 
-// serverPools are the servers that report, by the role that they are ordered to take.
+// serverPools groups the servers that report their load by the role in their current order.
 type serverPools struct {
 	prefill []membership.Server
 	decode  []membership.Server
-	vacant  []membership.Server
+	// unassigned servers have no order to prefill or decode; they may be in evacuated zones.
+	unassigned []membership.Server
 }
 
-// poolsOf sorts servers into pools, and orders those that leave to drain.
-func poolsOf(
+// groupByRole groups servers by role, and returns orders to drain for those that are leaving.
+func groupByRole(
 	servers []membership.Server,
 	loads map[string]Load,
 	currentOrders map[string]codec.Order,
@@ -125,7 +132,7 @@
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Name < sorted[j].Name })
 	for _, server := range sorted {
 		load, reported := loads[server.Name]
-		role := ServerRole(currentOrders[server.Name].Part)
+		role := ServerRole(currentOrders[server.Name].Role)
 		switch {
 		case server.Leaving || (reported && load.Leaving):
 			if reported && role != Drain {
@@ -141,40 +148,41 @@
 				pools.decode = append(pools.decode, server)
 			}
 		default:
-			pools.vacant = append(pools.vacant, server)
+			pools.unassigned = append(pools.unassigned, server)
 		}
 	}
 	return pools, orders
 }
 
-// assignVacant gives a role to each server without one: two of five are prefill servers,
-// from each zone in turn.
-func (p *serverPools) assignVacant() []codec.Order {
+// assignRoles returns an order for each server without a role, so that two of five servers
+// are prefill servers, spread evenly over the zones.
+func (p *serverPools) assignRoles() []codec.Order {
 	var orders []codec.Order
-	vacant := p.vacant
-	sort.SliceStable(vacant, func(i, j int) bool {
-		return membership.Weight("first part", vacant[i].Name) > membership.Weight("first part", vacant[j].Name)
+	unassigned := p.unassigned
+	sort.SliceStable(unassigned, func(i, j int) bool {
+		return membership.Weight("first part", unassigned[i].Name) > membership.Weight("first part", unassigned[j].Name)
 	})
 	prefills, decodes := len(p.prefill), len(p.decode)
 	inZone := map[string]int{}
 	for _, server := range p.prefill {
 		inZone[server.Zone]++
 	}
-	for ; len(vacant) > 0; vacant = vacant[1:] {
+	for ; len(unassigned) > 0; unassigned = unassigned[1:] {
 		if prefills*3 >= decodes*2 && prefills > 0 {
-			orders = append(orders, newOrder(vacant[0], Decode, "a server without a part"))
+			orders = append(orders, newOrder(unassigned[0], Decode, "a server without a part"))
 			decodes++
 			continue
 		}
-		sort.SliceStable(vacant, func(i, j int) bool { return inZone[vacant[i].Zone] < inZone[vacant[j].Zone] })
-		orders = append(orders, newOrder(vacant[0], Prefill, "a server without a part"))
-		inZone[vacant[0].Zone]++
+		sort.SliceStable(unassigned, func(i, j int) bool { return inZone[unassigned[i].Zone] < inZone[unassigned[j].Zone] })
+		orders = append(orders, newOrder(unassigned[0], Prefill, "a server without a part"))
+		inZone[unassigned[0].Zone]++
 		prefills++
 	}
 	return orders
 }
 
-// restoreMinimum has one server of each role, whatever the load.
+// restoreMinimum returns an order that gives a role without servers to one server of the other
+// role, regardless of the load.
 func (p *serverPools) restoreMinimum(loads map[string]Load) []codec.Order {
 	switch {
 	case len(p.prefill) == 0 && len(p.decode) > 1:
@@ -186,11 +194,12 @@
 }
 
 func newOrder(server membership.Server, role ServerRole, cause string) codec.Order {
-	return codec.Order{Server: server.Name, Part: string(role), Patience: drainTimeout, Cause: cause}
+	return codec.Order{Server: server.Name, Role: string(role), GracePeriod: drainTimeout, Cause: cause}
 }
 
-// pressures are the mean time to read the waiting prompts and the share of busy slots.
-func pressures(prefill, decode []membership.Server, loads map[string]Load) (time.Duration, float64) {
+// backlogAndSlotUse returns the mean time that the prefill servers need for their queues,
+// and the share of the decode servers' slots that are busy.
+func backlogAndSlotUse(prefill, decode []membership.Server, loads map[string]Load) (time.Duration, float64) {
 	var backlog time.Duration
 	for _, server := range prefill {
 		backlog += seconds(loads[server.Name].PrefillQueueTokens, loads[server.Name].PrefillRate)
@@ -203,7 +212,8 @@
 	return backlog / time.Duration(len(prefill)), float64(active) / float64(max(slots, 1))
 }
 
-// leastLoadedServer is the server that loses least by a change of its role.
+// leastLoadedServer returns the server with the least work, because a change of its role interrupts
+// the least work. A decode in progress or a waiting prefill counts as much as 1000 queued tokens.
 func leastLoadedServer(servers []membership.Server, loads map[string]Load) membership.Server {
 	best := servers[0]
 	loadOf := func(server membership.Server) int {
--- a/internal/auction/rolebalancer_test.go
+++ b/internal/auction/rolebalancer_test.go
@@ -7,9 +7,10 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// TestBalanceFollowsASwingWithoutFlapping lets prompts pile up and then
-// streams, and wants few changes, never below one server of each role.
-func TestBalanceFollowsASwingWithoutFlapping(t *testing.T) {
+// TestBalancerFollowsLoadWithoutFlapping applies a high prefill load, then a high decode load. The
+// balancer must adapt the roles to the load with few changes and keep at least one server in each
+// role. While no need lasts for balanceThreshold checks, it must change no role.
+func TestBalancerFollowsLoadWithoutFlapping(t *testing.T) {
 	balancer := NewRoleBalancer(false)
 	var servers []membership.Server
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -21,7 +22,7 @@
 	observe := func(backlog int, active int) {
 		loads := map[string]Load{}
 		for _, server := range servers {
-			load := Load{Server: server.Name, Role: ServerRole(currentOrders[server.Name].Part), PrefillRate: 20_000, DecodeSlots: 16}
+			load := Load{Server: server.Name, Role: ServerRole(currentOrders[server.Name].Role), PrefillRate: 20_000, DecodeSlots: 16}
 			if load.Role == Prefill {
 				load.PrefillQueueTokens = backlog
 			}
@@ -39,7 +40,7 @@
 	count := func(role ServerRole) int {
 		count := 0
 		for _, order := range currentOrders {
-			if ServerRole(order.Part) == role {
+			if ServerRole(order.Role) == role {
 				count++
 			}
 		}
@@ -47,29 +48,29 @@
 	}
 	observe(0, 0)
 	if count(Prefill) != 2 || count(Decode) != 3 {
-		t.Fatalf("first roles: %v", currentOrders)
+		t.Fatalf("first orders: got %v, want 2 prefill and 3 decode servers", currentOrders)
 	}
 	changes = 0
 	for range 80 {
 		observe(30_000, 1)
 	}
 	if count(Decode) != 1 {
-		t.Errorf("while prompts pile up: %v", currentOrders)
+		t.Errorf("under high prefill load: got %v, want 1 decode server", currentOrders)
 	}
 	if changes > 3 {
-		t.Errorf("%d changes in one swing", changes)
+		t.Errorf("got %d role changes under high prefill load, want at most 3", changes)
 	}
 	for range 120 {
 		observe(0, 15)
 	}
 	if count(Prefill) != 1 {
-		t.Errorf("while streams pile up: %v", currentOrders)
+		t.Errorf("under high decode load: got %v, want 1 prefill server", currentOrders)
 	}
 	changes = 0
 	for number := range 40 {
 		observe(30_000*(number%2), 8)
 	}
 	if changes != 0 {
-		t.Errorf("%d changes without a lasting need", changes)
+		t.Errorf("got %d role changes without a lasting need, want 0", changes)
 	}
 }
--- a/internal/auction/routes.go
+++ b/internal/auction/routes.go
@@ -8,8 +8,8 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// RouteTable is a configuration compiled for matching requests: for each service the
-// steps of its routes, in order. It is immutable; a new configuration is a new table.
+// RouteTable is a configuration compiled for matching requests: for each service it holds
+// the steps of the routes in order. It is immutable; each configuration has its own table.
 type RouteTable struct {
 	epoch       uint64
 	number      uint64
@@ -17,27 +17,28 @@
 	evacuations map[string]bool
 }
 
+// serviceRoutes holds one service and the steps of all routes that can match its requests.
 type serviceRoutes struct {
 	service config.Service
 	steps   []step
 }
 
-// opcode is what one step of a compiled route does.
+// opcode is the operation of one step of a compiled route.
 type opcode uint8
 
 const (
-	// The needs skip to the next route when the request does not meet them.
-	needZone opcode = iota
-	needClient
-	needPrefix
-	needAtLeast
-	needBelow
-	// The actions end the interpretation.
-	actRefuse
-	actSend
+	// A condition that the request does not meet skips to the next route.
+	conditionZone opcode = iota
+	conditionClient
+	conditionPrefix
+	conditionPromptTokensAtLeast
+	conditionPromptTokensBelow
+	// An action ends the matching.
+	actionRefuse
+	actionSend
 )
 
-// step is one need or action; next is the position of the next route's first step.
+// step is one condition or action; next is the index of the next route's first step.
 type step struct {
 	code   opcode
 	text   string
@@ -46,18 +47,19 @@
 	route  *RouteDecision
 }
 
-// RouteDecision is what the route that matched says of a request.
+// RouteDecision is the target of the route that matched a request.
 type RouteDecision struct {
-	// Route is the route's name.
+	// Route is the name of the route.
 	Route   string
 	Service config.Service
-	// Zones are the zones whose servers may be used; nil allows all.
+	// Zones are the zones whose servers may be used; nil allows all zones.
 	Zones map[string]bool
-	// HomeFirst prefers servers in the router's own zone.
+	// HomeFirst prefers prefill servers in the router's own zone.
 	HomeFirst bool
 }
 
-// Compile makes the route table of a configuration, whose version is epoch and number.
+// Compile returns the route table of a configuration. Epoch and number are the version of the
+// configuration. Routes for opaque calls are left out: package scheduler compiles them.
 func Compile(configuration *config.Configuration, epoch, number uint64) *RouteTable {
 	table := &RouteTable{
 		epoch:       epoch,
@@ -86,23 +88,23 @@
 	return table
 }
 
-func (c *serviceRoutes) add(route config.Route) {
-	first := len(c.steps)
-	need := func(wanted bool, code opcode, text string, number int) {
-		if wanted {
-			c.steps = append(c.steps, step{code: code, text: text, number: number})
+func (s *serviceRoutes) add(route config.Route) {
+	first := len(s.steps)
+	addCondition := func(present bool, code opcode, text string, number int) {
+		if present {
+			s.steps = append(s.steps, step{code: code, text: text, number: number})
 		}
 	}
 	match := route.Match
-	need(match.Zone != "", needZone, match.Zone, 0)
-	need(match.Client != "", needClient, match.Client, 0)
-	need(match.Prefix != "", needPrefix, match.Prefix, 0)
-	need(match.PromptTokensAtLeast > 0, needAtLeast, "", match.PromptTokensAtLeast)
-	need(match.PromptTokensBelow > 0, needBelow, "", match.PromptTokensBelow)
-	decision := &RouteDecision{Route: route.Name, Service: c.service, HomeFirst: route.To.PreferOwnZone}
-	code := actSend
+	addCondition(match.Zone != "", conditionZone, match.Zone, 0)
+	addCondition(match.Client != "", conditionClient, match.Client, 0)
+	addCondition(match.Prefix != "", conditionPrefix, match.Prefix, 0)
+	addCondition(match.PromptTokensAtLeast > 0, conditionPromptTokensAtLeast, "", match.PromptTokensAtLeast)
+	addCondition(match.PromptTokensBelow > 0, conditionPromptTokensBelow, "", match.PromptTokensBelow)
+	decision := &RouteDecision{Route: route.Name, Service: s.service, HomeFirst: route.To.PreferOwnZone}
+	code := actionSend
 	if route.To.Refuse {
-		code = actRefuse
+		code = actionRefuse
 	}
 	if len(route.To.Zones) > 0 {
 		decision.Zones = map[string]bool{}
@@ -110,42 +112,43 @@
 			decision.Zones[zone] = true
 		}
 	}
-	c.steps = append(c.steps, step{code: code, route: decision})
-	for position := first; position < len(c.steps); position++ {
-		c.steps[position].next = len(c.steps)
+	s.steps = append(s.steps, step{code: code, route: decision})
+	for position := first; position < len(s.steps); position++ {
+		s.steps[position].next = len(s.steps)
 	}
 }
 
-// Match finds the first route for a request that arrived at a router in a zone. Its
-// errors are failure.UnknownService, OutOfRange, NoRoute and RouteRefuses.
-func (p *RouteTable) Match(request *Request, zone string) (*RouteDecision, *failure.Error) {
-	compiled, found := p.services[request.Service]
+// Match returns the decision of the first route that matches a request at a router in the
+// given zone. Its error codes are failure.UnknownService, OutOfRange, NoRoute and
+// RouteRefuses.
+func (t *RouteTable) Match(request *Request, zone string) (*RouteDecision, *failure.Error) {
+	compiled, found := t.services[request.Service]
 	if !found {
 		return nil, failure.New(failure.UnknownService, request.Service)
 	}
 	if request.PromptTokens > compiled.service.MaxPromptTokens {
-		return nil, failure.At(failure.OutOfRange, "/prompt_tokens", "the service takes fewer tokens")
+		return nil, failure.At(failure.OutOfRange, "/prompt_tokens", "the prompt is longer than the service allows")
 	}
 	if request.Chunks > compiled.service.MaxChunks {
-		return nil, failure.At(failure.OutOfRange, "/pieces", "the service makes fewer pieces")
+		return nil, failure.At(failure.OutOfRange, "/pieces", "the service allows fewer chunks")
 	}
 	for position := 0; position < len(compiled.steps); {
 		s := &compiled.steps[position]
 		matches := true
 		switch s.code {
-		case needZone:
+		case conditionZone:
 			matches = zone == s.text
-		case needClient:
+		case conditionClient:
 			matches = request.Client == s.text
-		case needPrefix:
+		case conditionPrefix:
 			matches = request.Prefix == s.text
-		case needAtLeast:
+		case conditionPromptTokensAtLeast:
 			matches = request.PromptTokens >= s.number
-		case needBelow:
+		case conditionPromptTokensBelow:
 			matches = request.PromptTokens < s.number
-		case actRefuse:
+		case actionRefuse:
 			return s.route, failure.New(failure.RouteRefuses, s.route.Route)
-		case actSend:
+		case actionSend:
 			return s.route, nil
 		}
 		if matches {
@@ -154,16 +157,16 @@
 			position = s.next
 		}
 	}
-	return nil, failure.New(failure.NoRoute, "no route matches the inquiry")
+	return nil, failure.New(failure.NoRoute, "no route matches the request")
 }
 
-// Allows tells whether the route lets work go to a server, and its zone is not evacuated.
-func (p *RouteTable) Allows(route *RouteDecision, server membership.Server) bool {
-	return !p.evacuations[server.Zone] && (route.Zones == nil || route.Zones[server.Zone])
+// Allows reports whether the route allows a server's zone and the zone is not evacuated.
+func (t *RouteTable) Allows(route *RouteDecision, server membership.Server) bool {
+	return !t.evacuations[server.Zone] && (route.Zones == nil || route.Zones[server.Zone])
 }
 
-// deadline is the deadline of a request that came now: the requested one, but not later
-// than the service's time limit.
+// deadline returns the deadline of a request that arrived now: the requested deadline, but
+// at most the service's timeout from now.
 func (r *RouteDecision) deadline(now, requested time.Time) time.Time {
 	latest := now.Add(r.Service.Timeout)
 	if requested.IsZero() || requested.After(latest) {
--- a/internal/auction/routes_test.go
+++ b/internal/auction/routes_test.go
@@ -8,7 +8,8 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// manyRoutes is a configuration in which the last of many routes matches.
+// manyRoutes returns the text of a configuration with count routes that do not match the
+// benchmark's request, and a last route that matches it.
 func manyRoutes(count int) []byte {
 	var text strings.Builder
 	_, _ = text.WriteString(`{"services":{"chat":{}},"routes":{"last":{"order":9,"to":{}}`)
@@ -19,8 +20,8 @@
 	return []byte(text.String())
 }
 
-// BenchmarkRoutes measures what a configuration of so many routes costs to
-// check and compile, once for each change, and to interpret, for each request.
+// BenchmarkRoutes measures how long it takes to check and compile a configuration with many
+// routes, which happens once per change, and to match a request, which happens per request.
 func BenchmarkRoutes(benchmark *testing.B) {
 	for _, count := range []int{10, 1000, 8000} {
 		text := manyRoutes(count)
@@ -36,8 +37,8 @@
 			}
 		})
 		table := Compile(configuration, 1, 1)
-		request := &Request{Service: "chat", Client: "nobody"}
-		benchmark.Run(fmt.Sprintf("rule-%d", count), func(benchmark *testing.B) {
+		request := &Request{Service: "chat", Client: "other"}
+		benchmark.Run(fmt.Sprintf("match-%d", count), func(benchmark *testing.B) {
 			for benchmark.Loop() {
 				if _, refusal := table.Match(request, "north"); refusal != nil {
 					benchmark.Fatal(refusal)
--- a/internal/backlog/message.go
+++ b/internal/backlog/message.go
@@ -1,14 +1,16 @@
-// Package backlog counts the prompt tokens that all routers together have a group of model
-// servers read now. One router, the group's owner, keeps the count in a Table; the others query
-// it before they choose a server, and report what they sent and what was read. The counts are
-// hints: they are kept in memory, and what a router does not renew lapses after ShareTTL.
+// Package backlog counts the prompt tokens that all routers together have sent to a group of model
+// servers and that the servers have not read yet. One router, the group's owner, keeps the counts in a
+// Table. The other routers query the counts before they choose a server, and report the tokens that
+// they sent and that were read. The counts are hints: they are kept in memory only, and a router's
+// share of a count expires ShareTTL after the router's last change to it.
 //
-// Package scheduler decides when to query and what to report; package dataplane finds a group's
-// owner and carries the messages.
+// Package scheduler decides when to query and which changes to report; package dataplane finds a
+// group's owner and transmits the messages.
 package backlog
 
-// Change is how many more prompt tokens a router has a server read; below zero, how many fewer.
-// In a Response it is a server's whole count. It is encoded as an array.
+// Change is an increase of the number of prompt tokens that a router has assigned to a server and
+// that are still to be read; a decrease is negative. In a Response, a Change holds the total count
+// of a server. A Change is encoded as an array.
 type Change struct {
 	//lint:ignore U1000 The encoder reads the tag.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -17,21 +19,21 @@
 	Tokens int
 }
 
-// Request reports to the owner of a group's counts what changed, and may ask for them.
+// Request reports changes to the owner of a group's counts, and may query the counts.
 type Request struct {
-	// Router is one incarnation of the requesting router.
+	// Router identifies one incarnation of the requesting router.
 	Router string `msgpack:"router"`
 	Group  string `msgpack:"group"`
 	// Changes are counted before the response is made.
 	Changes []Change `msgpack:"changes,omitempty"`
-	// WantsCounts asks for the counts.
+	// WantsCounts queries the counts.
 	WantsCounts bool `msgpack:"asks,omitempty"`
-	// Intent is what the requesting router is about to send: it is counted after the
-	// response was made, so that the next router sees it.
+	// Intent is the change that the requesting router is about to make. It is counted after the
+	// response was made, so that only later requests see it.
 	Intent *Change `msgpack:"intent,omitempty"`
 }
 
-// Response has the counts of the servers that read anything, sorted by server.
+// Response holds the counts that are not zero, sorted by server.
 type Response struct {
 	Counts []Change `msgpack:"counts,omitempty"`
 }
--- a/internal/backlog/table.go
+++ b/internal/backlog/table.go
@@ -6,29 +6,31 @@
 	"time"
 )
 
-// ShareTTL is how long a router's share of a count lasts without a change from it. It is longer
-// than a prefill takes on a healthy server.
+// ShareTTL is how long a router's share of a count is valid after the router's last change to it.
+// A prefill at a healthy server takes less time.
 const ShareTTL = 3 * time.Second
 
-// Table keeps the counts of the groups that a router owns. The zero value is ready to use; its
-// methods may be called from several threads.
+// Table keeps the counts of the groups that a router owns. The zero value is ready to use. It is
+// safe for concurrent use.
 type Table struct {
 	mutex  sync.Mutex
 	groups map[string]map[shareKey]*share
-	// swept is when lapsed shares were last removed.
+	// swept is when expired shares were last removed.
 	swept time.Time
 }
 
-// shareKey is for what one router has one server read.
+// shareKey identifies the share of one router in the count of one server.
 type shareKey struct{ server, router string }
 
-// share is in prompt tokens.
+// share is the number of prompt tokens that one router has assigned to one server and that the server
+// has not read yet.
 type share struct {
 	tokens  int
 	expires time.Time
 }
 
-// Apply counts a request's changes, makes the response and then counts the request's intent.
+// Apply adds a request's changes to the counts, makes the response, and then adds the request's
+// intent.
 func (t *Table) Apply(now time.Time, request Request) Response {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -36,21 +38,21 @@
 		t.sweep(now)
 	}
 	for _, change := range request.Changes {
-		t.count(now, request, change)
+		t.add(now, request, change)
 	}
 	var response Response
 	if request.WantsCounts {
 		response.Counts = t.counts(now, request.Group)
 	}
 	if request.Intent != nil {
-		t.count(now, request, *request.Intent)
+		t.add(now, request, *request.Intent)
 	}
 	return response
 }
 
-// count adds a change to the share of the requesting router; a share at or below zero is dropped,
-// so that a change that comes twice takes nothing from other routers.
-func (t *Table) count(now time.Time, request Request, change Change) {
+// add adds a change to the share of the requesting router. A share that falls to zero or below is
+// removed, so that a decrease that is received twice doesn't reduce the shares of other routers.
+func (t *Table) add(now time.Time, request Request, change Change) {
 	if t.groups == nil {
 		t.groups = map[string]map[shareKey]*share{}
 	}
@@ -72,7 +74,7 @@
 	}
 }
 
-// counts sums the shares of each server, sorted by server.
+// counts returns the sum of the valid shares of each server, sorted by server.
 func (t *Table) counts(now time.Time, group string) []Change {
 	sums := map[string]int{}
 	for key, current := range t.groups[group] {
@@ -88,7 +90,7 @@
 	return counts
 }
 
-// sweep removes lapsed shares.
+// sweep removes expired shares.
 func (t *Table) sweep(now time.Time) {
 	t.swept = now
 	for name, group := range t.groups {
--- a/internal/backlog/table_test.go
+++ b/internal/backlog/table_test.go
@@ -8,6 +8,7 @@
 
 var noon = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
+// ask sends a request of the router "asking" to the table and returns the counts by server.
 func ask(table *Table, at time.Time, intent *Change, changes ...Change) map[string]int {
 	response := table.Apply(at, Request{Router: "asking", Group: "g", WantsCounts: true, Intent: intent, Changes: changes})
 	counts := map[string]int{}
@@ -17,56 +18,58 @@
 	return counts
 }
 
-// TestIntentIsSeenByTheNext has an intent counted after its own response and before the next.
-func TestIntentIsSeenByTheNext(t *testing.T) {
+// TestIntentIsSeenByTheNextRequest checks that an intent is counted after the response to its own
+// request and before the next response.
+func TestIntentIsSeenByTheNextRequest(t *testing.T) {
 	var table Table
 	if counts := ask(&table, noon, &Change{Server: "a", Tokens: 900}); len(counts) != 0 {
-		t.Errorf("the first answer: %v", counts)
+		t.Errorf("response to the request with the intent: got %v, want no counts", counts)
 	}
 	if counts := ask(&table, noon, nil); counts["a"] != 900 {
-		t.Errorf("after the intent: %v", counts)
+		t.Errorf("response after the intent: got %v, want 900 tokens for a", counts)
 	}
 	counts := ask(&table, noon, nil, Change{Server: "a", Tokens: -900}, Change{Server: "b", Tokens: 50})
 	if counts["a"] != 0 || counts["b"] != 50 {
-		t.Errorf("after the changes: %v", counts)
+		t.Errorf("response after the changes: got %v, want 0 tokens for a and 50 for b", counts)
 	}
 }
 
-// TestSharesLapse has the share of a router that is gone lapse, and only that.
-func TestSharesLapse(t *testing.T) {
+// TestSharesExpire checks that the share of a router that has stopped expires, and no other share.
+func TestSharesExpire(t *testing.T) {
 	var table Table
 	ask(&table, noon, nil)
-	lapses := noon.Add(ShareTTL + time.Millisecond)
+	expires := noon.Add(ShareTTL + time.Millisecond)
 	table.Apply(noon.Add(time.Millisecond), Request{Router: "gone", Group: "g", Changes: []Change{{Server: "a", Tokens: 700}}})
 	ask(&table, noon.Add(ShareTTL/2), &Change{Server: "a", Tokens: 20})
-	// The sweep of this moment finds it still valid; the response a moment later leaves it out.
-	if counts := ask(&table, lapses.Add(-time.Millisecond), nil); counts["a"] != 720 {
-		t.Errorf("before the end of the lease: %v", counts)
+	// The sweep of this request keeps the share, since it is still valid. The next response has to
+	// leave the share out though no sweep has removed it.
+	if counts := ask(&table, expires.Add(-time.Millisecond), nil); counts["a"] != 720 {
+		t.Errorf("before the share expires: got %v, want 720 tokens for a", counts)
 	}
-	if counts := ask(&table, lapses, nil); counts["a"] != 20 {
-		t.Errorf("at the end of the lease: %v", counts)
+	if counts := ask(&table, expires, nil); counts["a"] != 20 {
+		t.Errorf("when the share expires: got %v, want 20 tokens for a", counts)
 	}
 	if counts := ask(&table, noon.Add(3*ShareTTL), nil); len(counts) != 0 || len(table.groups) != 0 {
-		t.Errorf("after all leases: %v, %d groups", counts, len(table.groups))
+		t.Errorf("after all shares have expired: got %v in %d groups, want none", counts, len(table.groups))
 	}
 }
 
-// TestNeverBelowZero has releases that come twice, or without what they release, do no
-// harm to what others have sent.
-func TestNeverBelowZero(t *testing.T) {
+// TestShareNeverFallsBelowZero checks that decreases that are received twice, or without the increase
+// before them, don't reduce the shares of other routers.
+func TestShareNeverFallsBelowZero(t *testing.T) {
 	var table Table
 	table.Apply(noon, Request{Router: "other", Group: "g", Changes: []Change{{Server: "a", Tokens: 100}}})
 	for range 3 {
 		ask(&table, noon, nil, Change{Server: "a", Tokens: -400})
 	}
 	if counts := ask(&table, noon, nil); counts["a"] != 100 {
-		t.Errorf("%v", counts)
+		t.Errorf("got %v, want 100 tokens for a", counts)
 	}
 }
 
-// TestAgainstSum compares the table with a plain sum over random changes of routers whose
-// shares do not lapse.
-func TestAgainstSum(t *testing.T) {
+// TestCountsEqualSumOfChanges compares the table with a plain sum of random changes by routers whose
+// shares don't expire.
+func TestCountsEqualSumOfChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var table Table
 	want := map[string]int{}
@@ -85,7 +88,7 @@
 	counts := ask(&table, noon, nil)
 	for _, server := range servers {
 		if counts[server] != want[server] {
-			t.Errorf("%s: %d, want %d", server, counts[server], want[server])
+			t.Errorf("count of %s: got %d, want %d", server, counts[server], want[server])
 		}
 	}
 }
--- a/internal/codec/pair.go
+++ b/internal/codec/pair.go
@@ -6,16 +6,16 @@
 	"seamloom.example/seamloom/internal/features"
 )
 
-// Pair records the prefill and decode servers that an attempt of a request was given.
+// Pair records the prefill and decode servers that were assigned to an attempt of a request.
 type Pair struct {
 	Request string `msgpack:"inquiry" json:"inquiry"`
-	Run     int    `msgpack:"run" json:"run"`
+	Attempt int    `msgpack:"run" json:"run"`
 	Prefill string `msgpack:"prefill" json:"prefill"`
 	Decode  string `msgpack:"decode" json:"decode"`
-	// Price is the estimated time by which the pair was chosen, and HandOver the share of
-	// it for the transfer of the KV cache. Both exist only in the second format.
-	Price    time.Duration `msgpack:"price,omitempty" json:"price,omitempty"`
-	HandOver time.Duration `msgpack:"hand_over,omitempty" json:"hand_over,omitempty"`
+	// Price is the time estimate by which the pair was selected, and TransferTime is the part of Price that
+	// the transfer of the KV cache takes. Both exist only in the second format.
+	Price        time.Duration `msgpack:"price,omitempty" json:"price,omitempty"`
+	TransferTime time.Duration `msgpack:"hand_over,omitempty" json:"hand_over,omitempty"`
 }
 
 // pairV1 is the pair's first format.
@@ -26,18 +26,18 @@
 	Decode  string `msgpack:"decode"`
 }
 
-// EncodePair makes the pair's record in the formats that the enabled flags allow: the first
-// always, the second beside it under PairPrice.
+// EncodePair returns the pair's record in the formats that the enabled flags allow: always the
+// first format, and also the second one if PairPrice is enabled.
 func EncodePair(pair Pair, writer string, enabled features.List) (Record, error) {
-	record := NewRecord(PairRecord, pair.Request, writer, uint64(pair.Run))
-	first := pairV1{Request: pair.Request, Run: pair.Run, Prefill: pair.Prefill, Decode: pair.Decode}
+	record := NewRecord(PairRecord, pair.Request, writer, uint64(pair.Attempt))
+	first := pairV1{Request: pair.Request, Run: pair.Attempt, Prefill: pair.Prefill, Decode: pair.Decode}
 	return record, record.putFormats(enabled,
 		format{"", "pair", first},
 		format{features.PairPrice, "pair_v2", pair},
 	)
 }
 
-// DecodePair reads the newest format that this build supports and the record has. An error
+// DecodePair decodes the newest format that this build supports and the record has. An error
 // has the code Garbage.
 func DecodePair(record Record, supported features.List) (Pair, error) {
 	var pair Pair
@@ -47,7 +47,7 @@
 		format{"", "pair", &first},
 	)
 	if key == "pair" {
-		pair = Pair{Request: first.Request, Run: first.Run, Prefill: first.Prefill, Decode: first.Decode}
+		pair = Pair{Request: first.Request, Attempt: first.Run, Prefill: first.Prefill, Decode: first.Decode}
 	}
 	return pair, err
 }
--- a/internal/codec/record.go
+++ b/internal/codec/record.go
@@ -1,9 +1,9 @@
-// Package codec encodes and decodes the records that nodes write for each other, after the
-// section "Extensible and backward-compatible records" of the paper on uninterrupted
-// upgrades. Every record has fixed fields, which never change, and a features map, in which
-// a new format is a new key beside the old one. The flags of package features say which
-// keys may be written; a reader takes the newest key that its build supports, so that nodes
-// of two releases read each other's records.
+// Package codec encodes and decodes the records that nodes write for each other, following the
+// section "Extensible and backward-compatible records" of the paper on uninterrupted upgrades. Every
+// record has fixed fields, which never change, and a features map. A new format adds a key to this
+// map and keeps the keys of older formats. The enabled flags of package features determine which keys
+// may be written. A node decodes the newest key that its build supports, so that nodes of two
+// releases can read each other's records.
 package codec
 
 import (
@@ -13,7 +13,7 @@
 	"seamloom.example/seamloom/internal/features"
 )
 
-// RecordKind names one of the five kinds of record whose formats roll out.
+// RecordKind names one of the five kinds of record whose formats are introduced by feature flags.
 type RecordKind string
 
 // The kinds of record.
@@ -25,8 +25,8 @@
 	StreamRecord  RecordKind = "stream"
 )
 
-// Record is what nodes write for each other. Kind, Key, Writer and Number are
-// the fixed fields; everything that may ever change is in Features.
+// Record is a record that one node writes for another. Kind, Key, Writer and Number are
+// the fixed fields; Features holds everything whose format may change.
 type Record struct {
 	Kind     RecordKind                    `msgpack:"kind"`
 	Key      string                        `msgpack:"key"`
@@ -35,12 +35,12 @@
 	Features map[string]msgpack.RawMessage `msgpack:"features"`
 }
 
-// NewRecord starts a record with an empty features map.
+// NewRecord returns a record with an empty features map.
 func NewRecord(kind RecordKind, key, writer string, number uint64) Record {
 	return Record{Kind: kind, Key: key, Writer: writer, Number: number, Features: map[string]msgpack.RawMessage{}}
 }
 
-// Put writes one key of the features map. An error has the code Garbage.
+// Put encodes a value under one key of the features map. An error has the code Garbage.
 func (r *Record) Put(key string, value any) error {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Read decodes one key of the features map; it tells false when the record does not have
-// the key, as an older record does not. An error has the code Garbage.
+// Read decodes the value of one key of the features map. It returns false if the record does not have
+// the key, for instance because an older release wrote the record. An error has the code Garbage.
 func (r Record) Read(key string, value any) (bool, error) {
 	encoded, found := r.Features[key]
 	if !found {
@@ -65,15 +65,15 @@
 
 // format is one key of a record's features map and its value.
 type format struct {
-	// flag allows the format to be written and read; the first format of a record has
-	// none.
+	// flag is the feature flag that allows the format to be written and read; it is empty for
+	// the first format of a record.
 	flag  features.Flag
 	key   string
 	value any
 }
 
-// putFormats writes every format that the enabled flags allow, side by side: readers of the
-// older release still find theirs.
+// putFormats writes every format that the enabled flags allow, so that nodes of the older release
+// still find the format that they support.
 func (r *Record) putFormats(enabled features.List, formats ...format) error {
 	for _, f := range formats {
 		if f.flag != "" && !enabled.Has(f.flag) {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// decodeNewest reads the first of the formats, newest first, that the build
-// supports and the record has, and returns its key.
+// decodeNewest decodes the first of the formats, which are given newest first, that this build
+// supports and the record has. It returns the key of that format.
 func (r Record) decodeNewest(supported features.List, formats ...format) (string, error) {
 	for _, f := range formats {
 		if f.flag != "" && !supported.Has(f.flag) {
@@ -97,5 +97,5 @@
 			return f.key, err
 		}
 	}
-	return "", failure.New(failure.Garbage, "a record of kind "+string(r.Kind)+" without a format that this build reads")
+	return "", failure.New(failure.Garbage, "the record of kind "+string(r.Kind)+" has no format that this build supports")
 }
--- a/internal/config/benchmark_test.go
+++ b/internal/config/benchmark_test.go
@@ -6,20 +6,23 @@
 	"testing"
 )
 
-// large is a configuration of so many routes.
-func large(routes int) []byte {
+// largeConfiguration returns the text of a configuration with the given number of routes, and a last route that
+// matches all requests.
+func largeConfiguration(routes int) []byte {
 	var text strings.Builder
 	text.WriteString(`{"services":{"chat":{}},"routes":{`)
 	for number := range routes {
-		_, _ = fmt.Fprintf(&text, `"many-%d":{"order":5,"match":{"service":"chat","origin":"nobody-%d"},"to":{"districts":["north"]}},`, number, number)
+		_, _ = fmt.Fprintf(&text,
+			`"many-%d":{"order":5,"match":{"service":"chat","origin":"nobody-%d"},"to":{"districts":["north"]}},`, number, number)
 	}
 	text.WriteString(`"all":{"order":9,"to":{}}}}`)
 	return []byte(text.String())
 }
 
-// BenchmarkLarge is what a change of a large configuration costs, step by step.
-func BenchmarkLarge(benchmark *testing.B) {
-	text := large(8000)
+// BenchmarkLargeConfiguration measures three operations on a large configuration: checking it, evacuating a zone
+// and merging a patch of one route.
+func BenchmarkLargeConfiguration(benchmark *testing.B) {
+	text := largeConfiguration(8000)
 	benchmark.Run("check", func(benchmark *testing.B) {
 		for range benchmark.N {
 			if _, err := Check(text); err != nil {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,45 +10,46 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// parsers are reused: what they read is copied before they go back to the pool.
+// parsers holds reusable JSON parsers. All text that outlives a call is copied before the parser returns to the pool,
+// because the parser overwrites its values when it is used again.
 var parsers fastjson.ParserPool
 
-// maxTextBytes bounds a string that is no name, such as a path.
+// maxTextBytes is the maximum size of a string, such as a path. Names have a limit of their own.
 const maxTextBytes = 4096
 
-// MaxBytes is the size of the largest configuration that is read.
+// MaxBytes is the maximum size of a configuration's text.
 const MaxBytes = 16 << 20
 
-// Check reads a complete configuration. It returns either the configuration or a
+// Check parses and validates a complete configuration. It returns either the configuration or a
 // *ValidationError with the code and path of every failure: Oversize and Malformed for
 // the text, WrongType, OutOfRange, Missing, UnknownField and Contradictory for fields.
 func Check(text []byte) (*Configuration, error) {
-	failures := &ValidationError{}
+	validation := &ValidationError{}
 	if len(text) > MaxBytes {
-		failures.add(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MaxBytes)+" bytes")
-		return nil, failures
+		validation.add(failure.Oversize, "/", "the configuration exceeds "+strconv.Itoa(MaxBytes)+" bytes")
+		return nil, validation
 	}
 	if !utf8.Valid(text) {
-		failures.add(failure.Malformed, "/", "the text is not UTF-8")
-		return nil, failures
+		validation.add(failure.Malformed, "/", "the text is not UTF-8")
+		return nil, validation
 	}
-	// The validator is stricter than the parser, which takes anything for a number.
+	// The text is validated first because the parser accepts malformed numbers.
 	if err := fastjson.ValidateBytes(text); err != nil {
-		failures.add(failure.Malformed, "/", SyntaxDetail(text))
-		return nil, failures
+		validation.add(failure.Malformed, "/", SyntaxDetail(text))
+		return nil, validation
 	}
 	parser := parsers.Get()
 	defer parsers.Put(parser)
 	root, err := parser.ParseBytes(text)
 	if err != nil {
-		failures.add(failure.Malformed, "/", SyntaxDetail(text))
-		return nil, failures
+		validation.add(failure.Malformed, "/", SyntaxDetail(text))
+		return nil, validation
 	}
-	c := &checker{failures: failures, configuration: Empty(), hostPaths: map[hostPath]string{}}
+	c := &checker{failures: validation, configuration: Empty(), hostPaths: map[hostPath]string{}}
 	c.configuration.Text = append([]byte(nil), text...)
 	c.root(root, pointer{})
-	if len(failures.Errors) > 0 {
-		return nil, failures
+	if len(validation.Failures) > 0 {
+		return nil, validation
 	}
 	routes := c.configuration.Routes
 	sort.Slice(routes, func(a, b int) bool {
@@ -60,16 +61,16 @@
 	return c.configuration, nil
 }
 
-// checker fills a configuration from its JSON and collects the failures. Each method
-// checks one kind of object; those in values.go check single values.
+// checker fills a configuration from its JSON and collects validation failures. Each method
+// checks one kind of object; the methods in values.go check single values.
 type checker struct {
 	failures      *ValidationError
 	configuration *Configuration
-	// places are the hosts and prefixes that routes of calls have, by route.
+	// hostPaths maps the host and path prefix of each route for opaque calls to the name of the route.
 	hostPaths map[hostPath]string
 }
 
-// hostPath is the condition of a route of calls: no two routes may share one.
+// hostPath is the host and path prefix that a route for opaque calls matches. No two routes may match the same pair.
 type hostPath struct{ host, prefix string }
 
 func (c *checker) root(root *fastjson.Value, at pointer) {
@@ -115,14 +116,14 @@
 
 func (c *checker) reference(service string, at pointer) {
 	if _, found := c.configuration.Services[service]; service != "" && !found {
-		c.failures.add(failure.Contradictory, at.String(), "no service "+service)
+		c.failures.add(failure.Contradictory, at.String(), "there is no service "+service)
 	}
 }
 
 func (c *checker) revision(value *fastjson.Value, at pointer) {
 	revision, err := value.Uint64()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a whole number is needed")
+		c.failures.add(failure.WrongType, at.String(), "an integer is required")
 		return
 	}
 	c.configuration.Revision = revision
--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -7,30 +7,31 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-func TestCheckNamesEveryFailureWithPathAndType(t *testing.T) {
-	_, err := Check([]byte(`{"services":{"chat":{"tries":0,"colour":1},"chat":{}},"routes":{"a":{"to":{"refuse":true,"districts":["n"]}},"b":{}},"evacuations":{"n":{"reason":5}},"x":1}`))
+func TestCheckReportsPathAndCodeOfEveryFailure(t *testing.T) {
+	_, err := Check([]byte(`{"services":{"chat":{"tries":0,"colour":1},"chat":{}},` +
+		`"routes":{"a":{"to":{"refuse":true,"districts":["n"]}},"b":{}},"evacuations":{"n":{"reason":5}},"x":1}`))
 	var validation *ValidationError
 	if !errors.As(err, &validation) {
-		t.Fatalf("no findings: %v", err)
+		t.Fatalf("got error %v, want a ValidationError", err)
 	}
 	found := map[string]failure.Code{}
-	for _, entry := range validation.Errors {
+	for _, entry := range validation.Failures {
 		found[entry.Path] = entry.Code
 	}
 	for path, code := range map[string]failure.Code{"/services/chat/tries": failure.OutOfRange, "/services/chat/colour": failure.UnknownField,
 		"/services/chat": failure.Contradictory, "/routes/a/to": failure.Contradictory, "/routes/b/to": failure.Missing,
 		"/evacuations/n/reason": failure.WrongType, "/x": failure.UnknownField} {
 		if found[path] != code {
-			t.Errorf("%s: %q, not %q", path, found[path], code)
+			t.Errorf("%s: got code %q, want %q", path, found[path], code)
 		}
 	}
 	if len(found) != 7 {
-		t.Errorf("%d failures: %v", len(found), found)
+		t.Errorf("got %d failures, want 7: %v", len(found), found)
 	}
 }
 
-// TestMergeFollowsTheStandard uses cases of the kinds that RFC 7396 lists.
-func TestMergeFollowsTheStandard(t *testing.T) {
+// TestMergeFollowsRFC7396 checks cases of the kinds that the appendix of RFC 7396 lists.
+func TestMergeFollowsRFC7396(t *testing.T) {
 	for _, row := range [][3]string{
 		{`{"a":"b"}`, `{"a":"c"}`, `{"a":"c"}`},
 		{`{"a":"b"}`, `{"b":"c"}`, `{"a":"b","b":"c"}`},
@@ -43,15 +44,15 @@
 	} {
 		merged, err := Merge([]byte(row[0]), []byte(row[1]))
 		if err != nil || string(merged) != row[2] {
-			t.Errorf("%s and %s make %s, not %s (%v)", row[0], row[1], merged, row[2], err)
+			t.Errorf("merging %s with %s: got %s, want %s (error %v)", row[0], row[1], merged, row[2], err)
 		}
 	}
 	if _, err := Merge([]byte(`{}`), []byte(`[]`)); failure.CodeOf(err) != failure.WrongType {
-		t.Errorf("a list was merged: %v", err)
+		t.Errorf("merging a list: got error %v, want one with the code wrong_type", err)
 	}
 }
 
-func TestTwoEvacuationsDoNotUndoEachOther(t *testing.T) {
+func TestEvacuationsOfTwoZonesAreIndependent(t *testing.T) {
 	text, err := Evacuate([]byte(`{}`), "north", "one")
 	if err == nil {
 		text, err = Evacuate(text, "south", "two")
@@ -59,13 +60,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if configuration, err := Check(text); err != nil || len(configuration.Evacuations) != 2 || !configuration.Evacuated("north") || !configuration.Evacuated("south") {
-		t.Fatalf("%s: %v", text, err)
+	if configuration, err := Check(text); err != nil || len(configuration.Evacuations) != 2 ||
+		!configuration.Evacuated("north") || !configuration.Evacuated("south") {
+		t.Fatalf("after two evacuations got %s (error %v), want north and south evacuated", text, err)
 	}
-	if text, err = Restore(text, "north"); err != nil {
+	if text, err = EndEvacuation(text, "north"); err != nil {
 		t.Fatal(err)
 	}
 	if configuration, err := Check(text); err != nil || configuration.Evacuated("north") || !configuration.Evacuated("south") {
-		t.Fatalf("%s: %v", text, err)
+		t.Fatalf("after restoring north got %s (error %v), want only south evacuated", text, err)
 	}
 }
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -1,43 +1,43 @@
-// Package config is the operators' configuration: services, routes, tenants and evacuations. It
-// checks a configuration (Check), merges a partial one into it (Merge), builds the next
-// revision (Revise) and compares a proposed one with the state of the fleet
-// (ValidateAgainst). It is pure: the control plane stores and distributes what it makes,
-// scheduler and auction read the checked Configuration, platform translates the users'
-// format to its own.
+// Package config defines the operators' configuration: services, routes, tenants and evacuations. It
+// checks a configuration (Check), merges a partial configuration into it (Merge), builds the next
+// revision (Revise) and compares a proposed configuration with the state of the fleet
+// (ValidateAgainst). The package does no I/O: the control plane stores and distributes configurations,
+// the packages scheduler and auction use the checked Configuration, and package platform translates the
+// users' format to the format of this package.
 package config
 
 import (
 	"time"
 )
 
-// Configuration is a checked configuration. Text is its JSON.
+// Configuration is a validated configuration. Text is its JSON.
 type Configuration struct {
 	Text        []byte
 	Services    map[string]Service
 	Routes      []Route
 	Evacuations map[string]Evacuation
-	// Revision is the operator's own number of the configuration; zero if there is
-	// none. A change that gives one must give a higher one.
+	// Revision is the number that the operator gives the configuration; zero if there is
+	// none. If a change contains a revision, it must be higher than the current one.
 	Revision uint64
-	// Limits bound what a caller may send.
+	// Limits bounds the requests of clients.
 	Limits Limits
-	// Tenants are those whose clients may send opaque calls; nil: calls need no key.
+	// Tenants are the tenants whose clients may send opaque calls; nil means that calls need no key.
 	Tenants map[string]Tenant
 }
 
-// Limits bound what a caller may send; a zero means the product's default.
+// Limits bounds the requests of clients. A zero field means the built-in default.
 type Limits struct {
 	// HeaderBytes and BodyBytes bound the sizes of a request's header and body.
 	HeaderBytes int
 	BodyBytes   int
-	// HeaderTimeout is how long a caller may take to send a header.
+	// HeaderTimeout is how long a client may take to send a header.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may stay without a request.
+	// IdleTimeout is how long a connection may stay open without a request.
 	IdleTimeout time.Duration
 }
 
-// Empty is the configuration of a fleet that was given none: it has no
-// services, so every request is refused as unknown.
+// Empty returns the configuration of a fleet that has not received one yet. It has no
+// services, so every request is rejected as unknown.
 func Empty() *Configuration {
 	return &Configuration{Text: []byte(`{}`), Services: map[string]Service{}, Evacuations: map[string]Evacuation{}}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -9,47 +9,47 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// ValidationError is returned for a configuration that is not valid. It holds all
-// failures that a check met, up to MaxErrors, each with its code and its path (a JSON
-// pointer into the configuration).
+// ValidationError is returned for an invalid configuration. It contains all failures that
+// a check found, up to MaxFailures, each with its code and its path (a JSON pointer into
+// the configuration).
 type ValidationError struct {
-	Errors []*failure.Error `json:"failures"`
+	Failures []*failure.Error `json:"failures"`
 }
 
-// MaxErrors is how many failures one check reports at most.
-const MaxErrors = 100
+// MaxFailures is the maximum number of failures that one check reports.
+const MaxFailures = 100
 
-// Error says how many failures there are, and the first.
+// Error returns the first failure and states whether there are several.
 func (f *ValidationError) Error() string {
-	if len(f.Errors) == 1 {
-		return f.Errors[0].Error()
+	if len(f.Failures) == 1 {
+		return f.Failures[0].Error()
 	}
-	return "several failures, the first: " + f.Errors[0].Error()
+	return "several failures, the first is: " + f.Failures[0].Error()
 }
 
-// invalid makes a ValidationError of one failure.
+// invalid returns a ValidationError with one failure.
 func invalid(code failure.Code, path, detail string) *ValidationError {
-	return &ValidationError{Errors: []*failure.Error{failure.At(code, path, detail)}}
+	return &ValidationError{Failures: []*failure.Error{failure.At(code, path, detail)}}
 }
 
-// SyntaxDetail says where a text that can't be read breaks off being JSON. It shows nothing of the text, which
-// may hold keys.
+// SyntaxDetail describes at which byte a text stops being valid JSON. The description contains nothing of the
+// text, because the text may contain API keys.
 func SyntaxDetail(text []byte) string {
 	var syntax *json.SyntaxError
 	if err := json.Unmarshal(text, new(json.RawMessage)); errors.As(err, &syntax) {
-		return "the text is not JSON at byte " + strconv.FormatInt(syntax.Offset, 10)
+		return "the text is not valid JSON at byte " + strconv.FormatInt(syntax.Offset, 10)
 	}
-	return "the text is not JSON"
+	return "the text is not valid JSON"
 }
 
 func (f *ValidationError) add(code failure.Code, path, detail string) {
-	if len(f.Errors) < MaxErrors {
-		f.Errors = append(f.Errors, failure.At(code, path, detail))
+	if len(f.Failures) < MaxFailures {
+		f.Failures = append(f.Failures, failure.At(code, path, detail))
 	}
 }
 
-// pointer is the place of a value in a configuration, as a linked list from the leaf to
-// the root: its text is made only when a failure needs it.
+// pointer is the location of a value in a configuration. It is a linked list from the value to the
+// root, so that the text of the location is built only when a failure is reported.
 type pointer struct {
 	parent *pointer
 	name   string
@@ -57,7 +57,7 @@
 
 func (at pointer) field(name string) pointer { return pointer{parent: &at, name: name} }
 
-// String renders the place as a JSON pointer (RFC 6901); the root is "/".
+// String returns the location as a JSON pointer (RFC 6901), except that the root is "/" instead of an empty string.
 func (at pointer) String() string {
 	if at.parent == nil {
 		return "/"
--- a/internal/config/evacuations.go
+++ b/internal/config/evacuations.go
@@ -8,7 +8,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Evacuation keeps requests off a zone's servers until it is lifted.
+// Evacuation excludes a zone's servers from routing until it is lifted.
 type Evacuation struct {
 	Zone   string
 	Reason string
@@ -20,9 +20,9 @@
 	return found
 }
 
-// Evacuate returns the configuration's text with the zone evacuated; text itself if it is
-// evacuated for that reason already. It fails with Malformed for an unreadable text and
-// with a *ValidationError for a zone that is no name or a result over MaxBytes.
+// Evacuate returns the configuration's text with the zone evacuated, or text itself if the zone is
+// already evacuated for the same reason. It fails with Malformed if the text cannot be parsed, and
+// with a *ValidationError if the zone is not a valid name or the result exceeds MaxBytes.
 func Evacuate(text []byte, zone, reason string) ([]byte, error) {
 	if current, evacuated, err := evacuationOf(text, zone); err != nil || evacuated && current == reason {
 		return text, err
@@ -33,9 +33,9 @@
 	return mergeOne(text, arena, zone, evacuation)
 }
 
-// Restore returns the configuration's text with the zone's evacuation lifted; text itself
-// if there is none.
-func Restore(text []byte, zone string) ([]byte, error) {
+// EndEvacuation returns the configuration's text without the zone's evacuation, or text itself
+// if the zone is not evacuated.
+func EndEvacuation(text []byte, zone string) ([]byte, error) {
 	if _, evacuated, err := evacuationOf(text, zone); err != nil || !evacuated {
 		return text, err
 	}
@@ -43,14 +43,14 @@
 	return mergeOne(text, arena, zone, arena.NewNull())
 }
 
-// ZoneEvacuated reports whether the configuration's text has the zone evacuated. It fails with
-// Malformed for an unreadable text.
+// ZoneEvacuated reports whether the zone is evacuated in the configuration's text. It fails with
+// Malformed if the text cannot be parsed.
 func ZoneEvacuated(text []byte, zone string) (bool, error) {
 	_, evacuated, err := evacuationOf(text, zone)
 	return evacuated, err
 }
 
-// evacuationOf reports whether the text has the zone evacuated, and why.
+// evacuationOf reports whether the zone is evacuated in the text, and for which reason.
 func evacuationOf(text []byte, zone string) (reason string, evacuated bool, err error) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
@@ -68,7 +68,7 @@
 	evacuations.Set(zone, value)
 	patch := arena.NewObject()
 	patch.Set("evacuations", evacuations)
-	// Only what is added is checked: the rest was, when it was taken.
+	// Only the patch is checked: the rest of the text was checked when it was accepted.
 	if value.Type() != fastjson.TypeNull {
 		if _, err := Check(patch.MarshalTo(nil)); err != nil {
 			return nil, err
@@ -76,7 +76,7 @@
 	}
 	merged, err := Merge(text, patch.MarshalTo(nil))
 	if err == nil && len(merged) > MaxBytes {
-		return nil, invalid(failure.Oversize, "/", "a configuration has at most "+strconv.Itoa(MaxBytes)+" bytes")
+		return nil, invalid(failure.Oversize, "/", "the configuration exceeds "+strconv.Itoa(MaxBytes)+" bytes")
 	}
 	return merged, err
 }
@@ -93,7 +93,7 @@
 		}
 		text, err := value.StringBytes()
 		if err != nil {
-			c.failures.add(failure.WrongType, at.String(), "a text is needed")
+			c.failures.add(failure.WrongType, at.String(), "a string is required")
 		}
 		evacuation.Reason = string(text)
 		return true
--- a/internal/config/example_test.go
+++ b/internal/config/example_test.go
@@ -11,7 +11,7 @@
 	_, err := config.Check([]byte(`{"services":{"chat":{"tries":0}},"routes":{"all":{"order":1}}}`))
 	var invalid *config.ValidationError
 	if errors.As(err, &invalid) {
-		for _, found := range invalid.Errors {
+		for _, found := range invalid.Failures {
 			fmt.Println(found.Path, found.Code)
 		}
 	}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -2,11 +2,17 @@
 
 import "testing"
 
-// FuzzCheckAndMerge gives configurations and patches that may be anything: no
-// panic, and what passes the check passes it again when it is read back.
+// FuzzCheckAndMerge passes arbitrary texts to Check, Merge and Evacuate. No text may cause a panic. The text of a
+// valid configuration must be valid when it is checked again, and no two tenants of a valid
+// configuration may have the same key.
 func FuzzCheckAndMerge(fuzzing *testing.F) {
-	fuzzing.Add([]byte(`{"services":{"a":{"tries":3}},"routes":{"r":{"order":1,"match":{"service":"a"},"to":{"districts":["n"]}}},"evacuations":{"n":{}}}`), []byte(`{"routes":{"r":null}}`))
-	fuzzing.Add([]byte(`{"tenants":{"a":{"keys":["k","k"],"rank":3,"per_second":4.5,"burst":1},"b":{"keys":["l"],"header_value":"B C"}}}`), []byte(`{"tenants":{"a":null,"b":{"keys":["k"]}}}`))
+	fuzzing.Add(
+		[]byte(`{"services":{"a":{"tries":3}},"routes":{"r":{"order":1,"match":{"service":"a"},"to":{"districts":["n"]}}},`+
+			`"evacuations":{"n":{}}}`),
+		[]byte(`{"routes":{"r":null}}`))
+	fuzzing.Add(
+		[]byte(`{"tenants":{"a":{"keys":["k","k"],"rank":3,"per_second":4.5,"burst":1},"b":{"keys":["l"],"header_value":"B C"}}}`),
+		[]byte(`{"tenants":{"a":null,"b":{"keys":["k"]}}}`))
 	fuzzing.Add([]byte(`{"tenants":{"a":{"keys":["k"]},"b":{"keys":["k"]}}}`), []byte(`{"tenants":null}`))
 	fuzzing.Add([]byte(`{`), []byte(`[]`))
 	fuzzing.Add([]byte(`{"services":{"a":{"tries":1e99}}}`), []byte(`{"services":{"a":{"tries":"3"}}}`))
@@ -15,15 +21,15 @@
 		configuration, err := Check(text)
 		if err == nil {
 			if _, again := Check(configuration.Text); again != nil {
-				t.Fatalf("%q passed and does not pass again: %v", text, again)
+				t.Fatalf("%q is valid, but its text is invalid when checked again: %v", text, again)
 			}
-			holders := map[string]string{}
+			owners := map[string]string{}
 			for name, tenant := range configuration.Tenants {
 				for _, key := range tenant.Keys {
-					if holder, found := holders[key]; found {
-						t.Fatalf("%q: %s and %s have one key", text, holder, name)
+					if owner, found := owners[key]; found {
+						t.Fatalf("%q is valid, but the tenants %s and %s have the same key", text, owner, name)
 					}
-					holders[key] = name
+					owners[key] = name
 				}
 			}
 		}
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -7,7 +7,8 @@
 )
 
 // Merge applies a JSON merge patch (RFC 7396) to a configuration's text. The result is not
-// checked. It fails with Malformed, or with WrongType if the patch is no object.
+// validated. Merge fails with Malformed if the text or the patch cannot be parsed, and with WrongType
+// if the patch is not an object.
 func Merge(text, patch []byte) ([]byte, error) {
 	targetParser, patchParser := parsers.Get(), parsers.Get()
 	defer parsers.Put(targetParser)
@@ -21,13 +22,13 @@
 		return nil, failure.At(failure.Malformed, "/", SyntaxDetail(patch))
 	}
 	if change.Type() != fastjson.TypeObject {
-		return nil, failure.At(failure.WrongType, "/", "a partial configuration is an object")
+		return nil, failure.At(failure.WrongType, "/", "a partial configuration must be an object")
 	}
 	return appendMerged(nil, target, change), nil
 }
 
-// appendMerged writes the patched target in one pass over both objects: setting fields one
-// by one in fastjson's object costs a search through all of them each time.
+// appendMerged appends the patched target to text in one pass over both objects. Setting the fields
+// individually with fastjson would search through all fields of the object each time.
 func appendMerged(text []byte, target, patch *fastjson.Value) []byte {
 	if patch.Type() != fastjson.TypeObject {
 		return patch.MarshalTo(text)
--- a/internal/config/revise.go
+++ b/internal/config/revise.go
@@ -8,11 +8,12 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Revise makes the next revision of a configuration's text. The edit runs only if text is
-// at revision base (else RevisionConflict, with the current revision as detail), and its
-// result must have a higher revision, so that two operators can not overwrite one another.
-// A result without evacuations keeps those in force. An invalid result is a
-// *ValidationError.
+// Revise returns the next revision of a configuration's text. It calls edit only if text is
+// at revision base, and otherwise fails with RevisionConflict and the current revision as the detail.
+// The edited text must have a higher revision, so that two operators cannot overwrite each other's changes.
+// If the edited text has no field "evacuations", the current evacuations stay in force. The error is a
+// *ValidationError if the edited text is not a JSON object or its revision is missing, invalid or not higher; nothing
+// else is validated.
 func Revise(text []byte, base uint64, edit func(text []byte) ([]byte, error)) ([]byte, error) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
@@ -35,16 +36,16 @@
 		return nil, invalid(failure.Malformed, "/", SyntaxDetail(edited))
 	}
 	if next.Type() != fastjson.TypeObject {
-		return nil, invalid(failure.WrongType, "/", "an object is needed, not "+next.Type().String())
+		return nil, invalid(failure.WrongType, "/", "an object is required, not "+next.Type().String())
 	}
 	revisionField := next.Get("revision")
 	if revisionField == nil {
-		return nil, invalid(failure.Missing, "/revision", "a change that builds on a revision gives the next one")
+		return nil, invalid(failure.Missing, "/revision", "a change based on a revision must contain the next revision")
 	}
 	revision, err := revisionField.Uint64()
 	switch {
 	case err != nil:
-		return nil, invalid(failure.WrongType, "/revision", "a whole number is needed")
+		return nil, invalid(failure.WrongType, "/revision", "an integer is required")
 	case revision <= current:
 		return nil, invalid(failure.OutOfRange, "/revision", "the revision must be above "+strconv.FormatUint(current, 10))
 	}
