--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,14 +9,15 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Route sends the requests that it matches to zones, or refuses them.
-// Routes are asked by Order, then by name; the first that matches decides.
+// Route sends the requests that it matches to zones, or rejects them.
+// Routes of requests are evaluated by Order, then by name; the first route that matches is used.
+// Routes of opaque calls are selected by host and path prefix (see Match).
 type Route struct {
 	Name  string
 	Order int
 	Match Match
 	To    Target
-	// Calls says how opaque calls are served; nil for routes of requests.
+	// Calls defines how opaque calls are served; nil for routes of requests.
 	Calls *CallRoute
 }
 
@@ -26,27 +27,27 @@
 	Shares []Share
 	// Timeout bounds a call from its arrival to its reply; at least a millisecond.
 	Timeout time.Duration
-	// LatencyTarget is the time within which a reply has its full worth; zero means
-	// none was stated.
+	// LatencyTarget is the time within which a reply should arrive, because a later reply
+	// is worth less to the client; zero means that none is configured.
 	LatencyTarget time.Duration
 	// MaxEventGap is the longest interval between two events of a stream; zero means
-	// none was stated.
+	// that none is configured.
 	MaxEventGap time.Duration
 	// Priority is the urgency among the routes: 0 is the most urgent.
 	Priority int
 	// MaxAttempts is how many servers one call may be sent to, the first included;
 	// default DefaultAttempts.
 	MaxAttempts int
-	// Streams states that replies are streams of events.
+	// Streams is set if replies are streams of events.
 	Streams bool
-	// Idempotent states that a call may run more than once.
+	// Idempotent is set if a call may run more than once.
 	Idempotent bool
-	// Resumable states that a stream may go on at another server.
+	// Resumable is set if a stream may continue at another server.
 	Resumable bool
-	// Sticky states that calls share parts of their prompts, so that a server's prefix
-	// cache is worth returning to.
+	// Sticky is set if calls share parts of their prompts, so that later calls benefit from the
+	// prefix cache of the server that served earlier calls.
 	Sticky bool
-	// Public states that calls need no key, where the configuration has tenants.
+	// Public is set if calls need no key even though the configuration has tenants.
 	Public bool
 }
 
@@ -56,7 +57,7 @@
 	Weight  int
 }
 
-// reaches tells whether the route may send something to the service.
+// reaches reports whether the route may send requests or calls to the service.
 func (r Route) reaches(service string) bool {
 	if r.Calls == nil {
 		return r.Match.Service == "" || r.Match.Service == service
@@ -74,30 +75,30 @@
 	Service string
 	Zone    string
 	Client  string
-	// Prefix is the name of a shared beginning of prompts.
+	// Prefix is the name of a prompt prefix that requests share.
 	Prefix string
 	// PromptTokensAtLeast and PromptTokensBelow bound the length of the prompt.
 	PromptTokensAtLeast int
 	PromptTokensBelow   int
-	// Host and PathPrefix match opaque calls; of a host's routes the longest prefix
-	// decides. A route has both or neither.
+	// Host and PathPrefix match opaque calls. Of the matching routes of a host, the one with the
+	// longest prefix is used. A route has both fields or neither.
 	Host       string
 	PathPrefix string
 }
 
-// Target is what a route does with the requests that it matches.
+// Target defines where a route sends the requests that it matches, or that it rejects them.
 type Target struct {
-	// Zones are those whose servers may be used; none named means all.
+	// Zones are the zones whose servers may be used; empty means all zones.
 	Zones []string
 	// PreferOwnZone prefers servers in the router's own zone; default true.
 	PreferOwnZone bool
-	// Refuse refuses the request; no zones may be named with it.
+	// Refuse rejects the requests. A route with Refuse must not list zones.
 	Refuse bool
 }
 
 func (c *checker) route(name string, value *fastjson.Value, at pointer) {
 	route := Route{Name: name, To: Target{PreferOwnZone: true}}
-	seenTo := false
+	hasTarget := false
 	if !c.fields(value, at, func(name string, value *fastjson.Value, at pointer) bool {
 		switch name {
 		case "order":
@@ -105,7 +106,7 @@
 		case "match":
 			c.match(&route.Match, value, at)
 		case "to":
-			seenTo = true
+			hasTarget = true
 			c.target(&route.To, value, at)
 		case "calls":
 			route.Calls = &CallRoute{MaxAttempts: DefaultAttempts}
@@ -119,39 +120,40 @@
 	}) {
 		return
 	}
-	if !seenTo && route.Calls == nil {
-		c.failures.add(failure.Missing, at.field("to").String(), "a route says where its inquiries go")
+	if !hasTarget && route.Calls == nil {
+		c.failures.add(failure.Missing, at.field("to").String(), "a route must define where its requests are sent")
 	}
 	if route.To.Refuse && len(route.To.Zones) > 0 {
-		c.failures.add(failure.Contradictory, at.field("to").String(), "a route that refuses names no districts")
+		c.failures.add(failure.Contradictory, at.field("to").String(), "a route with refuse must not list districts")
 	}
 	if below := route.Match.PromptTokensBelow; below > 0 && route.Match.PromptTokensAtLeast >= below {
-		c.failures.add(failure.Contradictory, at.field("match").String(), "no prompt is at least "+
+		c.failures.add(failure.Contradictory, at.field("match").String(), "no prompt length is at least "+
 			strconv.Itoa(route.Match.PromptTokensAtLeast)+" and below "+strconv.Itoa(below))
 	}
 	c.checkHostPath(&route, at)
 	c.configuration.Routes = append(c.configuration.Routes, route)
 }
 
-// checkHostPath checks that a route of calls has a host and a path prefix, and that no
-// other route has the same two: which of them served a call would be undefined.
+// checkHostPath checks that only a route of calls has a host and a path prefix, that it has both and
+// no other condition, and that no other route has the same host and path prefix. If two routes had
+// the same host and path prefix, it would be undefined which of them serves a call.
 func (c *checker) checkHostPath(route *Route, at pointer) {
 	match := &route.Match
 	if route.Calls == nil {
 		if match.Host != "" || match.PathPrefix != "" {
 			c.failures.add(failure.Missing, at.field("calls").String(),
-				"a route with a host and a path prefix says how its calls are served")
+				"a route with a host and a path prefix must define how its calls are served")
 		}
 		return
 	}
 	if match.Host == "" {
-		c.failures.add(failure.Missing, at.field("match").field("host").String(), "a route of calls names a host")
+		c.failures.add(failure.Missing, at.field("match").field("host").String(), "a route of calls must have a host")
 	}
 	if match.PathPrefix == "" {
-		c.failures.add(failure.Missing, at.field("match").field("path_prefix").String(), "a route of calls names a path prefix")
+		c.failures.add(failure.Missing, at.field("match").field("path_prefix").String(), "a route of calls must have a path prefix")
 	}
 	if *match != (Match{Host: match.Host, PathPrefix: match.PathPrefix}) {
-		c.failures.add(failure.Contradictory, at.field("match").String(), "a route of calls matches by host and path prefix only")
+		c.failures.add(failure.Contradictory, at.field("match").String(), "a route of calls may only match by host and path prefix")
 	}
 	if match.Host == "" || match.PathPrefix == "" {
 		return
@@ -165,14 +167,14 @@
 }
 
 func (c *checker) calls(calls *CallRoute, value *fastjson.Value, at pointer) {
-	var seenShares, seenLimit bool
+	var hasShares, hasLimit bool
 	if !c.fields(value, at, func(name string, value *fastjson.Value, at pointer) bool {
 		switch name {
 		case "shares":
-			seenShares = true
+			hasShares = true
 			c.shares(calls, value, at)
 		case "limit_milliseconds":
-			seenLimit = true
+			hasLimit = true
 			c.milliseconds(&calls.Timeout, 1, MaxCallTimeout, value, at)
 		case "aim_milliseconds":
 			c.milliseconds(&calls.LatencyTarget, 0, MaxCallTimeout, value, at)
@@ -199,18 +201,18 @@
 	}) {
 		return
 	}
-	if !seenShares {
-		c.failures.add(failure.Missing, at.field("shares").String(), "a route of calls says which services serve it")
+	if !hasShares {
+		c.failures.add(failure.Missing, at.field("shares").String(), "a route of calls must list the services that serve its calls")
 	}
-	if !seenLimit {
-		c.failures.add(failure.Missing, at.field("limit_milliseconds").String(), "a route of calls says how long a call is held")
+	if !hasLimit {
+		c.failures.add(failure.Missing, at.field("limit_milliseconds").String(), "a route of calls must have a time limit")
 	}
 }
 
 func (c *checker) shares(calls *CallRoute, value *fastjson.Value, at pointer) {
 	entries, err := value.Array()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a list of services with their weights is needed")
+		c.failures.add(failure.WrongType, at.String(), "a list of services with their weights is required")
 		return
 	}
 	sum := 0
@@ -230,13 +232,13 @@
 			return true
 		})
 		if share.Service == "" {
-			c.failures.add(failure.Missing, here.field("service").String(), "a share names a service")
+			c.failures.add(failure.Missing, here.field("service").String(), "a share must name a service")
 		}
 		sum += share.Weight
 		calls.Shares = append(calls.Shares, share)
 	}
 	if sum == 0 {
-		c.failures.add(failure.OutOfRange, at.String(), "the weights must not add up to 0")
+		c.failures.add(failure.OutOfRange, at.String(), "the sum of the weights must not be 0")
 	}
 }
 
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-func TestRoutesOfCallsAreRead(t *testing.T) {
+func TestCheckParsesRoutesOfCalls(t *testing.T) {
 	configuration, err := Check([]byte(`{
 		"revision":7,
 		"limits":{
@@ -40,7 +40,7 @@
 		IdleTimeout:   15 * time.Second,
 	}
 	if configuration.Revision != 7 || configuration.Limits != wantLimits {
-		t.Errorf("revision %d, limits %+v", configuration.Revision, configuration.Limits)
+		t.Errorf("got revision %d, limits %+v, want 7, %+v", configuration.Revision, configuration.Limits, wantLimits)
 	}
 	wantService := Service{
 		Name:            "desk",
@@ -65,11 +65,11 @@
 		},
 	}
 	if service := configuration.Services["desk"]; !reflect.DeepEqual(service, wantService) {
-		t.Errorf("service %+v, not %+v", service, wantService)
+		t.Errorf("got service %+v, want %+v", service, wantService)
 	}
 	route := configuration.Routes[0]
 	if route.Match != (Match{Host: "nony24.example", PathPrefix: "/lohu930/"}) {
-		t.Errorf("match %+v", route.Match)
+		t.Errorf("got match %+v, want host nony24.example and path prefix /lohu930/", route.Match)
 	}
 	wantCalls := CallRoute{
 		Shares:        []Share{{Service: "desk", Weight: 90}, {Service: "desk", Weight: 10}},
@@ -84,125 +84,125 @@
 		Sticky:        true,
 	}
 	if !reflect.DeepEqual(*route.Calls, wantCalls) {
-		t.Errorf("calls %+v, not %+v", *route.Calls, wantCalls)
+		t.Errorf("got calls %+v, want %+v", *route.Calls, wantCalls)
 	}
 }
 
-func TestInvalidRoutesOfCallsAreNamedWithPathAndType(t *testing.T) {
-	const place = `"match":{"host":"h","path_prefix":"/"}`
-	const served = `"limit_milliseconds":1,"shares":[{"service":"desk"}]`
+func TestInvalidRoutesOfCallsAreReportedWithPathAndCode(t *testing.T) {
+	const match = `"match":{"host":"h","path_prefix":"/"}`
+	const limitAndShares = `"limit_milliseconds":1,"shares":[{"service":"desk"}]`
 	for _, row := range []struct {
 		name, routes, path string
 		code               failure.Code
 	}{
 		{
 			"unknown service",
-			`"a":{` + place + `,"calls":{"limit_milliseconds":1,"shares":[{"service":"desk"},{"service":"other"}]}}`,
+			`"a":{` + match + `,"calls":{"limit_milliseconds":1,"shares":[{"service":"desk"},{"service":"other"}]}}`,
 			"/routes/a/calls/shares/1/service", failure.Contradictory,
 		},
 		{
-			"the same place",
-			`"a":{"match":{"host":"h","path_prefix":"/p/"},"calls":{` + served + `}},` +
-				`"b":{"match":{"host":"H","path_prefix":"/p/"},"calls":{` + served + `}}`,
+			"same host and path prefix",
+			`"a":{"match":{"host":"h","path_prefix":"/p/"},"calls":{` + limitAndShares + `}},` +
+				`"b":{"match":{"host":"H","path_prefix":"/p/"},"calls":{` + limitAndShares + `}}`,
 			"/routes/b/match", failure.Contradictory,
 		},
 		{
-			"no weight",
-			`"a":{` + place + `,"calls":{"limit_milliseconds":1,"shares":[{"service":"desk","weight":0},{"service":"desk","weight":0}]}}`,
+			"all weights 0",
+			`"a":{` + match + `,"calls":{"limit_milliseconds":1,"shares":[{"service":"desk","weight":0},{"service":"desk","weight":0}]}}`,
 			"/routes/a/calls/shares", failure.OutOfRange,
 		},
 		{
-			"no shares",
-			`"a":{` + place + `,"calls":{"limit_milliseconds":1,"shares":[]}}`,
+			"empty list of shares",
+			`"a":{` + match + `,"calls":{"limit_milliseconds":1,"shares":[]}}`,
 			"/routes/a/calls/shares", failure.OutOfRange,
 		},
 		{
 			"shares missing",
-			`"a":{` + place + `,"calls":{"limit_milliseconds":1}}`,
+			`"a":{` + match + `,"calls":{"limit_milliseconds":1}}`,
 			"/routes/a/calls/shares", failure.Missing,
 		},
 		{
 			"weight below 0",
-			`"a":{` + place + `,"calls":{"limit_milliseconds":1,"shares":[{"service":"desk","weight":-1}]}}`,
+			`"a":{` + match + `,"calls":{"limit_milliseconds":1,"shares":[{"service":"desk","weight":-1}]}}`,
 			"/routes/a/calls/shares/0/weight", failure.OutOfRange,
 		},
 		{
 			"limit 0",
-			`"a":{` + place + `,"calls":{"limit_milliseconds":0,"shares":[{"service":"desk"}]}}`,
+			`"a":{` + match + `,"calls":{"limit_milliseconds":0,"shares":[{"service":"desk"}]}}`,
 			"/routes/a/calls/limit_milliseconds", failure.OutOfRange,
 		},
 		{
 			"limit missing",
-			`"a":{` + place + `,"calls":{"shares":[{"service":"desk"}]}}`,
+			`"a":{` + match + `,"calls":{"shares":[{"service":"desk"}]}}`,
 			"/routes/a/calls/limit_milliseconds", failure.Missing,
 		},
 		{
 			"limit of another type",
-			`"a":{` + place + `,"calls":{"limit_milliseconds":"1","shares":[{"service":"desk"}]}}`,
+			`"a":{` + match + `,"calls":{"limit_milliseconds":"1","shares":[{"service":"desk"}]}}`,
 			"/routes/a/calls/limit_milliseconds", failure.WrongType,
 		},
 		{
 			"host without prefix",
-			`"a":{"match":{"host":"h"},"calls":{` + served + `}}`,
+			`"a":{"match":{"host":"h"},"calls":{` + limitAndShares + `}}`,
 			"/routes/a/match/path_prefix", failure.Missing,
 		},
 		{
 			"prefix without host",
-			`"a":{"match":{"path_prefix":"/"},"calls":{` + served + `}}`,
+			`"a":{"match":{"path_prefix":"/"},"calls":{` + limitAndShares + `}}`,
 			"/routes/a/match/host", failure.Missing,
 		},
 		{
 			"prefix without first slash",
-			`"a":{"match":{"host":"h","path_prefix":"p/"},"calls":{` + served + `}}`,
+			`"a":{"match":{"host":"h","path_prefix":"p/"},"calls":{` + limitAndShares + `}}`,
 			"/routes/a/match/path_prefix", failure.OutOfRange,
 		},
 		{
 			"prefix without last slash",
-			`"a":{"match":{"host":"h","path_prefix":"/p"},"calls":{` + served + `}}`,
+			`"a":{"match":{"host":"h","path_prefix":"/p"},"calls":{` + limitAndShares + `}}`,
 			"/routes/a/match/path_prefix", failure.OutOfRange,
 		},
 		{
-			"a host on a route of inquiries",
-			`"a":{` + place + `,"to":{}}`,
+			"host on a route of requests",
+			`"a":{` + match + `,"to":{}}`,
 			"/routes/a/calls", failure.Missing,
 		},
 		{
 			"other conditions",
-			`"a":{"match":{"host":"h","path_prefix":"/","origin":"o"},"calls":{` + served + `}}`,
+			`"a":{"match":{"host":"h","path_prefix":"/","origin":"o"},"calls":{` + limitAndShares + `}}`,
 			"/routes/a/match", failure.Contradictory,
 		},
 		{
 			"an unknown field",
-			`"a":{` + place + `,"calls":{` + served + `,"colour":1}}`,
+			`"a":{` + match + `,"calls":{` + limitAndShares + `,"colour":1}}`,
 			"/routes/a/calls/colour", failure.UnknownField,
 		},
 		{
 			"annotations of another type",
-			`"a":{` + place + `,"annotations":[],"calls":{` + served + `}}`,
+			`"a":{` + match + `,"annotations":[],"calls":{` + limitAndShares + `}}`,
 			"/routes/a/annotations", failure.WrongType,
 		},
 	} {
 		_, err := Check([]byte(`{"services":{"desk":{}},"routes":{` + row.routes + `}}`))
 		var validation *ValidationError
 		if !errors.As(err, &validation) {
-			t.Errorf("%s: no findings, %v", row.name, err)
+			t.Errorf("%s: got error %v, want a ValidationError", row.name, err)
 			continue
 		}
 		found := false
-		for _, entry := range validation.Errors {
+		for _, entry := range validation.Failures {
 			found = found || entry.Path == row.path && entry.Code == row.code
 		}
 		if !found {
-			t.Errorf("%s: no %s at %s in %v", row.name, row.code, row.path, validation.Errors)
+			t.Errorf("%s: got failures %v, want %s at %s", row.name, validation.Failures, row.code, row.path)
 		}
 	}
 }
 
-func TestValidateAgainstKnowsRoutesOfCalls(t *testing.T) {
+func TestValidateAgainstAcceptsRoutesOfCalls(t *testing.T) {
 	diagnostics := ValidateAgainst([]byte(`{"services":{"desk":{}},"routes":{"all":{"order":0,"match":{"service":"desk"},"to":{}},
 		"a":{"order":1,"match":{"host":"h","path_prefix":"/"},"calls":{"limit_milliseconds":1,"shares":[{"service":"desk"}]}}}}`), nil,
 		FleetState{Servers: []ServerState{{Name: "s", Zone: "north"}}})
 	if len(diagnostics) != 0 {
-		t.Errorf("remarks %v", diagnostics)
+		t.Errorf("got diagnostics %v, want none", diagnostics)
 	}
 }
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -6,28 +6,28 @@
 	"github.com/valyala/fastjson"
 )
 
-// Service is one kind of streamed request that operators offer.
+// Service is a service for streamed requests that operators offer to clients.
 type Service struct {
 	Name string
 	// Timeout bounds a request from its arrival to its last chunk; default
 	// DefaultTimeout, at most MaxTimeout.
 	Timeout time.Duration
-	// MaxPromptTokens is the longest prompt that is accepted, in tokens; default
+	// MaxPromptTokens is the maximum length of a prompt, in tokens; default
 	// DefaultMaxPromptTokens.
 	MaxPromptTokens int
-	// MaxChunks is the longest reply, in chunks; default DefaultMaxChunks.
+	// MaxChunks is the maximum length of a reply, in chunks; default DefaultMaxChunks.
 	MaxChunks int
-	// MaxInFlight bounds the service's requests in flight; default DefaultInFlight.
+	// MaxInFlight is the maximum number of the service's requests in flight; default DefaultInFlight.
 	MaxInFlight int
 	// MaxAttempts is how many servers one request may be sent to, the first included;
 	// default DefaultAttempts.
 	MaxAttempts int
-	// IDsUsedOnce states that clients give every attempt an id of its own: at most one
-	// run then needs no claim.
+	// IDsUsedOnce is set if clients use a new id for every attempt. At-most-once execution of a
+	// request then needs no claim by a router.
 	IDsUsedOnce bool
 	// HealthPath is the path at which a server answers health checks; empty means none.
 	HealthPath string
-	// Connections is how many connections each server accepts from all callers together;
+	// Connections is how many connections each server accepts from all its clients together;
 	// zero means unknown.
 	Connections int
 	// Warming limits the load of a server that has just started.
@@ -36,14 +36,15 @@
 	Engine Engine
 }
 
-// Warming says how long a server warms up after its start, and how many requests a
-// second it takes meanwhile from all routers together. Both zero: it does not warm up.
+// Warming defines how long a server warms up after its start, and how many requests per
+// second it accepts from all routers together during that time. If both are zero, the server
+// does not warm up.
 type Warming struct {
 	Duration          time.Duration
 	RequestsPerSecond float64
 }
 
-// Engine is what operators state of a service's servers. A zero means unknown.
+// Engine describes the capabilities of a service's servers. A zero field means unknown.
 type Engine struct {
 	// Slots is how many requests one server runs at once.
 	Slots int
@@ -59,12 +60,12 @@
 	HandleLifetime time.Duration
 	// RoleChange is how long a server takes to change between prefill and decode.
 	RoleChange time.Duration
-	// Models are the names of the models that every server of the service has.
+	// Models are the names of the models that every server of the service offers.
 	Models []string
 }
 
-// The bounds and defaults of a service; the users' pages leave the values to us.
-// MaxCallTimeout bounds every duration of a route of calls.
+// The bounds and defaults of a service. MaxCallTimeout bounds every duration of limits, routes of calls,
+// warming and engines.
 const (
 	DefaultTimeout         = 30 * time.Second
 	MaxTimeout             = 10 * time.Minute
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -8,21 +8,21 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Tenant is a customer whose clients show one of its keys with each opaque call.
+// Tenant is a customer whose clients authenticate each opaque call with one of the tenant's keys.
 type Tenant struct {
 	Name string
-	// HeaderValue is how model servers are told the tenant; default Name.
+	// HeaderValue identifies the tenant in a header to model servers; default Name.
 	HeaderValue string
-	// Keys are secrets: they appear in no log and in no error.
+	// Keys are secrets: they must not appear in logs or errors.
 	Keys []string
 	// Limit bounds the tenant's calls over all routers together.
 	Limit RateLimit
-	// Priority takes the place of the route's, 0 the most urgent; nil: the route's counts.
+	// Priority overrides the priority of the route; 0 is the most urgent. Nil means the route's priority.
 	Priority *int
 }
 
-// RateLimit bounds calls over all routers: in any span of t seconds at most PerSecond*t + Burst.
-// PerSecond zero means no limit.
+// RateLimit bounds the calls over all routers together: at most PerSecond*t + Burst in any span of
+// t seconds. A PerSecond of zero means that there is no limit.
 type RateLimit struct {
 	PerSecond float64
 	Burst     float64
@@ -31,23 +31,24 @@
 // Unlimited reports whether there is no limit.
 func (l RateLimit) Unlimited() bool { return l.PerSecond <= 0 }
 
-// tenants reads the tenants. That the field is there, even without an entry, means that calls need
-// a key: when the last tenant is taken away nobody is let in.
+// tenants checks the tenants. If the field is present, even as an empty object, calls need a key: removing
+// the last tenant must not admit calls without a key.
 func (c *checker) tenants(value *fastjson.Value, at pointer) {
 	c.configuration.Tenants = map[string]Tenant{}
-	holders := map[string]string{}
+	owners := map[string]string{}
 	c.named(value, at, func(name string, value *fastjson.Value, at pointer) {
-		c.tenant(name, holders, value, at)
+		c.tenant(name, owners, value, at)
 	})
 }
 
-// tenant reads one tenant; holders are the tenants of the keys read so far.
-func (c *checker) tenant(name string, holders map[string]string, value *fastjson.Value, at pointer) {
+// tenant checks one tenant. The map owners contains the name of the tenant for each key of the tenants
+// checked so far.
+func (c *checker) tenant(name string, owners map[string]string, value *fastjson.Value, at pointer) {
 	tenant := Tenant{Name: name, HeaderValue: name}
 	c.fields(value, at, func(field string, value *fastjson.Value, at pointer) bool {
 		switch field {
 		case "keys":
-			c.tenantKeys(&tenant, holders, value, at)
+			c.tenantKeys(&tenant, owners, value, at)
 		case "per_second":
 			c.number(&tenant.Limit.PerSecond, value, at)
 		case "burst":
@@ -67,12 +68,12 @@
 	c.configuration.Tenants[name] = tenant
 }
 
-// tenantKeys reads a tenant's keys. A key of two tenants is an error that names the tenants, not
-// the key.
-func (c *checker) tenantKeys(tenant *Tenant, holders map[string]string, value *fastjson.Value, at pointer) {
+// tenantKeys checks a tenant's keys. If two tenants have the same key, the error names the tenants but
+// not the key.
+func (c *checker) tenantKeys(tenant *Tenant, owners map[string]string, value *fastjson.Value, at pointer) {
 	entries, err := value.Array()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a list of keys is needed")
+		c.failures.add(failure.WrongType, at.String(), "a list of keys is required")
 		return
 	}
 	for i, entry := range entries {
@@ -81,29 +82,30 @@
 		if c.headerValue(&key, entry, here); key == "" {
 			continue
 		}
-		switch holder, found := holders[key]; {
+		switch owner, found := owners[key]; {
 		case !found:
-			holders[key] = tenant.Name
+			owners[key] = tenant.Name
 			tenant.Keys = append(tenant.Keys, key)
-		case holder != tenant.Name:
-			c.failures.add(failure.Contradictory, here.String(), "the tenant "+holder+" has the same key")
+		case owner != tenant.Name:
+			c.failures.add(failure.Contradictory, here.String(), "the tenant "+owner+" has the same key")
 		}
 	}
 }
 
-// headerValue reads a text that can stand in an HTTP header: visible characters and spaces within.
+// headerValue checks a string that is used as the value of an HTTP header: it may contain neither control
+// characters nor leading or trailing spaces.
 func (c *checker) headerValue(target *string, value *fastjson.Value, at pointer) {
 	text, err := value.StringBytes()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a text is needed")
+		c.failures.add(failure.WrongType, at.String(), "a string is required")
 		return
 	}
-	proper := len(text) > 0 && len(text) <= maxTextBytes && text[0] != ' ' && text[len(text)-1] != ' '
+	valid := len(text) > 0 && len(text) <= maxTextBytes && text[0] != ' ' && text[len(text)-1] != ' '
 	for _, char := range text {
-		proper = proper && char >= ' ' && char != 0x7f
+		valid = valid && char >= ' ' && char != 0x7f
 	}
-	if !proper {
-		c.failures.add(failure.OutOfRange, at.String(), "the text must be fit for a header")
+	if !valid {
+		c.failures.add(failure.OutOfRange, at.String(), "the string is not valid as an HTTP header value")
 		return
 	}
 	*target = string(text)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -11,8 +11,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Diagnostic is one result of ValidateAgainst: an error, for which the fleet would refuse
-// the configuration, or a warning, with which it would accept it.
+// Diagnostic is one result of ValidateAgainst: an error, which makes the fleet reject
+// the configuration, or a warning, which does not.
 type Diagnostic struct {
 	Level string `json:"level"`
 	failure.Error
@@ -24,34 +24,35 @@
 	LevelWarning = "warning"
 )
 
-// FleetState is what is known of the running fleet.
+// FleetState describes the running fleet.
 type FleetState struct {
-	// Servers are those that the platform lists.
+	// Servers are the model servers that the platform lists.
 	Servers []ServerState
 	// Restricted are the members that lack an enabled feature flag.
 	Restricted []string
-	// Stopped are the recorded routers that do not run.
+	// Stopped are the recorded routers that are not running.
 	Stopped []string
-	// Routers is how many routers are recorded.
+	// Routers is the number of recorded routers.
 	Routers int
-	// Blocked are the feature flags that wait for members to support them.
+	// Blocked are the feature flags that cannot be enabled yet because some members do not support them.
 	Blocked []string
 }
 
-// ServerState is one model server in a Facts.
+// ServerState describes one model server of a FleetState.
 type ServerState struct {
 	Name    string
 	Zone    string
 	Leaving bool
-	// Reported states that the server has reported its load: Role (prefill or decode),
-	// Active (requests under way) and Slots (how many it runs at once) are known.
+	// Reported is set if the server has reported its load. Only then are Role (prefill or decode),
+	// Active (the number of running requests) and Slots (how many requests it runs at once) known.
 	Reported bool
 	Role     string
 	Active   int
 	Slots    int
 }
 
-// The codes of warnings. FewRouters and others keep their old texts: scripts read them.
+// The codes of warnings. Some texts use older terms, such as "couriers" for routers, because operators'
+// scripts depend on them.
 const (
 	UnknownZone       failure.Code = "unknown_district"
 	NoServersLeft     failure.Code = "no_servers_left"
@@ -64,15 +65,15 @@
 	ServiceRemoved    failure.Code = "service_disappears"
 )
 
-// ValidateAgainst checks a proposed configuration on its own, and if it is valid against
-// the state of the fleet and the configuration in force (nil if there is none). Errors come
-// in the order of the text, warnings in that of their paths.
+// ValidateAgainst checks a proposed configuration. If the configuration is valid, it also compares it
+// with the state of the fleet and the current configuration, which may be nil. Errors are in the order of
+// the text, warnings are sorted by path.
 func ValidateAgainst(proposed []byte, current *Configuration, fleet FleetState) []Diagnostic {
 	configuration, err := Check(proposed)
 	var validation *ValidationError
 	if errors.As(err, &validation) {
 		var diagnostics []Diagnostic
-		for _, finding := range validation.Errors {
+		for _, finding := range validation.Failures {
 			diagnostics = append(diagnostics, Diagnostic{Level: LevelError, Error: *finding})
 		}
 		return diagnostics
@@ -104,46 +105,46 @@
 	v.diagnostics = append(v.diagnostics, Diagnostic{Level: LevelWarning, Error: *failure.At(code, path, detail)})
 }
 
-// evacuations warns of evacuated zones without servers.
+// evacuations warns about evacuated zones without servers.
 func (v *fleetValidator) evacuations() {
 	for zone := range v.proposed.Evacuations {
 		if v.zones[zone] == 0 {
-			v.warn(UnknownZone, "/evacuations/"+escapeToken(zone), "no listed server is in this district")
+			v.warn(UnknownZone, "/evacuations/"+escapeToken(zone), "no listed server is in this zone")
 		}
 	}
 }
 
-// routes warns of routes that an earlier one hides, that name unknown zones or that have
+// routes warns about routes that are hidden by an earlier route, that name unknown zones or that have
 // no servers left.
 func (v *fleetValidator) routes() {
-	caughtBy := map[string]string{}
+	hiddenBy := map[string]string{}
 	for _, route := range v.proposed.Routes {
 		if route.Calls != nil {
 			continue
 		}
 		path := "/routes/" + escapeToken(route.Name)
 		service := route.Match.Service
-		if earlier, found := caughtBy[""]; found {
-			v.warn(RouteNeverReached, path, "the route "+earlier+" matches everything before it")
+		if earlier, found := hiddenBy[""]; found {
+			v.warn(RouteNeverReached, path, "the route "+earlier+" matches all requests first")
 			continue
 		}
-		if earlier, found := caughtBy[service]; found && service != "" {
-			v.warn(RouteNeverReached, path, "the route "+earlier+" matches everything of "+service+" before it")
+		if earlier, found := hiddenBy[service]; found && service != "" {
+			v.warn(RouteNeverReached, path, "the route "+earlier+" matches all requests for service "+service+" first")
 			continue
 		}
-		if bare := route.Match; bare == (Match{Service: service}) {
-			caughtBy[service] = route.Name
+		if match := route.Match; match == (Match{Service: service}) {
+			hiddenBy[service] = route.Name
 		}
 		if route.To.Refuse {
 			continue
 		}
 		for i, zone := range route.To.Zones {
 			if v.zones[zone] == 0 {
-				v.warn(UnknownZone, path+"/to/districts/"+strconv.Itoa(i), "no listed server is in the district "+zone)
+				v.warn(UnknownZone, path+"/to/districts/"+strconv.Itoa(i), "no listed server is in the zone "+zone)
 			}
 		}
 		if v.serversLeft(route.To) == 0 {
-			v.warn(NoServersLeft, path, "its inquiries would be refused: no server of its districts is left")
+			v.warn(NoServersLeft, path, "all its requests would be rejected: its zones have no servers left")
 		}
 	}
 }
@@ -163,8 +164,8 @@
 	return left
 }
 
-// capacity warns where evacuations leave no server of a role (prefill or decode), or leave
-// slots of which more than 80 in 100 are taken.
+// capacity warns if the evacuations leave no server of a role (prefill or decode), or if more than
+// 80 percent of the remaining slots are occupied.
 func (v *fleetValidator) capacity() {
 	roles, leftRoles := map[string]int{}, map[string]int{}
 	active, slots, reported := 0, 0, 0
@@ -185,15 +186,15 @@
 	}
 	for _, role := range []string{"prefill", "decode"} {
 		if roles[role] > 0 && leftRoles[role] == 0 {
-			v.warn(NoServersOfRole, "/evacuations", "no server with the part "+role+" is left until parts change")
+			v.warn(NoServersOfRole, "/evacuations", "no server with the role "+role+" is left until a server changes its role")
 		}
 	}
 	if slots > 0 && active*10 > slots*8 {
-		v.warn(LowCapacity, "/evacuations", "answers under way fill "+strconv.Itoa(active*100/slots)+" of 100 slots that are left")
+		v.warn(LowCapacity, "/evacuations", "running requests occupy "+strconv.Itoa(active*100/slots)+" percent of the remaining slots")
 	}
 }
 
-// services warns of services that no route reaches, and of those that would disappear.
+// services warns about services that no route reaches, and about current services that would be removed.
 func (v *fleetValidator) services(current *Configuration) {
 	for name := range v.proposed.Services {
 		reached := false
@@ -201,7 +202,7 @@
 			reached = reached || route.reaches(name)
 		}
 		if !reached {
-			v.warn(NoRouteToService, "/services/"+escapeToken(name), "no route can match its inquiries")
+			v.warn(NoRouteToService, "/services/"+escapeToken(name), "no route matches requests for this service")
 		}
 	}
 	if current == nil {
@@ -209,20 +210,21 @@
 	}
 	for name := range current.Services {
 		if _, found := v.proposed.Services[name]; !found {
-			v.warn(ServiceRemoved, "/services/"+escapeToken(name), "the service in force now would be gone")
+			v.warn(ServiceRemoved, "/services/"+escapeToken(name), "the current service would be removed")
 		}
 	}
 }
 
-// members warns if members lack features or do not run.
+// members warns if members lack an enabled feature flag, if flags cannot be enabled yet, or if at
+// least half of the routers are not running.
 func (v *fleetValidator) members() {
 	if restricted := v.fleet.Restricted; len(restricted) > 0 {
-		v.warn(MixedFeatures, "/", "members that lack an enabled flag pass their inquiries on: "+strings.Join(restricted, ", "))
+		v.warn(MixedFeatures, "/", "members that lack an enabled flag forward their requests: "+strings.Join(restricted, ", "))
 	}
 	if blocked := v.fleet.Blocked; len(blocked) > 0 {
-		v.warn(MixedFeatures, "/", "an upgrade is under way; flags that wait: "+strings.Join(blocked, ", "))
+		v.warn(MixedFeatures, "/", "an upgrade is in progress; flags that are not enabled yet: "+strings.Join(blocked, ", "))
 	}
 	if stopped := len(v.fleet.Stopped); stopped > 0 && stopped*2 >= v.fleet.Routers {
-		v.warn(FewRouters, "/", "half of the couriers or more do not run: "+strings.Join(v.fleet.Stopped, ", "))
+		v.warn(FewRouters, "/", "half of the routers or more are not running: "+strings.Join(v.fleet.Stopped, ", "))
 	}
 }
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -6,7 +6,9 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-func TestValidateAgainstWarnsOfWhatTheFleetWouldTake(t *testing.T) {
+func TestValidateAgainstReportsErrorsAndWarnings(t *testing.T) {
+	// The state leads to these warnings: few_couriers, since two of three routers are stopped, and mixed_formats,
+	// since one member is restricted and one flag is blocked.
 	fleet := FleetState{
 		Routers:    3,
 		Stopped:    []string{"courier-1", "courier-2"},
@@ -21,6 +23,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	// No server is in zone west. The route "all" comes first and also matches the requests of "late". The
+	// evacuation of north leaves no prefill server (no_part_left) and only 10 slots, of which 9 are occupied
+	// (little_room).
 	diagnostics := ValidateAgainst([]byte(`{"services":{"chat":{},"lost":{}},"routes":{
 		"all":{"order":1,"match":{"service":"chat"},"to":{"districts":["west"]}},
 		"late":{"order":2,"match":{"service":"chat","origin":"x"},"to":{}}},
@@ -28,7 +33,7 @@
 	found := map[string]bool{}
 	for _, diagnostic := range diagnostics {
 		if diagnostic.Level != LevelWarning {
-			t.Errorf("%+v is no warning", diagnostic)
+			t.Errorf("got diagnostic %+v, want a warning", diagnostic)
 		}
 		found[string(diagnostic.Code)+" "+diagnostic.Path] = true
 	}
@@ -45,16 +50,16 @@
 		"few_couriers /",
 	} {
 		if !found[want] {
-			t.Errorf("no %s in %v", want, found)
+			t.Errorf("got diagnostics %v, want %s among them", found, want)
 		}
 	}
 	healthy := FleetState{Routers: 3, Servers: fleet.Servers}
 	diagnostics = ValidateAgainst([]byte(`{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`), nil, healthy)
 	if len(diagnostics) != 0 {
-		t.Errorf("a good configuration: %v", diagnostics)
+		t.Errorf("valid configuration: got diagnostics %v, want none", diagnostics)
 	}
 	diagnostics = ValidateAgainst([]byte(`{"x":1}`), nil, fleet)
 	if len(diagnostics) != 1 || diagnostics[0].Level != LevelError || diagnostics[0].Code != failure.UnknownField {
-		t.Errorf("an error: %v", diagnostics)
+		t.Errorf("unknown field: got diagnostics %v, want one error with the code unknown_field", diagnostics)
 	}
 }
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -13,10 +13,10 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// nameRule says what a name is made of.
-const nameRule = "a name has letters, digits, dots, dashes and underscores, 128 at most"
+// nameRule is the error detail for an invalid name.
+const nameRule = "a name consists of at most 128 letters, digits, dots, dashes and underscores, and begins with a letter or digit"
 
-// isName tells whether a text is a name: it begins with a letter or digit.
+// isName reports whether a text is a valid name, as described in nameRule.
 func isName(text string) bool {
 	if len(text) == 0 || len(text) > 128 {
 		return false
@@ -33,43 +33,45 @@
 	return true
 }
 
-// fieldVisitor checks one field of an object and reports whether it knows the name.
+// fieldVisitor checks one field of an object and reports whether the field's name is known.
 type fieldVisitor func(name string, field *fastjson.Value, at pointer) bool
 
-// fields visits an object's fields and records those that stand twice or are unknown. It
-// returns false if the value is no object.
+// fields visits an object's fields and records a failure for each duplicate or unknown field. It
+// returns false if the value is not an object.
 func (c *checker) fields(value *fastjson.Value, at pointer, visit fieldVisitor) bool {
 	if value.Type() != fastjson.TypeObject {
-		c.failures.add(failure.WrongType, at.String(), "an object is needed, not "+value.Type().String())
+		c.failures.add(failure.WrongType, at.String(), "an object is required, not "+value.Type().String())
 		return false
 	}
 	object := value.GetObject()
-	var few [8]string
-	seen := few[:0]
-	var many map[string]bool
-	if object.Len() > len(few) {
-		many = make(map[string]bool, object.Len())
+	// Small objects are checked for duplicates with a list on the stack, large ones with a map.
+	var buffer [8]string
+	seenList := buffer[:0]
+	var seenSet map[string]bool
+	if object.Len() > len(buffer) {
+		seenSet = make(map[string]bool, object.Len())
 	}
 	object.Visit(func(key []byte, field *fastjson.Value) {
 		name := string(key)
 		here := at.field(name)
-		if many[name] || (many == nil && slices.Contains(seen, name)) {
-			c.failures.add(failure.Contradictory, here.String(), "the field stands twice")
+		if seenSet[name] || (seenSet == nil && slices.Contains(seenList, name)) {
+			c.failures.add(failure.Contradictory, here.String(), "duplicate field")
 			return
 		}
-		if many != nil {
-			many[name] = true
+		if seenSet != nil {
+			seenSet[name] = true
 		} else {
-			seen = append(seen, name)
+			seenList = append(seenList, name)
 		}
 		if !visit(name, field, here) {
-			c.failures.add(failure.UnknownField, here.String(), "no such field")
+			c.failures.add(failure.UnknownField, here.String(), "unknown field")
 		}
 	})
 	return true
 }
 
-// named visits an object whose fields are named by the operator.
+// named visits an object whose field names are defined by the operator. It records a failure for each name that
+// isName rejects.
 func (c *checker) named(value *fastjson.Value, at pointer, visit func(name string, field *fastjson.Value, at pointer)) {
 	c.fields(value, at, func(name string, field *fastjson.Value, at pointer) bool {
 		if !isName(name) {
@@ -81,22 +83,23 @@
 	})
 }
 
-func (c *checker) integer(target *int, least, most int, value *fastjson.Value, at pointer) {
+func (c *checker) integer(target *int, minimum, maximum int, value *fastjson.Value, at pointer) {
 	number, err := value.Int()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a whole number is needed")
+		c.failures.add(failure.WrongType, at.String(), "an integer is required")
 		return
 	}
-	if number < least || number > most {
-		c.failures.add(failure.OutOfRange, at.String(), "the number must be from "+strconv.Itoa(least)+" to "+strconv.Itoa(most))
+	if number < minimum || number > maximum {
+		c.failures.add(failure.OutOfRange, at.String(),
+			"the number must be from "+strconv.Itoa(minimum)+" to "+strconv.Itoa(maximum))
 		return
 	}
 	*target = number
 }
 
-func (c *checker) milliseconds(target *time.Duration, least int, most time.Duration, value *fastjson.Value, at pointer) {
+func (c *checker) milliseconds(target *time.Duration, minimum int, maximum time.Duration, value *fastjson.Value, at pointer) {
 	number := -1
-	c.integer(&number, least, int(most/time.Millisecond), value, at)
+	c.integer(&number, minimum, int(maximum/time.Millisecond), value, at)
 	if number >= 0 {
 		*target = time.Duration(number) * time.Millisecond
 	}
@@ -105,58 +108,59 @@
 func (c *checker) number(target *float64, value *fastjson.Value, at pointer) {
 	number, err := value.Float64()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a number is needed")
+		c.failures.add(failure.WrongType, at.String(), "a number is required")
 		return
 	}
 	if !(number >= 0 && number <= math.MaxInt64) {
-		c.failures.add(failure.OutOfRange, at.String(), "the number must not be negative, nor beyond all measure")
+		c.failures.add(failure.OutOfRange, at.String(), "the number must be from 0 to 2^63")
 		return
 	}
 	*target = number
 }
 
-// text takes a text without spaces or control characters.
+// text returns a string after checking that it has 1 to maxTextBytes bytes and neither spaces nor control characters.
+// It returns false if the check failed.
 func (c *checker) text(value *fastjson.Value, at pointer) (string, bool) {
 	text, err := value.StringBytes()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a text is needed")
+		c.failures.add(failure.WrongType, at.String(), "a string is required")
 		return "", false
 	}
 	isSpaceOrControl := func(char rune) bool { return char <= ' ' || char == 0x7f }
 	if len(text) == 0 || len(text) > maxTextBytes || bytes.ContainsFunc(text, isSpaceOrControl) {
 		c.failures.add(failure.OutOfRange, at.String(),
-			"the text has a letter at least, "+strconv.Itoa(maxTextBytes)+" bytes at most, and no spaces")
+			"the string must have 1 to "+strconv.Itoa(maxTextBytes)+" bytes and neither spaces nor control characters")
 		return "", false
 	}
 	return string(text), true
 }
 
-// host takes a host's name; letters in it count alike in both cases.
+// host checks a host name and converts it to lower case, because host names are case-insensitive.
 func (c *checker) host(target *string, value *fastjson.Value, at pointer) {
-	if text, taken := c.text(value, at); taken {
+	if text, valid := c.text(value, at); valid {
 		*target = strings.ToLower(text)
 	}
 }
 
 func (c *checker) pathPrefix(target *string, value *fastjson.Value, at pointer) {
-	text, taken := c.text(value, at)
-	if !taken {
+	text, valid := c.text(value, at)
+	if !valid {
 		return
 	}
 	if !strings.HasPrefix(text, "/") || !strings.HasSuffix(text, "/") {
-		c.failures.add(failure.OutOfRange, at.String(), "a path prefix begins and ends with a slash")
+		c.failures.add(failure.OutOfRange, at.String(), "a path prefix must begin and end with a slash")
 		return
 	}
 	*target = text
 }
 
 func (c *checker) path(target *string, value *fastjson.Value, at pointer) {
-	text, taken := c.text(value, at)
-	if !taken {
+	text, valid := c.text(value, at)
+	if !valid {
 		return
 	}
 	if !strings.HasPrefix(text, "/") {
-		c.failures.add(failure.OutOfRange, at.String(), "a path begins with a slash")
+		c.failures.add(failure.OutOfRange, at.String(), "a path must begin with a slash")
 		return
 	}
 	*target = text
@@ -165,29 +169,29 @@
 func (c *checker) texts(target *[]string, value *fastjson.Value, at pointer) {
 	entries, err := value.Array()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a list of texts is needed")
+		c.failures.add(failure.WrongType, at.String(), "a list of strings is required")
 		return
 	}
 	for i, entry := range entries {
-		if text, taken := c.text(entry, at.field(strconv.Itoa(i))); taken {
+		if text, valid := c.text(entry, at.field(strconv.Itoa(i))); valid {
 			*target = append(*target, text)
 		}
 	}
 }
 
 func (c *checker) boolean(target *bool, value *fastjson.Value, at pointer) {
-	decided, err := value.Bool()
+	parsed, err := value.Bool()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "true or false is needed")
+		c.failures.add(failure.WrongType, at.String(), "true or false is required")
 		return
 	}
-	*target = decided
+	*target = parsed
 }
 
 func (c *checker) name(target *string, value *fastjson.Value, at pointer) {
 	text, err := value.StringBytes()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a name is needed")
+		c.failures.add(failure.WrongType, at.String(), "a name is required")
 		return
 	}
 	if !isName(string(text)) {
@@ -200,7 +204,7 @@
 func (c *checker) names(target *[]string, value *fastjson.Value, at pointer) {
 	entries, err := value.Array()
 	if err != nil {
-		c.failures.add(failure.WrongType, at.String(), "a list of names is needed")
+		c.failures.add(failure.WrongType, at.String(), "a list of names is required")
 		return
 	}
 	for i, entry := range entries {
@@ -208,15 +212,16 @@
 		here := at.field(strconv.Itoa(i))
 		c.name(&name, entry, here)
 		if name != "" && slices.Contains(*target, name) {
-			c.failures.add(failure.Contradictory, here.String(), "the name stands twice")
+			c.failures.add(failure.Contradictory, here.String(), "duplicate name")
 		}
 		*target = append(*target, name)
 	}
 }
 
-// annotations are kept for those who wrote them, and never read.
+// annotations checks that a value is an object. Its contents are notes of the operator, which are stored
+// with the configuration and have no effect.
 func (c *checker) annotations(value *fastjson.Value, at pointer) {
 	if value.Type() != fastjson.TypeObject {
-		c.failures.add(failure.WrongType, at.String(), "an object is needed, not "+value.Type().String())
+		c.failures.add(failure.WrongType, at.String(), "an object is required, not "+value.Type().String())
 	}
 }
--- a/internal/controlplane/commit_test.go
+++ b/internal/controlplane/commit_test.go
@@ -6,8 +6,8 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// TestRoleGrantsWakeNoPolls wants polls to be woken by batches that change what they follow, and by no
-// others: the processor of the primary would go to 300 of them at each.
+// TestRoleGrantsWakeNoPolls expects polls to be woken only by batches that change a section that nodes
+// follow. Otherwise each batch would make the primary spend its CPU on waking about 300 polls.
 func TestRoleGrantsWakeNoPolls(t *testing.T) {
 	for _, row := range []struct {
 		name  string
@@ -17,13 +17,16 @@
 		{"roles", replication.Batch{Sections: map[string]replication.Section{replication.RolesSection: {}}}, false},
 		{"an expired section of change records", replication.Batch{Removed: []string{replication.ChangesPrefix + "1"}}, false},
 		{"the horizon", replication.Batch{Sections: map[string]replication.Section{replication.HorizonSection: {}}}, false},
-		{"a configuration", replication.Batch{Sections: map[string]replication.Section{replication.ConfigurationSection: {}, replication.RolesSection: {}}}, true},
+		{"a configuration", replication.Batch{Sections: map[string]replication.Section{
+			replication.ConfigurationSection: {},
+			replication.RolesSection:         {},
+		}}, true},
 		{"members", replication.Batch{Sections: map[string]replication.Section{replication.MembersSection: {}}}, true},
 		{"flags", replication.Batch{Sections: map[string]replication.Section{replication.FlagsSection: {}}}, true},
 		{"orders", replication.Batch{Sections: map[string]replication.Section{replication.OrdersSection: {}}}, true},
 	} {
-		if followed(row.batch) != row.wakes {
-			t.Errorf("%s: polls are woken: %v", row.name, !row.wakes)
+		if changesFollowedSection(row.batch) != row.wakes {
+			t.Errorf("a batch with %s: got polls woken %v, want %v", row.name, !row.wakes, row.wakes)
 		}
 	}
 }
--- a/internal/controlplane/contacts.go
+++ b/internal/controlplane/contacts.go
@@ -13,8 +13,8 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// applyUpdate follows the enabled flags as every node does, and the list of servers, which a
-// new primary sends from its first response on.
+// applyUpdate applies the enabled flags, the recorded members and the list of servers from a
+// primary's response. The list is stored so that a new primary can send it in its first response.
 func (c *Controller) applyUpdate(update follower.Update) {
 	if update.Servers != nil && !c.serverList.leading() {
 		c.serverList.update(update.Servers.ReadAt, update.Servers.Servers)
@@ -29,13 +29,13 @@
 		c.observe("flags_unreadable", "cause", err)
 		return
 	}
-	lacking := c.options.Supported.Lacks(state.Flags.Enabled)
+	lacking := c.options.Supported.Missing(state.Flags.Enabled)
 	c.coordinator.SetRestricted(len(lacking) > 0)
 	c.coordinator.SetBackupList(state.Flags.Enabled.Has(features.BackupList))
 	c.observe("flags_read", "enabled", state.Flags.Enabled, "lacking", lacking)
 }
 
-// applyMembers takes the recorded members from an update, or from the own copy.
+// applyMembers stores the recorded members from an update, or from the local copy.
 func (c *Controller) applyMembers(update follower.Update) {
 	section, found := update.Changed[replication.MembersSection]
 	if !found {
@@ -49,7 +49,7 @@
 	c.setMembers(state.Members)
 }
 
-// setNodes takes the platform's list of nodes.
+// setNodes stores the addresses of the other controllers on the platform's list of nodes.
 func (c *Controller) setNodes(nodes []membership.Node) {
 	var addresses []string
 	for _, node := range nodes {
@@ -63,7 +63,7 @@
 	c.setContacts()
 }
 
-// setMembers takes the recorded members.
+// setMembers stores the recorded members.
 func (c *Controller) setMembers(members map[string]membership.Member) {
 	c.mutex.Lock()
 	c.members = members
@@ -71,9 +71,10 @@
 	c.setContacts()
 }
 
-// setContacts gives the coordinator and the follower the other controllers that the platform
-// lists or that are recorded, and its neighbours and the recorded routers, the nearest first: when
-// all seeds and members that this controller knew are replaced, one of these knows the membership.
+// setContacts passes the known addresses to the coordinator and the follower: the other controllers
+// that the platform lists or that are recorded as members, the configured neighbours, and the
+// recorded routers in the order of rendezvous hashing. If all seeds and members that this
+// controller knew have been replaced, one of these processes still knows the membership.
 func (c *Controller) setContacts() {
 	c.mutex.Lock()
 	contacts := slices.Clone(c.nodes)
@@ -84,7 +85,7 @@
 		}
 	}
 	routers := slices.Clone(c.options.Neighbours)
-	for _, name := range membership.Ranked(c.options.Name, membership.RouterNames(c.members)) {
+	for _, name := range membership.RankByWeight(c.options.Name, membership.RouterNames(c.members)) {
 		routers = append(routers, c.members[name].Address)
 	}
 	c.mutex.Unlock()
@@ -98,7 +99,8 @@
 	c.follower.SetContacts(contacts, routers)
 }
 
-// readNodes reads the platform's list of nodes, where there is one.
+// readNodes reads the platform's list of nodes at an interval. It returns if the platform has no
+// such list.
 func (c *Controller) readNodes() {
 	for c.runtime.Alive() {
 		nodes, err := c.options.Directory.Nodes()
--- a/internal/controlplane/core_test.go
+++ b/internal/controlplane/core_test.go
@@ -16,7 +16,7 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// memoryStorage is a folder in memory that can be told to fail.
+// memoryStorage is a storage in memory. Save fails while failing is set.
 type memoryStorage struct {
 	mutex   sync.Mutex
 	files   map[string][]byte
@@ -52,19 +52,20 @@
 	return nil
 }
 
-// core is three controllers in one process, joined by direct calls.
+// core is a core of three controllers in one process, connected by direct calls.
 type core struct {
-	mutex    sync.Mutex
-	nodes    map[string]*Controller
-	storages map[string]*memoryStorage
-	// keeping are the storages of the keepers.
-	keeping map[string]*memoryStorage
-	// others are processes that are no controllers, by address.
-	others map[string]wire.Handlers
-	// dark is the address of a machine without power: a call to it hangs until the test is over.
-	dark string
-	over <-chan struct{}
-	// observer is called for the log events of all controllers, if there is one.
+	mutex sync.Mutex
+	nodes map[string]*Controller
+	// copyStorages holds the storages of the replicas, and witnessStorage those of the witnesses, by
+	// address.
+	copyStorages   map[string]*memoryStorage
+	witnessStorage map[string]*memoryStorage
+	// otherProcesses are processes that are not controllers, by address.
+	otherProcesses map[string]wire.Handlers
+	// unreachable is the address of a machine without power: a call to it hangs until the test ends.
+	unreachable string
+	testEnded   <-chan struct{}
+	// observer, if not nil, is called for the log events of all controllers.
 	observer atomic.Pointer[func(event string, detail ...any)]
 }
 
@@ -75,15 +76,15 @@
 	}
 }
 
-// CallRaw answers at once.
+// CallRaw calls the handler of the process at the address directly.
 func (c *core) CallRaw(address, path string, body []byte, _ time.Duration) ([]byte, error) {
 	c.mutex.Lock()
 	node := c.nodes[address]
-	handlers, found := c.others[address]
-	dark := c.dark != "" && c.dark == address
+	handlers, found := c.otherProcesses[address]
+	unreachable := c.unreachable != "" && c.unreachable == address
 	c.mutex.Unlock()
-	if dark {
-		<-c.over
+	if unreachable {
+		<-c.testEnded
 		return nil, failure.New(failure.Unreachable, address)
 	}
 	if found {
@@ -95,32 +96,44 @@
 	return node.Handlers().Handle(path, body)
 }
 
-// hookedRuntime has something done whenever the time is asked for.
+// hookedRuntime calls a hook whenever the time is read.
 type hookedRuntime struct {
 	runtime.Runtime
 	hook atomic.Pointer[func()]
 }
 
 func (rt *hookedRuntime) Now() time.Time {
-	if act := rt.hook.Load(); act != nil {
-		(*act)()
+	if callback := rt.hook.Load(); callback != nil {
+		(*callback)()
 	}
 	return rt.Runtime.Now()
 }
 
-// newCore forms a core and returns its primary.
+// newCore forms a core of three controllers and returns it with its primary. Each controller runs on the
+// runtime that wrap returns.
 func newCore(t *testing.T, wrap func(runtime.Runtime) runtime.Runtime) (*core, *Controller) {
 	t.Helper()
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	formed := &core{over: lifetime.Done(), nodes: map[string]*Controller{}, storages: map[string]*memoryStorage{}, keeping: map[string]*memoryStorage{}}
+	formed := &core{
+		testEnded:      lifetime.Done(),
+		nodes:          map[string]*Controller{},
+		copyStorages:   map[string]*memoryStorage{},
+		witnessStorage: map[string]*memoryStorage{},
+	}
 	rt := osruntime.New(lifetime, osruntime.NewClock())
 	changed := rt.NewCond()
 	for number := range 3 {
 		address := "m" + strconv.Itoa(number)
-		m, keeping := &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
-		options := Options{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil), Fresh: replication.Identity("disk-" + address)}
-		node, _, err := Open(wrap(rt), formed, keeping, m, options, func(event string, detail ...any) {
+		copyStorage, witnessStorage := &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
+		options := Options{
+			Name:        address,
+			Address:     address,
+			Seeds:       []string{"m0", "m1", "m2"},
+			Supported:   features.Supported(nil),
+			NewIdentity: replication.Identity("disk-" + address),
+		}
+		node, _, err := Open(wrap(rt), formed, witnessStorage, copyStorage, options, func(event string, detail ...any) {
 			formed.observe(event, detail...)
 			changed.Broadcast()
 		})
@@ -128,18 +141,18 @@
 			t.Fatal(err)
 		}
 		formed.mutex.Lock()
-		formed.nodes[address], formed.storages[address] = node, m
-		formed.keeping[address] = keeping
+		formed.nodes[address], formed.copyStorages[address] = node, copyStorage
+		formed.witnessStorage[address] = witnessStorage
 		formed.mutex.Unlock()
 	}
 	for _, node := range formed.nodes {
-		for _, round := range node.Loops() {
-			rt.Go(round)
+		for _, loop := range node.Loops() {
+			rt.Go(loop)
 		}
 	}
 	var primary *Controller
 	for range 200 {
-		// The bell rings with each step of the core; a pair makes it writable.
+		// Each log event of a controller wakes this wait. The core accepts writes once it has a backup.
 		changed.Wait(100*time.Millisecond, func() bool {
 			for _, node := range formed.nodes {
 				if _, _, err := node.Leading(); err == nil && !node.Coordinator().Membership().Backup.Empty() {
@@ -152,6 +165,6 @@
 			return formed, primary
 		}
 	}
-	t.Fatal("no core was formed")
+	t.Fatal("the core has no primary with a backup")
 	return nil, nil
 }
--- a/internal/controlplane/edit.go
+++ b/internal/controlplane/edit.go
@@ -9,80 +9,85 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Edit is one operator's change of the configuration.
+// Edit is an operator's change of the configuration.
 type Edit struct {
-	// Change is its id: a change is made once under an id, and Digest tells it from another
-	// under the same id. Without an id it is made again when it is sent again.
+	// Change is the id of the edit. An edit with an id is applied once, and Digest distinguishes it
+	// from a different edit with the same id. An edit without an id is applied each time it is
+	// sent.
 	Change string
 	Digest string
-	// Expected is the version that it must be made from; nil: any.
+	// Expected is the version that the edit must start from; nil allows any version.
 	Expected *replication.Version
-	// BaseRevision is the revision that it builds on, if it insists on one; it then gives
-	// a higher one, and its digest is its id if it has none.
+	// BaseRevision, if not nil, is the revision that the edit must start from. The edit must then
+	// set a higher revision. An edit without an id gets an id that is derived from Digest.
 	BaseRevision *uint64
-	// Apply makes the new text of the old one.
+	// Apply returns the new text of the configuration for the old text.
 	Apply func(text []byte) ([]byte, error)
-	// Order is the zone order that the edit carries out, if it does: a late one is refused as
+	// Order, if not nil, is the zone order that the edit carries out. A late order is refused with
 	// LateOrder.
 	Order *ZoneOrder
-	// ValidatesItself tells that it checks by itself what it adds.
+	// ValidatesItself is set if Apply validates its own additions.
 	ValidatesItself bool
 }
 
 const (
+	// changeTimeout limits how long a change may take to be committed, and inForceTimeout how long it may
+	// then take to be in force.
 	changeTimeout  = 3 * time.Second
 	inForceTimeout = 6 * time.Second
 	// roundTrip is how long a response and the next poll may take on the network.
 	roundTrip = 150 * time.Millisecond
 )
 
-// Edit changes the configuration and returns its version once it is in force everywhere. An error
-// with the code Unknown says that the change may have been committed; Busy that it was not, and
-// can be sent again.
+// Edit changes the configuration and returns its version once the change is in force on all
+// routers. An error with the code OutcomeUnknown means that the change may have been committed. Busy means
+// that it was not committed and can be sent again.
 func (c *Controller) Edit(edit Edit) (replication.Version, error) {
 	if edit.BaseRevision != nil {
 		edit = edit.withRevisionCheck()
 	}
 	phases := editPhases{received: c.runtime.Now()}
-	current, version, err := c.change(edit, &phases)
+	term, version, err := c.submitEdit(edit, &phases)
 	if err != nil {
-		if failure.CodeOf(err) == failure.Unknown {
+		if failure.CodeOf(err) == failure.OutcomeUnknown {
 			c.observeEdit(editUnknown, edit, version, phases.endedAt(c.runtime.Now()))
 		}
 		return version, err
 	}
 	phases.committed = c.runtime.Now()
-	// The same change sent again is answered with the version that holds now.
+	// A repeated change does not alter the configuration, so its version can be newer than the
+	// version of the configuration. In that case the version of the configuration is returned.
 	if _, view, err := c.Leading(); err == nil && view.VersionOf(replication.ConfigurationSection).Before(version) {
 		version = view.VersionOf(replication.ConfigurationSection)
 	}
-	confirmed, inForce := c.awaitInForce(current, version)
+	confirmed, inForce := c.awaitInForce(term, version)
 	phases.confirmation = confirmed
 	if !inForce {
 		c.observeEdit(editUnknown, edit, version, phases)
-		return version, failure.New(failure.Unknown, "it can't be known yet whether the change is in force")
+		return version, failure.New(failure.OutcomeUnknown, "it is not known yet whether the change is in force on all routers")
 	}
 	c.observeEdit(editAccepted, edit, version, phases)
 	return version, nil
 }
 
-// revising is an edit that checks the revision it builds on each time it is made.
+// withRevisionCheck returns the edit with an Apply that checks the base revision each time it runs. An edit
+// without an id gets one that is derived from its digest.
 func (e Edit) withRevisionCheck() Edit {
-	builds, apply := *e.BaseRevision, e.Apply
-	e.Apply = func(text []byte) ([]byte, error) { return config.Revise(text, builds, apply) }
+	base, apply := *e.BaseRevision, e.Apply
+	e.Apply = func(text []byte) ([]byte, error) { return config.Revise(text, base, apply) }
 	if e.Change == "" {
 		e.Change = "revision-" + e.Digest
 	}
 	return e
 }
 
-// change prepares an edit for the newest configuration and submits it, again when
-// that has moved meanwhile. Edits of a large configuration are prepared one after
-// another, so that one whose turn it is need not be made again.
-func (c *Controller) change(edit Edit, phases *editPhases) (*Term, replication.Version, error) {
+// submitEdit prepares an edit for the newest configuration and submits it, and retries if the
+// configuration has changed meanwhile. Edits of a large configuration are prepared one at a time,
+// so that no edit causes another one to retry.
+func (c *Controller) submitEdit(edit Edit, phases *editPhases) (*Term, replication.Version, error) {
 	deadline := c.runtime.Now().Add(changeTimeout)
 	for {
-		current, view, err := c.Leading()
+		term, view, err := c.Leading()
 		if err != nil {
 			return nil, replication.Version{}, err
 		}
@@ -92,12 +97,13 @@
 		}
 		if accepted, found := c.committedChange(edit, view); found {
 			phases.submitted = c.runtime.Now()
-			return current, accepted, nil
+			return term, accepted, nil
 		}
 		large := len(section.Content) >= replication.LargeConfiguration
 		if large {
 			if !c.beginEdit(deadline) {
-				return nil, replication.Version{}, failure.New(failure.Busy, "other changes of this large configuration go first; ask again")
+				return nil, replication.Version{}, failure.New(failure.Busy,
+					"other changes of this large configuration are in progress; try again")
 			}
 			if _, newest, err := c.Leading(); err == nil {
 				section = newest.Sections[replication.ConfigurationSection]
@@ -109,7 +115,7 @@
 		}
 		change := replication.ChangeConfiguration(edit.Change, edit.Digest, edit.Expected, prepared, edit.Apply)
 		if edit.Order != nil {
-			change = c.orderedChange(current, *edit.Order, change)
+			change = c.orderedChange(term, *edit.Order, change)
 		}
 		phases.submitted = c.runtime.Now()
 		version, err := c.submit(change, changeTimeout)
@@ -117,22 +123,24 @@
 			c.endEdit()
 		}
 		if failure.CodeOf(err) != failure.ConfigurationMoved {
-			return current, version, err
+			return term, version, err
 		}
 		if !c.runtime.Now().Before(deadline) {
-			return nil, replication.Version{}, failure.New(failure.Busy, "the configuration changes faster than this change can be made; ask again")
+			return nil, replication.Version{}, failure.New(failure.Busy,
+				"the configuration changes faster than this change can be prepared; try again")
 		}
 	}
 }
 
-// alreadyAccepted tells whether this change was accepted before: then it need not be prepared.
+// alreadyAccepted reports whether this edit was accepted before. Such an edit needs no preparation.
 func (c *Controller) alreadyAccepted(edit Edit) bool {
 	record, found := c.store.AcceptedChange(edit.Change)
 	return found && record.Digest == edit.Digest
 }
 
-// committedChange returns the version of an edit that was committed before under its id. It needs no batch:
-// the next one may stall for seconds. An order is judged anew by its connection.
+// committedChange returns the version of an edit that was committed before under its id. Such an
+// edit is answered without a new batch, since a batch may stall for seconds. A zone order is never answered
+// this way, since its connection must be checked each time.
 func (c *Controller) committedChange(edit Edit, view *replication.View) (replication.Version, bool) {
 	record, found := c.store.AcceptedChange(edit.Change)
 	if !found || record.Digest != edit.Digest || edit.Order != nil || view.Version.Before(record.Version) {
@@ -141,16 +149,19 @@
 	return record.Version, true
 }
 
+// beginEdit waits until no other edit of a large configuration is in progress, marks one as in
+// progress and returns true. It returns false if the deadline passes first.
 func (c *Controller) beginEdit(deadline time.Time) bool {
 	return c.editDone.Wait(deadline.Sub(c.runtime.Now()), func() bool {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		taken := c.editing
+		busy := c.editing
 		c.editing = true
-		return !taken
+		return !busy
 	})
 }
 
+// endEdit ends the edit that beginEdit started.
 func (c *Controller) endEdit() {
 	c.mutex.Lock()
 	c.editing = false
@@ -158,34 +169,34 @@
 	c.editDone.Broadcast()
 }
 
-// SetAcknowledgeWait sets how long the acknowledgement of a committed change waits for routers
-// that do not poll; zero: until their leases end.
+// SetAcknowledgeWait sets how long the acknowledgement of a committed change waits for routers that
+// do not poll. Zero makes it wait until their leases end.
 func (c *Controller) SetAcknowledgeWait(length time.Duration) {
 	c.acknowledgeWait.Store(int64(length))
 }
 
-// awaitInForce waits until every router has acknowledged the version or its lease has ended: after
-// that no router admits by an older one. With SetAcknowledgeWait it waits only for the routers
-// that polled within that time, and no longer than that after the commit: an edit that is sent again
-// does not wait anew. This controller's own lease is checked
-// last: a deposed primary may not know of all routers' leases.
-func (c *Controller) awaitInForce(current *Term, version replication.Version) (confirmation, bool) {
-	var waited confirmation
+// awaitInForce waits until every router has acknowledged the version or its lease has ended. After
+// that no router admits requests under an older version. If SetAcknowledgeWait has set a time,
+// awaitInForce waits only for the routers that polled recently, and at most that time. The time
+// counts from the commit, so that a repeated edit does not wait again. This controller's own lease
+// is checked last, since a deposed primary may not know the leases of all routers.
+func (c *Controller) awaitInForce(term *Term, version replication.Version) (confirmation, bool) {
+	var result confirmation
 	everywhere := false
 	committed, deadline := c.committedAt(version), c.runtime.Now().Add(inForceTimeout)
 	wait := time.Duration(c.acknowledgeWait.Load())
-	// A poll that is held back counts from when it came.
-	heardWithin := max(wait, follower.LoadsWait+roundTrip)
+	// The time of a poll is the time of its arrival, and a poll may be held back for LoadsWait.
+	polledWithin := max(wait, follower.LoadsWait+roundTrip)
 	for c.runtime.Now().Before(deadline) {
 		lost := false
-		// Leases end without a broadcast: the wait is cut into short ones.
-		over := c.confirmations.Wait(50*time.Millisecond, func() bool {
-			term, view, err := c.Leading()
-			if err != nil || term != current {
+		// The end of a lease causes no broadcast, so the leases are checked at a short interval.
+		done := c.confirmations.Wait(50*time.Millisecond, func() bool {
+			current, view, err := c.Leading()
+			if err != nil || current != term {
 				lost = true
 				return true
 			}
-			state, err := c.state(current, view)
+			state, err := c.state(term, view)
 			if err != nil {
 				lost = true
 				return true
@@ -193,27 +204,28 @@
 			now := c.runtime.Now()
 			var unconfirmed []string
 			if wait > 0 {
-				unconfirmed = current.behind(now, version, heardWithin)
+				unconfirmed = term.laggingSeenWithin(now, version, polledWithin)
 				everywhere = now.Sub(committed) >= wait || len(unconfirmed) == 0
 			} else {
-				unconfirmed = current.Lagging(now, version, state)
+				unconfirmed = term.Lagging(now, version, state)
 				everywhere = len(unconfirmed) == 0
 			}
-			waited.note(unconfirmed)
+			result.update(unconfirmed)
 			return everywhere
 		})
-		if over || !c.runtime.Alive() {
-			waited.ended = c.runtime.Now()
-			waited.routers = len(current.Grants.SeenWithin(waited.ended, heardWithin))
-			return waited, everywhere && !lost && c.coordinator.HasLease()
+		if done || !c.runtime.Alive() {
+			result.ended = c.runtime.Now()
+			result.routers = len(term.RouterLeases.SeenWithin(result.ended, polledWithin))
+			return result, everywhere && !lost && c.coordinator.HasLease()
 		}
 	}
-	waited.ended = c.runtime.Now()
-	return waited, false
+	result.ended = c.runtime.Now()
+	return result, false
 }
 
-// committedAt returns a moment at which the configuration's version was visible: when this controller
-// committed it or a newer one, and now if it has not.
+// committedAt returns a time at which the given version of the configuration was already visible:
+// the time of this controller's last commit if that was the given version or a newer one, and now
+// otherwise.
 func (c *Controller) committedAt(version replication.Version) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -223,21 +235,21 @@
 	return c.runtime.Now()
 }
 
-// recordConfigurationCommit remembers when a version of the configuration became visible.
+// recordConfigurationCommit records that a version of the configuration became visible now.
 func (c *Controller) recordConfigurationCommit(version replication.Version) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.configurationCommit = configurationCommit{version: version, at: c.runtime.Now()}
 }
 
-// Retire takes a stopped member out of the record.
+// Retire removes a stopped member from the record.
 func (c *Controller) Retire(name string) (replication.Version, error) {
-	current, _, err := c.Leading()
+	term, _, err := c.Leading()
 	if err != nil {
 		return replication.Version{}, err
 	}
-	if _, live := current.Grants.Live(c.runtime.Now())[name]; live {
-		return replication.Version{}, failure.New(failure.LeaseActive, name+" is running; stop it first")
+	if _, live := term.RouterLeases.Live(c.runtime.Now())[name]; live {
+		return replication.Version{}, failure.New(failure.LeaseActive, name+" is running; stop it before retiring it")
 	}
 	return c.submit(replication.RemoveMember(name), changeTimeout)
 }
--- a/internal/controlplane/edit_test.go
+++ b/internal/controlplane/edit_test.go
@@ -15,83 +15,91 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// revision is an edit that builds on one revision and gives the next, told from others
-// by a word.
-func revision(builds, next uint64, word string) Edit {
-	text := fmt.Sprintf(`{"revision":%d,"annotations":{"word":%q}}`, next, word)
-	return Edit{BaseRevision: &builds, Digest: fmt.Sprintf("%d %s", builds, text), Apply: func([]byte) ([]byte, error) { return []byte(text), nil }}
+// revision returns an edit that replaces the configuration of a base revision by one with the next
+// revision. The annotation distinguishes it from other edits between the same revisions.
+func revision(base, next uint64, annotation string) Edit {
+	text := fmt.Sprintf(`{"revision":%d,"annotations":{"word":%q}}`, next, annotation)
+	return Edit{
+		BaseRevision: &base,
+		Digest:       fmt.Sprintf("%d %s", base, text),
+		Apply:        func([]byte) ([]byte, error) { return []byte(text), nil },
+	}
 }
 
+// evacuation returns an edit that evacuates a zone.
 func evacuation(zone string) Edit {
 	return Edit{ValidatesItself: true, Apply: func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "") }}
 }
 
-func (c *core) mustBe(t *testing.T, primary *Controller, want string) replication.Version {
+// requireConfiguration fails the test unless the configuration contains the wanted text, and returns the
+// version of the configuration.
+func (c *core) requireConfiguration(t *testing.T, primary *Controller, want string) replication.Version {
 	t.Helper()
 	_, view, state, err := primary.Read()
 	if err != nil || !strings.Contains(string(state.Configuration), want) {
-		t.Fatalf("%v: no %s in the configuration", err, want)
+		t.Fatalf("reading the configuration: error %v, want a text that contains %s", err, want)
 	}
 	return view.VersionOf(replication.ConfigurationSection)
 }
 
-func TestEditsBuildOnRevisions(t *testing.T) {
-	formed, primary := newCore(t, plain)
+func TestEditMustStartFromTheCurrentRevision(t *testing.T) {
+	formed, primary := newCore(t, unwrapped)
 	for _, row := range []struct {
 		name string
 		edit Edit
-		kind failure.Code
+		code failure.Code
 	}{
-		{"the first", revision(0, 3, "a"), ""},
-		{"it again", revision(0, 3, "a"), ""},
-		{"another with its number", revision(0, 3, "b"), failure.RevisionConflict},
-		{"a later one", revision(3, 10, "c"), ""},
-		{"the first once more", revision(0, 3, "a"), ""},
-		{"one on an old base", revision(3, 12, "d"), failure.RevisionConflict},
-		{"one on a base that is not there yet", revision(11, 12, "d"), failure.RevisionConflict},
+		{"the first edit", revision(0, 3, "a"), ""},
+		{"the first edit repeated", revision(0, 3, "a"), ""},
+		{"another edit to the same revision", revision(0, 3, "b"), failure.RevisionConflict},
+		{"an edit on the current revision", revision(3, 10, "c"), ""},
+		{"the first edit repeated later", revision(0, 3, "a"), ""},
+		{"an edit on an old revision", revision(3, 12, "d"), failure.RevisionConflict},
+		{"an edit on a future revision", revision(11, 12, "d"), failure.RevisionConflict},
 	} {
-		if _, err := primary.Edit(row.edit); (err == nil) != (row.kind == "") || row.kind != "" && failure.CodeOf(err) != row.kind {
-			t.Errorf("%s: %v", row.name, err)
+		if _, err := primary.Edit(row.edit); (err == nil) != (row.code == "") || row.code != "" && failure.CodeOf(err) != row.code {
+			t.Errorf("%s: got error %v, want code %q", row.name, err, row.code)
 		}
 	}
-	formed.mustBe(t, primary, `"word":"c"`)
-	var findings *config.ValidationError
-	for name, edit := range map[string]Edit{"not above": revision(10, 10, "e"), "below": revision(10, 4, "e")} {
-		if _, err := primary.Edit(edit); !stderrors.As(err, &findings) || findings.Errors[0].Path != "/revision" {
-			t.Errorf("%s: %v", name, err)
+	formed.requireConfiguration(t, primary, `"word":"c"`)
+	var validation *config.ValidationError
+	for name, edit := range map[string]Edit{"the same revision": revision(10, 10, "e"), "a lower revision": revision(10, 4, "e")} {
+		if _, err := primary.Edit(edit); !stderrors.As(err, &validation) || validation.Failures[0].Path != "/revision" {
+			t.Errorf("%s: got error %v, want a failure at /revision", name, err)
 		}
 	}
-	formed.mustBe(t, primary, `"word":"c"`)
+	formed.requireConfiguration(t, primary, `"word":"c"`)
 }
 
-func TestOneOfManyRacingEditsWins(t *testing.T) {
-	formed, primary := newCore(t, plain)
-	for builds := range uint64(6) {
+func TestOnlyOneOfConcurrentEditsIsAccepted(t *testing.T) {
+	formed, primary := newCore(t, unwrapped)
+	for base := range uint64(6) {
 		var group sync.WaitGroup
-		ended := make([]error, 8)
-		for position := range ended {
-			group.Go(func() { _, ended[position] = primary.Edit(revision(builds, builds+1, fmt.Sprint("racer-", position))) })
+		outcomes := make([]error, 8)
+		for position := range outcomes {
+			group.Go(func() { _, outcomes[position] = primary.Edit(revision(base, base+1, fmt.Sprint("racer-", position))) })
 		}
 		group.Wait()
 		winner := -1
-		for position, err := range ended {
+		for position, err := range outcomes {
 			switch {
 			case err == nil && winner < 0:
 				winner = position
 			case failure.CodeOf(err) != failure.RevisionConflict:
-				t.Fatalf("on %d: %v", builds, ended)
+				t.Fatalf("edits on revision %d: got %v, want one success and revision conflicts", base, outcomes)
 			}
 		}
 		if winner < 0 {
-			t.Fatalf("on %d nobody won", builds)
+			t.Fatalf("no edit on revision %d was accepted", base)
 		}
-		formed.mustBe(t, primary, fmt.Sprintf(`"word":"racer-%d"`, winner))
+		formed.requireConfiguration(t, primary, fmt.Sprintf(`"word":"racer-%d"`, winner))
 	}
 }
 
-// TestAcceptedEditIsAcceptedAgainByTheNextPrimary hands over and sends again.
+// TestAcceptedEditIsAcceptedAgainByTheNextPrimary makes the primary leave after it accepted an edit, and
+// sends the same edit to the next primary.
 func TestAcceptedEditIsAcceptedAgainByTheNextPrimary(t *testing.T) {
-	formed, primary := newCore(t, plain)
+	formed, primary := newCore(t, unwrapped)
 	edit := revision(0, 1, "again")
 	if _, err := primary.Edit(edit); err != nil {
 		t.Fatal(err)
@@ -111,32 +119,32 @@
 		}
 	}
 	if next == nil {
-		t.Fatal("nobody leads after the first has left")
+		t.Fatal("no controller is primary after the first primary left")
 	}
 	if _, err := next.Edit(edit); err != nil {
-		t.Fatalf("sent again to the next primary: %v", err)
+		t.Fatalf("the edit repeated at the next primary: %v", err)
 	}
 	if _, err := next.Edit(revision(0, 9, "late")); failure.CodeOf(err) != failure.RevisionConflict {
-		t.Fatalf("on an old base: %v", err)
+		t.Fatalf("an edit on an old revision: got %v, want RevisionConflict", err)
 	}
-	formed.mustBe(t, next, `"word":"again"`)
+	formed.requireConfiguration(t, next, `"word":"again"`)
 }
 
-func TestEvacuationInForceIsNotMadeAgain(t *testing.T) {
-	formed, primary := newCore(t, plain)
+func TestRepeatedEvacuationKeepsItsVersion(t *testing.T) {
+	formed, primary := newCore(t, unwrapped)
 	if _, err := primary.Edit(revision(0, 1, "a")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := primary.Edit(evacuation("north")); err != nil {
 		t.Fatal(err)
 	}
-	first := formed.mustBe(t, primary, `"evacuations":{"north"`)
+	first := formed.requireConfiguration(t, primary, `"evacuations":{"north"`)
 	for range 3 {
 		if version, err := primary.Edit(evacuation("north")); err != nil || version != first {
-			t.Fatalf("begun again: %s, not %s: %v", version, first, err)
+			t.Fatalf("a repeated evacuation: got version %s, want %s; error %v", version, first, err)
 		}
 	}
-	// A replacement keeps it, and both may be under way at once.
+	// Replacing the configuration keeps the evacuation. Both kinds of edits may run at the same time.
 	var group sync.WaitGroup
 	var failures [3]error
 	group.Go(func() { _, failures[0] = primary.Edit(revision(1, 2, "b")) })
@@ -149,44 +157,47 @@
 	_, _, state, _ := primary.Read()
 	configuration, err := config.Check(state.Configuration)
 	if err != nil || configuration.Revision != 2 || !configuration.Evacuated("north") || !configuration.Evacuated("south") {
-		t.Fatalf("%s: %v", state.Configuration, err)
+		t.Fatalf("got configuration %s, want revision 2 with north and south evacuated; error %v", state.Configuration, err)
 	}
-	lift := Edit{ValidatesItself: true, Apply: func(text []byte) ([]byte, error) { return config.Restore(text, "north") }}
+	restore := Edit{ValidatesItself: true, Apply: func(text []byte) ([]byte, error) { return config.EndEvacuation(text, "north") }}
 	for range 2 {
-		if _, err := primary.Edit(lift); err != nil {
+		if _, err := primary.Edit(restore); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if _, err := primary.Edit(evacuation("north")); err != nil {
 		t.Fatal(err)
 	}
-	formed.mustBe(t, primary, `"north"`)
+	formed.requireConfiguration(t, primary, `"north"`)
 }
 
-// leapingRuntime is a clock that can be moved ahead, as a process that was frozen finds it.
-type leapingRuntime struct {
+// skewedRuntime has a clock that can be set ahead, as if the process had been frozen for that time.
+type skewedRuntime struct {
 	runtime.Runtime
 	ahead *atomic.Int64
 }
 
-func (rt leapingRuntime) Now() time.Time {
+func (rt skewedRuntime) Now() time.Time {
 	return rt.Runtime.Now().Add(time.Duration(rt.ahead.Load()))
 }
 
-// TestARefusalNeedsTheLease freezes the primary after it began a batch and before it
-// answers: whatever it found, its state may be an old one by then.
+// TestARefusalNeedsTheLease sets the clock of the primary ahead while a change is evaluated, as if the process
+// had been frozen, so that the lease expires before the response. The response must then be OutcomeUnknown
+// even for a change that was refused: the state on which the refusal is based may be out of date.
 func TestARefusalNeedsTheLease(t *testing.T) {
 	ahead := &atomic.Int64{}
-	_, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime { return leapingRuntime{Runtime: rt, ahead: ahead} })
+	_, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime { return skewedRuntime{Runtime: rt, ahead: ahead} })
 	refusal := failure.New(failure.RevisionConflict, "7")
-	if _, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error { return refusal }, time.Second); failure.CodeOf(err) != failure.RevisionConflict {
-		t.Fatalf("with the lease: %v", err)
+	if _, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error {
+		return refusal
+	}, time.Second); failure.CodeOf(err) != failure.RevisionConflict {
+		t.Fatalf("a refusal with the lease: got %v, want RevisionConflict", err)
 	}
 	_, err := primary.submit(func(*replication.State, replication.Version, replication.Version) error {
 		ahead.Store(int64(10 * time.Second))
 		return refusal
 	}, time.Second)
-	if kind := failure.CodeOf(err); kind != failure.Unknown {
-		t.Errorf("without the lease: %v", err)
+	if code := failure.CodeOf(err); code != failure.OutcomeUnknown {
+		t.Errorf("a refusal without the lease: got %v, want OutcomeUnknown", err)
 	}
 }
--- a/internal/controlplane/fuzz_test.go
+++ b/internal/controlplane/fuzz_test.go
@@ -13,21 +13,39 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// FuzzMessages gives a primary messages that may be anything, on every path: no
-// panic, and a typed answer.
+// FuzzMessages sends arbitrary messages to every path of a controller, and expects no panic and no
+// untyped error.
 func FuzzMessages(fuzzing *testing.F) {
-	// Its process has ended, so that no message waits for others.
+	// The runtime has already ended, so that no handler waits.
 	ended, end := context.WithCancel(context.Background())
 	end()
-	lone := &core{nodes: map[string]*Controller{}, storages: map[string]*memoryStorage{}}
-	keeping := &memoryStorage{files: map[string][]byte{}}
-	node, _, err := Open(osruntime.New(ended, osruntime.NewClock()), lone, keeping, &memoryStorage{files: map[string][]byte{}}, Options{Name: "a", Address: "a", Fresh: "disk-a"}, func(string, ...any) {})
+	single := &core{nodes: map[string]*Controller{}, copyStorages: map[string]*memoryStorage{}}
+	witnessStorage := &memoryStorage{files: map[string][]byte{}}
+	node, _, err := Open(osruntime.New(ended, osruntime.NewClock()), single, witnessStorage,
+		&memoryStorage{files: map[string][]byte{}}, Options{Name: "a", Address: "a", NewIdentity: "disk-a"}, func(string, ...any) {})
 	if err != nil {
 		fuzzing.Fatal(err)
 	}
-	paths := []string{wire.HelloPath, wire.PreparePath, wire.AcceptPath, wire.ConfirmPath, wire.ReplicatePath, wire.InstallPath, wire.RefreshPath, wire.UpdatesPath, wire.ClaimPath, wire.OrdersPath}
+	paths := []string{
+		wire.HelloPath,
+		wire.PreparePath,
+		wire.AcceptPath,
+		wire.RenewLeasePath,
+		wire.ReplicatePath,
+		wire.InstallPath,
+		wire.RefreshPath,
+		wire.UpdatesPath,
+		wire.ClaimPath,
+		wire.OrdersPath,
+	}
 	for number := range paths {
-		for _, seed := range []any{replication.Hello{}, wire.WitnessRequest{To: "disk-a", Epoch: 1}, wire.ReplicateRequest{To: "disk-a"}, wire.UpdateRequest{}, []codec.Record{{}}} {
+		for _, seed := range []any{
+			replication.Hello{},
+			wire.WitnessRequest{To: "disk-a", Epoch: 1},
+			wire.ReplicateRequest{To: "disk-a"},
+			wire.UpdateRequest{},
+			[]codec.Record{{}},
+		} {
 			body, err := msgpack.Marshal(seed)
 			if err != nil {
 				fuzzing.Fatal(err)
@@ -37,8 +55,8 @@
 	}
 	fuzzing.Fuzz(func(t *testing.T, number int, body []byte) {
 		path := paths[max(number, -number)%len(paths)]
-		if _, err := node.Handlers().Handle(path, body); err != nil && failure.CodeOf(err) == failure.Unsorted {
-			t.Fatalf("%s %x: an untyped failure: %v", path, body, err)
+		if _, err := node.Handlers().Handle(path, body); err != nil && failure.CodeOf(err) == failure.Unclassified {
+			t.Fatalf("%s %x: untyped error: %v", path, body, err)
 		}
 	})
 }
--- a/internal/controlplane/housekeeping_test.go
+++ b/internal/controlplane/housekeeping_test.go
@@ -11,11 +11,14 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// TestReplacedServersKeepTheCommitLoopFree replaces one of 256 servers every 75 ms: their roles are granted
-// in one batch a second, so that an edit seldom finds one before it.
-func TestReplacedServersKeepTheCommitLoopFree(t *testing.T) {
-	_, primary := newCore(t, plain)
-	router := wire.UpdateRequest{Member: membership.Member{Name: "router-1", Kind: membership.Router, Address: "r1", Supported: primary.Supported()}, Have: map[string]replication.Version{}}
+// TestReplacedServersCauseFewRoleBatches replaces one of 256 servers every 75 ms. The roles of the new
+// servers must be granted in at most one batch per second, so that an edit rarely waits for such a batch.
+func TestReplacedServersCauseFewRoleBatches(t *testing.T) {
+	_, primary := newCore(t, unwrapped)
+	router := wire.UpdateRequest{
+		Member: membership.Member{Name: "router-1", Kind: membership.Router, Address: "r1", Supported: primary.Supported()},
+		Have:   map[string]replication.Version{},
+	}
 	poll := func() {
 		if _, err := primary.serveUpdate(router); err != nil {
 			t.Error(err)
@@ -53,11 +56,11 @@
 		runtime.Sleep(primary.runtime, interval)
 	}
 	after, _ := primary.Store().CommitCounts()
-	// One batch may move the claims' horizon, and one grant may fall on either end.
-	if most := uint64(primary.runtime.Now().Sub(began)/roleGrantInterval) + 2; after-before > most {
-		t.Errorf("%d batches, %d at most", after-before, most)
+	// One more batch may advance the claims' horizon, and one more grant may fall on an end of the measured time.
+	if maximum := uint64(primary.runtime.Now().Sub(began)/roleGrantInterval) + 2; after-before > maximum {
+		t.Errorf("batches: got %d, want at most %d", after-before, maximum)
 	}
 	if granted() < servers+replacements/2 {
-		t.Errorf("%d roles are granted", granted())
+		t.Errorf("got %d granted roles, want at least %d", granted(), servers+replacements/2)
 	}
 }
--- a/internal/controlplane/joining.go
+++ b/internal/controlplane/joining.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// waitNoticeTime is how long a controller knows of no core before it logs what it waits for: a
-	// core takes about as long to form.
+	// waitNoticeTime is how long a controller waits for a core before it logs the reason, since the
+	// formation of a core normally takes about this long.
 	waitNoticeTime = 2 * time.Second
-	// waitNoticeInterval is the time between two such log entries while nothing changes.
+	// waitNoticeInterval is the time between two such log entries while the reason stays the same.
 	waitNoticeInterval = 30 * time.Second
 )
 
-// joinNotices decides when it is logged what a controller waits for. Only tick uses it.
+// joinNotices limits how often a controller logs why it waits for a core. Only tick uses it, so it
+// has no mutex.
 type joinNotices struct {
 	waitingSince time.Time
 	noticedAt    time.Time
 	noticed      replication.CoreWait
 }
 
-// due reports whether the wait is to be logged now.
+// due reports whether the wait must be logged now, and records that it is.
 func (j *joinNotices) due(wait replication.CoreWait, now time.Time) bool {
 	if wait == replication.CoreKnown {
 		*j = joinNotices{}
@@ -37,7 +38,7 @@
 	return true
 }
 
-// noticeWait logs what this controller waits for while it knows of no core.
+// noticeWait logs why this controller still waits for a core, if a log entry is due.
 func (c *Controller) noticeWait() {
 	wait, silent := c.coordinator.WaitingFor()
 	if c.joining.due(wait, c.runtime.Now()) {
@@ -45,6 +46,5 @@
 	}
 }
 
-// WaitingFor says what this controller waits for while it knows of no core, and which seeds do not
-// respond.
+// WaitingFor returns why this controller waits for a core, and the seeds that do not respond.
 func (c *Controller) WaitingFor() (replication.CoreWait, []string) { return c.coordinator.WaitingFor() }
--- a/internal/controlplane/joining_test.go
+++ b/internal/controlplane/joining_test.go
@@ -12,40 +12,41 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// join starts an empty controller, which may form no core, and waits until it knows one, or until it
-// has waited for a time.
+// join starts a controller with blank disks that may only join a core, not form one. It returns when the
+// controller knows a core or when the wait has passed.
 func (c *core) join(t *testing.T, options Options, wait time.Duration) *Controller {
 	t.Helper()
 	lifetime, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	rt := osruntime.New(lifetime, osruntime.NewClock())
 	options.JoinsOnly, options.Supported = true, features.Supported(nil)
-	options.Name, options.Fresh = options.Address, replication.Identity("disk-"+options.Address)
-	node, _, err := Open(rt, c, &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}, options, func(string, ...any) {})
+	options.Name, options.NewIdentity = options.Address, replication.Identity("disk-"+options.Address)
+	node, _, err := Open(rt, c, &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}, options,
+		func(string, ...any) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.mutex.Lock()
 	c.nodes[options.Address] = node
 	c.mutex.Unlock()
-	for _, round := range node.Loops() {
-		rt.Go(round)
+	for _, loop := range node.Loops() {
+		rt.Go(loop)
 	}
-	known := rt.NewCond()
+	coreKnown := rt.NewCond()
 	for ends := rt.Now().Add(wait); rt.Now().Before(ends); {
-		if known.Wait(20*time.Millisecond, func() bool { wait, _ := node.WaitingFor(); return wait == replication.CoreKnown }) {
+		if coreKnown.Wait(20*time.Millisecond, func() bool { reason, _ := node.WaitingFor(); return reason == replication.CoreKnown }) {
 			break
 		}
 	}
 	return node
 }
 
-// TestABlankMachineFindsTheCoreThroughItsNeighbour starts an empty controller all of whose seeds are
-// gone, beside a router that follows the core.
+// TestABlankMachineFindsTheCoreThroughItsNeighbour starts a blank controller whose seeds no longer
+// exist. It must find the core through its only neighbour, a router that follows the core.
 func TestABlankMachineFindsTheCoreThroughItsNeighbour(t *testing.T) {
-	formed, primary := newCore(t, plain)
+	formed, primary := newCore(t, unwrapped)
 	formed.mutex.Lock()
-	formed.others = map[string]wire.Handlers{"router": {
+	formed.otherProcesses = map[string]wire.Handlers{"router": {
 		wire.HelloPath: wire.HandlerFor(func(replication.Hello) (replication.Hello, error) {
 			return replication.Hello{Kind: membership.Router, Membership: primary.Coordinator().Membership()}, nil
 		}),
@@ -57,27 +58,29 @@
 	gone := []string{"gone-1", "gone-2", "gone-3"}
 	joined := formed.join(t, Options{Address: "m9", Seeds: gone, Neighbours: []string{"router"}}, 10*time.Second)
 	if wait, silent := joined.WaitingFor(); wait != replication.CoreKnown {
-		t.Errorf("it waits for %s, %v", wait, silent)
+		t.Errorf("the controller waits for %s with silent seeds %v, want a known core", wait, silent)
 	}
 	if joined.Coordinator().Membership().Primary != primary.Coordinator().Membership().Primary {
-		t.Errorf("it knows %+v", joined.Coordinator().Membership())
+		t.Errorf("got membership %+v, want that of the core", joined.Coordinator().Membership())
 	}
 }
 
-// TestABlankMachineSaysWhatItWaitsFor: without anyone who knows the core it forms none, says so, and
-// finds it as soon as its settings name a seed that is there.
-func TestABlankMachineSaysWhatItWaitsFor(t *testing.T) {
-	formed, primary := newCore(t, plain)
+// TestBlankControllerReportsWhyItWaits starts blank controllers that reach no process that knows the core.
+// They must not form a core, must report why they wait, and must find the core once their settings name
+// a seed that responds.
+func TestBlankControllerReportsWhyItWaits(t *testing.T) {
+	formed, primary := newCore(t, unwrapped)
 	const wait = 700 * time.Millisecond
 	first := formed.join(t, Options{Address: "b1", Seeds: []string{"b1", "b2", "b3"}}, wait)
 	if reason, silent := first.WaitingFor(); reason != replication.SeedsSilent || len(silent) != 2 {
-		t.Errorf("alone it waits for %q, %v", reason, silent)
+		t.Errorf("a controller whose other seeds do not respond: got reason %q, silent seeds %v, want two silent seeds", reason, silent)
 	}
 	second := formed.join(t, Options{Address: "b2", Seeds: []string{"b1", "b2", "b3"}}, wait)
 	third := formed.join(t, Options{Address: "b3", Seeds: []string{"b1", "b2", "b3"}}, wait)
 	for _, node := range []*Controller{first, second, third} {
 		if reason, silent := node.WaitingFor(); reason != replication.SeedsBlank || len(silent) != 0 {
-			t.Errorf("among blank ones %s waits for %q, %v", node.options.Name, reason, silent)
+			t.Errorf("%s, whose seeds are all blank: got reason %q, silent seeds %v, want SeedsBlank and no silent seeds",
+				node.options.Name, reason, silent)
 		}
 	}
 	first.SetSeeds([]string{"m0", "m1", "m2"})
@@ -88,11 +91,11 @@
 		}
 	}
 	if first.Coordinator().Membership().Primary != primary.Coordinator().Membership().Primary {
-		t.Errorf("with other seeds it knows %+v", first.Coordinator().Membership())
+		t.Errorf("after the seeds were replaced: got membership %+v, want that of the core", first.Coordinator().Membership())
 	}
 }
 
-func TestTheWaitForACoreIsLoggedNowAndThen(t *testing.T) {
+func TestWaitForACoreIsLoggedAtAnInterval(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	notices := &joinNotices{}
 	for _, step := range []struct {
@@ -109,7 +112,7 @@
 		{waitNoticeTime + 4*time.Second + waitNoticeInterval, replication.SeedsBlank, false},
 	} {
 		if due := notices.due(step.wait, start.Add(step.after)); due != step.due {
-			t.Errorf("after %v, %q: due %t", step.after, step.wait, due)
+			t.Errorf("after %v, waiting for %q: got due %t, want %t", step.after, step.wait, due, step.due)
 		}
 	}
 }
--- a/internal/controlplane/options.go
+++ b/internal/controlplane/options.go
@@ -15,29 +15,28 @@
 	Zone      string
 	Seeds     []string
 	Supported features.List
-	// Neighbours are addresses of other processes that may know the core, such as the router on the
-	// same machine. They are asked besides the seeds and are no seeds.
+	// Neighbours are the addresses of other processes that may know the core, such as the router on
+	// the same machine. They are asked in addition to the seeds, and do not count as seeds.
 	Neighbours []string
-	// FlagStableTime is how long the members must not change before a flag is
-	// enabled.
+	// FlagStableTime is how long the members must stay unchanged before a flag is enabled.
 	FlagStableTime time.Duration
-	// JoinsOnly keeps a blank disk from forming a new core; false: it may.
+	// JoinsOnly prevents a controller with a blank disk from forming a new core.
 	JoinsOnly bool
-	// ToleratedLosses is how many disks may be lost at once; zero: one.
+	// ToleratedLosses is how many disks may be lost at once. Zero means one.
 	ToleratedLosses int
-	// RetireAfter is after how long without a poll a recorded member is removed from the
-	// record; zero: never.
+	// RetireAfter is the time without a poll after which a recorded member is removed from the
+	// record. Zero means never.
 	RetireAfter time.Duration
 	// AcknowledgeWait is how long the acknowledgement of a committed change waits for routers
-	// that do not poll; zero: until their leases end.
+	// that do not poll. Zero means until their leases end.
 	AcknowledgeWait time.Duration
-	// CatchUp is how long a machine counts as lost after its return or after its
-	// successor's start; the core's waits are derived from it. Zero: the default.
+	// CatchUp is how long a machine still counts as lost after its return or after the start of
+	// its replacement. The timing of the core is derived from it. Zero means the default.
 	CatchUp time.Duration
-	// Fresh is the identity that a blank disk takes.
-	Fresh replication.Identity
-	// Directory reads the platform's lists, and Reports the servers' loads, for the
-	// whole fleet while this controller is primary.
+	// NewIdentity is the identity that a blank disk gets.
+	NewIdentity replication.Identity
+	// Directory reads the platform's lists of servers and nodes, and LoadReader the loads of the
+	// servers. The primary uses both for the whole fleet.
 	Directory  discovery.Directory
 	LoadReader LoadReader
 }
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -7,24 +7,26 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// The timeouts of calls to other controllers. The values are ours.
+// The timeouts of calls to other controllers.
 const (
 	peerTimeout    = 450 * time.Millisecond
 	batchTimeout   = 1200 * time.Millisecond
 	installTimeout = 6 * time.Second
 )
 
-// peers is the client of the other controllers' coordinators, witnesses and stores: the
-// network port of package replication.
+// peers is the client for the coordinators, witnesses and stores of other controllers. It implements
+// the network port of package replication.
 type peers struct{ client wire.Client }
 
-// Hello exchanges greetings: who is at an address, and which membership it knows.
+// Hello exchanges hello messages with the process at an address. The response identifies that
+// process and contains the membership that it knows.
 func (p *peers) Hello(address string, own replication.Hello) (replication.Hello, error) {
 	var response replication.Hello
 	err := wire.Call(p.client, address, wire.HelloPath, own, &response, peerTimeout)
 	return response, err
 }
 
+// askWitness sends a request to a witness and returns its vote.
 func (p *peers) askWitness(address, path string, request wire.WitnessRequest) (replication.Vote, error) {
 	var vote replication.Vote
 	err := wire.Call(p.client, address, path, request, &vote, peerTimeout)
@@ -32,7 +34,12 @@
 }
 
 // Prepare asks a witness for its vote in an epoch.
-func (p *peers) Prepare(address string, witness replication.Identity, epoch uint64, candidate replication.Identity) (replication.Vote, error) {
+func (p *peers) Prepare(
+	address string,
+	witness replication.Identity,
+	epoch uint64,
+	candidate replication.Identity,
+) (replication.Vote, error) {
 	return p.askWitness(address, wire.PreparePath, wire.WitnessRequest{To: witness, From: candidate, Epoch: epoch})
 }
 
@@ -42,8 +49,13 @@
 }
 
 // RenewLease asks a witness to renew the primary's lease.
-func (p *peers) RenewLease(address string, witness replication.Identity, epoch uint64, primary replication.Identity) (replication.Vote, error) {
-	return p.askWitness(address, wire.ConfirmPath, wire.WitnessRequest{To: witness, From: primary, Epoch: epoch})
+func (p *peers) RenewLease(
+	address string,
+	witness replication.Identity,
+	epoch uint64,
+	primary replication.Identity,
+) (replication.Vote, error) {
+	return p.askWitness(address, wire.RenewLeasePath, wire.WitnessRequest{To: witness, From: primary, Epoch: epoch})
 }
 
 // Replicate sends a batch to a backup.
@@ -51,7 +63,7 @@
 	return wire.Call(p.client, address, wire.ReplicatePath, wire.ReplicateRequest{To: backup, Epoch: epoch, Batch: batch}, nil, batchTimeout)
 }
 
-// Install sends a complete copy to a backup.
+// Install sends a complete copy of the state to a backup.
 func (p *peers) Install(address string, backup replication.Identity, snapshot replication.Snapshot) error {
 	return wire.Call(p.client, address, wire.InstallPath, wire.InstallRequest{To: backup, Snapshot: snapshot}, nil, installTimeout)
 }
--- a/internal/controlplane/phases.go
+++ b/internal/controlplane/phases.go
@@ -9,30 +9,31 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// maxBatchTimings bounds how many committed batches have their timing remembered: more than are
-// committed between a change's commit and the log line about it.
+// maxBatchTimings is the number of committed batches whose timing is kept. It exceeds the number of
+// batches that are committed between the commit of an edit and the log entry about that edit.
 const maxBatchTimings = 32
 
-// slowBatch is how long the sync of a batch takes from which it is logged.
+// slowBatch is the minimum duration of the writes of a batch to all replicas at which it is logged as slow.
 const slowBatch = 250 * time.Millisecond
 
-// backupTiming is how long one backup's write of a batch took.
+// backupTiming is the duration of the write of a batch to one backup.
 type backupTiming struct {
 	name string
 	took time.Duration
 }
 
-// batchTiming is how long the phases of one batch took.
+// batchTiming holds the timing of the phases of one batch.
 type batchTiming struct {
 	version replication.Version
 	bytes   int
-	// began is when its write began, and visible when it was committed.
+	// began is when the writes of the batch began. visible is when all of them had ended, immediately
+	// before the commit that makes the batch visible to readers.
 	began, visible time.Time
 	ownDisk        time.Duration
 	backups        []backupTiming
 }
 
-// slowestBackup is the longest of the writes to backups.
+// slowestBackup returns the duration of the slowest write to a backup.
 func (b batchTiming) slowestBackup() time.Duration {
 	var slowest time.Duration
 	for _, backup := range b.backups {
@@ -41,7 +42,7 @@
 	return slowest
 }
 
-// backupTimes is how long each backup took, as it is logged.
+// backupTimes formats the duration of the write to each backup for the log.
 func (b batchTiming) backupTimes() []string {
 	var times []string
 	for _, backup := range b.backups {
@@ -50,13 +51,13 @@
 	return times
 }
 
-// batchTimings are the timings of the batches that were committed last.
+// batchTimings holds the timings of the last committed batches, the newest last.
 type batchTimings struct {
 	mutex  sync.Mutex
 	recent []batchTiming
 }
 
-// record remembers the timing of a committed batch.
+// record adds the timing of a committed batch.
 func (b *batchTimings) record(timing batchTiming) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -66,7 +67,7 @@
 	b.recent = append(b.recent, timing)
 }
 
-// find returns the timing of the batch with the version.
+// find returns the timing of the batch with the given version.
 func (b *batchTimings) find(version replication.Version) (batchTiming, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -78,51 +79,54 @@
 	return batchTiming{}, false
 }
 
-// editPhases are the moments of one edit, for the log and the metrics.
+// editPhases holds the times of the steps of one edit, for the log and the metrics.
 type editPhases struct {
 	received, submitted, committed time.Time
 	confirmation                   confirmation
 }
 
-// confirmation is how the wait for routers to confirm a version went.
+// confirmation is the result of a wait for routers to confirm a version.
 type confirmation struct {
 	ended time.Time
-	// routers is how many routers polled lately, unconfirmed how many of them had not confirmed at the
-	// end, and last is the router that confirmed last or one that has not.
+	// routers is the number of routers that polled recently, and unconfirmed is the number of routers
+	// that had not confirmed when the wait ended. last is one of the unconfirmed routers, or the router
+	// that confirmed last if all have confirmed.
 	routers, unconfirmed int
 	last                 string
 }
 
-// note takes the routers that have not confirmed at a moment.
-func (c *confirmation) note(unconfirmed []string) {
+// update records the routers that have not confirmed yet.
+func (c *confirmation) update(unconfirmed []string) {
 	c.unconfirmed = len(unconfirmed)
 	if len(unconfirmed) > 0 {
 		c.last = unconfirmed[0]
 	}
 }
 
-// endedAt is the phases of an edit whose commit was not seen until a moment.
+// endedAt returns the phases of an edit whose outcome was still unknown when the wait for it ended, at the
+// given time. The time since its submission counts as commit time.
 func (e editPhases) endedAt(now time.Time) editPhases {
 	e.committed, e.confirmation.ended = now, now
 	return e
 }
 
-// The log events of an edit that was acknowledged, and of one whose outcome is not known in time.
+// The log events of an acknowledged edit, and of an edit whose outcome is not known in time.
 const (
 	editAccepted = "configuration_accepted"
 	editUnknown  = "configuration_change_unknown"
 )
 
-// ChangeCounts sums the phases of the edits that were answered, for metrics.
+// ChangeCounts holds the totals over the edits that were answered, for metrics.
 type ChangeCounts struct {
-	// Accepted counts the edits that were acknowledged, Unconfirmed those among them that some router
-	// had not confirmed, and Unknown those whose outcome was not known in time.
+	// Accepted is the number of acknowledged edits, Unconfirmed the number of acknowledged edits that
+	// some router had not confirmed, and Unknown the number of edits whose outcome was not known in
+	// time.
 	Accepted, Unconfirmed, Unknown uint64
-	// The times that accepted edits spent in each phase.
+	// The following fields are the total times that accepted edits spent in each phase.
 	Preparation, Commit, OwnDisk, SlowestBackup, Confirmation time.Duration
 }
 
-// changeMeter holds the sums of ChangeCounts.
+// changeMeter accumulates the totals of ChangeCounts.
 type changeMeter struct {
 	accepted, unconfirmed, unknown                                                atomic.Uint64
 	preparationTime, commitTime, ownDiskTime, slowestBackupTime, confirmationTime atomic.Int64
@@ -141,11 +145,12 @@
 	}
 }
 
-// ChangeCounts returns the sums over the edits that this controller has answered.
+// ChangeCounts returns the totals over the edits that this controller has answered.
 func (c *Controller) ChangeCounts() ChangeCounts { return c.changeMeter.counts() }
 
-// observeEdit logs an edit and the length of each of its phases, and adds them to the counts. A repeated
-// edit that was committed before has no batch of its own.
+// observeEdit logs an edit with the duration of each phase and adds the durations to the totals. It
+// leaves out the timing of a batch that was committed before the edit was submitted: such an edit
+// repeats an earlier one, for which the batch has already been counted.
 func (c *Controller) observeEdit(event string, edit Edit, version replication.Version, phases editPhases) {
 	attributes := []any{"version", version.String(), "change", edit.Change,
 		"prepared_after", phases.submitted.Sub(phases.received).String(),
--- a/internal/controlplane/phases_test.go
+++ b/internal/controlplane/phases_test.go
@@ -10,10 +10,10 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// TestThePhasesOfAnEditAreLogged wants a router that does not confirm, and each disk's time, in the line
-// of an accepted edit and in the counts.
+// TestThePhasesOfAnEditAreLogged expects that the log entry of an accepted edit names a router that did not
+// confirm and the times of all phases, and that the counts include them.
 func TestThePhasesOfAnEditAreLogged(t *testing.T) {
-	formed, primary := newCore(t, plain)
+	formed, primary := newCore(t, unwrapped)
 	logged := make(map[string]string)
 	observer := func(event string, detail ...any) {
 		if event != editAccepted {
@@ -26,7 +26,10 @@
 	formed.observer.Store(&observer)
 	wait := 100 * time.Millisecond
 	primary.SetAcknowledgeWait(wait)
-	router := wire.UpdateRequest{Member: membership.Member{Name: "router-1", Kind: membership.Router, Address: "r1"}, Have: map[string]replication.Version{}}
+	router := wire.UpdateRequest{
+		Member: membership.Member{Name: "router-1", Kind: membership.Router, Address: "r1"},
+		Have:   map[string]replication.Version{},
+	}
 	if _, err := primary.serveUpdate(router); err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +38,7 @@
 	}
 	for name, want := range map[string]string{"routers": "1", "unconfirmed": "1", "last_router": "router-1"} {
 		if logged[name] != want {
-			t.Errorf("%s is %q, not %q", name, logged[name], want)
+			t.Errorf("%s: got %q, want %q", name, logged[name], want)
 		}
 	}
 	for _, name := range []string{"prepared_after", "committed_after", "confirmed_after", "queued", "own_disk", "backups", "bytes"} {
@@ -45,6 +48,6 @@
 	}
 	counts := primary.ChangeCounts()
 	if counts.Accepted != 1 || counts.Unconfirmed != 1 || counts.Confirmation < wait {
-		t.Errorf("counts: %+v", counts)
+		t.Errorf("got counts %+v, want one accepted and unconfirmed edit that waited for confirmation", counts)
 	}
 }
--- a/internal/controlplane/provisional_test.go
+++ b/internal/controlplane/provisional_test.go
@@ -18,7 +18,7 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// oneServer is a directory.
+// oneServer is a directory with one server and no list of nodes.
 type oneServer struct{}
 
 func (oneServer) Servers() ([]membership.Server, error) {
@@ -26,19 +26,20 @@
 }
 func (oneServer) Nodes() ([]membership.Node, error) { return nil, failure.New(failure.NoSuch, "none") }
 
-// restarted opens a core's disks again, in controllers that do nothing by themselves:
-// all have just started and nobody is primary. The blank ones have lost their disks.
-func restarted(t *testing.T, rt runtime.Runtime, before *core, blank ...string) *core {
+// restartCore opens the disks of a core again, in controllers whose loops do not run, as if all
+// controllers had just started and none were primary. The disks at the addresses in blank are
+// replaced by empty ones.
+func restartCore(t *testing.T, rt runtime.Runtime, before *core, blank ...string) *core {
 	t.Helper()
 	after := &core{nodes: map[string]*Controller{}}
-	for address, m := range before.storages {
-		keeping := before.keeping[address]
+	for address, copyStorage := range before.copyStorages {
+		witnessStorage := before.witnessStorage[address]
 		if slices.Contains(blank, address) {
-			m, keeping = &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
+			copyStorage, witnessStorage = &memoryStorage{files: map[string][]byte{}}, &memoryStorage{files: map[string][]byte{}}
 		}
 		options := Options{Name: address, Address: address, Seeds: []string{"m0", "m1", "m2"}, Supported: features.Supported(nil),
-			Fresh: replication.Identity("next disk-" + address), Directory: oneServer{}}
-		node, _, err := Open(rt, after, keeping, m, options, func(string, ...any) {})
+			NewIdentity: replication.Identity("next disk-" + address), Directory: oneServer{}}
+		node, _, err := Open(rt, after, witnessStorage, copyStorage, options, func(string, ...any) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,15 +48,22 @@
 	return after
 }
 
-// newRouterAt starts a router that follows a core; told rings with its events.
-func newRouterAt(rt runtime.Runtime, line wire.Client, without time.Duration, told runtime.Cond) *dataplane.Router {
-	router := dataplane.NewRouter(rt, line, nil, nil, dataplane.Options{Options: seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
-		Address: "c1", Seeds: []string{"m0", "m1", "m2"}, ServeWithoutLease: without, Nonce: func() string { return "nonce" },
-		Directory: oneServer{}, OnEnded: func(*auction.Request, auction.Decision) {}}, func(string, ...any) { told.Broadcast() })
+// newRouterAt starts a router that follows a core and broadcasts to events when it logs an event.
+func newRouterAt(rt runtime.Runtime, client wire.Client, serveWithoutLease time.Duration, events runtime.Cond) *dataplane.Router {
+	router := dataplane.NewRouter(rt, client, nil, nil, dataplane.Options{
+		Options:           seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
+		Address:           "c1",
+		Seeds:             []string{"m0", "m1", "m2"},
+		ServeWithoutLease: serveWithoutLease,
+		Nonce:             func() string { return "nonce" },
+		Directory:         oneServer{},
+		OnEnded:           func(*auction.Request, auction.Decision) {},
+	}, func(string, ...any) { events.Broadcast() })
 	rt.Go(router.Follower().Run)
 	return router
 }
 
+// setConfiguration replaces the configuration by the text and returns its version.
 func setConfiguration(t *testing.T, primary *Controller, text string) replication.Version {
 	t.Helper()
 	version, err := primary.Edit(Edit{Apply: func([]byte) ([]byte, error) { return []byte(text), nil }})
@@ -65,46 +73,47 @@
 	return version
 }
 
-// TestRouterServesByTheCopiesBeforeThereIsAPrimary restarts a router and a whole core
-// that has no primary yet.
-func TestRouterServesByTheCopiesBeforeThereIsAPrimary(t *testing.T) {
+// TestRouterServesFromCopiesWithoutAPrimary starts a router while the restarted core has no primary. The
+// router must serve under the configuration of the copies if it is allowed to serve without a lease and
+// the copies that respond prove which configuration was acknowledged.
+func TestRouterServesFromCopiesWithoutAPrimary(t *testing.T) {
 	before, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime { return rt })
 	version := setConfiguration(t, primary, `{"routes":{"a":{"to":{"refuse":true}}}}`)
 	membership := primary.Coordinator().Membership()
 	for _, row := range []struct {
-		name    string
-		without time.Duration
-		blank   []string
-		dark    string
-		served  bool
+		name              string
+		serveWithoutLease time.Duration
+		blank             []string
+		unreachable       string
+		served            bool
 	}{
-		{"all are there", time.Minute, nil, "", true},
-		{"a hold is needed", 0, nil, "", false},
+		{"all copies respond", time.Minute, nil, "", true},
+		{"a lease is required", 0, nil, "", false},
 		{"the primary's disk is lost", time.Minute, []string{membership.Primary.Address}, "", true},
-		{"the primary is dark", time.Minute, nil, membership.Primary.Address, false},
+		{"the primary does not respond", time.Minute, nil, membership.Primary.Address, false},
 	} {
 		lifetime, end := context.WithCancel(context.Background())
-		turns := osruntime.New(lifetime, osruntime.NewClock())
-		c := restarted(t, turns, before, row.blank...)
-		if row.dark != "" {
-			c.nodes[row.dark] = nil
+		osRuntime := osruntime.New(lifetime, osruntime.NewClock())
+		c := restartCore(t, osRuntime, before, row.blank...)
+		if row.unreachable != "" {
+			c.nodes[row.unreachable] = nil
 		}
-		told := turns.NewCond()
-		router := newRouterAt(turns, c, row.without, told)
+		events := osRuntime.NewCond()
+		router := newRouterAt(osRuntime, c, row.serveWithoutLease, events)
 		timeout := 5 * time.Second
 		if !row.served {
 			timeout = 400 * time.Millisecond
 		}
-		told.Wait(timeout, func() bool { return router.InForce() == version && len(router.Servers()) == 1 })
+		events.Wait(timeout, func() bool { return router.InForce() == version && len(router.Servers()) == 1 })
 		until := router.Core().ServesUntil()
-		if row.served != (router.InForce() == version) || row.served != until.After(turns.Now()) {
-			t.Errorf("%s: %s in force, serves until %v", row.name, router.InForce(), until)
+		if row.served != (router.InForce() == version) || row.served != until.After(osRuntime.Now()) {
+			t.Errorf("%s: got version %s in force, serving until %v, want served %v", row.name, router.InForce(), until, row.served)
 		}
 		if row.served && len(router.Servers()) != 1 {
-			t.Errorf("%s: no list of servers came with it", row.name)
+			t.Errorf("%s: the router has the configuration but not the list of one server", row.name)
 		}
-		if !router.Core().LeaseEnds().IsZero() || !router.Heard().IsZero() {
-			t.Errorf("%s: a copy gave a hold", row.name)
+		if !router.Core().LeaseEnds().IsZero() || !router.LastUpdateAt().IsZero() {
+			t.Errorf("%s: a copy granted a lease", row.name)
 		}
 		end()
 	}
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -9,11 +9,14 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// serveQuota grants tokens as a witness of the newest membership that this disk has accepted.
+// serveQuota grants tokens as a witness of the newest membership that this disk has accepted. It fails
+// with NotAdmitted if the request is for another disk, or if the request has the epoch of the accepted
+// membership and this controller is not a witness in it. For a request with a newer epoch it is not checked
+// whether this controller is a witness.
 //
-// Its invariant: whoever asks by an older membership is granted nothing once this witness has accepted a newer
-// one. A newer set of witnesses is accepted by a majority of the older one, so no majority of that is left
-// that could grant beside the newer set's. It fails with NotAdmitted for another disk, or one that is no witness.
+// Invariant: once this witness has accepted a newer membership, a request under an older membership
+// is granted nothing. A newer set of witnesses is accepted by a majority of the older set, so the older
+// set has no majority left that could grant tokens in addition to the newer set.
 func (c *Controller) serveQuota(request wire.QuotaRequest) (wire.QuotaResponse, error) {
 	if err := c.checkIdentity(request.To); err != nil {
 		return wire.QuotaResponse{}, err
@@ -23,19 +26,21 @@
 		return wire.QuotaResponse{Membership: current}, nil
 	}
 	if request.Epoch == current.Epoch && !current.HasVoter(request.To) {
-		return wire.QuotaResponse{}, failure.New(failure.NotAdmitted, "this controller is no witness")
+		return wire.QuotaResponse{}, failure.New(failure.NotAdmitted, "this controller is not a witness")
 	}
 	return wire.QuotaResponse{Response: c.ledger.Apply(c.runtime.Now(), request.Request)}, nil
 }
 
-// resetLedger keeps the ledger empty for as long as this controller is no witness, or is one only in the set that
-// comes in: until the older set has ended, it grants without this one.
+// resetLedger keeps the ledger empty while this controller is not a witness, or only a witness of the
+// incoming set: until the older set is replaced, its members grant tokens without this controller.
 func (c *Controller) resetLedger() {
 	self := c.witness.Replica().Identity
-	if !slices.ContainsFunc(c.witness.AcceptedMembership().Witnesses, func(replica replication.Replica) bool { return replica.Identity == self }) {
+	if !slices.ContainsFunc(c.witness.AcceptedMembership().Witnesses, func(replica replication.Replica) bool {
+		return replica.Identity == self
+	}) {
 		c.ledger.Reset(c.runtime.Now())
 	}
 }
 
-// Quotas lists what this witness knows of the limits that hold over all routers.
+// Quotas returns the status of the fleet-wide limits, as far as this witness knows it.
 func (c *Controller) Quotas() []quota.Status { return c.ledger.Statuses(c.runtime.Now()) }
--- a/internal/controlplane/readers.go
+++ b/internal/controlplane/readers.go
@@ -11,50 +11,51 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// LoadReader is the port by which the primary asks a model server for its load, for
+// LoadReader is the port through which the primary reads the load of a model server on behalf of
 // all routers.
 type LoadReader interface {
 	ReadLoad(server membership.Server, timeout time.Duration) (scheduler.Load, error)
 }
 
-// readServers reads the platform's list for the fleet for as long as this controller
-// leads, and at once when it begins to.
+// readServers reads the platform's list of servers on behalf of all nodes: while this controller is
+// primary, once per listInterval, and for the first time as soon as its term begins.
 func (c *Controller) readServers() {
 	for c.runtime.Alive() {
 		if !c.serverList.leading() {
 			c.termBegan.Wait(time.Minute, c.serverList.leading)
 			continue
 		}
-		asked := c.runtime.Now()
+		requestedAt := c.runtime.Now()
 		servers, err := c.options.Directory.Servers()
-		// A list that could not be read leaves what is known as it is.
-		if err == nil && c.serverList.update(asked, servers) {
+		// If the list cannot be read, the last known list stays in use.
+		if err == nil && c.serverList.update(requestedAt, servers) {
 			c.updated.Broadcast()
 		}
 		c.logListError(err)
-		if left := listInterval - c.runtime.Now().Sub(asked); left > 0 {
+		if left := listInterval - c.runtime.Now().Sub(requestedAt); left > 0 {
 			runtime.Sleep(c.runtime, left)
 		}
 	}
 }
 
-// provisionalTimeout is how long the response to a router that fetches a configuration from a
-// copy waits for the list that is being read. The value is ours.
+// provisionalTimeout is how long a response to a router that fetches a configuration from a copy
+// waits for the list of servers that is being read.
 const provisionalTimeout = 150 * time.Millisecond
 
-// provisionalServers is the list of servers for routers that have no primary. It is
-// read when the first of them asks, so that they need not all read it themselves, and
-// sent to those that fetch a configuration.
+// provisionalServers returns the list of servers for a router that has found no primary. The first
+// request of such a router in each listInterval makes this controller read the list, so that the
+// routers do not all read it themselves. Only routers that fetch a configuration (fetches) get the
+// list; the result is nil for other routers, and if there is no recent list.
 func (c *Controller) provisionalServers(fetches bool) *wire.ServersUpdate {
 	if c.options.Directory == nil {
 		return nil
 	}
 	if c.serverList.startRead(c.runtime.Now()) {
 		c.runtime.Go(func() {
-			asked := c.runtime.Now()
+			requestedAt := c.runtime.Now()
 			servers, err := c.options.Directory.Servers()
 			if err == nil {
-				c.serverList.update(asked, servers)
+				c.serverList.update(requestedAt, servers)
 				c.updated.Broadcast()
 			}
 			c.logListError(err)
@@ -71,7 +72,7 @@
 	return servers
 }
 
-// logListError logs that the list can't be read, and that it can again, once each.
+// logListError logs the result of reading the list if its error code has changed, also when reads succeed again.
 func (c *Controller) logListError(err error) {
 	cause := ""
 	if err != nil {
@@ -86,8 +87,8 @@
 	}
 }
 
-// readReports asks all servers for their load, over and over, while this controller
-// leads and a router follows reports.
+// readReports polls the loads of all listed servers in cycles while this controller is primary and a
+// router wants load reports. A cycle skips the servers whose earlier poll has not ended.
 func (c *Controller) readReports() {
 	for c.runtime.Alive() {
 		if !c.serverList.leading() {
@@ -97,16 +98,16 @@
 		began := c.runtime.Now()
 		if wanted := c.serverList.startPolls(began); len(wanted) > 0 {
 			c.pollServers(wanted)
-			c.serverList.endRound(c.runtime.Now())
+			c.serverList.endCycle(c.runtime.Now())
 			c.updated.Broadcast()
 		}
-		if left := c.serverList.reportPause(c.runtime.Now()) - c.runtime.Now().Sub(began); left > 0 {
+		if left := c.serverList.pollInterval(c.runtime.Now()) - c.runtime.Now().Sub(began); left > 0 {
 			runtime.Sleep(c.runtime, left)
 		}
 	}
 }
 
-// pollServers reads all servers' loads at once and waits roundTimeout for them.
+// pollServers reads the loads of the given servers in parallel and waits up to cycleTimeout for them.
 func (c *Controller) pollServers(servers []membership.Server) {
 	c.serverList.mutex.Lock()
 	epoch := c.serverList.epoch
@@ -116,9 +117,9 @@
 	left := len(servers)
 	for _, server := range servers {
 		c.runtime.Go(func() {
-			asked := c.runtime.Now()
+			requestedAt := c.runtime.Now()
 			load, err := c.options.LoadReader.ReadLoad(server, reportTimeout)
-			c.serverList.endPoll(epoch, server.Name, asked, load, err)
+			c.serverList.endPoll(epoch, server.Name, requestedAt, load, err)
 			mutex.Lock()
 			left--
 			last := left == 0
@@ -128,7 +129,7 @@
 			}
 		})
 	}
-	cond.Wait(roundTimeout, func() bool {
+	cond.Wait(cycleTimeout, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return left == 0
--- a/internal/controlplane/redirector.go
+++ b/internal/controlplane/redirector.go
@@ -10,8 +10,8 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Redirector is a node of the control plane without a disk: it stores nothing and is no member,
-// but finds the controller that is primary, for operators whose requests it redirects.
+// Redirector is a node of the control plane without a disk. It stores nothing and is not a member.
+// It finds the controller that is primary, so that operators' requests can be redirected to it.
 type Redirector struct {
 	runtime runtime.Runtime
 	client  wire.Client
@@ -24,24 +24,24 @@
 }
 
 const (
-	// redirectorTimeout is how long each controller may take to say who leads: all are
-	// asked at once.
+	// redirectorTimeout limits one attempt, in which all candidates are asked in parallel.
 	redirectorTimeout = 300 * time.Millisecond
-	// redirectorRounds is how often the search goes on with what it has just learnt.
-	redirectorRounds = 2
-	// redirectorTTL is how long an answer is believed.
+	// redirectorAttempts is the number of attempts in a search. The second attempt asks the
+	// addresses that the first one learned.
+	redirectorAttempts = 2
+	// redirectorTTL is how long an answer is used without asking again.
 	redirectorTTL = 500 * time.Millisecond
-	// redirectorInterval lies between two looks at the membership while nobody asks: what is
-	// known of it must not outlive the machines that it names.
+	// redirectorInterval is the time between two searches without a request: the known membership
+	// must be refreshed before all machines that it names are replaced.
 	redirectorInterval = 2 * time.Second
 )
 
-// NewRedirector makes a redirector that begins its search at the seeds.
+// NewRedirector returns a redirector that starts its search at the seeds.
 func NewRedirector(rt runtime.Runtime, client wire.Client, seeds []string) *Redirector {
 	return &Redirector{runtime: rt, client: client, seeds: seeds}
 }
 
-// SetSeeds exchanges the seeds, after a reload.
+// SetSeeds replaces the seeds, after a reload of the settings.
 func (r *Redirector) SetSeeds(seeds []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -53,7 +53,7 @@
 	runtime.Every(r.runtime, redirectorInterval, func() { r.Leader() })
 }
 
-// Leader is the address of the controller that is primary, or empty if none says so.
+// Leader returns the address of the controller that is primary, or "" if none responds as primary.
 func (r *Redirector) Leader() string {
 	r.mutex.Lock()
 	known, fresh := r.leader, r.runtime.Now().Sub(r.answeredAt) < redirectorTTL
@@ -62,7 +62,7 @@
 		return known
 	}
 	asked := map[string]bool{}
-	for range redirectorRounds {
+	for range redirectorAttempts {
 		if leader := r.askAll(r.nextCandidates(asked)); leader != "" {
 			return leader
 		}
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// unasked are the addresses that may know, and were not asked in this search: who led
-// last, those of the newest membership, the seeds.
+// nextCandidates returns the addresses of the last known primary, of the controllers of the newest
+// membership and of the seeds, without those in asked, and adds the returned addresses to asked.
 func (r *Redirector) nextCandidates(asked map[string]bool) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -92,7 +92,7 @@
 	return addresses
 }
 
-// pollServers asks all addresses at once, and gives the first that leads.
+// askAll asks all addresses in parallel and returns the first that responds as primary, or "".
 func (r *Redirector) askAll(addresses []string) string {
 	var mutex sync.Mutex
 	cond := r.runtime.NewCond()
@@ -100,7 +100,7 @@
 	for _, address := range addresses {
 		r.runtime.Go(func() {
 			var hello replication.Hello
-			// A hello from nobody is answered, and leaves no trace.
+			// A hello without a sender is answered, and the receiver does not record it.
 			err := wire.Call(r.client, address, wire.HelloPath, replication.Hello{}, &hello, redirectorTimeout)
 			leads := err == nil && r.learn(address, hello)
 			mutex.Lock()
@@ -122,7 +122,8 @@
 	return leader
 }
 
-// learn takes an answer and tells whether its giver leads.
+// learn records the membership and the primary from a response, and reports whether its sender is
+// primary.
 func (r *Redirector) learn(address string, hello replication.Hello) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/controlplane/repeatededit_test.go
+++ b/internal/controlplane/repeatededit_test.go
@@ -9,13 +9,16 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// TestARepeatedEditDoesNotWaitAnew has a router that polls and never confirms: once the wait for it has
-// passed, the same edit sent again is acknowledged at once.
-func TestARepeatedEditDoesNotWaitAnew(t *testing.T) {
-	_, primary := newCore(t, plain)
+// TestARepeatedEditDoesNotWaitAgain uses a router that polls and never confirms. Once an edit has waited
+// for this router, the same edit must be acknowledged without a wait when it is sent again.
+func TestARepeatedEditDoesNotWaitAgain(t *testing.T) {
+	_, primary := newCore(t, unwrapped)
 	wait := 400 * time.Millisecond
 	primary.SetAcknowledgeWait(wait)
-	lagging := wire.UpdateRequest{Member: membership.Member{Name: "router-1", Kind: membership.Router, Address: "r1"}, Have: map[string]replication.Version{}}
+	lagging := wire.UpdateRequest{
+		Member: membership.Member{Name: "router-1", Kind: membership.Router, Address: "r1"},
+		Have:   map[string]replication.Version{},
+	}
 	poll := func() {
 		if _, err := primary.serveUpdate(lagging); err != nil {
 			t.Error(err)
@@ -28,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if took := primary.runtime.Now().Sub(began); took < wait {
-		t.Errorf("acknowledged after %v, before the router had %v to confirm", took, wait)
+		t.Errorf("the edit was acknowledged after %v, want at least %v for the router to confirm", took, wait)
 	}
 	poll()
 	began = primary.runtime.Now()
@@ -36,22 +39,23 @@
 		t.Fatal(err)
 	}
 	if took := primary.runtime.Now().Sub(began); took >= wait {
-		t.Errorf("sent again, it was acknowledged only after %v", took)
+		t.Errorf("the repeated edit was acknowledged after %v, want no wait", took)
 	}
 }
 
-// TestACommittedEditIsAnsweredWhileABatchStalls stalls the disk in the middle of another change: an edit
-// that was committed before is acknowledged all the same when it is sent again.
+// TestACommittedEditIsAnsweredWhileABatchStalls makes the primary's disk fail, so that another change can't
+// be committed. An edit that was committed before must still be acknowledged when it is sent again.
 func TestACommittedEditIsAnsweredWhileABatchStalls(t *testing.T) {
-	formed, primary := newCore(t, plain)
+	formed, primary := newCore(t, unwrapped)
 	edit := revision(0, 3, "a")
 	if _, err := primary.Edit(edit); err != nil {
 		t.Fatal(err)
 	}
-	formed.storages[primary.options.Address].failing.Store(true)
-	primary.queue(replication.RegisterMember(membership.Member{Name: "router-2", Kind: membership.Router, Address: "r2"}), func(replication.Version, error) {})
+	formed.copyStorages[primary.options.Address].failing.Store(true)
+	primary.queue(replication.RegisterMember(membership.Member{Name: "router-2", Kind: membership.Router, Address: "r2"}),
+		func(replication.Version, error) {})
 	began := primary.runtime.Now()
 	if _, err := primary.Edit(edit); err != nil {
-		t.Fatalf("after %v: %v", primary.runtime.Now().Sub(began), err)
+		t.Fatalf("the repeated edit failed after %v: %v", primary.runtime.Now().Sub(began), err)
 	}
 }
--- a/internal/controlplane/serverlist.go
+++ b/internal/controlplane/serverlist.go
@@ -15,85 +15,92 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// serverList is the platform's list of servers and their load reports. The primary reads both
-// for the whole fleet; the other controllers have the list from updates, to send it from their
-// first response as primary on.
+// serverList holds the platform's list of servers and their load reports. The primary reads both for
+// the whole fleet. The other controllers get the list from the primary's updates, so that a new
+// primary can send it in its first response.
 type serverList struct {
 	mutex   sync.Mutex
 	listing membership.ServerList
-	// epoch is that of the term, and zero while this controller does not lead.
-	epoch        uint64
-	reportRounds uint64
-	reports      map[string]report
-	// rounds are the last ones of reading, the newest last.
-	rounds     []reportRound
-	polling    map[string]bool
-	followedAt time.Time
-	outliers   outlier.Detector
-	lastError  string
-	// sizes are the encoded sizes of what was sent, serversBytes and loadsBytes what all of it
-	// took before compression.
+	// epoch is the epoch of the current term, or zero while this controller is not primary.
+	epoch      uint64
+	cycleCount uint64
+	reports    map[string]report
+	// recentCycles are the last poll cycles, the newest last.
+	recentCycles  []pollCycle
+	polling       map[string]bool
+	loadsWantedAt time.Time
+	outliers      outlier.Detector
+	lastError     string
+	// sizes caches the encoded sizes of updates. serversBytes and loadsBytes are the totals of the
+	// encoded bytes that were sent, before compression.
 	sizes        map[sizeKey]int
 	serversBytes uint64
 	loadsBytes   uint64
-	// loadsBytesBefore is loadsBytes at the end of the last round, roundBytes what the round
-	// before that took.
-	loadsBytesBefore uint64
-	roundBytes       uint64
-	// readAt is when this controller last began to read for routers without a primary.
-	readAt time.Time
+	// loadsBytesAtCycleEnd is loadsBytes at the end of the last poll cycle. cycleBytes is the number
+	// of load bytes sent between the ends of the last two cycles.
+	loadsBytesAtCycleEnd uint64
+	cycleBytes           uint64
+	// provisionalReadAt is when this controller last started to read the list for routers that have
+	// found no primary.
+	provisionalReadAt time.Time
 }
 
-// report is one server's, with when it was asked for.
+// report is the load of one server and the time at which it was requested.
 type report struct {
 	load scheduler.Load
 	at   time.Time
 }
 
-// reportRound is the reports as they were at the end of a round of reading.
-type reportRound struct {
+// pollCycle holds the reports that were known at the end of one cycle of polling all servers.
+type pollCycle struct {
 	revision uint64
 	endedAt  time.Time
 	reports  []wire.LoadReport
-	// changes are those to the newest round, if a node needed them.
+	// changes are the changes from this cycle to the newest one; they are computed when a node needs them.
 	changes *wire.LoadChanges
 }
 
-// maxRounds is how many rounds back a node may be to be sent only the changes.
-const maxRounds = 8
+// maxRecentCycles is the number of poll cycles from which a node can be sent only the changes.
+const maxRecentCycles = 8
 
-// The intervals of reading. The values are ours.
+// The intervals and limits of reading the list and polling the loads.
 const (
 	listInterval   = 500 * time.Millisecond
 	reportInterval = 333 * time.Millisecond
-	// idleReportInterval lies between two rounds while no server has much to do: then
-	// reports wake nobody whose question would not be answered by then anyway.
+	// idleReportInterval is the time between two poll cycles while all servers are nearly idle. It
+	// equals the maximum wait of a poll that wants no loads, so that the load reports of an idle fleet
+	// cause no additional responses.
 	idleReportInterval = follower.UpdateWait
-	// idleSlotShare is the part of its slots up to which a server has little to do, and
-	// idleRunning that of one which does not tell its slots.
-	idleSlotShare = 6
-	idleRunning   = 8
-	// loadsBytesPerSecond bounds what all nodes are sent of loads, before compression, by longer
-	// intervals: a quarter of a link of 100 Mbit/s, so that nothing waits behind loads.
+	// A server is nearly idle while it runs at most its number of slots divided by idleSlotDivisor.
+	// idleRunning is the limit for a server whose number of slots is unknown.
+	idleSlotDivisor = 6
+	idleRunning     = 8
+	// loadsBytesPerSecond limits the load bytes sent to all nodes, before compression. The poll interval
+	// grows to stay within this limit, a quarter of a link of 100 Mbit/s, so that no other update waits
+	// behind loads.
 	loadsBytesPerSecond = 3 << 20
-	// reportTimeout is how long a server may take to report. A round waits no
-	// longer than roundTimeout: a late report goes out with the next.
+	// reportTimeout is how long a server may take to report its load. A poll cycle waits no longer
+	// than cycleTimeout: a later report is sent with the next cycle.
 	reportTimeout = 700 * time.Millisecond
-	roundTimeout  = 120 * time.Millisecond
-	// reportTTL is how long a report that no other followed is forwarded.
+	cycleTimeout  = 120 * time.Millisecond
+	// reportTTL is how long a report is sent to nodes if no newer one replaces it.
 	reportTTL = 3 * time.Second
-	// followedTime is how long after a router's last question reports are read for.
-	followedTime = 3 * time.Second
+	// loadsWantedTTL is how long loads are polled after the last request of a router for them.
+	loadsWantedTTL = 3 * time.Second
 )
 
-// revisionOf is the revision of a list or of a round of reports. It is unique in the fleet, since
-// an epoch has one primary.
+// revisionOf returns the revision of a list or of a poll cycle: its epoch in the upper 32 bits and
+// its number in the lower 32 bits. A revision is unique in the fleet, since an epoch has only one
+// primary.
 func revisionOf(epoch, count uint64) uint64 { return epoch<<32 | count&0xffffffff }
 
+// splitRevision returns the epoch and the number that revisionOf combined.
 func splitRevision(revision uint64) (epoch, count uint64) {
 	return revision >> 32, revision & 0xffffffff
 }
 
+// revision returns the revision of the list, or zero if this controller is not primary or has no
+// list. The caller holds the mutex.
 func (l *serverList) revision() uint64 {
 	if l.epoch == 0 || l.listing.At().IsZero() {
 		return 0
@@ -101,45 +108,49 @@
 	return revisionOf(l.epoch, l.listing.Changes())
 }
 
+// reportsRevision returns the revision of the newest poll cycle, or zero if there is none in this
+// term. The caller holds the mutex.
 func (l *serverList) reportsRevision() uint64 {
-	if l.epoch == 0 || len(l.rounds) == 0 {
+	if l.epoch == 0 || len(l.recentCycles) == 0 {
 		return 0
 	}
-	return l.rounds[len(l.rounds)-1].revision
+	return l.recentCycles[len(l.recentCycles)-1].revision
 }
 
-// beginTerm starts the revisions of a term, with the list that is known; endTerm ends them.
+// beginTerm starts a term in an epoch. The known list stays, the load reports are dropped.
 func (l *serverList) beginTerm(epoch uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.epoch, l.rounds, l.reports, l.polling = epoch, nil, map[string]report{}, map[string]bool{}
+	l.epoch, l.recentCycles, l.reports, l.polling = epoch, nil, map[string]report{}, map[string]bool{}
 }
 
+// endTerm ends the term: no list and no loads are sent until the next one begins.
 func (l *serverList) endTerm() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.epoch = 0
 }
 
+// leading reports whether this controller has a term.
 func (l *serverList) leading() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.epoch != 0
 }
 
-// startRead tells whether the list is to be read for routers without a primary, and
-// notes that it is.
+// startRead reports whether the list must be read now for routers that have found no primary, and
+// if so records the start of the read.
 func (l *serverList) startRead(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.epoch != 0 || now.Sub(l.readAt) < listInterval || now.Sub(l.listing.At()) < listInterval {
+	if l.epoch != 0 || now.Sub(l.provisionalReadAt) < listInterval || now.Sub(l.listing.At()) < listInterval {
 		return false
 	}
-	l.readAt = now
+	l.provisionalReadAt = now
 	return true
 }
 
-// fresh is the list without a mark, if it is not older than a router would bear.
+// recent returns the list without a revision, or nil if there is no list or it is too old for routers to accept.
 func (l *serverList) recent(now time.Time) *wire.ServersUpdate {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -149,21 +160,22 @@
 	return &wire.ServersUpdate{Age: now.Sub(l.listing.At()), Sent: true, Servers: l.listing.Servers(now)}
 }
 
-// take takes a list and tells whether it changed anything.
+// update replaces the list by one that was read at the given time, and reports whether the list has
+// changed.
 func (l *serverList) update(at time.Time, servers []membership.Server) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.listing.Update(at, servers)
 }
 
-// servers is the list as it is known now.
+// servers returns the list as of now.
 func (l *serverList) servers(now time.Time) []membership.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.listing.Servers(now)
 }
 
-// age is how old the list is, if it was ever read.
+// age returns the age of the list, and whether the list was ever read.
 func (l *serverList) age(now time.Time) (time.Duration, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -171,7 +183,8 @@
 	return now.Sub(at), !at.IsZero()
 }
 
-// newer tells whether there is a list or a round of reports that the asker has not.
+// hasNewer reports whether there is a list or a poll cycle that the requesting node wants and does
+// not have.
 func (l *serverList) hasNewer(request wire.UpdateRequest) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -179,17 +192,18 @@
 		request.WantLoads && l.reportsRevision() != 0 && l.reportsRevision() != request.LoadsRevision
 }
 
-// sizeKey names an update of the list or the loads: the changes from base, or all if that is zero.
+// sizeKey identifies an update of the list or of the loads: the changes from base to revision, or the
+// complete update if base is zero. If base equals revision, the update only confirms the node's list.
 type sizeKey struct {
 	loads          bool
 	revision, base uint64
 }
 
-// maxSizes bounds the memory for sizes.
+// maxSizes limits the number of cached sizes.
 const maxSizes = 256
 
-// sizeOf is the encoded size of an update, which is measured once for all nodes. The caller has
-// the mutex.
+// sizeOf returns the encoded size of an update, which is computed once for all nodes. The caller
+// holds the mutex.
 func (l *serverList) sizeOf(key sizeKey, update any) uint64 {
 	if size, found := l.sizes[key]; found {
 		return uint64(size)
@@ -205,14 +219,14 @@
 	return uint64(len(encoded))
 }
 
-// sentBytes are the encoded bytes of lists and of loads that were sent.
+// sentBytes returns the encoded bytes of the lists and of the loads that were sent.
 func (l *serverList) sentBytes() (servers, loads uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.serversBytes, l.loadsBytes
 }
 
-// countBytes counts the bytes of a response's list and loads. The caller has the mutex.
+// countBytes adds the bytes of a response's list and loads to the totals. The caller holds the mutex.
 func (l *serverList) countBytes(response *wire.UpdateResponse) {
 	if servers := response.Servers; servers != nil {
 		key := sizeKey{revision: servers.Revision, base: servers.Revision}
@@ -232,12 +246,12 @@
 	}
 }
 
-// fill adds to a response what the node wants and does not have.
+// fill adds to a response the list and the loads that the node wants and does not have.
 func (l *serverList) fill(now time.Time, request wire.UpdateRequest, response *wire.UpdateResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if request.WantLoads {
-		l.followedAt = now
+		l.loadsWantedAt = now
 	}
 	if current := l.revision(); request.WantServers && current != 0 {
 		response.Servers = l.serversUpdate(now, current, request)
@@ -248,8 +262,8 @@
 	l.countBytes(response)
 }
 
-// serversUpdate confirms the list of a node, or has its changes since, or the list itself. The
-// caller has the mutex.
+// serversUpdate returns an update that confirms the node's list, or contains the changes since that
+// list, or the complete list. The caller holds the mutex.
 func (l *serverList) serversUpdate(now time.Time, current uint64, request wire.UpdateRequest) *wire.ServersUpdate {
 	update := &wire.ServersUpdate{Revision: current, Age: now.Sub(l.listing.At())}
 	if current == request.ServersRevision {
@@ -265,10 +279,10 @@
 	return update
 }
 
-// loadsUpdate has the changes of the newest round from that of a node, or all of its reports. The
-// caller has the mutex.
+// loadsUpdate returns an update with the changes from the node's poll cycle to the newest one, or with
+// all reports of the newest cycle. The caller holds the mutex.
 func (l *serverList) loadsUpdate(now time.Time, request wire.UpdateRequest) *wire.LoadsUpdate {
-	newest := l.rounds[len(l.rounds)-1]
+	newest := l.recentCycles[len(l.recentCycles)-1]
 	age := int(now.Sub(newest.endedAt).Milliseconds())
 	update := &wire.LoadsUpdate{Revision: newest.revision, Age: age, Outliers: l.outliers.Advice(now)}
 	if request.AcceptChanges {
@@ -283,25 +297,25 @@
 	return update
 }
 
-// loadChanges are the changes from an earlier round to the newest; nil if it is not remembered.
-// They are made once for all nodes. The caller has the mutex.
+// loadChanges returns the changes from an earlier poll cycle to the newest, or nil if that cycle is
+// not among the recent ones. The changes are computed once for all nodes. The caller holds the mutex.
 func (l *serverList) loadChanges(revision uint64) *wire.LoadChanges {
-	newest := l.rounds[len(l.rounds)-1]
-	for position := range l.rounds {
-		round := &l.rounds[position]
-		if round.revision != revision {
+	newest := l.recentCycles[len(l.recentCycles)-1]
+	for position := range l.recentCycles {
+		cycle := &l.recentCycles[position]
+		if cycle.revision != revision {
 			continue
 		}
-		if round.changes == nil {
-			changes := wire.NewLoadChanges(revision, round.reports, newest.reports)
-			round.changes = &changes
+		if cycle.changes == nil {
+			changes := wire.NewLoadChanges(revision, cycle.reports, newest.reports)
+			cycle.changes = &changes
 		}
-		return round.changes
+		return cycle.changes
 	}
 	return nil
 }
 
-// recordFailing takes a node's report of the servers that failed its requests.
+// recordFailing records the servers that failed requests of a node.
 func (l *serverList) recordFailing(now time.Time, request wire.UpdateRequest) {
 	if !request.WantLoads {
 		return
@@ -313,12 +327,12 @@
 	}
 }
 
-// wanted lists the servers to ask for a report now: those listed that are not being
-// asked, if a router follows reports.
+// startPolls returns the servers to poll now, and marks them as being polled: the listed servers that
+// are not being polled already, or none if no router wants loads.
 func (l *serverList) startPolls(now time.Time) []membership.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.epoch == 0 || l.followedAt.IsZero() || now.Sub(l.followedAt) > followedTime {
+	if l.epoch == 0 || l.loadsWantedAt.IsZero() || now.Sub(l.loadsWantedAt) > loadsWantedTTL {
 		return nil
 	}
 	var wanted []membership.Server
@@ -331,7 +345,7 @@
 	return wanted
 }
 
-// endPoll takes a server's report, or that there was none.
+// endPoll records the result of polling a server: its load, or an error.
 func (l *serverList) endPoll(epoch uint64, server string, at time.Time, load scheduler.Load, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -344,8 +358,8 @@
 	}
 }
 
-// round ends a round of reading and forgets the servers that are gone.
-func (l *serverList) endRound(now time.Time) {
+// endCycle ends a poll cycle and removes the reports that are too old to send.
+func (l *serverList) endCycle(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for name, reported := range l.reports {
@@ -353,49 +367,50 @@
 			delete(l.reports, name)
 		}
 	}
-	l.roundBytes, l.loadsBytesBefore = l.loadsBytes-l.loadsBytesBefore, l.loadsBytes
+	l.cycleBytes, l.loadsBytesAtCycleEnd = l.loadsBytes-l.loadsBytesAtCycleEnd, l.loadsBytes
 	if l.epoch != 0 {
-		l.reportRounds++
-		l.recordRound(now)
+		l.cycleCount++
+		l.recordCycle(now)
 	}
 }
 
-// recordRound remembers the reports as they are now. The caller has the mutex.
-func (l *serverList) recordRound(now time.Time) {
-	round := reportRound{revision: revisionOf(l.epoch, l.reportRounds), endedAt: now}
+// recordCycle stores the current reports as the newest poll cycle. The caller holds the mutex.
+func (l *serverList) recordCycle(now time.Time) {
+	cycle := pollCycle{revision: revisionOf(l.epoch, l.cycleCount), endedAt: now}
 	for _, reported := range l.reports {
-		round.reports = append(round.reports, wire.NewLoadReport(reported.load, now.Sub(reported.at)))
+		cycle.reports = append(cycle.reports, wire.NewLoadReport(reported.load, now.Sub(reported.at)))
 	}
-	wire.SortReports(round.reports)
-	l.rounds = append(l.rounds, round)
-	l.rounds = slices.Delete(l.rounds, 0, max(0, len(l.rounds)-maxRounds))
-	for position := range l.rounds {
-		l.rounds[position].changes = nil
+	wire.SortReports(cycle.reports)
+	l.recentCycles = append(l.recentCycles, cycle)
+	l.recentCycles = slices.Delete(l.recentCycles, 0, max(0, len(l.recentCycles)-maxRecentCycles))
+	for position := range l.recentCycles {
+		l.recentCycles[position].changes = nil
 	}
 }
 
-// reportPause is the time from the beginning of a round of reports to that of the next.
-func (l *serverList) reportPause(now time.Time) time.Duration {
-	pause := reportInterval
+// pollInterval returns the time from the start of a poll cycle to the start of the next.
+func (l *serverList) pollInterval(now time.Time) time.Duration {
+	interval := reportInterval
 	if l.idle(now) {
-		pause = idleReportInterval
+		interval = idleReportInterval
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return max(pause, time.Duration(l.roundBytes)*time.Second/loadsBytesPerSecond)
+	return max(interval, time.Duration(l.cycleBytes)*time.Second/loadsBytesPerSecond)
 }
 
-// calm tells whether all servers reported lately that they have little to do.
+// idle reports whether, by their load reports, all servers run few requests, have none waiting and are not
+// changing their role. A server without a report counts as idle.
 func (l *serverList) idle(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, server := range l.listing.Servers(now) {
 		reported, found := l.reports[server.Name]
-		most := idleRunning
+		limit := idleRunning
 		if server.Slots > 0 {
-			most = server.Slots / idleSlotShare
+			limit = server.Slots / idleSlotDivisor
 		}
-		if found && (reported.load.Waiting > 0 || reported.load.Running > most || reported.load.ChangingRole) {
+		if found && (reported.load.Waiting > 0 || reported.load.Running > limit || reported.load.ChangingRole) {
 			return false
 		}
 	}
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -12,30 +12,38 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Term is the state that a primary has for as long as it is primary.
+// Term is the state that a controller keeps for as long as it is primary.
 type Term struct {
-	Since              time.Time
-	Grants             *lease.RouterLeases
-	keys               *lease.RoleLeases
-	deltas             deltaCache
+	// Since is when the term began.
+	Since time.Time
+	// RouterLeases tracks the leases of routers, and roleLeases the leases on roles.
+	RouterLeases *lease.RouterLeases
+	roleLeases   *lease.RoleLeases
+	deltas       deltaCache
+	// membersVersion is the version of the recorded members, and membersStableSince when housekeeping first
+	// saw this version.
 	membersVersion     replication.Version
 	membersStableSince time.Time
-	horizonMovedAt     time.Time
-	lastPoll           map[string]time.Time
-	// unlisted is since when a recorded server is not on the platform's list.
+	// horizonMovedAt is when the claims' horizon was last advanced.
+	horizonMovedAt time.Time
+	// lastPoll is when each node last polled, by its name.
+	lastPoll map[string]time.Time
+	// unlistedSince is when each recorded server that the platform no longer lists was first missing, by
+	// its name.
 	unlistedSince map[string]time.Time
 	zoneOrders    *zoneOrders
 	roleGrant     roleGrant
 	routerTable   routerTable
-	state         *replication.State
-	stateVersion  replication.Version
+	// state caches the decoded state of stateVersion.
+	state        *replication.State
+	stateVersion replication.Version
 }
 
 func newTerm(now time.Time) *Term {
 	return &Term{
 		Since:              now,
-		Grants:             lease.NewRouterLeases(lease.DefaultTiming(), now),
-		keys:               lease.NewRoleLeases(lease.DefaultTiming()),
+		RouterLeases:       lease.NewRouterLeases(lease.DefaultTiming(), now),
+		roleLeases:         lease.NewRoleLeases(lease.DefaultTiming()),
 		lastPoll:           map[string]time.Time{},
 		unlistedSince:      map[string]time.Time{},
 		zoneOrders:         newZoneOrders(now),
@@ -43,78 +51,81 @@
 	}
 }
 
-// roleGrantInterval is the least time between two batches that grant roles: a server without a role's
-// holder goes on serving and is only commanded later.
+// roleGrantInterval is the minimum time between two batches that grant roles. A server whose role has
+// no holder continues to serve requests; it only gets its commands later.
 const roleGrantInterval = time.Second
 
-// roleGrant is the last grant of roles of a term.
+// roleGrant records when roles were last granted in a term, and whether the outcome is pending.
 type roleGrant struct {
 	mutex   sync.Mutex
 	at      time.Time
 	pending bool
 }
 
-// roleGrantDue tells whether roles may be granted: the last grant was committed, or failed, and was made
-// long enough ago.
+// roleGrantDue reports whether roles may be granted now: the outcome of the last grant, if any, is
+// known, and that grant was made at least roleGrantInterval ago.
 func (t *Term) roleGrantDue(now time.Time) bool {
 	t.roleGrant.mutex.Lock()
 	defer t.roleGrant.mutex.Unlock()
 	return !t.roleGrant.pending && (t.roleGrant.at.IsZero() || now.Sub(t.roleGrant.at) >= roleGrantInterval)
 }
 
-// beginRoleGrant notes that a grant of roles is queued.
+// beginRoleGrant records that a grant of roles is queued.
 func (t *Term) beginRoleGrant(now time.Time) {
 	t.roleGrant.mutex.Lock()
 	defer t.roleGrant.mutex.Unlock()
 	t.roleGrant.at, t.roleGrant.pending = now, true
 }
 
-// endRoleGrant notes that its outcome is known.
+// endRoleGrant records that the outcome of the queued grant is known.
 func (t *Term) endRoleGrant() {
 	t.roleGrant.mutex.Lock()
 	defer t.roleGrant.mutex.Unlock()
 	t.roleGrant.pending = false
 }
 
-// candidatesTTL is how long the candidates for roles and the number of routers are kept: each poll asks
-// for both, and a router that has just come may wait as long for its first role.
+// candidatesTTL is how long a routerTable is valid. A new router may wait this much longer for its
+// first role.
 const candidatesTTL = 100 * time.Millisecond
 
-// routerTable is what polls ask of all routers at a moment and a state.
+// routerTable caches values that are computed from all routers, since each poll needs them. They
+// are valid for one state and until candidatesTTL has passed since at.
 type routerTable struct {
 	mutex sync.Mutex
 	at    time.Time
 	state *replication.State
-	// candidates are not altered once they are there.
+	// candidates is never modified after it is set, since callers share it.
 	candidates map[string]time.Duration
-	// heard and recorded count the routers heard lately and those among the members.
-	heard, recorded int
+	// seen is the number of routers that polled recently, recorded the number of routers among the
+	// members.
+	seen, recorded int
 }
 
-// collect returns the candidates and the numbers of routers heard lately and recorded, collected anew when
-// they are old or the state has changed.
-func (t *Term) collect(now time.Time, state *replication.State) (candidates map[string]time.Duration, heard, recorded int) {
+// collect returns the candidates for roles and the numbers of routers that polled recently and that are
+// recorded. It computes them again when they are older than candidatesTTL or the state has changed.
+func (t *Term) collect(now time.Time, state *replication.State) (candidates map[string]time.Duration, seen, recorded int) {
 	t.routerTable.mutex.Lock()
 	defer t.routerTable.mutex.Unlock()
 	table := &t.routerTable
 	if table.candidates == nil || table.state != state || now.Sub(table.at) >= candidatesTTL {
 		table.at, table.state = now, state
 		table.candidates = t.collectCandidates(now, state)
-		table.heard = len(t.Grants.SeenWithin(now, routerCountTime))
+		table.seen = len(t.RouterLeases.SeenWithin(now, routerCountTime))
 		table.recorded = len(membership.RouterNames(state.Members))
 	}
-	return table.candidates, table.heard, table.recorded
+	return table.candidates, table.seen, table.recorded
 }
 
-// candidates are the live routers that lack no enabled flag, with how long
-// each has been live. The map is shared.
+// candidates returns the live routers that support all enabled flags, each with the time for which it
+// has been live. Callers share the map and must not modify it.
 func (t *Term) candidates(now time.Time, state *replication.State) map[string]time.Duration {
 	candidates, _, _ := t.collect(now, state)
 	return candidates
 }
 
+// collectCandidates computes the result of candidates.
 func (t *Term) collectCandidates(now time.Time, state *replication.State) map[string]time.Duration {
-	live := t.Grants.Live(now)
+	live := t.RouterLeases.Live(now)
 	for name := range live {
 		member, found := state.Members[name]
 		if !found || member.Kind != membership.Router || member.Restricted(state.Flags.Enabled) {
@@ -124,8 +135,9 @@
 	return live
 }
 
-// silent lists the recorded members that have not polled for a time. A new primary counts all
-// as having polled at the beginning of its term. The caller has the controller's mutex.
+// silent returns the sorted names of the recorded members that have not polled for the given length
+// of time. A new primary counts all members as having polled at the beginning of its term. The caller
+// holds the controller's mutex.
 func (t *Term) silent(now time.Time, state *replication.State, length time.Duration) []string {
 	var silent []string
 	for name := range state.Members {
@@ -141,17 +153,17 @@
 	return silent
 }
 
-// A server that has not been on the list for unlistedTimeout is gone for good. Its duty is
-// renewed no more then, and its records go when nobody can hold it any more. The
-// values are ours.
+// A server that has been missing from the platform's list for unlistedTimeout counts as removed: its
+// role is not renewed from then on. Its records are removed after forgetTimeout, when no router can
+// have a valid lease on the role.
 const (
 	unlistedTimeout = time.Minute
 	forgetTimeout   = unlistedTimeout + 10*time.Second
 )
 
-// goneServers lists the recorded servers that were unlisted for forgetTimeout, whose records may
-// be removed, and releases the roles of those unlisted for unlistedTimeout. The caller has the
-// controller's mutex.
+// goneServers returns the sorted names of the recorded servers that have been unlisted for
+// forgetTimeout, whose records may be removed. It also releases the roles of servers that have been
+// unlisted for unlistedTimeout. The caller holds the controller's mutex.
 func (t *Term) goneServers(now time.Time, state *replication.State, listed []membership.Server) []string {
 	recorded := map[string]bool{}
 	for key := range state.Roles.Roles {
@@ -178,7 +190,7 @@
 			continue
 		}
 		if role, found := state.Roles.Roles[lease.ServerKey(name)]; found && now.Sub(since) >= unlistedTimeout {
-			t.keys.Release(now, role)
+			t.roleLeases.Release(now, role)
 		}
 		if now.Sub(since) >= forgetTimeout {
 			gone = append(gone, name)
@@ -188,104 +200,110 @@
 	return gone
 }
 
-// routerCountTime is how long a router that is not heard from any more counts among
-// those that share the servers; for as long a new primary counts all that are
-// recorded. The value is ours.
+// routerCountTime is how long a router that has stopped polling still counts as one of the routers
+// that share the servers. A new primary counts all recorded routers for the same time.
 const routerCountTime = 10 * time.Second
 
-// routers is how many routers share the servers.
+// routers returns the number of routers that share the servers.
 func (t *Term) routers(now time.Time, state *replication.State) int {
-	_, heard, recorded := t.collect(now, state)
+	_, seen, recorded := t.collect(now, state)
 	if now.Sub(t.Since) >= routerCountTime {
-		return heard
+		return seen
 	}
-	return max(heard, recorded)
+	return max(seen, recorded)
 }
 
-// behind lists the routers that were heard from within a time and have not
-// confirmed a version.
-func (t *Term) behind(now time.Time, version replication.Version, within time.Duration) []string {
-	return t.Grants.LaggingSeenWithin(now, version.Number, within)
+// laggingSeenWithin returns the routers that polled within the given length of time and have not
+// confirmed the version.
+func (t *Term) laggingSeenWithin(now time.Time, version replication.Version, within time.Duration) []string {
+	return t.RouterLeases.LaggingSeenWithin(now, version.Number, within)
 }
 
-// Lagging lists the routers that may still admitted under a configuration older
-// than the version.
+// Lagging returns the routers that may still admit requests under a configuration older than the
+// version.
 func (t *Term) Lagging(now time.Time, version replication.Version, state *replication.State) []string {
-	return t.Grants.Lagging(now, version.Number, membership.RouterNames(state.Members))
+	return t.RouterLeases.Lagging(now, version.Number, membership.RouterNames(state.Members))
 }
 
+// tick runs the coordinator once, and begins or ends the term when the leadership has changed.
 func (c *Controller) tick() {
 	c.coordinator.Tick()
 	c.noticeWait()
 	c.resetLedger()
-	// It may wait for the disk, and nobody may wait for that here.
+	// Leading may wait for the disk, so it is called without the mutex.
 	leading := c.store.Leading()
 	epoch := c.coordinator.Membership().Epoch
 	c.mutex.Lock()
-	moved := epoch != c.epoch
+	epochChanged := epoch != c.epoch
 	c.epoch = epoch
-	begun, ended := leading && c.term == nil, !leading && c.term != nil
-	if begun {
+	began, ended := leading && c.term == nil, !leading && c.term != nil
+	if began {
 		c.term = newTerm(c.runtime.Now())
 	}
 	if ended {
 		c.term = nil
 	}
 	c.mutex.Unlock()
-	if begun {
+	if began {
 		c.serverList.beginTerm(c.coordinator.Membership().Epoch)
 		c.termBegan.Broadcast()
 	}
 	if ended {
 		c.serverList.endTerm()
 	}
-	if ended || moved {
+	if ended || epochChanged {
 		c.updated.Broadcast()
 	}
 }
 
-// Leading gives the term and the committed view if this controller is primary at
-// this moment.
+// Leading returns the term and the committed view if this controller is primary now. It fails with
+// NoPrimary otherwise.
 func (c *Controller) Leading() (*Term, *replication.View, error) {
 	c.mutex.Lock()
-	current := c.term
+	term := c.term
 	c.mutex.Unlock()
 	view := c.store.View()
-	if current == nil || view == nil || !c.coordinator.HasLease() {
-		return nil, nil, failure.New(failure.NoPrimary, "this expediter is not primary")
+	if term == nil || view == nil || !c.coordinator.HasLease() {
+		return nil, nil, failure.New(failure.NoPrimary, "this controller is not primary")
 	}
-	return current, view, nil
+	return term, view, nil
 }
 
-// Read is the committed state for a reader: the hold is checked after the view
-// was taken, so that it was the newest at some moment of the call. The copies
-// that it finds old are mended.
+// Read returns the term and the committed view and state for a linearizable read. The lease is checked
+// after the view was taken, so the view was the newest at some time during the call. Read also starts
+// the repair of copies that are older than the view.
 func (c *Controller) Read() (*Term, *replication.View, *replication.State, error) {
-	current, view, err := c.Leading()
+	term, view, err := c.Leading()
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	state, err := c.state(current, view)
+	state, err := c.state(term, view)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	if !c.coordinator.HasLease() {
-		return nil, nil, nil, failure.New(failure.NoPrimary, "the hold ran out")
+		return nil, nil, nil, failure.New(failure.NoPrimary, "the lease expired during the read")
 	}
 	c.runtime.Go(func() { c.repairCopies(view) })
-	return current, view, state, nil
+	return term, view, state, nil
 }
 
-// state is the committed state, decoded once for each version.
-func (c *Controller) state(current *Term, view *replication.View) (*replication.State, error) {
+// state returns the decoded state of a committed view. It decodes each version once.
+func (c *Controller) state(term *Term, view *replication.View) (*replication.State, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if current.state != nil && current.stateVersion == view.Version {
-		return current.state, nil
+	if term.state != nil && term.stateVersion == view.Version {
+		return term.state, nil
 	}
-	// Claims and records of changes are many and asked for seldom.
+	// Claims and records of changes are left out: they are numerous and rarely needed.
 	sections := map[string]replication.Section{}
-	for _, name := range []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection, replication.RolesSection, replication.OrdersSection} {
+	for _, name := range []string{
+		replication.ConfigurationSection,
+		replication.MembersSection,
+		replication.FlagsSection,
+		replication.RolesSection,
+		replication.OrdersSection,
+	} {
 		if section, found := view.Sections[name]; found {
 			sections[name] = section
 		}
@@ -294,6 +312,6 @@
 	if err != nil {
 		return nil, err
 	}
-	current.state, current.stateVersion = state, view.Version
+	term.state, term.stateVersion = state, view.Version
 	return state, nil
 }
--- a/internal/controlplane/updatebytes_test.go
+++ b/internal/controlplane/updatebytes_test.go
@@ -15,17 +15,20 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// The deployment of the incident, and the share of the bound on leaving servers that the link of
-// the primary may use up.
+// The size of a deployment in which responses to polls once queued on the primary's link.
 const (
-	incidentFollowers  = 300
-	incidentServers    = 256
-	incidentLinkBytes  = 100e6 / 8
+	incidentFollowers = 300
+	incidentServers   = 256
+	// incidentLinkBytes is the rate of the primary's link, in bytes per second.
+	incidentLinkBytes = 100e6 / 8
+	// incidentQueueBound is how long responses may queue on that link. It is a part of the time
+	// within which routers must learn that a server leaves.
 	incidentQueueBound = 500 * time.Millisecond
-	// responseOverhead is for headers and packets, in bytes for each response.
+	// responseOverhead is the number of bytes for headers and packets of one response.
 	responseOverhead = 400
 )
 
+// incidentServer returns the server with the given number in that deployment.
 func incidentServer(number int) membership.Server {
 	return membership.Server{
 		Name:    fmt.Sprintf("kueche-llm-%08x", uint32(number)*2654435761),
@@ -36,7 +39,7 @@
 	}
 }
 
-// busyLoad is a report of a server under steady work: all of its numbers change from round to round.
+// busyLoad returns the load of a server under steady work. Its numbers change with each poll cycle.
 func busyLoad(random *rand.Rand, server string) scheduler.Load {
 	return scheduler.Load{
 		Server:      server,
@@ -49,7 +52,7 @@
 	}
 }
 
-// encodedSize is what a response takes on the wire.
+// encodedSize returns the number of bytes of a response on the wire.
 func encodedSize(t *testing.T, response wire.UpdateResponse) int {
 	t.Helper()
 	encoded, err := msgpack.Marshal(response)
@@ -59,52 +62,52 @@
 	return len(s2.Encode(nil, encoded)) + responseOverhead
 }
 
-// replaceServers plays ten seconds in which half of the servers leave and are replaced, under
-// load, and gives the bytes that one follower was sent and the longest queue that all followers'
-// responses made on the primary's link.
-func replaceServers(t *testing.T, acceptsChanges bool) (bytes map[string]int, queue time.Duration) {
+// replaceServers simulates ten seconds in which half of the servers leave and are replaced under load.
+// It returns the bytes that were sent to one follower, by kind, and the longest time for which
+// responses queued on the primary's link.
+func replaceServers(t *testing.T, acceptsChanges bool) (bytes map[string]int, longestQueue time.Duration) {
 	const (
-		step       = 100 * time.Millisecond
-		length     = 10 * time.Second
-		replaced   = incidentServers / 2
-		perReading = replaced / 20
+		step            = 100 * time.Millisecond
+		length          = 10 * time.Second
+		replaced        = incidentServers / 2
+		replacedPerRead = replaced / 20
 	)
 	random := rand.New(rand.NewSource(1))
-	var known serverList
+	var list serverList
 	var servers []membership.Server
 	for number := range incidentServers {
 		servers = append(servers, incidentServer(number))
 	}
-	known.update(runtimetest.AtNoon(0), servers)
-	known.beginTerm(7)
+	list.update(runtimetest.AfterStart(0), servers)
+	list.beginTerm(7)
 	request := wire.UpdateRequest{WantServers: true, WantLoads: true, AcceptChanges: acceptsChanges}
 	bytes = map[string]int{}
-	queued := 0.0
+	queuedBytes := 0.0
 	for at := time.Duration(0); at < length; at += step {
-		now := runtimetest.AtNoon(at)
+		now := runtimetest.AfterStart(at)
 		if at%listInterval == 0 && at > 0 {
-			round := int(at/listInterval) - 1
-			for position := range perReading {
-				servers[round*perReading+position].Leaving = true
-				servers = append(servers, incidentServer(incidentServers+round*perReading+position))
+			reads := int(at/listInterval) - 1
+			for position := range replacedPerRead {
+				servers[reads*replacedPerRead+position].Leaving = true
+				servers = append(servers, incidentServer(incidentServers+reads*replacedPerRead+position))
 			}
-			known.update(now, servers)
+			list.update(now, servers)
 		}
 		if at%(3*step) == 0 {
 			for _, server := range servers {
-				known.endPoll(7, server.Name, now, busyLoad(random, server.Name), nil)
+				list.endPoll(7, server.Name, now, busyLoad(random, server.Name), nil)
 			}
-			known.endRound(now)
+			list.endCycle(now)
 		}
-		queued = max(0, queued-incidentLinkBytes*step.Seconds())
-		if !known.hasNewer(request) {
+		queuedBytes = max(0, queuedBytes-incidentLinkBytes*step.Seconds())
+		if !list.hasNewer(request) {
 			continue
 		}
 		response := wire.UpdateResponse{Leads: true, Lease: time.Second}
-		known.fill(now, request, &response)
+		list.fill(now, request, &response)
 		size := encodedSize(t, response)
-		queued += float64(size * incidentFollowers)
-		queue = max(queue, time.Duration(queued/incidentLinkBytes*float64(time.Second)))
+		queuedBytes += float64(size * incidentFollowers)
+		longestQueue = max(longestQueue, time.Duration(queuedBytes/incidentLinkBytes*float64(time.Second)))
 		bytes["all"] += size
 		if response.Servers != nil {
 			request.ServersRevision = response.Servers.Revision
@@ -115,37 +118,42 @@
 			bytes["loads"] += encodedSize(t, wire.UpdateResponse{Loads: response.Loads}) - responseOverhead
 		}
 	}
-	return bytes, queue
+	return bytes, longestQueue
 }
 
-// TestLeavingServersAreNotQueuedBehindWholeLists replaces half of the servers within ten seconds
-// and wants the updates of all followers to leave the primary's link without a queue.
-func TestLeavingServersAreNotQueuedBehindWholeLists(t *testing.T) {
-	bytes, queue := replaceServers(t, true)
+// TestLeavingServersAreNotQueuedBehindCompleteLists replaces half of the servers within ten seconds. The
+// updates to all followers must not queue on the primary's link, as complete lists would.
+func TestLeavingServersAreNotQueuedBehindCompleteLists(t *testing.T) {
+	bytes, longestQueue := replaceServers(t, true)
 	perSecond := float64(bytes["all"]) / 10 * incidentFollowers
-	t.Logf("bytes to one follower %v, %.2f MB/s to all, longest queue %v", bytes, perSecond/1e6, queue)
-	if queue > incidentQueueBound {
-		t.Errorf("updates wait %v on the primary's link", queue)
+	t.Logf("bytes to one follower: %v; %.2f MB/s to all followers; longest queue %v", bytes, perSecond/1e6, longestQueue)
+	if longestQueue > incidentQueueBound {
+		t.Errorf("updates queue for %v on the primary's link, want at most %v", longestQueue, incidentQueueBound)
 	}
 	if perSecond > incidentLinkBytes/2 {
-		t.Errorf("%.1f MB/s of updates on a link of %.1f", perSecond/1e6, incidentLinkBytes/1e6)
+		t.Errorf("updates take %.1f MB/s of a link of %.1f MB/s, want at most half", perSecond/1e6, incidentLinkBytes/1e6)
 	}
 }
 
-// TestChangesAreSentOnlyToNodesThatTakeThem wants the complete list and all reports for an older
-// release, a node of another term, and one that is too far behind.
-func TestChangesAreSentOnlyToNodesThatTakeThem(t *testing.T) {
-	var known serverList
-	known.update(runtimetest.AtNoon(0), []membership.Server{{Name: "server-a"}, {Name: "server-b"}})
-	known.beginTerm(7)
+// TestChangesAreSentOnlyToNodesThatAcceptThem expects the complete list and all reports for a node of an
+// older release, for a node with revisions of another term, and for a node that is too far behind.
+func TestChangesAreSentOnlyToNodesThatAcceptThem(t *testing.T) {
+	var list serverList
+	list.update(runtimetest.AfterStart(0), []membership.Server{{Name: "server-a"}, {Name: "server-b"}})
+	list.beginTerm(7)
 	advance := func(second, running int) {
-		at := runtimetest.AtNoon(time.Duration(second) * time.Second)
-		known.update(at, []membership.Server{{Name: "server-a", Slots: running}, {Name: "server-b"}})
-		known.endPoll(7, "server-a", at, scheduler.Load{Server: "server-a", Running: running}, nil)
-		known.endRound(at)
+		at := runtimetest.AfterStart(time.Duration(second) * time.Second)
+		list.update(at, []membership.Server{{Name: "server-a", Slots: running}, {Name: "server-b"}})
+		list.endPoll(7, "server-a", at, scheduler.Load{Server: "server-a", Running: running}, nil)
+		list.endCycle(at)
 	}
 	advance(1, 1)
-	request := wire.UpdateRequest{WantServers: true, WantLoads: true, ServersRevision: known.revision(), LoadsRevision: known.reportsRevision()}
+	request := wire.UpdateRequest{
+		WantServers:     true,
+		WantLoads:       true,
+		ServersRevision: list.revision(),
+		LoadsRevision:   list.reportsRevision(),
+	}
 	accepting := request
 	accepting.AcceptChanges = true
 	otherTerm := accepting
@@ -161,39 +169,40 @@
 		{"a node of another term", otherTerm, false},
 	} {
 		var response wire.UpdateResponse
-		known.fill(runtimetest.AtNoon(2500*time.Millisecond), row.request, &response)
+		list.fill(runtimetest.AfterStart(2500*time.Millisecond), row.request, &response)
 		if got := response.Servers.Changes != nil; got != row.changes || response.Servers.Sent == row.changes {
-			t.Errorf("%s: %+v", row.name, response.Servers)
+			t.Errorf("%s: got list update %+v", row.name, response.Servers)
 		}
-		if got := response.Loads.Changes != nil; got != row.changes || (len(response.Loads.Reports) == 0) != row.changes || response.Loads.Age != 500 {
-			t.Errorf("%s: %+v", row.name, response.Loads)
+		if got := response.Loads.Changes != nil; got != row.changes || (len(response.Loads.Reports) == 0) != row.changes ||
+			response.Loads.Age != 500 {
+			t.Errorf("%s: got loads update %+v", row.name, response.Loads)
 		}
 		if row.changes && (len(response.Servers.Changes.Changed) != 1 || len(response.Servers.Changes.Removed) != 0) {
-			t.Errorf("%s: %+v", row.name, response.Servers.Changes)
+			t.Errorf("%s: got changes %+v, want one changed server and none removed", row.name, response.Servers.Changes)
 		}
 	}
 	for second := range 60 {
 		advance(3+second, 3+second)
 	}
 	var response wire.UpdateResponse
-	known.fill(runtimetest.AtNoon(64*time.Second), accepting, &response)
+	list.fill(runtimetest.AfterStart(64*time.Second), accepting, &response)
 	if !response.Servers.Sent || response.Servers.Changes != nil || response.Loads.Changes != nil || len(response.Loads.Reports) != 1 {
-		t.Errorf("a node too far behind: %+v, %+v", response.Servers, response.Loads)
+		t.Errorf("a node too far behind: got %+v and %+v, want the complete list and all reports", response.Servers, response.Loads)
 	}
 }
 
-// TestBytesAreCountedByKind wants what was sent of lists and of loads to be counted apart, with the
-// size that it has.
+// TestBytesAreCountedByKind expects the encoded sizes of the sent lists and of the sent loads to be counted
+// separately.
 func TestBytesAreCountedByKind(t *testing.T) {
-	var known serverList
-	known.update(runtimetest.AtNoon(0), []membership.Server{{Name: "server-a"}})
-	known.beginTerm(7)
-	known.endPoll(7, "server-a", runtimetest.AtNoon(0), scheduler.Load{Server: "server-a"}, nil)
-	known.endRound(runtimetest.AtNoon(0))
+	var list serverList
+	list.update(runtimetest.AfterStart(0), []membership.Server{{Name: "server-a"}})
+	list.beginTerm(7)
+	list.endPoll(7, "server-a", runtimetest.AfterStart(0), scheduler.Load{Server: "server-a"}, nil)
+	list.endCycle(runtimetest.AfterStart(0))
 	var servers, loads uint64
 	for range 2 {
 		var response wire.UpdateResponse
-		known.fill(runtimetest.AtNoon(0), wire.UpdateRequest{WantServers: true, WantLoads: true}, &response)
+		list.fill(runtimetest.AfterStart(0), wire.UpdateRequest{WantServers: true, WantLoads: true}, &response)
 		for _, part := range []struct {
 			sum    *uint64
 			update any
@@ -205,13 +214,14 @@
 			*part.sum += uint64(len(encoded))
 		}
 	}
-	if gotServers, gotLoads := known.sentBytes(); gotServers != servers || gotLoads != loads || servers == 0 || loads == 0 {
-		t.Errorf("servers %d of %d, loads %d of %d", gotServers, servers, gotLoads, loads)
+	if gotServers, gotLoads := list.sentBytes(); gotServers != servers || gotLoads != loads || servers == 0 || loads == 0 {
+		t.Errorf("bytes of servers: got %d, want %d; bytes of loads: got %d, want %d", gotServers, servers, gotLoads, loads)
 	}
 }
 
-// TestLoadsOfManyNodesStayUnderTheirShareOfTheLink lets nodes of an older release, which are sent all
-// reports, poll after each round, and wants the rounds to come as seldom as their bytes need.
+// TestLoadsOfManyNodesStayUnderTheirShareOfTheLink lets many nodes poll after each poll cycle of the
+// primary. If they are of an older release and are sent all reports, the interval between poll cycles must
+// grow so that the loads stay below loadsBytesPerSecond.
 func TestLoadsOfManyNodesStayUnderTheirShareOfTheLink(t *testing.T) {
 	for _, row := range []struct {
 		nodes   int
@@ -219,66 +229,74 @@
 		slower  bool
 	}{{3, false, false}, {incidentFollowers, true, false}, {incidentFollowers, false, true}} {
 		random := rand.New(rand.NewSource(1))
-		var known serverList
+		var list serverList
 		var servers []membership.Server
 		for number := range incidentServers {
 			servers = append(servers, incidentServer(number))
 		}
-		known.update(runtimetest.AtNoon(0), servers)
-		known.beginTerm(7)
+		list.update(runtimetest.AfterStart(0), servers)
+		list.beginTerm(7)
 		request := wire.UpdateRequest{WantLoads: true, AcceptChanges: row.changes}
 		at := time.Duration(0)
 		for range 10 {
-			now := runtimetest.AtNoon(at)
+			now := runtimetest.AfterStart(at)
 			for _, server := range servers {
-				known.endPoll(7, server.Name, now, busyLoad(random, server.Name), nil)
+				list.endPoll(7, server.Name, now, busyLoad(random, server.Name), nil)
 			}
-			known.endRound(now)
+			list.endCycle(now)
 			var response wire.UpdateResponse
 			for range row.nodes {
 				response = wire.UpdateResponse{}
-				known.fill(now, request, &response)
+				list.fill(now, request, &response)
 			}
 			request.LoadsRevision = response.Loads.Revision
-			at += known.reportPause(now)
+			at += list.pollInterval(now)
 		}
-		_, sent := known.sentBytes()
+		_, sent := list.sentBytes()
 		perSecond := float64(sent) / at.Seconds()
-		t.Logf("%+v: %.2f MB/s, a round every %v", row, perSecond/1e6, at/10)
-		// The first round is sent before its size is known.
+		t.Logf("%+v: %.2f MB/s, a poll cycle every %v", row, perSecond/1e6, at/10)
+		// The first cycle is sent before its size is known, so its bytes are allowed in addition.
 		if first := float64(sent) / 10 / at.Seconds(); perSecond > loadsBytesPerSecond+first {
-			t.Errorf("%+v: %.2f MB/s", row, perSecond/1e6)
+			t.Errorf("%+v: %.2f MB/s of loads, want at most %.2f MB/s", row, perSecond/1e6, (loadsBytesPerSecond+first)/1e6)
 		}
 		if slower := at/10 > reportInterval*5/4; slower != row.slower {
-			t.Errorf("%+v: a round every %v", row, at/10)
+			t.Errorf("%+v: a poll cycle every %v: got slower %v, want %v", row, at/10, slower, row.slower)
 		}
 	}
 }
 
-// TestRoundsOfTwoTermsInOneEpochAreNotMixed loses the lease and leads again in the same epoch: a node that has
-// a round of before is not sent changes from a later one that is counted alike.
-func TestRoundsOfTwoTermsInOneEpochAreNotMixed(t *testing.T) {
-	var known serverList
-	known.update(runtimetest.AtNoon(0), []membership.Server{{Name: "server-a"}, {Name: "server-b"}})
-	round := func(second int, server string) {
-		at := runtimetest.AtNoon(time.Duration(second) * time.Second)
-		known.endPoll(7, server, at, scheduler.Load{Server: server, Running: second}, nil)
-		known.endRound(at)
+// TestPollCyclesOfTwoTermsInOneEpochAreNotMixed lets a primary lose its lease and lead again in the same
+// epoch. A node that has a poll cycle of the first term must not be sent changes that start from a cycle of
+// the second term with the same number.
+func TestPollCyclesOfTwoTermsInOneEpochAreNotMixed(t *testing.T) {
+	var list serverList
+	list.update(runtimetest.AfterStart(0), []membership.Server{{Name: "server-a"}, {Name: "server-b"}})
+	pollOnce := func(second int, server string) {
+		at := runtimetest.AfterStart(time.Duration(second) * time.Second)
+		list.endPoll(7, server, at, scheduler.Load{Server: server, Running: second}, nil)
+		list.endCycle(at)
+	}
+	list.beginTerm(7)
+	pollOnce(1, "server-a")
+	request := wire.UpdateRequest{
+		WantServers:     true,
+		WantLoads:       true,
+		AcceptChanges:   true,
+		ServersRevision: list.revision(),
+		LoadsRevision:   list.reportsRevision(),
 	}
-	known.beginTerm(7)
-	round(1, "server-a")
-	request := wire.UpdateRequest{WantServers: true, WantLoads: true, AcceptChanges: true, ServersRevision: known.revision(), LoadsRevision: known.reportsRevision()}
-	known.endTerm()
-	known.update(runtimetest.AtNoon(2*time.Second), []membership.Server{{Name: "server-b"}})
-	known.beginTerm(7)
-	round(3, "server-b")
-	round(4, "server-b")
+	list.endTerm()
+	list.update(runtimetest.AfterStart(2*time.Second), []membership.Server{{Name: "server-b"}})
+	list.beginTerm(7)
+	pollOnce(3, "server-b")
+	pollOnce(4, "server-b")
 	var response wire.UpdateResponse
-	known.fill(runtimetest.AtNoon(4*time.Second), request, &response)
-	if response.Loads == nil || response.Loads.Changes != nil || len(response.Loads.Reports) != 1 || response.Loads.Reports[0].Server != "server-b" {
-		t.Errorf("%+v", response.Loads)
+	list.fill(runtimetest.AfterStart(4*time.Second), request, &response)
+	if response.Loads == nil || response.Loads.Changes != nil || len(response.Loads.Reports) != 1 ||
+		response.Loads.Reports[0].Server != "server-b" {
+		t.Errorf("got loads update %+v, want all reports, which is only the report of server-b", response.Loads)
 	}
 	if servers := response.Servers; servers.Revision == request.ServersRevision {
-		t.Errorf("the list of before has the revision of the newest: %+v", servers)
+		t.Errorf("the list of the first term and the newest list have the same revision: %+v", servers)
 	}
 }
