--- a/internal/controlplane/updates.go
+++ b/internal/controlplane/updates.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// followedSections are those that nodes follow.
+// followedSections are the sections of the replicated state that nodes follow.
 var followedSections = []string{
 	replication.ConfigurationSection,
 	replication.MembersSection,
@@ -19,14 +19,15 @@
 	replication.OrdersSection,
 }
 
-// serveUpdate serves a poll: it records the node if needed, waits for an update, and grants the
-// node a lease on the configuration that the response confirms.
+// serveUpdate serves a poll: it records the node as a member if needed, waits for an update, and grants
+// a router a lease on the configuration that the response confirms.
 //
-// Its invariant: a change is acknowledged only when no node may still act by an older version.
-// So the lease is granted before the configuration is read again: a version committed since is
-// either seen here, and the response is made anew, or its commit sees the grant and waits for it.
+// Invariant: a change is acknowledged only when no node may still act under an older version.
+// Therefore the configuration is read again after the lease is granted. If a version was committed in
+// the meantime, either this read finds the version and the response is made again, or the commit
+// finds the lease and waits for the router.
 func (c *Controller) serveUpdate(request wire.UpdateRequest) (wire.UpdateResponse, error) {
-	current, view, err := c.Leading()
+	term, view, err := c.Leading()
 	if err != nil {
 		return c.followerResponse(request), nil
 	}
@@ -40,8 +41,8 @@
 	name := request.Member.Name
 	router := request.Member.Kind == membership.Router
 	arrived := c.runtime.Now()
-	c.recordPoll(arrived, current, request)
-	if err := c.register(current, view, request.Member); err != nil {
+	c.recordPoll(arrived, term, request)
+	if err := c.register(term, view, request.Member); err != nil {
 		return wire.UpdateResponse{}, err
 	}
 	for {
@@ -54,28 +55,29 @@
 			Configuration: view.VersionOf(replication.ConfigurationSection),
 			Sections:      newerSections(view, request.Have),
 		}
-		useDelta(&response, request, current)
+		useDelta(&response, request, term)
 		now := c.runtime.Now()
 		response.Waited = now.Sub(arrived)
 		c.serverList.fill(now, request, &response)
 		if router {
-			state, err := c.state(current, view)
+			state, err := c.state(term, view)
 			if err != nil {
 				return wire.UpdateResponse{}, err
 			}
-			// From here on the router may act for the length of the lease, which it counts
-			// from when it sent the request, so that its lease ends before this grant.
-			current.Grants.Grant(now, name, request.InForce.Number)
+			// From here on the router may act under the lease. The router counts the lease from
+			// when it sent the request, so at the router the lease ends earlier than in
+			// RouterLeases.
+			term.RouterLeases.Grant(now, name, request.InForce.Number)
 			response.Lease = lease.DefaultTiming().Lease
-			response.Roles = current.keys.Renew(now, name, state.Roles.Roles, current.candidates(now, state))
-			response.Routers = current.routers(now, state)
+			response.Roles = term.roleLeases.Renew(now, name, state.Roles.Roles, term.candidates(now, state))
+			response.Routers = term.routers(now, state)
 		}
 		latest := c.store.View()
 		if latest == nil || !c.coordinator.HasLease() {
 			return c.followerResponse(request), nil
 		}
 		if latest.VersionOf(replication.ConfigurationSection) == response.Configuration {
-			if response.Membership.Epoch <= request.Membership {
+			if response.Membership.Epoch <= request.MembershipEpoch {
 				response.Membership = replication.Membership{}
 			}
 			c.countResponse(response)
@@ -84,27 +86,27 @@
 	}
 }
 
-// recordPoll records that a node polled, which version it has in force, and which servers failed
-// its requests.
-func (c *Controller) recordPoll(arrived time.Time, current *Term, request wire.UpdateRequest) {
+// recordPoll records that a node polled and, for a router, which version it has in force and which
+// servers failed its requests.
+func (c *Controller) recordPoll(arrived time.Time, term *Term, request wire.UpdateRequest) {
 	name := request.Member.Name
 	c.mutex.Lock()
-	current.lastPoll[name] = arrived
+	term.lastPoll[name] = arrived
 	c.mutex.Unlock()
 	if request.Member.Kind == membership.Router {
 		c.serverList.recordFailing(arrived, request)
-		current.Grants.Acknowledge(arrived, name, request.InForce.Number)
+		term.RouterLeases.Acknowledge(arrived, name, request.InForce.Number)
 		c.confirmations.Broadcast()
 	}
 }
 
-// register commits a node as a member unless it is recorded as it is.
-func (c *Controller) register(current *Term, view *replication.View, member membership.Member) error {
-	state, err := c.state(current, view)
+// register records a node as a member, unless it is already recorded with the same properties.
+func (c *Controller) register(term *Term, view *replication.View, member membership.Member) error {
+	state, err := c.state(term, view)
 	if err != nil {
 		return err
 	}
-	if recorded, found := state.Members[member.Name]; found && recorded.Same(member) {
+	if recorded, found := state.Members[member.Name]; found && recorded.EqualExceptSince(member) {
 		return nil
 	}
 	member.Since = c.runtime.Wall()
@@ -112,14 +114,14 @@
 	return err
 }
 
-// useDelta replaces the configuration by its delta, if the node accepts that and has a version
-// that is in the term's cache.
-func useDelta(response *wire.UpdateResponse, request wire.UpdateRequest, current *Term) {
+// useDelta replaces the configuration in the response by a delta, if the node accepts deltas and has a
+// version that is in the term's cache.
+func useDelta(response *wire.UpdateResponse, request wire.UpdateRequest, term *Term) {
 	section, found := response.Sections[replication.ConfigurationSection]
 	if !found {
 		return
 	}
-	delta, made := current.deltas.deltaTo(section, request.Have[replication.ConfigurationSection])
+	delta, made := term.deltas.deltaTo(section, request.Have[replication.ConfigurationSection])
 	if !made || !request.AcceptDeltas {
 		return
 	}
@@ -127,7 +129,7 @@
 	response.Deltas = map[string]wire.Delta{replication.ConfigurationSection: delta}
 }
 
-// countResponse adds a response's sections to the counts of UpdateCounts.
+// countResponse adds a response to the counts of UpdateCounts and UpdateBytes.
 func (c *Controller) countResponse(response wire.UpdateResponse) {
 	c.updateAnswers.Add(1)
 	for name, section := range response.Sections {
@@ -144,40 +146,40 @@
 	}
 }
 
-// newerSections are the followed sections of which the node has an older version or none.
+// newerSections returns the followed sections that the node lacks or has in an older version.
 func newerSections(view *replication.View, have map[string]replication.Version) map[string]replication.Section {
 	sections := map[string]replication.Section{}
 	for _, name := range followedSections {
 		section, found := view.Sections[name]
 		switch {
 		case !found && name == replication.ConfigurationSection:
-			// A fleet that was given no configuration has the empty one.
+			// A fleet without a committed configuration uses the empty one.
 			section = replication.Section{Content: config.Empty().Text}
-			if _, told := have[name]; told {
+			if _, known := have[name]; known {
 				continue
 			}
 		case !found:
-			if _, told := have[name]; told {
+			if _, known := have[name]; known {
 				continue
 			}
 			section = replication.Section{}
 		}
-		if version, told := have[name]; !told || version.Before(section.Version) {
+		if version, known := have[name]; !known || version.Before(section.Version) {
 			sections[name] = section
 		}
 	}
 	return sections
 }
 
-// hasNewerMembership tells whether there is a newer membership than the node knows: all nodes
-// are to know the members and their addresses before the old ones are gone. An older release
-// does not send the epoch that it knows, and has the membership with its next response.
+// hasNewerMembership reports whether there is a newer membership than the node knows. All nodes must
+// learn the new members and their addresses before the old members are gone. A node of an older
+// release does not send the epoch that it knows; it gets the membership with its next response.
 func (c *Controller) hasNewerMembership(request wire.UpdateRequest) bool {
-	return request.Membership != 0 && c.coordinator.Membership().Epoch > request.Membership
+	return request.MembershipEpoch != 0 && c.coordinator.Membership().Epoch > request.MembershipEpoch
 }
 
-// awaitUpdate returns the view as soon as there is an update for the node, or when the poll's
-// wait is over; nil when this controller is not primary any more.
+// awaitUpdate returns the view as soon as there is an update for the node, or when the poll's maximum
+// wait has passed. It returns nil if this controller is no longer primary.
 func (c *Controller) awaitUpdate(request wire.UpdateRequest) *replication.View {
 	var seen *replication.View
 	c.updated.Wait(min(max(request.MaxWait, 0), maxUpdateWait), func() bool {
@@ -195,30 +197,30 @@
 	return seen
 }
 
-// provisionalSections are those that a router takes from a copy. Orders and roles are not among
-// them: they need a primary.
+// provisionalSections are the sections that a router may use from a copy. Orders and roles are not
+// included, since they need a primary.
 var provisionalSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
-// copyState is the state of the own copy, with its sections if it has the wanted version.
+// copyState returns the state of the local copy, including its sections if it has the wanted version.
 func (c *Controller) copyState(wanted replication.Version) *wire.CopyState {
 	copied := c.store.LocalReplica()
-	update := &wire.CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
+	state := &wire.CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
 	sections := copied.Sections()
-	update.Configuration = sections[replication.ConfigurationSection].Version
-	if update.Damaged || wanted == (replication.Version{}) || update.Configuration != wanted {
-		return update
+	state.Configuration = sections[replication.ConfigurationSection].Version
+	if state.Damaged || wanted == (replication.Version{}) || state.Configuration != wanted {
+		return state
 	}
-	update.Sections = map[string]replication.Section{}
+	state.Sections = map[string]replication.Section{}
 	for _, name := range provisionalSections {
 		if section, found := sections[name]; found {
-			update.Sections[name] = section
+			state.Sections[name] = section
 		}
 	}
-	return update
+	return state
 }
 
-// followerResponse is the response of a controller that is not primary. The membership is read
-// before the copy: a copy that the membership names is then no older than the membership.
+// followerResponse returns the response of a controller that is not primary. The membership is read
+// before the copy, so that a copy that the membership names is at least as new as the membership.
 func (c *Controller) followerResponse(request wire.UpdateRequest) wire.UpdateResponse {
 	response := wire.UpdateResponse{Membership: c.coordinator.Membership()}
 	if !request.WantProvisional {
@@ -231,47 +233,50 @@
 	return response
 }
 
-// deltaCache has the configurations that a primary sent lately, so that a node which has one of
+// deltaCache holds the configurations that a primary sent recently, so that a node that has one of
 // them is sent only the delta to the newest.
 type deltaCache struct {
 	mutex  sync.Mutex
 	recent []replication.Section
-	// deltas are those to the newest version, by their base.
+	// deltas are the deltas to the newest version, by their base version.
 	deltas map[replication.Version]wire.Delta
 }
 
-// maxRevisions bounds the memory, and maxRevisionBytes their size together.
+// maxRevisions limits the number of configurations in a deltaCache, and maxRevisionBytes their total
+// size.
 const (
 	maxRevisions     = 24
 	maxRevisionBytes = 48 << 20
 )
 
-// deltaTo gives the delta from the version that a node has to the newest.
-func (r *deltaCache) deltaTo(newest replication.Section, have replication.Version) (wire.Delta, bool) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+// deltaTo returns the delta from the version that a node has to the newest version. It returns false if the
+// newest configuration is smaller than wire.MinDeltaContent, if the node's version is not in the cache, or
+// if a newly computed delta is not smaller than half of the configuration.
+func (d *deltaCache) deltaTo(newest replication.Section, have replication.Version) (wire.Delta, bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	if len(newest.Content) < wire.MinDeltaContent {
 		return wire.Delta{}, false
 	}
-	if count := len(r.recent); count == 0 || r.recent[count-1].Version != newest.Version {
-		r.recent = append(r.recent, newest)
-		r.deltas = map[replication.Version]wire.Delta{}
+	if count := len(d.recent); count == 0 || d.recent[count-1].Version != newest.Version {
+		d.recent = append(d.recent, newest)
+		d.deltas = map[replication.Version]wire.Delta{}
 		size := 0
-		for _, section := range r.recent {
+		for _, section := range d.recent {
 			size += len(section.Content)
 		}
-		for len(r.recent) > 1 && (len(r.recent) > maxRevisions || size > maxRevisionBytes) {
-			size -= len(r.recent[0].Content)
-			r.recent = r.recent[1:]
+		for len(d.recent) > 1 && (len(d.recent) > maxRevisions || size > maxRevisionBytes) {
+			size -= len(d.recent[0].Content)
+			d.recent = d.recent[1:]
 		}
 	}
-	if delta, found := r.deltas[have]; found {
+	if delta, found := d.deltas[have]; found {
 		return delta, true
 	}
-	for _, section := range r.recent {
+	for _, section := range d.recent {
 		if section.Version == have && have != newest.Version {
 			delta := wire.NewDelta(section, newest)
-			r.deltas[have] = delta
+			d.deltas[have] = delta
 			return delta, len(delta.Middle) < len(newest.Content)/2
 		}
 	}
--- a/internal/controlplane/zoneorders.go
+++ b/internal/controlplane/zoneorders.go
@@ -8,45 +8,49 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Connection is what is known of the connection on which an operator's order came: its number in
-// this process, zero for one that another controller forwarded, and after which moment of the
-// monotonic clock the order was sent: the connection was made then, or the response before it was
-// ready. The zero value: nothing is known.
+// Connection describes the connection on which an operator's order arrived. ID is the number of the
+// connection in this process; it is zero if another controller forwarded the order. SentAfter is a time
+// of the monotonic clock after which the order must have been sent: the connection was opened then, or
+// the previous response on it was ready. The zero value means that the connection is not known.
 type Connection struct {
 	ID        uint64
 	SentAfter time.Time
 }
 
-// ZoneOrder evacuates a zone or restores it. It builds on no version and says how the zone is to be,
-// so that nothing in it tells an order from a copy that a link brings late; its connection does.
+// ZoneOrder evacuates a zone or restores it. An order contains only the wanted state of the zone and no
+// version, so its content is the same in a new order and in an old one that the network delivers late.
+// Only the Connection distinguishes them.
 type ZoneOrder struct {
 	Zone string
-	// Evacuate is whether the zone is to be evacuated, and Reason why.
+	// Evacuate is true to evacuate the zone, for the given Reason, and false to restore it.
 	Evacuate   bool
 	Reason     string
 	Connection Connection
 }
 
-// Edit is the order as an edit of the configuration.
+// Edit returns the edit of the configuration that carries out the order.
 func (o ZoneOrder) Edit() Edit {
-	apply := func(text []byte) ([]byte, error) { return config.Restore(text, o.Zone) }
+	apply := func(text []byte) ([]byte, error) { return config.EndEvacuation(text, o.Zone) }
 	if o.Evacuate {
 		apply = func(text []byte) ([]byte, error) { return config.Evacuate(text, o.Zone, o.Reason) }
 	}
 	return Edit{ValidatesItself: true, Order: &o, Apply: apply}
 }
 
-// zoneOrders tells late orders of one term from those that were sent after what is in force.
+// zoneOrders detects the orders of one term that were sent before the last change of their zone.
 //
-// Invariant: an order that would change a zone is made only if it was sent after the last change of
-// that zone, whatever delayed it. It was sent after its connection was made, and after the response
-// before it on that connection. So it is made when that moment is later than the last change and than
-// the beginning of the term: before a primary's term begins it has everything on its disk that was ever
-// acknowledged, and each of that was sent before. On the connection that the last change came on, it
-// comes after that. Any other is refused as LateOrder, on a connection that is closed: whoever still
-// waits for the answer sends it again on a new one, and a copy that nobody waits for does nothing.
+// Invariant: an order that would change a zone is carried out only if it was sent after the last change
+// of that zone, however long it was delayed. An order was sent after its connection was opened, and
+// after the previous response on that connection (Connection.SentAfter). It is carried out in two cases:
+//   - SentAfter is later than the last change of the zone and than the beginning of the term. When a
+//     term begins, the primary has every acknowledged change on its disk, and all of those were sent
+//     earlier.
+//   - The order arrived on the same connection as the last change of the zone, and so was sent later.
 //
-// The term's store calls it, one change after the other.
+// Any other order is refused with LateOrder and its connection is closed. An operator who still waits
+// for the response sends the order again on a new connection; a late copy of an order has no effect.
+//
+// The store of the term applies changes one at a time, so zoneOrders needs no mutex.
 type zoneOrders struct {
 	since   time.Time
 	changes map[string]zoneChange
@@ -62,7 +66,8 @@
 	return &zoneOrders{since: since, changes: map[string]zoneChange{}}
 }
 
-// admit returns nil for an order that may change its zone.
+// admit returns nil if the order may change its zone, and a LateOrder error otherwise. An order whose
+// connection is not known is not checked.
 func (z *zoneOrders) admit(order ZoneOrder) error {
 	if order.Connection == (Connection{}) {
 		return nil
@@ -77,11 +82,13 @@
 	return failure.New(failure.LateOrder, "the order may be older than the last change of "+order.Zone+"; send it again on a new connection")
 }
 
+// record stores the order as the last change of its zone.
 func (z *zoneOrders) record(order ZoneOrder, now time.Time) {
 	z.changes[order.Zone] = zoneChange{at: now, connection: order.Connection.ID}
 }
 
-// orderedChange is a change of the configuration that carries out a zone order, if it is not late.
+// orderedChange wraps the change of the configuration that carries out a zone order: the change fails
+// with LateOrder if the order is late. An order that does not alter the zone is never late.
 func (c *Controller) orderedChange(term *Term, order ZoneOrder, change replication.Change) replication.Change {
 	return func(state *replication.State, version, configurationVersion replication.Version) error {
 		evacuated, err := config.ZoneEvacuated(state.Configuration, order.Zone)
--- a/internal/controlplane/zoneorders_test.go
+++ b/internal/controlplane/zoneorders_test.go
@@ -15,24 +15,25 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// sentOrder is one order on its way: what it wants, and the connection that brings it.
+// sentOrder is an order in flight and the connection on which it arrives.
 type sentOrder struct {
 	evacuate   bool
 	connection Connection
 }
 
-// zoneModel is a zone with one operator who sends an order again that has no answer, a network that
-// delays orders for any time, and primaries that take over from each other. A connection has one request
-// at a time, so that one order is late on it at most. Time goes on by one with each step.
+// zoneModel simulates a zone, an operator who repeats an order until it gets a response, a network that
+// delays orders arbitrarily, and takeovers by other primaries. A connection carries one request at a time,
+// so at most one late order can arrive on a connection. Each step advances the time by a millisecond.
 type zoneModel struct {
 	now    time.Time
 	orders *zoneOrders
-	// evacuated is how the zone is, wanted what was acknowledged last.
+	// evacuated is the state of the zone, and wanted is the state that was acknowledged last.
 	evacuated, wanted bool
 	connections       uint64
-	// pool are connections that rest; under way are orders that may still arrive, on theirs.
+	// pool holds the idle connections. inFlight holds the orders that may still arrive, each on its
+	// own connection.
 	pool     []Connection
-	underWay []sentOrder
+	inFlight []sentOrder
 }
 
 func newZoneModel() *zoneModel {
@@ -40,16 +41,17 @@
 	return &zoneModel{now: start, orders: newZoneOrders(start)}
 }
 
+// advance advances the time by one step.
 func (z *zoneModel) advance() { z.now = z.now.Add(time.Millisecond) }
 
-// connect makes a connection.
+// connect opens a connection.
 func (z *zoneModel) connect() Connection {
 	z.advance()
 	z.connections++
 	return Connection{ID: z.connections, SentAfter: z.now}
 }
 
-// arrive has the primary take an order, and returns whether it was accepted.
+// arrive delivers an order to the primary, and returns the error with which it is refused.
 func (z *zoneModel) arrive(sent sentOrder) error {
 	z.advance()
 	if z.evacuated == sent.evacuate {
@@ -64,18 +66,18 @@
 	return nil
 }
 
-// order has the operator decide and send until an answer comes: on a connection that rests, which may
-// be refused as late, or on a new one, which may not.
+// order lets the operator issue an order and send it until a response arrives. An order on a reused
+// connection may be refused as late, but not an order on a new connection.
 func (z *zoneModel) order(t *rapid.T, evacuate bool) {
 	for attempt := 0; ; attempt++ {
 		connection := z.connect()
-		if rested := len(z.pool) > 0 && rapid.Bool().Draw(t, "rested"); rested {
+		if reuse := len(z.pool) > 0 && rapid.Bool().Draw(t, "reuse"); reuse {
 			connection, z.pool = z.pool[0], z.pool[1:]
 		}
 		sent := sentOrder{evacuate: evacuate, connection: connection}
 		if rapid.IntRange(0, 2).Draw(t, "delayed") == 0 && attempt < 3 {
-			// No answer comes; the operator sends again.
-			z.underWay = append(z.underWay, sent)
+			// No response arrives, and the operator sends the order again.
+			z.inFlight = append(z.inFlight, sent)
 			continue
 		}
 		if err := z.arrive(sent); err != nil {
@@ -83,7 +85,7 @@
 				t.Fatal(err)
 			}
 			if connection.ID == z.connections {
-				t.Fatalf("an order on a new connection is refused: %v", err)
+				t.Fatalf("an order on a new connection was refused: %v", err)
 			}
 			continue
 		}
@@ -94,26 +96,26 @@
 	}
 }
 
-// TestLateOrdersChangeNoZone draws histories of orders that are sent again, delayed, and brought in
-// another order, with takeovers between: after an order was acknowledged the zone is as it said
-// until the next one is sent, and an order on a new connection is never refused.
+// TestLateOrdersChangeNoZone generates histories of orders that are repeated, delayed and reordered, with
+// takeovers in between. After an order was acknowledged, the zone must keep the ordered state until the
+// next order is sent. An order on a new connection must never be refused.
 func TestLateOrdersChangeNoZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newZoneModel()
 		check := func() {
 			if model.evacuated != model.wanted {
-				t.Fatalf("the zone is evacuated %t, and %t was acknowledged last", model.evacuated, model.wanted)
+				t.Fatalf("zone evacuated: got %t, want %t, which was acknowledged last", model.evacuated, model.wanted)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"order": func(t *rapid.T) { model.order(t, rapid.Bool().Draw(t, "evacuate")) },
 			"late": func(t *rapid.T) {
-				if len(model.underWay) == 0 {
-					t.Skip("nothing is under way")
+				if len(model.inFlight) == 0 {
+					t.Skip("no order is in flight")
 				}
-				i := rapid.IntRange(0, len(model.underWay)-1).Draw(t, "which")
-				late := model.underWay[i]
-				model.underWay = append(model.underWay[:i], model.underWay[i+1:]...)
+				i := rapid.IntRange(0, len(model.inFlight)-1).Draw(t, "index")
+				late := model.inFlight[i]
+				model.inFlight = append(model.inFlight[:i], model.inFlight[i+1:]...)
 				_ = model.arrive(late)
 			},
 			"takeover": func(*rapid.T) {
@@ -128,53 +130,59 @@
 // zoneInput is a read of a zone, or an order on it.
 type zoneInput struct{ read, evacuate bool }
 
-// zoneRegister is whether a zone is evacuated, as a register.
+// zoneRegister models the state of a zone as a register, which holds whether the zone is evacuated.
 var zoneRegister = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
-		asked := input.(zoneInput)
-		if asked.read {
+		operation := input.(zoneInput)
+		if operation.read {
 			return output.(bool) == state.(bool), state
 		}
-		return true, asked.evacuate
+		return true, operation.evacuate
 	},
 }
 
-// orderHistory lets an operator evacuate and restore a zone while copies of its earlier orders
-// arrive late, and returns what it saw. Guarded orders have their connection with them. An unguarded copy
-// arrives between an order's answer and the next reads, so that its harm shows in each history.
-func orderHistory(t *testing.T, primary *Controller, zone string, guarded bool) []porcupine.Operation {
+// orderHistory evacuates and restores a zone as an operator while copies of earlier orders arrive late, and
+// returns the history of the operations. If withConnections is set, the orders carry their connections. Otherwise
+// each copy arrives after the response to an order and before the next reads, so that the history shows the
+// effect of the copy.
+func orderHistory(t *testing.T, primary *Controller, zone string, withConnections bool) []porcupine.Operation {
 	t.Helper()
 	began := time.Now()
 	var late sync.WaitGroup
 	var history []porcupine.Operation
-	observe := func(asked zoneInput, act func() bool) {
+	record := func(input zoneInput, act func() bool) {
 		from := time.Since(began)
-		answered := act()
-		history = append(history, porcupine.Operation{Input: asked, Output: answered, Call: from.Nanoseconds(), Return: time.Since(began).Nanoseconds()})
+		output := act()
+		history = append(history, porcupine.Operation{
+			Input:  input,
+			Output: output,
+			Call:   from.Nanoseconds(),
+			Return: time.Since(began).Nanoseconds(),
+		})
 	}
 	random := rand.New(rand.NewPCG(7, uint64(len(zone))))
 	var sent []ZoneOrder
 	for number := range 40 {
 		order := ZoneOrder{Zone: zone, Evacuate: number%2 == 0}
-		if guarded {
+		if withConnections {
 			order.Connection = Connection{ID: uint64(number + 1), SentAfter: primary.runtime.Now()}
 		}
-		observe(zoneInput{evacuate: order.Evacuate}, func() bool {
+		record(zoneInput{evacuate: order.Evacuate}, func() bool {
 			if _, err := primary.Edit(order.Edit()); err != nil {
-				t.Errorf("an order on a new connection: %v", err)
+				t.Errorf("an order on a new connection was refused: %v", err)
 			}
 			return order.Evacuate
 		})
 		sent = append(sent, order)
 		copied := sent[random.IntN(len(sent))]
-		if guarded {
+		if withConnections {
 			late.Go(func() { _, _ = primary.Edit(copied.Edit()) })
 		} else if _, err := primary.Edit(copied.Edit()); err != nil {
-			t.Errorf("a copy without its connection: %v", err)
+			t.Errorf("a copy without its connection was refused: %v", err)
 		}
 		for range 3 {
-			observe(zoneInput{read: true}, func() bool {
+			record(zoneInput{read: true}, func() bool {
 				_, _, state, err := primary.Read()
 				if err != nil {
 					t.Error(err)
@@ -192,11 +200,11 @@
 	return history
 }
 
-// TestZoneOrdersAreLinearizable has porcupine judge what three operators saw at once, each with a zone
-// of its own, while late copies of their orders arrive. Without the connections it sees that a copy
-// holds again.
+// TestZoneOrdersAreLinearizable lets porcupine check the histories of three concurrent operators, each with
+// a zone of its own, while late copies of their orders arrive. Porcupine must also find that a history is
+// not linearizable when the orders lack their connections and late copies take effect.
 func TestZoneOrdersAreLinearizable(t *testing.T) {
-	_, primary := newCore(t, plain)
+	_, primary := newCore(t, unwrapped)
 	histories := make([][]porcupine.Operation, 3)
 	var operators sync.WaitGroup
 	for i := range histories {
@@ -205,18 +213,20 @@
 	operators.Wait()
 	for i, history := range histories {
 		if result := porcupine.CheckOperationsTimeout(zoneRegister, history, time.Minute); result != porcupine.Ok {
-			t.Errorf("zone %d: the history is not that of one register: %v", i, result)
+			t.Errorf("zone %d: the history is not linearizable: %v", i, result)
 		}
 	}
-	if result := porcupine.CheckOperationsTimeout(zoneRegister, orderHistory(t, primary, "unguarded", false), time.Minute); result == porcupine.Ok {
-		t.Error("no copy without its connection did any harm: the test shows nothing")
+	if result := porcupine.CheckOperationsTimeout(zoneRegister, orderHistory(t, primary, "unguarded", false),
+		time.Minute); result == porcupine.Ok {
+		t.Error("the history of orders without connections is linearizable, so this test would detect no late order")
 	}
 }
 
-// TestOrdersThatNameAVersionNeedIt: on the product's own interface an order may name the version that
-// it was decided on.
-func TestOrdersThatNameAVersionNeedIt(t *testing.T) {
-	_, primary := newCore(t, plain)
+// TestOrderWithAnOutdatedExpectedVersionIsRefused sends orders that state which version of the
+// configuration they expect to change (Edit.Expected), as the API of Seamloom allows. Such an order must
+// fail if another version is in force.
+func TestOrderWithAnOutdatedExpectedVersionIsRefused(t *testing.T) {
+	_, primary := newCore(t, unwrapped)
 	order := ZoneOrder{Zone: "north", Evacuate: true}
 	version, err := primary.Edit(order.Edit())
 	if err != nil {
@@ -225,13 +235,13 @@
 	restore := ZoneOrder{Zone: "north"}.Edit()
 	restore.Expected = &replication.Version{Epoch: version.Epoch, Number: version.Number + 1}
 	if _, err := primary.Edit(restore); failure.CodeOf(err) != failure.VersionConflict {
-		t.Errorf("decided on another version: %v", err)
+		t.Errorf("an order that expects another version: got %v, want VersionConflict", err)
 	}
 	restore.Expected = &version
 	if _, err := primary.Edit(restore); err != nil {
-		t.Errorf("decided on the version in force: %v", err)
+		t.Errorf("an order that expects the version in force: %v", err)
 	}
 	if _, err := primary.Edit(restore); failure.CodeOf(err) != failure.VersionConflict {
-		t.Errorf("late: %v", err)
+		t.Errorf("an order that expects an old version: got %v, want VersionConflict", err)
 	}
 }
--- a/internal/dataplane/calls.go
+++ b/internal/dataplane/calls.go
@@ -12,73 +12,82 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Calls serves opaque calls at one router: it has the scheduler decide on each, carries the
-// decisions out, and reports to the scheduler how they ended. One thread serves one call.
+// Calls serves opaque calls at one router: it passes each call to the scheduler, carries out the
+// scheduler's decisions, and reports their outcomes to the scheduler. Each call is served by one
+// thread.
 type Calls struct {
-	runtime runtime.Runtime
-	window  *scheduler.Scheduler
-	// onServers is called with each list of servers, before any call is sent to them.
+	runtime       runtime.Runtime
+	callScheduler *scheduler.Scheduler
+	// onServers is called with each list of servers, before a call is sent to any of them.
 	onServers   func(servers []membership.Server)
 	serverCount atomic.Int64
 	leaving     atomic.Bool
-	// lastReady is when a health check was last told that the router is ready.
+	// lastReady is when Ready last returned true; nil if it never did.
 	lastReady atomic.Pointer[time.Time]
-	// servingUntil is until when calls are admitted; nil: without a bound.
+	// servingUntil is the time until which calls are admitted; nil means no limit.
 	servingUntil atomic.Pointer[time.Time]
-	// countOwners are asked for counts before prefills; nil: no counts are asked for.
-	countOwners *CountOwners
-	// quotas keep the limits of tenants; nil: none are kept.
+	// backlogCounts queries the prefill backlogs of servers before a prefill; nil disables the queries.
+	backlogCounts *BacklogCounts
+	// quotas enforces the rate limits of tenants; nil disables them.
 	quotas *Quotas
 }
 
-// NewCalls serves calls over a scheduler. OnServers is called with each list of servers.
-func NewCalls(rt runtime.Runtime, window *scheduler.Scheduler, listed func(servers []membership.Server)) *Calls {
-	return &Calls{runtime: rt, window: window, onServers: listed}
+// NewCalls returns the service of calls over a scheduler. It calls onServersChanged with each
+// list of servers.
+func NewCalls(
+	rt runtime.Runtime,
+	callScheduler *scheduler.Scheduler,
+	onServersChanged func(servers []membership.Server),
+) *Calls {
+	return &Calls{runtime: rt, callScheduler: callScheduler, onServers: onServersChanged}
 }
 
-// SetConfiguration puts a configuration in force, unless a newer one is in force.
+// SetConfiguration puts a configuration in force unless a newer one already is.
 func (c *Calls) SetConfiguration(configuration *config.Configuration, version replication.Version) {
-	c.window.SetRouteTable(scheduler.Compile(configuration, version.Epoch, version.Number))
+	c.callScheduler.SetRouteTable(scheduler.Compile(configuration, version.Epoch, version.Number))
 }
 
-// SetServing bounds until when calls are admitted.
+// SetServing sets the time until which calls are admitted.
 func (c *Calls) SetServing(until time.Time) { c.servingUntil.Store(&until) }
 
-// SetQuotas sets who keeps the limits of tenants, before the first call.
+// SetQuotas enables the rate limits of tenants. It must be called before the first call is
+// served.
 func (c *Calls) SetQuotas(quotas *Quotas) { c.quotas = quotas }
 
-// SetCountOwners sets the owners of the counts of what servers prefill, before the first call.
-func (c *Calls) SetCountOwners(owners *CountOwners) { c.countOwners = owners }
+// SetBacklogCounts enables queries for the servers' prefill backlogs. It must be called before
+// the first call is served.
+func (c *Calls) SetBacklogCounts(counts *BacklogCounts) { c.backlogCounts = counts }
 
-// serves tells whether calls may be admitted now.
+// serves reports whether calls may be admitted now.
 func (c *Calls) serves() bool {
 	until := c.servingUntil.Load()
 	return until == nil || c.runtime.Now().Before(*until)
 }
 
-// noLeaseRetryAfter is after how long a call may be retried that met a router without a lease:
-// its next update comes soon, or another router has a lease.
+// noLeaseRetryAfter is the retry delay of a call that is refused because the router has no
+// lease. It is short because the router's next update comes soon, or another router has a
+// lease.
 const noLeaseRetryAfter = 300 * time.Millisecond
 
-// SetServers takes the list of servers.
+// SetServers replaces the list of servers.
 func (c *Calls) SetServers(now time.Time, servers []membership.Server) {
 	c.onServers(servers)
-	c.window.SetServers(now, servers)
+	c.callScheduler.SetServers(now, servers)
 	c.serverCount.Store(int64(len(servers)))
 }
 
-// SetLoads takes the loads that the servers reported.
+// SetLoads passes the servers' load reports to the scheduler.
 func (c *Calls) SetLoads(now time.Time, loads []scheduler.Load) {
-	c.window.SetLoads(now, loads)
+	c.callScheduler.SetLoads(now, loads)
 }
 
 // SetRouters sets how many routers share the servers.
-func (c *Calls) SetRouters(count int) { c.window.SetRouterCount(count) }
+func (c *Calls) SetRouters(count int) { c.callScheduler.SetRouterCount(count) }
 
-// Ready tells whether the router is ready for calls: a configuration is in force, servers are
-// known, the lease allows it, and the router is not leaving.
+// Ready reports whether the router is ready for calls: a configuration is in force, servers
+// are known, calls may be admitted now, and the router is not leaving.
 func (c *Calls) Ready() bool {
-	epoch, number := c.window.ConfigVersion()
+	epoch, number := c.callScheduler.ConfigVersion()
 	ready := (epoch > 0 || number > 0) && c.serverCount.Load() > 0 && !c.leaving.Load() && c.serves()
 	if ready {
 		now := c.runtime.Now()
@@ -87,8 +96,10 @@
 	return ready
 }
 
-// noticeTime is how much longer load balancers may take the router for ready, which leaves now: no
-// time where none was told lately that it is.
+// noticeTime returns how long load balancers may still consider the router ready after it starts to
+// leave: drainNoticeTime, minus the time by which the last successful health check is older than
+// healthCheckInterval. It is zero if there was no successful health check, and at most a third of
+// the grace period.
 func (c *Calls) noticeTime(grace time.Duration) time.Duration {
 	last := c.lastReady.Load()
 	if last == nil {
@@ -101,50 +112,55 @@
 	return max(0, min(left, grace/3))
 }
 
-// Leave marks the router as leaving. Calls that still come are served until it drains.
-func (c *Calls) Leave() { c.leaving.Store(true) }
+// SetLeaving marks the router as leaving. Calls that still arrive are served until it drains.
+func (c *Calls) SetLeaving() { c.leaving.Store(true) }
 
-// Leaving tells whether the router is leaving.
-func (c *Calls) Leaving() bool { return c.leaving.Load() }
+// Draining reports whether the router is leaving.
+func (c *Calls) Draining() bool { return c.leaving.Load() }
 
-// The times of leaving. The values are ours.
+// Times of a graceful shutdown.
 const (
-	// drainNoticeTime is how long it takes load balancers to notice that a router is not
-	// ready: two health checks in a row, one a second.
+	// drainNoticeTime is how long load balancers take to notice that a router is not ready:
+	// two consecutive health checks, one per second.
 	drainNoticeTime = 2500 * time.Millisecond
 	// healthCheckInterval is the time between two health checks of a load balancer.
 	healthCheckInterval = time.Second
-	// One part in exitMarginShare of the grace is reserved for ending the process, so that
-	// what is cut off at the end was in flight in the last sixth.
-	exitMarginShare = 8
-	maxExitMargin   = time.Second
-	drainInterval   = 20 * time.Millisecond
+	// The grace period divided by exitMarginDivisor, but at most maxExitMargin, is reserved for the
+	// exit of the process. Thus only calls that are still in flight in the last sixth of the grace
+	// period are cut off.
+	exitMarginDivisor = 8
+	maxExitMargin     = time.Second
+	// drainInterval is the time between two checks for calls in flight.
+	drainInterval = 20 * time.Millisecond
 )
 
-// Retire has the router leave: it is not ready from now on, serves what still comes until load
-// balancers have noticed (at once if none was told that it is ready), refuses after that, and returns when no call is in flight or the
-// grace is over. Noticed is called when they have noticed: from then on idle connections of
-// clients had better be closed.
-func (c *Calls) Retire(grace time.Duration, noticed func()) {
-	deadline := c.runtime.Now().Add(grace - min(maxExitMargin, grace/exitMarginShare))
-	c.Leave()
+// Shutdown shuts the router down gracefully. From now on the router is not ready. It serves new
+// calls until load balancers have noticed that it is not ready (see noticeTime), and refuses them
+// afterwards. Shutdown returns when no call is in flight or the grace period is over. It calls
+// onNoticed when load balancers have noticed; from then on idle client connections should be
+// closed.
+func (c *Calls) Shutdown(grace time.Duration, onNoticed func()) {
+	deadline := c.runtime.Now().Add(grace - min(maxExitMargin, grace/exitMarginDivisor))
+	c.SetLeaving()
 	runtime.Sleep(c.runtime, c.noticeTime(grace))
-	noticed()
-	c.window.Drain()
-	for c.runtime.Alive() && c.window.InFlight() > 0 && c.runtime.Now().Before(deadline) {
+	onNoticed()
+	c.callScheduler.Drain()
+	for c.runtime.Alive() && c.callScheduler.InFlight() > 0 && c.runtime.Now().Before(deadline) {
 		runtime.Sleep(c.runtime, drainInterval)
 	}
 }
 
-// Limits bound what a client may send.
-func (c *Calls) Limits() config.Limits { return c.window.Limits() }
+// Limits returns the limits on what a client may send.
+func (c *Calls) Limits() config.Limits { return c.callScheduler.Limits() }
 
-// Screen tells whether a call is refused by its host, path and key alone, before its body is read.
+// Screen reports whether a call is refused because of its host, path, key or rate limit, before its
+// body is read, and returns the refusal. While the router admits no calls, it leaves the refusal to
+// Serve.
 func (c *Calls) Screen(call *scheduler.Call) (Refusal, bool) {
 	if !c.serves() {
 		return Refusal{}, false
 	}
-	screening := c.window.Screen(call)
+	screening := c.callScheduler.Screen(call)
 	decision, refused := screening.Refused, screening.Refused.Kind == scheduler.Refuse
 	if !refused && c.quotas != nil && screening.Limited() {
 		decision, refused = c.quotas.Denied(screening.Limit.Tenant)
@@ -155,15 +171,19 @@
 	return refusalOf(decision), true
 }
 
-// refusalOf is our own response for a decision to refuse.
+// refusalOf returns the router's own response for a decision to refuse.
 func refusalOf(decision scheduler.Decision) Refusal {
 	return Refusal{Cause: decision.Cause, Status: statusOf(decision.Cause), RetryAfter: decision.RetryAfter}
 }
 
-// Serve serves one call and returns when it is over.
+// Serve serves one call and returns when the call has ended.
 func (c *Calls) Serve(call *scheduler.Call, exchange Exchange) {
 	if !c.serves() {
-		exchange.Refuse(Refusal{Cause: scheduler.NotReady, Status: statusOf(scheduler.NotReady), RetryAfter: noLeaseRetryAfter})
+		exchange.Refuse(Refusal{
+			Cause:      scheduler.NotReady,
+			Status:     statusOf(scheduler.NotReady),
+			RetryAfter: noLeaseRetryAfter,
+		})
 		return
 	}
 	tenant, refused := c.acquireToken(call)
@@ -171,24 +191,25 @@
 		exchange.Refuse(refusalOf(refused))
 		return
 	}
-	state, decision := c.window.Arrive(c.runtime.Now(), call)
-	// sent tells that some server was sent the call: its token is spent then.
+	state, decision := c.callScheduler.Arrive(c.runtime.Now(), call)
+	// sent is set once the call was sent to a server. Otherwise the tenant's token is
+	// returned.
 	sent := false
 	defer func() {
 		if tenant != "" && !sent {
-			c.quotas.GiveBack(tenant)
+			c.quotas.Refund(tenant)
 		}
 	}()
-	// mayHaveRun tells that a server may have begun the call, before that one before the last
-	// server may have.
-	mayHaveRun, before := false, false
+	// mayHaveRun is set if any server may have started the call, and mayHaveRunBefore is set if a
+	// server before the last one may have started it.
+	mayHaveRun, mayHaveRunBefore := false, false
 	var outcome scheduler.Outcome
 	for {
-		if c.countOwners != nil {
-			c.countOwners.SendChanges()
+		if c.backlogCounts != nil {
+			c.backlogCounts.SendChanges()
 		}
 		for _, source := range decision.Release {
-			exchange.Free(source)
+			exchange.ReleaseHandle(source)
 		}
 		switch decision.Kind {
 		case scheduler.QueryBacklog:
@@ -196,48 +217,49 @@
 			continue
 		case scheduler.Prefill:
 			sent = true
-			outcome = exchange.Read(decision)
+			outcome = exchange.Prefill(decision)
 			if outcome.Handle != "" && outcome.Result != scheduler.Complete {
-				exchange.Free(scheduler.Source{Address: decision.Server.Address, Handle: outcome.Handle})
+				exchange.ReleaseHandle(scheduler.Source{Address: decision.Server.Address, Handle: outcome.Handle})
 			}
 		case scheduler.Generate:
 			sent = true
-			outcome = exchange.Run(state.Route().Calls, decision, func() { c.window.Began(c.runtime.Now(), state) })
-			before, mayHaveRun = mayHaveRun, mayHaveRun || outcome.Result.MayHaveRun()
+			outcome = exchange.Generate(state.Route().Calls, decision, func() { c.callScheduler.Began(c.runtime.Now(), state) })
+			mayHaveRunBefore, mayHaveRun = mayHaveRun, mayHaveRun || outcome.Result.MayHaveRun()
 		default:
 			if decision.Reason != "" {
 				exchange.OnGiveUp(decision.Reason)
 			}
-			conclude(exchange, decision, mayHaveRun, before && !outcome.Result.MayHaveRun())
+			conclude(exchange, decision, mayHaveRun, mayHaveRunBefore && !outcome.Result.MayHaveRun())
 			return
 		}
-		decision = c.window.Ended(c.runtime.Now(), state, outcome)
+		decision = c.callScheduler.Ended(c.runtime.Now(), state, outcome)
 	}
 }
 
-// acquireToken spends a token of the limit of a call's tenant, if it has one, or gives the decision that
-// refuses the call.
+// acquireToken spends a token of the rate limit of the call's tenant. It returns the tenant if
+// it has a limit, and the decision to refuse the call if there is no token.
 func (c *Calls) acquireToken(call *scheduler.Call) (tenant string, refused scheduler.Decision) {
-	if c.quotas == nil || c.window.Draining() {
+	if c.quotas == nil || c.callScheduler.Draining() {
 		return "", scheduler.Decision{}
 	}
-	screening := c.window.Screen(call)
+	screening := c.callScheduler.Screen(call)
 	if !screening.Limited() {
 		return "", scheduler.Decision{}
 	}
 	return screening.Limit.Tenant, c.quotas.Acquire(screening.Limit, call.Deadline)
 }
 
-// conclude sends the client the final response. Its invariant: no response says that a call has
-// not run which may have run. So after a run our own refusal promises nothing, and the last
-// server's error is not passed through when an earlier server may have begun (ranBefore).
+// conclude sends the final response to the client. Its invariant: if a server may have run the
+// call, no response states that the call has not run. So after a possible run, a refusal by the
+// router has the status of an unknown outcome, and the error of the last server is not passed
+// through if only an earlier server may have run the call (ranBefore).
 func conclude(exchange Exchange, decision scheduler.Decision, mayHaveRun, ranBefore bool) {
 	switch decision.Kind {
 	case scheduler.Done:
 	case scheduler.BreakStream:
-		exchange.Break()
+		exchange.Abort()
 	case scheduler.PassThrough:
-		if ranBefore || !exchange.PassThrough() {
+		if ranBefore || !exchange.ForwardFailure() {
 			exchange.Refuse(Refusal{Cause: scheduler.OutcomeUnknown, Status: http.StatusBadGateway})
 		}
 	default:
@@ -250,8 +272,8 @@
 	}
 }
 
-// statusOf is the HTTP status of a refusal. 503 says that the call has not run and never will;
-// 502 and 504 leave that open.
+// statusOf returns the HTTP status of a refusal. Status 503 states that the call has not run
+// and never will; 502 and 504 leave it open whether the call has run.
 func statusOf(cause scheduler.Cause) int {
 	switch cause {
 	case scheduler.NoRoute:
@@ -268,8 +290,9 @@
 	return http.StatusServiceUnavailable
 }
 
-// askOwners asks the owners of counts and has the scheduler go on with their responses.
+// askOwners queries the owners of backlog counts and returns the scheduler's next decision,
+// based on their responses.
 func (c *Calls) askOwners(state *scheduler.CallState, decision scheduler.Decision) scheduler.Decision {
-	answers := c.countOwners.Ask(decision.BacklogRequests)
-	return c.window.BacklogReported(c.runtime.Now(), state, answers)
+	answers := c.backlogCounts.Ask(decision.BacklogRequests)
+	return c.callScheduler.BacklogReported(c.runtime.Now(), state, answers)
 }
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -8,46 +8,47 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// Exchange is the port to one opaque call: to its client on one side and to model servers on
-// the other. One thread uses it, one method after the other.
+// Exchange is the port of one opaque call to its client and to the model servers. It is used
+// by one thread, one method at a time.
 type Exchange interface {
-	// Read has the decision's server prefill the call's prompt.
-	Read(decision scheduler.Decision) scheduler.Outcome
-	// Run has the decision's server decode, and streams a success to the client. After a
-	// stream that was cut off it resumes behind what the client has. Began is called with
-	// the first chunk of a stream.
-	Run(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome
-	// Refuse ends the call with our own response.
+	// Prefill has the decision's server prefill the call's prompt.
+	Prefill(decision scheduler.Decision) scheduler.Outcome
+	// Generate has the decision's server decode, and streams a successful response to the client.
+	// After an interrupted stream it resumes after the part that the client has received. It calls
+	// began when it receives the first chunk of a stream.
+	Generate(route *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome
+	// Refuse ends the call with the router's own response.
 	Refuse(refusal Refusal)
-	// PassThrough passes the failing answer of the last dispatch to the origin unchanged;
-	// false when there is none that can be forwarded.
-	PassThrough() bool
-	// Break ends the response so that the client sees that it is not complete.
-	Break()
-	// OnGiveUp is told why a call is not retried, before its final response.
+	// ForwardFailure forwards the error response of the last dispatch to the client unchanged.
+	// It returns false if there is no response that can be forwarded.
+	ForwardFailure() bool
+	// Abort ends the response in a way that shows the client that it is incomplete.
+	Abort()
+	// OnGiveUp is called with the reason why a call is not retried, before its final
+	// response.
 	OnGiveUp(reason scheduler.Reason)
-	// Free frees the KV cache of a prefill that no decode will take.
-	Free(source scheduler.Source)
+	// ReleaseHandle frees the KV cache of a prefill that no decode will use.
+	ReleaseHandle(source scheduler.Source)
 }
 
-// Refusal is our own final response to a call.
+// Refusal is the router's own final response to a call.
 type Refusal struct {
 	Cause  scheduler.Cause
 	Status int
-	// RetryAfter is after how long the client may retry; zero: not said.
+	// RetryAfter is the delay after which the client may retry; zero means none is given.
 	RetryAfter time.Duration
 }
 
-// CallService is who serves opaque calls beside the core's window. A router tells it what
-// it needs to know besides.
+// CallService serves opaque calls, using the scheduler of the router's core. With these methods
+// the router passes to the service the state that the scheduler does not provide.
 type CallService interface {
-	// SetServing sets until when calls may be admitted: the end of the router's lease, and
-	// of the time for which it serves without one.
+	// SetServing sets the time until which calls may be admitted: the end of the router's
+	// lease plus the period for which the router serves without a lease.
 	SetServing(until time.Time)
-	// SetCountOwners gives the way to those who keep counts of what servers read.
-	SetCountOwners(owners *CountOwners)
-	// SetQuotas gives who keeps the limits of tenants over all routers.
+	// SetBacklogCounts sets the prefill backlog counts that the service queries before a prefill.
+	SetBacklogCounts(counts *BacklogCounts)
+	// SetQuotas sets the rate limits of tenants, which apply to all routers together.
 	SetQuotas(quotas *Quotas)
-	// SetServers sets the list of servers, before the scheduler knows it.
+	// SetServers replaces the list of servers, before the scheduler receives it.
 	SetServers(now time.Time, servers []membership.Server)
 }
--- a/internal/dataplane/forwarding.go
+++ b/internal/dataplane/forwarding.go
@@ -13,18 +13,25 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Forwarder is the port by which a request is forwarded to another router.
+// Forwarder is the port that forwards a request to another router.
 type Forwarder interface {
-	// Forward sends the request's body, and gives the records of the reply to take, as they
-	// come, until take returns false or the client has left. Begun is false only when
-	// certainly no byte was sent.
-	Forward(address string, forwarding wire.Forwarding, body []byte, whenLeft func(act func()), take func(record codec.Record) bool) (begun bool)
+	// Forward sends the request's body and calls onRecord with each record of the reply, until
+	// onRecord returns false or the client has disconnected. It learns of a disconnect through a
+	// callback that it passes to onClientGone. The result is false only if certainly no byte was
+	// sent.
+	Forward(
+		address string,
+		forwarding wire.Forwarding,
+		body []byte,
+		onClientGone func(callback func()),
+		onRecord func(record codec.Record) bool,
+	) (started bool)
 }
 
-// incarnationTimeout is how long a router may take to tell its incarnation.
+// incarnationTimeout is how long another router may take to return its incarnation.
 const incarnationTimeout = 500 * time.Millisecond
 
-// capableRouters are the other routers that support all enabled flags, in the order of
+// capableRouters returns the other routers that support all enabled flags, in the order of
 // rendezvous hashing for the request.
 func (r *Router) capableRouters(request string) []membership.Member {
 	enabled := r.core.Enabled()
@@ -37,42 +44,42 @@
 		}
 	}
 	var members []membership.Member
-	for _, name := range membership.Ranked(request, names) {
+	for _, name := range membership.RankByWeight(request, names) {
 		members = append(members, r.members[name])
 	}
 	return members
 }
 
-// forward forwards a request to a capable router and streams its reply to the client. Another
-// router is tried only when the one before certainly has not begun: so a request that is not
-// idempotent runs at most once.
+// forward forwards a request to a capable router and streams the reply to the client. It tries
+// another router only if the previous one certainly has not received the request, so that a
+// request that is not idempotent runs at most once.
 func (r *Router) forward(arrival Arrival, reply Reply) {
-	never := false
+	notRun := false
 	refused := ReplyLine{
 		Request:           arrival.Request.ID,
 		Final:             auction.Refused,
-		Ran:               &never,
+		Ran:               &notRun,
 		Type:              failure.Restricted,
-		Detail:            "this courier lacks an enabled flag and no capable one was reached",
+		Detail:            "this router does not support an enabled flag, and no router that does was reached",
 		RetryAfterSeconds: 1,
 	}
 	if arrival.Forwarding == nil {
 		for _, member := range r.capableRouters(arrival.Request.ID) {
 			forwarding := wire.Forwarding{Nonce: r.nonce()}
 			if !arrival.Request.Idempotent {
-				var said wire.IncarnationResponse
-				err := wire.Call(r.client, member.Address, wire.IncarnationPath, wire.Empty{}, &said, incarnationTimeout)
+				var response wire.IncarnationResponse
+				err := wire.Call(r.client, member.Address, wire.IncarnationPath, wire.Empty{}, &response, incarnationTimeout)
 				if failure.CodeOf(err) == failure.Unreachable && !r.isOldRelease(err) {
 					continue
 				}
-				forwarding.Incarnation = said.Incarnation
+				forwarding.Incarnation = response.Incarnation
 			}
-			copied := &replyRelay{reply: reply, request: arrival.Request.ID}
-			if !r.forwarder.Forward(member.Address, forwarding, arrival.Body, reply.OnClientGone, copied.take) {
+			relay := &replyRelay{reply: reply, request: arrival.Request.ID}
+			if !r.forwarder.Forward(member.Address, forwarding, arrival.Body, reply.OnClientGone, relay.take) {
 				continue
 			}
-			if !copied.ended {
-				copied.breakOff()
+			if !relay.ended {
+				relay.finishIncomplete()
 			}
 			return
 		}
@@ -80,13 +87,13 @@
 	writeLine(reply, refused)
 }
 
-// isOldRelease tells whether an error is that of a release which does not know the path.
+// isOldRelease reports whether an error comes from an older release that lacks the path.
 func (r *Router) isOldRelease(err error) bool {
 	return err != nil && failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) == "status 404"
 }
 
-// replyRelay gives the lines of stream records on as they come. A reply that
-// breaks off ends with a line that says what is known.
+// replyRelay forwards the lines of stream records to the client as they arrive. If the stream
+// breaks, it ends the reply with a final line that states the known outcome.
 type replyRelay struct {
 	reply   Reply
 	request string
@@ -94,6 +101,8 @@
 	ended   bool
 }
 
+// take forwards the line of one record. It returns false if the reply has ended, or the record
+// is malformed, out of order or of another request.
 func (r *replyRelay) take(record codec.Record) bool {
 	message, err := codec.DecodeStreamMessage(record)
 	var line ReplyLine
@@ -114,19 +123,22 @@
 	return !r.ended
 }
 
-func (r *replyRelay) breakOff() {
-	broken := ReplyLine{Request: r.request, Type: failure.Unreachable, Detail: "the reply broke off between two couriers"}
+// finishIncomplete ends a reply whose stream broke: with status Unknown if the client has received
+// no line, otherwise with status Failed.
+func (r *replyRelay) finishIncomplete() {
+	final := ReplyLine{Request: r.request, Type: failure.Unreachable, Detail: "the connection between two routers broke during the reply"}
 	if r.lines == 0 {
-		broken.Final = auction.Unknown
+		final.Final = auction.Unknown
 		r.reply.Begin(http.StatusGatewayTimeout, 0)
 	} else {
-		broken.Final, broken.Chunks = auction.Failed, r.lines
+		final.Final, final.Chunks = auction.Failed, r.lines
 	}
-	_ = r.reply.Line(broken.encode())
+	_ = r.reply.Line(final.encode())
 }
 
-// acceptsForwarding tells whether a forwarded request is for this incarnation of the router and
-// is delivered for the first time.
+// acceptsForwarding reports whether a request may be served here. A forwarded request must be
+// meant for this incarnation of the router and be delivered for the first time; a forwarding
+// without a nonce, from an older release, is always accepted.
 func (r *Router) acceptsForwarding(arrival Arrival) bool {
 	forwarding := arrival.Forwarding
 	if forwarding == nil || forwarding.Nonce == "" {
@@ -135,57 +147,60 @@
 	if forwarding.Incarnation != "" && forwarding.Incarnation != r.incarnation {
 		return false
 	}
-	return r.seenForwardings.first(r.runtime.Now(), forwarding.Nonce)
+	return r.seenForwardings.isNew(r.runtime.Now(), forwarding.Nonce)
 }
 
-// seenForwardings remembers the forwardings that this router accepted, to refuse duplicates.
+// seenForwardings records the nonces of accepted forwardings, to refuse duplicates.
 type seenForwardings struct {
 	mutex sync.Mutex
+	// seen is when each nonce was recorded; order has the nonces from oldest to newest.
 	seen  map[string]time.Time
 	order []string
 }
 
-// maxForwardings bounds the memory; forwardingTTL is how long one is remembered.
 const (
+	// maxForwardings is the maximum number of recorded nonces.
 	maxForwardings = 65536
-	forwardingTTL  = 10 * time.Minute
+	// forwardingTTL is how long a nonce is recorded.
+	forwardingTTL = 10 * time.Minute
 )
 
-// first tells whether the nonce comes for the first time.
-func (p *seenForwardings) first(now time.Time, nonce string) bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.seen == nil {
-		p.seen = map[string]time.Time{}
+// isNew records a nonce and reports whether it was not recorded before.
+func (s *seenForwardings) isNew(now time.Time, nonce string) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.seen == nil {
+		s.seen = map[string]time.Time{}
 	}
-	if _, found := p.seen[nonce]; found {
+	if _, found := s.seen[nonce]; found {
 		return false
 	}
-	p.seen[nonce] = now
-	p.order = append(p.order, nonce)
-	for len(p.order) > maxForwardings || (len(p.order) > 0 && now.Sub(p.seen[p.order[0]]) > forwardingTTL) {
-		delete(p.seen, p.order[0])
-		p.order = p.order[1:]
+	s.seen[nonce] = now
+	s.order = append(s.order, nonce)
+	for len(s.order) > maxForwardings || (len(s.order) > 0 && now.Sub(s.seen[s.order[0]]) > forwardingTTL) {
+		delete(s.seen, s.order[0])
+		s.order = s.order[1:]
 	}
 	return true
 }
 
-// RecordReply is a Reply that sends its lines as stream records to the router that forwarded the
-// request.
+// RecordReply is a Reply that sends its lines as stream records to the router that forwarded
+// the request.
 type RecordReply struct {
 	Request string
-	Writer  string
-	// Send sends a record to that router.
+	// Writer is the name of this router.
+	Writer string
+	// Send sends a record to the forwarding router.
 	Send func(record codec.Record) error
-	// ClientGone is how its origin's leaving is heard.
-	ClientGone func(act func())
+	// RegisterClientGone registers a callback for when the forwarding router closes its connection.
+	RegisterClientGone func(callback func())
 
 	status int
 	retry  int
 	number uint64
 }
 
-// Begin keeps the status for the records.
+// Begin stores the HTTP status and the retry delay, which each record carries.
 func (r *RecordReply) Begin(status, retrySeconds int) {
 	r.status, r.retry = status, retrySeconds
 }
@@ -193,12 +208,17 @@
 // Line sends one line as a record.
 func (r *RecordReply) Line(line []byte) error {
 	r.number++
-	record, err := codec.EncodeStreamMessage(codec.StreamMessage{Request: r.Request, Line: line, Status: r.status, Retry: r.retry}, r.Writer, r.number)
+	record, err := codec.EncodeStreamMessage(codec.StreamMessage{
+		Request: r.Request,
+		Line:    line,
+		Status:  r.status,
+		Retry:   r.retry,
+	}, r.Writer, r.number)
 	if err != nil {
 		return err
 	}
 	return r.Send(record)
 }
 
-// OnClientGone has act called when the forwarding router closes its connection.
-func (r *RecordReply) OnClientGone(act func()) { r.ClientGone(act) }
+// OnClientGone registers a callback that is called when the forwarding router closes its connection.
+func (r *RecordReply) OnClientGone(callback func()) { r.RegisterClientGone(callback) }
--- a/internal/dataplane/journal.go
+++ b/internal/dataplane/journal.go
@@ -10,22 +10,24 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Journal holds the newest records of this router and of the routers that replicate theirs to
-// it, and gives the trace of a request.
+// Journal holds the newest records of this router and of the routers that replicate their
+// records to it. It returns the trace of a request.
 type Journal struct {
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// records is a ring buffer; next is the index of its oldest record once it is full.
 	records []codec.Record
 	next    int
-	outbox  []codec.Record
+	// outbox holds this router's records that were not replicated yet.
+	outbox []codec.Record
 }
 
-// maxRecords bounds the records in a journal and in its outbox.
+// maxRecords is the maximum number of records in a journal and in its outbox.
 const maxRecords = 16384
 
 func newJournal() *Journal { return &Journal{records: make([]codec.Record, 0, maxRecords)} }
 
-// append adds a record, over the oldest one if the journal is full; own ones also go to the
-// outbox.
+// append adds a record, which replaces the oldest one if the journal is full. If own is set,
+// the record is this router's own and is also added to the outbox, unless that is full.
 func (j *Journal) append(record codec.Record, own bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -40,7 +42,7 @@
 	}
 }
 
-// hasOutgoing tells whether there are records to replicate.
+// hasOutgoing reports whether there are records to replicate.
 func (j *Journal) hasOutgoing() bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -55,14 +57,14 @@
 	return outbox
 }
 
-// Trace is what a journal knows of one request.
+// Trace holds a journal's records of one request.
 type Trace struct {
 	Request string        `json:"inquiry"`
 	Pairs   []codec.Pair  `json:"pairs"`
 	Retries []codec.Entry `json:"retries,omitempty"`
 }
 
-// Trace tells what is known of one request.
+// Trace returns the records of one request. It returns false if there is no pair of servers among them.
 func (j *Journal) Trace(request string, supported features.List) (Trace, bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -85,7 +87,7 @@
 	return trace, len(trace.Pairs) > 0
 }
 
-// replicateRecords sends new records to a replica whenever there are any.
+// replicateRecords replicates new records to another router until the process ends.
 func (r *Router) replicateRecords() {
 	for r.runtime.Alive() {
 		r.recordsAdded.Wait(idleTick, r.journal.hasOutgoing)
@@ -94,14 +96,14 @@
 	}
 }
 
-// sendRecords sends the outbox to the nearest router that responds, so that the records outlive
-// this router.
+// sendRecords sends the outbox to the first of the rankedPeers that responds, so that the records
+// survive a failure of this router. If none responds, the records are not sent again.
 func (r *Router) sendRecords() {
 	records := r.journal.takeOutbox()
 	if len(records) == 0 {
 		return
 	}
-	for _, member := range r.nearest(follower.Neighbours) {
+	for _, member := range r.rankedPeers(follower.MaxPeersTried) {
 		var response bool
 		if wire.Call(r.client, member.Address, wire.RecordsPath, records, &response, sendTimeout) == nil {
 			return
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -12,80 +12,103 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// QuotaTolerance is how far the calls of a tenant may go beyond its limit: in any Window of t seconds the
-// rule allows (PerSecond*t + Burst) * (1 + Overrun) + Slack. All zero: not at all.
+// QuotaTolerance is how far the calls of a tenant may exceed its rate limit. In any Window of
+// t seconds (PerSecond*t + Burst) * (1 + Overrun) + Slack calls are allowed. The zero value
+// allows no excess.
 type QuotaTolerance struct {
 	Window  time.Duration
 	Overrun float64
 	Slack   float64
 }
 
-// toleranceUsed is the part of the tolerance that is used; the rest is for what the count can't see, such as
-// asymmetric losses of messages between routers and witnesses.
+// toleranceUsed is the share of the tolerance that is added to the bucket. The rest covers
+// excess that the token count can't detect, for example when messages between routers and
+// witnesses are lost in one direction only.
 const toleranceUsed = 0.7
 
-// capacity is the capacity of the bucket that keeps a limit: whole, so that it can be used up.
+// capacity returns the capacity of the token bucket of a limit: at least one token, so that
+// calls can pass at all.
 func (t QuotaTolerance) capacity(limit config.RateLimit) float64 {
-	beyond := t.Overrun*(limit.PerSecond*t.Window.Seconds()+limit.Burst) + t.Slack
-	return max(1, limit.Burst+toleranceUsed*beyond)
+	excess := t.Overrun*(limit.PerSecond*t.Window.Seconds()+limit.Burst) + t.Slack
+	return max(1, limit.Burst+toleranceUsed*excess)
 }
 
-// The timeouts of asking for tokens.
+// Timeouts of requests for tokens.
 const (
-	// quotaTimeout is how long a call waits for a token: longer than a healthy quorum takes to answer.
+	// quotaTimeout is how long a call waits for a token: longer than a healthy quorum needs to
+	// respond.
 	quotaTimeout = 150 * time.Millisecond
-	// quotaCallTimeout is how long a witness's answer is waited for.
+	// quotaCallTimeout is the timeout of a request to one witness.
 	quotaCallTimeout = 120 * time.Millisecond
-	// quotaIdleInterval lies between two looks at what is to be asked for while no call comes.
+	// quotaIdleInterval is the time between two checks for due requests while no call waits.
 	quotaIdleInterval = time.Second
-	// quotaBusyInterval is that while a call waits.
+	// quotaBusyInterval is the time between two checks for due requests while a call waits.
 	quotaBusyInterval = 20 * time.Millisecond
-	// quotaUnknownRetryAfter is after how long a call may come back that got no answer in time.
+	// quotaUnknownRetryAfter is the retry delay of a call that is refused because no quorum
+	// responded in time.
 	quotaUnknownRetryAfter = 100 * time.Millisecond
 )
 
-// Quotas is a router's part in keeping the limits of tenants: it asks the witnesses of the control plane for
-// tokens and spends one for each call.
+// Quotas enforces the rate limits of tenants at one router. It requests tokens from the
+// witnesses of the control plane and spends one token for each call.
 type Quotas struct {
 	runtime    runtime.Runtime
 	client     wire.Client
 	tolerance  QuotaTolerance
 	allowances *quota.Allowances
-	// membership is the newest that the router knows; learn takes one from a witness.
-	membership func() replication.Membership
-	learn      func(replication.Membership)
-	observe    func(event string, detail ...any)
-	known      atomic.Pointer[quotaGroup]
-	// wanted wakes the thread that asks, answered the calls that wait.
-	wanted   runtime.Cond
-	answered runtime.Cond
+	// membership returns the newest membership that the router knows; learnMembership updates
+	// it with a membership from a witness.
+	membership      func() replication.Membership
+	learnMembership func(replication.Membership)
+	observe         func(event string, detail ...any)
+	// cachedGroup is the group of the last membership that groupOf was called with.
+	cachedGroup atomic.Pointer[quotaGroup]
+	// requestsDue wakes Run to send requests; responded wakes the calls that wait for a token.
+	requestsDue runtime.Cond
+	responded   runtime.Cond
 }
 
-// NewQuotas makes the part of one incarnation of a router.
-func NewQuotas(rt runtime.Runtime, client wire.Client, tolerance QuotaTolerance, incarnation string, membership func() replication.Membership,
-	learn func(replication.Membership), observe func(event string, detail ...any),
+// NewQuotas returns the rate limits of one incarnation of a router.
+func NewQuotas(
+	rt runtime.Runtime,
+	client wire.Client,
+	tolerance QuotaTolerance,
+	incarnation string,
+	membership func() replication.Membership,
+	learnMembership func(replication.Membership),
+	observe func(event string, detail ...any),
 ) *Quotas {
-	return &Quotas{runtime: rt, client: client, tolerance: tolerance, allowances: quota.NewAllowances(incarnation), membership: membership, learn: learn, observe: observe,
-		wanted: rt.NewCond(), answered: rt.NewCond()}
+	return &Quotas{
+		runtime:         rt,
+		client:          client,
+		tolerance:       tolerance,
+		allowances:      quota.NewAllowances(incarnation),
+		membership:      membership,
+		learnMembership: learnMembership,
+		observe:         observe,
+		requestsDue:     rt.NewCond(),
+		responded:       rt.NewCond(),
+	}
 }
 
-// group is who grants by the newest membership.
+// group returns the group of witnesses that grants tokens in the newest membership.
 func (q *Quotas) group() quota.Group { return q.groupOf(q.membership()) }
 
-// groupOf is who grants by a membership. It is made anew only when that changes.
+// groupOf returns the group of witnesses that grants tokens in a membership. The group is
+// cached until the membership's epoch changes.
 func (q *Quotas) groupOf(membership replication.Membership) quota.Group {
-	if known := q.known.Load(); known != nil && known.epoch == membership.Epoch {
-		return known.group
+	if cachedGroup := q.cachedGroup.Load(); cachedGroup != nil && cachedGroup.epoch == membership.Epoch {
+		return cachedGroup.group
 	}
-	known := &quotaGroup{epoch: membership.Epoch}
+	cachedGroup := &quotaGroup{epoch: membership.Epoch}
 	if !membership.Blank() {
-		known.group = quota.NewGroup(membersOf(membership.Witnesses), membersOf(membership.Incoming))
+		cachedGroup.group = quota.NewGroup(membersOf(membership.Witnesses), membersOf(membership.Incoming))
 	}
-	q.known.Store(known)
-	return known.group
+	q.cachedGroup.Store(cachedGroup)
+	return cachedGroup.group
 }
 
-// quotaGroup is who grants by the membership of an epoch.
+// quotaGroup is the group of witnesses that grants tokens in the membership of an epoch.
 type quotaGroup struct {
 	epoch uint64
 	group quota.Group
@@ -99,28 +122,32 @@
 	return members
 }
 
-// Acquire spends a token of a tenant's limit, or gives the decision that refuses the call; its kind is empty
-// for a call that may go on. A zero deadline is none.
+// Acquire spends a token of a tenant's rate limit and returns an empty decision, or returns the
+// decision to refuse the call. It waits for a token for at most quotaTimeout, and not beyond the
+// call's deadline unless that is zero.
 func (q *Quotas) Acquire(limit scheduler.TenantLimit, deadline time.Time) scheduler.Decision {
 	now := q.runtime.Now()
-	claim := q.allowances.Claim(now, limit.Tenant, quota.Limit{PerSecond: limit.Limit.PerSecond, Capacity: q.tolerance.capacity(limit.Limit),
-		Revision: quota.Revision{Epoch: limit.Epoch, Number: limit.Number}})
+	claim := q.allowances.Claim(now, limit.Tenant, quota.Limit{
+		PerSecond: limit.Limit.PerSecond,
+		Capacity:  q.tolerance.capacity(limit.Limit),
+		Revision:  quota.Revision{Epoch: limit.Epoch, Number: limit.Number},
+	})
 	group := q.group()
-	verdict := claim.Try(now, group)
+	result := claim.Poll(now, group)
 	if claim.Due(now, group) {
-		q.wanted.Broadcast()
+		q.requestsDue.Broadcast()
 	}
-	if verdict == quota.Pending {
+	if result == quota.Pending {
 		timeout := quotaTimeout
 		if !deadline.IsZero() {
 			timeout = max(0, min(timeout, deadline.Sub(now)))
 		}
-		q.answered.Wait(timeout, func() bool {
-			verdict = claim.Try(q.runtime.Now(), q.group())
-			return verdict != quota.Pending
+		q.responded.Wait(timeout, func() bool {
+			result = claim.Poll(q.runtime.Now(), q.group())
+			return result != quota.Pending
 		})
 	}
-	switch verdict {
+	switch result {
 	case quota.Taken:
 		return scheduler.Decision{}
 	case quota.Denied:
@@ -130,35 +157,37 @@
 	return scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.NotReady, RetryAfter: quotaUnknownRetryAfter}
 }
 
-// Denied gives the decision that refuses a call at once, because its tenant was denied a token just now.
+// Denied returns the decision to refuse a call of a tenant at once, and whether to refuse it: the
+// call is refused while a recent denial of a token to this tenant still applies.
 func (q *Quotas) Denied(tenant string) (scheduler.Decision, bool) {
 	wait, denied := q.allowances.Denied(q.runtime.Now(), tenant, q.group())
 	return scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.OverLimit, RetryAfter: wait}, denied
 }
 
-// GiveBack returns the token of a call that was sent to no server.
-func (q *Quotas) GiveBack(tenant string) { q.allowances.GiveBack(tenant) }
+// Refund returns the token of a call that was not sent to any server.
+func (q *Quotas) Refund(tenant string) { q.allowances.Refund(tenant) }
 
-// due tells whether there is something to ask for.
+// due reports whether requests to witnesses are due.
 func (q *Quotas) due() bool {
 	return q.allowances.Due(q.runtime.Now(), q.group())
 }
 
-// Run asks the witnesses whenever there is something to ask for.
+// Run sends requests to the witnesses whenever they are due, until the process ends.
 func (q *Quotas) Run() {
 	for q.runtime.Alive() {
 		interval := quotaIdleInterval
 		if q.allowances.Waiting() {
 			interval = quotaBusyInterval
 		}
-		if q.wanted.Wait(interval, q.due) {
-			q.ask()
+		if q.requestsDue.Wait(interval, q.due) {
+			q.sendRequests()
 		}
 		q.logDenials()
 	}
 }
 
-// logDenials logs which tenants begin to be denied, and for which that is over.
+// logDenials logs the tenants whose calls begin to be denied, and those whose calls are no
+// longer denied.
 func (q *Quotas) logDenials() {
 	for _, change := range q.allowances.DenialChanges(q.runtime.Now()) {
 		if change.Over {
@@ -169,38 +198,46 @@
 	}
 }
 
-// Counts lists how the calls of tenants with limits ended at this router.
+// Counts returns the numbers of claims for tokens at this router, by tenant and result.
 func (q *Quotas) Counts() []quota.Counts { return q.allowances.Counts() }
 
-// Traffic is how many requests went to witnesses, and for how many tenants in sum.
-func (q *Quotas) Traffic() (requests, wants uint64) { return q.allowances.Traffic() }
+// Traffic returns the number of requests to witnesses, and the total number of tenants in them.
+func (q *Quotas) Traffic() (requests, wants uint64) { return q.allowances.RequestCounts() }
 
-// ask sends the requests that are due, each in a thread of its own.
-func (q *Quotas) ask() {
+// sendRequests sends the due requests to the witnesses, each in a thread of its own.
+func (q *Quotas) sendRequests() {
 	membership := q.membership()
 	sentAt := q.runtime.Now()
 	requests := q.allowances.Requests(sentAt, q.groupOf(membership))
 	for _, witness := range membership.Voters() {
-		if request, asked := requests[quota.Member(witness.Identity)]; asked {
-			q.runtime.Go(func() { q.askWitness(membership.Epoch, witness, sentAt, request) })
+		if request, due := requests[quota.Member(witness.Identity)]; due {
+			q.runtime.Go(func() { q.requestTokens(membership.Epoch, witness, sentAt, request) })
 		}
 	}
 }
 
-// askWitness sends a request to one witness and takes its response.
-func (q *Quotas) askWitness(epoch uint64, witness replication.Replica, sentAt time.Time, request quota.Request) {
+// requestTokens sends a request to one witness and applies the response. A response that
+// contains a membership only updates the router's membership; it grants no tokens.
+func (q *Quotas) requestTokens(epoch uint64, witness replication.Replica, sentAt time.Time, request quota.Request) {
 	var response wire.QuotaResponse
-	err := wire.Call(q.client, witness.Address, wire.QuotaPath, wire.QuotaRequest{To: witness.Identity, Epoch: epoch, Request: request}, &response, quotaCallTimeout)
+	err := wire.Call(
+		q.client,
+		witness.Address,
+		wire.QuotaPath,
+		wire.QuotaRequest{To: witness.Identity, Epoch: epoch, Request: request},
+		&response,
+		quotaCallTimeout,
+	)
 	if err != nil {
 		return
 	}
 	if !response.Membership.Blank() {
-		q.learn(response.Membership)
+		q.learnMembership(response.Membership)
 		return
 	}
-	due := q.allowances.Granted(q.runtime.Now(), q.group(), quota.Member(witness.Identity), sentAt, request, response.Response)
-	q.answered.Broadcast()
+	due := q.allowances.HandleResponse(q.runtime.Now(), q.group(), quota.Member(witness.Identity), sentAt, request, response.Response)
+	q.responded.Broadcast()
 	if due {
-		q.wanted.Broadcast()
+		q.requestsDue.Broadcast()
 	}
 }
--- a/internal/dataplane/reply.go
+++ b/internal/dataplane/reply.go
@@ -13,20 +13,20 @@
 
 // Reply is the port to the client of one request.
 type Reply interface {
-	// Begin sends the HTTP status, and after how many seconds to retry unless that is zero.
+	// Begin sends the HTTP status, and the retry delay in seconds unless that is zero.
 	Begin(status, retrySeconds int)
-	// Line sends one line; an error means that the client is gone.
+	// Line sends one line; an error means that the client has disconnected.
 	Line(line []byte) error
-	// OnClientGone has act called once if the client closes its connection.
-	OnClientGone(act func())
+	// OnClientGone registers a callback that is called once if the client closes its connection.
+	OnClientGone(callback func())
 }
 
-// Arrival is one request as it came to a router.
+// Arrival is one request received by a router.
 type Arrival struct {
 	Request *auction.Request
-	// Body is what the client sent, to be forwarded as it is.
+	// Body is the body that the client sent; it is forwarded unchanged.
 	Body []byte
-	// Forwarding is set when another router forwarded it.
+	// Forwarding is set if another router forwarded the request.
 	Forwarding *wire.Forwarding
 }
 
@@ -43,14 +43,15 @@
 	Text    string              `json:"text,omitempty"`
 	Final   auction.FinalStatus `json:"final,omitempty"`
 	Chunks  int                 `json:"pieces,omitempty"`
-	Ran     *bool               `json:"ran,omitempty"`
-	Type    failure.Code        `json:"type,omitempty"`
-	Detail  string              `json:"detail,omitempty"`
-	// RetryAfterSeconds is after how long to retry, as in the Retry-After header.
+	// Ran states whether the request ran; nil if that is not known.
+	Ran    *bool        `json:"ran,omitempty"`
+	Type   failure.Code `json:"type,omitempty"`
+	Detail string       `json:"detail,omitempty"`
+	// RetryAfterSeconds is the retry delay, as in the Retry-After header.
 	RetryAfterSeconds int `json:"retry_after_seconds,omitempty"`
 }
 
-// lineOf is the line of a chunk or of the final decision.
+// lineOf returns the line of a chunk or of the final decision.
 func lineOf(decision auction.Decision) ReplyLine {
 	if decision.Kind == auction.SendChunk {
 		return ReplyLine{Request: decision.ID, Chunk: decision.Chunk, Text: decision.Text}
@@ -61,19 +62,19 @@
 		Chunks:            decision.Chunks,
 		Type:              decision.Cause,
 		Detail:            decision.Detail,
-		RetryAfterSeconds: retrySeconds(decision.Retry),
+		RetryAfterSeconds: retrySeconds(decision.RetryAfter),
 	}
 	switch decision.Final {
 	case auction.Refused:
-		// Of an id that is taken the reply does not say whether it ran: the request that
-		// took it may have.
+		// If the ID is a duplicate, the reply does not state whether the request ran: the
+		// earlier request with this ID may have run.
 		if decision.Cause != failure.Duplicate {
-			never := false
-			line.Ran = &never
+			notRun := false
+			line.Ran = &notRun
 		}
 	case auction.Complete, auction.Failed:
-		did := true
-		line.Ran = &did
+		ran := true
+		line.Ran = &ran
 	}
 	return line
 }
@@ -85,7 +86,7 @@
 	return append(encoded, '\n')
 }
 
-// Status is the HTTP status of a reply whose first line this is.
+// Status returns the HTTP status of a reply that begins with this line.
 func (r ReplyLine) Status() int {
 	switch r.Final {
 	case auction.Complete, "":
--- a/internal/dataplane/requests.go
+++ b/internal/dataplane/requests.go
@@ -9,22 +9,32 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Serve serves one request and returns when its reply is over.
+// Serve serves one request and returns when its reply is complete.
 func (r *Router) Serve(arrival Arrival, reply Reply) {
 	request := arrival.Request
 	if !r.acceptsForwarding(arrival) {
-		writeLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Duplicate, Detail: "this passing-on was brought before, or to another life of this courier"})
+		writeLine(reply, ReplyLine{
+			Request: request.ID,
+			Final:   auction.Unknown,
+			Type:    failure.Duplicate,
+			Detail:  "this forwarding was delivered before, or is meant for another incarnation of this router",
+		})
 		return
 	}
 	s := newStream(r.runtime)
 	r.mutex.Lock()
-	_, busy := r.streams[request.ID]
-	if !busy {
+	_, duplicate := r.streams[request.ID]
+	if !duplicate {
 		r.streams[request.ID] = s
 	}
 	r.mutex.Unlock()
-	if busy {
-		writeLine(reply, ReplyLine{Request: request.ID, Final: auction.Refused, Type: failure.Duplicate, Detail: "the inquiry is under way"})
+	if duplicate {
+		writeLine(reply, ReplyLine{
+			Request: request.ID,
+			Final:   auction.Refused,
+			Type:    failure.Duplicate,
+			Detail:  "a request with this ID is in flight",
+		})
 		return
 	}
 	defer func() {
@@ -50,7 +60,7 @@
 			}
 			s.cond.Wait(time.Minute, s.ready)
 			if !r.runtime.Alive() {
-				// The process ends: how the run ends is not known here any more.
+				// The process is ending, so the outcome of the run is unknown here.
 				if s.sent == 0 {
 					writeLine(reply, ReplyLine{Request: request.ID, Final: auction.Unknown, Type: failure.Draining})
 				} else {
@@ -64,33 +74,34 @@
 			r.forward(arrival, reply)
 			return
 		}
-		client := lineOf(decision)
+		line := lineOf(decision)
 		if decision.Kind == auction.SendChunk {
 			if decision.Chunk == 1 {
-				reply.Begin(client.Status(), 0)
+				reply.Begin(line.Status(), 0)
 			}
-			if reply.Line(client.encode()) != nil {
+			if reply.Line(line.encode()) != nil {
 				s.markClientGone()
 			}
 			continue
 		}
 		r.options.OnEnded(request, decision)
 		if decision.Chunks > 0 {
-			_ = reply.Line(client.encode())
+			_ = reply.Line(line.encode())
 		} else {
-			writeLine(reply, client)
+			writeLine(reply, line)
 		}
 		return
 	}
 }
 
-// stream carries one request's decisions to the thread that replies to its client. It gives
-// the chunks in their order and the final decision after them all, whichever threads they
-// come from.
+// stream passes one request's decisions to the thread that replies to its client. Any thread
+// may put decisions; next returns the chunks in order and then the final decision.
 type stream struct {
-	mutex      sync.Mutex
-	chunks     map[int]auction.Decision
-	final      *auction.Decision
+	mutex sync.Mutex
+	// chunks holds the chunks that next has not returned yet, by number.
+	chunks map[int]auction.Decision
+	final  *auction.Decision
+	// sent is the number of the last chunk that next has returned.
 	sent       int
 	clientGone bool
 	cond       runtime.Cond
@@ -112,7 +123,7 @@
 	s.cond.Broadcast()
 }
 
-// markClientGone marks that the client is gone.
+// markClientGone records that the client has disconnected.
 func (s *stream) markClientGone() {
 	s.mutex.Lock()
 	s.clientGone = true
@@ -120,7 +131,7 @@
 	s.cond.Broadcast()
 }
 
-// ready tells whether there is anything to do for the thread that replies.
+// ready reports whether next has a decision to return or the client has disconnected.
 func (s *stream) ready() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,7 +145,7 @@
 	return s.clientGone
 }
 
-// next gives the next decision to send, if it is there.
+// next returns the next decision for the client, or false if it is not available yet.
 func (s *stream) next() (auction.Decision, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/dataplane/serverlist.go
+++ b/internal/dataplane/serverlist.go
@@ -11,36 +11,38 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// A router has the list of servers from the primary, and reads it itself while none comes. The
-// values are ours.
+// A router receives the list of servers from the primary. While the primary sends none, the
+// router reads the list from the platform directly.
 const (
-	// firstListTimeout is how long a router that has no list waits for the primary's.
+	// firstListTimeout is how long a router without a list waits for the primary's list.
 	firstListTimeout = 300 * time.Millisecond
-	// ownListInterval lies between two reads of its own, and up to ownListJitter more,
-	// so that the fleet does not read all at once.
-	ownListInterval = time.Second
-	ownListJitter   = 500 * time.Millisecond
-	// ownListPerEntry is the time for each router and listed server over which the reads of all routers are
-	// spread: each read takes a call for each page of the list, and the platform answers a few calls a second to
-	// all nodes together. The primary's reads must not fail for them.
-	ownListPerEntry = 500 * time.Microsecond
-	// unknownRouters is how many routers are taken to read until their number is known, unknownServers how many
-	// servers are taken to be listed until a list was read.
-	unknownRouters = 100
-	unknownServers = 50
-	// loadInterval lies between two reads of a server's load by a router itself.
+	// directReadInterval is the minimum pause between two direct reads of the list. The result of
+	// directReadSpread or a jitter below directReadJitter, whichever is larger, is added to it, so
+	// that the routers do not all read at the same time.
+	directReadInterval = time.Second
+	directReadJitter   = 500 * time.Millisecond
+	// directReadTimePerEntry, multiplied by the numbers of routers and of listed servers, is
+	// the time over which the direct reads of all routers are spread. A read takes one call
+	// for each page of the list, and the platform answers only a few calls per second to all
+	// nodes together. Direct reads must not make the primary's reads fail.
+	directReadTimePerEntry = 500 * time.Microsecond
+	// defaultRouterCount is the assumed number of routers while it is unknown.
+	defaultRouterCount = 100
+	// defaultServerCount is the assumed number of servers before a list was read.
+	defaultServerCount = 50
+	// loadInterval is the minimum time between two direct reads of a server's load.
 	loadInterval = 150 * time.Millisecond
 	loadTimeout  = 700 * time.Millisecond
 )
 
-// Servers is the list of servers as the router knows it.
+// Servers returns the router's current list of servers.
 func (r *Router) Servers() []membership.Server {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
 	return r.listing.Servers(r.runtime.Now())
 }
 
-// applyServers takes a list, read by a primary or by this router at the given time.
+// applyServers applies a list that a primary or this router read at the given time.
 func (r *Router) applyServers(at time.Time, servers []membership.Server) {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
@@ -58,66 +60,70 @@
 	r.watchLoads(listed)
 }
 
-// readList reads the list itself while none comes from a primary.
+// readList reads the list from the platform directly while no primary sends one.
 func (r *Router) readList() {
 	began := r.runtime.Now()
 	for reads := 0; r.runtime.Alive(); {
-		if left := r.listDue(began).Sub(r.runtime.Now()); left > 0 {
-			// Clocks are coarse: without a least sleep this would spin.
-			runtime.Sleep(r.runtime, max(left, time.Millisecond))
+		if remaining := r.directReadDue(began).Sub(r.runtime.Now()); remaining > 0 {
+			// Clocks are coarse: without a minimum sleep this loop could spin.
+			runtime.Sleep(r.runtime, max(remaining, time.Millisecond))
 			continue
 		}
-		asked := r.runtime.Now()
-		age := r.listAge(asked)
+		requestedAt := r.runtime.Now()
+		age := r.listAge(requestedAt)
 		servers, err := r.options.Directory.Servers()
 		if err == nil {
-			r.applyServers(asked, servers)
-			// The next primary is to send its list, whatever revision it has.
+			r.applyServers(requestedAt, servers)
+			// The next primary must send its complete list, even if its revision is the one that
+			// this router received last.
 			r.follower.ForgetList()
 		}
 		r.observe("list_read_directly", "servers", len(servers), "error", err,
-			"age", age.String(), "silence", r.silence(asked).String(), "took", r.runtime.Now().Sub(asked).String())
+			"age", age.String(), "silence", r.sincePrimaryResponse(requestedAt).String(), "took", r.runtime.Now().Sub(requestedAt).String())
 		reads++
-		runtime.Sleep(r.runtime, ownListInterval+max(ownListSpread(int(r.routers.Load()), len(r.Servers())), r.jitter(reads)))
+		runtime.Sleep(r.runtime, directReadInterval+max(directReadSpread(int(r.routers.Load()), len(r.Servers())), r.jitter(reads)))
 	}
 }
 
-// listDue is when the router is to read the list itself, if none comes until then.
-func (r *Router) listDue(began time.Time) time.Time {
+// directReadDue returns when the router must read the list directly unless a primary sends one
+// before. The router started at began.
+func (r *Router) directReadDue(began time.Time) time.Time {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
 	if at := r.listing.At(); !at.IsZero() {
-		spread := ownListSpread(int(r.routers.Load()), r.listing.Len())
-		return at.Add(discovery.ListTimeout + r.ownReadDelay(spread))
+		spread := directReadSpread(int(r.routers.Load()), r.listing.Len())
+		return at.Add(discovery.ListTimeout + r.directReadDelay(spread))
 	}
 	return began.Add(firstListTimeout + r.jitter(0))
 }
 
-// ownListSpread is the span over which the routers read a list themselves that grows old.
-func ownListSpread(routers, servers int) time.Duration {
+// directReadSpread returns the period over which the direct reads of all routers are spread.
+func directReadSpread(routers, servers int) time.Duration {
 	if routers == 0 {
-		routers = unknownRouters
+		routers = defaultRouterCount
 	}
 	if servers == 0 {
-		servers = unknownServers
+		servers = defaultServerCount
 	}
-	return max(ownListJitter/4, time.Duration(routers*servers)*ownListPerEntry)
+	return max(directReadJitter/4, time.Duration(routers*servers)*directReadTimePerEntry)
 }
 
-// ownReadDelay is this router's place in a span over which the routers' reads are spread.
-func (r *Router) ownReadDelay(spread time.Duration) time.Duration {
+// directReadDelay returns the delay of this router's direct read within the period over which the
+// direct reads of all routers are spread. The delay is derived from a hash of the router's name.
+func (r *Router) directReadDelay(spread time.Duration) time.Duration {
 	return time.Duration(membership.Weight("own read", r.options.Router) % uint64(spread))
 }
 
-// silence is the time since the primary's last response; zero if there was none.
-func (r *Router) silence(now time.Time) time.Duration {
-	if heard := r.Heard(); !heard.IsZero() {
-		return now.Sub(heard)
+// sincePrimaryResponse returns the time since the primary's last response; zero if there was
+// none.
+func (r *Router) sincePrimaryResponse(now time.Time) time.Duration {
+	if respondedAt := r.LastUpdateAt(); !respondedAt.IsZero() {
+		return now.Sub(respondedAt)
 	}
 	return 0
 }
 
-// listAge is how old the list is; zero if there is none.
+// listAge returns the age of the list; zero if there is no list.
 func (r *Router) listAge(now time.Time) time.Duration {
 	r.listMutex.Lock()
 	defer r.listMutex.Unlock()
@@ -127,12 +133,13 @@
 	return now.Sub(r.listing.At())
 }
 
-// jitter is a length of time that differs from router to router.
+// jitter returns a time below directReadJitter that is derived from a hash of the router's name
+// and the number of its direct reads, so that it differs between routers and between reads.
 func (r *Router) jitter(reads int) time.Duration {
-	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), r.options.Router) % uint64(ownListJitter))
+	return time.Duration(membership.Weight("read "+strconv.Itoa(reads), r.options.Router) % uint64(directReadJitter))
 }
 
-// readNodes reads the platform's list of nodes, where there is one.
+// readNodes reads the platform's list of nodes regularly. It returns if the platform has no such list.
 func (r *Router) readNodes() {
 	for r.runtime.Alive() {
 		nodes, err := r.options.Directory.Nodes()
@@ -146,8 +153,8 @@
 	}
 }
 
-// watchLoads has each listed server's load read for the auction of requests. The caller has
-// listMutex.
+// watchLoads starts reading the load of each newly listed server, for the auction of requests,
+// and stops reading the loads of servers that are no longer listed. The caller must hold listMutex.
 func (r *Router) watchLoads(servers []membership.Server) {
 	if r.options.LoadReader == nil {
 		return
@@ -168,7 +175,7 @@
 	}
 }
 
-// watchLoad reads one server's load until it is listed no more.
+// watchLoad reads one server's load until the server is no longer listed.
 func (r *Router) watchLoad(key string, server membership.Server) {
 	watched := func() bool {
 		r.listMutex.Lock()
@@ -181,8 +188,8 @@
 		if err == nil && load.Server == server.Name {
 			r.Apply(auction.Event{Kind: auction.LoadReported, Load: &load})
 		}
-		if left := loadInterval - r.runtime.Now().Sub(began); left > 0 {
-			runtime.Sleep(r.runtime, left)
+		if remaining := loadInterval - r.runtime.Now().Sub(began); remaining > 0 {
+			runtime.Sleep(r.runtime, remaining)
 		}
 	}
 }
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -10,38 +10,46 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// UpdateKind is what an update brings, among those whose ages are observed apart.
+// UpdateKind is a kind of update for which Options.ObserveAge receives the age.
 type UpdateKind string
 
 const (
-	// ServersUpdated is the list of servers, new or confirmed; its age counts from when the
-	// platform was asked for it.
+	// ServersUpdated is a new or confirmed list of servers; its age is the time since the list was
+	// requested from the platform.
 	ServersUpdated UpdateKind = "servers"
-	// LoadsUpdated is a round of load reports; its age counts from the end of the round.
+	// LoadsUpdated is a set of load reports; its age is the time since the end of the poll cycle in
+	// which they were read.
 	LoadsUpdated UpdateKind = "loads"
-	// ConfigurationUpdated is a configuration; its age counts from the primary's response.
+	// ConfigurationUpdated is a configuration; its age is the time since the router sent the request,
+	// without the time for which the primary held the request back.
 	ConfigurationUpdated UpdateKind = "configuration"
 )
 
-// UpdateKinds are all kinds of updates whose ages are observed.
+// UpdateKinds lists all kinds of updates for which ages are observed.
 var UpdateKinds = []UpdateKind{ServersUpdated, LoadsUpdated, ConfigurationUpdated}
 
-// observeAge observes how old something is that is applied now.
+// observeAge reports the age of an update that is applied now.
 func (r *Router) observeAge(kind UpdateKind, since time.Time) {
 	if r.options.ObserveAge != nil {
 		r.options.ObserveAge(kind, r.runtime.Now().Sub(since))
 	}
 }
 
-// applyUpdate applies an update of the follower. The configuration is put in force before the
-// lease that confirms it is used: under a lease nothing is admitted by an older version.
+// applyUpdate applies an update from the follower. It puts the configuration in force before
+// it renews the lease that confirms the configuration, so that no request is admitted under a
+// lease by an older version.
 func (r *Router) applyUpdate(update follower.Update) {
 	if update.Provisional {
 		r.applyProvisional(update)
 		return
 	}
 	if section, found := update.Changed[replication.ConfigurationSection]; found {
-		r.Apply(auction.Event{Kind: auction.ConfigurationReceived, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+		r.Apply(auction.Event{
+			Kind:          auction.ConfigurationReceived,
+			Configuration: section.Content,
+			Epoch:         section.Version.Epoch,
+			Number:        section.Version.Number,
+		})
 		r.observeConfiguration(section.Version)
 		r.observeAge(ConfigurationUpdated, update.RequestedAt.Add(update.Response.Waited))
 	}
@@ -60,14 +68,20 @@
 	r.applyMembers(update, state)
 	r.applyLists(update)
 	if update.Response.Lease > 0 {
-		r.Apply(auction.Event{Kind: auction.LeaseRenewed, LeaseEnds: update.RequestedAt.Add(update.Response.Lease), Epoch: update.Response.Configuration.Epoch,
-			Number: update.Response.Configuration.Number, Roles: update.Response.Roles})
+		r.Apply(auction.Event{
+			Kind:      auction.LeaseRenewed,
+			LeaseEnds: update.RequestedAt.Add(update.Response.Lease),
+			Epoch:     update.Response.Configuration.Epoch,
+			Number:    update.Response.Configuration.Number,
+			Roles:     update.Response.Roles,
+		})
 		r.updateServing()
 		r.wakeTicker()
 	}
 }
 
-// observeConfiguration logs whether a configuration that came is in force, or this build could not read it.
+// observeConfiguration logs whether a received configuration is in force, or was rejected
+// because this build could not read it.
 func (r *Router) observeConfiguration(version replication.Version) {
 	if inForce := r.InForce(); inForce != version {
 		r.observe("configuration_rejected", "version", version.String(), "in_force", inForce.String())
@@ -76,8 +90,9 @@
 	r.observe("configuration_in_force", "version", version.String())
 }
 
-// applyProvisional serves by a copy's configuration, before there is a primary. The flags by
-// which the configuration is read come first. It gives no lease and allows no role.
+// applyProvisional puts a replica's configuration in force before a primary has confirmed one.
+// It applies the feature flags first, because the configuration is parsed according to them.
+// It grants no lease and no roles.
 func (r *Router) applyProvisional(update follower.Update) {
 	state, err := replication.ReadState(update.Changed)
 	if err != nil {
@@ -88,13 +103,18 @@
 	r.applyMembers(update, state)
 	r.applyLists(update)
 	section := update.Changed[replication.ConfigurationSection]
-	r.Apply(auction.Event{Kind: auction.ConfigurationProvisional, Configuration: section.Content, Epoch: section.Version.Epoch, Number: section.Version.Number})
+	r.Apply(auction.Event{
+		Kind:          auction.ConfigurationProvisional,
+		Configuration: section.Content,
+		Epoch:         section.Version.Epoch,
+		Number:        section.Version.Number,
+	})
 	r.updateServing()
 	r.wakeTicker()
 	r.observe("configuration_provisional", "version", section.Version.String())
 }
 
-// applyMembers takes the recorded members, if they changed.
+// applyMembers applies the recorded members, if they changed.
 func (r *Router) applyMembers(update follower.Update, state *replication.State) {
 	if _, found := update.Changed[replication.MembersSection]; !found {
 		return
@@ -102,19 +122,21 @@
 	r.mutex.Lock()
 	r.members = state.Members
 	r.mutex.Unlock()
-	if r.countOwners != nil {
-		r.countOwners.SetMembers(state.Members)
+	if r.backlogCounts != nil {
+		r.backlogCounts.SetMembers(state.Members)
 	}
 	names := membership.RouterNames(state.Members)
 	r.core.Calls().SetRouters(names)
 	if update.Response.Routers == 0 {
-		// There is no count in the response: it is an older release's primary's, or a copy's.
+		// The response has no count of routers: it is from a primary of an older release, or
+		// from a replica.
 		r.Apply(auction.Event{Kind: auction.RoutersCounted, Number: uint64(len(names))})
 	}
 	r.setContacts()
 }
 
-// applyLists takes the list of servers, their loads, and the number of routers that share them.
+// applyLists applies the number of routers, the list of servers and the servers' loads, if the
+// update contains them.
 func (r *Router) applyLists(update follower.Update) {
 	if count := update.Response.Routers; count > 0 {
 		r.routers.Store(int64(count))
@@ -131,7 +153,7 @@
 	}
 }
 
-// setNodes takes the platform's list of nodes.
+// setNodes replaces the platform's list of nodes.
 func (r *Router) setNodes(nodes []membership.Node) {
 	r.mutex.Lock()
 	r.nodes = nodes
@@ -139,8 +161,8 @@
 	r.setContacts()
 }
 
-// setContacts gives the follower the controllers that the platform lists or that are recorded,
-// and the neighbours and the other routers, the nearest first by rendezvous hashing.
+// setContacts passes the follower its contacts: the controllers that the platform lists or that are
+// recorded, the configured neighbours, and the other routers in the order of rankedPeers.
 func (r *Router) setContacts() {
 	r.mutex.Lock()
 	var contacts []string
@@ -162,19 +184,19 @@
 	}
 	r.mutex.Unlock()
 	peers := slices.Clone(r.options.Neighbours)
-	for _, member := range r.nearest(len(names)) {
+	for _, member := range r.rankedPeers(len(names)) {
 		peers = append(peers, member.Address)
 	}
 	r.follower.SetContacts(contacts, peers)
 }
 
-// nearest are the other recorded routers, by rendezvous hashing, at most limit of them.
-func (r *Router) nearest(limit int) []membership.Member {
+// rankedPeers returns at most limit other recorded routers: the first ones in the order of rendezvous hashing.
+func (r *Router) rankedPeers(limit int) []membership.Member {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	names := membership.RouterNames(r.members)
 	var members []membership.Member
-	for _, name := range membership.Neighbours(r.options.Router, names, limit) {
+	for _, name := range membership.NearestPeers(r.options.Router, names, limit) {
 		members = append(members, r.members[name])
 	}
 	return members
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -1,6 +1,7 @@
-// Package discovery is the port to the platform's lists of servers and nodes. The control plane
-// reads them for the whole fleet; a router does so itself only when it has had no list from a
-// primary for ListTimeout.
+// Package discovery defines the port to the platform's lists of servers and nodes. The control
+// plane reads the list of servers for the whole fleet; a router reads it directly only if it has
+// received no list from a controller for ListTimeout, or none shortly after its start. Controllers
+// and routers each read the list of nodes.
 package discovery
 
 import (
@@ -9,17 +10,20 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// How the lists are read. The values are ours.
+// When the lists are read.
 const (
-	// ListTimeout is how old a router's list of servers may be before it reads the list itself.
+	// ListTimeout is the age of its list of servers after which a router reads the list directly
+	// from the platform. Each router adds a delay of its own, so that the routers do not all read
+	// at the same time. A controller that reads the list for routers that have found no primary
+	// does not send them one that has reached this age.
 	ListTimeout = 1500 * time.Millisecond
-	// NodesInterval lies between two reads of the list of nodes.
+	// NodesInterval is the pause between two reads of the list of nodes.
 	NodesInterval = 500 * time.Millisecond
 )
 
-// Directory is the port to the platform's lists. A call ends by itself within a
-// second. Where there is no list of nodes, Nodes fails with failure.NoSuch and is
-// not called again.
+// Directory reads the platform's lists. The callers set no deadline, so an implementation must limit
+// each request to the platform to one second; a list may take one request per page. If the platform
+// has no list of nodes, Nodes fails with failure.NoSuch and is not called again.
 type Directory interface {
 	Servers() ([]membership.Server, error)
 	Nodes() ([]membership.Node, error)
--- a/internal/failure/code.go
+++ b/internal/failure/code.go
@@ -1,106 +1,106 @@
 package failure
 
-// Code says what went wrong, so that programs can act on it. Its text stands as "type" in
-// JSON answers, reply lines and messages between nodes, and never changes.
+// Code classifies an error so that programs can act on it. Its text is the value of "type" in
+// JSON responses, reply lines and messages between nodes, and never changes.
 type Code string
 
 // Codes of disks, messages and reachability.
 const (
-	// Unsorted stands for every error without a code of its own.
-	Unsorted Code = "unsorted"
+	// Unclassified is the code of every error that has no code of its own.
+	Unclassified Code = "unsorted"
 	// Disk: the file system refused a read, a write or a sync.
 	Disk Code = "disk"
 	// Damaged: a file of the replica is missing or its checksum is wrong.
 	Damaged Code = "damaged"
-	// Garbage: bytes that this build can't decode, or a value that it can't encode.
+	// Garbage: bytes that this build cannot decode, or a value that it cannot encode.
 	Garbage Code = "garbage"
-	// Oversize: a message or configuration above the largest size.
+	// Oversize: a message or configuration larger than the maximum size.
 	Oversize Code = "oversize"
-	// Unreachable: the other node did not respond, or not to the end.
+	// Unreachable: the other node did not respond, or its response was cut off.
 	Unreachable Code = "unreachable"
 )
 
 // Codes of the replicated state and its election.
 const (
-	// NoPrimary: no primary with a running lease is known, or its state is not ready yet.
+	// NoPrimary: no primary with an unexpired lease is known, or its state is not ready yet.
 	NoPrimary Code = "no_primary"
-	// NotPrimary: the asked controller is not primary; the change was not accepted.
+	// NotPrimary: the controller that received the request is not the primary; the change was not accepted.
 	NotPrimary Code = "not_primary"
 	// Deposed: a newer membership has another primary.
 	Deposed Code = "deposed"
-	// Behind: the batch or snapshot does not follow the replica's version.
+	// Behind: the batch or snapshot does not continue from the replica's version.
 	Behind Code = "behind"
 	// NotAdmitted: the identity is not, or no longer, part of the membership.
 	NotAdmitted Code = "not_admitted"
-	// LeaseActive: another's lease still runs, or the node is still alive.
+	// LeaseActive: the lease of another node has not expired, or the node is still alive.
 	LeaseActive Code = "hold_active"
-	// OldEpoch: a higher epoch has been promised.
+	// OldEpoch: the replica has already promised a higher epoch.
 	OldEpoch Code = "old_epoch"
-	// Unknown: the change may or may not be in force; ask again under the same id.
-	Unknown Code = "outcome_unknown"
+	// OutcomeUnknown: the change may or may not have taken effect; retry with the same id.
+	OutcomeUnknown Code = "outcome_unknown"
 	// VersionConflict: the configuration is not at the expected version.
 	VersionConflict Code = "version_conflict"
-	// LateOrder: the order came on a connection older than what it would change; send it again on a
-	// new one.
+	// LateOrder: the order arrived on a connection older than the state that it would change; send it again
+	// on a new connection.
 	LateOrder Code = "late_order"
 	// RevisionConflict: the configuration is not at the expected revision.
 	RevisionConflict Code = "revision_conflict"
 	// ConfigurationMoved: the configuration changed while an edit of it was prepared.
 	ConfigurationMoved Code = "configuration_moved"
-	// NoLease: the router's lease on the configuration has run out.
+	// NoLease: the router's lease on the configuration has expired.
 	NoLease Code = "no_hold"
 	// Restricted: the node lacks a feature flag that is enabled.
 	Restricted Code = "restricted"
-	// Duplicate: the id is taken already by another request or change.
+	// Duplicate: another request or change already uses the id.
 	Duplicate Code = "duplicate_inquiry"
-	// TooOld: the request's id is from before the horizon of remembered ids.
+	// TooOld: the request's id is older than the oldest ids that are still stored.
 	TooOld Code = "inquiry_too_old"
 	// TooNew: the request's id is from the future.
 	TooNew Code = "inquiry_from_the_future"
-	// NotHolder: the fencing token is not that of the role's present holder.
-	NotHolder Code = "not_holder"
-	// NoSuch: the named thing does not exist.
+	// NotLeaseHolder: the fencing token does not belong to the current holder of the singleton role.
+	NotLeaseHolder Code = "not_holder"
+	// NoSuch: the object that the request names does not exist.
 	NoSuch Code = "no_such"
 )
 
-// Codes of checks; the error's Path names the value.
+// Codes of validation errors; the error's Path locates the value.
 const (
-	// Malformed: not the syntax that was expected.
+	// Malformed: the syntax is not the expected one.
 	Malformed Code = "malformed"
-	// WrongType: a value of another type was expected.
+	// WrongType: the value does not have the expected type.
 	WrongType Code = "wrong_type"
-	// UnknownField: no such field or setting.
+	// UnknownField: the field or setting does not exist.
 	UnknownField Code = "unknown_field"
-	// Missing: a field that must be given is not.
+	// Missing: a required field is absent.
 	Missing Code = "missing"
-	// OutOfRange: the value is outside what is allowed.
+	// OutOfRange: the value is outside the allowed range.
 	OutOfRange Code = "out_of_range"
-	// Contradictory: two values that exclude each other, or a reference to nothing.
+	// Contradictory: two values exclude each other, or a reference names an object that does not exist.
 	Contradictory Code = "contradictory"
 )
 
 // Codes of the outcome of a request at a router.
 const (
-	// UnknownService: no such service is configured.
+	// UnknownService: the requested service is not configured.
 	UnknownService Code = "unknown_service"
 	// NoRoute: no route matches the request.
 	NoRoute Code = "no_route"
-	// RouteRefuses: the matching route refuses requests.
+	// RouteRefuses: the matching route is configured to reject all requests.
 	RouteRefuses Code = "route_refuses"
 	// Evacuated: every zone that the route names is evacuated.
 	Evacuated Code = "every_district_evacuated"
-	// Busy: no capacity now; ask again later.
+	// Busy: there is no capacity now; retry later.
 	Busy Code = "busy"
-	// NotSupported: a recorded member lacks a flag that the change needs; ask again later.
+	// NotSupported: a recorded member lacks a flag that the change needs; retry later.
 	NotSupported Code = "not_supported"
 	// ServerFailed: the model server failed the request.
 	ServerFailed Code = "server_failed"
-	// BudgetSpent: the retry budget is used up.
+	// BudgetSpent: the retry budget is exhausted.
 	BudgetSpent Code = "extra_tries_spent"
 	// DeadlinePassed: the request's deadline has passed.
 	DeadlinePassed Code = "limit_passed"
-	// ClientLeft: the client closed its connection.
-	ClientLeft Code = "origin_left"
+	// ClientDisconnected: the client closed its connection.
+	ClientDisconnected Code = "origin_left"
 	// Draining: the router is shutting down.
 	Draining Code = "draining"
 )
--- a/internal/failure/error_test.go
+++ b/internal/failure/error_test.go
@@ -15,14 +15,14 @@
 	// true false
 }
 
-// TestWrapKeepsTheFirstCode wraps errors with and without a code.
+// TestWrapKeepsTheFirstCode checks that Wrap assigns its code only to errors that have none.
 func TestWrapKeepsTheFirstCode(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		cause error
 		code  Code
 	}{
-		{"nothing", nil, Unsorted},
+		{"nil", nil, Unclassified},
 		{"no code", stderrors.New("x"), Disk},
 		{"a code", New(Busy, "x"), Busy},
 		{"a wrapped code", fmt.Errorf("y: %w", At(Missing, "/a", "x")), Missing},
@@ -30,16 +30,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			err := Wrap(Disk, test.cause)
 			if (err == nil) != (test.cause == nil) {
-				t.Fatalf("%v became %v", test.cause, err)
+				t.Fatalf("Wrap(%v) = %v, want nil only for a nil cause", test.cause, err)
 			}
 			if got := CodeOf(err); got != test.code {
-				t.Errorf("code %s, not %s", got, test.code)
+				t.Errorf("got code %s, want %s", got, test.code)
 			}
 			if err != nil && !stderrors.Is(err, &Error{Code: test.code}) {
-				t.Errorf("%v is not an error of code %s", err, test.code)
+				t.Errorf("errors.Is(%v, code %s) = false, want true", err, test.code)
 			}
 			if stderrors.Is(err, &Error{Code: test.code, Detail: "another"}) {
-				t.Errorf("%v matches an error with another detail", err)
+				t.Errorf("errors.Is(%v) = true for a target with another detail, want false", err)
 			}
 		})
 	}
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -3,9 +3,9 @@
 import "fmt"
 
 func ExampleSupported() {
-	older := Supported(List{OrderPatience})
+	older := Supported(List{OrderGracePeriod})
 	fmt.Println(older)
-	fmt.Println(older.Lacks(List{OrderPatience, PairPrice}))
+	fmt.Println(older.Missing(List{OrderGracePeriod, PairPrice}))
 	// Output:
 	// [backup_list change_sections pair_price tenants]
 	// [order_patience]
--- a/internal/follower/ask.go
+++ b/internal/follower/ask.go
@@ -11,22 +11,22 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// leaderResponse is what all responses of controllers have in common.
+// leaderResponse holds the fields that all responses of controllers contain.
 type leaderResponse struct {
 	Leads      bool                   `msgpack:"leads"`
 	Membership replication.Membership `msgpack:"charter"`
 }
 
-// Ask sends a request to the primary, wherever it is, or through another router if it can't be
-// reached. The response must say whether its sender leads. Each address has the timeout; all
-// calls together end by the deadline, if it is not zero. Errors are the primary's own, or
-// Unreachable, Garbage or NoPrimary when no primary responded.
-func (f *Follower) Ask(path string, request, response any, timeout time.Duration, deadline time.Time) error {
+// AskPrimary finds the primary and sends it a request, through another router if this node cannot reach the
+// primary. The response type must contain the fields of leaderResponse. The timeout applies to each
+// address; all calls together end by the deadline, if it is not zero. An error comes from the primary, or
+// has the code Unreachable, Garbage or NoPrimary if no primary responded.
+func (f *Follower) AskPrimary(path string, request, response any, timeout time.Duration, deadline time.Time) error {
 	body, err := msgpack.Marshal(request)
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
-	reply, err := f.AskRaw(path, body, timeout, deadline)
+	reply, err := f.AskPrimaryRaw(path, body, timeout, deadline)
 	if err != nil && noPrimaryReached(err) {
 		reply, err = f.askThroughPeers(path, body, timeout, deadline)
 	}
@@ -36,8 +36,8 @@
 	return failure.Wrap(failure.Garbage, msgpack.Unmarshal(reply, response))
 }
 
-// noPrimaryReached tells whether an error says only that no primary responded, and is not the
-// primary's own.
+// noPrimaryReached reports whether an error means that no primary responded, as opposed to an error
+// that the primary returned.
 func noPrimaryReached(err error) bool {
 	switch failure.CodeOf(err) {
 	case failure.Unreachable, failure.Garbage, failure.NoPrimary:
@@ -46,11 +46,12 @@
 	return false
 }
 
-// AskRaw sends an encoded request to the primary, not through other routers. It follows the
-// memberships in the responses, and asks no address twice.
-func (f *Follower) AskRaw(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
+// AskPrimaryRaw finds the primary and sends it an encoded request, without a relay. If a controller that is not
+// primary responds, AskPrimaryRaw next asks the primary of the membership in that response. It asks each address
+// at most once.
+func (f *Follower) AskPrimaryRaw(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
 	asked := map[string]bool{}
-	var last error = failure.New(failure.NoPrimary, "no expediter is known")
+	var last error = failure.New(failure.NoPrimary, "no controller is known")
 	for _, address := range f.candidates() {
 		for address != "" && !asked[address] && f.runtime.Alive() && f.remaining(timeout, deadline) > 0 {
 			asked[address] = true
@@ -72,17 +73,18 @@
 			if response.Leads {
 				return reply, nil
 			}
-			last = failure.New(failure.NoPrimary, "no expediter leads")
+			last = failure.New(failure.NoPrimary, "no controller is primary")
 			address = response.Membership.Primary.Address
 		}
 	}
 	return nil, last
 }
 
-// LearnMembership takes a membership that came with another message, if it is newer than the one known.
+// LearnMembership stores a membership from a message that the Follower did not receive itself, if it is
+// newer than the known one.
 func (f *Follower) LearnMembership(membership replication.Membership) { f.learnMembership(membership) }
 
-// learnMembership takes a membership that is newer than the one known.
+// learnMembership stores a membership if it is newer than the known one.
 func (f *Follower) learnMembership(membership replication.Membership) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -91,7 +93,7 @@
 	}
 }
 
-// learn takes from a response whether its sender is the primary, and the membership.
+// learn stores the membership from a response, and whether the sender at the address is the primary.
 func (f *Follower) learn(address string, response leaderResponse) {
 	f.learnMembership(response.Membership)
 	f.mutex.Lock()
@@ -104,7 +106,8 @@
 	}
 }
 
-// forget marks an address that did not respond.
+// forget marks an address as unreachable. If it is the address of the known primary, no primary is
+// known from then on.
 func (f *Follower) forget(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -114,7 +117,7 @@
 	}
 }
 
-// candidates are the addresses that may be the primary's, the likeliest first.
+// candidates returns the addresses at which the primary may be, the most likely first.
 func (f *Follower) candidates() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -127,19 +130,21 @@
 	}
 	candidates = append(candidates, f.seeds...)
 	candidates = append(candidates, f.contacts...)
-	// Addresses that did not respond lately are asked after all others.
+	// Addresses that did not respond recently are asked after all others.
 	sort.SliceStable(candidates, func(left, right int) bool {
 		return !f.isUnreachable(candidates[left]) && f.isUnreachable(candidates[right])
 	})
 	return candidates
 }
 
+// isUnreachable reports whether the address failed to respond within the last unreachableTTL. The caller
+// holds the mutex.
 func (f *Follower) isUnreachable(address string) bool {
 	since, found := f.unreachable[address]
 	return found && f.runtime.Now().Sub(since) < unreachableTTL
 }
 
-// remaining is the timeout of a call, cut short by the deadline if there is one.
+// remaining returns the timeout of a call, limited by the deadline if that is not zero.
 func (f *Follower) remaining(timeout time.Duration, deadline time.Time) time.Duration {
 	if deadline.IsZero() {
 		return timeout
@@ -147,18 +152,21 @@
 	return min(timeout, deadline.Sub(f.runtime.Now()))
 }
 
-// askThroughPeers has the nearest routers relay an encoded request, one after another.
+// askThroughPeers sends an encoded request to the first MaxPeersTried peers, one after another, until
+// one of them relays it to the primary.
 func (f *Follower) askThroughPeers(path string, body []byte, timeout time.Duration, deadline time.Time) ([]byte, error) {
 	f.mutex.Lock()
-	relays := append([]string(nil), f.peers[:min(Neighbours, len(f.peers))]...)
+	relays := append([]string(nil), f.peers[:min(MaxPeersTried, len(f.peers))]...)
 	f.mutex.Unlock()
-	var last error = failure.New(failure.NoPrimary, "no neighbour is known")
+	var last error = failure.New(failure.NoPrimary, "no router is known that could relay the request")
 	for _, address := range relays {
 		if f.remaining(timeout, deadline) <= 0 {
 			break
 		}
 		var reply []byte
-		err := wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: path, Body: body}, &reply, f.remaining(timeout+200*time.Millisecond, deadline))
+		// The additional 200 ms are for the hop from the relaying router to the primary.
+		err := wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: path, Body: body}, &reply,
+			f.remaining(timeout+200*time.Millisecond, deadline))
 		if err == nil || !noPrimaryReached(err) {
 			return reply, err
 		}
@@ -167,13 +175,13 @@
 	return nil, last
 }
 
-// Relay sends another node's request on to the primary that this node knows. It fails with
-// NoSuch for a path that is not relayed and NoPrimary if this node knows no primary.
+// Relay forwards another node's request to the primary that this node knows. It fails with NoSuch for a
+// path that is not relayed, and with NoPrimary if this node knows no primary.
 func (f *Follower) Relay(request wire.RelayRequest) ([]byte, error) {
 	switch request.Path {
 	case wire.UpdatesPath, wire.ClaimPath, wire.OrdersPath:
 	default:
-		return nil, failure.New(failure.NoSuch, "no such path to relay: "+request.Path)
+		return nil, failure.New(failure.NoSuch, "this path is not relayed: "+request.Path)
 	}
 	address, known := f.knownPrimary()
 	if !known {
@@ -189,7 +197,7 @@
 	}
 	f.learn(address, response)
 	if !response.Leads {
-		return nil, failure.New(failure.NoPrimary, "the primary that this node knew leads no more")
+		return nil, failure.New(failure.NoPrimary, "the controller that this node knew as primary is no longer primary")
 	}
 	return reply, nil
 }
--- a/internal/follower/changes_test.go
+++ b/internal/follower/changes_test.go
@@ -13,21 +13,22 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// listSource is a primary's list with all of its revisions.
+// listSource simulates the list of servers and the load reports of a primary. sent and reports hold
+// the list and the reports of each revision, including those of earlier primaries.
 type listSource struct {
 	epoch   uint64
 	list    membership.ServerList
 	sent    map[uint64][]membership.Server
 	reports map[uint64][]wire.LoadReport
-	round   uint64
+	cycle   uint64
 }
 
 func (s *listSource) revision(count uint64) uint64 { return s.epoch<<32 | count }
 
-// change replaces some servers and has a round of reports.
+// change replaces the list and the reports by random ones and advances the poll cycle.
 func (s *listSource) change(random *rand.Rand, now time.Time) {
 	var servers []membership.Server
-	s.round++
+	s.cycle++
 	var reports []wire.LoadReport
 	for number := range 10 {
 		if name := fmt.Sprintf("server-%d", number); random.Intn(4) > 0 {
@@ -37,10 +38,11 @@
 	}
 	s.list.Update(now, servers)
 	s.sent[s.revision(s.list.Changes())] = s.list.Servers(now)
-	s.reports[s.revision(s.round)] = reports
+	s.reports[s.revision(s.cycle)] = reports
 }
 
-// respond answers a request as a primary does, complete or with changes.
+// respond returns the primary's response to a request. It contains the changes since the node's revisions, or the
+// complete lists if complete is set or the changes aren't known. It leaves out a list of servers that the node has.
 func (s *listSource) respond(now time.Time, request wire.UpdateRequest, complete bool) wire.UpdateResponse {
 	current := s.revision(s.list.Changes())
 	servers := &wire.ServersUpdate{Revision: current}
@@ -52,8 +54,8 @@
 	default:
 		servers.Sent, servers.Servers = true, s.list.Servers(now)
 	}
-	newest := s.reports[s.revision(s.round)]
-	loads := &wire.LoadsUpdate{Revision: s.revision(s.round)}
+	newest := s.reports[s.revision(s.cycle)]
+	loads := &wire.LoadsUpdate{Revision: s.revision(s.cycle)}
 	if base, found := s.reports[request.LoadsRevision]; found && !complete {
 		changes := wire.NewLoadChanges(request.LoadsRevision, base, newest)
 		loads.Changes = &changes
@@ -63,15 +65,16 @@
 	return wire.UpdateResponse{Leads: true, Servers: servers, Loads: loads}
 }
 
-// TestServersComeNotBackByOlderChanges has responses lost, repeated and late, from changing
-// primaries, and wants the list and the reports to be those of the revision that the node names,
-// and of the newest after each request that was answered.
-func TestServersComeNotBackByOlderChanges(t *testing.T) {
+// TestOlderChangesDoNotRestoreRemovedServers loses, repeats and delays responses of primaries that take
+// over from each other. The node's list and reports must always equal those of the revision that its
+// requests contain. After the last requests were answered, they must equal those of the newest revision.
+func TestOlderChangesDoNotRestoreRemovedServers(t *testing.T) {
 	for seed := range int64(100) {
 		random := rand.New(rand.NewSource(seed))
-		rt := &runtimetest.Moving{Time: runtimetest.AtNoon(0)}
+		rt := &runtimetest.Moving{Time: runtimetest.AfterStart(0)}
 		var applied Update
-		follower := New(rt, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { applied = update })
+		follower := New(rt, nil, membership.Member{}, nil,
+			func() replication.Version { return replication.Version{} }, func(update Update) { applied = update })
 		follower.Follow(true, true)
 		source := &listSource{epoch: 1, sent: map[uint64][]membership.Server{}, reports: map[uint64][]wire.LoadReport{}}
 		sent, reports := source.sent, source.reports
@@ -90,7 +93,7 @@
 			}
 			request, _ := follower.pollRequest()
 			if !request.AcceptChanges {
-				t.Fatal("changes are not accepted")
+				t.Fatal("the request does not accept changes")
 			}
 			response := source.respond(rt.Time, request, random.Intn(8) == 0)
 			responses = append(responses, response)
@@ -98,50 +101,53 @@
 			case 0:
 				continue
 			case 1:
-				// A late response comes, or one again.
+				// An earlier response arrives late or a second time.
 				response = responses[random.Intn(len(responses))]
 			}
 			follower.Apply(rt.Time, response)
 			if applied.Servers != nil && !reflect.DeepEqual(applied.Servers.Servers, sent[follower.serversRevision]) {
-				t.Fatalf("seed %d: the list of revision %x is\n%+v\nwant\n%+v", seed, follower.serversRevision, applied.Servers.Servers, sent[follower.serversRevision])
+				t.Fatalf("seed %d: the list of revision %x: got\n%+v\nwant\n%+v", seed, follower.serversRevision,
+					applied.Servers.Servers, sent[follower.serversRevision])
 			}
 			if follower.loadsRevision != 0 && len(follower.reports)+len(reports[follower.loadsRevision]) > 0 &&
 				!reflect.DeepEqual(follower.reports, reports[follower.loadsRevision]) {
-				t.Fatalf("seed %d: the reports are not those of their round", seed)
+				t.Fatalf("seed %d: the reports differ from those of their revision", seed)
 			}
 		}
 		for range 2 {
-			// The second request may ask for all, after changes that did not fit.
+			// After changes that did not fit, the second request asks for the complete lists.
 			request, _ := follower.pollRequest()
 			follower.Apply(rt.Time, source.respond(rt.Time, request, false))
 		}
 		if !reflect.DeepEqual(applied.Servers.Servers, source.list.Servers(rt.Time)) {
-			t.Fatalf("seed %d: the last list is not the newest", seed)
+			t.Fatalf("seed %d: after the last response the list differs from the newest list", seed)
 		}
 	}
 }
 
-// TestColdServersAreNotTakenForWarmTooEarly wants a server to warm up for as long as the primary
-// says, however old its list is, from the whole list and from changes.
-func TestColdServersAreNotTakenForWarmTooEarly(t *testing.T) {
+// TestWarmingServersDoNotCountAsWarmTooEarly expects that a server counts as warming up for the remaining
+// time that the response contains, regardless of the age of the list. This must hold for a complete list,
+// for changes and for a confirmation.
+func TestWarmingServersDoNotCountAsWarmTooEarly(t *testing.T) {
 	const age, left = 700 * time.Millisecond, 2 * time.Second
-	rt := &runtimetest.Moving{Time: runtimetest.AtNoon(0)}
+	rt := &runtimetest.Moving{Time: runtimetest.AfterStart(0)}
 	var applied Update
-	follower := New(rt, nil, membership.Member{}, nil, func() replication.Version { return replication.Version{} }, func(update Update) { applied = update })
+	follower := New(rt, nil, membership.Member{}, nil,
+		func() replication.Version { return replication.Version{} }, func(update Update) { applied = update })
 	follower.Follow(true, false)
-	cold := []membership.Server{{Name: "server-a", Warming: left}}
+	warming := []membership.Server{{Name: "server-a", Warming: left}}
 	for _, row := range []struct {
 		name    string
 		servers wire.ServersUpdate
 	}{
-		{"a whole list", wire.ServersUpdate{Revision: 5, Age: age, Sent: true, Servers: cold}},
-		{"changes", wire.ServersUpdate{Revision: 6, Age: age, Changes: &wire.ServerChanges{Base: 5, Changed: cold}}},
+		{"a complete list", wire.ServersUpdate{Revision: 5, Age: age, Sent: true, Servers: warming}},
+		{"changes", wire.ServersUpdate{Revision: 6, Age: age, Changes: &wire.ServerChanges{Base: 5, Changed: warming}}},
 		{"a confirmation", wire.ServersUpdate{Revision: 6, Age: age}},
 	} {
 		follower.Apply(rt.Time, wire.UpdateResponse{Leads: true, Servers: &row.servers})
 		warm := applied.Servers.ReadAt.Add(applied.Servers.Servers[0].Warming)
 		if !warm.Equal(rt.Time.Add(left)) {
-			t.Errorf("%s: warm after %v, the primary said %v", row.name, warm.Sub(rt.Time), left)
+			t.Errorf("%s: remaining warm-up time: got %v, want %v", row.name, warm.Sub(rt.Time), left)
 		}
 	}
 }
--- a/internal/follower/copystates.go
+++ b/internal/follower/copystates.go
@@ -7,21 +7,25 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// copyStates are the states of the copies of controllers that are not primary, by address.
+// copyStates holds the reports of the controllers that are not primary about their copies of the
+// replicated sections, by the address of the controller.
 type copyStates struct {
 	reports map[string]reportedCopy
 }
 
+// reportedCopy is the state of a copy, the membership that its controller knows, and when both were
+// reported.
 type reportedCopy struct {
 	at         time.Time
 	membership replication.Membership
 	state      wire.CopyState
 }
 
-// copyStateTTL is how long a report counts.
+// copyStateTTL is how long a report is used.
 const copyStateTTL = time.Second
 
-// record takes a response; one without the state of a copy withdraws the report before.
+// record stores the state of a copy from a response. A response without a state deletes the previous
+// report from the address.
 func (c *copyStates) record(address string, at time.Time, response wire.UpdateResponse) {
 	if response.Copy == nil {
 		delete(c.reports, address)
@@ -33,11 +37,12 @@
 	c.reports[address] = reportedCopy{at: at, membership: response.Membership, state: *response.Copy}
 }
 
-// choose gives the configuration that may be served before there is a primary, and the address
-// of a copy that has it. An acknowledged change is on every copy that the newest membership
-// names, so the oldest of their configurations has all that was acknowledged under that
-// membership. It takes that one, once each copy has reported or is lost, and a quorum of the
-// witnesses has reported too: no newer membership can be in force unknown to all of a quorum.
+// choose returns the version of the configuration that may be served before there is a primary, and the
+// address of a copy that has this version. An acknowledged change is on every copy that the newest
+// membership names, so the oldest configuration among those copies contains every change that was
+// acknowledged under that membership. choose returns the version of this oldest configuration once each
+// of the copies has reported or is lost and a quorum of the witnesses has reported: if a newer
+// membership were in force, at least one witness of the quorum would know it.
 func (c *copyStates) choose(now time.Time) (address string, version replication.Version, found bool) {
 	var membership replication.Membership
 	reported := map[replication.Identity]bool{}
@@ -57,19 +62,20 @@
 	for _, replica := range membership.InSyncReplicas() {
 		if !reported[replica.Identity] {
 			if other, known := c.reports[replica.Address]; known && now.Sub(other.at) <= copyStateTTL {
-				// Another disk is at its address: its own is lost.
+				// Another disk has reported from this address, so the disk of the copy is lost.
 				continue
 			}
 			return "", version, false
 		}
 		state := c.reports[addresses[replica.Identity]].state
 		if state.Damaged {
-			// It can't lead, and is replaced.
+			// A damaged copy cannot become primary and will be replaced.
 			continue
 		}
 		if !found || state.Configuration.Before(version) {
 			address, version, found = addresses[replica.Identity], state.Configuration, true
 		}
 	}
+	// The version is zero if the oldest copy has no configuration yet.
 	return address, version, found && version != (replication.Version{})
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,9 +1,9 @@
-// Package follower keeps a node up to date with the primary: it finds the primary, polls it
-// for newer versions of the replicated sections, and holds the lease that comes with a
-// response. Nodes of both planes use it; it knows them only by the callbacks that they give it.
+// Package follower keeps a node up to date with the primary: it finds the primary, polls it for newer
+// versions of the replicated sections, and passes the sections and the lease in a response to the node.
+// Nodes of both planes use it and provide callbacks.
 //
-// Its invariant: a node never goes back to an older version. Of a response that holds an older
-// version of any section, nothing is applied and no lease is used: it is a deposed primary's.
+// Invariant: a node never returns to an older version. If a response contains an older version of any
+// section, nothing of it is applied and its lease is not used, since a deposed primary sent it.
 package follower
 
 import (
@@ -19,57 +19,68 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Follower keeps one node up to date: it polls the primary with the versions that it has, and
-// has the response when there are newer ones or the poll's wait is over.
+// Follower keeps one node up to date. It polls the primary with the versions that the node has; the
+// primary responds when there are newer versions or when the poll's maximum wait has passed.
 type Follower struct {
-	runtime  runtime.Runtime
-	client   wire.Client
+	runtime runtime.Runtime
+	client  wire.Client
+	// member describes this node to the primary.
 	member   membership.Member
 	inForce  func() replication.Version
 	onUpdate func(Update)
 
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// primary is the address of the known primary, or "".
 	primary string
-	// confirmed tells that the present primary has responded in full.
-	confirmed   bool
-	seeds       []string
-	contacts    []string
-	peers       []string
-	sections    map[string]replication.Section
-	membership  replication.Membership
-	heard       time.Time
+	// confirmed is set once a response of the current primary was applied.
+	confirmed bool
+	// seeds are the addresses of the configured seeds, and contacts those of other controllers. peers are
+	// the addresses of processes that relay requests to the primary and may know the membership: the
+	// configured neighbours, then the other routers in the order of rendezvous hashing.
+	seeds    []string
+	contacts []string
+	peers    []string
+	// sections are the sections that the node has, by name.
+	sections   map[string]replication.Section
+	membership replication.Membership
+	// lastUpdateAt is when a response of a primary was last applied.
+	lastUpdateAt time.Time
+	// unreachable is when each address last failed to respond.
 	unreachable map[string]time.Time
 
-	// provisional tells that a configuration may be taken from copies, unconfirmed is
-	// the version of one that no primary has confirmed yet.
+	// provisional allows the node to use a configuration from a copy. unconfirmed is the version of
+	// such a configuration.
 	provisional bool
 	unconfirmed replication.Version
 
-	// applyWithin is how soon a change has to be in force after its acknowledgement.
+	// applyWithin is how soon a change must be in force after it was acknowledged.
 	applyWithin time.Duration
 
-	// failing gives the servers that failed requests lately; nil: the node sends none.
+	// failing returns the servers that failed requests since its last call; nil if the node reports
+	// none.
 	failing func() []string
 
 	wantServers, wantLoads bool
 	serversRevision        uint64
 	loadsRevision          uint64
 	listing                membership.ServerList
-	// reports are those of the round LoadsRevision, with their ages as of its end.
+	// reports are the load reports of the poll cycle loadsRevision, with their ages as of its end.
 	reports []wire.LoadReport
 }
 
-// Update is one response of the primary, as the node applies it.
+// Update is one response of the primary in the form in which the node applies it.
 type Update struct {
+	// RequestedAt is when the node sent the request.
 	RequestedAt time.Time
 	Response    wire.UpdateResponse
-	Changed     map[string]replication.Section
-	// Provisional tells that the sections are those of a copy that no primary has confirmed.
+	// Changed holds the complete sections from the response, with deltas applied.
+	Changed map[string]replication.Section
+	// Provisional is set if the sections are from a copy and no primary has confirmed them.
 	Provisional bool
-	// Servers is the list as the primary has it, if it has one.
+	// Servers is the primary's list of servers; nil if the response neither contains nor confirms it.
 	Servers *ServerList
-	// Loads are the servers' reports, if there are newer ones, LoadsReadAt is the end of the
-	// round in which they were read, and Outliers what comes with them.
+	// Loads are the loads of the servers, if the response contains newer ones. LoadsReadAt is the end
+	// of the poll cycle in which they were read, and Outliers the advice that accompanies them.
 	Loads       []scheduler.Load
 	LoadsReadAt time.Time
 	Outliers    outlier.Advice
@@ -81,37 +92,40 @@
 	Servers []membership.Server
 }
 
-// Neighbours is how many of the nearest routers a node uses as relays to the primary, and how
-// many keep replicas of a router's records. The value is ours.
-const Neighbours = 3
+// MaxPeersTried is the maximum number of peers that a node asks to relay a request to the primary: the first
+// of the peers passed to SetContacts. It is also the maximum number of routers to which a router tries to send
+// its records: the first in the order of rendezvous hashing.
+const MaxPeersTried = 3
 
 const (
-	// UpdateWait is how long the primary holds a poll back that it has no update for.
+	// UpdateWait is how long the primary holds back a poll for which it has no update.
 	UpdateWait = 600 * time.Millisecond
-	// LoadsWait is that of a node that follows reports: a little longer than reports
-	// come while the servers are idle, so that each round needs one response only.
+	// LoadsWait is the corresponding wait of a node that wants load reports. It is slightly longer than
+	// the poll interval for idle servers, so that each poll cycle needs only one response.
 	LoadsWait = UpdateWait + 200*time.Millisecond
-	// responseMargin is how much longer than the poll's wait the response may take. After
+	// responseMargin is how much longer than the poll's maximum wait the response may take. After
 	// that the primary counts as lost.
 	responseMargin = 300 * time.Millisecond
-	// firstTimeout is how long a primary that was just found may take to respond, and
-	// fullTimeout how long when the node has no configuration yet: a large one goes to
-	// all nodes at once then.
+	// firstTimeout is the timeout of the first poll of a newly found primary. fullTimeout replaces it
+	// if the node has no configuration yet: the primary may then be sending a large configuration to
+	// all nodes at once.
 	firstTimeout = 1200 * time.Millisecond
 	fullTimeout  = 2 * time.Second
-	// relayTimeout is how long the primary may take to answer a relayed message.
+	// relayTimeout is the timeout of a relayed request.
 	relayTimeout = 1200 * time.Millisecond
-	// searchTimeout is how long each address may take while the primary is
-	// looked for. It leaves room for a registration's sync.
+	// searchTimeout is the timeout for each address during a search for the primary. It allows for the
+	// sync of the node's registration: a primary of an older release ignores LeaderOnly and registers
+	// the node before it responds.
 	searchTimeout = 500 * time.Millisecond
-	// retryInterval is the least time from one round of a search to the next.
+	// retryInterval is the minimum time from the start of one search round to the start of the next, and
+	// the pause after a poll that the primary refused or whose response could not be applied.
 	retryInterval = 80 * time.Millisecond
-	// unreachableTTL is how long an address that did not respond is asked after all others.
+	// unreachableTTL is how long an address that did not respond is asked only after all others.
 	unreachableTTL = 3 * time.Second
 )
 
-// New makes a follower for a member. InForce gives the version that the node has in force;
-// onUpdate is called for every response that is applied, one after another.
+// New returns a follower for a member. The follower calls inForce for the version that the node has in
+// force, and onUpdate for every response that it applies, one at a time.
 func New(
 	rt runtime.Runtime,
 	client wire.Client,
@@ -133,13 +147,13 @@
 	}
 }
 
-// DefaultApplyWithin is how soon after its acknowledgement a change has to be in force if
-// SetApplyWithin was not called.
+// DefaultApplyWithin is how soon a change must be in force after it was acknowledged, unless SetApplyWithin
+// sets another time.
 const DefaultApplyWithin = 2 * time.Second
 
-// SetApplyWithin sets how soon after its acknowledgement a change has to be in force: the loss
-// of the primary is noticed within eleven twentieths of that, 1.1 s at most, and the rest is
-// left to find the next one. Zero means the default.
+// SetApplyWithin sets how soon a change must be in force after it was acknowledged. The loss of a primary that
+// has already responded to a poll is detected within eleven twentieths of this time, and within 1.1 s at most.
+// The remaining time is for finding the next primary. Zero means the default.
 func (f *Follower) SetApplyWithin(bound time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -149,8 +163,8 @@
 	}
 }
 
-// pollTimes are how long the primary may hold a poll back, and how much longer its response
-// may take. The caller has the mutex.
+// pollTimes returns how long the primary may hold back a poll, and how much longer the response may take.
+// The caller holds the mutex.
 func (f *Follower) pollTimes() (maxWait, margin time.Duration) {
 	maxWait = UpdateWait
 	if f.wantLoads {
@@ -159,31 +173,31 @@
 	return min(maxWait, f.applyWithin*2/5), min(responseMargin, f.applyWithin*3/20)
 }
 
-// Follow chooses whether the node wants the list of servers and their load reports, too.
+// Follow sets whether the node also wants the list of servers and their load reports.
 func (f *Follower) Follow(servers, loads bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.wantServers, f.wantLoads = servers, loads
 }
 
-// SetFailing sets the source of the servers that failed requests since it was called last;
-// each poll reports them to the primary.
+// SetFailing sets the function that returns the servers that failed requests since its last call. Each
+// poll reports these servers to the primary.
 func (f *Follower) SetFailing(failing func() []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.failing = failing
 }
 
-// ForgetList has the primary send its list of servers anew.
+// ForgetList makes the primary send its complete list of servers again.
 func (f *Follower) ForgetList() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.serversRevision = 0
 }
 
-// SetContacts sets the addresses of the controllers that the platform lists or that are
-// recorded, and of the other routers, the nearest first: those relay messages to the primary,
-// and know the membership.
+// SetContacts sets the addresses of the controllers that the platform lists or that are recorded
+// (contacts), and of the processes that relay messages to the primary and know the membership (peers):
+// the configured neighbours, then the other routers in the order of rendezvous hashing.
 func (f *Follower) SetContacts(contacts, peers []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -197,29 +211,28 @@
 	f.seeds = seeds
 }
 
-// Membership is the newest membership heard of.
+// Membership returns the newest membership that the node knows.
 func (f *Follower) Membership() replication.Membership {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.membership
 }
 
-// Heard is when a response of a primary was applied last.
-func (f *Follower) Heard() time.Time {
+// LastUpdateAt returns when a response of a primary was last applied.
+func (f *Follower) LastUpdateAt() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.heard
+	return f.lastUpdateAt
 }
 
-// Section is the newest content of a section that the node has.
+// Section returns a section in the newest version that the node has.
 func (f *Follower) Section(name string) replication.Section {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.sections[name]
 }
 
-// Run polls the primary while it responds and searches for one while it does not, until the
-// process ends.
+// Run polls the primary while one is known and searches for it otherwise, until the process ends.
 func (f *Follower) Run() {
 	for f.runtime.Alive() {
 		if address, known := f.knownPrimary(); known {
@@ -230,19 +243,19 @@
 	}
 }
 
-// knownPrimary is the address of the primary that responded last, until a call to it fails or
-// it says that it leads no more.
+// knownPrimary returns the address of the controller that last responded as primary. It returns false
+// after a call to this controller has failed or the controller has responded that it is not primary.
 func (f *Follower) knownPrimary() (string, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.primary, f.primary != ""
 }
 
-// poll polls the primary once and applies its response. If there is none the follower searches
-// anew: a successor may have been elected.
+// poll polls the primary once and applies its response. Without a response the follower searches again,
+// since a successor may have been elected.
 func (f *Follower) poll(address string) {
 	request, timeout := f.pollRequest()
-	asked := f.runtime.Now()
+	requestedAt := f.runtime.Now()
 	var response wire.UpdateResponse
 	err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, timeout)
 	if err != nil {
@@ -254,20 +267,22 @@
 		return
 	}
 	f.learn(address, leaderResponse{Leads: response.Leads, Membership: response.Membership})
-	if response.Leads && !f.Apply(asked, response) {
+	if response.Leads && !f.Apply(requestedAt, response) {
 		runtime.Sleep(f.runtime, retryInterval)
 	}
 }
 
-// leaderRequest asks only who leads, and for the state of the copies, to keep the response
-// small: all nodes send it at once after the loss of a primary.
+// leaderRequest returns a request for only the current primary and, if the node may use a provisional
+// configuration, the state of the copies. The response is kept small because all nodes send this request at
+// once after the loss of a primary.
 func (f *Follower) leaderRequest() wire.UpdateRequest {
 	request := f.searchRequest()
 	request.LeaderOnly = true
 	return request
 }
 
-// searchRequest is to be answered at once (MaxWait is zero), so that a short timeout will do.
+// searchRequest returns a request that is answered without a wait (MaxWait is zero), so that a short timeout
+// is sufficient.
 func (f *Follower) searchRequest() wire.UpdateRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -276,15 +291,15 @@
 	return request
 }
 
-// pollRequest is a poll and its timeout. The primary holds it back until there is an update,
-// but for the first one, which may bring a complete configuration.
+// pollRequest returns a poll request and its timeout. The primary holds the poll back until there is an
+// update, except for the first poll, whose response may contain a complete configuration.
 func (f *Follower) pollRequest() (wire.UpdateRequest, time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	request := f.request()
-	_, has := f.sections[replication.ConfigurationSection]
+	_, hasConfiguration := f.sections[replication.ConfigurationSection]
 	switch {
-	case !f.confirmed && !has:
+	case !f.confirmed && !hasConfiguration:
 		return request, fullTimeout
 	case !f.confirmed:
 		return request, firstTimeout
@@ -297,25 +312,35 @@
 	return request, maxWait + margin
 }
 
-// request tells what the node has. The caller has the mutex.
+// request returns a request with the versions that the node has. The caller holds the mutex.
 func (f *Follower) request() wire.UpdateRequest {
 	have := map[string]replication.Version{}
 	for name, section := range f.sections {
 		have[name] = section.Version
 	}
-	return wire.UpdateRequest{Member: f.member, Have: have, InForce: f.inForce(), AcceptDeltas: true, AcceptChanges: true, Membership: f.membership.Epoch,
-		WantServers: f.wantServers, ServersRevision: f.serversRevision, WantLoads: f.wantLoads, LoadsRevision: f.loadsRevision}
+	return wire.UpdateRequest{
+		Member:          f.member,
+		Have:            have,
+		InForce:         f.inForce(),
+		AcceptDeltas:    true,
+		AcceptChanges:   true,
+		MembershipEpoch: f.membership.Epoch,
+		WantServers:     f.wantServers,
+		ServersRevision: f.serversRevision,
+		WantLoads:       f.wantLoads,
+		LoadsRevision:   f.loadsRevision,
+	}
 }
 
-// Apply applies a primary's response and tells whether it did. A response with an older
-// version than the node's is a deposed primary's, and is dropped with its lease; so is one
-// with a delta that does not fit, whose section the next request asks for in full.
-func (f *Follower) Apply(asked time.Time, response wire.UpdateResponse) bool {
+// Apply applies a primary's response and reports whether it did. A response with an older version than the
+// node's was sent by a deposed primary and is dropped with its lease. A response with a delta that does not
+// fit the node's section is dropped as well, and the next request asks for the complete section.
+func (f *Follower) Apply(requestedAt time.Time, response wire.UpdateResponse) bool {
 	f.mutex.Lock()
 	for name, delta := range response.Deltas {
 		section, fits := delta.Apply(f.sections[name])
 		if !fits {
-			// The next request asks for the complete section; this lease is not used.
+			// The next request contains no version of this section, so that the primary sends the complete section.
 			delete(f.sections, name)
 			f.mutex.Unlock()
 			return false
@@ -338,18 +363,18 @@
 	for name, section := range response.Sections {
 		f.sections[name] = section
 	}
-	f.heard = f.runtime.Now()
+	f.lastUpdateAt = f.runtime.Now()
 	f.confirmed = f.primary != ""
-	update := Update{RequestedAt: asked, Response: response, Changed: response.Sections}
+	update := Update{RequestedAt: requestedAt, Response: response, Changed: response.Sections}
 	f.applyLists(&update)
 	f.mutex.Unlock()
 	f.onUpdate(update)
 	return true
 }
 
-// applyLists takes the list of servers and their reports out of a response. The caller has
-// the mutex. Ages count from RequestedAt and the time for which the request was held back: the
-// response was made no earlier, so nothing counts as younger than it is.
+// applyLists adds the list of servers and their loads from the response to the update. The caller holds the
+// mutex. The response was made no earlier than RequestedAt plus the time for which the request was held
+// back. Ages count from that time, so that nothing appears younger than it is.
 func (f *Follower) applyLists(update *Update) {
 	respondedAt := update.RequestedAt.Add(update.Response.Waited)
 	if list := update.Response.Servers; list != nil {
@@ -363,15 +388,15 @@
 	if loads := update.Response.Loads; loads != nil && f.wantLoads && f.applyReports(loads) {
 		update.Outliers = loads.Outliers
 		update.LoadsReadAt = respondedAt.Add(-time.Duration(loads.Age) * time.Millisecond)
-		delay := f.runtime.Now().Sub(update.LoadsReadAt)
+		sinceCycleEnd := f.runtime.Now().Sub(update.LoadsReadAt)
 		for _, report := range f.reports {
-			update.Loads = append(update.Loads, report.Load(delay))
+			update.Loads = append(update.Loads, report.Load(sinceCycleEnd))
 		}
 	}
 }
 
-// applyServers takes a list that was sent, or its changes. Changes of another list than the
-// follower's are dropped, and the next request asks for the complete one.
+// applyServers stores a complete list, or applies the changes of a list. Changes from another revision than
+// the follower's are dropped, and the next request asks for the complete list.
 func (f *Follower) applyServers(at time.Time, list *wire.ServersUpdate) {
 	servers := warmingAtReading(list.Servers, list.Age)
 	switch {
@@ -391,8 +416,8 @@
 	f.serversRevision = list.Revision
 }
 
-// warmingAtReading gives servers with their warming as of when the list was read. A response has
-// it as of when it was made.
+// warmingAtReading returns the servers with their remaining warm-up time as of when the list was read. In a
+// response, the remaining time is as of when the response was made.
 func warmingAtReading(servers []membership.Server, age time.Duration) []membership.Server {
 	servers = slices.Clone(servers)
 	for position := range servers {
@@ -403,8 +428,8 @@
 	return servers
 }
 
-// applyReports takes a round of reports, or its changes from the follower's round, and tells
-// whether it did. After changes that do not fit the next request asks for all reports.
+// applyReports stores the reports of a poll cycle, or applies the changes from the follower's cycle, and
+// reports whether the changes fit. If they do not, the next request asks for all reports.
 func (f *Follower) applyReports(loads *wire.LoadsUpdate) bool {
 	reports, fits := slices.Clone(loads.Reports), true
 	for position := range reports {
--- a/internal/follower/search.go
+++ b/internal/follower/search.go
@@ -11,8 +11,8 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// search is one search for the primary, at a node's start or after the primary was lost. All
-// known addresses are asked at once, since any of them may not respond.
+// search is one search for the primary, at a node's start or after the primary was lost. All known
+// addresses are asked in parallel, since any of them may not respond.
 type search struct {
 	mutex    sync.Mutex
 	cond     runtime.Cond
@@ -22,13 +22,13 @@
 	rounds   int
 }
 
-// attempts are the calls in flight to one address, and how they ended last.
+// attempts tracks the calls to one address.
 type attempts struct {
 	inFlight int
 	lastAt   time.Time
-	// epoch is that of the newest membership known when the address was asked last.
+	// epoch is the epoch of the newest membership that was known at the last call.
 	epoch uint64
-	// answeredAt is when it responded last without leading.
+	// answeredAt is when the address last responded without being primary.
 	answeredAt time.Time
 }
 
@@ -39,28 +39,30 @@
 }
 
 const (
-	// searchRoundTimeout is how long one round waits for a response that ends it.
+	// searchRoundTimeout is how long a search round waits for a response that ends the round.
 	searchRoundTimeout = 100 * time.Millisecond
-	// retryAfter is after how long an address that has not answered is asked once more: a
-	// call to a machine without power hangs, also when it is back. No more than
-	// maxInFlight are under way to one address. A search of more than fastRounds goes
-	// on with the longer time: a node that is cut off for long asks less.
+	// retryAfter is the time after which an address that has not responded is called again while the
+	// first call is pending: a call to a machine without power hangs even after the machine is back.
+	// At most maxInFlight calls to one address are pending. After fastRounds rounds, slowRetryAfter
+	// replaces retryAfter, so that a node that is cut off for long sends fewer calls.
 	retryAfter     = 150 * time.Millisecond
 	slowRetryAfter = 300 * time.Millisecond
 	fastRounds     = 30
 	maxInFlight    = 3
-	// answeredRetryAfter is after how long one that answered without leading is asked again,
-	// and answeredRetryPerRouter is added for each router: the whole fleet asks the core at once.
-	// One that a newer membership names as primary is asked without a pause.
+	// answeredRetryAfter is the time after which an address that responded without being primary is
+	// called again. answeredRetryPerRouter is added for each router, since all routers call the
+	// controllers at once. An address that a newer membership names as primary is called without a
+	// delay.
 	answeredRetryAfter     = 150 * time.Millisecond
 	answeredRetryPerRouter = time.Millisecond
-	// coreTimeout is after how long without any controller's answer others are asked.
+	// coreTimeout is the time without a response from any candidate after which peers are asked for
+	// the membership. A node that knows no membership asks peers from the second round on.
 	coreTimeout = 250 * time.Millisecond
-	// peersPerRound is how many other routers are then asked in each round where the
-	// core is. The rounds go through all of them in turn.
+	// peersPerRound is the number of peers that are asked in each such round. Successive rounds go
+	// through all peers in turn.
 	peersPerRound = 3
-	// relayRounds is after how many rounds without a primary the nearest routers are asked to
-	// relay, if the primary that the membership names does not respond.
+	// In every relayRounds-th round the first MaxPeersTried peers are asked to relay, unless the
+	// controller that the membership names as primary has responded within coreTimeout.
 	relayRounds = 4
 )
 
@@ -68,8 +70,9 @@
 	return &search{cond: rt.NewCond(), attempts: map[string]*attempts{}}
 }
 
-// begin notes that an address is asked, unless it was asked just now.
-func (s *search) begin(address string, now time.Time, membership replication.Membership, fleet int) bool {
+// begin records the start of a call to an address and returns true. It returns false if the address must
+// not be called yet. The number of routers determines the delay between calls.
+func (s *search) begin(address string, now time.Time, membership replication.Membership, routers int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if address == "" {
@@ -80,8 +83,8 @@
 		current = &attempts{}
 		s.attempts[address] = current
 	}
-	named := membership.Epoch > current.epoch && membership.Primary.Address == address
-	if current.inFlight >= maxInFlight || !named && now.Before(s.due(current, fleet)) {
+	newlyNamed := membership.Epoch > current.epoch && membership.Primary.Address == address
+	if current.inFlight >= maxInFlight || !newlyNamed && now.Before(s.due(current, routers)) {
 		return false
 	}
 	current.inFlight++
@@ -89,10 +92,10 @@
 	return true
 }
 
-// due is when an address may be asked again. The caller has the mutex.
-func (s *search) due(current *attempts, fleet int) time.Time {
+// due returns when an address may be called again. The caller holds the mutex.
+func (s *search) due(current *attempts, routers int) time.Time {
 	if !current.answeredAt.IsZero() && !current.answeredAt.Before(current.lastAt) {
-		return current.answeredAt.Add(answeredRetryAfter + time.Duration(fleet)*answeredRetryPerRouter)
+		return current.answeredAt.Add(answeredRetryAfter + time.Duration(routers)*answeredRetryPerRouter)
 	}
 	if current.inFlight == 0 {
 		return time.Time{}
@@ -103,8 +106,8 @@
 	return current.lastAt.Add(retryAfter)
 }
 
-// end notes the end of a call to an address.
-func (s *search) end(address string, asked, now time.Time, response wire.UpdateResponse, err error) {
+// end records the end of a call to an address.
+func (s *search) end(address string, requestedAt, now time.Time, response wire.UpdateResponse, err error) {
 	s.mutex.Lock()
 	current := s.attempts[address]
 	current.inFlight--
@@ -113,12 +116,13 @@
 	}
 	s.mutex.Unlock()
 	if err == nil {
-		s.record(address, asked, now, response)
+		s.record(address, requestedAt, now, response)
 	}
 	s.cond.Broadcast()
 }
 
-// answeredWithin tells whether one of the addresses has answered a moment ago.
+// answeredWithin reports whether one of the addresses responded, without being primary, within the given
+// length of time before now.
 func (s *search) answeredWithin(addresses []string, now time.Time, length time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -130,63 +134,64 @@
 	return false
 }
 
-// record takes a response: a primary's, or the state of another's copy.
-func (s *search) record(address string, asked, now time.Time, response wire.UpdateResponse) {
+// record stores the response of a primary, or the state of the copy from the response of another controller.
+func (s *search) record(address string, requestedAt, now time.Time, response wire.UpdateResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if response.Leads {
-		s.leader = &leaderUpdate{requestedAt: asked, response: response}
+		s.leader = &leaderUpdate{requestedAt: requestedAt, response: response}
 		return
 	}
 	s.copies.record(address, now, response)
 }
 
-// hasLeader tells whether a primary has responded.
+// hasLeader reports whether there is a response of a primary that takeLeader has not returned yet.
 func (s *search) hasLeader() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.leader != nil
 }
 
-// takeLeader gives a primary's response, if there is one, once.
+// takeLeader returns the response of a primary, or nil, and clears it.
 func (s *search) takeLeader() *leaderUpdate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	leading := s.leader
+	update := s.leader
 	s.leader = nil
-	return leading
+	return update
 }
 
+// choose returns the result of copyStates.choose for the copies that have responded.
 func (s *search) choose(now time.Time) (string, replication.Version, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.copies.choose(now)
 }
 
-// SetProvisional chooses whether a node without any configuration takes one from the
-// copies while there is no primary.
-func (f *Follower) SetProvisional(may bool) {
+// SetProvisional sets whether a node without any configuration may use the configuration of a copy while
+// there is no primary.
+func (f *Follower) SetProvisional(allowed bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.provisional = may
+	f.provisional = allowed
 }
 
-// needsConfiguration tells whether the node would take a provisional configuration now.
+// needsConfiguration reports whether the node has no configuration and may use a provisional one.
 func (f *Follower) needsConfiguration() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	_, has := f.sections[replication.ConfigurationSection]
-	return f.provisional && !has
+	_, hasConfiguration := f.sections[replication.ConfigurationSection]
+	return f.provisional && !hasConfiguration
 }
 
-// search looks for the primary until one is known, or its answer was taken by a relay.
+// search looks for the primary until its address is known or a relayed response of the primary was applied.
 func (f *Follower) search() {
 	s := newSearch(f.runtime)
 	for f.runtime.Alive() && !f.searchOnce(s) {
 	}
 }
 
-// searchOnce makes one round of the search and tells whether it ended it.
+// searchOnce runs one round of the search and reports whether the search has ended.
 func (f *Follower) searchOnce(s *search) bool {
 	began := f.runtime.Now()
 	candidates := f.candidates()
@@ -205,7 +210,7 @@
 	if _, known := f.knownPrimary(); known {
 		return true
 	}
-	if leading := s.takeLeader(); leading != nil && leading.response.Lease > 0 && f.Apply(leading.requestedAt, leading.response) {
+	if update := s.takeLeader(); update != nil && update.response.Lease > 0 && f.Apply(update.requestedAt, update.response) {
 		return true
 	}
 	if f.needsConfiguration() {
@@ -219,7 +224,8 @@
 	return false
 }
 
-// awaitRound waits for an answer that ends a round.
+// awaitRound waits for a response that ends the round: the response of a primary, or the response with
+// which a provisional configuration becomes available.
 func (f *Follower) awaitRound(s *search) {
 	s.cond.Wait(searchRoundTimeout, func() bool {
 		if s.hasLeader() || !f.needsConfiguration() {
@@ -230,40 +236,40 @@
 	})
 }
 
-// askPeers asks a few routers, and neighbours, others in each round: one that has followed the core
-// longer knows who belongs to it now.
+// askPeers asks peersPerRound peers for the membership, different ones in each round. A peer that followed
+// the primary for longer than this node did may know a newer membership.
 func (f *Follower) askPeers(s *search, request wire.UpdateRequest) {
 	request.WantProvisional = false
 	f.mutex.Lock()
-	p := f.peers
+	peers := f.peers
 	f.mutex.Unlock()
-	for position := range min(peersPerRound, len(p)) {
+	for position := range min(peersPerRound, len(peers)) {
 		next := (s.rounds-1)*peersPerRound + position
-		f.askOne(s, p[next%len(p)], request)
+		f.askOne(s, peers[next%len(peers)], request)
 	}
 }
 
-// askOne asks an address in a thread of its own, unless it was asked just now.
+// askOne calls an address in a thread of its own, unless the address must not be called yet.
 func (f *Follower) askOne(s *search, address string, request wire.UpdateRequest) {
 	f.mutex.Lock()
-	membership, fleet := f.membership, len(f.peers)
+	membership, routers := f.membership, len(f.peers)
 	f.mutex.Unlock()
-	if !s.begin(address, f.runtime.Now(), membership, fleet) {
+	if !s.begin(address, f.runtime.Now(), membership, routers) {
 		return
 	}
 	f.runtime.Go(func() {
-		asked := f.runtime.Now()
+		requestedAt := f.runtime.Now()
 		var response wire.UpdateResponse
 		err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, searchTimeout)
 		if err == nil {
 			f.learn(address, leaderResponse{Leads: response.Leads, Membership: response.Membership})
 		}
-		s.end(address, asked, f.runtime.Now(), response, err)
+		s.end(address, requestedAt, f.runtime.Now(), response, err)
 	})
 }
 
-// askRelays has the nearest routers relay the request to the primary that they know: the
-// network may be partitioned for this node alone.
+// askRelays asks the first MaxPeersTried peers to relay a request to the primary that they know. They may
+// reach the primary although this node is cut off from it.
 func (f *Follower) askRelays(s *search) {
 	request := f.searchRequest()
 	request.WantProvisional = false
@@ -272,15 +278,16 @@
 		return
 	}
 	f.mutex.Lock()
-	relays := append([]string(nil), f.peers[:min(Neighbours, len(f.peers))]...)
+	relays := append([]string(nil), f.peers[:min(MaxPeersTried, len(f.peers))]...)
 	f.mutex.Unlock()
 	for _, address := range relays {
 		f.runtime.Go(func() { f.askRelay(s, address, body) })
 	}
 }
 
+// askRelay sends an encoded request through a router and records the response if a primary sent it.
 func (f *Follower) askRelay(s *search, address string, body []byte) {
-	asked := f.runtime.Now()
+	requestedAt := f.runtime.Now()
 	var reply []byte
 	if wire.Call(f.client, address, wire.RelayPath, wire.RelayRequest{Path: wire.UpdatesPath, Body: body}, &reply, relayTimeout) != nil {
 		return
@@ -290,45 +297,51 @@
 		return
 	}
 	f.learnMembership(response.Membership)
-	s.record(address, asked, f.runtime.Now(), response)
+	s.record(address, requestedAt, f.runtime.Now(), response)
 	s.cond.Broadcast()
 }
 
-// fetch takes the configuration of a version from the copy at an address. It gives no lease,
-// and acknowledges nothing.
+// fetch requests the configuration in the given version from the copy at an address and applies it. The
+// configuration comes without a lease, and fetching it acknowledges nothing.
 func (f *Follower) fetch(address string, version replication.Version) {
 	request := f.searchRequest()
 	request.WantedVersion = version
-	asked := f.runtime.Now()
+	requestedAt := f.runtime.Now()
 	var response wire.UpdateResponse
 	if err := wire.Call(f.client, address, wire.UpdatesPath, request, &response, firstTimeout); err != nil {
 		return
 	}
 	if response.Leads {
 		f.learn(address, leaderResponse{Leads: true, Membership: response.Membership})
-		f.Apply(asked, response)
+		f.Apply(requestedAt, response)
 		return
 	}
 	if response.Copy == nil || response.Copy.Sections[replication.ConfigurationSection].Version != version {
 		return
 	}
-	f.ApplyProvisional(asked, response)
+	f.ApplyProvisional(requestedAt, response)
 }
 
-// ApplyProvisional applies a copy's configuration, unless the node has one or provisional
-// configurations are not allowed. The primary will confirm it or replace it by a newer one,
-// never by an older one, since Apply drops older sections.
-func (f *Follower) ApplyProvisional(asked time.Time, response wire.UpdateResponse) {
+// ApplyProvisional applies the configuration of a copy, unless the node already has a configuration or
+// provisional configurations are not allowed. The primary later confirms this configuration or replaces it
+// by a newer one. It cannot be replaced by an older one, since Apply drops older sections.
+func (f *Follower) ApplyProvisional(requestedAt time.Time, response wire.UpdateResponse) {
 	f.mutex.Lock()
-	if _, has := f.sections[replication.ConfigurationSection]; has || !f.provisional {
+	if _, hasConfiguration := f.sections[replication.ConfigurationSection]; hasConfiguration || !f.provisional {
 		f.mutex.Unlock()
 		return
 	}
-	// Only the configuration is kept: the primary sends all other sections itself.
+	// Of the copy's sections only the configuration is stored, so that the primary later sends all
+	// other sections.
 	section := response.Copy.Sections[replication.ConfigurationSection]
 	f.sections[replication.ConfigurationSection] = section
 	f.unconfirmed = section.Version
-	update := Update{RequestedAt: asked, Response: wire.UpdateResponse{Servers: response.Servers}, Changed: response.Copy.Sections, Provisional: true}
+	update := Update{
+		RequestedAt: requestedAt,
+		Response:    wire.UpdateResponse{Servers: response.Servers},
+		Changed:     response.Copy.Sections,
+		Provisional: true,
+	}
 	f.applyLists(&update)
 	f.mutex.Unlock()
 	f.onUpdate(update)
--- a/internal/lease/role_test.go
+++ b/internal/lease/role_test.go
@@ -5,63 +5,64 @@
 	"time"
 )
 
-// TestSuccessorWaitsPastTheOldLease lets a holder vanish and wants the next one
-// to be named only three seconds after everything the old one may still do.
+// TestSuccessorWaitsPastTheOldLease removes the holder of a role and expects a successor to be
+// assigned only more than three seconds after the old holder's lease has ended.
 func TestSuccessorWaitsPastTheOldLease(t *testing.T) {
 	timing := DefaultTiming()
 	start := time.Unix(1000, 0)
-	keys := NewRoleLeases(timing)
+	roles := NewRoleLeases(timing)
 	wanted := []string{ServerKey("stove-1")}
 	live := map[string]time.Duration{"a": time.Minute, "b": time.Minute}
-	grants := keys.Assignments(start, wanted, nil, live)
-	if len(grants) != 1 {
-		t.Fatalf("grants: %v", grants)
+	assignments := roles.Assignments(start, wanted, nil, live)
+	if len(assignments) != 1 {
+		t.Fatalf("assignments of a role without a holder: got %v, want one", assignments)
 	}
-	role := grants[0]
+	role := assignments[0]
 	role.FencingToken = 1
 	recorded := map[string]Role{role.Key: role}
 	renewed := start.Add(time.Second)
-	if mine := keys.Renew(renewed, role.Holder, recorded, live); len(mine) != 1 {
-		t.Fatalf("the holder was not renewed: %v", mine)
+	if renewals := roles.Renew(renewed, role.Holder, recorded, live); len(renewals) != 1 {
+		t.Fatalf("roles renewed for the holder: got %v, want one", renewals)
 	}
 	delete(live, role.Holder)
-	free := renewed.Add(timing.Lease + 3*time.Second)
-	if early := keys.Assignments(free, wanted, recorded, live); len(early) != 0 {
-		t.Errorf("a successor was named within three seconds of the old lease: %v", early)
+	tooEarly := renewed.Add(timing.Lease + 3*time.Second)
+	if early := roles.Assignments(tooEarly, wanted, recorded, live); len(early) != 0 {
+		t.Errorf("a successor was assigned within three seconds after the old lease: %v", early)
 	}
-	if late := keys.Assignments(free.Add(time.Second), wanted, recorded, live); len(late) != 1 || late[0].Holder == role.Holder {
-		t.Errorf("no successor was named: %v", late)
+	if late := roles.Assignments(tooEarly.Add(time.Second), wanted, recorded, live); len(late) != 1 || late[0].Holder == role.Holder {
+		t.Errorf("assignments after the cool-down: got %v, want one with another holder", late)
 	}
-	// A new primary knows nothing of renewals and waits from its own start.
-	again := NewRoleLeases(timing)
-	again.Assignments(free, wanted, recorded, live)
-	if early := again.Assignments(free.Add(timing.Lease+3*time.Second), wanted, recorded, live); len(early) != 0 {
-		t.Errorf("a new primary cut the old one's lease short: %v", early)
+	// A new primary does not know the renewals and counts from when it first sees the record.
+	newPrimary := NewRoleLeases(timing)
+	newPrimary.Assignments(tooEarly, wanted, recorded, live)
+	if early := newPrimary.Assignments(tooEarly.Add(timing.Lease+3*time.Second), wanted, recorded, live); len(early) != 0 {
+		t.Errorf("a new primary reassigned a role whose old lease may still be valid: %v", early)
 	}
 }
 
-// TestRoleIsNotReassignedBeforeItsLeaseEnds wants a role that was assigned to stay with its
-// holder until the lease that the holder may take has ended.
+// TestRoleIsNotReassignedBeforeItsLeaseEnds expects an assigned role that was never renewed to
+// stay with its holder until a lease that the holder may have obtained has ended.
 func TestRoleIsNotReassignedBeforeItsLeaseEnds(t *testing.T) {
 	timing := DefaultTiming()
-	keys := NewRoleLeases(timing)
+	roles := NewRoleLeases(timing)
 	now := time.Unix(1000, 0)
 	live := map[string]time.Duration{"a": time.Minute, "b": time.Minute}
-	grants := keys.Assignments(now, []string{PartsKey}, nil, live)
-	recorded := map[string]Role{PartsKey: {Key: PartsKey, Holder: grants[0].Holder, FencingToken: 1}}
+	assignments := roles.Assignments(now, []string{ServerRolesKey}, nil, live)
+	recorded := map[string]Role{ServerRolesKey: {Key: ServerRolesKey, Holder: assignments[0].Holder, FencingToken: 1}}
 	for range 20 {
 		now = now.Add(300 * time.Millisecond)
-		if again := keys.Assignments(now, []string{PartsKey}, recorded, live); len(again) != 0 {
-			t.Fatalf("given again: %v", again)
+		if again := roles.Assignments(now, []string{ServerRolesKey}, recorded, live); len(again) != 0 {
+			t.Fatalf("the role was reassigned before the lease ended: %v", again)
 		}
 	}
-	if late := keys.Assignments(now.Add(timing.Lease+timing.Drift+timing.Cooldown), []string{PartsKey}, recorded, live); len(late) != 1 {
-		t.Errorf("a role that nobody took is lost: %v", late)
+	now = now.Add(timing.Lease + timing.Drift + timing.Cooldown)
+	if late := roles.Assignments(now, []string{ServerRolesKey}, recorded, live); len(late) != 1 {
+		t.Errorf("assignments of a role that was never renewed, after its lease: got %v, want one", late)
 	}
 }
 
-// TestLaggingHonoursTheOldPrimarysLeases wants a change to wait for routers
-// that only the old primary has spoken with.
+// TestLaggingHonoursTheOldPrimarysLeases expects a change to wait for routers that may have a
+// lease of the old primary and have not polled the new primary.
 func TestLaggingHonoursTheOldPrimarysLeases(t *testing.T) {
 	start := time.Unix(1000, 0)
 	leases := NewRouterLeases(DefaultTiming(), start)
@@ -70,42 +71,44 @@
 	leases.Grant(now, "a", 7)
 	leases.Grant(now, "b", 6)
 	if lagging := leases.Lagging(now, 7, recorded); len(lagging) != 2 || lagging[0] != "b" || lagging[1] != "c" {
-		t.Errorf("lagging: %v", lagging)
+		t.Errorf("routers that lag behind configuration 7: got %v, want [b c]", lagging)
 	}
 	leases.Acknowledge(now, "b", 7)
 	leases.Acknowledge(now, "c", 5)
 	if lagging := leases.Lagging(now, 7, recorded); len(lagging) != 1 || lagging[0] != "c" {
-		t.Errorf("lagging: %v", lagging)
+		t.Errorf("routers that lag behind configuration 7 after acknowledgements: got %v, want [c]", lagging)
 	}
 	if lagging := leases.Lagging(start.Add(5*time.Second), 7, recorded); len(lagging) != 0 {
-		t.Errorf("a lease that ended is still waited for: %v", lagging)
+		t.Errorf("routers that lag behind configuration 7 after all leases ended: got %v, want none", lagging)
 	}
 }
 
-// TestHolderIsNotRenewedOnceItsRoleIsReassigned brings the old holder back between
-// the choice of the next one and its record: it must not send commands any more.
+// TestHolderIsNotRenewedOnceItsRoleIsReassigned lets the old holder poll again after the next
+// holder is selected and before the next holder is recorded. The old holder's lease must not be
+// renewed: two routers would send commands under the role.
 func TestHolderIsNotRenewedOnceItsRoleIsReassigned(t *testing.T) {
 	timing := DefaultTiming()
-	keys := NewRoleLeases(timing)
-	noon := time.Unix(1000, 0)
+	roles := NewRoleLeases(timing)
+	start := time.Unix(1000, 0)
 	key := ServerKey("stove-1")
 	recorded := map[string]Role{key: {Key: key, Holder: "courier-1", FencingToken: 4}}
-	both := map[string]time.Duration{"courier-1": time.Minute}
-	if len(keys.Renew(noon, "courier-1", recorded, both)) != 1 {
-		t.Fatal("the holder was not renewed at first")
+	live := map[string]time.Duration{"courier-1": time.Minute}
+	if len(roles.Renew(start, "courier-1", recorded, live)) != 1 {
+		t.Fatal("the holder was not renewed before its role was reassigned")
 	}
-	late := noon.Add(timing.Lease + timing.Drift + timing.Cooldown)
-	if grants := keys.Assignments(late, []string{key}, recorded, map[string]time.Duration{"courier-2": time.Minute}); len(grants) != 1 {
-		t.Fatalf("the key was not given to the next: %v", grants)
+	late := start.Add(timing.Lease + timing.Drift + timing.Cooldown)
+	if assignments := roles.Assignments(late, []string{key}, recorded,
+		map[string]time.Duration{"courier-2": time.Minute}); len(assignments) != 1 {
+		t.Fatalf("assignments after the cool-down: got %v, want one", assignments)
 	}
-	// Nobody has been live for MinUptime, so nobody else is preferred to the holder.
-	both = map[string]time.Duration{"courier-1": time.Second, "courier-2": time.Second}
-	for name := range both {
-		if renewed := keys.Renew(late.Add(time.Second), name, recorded, both); len(renewed) != 0 {
-			t.Errorf("%s may send commands while the role is being reassigned: %v", name, renewed)
+	// No router has been live for MinUptime, so no other router is preferred to the holder.
+	live = map[string]time.Duration{"courier-1": time.Second, "courier-2": time.Second}
+	for name := range live {
+		if renewed := roles.Renew(late.Add(time.Second), name, recorded, live); len(renewed) != 0 {
+			t.Errorf("%s was renewed while the role is being reassigned: %v", name, renewed)
 		}
 	}
-	if again := keys.Assignments(late.Add(2*time.Second), []string{key}, recorded, both); len(again) != 1 {
-		t.Errorf("an assignment that got lost is not made again: %v", again)
+	if again := roles.Assignments(late.Add(2*time.Second), []string{key}, recorded, live); len(again) != 1 {
+		t.Errorf("assignments after the first was not recorded: got %v, want one", again)
 	}
 }
--- a/internal/lease/router.go
+++ b/internal/lease/router.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// RouterLeases is the primary's memory of the leases that it granted to routers, and of the
-// configuration that each router has acknowledged. It is never stored.
+// RouterLeases tracks the leases that the primary granted to routers, and the configuration that
+// each router has acknowledged. It is kept in memory only.
 //
 // Invariant: a change counts as in force only when no router may still admit requests under an
-// older configuration: each has acknowledged the change, or its lease has ended, which the
-// primary takes to be Drift later than the router does, and the router counts from an earlier
-// moment, that of its request. A new primary knows nothing of the old one's leases. It takes
-// each of them as granted at its own start (leadsSince): the old primary's own lease was over
-// by then, so none is younger. See docs/design/leases.md, "Configurations in force".
+// older configuration. Each router has then acknowledged the change, or its lease has ended. For
+// the primary a lease ends later than for the router: the primary adds Drift, and the router counts
+// its lease from the moment at which it sent the request. A new primary does not know the leases that the
+// old primary granted. It counts each of them as granted when its own term began (leadsSince):
+// the old primary's own lease had expired by then, so it granted none later. See
+// docs/design/leases.md, "Configurations in force".
 type RouterLeases struct {
 	mutex      sync.Mutex
 	timing     Timing
@@ -22,7 +23,7 @@
 	leases     map[string]*routerLease
 }
 
-// routerLease is what the primary knows of one router.
+// routerLease is the state of one router.
 type routerLease struct {
 	expires      time.Time
 	liveSince    time.Time
@@ -30,13 +31,14 @@
 	acknowledged uint64
 }
 
-// NewRouterLeases returns the empty memory of a controller that became primary at a moment.
+// NewRouterLeases returns a RouterLeases without leases, for a controller that became primary at
+// the given time.
 func NewRouterLeases(timing Timing, since time.Time) *RouterLeases {
 	return &RouterLeases{timing: timing, leadsSince: since, leases: map[string]*routerLease{}}
 }
 
-// Grant records that a router was granted a lease now, and the number of the configuration that
-// it reports to have applied.
+// Grant records that a router is granted a lease now, and the number of the configuration that
+// the router reports as applied.
 func (r *RouterLeases) Grant(now time.Time, router string, applied uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -52,9 +54,9 @@
 	}
 }
 
-// Lagging lists, in order, the routers that may still admit requests under a configuration older
-// than the number. While leases of the old primary may run, these include each recorded router
-// that this primary has not heard from.
+// Lagging returns the sorted names of the routers that may still admit requests under a
+// configuration older than the number. While leases of the old primary may be valid, the result
+// includes each recorded router that has not sent a request to this primary.
 func (r *RouterLeases) Lagging(now time.Time, number uint64, recorded []string) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -65,9 +67,9 @@
 		}
 	}
 	if now.Before(r.leadsSince.Add(r.timing.Lease + r.timing.Drift)) {
-		for _, holder := range recorded {
-			if _, found := r.leases[holder]; !found {
-				lagging = append(lagging, holder)
+		for _, name := range recorded {
+			if _, found := r.leases[name]; !found {
+				lagging = append(lagging, name)
 			}
 		}
 	}
@@ -75,7 +77,8 @@
 	return lagging
 }
 
-// Live returns the routers whose lease runs, with how long each has had one without a gap.
+// Live returns the routers whose lease is valid, each with the time for which it has had a lease
+// without a gap.
 func (r *RouterLeases) Live(now time.Time) map[string]time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -88,8 +91,8 @@
 	return live
 }
 
-// Acknowledge records the number of the configuration that a router reports to have applied,
-// without granting it a lease. A router that is not known may have a lease of the old primary.
+// Acknowledge records the number of the configuration that a router reports as applied, without
+// granting a lease. An unknown router may have a lease that the old primary granted.
 func (r *RouterLeases) Acknowledge(now time.Time, router string, applied uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -104,31 +107,32 @@
 	}
 }
 
-// SeenWithin lists, in order, the routers that sent a request within a length of time.
+// SeenWithin returns the sorted names of the routers that sent a request within the given length
+// of time before now.
 func (r *RouterLeases) SeenWithin(now time.Time, length time.Duration) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var heard []string
+	var seen []string
 	for router, lease := range r.leases {
 		if now.Sub(lease.lastSeen) <= length {
-			heard = append(heard, router)
+			seen = append(seen, router)
 		}
 	}
-	sort.Strings(heard)
-	return heard
+	sort.Strings(seen)
+	return seen
 }
 
-// LaggingSeenWithin lists, in order, the routers that sent a request within a length of time and
-// have not acknowledged the number.
+// LaggingSeenWithin returns the sorted names of the routers that sent a request within the given
+// length of time before now and have not acknowledged the configuration with the number.
 func (r *RouterLeases) LaggingSeenWithin(now time.Time, number uint64, within time.Duration) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var behind []string
+	var lagging []string
 	for router, lease := range r.leases {
 		if now.Sub(lease.lastSeen) <= within && lease.acknowledged < number {
-			behind = append(behind, router)
+			lagging = append(lagging, router)
 		}
 	}
-	sort.Strings(behind)
-	return behind
+	sort.Strings(lagging)
+	return lagging
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -1,8 +1,9 @@
-// Package membership owns who there is: the model servers that the platform lists, the nodes
-// (routers and controllers) that it lists and those that are recorded in the replicated
-// state, and rendezvous hashing, by which every node names the same few without asking the
-// others. Package discovery reads the lists; package replication records members and keeps
-// the membership of its core, which is another thing.
+// Package membership has the types for the members of a fleet: the model servers and the nodes
+// (routers and controllers) that the platform lists, and the nodes that are recorded in the
+// replicated state. It also has rendezvous hashing, by which every node selects the same few nodes
+// or servers without communication. Package discovery reads the platform's lists; package
+// replication records members. The membership of the replication group is a different one, which
+// package replication defines.
 package membership
 
 import (
@@ -11,18 +12,19 @@
 	"seamloom.example/seamloom/internal/features"
 )
 
-// NodeKind tells data plane from control plane. Its texts are on wires and disks.
+// NodeKind is the role of a node in the data plane or control plane. Its values are sent over the
+// network and stored on disks.
 type NodeKind string
 
 // The kinds of node.
 const (
 	Router     NodeKind = "courier"
 	Controller NodeKind = "expediter"
-	// Redirector is a controller's stand-in on a machine without a disk.
+	// Redirector runs instead of a controller on a machine without a disk.
 	Redirector NodeKind = "signpost"
 )
 
-// Node is a node as the platform lists it.
+// Node is a router or controller as the platform lists it.
 type Node struct {
 	Name    string   `json:"name"`
 	Kind    NodeKind `json:"kind"`
@@ -30,31 +32,31 @@
 	Zone    string   `json:"district"`
 }
 
-// Member is a node as it is recorded in the replicated state, running or stopped.
+// Member is a node as recorded in the replicated state, whether it is running or stopped.
 type Member struct {
 	Name    string   `msgpack:"name" json:"name"`
 	Kind    NodeKind `msgpack:"kind" json:"kind"`
 	Address string   `msgpack:"address" json:"address"`
 	Zone    string   `msgpack:"district" json:"district"`
-	// Supported are the flags of the member's build.
+	// Supported are the feature flags that the member's build supports.
 	Supported features.List `msgpack:"supported" json:"supported"`
-	// Since is when it registered.
+	// Since is when the member registered.
 	Since time.Time `msgpack:"since" json:"since"`
 }
 
-// Restricted tells whether the member lacks an enabled flag.
+// Restricted reports whether the member's build doesn't support all enabled feature flags.
 func (m Member) Restricted(enabled features.List) bool {
-	return len(m.Supported.Lacks(enabled)) > 0
+	return len(m.Supported.Missing(enabled)) > 0
 }
 
-// Same tells whether recording the other member would change nothing but Since.
-func (m Member) Same(other Member) bool {
+// EqualExceptSince reports whether both members are equal except for Since.
+func (m Member) EqualExceptSince(other Member) bool {
 	return m.Name == other.Name && m.Kind == other.Kind && m.Address == other.Address &&
-		m.Zone == other.Zone && len(m.Supported.Lacks(other.Supported)) == 0 &&
-		len(other.Supported.Lacks(m.Supported)) == 0
+		m.Zone == other.Zone && len(m.Supported.Missing(other.Supported)) == 0 &&
+		len(other.Supported.Missing(m.Supported)) == 0
 }
 
-// RouterNames are the names of the routers among recorded members, in no order.
+// RouterNames returns the names of the routers among the recorded members, in no particular order.
 func RouterNames(members map[string]Member) []string {
 	var names []string
 	for name, member := range members {
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -7,20 +7,20 @@
 	"sort"
 )
 
-// Weight is the rendezvous weight of a name for a key (highest random weight hashing):
-// FNV-1a of both, mixed. Nodes of all releases must weigh alike, or they would disagree on
-// who is responsible.
+// Weight returns the rendezvous weight of a name for a key (highest random weight hashing): the FNV-1a
+// hash of both, with its bits mixed. The function must be the same in all releases, since nodes of
+// different releases would otherwise select different nodes or servers.
 func Weight(key, name string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(key))
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.Write([]byte(name))
-	return finish(digest.Sum64())
+	return mixBits(digest.Sum64())
 }
 
-// finish mixes the sum's bits (the finalizer of MurmurHash3): FNV alone gives similar names
-// similar sums.
-func finish(sum uint64) uint64 {
+// mixBits mixes the bits of a hash with the finalizer of MurmurHash3, since FNV alone gives similar
+// hashes for similar names.
+func mixBits(sum uint64) uint64 {
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
 	sum ^= sum >> 33
@@ -28,11 +28,11 @@
 	return sum ^ sum>>33
 }
 
-// Weigher weighs many names for one key, which it digests once. Its weights are those of
-// the function Weight.
+// Weigher computes the weights of many names for one key, which it hashes only once. Its weights
+// are those of the function Weight.
 type Weigher struct{ keyed hash.Cloner }
 
-// NewWeigher digests the key.
+// NewWeigher returns a Weigher for the key.
 func NewWeigher(key string) Weigher {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(key))
@@ -40,21 +40,21 @@
 	return Weigher{keyed: digest.(hash.Cloner)}
 }
 
-// Weight is the rendezvous weight of a name for the key.
+// Weight returns the rendezvous weight of a name for the key.
 func (w Weigher) Weight(name string) uint64 {
 	cloned, err := w.keyed.Clone()
 	if err != nil {
-		// A digest in memory has nothing that could fail.
+		// Cloning an FNV hash can't fail.
 		panic("membership: " + err.Error())
 	}
 	digest := cloned.(hash.Hash64)
 	_, _ = digest.Write([]byte(name))
-	return finish(digest.Sum64())
+	return mixBits(digest.Sum64())
 }
 
-// Ranked orders the names by their weight for the key, heaviest first. The caller's slice
-// stays as it is.
-func Ranked(key string, names []string) []string {
+// RankByWeight returns the names in the order of their weights for the key, highest first. It doesn't
+// change the given slice.
+func RankByWeight(key string, names []string) []string {
 	ranked := append([]string(nil), names...)
 	weights := make([]uint64, len(ranked))
 	for position, name := range ranked {
@@ -64,16 +64,16 @@
 	return ranked
 }
 
-// byWeight sorts names, heaviest first, and equal ones by their name.
+// byWeight sorts names by their weights, highest first, and names of equal weight by name.
 type byWeight struct {
 	names   []string
 	weights []uint64
 }
 
-// Len counts the names.
+// Len returns the number of names.
 func (b byWeight) Len() int { return len(b.names) }
 
-// Less tells whether one name comes before another.
+// Less reports whether the left name comes before the right one.
 func (b byWeight) Less(left, right int) bool {
 	if b.weights[left] != b.weights[right] {
 		return b.weights[left] > b.weights[right]
@@ -87,26 +87,27 @@
 	b.weights[left], b.weights[right] = b.weights[right], b.weights[left]
 }
 
-// Heaviest is the name that Ranked puts first, or nothing if there is none.
-func Heaviest(key string, names iter.Seq[string]) string {
-	heaviest, most := "", uint64(0)
+// HighestWeight returns the name that RankByWeight puts first, or an empty string if there are no names.
+func HighestWeight(key string, names iter.Seq[string]) string {
+	best, highest := "", uint64(0)
 	for name := range names {
-		if weight := Weight(key, name); heaviest == "" || weight > most || (weight == most && name < heaviest) {
-			heaviest, most = name, weight
+		if weight := Weight(key, name); best == "" || weight > highest || (weight == highest && name < best) {
+			best, highest = name, weight
 		}
 	}
-	return heaviest
+	return best
 }
 
-// Neighbours names the few others, at most count, that a node knows and watches.
-func Neighbours(self string, names []string, count int) []string {
+// NearestPeers returns at most count names other than self, in the order of rendezvous hashing with self
+// as the key.
+func NearestPeers(self string, names []string, count int) []string {
 	var others []string
 	for _, name := range names {
 		if name != self {
 			others = append(others, name)
 		}
 	}
-	ranked := Ranked(self, others)
+	ranked := RankByWeight(self, others)
 	if len(ranked) > count {
 		ranked = ranked[:count]
 	}
