--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestRankedWeighsAsItIsDefined compares the order with one that weighs the names
-// anew for each comparison, and the heaviest with its first.
-func TestRankedWeighsAsItIsDefined(t *testing.T) {
+// TestRankByWeightMatchesDefinition compares RankByWeight with an implementation that computes the weights in
+// each comparison, and HighestWeight with the first ranked name.
+func TestRankByWeightMatchesDefinition(t *testing.T) {
 	for count := range 40 {
 		var names []string
 		for number := range count {
@@ -22,34 +22,34 @@
 				leftWeight, rightWeight := Weight(key, want[left]), Weight(key, want[right])
 				return leftWeight > rightWeight || (leftWeight == rightWeight && want[left] < want[right])
 			})
-			if got := Ranked(key, names); !slices.Equal(got, want) {
-				t.Fatalf("%q of %d: %v, want %v", key, count, got, want)
+			if got := RankByWeight(key, names); !slices.Equal(got, want) {
+				t.Fatalf("RankByWeight of %d names for %q: got %v, want %v", count, key, got, want)
 			}
 			first := ""
 			if count > 0 {
 				first = want[0]
 			}
-			if got := Heaviest(key, slices.Values(names)); got != first {
-				t.Fatalf("%q of %d: the heaviest is %q, want %q", key, count, got, first)
+			if got := HighestWeight(key, slices.Values(names)); got != first {
+				t.Fatalf("HighestWeight of %d names for %q: got %q, want %q", count, key, got, first)
 			}
 		}
 	}
 }
 
-// TestWeigherWeighsAsWeightDoes compares the two for several keys and names.
-func TestWeigherWeighsAsWeightDoes(t *testing.T) {
+// TestWeigherMatchesWeight compares Weigher and Weight for several keys and names.
+func TestWeigherMatchesWeight(t *testing.T) {
 	for _, key := range []string{"", "server/stove-1", "one/stove-17"} {
 		weigher := NewWeigher(key)
 		for _, name := range []string{"", "courier-1", "stove-2", "stove-22"} {
 			if weigher.Weight(name) != Weight(key, name) {
-				t.Errorf("%q for %q", name, key)
+				t.Errorf("weight of %q for %q: got %d, want %d", name, key, weigher.Weight(name), Weight(key, name))
 			}
 		}
 	}
 }
 
-func ExampleRanked() {
-	fmt.Println(Ranked("server/a", []string{"courier-1", "courier-2", "courier-3"}))
+func ExampleRankByWeight() {
+	fmt.Println(RankByWeight("server/a", []string{"courier-1", "courier-2", "courier-3"}))
 	// Output:
 	// [courier-3 courier-1 courier-2]
 }
--- a/internal/membership/servers.go
+++ b/internal/membership/servers.go
@@ -12,57 +12,62 @@
 	Address string `json:"address" msgpack:"address"`
 	Zone    string `json:"district" msgpack:"district"`
 	Leaving bool   `json:"leaving" msgpack:"leaving"`
-	// Service is the service that the server works for; empty: for all.
+	// Service is the service that the server belongs to; empty if it serves all services.
 	Service string `json:"service,omitempty" msgpack:"service,omitempty"`
-	// Part is what the list says that the server does: "prefill" or "decode".
-	Part string `json:"part,omitempty" msgpack:"part,omitempty"`
-	// Models are the weights that it has.
+	// Role is the role that the platform's list gives the server: "prefill", "decode", or empty for
+	// both.
+	Role string `json:"part,omitempty" msgpack:"part,omitempty"`
+	// Models are the model weights that the server has; empty if it has all.
 	Models []string `json:"models,omitempty" msgpack:"models,omitempty"`
-	// Slots is how many requests it works on at once; zero: unknown.
+	// Slots is how many requests the server can run at once; zero if unknown.
 	Slots int `json:"slots,omitempty" msgpack:"slots,omitempty"`
-	// Warming is for how much longer it warms up, as of when the list was read; zero: warm.
+	// Warming is the remaining time of the server's slow start when the list was read; zero if the
+	// server is not in slow start.
 	Warming time.Duration `json:"warming,omitempty" msgpack:"warming,omitempty"`
 }
 
-// equal tells whether two entries of one server report the same, its warming aside.
+// equal reports whether two entries of one server are equal except for Warming.
 func (s Server) equal(other Server) bool {
 	return s.Name == other.Name && s.Address == other.Address && s.Zone == other.Zone && s.Leaving == other.Leaving &&
-		s.Service == other.Service && s.Part == other.Part && s.Slots == other.Slots && slices.Equal(s.Models, other.Models)
+		s.Service == other.Service && s.Role == other.Role && s.Slots == other.Slots && slices.Equal(s.Models, other.Models)
 }
 
-// ServerList is what a node knows of the platform's list of servers, from whoever read
-// it. Reads come from several readers, late and out of order: a server that was once seen
-// leaving stays leaving, and one that was removed is not brought back by a read that is no
-// newer. The zero value is empty and ready to use. It is not safe for concurrent use.
+// ServerList is a node's copy of the platform's list of servers. Several nodes read the platform's
+// list, and the results of these reads arrive late and out of order. Therefore a server that a read
+// has shown as leaving stays leaving, and a removed server is not added again by a read that took
+// place less than listLag after its removal. The zero value is empty and ready to use. ServerList is
+// not safe for concurrent use.
 type ServerList struct {
-	// at is when the newest read took place.
+	// at is the time of the newest read.
 	at      time.Time
 	servers []Server
-	// warmAt is when a server is warm, by the reader's clock.
-	warmAt  map[string]time.Time
+	// warmAt holds the end of each server's slow start, by the clock of the node that read the list.
+	warmAt map[string]time.Time
+	// leaving holds the servers that a read has shown as leaving.
 	leaving map[string]bool
-	// removed is when a removed server was first missing.
+	// removed holds, for each removed server, the time of the first read without it.
 	removed map[string]time.Time
-	// changes counts the changes, and changedIn is the last one of each server that is listed
-	// or was removed within the last maxChanges.
+	// changes is the number of changes of the list. changedIn holds the number of the latest change
+	// of each server that is listed or was removed within the last maxChanges changes.
 	changes   uint64
 	changedIn map[string]uint64
 }
 
 const (
-	// listLag is how far two reads of one list may differ in what they know. The
-	// value is ours.
+	// listLag is how much older the list returned by one read may be than that returned by an earlier read.
 	listLag = time.Second
-	// removedRetention is for how long a removed server is remembered.
+	// removedRetention is how long the removal of a server is remembered.
 	removedRetention = time.Minute
-	// minWarmingChange is the least change of the end of a server's warming that counts as one.
+	// minWarmingChange is the least change of the end of a server's slow start that counts as a
+	// change of the list.
 	minWarmingChange = 300 * time.Millisecond
 	// maxChanges is how many changes back ChangesSince reaches.
 	maxChanges = 32
 )
 
-// Update takes over a list that was read at a moment and tells whether anything changed that
-// matters to the scheduler. A list older than the newest one known changes nothing.
+// Update replaces the list by one that was read at the given time, and reports whether the list has
+// changed. The first list always counts as a change; the end of a slow start has to differ by at least
+// minWarmingChange. A list that was read before the newest one is ignored.
 func (l *ServerList) Update(at time.Time, servers []Server) bool {
 	if !l.at.IsZero() && at.Before(l.at) {
 		return false
@@ -94,7 +99,7 @@
 		if !known || !earlier.equal(server) {
 			changed[server.Name] = true
 		}
-		// Each read reports the same end a little differently.
+		// Reads give slightly different times for the same end of a slow start.
 		if old := l.warmAt[server.Name]; known && until.Sub(old).Abs() < minWarmingChange {
 			until = old
 		} else if known && (until.After(at) || old.After(at)) {
@@ -108,7 +113,7 @@
 		l.removed[name] = at
 	}
 	l.forget(at)
-	// All nodes have one order, whether they were sent the list or its changes.
+	// The order has to be the same on all nodes, whether they received the list or its changes.
 	slices.SortStableFunc(next, func(left, right Server) int { return strings.Compare(left.Name, right.Name) })
 	l.at, l.servers, l.warmAt = at, next, warmAt
 	if len(changed) == 0 && !first {
@@ -118,7 +123,7 @@
 	return true
 }
 
-// recordChange counts a change of the named servers.
+// recordChange counts a change of the list, in which the named servers changed.
 func (l *ServerList) recordChange(names map[string]bool) {
 	l.changes++
 	for name := range names {
@@ -131,12 +136,12 @@
 	}
 }
 
-// Changes is how many changes the list has seen.
+// Changes returns the number of changes of the list so far.
 func (l *ServerList) Changes() uint64 { return l.changes }
 
-// ChangesSince gives the servers that are new or differ from those after an earlier change, as
-// counted by Changes, and the names of those that were removed since. False means that so old a
-// change is not remembered.
+// ChangesSince returns the servers that were added or changed after an earlier change, as counted
+// by Changes, and the names of the servers that were removed after it. known is false if the
+// earlier change is too old or never happened.
 func (l *ServerList) ChangesSince(now time.Time, change uint64) (changed []Server, removed []string, known bool) {
 	if change == 0 || change > l.changes || change+maxChanges < l.changes {
 		return nil, nil, false
@@ -155,7 +160,7 @@
 	return changed, removed, true
 }
 
-// forget drops the removed servers whose retention has passed.
+// forget deletes the state of servers that were removed more than removedRetention ago.
 func (l *ServerList) forget(now time.Time) {
 	for name, removed := range l.removed {
 		if now.Sub(removed) > removedRetention {
@@ -165,20 +170,20 @@
 	}
 }
 
-// Confirm notes that the list was read again at a moment and had not changed.
+// Confirm records that the list was read again at the given time and had not changed.
 func (l *ServerList) Confirm(at time.Time) {
 	if !l.at.IsZero() && at.After(l.at) {
 		l.at = at
 	}
 }
 
-// At is when the list was read; zero if it never was.
+// At returns the time at which the list was last read; zero if it never was.
 func (l *ServerList) At() time.Time { return l.at }
 
-// Len is how many servers are listed.
+// Len returns the number of listed servers.
 func (l *ServerList) Len() int { return len(l.servers) }
 
-// Servers is the list, with each server's warming as it is now.
+// Servers returns the list, with the remaining slow start of each server at the given time.
 func (l *ServerList) Servers(now time.Time) []Server {
 	servers := slices.Clone(l.servers)
 	for position := range servers {
--- a/internal/membership/servers_test.go
+++ b/internal/membership/servers_test.go
@@ -5,10 +5,13 @@
 	"time"
 )
 
-var listNoon = time.Unix(1000, 0)
+// firstRead is the time of the first read of a list.
+var firstRead = time.Unix(1000, 0)
 
-func after(length time.Duration) time.Time { return listNoon.Add(length) }
+// after returns the time that is elapsed after the first read.
+func after(elapsed time.Duration) time.Time { return firstRead.Add(elapsed) }
 
+// names lists the names of servers in one string, with a "!" after those that are leaving.
 func names(servers []Server) string {
 	text := ""
 	for _, server := range servers {
@@ -21,77 +24,78 @@
 	return text
 }
 
-// TestLeavingIsNotForgotten brings a late read, and one from another reader, after
-// a server's leaving was seen.
+// TestLeavingIsNotForgotten checks that a server which a read has shown as leaving stays leaving,
+// though an older read, and a newer one that lags, don't show it.
 func TestLeavingIsNotForgotten(t *testing.T) {
 	var list ServerList
 	list.Update(after(0), []Server{{Name: "a"}, {Name: "b"}})
 	if !list.Update(after(time.Second), []Server{{Name: "a", Leaving: true}, {Name: "b"}}) {
-		t.Error("a leaving server is no change")
+		t.Error("a server that begins to leave was not reported as a change")
 	}
 	list.Update(after(500*time.Millisecond), []Server{{Name: "a"}, {Name: "b"}})
 	if list.Update(after(2*time.Second), []Server{{Name: "a"}, {Name: "b"}}) {
-		t.Error("an older word counted as a change")
+		t.Error("a lagging read without the leaving mark was reported as a change")
 	}
 	if got := names(list.Servers(after(2 * time.Second))); got != "a! b " {
-		t.Errorf("the list is %s", got)
+		t.Errorf("list: got %q, want %q", got, "a! b ")
 	}
 }
 
-// TestVanishedServerComesBackOnlyWithALaterRead wants a server that has vanished to
-// stay away while reads that lag may still name it, and no longer.
-func TestVanishedServerComesBackOnlyWithALaterRead(t *testing.T) {
+// TestRemovedServerIsAddedOnlyByALaterRead checks that a removed server is not added again while
+// lagging reads may still have it, but by a later read.
+func TestRemovedServerIsAddedOnlyByALaterRead(t *testing.T) {
 	var list ServerList
 	list.Update(after(0), []Server{{Name: "a"}, {Name: "b"}})
 	if !list.Update(after(time.Second), []Server{{Name: "b"}}) {
-		t.Error("a vanished server is no change")
+		t.Error("the removal of a server was not reported as a change")
 	}
 	if list.Update(after(1500*time.Millisecond), []Server{{Name: "a"}, {Name: "b"}}) || len(list.Servers(after(0))) != 1 {
-		t.Error("a read that lags brought a vanished server back")
+		t.Error("a lagging read added a removed server again")
 	}
 	if !list.Update(after(3*time.Second), []Server{{Name: "a"}, {Name: "b"}}) {
-		t.Error("a server that one read lacked is lost for good")
+		t.Error("a later read did not add a removed server again")
 	}
 }
 
-// TestWarmingRunsOut wants a cold server's time to go on between reads, and its
-// turning cold again to be a change.
-func TestWarmingRunsOut(t *testing.T) {
+// TestWarmingTimeDecreases checks that the remaining time of a slow start decreases between reads,
+// and that only the beginning of a slow start is a change.
+func TestWarmingTimeDecreases(t *testing.T) {
 	var list ServerList
 	list.Update(after(0), []Server{{Name: "a", Warming: 3 * time.Second}})
 	if left := list.Servers(after(time.Second))[0].Warming; left != 2*time.Second {
-		t.Errorf("left to warm: %s", left)
+		t.Errorf("remaining slow start after 1 s: got %s, want 2s", left)
 	}
 	if list.Update(after(time.Second), []Server{{Name: "a", Warming: 1950 * time.Millisecond}}) {
-		t.Error("the same end told again is a change")
+		t.Error("nearly the same end of the slow start was reported as a change")
 	}
 	if list.Update(after(5*time.Second), []Server{{Name: "a"}}) {
-		t.Error("a server that has become warm is a change")
+		t.Error("the end of the slow start was reported as a change")
 	}
 	if !list.Update(after(6*time.Second), []Server{{Name: "a", Warming: 3 * time.Second}}) {
-		t.Error("a server that turned cold again is no change")
+		t.Error("a new slow start was not reported as a change")
 	}
 }
 
-// TestConfirmationMakesTheListYounger and changes nothing else.
-func TestConfirmationMakesTheListYounger(t *testing.T) {
+// TestConfirmUpdatesTheTimeOnly checks that Confirm sets the time of a list that was read before to
+// a later one, and leaves the servers.
+func TestConfirmUpdatesTheTimeOnly(t *testing.T) {
 	var list ServerList
 	list.Confirm(after(time.Second))
 	if !list.At().IsZero() {
-		t.Error("a list that was never read was confirmed")
+		t.Error("a list that was never read has a time after Confirm")
 	}
 	list.Update(after(0), []Server{{Name: "a"}})
 	list.Confirm(after(time.Second))
 	list.Confirm(after(500 * time.Millisecond))
 	if !list.At().Equal(after(time.Second)) || len(list.Servers(after(0))) != 1 {
-		t.Errorf("read at %s", list.At())
+		t.Errorf("got time %s and %d servers, want time %s and 1 server", list.At(), list.Len(), after(time.Second))
 	}
 }
 
-// TestEmptyListIsAList: a list that was read and is empty is one, and the first.
-func TestEmptyListIsAList(t *testing.T) {
+// TestFirstListIsAChangeThoughEmpty checks that the first read is a change even without servers.
+func TestFirstListIsAChangeThoughEmpty(t *testing.T) {
 	var list ServerList
 	if !list.Update(after(0), nil) || list.At().IsZero() {
-		t.Error("the first list is no change")
+		t.Error("the first read, of an empty list, was not reported as a change")
 	}
 }
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -1,7 +1,7 @@
-// Package outlier ejects model servers that fail the requests of several routers, whatever
-// their health checks say, so that the other routers need not find out by themselves. A server
-// is ejected when routers of enough zones report it within a short window; after the ejection a
-// few routers try it before all use it again.
+// Package outlier ejects model servers that fail the requests of several routers, regardless of
+// their health checks, so that the other routers need not find the failures by themselves. A server
+// is ejected if enough routers in enough zones report it within a short window. After the ejection
+// the server is on trial: a few routers use it before all of them do.
 //
 // The leading controller runs the Detector (package controlplane); routers report failures to
 // it and fetch its Advice (package follower). Package scheduler applies the advice, unless the
@@ -14,28 +14,29 @@
 	"time"
 )
 
-// When a server is ejected, and for how long. The values are ours.
+// When a server is ejected, and for how long.
 const (
-	// reportWindow is how far back reports count together.
+	// reportWindow is the maximum age of reports that are counted together.
 	reportWindow = 1200 * time.Millisecond
-	// leastReporters and leastZones are how many routers, and of how many zones, have to
-	// report a server: the routers of one zone may have lost the way to it.
-	leastReporters = 2
-	leastZones     = 2
-	// firstEjection is how long a server is ejected at first; it doubles each time that the
-	// server fails its trial, up to longestEjection.
+	// minReporters and minZones are how many routers, in how many zones, have to report a server.
+	// Reports of a single zone are not enough, since its network link to the server may have failed.
+	minReporters = 2
+	minZones     = 2
+	// firstEjection is the duration of a server's first ejection. The duration doubles with each
+	// further ejection, up to longestEjection, unless the earlier ones are forgotten (forgetAfter).
 	firstEjection   = 1500 * time.Millisecond
 	longestEjection = 6 * time.Second
-	// trial is how long a few routers try a server before all use it again.
-	trial = time.Second
-	// forgetAfter is how long after a server's return its ejections are remembered.
+	// trialDuration is how long only a few routers use a server after its ejection.
+	trialDuration = time.Second
+	// forgetAfter is how long after the end of a server's last ejection the number of its
+	// ejections is kept.
 	forgetAfter = 10 * time.Second
-	// mostEjected: one server of so many may be ejected at a time. When more fail,
-	// something else is broken.
-	mostEjected = 3
+	// serversPerEjection limits the ejected servers to one in three. If more servers fail, the
+	// fault is likely to be elsewhere.
+	serversPerEjection = 3
 )
 
-// Reporter is a router that reports.
+// Reporter is a router that reports failures.
 type Reporter struct{ Name, Zone string }
 
 // Advice lists the servers that are ejected, and those on trial, each sorted by name.
@@ -44,23 +45,25 @@
 	Trial   []string `msgpack:"trial,omitempty"`
 }
 
-// Detector collects the reports of all routers. The zero value is ready to use; its methods may
-// be called from several threads.
+// Detector collects the reports of all routers. The zero value is ready to use. It is safe for
+// concurrent use.
 type Detector struct {
 	mutex   sync.Mutex
 	servers map[string]*server
-	// zones are the zones that ever asked or reported.
+	// zones are the zones of all routers that were ever observed.
 	zones map[string]bool
 }
 
+// server is the state of one reported server.
 type server struct {
+	// reports holds the time of the latest report of each router.
 	reports map[Reporter]time.Time
-	// ejections counts the ejections in a row; until is the end of the latest.
+	// ejections is the number of consecutive ejections; until is the end of the latest one.
 	ejections int
 	until     time.Time
 }
 
-// Observe notes that a router is there, whether it reports anything or not.
+// Observe records that a router exists, whether or not it reports any failures.
 func (d *Detector) Observe(reporter Reporter) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -70,8 +73,8 @@
 	d.zones[reporter.Zone] = true
 }
 
-// Report takes which servers failed a router's requests since its last report. listed is how
-// many servers there are.
+// Report records the servers that failed a router's requests since its last report. listed is the
+// number of all listed servers.
 func (d *Detector) Report(now time.Time, reporter Reporter, failing []string, listed int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -80,6 +83,8 @@
 	}
 }
 
+// report records a report of one server, and ejects the server if enough routers have reported it. A
+// server on trial is ejected by a single report.
 func (d *Detector) report(now time.Time, reporter Reporter, name string, listed int) {
 	known, found := d.servers[name]
 	if !found {
@@ -90,11 +95,11 @@
 		d.servers[name] = known
 	}
 	if now.Before(known.until) {
-		// What was under way before the ejection tells nothing new.
+		// The failed requests were sent before the ejection, so that they give no new information.
 		return
 	}
 	known.reports[reporter] = now
-	if !known.onTrial(now) && !d.corroborated(now, known) || d.ejected(now) >= max(1, listed/mostEjected) {
+	if !known.onTrial(now) && !d.corroborated(now, known) || d.ejected(now) >= max(1, listed/serversPerEjection) {
 		return
 	}
 	length := min(firstEjection<<min(known.ejections, 8), longestEjection)
@@ -103,12 +108,13 @@
 	clear(known.reports)
 }
 
-// onTrial tells whether the server's last ejection ended a moment ago.
+// onTrial reports whether the server's last ejection ended less than trialDuration ago.
 func (s *server) onTrial(now time.Time) bool {
-	return s.ejections > 0 && !now.Before(s.until) && now.Before(s.until.Add(trial))
+	return s.ejections > 0 && !now.Before(s.until) && now.Before(s.until.Add(trialDuration))
 }
 
-// agreed tells whether enough routers of enough zones reported the server.
+// corroborated reports whether enough routers in enough zones have reported the server. If all
+// routers are in one zone, reports of that zone are enough.
 func (d *Detector) corroborated(now time.Time, s *server) bool {
 	zones, reporters := map[string]bool{}, 0
 	for reporter, at := range s.reports {
@@ -119,9 +125,10 @@
 		zones[reporter.Zone] = true
 		reporters++
 	}
-	return reporters >= leastReporters && len(zones) >= min(leastZones, len(d.zones))
+	return reporters >= minReporters && len(zones) >= min(minZones, len(d.zones))
 }
 
+// ejected returns the number of servers that are ejected.
 func (d *Detector) ejected(now time.Time) int {
 	count := 0
 	for _, known := range d.servers {
@@ -132,8 +139,8 @@
 	return count
 }
 
-// Advice tells which servers routers should leave out or try now, and forgets servers without
-// fresh reports.
+// Advice returns the servers that are ejected or on trial, and removes the state of servers that
+// have neither fresh reports nor a recent ejection.
 func (d *Detector) Advice(now time.Time) Advice {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -154,7 +161,7 @@
 	return advice
 }
 
-// lately tells whether any report still counts.
+// hasFreshReports reports whether any report is within reportWindow.
 func (s *server) hasFreshReports(now time.Time) bool {
 	for _, at := range s.reports {
 		if now.Sub(at) <= reportWindow {
--- a/internal/quota/allowances_test.go
+++ b/internal/quota/allowances_test.go
@@ -6,142 +6,150 @@
 	"time"
 )
 
-// exchange has a router ask once, and every member that is asked answer.
+// exchange sends a router's next requests to the members and delivers their responses. It returns the number of
+// requests.
 func exchange(now time.Time, a *Allowances, group Group, ledgers map[Member]*Ledger) (requests int) {
 	for member, request := range a.Requests(now, group) {
 		requests++
-		a.Granted(now, group, member, now, request, ledgers[member].Apply(now, request))
+		a.HandleResponse(now, group, member, now, request, ledgers[member].Apply(now, request))
 	}
 	return requests
 }
 
-// groupOf makes a group of a size whose ledgers began at a moment.
-func groupOf(size int, began time.Time) (Group, map[Member]*Ledger) {
+// newTestGroup returns a group of the given size whose ledgers started at the given time.
+func newTestGroup(size int, startedAt time.Time) (Group, map[Member]*Ledger) {
 	ledgers := map[Member]*Ledger{}
 	var members []Member
 	for i := range size {
 		member := Member(fmt.Sprint("m", i))
 		members = append(members, member)
-		ledgers[member] = NewLedger(began)
+		ledgers[member] = NewLedger(startedAt)
 	}
 	return NewGroup(members), ledgers
 }
 
-// TestATokenThatWasReportedIsNotGivenBack guards against QUOTA: a token that members were told is spent, and that
-// flows into their buckets again, could be spent later by the router that gave it back.
+// TestATokenThatWasReportedIsNotGivenBack guards against routers that together exceed a limit: once a token was
+// reported as spent, the members may grant it again, so the router that spent it must not reuse it after a
+// refund.
 func TestATokenThatWasReportedIsNotGivenBack(t *testing.T) {
-	group, ledgers := groupOf(3, noon.Add(-time.Hour))
+	group, ledgers := newTestGroup(3, noon.Add(-time.Hour))
 	limit := Limit{PerSecond: 0.001, Capacity: 1}
 	router := NewAllowances("r")
 	claim := router.Claim(noon, "a", limit)
-	claim.Try(noon, group)
+	claim.Poll(noon, group)
 	exchange(noon, router, group, ledgers)
-	if verdict := claim.Try(noon, group); verdict != Taken {
-		t.Fatalf("verdict %d", verdict)
+	if result := claim.Poll(noon, group); result != Taken {
+		t.Fatalf("first claim: got result %d, want Taken", result)
 	}
-	router.GiveBack("a")
-	if verdict := router.Claim(noon, "a", limit).Try(noon, group); verdict != Taken {
-		t.Errorf("a token that nobody was told of is not there again: verdict %d", verdict)
+	router.Refund("a")
+	if result := router.Claim(noon, "a", limit).Poll(noon, group); result != Taken {
+		t.Errorf("claim after the refund of an unreported token: got result %d, want Taken", result)
 	}
 	other := router.Claim(noon, "a", limit)
-	if verdict := other.Try(noon, group); verdict != Pending {
-		t.Errorf("a second token: verdict %d", verdict)
+	if result := other.Poll(noon, group); result != Pending {
+		t.Errorf("claim to a second token: got result %d, want Pending", result)
 	}
 	exchange(noon, router, group, ledgers)
-	router.GiveBack("a")
-	if verdict := router.Claim(noon, "a", limit).Try(noon, group); verdict == Taken {
-		t.Error("a token that was reported as spent was spent again")
+	router.Refund("a")
+	if result := router.Claim(noon, "a", limit).Poll(noon, group); result == Taken {
+		t.Error("claim after the refund of a reported token: got Taken, want no token")
 	}
 }
 
-// TestAskingAheadInVainIsPaced guards against routers that ask 20 times a second for tokens ahead which a low bucket
-// keeps for calls that wait.
-func TestAskingAheadInVainIsPaced(t *testing.T) {
-	group, ledgers := groupOf(3, noon.Add(-300*time.Millisecond))
+// TestFailedPrefetchingBacksOff guards against routers that send 20 requests per second for prefetching while the
+// members' buckets are low. Members then grant no tokens for prefetching, because they reserve the remaining
+// tokens for waiting calls.
+func TestFailedPrefetchingBacksOff(t *testing.T) {
+	group, ledgers := newTestGroup(3, noon.Add(-300*time.Millisecond))
 	limit := Limit{PerSecond: 10, Capacity: 1000}
 	router := NewAllowances("r")
-	now, asked := noon, 0
+	now, exchanges := noon, 0
 	for range 3000 {
 		now = now.Add(time.Millisecond)
 		s := router.Claim(now, "a", limit).subject
 		s.demand = 8
 		if router.Due(now, group) {
-			asked++
+			exchanges++
 			exchange(now, router, group, ledgers)
 		}
 	}
-	if asked > 10 {
-		t.Errorf("asked %d times in 3 s", asked)
+	if exchanges > 10 {
+		t.Errorf("got %d exchanges in 3 s, want at most 10", exchanges)
 	}
 }
 
-// TestSubjectsBeyondTheFirstAreCountedTogether bounds how many metrics there are.
-func TestSubjectsBeyondTheFirstAreCountedTogether(t *testing.T) {
+// TestSubjectsBeyondMaxCountedAreCountedTogether checks that the number of metrics is bounded:
+// subjects beyond MaxCounted are counted together as OtherSubjects.
+func TestSubjectsBeyondMaxCountedAreCountedTogether(t *testing.T) {
 	router := NewAllowances("r")
 	for i := range 3 * MaxCounted {
 		router.Claim(noon, fmt.Sprint("tenant", i), Limit{}).Cancel()
 	}
 	counts := router.Counts()
 	if len(counts) != MaxCounted+1 || counts[0].Subject != OtherSubjects || counts[0].Unknown != 2*MaxCounted {
-		t.Errorf("%d counted, first %+v", len(counts), counts[0])
+		t.Errorf("got %d counts, the first %+v, want %d, the first with %d unknown claims of other subjects",
+			len(counts), counts[0], MaxCounted+1, 2*MaxCounted)
 	}
 }
 
-// TestDenialsAreToldOnceAndWhenTheyEnd bounds how many lines a tenant over its limit makes.
-func TestDenialsAreToldOnceAndWhenTheyEnd(t *testing.T) {
-	group, ledgers := groupOf(3, noon)
+// TestDenialsAreReportedAtStartAndEnd checks that a tenant over its limit does not flood the log: a series of denials is
+// reported once at its start and once at its end.
+func TestDenialsAreReportedAtStartAndEnd(t *testing.T) {
+	group, ledgers := newTestGroup(3, noon)
 	router := NewAllowances("r")
 	now := noon
-	var told []DenialChange
+	var changes []DenialChange
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
 		claim := router.Claim(now, "a", Limit{})
-		for claim.Try(now, group) == Pending {
+		for claim.Poll(now, group) == Pending {
 			exchange(now, router, group, ledgers)
 		}
-		told = append(told, router.DenialChanges(now)...)
+		changes = append(changes, router.DenialChanges(now)...)
 	}
-	told = append(told, router.DenialChanges(now.Add(denialQuiet))...)
-	if len(told) != 2 || told[0].Over || !told[1].Over || told[1].Count != 200 {
-		t.Errorf("%+v", told)
+	changes = append(changes, router.DenialChanges(now.Add(denialEndDelay))...)
+	if len(changes) != 2 || changes[0].Over || !changes[1].Over || changes[1].Count != 200 {
+		t.Errorf("got changes %+v, want a start and an end after 200 denials", changes)
 	}
 }
 
-// TestADeniedSubjectIsAskedOfAllAtOnce guards against two rounds of requests for each denial of a tenant over its limit.
-func TestADeniedSubjectIsAskedOfAllAtOnce(t *testing.T) {
-	group, ledgers := groupOf(5, noon)
+// TestRecentlyDeniedSubjectIsRequestedFromAllMembers guards against two exchanges for each denied claim of a tenant
+// over its limit, the first with the preferred members and the second with all members. Only the first denial may
+// need both.
+func TestRecentlyDeniedSubjectIsRequestedFromAllMembers(t *testing.T) {
+	group, ledgers := newTestGroup(5, noon)
 	router := NewAllowances("r")
-	rounds := func(now time.Time) (count int) {
+	exchangesUntilDenied := func(now time.Time) (count int) {
 		claim := router.Claim(now, "a", Limit{})
-		for claim.Try(now, group) == Pending {
+		for claim.Poll(now, group) == Pending {
 			exchange(now, router, group, ledgers)
 			count++
 		}
 		return count
 	}
-	first, second := rounds(noon), rounds(noon.Add(maxDenial+100*time.Millisecond))
+	first, second := exchangesUntilDenied(noon), exchangesUntilDenied(noon.Add(maxDenial+100*time.Millisecond))
 	if first != 2 {
-		t.Errorf("the first denial took %d rounds", first)
+		t.Errorf("the first denial took %d exchanges, want 2", first)
 	}
-	third := rounds(noon.Add(3 * maxDenial))
+	third := exchangesUntilDenied(noon.Add(3 * maxDenial))
 	if second != 1 || third != 1 {
-		t.Errorf("the later denials took %d and %d rounds", second, third)
+		t.Errorf("the later denials took %d and %d exchanges, want 1 each", second, third)
 	}
 }
 
-// BenchmarkHeldToken takes a token that the router holds, at a router that serves 84 subjects.
-func BenchmarkHeldToken(b *testing.B) {
-	group, ledgers := groupOf(5, noon.Add(-time.Hour))
+// BenchmarkPrefetchedToken takes prefetched tokens at a router that serves 84 subjects.
+func BenchmarkPrefetchedToken(b *testing.B) {
+	group, ledgers := newTestGroup(5, noon.Add(-time.Hour))
 	router := NewAllowances("r")
 	limit := Limit{PerSecond: 1e6, Capacity: 1e9}
 	for i := range 84 {
-		router.Claim(noon, fmt.Sprint("tenant", i), limit).Try(noon, group)
+		router.Claim(noon, fmt.Sprint("tenant", i), limit).Poll(noon, group)
 	}
 	exchange(noon, router, group, ledgers)
 	b.ReportAllocs()
 	for b.Loop() {
 		claim := router.Claim(noon, "tenant7", limit)
-		claim.Try(noon, group)
+		claim.Poll(noon, group)
 		claim.Due(noon, group)
 	}
 }
--- a/internal/quota/counts.go
+++ b/internal/quota/counts.go
@@ -7,30 +7,34 @@
 )
 
 const (
-	// MaxCounted is how many subjects are counted one by one; the others are counted together.
+	// MaxCounted is how many subjects are counted individually; the others are counted together.
 	MaxCounted = 32
-	// OtherSubjects is the name under which those are counted. No tenant's name is empty.
+	// OtherSubjects is the name under which the other subjects are counted. It cannot be the name of a tenant,
+	// because no tenant's name is empty.
 	OtherSubjects = ""
 )
 
-// Counts are how the claims to tokens of a subject ended, since the router started.
+// Counts counts the results of the claims to tokens of one subject since the router started.
 type Counts struct {
 	Subject string
-	// Held tokens were taken from what the router held, Asked ones after it had asked.
-	Held, Asked uint64
-	// Denied claims found no token left, Unknown ones got no answer of a quorum in time.
+	// Prefetched counts claims that took a token that the router already had, and Requested counts claims that took a
+	// token only after a request to members.
+	Prefetched, Requested uint64
+	// Denied counts claims for which no token was left, and Unknown counts claims that were cancelled because no
+	// quorum responded in time.
 	Denied, Unknown uint64
 }
 
-// counts are those of all subjects.
+// counts holds the counts of all subjects and of the traffic to members.
 type counts struct {
 	bySubject map[string]*Counts
-	// requests counts messages to members, wants the subjects asked for.
+	// requests counts the messages to members, and wants counts the subjects for which tokens were requested.
 	requests, wants uint64
 }
 
-// of finds where a subject is counted.
-func (c *counts) of(subject string) *Counts {
+// forSubject returns the counts of a subject, or those of OtherSubjects if MaxCounted subjects are already
+// counted individually.
+func (c *counts) forSubject(subject string) *Counts {
 	if c.bySubject == nil {
 		c.bySubject = map[string]*Counts{OtherSubjects: {Subject: OtherSubjects}}
 	}
@@ -45,7 +49,7 @@
 	return counted
 }
 
-// Counts lists how claims ended, by subject in order of name, those counted together first.
+// Counts returns the counts of all subjects, sorted by name; the counts of OtherSubjects come first.
 func (a *Allowances) Counts() []Counts {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -57,50 +61,50 @@
 	return list
 }
 
-// Traffic is how many requests were made for members, and for how many subjects in sum.
-func (a *Allowances) Traffic() (requests, wants uint64) {
+// RequestCounts returns how many requests to members were created, and for how many subjects altogether.
+func (a *Allowances) RequestCounts() (requests, wants uint64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.counts.requests, a.counts.wants
 }
 
-// denialQuiet is for how long none of a subject's claims is denied before its denials count as over.
-const denialQuiet = 5 * time.Second
+// denialEndDelay is the time without a denied claim after which a series of denials counts as over.
+const denialEndDelay = 5 * time.Second
 
-// denials are the denials of a subject that come close together.
+// denials is a series of denials of one subject. A series ends after denialEndDelay without a denial.
 type denials struct {
 	last  time.Time
 	count uint64
-	// told is set once it was reported that they have begun.
-	told bool
+	// reported is set once the start of the series was reported.
+	reported bool
 }
 
-// DenialChange says that a subject begins to be denied, or that this is over after Count denials.
+// DenialChange reports that a series of denials of a subject has started, or that it is over after Count denials.
 type DenialChange struct {
 	Subject string
 	Over    bool
 	Count   uint64
 }
 
-// deny counts a denial.
+// deny counts a denied claim.
 func (s *allowance) deny(now time.Time) {
-	s.counted.Denied++
+	s.claimCounts.Denied++
 	s.denials.count++
 	s.denials.last = now
 }
 
-// DenialChanges lists what has changed since the last call, in order of name: for each subject no more than a
-// beginning and an end in denialQuiet.
+// DenialChanges returns the changes since the last call, sorted by subject. For each subject it reports at most one
+// start and one end per denialEndDelay, so that a tenant over its limit does not flood the log.
 func (a *Allowances) DenialChanges(now time.Time) []DenialChange {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	var changes []DenialChange
 	for name, s := range a.subjects {
 		switch {
-		case s.denials.count > 0 && !s.denials.told:
-			s.denials.told = true
+		case s.denials.count > 0 && !s.denials.reported:
+			s.denials.reported = true
 			changes = append(changes, DenialChange{Subject: name, Count: s.denials.count})
-		case s.denials.told && now.Sub(s.denials.last) >= denialQuiet:
+		case s.denials.reported && now.Sub(s.denials.last) >= denialEndDelay:
 			changes = append(changes, DenialChange{Subject: name, Over: true, Count: s.denials.count})
 			s.denials = denials{}
 		}
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,22 +1,23 @@
-// Package quota keeps limits that hold over all routers together. The members of a small group, the
-// witnesses of the control plane, each count in a Ledger what they granted of every limit; a router
-// spends a batch of tokens only when a quorum of the group has granted it (Allowances), and asks
-// ahead by its own demand. Members know nothing of one another: two quorums always share a member, and
-// what that member has granted to one router it does not grant to another.
+// Package quota enforces rate limits over all routers together. The members of a small group, the
+// witnesses of the control plane, each keep a Ledger of the tokens that they have granted under each limit.
+// A router (Allowances) spends a batch of tokens only after a quorum of the group has granted it, and
+// prefetches tokens according to its own demand. Members do not communicate with each other: two quorums
+// always share a member, and that member does not grant the same tokens to two routers.
 //
-// The package is deterministic: it reads no clock and sends nothing. Package dataplane carries the
-// messages of routers, package controlplane serves those to members. docs/design/quotas.md has the
-// argument and what else was weighed.
+// The package is deterministic: it neither reads a clock nor sends messages. Package dataplane sends the
+// requests of routers, package controlplane serves them at the members. docs/design/quotas.md explains why the
+// limits hold and which alternatives were considered.
 package quota
 
 import "time"
 
-// Limit bounds what all routers spend of one subject: at most PerSecond*t + Capacity tokens in any span of
-// t seconds.
+// Limit bounds how many tokens of one subject, such as a tenant, all routers together spend: at most
+// PerSecond*t + Capacity tokens in any span of t seconds.
 type Limit struct {
 	PerSecond float64 `msgpack:"per_second"`
 	Capacity  float64 `msgpack:"capacity"`
-	// Revision orders the limits of a subject: a member goes by the highest that it was told.
+	// Revision orders the limits of a subject: a member applies the limit with the highest revision that it
+	// has received.
 	Revision Revision `msgpack:"revision"`
 }
 
@@ -31,47 +32,50 @@
 	return r.Epoch < other.Epoch || r.Epoch == other.Epoch && r.Number < other.Number
 }
 
-// BatchTTL is how long a member's grants to a router last after the router's last request, by the
-// member's clock from when the request came and by the router's from when it was sent, less clockDrift.
+// BatchTTL is how long a member's grants to a router are valid after the router's last request. The member
+// counts from the arrival of the request by its own clock; the router counts from the sending of the request
+// by its own clock and subtracts the possible clockDrift.
 const BatchTTL = 8 * time.Second
 
-// clockDrift is the part of BatchTTL by which clocks of two machines may run apart over it.
+// clockDrift is the maximum time by which the clocks of two machines drift apart during BatchTTL, as a fraction of
+// BatchTTL.
 const clockDrift = 0.02
 
-// Request asks a member for tokens of several subjects and reports what was spent of earlier ones. It is
-// absolute: one that is lost or comes twice does no harm, and an older one is passed over.
+// Request asks a member for tokens of several subjects and reports how many tokens were spent. Its numbers
+// are totals, so a request may be lost or delivered twice; a request that is not newer than the last one is ignored.
 type Request struct {
-	// Router is one incarnation of the requesting router, Sequence the number of its request.
+	// Router identifies one incarnation of the requesting router, and Sequence is the number of its request.
 	Router   string `msgpack:"router"`
 	Sequence uint64 `msgpack:"sequence"`
 	Wants    []Want `msgpack:"wants"`
 }
 
-// Want is what a router wants of one subject.
+// Want is a router's request for tokens of one subject.
 type Want struct {
 	Subject string `msgpack:"subject"`
 	Limit   Limit  `msgpack:"limit"`
-	// Spent is how many tokens the router has spent since it started.
+	// Spent is the number of tokens that the router has spent since it started.
 	Spent uint64 `msgpack:"spent"`
-	// Debt is by how many tokens the router's own spending is ahead of what flows in: a member that first hears
-	// from the router has not counted them.
+	// Debt is the number of tokens by which the router's own spending exceeds the refill of the bucket. A member
+	// that receives its first request from the router subtracts Debt, because it has not counted these tokens yet.
 	Debt uint64 `msgpack:"debt,omitempty"`
-	// Hold is how many tokens the router wants to hold unspent: more than it has are granted if there
-	// are any, and fewer are taken back.
-	Hold uint64 `msgpack:"hold"`
-	// Need is how many of them calls wait for; the rest is wanted ahead.
+	// Target is the number of unspent tokens that the router wants to have. The member grants the missing
+	// tokens as far as they are available, and takes back surplus tokens.
+	Target uint64 `msgpack:"hold"`
+	// Need is the number of Target tokens for which calls are waiting. The other Target tokens are prefetched.
 	Need uint64 `msgpack:"need"`
 }
 
-// Grant is a member's answer to a Want, in the order of the request.
+// Grant is a member's response to one Want.
 type Grant struct {
-	// Granted is how many tokens the member lets the router spend, counted from the router's start.
+	// Granted is the total number of tokens that the member allows the router to spend, counted from the router's start.
 	Granted uint64 `msgpack:"granted"`
-	// Wait is how long it takes at least until the member has another token; zero if all was granted.
+	// Wait is the minimum time until the member has another token; zero if all wanted tokens were granted.
 	Wait time.Duration `msgpack:"wait,omitempty"`
 }
 
-// Response has a grant for each want; none if the request was older than one that came before.
+// Response has a grant for each want, in the order of the request. It has no grants if the member has already
+// served this request or a later one of the router.
 type Response struct {
 	Grants []Grant `msgpack:"grants,omitempty"`
 }
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -14,36 +14,36 @@
 	"time"
 )
 
-// exploredLimit is the limit of the exploration: as many tokens a second, and a small bucket.
+// exploredLimit is the limit in all explorations. A small bucket keeps the number of states low.
 var exploredLimit = Limit{PerSecond: 1, Capacity: 4}
 
-// faultyVariant is a fault that is put into the protocol: the exploration has to find it.
-type faultyVariant string
+// protocolVariant is the correct protocol or a variant with a fault that the exploration must find.
+type protocolVariant string
 
 const (
-	correct         faultyVariant = ""
-	startsFull      faultyVariant = "a member that starts has a full bucket"
-	servesOldEpochs faultyVariant = "a member serves older memberships"
-	yieldsNothing   faultyVariant = "a router keeps what it told members it wants no more"
-	outlivesBatches faultyVariant = "a router spends after its batch has ended"
-	ignoresDebts    faultyVariant = "a member that first hears from a router passes over what it spent"
+	correct             protocolVariant = ""
+	startsFull          protocolVariant = "a member starts with a full bucket"
+	acceptsOldEpochs    protocolVariant = "a member serves requests of older memberships"
+	keepsSurplusTokens  protocolVariant = "a router keeps tokens beyond its requested target"
+	spendsExpiredGrants protocolVariant = "a router spends tokens of expired grants"
+	ignoresDebt         protocolVariant = "a member ignores the debt in the first request of a router"
 )
 
-// exploredMember is a member with its ledger, and the epoch of the membership that it has accepted.
+// exploredMember is a member with its ledger and the epoch of the membership that it has accepted.
 type exploredMember struct {
 	name   Member
 	ledger *Ledger
 	epoch  int
 }
 
-// exploredRouter is a router, and the epoch of the membership that it knows.
+// exploredRouter is a router with the epoch of the membership that it knows.
 type exploredRouter struct {
 	allowances *Allowances
 	epoch      int
 }
 
-// staleRequest is a request that is served at any later time; nobody waits for its answer.
-type staleRequest struct {
+// delayedRequest is a request that a member receives at an arbitrary later time. The member's response is dropped.
+type delayedRequest struct {
 	member  int
 	epoch   int
 	request Request
@@ -54,26 +54,26 @@
 	now     time.Duration
 	members []exploredMember
 	routers []exploredRouter
-	stale   []staleRequest
+	delayed []delayedRequest
 	spent   []time.Duration
-	// steps tell how the state was reached.
+	// steps describes how the state was reached.
 	steps []string
-	// What may still happen.
-	asks, losses, restarts, crashes, ticks, changes int
+	// requests and the following fields are the remaining numbers of events of each kind.
+	requests, undelivered, memberRestarts, routerRestarts, timeSteps, membershipChanges int
 }
 
 func (s *groupState) time() time.Time { return noon.Add(s.now) }
 
 func cloneLedger(l *Ledger) *Ledger {
-	copied := &Ledger{since: l.since, idle: l.idle, sweptAt: l.sweptAt, subjects: map[string]*subject{}}
-	for name, old := range l.subjects {
-		bucket := *old
-		bucket.holders = map[string]*holder{}
-		for router, h := range old.holders {
-			holding := *h
-			bucket.holders[router] = &holding
+	copied := &Ledger{since: l.since, idle: l.idle, sweptAt: l.sweptAt, buckets: map[string]*bucket{}}
+	for name, old := range l.buckets {
+		copiedBucket := *old
+		copiedBucket.accounts = map[string]*routerAccount{}
+		for router, oldAccount := range old.accounts {
+			account := *oldAccount
+			copiedBucket.accounts[router] = &account
 		}
-		copied.subjects[name] = &bucket
+		copied.buckets[name] = &copiedBucket
 	}
 	return copied
 }
@@ -83,9 +83,9 @@
 	copied.sequence, copied.sweptAt = a.sequence, a.sweptAt
 	for name, old := range a.subjects {
 		s := *old
-		s.members, s.sent = maps.Clone(old.members), map[Member][]sentWant{}
-		for name, unanswered := range old.sent {
-			s.sent[name] = slices.Clone(unanswered)
+		s.members, s.pendingRequests = maps.Clone(old.members), map[Member][]pendingRequest{}
+		for name, pending := range old.pendingRequests {
+			s.pendingRequests[name] = slices.Clone(pending)
 		}
 		copied.subjects[name] = &s
 	}
@@ -101,12 +101,12 @@
 	for i := range next.routers {
 		next.routers[i].allowances = cloneAllowances(s.routers[i].allowances)
 	}
-	next.stale, next.spent = slices.Clone(s.stale), slices.Clone(s.spent)
+	next.delayed, next.spent = slices.Clone(s.delayed), slices.Clone(s.spent)
 	next.steps = slices.Clip(s.steps)
 	return &next
 }
 
-// stateWriter writes what tells states apart.
+// stateWriter encodes the parts of a state that distinguish it from other states.
 type stateWriter struct{ bytes []byte }
 
 func (w *stateWriter) numbers(values ...int64) {
@@ -119,10 +119,11 @@
 
 func (w *stateWriter) name(name string) { w.bytes = append(append(w.bytes, name...), 0) }
 
-// key tells states apart.
+// key returns a hash that identifies the state.
 func (s *groupState) key() [16]byte {
 	var w stateWriter
-	w.numbers(int64(s.now), int64(s.asks), int64(s.losses), int64(s.restarts), int64(s.crashes), int64(s.ticks), int64(s.changes), int64(len(s.spent)))
+	w.numbers(int64(s.now), int64(s.requests), int64(s.undelivered), int64(s.memberRestarts), int64(s.routerRestarts),
+		int64(s.timeSteps), int64(s.membershipChanges), int64(len(s.spent)))
 	for _, at := range s.spent {
 		w.numbers(int64(at))
 	}
@@ -132,9 +133,9 @@
 	for _, r := range s.routers {
 		w.router(r)
 	}
-	for _, stale := range s.stale {
-		w.name(stale.request.Router)
-		w.numbers(int64(stale.member), int64(stale.epoch), int64(stale.request.Sequence))
+	for _, delayed := range s.delayed {
+		w.name(delayed.request.Router)
+		w.numbers(int64(delayed.member), int64(delayed.epoch), int64(delayed.request.Sequence))
 	}
 	hash := fnv.New128a()
 	_, _ = hash.Write(w.bytes)
@@ -142,62 +143,65 @@
 }
 
 func (w *stateWriter) member(m exploredMember) {
-	w.numbers(int64(m.epoch), int64(len(m.ledger.subjects)))
+	w.numbers(int64(m.epoch), int64(len(m.ledger.buckets)))
 	w.time(m.ledger.since)
 	w.bytes = strconv.AppendBool(w.bytes, m.ledger.idle)
-	for _, bucket := range m.ledger.subjects {
-		w.numbers(int64(bucket.level*1000), int64(len(bucket.holders)))
+	for _, bucket := range m.ledger.buckets {
+		w.numbers(int64(bucket.level*1000), int64(len(bucket.accounts)))
 		w.time(bucket.filledAt)
-		for _, name := range slices.Sorted(maps.Keys(bucket.holders)) {
-			h := bucket.holders[name]
+		for _, name := range slices.Sorted(maps.Keys(bucket.accounts)) {
+			account := bucket.accounts[name]
 			w.name(name)
-			w.numbers(int64(h.sequence), int64(h.granted), int64(h.spent))
-			w.time(h.expires)
+			w.numbers(int64(account.sequence), int64(account.granted), int64(account.spent))
+			w.time(account.expires)
 		}
 	}
 }
 
 func (w *stateWriter) router(r exploredRouter) {
-	bucket := r.allowances.subjects["a"]
+	allowance := r.allowances.subjects["a"]
 	w.name(r.allowances.router)
-	w.numbers(int64(r.epoch), int64(r.allowances.sequence), int64(bucket.spent), int64(bucket.debt), int64(len(bucket.members)))
-	w.time(bucket.debtAt)
-	for _, name := range slices.Sorted(maps.Keys(bucket.members)) {
-		grant := bucket.members[name]
+	w.numbers(int64(r.epoch), int64(r.allowances.sequence), int64(allowance.spent), int64(allowance.debt),
+		int64(len(allowance.members)))
+	w.time(allowance.debtAt)
+	for _, name := range slices.Sorted(maps.Keys(allowance.members)) {
+		grant := allowance.members[name]
 		w.name(string(name))
 		w.numbers(int64(grant.granted), int64(grant.sequence))
 		w.time(grant.expires)
 	}
-	for _, name := range slices.Sorted(maps.Keys(bucket.sent)) {
+	for _, name := range slices.Sorted(maps.Keys(allowance.pendingRequests)) {
 		w.name(string(name))
-		for _, sent := range bucket.sent[name] {
-			w.numbers(int64(sent.sequence), int64(sent.mayHold))
+		for _, pending := range allowance.pendingRequests[name] {
+			w.numbers(int64(pending.sequence), int64(pending.maxGranted))
 		}
 	}
 }
 
-// groupExplorer visits every state that can be reached, once each.
+// groupExplorer visits every reachable state once.
 type groupExplorer struct {
-	variant   faultyVariant
+	variant   protocolVariant
 	scope     explorationScope
 	seen      map[[16]byte]struct{}
 	violation string
 }
 
-// exploredGroups are the sets of the epochs: one member of three is replaced by joint consensus.
+// exploredGroups are the groups by epoch. One of three members is replaced in two steps, with a
+// joint group in between.
 var exploredGroups = []Group{
 	NewGroup([]Member{"m0", "m1", "m2"}),
 	NewGroup([]Member{"m0", "m1", "m2"}, []Member{"m0", "m1", "m3"}),
 	NewGroup([]Member{"m0", "m1", "m3"}),
 }
 
-// counts reports whether a member that has accepted an epoch keeps its ledger.
-func (e *groupExplorer) counts(member Member, epoch int) bool {
+// keepsLedger reports whether a member that has accepted an epoch keeps its ledger. As in package controlplane, a member
+// resets its ledger while it is outside the group, or only in the incoming set of a joint group (the second set).
+func (e *groupExplorer) keepsLedger(member Member, epoch int) bool {
 	return slices.Contains(exploredGroups[epoch].sets[0], member)
 }
 
-// mayAccept reports whether the membership of an epoch may be accepted: the one before it is by a quorum of its own
-// and of its predecessor.
+// mayAccept reports whether members may accept the membership of an epoch. The final membership may be accepted only
+// after a quorum of the joint group has accepted the joint membership.
 func (s *groupState) mayAccept(epoch int) bool {
 	if epoch < 2 {
 		return true
@@ -212,12 +216,15 @@
 	})
 }
 
-func newBucketRouter(name string, now time.Time) *Allowances {
+// newExploredAllowances returns the allowances of a router that knows the explored subject.
+func newExploredAllowances(name string, now time.Time) *Allowances {
 	a := NewAllowances(name)
 	a.Claim(now, "a", exploredLimit).Cancel()
 	return a
 }
 
+// newGroupState returns the initial state: three members with full buckets, one more member outside the group, and
+// two routers.
 func newGroupState() *groupState {
 	s := &groupState{}
 	for i := range 4 {
@@ -225,73 +232,78 @@
 	}
 	s.members[3].ledger.Reset(noon)
 	for _, name := range []string{"r0", "r1"} {
-		s.routers = append(s.routers, exploredRouter{allowances: newBucketRouter(name, noon)})
+		s.routers = append(s.routers, exploredRouter{allowances: newExploredAllowances(name, noon)})
 	}
 	return s
 }
 
-// serve has a member serve a request, behind the fence that package controlplane puts before the ledger.
+// serve lets a member serve a request. Like package controlplane, it rejects requests of older epochs and requests to
+// members that do not belong to the group.
 func (e *groupExplorer) serve(s *groupState, member, epoch int, request Request) Response {
 	m := s.members[member]
-	old := epoch < m.epoch && e.variant != servesOldEpochs
+	old := epoch < m.epoch && e.variant != acceptsOldEpochs
 	if old || epoch == m.epoch && !slices.Contains(exploredGroups[epoch].members, m.name) {
 		return Response{}
 	}
 	return m.ledger.Apply(s.time(), request)
 }
 
-// delivery outcomes of a request to one member.
+// The outcomes of a request to one member.
 const (
 	delivered = iota
 	requestLost
 	responseLost
 	requestLate
+	// deliveryOutcomes is the number of outcomes.
 	deliveryOutcomes
 )
 
-// ask has a router ask all members of its group, with one outcome for each.
-func (e *groupExplorer) ask(s *groupState, router int, need uint64, ahead float64, outcomes []int) {
+// sendRequest sends a router's request to all members of its group, with one outcome for each member. The router then
+// spends tokens for its waiting calls.
+func (e *groupExplorer) sendRequest(s *groupState, router int, need uint64, prefetch float64, outcomes []int) {
 	r := &s.routers[router]
-	bucket, group := r.allowances.subjects["a"], exploredGroups[r.epoch]
-	bucket.waiting, bucket.demand, bucket.demandAt = need, (ahead+0.5)/aheadSpan.Seconds(), s.time()
-	before := maps.Clone(bucket.members)
+	allowance, group := r.allowances.subjects["a"], exploredGroups[r.epoch]
+	// prefetchTarget subtracts one token and rounds up: with half a token added, it returns prefetch.
+	allowance.waiting, allowance.demand, allowance.demandAt = need, (prefetch+0.5)/prefetchSpan.Seconds(), s.time()
+	before := maps.Clone(allowance.members)
 	r.allowances.sequence++
-	want := bucket.ask(s.time(), r.allowances.sequence, group.members)
+	want := allowance.newWant(s.time(), r.allowances.sequence, group.members)
 	want.Subject = "a"
-	if e.variant == ignoresDebts {
+	if e.variant == ignoresDebt {
 		want.Debt = 0
 	}
-	if e.variant == yieldsNothing {
-		bucket.members = before
+	if e.variant == keepsSurplusTokens {
+		allowance.members = before
 	}
-	s.steps = append(s.steps, fmt.Sprintf("r%d asks, spent %d hold %d need %d, outcomes %v", router, want.Spent, want.Hold, want.Need, outcomes))
+	s.steps = append(s.steps, fmt.Sprintf("r%d sends a request: spent %d, target %d, need %d, outcomes %v",
+		router, want.Spent, want.Target, want.Need, outcomes))
 	request := Request{Router: r.allowances.router, Sequence: r.allowances.sequence, Wants: []Want{want}}
 	for i, name := range group.members {
 		member := slices.IndexFunc(s.members, func(m exploredMember) bool { return m.name == name })
 		switch outcomes[i] {
 		case requestLost:
-			s.losses--
+			s.undelivered--
 		case requestLate:
-			s.losses--
-			s.stale = append(s.stale, staleRequest{member, r.epoch, request})
+			s.undelivered--
+			s.delayed = append(s.delayed, delayedRequest{member, r.epoch, request})
 		case responseLost:
-			s.losses--
+			s.undelivered--
 			e.serve(s, member, r.epoch, request)
 		default:
-			r.allowances.Granted(s.time(), group, name, s.time(), request, e.serve(s, member, r.epoch, request))
-			if grant, found := bucket.members[name]; found && e.variant == outlivesBatches {
+			r.allowances.HandleResponse(s.time(), group, name, s.time(), request, e.serve(s, member, r.epoch, request))
+			if grant, found := allowance.members[name]; found && e.variant == spendsExpiredGrants {
 				grant.expires = noon.Add(time.Hour)
-				bucket.members[name] = grant
+				allowance.members[name] = grant
 			}
 		}
 	}
-	for ; bucket.waiting > 0 && bucket.usable(s.time(), group) > bucket.spent; bucket.waiting-- {
+	for ; allowance.waiting > 0 && allowance.usable(s.time(), group) > allowance.spent; allowance.waiting-- {
 		e.spend(s, router)
 	}
-	bucket.waiting = 0
+	allowance.waiting = 0
 }
 
-// spend spends a token, and looks whether any span now has too many.
+// spend spends a token and checks whether the limit is now exceeded in any span.
 func (e *groupExplorer) spend(s *groupState, router int) {
 	s.routers[router].allowances.subjects["a"].spend(s.time())
 	s.spent = append(s.spent, s.now)
@@ -299,12 +311,13 @@
 	for i, first := range s.spent {
 		allowed := exploredLimit.PerSecond*(s.now-first).Seconds() + exploredLimit.Capacity
 		if float64(len(s.spent)-i) > allowed+1e-9 {
-			e.violation = fmt.Sprintf("%d spent in %v, %.0f allowed:\n%s", len(s.spent)-i, s.now-first, allowed, strings.Join(s.steps, "\n"))
+			e.violation = fmt.Sprintf("%d tokens spent in %v, want at most %.0f:\n%s",
+				len(s.spent)-i, s.now-first, allowed, strings.Join(s.steps, "\n"))
 		}
 	}
 }
 
-// visit explores what may follow a state.
+// visit explores all states that can follow a state.
 func (e *groupExplorer) visit(s *groupState) {
 	key := s.key()
 	if _, seen := e.seen[key]; seen || e.violation != "" {
@@ -317,73 +330,77 @@
 	for i := range s.members {
 		e.visitMember(s, i)
 	}
-	for i := range s.stale {
+	for i := range s.delayed {
 		next := s.clone()
-		next.stale = slices.Delete(next.stale, i, i+1)
-		next.steps = append(next.steps, fmt.Sprintf("m%d gets the late request %d of %s", s.stale[i].member, s.stale[i].request.Sequence, s.stale[i].request.Router))
-		e.serve(next, s.stale[i].member, s.stale[i].epoch, s.stale[i].request)
+		next.delayed = slices.Delete(next.delayed, i, i+1)
+		next.steps = append(next.steps, fmt.Sprintf("m%d receives the delayed request %d of %s",
+			s.delayed[i].member, s.delayed[i].request.Sequence, s.delayed[i].request.Router))
+		e.serve(next, s.delayed[i].member, s.delayed[i].epoch, s.delayed[i].request)
 		e.visit(next)
 	}
-	if s.ticks > 0 {
-		for _, length := range e.scope.pauses {
+	if s.timeSteps > 0 {
+		for _, length := range e.scope.stepLengths {
 			next := s.clone()
-			next.ticks--
+			next.timeSteps--
 			next.now += length
-			next.steps = append(next.steps, fmt.Sprint(length, " pass"))
-			e.pass(next)
+			next.steps = append(next.steps, fmt.Sprint(length, " elapse"))
+			e.advanceMembers(next)
 			e.visit(next)
 		}
 	}
 }
 
-// pass has members do what they do as time passes.
-func (e *groupExplorer) pass(s *groupState) {
+// advanceMembers resets the ledgers of members outside the group, as members do periodically.
+func (e *groupExplorer) advanceMembers(s *groupState) {
 	for i, m := range s.members {
-		if !e.counts(m.name, m.epoch) {
+		if !e.keepsLedger(m.name, m.epoch) {
 			s.members[i].ledger.Reset(s.time())
 		}
 	}
 }
 
-// visitRouter explores what a router may do.
+// visitRouter explores the possible events at a router.
 func (e *groupExplorer) visitRouter(s *groupState, i int) {
 	r := s.routers[i]
 	group := exploredGroups[r.epoch]
-	bucket := r.allowances.subjects["a"]
-	if bucket.usable(s.time(), group) > bucket.spent {
+	allowance := r.allowances.subjects["a"]
+	if allowance.usable(s.time(), group) > allowance.spent {
 		next := s.clone()
 		e.spend(next, i)
 		e.visit(next)
 	}
-	if s.asks > 0 {
+	if s.requests > 0 {
 		for _, wanted := range e.scope.wanted {
-			e.forOutcomes(s.losses, len(group.members), func(outcomes []int) {
+			e.forOutcomes(s.undelivered, len(group.members), func(outcomes []int) {
 				next := s.clone()
-				next.asks--
-				e.ask(next, i, wanted.need, wanted.ahead, outcomes)
+				next.requests--
+				e.sendRequest(next, i, wanted.need, wanted.prefetch, outcomes)
 				e.visit(next)
 			})
 		}
 	}
-	if s.crashes > 0 {
+	if s.routerRestarts > 0 {
 		next := s.clone()
-		next.crashes--
+		next.routerRestarts--
 		next.steps = append(next.steps, fmt.Sprintf("r%d restarts", i))
-		next.routers[i].allowances = newBucketRouter(r.allowances.router+"'", s.time())
+		next.routers[i].allowances = newExploredAllowances(r.allowances.router+"'", s.time())
 		e.visit(next)
 	}
-	if newest := slices.MaxFunc(s.members, func(left, right exploredMember) int { return left.epoch - right.epoch }).epoch; r.epoch < newest {
+	if newest := slices.MaxFunc(s.members, func(left, right exploredMember) int {
+		return left.epoch - right.epoch
+	}).epoch; r.epoch < newest {
 		next := s.clone()
 		next.routers[i].epoch = newest
 		e.visit(next)
 	}
 }
 
-// forOutcomes calls back with every combination of outcomes with at most some that are not delivered.
-func (e *groupExplorer) forOutcomes(losses, members int, visit func([]int)) {
+// forOutcomes calls visit with every combination of outcomes in which at most the given number of requests is not
+// delivered normally.
+func (e *groupExplorer) forOutcomes(undelivered, members int, visit func([]int)) {
 	outcomes := make([]int, members)
-	var choose func(member, left int)
-	choose = func(member, left int) {
+	var choose func(member, remaining int)
+	choose = func(member, remaining int) {
 		if e.violation != "" {
 			return
 		}
@@ -392,25 +409,25 @@
 			return
 		}
 		for outcome := range deliveryOutcomes {
-			if outcome != delivered && left == 0 {
+			if outcome != delivered && remaining == 0 {
 				break
 			}
 			outcomes[member] = outcome
 			if outcome == delivered {
-				choose(member+1, left)
+				choose(member+1, remaining)
 			} else {
-				choose(member+1, left-1)
+				choose(member+1, remaining-1)
 			}
 		}
 	}
-	choose(0, losses)
+	choose(0, undelivered)
 }
 
-// visitMember explores what may happen to a member.
+// visitMember explores the possible events at a member.
 func (e *groupExplorer) visitMember(s *groupState, i int) {
-	if s.restarts > 0 {
+	if s.memberRestarts > 0 {
 		next := s.clone()
-		next.restarts--
+		next.memberRestarts--
 		next.steps = append(next.steps, fmt.Sprintf("m%d restarts", i))
 		next.members[i].ledger = NewLedger(s.time())
 		if e.variant == startsFull {
@@ -419,53 +436,71 @@
 		e.visit(next)
 	}
 	epoch := s.members[i].epoch + 1
-	if s.changes > 0 && epoch < len(exploredGroups) && s.mayAccept(epoch) {
+	if s.membershipChanges > 0 && epoch < len(exploredGroups) && s.mayAccept(epoch) {
 		next := s.clone()
-		next.changes--
-		next.steps = append(next.steps, fmt.Sprintf("m%d accepts %d", i, epoch))
+		next.membershipChanges--
+		next.steps = append(next.steps, fmt.Sprintf("m%d accepts epoch %d", i, epoch))
 		next.members[i].epoch = epoch
-		if !e.counts(s.members[i].name, s.members[i].epoch) {
+		if !e.keepsLedger(s.members[i].name, s.members[i].epoch) {
 			next.members[i].ledger.Reset(s.time())
 		}
 		e.visit(next)
 	}
 }
 
-// explorationScope is what may happen in an exploration, how often, and how long it may take.
+// explorationScope limits the events of an exploration.
 type explorationScope struct {
-	asks, losses, restarts, crashes, ticks, changes int
-	// accepted are the epochs that the members have accepted to begin with; empty: all the first.
-	accepted []int
-	pauses   []time.Duration
-	wanted   []wantedTokens
+	// requests and the following fields are the maximum numbers of events of each kind.
+	requests, undelivered, memberRestarts, routerRestarts, timeSteps, membershipChanges int
+	// accepted are the epochs that the members have accepted at the start; empty means the first epoch for all members.
+	accepted    []int
+	stepLengths []time.Duration
+	wanted      []wantedTokens
 }
 
-// wantedTokens are what a router asks for: for calls that wait, and ahead.
+// wantedTokens are the numbers of tokens that a router requests: need for waiting calls, and prefetch in advance.
 type wantedTokens struct {
-	need  uint64
-	ahead float64
+	need     uint64
+	prefetch float64
 }
 
-// refillTime is how long an empty bucket takes to fill.
+// refillTime is how long an empty bucket of exploredLimit takes to fill.
 const refillTime = 4 * time.Second
 
-// bothRestart has a majority lose what it counted; TestExploredLimitHoldsWhenAMajorityRestarts explores it.
-const bothRestart = "members restart"
+// majorityRestarts is the scope in which a majority of the members restarts and loses its ledgers. It is explored by
+// TestExploredLimitHoldsWhenAMajorityRestarts.
+const majorityRestarts = "members restart"
 
-// explorationScopes are explored one by one: all at once there would be too many states.
+// explorationScopes are explored separately, because a scope with all kinds of events would have too many states.
 var explorationScopes = map[string]explorationScope{
-	bothRestart:            {asks: 2, restarts: 2, ticks: 1, pauses: []time.Duration{refillTime, BatchTTL}, wanted: []wantedTokens{{4, 0}, {0, 2}}},
-	"a router restarts":    {asks: 3, crashes: 1, ticks: 1, pauses: []time.Duration{refillTime}, wanted: []wantedTokens{{4, 0}, {0, 2}}},
-	"messages get lost":    {asks: 3, losses: 2, wanted: []wantedTokens{{4, 0}, {0, 2}, {0, 0}}},
-	"batches end":          {asks: 3, ticks: 2, pauses: []time.Duration{refillTime, BatchTTL}, wanted: []wantedTokens{{4, 0}, {0, 2}}},
-	"a member is replaced": {asks: 3, losses: 1, ticks: 1, changes: 1, accepted: []int{1, 1, 1, 2}, pauses: []time.Duration{refillTime}, wanted: []wantedTokens{{4, 0}}},
-}
-
-// explore visits all states within a scope.
-func explore(variant faultyVariant, scope explorationScope) *groupExplorer {
+	majorityRestarts: {
+		requests: 2, memberRestarts: 2, timeSteps: 1,
+		stepLengths: []time.Duration{refillTime, BatchTTL}, wanted: []wantedTokens{{4, 0}, {0, 2}},
+	},
+	"a router restarts": {
+		requests: 3, routerRestarts: 1, timeSteps: 1,
+		stepLengths: []time.Duration{refillTime}, wanted: []wantedTokens{{4, 0}, {0, 2}},
+	},
+	"messages get lost": {
+		requests: 3, undelivered: 2,
+		wanted: []wantedTokens{{4, 0}, {0, 2}, {0, 0}},
+	},
+	"grants expire": {
+		requests: 3, timeSteps: 2,
+		stepLengths: []time.Duration{refillTime, BatchTTL}, wanted: []wantedTokens{{4, 0}, {0, 2}},
+	},
+	"a member is replaced": {
+		requests: 3, undelivered: 1, timeSteps: 1, membershipChanges: 1, accepted: []int{1, 1, 1, 2},
+		stepLengths: []time.Duration{refillTime}, wanted: []wantedTokens{{4, 0}},
+	},
+}
+
+// explore visits all reachable states within a scope.
+func explore(variant protocolVariant, scope explorationScope) *groupExplorer {
 	e := &groupExplorer{variant: variant, scope: scope, seen: map[[16]byte]struct{}{}}
 	s := newGroupState()
-	s.asks, s.losses, s.restarts, s.crashes, s.ticks, s.changes = scope.asks, scope.losses, scope.restarts, scope.crashes, scope.ticks, scope.changes
+	s.requests, s.undelivered, s.memberRestarts, s.routerRestarts, s.timeSteps, s.membershipChanges =
+		scope.requests, scope.undelivered, scope.memberRestarts, scope.routerRestarts, scope.timeSteps, scope.membershipChanges
 	for i, epoch := range scope.accepted {
 		s.members[i].epoch = epoch
 	}
@@ -474,10 +509,10 @@
 }
 
 // TestExploredLimitHolds visits every state of three members and two routers within the scopes: messages are lost,
-// late and overtaken, members and routers restart, a member is replaced.
+// delayed and reordered, members and routers restart, and a member is replaced.
 func TestExploredLimitHolds(t *testing.T) {
 	for name, scope := range explorationScopes {
-		if name == bothRestart {
+		if name == majorityRestarts {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
@@ -491,25 +526,32 @@
 	}
 }
 
-// TestExploredLimitHoldsWhenAMajorityRestarts guards against QUOTA: members that lost their counts fill up beside what
-// routers still hold of their earlier grants.
+// TestExploredLimitHoldsWhenAMajorityRestarts guards against routers that together exceed a limit after a
+// majority of the members has lost its ledgers: the new buckets fill up while routers still have unspent tokens
+// of earlier grants.
 func TestExploredLimitHoldsWhenAMajorityRestarts(t *testing.T) {
-	e := explore(correct, explorationScopes[bothRestart])
+	e := explore(correct, explorationScopes[majorityRestarts])
 	t.Logf("%d states", len(e.seen))
 	if e.violation != "" {
 		t.Error(e.violation)
 	}
 }
 
-// TestExplorationFindsFaults wants each fault found that is put into the protocol.
+// TestExplorationFindsFaults checks that the exploration finds the fault of each faulty variant.
 func TestExplorationFindsFaults(t *testing.T) {
-	for variant, scope := range map[faultyVariant]string{startsFull: bothRestart, servesOldEpochs: "a member is replaced", yieldsNothing: "messages get lost", outlivesBatches: "batches end", ignoresDebts: "messages get lost"} {
+	for variant, scope := range map[protocolVariant]string{
+		startsFull:          majorityRestarts,
+		acceptsOldEpochs:    "a member is replaced",
+		keepsSurplusTokens:  "messages get lost",
+		spendsExpiredGrants: "grants expire",
+		ignoresDebt:         "messages get lost",
+	} {
 		t.Run(string(variant), func(t *testing.T) {
 			t.Parallel()
 			e := explore(variant, explorationScopes[scope])
 			t.Logf("%s: %d states: %s", variant, len(e.seen), e.violation)
 			if e.violation == "" {
-				t.Error("not found")
+				t.Error("the exploration found no violation, want one")
 			}
 		})
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -6,75 +6,79 @@
 	"time"
 )
 
-// Ledger is one member's count of what it granted. It is kept in memory: a member that starts, or that
-// joins the group, has granted nothing it knows of and begins with empty buckets, as if its predecessor
-// had granted all that the limits allowed.
+// Ledger records the tokens that one member has granted. It is kept in memory only: a member that starts, or that
+// joins the group, does not know of earlier grants and starts with empty buckets, as if all tokens that the
+// limits allow had already been granted.
 //
-// Invariant: the tokens that are left of a subject (level) and those granted and not reported as spent are
-// together no more than the limit's capacity. So what is spent in any span of t seconds of grants that this
-// member took part in is at most PerSecond*t + Capacity, however late routers spend what they hold.
+// Invariant: the tokens left in a bucket (level) and the tokens that are granted but not reported as spent are
+// together at most the limit's capacity. Therefore, of the grants that this member took part in, at most
+// PerSecond*t + Capacity tokens are spent in any span of t seconds, however late routers spend their tokens.
 type Ledger struct {
 	mutex sync.Mutex
+	// since is when the ledger started to record grants.
 	since time.Time
-	// idle is set from a Reset on until the next request.
-	idle     bool
-	subjects map[string]*subject
-	sweptAt  time.Time
+	// idle is set from a Reset until the next request.
+	idle    bool
+	buckets map[string]*bucket
+	sweptAt time.Time
 }
 
-// subject is the bucket of one limit.
-type subject struct {
+// bucket is the token bucket of one subject.
+type bucket struct {
 	limit Limit
-	// level is how many tokens are left at the moment filledAt; below zero when others granted what this
-	// member had not.
+	// level is the number of tokens that are left as of filledAt. It is negative if a quorum without this
+	// member granted more tokens than this member would have.
 	level    float64
 	filledAt time.Time
-	holders  map[string]*holder
+	accounts map[string]*routerAccount
 	granted  uint64
 	refused  uint64
 }
 
-// holder is what one incarnation of a router has of a subject. Granted and spent count from its start.
-type holder struct {
+// routerAccount records the tokens of one subject that one incarnation of a router was granted and has spent,
+// both counted from the start of the router.
+type routerAccount struct {
 	sequence uint64
 	granted  uint64
 	spent    uint64
 	expires  time.Time
 }
 
-// NewLedger makes the ledger of a member that begins to count now.
+// NewLedger returns the ledger of a member that starts now.
 func NewLedger(now time.Time) *Ledger {
 	l := &Ledger{}
-	l.begin(now)
+	l.start(now)
 	return l
 }
 
-// begin begins to count.
-func (l *Ledger) begin(now time.Time) {
-	l.idle, l.since, l.sweptAt, l.subjects = false, now, now, map[string]*subject{}
+// start deletes all buckets and records grants from now on.
+func (l *Ledger) start(now time.Time) {
+	l.idle, l.since, l.sweptAt, l.buckets = false, now, now, map[string]*bucket{}
 }
 
-// Reset has the member count anew from the next request on: it is no part of the group, which grants without it.
+// Reset makes the ledger start again with empty buckets at the next request. It is called while the member does not
+// belong to the group, because the group then grants tokens without this member.
 func (l *Ledger) Reset(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.begin(now)
+	l.start(now)
 	l.idle = true
 }
 
-// Apply serves a request.
+// Apply serves a router's request. The response has no grants if this request or a later one of the router was already
+// served.
 func (l *Ledger) Apply(now time.Time, request Request) Response {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.idle {
-		l.begin(now)
+		l.start(now)
 	}
 	if now.Sub(l.sweptAt) >= BatchTTL {
 		l.sweep(now)
 	}
 	var response Response
 	for _, want := range request.Wants {
-		grant, current := l.subject(now, want).serve(now, request, want)
+		grant, current := l.bucket(now, want).serve(now, request, want)
 		if !current {
 			return Response{}
 		}
@@ -83,148 +87,162 @@
 	return response
 }
 
-// subject finds the bucket of a want, filled up to now. A new one has what has flowed in since the ledger began.
-func (l *Ledger) subject(now time.Time, want Want) *subject {
-	s, found := l.subjects[want.Subject]
+// bucket returns the bucket of a want, refilled up to now. A new bucket contains the refill since the ledger started.
+func (l *Ledger) bucket(now time.Time, want Want) *bucket {
+	b, found := l.buckets[want.Subject]
 	if !found {
-		s = &subject{limit: want.Limit, filledAt: l.since, holders: map[string]*holder{}}
-		l.subjects[want.Subject] = s
+		b = &bucket{limit: want.Limit, filledAt: l.since, accounts: map[string]*routerAccount{}}
+		l.buckets[want.Subject] = b
 	}
-	s.fill(now)
-	s.lapse(now)
-	if s.limit.Revision.before(want.Limit.Revision) {
-		s.limit = want.Limit
-		s.level = min(s.level, s.limit.Capacity-s.outstanding())
+	b.fill(now)
+	b.expireAccounts(now)
+	if b.limit.Revision.before(want.Limit.Revision) {
+		b.limit = want.Limit
+		b.level = min(b.level, b.limit.Capacity-b.outstanding())
 	}
-	return s
+	return b
 }
 
-// fill lets tokens flow in up to now, no more than the capacity leaves room for beside what is outstanding.
-func (s *subject) fill(now time.Time) {
-	if !now.After(s.filledAt) {
+// fill adds the tokens that have accrued up to now. Level and outstanding tokens together do not exceed the capacity.
+func (b *bucket) fill(now time.Time) {
+	if !now.After(b.filledAt) {
 		return
 	}
-	flowed := s.level + now.Sub(s.filledAt).Seconds()*s.limit.PerSecond
-	s.level = min(flowed, s.limit.Capacity-s.outstanding())
-	s.filledAt = now
+	refilled := b.level + now.Sub(b.filledAt).Seconds()*b.limit.PerSecond
+	b.level = min(refilled, b.limit.Capacity-b.outstanding())
+	b.filledAt = now
 }
 
-// outstanding is how many tokens are granted and not reported as spent.
-func (s *subject) outstanding() float64 {
+// outstanding returns how many tokens are granted but not reported as spent.
+func (b *bucket) outstanding() float64 {
 	var tokens uint64
-	for _, h := range s.holders {
-		tokens += h.granted - h.spent
+	for _, account := range b.accounts {
+		tokens += account.granted - account.spent
 	}
 	return float64(tokens)
 }
 
-// lapse forgets the holders whose time is over. What they held counts as spent: they may have spent it and
-// gone before they could say so.
-func (s *subject) lapse(now time.Time) {
-	for name, h := range s.holders {
-		if !now.Before(h.expires) {
-			delete(s.holders, name)
+// expireAccounts deletes the expired accounts. Their unspent tokens count as spent, because the router may
+// have spent them and stopped before it could report that.
+func (b *bucket) expireAccounts(now time.Time) {
+	for name, account := range b.accounts {
+		if !now.Before(account.expires) {
+			delete(b.accounts, name)
 		}
 	}
 }
 
-// serve serves a router's want; it returns false for a request that was overtaken by a later one.
-func (s *subject) serve(now time.Time, request Request, want Want) (Grant, bool) {
-	h, found := s.holders[request.Router]
+// serve grants tokens for a router's want. It returns false if this request or a later one of the
+// router was already served.
+func (b *bucket) serve(now time.Time, request Request, want Want) (Grant, bool) {
+	account, found := b.accounts[request.Router]
 	if !found {
-		h = &holder{granted: want.Spent, spent: want.Spent}
-		s.holders[request.Router] = h
-		// A bucket below zero owes already what was spent before the member began.
-		s.level = max(min(s.level, 0), s.level-float64(want.Debt))
+		account = &routerAccount{granted: want.Spent, spent: want.Spent}
+		b.accounts[request.Router] = account
+		// The debt lowers a positive level, but not below zero. It does not lower a negative level, which
+		// already includes tokens that were spent before this member started.
+		b.level = max(min(b.level, 0), b.level-float64(want.Debt))
 	}
-	if request.Sequence <= h.sequence {
+	if request.Sequence <= account.sequence {
 		return Grant{}, false
 	}
-	h.sequence, h.expires = request.Sequence, now.Add(BatchTTL)
-	h.spent = max(h.spent, want.Spent)
-	if h.spent > h.granted {
-		// A quorum without this member granted it.
-		s.level = max(-s.limit.Capacity, s.level-float64(h.spent-h.granted))
-		h.granted = h.spent
-	}
-	held := h.granted - h.spent
-	if want.Hold < held {
-		returned := held - want.Hold
-		h.granted -= returned
-		s.level += float64(returned)
-		return Grant{Granted: h.granted}, true
-	}
-	more := min(want.Hold-held, s.grantable(held, want.Need))
-	h.granted += more
-	s.level -= float64(more)
-	s.granted += more
-	missing := want.Hold - held - more
-	s.refused += want.Need - min(want.Need, held+more)
+	account.sequence, account.expires = request.Sequence, now.Add(BatchTTL)
+	account.spent = max(account.spent, want.Spent)
+	if account.spent > account.granted {
+		// A quorum without this member granted these tokens.
+		b.level = max(-b.limit.Capacity, b.level-float64(account.spent-account.granted))
+		account.granted = account.spent
+	}
+	unspent := account.granted - account.spent
+	if want.Target < unspent {
+		returned := unspent - want.Target
+		account.granted -= returned
+		b.level += float64(returned)
+		return Grant{Granted: account.granted}, true
+	}
+	additional := min(want.Target-unspent, b.grantable(unspent, want.Need))
+	account.granted += additional
+	b.level -= float64(additional)
+	b.granted += additional
+	missing := want.Target - unspent - additional
+	b.refused += want.Need - min(want.Need, unspent+additional)
 	if missing == 0 {
-		return Grant{Granted: h.granted}, true
+		return Grant{Granted: account.granted}, true
 	}
-	return Grant{Granted: h.granted, Wait: s.nextToken()}, true
+	return Grant{Granted: account.granted, Wait: b.nextToken()}, true
 }
 
-// reserve is the part of the capacity of which nothing is granted ahead: it is for calls that wait.
-const reserve = 0.5
+// prefetchReserve is the fraction of the capacity that is not granted for prefetching, but only to waiting calls.
+const prefetchReserve = 0.5
 
-// grantable is how many tokens a router that has held may get, of which it needs some at once.
-func (s *subject) grantable(held, need uint64) uint64 {
-	ahead := uint64(max(0, s.level-reserve*s.limit.Capacity))
-	if held >= need {
-		return ahead
+// grantable returns how many more tokens may be granted to a router that has unspent tokens left and needs
+// need tokens for waiting calls. The unspent tokens count towards need.
+func (b *bucket) grantable(unspent, need uint64) uint64 {
+	prefetchable := uint64(max(0, b.level-prefetchReserve*b.limit.Capacity))
+	if unspent >= need {
+		return prefetchable
 	}
-	return max(ahead, min(need-held, uint64(max(0, s.level))))
+	return max(prefetchable, min(need-unspent, uint64(max(0, b.level))))
 }
 
-// nextToken is how long it takes until a whole token is there.
-func (s *subject) nextToken() time.Duration {
-	if s.limit.PerSecond <= 0 {
+// nextToken returns the time until the bucket contains at least one token, at most BatchTTL. The time is not positive
+// if the bucket already contains one.
+func (b *bucket) nextToken() time.Duration {
+	if b.limit.PerSecond <= 0 {
 		return BatchTTL
 	}
-	return min(BatchTTL, time.Duration((1-s.level)/s.limit.PerSecond*float64(time.Second)))
+	return min(BatchTTL, time.Duration((1-b.level)/b.limit.PerSecond*float64(time.Second)))
 }
 
-// sweep forgets subjects that nobody has asked for until their bucket was full again.
+// sweep deletes the buckets that have no accounts and are full. It keeps such a bucket if a new bucket in
+// its place would not be full.
 func (l *Ledger) sweep(now time.Time) {
 	l.sweptAt = now
-	for name, s := range l.subjects {
-		s.fill(now)
-		s.lapse(now)
-		full := s.level >= s.limit.Capacity && now.Sub(l.since).Seconds()*s.limit.PerSecond >= s.limit.Capacity
-		if len(s.holders) == 0 && full {
-			delete(l.subjects, name)
+	for name, b := range l.buckets {
+		b.fill(now)
+		b.expireAccounts(now)
+		full := b.level >= b.limit.Capacity && now.Sub(l.since).Seconds()*b.limit.PerSecond >= b.limit.Capacity
+		if len(b.accounts) == 0 && full {
+			delete(l.buckets, name)
 		}
 	}
 }
 
-// Status is what a member knows of one subject.
+// Status describes a member's bucket of one subject.
 type Status struct {
 	Subject string `json:"subject" msgpack:"subject"`
-	// PerSecond and Capacity are those of the limit.
+	// PerSecond and Capacity are the values of the limit.
 	PerSecond float64 `json:"per_second" msgpack:"per_second"`
 	Capacity  float64 `json:"capacity" msgpack:"capacity"`
-	// Left are tokens that can be granted now, Held those that routers hold unspent.
-	Left float64 `json:"left" msgpack:"left"`
-	Held float64 `json:"held" msgpack:"held"`
-	// Routers is how many routers hold or asked lately.
+	// Left is how many tokens can be granted now, and Outstanding is how many unspent tokens routers have.
+	Left        float64 `json:"left" msgpack:"left"`
+	Outstanding float64 `json:"held" msgpack:"held"`
+	// Routers is how many routers requested tokens of the subject within the last BatchTTL.
 	Routers int `json:"routers" msgpack:"routers"`
-	// Granted counts tokens, and Refused those that calls waited for in vain, since the member began to count the subject.
+	// Granted counts granted tokens since the bucket was created, and Refused counts tokens that waiting calls needed
+	// and that were not granted.
 	Granted uint64 `json:"granted" msgpack:"granted"`
 	Refused uint64 `json:"refused" msgpack:"refused"`
 }
 
-// Statuses lists the subjects, in order of name.
+// Statuses returns the status of every subject, sorted by name.
 func (l *Ledger) Statuses(now time.Time) []Status {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	statuses := make([]Status, 0, len(l.subjects))
-	for name, s := range l.subjects {
-		s.fill(now)
-		s.lapse(now)
-		statuses = append(statuses, Status{Subject: name, PerSecond: s.limit.PerSecond, Capacity: s.limit.Capacity, Left: s.level,
-			Held: s.outstanding(), Routers: len(s.holders), Granted: s.granted, Refused: s.refused})
+	statuses := make([]Status, 0, len(l.buckets))
+	for name, b := range l.buckets {
+		b.fill(now)
+		b.expireAccounts(now)
+		statuses = append(statuses, Status{
+			Subject:     name,
+			PerSecond:   b.limit.PerSecond,
+			Capacity:    b.limit.Capacity,
+			Left:        b.level,
+			Outstanding: b.outstanding(),
+			Routers:     len(b.accounts),
+			Granted:     b.granted,
+			Refused:     b.refused,
+		})
 	}
 	sort.Slice(statuses, func(left, right int) bool { return statuses[left].Subject < statuses[right].Subject })
 	return statuses
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -7,7 +7,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// SetDiskBusy tells the coordinator that a write to the own disk begins or has ended well.
+// SetDiskBusy records that a write to the local disk begins, or that the last one has succeeded.
 func (c *Coordinator) SetDiskBusy(busy bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -18,21 +18,22 @@
 	}
 }
 
-// diskStalled tells whether a write to the own disk takes longer than diskTimeout.
+// diskStalled reports whether a write to the local disk takes longer than diskTimeout.
 func (c *Coordinator) diskStalled() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.diskBusy.IsZero() && c.runtime.Now().Sub(c.diskBusy) > diskTimeout
 }
 
-// backupWrites is since when no write to a backup has succeeded, though one was sent, and whether one
-// has failed. A call to a machine without power fails long after the write that it should have brought.
+// backupWrites describes the writes to a backup since the last one that succeeded: since is when the
+// first of them began, failed whether any of them has failed. A call to a machine without power
+// fails only long after the write was sent.
 type backupWrites struct {
 	since  time.Time
 	failed bool
 }
 
-// RecordBackupWrite tells the coordinator that a write to a backup begins.
+// RecordBackupWrite records that a write to a backup begins.
 func (c *Coordinator) RecordBackupWrite(backup Identity) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -41,7 +42,7 @@
 	}
 }
 
-// RecordBackupResult tells the coordinator how the last write to a backup ended.
+// RecordBackupResult records whether the last write to a backup succeeded.
 func (c *Coordinator) RecordBackupResult(backup Identity, ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -57,18 +58,21 @@
 	c.unsynced[backup] = writes
 }
 
-// backupFailing tells whether writes to a backup have failed for longer than Timing.BackupTimeout, or
-// one waits and the backup has not responded to anything for as long, though another controller has. A
-// backup that responds while a write takes its time has a slow disk, and is not exchanged for that. A
-// primary that hears nobody has to leave the core to the others: proposals of its own, which may arrive,
-// would take their votes.
+// backupFailing reports whether the backup has to be replaced. Either a write has failed and none
+// has succeeded for longer than Timing.BackupTimeout; or a write has been pending for longer than
+// half of that, and the backup has not responded to anything for all of it although another
+// controller has.
+//
+// A backup that responds while a write is pending has a slow disk, and is not replaced for that. A
+// primary that hears from no other controller proposes nothing: its proposals may still arrive, and
+// the promises made for them would be missing for another candidate.
 func (c *Coordinator) backupFailing(backup Identity) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.backupFailingLocked(backup)
 }
 
-// backupFailingLocked is backupFailing for a caller that has the mutex.
+// backupFailingLocked is backupFailing for callers that have locked the mutex.
 func (c *Coordinator) backupFailingLocked(backup Identity) bool {
 	writes, waiting := c.unsynced[backup]
 	if !waiting {
@@ -80,12 +84,12 @@
 	}
 	status, heard := c.peerStatuses[backup]
 	silent := heard && now.Sub(status.lastResponse) > c.timing.BackupTimeout
-	return silent && now.Sub(writes.since) > c.timing.BackupTimeout/2 && c.hearsOther(backup)
+	return silent && now.Sub(writes.since) > c.timing.BackupTimeout/2 && c.otherPeerResponds(backup)
 }
 
-// hearsOther reports whether a controller other than the one given has responded within
-// Timing.BackupTimeout. The caller has the mutex.
-func (c *Coordinator) hearsOther(excluded Identity) bool {
+// otherPeerResponds reports whether a controller other than the excluded one has responded within
+// Timing.BackupTimeout. The caller has locked the mutex.
+func (c *Coordinator) otherPeerResponds(excluded Identity) bool {
 	now := c.runtime.Now()
 	for identity, status := range c.peerStatuses {
 		if identity != excluded && now.Sub(status.lastResponse) <= c.timing.BackupTimeout {
@@ -95,8 +99,8 @@
 	return false
 }
 
-// healthyBackups lists the backups that respond in time, undamaged and unrestricted, and whose
-// writes succeed.
+// healthyBackups returns the backups that respond in time, are neither damaged nor restricted, and
+// whose writes succeed.
 func (c *Coordinator) healthyBackups(membership Membership) []Replica {
 	var healthy []Replica
 	for _, replica := range membership.Backups() {
@@ -108,7 +112,7 @@
 	return healthy
 }
 
-// anyLeaving tells whether one of the backups has said that it is about to end.
+// anyLeaving reports whether the last hello of any of the backups said that it is leaving.
 func (c *Coordinator) anyLeaving(backups []Replica) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -120,9 +124,9 @@
 	return false
 }
 
-// ensureBackups keeps as many replicas in sync as are wanted. A replacement gets a snapshot
-// while commits are paused, and counts from the grant of the next membership on. So every
-// replica that a membership names has everything that was answered, and the primary answers
+// ensureBackups keeps as many backups in sync as are wanted. A new backup installs a snapshot
+// while commits are paused, and counts as in sync from the grant of the next membership on. So
+// every replica that a membership names has every acknowledged change, and the primary acknowledges
 // nothing that is not on all of them.
 func (c *Coordinator) ensureBackups() {
 	membership := c.Membership()
@@ -142,7 +146,7 @@
 	if !c.membershipUnknown && !membership.Backup.Empty() && c.noBetterBackups(membership, healthy, candidates, wanted) {
 		return
 	}
-	if complete && !c.installAhead(membership, candidates, wanted) {
+	if complete && !c.installBeforePause(membership, candidates, wanted) {
 		return
 	}
 	if len(candidates) > 0 {
@@ -153,45 +157,45 @@
 		c.membershipUnknown = true
 		installed := c.installSnapshot(membership, snapshot, candidates, wanted)
 		if c.mayGrant(membership, installed, wanted) {
-			c.grantPair(installed)
+			c.grantBackups(installed)
 			return
 		}
 	}
 	if c.membershipUnknown && c.witness.Membership().Primary.Identity == c.witness.Replica().Identity {
-		c.grantAlone(len(candidates) == 0 && c.shortOfReplicas())
+		c.grantWithoutBackup(len(candidates) == 0 && c.shortOfReplicas())
 	}
 }
 
-// grantAlone asks for the next epoch although no backup can be had, so that reads and leases
-// continue from this replica. Only if it leads hidden and there is nobody else does it give
-// up the backups that count as in sync.
-func (c *Coordinator) grantAlone(alone bool) {
-	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
+// grantWithoutBackup proposes the membership again although no backup could be installed, so that
+// reads and leases continue from this replica. It keeps the backups of the membership, unless the
+// store is hidden and dropBackups is set because no other controller is available.
+func (c *Coordinator) grantWithoutBackup(dropBackups bool) {
+	granted, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		if base.Primary.Identity != c.witness.Replica().Identity {
 			return base, false
 		}
-		if c.store.Hidden() && alone {
+		if c.store.Hidden() && dropBackups {
 			return base.WithReplicas(c.withZone(c.witness.Replica()), nil), true
 		}
 		base.Primary = c.withZone(c.witness.Replica())
 		return base, true
 	})
 	if failure.CodeOf(err) == failure.Deposed {
-		c.stepDown("deposed", won)
+		c.stepDown("deposed", granted)
 	} else if err == nil {
-		if won.Backup.Empty() {
-			c.store.Show(won.Epoch)
+		if granted.Backup.Empty() {
+			c.store.Unhide(granted.Epoch)
 		} else {
-			c.store.SetEpoch(won.Epoch)
+			c.store.SetEpoch(granted.Epoch)
 		}
-		c.renewLease(won)
+		c.renewLease(granted)
 	}
 }
 
-// grantPair asks for the membership in which the installed replicas are the backups, and
-// resumes commits with it.
-func (c *Coordinator) grantPair(installed []Replica) {
-	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
+// grantBackups proposes the membership in which the installed replicas are the backups, and resumes
+// commits with it.
+func (c *Coordinator) grantBackups(installed []Replica) {
+	granted, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		if base.Primary.Identity != c.witness.Replica().Identity {
 			return base, false
 		}
@@ -200,7 +204,7 @@
 	if err != nil {
 		c.observe("backups_not_granted", "backups", installed, "cause", err)
 		if failure.CodeOf(err) == failure.Deposed {
-			c.stepDown("deposed", won)
+			c.stepDown("deposed", granted)
 		}
 		return
 	}
@@ -209,13 +213,13 @@
 	for _, replica := range installed {
 		c.RecordBackupResult(replica.Identity, true)
 	}
-	c.store.ResumeCommits(won.Epoch)
-	c.observe("backups_granted", "epoch", won.Epoch, "backups", installed)
-	c.renewLease(won)
+	c.store.ResumeCommits(granted.Epoch)
+	c.observe("backups_granted", "epoch", granted.Epoch, "backups", installed)
+	c.renewLease(granted)
 }
 
-// shortOfReplicas tells whether replicas have been too few for longer than the primary waits
-// (Timing.ReplacementTimeout).
+// shortOfReplicas reports whether there have been too few replicas for Timing.ReplacementTimeout.
+// The first call starts that time.
 func (c *Coordinator) shortOfReplicas() bool {
 	now := c.runtime.Now()
 	if c.shortSince.IsZero() {
@@ -224,8 +228,8 @@
 	return now.Sub(c.shortSince) >= c.timing.ReplacementTimeout
 }
 
-// mayGrant tells whether the installed replicas may become the backups: they are no fewer
-// than now, or no more could be had for some time.
+// mayGrant reports whether the installed replicas may become the backups: they are no fewer than
+// the present backups, or no more could be installed for Timing.ReplacementTimeout.
 func (c *Coordinator) mayGrant(membership Membership, installed []Replica, wanted int) bool {
 	if len(installed) == 0 {
 		return false
@@ -233,18 +237,18 @@
 	return len(installed) >= min(wanted, max(len(membership.Backups()), 1)) || c.shortOfReplicas()
 }
 
-// noBetterBackups tells whether the backups that are there are those that would be
-// chosen now, and none is dead, damaged or failing.
+// noBetterBackups reports whether there are no candidates, or the candidates that would be selected
+// are already backups and no backup is dead, damaged or failing.
 func (c *Coordinator) noBetterBackups(membership Membership, healthy, candidates []Replica, wanted int) bool {
 	if len(candidates) == 0 {
 		return true
 	}
 	if wanted == 1 {
-		// A backup that leaves stays until another can be had.
+		// A backup that is leaving stays until another is available.
 		return candidates[0].Identity == membership.Backup.Identity && hasReplica(healthy, membership.Backup.Identity)
 	}
-	chosen := candidates[:min(wanted, len(candidates))]
-	for _, replica := range chosen {
+	selected := candidates[:min(wanted, len(candidates))]
+	for _, replica := range selected {
 		if !hasReplica(membership.Backups(), replica.Identity) {
 			return false
 		}
@@ -253,7 +257,7 @@
 		if hasReplica(healthy, replica.Identity) {
 			continue
 		}
-		// One that is only restricted, while no other can be had, may stay.
+		// A backup that is only restricted may stay while no other is available.
 		hello, alive := c.alive(replica.Identity, c.timing.BackupTimeout+c.timing.MaxHeartbeatGap)
 		if !alive || hello.Damage != "" || c.backupFailing(replica.Identity) {
 			return false
@@ -262,25 +266,25 @@
 	return true
 }
 
-// StaleReplicas lists the controllers out of sync whose replicas were older than
-// the version when they were heard last.
+// StaleReplicas returns the controllers that are not in sync and whose last hello reported a
+// replica older than the version.
 func (c *Coordinator) StaleReplicas(version Version) []Replica {
 	m := c.Membership()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var old []Replica
+	var stale []Replica
 	for _, identity := range c.knownIdentities() {
 		status := c.peerStatuses[identity]
-		fresh := c.runtime.Now().Sub(status.lastSeen) < applicantFreshness && !c.superseded(status)
+		fresh := c.runtime.Now().Sub(status.lastSeen) < peerFreshness && !c.superseded(status)
 		if fresh && status.hello.Kind == membership.Controller && !m.InSync(identity) && status.hello.Version.Before(version) {
-			old = append(old, status.hello.Replica)
+			stale = append(stale, status.hello.Replica)
 		}
 	}
-	return old
+	return stale
 }
 
-// superseded tells whether another disk was heard at the acquaintance's address
-// since: the old one is gone. The caller has the mutex.
+// superseded reports whether another disk was heard later at the same address: the disk of the
+// given status is gone. The caller has locked the mutex.
 func (c *Coordinator) superseded(status *peerStatus) bool {
 	for _, other := range c.peerStatuses {
 		if other != status && other.hello.Replica.Address == status.hello.Replica.Address && other.lastSeen.After(status.lastSeen) {
--- a/internal/replication/campaign.go
+++ b/internal/replication/campaign.go
@@ -6,20 +6,20 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// bootstrap creates the first membership. Only the first seed does so, only when it has heard
-// all three seeds a moment ago and all are blank, and never with joinOnly: two first memberships
-// would be two cores.
+// bootstrap creates the first membership. Only the first seed does so, only when it has recently
+// heard from the other two seeds and all three are blank, and never with joinOnly: two first
+// memberships would create two independent cores.
 func (c *Coordinator) bootstrap() {
 	own := c.witness.Replica()
 	c.mutex.Lock()
-	seeds, joinsOnly := c.seeds, c.joinOnly
+	seeds, joinOnly := c.seeds, c.joinOnly
 	c.mutex.Unlock()
-	if joinsOnly || len(seeds) != 3 || seeds[0] != own.Address {
+	if joinOnly || len(seeds) != 3 || seeds[0] != own.Address {
 		return
 	}
 	replicas := []Replica{own}
 	for _, address := range seeds[1:] {
-		replica, blank := c.applicantAt(address)
+		replica, blank := c.peerAt(address)
 		if !blank {
 			return
 		}
@@ -36,12 +36,12 @@
 	c.observe("core_formed", "witnesses", replicas)
 }
 
-// tickStandby is the Tick of a controller that does not lead. A replica in sync stands as a
-// candidate when a quorum of witnesses has no lease running for another primary.
+// tickStandby is the Tick of a controller that does not lead. A replica in sync becomes a candidate
+// when a quorum of witnesses has no active lease for another primary.
 //
-// Invariant: only a replica in sync becomes primary, so that it has every acknowledged change.
-// It is checked in the newest membership that this controller knows, and again in the base that
-// the promises of the next epoch reveal. docs/design/replication.md, "How it works".
+// Invariant: only a replica in sync becomes primary, so that the primary has every acknowledged
+// change. This is checked in the newest membership that the controller knows, and again in the base
+// that the promises of the next epoch reveal. docs/design/replication.md, "How it works".
 func (c *Coordinator) tickStandby() {
 	m := c.Membership()
 	own := c.witness.Replica()
@@ -63,36 +63,37 @@
 		return
 	}
 	if restricted {
-		// A restricted controller takes over only when no other replica in sync can, and
-		// transfers leadership as soon as a capable controller is in sync.
+		// A restricted controller takes over only when no other replica in sync can, and transfers
+		// leadership as soon as an unrestricted one is in sync.
 		c.backoff = now.Add(2 * time.Second)
-		if c.otherCandidateAlive(m, applicantFreshness) {
+		if c.otherCandidateAlive(m, peerFreshness) {
 			return
 		}
 	}
-	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
+	granted, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		if !base.InSync(own.Identity) {
 			return base, false
 		}
 		return base.WithReplicas(c.withZone(own), c.backupsAfterTakeover(base)), true
 	})
 	if err != nil {
-		// Spread the candidates' backoff, so that they don't collide again.
-		spread := time.Duration(membership.Weight("backoff", string(own.Identity))%300) * time.Millisecond
-		c.backoff = c.runtime.Now().Add(150*time.Millisecond + spread)
+		// The jitter, which depends on the identity, keeps candidates that collided from colliding
+		// again.
+		jitter := time.Duration(membership.Weight("backoff", string(own.Identity))%300) * time.Millisecond
+		c.backoff = c.runtime.Now().Add(150*time.Millisecond + jitter)
 		return
 	}
-	c.takeOver(won)
+	c.takeOver(granted)
 }
 
-// quorumPermits reports whether a quorum of witnesses could vote for this controller now: none
-// of them leads, or has a lease running for another than this disk, whose earlier incarnation
-// may have been the primary. A candidate asks before it proposes (as with the pre-vote of Raft,
-// Ongaro's thesis, section 9.6), because a promise of an epoch that nobody is granted keeps
-// witnesses from renewing the primary's lease.
+// quorumPermits reports whether a quorum of witnesses could vote for this controller now. A witness
+// could if its controller does not lead and it has granted no lease that is still active, except to
+// the disk of this controller: an earlier process on that disk may have been the primary. A candidate
+// asks before it proposes, as with the pre-vote of Raft (Ongaro's thesis, section 9.6), because a
+// promise of an epoch that is never granted keeps witnesses from renewing the primary's lease.
 func (c *Coordinator) quorumPermits(m Membership) bool {
 	own := c.witness.Replica()
-	free := map[Identity]bool{}
+	permitting := map[Identity]bool{}
 	permits := func(hello Hello) bool {
 		return !hello.Leads && (hello.LeaseLeft == 0 || hello.LeaseHolder == own.Identity)
 	}
@@ -107,28 +108,29 @@
 		return hello, err
 	}, func(replica Replica, hello Hello, err error) {
 		if err == nil && hello.Replica.Identity == replica.Identity {
-			free[replica.Identity] = permits(hello)
+			permitting[replica.Identity] = permits(hello)
 		}
-	}, func() bool { return m.HasQuorum(free) })
+	}, func() bool { return m.HasQuorum(permitting) })
 	for _, replica := range m.Voters() {
-		// A slow witness's response to the hellos of the round before counts, too.
-		if _, responded := free[replica.Identity]; !responded {
+		// A late response of a slow witness to the previous round of hellos counts, too.
+		if _, responded := permitting[replica.Identity]; !responded {
 			if hello, alive := c.alive(replica.Identity, slowResponseFreshness); alive {
-				free[replica.Identity] = permits(hello)
+				permitting[replica.Identity] = permits(hello)
 			}
 		}
 	}
-	return m.HasQuorum(free)
+	return m.HasQuorum(permitting)
 }
 
-// takeOver makes this controller lead under the membership that it was granted. Where other
-// replicas stay in sync the store shows nothing until one of them has the same state.
-func (c *Coordinator) takeOver(won Membership) {
+// takeOver makes this controller lead under the membership that was granted to it. While other
+// replicas count as in sync, the store's state can't be read until each of them has the same state
+// or has left the membership.
+func (c *Coordinator) takeOver(granted Membership) {
 	lead := c.store.Lead
-	if !won.Backup.Empty() {
+	if !granted.Backup.Empty() {
 		lead = c.store.LeadHidden
 	}
-	if err := lead(won.Epoch); err != nil {
+	if err := lead(granted.Epoch); err != nil {
 		c.observe("takeover_failed", "cause", err)
 		return
 	}
@@ -139,18 +141,18 @@
 	clear(c.unsynced)
 	clear(c.installFails)
 	c.mutex.Unlock()
-	c.observe("became_primary", "epoch", won.Epoch)
-	c.renewLease(won)
+	c.observe("became_primary", "epoch", granted.Epoch)
+	c.renewLease(granted)
 	c.ensureBackups()
 }
 
 // otherCandidateAlive reports whether another replica in sync could take over: it responded within
-// the length of time, lacks no enabled flag, and its copy is complete.
-func (c *Coordinator) otherCandidateAlive(membership Membership, fresh time.Duration) bool {
+// the given time, lacks no enabled flag, and is undamaged.
+func (c *Coordinator) otherCandidateAlive(membership Membership, within time.Duration) bool {
 	own := c.witness.Replica().Identity
 	for _, replica := range membership.InSyncReplicas() {
 		if replica.Identity != own {
-			if hello, alive := c.alive(replica.Identity, fresh); alive && !hello.Restricted && hello.Damage == "" {
+			if hello, alive := c.alive(replica.Identity, within); alive && !hello.Restricted && hello.Damage == "" {
 				return true
 			}
 		}
@@ -158,9 +160,10 @@
 	return false
 }
 
-// defersCandidacy reports whether replicas that come earlier in the membership still have their
-// turn to stand, candidateStagger for each: candidates at the same time would only take promises
-// from each other. Of a pair there is one candidate, and nothing to stagger.
+// defersCandidacy reports whether replicas that come earlier in the membership still have time to
+// become candidates, candidateStagger for each: simultaneous candidates would only take promises
+// from each other. With two replicas in sync only the backup is a candidate, so that no candidacy
+// has to be deferred.
 func (c *Coordinator) defersCandidacy(membership Membership) bool {
 	if len(membership.InSyncReplicas()) < 3 {
 		return false
@@ -181,14 +184,19 @@
 	return now.Sub(c.quorumFreeSince) < before*candidateStagger
 }
 
-// backupsAfterTakeover returns the replicas that stay in sync beside a new primary. Of a pair none
-// does: the new primary is alone until it has another backup, and shows what it has. Of three or
-// more all do, because a second loss must still find a complete replica; nothing is shown until
-// they are the same. So does the backup of a pair of which this controller is the primary already,
-// by a transfer of leadership or before it restarted, if that backup responds.
+// backupsAfterTakeover returns the replicas that a new primary keeps as backups.
+//
+// With two replicas in sync, the other one is dropped: the new primary has no backup until one is
+// installed, and its state can be read at once. The other one is kept only if it is a backup that
+// responds and the membership already names this controller as primary (by a transfer of leadership,
+// or since before it restarted).
+//
+// With three or more replicas in sync, all others are kept, because a second loss must still leave a
+// complete replica; the state can't be read until all replicas in sync have the same state.
 func (c *Coordinator) backupsAfterTakeover(membership Membership) []Replica {
 	if len(membership.InSyncReplicas()) < 3 {
-		if _, alive := c.alive(membership.Backup.Identity, responseFreshness); alive && membership.Primary.Identity == c.witness.Replica().Identity {
+		if _, alive := c.alive(membership.Backup.Identity, responseFreshness); alive &&
+			membership.Primary.Identity == c.witness.Replica().Identity {
 			return membership.Backups()
 		}
 		return nil
--- a/internal/replication/candidates.go
+++ b/internal/replication/candidates.go
@@ -6,16 +6,17 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// backupCandidate is a controller that could be a backup. The lower its rank, the better;
-// among equals the one in the zone with the fewest replicas in sync goes first.
+// backupCandidate is a controller that could become a backup. A lower rank is better. Where several
+// backups are wanted, the candidate whose zone has the fewest replicas in sync comes first among equal
+// ranks.
 type backupCandidate struct {
 	replica Replica
 	rank    int
-	// zoneReplicas is how many replicas in sync its zone has.
+	// zoneReplicas is the number of replicas in sync in the candidate's zone.
 	zoneReplicas int
 }
 
-// The ranks of backup candidates, the best first, and what is added to them.
+// The ranks of backup candidates, the best first, and the penalties that are added to them.
 const (
 	rankPresent           = 0
 	rankWitness           = 1
@@ -24,26 +25,26 @@
 	rankRestrictedPresent = 4
 	rankRestricted        = 5
 
-	// penaltyInstallFailed: a snapshot could not be brought to it lately.
+	// penaltyInstallFailed: a snapshot could not be installed on the candidate recently.
 	penaltyInstallFailed = 6
-	// penaltyLeaving: it ends soon, which is better than nobody.
+	// penaltyLeaving: the candidate stops soon, which is still better than no backup.
 	penaltyLeaving = 9
-	// penaltyStale: it has not responded lately and may be gone already.
+	// penaltyStale: the candidate has not responded recently and may be gone already.
 	penaltyStale = 12
 )
 
-// backupCandidates lists the controllers that could be backups, the best first.
+// backupCandidates returns the controllers that could become backups, the best first.
 func (c *Coordinator) backupCandidates(membership Membership, wanted int) []Replica {
-	copies := membership.WithReplicas(c.withZone(c.witness.Replica()), membership.Backups()).InSyncReplicas()
+	inSync := membership.WithReplicas(c.withZone(c.witness.Replica()), membership.Backups()).InSyncReplicas()
 	var candidates []backupCandidate
 	c.mutex.Lock()
 	for _, identity := range c.knownIdentities() {
-		known := c.peerStatuses[identity]
-		if rank, may := c.rank(membership, known, wanted > 1); may {
+		status := c.peerStatuses[identity]
+		if rank, eligible := c.rank(membership, status, wanted > 1); eligible {
 			candidates = append(candidates, backupCandidate{
-				replica:      known.hello.Replica,
+				replica:      status.hello.Replica,
 				rank:         rank,
-				zoneReplicas: countInZone(copies, known.hello.Replica.Zone),
+				zoneReplicas: countInZone(inSync, status.hello.Replica.Zone),
 			})
 		}
 	}
@@ -59,29 +60,29 @@
 		ordered = append(ordered, c.withZone(candidate.replica))
 	}
 	if wanted > 1 {
-		spreadZones(ordered, copies[0].Zone, wanted)
+		spreadZones(ordered, inSync[0].Zone, wanted)
 	}
 	return ordered
 }
 
-// rank tells how well an acquaintance would do as a backup, or false if it can't be one.
-// The caller has the mutex.
-func (c *Coordinator) rank(m Membership, known *peerStatus, several bool) (int, bool) {
+// rank returns the rank of a controller as a backup candidate, or false if it can't be a backup.
+// The caller has locked the mutex.
+func (c *Coordinator) rank(m Membership, status *peerStatus, several bool) (int, bool) {
 	now := c.runtime.Now()
-	identity, silence := known.hello.Replica.Identity, now.Sub(known.lastResponse)
-	if known.hello.Kind != membership.Controller || silence >= c.timing.BackupTimeout+c.timing.MaxHeartbeatGap {
+	identity, sinceResponse := status.hello.Replica.Identity, now.Sub(status.lastResponse)
+	if status.hello.Kind != membership.Controller || sinceResponse >= c.timing.BackupTimeout+c.timing.MaxHeartbeatGap {
 		return 0, false
 	}
 	failing := c.backupFailingLocked(identity)
 	present := hasReplica(m.Backups(), identity)
 	rank := rankOther
 	switch {
-	case known.hello.Restricted && !several && !m.Backup.Empty() && !c.backupFailingLocked(m.Backup.Identity) && !c.membershipUnknown:
-		// A backup that works is not exchanged for a restricted one.
+	case status.hello.Restricted && !several && !m.Backup.Empty() && !c.backupFailingLocked(m.Backup.Identity) && !c.membershipUnknown:
+		// A working backup is not replaced by a restricted controller.
 		return 0, false
-	case known.hello.Restricted:
-		// It lacks an enabled flag. It stores sections that it can't decode byte for
-		// byte, which is better than no second disk at all.
+	case status.hello.Restricted:
+		// A restricted controller lacks an enabled flag, so that it may be unable to decode some
+		// sections. It stores those unchanged, which is better than no backup at all.
 		rank = rankRestricted
 		if several && present {
 			rank = rankRestrictedPresent
@@ -93,34 +94,35 @@
 	case m.HasVoter(identity) && !several:
 		rank = rankWitness
 	}
-	if failed, tried := c.installFails[identity]; tried && now.Sub(failed) < applicantFreshness {
+	if failed, tried := c.installFails[identity]; tried && now.Sub(failed) < peerFreshness {
 		rank += penaltyInstallFailed
 	}
-	if known.hello.Leaving {
+	if status.hello.Leaving {
 		rank += penaltyLeaving
 	}
-	if silence > responseFreshness {
+	if sinceResponse > responseFreshness {
 		rank += penaltyStale
 	}
 	return rank, true
 }
 
-// spreadZones brings a candidate of another zone forward when all that would be
-// chosen are in the primary's.
+// spreadZones changes the order of the candidates if the first ones, as many as wanted, are all in
+// the given zone of the primary: it moves the first candidate of another zone to the last of those
+// places.
 func spreadZones(candidates []Replica, zone string, wanted int) {
 	if zone == "" || len(candidates) <= wanted || countInZone(candidates[:wanted], zone) < wanted {
 		return
 	}
 	for position := wanted; position < len(candidates); position++ {
-		if elsewhere := candidates[position]; elsewhere.Zone != zone {
+		if candidate := candidates[position]; candidate.Zone != zone {
 			copy(candidates[wanted:position+1], candidates[wanted-1:position])
-			candidates[wanted-1] = elsewhere
+			candidates[wanted-1] = candidate
 			return
 		}
 	}
 }
 
-// countInZone counts the replicas in a zone.
+// countInZone returns the number of replicas in a zone.
 func countInZone(replicas []Replica, zone string) int {
 	count := 0
 	for _, replica := range replicas {
@@ -131,8 +133,8 @@
 	return count
 }
 
-// canSpreadZones tells whether all replicas in sync are in one zone and a candidate in
-// another could take the place of one.
+// canSpreadZones reports whether all replicas in sync are in one zone and a candidate in another
+// zone could replace one of them.
 func (c *Coordinator) canSpreadZones(membership Membership, wanted int) bool {
 	if wanted == 1 {
 		return false
--- a/internal/replication/changerecords.go
+++ b/internal/replication/changerecords.go
@@ -7,42 +7,44 @@
 	"time"
 )
 
-// ChangeRecord remembers a configuration change by its id, so that an operator
-// whose change had an unknown outcome can find out.
+// ChangeRecord records an accepted configuration change under its id, so that an operator who did
+// not learn the outcome of a change can look it up.
 type ChangeRecord struct {
 	ID      string  `msgpack:"id" json:"id"`
 	Version Version `msgpack:"version" json:"version"`
-	// Digest tells the same change sent again from another under its id.
+	// Digest distinguishes a repetition of the same change from another change with the same id.
 	Digest string `msgpack:"digest" json:"digest"`
-	// At is the time of the change by the horizon of claims, which follows the wall clock
-	// no faster than twice the monotonic one. It is zero for a change that was recorded
-	// before there was a horizon, or by an older release, until the horizon moves.
+	// At is the time of the change, derived from the horizon of claims, which follows the wall
+	// clock at no more than twice the speed of the monotonic clock. Until the horizon moves, At is
+	// zero for a change that was recorded before there was a horizon, or by an older release.
 	At time.Time `msgpack:"at,omitempty" json:"at,omitempty"`
 }
 
 const (
-	// ChangeRetention is how long an accepted change is remembered at least: it may be
-	// sent again for as long, whatever else was accepted since.
+	// ChangeRetention is the shortest time for which an accepted change is remembered. During that
+	// time it may be sent again, regardless of the changes accepted since.
 	ChangeRetention = ClaimRetention
-	// MaxChangeRecords bounds the memory: 50 changes a second for as long as they are remembered.
-	// Changes beyond it are refused as Busy until older records expire: none is dropped before its
-	// time to make place.
+	// MaxChangeRecords limits the memory: it suffices for 50 changes per second during
+	// ChangeRetention. Further changes are refused as Busy until older records expire: no record is
+	// dropped before its time.
 	MaxChangeRecords = 32768
-	// maxSingleSectionRecords is the bound where all records are one section, which each change
-	// writes and sends anew.
+	// maxSingleSectionRecords is the limit while all records are in one section: each change writes
+	// and sends that whole section again.
 	maxSingleSectionRecords = 8192
-	// changeSectionRecords is how many records one section holds. A change writes the newest section
-	// anew, half as many on average, and a file names the section's location for each of the others.
+	// changeSectionRecords is the number of records in one full section. Larger sections cost more per
+	// change, which writes the newest section again (half full on average); smaller ones make each
+	// file of a replica longer, because the file names the location of every other section.
 	changeSectionRecords = 64
 )
 
-// ChangeRecords are the accepted changes of the last ChangeRetention. Each change writes and sends one
-// section, whatever their number.
+// ChangeRecords holds the changes that were accepted within the last ChangeRetention. Each change
+// writes and sends only one section, however many sections there are.
 type ChangeRecords struct {
-	// single is the one section of releases that lack the flag features.ChangeSections; it is read
-	// for as long as its records last.
+	// single holds the records of the one section that is written without the flag
+	// features.ChangeSections. It is read until its records expire.
 	single []ChangeRecord
-	// sections are the records by the names of their sections, newest the last of these.
+	// sections holds the records by the names of their sections; newest is the number of the last
+	// section.
 	sections map[string][]ChangeRecord
 	newest   uint64
 }
@@ -51,12 +53,12 @@
 	return ChangeRecords{sections: map[string][]ChangeRecord{}}
 }
 
-// changeSectionName is the name of a section of change records; the names sort as the numbers.
+// changeSectionName returns the name of a section of change records. The names sort by number.
 func changeSectionName(number uint64) string {
 	return fmt.Sprintf("%s%020d", ChangesPrefix, number)
 }
 
-// load takes the records of a section that was read from a replica.
+// load adds the records of a section that was read from a replica.
 func (c *ChangeRecords) load(name string, records []ChangeRecord) {
 	if name == ChangesSection {
 		c.single = records
@@ -88,7 +90,7 @@
 	return ChangeRecord{}, false
 }
 
-// Count is how many changes are remembered.
+// Count returns the number of remembered changes.
 func (c *ChangeRecords) Count() int {
 	count := len(c.single)
 	for _, records := range c.sections {
@@ -105,7 +107,7 @@
 	return c.Count() >= maxSingleSectionRecords
 }
 
-// add remembers an accepted change and returns the section that it is in. The slices are copied, since
+// add records an accepted change and returns the name of its section. It copies the slices, because
 // a view may share them.
 func (c *ChangeRecords) add(record ChangeRecord, inSections bool) string {
 	if !inSections {
@@ -120,21 +122,21 @@
 	return name
 }
 
-// expire dates the records that have no time yet, and drops those that are older than the cutoff; of a
-// section in which any is younger it drops none, so that a section is written no more once it is full.
-// It returns the sections that changed, in order.
+// expire sets the time of records that have none, and drops records that are older than the cutoff.
+// A numbered section is dropped only as a whole, once all of its records are older, so that a full
+// section is not written again. expire returns the names of the changed sections, in order.
 func (c *ChangeRecords) expire(now, cutoff time.Time) []string {
 	var changed []string
-	if dated, expired := dateRecords(c.single, now, cutoff); dated || expired > 0 {
+	if undated, expired := countUndatedAndExpired(c.single, now, cutoff); undated || expired > 0 {
 		c.single = recordsFrom(c.single, now, cutoff)
 		changed = append(changed, ChangesSection)
 	}
 	for name, records := range c.sections {
-		dated, expired := dateRecords(records, now, cutoff)
+		undated, expired := countUndatedAndExpired(records, now, cutoff)
 		switch {
 		case expired == len(records):
 			delete(c.sections, name)
-		case dated:
+		case undated:
 			c.sections[name] = recordsFrom(records, now, time.Time{})
 		default:
 			continue
@@ -145,8 +147,9 @@
 	return changed
 }
 
-// dateRecords reports whether any record has no time yet, and counts those before the cutoff.
-func dateRecords(records []ChangeRecord, now, cutoff time.Time) (undated bool, expired int) {
+// countUndatedAndExpired reports whether any record has no time yet, and counts the records before
+// the cutoff.
+func countUndatedAndExpired(records []ChangeRecord, now, cutoff time.Time) (undated bool, expired int) {
 	for _, record := range records {
 		if record.At.IsZero() {
 			undated = true
@@ -157,7 +160,8 @@
 	return undated, expired
 }
 
-// recordsFrom copies the records from the cutoff on; those without a time get the present one.
+// recordsFrom returns a copy of the records from the cutoff on; records without a time get the time
+// now.
 func recordsFrom(records []ChangeRecord, now, cutoff time.Time) []ChangeRecord {
 	retained := make([]ChangeRecord, 0, len(records))
 	for _, record := range records {
@@ -171,8 +175,8 @@
 	return retained
 }
 
-// changeTime is when a change that is accepted now counts as made: the horizon trails the
-// clock by ClaimRetention.
+// changeTime returns the time that is recorded for a change accepted now: the horizon plus
+// ClaimRetention, by which the horizon trails the clock.
 func (s *State) changeTime() time.Time {
 	if s.Horizon.IsZero() {
 		return time.Time{}
@@ -180,9 +184,9 @@
 	return s.Horizon.Add(ClaimRetention)
 }
 
-// dropExpiredChanges drops the records that are older than their retention, after the horizon
-// has moved. Their age is measured by the horizon and not by the wall clock, so that a clock
-// that jumps forward forgets none early.
+// dropExpiredChanges drops the records that are older than ChangeRetention, after the horizon has
+// moved. Their age is measured by the horizon and not by the wall clock, so that a wall clock that
+// jumps forward drops none early.
 func (s *State) dropExpiredChanges() {
 	now := s.changeTime()
 	for _, section := range s.Changes.expire(now, now.Add(-ChangeRetention)) {
--- a/internal/replication/changes.go
+++ b/internal/replication/changes.go
@@ -8,15 +8,15 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Change alters the working state. Changes run one after another, in the order in which they
-// were submitted; version is that of the batch they become part of, configurationVersion
-// that of the configuration before the change. An error means that nothing was altered.
+// Change alters the working state. Changes run one after another, in the order in which they were
+// submitted. version is the version of the batch to which the change belongs, configurationVersion
+// the version of the configuration before the change. After an error the state must be unaltered.
 type Change func(state *State, version, configurationVersion Version) error
 
-// RegisterMember records a member with the flags that it supports now.
+// RegisterMember records a member with the flags that it supports.
 func RegisterMember(member membership.Member) Change {
 	return func(state *State, _, _ Version) error {
-		if recorded, found := state.Members[member.Name]; found && recorded.Same(member) {
+		if recorded, found := state.Members[member.Name]; found && recorded.EqualExceptSince(member) {
 			return nil
 		}
 		state.Members[member.Name] = member
@@ -25,8 +25,8 @@
 	}
 }
 
-// RemoveMember takes a stopped member out of the record, as an operator asks. The code is
-// NoSuch when there is none.
+// RemoveMember removes a stopped member from the record at the request of an operator. It fails
+// with NoSuch when the member is not recorded.
 func RemoveMember(name string) Change {
 	return func(state *State, _, _ Version) error {
 		if _, found := state.Members[name]; !found {
@@ -39,14 +39,14 @@
 }
 
 // EnableFlags enables every flag of this build that all recorded members support, running or
-// stopped (paper, "Feature flags"). It is serialized with registrations: a member that was
-// recorded before is counted, and one that comes later finds the flag enabled. Flags are
+// stopped (paper, "Feature flags"). Changes run one after another, so that a member that was
+// registered before is counted, and a member that registers later finds the flag enabled. Flags are
 // never disabled.
 func EnableFlags(supported features.List) Change {
 	return func(state *State, _, _ Version) error {
 		enabled := state.Flags.Enabled
 		for _, flag := range supported {
-			if len(state.Lacking(flag)) == 0 && len(state.Members) > 0 {
+			if len(state.MembersWithout(flag)) == 0 && len(state.Members) > 0 {
 				enabled = enabled.With(flag)
 			}
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// Lacking names the recorded members that do not support a flag.
-func (s *State) Lacking(flag features.Flag) []string {
+// MembersWithout returns the names of the recorded members that do not support a flag.
+func (s *State) MembersWithout(flag features.Flag) []string {
 	var lacking []string
 	for name, member := range s.Members {
 		if !member.Supported.Has(flag) {
@@ -69,9 +69,9 @@
 	return lacking
 }
 
-// GrantRoles records new holders, each under a new fencing token, which never goes back. A
-// grant made from a record that has changed since is skipped, and one to a restricted or
-// unrecorded member, too.
+// GrantRoles records new holders of roles, each with a new fencing token; tokens never decrease. It
+// skips a grant whose role has changed since the caller read it into seen, and a grant to a
+// restricted or unrecorded member.
 func GrantRoles(grants []lease.Role, seen map[string]lease.Role) Change {
 	return func(state *State, _, _ Version) error {
 		for _, grant := range grants {
@@ -91,8 +91,8 @@
 	}
 }
 
-// RemoveServers drops the roles and orders of servers that are gone for good. A role that has
-// another holder than seen, and its order, stay.
+// RemoveServers removes the roles and orders of servers that are gone for good. It keeps a role,
+// and its order, if the role has changed since the caller read it into seen.
 func RemoveServers(names []string, seen map[string]lease.Role) Change {
 	return func(state *State, _, _ Version) error {
 		for _, name := range names {
@@ -114,17 +114,17 @@
 	}
 }
 
-// IssueOrders records orders from the holder of the role lease.PartsKey. Orders under an older
-// fencing token are refused as NotHolder, those of a node that lacks an enabled flag as
-// Restricted.
+// IssueOrders records orders from the holder of the role lease.ServerRolesKey. It refuses orders
+// with NotLeaseHolder when the recorded role has another holder or fencing token, and with
+// Restricted when the node that sends them lacks an enabled flag.
 func IssueOrders(role lease.Role, orders []codec.Order, supported features.List) Change {
 	return func(state *State, _, _ Version) error {
-		if state.Roles.Roles[lease.PartsKey] != role {
-			return failure.New(failure.NotHolder, "the duty "+lease.PartsKey+" has changed hands")
+		if state.Roles.Roles[lease.ServerRolesKey] != role {
+			return failure.New(failure.NotLeaseHolder, "the role "+lease.ServerRolesKey+" has another holder or fencing token")
 		}
 		enabled := state.Flags.Enabled
-		if len(supported.Lacks(enabled)) > 0 {
-			return failure.New(failure.Restricted, "this node may not write orders")
+		if len(supported.Missing(enabled)) > 0 {
+			return failure.New(failure.Restricted, "this node lacks an enabled flag and may not write orders")
 		}
 		for _, o := range orders {
 			record, err := codec.EncodeOrder(o, role.Holder, state.Orders.Number+1, enabled)
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -12,34 +12,35 @@
 	"seamloom.example/seamloom/internal/features"
 )
 
-// order is one operator's change: what it builds on, and a number that tells it from others.
-type order struct {
-	builds, gives uint64
+// sentChange is one configuration change of an operator: the revision that it expects (base),
+// the revision that it writes, and a number that distinguishes changes with the same revisions.
+type sentChange struct {
+	base, written uint64
 	variant       int
 }
 
-func (o order) id() string {
-	return fmt.Sprintf("order-%d-%d-%d", o.builds, o.gives, o.variant)
+func (s sentChange) id() string {
+	return fmt.Sprintf("change-%d-%d-%d", s.base, s.written, s.variant)
 }
 
-func (o order) apply(text []byte) ([]byte, error) {
-	return config.Revise(text, o.builds, func([]byte) ([]byte, error) {
-		return fmt.Appendf(nil, `{"revision":%d,"annotations":{"word":%d}}`, o.gives, o.variant), nil
+func (s sentChange) apply(text []byte) ([]byte, error) {
+	return config.Revise(text, s.base, func([]byte) ([]byte, error) {
+		return fmt.Appendf(nil, `{"revision":%d,"annotations":{"word":%d}}`, s.written, s.variant), nil
 	})
 }
 
-// changeModel is a configuration's state with its changes, and what an observer knows.
+// changeModel is the replicated state together with the expected outcomes of the submitted changes.
 type changeModel struct {
 	state           *State
 	number          uint64
 	configurationAt Version
 	revision        uint64
 	now             time.Time
-	// accepted tells when each order was accepted, by the model's own clock.
+	// accepted holds the time, by the model's own clock, at which each change was accepted.
 	accepted map[string]time.Time
-	// winners are the orders that were accepted on each base.
+	// winners holds the change that was accepted on each base revision.
 	winners map[uint64]string
-	orders  []order
+	changes []sentChange
 }
 
 func newChangeModel() *changeModel {
@@ -53,11 +54,11 @@
 	return model
 }
 
-// submit carries an order out in its turn, as the primary does.
-func (c *changeModel) submit(o order) error {
+// submit runs a change against the state, as the primary does.
+func (c *changeModel) submit(sent sentChange) error {
 	c.number++
 	version := Version{Epoch: 1, Number: c.number}
-	err := ChangeConfiguration(o.id(), o.id(), nil, PreparedConfiguration{}, o.apply)(c.state, version, c.configurationAt)
+	err := ChangeConfiguration(sent.id(), sent.id(), nil, PreparedConfiguration{}, sent.apply)(c.state, version, c.configurationAt)
 	if c.state.dirty[ConfigurationSection] {
 		c.configurationAt = version
 	}
@@ -65,7 +66,7 @@
 	return err
 }
 
-// restart has another primary begin from what the disks hold.
+// restart encodes the state and reads it again, as a new primary does from its disk.
 func (c *changeModel) restart(t *rapid.T) {
 	for _, name := range []string{ConfigurationSection, FlagsSection, ChangesSection, HorizonSection} {
 		c.state.MarkDirty(name)
@@ -82,36 +83,36 @@
 	}
 }
 
-// TestOrdersAreAcceptedOnceAndAgain draws histories of orders, of which several build on one
-// revision, sent again in any order, with takeovers and hours between: exactly one order
-// on each base is accepted, it is accepted again for the retention whatever came since, and
-// nothing is made twice.
-func TestOrdersAreAcceptedOnceAndAgain(t *testing.T) {
+// TestRepeatedChangeIsAcceptedOnce draws histories of changes, of which several expect the same
+// revision, with repetitions in any order, takeovers and passing time. Exactly one change on each
+// base revision must be accepted. During the retention its repetitions must be accepted, too,
+// regardless of other changes in between, but not applied again.
+func TestRepeatedChangeIsAcceptedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newChangeModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"new order": func(t *rapid.T) {
-				sent := order{
-					builds:  model.revision,
-					gives:   model.revision + rapid.Uint64Range(1, 3).Draw(t, "step"),
+			"new change": func(t *rapid.T) {
+				sent := sentChange{
+					base:    model.revision,
+					written: model.revision + rapid.Uint64Range(1, 3).Draw(t, "step"),
 					variant: rapid.IntRange(0, 5).Draw(t, "word"),
 				}
-				if rapid.IntRange(0, 3).Draw(t, "base") == 0 && len(model.orders) > 0 {
-					sent.builds = model.orders[rapid.IntRange(0, len(model.orders)-1).Draw(t, "old")].builds
+				if rapid.IntRange(0, 3).Draw(t, "base") == 0 && len(model.changes) > 0 {
+					sent.base = model.changes[rapid.IntRange(0, len(model.changes)-1).Draw(t, "old")].base
 				}
 				model.send(t, sent)
 			},
 			"again": func(t *rapid.T) {
-				if len(model.orders) > 0 {
-					model.send(t, model.orders[rapid.IntRange(0, len(model.orders)-1).Draw(t, "which")])
+				if len(model.changes) > 0 {
+					model.send(t, model.changes[rapid.IntRange(0, len(model.changes)-1).Draw(t, "index")])
 				}
 			},
 			"hundreds of others": func(t *rapid.T) {
 				if model.number > 300 {
-					t.Skip("once in a history")
+					t.Skip("at most once in a history")
 				}
 				for range 300 {
-					model.send(t, order{builds: model.revision, gives: model.revision + 1, variant: 9})
+					model.send(t, sentChange{base: model.revision, written: model.revision + 1, variant: 9})
 				}
 			},
 			"takeover": func(t *rapid.T) { model.restart(t) },
@@ -125,77 +126,79 @@
 	})
 }
 
-// send submits an order and holds its end against what may be.
-func (c *changeModel) send(t *rapid.T, sent order) {
-	at, taken := c.accepted[sent.id()]
+// send submits a change and checks its outcome.
+func (c *changeModel) send(t *rapid.T, sent sentChange) {
+	at, wasAccepted := c.accepted[sent.id()]
 	before := c.configurationAt
 	err := c.submit(sent)
 	switch {
-	case taken && c.now.Sub(at) < ChangeRetention && err != nil:
-		t.Fatalf("%s was accepted %v ago and is refused: %v", sent.id(), c.now.Sub(at), err)
-	case taken && c.configurationAt != before:
-		t.Fatalf("%s was made twice", sent.id())
-	case taken || err != nil:
+	case wasAccepted && c.now.Sub(at) < ChangeRetention && err != nil:
+		t.Fatalf("%s was accepted %v ago, but its repetition failed: %v", sent.id(), c.now.Sub(at), err)
+	case wasAccepted && c.configurationAt != before:
+		t.Fatalf("%s was applied twice", sent.id())
+	case wasAccepted || err != nil:
 		return
 	}
-	if winner, won := c.winners[sent.builds]; won {
-		t.Fatalf("%s and %s were both accepted on %d", winner, sent.id(), sent.builds)
+	if winner, won := c.winners[sent.base]; won {
+		t.Fatalf("%s and %s were both accepted on revision %d", winner, sent.id(), sent.base)
 	}
-	if sent.builds != c.revision {
-		t.Fatalf("%s was accepted on %d", sent.id(), c.revision)
+	if sent.base != c.revision {
+		t.Fatalf("%s was accepted although revision %d was current", sent.id(), c.revision)
 	}
-	c.accepted[sent.id()], c.winners[sent.builds] = c.now, sent.id()
-	c.revision = sent.gives
-	c.orders = append(c.orders, sent)
+	c.accepted[sent.id()], c.winners[sent.base] = c.now, sent.id()
+	c.revision = sent.written
+	c.changes = append(c.changes, sent)
 }
 
-// TestChangesBeyondTheBoundWait wants no note forgotten for its number.
-func TestChangesBeyondTheBoundWait(t *testing.T) {
-	t.Run("one section", func(t *testing.T) { changesBeyondTheBoundWait(t, false, maxSingleSectionRecords) })
-	t.Run("sections", func(t *testing.T) { changesBeyondTheBoundWait(t, true, MaxChangeRecords) })
+// TestChangesBeyondTheLimitAreRefused fills the change records: further changes are refused as Busy
+// until older records expire, and no record is dropped early to make room.
+func TestChangesBeyondTheLimitAreRefused(t *testing.T) {
+	t.Run("one section", func(t *testing.T) { testChangesBeyondTheLimit(t, false, maxSingleSectionRecords) })
+	t.Run("sections", func(t *testing.T) { testChangesBeyondTheLimit(t, true, MaxChangeRecords) })
 }
 
-func changesBeyondTheBoundWait(t *testing.T, inSections bool, bound int) {
+func testChangesBeyondTheLimit(t *testing.T, inSections bool, limit int) {
 	model := newChangeModel()
 	if inSections {
 		model.state.Flags.Enabled = features.List{features.ChangeSections}
 	}
-	first := order{gives: 1}
+	first := sentChange{written: 1}
 	if err := model.submit(first); err != nil {
 		t.Fatal(err)
 	}
-	for number := range bound - 1 {
+	for number := range limit - 1 {
 		record := ChangeRecord{ID: fmt.Sprint("other-", number), At: model.state.changeTime()}
 		model.state.Changes.add(record, inSections)
 	}
-	next := order{builds: 1, gives: 2}
+	next := sentChange{base: 1, written: 2}
 	if err := model.submit(next); failure.CodeOf(err) != failure.Busy {
-		t.Errorf("beyond the bound: %v", err)
+		t.Errorf("a change beyond the limit: got %v, want Busy", err)
 	}
 	if err := model.submit(first); err != nil {
-		t.Errorf("the first one, sent again: %v", err)
+		t.Errorf("repetition of the first change: %v", err)
 	}
 	later := model.now.Add(ChangeRetention + time.Minute)
 	_ = AdvanceHorizon(later, time.Hour)(model.state, Version{}, Version{})
 	if err := model.submit(next); err != nil {
-		t.Errorf("after the retention: %v", err)
+		t.Errorf("a change after the retention: %v", err)
 	}
 	if count := model.state.Changes.Count(); count > changeSectionRecords {
-		t.Errorf("%d records are kept", count)
+		t.Errorf("got %d records after the retention, want one section of them at most", count)
 	}
 }
 
-// TestChangeRecordsOfAnOlderReleaseStay gives the state notes without a time.
-func TestChangeRecordsOfAnOlderReleaseStay(t *testing.T) {
+// TestChangeRecordsWithoutTimeAreKept reads a record of an older release, which has no time: the
+// record gets the present time and is kept for the retention from then on.
+func TestChangeRecordsWithoutTimeAreKept(t *testing.T) {
 	state := NewState()
 	state.Changes.single = []ChangeRecord{{ID: "old", Digest: "d", Version: Version{Epoch: 1, Number: 1}}}
 	start := time.Unix(2_000_000_000, 0)
 	_ = AdvanceHorizon(start, 0)(state, Version{}, Version{})
 	if state.Changes.Count() != 1 || state.Changes.single[0].At.IsZero() {
-		t.Fatalf("%+v", state.Changes)
+		t.Fatalf("got %+v, want the record with a time", state.Changes)
 	}
 	_ = AdvanceHorizon(start.Add(ChangeRetention/2), time.Hour)(state, Version{}, Version{})
 	if state.Changes.Count() != 1 {
-		t.Fatalf("%+v", state.Changes)
+		t.Fatalf("got %+v, want the record until the retention has passed", state.Changes)
 	}
 }
--- a/internal/replication/coordinator.go
+++ b/internal/replication/coordinator.go
@@ -9,40 +9,43 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// The coordinator's lengths of time that do not depend on Timing. All are constants of the product.
+// Time-outs and intervals of the coordinator that do not depend on Timing.
 const (
-	// leaseDrift is taken off the primary's own lease for clocks that run at different speeds.
+	// leaseDrift is subtracted from the primary's own lease, for clocks that run at different
+	// speeds.
 	leaseDrift = 150 * time.Millisecond
 	// diskTimeout is how long one write to the primary's own disk may take before the primary
 	// stops renewing its lease, so that the backup takes over.
 	diskTimeout = 1500 * time.Millisecond
-	// inboundTimeout is how long a primary may receive no hello, while it reaches its backup,
-	// before it transfers leadership.
+	// inboundTimeout is how long a primary that reaches its backup may receive no hello before it
+	// transfers leadership.
 	inboundTimeout = 1500 * time.Millisecond
-	// silentMargin is how much longer than a lease a primary that receives nothing waits between
-	// two renewals: past the leases that its witnesses may have renewed, and long enough for the
-	// backup to notice.
+	// silentMargin is added to the lease for the interval between two renewals of a primary that
+	// receives nothing: meanwhile the leases that its witnesses may have renewed end, and the
+	// backup has time to notice that.
 	silentMargin = 700 * time.Millisecond
-	// applicantFreshness is how long the hello counts of a controller that may become backup or
-	// witness.
-	applicantFreshness = 3 * time.Second
+	// peerFreshness is how long the last hello of a controller counts when backups and witnesses
+	// are selected.
+	peerFreshness = 3 * time.Second
 	// responseFreshness is how recent a response must be for its sender to count as reachable.
 	responseFreshness = 700 * time.Millisecond
-	// candidateStagger is how much later a replica in sync stands for each other one that comes
-	// before it in the membership.
+	// candidateStagger is the delay before a replica in sync becomes a candidate, for each replica in
+	// sync that precedes it in the membership.
 	candidateStagger = 200 * time.Millisecond
-	// installTimeout is how long a snapshot may take to install before another candidate is
-	// tried beside the slow one.
+	// installTimeout is how long the installation of a snapshot may take before the next candidate
+	// is tried in parallel.
 	installTimeout = 600 * time.Millisecond
-	// helloTimeout is how long a round of hellos is waited for: a machine without power must not
-	// delay the others' election.
+	// helloTimeout limits the wait for the responses to a round of hellos: a machine without power
+	// must not delay the election.
 	helloTimeout = 150 * time.Millisecond
-	// slowResponseFreshness is how long a response that came after its round counts in the next.
+	// slowResponseFreshness is how long a response that came after the end of its round counts in
+	// the next.
 	slowResponseFreshness = 450 * time.Millisecond
 )
 
-// Coordinator decides from one controller's point of view who is primary, backup and witness. Tick
-// is called by one goroutine, again and again; the other methods may be called by any.
+// Coordinator decides, from the point of view of one controller, which controllers are primary,
+// backup and witness. Tick must be called repeatedly by one goroutine; the other methods may be
+// called by any.
 type Coordinator struct {
 	runtime runtime.Runtime
 	seeds   []string
@@ -53,70 +56,78 @@
 	observe func(event string, detail ...any)
 	timing  Timing
 
-	// mutex guards the fields below, but for those that only Tick and what it calls use:
-	// roundStartedAt, renewedAt, renewalFailed, membershipUnknown, higherPromiseSeen,
+	// mutex guards the fields below, except those that only Tick and the functions called by it
+	// use: roundStartedAt, renewedAt, renewalFailed, membershipUnknown, higherPromiseSeen,
 	// highestEpoch, shortSince, quorumFreeSince, backoff, transferRefused.
 	mutex sync.Mutex
-	// leaseEnds is when the own lease as primary ends; zero without one.
+	// leaseEnds is when this controller's lease as primary ends; zero without a lease.
 	leaseEnds time.Time
-	// membership is the newest that any hello or proposal showed; the witness may have a newer.
+	// membership is the newest membership that a hello or a proposal showed; the witness may have a
+	// newer one.
 	membership Membership
-	// restricted: the controller lacks an enabled flag. joinOnly: it forms no first membership.
+	// restricted reports that the controller lacks an enabled flag, joinOnly that it must not form
+	// a first membership.
 	restricted, joinOnly bool
-	// departure is the state of leaving: the process is about to end.
+	// departure is the progress of the graceful shutdown.
 	departure departure
-	// lossesTolerated, zone and backupList are what SetTolerance and SetBackupList gave.
+	// lossesTolerated, zone and backupList are the values given to SetTolerance and SetBackupList.
 	lossesTolerated int
 	zone            string
 	backupList      bool
 
 	// peerStatuses is the failure detector's table.
 	peerStatuses map[Identity]*peerStatus
-	// discovered and memberAddresses are greeted besides seeds and witnesses; nextMember is the
-	// position in memberAddresses to go on from.
+	// discovered and memberAddresses are addresses that receive hellos besides the seeds and the
+	// witnesses; nextMember is the position in memberAddresses at which the next round continues.
 	discovered      []string
 	memberAddresses []string
 	nextMember      int
-	// helloReceivedAt is when any controller's hello came in, primaryHelloAt the primary's.
+	// helloReceivedAt is when the last hello of any controller arrived, primaryHelloAt when the last
+	// hello of the primary did.
 	helloReceivedAt time.Time
 	primaryHelloAt  time.Time
 	roundStartedAt  time.Time
 
-	// renewalSentAt is when the last renewal of the lease was sent, renewedAt when the last one
-	// that a quorum granted was.
+	// renewalSentAt is when the last renewal of the lease was sent, renewedAt when the last renewal
+	// that a quorum granted was sent.
 	renewalSentAt time.Time
 	renewedAt     time.Time
 	renewalFailed bool
-	// membershipUnknown: a proposal of this primary failed, or witnesses refuse to renew, so that
-	// the granted membership is to be proposed again before anything is built on it.
+	// membershipUnknown reports that a proposal of this primary failed, or that witnesses refuse to
+	// renew its lease. The membership has to be proposed again before the next membership is derived
+	// from it.
 	membershipUnknown bool
-	// higherPromiseSeen: some witness promised an epoch above the present one, though a quorum
-	// renews; highestRefused is the highest epoch that a witness reported as it refused.
+	// higherPromiseSeen reports that some witness promised an epoch above the present one, although
+	// a quorum renewed the lease; highestRefused is the highest epoch that a witness reported when
+	// it refused.
 	higherPromiseSeen bool
 	highestRefused    uint64
-	// highestEpoch is the highest epoch seen in any vote; the next proposal takes a higher one.
+	// highestEpoch is the highest epoch seen in any vote; the next proposal uses a higher epoch.
 	highestEpoch uint64
 
-	// transferRefused is why leadership was not transferred to each backup, as it was logged last.
+	// transferRefused holds, for each backup, the code of the last logged reason why leadership was
+	// not transferred to it.
 	transferRefused map[Identity]failure.Code
 
-	// unsynced are the backups with a write that has not succeeded, installFails when installing a
-	// snapshot failed.
+	// unsynced holds the backups with a write that has not succeeded. installFails holds, for each
+	// controller, the time at which the installation of a snapshot on it last failed.
 	unsynced     map[Identity]backupWrites
 	installFails map[Identity]time.Time
-	// shortSince is since when there are fewer backups than wanted, diskBusy since when a write
-	// to the own disk is under way.
+	// shortSince is the time since which there have been fewer backups than wanted. diskBusy is the
+	// start of the earliest write to the local disk that has not succeeded yet. Both are zero otherwise.
 	shortSince time.Time
 	diskBusy   time.Time
 
+	// leadsSince is the time since which this controller has been primary, quorumFreeSince the time
+	// since which a quorum of witnesses has permitted its candidacy.
 	leadsSince      time.Time
 	quorumFreeSince time.Time
-	// backoff is when this controller may stand as a candidate again.
+	// backoff is the earliest time at which this controller may become a candidate again.
 	backoff time.Time
 }
 
-// NewCoordinator returns the coordinator of one controller, with the default timing and one loss
-// tolerated. Observe is called for each event that is worth a log entry.
+// NewCoordinator returns the coordinator of one controller, with the default timing and one
+// tolerated loss. It calls observe for each event that belongs in the log.
 func NewCoordinator(
 	rt runtime.Runtime, seeds []string, witness *Witness, store *Store, peers Peers, observe func(string, ...any),
 ) *Coordinator {
@@ -137,62 +148,62 @@
 	}
 }
 
-// SetTiming sets the coordinator's waits. It comes before any other use.
+// SetTiming sets the timing. It must be called before any other method.
 func (c *Coordinator) SetTiming(timing Timing) {
 	c.timing = timing
 	c.witness.SetLease(timing.Lease)
 }
 
-// SetSeeds replaces the seeds, after a reload.
+// SetSeeds replaces the seeds when the settings are reloaded.
 func (c *Coordinator) SetSeeds(seeds []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.seeds = seeds
 }
 
-// SetDiscovered sets addresses, as the platform lists them, that are sent hellos besides the seeds
-// and the witnesses.
+// SetDiscovered sets the controller addresses that the platform lists. They receive hellos besides
+// the seeds and the witnesses.
 func (c *Coordinator) SetDiscovered(addresses []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.discovered = addresses
 }
 
-// SetMemberAddresses sets the addresses of the recorded members, those that likely know the
-// membership first. They are sent hellos while no majority of the witnesses responds.
+// SetMemberAddresses sets the addresses of the recorded members, ordered with the members that most
+// likely know the membership first. They receive hellos while no majority of the witnesses responds.
 func (c *Coordinator) SetMemberAddresses(addresses []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.memberAddresses = addresses
 }
 
-// SetJoinOnly keeps this controller from forming a first membership: there is a core already, which
-// a blank disk joins, whatever the seeds are.
+// SetJoinOnly keeps this controller from forming a first membership, even if it is the first seed:
+// a core exists already, and a controller with a blank disk has to join that core.
 func (c *Coordinator) SetJoinOnly() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.joinOnly = true
 }
 
-// SetRestricted tells whether the controller lacks an enabled flag. A restricted controller is a
-// witness, and a backup or primary only while no other can be.
+// SetRestricted sets whether the controller lacks an enabled flag. A restricted controller may be a
+// witness, but is a backup or the primary only while no other controller can be.
 func (c *Coordinator) SetRestricted(restricted bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.restricted = restricted
 }
 
-// SetTolerance sets how many machines may be lost at once with their disks, and the zone of this
-// one. With one loss, the default, there are one backup and three witnesses. With more there are as
-// many backups as losses, and two witnesses for each loss and one more, spread over the zones so
-// that a whole zone may be lost. docs/design/replication.md, "More than one loss".
+// SetTolerance sets how many machines may be lost at once together with their disks, and the zone
+// of this machine. With one loss, the default, there are one backup and three witnesses. With n
+// losses there are n backups and 2n+1 witnesses, spread over the zones so that a whole zone may be
+// lost. docs/design/replication.md, "More than one loss".
 func (c *Coordinator) SetTolerance(losses int, zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lossesTolerated, c.zone = max(losses, 1), zone
 }
 
-// SetBackupList tells whether the flag backup_list is enabled: every recorded member then reads
+// SetBackupList sets whether the flag backup_list is enabled: every recorded member can then read
 // memberships with more than one backup.
 func (c *Coordinator) SetBackupList(enabled bool) {
 	c.mutex.Lock()
@@ -235,8 +246,8 @@
 	return c.membership
 }
 
-// Tick exchanges hellos where they are due, then does the next step of a blank, a leading or a
-// standby controller. It may wait for the network and the own disk.
+// Tick exchanges hellos when they are due, then does the next step of a blank, a leading or a
+// standby controller. It may wait for the network and the local disk.
 func (c *Coordinator) Tick() {
 	c.exchangeHellos()
 	switch {
@@ -249,7 +260,7 @@
 	}
 }
 
-// tickPrimary is the Tick of the primary: it renews the lease, transfers leadership where it has to,
+// tickPrimary is the Tick of the primary: it renews the lease, transfers leadership when necessary,
 // and keeps as many backups and witnesses as are wanted.
 func (c *Coordinator) tickPrimary() {
 	membership := c.Membership()
@@ -259,7 +270,7 @@
 		return
 	}
 	if c.diskStalled() {
-		// The lease is not renewed, so that the backup may take over.
+		// The lease is not renewed, so that the backup can take over.
 		return
 	}
 	if c.receivesNothing() || c.renewalFailed && !c.reachesQuorum(membership) {
@@ -275,7 +286,7 @@
 		return
 	}
 	if c.inboundCut(membership) {
-		c.observe("leadership_transfer", "cause", "nobody reaches this controller")
+		c.observe("leadership_transfer", "cause", "no controller reaches this one")
 		c.transferLeadership(membership)
 		return
 	}
--- a/internal/replication/detector.go
+++ b/internal/replication/detector.go
@@ -7,16 +7,16 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// peerStatus is what the failure detector knows of another controller. A response also shows that
-// the controller can be reached from here; a hello that it sent by itself does not.
+// peerStatus is what the failure detector knows about another controller. A response to a hello
+// shows that the controller can be reached from here; a hello that it sent by itself does not.
 type peerStatus struct {
 	hello        Hello
 	lastSeen     time.Time
 	lastResponse time.Time
 }
 
-// knownIdentities lists the controllers that were ever heard, in order, so that the same messages
-// lead to the same choices. The caller has locked the mutex.
+// knownIdentities returns the sorted identities of all controllers that were ever heard. They are
+// sorted so that the same messages always lead to the same decisions. The caller has locked the mutex.
 func (c *Coordinator) knownIdentities() []Identity {
 	identities := make([]Identity, 0, len(c.peerStatuses))
 	for identity := range c.peerStatuses {
@@ -26,20 +26,21 @@
 	return identities
 }
 
-// alive returns the last hello of a controller that responded within the length of time.
-func (c *Coordinator) alive(identity Identity, fresh time.Duration) (Hello, bool) {
+// alive returns the last hello of a controller that responded within the given time.
+func (c *Coordinator) alive(identity Identity, within time.Duration) (Hello, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	status, found := c.peerStatuses[identity]
-	if !found || c.runtime.Now().Sub(status.lastResponse) > fresh {
+	if !found || c.runtime.Now().Sub(status.lastResponse) > within {
 		return Hello{}, false
 	}
 	return status.hello, true
 }
 
-// applicantAt returns the controller heard last at an address, and whether it is blank and may so
-// become part of the first membership.
-func (c *Coordinator) applicantAt(address string) (Replica, bool) {
+// peerAt returns the node that was heard last at an address, and whether it is a blank controller and
+// so may become part of the first membership. If that was longer than peerFreshness ago, the replica
+// is empty and the result false.
+func (c *Coordinator) peerAt(address string) (Replica, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var found *peerStatus
@@ -49,28 +50,29 @@
 			found = status
 		}
 	}
-	if found == nil || c.runtime.Now().Sub(found.lastSeen) > applicantFreshness {
+	if found == nil || c.runtime.Now().Sub(found.lastSeen) > peerFreshness {
 		return Replica{}, false
 	}
 	return found.hello.Replica, found.hello.Blank && found.hello.Kind == membership.Controller
 }
 
-// Sees reports whether a controller at the address was heard within applicantFreshness.
-func (c *Coordinator) Sees(address string) bool {
+// HeardRecently reports whether a controller at the address was heard within peerFreshness.
+func (c *Coordinator) HeardRecently(address string) bool {
 	if address == c.witness.Replica().Address {
 		return true
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, status := range c.peerStatuses {
-		if status.hello.Replica.Address == address && c.runtime.Now().Sub(status.lastSeen) < applicantFreshness {
+		if status.hello.Replica.Address == address && c.runtime.Now().Sub(status.lastSeen) < peerFreshness {
 			return true
 		}
 	}
 	return false
 }
 
-// Address returns where the replica was heard last, or the address in the membership.
+// Address returns the address at which the replica was heard last, or else the address in the
+// membership.
 func (c *Coordinator) Address(replica Replica) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -80,8 +82,9 @@
 	return replica.Address
 }
 
-// diskReplaced reports whether another disk responds at the witness's address since the witness was
-// heard last: its disk is lost, and nothing is to be waited for.
+// diskReplaced reports whether another disk has responded at the witness's address since the
+// witness was heard last: the witness's disk is then lost, and its replacement need not wait for a
+// time-out.
 func (c *Coordinator) diskReplaced(replica Replica) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -92,7 +95,7 @@
 	for identity, other := range c.peerStatuses {
 		if identity != replica.Identity && other.hello.Kind == membership.Controller &&
 			other.hello.Replica.Address == address && other.lastResponse.After(lastSeen) &&
-			c.runtime.Now().Sub(other.lastResponse) <= applicantFreshness {
+			c.runtime.Now().Sub(other.lastResponse) <= peerFreshness {
 			return true
 		}
 	}
--- a/internal/replication/entirecore_test.go
+++ b/internal/replication/entirecore_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// plannedEnd is one machine that is told to end, and when.
-type plannedEnd struct {
+// plannedStop is the planned graceful shutdown of one machine: when it begins (after), and how it
+// went.
+type plannedStop struct {
 	machine *machine
 	after   time.Duration
 	began   time.Time
@@ -15,15 +16,15 @@
 	outcome LeaveOutcome
 }
 
-// leaveInOrder tells machines to end, each after its time, and ends each as its controller says
-// that it is ready. It fails when one is not within the timeout.
-func (w *cluster) leaveInOrder(ends []*plannedEnd, timeout time.Duration) {
-	w.test.Helper()
-	began := w.clock()
-	left := len(ends)
-	w.run(timeout, func() bool {
-		for _, leaver := range ends {
-			coordinator, now := leaver.machine.coordinator, w.clock()
+// stopGracefully makes machines leave, each after its planned time, and stops each when its
+// controller is ready. It fails when any machine is not ready within the timeout.
+func (c *cluster) stopGracefully(stops []*plannedStop, timeout time.Duration) {
+	c.test.Helper()
+	began := c.clock()
+	remaining := len(stops)
+	c.run(timeout, func() bool {
+		for _, leaver := range stops {
+			coordinator, now := leaver.machine.coordinator, c.clock()
 			switch {
 			case !leaver.machine.up.Load() || now.Sub(began) < leaver.after:
 				continue
@@ -34,37 +35,37 @@
 			coordinator.AnnounceLeave()
 			if leaver.outcome = coordinator.LeaveOutcome(); leaver.outcome != StillNeeded {
 				leaver.took = now.Sub(leaver.began)
-				w.logf("%s ends after %v: %s", leaver.machine.address, leaver.took, leaver.outcome)
-				w.crash(leaver.machine)
-				left--
+				c.logf("%s stops after %v: %s", leaver.machine.address, leaver.took, leaver.outcome)
+				c.crash(leaver.machine)
+				remaining--
 			}
 		}
-		return left == 0
+		return remaining == 0
 	})
-	if left > 0 {
-		w.fail("%d of %d machines still wait after %v", left, len(ends), timeout)
+	if remaining > 0 {
+		c.fail("%d of %d machines have not stopped after %v", remaining, len(stops), timeout)
 	}
 }
 
-// plannedEnds has the machines end one after another, the gap apart.
-func plannedEnds(machines []*machine, gap time.Duration) []*plannedEnd {
-	var ends []*plannedEnd
+// plannedStops plans to stop the machines one after another, separated by the gap.
+func plannedStops(machines []*machine, gap time.Duration) []*plannedStop {
+	var stops []*plannedStop
 	for i, m := range machines {
-		ends = append(ends, &plannedEnd{machine: m, after: time.Duration(i) * gap})
+		stops = append(stops, &plannedStop{machine: m, after: time.Duration(i) * gap})
 	}
-	return ends
+	return stops
 }
 
-// TestEntireCoreEndsInOrder ends all machines of a core, at once, one after another, most of them,
-// and with an empty one beside them: whoever learns that nobody stays ends within a second, nobody
-// waits much longer for a replacement that does not come, and when all start again they lead with
-// every acknowledged write.
-func TestEntireCoreEndsInOrder(t *testing.T) {
+// TestEntireCoreStopsGracefully stops all machines of a core: at once, one after another, all but
+// one, and after a blank machine has joined. A machine must stop within a second if all others leave,
+// too, and otherwise within 2.5 s, also if no replacement for it comes. When all have started again,
+// the core must have every acknowledged write.
+func TestEntireCoreStopsGracefully(t *testing.T) {
 	const (
 		atOnce = time.Second
-		// alone is the longest time that a machine takes that others survive: its copy goes to
-		// another, and a replacement is waited for.
-		alone = 2500 * time.Millisecond
+		// whileOthersStay is the longest time that a machine takes to stop while others stay: it hands over
+		// its replica and waits for a replacement.
+		whileOthersStay = 2500 * time.Millisecond
 	)
 	for _, shape := range coreShapes {
 		for _, end := range []struct {
@@ -75,29 +76,29 @@
 			longest time.Duration
 		}{
 			{name: "all at once", longest: atOnce},
-			{name: "one stays", stay: 1, longest: alone},
-			{name: "one after another", gap: time.Second, longest: alone},
-			{name: "beside a replacement", joins: true, longest: alone},
+			{name: "one stays", stay: 1, longest: whileOthersStay},
+			{name: "one after another", gap: time.Second, longest: whileOthersStay},
+			{name: "a blank machine has joined", joins: true, longest: whileOthersStay},
 		} {
 			t.Run(fmt.Sprintf("%d disks/%s", shape.machines, end.name), func(t *testing.T) {
 				for seed := range uint64(6) {
-					w := newCalmCluster(t, shape, 20+seed, DefaultCatchUp)
-					machines := append([]*machine(nil), w.machines...)
-					w.random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
+					c := newFaultFreeCluster(t, shape, 20+seed, DefaultCatchUp)
+					machines := append([]*machine(nil), c.machines...)
+					c.random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 					if end.joins {
-						w.join("a zone of its own")
-						w.run(time.Second, nil)
+						c.join("another zone")
+						c.run(time.Second, nil)
 					}
-					ends := plannedEnds(machines[end.stay:], end.gap)
-					w.leaveInOrder(ends, time.Minute)
-					for _, leaver := range ends {
+					stops := plannedStops(machines[end.stay:], end.gap)
+					c.stopGracefully(stops, time.Minute)
+					for _, leaver := range stops {
 						if leaver.took > end.longest {
-							w.fail("seed %d: %s took %v: %s", seed, leaver.machine.address, leaver.took, leaver.outcome)
+							c.fail("seed %d: %s took too long to stop, %v: %s", seed, leaver.machine.address, leaver.took, leaver.outcome)
 						}
 					}
-					w.run(5*time.Second, nil)
-					if !w.heal(20 * time.Second) {
-						w.fail("seed %d: the core is not whole again", seed)
+					c.run(5*time.Second, nil)
+					if !c.heal(20 * time.Second) {
+						c.fail("seed %d: the core is not complete again", seed)
 					}
 				}
 			})
@@ -105,22 +106,23 @@
 	}
 }
 
-// TestAWitnessStaysWhileItsVoteIsNeeded has the third controller leave just as the primary is lost: the
-// backup can't be elected without its vote, and it ends only once the backup leads.
+// TestAWitnessStaysWhileItsVoteIsNeeded makes the third controller leave just as the primary is
+// lost. The backup can't be elected without the third controller's vote, so this controller may
+// stop only once the backup leads.
 func TestAWitnessStaysWhileItsVoteIsNeeded(t *testing.T) {
-	w := newCalmCluster(t, coreShapes[0], 7, DefaultCatchUp)
-	leaver, lost := w.inRole(witnessRole), w.leader()
+	c := newFaultFreeCluster(t, coreShapes[0], 7, DefaultCatchUp)
+	leaver, lost := c.inRole(witnessRole), c.leader()
 	leaver.coordinator.Leave()
-	w.crash(lost)
-	elected := w.run(5*time.Second, func() bool {
+	c.crash(lost)
+	elected := c.run(5*time.Second, func() bool {
 		leaver.coordinator.AnnounceLeave()
-		led := w.leader() != nil
+		led := c.leader() != nil
 		if outcome := leaver.coordinator.LeaveOutcome(); !led && outcome != StillNeeded {
-			w.fail("the witness ends before the backup leads: %s", outcome)
+			c.fail("the witness may stop before the backup leads: %s", outcome)
 		}
 		return led
 	})
 	if !elected {
-		w.fail("the backup was not elected")
+		c.fail("the backup was not elected")
 	}
 }
