--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -15,41 +15,44 @@
 	"time"
 )
 
-// noStorage keeps nothing: the exploration clones what a witness has in memory.
+// noStorage stores nothing: the exploration clones the state that a witness has in memory.
 type noStorage struct{}
 
 func (noStorage) Save(string, []byte) error                  { return nil }
 func (noStorage) Load() (map[string][]byte, []string, error) { return nil, nil, nil }
 func (noStorage) Remove([]string) error                      { return nil }
 
-// coreMember is one machine of the explored core: its witness is the product's Witness, its
-// candidacy the product's proposal; its copy is a number, that of the last write it holds.
+// coreMember is one machine of the explored core. It uses the production types Witness and proposal.
+// Of the machine's replica, only the number of its last write (version) is modelled.
 type coreMember struct {
 	witness      *Witness
 	version      int
 	up           bool
 	incarnations int
-	// proposal is the candidacy under way, and plan what it is to make of the base.
+	// proposal is the proposal in progress; plan names the change that it makes to its base, with the
+	// identities of the machines concerned (see alteration).
 	proposal *proposal
 	plan     string
-	// membership is the one that it leads by, if it leads, and view the last write that it shows.
+	// While the machine leads, membership is the membership under which it leads, renewedBy holds the
+	// witnesses that renewed its lease, and view is the last write that its readers see.
 	leads      bool
 	membership Membership
 	renewedBy  map[Identity]bool
 	lease      bool
 	view       int
-	// write is the one that it has on its own copy and not shown, if there is one.
+	// write is the write that the machine has on its own disk but does not let readers see yet.
 	write writeInFlight
-	// issued counts the snapshots that it cut in its epoch, installed is the one that it took last.
-	issued    int
-	installed snapshotOrder
-	// membershipUnknown tells that a proposal of its own was begun and not granted: what the core
-	// has agreed on is not known, and nothing is written until it is.
+	// snapshotCount counts the snapshots that the machine took in its epoch; installed is the last
+	// snapshot that the machine installed.
+	snapshotCount int
+	installed     snapshotOrder
+	// membershipUnknown is set after the machine began a proposal that was not granted: the machine
+	// does not know on which membership the core has agreed, and writes nothing until it knows.
 	membershipUnknown bool
 }
 
-// writeInFlight is a write on its way to the backup, under the epoch that it is stamped with. It is
-// synced once the backup has it; the answer comes at any later time.
+// writeInFlight is a write of a primary, under the epoch of its version. It is synced once the
+// backup has it; its acknowledgement may come at any later time.
 type writeInFlight struct {
 	version int
 	epoch   uint64
@@ -58,15 +61,16 @@
 
 func (c *coreMember) identity() Identity { return c.witness.self.Identity }
 
-// delayedMessage is a request whose answer nobody waits for any more: of a proposal, or, with a
-// version, of a write or a snapshot. Others may overtake it, and it may come twice.
+// delayedMessage is a request whose sender no longer waits for the response: a request of a
+// proposal or, if version is set, a write or a snapshot. Other requests may overtake a delayed
+// message, and a delayed message may be delivered twice.
 type delayedMessage struct {
 	to         int
 	membership Membership
 	epoch      uint64
 	from       Identity
 	version    int
-	// snapshot is the issue of a snapshot; zero: it is a write.
+	// snapshot is the number of a snapshot; zero for a write.
 	snapshot int
 }
 
@@ -76,39 +80,40 @@
 	delayed      []delayedMessage
 	acknowledged int
 	newest       Membership
-	// What may still happen.
-	proposals, crashes, restarts, wipes, writes, delays, copies, transfers int
+	// The numbers of events of each kind that may still happen.
+	proposals, crashes, restarts, wipes, writes, delays, duplicates, transfers int
 }
 
-// variant is a fault that is put into the protocol: the exploration has to find it.
-type variant string
+// injectedFault is a fault that is injected into the protocol. The exploration has to find a violation
+// that it causes.
+type injectedFault string
 
 const (
-	sound              variant = ""
-	forgetsPromises    variant = "witnesses forget their promises"
-	leaseWithoutQuorum variant = "the lease of one witness"
-	leaseOutlives      variant = "the primary's lease outlives its witnesses'"
-	startsWithoutQuiet variant = "a witness that starts keeps no quiet time"
-	keepsLease         variant = "leadership is transferred under the lease"
-	anyoneStands       variant = "a copy that is not in sync stands"
-	oneGrant           variant = "a witness is exchanged in one grant"
-	answersFirst       variant = "a write is answered before the backup has it"
-	answersLate        variant = "a write is answered under a later epoch"
-	unordered          variant = "a backup takes snapshots in any order"
-	unfenced           variant = "a backup asks for neither epoch nor order"
-	showsUnsynced      variant = "the primary shows what is on its own disk only"
+	noFault                     injectedFault = ""
+	forgetsPromises             injectedFault = "witnesses forget their promises"
+	leaseWithoutQuorum          injectedFault = "one witness is enough for a lease"
+	leaseOutlivesWitnessLeases  injectedFault = "the primary's lease ends after its witnesses' leases"
+	restartsWithoutWait         injectedFault = "a restarted witness does not wait for earlier leases"
+	keepsLease                  injectedFault = "a primary transfers leadership and keeps its lease"
+	anyReplicaIsCandidate       injectedFault = "a replica that is not in sync becomes a candidate"
+	exchangesInOneGrant         injectedFault = "a witness is replaced in one grant"
+	acknowledgesBeforeBackup    injectedFault = "a write is acknowledged before the backup has it"
+	acknowledgesUnderLaterEpoch injectedFault = "a write is acknowledged under a later epoch"
+	acceptsOlderSnapshots       injectedFault = "a backup installs snapshots in any order"
+	unfenced                    injectedFault = "a backup checks neither epoch nor order"
+	readsUnsynced               injectedFault = "readers see a write that only the primary has"
 )
 
-// explorer visits every state that can be reached, once each.
+// explorer visits every reachable state once.
 type explorer struct {
-	seen      map[[16]byte]struct{}
-	variant   variant
-	violation string
-	// path are the states that led to the violation, the last first.
+	seen          map[[16]byte]struct{}
+	injectedFault injectedFault
+	violation     string
+	// path holds the states that led to the violation, the last one first.
 	path  []string
 	limit int
-	// random orders the steps anew in each state, if there is one: an exploration that ends before it
-	// is whole then goes deep everywhere. It ends at the deadline, if there is one.
+	// random, if set, draws the order of the steps in each state, so that an exploration that ends
+	// early reaches deep states in all directions. deadline, if set, ends the exploration.
 	random   *rand.Rand
 	deadline time.Time
 }
@@ -129,7 +134,15 @@
 	next.members = make([]*coreMember, len(c.members))
 	for i, old := range c.members {
 		copied := *old
-		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: old.witness.self, record: old.witness.record, lease: old.witness.lease, leaseHolder: old.witness.leaseHolder, leaseEnds: old.witness.leaseEnds}
+		witness := &Witness{
+			mutex:       &sync.Mutex{},
+			storage:     noStorage{},
+			self:        old.witness.self,
+			record:      old.witness.record,
+			lease:       old.witness.lease,
+			leaseHolder: old.witness.leaseHolder,
+			leaseEnds:   old.witness.leaseEnds,
+		}
 		witness.record.Sequence = 0
 		copied.witness = witness
 		copied.renewedBy = cloneSet(old.renewedBy)
@@ -153,7 +166,7 @@
 func appendMembership(text []byte, membership Membership) []byte {
 	text = append(text, byte(membership.Epoch))
 	text = appendReplicas(text, membership.Primary, membership.Backup)
-	text = appendReplicas(text, membership.Further...)
+	text = appendReplicas(text, membership.FurtherBackups...)
 	text = appendReplicas(text, membership.Witnesses...)
 	return appendReplicas(text, membership.Incoming...)
 }
@@ -181,19 +194,21 @@
 	return append(text, ';')
 }
 
-// key tells one state from another.
+// key returns a hash that identifies the state.
 func (c *coreState) key() [16]byte {
 	text := make([]byte, 0, 1024)
-	// The order of snapshots matters only while one is late or may be.
+	// The order of snapshots matters only while one is delayed or may be.
 	ordered := c.delays > 0 || slices.ContainsFunc(c.delayed, func(message delayedMessage) bool { return message.snapshot > 0 })
 	for _, member := range c.members {
 		witness := member.witness
-		text = append(append(append(text, witness.self.Identity...), byte(witness.record.Promised), byte(member.version)), witness.leaseHolder...)
+		text = append(append(append(text, witness.self.Identity...),
+			byte(witness.record.Promised), byte(member.version)), witness.leaseHolder...)
 		text = appendMembership(text, witness.record.Membership)
-		text = appendFlags(text, witness.leaseEnds.IsZero(), member.up, member.leads, member.lease, member.write.synced, member.membershipUnknown)
+		text = appendFlags(text, witness.leaseEnds.IsZero(), member.up, member.leads, member.lease,
+			member.write.synced, member.membershipUnknown)
 		text = append(text, byte(member.view), byte(member.write.version), byte(member.write.epoch))
 		if ordered {
-			text = append(text, byte(member.issued), byte(member.installed.epoch), byte(member.installed.issue))
+			text = append(text, byte(member.snapshotCount), byte(member.installed.epoch), byte(member.installed.sequence))
 		}
 		text = append(text, member.plan...)
 		text = appendMembership(text, member.membership)
@@ -209,15 +224,16 @@
 		text = append(text, byte(message.snapshot))
 		text = appendMembership(text, message.membership)
 	}
-	text = append(text, byte(c.acknowledged), byte(c.proposals), byte(c.crashes), byte(c.restarts), byte(c.wipes), byte(c.writes), byte(c.delays), byte(c.copies), byte(c.transfers))
+	text = append(text, byte(c.acknowledged), byte(c.proposals), byte(c.crashes), byte(c.restarts),
+		byte(c.wipes), byte(c.writes), byte(c.delays), byte(c.duplicates), byte(c.transfers))
 	text = appendMembership(text, c.newest)
 	hash := fnv.New128a()
 	_, _ = hash.Write(text)
 	return [16]byte(hash.Sum(nil))
 }
 
-// newCoreState is a core that is whole, with one acknowledged write: the first machine
-// leads, the second is its backup.
+// newCoreState returns a complete core with one acknowledged write: the first machine leads, the
+// second is its backup.
 func newCoreState(witnesses int) *coreState {
 	state := &coreState{acknowledged: 1}
 	var replicas []Replica
@@ -226,8 +242,15 @@
 	}
 	membership := Membership{Epoch: 1, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
 	for number, replica := range replicas {
-		witness := &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, leaseHolder: replicas[0].Identity, leaseEnds: explorationNow.Add(PrimaryLease),
-			record: witnessRecord{Identity: replica.Identity, Promised: 1, Membership: membership}}
+		witness := &Witness{
+			mutex:       &sync.Mutex{},
+			storage:     noStorage{},
+			self:        replica,
+			lease:       PrimaryLease,
+			leaseHolder: replicas[0].Identity,
+			leaseEnds:   explorationNow.Add(PrimaryLease),
+			record:      witnessRecord{Identity: replica.Identity, Promised: 1, Membership: membership},
+		}
 		member := &coreMember{witness: witness, up: true, renewedBy: map[Identity]bool{}}
 		if number < 2 {
 			member.version = 1
@@ -243,7 +266,8 @@
 	return state
 }
 
-// at finds the machine that has an identity's disk and is up.
+// at returns the position and the machine that is up and has the disk with the identity, or -1 and
+// nil.
 func (c *coreState) at(identity Identity) (int, *coreMember) {
 	for i, member := range c.members {
 		if member.identity() == identity && member.up {
@@ -253,17 +277,20 @@
 	return -1, nil
 }
 
-// check holds what must be so in every state.
+// check returns a description of the violated invariant, or an empty string. The invariants are: At
+// most one primary has a lease. The readers of a primary with a lease see every acknowledged write,
+// and no write that is missing on a replica in sync. Every replica in sync of the newest membership
+// has every acknowledged write.
 func (c *coreState) check() string {
 	leaseHolders := 0
 	for _, member := range c.members {
 		if member.up && member.lease {
 			leaseHolders++
 			if member.view < c.acknowledged {
-				return fmt.Sprintf("%s shows write %d under the lease, and %d was acknowledged", member.identity(), member.view, c.acknowledged)
+				return fmt.Sprintf("%s has the lease and shows write %d, but write %d was acknowledged", member.identity(), member.view, c.acknowledged)
 			}
 			if member.view > c.acknowledged && member.view > c.durable() {
-				return fmt.Sprintf("%s shows write %d, which is on no backup", member.identity(), member.view)
+				return fmt.Sprintf("%s shows write %d, which is not on the backup", member.identity(), member.view)
 			}
 		}
 	}
@@ -271,12 +298,12 @@
 		return "two primaries have the lease"
 	}
 	if durable := c.durable(); durable < c.acknowledged {
-		return fmt.Sprintf("a copy of the newest membership has write %d, and %d was acknowledged", durable, c.acknowledged)
+		return fmt.Sprintf("a replica in sync of the newest membership has write %d, but write %d was acknowledged", durable, c.acknowledged)
 	}
 	return ""
 }
 
-// String is the state in one line, for the path to a violation.
+// String returns the state in one line, for the path to a violation.
 func (c *coreState) String() string {
 	var text strings.Builder
 	for _, member := range c.members {
@@ -290,18 +317,18 @@
 				member.membership.Backup.Identity, member.view, member.lease, member.membershipUnknown, member.write)
 		}
 		if member.proposal != nil {
-			fmt.Fprintf(&text, " proposes %d to %s", member.proposal.epoch, member.plan)
+			fmt.Fprintf(&text, " proposes epoch %d for %s", member.proposal.epoch, member.plan)
 		}
 		text.WriteString("; ")
 	}
 	for _, message := range c.delayed {
-		fmt.Fprintf(&text, "late to %d: epoch %d v%d snapshot %d; ", message.to, message.epoch, message.version, message.snapshot)
+		fmt.Fprintf(&text, "delayed to %d: epoch %d v%d snapshot %d; ", message.to, message.epoch, message.version, message.snapshot)
 	}
 	fmt.Fprintf(&text, "acknowledged v%d, newest %d", c.acknowledged, c.newest.Epoch)
 	return text.String()
 }
 
-// durable is the last write that all copies of the newest membership have.
+// durable returns the last write that all replicas in sync of the newest membership have.
 func (c *coreState) durable() int {
 	least := -1
 	for _, member := range c.members {
@@ -312,13 +339,14 @@
 	return least
 }
 
-// over reports whether the exploration is to end.
-func (e *explorer) over() bool {
+// finished reports whether the exploration has to end: after a violation, at the limit of states, or
+// at the deadline.
+func (e *explorer) finished() bool {
 	late := !e.deadline.IsZero() && len(e.seen)%64 == 0 && time.Now().After(e.deadline)
 	return e.violation != "" || len(e.seen) >= e.limit || late
 }
 
-// order is in which order the members take their steps.
+// order returns the order in which the steps of a state are explored, as positions below count.
 func (e *explorer) order(count int) []int {
 	if e.random != nil {
 		return e.random.Perm(count)
@@ -330,9 +358,9 @@
 	return order
 }
 
-// explore visits what can follow a state.
+// explore visits a state and, recursively, all states that can follow it.
 func (e *explorer) explore(state *coreState) {
-	if e.over() {
+	if e.finished() {
 		return
 	}
 	key := state.key()
@@ -357,9 +385,9 @@
 		next.delayed = slices.Delete(next.delayed, position, position+1)
 		next.deliverDelayed(e, message)
 		e.explore(next)
-		if state.copies > 0 {
+		if state.duplicates > 0 {
 			next := state.clone()
-			next.copies--
+			next.duplicates--
 			next.deliverDelayed(e, message)
 			e.explore(next)
 		}
@@ -382,15 +410,16 @@
 	_, _ = member.witness.Prepare(explorationNow, message.epoch, message.from)
 }
 
-// replicate is a backup's side of a write, or of a snapshot, by the rules of Store and LocalReplica. It
-// tells whether the backup has it.
+// replicate delivers a write or a snapshot to a backup, which accepts or refuses it by the rules of
+// Store and LocalReplica. It reports whether the backup accepted it.
 func (e *explorer) replicate(member *coreMember, message delayedMessage) bool {
-	if member.leads || e.variant != unfenced && member.witness.ObserveEpoch(message.epoch) != nil {
+	if member.leads || e.injectedFault != unfenced && member.witness.ObserveEpoch(message.epoch) != nil {
 		return false
 	}
-	order := snapshotOrder{epoch: message.epoch, issue: uint64(message.snapshot)}
+	order := snapshotOrder{epoch: message.epoch, sequence: uint64(message.snapshot)}
 	if message.snapshot > 0 {
-		if order.epoch == member.installed.epoch && order.issue < member.installed.issue && e.variant != unordered && e.variant != unfenced {
+		if order.epoch == member.installed.epoch && order.sequence < member.installed.sequence &&
+			e.injectedFault != acceptsOlderSnapshots && e.injectedFault != unfenced {
 			return false
 		}
 		member.installed = order
@@ -403,14 +432,14 @@
 }
 
 func (e *explorer) accept(member *coreMember, membership Membership) Vote {
-	if e.variant == forgetsPromises {
+	if e.injectedFault == forgetsPromises {
 		member.witness.record.Promised = member.witness.record.Membership.Epoch
 	}
 	vote, _ := member.witness.Accept(explorationNow, membership)
 	return vote
 }
 
-// exploreMember follows all that one machine can do, or that can happen to it.
+// exploreMember explores everything that one machine can do, or that can happen to it.
 func (e *explorer) exploreMember(state *coreState, i int) {
 	branch := func(f func(next *coreState, member *coreMember)) {
 		next := state.clone()
@@ -430,7 +459,7 @@
 	if state.crashes > 0 {
 		branch(func(next *coreState, member *coreMember) { next.crashes--; member.crash() })
 	}
-	if !member.witness.leaseEnds.IsZero() && (e.variant == leaseOutlives || !state.hasLease(member.witness.leaseHolder)) {
+	if !member.witness.leaseEnds.IsZero() && (e.injectedFault == leaseOutlivesWitnessLeases || !state.hasLease(member.witness.leaseHolder)) {
 		branch(func(next *coreState, member *coreMember) { next.expire(member) })
 	}
 	if member.lease {
@@ -451,14 +480,15 @@
 	}
 }
 
-// hasLease tells whether the holder's own lease runs: it ends before the witnesses'.
+// hasLease reports whether the lease holder's own lease is active. Without a fault this lease ends
+// before the leases that the witnesses granted.
 func (c *coreState) hasLease(leaseHolder Identity) bool {
 	_, member := c.at(leaseHolder)
 	return member != nil && member.lease
 }
 
-// expire ends the lease that a witness gave. A confirmation that is older than that counts
-// no more for its holder, whose lease runs from when it asked.
+// expire ends the lease that a witness granted. The lease holder no longer counts this witness's
+// renewal, because the holder's own lease started when it sent the request and so has ended before.
 func (c *coreState) expire(witness *coreMember) {
 	witness.witness.leaseEnds = time.Time{}
 	if _, leaseHolder := c.at(witness.witness.leaseHolder); leaseHolder != nil {
@@ -466,7 +496,8 @@
 	}
 }
 
-// canWipe bounds losses to what may be borne: all others are there, and a pair leads.
+// canWipe reports whether a core has to tolerate the loss of the machine's disk: all other machines
+// are up, there is a backup, and no witness is being replaced.
 func (c *coreState) canWipe(i int) bool {
 	for other, member := range c.members {
 		if other != i && !member.up {
@@ -478,15 +509,16 @@
 
 func (c *coreMember) crash() {
 	c.up, c.leads, c.lease, c.membershipUnknown, c.proposal, c.plan = false, false, false, false, nil, ""
-	c.view, c.write, c.issued, c.installed = 0, writeInFlight{}, 0, snapshotOrder{}
+	c.view, c.write, c.snapshotCount, c.installed = 0, writeInFlight{}, 0, snapshotOrder{}
 	c.membership = Membership{}
 	clear(c.renewedBy)
 }
 
-// restart reads the disk again: the witness keeps still for one lease.
+// restart starts a machine with the record on its disk: its witness waits for one lease before it
+// promises an epoch to any candidate except the primary of the membership on the disk.
 func (c *coreState) restart(e *explorer, member *coreMember) {
 	member.up = true
-	if e.variant == startsWithoutQuiet {
+	if e.injectedFault == restartsWithoutWait {
 		member.witness.leaseHolder, member.witness.leaseEnds = "", time.Time{}
 		return
 	}
@@ -494,23 +526,29 @@
 	member.witness.leaseEnds = explorationNow.Add(PrimaryLease)
 }
 
-// wipe gives the machine an empty disk, which is a new identity.
+// wipe gives the machine a blank disk, and with it a new identity.
 func (c *coreState) wipe(member *coreMember) {
 	c.wipes--
 	member.incarnations++
 	replica := Replica{Identity: Identity(fmt.Sprintf("%s'", member.identity())), Address: member.witness.self.Address}
-	member.witness = &Witness{mutex: &sync.Mutex{}, storage: noStorage{}, self: replica, lease: PrimaryLease, record: witnessRecord{Identity: replica.Identity}}
+	member.witness = &Witness{
+		mutex:   &sync.Mutex{},
+		storage: noStorage{},
+		self:    replica,
+		lease:   PrimaryLease,
+		record:  witnessRecord{Identity: replica.Identity},
+	}
 	member.version = 0
 }
 
-// exploreCandidacy begins each proposal that a machine could begin.
+// exploreCandidacy explores each proposal that a machine could begin.
 func (e *explorer) exploreCandidacy(state *coreState, i int, branch func(func(*coreState, *coreMember))) {
 	member := state.members[i]
 	begin := func(next *coreState, member *coreMember, plan string) {
 		next.proposals--
 		member.beginProposal(plan)
 	}
-	if !member.leads && (e.variant == anyoneStands || member.witness.record.Membership.InSync(member.identity())) {
+	if !member.leads && (e.injectedFault == anyReplicaIsCandidate || member.witness.record.Membership.InSync(member.identity())) {
 		branch(func(next *coreState, member *coreMember) { begin(next, member, "takeover") })
 	}
 	if !member.leads {
@@ -523,20 +561,21 @@
 		}
 		branch(func(next *coreState, member *coreMember) {
 			installed := next.members[other]
-			if e.replicate(installed, member.cut(other)) {
+			if e.replicate(installed, member.takeSnapshot(other)) {
 				begin(next, member, "pair "+string(installed.identity()))
 			}
 		})
 		if state.delays > 0 {
 			branch(func(next *coreState, member *coreMember) {
 				next.delays--
-				next.delayed = append(next.delayed, member.cut(other))
+				next.delayed = append(next.delayed, member.takeSnapshot(other))
 			})
 		}
 	}
-	if vacant, newcomer := state.witnessExchange(member.membership); backup != nil && !member.membershipUnknown && !newcomer.Empty() {
+	if replaced, newcomer := state.witnessToReplace(member.membership); backup != nil && !member.membershipUnknown &&
+		!newcomer.Empty() {
 		branch(func(next *coreState, member *coreMember) {
-			begin(next, member, "exchange "+string(vacant)+" "+string(newcomer.Identity))
+			begin(next, member, "replace "+string(replaced)+" "+string(newcomer.Identity))
 		})
 	}
 	if backup != nil && !member.membershipUnknown && len(member.membership.Incoming) > 0 {
@@ -545,7 +584,7 @@
 	if backup != nil && !member.membershipUnknown && state.transfers > 0 {
 		branch(func(next *coreState, member *coreMember) {
 			next.transfers--
-			if e.variant != keepsLease {
+			if e.injectedFault != keepsLease {
 				member.lease = false
 				clear(member.renewedBy)
 			}
@@ -554,14 +593,15 @@
 	}
 }
 
-// cut is the next snapshot of a primary, for a machine.
-func (c *coreMember) cut(to int) delayedMessage {
-	c.issued++
-	return delayedMessage{to: to, epoch: c.membership.Epoch, version: c.view, snapshot: c.issued}
+// takeSnapshot returns the next snapshot of a primary, addressed to a machine.
+func (c *coreMember) takeSnapshot(to int) delayedMessage {
+	c.snapshotCount++
+	return delayedMessage{to: to, epoch: c.membership.Epoch, version: c.view, snapshot: c.snapshotCount}
 }
 
-// witnessExchange finds a witness whose disk is gone and a machine that has no seat.
-func (c *coreState) witnessExchange(membership Membership) (Identity, Replica) {
+// witnessToReplace returns a witness whose disk is gone, and a machine that can replace it because it
+// is not a witness. Both are empty if there is no such witness or machine.
+func (c *coreState) witnessToReplace(membership Membership) (Identity, Replica) {
 	if len(membership.Incoming) > 0 {
 		return "", Replica{}
 	}
@@ -582,7 +622,7 @@
 	return "", Replica{}
 }
 
-// begin starts a proposal as the product does: with a promise on the own disk.
+// beginProposal starts a proposal as Coordinator does: with a promise on the machine's own disk.
 func (c *coreMember) beginProposal(plan string) {
 	base := c.witness.record.Membership
 	if c.leads && c.membership.Epoch > base.Epoch {
@@ -599,17 +639,19 @@
 	}
 }
 
-// make is what the plan makes of the newest membership.
-func (c *coreMember) alteration(state *coreState, changed variant) func(base Membership) (Membership, bool) {
+// alteration returns the function that applies the plan to the newest membership, and that reports
+// whether the plan is still permitted.
+func (c *coreMember) alteration(state *coreState, fault injectedFault) func(base Membership) (Membership, bool) {
 	own := c.witness.self
 	parts := strings.Fields(c.plan)
 	led := c.membership
 	return func(base Membership) (Membership, bool) {
 		switch parts[0] {
 		case "takeover":
-			return base.WithReplicas(own, nil), changed == anyoneStands || base.InSync(own.Identity)
+			return base.WithReplicas(own, nil), fault == anyReplicaIsCandidate || base.InSync(own.Identity)
 		case "transfer":
-			return base.WithReplicas(base.Backup, []Replica{own}), base.Epoch == led.Epoch && base.Primary.Identity == own.Identity && !base.Backup.Empty()
+			return base.WithReplicas(base.Backup, []Replica{own}),
+				base.Epoch == led.Epoch && base.Primary.Identity == own.Identity && !base.Backup.Empty()
 		case "pair":
 			for _, other := range state.members {
 				if string(other.identity()) == parts[1] {
@@ -617,7 +659,7 @@
 				}
 			}
 			return base, false
-		case "exchange":
+		case "replace":
 			next := base
 			next.Incoming = nil
 			for _, replica := range base.Witnesses {
@@ -630,19 +672,20 @@
 				}
 				next.Incoming = append(next.Incoming, replica)
 			}
-			if changed == oneGrant {
+			if fault == exchangesInOneGrant {
 				next.Witnesses, next.Incoming = next.Incoming, nil
 			}
 			return next, base.Epoch == led.Epoch && base.Primary.Identity == own.Identity
 		}
 		next := base
 		next.Witnesses, next.Incoming = base.Incoming, nil
-		return next, base.Epoch == led.Epoch && base.Primary.Identity == own.Identity && len(base.Incoming) > 0
+		return next, base.Epoch == led.Epoch && base.Primary.Identity == own.Identity &&
+			len(base.Incoming) > 0
 	}
 }
 
-// exploreProposal follows each message that a proposal can send now: answered, delayed, or
-// none, since the proposal may be given up at any time.
+// exploreProposal explores each request that a proposal can send now, with a response or delayed, and
+// the end of the proposal, because its candidate may abandon it at any time.
 func (e *explorer) exploreProposal(state *coreState, i int) {
 	branch := func(f func(next *coreState, member *coreMember)) {
 		next := state.clone()
@@ -657,7 +700,8 @@
 		replicas = c.proposal.acceptors()
 	}
 	for _, replica := range replicas {
-		if _, responded := c.proposal.accepted[replica.Identity]; accepting && responded || !accepting && c.proposal.polled[replica.Identity] {
+		if _, responded := c.proposal.accepted[replica.Identity]; accepting && responded ||
+			!accepting && c.proposal.polled[replica.Identity] {
 			continue
 		}
 		to, r := state.at(replica.Identity)
@@ -690,14 +734,14 @@
 	}
 }
 
-// advance takes a proposal to its next stage as soon as it may.
+// advance moves a proposal to its next phase as soon as it has the quorum for it.
 func (e *explorer) advance(state *coreState, member *coreMember) {
 	p := member.proposal
 	if p.next.Epoch == 0 {
 		if !p.hasPromiseQuorum() || p.rebase() || !p.hasPromiseQuorum() {
 			return
 		}
-		if p.choose(member.alteration(state, e.variant)) != nil {
+		if p.choose(member.alteration(state, e.injectedFault)) != nil {
 			member.proposal, member.plan = nil, ""
 		}
 		return
@@ -710,7 +754,7 @@
 	}
 	transferred := member.plan == "transfer"
 	if !member.leads {
-		// It takes its copy as it is, and shows that.
+		// A new primary lets readers see everything that its replica has.
 		member.view, member.write = member.version, writeInFlight{}
 	}
 	member.leads, member.membership, member.proposal, member.plan = !transferred, p.next, nil, ""
@@ -718,13 +762,13 @@
 	if transferred {
 		member.membership, member.view, member.write = Membership{}, 0, writeInFlight{}
 	}
-	if !transferred || e.variant != keepsLease {
+	if !transferred || e.injectedFault != keepsLease {
 		member.lease = false
 		clear(member.renewedBy)
 	}
 }
 
-// exploreLeader follows what a primary does: it renews its lease and writes.
+// exploreLeader explores what a primary does: it renews its lease and writes.
 func (e *explorer) exploreLeader(state *coreState, i int, branch func(func(*coreState, *coreMember))) {
 	leader := state.members[i]
 	for _, replica := range leader.membership.Voters() {
@@ -740,14 +784,16 @@
 			if vote := witness.RenewLease(explorationNow, member.membership.Epoch, member.identity()); vote.Granted {
 				member.renewedBy[replica.Identity] = true
 			}
-			member.lease = member.lease || member.membership.HasQuorum(member.renewedBy) || e.variant == leaseWithoutQuorum && len(member.renewedBy) > 0
+			member.lease = member.lease || member.membership.HasQuorum(member.renewedBy) ||
+				e.injectedFault == leaseWithoutQuorum && len(member.renewedBy) > 0
 		})
 	}
 	e.exploreWrites(state, i, branch)
 }
 
-// exploreWrites follows a primary's write: on its own disk, on the backup's, late or not, and answered
-// under the lease. A write that a new membership overtook is stamped anew.
+// exploreWrites explores the steps of a primary's write: to its own disk, to the backup's disk (at once
+// or delayed), and its acknowledgement under the lease. A write in flight whose epoch is no longer that
+// of the membership gets a version of the new epoch.
 func (e *explorer) exploreWrites(state *coreState, i int, branch func(func(*coreState, *coreMember))) {
 	leader := state.members[i]
 	if leader.membershipUnknown || leader.membership.Backup.Empty() {
@@ -758,11 +804,11 @@
 			next.writes--
 			member.version = member.view + 1
 			member.write = writeInFlight{version: member.version, epoch: member.membership.Epoch}
-			switch e.variant {
-			case answersFirst:
+			switch e.injectedFault {
+			case acknowledgesBeforeBackup:
 				member.view = member.version
 				next.acknowledged = max(next.acknowledged, member.version)
-			case showsUnsynced:
+			case readsUnsynced:
 				member.view = member.version
 			}
 		})
@@ -789,8 +835,8 @@
 			})
 		}
 	}
-	stamped := leader.write.epoch == leader.membership.Epoch || e.variant == answersLate
-	if leader.lease && leader.write.synced && stamped {
+	currentEpoch := leader.write.epoch == leader.membership.Epoch || e.injectedFault == acknowledgesUnderLaterEpoch
+	if leader.lease && leader.write.synced && currentEpoch {
 		branch(func(next *coreState, member *coreMember) {
 			member.view = member.write.version
 			next.acknowledged = max(next.acknowledged, member.view)
@@ -799,22 +845,23 @@
 	}
 }
 
-// budget bounds what may happen in an exploration.
-type budget struct{ proposals, crashes, restarts, wipes, writes, delays, copies, transfers int }
+// budget limits how many events of each kind may happen in an exploration.
+type budget struct{ proposals, crashes, restarts, wipes, writes, delays, duplicates, transfers int }
 
-// threeWith is a core of three with a budget.
-func threeWith(b budget) *coreState { return coreWith(3, b) }
+// coreOfThree returns a core of three machines with a budget.
+func coreOfThree(b budget) *coreState { return newCore(3, b) }
 
-// coreWith is a core of so many witnesses, a primary and a backup, with a budget.
-func coreWith(witnesses int, b budget) *coreState {
+// newCore returns a core with a budget and the given number of witnesses, two of which are replicas
+// in sync.
+func newCore(witnesses int, b budget) *coreState {
 	state := newCoreState(witnesses)
 	state.proposals, state.crashes, state.restarts, state.wipes = b.proposals, b.crashes, b.restarts, b.wipes
-	state.writes, state.delays, state.copies, state.transfers = b.writes, b.delays, b.copies, b.transfers
+	state.writes, state.delays, state.duplicates, state.transfers = b.writes, b.delays, b.duplicates, b.transfers
 	return state
 }
 
-// fiveWithoutPrimary is a core of five witnesses and three copies whose primary's machine is gone: two
-// stand.
+// fiveWithoutPrimary returns a core of five witnesses and three replicas in sync whose primary's
+// machine is gone, so that there are two candidates.
 func fiveWithoutPrimary() *coreState {
 	five := newCoreState(5)
 	five.proposals = 2
@@ -829,21 +876,24 @@
 	return five
 }
 
-// TestElectionAndReplicationExplored visits every state that bounded cores can reach with
-// crashes, a lost disk, an exchanged witness, a transfer of leadership, writes whose answers come late,
-// and delayed messages, over the product's own witnesses, memberships and proposals.
+// TestElectionAndReplicationExplored visits every state that limited cores can reach with crashes,
+// a lost disk, a replaced witness, a transfer of leadership, late acknowledgements and delayed
+// messages. It uses the production types Witness, Membership and proposal.
 func TestElectionAndReplicationExplored(t *testing.T) {
 	const maxStates = 400_000
 	for _, row := range []struct {
 		name string
 		from *coreState
 	}{
-		{"a takeover and a delayed message", threeWith(budget{proposals: 1, crashes: 1, writes: 1, delays: 1})},
-		{"two takeovers, one of a machine that is back", threeWith(budget{proposals: 2, crashes: 1, restarts: 1})},
-		{"a lost disk and a new pair", threeWith(budget{proposals: 1, crashes: 1, restarts: 1, wipes: 1, writes: 1})},
-		{"a lost disk and its witness's exchange", threeWith(budget{proposals: 2, crashes: 1, restarts: 1, wipes: 1})},
-		{"a transfer, and the successor's takeover", threeWith(budget{proposals: 2, crashes: 1, transfers: 1})},
-		{"a write that an exchange of the backup overtakes", threeWith(budget{proposals: 1, crashes: 1, writes: 1, delays: 1, copies: 1})},
+		{"a takeover and a delayed message", coreOfThree(budget{proposals: 1, crashes: 1, writes: 1, delays: 1})},
+		{"two takeovers, one by a restarted machine", coreOfThree(budget{proposals: 2, crashes: 1, restarts: 1})},
+		{"a lost disk and a new backup", coreOfThree(budget{proposals: 1, crashes: 1, restarts: 1, wipes: 1, writes: 1})},
+		{"a lost disk and the replacement of its witness", coreOfThree(budget{proposals: 2, crashes: 1, restarts: 1, wipes: 1})},
+		{"a transfer, and the successor's takeover", coreOfThree(budget{proposals: 2, crashes: 1, transfers: 1})},
+		{
+			"a new backup is granted while a write is in flight",
+			coreOfThree(budget{proposals: 1, crashes: 1, writes: 1, delays: 1, duplicates: 1}),
+		},
 		{"five witnesses, two candidates", fiveWithoutPrimary()},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -853,72 +903,75 @@
 			t.Logf("%d states, exhausted %v: %s", len(e.seen), len(e.seen) < e.limit, e.violation)
 			if e.violation != "" {
 				slices.Reverse(e.path)
-				t.Errorf("%d states: %q by\n%s", len(e.seen), e.violation, strings.Join(e.path, "\n"))
+				t.Errorf("after %d states: %q, reached by\n%s", len(e.seen), e.violation, strings.Join(e.path, "\n"))
 			}
 			if len(e.seen) >= e.limit {
-				t.Errorf("the exploration is not whole after %d states", len(e.seen))
+				t.Errorf("the exploration is not exhausted after %d states", len(e.seen))
 			}
 		})
 	}
 }
 
-// TestKnownBadVariantsAreFound puts a fault into the protocol each time and wants it found.
-func TestKnownBadVariantsAreFound(t *testing.T) {
+// TestExplorationFindsInjectedFaults injects one fault at a time into the protocol: the exploration
+// has to report a violation.
+func TestExplorationFindsInjectedFaults(t *testing.T) {
 	const maxStates = 200_000
 	for _, row := range []struct {
-		variant variant
-		budget  budget
+		injectedFault injectedFault
+		budget        budget
 	}{
 		{forgetsPromises, budget{proposals: 2, crashes: 1, restarts: 1}},
 		{leaseWithoutQuorum, budget{proposals: 2, writes: 1}},
-		{leaseOutlives, budget{proposals: 1}},
-		{startsWithoutQuiet, budget{proposals: 1, crashes: 1, restarts: 1}},
+		{leaseOutlivesWitnessLeases, budget{proposals: 1}},
+		{restartsWithoutWait, budget{proposals: 1, crashes: 1, restarts: 1}},
 		{keepsLease, budget{proposals: 2, transfers: 1}},
-		{anyoneStands, budget{proposals: 1, crashes: 1}},
-		{answersFirst, budget{proposals: 1, crashes: 1, writes: 1}},
-		{answersLate, budget{proposals: 2, crashes: 1, writes: 1}},
-		{unordered, budget{proposals: 1, crashes: 1, writes: 1, delays: 1}},
+		{anyReplicaIsCandidate, budget{proposals: 1, crashes: 1}},
+		{acknowledgesBeforeBackup, budget{proposals: 1, crashes: 1, writes: 1}},
+		{acknowledgesUnderLaterEpoch, budget{proposals: 2, crashes: 1, writes: 1}},
+		{acceptsOlderSnapshots, budget{proposals: 1, crashes: 1, writes: 1, delays: 1}},
 		{unfenced, budget{proposals: 2, crashes: 1, writes: 1, delays: 1}},
-		{showsUnsynced, budget{proposals: 1, writes: 1}},
+		{readsUnsynced, budget{proposals: 1, writes: 1}},
 	} {
-		t.Run(string(row.variant), func(t *testing.T) {
+		t.Run(string(row.injectedFault), func(t *testing.T) {
 			t.Parallel()
-			e := &explorer{seen: map[[16]byte]struct{}{}, limit: maxStates, variant: row.variant}
-			e.explore(threeWith(row.budget))
+			e := &explorer{seen: map[[16]byte]struct{}{}, limit: maxStates, injectedFault: row.injectedFault}
+			e.explore(coreOfThree(row.budget))
 			t.Logf("%d states: %s", len(e.seen), e.violation)
 			if e.violation == "" {
-				t.Errorf("nothing is found in %d states", len(e.seen))
+				t.Errorf("found no violation in %d states", len(e.seen))
 			}
 		})
 	}
 }
 
-// randomWalkStates bounds the memory of one random exploration; the next one begins with other luck.
+// randomWalkStates is the largest number of states in one random exploration. It limits the memory
+// that an exploration uses; the next exploration starts with another seed.
 const randomWalkStates = 20_000
 
-// TestExplorationAtRandom goes deep into cores with larger budgets, in an order that is drawn: three
-// messages late, some twice, several crashes and writes, five witnesses with the write path. It goes
-// on for SEAMLOOM_EXPLORE_SECONDS, a few by default; "testbed explore" runs it for longer.
+// TestExplorationAtRandom reaches deep states of cores with larger budgets, in a random order:
+// three delayed messages, some delivered twice, several crashes and writes, and writes with five
+// witnesses. It runs for SEAMLOOM_EXPLORE_SECONDS, 3 s by default; "testbed explore" runs it for
+// longer.
 func TestExplorationAtRandom(t *testing.T) {
 	length := 3 * time.Second
-	if asked, err := strconv.Atoi(os.Getenv("SEAMLOOM_EXPLORE_SECONDS")); err == nil {
-		length = time.Duration(asked) * time.Second
+	if seconds, err := strconv.Atoi(os.Getenv("SEAMLOOM_EXPLORE_SECONDS")); err == nil {
+		length = time.Duration(seconds) * time.Second
 	}
 	for _, row := range []struct {
 		name string
 		from func() *coreState
 	}{
-		{"three, messages late", func() *coreState {
-			return coreWith(3, budget{proposals: 3, crashes: 2, restarts: 2, writes: 2, delays: 3, copies: 1})
+		{"three, delayed messages", func() *coreState {
+			return newCore(3, budget{proposals: 3, crashes: 2, restarts: 2, writes: 2, delays: 3, duplicates: 1})
 		}},
 		{"three, a lost disk and a transfer", func() *coreState {
-			return coreWith(3, budget{proposals: 4, crashes: 2, restarts: 2, wipes: 1, writes: 2, delays: 1, transfers: 1})
+			return newCore(3, budget{proposals: 4, crashes: 2, restarts: 2, wipes: 1, writes: 2, delays: 1, transfers: 1})
 		}},
 		{"five, writes", func() *coreState {
-			return coreWith(5, budget{proposals: 2, crashes: 2, restarts: 1, writes: 2, delays: 3, copies: 1})
+			return newCore(5, budget{proposals: 2, crashes: 2, restarts: 1, writes: 2, delays: 3, duplicates: 1})
 		}},
 		{"five, a lost disk and a transfer", func() *coreState {
-			return coreWith(5, budget{proposals: 3, crashes: 2, restarts: 2, wipes: 1, writes: 2, delays: 1, transfers: 1})
+			return newCore(5, budget{proposals: 3, crashes: 2, restarts: 2, wipes: 1, writes: 2, delays: 1, transfers: 1})
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -926,15 +979,20 @@
 			deadline, states, walks := time.Now().Add(length), 0, uint64(0)
 			for time.Now().Before(deadline) {
 				walks++
-				e := &explorer{seen: map[[16]byte]struct{}{}, limit: randomWalkStates, random: rand.New(rand.NewPCG(walks, 7)), deadline: deadline}
+				e := &explorer{
+					seen:     map[[16]byte]struct{}{},
+					limit:    randomWalkStates,
+					random:   rand.New(rand.NewPCG(walks, 7)),
+					deadline: deadline,
+				}
 				e.explore(row.from())
 				states += len(e.seen)
 				if e.violation != "" {
 					slices.Reverse(e.path)
-					t.Fatalf("walk %d, %d states: %q by\n%s", walks, len(e.seen), e.violation, strings.Join(e.path, "\n"))
+					t.Fatalf("walk %d, after %d states: %q, reached by\n%s", walks, len(e.seen), e.violation, strings.Join(e.path, "\n"))
 				}
 			}
-			t.Logf("%s: %d states in %d walks, %.0f a second", row.name, states, walks, float64(states)/length.Seconds())
+			t.Logf("%s: %d states in %d walks, %.0f per second", row.name, states, walks, float64(states)/length.Seconds())
 		})
 	}
 }
--- a/internal/replication/fuzz_test.go
+++ b/internal/replication/fuzz_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FuzzFiles opens disks whose files may hold anything: no panic, and a replica that is not
-// complete says so.
+// FuzzFiles opens disks that hold a file of any name and content: nothing may panic, and an
+// incomplete replica must report its damage.
 func FuzzFiles(fuzzing *testing.F) {
 	storage := newMemoryStorage()
 	replica, err := OpenLocalReplica(storage)
@@ -33,7 +33,7 @@
 		if replica.Damage() == "" {
 			for section := range replica.Sections() {
 				if _, found := replica.Sections()[section]; !found {
-					t.Fatalf("%s is missing from an undamaged copy", section)
+					t.Fatalf("section %s is missing from an undamaged replica", section)
 				}
 			}
 		}
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -15,11 +15,11 @@
 )
 
 // goldenFolder holds the disks of three controllers as release facc4d7 left them after a minute of
-// requests, two evacuations of which one was lifted, and the end of all three, and each section
-// with every field set.
+// requests, two evacuations, the end of one of them, and the shutdown of all three. The folder also
+// holds each section with every field set.
 const goldenFolder = "testdata/facc4d7"
 
-// openGoldenDisk opens a copy of one of the disks.
+// openGoldenDisk opens a copy of one of the disks in goldenFolder.
 func openGoldenDisk(t *testing.T, disk string) (*Witness, *LocalReplica) {
 	t.Helper()
 	folder := t.TempDir()
@@ -36,22 +36,22 @@
 	}
 	witness, blank, err := OpenWitness(time.Now(), witnessStorage, Replica{Name: "expediter"}, "fresh")
 	if err != nil || blank {
-		t.Fatalf("the witness is not read: blank %t, %v", blank, err)
+		t.Fatalf("OpenWitness: got blank %t, error %v, want neither", blank, err)
 	}
 	replica, err := OpenLocalReplica(replicaStorage)
 	if err != nil || replica.Damage() != "" {
-		t.Fatalf("the replica is not read: %q, %v", replica.Damage(), err)
+		t.Fatalf("OpenLocalReplica: got damage %q, error %v, want neither", replica.Damage(), err)
 	}
 	return witness, replica
 }
 
-// TestDisksOfEarlierReleasesAreRead opens the disks of the earlier release and finds on them what
-// it had acknowledged.
+// TestDisksOfEarlierReleasesAreRead opens the disks of the earlier release, which must hold
+// everything that this release had acknowledged.
 func TestDisksOfEarlierReleasesAreRead(t *testing.T) {
 	for _, disk := range []struct {
 		name    string
 		version Version
-		backup  bool
+		inSync  bool
 	}{
 		{"disk-1", Version{Epoch: 3, Number: 66}, false},
 		{"disk-2", Version{Epoch: 3, Number: 158}, true},
@@ -61,13 +61,13 @@
 			witness, replica := openGoldenDisk(t, disk.name)
 			membership := witness.Membership()
 			if membership.Epoch != 3 || len(membership.Witnesses) != 3 || witness.Promised() < membership.Epoch {
-				t.Errorf("membership %+v, promised %d", membership, witness.Promised())
+				t.Errorf("got membership %+v, promised epoch %d, want epoch 3 with three witnesses", membership, witness.Promised())
 			}
-			if membership.InSync(witness.Replica().Identity) != disk.backup {
-				t.Errorf("in sync is not %t", disk.backup)
+			if membership.InSync(witness.Replica().Identity) != disk.inSync {
+				t.Errorf("the disk's replica by the membership on that disk: want in sync %t", disk.inSync)
 			}
 			if replica.Version() != disk.version {
-				t.Errorf("version %s, not %s", replica.Version(), disk.version)
+				t.Errorf("got version %s, want %s", replica.Version(), disk.version)
 			}
 			state, err := ReadState(replica.Sections())
 			if err != nil {
@@ -82,23 +82,25 @@
 	t.Helper()
 	configuration, err := config.Check(state.Configuration)
 	if err != nil || len(configuration.Services) != 3 || configuration.Evacuated("harbour") || !configuration.Evacuated("dunes") {
-		t.Errorf("configuration %s: %v", state.Configuration, err)
+		t.Errorf("got configuration %s, error %v, want three services and only dunes evacuated", state.Configuration, err)
 	}
 	if len(state.Members) != 10 || len(state.Flags.Enabled) == 0 || len(state.Roles.Roles) != 10 || state.Roles.FencingToken == 0 {
-		t.Errorf("%d members, flags %v, %d roles, token %d", len(state.Members), state.Flags.Enabled, len(state.Roles.Roles), state.Roles.FencingToken)
+		t.Errorf("got %d members, flags %v, %d roles, token %d, want 10 members, flags, 10 roles, a token",
+			len(state.Members), state.Flags.Enabled, len(state.Roles.Roles), state.Roles.FencingToken)
 	}
 	if len(state.Orders.Records) == 0 || state.Changes.Count() != 4 || state.Horizon.IsZero() {
-		t.Errorf("%d orders, %d changes, horizon %s", len(state.Orders.Records), state.Changes.Count(), state.Horizon)
+		t.Errorf("got %d orders, %d changes, horizon %s, want orders, 4 changes, a horizon",
+			len(state.Orders.Records), state.Changes.Count(), state.Horizon)
 	}
 	for _, record := range state.Changes.single {
 		if record.ID == "" || record.Digest == "" || record.Version.Epoch == 0 {
-			t.Errorf("change %+v", record)
+			t.Errorf("got change %+v, want an id, a digest and a version", record)
 		}
 	}
 }
 
-// TestSectionsOfEarlierReleasesAreReadAndWritten decodes each section, every field of which is set,
-// and encodes it again: the earlier release finds every key as it wrote it.
+// TestSectionsOfEarlierReleasesAreReadAndWritten decodes each section with every field set and
+// encodes it again: every key must have the value that the earlier release wrote.
 func TestSectionsOfEarlierReleasesAreReadAndWritten(t *testing.T) {
 	const claims = ClaimsPrefix + "1"
 	sections := map[string]Section{}
@@ -125,13 +127,15 @@
 		t.Fatalf("removed %v: %v", removed, err)
 	}
 	for section := range sections {
-		if earlier, later := decodeLoosely(t, sections[section].Content), decodeLoosely(t, written[section].Content); !reflect.DeepEqual(earlier, later) {
-			t.Errorf("%s was\n%v\nand is\n%v", strings.TrimSuffix(section, "/1"), earlier, later)
+		if want, got := decodeUntyped(t, sections[section].Content),
+			decodeUntyped(t, written[section].Content); !reflect.DeepEqual(want, got) {
+			t.Errorf("section %s: want\n%v\ngot\n%v", strings.TrimSuffix(section, "/1"), want, got)
 		}
 	}
 }
 
-func decodeLoosely(t *testing.T, encoded []byte) any {
+// decodeUntyped decodes msgpack without a struct type, so that no key is dropped.
+func decodeUntyped(t *testing.T, encoded []byte) any {
 	t.Helper()
 	var value any
 	if err := msgpack.Unmarshal(encoded, &value); err != nil {
--- a/internal/replication/hello.go
+++ b/internal/replication/hello.go
@@ -7,8 +7,8 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Hello is the heartbeat that controllers exchange: what the sender is and knows. A sender that
-// stores nothing, as a redirector, has no replica.
+// Hello is the heartbeat that controllers exchange: the state of the sender and the newest
+// membership that it knows. A sender that stores nothing, such as a redirector, has no replica.
 type Hello struct {
 	Replica    Replica             `msgpack:"seat"`
 	Kind       membership.NodeKind `msgpack:"kind"`
@@ -17,23 +17,23 @@
 	Membership Membership          `msgpack:"charter"`
 	Leads      bool                `msgpack:"leads"`
 	LeaseLeft  time.Duration       `msgpack:"hold_left"`
-	// LeaseHolder is the primary that the sender's witness granted its lease to, which runs for
+	// LeaseHolder is the primary to which the sender's witness granted its lease, which ends after
 	// LeaseLeft.
 	LeaseHolder Identity `msgpack:"holder,omitempty"`
 	Version     Version  `msgpack:"version"`
 	Damage      string   `msgpack:"damage,omitempty"`
-	// Leaving reports that the process is about to end and hands over its roles.
+	// Leaving reports that the process is about to stop and hands over its roles.
 	Leaving bool `msgpack:"leaving,omitempty"`
 }
 
 // OwnHello returns the hello of this controller.
 func (c *Coordinator) OwnHello() Hello {
-	// The witness may be waiting for its disk: its lock comes before the coordinator's, which
-	// nobody holds meanwhile.
+	// These calls may wait for a write to the disk. They are therefore made before the coordinator's
+	// mutex is locked, so that the mutex is not held during that wait.
 	membership, replica := c.witness.Membership(), c.witness.Replica()
 	blank, holder := membership.Blank(), c.witness.LeaseHolder()
 	version, damage := c.store.LocalReplica().Version(), c.store.LocalReplica().Damage()
-	left := c.witness.LeaseEnds().Sub(c.runtime.Now())
+	leaseLeft := c.witness.LeaseEnds().Sub(c.runtime.Now())
 	leads := c.HasLease()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -44,14 +44,14 @@
 		replica.Zone = c.zone
 	}
 	return Hello{Replica: replica, Kind: c.kind, Blank: blank, Restricted: c.restricted,
-		Membership: membership, Leads: leads, LeaseLeft: max(left, 0), LeaseHolder: holder,
+		Membership: membership, Leads: leads, LeaseLeft: max(leaseLeft, 0), LeaseHolder: holder,
 		Version: version, Damage: damage, Leaving: c.departure.began}
 }
 
-// HandleHello takes the hello of another controller and returns the own one.
+// HandleHello records the hello of another controller and returns the hello of this one.
 func (c *Coordinator) HandleHello(hello Hello) Hello {
 	if hello.Replica.Empty() {
-		// The sender only wants to know who leads.
+		// The sender stores nothing and only asks who leads.
 		return c.OwnHello()
 	}
 	c.recordHello(hello, false)
@@ -65,8 +65,8 @@
 	return c.OwnHello()
 }
 
-// recordHello records a hello; answered tells that it came as a response, so that its sender can be
-// reached. A sender without a replica may still know a newer membership.
+// recordHello records a hello. answered reports that it came as a response, which shows that its
+// sender can be reached. A sender without a replica may still know a newer membership.
 func (c *Coordinator) recordHello(hello Hello, answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -87,9 +87,9 @@
 	}
 }
 
-// exchangeHellos sends a hello to each address that may have a controller, or to the primary alone
-// while this one follows it, so that the number of hellos does not grow with the square of the
-// controllers.
+// exchangeHellos sends a hello to each address that may have a controller. While this controller
+// follows a primary, it sends hellos only to the primary, so that the number of hellos does not grow with the
+// square of the number of controllers.
 func (c *Coordinator) exchangeHellos() {
 	own := c.OwnHello()
 	if c.skipsRound() {
@@ -102,9 +102,9 @@
 		}
 		return
 	}
-	// Two responses are waited for, helloTimeout at most: dark machines delay nobody. Later ones
-	// are recorded as they arrive.
-	replicas := c.addressesToGreet(own.Replica.Address, c.membersToGreet())
+	// The round ends after two responses or helloTimeout, so that machines without power don't
+	// delay it. Later responses are recorded as they arrive.
+	replicas := c.helloTargets(own.Replica.Address, c.membersForHello())
 	answered := 0
 	gatherWithin(c.runtime, helloTimeout, replicas, func(replica Replica) (Hello, error) {
 		hello, err := c.peers.Hello(replica.Address, own)
@@ -119,9 +119,10 @@
 	}, func() bool { return answered >= 2 })
 }
 
-// addressesToGreet lists, in order, where a controller may be: the witnesses, the seeds, what the
-// platform lists, the controllers heard within peerMemory, and the members given; not the own one.
-func (c *Coordinator) addressesToGreet(own string, members []string) []Replica {
+// helloTargets returns the addresses that may have a controller, sorted and without duplicates: those
+// of the witnesses, the seeds, the controllers that the platform lists, the controllers heard within
+// peerMemory, and the given members. The controller's own address is left out.
+func (c *Coordinator) helloTargets(own string, members []string) []Replica {
 	addresses := map[string]bool{}
 	for _, replica := range c.Membership().Voters() {
 		addresses[replica.Address] = true
@@ -151,13 +152,13 @@
 	return replicas
 }
 
-// membersPerRound is how many recorded members are sent a hello in a round while no majority of the
-// witnesses responds. The rounds go through all of them in turn.
+// membersPerRound is how many recorded members are sent a hello in each round while no majority of
+// the witnesses responds. Successive rounds cycle through all of them.
 const membersPerRound = 3
 
-// membersToGreet returns recorded members to send a hello to in this round: none while a majority of
-// the witnesses responds.
-func (c *Coordinator) membersToGreet() []string {
+// membersForHello returns the recorded members that are sent a hello in this round: none while a
+// majority of the witnesses responds.
+func (c *Coordinator) membersForHello() []string {
 	membership := c.Membership()
 	if !membership.Blank() && c.reachesQuorum(membership) {
 		return nil
@@ -172,8 +173,8 @@
 	return members
 }
 
-// followsPrimary reports whether the primary's hello arrived within the last intervals, so that this
-// controller need not look for others.
+// followsPrimary reports whether a hello of the primary arrived within the last 5/3 heartbeat
+// intervals, so that this controller need not look for others.
 func (c *Coordinator) followsPrimary() bool {
 	if c.store.Leading() {
 		return false
@@ -185,8 +186,9 @@
 		c.runtime.Now().Sub(c.primaryHelloAt) < c.timing.HeartbeatInterval*5/3
 }
 
-// skipsRound reports whether this round of hellos is left out: the primary sends one each
-// HeartbeatInterval, a follower of it every other.
+// skipsRound reports whether this round of hellos is left out: the primary sends hellos once in
+// each HeartbeatInterval, a controller that follows the primary once in every two. All others, and a
+// controller with membershipUnknown, send hellos in every round.
 func (c *Coordinator) skipsRound() bool {
 	if c.membershipUnknown {
 		return false
--- a/internal/replication/install.go
+++ b/internal/replication/install.go
@@ -6,9 +6,10 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// installAhead brings newcomers a snapshot while commits continue, so that commits pause only
-// for what was written since. It tells whether a newcomer has it.
-func (c *Coordinator) installAhead(membership Membership, candidates []Replica, wanted int) bool {
+// installBeforePause installs a snapshot on new backups while commits continue, so that commits
+// have to pause only for what is written in the meantime. It reports whether any new backup has
+// installed it.
+func (c *Coordinator) installBeforePause(membership Membership, candidates []Replica, wanted int) bool {
 	snapshot, leading := c.store.Snapshot()
 	if !leading {
 		return false
@@ -17,7 +18,7 @@
 	c.mutex.Lock()
 	for _, replica := range candidates {
 		failed, tried := c.installFails[replica.Identity]
-		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && c.runtime.Now().Sub(failed) < applicantFreshness) {
+		if !hasReplica(membership.Backups(), replica.Identity) && !(tried && c.runtime.Now().Sub(failed) < peerFreshness) {
 			newcomers = append(newcomers, replica)
 		}
 	}
@@ -25,34 +26,34 @@
 	return len(c.installSnapshot(membership, snapshot, newcomers, max(wanted-len(membership.Backups()), 1))) > 0
 }
 
-// installation brings one snapshot to several candidates at once.
+// installation is the installation of one snapshot on several candidates in parallel.
 type installation struct {
 	candidates []Replica
 	wanted     int
-	// started counts the candidates that were sent the snapshot; only the thread that
-	// waits uses it.
+	// started counts the candidates that were sent the snapshot; only the goroutine that waits for
+	// the installation uses it.
 	started int
 	cond    runtime.Cond
 
 	mutex sync.Mutex
-	// results are the outcomes of the installs that have ended.
+	// results holds the outcomes of the installs that have ended.
 	results map[Identity]error
 }
 
-// installed lists those who have the snapshot, as many as are wanted at most.
+// installed returns the candidates that have the snapshot, at most as many as wanted.
 func (i *installation) installed() []Replica {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	var installed []Replica
 	for _, replica := range i.candidates {
-		if err, over := i.results[replica.Identity]; over && err == nil && len(installed) < i.wanted {
+		if err, ended := i.results[replica.Identity]; ended && err == nil && len(installed) < i.wanted {
 			installed = append(installed, replica)
 		}
 	}
 	return installed
 }
 
-// running counts the installs that have not ended.
+// running returns the number of installs that have not ended.
 func (i *installation) running() int {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -72,9 +73,9 @@
 	})
 }
 
-// installSnapshot brings the snapshot to as many candidates as are wanted at once, and lists
-// those who have it. When one fails, or its disk takes its time, the next is tried beside it.
-// The primary's lease is renewed meanwhile.
+// installSnapshot installs the snapshot in parallel on as many candidates as are wanted, and returns
+// the candidates that have installed it. When an install fails or is slow, the next candidate is tried in
+// parallel. Meanwhile the primary's lease is renewed.
 func (c *Coordinator) installSnapshot(
 	membership Membership,
 	snapshot Snapshot,
@@ -87,8 +88,8 @@
 		cond:       c.runtime.NewCond(),
 		results:    map[Identity]error{},
 	}
-	latest, confirmed := c.runtime.Now(), c.runtime.Now()
-	deadline := latest.Add(gatherTimeout)
+	lastStart, lastRenewal := c.runtime.Now(), c.runtime.Now()
+	deadline := lastStart.Add(gatherTimeout)
 	for c.runtime.Now().Before(deadline) {
 		installed := len(i.installed())
 		for i.running() < wanted-installed && i.started < len(candidates) {
@@ -98,20 +99,23 @@
 		if installed >= wanted || before == 0 {
 			break
 		}
-		// Every install ends by itself, but later than this thread may wait.
+		// Every install ends by itself, but possibly too late for the next renewal of the lease.
 		ended := i.cond.Wait(c.timing.Lease/5, func() bool { return i.running() < before })
 		now := c.runtime.Now()
-		if now.Sub(confirmed) >= c.timing.Lease/5 {
-			confirmed = now
+		if now.Sub(lastRenewal) >= c.timing.Lease/5 {
+			lastRenewal = now
 			c.renewLease(membership)
 		}
-		if ended || now.Sub(latest) < installTimeout {
+		if ended || now.Sub(lastStart) < installTimeout {
 			continue
 		}
+		// Once all candidates have been tried, slow installs get ReplacementTimeout. They get until
+		// the deadline if no install has succeeded and membershipUnknown is set, because commits are
+		// then paused and resume only with a backup.
 		if i.started < len(candidates) {
 			c.startInstall(i, snapshot)
-			latest = now
-		} else if (installed > 0 || !c.membershipUnknown) && now.Sub(latest) > c.timing.ReplacementTimeout {
+			lastStart = now
+		} else if (installed > 0 || !c.membershipUnknown) && now.Sub(lastStart) > c.timing.ReplacementTimeout {
 			break
 		}
 	}
@@ -122,15 +126,15 @@
 	return chosen
 }
 
-// recordInstalls remembers who could not be brought a snapshot in time, so that it is tried
-// last for a while.
+// recordInstalls records the candidates on which the snapshot could not be installed in time. For
+// peerFreshness they are then ranked lower as candidates, and installBeforePause leaves them out.
 func (c *Coordinator) recordInstalls(tried []Replica, results map[Identity]error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, replica := range tried {
-		err, over := results[replica.Identity]
+		err, ended := results[replica.Identity]
 		delete(c.installFails, replica.Identity)
-		if err != nil || !over {
+		if err != nil || !ended {
 			c.installFails[replica.Identity] = c.runtime.Now()
 			c.observe("install_failed", "backup", replica.Name, "cause", err)
 		}
--- a/internal/replication/joining.go
+++ b/internal/replication/joining.go
@@ -2,23 +2,25 @@
 
 import "seamloom.example/seamloom/internal/membership"
 
-// CoreWait says what a controller that knows of no core waits for.
+// CoreWait is the reason why a controller is not part of a core yet.
 type CoreWait string
 
-// What a controller waits for.
+// The reasons why a controller waits.
 const (
-	// CoreKnown: it knows a membership, and waits for nothing.
+	// CoreKnown: the controller knows a membership and waits for nothing.
 	CoreKnown CoreWait = ""
-	// SeedsSilent: no seed responds. The settings have to name another, or one has to come back.
+	// SeedsSilent: no seed responds. The settings have to name another seed, or a seed has to
+	// return.
 	SeedsSilent CoreWait = "seeds_silent"
-	// SeedsBlank: seeds respond, and none of them knows a core, which this controller may not form.
+	// SeedsBlank: seeds respond, but none of them knows a core, and this controller must not form
+	// one.
 	SeedsBlank CoreWait = "seeds_blank"
-	// FirstCore: the core forms once all three seeds respond.
+	// FirstCore: the first core is formed once all three seeds respond.
 	FirstCore CoreWait = "first_core"
 )
 
-// WaitingFor says what this controller waits for before it is part of a core, and which seeds do not
-// respond. It never forms a core by itself but as the first seed of three blank ones.
+// WaitingFor returns the reason why this controller is not part of a core yet, and the seeds that
+// do not respond. A controller never forms a core except as the first of three blank seeds.
 func (c *Coordinator) WaitingFor() (CoreWait, []string) {
 	if !c.Membership().Blank() {
 		return CoreKnown, nil
@@ -28,7 +30,7 @@
 	defer c.mutex.Unlock()
 	responding := map[string]bool{}
 	for _, status := range c.peerStatuses {
-		if status.hello.Kind == membership.Controller && c.runtime.Now().Sub(status.lastResponse) < applicantFreshness {
+		if status.hello.Kind == membership.Controller && c.runtime.Now().Sub(status.lastResponse) < peerFreshness {
 			responding[status.hello.Replica.Address] = true
 		}
 	}
--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -7,51 +7,55 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// The waits of a controller that leaves. The values are ours.
+// Time-outs and limits of a controller that is leaving.
 const (
-	// handoverTimeout is how long a controller that leaves waits for another to take its copy or
-	// its witness's seat, when none of those that stay can.
+	// handoverTimeout is how long a leaving controller that the remaining ones don't need still waits
+	// for one of them, or a new one, to take over its replica or its place as a witness. Then it stops
+	// without a handover.
 	handoverTimeout = time.Second
-	// silentAnnouncements is how many announcements in a row nobody who stays has to leave without a
-	// response until the silent ones count as gone.
-	silentAnnouncements = 4
-	// peerMemory is how long ago a controller was heard whose silence is still waited for.
+	// maxUnansweredAnnouncements is the number of announcements in a row without a response from any
+	// controller that stays, after which the controllers that don't respond count as gone.
+	maxUnansweredAnnouncements = 4
+	// peerMemory is how long this controller remembers a controller that does not respond, counted
+	// from the last hello received from it. In this time it still sends hellos to that controller and,
+	// when leaving, still counts it as staying.
 	peerMemory = time.Minute
-	// commitTimeout is how long a primary that nobody succeeds waits for the batch in flight.
+	// commitTimeout is how long a primary without a successor waits for the batch in flight.
 	commitTimeout = 400 * time.Millisecond
 )
 
-// LeaveOutcome says why a controller that leaves may end, or that it may not yet.
+// LeaveOutcome is the reason why a leaving controller may stop, or StillNeeded.
 type LeaveOutcome string
 
-// The outcomes of leaving. All that is acknowledged is on the disk in every case.
+// The outcomes of leaving. In every case the disk keeps all acknowledged changes that it has.
 const (
-	// StillNeeded: it leads, or has a copy or a seat that another may still take.
+	// StillNeeded: the controller leads, or has a replica or a place as a witness that another may
+	// still take over.
 	StillNeeded LeaveOutcome = ""
-	// HandedOver: no membership names it any more.
+	// HandedOver: the membership no longer names the controller.
 	HandedOver LeaveOutcome = "handed_over"
-	// NoReplacement: those who stay have all that it has, and nobody came for its place within
-	// handoverTimeout.
+	// NoReplacement: the remaining controllers have all data of this one, and no replacement
+	// appeared within handoverTimeout.
 	NoReplacement LeaveOutcome = "no_replacement"
-	// NobodyStays: all others leave too, or are gone.
-	NobodyStays LeaveOutcome = "nobody_stays"
+	// NoOtherStays: all other controllers are leaving, too, or are gone.
+	NoOtherStays LeaveOutcome = "nobody_stays"
 )
 
-// departure is what a controller that leaves knows about its end; the coordinator's mutex guards
-// it.
+// departure is the progress of a controller that is leaving; the coordinator's mutex guards it.
 type departure struct {
 	began bool
-	// announced counts the rounds of AnnounceLeave, silent those in a row in which nobody who
-	// stays responded.
-	announced, silent int
-	// unneededSince is since when nobody who could take this controller's place is there,
-	// strandedSince since when nobody stays.
-	unneededSince, strandedSince time.Time
+	// announcements counts the rounds of AnnounceLeave, unanswered the last rounds in a row without
+	// a response from a controller that stays.
+	announcements, unanswered int
+	// unneededSince is the time since which the remaining controllers have not needed this one (see
+	// LeaveOutcome), or zero while they need it. aloneSince is when this controller, as primary with a
+	// change pending, first found that no other controller stays; it is never reset.
+	unneededSince, aloneSince time.Time
 }
 
-// Leave begins the end of this controller: it transfers its leadership, its copy and its witness's
-// seat to others, and stands as a candidate only while no other can. The primary is told at once.
-// docs/design/control-safety.md, point 3.
+// Leave begins the graceful shutdown of this controller: from now on the controller hands over its
+// leadership, its replica and its place as a witness, and tries to become primary only while no other
+// controller can. Leave itself only notifies the primary. docs/design/control-safety.md, point 3.
 func (c *Coordinator) Leave() {
 	c.mutex.Lock()
 	c.departure.began = true
@@ -71,12 +75,13 @@
 	return c.departure.began
 }
 
-// AnnounceLeave tells all known controllers that this one leaves, and learns which of them stay.
-// A follower greets only the primary otherwise, and would not hear that the others leave as well.
-// It is called again and again until LeaveOutcome says that the controller may end.
+// AnnounceLeave notifies all known controllers that this one is leaving, and learns which of them
+// stay. Without these announcements a follower, which sends hellos only to the primary, would not
+// hear that the others are leaving, too. AnnounceLeave must be called repeatedly until LeaveOutcome
+// returns an outcome other than StillNeeded.
 func (c *Coordinator) AnnounceLeave() {
 	own := c.OwnHello()
-	replicas := c.addressesToGreet(own.Replica.Address, c.allMemberAddresses())
+	replicas := c.helloTargets(own.Replica.Address, c.allMemberAddresses())
 	stays := false
 	gatherWithin(c.runtime, helloTimeout, replicas, func(replica Replica) (Hello, error) {
 		hello, err := c.peers.Hello(replica.Address, own)
@@ -89,10 +94,10 @@
 	}, func() bool { return false })
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.departure.announced++
-	c.departure.silent++
+	c.departure.announcements++
+	c.departure.unanswered++
 	if stays {
-		c.departure.silent = 0
+		c.departure.unanswered = 0
 	}
 }
 
@@ -102,29 +107,30 @@
 	return slices.Clone(c.memberAddresses)
 }
 
-// ReadyToStop reports whether this controller, which leaves, may end.
+// ReadyToStop reports whether this controller, which is leaving, may stop.
 func (c *Coordinator) ReadyToStop() bool { return c.LeaveOutcome() != StillNeeded }
 
-// LeaveOutcome says whether this controller, which leaves, may end.
+// LeaveOutcome returns the reason why this controller, which is leaving, may stop, or StillNeeded.
 //
-// Invariant: it ends without having handed over only when that would gain nothing. Either nobody
-// stays who could take anything, or whoever stays has everything that it has. Its disk keeps all
-// that was acknowledged in both cases, and its next life finds the membership that names it.
+// Invariant: the controller stops without a handover only when a handover would gain nothing. Either no
+// remaining controller could take over anything, or the remaining ones have all of its data. In
+// both cases its disk keeps all acknowledged changes that it has, and the next process on that disk
+// finds the membership that names it.
 func (c *Coordinator) LeaveOutcome() LeaveOutcome {
 	own, m := c.witness.Replica().Identity, c.Membership()
 	leads := c.store.Leading()
 	if !leads && !m.InSync(own) && !m.HasVoter(own) {
 		return HandedOver
 	}
-	if c.nobodyStays(m) {
-		if leads && c.store.HasPending() && !c.elapsed(&c.departure.strandedSince, commitTimeout) {
+	if c.noOtherStays(m) {
+		if leads && c.store.HasPending() && !c.elapsed(&c.departure.aloneSince, commitTimeout) {
 			return StillNeeded
 		}
-		return NobodyStays
+		return NoOtherStays
 	}
 	unneeded := !leads && len(m.Incoming) == 0 && !c.voteNeeded(m)
 	if m.InSync(own) {
-		unneeded = unneeded && c.copyStays(m) && !c.replacementComes(m)
+		unneeded = unneeded && c.otherReplicaStays(m) && !c.replacementAvailable(m)
 	}
 	if !unneeded {
 		c.mutex.Lock()
@@ -138,33 +144,34 @@
 	return NoReplacement
 }
 
-// elapsed notes the present time in since, if there is none, and reports whether the length of time
-// has passed from then on.
-func (c *Coordinator) elapsed(since *time.Time, length time.Duration) bool {
+// elapsed sets since to the present time if it is zero, and reports whether the given time has
+// passed since then.
+func (c *Coordinator) elapsed(since *time.Time, duration time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.runtime.Now()
 	if since.IsZero() {
 		*since = now
 	}
-	return now.Sub(*since) >= length
+	return now.Sub(*since) >= duration
 }
 
-// nobodyStays reports whether all other controllers leave or are gone. Those that said that they
-// leave are not waited for. Those that are silent count as gone after silentAnnouncements announcements.
-func (c *Coordinator) nobodyStays(m Membership) bool {
+// noOtherStays reports whether all other controllers are leaving or gone. Controllers that don't
+// respond count as gone once maxUnansweredAnnouncements in a row got no response from a controller
+// that stays.
+func (c *Coordinator) noOtherStays(m Membership) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.departure.announced == 0 {
+	if c.departure.announcements == 0 {
 		return false
 	}
-	if c.departure.silent >= silentAnnouncements {
+	if c.departure.unanswered >= maxUnansweredAnnouncements {
 		return true
 	}
 	own, now := c.witness.Replica().Identity, c.runtime.Now()
 	for _, status := range c.peerStatuses {
-		controller := status.hello.Kind == membership.Controller
-		if controller && !status.hello.Leaving && now.Sub(status.lastSeen) < peerMemory && !c.superseded(status) {
+		isController := status.hello.Kind == membership.Controller
+		if isController && !status.hello.Leaving && now.Sub(status.lastSeen) < peerMemory && !c.superseded(status) {
 			return false
 		}
 	}
@@ -176,8 +183,9 @@
 	return true
 }
 
-// voteNeeded reports whether the witnesses that stay are no majority without this one's vote, while
-// another is silent that may come back: until then nobody is elected without it.
+// voteNeeded reports whether the witnesses that stay are no majority without this one, and another
+// witness neither responds nor announced that it is leaving. Until that witness returns, no primary
+// can be elected without the vote of this one.
 func (c *Coordinator) voteNeeded(m Membership) bool {
 	own := c.witness.Replica().Identity
 	if !m.HasVoter(own) {
@@ -193,23 +201,24 @@
 		switch {
 		case alive && !hello.Leaving:
 			staying[replica.Identity] = true
-		case !alive && !c.saidLeaving(replica.Identity):
+		case !alive && !c.announcedLeaving(replica.Identity):
 			silent = true
 		}
 	}
 	return silent && !m.HasQuorum(staying)
 }
 
-// saidLeaving reports whether the controller's last hello said that it leaves.
-func (c *Coordinator) saidLeaving(identity Identity) bool {
+// announcedLeaving reports whether the controller's last hello said that it is leaving.
+func (c *Coordinator) announcedLeaving(identity Identity) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	status, heard := c.peerStatuses[identity]
 	return heard && status.hello.Leaving
 }
 
-// copyStays reports whether another replica in sync stays, which has everything.
-func (c *Coordinator) copyStays(m Membership) bool {
+// otherReplicaStays reports whether another replica in sync, which has every acknowledged change,
+// stays.
+func (c *Coordinator) otherReplicaStays(m Membership) bool {
 	for _, replica := range m.InSyncReplicas() {
 		if hello, alive := c.alive(replica.Identity, responseFreshness); alive && !hello.Leaving && hello.Damage == "" {
 			return true
@@ -218,9 +227,9 @@
 	return false
 }
 
-// replacementComes reports whether a controller that stays could become a replica in sync in place
-// of this one.
-func (c *Coordinator) replacementComes(m Membership) bool {
+// replacementAvailable reports whether a remaining controller could become a replica in sync in
+// place of this one.
+func (c *Coordinator) replacementAvailable(m Membership) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.runtime.Now()
--- a/internal/replication/localreplica.go
+++ b/internal/replication/localreplica.go
@@ -11,43 +11,42 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Storage is the port to one directory of a disk. Files are never changed in place. Errors
-// have the code Disk.
+// Storage is one directory of a disk. Files are never changed in place. Errors have the code Disk.
 type Storage interface {
-	// Save returns nil only when the complete file is synced under its name. After a loss
-	// of power the file is there complete or not at all.
+	// Save returns nil only when the complete file is synced under its name. After a power loss the
+	// file is either complete or missing.
 	Save(name string, content []byte) error
-	// Load reads every file; damaged names those whose checksum is wrong.
+	// Load reads every file; damaged names the files whose checksum is wrong.
 	Load() (files map[string][]byte, damaged []string, err error)
-	// Remove deletes files that newer ones have replaced. A loss of power may bring them
-	// back until the next Save returns.
+	// Remove deletes files that are no longer needed. A power loss may restore them until the next
+	// Save returns.
 	Remove(names []string) error
 }
 
-// LocalReplica is the replica of the replicated state on this node's disk: a file for each
-// version, holding the sections that the version changed. Files whose sections all have a
-// newer version elsewhere are removed.
+// LocalReplica is the replica of the state on this node's disk: one file for each version, with the
+// sections that the version changed. A file is removed once newer files hold all of its sections.
 //
-// Invariants: memory is altered only after the file's Save has returned, so that it never
-// shows what a loss of power could take away; and the newest file names the file of every
-// section (Batch.Locations), so that a missing or damaged one is noticed.
+// Invariants: memory is altered only after the file's Save has returned, so that readers never see a
+// change that a power loss could undo; and the newest file names the file of every section
+// (Batch.Locations), so that a missing or damaged file is noticed.
 type LocalReplica struct {
 	mutex    sync.Locker
 	storage  Storage
 	version  Version
 	sections map[string]Section
-	// locations are the versions whose files hold the sections.
+	// locations holds, for each section, the version whose file holds it.
 	locations map[string]Version
-	// files are the names of all files that are, or may be, on the storage.
+	// files holds the names of all files that are, or may be, on the storage.
 	files map[string]bool
-	// damage says why the replica can't be used; empty: it can.
+	// damage describes why the replica can't be used; it is empty for a usable replica.
 	damage string
-	// highest is the highest version of any file that was ever seen here.
+	// highest is the highest version of the files found on opening and of those written since.
 	highest Version
 }
 
-// OpenLocalReplica reads a replica from its storage. One with a damaged or missing file
-// opens, but says so (Damage), and must be restored from another's snapshot.
+// OpenLocalReplica reads a replica from its storage. A replica with a damaged or missing file is
+// opened without an error, but Damage reports the fault, and the replica must be restored from a
+// snapshot of another replica.
 func OpenLocalReplica(storage Storage) (*LocalReplica, error) {
 	files, damaged, err := storage.Load()
 	if err != nil {
@@ -76,7 +75,7 @@
 	for name, location := range newest.Locations {
 		section, found := batches[location].Sections[name]
 		if !found {
-			replica.damage = fmt.Sprintf("the file of version %s is missing, which holds %s", location, name)
+			replica.damage = fmt.Sprintf("the file of version %s, which holds section %s, is missing", location, name)
 			continue
 		}
 		replica.sections[name] = section
@@ -92,14 +91,15 @@
 	return replica, nil
 }
 
-// recordVersion remembers a version whose file is on the storage, or may come back to it.
+// recordVersion records the version of a file that is on the storage, or that a power loss may
+// restore.
 func (r *LocalReplica) recordVersion(version Version) {
 	if r.highest.Before(version) {
 		r.highest = version
 	}
 }
 
-// newestOf is the batch of the newest version that no snapshot has discarded.
+// newestOf returns the batch of the newest version that no snapshot has discarded.
 func newestOf(batches map[Version]Batch) Batch {
 	discarded := func(version Version) bool {
 		for _, snapshot := range batches {
@@ -118,25 +118,26 @@
 	return newest
 }
 
-// SetLock chooses the replica's lock, which is held while it waits for the disk. It must be
+// SetLock sets the replica's lock, which is held while the replica waits for the disk. It must be
 // called before any other method.
 func (r *LocalReplica) SetLock(lock sync.Locker) { r.mutex = lock }
 
-// Damage says what is wrong with the replica, or nothing.
+// Damage returns what is wrong with the replica, or an empty string.
 func (r *LocalReplica) Damage() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.damage
 }
 
-// Version is the newest version that is synced here.
+// Version returns the newest version that is synced on the disk.
 func (r *LocalReplica) Version() Version {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.version
 }
 
-// Sections is the replica's content. The map is the caller's, the bytes must not be altered.
+// Sections returns the replica's content. The caller may alter the map, but not the bytes of a
+// section.
 func (r *LocalReplica) Sections() map[string]Section {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -147,9 +148,9 @@
 	return sections
 }
 
-// Write syncs a batch to disk and applies it. The same batch again changes nothing, so that a
-// primary may send it again. One that does not follow the replica's version is refused with
-// the code Behind, which keeps versions without gaps; a damaged replica refuses all with
+// Write syncs a batch to the disk and applies it. Writing the same batch again changes nothing, so
+// that a primary may repeat it. A batch that does not follow the replica's version is refused with
+// the code Behind, so that the versions have no gaps; a damaged replica refuses every batch with
 // the code Damaged.
 func (r *LocalReplica) Write(batch Batch) error {
 	r.mutex.Lock()
@@ -161,28 +162,28 @@
 		return nil
 	}
 	if batch.Base != r.version || !r.version.Before(batch.Version) {
-		return failure.New(failure.Behind, fmt.Sprintf("the copy is at %s, the batch follows %s", r.version, batch.Base))
+		return failure.New(failure.Behind, fmt.Sprintf("the replica is at version %s, the batch follows %s", r.version, batch.Base))
 	}
 	return r.save(batch)
 }
 
-// Restore replaces the whole replica by a snapshot, in one file. While it is under way, and
-// after it failed, the replica counts as damaged.
+// Restore replaces the whole replica by a snapshot, in one file. The replica counts as damaged
+// until Restore has succeeded.
 func (r *LocalReplica) Restore(snapshot Snapshot) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if snapshot.Version == r.version && r.damage == "" {
 		return nil
 	}
-	// This replica may have one version more than the snapshot: a batch that was synced here
-	// and never committed. Its file may come back after a loss of power.
+	// This replica may be one version ahead of the snapshot, by a batch that was synced here and
+	// never committed. A power loss may restore the file of that batch.
 	batch := Batch{Version: snapshot.Version, Sections: snapshot.Sections}
 	if snapshot.Version.Before(r.highest) {
 		batch.DiscardedThrough = r.highest
 	}
 	r.sections = map[string]Section{}
 	r.locations = map[string]Version{}
-	r.damage = "a rewrite was broken off"
+	r.damage = "restoring a snapshot did not finish"
 	if err := r.save(batch); err != nil {
 		return err
 	}
@@ -190,21 +191,21 @@
 	return nil
 }
 
-// CatchUp restores a replica that is older than the snapshot; one that is as new is left as
-// it is, and the code is Behind. It brings replicas that are not in sync near the primary's
-// state.
+// CatchUp restores the replica from a snapshot that is newer, and otherwise leaves it unchanged and
+// fails with the code Behind. It keeps replicas that are not in sync close to the primary's state.
 func (r *LocalReplica) CatchUp(snapshot Snapshot) error {
 	r.mutex.Lock()
 	older := r.version.Before(snapshot.Version)
 	r.mutex.Unlock()
 	if !older {
-		return failure.New(failure.Behind, "the copy is as new as the snapshot")
+		return failure.New(failure.Behind, "the replica is as new as the snapshot")
 	}
 	return r.Restore(snapshot)
 }
 
-// Sweep reads the replica's files again. If any has become damaged or is gone, the replica is
-// written anew from memory; the sweep tells how many there were.
+// Sweep reads the replica's files again. If any is damaged or missing, it writes the whole replica
+// anew from memory. It returns the number of such files. A replica that is empty, or for which Damage
+// reports a fault, is left unchanged.
 func (r *LocalReplica) Sweep() (int, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -228,11 +229,11 @@
 	for _, name := range damaged {
 		r.files[name] = true
 	}
-	// The whole replica goes into one file of the present version.
+	// One file of the present version then holds the whole replica.
 	return lost, r.save(Batch{Version: r.version, Sections: r.sections})
 }
 
-// save syncs a batch under its version's name and applies it in memory.
+// save syncs a batch to a file named after its version, and applies it in memory.
 func (r *LocalReplica) save(batch Batch) error {
 	locations := map[string]Version{}
 	for name, location := range r.locations {
@@ -267,8 +268,8 @@
 	return nil
 }
 
-// removeObsolete deletes the files that hold no section any more, but for the newest. If it
-// fails, they only take up space until the next save.
+// removeObsolete deletes the files that hold no current section, except the newest file. If that
+// fails, the files only take up space until the next save.
 func (r *LocalReplica) removeObsolete(newest string) {
 	needed := map[string]bool{newest: true}
 	for _, location := range r.locations {
@@ -287,7 +288,7 @@
 	}
 }
 
-// fileName sorts as the versions do.
+// fileName returns the name of a version's file. The names sort in the order of the versions.
 func fileName(version Version) string {
 	return fmt.Sprintf("version-%020d-%020d", version.Epoch, version.Number)
 }
--- a/internal/replication/localreplica_test.go
+++ b/internal/replication/localreplica_test.go
@@ -11,29 +11,31 @@
 	"pgregory.net/rapid"
 )
 
-// powerStorage is a directory whose machine may lose power: a file is there for certain once
-// Save has returned; each removed file may come back.
+// powerStorage simulates the directory of a machine that may lose power. A file survives a power loss once
+// its Save has returned without an error. A removed file may reappear after a power loss until the
+// next Save, which syncs the directory.
 type powerStorage struct {
 	files, removed map[string][]byte
-	// loses has the power go in the middle of the next Save, before it returns.
-	loses, keeps bool
+	// failNextSave makes the power fail during the next Save; keepsFailedSave then keeps the file
+	// of that Save.
+	failNextSave, keepsFailedSave bool
 }
 
-var errPower = fmt.Errorf("the power is gone")
+var errPower = fmt.Errorf("the power failed")
 
 func newPowerStorage() *powerStorage {
 	return &powerStorage{files: map[string][]byte{}, removed: map[string][]byte{}}
 }
 
 func (p *powerStorage) Save(name string, content []byte) error {
-	if p.loses {
-		if p.keeps {
+	if p.failNextSave {
+		if p.keepsFailedSave {
 			p.files[name] = content
 		}
 		return errPower
 	}
 	p.files[name] = content
-	// The folder was synced: what was removed before stays away.
+	// The directory was synced: files that were removed before stay removed.
 	clear(p.removed)
 	return nil
 }
@@ -52,88 +54,95 @@
 	return nil
 }
 
-// restore brings back some of the files that were removed and not synced away.
+// restore ends a power loss: some of the files whose removal was not synced reappear, and saves
+// succeed again.
 func (p *powerStorage) restore(t *rapid.T) {
 	for _, name := range slices.Sorted(maps.Keys(p.removed)) {
-		if rapid.Bool().Draw(t, "comes back") {
+		if rapid.Bool().Draw(t, "restored") {
 			p.files[name] = p.removed[name]
 		}
 	}
 	clear(p.removed)
-	p.loses = false
+	p.failNextSave = false
 }
 
-// replicaModel is a copy on such a folder, and the contents that it may have after its power
-// was lost: the last that was synced, or one whose sync did not return.
+// replicaModel is a replica on a powerStorage, together with its expected content. After a power loss
+// the replica has the content of the last completed write, or that of a write during which the power
+// failed.
 type replicaModel struct {
 	storage *powerStorage
 	replica *LocalReplica
-	synced  map[string]string
-	at      Version
-	// perhaps is the content of a write that lost its power, by its version.
+	// synced is the content of the last completed write, syncedAt its version.
+	synced   map[string]string
+	syncedAt Version
+	// uncertain is the content of a write during which the power failed, uncertainAt its version.
 	uncertain   map[string]string
 	uncertainAt Version
-	number      uint64
-	epoch       uint64
-	// history is what each version holds that leads to the present one.
+	// batches is the number of batches so far. Each batch writes this number as the new content of
+	// its sections.
+	batches uint64
+	epoch   uint64
+	// history holds the contents of the present version and of earlier versions.
 	history map[Version]map[string]string
 }
 
-// commit takes a version as the present one; those after it never were.
-func (c *replicaModel) commit(content map[string]string, version Version) {
-	c.synced, c.at = content, version
-	for other := range c.history {
+// commit makes a version the present one. It discards later versions from the history, because a
+// snapshot may return to an earlier version.
+func (m *replicaModel) commit(content map[string]string, version Version) {
+	m.synced, m.syncedAt = content, version
+	for other := range m.history {
 		if version.Before(other) {
-			delete(c.history, other)
+			delete(m.history, other)
 		}
 	}
-	c.history[version] = content
+	m.history[version] = content
 }
 
-func (c *replicaModel) content() map[string]string {
+func (m *replicaModel) content() map[string]string {
 	contents := map[string]string{}
-	for name, section := range c.replica.Sections() {
+	for name, section := range m.replica.Sections() {
 		contents[name] = string(section.Content)
 	}
 	return contents
 }
 
-func (c *replicaModel) open(t *rapid.T) {
-	replica, err := OpenLocalReplica(c.storage)
+func (m *replicaModel) open(t *rapid.T) {
+	replica, err := OpenLocalReplica(m.storage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.replica = replica
-	got := c.content()
+	m.replica = replica
+	got := m.content()
 	switch {
 	case replica.Damage() != "":
-		t.Fatalf("after a loss of power: %s", replica.Damage())
-	case replica.Version() == c.at && maps.Equal(got, c.synced):
-	case c.uncertain != nil && replica.Version() == c.uncertainAt && maps.Equal(got, c.uncertain):
-		c.commit(c.uncertain, c.uncertainAt)
+		t.Fatalf("damaged after a power loss: %s", replica.Damage())
+	case replica.Version() == m.syncedAt && maps.Equal(got, m.synced):
+	case m.uncertain != nil && replica.Version() == m.uncertainAt && maps.Equal(got, m.uncertain):
+		m.commit(m.uncertain, m.uncertainAt)
 	default:
-		t.Fatalf("%s %v after a loss of power, and %s %v was synced", replica.Version(), got, c.at, c.synced)
+		t.Fatalf("after a power loss: got version %s %v, want %s %v, which was synced", replica.Version(), got, m.syncedAt, m.synced)
 	}
-	c.uncertain = nil
+	m.uncertain = nil
 }
 
-// write saves a batch or a snapshot, during which the power may fail.
-func (c *replicaModel) write(t *rapid.T, next map[string]string, version Version, keep func() error) {
-	c.storage.loses = rapid.IntRange(0, 4).Draw(t, "power") == 0
-	c.storage.keeps = rapid.Bool().Draw(t, "kept")
-	if err := keep(); err != nil {
-		c.uncertain, c.uncertainAt = next, version
-		c.storage.restore(t)
-		c.open(t)
+// write calls save, which writes a batch or a snapshot, and during which the power may fail.
+func (m *replicaModel) write(t *rapid.T, next map[string]string, version Version, save func() error) {
+	m.storage.failNextSave = rapid.IntRange(0, 4).Draw(t, "power") == 0
+	m.storage.keepsFailedSave = rapid.Bool().Draw(t, "kept")
+	if err := save(); err != nil {
+		m.uncertain, m.uncertainAt = next, version
+		m.storage.restore(t)
+		m.open(t)
 		return
 	}
-	c.commit(next, version)
+	m.commit(next, version)
 }
 
-// TestACopyOutlivesEveryLossOfPower draws writes, snapshots of an older version than the
-// copy's own, as a backup gets whose last batch was never answered, and losses of power
-// that bring some removed files back: the copy opens whole, with all that was synced.
-func TestACopyOutlivesEveryLossOfPower(t *testing.T) {
+// TestReplicaSurvivesPowerLoss draws writes, snapshots and power losses, after which some removed
+// files reappear. A snapshot may be older than the replica, as for a backup whose last batch was
+// never acknowledged. After each power loss the replica must open undamaged, with everything that was
+// synced.
+func TestReplicaSurvivesPowerLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &replicaModel{
 			storage: newPowerStorage(),
@@ -145,20 +154,21 @@
 		sections := []string{"a", "b", "c", "d"}
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
-				model.number++
-				version := Version{Epoch: model.epoch, Number: model.at.Number + 1}
-				batch := Batch{Version: version, Base: model.at, Sections: map[string]Section{}}
+				model.batches++
+				version := Version{Epoch: model.epoch, Number: model.syncedAt.Number + 1}
+				batch := Batch{Version: version, Base: model.syncedAt, Sections: map[string]Section{}}
 				next := maps.Clone(model.synced)
 				for _, name := range sections {
 					if rapid.Bool().Draw(t, name) {
-						next[name] = fmt.Sprint(model.number)
+						next[name] = fmt.Sprint(model.batches)
 						batch.Sections[name] = Section{Version: version, Content: []byte(next[name])}
 					}
 				}
 				model.write(t, next, version, func() error { return model.replica.Write(batch) })
 			},
 			"snapshot": func(t *rapid.T) {
-				// A version has one content: that of the present one, or of one before it.
+				// The content of a snapshot must be that of its version: the present one or an
+				// earlier one.
 				versions := slices.SortedFunc(maps.Keys(model.history), func(left, right Version) int {
 					return cmp.Or(cmp.Compare(left.Epoch, right.Epoch), cmp.Compare(left.Number, right.Number))
 				})
@@ -183,13 +193,13 @@
 	})
 }
 
-// TestManyChangesStayBounded makes up to 10,000 changes, one each 15 s, and looks at what
-// the disk holds and how long the copy takes to open.
-func TestManyChangesStayBounded(t *testing.T) {
+// TestStorageStaysBoundedAfterManyChanges makes 10,000 changes, one every 15 s, and checks the size
+// of the stored files and how long the replica takes to open.
+func TestStorageStaysBoundedAfterManyChanges(t *testing.T) {
 	const (
-		mostFiles = 8
-		mostBytes = 256 << 10
-		mostStart = time.Second
+		maxFiles    = 8
+		maxBytes    = 256 << 10
+		maxOpenTime = time.Second
 	)
 	model := newChangeModel()
 	storage := newMemoryStorage()
@@ -198,13 +208,13 @@
 		t.Fatal(err)
 	}
 	for number := 1; number <= 10_000; number++ {
-		sent := order{builds: model.revision, gives: model.revision + 1}
+		sent := sentChange{base: model.revision, written: model.revision + 1}
 		version := Version{Epoch: 1, Number: replica.Version().Number + 1}
 		change := ChangeConfiguration(sent.id(), sent.id(), nil, PreparedConfiguration{}, sent.apply)
 		if err := change(model.state, version, model.configurationAt); err != nil {
 			t.Fatal(err)
 		}
-		model.configurationAt, model.revision = version, sent.gives
+		model.configurationAt, model.revision = version, sent.written
 		model.now = model.now.Add(15 * time.Second)
 		_ = AdvanceHorizon(model.now, 30*time.Second)(model.state, version, version)
 		sections, removed, err := model.state.encodeDirty(version)
@@ -223,13 +233,13 @@
 			bytes += len(content)
 		}
 		began := time.Now()
-		again, err := OpenLocalReplica(storage)
+		reopened, err := OpenLocalReplica(storage)
 		took := time.Since(began)
 		t.Logf("after %d changes: %d files, %d bytes, opened in %v", number, len(storage.files), bytes, took)
-		if err != nil || again.Damage() != "" || again.Version() != replica.Version() {
-			t.Fatalf("%v %s %s", err, again.Damage(), again.Version())
+		if err != nil || reopened.Damage() != "" || reopened.Version() != replica.Version() {
+			t.Fatalf("got error %v, damage %q, version %s, want neither and the same version", err, reopened.Damage(), reopened.Version())
 		}
-		if len(storage.files) > mostFiles || bytes > mostBytes || took > mostStart {
+		if len(storage.files) > maxFiles || bytes > maxBytes || took > maxOpenTime {
 			t.Errorf("after %d changes: %d files, %d bytes, opened in %v", number, len(storage.files), bytes, took)
 		}
 	}
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -7,8 +7,9 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Peers is the port to the other controllers. Each call names the disk that it is for, ends by itself
-// within a few hundred milliseconds when no response comes, and may be called by any goroutine.
+// Peers is the interface to the other controllers. Each call except Hello contains the identity of the
+// disk for which the call is meant. A call without a response fails within a few hundred milliseconds.
+// Calls may be made from any goroutine.
 type Peers interface {
 	Hello(address string, own Hello) (Hello, error)
 	Prepare(address string, witness Identity, epoch uint64, candidate Identity) (Vote, error)
@@ -18,11 +19,13 @@
 	Install(address string, backup Identity, snapshot Snapshot) error
 }
 
-// gatherTimeout is longer than any call takes; each call ends by itself.
+// gatherTimeout is longer than any call takes: a call without a response fails within a few hundred
+// milliseconds.
 const gatherTimeout = time.Minute
 
-// gather calls each replica at once, hands the responses to handle, one at a time, and returns when
-// done is true after one of them, or when all have come. Later responses are dropped.
+// gather calls all replicas in parallel and passes each response or error to handle, one at a time.
+// It returns when done reports true or when all calls have ended. Responses that arrive after that
+// are dropped.
 func gather[Response any](
 	rt runtime.Runtime, replicas []Replica,
 	call func(Replica) (Response, error), handle func(Replica, Response, error), done func() bool,
@@ -30,7 +33,7 @@
 	gatherWithin(rt, gatherTimeout, replicas, call, handle, done)
 }
 
-// gatherWithin is gather with a timeout.
+// gatherWithin does the same as gather, and also returns when timeout has passed.
 func gatherWithin[Response any](
 	rt runtime.Runtime, timeout time.Duration, replicas []Replica,
 	call func(Replica) (Response, error), handle func(Replica, Response, error), done func() bool,
--- a/internal/replication/renewal.go
+++ b/internal/replication/renewal.go
@@ -6,28 +6,29 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// HasLease reports whether this controller is primary at this moment: its own lease runs. It is
-// called last before each response, after all waiting: whoever was frozen meanwhile finds its
-// lease over. docs/design/control-safety.md, point 1.
+// HasLease reports whether this controller may answer as primary at this moment: its own lease is
+// active, the store leads, and its state may be read (see Store.LeadHidden). HasLease is checked last
+// before each response, after all waiting, so that a process that was frozen meanwhile finds its lease
+// expired. docs/design/control-safety.md, point 1.
 func (c *Coordinator) HasLease() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.runtime.Now().Before(c.leaseEnds) && c.store.View() != nil
 }
 
-// renewalDue reports whether the primary's lease is to be renewed in this round.
+// renewalDue reports whether this tick has to renew the primary's lease.
 func (c *Coordinator) renewalDue() bool {
 	return c.membershipUnknown || c.runtime.Now().Sub(c.renewedAt) >= c.timing.HeartbeatInterval
 }
 
-// renewLease renews the primary's own lease from a quorum of witnesses, and reports whether it did.
+// renewLease renews the primary's own lease with a quorum of witnesses, and reports whether it
+// succeeded.
 //
-// Invariant: the primary's lease ends before any lease that it depends on does at a witness. It
-// counts from the moment at which the first request was sent, lasts as long as the shortest lease
-// among the witnesses that granted it, and ends leaseDrift earlier, for clocks that run at
-// different speeds. Whoever is elected needs promises of a quorum, which intersects the one that
-// renewed, and no witness promises an epoch to another candidate while its lease runs: two
-// primaries never have a lease at once.
+// Invariant: the primary's lease ends before the witnesses' leases on which it depends. It starts
+// when the first request is sent, lasts as long as the shortest lease among the witnesses that
+// granted it, and ends leaseDrift earlier, for clocks that run at different speeds. A new primary
+// needs promises of a quorum, which intersects the quorum that renewed, and no witness promises an
+// epoch to another candidate while its lease is active: two primaries never have a lease at once.
 // docs/design/control-safety.md, point 1.
 func (c *Coordinator) renewLease(membership Membership) bool {
 	own := c.witness.Replica()
@@ -38,7 +39,7 @@
 	granted := map[Identity]bool{}
 	lease := c.timing.Lease
 	var newer Membership
-	outdated := false
+	higherPromise := false
 	gather(c.runtime, membership.Voters(), func(replica Replica) (Vote, error) {
 		return c.requestRenewal(replica, membership, sentAt)
 	}, func(replica Replica, vote Vote, err error) {
@@ -49,14 +50,14 @@
 		if vote.Granted && vote.Lease > 0 {
 			lease = min(lease, vote.Lease)
 		}
-		outdated = outdated || vote.Refusal == failure.OldEpoch
+		higherPromise = higherPromise || vote.Refusal == failure.OldEpoch
 		c.highestEpoch = max(c.highestEpoch, vote.Promised)
 		if vote.Membership.Epoch > newer.Epoch {
 			newer = vote.Membership
 		}
 	}, func() bool { return membership.HasQuorum(granted) })
 	if refused := c.highestRefusedEpoch(); refused > membership.Epoch {
-		outdated = true
+		higherPromise = true
 		c.highestEpoch = max(c.highestEpoch, refused)
 	}
 	if newer.Epoch > membership.Epoch && newer.Primary.Identity != own.Identity {
@@ -64,14 +65,15 @@
 		return false
 	}
 	if !membership.HasQuorum(granted) {
-		if outdated {
-			// Witnesses promised an epoch that was not granted, perhaps to this controller
-			// itself: the membership has to be proposed again.
+		if higherPromise {
+			// Witnesses have promised a higher epoch under which no membership was granted. They may
+			// have promised it to this controller, in a proposal that failed. They renew the lease only
+			// once the membership has been proposed again under an epoch higher still.
 			c.membershipUnknown = true
 		}
 		return false
 	}
-	c.higherPromiseSeen = outdated
+	c.higherPromiseSeen = higherPromise
 	c.renewedAt = sentAt
 	c.mutex.Lock()
 	c.leaseEnds = sentAt.Add(lease - leaseDrift)
@@ -79,8 +81,8 @@
 	return true
 }
 
-// requestRenewal asks one witness, which may be the own one, to renew the lease. A witness that
-// has not accepted the membership yet is sent it first.
+// requestRenewal asks one witness, which may be the local one, to renew the lease. A witness that
+// has not accepted the membership yet is sent the membership first.
 func (c *Coordinator) requestRenewal(replica Replica, membership Membership, sentAt time.Time) (Vote, error) {
 	own := c.witness.Replica()
 	if replica.Identity == own.Identity {
@@ -93,7 +95,7 @@
 		c.recordRefusal(vote)
 	}
 	if err == nil && vote.Membership.Epoch < membership.Epoch && vote.Refusal != failure.OldEpoch {
-		// It was away when the membership was granted.
+		// The witness missed the grant of the membership.
 		if _, err := c.peers.Accept(c.Address(replica), replica.Identity, membership); err == nil {
 			return c.peers.RenewLease(c.Address(replica), replica.Identity, membership.Epoch, own.Identity)
 		}
@@ -101,8 +103,9 @@
 	return vote, err
 }
 
-// recordRefusal records that a witness promised a higher epoch and renews no lower one. It is
-// recorded as the response arrives, because in each round a quorum may respond before it does.
+// recordRefusal records that a witness refused to renew the lease because it promised a higher
+// epoch. It is called as each response arrives, because renewLease stops handling responses as
+// soon as a quorum has responded.
 func (c *Coordinator) recordRefusal(vote Vote) {
 	if vote.Refusal != failure.OldEpoch {
 		return
@@ -118,11 +121,12 @@
 	return c.highestRefused
 }
 
-// reproposeMembership has the same membership granted under a higher epoch, when a witness promised
-// an epoch that nobody was granted and so cannot renew the present one.
+// reproposeMembership proposes the same membership under a higher epoch. It is called when a witness
+// promised an epoch that was never granted: such a witness refuses to renew a lease of the present,
+// lower epoch.
 func (c *Coordinator) reproposeMembership(membership Membership) {
 	c.higherPromiseSeen = false
-	won, err := c.proposeMembership(func(base Membership) (Membership, bool) {
+	granted, err := c.proposeMembership(func(base Membership) (Membership, bool) {
 		return base, base.Epoch == membership.Epoch && base.Primary.Identity == membership.Primary.Identity
 	})
 	if err != nil {
@@ -130,11 +134,12 @@
 		c.membershipUnknown = true
 		return
 	}
-	c.store.ResumeCommits(won.Epoch)
-	c.renewLease(won)
+	c.store.ResumeCommits(granted.Epoch)
+	c.renewLease(granted)
 }
 
-// stepDown ends the own lease and the leadership; newer is the membership that deposed it.
+// stepDown ends the lease and the leadership of this controller; newer is the membership that
+// replaces its own.
 func (c *Coordinator) stepDown(cause string, newer Membership) {
 	c.mutex.Lock()
 	c.leaseEnds = time.Time{}
@@ -146,9 +151,10 @@
 	c.observe("stepped_down", "cause", cause, "epoch", newer.Epoch)
 }
 
-// reachesQuorum reports whether a quorum of witnesses responded to a hello a moment ago. A primary
-// whose last renewal failed sends no other until they do: its requests may arrive though the
-// responses do not, and would renew a lease at the witnesses that it does not know it has.
+// reachesQuorum reports whether a quorum of witnesses has responded to a hello within
+// responseFreshness. A primary whose last renewal failed sends no further renewal until a quorum has
+// responded: its requests may arrive although the responses do not, and the witnesses would then
+// renew a lease without the primary learning of it.
 func (c *Coordinator) reachesQuorum(membership Membership) bool {
 	responded := map[Identity]bool{c.witness.Replica().Identity: true}
 	for _, replica := range membership.Voters() {
@@ -159,10 +165,10 @@
 	return membership.HasQuorum(responded)
 }
 
-// receivesNothing reports whether this primary has lost its lease and receives nothing. Its own
-// messages may still arrive: the witnesses would go on renewing a lease that it knows nothing of,
-// and the backup could never take over. So it sends a renewal only once in a lease and
-// silentMargin.
+// receivesNothing reports whether this primary has lost its lease, receives no hellos, and has sent
+// a renewal within the last Timing.Lease plus silentMargin. Its own messages may still arrive: if it
+// sent renewals at the usual rate, the witnesses would keep renewing a lease without the primary
+// learning of it, and the backup could never take over.
 func (c *Coordinator) receivesNothing() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -1,11 +1,13 @@
 package replication
 
-// Identity names one disk. A process that finds its disk blank takes a new identity, so that
-// a disk that was lost never counts as one that promised or stored something.
+// Identity identifies one disk. A process that finds its disk blank takes a new identity, so that a
+// lost disk never counts as one that has promised or stored something.
 type Identity string
 
-// Replica is a controller in a membership: whose disk, and where it is reached. Zone is set
-// only where more than one loss is to be survived.
+// Replica identifies a controller that has a disk: the identity of the disk, and the controller's
+// address and name. It stands for a primary or a backup, which have a copy of the state, and also
+// for a witness or a candidate for these parts, which need not have one. Zone is set only where more
+// than one loss is tolerated.
 type Replica struct {
 	Identity Identity `msgpack:"identity" json:"identity"`
 	Address  string   `msgpack:"address" json:"address"`
@@ -13,5 +15,5 @@
 	Zone     string   `msgpack:"district,omitempty" json:"district,omitempty"`
 }
 
-// Empty tells whether there is no such replica.
+// Empty reports whether r is the zero value, which means that there is no replica.
 func (r Replica) Empty() bool { return r.Identity == "" }
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -9,102 +9,102 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// restartAll ends every machine at the same moment and starts them again, in any
-// order and with some time between.
-func (w *cluster) restartAll() {
-	for _, m := range w.machines {
+// restartAll stops all machines at the same time and starts them again in random order, with some
+// time in between.
+func (c *cluster) restartAll() {
+	for _, m := range c.machines {
 		if m.up.Load() {
-			w.crash(m)
+			c.crash(m)
 		}
 	}
-	w.advance(time.Duration(w.random.IntN(1200)) * time.Millisecond)
-	for _, position := range w.random.Perm(len(w.machines)) {
-		ma := w.machines[position]
-		w.start(ma)
-		w.advance(time.Duration(w.random.IntN(300)) * time.Millisecond)
-		for _, other := range w.machines {
+	c.advance(time.Duration(c.random.IntN(1200)) * time.Millisecond)
+	for _, position := range c.random.Perm(len(c.machines)) {
+		m := c.machines[position]
+		c.start(m)
+		c.advance(time.Duration(c.random.IntN(300)) * time.Millisecond)
+		for _, other := range c.machines {
 			if other.up.Load() && !other.frozen {
 				other.coordinator.Tick()
-				w.check()
+				c.check()
 			}
 		}
 	}
 }
 
-// TestPrimaryLeadsAgainSoonAfterAllRestarted ends all processes at once, as a loss of
-// power does. The lease that the primary had is of use to nobody else, and its own next
-// life may have it at once.
+// TestPrimaryLeadsAgainSoonAfterAllRestarted stops all processes at once, as a power loss does. Only
+// the old primary can have had a lease, so its restarted process may get a new lease at once.
 func TestPrimaryLeadsAgainSoonAfterAllRestarted(t *testing.T) {
-	w := newCluster(t, 7)
-	if !w.heal(10 * time.Second) {
-		w.fail("no core was formed")
-	}
-	w.noFaults = true
-	leader := w.completeLeader()
-	w.write(leader)
-	for _, m := range w.machines {
-		w.crash(m)
-	}
-	w.advance(400 * time.Millisecond)
-	for _, ma := range w.machines {
-		w.start(ma)
-	}
-	begun := w.clock()
-	for w.completeLeader() == nil {
-		for _, mc := range w.machines {
-			mc.coordinator.Tick()
-			w.check()
+	c := newCluster(t, 7)
+	if !c.heal(10 * time.Second) {
+		c.fail("no core was formed")
+	}
+	c.noFaults.Store(true)
+	leader := c.completeLeader()
+	c.write(leader)
+	for _, m := range c.machines {
+		c.crash(m)
+	}
+	c.advance(400 * time.Millisecond)
+	for _, m := range c.machines {
+		c.start(m)
+	}
+	began := c.clock()
+	for c.completeLeader() == nil {
+		for _, m := range c.machines {
+			m.coordinator.Tick()
+			c.check()
 		}
-		if w.clock().Sub(begun) > 500*time.Millisecond {
-			w.fail("no pair leads %v after all have started", w.clock().Sub(begun))
+		if c.clock().Sub(began) > 500*time.Millisecond {
+			c.fail("no primary with a backup leads %v after all have started", c.clock().Sub(began))
 		}
-		w.advance(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 	}
-	if w.completeLeader() != leader {
-		w.fail("another machine leads")
+	if c.completeLeader() != leader {
+		c.fail("got another primary than before the restart")
 	}
 }
 
-// TestOtherCopyWaitsForTheLeaseAfterAllRestarted leaves the primary out, which may have
-// kept running for all that the others know.
-func TestOtherCopyWaitsForTheLeaseAfterAllRestarted(t *testing.T) {
-	w := newCluster(t, 8)
-	if !w.heal(10 * time.Second) {
-		w.fail("no core was formed")
-	}
-	leader := w.completeLeader()
+// TestOtherReplicaWaitsForTheLeaseAfterAllRestarted restarts all controllers but the primary, whose
+// links are cut. The others can't know whether it still runs: they must wait until its lease has
+// ended.
+func TestOtherReplicaWaitsForTheLeaseAfterAllRestarted(t *testing.T) {
+	c := newCluster(t, 8)
+	if !c.heal(10 * time.Second) {
+		c.fail("no core was formed")
+	}
+	leader := c.completeLeader()
 	var others []*machine
-	for _, m := range w.machines {
+	for _, m := range c.machines {
 		if m != leader {
-			w.crash(m)
-			w.start(m)
+			c.crash(m)
+			c.start(m)
 			others = append(others, m)
 		}
-		w.cut[leader.address+">"+m.address], w.cut[m.address+">"+leader.address] = true, true
+		c.cutLinks[leader.address+">"+m.address], c.cutLinks[m.address+">"+leader.address] = true, true
 	}
-	begun := w.clock()
+	began := c.clock()
 	for {
-		for _, ma := range others {
-			ma.coordinator.Tick()
-			w.check()
-			if !ma.coordinator.HasLease() {
+		for _, m := range others {
+			m.coordinator.Tick()
+			c.check()
+			if !m.coordinator.HasLease() {
 				continue
 			}
-			if after := w.clock().Sub(begun); after < PrimaryLease {
-				w.fail("%s leads %v after it started", ma.address, after)
+			if after := c.clock().Sub(began); after < PrimaryLease {
+				c.fail("%s leads %v after it started, before the old lease has ended", m.address, after)
 			}
 			return
 		}
-		if w.clock().Sub(begun) > 2*PrimaryLease {
-			w.fail("nobody leads")
+		if c.clock().Sub(began) > 2*PrimaryLease {
+			c.fail("no machine leads")
 		}
-		w.advance(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 	}
 }
 
-// TestWitnessRenewsOnlyTheMembershipOnItsDisk wants a witness that was away when a membership
-// was granted to take it down first: after a restart its disk is all that tells whom it
-// held still for.
+// TestWitnessRenewsOnlyTheMembershipOnItsDisk checks that a witness that missed the grant of a
+// membership accepts that membership before it renews the primary's lease. Otherwise the witness would
+// not know after a restart to whom it had granted a lease, because it learns this only from its disk.
 func TestWitnessRenewsOnlyTheMembershipOnItsDisk(t *testing.T) {
 	now := time.Unix(1000, 0)
 	storage := newMemoryStorage()
@@ -114,85 +114,87 @@
 	}
 	replicas := []Replica{{Identity: "a"}, {Identity: "b"}, witness.Replica()}
 	old := Membership{Epoch: 4, Primary: replicas[0], Backup: replicas[1], Witnesses: replicas}
-	if promise, err := witness.Accept(now, old); err != nil || !promise.Granted {
-		t.Fatalf("%+v, %v", promise, err)
+	if response, err := witness.Accept(now, old); err != nil || !response.Granted {
+		t.Fatalf("Accept: got %+v, %v, want granted", response, err)
 	}
-	if promise := witness.RenewLease(now, 5, "b"); promise.Granted || promise.Refusal != failure.Behind {
-		t.Errorf("a hold under an unknown charter: %+v", promise)
+	if response := witness.RenewLease(now, 5, "b"); response.Granted || response.Refusal != failure.Behind {
+		t.Errorf("renewal under an unknown membership: got %+v, want Behind", response)
 	}
 	next := Membership{Epoch: 5, Primary: replicas[1], Witnesses: replicas}
-	if promise, err := witness.Accept(now, next); err != nil || !promise.Granted {
-		t.Fatalf("%+v, %v", promise, err)
+	if response, err := witness.Accept(now, next); err != nil || !response.Granted {
+		t.Fatalf("Accept: got %+v, %v, want granted", response, err)
 	}
 	if vote := witness.RenewLease(now, 5, "b"); !vote.Granted {
-		t.Errorf("no hold: %+v", vote)
+		t.Errorf("renewal under the accepted membership: got %+v, want granted", vote)
 	}
 	again, _, err := OpenWitness(now.Add(time.Second), storage, Replica{Address: "c"}, "other")
 	if err != nil || again.LeaseHolder() != "b" {
-		t.Fatalf("it holds still for %q, %v", again.LeaseHolder(), err)
+		t.Fatalf("after the restart: got lease holder %q, error %v, want b", again.LeaseHolder(), err)
 	}
-	if promise, err := again.Prepare(now.Add(time.Second), 6, "a"); err != nil || promise.Refusal != failure.LeaseActive {
-		t.Errorf("another candidate: %+v, %v", promise, err)
+	if response, err := again.Prepare(now.Add(time.Second), 6, "a"); err != nil || response.Refusal != failure.LeaseActive {
+		t.Errorf("another candidate: got %+v, %v, want LeaseActive", response, err)
 	}
-	if promise, err := again.Prepare(now.Add(time.Second), 6, "b"); err != nil || !promise.Granted {
-		t.Errorf("the one that it holds still for: %+v, %v", promise, err)
+	if response, err := again.Prepare(now.Add(time.Second), 6, "b"); err != nil || !response.Granted {
+		t.Errorf("the lease holder as candidate: got %+v, %v, want granted", response, err)
 	}
 }
 
-// TestAcceptedWritesSurviveWhenAllRestart mixes the simulated trouble with restarts of
-// all machines at once, and holds both rules after every step.
+// TestAcceptedWritesSurviveWhenAllRestart combines the faults of step with restarts of all machines
+// at once, and checks both invariants of check after every step.
 func TestAcceptedWritesSurviveWhenAllRestart(t *testing.T) {
 	seeds := uint64(40)
-	if asked, err := strconv.ParseUint(os.Getenv("SEAMLOOM_SEEDS"), 10, 32); err == nil {
-		seeds = asked
+	if configured, err := strconv.ParseUint(os.Getenv("SEAMLOOM_SEEDS"), 10, 32); err == nil {
+		seeds = configured
 	}
-	answered := 0
+	acknowledgedWrites := 0
 	for seed := range seeds {
-		w := newCluster(t, 1_000_000+seed)
-		if !w.heal(10 * time.Second) {
-			w.fail("seed %d: no core was formed", seed)
+		c := newCluster(t, 1_000_000+seed)
+		if !c.heal(10 * time.Second) {
+			c.fail("seed %d: no core was formed", seed)
 		}
 		for range 12 {
-			for range 10 + w.random.IntN(40) {
-				w.step()
+			for range 10 + c.random.IntN(40) {
+				c.step()
 			}
-			w.restartAll()
+			c.restartAll()
 		}
-		if !w.heal(20 * time.Second) {
-			w.fail("seed %d: the core is not whole again", seed)
+		if !c.heal(20 * time.Second) {
+			c.fail("seed %d: the core is not complete again", seed)
 		}
-		answered += w.answered
+		acknowledgedWrites += c.acknowledgedWrites
 	}
-	t.Logf("%d writes were accepted in %d worlds", answered, seeds)
-	if answered < 500 {
-		t.Fatalf("only %d writes were accepted in all worlds: the test shows nothing", answered)
+	t.Logf("%d writes were acknowledged with %d seeds", acknowledgedWrites, seeds)
+	if acknowledgedWrites < 500 {
+		t.Fatalf("got %d acknowledged writes with all seeds, want 500 at least for a meaningful test", acknowledgedWrites)
 	}
 }
 
-// TestWitnessThatPromisedMoreIsReadmitted has each witness in turn promise an epoch that
-// nobody used, while the others are a quorum without it and answer sooner.
-func TestWitnessThatPromisedMoreIsReadmitted(t *testing.T) {
+// TestWitnessWithHigherPromiseIsReadmitted makes each witness in turn promise an epoch that is
+// never granted, while the other two are a quorum without it and respond sooner: the primary must
+// propose its membership again under a higher epoch.
+func TestWitnessWithHigherPromiseIsReadmitted(t *testing.T) {
 	for number := range 3 {
-		w := newCluster(t, 9)
-		if !w.heal(10 * time.Second) {
-			w.fail("no core was formed")
+		c := newCluster(t, 9)
+		if !c.heal(10 * time.Second) {
+			c.fail("no core was formed")
 		}
-		w.noFaults = true
-		leader, ahead := w.completeLeader(), w.machines[number]
+		c.noFaults.Store(true)
+		leader, ahead := c.completeLeader(), c.machines[number]
 		if err := ahead.witness.ObserveEpoch(leader.coordinator.Membership().Epoch + 20); err != nil {
 			t.Fatal(err)
 		}
-		takenIn := func() bool {
+		readmitted := func() bool {
 			membership := leader.coordinator.Membership()
 			return membership.Epoch > 20 && ahead.witness.Membership().Epoch == membership.Epoch && leader.coordinator.HasLease()
 		}
-		for begun := w.clock(); !takenIn(); w.advance(100 * time.Millisecond) {
-			for _, m := range w.machines {
+		for began := c.clock(); !readmitted(); c.advance(100 * time.Millisecond) {
+			for _, m := range c.machines {
 				m.coordinator.Tick()
-				w.check()
+				c.check()
 			}
-			if w.clock().Sub(begun) > 5*time.Second {
-				w.fail("the charter is %+v, that of %s %+v", leader.coordinator.Membership(), ahead.address, ahead.witness.Membership())
+			if c.clock().Sub(began) > 5*time.Second {
+				c.fail("got membership %+v, on %s %+v, want the same one above epoch 20",
+					leader.coordinator.Membership(), ahead.address, ahead.witness.Membership())
 			}
 		}
 	}
--- a/internal/replication/several_test.go
+++ b/internal/replication/several_test.go
@@ -8,259 +8,268 @@
 	"time"
 )
 
-// severalShapes are the shapes that bear two losses: six disks in three zones,
-// and eight in four.
-var severalShapes = []struct{ machines, zones int }{{6, 3}, {8, 4}}
+// twoLossShapes lists the cores of the tests for two losses: six machines in three zones, and eight
+// in four.
+var twoLossShapes = []struct{ machines, zones int }{{6, 3}, {8, 4}}
 
-func simulatedSeeds(usual uint64) uint64 {
+// simulatedSeeds returns the number of random seeds to run: SEAMLOOM_SEEDS if it is set, else the
+// default.
+func simulatedSeeds(defaultSeeds uint64) uint64 {
 	if seeds, err := strconv.ParseUint(os.Getenv("SEAMLOOM_SEEDS"), 10, 32); err == nil {
 		return seeds
 	}
-	return usual
+	return defaultSeeds
 }
 
-// pick gives a machine by chance.
-func (w *cluster) randomMachine() *machine { return w.machines[w.random.IntN(len(w.machines))] }
+// randomMachine returns a random machine.
+func (c *cluster) randomMachine() *machine { return c.machines[c.random.IntN(len(c.machines))] }
 
-// wipe takes a machine's disk while it loses its power, as often as may be since the
-// core was whole.
-func (w *cluster) wipe(m *machine) bool {
-	if w.completeLeader() != nil {
-		w.lossesLeft = w.tolerated
+// wipe crashes a machine, replaces its disk by a blank one, and returns true. If the core has already
+// lost as many disks as it tolerates since it was last complete, wipe does nothing and returns false.
+func (c *cluster) wipe(m *machine) bool {
+	if c.completeLeader() != nil {
+		c.lossesLeft = c.tolerated
 	}
-	if w.lossesLeft == 0 {
+	if c.lossesLeft == 0 {
 		return false
 	}
-	w.lossesLeft--
-	w.wiped++
-	w.mutex.Lock()
+	c.lossesLeft--
+	c.wiped++
+	c.mutex.Lock()
 	m.up.Store(false)
-	w.mutex.Unlock()
+	c.mutex.Unlock()
 	m.witnessDisk = newMemoryStorage()
-	w.logf("%s loses its disk", m.address)
+	c.logf("%s loses its disk", m.address)
 	return true
 }
 
-// severalFault is a fault beside those of step.
-func (w *cluster) severalFault() {
-	switch w.random.IntN(60) {
+// injectMultiLossFault may inject one of the faults that only a core that tolerates several losses
+// survives, in addition to the faults of step.
+func (c *cluster) injectMultiLossFault() {
+	switch c.random.IntN(60) {
 	case 0:
-		// Two disks at once, right after whatever was answered last.
-		w.wipe(w.randomMachine())
-		w.wipe(w.randomMachine())
+		// Two disks are lost at once, right after the last acknowledgement.
+		c.wipe(c.randomMachine())
+		c.wipe(c.randomMachine())
 	case 1:
-		w.wipe(w.randomMachine())
+		c.wipe(c.randomMachine())
 	case 2:
-		// A zone loses its power, and at times its disks.
-		zone := w.randomMachine().zone
-		lost := w.random.IntN(2) == 0
-		for _, m := range w.machines {
+		// A zone loses its power, and in half of the cases its disks.
+		zone := c.randomMachine().zone
+		disksLost := c.random.IntN(2) == 0
+		for _, m := range c.machines {
 			if m.zone == zone && m.up.Load() {
-				if !lost || !w.wipe(m) {
-					w.crash(m)
+				if !disksLost || !c.wipe(m) {
+					c.crash(m)
 				}
 			}
 		}
 	case 3:
-		w.restartEverything(w.random.IntN(3))
+		c.restartEverything(c.random.IntN(3))
 	case 4:
-		// A zone is cut off, one way or both.
-		cutZone := w.randomMachine().zone
-		way := w.random.IntN(3)
-		w.mutex.Lock()
-		for _, from := range w.machines {
-			for _, to := range w.machines {
-				if from.zone == cutZone && to.zone != cutZone && way != 1 {
-					w.cut[from.address+">"+to.address] = true
+		// A zone is cut off, in one direction or both.
+		cutZone := c.randomMachine().zone
+		direction := c.random.IntN(3)
+		c.mutex.Lock()
+		for _, from := range c.machines {
+			for _, to := range c.machines {
+				if from.zone == cutZone && to.zone != cutZone && direction != 1 {
+					c.cutLinks[from.address+">"+to.address] = true
 				}
-				if from.zone != cutZone && to.zone == cutZone && way != 0 {
-					w.cut[from.address+">"+to.address] = true
+				if from.zone != cutZone && to.zone == cutZone && direction != 0 {
+					c.cutLinks[from.address+">"+to.address] = true
 				}
 			}
 		}
-		w.mutex.Unlock()
-		w.logf("%s is cut off", cutZone)
+		c.mutex.Unlock()
+		c.logf("%s is cut off", cutZone)
 	case 5:
-		w.replace()
+		c.replace()
 	}
 }
 
-// everything takes all power, and some disks with it, and gives it back.
-func (w *cluster) restartEverything(wiped int) {
+// restartEverything wipes some disks, crashes all machines and starts them again.
+func (c *cluster) restartEverything(wiped int) {
 	for range wiped {
-		w.wipe(w.randomMachine())
+		c.wipe(c.randomMachine())
 	}
-	for _, m := range w.machines {
+	for _, m := range c.machines {
 		if m.up.Load() {
-			w.crash(m)
+			c.crash(m)
 		}
 	}
-	w.advance(time.Duration(200+w.random.IntN(800)) * time.Millisecond)
-	for _, ma := range w.machines {
-		w.start(ma)
+	c.advance(time.Duration(200+c.random.IntN(800)) * time.Millisecond)
+	for _, m := range c.machines {
+		c.start(m)
 	}
 }
 
-// replace puts an empty machine at a new address in a machine's place, and names
-// other seeds to all.
-func (w *cluster) replace() {
-	position := w.random.IntN(len(w.machines))
-	old := w.machines[position]
-	if !w.wipe(old) {
+// replace replaces a machine by a blank one at a new address, and sets other seed addresses on all
+// machines.
+func (c *cluster) replace() {
+	position := c.random.IntN(len(c.machines))
+	old := c.machines[position]
+	if !c.wipe(old) {
 		return
 	}
-	w.joined++
-	added := &machine{address: "n" + strconv.Itoa(w.joined), zone: old.zone, witnessDisk: newMemoryStorage(), copyDisk: newMemoryStorage()}
-	w.mutex.Lock()
-	w.machines = append(append([]*machine{}, w.machines...), added)
-	w.machines = append(w.machines[:position:position], w.machines[position+1:]...)
-	w.mutex.Unlock()
-	w.seeds, w.formed = nil, true
-	for _, m := range w.machines[w.random.IntN(len(w.machines)-3):][:3] {
-		w.seeds = append(w.seeds, m.address)
+	c.joined++
+	added := &machine{
+		address:     "n" + strconv.Itoa(c.joined),
+		zone:        old.zone,
+		witnessDisk: newMemoryStorage(),
+		replicaDisk: newMemoryStorage(),
 	}
-	for _, ma := range w.machines {
-		if ma != added {
-			ma.coordinator.SetSeeds(w.seeds)
+	c.mutex.Lock()
+	c.machines = append(append([]*machine{}, c.machines...), added)
+	c.machines = append(c.machines[:position:position], c.machines[position+1:]...)
+	c.mutex.Unlock()
+	c.seeds, c.joinOnly = nil, true
+	for _, m := range c.machines[c.random.IntN(len(c.machines)-3):][:3] {
+		c.seeds = append(c.seeds, m.address)
+	}
+	for _, m := range c.machines {
+		if m != added {
+			m.coordinator.SetSeeds(c.seeds)
 		}
 	}
-	w.logf("%s gives way to %s, seeds %v", old.address, added.address, w.seeds)
-	w.start(added)
+	c.logf("%s is replaced by %s, seeds %v", old.address, added.address, c.seeds)
+	c.start(added)
 }
 
-// shares are in how many parts the seeds are run side by side.
-const shares = 4
+// seedGroups is the number of groups into which the random seeds are divided. The groups run in
+// parallel.
+const seedGroups = 4
 
-// TestTwoLossesAtOnce drives cores that bear two losses through lost disks, two at
-// once or one while the other is being made good, lost and cut zones, power lost
-// everywhere, exchanged machines, and all faults of the smaller core.
+// TestTwoLossesAtOnce injects faults into cores that tolerate two losses: lost disks (two at once, or
+// one while the other is being replaced), zones that are lost or cut off, power losses of all
+// machines, replaced machines, and all faults that the cores of three machines get.
 func TestTwoLossesAtOnce(t *testing.T) {
-	for _, shape := range severalShapes {
-		for share := range uint64(shares) {
-			t.Run(strconv.Itoa(shape.machines)+"/"+strconv.FormatUint(share, 10), func(t *testing.T) {
+	for _, shape := range twoLossShapes {
+		for group := range uint64(seedGroups) {
+			t.Run(strconv.Itoa(shape.machines)+"/"+strconv.FormatUint(group, 10), func(t *testing.T) {
 				t.Parallel()
-				answered, wiped := 0, 0
-				for seed := share; seed < simulatedSeeds(24); seed += shares {
-					w := newClusterOf(t, seed, shape.machines, shape.zones, 2)
-					w.bearLosses(seed)
-					answered, wiped = answered+w.answered, wiped+w.wiped
+				acknowledgedWrites, wiped := 0, 0
+				for seed := group; seed < simulatedSeeds(24); seed += seedGroups {
+					c := newClusterOf(t, seed, shape.machines, shape.zones, 2)
+					c.runWithLosses(seed)
+					acknowledgedWrites, wiped = acknowledgedWrites+c.acknowledgedWrites, wiped+c.wiped
 				}
-				t.Logf("%d writes were accepted, disks were lost %d times", answered, wiped)
+				t.Logf("%d writes were acknowledged, disks were lost %d times", acknowledgedWrites, wiped)
 			})
 		}
 	}
 }
 
-// bearLosses is one seed's life of a core.
-func (w *cluster) bearLosses(seed uint64) {
+// runWithLosses runs 400 steps with random faults. The core must become complete again whenever the
+// faults end.
+func (c *cluster) runWithLosses(seed uint64) {
 	for step := range 400 {
-		if step%40 == 0 && !w.heal(30*time.Second) {
-			w.fail("seed %d: the core is not whole", seed)
+		if step%40 == 0 && !c.heal(30*time.Second) {
+			c.fail("seed %d: the core did not become complete", seed)
 		}
-		w.step()
-		w.severalFault()
-		w.check()
+		c.step()
+		c.injectMultiLossFault()
+		c.check()
 	}
-	if !w.heal(30 * time.Second) {
-		w.fail("seed %d: the core is not whole again", seed)
+	if !c.heal(30 * time.Second) {
+		c.fail("seed %d: the core is not complete again", seed)
 	}
 }
 
-// acknowledge has the primary answer one more change.
-func (w *cluster) acknowledge() *machine {
-	before := w.answered
+// acknowledge submits changes until the primary acknowledges one, and returns the primary.
+func (c *cluster) acknowledge() *machine {
+	before := c.acknowledgedWrites
 	for range 100 {
-		if leader := w.completeLeader(); leader != nil {
-			w.write(leader)
-			if w.answered > before {
+		if leader := c.completeLeader(); leader != nil {
+			c.write(leader)
+			if c.acknowledgedWrites > before {
 				return leader
 			}
 		}
-		w.tick(100 * time.Millisecond)
+		c.tick(100 * time.Millisecond)
 	}
-	w.fail("no change is answered")
+	c.fail("no change was acknowledged")
 	return nil
 }
 
-// tick lets time pass, and all who run do what is due.
-func (w *cluster) tick(length time.Duration) {
-	w.wipeLostDisks()
-	w.advance(length)
-	for _, m := range w.machines {
+// tick advances the time and ticks all running machines.
+func (c *cluster) tick(length time.Duration) {
+	c.wipeLostDisks()
+	c.advance(length)
+	for _, m := range c.machines {
 		if m.up.Load() && !m.frozen {
 			m.coordinator.Tick()
-			w.check()
+			c.check()
 		}
 	}
 }
 
-// losses lists every set of machines that may be lost at once: any two, or one
-// zone.
-func (w *cluster) losses() [][]int {
-	var sets [][]int
-	for first := range w.machines {
+// machinePairs returns the positions of every pair of machines.
+func (c *cluster) machinePairs() [][]int {
+	var pairs [][]int
+	for first := range c.machines {
 		for second := range first {
-			sets = append(sets, []int{second, first})
+			pairs = append(pairs, []int{second, first})
 		}
 	}
-	return sets
+	return pairs
 }
 
-// TestEveryPairOfDisksLost wipes every two disks right after an answer, while the
-// others go on or lose their power, too, and wants the answered change and a core
-// that is whole again; likewise every zone, whose two machines are such a pair.
+// TestEveryPairOfDisksLost wipes each pair of disks right after an acknowledgement, while the other
+// machines keep running or crash, too. Some pairs are the two machines of a zone. The core must become
+// complete again with the acknowledged change.
 func TestEveryPairOfDisksLost(t *testing.T) {
-	for _, shape := range severalShapes {
+	for _, shape := range twoLossShapes {
 		for seed := range simulatedSeeds(2) {
-			for _, others := range []bool{false, true} {
-				for _, pair := range newClusterOf(t, seed, shape.machines, shape.zones, 2).losses() {
-					w := newClusterOf(t, seed, shape.machines, shape.zones, 2)
-					w.noFaults = true
-					if !w.heal(15 * time.Second) {
-						w.fail("no core was formed")
+			for _, othersCrash := range []bool{false, true} {
+				for _, pair := range newClusterOf(t, seed, shape.machines, shape.zones, 2).machinePairs() {
+					c := newClusterOf(t, seed, shape.machines, shape.zones, 2)
+					c.noFaults.Store(true)
+					if !c.heal(15 * time.Second) {
+						c.fail("no core was formed")
 					}
 					for range 2 + seed%5 {
-						w.acknowledge()
+						c.acknowledge()
 					}
 					for _, position := range pair {
-						if !w.wipe(w.machines[position]) {
-							w.fail("the core was not whole")
+						if !c.wipe(c.machines[position]) {
+							c.fail("the core was not complete before the loss")
 						}
 					}
-					for _, m := range w.machines {
-						if m.up.Load() && others {
-							w.crash(m)
+					for _, m := range c.machines {
+						if m.up.Load() && othersCrash {
+							c.crash(m)
 						}
 					}
-					w.advance(time.Second)
+					c.advance(time.Second)
 					for range 200 {
-						// The wiped come back later than the others.
-						for _, ma := range w.machines {
-							if !ma.up.Load() && !containsMachine(w.machines, pair, ma) {
-								w.start(ma)
+						// The wiped machines return later than the others.
+						for _, m := range c.machines {
+							if !m.up.Load() && !containsMachine(c.machines, pair, m) {
+								c.start(m)
 							}
 						}
-						w.tick(100 * time.Millisecond)
-						if w.leader() != nil {
+						c.tick(100 * time.Millisecond)
+						if c.leader() != nil {
 							break
 						}
 					}
-					if w.leader() == nil {
-						w.fail("nobody leads after the loss of %v, others %v", pair, others)
+					if c.leader() == nil {
+						c.fail("no machine leads after the loss of machines %v (the others crashed: %v)", pair, othersCrash)
 					}
-					if !w.heal(30 * time.Second) {
-						w.fail("the core is not whole again after the loss of %v, others %v", pair, others)
+					if !c.heal(30 * time.Second) {
+						c.fail("the core is not complete again after the loss of machines %v (the others crashed: %v)", pair, othersCrash)
 					}
-					w.acknowledge()
+					c.acknowledge()
 				}
 			}
 		}
 	}
 }
 
-// leader is who may answer now.
-func (w *cluster) leader() *machine {
-	for _, m := range w.machines {
+// leader returns the machine that has the lease, or nil.
+func (c *cluster) leader() *machine {
+	for _, m := range c.machines {
 		if m.up.Load() && !m.frozen && m.coordinator.HasLease() {
 			return m
 		}
@@ -277,60 +286,60 @@
 	return false
 }
 
-// TestPairOfDisksIsLostByAPair shows that the test above can fail: a core that bears
-// one loss does not bear two.
-func TestPairOfDisksIsLostByAPair(t *testing.T) {
-	w := newClusterOf(t, 1, 6, 3, 1)
-	w.noFaults = true
-	if !w.heal(15 * time.Second) {
-		w.fail("no core was formed")
+// TestCoreToleratingOneLossFailsAfterTwo shows that TestEveryPairOfDisksLost can fail: a core that
+// tolerates one loss does not survive two.
+func TestCoreToleratingOneLossFailsAfterTwo(t *testing.T) {
+	c := newClusterOf(t, 1, 6, 3, 1)
+	c.noFaults.Store(true)
+	if !c.heal(15 * time.Second) {
+		c.fail("no core was formed")
 	}
-	leader := w.acknowledge()
+	leader := c.acknowledge()
 	backup := leader.coordinator.Membership().Backup.Identity
-	for _, m := range w.machines {
+	for _, m := range c.machines {
 		if m == leader || m.witness.Replica().Identity == backup {
-			w.crash(m)
+			c.crash(m)
 			m.witnessDisk = newMemoryStorage()
 		}
 	}
 	for range 100 {
-		w.tick(100 * time.Millisecond)
+		c.tick(100 * time.Millisecond)
 	}
-	if w.leader() != nil {
-		w.fail("somebody leads without the copies")
+	if c.leader() != nil {
+		c.fail("a machine leads without any replica in sync")
 	}
 }
 
-// TestSecondLossInTheMiddleOfATakeover loses the primary's disk right after an answer,
-// and the successor's when it has been granted the epoch and before it has brought
-// anybody its copy: the third copy must still count as in sync.
+// TestSecondLossInTheMiddleOfATakeover loses the primary's disk right after an acknowledgement, and
+// then the successor's disk, once the successor has been granted its epoch and sends its first
+// snapshot. The third replica must still count as in sync.
 func TestSecondLossInTheMiddleOfATakeover(t *testing.T) {
-	for _, shape := range severalShapes {
-		w := newClusterOf(t, 1, shape.machines, shape.zones, 2)
-		w.noFaults = true
-		if !w.heal(15 * time.Second) {
-			w.fail("no core was formed")
+	for _, shape := range twoLossShapes {
+		c := newClusterOf(t, 1, shape.machines, shape.zones, 2)
+		c.noFaults.Store(true)
+		if !c.heal(15 * time.Second) {
+			c.fail("no core was formed")
 		}
-		leader := w.acknowledge()
-		w.wipe(leader)
-		// InSyncReplicas are brought by several threads at once.
-		var ended atomic.Bool
-		w.installs = func(from string) {
-			for _, m := range w.machines {
-				if m.address == from && m.store.Leading() && ended.CompareAndSwap(false, true) {
-					w.crashNow(m, true)
-				}
+		leader := c.acknowledge()
+		c.wipe(leader)
+		// Snapshots are installed by several goroutines at once.
+		var successorLost atomic.Bool
+		c.mutex.Lock()
+		c.beforeInstall = func(from string) {
+			if m, store := c.machineAt(from); m != nil && store.Leading() && successorLost.CompareAndSwap(false, true) {
+				c.crashNow(m, true)
 			}
 		}
+		c.mutex.Unlock()
 		for range 100 {
-			w.tick(100 * time.Millisecond)
+			c.tick(100 * time.Millisecond)
 		}
-		if !ended.Load() || w.leader() == nil {
-			w.fail("ended in the middle %v, and nobody leads", ended.Load())
+		if !successorLost.Load() || c.leader() == nil {
+			c.fail("no machine leads, or the successor was not crashed (crashed: %v)", successorLost.Load())
 		}
-		if !w.heal(30 * time.Second) {
-			w.fail("the core is not whole again")
+		if !c.heal(30 * time.Second) {
+			c.fail("the core is not complete again")
 		}
-		w.acknowledge()
+		c.acknowledge()
 	}
 }
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -16,8 +16,7 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// memoryStorage is a disk in memory: what is saved is synced, unless the disk is
-// told to fail.
+// memoryStorage is a disk in memory. Every save is synced; while failing is set, saves fail.
 type memoryStorage struct {
 	mutex   sync.Mutex
 	files   map[string][]byte
@@ -55,7 +54,7 @@
 	return nil
 }
 
-// testRuntime has real goroutines, under the clock that the test moves.
+// testRuntime runs real goroutines under the clock that the test advances.
 type testRuntime struct {
 	now   func() time.Time
 	calls *callCount
@@ -71,7 +70,7 @@
 	}()
 }
 
-// callCount counts the goroutines that a cluster has under way.
+// callCount counts the running goroutines of a cluster.
 type callCount struct {
 	mutex sync.Mutex
 	idle  *sync.Cond
@@ -98,7 +97,8 @@
 	}
 }
 
-// wait returns when no goroutine is under way: each call of the test's network ends.
+// wait waits until no goroutine of the cluster runs. It returns, because every call of the test's
+// network ends.
 func (c *callCount) wait() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -113,7 +113,7 @@
 	return cond
 }
 
-// testCond is a condition without timeout: every call of the test's network ends.
+// testCond is a condition without a time-out: every call of the test's network ends.
 type testCond struct {
 	mutex sync.Mutex
 	cond  *sync.Cond
@@ -134,12 +134,25 @@
 	c.cond.Broadcast()
 }
 
+// lockedSource is a source of random numbers for the test and the calls of its machines, which draw
+// from it on goroutines of their own.
+type lockedSource struct {
+	mutex  sync.Mutex
+	source rand.Source
+}
+
+func (l *lockedSource) Uint64() uint64 {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.source.Uint64()
+}
+
 // machine is one controller of the simulated core.
 type machine struct {
 	address      string
 	zone         string
 	witnessDisk  *memoryStorage
-	copyDisk     *memoryStorage
+	replicaDisk  *memoryStorage
 	witness      *Witness
 	store        *Store
 	coordinator  *Coordinator
@@ -148,7 +161,7 @@
 	incarnations int
 }
 
-// cluster is a core of machines under a clock that the test moves.
+// cluster is a core of machines under a clock that the test advances.
 type cluster struct {
 	test     *testing.T
 	mutex    sync.Mutex
@@ -156,259 +169,297 @@
 	random   *rand.Rand
 	calls    *callCount
 	machines []*machine
-	cut      map[string]bool
+	// cutLinks holds the links that deliver nothing, as "sender>recipient".
+	cutLinks map[string]bool
+	// delayed holds the duplicates that deliver may deliver.
 	delayed  []func()
-	noFaults bool
-	accepted int
-	tried    int
-	answered int
-	log      []string
-	// borne is how many disks may be lost at once, and spare how many may be lost
-	// now, since the core was whole.
+	noFaults atomic.Bool
+	// acknowledgedRevision is the highest acknowledged revision, submittedRevision the last submitted
+	// one, and acknowledgedWrites the number of acknowledged writes.
+	acknowledgedRevision int
+	submittedRevision    int
+	acknowledgedWrites   int
+	log                  []string
+	// tolerated is how many disks may be lost at once, lossesLeft how many more may be lost until
+	// the core is complete again.
 	tolerated  int
 	lossesLeft int
-	// catchUp is the bound that the core's waits are derived from.
+	// catchUp is the CatchUpLimit of the core's timing.
 	catchUp time.Duration
-	// losing are machines whose disk is to be taken.
+	// diskLosses holds the machines whose disks have to be wiped.
 	diskLosses []*machine
 	zones      int
-	seeds      []string
-	joined     int
-	wiped      int
-	formed     bool
-	// installs is told who brings a snapshot, just before.
-	installs func(from string)
+	// seeds holds the seed addresses of machines that start.
+	seeds []string
+	// joined is the number of machines that join and replace have added, wiped that of lost disks.
+	joined int
+	wiped  int
+	// joinOnly makes machines that start join the core; without it a machine that starts for the first
+	// time may form one.
+	joinOnly bool
+	// beforeInstall, if set, is called with the sender's address before each installation of a snapshot.
+	// mutex guards it.
+	beforeInstall func(from string)
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster { return newClusterOf(t, seed, 3, 3, 1) }
 
-// newClusterOf is a core of machines in zones, which bears some losses at once.
+// newClusterOf returns a core with the given numbers of machines and zones, which tolerates the given
+// number of losses at once.
 func newClusterOf(t *testing.T, seed uint64, machines, zones, tolerated int) *cluster {
-	w := &cluster{test: t, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 3)), calls: newCallCount(), cut: map[string]bool{}, tolerated: tolerated, zones: zones,
-		seeds: []string{"m0", "m1", "m2"}}
+	c := &cluster{
+		test:      t,
+		now:       time.Unix(1_000_000, 0),
+		random:    rand.New(&lockedSource{source: rand.NewPCG(seed, 3)}),
+		calls:     newCallCount(),
+		cutLinks:  map[string]bool{},
+		tolerated: tolerated,
+		zones:     zones,
+		seeds:     []string{"m0", "m1", "m2"},
+	}
 	for number := range machines {
-		w.machines = append(w.machines, &machine{address: "m" + strconv.Itoa(number), zone: "d" + strconv.Itoa(number%zones), witnessDisk: newMemoryStorage(), copyDisk: newMemoryStorage()})
+		c.machines = append(c.machines, &machine{
+			address:     "m" + strconv.Itoa(number),
+			zone:        "d" + strconv.Itoa(number%zones),
+			witnessDisk: newMemoryStorage(),
+			replicaDisk: newMemoryStorage(),
+		})
 	}
-	for _, m := range w.machines {
-		w.start(m)
+	for _, m := range c.machines {
+		c.start(m)
 	}
-	return w
+	return c
 }
 
-func (w *cluster) clock() time.Time {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.now
+func (c *cluster) clock() time.Time {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.now
 }
 
-func (w *cluster) logf(format string, values ...any) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.log = append(w.log, fmt.Sprintf("%6.2f ", w.now.Sub(time.Unix(1_000_000, 0)).Seconds())+fmt.Sprintf(format, values...))
+func (c *cluster) logf(format string, values ...any) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.log = append(c.log, fmt.Sprintf("%6.2f ", c.now.Sub(time.Unix(1_000_000, 0)).Seconds())+fmt.Sprintf(format, values...))
 }
 
-func (w *cluster) start(m *machine) {
-	w.wipeLostDisks()
+func (c *cluster) start(m *machine) {
+	c.wipeLostDisks()
 	m.incarnations++
 	replica := Replica{Address: m.address, Name: m.address}
-	witness, blank, err := OpenWitness(w.clock(), m.witnessDisk, replica, Identity(m.address+"/"+strconv.Itoa(m.incarnations)))
+	witness, blank, err := OpenWitness(c.clock(), m.witnessDisk, replica, Identity(m.address+"/"+strconv.Itoa(m.incarnations)))
 	if err != nil {
-		w.test.Fatal(err)
+		c.test.Fatal(err)
 	}
 	if blank {
-		m.copyDisk = newMemoryStorage()
+		m.replicaDisk = newMemoryStorage()
 	}
-	copied, err := OpenLocalReplica(m.copyDisk)
+	local, err := OpenLocalReplica(m.replicaDisk)
 	if err != nil {
-		w.test.Fatal(err)
+		c.test.Fatal(err)
 	}
-	store := NewStore(copied, witness)
-	coordinator := NewCoordinator(testRuntime{w.clock, w.calls}, w.seeds, witness, store, &network{cluster: w, from: m.address, incarnation: m.incarnations}, func(event string, detail ...any) {
-		w.logf("%s %s %v", m.address, event, detail)
-	})
-	if w.tolerated > 1 && (m.incarnations > 1 || w.formed) {
+	store := NewStore(local, witness)
+	coordinator := NewCoordinator(testRuntime{c.clock, c.calls}, c.seeds, witness, store,
+		&network{cluster: c, from: m.address, incarnation: m.incarnations}, func(event string, detail ...any) {
+			c.logf("%s %s %v", m.address, event, detail)
+		})
+	if c.tolerated > 1 && (m.incarnations > 1 || c.joinOnly) {
 		coordinator.SetJoinOnly()
 	}
-	coordinator.SetTiming(TimingFor(w.catchUp))
-	coordinator.SetTolerance(w.tolerated, m.zone)
-	coordinator.SetBackupList(w.tolerated > 1)
-	w.mutex.Lock()
+	coordinator.SetTiming(TimingFor(c.catchUp))
+	coordinator.SetTolerance(c.tolerated, m.zone)
+	coordinator.SetBackupList(c.tolerated > 1)
+	c.mutex.Lock()
 	m.witness, m.store, m.coordinator = witness, store, coordinator
 	m.up.Store(true)
 	m.frozen = false
-	w.mutex.Unlock()
-	w.logf("%s starts, blank %v, version %s", m.address, blank, copied.Version())
+	c.mutex.Unlock()
+	c.logf("%s starts, blank %v, version %s", m.address, blank, local.Version())
 }
 
-// network brings calls: a call reaches a machine that is up and not cut off.
+// network is the Peers of one machine: a call reaches a machine that is up and not cut off.
 type network struct {
 	cluster *cluster
 	from    string
-	// incarnation is which of the machine's processes sends; one that has ended sends
-	// nothing. None is a test's own.
+	// incarnation is the number of the machine's process that sends. A process that has stopped
+	// sends nothing. Calls of the test itself have incarnation zero.
 	incarnation int
 }
 
-// endpoint is one incarnation of a machine, as a call meets it.
+// endpoint holds the parts of a machine's process that a call may reach.
 type endpoint struct {
 	witness     *Witness
 	store       *Store
 	coordinator *Coordinator
 }
 
-func (w *network) endpointAt(address string) (*endpoint, error) {
-	cl := w.cluster
-	cl.mutex.Lock()
-	defer cl.mutex.Unlock()
-	for _, m := range cl.machines {
-		if w.incarnation > 0 && m.address == w.from && (!m.up.Load() || m.incarnations != w.incarnation) {
-			return nil, failure.New(failure.Unreachable, "the sender has ended")
+func (n *network) endpointAt(address string) (*endpoint, error) {
+	c := n.cluster
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, m := range c.machines {
+		if n.incarnation > 0 && m.address == n.from && (!m.up.Load() || m.incarnations != n.incarnation) {
+			return nil, failure.New(failure.Unreachable, "the sender has stopped")
 		}
 	}
-	for _, ma := range cl.machines {
-		if ma.address == address && ma.up.Load() && !ma.frozen && !cl.cut[w.from+">"+address] {
-			// A late call reaches the life that it was sent to.
-			return &endpoint{witness: ma.witness, store: ma.store, coordinator: ma.coordinator}, nil
+	for _, m := range c.machines {
+		if m.address == address && m.up.Load() && !m.frozen && !c.cutLinks[n.from+">"+address] {
+			// A duplicate that is delivered late still reaches the process to which it was sent.
+			return &endpoint{witness: m.witness, store: m.store, coordinator: m.coordinator}, nil
 		}
 	}
 	return nil, failure.New(failure.Unreachable, address)
 }
 
-func (w *network) witnessAt(address string, identity Identity) (*endpoint, error) {
-	m, err := w.endpointAt(address)
+func (n *network) witnessAt(address string, identity Identity) (*endpoint, error) {
+	m, err := n.endpointAt(address)
 	if err == nil && m.witness.Replica().Identity != identity {
 		return nil, failure.New(failure.NotAdmitted, "another disk")
 	}
 	return m, err
 }
 
-func (w *network) Hello(address string, own Hello) (Hello, error) {
-	m, err := w.endpointAt(address)
+func (n *network) Hello(address string, own Hello) (Hello, error) {
+	m, err := n.endpointAt(address)
 	if err != nil {
 		return Hello{}, err
 	}
 	return m.coordinator.HandleHello(own), nil
 }
 
-func (w *network) Prepare(address string, witness Identity, epoch uint64, c Identity) (Vote, error) {
-	m, err := w.witnessAt(address, witness)
+func (n *network) Prepare(address string, witness Identity, epoch uint64, candidate Identity) (Vote, error) {
+	m, err := n.witnessAt(address, witness)
 	if err != nil {
 		return Vote{}, err
 	}
-	return m.witness.Prepare(w.cluster.clock(), epoch, c)
+	return m.witness.Prepare(n.cluster.clock(), epoch, candidate)
 }
 
-func (w *network) Accept(address string, witness Identity, membership Membership) (Vote, error) {
-	m, err := w.witnessAt(address, witness)
+func (n *network) Accept(address string, witness Identity, membership Membership) (Vote, error) {
+	m, err := n.witnessAt(address, witness)
 	if err != nil {
 		return Vote{}, err
 	}
-	return m.witness.Accept(w.cluster.clock(), membership)
+	return m.witness.Accept(n.cluster.clock(), membership)
 }
 
-func (w *network) RenewLease(address string, witness Identity, epoch uint64, primary Identity) (Vote, error) {
-	m, err := w.witnessAt(address, witness)
+func (n *network) RenewLease(address string, witness Identity, epoch uint64, primary Identity) (Vote, error) {
+	m, err := n.witnessAt(address, witness)
 	if err != nil {
 		return Vote{}, err
 	}
-	return m.witness.RenewLease(w.cluster.clock(), epoch, primary), nil
+	return m.witness.RenewLease(n.cluster.clock(), epoch, primary), nil
 }
 
-func (w *network) Replicate(address string, backup Identity, epoch uint64, batch Batch) error {
-	m, err := w.witnessAt(address, backup)
+func (n *network) Replicate(address string, backup Identity, epoch uint64, batch Batch) error {
+	m, err := n.witnessAt(address, backup)
 	if err != nil {
 		return err
 	}
-	w.cluster.maybeDuplicate(func() { _ = m.store.Replicate(epoch, batch) })
+	n.cluster.maybeDuplicate(func() { _ = m.store.Replicate(epoch, batch) })
 	return m.store.Replicate(epoch, batch)
 }
 
-func (w *network) Install(address string, backup Identity, snapshot Snapshot) error {
-	w.maybeCrash()
-	m, err := w.witnessAt(address, backup)
+func (n *network) Install(address string, backup Identity, snapshot Snapshot) error {
+	n.maybeCrash()
+	m, err := n.witnessAt(address, backup)
 	if err != nil {
 		return err
 	}
-	w.cluster.maybeDuplicate(func() { _ = m.store.Install(snapshot) })
+	n.cluster.maybeDuplicate(func() { _ = m.store.Install(snapshot) })
 	return m.store.Install(snapshot)
 }
 
-// maybeCrash has the sender lose its power and at times its disk in the middle of what
-// it does, where more than one loss is borne.
-func (w *network) maybeCrash() {
-	cl := w.cluster
-	if cl.installs != nil {
-		cl.installs(w.from)
+// maybeCrash may crash the sender before its snapshot is installed, sometimes with the loss of its
+// disk, if the core tolerates more than one loss. It may run after the tick that began the
+// installation has returned.
+func (n *network) maybeCrash() {
+	c := n.cluster
+	c.mutex.Lock()
+	beforeInstall := c.beforeInstall
+	c.mutex.Unlock()
+	if beforeInstall != nil {
+		beforeInstall(n.from)
 	}
-	if cl.tolerated == 1 || cl.noFaults {
+	if c.tolerated == 1 || c.noFaults.Load() {
 		return
 	}
-	cl.mutex.Lock()
-	drawn := cl.random.IntN(24)
-	cl.mutex.Unlock()
+	drawn := c.random.IntN(24)
 	if drawn > 1 {
 		return
 	}
-	for _, m := range cl.machines {
-		if m.address != w.from || !m.up.Load() {
-			continue
+	if m, _ := c.machineAt(n.from); m != nil && m.up.Load() {
+		c.crashNow(m, drawn == 0)
+	}
+}
+
+// machineAt returns the machine at an address and the store of its newest process, from any
+// goroutine. Both are nil if no machine has the address.
+func (c *cluster) machineAt(address string) (*machine, *Store) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, m := range c.machines {
+		if m.address == address {
+			return m, m.store
 		}
-		cl.crashNow(m, drawn == 0)
 	}
+	return nil, nil
 }
 
-// crashNow has a machine lose its power at once, in whatever thread. Its disk is
-// lost before it starts again: the world's own thread takes that away.
-func (w *cluster) crashNow(m *machine, wiped bool) {
-	w.crash(m)
+// crashNow crashes a machine at once, from any goroutine. If wiped is set, wipeLostDisks wipes the
+// disk later, on the test's own goroutine, before the machine starts again.
+func (c *cluster) crashNow(m *machine, wiped bool) {
+	c.crash(m)
 	if !wiped {
 		return
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.diskLosses = append(w.diskLosses, m)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.diskLosses = append(c.diskLosses, m)
 }
 
-// wipeLostDisks takes the disks that were lost in the middle of something.
-func (w *cluster) wipeLostDisks() {
-	w.mutex.Lock()
-	losing := w.diskLosses
-	w.diskLosses = nil
-	w.mutex.Unlock()
-	for _, m := range losing {
-		if w.lossesLeft == 0 {
+// wipeLostDisks wipes the disks that crashNow has recorded as lost.
+func (c *cluster) wipeLostDisks() {
+	c.mutex.Lock()
+	lost := c.diskLosses
+	c.diskLosses = nil
+	c.mutex.Unlock()
+	for _, m := range lost {
+		if c.lossesLeft == 0 {
 			continue
 		}
-		w.lossesLeft--
-		w.wiped++
-		w.logf("%s loses its disk in the middle", m.address)
+		c.lossesLeft--
+		c.wiped++
+		c.logf("%s loses its disk during an installation", m.address)
 		m.witnessDisk = newMemoryStorage()
 	}
 }
 
-// again keeps a message back that the network will bring a second time.
-func (w *cluster) maybeDuplicate(message func()) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.random.IntN(8) == 0 {
-		w.delayed = append(w.delayed, message)
+// maybeDuplicate keeps some messages, so that deliver can deliver them a second time later.
+func (c *cluster) maybeDuplicate(message func()) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.random.IntN(8) == 0 {
+		c.delayed = append(c.delayed, message)
 	}
 }
 
-// deliver brings one of the messages that were kept back.
-func (w *cluster) deliver() {
-	w.mutex.Lock()
-	if len(w.delayed) == 0 {
-		w.mutex.Unlock()
+// deliver delivers one of the messages that maybeDuplicate kept.
+func (c *cluster) deliver() {
+	c.mutex.Lock()
+	if len(c.delayed) == 0 {
+		c.mutex.Unlock()
 		return
 	}
-	i := w.random.IntN(len(w.delayed))
-	message := w.delayed[i]
-	w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
-	w.mutex.Unlock()
+	i := c.random.IntN(len(c.delayed))
+	message := c.delayed[i]
+	c.delayed = append(c.delayed[:i], c.delayed[i+1:]...)
+	c.mutex.Unlock()
 	message()
 }
 
+// revisionIn returns the revision that write has put into a configuration, as the name of a route, or
+// -1 for an invalid configuration.
 func revisionIn(text []byte) int {
 	configuration, err := config.Check(text)
 	if err != nil {
@@ -421,20 +472,20 @@
 	return revision
 }
 
-// write asks a machine for the next revision and carries the commit out, with
-// a crash of the world possible between any two of its steps.
-func (w *cluster) write(m *machine) {
+// write submits the next revision to a machine and commits it. The machine may crash between any
+// two steps.
+func (c *cluster) write(m *machine) {
 	if !m.coordinator.HasLease() {
 		return
 	}
-	w.tried++
-	revision := w.tried
+	c.submittedRevision++
+	revision := c.submittedRevision
 	m.store.Submit(ChangeConfiguration("", "", nil, PreparedConfiguration{}, func([]byte) ([]byte, error) {
 		return []byte(`{"routes":{"` + strconv.Itoa(revision) + `":{"to":{"refuse":true}}}}`), nil
 	}), func(version Version, err error) {
 		if err == nil && m.coordinator.HasLease() {
-			w.answered++
-			w.accepted = max(w.accepted, revision)
+			c.acknowledgedWrites++
+			c.acknowledgedRevision = max(c.acknowledgedRevision, revision)
 		}
 	})
 	membership := m.coordinator.Membership()
@@ -448,382 +499,413 @@
 	if m.store.WriteLocal(batch) != nil {
 		return
 	}
-	if !w.noFaults && w.random.IntN(25) == 0 {
-		w.crash(m)
+	if !c.noFaults.Load() && c.random.IntN(25) == 0 {
+		c.crash(m)
 		return
 	}
 	synced := true
 	for _, backup := range membership.Backups() {
-		err := (&network{cluster: w, from: m.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
+		err := (&network{cluster: c, from: m.address}).Replicate(backup.Address, backup.Identity, membership.Epoch, batch)
 		m.coordinator.RecordBackupResult(backup.Identity, err == nil)
 		synced = synced && err == nil
-		if !w.noFaults && w.random.IntN(50) == 0 {
-			w.crash(m)
+		if !c.noFaults.Load() && c.random.IntN(50) == 0 {
+			c.crash(m)
 			return
 		}
 	}
 	if !synced {
 		return
 	}
-	if !w.noFaults && w.random.IntN(25) == 0 {
-		w.crash(m)
+	if !c.noFaults.Load() && c.random.IntN(25) == 0 {
+		c.crash(m)
 		return
 	}
 	m.store.Commit(batch)
 }
 
-func (w *cluster) crash(m *machine) {
-	w.mutex.Lock()
+func (c *cluster) crash(m *machine) {
+	c.mutex.Lock()
 	m.up.Store(false)
-	w.mutex.Unlock()
-	w.logf("%s crashes", m.address)
+	c.mutex.Unlock()
+	c.logf("%s crashes", m.address)
 }
 
-// whole tells whether a primary with a backup leads and every witness is the
-// disk that is at its address now, so that one more loss can be borne.
-func (w *cluster) completeLeader() *machine {
-	for _, m := range w.machines {
+// completeLeader returns the primary of a complete core, else nil. The core is complete, and so can
+// tolerate its losses again, when all backups are up, each witness is up and has the newest
+// membership, and no zone has more witnesses than losses are tolerated.
+func (c *cluster) completeLeader() *machine {
+	for _, m := range c.machines {
 		if !m.up.Load() || m.frozen || !m.coordinator.HasLease() || m.coordinator.membershipUnknown {
 			continue
 		}
 		membership := m.coordinator.Membership()
-		if len(membership.Backups()) != w.tolerated || len(membership.Incoming) > 0 || len(membership.Witnesses) != 2*w.tolerated+1 {
+		if len(membership.Backups()) != c.tolerated || len(membership.Incoming) > 0 ||
+			len(membership.Witnesses) != 2*c.tolerated+1 {
 			continue
 		}
-		healthy, there := 0, 0
+		witnesses, backups := 0, 0
 		inZone := map[string]int{}
-		most := 0
-		for _, other := range w.machines {
+		maxInZone := 0
+		for _, other := range c.machines {
 			if !other.up.Load() {
 				continue
 			}
 			if hasReplica(membership.Backups(), other.witness.Replica().Identity) {
-				there++
+				backups++
 			}
-			if hasReplica(membership.Witnesses, other.witness.Replica().Identity) && other.witness.Membership().Epoch == membership.Epoch {
-				healthy++
+			if hasReplica(membership.Witnesses, other.witness.Replica().Identity) &&
+				other.witness.Membership().Epoch == membership.Epoch {
+				witnesses++
 				inZone[other.zone]++
-				most = max(most, inZone[other.zone])
+				maxInZone = max(maxInZone, inZone[other.zone])
 			}
 		}
-		if there == w.tolerated && healthy == 2*w.tolerated+1 && most <= w.tolerated {
+		if backups == c.tolerated && witnesses == 2*c.tolerated+1 && maxInZone <= c.tolerated {
 			return m
 		}
 	}
 	return nil
 }
 
-// check holds the two rules: one machine at a time may answer, and whoever may
-// answer has everything that was answered before.
-func (w *cluster) check() {
-	var holders []string
-	for _, m := range w.machines {
+// check checks two invariants: at most one machine has the lease, and the machine that has it shows
+// every write that was acknowledged before.
+func (c *cluster) check() {
+	var leaders []string
+	for _, m := range c.machines {
 		if !m.up.Load() || m.frozen || !m.coordinator.HasLease() {
 			continue
 		}
-		holders = append(holders, m.address)
+		leaders = append(leaders, m.address)
 		state, err := m.store.View().State()
 		if err != nil {
-			w.fail("%s: %v", m.address, err)
+			c.fail("%s: %v", m.address, err)
 		}
-		if revision := revisionIn(state.Configuration); revision < w.accepted {
-			w.fail("%s shows edition %d and %d was accepted", m.address, revision, w.accepted)
+		if revision := revisionIn(state.Configuration); revision < c.acknowledgedRevision {
+			c.fail("%s shows revision %d, but revision %d was acknowledged", m.address, revision, c.acknowledgedRevision)
 		}
 	}
-	if len(holders) > 1 {
-		w.fail("two primaries at once: %v", holders)
+	if len(leaders) > 1 {
+		c.fail("got several primaries at once: %v", leaders)
 	}
 }
 
-func (w *cluster) fail(format string, values ...any) {
-	for _, line := range w.log[max(0, len(w.log)-60):] {
-		w.test.Log(line)
+// fail fails the test and prints the last log lines of the machines.
+func (c *cluster) fail(format string, values ...any) {
+	c.mutex.Lock()
+	lines := c.log[max(0, len(c.log)-60):]
+	c.mutex.Unlock()
+	for _, line := range lines {
+		c.test.Log(line)
 	}
-	w.test.Fatalf(format, values...)
+	c.test.Fatalf(format, values...)
 }
 
-func (w *cluster) advance(length time.Duration) {
-	w.mutex.Lock()
-	w.now = w.now.Add(length)
-	w.mutex.Unlock()
+func (c *cluster) advance(length time.Duration) {
+	c.mutex.Lock()
+	c.now = c.now.Add(length)
+	c.mutex.Unlock()
 }
 
-func (w *cluster) step() {
-	w.wipeLostDisks()
-	w.advance(time.Duration(20+w.random.IntN(120)) * time.Millisecond)
-	for _, i := range w.random.Perm(len(w.machines)) {
-		m := w.machines[i]
+// step advances the time, ticks the running machines in random order with some writes in between,
+// and may deliver a duplicate and inject or end a fault.
+func (c *cluster) step() {
+	c.wipeLostDisks()
+	c.advance(time.Duration(20+c.random.IntN(120)) * time.Millisecond)
+	for _, i := range c.random.Perm(len(c.machines)) {
+		m := c.machines[i]
 		if m.up.Load() && !m.frozen {
 			m.coordinator.Tick()
-			w.check()
-			if w.random.IntN(3) == 0 {
-				w.write(m)
-				w.check()
+			c.check()
+			if c.random.IntN(3) == 0 {
+				c.write(m)
+				c.check()
 			}
 		}
 	}
-	if w.random.IntN(4) == 0 {
-		w.deliver()
+	if c.random.IntN(4) == 0 {
+		c.deliver()
 	}
-	ma := w.machines[w.random.IntN(len(w.machines))]
-	switch w.random.IntN(60) {
+	m := c.machines[c.random.IntN(len(c.machines))]
+	switch c.random.IntN(60) {
 	case 0:
-		if ma.up.Load() {
-			w.crash(ma)
+		if m.up.Load() {
+			c.crash(m)
 		}
 	case 1, 2, 3:
-		if !ma.up.Load() {
-			w.start(ma)
+		if !m.up.Load() {
+			c.start(m)
 		}
 	case 4:
-		other := w.machines[w.random.IntN(len(w.machines))]
-		w.mutex.Lock()
-		w.cut[ma.address+">"+other.address] = true
-		w.mutex.Unlock()
-		w.logf("cut %s>%s", ma.address, other.address)
+		other := c.machines[c.random.IntN(len(c.machines))]
+		c.mutex.Lock()
+		c.cutLinks[m.address+">"+other.address] = true
+		c.mutex.Unlock()
+		c.logf("cut %s>%s", m.address, other.address)
 	case 5, 6, 7:
-		w.mutex.Lock()
-		w.cut = map[string]bool{}
-		w.mutex.Unlock()
+		c.mutex.Lock()
+		c.cutLinks = map[string]bool{}
+		c.mutex.Unlock()
 	case 8:
-		if w.completeLeader() != nil && ma.up.Load() && w.wipe(ma) {
-			w.start(ma)
+		if c.completeLeader() != nil && m.up.Load() && c.wipe(m) {
+			c.start(m)
 		}
 	case 9:
-		if ma.up.Load() {
-			w.mutex.Lock()
-			ma.frozen = !ma.frozen
-			w.mutex.Unlock()
-			w.logf("%s frozen %v", ma.address, ma.frozen)
+		if m.up.Load() {
+			c.mutex.Lock()
+			m.frozen = !m.frozen
+			c.mutex.Unlock()
+			c.logf("%s frozen %v", m.address, m.frozen)
 		}
 	case 10, 11:
-		w.mutex.Lock()
-		ma.frozen = false
-		w.mutex.Unlock()
+		c.mutex.Lock()
+		m.frozen = false
+		c.mutex.Unlock()
 	}
 }
 
-// heal ends all faults and gives the core time.
-func (w *cluster) heal(length time.Duration) bool {
-	before := w.noFaults
-	w.noFaults = true
-	defer func() { w.noFaults = before }()
-	w.mutex.Lock()
-	w.cut = map[string]bool{}
-	for _, m := range w.machines {
+// heal ends all faults, starts all machines, and reports whether the core becomes complete within
+// the given time.
+func (c *cluster) heal(length time.Duration) bool {
+	before := c.noFaults.Swap(true)
+	defer c.noFaults.Store(before)
+	c.mutex.Lock()
+	c.cutLinks = map[string]bool{}
+	for _, m := range c.machines {
 		m.frozen = false
 	}
-	w.mutex.Unlock()
-	for _, ma := range w.machines {
-		if !ma.up.Load() {
-			w.start(ma)
+	c.mutex.Unlock()
+	for _, m := range c.machines {
+		if !m.up.Load() {
+			c.start(m)
 		}
 	}
-	ends := w.clock().Add(length)
-	for w.clock().Before(ends) {
-		w.advance(100 * time.Millisecond)
-		for _, mc := range w.machines {
-			mc.coordinator.Tick()
-			w.check()
+	ends := c.clock().Add(length)
+	for c.clock().Before(ends) {
+		c.advance(100 * time.Millisecond)
+		for _, m := range c.machines {
+			m.coordinator.Tick()
+			c.check()
 		}
-		// Healing is bounded by the cluster's time: on a busy machine it would pass while
-		// the calls of a tick are not scheduled yet.
-		w.calls.wait()
-		if w.completeLeader() != nil {
+		// The limit is in the cluster's time. Without this wait it could pass on a busy machine
+		// before the goroutines of a tick have run.
+		c.calls.wait()
+		if c.completeLeader() != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// TestAcceptedWritesSurviveAndOnePrimaryAnswers drives cores through crashes,
-// cuts, freezes and lost disks, and holds both rules after every step.
+// TestAcceptedWritesSurviveAndOnePrimaryAnswers injects crashes, cut links, frozen processes and lost
+// disks into cores, and checks both invariants of check after every step.
 func TestAcceptedWritesSurviveAndOnePrimaryAnswers(t *testing.T) {
 	seeds := uint64(60)
-	if asked, err := strconv.ParseUint(os.Getenv("SEAMLOOM_SEEDS"), 10, 32); err == nil {
-		seeds = asked
+	if configured, err := strconv.ParseUint(os.Getenv("SEAMLOOM_SEEDS"), 10, 32); err == nil {
+		seeds = configured
 	}
-	answered := 0
+	acknowledgedWrites := 0
 	for seed := range seeds {
-		w := newCluster(t, seed)
-		if !w.heal(10 * time.Second) {
-			w.fail("seed %d: no core was formed", seed)
+		c := newCluster(t, seed)
+		if !c.heal(10 * time.Second) {
+			c.fail("seed %d: no core was formed", seed)
 		}
 		for range 400 {
-			w.step()
+			c.step()
 		}
-		if !w.heal(20 * time.Second) {
-			w.fail("seed %d: the core is not whole again", seed)
+		if !c.heal(20 * time.Second) {
+			c.fail("seed %d: the core is not complete again", seed)
 		}
-		answered += w.answered
+		acknowledgedWrites += c.acknowledgedWrites
 	}
-	t.Logf("%d writes were accepted in %d worlds", answered, seeds)
-	if answered < 1000 {
-		t.Fatalf("only %d writes were accepted in all worlds: the test shows nothing", answered)
+	t.Logf("%d writes were acknowledged with %d seeds", acknowledgedWrites, seeds)
+	if acknowledgedWrites < 1000 {
+		t.Fatalf("got %d acknowledged writes with all seeds, want 1000 at least for a meaningful test", acknowledgedWrites)
 	}
 }
 
-// TestSimulationSeesASecondPrimary shows that the rule can fail: a witness that
-// forgets its lease lets two machines answer at once.
-func TestSimulationSeesASecondPrimary(t *testing.T) {
-	w := newCluster(t, 1)
-	if !w.heal(10 * time.Second) {
-		w.fail("no core was formed")
+// TestCheckDetectsASecondPrimary shows that check can fail: witnesses that forget their leases let
+// two machines lead at once.
+func TestCheckDetectsASecondPrimary(t *testing.T) {
+	c := newCluster(t, 1)
+	if !c.heal(10 * time.Second) {
+		c.fail("no core was formed")
 	}
-	leader := w.completeLeader()
+	leader := c.completeLeader()
 	membership := leader.coordinator.Membership()
-	for _, m := range w.machines {
+	for _, m := range c.machines {
 		m.witness.mutex.Lock()
 		m.witness.leaseEnds = time.Time{}
 		m.witness.mutex.Unlock()
 	}
 	var backup *machine
-	for _, ma := range w.machines {
-		if ma.witness.Replica().Identity == membership.Backup.Identity {
-			backup = ma
+	for _, m := range c.machines {
+		if m.witness.Replica().Identity == membership.Backup.Identity {
+			backup = m
 		}
 	}
-	// The leader is not heard for a moment, as if cut off.
-	w.cut = map[string]bool{leader.address + ">" + backup.address: true, backup.address + ">" + leader.address: true}
+	// The link between the primary and the backup is cut.
+	c.cutLinks = map[string]bool{leader.address + ">" + backup.address: true, backup.address + ">" + leader.address: true}
 	leader.coordinator.mutex.Lock()
-	leader.coordinator.leaseEnds = w.clock().Add(time.Hour)
+	leader.coordinator.leaseEnds = c.clock().Add(time.Hour)
 	leader.coordinator.mutex.Unlock()
 	for range 40 {
 		backup.coordinator.Tick()
 	}
-	holders := 0
-	for _, mc := range w.machines {
-		if mc.coordinator.HasLease() {
-			holders++
+	leaders := 0
+	for _, m := range c.machines {
+		if m.coordinator.HasLease() {
+			leaders++
 		}
 	}
-	if holders != 2 {
-		t.Fatalf("the seeded fault made %d primaries, so the check of one shows nothing", holders)
+	if leaders != 2 {
+		t.Fatalf("got %d primaries with the injected fault, want 2", leaders)
 	}
 }
 
-// TestRestrictedPrimaryHandsOver restricts the primary, and wants another to
-// lead with everything that was accepted, and the restricted one to be neither.
+// TestRestrictedPrimaryHandsOver restricts the primary: another controller must lead with every
+// acknowledged write, and the restricted one must be neither primary nor backup.
 func TestRestrictedPrimaryHandsOver(t *testing.T) {
-	w := newCluster(t, 2)
-	if !w.heal(10 * time.Second) {
-		w.fail("no core was formed")
+	c := newCluster(t, 2)
+	if !c.heal(10 * time.Second) {
+		c.fail("no core was formed")
 	}
-	first := w.completeLeader()
-	w.noFaults = true
-	for w.answered == 0 {
-		w.write(first)
+	first := c.completeLeader()
+	c.noFaults.Store(true)
+	for c.acknowledgedWrites == 0 {
+		c.write(first)
 	}
 	first.coordinator.SetRestricted(true)
 	for range 100 {
-		w.advance(100 * time.Millisecond)
-		for _, m := range w.machines {
+		c.advance(100 * time.Millisecond)
+		for _, m := range c.machines {
 			m.coordinator.Tick()
-			w.check()
+			c.check()
 		}
-		leader := w.completeLeader()
+		leader := c.completeLeader()
 		if leader != nil && leader != first && leader.coordinator.Membership().Backup.Identity != first.witness.Replica().Identity {
 			return
 		}
 	}
-	w.fail("the restricted expediter still leads or backs up: %+v", first.coordinator.Membership())
+	c.fail("the restricted controller is still primary or backup: %+v", first.coordinator.Membership())
 }
 
-// TestSweepRepairsFilesThatBecameDamaged damages files of a copy and of a witness
-// that are in use, and wants both whole after a sweep.
-func TestSweepRepairsFilesThatBecameDamaged(t *testing.T) {
+// TestSweepRepairsDamagedFiles removes files of a replica and of a witness that are in use: a sweep
+// must write them again.
+func TestSweepRepairsDamagedFiles(t *testing.T) {
 	storage := newMemoryStorage()
-	copied, err := OpenLocalReplica(storage)
+	local, err := OpenLocalReplica(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for number, section := range []string{"menu", "flags"} {
+	for number, section := range []string{ConfigurationSection, FlagsSection} {
 		version := Version{Epoch: 1, Number: uint64(number + 1)}
-		if err := copied.Write(Batch{Version: version, Base: copied.Version(), Sections: map[string]Section{section: {Version: version, Content: []byte(section)}}}); err != nil {
+		if err := local.Write(Batch{
+			Version:  version,
+			Base:     local.Version(),
+			Sections: map[string]Section{section: {Version: version, Content: []byte(section)}},
+		}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	delete(storage.files, fileName(Version{1, 1}))
-	if mended, err := copied.Sweep(); mended != 1 || err != nil {
-		t.Fatalf("%d files were mended: %v", mended, err)
+	if repaired, err := local.Sweep(); repaired != 1 || err != nil {
+		t.Fatalf("got %d files repaired, error %v, want 1 file", repaired, err)
 	}
 	reopened, err := OpenLocalReplica(storage)
-	if err != nil || reopened.Damage() != "" || string(reopened.Sections()["menu"].Content) != "menu" {
-		t.Fatalf("after the sweep: %q, %v", reopened.Damage(), err)
+	if err != nil || reopened.Damage() != "" || string(reopened.Sections()[ConfigurationSection].Content) != ConfigurationSection {
+		t.Fatalf("after the sweep: got damage %q, error %v, want neither", reopened.Damage(), err)
 	}
-	if older := reopened.CatchUp(Snapshot{Epoch: 1, Version: Version{1, 1}}); failure.CodeOf(older) != failure.Behind || len(reopened.Sections()) != 2 {
-		t.Fatalf("an older snapshot was taken: %v", older)
+	if older := reopened.CatchUp(Snapshot{Epoch: 1, Version: Version{1, 1}}); failure.CodeOf(older) != failure.Behind ||
+		len(reopened.Sections()) != 2 {
+		t.Fatalf("an older snapshot: got %v, want Behind", older)
 	}
-	keeping := newMemoryStorage()
-	witness, _, err := OpenWitness(time.Unix(0, 0), keeping, Replica{Address: "a"}, "a/1")
+	witnessStorage := newMemoryStorage()
+	witness, _, err := OpenWitness(time.Unix(0, 0), witnessStorage, Replica{Address: "a"}, "a/1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := witness.Accept(time.Unix(1, 0), Membership{Epoch: 1, Primary: witness.Replica(), Witnesses: []Replica{witness.Replica()}}); err != nil {
+	if _, err := witness.Accept(time.Unix(1, 0), Membership{
+		Epoch:     1,
+		Primary:   witness.Replica(),
+		Witnesses: []Replica{witness.Replica()},
+	}); err != nil {
 		t.Fatal(err)
 	}
-	keeping.files = map[string][]byte{}
-	if mended, err := witness.Sweep(); !mended || err != nil {
-		t.Fatalf("the keeper's note was not mended: %v", err)
+	witnessStorage.files = map[string][]byte{}
+	if repaired, err := witness.Sweep(); !repaired || err != nil {
+		t.Fatalf("the record of the witness was not repaired: %v", err)
 	}
-	if again, blank, err := OpenWitness(time.Unix(2, 0), keeping, Replica{Address: "a"}, "a/2"); err != nil || blank || again.Membership().Epoch != 1 {
-		t.Fatalf("after the sweep the keeper is blank: %v, %v", blank, err)
+	if again, blank, err := OpenWitness(time.Unix(2, 0), witnessStorage, Replica{Address: "a"}, "a/2"); err != nil ||
+		blank || again.Membership().Epoch != 1 {
+		t.Fatalf("after the sweep: got blank %v, error %v, want the membership of epoch 1", blank, err)
 	}
 }
 
-func TestCopyKeepsOneFileForEachVersionStillNeeded(t *testing.T) {
+// TestReplicaKeepsOnlyNeededFiles checks that a replica keeps only the files that hold the newest
+// version of a section, that a replica with a missing file counts as damaged, and that a snapshot
+// repairs it.
+func TestReplicaKeepsOnlyNeededFiles(t *testing.T) {
 	storage := newMemoryStorage()
-	copied, err := OpenLocalReplica(storage)
+	local, err := OpenLocalReplica(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	write := func(number uint64, section, content string) {
 		version := Version{Epoch: 1, Number: number}
-		err := copied.Write(Batch{Version: version, Base: copied.Version(), Sections: map[string]Section{section: {Version: version, Content: []byte(content)}}})
+		err := local.Write(Batch{
+			Version:  version,
+			Base:     local.Version(),
+			Sections: map[string]Section{section: {Version: version, Content: []byte(content)}},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(1, "menu", "a")
-	write(2, "flags", "b")
-	write(3, "flags", "c")
+	write(1, ConfigurationSection, "a")
+	write(2, FlagsSection, "b")
+	write(3, FlagsSection, "c")
 	var names []string
 	for name := range storage.files {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	if len(names) != 2 || names[0] != fileName(Version{1, 1}) || names[1] != fileName(Version{1, 3}) {
-		t.Fatalf("files left: %v", names)
+		t.Fatalf("got files %v, want only those of versions 1.1 and 1.3", names)
 	}
 	delete(storage.files, names[0])
 	reopened, err := OpenLocalReplica(storage)
 	if err != nil || reopened.Damage() == "" {
-		t.Fatalf("a copy without a file that it needs opened undamaged: %v", err)
+		t.Fatalf("a replica without a needed file opened undamaged: %v", err)
 	}
 	if err := reopened.Write(Batch{Version: Version{1, 4}, Base: reopened.Version()}); failure.CodeOf(err) != failure.Damaged {
-		t.Fatalf("a damaged copy took a write: %v", err)
+		t.Fatalf("a write to a damaged replica: got %v, want Damaged", err)
 	}
-	if err := reopened.Restore(Snapshot{Epoch: 2, Version: Version{2, 4}, Sections: copied.Sections()}); err != nil || reopened.Damage() != "" {
-		t.Fatalf("a damaged copy was not replaced: %v", err)
+	if err := reopened.Restore(Snapshot{
+		Epoch:    2,
+		Version:  Version{2, 4},
+		Sections: local.Sections(),
+	}); err != nil || reopened.Damage() != "" {
+		t.Fatalf("a damaged replica was not restored: %v", err)
 	}
 	again, err := OpenLocalReplica(storage)
-	if err != nil || again.Damage() != "" || string(again.Sections()["menu"].Content) != "a" || string(again.Sections()["flags"].Content) != "c" {
-		t.Fatalf("the replaced copy reads %v, %q, %v", again.Sections(), again.Damage(), err)
+	if err != nil || again.Damage() != "" ||
+		string(again.Sections()[ConfigurationSection].Content) != "a" || string(again.Sections()[FlagsSection].Content) != "c" {
+		t.Fatalf("the restored replica: got %v, damage %q, error %v", again.Sections(), again.Damage(), err)
 	}
 }
 
-// TestRestrictedControllerIsABackupBeforeNone restricts all but the primary,
-// ends the backup, and wants the pair whole with the restricted one that is
-// left, and with the capable one as soon as it is back.
-func TestRestrictedControllerIsABackupBeforeNone(t *testing.T) {
-	w := newCluster(t, 3)
-	if !w.heal(10 * time.Second) {
-		w.fail("no core was formed")
+// TestRestrictedBackupIsBetterThanNone restricts the third controller and crashes the backup: the
+// restricted controller must become the backup. When the unrestricted controller has started again,
+// it must become the backup again.
+func TestRestrictedBackupIsBetterThanNone(t *testing.T) {
+	c := newCluster(t, 3)
+	if !c.heal(10 * time.Second) {
+		c.fail("no core was formed")
 	}
-	w.noFaults = true
-	leader := w.completeLeader()
+	c.noFaults.Store(true)
+	leader := c.completeLeader()
 	var backup, third *machine
-	for _, m := range w.machines {
+	for _, m := range c.machines {
 		switch {
 		case m == leader:
 		case m.witness.Replica().Identity == leader.coordinator.Membership().Backup.Identity:
@@ -833,17 +915,17 @@
 		}
 	}
 	third.coordinator.SetRestricted(true)
-	w.crash(backup)
+	c.crash(backup)
 	paired := func(with *machine) bool {
 		for range 60 {
-			w.advance(100 * time.Millisecond)
-			for _, ma := range w.machines {
-				if ma.up.Load() {
-					ma.coordinator.Tick()
+			c.advance(100 * time.Millisecond)
+			for _, m := range c.machines {
+				if m.up.Load() {
+					m.coordinator.Tick()
 				}
 			}
-			w.write(leader)
-			w.check()
+			c.write(leader)
+			c.check()
 			if leader.coordinator.HasLease() && leader.coordinator.Membership().Backup.Identity == with.witness.Replica().Identity {
 				return true
 			}
@@ -851,90 +933,90 @@
 		return false
 	}
 	if !paired(third) {
-		w.fail("no backup is better than a restricted one: %+v", leader.coordinator.Membership())
+		c.fail("the restricted controller did not become the backup: %+v", leader.coordinator.Membership())
 	}
-	before := w.answered
-	w.write(leader)
-	if w.answered == before {
-		w.fail("the pair with a restricted backup takes no writes")
+	before := c.acknowledgedWrites
+	c.write(leader)
+	if c.acknowledgedWrites == before {
+		c.fail("no write was acknowledged with a restricted backup")
 	}
-	w.start(backup)
+	c.start(backup)
 	if !paired(backup) {
-		w.fail("the restricted backup was not exchanged for a capable one: %+v", leader.coordinator.Membership())
+		c.fail("the restricted backup was not replaced by an unrestricted one: %+v", leader.coordinator.Membership())
 	}
 }
 
-// TestRestrictedTakesOverFromADamagedCopy restarts the primary on a copy that
-// has become damaged while its backup is restricted: the backup must lead, since
-// it has everything and the other can't.
-func TestRestrictedTakesOverFromADamagedCopy(t *testing.T) {
-	w := newCluster(t, 4)
-	if !w.heal(10 * time.Second) {
-		w.fail("no core was formed")
+// TestRestrictedBackupTakesOverFromADamagedReplica restarts the primary with a damaged replica
+// while its backup is restricted: the backup must lead, because it alone has every acknowledged
+// write.
+func TestRestrictedBackupTakesOverFromADamagedReplica(t *testing.T) {
+	c := newCluster(t, 4)
+	if !c.heal(10 * time.Second) {
+		c.fail("no core was formed")
 	}
-	w.noFaults = true
-	leader := w.completeLeader()
-	w.write(leader)
+	c.noFaults.Store(true)
+	leader := c.completeLeader()
+	c.write(leader)
 	backup := leader.coordinator.Membership().Backup.Identity
-	for _, m := range w.machines {
+	for _, m := range c.machines {
 		if m.witness.Replica().Identity == backup {
 			m.coordinator.SetRestricted(true)
 		}
 	}
-	w.crash(leader)
-	leader.copyDisk.mutex.Lock()
-	for name := range leader.copyDisk.files {
-		leader.copyDisk.files[name] = []byte("damage")
+	c.crash(leader)
+	leader.replicaDisk.mutex.Lock()
+	for name := range leader.replicaDisk.files {
+		leader.replicaDisk.files[name] = []byte("damage")
 	}
-	leader.copyDisk.mutex.Unlock()
-	w.start(leader)
+	leader.replicaDisk.mutex.Unlock()
+	c.start(leader)
 	for range 100 {
-		w.advance(100 * time.Millisecond)
-		for _, ma := range w.machines {
-			ma.coordinator.Tick()
+		c.advance(100 * time.Millisecond)
+		for _, m := range c.machines {
+			m.coordinator.Tick()
 		}
-		w.check()
-		for _, mc := range w.machines {
-			if mc.coordinator.HasLease() {
+		c.check()
+		for _, m := range c.machines {
+			if m.coordinator.HasLease() {
 				return
 			}
 		}
 	}
-	w.fail("nobody leads, though the backup has everything")
+	c.fail("no machine leads, although the backup has every acknowledged write")
 }
 
-// TestPrimaryDoesNotHandOverToADeadBackup has the primary hand over, since it is stopped in
-// order or lacks a flag, right after the backup's machine went for good: the copy that is
-// left must not be given up.
+// TestPrimaryDoesNotHandOverToADeadBackup gives the primary a reason to hand over (it is leaving,
+// or lacks a flag) right after the backup's machine was lost with its disk: the primary must not
+// give up the only replica that is left.
 func TestPrimaryDoesNotHandOverToADeadBackup(t *testing.T) {
 	for name, begin := range map[string]func(coordinator *Coordinator){
 		"leaving":    func(coordinator *Coordinator) { coordinator.Leave() },
 		"restricted": func(coordinator *Coordinator) { coordinator.SetRestricted(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newCluster(t, 5)
-			if !w.heal(10 * time.Second) {
-				w.fail("no core was formed")
+			c := newCluster(t, 5)
+			if !c.heal(10 * time.Second) {
+				c.fail("no core was formed")
 			}
-			w.noFaults = true
-			leader := w.completeLeader()
-			w.write(leader)
-			for _, m := range w.machines {
+			c.noFaults.Store(true)
+			leader := c.completeLeader()
+			c.write(leader)
+			for _, m := range c.machines {
 				if m.witness.Replica().Identity == leader.coordinator.Membership().Backup.Identity {
-					w.crash(m)
-					m.witnessDisk, m.copyDisk = newMemoryStorage(), newMemoryStorage()
+					c.crash(m)
+					m.witnessDisk, m.replicaDisk = newMemoryStorage(), newMemoryStorage()
 				}
 			}
 			begin(leader.coordinator)
 			for range 5 {
 				leader.coordinator.Tick()
-				w.advance(100 * time.Millisecond)
+				c.advance(100 * time.Millisecond)
 			}
-			w.crash(leader)
-			if !w.heal(20 * time.Second) {
-				w.fail("the core is not whole again: %+v", leader.witness.Membership())
+			c.crash(leader)
+			if !c.heal(20 * time.Second) {
+				c.fail("the core is not complete again: %+v", leader.witness.Membership())
 			}
-			w.check()
+			c.check()
 		})
 	}
 }
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -14,8 +14,9 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// The sections. Claims have one section for each span of time. Records of changes are one section,
-// and under the flag features.ChangeSections one for each changeSectionRecords of them.
+// The names of the sections. Claims have one section for each span of time (ClaimSpan). The records
+// of changes are in one section, or, under the flag features.ChangeSections, in one section for
+// each changeSectionRecords records.
 const (
 	ConfigurationSection = "menu"
 	MembersSection       = "members"
@@ -28,42 +29,42 @@
 	ClaimsPrefix         = "claims/"
 )
 
-// Flags is the durable list of enabled feature flags.
+// Flags is the stored list of enabled feature flags.
 type Flags struct {
 	Enabled features.List `msgpack:"enabled" json:"enabled"`
 }
 
-// Roles are the recorded holders of the roles by key, and the last fencing token given.
+// Roles holds the recorded holder of each role, by the role's key, and the last fencing token.
 type Roles struct {
 	Roles        map[string]lease.Role `msgpack:"duties"`
 	FencingToken uint64                `msgpack:"fence"`
 }
 
-// Orders are the standing orders, one for each server, and the last order's number.
+// Orders holds the current order of each server, and the number of the last order.
 type Orders struct {
 	Records map[string]codec.Record `msgpack:"records"`
 	Number  uint64                  `msgpack:"number"`
 }
 
-// State is the replicated state's decoded content, as the primary works on it. Changes check
-// first and then alter, so that a refused change leaves nothing behind. Whoever alters a
-// field marks its section dirty; only dirty sections are written.
+// State is the decoded replicated state on which the primary works. A Change checks everything
+// before it alters anything, so that a refused change leaves the state as it was. Code that alters
+// a field marks its section dirty; only dirty sections are written.
 type State struct {
 	Configuration []byte
 	Members       map[string]membership.Member
 	Flags         Flags
 	Roles         Roles
 	Orders        Orders
-	// Changes are the accepted configuration changes of the last ChangeRetention.
+	// Changes holds the configuration changes that were accepted within the last ChangeRetention.
 	Changes ChangeRecords
-	// Horizon is the time from which on claims are remembered; zero: none yet.
+	// Horizon is the time before which claims are forgotten; zero before the first AdvanceHorizon.
 	Horizon time.Time
-	// Claims are recover records by section name and request id.
+	// Claims holds the claimed request ids: by section name, then by request id.
 	Claims map[string]map[string]codec.Record
 	dirty  map[string]bool
 }
 
-// NewState is the content of a replicated state that was just formed.
+// NewState returns the state of a core that was just formed.
 func NewState() *State {
 	return &State{
 		Configuration: []byte(`{}`),
@@ -76,7 +77,7 @@
 	}
 }
 
-// ReadState decodes the sections of a replica. An error has the code Garbage.
+// ReadState decodes the sections of a replica. Errors have the code Garbage.
 func ReadState(sections map[string]Section) (*State, error) {
 	state := NewState()
 	for name, section := range sections {
@@ -116,11 +117,11 @@
 	return state, nil
 }
 
-// MarkDirty marks a section as changed by the present batch.
+// MarkDirty records that the batch in preparation changes a section.
 func (s *State) MarkDirty(section string) { s.dirty[section] = true }
 
-// encodeDirty encodes the dirty sections for a version, lists the removed ones in order, and
-// marks all clean.
+// encodeDirty encodes the dirty sections for a version, and marks all sections clean. It returns the
+// encoded sections and the sorted names of the dirty sections that no longer exist.
 func (s *State) encodeDirty(version Version) (map[string]Section, []string, error) {
 	sections := map[string]Section{}
 	var removed []string
