--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Outcome is how a dispatch ended, as the caller of Ended saw it.
+// Outcome is how a dispatch ended, as observed by the caller of Ended.
 type Outcome struct {
 	Result Result `json:"result"`
-	// Status is the server's, if it gave one.
+	// Status is the status code of the server's response; zero if there was none.
 	Status int `json:"status,omitempty"`
 	// Handle names the prompt's KV cache after a Prefill that is Complete.
 	Handle string `json:"handle,omitempty"`
-	// Load is what the server's response said of its load, nil if nothing.
+	// Load is the load that the server's response states; nil if it states none.
 	Load *ResponseLoad `json:"load,omitempty"`
-	// Warming is how long the server says that its slow start lasts.
+	// Warming is the remaining time of the server's slow start, as stated by its response.
 	Warming time.Duration `json:"warming,omitempty"`
 	// KeepAlive is how long the connection stays open for further calls; zero if it was closed.
 	KeepAlive time.Duration `json:"rests,omitempty"`
-	// FirstByte is when the first event or byte of the answer came; zero if none did.
+	// FirstByte is when the first event or byte of the answer was received; zero if there was
+	// none.
 	FirstByte time.Time `json:"first,omitzero"`
 }
 
@@ -23,28 +24,28 @@
 type Result string
 
 const (
-	// Unreachable: no connection came up, or nothing of the request was written.
+	// Unreachable: no connection could be opened, or no byte of the request was written.
 	Unreachable Result = "unreached"
-	// NotStarted: the server says that it did not begin and never will.
+	// NotStarted: the server guarantees that it did not begin the call and never will.
 	NotStarted Result = "not_started"
 	// Misdirected: another server has the address.
 	Misdirected Result = "misdirected"
-	// TimedOut: the request was sent and no response came; it may have run.
+	// TimedOut: the request was sent and no response was received; the call may have run.
 	TimedOut Result = "silent"
-	// Malformed: what came is no response to this request; it may have run.
+	// Malformed: the received bytes are no response to this request; the call may have run.
 	Malformed Result = "spoilt"
-	// ErrorResponse: a complete response that is not a success came; it counts as run.
+	// ErrorResponse: a complete error response was received; the call counts as run.
 	ErrorResponse Result = "answered"
-	// Interrupted: a success began to be forwarded and broke off.
+	// Interrupted: part of a successful response was forwarded before it broke off.
 	Interrupted Result = "cut"
-	// Complete: the complete success was forwarded, or, for a Prefill, Handle is the prompt's KV
-	// cache.
+	// Complete: a complete successful response was forwarded or, for a Prefill, Handle names the
+	// prompt's KV cache.
 	Complete Result = "complete"
-	// ClientGone: the origin left.
+	// ClientGone: the origin disconnected.
 	ClientGone Result = "gone"
 )
 
-// MayHaveRun tells whether the server may have begun the call.
+// MayHaveRun reports whether the server may have begun the call.
 func (r Result) MayHaveRun() bool {
 	switch r {
 	case Unreachable, NotStarted, Misdirected:
@@ -53,20 +54,20 @@
 	return true
 }
 
-// ResponseLoad is what a server's response says of its load, in calls.
+// ResponseLoad is a server's load as stated by a response, in calls.
 type ResponseLoad struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Slots   int `json:"slots"`
 }
 
-// serverResponded tells whether anything was heard from the server.
+// serverResponded reports whether the server sent anything.
 func (o Outcome) serverResponded() bool {
 	return o.Result != Unreachable && o.Result != TimedOut && o.Result != ClientGone
 }
 
-// full tells whether a server that turned a call away had no room for it; false if it said
-// nothing of its load.
+// full reports whether a server that rejected a call had no capacity for it; false if the server
+// did not state its load.
 func (l *ResponseLoad) full() bool {
 	return l != nil && (l.Waiting > 0 || l.Running >= l.Slots)
 }
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -8,19 +8,21 @@
 	"seamloom.example/seamloom/internal/outlier"
 )
 
-// What other routers met at a server counts for this one where it has no newer experience of
-// its own. The values are ours.
+// How outlier advice is applied. The advice names servers to avoid and servers on trial, and is derived
+// from the failures that routers report. It does not apply to a server that has recently completed a
+// call of this router.
 const (
-	// adviceTTL is how long advice holds without an update.
+	// adviceTTL is how long advice is valid without an update.
 	adviceTTL = 3 * time.Second
-	// ownSuccessSpan is how long a success of this router outweighs advice.
+	// ownSuccessSpan is how long a success of this router overrides advice.
 	ownSuccessSpan = time.Second
-	// trialShare: one router of so many uses a server on trial.
-	trialShare = 8
+	// About one in routersPerTrial routers uses a given server on trial; routersPerTrial or fewer
+	// routers all use it.
+	routersPerTrial = 8
 )
 
-// SetOutliers takes the advice that package outlier draws from the reports of all routers. It
-// replaces earlier advice and lapses after adviceTTL.
+// SetOutliers applies the advice that package outlier derives from the reports of all routers. The
+// advice replaces earlier advice and expires after adviceTTL.
 func (s *Scheduler) SetOutliers(now time.Time, advice outlier.Advice) {
 	snap := s.snapshot.Load()
 	until := now.Add(adviceTTL).UnixNano()
@@ -42,17 +44,18 @@
 	}
 }
 
-// usesOnTrial tells whether this router is one of those that use a server on trial.
+// usesOnTrial reports whether this router is one of those that use a server on trial.
 func (s *Scheduler) usesOnTrial(b *backend) bool {
-	return s.routerCount() <= trialShare || rendezvousWeight(nameKey(s.options.Router), b.key)%trialShare == 0
+	return s.routerCount() <= routersPerTrial || rendezvousWeight(nameKey(s.options.Router), b.key)%routersPerTrial == 0
 }
 
-// outlier tells whether the server fails other routers and had no success with this one since.
+// outlier reports whether the server fails other routers' requests and has not served this
+// router successfully within ownSuccessSpan.
 func (b *backend) outlier(now time.Time) bool {
 	return now.UnixNano() < b.outlierUntil.Load() && now.UnixNano()-b.health.succeeded.Load() > int64(ownSuccessSpan)
 }
 
-// failures are the servers that failed since they were last reported.
+// failures is the set of servers that failed since the last report.
 type failures struct {
 	mutex   sync.Mutex
 	servers map[string]bool
@@ -67,7 +70,8 @@
 	f.servers[server] = true
 }
 
-// TakeFailures are the servers, sorted, that failed calls since the last call of it.
+// TakeFailures returns the names of the servers that failed calls since TakeFailures was called last,
+// sorted.
 func (s *Scheduler) TakeFailures() []string {
 	s.failures.mutex.Lock()
 	defer s.failures.mutex.Unlock()
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -9,98 +9,100 @@
 	"seamloom.example/seamloom/internal/outlier"
 )
 
-// TestOutliersAreLeft wants no call at a server that failed other routers, until they say
-// so no more.
-func TestOutliersAreLeft(t *testing.T) {
-	calls := opened(9)
-	state, decision := calls.Arrive(noon, chatCall("first"))
-	bad := decision.Server.Name
-	calls.Ended(noon, state, Outcome{Result: ClientGone})
-	calls.SetOutliers(noon, outlier.Advice{Ejected: []string{bad}})
+// TestOutliersAreAvoided checks that a server which fails other routers' requests gets no calls, until the
+// advice changes or expires.
+func TestOutliersAreAvoided(t *testing.T) {
+	sched := newTestScheduler(9)
+	state, decision := sched.Arrive(noon, chatCall("first"))
+	outlierName := decision.Server.Name
+	sched.Ended(noon, state, Outcome{Result: ClientGone})
+	sched.SetOutliers(noon, outlier.Advice{Ejected: []string{outlierName}})
 	count := func(now time.Time) int {
 		sent := 0
 		for number := range 40 {
 			now = now.Add(20 * time.Millisecond)
 			call := chatCall(fmt.Sprint(now.UnixNano(), number))
+			// Without the shared segments, rendezvous hashing spreads the calls over the servers.
 			call.Segments = call.Segments[2:]
-			callState, decision := calls.Arrive(now, call)
-			if decision.Server.Name == bad {
+			callState, decision := sched.Arrive(now, call)
+			if decision.Server.Name == outlierName {
 				sent++
 			}
-			calls.Ended(now, callState, Outcome{Result: Complete, FirstByte: now})
+			sched.Ended(now, callState, Outcome{Result: Complete, FirstByte: now})
 		}
 		return sent
 	}
 	if sent := count(noon); sent != 0 {
-		t.Errorf("%d calls at an outlier", sent)
+		t.Errorf("got %d calls at an outlier, want none", sent)
 	}
-	calls.SetOutliers(noon.Add(time.Second), outlier.Advice{})
+	sched.SetOutliers(noon.Add(time.Second), outlier.Advice{})
 	if sent := count(noon.Add(time.Second)); sent == 0 {
-		t.Error("no calls at a server that is no outlier any more")
+		t.Error("a server that is no longer an outlier got no calls")
 	}
-	calls.SetOutliers(noon.Add(2*time.Second), outlier.Advice{Ejected: []string{bad}})
+	sched.SetOutliers(noon.Add(2*time.Second), outlier.Advice{Ejected: []string{outlierName}})
 	if sent := count(noon.Add(2*time.Second + adviceTTL)); sent == 0 {
-		t.Error("old advice still holds")
+		t.Error("the server got no calls though the advice has expired")
 	}
 }
 
-// TestOwnSuccessOutweighsAdvice has a router that a server serves well go on using it.
-func TestOwnSuccessOutweighsAdvice(t *testing.T) {
-	calls := opened(9)
-	b := calls.snapshot.Load().byName["stove-5"]
+// TestOwnSuccessOverridesAdvice checks that a router goes on using a server that has just served it
+// successfully.
+func TestOwnSuccessOverridesAdvice(t *testing.T) {
+	sched := newTestScheduler(9)
+	b := sched.snapshot.Load().byName["stove-5"]
 	b.health.succeed(noon)
-	calls.SetOutliers(noon, outlier.Advice{Ejected: []string{"stove-5"}})
+	sched.SetOutliers(noon, outlier.Advice{Ejected: []string{"stove-5"}})
 	if b.outlier(noon.Add(ownSuccessSpan)) {
-		t.Error("a server that serves this router well is an outlier")
+		t.Error("a server counts as an outlier in spite of a recent success")
 	}
 	if !b.outlier(noon.Add(ownSuccessSpan + 1)) {
-		t.Error("an old success outweighs the others' word")
+		t.Error("an old success overrides the advice")
 	}
 }
 
-// TestFailingServersAreReported has a server that fails calls reported once, also when the call
-// is not idempotent, and one that turns calls away not at all.
+// TestFailingServersAreReported checks that a server that fails a call is reported once, even if the call is
+// not idempotent, and that a server that rejects a call is not reported.
 func TestFailingServersAreReported(t *testing.T) {
-	calls := opened(9)
-	state, decision := calls.Arrive(noon, chatCall("a"))
+	sched := newTestScheduler(9)
+	state, decision := sched.Arrive(noon, chatCall("a"))
 	failing := decision.Server.Name
-	decision = calls.Ended(noon, state, Outcome{Result: ErrorResponse, Status: 500, FirstByte: noon})
+	decision = sched.Ended(noon, state, Outcome{Result: ErrorResponse, Status: 500, FirstByte: noon})
 	if decision.Kind != PassThrough {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("got %+v, want the error response to be passed through", decision)
 	}
-	if to := calls.TakeFailures(); !slices.Equal(to, []string{failing}) {
-		t.Errorf("told of %v", to)
+	if reported := sched.TakeFailures(); !slices.Equal(reported, []string{failing}) {
+		t.Errorf("got failures of %v, want %s only", reported, failing)
 	}
-	state, decision = calls.Arrive(noon, chatCall("b"))
+	state, decision = sched.Arrive(noon, chatCall("b"))
 	if decision.Server.Name == failing {
-		t.Error("the next call goes to the server that has just failed one")
+		t.Error("the next call goes to the server that has just failed a call")
 	}
-	calls.Ended(noon, state, Outcome{Result: NotStarted, Status: 503})
-	if tl := calls.TakeFailures(); len(tl) != 0 {
-		t.Errorf("told of %v", tl)
+	sched.Ended(noon, state, Outcome{Result: NotStarted, Status: 503})
+	if reported := sched.TakeFailures(); len(reported) != 0 {
+		t.Errorf("got failures of %v, want none", reported)
 	}
 }
 
-// TestFewRoutersUseServersOnTrial has a server on trial used by some routers only.
+// TestFewRoutersUseServersOnTrial checks that only a small part of the routers uses a server on trial.
 func TestFewRoutersUseServersOnTrial(t *testing.T) {
-	trying := 0
+	using := 0
 	for number := range 90 {
-		calls := New(Options{Router: fmt.Sprint("courier-", number), Zone: "north"})
-		calls.SetRouterCount(90)
-		calls.SetRouteTable(Compile(plan(nil), 1, 1))
-		calls.SetServers(noon, servers(9))
-		calls.SetOutliers(noon, outlier.Advice{Trial: []string{"stove-5"}})
-		if !calls.snapshot.Load().byName["stove-5"].outlier(noon) {
-			trying++
+		sched := New(Options{Router: fmt.Sprint("courier-", number), Zone: "north"})
+		sched.SetRouterCount(90)
+		sched.SetRouteTable(Compile(testConfiguration(nil), 1, 1))
+		sched.SetServers(noon, servers(9))
+		sched.SetOutliers(noon, outlier.Advice{Trial: []string{"stove-5"}})
+		if !sched.snapshot.Load().byName["stove-5"].outlier(noon) {
+			using++
 		}
 	}
-	if trying < 3 || trying > 25 {
-		t.Errorf("%d of 90 routers try", trying)
+	if using < 3 || using > 25 {
+		t.Errorf("got %d of 90 routers that use the server, want 3 to 25", using)
 	}
 }
 
-// TestReasonsOfGivingUp wants the reason why a call is not retried.
-func TestReasonsOfGivingUp(t *testing.T) {
+// TestReasonsForNotRetrying checks the reason that a decision not to retry a call states.
+func TestReasonsForNotRetrying(t *testing.T) {
 	for want, given := range map[Reason]struct {
 		call     func(string) *Call
 		outcomes []Outcome
@@ -109,22 +111,22 @@
 		AttemptsUsed: {chatCall, []Outcome{{Result: NotStarted, Status: 503}}},
 		BudgetUsed:   {func(id string) *Call { return longCall(id, 77) }, []Outcome{{Result: TimedOut}}},
 	} {
-		calls := opened(9)
+		sched := newTestScheduler(9)
 		now := noon
-		state, decision := calls.Arrive(now, given.call("a"))
+		state, decision := sched.Arrive(now, given.call("a"))
 		for _, outcome := range given.outcomes {
-			decision = calls.Ended(now, state, outcome)
+			decision = sched.Ended(now, state, outcome)
 		}
 		if decision.Reason != want {
-			t.Errorf("%q, want %q: %+v", decision.Reason, want, decision)
+			t.Errorf("got reason %q, want %q: %+v", decision.Reason, want, decision)
 		}
 	}
-	calls := opened(9)
-	callState, _ := calls.Arrive(noon, longCall("a", 77))
-	if decision := calls.Ended(noon.Add(time.Minute), callState, Outcome{Result: TimedOut}); decision.Reason != DeadlineReached {
-		t.Errorf("%+v", decision)
+	sched := newTestScheduler(9)
+	callState, _ := sched.Arrive(noon, longCall("a", 77))
+	if decision := sched.Ended(noon.Add(time.Minute), callState, Outcome{Result: TimedOut}); decision.Reason != DeadlineReached {
+		t.Errorf("got %+v after the deadline, want the reason %s", decision, DeadlineReached)
 	}
-	if decision := calls.Ended(noon, callState, Outcome{Result: TimedOut}); decision.Kind != Done {
-		t.Errorf("after its end: %+v", decision)
+	if decision := sched.Ended(noon, callState, Outcome{Result: TimedOut}); decision.Kind != Done {
+		t.Errorf("got %+v for an ended call, want done", decision)
 	}
 }
--- a/internal/scheduler/pick.go
+++ b/internal/scheduler/pick.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// maxZones bounds the zones that are told apart when a decode server near a prefill server
-// is looked for; further ones share an index.
+// maxZones bounds the zones that are distinguished in the search for a decode server in the zone
+// of a prefill server; further zones share an index.
 const maxZones = 16
 
-// pickCheapest finds the dispatch with the lowest cost: a run at a server that reads the
-// prompt itself, or, if mayPrefill, a prefill followed by a run with its KV cache.
+// pickCheapest finds the dispatch with the lowest cost: a run at a server that reads the prompt
+// itself or, if mayPrefill is set, a prefill followed by a run with its KV cache.
 func (c *cycle) pickCheapest(mayPrefill bool) (kind DecisionKind, best candidate, found bool) {
 	c.findHomes()
 	var decode decodeCandidates
@@ -21,29 +21,30 @@
 		if !b.prefills() || !c.eligible(b) {
 			continue
 		}
-		offered, may := c.scorePrefill(b)
-		if !may {
+		scored, ok := c.scorePrefill(b)
+		if !ok {
 			continue
 		}
 		cost, latency := c.decodeAfter(b, &decode)
-		offered.cost += cost
-		offered.latency += latency
-		if !found || offered.cost < best.cost {
-			kind, best, found = Prefill, offered, true
+		scored.cost += cost
+		scored.latency += latency
+		if !found || scored.cost < best.cost {
+			kind, best, found = Prefill, scored, true
 		}
 	}
 	return kind, best, found
 }
 
-// decodeCandidates are the cheapest runs with the KV cache of a prefill, without the
-// transfer: in each zone and anywhere. One without a backend is none.
+// decodeCandidates are the cheapest runs with the KV cache of a prefill, in each zone and in all
+// zones. Their costs don't include the transfer. A candidate without a backend is absent.
 type decodeCandidates struct {
 	byZone   [maxZones]candidate
 	anywhere candidate
 }
 
-// scoreGenerating scores the servers that make answers: it gives the cheapest run without a
-// transfer and, if mayPrefill, fills in those with one. It also measures freeShare.
+// scoreGenerating scores the servers that generate answers. It returns the cheapest run without a
+// transfer and, if mayPrefill is set, stores the cheapest runs with a transfer in decode. It also
+// sets freeShare.
 func (c *cycle) scoreGenerating(mayPrefill bool, decode *decodeCandidates) (direct candidate) {
 	slots, taken := 0.0, 0.0
 	for _, b := range c.backends {
@@ -52,15 +53,15 @@
 		}
 		slots += c.slots(b)
 		taken += min(c.callsAt(b), c.slots(b))
-		if offered, may := c.scoreDirect(b); may {
-			direct.keepCheaper(offered)
+		if scored, ok := c.scoreDirect(b); ok {
+			direct.keepCheaper(scored)
 		}
 		if !mayPrefill {
 			continue
 		}
-		if offered, may := c.scoreDecode(b); may {
-			decode.anywhere.keepCheaper(offered)
-			decode.byZone[b.zoneIndex%maxZones].keepCheaper(offered)
+		if scored, ok := c.scoreDecode(b); ok {
+			decode.anywhere.keepCheaper(scored)
+			decode.byZone[b.zoneIndex%maxZones].keepCheaper(scored)
 		}
 	}
 	if slots > 0 {
@@ -69,16 +70,17 @@
 	return direct
 }
 
-// keepCheaper replaces the candidate by a cheaper one, or by the first; of equal ones the
-// earlier stays.
+// keepCheaper replaces the candidate by the other one if the other one is cheaper, or if there is no
+// candidate yet. Of two candidates with equal costs the earlier one stays.
 func (cd *candidate) keepCheaper(other candidate) {
 	if cd.backend == nil || other.cost < cd.cost {
 		*cd = other
 	}
 }
 
-// decodeAfter is what the run after a server's prefill costs and how long it takes to its
-// first event, transfer included: on the cheapest server, or on the cheapest of the zone.
+// decodeAfter returns the cost of the run after a server's prefill and the time until the run's first
+// event, both including the transfer. It compares the cheapest decode server of all with the cheapest
+// decode server in the prefill server's zone.
 func (c *cycle) decodeAfter(b *backend, decode *decodeCandidates) (cost, latency float64) {
 	transferCost, transferLatency := c.transferCost(b, decode.anywhere.backend)
 	cost, latency = decode.anywhere.cost+transferCost, decode.anywhere.latency+transferLatency
@@ -93,32 +95,32 @@
 	return cost, latency
 }
 
-// pickDecode finds the server that makes the answer from the KV cache of a prefill, or one
-// that reads the prompt itself where that is much better.
+// pickDecode finds the decode server for the run after a prefill. The server gets the prefill's KV
+// cache, or reads the prompt itself if that is cheaper although the prefill is then wasted.
 func (c *cycle) pickDecode(prefillServer *backend) (kind DecisionKind, best candidate, found bool) {
 	c.findHomes()
 	for _, b := range c.backends {
 		if !b.decodesOnly() || !c.eligible(b) {
 			continue
 		}
-		if offered, may := c.scoreDecode(b); may {
+		if scored, ok := c.scoreDecode(b); ok {
 			cost, latency := c.transferCost(prefillServer, b)
-			offered.cost += cost
-			offered.latency += latency
-			offered.ownLatency = offered.latency
-			offered.usesKV = true
-			best.keepCheaper(offered)
+			scored.cost += cost
+			scored.latency += latency
+			scored.ownLatency = scored.latency
+			scored.usesKV = true
+			best.keepCheaper(scored)
 		}
-		if offered, may := c.scoreDirect(b); may {
-			offered.cost += c.weights.wastedThousand * float64(c.state.call.PromptTokens) / 1000
-			best.keepCheaper(offered)
+		if scored, ok := c.scoreDirect(b); ok {
+			scored.cost += c.weights.wastedPerThousand * float64(c.state.call.PromptTokens) / 1000
+			best.keepCheaper(scored)
 		}
 	}
 	return Generate, best, best.backend != nil
 }
 
-// pickAdmitted repeats a pick until the picked server's rate limit lets the call through: a
-// call to a warming server is counted before it is sent, and another thread may be first.
+// pickAdmitted repeats a pick until the rate limit of the picked server admits the call. The first
+// pick may fail for a warming server, since another thread may use up its rate limit meanwhile.
 func (c *cycle) pickAdmitted(pick func() (DecisionKind, candidate, bool)) (DecisionKind, candidate, bool) {
 	for {
 		kind, best, found := pick()
@@ -132,9 +134,10 @@
 	}
 }
 
-// findHomes finds the home servers of the call's chain by rendezvous hashing, the same at
-// every router: the two prefill servers of most weight, and the decode server of most
-// weight in the zone of the first of them, or of all zones if that one has none.
+// findHomes finds the home servers of the call's chain by rendezvous hashing, so that all routers
+// find the same ones: the two prefill servers with the highest weights, and the decode server with
+// the highest weight in the zone of the first prefill server, or in all zones if that zone has no
+// decode server.
 func (c *cycle) findHomes() {
 	var homeWeight, nextWeight, decodeWeight uint64
 	var decodeByZone [maxZones]*backend
@@ -169,7 +172,7 @@
 	}
 }
 
-// homeLikelihood is how surely, from 0 to 1, a server has the call's shared prefix cached
+// homeLikelihood returns the likelihood, from 0 to 1, that a server has the call's shared prefix cached
 // because it is one of the chain's homes.
 func (c *cycle) homeLikelihood(b *backend) float64 {
 	switch b {
--- a/internal/scheduler/prefixcache.go
+++ b/internal/scheduler/prefixcache.go
@@ -6,8 +6,9 @@
 	"sync/atomic"
 )
 
-// prefixCache is the router's model of a server's prefix cache: the segments of the prompts
-// that it sent there, least recently used evicted first, as far as the server's memory goes.
+// prefixCache is the router's model of a server's prefix cache. It holds the segments of the
+// prompts that the router sent to the server, as many as fit into the server's memory; the least
+// recently used segment is evicted first.
 type prefixCache struct {
 	mutex    sync.Mutex
 	segments map[uint64]*list.Element
@@ -16,87 +17,90 @@
 	count    atomic.Int64
 }
 
+// cachedSegment is a segment in a prefix cache. weight is the memory that it takes up, in tokens.
 type cachedSegment struct {
 	id     uint64
 	tokens int
 	weight int
 }
 
-// block is how many tokens KV cache memory is allocated by.
-const block = 16
+// blockTokens is the unit of KV cache memory allocation, in tokens.
+const blockTokens = 16
 
-// cachedTokens counts the tokens of a chain's leading segments that count as cached.
-func (k *prefixCache) cachedTokens(parts []Segment) int {
-	if k.count.Load() == 0 {
+// cachedTokens returns the number of tokens in the leading segments of a prompt that are in the cache.
+func (p *prefixCache) cachedTokens(prompt []Segment) int {
+	if p.count.Load() == 0 {
 		return 0
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	tokens := 0
-	for _, part := range parts {
-		element, found := k.segments[part.ID]
-		if !found || element.Value.(*cachedSegment).tokens < part.Tokens {
+	for _, segment := range prompt {
+		element, found := p.segments[segment.ID]
+		if !found || element.Value.(*cachedSegment).tokens < segment.Tokens {
 			break
 		}
-		tokens += part.Tokens
+		tokens += segment.Tokens
 	}
 	return tokens
 }
 
-// add counts a prompt as used at the server just now. room is the server's memory in tokens,
-// most the bound on segments; others is how many routers send such prompts there: their own
-// segments evict as many as this one's.
-func (k *prefixCache) add(parts []Segment, memoryTotal, others, most int) {
-	if len(parts) == 0 {
+// add records that the server has just used a prompt. memoryTotal is the server's memory in
+// tokens and maxSegments the maximum number of segments. routers is the number of routers that
+// share the server. The last segment of a prompt is counted once for each router, because the other
+// routers send prompts with different last segments, which take up as much cache memory.
+func (p *prefixCache) add(prompt []Segment, memoryTotal, routers, maxSegments int) {
+	if len(prompt) == 0 {
 		return
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.segments == nil {
-		k.segments, k.order = map[uint64]*list.Element{}, list.New()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.segments == nil {
+		p.segments, p.order = map[uint64]*list.Element{}, list.New()
 	}
-	// The last segment is evicted first: a segment is of use only after those before it.
-	for position := len(parts) - 1; position >= 0; position-- {
-		part := parts[position]
-		weight := (part.Tokens + block - 1) / block * block
-		if position == len(parts)-1 {
-			weight *= max(1, others)
+	// The loop runs backwards so that the prompt's last segment becomes the least recently used and is
+	// evicted first: a segment is useful only while all segments before it are cached.
+	for position := len(prompt) - 1; position >= 0; position-- {
+		segment := prompt[position]
+		weight := (segment.Tokens + blockTokens - 1) / blockTokens * blockTokens
+		if position == len(prompt)-1 {
+			weight *= max(1, routers)
 		}
-		if element, found := k.segments[part.ID]; found {
+		if element, found := p.segments[segment.ID]; found {
 			known := element.Value.(*cachedSegment)
-			k.tokens += weight - known.weight
-			known.tokens, known.weight = max(known.tokens, part.Tokens), weight
-			k.order.MoveToFront(element)
+			p.tokens += weight - known.weight
+			known.tokens, known.weight = max(known.tokens, segment.Tokens), weight
+			p.order.MoveToFront(element)
 			continue
 		}
-		k.segments[part.ID] = k.order.PushFront(&cachedSegment{id: part.ID, tokens: part.Tokens, weight: weight})
-		k.tokens += weight
+		p.segments[segment.ID] = p.order.PushFront(&cachedSegment{id: segment.ID, tokens: segment.Tokens, weight: weight})
+		p.tokens += weight
 	}
-	for k.order.Len() > 0 && (k.tokens > memoryTotal || k.order.Len() > most) {
-		oldest := k.order.Back()
-		gone := k.order.Remove(oldest).(*cachedSegment)
-		delete(k.segments, gone.id)
-		k.tokens -= gone.weight
+	for p.order.Len() > 0 && (p.tokens > memoryTotal || p.order.Len() > maxSegments) {
+		oldest := p.order.Back()
+		evicted := p.order.Remove(oldest).(*cachedSegment)
+		delete(p.segments, evicted.id)
+		p.tokens -= evicted.weight
 	}
-	k.count.Store(int64(k.order.Len()))
+	p.count.Store(int64(p.order.Len()))
 }
 
-// forget drops the segments of a prompt that was not read after all, behind the tokens that
-// were cached before.
-func (k *prefixCache) forget(parts []Segment, known int) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.order == nil {
-		// Nothing was ever read there.
+// forget removes the segments of a prompt that the server did not process after all. It keeps the
+// segments in the leading cachedBefore tokens, which were cached before the prompt was sent.
+func (p *prefixCache) forget(prompt []Segment, cachedBefore int) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.order == nil {
+		// No prompt has been added yet.
 		return
 	}
-	at := 0
-	for _, part := range parts {
-		at += part.Tokens
-		if element, found := k.segments[part.ID]; found && at > known {
-			k.tokens -= k.order.Remove(element).(*cachedSegment).weight
-			delete(k.segments, part.ID)
+	end := 0
+	for _, segment := range prompt {
+		end += segment.Tokens
+		if element, found := p.segments[segment.ID]; found && end > cachedBefore {
+			p.tokens -= p.order.Remove(element).(*cachedSegment).weight
+			delete(p.segments, segment.ID)
 		}
 	}
-	k.count.Store(int64(k.order.Len()))
+	p.count.Store(int64(p.order.Len()))
 }
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// fallback is what the origin gets when nothing more is tried: PassThrough for an error
-// response of a server; empty if there is none.
+// fallback is the decision for a call that is not retried: PassThrough if a server sent an error
+// response that can be forwarded; otherwise empty.
 type fallback DecisionKind
 
-// nextDispatch finds the next dispatch, or ends the call.
+// nextDispatch decides the call's next dispatch, or ends the call.
 func (s *Scheduler) nextDispatch(now time.Time, state *CallState, last fallback) Decision {
 	if reason := state.exhausted(now); reason != "" {
 		return s.end(now, state, last, retryAfterSoon, reason)
@@ -19,102 +19,104 @@
 		return c.pickCheapest(c.mayPrefill())
 	})
 	if found && !best.usesKV && kind == Generate && state.attempts > 0 && best.cost > c.maxRetryCost() {
-		// There is capacity for it as a new call, which may be prefilled elsewhere.
+		// If the origin sends the call again, it may be prefilled at another server with capacity.
 		return s.end(now, state, last, minRetryAfter, TooCostly)
 	}
 	if !found || state.source == nil && c.tooLate(best) {
 		return s.end(now, state, last, c.retryAfter(best, found), NoCapacity)
 	}
-	if !c.payRetries() {
+	if !c.chargeRetries() {
 		return s.end(now, state, last, retryAfterSoon, BudgetUsed)
 	}
 	decision := c.dispatch(kind, best)
-	if kind == Prefill && state.prefillTaken {
+	if kind == Prefill && state.prefillCompleted {
 		state.dispatch.countedAttempt = true
 		state.attempts++
 	}
 	return decision
 }
 
-// mayPrefill tells whether the call may be prefilled again. A second prefill counts as an
-// attempt, and there must be one more for the run after it.
+// mayPrefill reports whether the next dispatch may be a prefill. A second prefill counts as an
+// attempt, and one more attempt must be left for the run after it.
 func (c *cycle) mayPrefill() bool {
 	state := c.state
-	again := state.prefillTaken || state.streamBegun
+	again := state.prefillCompleted || state.streamBegun
 	return !state.noTransfer && (!again || state.attempts+1 < state.routeRule.calls.MaxAttempts)
 }
 
-// payRetries takes from the retry budget what the call was sent beyond its first attempt and
-// has not paid for yet, a reserved retry first; false if the budget is used up.
-func (c *cycle) payRetries() bool {
+// chargeRetries charges the call's attempts that have not been charged yet to the retry budget,
+// the reserved retry first. It returns false if the budget is used up.
+func (c *cycle) chargeRetries() bool {
 	state, allowance := c.state, c.scheduler.options.Retries
-	owed := state.attempts - state.paidAttempts
-	if owed > 0 && state.reserved {
+	uncharged := state.attempts - state.chargedAttempts
+	if uncharged > 0 && state.reserved {
 		c.serviceState.retries.redeem(c.now, allowance)
 		state.reserved = false
-		state.paidAttempts++
-		owed--
+		state.chargedAttempts++
+		uncharged--
 	}
-	if !c.serviceState.retries.spend(c.now, owed, allowance, c.scheduler.budgetShares()) {
+	if !c.serviceState.retries.spend(c.now, uncharged, allowance, c.scheduler.budgetShares()) {
 		return false
 	}
-	state.paidAttempts = max(state.paidAttempts, state.attempts)
+	state.chargedAttempts = max(state.chargedAttempts, state.attempts)
 	return true
 }
 
-// maxRetryCost is what a further run may cost: more where a stream has begun, which would be
-// broken off.
+// maxRetryCost returns the maximum cost of a further run. The maximum is higher if a stream has begun,
+// since the stream is broken off if the call is not retried.
 func (c *cycle) maxRetryCost() float64 {
 	if c.state.streamBegun {
-		return begunWeight * c.weights.refusal
+		return brokenStreamFactor * c.weights.refusal
 	}
 	return c.weights.refusal
 }
 
-// begunWeight is how many times as much it costs to break a stream off as to refuse a call.
-const begunWeight = 4
+// brokenStreamFactor is the cost of breaking a stream off relative to refusing a call.
+const brokenStreamFactor = 4
 
-// exhausted tells why the call is not retried, or nothing if it may be. A call that may have
-// run and is not idempotent never runs again.
-func (t *CallState) exhausted(now time.Time) Reason {
+// exhausted returns the reason why the call can't be retried, or an empty reason if it can. A call
+// that may have run and is not idempotent never runs again, and neither does a call whose stream has
+// begun and can't be resumed.
+func (state *CallState) exhausted(now time.Time) Reason {
 	switch {
-	case t.mayHaveRun && !t.idempotent(), t.streamBegun && !t.routeRule.calls.Resumable:
+	case state.mayHaveRun && !state.idempotent(), state.streamBegun && !state.routeRule.calls.Resumable:
 		return MayHaveRun
-	case !now.Before(t.deadline):
+	case !now.Before(state.deadline):
 		return DeadlineReached
-	case t.attempts >= max(1, t.routeRule.calls.MaxAttempts):
+	case state.attempts >= max(1, state.routeRule.calls.MaxAttempts):
 		return AttemptsUsed
 	}
 	return ""
 }
 
-// end ends the call with the decision for when nothing more is tried.
+// end ends a call that is not retried.
 func (s *Scheduler) end(now time.Time, state *CallState, last fallback, after time.Duration, reason Reason) Decision {
 	decision := state.fallbackDecision(now, last, after)
 	decision.Reason = reason
 	return s.finish(now, state, decision)
 }
 
-// fallbackDecision is the call's last decision, by what its origin may be told.
-func (t *CallState) fallbackDecision(now time.Time, last fallback, after time.Duration) Decision {
-	late := !now.Before(t.deadline)
+// fallbackDecision returns the last decision for a call that is not retried. It differs by whether a
+// stream has begun, whether the call may have run, and whether the deadline has passed.
+func (state *CallState) fallbackDecision(now time.Time, last fallback, after time.Duration) Decision {
+	late := !now.Before(state.deadline)
 	switch {
 	case last != "":
 		return Decision{Kind: DecisionKind(last)}
-	case t.streamBegun:
+	case state.streamBegun:
 		return Decision{Kind: BreakStream}
-	case t.mayHaveRun && late:
+	case state.mayHaveRun && late:
 		return Decision{Kind: Refuse, Cause: OutcomeUnknownLate}
-	case t.mayHaveRun:
+	case state.mayHaveRun:
 		return Decision{Kind: Refuse, Cause: OutcomeUnknown}
 	case late:
 		return Decision{Kind: Refuse, Cause: DeadlinePassed}
 	}
-	return refusal(Saturated, after, t.deadline.Sub(now))
+	return refusal(Saturated, after, state.deadline.Sub(now))
 }
 
-// finish ends the call: it gives back its reserved retry, its backlog entry and the KV caches
-// that nobody takes.
+// finish ends the call: it releases the call's reserved retry, its backlog entry and its KV caches
+// that no run has used.
 func (s *Scheduler) finish(now time.Time, state *CallState, decision Decision) Decision {
 	if state.reserved {
 		state.reserved = false
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -5,48 +5,52 @@
 	"time"
 )
 
-// RetryAllowance bounds retries: in any window, over all routers, at most Ratio of the calls
-// in it and Slack besides. Defaults: DefaultRetryAllowance.
+// RetryAllowance bounds the retries of all routers together: any window allows Ratio times the number
+// of calls in the window, plus Slack. The defaults are those of DefaultRetryAllowance.
 type RetryAllowance struct {
-	// Ratio is retries per call, default 0.2.
+	// Ratio is the number of retries per call; default 0.2.
 	Ratio float64
-	// Slack is how many retries a window allows whatever the calls, default 10.
+	// Slack is the number of retries that a window allows in addition, regardless of its calls;
+	// default 10.
 	Slack float64
-	// Window is the span that both hold for, default 10 s.
+	// Window is the length of time to which Ratio and Slack apply; default 10 s.
 	Window time.Duration
 }
 
-// DefaultRetryAllowance is a fifth of the calls and ten retries in ten seconds.
+// DefaultRetryAllowance allows a retry for a fifth of the calls, plus ten retries, in any ten
+// seconds.
 func DefaultRetryAllowance() RetryAllowance {
 	return RetryAllowance{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 }
 
-// retryBudget bounds what one router sends for a service beyond the first dispatch of each
-// call, so that all routers together stay in the allowance: in any window a part of its own
-// calls in it, and its share of the slack. A burst of failures may use all of it at once. The
-// zero value is ready to use; it has no slack at first, since the router may have been
-// restarted after it had used its share.
+// retryBudget bounds the retries of one router for a service, so that all routers together keep
+// within the allowance. In any window it allows a ratio of the router's own calls, plus the
+// router's share of the slack. A burst of failures may use the whole budget at once. The zero
+// value is ready to use. It has no slack at first, since the router may have been restarted after
+// it had used its share.
 type retryBudget struct {
 	mutex sync.Mutex
-	// since is when the budget was first used, slot the number of the newest slot.
+	// since is when the budget was first used; slot is the number of the newest slot.
 	since time.Time
 	slot  int64
 	slots [budgetSlots]budgetSlot
-	// reserved are retries that calls in flight may need.
+	// reserved is the number of reserved retries, which calls in flight may need.
 	reserved int
 }
 
-// budgetSlot counts first and further dispatches in a part of the window.
+// budgetSlot counts first and further dispatches in one part of the window.
 type budgetSlot struct{ first, further int }
 
-// How the allowance is divided: how many slots a window has, and how much of the ratio and of
-// the slack is used. What is left is for slots that are partly outside of the window, and for
-// routers that are not counted yet. reservableShare is the part of the budget that may be
-// reserved. The values are ours.
+// How the allowance is used.
 const (
-	budgetSlots     = 25
-	ratioUsed       = 0.85
-	slackUsed       = 0.6
+	// budgetSlots is the number of slots that are kept; a window is as long as all of them but one.
+	budgetSlots = 25
+	// ratioUsed and slackUsed are the shares of the ratio and of the slack that are used. The
+	// margin covers slots that lie partly outside of the window, and routers that are not counted
+	// yet.
+	ratioUsed = 0.85
+	slackUsed = 0.6
+	// reservableShare is the share of the budget that may be reserved.
 	reservableShare = 0.5
 )
 
@@ -57,7 +61,7 @@
 	r.advance(now, allowance).first++
 }
 
-// spend counts so many retries, or returns false if the budget does not allow them.
+// spend counts the given number of retries, or returns false if the budget does not allow them.
 func (r *retryBudget) spend(now time.Time, count int, allowance RetryAllowance, routers int) bool {
 	if count <= 0 {
 		return true
@@ -72,8 +76,8 @@
 	return true
 }
 
-// reserve holds a retry for a call that may need one, out of a part of the budget: the rest is
-// for calls that do need one.
+// reserve reserves a retry for a call that may need one. Only reservableShare of the budget can be
+// reserved; the rest is left for calls that do need a retry.
 func (r *retryBudget) reserve(now time.Time, allowance RetryAllowance, routers int) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -93,14 +97,14 @@
 	r.reserved--
 }
 
-// release gives a reserved retry back.
+// release returns a reserved retry that was not needed.
 func (r *retryBudget) release() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.reserved--
 }
 
-// used is how many retries were sent in the window or are reserved.
+// used returns the number of retries that were sent in the window or are reserved.
 func (r *retryBudget) used() float64 {
 	used := r.reserved
 	for _, slot := range r.slots {
@@ -109,24 +113,24 @@
 	return float64(used)
 }
 
-// allowed is how many retries the window allows. The slack grows from zero over the first
-// window.
+// allowed returns the number of retries that the window allows. The slack grows from zero during the
+// first window.
 func (r *retryBudget) allowed(now time.Time, allowance RetryAllowance, routers int) float64 {
 	calls := 0
 	for _, slot := range r.slots {
 		calls += slot.first
 	}
-	s := allowance.Slack * slackUsed / float64(max(1, routers))
+	slack := allowance.Slack * slackUsed / float64(max(1, routers))
 	grown := min(1, now.Sub(r.since).Seconds()/allowance.Window.Seconds())
-	return allowance.Ratio*ratioUsed*float64(calls) + s*grown
+	return allowance.Ratio*ratioUsed*float64(calls) + slack*grown
 }
 
-// advance goes on to the slot of now and empties those that are outside of the window.
+// advance moves on to the slot of the current time and clears the slots that have left the window.
 func (r *retryBudget) advance(now time.Time, allowance RetryAllowance) *budgetSlot {
 	if r.since.IsZero() {
 		r.since = now
 	}
-	// One slot less than there are makes a window, so that the oldest is outside of it.
+	// A window is one slot shorter than all slots together, so that the slots always cover it.
 	length := allowance.Window / (budgetSlots - 1)
 	current := now.Sub(r.since).Nanoseconds() / length.Nanoseconds()
 	for steps := 0; r.slot < current && steps < budgetSlots; steps++ {
--- a/internal/scheduler/rolebalancer.go
+++ b/internal/scheduler/rolebalancer.go
@@ -10,75 +10,80 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// RoleBalancer decides how many servers of a service read prompts and how many make answers.
-// An order costs the server's work for a while and moves the homes of some chains, so one is
-// given only for a need that was seen several times, and no other for a while after it.
+// RoleBalancer decides how many servers of a service read prompts and how many generate answers,
+// and orders servers to change their roles. During a change the server does no work, and after it
+// some chains have other home servers. An order is therefore given only for a need that was seen
+// in several consecutive decisions, and not shortly after another order.
 type RoleBalancer struct {
 	mutex        sync.Mutex
 	services     map[string]*servicePool
 	lastDecision time.Time
 }
 
-// servicePool is what the balancer remembers of one service.
+// servicePool is the balancer's state of one service.
 type servicePool struct {
-	// wantedRole is the role that more servers need, needSeen how many times in a row that
-	// was so.
+	// wantedRole is the role that needs more servers; needSeen is the number of consecutive
+	// decisions that saw this need.
 	wantedRole string
 	needSeen   int
-	// orderedAt and lastRole are of the last order.
+	// orderedAt and lastRole are the time and the role of the last order.
 	orderedAt time.Time
 	lastRole  string
-	// idleSince is since when the servers have had nothing to do; zero while they have.
+	// idleSince is when the service became idle; zero if it is not idle.
 	idleSince time.Time
 }
 
-// When and how far the roles are changed. The values are ours.
+// Conditions and limits for role changes.
 const (
-	// decisionInterval is between two decisions, needConfirmations how many decisions in a
-	// row must see a need.
+	// decisionInterval is the least time between two decisions. needConfirmations is the number of
+	// consecutive decisions that must see a need before an order is given.
 	decisionInterval  = 500 * time.Millisecond
 	needConfirmations = 3
 	// orderInterval is the least time between two orders, reversalInterval between an order
-	// and one that takes it back.
+	// and one that reverses it.
 	orderInterval    = 3 * time.Second
 	reversalInterval = 12 * time.Second
-	// Parts of the prefill servers that are busy: at prefillBusyHigh more of them are wanted,
-	// as many as bring it down to prefillBusyTarget; one is given up if the rest would be
-	// below prefillBusyLow.
+	// Shares of the prefill servers that are busy. Above prefillBusyHigh, more prefill servers
+	// are needed, as many as bring the share down to prefillBusyTarget. One can be given up if
+	// the busy share of the remaining ones would be below prefillBusyLow.
 	prefillBusyTarget = 0.38
 	prefillBusyHigh   = 0.5
 	prefillBusyLow    = 0.35
-	// Parts of the decode servers' slots that are used: slotsTarget may be, at slotsHigh a
-	// prefill server is taken back for them.
+	// Shares of the decode servers' slots that are in use. Orders for prefill leave at least as
+	// many decode servers as keep the share at slotsTarget. Above slotsHigh, a prefill server that
+	// can be given up becomes a decode server.
 	slotsTarget = 0.3
 	slotsHigh   = 0.5
-	// reservedDecodeShare is the part of the servers that no order takes from making
-	// answers, reservedDecodeFew how many of them in a small service, where that is under
-	// reservedDecodeFewShare of all: two servers that fail at once must leave enough of them,
-	// since roles change late. Below urgentDecodeShare a prefill server makes answers again,
-	// whatever the demand.
-	reservedDecodeShare    = 0.33
-	reservedDecodeFew      = 4
-	reservedDecodeFewShare = 0.4
-	urgentDecodeShare      = 0.3
-	// serversPerOrder is how many servers there are for each order given at once.
+	// Orders for prefill leave at least reservedDecodeShare of the servers as decode servers, and in
+	// a small service at least smallReservedDecode servers, limited to smallReservedDecodeShare of
+	// all. Since a role change takes a while, enough decode servers must be left when two of them
+	// fail at once. If less than urgentDecodeShare of the servers are decode servers, a prefill
+	// server becomes a decode server regardless of the demand.
+	reservedDecodeShare      = 0.33
+	smallReservedDecode      = 4
+	smallReservedDecodeShare = 0.4
+	urgentDecodeShare        = 0.3
+	// serversPerOrder limits the prefill orders that one decision gives because of the demand: one
+	// for every serversPerOrder servers, and at least one. Orders to an idle service have no such limit.
 	serversPerOrder = 4
-	// orderTimeout is how long a server may take to carry an order out.
+	// orderTimeout is how long a server may take to carry out an order.
 	orderTimeout = 20 * time.Second
-	// A service that has had no more than idleCalls for idleDelay gets as many prefill
-	// servers as orders may make: roles that change under traffic cost the KV caches that
-	// move, and prefill fills up first, since nothing is cached at the start.
+	// A service is idle while the mean numbers of its busy prefill servers and of its calls at
+	// decode servers add up to at most idleCalls. After idleDelay an idle service gets as many
+	// prefill servers as the reserved decode servers allow: role changes under traffic lose the KV
+	// caches of the servers, and prefill servers are the first to be overloaded, since no prompt is
+	// cached when traffic begins.
 	idleDelay = 3 * time.Second
 	idleCalls = 0.05
-	// zoneWeight sets the zones' balance above the servers' work in lightest.
+	// zoneWeight makes the balance of the zones count more than the servers' load in bestToSwitch.
 	zoneWeight = 1000
 )
 
-// NewRoleBalancer makes a balancer that remembers nothing; a new leader's starts so.
+// NewRoleBalancer makes a balancer without history, for a controller that has just begun to lead.
 func NewRoleBalancer() *RoleBalancer { return &RoleBalancer{services: map[string]*servicePool{}} }
 
-// Decide gives the orders that are needed now, by what the scheduler knows of its servers. It
-// gives none before the next decisionInterval.
+// Decide returns the orders that are needed now, according to the scheduler's state of the servers.
+// It returns none until decisionInterval has passed since the last decision.
 func (rb *RoleBalancer) Decide(now time.Time, sched *Scheduler) []codec.Order {
 	rb.mutex.Lock()
 	defer rb.mutex.Unlock()
@@ -89,17 +94,17 @@
 	rb.lastDecision = now
 	var orders []codec.Order
 	for _, name := range routes.serviceNames {
-		service, known := rb.services[name]
+		pool, known := rb.services[name]
 		if !known {
-			service = &servicePool{}
-			rb.services[name] = service
+			pool = &servicePool{}
+			rb.services[name] = pool
 		}
-		orders = append(orders, service.decide(now, sched, routes, routes.services[name])...)
+		orders = append(orders, pool.decide(now, sched, routes, routes.services[name])...)
 	}
 	return orders
 }
 
-// decide gives the orders for one service.
+// decide returns the orders for one service.
 func (p *servicePool) decide(
 	now time.Time, sched *Scheduler, routes *RouteTable, service *config.Service,
 ) []codec.Order {
@@ -107,14 +112,14 @@
 	if !stable || r.all() < 2 || now.Sub(p.orderedAt) < orderInterval {
 		return nil
 	}
-	// At least one of each, whatever the demand.
+	// There must be at least one server of each role, regardless of the demand.
 	switch {
 	case len(r.prefill) == 0:
 		return p.order(now, r, change{role: prefill, cause: "no server reads prompts", count: 1})
 	case len(r.decode) == 0:
 		return p.order(now, r, change{role: decode, cause: "no server makes answers", count: 1})
 	}
-	busy, running, known := sched.serviceState(service.Name).demand.now(now)
+	busy, running, known := sched.serviceState(service.Name).demand.average(now)
 	if !known {
 		return nil
 	}
@@ -126,15 +131,15 @@
 	if slots == 0 {
 		slots = defaultSlots
 	}
-	needed, urgent := need(r, busy, running, slots)
+	needed, urgent := neededChange(r, busy, running, slots)
 	if !p.confirmed(now, needed.role, urgent) {
 		return nil
 	}
 	return p.order(now, r, needed)
 }
 
-// idlePrefill is how many more prefill servers an idle service gets, zero or less if none. It
-// notes since when the service is idle.
+// idlePrefill returns the number of further prefill servers that an idle service gets; zero or less
+// means none. It records since when the service is idle.
 func (p *servicePool) idlePrefill(now time.Time, r roles, calls float64) int {
 	if calls > idleCalls {
 		p.idleSince = time.Time{}
@@ -150,8 +155,8 @@
 	return r.all() - reservedDecode(r.all()) - len(r.prefill)
 }
 
-// confirmed counts a need and tells whether it was seen often enough to be ordered. One that
-// takes the last order back waits longer, unless it is urgent.
+// confirmed counts a need and reports whether it was seen often enough for an order. An order that
+// reverses the last one has to wait for reversalInterval, unless it is urgent.
 func (p *servicePool) confirmed(now time.Time, role string, urgent bool) bool {
 	if role == "" || role != p.wantedRole {
 		p.needSeen, p.wantedRole = 0, role
@@ -167,37 +172,39 @@
 	return urgent || !reverses || now.Sub(p.orderedAt) >= reversalInterval
 }
 
-// order words the orders of a change; the pool that gives servers keeps one.
+// order returns the orders of a change. The role that servers are taken from keeps at least one
+// server.
 func (p *servicePool) order(now time.Time, r roles, c change) []codec.Order {
 	p.needSeen, p.wantedRole, p.orderedAt, p.lastRole = 0, "", now, c.role
 	var orders []codec.Order
 	for range c.count {
-		chosen := lightest(r, c.role)
+		chosen := bestToSwitch(r, c.role)
 		orders = append(orders, codec.Order{
-			Server:   chosen.server.Name,
-			Part:     c.role,
-			Patience: orderTimeout,
-			Cause:    c.cause,
+			Server:      chosen.server.Name,
+			Role:        c.role,
+			GracePeriod: orderTimeout,
+			Cause:       c.cause,
 		})
-		r = r.moved(chosen, c.role)
-		if len(r.giving(c.role)) < 2 {
+		r = r.afterMove(chosen, c.role)
+		if len(r.donors(c.role)) < 2 {
 			break
 		}
 	}
 	return orders
 }
 
-// change is a role that so many servers are to take, and why.
+// change is a role change: count servers are to take the role, for the reason given by cause.
 type change struct {
 	role  string
 	cause string
 	count int
 }
 
-// need is the change that the demand calls for; its role is empty if none. busy is how many
-// prefill servers are busy, running how many calls the decode servers have, slots how many one
-// of them may have. urgent tells that decode servers went and too few are left.
-func need(r roles, busy, running, slots float64) (needed change, urgent bool) {
+// neededChange returns the change that the demand requires; its role is empty if it requires none.
+// busy is the number of busy prefill servers, running the number of calls at the decode servers,
+// and slots the number of slots of one decode server. urgent reports whether less than
+// urgentDecodeShare of the servers are decode servers, for example because some have failed.
+func neededChange(r roles, busy, running, slots float64) (needed change, urgent bool) {
 	all, prefillCount := r.all(), len(r.prefill)
 	minDecode := min(max(1, int(math.Ceil(running/(slotsTarget*slots))), reservedDecode(all)), all-1)
 	wantedPrefill := min(max(1, int(math.Ceil(busy/prefillBusyTarget))), all-minDecode)
@@ -213,17 +220,19 @@
 	return change{}, urgent
 }
 
-// reservedDecode is how many of so many servers no order takes from making answers.
+// reservedDecode returns how many of a service's servers remain decode servers whatever the demand
+// for prefill; all is the number of its servers.
 func reservedDecode(all int) int {
-	few := min(reservedDecodeFew, int(math.Ceil(float64(all)*reservedDecodeFewShare)))
+	few := min(smallReservedDecode, int(math.Ceil(float64(all)*smallReservedDecodeShare)))
 	return max(few, int(math.Ceil(float64(all)*reservedDecodeShare)))
 }
 
-// roles are a service's usable servers by what they do now.
+// roles are a service's usable servers by their current role.
 type roles struct{ prefill, decode []*backend }
 
-// rolesOf finds the roles of a service's servers; settled is false while one of them changes
-// its role.
+// rolesOf finds the usable servers of a service by role: those that are not warming, not leaving and
+// not in an evacuated zone, and whose load reports are not stale. While one of them is changing its
+// role, r is empty and stable is false.
 func rolesOf(now time.Time, sched *Scheduler, routes *RouteTable, service string) (r roles, stable bool) {
 	latest := sched.latestReport.Load()
 	for _, b := range sched.snapshot.Load().byService[service] {
@@ -243,16 +252,16 @@
 
 func (r roles) all() int { return len(r.prefill) + len(r.decode) }
 
-// giving is the pool that servers leave to take a role.
-func (r roles) giving(role string) []*backend {
+// donors returns the servers that could be ordered to take the role.
+func (r roles) donors(role string) []*backend {
 	if role == prefill {
 		return r.decode
 	}
 	return r.prefill
 }
 
-// moved is the roles after a server took one.
-func (r roles) moved(chosen *backend, role string) roles {
+// afterMove returns the roles after the chosen server has taken the role.
+func (r roles) afterMove(chosen *backend, role string) roles {
 	isChosen := func(b *backend) bool { return b == chosen }
 	next := roles{
 		prefill: slices.DeleteFunc(slices.Clone(r.prefill), isChosen),
@@ -266,20 +275,21 @@
 	return next
 }
 
-// lightest is the server that is best given a role: in the zone that has the smallest share
-// of prefill servers, or the most of them if one is given up, with the least to do.
-func lightest(r roles, role string) *backend {
-	from := r.giving(role)
-	prefillInZone, givingInZone := map[string]int{}, map[string]int{}
+// bestToSwitch returns the best server to be ordered to take a role. For prefill it is in the zone with
+// the smallest share of prefill servers, for decode in the zone with the most prefill servers.
+// Within the zone it is the server with the fewest calls.
+func bestToSwitch(r roles, role string) *backend {
+	from := r.donors(role)
+	prefillInZone, donorsInZone := map[string]int{}, map[string]int{}
 	for _, b := range r.prefill {
 		prefillInZone[b.server.Zone]++
 	}
 	for _, b := range from {
-		givingInZone[b.server.Zone]++
+		donorsInZone[b.server.Zone]++
 	}
 	weight := func(b *backend) float64 {
 		prefillCount := prefillInZone[b.server.Zone]
-		share := float64(prefillCount) / float64(prefillCount+givingInZone[b.server.Zone])
+		share := float64(prefillCount) / float64(prefillCount+donorsInZone[b.server.Zone])
 		if role == decode {
 			share = -float64(prefillCount)
 		}
@@ -295,14 +305,14 @@
 	return best
 }
 
-// Disaggregated tells whether the list gives any server a role of prefill or decode.
+// Disaggregated reports whether the server list gives any server the role prefill or decode.
 func (s *Scheduler) Disaggregated() bool { return s.snapshot.Load().disaggregated }
 
-// Role is what a listed server does, and whether it changes that now. Listed is false for a
-// server that isn't listed or has no role.
+// Role returns a listed server's current role and whether the server is changing it. listed is
+// false for a server that isn't listed or has no role.
 func (s *Scheduler) Role(server string) (role string, changing, listed bool) {
 	b, found := s.snapshot.Load().byName[server]
-	if !found || b.server.Part == "" {
+	if !found || b.server.Role == "" {
 		return "", false, false
 	}
 	return b.role(), b.changingRole(), true
--- a/internal/scheduler/rolebalancer_test.go
+++ b/internal/scheduler/rolebalancer_test.go
@@ -5,173 +5,180 @@
 	"time"
 )
 
-// roleDay gives a scheduler's servers steady work and carries the balancer's orders out.
-type roleDay struct {
-	calls    *Scheduler
+// balancerFixture sends a scheduler steady load reports of its servers, and changes the roles of the servers
+// as the balancer orders.
+type balancerFixture struct {
+	sched    *Scheduler
 	balancer *RoleBalancer
-	parts    map[string]string
+	roles    map[string]string
 	now      time.Time
 	count    int
 	orders   int
 }
 
-func newPoolDay(count int) *roleDay {
-	day := &roleDay{calls: opened(count), balancer: NewRoleBalancer(), parts: map[string]string{}, now: noon, count: count}
+func newBalancerFixture(count int) *balancerFixture {
+	fixture := &balancerFixture{
+		sched: newTestScheduler(count), balancer: NewRoleBalancer(), roles: map[string]string{}, now: noon, count: count,
+	}
 	for _, server := range servers(count) {
-		day.parts[server.Name] = server.Part
+		fixture.roles[server.Name] = server.Role
 	}
-	return day
+	return fixture
 }
 
-func (day *roleDay) prefillServers() int {
+func (fixture *balancerFixture) prefillServers() int {
 	prefillServers := 0
-	for _, part := range day.parts {
-		if part == prefill {
+	for _, role := range fixture.roles {
+		if role == prefill {
 			prefillServers++
 		}
 	}
 	return prefillServers
 }
 
-// last lets so much time pass with so many calls at each prefill server and at each decode server.
-func (day *roleDay) last(span time.Duration, atPrefillServer, atDecodeServer int) {
-	day.reporting(span, atPrefillServer, atDecodeServer)
+// advance lets time pass while each prefill server and each decode server reports the given number of running
+// calls.
+func (fixture *balancerFixture) advance(span time.Duration, callsPerPrefillServer, callsPerDecodeServer int) {
+	fixture.advanceReporting(span, callsPerPrefillServer, callsPerDecodeServer)
 }
 
-// reporting is the same where those without a part have gone dark.
-func (day *roleDay) reporting(span time.Duration, atPrefillServer, atDecodeServer int) {
-	for ends := day.now.Add(span); day.now.Before(ends); day.now = day.now.Add(100 * time.Millisecond) {
+// advanceReporting does the same as advance. Servers that a test has removed from fixture.roles send no load
+// reports.
+func (fixture *balancerFixture) advanceReporting(span time.Duration, callsPerPrefillServer, callsPerDecodeServer int) {
+	for ends := fixture.now.Add(span); fixture.now.Before(ends); fixture.now = fixture.now.Add(100 * time.Millisecond) {
 		var loads []Load
-		for _, server := range servers(day.count) {
-			if day.parts[server.Name] == "" {
+		for _, server := range servers(fixture.count) {
+			if fixture.roles[server.Name] == "" {
 				continue
 			}
-			load := Load{Server: server.Name, Role: day.parts[server.Name], Running: atDecodeServer, MemoryTotal: 295_740}
+			load := Load{Server: server.Name, Role: fixture.roles[server.Name], Running: callsPerDecodeServer, MemoryTotal: 295_740}
 			if load.Role == prefill {
-				load.Running = atPrefillServer
+				load.Running = callsPerPrefillServer
 			}
 			loads = append(loads, load)
 		}
-		day.calls.SetLoads(day.now, loads)
-		for _, order := range day.balancer.Decide(day.now, day.calls) {
-			day.parts[order.Server] = order.Part
-			day.orders++
+		fixture.sched.SetLoads(fixture.now, loads)
+		for _, order := range fixture.balancer.Decide(fixture.now, fixture.sched) {
+			fixture.roles[order.Server] = order.Role
+			fixture.orders++
 		}
 	}
 }
 
-// TestPoolsFollowTheWork lets prompts pile up, then answers, and then lets both come
-// and go, and wants few orders and some of each part.
-func TestPoolsFollowTheWork(t *testing.T) {
-	day := newPoolDay(9)
-	day.last(10*time.Second, 0, 5)
-	if day.orders != 0 {
-		t.Errorf("%d orders without a need", day.orders)
-	}
-	day.last(30*time.Second, 4, 5)
-	if day.prefillServers() != 5 || day.orders != 1 {
-		t.Errorf("while prompts pile up: %d readers by %d orders", day.prefillServers(), day.orders)
-	}
-	day.last(60*time.Second, 0, 60)
-	if day.prefillServers() > 2 || day.prefillServers() < 1 {
-		t.Errorf("while answers pile up: %d readers", day.prefillServers())
-	}
-	before := day.orders
+// TestRolesFollowTheDemand overloads the prefill servers, then the decode servers, and then alternates between
+// the two for short times. It checks that servers change roles only for lasting overload, with few orders, and
+// that both roles remain.
+func TestRolesFollowTheDemand(t *testing.T) {
+	fixture := newBalancerFixture(9)
+	fixture.advance(10*time.Second, 0, 5)
+	if fixture.orders != 0 {
+		t.Errorf("got %d orders without a need, want none", fixture.orders)
+	}
+	fixture.advance(30*time.Second, 4, 5)
+	if fixture.prefillServers() != 5 || fixture.orders != 1 {
+		t.Errorf("busy prefill servers: got %d prefill servers and %d orders, want 5 and 1", fixture.prefillServers(), fixture.orders)
+	}
+	fixture.advance(60*time.Second, 0, 60)
+	if fixture.prefillServers() > 2 || fixture.prefillServers() < 1 {
+		t.Errorf("busy decode servers: got %d prefill servers, want 1 or 2", fixture.prefillServers())
+	}
+	before := fixture.orders
 	for range 40 {
-		day.last(300*time.Millisecond, 4, 5)
-		day.last(1200*time.Millisecond, 0, 20)
+		fixture.advance(300*time.Millisecond, 4, 5)
+		fixture.advance(1200*time.Millisecond, 0, 20)
 	}
-	if day.orders > before {
-		t.Errorf("%d orders without a lasting need", day.orders-before)
+	if fixture.orders > before {
+		t.Errorf("got %d orders without a lasting need, want none", fixture.orders-before)
 	}
 }
 
-// TestPoolsBearDarkDecodeServers has two of three decode servers go dark while prompts pile up: the
-// one that is left can't wait for its answers to pile up, too.
-func TestPoolsBearDarkDecodeServers(t *testing.T) {
-	day := newPoolDay(9)
+// TestLostDecodeServersAreReplaced makes two of three decode servers unresponsive while the prefill servers
+// are busy. The balancer has to order further decode servers before the remaining one is overloaded.
+func TestLostDecodeServersAreReplaced(t *testing.T) {
+	fixture := newBalancerFixture(9)
 	decodeServers := 0
 	for _, server := range servers(9) {
-		if day.parts[server.Name] == decode {
+		if fixture.roles[server.Name] == decode {
 			if decodeServers++; decodeServers > 3 {
-				day.parts[server.Name] = prefill
+				fixture.roles[server.Name] = prefill
 			}
 		}
 	}
-	day.last(2*time.Second, 4, 20)
+	fixture.advance(2*time.Second, 4, 20)
 	for _, server := range servers(9) {
-		if day.parts[server.Name] == decode && decodeServers > 4 {
+		if fixture.roles[server.Name] == decode && decodeServers > 4 {
 			decodeServers--
-			delete(day.parts, server.Name)
+			delete(fixture.roles, server.Name)
 		}
 	}
-	before := day.prefillServers()
-	day.reporting(7*time.Second, 4, 20)
-	if day.prefillServers() >= before {
-		t.Errorf("%d of %d readers while one runner is left", day.prefillServers(), before)
+	before := fixture.prefillServers()
+	fixture.advanceReporting(7*time.Second, 4, 20)
+	if fixture.prefillServers() >= before {
+		t.Errorf("got %d prefill servers, and %d before, while one decode server is left, want fewer than before",
+			fixture.prefillServers(), before)
 	}
 }
 
-// TestPoolsKeepOneOfEach wants a prefill and a decode server while two servers are open, and
-// the prefill servers in all zones.
-func TestPoolsKeepOneOfEach(t *testing.T) {
-	day := newPoolDay(9)
-	for name := range day.parts {
-		day.parts[name] = decode
-	}
-	day.last(time.Second, 0, 1)
-	if day.prefillServers() != 1 {
-		t.Errorf("%d readers of none", day.prefillServers())
-	}
-	day.last(30*time.Second, 1, 1)
+// TestBothRolesAreFilled checks that the balancer assigns a server to a role that has none, and that prefill
+// servers are spread over all zones.
+func TestBothRolesAreFilled(t *testing.T) {
+	fixture := newBalancerFixture(9)
+	for name := range fixture.roles {
+		fixture.roles[name] = decode
+	}
+	fixture.advance(time.Second, 0, 1)
+	if fixture.prefillServers() != 1 {
+		t.Errorf("got %d prefill servers after there was none, want 1", fixture.prefillServers())
+	}
+	fixture.advance(30*time.Second, 1, 1)
 	zones := map[string]int{}
 	for _, server := range servers(9) {
-		if day.parts[server.Name] == prefill {
+		if fixture.roles[server.Name] == prefill {
 			zones[server.Zone]++
 		}
 	}
 	if len(zones) != 3 || zones["north"] > 2 || zones["south"] > 2 || zones["west"] > 2 {
-		t.Errorf("readers by district: %v", zones)
+		t.Errorf("prefill servers by zone: got %v, want 1 or 2 in each of three zones", zones)
 	}
-	for name := range day.parts {
-		day.parts[name] = prefill
+	for name := range fixture.roles {
+		fixture.roles[name] = prefill
 	}
-	day.last(4*time.Second, 1, 1)
-	if day.prefillServers() == 9 {
-		t.Error("no server makes answers")
+	fixture.advance(4*time.Second, 1, 1)
+	if fixture.prefillServers() == 9 {
+		t.Error("got no decode server")
 	}
 }
 
-// TestPoolsHelpThePressed plays more traffic than the parts were made for, with and
-// without orders: with a third of the servers reading, orders are worth a fiftieth.
-func TestPoolsHelpThePressed(t *testing.T) {
-	left, managed := nine().world(3, nil), nine().world(3, nil)
-	managed.pool(NewRoleBalancer())
-	day(left, 1.4, 30*time.Second)
-	day(managed, 1.4, 30*time.Second)
-	t.Logf("left alone\n%s\nwith %d orders\n%s", left, managed.orders, managed)
-	if managed.score() <= left.score()+0.02 {
-		t.Errorf("%.4f with orders, %.4f without", managed.score(), left.score())
+// TestRoleChangesImproveTheScoreUnderLoad compares runs with and without the balancer, under more traffic than
+// the initial roles can serve well. The orders must be few and increase the score by more than 0.02.
+func TestRoleChangesImproveTheScoreUnderLoad(t *testing.T) {
+	unmanaged, managed := nine().simulation(3, nil), nine().simulation(3, nil)
+	managed.balanceRoles(NewRoleBalancer())
+	playTraffic(unmanaged, 1.4, 30*time.Second)
+	playTraffic(managed, 1.4, 30*time.Second)
+	t.Logf("without orders\n%s\nwith %d orders\n%s", unmanaged, managed.orders, managed)
+	if managed.score() <= unmanaged.score()+0.02 {
+		t.Errorf("got a score of %.4f with orders and %.4f without, want an increase above 0.02", managed.score(), unmanaged.score())
 	}
 	if managed.orders > 4 {
-		t.Errorf("%d orders", managed.orders)
+		t.Errorf("got %d orders, want at most 4", managed.orders)
 	}
 }
 
-// TestIdleServiceIsDividedEvenly wants half of an idle service's servers to read, by
-// orders given once and before there is traffic, and none for a moment without work.
+// TestIdleServiceIsDividedEvenly checks that about half of an idle service's servers become prefill servers,
+// with a single order, and that short times without calls cause no orders.
 func TestIdleServiceIsDividedEvenly(t *testing.T) {
-	day := newPoolDay(9)
-	day.last(20*time.Second, 0, 0)
-	if day.prefillServers() != 5 || day.orders != 1 {
-		t.Errorf("%d readers by %d orders", day.prefillServers(), day.orders)
+	fixture := newBalancerFixture(9)
+	fixture.advance(20*time.Second, 0, 0)
+	if fixture.prefillServers() != 5 || fixture.orders != 1 {
+		t.Errorf("got %d prefill servers and %d orders, want 5 and 1", fixture.prefillServers(), fixture.orders)
 	}
-	day = newPoolDay(9)
+	fixture = newBalancerFixture(9)
 	for range 10 {
-		day.last(2*time.Second, 0, 0)
-		day.last(800*time.Millisecond, 1, 5)
+		fixture.advance(2*time.Second, 0, 0)
+		fixture.advance(800*time.Millisecond, 1, 5)
 	}
-	if day.orders != 0 {
-		t.Errorf("%d orders in moments without work", day.orders)
+	if fixture.orders != 0 {
+		t.Errorf("got %d orders for short idle times, want none", fixture.orders)
 	}
 }
--- a/internal/scheduler/routetable.go
+++ b/internal/scheduler/routetable.go
@@ -9,46 +9,47 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// RouteTable is a configuration compiled for lookup. It is never altered; a new configuration is
-// a new route table.
+// RouteTable is a configuration compiled for lookup. It is immutable; a new configuration gets a
+// new route table.
 type RouteTable struct {
 	// epoch and number are the configuration's version.
 	epoch  uint64
 	number uint64
-	// hosts are the rules of each host, the longest path prefix first: the first that fits a
-	// call's path counts.
+	// hosts holds the rules of each host, the longest path prefix first. The first rule that matches
+	// a call's path applies.
 	hosts    map[string][]*routeRule
 	services map[string]*config.Service
-	// serviceNames are the names of services, sorted.
+	// serviceNames are the names of the services, sorted.
 	serviceNames []string
-	evacuations  map[string]bool
-	limits       config.Limits
-	// tenants find the tenants of keys; nil if calls need no key.
+	// evacuations holds the evacuated zones.
+	evacuations map[string]bool
+	limits      config.Limits
+	// tenants finds the tenants by their keys; nil if calls need no key.
 	tenants *tenantTable
-	// gaps are the shortest gaps between events that the routes to a service allow.
+	// gaps holds, for each service, the shortest gap between events that a route to it allows.
 	gaps map[string]time.Duration
 }
 
-// routeRule is what a route says of its calls.
+// routeRule is a compiled route.
 type routeRule struct {
 	route *config.Route
 	calls *config.CallRoute
-	// shares are the services that share the route's calls; none if it refuses them.
+	// shares are the services that share the route's calls; empty if the route refuses them.
 	shares []share
 	// total is the sum of the shares' weights.
 	total uint64
-	// zones are those whose servers may be used; nil means all.
+	// zones are the zones whose servers may be used; nil means all.
 	zones map[string]bool
 }
 
-// share is a service's part of a route's calls: the weights from the earlier share's upTo to
-// its own.
+// share is a service's share of a route's calls: those whose hash, modulo the rule's total, is at
+// least the previous share's upperWeight and less than its own upperWeight.
 type share struct {
-	service *config.Service
-	upTo    uint64
+	service     *config.Service
+	upperWeight uint64
 }
 
-// Compile makes the route table of a checked configuration; epoch and number are its version.
+// Compile makes the route table of a valid configuration; epoch and number are its version.
 func Compile(configuration *config.Configuration, epoch, number uint64) *RouteTable {
 	rt := &RouteTable{
 		epoch:       epoch,
@@ -88,14 +89,15 @@
 	return rt
 }
 
+// compileRule compiles a route.
 func (rt *RouteTable) compileRule(route *config.Route) *routeRule {
 	r := &routeRule{route: route, calls: route.Calls}
 	for _, s := range route.Calls.Shares {
 		service, found := rt.services[s.Service]
 		if found && s.Weight > 0 {
 			r.total += uint64(s.Weight)
-			r.shares = append(r.shares, share{service: service, upTo: r.total})
-			rt.noteGap(service.Name, route.Calls.MaxEventGap)
+			r.shares = append(r.shares, share{service: service, upperWeight: r.total})
+			rt.recordEventGap(service.Name, route.Calls.MaxEventGap)
 		}
 	}
 	if route.To.Refuse {
@@ -110,13 +112,13 @@
 	return r
 }
 
-// allowsZone tells whether servers of a zone may be used.
+// allowsZone reports whether servers of a zone may be used.
 func (r *routeRule) allowsZone(zone string) bool {
 	return r.zones == nil || r.zones[zone]
 }
 
-// service is the one that serves a call, by the hash of its id where several share; nil if the
-// route refuses it.
+// service selects the service that serves a call; nil if the route refuses the call. If several
+// services share the route, the hash of the route's name and the call's ID decides.
 func (r *routeRule) service(call *Call) *config.Service {
 	switch len(r.shares) {
 	case 0:
@@ -124,23 +126,25 @@
 	case 1:
 		return r.shares[0].service
 	}
-	spot := membership.Weight(r.route.Name, call.ID) % r.total
+	point := membership.Weight(r.route.Name, call.ID) % r.total
 	for _, sh := range r.shares {
-		if spot < sh.upTo {
+		if point < sh.upperWeight {
 			return sh.service
 		}
 	}
 	return nil
 }
 
-// noteGap keeps the shortest gap between events that a route to a service allows.
-func (rt *RouteTable) noteGap(service string, gap time.Duration) {
+// recordEventGap records a gap between events that a route to a service allows, if it is the
+// shortest.
+func (rt *RouteTable) recordEventGap(service string, gap time.Duration) {
 	if known, found := rt.gaps[service]; gap > 0 && (!found || gap < known) {
 		rt.gaps[service] = gap
 	}
 }
 
-// rule finds a call's route and the service that serves it; nil if none does.
+// rule finds a call's route and the service that serves the call. Both are nil if no route matches,
+// or if the first matching route refuses the call.
 func (rt *RouteTable) rule(call *Call) (*routeRule, *config.Service) {
 	for _, r := range rt.hosts[hostOf(call.Host)] {
 		if !strings.HasPrefix(call.Path, r.route.Match.PathPrefix) {
@@ -154,7 +158,7 @@
 	return nil, nil
 }
 
-// hostOf is a host without its port, in lower case.
+// hostOf returns a host without its port, in lower case.
 func hostOf(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -162,7 +166,7 @@
 	return strings.ToLower(host)
 }
 
-// later tells whether the route table is of a later version than the other one.
+// later reports whether the route table has a later version than the other one, which may be nil.
 func (rt *RouteTable) later(other *RouteTable) bool {
 	return other == nil || rt.epoch > other.epoch || rt.epoch == other.epoch && rt.number > other.number
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -10,16 +10,18 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Options say for which router a scheduler decides, and what binds all routers together.
+// Options are the parameters of a scheduler.
 type Options struct {
-	// Router is the node's name; Zone is the one whose servers it prefers.
+	// Router is the node name of the router that the scheduler decides for; Zone is the zone whose
+	// servers the scheduler prefers.
 	Router string
 	Zone   string
-	// Retries bounds what all routers send beyond the first dispatch of each call, service by
-	// service. Fields that are zero or less get those of DefaultRetryAllowance.
+	// Retries bounds the retries of all routers together, separately for each service. Fields that
+	// are not positive get the values of DefaultRetryAllowance.
 	Retries RetryAllowance
 }
 
+// checked returns the options with defaults for the fields that are not set.
 func (o Options) checked() Options {
 	standard := DefaultRetryAllowance()
 	if o.Retries.Ratio <= 0 {
@@ -34,31 +36,32 @@
 	return o
 }
 
-// Scheduler decides about the calls of one router. Its methods may be called from several
-// threads; fed from one, the same events give the same decisions.
+// Scheduler makes the decisions for the calls of one router. It is safe for concurrent use. If all
+// events come from one goroutine, the same events give the same decisions.
 type Scheduler struct {
 	options  Options
 	weights  weights
 	routes   atomic.Pointer[RouteTable]
 	snapshot atomic.Pointer[snapshot]
 	routers  atomic.Int64
-	// routerList is the recorded routers; nil until they are known.
+	// routerList holds the recorded routers; nil until they are known.
 	routerList atomic.Pointer[routerList]
 	draining   atomic.Bool
 	inFlight   atomic.Int64
-	// reportsFirstEvents is whether Began was ever called.
+	// reportsFirstEvents is set once Began was called.
 	reportsFirstEvents atomic.Bool
-	// returnedZones are zones that came back since the last cycle; nil if none did.
+	// returnedZones are the zones whose evacuation ended since the last cycle; nil if there are
+	// none.
 	returnedZones atomic.Pointer[returnedZones]
 	// latestReport is when the latest load report was made, in Unix nanoseconds.
 	latestReport atomic.Int64
 
-	// queriesBacklog is whether backlog counts are asked for before prefills, outbox what their
-	// owners are still to be sent.
+	// queriesBacklog is set if backlog counts are queried before prefills. outbox holds the changes
+	// that have not been sent to the owners of the counts yet.
 	queriesBacklog atomic.Bool
 	outbox         outbox
 	warmingCounts  warmingCounts
-	// failures are to be reported to the other routers.
+	// failures are the failed servers that have not been reported yet.
 	failures failures
 
 	// mutex serializes the replacement of snapshot and serviceStates; both are read without it.
@@ -66,21 +69,21 @@
 	serviceStates atomic.Pointer[map[string]*serviceState]
 }
 
-// serviceState is what the scheduler knows of one service.
+// serviceState is the scheduler's state of one service.
 type serviceState struct {
 	retries     retryBudget
 	prefillRate prefillRate
 	runDuration meanDuration
 	firstEvent  firstEventLatency
-	// demand is what the roles of the service's servers go by.
+	// demand is the load from which RoleBalancer decides the roles of the service's servers.
 	demand demand
 }
 
-// unknownRouters is how many routers are taken to share the servers until SetRouterCount says.
+// unknownRouters is the number of routers that the scheduler assumes until SetRouterCount is called.
 const unknownRouters = 100
 
-// New makes a scheduler that knows no configuration and no servers yet: it refuses every call
-// with NotReady.
+// New makes a scheduler without a configuration and without servers: it refuses every call with
+// NotReady.
 func New(options Options) *Scheduler {
 	s := &Scheduler{options: options.checked(), weights: defaultWeights()}
 	first := newSnapshot()
@@ -90,22 +93,22 @@
 	return s
 }
 
-// SetRouteTable puts a later version in force; it returns false and does nothing for an older
-// one or the same.
+// SetRouteTable puts a later version of the configuration in force. It returns false and does
+// nothing if the version is the current one or an older one.
 func (s *Scheduler) SetRouteTable(routes *RouteTable) bool {
 	for {
 		current := s.routes.Load()
 		if routes == nil || !routes.later(current) {
 			return false
 		}
-		s.noteReturnedZones(current, routes)
+		s.recordReturnedZones(current, routes)
 		if s.routes.CompareAndSwap(current, routes) {
 			return true
 		}
 	}
 }
 
-// ConfigVersion is the version of the configuration in force, as epoch and number.
+// ConfigVersion returns the version of the configuration in force, as epoch and number.
 func (s *Scheduler) ConfigVersion() (epoch, number uint64) {
 	if routes := s.routes.Load(); routes != nil {
 		return routes.epoch, routes.number
@@ -113,7 +116,7 @@
 	return 0, 0
 }
 
-// Limits bound what a caller may send, by the configuration in force.
+// Limits returns the request limits of the configuration in force; zero if no configuration is in force.
 func (s *Scheduler) Limits() config.Limits {
 	if routes := s.routes.Load(); routes != nil {
 		return routes.limits
@@ -121,7 +124,7 @@
 	return config.Limits{}
 }
 
-// SetServers takes the list of servers.
+// SetServers replaces the list of servers.
 func (s *Scheduler) SetServers(now time.Time, servers []membership.Server) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,7 +137,7 @@
 	s.snapshot.Store(current.next(now, servers))
 }
 
-// SetLoads takes load reports of servers; those of servers that aren't listed are left out.
+// SetLoads applies load reports of servers. Reports of servers that aren't listed are ignored.
 func (s *Scheduler) SetLoads(now time.Time, loads []Load) {
 	snap := s.snapshot.Load()
 	var services []string
@@ -143,7 +146,7 @@
 		if !found {
 			continue
 		}
-		b.takeReport(now, load)
+		b.applyReport(now, load)
 		if at := now.Add(-load.Age).UnixNano(); at > s.latestReport.Load() {
 			s.latestReport.Store(at)
 		}
@@ -153,31 +156,32 @@
 	}
 	for _, service := range services {
 		busy, running := snap.demand(now, service)
-		s.serviceState(service).demand.reported(now, busy, running)
+		s.serviceState(service).demand.observe(now, busy, running)
 	}
 }
 
-// SetRoleOrders takes the roles that servers were ordered to take: one that is to take another
-// begins nothing until that is done, and no call is sent to it.
-func (s *Scheduler) SetRoleOrders(now time.Time, parts map[string]string) {
+// SetRoleOrders sets the roles that servers were ordered to take, by server name. A server that is
+// ordered to change its role begins no work until the change is done, so no call is sent to it.
+func (s *Scheduler) SetRoleOrders(now time.Time, orders map[string]string) {
 	snap := s.snapshot.Load()
 	for _, b := range snap.all {
-		part, found := parts[b.server.Name]
-		if known := b.orderedRole.Load(); !found || known != nil && *known == part {
+		role, found := orders[b.server.Name]
+		if known := b.orderedRole.Load(); !found || known != nil && *known == role {
 			continue
 		}
 		b.orderedRoleUntil.Store(now.Add(orderVisibleWithin).UnixNano())
-		b.orderedRole.Store(&part)
+		b.orderedRole.Store(&role)
 	}
 }
 
-// orderVisibleWithin is how long it may take until an order shows in what is reported of its
-// server. The value is ours.
+// orderVisibleWithin is how long it may take until load reports show that a server carries out an
+// order.
 const orderVisibleWithin = 4 * time.Second
 
-// SetRouterCount tells how many routers share the servers.
+// SetRouterCount sets how many routers share the servers.
 func (s *Scheduler) SetRouterCount(count int) { s.routers.Store(int64(count)) }
 
+// routerCount returns the number of routers that share the servers, or unknownRouters.
 func (s *Scheduler) routerCount() int {
 	if count := s.routers.Load(); count > 0 {
 		return int(count)
@@ -185,20 +189,21 @@
 	return unknownRouters
 }
 
-// budgetShares is by how many routers the slack of retries is divided. Those that the primary does
-// not hear still spend theirs, so that the recorded ones count too.
+// budgetShares returns the number of routers among which the slack of the retry allowance is divided.
+// A router that the primary controller can't reach still uses its share, so the recorded routers
+// count as well.
 func (s *Scheduler) budgetShares() int { return max(s.routerCount(), s.RecordedRouters()) }
 
-// Drain lets no further calls in.
+// Drain makes the scheduler refuse all further calls.
 func (s *Scheduler) Drain() { s.draining.Store(true) }
 
-// Draining tells whether no further calls are let in.
+// Draining reports whether the scheduler refuses all further calls.
 func (s *Scheduler) Draining() bool { return s.draining.Load() }
 
-// InFlight counts the calls that have not ended.
+// InFlight returns the number of calls that have not ended.
 func (s *Scheduler) InFlight() int { return int(s.inFlight.Load()) }
 
-// serviceState is the service's; it is made once.
+// serviceState returns the state of a service, which is created at its first use.
 func (s *Scheduler) serviceState(service string) *serviceState {
 	if found, known := (*s.serviceStates.Load())[service]; known {
 		return found
@@ -213,8 +218,8 @@
 	for name, known := range current {
 		next[name] = known
 	}
-	made := &serviceState{}
-	next[service] = made
+	created := &serviceState{}
+	next[service] = created
 	s.serviceStates.Store(&next)
-	return made
+	return created
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -2,53 +2,55 @@
 
 import "time"
 
-// What the scores assume of servers. The values are ours.
+// Assumptions about servers.
 const (
-	// transferSetup (milliseconds) and transferTokensPerMillisecond are what a KV cache
-	// transfer inside a zone takes.
+	// transferSetup is the fixed time, in milliseconds, and transferTokensPerMillisecond the rate of
+	// a KV cache transfer within a zone.
 	transferSetup                = 4.0
 	transferTokensPerMillisecond = 4000.0
-	// memoryUsed is the part of a server's KV cache memory that may be filled.
-	memoryUsed = 0.95
-	// otherCallTokens is how many tokens a call of another router is taken to read.
+	// maxMemoryShare is the share of a server's KV cache memory that may be filled.
+	maxMemoryShare = 0.95
+	// otherCallTokens is the assumed number of tokens that a server reads for a call of another
+	// router.
 	otherCallTokens = 1500.0
-	// usualStall is for how many milliseconds a healthy server may produce nothing.
-	usualStall = 150
-	// recentTransfer is for how long after a server's last successful transfer the next
-	// one is trusted while others fail.
-	recentTransfer = time.Second
-	// gapShare is the part of the allowed gap between two events that a prefill may use;
-	// the rest is the usual time between them.
+	// maxHealthyStall is how long, in milliseconds, a healthy server may go without progress.
+	maxHealthyStall = 150
+	// recentTransferSpan is how long after a server's last successful transfer the next one is
+	// considered safe while other transfers fail.
+	recentTransferSpan = time.Second
+	// gapShare is the share of the allowed gap between two events that a prefill may use up; the
+	// rest is the usual time between two events.
 	gapShare = 0.6
-	// defaultGap is the gap where no route says one.
+	// defaultGap is the allowed gap if no route sets one.
 	defaultGap = 200 * time.Millisecond
 )
 
-// scoreDirect scores a run at a server that reads the prompt itself; false if it may not take
-// the call. On a decode server the read stalls the other calls' tokens, which costs the square
-// of the stall relative to gapBudget, for each call there.
+// scoreDirect scores a run at a server that reads the prompt itself; it returns false if the
+// server may not take the call. A decode server is assumed to read prompts at half the rate, and
+// meanwhile the tokens of its other calls stall. The cost of the stall is weights.stalledCall times
+// the square of the ratio of the stall to gapBudget, for each call there and for the new one.
 func (c *cycle) scoreDirect(b *backend) (candidate, bool) {
 	if !c.hasCapacity(b, c.state.tokens()) {
 		return candidate{}, false
 	}
 	uncached, reread := c.uncachedTokens(b)
-	rate := c.prefillRate / b.latency.factor(c.now)
+	rate := c.prefillRate / b.latency.ratio(c.now)
 	busy := c.callsAt(b)
 	cost := c.endpointPenalty(b) + c.tieBreak(b)
 	ahead := milliseconds(b.directPrefillLeft(c.now))
 	if b.decodesOnly() {
 		rate /= 2
-		hold := (ahead + uncached/rate) * c.decodeStretch / c.gapBudget()
-		cost += hold * hold * c.weights.gapHarm * (1 + busy)
+		relativeStall := (ahead + uncached/rate) * c.decodeSlowdown / c.gapBudget()
+		cost += relativeStall * relativeStall * c.weights.stalledCall * (1 + busy)
 	}
-	cost += c.weights.rereadThousand * reread / 1000
+	cost += c.weights.rereadPerThousand * reread / 1000
 	latency := c.firstEventLatency + ahead + uncached/rate + c.queueTime(b, busy) + c.memoryWait(b, c.state.tokens())
 	cost += latency
 	return candidate{backend: b, cost: cost, latency: latency, ownLatency: latency, uncached: int(uncached)}, true
 }
 
-// scoreDecode scores a run with the KV cache of a prefill server, without the transfer; false
-// if the server may not take the call.
+// scoreDecode scores a run with the KV cache of a prefill server, without the transfer; it returns
+// false if the server may not take the call.
 func (c *cycle) scoreDecode(b *backend) (candidate, bool) {
 	if !c.hasCapacity(b, c.state.tokens()) {
 		return candidate{}, false
@@ -60,63 +62,66 @@
 		cost += c.weights.unhealthy
 	}
 	if b != c.homeDecode {
-		cost += c.weights.awayThousand * float64(c.sharedTokens) / 1000
+		cost += c.weights.awayFromHomePerThousand * float64(c.sharedTokens) / 1000
 	}
 	return candidate{backend: b, cost: cost, latency: latency, ownLatency: latency}, true
 }
 
-// scorePrefill scores a prefill at a server, without the run after it; false if the server may
-// not take the call.
+// scorePrefill scores a prefill at a server, without the run after it; it returns false if the
+// server may not take the call.
 func (c *cycle) scorePrefill(b *backend) (candidate, bool) {
 	call := c.state.call
 	if !c.hasCapacity(b, call.PromptTokens) {
 		return candidate{}, false
 	}
 	uncached, reread := c.uncachedTokens(b)
-	rate := c.prefillRate / b.latency.factor(c.now)
+	rate := c.prefillRate / b.latency.ratio(c.now)
 	ahead := c.tokensAhead(b)
 	latency := prefillOverhead + (ahead+uncached)/rate + c.memoryWait(b, call.PromptTokens)
 	cost := c.endpointPenalty(b) + c.tieBreak(b) + c.weights.extraRequest + c.transferRisk(b) + latency
-	cost += c.weights.rereadThousand * reread / 1000
+	cost += c.weights.rereadPerThousand * reread / 1000
 	if b.kvSendHealth.ejected(c.now, b.prefilling.Load()) {
 		cost += c.weights.unhealthy
 	}
 	return candidate{backend: b, cost: cost, latency: latency, ownLatency: latency, uncached: int(uncached)}, true
 }
 
-// transferCost is what a KV cache transfer between two servers costs and how long it takes.
-// Between zones it takes twice as long. An unknown prefill server counts as far.
+// transferCost returns the cost and the latency of a KV cache transfer between two servers. Between
+// zones the transfer takes twice as long, and transferPerThousand is multiplied by
+// crossZoneTransferFactor. An unknown prefill server counts as being in another zone.
 func (c *cycle) transferCost(prefillServer, decodeServer *backend) (cost, latency float64) {
 	near := prefillServer != nil && prefillServer.server.Zone == decodeServer.server.Zone
 	thousands := float64(c.state.call.PromptTokens) / 1000
 	latency = transferSetup + thousands*1000/transferTokensPerMillisecond
-	cost = latency + thousands*c.weights.transferThousand
+	cost = latency + thousands*c.weights.transferPerThousand
 	if !near {
 		latency *= 2
-		cost = latency + thousands*c.weights.transferThousand*c.weights.transferFar
+		cost = latency + thousands*c.weights.transferPerThousand*c.weights.crossZoneTransferFactor
 	}
 	delay := expectedTransferDelay(c.now, prefillServer, decodeServer)
 	return cost + delay, latency + delay
 }
 
-// transferRisk is the cost of a transfer that may fail while transfers do: a call with only
-// one attempt left is lost then. A server that handed a KV cache over lately has none.
+// transferRisk returns the cost of a prefill for a call with only one attempt left while KV cache
+// transfers are failing: the call is lost if the transfer after the prefill fails, too. The cost is
+// zero if the prefill server has transferred a KV cache successfully within recentTransferSpan.
 func (c *cycle) transferRisk(prefillServer *backend) float64 {
 	switch {
 	case !c.transfersFailing,
-		c.now.UnixNano()-prefillServer.kvSentAt.Load() < int64(recentTransfer),
+		c.now.UnixNano()-prefillServer.kvSentAt.Load() < int64(recentTransferSpan),
 		c.state.attempts+1 < c.state.routeRule.calls.MaxAttempts:
 		return 0
 	}
 	return c.weights.lastAttempt
 }
 
-// endpointPenalty is the cost of any work at a server, whatever its load: another zone, bad
-// health, warming, no idle connection, a stall, a stale report.
+// endpointPenalty returns the part of the cost of work at a server that doesn't depend on the
+// server's load: for another zone, failures, slow start, a new connection, a stall and stale load
+// reports.
 func (c *cycle) endpointPenalty(b *backend) float64 {
 	cost := 0.0
 	if b.server.Zone != c.scheduler.options.Zone {
-		cost += c.weights.crossingKilobyte * float64(c.state.call.Bytes) / 1024
+		cost += c.weights.crossZonePerKilobyte * float64(c.state.call.Bytes) / 1024
 	}
 	if b.health.ejected(c.now, b.running.Load()+b.prefilling.Load()) {
 		cost += c.weights.unhealthy
@@ -129,25 +134,26 @@
 	if !b.idleConnections.available(c.now) {
 		cost += c.weights.connection
 	}
-	cost += min(c.weights.stalled*c.stalledFor(b), c.weights.unhealthy)
+	cost += min(c.weights.stallPerMillisecond*c.stalledFor(b), c.weights.unhealthy)
 	if b.stale(c.scheduler.latestReport.Load()) {
 		cost += c.weights.unhealthy
 	}
 	return cost
 }
 
-// stalledFor is for how many milliseconds more than usual a server has finished no prefill
-// and, where first events are reported, begun no answer.
+// stalledFor returns for how many milliseconds beyond maxHealthyStall and the expected time a server
+// has completed no prefill or, if first events are reported, begun no answer.
 func (c *cycle) stalledFor(b *backend) float64 {
-	over := b.prefillProgress.stalledFor(c.now) - 2*float64(b.prefillTokens.Load())/c.prefillRate - usualStall
+	over := b.prefillProgress.stalledFor(c.now) - 2*float64(b.prefillTokens.Load())/c.prefillRate - maxHealthyStall
 	if c.scheduler.reportsFirstEvents.Load() {
 		waited, reading := b.firstEventProgress.stalledFor(c.now), milliseconds(b.directPrefillLeft(c.now))
-		over = max(over, waited-reading-c.firstEventLatency-usualStall)
+		over = max(over, waited-reading-c.firstEventLatency-maxHealthyStall)
 	}
 	return max(over, 0)
 }
 
-// queueTime is how many milliseconds a call waits for a slot at a server with so many calls.
+// queueTime returns the expected wait for a slot, in milliseconds, at a server with the given number
+// of calls.
 func (c *cycle) queueTime(b *backend, busy float64) float64 {
 	slots := c.slots(b)
 	if busy < slots {
@@ -156,24 +162,25 @@
 	return (busy - slots + 1) / slots * milliseconds(c.serviceState.runDuration.mean())
 }
 
-// memoryWait is how many milliseconds a call of so many tokens waits for KV cache memory.
+// memoryWait returns the expected wait for KV cache memory, in milliseconds, of a call with the given
+// number of tokens.
 func (c *cycle) memoryWait(b *backend, tokens int) float64 {
 	total := c.memoryTotal(b)
 	if total == 0 {
 		return 0
 	}
 	used := int(b.serverState.memory.Load())
-	if h := b.lastLoad.Load(); h != nil {
-		used = max(used, h.load.MemoryUsed)
+	if known := b.lastLoad.Load(); known != nil {
+		used = max(used, known.load.MemoryUsed)
 	}
-	if float64(used+tokens) <= memoryUsed*float64(total) {
+	if float64(used+tokens) <= maxMemoryShare*float64(total) {
 		return 0
 	}
 	return milliseconds(c.serviceState.runDuration.mean())
 }
 
-// gapBudget is for how many milliseconds a prefill may stall the tokens of other calls: a
-// part of the shortest gap between events that a route to the service allows.
+// gapBudget returns for how many milliseconds a prefill may stall the tokens of other calls: gapShare
+// of the shortest gap between events that a route to the service allows.
 func (c *cycle) gapBudget() float64 {
 	gap, found := c.routes.gaps[c.service.Name]
 	if !found {
@@ -182,14 +189,14 @@
 	return milliseconds(gap) * gapShare
 }
 
-// tieBreak sets equal servers apart, differently for each call, so that routers that see the
-// same loads do not all choose the same server.
+// tieBreak returns a small cost that differs between servers and between calls, so that routers which
+// see the same loads do not all choose the same server.
 func (c *cycle) tieBreak(b *backend) float64 {
 	return float64(rendezvousWeight(b.key, c.state.key)%1024) / 1024 * c.weights.tieBreak
 }
 
-// uncachedTokens estimates how many of the call's prompt tokens a server would have to read,
-// at least one, and how many of them belong to the shared prefix.
+// uncachedTokens estimates how many of the call's prompt tokens a server would have to read, at
+// least one, and how many of these belong to the shared prefix.
 func (c *cycle) uncachedTokens(b *backend) (uncached, reread float64) {
 	cached := max(float64(b.prefixes.cachedTokens(c.state.call.Segments)), c.homeLikelihood(b)*float64(c.sharedTokens))
 	return max(float64(c.state.call.PromptTokens)-cached, 1), max(float64(c.sharedTokens)-cached, 0)
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -5,69 +5,70 @@
 	"time"
 )
 
-// day plays so long of a site's usual traffic, times a factor.
-func day(w *world, factor float64, length time.Duration) {
+// playTraffic runs a simulation with the default traffic, multiplied by factor, for the given time, and then
+// until the calls have ended.
+func playTraffic(sim *simulation, factor float64, length time.Duration) {
 	long, chat := longClass(), chatClass()
 	long.perSecond *= factor
 	chat.perSecond *= factor
 	until := noon.Add(length)
-	w.traffic(long, until)
-	w.traffic(chat, until)
-	w.run(until.Add(10 * time.Second))
+	sim.traffic(long, until)
+	sim.traffic(chat, until)
+	sim.run(until.Add(10 * time.Second))
 }
 
-// TestUsualTraffic plays the usual traffic, less and more, and wants most answers in
-// aim and few shared parts read again. The floors are a little under what was measured.
+// TestUsualTraffic checks, with the default traffic and with less and more of it, that most calls meet
+// their latency targets and few shared tokens are read more than once.
 func TestUsualTraffic(t *testing.T) {
 	for _, want := range []struct {
 		factor, long, chat float64
-		again              int
+		reread             int
 	}{{0.6, 0.9, 0.97, 250_000}, {1, 0.87, 0.96, 450_000}, {1.4, 0.78, 0.92, 900_000}} {
-		w := newWorld(1, 9, 9, nil)
-		day(w, want.factor, 30*time.Second)
-		t.Logf("x%.1f\n%s", want.factor, w)
+		sim := newSimulation(1, 9, 9, nil)
+		playTraffic(sim, want.factor, 30*time.Second)
+		t.Logf("x%.1f\n%s", want.factor, sim)
 		for name, floor := range map[string]float64{"long": want.long, "chat": want.chat} {
-			counter := w.counter[name]
+			counter := sim.counter[name]
 			if s := float64(counter.onTarget) / float64(counter.calls); s < floor {
-				t.Errorf("%s: %.3f in aim at x%.1f", name, s, want.factor)
+				t.Errorf("%s with traffic x%.1f: got %.3f of the calls on target, want at least %.3f", name, want.factor, s, floor)
 			}
 		}
-		if w.sharedAgain > want.again {
-			t.Errorf("%d shared tokens read again at x%.1f", w.sharedAgain, want.factor)
+		if sim.sharedReread > want.reread {
+			t.Errorf("traffic x%.1f: got %d shared tokens read again, want at most %d", want.factor, sim.sharedReread, want.reread)
 		}
-		for number, calls := range w.windows {
-			if calls.InFlight() != 0 {
-				t.Errorf("courier %d has %d calls in flight at the end", number, calls.InFlight())
+		for number, sched := range sim.schedulers {
+			if sched.InFlight() != 0 {
+				t.Errorf("router %d has %d calls in flight at the end, want none", number, sched.InFlight())
 			}
 		}
 	}
 }
 
-// TestCountsOfWhatOthersHaveRead plays ninety routers before slow engines, with and without
-// counts: without them each router sees its own calls only, and runs to the prefill servers that the
-// others have just filled.
-func TestCountsOfWhatOthersHaveRead(t *testing.T) {
-	play := func(asks bool) *world {
+// TestBacklogCountsImproveLatency compares ninety routers with slow engines with and without backlog
+// counts. Without them each router knows only its own calls at once, and sends calls to prefill servers
+// that the other routers have just filled.
+func TestBacklogCountsImproveLatency(t *testing.T) {
+	play := func(queries bool) *simulation {
 		s := ninety()
-		w := s.world(4, func(calls *Scheduler) { calls.SetBacklogQueries(asks) })
-		w.pool(NewRoleBalancer())
-		w.run(noon.Add(lead))
-		s.play(w, 1, 6*time.Second)
-		return w
+		sim := s.simulation(4, func(sched *Scheduler) { sched.SetBacklogQueries(queries) })
+		sim.balanceRoles(NewRoleBalancer())
+		sim.run(noon.Add(startupTime))
+		s.play(sim, 1, 6*time.Second)
+		return sim
 	}
 	alone, counted := play(false), play(true)
 	t.Logf("without\n%s\nwith\n%s", alone, counted)
-	onTarget := func(wo *world, c string) float64 {
-		return float64(wo.counter[c].onTarget) / float64(wo.counter[c].calls)
+	onTarget := func(sim *simulation, className string) float64 {
+		return float64(sim.counter[className].onTarget) / float64(sim.counter[className].calls)
 	}
-	for cl, better := range map[string]float64{"long": 0.03, "chat": 0.03} {
-		if before, after := onTarget(alone, cl), onTarget(counted, cl); after < before+better {
-			t.Errorf("%s: %.3f in aim without counts, %.3f with them", cl, before, after)
+	for className, better := range map[string]float64{"long": 0.03, "chat": 0.03} {
+		if before, after := onTarget(alone, className), onTarget(counted, className); after < before+better {
+			t.Errorf("%s: got %.3f on target without counts and %.3f with them, want an increase by %.2f", className, before, after, better)
 		}
 	}
-	for number, calls := range counted.windows {
-		if calls.InFlight() != 0 {
-			t.Errorf("router %d has %d calls in flight at the end", number, calls.InFlight())
+	for number, sched := range counted.schedulers {
+		if sched.InFlight() != 0 {
+			t.Errorf("router %d has %d calls in flight at the end, want none", number, sched.InFlight())
 		}
 	}
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -7,15 +7,15 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// snapshot is all listed servers. It is never altered; a new list is a new snapshot.
+// snapshot is the set of all listed servers. It is immutable; a new list gets a new snapshot.
 type snapshot struct {
 	all         []*backend
 	byName      map[string]*backend
 	byService   map[string][]*backend
 	zoneIndexes map[string]int
-	// router is the key of the router that it belongs to.
+	// router is the key of this router in rendezvous hashing.
 	router uint64
-	// disaggregated tells that the list gives any server a role.
+	// disaggregated is set if the list gives any server a role.
 	disaggregated bool
 }
 
@@ -23,24 +23,24 @@
 	return &snapshot{byName: map[string]*backend{}, byService: map[string][]*backend{}, zoneIndexes: map[string]int{}}
 }
 
-// next is the snapshot of a new list; servers that stay keep their state. Of two servers of one
-// name the first counts.
+// next returns the snapshot of a new list. Servers that keep their name and address keep their state.
+// Of several entries with the same name, only the first is used.
 func (sn *snapshot) next(now time.Time, servers []membership.Server) *snapshot {
 	next := newSnapshot()
 	next.router = sn.router
 	sorted := append([]membership.Server(nil), servers...)
 	sort.Slice(sorted, func(left, right int) bool { return sorted[left].Name < sorted[right].Name })
-	var everywhere []*backend
+	var servingAll []*backend
 	for _, server := range sorted {
-		if _, twice := next.byName[server.Name]; twice {
+		if _, duplicate := next.byName[server.Name]; duplicate {
 			continue
 		}
-		place, known := next.zoneIndexes[server.Zone]
+		index, known := next.zoneIndexes[server.Zone]
 		if !known {
-			place = len(next.zoneIndexes)
-			next.zoneIndexes[server.Zone] = place
+			index = len(next.zoneIndexes)
+			next.zoneIndexes[server.Zone] = index
 		}
-		listed := &backend{server: server, key: nameKey(server.Name), zoneIndex: place}
+		listed := &backend{server: server, key: nameKey(server.Name), zoneIndex: index}
 		if earlier, found := sn.byName[server.Name]; found && earlier.server.Address == server.Address {
 			listed.serverState = earlier.serverState
 		} else {
@@ -50,25 +50,25 @@
 			listed.markWarmingUntil(now.Add(server.Warming + sn.warmingMargin(listed.key)))
 		}
 		next.byName[server.Name] = listed
-		next.disaggregated = next.disaggregated || server.Part != ""
+		next.disaggregated = next.disaggregated || server.Role != ""
 		next.all = append(next.all, listed)
 		if server.Service == "" {
-			everywhere = append(everywhere, listed)
+			servingAll = append(servingAll, listed)
 		} else {
 			next.byService[server.Service] = append(next.byService[server.Service], listed)
 		}
 	}
 	next.nameGroups()
-	if len(everywhere) > 0 {
+	if len(servingAll) > 0 {
 		for service, listed := range next.byService {
-			next.byService[service] = append(listed, everywhere...)
+			next.byService[service] = append(listed, servingAll...)
 		}
-		next.byService[""] = everywhere
+		next.byService[""] = servingAll
 	}
 	return next
 }
 
-// serving lists the servers of a service, with those that serve all services.
+// serving lists the servers of a service, including those that serve all services.
 func (sn *snapshot) serving(service string) []*backend {
 	if listed, found := sn.byService[service]; found {
 		return listed
@@ -76,16 +76,16 @@
 	return sn.byService[""]
 }
 
-// demand is how many prefill servers of a service had a call when they last reported, and how
-// many calls the decode servers had.
+// demand returns the number of a service's prefill servers that had a call when they last reported, and
+// the number of calls at its other servers. Reports older than demandWindow don't count.
 func (sn *snapshot) demand(now time.Time, service string) (busy, running float64) {
-	for _, ba := range sn.byService[service] {
-		report := ba.lastReport.Load()
+	for _, b := range sn.byService[service] {
+		report := b.lastReport.Load()
 		if report == nil || now.Sub(report.at) > demandWindow {
 			continue
 		}
 		calls := float64(report.load.Running + report.load.Waiting)
-		if ba.prefills() {
+		if b.prefills() {
 			busy += min(1, calls)
 		} else {
 			running += calls
@@ -94,10 +94,10 @@
 	return busy, running
 }
 
-// nameKey is the number that stands for a name in rendezvous hashing.
+// nameKey returns the hash of a name that is used in rendezvous hashing.
 func nameKey(name string) uint64 { return membership.Weight("window", name) }
 
-// rendezvousWeight is the weight of a server for a chain in rendezvous (highest random weight)
+// rendezvousWeight returns the weight of a server for a chain in rendezvous (highest random weight)
 // hashing: the same at every router.
 func rendezvousWeight(chain, server uint64) uint64 {
 	sum := chain*0x9e3779b97f4a7c15 ^ server
--- a/internal/scheduler/tenants.go
+++ b/internal/scheduler/tenants.go
@@ -6,13 +6,13 @@
 	"seamloom.example/seamloom/internal/config"
 )
 
-// tenantTable finds the tenant of a key. Keys are looked up by their digests, so that the time that a
-// lookup takes tells nothing of the keys.
+// tenantTable finds the tenant of a key. Keys are looked up by their digests, so that the duration of
+// a lookup reveals nothing about the keys.
 type tenantTable struct {
 	byDigest map[[sha256.Size]byte]*config.Tenant
 }
 
-// compileTenants makes the table of a configuration; nil if its calls need no key.
+// compileTenants makes the table of a configuration's tenants; nil if its calls need no key.
 func compileTenants(tenants map[string]config.Tenant) *tenantTable {
 	if tenants == nil {
 		return nil
@@ -27,8 +27,8 @@
 }
 
 // authenticate finds the tenant of a call on a route, and reports whether the call may be served. A call
-// without a key may only use public routes; one with an unknown key may use none. The tenant is nil
-// where the configuration has no tenants, and for calls without a key.
+// without a key may only use public routes; a call with an unknown key may use no route. The tenant is
+// nil if the configuration has no tenants, and for calls without a key.
 func (t *tenantTable) authenticate(key string, calls *config.CallRoute) (*config.Tenant, bool) {
 	switch {
 	case t == nil:
@@ -40,32 +40,33 @@
 	return tenant, found
 }
 
-// priority is the call's rank among a server's calls: its tenant's, or else its route's.
-func (t *CallState) priority() int {
-	if t.tenant != nil && t.tenant.Priority != nil {
-		return *t.tenant.Priority
+// priority returns the call's priority at a server: the priority of its tenant, or else of its route.
+func (state *CallState) priority() int {
+	if state.tenant != nil && state.tenant.Priority != nil {
+		return *state.tenant.Priority
 	}
-	return t.routeRule.calls.Priority
+	return state.routeRule.calls.Priority
 }
 
-// tenantHeader is how model servers are told the call's tenant; empty if it has none.
-func (t *CallState) tenantHeader() string {
-	if t.tenant == nil {
+// tenantHeader returns the value of the header that names the call's tenant to model servers; empty if the
+// call has no tenant.
+func (state *CallState) tenantHeader() string {
+	if state.tenant == nil {
 		return ""
 	}
-	return t.tenant.HeaderValue
+	return state.tenant.HeaderValue
 }
 
-// TenantLimit is the limit of a call's tenant over all routers, with the version of the configuration that
-// has it.
+// TenantLimit is the rate limit of a call's tenant over all routers, with the version of the
+// configuration that sets it.
 type TenantLimit struct {
 	Tenant        string
 	Limit         config.RateLimit
 	Epoch, Number uint64
 }
 
-// Screening is what a call's host, path and key alone say of it: Refused is the decision that refuses it, of
-// the kind Refuse, or Limit bounds it if it has a tenant.
+// Screening is the result of checking a call's host, path and key only. Refused has the kind Refuse if
+// the call is refused. Otherwise Limit is the limit of the call's tenant, if it has one.
 type Screening struct {
 	Refused Decision
 	Limit   TenantLimit
@@ -74,7 +75,7 @@
 // Limited reports whether the call counts against a limit.
 func (s Screening) Limited() bool { return s.Limit.Tenant != "" && !s.Limit.Limit.Unlimited() }
 
-// Screen looks at a call's host, path and key by the configuration in force.
+// Screen checks a call's host, path and key by the configuration in force.
 func (s *Scheduler) Screen(call *Call) Screening {
 	routes := s.routes.Load()
 	if routes == nil {
@@ -88,7 +89,7 @@
 	return screening
 }
 
-// admit finds the route of a call, its service and its tenant, or the decision that refuses it.
+// admit finds a call's route, service and tenant, or returns the decision that refuses the call.
 func (rt *RouteTable) admit(call *Call) (*routeRule, *config.Service, *config.Tenant, Decision) {
 	r, service := rt.rule(call)
 	if r == nil {
--- a/internal/scheduler/threads_test.go
+++ b/internal/scheduler/threads_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// TestManyThreads has calls come and end in many threads while lists, reports, orders
-// and configurations change, and wants nothing left over; the race detector looks on.
-func TestManyThreads(t *testing.T) {
-	calls, pools := opened(9), NewRoleBalancer()
+// TestConcurrentUse lets calls arrive and end in many goroutines while lists, reports, orders and
+// configurations change, and checks that no work stays counted as in flight. The race detector must find no
+// data race.
+func TestConcurrentUse(t *testing.T) {
+	sched, balancer := newTestScheduler(9), NewRoleBalancer()
 	var waiting sync.WaitGroup
 	for thread := range 8 {
 		waiting.Add(1)
@@ -22,7 +23,7 @@
 				if number%2 == 0 {
 					call = chatCall(call.ID)
 				}
-				state, decision := calls.Arrive(now, call)
+				state, decision := sched.Arrive(now, call)
 				for s := 0; state != nil && (decision.Kind == Prefill || decision.Kind == Generate); s++ {
 					outcome := Outcome{Result: Complete, Handle: "h", FirstByte: now, Load: &ResponseLoad{Running: 3, Slots: 64}}
 					if (number+s)%5 == 0 {
@@ -30,9 +31,9 @@
 						outcome.Status = 500
 					}
 					if decision.Kind == Generate {
-						calls.Began(now, state)
+						sched.Began(now, state)
 					}
-					decision = calls.Ended(now.Add(5*time.Millisecond), state, outcome)
+					decision = sched.Ended(now.Add(5*time.Millisecond), state, outcome)
 				}
 			}
 		}()
@@ -45,28 +46,28 @@
 			list := servers(9)
 			list[number%9].Leaving = number%3 == 0
 			list[(number+4)%9].Warming = time.Duration(number%2) * time.Second
-			calls.SetServers(now, list)
-			calls.SetRouteTable(Compile(plan(nil), 1, uint64(number+2)))
-			calls.SetRouterCount(1 + number%12)
-			calls.SetRouters(routerNames(1+number%12, "courier"))
-			calls.SetRoleOrders(now, map[string]string{list[number%9].Name: prefill})
+			sched.SetServers(now, list)
+			sched.SetRouteTable(Compile(testConfiguration(nil), 1, uint64(number+2)))
+			sched.SetRouterCount(1 + number%12)
+			sched.SetRouters(routerNames(1+number%12, "courier"))
+			sched.SetRoleOrders(now, map[string]string{list[number%9].Name: prefill})
 			var loads []Load
 			for _, server := range list {
-				loads = append(loads, Load{Server: server.Name, Role: server.Part, Running: number % 5, MemoryTotal: 295_740})
+				loads = append(loads, Load{Server: server.Name, Role: server.Role, Running: number % 5, MemoryTotal: 295_740})
 			}
-			calls.SetLoads(now, loads)
-			pools.Decide(now, calls)
-			calls.InFlight()
+			sched.SetLoads(now, loads)
+			balancer.Decide(now, sched)
+			sched.InFlight()
 		}
 	}()
 	waiting.Wait()
-	if left := calls.InFlight(); left != 0 {
-		t.Errorf("%d calls in flight", left)
+	if left := sched.InFlight(); left != 0 {
+		t.Errorf("got %d calls in flight at the end, want none", left)
 	}
-	for _, b := range calls.snapshot.Load().all {
+	for _, b := range sched.snapshot.Load().all {
 		if b.prefilling.Load() != 0 || b.running.Load() != 0 ||
 			b.prefillProgress.pending.Load() != 0 || b.firstEventProgress.pending.Load() != 0 {
-			t.Errorf("%s keeps work on its account", b.server.Name)
+			t.Errorf("%s still has work counted at the end", b.server.Name)
 		}
 	}
 }
--- a/internal/scheduler/warming.go
+++ b/internal/scheduler/warming.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// A server that has ended its slow start by the list counts as warming for longer: for
-// warmMargin, since the list may be early, and up to warmSpread more, a different time for each
-// router, so that not all of them turn to it at once. The values are ours.
+// A server counts as warming for longer than the server list states: for warmMargin, since the list
+// may state an end that is too early, and for up to warmSpread more. The latter differs between
+// routers, so that not all of them begin to send calls to the server at once.
 const (
 	warmMargin = 600 * time.Millisecond
 	warmSpread = 900 * time.Millisecond
 )
 
-// warmingMargin is this router's time above the list's for a server.
+// warmingMargin returns the time by which this router extends a server's slow start.
 func (sn *snapshot) warmingMargin(server uint64) time.Duration {
 	return warmMargin + time.Duration(rendezvousWeight(sn.router, server)%uint64(warmSpread))
 }
 
-// minWarmingAfterReturn is how long the servers of a zone count as warming at least after its
-// evacuation was taken back. The value is ours.
+// minWarmingAfterReturn is the minimum time for which the servers of a zone count as warming after
+// the evacuation of the zone has ended.
 const minWarmingAfterReturn = 1600 * time.Millisecond
 
-// warmingAfterReturn is how long the servers of a service count as warming after the evacuation of
-// their zone was taken back: they may have gone cold shortly before it, and the list may show that
-// only when it is over.
+// warmingAfterReturn returns how long the servers of a service count as warming after the evacuation of
+// their zone has ended: their slow start may have begun shortly before, and the list may not show
+// it before it is over.
 func (rt *RouteTable) warmingAfterReturn(service string) time.Duration {
 	duration := minWarmingAfterReturn
 	if found, known := rt.services[service]; known {
@@ -35,11 +35,12 @@
 	return duration
 }
 
-// returnedZones are zones whose evacuation was taken back since the last cycle.
+// returnedZones are the zones whose evacuation has ended since the last cycle.
 type returnedZones map[string]bool
 
-// noteReturnedZones notes which zones come back with a route table, before it is in force.
-func (s *Scheduler) noteReturnedZones(current, next *RouteTable) {
+// recordReturnedZones records the zones whose evacuation ends with the next route table. It has to
+// be called before that table is in force.
+func (s *Scheduler) recordReturnedZones(current, next *RouteTable) {
 	if current == nil || len(current.evacuations) == 0 {
 		return
 	}
@@ -59,7 +60,7 @@
 	}
 }
 
-// warmReturnedZones has the servers of zones that came back count as warming from now.
+// warmReturnedZones makes the servers of returned zones count as warming from now on.
 func (s *Scheduler) warmReturnedZones(now time.Time) {
 	zones := s.returnedZones.Load()
 	if zones == nil || !s.returnedZones.CompareAndSwap(zones, nil) {
@@ -73,17 +74,19 @@
 	}
 }
 
-// How the rate of a warming server is shared by the routers. The values are ours.
+// How the configured rate of calls to a warming server is shared among the routers.
 const (
-	// Up to fewRouters share it equally; of more, those of warmingShares send.
+	// fewRouters is the maximum number of routers that share the rate equally. If there are more,
+	// only some of them send, by warmingShares.
 	fewRouters = 6
-	// warmingShare is the part of the configured rate that is used.
+	// warmingShare is the share of the configured rate that is used.
 	warmingShare = 0.8
 )
 
-// warmingRate is how many calls a second this router may send to a warming server, and whether
-// any: of many routers only some send to the same one.
-func (c *cycle) warmingRate(b *backend) (rate float64, takes bool) {
+// warmingRate returns how many calls per second this router may send to a warming server, and whether
+// it may send any: if there are many routers, only some of them send to a given server. If no rate is
+// configured, each router may send one call per second.
+func (c *cycle) warmingRate(b *backend) (rate float64, sends bool) {
 	perSecond := c.service.Warming.RequestsPerSecond
 	if perSecond <= 0 {
 		return 1, true
@@ -103,42 +106,45 @@
 	return rate, b.warmingRank(routers) < senders
 }
 
-// warmingShares is how many of so many routers send to a warming server that takes perSecond
-// calls a second, and at which rate each. The senders are the first ones by rendezvous hashing.
+// warmingShares returns how many of the routers send to a warming server that takes perSecond calls
+// per second, and the rate of each sender. The senders are the first routers by rendezvous hashing.
 //
-// With n routers, p = perSecond and burst = ceil(p/n), there are ceil(p/burst) senders, each at
-// a rate of 0.8 p/senders, which is 0.8 burst at most. After a call its bucket is empty or holds
-// part of a call, and burst further ones take it 1/0.8 s: it sends at most burst calls in any
-// second, even if one of them leaves up to 0.25 s late. All senders together send
+// With n routers, p = perSecond and burst = ceil(p/n), there are ceil(p/burst) senders. Each sends
+// at a rate of 0.8 p/senders, which is at most 0.8 burst. A sender's token bucket holds at most one
+// token, so that it is empty after a call, and the tokens for burst further calls take at least
+// 1/0.8 s. A sender therefore sends at most burst calls in any second, even if one of them is up to
+// 0.25 s late. All senders together send
 //
 //	senders * burst < (p/burst + 1) * burst = p + burst
 //
-// Routers may know different lists. Of the routers that some list has and another lacks, let there
-// be d. A router that all lists have sends only if it is among the first ones of those that all
-// lists have: fewer still come before it there. So the senders are those and d more at most, and send
+// Routers may have different lists of routers. Let d be the number of routers that are in some
+// lists but not in all. A router that is in all lists is a sender by one of them only if it is among
+// the first routers that are in all lists, since removing the d others can only improve its rank.
+// Hence there are at most d additional senders, and all senders together send
 //
 //	(senders + d) * burst < p + burst * (1 + d)
 //
-// which is at most 1.5 p + 5 while burst * (1 + d) <= p/2 + 5: d = 8 for p = 8.8 and 9 or more
-// routers, d = 2 for any p and 7 or more routers. Lists to which n gives different bursts are not
-// covered by this; TestWarmingSendersStayInTheBoundWithDifferingLists has them too, with d = 3.
+// This is at most 1.5 p + 5 as long as burst * (1 + d) <= p/2 + 5: d = 8 for p = 8.8 and 9 or more
+// routers, d = 2 for any p and 7 or more routers. The proof doesn't cover lists whose lengths give
+// different bursts; TestWarmingSendersStayInTheBoundWithDifferingLists has such lists, with d = 3.
 func warmingShares(perSecond float64, routers int) (senders int, rate float64) {
 	burst := math.Ceil(perSecond / float64(routers))
 	senders = int(math.Ceil(perSecond / burst))
 	return senders, perSecond * warmingShare / float64(senders)
 }
 
-// routerList is the recorded routers. It is never altered.
+// routerList is the list of recorded routers. It is immutable.
 type routerList struct {
-	// names are sorted; keys are theirs in rendezvous hashing, in the same order.
+	// names are sorted; keys are the hashes of the names for rendezvous hashing, in the same order.
 	names []string
 	keys  []uint64
 	// own is the position of this router; negative if it is not recorded.
 	own int
 }
 
-// SetRouters tells the names of the recorded routers, by which those that send to a warming
-// server are chosen. Until it is called, a router of more than a few sends to none.
+// SetRouters sets the names of the recorded routers, from which the senders to a warming server are
+// selected. Until it is called, a router that is one of more than fewRouters sends nothing to
+// warming servers.
 func (s *Scheduler) SetRouters(names []string) {
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
@@ -149,7 +155,7 @@
 	s.routerList.Store(newRouterList(sorted, s.options.Router))
 }
 
-// RecordedRouters is how many routers SetRouters named.
+// RecordedRouters returns the number of routers that were set by SetRouters.
 func (s *Scheduler) RecordedRouters() int {
 	if known := s.routerList.Load(); known != nil {
 		return len(known.names)
@@ -165,8 +171,8 @@
 	return list
 }
 
-// rank is how many routers come before this one for a server, by rendezvous hashing; one that is
-// not recorded comes last.
+// rank returns the number of routers that precede this one for a server, by rendezvous hashing. A router
+// that is not recorded comes last.
 func (l *routerList) rank(server uint64) int {
 	if l.own < 0 {
 		return math.MaxInt
@@ -187,7 +193,7 @@
 	rank    int
 }
 
-// warmingRank is this router's rank for the server; it is found once for each list of routers.
+// warmingRank returns this router's rank for the server. It is computed once for each list of routers.
 func (b *backend) warmingRank(routers *routerList) int {
 	known := b.rank.Load()
 	if known == nil || known.routers != routers {
@@ -197,15 +203,16 @@
 	return known.rank
 }
 
-// rateLimit is a token bucket of size one, empty at the start: it lets a few calls a second
-// through to a warming server.
+// rateLimit is a token bucket of size one that is empty at the start. It limits the rate of calls
+// to a warming server. level is the number of tokens at the time of the last update, which is at.
 type rateLimit struct {
 	mutex sync.Mutex
 	level float64
 	at    time.Time
 }
 
-// ready tells whether a call may go now, at a rate a second; take counts it.
+// ready reports whether a call may be sent now, at the given rate per second. It does not count the
+// call; take does.
 func (r *rateLimit) ready(now time.Time, rate float64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -213,6 +220,7 @@
 	return r.level >= 1
 }
 
+// take counts a call if it may be sent now, and reports whether it may.
 func (r *rateLimit) take(now time.Time, rate float64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -224,6 +232,7 @@
 	return true
 }
 
+// fill adds the tokens for the time since the last update.
 func (r *rateLimit) fill(now time.Time, rate float64) {
 	switch {
 	case r.at.IsZero():
--- a/internal/scheduler/warming_test.go
+++ b/internal/scheduler/warming_test.go
@@ -14,28 +14,28 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// TestServersOfAZoneThatComesBackCountAsWarming takes an evacuation back, and wants the
-// zone's servers to get no more in the next second than warming ones stand: they may
-// have become cold while nobody used them, and the list tells that later.
+// TestServersOfAZoneThatComesBackCountAsWarming ends an evacuation, and checks that the zone's servers get no
+// more calls in the next second than warming servers may: a slow start of theirs may have begun during the
+// evacuation, and the list may show it only later. A minute later they must get more calls.
 func TestServersOfAZoneThatComesBackCountAsWarming(t *testing.T) {
-	calls := New(Options{Router: "courier-1", Zone: "north", Retries: RetryAllowance{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}})
-	calls.SetRouterCount(1)
+	sched := New(Options{Router: "courier-1", Zone: "north", Retries: RetryAllowance{Ratio: 0.2, Slack: 200, Window: 10 * time.Second}})
+	sched.SetRouterCount(1)
 	list := servers(9)
-	calls.SetServers(noon, list)
+	sched.SetServers(noon, list)
 	compile := func(number uint64, evacuated bool) *RouteTable {
-		return Compile(plan(func(configuration *config.Configuration) {
+		return Compile(testConfiguration(func(configuration *config.Configuration) {
 			if evacuated {
 				configuration.Evacuations = map[string]config.Evacuation{"north": {}}
 			}
 		}), 1, number)
 	}
-	calls.SetRouteTable(compile(1, true))
+	sched.SetRouteTable(compile(1, true))
 	north := map[string]bool{}
 	for _, server := range list {
 		north[server.Name] = server.Zone == "north"
 	}
 	arrive := func(number int, now time.Time) string {
-		state, decision := calls.Arrive(now, &Call{
+		state, decision := sched.Arrive(now, &Call{
 			ID:           "call-" + strconv.Itoa(number),
 			Host:         "chat.example",
 			Path:         "/one",
@@ -51,21 +51,21 @@
 	}
 	for number := range 100 {
 		if server := arrive(number, noon); north[server] {
-			t.Fatalf("%s is in an evacuated district", server)
+			t.Fatalf("%s got a call though its zone is evacuated", server)
 		}
 	}
 	back := noon.Add(time.Second)
-	calls.SetRouteTable(compile(2, false))
+	sched.SetRouteTable(compile(2, false))
 	counts := map[string]int{}
 	for number := range 400 {
 		counts[arrive(1000+number, back.Add(time.Duration(number)*2500*time.Microsecond))]++
 	}
 	for server, count := range counts {
 		if north[server] && count > 12 {
-			t.Errorf("%s got %d calls in the first second after its district came back", server, count)
+			t.Errorf("%s got %d calls in the first second after the evacuation of its zone, want at most 12", server, count)
 		}
 	}
-	// Long after it nothing of that is left.
+	// A minute later the servers no longer count as warming.
 	later := back.Add(time.Minute)
 	counts = map[string]int{}
 	for number := range 400 {
@@ -78,60 +78,62 @@
 		}
 	}
 	if most <= 12 {
-		t.Errorf("a minute later the district's servers got %d calls a second at most", most)
+		t.Errorf("a minute later the zone's servers got at most %d calls in a second, want more than 12", most)
 	}
 }
 
-// TestReturnedZoneIsNotFloodedBeforeTheListTells takes an evacuation back, sends no further list,
-// and wants the zone's servers to stay in the bound for as long as they may be cold.
-func TestReturnedZoneIsNotFloodedBeforeTheListTells(t *testing.T) {
-	calls := New(Options{Router: "router", Zone: "north"})
-	calls.SetRouterCount(1)
+// TestReturnedZoneIsNotOverloadedBeforeTheNextList ends an evacuation before the next list arrives. For as long
+// as the zone's servers may be in slow start, they must get no more calls than warming servers may.
+func TestReturnedZoneIsNotOverloadedBeforeTheNextList(t *testing.T) {
+	sched := New(Options{Router: "router", Zone: "north"})
+	sched.SetRouterCount(1)
 	list := servers(9)
-	calls.SetServers(noon, list)
-	evacuated := plan(func(configuration *config.Configuration) {
+	sched.SetServers(noon, list)
+	evacuated := testConfiguration(func(configuration *config.Configuration) {
 		configuration.Evacuations = map[string]config.Evacuation{"north": {}}
 	})
-	calls.SetRouteTable(Compile(evacuated, 1, 1))
-	calls.Arrive(noon, chatCall("before"))
-	calls.SetRouteTable(Compile(plan(nil), 1, 2))
+	sched.SetRouteTable(Compile(evacuated, 1, 1))
+	sched.Arrive(noon, chatCall("before"))
+	sched.SetRouteTable(Compile(testConfiguration(nil), 1, 2))
 	warming := evacuated.Services["desk"].Warming
-	sent := map[string]arrivals{}
+	sent := map[string]timestamps{}
 	for now := noon; now.Before(noon.Add(warming.Duration)); now = now.Add(2 * time.Millisecond) {
-		state, decision := calls.Arrive(now, chatCall(now.String()))
+		state, decision := sched.Arrive(now, chatCall(now.String()))
 		if state != nil && decision.Server.Zone == "north" {
 			sent[decision.Server.Name] = append(sent[decision.Server.Name], now)
 		}
 	}
 	if len(sent) == 0 {
-		t.Error("nothing was sent to the zone")
+		t.Error("no calls were sent to the zone")
 	}
-	for name, moments := range sent {
-		if most, _ := moments.most(time.Second, nil); float64(most) > warmingBound(warming.RequestsPerSecond) {
-			t.Errorf("%s got %d calls in a second", name, most)
+	for name, times := range sent {
+		if most, _ := times.maxInSpan(time.Second, nil); float64(most) > warmingBound(warming.RequestsPerSecond) {
+			t.Errorf("%s got %d calls in a second, want at most %.1f", name, most, warmingBound(warming.RequestsPerSecond))
 		}
 	}
 }
 
-// warmingFleet is the schedulers of routers that know one another and list the same servers.
-func warmingFleet(names []string, perSecond float64, list []membership.Server) []*Scheduler {
-	routes := Compile(plan(func(configuration *config.Configuration) {
+// newWarmingSchedulers returns the schedulers of routers that know one another and have the same list of
+// servers.
+func newWarmingSchedulers(names []string, perSecond float64, list []membership.Server) []*Scheduler {
+	routes := Compile(testConfiguration(func(configuration *config.Configuration) {
 		service := configuration.Services["desk"]
 		service.Warming.RequestsPerSecond = perSecond
 		configuration.Services["desk"] = service
 	}), 1, 1)
-	var fleet []*Scheduler
+	var schedulers []*Scheduler
 	for _, name := range names {
-		calls := New(Options{Router: name, Zone: "north"})
-		calls.SetRouterCount(len(names))
-		calls.SetRouters(names)
-		calls.SetRouteTable(routes)
-		calls.SetServers(noon, list)
-		fleet = append(fleet, calls)
+		sched := New(Options{Router: name, Zone: "north"})
+		sched.SetRouterCount(len(names))
+		sched.SetRouters(names)
+		sched.SetRouteTable(routes)
+		sched.SetServers(noon, list)
+		schedulers = append(schedulers, sched)
 	}
-	return fleet
+	return schedulers
 }
 
+// routerNames returns the names of count routers, which begin with seed.
 func routerNames(count int, seed string) []string {
 	names := make([]string, count)
 	for number := range names {
@@ -140,26 +142,26 @@
 	return names
 }
 
-// warmingBound is the platform's bound on requests to a warming server in any second.
+// warmingBound returns the platform's bound on the requests to a warming server in any second.
 func warmingBound(perSecond float64) float64 { return perSecond*1.5 + 5 }
 
-// mostInASecond is how many calls a rate limit lets through in the worst second, under steady
-// pressure.
+// mostInASecond returns the largest number of calls that a rate limit admits in any second, if a call is always
+// waiting.
 func mostInASecond(rate float64) int {
 	var limit rateLimit
-	var sent arrivals
+	var sent timestamps
 	for now := noon; now.Before(noon.Add(5 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		if limit.take(now, rate) {
 			sent = append(sent, now)
 		}
 	}
-	most, _ := sent.most(time.Second, nil)
+	most, _ := sent.maxInSpan(time.Second, nil)
 	return most
 }
 
-// TestWarmingServerIsNotFloodedByManySenders wants that what all routers may send to one
-// warming server in a second stays in the bound, for every server of a large fleet.
-func TestWarmingServerIsNotFloodedByManySenders(t *testing.T) {
+// TestWarmingServerIsNotOverloadedByManySenders checks for every server of a large fleet that the calls which
+// all routers together may send to it in a second are within the bound.
+func TestWarmingServerIsNotOverloadedByManySenders(t *testing.T) {
 	const perSecond, routers = 8.8, 300
 	list := servers(256)
 	for position := range list {
@@ -168,12 +170,12 @@
 	burst := map[float64]int{}
 	for _, seed := range strings.Split("abcdefghijkl", "") {
 		sum, senders := make([]int, len(list)), make([]int, len(list))
-		for _, calls := range warmingFleet(routerNames(routers, seed), perSecond, list) {
-			table := calls.routes.Load()
-			c := calls.newCycle(noon, &CallState{call: chatCall("a"), routeRule: table.hosts["chat.example"][0], service: table.services["desk"]})
+		for _, sched := range newWarmingSchedulers(routerNames(routers, seed), perSecond, list) {
+			table := sched.routes.Load()
+			c := sched.newCycle(noon, &CallState{call: chatCall("a"), routeRule: table.hosts["chat.example"][0], service: table.services["desk"]})
 			for position, b := range c.backends {
-				rate, takes := c.warmingRate(b)
-				if !takes {
+				rate, sends := c.warmingRate(b)
+				if !sends {
 					continue
 				}
 				if _, known := burst[rate]; !known {
@@ -184,21 +186,23 @@
 			}
 		}
 		if worst := slices.Max(sum); float64(worst) > warmingBound(perSecond) {
-			t.Errorf("names %s: %d routers send %d calls in a second to one warming server, %.1f are allowed", seed, slices.Max(senders), worst, warmingBound(perSecond))
+			t.Errorf("names %s: up to %d routers send %d calls in a second to one warming server, want at most %.1f",
+				seed, slices.Max(senders), worst, warmingBound(perSecond))
 		}
 		if slices.Min(senders) == 0 {
-			t.Errorf("names %s: nobody sends to some warming server", seed)
+			t.Errorf("names %s: no router sends to one of the warming servers", seed)
 		}
 	}
 }
 
-// TestRouterWithoutNamesSendsNothingToWarmingServers has only the number of routers known.
+// TestRouterWithoutNamesSendsNothingToWarmingServers checks that a router sends calls to warming servers only
+// if there are few routers or if it is one of the recorded ones.
 func TestRouterWithoutNamesSendsNothingToWarmingServers(t *testing.T) {
 	list := servers(9)
 	for position := range list {
 		list[position].Warming = time.Minute
 	}
-	for _, known := range []struct {
+	for _, row := range []struct {
 		count int
 		names []string
 		sends bool
@@ -209,37 +213,38 @@
 		{fewRouters + 1, routerNames(fewRouters+1, "other"), false},
 		{fewRouters + 1, []string{"router"}, true},
 	} {
-		calls := New(Options{Router: "router", Zone: "north"})
-		calls.SetRouterCount(known.count)
-		if known.names != nil {
-			calls.SetRouters(known.names)
+		sched := New(Options{Router: "router", Zone: "north"})
+		sched.SetRouterCount(row.count)
+		if row.names != nil {
+			sched.SetRouters(row.names)
 		}
-		calls.SetRouteTable(Compile(plan(nil), 1, 1))
-		calls.SetServers(noon, list)
+		sched.SetRouteTable(Compile(testConfiguration(nil), 1, 1))
+		sched.SetServers(noon, list)
 		sent := 0
 		for step := range 400 {
 			now := noon.Add(time.Duration(step) * 10 * time.Millisecond)
-			state, decision := calls.Arrive(now, chatCall(strconv.Itoa(step)))
+			state, decision := sched.Arrive(now, chatCall(strconv.Itoa(step)))
 			if state != nil {
 				sent++
 				if decision.Kind != Generate && decision.Kind != Prefill {
-					t.Fatalf("%+v", decision)
+					t.Fatalf("got %+v, want a dispatch", decision)
 				}
 			}
 		}
-		if (sent > 0) != known.sends {
-			t.Errorf("%d routers, names %v: %d calls were sent", known.count, known.names, sent)
+		if (sent > 0) != row.sends {
+			t.Errorf("%d routers, names %v: got %d calls sent, want at least one: %v", row.count, row.names, sent, row.sends)
 		}
 	}
 }
 
-// rankedFor is a list of routers and, for each, its rank for a server.
-type rankedFor struct {
+// routerRanking is a sorted list of routers with the rank of each router for a server.
+type routerRanking struct {
 	names []string
 	ranks []int
 }
 
-func rankRouters(names []string, server uint64) rankedFor {
+// rankRouters ranks routers for a server.
+func rankRouters(names []string, server uint64) routerRanking {
 	sorted := slices.Sorted(slices.Values(names))
 	list := newRouterList(sorted, "")
 	ranks := make([]int, len(sorted))
@@ -247,16 +252,16 @@
 		list.own = position
 		ranks[position] = list.rank(server)
 	}
-	return rankedFor{sorted, ranks}
+	return routerRanking{sorted, ranks}
 }
 
-// mostSent is how many calls routers may send to a server in a second, each by the worst of the
-// lists that have it. A call may leave 0.2 s late, so that 1.2 s are looked at.
-func mostSent(perSecond float64, lists []rankedFor) int {
+// mostSent returns how many calls all routers together may send to a server in a second, if each router uses the
+// list that lets it send the most. Since a call may be sent 0.2 s late, the tokens of 1.2 s count.
+func mostSent(perSecond float64, lists []routerRanking) int {
 	most, sum := map[string]int{}, 0
 	for _, list := range lists {
 		senders, rate := warmingShares(perSecond, len(list.names))
-		// The bucket is empty after a call, and holds one at most.
+		// After a call the bucket is empty, since it holds one token at most.
 		burst := int(math.Ceil(1.2 * rate))
 		for position, name := range list.names {
 			if list.ranks[position] < senders && most[name] < burst {
@@ -268,9 +273,10 @@
 	return sum
 }
 
-// differingLists are lists of routers: all have the same ones and some of so many more. In every
-// other case these are the first for the server.
-func differingLists(random *rand.Rand, routers, differing int, server uint64) []rankedFor {
+// differingLists returns four lists of routers: one with all routers, one without the differing routers, and
+// two with some of the differing routers. In half of the cases the differing routers have the highest ranks
+// for the server.
+func differingLists(random *rand.Rand, routers, differing int, server uint64) []routerRanking {
 	names := routerNames(routers+differing, strconv.Itoa(random.IntN(1<<20)))
 	random.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
 	if random.IntN(2) == 0 {
@@ -278,11 +284,11 @@
 			return cmp.Compare(rendezvousWeight(nameKey(right), server), rendezvousWeight(nameKey(left), server))
 		})
 	}
-	some, all := names[:differing], names[differing:]
-	lists := []rankedFor{rankRouters(names, server), rankRouters(all, server)}
+	differingNames, commonNames := names[:differing], names[differing:]
+	lists := []routerRanking{rankRouters(names, server), rankRouters(commonNames, server)}
 	for range 2 {
-		list := slices.Clone(all)
-		for _, name := range some {
+		list := slices.Clone(commonNames)
+		for _, name := range differingNames {
 			if random.IntN(2) == 0 {
 				list = append(list, name)
 			}
@@ -292,8 +298,8 @@
 	return lists
 }
 
-// TestWarmingSendersStayInTheBoundWithDifferingLists has routers whose lists of one another
-// differ by three, each sending as much in the worst second as any of the lists lets it.
+// TestWarmingSendersStayInTheBoundWithDifferingLists checks the bound on calls to a warming server for routers
+// whose lists of routers differ by three, if each router sends as many calls as any of the lists lets it.
 func TestWarmingSendersStayInTheBoundWithDifferingLists(t *testing.T) {
 	random := rand.New(rand.NewPCG(300, 35))
 	for routers := 7; routers <= 330-3; routers++ {
@@ -301,50 +307,51 @@
 			lists := differingLists(random, routers, 3, random.Uint64())
 			for perSecond := 1.0; perSecond <= 40; perSecond += 0.1 {
 				if sum := mostSent(perSecond, lists); float64(sum) > warmingBound(perSecond) {
-					t.Fatalf("%d to %d routers, %.1f calls a second: %d in a second, %.1f are allowed", routers, routers+3, perSecond, sum, warmingBound(perSecond))
+					t.Fatalf("%d to %d routers, %.1f calls per second: got %d in a second, want at most %.1f",
+						routers, routers+3, perSecond, sum, warmingBound(perSecond))
 				}
 			}
 		}
 	}
 }
 
-// TestWarmingCountsTellLateNewsFromManySenders sends to a server known to be warming, and to one
-// whose slow start the list tells only afterwards.
-func TestWarmingCountsTellLateNewsFromManySenders(t *testing.T) {
+// TestWarmingCountsDistinguishSlowStartsLearnedLate checks that dispatches to a server known to be warming are
+// counted as such, and slow starts that the list shows only after a dispatch as learned late.
+func TestWarmingCountsDistinguishSlowStartsLearnedLate(t *testing.T) {
 	list := servers(2)
-	list[0].Leaving, list[1].Part, list[1].Warming = true, decode, time.Second
-	calls := New(Options{Router: "router", Zone: "north"})
-	calls.SetRouterCount(1)
-	calls.SetRouteTable(Compile(plan(nil), 1, 1))
-	calls.SetServers(noon, list)
-	calls.SetListRead(noon)
+	list[0].Leaving, list[1].Role, list[1].Warming = true, decode, time.Second
+	sched := New(Options{Router: "router", Zone: "north"})
+	sched.SetRouterCount(1)
+	sched.SetRouteTable(Compile(testConfiguration(nil), 1, 1))
+	sched.SetServers(noon, list)
+	sched.SetListRead(noon)
 	arrive := func(now time.Time) bool {
-		state, decision := calls.Arrive(now, chatCall(now.String()))
+		state, decision := sched.Arrive(now, chatCall(now.String()))
 		return state != nil && decision.Server.Name == list[1].Name
 	}
 	if arrive(noon) || !arrive(noon.Add(900*time.Millisecond)) {
-		t.Fatal("a warming server takes a call at the start, or none later")
+		t.Fatal("a warming server got a call at the start, or none 0.9 s later")
 	}
-	want := WarmingCounts{Dispatches: 1, ListAge: 900 * time.Millisecond, MostListAge: 900 * time.Millisecond}
-	if got := calls.WarmingCounts(); got != want {
-		t.Errorf("known: %+v", got)
+	want := WarmingCounts{Dispatches: 1, ListAge: 900 * time.Millisecond, MaxListAge: 900 * time.Millisecond}
+	if got := sched.WarmingCounts(); got != want {
+		t.Errorf("known slow start: got %+v, want %+v", got, want)
 	}
-	cold := noon.Add(time.Minute)
-	if !arrive(cold.Add(time.Second)) {
-		t.Fatal("a warm server takes no call")
+	slowStart := noon.Add(time.Minute)
+	if !arrive(slowStart.Add(time.Second)) {
+		t.Fatal("the server got no call after its slow start")
 	}
-	// It has been cold for two of its three seconds.
+	// Two of the three seconds of the next slow start have passed when the list shows it.
 	list[1].Warming = time.Second
-	calls.SetServers(cold.Add(2*time.Second), list)
-	calls.SetServers(cold.Add(2100*time.Millisecond), list)
-	want.LateNews = 1
-	if got := calls.WarmingCounts(); got != want {
-		t.Errorf("late: %+v", got)
+	sched.SetServers(slowStart.Add(2*time.Second), list)
+	sched.SetServers(slowStart.Add(2100*time.Millisecond), list)
+	want.LateNotices = 1
+	if got := sched.WarmingCounts(); got != want {
+		t.Errorf("slow start learned late: got %+v, want %+v", got, want)
 	}
-	// This one goes cold after the last call there.
+	// The next slow start begins after the last call.
 	list[1].Warming = 3 * time.Second
-	calls.SetServers(cold.Add(time.Minute), list)
-	if got := calls.WarmingCounts(); got != want {
-		t.Errorf("in time: %+v", got)
+	sched.SetServers(slowStart.Add(time.Minute), list)
+	if got := sched.WarmingCounts(); got != want {
+		t.Errorf("slow start learned in time: got %+v, want %+v", got, want)
 	}
 }
--- a/internal/scheduler/weights.go
+++ b/internal/scheduler/weights.go
@@ -1,68 +1,69 @@
 package scheduler
 
-// weights turn into milliseconds what a candidate costs beside its latency. They were tuned
-// in the package's simulated world.
+// weights are the costs, in milliseconds, that a candidate has in addition to its latency.
 type weights struct {
-	// crossingKilobyte is for a kilobyte of a body that goes to another zone.
-	crossingKilobyte float64
-	// transferThousand is for a thousand prompt tokens whose KV cache is transferred; between
-	// zones it costs transferFar times as much.
-	transferThousand float64
-	transferFar      float64
-	// rereadThousand is for a thousand tokens of a shared prefix that has to be read once
-	// more.
-	rereadThousand float64
-	// extraRequest is for the second request of a call that is split.
+	// crossZonePerKilobyte is the cost of a kilobyte of a request body that is sent to another zone.
+	crossZonePerKilobyte float64
+	// transferPerThousand is the cost of transferring the KV cache of a thousand prompt tokens.
+	// Between zones it is multiplied by crossZoneTransferFactor.
+	transferPerThousand     float64
+	crossZoneTransferFactor float64
+	// rereadPerThousand is the cost of reading a thousand tokens of a shared prefix once more.
+	rereadPerThousand float64
+	// extraRequest is the cost of the second request of a call that is split into prefill and run.
 	extraRequest float64
-	// lastAttempt is for a prefill before the only run that a call may still have.
+	// lastAttempt is the cost of a prefill before the only run that the call has left.
 	lastAttempt float64
-	// wastedThousand is for a thousand tokens that a prefill server read for nothing.
-	wastedThousand float64
-	// refusal is for refusing a call that never ran: a retry that harms others more than
-	// that is not sent.
+	// wastedPerThousand is the cost of a thousand tokens that a prefill server read in vain.
+	wastedPerThousand float64
+	// refusal is the cost of refusing a call that never ran. A retry whose cost is higher, since it
+	// would harm other calls more, is not sent.
 	refusal float64
-	// stalled is for each millisecond that a server has produced nothing for too long.
-	stalled float64
-	// unhealthy is for a server that failed this router, outlier for one that failed others,
-	// warming for one that is in slow start.
+	// stallPerMillisecond is the cost of each millisecond for which a server has been stalled.
+	stallPerMillisecond float64
+	// unhealthy is the cost of a server that failed this router's calls, outlier the cost of a server
+	// that failed other routers' calls, and warming the cost of a server in slow start.
 	unhealthy float64
 	outlier   float64
 	warming   float64
-	// gapHarm is for each other call whose tokens a prefill stalls for as long as gapBudget.
-	gapHarm float64
-	// connection is for a server to which a new connection has to be opened.
+	// stalledCall is the cost of each other call whose tokens a prefill stalls for as long as
+	// gapBudget.
+	stalledCall float64
+	// connection is the cost of opening a new connection to a server.
 	connection float64
-	// tieBreak is how far apart equal servers are set.
+	// tieBreak is the maximum cost that distinguishes otherwise equal servers.
 	tieBreak float64
-	// homePrefill, nextPrefill and homeDecode are no costs but likelihoods, from 0 to 1,
-	// that a home server of a chain has its prefix cached.
+	// homePrefill, nextPrefill and homeDecode are not costs but likelihoods, from 0 to 1, that the
+	// home servers of a chain have its prefix cached.
 	homePrefill float64
 	nextPrefill float64
 	homeDecode  float64
-	// awayThousand is for a thousand shared tokens of a run away from the home decode server.
-	awayThousand float64
+	// awayFromHomePerThousand is the cost, for a thousand shared tokens, of a run at another decode
+	// server than the chain's home.
+	awayFromHomePerThousand float64
 }
 
+// defaultWeights returns the weights of every scheduler. Tests change single weights.
 func defaultWeights() weights {
 	return weights{
-		crossingKilobyte: 4,
-		transferThousand: 1.2,
-		transferFar:      2.5,
-		rereadThousand:   225,
-		extraRequest:     10,
-		lastAttempt:      60,
-		wastedThousand:   10,
-		refusal:          2000,
-		stalled:          3,
-		unhealthy:        2000,
-		outlier:          1000,
-		warming:          60,
-		gapHarm:          60,
-		connection:       15,
-		tieBreak:         4,
-		homePrefill:      0.8,
-		nextPrefill:      0.5,
-		homeDecode:       0.5,
-		awayThousand:     3,
+		crossZonePerKilobyte:    4,
+		transferPerThousand:     1.2,
+		crossZoneTransferFactor: 2.5,
+		rereadPerThousand:       225,
+		extraRequest:            10,
+		lastAttempt:             60,
+		wastedPerThousand:       10,
+		refusal:                 2000,
+		stallPerMillisecond:     3,
+		unhealthy:               2000,
+		outlier:                 1000,
+		warming:                 60,
+		stalledCall:             60,
+		connection:              15,
+		tieBreak:                4,
+		homePrefill:             0.8,
+		nextPrefill:             0.5,
+		homeDecode:              0.5,
+		awayFromHomePerThousand: 3,
 	}
 }
--- a/internal/testbed/compare/compare.go
+++ b/internal/testbed/compare/compare.go
@@ -10,35 +10,37 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is that of the intervals.
+// confidence is the level of the confidence intervals.
 const confidence = 0.95
 
-// Difference is how one figure changed over the days that both sides played.
+// Difference is the difference of one figure between two builds, on the days for which both builds
+// have a report.
 type Difference struct {
 	Figure string  `json:"figure"`
 	Days   int     `json:"days"`
 	Before float64 `json:"before"`
 	After  float64 `json:"after"`
-	// Mean is that of the differences day by day, and lies within Margin of the true one
-	// with 95% confidence, if the days are drawn alike.
+	// Mean is the mean of the days' differences. With 95% confidence it lies within Margin of the
+	// true mean, if the days are drawn independently from the same distribution.
 	Mean   float64 `json:"mean"`
 	Margin float64 `json:"margin"`
 }
 
-// Clear tells whether the interval leaves out zero.
+// Clear reports whether the confidence interval excludes zero.
 func (d Difference) Clear() bool { return math.Abs(d.Mean) > d.Margin }
 
-// Comparison is that of all figures, and of the days that one side alone broke.
+// Comparison holds the differences of all figures, and the days on which each build broke a
+// rule.
 type Comparison struct {
 	Differences  []Difference `json:"differences"`
 	Days         []string     `json:"days"`
 	BrokenBefore []string     `json:"broken_before,omitempty"`
 	BrokenAfter  []string     `json:"broken_after,omitempty"`
-	// Worth are the differences of the days' worth, in the order of Days.
-	Worth []float64 `json:"worth"`
+	// ScoreDifferences holds the difference of each day's score, in the order of Days.
+	ScoreDifferences []float64 `json:"worth"`
 }
 
-// Compare pairs the days that both sides played.
+// Compare compares the reports of the days that both builds have.
 func Compare(before, after map[string]*Report) Comparison {
 	var comparison Comparison
 	pairs := map[string][][2]float64{}
@@ -53,7 +55,7 @@
 		for name := range union(first, second) {
 			pairs[name] = append(pairs[name], [2]float64{first[name], second[name]})
 		}
-		comparison.Worth = append(comparison.Worth, second["worth"]-first["worth"])
+		comparison.ScoreDifferences = append(comparison.ScoreDifferences, second["worth"]-first["worth"])
 		if before[day].Broken() {
 			comparison.BrokenBefore = append(comparison.BrokenBefore, day)
 		}
@@ -65,11 +67,12 @@
 		comparison.Differences = append(comparison.Differences, differenceOf(name, values, len(comparison.Days)))
 	}
 	sort.Slice(comparison.Differences, func(left, right int) bool {
-		return rank(comparison.Differences[left].Figure) < rank(comparison.Differences[right].Figure)
+		return sortKey(comparison.Differences[left].Figure) < sortKey(comparison.Differences[right].Figure)
 	})
 	return comparison
 }
 
+// union returns the names of the figures that at least one of two reports has.
 func union(first, second map[string]float64) map[string]bool {
 	names := map[string]bool{}
 	for name := range first {
@@ -81,15 +84,16 @@
 	return names
 }
 
-// rank has the worth come first.
-func rank(figure string) string {
+// sortKey returns the key by which figures are sorted; the score ("worth") comes first.
+func sortKey(figure string) string {
 	if figure == "worth" {
 		return ""
 	}
 	return figure
 }
 
-// differenceOf is that of one figure. A day on which neither side has it counts as none.
+// differenceOf returns the difference of one figure. A day on which neither build has the figure
+// counts as a difference of zero.
 func differenceOf(name string, pairs [][2]float64, days int) Difference {
 	difference := Difference{Figure: name, Days: days}
 	differences := make([]float64, days)
@@ -109,18 +113,18 @@
 	return difference
 }
 
-// String is the comparison as a table.
+// String returns the comparison as a table, with a star after each clear difference.
 func (c Comparison) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d days; broken before: %v; broken after: %v\n", len(c.Days), c.BrokenBefore, c.BrokenAfter)
 	fmt.Fprintf(&text, "%-52s %10s %10s %10s %10s\n", "figure", "before", "after", "difference", "within")
 	for _, difference := range c.Differences {
-		mark := ""
+		star := ""
 		if difference.Clear() {
-			mark = " *"
+			star = " *"
 		}
 		fmt.Fprintf(&text, "%-52s %10.4f %10.4f %+10.4f %10.4f%s\n", difference.Figure, difference.Before,
-			difference.After, difference.Mean, difference.Margin, mark)
+			difference.After, difference.Mean, difference.Margin, star)
 	}
 	return text.String()
 }
--- a/internal/testbed/compare/plot.go
+++ b/internal/testbed/compare/plot.go
@@ -8,18 +8,18 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// The size of a plot.
+// plotWidth and plotHeight are the size of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// SavePlot draws the difference of each day's worth.
+// SavePlot draws a bar chart of the difference of each day's score into a file.
 func (c Comparison) SavePlot(file string) error {
 	drawing := plot.New()
-	drawing.Title.Text = "worth, after less before, day by day"
+	drawing.Title.Text = "difference of each day's worth, after minus before"
 	drawing.Y.Label.Text = "difference"
-	bars, err := plotter.NewBarChart(plotter.Values(c.Worth), plotWidth/vg.Length(2*max(1, len(c.Worth))))
+	bars, err := plotter.NewBarChart(plotter.Values(c.ScoreDifferences), plotWidth/vg.Length(2*max(1, len(c.ScoreDifferences))))
 	if err != nil {
 		return failure.Wrap(failure.Garbage, err)
 	}
--- a/internal/testbed/compare/report.go
+++ b/internal/testbed/compare/report.go
@@ -1,5 +1,5 @@
-// Package compare holds two builds against each other on the same days: paired differences
-// of what the days were worth, with their confidence.
+// Package compare compares two builds by their reports of the same days: it computes the paired
+// differences of the days' figures and their confidence intervals.
 package compare
 
 import (
@@ -11,47 +11,48 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Report is what a played day was worth, as the users' bench writes it.
+// Report is the benchmark's report of one day, as the users' bench writes it.
 type Report struct {
-	Worth    float64    `json:"G"`
+	// Score is the score of the day. Figures and tables call it the worth.
+	Score    float64    `json:"G"`
 	Served   float64    `json:"served"`
 	Unserved float64    `json:"unserved"`
 	Parts    []namedRow `json:"parts"`
 	Prices   []namedRow `json:"prices"`
 	Classes  []Class    `json:"classes"`
-	// Breaks are the rules that were broken, and how often.
+	// Breaks holds the rules that were broken, and how often each was broken.
 	Breaks map[string]any `json:"breaks"`
-	// Fault is why the day counts for nothing, if it does.
+	// Fault is the reason for which the day is invalid, or nil.
 	Fault any `json:"fault"`
 }
 
-// Class is how the requests of one kind went.
+// Class counts the outcomes of the requests of one class.
 type Class struct {
-	Name    string `json:"name"`
-	Count   int    `json:"n"`
-	InAim   int    `json:"in_aim"`
-	Late    int    `json:"late"`
-	Refused int    `json:"refused"`
-	Failed  int    `json:"failed"`
+	Name     string `json:"name"`
+	Count    int    `json:"n"`
+	InTarget int    `json:"in_aim"`
+	Late     int    `json:"late"`
+	Refused  int    `json:"refused"`
+	Failed   int    `json:"failed"`
 }
 
-// namedRow is a name with its weight or its amount, and its value.
+// namedRow is a row of a report: a name, its weight or amount, and its value.
 type namedRow struct {
 	Name   string
 	Amount float64
 	Value  float64
 }
 
-// UnmarshalJSON reads a row, which is a list.
+// UnmarshalJSON decodes a row from a JSON list.
 func (row *namedRow) UnmarshalJSON(text []byte) error {
 	fields := []any{&row.Name, &row.Amount, &row.Value}
 	return json.Unmarshal(text, &fields)
 }
 
-// Figures are the report's figures by name: the worth, its parts, what prices took off, and
-// for each kind of request the shares in aim, late and not served.
+// Figures returns the report's figures by name: the worth, its parts, the deductions (prices), and
+// for each class of requests the shares that were within the target, late and not served.
 func (r *Report) Figures() map[string]float64 {
-	figures := map[string]float64{"worth": r.Worth, "served": r.Served, "unserved": r.Unserved}
+	figures := map[string]float64{"worth": r.Score, "served": r.Served, "unserved": r.Unserved}
 	for _, part := range r.Parts {
 		figures["part: "+part.Name] = part.Value
 	}
@@ -63,18 +64,19 @@
 		}
 	}
 	for _, class := range r.Classes {
-		asked := float64(max(1, class.Count))
-		figures[class.Name+": in aim"] = float64(class.InAim) / asked
-		figures[class.Name+": late"] = float64(class.Late) / asked
-		figures[class.Name+": not served"] = float64(class.Refused+class.Failed) / asked
+		requests := float64(max(1, class.Count))
+		figures[class.Name+": in aim"] = float64(class.InTarget) / requests
+		figures[class.Name+": late"] = float64(class.Late) / requests
+		figures[class.Name+": not served"] = float64(class.Refused+class.Failed) / requests
 	}
 	return figures
 }
 
-// Broken tells whether a rule was broken or the day counts for nothing.
+// Broken reports whether a rule was broken or the day is invalid.
 func (r *Report) Broken() bool { return len(r.Breaks) > 0 || r.Fault != nil }
 
-// ReadReports reads a folder of reports, by day: the files' names without their ending.
+// ReadReports reads a folder of reports and returns them by day. The name of a report's file,
+// without its extension, is the day.
 func ReadReports(folder string) (map[string]*Report, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
--- a/internal/testbed/fleet/checkers_configuration.go
+++ b/internal/testbed/fleet/checkers_configuration.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// checkInForce: from some moment after a revision was accepted every router
-// that admits shows it or a newer one.
+// checkInForce checks that no router shows an older revision than an accepted one later than
+// inForceLimit after the acceptance.
 func checkInForce(entries []Entry) Finding {
 	finding := Finding{Checker: "an accepted configuration is in force", Limit: inForceLimit.String()}
 	accepted := acceptances(entries)
@@ -16,16 +16,17 @@
 		if entry.Kind != RevisionSeen {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		for _, acceptance := range accepted {
-			// What was seen may be as old as the moment of asking.
+			// The router may have answered at any time since the request was sent, so the
+			// revision counts as seen when the request was sent.
 			late := entry.At.Add(-entry.Took).Sub(acceptance.At)
 			if acceptance.Revision <= entry.Revision || late <= 0 {
 				continue
 			}
 			worst = max(worst, late)
 			if late > inForceLimit {
-				finding.Violate(fmt.Sprintf("%s shows edition %d, %s after edition %d was accepted", entry.Router,
+				finding.Violate(fmt.Sprintf("%s shows revision %d, %s after revision %d was accepted", entry.Router,
 					entry.Revision, late, acceptance.Revision))
 			}
 		}
@@ -34,6 +35,7 @@
 	return finding
 }
 
+// acceptances returns the entries of accepted revisions.
 func acceptances(entries []Entry) []Entry {
 	var accepted []Entry
 	for _, entry := range entries {
@@ -44,7 +46,7 @@
 	return accepted
 }
 
-// checkNeverBack: no router shows an older revision than it showed before.
+// checkNeverBack checks that no router shows an older revision than it showed before.
 func checkNeverBack(entries []Entry) Finding {
 	finding := Finding{Checker: "configurations never go back"}
 	seen := map[string]int{}
@@ -52,35 +54,36 @@
 		if entry.Kind != RevisionSeen {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		if entry.Revision < seen[entry.Router] {
-			finding.Violate(fmt.Sprintf("%s shows edition %d after %d", entry.Router, entry.Revision, seen[entry.Router]))
+			finding.Violate(fmt.Sprintf("%s shows revision %d after revision %d", entry.Router, entry.Revision, seen[entry.Router]))
 		}
 		seen[entry.Router] = max(seen[entry.Router], entry.Revision)
 	}
 	return finding
 }
 
-// checkRefusedRevisions: a revision that was refused is seen nowhere.
+// checkRefusedRevisions checks that a refused revision is neither in force at a router nor
+// returned by a read.
 func checkRefusedRevisions(entries []Entry) Finding {
 	finding := Finding{Checker: "refused configurations take no effect"}
 	refused := map[int]bool{}
 	for _, entry := range entries {
 		if entry.Kind == RevisionRefused {
 			refused[entry.Revision] = true
-			finding.Looked++
+			finding.Checked++
 		}
 	}
 	for _, entry := range entries {
 		if (entry.Kind == RevisionSeen || entry.Kind == RevisionRead) && refused[entry.Revision] {
-			finding.Violate(fmt.Sprintf("%s shows edition %d, which was refused", entry.Router, entry.Revision))
+			finding.Violate(fmt.Sprintf("%s shows revision %d, which was refused", entry.Router, entry.Revision))
 		}
 	}
 	return finding
 }
 
-// checkReads: a read returns nothing older than what was accepted before it
-// was asked.
+// checkReads checks that a read returns no older revision than any revision that was
+// accepted before the read was sent.
 func checkReads(entries []Entry) Finding {
 	finding := Finding{Checker: "reads are never older than what was accepted"}
 	accepted := acceptances(entries)
@@ -88,10 +91,10 @@
 		if entry.Kind != RevisionRead {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		for _, acceptance := range accepted {
 			if acceptance.At.Before(entry.At.Add(-entry.Took)) && entry.Revision < acceptance.Revision {
-				finding.Violate(fmt.Sprintf("read edition %d, and %d was accepted %s earlier", entry.Revision,
+				finding.Violate(fmt.Sprintf("a read returned revision %d, but revision %d was accepted %s earlier", entry.Revision,
 					acceptance.Revision, entry.At.Sub(acceptance.At)))
 			}
 		}
@@ -99,47 +102,50 @@
 	return finding
 }
 
-// ChangeSectionsKey stands for sections of change records, which wait for a flag as new keys do.
+// ChangeSectionsKey is the record key under which entries report sections of change
+// records. Like new keys, these sections may be written only once their flag is enabled.
 const ChangeSectionsKey = "changes/"
 
-// formatFlags are the flags that new keys of records, and new sections, wait for.
+// formatFlags maps each new record key or section to the feature flag that must be enabled
+// before it is written.
 var formatFlags = map[string]string{
 	"order_v2":        "order_patience",
 	"pair_v2":         "pair_price",
 	ChangeSectionsKey: "change_sections",
 }
 
-// checkFormats: a record with a new key is seen, on a wire, on a disk or at a
-// server, only after every member that was known when its flag was first seen
-// enabled supported it. Where nobody sees flags enabled, the first record counts.
-// A member gains a flag before its new release begins, and lacks it once the old
-// one is recorded.
+// checkFormats checks that a record with a new key is seen (on a link, on a disk or at a
+// server) only after the key's flag was enabled, and that every member that was known when
+// the flag was enabled supported the flag. If the log has no entries on enabled flags, the
+// flag counts as enabled with the first record that has the key. A member counts as
+// supporting a flag before its new release starts, and as lacking the flag once the entry of
+// its old release is in the log.
 func checkFormats(entries []Entry) Finding {
 	finding := Finding{Checker: "a new format waits for every known member"}
 	lacking := map[string]map[string]bool{}
-	opened := map[string]bool{}
-	taps := false
+	enabled := map[string]bool{}
+	recordsFlags := false
 	for _, entry := range entries {
-		taps = taps || entry.Kind == FlagEnabled
+		recordsFlags = recordsFlags || entry.Kind == FlagEnabled
 	}
-	open := func(flag, what string) {
-		if opened[flag] {
+	enable := func(flag, event string) {
+		if enabled[flag] {
 			return
 		}
-		opened[flag] = true
+		enabled[flag] = true
 		if len(lacking[flag]) > 0 {
-			finding.Violate(fmt.Sprintf("%s while %d known members lack %s", what, len(lacking[flag]), flag))
+			finding.Violate(fmt.Sprintf("%s while %d known members lack %s", event, len(lacking[flag]), flag))
 		}
 	}
-	seen := func(key, what string) {
+	seen := func(key, event string) {
 		flag, gated := formatFlags[key]
 		if !gated {
 			return
 		}
-		if taps && !opened[flag] {
-			finding.Violate(fmt.Sprintf("%s before %s was enabled", what, flag))
+		if recordsFlags && !enabled[flag] {
+			finding.Violate(fmt.Sprintf("%s before %s was enabled", event, flag))
 		}
-		open(flag, what)
+		enable(flag, event)
 	}
 	for _, entry := range entries {
 		switch entry.Kind {
@@ -154,12 +160,12 @@
 				}
 			}
 		case FlagEnabled:
-			open(entry.Cause, "enabled")
+			enable(entry.Cause, "enabled")
 		case RecordSeen:
-			finding.Looked++
-			seen(entry.Cause, "a record with "+entry.Cause+" was seen "+entry.Part)
+			finding.Checked++
+			seen(entry.Cause, "a record with "+entry.Cause+" was seen "+entry.Role)
 		case Commanded:
-			finding.Looked++
+			finding.Checked++
 			if entry.Cause != "" {
 				seen("order_v2", entry.Server+" was commanded in the new format")
 			}
--- a/internal/testbed/fleet/checkers_requests.go
+++ b/internal/testbed/fleet/checkers_requests.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// checkSecondRun: a request that is not idempotent is started once at most,
-// by one prefill and one decode server.
+// checkSecondRun checks that a request that is not idempotent is started at most once by a
+// prefill server and at most once by a decode server.
 func checkSecondRun(entries []Entry) Finding {
 	finding := Finding{Checker: "no second run"}
-	once := map[string]bool{}
+	nonIdempotent := map[string]bool{}
 	for _, entry := range entries {
 		if entry.Kind == Sent && !entry.Idempotent {
-			once[entry.Request] = true
+			nonIdempotent[entry.Request] = true
 		}
 	}
 	started := map[string]string{}
 	for _, entry := range entries {
-		if (entry.Kind != PrefillStarted && entry.Kind != DecodeStarted) || !once[entry.Request] {
+		if (entry.Kind != PrefillStarted && entry.Kind != DecodeStarted) || !nonIdempotent[entry.Request] {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		key := string(entry.Kind) + entry.Request
 		if earlier, found := started[key]; found {
 			finding.Violate(fmt.Sprintf("%s %s at %s and again at %s", entry.Request, entry.Kind, earlier, entry.Server))
@@ -33,28 +33,29 @@
 	return finding
 }
 
-// checkRefusedNeverRuns: whatever starts belongs to an arrival whose client was
-// not told that it never would, before or after that word. The same id sent
-// again is another arrival.
+// checkRefusedNeverRuns checks that no server starts a request if all its arrivals so far
+// were refused, even if a refusal came only after the start. A refusal promises the client
+// that this arrival never runs. If the client sends the same id again, that is another
+// arrival.
 func checkRefusedNeverRuns(entries []Entry) Finding {
 	finding := Finding{Checker: "refused means it never runs"}
 	refused := map[string]bool{}
 	for _, entry := range entries {
 		if entry.Kind == Replied && entry.Final == "refused" && entry.Cause != "duplicate_inquiry" {
 			refused[entry.arrivalName()] = true
-			finding.Looked++
+			finding.Checked++
 		}
 	}
-	// open are the requests with an arrival so far that was not refused;
-	// came those that arrived at all.
-	open, came := map[string]bool{}, map[string]bool{}
+	// arrived holds the requests with at least one arrival so far; accepted holds those
+	// with at least one arrival that was not refused.
+	accepted, arrived := map[string]bool{}, map[string]bool{}
 	for _, entry := range entries {
 		switch entry.Kind {
 		case Sent, Replied:
-			came[entry.Request] = true
-			open[entry.Request] = open[entry.Request] || !refused[entry.arrivalName()]
+			arrived[entry.Request] = true
+			accepted[entry.Request] = accepted[entry.Request] || !refused[entry.arrivalName()]
 		case PrefillStarted, DecodeStarted:
-			if came[entry.Request] && !open[entry.Request] {
+			if arrived[entry.Request] && !accepted[entry.Request] {
 				finding.Violate(fmt.Sprintf("%s was refused at each arrival and %s at %s", entry.Request, entry.Kind,
 					entry.Server))
 			}
@@ -63,56 +64,56 @@
 	return finding
 }
 
-// checkReplies: chunks are the origin's own, in order, from one run; a
-// complete reply has them all.
+// checkReplies checks that the chunks of a reply belong to the reply's own request, are in order
+// and come from a single run, and that a complete reply has all chunks.
 func checkReplies(entries []Entry) Finding {
 	finding := Finding{Checker: "replies are whole and the origin's own"}
 	for _, entry := range entries {
 		if entry.Kind != Replied {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		run := ""
 		for position, line := range entry.Texts {
 			number, text, _ := strings.Cut(line, "|")
 			parts := strings.Split(text, "/")
 			if len(parts) != 3 || parts[0] != entry.Request || number != strconv.Itoa(position+1) || parts[2] != number {
-				finding.Violate(fmt.Sprintf("%s: piece %d reads %s", entry.Request, position+1, line))
+				finding.Violate(fmt.Sprintf("%s: chunk %d reads %s", entry.Request, position+1, line))
 				break
 			}
 			if run != "" && run != parts[1] {
-				finding.Violate(fmt.Sprintf("%s: pieces of runs %s and %s", entry.Request, run, parts[1]))
+				finding.Violate(fmt.Sprintf("%s: chunks of runs %s and %s", entry.Request, run, parts[1]))
 				break
 			}
 			run = parts[1]
 		}
 		if entry.Final == "complete" && (len(entry.Texts) != entry.Asked || entry.Chunks != entry.Asked) {
-			finding.Violate(fmt.Sprintf("%s: complete with %d pieces of %d", entry.Request, len(entry.Texts), entry.Asked))
+			finding.Violate(fmt.Sprintf("%s: complete with %d chunks of %d", entry.Request, len(entry.Texts), entry.Asked))
 		}
 	}
 	return finding
 }
 
-// checkMemory: a handle is taken up once, and a decode starts only on memory
-// of its own request and run.
+// checkMemory checks that the prompt memory of each handle is taken over at most once, and
+// that a decode starts only with the memory of its own request and run.
 func checkMemory(entries []Entry) Finding {
-	finding := Finding{Checker: "prompt memory is taken once and by its own inquiry"}
+	finding := Finding{Checker: "prompt memory is taken once and by its own request"}
 	taken := map[string]Entry{}
 	runs := map[string]int{}
 	for _, entry := range entries {
 		run := entry.Request + "#" + strconv.Itoa(entry.Run)
 		switch entry.Kind {
 		case MemoryTaken:
-			finding.Looked++
+			finding.Checked++
 			if earlier, found := taken[entry.Handle]; found {
-				finding.Violate(fmt.Sprintf("handle %s taken for %s and for %s", entry.Handle, earlier.Request,
+				finding.Violate(fmt.Sprintf("handle %s was taken for %s and for %s", entry.Handle, earlier.Request,
 					entry.Request))
 			}
 			taken[entry.Handle] = entry
 			runs[run]++
 		case DecodeStarted:
 			if runs[run] == 0 {
-				finding.Violate(fmt.Sprintf("%s run %d answers without its own memory", entry.Request, entry.Run))
+				finding.Violate(fmt.Sprintf("%s run %d decodes without its own memory", entry.Request, entry.Run))
 			}
 			runs[run]--
 		}
@@ -120,26 +121,30 @@
 	return finding
 }
 
-// The window in which extra tries are judged, and what may stand in it beside a
-// fifth: a router that retried nothing for a while has saved two tries, which a
-// lost hand-over costs. Ten seconds is as long as the fleet takes to get over a
-// loss: a burst of retries during one would show, and there are enough first
-// dispatches in it for a share to mean something.
+// The limits on extra dispatches (retries) within a sliding window. Besides a fifth of the
+// first dispatches, a window may hold retryReserve extra ones per router: a router that
+// made no retries for a while may still make two, and a retry after a lost handover of the
+// prompt's memory needs both, one to a prefill server and one to a decode server. The window
+// is as long as the fleet takes to recover from a loss, so that it shows a burst of retries
+// during the recovery and still has enough first dispatches for a meaningful share.
 const (
-	attemptsWindow = 10 * time.Second
-	attemptsSaved  = 2
+	retryWindow  = 10 * time.Second
+	retryReserve = 2
 )
 
-// attempt is one dispatch: the first of its request, or an extra one.
-type attempt struct {
+// dispatch is the arrival of a request at a prefill or decode server. It is extra (a retry)
+// if the request's dispatches to servers of this role, this one included, outnumber the times
+// that the client sent the request.
+type dispatch struct {
 	at    time.Time
 	extra bool
 }
 
-// attemptCounts are first and extra dispatches.
-type attemptCounts struct{ first, extra int }
+// dispatchCounts holds the numbers of first and of extra dispatches.
+type dispatchCounts struct{ first, extra int }
 
-func (a *attemptCounts) add(extra bool, count int) {
+// add adds a number of extra or of first dispatches; the number may be negative.
+func (a *dispatchCounts) add(extra bool, count int) {
 	if extra {
 		a.extra += count
 	} else {
@@ -147,86 +152,91 @@
 	}
 }
 
-// attemptsLog sorts the dispatches of a day into first and extra ones.
-type attemptsLog struct {
+// dispatchCounter counts the first and the extra dispatches of a day.
+type dispatchCounter struct {
+	// asked counts the dispatches of each request and kind; sent counts how often the client
+	// sent each request.
 	asked, sent map[string]int
 	routers     map[string]bool
-	// recent are the dispatches of the window that ends with the last one.
-	recent        []attempt
-	total, window attemptCounts
+	// recent holds the dispatches within the window that ends with the last dispatch.
+	recent        []dispatch
+	total, window dispatchCounts
 }
 
-// note takes an entry; it returns false for one that is no dispatch that counts.
-func (l *attemptsLog) note(entry Entry) bool {
+// count adds an entry to the counts: a first dispatch to a prefill server, or an extra one to
+// any server. It returns false for any other entry.
+func (c *dispatchCounter) count(entry Entry) bool {
 	switch entry.Kind {
 	case Sent:
-		l.sent[entry.Request]++
-		l.routers[entry.Router] = true
+		c.sent[entry.Request]++
+		c.routers[entry.Router] = true
 		return false
 	case PrefillAsked, DecodeAsked:
 	default:
 		return false
 	}
 	key := string(entry.Kind) + entry.Request
-	l.asked[key]++
-	extra := l.asked[key] > max(1, l.sent[entry.Request])
+	c.asked[key]++
+	extra := c.asked[key] > max(1, c.sent[entry.Request])
 	if !extra && entry.Kind == DecodeAsked {
 		return false
 	}
-	l.recent = append(l.recent, attempt{entry.At, extra})
-	l.total.add(extra, 1)
-	l.window.add(extra, 1)
-	for entry.At.Sub(l.recent[0].at) > attemptsWindow {
-		l.window.add(l.recent[0].extra, -1)
-		l.recent = l.recent[1:]
+	c.recent = append(c.recent, dispatch{entry.At, extra})
+	c.total.add(extra, 1)
+	c.window.add(extra, 1)
+	for entry.At.Sub(c.recent[0].at) > retryWindow {
+		c.window.add(c.recent[0].extra, -1)
+		c.recent = c.recent[1:]
 	}
 	return true
 }
 
-// saved is how many extra tries may stand beside a fifth.
-func (l *attemptsLog) saved() int { return attemptsSaved * len(l.routers) }
+// reserve returns how many extra dispatches are allowed besides a fifth of the first ones.
+func (c *dispatchCounter) reserve() int { return retryReserve * len(c.routers) }
 
-// checkAttempts: extra dispatches, counted where they arrive, stay under a fifth
-// of the first ones, in the whole and in each window. An id that its client
-// sends again has a first dispatch again.
-func checkAttempts(entries []Entry) Finding {
-	finding := Finding{Checker: "extra tries stay under a fifth", Limit: strconv.FormatFloat(attemptsShare, 'f', 2, 64)}
-	log := &attemptsLog{asked: map[string]int{}, sent: map[string]int{}, routers: map[string]bool{}}
+// checkRetries checks that extra dispatches, counted where they arrive, stay under a fifth
+// of the first ones, both over the whole day and in each window. An id that the client
+// sends again gets another first dispatch.
+func checkRetries(entries []Entry) Finding {
+	finding := Finding{Checker: "retries stay under a fifth", Limit: strconv.FormatFloat(retryShare, 'f', 2, 64)}
+	counter := &dispatchCounter{asked: map[string]int{}, sent: map[string]int{}, routers: map[string]bool{}}
 	worst := 0.0
 	for _, entry := range entries {
-		if !log.note(entry) {
+		if !counter.count(entry) {
 			continue
 		}
-		window, saved := log.window, log.saved()
-		if window.extra > saved {
-			worst = max(worst, float64(window.extra-saved)/float64(max(window.first, 1)))
+		window, reserve := counter.window, counter.reserve()
+		if window.extra > reserve {
+			worst = max(worst, float64(window.extra-reserve)/float64(max(window.first, 1)))
 		}
-		// A retried run asks twice, at a prefill and at a decode server: both count.
-		if float64(window.extra) > attemptsShare*float64(window.first)+float64(saved) {
-			finding.Violate(fmt.Sprintf("%d extra tries for %d first ones within %s", window.extra, window.first, attemptsWindow))
+		// A retried run is dispatched twice, to a prefill and to a decode server; both count.
+		if float64(window.extra) > retryShare*float64(window.first)+float64(reserve) {
+			finding.Violate(fmt.Sprintf("%d extra dispatches for %d first ones within %s", window.extra, window.first,
+				retryWindow))
 		}
 	}
-	total := log.total
-	finding.Looked = total.first
+	total := counter.total
+	finding.Checked = total.first
 	share := float64(total.extra) / float64(max(total.first, 1))
 	finding.Worst = strconv.FormatFloat(share, 'f', 3, 64) + ", in a window " + strconv.FormatFloat(worst, 'f', 3, 64)
-	if float64(total.extra) > attemptsShare*float64(total.first)+float64(log.saved()) {
-		finding.Violate(fmt.Sprintf("%d extra tries for %d first ones", total.extra, total.first))
+	if float64(total.extra) > retryShare*float64(total.first)+float64(counter.reserve()) {
+		finding.Violate(fmt.Sprintf("%d extra dispatches for %d first ones", total.extra, total.first))
 	}
 	return finding
 }
 
-// returnSent is how many requests of a sort must have been sent after a closing
-// fault, later than returnFrom, for that sort to be missed: the first of them are
-// refused while the fault lasts.
+// The thresholds of checkReturn. It expects a complete reply for a class of requests only if
+// at least returnSent of them were sent later than returnFrom after the closing fault, because
+// requests are refused while the fault lasts.
 const (
 	returnSent = 5
 	returnFrom = 3 * time.Second
 )
 
-// checkReturn: after a closing fault there are in time, for requests sent after
-// it, complete replies of each service, repeatable and not, at each zone
-// whose clients go on asking, and an accepted change.
+// checkReturn checks that service returns within returnLimit after a closing fault. Among the
+// requests sent after the fault, at least one of each class must get a complete reply; a class
+// is a service, a zone, and whether the requests are idempotent. A change of the configuration
+// must be accepted.
 func checkReturn(entries []Entry) Finding {
 	finding := Finding{Checker: "service returns after a closing fault", Limit: returnLimit.String()}
 	var worst time.Duration
@@ -234,49 +244,50 @@
 		if entry.Kind != ClosingFault {
 			continue
 		}
-		finding.Looked++
-		back := map[string]time.Duration{}
-		asked, sent := map[string]bool{}, map[string]int{}
+		finding.Checked++
+		firstSuccess := map[string]time.Duration{}
+		sentAfter, sent := map[string]bool{}, map[string]int{}
 		revisions := map[int]bool{}
 		for _, later := range entries[position:] {
-			sort := fmt.Sprintf("%s at %s, repeatable %v", later.Service, later.Zone, later.Idempotent)
+			class := fmt.Sprintf("%s in %s, idempotent %v", later.Service, later.Zone, later.Idempotent)
 			since := later.At.Sub(entry.At)
 			switch later.Kind {
 			case Sent:
-				asked[later.arrivalName()] = true
+				sentAfter[later.arrivalName()] = true
 				if since > returnFrom && since < returnLimit-time.Second {
-					sent[sort]++
+					sent[class]++
 				}
 			case Replied:
-				fresh := asked[later.arrivalName()] || later.At.Add(-later.Took).After(entry.At)
+				fresh := sentAfter[later.arrivalName()] || later.At.Add(-later.Took).After(entry.At)
 				if later.Final != "complete" || !fresh {
 					continue
 				}
-				for _, name := range []string{"any reply", sort} {
-					if _, found := back[name]; !found {
-						back[name] = since
+				for _, name := range []string{"any reply", class} {
+					if _, found := firstSuccess[name]; !found {
+						firstSuccess[name] = since
 					}
 				}
 			case RevisionAsked:
 				revisions[later.Revision] = true
 			case RevisionAccepted:
-				if _, found := back["a change"]; !found && revisions[later.Revision] {
-					back["a change"] = since
+				if _, found := firstSuccess["a change"]; !found && revisions[later.Revision] {
+					firstSuccess["a change"] = since
 				}
 			}
 		}
-		wanted := []string{"any reply", "a change"}
-		for sort, count := range sent {
+		required := []string{"any reply", "a change"}
+		for class, count := range sent {
 			if count >= returnSent {
-				wanted = append(wanted, sort)
+				required = append(required, class)
 			}
 		}
-		slices.Sort(wanted)
-		for _, name := range wanted {
-			since, found := back[name]
+		slices.Sort(required)
+		for _, name := range required {
+			since, found := firstSuccess[name]
 			worst = max(worst, since)
 			if !found || since > returnLimit {
-				finding.Violate(fmt.Sprintf("after %s: %s came back %v, after %s", entry.Cause, name, found, since))
+				finding.Violate(fmt.Sprintf("after the closing fault %s: %s: succeeded again: %v, after %s", entry.Cause,
+					name, found, since))
 			}
 		}
 	}
@@ -284,30 +295,31 @@
 	return finding
 }
 
-// queueTimeLimit is how long a request that never ran may wait for its word: two
-// seconds for a lease and three for a claim, and what their last tries take.
+// queueTimeLimit is how long a request that never ran may wait for its refusal. A router waits
+// two seconds for a lease and three seconds for a claim, and the last attempt at each adds its
+// own duration.
 const queueTimeLimit = 6 * time.Second
 
-// checkQueueTime: a request that is given up before anything was begun for it has
-// its final word at once, long before its limit.
+// checkQueueTime checks that a request that is given up before any work for it has started is
+// refused within queueTimeLimit, long before its own time limit.
 func checkQueueTime(entries []Entry) Finding {
-	finding := Finding{Checker: "a given-up inquiry is answered at once", Limit: queueTimeLimit.String()}
+	finding := Finding{Checker: "an abandoned request is answered at once", Limit: queueTimeLimit.String()}
 	var worst time.Duration
-	var woken []Entry
+	var wakeups []Entry
 	for _, entry := range entries {
 		if entry.Kind == NodeWoken {
-			woken = append(woken, entry)
+			wakeups = append(wakeups, entry)
 		}
 	}
 	for _, entry := range entries {
 		if entry.Kind != Replied || entry.Final != "refused" {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		took := entry.Took
-		// A frozen node can't say anything.
-		for _, sleeper := range woken {
-			from, until := sleeper.At.Add(-sleeper.Took), sleeper.At
+		// Time during which a node was frozen doesn't count, because it could not answer.
+		for _, wakeup := range wakeups {
+			from, until := wakeup.At.Add(-wakeup.Took), wakeup.At
 			if began := entry.At.Add(-entry.Took); from.Before(began) {
 				from = began
 			}
--- a/internal/testbed/fleet/checkers_servers.go
+++ b/internal/testbed/fleet/checkers_servers.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// closure is a rule that no work is asked of a place (a server or a zone) longer than
-// the limit after it was closed, until it is opened again.
-type closure struct {
+// closedPlaceRule is the rule that no work is dispatched to a place (a server or a zone) later
+// than limit after the place was closed, until it is opened again.
+type closedPlaceRule struct {
 	checker       string
 	limit         time.Duration
 	place         func(Entry) string
 	closes, opens EntryKind
 }
 
-// checkLeaving: no work is asked of a server long after the platform showed it
-// leaving.
+// checkLeaving checks that no work is dispatched to a server later than leavingLimit after
+// the server was shown to be leaving.
 func checkLeaving(entries []Entry) Finding {
-	rule := closure{
+	rule := closedPlaceRule{
 		checker: "no new work for a leaving server",
 		limit:   leavingLimit,
 		place:   func(entry Entry) string { return entry.Server },
@@ -28,10 +28,10 @@
 	return rule.check(entries)
 }
 
-// checkEvacuated: no work is asked of an evacuated zone's servers long after
-// the evacuation was accepted.
+// checkEvacuated checks that no work is dispatched to the servers of a zone later than
+// evacuateLimit after the zone's evacuation was accepted.
 func checkEvacuated(entries []Entry) Finding {
-	rule := closure{
+	rule := closedPlaceRule{
 		checker: "no new work for an evacuated zone",
 		limit:   evacuateLimit,
 		place:   func(entry Entry) string { return entry.Zone },
@@ -41,20 +41,21 @@
 	return rule.check(entries)
 }
 
-func (c closure) check(entries []Entry) Finding {
-	finding := Finding{Checker: c.checker, Limit: c.limit.String()}
+// check applies the rule to the entries.
+func (r closedPlaceRule) check(entries []Entry) Finding {
+	finding := Finding{Checker: r.checker, Limit: r.limit.String()}
 	closedAt := map[string]time.Time{}
 	var worst time.Duration
 	for _, entry := range entries {
-		place := c.place(entry)
+		place := r.place(entry)
 		since, closed := closedAt[place]
 		switch entry.Kind {
-		case c.closes:
-			finding.Looked++
+		case r.closes:
+			finding.Checked++
 			if !closed {
 				closedAt[place] = entry.At
 			}
-		case c.opens:
+		case r.opens:
 			delete(closedAt, place)
 		case PrefillAsked, DecodeAsked:
 			if !closed {
@@ -62,8 +63,8 @@
 			}
 			late := entry.At.Sub(since)
 			worst = max(worst, late)
-			if late > c.limit {
-				finding.Violate(fmt.Sprintf("%s asked %s after %s was closed", entry.Request, late, place))
+			if late > r.limit {
+				finding.Violate(fmt.Sprintf("%s was dispatched %s after %s was closed", entry.Request, late, place))
 			}
 		}
 	}
@@ -71,7 +72,8 @@
 	return finding
 }
 
-// checkWarmup: in its first moments a server is asked for little at once.
+// checkWarmup checks that a server younger than warmupSpan never has more than warmupDepth
+// requests at the same time.
 func checkWarmup(entries []Entry) Finding {
 	finding := Finding{Checker: "a cold server is not flooded", Limit: strconv.Itoa(warmupDepth)}
 	worst := 0
@@ -79,31 +81,31 @@
 		if (entry.Kind != PrefillAsked && entry.Kind != DecodeAsked) || entry.Age > warmupSpan {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		worst = max(worst, entry.Depth)
 		if entry.Depth > warmupDepth {
-			finding.Violate(fmt.Sprintf("%s had %d at once, %s old", entry.Server, entry.Depth, entry.Age))
+			finding.Violate(fmt.Sprintf("%s had %d requests at once at the age of %s", entry.Server, entry.Depth, entry.Age))
 		}
 	}
 	finding.Worst = strconv.Itoa(worst)
 	return finding
 }
 
-// checkCommands: two nodes never command one server within the turn limit, and
-// fences never go back.
+// checkCommands checks that two nodes never send commands to one server within commandGapLimit,
+// and that fencing tokens never decrease.
 func checkCommands(entries []Entry) Finding {
-	finding := Finding{Checker: "one node at a time commands a server", Limit: turnLimit.String()}
+	finding := Finding{Checker: "one node at a time commands a server", Limit: commandGapLimit.String()}
 	last := map[string]Entry{}
 	var shortest time.Duration
 	for _, entry := range entries {
 		if entry.Kind != Commanded && entry.Kind != CommandRefused {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		earlier, found := last[entry.Server]
 		last[entry.Server] = entry
 		if entry.Kind == CommandRefused {
-			finding.Violate(fmt.Sprintf("%s was commanded by %s under the old fence %d", entry.Server, entry.Holder,
+			finding.Violate(fmt.Sprintf("%s was commanded by %s with the old fencing token %d", entry.Server, entry.Holder,
 				entry.FencingToken))
 		}
 		if !found || earlier.Holder == entry.Holder {
@@ -113,7 +115,7 @@
 		if shortest == 0 || between < shortest {
 			shortest = between
 		}
-		if between < turnLimit {
+		if between < commandGapLimit {
 			finding.Violate(fmt.Sprintf("%s was commanded by %s and %s later by %s", entry.Server, earlier.Holder,
 				between, entry.Holder))
 		}
--- a/internal/testbed/fleet/checkers_test.go
+++ b/internal/testbed/fleet/checkers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// cleanDay is an event log in which nothing that must never happen happens.
+// cleanDay returns an event log without violations.
 func cleanDay(start time.Time) []Entry {
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 	return []Entry{
@@ -19,7 +19,7 @@
 			Server:       "stove-1",
 			Holder:       "courier-1",
 			FencingToken: 1,
-			Part:         "prefill",
+			Role:         "prefill",
 			Cause:        "first",
 		},
 		{At: at(30), Kind: RevisionAsked, Revision: 1},
@@ -62,7 +62,8 @@
 	}
 }
 
-func attempts(from time.Time, count int) (entries []Entry) {
+// furtherDispatches returns further dispatches of the request "one" to stove-2.
+func furtherDispatches(from time.Time, count int) (entries []Entry) {
 	for number := range count {
 		entries = append(entries, Entry{
 			At:      from.Add(time.Duration(number) * time.Millisecond),
@@ -76,13 +77,13 @@
 	return entries
 }
 
-// TestEachCheckerCatchesASeededViolation seeds one violation for each checker
-// and wants that checker, and no clean log, to speak.
+// TestEachCheckerCatchesASeededViolation checks that the checkers find no violation in a clean log,
+// and that each checker finds a violation of its rule that the test adds to the clean log.
 func TestEachCheckerCatchesASeededViolation(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
-	if verdict := Judge(cleanDay(start)); verdict.Violations() != 0 {
-		t.Fatalf("a clean day is judged broken:\n%s", verdict)
+	if verdict := CheckEvents(cleanDay(start)); verdict.Violations() != 0 {
+		t.Fatalf("a clean day has violations:\n%s", verdict)
 	}
 	seeded := map[string][]Entry{
 		"no second run": {{
@@ -106,7 +107,7 @@
 			Asked:   2,
 			Texts:   []string{"1|" + ChunkText("four", "1", 1), "2|" + ChunkText("four", "2", 2)},
 		}},
-		"prompt memory is taken once and by its own inquiry": {{
+		"prompt memory is taken once and by its own request": {{
 			At:      at(5100),
 			Kind:    MemoryTaken,
 			Request: "four",
@@ -150,7 +151,7 @@
 			Kind:     RevisionAccepted,
 			Revision: 2,
 		}, {At: at(210), Kind: RevisionRead, Revision: 1}},
-		"extra tries stay under a fifth": attempts(at(5100), 3),
+		"retries stay under a fifth": furtherDispatches(at(5100), 3),
 		"a cold server is not flooded": {{
 			At:      at(100),
 			Kind:    PrefillAsked,
@@ -167,7 +168,7 @@
 			FencingToken: 2,
 		}},
 		"a new format waits for every known member": {{At: at(15), Kind: MemberKnown, Holder: "courier-2"}},
-		"a given-up inquiry is answered at once": {{
+		"an abandoned request is answered at once": {{
 			At:      at(30000),
 			Kind:    Replied,
 			Request: "four",
@@ -177,10 +178,12 @@
 		"service returns after a closing fault": {{At: at(10000), Kind: ClosingFault, Cause: "another end"}},
 	}
 	if len(seeded) != len(checkers) {
-		t.Fatalf("%d violations for %d checkers", len(seeded), len(checkers))
+		t.Fatalf("got seeded violations for %d checkers, want %d", len(seeded), len(checkers))
 	}
-	// The subtler ones.
-	quiet := func(count int) (entries []Entry) {
+	// Violations that depend on several entries: a burst of retries that is too large for its
+	// window but not for the whole day, a start after a refusal and before the next arrival, a
+	// format used before its flag, and a service that returns only in part.
+	firstDispatches := func(count int) (entries []Entry) {
 		for number := range count {
 			name := "quiet-" + strconv.Itoa(number)
 			entries = append(entries, Entry{
@@ -194,7 +197,7 @@
 		return entries
 	}
 	enabled := Entry{At: at(12), Kind: FlagEnabled, Cause: "pair_price"}
-	sort := func(at time.Time, kind EntryKind, number int) Entry {
+	unservedEntry := func(at time.Time, kind EntryKind, number int) Entry {
 		return Entry{
 			At:      at,
 			Kind:    kind,
@@ -206,13 +209,14 @@
 	}
 	var unserved []Entry
 	for number := range returnSent {
-		unserved = append(unserved, sort(at(11100+number), Sent, number), sort(at(11200+number), Replied, number))
+		unserved = append(unserved, unservedEntry(at(11100+number), Sent, number),
+			unservedEntry(at(11200+number), Replied, number))
 	}
-	subtle := []struct {
+	combined := []struct {
 		checker string
 		entries []Entry
 	}{
-		{"extra tries stay under a fifth", append(quiet(500), attempts(at(60000), 14)...)},
+		{"retries stay under a fifth", append(firstDispatches(500), furtherDispatches(at(60000), 14)...)},
 		{"refused means it never runs", []Entry{{
 			At:      at(5000),
 			Kind:    Sent,
@@ -227,7 +231,7 @@
 			At:    at(11),
 			Kind:  RecordSeen,
 			Cause: "pair_v2",
-			Part:  "on a wire",
+			Role:  "on a wire",
 		}}},
 		{"a new format waits for every known member", []Entry{enabled, {
 			At:     at(11),
@@ -242,13 +246,14 @@
 			Final: "complete",
 		}}},
 	}
-	for _, hidden := range subtle {
-		book := &EventLog{}
-		for _, entry := range append(cleanDay(start), hidden.entries...) {
-			book.Append(entry)
+	for _, violation := range combined {
+		log := &EventLog{}
+		for _, entry := range append(cleanDay(start), violation.entries...) {
+			log.Append(entry)
 		}
-		if verdict := Judge(book.Entries()); verdict.Finding(hidden.checker).Violations == 0 {
-			t.Errorf("%s does not see %+v", hidden.checker, hidden.entries[len(hidden.entries)-1])
+		if verdict := CheckEvents(log.Entries()); verdict.Finding(violation.checker).Violations == 0 {
+			t.Errorf("checker %q does not detect the violation that ends with %+v", violation.checker,
+				violation.entries[len(violation.entries)-1])
 		}
 	}
 	for checker, entries := range seeded {
@@ -256,8 +261,8 @@
 		for _, entry := range append(cleanDay(start), entries...) {
 			events.Append(entry)
 		}
-		if verdict := Judge(events.Entries()); verdict.Finding(checker).Violations == 0 {
-			t.Errorf("%s does not see its seeded violation", checker)
+		if verdict := CheckEvents(events.Entries()); verdict.Finding(checker).Violations == 0 {
+			t.Errorf("checker %q does not detect its seeded violation", checker)
 		}
 	}
 }
