--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -17,36 +17,36 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Clients are the stand-ins of restaurants, riders and cooks: they send
-// requests at a steady rate, whatever becomes of them, and write down what
-// they read.
+// Clients stand in for the clients of a deployment. They send requests at a steady rate
+// that doesn't depend on the replies, and record each request and each reply.
 type Clients struct {
 	fleet  *Fleet
 	client *http.Client
 	random *rand.Rand
 	number int
 
-	waiting   sync.WaitGroup
+	waiting sync.WaitGroup
+	// longRate and shortRate are in requests per 1000 seconds.
 	longRate  atomic.Int64
 	shortRate atomic.Int64
-	// Once is the share of requests that is not idempotent.
-	Once float64
+	// NonIdempotentShare is the share of requests that are not idempotent.
+	NonIdempotentShare float64
 }
 
-// NewClients makes clients with a seed. The share once of the requests may
-// not be repeated.
-func NewClients(fleet *Fleet, seed uint64, once float64) *Clients {
-	return &Clients{fleet: fleet, random: rand.New(rand.NewPCG(seed, 77)), Once: once,
+// NewClients returns clients whose random draws come from a seed. The given share of their requests
+// is not idempotent.
+func NewClients(fleet *Fleet, seed uint64, nonIdempotentShare float64) *Clients {
+	return &Clients{fleet: fleet, random: rand.New(rand.NewPCG(seed, 77)), NonIdempotentShare: nonIdempotentShare,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}}
 }
 
-// SetRates sets how many requests of each kind come in a second.
+// SetRates sets how many requests of each kind are sent per second.
 func (c *Clients) SetRates(long, short float64) {
 	c.longRate.Store(int64(long * 1000))
 	c.shortRate.Store(int64(short * 1000))
 }
 
-// Run sends requests until the lifetime ends, then waits for the replies.
+// Run sends requests until the lifetime ends and then waits for the replies.
 func (c *Clients) Run(lifetime context.Context) {
 	defer c.waiting.Wait()
 	for lifetime.Err() == nil {
@@ -55,6 +55,8 @@
 		if !sleep(lifetime, min(interval, time.Second)) {
 			return
 		}
+		// A longer interval is drawn again after a second, in case the rates have changed. The
+		// exponential distribution has no memory, so this does not change the average rate.
 		if interval > time.Second {
 			continue
 		}
@@ -69,70 +71,75 @@
 		if node == nil {
 			continue
 		}
-		question, entry := c.question(kind, node)
+		request, entry := c.newRequest(kind, node)
 		entry.Zone = zone
-		h := behaviour{
-			leaves:    -1,
-			obeys:     c.random.IntN(2) == 0,
-			persists:  c.random.IntN(3) == 0,
-			elsewhere: c.random.IntN(1 << 20),
+		reaction := behaviour{
+			leavesAfter:       -1,
+			honoursRetryAfter: c.random.IntN(2) == 0,
+			resendsAfterFinal: c.random.IntN(3) == 0,
+			routerDraw:        c.random.IntN(1 << 20),
 		}
 		if c.random.IntN(40) == 0 {
-			h.leaves = c.random.IntN(question.Chunks)
+			reaction.leavesAfter = c.random.IntN(request.Chunks)
 		}
-		c.waiting.Go(func() { c.runClient(lifetime, node, question, entry, h) })
+		c.waiting.Go(func() { c.runClient(lifetime, node, request, entry, reaction) })
 	}
 }
 
-// behaviour is how a client goes about what it reads.
+// behaviour is how one client reacts to its replies.
 type behaviour struct {
-	// leaves is the chunk after which it closes the connection, or none when -1.
-	leaves int
-	// obeys tells that it comes back when it is told to, else at once; persists
-	// that it sends an id again also after a word that was the last.
-	obeys     bool
-	persists  bool
-	elsewhere int
+	// leavesAfter is the number of chunks after which the client closes the connection; -1
+	// means never.
+	leavesAfter int
+	// honoursRetryAfter means that the client sends the id again only after the time that the
+	// refusal names; otherwise it sends the id again almost immediately.
+	honoursRetryAfter bool
+	// resendsAfterFinal means that the client sends the id once more even after a final
+	// reply.
+	resendsAfterFinal bool
+	// routerDraw is the random number from which the router of each repeat is picked.
+	routerDraw int
 }
 
-// runClient sends a request and, as clients do, sends the same id again: after a
-// refusal, after a broken connection at another router, and now and then after any
-// word.
-func (c *Clients) runClient(lifetime context.Context, node *NodeProcess, question Question, entry Entry, h behaviour) {
+// runClient sends a request and, as real clients do, sends the same id again: after a
+// refusal, after a broken connection, and sometimes even after a final reply. Each repeat
+// goes to a newly picked router.
+func (c *Clients) runClient(lifetime context.Context, node *NodeProcess, request ClientRequest, entry Entry, reaction behaviour) {
 	for arrival := range 3 {
 		entry.Arrival, entry.Router = arrival, node.Node.Name
-		reply, retry := c.send(context.Background(), node.Node.Address, question, entry, h.leaves)
+		reply, retry := c.send(context.Background(), node.Node.Address, request, entry, reaction.leavesAfter)
 		interval := 100 * time.Millisecond
 		switch {
-		case reply.Cause == CallerLeft, reply.Final == "complete" && !h.persists:
+		case reply.Cause == ClientLeft, reply.Final == "complete" && !reaction.resendsAfterFinal:
 			return
-		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && h.obeys:
+		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && reaction.honoursRetryAfter:
 			interval = retry
-		case reply.Final != "" && !h.persists:
+		case reply.Final != "" && !reaction.resendsAfterFinal:
 			return
 		}
 		if !sleep(lifetime, interval) {
 			return
 		}
-		if node = c.pick(entry.Zone, h.elsewhere+arrival); node == nil {
+		if node = c.pick(entry.Zone, reaction.routerDraw+arrival); node == nil {
 			return
 		}
-		h.persists = false
+		reaction.resendsAfterFinal = false
 	}
 }
 
-// pick is the node that the platform hands a client of the zone to: one of
-// its own that is up, or any other.
+// pick returns the router to which the platform would send a client of the zone: a running
+// router of the zone, or, if the zone has none, any running router. Among several routers the random number draw
+// decides. It returns nil if no router is running.
 func (c *Clients) pick(zone string, draw int) *NodeProcess {
 	running := c.fleet.Running(membership.Router)
-	var near []*NodeProcess
+	var inZone []*NodeProcess
 	for _, node := range running {
 		if node.Node.Zone == zone {
-			near = append(near, node)
+			inZone = append(inZone, node)
 		}
 	}
-	if len(near) > 0 {
-		running = near
+	if len(inZone) > 0 {
+		running = inZone
 	}
 	if len(running) == 0 {
 		return nil
@@ -140,8 +147,8 @@
 	return running[draw%len(running)]
 }
 
-// Question is the body of a request, as a client writes it.
-type Question struct {
+// ClientRequest is the JSON body of a client's request.
+type ClientRequest struct {
 	ID           string `json:"id"`
 	Service      string `json:"service"`
 	Client       string `json:"origin"`
@@ -153,9 +160,10 @@
 	Chunks       int    `json:"pieces"`
 }
 
-func (c *Clients) question(kind Kind, node *NodeProcess) (Question, Entry) {
-	idempotent := c.random.Float64() >= c.Once
-	question := Question{
+// newRequest draws a request of a kind and returns it with the entry that records it.
+func (c *Clients) newRequest(kind Kind, node *NodeProcess) (ClientRequest, Entry) {
+	idempotent := c.random.Float64() >= c.NonIdempotentShare
+	request := ClientRequest{
 		ID:           dataplane.NewRequestID(),
 		Service:      kind.Service,
 		Client:       "origin-" + strconv.Itoa(c.number%50),
@@ -166,62 +174,64 @@
 		PrefixTokens: kind.PrefixTokens,
 		Chunks:       kind.LeastChunks + c.random.IntN(kind.MostChunks-kind.LeastChunks),
 	}
-	return question, Entry{
-		Request:    question.ID,
+	return request, Entry{
+		Request:    request.ID,
 		Router:     node.Node.Name,
 		Service:    kind.Service,
 		Idempotent: idempotent,
-		Asked:      question.Chunks,
+		Asked:      request.Chunks,
 	}
 }
 
-// Send sends one request and writes down its reply, word for word. A reply
-// that breaks off without a final line is noted without one.
-func (c *Clients) Send(lifetime context.Context, address string, question Question, entry Entry) Entry {
-	reply, _ := c.send(lifetime, address, question, entry, -1)
+// Send sends one request and records its reply with the text of every chunk. A reply that
+// breaks off before its final line is recorded without an outcome.
+func (c *Clients) Send(lifetime context.Context, address string, request ClientRequest, entry Entry) Entry {
+	reply, _ := c.send(lifetime, address, request, entry, -1)
 	return reply
 }
 
-// CallerLeft is the cause of a reply that its own client broke off.
-const CallerLeft = "the caller left"
+// ClientLeft is the recorded cause of a reply whose client closed the connection.
+const ClientLeft = "the caller left"
 
-// send sends one request; it also tells when the client may come back. A client
-// that leaves closes the connection after so many chunks.
+// send sends one request, records its reply, and returns it with the time after which the
+// client may retry. The client closes the connection after leavesAfter chunks; -1 means never.
 func (c *Clients) send(
 	lifetime context.Context,
 	address string,
-	question Question,
+	request ClientRequest,
 	entry Entry,
-	leaves int,
+	leavesAfter int,
 ) (Entry, time.Duration) {
 	began := time.Now()
 	sent := entry
 	sent.Kind = Sent
 	c.fleet.Events.Append(sent)
 	entry.Kind = Replied
-	lifetime, end := context.WithTimeout(lifetime, time.Duration(question.Limit)*time.Millisecond+5*time.Second)
+	lifetime, end := context.WithTimeout(lifetime, time.Duration(request.Limit)*time.Millisecond+5*time.Second)
 	defer end()
-	status, retry, err := c.read(lifetime, address, question, &entry, leaves)
+	status, retry, err := c.read(lifetime, address, request, &entry, leavesAfter)
 	entry.Status = status
 	entry.Took = time.Since(began)
 	if err != nil && entry.Final == "" {
 		entry.Cause = err.Error()
-		if failure.CodeOf(err) == failure.ClientLeft {
-			entry.Cause = CallerLeft
+		if failure.CodeOf(err) == failure.ClientDisconnected {
+			entry.Cause = ClientLeft
 		}
 	}
 	c.fleet.Events.Append(entry)
 	return entry, retry
 }
 
+// read posts a request and reads its reply into the entry. It returns the HTTP status and the
+// time after which the client may retry.
 func (c *Clients) read(
 	lifetime context.Context,
 	address string,
-	question Question,
+	request ClientRequest,
 	entry *Entry,
-	leaves int,
+	leavesAfter int,
 ) (int, time.Duration, error) {
-	body, err := json.Marshal(question)
+	body, err := json.Marshal(request)
 	if err != nil {
 		return 0, 0, failure.Wrap(failure.Malformed, err)
 	}
@@ -237,8 +247,8 @@
 	defer func() { _ = inbound.Body.Close() }()
 	lines := bufio.NewScanner(inbound.Body)
 	for lines.Scan() {
-		if leaves == len(entry.Texts) {
-			return inbound.StatusCode, 0, failure.New(failure.ClientLeft, CallerLeft)
+		if leavesAfter == len(entry.Texts) {
+			return inbound.StatusCode, 0, failure.New(failure.ClientDisconnected, ClientLeft)
 		}
 		var line dataplane.ReplyLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
--- a/internal/testbed/fleet/connection.go
+++ b/internal/testbed/fleet/connection.go
@@ -7,17 +7,17 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Connection is one call under way at a stand-in: it may be closed by either side.
+// Connection is a call that is in progress at a stand-in server. Either side may close it.
 type Connection struct {
 	cond   runtime.Cond
 	mutex  sync.Mutex
 	closed bool
 }
 
-// NewConnection opens a connection.
+// NewConnection returns an open connection.
 func NewConnection(rt runtime.Runtime) *Connection { return &Connection{cond: rt.NewCond()} }
 
-// Close ends what is done for the connection.
+// Close marks the connection as closed and wakes the work that waits on it.
 func (c *Connection) Close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -25,14 +25,15 @@
 	c.cond.Broadcast()
 }
 
-// Closed tells whether the connection is closed.
+// Closed reports whether the connection is closed.
 func (c *Connection) Closed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.closed
 }
 
-// Wait lets work take its time; false means that the connection was closed.
+// Wait waits for a length of time or until the connection is closed. It returns false if the
+// connection is closed.
 func (c *Connection) Wait(length time.Duration) bool {
 	c.cond.Wait(length, c.Closed)
 	return !c.Closed()
--- a/internal/testbed/fleet/deployment.go
+++ b/internal/testbed/fleet/deployment.go
@@ -2,7 +2,8 @@
 
 import "strconv"
 
-// Deployment is the shape of one user's fleet.
+// Deployment describes the size and the traffic of one user's fleet. Long requests have long
+// prompts and short answers; Short requests have short prompts and long answers.
 type Deployment struct {
 	Name    string
 	Zones   []string
@@ -12,7 +13,9 @@
 	Short   Kind
 }
 
-// Kind is one kind of streamed request.
+// Kind is one kind of streamed request. A request has at least LeastTokens and fewer than
+// MostTokens prompt tokens; LeastChunks and MostChunks bound the chunks of its answer in the same
+// way. Its prompt starts with one of Prefixes shared prefixes of PrefixTokens tokens each.
 type Kind struct {
 	Service      string
 	LeastTokens  int
@@ -23,7 +26,7 @@
 	MostChunks   int
 }
 
-// Sahil is the desk for zones: nine servers, three controllers, seven routers.
+// Sahil is a deployment with nine servers, three controllers and seven routers.
 func Sahil() Deployment {
 	return Deployment{Name: "sahil", Zones: []string{"harbour", "medina", "dunes"}, Routers: 7, Servers: 9,
 		Long: Kind{
@@ -46,7 +49,7 @@
 		}}
 }
 
-// Kochloeffel is the pantry desk: twelve servers on the same three zones.
+// Kochloeffel is a deployment with twelve servers, three controllers and seven routers.
 func Kochloeffel() Deployment {
 	return Deployment{Name: "kochloeffel", Zones: []string{"nord", "mitte", "sued"}, Routers: 7, Servers: 12,
 		Long: Kind{
@@ -69,7 +72,7 @@
 		}}
 }
 
-// DeploymentNamed finds a deployment, or tells false.
+// DeploymentNamed returns the deployment with a name, and whether there is one.
 func DeploymentNamed(name string) (Deployment, bool) {
 	for _, deployment := range []Deployment{Sahil(), Kochloeffel()} {
 		if deployment.Name == name {
@@ -79,9 +82,9 @@
 	return Deployment{}, false
 }
 
-// Configuration is the deployment's first configuration. Each revision of it
-// has a route whose name tells the revision, so that any client can see which
-// one is in force at a router.
+// Configuration returns a revision of the deployment's configuration. Each revision has a
+// route whose name contains the revision's number, so that any client can see which revision
+// is in force at a router.
 func (d Deployment) Configuration(revision int) string {
 	return `{"services":{"` + d.Long.Service + `":{"limit_milliseconds":20000},"` + d.Short.Service +
 		`":{"limit_milliseconds":20000},"edition":{}},"routes":{"edition-` + strconv.Itoa(revision) +
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -10,7 +10,10 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// ServerPlan is how a stand-in server behaves.
+// ServerPlan holds the name, the zone and the capacity of a stand-in server. PrefillRate and
+// LinkRate are in tokens per second, Memory is in tokens, PrefillQueue and Prefixes are the
+// largest numbers of queued prompts and of cached prefixes, and ChunkTime is the time that one
+// chunk of an answer takes.
 type ServerPlan struct {
 	Name           string
 	Zone           string
@@ -25,7 +28,7 @@
 	Prefixes       int
 }
 
-// DefaultPlan is a server of middling speed.
+// DefaultPlan returns the plan of a server of average speed.
 func DefaultPlan(name, zone string) ServerPlan {
 	return ServerPlan{
 		Name:           name,
@@ -42,10 +45,10 @@
 	}
 }
 
-// Engine is what a stand-in model server does, whatever carries its calls: a
-// queue of prompts read one by one, slots for answers, bounded memory for
-// prompts, a prefix cache, handles that lapse, a cold start, and a link of some
-// speed. It records everything that it is asked to do in the event log.
+// Engine simulates a model server, independently of the transport of its calls. It has a
+// queue of prompts that are prefilled one at a time, decode slots, limited memory for
+// prompts, a prefix cache, memory handles that expire, a slow start, and a link of limited
+// speed. It records each request that it gets in the event log.
 type Engine struct {
 	plan        ServerPlan
 	events      *EventLog
@@ -53,79 +56,90 @@
 	fetch       Fetch
 	nonce       func() string
 	incarnation string
-	free        runtime.Cond
+	// prefillFree is signalled when a prefill has ended and when the server crashes.
+	prefillFree runtime.Cond
 
 	mutex        sync.Mutex
-	born         time.Time
-	part         string
+	startedAt    time.Time
+	role         string
 	fencingToken uint64
 	leaving      bool
+	// dark means that the server does not respond; SetDark says to which calls.
 	dark         bool
-	slowLink     int
-	queue        []int
-	reading      bool
-	active       int
-	memory       int
-	handles      map[string]*promptMemory
-	prefixes     map[string]int
-	prefixOrder  []string
-	runs         map[string]*Connection
-	taken        map[string]bool
-	dead         bool
-}
-
+	linkSlowdown int
+	// queue holds the number of uncached tokens of each prompt that waits or is being prefilled.
+	queue      []int
+	prefilling bool
+	// active is the number of decodes in progress; memory is the number of tokens in use.
+	active  int
+	memory  int
+	handles map[string]*promptMemory
+	// prefixes is the prefix cache: the tokens of each prefix by its name. prefixOrder holds the
+	// same names; the least recently used one is first.
+	prefixes    map[string]int
+	prefixOrder []string
+	// runs holds the connection of each prefill and decode in progress; its keys come from runKey.
+	runs map[string]*Connection
+	// seenDispatches holds the kind and the dispatch token of each request that has arrived.
+	seenDispatches map[string]bool
+	dead           bool
+}
+
+// promptMemory is the memory (KV cache) of a prefilled prompt, held until its decode server fetches it.
 type promptMemory struct {
-	request string
-	run     int
-	order   string
-	tokens  int
-	lapses  time.Time
+	request   string
+	run       int
+	token     string
+	tokens    int
+	expiresAt time.Time
 }
 
-// Fetch asks another server for a prompt's memory.
-type Fetch func(connection *Connection, address string, question MemoryQuestion) (MemoryAnswer, int)
+// Fetch requests a prompt's memory from another server and returns the response and its HTTP status.
+type Fetch func(connection *Connection, address string, request MemoryRequest) (MemoryResponse, int)
 
-// MemoryQuestion is what a decode server asks a prefill server for.
-type MemoryQuestion struct {
+// MemoryRequest is a decode server's request to a prefill server for a prompt's memory. Taker
+// is the name of the decode server.
+type MemoryRequest struct {
 	Handle  string `json:"handle"`
 	Request string `json:"inquiry"`
 	Run     int    `json:"run"`
 	Taker   string `json:"taker"`
 }
 
-// MemoryAnswer is what the prefill server gives.
-type MemoryAnswer struct {
+// MemoryResponse is the prefill server's response to a MemoryRequest.
+type MemoryResponse struct {
 	Tokens   int `json:"tokens"`
 	LinkRate int `json:"link_tokens_per_second"`
 }
 
-// Refusal is what a server says with any status but 200.
+// Refusal is the body of a server's answer with any status but 200. Started means that the
+// server may have started the work.
 type Refusal struct {
 	Started bool   `json:"started"`
 	Type    string `json:"type"`
 }
 
-// NewEngine starts a server, cold.
+// NewEngine returns a server that has just started, with empty memory, and records its start.
 func NewEngine(plan ServerPlan, events *EventLog, rt runtime.Runtime, nonce func() string, fetch Fetch) *Engine {
 	events.Append(Entry{Kind: ServerBorn, Server: plan.Name, Zone: plan.Zone})
 	return &Engine{
-		plan:        plan,
-		events:      events,
-		runtime:     rt,
-		fetch:       fetch,
-		nonce:       nonce,
-		incarnation: nonce(),
-		free:        rt.NewCond(),
-		born:        rt.Now(),
-		handles:     map[string]*promptMemory{},
-		prefixes:    map[string]int{},
-		runs:        map[string]*Connection{},
-		taken:       map[string]bool{},
-		slowLink:    1,
-	}
-}
-
-// Die notes the crash, with which all memory is gone.
+		plan:           plan,
+		events:         events,
+		runtime:        rt,
+		fetch:          fetch,
+		nonce:          nonce,
+		incarnation:    nonce(),
+		prefillFree:    rt.NewCond(),
+		startedAt:      rt.Now(),
+		handles:        map[string]*promptMemory{},
+		prefixes:       map[string]int{},
+		runs:           map[string]*Connection{},
+		seenDispatches: map[string]bool{},
+		linkSlowdown:   1,
+	}
+}
+
+// Die crashes the server: it records the crash and closes all connections.
 func (e *Engine) Die() {
 	e.events.Append(Entry{Kind: ServerCrashed, Server: e.plan.Name})
 	e.mutex.Lock()
@@ -138,70 +152,71 @@
 	for _, conn := range connections {
 		conn.Close()
 	}
-	e.free.Broadcast()
+	e.prefillFree.Broadcast()
 }
 
-// SetDark makes the stand-in accept connections and never answer, or end that.
+// SetDark sets whether the server is dark: it still accepts connections, but answers no new
+// call and pauses the streams of its decodes. It still answers prefills that had arrived before.
 func (e *Engine) SetDark(dark bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.dark = dark
 }
 
-// SetLeaving makes the load reports say that the server leaves.
+// SetLeaving sets whether the load reports say that the server is leaving.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.leaving = leaving
 }
 
-// SetHandleLifetime makes handles lapse after another time.
-func (e *Engine) SetHandleLifetime(incarnation time.Duration) {
+// SetHandleLifetime sets the time after which new memory handles expire.
+func (e *Engine) SetHandleLifetime(lifetime time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.plan.HandleLifetime = incarnation
+	e.plan.HandleLifetime = lifetime
 }
 
-// SlowLink makes the link so many times slower.
-func (e *Engine) SlowLink(times int) {
+// SlowLink divides the planned speed of the server's link by a factor; 1 restores that speed.
+func (e *Engine) SlowLink(factor int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.slowLink = times
+	e.linkSlowdown = factor
 }
 
-// Part is the part that the server has.
-func (e *Engine) Part() string {
+// Role returns the server's role (prefill or decode); it is empty before the first command.
+func (e *Engine) Role() string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.part
+	return e.role
 }
 
-// Active counts the answers under way.
+// Active returns the number of decodes in progress.
 func (e *Engine) Active() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.active
 }
 
-// Dark tells whether the server takes connections and never answers.
+// Dark reports whether the server is dark, as SetDark explains.
 func (e *Engine) Dark() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.dark
 }
 
-// Dead tells whether the server has crashed.
+// Dead reports whether the server has crashed.
 func (e *Engine) Dead() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.dead
 }
 
-// Load is the server's report.
+// Load returns the server's load report.
 func (e *Engine) Load() modelserver.LoadReport {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.sweepHandles()
+	e.expireHandles()
 	waiting := 0
 	for _, tokens := range e.queue {
 		waiting += tokens
@@ -210,26 +225,28 @@
 	for name, tokens := range e.prefixes {
 		prefixes[name] = tokens
 	}
-	return modelserver.LoadReport{Server: e.plan.Name, Incarnation: e.incarnation, Part: e.part, Leaving: e.leaving,
+	return modelserver.LoadReport{Server: e.plan.Name, Incarnation: e.incarnation, Role: e.role, Leaving: e.leaving,
 		AgeMilliseconds: int(e.age().Milliseconds()), PrefillQueueTokens: waiting, PrefillRate: e.plan.PrefillRate,
-		PrefillWaiting: len(e.queue), PrefillRoom: e.plan.PrefillQueue, DecodeActive: e.active, DecodeSlots: e.plan.DecodeSlots,
+		PrefillWaiting: len(e.queue), PrefillCapacity: e.plan.PrefillQueue, DecodeActive: e.active, DecodeSlots: e.plan.DecodeSlots,
 		ChunkTimeMicroseconds: int(e.plan.ChunkTime.Microseconds()), MemoryFree: e.plan.Memory - e.memory,
-		MemoryTotal: e.plan.Memory, LinkRate: e.plan.LinkRate / e.slowLink, Prefixes: prefixes}
+		MemoryTotal: e.plan.Memory, LinkRate: e.plan.LinkRate / e.linkSlowdown, Prefixes: prefixes}
 }
 
-func (e *Engine) age() time.Duration { return e.runtime.Now().Sub(e.born) }
+func (e *Engine) age() time.Duration { return e.runtime.Now().Sub(e.startedAt) }
 
-func (e *Engine) sweepHandles() {
+// expireHandles frees the memory of expired handles. The caller holds the mutex.
+func (e *Engine) expireHandles() {
 	for name, memory := range e.handles {
-		if e.runtime.Now().After(memory.lapses) {
+		if e.runtime.Now().After(memory.expiresAt) {
 			delete(e.handles, name)
 			e.memory -= memory.tokens
 		}
 	}
 }
 
-// warmingUp slows a server down that has just started.
-func (e *Engine) warmingUp() float64 {
+// warmupFactor returns the factor by which a recently started server is slower: 3 at its start,
+// falling to 1 at the end of its warm-up time.
+func (e *Engine) warmupFactor() float64 {
 	age := e.age()
 	if age >= e.plan.WarmupTime {
 		return 1
@@ -237,29 +254,31 @@
 	return 3 - 2*float64(age)/float64(e.plan.WarmupTime)
 }
 
+// record adds an entry about one run of a request to the event log.
 func (e *Engine) record(kind EntryKind, request string, run int) {
 	e.events.Append(Entry{Kind: kind, Server: e.plan.Name, Zone: e.plan.Zone, Request: request, Run: run})
 }
 
-// repeated tells whether an order was had before: a link brought it twice. A
-// server takes an order once, as the protocol asks, and says of the second that
-// it was begun: the first may have been the copy.
-func (e *Engine) repeated(kind, order, request string, run int) bool {
-	if order == "" {
+// isDuplicateDispatch reports whether a request with a dispatch token has arrived before, and otherwise
+// remembers the token. A faulty link can deliver a request twice, and the protocol requires that a
+// server accepts each one only once. The refusal of the second delivery says that the work was
+// started, because the router may be waiting for the answer to the second delivery.
+func (e *Engine) isDuplicateDispatch(kind, token, request string, run int) bool {
+	if token == "" {
 		return false
 	}
-	if e.taken[kind+order] {
-		e.record(OrderRepeated, request, run)
+	if e.seenDispatches[kind+token] {
+		e.record(DispatchRepeated, request, run)
 		return true
 	}
-	e.taken[kind+order] = true
+	e.seenDispatches[kind+token] = true
 	return false
 }
 
-// Prefill reads a prompt, and answers with its handle or a refusal.
-func (e *Engine) Prefill(connection *Connection, order modelserver.PrefillRequest) (int, any) {
+// Prefill processes a prompt and returns its memory handle or a refusal.
+func (e *Engine) Prefill(connection *Connection, request modelserver.PrefillRequest) (int, any) {
 	e.mutex.Lock()
-	if e.repeated("prefill", order.Order, order.Request, order.Run) {
+	if e.isDuplicateDispatch("prefill", request.DispatchToken, request.Request, request.Run) {
 		e.mutex.Unlock()
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
@@ -267,87 +286,88 @@
 		Kind:    PrefillAsked,
 		Server:  e.plan.Name,
 		Zone:    e.plan.Zone,
-		Request: order.Request,
-		Run:     order.Run,
+		Request: request.Request,
+		Run:     request.Run,
 		Depth:   len(e.queue),
 		Age:     e.age(),
 	})
-	e.sweepHandles()
-	if status, refusal := e.refusePrefill(order); refusal != "" {
+	e.expireHandles()
+	if status, refusal := e.refusePrefill(request); refusal != "" {
 		e.mutex.Unlock()
 		return status, Refusal{Type: refusal}
 	}
-	e.memory += order.PromptTokens
-	uncached := order.PromptTokens - min(order.PrefixTokens, e.prefixes[order.Prefix])
+	e.memory += request.PromptTokens
+	uncached := request.PromptTokens - min(request.PrefixTokens, e.prefixes[request.Prefix])
 	e.queue = append(e.queue, uncached)
-	e.record(PrefillStarted, order.Request, order.Run)
-	key := runName(order.Request, order.Run, order.Order)
+	e.record(PrefillStarted, request.Request, request.Run)
+	key := runKey(request.Request, request.Run, request.DispatchToken)
 	e.runs[key] = connection
 	e.mutex.Unlock()
 	finished := false
-	mine := e.awaitTurn(connection)
-	if mine {
+	gotTurn := e.awaitTurn(connection)
+	if gotTurn {
 		e.mutex.Lock()
-		cost := time.Duration(float64(uncached) / float64(e.plan.PrefillRate) * e.warmingUp() * float64(time.Second))
+		cost := time.Duration(float64(uncached) / float64(e.plan.PrefillRate) * e.warmupFactor() * float64(time.Second))
 		e.mutex.Unlock()
 		finished = connection.Wait(cost)
 	}
 	e.mutex.Lock()
-	defer e.free.Broadcast()
+	defer e.prefillFree.Broadcast()
 	defer e.mutex.Unlock()
-	if mine {
-		e.reading = false
+	if gotTurn {
+		e.prefilling = false
 	}
 	delete(e.runs, key)
 	e.queue = removeOne(e.queue, uncached)
 	if !finished {
-		e.memory -= order.PromptTokens
+		e.memory -= request.PromptTokens
 		return http.StatusGone, Refusal{Started: true, Type: "cancelled"}
 	}
-	if order.Prefix != "" && order.PrefixTokens > 0 {
-		e.cache(order.Prefix, order.PrefixTokens)
+	if request.Prefix != "" && request.PrefixTokens > 0 {
+		e.cache(request.Prefix, request.PrefixTokens)
 	}
 	handle := e.nonce()
 	e.handles[handle] = &promptMemory{
-		request: order.Request,
-		run:     order.Run,
-		order:   order.Order,
-		tokens:  order.PromptTokens,
-		lapses:  e.runtime.Now().Add(e.plan.HandleLifetime),
+		request:   request.Request,
+		run:       request.Run,
+		token:     request.DispatchToken,
+		tokens:    request.PromptTokens,
+		expiresAt: e.runtime.Now().Add(e.plan.HandleLifetime),
 	}
-	return http.StatusOK, modelserver.PrefillResponse{Request: order.Request, Run: order.Run, Handle: handle}
+	return http.StatusOK, modelserver.PrefillResponse{Request: request.Request, Run: request.Run, Handle: handle}
 }
 
-// refusePrefill tells with which status and type an order can't be taken; the type is
-// empty if it can. The caller holds the mutex.
-func (e *Engine) refusePrefill(order modelserver.PrefillRequest) (status int, refusal string) {
+// refusePrefill returns the status and the type of the refusal of a request; the type is
+// empty if the server can accept the request. The caller holds the mutex.
+func (e *Engine) refusePrefill(request modelserver.PrefillRequest) (status int, refusal string) {
 	switch {
-	case e.part != "prefill":
+	case e.role != "prefill":
 		return http.StatusServiceUnavailable, "wrong_part"
 	case len(e.queue) >= e.plan.PrefillQueue:
 		return http.StatusTooManyRequests, "queue_full"
-	case e.memory+order.PromptTokens > e.plan.Memory:
+	case e.memory+request.PromptTokens > e.plan.Memory:
 		return http.StatusTooManyRequests, "memory_full"
 	}
 	return http.StatusOK, ""
 }
 
-// awaitTurn waits until no other prompt is being read; false means that the server
-// died or the connection was closed before.
-func (e *Engine) awaitTurn(connection *Connection) (mine bool) {
-	for !e.Dead() && !mine && !connection.Closed() {
-		e.free.Wait(time.Second, func() bool {
+// awaitTurn waits until no other prompt is being prefilled. It returns false if the server
+// crashed or the connection was closed first.
+func (e *Engine) awaitTurn(connection *Connection) (gotTurn bool) {
+	for !e.Dead() && !gotTurn && !connection.Closed() {
+		e.prefillFree.Wait(time.Second, func() bool {
 			e.mutex.Lock()
 			defer e.mutex.Unlock()
-			if !e.reading && !e.dead {
-				e.reading, mine = true, true
+			if !e.prefilling && !e.dead {
+				e.prefilling, gotTurn = true, true
 			}
-			return mine || e.dead || connection.Closed()
+			return gotTurn || e.dead || connection.Closed()
 		})
 	}
-	return mine
+	return gotTurn
 }
 
+// removeOne returns the queue without the first prompt that has the given number of tokens.
 func removeOne(queue []int, tokens int) []int {
 	for position, entry := range queue {
 		if entry == tokens {
@@ -357,6 +377,8 @@
 	return queue
 }
 
+// cache adds a prefix to the prefix cache and evicts the least recently used one if the cache
+// is full.
 func (e *Engine) cache(prefix string, tokens int) {
 	for position, name := range e.prefixOrder {
 		if name == prefix {
@@ -372,48 +394,50 @@
 	}
 }
 
-func runName(request string, run int, order string) string {
-	return request + "#" + strconv.Itoa(run) + "#" + order
+// runKey identifies one dispatch of a run of a request by its token.
+func runKey(request string, run int, token string) string {
+	return request + "#" + strconv.Itoa(run) + "#" + token
 }
 
-// GiveMemory hands a prompt's memory over, once and to its own request and run.
-func (e *Engine) GiveMemory(question MemoryQuestion) (int, any) {
+// TransferMemory transfers a prompt's memory to a decode server: only once, and only for the request and run
+// that the prompt was prefilled for.
+func (e *Engine) TransferMemory(request MemoryRequest) (int, any) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.sweepHandles()
-	memory, found := e.handles[question.Handle]
-	if !found || memory.request != question.Request || memory.run != question.Run {
+	e.expireHandles()
+	memory, found := e.handles[request.Handle]
+	if !found || memory.request != request.Request || memory.run != request.Run {
 		e.events.Append(Entry{
 			Kind:    MemoryRefused,
 			Server:  e.plan.Name,
-			Request: question.Request,
-			Run:     question.Run,
-			Handle:  question.Handle,
-			Holder:  question.Taker,
+			Request: request.Request,
+			Run:     request.Run,
+			Handle:  request.Handle,
+			Holder:  request.Taker,
 		})
 		return http.StatusConflict, Refusal{Type: "handle_lapsed"}
 	}
-	delete(e.handles, question.Handle)
+	delete(e.handles, request.Handle)
 	e.memory -= memory.tokens
 	e.events.Append(Entry{
 		Kind:    MemoryTaken,
 		Server:  e.plan.Name,
 		Request: memory.request,
 		Run:     memory.run,
-		Handle:  question.Handle,
-		Holder:  question.Taker,
+		Handle:  request.Handle,
+		Holder:  request.Taker,
 	})
-	return http.StatusOK, MemoryAnswer{Tokens: memory.tokens, LinkRate: e.plan.LinkRate / e.slowLink}
+	return http.StatusOK, MemoryResponse{Tokens: memory.tokens, LinkRate: e.plan.LinkRate / e.linkSlowdown}
 }
 
-// Decode takes a prompt's memory up and answers, line by line; with another
-// status than 200 there is a refusal and no line.
+// Decode fetches a prompt's memory and sends the answer chunk by chunk. If the status that
+// it returns is not 200, it sends no chunk and returns a refusal.
 func (e *Engine) Decode(
 	connection *Connection,
-	order modelserver.DecodeRequest,
+	request modelserver.DecodeRequest,
 	send func(line modelserver.DecodeChunk) error,
 ) (int, any) {
-	if status, refusal := e.beginDecode(connection, order); status != http.StatusOK {
+	if status, refusal := e.beginDecode(connection, request); status != http.StatusOK {
 		return status, refusal
 	}
 	memory := 0
@@ -422,12 +446,12 @@
 		defer e.mutex.Unlock()
 		e.active--
 		e.memory -= memory
-		delete(e.runs, runName(order.Request, order.Run, order.Order))
+		delete(e.runs, runKey(request.Request, request.Run, request.DispatchToken))
 	}()
-	given, status := e.fetch(connection, order.Source, MemoryQuestion{
-		Handle:  order.Handle,
-		Request: order.Request,
-		Run:     order.Run,
+	response, status := e.fetch(connection, request.Source, MemoryRequest{
+		Handle:  request.Handle,
+		Request: request.Request,
+		Run:     request.Run,
 		Taker:   e.plan.Name,
 	})
 	switch {
@@ -437,87 +461,92 @@
 		return http.StatusBadGateway, Refusal{Started: true, Type: "source_lost"}
 	}
 	e.mutex.Lock()
-	memory = given.Tokens + order.Chunks
+	memory = response.Tokens + request.Chunks
 	e.memory += memory
-	rate := min(given.LinkRate, e.plan.LinkRate/e.slowLink)
+	rate := min(response.LinkRate, e.plan.LinkRate/e.linkSlowdown)
 	e.mutex.Unlock()
-	e.record(DecodeStarted, order.Request, order.Run)
-	if !connection.Wait(time.Duration(float64(given.Tokens) / float64(max(rate, 1)) * float64(time.Second))) {
+	e.record(DecodeStarted, request.Request, request.Run)
+	if !connection.Wait(time.Duration(float64(response.Tokens) / float64(max(rate, 1)) * float64(time.Second))) {
 		return http.StatusGone, Refusal{Started: true, Type: "cancelled"}
 	}
-	e.stream(connection, order, send)
+	e.stream(connection, request, send)
 	return http.StatusOK, nil
 }
 
-// beginDecode counts an order as active, or refuses it.
-func (e *Engine) beginDecode(connection *Connection, order modelserver.DecodeRequest) (int, Refusal) {
+// beginDecode adds a request to the decodes in progress, or refuses it with a status other than
+// 200.
+func (e *Engine) beginDecode(connection *Connection, request modelserver.DecodeRequest) (int, Refusal) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.repeated("decode", order.Order, order.Request, order.Run) {
+	if e.isDuplicateDispatch("decode", request.DispatchToken, request.Request, request.Run) {
 		return http.StatusConflict, Refusal{Started: true, Type: "duplicate_order"}
 	}
 	e.events.Append(Entry{
 		Kind:    DecodeAsked,
 		Server:  e.plan.Name,
 		Zone:    e.plan.Zone,
-		Request: order.Request,
-		Run:     order.Run,
+		Request: request.Request,
+		Run:     request.Run,
 		Depth:   e.active,
 		Age:     e.age(),
 	})
 	switch {
-	case e.part != "decode":
+	case e.role != "decode":
 		return http.StatusServiceUnavailable, Refusal{Type: "wrong_part"}
 	case e.active >= 2*e.plan.DecodeSlots:
 		return http.StatusTooManyRequests, Refusal{Type: "slots_full"}
-	case e.memory+order.Chunks > e.plan.Memory:
+	case e.memory+request.Chunks > e.plan.Memory:
 		return http.StatusTooManyRequests, Refusal{Type: "memory_full"}
 	}
 	e.active++
-	e.runs[runName(order.Request, order.Run, order.Order)] = connection
+	e.runs[runKey(request.Request, request.Run, request.DispatchToken)] = connection
 	return http.StatusOK, Refusal{}
 }
 
-// ChunkText is the text of one chunk, by which its reader can tell whose it is
-// and which run made it.
+// ChunkText returns the text of one chunk, from which the checkers can tell the request and
+// the run that it belongs to. A server passes the run's number followed by the dispatch token
+// as run, so that two dispatches of one run differ.
 func ChunkText(request, run string, chunk int) string {
 	return request + "/" + run + "/" + strconv.Itoa(chunk)
 }
 
+// stream sends the chunks of an answer. A chunk takes longer while the server warms up, and while
+// it has more decodes in progress than slots.
 func (e *Engine) stream(
 	connection *Connection,
-	order modelserver.DecodeRequest,
+	request modelserver.DecodeRequest,
 	send func(line modelserver.DecodeChunk) error,
 ) {
-	run := strconv.Itoa(order.Run) + order.Order
-	for chunk := 1; chunk <= order.Chunks; chunk++ {
+	run := strconv.Itoa(request.Run) + request.DispatchToken
+	for chunk := 1; chunk <= request.Chunks; chunk++ {
 		e.mutex.Lock()
-		queueing := max(1, float64(e.active)/float64(e.plan.DecodeSlots))
-		length := time.Duration(float64(e.plan.ChunkTime) * queueing * (0.5 + e.warmingUp()/2))
+		slowdown := max(1, float64(e.active)/float64(e.plan.DecodeSlots))
+		chunkTime := time.Duration(float64(e.plan.ChunkTime) * slowdown * (0.5 + e.warmupFactor()/2))
 		e.mutex.Unlock()
 		for e.Dark() && connection.Wait(time.Second) {
 		}
-		if !connection.Wait(length) {
+		if !connection.Wait(chunkTime) {
 			return
 		}
 		if send(modelserver.DecodeChunk{
-			Request: order.Request,
-			Run:     order.Run,
+			Request: request.Request,
+			Run:     request.Run,
 			Chunk:   chunk,
-			Text:    ChunkText(order.Request, run, chunk),
+			Text:    ChunkText(request.Request, run, chunk),
 		}) != nil {
 			return
 		}
 	}
-	_ = send(modelserver.DecodeChunk{Request: order.Request, Run: order.Run, Done: true, Chunks: order.Chunks})
+	_ = send(modelserver.DecodeChunk{Request: request.Request, Run: request.Run, Done: true, Chunks: request.Chunks})
 }
 
-// Cancel stops a run and lets go of its memory.
-func (e *Engine) Cancel(order modelserver.CancelRequest) {
+// Cancel stops the dispatch of a run that the request's dispatch token names, and frees the
+// memory of all handles of the run.
+func (e *Engine) Cancel(request modelserver.CancelRequest) {
 	e.mutex.Lock()
-	connection := e.runs[runName(order.Request, order.Run, order.Order)]
+	connection := e.runs[runKey(request.Request, request.Run, request.DispatchToken)]
 	for name, memory := range e.handles {
-		if memory.request == order.Request && memory.run == order.Run {
+		if memory.request == request.Request && memory.run == request.Run {
 			delete(e.handles, name)
 			e.memory -= memory.tokens
 		}
@@ -528,25 +557,26 @@
 	}
 }
 
-// TakePart takes a part from the holder of the server's key.
-func (e *Engine) TakePart(order modelserver.PartRequest) (int, any) {
+// TakeRole sets the server's role on the command of the role lease's holder. It refuses a
+// command with an older fencing token than the last one.
+func (e *Engine) TakeRole(request modelserver.RoleRequest) (int, any) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	entry := Entry{
 		Kind:         Commanded,
 		Server:       e.plan.Name,
-		Holder:       order.Holder,
-		FencingToken: order.FencingToken,
-		Part:         order.Part,
-		Cause:        order.Cause,
+		Holder:       request.Holder,
+		FencingToken: request.FencingToken,
+		Role:         request.Role,
+		Cause:        request.Cause,
 	}
-	if order.FencingToken < e.fencingToken {
+	if request.FencingToken < e.fencingToken {
 		entry.Kind = CommandRefused
 		e.events.Append(entry)
 		return http.StatusConflict, Refusal{Type: "old_fence"}
 	}
 	e.events.Append(entry)
-	e.fencingToken = order.FencingToken
-	e.part = order.Part
-	return http.StatusOK, map[string]string{"part": e.part}
+	e.fencingToken = request.FencingToken
+	e.role = request.Role
+	return http.StatusOK, map[string]string{"part": e.role}
 }
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -9,7 +9,8 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Fault is one thing that fails in a day, with what it needs of the fleet.
+// Fault is a fault that a day can inject. Links means that the fault needs a relay on each link
+// of the fleet, and Scripted that it needs nodes with scripted disks and clocks.
 type Fault struct {
 	Name     string
 	Links    bool
@@ -17,11 +18,11 @@
 	Run      func(lifetime context.Context, d *Day)
 }
 
-// faults are all that the brief names under "What fails".
+// faults holds all faults by name.
 var faults = map[string]Fault{
 	"kill-courier": {Run: killOne(membership.Router, time.Second)},
 	"kill-primary": {Run: killPrimary(4 * time.Second)},
-	"kill-backup":  {Run: killSeat("backup", 4*time.Second)},
+	"kill-backup":  {Run: killCoreMember("backup", 4*time.Second)},
 	"power-loss":   {Scripted: true, Run: powerLoss},
 	"lose-disk":    {Run: loseDisk},
 	"slow-disk": {Scripted: true, Run: diskFault(NodeFaults{Disk: "slow", Delay: 80 * time.Millisecond},
@@ -29,14 +30,14 @@
 	"stall-disk":           {Scripted: true, Run: diskFault(NodeFaults{Disk: "stall"}, 5*time.Second)},
 	"full-disk":            {Scripted: true, Run: diskFault(NodeFaults{Disk: "full"}, 5*time.Second)},
 	"damaged-disk":         {Scripted: true, Run: damagedDisk},
-	"clock-forward":        {Scripted: true, Run: jump(2 * time.Hour)},
-	"clock-back":           {Scripted: true, Run: jump(-2 * time.Hour)},
+	"clock-forward":        {Scripted: true, Run: jumpClocks(2 * time.Hour)},
+	"clock-back":           {Scripted: true, Run: jumpClocks(-2 * time.Hour)},
 	"freeze-primary":       {Run: freeze("primary", 6*time.Second)},
 	"freeze-courier":       {Run: freeze("courier", 6*time.Second)},
 	"freeze-holder":        {Run: freeze("holder", 9*time.Second)},
-	"herd-couriers":        {Run: herd(membership.Router)},
-	"herd-expediters":      {Run: herd(membership.Controller)},
-	"cold-start":           {Run: herd("")},
+	"herd-couriers":        {Run: restartTogether(membership.Router)},
+	"herd-expediters":      {Run: restartTogether(membership.Controller)},
+	"cold-start":           {Run: restartTogether("")},
 	"lose-zone":            {Run: loseZone},
 	"crash-server":         {Run: crashServer},
 	"dark-server":          {Run: darkServer},
@@ -70,14 +71,14 @@
 	}},
 }
 
-// FaultNamed finds a fault.
+// FaultNamed returns the fault with a name, and whether there is one.
 func FaultNamed(name string) (Fault, bool) {
 	fault, found := faults[name]
 	fault.Name = name
 	return fault, found
 }
 
-// FaultNames lists all faults in order.
+// FaultNames returns the names of all faults, sorted.
 func FaultNames() []string {
 	var names []string
 	for name := range faults {
@@ -87,23 +88,26 @@
 	return names
 }
 
+// draw returns a random number from 0 to count-1.
 func (d *Day) draw(count int) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.random.IntN(count)
 }
 
+// running returns the running nodes of a kind; an empty kind means all nodes.
 func (d *Day) running(kind membership.NodeKind) []*NodeProcess {
 	return d.Fleet.Running(kind)
 }
 
+// begin starts a node. An error goes only to the day's log.
 func (d *Day) begin(node *NodeProcess) {
 	if err := node.Begin(); err != nil {
-		d.Logf("%s did not begin: %v", node.Node.Name, err)
+		d.Logf("%s did not start: %v", node.Node.Name, err)
 	}
 }
 
-// primary waits for a primary.
+// primary waits up to 10 seconds for a primary and returns it, or nil.
 func (d *Day) primary() *NodeProcess {
 	var primary *NodeProcess
 	Await(10*time.Second, func() bool {
@@ -113,8 +117,9 @@
 	return primary
 }
 
-// seat finds the node in a seat of the membership, as the primary says.
-func (d *Day) seat(name string) *NodeProcess {
+// coreMember returns the node that has a role in the core, such as "backup", according to the
+// primary's status. It returns nil if there is none.
+func (d *Day) coreMember(role string) *NodeProcess {
 	primary := d.primary()
 	if primary == nil {
 		return nil
@@ -123,17 +128,17 @@
 	if _, err := primary.ReadJSON("/v1/status", &status); err != nil {
 		return nil
 	}
-	seat, _ := status[name].(map[string]any)
+	coreMember, _ := status[role].(map[string]any)
 	for _, node := range d.Fleet.Nodes() {
-		if seat != nil && node.Node.Name == seat["name"] {
+		if coreMember != nil && node.Node.Name == coreMember["name"] {
 			return node
 		}
 	}
 	return nil
 }
 
-// partsHolder finds the router that has the role of deciding the parts.
-func (d *Day) partsHolder() *NodeProcess {
+// roleLeaseHolder returns the router that holds the lease for assigning roles to servers, or nil.
+func (d *Day) roleLeaseHolder() *NodeProcess {
 	primary := d.primary()
 	if primary == nil {
 		return nil
@@ -152,6 +157,7 @@
 	return nil
 }
 
+// anyServer returns the name of a random stand-in server.
 func (d *Day) anyServer() string {
 	names := d.Fleet.ServerNames()
 	return names[d.draw(len(names))]
@@ -159,21 +165,21 @@
 
 func isController(name string) bool { return strings.HasPrefix(name, "expediter-") }
 
-// usualFloor is the share of complete replies that a day with one fault keeps at
-// least. Of the days in docs/measurements.md most kept more than 0.95, beside two
-// other fleets.
+// usualFloor is the lowest allowed share of complete replies on a day with one fault. It
+// leaves a margin for a busy machine: most days have more than 0.95, even while two other fleets run
+// on the machine (docs/measurements.md).
 const usualFloor = 0.85
 
-// lowerFloors are those of faults that cost more, about a tenth below what was
-// seen: nobody holds while the core is cut off, evacuated servers answer nothing,
-// and links and nodes that are bad for most of the day spoil what goes over them.
+// lowerFloors holds the floors of faults that cost more replies, with a margin of about a
+// tenth: no router has a lease while the core is cut off, evacuated servers get no work, and
+// links and nodes that are faulty for most of the day fail the requests that use them.
 var lowerFloors = map[string]float64{
 	"cut-core": 0.55, "evacuate-all": 0.45, "cold-start": 0.72, "bad-links": 0.75, "bad-server-links": 0.75, "one-way": 0.75,
 	"isolate-courier": 0.75, "freeze-primary": 0.75, "freeze-courier": 0.78, "lapse-handles": 0.78, "kill-during-repair": 0.78,
 }
 
-// FloorOf is the share of complete replies that a day with this fault alone keeps
-// at least.
+// FloorOf returns the lowest allowed share of complete replies on a day with only this
+// fault.
 func FloorOf(fault string) float64 {
 	if floor, found := lowerFloors[fault]; found {
 		return floor
--- a/internal/testbed/fleet/faults_disks.go
+++ b/internal/testbed/fleet/faults_disks.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// powerLoss kills primary and backup right after an acceptance; what was not
-// synced is gone.
+// powerLoss kills the primary and the backup right after a change was accepted, or after 8 s
+// without an accepted change. Their disks lose everything that was not synced.
 func powerLoss(lifetime context.Context, d *Day) {
-	backup := d.seat("backup")
+	backup := d.coreMember("backup")
 	primary := d.primary()
 	Await(8*time.Second, d.NextRevision)
 	if primary == nil || backup == nil {
@@ -22,7 +22,8 @@
 	d.begin(backup)
 }
 
-// loseDisk takes the primary's whole disk right after an acceptance.
+// loseDisk kills the primary and wipes its disk right after a change was accepted, or after 8 s
+// without an accepted change.
 func loseDisk(lifetime context.Context, d *Day) {
 	primary := d.primary()
 	Await(8*time.Second, d.NextRevision)
@@ -38,11 +39,13 @@
 	d.begin(primary)
 }
 
+// diskFault returns a fault that makes the disk of the primary or of the backup faulty for a
+// length of time.
 func diskFault(faults NodeFaults, length time.Duration) func(context.Context, *Day) {
 	return func(lifetime context.Context, d *Day) {
 		node := d.primary()
 		if d.draw(2) == 0 {
-			node = d.seat("backup")
+			node = d.coreMember("backup")
 		}
 		if node == nil {
 			return
@@ -54,9 +57,10 @@
 	}
 }
 
-// damagedDisk restarts the backup on a disk that returns damage.
+// damagedDisk kills the backup and restarts it with a disk that returns corrupted files until 5 s
+// after the restart.
 func damagedDisk(lifetime context.Context, d *Day) {
-	node := d.seat("backup")
+	node := d.coreMember("backup")
 	if node == nil {
 		return
 	}
--- a/internal/testbed/fleet/faults_nodes.go
+++ b/internal/testbed/fleet/faults_nodes.go
@@ -9,37 +9,43 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-func killOne(kind membership.NodeKind, away time.Duration) func(context.Context, *Day) {
+// killOne returns a fault that kills a random node of a kind and restarts it later.
+func killOne(kind membership.NodeKind, downtime time.Duration) func(context.Context, *Day) {
 	return func(lifetime context.Context, d *Day) {
 		nodes := d.running(kind)
-		d.killFor(lifetime, nodes[d.draw(len(nodes))], away)
+		d.killFor(lifetime, nodes[d.draw(len(nodes))], downtime)
 	}
 }
 
-func (d *Day) killFor(lifetime context.Context, node *NodeProcess, away time.Duration) {
+// killFor kills a node and restarts it after a length of time.
+func (d *Day) killFor(lifetime context.Context, node *NodeProcess, downtime time.Duration) {
 	d.Logf("kill %s", node.Node.Name)
 	node.Kill()
-	sleep(lifetime, away)
+	sleep(lifetime, downtime)
 	d.begin(node)
 }
 
-func killPrimary(away time.Duration) func(context.Context, *Day) {
+// killPrimary returns a fault that kills the primary and restarts it later.
+func killPrimary(downtime time.Duration) func(context.Context, *Day) {
 	return func(lifetime context.Context, d *Day) {
 		if primary := d.primary(); primary != nil {
-			d.killFor(lifetime, primary, away)
+			d.killFor(lifetime, primary, downtime)
 		}
 	}
 }
 
-func killSeat(name string, away time.Duration) func(context.Context, *Day) {
+// killCoreMember returns a fault that kills the node that has a role in the core, such as
+// "backup", and restarts it later.
+func killCoreMember(role string, downtime time.Duration) func(context.Context, *Day) {
 	return func(lifetime context.Context, d *Day) {
-		if node := d.seat(name); node != nil {
-			d.killFor(lifetime, node, away)
+		if node := d.coreMember(role); node != nil {
+			d.killFor(lifetime, node, downtime)
 		}
 	}
 }
 
-// killDuringRepair kills the node that takes a lost one's place.
+// killDuringRepair makes the primary lose its disk and kills the next primary while the
+// lost copy is being repaired.
 func killDuringRepair(lifetime context.Context, d *Day) {
 	primary := d.primary()
 	if primary == nil {
@@ -58,7 +64,9 @@
 	d.killFor(lifetime, next, time.Second)
 }
 
-func jump(length time.Duration) func(context.Context, *Day) {
+// jumpClocks returns a fault that moves the wall clocks of about half of the nodes for six
+// seconds.
+func jumpClocks(length time.Duration) func(context.Context, *Day) {
 	return func(lifetime context.Context, d *Day) {
 		for _, node := range d.running("") {
 			if d.draw(2) == 0 {
@@ -73,6 +81,8 @@
 	}
 }
 
+// freeze returns a fault that stops a node with SIGSTOP for a length of time: the primary, the
+// holder of the role lease, or a random router.
 func freeze(role string, length time.Duration) func(context.Context, *Day) {
 	return func(lifetime context.Context, d *Day) {
 		nodes := d.running(membership.Router)
@@ -81,7 +91,7 @@
 		case "primary":
 			node = d.primary()
 		case "holder":
-			node = d.partsHolder()
+			node = d.roleLeaseHolder()
 		}
 		if node == nil {
 			return
@@ -95,7 +105,9 @@
 	}
 }
 
-func herd(kind membership.NodeKind) func(context.Context, *Day) {
+// restartTogether returns a fault that kills all nodes of a kind and restarts them half a
+// second later. An empty kind means all nodes.
+func restartTogether(kind membership.NodeKind) func(context.Context, *Day) {
 	return func(lifetime context.Context, d *Day) {
 		nodes := d.running(kind)
 		d.Logf("kill %d nodes", len(nodes))
@@ -109,6 +121,7 @@
 	}
 }
 
+// loseZone kills the nodes and crashes the servers of a random zone, and restarts them later.
 func loseZone(lifetime context.Context, d *Day) {
 	zone := d.Fleet.Deployment.Zones[d.draw(len(d.Fleet.Deployment.Zones))]
 	d.Logf("lose %s", zone)
@@ -132,7 +145,7 @@
 	}
 }
 
-// restartAll stops and begins every node in an orderly way, one after another.
+// restartAll drains, stops and restarts every node, one after another.
 func restartAll(_ context.Context, d *Day) {
 	for _, node := range d.running("") {
 		node.Stop(20 * time.Second)
@@ -141,15 +154,15 @@
 	}
 }
 
-// upgradeBuilds stops every node that runs an older build and begins it with the
-// present one, one after another.
+// upgradeBuilds restarts every node that runs an older build with the present build, one
+// after another.
 func upgradeBuilds(_ context.Context, d *Day) {
 	for _, node := range d.running("") {
 		present := Program(d.Fleet.binaries, node.Node.Kind)
 		if node.binary == present {
 			continue
 		}
-		d.Logf("%s becomes the present build", node.Node.Name)
+		d.Logf("%s is upgraded to the present build", node.Node.Name)
 		node.Stop(20 * time.Second)
 		node.binary = present
 		d.begin(node)
@@ -157,7 +170,8 @@
 	}
 }
 
-// exchangeSeeds gives every node other seeds and has it read them.
+// exchangeSeeds gives every node a new list of seeds, two routers and one controller, and makes
+// it reload its settings.
 func exchangeSeeds(_ context.Context, d *Day) {
 	var controllers, routers []string
 	for _, node := range d.running(membership.Controller) {
@@ -168,7 +182,8 @@
 	}
 	for _, node := range d.running("") {
 		node.Set("seeds",
-			[]string{routers[d.draw(len(routers)/2)], routers[len(routers)/2+d.draw(len(routers)/2)], controllers[d.draw(len(controllers))]})
+			[]string{routers[d.draw(len(routers)/2)], routers[len(routers)/2+d.draw(len(routers)/2)],
+				controllers[d.draw(len(controllers))]})
 		if err := node.WriteSettings(); err != nil {
 			d.Logf("%v", err)
 		}
@@ -177,7 +192,7 @@
 	d.Logf("seeds exchanged")
 }
 
-// replaceCore replaces every controller by an empty one at a new address, one
+// replaceCore replaces every controller by one with an empty disk at a new address, one
 // after another.
 func replaceCore(lifetime context.Context, d *Day) {
 	for number, old := range d.running(membership.Controller) {
@@ -204,7 +219,7 @@
 			old.Node.Zone, seeds)
 		fresh.scripted = old.scripted
 		d.begin(fresh)
-		d.Logf("%s gives way to %s: whole again %v", old.Node.Name, fresh.Node.Name,
+		d.Logf("%s is replaced by %s: core complete %v", old.Node.Name, fresh.Node.Name,
 			Await(25*time.Second, d.Fleet.CoreIsComplete))
 		if lifetime.Err() != nil {
 			return
--- a/internal/testbed/fleet/faults_operators.go
+++ b/internal/testbed/fleet/faults_operators.go
@@ -13,26 +13,28 @@
 	"github.com/google/uuid"
 )
 
+// flood multiplies the traffic by five for five seconds.
 func flood(lifetime context.Context, d *Day) {
 	d.Clients.SetRates(d.Long*5, d.Short*5)
 	sleep(lifetime, 5*time.Second)
 	d.Clients.SetRates(d.Long, d.Short)
 }
 
+// evacuate returns a fault that evacuates some zones concurrently and restores them later.
 func evacuate(count int) func(context.Context, *Day) {
 	return func(lifetime context.Context, d *Day) {
 		zones := d.Fleet.Deployment.Zones
 		first := d.draw(len(zones))
-		var evacuating sync.WaitGroup
+		var callers sync.WaitGroup
 		for number := range count {
 			zone := zones[(first+number)%len(zones)]
-			evacuating.Go(func() {
+			callers.Go(func() {
 				node := d.anyController()
 				accepted := node != nil && d.Operators.Evacuate(node, zone)
 				d.Logf("evacuate %s: %v", zone, accepted)
 			})
 		}
-		evacuating.Wait()
+		callers.Wait()
 		sleep(lifetime, 6500*time.Millisecond)
 		for number := range count {
 			restored := zones[(first+number)%len(zones)]
@@ -44,16 +46,16 @@
 	}
 }
 
-// storm lets eight operators change the configuration at once, without pause,
-// while revisions follow each other.
+// storm makes eight operators change the configuration concurrently and without pause,
+// while new revisions are put one after another.
 func storm(lifetime context.Context, d *Day) {
-	ends := time.Now().Add(5 * time.Second)
-	going := func() bool { return time.Now().Before(ends) && lifetime.Err() == nil }
+	deadline := time.Now().Add(5 * time.Second)
+	going := func() bool { return time.Now().Before(deadline) && lifetime.Err() == nil }
 	var accepted atomic.Int64
-	var storming sync.WaitGroup
+	var callers sync.WaitGroup
 	for number := range 8 {
 		path := fmt.Sprintf("/v1/evacuations/nowhere-%d", number)
-		storming.Go(func() {
+		callers.Go(func() {
 			for going() {
 				for _, method := range []string{http.MethodPost, http.MethodDelete} {
 					if node := d.anyController(); node != nil {
@@ -70,12 +72,12 @@
 			accepted.Add(1)
 		}
 	}
-	storming.Wait()
-	d.Logf("the storm brought %d accepted changes", accepted.Load())
+	callers.Wait()
+	d.Logf("%d concurrent changes were accepted", accepted.Load())
 }
 
-// race lets operators change the configuration from the same version; one wins
-// at most.
+// race makes four operators change the same version of the configuration concurrently, five
+// times. At most one of the four changes may be accepted each time.
 func race(lifetime context.Context, d *Day) {
 	for range 5 {
 		node := d.anyController()
@@ -86,32 +88,30 @@
 		if err != nil || current.Status != http.StatusOK {
 			continue
 		}
-		var racing sync.WaitGroup
+		var callers sync.WaitGroup
 		for range 4 {
 			revision := d.takeRevision()
-			racing.Go(func() {
+			callers.Go(func() {
 				if node := d.anyController(); node != nil {
 					d.Operators.PutRevision(node, revision, current)
 				}
 			})
 		}
-		racing.Wait()
+		callers.Wait()
 	}
 }
 
-// largeConfiguration puts many thousand routes and takes them away again.
+// largeConfiguration adds 8000 routes and removes them again.
 func largeConfiguration(lifetime context.Context, d *Day) {
 	d.withManyRoutes(lifetime, func() { sleep(lifetime, 4*time.Second) })
 }
 
-// largeStorm has a storm of changes over a configuration of many thousand
-// routes.
+// largeStorm runs storm on a configuration with 8000 additional routes.
 func largeStorm(lifetime context.Context, d *Day) {
 	d.withManyRoutes(lifetime, func() { storm(lifetime, d) })
 }
 
-// withManyRoutes puts many thousand routes, lets something happen, and takes them
-// away again.
+// withManyRoutes adds 8000 routes, calls act, and removes the routes again.
 func (d *Day) withManyRoutes(lifetime context.Context, act func()) {
 	var many, none strings.Builder
 	for number := range 8000 {
--- a/internal/testbed/fleet/faults_servers.go
+++ b/internal/testbed/fleet/faults_servers.go
@@ -7,6 +7,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
+// crashServer crashes a random server and replaces it later.
 func crashServer(lifetime context.Context, d *Day) {
 	name := d.anyServer()
 	d.Logf("crash %s", name)
@@ -17,15 +18,17 @@
 	}
 }
 
+// darkServer makes a random server stop answering for four seconds.
 func darkServer(lifetime context.Context, d *Day) {
 	name := d.anyServer()
-	d.Logf("%s goes dark", name)
+	d.Logf("%s stops answering", name)
 	server := d.Fleet.Server(name)
 	server.SetDark(true)
 	sleep(lifetime, 4*time.Second)
 	server.SetDark(false)
 }
 
+// replaceServers crashes and replaces three servers, one after another.
 func replaceServers(lifetime context.Context, d *Day) {
 	for _, name := range d.Fleet.ServerNames()[:3] {
 		d.Fleet.Server(name).Crash()
@@ -36,21 +39,21 @@
 	}
 }
 
-// leaveServer shows a server leaving: in the list, by its absence, or in its
-// load report.
+// leaveServer makes a server leave in one of three ways: it is listed as leaving, it is
+// removed from the list, or its load report says that it leaves.
 func leaveServer(lifetime context.Context, d *Day) {
 	name := d.anyServer()
 	server := d.Fleet.Server(name)
 	listed := membership.Server{Name: name, Address: server.Address(), Zone: server.plan.Zone, Leaving: true}
 	switch d.draw(3) {
 	case 0:
-		d.Logf("%s leaves by the list", name)
+		d.Logf("%s is listed as leaving", name)
 		d.Fleet.Platform.ListServer(listed)
 	case 1:
-		d.Logf("%s is listed no more", name)
+		d.Logf("%s is removed from the list", name)
 		d.Fleet.Platform.UnlistServer(name)
 	default:
-		d.Logf("%s leaves by its load report", name)
+		d.Logf("%s reports in its load report that it leaves", name)
 		d.Fleet.Events.Append(Entry{Kind: ServerLeaving, Server: name})
 		server.SetLeaving(true)
 	}
@@ -59,6 +62,8 @@
 	_ = d.Fleet.Replace(name)
 }
 
+// lapseHandles makes the memory handles of three servers expire almost at once for three
+// seconds.
 func lapseHandles(lifetime context.Context, d *Day) {
 	for _, name := range d.Fleet.ServerNames()[:3] {
 		d.Fleet.Server(name).SetHandleLifetime(time.Microsecond)
@@ -69,6 +74,7 @@
 	}
 }
 
+// slowLinks makes the links of four servers 40 times slower for five seconds.
 func slowLinks(lifetime context.Context, d *Day) {
 	for _, name := range d.Fleet.ServerNames()[:4] {
 		d.Fleet.Server(name).SlowLink(40)
--- a/internal/testbed/fleet/faultydisk.go
+++ b/internal/testbed/fleet/faultydisk.go
@@ -11,25 +11,29 @@
 	"seamloom.example/seamloom/internal/adapters/storage"
 )
 
-// FaultyDisk stands in front of a real one. A rename or a removal reaches the
-// real disk only with the sync of its folder, so that a killed process loses
-// what it did not sync. It slows, stalls, fills and returns damage as told.
+// FaultyDisk wraps a real disk. A rename or a removal reaches the real disk only when the
+// folder is synced, so that a killed process loses the renames and removals that it did not
+// sync. Depending on its faults the disk is slow, stalls, is full, or returns corrupted content.
 type FaultyDisk struct {
 	real   storage.OSDisk
 	faults func() NodeFaults
 
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// renamed holds the renames that are not synced yet: the old path by the new one.
 	renamed map[string]string
+	// removed holds the paths of the removals that are not synced yet.
 	removed map[string]bool
 }
 
-// NewFaultyDisk makes a disk whose faults are asked for before each act.
+// NewFaultyDisk returns a disk with the faults that the function faults returns. The disk calls
+// the function at each write, read and folder sync.
 func NewFaultyDisk(faults func() NodeFaults) *FaultyDisk {
 	return &FaultyDisk{faults: faults, renamed: map[string]string{}, removed: map[string]bool{}}
 }
 
-// act lets the disk take its time; a full disk takes nothing more.
-func (f *FaultyDisk) act(writes bool) error {
+// applyFaults delays an operation as long as the present faults require. It returns ENOSPC for
+// a write to a full disk.
+func (f *FaultyDisk) applyFaults(writes bool) error {
 	faults := f.faults()
 	switch faults.Disk {
 	case "slow":
@@ -46,18 +50,18 @@
 	return nil
 }
 
-// MakeDirectory makes a folder.
+// MakeDirectory creates a folder.
 func (f *FaultyDisk) MakeDirectory(path string) error { return f.real.MakeDirectory(path) }
 
 // WriteSynced writes and syncs a file.
 func (f *FaultyDisk) WriteSynced(path string, content []byte) error {
-	if err := f.act(true); err != nil {
+	if err := f.applyFaults(true); err != nil {
 		return err
 	}
 	return f.real.WriteSynced(path, content)
 }
 
-// Rename waits in memory for the folder's sync.
+// Rename records a rename in memory until the folder is synced.
 func (f *FaultyDisk) Rename(from, to string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -66,9 +70,10 @@
 	return nil
 }
 
-// SyncDirectory makes the folder's renames and removals last.
+// SyncDirectory applies the folder's recorded renames and removals to the real disk and
+// syncs the folder.
 func (f *FaultyDisk) SyncDirectory(path string) error {
-	if err := f.act(true); err != nil {
+	if err := f.applyFaults(true); err != nil {
 		return err
 	}
 	f.mutex.Lock()
@@ -90,7 +95,8 @@
 	return f.real.SyncDirectory(path)
 }
 
-// List names the files as the process sees them.
+// List returns the names of the files as the process sees them, including renames and
+// removals that are not synced yet.
 func (f *FaultyDisk) List(path string) ([]string, error) {
 	names, err := f.real.List(path)
 	f.mutex.Lock()
@@ -104,19 +110,20 @@
 			seen[filepath.Base(to)], seen[filepath.Base(from)] = true, false
 		}
 	}
-	var left []string
-	for name, there := range seen {
-		if there {
-			left = append(left, name)
+	var present []string
+	for name, exists := range seen {
+		if exists {
+			present = append(present, name)
 		}
 	}
-	sort.Strings(left)
-	return left, err
+	sort.Strings(present)
+	return present, err
 }
 
-// Read reads a file; a damaged disk gives the replicated state's files with a wrong byte.
+// Read reads a file. A damaged disk returns the files of the replicated state with one
+// corrupted byte.
 func (f *FaultyDisk) Read(path string) ([]byte, error) {
-	if err := f.act(false); err != nil {
+	if err := f.applyFaults(false); err != nil {
 		return nil, err
 	}
 	f.mutex.Lock()
@@ -132,7 +139,7 @@
 	return content, err
 }
 
-// Remove waits in memory for the folder's sync.
+// Remove records a removal in memory until the folder is synced.
 func (f *FaultyDisk) Remove(path string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/testbed/fleet/faultydisk_test.go
+++ b/internal/testbed/fleet/faultydisk_test.go
@@ -9,13 +9,13 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// TestDiskForgetsWhatWasNotSynced saves through a faulty disk, loses power, and
-// wants what was saved to be there; then it renames without a sync and wants
-// that to be gone, so that a program that forgot one would be seen.
-func TestDiskForgetsWhatWasNotSynced(t *testing.T) {
+// TestFaultyDiskLosesUnsyncedRenames saves one file and renames another without a sync of
+// the folder. After a power loss the saved file must be there and the renamed one gone, so
+// that tests detect a program that forgets to sync.
+func TestFaultyDiskLosesUnsyncedRenames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "larder")
-	well := func() NodeFaults { return NodeFaults{} }
-	disk := NewFaultyDisk(well)
+	noFaults := func() NodeFaults { return NodeFaults{} }
+	disk := NewFaultyDisk(noFaults)
 	folder, err := storage.OpenDirectory(disk, path)
 	if err != nil {
 		t.Fatal(err)
@@ -30,19 +30,20 @@
 		t.Fatal(err)
 	}
 	if names, _ := disk.List(path); len(names) != 2 {
-		t.Errorf("before the power loss the process sees %v", names)
+		t.Errorf("before the power loss the process sees %v, want 2 files", names)
 	}
-	after, err := storage.OpenDirectory(NewFaultyDisk(well), path)
+	after, err := storage.OpenDirectory(NewFaultyDisk(noFaults), path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	files, damaged, err := after.Load()
 	if err != nil || len(damaged) != 0 || len(files) != 1 || string(files["version-1"]) != "one" {
-		t.Errorf("after the power loss: %v, damaged %v, %v", files, damaged, err)
+		t.Errorf("after the power loss: got files %v, damaged %v, error %v, want only version-1", files, damaged, err)
 	}
 }
 
-// TestDamageIsNamedAndAFullDiskRefuses truncates and alters files.
+// TestDamageIsNamedAndAFullDiskRefuses checks that Load names a truncated and an altered file
+// as damaged, and that a save on a full disk fails.
 func TestDamageIsNamedAndAFullDiskRefuses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "larder")
 	folder, err := storage.OpenDirectory(storage.OSDisk{}, path)
@@ -67,13 +68,13 @@
 	}
 	files, damaged, err := folder.Load()
 	if err != nil || len(files) != 1 || string(files["whole"]) != "content of whole" || len(damaged) != 2 {
-		t.Errorf("%v, damaged %v, %v", files, damaged, err)
+		t.Errorf("got files %v, damaged %v, error %v, want only the undamaged file and 2 damaged ones", files, damaged, err)
 	}
 	full, err := storage.OpenDirectory(NewFaultyDisk(func() NodeFaults { return NodeFaults{Disk: "full"} }), path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := full.Save("more", []byte("more")); failure.CodeOf(err) != failure.Disk {
-		t.Errorf("a full disk took a file: %v", err)
+		t.Errorf("a save on a full disk: got error %v, want the code %v", err, failure.Disk)
 	}
 }
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -16,8 +16,8 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Fleet is a whole deployment on one machine: nodes as processes, and
-// stand-ins for servers and platform.
+// Fleet is a complete deployment on one machine: a process for each node, and stand-ins for
+// the model servers and the platform.
 type Fleet struct {
 	Deployment  Deployment
 	Events      *EventLog
@@ -34,8 +34,9 @@
 	plans    map[string]ServerPlan
 }
 
-// NewFleet lays a fleet out in a folder; binaries is where router and
-// controller are. Extra settings go to every router and controller.
+// NewFleet starts the stand-ins of a fleet and prepares its nodes, which keep their files in
+// folder. The programs are in the folder binaries. The extra settings go to every router and
+// controller, except for market, which goes only to routers.
 func NewFleet(deployment Deployment, folder, binaries string, extra map[string]any) (*Fleet, error) {
 	events := &EventLog{}
 	platform, err := StartPlatform(events)
@@ -73,9 +74,9 @@
 	return fleet, nil
 }
 
-// freeAddresses finds loopback addresses that nobody listens on. They lie below
-// the ports that the system gives out by itself, so that none of those takes
-// one before its node begins.
+// freeAddresses returns loopback addresses on which no process listens. Their ports are
+// below the system's range of ephemeral ports, so that no outgoing connection takes an
+// address before the node starts that uses it.
 func freeAddresses(count int) ([]string, error) {
 	var addresses []string
 	for range 50 * count {
@@ -89,7 +90,7 @@
 			return addresses, nil
 		}
 	}
-	return nil, failure.New(failure.Unreachable, "no free addresses")
+	return nil, failure.New(failure.Unreachable, "not enough free loopback addresses")
 }
 
 // AddServer starts a stand-in server and lists it with the platform.
@@ -106,7 +107,7 @@
 	return standIn, nil
 }
 
-// AddNode lays out a node and lists it with the platform; it does not start it.
+// AddNode prepares a node and lists it with the platform, but does not start it.
 func (f *Fleet) AddNode(kind membership.NodeKind, name, address, zone string, seeds []string) *NodeProcess {
 	node := &NodeProcess{Node: membership.Node{Name: name, Kind: kind, Address: address, Zone: zone}, folder: f.folder,
 		binary: Program(f.binaries, kind), settings: map[string]any{"name": name, "address": address, "district": zone,
@@ -129,8 +130,8 @@
 	return node
 }
 
-// Mix has every other node run an older build, whose programs are in a folder.
-func (f *Fleet) Mix(older string) {
+// UseOlderBinaries makes every second node run an older build, whose programs are in the folder older.
+func (f *Fleet) UseOlderBinaries(older string) {
 	for position, node := range f.Nodes() {
 		if position%2 == 0 {
 			node.binary = Program(older, node.Node.Kind)
@@ -138,22 +139,22 @@
 	}
 }
 
-// UseScriptedNodes makes the nodes run with a faulty disk and a faulty clock.
+// UseScriptedNodes makes the nodes run with disks and clocks that follow a faults file.
 func (f *Fleet) UseScriptedNodes() {
 	for _, node := range f.Nodes() {
 		node.scripted = true
 	}
 }
 
-// Begin starts every node and waits until all are ready and every server has a
-// part.
-func (f *Fleet) Begin(patience time.Duration) error {
+// Begin starts every node, waits until all are ready and every server has a role, and
+// records the feature flags that each node supports.
+func (f *Fleet) Begin(timeout time.Duration) error {
 	for _, node := range f.Nodes() {
 		if err := node.Begin(); err != nil {
 			return err
 		}
 	}
-	if err := f.AwaitReady(patience); err != nil {
+	if err := f.AwaitReady(timeout); err != nil {
 		return err
 	}
 	withheld, _ := f.extra["withhold_flags"].([]string)
@@ -169,14 +170,14 @@
 	return nil
 }
 
-// Nodes lists controllers and routers.
+// Nodes returns the controllers, followed by the routers.
 func (f *Fleet) Nodes() []*NodeProcess {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append(append([]*NodeProcess(nil), f.Controllers...), f.Routers...)
 }
 
-// Running lists the nodes of a kind, or of any, that have not ended.
+// Running returns the running nodes of a kind; an empty kind means all nodes.
 func (f *Fleet) Running(kind membership.NodeKind) []*NodeProcess {
 	var running []*NodeProcess
 	for _, node := range f.Nodes() {
@@ -187,23 +188,22 @@
 	return running
 }
 
-// AwaitReady waits until every running node is ready and every server has a
-// part.
-func (f *Fleet) AwaitReady(patience time.Duration) error {
-	missing := ""
-	if Await(patience, func() bool {
-		missing = ""
+// AwaitReady waits until every running node is ready and every server has a role.
+func (f *Fleet) AwaitReady(timeout time.Duration) error {
+	notReady := ""
+	if Await(timeout, func() bool {
+		notReady = ""
 		for _, node := range f.Nodes() {
 			if node.Running() && !node.Ready() {
-				missing = node.Node.Name
+				notReady = node.Node.Name
 				return false
 			}
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
 		for _, standIn := range f.standIns {
-			if standIn.lifetime.Err() == nil && standIn.Part() == "" {
-				missing = standIn.plan.Name
+			if standIn.lifetime.Err() == nil && standIn.Role() == "" {
+				notReady = standIn.plan.Name
 				return false
 			}
 		}
@@ -211,28 +211,28 @@
 	}) {
 		return nil
 	}
-	return failure.New(failure.Unreachable, "not ready in "+patience.String()+": "+missing)
+	return failure.New(failure.Unreachable, "not ready after "+timeout.String()+": "+notReady)
 }
 
-// Await looks again and again until the condition holds or the patience ends.
-func Await(patience time.Duration, condition func() bool) bool {
-	ends := time.NewTimer(patience)
-	defer ends.Stop()
-	look := time.NewTicker(30 * time.Millisecond)
-	defer look.Stop()
+// Await polls a condition until it holds or the timeout passes, and reports whether it held.
+func Await(timeout time.Duration, condition func() bool) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	poll := time.NewTicker(30 * time.Millisecond)
+	defer poll.Stop()
 	for {
 		if condition() {
 			return true
 		}
 		select {
-		case <-ends.C:
+		case <-timer.C:
 			return false
-		case <-look.C:
+		case <-poll.C:
 		}
 	}
 }
 
-// Primary finds the controller that leads at this moment, or nil.
+// Primary returns the controller that is the primary at present, or nil.
 func (f *Fleet) Primary() *NodeProcess {
 	for _, node := range f.Nodes() {
 		var ready struct {
@@ -248,7 +248,7 @@
 	return nil
 }
 
-// Replace starts a server in the place of one that crashed, cold.
+// Replace starts a new server with the name and the plan of one that crashed.
 func (f *Fleet) Replace(name string) error {
 	f.mutex.Lock()
 	plan, found := f.plans[name]
@@ -260,13 +260,13 @@
 	}
 	f.mutex.Unlock()
 	if !found {
-		return failure.New(failure.NoSuch, "no server "+name)
+		return failure.New(failure.NoSuch, "no stand-in server is named "+name)
 	}
 	_, err := f.AddServer(plan)
 	return err
 }
 
-// ServerNames lists the stand-in servers.
+// ServerNames returns the names of the stand-in servers.
 func (f *Fleet) ServerNames() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -277,7 +277,7 @@
 	return names
 }
 
-// ServersOf lists the stand-in servers of a zone.
+// ServersOf returns the names of the stand-in servers of a zone.
 func (f *Fleet) ServersOf(zone string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -290,7 +290,7 @@
 	return names
 }
 
-// Server finds a stand-in by name.
+// Server returns the stand-in server with a name, or nil.
 func (f *Fleet) Server(name string) *StandIn {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -302,7 +302,7 @@
 	return nil
 }
 
-// Close ends all nodes and stand-ins that this fleet started.
+// Close stops all nodes and stand-ins that the fleet started.
 func (f *Fleet) Close() {
 	for _, node := range f.Nodes() {
 		node.Kill()
@@ -319,22 +319,23 @@
 	f.Platform.Close()
 }
 
-// Describe says where everything listens.
+// Describe returns a text with the address and the zone of every node and server.
 func (f *Fleet) Describe() string {
 	text := fmt.Sprintf("deployment %s in %s\nplatform   %s\n", f.Deployment.Name, f.folder, f.Platform.Address())
 	for _, node := range f.Nodes() {
-		text += fmt.Sprintf("%-12s %s  district %s\n", node.Node.Name, node.Node.Address, node.Node.Zone)
+		text += fmt.Sprintf("%-12s %s  zone %s\n", node.Node.Name, node.Node.Address, node.Node.Zone)
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, standIn := range f.standIns {
-		text += fmt.Sprintf("%-12s %s  district %s\n", standIn.plan.Name, standIn.Address(), standIn.plan.Zone)
+		text += fmt.Sprintf("%-12s %s  zone %s\n", standIn.plan.Name, standIn.Address(), standIn.plan.Zone)
 	}
 	return text
 }
 
-// CoreIsComplete tells whether the primary has a backup, and each witness seat is
-// held by a running controller's present disk.
+// CoreIsComplete reports whether the primary has a backup and three witnesses, and whether
+// each witness is a running controller that still has the disk that it had when it became a
+// witness.
 func (f *Fleet) CoreIsComplete() bool {
 	primary := f.Primary()
 	if primary == nil {
@@ -354,16 +355,16 @@
 	if status.Backup.Name == "" || len(status.Incoming) > 0 || len(status.Witnesses) != 3 {
 		return false
 	}
-	for _, seat := range status.Witnesses {
-		alive := false
+	for _, witness := range status.Witnesses {
+		present := false
 		for _, node := range f.Nodes() {
 			var ready struct{ Identity string }
-			if node.Node.Name == seat.Name && node.Running() {
+			if node.Node.Name == witness.Name && node.Running() {
 				_, err := node.ReadJSON("/v1/ready", &ready)
-				alive = err == nil && ready.Identity == seat.Identity
+				present = err == nil && ready.Identity == witness.Identity
 			}
 		}
-		if !alive {
+		if !present {
 			return false
 		}
 	}
--- a/internal/testbed/fleet/history_test.go
+++ b/internal/testbed/fleet/history_test.go
@@ -25,8 +25,8 @@
 	outcome  string
 }
 
-// register is the configuration as one register with compare and set. A change
-// with an unknown outcome may have taken effect at any later time, or never.
+// register models the configuration as one compare-and-set register. A change with an
+// unknown outcome may take effect at any later time, or never.
 var register = porcupine.Model{
 	Init: func() any { return 1 },
 	Step: func(state, input, output any) (bool, any) {
@@ -46,9 +46,9 @@
 	},
 }
 
-// TestConfigurationHistoryIsLinearizable lets operators race each other at
-// different controllers while primaries are killed, and has porcupine judge
-// what they read.
+// TestConfigurationHistoryIsLinearizable makes operators change the configuration
+// concurrently at different controllers while primaries are killed, and checks the history of
+// their reads and changes with porcupine.
 func TestConfigurationHistoryIsLinearizable(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 5)
@@ -67,19 +67,20 @@
 			Return:   to.Nanoseconds(),
 		})
 	}
-	fresh := func() int {
+	newRevision := func() int {
 		mutex.Lock()
 		defer mutex.Unlock()
 		revision++
 		return revision
 	}
+	// never is the end of a change with an unknown outcome, which may take effect at any time.
 	never := time.Hour
 	var operators sync.WaitGroup
-	ends := began.Add(20 * time.Second)
+	deadline := began.Add(20 * time.Second)
 	for client := range 4 {
 		operators.Go(func() {
 			random := rand.New(rand.NewPCG(5, uint64(client)))
-			for time.Now().Before(ends) {
+			for time.Now().Before(deadline) {
 				node := fleet.Controllers[random.IntN(3)]
 				from := time.Since(began)
 				current, err := day.Operators.Call(node, http.MethodGet, "/v1/configuration", nil, "")
@@ -89,7 +90,7 @@
 				}
 				seen := RevisionOf(current.Configuration)
 				record(client, registerInput{read: true}, registerOutput{revision: seen}, from, time.Since(began))
-				next := fresh()
+				next := newRevision()
 				from = time.Since(began)
 				query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
 				answer, err := day.Operators.Call(fleet.Controllers[random.IntN(3)], http.MethodPut, "/v1/configuration",
@@ -128,12 +129,12 @@
 	}
 	t.Logf("%d operations, %d accepted changes", len(history), accepted)
 	if accepted < 10 {
-		t.Errorf("only %d changes were accepted: the history shows nothing", accepted)
+		t.Errorf("got %d accepted changes, want at least 10 for a history that tests anything", accepted)
 	}
 	if result := porcupine.CheckOperationsTimeout(register, history, time.Minute); result != porcupine.Ok {
-		t.Errorf("the history is not that of one register: %v", result)
+		t.Errorf("the history is not linearizable: %v", result)
 	}
-	// The check itself can fail: a read of something long replaced is seen.
+	// The check itself must detect a read of a revision that was replaced long before.
 	stale := append(append([]porcupine.Operation(nil), history...), porcupine.Operation{
 		ClientId: 9,
 		Input:    registerInput{read: true},
@@ -142,6 +143,6 @@
 		Return:   time.Since(began).Nanoseconds() + 1,
 	})
 	if result := porcupine.CheckOperationsTimeout(register, stale, time.Minute); result == porcupine.Ok {
-		t.Error("porcupine does not see a stale read")
+		t.Error("porcupine does not detect a stale read")
 	}
 }
--- a/internal/testbed/fleet/links.go
+++ b/internal/testbed/fleet/links.go
@@ -5,12 +5,14 @@
 // Links are the relays between the nodes of a fleet, one for each direction in
 // which connections are opened.
 type Links struct {
+	// relays holds each relay under the name of the node that opens connections, followed by the
+	// name of the node or server that accepts them.
 	relays map[[2]string]*Relay
 }
 
-// LinkNodes puts a relay on every link between nodes, and from each router to
-// each model server. It is called before the nodes begin; whoever is added later
-// is reached directly.
+// LinkNodes puts a relay on every link between nodes, and on the link from each router to
+// each model server. It must be called before the nodes start. Nodes and servers that are
+// added later are reached directly.
 func (f *Fleet) LinkNodes() error {
 	f.Links = &Links{relays: map[[2]string]*Relay{}}
 	for _, from := range f.Nodes() {
@@ -39,7 +41,7 @@
 	return nil
 }
 
-// Each does something to every link that chosen picks.
+// Each calls act with the relay of every link for which chosen returns true.
 func (l *Links) Each(chosen func(from, to string) bool, act func(relay *Relay)) {
 	for ends, relay := range l.relays {
 		if chosen(ends[0], ends[1]) {
@@ -48,16 +50,16 @@
 	}
 }
 
-// Heal ends all faults of all links.
+// Heal ends the faults of all links.
 func (l *Links) Heal() {
 	l.Each(func(string, string) bool { return true }, func(relay *Relay) {
-		relay.SetDark(false)
+		relay.SetBlocked(false)
 		relay.SetDelay(0)
 		relay.SetDuplicate(false)
 	})
 }
 
-// Close ends all relays.
+// Close closes all relays.
 func (l *Links) Close() {
 	l.Each(func(string, string) bool { return true }, func(relay *Relay) { relay.Close() })
 }
--- a/internal/testbed/fleet/nodefaults.go
+++ b/internal/testbed/fleet/nodefaults.go
@@ -8,18 +8,18 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// NodeFaults is what a staged node reads from its faults file before each act
-// of its disk and each look at its wall clock.
+// NodeFaults is the content of a scripted node's faults file. The node reads the file before
+// each operation of its disk and each reading of its wall clock.
 type NodeFaults struct {
 	// Disk is "", "slow", "stall", "full" or "damage".
 	Disk string `json:"disk"`
-	// Delay is how much longer a slow disk takes for each act.
+	// Delay is the additional time that a slow disk takes for each operation.
 	Delay time.Duration `json:"delay"`
 	// Jump is added to the wall clock.
 	Jump time.Duration `json:"jump"`
 }
 
-// ReadNodeFaults reads a faults file; a missing one has no faults.
+// ReadNodeFaults reads a faults file. A missing file means no faults.
 func ReadNodeFaults(path string) NodeFaults {
 	var faults NodeFaults
 	if text, err := os.ReadFile(path); err == nil {
@@ -28,7 +28,7 @@
 	return faults
 }
 
-// Write puts the faults into a file, whole at once.
+// Write writes the faults to a file atomically.
 func (n NodeFaults) Write(path string) error {
 	text, err := json.Marshal(n)
 	if err != nil {
--- a/internal/testbed/fleet/nodeprocess.go
+++ b/internal/testbed/fleet/nodeprocess.go
@@ -17,12 +17,14 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// NodeProcess is one router or controller as a process of its own.
+// NodeProcess is a router or controller that runs as a separate process.
 type NodeProcess struct {
 	Node     membership.Node
 	binary   string
 	folder   string
 	settings map[string]any
+	// scripted means that the node runs as a command of the testbed program, whose disk and
+	// clock follow the faults file.
 	scripted bool
 
 	mutex   sync.Mutex
@@ -30,9 +32,10 @@
 	ended   chan struct{}
 }
 
-var probe = &http.Client{Timeout: 700 * time.Millisecond}
+// probeClient is the HTTP client for short calls to nodes.
+var probeClient = &http.Client{Timeout: 700 * time.Millisecond}
 
-// Begin starts the process with its settings file; its log goes to a file.
+// Begin writes the settings file and starts the process, whose output goes to a log file.
 func (n *NodeProcess) Begin() error {
 	if err := n.WriteSettings(); err != nil {
 		return err
@@ -48,7 +51,7 @@
 			"--settings", settingsPath, "--faults", n.faultsPath())
 	}
 	command.Stdout, command.Stderr = logFile, logFile
-	// The node ends with the test, however that ends.
+	// The kernel kills the node when the test process ends, even if that crashes.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		_ = logFile.Close()
@@ -70,8 +73,7 @@
 	return filepath.Join(n.folder, n.Node.Name+".json")
 }
 
-// WriteSettings writes the settings file, which a running process reads again
-// at SIGHUP.
+// WriteSettings writes the settings file. A running process reloads it on SIGHUP.
 func (n *NodeProcess) WriteSettings() error {
 	text, err := json.MarshalIndent(n.settings, "", "  ")
 	if err != nil {
@@ -80,7 +82,7 @@
 	return failure.Wrap(failure.Disk, os.WriteFile(n.settingsPath(), text, 0o644))
 }
 
-// LogPath is the file that the process logs to.
+// LogPath returns the path of the process's log file.
 func (n *NodeProcess) LogPath() string {
 	return filepath.Join(n.folder, n.Node.Name+".log")
 }
@@ -89,12 +91,12 @@
 	return filepath.Join(n.folder, n.Node.Name+".faults")
 }
 
-// SetFaults tells a staged node the faults of its disk and clock.
+// SetFaults sets the faults of a scripted node's disk and clock.
 func (n *NodeProcess) SetFaults(faults NodeFaults) error { return faults.Write(n.faultsPath()) }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process was started and has not ended.
 func (n *NodeProcess) Running() bool {
-	_, ended := n.present()
+	_, ended := n.current()
 	select {
 	case <-ended:
 		return false
@@ -103,49 +105,51 @@
 	}
 }
 
-// present is the process that was begun last, and what is closed at its end.
-func (n *NodeProcess) present() (*exec.Cmd, <-chan struct{}) {
+// current returns the process that was started last and a channel that is closed when the process
+// ends. If no process was started, the channel is closed already.
+func (n *NodeProcess) current() (*exec.Cmd, <-chan struct{}) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.ended == nil {
-		never := make(chan struct{})
-		close(never)
-		return nil, never
+		notStarted := make(chan struct{})
+		close(notStarted)
+		return nil, notStarted
 	}
 	return n.command, n.ended
 }
 
 // Signal sends the process a signal.
 func (n *NodeProcess) Signal(signal syscall.Signal) {
-	if command, _ := n.present(); n.Running() {
+	if command, _ := n.current(); n.Running() {
 		_ = command.Process.Signal(signal)
 	}
 }
 
-// Number is the running process's number, or zero.
-func (n *NodeProcess) Number() int {
-	if command, _ := n.present(); n.Running() {
+// ProcessID returns the process id of the running process, or zero.
+func (n *NodeProcess) ProcessID() int {
+	if command, _ := n.current(); n.Running() {
 		return command.Process.Pid
 	}
 	return 0
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill sends SIGKILL to the process and waits until it has ended.
 func (n *NodeProcess) Kill() {
-	if command, ended := n.present(); n.Running() {
+	if command, ended := n.current(); n.Running() {
 		_ = command.Process.Kill()
 		<-ended
 	}
 }
 
-// Stop asks the process to drain, and waits for its end.
-func (n *NodeProcess) Stop(patience time.Duration) bool {
+// Stop asks the process to drain and waits for its end. If the process has not ended when the
+// timeout passes, Stop kills it and returns false.
+func (n *NodeProcess) Stop(timeout time.Duration) bool {
 	if !n.Running() {
 		return true
 	}
-	command, ended := n.present()
+	command, ended := n.current()
 	_ = command.Process.Signal(syscall.SIGTERM)
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -156,11 +160,11 @@
 	}
 }
 
-// WipeDisk takes the whole data folder away; the process must have ended.
+// WipeDisk removes the data folder. The process must have ended.
 func (n *NodeProcess) WipeDisk() error {
 	folder, found := n.settings["data_folder"].(string)
 	if !found || !strings.HasPrefix(folder, n.folder) {
-		return failure.New(failure.Missing, "the node has no disk")
+		return failure.New(failure.Missing, "the node has no data folder")
 	}
 	return failure.Wrap(failure.Disk, os.RemoveAll(folder))
 }
@@ -168,9 +172,9 @@
 // Set changes a setting for the next start.
 func (n *NodeProcess) Set(name string, value any) { n.settings[name] = value }
 
-// Ready asks the process whether it is ready.
+// Ready reports whether the process answers that it is ready.
 func (n *NodeProcess) Ready() bool {
-	inbound, err := probe.Get("http://" + n.Node.Address + "/v1/ready")
+	inbound, err := probeClient.Get("http://" + n.Node.Address + "/v1/ready")
 	if err != nil {
 		return false
 	}
@@ -178,9 +182,10 @@
 	return inbound.StatusCode == http.StatusOK
 }
 
-// ReadJSON reads one of the process's pages.
+// ReadJSON gets a path from the process, decodes the JSON answer into target, and returns
+// the HTTP status.
 func (n *NodeProcess) ReadJSON(path string, target any) (int, error) {
-	inbound, err := probe.Get("http://" + n.Node.Address + path)
+	inbound, err := probeClient.Get("http://" + n.Node.Address + path)
 	if err != nil {
 		return 0, failure.Wrap(failure.Unreachable, err)
 	}
@@ -188,9 +193,9 @@
 	return inbound.StatusCode, failure.Wrap(failure.Garbage, json.NewDecoder(inbound.Body).Decode(target))
 }
 
-// Metric reads one of the process's metrics; -1 when it can't be had.
+// Metric reads the value of one of the process's metrics, or -1 if it can't be read.
 func (n *NodeProcess) Metric(name string) int {
-	inbound, err := probe.Get("http://" + n.Node.Address + "/v1/metrics")
+	inbound, err := probeClient.Get("http://" + n.Node.Address + "/v1/metrics")
 	if err != nil {
 		return -1
 	}
@@ -207,8 +212,8 @@
 	return -1
 }
 
-// ProgramName is the program that runs nodes of a kind. Kinds keep the names that they
-// have on wires and on disk.
+// ProgramName returns the name of the program that runs nodes of a kind. It differs from the
+// value of kind, which is the kind's name in messages and on disk.
 func ProgramName(kind membership.NodeKind) string {
 	if kind == membership.Controller {
 		return "controller"
@@ -216,8 +221,8 @@
 	return "router"
 }
 
-// Program is the path of the program for a kind of node in a folder of binaries. Releases
-// before the programs were renamed called each by its kind.
+// Program returns the path of the program for a kind of node in a folder of binaries. In
+// older releases the program's name was the value of kind.
 func Program(folder string, kind membership.NodeKind) string {
 	program := filepath.Join(folder, ProgramName(kind))
 	if _, err := os.Stat(program); err == nil {
--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -16,19 +16,22 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Operators are the stand-ins of those who change the fleet. They write down
-// what they asked, and what was answered.
+// Operators stand in for the operators who change a fleet's configuration. They record each
+// change and its answer.
 type Operators struct {
 	fleet  *Fleet
 	client *http.Client
 }
 
-// NewOperators makes operators for a fleet.
+// NewOperators returns operators for a fleet.
 func NewOperators(fleet *Fleet) *Operators {
-	return &Operators{fleet: fleet, client: &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
+	return &Operators{
+		fleet:  fleet,
+		client: &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
+	}
 }
 
-// Answer is what an operator reads.
+// Answer is a controller's answer to an operator's call.
 type Answer struct {
 	Status        int             `json:"-"`
 	Outcome       string          `json:"outcome"`
@@ -38,7 +41,7 @@
 	Configuration json.RawMessage `json:"configuration"`
 }
 
-// Call sends one operator's call to a controller.
+// Call sends one call to a controller and returns its answer.
 func (o *Operators) Call(node *NodeProcess, method, path string, query url.Values, body string) (Answer, error) {
 	outbound, err := http.NewRequest(method, "http://"+node.Node.Address+path+"?"+query.Encode(),
 		bytes.NewReader([]byte(body)))
@@ -58,9 +61,9 @@
 	return answer, nil
 }
 
-// PutRevision puts the deployment's configuration of a revision over the current
-// one, and notes how it was answered. The current revision's route goes and the
-// new one's comes; evacuations stay.
+// PutRevision changes the configuration from the current revision to another one and records
+// the answer. It removes the route of the current revision and adds that of the new one, and
+// leaves evacuations as they are.
 func (o *Operators) PutRevision(node *NodeProcess, revision int, current Answer) Answer {
 	o.fleet.Events.Append(Entry{Kind: RevisionAsked, Revision: revision, Router: node.Node.Name})
 	query := url.Values{"expected": {current.Version}, "change": {uuid.NewString()}}
@@ -75,6 +78,7 @@
 		entry.Kind = RevisionAccepted
 	case err == nil && answer.Outcome == "not_accepted":
 		entry.Kind = RevisionRefused
+	// A refused connection means that the change did not reach the controller.
 	case err != nil && strings.Contains(err.Error(), "connection refused"):
 		entry.Kind = RevisionRefused
 	}
@@ -83,7 +87,8 @@
 	return answer
 }
 
-// ReadRevision reads the configuration, and notes which revision it is.
+// ReadRevision reads the configuration and records its revision. It returns -1 if the
+// configuration can't be read.
 func (o *Operators) ReadRevision(node *NodeProcess) (Answer, int) {
 	began := time.Now()
 	answer, err := o.Call(node, http.MethodGet, "/v1/configuration", nil, "")
@@ -91,7 +96,8 @@
 		return answer, -1
 	}
 	revision := RevisionOf(answer.Configuration)
-	// The read is as old as its asking, for those who judge it.
+	// The checkers subtract Took from At, because a read must show only the changes that were
+	// accepted before it was sent.
 	o.fleet.Events.Append(Entry{
 		Kind:     RevisionRead,
 		At:       time.Now(),
@@ -102,13 +108,14 @@
 	return answer, revision
 }
 
-// RevisionOf tells which revision a configuration is.
+// RevisionOf returns the revision of a configuration, or 0 if it has none.
 func RevisionOf(configuration []byte) int {
 	var parsed struct {
 		Routes map[string]json.RawMessage `json:"routes"`
 	}
 	_ = json.Unmarshal(configuration, &parsed)
-	// There is one; were there two, the older would be the one that is wrong.
+	// A configuration should name one revision. If it names two, the older one was left there
+	// by mistake and is returned, so that the checkers see the mistake.
 	oldest := 0
 	for name := range parsed.Routes {
 		if number, found := strings.CutPrefix(name, "edition-"); found {
@@ -120,7 +127,8 @@
 	return oldest
 }
 
-// Evacuate evacuates a zone and notes the moment of acceptance.
+// Evacuate evacuates a zone and reports whether that was accepted. It records the request
+// and the acceptance.
 func (o *Operators) Evacuate(node *NodeProcess, zone string) bool {
 	o.fleet.Events.Append(Entry{Kind: EvacuationAsked, Zone: zone})
 	answer, err := o.orderZone(node, http.MethodPost, zone, `{"reason":"testbed"}`)
@@ -131,16 +139,17 @@
 	return false
 }
 
-// Restore lifts an evacuation; the asking is noted, since it may take effect
-// before it is answered.
+// Restore lifts an evacuation and reports whether that was accepted. It records the request
+// but not the acceptance, because the change may take effect before the controller answers.
 func (o *Operators) Restore(node *NodeProcess, zone string) bool {
 	o.fleet.Events.Append(Entry{Kind: RestoreAsked, Zone: zone})
 	answer, err := o.orderZone(node, http.MethodDelete, zone, "")
 	return err == nil && answer.Outcome == "accepted"
 }
 
-// orderZone sends an order on a zone, and once more on a new connection if it may have come late, as
-// operators are told to.
+// orderZone sends an order to evacuate or restore a zone. A controller that refuses the order
+// because the order may have arrived late also closes the connection; orderZone then sends the
+// order once more on a new connection, as an operator should.
 func (o *Operators) orderZone(node *NodeProcess, method, zone, body string) (Answer, error) {
 	path := "/v1/evacuations/" + url.PathEscape(zone)
 	answer, err := o.Call(node, method, path, nil, body)
@@ -150,18 +159,20 @@
 	return answer, err
 }
 
-// LookAtRevisions asks every running router, as a client, which revision is in
-// force there: the route that refuses the service "revision" is named by it.
-func (o *Operators) LookAtRevisions() {
+// RecordRevisions records the revision that is in force at every running router. It sends
+// each router a request for the service "edition". The refusal names the route that refused
+// the request, and the route's name contains the revision.
+func (o *Operators) RecordRevisions() {
 	for _, node := range o.fleet.Running(membership.Router) {
-		o.lookAtRevision(node)
+		o.recordRevision(node)
 	}
 }
 
-func (o *Operators) lookAtRevision(node *NodeProcess) {
+// recordRevision records the revision that is in force at one router.
+func (o *Operators) recordRevision(node *NodeProcess) {
 	began := time.Now()
 	body := `{"id":"` + uuid.NewString() + `","service":"edition","pieces":1,"prompt_tokens":1}`
-	inbound, err := probe.Post("http://"+node.Node.Address+"/v1/inquiries", "application/json",
+	inbound, err := probeClient.Post("http://"+node.Node.Address+"/v1/inquiries", "application/json",
 		bytes.NewReader([]byte(body)))
 	if err != nil {
 		return
--- a/internal/testbed/fleet/platform.go
+++ b/internal/testbed/fleet/platform.go
@@ -14,7 +14,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Platform is the stand-in of what lists servers and nodes.
+// Platform stands in for the service that lists the servers and nodes of a fleet.
 type Platform struct {
 	events  *EventLog
 	address string
@@ -26,7 +26,7 @@
 	down    bool
 }
 
-// StartPlatform begins the platform at any port.
+// StartPlatform starts the platform on a free port.
 func StartPlatform(events *EventLog) (*Platform, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,19 +45,21 @@
 	mux.HandleFunc(pat.Get("/v1/nodes"), func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, http.StatusOK, map[string]any{"nodes": platform.listNodes()})
 	})
-	platform.server = &http.Server{Handler: platform.shade(mux), ReadHeaderTimeout: 5 * time.Second}
+	platform.server = &http.Server{Handler: platform.unavailableWhileDown(mux), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = platform.server.Serve(listener) }()
 	return platform, nil
 }
 
-// SetDown makes the platform answer nothing but that it is down, or end that.
+// SetDown sets whether the platform answers every call with status 503.
 func (p *Platform) SetDown(down bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.down = down
 }
 
-func (p *Platform) shade(next http.Handler) http.Handler {
+// unavailableWhileDown returns a handler that answers with status 503 while the platform is
+// down.
+func (p *Platform) unavailableWhileDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
 		p.mutex.Lock()
 		down := p.down
@@ -70,13 +72,13 @@
 	})
 }
 
-// Address is where the platform listens.
+// Address returns the address on which the platform listens.
 func (p *Platform) Address() string { return p.address }
 
-// Close ends the platform.
+// Close stops the platform.
 func (p *Platform) Close() { _ = p.server.Close() }
 
-// ListServer adds a server or changes it.
+// ListServer adds a server to the list or replaces its entry.
 func (p *Platform) ListServer(server membership.Server) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -86,7 +88,7 @@
 	}
 }
 
-// UnlistServer takes a server off the list.
+// UnlistServer removes a server from the list.
 func (p *Platform) UnlistServer(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -94,14 +96,14 @@
 	p.events.Append(Entry{Kind: ServerLeaving, Server: name})
 }
 
-// ListNode adds a node or changes it.
+// ListNode adds a node to the list or replaces its entry.
 func (p *Platform) ListNode(node membership.Node) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.nodes[node.Name] = node
 }
 
-// UnlistNode takes a node off the list.
+// UnlistNode removes a node from the list.
 func (p *Platform) UnlistNode(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/testbed/fleet/relay.go
+++ b/internal/testbed/fleet/relay.go
@@ -8,21 +8,21 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Relay is one faulty link: a loopback listener that carries connections from one
-// node to another, and can go dark, delay, drop or duplicate what it carries.
+// Relay is a link with faults: a loopback listener that forwards connections to a target,
+// and can block or delay their data, break them, or duplicate their messages.
 type Relay struct {
 	target   string
 	listener net.Listener
 
 	mutex       sync.Mutex
-	dark        bool
+	blocked     bool
 	delay       time.Duration
 	duplicate   bool
 	connections map[net.Conn]bool
 	changed     *sync.Cond
 }
 
-// StartRelay begins a relay towards an address.
+// StartRelay starts a relay to a target address.
 func StartRelay(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,25 +34,27 @@
 	return relay, nil
 }
 
-// Address is where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// SetDark stops the link in silence: connections stay open and carry nothing.
-func (r *Relay) SetDark(dark bool) {
+// SetBlocked blocks or unblocks the link. While it is blocked, connections stay open but carry
+// no data.
+func (r *Relay) SetBlocked(blocked bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.dark = dark
+	r.blocked = blocked
 	r.changed.Broadcast()
 }
 
-// SetDelay holds everything back for a while.
+// SetDelay sets the time for which the relay holds back each new connection and each chunk of
+// data that it has read.
 func (r *Relay) SetDelay(delay time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.delay = delay
 }
 
-// SetDuplicate sends every message of new connections twice.
+// SetDuplicate sets whether the messages of new connections are delivered twice.
 func (r *Relay) SetDuplicate(duplicate bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -68,43 +70,47 @@
 	}
 }
 
-// Close ends the relay.
+// Close stops the relay and its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
-	r.SetDark(false)
+	r.SetBlocked(false)
 	r.Drop()
 }
 
+// accept accepts connections until the listener is closed, and forwards each in a goroutine.
 func (r *Relay) accept() {
 	for {
 		caller, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(caller)
+		go r.forward(caller)
 	}
 }
 
-func (r *Relay) carry(caller net.Conn) {
-	r.keep(caller, true)
-	defer r.keep(caller, false)
-	if !r.pass() {
+// forward copies the data of one connection to the target and back. If messages are duplicated,
+// it also sends the caller's data over a second connection and discards what the target answers
+// there.
+func (r *Relay) forward(caller net.Conn) {
+	r.track(caller, true)
+	defer r.track(caller, false)
+	if !r.awaitOpen() {
 		return
 	}
 	target, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
-	r.keep(target, true)
-	defer r.keep(target, false)
+	r.track(target, true)
+	defer r.track(target, false)
 	targets := []net.Conn{target}
 	r.mutex.Lock()
 	duplicate := r.duplicate
 	r.mutex.Unlock()
 	if duplicate {
 		if second, err := net.Dial("tcp", r.target); err == nil {
-			r.keep(second, true)
-			defer r.keep(second, false)
+			r.track(second, true)
+			defer r.track(second, false)
 			targets = append(targets, second)
 			go r.copy(second, nil)
 		}
@@ -115,7 +121,8 @@
 	both.Wait()
 }
 
-func (r *Relay) keep(connection net.Conn, open bool) {
+// track records an open connection, or closes and forgets it.
+func (r *Relay) track(connection net.Conn, open bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if open {
@@ -126,10 +133,10 @@
 	_ = connection.Close()
 }
 
-// pass waits while the link is dark, and for its delay.
-func (r *Relay) pass() bool {
+// awaitOpen waits until the link is not blocked, and then for its delay. It always returns true.
+func (r *Relay) awaitOpen() bool {
 	r.mutex.Lock()
-	for r.dark {
+	for r.blocked {
 		r.changed.Wait()
 	}
 	delay := r.delay
@@ -141,12 +148,14 @@
 	return true
 }
 
+// copy copies data from one connection to others until a connection ends. It ignores write errors of
+// all but the first target.
 func (r *Relay) copy(from net.Conn, to []net.Conn) {
 	chunk := make([]byte, 64<<10)
 	for {
 		count, err := from.Read(chunk)
 		if count > 0 {
-			r.pass()
+			r.awaitOpen()
 			for _, connection := range to {
 				if _, err := connection.Write(chunk[:count]); err != nil && connection == to[0] {
 					return
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -19,7 +19,7 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// StandIn is a model server for tests behind HTTP.
+// StandIn is a simulated model server that is reached over HTTP.
 type StandIn struct {
 	*Engine
 	address  string
@@ -30,13 +30,16 @@
 	server   *http.Server
 }
 
-// StartStandIn begins a stand-in at an address; an empty one means any port.
+// StartStandIn starts a stand-in server that listens on an address; port 0 means a free port.
 func StartStandIn(plan ServerPlan, address string, events *EventLog) (*StandIn, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
-	standIn := &StandIn{address: listener.Addr().String(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
+	standIn := &StandIn{
+		address: listener.Addr().String(),
+		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}},
+	}
 	standIn.lifetime, standIn.end = context.WithCancel(context.Background())
 	standIn.runtime = osruntime.New(standIn.lifetime, osruntime.NewClock())
 	standIn.Engine = NewEngine(plan, events, standIn.runtime, uuid.NewString, standIn.fetchMemory)
@@ -44,54 +47,58 @@
 	mux.HandleFunc(pat.Get("/v1/load"),
 		func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, http.StatusOK, standIn.Load()) })
 	mux.HandleFunc(pat.Post("/v1/prefill"),
-		takes(standIn, func(connection *Connection, order modelserver.PrefillRequest, writer http.ResponseWriter) {
-			status, content := standIn.Prefill(connection, order)
+		requestHandler(standIn, func(connection *Connection, request modelserver.PrefillRequest, writer http.ResponseWriter) {
+			status, content := standIn.Prefill(connection, request)
 			writeJSON(writer, status, content)
 		}))
-	mux.HandleFunc(pat.Post("/v1/decode"), takes(standIn, standIn.decode))
+	mux.HandleFunc(pat.Post("/v1/decode"), requestHandler(standIn, standIn.decode))
 	mux.HandleFunc(pat.Post("/v1/memory"),
-		takes(standIn, func(_ *Connection, question MemoryQuestion, writer http.ResponseWriter) {
-			status, content := standIn.GiveMemory(question)
+		requestHandler(standIn, func(_ *Connection, request MemoryRequest, writer http.ResponseWriter) {
+			status, content := standIn.TransferMemory(request)
 			writeJSON(writer, status, content)
 		}))
 	mux.HandleFunc(pat.Post("/v1/cancel"),
-		takes(standIn, func(_ *Connection, order modelserver.CancelRequest, writer http.ResponseWriter) {
-			standIn.Cancel(order)
+		requestHandler(standIn, func(_ *Connection, request modelserver.CancelRequest, writer http.ResponseWriter) {
+			standIn.Cancel(request)
 			writeJSON(writer, http.StatusOK, map[string]bool{"cancelled": true})
 		}))
 	mux.HandleFunc(pat.Post("/v1/part"),
-		takes(standIn, func(_ *Connection, order modelserver.PartRequest, writer http.ResponseWriter) {
-			status, content := standIn.TakePart(order)
+		requestHandler(standIn, func(_ *Connection, request modelserver.RoleRequest, writer http.ResponseWriter) {
+			status, content := standIn.TakeRole(request)
 			writeJSON(writer, status, content)
 		}))
-	standIn.server = &http.Server{Handler: standIn.silenceWhileDark(mux), BaseContext: func(net.Listener) context.Context { return standIn.lifetime }}
+	standIn.server = &http.Server{
+		Handler:     standIn.blockCallsWhileDark(mux),
+		BaseContext: func(net.Listener) context.Context { return standIn.lifetime },
+	}
 	go func() { _ = standIn.server.Serve(listener) }()
 	return standIn, nil
 }
 
-// takes reads an order whole before anything is done for it.
-func takes[Order any](
+// requestHandler returns an HTTP handler that reads and decodes a whole request before it calls act. When
+// the client disconnects, the handler closes the connection that it passed to act.
+func requestHandler[Request any](
 	standIn *StandIn,
-	act func(connection *Connection, order Order, writer http.ResponseWriter),
+	act func(connection *Connection, request Request, writer http.ResponseWriter),
 ) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
-		var order Order
+		var request Request
 		content, err := io.ReadAll(inbound.Body)
-		if err != nil || json.Unmarshal(content, &order) != nil {
+		if err != nil || json.Unmarshal(content, &request) != nil {
 			writeJSON(writer, http.StatusBadRequest, Refusal{Type: "malformed"})
 			return
 		}
 		conn := NewConnection(standIn.runtime)
 		stop := context.AfterFunc(inbound.Context(), conn.Close)
 		defer stop()
-		act(conn, order, writer)
+		act(conn, request, writer)
 	}
 }
 
-// Address is where the stand-in listens.
+// Address returns the address on which the stand-in listens.
 func (s *StandIn) Address() string { return s.address }
 
-// Crash ends the stand-in at once, with all its memory.
+// Crash stops the stand-in at once; all its memory is lost.
 func (s *StandIn) Crash() {
 	s.Die()
 	s.end()
@@ -99,12 +106,12 @@
 	s.client.CloseIdleConnections()
 }
 
-// silenceWhileDark leaves every call without an answer while the server is dark. What was
-// dark when it came is never done.
-func (s *StandIn) silenceWhileDark(next http.Handler) http.Handler {
+// blockCallsWhileDark returns a handler that passes calls to the next handler. While the server is
+// dark, it neither answers nor passes on a call that arrives.
+func (s *StandIn) blockCallsWhileDark(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
 		if s.Dark() {
-			// The body is read so that the closing of the connection is noticed.
+			// The HTTP server detects a closed connection only once the body was read.
 			_, _ = io.Copy(io.Discard, inbound.Body)
 			<-inbound.Context().Done()
 			return
@@ -119,7 +126,7 @@
 	_ = json.NewEncoder(writer).Encode(content)
 }
 
-// sleep waits for a length of time; false means it was broken off.
+// sleep waits for a length of time. It returns false if the lifetime ended first.
 func sleep(lifetime context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -131,10 +138,11 @@
 	}
 }
 
-func (s *StandIn) decode(connection *Connection, order modelserver.DecodeRequest, writer http.ResponseWriter) {
+// decode responds to a decode request: with one JSON line for each chunk, or with a refusal.
+func (s *StandIn) decode(connection *Connection, request modelserver.DecodeRequest, writer http.ResponseWriter) {
 	flusher := http.NewResponseController(writer)
 	encoder := json.NewEncoder(writer)
-	status, content := s.Decode(connection, order, func(line modelserver.DecodeChunk) error {
+	status, content := s.Decode(connection, request, func(line modelserver.DecodeChunk) error {
 		if line.Chunk == 1 {
 			writer.Header().Set("Content-Type", "application/jsonl")
 		}
@@ -148,28 +156,27 @@
 	}
 }
 
-// fetchMemory takes a prompt's memory over from the server that read the
-// prompt.
-func (s *StandIn) fetchMemory(_ *Connection, address string, question MemoryQuestion) (MemoryAnswer, int) {
-	body, err := json.Marshal(question)
+// fetchMemory takes over a prompt's memory from the server that prefilled the prompt.
+func (s *StandIn) fetchMemory(_ *Connection, address string, request MemoryRequest) (MemoryResponse, int) {
+	body, err := json.Marshal(request)
 	if err != nil {
-		return MemoryAnswer{}, http.StatusBadRequest
+		return MemoryResponse{}, http.StatusBadRequest
 	}
-	asking, end := context.WithTimeout(s.lifetime, 2*time.Second)
+	callLifetime, end := context.WithTimeout(s.lifetime, 2*time.Second)
 	defer end()
-	outbound, err := http.NewRequestWithContext(asking, http.MethodPost, "http://"+address+"/v1/memory",
+	outbound, err := http.NewRequestWithContext(callLifetime, http.MethodPost, "http://"+address+"/v1/memory",
 		bytes.NewReader(body))
 	if err != nil {
-		return MemoryAnswer{}, http.StatusBadRequest
+		return MemoryResponse{}, http.StatusBadRequest
 	}
 	inbound, err := s.client.Do(outbound)
 	if err != nil {
-		return MemoryAnswer{}, http.StatusBadGateway
+		return MemoryResponse{}, http.StatusBadGateway
 	}
 	defer func() { _ = inbound.Body.Close() }()
-	var given MemoryAnswer
-	if inbound.StatusCode == http.StatusOK && json.NewDecoder(inbound.Body).Decode(&given) != nil {
-		return given, http.StatusBadGateway
+	var response MemoryResponse
+	if inbound.StatusCode == http.StatusOK && json.NewDecoder(inbound.Body).Decode(&response) != nil {
+		return response, http.StatusBadGateway
 	}
-	return given, inbound.StatusCode
+	return response, inbound.StatusCode
 }
--- a/internal/testbed/fleet/upgrade_test.go
+++ b/internal/testbed/fleet/upgrade_test.go
@@ -11,19 +11,23 @@
 	"time"
 )
 
-var oldRelease = []string{"backup_list", "change_sections", "order_patience", "pair_price", "tenants"}
+// newFlags lists the feature flags that the newer release supports and the older one lacks.
+var newFlags = []string{"backup_list", "change_sections", "order_patience", "pair_price", "tenants"}
 
-func (f *Fleet) noteMember(node *NodeProcess, flags ...string) {
+// recordMember records the flags that a node supports.
+func (f *Fleet) recordMember(node *NodeProcess, flags ...string) {
 	f.Events.Append(Entry{Kind: MemberKnown, Holder: node.Node.Name, Flags: flags})
 }
 
-// restart stops a node in an orderly way and begins it as another release.
+// restart drains and stops a node, and starts it as a release that lacks the withheld flags.
 func restart(t *testing.T, fleet *Fleet, node *NodeProcess, withheld []string) {
 	t.Helper()
 	node.Stop(25 * time.Second)
 	begin(t, fleet, node, withheld)
 }
 
+// begin starts a node as a release that lacks the withheld flags, and records the flags that the
+// node supports: no flags if any flag is withheld.
 func begin(t *testing.T, fleet *Fleet, node *NodeProcess, withheld []string) {
 	t.Helper()
 	node.Set("withhold_flags", append([]string{}, withheld...))
@@ -34,13 +38,13 @@
 		t.Fatalf("%s is not ready again", node.Node.Name)
 	}
 	if len(withheld) == 0 {
-		fleet.noteMember(node, oldRelease...)
+		fleet.recordMember(node, newFlags...)
 	} else {
-		fleet.noteMember(node)
+		fleet.recordMember(node)
 	}
 }
 
-// enabledFlags asks for the flags that are enabled, -1 when nobody can tell.
+// enabledFlags returns the number of enabled flags, or -1 if no controller answers.
 func enabledFlags(fleet *Fleet) int {
 	for _, node := range fleet.Controllers {
 		var answer struct {
@@ -64,15 +68,15 @@
 	return -1
 }
 
-// TestRollingUpgradeEnablesFlagsOnlyWithTheLastMember restarts a fleet of the
-// older release node by node under traffic, rolls one back and forward, keeps
-// the last one stopped, and wants the flags enabled by the nodes themselves
-// only when it is back; then a node of the older release starts restricted and
-// still serves.
+// TestRollingUpgradeEnablesFlagsOnlyWithTheLastMember upgrades a fleet node by node under
+// traffic, and downgrades and upgrades one node again. While the last node is stopped, and
+// while a member of the older release that joined and stopped is not retired, the fleet must
+// not enable the new flags; after that it must enable them by itself. A node that then starts
+// with the older release must report itself as restricted and still serve requests.
 func TestRollingUpgradeEnablesFlagsOnlyWithTheLastMember(t *testing.T) {
-	fleet := startFleet(t, Sahil(), map[string]any{"withhold_flags": oldRelease, "flag_settle_milliseconds": 1000})
+	fleet := startFleet(t, Sahil(), map[string]any{"withhold_flags": newFlags, "flag_settle_milliseconds": 1000})
 	for _, node := range fleet.Nodes() {
-		fleet.noteMember(node)
+		fleet.recordMember(node)
 	}
 	day := NewDay(fleet, 4, io.Discard)
 	if err := day.Open(); err != nil {
@@ -90,16 +94,16 @@
 	for _, node := range nodes[:len(nodes)-1] {
 		restart(t, fleet, node, nil)
 	}
-	back := fleet.Routers[1]
-	restart(t, fleet, back, oldRelease)
-	restart(t, fleet, back, nil)
+	downgraded := fleet.Routers[1]
+	restart(t, fleet, downgraded, newFlags)
+	restart(t, fleet, downgraded, nil)
 	last.Kill()
-	// Long past the settling time the stopped member still counts.
+	// A stopped member still counts long after the settle time.
 	sleep(lifetime, 4*time.Second)
 	if enabled := enabledFlags(fleet); enabled != 0 {
-		t.Fatalf("%d flags are enabled while a recorded member that is stopped lacks them", enabled)
+		t.Fatalf("got %d enabled flags, want 0 while a stopped member lacks them", enabled)
 	}
-	// A member of the older release joins meanwhile, and stops for good.
+	// Meanwhile a member of the older release joins and stops permanently.
 	addresses, err := freeAddresses(1)
 	if err != nil {
 		t.Fatal(err)
@@ -109,50 +113,50 @@
 		seeds = append(seeds, node.Node.Address)
 	}
 	newcomer := fleet.AddNode("courier", "courier-8", addresses[0], fleet.Deployment.Zones[0], seeds)
-	begin(t, fleet, newcomer, oldRelease)
+	begin(t, fleet, newcomer, newFlags)
 	newcomer.Kill()
 	begin(t, fleet, last, nil)
 	sleep(lifetime, 4*time.Second)
 	if enabled := enabledFlags(fleet); enabled != 0 {
-		t.Fatalf("%d flags are enabled while a member that joined and stopped lacks them", enabled)
+		t.Fatalf("got %d enabled flags, want 0 while a member that joined and stopped lacks them", enabled)
 	}
 	if !Await(15*time.Second, func() bool {
 		answer, err := day.Operators.Call(fleet.Controllers[0], http.MethodPost, "/v1/members/courier-8/retire", nil, "")
 		return err == nil && answer.Outcome == "accepted"
 	}) {
-		t.Fatal("a stopped member could not be retired")
+		t.Fatal("the stopped member could not be retired")
 	}
-	fleet.noteMember(newcomer, oldRelease...)
-	everyFlag := len(features.Supported(nil))
-	if !Await(15*time.Second, func() bool { return enabledFlags(fleet) == everyFlag }) {
-		t.Fatalf("the flags were not enabled when the last member was recorded: %d", enabledFlags(fleet))
+	fleet.recordMember(newcomer, newFlags...)
+	allFlags := len(features.Supported(nil))
+	if !Await(15*time.Second, func() bool { return enabledFlags(fleet) == allFlags }) {
+		t.Fatalf("got %d enabled flags after the last member was upgraded, want %d", enabledFlags(fleet), allFlags)
 	}
-	// An older release comes back to a fleet that has gone on.
-	restart(t, fleet, last, oldRelease)
+	// A node of the older release joins a fleet that has already enabled the new flags.
+	restart(t, fleet, last, newFlags)
 	var ready struct{ Restricted bool }
 	if !Await(10*time.Second, func() bool {
 		_, err := last.ReadJSON("/v1/ready", &ready)
 		return err == nil && ready.Restricted
 	}) {
-		t.Fatal("a node that lacks an enabled flag does not say that it is restricted")
+		t.Fatal("a node that lacks an enabled flag does not report that it is restricted")
 	}
 	complete := 0
-	others := NewClients(fleet, 5, 0.3)
+	clients := NewClients(fleet, 5, 0.3)
 	for range 10 {
-		question, entry := others.question(fleet.Deployment.Short, last)
-		if reply := others.Send(lifetime, last.Node.Address, question, entry); reply.Final == "complete" {
+		request, entry := clients.newRequest(fleet.Deployment.Short, last)
+		if reply := clients.Send(lifetime, last.Node.Address, request, entry); reply.Final == "complete" {
 			complete++
 		} else {
 			t.Logf("restricted: %s %s", reply.Final, reply.Cause)
 		}
 	}
 	if complete < 8 {
-		t.Errorf("a restricted courier completed %d of 10 inquiries", complete)
+		t.Errorf("a restricted router completed %d of 10 requests, want at least 8", complete)
 	}
-	if enabled := enabledFlags(fleet); enabled != everyFlag {
-		t.Errorf("flags were disabled again: %d of %d are left", enabled, everyFlag)
+	if enabled := enabledFlags(fleet); enabled != allFlags {
+		t.Errorf("got %d enabled flags after the downgrade, want %d", enabled, allFlags)
 	}
 	end()
 	traffic.Wait()
-	wantClean(t, Judge(fleet.Events.Entries()), 0.9)
+	wantClean(t, CheckEvents(fleet.Events.Entries()), 0.9)
 }
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -9,34 +9,37 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Verdict is what all checkers say of an event log, with how the replies ended.
+// Verdict holds the findings of all checkers on an event log, and how the replies ended.
 type Verdict struct {
 	Findings []Finding      `json:"findings"`
 	Replies  map[string]int `json:"replies"`
-	Share    float64        `json:"complete_share"`
-	Median   time.Duration  `json:"median"`
-	Tail     time.Duration  `json:"ninety_fifth"`
-	// Gap is the longest time without a complete reply, under traffic.
+	// Share is the share of complete replies among all replies whose outcome the client did not
+	// cause itself.
+	Share float64 `json:"complete_share"`
+	// Median and Tail are the median and the 95th percentile of the durations of complete replies.
+	Median time.Duration `json:"median"`
+	Tail   time.Duration `json:"ninety_fifth"`
+	// Gap is the longest time between two complete replies.
 	Gap time.Duration `json:"longest_gap"`
 }
 
-// Judge runs every checker over the entries.
-func Judge(entries []Entry) Verdict {
+// CheckEvents runs every checker over the entries.
+func CheckEvents(entries []Entry) Verdict {
 	verdict := Verdict{Replies: map[string]int{}}
 	for _, check := range checkers {
 		verdict.Findings = append(verdict.Findings, check(entries))
 	}
-	var lengths []time.Duration
+	var durations []time.Duration
 	total := 0
 	var last time.Time
 	for _, entry := range entries {
 		if entry.Kind != Replied {
 			continue
 		}
-		// What the clients brought about themselves says nothing of the fleet: they
-		// left, or sent an id again that was taken.
-		own := entry.Cause == CallerLeft || (entry.Arrival > 0 && entry.Cause == string(failure.Duplicate))
-		if !own {
+		// Outcomes that the clients caused themselves don't count against the fleet: they
+		// left, or they sent an id again that had been accepted.
+		causedByClient := entry.Cause == ClientLeft || (entry.Arrival > 0 && entry.Cause == string(failure.Duplicate))
+		if !causedByClient {
 			total++
 		}
 		final := entry.Final
@@ -49,7 +52,7 @@
 				final = "no final line"
 			}
 		} else {
-			lengths = append(lengths, entry.Took)
+			durations = append(durations, entry.Took)
 			if !last.IsZero() {
 				verdict.Gap = max(verdict.Gap, entry.At.Sub(last))
 			}
@@ -57,15 +60,15 @@
 		}
 		verdict.Replies[final]++
 	}
-	verdict.Share = float64(len(lengths)) / float64(max(total, 1))
-	sort.Slice(lengths, func(left, right int) bool { return lengths[left] < lengths[right] })
-	if len(lengths) > 0 {
-		verdict.Median, verdict.Tail = lengths[len(lengths)/2], lengths[len(lengths)*95/100]
+	verdict.Share = float64(len(durations)) / float64(max(total, 1))
+	sort.Slice(durations, func(left, right int) bool { return durations[left] < durations[right] })
+	if len(durations) > 0 {
+		verdict.Median, verdict.Tail = durations[len(durations)/2], durations[len(durations)*95/100]
 	}
 	return verdict
 }
 
-// Violations counts the broken rules of all checkers.
+// Violations returns the number of violations that all checkers found.
 func (v Verdict) Violations() int {
 	count := 0
 	for _, finding := range v.Findings {
@@ -74,7 +77,7 @@
 	return count
 }
 
-// Finding is what one checker says.
+// Finding returns the finding of a checker, which is empty if there is none.
 func (v Verdict) Finding(checker string) Finding {
 	for _, finding := range v.Findings {
 		if finding.Checker == checker {
@@ -84,15 +87,15 @@
 	return Finding{}
 }
 
-// String writes the verdict for people.
+// String returns the verdict as text for people to read.
 func (v Verdict) String() string {
 	var text strings.Builder
 	for _, finding := range v.Findings {
-		sign := "held  "
+		result := "passed"
 		if finding.Violations > 0 {
-			sign = "BROKEN"
+			result = "BROKEN"
 		}
-		_, _ = fmt.Fprintf(&text, "%s  %-52s looked at %6d", sign, finding.Checker, finding.Looked)
+		_, _ = fmt.Fprintf(&text, "%s  %-52s checked %6d", result, finding.Checker, finding.Checked)
 		if finding.Worst != "" {
 			_, _ = fmt.Fprintf(&text, "  worst %s (limit %s)", finding.Worst, finding.Limit)
 		}
@@ -109,26 +112,26 @@
 	for _, final := range finals {
 		_, _ = fmt.Fprintf(&text, "replies  %-40s %6d\n", final, v.Replies[final])
 	}
-	_, _ = fmt.Fprintf(&text, "complete %.1f%%, median %s, 95th of 100 %s, longest without one %s, violations %d\n",
+	_, _ = fmt.Fprintf(&text, "complete %.1f%%, median %s, 95th percentile %s, longest gap %s, violations %d\n",
 		100*v.Share, v.Median.Round(time.Millisecond), v.Tail.Round(time.Millisecond), v.Gap.Round(time.Millisecond),
 		v.Violations())
 	return text.String()
 }
 
-// Finding is what one checker says: how often it was broken, examples, and the
-// worst value beside its limit where it has one.
+// Finding is the result of one checker: the number of violations of its rule, some examples,
+// and the worst value with its limit, if the rule has one.
 type Finding struct {
 	Checker    string   `json:"checker"`
-	Looked     int      `json:"looked_at"`
+	Checked    int      `json:"looked_at"`
 	Violations int      `json:"violations"`
 	Examples   []string `json:"examples,omitempty"`
 	Worst      string   `json:"worst,omitempty"`
 	Limit      string   `json:"limit,omitempty"`
-	// Seconds is the worst value as a number, where it is a length of time.
+	// Seconds is the worst value in seconds, if it is a length of time.
 	Seconds float64 `json:"worst_seconds,omitempty"`
 }
 
-// Violate counts one broken rule, and keeps some as examples.
+// Violate counts one violation and keeps the first few as examples.
 func (f *Finding) Violate(example string) {
 	f.Violations++
 	if len(f.Examples) < 5 {
@@ -136,7 +139,7 @@
 	}
 }
 
-// setWorst records the worst length of time.
+// setWorst sets the worst value of a rule on a length of time.
 func (f *Finding) setWorst(worst time.Duration) {
 	f.Worst, f.Seconds = worst.String(), worst.Seconds()
 }
--- a/internal/testbed/mutation/list_test.go
+++ b/internal/testbed/mutation/list_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestEveryMutationStillApplies makes each edit in a copy: a protection that has
-// moved must be found again by whoever moved it.
+// TestEveryMutationStillApplies makes each edit in a copy of the source and checks that the named
+// tests exist. A change to the source of a protection must also change the mutation.
 func TestEveryMutationStillApplies(t *testing.T) {
 	for _, m := range All {
 		folder := t.TempDir()
@@ -18,11 +18,11 @@
 		if err := m.Apply(folder); err != nil {
 			t.Errorf("%s: %v", m.Name, err)
 		}
-		if (m.Test == "") != m.Worlds || (m.Package == "") != m.Worlds {
-			t.Errorf("%s names no test, or two", m.Name)
+		if (m.Test == "") != m.Simulated || (m.Package == "") != m.Simulated {
+			t.Errorf("%s: want either Simulated or both Package and Test", m.Name)
 		}
 		if m.Test != "" && !hasTest(t, m.Package, m.Test) {
-			t.Errorf("%s: there is no %s in %s", m.Name, m.Test, m.Package)
+			t.Errorf("%s: test %s not found in %s", m.Name, m.Test, m.Package)
 		}
 	}
 }
@@ -42,7 +42,8 @@
 	}
 }
 
-// hasTest tells whether a package, as a path from the module's root, has a test.
+// hasTest reports whether a package, given as a path from the module's root, has a test with a
+// name.
 func hasTest(t *testing.T, folder, name string) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", "..", "..", folder, "*_test.go"))
--- a/internal/testbed/replay/attempt.go
+++ b/internal/testbed/replay/attempt.go
@@ -15,38 +15,41 @@
 	"github.com/juju/errors"
 )
 
-// attempt is one sending of a request.
+// attempt is one transmission of a request to a machine, and the response to it.
 type attempt struct {
-	r      *request
-	id     string
-	number int
-	behind int
-	event  Event
-	// unread: the machine can't have read it. retry is the time to come back that it told.
+	request     *request
+	id          string
+	number      int
+	lastEventID int
+	event       Event
+	// notRead means that no connection could be opened, or that the end of the request could not be
+	// written, so that the machine can't have read the whole request.
 	notRead bool
-	retry   time.Duration
-	keeps   bool
+	// retryAfter is the value of the Retry-After header of the response.
+	retryAfter time.Duration
+	// keepAlive means that the connection may carry another request.
+	keepAlive bool
 }
 
-// send writes the request to a machine and reads what comes back.
-func (r *request) send(connection *conn, number, behind int, events *EventLog) *attempt {
-	a := &attempt{r: r, id: strings.ReplaceAll(uuid.NewString(), "-", "")[:16], number: number, behind: behind}
+// send writes the request to a machine, reads the response, and appends both to the event log.
+func (r *request) send(connection *conn, number, lastEventID int, events *EventLog) *attempt {
+	a := &attempt{request: r, id: strings.ReplaceAll(uuid.NewString(), "-", "")[:16], number: number, lastEventID: lastEventID}
 	a.event = Event{
-		Kind:       TrySent,
-		Machine:    connection.machine,
-		Try:        a.id,
-		Request:    r.id,
-		Class:      r.class.Name,
-		Route:      r.route,
-		Number:     number,
-		Idempotent: r.class.repeats(),
-		Probe:      r.probe,
-		Digest:     r.digest(),
-		Deadline:   r.left(),
-		Aim:        r.class.Aim,
-		Began:      r.began,
-		Behind:     behind,
-		At:         time.Now(),
+		Kind:        AttemptSent,
+		Machine:     connection.machine,
+		AttemptID:   a.id,
+		Request:     r.id,
+		Class:       r.class.Name,
+		Route:       r.route,
+		Number:      number,
+		Idempotent:  r.class.mayRepeat(),
+		Probe:       r.probe,
+		Digest:      r.digest(),
+		Deadline:    r.timeLeft(),
+		Target:      r.class.Target,
+		Began:       r.began,
+		LastEventID: lastEventID,
+		At:          time.Now(),
 	}
 	outbound, err := http.NewRequest(http.MethodPost, "http://"+r.rule.Host+r.path, bytes.NewReader(r.body))
 	if err != nil {
@@ -55,10 +58,10 @@
 	}
 	outbound.Header = r.header()
 	outbound.Header.Set(headerAttempt, a.id)
-	outbound.Header.Set(headerDeadline, strconv.FormatInt(max(1, r.left().Milliseconds()), 10))
+	outbound.Header.Set(headerDeadline, strconv.FormatInt(max(1, r.timeLeft().Milliseconds()), 10))
 	outbound.Header.Set("Accept-Encoding", "identity")
-	if behind > 0 {
-		outbound.Header.Set(headerLastEvent, strconv.Itoa(behind))
+	if lastEventID > 0 {
+		outbound.Header.Set(headerLastEvent, strconv.Itoa(lastEventID))
 	}
 	if r.chunked {
 		outbound.ContentLength, outbound.TransferEncoding = -1, []string{"chunked"}
@@ -72,16 +75,16 @@
 		a.notRead = true
 		a.fail(err)
 	} else {
-		a.read(connection, outbound)
+		a.readResponse(connection, outbound)
 	}
 	ended := a.event
-	ended.Kind, ended.At = TryEnded, time.Now()
+	ended.Kind, ended.At = AttemptEnded, time.Now()
 	a.event = ended
 	events.Append(ended)
 	return a
 }
 
-// fail notes why the answer isn't complete.
+// fail records why the response is incomplete.
 func (a *attempt) fail(err error) {
 	a.event.Complete = false
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -91,34 +94,37 @@
 	a.event.Cause = err.Error()
 }
 
-// extendDeadline sets how long the client waits for the next bytes.
+// extendDeadline sets the read deadline for the next bytes: the end of the request's silence limit,
+// but no later than the request's own deadline.
 func (a *attempt) extendDeadline(connection *conn) {
-	ends := time.Now().Add(a.r.patience())
-	if last := a.r.began.Add(a.r.class.Deadline); last.Before(ends) {
-		ends = last
+	deadline := time.Now().Add(a.request.silenceLimit())
+	if latest := a.request.began.Add(a.request.class.Deadline); latest.Before(deadline) {
+		deadline = latest
 	}
-	_ = connection.SetReadDeadline(ends)
+	_ = connection.SetReadDeadline(deadline)
 }
 
-func (a *attempt) read(connection *conn, outbound *http.Request) {
+// readResponse reads the response to the attempt.
+func (a *attempt) readResponse(connection *conn, outbound *http.Request) {
 	a.extendDeadline(connection)
 	response, err := http.ReadResponse(connection.reader, outbound)
 	if err != nil {
 		a.fail(err)
 		if strings.Contains(err.Error(), "malformed") {
-			a.event.Cause = causeNoAnswer
+			a.event.Cause = causeMalformed
 		}
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	a.event.Status, a.event.Seal, a.event.Bears = response.StatusCode, response.Header.Get(headerSeal), response.Header.Get(headerAttempt)
+	a.event.Status, a.event.Seal, a.event.AnsweredAttempt =
+		response.StatusCode, response.Header.Get(headerSeal), response.Header.Get(headerAttempt)
 	if text := response.Header.Get(headerRetryAfter); text != "" {
 		seconds, _ := strconv.ParseFloat(text, 64)
-		a.retry = time.Duration(seconds * float64(time.Second))
+		a.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	if response.StatusCode/100 != 2 {
 		_, err = io.Copy(io.Discard, response.Body)
-	} else if a.r.class.Plain {
+	} else if a.request.class.Plain {
 		err = a.readPlain(response.Body)
 	} else {
 		err = a.readStream(connection, response.Body)
@@ -128,11 +134,12 @@
 		return
 	}
 	a.event.Complete = true
-	a.keeps = !response.Close
+	a.keepAlive = !response.Close
 	connection.reusableUntil = time.Now().Add(keepAliveTime(response.Header.Get("Keep-Alive")))
 }
 
-// keepAliveTime is how long a client takes up a resting connection again.
+// keepAliveTime returns how long a client may reuse an idle connection: four fifths of the
+// timeout that the Keep-Alive header states, or 5 s without one.
 func keepAliveTime(keepAlive string) time.Duration {
 	_, seconds, found := strings.Cut(keepAlive, "timeout=")
 	if count, err := strconv.Atoi(strings.TrimRight(seconds, " ,;")); found && err == nil {
@@ -141,54 +148,56 @@
 	return 5 * time.Second
 }
 
+// Causes of incomplete responses in the event log.
 const (
-	causeNoAnswer = "bytes that are no answer"
-	causeLeft     = "the client left"
+	causeMalformed  = "bytes that are not an HTTP response"
+	causeClientLeft = "the client left"
 )
 
-// readPlain reads a plain answer.
+// readPlain reads the response to a plain request, which is one JSON object.
 func (a *attempt) readPlain(body io.Reader) error {
-	text, err := io.ReadAll(body)
+	content, err := io.ReadAll(body)
 	if err != nil {
 		return err
 	}
 	var page struct{ Answer string }
 	span := Span{ID: -1}
-	if json.Unmarshal(text, &page) == nil {
-		span.read(strings.TrimPrefix(page.Answer, "/"))
+	if json.Unmarshal(content, &page) == nil {
+		span.parse(strings.TrimPrefix(page.Answer, "/"))
 		span.ID = span.To
 	}
-	a.event.First, a.event.Spans = time.Now(), []Span{span}
+	a.event.FirstEventAt, a.event.Spans = time.Now(), []Span{span}
 	return nil
 }
 
-// readStream reads events as they come.
+// readStream reads the events of a stream until it ends. A client that leaves early closes the
+// connection after the second event.
 func (a *attempt) readStream(connection *conn, body io.Reader) error {
-	lines := bufio.NewReader(body)
+	reader := bufio.NewReader(body)
 	span, last := Span{ID: -1}, time.Now()
 	for {
 		a.extendDeadline(connection)
-		line, err := lines.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		line = strings.TrimRight(line, "\r\n")
 		switch {
 		case err == nil && line == "" && span.ID >= 0:
 			now := time.Now()
-			if a.event.First.IsZero() {
-				a.event.First = now
+			if a.event.FirstEventAt.IsZero() {
+				a.event.FirstEventAt = now
 			} else {
-				a.event.Stall = max(a.event.Stall, now.Sub(last).Seconds())
+				a.event.LongestGap = max(a.event.LongestGap, now.Sub(last).Seconds())
 			}
 			last = now
 			a.event.Spans = append(a.event.Spans, span)
 			span = Span{ID: -1}
-			if a.r.leaves && len(a.event.Spans) == 2 {
+			if a.request.leavesEarly && len(a.event.Spans) == 2 {
 				a.event.GaveUp = true
-				return errors.New(causeLeft)
+				return errors.New(causeClientLeft)
 			}
 		case strings.HasPrefix(line, "id: "):
 			span.ID, _ = strconv.Atoi(line[4:])
 		case strings.HasPrefix(line, "data: "):
-			span.read(line[6:])
+			span.parse(line[6:])
 		}
 		if err == io.EOF {
 			return nil
@@ -199,14 +208,14 @@
 	}
 }
 
-// read takes the words of an event apart; what can't be read names nobody.
-func (s *Span) read(text string) {
-	words := strings.Split(text, "/")
-	if len(words) != 3 {
+// parse reads the data of an event, "digest/run/from-to". Data in another format leaves the span unchanged.
+func (s *Span) parse(text string) {
+	fields := strings.Split(text, "/")
+	if len(fields) != 3 {
 		return
 	}
-	s.Whose, s.Run = words[0], words[1]
-	from, to, _ := strings.Cut(words[2], "-")
+	s.RequestDigest, s.Run = fields[0], fields[1]
+	from, to, _ := strings.Cut(fields[2], "-")
 	s.From, _ = strconv.Atoi(from)
 	s.To, _ = strconv.Atoi(to)
 }
--- a/internal/testbed/replay/balancer.go
+++ b/internal/testbed/replay/balancer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Balancer hands new connections of clients to machines: it asks each every second whether it
-// is ready, and leaves out those that missed twice.
+// Balancer assigns new client connections to machines. It probes the readiness of each machine
+// once a second, and leaves out machines that failed two probes in a row.
 type Balancer struct {
 	events *EventLog
 	client *http.Client
@@ -18,103 +18,110 @@
 	targets []*target
 }
 
-// target is where a machine takes clients.
+// target holds the addresses at which a machine accepts clients and readiness probes.
 type target struct {
-	machine, zone, front, ready string
-	missed                      int
+	machine, zone, frontAddress, readinessAddress string
+	missedProbes                                  int
 }
 
 func newBalancer(events *EventLog) *Balancer {
 	return &Balancer{events: events, client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// open adds a machine; shut takes it away.
-func (b *Balancer) open(added target) {
+// add adds a machine.
+func (b *Balancer) add(added target) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.targets = append(b.targets, &added)
 }
 
-func (b *Balancer) shut(machine string) {
+// remove removes a machine.
+func (b *Balancer) remove(machine string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.targets = slices.DeleteFunc(b.targets, func(t *target) bool { return t.machine == machine })
 }
 
-// run asks every machine each second.
+// run probes every machine once a second.
 func (b *Balancer) run(lifetime context.Context) {
 	for sleep(lifetime, time.Second) {
-		b.askAll()
+		b.probeAll()
 	}
 }
 
-func (b *Balancer) askAll() {
-	var asking sync.WaitGroup
-	for _, one := range b.all() {
-		asking.Go(func() {
-			ready := b.ask(one.ready)
+// probeAll probes all machines at the same time and waits for the results.
+func (b *Balancer) probeAll() {
+	var probes sync.WaitGroup
+	for _, candidate := range b.all() {
+		probes.Go(func() {
+			status := b.probe(candidate.readinessAddress)
 			b.mutex.Lock()
 			defer b.mutex.Unlock()
-			one.missed++
-			if ready == http.StatusOK {
-				one.missed = 0
+			candidate.missedProbes++
+			if status == http.StatusOK {
+				candidate.missedProbes = 0
 			}
-			b.events.Append(Event{Kind: ReadyAsked, Machine: one.machine, Zone: one.zone, Status: ready})
+			b.events.Append(Event{Kind: ReadinessProbed, Machine: candidate.machine, Zone: candidate.zone, Status: status})
 		})
 	}
-	asking.Wait()
+	probes.Wait()
 }
 
-func (b *Balancer) ask(address string) int {
-	a, err := b.client.Get("http://" + address + pathReady)
+// probe returns the status of a readiness probe, or 0 if there was no response.
+func (b *Balancer) probe(address string) int {
+	response, err := b.client.Get("http://" + address + pathReady)
 	if err != nil {
 		return 0
 	}
-	_ = a.Body.Close()
-	return a.StatusCode
+	_ = response.Body.Close()
+	return response.StatusCode
 }
 
+// all returns a copy of the list of machines.
 func (b *Balancer) all() []*target {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return slices.Clone(b.targets)
 }
 
-// allReady tells whether every machine answered that it is ready when it was asked last.
+// allReady probes all machines and reports whether there are any and all of them are ready.
 func (b *Balancer) allReady() bool {
-	b.askAll()
+	b.probeAll()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, t := range b.targets {
-		if t.missed > 0 {
+		if t.missedProbes > 0 {
 			return false
 		}
 	}
 	return len(b.targets) > 0
 }
 
-// taking lists the machines that a zone's clients may be handed to.
-func (b *Balancer) taking(zone string) []target {
+// accepting lists the machines that a zone's clients may connect to: the ready machines of the zone,
+// which are those that have not failed their last two probes. If fewer than half of the zone's
+// machines are ready, it lists all machines of the zone, and if none is ready, the ready machines of
+// other zones. For an empty zone it lists the ready machines of all zones.
+func (b *Balancer) accepting(zone string) []target {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var own, in, near []target
-	for _, each := range b.targets {
-		if each.zone != zone {
-			if each.missed < 2 {
-				near = append(near, *each)
+	var sameZone, ready, otherZones []target
+	for _, candidate := range b.targets {
+		if candidate.zone != zone {
+			if candidate.missedProbes < 2 {
+				otherZones = append(otherZones, *candidate)
 			}
 			continue
 		}
-		own = append(own, *each)
-		if each.missed < 2 {
-			in = append(in, *each)
+		sameZone = append(sameZone, *candidate)
+		if candidate.missedProbes < 2 {
+			ready = append(ready, *candidate)
 		}
 	}
 	switch {
-	case len(in) == 0 && len(near) > 0:
-		return near
-	case len(in)*2 < len(own):
-		return own
+	case len(ready) == 0 && len(otherZones) > 0:
+		return otherZones
+	case len(ready)*2 < len(sameZone):
+		return sameZone
 	}
-	return in
+	return ready
 }
--- a/internal/testbed/replay/balancer_test.go
+++ b/internal/testbed/replay/balancer_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestMachinesThatMissTwiceGetNoClients has machines of two zones answer and fall silent.
+// TestMachinesThatMissTwiceGetNoClients lets the probes of machines in two zones fail and succeed,
+// and checks which machines accept clients.
 func TestMachinesThatMissTwiceGetNoClients(t *testing.T) {
 	balancer := newBalancer(&EventLog{})
 	ready := map[string]*atomic.Bool{}
@@ -22,43 +23,43 @@
 			}
 		}))
 		t.Cleanup(server.Close)
-		balancer.open(target{machine: machine, zone: machine[:4], ready: strings.TrimPrefix(server.URL, "http://")})
+		balancer.add(target{machine: machine, zone: machine[:4], readinessAddress: strings.TrimPrefix(server.URL, "http://")})
 	}
 	names := func() string {
 		var text []string
-		for _, ta := range balancer.taking("east") {
-			text = append(text, ta.machine)
+		for _, accepted := range balancer.accepting("east") {
+			text = append(text, accepted.machine)
 		}
 		return strings.Join(text, " ")
 	}
 	if !balancer.allReady() || names() != "east-1 east-2 east-3" {
-		t.Fatalf("all are ready: %s", names())
+		t.Fatalf("with all machines ready, got %q, want all of the zone", names())
 	}
 	ready["east-1"].Store(false)
-	balancer.askAll()
+	balancer.probeAll()
 	if names() != "east-1 east-2 east-3" {
-		t.Errorf("after one miss: %s", names())
+		t.Errorf("after one failed probe, got %q, want all of the zone", names())
 	}
-	balancer.askAll()
+	balancer.probeAll()
 	if names() != "east-2 east-3" {
-		t.Errorf("after two misses: %s", names())
+		t.Errorf("after two failed probes, got %q, want the machines without east-1", names())
 	}
 	ready["east-2"].Store(false)
-	balancer.askAll()
-	balancer.askAll()
+	balancer.probeAll()
+	balancer.probeAll()
 	if names() != "east-1 east-2 east-3" {
-		t.Errorf("fewer than half are in: %s", names())
+		t.Errorf("with fewer than half of the zone ready, got %q, want all of the zone", names())
 	}
 	ready["east-3"].Store(false)
-	balancer.askAll()
-	balancer.askAll()
+	balancer.probeAll()
+	balancer.probeAll()
 	if names() != "west-1" {
-		t.Errorf("none is in: %s", names())
+		t.Errorf("with none of the zone ready, got %q, want the machine of the other zone", names())
 	}
 	ready["east-1"].Store(true)
 	ready["east-2"].Store(true)
-	balancer.askAll()
+	balancer.probeAll()
 	if names() != "east-1 east-2" {
-		t.Errorf("two are back: %s", names())
+		t.Errorf("with two machines ready again, got %q, want these two", names())
 	}
 }
--- a/internal/testbed/replay/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -8,271 +8,296 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// A checker holds one rule, by the rule's name, against what the stand-ins saw.
+// checkers holds all checkers by the name of their rule. Each checks one rule against the events of
+// a day.
 var checkers = []struct {
 	name  string
 	check func(r *record, finding *fleet.Finding)
 }{
-	{"MIXED answers", checkMixed}, {"MIXED handles", checkHandles}, {"UNASKED", checkUnasked}, {"TWICE", checkTwice}, {"REFUSED", checkRefused}, {"DENIED", checkDenied}, {"ROUTE", checkRoute},
-	{"DRAIN servers", checkDrain}, {"DRAIN readiness", checkUnready}, {"LOST", checkLost}, {"CONFIG applied", checkApplied}, {"CONFIG later routes", checkLaterRoutes}, {"CONFIG back", checkBack},
-	{"CONFIG refused", checkRefusedVersions}, {"CONFIG acknowledged", checkAcknowledged}, {"CONFIG read back", checkReadBack}, {"CONFIG held", checkInForce},
-	{"BUDGET", checkBudget}, {"BUDGET servers", checkServers}, {"BUDGET deadline", checkDeadlines}, {"ORDER", checkOrder}, {"FAILBACK", checkFailback}, {"EVAC", checkEvacuated},
-	{"RECOVER", checkRecover}, {"ONE", checkOne}, {"GONE", checkGone}, {"ACKS", checkAcks}, {"ENDED", checkEnded},
+	{"MIXED answers", checkMixedAnswers}, {"MIXED handles", checkMixedHandles}, {"UNASKED", checkUnsentRuns}, {"TWICE", checkRunsOnce},
+	{"REFUSED", checkRejectedRuns}, {"DENIED", checkWrongRejections}, {"ROUTE", checkRoute},
+	{"DRAIN servers", checkDrain}, {"DRAIN readiness", checkReadiness}, {"LOST", checkLostRequests},
+	{"CONFIG applied", checkApplied}, {"CONFIG later routes", checkLaterRoutes}, {"CONFIG back", checkNoRevert},
+	{"CONFIG refused", checkRefusedVersions}, {"CONFIG acknowledged", checkConflictingAcks}, {"CONFIG read back", checkReadBack},
+	{"CONFIG held", checkRouteDeadlines},
+	{"BUDGET", checkBudget}, {"BUDGET servers", checkServersPerAttempt}, {"BUDGET deadline", checkDeadlines},
+	{"ORDER", checkStreamOrder}, {"FAILBACK", checkFailback}, {"EVAC", checkEvacuated},
+	{"RECOVER", checkRecovery}, {"ONE", checkSingleOwner}, {"GONE", checkAbandonedRequests}, {"ACKS", checkAcknowledgeTime},
+	{"ENDED", checkProcessExits},
 }
 
-// checkMixed: a success bears its server's seal and that run's own events; nothing else
-// reaches a client.
-func checkMixed(r *record, finding *fleet.Finding) {
+// checkMixedAnswers checks that a response belongs to the attempt that it answers: a successful
+// response has the seal of a server that ran the attempt, and contains only events of such runs. No
+// other bytes may reach a client.
+func checkMixedAnswers(r *record, finding *fleet.Finding) {
 	for _, event := range r.events {
 		if event.Kind == StrayBytes {
-			finding.Violate(event.Machine + " wrote on a circuit on which no request waited")
+			finding.Violate(event.Machine + " sent bytes on a connection that had no request in flight")
 		}
 	}
-	for _, seen := range r.order {
-		ended := seen.ended
-		if !seen.over || ended.Status == 0 && ended.Cause != causeNoAnswer {
+	for _, attempt := range r.attemptOrder {
+		ended := attempt.ended
+		if !attempt.finished || ended.Status == 0 && ended.Cause != causeMalformed {
 			continue
 		}
-		finding.Looked++
-		name := seen.sent.Try + " at " + seen.sent.Machine
-		if ended.Cause == causeNoAnswer {
-			finding.Violate(name + " got bytes that are no answer")
+		finding.Checked++
+		name := attempt.sent.AttemptID + " at " + attempt.sent.Machine
+		if ended.Cause == causeMalformed {
+			finding.Violate(name + " got bytes that are not an HTTP response")
 			continue
 		}
-		if ended.Bears != "" && ended.Bears != seen.sent.Try {
-			finding.Violate(name + " got the answer of " + ended.Bears)
+		if ended.AnsweredAttempt != "" && ended.AnsweredAttempt != attempt.sent.AttemptID {
+			finding.Violate(name + " got the response to " + ended.AnsweredAttempt)
 		}
 		runs := map[string]bool{}
-		for _, start := range seen.starts {
+		for _, start := range attempt.runStarts {
 			runs[start.Seal] = true
 		}
 		if ended.Status/100 == 2 {
-			// A run whose first event was cut with its server may have no start of its own
-			// in the answer's head; its seal is the server's all the same.
-			if ended.Seal == "" || !runs[ended.Seal] && !r.sealed(ended.Seal, seen) {
-				finding.Violate(fmt.Sprintf("%s got %d with the seal %q, which no server gave to it", name, ended.Status,
+			// If the server broke off before the first event, the run has no start event, but
+			// the response header has the seal of that server.
+			if ended.Seal == "" || !runs[ended.Seal] && !r.endedWithSeal(ended.Seal, attempt) {
+				finding.Violate(fmt.Sprintf("%s got %d with the seal %q, which no server issued for it", name, ended.Status,
 					ended.Seal))
 			}
-		} else if ended.Seal != "" && !slices.ContainsFunc(seen.ends,
+		} else if ended.Seal != "" && !slices.ContainsFunc(attempt.runEnds,
 			func(end Event) bool { return end.Seal == ended.Seal && end.Status == ended.Status }) {
-			finding.Violate(fmt.Sprintf("%s got %d under a seal whose server said otherwise", name, ended.Status))
+			finding.Violate(fmt.Sprintf("%s got %d with the seal of a server that sent another status", name, ended.Status))
 		}
 		for _, span := range ended.Spans {
-			if span.Whose != seen.sent.Digest || !runs[span.Run] {
-				finding.Violate(fmt.Sprintf("%s got an event of run %s of request %s", name, span.Run, span.Whose))
+			if span.RequestDigest != attempt.sent.Digest || !runs[span.Run] {
+				finding.Violate(fmt.Sprintf("%s got an event of run %s of request %s", name, span.Run, span.RequestDigest))
 				break
 			}
 		}
 	}
 }
 
-// sealed tells whether a server ended an answer of a try under that seal.
-func (r *record) sealed(seal string, seen *attemptSeen) bool {
-	return slices.ContainsFunc(seen.ends, func(end Event) bool { return end.Seal == seal })
+// endedWithSeal reports whether a run of the attempt ended with the seal.
+func (r *record) endedWithSeal(seal string, attempt *attemptRecord) bool {
+	return slices.ContainsFunc(attempt.runEnds, func(end Event) bool { return end.Seal == seal })
 }
 
-// checkHandles: a request goes on only from its own prompt's memory.
-func checkHandles(r *record, finding *fleet.Finding) {
+// checkMixedHandles checks that a request is decoded only from the KV cache of its own prompt.
+func checkMixedHandles(r *record, finding *fleet.Finding) {
 	for _, event := range r.events {
 		if event.Kind == HandleTaken {
-			finding.Looked++
-			if event.Try != event.Request {
-				finding.Violate(event.Try + " continued from the handle of " + event.Request)
+			finding.Checked++
+			if event.AttemptID != event.Request {
+				finding.Violate(event.AttemptID + " was decoded from the handle of " + event.Request)
 			}
 		}
 	}
 }
 
-// checkUnasked: what runs, or is read, is what a client sent, unchanged.
-func checkUnasked(r *record, finding *fleet.Finding) {
+// checkUnsentRuns checks that servers prefill and run only requests that a client sent, unchanged.
+func checkUnsentRuns(r *record, finding *fleet.Finding) {
 	for _, event := range r.events {
-		if event.Kind != RunStarted && event.Kind != PromptRead {
+		if event.Kind != RunStarted && event.Kind != PromptPrefilled {
 			continue
 		}
-		finding.Looked++
-		seen := r.attempts[event.Try]
+		finding.Checked++
+		attempt := r.attempts[event.AttemptID]
 		switch {
-		case seen == nil:
-			finding.Violate(event.Server + " ran " + event.Try + ", which no client sent")
-		case seen.sent.Digest != event.Digest:
-			finding.Violate(event.Server + " ran " + event.Try + " changed on its way")
+		case attempt == nil:
+			finding.Violate(event.Server + " ran " + event.AttemptID + ", which no client sent")
+		case attempt.sent.Digest != event.Digest:
+			finding.Violate(event.Server + " ran " + event.AttemptID + " with a changed content")
 		}
 	}
 }
 
-// checkTwice: what is not idempotent runs once at most.
-func checkTwice(r *record, finding *fleet.Finding) {
-	for _, seen := range r.order {
-		if seen.sent.Idempotent {
+// checkRunsOnce checks that an attempt that is not idempotent runs at most once.
+func checkRunsOnce(r *record, finding *fleet.Finding) {
+	for _, attempt := range r.attemptOrder {
+		if attempt.sent.Idempotent {
 			continue
 		}
-		finding.Looked++
-		if len(seen.starts) > 1 {
-			finding.Violate(fmt.Sprintf("%s ran %d times, at %s and %s", seen.sent.Try, len(seen.starts),
-				seen.starts[0].Server, seen.starts[1].Server))
+		finding.Checked++
+		if len(attempt.runStarts) > 1 {
+			finding.Violate(fmt.Sprintf("%s ran %d times, at %s and %s", attempt.sent.AttemptID, len(attempt.runStarts),
+				attempt.runStarts[0].Server, attempt.runStarts[1].Server))
 		}
 	}
 }
 
-// checkRefused: what is not idempotent and was answered with a promise never runs.
-func checkRefused(r *record, finding *fleet.Finding) {
-	for _, seen := range r.order {
-		if seen.sent.Idempotent || !seen.over {
+// checkRejectedRuns checks that an attempt that is not idempotent never runs if the status of its
+// response guarantees that the request never runs.
+func checkRejectedRuns(r *record, finding *fleet.Finding) {
+	for _, attempt := range r.attemptOrder {
+		if attempt.sent.Idempotent || !attempt.finished {
 			continue
 		}
-		finding.Looked++
-		if promised(seen.ended.Status) && len(seen.starts) > 0 {
-			finding.Violate(fmt.Sprintf("%s was answered %d and ran at %s", seen.sent.Try, seen.ended.Status,
-				seen.starts[0].Server))
+		finding.Checked++
+		if guaranteesNotRun(attempt.ended.Status) && len(attempt.runStarts) > 0 {
+			finding.Violate(fmt.Sprintf("%s got %d although it ran at %s", attempt.sent.AttemptID, attempt.ended.Status,
+				attempt.runStarts[0].Server))
 		}
 	}
 }
 
-// checkDenied: proper requests are hardly ever turned away for good.
-func checkDenied(r *record, finding *fleet.Finding) {
-	touched, others := 0, 0
+// checkWrongRejections checks that valid requests are hardly ever rejected for good, with a status
+// that does not invite a retry: at most 5 plus one in 500 attempts by machines in contact, and at
+// most 10 by other machines.
+func checkWrongRejections(r *record, finding *fleet.Finding) {
+	byMachinesInContact, byOthers := 0, 0
 	var example string
-	for _, seen := range r.order {
-		status := seen.ended.Status
-		if !seen.over {
+	for _, attempt := range r.attemptOrder {
+		status := attempt.ended.Status
+		if !attempt.finished {
 			continue
 		}
-		finding.Looked++
-		if status/100 != 3 && status/100 != 4 || promised(status) || seen.ended.Seal != "" {
+		finding.Checked++
+		if status/100 != 3 && status/100 != 4 || guaranteesNotRun(status) || attempt.ended.Seal != "" {
 			continue
 		}
-		always, ever := true, len(r.versions) > 0
+		inAll, inAny := true, len(r.versions) > 0
 		for _, version := range r.versions {
-			_, found := version.Routes[seen.sent.Route]
-			if version.mayLease(seen.ended.At) && !r.outdated(version, seen.sent.At) {
-				always = always && found
+			_, found := version.Routes[attempt.sent.Route]
+			if version.mayBeInForce(attempt.ended.At) && !r.superseded(version, attempt.sent.At) {
+				inAll = inAll && found
 			}
-			ever = ever && found
+			inAny = inAny && found
 		}
 		switch {
-		case always && r.contact.inTouch(seen.sent.Machine, seen.sent.At):
-			touched++
-			example = fmt.Sprintf("%s at %s got %d on %s", seen.sent.Try, seen.sent.Machine, status, seen.sent.Route)
-		case ever:
-			others++
-			example = fmt.Sprintf("%s at %s got %d on %s", seen.sent.Try, seen.sent.Machine, status, seen.sent.Route)
+		case inAll && r.contact.inContact(attempt.sent.Machine, attempt.sent.At):
+			byMachinesInContact++
+			example = fmt.Sprintf("%s at %s got %d on %s", attempt.sent.AttemptID, attempt.sent.Machine, status, attempt.sent.Route)
+		case inAny:
+			byOthers++
+			example = fmt.Sprintf("%s at %s got %d on %s", attempt.sent.AttemptID, attempt.sent.Machine, status, attempt.sent.Route)
 		}
 	}
-	if limit := 5 + len(r.order)/500; touched > limit || others > 10 {
-		finding.Violate(fmt.Sprintf("%d from machines in touch, %d from others, such as %s", touched, others, example))
+	if limit := 5 + len(r.attemptOrder)/500; byMachinesInContact > limit || byOthers > 10 {
+		finding.Violate(fmt.Sprintf("%d valid requests were rejected by machines in contact, %d by others, for example %s",
+			byMachinesInContact, byOthers, example))
 	}
 }
 
-// outdated tells whether a newer revision than this one was in force for long enough.
-func (r *record) outdated(version *versionSeen, at time.Time) bool {
-	return slices.ContainsFunc(r.versions, func(newer *versionSeen) bool {
+// superseded reports whether a newer revision was acknowledged more than the apply time before a
+// moment.
+func (r *record) superseded(version *versionRecord, at time.Time) bool {
+	return slices.ContainsFunc(r.versions, func(newer *versionRecord) bool {
 		return newer.Revision > version.Revision && newer.outcome == acknowledged && newer.closed.Add(r.terms.Apply).Before(at)
 	})
 }
 
-// checkRoute: a service runs only what some configuration sends to it.
+// checkRoute checks that a service runs only requests that some configuration routes to it.
 func checkRoute(r *record, finding *fleet.Finding) {
 	for _, h := range r.handlings() {
 		if h.service == "" {
 			continue
 		}
-		finding.Looked++
-		if !slices.ContainsFunc(r.versions, h.fits) {
-			finding.Violate(fmt.Sprintf("%s on %s ran at the service %s", h.try.sent.Try, h.route, h.service))
+		finding.Checked++
+		if !slices.ContainsFunc(r.versions, h.allowedBy) {
+			finding.Violate(fmt.Sprintf("%s on the route %s ran at the service %s, to which no configuration routes it",
+				h.attempt.sent.AttemptID, h.route, h.service))
 		}
 	}
 }
 
-// checkDrain: no request reaches a server long after the list shows it leaving.
+// checkDrain checks that no request reaches a server later than the drain time after the list
+// shows it leaving.
 func checkDrain(r *record, finding *fleet.Finding) {
 	worst := time.Duration(0)
 	finding.Limit = r.terms.Drain.String()
 	for _, event := range r.events {
-		since, leaving := r.shown[event.Server]
-		seen := r.attempts[event.Try]
-		if event.Kind != Arrived || event.Status == 421 || !leaving || seen == nil {
+		since, leaving := r.shownLeaving[event.Server]
+		attempt := r.attempts[event.AttemptID]
+		if event.Kind != RequestArrived || event.Status == 421 || !leaving || attempt == nil {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		late := event.At.Sub(since)
-		if !r.contact.inTouch(seen.sent.Machine, event.At) {
+		if !r.contact.inContact(attempt.sent.Machine, event.At) {
 			continue
 		}
 		worst = max(worst, late)
 		if late > r.terms.Drain {
-			finding.Violate(fmt.Sprintf("%s from %s reached %s %s after the list showed it leaving", event.Try,
-				seen.sent.Machine, event.Server, late))
+			finding.Violate(fmt.Sprintf("%s from %s reached %s %s after the list showed the server leaving", event.AttemptID,
+				attempt.sent.Machine, event.Server, late))
 		}
 	}
 	finding.Worst, finding.Seconds = worst.String(), worst.Seconds()
 }
 
-// checkUnready: machines that are told to end soon call themselves unready.
-func checkUnready(r *record, finding *fleet.Finding) {
-	terms, late := 0, 0
+// checkReadiness checks that machines no longer report that they are ready from 4 s after a SIGTERM
+// on. One machine, or a quarter of the terminated machines, may still do so.
+func checkReadiness(r *record, finding *fleet.Finding) {
+	terminations, late := 0, 0
 	for _, events := range r.contact.machines {
 		for position, event := range events {
-			if event.Kind != MachineTerm {
+			if event.Kind != MachineTerminated {
 				continue
 			}
-			terms++
-			finding.Looked++
+			terminations++
+			finding.Checked++
 			until := event.At.Add(6 * time.Second)
 			if position+1 < len(events) && events[position+1].At.Before(until) {
 				until = events[position+1].At
 			}
-			if slices.ContainsFunc(r.events, func(asked Event) bool {
-				return asked.Kind == ReadyAsked && asked.Machine == event.Machine && asked.Status == 200 && asked.At.After(event.At.Add(4*time.Second)) && asked.At.Before(until)
+			if slices.ContainsFunc(r.events, func(probe Event) bool {
+				return probe.Kind == ReadinessProbed && probe.Machine == event.Machine && probe.Status == 200 &&
+					probe.At.After(event.At.Add(4*time.Second)) && probe.At.Before(until)
 			}) {
 				late++
 			}
 		}
 	}
-	if late >= 2 && late*4 > terms {
-		finding.Violate(fmt.Sprintf("%d of %d machines were ready four seconds after SIGTERM", late, terms))
+	if late >= 2 && late*4 > terminations {
+		finding.Violate(fmt.Sprintf("%d of %d machines still reported ready 4 s after SIGTERM", late, terminations))
 	}
 }
 
-// checkLost: around a planned end of a machine no request that was forwarded is broken
-// off, save by its server.
-func checkLost(r *record, finding *fleet.Finding) {
+// checkLostRequests checks that no request is cut off around the planned stop of a machine. The
+// cases of the switch statement are the exceptions.
+func checkLostRequests(r *record, finding *fleet.Finding) {
 	grace := r.terms.Grace
-	for _, seen := range r.order {
-		if !seen.over || seen.ended.Complete || seen.ended.GaveUp || seen.sent.Probe {
+	for _, attempt := range r.attemptOrder {
+		if !attempt.finished || attempt.ended.Complete || attempt.ended.GaveUp || attempt.sent.Probe {
 			continue
 		}
-		events := r.contact.machines[seen.sent.Machine]
+		events := r.contact.machines[attempt.sent.Machine]
 		for _, event := range events {
-			if event.Kind != MachineTerm || seen.ended.At.Before(event.At) || seen.sent.At.After(event.At.Add(grace+time.Second)) || seen.ended.At.After(event.At.Add(grace+time.Second)) {
+			if event.Kind != MachineTerminated || attempt.ended.At.Before(event.At) ||
+				attempt.sent.At.After(event.At.Add(grace+time.Second)) || attempt.ended.At.After(event.At.Add(grace+time.Second)) {
 				continue
 			}
-			finding.Looked++
+			finding.Checked++
 			switch {
-			case len(seen.arrivals) == 0 && seen.ended.At.Sub(seen.sent.At) <= r.terms.LossSlack:
-			case len(seen.arrivals) == 0 && seen.ended.Status == 0 && seen.ended.Cause != "EOF" && seen.ended.Cause != "unexpected EOF":
+			case len(attempt.arrivals) == 0 && attempt.ended.At.Sub(attempt.sent.At) <= r.terms.LossSlack:
+				// The request reached no server, and its client soon knew that.
+			case len(attempt.arrivals) == 0 && attempt.ended.Status == 0 &&
+				attempt.ended.Cause != "EOF" && attempt.ended.Cause != "unexpected EOF":
 				// The connection was refused or reset before the request was read.
-			case r.brokenByServer(seen):
-			case seen.ended.At.Sub(seen.sent.At) >= seen.sent.Deadline-50*time.Millisecond:
-			case r.contact.unplanned(seen.sent.Machine, seen.sent.At.Add(-r.terms.Contact), seen.ended.At):
-			case slices.ContainsFunc(seen.ends, func(end Event) bool { return end.At.After(event.At.Add(grace / 2)) }) && !seen.sent.At.After(event.At.Add(3*time.Second)):
+			case r.brokenByServer(attempt):
+			case attempt.ended.At.Sub(attempt.sent.At) >= attempt.sent.Deadline-50*time.Millisecond:
+				// The deadline of the request had passed.
+			case r.contact.unplanned(attempt.sent.Machine, attempt.sent.At.Add(-r.terms.Contact), attempt.ended.At):
+				// A fault disturbed the machine or the core as well.
+			case slices.ContainsFunc(attempt.runEnds, func(end Event) bool { return end.At.After(event.At.Add(grace / 2)) }) &&
+				!attempt.sent.At.After(event.At.Add(3*time.Second)):
+				// A run of the request ended only after half of the grace period.
 			default:
-				finding.Violate(fmt.Sprintf("%s at %s was cut (%s) %s after the SIGTERM", seen.sent.Try,
-					seen.sent.Machine, seen.ended.Cause, seen.ended.At.Sub(event.At).Round(time.Millisecond)))
+				finding.Violate(fmt.Sprintf("%s at %s was cut off (%s) %s after the SIGTERM", attempt.sent.AttemptID,
+					attempt.sent.Machine, attempt.ended.Cause, attempt.ended.At.Sub(event.At).Round(time.Millisecond)))
 			}
 		}
 	}
 }
 
-// brokenByServer tells whether the server of a try broke off, crashed or was silent.
-func (r *record) brokenByServer(seen *attemptSeen) bool {
-	for _, end := range seen.ends {
+// brokenByServer reports whether a server of the attempt cut the response off, lost it, crashed
+// or stayed silent.
+func (r *record) brokenByServer(attempt *attemptRecord) bool {
+	for _, end := range attempt.runEnds {
 		if end.Cause == "broken off" || end.Cause == "spoilt" || end.Cause == "answer lost" || end.Cause == "dark" {
 			return true
 		}
 	}
-	for _, arrival := range seen.arrivals {
+	for _, arrival := range attempt.arrivals {
 		if slices.ContainsFunc(r.events, func(event Event) bool {
-			return event.Kind == ServerGone && event.Server == arrival.Server && event.At.After(seen.sent.At.Add(-time.Second)) && event.At.Before(seen.ended.At.Add(time.Second))
+			return event.Kind == ServerStopped && event.Server == arrival.Server &&
+				event.At.After(attempt.sent.At.Add(-time.Second)) && event.At.Before(attempt.ended.At.Add(time.Second))
 		}) {
 			return true
 		}
--- a/internal/testbed/replay/checkers_configuration.go
+++ b/internal/testbed/replay/checkers_configuration.go
@@ -9,83 +9,87 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// checkApplied: soon after a version was acknowledged nothing is handled as only an older
-// one would.
+// checkApplied checks that machines in contact handle no request by an older version once a newer
+// version has been acknowledged for longer than the apply time.
 func checkApplied(r *record, finding *fleet.Finding) {
 	for _, h := range r.handlings() {
-		if !r.contact.inTouch(h.machine, h.sent) || !r.contact.inTouch(h.machine, h.at) {
+		if !r.contact.inContact(h.machine, h.sent) || !r.contact.inContact(h.machine, h.at) {
 			continue
 		}
-		due := 0
+		required := 0
 		for _, version := range r.versions {
 			if version.outcome == acknowledged && !version.invalid && version.closed.Add(r.terms.Apply).Before(h.sent) {
-				due = max(due, version.Revision)
+				required = max(required, version.Revision)
 			}
 		}
-		finding.Looked++
-		if due == 0 {
+		finding.Checked++
+		if required == 0 {
 			continue
 		}
-		if _, newest, found := r.span(h); found && newest < due {
-			finding.Violate(fmt.Sprintf("%s handled %s on %s (%q) as version %d would, with %d in force", h.machine,
-				h.try.sent.Try, h.route, h.service, newest, due))
+		if _, newest, found := r.revisionRange(h); found && newest < required {
+			finding.Violate(fmt.Sprintf("%s handled %s on the route %s (service %q) by version %d although %d was in force", h.machine,
+				h.attempt.sent.AttemptID, h.route, h.service, newest, required))
 		}
 	}
 }
 
-// checkLaterRoutes: routes that came later are served as the first ones are.
+// checkLaterRoutes checks that routes added during the day are served at least a quarter as often
+// as the routes of the first version.
 func checkLaterRoutes(r *record, finding *fleet.Finding) {
+	// The key says whether the route was added later. The values are the number of requests and the
+	// number of those that were served.
 	counts := map[bool][2]int{}
-	for _, seen := range r.order {
-		if !seen.over || !r.contact.inTouch(seen.sent.Machine, seen.sent.At) {
+	for _, attempt := range r.attemptOrder {
+		if !attempt.finished || !r.contact.inContact(attempt.sent.Machine, attempt.sent.At) {
 			continue
 		}
-		later := strings.HasPrefix(seen.sent.Route, "r-late-") || strings.HasPrefix(seen.sent.Route, "r-many-")
-		if later {
-			held := slices.ContainsFunc(r.versions, func(version *versionSeen) bool {
-				_, found := version.Routes[seen.sent.Route]
-				return found && version.outcome == acknowledged && version.closed.Add(r.terms.Apply).Before(seen.sent.At) && !r.outdated(version,
-					seen.ended.At.Add(r.terms.Apply))
+		addedLater := strings.HasPrefix(attempt.sent.Route, "r-late-") || strings.HasPrefix(attempt.sent.Route, "r-many-")
+		if addedLater {
+			inForce := slices.ContainsFunc(r.versions, func(version *versionRecord) bool {
+				_, found := version.Routes[attempt.sent.Route]
+				return found && version.outcome == acknowledged && version.closed.Add(r.terms.Apply).Before(attempt.sent.At) && !r.superseded(version,
+					attempt.ended.At.Add(r.terms.Apply))
 			})
-			if !held {
+			if !inForce {
 				continue
 			}
-		} else if seen.sent.Probe {
+		} else if attempt.sent.Probe {
 			continue
 		}
-		count := counts[later]
+		count := counts[addedLater]
 		count[0]++
-		if seen.ended.Complete && seen.ended.Status/100 == 2 {
+		if attempt.ended.Complete && attempt.ended.Status/100 == 2 {
 			count[1]++
 		}
-		counts[later] = count
-		finding.Looked++
+		counts[addedLater] = count
+		finding.Checked++
 	}
-	firsts, laters := counts[false], counts[true]
-	if laters[0] >= 20 && laters[1]*firsts[0]*4 < firsts[1]*laters[0] {
-		finding.Violate(fmt.Sprintf("%d of %d on later routes, %d of %d on the first", laters[1], laters[0], firsts[1],
-			firsts[0]))
+	first, later := counts[false], counts[true]
+	if later[0] >= 20 && later[1]*first[0]*4 < first[1]*later[0] {
+		finding.Violate(fmt.Sprintf("%d of %d requests were served on routes added later, %d of %d on the first routes",
+			later[1], later[0], first[1], first[0]))
 	}
 }
 
-// checkBack: in one life of its processes a machine never goes back to an older version.
-func checkBack(r *record, finding *fleet.Finding) {
+// checkNoRevert checks that a machine never goes back to an older version within one incarnation
+// of its processes.
+func checkNoRevert(r *record, finding *fleet.Finding) {
 	type effect struct {
 		at      time.Time
 		version int
 	}
 	effects := map[string][]effect{}
 	for _, h := range r.handlings() {
-		oldest, newest, found := r.span(h)
+		oldest, newest, found := r.revisionRange(h)
 		if !found {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		incarnation := fmt.Sprintf("%s#%d", h.machine, r.contact.incarnation(h.machine, h.sent))
 		for _, earlier := range effects[incarnation] {
 			if h.sent.After(earlier.at.Add(r.terms.RevertSlack)) && newest < earlier.version {
-				finding.Violate(fmt.Sprintf("%s showed version %d and later handled %s on %s as version %d would",
-					h.machine, earlier.version, h.try.sent.Try, h.route, newest))
+				finding.Violate(fmt.Sprintf("%s applied version %d and later handled %s on the route %s by version %d",
+					h.machine, earlier.version, h.attempt.sent.AttemptID, h.route, newest))
 				break
 			}
 		}
@@ -95,32 +99,32 @@
 	}
 }
 
-// checkRefusedVersions: what was refused, lost its race or is invalid takes no effect.
+// checkRefusedVersions checks that a version that was refused or is invalid takes no effect.
 func checkRefusedVersions(r *record, finding *fleet.Finding) {
 	for _, h := range r.handlings() {
 		if h.service == "" {
 			continue
 		}
-		finding.Looked++
-		if _, _, found := r.span(h); found {
+		finding.Checked++
+		if _, _, found := r.revisionRange(h); found {
 			continue
 		}
 		for _, version := range r.versions {
-			if !version.sent.After(h.at) && h.fits(version) {
-				finding.Violate(fmt.Sprintf("%s ran %s on %s, which only version %d (%s) allows", h.machine,
-					h.try.sent.Try, h.route, version.Revision, version.outcome))
+			if !version.sent.After(h.at) && h.allowedBy(version) {
+				finding.Violate(fmt.Sprintf("%s ran %s on the route %s, which only version %d (%s) allows", h.machine,
+					h.attempt.sent.AttemptID, h.route, version.Revision, version.outcome))
 				break
 			}
 		}
 	}
 }
 
-// checkAcknowledged: of two changes on top of one version one is acknowledged at most, and
-// no invalid one is.
-func checkAcknowledged(r *record, finding *fleet.Finding) {
+// checkConflictingAcks checks that at most one of the changes based on the same version is
+// acknowledged, and that no invalid version is acknowledged.
+func checkConflictingAcks(r *record, finding *fleet.Finding) {
 	bases := map[int]int{}
 	for _, version := range r.versions {
-		finding.Looked++
+		finding.Checked++
 		if version.outcome != acknowledged {
 			continue
 		}
@@ -129,15 +133,15 @@
 			continue
 		}
 		if other, twice := bases[version.base]; twice && other != version.Revision {
-			finding.Violate(fmt.Sprintf("versions %d and %d on top of %d were both acknowledged", other,
+			finding.Violate(fmt.Sprintf("versions %d and %d, both based on %d, were both acknowledged", other,
 				version.Revision, version.base))
 		}
 		bases[version.base] = version.Revision
 	}
 }
 
-// checkReadBack: what is read at the end of the day is the newest acknowledged version or
-// a newer one, and says what was sent under its number.
+// checkReadBack checks that the version read at the end of the day is the newest acknowledged
+// version or a newer one, and that its content is what the operators sent under that number.
 func checkReadBack(r *record, finding *fleet.Finding) {
 	newest := 0
 	for _, version := range r.versions {
@@ -149,59 +153,60 @@
 		if event.Kind != ReadBack {
 			continue
 		}
-		finding.Looked++
+		finding.Checked++
 		switch {
 		case event.Revision == 0:
-			finding.Violate("the configuration could not be read at the end: " + event.Cause)
+			finding.Violate("the configuration could not be read at the end of the day: " + event.Cause)
 		case event.Revision < newest:
-			finding.Violate(fmt.Sprintf("version %d was read, %d had been acknowledged", event.Revision, newest))
+			finding.Violate(fmt.Sprintf("version %d was read although %d had been acknowledged", event.Revision, newest))
 		case !event.Complete:
-			finding.Violate(fmt.Sprintf("version %d reads otherwise than it was sent: %s", event.Revision, event.Cause))
+			finding.Violate(fmt.Sprintf("version %d was read with a content other than the one sent: %s", event.Revision, event.Cause))
 		}
 	}
 }
 
-// checkInForce: requests have their answer by their route's own limit.
-func checkInForce(r *record, finding *fleet.Finding) {
-	long, late := 0, 0
-	for _, seen := range r.order {
+// checkRouteDeadlines checks that requests that outlast the deadline of their route are answered
+// within half a second after the deadline. Up to 7 of them, or a quarter, may be answered later.
+func checkRouteDeadlines(r *record, finding *fleet.Finding) {
+	overLimit, late := 0, 0
+	for _, attempt := range r.attemptOrder {
 		longest := time.Duration(0)
 		for _, version := range r.versions {
-			if version.mayLease(seen.ended.At) && !r.outdated(version, seen.sent.At) {
-				longest = max(longest, version.deadlineOf(seen.sent.Route))
+			if version.mayBeInForce(attempt.ended.At) && !r.superseded(version, attempt.sent.At) {
+				longest = max(longest, version.deadlineOf(attempt.sent.Route))
 			}
 		}
-		lasted := seen.ended.At.Sub(seen.sent.At)
-		if !seen.over || longest == 0 || lasted <= longest || !r.contact.inTouch(seen.sent.Machine, seen.sent.At) {
+		lasted := attempt.ended.At.Sub(attempt.sent.At)
+		if !attempt.finished || longest == 0 || lasted <= longest || !r.contact.inContact(attempt.sent.Machine, attempt.sent.At) {
 			continue
 		}
-		finding.Looked++
-		long++
+		finding.Checked++
+		overLimit++
 		if lasted > longest+500*time.Millisecond {
 			late++
 		}
 	}
-	if late >= 8 && late*4 > long {
-		finding.Violate(fmt.Sprintf("%d of %d that lasted longer than their route allows had no answer half a second later",
-			late, long))
+	if late >= 8 && late*4 > overLimit {
+		finding.Violate(fmt.Sprintf("%d of %d requests that outlasted the deadline of their route had no response half a second later",
+			late, overLimit))
 	}
 }
 
-// checkAcks: a proper order of the operators is acknowledged in time while the core is
-// settled.
-func checkAcks(r *record, finding *fleet.Finding) {
+// checkAcknowledgeTime checks that valid changes and evacuations are acknowledged in time while
+// the core is stable. The time limit of a change is 3 ms longer for each route of its version.
+func checkAcknowledgeTime(r *record, finding *fleet.Finding) {
 	worst := time.Duration(0)
-	judge := func(name string, sent, closed time.Time, routes int) {
-		finding.Looked++
+	check := func(name string, sent, closed time.Time, routes int) {
+		finding.Checked++
 		limit := r.terms.Acknowledge + time.Duration(routes)*3*time.Millisecond
-		// The wait counts from when the core is settled, and ends when it no longer is.
-		begins := sent
+		// The time limit starts again whenever the core is not stable.
+		stableSince := sent
 		for moment := sent; moment.Before(closed); moment = moment.Add(50 * time.Millisecond) {
-			if !r.contact.settled(moment) {
-				begins = moment.Add(50 * time.Millisecond)
+			if !r.contact.coreStable(moment) {
+				stableSince = moment.Add(50 * time.Millisecond)
 				continue
 			}
-			if moment.Sub(begins) > limit {
+			if moment.Sub(stableSince) > limit {
 				finding.Violate(fmt.Sprintf("%s was not acknowledged in %s", name, limit))
 				return
 			}
@@ -210,21 +215,22 @@
 	}
 	for _, version := range r.versions {
 		if !version.invalid && version.outcome != refused && !version.closed.IsZero() {
-			judge(fmt.Sprintf("version %d", version.Revision), version.sent, version.closed, len(version.Routes))
+			check(fmt.Sprintf("version %d", version.Revision), version.sent, version.closed, len(version.Routes))
 		}
 	}
 	for _, event := range r.events {
-		if event.Kind != EvacuateSent {
+		if event.Kind != EvacuationSent {
 			continue
 		}
 		closed := event.At
 		for _, other := range r.events {
-			if other.At.After(event.At) && other.Zone == event.Zone && (other.Kind == Evacuated || other.Kind == TakenBack) {
+			if other.At.After(event.At) && other.Zone == event.Zone && (other.Kind == Evacuated || other.Kind == EvacuationEnded) {
 				closed = other.At
 				break
 			}
 		}
-		judge("the evacuation of "+event.Zone, event.At, closed, 0)
+		check("the evacuation of "+event.Zone, event.At, closed, 0)
 	}
-	finding.Worst, finding.Limit, finding.Seconds = worst.Round(time.Millisecond).String(), r.terms.Acknowledge.String(), worst.Seconds()
+	finding.Worst, finding.Limit, finding.Seconds =
+		worst.Round(time.Millisecond).String(), r.terms.Acknowledge.String(), worst.Seconds()
 }
