--- a/internal/testbed/replay/checkers_test.go
+++ b/internal/testbed/replay/checkers_test.go
@@ -6,14 +6,16 @@
 	"time"
 )
 
-// seeded is an event log in which nothing is broken, and a clock to add to it.
-type seeded struct{ start time.Time }
+// seededDay builds the events of a day without violations, and further events relative to its start.
+type seededDay struct{ start time.Time }
 
-func (day seeded) at(milliseconds int) time.Time {
+// at returns the time that many milliseconds after the start of the day.
+func (day seededDay) at(milliseconds int) time.Time {
 	return day.start.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-func (day seeded) version(revision int, routes ...string) *Version {
+// version returns a version with the given routes. From revision 7 on, r-verdict is served by annexe.
+func (day seededDay) version(revision int, routes ...string) *Version {
 	version := &Version{Revision: revision, Routes: map[string]RouteRule{}}
 	for _, route := range routes {
 		service := "desk"
@@ -25,103 +27,105 @@
 	return version
 }
 
-// call is a request that is read at one server, runs at another, and is answered whole.
-func (day seeded) call(name string, at int, route, service string, idempotent bool) []Event {
+// callEvents returns the events of a request that is prefilled on one server, decoded on another, and
+// completed.
+func (day seededDay) callEvents(name string, at int, route, service string, idempotent bool) []Event {
 	seal, source := "seal-"+name, "handle-"+name
 	return []Event{
 		{
 			At:         day.at(at),
-			Kind:       TrySent,
+			Kind:       AttemptSent,
 			Machine:    "edge-2",
-			Try:        name,
+			AttemptID:  name,
 			Request:    "request-" + name,
 			Class:      "chat",
 			Route:      route,
 			Idempotent: idempotent,
 			Digest:     "digest-" + name,
 			Deadline:   3 * time.Second,
-			Aim:        time.Second,
+			Target:     time.Second,
 			Began:      day.at(at),
 		},
 		{
-			At:       day.at(at + 1),
-			Kind:     Arrived,
-			Try:      name,
-			Server:   "i-read",
-			Service:  service,
-			Zone:     "quay-hall",
-			Stage:    phasePrefill,
-			Digest:   "digest-" + name,
-			Deadline: 2900 * time.Millisecond,
+			At:        day.at(at + 1),
+			Kind:      RequestArrived,
+			AttemptID: name,
+			Server:    "i-read",
+			Service:   service,
+			Zone:      "quay-hall",
+			WorkPhase: phasePrefill,
+			Digest:    "digest-" + name,
+			Deadline:  2900 * time.Millisecond,
 		},
 		{
-			At:      day.at(at + 2),
-			Kind:    PromptRead,
-			Try:     name,
-			Server:  "i-read",
-			Service: service,
-			Stage:   phasePrefill,
-			Digest:  "digest-" + name,
-			Handle:  source,
-			Tokens:  100,
+			At:        day.at(at + 2),
+			Kind:      PromptPrefilled,
+			AttemptID: name,
+			Server:    "i-read",
+			Service:   service,
+			WorkPhase: phasePrefill,
+			Digest:    "digest-" + name,
+			Handle:    source,
+			Tokens:    100,
 		},
-		{At: day.at(at + 3), Kind: HandleTaken, Server: "i-make", Try: name, Request: name, Handle: source},
+		{At: day.at(at + 3), Kind: HandleTaken, Server: "i-make", AttemptID: name, Request: name, Handle: source},
 		{
-			At:       day.at(at + 3),
-			Kind:     Arrived,
-			Try:      name,
-			Server:   "i-make",
-			Service:  service,
-			Zone:     "hill-hall",
-			Stage:    phaseDecode,
-			Digest:   "digest-" + name,
-			Deadline: 2900 * time.Millisecond,
+			At:        day.at(at + 3),
+			Kind:      RequestArrived,
+			AttemptID: name,
+			Server:    "i-make",
+			Service:   service,
+			Zone:      "hill-hall",
+			WorkPhase: phaseDecode,
+			Digest:    "digest-" + name,
+			Deadline:  2900 * time.Millisecond,
 		},
 		{
-			At:      day.at(at + 4),
-			Kind:    RunStarted,
-			Try:     name,
-			Server:  "i-make",
-			Service: service,
-			Stage:   phaseDecode,
-			Seal:    seal,
-			Digest:  "digest-" + name,
+			At:        day.at(at + 4),
+			Kind:      RunStarted,
+			AttemptID: name,
+			Server:    "i-make",
+			Service:   service,
+			WorkPhase: phaseDecode,
+			Seal:      seal,
+			Digest:    "digest-" + name,
 		},
 		{
-			At:       day.at(at + 5),
-			Kind:     RunEnded,
-			Try:      name,
-			Server:   "i-make",
-			Seal:     seal,
-			Complete: true,
-			Status:   200,
-			Tokens:   3,
+			At:        day.at(at + 5),
+			Kind:      RunEnded,
+			AttemptID: name,
+			Server:    "i-make",
+			Seal:      seal,
+			Complete:  true,
+			Status:    200,
+			Tokens:    3,
 		},
 		{
-			At:       day.at(at + 6),
-			Kind:     TryEnded,
-			Machine:  "edge-2",
-			Try:      name,
-			Request:  "request-" + name,
-			Class:    "chat",
-			Route:    route,
-			Status:   200,
-			Seal:     seal,
-			Bears:    name,
-			Complete: true,
-			First:    day.at(at + 4),
+			At:              day.at(at + 6),
+			Kind:            AttemptEnded,
+			Machine:         "edge-2",
+			AttemptID:       name,
+			Request:         "request-" + name,
+			Class:           "chat",
+			Route:           route,
+			Status:          200,
+			Seal:            seal,
+			AnsweredAttempt: name,
+			Complete:        true,
+			FirstEventAt:    day.at(at + 4),
 			Spans: []Span{{
-				ID:    2,
-				From:  1,
-				To:    2,
-				Run:   seal,
-				Whose: "digest-" + name,
-			}, {ID: 3, From: 3, To: 3, Run: seal, Whose: "digest-" + name}},
+				ID:            2,
+				From:          1,
+				To:            2,
+				Run:           seal,
+				RequestDigest: "digest-" + name,
+			}, {ID: 3, From: 3, To: 3, Run: seal, RequestDigest: "digest-" + name}},
 		},
 	}
 }
 
-func (day seeded) clean() []Event {
+// cleanEvents returns the events of a day without violations.
+func (day seededDay) cleanEvents() []Event {
 	events := []Event{
 		{At: day.at(0), Kind: MachineUp, Machine: "edge-1", Core: true}, {At: day.at(0), Kind: MachineUp, Machine: "edge-2"},
 		{At: day.at(0), Kind: MachineUp, Machine: "edge-3"},
@@ -152,58 +156,60 @@
 			Version:  day.version(6, "r-chat", "r-verdict", "r-lost"),
 		},
 		{At: day.at(12_020), Kind: ChangeClosed, Change: "c", Revision: 6, Base: 5, Cause: string(refused)},
-		{At: day.at(20_000), Kind: Shown, Server: "i-old", Cause: stateDraining},
+		{At: day.at(20_000), Kind: ShownLeaving, Server: "i-old", Cause: stateDraining},
 		{
 			At:   day.at(20_000),
-			Kind: EvacuateSent,
+			Kind: EvacuationSent,
 			Zone: "mill-hall",
 		}, {At: day.at(20_010), Kind: Evacuated, Zone: "mill-hall"},
-		{At: day.at(21_000), Kind: Ordered, Server: "i-read", Owner: "edge-1", FencingToken: 4, Status: 202},
-		{At: day.at(25_000), Kind: Ordered, Server: "i-read", Owner: "edge-3", FencingToken: 5, Status: 202},
+		{At: day.at(21_000), Kind: OrderReceived, Server: "i-read", Owner: "edge-1", FencingToken: 4, Status: 202},
+		{At: day.at(25_000), Kind: OrderReceived, Server: "i-read", Owner: "edge-3", FencingToken: 5, Status: 202},
 		{At: day.at(90_000), Kind: ReadBack, Revision: 5, Complete: true},
 	}
-	events = append(events, day.call("one", 10_000, "r-chat", "desk", false)...)
-	events = append(events, day.call("two", 14_000, "r-verdict", "desk", true)...)
-	events = append(events, day.call("three", 15_000, "r-late-1", "desk", false)...)
+	events = append(events, day.callEvents("one", 10_000, "r-chat", "desk", false)...)
+	events = append(events, day.callEvents("two", 14_000, "r-verdict", "desk", true)...)
+	events = append(events, day.callEvents("three", 15_000, "r-late-1", "desk", false)...)
 	return events
 }
 
-// TestEachCheckerCatchesASeededViolation seeds one violation for each checker, and wants
-// that checker to speak, and none on a clean day.
+// TestEachCheckerCatchesASeededViolation adds a violation for each checker to a day without
+// violations, and checks that the checker finds it. It also checks that no checker reports a
+// violation on the day without violations.
 func TestEachCheckerCatchesASeededViolation(t *testing.T) {
-	day := seeded{start: time.Unix(1_700_000_000, 0)}
-	judge := func(events []Event) Verdict {
-		book := &EventLog{}
+	day := seededDay{start: time.Unix(1_700_000_000, 0)}
+	verdictOf := func(events []Event) Verdict {
+		log := &EventLog{}
 		for _, event := range events {
-			book.Append(event)
+			log.Append(event)
 		}
-		return Judge(book.Events(), SmallSite())
+		return CheckEvents(log.Events(), SmallSite())
 	}
-	if verdict := judge(day.clean()); verdict.Violations() != 0 {
-		t.Fatalf("a clean day is judged broken:\n%s", verdict)
+	if verdict := verdictOf(day.cleanEvents()); verdict.Violations() != 0 {
+		t.Fatalf("a day without violations got this verdict:\n%s", verdict)
 	}
-	// call changes one event of a call.
+	// call returns the events of a call, of which the one at the position is changed.
 	call := func(position int, change func(event *Event)) []Event {
-		events := day.call("four", 30_000, "r-chat", "desk", false)
+		events := day.callEvents("four", 30_000, "r-chat", "desk", false)
 		change(&events[position])
 		return events
 	}
-	again := func(at int, server string) Event {
+	// laterArrival returns the arrival of the attempt "one" at one more server.
+	laterArrival := func(at int, server string) Event {
 		return Event{
-			At:       day.at(at),
-			Kind:     Arrived,
-			Try:      "one",
-			Server:   server,
-			Service:  "desk",
-			Zone:     "quay-hall",
-			Stage:    phaseDecode,
-			Deadline: time.Millisecond,
+			At:        day.at(at),
+			Kind:      RequestArrived,
+			AttemptID: "one",
+			Server:    server,
+			Service:   "desk",
+			Zone:      "quay-hall",
+			WorkPhase: phaseDecode,
+			Deadline:  time.Millisecond,
 		}
 	}
-	repeated := func(count int, make func(number int) []Event) []Event {
+	repeated := func(count int, generate func(number int) []Event) []Event {
 		var events []Event
 		for number := range count {
-			events = append(events, make(number)...)
+			events = append(events, generate(number)...)
 		}
 		return events
 	}
@@ -212,36 +218,36 @@
 		"MIXED handles": call(3, func(event *Event) { event.Request = "one" }),
 		"UNASKED":       call(5, func(event *Event) { event.Digest = "other" }),
 		"TWICE": {{
-			At:      day.at(10_100),
-			Kind:    RunStarted,
-			Try:     "one",
-			Server:  "i-other",
-			Service: "desk",
-			Digest:  "digest-one",
-			Seal:    "x",
+			At:        day.at(10_100),
+			Kind:      RunStarted,
+			AttemptID: "one",
+			Server:    "i-other",
+			Service:   "desk",
+			Digest:    "digest-one",
+			Seal:      "x",
 		}},
 		"REFUSED":       call(7, func(event *Event) { event.Status, event.Seal, event.Spans = 503, "", nil }),
 		"ROUTE":         call(5, func(event *Event) { event.Service = "nowhere" }),
-		"DRAIN servers": {again(23_200, "i-old")},
+		"DRAIN servers": {laterArrival(23_200, "i-old")},
 		"DRAIN readiness": {{
 			At:      day.at(40_000),
-			Kind:    MachineTerm,
+			Kind:    MachineTerminated,
 			Machine: "edge-2",
 		}, {
 			At:      day.at(44_500),
-			Kind:    ReadyAsked,
+			Kind:    ReadinessProbed,
 			Machine: "edge-2",
 			Status:  200,
 		}, {
 			At:      day.at(40_000),
-			Kind:    MachineTerm,
+			Kind:    MachineTerminated,
 			Machine: "edge-3",
-		}, {At: day.at(44_500), Kind: ReadyAsked, Machine: "edge-3", Status: 200}},
+		}, {At: day.at(44_500), Kind: ReadinessProbed, Machine: "edge-3", Status: 200}},
 		"LOST": append(call(7, func(event *Event) {
 			event.Status, event.Seal, event.Spans, event.Complete, event.Cause = 200, "seal-four", nil, false, "unexpected EOF"
 		}),
-			Event{At: day.at(29_900), Kind: MachineTerm, Machine: "edge-2", Planned: true}),
-		"CONFIG applied": append(day.call("four", 30_000, "r-verdict", "desk", false),
+			Event{At: day.at(29_900), Kind: MachineTerminated, Machine: "edge-2", Planned: true}),
+		"CONFIG applied": append(day.callEvents("four", 30_000, "r-verdict", "desk", false),
 			Event{
 				At:       day.at(25_000),
 				Kind:     ChangeSent,
@@ -259,12 +265,12 @@
 				Cause:    string(acknowledged),
 			}, Event{At: day.at(90_001), Kind: ReadBack, Revision: 7, Complete: true}),
 		"CONFIG later routes": repeated(25, func(number int) []Event {
-			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-late-1", "desk", true)
+			events := day.callEvents("four-"+strconv.Itoa(number), 30_000+number, "r-late-1", "desk", true)
 			events[7].Status, events[7].Seal, events[7].Spans = 504, "", nil
 			return events
 		}),
-		"CONFIG back": append(append(day.call("four", 25_200, "r-verdict", "annexe", false),
-			day.call("five", 25_800, "r-verdict", "desk", false)...),
+		"CONFIG back": append(append(day.callEvents("four", 25_200, "r-verdict", "annexe", false),
+			day.callEvents("five", 25_800, "r-verdict", "desk", false)...),
 			Event{
 				At:       day.at(25_000),
 				Kind:     ChangeSent,
@@ -281,7 +287,7 @@
 				Base:     5,
 				Cause:    string(acknowledged),
 			}, Event{At: day.at(90_001), Kind: ReadBack, Revision: 7, Complete: true}),
-		"CONFIG refused": day.call("four", 30_000, "r-lost", "desk", false),
+		"CONFIG refused": day.callEvents("four", 30_000, "r-lost", "desk", false),
 		"CONFIG acknowledged": {{
 			At:       day.at(13_000),
 			Kind:     ChangeSent,
@@ -293,58 +299,58 @@
 			{At: day.at(13_020), Kind: ChangeClosed, Change: "d", Revision: 8, Base: 3, Cause: string(acknowledged)}},
 		"CONFIG read back": {{At: day.at(90_010), Kind: ReadBack, Revision: 3, Complete: true}},
 		"CONFIG held": repeated(9, func(number int) []Event {
-			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
+			events := day.callEvents("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
 			events[7].At = day.at(34_000)
 			return events
 		}),
-		"BUDGET": repeated(70, func(number int) []Event { return []Event{again(30_000+number, "i-make")} }),
+		"BUDGET": repeated(70, func(number int) []Event { return []Event{laterArrival(30_000+number, "i-make")} }),
 		"BUDGET servers": repeated(4, func(number int) []Event {
 			name := "four-" + strconv.Itoa(number)
-			another := Event{
-				At:      day.at(30_100 + number),
-				Kind:    RunStarted,
-				Try:     name,
-				Server:  "i-other",
-				Service: "desk",
-				Digest:  "digest-" + name,
-				Seal:    "x",
+			second := Event{
+				At:        day.at(30_100 + number),
+				Kind:      RunStarted,
+				AttemptID: name,
+				Server:    "i-other",
+				Service:   "desk",
+				Digest:    "digest-" + name,
+				Seal:      "x",
 			}
-			third := another
+			third := second
 			third.Server = "i-third"
-			return append(day.call(name, 30_000+number, "r-chat", "desk", true), another, third)
+			return append(day.callEvents(name, 30_000+number, "r-chat", "desk", true), second, third)
 		}),
 		"BUDGET deadline": repeated(21, func(number int) []Event {
-			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
+			events := day.callEvents("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
 			events[4].Deadline = 5 * time.Second
 			return events
 		}),
 		"ORDER": call(7, func(event *Event) { event.Spans[1].From, event.Spans[1].ID, event.Spans[1].To = 4, 4, 4 }),
 		"FAILBACK": repeated(24, func(number int) []Event {
-			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
+			events := day.callEvents("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
 			events[4].Cold = true
 			return events
 		}),
 		"EVAC": {{
-			At:       day.at(26_000),
-			Kind:     Arrived,
-			Try:      "one",
-			Server:   "i-make",
-			Service:  "desk",
-			Zone:     "mill-hall",
-			Stage:    phaseDecode,
-			Deadline: time.Millisecond,
+			At:        day.at(26_000),
+			Kind:      RequestArrived,
+			AttemptID: "one",
+			Server:    "i-make",
+			Service:   "desk",
+			Zone:      "mill-hall",
+			WorkPhase: phaseDecode,
+			Deadline:  time.Millisecond,
 		}},
 		"RECOVER": append(repeated(4, func(number int) []Event {
 			name := "four-" + strconv.Itoa(number)
-			events := day.call(name, 60_000+number, "r-chat", "desk", true)
+			events := day.callEvents(name, 60_000+number, "r-chat", "desk", true)
 			events[7].Status, events[7].Seal, events[7].Spans = 504, "", nil
 			return events
-		}), Event{At: day.at(40_000), Kind: ClosingFault}, Event{At: day.at(41_000), Kind: ClosingBack}),
-		"ONE": {{At: day.at(26_000), Kind: Ordered, Server: "i-read", Owner: "edge-1", FencingToken: 6, Status: 202}},
+		}), Event{At: day.at(40_000), Kind: ClosingFault}, Event{At: day.at(41_000), Kind: ClosingFaultEnded}),
+		"ONE": {{At: day.at(26_000), Kind: OrderReceived, Server: "i-read", Owner: "edge-1", FencingToken: 6, Status: 202}},
 		"GONE": repeated(8, func(number int) []Event {
 			name := "four-" + strconv.Itoa(number)
-			events := day.call(name, 30_000+number, "r-chat", "desk", true)
-			events[7].GaveUp, events[7].Complete, events[7].Cause = true, false, causeLeft
+			events := day.callEvents(name, 30_000+number, "r-chat", "desk", true)
+			events[7].GaveUp, events[7].Complete, events[7].Cause = true, false, causeClientLeft
 			events[6].At = events[7].At.Add(time.Second)
 			return events
 		}),
@@ -358,58 +364,58 @@
 		},
 			{At: day.at(36_000), Kind: ChangeClosed, Change: "d", Revision: 8, Base: 5, Cause: string(unclear)}},
 		"DENIED": repeated(7, func(number int) []Event {
-			events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
+			events := day.callEvents("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
 			events[7].Status, events[7].Seal, events[7].Spans = 404, "", nil
 			return events[:1:1]
 		}),
-		"ENDED": {{At: day.at(30_000), Kind: EndedByItself, Machine: "edge-2", Cause: "courier: exit status 2"}},
+		"ENDED": {{At: day.at(30_000), Kind: ProcessExited, Machine: "edge-2", Cause: "courier: exit status 2"}},
 	}
-	// A denial has no server.
+	// A rejected request has no events of servers.
 	var denied []Event
 	for number := range 7 {
-		events := day.call("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
+		events := day.callEvents("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
 		events[7].Status, events[7].Seal, events[7].Spans = 404, "", nil
 		denied = append(denied, events[0], events[7])
 	}
 	cases["DENIED"] = denied
 	for _, checker := range checkers {
-		seeds, found := cases[checker.name]
+		violating, found := cases[checker.name]
 		if !found {
-			t.Errorf("no violation is seeded for %s", checker.name)
+			t.Errorf("there is no test case for the checker %s", checker.name)
 			continue
 		}
-		verdict := judge(append(day.clean(), seeds...))
+		verdict := verdictOf(append(day.cleanEvents(), violating...))
 		if verdict.Finding(checker.name).Violations == 0 {
-			t.Errorf("%s does not see its violation:\n%s", checker.name, verdict)
+			t.Errorf("%s did not find its violation:\n%s", checker.name, verdict)
 		}
 	}
 }
 
-// TestOutOfTouchMachinesAreNotBoundByTime kills the machine shortly before what would
-// break a rule.
+// TestOutOfTouchMachinesAreNotBoundByTime kills a machine shortly before an event that would break a
+// time limit if the machine were in contact, and checks that the event counts as no violation.
 func TestOutOfTouchMachinesAreNotBoundByTime(t *testing.T) {
-	day := seeded{start: time.Unix(1_700_000_000, 0)}
-	events := append(day.clean(),
+	day := seededDay{start: time.Unix(1_700_000_000, 0)}
+	events := append(day.cleanEvents(),
 		Event{
-			At:       day.at(23_200),
-			Kind:     Arrived,
-			Try:      "one",
-			Server:   "i-old",
-			Service:  "desk",
-			Zone:     "quay-hall",
-			Stage:    phaseDecode,
-			Deadline: time.Millisecond,
+			At:        day.at(23_200),
+			Kind:      RequestArrived,
+			AttemptID: "one",
+			Server:    "i-old",
+			Service:   "desk",
+			Zone:      "quay-hall",
+			WorkPhase: phaseDecode,
+			Deadline:  time.Millisecond,
 		},
 		Event{
 			At:      day.at(22_000),
 			Kind:    MachineKilled,
 			Machine: "edge-2",
 		}, Event{At: day.at(22_500), Kind: MachineUp, Machine: "edge-2"})
-	book := &EventLog{}
+	log := &EventLog{}
 	for _, event := range events {
-		book.Append(event)
+		log.Append(event)
 	}
-	if finding := Judge(book.Events(), SmallSite()).Finding("DRAIN servers"); finding.Violations != 0 || finding.Looked == 0 {
-		t.Errorf("%+v", finding)
+	if finding := CheckEvents(log.Events(), SmallSite()).Finding("DRAIN servers"); finding.Violations != 0 || finding.Checked == 0 {
+		t.Errorf("got %+v, want events checked without violations", finding)
 	}
 }
--- a/internal/testbed/replay/clients.go
+++ b/internal/testbed/replay/clients.go
@@ -8,67 +8,70 @@
 	"time"
 )
 
-// Clients send requests at a steady seeded rate, whatever becomes of them.
+// Clients send requests at random moments with a fixed average rate, drawn from a seed. The rate
+// doesn't depend on the responses.
 type Clients struct {
 	events   *EventLog
 	site     Site
 	balancer *Balancer
 	clients  []*client
-	waiting  sync.WaitGroup
+	inFlight sync.WaitGroup
 
-	mutex  sync.Mutex
-	random *rand.Rand
-	times  float64
-	bursts string
-	abuses bool
+	mutex      sync.Mutex
+	random     *rand.Rand
+	loadFactor float64
+	burstClass string
+	retryAbuse bool
 }
 
-// client is one of them: it keeps connections, or opens a new one for each try.
+// client is one client of a zone.
 type client struct {
 	zone   string
 	number int
-	keeps  bool
-	mutex  sync.Mutex
-	rest   []*conn
+	// keepAlive means that the client reuses idle connections; otherwise it opens a new connection
+	// for each attempt.
+	keepAlive bool
+	mutex     sync.Mutex
+	idle      []*conn
 }
 
 func newClients(events *EventLog, site Site, balancer *Balancer, seed uint64) *Clients {
-	clients := &Clients{events: events, site: site, balancer: balancer, random: rand.New(rand.NewPCG(seed, 3)), times: 1}
+	clients := &Clients{events: events, site: site, balancer: balancer, random: rand.New(rand.NewPCG(seed, 3)), loadFactor: 1}
 	for _, zone := range site.Zones {
 		for number := range site.Clients {
 			clients.clients = append(clients.clients, &client{
-				zone:   zone,
-				number: len(clients.clients)*7919 + number,
-				keeps:  number%3 != 0,
+				zone:      zone,
+				number:    len(clients.clients)*7919 + number,
+				keepAlive: number%3 != 0,
 			})
 		}
 	}
 	return clients
 }
 
-// press multiplies the traffic of a kind of request, or of all.
-func (c *Clients) press(class string, times float64) {
+// setLoad multiplies the traffic of a class of requests, or of all classes if class is empty.
+func (c *Clients) setLoad(class string, factor float64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.bursts, c.times = class, times
+	c.burstClass, c.loadFactor = class, factor
 }
 
-// abuse has clients try again at once and often, or end that.
-func (c *Clients) abuse(on bool) {
+// setRetryAbuse sets whether clients retry immediately and often.
+func (c *Clients) setRetryAbuse(on bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.abuses = on
+	c.retryAbuse = on
 }
 
-// next draws the pause until the next request, and that request and its client.
-func (c *Clients) next() (time.Duration, *request, *client) {
+// nextRequest draws the next request, the pause before it, and the client that sends it.
+func (c *Clients) nextRequest() (time.Duration, *request, *client) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	total, shares := 0.0, make([]float64, len(c.site.Classes))
 	for position, class := range c.site.Classes {
 		shares[position] = class.Share
-		if c.bursts == class.Name || c.bursts == "" {
-			shares[position] *= c.times
+		if c.burstClass == class.Name || c.burstClass == "" {
+			shares[position] *= c.loadFactor
 		}
 		total += shares[position]
 	}
@@ -80,7 +83,7 @@
 		}
 	}
 	class := c.site.Classes[chosen]
-	if c.abuses {
+	if c.retryAbuse {
 		class.Retries = 6
 	}
 	gap := time.Duration(c.random.ExpFloat64() / (c.site.Rate * total) * float64(time.Second))
@@ -89,53 +92,54 @@
 	return gap, newRequest(class, route, rule, c.random), c.clients[c.random.IntN(len(c.clients))]
 }
 
-// run sends requests until the lifetime ends, then waits for their answers.
+// run sends requests until the lifetime ends, then waits for their responses.
 func (c *Clients) run(lifetime context.Context) {
-	defer c.waiting.Wait()
+	defer c.inFlight.Wait()
 	for {
-		gap, one, sender := c.next()
+		gap, req, sender := c.nextRequest()
 		if !sleep(lifetime, min(gap, time.Second)) {
 			return
 		}
-		one.began = time.Now()
-		c.waiting.Go(func() { c.runClient(one, sender) })
+		req.began = time.Now()
+		c.inFlight.Go(func() { c.runRequest(req, sender) })
 	}
 }
 
-// runClient sends a request and, as clients do, tries again on a new connection.
-func (c *Clients) runClient(one *request, sender *client) {
-	behind := 0
+// runRequest sends a request and retries it on new connections as the class of the request allows.
+func (c *Clients) runRequest(req *request, sender *client) {
+	lastEventID := 0
 	for number := 0; ; number++ {
-		if one.left() <= 0 {
+		if req.timeLeft() <= 0 {
 			return
 		}
-		connection, err := c.connection(one, sender, number)
-		var again *attempt
+		connection, err := c.connection(req, sender, number)
+		var last *attempt
 		if err != nil {
 			c.events.Append(Event{
-				Kind:       TryEnded,
-				Request:    one.id,
-				Class:      one.class.Name,
-				Route:      one.route,
+				Kind:       AttemptEnded,
+				Request:    req.id,
+				Class:      req.class.Name,
+				Route:      req.route,
 				Number:     number,
-				Idempotent: one.class.repeats(),
-				Aim:        one.class.Aim,
-				Began:      one.began,
-				Cause:      "no circuit: " + err.Error(),
+				Idempotent: req.class.mayRepeat(),
+				Target:     req.class.Target,
+				Began:      req.began,
+				Cause:      "no connection: " + err.Error(),
 			})
-			again = &attempt{r: one, notRead: true}
+			last = &attempt{request: req, notRead: true}
 		} else {
-			again = one.send(connection, number, behind, c.events)
-			c.rest(sender, connection, again)
+			last = req.send(connection, number, lastEventID, c.events)
+			c.releaseConnection(sender, connection, last)
 		}
-		if spans := again.event.Spans; len(spans) > 0 && one.class.Resumable {
-			behind = spans[len(spans)-1].To
+		if spans := last.event.Spans; len(spans) > 0 && req.class.Resumable {
+			lastEventID = spans[len(spans)-1].To
 		}
-		wait, comes := again.retries()
-		if !comes || number >= one.class.Retries {
+		wait, retry := last.retryDelay()
+		if !retry || number >= req.class.Retries {
 			return
 		}
-		if one.class.Retries > 3 {
+		// Only clients that abuse retries have more than three of them.
+		if req.class.Retries > 3 {
 			wait = 5 * time.Millisecond
 		}
 		if !sleep(context.Background(), wait) {
@@ -144,51 +148,53 @@
 	}
 }
 
-// retries tells whether, and after which pause, a client tries again.
-func (a *attempt) retries() (time.Duration, bool) {
-	event, usual := a.event, 60*time.Millisecond
+// retryDelay returns the pause before the client retries, and whether it retries at all.
+func (a *attempt) retryDelay() (time.Duration, bool) {
+	event, usualDelay := a.event, 60*time.Millisecond
 	switch event.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		return max(usual, min(a.retry, a.r.left()/3)), true
-	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
+		return max(usualDelay, min(a.retryAfter, a.request.timeLeft()/3)), true
+	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusRequestEntityTooLarge,
+		http.StatusRequestHeaderFieldsTooLarge:
 		return 0, false
 	}
 	switch {
-	case event.Status/100 == 2 && event.Complete, event.Cause == causeLeft:
+	case event.Status/100 == 2 && event.Complete, event.Cause == causeClientLeft:
 		return 0, false
 	case a.notRead:
-		return usual, true
+		return usualDelay, true
 	}
-	return usual, a.r.class.repeats()
+	return usualDelay, a.request.class.mayRepeat()
 }
 
-// connection takes up a resting connection, or opens one to a machine of the client's zone: a
-// hash of the client picks it, and retries meet other machines.
-func (c *Clients) connection(one *request, sender *client, number int) (*conn, error) {
+// connection returns an idle connection for a first attempt, or opens one to a machine that
+// accepts the client's zone. The number of the client picks the machine; retries avoid machines
+// that the request has tried.
+func (c *Clients) connection(req *request, sender *client, number int) (*conn, error) {
 	if number == 0 {
 		for {
-			connection := sender.take()
+			connection := sender.takeIdle()
 			if connection == nil {
 				break
 			}
-			open, stray := connection.quiet()
+			open, stray := connection.checkIdle()
 			if stray {
 				c.events.Append(Event{Kind: StrayBytes, Machine: connection.machine})
 			}
 			if open {
-				one.machines[connection.machine] = true
+				req.triedMachines[connection.machine] = true
 				return connection, nil
 			}
 			_ = connection.Close()
 		}
 	}
-	targets := c.balancer.taking(sender.zone)
+	targets := c.balancer.accepting(sender.zone)
 	if len(targets) == 0 {
 		return nil, errNoMachine
 	}
 	to := targets[sender.number%len(targets)]
 	for offset := range targets {
-		if other := targets[(sender.number+offset)%len(targets)]; !one.machines[other.machine] {
+		if other := targets[(sender.number+offset)%len(targets)]; !req.triedMachines[other.machine] {
 			to = other
 			break
 		}
@@ -196,16 +202,18 @@
 	if number == 0 {
 		to = targets[sender.number%len(targets)]
 	}
-	one.machines[to.machine] = true
+	req.triedMachines[to.machine] = true
 	return dial(to)
 }
 
-func (c *client) take() *conn {
+// takeIdle removes and returns the newest idle connection that may be reused, or nil if there is
+// none.
+func (c *client) takeIdle() *conn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for len(c.rest) > 0 {
-		connection := c.rest[len(c.rest)-1]
-		c.rest = c.rest[:len(c.rest)-1]
+	for len(c.idle) > 0 {
+		connection := c.idle[len(c.idle)-1]
+		c.idle = c.idle[:len(c.idle)-1]
 		if time.Now().Before(connection.reusableUntil) {
 			return connection
 		}
@@ -214,44 +222,44 @@
 	return nil
 }
 
-// rest keeps a connection for the next request, or closes it.
-func (c *Clients) rest(sender *client, connection *conn, last *attempt) {
-	if !last.keeps || !sender.keeps {
+// releaseConnection keeps a connection for the next request, or closes it.
+func (c *Clients) releaseConnection(sender *client, connection *conn, last *attempt) {
+	if !last.keepAlive || !sender.keepAlive {
 		_ = connection.Close()
 		return
 	}
 	_ = connection.SetDeadline(time.Time{})
 	sender.mutex.Lock()
 	defer sender.mutex.Unlock()
-	sender.rest = append(sender.rest, connection)
+	sender.idle = append(sender.idle, connection)
 }
 
-// probe sends a request on a route straight to a machine, to see which configuration is
-// in force there.
+// probe sends a request on a route directly to a machine, to observe which configuration the
+// machine applies.
 func (c *Clients) probe(to target, route string, rule RouteRule) {
 	class := c.site.classOf(rule.Class)
-	class.Shared, class.OwnTokens, class.MostTokens, class.BodyBytes, class.Deadline = nil, 60, 2, 200, 2*time.Second
+	class.Shared, class.OwnTokens, class.MaxTokens, class.BodyBytes, class.Deadline = nil, 60, 2, 200, 2*time.Second
 	c.mutex.Lock()
-	one := newRequest(class, route, rule, c.random)
+	req := newRequest(class, route, rule, c.random)
 	c.mutex.Unlock()
-	one.probe, one.leaves = true, false
+	req.probe, req.leavesEarly = true, false
 	connection, err := dial(to)
 	if err != nil {
 		return
 	}
 	defer func() { _ = connection.Close() }()
-	one.send(connection, 0, 0, c.events)
+	req.send(connection, 0, 0, c.events)
 }
 
-// close closes what rests.
+// close closes the idle connections, and records bytes that arrived on them.
 func (c *Clients) close() {
 	for _, sender := range c.clients {
 		for {
-			connection := sender.take()
+			connection := sender.takeIdle()
 			if connection == nil {
 				break
 			}
-			if _, stray := connection.quiet(); stray {
+			if _, stray := connection.checkIdle(); stray {
 				c.events.Append(Event{Kind: StrayBytes, Machine: connection.machine})
 			}
 			_ = connection.Close()
--- a/internal/testbed/replay/connection.go
+++ b/internal/testbed/replay/connection.go
@@ -11,26 +11,27 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// conn is a client's connection to a machine. One request at a time uses it.
+// conn is a client's connection to a machine. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader  *bufio.Reader
 	machine string
-	// rests is until when the client may take it up again.
+	// reusableUntil is the time until which the client may reuse the idle connection.
 	reusableUntil time.Time
 }
 
-// dial connects to a machine; it gets a second to come up.
+// dial connects to a machine within a second.
 func dial(to target) (*conn, error) {
-	connection, err := net.DialTimeout("tcp", to.front, time.Second)
+	connection, err := net.DialTimeout("tcp", to.frontAddress, time.Second)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
 	}
 	return &conn{Conn: connection, reader: bufio.NewReaderSize(connection, 4096), machine: to.machine}, nil
 }
 
-// quiet tells whether nothing came on a resting connection: stray is true when bytes did.
-func (c *conn) quiet() (open, stray bool) {
+// checkIdle reports whether an idle connection is still open, and whether stray bytes arrived on
+// it. A connection with stray bytes counts as not open.
+func (c *conn) checkIdle() (open, stray bool) {
 	if c.reader.Buffered() > 0 {
 		return false, true
 	}
@@ -43,4 +44,4 @@
 	return errors.Is(err, os.ErrDeadlineExceeded), false
 }
 
-var errNoMachine = failure.New(failure.Unreachable, "no machine takes clients")
+var errNoMachine = failure.New(failure.Unreachable, "no machine accepts clients")
--- a/internal/testbed/replay/contact.go
+++ b/internal/testbed/replay/contact.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// contact tells which machines were in touch when: undisturbed for a time, with the core
-// settled for as long.
+// contact determines when a machine was in contact: neither the machine nor the core was disturbed
+// for the contact time. The time limits of the rules apply only to machines in contact.
 type contact struct {
-	length   time.Duration
-	machines map[string][]Event
-	core     []Event
-	size     int
-	closed   time.Time
+	contactTime    time.Duration
+	machines       map[string][]Event
+	core           []Event
+	size           int
+	closingFaultAt time.Time
 }
 
-var disturbing = map[EventKind]bool{
-	MachineUp:     true,
-	MachineKilled: true,
-	MachineTerm:   true,
-	MachineFrozen: true,
-	MachineThawed: true,
-	MachineGone:   true,
-	EndedByItself: true,
+// disturbingKinds are the events that disturb a machine.
+var disturbingKinds = map[EventKind]bool{
+	MachineUp:         true,
+	MachineKilled:     true,
+	MachineTerminated: true,
+	MachineFrozen:     true,
+	MachineResumed:    true,
+	MachineRemoved:    true,
+	ProcessExited:     true,
 }
 
-func newContact(events []Event, length time.Duration) *contact {
-	c := &contact{length: length, machines: map[string][]Event{}}
+// newContact collects the events that disturb machines. The events must be in the order of time.
+func newContact(events []Event, contactTime time.Duration) *contact {
+	c := &contact{contactTime: contactTime, machines: map[string][]Event{}}
 	members := map[string]bool{}
 	for _, event := range events {
 		if event.Kind == ClosingFault {
-			c.closed = event.At
+			c.closingFaultAt = event.At
 		}
-		if !disturbing[event.Kind] {
+		if !disturbingKinds[event.Kind] {
 			continue
 		}
-		// A process that ends by itself counts as running all the while.
-		if event.Kind == EndedByItself {
+		// A process that exits by itself counts as running without a break.
+		if event.Kind == ProcessExited {
 			continue
 		}
 		c.machines[event.Machine] = append(c.machines[event.Machine], event)
@@ -49,34 +51,37 @@
 	return c
 }
 
-// before is the last of some events that happened by a moment, by its place; -1 is none.
-func before(events []Event, at time.Time) int {
+// lastBefore returns the index of the last event that happened by a moment, or -1 if there is none.
+// The events must be in the order of time.
+func lastBefore(events []Event, at time.Time) int {
 	return sort.Search(len(events), func(position int) bool { return events[position].At.After(at) }) - 1
 }
 
+// running reports whether the processes of a machine run after the event.
 func (c *contact) running(event Event) bool {
-	return event.Kind == MachineUp || event.Kind == MachineThawed
+	return event.Kind == MachineUp || event.Kind == MachineResumed
 }
 
-// calm tells whether a machine's processes ran undisturbed for the time of contact.
-func (c *contact) calm(machine string, at time.Time) bool {
+// undisturbed reports whether a machine's processes had been running undisturbed for the contact
+// time.
+func (c *contact) undisturbed(machine string, at time.Time) bool {
 	events := c.machines[machine]
-	last := before(events, at)
-	return last >= 0 && c.running(events[last]) && at.Sub(events[last].At) >= c.length
+	last := lastBefore(events, at)
+	return last >= 0 && c.running(events[last]) && at.Sub(events[last].At) >= c.contactTime
 }
 
-// settled tells whether more than half of the core runs and nothing was done to it for
-// the time of contact, twice that after a closing fault.
-func (c *contact) settled(at time.Time) bool {
-	last := before(c.core, at)
+// coreStable reports whether more than half of the core runs and the core was not disturbed for
+// the contact time, or twice the contact time after a closing fault.
+func (c *contact) coreStable(at time.Time) bool {
+	last := lastBefore(c.core, at)
 	if last < 0 {
 		return true
 	}
-	length := c.length
-	if !c.closed.IsZero() && at.After(c.closed) {
-		length *= 2
+	required := c.contactTime
+	if !c.closingFaultAt.IsZero() && at.After(c.closingFaultAt) {
+		required *= 2
 	}
-	if at.Sub(c.core[last].At) < length {
+	if at.Sub(c.core[last].At) < required {
 		return false
 	}
 	state := map[string]Event{}
@@ -85,7 +90,7 @@
 	}
 	up, members := 0, 0
 	for _, event := range state {
-		if event.Kind == MachineGone {
+		if event.Kind == MachineRemoved {
 			continue
 		}
 		members++
@@ -96,22 +101,23 @@
 	return up*2 > members
 }
 
-// inTouch tells whether a machine is bound by the rules' bounds of time at a moment.
-func (c *contact) inTouch(machine string, at time.Time) bool {
-	return c.calm(machine, at) && c.settled(at)
+// inContact reports whether a machine was in contact at a moment. If so, the time limits of the rules
+// apply to the machine.
+func (c *contact) inContact(machine string, at time.Time) bool {
+	return c.undisturbed(machine, at) && c.coreStable(at)
 }
 
-// unplanned tells whether anything but planned work was done to a machine, or to the
-// core, in a span.
+// unplanned reports whether a machine or the core was disturbed between two moments by an event
+// other than a planned stop and the start after a planned stop.
 func (c *contact) unplanned(machine string, from, to time.Time) bool {
 	planned := map[string]bool{}
 	for _, events := range [][]Event{c.machines[machine], c.core} {
 		for _, event := range events {
-			if event.Kind == MachineTerm {
+			if event.Kind == MachineTerminated {
 				planned[event.Machine] = true
 			}
-			start := event.Kind == MachineUp && planned[event.Machine]
-			if event.Kind != MachineTerm && !start && !event.At.Before(from) && !event.At.After(to) {
+			plannedStart := event.Kind == MachineUp && planned[event.Machine]
+			if event.Kind != MachineTerminated && !plannedStart && !event.At.Before(from) && !event.At.After(to) {
 				return true
 			}
 		}
@@ -119,7 +125,7 @@
 	return false
 }
 
-// incarnation numbers the incarnations of a machine's processes.
+// incarnation returns how often a machine's processes had been started by a moment.
 func (c *contact) incarnation(machine string, at time.Time) int {
 	incarnation := 0
 	for _, event := range c.machines[machine] {
--- a/internal/testbed/replay/day.go
+++ b/internal/testbed/replay/day.go
@@ -14,7 +14,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Day is a whole deployment on this computer, through one day.
+// Day runs a whole deployment on this computer through one simulated day.
 type Day struct {
 	Site       Site
 	Events     *EventLog
@@ -31,25 +31,26 @@
 	ports        ports
 	seed         uint64
 	lifetime     context.Context
-	end          context.CancelFunc
+	cancel       context.CancelFunc
 
 	mutex    sync.Mutex
 	machines []*Machine
 	random   *rand.Rand
-	// coreAway is when the last machine of the core was taken away, and coreBack when it
-	// came back.
-	coreTurn sync.Mutex
+	// coreLoss is locked while a machine of the core is away; coreBack is the time when the last
+	// such machine came back.
+	coreLoss sync.Mutex
 	coreBack time.Time
 	began    time.Time
 }
 
-// NewDay lays out a deployment; nothing of the product runs yet. What its processes write
-// goes into a folder.
+// NewDay prepares a deployment. It starts the model servers and the server list, but no process
+// of the product. The settings, logs and data of the processes go into the folder, which must not
+// contain the files of another day.
 func NewDay(site Site, roles []Role, seed uint64, folder string, log io.Writer) (*Day, error) {
-	if left, _ := filepath.Glob(filepath.Join(folder, "edge-*")); len(left) > 0 {
-		return nil, failure.New(failure.Contradictory, folder+" holds the disks of another day")
+	if leftovers, _ := filepath.Glob(filepath.Join(folder, "edge-*")); len(leftovers) > 0 {
+		return nil, failure.New(failure.Contradictory, folder+" contains the machine folders of another day")
 	}
-	a, p, err := takeAddresses()
+	addresses, dayPorts, err := reserveAddresses()
 	if err != nil {
 		return nil, err
 	}
@@ -59,48 +60,48 @@
 		roles:        roles,
 		folder:       folder,
 		log:          log,
-		addressRange: a,
-		ports:        p,
+		addressRange: addresses,
+		ports:        dayPorts,
 		seed:         seed,
 		random:       rand.New(rand.NewPCG(seed, 1)),
 	}
-	day.lifetime, day.end = context.WithCancel(context.Background())
+	day.lifetime, day.cancel = context.WithCancel(context.Background())
 	if day.ServerPool, err = startServerPool(day.Events, site, seed,
-		func() string { return a.address() + ":" + p.server }); err != nil {
+		func() string { return addresses.nextAddress() + ":" + dayPorts.server }); err != nil {
 		return nil, err
 	}
-	if day.Directory, err = startDirectory(day.Events, day.ServerPool, site, a.address()+":"+p.list); err != nil {
+	if day.Directory, err = startDirectory(day.Events, day.ServerPool, site, addresses.nextAddress()+":"+dayPorts.list); err != nil {
 		return nil, err
 	}
 	day.Balancer = newBalancer(day.Events)
 	day.Clients = newClients(day.Events, site, day.Balancer, seed)
 	day.Operators = newOperators(day, seed)
 	for _, zone := range site.Zones {
-		for place := range 1 + site.Plain {
-			day.layOut(zone, place, place == 0)
+		for place := range 1 + site.PlainMachines {
+			day.addMachine(zone, place, place == 0)
 		}
 	}
-	seeds := day.controls(0)
+	seeds := day.controlAddresses(0)
 	seeds = seeds[:min(seedCount, len(seeds))]
 	for _, machine := range day.all() {
-		machine.seeds, machine.first = seeds, true
+		machine.seeds, machine.bootstrap = seeds, true
 	}
 	return day, nil
 }
 
-// layOut adds a machine to the deployment; it does not start it.
-func (day *Day) layOut(zone string, place int, core bool) *Machine {
+// addMachine adds a machine to the deployment without starting it.
+func (day *Day) addMachine(zone string, place int, core bool) *Machine {
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
 	machine := &Machine{
 		Name: "edge-" + zone + "-" + strconv.Itoa(len(day.machines)+1),
 		Zone: zone,
-		IP:   day.addressRange.address(),
+		IP:   day.addressRange.nextAddress(),
 		day:  day,
 	}
 	machine.folder = filepath.Join(day.folder, machine.Name)
 	for _, role := range day.roles {
-		if role.on(place, 1+day.Site.Plain) {
+		if role.runsOn(place, 1+day.Site.PlainMachines) {
 			machine.roles = append(machine.roles, role)
 			machine.processes = append(machine.processes, &process{machine: machine, role: role})
 		}
@@ -110,14 +111,14 @@
 	return machine
 }
 
-// all lists the machines that are not gone for good.
+// all lists the machines that have not been removed.
 func (day *Day) all() []*Machine {
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
 	var machines []*Machine
 	for _, machine := range day.machines {
 		machine.mutex.Lock()
-		if !machine.gone {
+		if !machine.removed {
 			machines = append(machines, machine)
 		}
 		machine.mutex.Unlock()
@@ -125,31 +126,32 @@
 	return machines
 }
 
-// core lists the machines with a disk that serve control.
-func (day *Day) core() []*Machine {
+// coreMachines lists the machines with a disk that serve the control plane.
+func (day *Day) coreMachines() []*Machine {
 	return slices.DeleteFunc(day.all(), func(machine *Machine) bool { return !machine.Core })
 }
 
-// controls lists where control is served, as the operators' list had it a lag ago.
-func (day *Day) controls(lag time.Duration) []string {
+// controlAddresses lists the addresses of the control plane that were on the operators' list the
+// given time ago.
+func (day *Day) controlAddresses(age time.Duration) []string {
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
 	var addresses []string
-	then := time.Now().Add(-lag)
+	listedBy := time.Now().Add(-age)
 	for _, machine := range day.machines {
 		machine.mutex.Lock()
-		if machine.serves("control") && !machine.listed.After(then) && (!machine.gone || machine.unlisted.After(then)) {
-			addresses = append(addresses, machine.control())
+		if machine.serves("control") && !machine.listedAt.After(listedBy) && (!machine.removed || machine.unlistedAt.After(listedBy)) {
+			addresses = append(addresses, machine.controlAddress())
 		}
 		machine.mutex.Unlock()
 	}
 	return addresses
 }
 
-// machineAt finds the machine whose control address that is.
+// machineAt returns the machine with a control plane address, or nil if there is none.
 func (day *Day) machineAt(control string) *Machine {
 	for _, machine := range day.all() {
-		if machine.control() == control {
+		if machine.controlAddress() == control {
 			return machine
 		}
 	}
@@ -157,43 +159,44 @@
 }
 
 // Begin starts every machine, has the operators send the first configuration until it is
-// taken, and waits until all machines are ready.
-func (day *Day) Begin(patience time.Duration) error {
+// acknowledged, and waits until all machines are ready.
+func (day *Day) Begin(timeout time.Duration) error {
 	for _, machine := range day.all() {
-		if err := machine.up(); err != nil {
+		if err := machine.startProcesses(); err != nil {
 			return err
 		}
 		if machine.serves("edge") {
-			day.Balancer.open(machine.target())
+			day.Balancer.add(machine.target())
 		}
 	}
 	began := time.Now()
-	waiting, end := context.WithTimeout(day.lifetime, patience)
-	defer end()
+	deadline, cancel := context.WithTimeout(day.lifetime, timeout)
+	defer cancel()
 	first := FirstVersion(day.Site)
-	if given := day.Operators.propose(waiting, Version{}, first, false, false, nil); given.outcome != acknowledged {
+	if reply := day.Operators.propose(deadline, Version{}, first, false, false, nil); reply.outcome != acknowledged {
 		return failure.New(failure.Unreachable,
-			fmt.Sprintf("the first configuration was never acknowledged: %s %d", given.outcome, given.status))
+			fmt.Sprintf("the first configuration was never acknowledged: %s %d", reply.outcome, reply.status))
 	}
-	taken := time.Since(began)
+	acknowledgedAfter := time.Since(began)
 	for len(day.Balancer.all()) > 0 && !day.Balancer.allReady() {
-		if !sleep(waiting, 50*time.Millisecond) {
-			return failure.New(failure.Unreachable, "not all machines are ready in "+patience.String())
+		if !sleep(deadline, 50*time.Millisecond) {
+			return failure.New(failure.Unreachable, "not all machines were ready within "+timeout.String())
 		}
 	}
-	day.logf("the first configuration was taken after %s, all were ready after %s", taken.Round(time.Millisecond),
+	day.logf("the first configuration was acknowledged after %s, all machines were ready after %s", acknowledgedAfter.Round(time.Millisecond),
 		time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
+// logf writes a line to the log of the day.
 func (day *Day) logf(format string, values ...any) {
 	if day.log != nil {
 		_, _ = fmt.Fprintf(day.log, format+"\n", values...)
 	}
 }
 
-// Run plays a plan: traffic, its faults, its closing fault, and the reading at its end.
-// It gives the verdict.
+// Run runs a plan: the traffic, the faults and the closing fault. At the end it reads the
+// configuration and returns the verdict.
 func (day *Day) Run(plan Plan) Verdict {
 	if plan.Rate > 0 {
 		day.Clients.site.Rate = plan.Rate
@@ -210,14 +213,14 @@
 			if sleep(traffic, seconds(fault.At)) {
 				day.logf("%6.1f s  %s %s", time.Since(day.began).Seconds(), fault.Kind, fault.How)
 				day.Events.Append(Event{Kind: FaultBegan, Cause: fault.Kind + " " + fault.How})
-				faultBodies[fault.Kind](day, traffic, fault)
+				faultActions[fault.Kind](day, traffic, fault)
 			}
 		})
 	}
-	// What lasts longer than the day, such as an evacuation, lasts through its closing fault.
+	// A fault that lasts longer than the day, such as an evacuation, continues through the closing fault.
 	sleep(traffic, seconds(plan.Length))
 	if plan.Closing != nil {
-		day.close(traffic, *plan.Closing)
+		day.runClosingFault(traffic, *plan.Closing)
 		sleep(traffic, day.Site.Terms.Recovery+3*time.Second)
 	}
 	stop()
@@ -225,45 +228,45 @@
 	running.Wait()
 	day.Clients.close()
 	day.Operators.readBack(day.lifetime)
-	return Judge(day.Events.Events(), day.Site)
+	return CheckEvents(day.Events.Events(), day.Site)
 }
 
-// probe asks for the watched routes, one after another, straight at each machine that
-// takes clients.
+// probe sends requests directly to each machine that accepts clients. Each round uses the next one
+// of the watched routes and r-never, a route that no configuration has.
 func (day *Day) probe(lifetime context.Context) {
-	turn := 0
+	round := 0
 	for sleep(lifetime, 700*time.Millisecond) {
-		watched := day.Operators.watchList()
+		watched := day.Operators.watchedRoutes()
 		watched["r-never"] = RouteRule{Host: "never.example", Prefix: "/never/", Class: day.Site.Classes[0].Name}
 		names := make([]string, 0, len(watched))
 		for name := range watched {
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		turn++
-		var probing sync.WaitGroup
-		for _, to := range day.Balancer.taking("") {
-			name := names[turn%len(names)]
-			probing.Go(func() { day.Clients.probe(to, name, watched[name]) })
+		round++
+		var probes sync.WaitGroup
+		for _, to := range day.Balancer.accepting("") {
+			name := names[round%len(names)]
+			probes.Go(func() { day.Clients.probe(to, name, watched[name]) })
 		}
-		probing.Wait()
+		probes.Wait()
 	}
 }
 
-// Close ends everything that this day started.
+// Close ends all processes, servers and listeners that the day started.
 func (day *Day) Close() {
 	for _, machine := range day.all() {
 		for _, p := range machine.processes {
 			p.kill()
 		}
 	}
-	day.end()
+	day.cancel()
 	day.Directory.close()
 	day.ServerPool.close()
 	_ = day.addressRange.reserved.Close()
 }
 
-// Crashed names the processes whose logs hold a panic or a race.
+// Crashed lists the processes whose logs report a panic or a data race.
 func (day *Day) Crashed() []string {
 	var names []string
 	day.mutex.Lock()
@@ -278,41 +281,41 @@
 	return names
 }
 
-// Logs gives the last lines of every process's log.
+// Logs returns the last lines of every process's log by machine and role.
 func (day *Day) Logs(lines int) map[string]string {
 	logs := map[string]string{}
 	day.mutex.Lock()
 	defer day.mutex.Unlock()
 	for _, machine := range day.machines {
 		for _, p := range machine.processes {
-			logs[machine.Name+"/"+p.role.Name] = lastLines(p.logged(), lines)
+			logs[machine.Name+"/"+p.role.Name] = lastLines(p.readLog(), lines)
 		}
 	}
 	return logs
 }
 
-// Running is one process of a day: its machine, its role, and its number.
+// Running is one running process of a day: its machine, its role, and its process ID.
 type Running struct {
-	Machine string
-	Role    string
-	Number  int
+	Machine   string
+	Role      string
+	ProcessID int
 }
 
-// Running lists the processes of all machines that have not ended.
+// Running lists the running processes of all machines.
 func (day *Day) Running() []Running {
 	var running []Running
 	for _, machine := range day.all() {
 		for _, p := range machine.processes {
 			p.mutex.Lock()
-			c, ended := p.command, p.ended
+			cmd, ended := p.command, p.ended
 			p.mutex.Unlock()
-			if c == nil {
+			if cmd == nil {
 				continue
 			}
 			select {
 			case <-ended:
 			default:
-				running = append(running, Running{Machine: machine.Name, Role: p.role.Name, Number: c.Process.Pid})
+				running = append(running, Running{Machine: machine.Name, Role: p.role.Name, ProcessID: cmd.Process.Pid})
 			}
 		}
 	}
--- a/internal/testbed/replay/directory.go
+++ b/internal/testbed/replay/directory.go
@@ -15,28 +15,29 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// directoryBeat is how often the directory snapshots at the servers; listPage how many one
-// page of the list holds.
+// snapshotInterval is the interval at which the directory records the servers, and listPageSize
+// the number of servers on one page of the list.
 const (
-	directoryBeat = 100 * time.Millisecond
-	listPage      = 4
+	snapshotInterval = 100 * time.Millisecond
+	listPageSize     = 4
 )
 
-// serverPage is an entry of the list.
-type serverPage struct {
-	ID       string      `json:"id"`
-	Backend  string      `json:"backend"`
-	Address  string      `json:"address"`
-	Zone     string      `json:"zone"`
-	Revision string      `json:"revision"`
-	Slots    int         `json:"slots"`
-	State    string      `json:"state"`
-	ColdLeft int64       `json:"coldLeftMs"`
-	Phase    string      `json:"phase,omitempty"`
-	ModelIDs []modelPage `json:"modelIds,omitempty"`
+// serverEntry is an entry of the list.
+type serverEntry struct {
+	ID            string       `json:"id"`
+	Backend       string       `json:"backend"`
+	Address       string       `json:"address"`
+	Zone          string       `json:"zone"`
+	Revision      string       `json:"revision"`
+	Slots         int          `json:"slots"`
+	State         string       `json:"state"`
+	ColdRemaining int64        `json:"coldLeftMs"`
+	Phase         string       `json:"phase,omitempty"`
+	ModelIDs      []modelEntry `json:"modelIds,omitempty"`
 }
 
-// Directory is the platform's list of servers, which is some time behind.
+// Directory serves the platform's list of servers, which lags behind the servers' state by the list
+// lag.
 type Directory struct {
 	Address string
 
@@ -44,21 +45,22 @@
 	pool   *ServerPool
 	site   Site
 	http   *http.Server
-	end    context.CancelFunc
+	cancel context.CancelFunc
 
-	mutex     sync.Mutex
-	snapshots []snapshot
-	asked     []time.Time
+	mutex       sync.Mutex
+	snapshots   []snapshot
+	recentReads []time.Time
 }
 
-// snapshot is what the directory saw at one moment.
+// snapshot holds the list of servers at one moment.
 type snapshot struct {
 	at      time.Time
-	servers []serverPage
+	servers []serverEntry
+	// crashed holds the listed servers that have crashed, and when each was first found missing.
 	crashed map[string]time.Time
 }
 
-// startDirectory begins the list at an address.
+// startDirectory starts serving the list at an address.
 func startDirectory(events *EventLog, pool *ServerPool, site Site, address string) (*Directory, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -69,101 +71,102 @@
 	mux.HandleFunc(pat.Get(pathServers), directory.list)
 	directory.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	var lifetime context.Context
-	lifetime, directory.end = context.WithCancel(context.Background())
+	lifetime, directory.cancel = context.WithCancel(context.Background())
 	directory.snapshot(time.Now().Add(-time.Hour))
 	go func() { _ = directory.http.Serve(listener) }()
 	go func() {
-		for sleep(lifetime, directoryBeat) {
+		for sleep(lifetime, snapshotInterval) {
 			directory.snapshot(time.Now())
 		}
 	}()
 	return directory, nil
 }
 
-// crashedStays is how long a server stays on the list that has crashed.
-const crashedStays = 2 * time.Second
+// crashedListedFor is how long a crashed server stays on the list.
+const crashedListedFor = 2 * time.Second
 
-// snapshot writes down which servers there are. One that is gone without having been shown
-// as leaving stays for some seconds.
+// snapshot records the current servers. A server that crashed, which is gone without having been
+// listed as draining, stays on the list for crashedListedFor.
 func (d *Directory) snapshot(now time.Time) {
 	servers := d.pool.all()
-	pages := make([]serverPage, 0, len(servers))
+	entries := make([]serverEntry, 0, len(servers))
 	present := map[string]bool{}
 	for _, server := range servers {
-		page := server.listed(now)
-		present[page.ID] = true
-		pages = append(pages, page)
+		entry := server.listEntry(now)
+		present[entry.ID] = true
+		entries = append(entries, entry)
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	crashed := map[string]time.Time{}
 	if len(d.snapshots) > 0 {
 		last := d.snapshots[len(d.snapshots)-1]
-		for _, page := range last.servers {
-			since, known := last.crashed[page.ID]
-			if present[page.ID] || page.State == stateDraining {
+		for _, entry := range last.servers {
+			since, known := last.crashed[entry.ID]
+			if present[entry.ID] || entry.State == stateDraining {
 				continue
 			}
 			if !known {
 				since = now
 			}
-			if now.Sub(since) < crashedStays {
-				crashed[page.ID] = since
-				pages = append(pages, page)
+			if now.Sub(since) < crashedListedFor {
+				crashed[entry.ID] = since
+				entries = append(entries, entry)
 			} else {
 				d.events.Append(Event{
-					Kind:    Shown,
-					At:      now.Add(d.site.ListLag + directoryBeat),
-					Server:  page.ID,
-					Service: page.Backend,
+					Kind:    ShownLeaving,
+					At:      now.Add(d.site.ListLag + snapshotInterval),
+					Server:  entry.ID,
+					Service: entry.Backend,
 					Cause:   "gone",
 				})
 			}
 		}
 	}
-	d.snapshots = append(d.snapshots, snapshot{at: now, servers: pages, crashed: crashed})
+	d.snapshots = append(d.snapshots, snapshot{at: now, servers: entries, crashed: crashed})
 	for len(d.snapshots) > 1 && now.Sub(d.snapshots[1].at) > d.site.ListLag {
 		d.snapshots = d.snapshots[1:]
 	}
 }
 
-// list answers with one page of what was seen a lag ago.
+// list responds with one page of the list as it was a list lag ago.
 func (d *Directory) list(writer http.ResponseWriter, inbound *http.Request) {
 	now := time.Now()
 	d.mutex.Lock()
-	for len(d.asked) > 0 && now.Sub(d.asked[0]) > time.Second {
-		d.asked = d.asked[1:]
+	for len(d.recentReads) > 0 && now.Sub(d.recentReads[0]) > time.Second {
+		d.recentReads = d.recentReads[1:]
 	}
-	d.asked = append(d.asked, now)
-	over := float64(len(d.asked)) > d.site.ListRate
+	d.recentReads = append(d.recentReads, now)
+	overLimit := float64(len(d.recentReads)) > d.site.ListRate
 	seen := d.snapshots[0]
 	d.mutex.Unlock()
 	status := http.StatusOK
-	if over {
+	if overLimit {
 		status = http.StatusTooManyRequests
 	}
 	d.events.Append(Event{Kind: ListRead, Status: status})
-	if over {
+	if overLimit {
 		writer.WriteHeader(status)
 		return
 	}
 	zone, token := inbound.URL.Query().Get("zone"), inbound.URL.Query().Get("pageToken")
 	skipped, _ := strconv.Atoi(strings.TrimPrefix(token, "p-"))
-	pages := []serverPage{}
-	for _, page := range seen.servers {
-		if zone == "" || page.Zone == zone {
-			pages = append(pages, page)
+	entries := []serverEntry{}
+	for _, entry := range seen.servers {
+		if zone == "" || entry.Zone == zone {
+			entries = append(entries, entry)
 		}
 	}
 	var next any
-	pages = pages[min(skipped, len(pages)):]
-	if len(pages) > listPage {
-		pages, next = pages[:listPage], "p-"+strconv.Itoa(skipped+listPage)
+	entries = entries[min(skipped, len(entries)):]
+	if len(entries) > listPageSize {
+		entries, next = entries[:listPageSize], "p-"+strconv.Itoa(skipped+listPageSize)
 	}
-	writeJSON(writer, http.StatusOK, map[string]any{"servers": pages, "nextToken": next})
+	writeJSON(writer, http.StatusOK, map[string]any{"servers": entries, "nextToken": next})
 }
 
+// close stops the directory.
 func (d *Directory) close() {
-	d.end()
+	d.cancel()
 	_ = d.http.Close()
 }
--- a/internal/testbed/replay/drawn.go
+++ b/internal/testbed/replay/drawn.go
@@ -12,13 +12,13 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// usualFaults are those that drawn days mix, as strong as days of the platform have them.
+// usualFaults are the faults that drawn days combine. Each is as strong as on the platform's days.
 var usualFaults = []Fault{
 	{
-		Kind:  "burst",
-		Class: "chat",
-		Times: 1.9,
-		For:   6,
+		Kind:   "burst",
+		Class:  "chat",
+		Factor: 1.9,
+		For:    6,
 	}, {
 		Kind:    "srv_crash",
 		Share:   0.17,
@@ -30,11 +30,11 @@
 		Share: 0.45,
 		Gap:   1,
 	}, {
-		Kind:  "answer_lost",
-		Share: 0.5,
-		Times: 0.05,
-		For:   4,
-	}, {Kind: "garble", Share: 0.6, Times: 0.03, For: 5, How: "extra"},
+		Kind:   "answer_lost",
+		Share:  0.5,
+		Factor: 0.05,
+		For:    4,
+	}, {Kind: "garble", Share: 0.6, Factor: 0.03, For: 5, How: "extra"},
 	{
 		Kind:  "node_kill",
 		Share: 0.3,
@@ -55,11 +55,12 @@
 		On:   "core",
 		For:  1,
 	}, {Kind: "seed_turnover"}, {
-		Kind:  "replace_core",
-		Times: 2,
-		How:   "leader",
-	}, {Kind: "replace_core", Times: 1, How: "planned"},
-	{Kind: "after_ack_wipe", For: 2}, {Kind: "after_ack_kill", For: 2}, {Kind: "config_change", How: "weights"}, {Kind: "config_change", How: "route"}, {Kind: "config_change", How: "timeout"},
+		Kind:   "replace_core",
+		Factor: 2,
+		How:    "leader",
+	}, {Kind: "replace_core", Factor: 1, How: "planned"},
+	{Kind: "after_ack_wipe", For: 2}, {Kind: "after_ack_kill", For: 2}, {Kind: "config_change", How: "weights"},
+	{Kind: "config_change", How: "route"}, {Kind: "config_change", How: "timeout"},
 	{
 		Kind: "config_storm",
 		For:  3,
@@ -72,7 +73,7 @@
 	{
 		Kind:    "kv_slow",
 		Share:   0.3,
-		Times:   8,
+		Factor:  8,
 		For:     5,
 		Service: "desk",
 	}, {Kind: "handle_short", Share: 0.35, For: 4, Service: "desk"}, {Kind: "node_freeze", On: "core", For: 3},
@@ -82,7 +83,7 @@
 		For:     6,
 		Gap:     0.8,
 		Service: "desk",
-	}, {Kind: "srv_grey", Share: 0.2, Times: 0.5, For: 5, Service: "desk"},
+	}, {Kind: "srv_grey", Share: 0.2, Factor: 0.5, For: 5, Service: "desk"},
 	{
 		Kind:  "srv_lying_health",
 		Share: 0.3,
@@ -94,7 +95,7 @@
 	}, {Kind: "srv_crash", Share: 0.1, How: "gone", Service: "desk"},
 }
 
-// DrawPlan draws a day with so many faults: the same seed gives the same day.
+// DrawPlan draws a day with the given number of faults. The same seed gives the same day.
 func DrawPlan(seed uint64, faults int) Plan {
 	random := rand.New(rand.NewPCG(seed, 19))
 	plan := Plan{Name: fmt.Sprintf("drawn-%d", seed), Seed: seed, Length: 24}
@@ -110,18 +111,18 @@
 	return plan
 }
 
-// hardFaults are the losses of machines with a disk that hard days ask for, one after
-// another: each comes the moment the site's budget allows it.
+// hardFaults are the losses of core machines that hard days request one after another. Each takes
+// place as soon as the site's fault budget allows it.
 var hardFaults = []Fault{
 	{
-		Kind:  "replace_core",
-		Times: 0.2,
-		How:   "leader",
+		Kind:   "replace_core",
+		Factor: 0.2,
+		How:    "leader",
 	}, {
-		Kind:  "replace_core",
-		Times: 0.2,
-		How:   "planned",
-	}, {Kind: "replace_core", Times: 0.2, How: "leader planned"}, {Kind: "replace_core", Times: 1},
+		Kind:   "replace_core",
+		Factor: 0.2,
+		How:    "planned",
+	}, {Kind: "replace_core", Factor: 0.2, How: "leader planned"}, {Kind: "replace_core", Factor: 1},
 	{Kind: "after_ack_wipe", For: 1}, {Kind: "after_ack_kill", For: 1}, {
 		Kind:  "node_kill",
 		On:    "core",
@@ -132,24 +133,25 @@
 	{Kind: "herd_kill", On: "core", For: 1}, {Kind: "zone_loss", For: 1},
 }
 
-// The shape of a hard day. One in longShare is long.
+// Parameters of a hard day. Lengths and moments are in seconds. One in longDayOneIn hard days is
+// long.
 const (
 	hardLength     = 60
 	longHardLength = 90
-	longShare      = 6
+	longDayOneIn   = 6
 	hardLosses     = 7
-	hardFrom       = 3.0
-	hardGap        = 0.1
+	firstLossAt    = 3.0
+	lossGap        = 0.1
 )
 
-// DrawHardPlan draws a dense day: a storm of changes and races from its start, losses of
-// machines with a disk asked for at once, processes stopped in turn while all are told to
-// read their settings again, and anything else that a day may have beside them. The same
-// seed gives the same day.
+// DrawHardPlan draws a day with many simultaneous faults: rapid and conflicting configuration changes
+// from the start, several losses of core machines requested at the same time, a rolling restart
+// during which all processes reload their settings, and three of the usual faults. The same seed
+// gives the same day.
 func DrawHardPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 23))
 	plan := Plan{Name: fmt.Sprintf("hard-%d", seed), Seed: seed, Length: hardLength}
-	if random.IntN(longShare) == 0 {
+	if random.IntN(longDayOneIn) == 0 {
 		plan.Length = longHardLength
 	}
 	plan.Faults = []Fault{{
@@ -160,16 +162,16 @@
 	}, {Kind: "config_race", At: 5, Count: 4, Gap: 2}}
 	for number := range hardLosses {
 		loss := hardFaults[random.IntN(len(hardFaults))]
-		loss.At = hardFrom + hardGap*float64(number)
+		loss.At = firstLossAt + lossGap*float64(number)
 		plan.Faults = append(plan.Faults, loss)
 	}
-	stops := plan.Length * (0.6 + random.Float64()/10)
+	rollingRestartAt := plan.Length * (0.6 + random.Float64()/10)
 	plan.Faults = append(plan.Faults, Fault{
 		Kind:  "roll_term",
-		At:    stops,
+		At:    rollingRestartAt,
 		Share: 1,
 		Gap:   0.8,
-	}, Fault{Kind: "hup", At: stops + 4, Share: 1})
+	}, Fault{Kind: "hup", At: rollingRestartAt + 4, Share: 1})
 	for _, position := range random.Perm(len(usualFaults))[:3] {
 		other := usualFaults[position]
 		other.At = 5 + random.Float64()*plan.Length/2
@@ -180,19 +182,19 @@
 	return plan
 }
 
-// Text writes a plan as a day file, so that it can be played again.
+// Text returns a plan as a day file, so that the day can be repeated.
 func (p Plan) Text() (string, error) {
 	text, err := toml.Marshal(p)
 	return string(text), failure.Wrap(failure.Malformed, err)
 }
 
-// Title names the faults of a day in one line.
+// Title lists the faults of a day in one line.
 func (p Plan) Title() string {
-	var words []string
+	var names []string
 	for _, fault := range p.Faults {
-		words = append(words, strings.TrimSpace(fault.Kind+" "+fault.On+" "+fault.How))
+		names = append(names, strings.TrimSpace(fault.Kind+" "+fault.On+" "+fault.How))
 	}
-	title := strings.Join(words, ", ")
+	title := strings.Join(names, ", ")
 	if p.Closing != nil {
 		title += "; closing " + p.Closing.Kind
 	}
--- a/internal/testbed/replay/engine.go
+++ b/internal/testbed/replay/engine.go
@@ -6,225 +6,240 @@
 	"time"
 )
 
-// Shape is how an engine is built.
-type Shape struct {
+// EngineConfig describes the engine of a model server: its capacity, speed and limits.
+type EngineConfig struct {
+	// Slots, Queue and Connections are the largest numbers of running requests, of queued requests and
+	// of open connections.
 	Slots, Queue, Connections int
-	Step, StepPerSlot         time.Duration
-	TokensPerMillisecond      float64
-	Chunk, Block, Capacity    int
-	TokenBytes, LinkMegabits  float64
-	Setup                     time.Duration
-	HandleLifetime, Switch    time.Duration
-	ReportLag                 time.Duration
-	Cold                      time.Duration
-	ColdPerSecond             float64
-	Idle                      time.Duration
-	// Plain: the server has no engine of a model; it works on a request for so many steps
-	// and answers it whole.
-	Plain int
+	// Step is the fixed part of the length of a step, StepPerSlot what each decoding request adds.
+	Step, StepPerSlot time.Duration
+	// TokensPerMillisecond is the speed of the prefill, Chunk the largest number of prompt tokens that
+	// one step prefills.
+	TokensPerMillisecond float64
+	// Capacity is the size of the memory, Block the unit in which it is allocated, both in tokens.
+	Chunk, Block, Capacity int
+	// A transfer of a KV cache takes TransferSetup and the time that the link needs for TokenBytes
+	// bytes per token, at LinkMegabits per second.
+	TokenBytes, LinkMegabits float64
+	TransferSetup            time.Duration
+	// PhaseSwitch is how long a change of the phase takes once no request is running.
+	HandleLifetime, PhaseSwitch time.Duration
+	// ReportLag is the usual age of a load report.
+	ReportLag time.Duration
+	// ColdStart is how long a new server is cold, ColdPerSecond the number of requests per second that
+	// its service allows meanwhile.
+	ColdStart     time.Duration
+	ColdPerSecond float64
+	// ConnectionIdle is how long an idle connection stays open.
+	ConnectionIdle time.Duration
+	// PlainSteps is set for a server without a model: the number of steps that the server takes
+	// before it sends the whole response to a request.
+	PlainSteps int
 }
 
-// engine works in batches: each step makes one token of every request that is being
-// answered, and reads a chunk of the prompts that are not read yet. Time is an input.
+// engine processes requests in batches: each step generates one token for every request that is
+// decoding, and prefills a chunk of the prompts that remain. Callers pass in the time.
 type engine struct {
-	shape   Shape
-	memory  *prefixCache
-	running []*work
-	waiting []*work
-	// readsOwn: prompts are read between the tokens of others, at half the pace and in
-	// chunks a quarter as large.
-	readsOwn    bool
-	preemptions int
+	config  EngineConfig
+	cache   *prefixCache
+	running []*engineRequest
+	queue   []*engineRequest
+	// mixedPrefill means that prompts are prefilled between the decode steps of other requests, at
+	// half the speed and in chunks a quarter as large.
+	mixedPrefill bool
+	preemptions  int
 }
 
-func newEngine(shape Shape) *engine {
-	return &engine{shape: shape, memory: newPrefixCache(shape.Capacity, shape.Block)}
+func newEngine(config EngineConfig) *engine {
+	return &engine{config: config, cache: newPrefixCache(config.Capacity, config.Block)}
 }
 
-// enter lets a request in; false means that the server is full, or too small. A more
-// urgent request takes the place of one that waits.
-func (e *engine) enter(one *work) bool {
-	needs := e.memory.rounded(one.most)
-	for _, each := range one.chain {
-		needs += e.memory.rounded(each.tokens)
+// submit reports whether it queued a request. It returns false if the queue is full or the memory is
+// too small for the request. If the queue is full, a more urgent request replaces the last one.
+func (e *engine) submit(req *engineRequest) bool {
+	needs := e.cache.roundUp(req.maxTokens)
+	for _, element := range req.chain {
+		needs += e.cache.roundUp(element.tokens)
 	}
-	if needs > e.shape.Capacity {
+	if needs > e.config.Capacity {
 		return false
 	}
-	if len(e.waiting) >= e.shape.Queue {
-		last := e.waiting[len(e.waiting)-1]
-		if last.urgency <= one.urgency || last.begun {
+	if len(e.queue) >= e.config.Queue {
+		last := e.queue[len(e.queue)-1]
+		if last.urgency <= req.urgency || last.tokenGenerated {
 			return false
 		}
-		e.waiting = e.waiting[:len(e.waiting)-1]
-		e.end(last, "pushed out")
+		e.queue = e.queue[:len(e.queue)-1]
+		e.finish(last, "pushed out")
 	}
-	e.wait(one)
+	e.enqueue(req)
 	return true
 }
 
-// wait puts a request in its place in the queue: the most urgent first, then the oldest.
-func (e *engine) wait(one *work) {
-	one.stage = waiting
-	position := sort.Search(len(e.waiting), func(position int) bool {
-		other := e.waiting[position]
-		if other.urgency != one.urgency {
-			return other.urgency > one.urgency
-		}
-		return other.arrived.After(one.arrived)
+// enqueue inserts a request into the queue, which is ordered by urgency, then by arrival.
+func (e *engine) enqueue(req *engineRequest) {
+	req.state = workQueued
+	position := sort.Search(len(e.queue), func(position int) bool {
+		other := e.queue[position]
+		if other.urgency != req.urgency {
+			return other.urgency > req.urgency
+		}
+		return other.arrived.After(req.arrived)
 	})
-	e.waiting = slices.Insert(e.waiting, position, one)
+	e.queue = slices.Insert(e.queue, position, req)
 }
 
-// end gives a request up, wherever it stands.
-func (e *engine) end(one *work, ending string) {
-	if one.stage == over {
+// finish removes a request from the engine in any state, and records the cause.
+func (e *engine) finish(req *engineRequest, cause string) {
+	if req.state == workFinished {
 		return
 	}
-	e.waiting = slices.DeleteFunc(e.waiting, func(other *work) bool { return other == one })
-	e.running = slices.DeleteFunc(e.running, func(other *work) bool { return other == one })
-	e.release(one)
-	one.stage, one.ending = over, ending
+	e.queue = slices.DeleteFunc(e.queue, func(other *engineRequest) bool { return other == req })
+	e.running = slices.DeleteFunc(e.running, func(other *engineRequest) bool { return other == req })
+	e.release(req)
+	req.state, req.endCause = workFinished, cause
 }
 
-// release gives a request's memory back. Parts that it had not read to their end are
-// not kept.
-func (e *engine) release(one *work) {
-	e.memory.unpin(one.held)
-	if one.stage == reading {
-		e.memory.forget(one.held)
+// release frees a request's memory. Prompt parts that were not prefilled completely are removed
+// from the cache.
+func (e *engine) release(req *engineRequest) {
+	e.cache.unpin(req.pinned)
+	if req.state == workPrefilling {
+		e.cache.dropIncomplete(req.pinned)
 	}
-	e.memory.fixed -= one.own
-	one.held, one.own = nil, 0
+	e.cache.reservedTokens -= req.reserved
+	req.pinned, req.reserved = nil, 0
 }
 
-// busy tells whether there is anything to do.
-func (e *engine) busy() bool { return len(e.running)+len(e.waiting) > 0 }
+// busy reports whether the engine has requests.
+func (e *engine) busy() bool { return len(e.running)+len(e.queue) > 0 }
 
-// admit lets waiting requests begin as far as there are slots and memory.
+// admit starts queued requests as long as there are free slots and memory.
 func (e *engine) admit(now time.Time) {
-	for position := 0; position < len(e.waiting) && len(e.running) < e.shape.Slots; {
-		one := e.waiting[position]
-		if one.notBefore.After(now) {
+	for position := 0; position < len(e.queue) && len(e.running) < e.config.Slots; {
+		req := e.queue[position]
+		if req.notBefore.After(now) {
 			position++
 			continue
 		}
-		missing := e.memory.missing(one.model, one.chain)
-		held, fits := e.memory.pin(one.model, one.chain)
+		missing := e.cache.missingTokens(req.model, req.chain)
+		pinned, fits := e.cache.pin(req.model, req.chain)
 		if !fits {
 			return
 		}
-		own := e.memory.rounded(one.made)
-		if !e.memory.grow(own) {
-			e.memory.unpin(held)
+		reserved := e.cache.roundUp(req.generated)
+		if !e.cache.reserve(reserved) {
+			e.cache.unpin(pinned)
 			return
 		}
-		e.waiting = slices.Delete(e.waiting, position, position+1)
-		one.held, one.own, one.left = held, own, missing+one.made
-		if one.fetched {
-			one.left, one.fetched = 0, false
+		e.queue = slices.Delete(e.queue, position, position+1)
+		req.pinned, req.reserved, req.promptLeft = pinned, reserved, missing+req.generated
+		if req.fetched {
+			req.promptLeft, req.fetched = 0, false
 		}
-		one.stage = reading
-		e.running = append(e.running, one)
+		req.state = workPrefilling
+		e.running = append(e.running, req)
 	}
 }
 
-// pace is how long reading so many tokens takes.
-func (e *engine) pace(tokens int) time.Duration {
-	length := time.Duration(float64(tokens) / e.shape.TokensPerMillisecond * float64(time.Millisecond))
-	if e.readsOwn {
+// prefillTime returns how long the prefill of the tokens takes.
+func (e *engine) prefillTime(tokens int) time.Duration {
+	length := time.Duration(float64(tokens) / e.config.TokensPerMillisecond * float64(time.Millisecond))
+	if e.mixedPrefill {
 		length *= 2
 	}
 	return length
 }
 
-// plan begins a step: how long it takes, and the chunks that are read in it.
-func (e *engine) plan(now time.Time) (time.Duration, map[*work]int) {
+// planStep starts a step. It returns how long the step takes, and how many tokens of each prompt the
+// step prefills.
+func (e *engine) planStep(now time.Time) (time.Duration, map[*engineRequest]int) {
 	e.admit(now)
-	length, chunk, chunks, others := e.shape.Step, e.shape.Chunk, map[*work]int{}, 0
-	if e.readsOwn {
+	length, chunk, chunks, decoding := e.config.Step, e.config.Chunk, map[*engineRequest]int{}, 0
+	if e.mixedPrefill {
 		chunk /= 4
 	}
-	for _, one := range e.running {
-		if one.stage == making {
-			others++
+	for _, req := range e.running {
+		if req.state == workDecoding {
+			decoding++
 			continue
 		}
-		piece := min(one.left, chunk)
-		chunk -= piece
-		chunks[one] = piece
-		length += e.pace(piece)
+		share := min(req.promptLeft, chunk)
+		chunk -= share
+		chunks[req] = share
+		length += e.prefillTime(share)
 	}
-	return length + time.Duration(others)*e.shape.StepPerSlot, chunks
+	return length + time.Duration(decoding)*e.config.StepPerSlot, chunks
 }
 
-// apply ends a step: tokens are made, and prompts read to their end begin to be
-// answered. It gives the requests that came further.
-func (e *engine) apply(now time.Time, chunks map[*work]int) []*work {
-	var further []*work
-	for _, one := range slices.Clone(e.running) {
-		if !one.ends.IsZero() && now.After(one.ends) {
-			e.end(one, "deadline")
-			further = append(further, one)
+// finishStep completes a step: it generates tokens, and requests whose prompts are prefilled start
+// decoding. It returns the requests that progressed.
+func (e *engine) finishStep(now time.Time, chunks map[*engineRequest]int) []*engineRequest {
+	var progressed []*engineRequest
+	for _, req := range slices.Clone(e.running) {
+		if !req.deadline.IsZero() && now.After(req.deadline) {
+			e.finish(req, "deadline")
+			progressed = append(progressed, req)
 			continue
 		}
-		if one.stage == over || !slices.Contains(e.running, one) {
+		if req.state == workFinished || !slices.Contains(e.running, req) {
 			continue
 		}
-		if one.stage == reading {
-			chunk, planned := chunks[one]
-			one.left -= chunk
-			if !planned || one.left > 0 {
+		if req.state == workPrefilling {
+			chunk, planned := chunks[req]
+			req.promptLeft -= chunk
+			if !planned || req.promptLeft > 0 {
 				continue
 			}
-			one.stage = making
-			if one.onlyRead {
-				e.running = slices.DeleteFunc(e.running, func(other *work) bool { return other == one })
-				one.stage = over
-				further = append(further, one)
+			req.state = workDecoding
+			if req.prefillOnly {
+				e.running = slices.DeleteFunc(e.running, func(other *engineRequest) bool { return other == req })
+				req.state = workFinished
+				progressed = append(progressed, req)
 				continue
 			}
 		}
-		if !e.makeToken(one) {
+		if !e.generateToken(req) {
 			continue
 		}
-		further = append(further, one)
-		if one.made >= one.most {
-			e.end(one, "")
+		progressed = append(progressed, req)
+		if req.generated >= req.maxTokens {
+			e.finish(req, "")
 		}
 	}
-	for _, one := range slices.Clone(e.waiting) {
-		if !one.ends.IsZero() && now.After(one.ends) {
-			e.end(one, "deadline")
-			further = append(further, one)
+	for _, req := range slices.Clone(e.queue) {
+		if !req.deadline.IsZero() && now.After(req.deadline) {
+			e.finish(req, "deadline")
+			progressed = append(progressed, req)
 		}
 	}
-	return further
+	return progressed
 }
 
-// makeToken makes one token; when memory runs out, the newest of the least urgent
-// requests is put back and read again later.
-func (e *engine) makeToken(one *work) bool {
-	for e.memory.rounded(one.made+1) > one.own {
-		if e.memory.grow(e.shape.Block) {
-			one.own += e.shape.Block
+// generateToken generates one token of req. If memory runs out, the newest of the least urgent
+// requests is preempted: it returns to the queue and its prompt is prefilled again. generateToken
+// returns false if req itself was preempted.
+func (e *engine) generateToken(req *engineRequest) bool {
+	for e.cache.roundUp(req.generated+1) > req.reserved {
+		if e.cache.reserve(e.config.Block) {
+			req.reserved += e.config.Block
 			continue
 		}
-		victim := one
+		victim := req
 		for _, other := range e.running {
 			if other.urgency > victim.urgency || other.urgency == victim.urgency && other.arrived.After(victim.arrived) {
 				victim = other
 			}
 		}
-		e.running = slices.DeleteFunc(e.running, func(other *work) bool { return other == victim })
+		e.running = slices.DeleteFunc(e.running, func(other *engineRequest) bool { return other == victim })
 		e.release(victim)
-		e.wait(victim)
+		e.enqueue(victim)
 		e.preemptions++
-		if victim == one {
+		if victim == req {
 			return false
 		}
 	}
-	one.made++
-	one.begun = true
+	req.generated++
+	req.tokenGenerated = true
 	return true
 }
--- a/internal/testbed/replay/exchange.go
+++ b/internal/testbed/replay/exchange.go
@@ -12,24 +12,28 @@
 	"github.com/google/uuid"
 )
 
-// exchange is one request at a model server.
+// exchange handles one request at a model server.
 type exchange struct {
-	server   *modelServer
-	header   http.Header
-	body     []byte
-	event    Event
-	seal     string
-	spoiling spoiling
-	one      *work
-	behind   int
-	noMemory bool
-	refused  bool
-	gone     bool
-	// ran: the first token was made.
-	ran    bool
+	server      *modelServer
+	header      http.Header
+	body        []byte
+	event       Event
+	seal        string
+	fault       answerFault
+	work        *engineRequest
+	lastEventID int
+	// prefillMissing means that the KV cache that the request refers to was not available, queueFull
+	// that the engine's queue was full, clientGone that the client has disconnected.
+	prefillMissing bool
+	queueFull      bool
+	clientGone     bool
+	// ran means that the first token was generated.
+	ran bool
+	// source is the location of the prompt's KV cache, if another server prefilled the prompt.
 	source string
 }
 
+// newExchange reads the headers of a request.
 func newExchange(server *modelServer, inbound *http.Request, body []byte) *exchange {
 	header := inbound.Header
 	e := &exchange{server: server, header: header, body: body, source: header.Get(headerSource)}
@@ -37,56 +41,58 @@
 	if err != nil {
 		deadline = 0
 	}
-	e.behind, _ = strconv.Atoi(header.Get(headerLastEvent))
-	s := phaseOf(header)
+	e.lastEventID, _ = strconv.Atoi(header.Get(headerLastEvent))
+	workPhase := phaseOf(header)
 	e.event = Event{
-		Server:   server.ID,
-		Service:  server.Service,
-		Zone:     server.Zone,
-		Try:      header.Get(headerAttempt),
-		Stage:    s,
-		Behind:   e.behind,
-		Digest:   digestOf(inbound.Method, inbound.URL.RequestURI(), inbound.Host, header, body),
-		Deadline: time.Duration(deadline * float64(time.Millisecond)),
+		Server:      server.ID,
+		Service:     server.Service,
+		Zone:        server.Zone,
+		AttemptID:   header.Get(headerAttempt),
+		WorkPhase:   workPhase,
+		LastEventID: e.lastEventID,
+		Digest:      digestOf(inbound.Method, inbound.URL.RequestURI(), inbound.Host, header, body),
+		Deadline:    time.Duration(deadline * float64(time.Millisecond)),
 	}
 	return e
 }
 
-// misdirected tells whether the request expects another server.
-func (e *exchange) misdirected() int {
+// misdirectedStatus returns 421 if the request is meant for another server, revision or phase, and
+// 0 otherwise.
+func (e *exchange) misdirectedStatus() int {
 	server, header := e.server, e.header
-	if t := header.Get(headerTarget); t != "" && t != server.ID {
+	if expectedID := header.Get(headerTarget); expectedID != "" && expectedID != server.ID {
 		return http.StatusMisdirectedRequest
 	}
 	if expected := header.Get(headerExpected); expected != "" && expected != strconv.Itoa(server.revision) {
 		return http.StatusMisdirectedRequest
 	}
-	if e.event.Stage != server.phase && server.shape.Plain == 0 {
+	if e.event.WorkPhase != server.phase && server.config.PlainSteps == 0 {
 		return http.StatusMisdirectedRequest
 	}
 	return 0
 }
 
-// unfit tells why the request isn't taken up, if so.
-func (e *exchange) unfit() int {
+// rejectionStatus returns the status with which the server rejects the request, or 0 if the server
+// accepts it.
+func (e *exchange) rejectionStatus() int {
 	switch {
-	case e.event.Try == "":
+	case e.event.AttemptID == "":
 		return http.StatusBadRequest
-	case e.server.turning:
+	case e.server.changingPhase:
 		return http.StatusServiceUnavailable
 	}
-	if _, fits := readChain(e.header.Get(headerParts)); !fits {
+	if _, fits := parseChain(e.header.Get(headerParts)); !fits {
 		return http.StatusBadRequest
 	}
 	return 0
 }
 
-// turnAway says that the request did not run here.
-func (e *exchange) turnAway(writer http.ResponseWriter, status int) {
+// reject responds with a status and the header that says that the request did not run here.
+func (e *exchange) reject(writer http.ResponseWriter, status int) {
 	event := e.event
-	event.Kind, event.Status = TurnedAway, status
+	event.Kind, event.Status = RequestRejected, status
 	e.server.pool.events.Append(event)
-	writer.Header().Set(headerAttempt, event.Try)
+	writer.Header().Set(headerAttempt, event.AttemptID)
 	writer.Header().Set(headerServer, e.server.ID)
 	writer.Header().Set(headerNotRun, "1")
 	e.server.mutex.Lock()
@@ -95,126 +101,128 @@
 	writer.WriteHeader(status)
 }
 
-// enter puts the request into the engine, once its memory is here if it has any
-// elsewhere.
-func (e *exchange) enter(now time.Time) {
+// submit passes the request to the engine. If another server prefilled the prompt, the request
+// starts once the KV cache has been transferred.
+func (e *exchange) submit(now time.Time) {
 	server := e.server
 	server.answers++
 	e.seal = fmt.Sprintf("%s.%x.%s", strings.TrimPrefix(server.ID, "i-"), server.answers, e.event.Digest)
-	chain, _ := readChain(e.header.Get(headerParts))
-	_, asked, _ := strings.Cut(e.header.Get(headerTokens), ",")
-	most, _ := strconv.Atoi(asked)
+	chain, _ := parseChain(e.header.Get(headerParts))
+	_, maxText, _ := strings.Cut(e.header.Get(headerTokens), ",")
+	maxTokens, _ := strconv.Atoi(maxText)
 	urgency := 5
 	if given, err := strconv.Atoi(e.header.Get(headerUrgency)); err == nil {
 		urgency = given
 	}
-	most = tokensOf(e.event.Digest, max(1, most))
-	if server.shape.Plain > 0 {
-		most = server.shape.Plain
+	maxTokens = answerTokens(e.event.Digest, max(1, maxTokens))
+	if server.config.PlainSteps > 0 {
+		maxTokens = server.config.PlainSteps
 	}
-	e.one = &work{onlyRead: e.event.Stage == phasePrefill, model: e.header.Get(headerModel), chain: chain, most: most,
-		made: e.behind, urgency: urgency, arrived: now}
+	e.work = &engineRequest{prefillOnly: e.event.WorkPhase == phasePrefill, model: e.header.Get(headerModel), chain: chain,
+		maxTokens: maxTokens, generated: e.lastEventID, urgency: urgency, arrived: now}
 	if e.event.Deadline > 0 {
-		e.one.ends = now.Add(e.event.Deadline)
+		e.work.deadline = now.Add(e.event.Deadline)
 	}
 	started := e.event
 	started.Kind, started.Seal = RunStarted, e.seal
-	e.one.started = func() { server.pool.events.Append(started) }
-	if len(server.engine.waiting) >= server.shape.Queue && e.source != "" {
-		e.refused = true
+	e.work.onFirstToken = func() { server.pool.events.Append(started) }
+	if len(server.engine.queue) >= server.config.Queue && e.source != "" {
+		e.queueFull = true
 		return
 	}
 	if e.source != "" {
-		_, ready, had := server.fetch(e.source, e.event.Try, now)
-		if !had {
-			e.noMemory = true
+		_, ready, available := server.fetchPrefix(e.source, e.event.AttemptID, now)
+		if !available {
+			e.prefillMissing = true
 			return
 		}
-		e.one.fetched, e.one.notBefore = true, ready
+		e.work.fetched, e.work.notBefore = true, ready
 	}
-	if e.one.made >= e.one.most && !e.one.onlyRead {
-		e.one.stage = over
+	if e.work.generated >= e.work.maxTokens && !e.work.prefillOnly {
+		e.work.state = workFinished
 		return
 	}
-	if e.refused = !server.engine.enter(e.one); !e.refused {
+	if e.queueFull = !server.engine.submit(e.work); !e.queueFull {
 		server.progress.Broadcast()
 	}
 }
 
-// answer waits for the engine, and writes what it makes.
+// answer waits for the engine and writes the response.
 func (e *exchange) answer(writer http.ResponseWriter) {
-	if e.noMemory || e.refused {
-		e.turnAway(writer, http.StatusServiceUnavailable)
+	if e.prefillMissing || e.queueFull {
+		e.reject(writer, http.StatusServiceUnavailable)
 		return
 	}
-	if e.event.Stage == phasePrefill {
-		e.answerRead(writer)
+	if e.event.WorkPhase == phasePrefill {
+		e.answerPrefill(writer)
 		return
 	}
-	if e.server.shape.Plain > 0 {
+	if e.server.config.PlainSteps > 0 {
 		e.answerPlain(writer)
 		return
 	}
 	e.answerStream(writer)
 }
 
-// await waits until there is more than so many tokens, or the request is over here.
-func (e *exchange) await(sent int) (made int, finished bool, ending string) {
+// awaitTokens waits until more tokens than sent are generated, or the request ends. With more tokens
+// than a request can have, it waits for the end.
+func (e *exchange) awaitTokens(sent int) (generated int, finished bool, cause string) {
 	server := e.server
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	for e.one.made <= sent && e.one.stage != over && !e.gone && server.lifetime.Err() == nil {
+	for e.work.generated <= sent && e.work.state != workFinished && !e.clientGone && server.lifetime.Err() == nil {
 		server.progress.Wait()
 	}
-	if (e.gone || server.lifetime.Err() != nil) && e.one.stage != over {
-		server.engine.end(e.one, "left")
+	if (e.clientGone || server.lifetime.Err() != nil) && e.work.state != workFinished {
+		server.engine.finish(e.work, "left")
 	}
-	e.ran = e.one.begun
-	return e.one.made, e.one.stage == over, e.one.ending
+	e.ran = e.work.tokenGenerated
+	return e.work.generated, e.work.state == workFinished, e.work.endCause
 }
 
-func (e *exchange) answerRead(writer http.ResponseWriter) {
-	_, _, ending := e.await(1 << 30)
+// answerPrefill responds to a prefill request with a handle to the KV cache.
+func (e *exchange) answerPrefill(writer http.ResponseWriter) {
+	_, _, cause := e.awaitTokens(1 << 30)
 	server := e.server
 	switch {
-	case ending == "left":
+	case cause == "left":
 		panic(http.ErrAbortHandler)
-	case ending != "":
-		e.turnAway(writer, http.StatusServiceUnavailable)
+	case cause != "":
+		e.reject(writer, http.StatusServiceUnavailable)
 		return
 	}
 	tokens := 0
-	for _, p := range e.one.chain {
-		tokens += p.tokens
+	for _, element := range e.work.chain {
+		tokens += element.tokens
 	}
 	name := strings.ReplaceAll(uuid.NewString(), "-", "")[:12]
 	server.mutex.Lock()
 	server.handles[name] = &handle{
-		try:    e.event.Try,
-		tokens: tokens,
-		held:   e.one.held,
-		lapses: time.Now().Add(server.shape.HandleLifetime),
-	}
-	read := e.event
-	read.Kind, read.Handle, read.Tokens = PromptRead, name, tokens
-	server.pool.events.Append(read)
-	server.lapse(time.Now())
-	writer.Header().Set(headerAttempt, e.event.Try)
+		attemptID: e.event.AttemptID,
+		tokens:    tokens,
+		pinned:    e.work.pinned,
+		expires:   time.Now().Add(server.config.HandleLifetime),
+	}
+	prefilled := e.event
+	prefilled.Kind, prefilled.Handle, prefilled.Tokens = PromptPrefilled, name, tokens
+	server.pool.events.Append(prefilled)
+	server.expireHandles(time.Now())
+	writer.Header().Set(headerAttempt, e.event.AttemptID)
 	server.writeLoadHeader(writer.Header())
 	revision := server.revision
 	server.mutex.Unlock()
-	if e.spoiling == lost {
+	if e.fault == answerLost {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(writer, http.StatusOK, map[string]any{"prefillHandle": name, "tokenCount": tokens, "revision": revision})
 }
 
-// head writes the head of an answer.
-func (e *exchange) head(header http.Header) {
+// writeHead sets the headers of a response.
+func (e *exchange) writeHead(header http.Header) {
 	server := e.server
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	header.Set(headerAttempt, e.event.Try)
+	header.Set(headerAttempt, e.event.AttemptID)
 	header.Set(headerSeal, e.seal)
 	header.Set(headerServer, server.ID)
 	header.Set("Content-Type", "text/event-stream")
@@ -224,121 +232,122 @@
 	}
 }
 
-// spanText is one event of a stream.
+// spanText formats one event of a stream.
 func (e *exchange) spanText(from, to int) string {
 	return fmt.Sprintf("id: %d\ndata: %s/%s/%d-%d\n\n", to, e.event.Digest, e.seal, from, to)
 }
 
+// answerStream responds with a stream of events, one for each batch of new tokens.
 func (e *exchange) answerStream(writer http.ResponseWriter) {
-	sent, begun, flusher := e.behind, false, http.NewResponseController(writer)
+	sent, headWritten, flusher := e.lastEventID, false, http.NewResponseController(writer)
 	ended := e.event
 	ended.Kind, ended.Seal = RunEnded, e.seal
 	defer func() { e.server.pool.events.Append(ended) }()
 	for {
-		made, finished, ending := e.await(sent)
-		if e.server.silent() {
+		generated, finished, cause := e.awaitTokens(sent)
+		if e.server.isSilent() {
 			<-e.server.lifetime.Done()
 			ended.Cause = "dark"
 			panic(http.ErrAbortHandler)
 		}
-		if made > sent && (ending == "" || begun) {
-			if e.spoiling == lost && finished {
+		if generated > sent && (cause == "" || headWritten) {
+			if e.fault == answerLost && finished {
 				ended.Cause = "answer lost"
 				panic(http.ErrAbortHandler)
 			}
-			if !begun {
-				if e.spoiling == failed {
-					e.leave()
+			if !headWritten {
+				if e.fault == answerFailed {
+					e.abandon()
 					ended.Status, ended.Cause = http.StatusInternalServerError, "failed"
-					e.head(writer.Header())
+					e.writeHead(writer.Header())
 					writer.WriteHeader(http.StatusInternalServerError)
 					return
 				}
-				if e.spoiling == garbage || e.spoiling == extraLate {
-					e.answerBadly(writer, &ended)
+				if e.fault == answerMalformed || e.fault == answerDuplicated {
+					e.answerFaulty(writer, &ended)
 					return
 				}
-				if e.spoiling != lost {
-					e.head(writer.Header())
+				if e.fault != answerLost {
+					e.writeHead(writer.Header())
 					writer.WriteHeader(http.StatusOK)
 				}
-				begun = true
+				headWritten = true
 			}
-			if e.spoiling != lost {
-				_, _ = writer.Write([]byte(e.spanText(sent+1, made)))
+			if e.fault != answerLost {
+				_, _ = writer.Write([]byte(e.spanText(sent+1, generated)))
 				_ = flusher.Flush()
 			}
-			sent = made
-			if e.spoiling == brokenOff && sent-e.behind > 1 {
+			sent = generated
+			if e.fault == answerCutOff && sent-e.lastEventID > 1 {
 				ended.Cause = "broken off"
-				e.leave()
+				e.abandon()
 				panic(http.ErrAbortHandler)
 			}
 		}
 		switch {
 		case !finished:
 			continue
-		case ending == "":
-			if e.spoiling == lost {
+		case cause == "":
+			if e.fault == answerLost {
 				ended.Cause = "answer lost"
 				panic(http.ErrAbortHandler)
 			}
-			if !begun {
-				e.head(writer.Header())
+			if !headWritten {
+				e.writeHead(writer.Header())
 				writer.WriteHeader(http.StatusOK)
 			}
 			ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, sent
 			return
-		case ending == "left" || begun:
-			ended.Cause = ending
+		case cause == "left" || headWritten:
+			ended.Cause = cause
 			panic(http.ErrAbortHandler)
-		case ending == "deadline" && e.ran:
-			ended.Cause, ended.Status = ending, http.StatusGatewayTimeout
-			e.head(writer.Header())
+		case cause == "deadline" && e.ran:
+			ended.Cause, ended.Status = cause, http.StatusGatewayTimeout
+			e.writeHead(writer.Header())
 			writer.WriteHeader(http.StatusGatewayTimeout)
 			return
 		default:
-			ended.Cause = ending
-			e.turnAway(writer, http.StatusServiceUnavailable)
+			ended.Cause = cause
+			e.reject(writer, http.StatusServiceUnavailable)
 			return
 		}
 	}
 }
 
-// answerPlain answers a plain request once its work is done.
+// answerPlain responds to a plain request when its work is complete.
 func (e *exchange) answerPlain(writer http.ResponseWriter) {
 	ended := e.event
 	ended.Kind, ended.Seal = RunEnded, e.seal
 	defer func() { e.server.pool.events.Append(ended) }()
-	made, _, ending := e.await(1 << 30)
-	if e.server.silent() {
+	generated, _, cause := e.awaitTokens(1 << 30)
+	if e.server.isSilent() {
 		<-e.server.lifetime.Done()
 		ended.Cause = "dark"
 		panic(http.ErrAbortHandler)
 	}
 	switch {
-	case ending == "left":
-		ended.Cause = ending
+	case cause == "left":
+		ended.Cause = cause
 		panic(http.ErrAbortHandler)
-	case ending != "" && !e.ran:
-		ended.Cause = ending
-		e.turnAway(writer, http.StatusServiceUnavailable)
+	case cause != "" && !e.ran:
+		ended.Cause = cause
+		e.reject(writer, http.StatusServiceUnavailable)
 		return
-	case ending != "":
-		ended.Cause, ended.Status = ending, http.StatusGatewayTimeout
-	case e.spoiling == failed:
+	case cause != "":
+		ended.Cause, ended.Status = cause, http.StatusGatewayTimeout
+	case e.fault == answerFailed:
 		ended.Cause, ended.Status = "failed", http.StatusInternalServerError
-	case e.spoiling == lost:
+	case e.fault == answerLost:
 		ended.Cause = "answer lost"
 		panic(http.ErrAbortHandler)
-	case e.spoiling == garbage || e.spoiling == extraLate:
-		e.answerBadly(writer, &ended)
+	case e.fault == answerMalformed || e.fault == answerDuplicated:
+		e.answerFaulty(writer, &ended)
 		return
 	default:
-		ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, made
+		ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, generated
 	}
-	text := e.plainText(made)
-	e.head(writer.Header())
+	text := e.plainText(generated)
+	e.writeHead(writer.Header())
 	writer.Header().Set("Content-Type", "application/json")
 	if ended.Status == http.StatusOK {
 		writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -347,7 +356,7 @@
 	if ended.Status != http.StatusOK {
 		return
 	}
-	if e.spoiling == brokenOff {
+	if e.fault == answerCutOff {
 		ended.Cause, ended.Complete = "broken off", false
 		_, _ = writer.Write([]byte(text[:len(text)/2]))
 		_ = http.NewResponseController(writer).Flush()
@@ -356,40 +365,40 @@
 	_, _ = writer.Write([]byte(text))
 }
 
-// plainText is the body of a plain answer.
-func (e *exchange) plainText(made int) string {
-	return fmt.Sprintf("{\"answer\":\"/%s/%s/1-%d\"}%s", e.event.Digest, e.seal, made, strings.Repeat(" ", 400))
+// plainText formats the body of a plain response.
+func (e *exchange) plainText(generated int) string {
+	return fmt.Sprintf("{\"answer\":\"/%s/%s/1-%d\"}%s", e.event.Digest, e.seal, generated, strings.Repeat(" ", 400))
 }
 
-// leave takes the request out of the engine.
-func (e *exchange) leave() {
+// abandon removes the request from the engine.
+func (e *exchange) abandon() {
 	e.server.mutex.Lock()
 	defer e.server.mutex.Unlock()
-	e.server.engine.end(e.one, "left")
+	e.server.engine.finish(e.work, "left")
 }
 
-// answerBadly writes by hand: bytes that are no answer, or a whole answer with another
-// one behind it where the next answer should come.
-func (e *exchange) answerBadly(writer http.ResponseWriter, ended *Event) {
+// answerFaulty writes to the raw connection: either bytes that are not an HTTP response, or a
+// complete response, which it sends again in place of the response to the next request.
+func (e *exchange) answerFaulty(writer http.ResponseWriter, ended *Event) {
 	connection, buffered, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = connection.Close() }()
 	_ = connection.SetDeadline(time.Now().Add(4 * time.Second))
-	if e.spoiling == garbage {
+	if e.fault == answerMalformed {
 		ended.Cause = "spoilt"
-		e.leave()
+		e.abandon()
 		_, _ = connection.Write([]byte("\x16\x03\x01 no answer at all\r\n\r\n"))
 		return
 	}
 	head := http.Header{}
-	e.head(head)
+	e.writeHead(head)
 	head.Del("Connection")
 	head.Set("Transfer-Encoding", "chunked")
-	made, _, ending := e.await(1 << 30)
-	if ending != "" {
-		ended.Cause = ending
+	generated, _, cause := e.awaitTokens(1 << 30)
+	if cause != "" {
+		ended.Cause = cause
 		return
 	}
 	write := func() {
@@ -397,40 +406,40 @@
 		_ = head.Write(connection)
 		_, _ = connection.Write([]byte("\r\n"))
 		body := httputil.NewChunkedWriter(connection)
-		if e.server.shape.Plain > 0 {
-			_, _ = body.Write([]byte(e.plainText(made)))
+		if e.server.config.PlainSteps > 0 {
+			_, _ = body.Write([]byte(e.plainText(generated)))
 		} else {
-			_, _ = body.Write([]byte(e.spanText(e.behind+1, made)))
+			_, _ = body.Write([]byte(e.spanText(e.lastEventID+1, generated)))
 		}
 		_ = body.Close()
 		_, _ = connection.Write([]byte("\r\n"))
 	}
 	write()
-	ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, made
-	// The extra answer comes once the next request is here, whole, and the connection stays
-	// open behind it: a reset would take the answer away again.
+	ended.Complete, ended.Status, ended.Tokens = true, http.StatusOK, generated
+	// The duplicate is sent once the next request has been read completely. The connection then
+	// stays open: a reset could discard the duplicate before the client reads it.
 	next, err := http.ReadRequest(buffered.Reader)
 	if err != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, next.Body)
 	e.server.pool.events.Append(Event{
-		Kind:    Arrived,
-		Server:  e.server.ID,
-		Service: e.server.Service,
-		Zone:    e.server.Zone,
-		Try:     next.Header.Get(headerAttempt),
-		Stage:   phaseOf(next.Header),
-		Cause:   "its answer was another's",
+		Kind:      RequestArrived,
+		Server:    e.server.ID,
+		Service:   e.server.Service,
+		Zone:      e.server.Zone,
+		AttemptID: next.Header.Get(headerAttempt),
+		WorkPhase: phaseOf(next.Header),
+		Cause:     "it got the response to an earlier request",
 	})
 	write()
 	_ = connection.SetDeadline(time.Now().Add(time.Second))
 	_, _ = io.Copy(io.Discard, buffered)
 }
 
-// phaseOf is the part of the work that a request asks for.
+// phaseOf returns the phase that a request asks for.
 func phaseOf(header http.Header) string {
-	if header.Get(headerStage) == phasePrefill {
+	if header.Get(headerWorkPhase) == phasePrefill {
 		return phasePrefill
 	}
 	return phaseDecode
--- a/internal/testbed/replay/faults_nodes.go
+++ b/internal/testbed/replay/faults_nodes.go
@@ -8,70 +8,75 @@
 	"time"
 )
 
-// loseCore takes the turn of losing a machine of the core: only as many as the fault
-// budget allows are away at once, and one that is back has its time to catch up.
-func (day *Day) loseCore(core bool) func() {
+// reserveCoreLoss waits until a machine of the core may be taken away, and returns the function
+// that ends the reservation. The fault budget allows one core machine to be away at a time, and a
+// machine that is back gets the catch-up time before the next loss. If core is false, nothing is
+// reserved.
+func (day *Day) reserveCoreLoss(core bool) func() {
 	if !core {
 		return func() {}
 	}
-	day.coreTurn.Lock()
+	day.coreLoss.Lock()
 	sleep(day.lifetime, time.Until(day.coreBack.Add(day.Site.Terms.CatchUp)))
 	return func() {
 		day.coreBack = time.Now()
-		day.coreTurn.Unlock()
+		day.coreLoss.Unlock()
 	}
 }
 
-// killMachines kills machines; they come back after a while.
+// killMachines kills machines and starts them again after a while.
 func (day *Day) killMachines(_ context.Context, fault Fault) {
-	back := day.loseCore(fault.On == "core")
-	defer back()
+	release := day.reserveCoreLoss(fault.On == "core")
+	defer release()
 	var killing sync.WaitGroup
-	for _, machine := range day.leading(fault) {
-		killing.Go(func() { day.restartMachines(machine, fault.lasts(), false) })
+	for _, machine := range day.targetMachines(fault) {
+		killing.Go(func() { day.restartMachine(machine, fault.duration(), false) })
 	}
 	killing.Wait()
 }
 
-// leading picks machines; with "leader" it is the one of the core that acknowledges.
-func (day *Day) leading(fault Fault) []*Machine {
-	if fault.On == "core" && fault.says("leader") {
+// targetMachines picks the machines for a fault. For a fault on the core with the option "leader",
+// this is the machine that acknowledges a change.
+func (day *Day) targetMachines(fault Fault) []*Machine {
+	if fault.On == "core" && fault.hasOption("leader") {
 		if leader := day.machineAt(day.change(day.lifetime, "idle").node); leader != nil {
 			return []*Machine{leader}
 		}
 	}
-	return day.chosen(fault, 0.1)
+	return day.chooseMachines(fault, 0.1)
 }
 
-// restartMachines kills a machine and starts it again later, perhaps with an empty disk.
-func (day *Day) restartMachines(machine *Machine, down time.Duration, wipes bool) {
+// restartMachine kills a machine and starts it again after the time down, with an empty disk if
+// emptyDisk is set.
+func (day *Day) restartMachine(machine *Machine, down time.Duration, emptyDisk bool) {
 	machine.kill()
-	if wipes {
+	if emptyDisk {
 		_ = machine.wipe()
 	}
 	machine.mutex.Lock()
-	machine.first = false
+	machine.bootstrap = false
 	machine.mutex.Unlock()
 	if sleep(day.lifetime, down) {
-		_ = machine.up()
+		_ = machine.startProcesses()
 	}
 }
 
+// freezeMachines suspends the processes of machines for a while.
 func (day *Day) freezeMachines(_ context.Context, fault Fault) {
-	back := day.loseCore(fault.On == "core")
-	defer back()
-	machines := day.chosen(fault, 0.1)
+	release := day.reserveCoreLoss(fault.On == "core")
+	defer release()
+	machines := day.chooseMachines(fault, 0.1)
 	for _, machine := range machines {
 		machine.freeze()
 	}
-	sleep(day.lifetime, fault.lasts())
+	sleep(day.lifetime, fault.duration())
 	for _, machine := range machines {
-		machine.thaw()
+		machine.resume()
 	}
 }
 
-// roll stops machines with SIGTERM and starts them again, one after another.
-func (day *Day) roll(lifetime context.Context, fault Fault) {
+// rollingRestart stops machines with SIGTERM and starts them again, one after another.
+func (day *Day) rollingRestart(lifetime context.Context, fault Fault) {
 	machines := day.all()
 	day.mutex.Lock()
 	day.random.Shuffle(len(machines),
@@ -79,21 +84,22 @@
 	day.mutex.Unlock()
 	count := max(1, int(fault.shareOr(1)*float64(len(machines))+0.5))
 	for _, machine := range machines[:count] {
-		back := day.loseCore(machine.Core)
+		release := day.reserveCoreLoss(machine.Core)
 		machine.mutex.Lock()
-		machine.first = false
+		machine.bootstrap = false
 		machine.mutex.Unlock()
 		machine.stop()
 		sleep(day.lifetime, 300*time.Millisecond)
-		_ = machine.up()
-		back()
+		_ = machine.startProcesses()
+		release()
 		if !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
 }
 
-// reloadAll tells processes to read their settings again, whatever they are doing.
+// reloadAll tells the processes of a share of the machines to reload their settings. Other faults
+// may be in progress at the same time.
 func (day *Day) reloadAll(lifetime context.Context, fault Fault) {
 	machines := day.all()
 	count := max(1, int(fault.shareOr(0.3)*float64(len(machines))+0.5))
@@ -105,14 +111,14 @@
 	}
 }
 
-// killHerd kills many processes at once, whatever the core may lose; they come back with
-// their disks.
-func (day *Day) killHerd(_ context.Context, fault Fault) {
-	back := day.loseCore(true)
-	defer back()
+// killMany kills the processes of many machines at the same time, including core machines, beyond
+// the fault budget. The processes start again within a second, with their disks intact.
+func (day *Day) killMany(_ context.Context, fault Fault) {
+	release := day.reserveCoreLoss(true)
+	defer release()
 	machines := day.all()
 	if fault.On == "core" {
-		machines = day.core()
+		machines = day.coreMachines()
 	} else {
 		day.mutex.Lock()
 		day.random.Shuffle(len(machines),
@@ -120,95 +126,97 @@
 		day.mutex.Unlock()
 		machines = machines[:max(1, int(fault.shareOr(0.6)*float64(len(machines))+0.5))]
 	}
-	day.restartAll(machines, min(fault.lasts(), time.Second))
+	day.restartAll(machines, min(fault.duration(), time.Second))
 }
 
+// restartAll kills machines at the same time and starts them again after the time down.
 func (day *Day) restartAll(machines []*Machine, down time.Duration) {
 	var killing sync.WaitGroup
 	for _, machine := range machines {
-		killing.Go(func() { day.restartMachines(machine, down, false) })
+		killing.Go(func() { day.restartMachine(machine, down, false) })
 	}
 	killing.Wait()
 }
 
-// turnSeedsOver names other seeds in the settings of all machines.
-func (day *Day) turnSeedsOver(_ context.Context, _ Fault) {
-	seeds := day.controls(day.Site.Terms.SeedLag)
+// rotateSeeds writes other seeds into the settings of all machines.
+func (day *Day) rotateSeeds(_ context.Context, _ Fault) {
+	seeds := day.controlAddresses(day.Site.Terms.SeedLag)
 	slices.Reverse(seeds)
 	for _, machine := range day.all() {
 		_ = machine.rewriteSettings(seeds[:min(seedCount, len(seeds))])
 	}
 }
 
-// replaceCore has one machine of the core go for good; an empty one comes at another
-// address.
+// replaceCore removes one machine of the core for good and adds an empty one at another address:
+// before the removal if the fault is planned, otherwise after it.
 func (day *Day) replaceCore(_ context.Context, fault Fault) {
-	back := day.loseCore(true)
-	defer back()
-	old := day.leading(Fault{On: "core", How: fault.How})[0]
-	begin := func() {
-		machine := day.layOut(old.Zone, 0, true)
-		machine.listed, machine.seeds = time.Now(), old.seeds
-		_ = machine.up()
-		day.Balancer.open(machine.target())
-	}
-	if fault.says("planned") {
-		begin()
-		sleep(day.lifetime, seconds(fault.timesOr(1)))
+	release := day.reserveCoreLoss(true)
+	defer release()
+	old := day.targetMachines(Fault{On: "core", How: fault.How})[0]
+	addReplacement := func() {
+		machine := day.addMachine(old.Zone, 0, true)
+		machine.listedAt, machine.seeds = time.Now(), old.seeds
+		_ = machine.startProcesses()
+		day.Balancer.add(machine.target())
+	}
+	if fault.hasOption("planned") {
+		addReplacement()
+		sleep(day.lifetime, seconds(fault.factorOr(1)))
 		old.stop()
-		old.leave()
+		old.markRemoved()
 	} else {
 		old.kill()
-		old.leave()
-		if sleep(day.lifetime, seconds(fault.timesOr(1))) {
-			begin()
+		old.markRemoved()
+		if sleep(day.lifetime, seconds(fault.factorOr(1))) {
+			addReplacement()
 		}
 	}
 	sleep(day.lifetime, day.Site.Terms.CatchUp)
 }
 
-// wipeAfterAnswer kills the machine that acknowledges a change as soon as it has, and
-// takes its disk when the fault says so.
-func (day *Day) wipeAfterAnswer(_ context.Context, fault Fault) {
-	back := day.loseCore(true)
-	defer back()
-	given := day.change(day.lifetime, "idle")
-	machine := day.machineAt(given.node)
+// restartAfterAck kills the machine that acknowledged a change right after the acknowledgement, and
+// starts it again, with an empty disk if the kind of the fault ends with "wipe".
+func (day *Day) restartAfterAck(_ context.Context, fault Fault) {
+	release := day.reserveCoreLoss(true)
+	defer release()
+	reply := day.change(day.lifetime, "idle")
+	machine := day.machineAt(reply.node)
 	if machine == nil {
-		machine = day.core()[0]
+		machine = day.coreMachines()[0]
 	}
-	day.restartMachines(machine, fault.lasts(), strings.HasSuffix(fault.Kind, "wipe"))
+	day.restartMachine(machine, fault.duration(), strings.HasSuffix(fault.Kind, "wipe"))
 }
 
-// close strikes at the end of the day, right after a change was acknowledged.
-func (day *Day) close(lifetime context.Context, closing Closing) {
-	back := day.loseCore(true)
-	defer back()
+// runClosingFault carries out the closing fault right after a change was acknowledged.
+func (day *Day) runClosingFault(lifetime context.Context, closing Closing) {
+	release := day.reserveCoreLoss(true)
+	defer release()
 	sleep(lifetime, day.Site.Terms.CatchUp)
 	day.change(lifetime, "idle")
-	day.logf("%6.1f s  closing: %s", time.Since(day.began).Seconds(), closing.Kind)
+	day.logf("%6.1f s  closing fault: %s", time.Since(day.began).Seconds(), closing.Kind)
 	day.Events.Append(Event{Kind: ClosingFault, Cause: closing.Kind})
-	closings[closing.Kind](day, seconds(max(closing.Down, 0.3)))
-	day.Events.Append(Event{Kind: ClosingBack})
+	closingFaults[closing.Kind](day, seconds(max(closing.Down, 0.3)))
+	day.Events.Append(Event{Kind: ClosingFaultEnded})
 }
 
-// killAll kills every process at once.
+// killAll kills all processes at the same time and starts all machines again.
 func (day *Day) killAll(down time.Duration) { day.restartAll(day.all(), down) }
 
-// wipeOne takes the disk of one machine of the core while all others are killed.
-func (day *Day) wipeOne(down time.Duration) {
-	unlucky := day.core()[day.random.IntN(len(day.core()))]
+// killAllWipeOne kills all processes at the same time, empties the disk of one random core machine,
+// and starts all machines again.
+func (day *Day) killAllWipeOne(down time.Duration) {
+	wiped := day.coreMachines()[day.random.IntN(len(day.coreMachines()))]
 	var killing sync.WaitGroup
 	for _, machine := range day.all() {
-		killing.Go(func() { day.restartMachines(machine, down, machine == unlucky) })
+		killing.Go(func() { day.restartMachine(machine, down, machine == wiped) })
 	}
 	killing.Wait()
 }
 
-// loseZone takes a zone's machines and servers away for a while.
+// loseZone kills a zone's machines and servers for a while.
 func (day *Day) loseZone(lifetime context.Context, fault Fault) {
-	back := day.loseCore(true)
-	defer back()
+	release := day.reserveCoreLoss(true)
+	defer release()
 	zone := fault.Zone
 	if zone == "" {
 		zone = day.Site.Zones[day.seed%uint64(len(day.Site.Zones))]
@@ -216,11 +224,11 @@
 	servers := slices.DeleteFunc(day.ServerPool.all(), func(server *modelServer) bool { return server.Zone != zone })
 	phases := make([]string, len(servers))
 	for position, server := range servers {
-		phases[position] = server.playing()
+		phases[position] = server.currentPhase()
 		day.ServerPool.remove(server)
 	}
-	day.restartAll(slices.DeleteFunc(day.all(), func(machine *Machine) bool { return machine.Zone != zone }), fault.lasts())
+	day.restartAll(slices.DeleteFunc(day.all(), func(machine *Machine) bool { return machine.Zone != zone }), fault.duration())
 	for position, server := range servers {
-		_, _ = day.ServerPool.add(day.Site.shapeOf(server.Service), zone, phases[position], true)
+		_, _ = day.ServerPool.add(day.Site.serviceConfig(server.Service), zone, phases[position], true)
 	}
 }
--- a/internal/testbed/replay/faults_operators.go
+++ b/internal/testbed/replay/faults_operators.go
@@ -10,38 +10,39 @@
 	"sync"
 )
 
-// change makes a change of a sort on top of the newest revision; it gives how it was
-// answered.
-func (day *Day) change(lifetime context.Context, how string) answer {
+// change proposes a change of the given kind, based on the newest known revision, up to three times
+// until a proposal is acknowledged. It returns the result.
+func (day *Day) change(lifetime context.Context, how string) callResult {
 	operators := day.Operators
-	patience, end := context.WithTimeout(lifetime, 4*day.Site.Terms.Acknowledge)
-	defer end()
+	deadline, cancel := context.WithTimeout(lifetime, 4*day.Site.Terms.Acknowledge)
+	defer cancel()
 	for range 3 {
-		base := operators.known()
+		base := operators.newestKnown()
 		next := operators.draft(base)
-		day.alter(&next, how)
-		given := operators.propose(patience, base, next, next.Revision%2 == 0, false, nil)
-		if given.outcome == acknowledged {
-			return given
+		day.alterDraft(&next, how)
+		reply := operators.propose(deadline, base, next, next.Revision%2 == 0, false, nil)
+		if reply.outcome == acknowledged {
+			return reply
 		}
-		operators.resync(patience)
+		operators.resync(deadline)
 	}
-	return answer{outcome: unclear}
+	return callResult{outcome: unclear}
 }
 
-// alter makes the changes of one sort to a draft.
-func (day *Day) alter(next *Version, how string) {
+// alterDraft applies a change of the given kind to a draft. By default it adds an idle route, and
+// removes an earlier one if there are many.
+func (day *Day) alterDraft(next *Version, how string) {
 	class := day.Site.Classes[0]
-	busy := "r-" + class.Name
-	rule := next.Routes[busy]
+	busyRoute := "r-" + class.Name
+	busyRule := next.Routes[busyRoute]
 	number := strconv.Itoa(next.Revision)
 	switch how {
 	case "weights":
-		rule.Services = map[string]int{day.Site.Services[0].Name: 90, day.Site.Services[1].Name: 10}
+		busyRule.Services = map[string]int{day.Site.Services[0].Name: 90, day.Site.Services[1].Name: 10}
 	case "route":
-		rule.Services = map[string]int{day.Site.Services[next.Revision%2].Name: 1}
+		busyRule.Services = map[string]int{day.Site.Services[next.Revision%2].Name: 1}
 	case "timeout":
-		rule.Deadline = int(class.Deadline.Milliseconds()) - 100*(next.Revision%5)
+		busyRule.Deadline = int(class.Deadline.Milliseconds()) - 100*(next.Revision%5)
 	default:
 		for name := range next.Routes {
 			if strings.HasPrefix(name, "r-late-") && len(next.Routes) > len(day.Site.Classes)+idleRoutes+3 {
@@ -49,20 +50,21 @@
 				break
 			}
 		}
-		name, idle := idleRule(day.Site, "r-late-"+number)
-		next.Routes[name] = idle
-		day.Operators.watch(name, idle)
+		name, rule := idleRule(day.Site, "r-late-"+number)
+		next.Routes[name] = rule
+		day.Operators.watch(name, rule)
 	}
-	next.Routes[busy] = rule
+	next.Routes[busyRoute] = busyRule
 }
 
+// changeOnce makes one change of the kind that the fault names.
 func (day *Day) changeOnce(lifetime context.Context, fault Fault) { day.change(lifetime, fault.How) }
 
-// storm makes changes in quick succession.
-func (day *Day) storm(lifetime context.Context, fault Fault) {
+// changeStorm makes changes in quick succession.
+func (day *Day) changeStorm(lifetime context.Context, fault Fault) {
 	count := fault.Count
 	if count == 0 {
-		count = max(1, int(fault.lasts()/fault.gap()))
+		count = max(1, int(fault.duration()/fault.gap()))
 	}
 	for number := range count {
 		day.change(lifetime, []string{"idle", "timeout"}[number%2])
@@ -72,19 +74,19 @@
 	}
 }
 
-// race has two operators make changes on top of the same revision.
-func (day *Day) race(lifetime context.Context, fault Fault) {
+// raceChanges proposes two changes based on the same revision at the same time.
+func (day *Day) raceChanges(lifetime context.Context, fault Fault) {
 	operators := day.Operators
 	for range max(1, fault.Count) {
-		base := operators.known()
+		base := operators.newestKnown()
 		var racing sync.WaitGroup
 		for range 2 {
 			next := operators.draft(base)
-			day.alter(&next, "idle")
+			day.alterDraft(&next, "idle")
 			racing.Go(func() {
-				patience, end := context.WithTimeout(lifetime, 4*day.Site.Terms.Acknowledge)
-				defer end()
-				operators.propose(patience, base, next, next.Revision%2 == 0, false, nil)
+				deadline, cancel := context.WithTimeout(lifetime, 4*day.Site.Terms.Acknowledge)
+				defer cancel()
+				operators.propose(deadline, base, next, next.Revision%2 == 0, false, nil)
 			})
 		}
 		racing.Wait()
@@ -95,84 +97,85 @@
 	}
 }
 
-// sendInvalid sends configurations that can't be.
+// sendInvalid proposes invalid configurations.
 func (day *Day) sendInvalid(lifetime context.Context, fault Fault) {
-	ways := slices.Sorted(maps.Keys(spoilers))
+	kinds := slices.Sorted(maps.Keys(invalidators))
 	operators := day.Operators
 	for number := range max(1, fault.Count) {
-		way := fault.How
-		if spoilers[way] == nil {
-			way = ways[(number+int(day.seed))%len(ways)]
+		kind := fault.How
+		if invalidators[kind] == nil {
+			kind = kinds[(number+int(day.seed))%len(kinds)]
 		}
-		base := operators.known()
+		base := operators.newestKnown()
 		next := operators.draft(base)
 		name, rule := idleRule(day.Site, "r-bad-"+strconv.Itoa(next.Revision))
 		next.Routes[name] = rule
 		operators.watch(name, rule)
-		patience, end := context.WithTimeout(lifetime, 2*day.Site.Terms.Acknowledge)
-		operators.propose(patience, base, next, false, true,
-			func(page map[string]any) []byte { return spoilers[way](page, base) })
-		end()
+		deadline, cancel := context.WithTimeout(lifetime, 2*day.Site.Terms.Acknowledge)
+		operators.propose(deadline, base, next, false, true,
+			func(page map[string]any) []byte { return invalidators[kind](page, base) })
+		cancel()
 		if !sleep(lifetime, fault.gap()) {
 			return
 		}
 	}
 }
 
-// spoilers make a configuration invalid, each in its way.
-var spoilers = map[string]func(page map[string]any, base Version) []byte{
+// invalidators make a configuration invalid, by kind of mistake.
+var invalidators = map[string]func(page map[string]any, base Version) []byte{
 	"cut_short": func(page map[string]any, _ Version) []byte {
 		text, _ := json.Marshal(page)
 		return text[:len(text)*2/3]
 	},
 	"unknown_service": func(page map[string]any, _ Version) []byte {
-		first(page)["backend"] = "nowhere"
-		delete(first(page), "split")
-		return encoded(page)
+		firstSingleServiceRoute(page)["backend"] = "nowhere"
+		delete(firstSingleServiceRoute(page), "split")
+		return encodePage(page)
 	},
 	"same_place": func(page map[string]any, _ Version) []byte {
 		routes, _ := page["routes"].([]any)
-		twin := maps.Clone(first(page))
+		twin := maps.Clone(firstSingleServiceRoute(page))
 		twin["name"] = "r-twin"
 		page["routes"] = append(routes, twin)
-		return encoded(page)
+		return encodePage(page)
 	},
 	"no_weight": func(page map[string]any, _ Version) []byte {
-		route := first(page)
+		route := firstSingleServiceRoute(page)
 		route["split"] = []any{map[string]any{"backend": route["backend"], "weight": 0}}
 		delete(route, "backend")
-		return encoded(page)
+		return encodePage(page)
 	},
 	"no_timeout": func(page map[string]any, _ Version) []byte {
-		first(page)["deadlineMs"] = 0
-		return encoded(page)
+		firstSingleServiceRoute(page)["deadlineMs"] = 0
+		return encodePage(page)
 	},
 	"old_version": func(page map[string]any, base Version) []byte {
 		page["revision"] = base.Revision
-		return encoded(page)
+		return encodePage(page)
 	},
 }
 
-// first is the first route of a page that goes to one service.
-func first(page map[string]any) map[string]any {
+// firstSingleServiceRoute returns the first route of a page that has a single service.
+func firstSingleServiceRoute(page map[string]any) map[string]any {
 	routes, _ := page["routes"].([]any)
-	for _, each := range routes {
-		if route, fits := each.(map[string]any); fits && route["backend"] != nil {
+	for _, entry := range routes {
+		if route, fits := entry.(map[string]any); fits && route["backend"] != nil {
 			return route
 		}
 	}
 	return map[string]any{}
 }
 
-func encoded(page map[string]any) []byte {
+// encodePage encodes a page as JSON.
+func encodePage(page map[string]any) []byte {
 	text, _ := json.Marshal(page)
 	return text
 }
 
-// growConfiguration adds many routes.
+// growConfiguration adds many routes in one change.
 func (day *Day) growConfiguration(lifetime context.Context, fault Fault) {
 	operators := day.Operators
-	base := operators.known()
+	base := operators.newestKnown()
 	next := operators.draft(base)
 	for number := range max(1, fault.Count) {
 		name, rule := idleRule(day.Site, "r-many-"+strconv.Itoa(next.Revision)+"-"+strconv.Itoa(number))
@@ -186,18 +189,18 @@
 	}
 }
 
-// evacuateZone keeps a zone's servers free of requests for a while.
+// evacuateZone evacuates a zone for a while. The zone's servers are cold when the evacuation ends.
 func (day *Day) evacuateZone(lifetime context.Context, fault Fault) {
 	zone := fault.Zone
 	if zone == "" {
 		zone = day.Site.Zones[day.seed%uint64(len(day.Site.Zones))]
 	}
-	if day.Operators.evacuate(lifetime, zone) && sleep(lifetime, fault.lasts()) {
+	if day.Operators.evacuate(lifetime, zone) && sleep(lifetime, fault.duration()) {
 		for _, server := range day.ServerPool.all() {
 			if server.Zone == zone {
-				server.cool()
+				server.makeCold()
 			}
 		}
-		day.Operators.takeBack(lifetime, zone)
+		day.Operators.endEvacuation(lifetime, zone)
 	}
 }
--- a/internal/testbed/replay/faults_servers.go
+++ b/internal/testbed/replay/faults_servers.go
@@ -7,50 +7,53 @@
 	"time"
 )
 
-// misbehaveFor has servers misbehaveFor for a while.
+// misbehaveFor makes a share of the servers misbehave for the duration of the fault.
 func (day *Day) misbehaveFor(lifetime context.Context, fault Fault, share float64, begin func(m *misbehaviour)) {
-	servers := day.drawn(fault, share)
+	servers := day.drawServers(fault, share)
 	for _, server := range servers {
-		server.misbehave(begin)
+		server.setMisbehaviour(begin)
 	}
-	sleep(lifetime, fault.lasts())
+	sleep(lifetime, fault.duration())
 	for _, server := range servers {
-		server.misbehave(func(own *misbehaviour) { *own = misbehaviour{} })
+		server.setMisbehaviour(func(m *misbehaviour) { *m = misbehaviour{} })
 	}
 }
 
-// crashServers has servers crash and come back cold, or be silent for a while.
+// crashServers crashes servers and starts them again cold. With the option "gone", a server of
+// another service starts at the address instead. With the option "dark", the servers do not crash
+// and are silent for a while.
 func (day *Day) crashServers(lifetime context.Context, fault Fault) {
-	if fault.says("dark") {
-		day.misbehaveFor(lifetime, fault, 0.15, func(m *misbehaviour) { m.dark = true })
+	if fault.hasOption("dark") {
+		day.misbehaveFor(lifetime, fault, 0.15, func(m *misbehaviour) { m.silent = true })
 		return
 	}
-	for _, server := range day.drawn(fault, 0.15) {
-		phase := server.playing()
+	for _, server := range day.drawServers(fault, 0.15) {
+		phase := server.currentPhase()
 		day.ServerPool.remove(server)
-		if fault.says("gone") {
+		if fault.hasOption("gone") {
 			day.reuseAddress(lifetime, server)
 			continue
 		}
-		if sleep(lifetime, fault.lasts()) {
-			_, _ = day.ServerPool.add(day.Site.shapeOf(server.Service), server.Zone, phase, true)
+		if sleep(lifetime, fault.duration()) {
+			_, _ = day.ServerPool.add(day.Site.serviceConfig(server.Service), server.Zone, phase, true)
 		}
 	}
 }
 
-func (m *modelServer) playing() string {
+// currentPhase returns the server's present phase.
+func (m *modelServer) currentPhase() string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.phase
 }
 
-// release replaces servers one after another: the new one comes first, the old one is
-// listed as leaving.
+// release replaces servers one after another: the new server starts, and then the old server
+// drains.
 func (day *Day) release(lifetime context.Context, fault Fault) {
 	var leaving sync.WaitGroup
 	defer leaving.Wait()
-	for _, server := range day.drawn(fault, 0.5) {
-		if _, err := day.ServerPool.add(day.Site.shapeOf(server.Service), server.Zone, server.playing(), true); err != nil {
+	for _, server := range day.drawServers(fault, 0.5) {
+		if _, err := day.ServerPool.add(day.Site.serviceConfig(server.Service), server.Zone, server.currentPhase(), true); err != nil {
 			return
 		}
 		leaving.Go(func() {
@@ -63,31 +66,31 @@
 	}
 }
 
-// reuseAddress has a server of another service begin where one has ended.
+// reuseAddress starts a server of another service at the address of a server that ended.
 func (day *Day) reuseAddress(lifetime context.Context, old *modelServer) {
 	if !sleep(lifetime, day.Site.Terms.AddressReuse) {
 		return
 	}
 	for _, service := range day.Site.Services {
-		if service.Name != old.Service && service.Engine.Plain == 0 {
+		if service.Name != old.Service && service.Engine.PlainSteps == 0 {
 			_, _ = day.ServerPool.addAt(old.Address, service, old.Zone, phaseDecode, true)
 			return
 		}
 	}
 }
 
-// flap has servers go down and come up again, by turns.
+// flap crashes servers and starts them again, one after another and repeatedly.
 func (day *Day) flap(lifetime context.Context, fault Fault) {
-	ends := time.Now().Add(fault.lasts())
-	servers := day.drawn(fault, 0.1)
-	for time.Now().Before(ends) {
+	end := time.Now().Add(fault.duration())
+	servers := day.drawServers(fault, 0.1)
+	for time.Now().Before(end) {
 		for position, server := range servers {
-			phase := server.playing()
+			phase := server.currentPhase()
 			day.ServerPool.remove(server)
 			if !sleep(lifetime, fault.gap()) {
 				return
 			}
-			if next, err := day.ServerPool.addAt(server.Address, day.Site.shapeOf(server.Service), server.Zone, phase,
+			if next, err := day.ServerPool.addAt(server.Address, day.Site.serviceConfig(server.Service), server.Zone, phase,
 				true); err == nil {
 				servers[position] = next
 			}
@@ -98,42 +101,49 @@
 	}
 }
 
-func (day *Day) failInPart(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.2, func(m *misbehaviour) { m.fails = fault.timesOr(0.5) })
+// failSomeRequests makes servers fail a share of their requests.
+func (day *Day) failSomeRequests(lifetime context.Context, fault Fault) {
+	day.misbehaveFor(lifetime, fault, 0.2, func(m *misbehaviour) { m.failShare = fault.factorOr(0.5) })
 }
 
-func (day *Day) lieAboutHealth(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.lies = true })
+// invertHealth makes servers report the opposite of their health.
+func (day *Day) invertHealth(lifetime context.Context, fault Fault) {
+	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.healthInverted = true })
 }
 
-// abuseRetries has clients try again at once and often.
+// abuseRetries makes clients retry immediately and often for a while.
 func (day *Day) abuseRetries(lifetime context.Context, fault Fault) {
-	day.Clients.abuse(true)
-	sleep(lifetime, fault.lasts())
-	day.Clients.abuse(false)
+	day.Clients.setRetryAbuse(true)
+	sleep(lifetime, fault.duration())
+	day.Clients.setRetryAbuse(false)
 }
 
+// loseAnswers makes servers drop a share of their complete responses.
 func (day *Day) loseAnswers(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) { m.loses = fault.timesOr(0.03) })
+	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) { m.lostShare = fault.factorOr(0.03) })
 }
 
-func (day *Day) garbleAnswers(lifetime context.Context, fault Fault) {
+// corruptAnswers makes servers corrupt a share of their responses. With the option "extra", some of
+// them are duplicates.
+func (day *Day) corruptAnswers(lifetime context.Context, fault Fault) {
 	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) {
-		m.spoils, m.late = fault.timesOr(0.02), fault.says("extra")
+		m.corruptShare, m.duplicates = fault.factorOr(0.02), fault.hasOption("extra")
 	})
 }
 
-func (day *Day) slowMoves(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.slowed = fault.timesOr(8) })
+// slowTransfers slows the KV cache transfers of servers.
+func (day *Day) slowTransfers(lifetime context.Context, fault Fault) {
+	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.transferSlowdown = fault.factorOr(8) })
 }
 
-func (day *Day) lapseHandles(lifetime context.Context, fault Fault) {
-	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.lapses = true })
+// expireHandles makes the handles of servers expire at once.
+func (day *Day) expireHandles(lifetime context.Context, fault Fault) {
+	day.misbehaveFor(lifetime, fault, 0.3, func(m *misbehaviour) { m.handlesExpire = true })
 }
 
-// chosen picks machines: a share or a count of them, of the core or of those without a
-// disk. Of the core one is picked.
-func (day *Day) chosen(fault Fault, share float64) []*Machine {
+// chooseMachines picks random machines: one machine of the core if the fault is on the core,
+// otherwise a share or a count of the machines outside the core.
+func (day *Day) chooseMachines(fault Fault, share float64) []*Machine {
 	machines := slices.DeleteFunc(day.all(), func(machine *Machine) bool { return machine.Core != (fault.On == "core") })
 	day.mutex.Lock()
 	day.random.Shuffle(len(machines),
--- a/internal/testbed/replay/machine.go
+++ b/internal/testbed/replay/machine.go
@@ -21,6 +21,7 @@
 	Name string
 	Zone string
 	IP   string
+	// Core means that the machine has a disk and serves the control plane.
 	Core bool
 
 	day       *Day
@@ -30,41 +31,45 @@
 
 	mutex sync.Mutex
 	seeds []string
-	first bool
-	// listed tells since when it is on the operators' list, and until when.
-	listed, unlisted time.Time
-	gone             bool
+	// bootstrap is true from the first start of the whole system until the machine is restarted or
+	// gets other seeds.
+	bootstrap bool
+	// listedAt and unlistedAt are when the machine was added to the operators' list and removed.
+	listedAt, unlistedAt time.Time
+	removed              bool
 }
 
-// serves tells whether a role of the machine may be called from outside for that.
-func (m *Machine) serves(what string) bool {
+// serves reports whether a role of the machine serves a function, such as "edge" or "control", to
+// callers outside.
+func (m *Machine) serves(function string) bool {
 	for _, role := range m.roles {
-		if role.serving(what) {
+		if role.hasFunction(function) {
 			return true
 		}
 	}
 	return false
 }
 
-// target is where the machine takes clients.
+// target returns the addresses for clients and readiness probes.
 func (m *Machine) target() target {
 	p := m.day.ports
-	return target{machine: m.Name, zone: m.Zone, front: m.IP + ":" + p.front, ready: m.IP + ":" + p.ready}
+	return target{machine: m.Name, zone: m.Zone, frontAddress: m.IP + ":" + p.front, readinessAddress: m.IP + ":" + p.ready}
 }
 
-func (m *Machine) control() string { return m.IP + ":" + m.day.ports.control }
+// controlAddress returns the address of the control plane on the machine.
+func (m *Machine) controlAddress() string { return m.IP + ":" + m.day.ports.control }
 
-// settings is what a process of a role is told.
+// settings returns the settings of the process of a role.
 func (m *Machine) settings(role Role) map[string]any {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	site, addresses := m.day.Site, map[string]any{}
-	if role.serving("edge") {
+	if role.hasFunction("edge") {
 		t := m.target()
-		addresses["frontHttp"], addresses["readiness"] = t.front, t.ready
+		addresses["frontHttp"], addresses["readiness"] = t.frontAddress, t.readinessAddress
 	}
-	if role.serving("control") {
-		addresses["controlPlane"] = m.control()
+	if role.hasFunction("control") {
+		addresses["controlPlane"] = m.controlAddress()
 	}
 	zones := map[string]string{}
 	for _, zone := range site.Zones {
@@ -73,7 +78,7 @@
 	limits := map[string]any{"cpuFraction": 0.4, "cores": 1, "memoryMb": 284, "maxFds": 4100, "linkMbps": 1000.0}
 	page := map[string]any{
 		"nodeName": m.Name, "role": role.Name, "machineClass": role.On, "serves": role.Serves, "ip": m.IP, "zone": m.Zone, "region": site.Region,
-		"zones": zones, "bindAddrs": addresses, "portRange": m.day.ports.free, "seedNodes": m.seeds, "bootstrap": m.first,
+		"zones": zones, "bindAddrs": addresses, "portRange": m.day.ports.free, "seedNodes": m.seeds, "bootstrap": m.bootstrap,
 		"countsAsLoss": m.Core, "limits": limits, "discoverySource": "platform", "entryKind": "virtual_ip", "beatIntervalMs": 1200,
 		"activeContracts": []string{"base", "drain", "config", "cost", "retry", "recover", "split", "stream", "engine", "places"},
 		"faultBudget":     map[string]any{"machineLosses": 1, "zones": 1, "regionLosses": 0}, "bounds": site.Terms.page(),
@@ -86,17 +91,18 @@
 	}
 	if m.Core {
 		limits["diskMb"] = 64
-		page["dataDir"] = m.disk(role)
+		page["dataDir"] = m.dataFolder(role)
 	}
 	return page
 }
 
-func (m *Machine) disk(role Role) string {
+// dataFolder returns the folder for the durable data of a role.
+func (m *Machine) dataFolder(role Role) string {
 	return filepath.Join(m.folder, "data", role.Name)
 }
 
-// write writes the settings file of a role.
-func (m *Machine) write(role Role) (string, error) {
+// writeSettings writes the settings file of a role and returns its path.
+func (m *Machine) writeSettings(role Role) (string, error) {
 	text, err := json.MarshalIndent(m.settings(role), "", "  ")
 	if err != nil {
 		return "", failure.Wrap(failure.Malformed, err)
@@ -106,18 +112,18 @@
 		return "", failure.Wrap(failure.Disk, err)
 	}
 	if m.Core {
-		if err := os.MkdirAll(m.disk(role), 0o755); err != nil {
+		if err := os.MkdirAll(m.dataFolder(role), 0o755); err != nil {
 			return "", failure.Wrap(failure.Disk, err)
 		}
 	}
 	return path, failure.Wrap(failure.Disk, os.WriteFile(path, text, 0o644))
 }
 
-// seedCount is how many seeds a settings file names at the most.
+// seedCount is the largest number of seeds in a settings file.
 const seedCount = 3
 
-// up starts the processes.
-func (m *Machine) up() error {
+// startProcesses starts the processes that do not run.
+func (m *Machine) startProcesses() error {
 	m.renewSeeds()
 	m.day.Events.Append(Event{Kind: MachineUp, Machine: m.Name, Zone: m.Zone, Core: m.Core})
 	for _, p := range m.processes {
@@ -128,18 +134,19 @@
 	return nil
 }
 
-// renewSeeds names those that serve control now, as the settings of the moment do. At the
-// first start of the whole system all have the same.
+// renewSeeds sets the seeds to machines that the operators' list, which is a seed lag old, shows as
+// serving the control plane. At the first start of the whole system it keeps the seeds, which are
+// the same on all machines.
 func (m *Machine) renewSeeds() {
-	seeds := m.day.controls(m.day.Site.Terms.SeedLag)
+	seeds := m.day.controlAddresses(m.day.Site.Terms.SeedLag)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if !m.first && len(seeds) > 0 {
+	if !m.bootstrap && len(seeds) > 0 {
 		m.seeds = seeds[:min(seedCount, len(seeds))]
 	}
 }
 
-// kill ends all processes at once.
+// kill kills all processes. It records the event before and after the kill.
 func (m *Machine) kill() {
 	m.day.Events.Append(Event{Kind: MachineKilled, Machine: m.Name, Core: m.Core})
 	for _, p := range m.processes {
@@ -148,14 +155,14 @@
 	m.day.Events.Append(Event{Kind: MachineKilled, Machine: m.Name, Core: m.Core})
 }
 
-// wipe takes the disk's content away; the processes must have ended.
+// wipe deletes the data on the disk. The processes must have ended.
 func (m *Machine) wipe() error {
 	return failure.Wrap(failure.Disk, os.RemoveAll(filepath.Join(m.folder, "data")))
 }
 
-// stop sends SIGTERM, and SIGKILL after the time of grace.
+// stop sends SIGTERM to all processes, and SIGKILL after the grace period.
 func (m *Machine) stop() {
-	m.day.Events.Append(Event{Kind: MachineTerm, Machine: m.Name, Core: m.Core, Planned: true})
+	m.day.Events.Append(Event{Kind: MachineTerminated, Machine: m.Name, Core: m.Core, Planned: true})
 	var ending sync.WaitGroup
 	for _, p := range m.processes {
 		ending.Go(func() { p.stop(m.day.Site.Terms.Grace) })
@@ -163,7 +170,7 @@
 	ending.Wait()
 }
 
-// freeze stands the processes still; thaw lets them go on.
+// freeze suspends all processes.
 func (m *Machine) freeze() {
 	m.day.Events.Append(Event{Kind: MachineFrozen, Machine: m.Name, Core: m.Core})
 	for _, p := range m.processes {
@@ -171,29 +178,30 @@
 	}
 }
 
-func (m *Machine) thaw() {
+// resume resumes the processes after freeze.
+func (m *Machine) resume() {
 	for _, p := range m.processes {
 		p.signal(syscall.SIGCONT)
 	}
-	m.day.Events.Append(Event{Kind: MachineThawed, Machine: m.Name, Core: m.Core})
+	m.day.Events.Append(Event{Kind: MachineResumed, Machine: m.Name, Core: m.Core})
 }
 
-// leave notes that the machine is gone for good.
-func (m *Machine) leave() {
+// markRemoved records that the machine is removed for good.
+func (m *Machine) markRemoved() {
 	m.mutex.Lock()
-	m.gone, m.unlisted = true, time.Now()
+	m.removed, m.unlistedAt = true, time.Now()
 	m.mutex.Unlock()
-	m.day.Balancer.shut(m.Name)
-	m.day.Events.Append(Event{Kind: MachineGone, Machine: m.Name, Core: m.Core})
+	m.day.Balancer.remove(m.Name)
+	m.day.Events.Append(Event{Kind: MachineRemoved, Machine: m.Name, Core: m.Core})
 }
 
-// rewriteSettings writes other seeds into the settings files, and tells the processes.
+// rewriteSettings writes other seeds into the settings files and tells the processes to reload them.
 func (m *Machine) rewriteSettings(seeds []string) error {
 	m.mutex.Lock()
-	m.seeds, m.first = seeds, false
+	m.seeds, m.bootstrap = seeds, false
 	m.mutex.Unlock()
 	for _, p := range m.processes {
-		if _, err := m.write(p.role); err != nil {
+		if _, err := m.writeSettings(p.role); err != nil {
 			return err
 		}
 		p.signal(syscall.SIGHUP)
@@ -201,29 +209,30 @@
 	return nil
 }
 
-// reload tells the processes that their settings files may have changed.
+// reload tells the processes to reload their settings files.
 func (m *Machine) reload() {
 	for _, p := range m.processes {
 		p.signal(syscall.SIGHUP)
 	}
 }
 
-// ports are alike on all machines of a day.
+// ports are the port numbers of a day, the same on all its machines. The range from the first to the
+// last number in free is for the processes' own use.
 type ports struct {
 	front, ready, control, list, server string
 	free                                []int
 }
 
-// addressRange is a range of loopback addresses that one day has for itself: each machine and
-// server has its own.
+// addressRange is a range of loopback addresses reserved for one day. Each machine and server has
+// an address of its own.
 type addressRange struct {
 	prefix   string
-	next     atomic.Int32
+	lastUsed atomic.Int32
 	reserved net.Listener
 }
 
-// takeAddresses finds a range that no other day on this computer has taken.
-func takeAddresses() (*addressRange, ports, error) {
+// reserveAddresses reserves a range of addresses that no other day on this computer uses.
+func reserveAddresses() (*addressRange, ports, error) {
 	for range 200 {
 		first := 20_000 + rand.IntN(100)*100
 		chosen := ports{
@@ -244,7 +253,7 @@
 	return nil, ports{}, failure.New(failure.Busy, "no free range of loopback addresses")
 }
 
-// address gives the next address of the range.
-func (a *addressRange) address() string {
-	return a.prefix + strconv.Itoa(int(a.next.Add(1)))
+// nextAddress returns the next address of the range.
+func (a *addressRange) nextAddress() string {
+	return a.prefix + strconv.Itoa(int(a.lastUsed.Add(1)))
 }
--- a/internal/testbed/replay/misbehaviour.go
+++ b/internal/testbed/replay/misbehaviour.go
@@ -4,47 +4,48 @@
 
 // misbehaviour is how a model server misbehaves.
 type misbehaviour struct {
-	// dark: it is silent. lapses: its handles lapse at once. slowed: moves of memory take
-	// so many times as long.
-	dark   bool
-	lapses bool
-	slowed float64
-	// spoils and loses are the shares of answers that are broken off or spoilt, and that
-	// are lost once they were made; late: a second answer comes in the place of the next.
-	spoils float64
-	loses  float64
-	late   bool
-	// fails is the share of requests that it fails with a status of its own, and lies says
-	// that its health answers are the reverse of the truth.
-	fails float64
-	lies  bool
+	// silent means that the server responds to nothing, handlesExpire that its handles expire at
+	// once. KV cache transfers take transferSlowdown times as long.
+	silent           bool
+	handlesExpire    bool
+	transferSlowdown float64
+	// corruptShare is the share of responses that are cut off or malformed, lostShare the share that
+	// is dropped when complete. If duplicates is set, half of the corrupt responses are complete, but
+	// are sent again in place of the next response.
+	corruptShare float64
+	lostShare    float64
+	duplicates   bool
+	// failShare is the share of requests that the server fails with status 500. If healthInverted is
+	// set, the server's health responses are the opposite of the truth.
+	failShare      float64
+	healthInverted bool
 }
 
-// spoiling is what becomes of one answer.
-type spoiling int
+// answerFault is the fault of one response.
+type answerFault int
 
 const (
-	unspoilt spoiling = iota
-	brokenOff
-	garbage
-	extraLate
-	lost
-	failed
+	answerIntact answerFault = iota
+	answerCutOff
+	answerMalformed
+	answerDuplicated
+	answerLost
+	answerFailed
 )
 
-// draw chooses what becomes of an answer.
-func (m misbehaviour) draw(random *rand.Rand) spoiling {
+// drawFault draws the fault of a response.
+func (m misbehaviour) drawFault(random *rand.Rand) answerFault {
 	draw := random.Float64()
 	switch {
-	case draw < m.loses:
-		return lost
-	case draw < m.loses+m.spoils:
-		if m.late && random.IntN(2) == 0 {
-			return extraLate
+	case draw < m.lostShare:
+		return answerLost
+	case draw < m.lostShare+m.corruptShare:
+		if m.duplicates && random.IntN(2) == 0 {
+			return answerDuplicated
 		}
-		return []spoiling{brokenOff, garbage}[random.IntN(2)]
-	case draw < m.loses+m.spoils+m.fails:
-		return failed
+		return []answerFault{answerCutOff, answerMalformed}[random.IntN(2)]
+	case draw < m.lostShare+m.corruptShare+m.failShare:
+		return answerFailed
 	}
-	return unspoilt
+	return answerIntact
 }
--- a/internal/testbed/replay/modelserver.go
+++ b/internal/testbed/replay/modelserver.go
@@ -19,7 +19,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// modelServer is one life of a model server.
+// modelServer is one incarnation of a model server.
 type modelServer struct {
 	ID      string
 	Service string
@@ -27,10 +27,10 @@
 	Address string
 
 	pool     *ServerPool
-	shape    Shape
+	config   EngineConfig
 	server   *http.Server
 	lifetime context.Context
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 
 	mutex        sync.Mutex
 	progress     *sync.Cond
@@ -38,52 +38,53 @@
 	random       *rand.Rand
 	misbehaviour misbehaviour
 	phase        string
-	// turning: an order is in progress.
-	turning   bool
-	orders    int
-	revision  int
-	draining  bool
-	warmUntil time.Time
-	arrivals  []time.Time
-	handles   map[string]*handle
-	// linkFree is when the link has ended its last move.
-	linkFree    time.Time
-	connections int
-	answers     int
-	report      reportPage
-	reported    time.Time
-	before      reportPage
+	// changingPhase means that an order to change the phase is in progress.
+	changingPhase bool
+	orders        int
+	revision      int
+	draining      bool
+	warmUntil     time.Time
+	arrivals      []time.Time
+	handles       map[string]*handle
+	// linkFreeAt is when the link completes its last KV cache transfer.
+	linkFreeAt    time.Time
+	connections   int
+	answers       int
+	latestReport  serverReport
+	reportedAt    time.Time
+	earlierReport serverReport
 }
 
-// handle is a read prompt's memory that waits to be taken.
+// handle refers to the KV cache of a prefilled prompt until another server fetches the KV cache.
 type handle struct {
-	try    string
-	tokens int
-	held   []*prefixPart
-	lapses time.Time
+	attemptID string
+	tokens    int
+	pinned    []*prefixPart
+	expires   time.Time
 }
 
-// reportPage is what a server tells of itself.
-type reportPage struct {
-	Phase       string      `json:"phase"`
-	ModelIDs    []modelPage `json:"modelIds"`
-	Utilization bool        `json:"utilization"`
-	CallSeq     int         `json:"callSeq"`
-	Queued      int         `json:"queued"`
-	Active      int         `json:"active"`
-	KVUsed      int         `json:"kvUsed"`
-	KVTotal     int         `json:"kvTotal"`
-	OpenHandles int         `json:"openHandles"`
+// serverReport is the report of a server on its own state.
+type serverReport struct {
+	Phase       string       `json:"phase"`
+	ModelIDs    []modelEntry `json:"modelIds"`
+	Utilization bool         `json:"utilization"`
+	CallSeq     int          `json:"callSeq"`
+	Queued      int          `json:"queued"`
+	Active      int          `json:"active"`
+	KVUsed      int          `json:"kvUsed"`
+	KVTotal     int          `json:"kvTotal"`
+	OpenHandles int          `json:"openHandles"`
 }
 
-type modelPage struct {
+// modelEntry is one model in a report or in the list of servers.
+type modelEntry struct {
 	Name       string   `json:"name"`
 	Revision   int      `json:"revision"`
 	AdapterIDs []string `json:"adapterIds"`
 }
 
-// startServer begins a model server at an address.
-func startServer(pool *ServerPool, service ServiceShape, zone, phase, address string, cold bool) (*modelServer, error) {
+// startServer starts a model server at an address.
+func startServer(pool *ServerPool, service ServiceConfig, zone, phase, address string, cold bool) (*modelServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, failure.Wrap(failure.Unreachable, err)
@@ -94,70 +95,71 @@
 		Zone:     zone,
 		Address:  address,
 		pool:     pool,
-		shape:    service.Engine,
+		config:   service.Engine,
 		engine:   newEngine(service.Engine),
 		phase:    phase,
 		revision: 1,
 		handles:  map[string]*handle{},
-		random:   rand.New(rand.NewPCG(pool.seed, uint64(pool.count()))),
+		random:   rand.New(rand.NewPCG(pool.seed, uint64(pool.nextNumber()))),
 	}
-	server.engine.readsOwn = phase == phaseDecode
+	server.engine.mixedPrefill = phase == phaseDecode
 	server.progress = sync.NewCond(&server.mutex)
-	server.lifetime, server.end = context.WithCancel(context.Background())
+	server.lifetime, server.cancel = context.WithCancel(context.Background())
 	if cold {
-		server.warmUntil = time.Now().Add(service.Engine.Cold)
+		server.warmUntil = time.Now().Add(service.Engine.ColdStart)
 	}
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(pathHealth), server.serveHealth)
-	if service.Engine.Plain > 0 {
+	if service.Engine.PlainSteps > 0 {
 		mux.HandleFunc(pat.Get(pathReport), func(writer http.ResponseWriter, _ *http.Request) {
-			server.pool.events.Append(Event{Kind: Probed, Server: server.ID, Stage: pathReport})
+			server.pool.events.Append(Event{Kind: ServerProbed, Server: server.ID, WorkPhase: pathReport})
 			writer.WriteHeader(http.StatusNotFound)
 		})
 	} else {
 		mux.HandleFunc(pat.Get(pathReport), server.serveReport)
-		mux.HandleFunc(pat.Post(pathOrder), server.takeOrder)
-		mux.HandleFunc(pat.Delete(pathHandle+":handle"), server.freeHandle)
+		mux.HandleFunc(pat.Post(pathOrder), server.serveOrder)
+		mux.HandleFunc(pat.Delete(pathHandle+":handle"), server.serveFreeHandle)
 	}
 	mux.HandleFunc(pat.New("/*"), server.serve)
 	server.server = &http.Server{
-		Handler:     server.silenceWhileDark(mux),
-		IdleTimeout: service.Engine.Idle,
+		Handler:     server.ignoreWhileSilent(mux),
+		IdleTimeout: service.Engine.ConnectionIdle,
 		BaseContext: func(net.Listener) context.Context { return server.lifetime },
 		ConnState:   server.countConnections,
 	}
-	pool.events.Append(Event{Kind: ServerBorn, Server: server.ID, Service: server.Service, Zone: zone, Cold: cold})
+	pool.events.Append(Event{Kind: ServerStarted, Server: server.ID, Service: server.Service, Zone: zone, Cold: cold})
 	go func() { _ = server.server.Serve(listener) }()
-	go server.work()
+	go server.runEngine()
 	return server, nil
 }
 
-// countConnections resets connections beyond those that the server takes.
+// countConnections resets connections beyond the limit of the server.
 func (m *modelServer) countConnections(connection net.Conn, state http.ConnState) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	switch state {
 	case http.StateNew:
 		m.connections++
-		if m.connections > m.shape.Connections {
-			reset(connection)
+		if m.connections > m.config.Connections {
+			resetConnection(connection)
 		}
 	case http.StateClosed, http.StateHijacked:
 		m.connections--
 	}
 }
 
-func reset(connection net.Conn) {
-	if plain, fits := connection.(*net.TCPConn); fits {
-		_ = plain.SetLinger(0)
+// resetConnection closes a connection with a TCP reset.
+func resetConnection(connection net.Conn) {
+	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
+		_ = tcp.SetLinger(0)
 	}
 	_ = connection.Close()
 }
 
-// silenceWhileDark leaves calls without an answer while the server is dark.
-func (m *modelServer) silenceWhileDark(next http.Handler) http.Handler {
+// ignoreWhileSilent returns a handler that never responds to a call while the server is silent.
+func (m *modelServer) ignoreWhileSilent(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
-		if m.silent() {
+		if m.isSilent() {
 			_, _ = io.Copy(io.Discard, inbound.Body)
 			<-inbound.Context().Done()
 			panic(http.ErrAbortHandler)
@@ -166,14 +168,15 @@
 	})
 }
 
-func (m *modelServer) silent() bool {
+// isSilent reports whether the server responds to nothing.
+func (m *modelServer) isSilent() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.misbehaviour.dark
+	return m.misbehaviour.silent
 }
 
-// work steps the engine as long as there is anything to do.
-func (m *modelServer) work() {
+// runEngine runs the steps of the engine whenever it has requests, until the lifetime ends.
+func (m *modelServer) runEngine() {
 	stop := context.AfterFunc(m.lifetime, func() {
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
@@ -186,17 +189,17 @@
 			m.progress.Wait()
 		}
 		now := time.Now()
-		length, chunks := m.engine.plan(now)
+		length, chunks := m.engine.planStep(now)
 		m.mutex.Unlock()
 		if !sleep(m.lifetime, length) {
 			return
 		}
 		m.mutex.Lock()
-		if !m.misbehaviour.dark {
-			for _, one := range m.engine.apply(time.Now(), chunks) {
-				if one.begun && one.started != nil {
-					one.started()
-					one.started = nil
+		if !m.misbehaviour.silent {
+			for _, req := range m.engine.finishStep(time.Now(), chunks) {
+				if req.tokenGenerated && req.onFirstToken != nil {
+					req.onFirstToken()
+					req.onFirstToken = nil
 				}
 			}
 		}
@@ -205,7 +208,7 @@
 	}
 }
 
-// sleep waits for a length of time; false means that it was broken off.
+// sleep waits for a duration. It returns false if the lifetime ended first.
 func sleep(lifetime context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -217,66 +220,70 @@
 	}
 }
 
-// crash ends the server at once, with all that it knows.
+// crash ends the server at once. Its state is lost.
 func (m *modelServer) crash() {
-	m.end()
+	m.cancel()
 	_ = m.server.Close()
-	m.pool.events.Append(Event{Kind: ServerGone, Server: m.ID, Service: m.Service, Zone: m.Zone})
+	m.pool.events.Append(Event{Kind: ServerStopped, Server: m.ID, Service: m.Service, Zone: m.Zone})
 }
 
-// serveReport answers with the state of some time ago.
+// serveReport responds with the delayed report.
 func (m *modelServer) serveReport(writer http.ResponseWriter, _ *http.Request) {
 	m.mutex.Lock()
-	page := m.aged(time.Now())
+	report := m.delayedReport(time.Now())
 	m.mutex.Unlock()
-	m.pool.events.Append(Event{Kind: Probed, Server: m.ID, Stage: pathReport})
+	m.pool.events.Append(Event{Kind: ServerProbed, Server: m.ID, WorkPhase: pathReport})
 	writer.Header().Set(headerServer, m.ID)
-	writeJSON(writer, http.StatusOK, page)
+	writeJSON(writer, http.StatusOK, report)
 }
 
-// aged is the state as it was a lag ago, as near as it was looked at.
-func (m *modelServer) aged(now time.Time) reportPage {
-	if now.Sub(m.reported) >= m.shape.ReportLag {
-		m.before = m.report
-		if now.Sub(m.reported) >= 3*m.shape.ReportLag || m.before.Phase == "" {
-			m.before = m.state()
+// delayedReport returns the report before the latest one, which is usually at least a report lag
+// old. The server makes a new report only when it is asked, at most once per lag. If it was not
+// asked for three lags, it returns a report of its present state.
+func (m *modelServer) delayedReport(now time.Time) serverReport {
+	if now.Sub(m.reportedAt) >= m.config.ReportLag {
+		m.earlierReport = m.latestReport
+		if now.Sub(m.reportedAt) >= 3*m.config.ReportLag || m.earlierReport.Phase == "" {
+			m.earlierReport = m.currentReport()
 		}
-		m.report, m.reported = m.state(), now
+		m.latestReport, m.reportedAt = m.currentReport(), now
 	}
-	return m.before
+	return m.earlierReport
 }
 
-func (m *modelServer) state() reportPage {
-	used := m.engine.memory.pinnedTokens()
-	return reportPage{
+// currentReport returns a report of the present state.
+func (m *modelServer) currentReport() serverReport {
+	used := m.engine.cache.pinnedTokens()
+	return serverReport{
 		Phase:       m.phase,
 		ModelIDs:    m.models(),
-		Utilization: m.turning,
+		Utilization: m.changingPhase,
 		CallSeq:     m.orders,
-		Queued:      len(m.engine.waiting),
+		Queued:      len(m.engine.queue),
 		Active:      len(m.engine.running),
 		KVUsed:      used,
-		KVTotal:     m.shape.Capacity,
+		KVTotal:     m.config.Capacity,
 		OpenHandles: len(m.handles),
 	}
 }
 
-func (m *modelServer) models() []modelPage {
-	return []modelPage{{Name: modelName, Revision: m.revision, AdapterIDs: []string{}}}
+// models lists the only model of the server.
+func (m *modelServer) models() []modelEntry {
+	return []modelEntry{{Name: modelName, Revision: m.revision, AdapterIDs: []string{}}}
 }
 
-// serveHealth answers as a request would be answered: it is turned away when the server
+// serveHealth responds as the server would to a request: with 503 if the server drains or its queue
 // is full.
 func (m *modelServer) serveHealth(writer http.ResponseWriter, _ *http.Request) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.pool.events.Append(Event{Kind: Probed, Server: m.ID, Stage: pathHealth})
+	m.pool.events.Append(Event{Kind: ServerProbed, Server: m.ID, WorkPhase: pathHealth})
 	writer.Header().Set(headerServer, m.ID)
 	m.writeLoadHeader(writer.Header())
 	if left := time.Until(m.warmUntil); left > 0 {
 		writer.Header().Set(headerCold, strconv.FormatInt(left.Milliseconds(), 10))
 	}
-	if (m.draining || len(m.engine.waiting) >= m.shape.Queue) != m.misbehaviour.lies {
+	if (m.draining || len(m.engine.queue) >= m.config.Queue) != m.misbehaviour.healthInverted {
 		writer.Header().Set(headerNotRun, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -284,23 +291,25 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
+// writeLoadHeader sets the headers that report the load and the revision of the server.
 func (m *modelServer) writeLoadHeader(header http.Header) {
-	header.Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(m.engine.running), len(m.engine.waiting), m.shape.Slots))
-	if m.shape.Plain == 0 {
+	header.Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(m.engine.running), len(m.engine.queue), m.config.Slots))
+	if m.config.PlainSteps == 0 {
 		header.Set(headerRevision, strconv.Itoa(m.revision))
 	}
-	header.Set("Keep-Alive", "timeout="+strconv.Itoa(int(m.shape.Idle.Seconds())))
+	header.Set("Keep-Alive", "timeout="+strconv.Itoa(int(m.config.ConnectionIdle.Seconds())))
 }
 
-// cool makes the server cold again.
-func (m *modelServer) cool() {
+// makeCold makes the server cold again.
+func (m *modelServer) makeCold() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.warmUntil = time.Now().Add(m.shape.Cold)
+	m.warmUntil = time.Now().Add(m.config.ColdStart)
 }
 
-// overrun counts what comes while the server is cold; well above its rate it falls over.
-func (m *modelServer) overrun(now time.Time) (cold, falls bool) {
+// countColdArrival counts an arrival and reports whether the server is cold, and whether it crashes
+// because more than four times its cold rate arrived within a second.
+func (m *modelServer) countColdArrival(now time.Time) (cold, crashes bool) {
 	if !now.Before(m.warmUntil) {
 		return false, false
 	}
@@ -308,10 +317,10 @@
 	for len(m.arrivals) > 0 && now.Sub(m.arrivals[0]) > time.Second {
 		m.arrivals = m.arrivals[1:]
 	}
-	return true, float64(len(m.arrivals)) > 4*m.shape.ColdPerSecond
+	return true, float64(len(m.arrivals)) > 4*m.config.ColdPerSecond
 }
 
-// serve takes a request of a client, or one that is only to be read.
+// serve handles a request to prefill or to decode, or a request of a plain service.
 func (m *modelServer) serve(writer http.ResponseWriter, inbound *http.Request) {
 	body, err := io.ReadAll(inbound.Body)
 	if err != nil {
@@ -320,104 +329,106 @@
 	e := newExchange(m, inbound, body)
 	m.mutex.Lock()
 	now := time.Now()
-	status := e.misdirected()
-	falls := false
+	status := e.misdirectedStatus()
+	crashes := false
 	if status == 0 {
-		e.event.Cold, falls = m.overrun(now)
-		status = e.unfit()
+		e.event.Cold, crashes = m.countColdArrival(now)
+		status = e.rejectionStatus()
 	}
 	arrived := e.event
-	arrived.Kind, arrived.Status = Arrived, status
+	arrived.Kind, arrived.Status = RequestArrived, status
 	m.pool.events.Append(arrived)
-	if falls {
+	if crashes {
 		m.mutex.Unlock()
 		m.crash()
 		panic(http.ErrAbortHandler)
 	}
 	if status != 0 {
 		m.mutex.Unlock()
-		e.turnAway(writer, status)
+		e.reject(writer, status)
 		return
 	}
-	e.spoiling = m.misbehaviour.draw(m.random)
-	e.enter(now)
+	e.fault = m.misbehaviour.drawFault(m.random)
+	e.submit(now)
 	m.mutex.Unlock()
 	stop := context.AfterFunc(inbound.Context(), func() {
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		e.gone = true
+		e.clientGone = true
 		m.progress.Broadcast()
 	})
 	defer stop()
 	e.answer(writer)
 }
 
-// fetch moves a prompt's memory here from the server that read it; it tells when the
-// move ends, or false when it can't be had.
-func (m *modelServer) fetch(source, t string, now time.Time) (int, time.Time, bool) {
-	address, name, found := strings.Cut(source, "/")
+// fetchPrefix transfers the KV cache of a prompt from the server that prefilled it. It returns the
+// number of tokens and the end of the transfer, or false if the KV cache is not available.
+func (m *modelServer) fetchPrefix(location, attempt string, now time.Time) (int, time.Time, bool) {
+	address, name, found := strings.Cut(location, "/")
 	from := m.pool.at(address)
 	if !found || from == nil || from == m {
 		return 0, now, false
 	}
 	from.mutex.Lock()
 	defer from.mutex.Unlock()
-	from.lapse(now)
-	held := from.handles[name]
-	if held == nil || from.misbehaviour.dark || from.lifetime.Err() != nil {
+	from.expireHandles(now)
+	source := from.handles[name]
+	if source == nil || from.misbehaviour.silent || from.lifetime.Err() != nil {
 		return 0, now, false
 	}
-	length := m.shape.Setup + time.Duration(float64(held.tokens)*m.shape.TokenBytes*8/(m.shape.LinkMegabits*1e6)*float64(time.Second))
+	duration := m.config.TransferSetup +
+		time.Duration(float64(source.tokens)*m.config.TokenBytes*8/(m.config.LinkMegabits*1e6)*float64(time.Second))
 	if from.Zone != m.Zone {
-		length *= 2
+		duration *= 2
 	}
-	length = time.Duration(float64(length) * max(1, m.misbehaviour.slowed, from.misbehaviour.slowed))
-	begins := now
-	for _, free := range []time.Time{from.linkFree, m.linkFree} {
-		if free.After(begins) {
-			begins = free
+	duration = time.Duration(float64(duration) * max(1, m.misbehaviour.transferSlowdown, from.misbehaviour.transferSlowdown))
+	start := now
+	for _, free := range []time.Time{from.linkFreeAt, m.linkFreeAt} {
+		if free.After(start) {
+			start = free
 		}
 	}
-	if begins.Sub(now) > 2*time.Second {
+	if start.Sub(now) > 2*time.Second {
 		return 0, now, false
 	}
-	from.linkFree, m.linkFree = begins.Add(length), begins.Add(length)
+	from.linkFreeAt, m.linkFreeAt = start.Add(duration), start.Add(duration)
 	delete(from.handles, name)
-	from.engine.memory.unpin(held.held)
+	from.engine.cache.unpin(source.pinned)
 	m.pool.events.Append(Event{
-		Kind:    HandleTaken,
-		Server:  m.ID,
-		Handle:  name,
-		Try:     t,
-		Request: held.try,
-		Tokens:  held.tokens,
+		Kind:      HandleTaken,
+		Server:    m.ID,
+		Handle:    name,
+		AttemptID: attempt,
+		Request:   source.attemptID,
+		Tokens:    source.tokens,
 	})
-	return held.tokens, begins.Add(length), true
+	return source.tokens, start.Add(duration), true
 }
 
-// lapse lets handles go whose time has come.
-func (m *modelServer) lapse(now time.Time) {
-	for name, held := range m.handles {
-		if m.misbehaviour.lapses || now.After(held.lapses) {
+// expireHandles removes expired handles.
+func (m *modelServer) expireHandles(now time.Time) {
+	for name, expired := range m.handles {
+		if m.misbehaviour.handlesExpire || now.After(expired.expires) {
 			delete(m.handles, name)
-			m.engine.memory.unpin(held.held)
-			m.pool.events.Append(Event{Kind: HandleLost, Server: m.ID, Handle: name, Try: held.try, Tokens: held.tokens})
+			m.engine.cache.unpin(expired.pinned)
+			m.pool.events.Append(Event{Kind: HandleExpired, Server: m.ID, Handle: name, AttemptID: expired.attemptID, Tokens: expired.tokens})
 		}
 	}
 }
 
-func (m *modelServer) freeHandle(writer http.ResponseWriter, inbound *http.Request) {
+// serveFreeHandle frees a handle that the caller will not use.
+func (m *modelServer) serveFreeHandle(writer http.ResponseWriter, inbound *http.Request) {
 	name := pat.Param(inbound, "handle")
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.lapse(time.Now())
-	held := m.handles[name]
-	if held == nil {
+	m.expireHandles(time.Now())
+	freed := m.handles[name]
+	if freed == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
 	delete(m.handles, name)
-	m.engine.memory.unpin(held.held)
-	m.pool.events.Append(Event{Kind: HandleFreed, Server: m.ID, Handle: name, Try: held.try, Tokens: held.tokens})
+	m.engine.cache.unpin(freed.pinned)
+	m.pool.events.Append(Event{Kind: HandleFreed, Server: m.ID, Handle: name, AttemptID: freed.attemptID, Tokens: freed.tokens})
 	writer.WriteHeader(http.StatusOK)
 }
--- a/internal/testbed/replay/modelserver_test.go
+++ b/internal/testbed/replay/modelserver_test.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// bench is a pool of model servers and a list over them.
-type bench struct {
+// serverFixture is a pool of model servers and the directory that lists them.
+type serverFixture struct {
 	events    *EventLog
 	pool      *ServerPool
 	directory *Directory
 	site      Site
 }
 
-func startBench(t *testing.T, site Site) *bench {
+func startServerFixture(t *testing.T, site Site) *serverFixture {
 	t.Helper()
-	addresses, p, err := takeAddresses()
+	addresses, testPorts, err := reserveAddresses()
 	if err != nil {
 		t.Fatal(err)
 	}
 	events := &EventLog{}
-	pool, err := startServerPool(events, site, 1, func() string { return addresses.address() + ":" + p.server })
+	pool, err := startServerPool(events, site, 1, func() string { return addresses.nextAddress() + ":" + testPorts.server })
 	if err != nil {
 		t.Fatal(err)
 	}
-	directory, err := startDirectory(events, pool, site, addresses.address()+":"+p.list)
+	directory, err := startDirectory(events, pool, site, addresses.nextAddress()+":"+testPorts.list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,25 +39,25 @@
 		pool.close()
 		_ = addresses.reserved.Close()
 	})
-	return &bench{events, pool, directory, site}
+	return &serverFixture{events, pool, directory, site}
 }
 
-// playing finds a server by the part that it plays.
-func (b *bench) playing(phase string) *modelServer {
-	for _, server := range b.pool.all() {
-		if server.playing() == phase {
+// inPhase returns a server in the given phase, nil if there is none.
+func (f *serverFixture) inPhase(phase string) *modelServer {
+	for _, server := range f.pool.all() {
+		if server.currentPhase() == phase {
 			return server
 		}
 	}
 	return nil
 }
 
-// ask sends a request to a server, and gives the answer with its body.
-func (b *bench) ask(t *testing.T, server *modelServer, tr string, extra map[string]string) (*http.Response, string) {
+// send sends a request to a server, and returns the response and its body.
+func (f *serverFixture) send(t *testing.T, server *modelServer, attemptID string, extra map[string]string) (*http.Response, string) {
 	t.Helper()
 	outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", strings.NewReader("{}"))
 	outbound.Header = http.Header{
-		headerAttempt:  {tr},
+		headerAttempt:  {attemptID},
 		headerModel:    {modelName},
 		headerTokens:   {"900,20"},
 		headerParts:    {"a:500,b:400"},
@@ -66,199 +66,206 @@
 	for name, value := range extra {
 		outbound.Header.Set(name, value)
 	}
-	a, err := http.DefaultClient.Do(outbound)
+	response, err := http.DefaultClient.Do(outbound)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = a.Body.Close() }()
-	body, _ := io.ReadAll(a.Body)
-	return a, string(body)
+	defer func() { _ = response.Body.Close() }()
+	body, _ := io.ReadAll(response.Body)
+	return response, string(body)
 }
 
-// read has a prompt read, and gives where its memory waits.
-func (b *bench) read(t *testing.T, server *modelServer, tr string) string {
+// prefill prefills a prompt on a server, and returns the location of its KV cache: address and handle.
+func (f *serverFixture) prefill(t *testing.T, server *modelServer, attemptID string) string {
 	t.Helper()
-	a, body := b.ask(t, server, tr, map[string]string{headerStage: phasePrefill})
+	response, body := f.send(t, server, attemptID, map[string]string{headerWorkPhase: phasePrefill})
 	var page struct {
 		PrefillHandle string
 		TokenCount    int
 	}
-	if a.StatusCode != http.StatusOK || json.Unmarshal([]byte(body), &page) != nil || page.TokenCount != 900 {
-		t.Fatalf("reading: %d %s", a.StatusCode, body)
+	if response.StatusCode != http.StatusOK || json.Unmarshal([]byte(body), &page) != nil || page.TokenCount != 900 {
+		t.Fatalf("the prefill got status %d and body %q, want 200 and 900 tokens", response.StatusCode, body)
 	}
 	return server.Address + "/" + page.PrefillHandle
 }
 
-// TestHandlesAreTakenOnce reads a prompt at one server and has it answered at another.
+// TestHandlesAreTakenOnce prefills prompts on one server and decodes them on another. A handle that
+// was taken, was freed or has expired cannot be taken.
 func TestHandlesAreTakenOnce(t *testing.T) {
-	b := startBench(t, SmallSite())
-	reader, maker := b.playing(phasePrefill), b.playing(phaseDecode)
-	source := b.read(t, reader, "t1")
-	a, body := b.ask(t, maker, "t1", map[string]string{headerSource: source})
-	if a.StatusCode != http.StatusOK || a.Header.Get(headerSeal) == "" || a.Header.Get(headerAttempt) != "t1" || !strings.HasPrefix(body,
+	fixture := startServerFixture(t, SmallSite())
+	prefillServer, decodeServer := fixture.inPhase(phasePrefill), fixture.inPhase(phaseDecode)
+	source := fixture.prefill(t, prefillServer, "t1")
+	response, body := fixture.send(t, decodeServer, "t1", map[string]string{headerSource: source})
+	if response.StatusCode != http.StatusOK || response.Header.Get(headerSeal) == "" ||
+		response.Header.Get(headerAttempt) != "t1" || !strings.HasPrefix(body,
 		"id: ") {
-		t.Fatalf("%d %v %s", a.StatusCode, a.Header, body)
+		t.Fatalf("got status %d, headers %v and body %q, want a sealed stream for attempt t1", response.StatusCode, response.Header, body)
 	}
-	if an, _ := b.ask(t, maker, "t1", map[string]string{headerSource: source}); an.StatusCode != http.StatusServiceUnavailable || an.Header.Get(headerNotRun) == "" {
-		t.Errorf("a handle was taken twice: %d", an.StatusCode)
+	if repeated, _ := fixture.send(t, decodeServer, "t1", map[string]string{headerSource: source}); repeated.StatusCode !=
+		http.StatusServiceUnavailable || repeated.Header.Get(headerNotRun) == "" {
+		t.Errorf("got status %d for a handle that was taken before, want 503 and the not-executed header", repeated.StatusCode)
 	}
-	source = b.read(t, reader, "t2")
-	freed, _ := http.NewRequest(http.MethodDelete,
-		"http://"+reader.Address+pathHandle+source[strings.Index(source, "/")+1:], nil)
-	if ans, err := http.DefaultClient.Do(freed); err != nil || ans.StatusCode != http.StatusOK {
-		t.Errorf("freeing: %v", err)
+	source = fixture.prefill(t, prefillServer, "t2")
+	freeRequest, _ := http.NewRequest(http.MethodDelete,
+		"http://"+prefillServer.Address+pathHandle+source[strings.Index(source, "/")+1:], nil)
+	if freed, err := http.DefaultClient.Do(freeRequest); err != nil || freed.StatusCode != http.StatusOK {
+		t.Errorf("freeing the handle failed: %v", err)
 	}
-	if aAnswer, _ := b.ask(t, maker, "t2", map[string]string{headerSource: source}); aAnswer.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a freed handle was taken: %d", aAnswer.StatusCode)
+	if afterFree, _ := fixture.send(t, decodeServer, "t2", map[string]string{headerSource: source}); afterFree.StatusCode !=
+		http.StatusServiceUnavailable {
+		t.Errorf("got status %d for a freed handle, want 503", afterFree.StatusCode)
 	}
-	reader.misbehave(func(m *misbehaviour) { m.lapses = true })
-	source = b.read(t, reader, "t3")
-	if answer, _ := b.ask(t, maker, "t3", map[string]string{headerSource: source}); answer.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a handle that lapsed was taken: %d", answer.StatusCode)
+	prefillServer.setMisbehaviour(func(m *misbehaviour) { m.handlesExpire = true })
+	source = fixture.prefill(t, prefillServer, "t3")
+	if afterExpiry, _ := fixture.send(t, decodeServer, "t3", map[string]string{headerSource: source}); afterExpiry.StatusCode !=
+		http.StatusServiceUnavailable {
+		t.Errorf("got status %d for an expired handle, want 503", afterExpiry.StatusCode)
 	}
 }
 
-// TestWhatIsMeantForAnotherServerIsTurnedAway asks for another life, another part and
-// other weights.
-func TestWhatIsMeantForAnotherServerIsTurnedAway(t *testing.T) {
-	b := startBench(t, SmallSite())
-	reader, maker := b.playing(phasePrefill), b.playing(phaseDecode)
+// TestRequestsForAnotherServerAreMisdirected sends requests that expect another server, phase or
+// revision, and requests that a server accepts or rejects for other reasons.
+func TestRequestsForAnotherServerAreMisdirected(t *testing.T) {
+	fixture := startServerFixture(t, SmallSite())
+	prefillServer, decodeServer := fixture.inPhase(phasePrefill), fixture.inPhase(phaseDecode)
 	for name, extra := range map[string]map[string]string{
-		"another life":  {headerTarget: "i-other"},
-		"another part":  {headerStage: phasePrefill},
-		"other weights": {headerExpected: "9"},
+		"another server":   {headerTarget: "i-other"},
+		"another phase":    {headerWorkPhase: phasePrefill},
+		"another revision": {headerExpected: "9"},
 	} {
-		a, _ := b.ask(t, maker, name, extra)
-		if a.StatusCode != http.StatusMisdirectedRequest || a.Header.Get(headerServer) != maker.ID {
-			t.Errorf("%s: %d", name, a.StatusCode)
+		response, _ := fixture.send(t, decodeServer, name, extra)
+		if response.StatusCode != http.StatusMisdirectedRequest || response.Header.Get(headerServer) != decodeServer.ID {
+			t.Errorf("%s: got status %d, want 421 with the ID of the server", name, response.StatusCode)
 		}
 	}
-	if an, _ := b.ask(t, reader, "whole", nil); an.StatusCode != http.StatusMisdirectedRequest {
-		t.Errorf("a reader took a whole request: %d", an.StatusCode)
+	if decode, _ := fixture.send(t, prefillServer, "whole", nil); decode.StatusCode != http.StatusMisdirectedRequest {
+		t.Errorf("got status %d for a decode request on a prefill server, want 421", decode.StatusCode)
 	}
-	if ans, _ := b.ask(t, maker, "", nil); ans.StatusCode != http.StatusBadRequest {
-		t.Errorf("a request without an id: %d", ans.StatusCode)
+	if anonymous, _ := fixture.send(t, decodeServer, "", nil); anonymous.StatusCode != http.StatusBadRequest {
+		t.Errorf("got status %d for a request without an attempt ID, want 400", anonymous.StatusCode)
 	}
-	if aAnswer, body := b.ask(t, maker, "resumed", map[string]string{headerLastEvent: "2"}); aAnswer.StatusCode != http.StatusOK || !strings.Contains(body,
+	if resumed, body := fixture.send(t, decodeServer, "resumed", map[string]string{headerLastEvent: "2"}); resumed.StatusCode !=
+		http.StatusOK || !strings.Contains(body,
 		"/3-") {
-		t.Errorf("a resumed stream: %d %s", aAnswer.StatusCode, body)
+		t.Errorf("got status %d and body %q for a resumed stream, want 200 and events from token 3", resumed.StatusCode, body)
 	}
 }
 
-// TestOrdersChangeTheStage orders a server to read prompts.
-func TestOrdersChangeTheStage(t *testing.T) {
+// TestOrdersChangeThePhase sends invalid and conflicting orders to a server, then one that changes it
+// to the prefill phase.
+func TestOrdersChangeThePhase(t *testing.T) {
 	site := SmallSite()
 	for position := range site.Services {
-		site.Services[position].Engine.Switch = 50 * time.Millisecond
+		site.Services[position].Engine.PhaseSwitch = 50 * time.Millisecond
 	}
-	b := startBench(t, site)
-	maker := b.playing(phaseDecode)
+	fixture := startServerFixture(t, site)
+	server := fixture.inPhase(phaseDecode)
 	order := func(body string) int {
-		a, err := http.Post("http://"+maker.Address+pathOrder, "application/json", bytes.NewReader([]byte(body)))
+		response, err := http.Post("http://"+server.Address+pathOrder, "application/json", bytes.NewReader([]byte(body)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return a.StatusCode
+		return response.StatusCode
 	}
-	for body, status := range map[string]int{
+	for body, want := range map[string]int{
 		`{"opKind":"phase","phase":"prefill","owner":"n"}`:                                  400,
 		`{"opKind":"dance","phase":"prefill","owner":"n","fenceToken":1}`:                   400,
 		`{"opKind":"phase","phase":"decode","owner":"n","fenceToken":1}`:                    200,
 		`{"opKind":"phase","phase":"prefill","owner":"n","fenceToken":1,"expectedCount":3}`: 409,
 	} {
-		if given := order(body); given != status {
-			t.Errorf("%s: %d", body, given)
+		if got := order(body); got != want {
+			t.Errorf("%s: got status %d, want %d", body, got, want)
 		}
 	}
-	if given := order(`{"opKind":"phase","phase":"prefill","owner":"n","fenceToken":2,"expectedCount":0}`); given != 202 {
-		t.Fatalf("the order was answered %d", given)
+	if got := order(`{"opKind":"phase","phase":"prefill","owner":"n","fenceToken":2,"expectedCount":0}`); got != 202 {
+		t.Fatalf("got status %d for the order, want 202", got)
 	}
 	deadline := time.Now().Add(5 * time.Second)
-	for maker.playing() != phasePrefill {
+	for server.currentPhase() != phasePrefill {
 		if time.Now().After(deadline) {
-			t.Fatal("the server never changed its part")
+			t.Fatal("the server did not change its phase within 5 s")
 		}
-		sleep(maker.lifetime, 5*time.Millisecond)
+		sleep(server.lifetime, 5*time.Millisecond)
 	}
-	b.read(t, maker, "t1")
+	fixture.prefill(t, server, "t1")
 }
 
-// TestColdServersFallOver sends well above a cold server's rate.
-func TestColdServersFallOver(t *testing.T) {
-	b := startBench(t, SmallSite())
-	server, err := b.pool.add(b.site.Services[0], b.site.Zones[0], phaseDecode, true)
+// TestColdServersCrashAboveTheirRate sends far more requests per second than a cold server allows.
+func TestColdServersCrashAboveTheirRate(t *testing.T) {
+	fixture := startServerFixture(t, SmallSite())
+	server, err := fixture.pool.add(fixture.site.Services[0], fixture.site.Zones[0], phaseDecode, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fell := false
+	crashed := false
 	for number := range 80 {
 		outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", nil)
 		outbound.Header.Set(headerAttempt, strconv.Itoa(number))
 		outbound.Header.Set(headerTokens, "1,1")
-		a, err := http.DefaultClient.Do(outbound)
+		response, err := http.DefaultClient.Do(outbound)
 		if err != nil {
-			fell = true
+			crashed = true
 			break
 		}
-		_, _ = io.Copy(io.Discard, a.Body)
-		_ = a.Body.Close()
+		_, _ = io.Copy(io.Discard, response.Body)
+		_ = response.Body.Close()
 	}
-	if !fell {
-		t.Error("the server bore eighty requests while it was cold")
+	if !crashed {
+		t.Error("the cold server did not crash after 80 requests")
 	}
 }
 
-// TestTheListIsLateAndHasPages reads the list page by page, lets a server leave, and asks
-// more often than is allowed.
-func TestTheListIsLateAndHasPages(t *testing.T) {
+// TestServerListLagsAndIsPaged reads the list page by page, drains a server, and reads the list more
+// often than allowed.
+func TestServerListLagsAndIsPaged(t *testing.T) {
 	site := SmallSite()
 	site.ListLag, site.ListRate = 300*time.Millisecond, 30
-	b := startBench(t, site)
+	fixture := startServerFixture(t, site)
 	list := func() (map[string]string, int) {
 		states, token := map[string]string{}, ""
 		for {
-			a, err := http.Get("http://" + b.directory.Address + pathServers + "?pageToken=" + token)
+			response, err := http.Get("http://" + fixture.directory.Address + pathServers + "?pageToken=" + token)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var page struct {
-				Servers   []serverPage
+				Servers   []serverEntry
 				NextToken *string
 			}
-			_ = json.NewDecoder(a.Body).Decode(&page)
-			_ = a.Body.Close()
-			if a.StatusCode != http.StatusOK {
-				return states, a.StatusCode
+			_ = json.NewDecoder(response.Body).Decode(&page)
+			_ = response.Body.Close()
+			if response.StatusCode != http.StatusOK {
+				return states, response.StatusCode
 			}
 			for _, server := range page.Servers {
 				states[server.ID] = server.State
 			}
 			if page.NextToken == nil {
-				return states, a.StatusCode
+				return states, response.StatusCode
 			}
 			token = *page.NextToken
 		}
 	}
 	states, _ := list()
-	if len(states) != len(b.pool.all()) {
-		t.Fatalf("%d servers are listed of %d", len(states), len(b.pool.all()))
+	if len(states) != len(fixture.pool.all()) {
+		t.Fatalf("got %d listed servers, want %d", len(states), len(fixture.pool.all()))
 	}
-	leaving := b.pool.all()[0]
+	leaving := fixture.pool.all()[0]
 	began := time.Now()
-	go b.pool.drain(leaving, time.Hour)
+	go fixture.pool.drain(leaving, time.Hour)
 	for states[leaving.ID] != stateDraining {
 		if time.Since(began) > 5*time.Second {
-			t.Fatal("the list never shows the server leaving")
+			t.Fatal("the list did not show the server draining within 5 s")
 		}
 		sleep(leaving.lifetime, 150*time.Millisecond)
 		states, _ = list()
 	}
 	if took := time.Since(began); took < site.ListLag {
-		t.Errorf("the list showed it after %s", took)
+		t.Errorf("the list showed the server draining after %s, want no earlier than the lag", took)
 	}
-	shown := newRecord(b.events.Events(), site).shown[leaving.ID]
+	shown := newRecord(fixture.events.Events(), site).shownLeaving[leaving.ID]
 	if shown.IsZero() || shown.Sub(began) < site.ListLag {
-		t.Errorf("the book says that it was shown after %s", shown.Sub(began))
+		t.Errorf("the event log shows the server draining after %s, want no earlier than the lag", shown.Sub(began))
 	}
 	status := 0
 	for range 60 {
@@ -267,39 +274,39 @@
 		}
 	}
 	if status != http.StatusTooManyRequests {
-		t.Error("no reading was above the rate")
+		t.Error("no read of the list was rejected for its rate")
 	}
 }
 
-// TestAnExtraAnswerComesInThePlaceOfTheNext wants the second request on a connection to get
-// the first one's answer again.
-func TestAnExtraAnswerComesInThePlaceOfTheNext(t *testing.T) {
-	b := startBench(t, SmallSite())
-	maker := b.playing(phaseDecode)
-	maker.misbehave(func(m *misbehaviour) { m.spoils, m.late = 1, true })
-	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
-	ask := func(tr string) string {
-		outbound, _ := http.NewRequest(http.MethodPost, "http://"+maker.Address+"/chat/1", strings.NewReader("{}"))
+// TestDuplicatedAnswerReplacesTheNextOne checks that the second request on a connection gets the
+// response to the first one again.
+func TestDuplicatedAnswerReplacesTheNextOne(t *testing.T) {
+	fixture := startServerFixture(t, SmallSite())
+	server := fixture.inPhase(phaseDecode)
+	server.setMisbehaviour(func(m *misbehaviour) { m.corruptShare, m.duplicates = 1, true })
+	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
+	ask := func(attemptID string) string {
+		outbound, _ := http.NewRequest(http.MethodPost, "http://"+server.Address+"/chat/1", strings.NewReader("{}"))
 		outbound.Header = http.Header{
-			headerAttempt:  {tr},
+			headerAttempt:  {attemptID},
 			headerModel:    {modelName},
 			headerTokens:   {"10,2"},
 			headerParts:    {"a:10"},
 			headerDeadline: {"3000"},
 		}
-		a, err := c.Do(outbound)
+		response, err := client.Do(outbound)
 		if err != nil {
 			return ""
 		}
-		_, _ = io.Copy(io.Discard, a.Body)
-		_ = a.Body.Close()
-		return a.Header.Get(headerAttempt)
+		_, _ = io.Copy(io.Discard, response.Body)
+		_ = response.Body.Close()
+		return response.Header.Get(headerAttempt)
 	}
 	for number := range 40 {
-		own, other := "own-"+strconv.Itoa(number), "next-"+strconv.Itoa(number)
-		if ask(own) == own && ask(other) == own {
+		first, second := "own-"+strconv.Itoa(number), "next-"+strconv.Itoa(number)
+		if ask(first) == first && ask(second) == first {
 			return
 		}
 	}
-	t.Error("no extra answer came")
+	t.Error("no response was duplicated")
 }
--- a/internal/testbed/replay/operators.go
+++ b/internal/testbed/replay/operators.go
@@ -21,13 +21,13 @@
 
 	mutex  sync.Mutex
 	random *rand.Rand
-	// revisions are all that were ever sent, by their revision; current is the newest that
-	// is known to be in force.
-	sent     map[int]map[string]any
-	versions map[int]Version
-	current  Version
-	numbers  int
-	// watched are the routes that probes ask for.
+	// sent and versions hold all valid versions that were sent, by revision; current is the newest
+	// version that is known to be in force.
+	sent       map[int]map[string]any
+	versions   map[int]Version
+	current    Version
+	lastNumber int
+	// watched are the routes that probes use.
 	watched map[string]RouteRule
 }
 
@@ -38,19 +38,19 @@
 		sent:     map[int]map[string]any{},
 		versions: map[int]Version{},
 		watched:  map[string]RouteRule{},
-		client:   &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: follow},
+		client:   &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: followRedirects},
 	}
 }
 
-// follow goes where a 307 sends a caller, twice.
-func follow(_ *http.Request, before []*http.Request) error {
+// followRedirects follows up to two redirects.
+func followRedirects(_ *http.Request, before []*http.Request) error {
 	if len(before) > 2 {
 		return http.ErrUseLastResponse
 	}
 	return nil
 }
 
-// outcome is how a call of the operators ended.
+// outcome is the result of a call by the operators.
 type outcome string
 
 const (
@@ -59,78 +59,82 @@
 	unclear      outcome = "unclear"
 )
 
-// answer is what came back for one call.
-type answer struct {
+// callResult is the response to a call.
+type callResult struct {
 	outcome outcome
 	status  int
 	body    []byte
-	// node is the address that gave it.
+	// node is the control plane address of the machine that responded.
 	node string
 }
 
-// call sends one and the same call until it has a clear answer, to any machine that
-// serves control.
-func (o *Operators) call(lifetime context.Context, method, path string, header http.Header, body []byte) answer {
-	rest, others, hazy := 50*time.Millisecond, 0, false
+// call repeats the same call to random machines that serve the control plane until the outcome is
+// clear. Some statuses refuse the call at once; any other 4xx status except 408 and 429 counts as a
+// refusal when such a status comes for the third time.
+func (o *Operators) call(lifetime context.Context, method, path string, header http.Header, body []byte) callResult {
+	delay, otherRefusals, ambiguous := 50*time.Millisecond, 0, false
 	for lifetime.Err() == nil {
-		given, _ := o.once(lifetime, method, path, header, body)
-		// What is refused after a sending without a clear answer may yet be in force.
+		reply, _ := o.callOnce(lifetime, method, path, header, body)
+		// If the outcome of an earlier call was ambiguous, a change that is refused now may be in
+		// force.
 		refusal := refused
-		if hazy {
+		if ambiguous {
 			refusal = unclear
 		}
-		switch status := given.status; {
+		switch status := reply.status; {
 		case status/100 == 2:
-			given.outcome = acknowledged
-			return given
+			reply.outcome = acknowledged
+			return reply
 		case status == 400, status == 409, status == 412, status == 413, status == 422:
-			given.outcome = refusal
-			return given
+			reply.outcome = refusal
+			return reply
 		case status/100 == 4 && status != 408 && status != 429:
-			if others++; others == 3 {
-				given.outcome = refusal
-				return given
+			if otherRefusals++; otherRefusals == 3 {
+				reply.outcome = refusal
+				return reply
 			}
 		default:
-			hazy = true
+			ambiguous = true
 		}
-		if !sleep(lifetime, rest) {
+		if !sleep(lifetime, delay) {
 			break
 		}
-		rest = min(2*rest, 600*time.Millisecond)
+		delay = min(2*delay, 600*time.Millisecond)
 	}
-	return answer{outcome: unclear}
+	return callResult{outcome: unclear}
 }
 
-func (o *Operators) once(lifetime context.Context, method, path string, header http.Header, body []byte) (answer, error) {
-	node := o.pick()
+// callOnce sends a call to one machine.
+func (o *Operators) callOnce(lifetime context.Context, method, path string, header http.Header, body []byte) (callResult, error) {
+	node := o.pickNode()
 	if node == "" {
-		return answer{}, errNoMachine
+		return callResult{}, errNoMachine
 	}
-	patience, end := context.WithTimeout(lifetime, time.Second+time.Duration(len(body)>>16)*100*time.Millisecond)
-	defer end()
-	outbound, err := http.NewRequestWithContext(patience, method, "http://"+node+path, bytes.NewReader(body))
+	deadline, cancel := context.WithTimeout(lifetime, time.Second+time.Duration(len(body)>>16)*100*time.Millisecond)
+	defer cancel()
+	outbound, err := http.NewRequestWithContext(deadline, method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, err
+		return callResult{}, err
 	}
 	if header != nil {
 		outbound.Header = header.Clone()
 	}
 	inbound, err := o.client.Do(outbound)
 	if err != nil {
-		return answer{}, err
+		return callResult{}, err
 	}
 	defer func() { _ = inbound.Body.Close() }()
 	read, err := io.ReadAll(inbound.Body)
 	if err != nil {
-		return answer{}, err
+		return callResult{}, err
 	}
-	return answer{status: inbound.StatusCode, body: read, node: inbound.Request.URL.Host}, nil
+	return callResult{status: inbound.StatusCode, body: read, node: inbound.Request.URL.Host}, nil
 }
 
-// pick draws a machine that serves control, from a list that is some time late.
-func (o *Operators) pick() string {
-	nodes := o.day.controls(o.day.Site.Terms.SeedLag)
+// pickNode returns the address of a random machine that serves the control plane, from a list that
+// is a seed lag old. It returns an empty text if the list is empty.
+func (o *Operators) pickNode() string {
+	nodes := o.day.controlAddresses(o.day.Site.Terms.SeedLag)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if len(nodes) == 0 {
@@ -139,29 +143,30 @@
 	return nodes[o.random.IntN(len(nodes))]
 }
 
-// known is the revision that the operators believe to be in force.
-func (o *Operators) known() Version {
+// newestKnown returns the newest version that the operators know to be in force.
+func (o *Operators) newestKnown() Version {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.current
 }
 
-// draft makes the next revision over another, with a number of its own.
+// draft copies a version under a new revision number.
 func (o *Operators) draft(base Version) Version {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.numbers = max(o.numbers, base.Revision) + 1 + o.random.IntN(3)
-	return base.Next(o.numbers)
+	o.lastNumber = max(o.lastNumber, base.Revision) + 1 + o.random.IntN(3)
+	return base.Next(o.lastNumber)
 }
 
-// watch has the probes ask for a route from now on.
+// watch adds a route to the routes that probes use.
 func (o *Operators) watch(route string, rule RouteRule) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.watched[route] = rule
 }
 
-func (o *Operators) watchList() map[string]RouteRule {
+// watchedRoutes returns a copy of the routes that probes use.
+func (o *Operators) watchedRoutes() map[string]RouteRule {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	list := make(map[string]RouteRule, len(o.watched))
@@ -171,26 +176,29 @@
 	return list
 }
 
-// propose sends a revision over another until it has a clear answer.
+// propose sends the version next, based on the version base, and repeats that until the outcome is
+// clear. If asPatch is set, it sends only the difference. If invalidate is not nil, that function
+// returns the body to send. The argument invalid means that the version is invalid, so that it must
+// be refused.
 func (o *Operators) propose(
 	lifetime context.Context,
 	base, next Version,
-	amends, invalid bool,
-	spoil func(page map[string]any) []byte,
-) answer {
+	asPatch, invalid bool,
+	invalidate func(page map[string]any) []byte,
+) callResult {
 	page := next.page(o.day.Site)
 	o.mutex.Lock()
 	if !invalid {
 		o.sent[next.Revision], o.versions[next.Revision] = page, next
 	}
 	o.mutex.Unlock()
-	path, text := pathReplace, page
-	if amends {
-		path, text = pathAmend, base.patch(o.day.Site, next)
+	path, content := pathReplace, page
+	if asPatch {
+		path, content = pathAmend, base.patch(o.day.Site, next)
 	}
-	body, _ := json.Marshal(text)
-	if spoil != nil {
-		body = spoil(text)
+	body, _ := json.Marshal(content)
+	if invalidate != nil {
+		body = invalidate(content)
 	}
 	change := uuid.NewString()[:8]
 	o.day.Events.Append(Event{
@@ -201,60 +209,61 @@
 		Invalid:  invalid,
 		Version:  &next,
 	})
-	header := http.Header{headerBase: {strconv.Itoa(base.Revision)}, "Content-Type": {"application/json"}}
-	given := o.call(lifetime, http.MethodPost, path, header, body)
+	header := http.Header{headerBaseRevision: {strconv.Itoa(base.Revision)}, "Content-Type": {"application/json"}}
+	reply := o.call(lifetime, http.MethodPost, path, header, body)
 	o.day.Events.Append(Event{
 		Kind:     ChangeClosed,
 		Change:   change,
 		Revision: next.Revision,
 		Base:     base.Revision,
 		Invalid:  invalid,
-		Status:   given.status,
-		Cause:    string(given.outcome),
+		Status:   reply.status,
+		Cause:    string(reply.outcome),
 		Version:  &next,
 	})
-	if given.outcome == acknowledged && !invalid {
+	if reply.outcome == acknowledged && !invalid {
 		o.mutex.Lock()
 		if next.Revision > o.current.Revision {
 			o.current = next
 		}
 		o.mutex.Unlock()
 	}
-	return given
+	return reply
 }
 
-// read asks for the newest configuration until it comes.
+// read reads the newest configuration, and retries until it succeeds or the lifetime ends. It returns
+// the revision and the text, or false without a configuration.
 func (o *Operators) read(lifetime context.Context) (int, []byte, bool) {
-	given := o.call(lifetime, http.MethodGet, pathRead, nil, nil)
+	reply := o.call(lifetime, http.MethodGet, pathRead, nil, nil)
 	var page struct {
 		Revision int `json:"revision"`
 	}
-	if given.outcome != acknowledged || json.Unmarshal(given.body, &page) != nil {
+	if reply.outcome != acknowledged || json.Unmarshal(reply.body, &page) != nil {
 		return 0, nil, false
 	}
-	return page.Revision, given.body, true
+	return page.Revision, reply.body, true
 }
 
-// resync reads which revision is in force, after a change that was refused or not clearly
-// answered.
+// resync reads which revision is in force. It is called after a change was refused or had an unclear
+// outcome.
 func (o *Operators) resync(lifetime context.Context) {
-	revision, _, came := o.read(lifetime)
+	revision, _, received := o.read(lifetime)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if version, known := o.versions[revision]; came && known {
+	if version, known := o.versions[revision]; received && known {
 		o.current = version
 	}
 }
 
-// readBack reads the configuration at the end of the day, again and again for the time
-// of contact, and notes what came last.
+// readBack reads the configuration repeatedly for the contact time at the end of the day, and
+// records the last result.
 func (o *Operators) readBack(lifetime context.Context) {
-	asking, end := context.WithTimeout(lifetime, o.day.Site.Terms.Contact+5*time.Second)
-	defer end()
-	last := Event{Kind: ReadBack, Cause: "nothing came"}
+	deadline, cancel := context.WithTimeout(lifetime, o.day.Site.Terms.Contact+5*time.Second)
+	defer cancel()
+	last := Event{Kind: ReadBack, Cause: "no response"}
 	began := time.Now()
-	for asking.Err() == nil && time.Since(began) < o.day.Site.Terms.Contact {
-		if revision, text, came := o.read(asking); came {
+	for deadline.Err() == nil && time.Since(began) < o.day.Site.Terms.Contact {
+		if revision, text, received := o.read(deadline); received {
 			o.mutex.Lock()
 			sent := o.sent[revision]
 			o.mutex.Unlock()
@@ -263,14 +272,14 @@
 				last.Cause = string(text[:min(len(text), 600)])
 			}
 		}
-		sleep(asking, 300*time.Millisecond)
+		sleep(deadline, 300*time.Millisecond)
 	}
 	o.day.Events.Append(last)
 }
 
-// evacuate asks that nothing more be sent to a zone's servers; takeBack ends that.
+// evacuate asks the control plane to send no more requests to a zone's servers.
 func (o *Operators) evacuate(lifetime context.Context, zone string) bool {
-	o.day.Events.Append(Event{Kind: EvacuateSent, Zone: zone})
+	o.day.Events.Append(Event{Kind: EvacuationSent, Zone: zone})
 	if o.call(lifetime, http.MethodPost, pathEvacuate+zone, nil, nil).outcome != acknowledged {
 		return false
 	}
@@ -278,7 +287,8 @@
 	return true
 }
 
-func (o *Operators) takeBack(lifetime context.Context, zone string) bool {
-	o.day.Events.Append(Event{Kind: TakenBack, Zone: zone})
+// endEvacuation ends the evacuation of a zone.
+func (o *Operators) endEvacuation(lifetime context.Context, zone string) bool {
+	o.day.Events.Append(Event{Kind: EvacuationEnded, Zone: zone})
 	return o.call(lifetime, http.MethodPost, pathTakeBack+zone, nil, nil).outcome == acknowledged
 }
