--- a/internal/testbed/replay/order.go
+++ b/internal/testbed/replay/order.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// serverOrder is an order to a server, as its caller writes it.
+// serverOrder is the body of an order to a server.
 type serverOrder struct {
 	Kind         string  `json:"opKind"`
 	Phase        string  `json:"phase"`
@@ -15,42 +15,44 @@
 	Expected     *int    `json:"expectedCount"`
 }
 
-// takeOrder takes an order up, or says why not.
-func (m *modelServer) takeOrder(writer http.ResponseWriter, inbound *http.Request) {
-	var asked serverOrder
-	err := json.NewDecoder(inbound.Body).Decode(&asked)
-	event := Event{Kind: Ordered, Server: m.ID, Service: m.Service, Zone: m.Zone, Owner: asked.Owner, Stage: asked.Phase}
-	if asked.FencingToken != nil {
-		event.FencingToken = *asked.FencingToken
+// serveOrder accepts an order to change the phase, or refuses it with a status that gives the
+// reason.
+func (m *modelServer) serveOrder(writer http.ResponseWriter, inbound *http.Request) {
+	var order serverOrder
+	err := json.NewDecoder(inbound.Body).Decode(&order)
+	event := Event{Kind: OrderReceived, Server: m.ID, Service: m.Service, Zone: m.Zone, Owner: order.Owner, WorkPhase: order.Phase}
+	if order.FencingToken != nil {
+		event.FencingToken = *order.FencingToken
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	t := inbound.Header.Get(headerTarget)
+	expectedID := inbound.Header.Get(headerTarget)
 	switch {
-	case t != "" && t != m.ID:
+	case expectedID != "" && expectedID != m.ID:
 		event.Status = http.StatusMisdirectedRequest
-	case err != nil, asked.Owner == "", asked.FencingToken == nil, asked.Kind != "phase", asked.Phase != phasePrefill && asked.Phase != phaseDecode:
+	case err != nil, order.Owner == "", order.FencingToken == nil, order.Kind != "phase",
+		order.Phase != phasePrefill && order.Phase != phaseDecode:
 		event.Status = http.StatusBadRequest
-	case asked.Expected != nil && *asked.Expected != m.orders, m.turning:
+	case order.Expected != nil && *order.Expected != m.orders, m.changingPhase:
 		event.Status = http.StatusConflict
-	case m.phase == asked.Phase:
+	case m.phase == order.Phase:
 		event.Status = http.StatusOK
 	default:
 		event.Status = http.StatusAccepted
 		m.orders++
-		m.changePhase(asked.Phase)
+		m.changePhase(order.Phase)
 	}
 	m.pool.events.Append(event)
 	writer.Header().Set(headerServer, m.ID)
 	writer.WriteHeader(event.Status)
 }
 
-// changePhase changes the server's part: what runs comes to its end, what has not begun is
-// turned away.
+// changePhase changes the phase of the server: running requests complete first, queued requests are
+// rejected.
 func (m *modelServer) changePhase(phase string) {
-	m.turning = true
-	for len(m.engine.waiting) > 0 {
-		m.engine.end(m.engine.waiting[0], "order")
+	m.changingPhase = true
+	for len(m.engine.queue) > 0 {
+		m.engine.finish(m.engine.queue[0], "order")
 	}
 	m.progress.Broadcast()
 	go func() {
@@ -59,38 +61,38 @@
 			m.progress.Wait()
 		}
 		m.mutex.Unlock()
-		if !sleep(m.lifetime, m.shape.Switch) {
+		if !sleep(m.lifetime, m.config.PhaseSwitch) {
 			return
 		}
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		m.phase, m.turning, m.engine.readsOwn = phase, false, phase == phaseDecode
+		m.phase, m.changingPhase, m.engine.mixedPrefill = phase, false, phase == phaseDecode
 		m.progress.Broadcast()
 	}()
 }
 
-// listed is how the server stands on the platform's list.
-func (m *modelServer) listed(now time.Time) serverPage {
+// listEntry returns the server's entry in the platform's list.
+func (m *modelServer) listEntry(now time.Time) serverEntry {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	page := serverPage{
+	entry := serverEntry{
 		ID:       m.ID,
 		Backend:  m.Service,
 		Address:  m.Address,
 		Zone:     m.Zone,
 		Revision: "v1",
-		Slots:    m.shape.Slots,
+		Slots:    m.config.Slots,
 		State:    stateServing,
 		Phase:    m.phase,
 	}
-	if m.shape.Plain == 0 {
-		page.ModelIDs = m.models()
+	if m.config.PlainSteps == 0 {
+		entry.ModelIDs = m.models()
 	}
 	if m.draining {
-		page.State = stateDraining
+		entry.State = stateDraining
 	}
 	if left := m.warmUntil.Sub(now); left > 0 {
-		page.ColdLeft = left.Milliseconds()
+		entry.ColdRemaining = left.Milliseconds()
 	}
-	return page
+	return entry
 }
--- a/internal/testbed/replay/passthrough_test.go
+++ b/internal/testbed/replay/passthrough_test.go
@@ -16,70 +16,71 @@
 	"time"
 )
 
-// passThrough is the least that can stand in the product's place on one machine: it keeps
-// a configuration in memory and hands requests on. The stand-ins are tried against it.
+// passThrough is a minimal replacement for the product on one machine. It keeps a configuration in
+// memory and forwards requests, so that the tests can check the stand-ins without the product.
 type passThrough struct {
 	settings struct {
 		BindAddrs   map[string]string        `json:"bindAddrs"`
 		PlatformAPI struct{ Address string } `json:"platformApi"`
 	}
-	mutex   sync.Mutex
-	current map[string]any
-	text    []byte
-	servers []serverPage
-	turn    atomic.Int64
+	mutex      sync.Mutex
+	current    map[string]any
+	text       []byte
+	servers    []serverEntry
+	nextServer atomic.Int64
 }
 
-// runPassThrough is the process of that stand-in, in the test's own program.
+// runPassThrough runs the pass-through in the test binary until SIGTERM.
 func runPassThrough() {
-	through := &passThrough{}
+	product := &passThrough{}
 	text, err := os.ReadFile(os.Getenv(settingsName))
-	if err != nil || json.Unmarshal(text, &through.settings) != nil {
+	if err != nil || json.Unmarshal(text, &product.settings) != nil {
 		os.Exit(1)
 	}
-	go through.readList()
+	go product.readList()
 	control := http.NewServeMux()
-	control.HandleFunc("POST "+pathReplace, through.replace)
+	control.HandleFunc("POST "+pathReplace, product.replace)
 	control.HandleFunc("GET "+pathRead, func(writer http.ResponseWriter, _ *http.Request) {
-		through.mutex.Lock()
-		defer through.mutex.Unlock()
-		_, _ = writer.Write(through.text)
+		product.mutex.Lock()
+		defer product.mutex.Unlock()
+		_, _ = writer.Write(product.text)
 	})
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+pathReady, func(writer http.ResponseWriter, _ *http.Request) {
-		through.mutex.Lock()
-		defer through.mutex.Unlock()
-		if through.current == nil || len(through.servers) == 0 {
+		product.mutex.Lock()
+		defer product.mutex.Unlock()
+		if product.current == nil || len(product.servers) == 0 {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
 	for name, handler := range map[string]http.Handler{
 		"controlPlane": control,
 		"readiness":    ready,
-		"frontHttp":    http.HandlerFunc(through.pass),
+		"frontHttp":    http.HandlerFunc(product.forward),
 	} {
-		go func() { _ = http.ListenAndServe(through.settings.BindAddrs[name], handler) }()
+		go func() { _ = http.ListenAndServe(product.settings.BindAddrs[name], handler) }()
 	}
 	ended := make(chan os.Signal, 1)
 	signal.Notify(ended, syscall.SIGTERM)
 	<-ended
 }
 
+// readList reads the list of servers again and again.
 func (p *passThrough) readList() {
 	for {
-		var all []serverPage
+		var all []serverEntry
 		token := ""
 		for {
-			a, err := http.Get("http://" + p.settings.PlatformAPI.Address + pathServers + "?pageToken=" + token)
+			response, err := http.Get("http://" + p.settings.PlatformAPI.Address + pathServers + "?pageToken=" + token)
 			if err != nil {
 				break
 			}
 			var page struct {
-				Servers   []serverPage
+				Servers   []serverEntry
 				NextToken *string
 			}
-			err = json.NewDecoder(a.Body).Decode(&page)
-			_ = a.Body.Close()
+			err = json.NewDecoder(response.Body).Decode(&page)
+			_ = response.Body.Close()
 			all = append(all, page.Servers...)
 			if err != nil || page.NextToken == nil {
 				break
@@ -93,6 +94,7 @@
 	}
 }
 
+// replace replaces the configuration if the request is based on the current revision.
 func (p *passThrough) replace(writer http.ResponseWriter, inbound *http.Request) {
 	body, _ := io.ReadAll(inbound.Body)
 	var page map[string]any
@@ -106,41 +108,43 @@
 	case json.Unmarshal(body, &page) != nil:
 		writer.WriteHeader(http.StatusBadRequest)
 	case reflect.DeepEqual(page, p.current):
-	case inbound.Header.Get(headerBase) != strconv.Itoa(int(current)):
+	case inbound.Header.Get(headerBaseRevision) != strconv.Itoa(int(current)):
 		writer.WriteHeader(http.StatusPreconditionFailed)
 	default:
 		p.current, p.text = page, body
 	}
 }
 
-// find picks the service of a request, and a server of it that makes tokens.
-func (p *passThrough) find(host, path string) (route bool, server *serverPage) {
+// find reports whether a route matches a request, and picks a serving server of the route's service
+// that is not in the prefill phase; the server is nil if there is none.
+func (p *passThrough) find(host, path string) (found bool, server *serverEntry) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	routes, _ := p.current["routes"].([]any)
-	for _, each := range routes {
-		fields, _ := each.(map[string]any)
+	for _, entry := range routes {
+		fields, _ := entry.(map[string]any)
 		if fields["host"] != host || !strings.HasPrefix(path, fields["pathPrefix"].(string)) {
 			continue
 		}
-		var fitting []serverPage
+		var candidates []serverEntry
 		for _, page := range p.servers {
 			if page.Backend == fields["backend"] && page.Phase != phasePrefill && page.State == stateServing {
-				fitting = append(fitting, page)
+				candidates = append(candidates, page)
 			}
 		}
-		if len(fitting) == 0 {
+		if len(candidates) == 0 {
 			return true, nil
 		}
-		return true, &fitting[p.turn.Add(1)%int64(len(fitting))]
+		return true, &candidates[p.nextServer.Add(1)%int64(len(candidates))]
 	}
 	return false, nil
 }
 
-func (p *passThrough) pass(writer http.ResponseWriter, inbound *http.Request) {
-	route, server := p.find(inbound.Host, inbound.URL.Path)
+// forward forwards a request to a server of its route.
+func (p *passThrough) forward(writer http.ResponseWriter, inbound *http.Request) {
+	found, server := p.find(inbound.Host, inbound.URL.Path)
 	switch {
-	case !route:
+	case !found:
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	case server == nil:
@@ -148,9 +152,9 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	onward := &httputil.ReverseProxy{FlushInterval: -1, Rewrite: func(call *httputil.ProxyRequest) {
+	proxy := &httputil.ReverseProxy{FlushInterval: -1, Rewrite: func(call *httputil.ProxyRequest) {
 		call.Out.URL.Scheme, call.Out.URL.Host, call.Out.Host = "http", server.Address, inbound.Host
 		call.Out.Header.Set(headerTarget, server.ID)
 	}}
-	onward.ServeHTTP(writer, inbound)
+	proxy.ServeHTTP(writer, inbound)
 }
--- a/internal/testbed/replay/plots.go
+++ b/internal/testbed/replay/plots.go
@@ -12,18 +12,18 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Mark is a moment of a day that a plot shows, such as the beginning of a fault.
+// Mark is a moment that a plot marks, such as the beginning of a fault.
 type Mark struct {
 	Second float64
 	Name   string
 }
 
-// Marks lists when a day's faults began, from the start of its traffic.
+// Marks lists when a day's faults began, in seconds from the start of its traffic.
 func Marks(events []Event) []Mark {
 	var marks []Mark
 	var began time.Time
 	for _, event := range events {
-		if event.Kind == TrySent && !event.Probe && began.IsZero() {
+		if event.Kind == AttemptSent && !event.Probe && began.IsZero() {
 			began = event.At
 		}
 		if event.Kind == FaultBegan || event.Kind == ClosingFault {
@@ -33,52 +33,54 @@
 	return marks
 }
 
-// Plot draws what became of the requests, and how soon their first event came, second by
-// second, into two PNG files of a folder.
+// Plot draws two PNG files into a folder: how the requests of each second ended, and the time to
+// their first event.
 func (f Figures) Plot(folder string, marks []Mark) error {
-	count := func(name string, value func(second Second) float64, shade color.Color) series {
+	curve := func(name string, value func(second Second) float64, lineColor color.Color) series {
 		points := make(plotter.XYs, len(f.Seconds))
 		for second := range f.Seconds {
 			points[second] = plotter.XY{X: float64(second), Y: value(f.Seconds[second])}
 		}
-		return series{name, points, shade}
+		return series{name, points, lineColor}
 	}
-	green, amber, blue, red := color.RGBA{30, 140, 60, 255}, color.RGBA{220, 150, 0, 255}, color.RGBA{40, 90, 200, 255}, color.RGBA{200, 30, 30, 255}
-	ends := []series{
-		count("in time", func(second Second) float64 { return float64(second.InTime) }, green),
-		count("late", func(second Second) float64 { return float64(second.Late) }, amber),
-		count("refused", func(second Second) float64 { return float64(second.Refused) }, blue),
-		count("failed", func(second Second) float64 { return float64(second.Failed) }, red),
+	green, amber, blue, red := color.RGBA{30, 140, 60, 255}, color.RGBA{220, 150, 0, 255},
+		color.RGBA{40, 90, 200, 255}, color.RGBA{200, 30, 30, 255}
+	outcomes := []series{
+		curve("in time", func(second Second) float64 { return float64(second.InTime) }, green),
+		curve("late", func(second Second) float64 { return float64(second.Late) }, amber),
+		curve("refused", func(second Second) float64 { return float64(second.Refused) }, blue),
+		curve("failed", func(second Second) float64 { return float64(second.Failed) }, red),
 	}
-	if err := draw(filepath.Join(folder, "requests.png"), "Requests by the second in which they began", "requests", ends,
+	if err := drawPlot(filepath.Join(folder, "requests.png"), "Requests by the second in which they began", "requests", outcomes,
 		marks); err != nil {
 		return err
 	}
-	firsts := []series{count("median", func(second Second) float64 { return float64(second.Median.Milliseconds()) }, green)}
-	return draw(filepath.Join(folder, "first-event.png"), "Time to the first event", "milliseconds", firsts, marks)
+	firstEvents := []series{curve("median", func(second Second) float64 { return float64(second.Median.Milliseconds()) }, green)}
+	return drawPlot(filepath.Join(folder, "first-event.png"), "Time to the first event", "milliseconds", firstEvents, marks)
 }
 
 // series is one line of a plot.
 type series struct {
-	name   string
-	points plotter.XYs
-	shade  color.Color
+	name      string
+	points    plotter.XYs
+	lineColor color.Color
 }
 
-func draw(path, title, unit string, lines []series, marks []Mark) error {
+// drawPlot draws curves and marks into a PNG file.
+func drawPlot(path, title, unit string, curves []series, marks []Mark) error {
 	picture := plot.New()
 	picture.Title.Text, picture.X.Label.Text, picture.Y.Label.Text, picture.Y.Min = title, "seconds of traffic", unit, 0
 	picture.Legend.Top = true
 	top := 1.0
-	for _, one := range lines {
-		line, err := plotter.NewLine(one.points)
+	for _, curve := range curves {
+		line, err := plotter.NewLine(curve.points)
 		if err != nil {
 			return failure.Wrap(failure.Malformed, err)
 		}
-		line.Color, line.Width = one.shade, vg.Points(1.5)
+		line.Color, line.Width = curve.lineColor, vg.Points(1.5)
 		picture.Add(line)
-		picture.Legend.Add(one.name, line)
-		for _, point := range one.points {
+		picture.Legend.Add(curve.name, line)
+		for _, point := range curve.points {
 			top = max(top, point.Y)
 		}
 	}
--- a/internal/testbed/replay/plots_test.go
+++ b/internal/testbed/replay/plots_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestPlotsAreDrawn draws a day of three seconds.
+// TestPlotsAreDrawn draws the plots of a day of three seconds and checks that both are PNG images.
 func TestPlotsAreDrawn(t *testing.T) {
 	folder := t.TempDir()
 	figures := Figures{Seconds: []Second{{InTime: 5, Median: 80 * time.Millisecond}, {
--- a/internal/testbed/replay/prefixcache.go
+++ b/internal/testbed/replay/prefixcache.go
@@ -1,21 +1,23 @@
 package replay
 
-// prefixCache is the memory of an engine, in tokens: parts of prompts that are kept for
-// the next request with the same beginning, and what can't give way.
+// prefixCache is the KV cache memory of an engine, counted in tokens: prompt parts that are cached
+// for later requests with the same prefix, and memory reserved for running requests.
 type prefixCache struct {
 	capacity, block int
 	parts           map[string]*prefixPart
 	cached          int
-	// fixed is what running requests hold beside parts.
-	fixed int
-	turn  int
+	// reservedTokens is the memory that running requests have reserved for the tokens that they
+	// generate.
+	reservedTokens int
+	// clock counts uses, to find the least recently used part.
+	clock int
 }
 
-// prefixPart is one part of a prompt behind all parts before it.
+// prefixPart is one cached part of a prompt. It is valid only after the parts before it.
 type prefixPart struct {
 	name     string
 	tokens   int
-	used     int
+	lastUsed int
 	pins     int
 	parent   *prefixPart
 	children int
@@ -25,28 +27,29 @@
 	return &prefixCache{capacity: capacity, block: block, parts: map[string]*prefixPart{}}
 }
 
-// rounded is how many tokens' places so many tokens take up.
-func (k *prefixCache) rounded(tokens int) int {
-	return (tokens + k.block - 1) / k.block * k.block
+// roundUp rounds a number of tokens up to whole blocks.
+func (c *prefixCache) roundUp(tokens int) int {
+	return (tokens + c.block - 1) / c.block * c.block
 }
 
-// chainNames gives each part of a chain the name of the chain up to it.
-func chainNames(model string, chain []part) []string {
+// chainNames returns a name for each part of a chain. The name contains the model and all parts up
+// to this one.
+func chainNames(model string, chain []promptPart) []string {
 	names := make([]string, 0, len(chain))
 	name := model
-	for _, one := range chain {
-		name += "/" + one.id
+	for _, element := range chain {
+		name += "/" + element.id
 		names = append(names, name)
 	}
 	return names
 }
 
-// missing is how many tokens of a chain are not kept: all behind the first part that
-// isn't.
-func (k *prefixCache) missing(model string, chain []part) int {
+// missingTokens returns how many tokens of a chain are not cached: the tokens of the first missing
+// part and of all parts after it.
+func (c *prefixCache) missingTokens(model string, chain []promptPart) int {
 	tokens, broken := 0, false
 	for position, name := range chainNames(model, chain) {
-		if k.parts[name] == nil {
+		if c.parts[name] == nil {
 			broken = true
 		}
 		if broken {
@@ -56,100 +59,101 @@
 	return tokens
 }
 
-// pinnedTokens is what can't give way.
-func (k *prefixCache) pinnedTokens() int {
-	pinned := k.fixed
-	for _, one := range k.parts {
-		if one.pins > 0 {
-			pinned += k.rounded(one.tokens)
+// pinnedTokens returns the number of tokens that can't be evicted.
+func (c *prefixCache) pinnedTokens() int {
+	pinned := c.reservedTokens
+	for _, entry := range c.parts {
+		if entry.pins > 0 {
+			pinned += c.roundUp(entry.tokens)
 		}
 	}
 	return pinned
 }
 
-// pin keeps a chain for one request, and makes room for what is missing of it; it tells
-// whether there was room.
-func (k *prefixCache) pin(model string, chain []part) ([]*prefixPart, bool) {
+// pin pins the parts of a chain for one request and allocates those that are missing. It reports
+// whether there was enough memory.
+func (c *prefixCache) pin(model string, chain []promptPart) ([]*prefixPart, bool) {
 	var pinned []*prefixPart
 	var parent *prefixPart
 	names := chainNames(model, chain)
-	// What is kept is held first, so that it doesn't give way for the rest.
+	// Cached parts are pinned first, so that they aren't evicted to make room for the others.
 	for _, name := range names {
-		one := k.parts[name]
-		if one == nil {
+		entry := c.parts[name]
+		if entry == nil {
 			break
 		}
-		one.pins++
-		pinned = append(pinned, one)
-		parent = one
+		entry.pins++
+		pinned = append(pinned, entry)
+		parent = entry
 	}
 	for position := len(pinned); position < len(chain); position++ {
-		places := k.rounded(chain[position].tokens)
-		if !k.evict(places) {
-			k.unpin(pinned)
+		needed := c.roundUp(chain[position].tokens)
+		if !c.evict(needed) {
+			c.unpin(pinned)
 			return nil, false
 		}
-		one := &prefixPart{name: names[position], tokens: chain[position].tokens, pins: 1, parent: parent}
+		entry := &prefixPart{name: names[position], tokens: chain[position].tokens, pins: 1, parent: parent}
 		if parent != nil {
 			parent.children++
 		}
-		k.parts[one.name] = one
-		k.cached += places
-		pinned = append(pinned, one)
-		parent = one
+		c.parts[entry.name] = entry
+		c.cached += needed
+		pinned = append(pinned, entry)
+		parent = entry
 	}
 	return pinned, true
 }
 
-// unpin lets parts give way again; they stay as long as nobody needs their room.
-func (k *prefixCache) unpin(pinned []*prefixPart) {
-	for _, one := range pinned {
-		k.turn++
-		one.pins--
-		one.used = k.turn
+// unpin unpins parts. They stay cached until their memory is needed.
+func (c *prefixCache) unpin(pinned []*prefixPart) {
+	for _, entry := range pinned {
+		c.clock++
+		entry.pins--
+		entry.lastUsed = c.clock
 	}
 }
 
-// forget takes parts away that were never read to their end.
-func (k *prefixCache) forget(pinned []*prefixPart) {
+// dropIncomplete removes parts that were not prefilled completely, unless they are in use.
+func (c *prefixCache) dropIncomplete(pinned []*prefixPart) {
 	for position := len(pinned) - 1; position >= 0; position-- {
-		if one := pinned[position]; one.pins == 0 && one.children == 0 && k.parts[one.name] == one {
-			k.drop(one)
+		if entry := pinned[position]; entry.pins == 0 && entry.children == 0 && c.parts[entry.name] == entry {
+			c.remove(entry)
 		}
 	}
 }
 
-func (k *prefixCache) drop(one *prefixPart) {
-	delete(k.parts, one.name)
-	k.cached -= k.rounded(one.tokens)
-	if one.parent != nil {
-		one.parent.children--
+// remove removes a part from the cache.
+func (c *prefixCache) remove(entry *prefixPart) {
+	delete(c.parts, entry.name)
+	c.cached -= c.roundUp(entry.tokens)
+	if entry.parent != nil {
+		entry.parent.children--
 	}
 }
 
-// evict lets the parts give way that were unused for longest, the last of a chain
-// first.
-func (k *prefixCache) evict(places int) bool {
-	for k.capacity-k.cached-k.fixed < places {
+// evict evicts the least recently used parts, the last part of a chain first, until the needed
+// memory is free. It reports whether that succeeded.
+func (c *prefixCache) evict(needed int) bool {
+	for c.capacity-c.cached-c.reservedTokens < needed {
 		var oldest *prefixPart
-		for _, one := range k.parts {
-			if one.pins == 0 && one.children == 0 && (oldest == nil || one.used < oldest.used) {
-				oldest = one
+		for _, entry := range c.parts {
+			if entry.pins == 0 && entry.children == 0 && (oldest == nil || entry.lastUsed < oldest.lastUsed) {
+				oldest = entry
 			}
 		}
 		if oldest == nil {
 			return false
 		}
-		k.drop(oldest)
+		c.remove(oldest)
 	}
 	return true
 }
 
-// grow takes room for a running request's own tokens.
-func (k *prefixCache) grow(places int) bool {
-	if !k.evict(places) {
+// reserve reserves memory for a running request's own tokens, and reports whether there was enough.
+func (c *prefixCache) reserve(needed int) bool {
+	if !c.evict(needed) {
 		return false
 	}
-	k.fixed += places
+	c.reservedTokens += needed
 	return true
 }
--- a/internal/testbed/replay/process.go
+++ b/internal/testbed/replay/process.go
@@ -12,7 +12,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// process is one role on one machine. When it ends by itself it is started again.
+// process runs one role on one machine. It is started again if it exits by itself.
 type process struct {
 	machine *Machine
 	role    Role
@@ -20,12 +20,14 @@
 	mutex   sync.Mutex
 	command *exec.Cmd
 	ended   chan struct{}
-	wanted  bool
+	// wanted means that the process should be running: it was started, and not killed or stopped.
+	wanted bool
 }
 
-// restartsAfter is the pause before a process that ended by itself is started again.
-const restartsAfter = 300 * time.Millisecond
+// restartDelay is the pause before a process that exited by itself is started again.
+const restartDelay = 300 * time.Millisecond
 
+// start starts the process unless it is running.
 func (p *process) start() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -36,8 +38,8 @@
 	return p.launch()
 }
 
-// running tells whether the program that was begun last has not ended: two troubles of one
-// machine may both bring it up again.
+// running reports whether the program that was started last is still running. Two faults on one
+// machine may both start the program again, so the second start must do nothing.
 func (p *process) running() bool {
 	if p.ended == nil {
 		return false
@@ -50,110 +52,115 @@
 	}
 }
 
-// launch begins the program with its settings of this moment.
+// launch starts the program with the current settings.
 func (p *process) launch() error {
-	path, err := p.machine.write(p.role)
+	path, err := p.machine.writeSettings(p.role)
 	if err != nil {
 		return err
 	}
-	log, err := os.OpenFile(p.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return failure.Wrap(failure.Disk, err)
 	}
 	arguments := p.role.arguments()
-	c := exec.Command(arguments[0], arguments[1:]...)
-	c.Env = []string{settingsName + "=" + path}
+	cmd := exec.Command(arguments[0], arguments[1:]...)
+	cmd.Env = []string{settingsName + "=" + path}
 	for _, name := range []string{"PATH", "HOME", "LANG", "GORACE"} {
-		c.Env = append(c.Env, name+"="+os.Getenv(name))
+		cmd.Env = append(cmd.Env, name+"="+os.Getenv(name))
 	}
-	c.Stdout, c.Stderr = log, log
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := c.Start(); err != nil {
+	cmd.Stdout, cmd.Stderr = log, log
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := cmd.Start(); err != nil {
 		_ = log.Close()
 		return failure.Wrap(failure.Unreachable, err)
 	}
 	ended := make(chan struct{})
-	p.command, p.ended = c, ended
+	p.command, p.ended = cmd, ended
 	go func() {
-		_ = c.Wait()
+		_ = cmd.Wait()
 		_ = log.Close()
 		close(ended)
-		p.awaitEnd(c)
+		p.restartIfWanted(cmd)
 	}()
 	return nil
 }
 
-// awaitEnd starts a process again that ended though it was wanted.
-func (p *process) awaitEnd(c *exec.Cmd) {
+// restartIfWanted starts a process again after its end, unless it was killed or stopped.
+func (p *process) restartIfWanted(cmd *exec.Cmd) {
 	p.mutex.Lock()
-	own := p.wanted && p.command == c
+	current := p.wanted && p.command == cmd
 	p.mutex.Unlock()
-	if !own {
+	if !current {
 		return
 	}
 	p.machine.day.Events.Append(Event{
-		Kind:    EndedByItself,
+		Kind:    ProcessExited,
 		Machine: p.machine.Name,
-		Cause:   p.role.Name + ": " + c.ProcessState.String(),
+		Cause:   p.role.Name + ": " + cmd.ProcessState.String(),
 	})
-	if !sleep(p.machine.day.lifetime, restartsAfter) {
+	if !sleep(p.machine.day.lifetime, restartDelay) {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.wanted && p.command == c && !p.running() {
+	if p.wanted && p.command == cmd && !p.running() {
 		_ = p.launch()
 	}
 }
 
-func (p *process) log() string {
+// logPath returns the path of the log file.
+func (p *process) logPath() string {
 	return filepath.Join(p.machine.folder, p.role.Name+".log")
 }
 
-// logged reads what the process wrote.
-func (p *process) logged() string {
-	text, _ := os.ReadFile(p.log())
+// readLog returns the content of the log file.
+func (p *process) readLog() string {
+	text, _ := os.ReadFile(p.logPath())
 	return string(text)
 }
 
-// crashed tells whether the log holds a panic or a race.
+// crashed reports whether the log contains a panic, a fatal error or a data race.
 func (p *process) crashed() bool {
-	text := p.logged()
+	text := p.readLog()
 	return strings.Contains(text, "DATA RACE") || strings.Contains(text, "panic:") || strings.Contains(text, "fatal error:")
 }
 
-// unwanted says that the process is to end, and gives what runs.
-func (p *process) unwanted() (*exec.Cmd, chan struct{}) {
+// markUnwanted records that the process should no longer run. It returns the last command and the
+// channel that is closed when the command ends.
+func (p *process) markUnwanted() (*exec.Cmd, chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.wanted = false
 	return p.command, p.ended
 }
 
+// kill kills the process and waits for its end.
 func (p *process) kill() {
-	c, ended := p.unwanted()
-	if c != nil {
-		_ = c.Process.Kill()
+	cmd, ended := p.markUnwanted()
+	if cmd != nil {
+		_ = cmd.Process.Kill()
 		<-ended
 	}
 }
 
+// stop sends SIGTERM to the process, sends SIGKILL after the grace period, and waits for the end.
 func (p *process) stop(grace time.Duration) {
-	c, ended := p.unwanted()
-	if c == nil {
+	cmd, ended := p.markUnwanted()
+	if cmd == nil {
 		return
 	}
-	_ = c.Process.Signal(syscall.SIGTERM)
+	_ = cmd.Process.Signal(syscall.SIGTERM)
 	timer := time.NewTimer(grace)
 	defer timer.Stop()
 	select {
 	case <-ended:
 	case <-timer.C:
-		_ = c.Process.Kill()
+		_ = cmd.Process.Kill()
 		<-ended
 	}
 }
 
+// signal sends a signal to the process.
 func (p *process) signal(signal syscall.Signal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/testbed/replay/processes_test.go
+++ b/internal/testbed/replay/processes_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// built are the product's programs for the platform, with the race detector, built once.
-var built = sync.OnceValues(func() (string, error) {
+// buildBinaries builds the product's programs for the platform once, with the race detector, and
+// returns their folder.
+var buildBinaries = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "seamloom-platform-")
 	if err != nil {
 		return "", err
@@ -24,12 +25,12 @@
 	return folder, nil
 })
 
-// familyDay is a day for one family of rules: its file, the share of requests that is
-// served at least, and the checkers that must have had something to look at.
+// familyDay is a day for one family of rules: the name of its file, the smallest share of requests
+// that must be served, and the checkers that must have something to check.
 type familyDay struct {
-	name  string
-	floor float64
-	shows []string
+	name      string
+	minServed float64
+	exercised []string
 }
 
 var familyDays = []familyDay{
@@ -44,26 +45,26 @@
 	{"wiped", 0.5, []string{"RECOVER", "EVAC"}},
 }
 
-// TestDaysOfThePlatform plays a day for each family of rules around the product's own
-// programs, and wants no rule broken.
+// TestDaysOfThePlatform runs a day for each family of rules around the product's own programs, and
+// checks that no rule is broken.
 func TestDaysOfThePlatform(t *testing.T) {
-	binaries, err := built()
+	binaries, err := buildBinaries()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = os.RemoveAll(binaries) })
 	for _, family := range familyDays {
-		t.Run(family.name, func(t *testing.T) { playFamily(t, family, binaries) })
+		t.Run(family.name, func(t *testing.T) { runFamily(t, family, binaries) })
 	}
 }
 
-func playFamily(t *testing.T, family familyDay, binaries string) {
+// runFamily runs one day and checks its verdict.
+func runFamily(t *testing.T, family familyDay, binaries string) {
 	plan, mistakes := ReadPlan(filepath.Join("days", family.name+".toml"))
 	if mistakes != nil {
 		t.Fatal(mistakes)
 	}
-	// With the race detector on a busy machine the day has less traffic; the rules are the
-	// same.
+	// The race detector slows the programs down, so the day has less traffic. The rules are the same.
 	plan.Rate = 14
 	roles, err := ReadRoles("../../../deploy/system.toml", binaries)
 	if err != nil {
@@ -76,7 +77,7 @@
 	defer day.Close()
 	defer func() {
 		if names := day.Crashed(); len(names) > 0 {
-			t.Errorf("panicked or raced: %v", names)
+			t.Errorf("these processes panicked or had a data race: %v", names)
 		}
 		if t.Failed() {
 			for name, log := range day.Logs(8) {
@@ -90,14 +91,14 @@
 	verdict := day.Run(plan)
 	t.Log(verdict)
 	if verdict.Violations() > 0 {
-		t.Errorf("rules were broken %d times", verdict.Violations())
+		t.Errorf("got %d violations of rules, want none", verdict.Violations())
 	}
-	if served := verdict.Figures.Served(); served < family.floor {
-		t.Errorf("%.3f of the requests were served, %.2f are wanted", served, family.floor)
+	if served := verdict.Figures.Served(); served < family.minServed {
+		t.Errorf("got a share of served requests of %.3f, want at least %.2f", served, family.minServed)
 	}
-	for _, checker := range family.shows {
-		if verdict.Finding(checker).Looked == 0 {
-			t.Errorf("%s had nothing to look at", checker)
+	for _, checker := range family.exercised {
+		if verdict.Finding(checker).Checked == 0 {
+			t.Errorf("%s had nothing to check", checker)
 		}
 	}
 }
--- a/internal/testbed/replay/record.go
+++ b/internal/testbed/replay/record.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// record is an event log with what belongs together laid side by side, for the checkers.
+// record groups the events of a day by attempt, request, version and server for the checkers.
 type record struct {
-	events   []Event
-	site     Site
-	terms    Terms
-	contact  *contact
-	attempts map[string]*attemptSeen
-	order    []*attemptSeen
-	requests map[string][]*attemptSeen
-	versions []*versionSeen
-	shown    map[string]time.Time
+	events       []Event
+	site         Site
+	terms        Terms
+	contact      *contact
+	attempts     map[string]*attemptRecord
+	attemptOrder []*attemptRecord
+	requests     map[string][]*attemptRecord
+	versions     []*versionRecord
+	shownLeaving map[string]time.Time
 }
 
-// attemptSeen is all that was seen of one try.
-type attemptSeen struct {
-	sent     Event
-	ended    Event
-	over     bool
-	arrivals []Event
-	turned   []Event
-	starts   []Event
-	reads    []Event
-	ends     []Event
+// attemptRecord holds the events of one attempt.
+type attemptRecord struct {
+	sent       Event
+	ended      Event
+	finished   bool
+	arrivals   []Event
+	rejections []Event
+	runStarts  []Event
+	prefills   []Event
+	runEnds    []Event
 }
 
-// versionSeen is a revision and how its proposal went.
-type versionSeen struct {
+// versionRecord is a proposed version, with the times and the outcome of its proposal.
+type versionRecord struct {
 	Version
 	change  string
 	base    int
@@ -41,28 +41,29 @@
 	outcome outcome
 }
 
+// newRecord groups events, which must be in the order of time.
 func newRecord(events []Event, site Site) *record {
 	r := &record{
-		events:   events,
-		site:     site,
-		terms:    site.Terms,
-		contact:  newContact(events, site.Terms.Contact),
-		attempts: map[string]*attemptSeen{},
-		requests: map[string][]*attemptSeen{},
-		shown:    map[string]time.Time{},
+		events:       events,
+		site:         site,
+		terms:        site.Terms,
+		contact:      newContact(events, site.Terms.Contact),
+		attempts:     map[string]*attemptRecord{},
+		requests:     map[string][]*attemptRecord{},
+		shownLeaving: map[string]time.Time{},
 	}
-	changes := map[string]*versionSeen{}
+	changes := map[string]*versionRecord{}
 	for _, event := range events {
-		seen := r.attempts[event.Try]
-		if event.Kind == TrySent {
-			seen = &attemptSeen{sent: event}
-			r.attempts[event.Try] = seen
-			r.order = append(r.order, seen)
-			r.requests[event.Request] = append(r.requests[event.Request], seen)
+		attempt := r.attempts[event.AttemptID]
+		if event.Kind == AttemptSent {
+			attempt = &attemptRecord{sent: event}
+			r.attempts[event.AttemptID] = attempt
+			r.attemptOrder = append(r.attemptOrder, attempt)
+			r.requests[event.Request] = append(r.requests[event.Request], attempt)
 		}
 		switch event.Kind {
 		case ChangeSent:
-			changes[event.Change] = &versionSeen{
+			changes[event.Change] = &versionRecord{
 				Version: *event.Version,
 				change:  event.Change,
 				base:    event.Base,
@@ -75,27 +76,27 @@
 			if change := changes[event.Change]; change != nil {
 				change.closed, change.outcome = event.At, outcome(event.Cause)
 			}
-		case Shown:
-			if _, known := r.shown[event.Server]; !known {
-				r.shown[event.Server] = event.At
+		case ShownLeaving:
+			if _, known := r.shownLeaving[event.Server]; !known {
+				r.shownLeaving[event.Server] = event.At
 			}
 		}
-		if seen == nil {
+		if attempt == nil {
 			continue
 		}
 		switch event.Kind {
-		case TryEnded:
-			seen.ended, seen.over = event, true
-		case Arrived:
-			seen.arrivals = append(seen.arrivals, event)
-		case TurnedAway:
-			seen.turned = append(seen.turned, event)
+		case AttemptEnded:
+			attempt.ended, attempt.finished = event, true
+		case RequestArrived:
+			attempt.arrivals = append(attempt.arrivals, event)
+		case RequestRejected:
+			attempt.rejections = append(attempt.rejections, event)
 		case RunStarted:
-			seen.starts = append(seen.starts, event)
+			attempt.runStarts = append(attempt.runStarts, event)
 		case RunEnded:
-			seen.ends = append(seen.ends, event)
-		case PromptRead:
-			seen.reads = append(seen.reads, event)
+			attempt.runEnds = append(attempt.runEnds, event)
+		case PromptPrefilled:
+			attempt.prefills = append(attempt.prefills, event)
 		}
 	}
 	sort.SliceStable(r.versions,
@@ -103,47 +104,46 @@
 	return r
 }
 
-// mayLease tells whether a revision may be in force by a moment.
-func (v *versionSeen) mayLease(by time.Time) bool {
+// mayBeInForce reports whether a version may be in force at a moment.
+func (v *versionRecord) mayBeInForce(by time.Time) bool {
 	return !v.invalid && v.outcome != refused && !v.sent.After(by)
 }
 
-// promised tells whether the answer promises that the request never runs.
-func promised(status int) bool {
+// guaranteesNotRun reports whether a status guarantees that the request never runs.
+func guaranteesNotRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
-// handling is what a machine did with a request, as far as it shows which configuration
-// it went by.
+// handling is an action of a machine on a request. It shows which configuration the machine applied.
 type handling struct {
-	try     *attemptSeen
+	attempt *attemptRecord
 	machine string
 	route   string
-	// service is empty when the machine said that there is no such route.
+	// service is empty if the machine responded that the route does not exist.
 	service string
 	sent    time.Time
 	at      time.Time
 }
 
-// handlings lists what shows which configuration machines went by, in the order of time.
+// handlings lists the actions that show which configuration machines applied, in the order of time.
 func (r *record) handlings() []handling {
 	var handlings []handling
-	for _, seen := range r.order {
-		for _, event := range append(append([]Event(nil), seen.starts...), seen.reads...) {
+	for _, attempt := range r.attemptOrder {
+		for _, event := range append(append([]Event(nil), attempt.runStarts...), attempt.prefills...) {
 			handlings = append(handlings,
-				handling{seen, seen.sent.Machine, seen.sent.Route, event.Service, seen.sent.At, event.At})
+				handling{attempt, attempt.sent.Machine, attempt.sent.Route, event.Service, attempt.sent.At, event.At})
 		}
-		if seen.over && seen.ended.Status == 404 && seen.ended.Seal == "" {
+		if attempt.finished && attempt.ended.Status == 404 && attempt.ended.Seal == "" {
 			handlings = append(handlings,
-				handling{seen, seen.sent.Machine, seen.sent.Route, "", seen.sent.At, seen.ended.At})
+				handling{attempt, attempt.sent.Machine, attempt.sent.Route, "", attempt.sent.At, attempt.ended.At})
 		}
 	}
 	sort.SliceStable(handlings, func(left, right int) bool { return handlings[left].at.Before(handlings[right].at) })
 	return handlings
 }
 
-// fits tells whether a revision would have a request handled like that.
-func (h handling) fits(version *versionSeen) bool {
+// allowedBy reports whether a version allows the handling.
+func (h handling) allowedBy(version *versionRecord) bool {
 	if h.service == "" {
 		_, found := version.Routes[h.route]
 		return !found
@@ -151,11 +151,11 @@
 	return version.Allows(h.route, h.service)
 }
 
-// span is the oldest and the newest revision that a handling fits, among those that may be
-// in force by then.
-func (r *record) span(h handling) (oldest, newest int, found bool) {
+// revisionRange returns the oldest and the newest revision that allow a handling and may have been in
+// force at the time of the handling.
+func (r *record) revisionRange(h handling) (oldest, newest int, found bool) {
 	for _, version := range r.versions {
-		if version.mayLease(h.at) && h.fits(version) {
+		if version.mayBeInForce(h.at) && h.allowedBy(version) {
 			if !found {
 				oldest, found = version.Revision, true
 			}
--- a/internal/testbed/replay/role.go
+++ b/internal/testbed/replay/role.go
@@ -13,7 +13,9 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Role is a program of the deploy file, and where it runs.
+// Role is a program of the deploy file and the machines that it runs on. On is the machines' class.
+// In each zone the program runs on Count machines, or on the share Share of the machines if it is
+// positive. Serves are the functions that it serves to callers outside.
 type Role struct {
 	Name   string   `toml:"-"`
 	Run    string   `toml:"run"`
@@ -22,11 +24,11 @@
 	Count  int      `toml:"count"`
 	Apart  bool     `toml:"apart"`
 	Serves []string `toml:"serves"`
-	// binaries is the folder that its program is in.
+	// binaries is the folder of the program.
 	binaries string
 }
 
-// ReadRoles reads the roles of a deploy file; their programs are in a folder.
+// ReadRoles reads the roles of a deploy file. Their programs are in the folder binaries.
 func ReadRoles(path, binaries string) ([]Role, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -42,7 +44,7 @@
 	var roles []Role
 	for name, role := range file.Roles {
 		if role.Run == "" || len(role.Serves) == 0 && role.Share == 0 && role.Count == 0 {
-			return nil, failure.At(failure.Missing, "/roles/"+name, "a role needs run, and share or count")
+			return nil, failure.At(failure.Missing, "/roles/"+name, `a role needs "run", and at least one of "serves", "share" and "count"`)
 		}
 		role.Name, role.binaries = name, binaries
 		roles = append(roles, role)
@@ -51,28 +53,30 @@
 	return roles, nil
 }
 
-// arguments are the program and its arguments.
+// arguments returns the path of the program and its arguments.
 func (r Role) arguments() []string {
 	arguments := strings.Fields(r.Run)
 	arguments[0] = filepath.Join(r.binaries, filepath.Base(arguments[0]))
 	return arguments
 }
 
-// serving tells whether the role may be called from outside for that.
-func (r Role) serving(what string) bool { return slices.Contains(r.Serves, what) }
+// hasFunction reports whether the role serves a function, such as "edge", to callers outside.
+func (r Role) hasFunction(function string) bool { return slices.Contains(r.Serves, function) }
 
-// on tells whether the machine at a place in its zone runs the role; spare machines run
-// none of the roles that a count gives, unless they replace one that did.
-func (r Role) on(place, machines int) bool {
-	wanted := r.Count
+// runsOn reports whether a machine runs the role, given the machine's place in its zone, counted from
+// 0, and the number of machines in the zone. A role that serves "edge" runs on all machines. Any other
+// role runs on the first machines of the zone, or on the last ones if Apart is set. A machine that
+// replaces another one gets the place of that machine.
+func (r Role) runsOn(place, machines int) bool {
+	count := r.Count
 	if r.Share > 0 {
-		wanted = int(math.Ceil(r.Share * float64(machines)))
+		count = int(math.Ceil(r.Share * float64(machines)))
 	}
-	if r.serving("edge") {
-		wanted = machines
+	if r.hasFunction("edge") {
+		count = machines
 	}
 	if r.Apart {
-		return place >= machines-wanted
+		return place >= machines-count
 	}
-	return place < wanted
+	return place < count
 }
--- a/internal/testbed/replay/serverpool.go
+++ b/internal/testbed/replay/serverpool.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// ServerPool holds the model servers of a day, those that are up.
+// ServerPool holds the running model servers of a day.
 type ServerPool struct {
 	events *EventLog
 	site   Site
 	seed   uint64
-	// place gives the next address for a server.
-	place func() string
+	// nextAddress returns an unused address for a server.
+	nextAddress func() string
 
 	mutex   sync.Mutex
 	servers []*modelServer
-	born    int
+	started int
 }
 
-// startServerPool begins the model servers of a site.
-func startServerPool(events *EventLog, site Site, seed uint64, place func() string) (*ServerPool, error) {
-	pool := &ServerPool{events: events, site: site, seed: seed, place: place}
+// startServerPool starts the model servers of a site.
+func startServerPool(events *EventLog, site Site, seed uint64, nextAddress func() string) (*ServerPool, error) {
+	pool := &ServerPool{events: events, site: site, seed: seed, nextAddress: nextAddress}
 	for _, service := range site.Services {
 		for number := range service.PerZone * len(site.Zones) {
 			phase := phaseDecode
-			if service.Engine.Plain > 0 {
+			if service.Engine.PlainSteps > 0 {
 				phase = ""
-			} else if number < service.Readers {
+			} else if number < service.PrefillServers {
 				phase = phasePrefill
 			}
 			if _, err := pool.add(service, site.Zones[number%len(site.Zones)], phase, false); err != nil {
@@ -41,20 +41,21 @@
 	return pool, nil
 }
 
-func (s *ServerPool) count() int {
+// nextNumber returns the number of the next server to start; the first one has the number 1.
+func (s *ServerPool) nextNumber() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.born++
-	return s.born
+	s.started++
+	return s.started
 }
 
-// add begins a server.
-func (s *ServerPool) add(service ServiceShape, zone, phase string, cold bool) (*modelServer, error) {
-	return s.addAt(s.place(), service, zone, phase, cold)
+// add starts a server at an unused address.
+func (s *ServerPool) add(service ServiceConfig, zone, phase string, cold bool) (*modelServer, error) {
+	return s.addAt(s.nextAddress(), service, zone, phase, cold)
 }
 
-// addAt begins a server at an address.
-func (s *ServerPool) addAt(address string, service ServiceShape, zone, phase string, cold bool) (*modelServer, error) {
+// addAt starts a server at an address.
+func (s *ServerPool) addAt(address string, service ServiceConfig, zone, phase string, cold bool) (*modelServer, error) {
 	server, err := startServer(s, service, zone, phase, address, cold)
 	if err != nil {
 		return nil, err
@@ -65,7 +66,7 @@
 	return server, nil
 }
 
-// at finds the server at an address.
+// at returns the server at an address, or nil if there is none.
 func (s *ServerPool) at(address string) *modelServer {
 	for _, server := range s.all() {
 		if server.Address == address {
@@ -75,14 +76,14 @@
 	return nil
 }
 
-// all lists the servers that are up.
+// all lists the running servers.
 func (s *ServerPool) all() []*modelServer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Clone(s.servers)
 }
 
-// remove takes a server out of the pool; its process ends.
+// remove removes a server from the pool and ends it at once.
 func (s *ServerPool) remove(server *modelServer) {
 	s.mutex.Lock()
 	s.servers = slices.DeleteFunc(s.servers, func(other *modelServer) bool { return other == server })
@@ -90,58 +91,61 @@
 	server.crash()
 }
 
-// draw picks a share of a service's servers, at least one, and spares at least one of
-// each part.
+// draw picks a random share of a service's servers, at least one if possible. It never picks the
+// last server of a service in a phase. An empty service means all services.
 func (s *ServerPool) draw(service string, share float64, random *rand.Rand) []*modelServer {
-	var fitting []*modelServer
+	var candidates []*modelServer
 	for _, server := range s.all() {
 		if service == "" || server.Service == service {
-			fitting = append(fitting, server)
+			candidates = append(candidates, server)
 		}
 	}
-	random.Shuffle(len(fitting), func(left, right int) { fitting[left], fitting[right] = fitting[right], fitting[left] })
-	wanted := max(1, int(share*float64(len(fitting))+0.5))
-	left := map[string]int{}
-	for _, server := range fitting {
-		left[server.part()]++
+	random.Shuffle(len(candidates), func(left, right int) {
+		candidates[left], candidates[right] = candidates[right], candidates[left]
+	})
+	wanted := max(1, int(share*float64(len(candidates))+0.5))
+	remaining := map[string]int{}
+	for _, server := range candidates {
+		remaining[server.serviceAndPhase()]++
 	}
 	var drawn []*modelServer
-	for _, server := range fitting {
-		if len(drawn) < wanted && left[server.part()] > 1 {
-			left[server.part()]--
+	for _, server := range candidates {
+		if len(drawn) < wanted && remaining[server.serviceAndPhase()] > 1 {
+			remaining[server.serviceAndPhase()]--
 			drawn = append(drawn, server)
 		}
 	}
 	return drawn
 }
 
-// part names the service and the part that the server plays.
-func (m *modelServer) part() string {
+// serviceAndPhase names the service and the phase of the server, as "service/phase".
+func (m *modelServer) serviceAndPhase() string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return fmt.Sprintf("%s/%s", m.Service, m.phase)
 }
 
-// misbehave makes a server misbehaveFor, or misbehave again.
-func (m *modelServer) misbehave(change func(mi *misbehaviour)) {
+// setMisbehaviour changes how the server misbehaves.
+func (m *modelServer) setMisbehaviour(change func(current *misbehaviour)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	change(&m.misbehaviour)
 }
 
-// drain lets a server leave: it is listed as leaving, and ends some time later.
-func (s *ServerPool) drain(server *modelServer, last time.Duration) {
+// drain lists a server as draining, waits for the list lag, the drain time and the time extra, and
+// then removes the server.
+func (s *ServerPool) drain(server *modelServer, extra time.Duration) {
 	server.mutex.Lock()
 	server.draining = true
 	server.mutex.Unlock()
 	s.events.Append(Event{
-		Kind:    Shown,
-		At:      time.Now().Add(s.site.ListLag + 2*directoryBeat),
+		Kind:    ShownLeaving,
+		At:      time.Now().Add(s.site.ListLag + 2*snapshotInterval),
 		Server:  server.ID,
 		Service: server.Service,
 		Cause:   stateDraining,
 	})
-	if sleep(server.lifetime, s.site.ListLag+s.site.Terms.Drain+last) {
+	if sleep(server.lifetime, s.site.ListLag+s.site.Terms.Drain+extra) {
 		s.remove(server)
 	}
 }
--- a/internal/testbed/replay/site.go
+++ b/internal/testbed/replay/site.go
@@ -2,69 +2,76 @@
 
 import "time"
 
-// Site is a deployment: its places, machines, model servers, kinds of requests and
-// bounds.
+// Site is a deployment: its zones, machines, model servers, classes of requests and time limits.
 type Site struct {
 	Region string
 	Zones  []string
-	// Plain is how many machines without a disk stand in each zone, beside one with a disk.
-	Plain    int
-	Services []ServiceShape
-	Classes  []Class
-	Terms    Terms
-	// Clients is how many clients each zone has; Rate the requests a second of all of them.
+	// PlainMachines is the number of machines without a disk in each zone. Each zone also has one
+	// machine with a disk.
+	PlainMachines int
+	Services      []ServiceConfig
+	Classes       []Class
+	Terms         Terms
+	// Clients is the number of clients in each zone. Rate is the number of requests per second of all
+	// clients together if the shares of the classes add up to 1.
 	Clients int
 	Rate    float64
-	// ListLag and ListRate are those of the list of servers.
+	// ListLag is how old the returned list of servers is, ListRate the number of reads of the list
+	// per second that the platform allows.
 	ListLag  time.Duration
 	ListRate float64
 }
 
-// ServiceShape is a service and its model servers: how many in each zone, and how many
-// of all begin as readers of prompts.
-type ServiceShape struct {
-	Name    string
-	PerZone int
-	Readers int
-	Engine  Shape
+// ServiceConfig is a service and its model servers. PerZone is the number of servers in each zone,
+// PrefillServers the total number of servers, over all zones, that start in the prefill phase.
+type ServiceConfig struct {
+	Name           string
+	PerZone        int
+	PrefillServers int
+	Engine         EngineConfig
 }
 
-// Class is a kind of request.
+// Class is a class of requests. Its rate is Share times the rate of the site. Target is the time
+// limit for the first event, TokenGap the longest time between two events, and Deadline the time
+// limit of the whole request. MaxAttempts is the number of servers that may run a request, Retries
+// how often its client retries.
 type Class struct {
 	Name      string
 	Service   string
 	Share     float64
-	Aim       time.Duration
+	Target    time.Duration
 	Deadline  time.Duration
-	Pause     time.Duration
+	TokenGap  time.Duration
 	Resumable bool
-	// Plain requests are answered whole; Repeatable tells which of these may run again.
+	// Plain requests get a single response instead of a stream. Idempotent requests may run more
+	// than once.
 	Plain       bool
 	Idempotent  bool
 	MaxAttempts int
 	Priority    int
 	Retries     int
-	// Shared are the parts that requests have in common, from the widest: how many there
-	// are, and of how many tokens.
-	Shared     []SharedPart
-	OwnTokens  int
-	MostTokens int
-	BodyBytes  int
+	// Shared are the prompt parts that requests have in common, the most widely shared first. OwnTokens
+	// is the mean length of the part that only one request has.
+	Shared    []SharedPart
+	OwnTokens int
+	MaxTokens int
+	BodyBytes int
 }
 
-// SharedPart is a layer of prompt parts shared between requests.
-type SharedPart struct{ Things, Tokens int }
+// SharedPart is a part of the prompt that requests have in common. Variants is the number of different texts
+// of this part, Tokens the length of each.
+type SharedPart struct{ Variants, Tokens int }
 
-// SmallSite is a light deployment close to the users' small ones: three zones, a
-// machine with a disk and one without in each, two services.
+// SmallSite returns a small deployment, similar to the users' small deployments. It has three services
+// and three zones; each zone has one machine with a disk and one without.
 func SmallSite() Site {
-	e := Shape{
+	modelEngine := EngineConfig{
 		Slots: 24, Queue: 48, Connections: 200, Step: 3100 * time.Microsecond, StepPerSlot: 100 * time.Microsecond, TokensPerMillisecond: 57,
-		Chunk: 4096, Block: 16, Capacity: 290_000, TokenBytes: 18_432, LinkMegabits: 550_000, Setup: 3300 * time.Microsecond,
-		HandleLifetime: 5 * time.Second, Switch: 1500 * time.Millisecond, ReportLag: 100 * time.Millisecond,
-		Cold: 3 * time.Second, ColdPerSecond: 12, Idle: 15 * time.Second,
+		Chunk: 4096, Block: 16, Capacity: 290_000, TokenBytes: 18_432, LinkMegabits: 550_000, TransferSetup: 3300 * time.Microsecond,
+		HandleLifetime: 5 * time.Second, PhaseSwitch: 1500 * time.Millisecond, ReportLag: 100 * time.Millisecond,
+		ColdStart: 3 * time.Second, ColdPerSecond: 12, ConnectionIdle: 15 * time.Second,
 	}
-	till := Shape{
+	plainEngine := EngineConfig{
 		Slots:                8,
 		Queue:                24,
 		Connections:          120,
@@ -73,50 +80,50 @@
 		Chunk:                1,
 		Block:                16,
 		Capacity:             4096,
-		Plain:                5,
-		Cold:                 3 * time.Second,
+		PlainSteps:           5,
+		ColdStart:            3 * time.Second,
 		ColdPerSecond:        12,
-		Idle:                 8 * time.Second,
+		ConnectionIdle:       8 * time.Second,
 	}
 	return Site{
-		Region: "coast", Zones: []string{"quay-hall", "hill-hall", "mill-hall"}, Plain: 1, Terms: UsualTerms(), Clients: 6, Rate: 20,
+		Region: "coast", Zones: []string{"quay-hall", "hill-hall", "mill-hall"}, PlainMachines: 1, Terms: UsualTerms(), Clients: 6, Rate: 20,
 		ListLag: 800 * time.Millisecond, ListRate: 40,
-		Services: []ServiceShape{{
-			Name:    "desk",
-			PerZone: 2,
-			Readers: 2,
-			Engine:  e,
-		}, {Name: "annexe", PerZone: 1, Readers: 1, Engine: e}, {Name: "till", PerZone: 1, Engine: till}},
+		Services: []ServiceConfig{{
+			Name:           "desk",
+			PerZone:        2,
+			PrefillServers: 2,
+			Engine:         modelEngine,
+		}, {Name: "annexe", PerZone: 1, PrefillServers: 1, Engine: modelEngine}, {Name: "till", PerZone: 1, Engine: plainEngine}},
 		Classes: []Class{
 			{
 				Name:        "verdict",
 				Service:     "desk",
 				Share:       0.45,
-				Aim:         400 * time.Millisecond,
+				Target:      400 * time.Millisecond,
 				Deadline:    3 * time.Second,
-				Pause:       250 * time.Millisecond,
+				TokenGap:    250 * time.Millisecond,
 				Resumable:   true,
 				MaxAttempts: 2,
 				Priority:    0,
 				Retries:     1,
 				Shared:      []SharedPart{{4, 2520}, {40, 3780}},
 				OwnTokens:   2890,
-				MostTokens:  8,
+				MaxTokens:   8,
 				BodyBytes:   18_000,
 			},
 			{
 				Name:        "chat",
 				Service:     "desk",
 				Share:       0.55,
-				Aim:         500 * time.Millisecond,
+				Target:      500 * time.Millisecond,
 				Deadline:    8 * time.Second,
-				Pause:       250 * time.Millisecond,
+				TokenGap:    250 * time.Millisecond,
 				MaxAttempts: 2,
 				Priority:    1,
 				Retries:     1,
 				Shared:      []SharedPart{{40, 119}, {80, 79}},
 				OwnTokens:   628,
-				MostTokens:  40,
+				MaxTokens:   40,
 				BodyBytes:   1700,
 			},
 			{
@@ -124,7 +131,7 @@
 				Service:     "till",
 				Share:       0.1,
 				Plain:       true,
-				Aim:         300 * time.Millisecond,
+				Target:      300 * time.Millisecond,
 				Deadline:    2 * time.Second,
 				MaxAttempts: 2,
 				Priority:    0,
@@ -137,7 +144,7 @@
 				Share:       0.1,
 				Plain:       true,
 				Idempotent:  true,
-				Aim:         300 * time.Millisecond,
+				Target:      300 * time.Millisecond,
 				Deadline:    2 * time.Second,
 				MaxAttempts: 3,
 				Priority:    2,
@@ -148,20 +155,20 @@
 	}
 }
 
-// repeats tells whether a request of the kind may run more than once.
-func (c Class) repeats() bool { return c.Resumable || c.Idempotent }
+// mayRepeat reports whether a request of the class may run more than once.
+func (c Class) mayRepeat() bool { return c.Resumable || c.Idempotent }
 
-// shapeOf finds a service of the site.
-func (s Site) shapeOf(service string) ServiceShape {
-	for _, shape := range s.Services {
-		if shape.Name == service {
-			return shape
+// serviceConfig returns the service with a name, or an empty one if there is none.
+func (s Site) serviceConfig(name string) ServiceConfig {
+	for _, service := range s.Services {
+		if service.Name == name {
+			return service
 		}
 	}
-	return ServiceShape{}
+	return ServiceConfig{}
 }
 
-// classOf finds a kind of request.
+// classOf returns the class of requests with a name, or an empty one if there is none.
 func (s Site) classOf(name string) Class {
 	for _, class := range s.Classes {
 		if class.Name == name {
--- a/internal/testbed/replay/terms.go
+++ b/internal/testbed/replay/terms.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Terms are the bounds of the rules, as a deployment states them.
+// Terms are the limits of the rules that a deployment states in its settings. Stretch, Transit and
+// Thaw are only written into the settings; no checker uses them.
 type Terms struct {
 	SeedLag, AddressReuse, Contact, Acknowledge, CatchUp, Drain, Grace, LossSlack      time.Duration
 	Apply, RevertSlack, Stretch, RetryWindow, Evacuate, Recovery, Transit, Lease, Thaw time.Duration
@@ -10,19 +11,20 @@
 	RetrySlack, ColdSlack                                                              int
 }
 
-// UsualTerms are those that the users' small deployments state, save for the
-// times that make a day long.
+// UsualTerms returns the limits of the users' small deployments. Times that would make a day long are
+// shorter.
 func UsualTerms() Terms {
 	return Terms{
 		SeedLag: 3 * time.Second, AddressReuse: 2 * time.Second, Contact: 3 * time.Second, Acknowledge: 4 * time.Second,
 		CatchUp: 4 * time.Second, Drain: 3 * time.Second, Grace: 8 * time.Second, LossSlack: 200 * time.Millisecond,
 		Apply: 2 * time.Second, RevertSlack: 250 * time.Millisecond, Stretch: 5 * time.Second, RetryWindow: 10 * time.Second,
-		Evacuate: 5 * time.Second, Recovery: 12 * time.Second, Transit: 120 * time.Millisecond, Lease: 3 * time.Second, Thaw: 300 * time.Millisecond,
+		Evacuate: 5 * time.Second, Recovery: 12 * time.Second, Transit: 120 * time.Millisecond,
+		Lease: 3 * time.Second, Thaw: 300 * time.Millisecond,
 		RetryRatio: 0.2, ColdOverrun: 1.5, RetrySlack: 58, ColdSlack: 5,
 	}
 }
 
-// page is how the terms stand in a settings file.
+// page returns the terms as they appear in a settings file.
 func (t Terms) page() map[string]any {
 	milliseconds := func(length time.Duration) int64 { return length.Milliseconds() }
 	seconds := func(length time.Duration) float64 { return length.Seconds() }
--- a/internal/testbed/replay/verdict.go
+++ b/internal/testbed/replay/verdict.go
@@ -7,14 +7,14 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// Verdict is what all checkers say of a day, and its figures.
+// Verdict holds the findings of all checkers for a day, and its figures.
 type Verdict struct {
 	Findings []fleet.Finding `json:"findings"`
 	Figures  Figures         `json:"figures"`
 }
 
-// Judge holds every rule against what was seen.
-func Judge(events []Event, site Site) Verdict {
+// CheckEvents checks every rule against the events of a day.
+func CheckEvents(events []Event, site Site) Verdict {
 	r, verdict := newRecord(events, site), Verdict{}
 	for _, checker := range checkers {
 		finding := fleet.Finding{Checker: checker.name}
@@ -25,7 +25,7 @@
 	return verdict
 }
 
-// Violations counts the broken rules.
+// Violations returns the number of violations that all checkers found.
 func (v Verdict) Violations() int {
 	count := 0
 	for _, finding := range v.Findings {
@@ -34,7 +34,7 @@
 	return count
 }
 
-// Finding is what one checker says.
+// Finding returns the finding of one checker, or an empty one if there is no such checker.
 func (v Verdict) Finding(checker string) fleet.Finding {
 	for _, finding := range v.Findings {
 		if finding.Checker == checker {
@@ -44,17 +44,17 @@
 	return fleet.Finding{}
 }
 
-// String writes the verdict for people.
+// String formats the verdict for people.
 func (v Verdict) String() string {
 	var text strings.Builder
 	for _, finding := range v.Findings {
-		mark := "held  "
+		status := "held  "
 		if finding.Violations > 0 {
-			mark = "BROKEN"
+			status = "BROKEN"
 		}
-		_, _ = fmt.Fprintf(&text, "%s  %-20s looked at %6d", mark, finding.Checker, finding.Looked)
+		_, _ = fmt.Fprintf(&text, "%s  %-20s checked %6d", status, finding.Checker, finding.Checked)
 		if finding.Violations > 0 {
-			_, _ = fmt.Fprintf(&text, "  broken %d times", finding.Violations)
+			_, _ = fmt.Fprintf(&text, "  violated %d times", finding.Violations)
 		}
 		if finding.Worst != "" {
 			_, _ = fmt.Fprintf(&text, "  worst %s", finding.Worst)
--- a/internal/testbed/replay/version.go
+++ b/internal/testbed/replay/version.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Version is one version of the configuration, as an operator holds it.
+// Version is one version of the configuration, as the operators keep it.
 type Version struct {
 	Revision int                  `json:"revision"`
 	Routes   map[string]RouteRule `json:"routes"`
 }
 
-// RouteRule is a route of a revision.
+// RouteRule is a route of a version.
 type RouteRule struct {
 	Host     string         `json:"host"`
 	Prefix   string         `json:"prefix"`
@@ -25,11 +25,11 @@
 	Services map[string]int `json:"services"`
 }
 
-// idleRoutes is how many routes without traffic of their own a revision begins with.
+// idleRoutes is the number of routes without traffic in the first version.
 const idleRoutes = 6
 
-// FirstVersion is the configuration that a day begins with: a route for each kind of
-// request, and some without traffic.
+// FirstVersion returns the configuration at the start of a day: a route for each class of requests,
+// and some without traffic.
 func FirstVersion(site Site) Version {
 	version := Version{Revision: 3, Routes: map[string]RouteRule{}}
 	for _, class := range site.Classes {
@@ -48,7 +48,7 @@
 	return version
 }
 
-// idleRule is a route that only the kit's probes use.
+// idleRule returns a route that only probes use.
 func idleRule(site Site, name string) (string, RouteRule) {
 	class := site.Classes[1]
 	return name, RouteRule{
@@ -60,7 +60,7 @@
 	}
 }
 
-// Next copies a revision under another number.
+// Next copies a version under another revision number.
 func (v Version) Next(revision int) Version {
 	routes := make(map[string]RouteRule, len(v.Routes))
 	for name, rule := range v.Routes {
@@ -70,12 +70,12 @@
 	return Version{Revision: revision, Routes: routes}
 }
 
-// Allows tells whether a request on a route may go to a service.
+// Allows reports whether a request on a route may be sent to a service.
 func (v Version) Allows(route, service string) bool {
 	return v.Routes[route].Services[service] > 0
 }
 
-// page writes the revision as operators send it.
+// page returns the version in the format in which operators send it.
 func (v Version) page(site Site) map[string]any {
 	return map[string]any{
 		"revision": v.Revision, "routes": v.routePages(site, slices.Sorted(maps.Keys(v.Routes))), "backends": servicePages(site),
@@ -88,6 +88,7 @@
 	}
 }
 
+// routePages returns the named routes in the format in which operators send them.
 func (v Version) routePages(site Site, names []string) []any {
 	pages := []any{}
 	for _, name := range names {
@@ -95,7 +96,7 @@
 		class := site.classOf(rule.Class)
 		page := map[string]any{
 			"name": name, "host": rule.Host, "pathPrefix": rule.Prefix, "routeKind": "streaming", "deadlineMs": rule.Deadline,
-			"targetMs": class.Aim.Milliseconds(), "priority": class.Priority, "maxTries": class.MaxAttempts,
+			"targetMs": class.Target.Milliseconds(), "priority": class.Priority, "maxTries": class.MaxAttempts,
 		}
 		switch {
 		case class.Idempotent:
@@ -103,7 +104,7 @@
 		case class.Plain:
 			page["routeKind"] = "mutating"
 		default:
-			page["sticky"], page["resumable"], page["tokenGapMs"] = true, class.Resumable, class.Pause.Milliseconds()
+			page["sticky"], page["resumable"], page["tokenGapMs"] = true, class.Resumable, class.TokenGap.Milliseconds()
 		}
 		services := slices.Sorted(maps.Keys(rule.Services))
 		if len(services) == 1 && rule.Services[services[0]] == 1 {
@@ -120,23 +121,24 @@
 	return pages
 }
 
+// servicePages returns the site's services in the format in which operators send them.
 func servicePages(site Site) []any {
 	pages := []any{}
 	for _, service := range site.Services {
-		shape := service.Engine
+		engine := service.Engine
 		page := map[string]any{
-			"name": service.Name, "healthPath": pathHealth, "maxConns": shape.Connections, "protocol": "h1", "tls": false,
-			"coldStartS": shape.Cold.Seconds(), "coldPerS": shape.ColdPerSecond,
+			"name": service.Name, "healthPath": pathHealth, "maxConns": engine.Connections, "protocol": "h1", "tls": false,
+			"coldStartS": engine.ColdStart.Seconds(), "coldPerS": engine.ColdPerSecond,
 		}
-		if shape.Plain == 0 {
+		if engine.PlainSteps == 0 {
 			page["runtime"] = map[string]any{
-				"slots":        shape.Slots,
-				"kvCapacity":   shape.Capacity,
-				"kvTokenBytes": int(shape.TokenBytes),
-				"linkMbps":     shape.LinkMegabits,
+				"slots":        engine.Slots,
+				"kvCapacity":   engine.Capacity,
+				"kvTokenBytes": int(engine.TokenBytes),
+				"linkMbps":     engine.LinkMegabits,
 				"stride":       1,
-				"handleTtlS":   shape.HandleLifetime.Seconds(),
-				"roleSwitchS":  shape.Switch.Seconds(),
+				"handleTtlS":   engine.HandleLifetime.Seconds(),
+				"roleSwitchS":  engine.PhaseSwitch.Seconds(),
 				"modelIds":     []any{map[string]any{"name": modelName}},
 			}
 		}
@@ -145,7 +147,8 @@
 	return pages
 }
 
-// patch is what turns one revision into the next, as operators send it by name.
+// patch returns the difference from a version to the next one, in the format in which operators
+// send it: the routes to change and the names of the routes to remove.
 func (v Version) patch(site Site, next Version) map[string]any {
 	var changed, removed []string
 	for name, rule := range next.Routes {
@@ -170,8 +173,8 @@
 	return page
 }
 
-// samePage tells whether a configuration that was read says the same as one that was
-// sent; the order of named items says nothing.
+// samePage reports whether a configuration that was read equals one that was sent. The order of
+// routes and of services does not matter.
 func samePage(sent map[string]any, read []byte) bool {
 	text, err := json.Marshal(sent)
 	if err != nil {
@@ -196,7 +199,7 @@
 	return name
 }
 
-// deadlineOf is how long a revision's route may be held.
+// deadlineOf returns the deadline that the version gives a route.
 func (v Version) deadlineOf(route string) time.Duration {
 	return time.Duration(v.Routes[route].Deadline) * time.Millisecond
 }
--- a/internal/testbed/replay/wire.go
+++ b/internal/testbed/replay/wire.go
@@ -5,28 +5,28 @@
 	"net/http"
 )
 
-// The platform's names on the wire, as its pages give them. They stand in the
-// test kit and in platform/, and nowhere else in the repository.
+// Headers, paths and values of the platform's protocol, as its documentation defines them. They
+// occur only in the test bed and in platform/, nowhere else in the repository.
 const (
-	headerAttempt    = "X-Attempt-Id"
-	headerSeal       = "X-Server-Seal"
-	headerDeadline   = "X-Deadline-Ms"
-	headerTarget     = "X-Target-Server"
-	headerServer     = "X-Server-Id"
-	headerLoad       = "X-Server-Load"
-	headerCold       = "X-Cold-Ms"
-	headerNotRun     = "X-Not-Executed"
-	headerModel      = "X-Model"
-	headerTokens     = "X-Token-Count"
-	headerParts      = "X-Prompt-Prefix"
-	headerUrgency    = "X-Request-Urgency"
-	headerStage      = "X-Work-Phase"
-	headerSource     = "X-Kv-Source"
-	headerExpected   = "X-Expected-Revision"
-	headerRevision   = "X-Weight-Revisions"
-	headerLastEvent  = "Last-Event-Id"
-	headerBase       = "X-Base-Revision"
-	headerRetryAfter = "Retry-After"
+	headerAttempt      = "X-Attempt-Id"
+	headerSeal         = "X-Server-Seal"
+	headerDeadline     = "X-Deadline-Ms"
+	headerTarget       = "X-Target-Server"
+	headerServer       = "X-Server-Id"
+	headerLoad         = "X-Server-Load"
+	headerCold         = "X-Cold-Ms"
+	headerNotRun       = "X-Not-Executed"
+	headerModel        = "X-Model"
+	headerTokens       = "X-Token-Count"
+	headerParts        = "X-Prompt-Prefix"
+	headerUrgency      = "X-Request-Urgency"
+	headerWorkPhase    = "X-Work-Phase"
+	headerSource       = "X-Kv-Source"
+	headerExpected     = "X-Expected-Revision"
+	headerRevision     = "X-Weight-Revisions"
+	headerLastEvent    = "Last-Event-Id"
+	headerBaseRevision = "X-Base-Revision"
+	headerRetryAfter   = "Retry-After"
 
 	pathServers   = "/servers"
 	pathReport    = "/report"
@@ -46,7 +46,7 @@
 	stateDraining = "draining"
 )
 
-// writeJSON answers with JSON.
+// writeJSON responds with JSON.
 func writeJSON(writer http.ResponseWriter, status int, content any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
--- a/internal/testbed/replay/work.go
+++ b/internal/testbed/replay/work.go
@@ -6,61 +6,63 @@
 	"time"
 )
 
-// part is one part of a prompt.
-type part struct {
+// promptPart is one part of a prompt.
+type promptPart struct {
 	id     string
 	tokens int
 }
 
-// readChain reads the parts of a prompt as a request names them.
-func readChain(text string) ([]part, bool) {
+// parseChain parses the parts of a prompt from the header of a request: "id:tokens,id:tokens".
+func parseChain(text string) ([]promptPart, bool) {
 	if text == "" {
 		return nil, true
 	}
-	var chain []part
-	for _, one := range strings.Split(text, ",") {
-		id, tokens, found := strings.Cut(one, ":")
+	var chain []promptPart
+	for _, element := range strings.Split(text, ",") {
+		id, tokens, found := strings.Cut(element, ":")
 		count, err := strconv.Atoi(tokens)
 		if !found || err != nil || count < 0 {
 			return nil, false
 		}
-		chain = append(chain, part{id: id, tokens: count})
+		chain = append(chain, promptPart{id: id, tokens: count})
 	}
 	return chain, true
 }
 
-// phase is how far a server is with a request.
-type phase int
+// workState is the state of a request at an engine.
+type workState int
 
 const (
-	waiting phase = iota
-	reading
-	making
-	over
+	workQueued workState = iota
+	workPrefilling
+	workDecoding
+	workFinished
 )
 
-// work is one request at an engine.
-type work struct {
-	// onlyRead: the prompt is read and waits under a handle.
-	onlyRead bool
-	// fetched: the prompt's memory is moved here and isn't read again.
+// engineRequest is one request at an engine.
+type engineRequest struct {
+	// prefillOnly means that the prompt is only prefilled, and its KV cache kept under a handle.
+	prefillOnly bool
+	// fetched means that the KV cache was fetched from another server, so that the prompt needs no
+	// prefill.
 	fetched   bool
 	model     string
-	chain     []part
-	most      int
-	made      int
+	chain     []promptPart
+	maxTokens int
+	generated int
 	urgency   int
 	arrived   time.Time
 	notBefore time.Time
-	ends      time.Time
-	// begun: the first token was made.
-	begun bool
-	left  int
-	held  []*prefixPart
-	own   int
-	stage phase
-	// started is called when the first token is made.
-	started func()
-	// ending says why the engine gave the request up, when it did.
-	ending string
+	deadline  time.Time
+	// tokenGenerated means that the first token was generated.
+	tokenGenerated bool
+	promptLeft     int
+	pinned         []*prefixPart
+	reserved       int
+	state          workState
+	// onFirstToken is called when the first token is generated.
+	onFirstToken func()
+	// endCause is the reason why the engine gave up the request; it is empty if the request
+	// completed.
+	endCause string
 }
--- a/internal/testbed/simulation/calls.go
+++ b/internal/testbed/simulation/calls.go
@@ -13,115 +13,129 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// CallCounter is what became of a day's opaque calls.
+// CallCounter counts the outcomes of a day's opaque calls. Failed counts the calls that ended with
+// status 502 or 504, Refused those that a router or a server refused with another status, and Broken
+// those whose client disconnected or did not receive the end of the reply.
 type CallCounter struct {
 	Sent, Complete, Refused, Failed, Broken int
-	// Runs counts what servers began, Sendings what reached them.
+	// Runs counts the calls that servers began to run.
 	Runs       int
 	Violations []string
-	// Last counts the calls of the day's last seconds, Returned those of them that
-	// were complete.
-	Last, Returned int
+	// FinalSent counts the calls sent in the last seconds of the traffic, FinalComplete those of them
+	// that completed.
+	FinalSent, FinalComplete int
 }
 
+// violate records a violation.
 func (c *CallCounter) violate(format string, values ...any) {
 	c.Violations = append(c.Violations, fmt.Sprintf(format, values...))
 }
 
-// worldCall is one opaque call, as its origin knows it.
-type worldCall struct {
-	world      *World
-	call       *scheduler.Call
+// trackedCall is one opaque call and the state that the checks of its runs and its reply need.
+type trackedCall struct {
+	world *World
+	call  *scheduler.Call
+	// chunks is the number of chunks of the complete stream.
 	chunks     int
 	idempotent bool
-	runs       int
-	// promised tells that the origin was told that the call never runs.
-	promised bool
+	// runs counts the runs that servers have begun.
+	runs int
+	// refused means that the client was told that no server runs the call.
+	refused bool
 }
 
-// ran notes that a server began the call.
-func (w *worldCall) ran(s string) {
-	w.runs++
-	w.world.calls.Runs++
-	if w.runs > 1 && !w.idempotent {
-		w.world.calls.violate("%s runs once more, at %s", w.call.ID, s)
+// recordRun counts a run of the call at a server and checks that the run was allowed.
+func (c *trackedCall) recordRun(server string) {
+	c.runs++
+	c.world.calls.Runs++
+	if c.runs > 1 && !c.idempotent {
+		c.world.calls.violate("%s runs a second time, at %s", c.call.ID, server)
 	}
-	if w.promised {
-		w.world.calls.violate("%s was promised never to run and runs at %s", w.call.ID, s)
+	if c.refused {
+		c.world.calls.violate("%s was refused and then runs at %s", c.call.ID, server)
 	}
 }
 
 const (
-	callLimit  = 8 * time.Second
+	// callLimit is the time limit of every call.
+	callLimit = 8 * time.Second
+	// callMargin is how long a router still waits for a server's message after the deadline of a
+	// decision.
 	callMargin = 60 * time.Millisecond
 )
 
-// callRoutes is the part of a configuration's routes that serves opaque calls: streams
-// that may go on elsewhere, and such that may not.
+// callRoutes returns the routes for opaque calls as a part of a configuration. The streams of the
+// route "calls-again" can be resumed at another server; those of the route "calls-once" can't.
 func (w *World) callRoutes() string {
 	text := ""
 	for _, resumable := range []bool{false, true} {
 		name := map[bool]string{false: "once", true: "again"}[resumable]
-		text += `"calls-` + name + `":{"match":{"host":"calls","path_prefix":"/` + name + `/"},"calls":{"shares":[{"service":"` + w.deployment.Short.Service +
-			`"}],"limit_milliseconds":` + strconv.Itoa(int(callLimit/time.Millisecond)) + `,"aim_milliseconds":500,"gap_milliseconds":250,"tries":2,"streams":true,"sticky":true,"resumable":` +
+		text += `"calls-` + name + `":{"match":{"host":"calls","path_prefix":"/` + name +
+			`/"},"calls":{"shares":[{"service":"` + w.deployment.Short.Service +
+			`"}],"limit_milliseconds":` + strconv.Itoa(int(callLimit/time.Millisecond)) +
+			`,"aim_milliseconds":500,"gap_milliseconds":250,"tries":2,"streams":true,"sticky":true,"resumable":` +
 			strconv.FormatBool(resumable) + `}},`
 	}
 	return text
 }
 
-// prepareCalls gives a router what serves opaque calls, where the world has them.
-func (w *World) prepareCalls(m *machine, begun *incarnation, options *dataplane.Options) {
+// prepareCalls sets up a router's service for opaque calls if the world's settings ask for calls.
+func (w *World) prepareCalls(m *machine, process *incarnation, options *dataplane.Options) {
 	m.calls = nil
 	if !w.settings.Calls {
 		return
 	}
-	options.CallService = func(deciding *scheduler.Scheduler) dataplane.CallService {
-		m.calls = dataplane.NewCalls(begun, deciding, func([]membership.Server) {})
+	options.CallService = func(callScheduler *scheduler.Scheduler) dataplane.CallService {
+		m.calls = dataplane.NewCalls(process, callScheduler, func([]membership.Server) {})
 		return m.calls
 	}
 }
 
-// originsOfCalls send opaque calls until the moment.
-func (w *World) originsOfCalls(until time.Duration) {
+// runCallClients starts clients that send opaque calls until the given time.
+func (w *World) runCallClients(until time.Duration) {
 	for number := 0; w.now < until; number++ {
 		w.outside.NewCond().Wait(min(time.Second, time.Duration(w.random.ExpFloat64()/20*float64(time.Second))), never)
-		c := &worldCall{world: w, idempotent: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
+		c := &trackedCall{world: w, idempotent: w.random.IntN(2) == 0, chunks: 3 + w.random.IntN(40)}
 		c.call = &scheduler.Call{
 			ID:           "call-" + strconv.Itoa(number),
 			Host:         "calls",
 			Path:         "/once/x",
 			PromptTokens: 100 + w.random.IntN(12_000),
 			OutputTokens: 400,
-			Segments:     []scheduler.Segment{{ID: 1, Tokens: 50}, {ID: uint64(10 + w.random.IntN(30)), Tokens: 40}, {ID: uint64(1000 + number), Tokens: 10}},
+			Segments: []scheduler.Segment{
+				{ID: 1, Tokens: 50},
+				{ID: uint64(10 + w.random.IntN(30)), Tokens: 40},
+				{ID: uint64(1000 + number), Tokens: 10},
+			},
 		}
 		if c.idempotent {
 			c.call.Path = "/again/x"
 		}
 		zone := w.deployment.Zones[w.random.IntN(len(w.deployment.Zones))]
 		last := w.now > until-5*time.Second
-		w.outside.Go(func() { w.clientOfCall(c, zone, last) })
+		w.outside.Go(func() { w.runCallClient(c, zone, last) })
 	}
 }
 
-// clientOfCall sends one call to a router and compares what comes back with what ran.
-func (w *World) clientOfCall(c *worldCall, zone string, last bool) {
+// runCallClient sends one call to a router and checks the reply against the runs at the servers.
+func (w *World) runCallClient(c *trackedCall, zone string, last bool) {
 	m := w.routerFor(zone)
 	if m == nil || m.calls == nil {
 		return
 	}
 	w.calls.Sent++
 	if last {
-		w.calls.Last++
+		w.calls.FinalSent++
 	}
-	e := w.sendCall(m, c)
-	leaves := w.random.IntN(30) == 0
+	exchange := w.sendCall(m, c)
+	disconnects := w.random.IntN(30) == 0
 	reply := callReply{call: c, last: last}
 	for {
-		message, found := e.replies.take(callLimit+3*time.Second, never)
-		if !found || leaves && reply.chunks > 1 {
-			e.left = true
-			if e.under != nil {
-				e.under.replies.cond.Broadcast()
+		message, found := exchange.replies.receive(callLimit+3*time.Second, never)
+		if !found || disconnects && reply.chunks > 1 {
+			exchange.left = true
+			if exchange.attempt != nil {
+				exchange.attempt.replies.cond.Broadcast()
 			}
 			w.calls.Broken++
 			return
@@ -132,52 +146,53 @@
 	}
 }
 
-// sendCall brings a call to a router, which serves it in a thread of its own.
-func (w *World) sendCall(m *machine, c *worldCall) *callExchange {
-	there, calls := m.incarnation, m.calls
-	e := &callExchange{incarnation: there, call: c, replies: newPipe(w, m.name, "outside", w.outside)}
+// sendCall delivers a call to a router, which serves each call in its own goroutine.
+func (w *World) sendCall(m *machine, c *trackedCall) *callExchange {
+	process, calls := m.incarnation, m.calls
+	exchange := &callExchange{incarnation: process, call: c, replies: newPipe(w, m.name, "outside", w.outside)}
 	w.carry("outside", m.name, nil, func() {
-		if there.ended {
-			e.replies.disconnect()
+		if process.ended {
+			exchange.replies.disconnect()
 			return
 		}
-		forget := there.onEnd(e.replies.disconnect)
-		w.after(0, there, func() {
-			there.Go(func() {
+		forget := process.onEnd(exchange.replies.disconnect)
+		w.schedule(0, process, func() {
+			process.Go(func() {
 				defer forget()
-				c.call.Deadline = there.Now().Add(callLimit)
-				calls.Serve(c.call, e)
-				e.replies.put(callOver{})
+				c.call.Deadline = process.Now().Add(callLimit)
+				calls.Serve(c.call, exchange)
+				exchange.replies.put(callOver{})
 			})
 		})
 	})
-	return e
+	return exchange
 }
 
-// callReply is what a call's origin has received so far.
+// callReply checks the messages that a call's client receives.
 type callReply struct {
-	call   *worldCall
+	call *trackedCall
+	// chunks counts the chunks received so far.
 	chunks int
-	// last tells that the call is one of the day's last seconds.
+	// last means that the call was sent in the last seconds of the traffic.
 	last bool
 }
 
-// take checks and counts one message; over tells that it was the last.
+// take checks and counts one message. It returns true after the router's last message.
 func (r *callReply) take(message any) (over bool) {
 	c, counter := r.call, r.call.world.calls
 	switch m := message.(type) {
 	case callChunkSent:
 		r.chunks++
 		if m.id != c.call.ID || m.number != r.chunks {
-			counter.violate("%s got piece %d of %s in the place of %d", c.call.ID, m.number, m.id, r.chunks)
+			counter.violate("%s got chunk %d of %s where chunk %d was expected", c.call.ID, m.number, m.id, r.chunks)
 		}
 	case callStreamEnd:
 		if r.chunks != c.chunks {
-			counter.violate("%s is complete with %d pieces of %d", c.call.ID, r.chunks, c.chunks)
+			counter.violate("%s is complete with %d chunks of %d", c.call.ID, r.chunks, c.chunks)
 		}
 		counter.Complete++
 		if r.last {
-			counter.Returned++
+			counter.FinalComplete++
 		}
 	case dataplane.Refusal:
 		if m.Status == http.StatusBadGateway || m.Status == http.StatusGatewayTimeout {
@@ -185,9 +200,9 @@
 			break
 		}
 		counter.Refused++
-		c.promised = true
+		c.refused = true
 		if c.runs > 0 {
-			counter.violate("%s was refused with %d and had run", c.call.ID, m.Status)
+			counter.violate("%s was refused with status %d after it had run", c.call.ID, m.Status)
 		}
 	case callOver:
 		return true
@@ -195,157 +210,162 @@
 	return false
 }
 
-// callOver is the end of what a router does for a call.
+// callOver is the last message of a call: the router has finished with the call.
 type callOver struct{}
 
-// callExchange is one call between its origin and the servers, over the world's links.
+// callExchange carries one call between its client and the servers over the world's links.
 type callExchange struct {
 	incarnation *incarnation
-	call        *worldCall
+	call        *trackedCall
 	replies     *pipe
-	under       *callSending
-	passed      int
-	refusal     *callRefusal
-	left        bool
+	attempt     *callAttempt
+	// forwarded is the number of the last chunk that was forwarded to the client.
+	forwarded int
+	// refusal is the last refusal of a server.
+	refusal *callRefusal
+	// left means that the client has disconnected.
+	left bool
 }
 
-// wait takes the next message of a sending within a patience.
-func (c *callExchange) wait(sending *callSending, patience time.Duration) (any, bool) {
-	return sending.replies.take(max(patience, time.Millisecond), func() bool { return c.left })
+// wait returns the next message of an attempt, or false if none comes within the timeout, the
+// connection to the server is broken, or the client has disconnected.
+func (c *callExchange) wait(attempt *callAttempt, timeout time.Duration) (any, bool) {
+	return attempt.replies.receive(max(timeout, time.Millisecond), func() bool { return c.left })
 }
 
-// patience is how long a decision lets its server say nothing.
-func (c *callExchange) patience(decision scheduler.Decision) time.Duration {
-	left := decision.Deadline.Sub(c.incarnation.Now()) + callMargin
+// timeout returns how long to wait for the first message of a decision's server.
+func (c *callExchange) timeout(decision scheduler.Decision) time.Duration {
+	timeout := decision.Deadline.Sub(c.incarnation.Now()) + callMargin
 	if decision.ResponseTimeout > 0 {
-		left = min(left, decision.ResponseTimeout)
+		timeout = min(timeout, decision.ResponseTimeout)
 	}
-	return left
+	return timeout
 }
 
-// lost is the result of a sending that brought nothing usable.
-func (c *callExchange) lost(sending *callSending) scheduler.Result {
+// lostResult returns the result of an attempt whose next message did not arrive.
+func (c *callExchange) lostResult(attempt *callAttempt) scheduler.Result {
 	switch {
 	case c.left:
 		return scheduler.ClientGone
-	case sending.refused:
+	case attempt.refused:
 		return scheduler.Unreachable
-	case c.passed > 0:
+	case c.forwarded > 0:
 		return scheduler.Interrupted
 	}
 	return scheduler.TimedOut
 }
 
-// refused is the result of a server's promise.
-func (c *callExchange) refused(said callRefusal) scheduler.Outcome {
-	c.refusal = &said
-	if said.status == misdirected {
-		return scheduler.Outcome{Result: scheduler.Misdirected, Status: said.status}
+// refusalOutcome records a server's refusal and returns the attempt's outcome.
+func (c *callExchange) refusalOutcome(received callRefusal) scheduler.Outcome {
+	c.refusal = &received
+	if received.status == misdirected {
+		return scheduler.Outcome{Result: scheduler.Misdirected, Status: received.status}
 	}
-	return scheduler.Outcome{Result: scheduler.NotStarted, Status: said.status}
+	return scheduler.Outcome{Result: scheduler.NotStarted, Status: received.status}
 }
 
-// Read has a server read the prompt.
-func (c *callExchange) Read(decision scheduler.Decision) scheduler.Outcome {
-	sending := c.send(decision.Server,
-		func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
-			return there.read(engine, connection, c.call, decision.Server.Name)
+// Prefill sends the prompt to a server for the prefill.
+func (c *callExchange) Prefill(decision scheduler.Decision) scheduler.Outcome {
+	attempt := c.send(decision.Server,
+		func(server *callServer, engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) any {
+			return server.prefill(engine, connection, c.call, decision.Server.Name)
 		})
-	if sending == nil {
+	if attempt == nil {
 		return scheduler.Outcome{Result: scheduler.Unreachable}
 	}
-	c.under = sending
-	defer sending.stop()
-	message, found := c.wait(sending, c.patience(decision))
-	switch said := message.(type) {
-	case callRead:
-		return scheduler.Outcome{Result: scheduler.Complete, Handle: said.handle, FirstByte: c.incarnation.Now()}
+	c.attempt = attempt
+	defer attempt.stop()
+	message, found := c.wait(attempt, c.timeout(decision))
+	switch received := message.(type) {
+	case callPrefilled:
+		return scheduler.Outcome{Result: scheduler.Complete, Handle: received.handle, FirstByte: c.incarnation.Now()}
 	case callRefusal:
-		return c.refused(said)
+		return c.refusalOutcome(received)
 	}
-	if !found && !sending.refused && !c.left {
+	if !found && !attempt.refused && !c.left {
 		return scheduler.Outcome{Result: scheduler.TimedOut}
 	}
-	return scheduler.Outcome{Result: c.lost(sending)}
+	return scheduler.Outcome{Result: c.lostResult(attempt)}
 }
 
-// Run has a server make the answer and passes it on.
-func (c *callExchange) Run(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
-	last := c.passed
-	sending := c.send(decision.Server,
-		func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
-			return there.run(engine, connection, callRun{
+// Generate has a server generate the response and forwards each chunk to the client.
+func (c *callExchange) Generate(_ *config.CallRoute, decision scheduler.Decision, began func()) scheduler.Outcome {
+	last := c.forwarded
+	attempt := c.send(decision.Server,
+		func(server *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any {
+			return server.run(engine, connection, callRun{
 				call:   c.call,
 				name:   decision.Server.Name,
 				source: decision.Source,
 				last:   last,
 			}, send)
 		})
-	if sending == nil {
+	if attempt == nil {
 		return scheduler.Outcome{Result: scheduler.Unreachable}
 	}
-	c.under = sending
-	defer sending.stop()
+	c.attempt = attempt
+	defer attempt.stop()
 	o := scheduler.Outcome{}
-	patience := c.patience(decision)
+	timeout := c.timeout(decision)
 	for {
-		message, found := c.wait(sending, patience)
+		message, found := c.wait(attempt, timeout)
 		if !found {
-			o.Result = c.lost(sending)
+			o.Result = c.lostResult(attempt)
 			return o
 		}
 		if o.FirstByte.IsZero() {
 			if last > 0 {
-				c.incarnation.world.encounter("a stream of a call that went on elsewhere")
+				c.incarnation.world.encounter("a call's stream resumed at another server")
 			}
 			o.FirstByte = c.incarnation.Now()
 			began()
 		}
-		switch said := message.(type) {
+		switch received := message.(type) {
 		case callChunkSent:
-			c.passed = said.number
-			if !c.replies.put(said) {
+			c.forwarded = received.number
+			if !c.replies.put(received) {
 				o.Result = scheduler.ClientGone
 				return o
 			}
-			patience = decision.Deadline.Sub(c.incarnation.Now()) + callMargin
+			timeout = decision.Deadline.Sub(c.incarnation.Now()) + callMargin
 			if decision.StreamTimeout > 0 {
-				patience = min(patience, decision.StreamTimeout)
+				timeout = min(timeout, decision.StreamTimeout)
 			}
 		case callRefusal:
-			return c.refused(said)
+			return c.refusalOutcome(received)
 		case callStreamEnd:
-			c.replies.put(said)
+			c.replies.put(received)
 			o.Result = scheduler.Complete
 			return o
 		}
 	}
 }
 
-// Refuse ends the call with a word of the router's own.
+// Refuse ends the call with a refusal of the router itself.
 func (c *callExchange) Refuse(refusal dataplane.Refusal) { c.replies.put(refusal) }
 
-// Through passes a server's promise on.
-func (c *callExchange) PassThrough() bool {
-	if c.refusal == nil || c.passed > 0 {
+// ForwardFailure forwards the last refusal of a server to the client and returns true. It does
+// nothing and returns false if no server refused the call, or if chunks were forwarded before.
+func (c *callExchange) ForwardFailure() bool {
+	if c.refusal == nil || c.forwarded > 0 {
 		return false
 	}
 	c.replies.put(dataplane.Refusal{Status: c.refusal.status})
 	return true
 }
 
-// Break ends the answer without its end.
-func (c *callExchange) Break() { c.replies.disconnect() }
+// Abort cuts the response off before its end.
+func (c *callExchange) Abort() { c.replies.disconnect() }
 
-// OnGiveUp takes no notice.
+// OnGiveUp does nothing.
 func (c *callExchange) OnGiveUp(scheduler.Reason) {}
 
-// Free gives a prompt's memory back.
-func (c *callExchange) Free(source scheduler.Source) {
+// ReleaseHandle has the server release the KV cache of a prefill.
+func (c *callExchange) ReleaseHandle(source scheduler.Source) {
 	world, to := c.incarnation.world, c.incarnation.world.nameAt(source.Address)
 	world.carry(c.incarnation.name, to, nil, func() {
-		if there := world.callServerAt(source.Address); there != nil {
-			delete(there.handles, source.Handle)
+		if server := world.callServerAt(source.Address); server != nil {
+			delete(server.handles, source.Handle)
 		}
 	})
 }
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -9,96 +9,99 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// callServer is what a model server does for opaque calls, beside the product's own
-// orders: it reads prompts and makes streams, in the part that it has.
+// callServer is the part of a simulated model server that serves opaque calls; the engine serves
+// requests in seamloom's own protocol. A prefill server prefills prompts, a decode server generates streams.
 type callServer struct {
-	world   *World
-	name    string
-	reading int
-	running int
-	handles map[string]*callMemory
+	world *World
+	name  string
+	// prefilling counts the prompts that are being prefilled, running the streams that are being
+	// generated.
+	prefilling, running int
+	handles             map[string]*callMemory
 }
 
-// callMemory is a prompt's memory that waits to be taken.
+// callMemory is a prompt's memory that waits for a decode server to fetch it.
 type callMemory struct {
-	id     string
-	lapses time.Duration
+	id      string
+	expires time.Duration
 }
 
-// The stand-in's measures.
+// The capacities and times of the simulated server.
 const (
-	callReads     = 8
-	callRuns      = 64
-	callTokens    = 50 // read in a millisecond
-	callChunk     = 8 * time.Millisecond
-	callHandle    = 5 * time.Second
-	misdirected   = http.StatusMisdirectedRequest
-	callFetchTime = 3 * time.Millisecond
+	maxCallPrefills          = 8
+	maxCallRuns              = 64
+	callTokensPerMillisecond = 50
+	callChunkInterval        = 8 * time.Millisecond
+	callHandleLifetime       = 5 * time.Second
+	misdirected              = http.StatusMisdirectedRequest
+	callFetchTime            = 3 * time.Millisecond
 )
 
-// callRefusal is a server's word that it did not begin a call and never will.
+// callRefusal is a server's statement that it did not begin a call and never will.
 type callRefusal struct{ status int }
 
-// callRead is the answer to a reading.
-type callRead struct{ handle string }
+// callPrefilled is the response to a prefill: the handle of the prompt's memory.
+type callPrefilled struct{ handle string }
 
-// callChunkSent is one event of a stream, callStreamEnd its end.
+// callChunkSent is one event of a stream.
 type callChunkSent struct {
 	id     string
 	number int
 }
 
+// callStreamEnd is the end of a complete stream.
 type callStreamEnd struct{}
 
-// read reads a prompt and keeps its memory.
-func (c *callServer) read(engine *fleet.Engine, connection *fleet.Connection, w *worldCall, name string) any {
+// prefill prefills a prompt and keeps its memory. name is the server that the request is addressed to.
+func (c *callServer) prefill(engine *fleet.Engine, connection *fleet.Connection, tracked *trackedCall, name string) any {
 	switch {
-	case name != c.name || engine.Part() != "prefill":
+	case name != c.name || engine.Role() != "prefill":
 		return callRefusal{misdirected}
-	case c.reading >= callReads:
+	case c.prefilling >= maxCallPrefills:
 		return callRefusal{http.StatusServiceUnavailable}
 	}
-	c.reading++
-	defer func() { c.reading-- }()
-	if !connection.Wait(time.Duration(w.call.PromptTokens/callTokens) * time.Millisecond) {
+	c.prefilling++
+	defer func() { c.prefilling-- }()
+	if !connection.Wait(time.Duration(tracked.call.PromptTokens/callTokensPerMillisecond) * time.Millisecond) {
 		return nil
 	}
 	handle := c.world.nonce()
-	c.handles[handle] = &callMemory{id: w.call.ID, lapses: c.world.now + callHandle}
-	return callRead{handle}
+	c.handles[handle] = &callMemory{id: tracked.call.ID, expires: c.world.now + callHandleLifetime}
+	return callPrefilled{handle}
 }
 
-// callRun is what a router orders of the server that makes a call's stream.
+// callRun is a router's request to the server that generates a call's stream.
 type callRun struct {
-	call *worldCall
-	// name is the server that the router means.
+	call *trackedCall
+	// name is the server that the request is addressed to.
 	name string
-	// source is where the prompt's memory lies; nil means that this server reads it.
+	// source is the server that has the prompt's memory; nil means that the server that gets the
+	// request prefills the prompt itself.
 	source *scheduler.Source
-	// last is the number of the event that the origin had last.
+	// last is the number of the last event that the client has received.
 	last int
 }
 
-// run makes a stream, behind the event that its origin had last.
+// run generates a stream from the event after the last one that the client has received.
 func (c *callServer) run(
 	engine *fleet.Engine,
 	connection *fleet.Connection,
-	order callRun,
+	request callRun,
 	send func(any) bool,
 ) any {
 	switch {
-	case order.name != c.name || engine.Part() != "decode":
+	case request.name != c.name || engine.Role() != "decode":
 		return callRefusal{misdirected}
-	case c.running >= callRuns:
+	case c.running >= maxCallRuns:
 		return callRefusal{http.StatusServiceUnavailable}
 	}
 	c.running++
 	defer func() { c.running-- }()
-	if order.source != nil {
-		there := c.world.callServerAt(order.source.Address)
+	if request.source != nil {
+		source := c.world.callServerAt(request.source.Address)
 		memory := (*callMemory)(nil)
-		if there != nil && !c.world.link(c.name, there.name).cut {
-			memory = there.handles[order.source.Handle]
+		if source != nil && !c.world.link(c.name, source.name).cut {
+			memory = source.handles[request.source.Handle]
 		}
 		if !connection.Wait(callFetchTime) {
 			return nil
@@ -106,104 +109,108 @@
 		if c.world.random.IntN(200) == 0 {
 			memory = nil
 		}
-		if memory == nil || memory.lapses < c.world.now || there.handles[order.source.Handle] == nil {
-			c.world.encounter("a call's memory that could not be had")
+		if memory == nil || memory.expires < c.world.now || source.handles[request.source.Handle] == nil {
+			c.world.encounter("a call's prompt memory was unavailable")
 			return callRefusal{http.StatusServiceUnavailable}
 		}
-		delete(there.handles, order.source.Handle)
-		if memory.id != order.call.call.ID {
-			c.world.calls.violate("%s goes on from the memory of %s", order.call.call.ID, memory.id)
+		delete(source.handles, request.source.Handle)
+		if memory.id != request.call.call.ID {
+			c.world.calls.violate("%s was decoded from the prompt memory of %s", request.call.call.ID, memory.id)
 		}
 	}
-	order.call.ran(c.name)
+	request.call.recordRun(c.name)
 	if c.world.random.IntN(100) == 0 {
-		c.world.encounter("a call that began and broke before its first event")
+		c.world.encounter("a call broke after its start and before its first event")
 		return nil
 	}
-	if order.source == nil && !connection.Wait(time.Duration(2*order.call.call.PromptTokens/callTokens)*time.Millisecond) {
+	if request.source == nil && !connection.Wait(time.Duration(2*request.call.call.PromptTokens/callTokensPerMillisecond)*time.Millisecond) {
 		return nil
 	}
-	for number := order.last + 1; number <= order.call.chunks; number++ {
+	for number := request.last + 1; number <= request.call.chunks; number++ {
 		for engine.Dark() && connection.Wait(time.Second) {
 		}
-		if !connection.Wait(callChunk) || !send(callChunkSent{order.call.call.ID, number}) {
+		if !connection.Wait(callChunkInterval) || !send(callChunkSent{request.call.call.ID, number}) {
 			return nil
 		}
 	}
 	return callStreamEnd{}
 }
 
-// callServerAt is the server that has an address now.
+// callServerAt returns the running server at an address, or nil.
 func (w *World) callServerAt(address string) *callServer {
-	there := w.servers[w.nameAt(address)]
-	if there == nil || there.incarnation.ended || there.incarnation.address != address {
+	server := w.servers[w.nameAt(address)]
+	if server == nil || server.incarnation.ended || server.incarnation.address != address {
 		return nil
 	}
-	return there.calls
+	return server.calls
 }
 
-// send sends a call to a server and gives what it answers to the pipe; nil means
-// that certainly nothing went.
+// send sends a call to a server and puts the server's messages into the attempt's pipe. It
+// returns nil only if nothing was sent.
 func (c *callExchange) send(
 	s membership.Server,
-	serve func(there *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any,
-) *callSending {
-	world, here := c.incarnation.world, c.incarnation
+	serve func(server *callServer, engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) any,
+) *callAttempt {
+	world, router := c.incarnation.world, c.incarnation
 	to := world.nameAt(s.Address)
-	sending := &callSending{replies: newPipe(world, to, here.name, here)}
+	attempt := &callAttempt{replies: newPipe(world, to, router.name, router)}
 	arrive := func() {
-		there := world.servers[to]
-		if there == nil || there.incarnation.ended || there.incarnation.address != s.Address {
-			sending.refused = true
-			sending.replies.disconnect()
+		server := world.servers[to]
+		if server == nil || server.incarnation.ended || server.incarnation.address != s.Address {
+			attempt.refused = true
+			attempt.replies.disconnect()
 			return
 		}
-		conn := fleet.NewConnection(there.incarnation)
-		forgetServer := there.incarnation.onEnd(sending.replies.disconnect)
-		sending.hangUp = func() { world.carry(here.name, to, there.incarnation, conn.Close) }
-		forgetRouter := here.onEnd(sending.hangUp)
-		there.incarnation.Go(func() {
+		conn := fleet.NewConnection(server.incarnation)
+		forgetServer := server.incarnation.onEnd(attempt.replies.disconnect)
+		attempt.closeServerSide = func() { world.carry(router.name, to, server.incarnation, conn.Close) }
+		forgetRouter := router.onEnd(attempt.closeServerSide)
+		server.incarnation.Go(func() {
 			defer forgetRouter()
-			if there.engine.Dark() {
+			if server.engine.Dark() {
 				conn.Wait(time.Minute)
 				return
 			}
-			answer := serve(there.calls, there.engine, conn,
-				func(message any) bool { return !sending.quit && sending.replies.put(message) })
+			answer := serve(server.calls, server.engine, conn,
+				func(message any) bool { return !attempt.stopped && attempt.replies.put(message) })
 			forgetServer()
 			switch {
 			case answer == nil:
-				sending.replies.disconnect()
+				attempt.replies.disconnect()
 			case world.loseAnswers > 0 && world.random.Float64() < world.loseAnswers:
-				world.encounter("a call's answer lost after the work")
-				sending.replies.disconnect()
+				world.encounter("a call's reply lost after the work was done")
+				attempt.replies.disconnect()
 			default:
-				sending.replies.put(answer)
+				attempt.replies.put(answer)
 			}
 		})
 	}
-	if !world.carry(here.name, to, nil, arrive) {
+	if !world.carry(router.name, to, nil, arrive) {
 		if world.random.IntN(2) == 0 {
 			// The connection did not come up.
-			here.NewCond().Wait(300*time.Millisecond, never)
+			router.NewCond().Wait(300*time.Millisecond, never)
 			return nil
 		}
-		world.encounter("a call lost on a circuit that was up")
+		world.encounter("a call lost on an open connection")
 	}
-	return sending
+	return attempt
 }
 
-// callSending is one sending of a call.
-type callSending struct {
+// callAttempt is one attempt to run a call at a server.
+type callAttempt struct {
 	replies *pipe
+	// refused means that the connection was refused.
 	refused bool
-	quit    bool
-	hangUp  func()
+	// stopped means that the router has closed its side of the connection.
+	stopped bool
+	// closeServerSide closes the server's side of the connection.
+	closeServerSide func()
 }
 
-func (c *callSending) stop() {
-	c.quit = true
-	if c.hangUp != nil {
-		c.hangUp()
+// stop closes the router's side of the connection.
+func (c *callAttempt) stop() {
+	c.stopped = true
+	if c.closeServerSide != nil {
+		c.closeServerSide()
 	}
 }
--- a/internal/testbed/simulation/campaign.go
+++ b/internal/testbed/simulation/campaign.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// Campaign is many seeded days, several at once.
+// Campaign runs many seeded days, several of them in parallel.
 type Campaign struct {
 	Deployment string
 	First      uint64
@@ -19,29 +19,33 @@
 	Stop atomic.Bool
 }
 
+// commandsChecker is the name of the checker whose worst value is the shortest time between the
+// commands of two nodes to one server.
 const commandsChecker = "one node at a time commands a server"
 
-// Counter is what a campaign came to.
+// Counter holds the totals of a campaign.
 type Counter struct {
-	Days       uint64
+	Days uint64
+	// Failed holds the seeds of the failed days.
 	Failed     []uint64
 	Violations map[string]int
 	Encounters map[string]int
-	// DaysWith counts the days in which each encounter occurred at all.
+	// DaysWith counts the days in which each encounter occurred.
 	DaysWith map[string]int
-	Share    float64
-	Lowest   float64
-	// Longest is the worst value of each checker that has a limit in seconds.
+	// Share is the mean share of complete replies of all days, Lowest the lowest share of any day.
+	Share  float64
+	Lowest float64
+	// Longest holds the worst value of each checker that has a limit in seconds.
 	Longest map[string]float64
 	Replies int
-	// Gap is the longest time of any day without a complete reply, Gaps their
-	// sum.
+	// Gap is the longest time without a complete reply in any day, Gaps the sum of the longest
+	// times of all days.
 	Gap, Gaps time.Duration
 	Steps     uint64
 }
 
-// DeploymentOf is the deployment of a seed in a campaign: its own, or each in
-// turn when it names none.
+// DeploymentOf returns the deployment that a seed runs on: the campaign's, or each
+// deployment in turn if the campaign names none.
 func (c *Campaign) DeploymentOf(seed uint64) (fleet.Deployment, bool) {
 	name := c.Deployment
 	if name == "" {
@@ -50,7 +54,7 @@
 	return fleet.DeploymentNamed(name)
 }
 
-// Run runs all days; told is called for each, one at a time.
+// Run runs all days. It calls observe after each day, and never concurrently.
 func (c *Campaign) Run(observe func(seed uint64, result Result)) Counter {
 	counter := Counter{
 		Violations: map[string]int{},
@@ -96,15 +100,15 @@
 	if result.Failed() {
 		c.Failed = append(c.Failed, seed)
 	}
-	for what, times := range result.Encounters {
-		c.Encounters[what] += times
-		c.DaysWith[what]++
+	for situation, times := range result.Encounters {
+		c.Encounters[situation] += times
+		c.DaysWith[situation]++
 	}
 	for _, finding := range result.Verdict.Findings {
 		c.Violations[finding.Checker] += finding.Violations
 		known := c.Longest[finding.Checker]
 		if finding.Checker == commandsChecker {
-			// Between two commanders the shortest time is the worst.
+			// For this checker the shortest time is the worst.
 			if finding.Seconds > 0 && (known == 0 || finding.Seconds < known) {
 				c.Longest[finding.Checker] = finding.Seconds
 			}
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -12,8 +12,8 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// runClients sends requests at the world's rates until the moment. The platform
-// hands them to a router of their zone that runs, or to any other.
+// runClients sends requests at the world's rates until the given time. The platform routes
+// each request to a running router of its zone, or to one of another zone if there is none.
 func (w *World) runClients(until time.Duration) {
 	for w.now < until {
 		total := w.long + w.short
@@ -22,12 +22,12 @@
 		if w.random.Float64()*total < w.long {
 			kind = w.deployment.Long
 		}
-		w.number++
+		w.requestCount++
 		zone := w.deployment.Zones[w.random.IntN(len(w.deployment.Zones))]
-		question := fleet.Question{
+		request := fleet.ClientRequest{
 			ID:           w.requestID(),
 			Service:      kind.Service,
-			Client:       "origin-" + strconv.Itoa(w.number%50),
+			Client:       "origin-" + strconv.Itoa(w.requestCount%50),
 			Idempotent:   w.random.Float64() >= 0.4,
 			Limit:        15_000,
 			PromptTokens: kind.LeastTokens + w.random.IntN(kind.MostTokens-kind.LeastTokens),
@@ -35,32 +35,32 @@
 			PrefixTokens: kind.PrefixTokens,
 			Chunks:       kind.LeastChunks + w.random.IntN(kind.MostChunks-kind.LeastChunks),
 		}
-		w.outside.Go(func() { w.runClient(question, zone) })
+		w.outside.Go(func() { w.runClient(request, zone) })
 	}
 }
 
-// runClient sends one request, and perhaps sends it again: it obeys the time to
-// come back, or ignores it, or asks elsewhere after a broken connection.
-func (w *World) runClient(question fleet.Question, zone string) {
+// runClient sends one request and may send it again: after a refusal, with or without
+// waiting for the retry time in the reply, after a broken connection, or after a final reply.
+func (w *World) runClient(request fleet.ClientRequest, zone string) {
 	for arrival := range 3 {
 		m := w.routerFor(zone)
 		if m == nil {
 			return
 		}
-		reply, retry := w.send(m, zone, question, arrival)
+		reply, retry := w.send(m, zone, request, arrival)
 		behaviour, backoff := w.random.IntN(4), time.Duration(w.random.IntN(300))*time.Millisecond
 		switch {
 		case reply.Final == "refused" && reply.Cause != string(failure.Duplicate) && behaviour < 2:
 			if behaviour == 0 {
 				backoff = retry
 			}
-			w.encounter("an id sent again after a refusal")
+			w.encounter("an ID sent again after a refusal")
 		case reply.Final == "" && behaviour < 3:
-			w.encounter("an id sent again after a broken circuit")
+			w.encounter("an ID sent again after a broken connection")
 		case (reply.Final == "unknown" || reply.Final == "failed") && behaviour == 0:
-			w.encounter("an id sent again after its final word")
+			w.encounter("an ID sent again after its final reply")
 		case reply.Final == "complete" && behaviour == 0 && w.random.IntN(20) == 0:
-			w.encounter("an id sent again after its final word")
+			w.encounter("an ID sent again after its final reply")
 		default:
 			return
 		}
@@ -68,65 +68,66 @@
 	}
 }
 
-// routerFor is a router of the zone that runs, or any that does.
+// routerFor returns a running router of the zone, or of any zone if the zone has none, or nil.
 func (w *World) routerFor(zone string) *machine {
-	var near, any []*machine
+	var inZone, running []*machine
 	for _, m := range w.machines {
 		if m.kind == membership.Router && m.incarnation != nil && !m.incarnation.ended && !m.gone {
-			any = append(any, m)
+			running = append(running, m)
 			if m.zone == zone {
-				near = append(near, m)
+				inZone = append(inZone, m)
 			}
 		}
 	}
-	if len(near) > 0 {
-		any = near
+	if len(inZone) > 0 {
+		running = inZone
 	}
-	if len(any) == 0 {
+	if len(running) == 0 {
 		return nil
 	}
-	return any[w.random.IntN(len(any))]
+	return running[w.random.IntN(len(running))]
 }
 
-// client is a client at the other end of a connection.
+// client is the client of one request, as the router sees it.
 type client struct {
 	world  *World
-	there  *incarnation
+	router *incarnation
 	pipe   *pipe
 	left   bool
 	onLeft []func()
 }
 
-// Begin needs nothing: the lines say it all.
+// Begin does nothing: the reply's lines hold everything that the client reads.
 func (c *client) Begin(int, int) {}
 
-// Line sends one line.
+// Line sends one line of the reply to the client.
 func (c *client) Line(line []byte) error {
 	if c.left || !c.pipe.put(string(line)) {
-		return failure.New(failure.Unreachable, "the origin is gone")
+		return failure.New(failure.Unreachable, "the client has disconnected")
 	}
 	return nil
 }
 
-// OnClientGone notes what the router does then.
-func (c *client) OnClientGone(act func()) { c.onLeft = append(c.onLeft, act) }
+// OnClientGone registers a callback of the router that is called when the client disconnects.
+func (c *client) OnClientGone(callback func()) { c.onLeft = append(c.onLeft, callback) }
 
+// leave disconnects the client and schedules the callbacks that the router registered with OnClientGone.
 func (c *client) leave() {
 	c.left = true
-	for _, act := range c.onLeft {
-		c.world.after(0, c.there, act)
+	for _, callback := range c.onLeft {
+		c.world.schedule(0, c.router, callback)
 	}
 }
 
-// send sends one request to a router and writes its reply down.
-func (w *World) send(m *machine, zone string, question fleet.Question, arrival int) (fleet.Entry, time.Duration) {
+// send sends one request to a router and records the reply in the event log.
+func (w *World) send(m *machine, zone string, request fleet.ClientRequest, arrival int) (fleet.Entry, time.Duration) {
 	began := w.now
 	entry := fleet.Entry{
-		Request:    question.ID,
+		Request:    request.ID,
 		Router:     m.name,
-		Service:    question.Service,
-		Idempotent: question.Idempotent,
-		Asked:      question.Chunks,
+		Service:    request.Service,
+		Idempotent: request.Idempotent,
+		Asked:      request.Chunks,
 		Arrival:    arrival,
 		Zone:       zone,
 	}
@@ -135,53 +136,53 @@
 	w.Events.Append(sent)
 	leavesAt := -1
 	if w.random.IntN(40) == 0 {
-		leavesAt = w.random.IntN(question.Chunks + 1)
+		leavesAt = w.random.IntN(request.Chunks + 1)
 	}
-	retry := w.exchange(m, question, leavesAt, &entry)
+	retry := w.exchange(m, request, leavesAt, &entry)
 	entry.Kind, entry.Took = fleet.Replied, w.now-began
 	w.Events.Append(entry)
 	return entry, retry
 }
 
-// exchange carries one request to a router and reads what comes back; it tells
-// when the client may come again.
-func (w *World) exchange(m *machine, question fleet.Question, leavesAt int, entry *fleet.Entry) time.Duration {
-	body, _ := json.Marshal(question)
-	there, conduct := m.incarnation, m.router
+// exchange carries one request to a router and reads the reply into entry. It returns how
+// long the reply asks the client to wait before a retry.
+func (w *World) exchange(m *machine, request fleet.ClientRequest, leavesAt int, entry *fleet.Entry) time.Duration {
+	body, _ := json.Marshal(request)
+	process, router := m.incarnation, m.router
 	replies := newPipe(w, m.name, "outside", w.outside)
-	c := &client{world: w, there: there, pipe: replies}
+	c := &client{world: w, router: process, pipe: replies}
 	w.carry("outside", m.name, nil, func() {
-		if there.ended {
+		if process.ended {
 			replies.disconnect()
 			return
 		}
-		forget := there.onEnd(replies.disconnect)
-		w.after(0, there, func() {
-			there.Go(func() {
+		forget := process.onEnd(replies.disconnect)
+		w.schedule(0, process, func() {
+			process.Go(func() {
 				defer forget()
-				request, err := dataplane.ReadRequest(there.Now(), body)
+				received, err := dataplane.ReadRequest(process.Now(), body)
 				if err != nil {
 					return
 				}
-				if !request.Idempotent {
+				if !received.Idempotent {
 					w.claiming[m.name]++
 					defer func() { w.claiming[m.name]-- }()
 				}
-				conduct.Serve(dataplane.Arrival{Request: request, Body: body}, c)
+				router.Serve(dataplane.Arrival{Request: received, Body: body}, c)
 			})
 		})
 	})
-	patience := time.Duration(question.Limit)*time.Millisecond + 5*time.Second
+	timeout := time.Duration(request.Limit)*time.Millisecond + 5*time.Second
 	for {
 		if leavesAt == len(entry.Texts) {
-			w.encounter("a caller left")
+			w.encounter("a client disconnected")
 			c.leave()
-			entry.Cause = fleet.CallerLeft
+			entry.Cause = fleet.ClientLeft
 			return 0
 		}
-		message, found := replies.take(patience, never)
+		message, found := replies.receive(timeout, never)
 		if !found {
-			entry.Cause = "the circuit broke"
+			entry.Cause = "the connection broke"
 			if !replies.broken {
 				entry.Cause = "no reply in time"
 				c.leave()
@@ -201,12 +202,12 @@
 	}
 }
 
-// readRevision asks a router, as a client, which revision is in force there:
-// the route that refuses the service "revision" is named by it.
+// readRevision asks a router, as a client, which revision is in force there. The name of the
+// route that refuses the service "edition" contains the revision.
 func (w *World) readRevision(m *machine) {
 	began := w.now
 	entry := fleet.Entry{}
-	question := fleet.Question{
+	request := fleet.ClientRequest{
 		ID:           "look-" + w.nonce(),
 		Service:      "edition",
 		Idempotent:   true,
@@ -214,21 +215,21 @@
 		PromptTokens: 1,
 		Chunks:       1,
 	}
-	body, _ := json.Marshal(question)
-	there, conduct := m.incarnation, m.router
-	// A restricted router passes on: what one sees there is another's.
-	if there == nil || there.ended || there.frozen || conduct == nil || conduct.Core().Restricted() {
+	body, _ := json.Marshal(request)
+	process, router := m.incarnation, m.router
+	// A restricted router forwards requests, so its reply shows the revision of another router.
+	if process == nil || process.ended || process.frozen || router == nil || router.Core().Restricted() {
 		return
 	}
 	detail := ""
-	there.Go(func() {
-		request, err := dataplane.ReadRequest(there.Now(), body)
+	process.Go(func() {
+		received, err := dataplane.ReadRequest(process.Now(), body)
 		if err != nil {
 			return
 		}
-		// The moment of asking is that at which the router takes it up.
+		// The read begins when the router starts to process the request.
 		began = w.now
-		conduct.Serve(dataplane.Arrival{Request: request, Body: body}, &revisionReader{take: func(line dataplane.ReplyLine) {
+		router.Serve(dataplane.Arrival{Request: received, Body: body}, &revisionReader{take: func(line dataplane.ReplyLine) {
 			if line.Type == failure.RouteRefuses {
 				detail = line.Detail
 			}
@@ -241,15 +242,15 @@
 	})
 }
 
-// revisionReader reads a reply of one line.
+// revisionReader passes each line of a reply to take.
 type revisionReader struct {
 	take func(line dataplane.ReplyLine)
 }
 
-// Begin needs nothing.
+// Begin does nothing.
 func (*revisionReader) Begin(int, int) {}
 
-// Line reads the line.
+// Line decodes one line of the reply.
 func (l *revisionReader) Line(content []byte) error {
 	var line dataplane.ReplyLine
 	if err := json.Unmarshal(content, &line); err != nil {
@@ -259,5 +260,5 @@
 	return nil
 }
 
-// OnClientGone needs nothing: it stays.
+// OnClientGone does nothing: this client never disconnects.
 func (*revisionReader) OnClientGone(func()) {}
--- a/internal/testbed/simulation/coretrial.go
+++ b/internal/testbed/simulation/coretrial.go
@@ -11,11 +11,11 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// CoreLayouts are the cores that are tested by themselves, with a few routers: one
-// that bears one loss, and two that bear two machines or one zone.
+// CoreLayouts returns the cores that are tested with only a few routers: one that tolerates the
+// loss of one machine, and two that tolerate the loss of two machines or of one zone.
 func CoreLayouts() map[string]Layout {
-	layout := func(controllers, borne int, zones ...string) Layout {
-		return Layout{Zones: [][]string{zones}, Routers: 4, Controllers: controllers, BorneLosses: borne, Routes: 20}
+	layout := func(controllers, losses int, zones ...string) Layout {
+		return Layout{Zones: [][]string{zones}, Routers: 4, Controllers: controllers, ToleratedLosses: losses, Routes: 20}
 	}
 	return map[string]Layout{
 		"three in three zones": layout(3, 1, "one", "two", "three"),
@@ -24,26 +24,28 @@
 	}
 }
 
-// CoreTrial is what a core went through.
+// CoreTrial is the outcome of one fault of a core.
 type CoreTrial struct {
-	// Took is the longest time without an acknowledged change, counted from the fault,
-	// or from when everything came back that the fault took at once.
+	// Took is the longest time without an acknowledged change. It counts from the fault, or from
+	// the return of the machines if the fault stopped all of them. It is -1 if the core was never
+	// complete before the fault, or if no change was acknowledged within incidentPatience.
 	Took time.Duration
-	// Lost are acknowledged changes that were not read back.
+	// Lost holds the acknowledged changes that a later read did not return.
 	Lost []string
-	// TwoPrimaries counts the moments at which two controllers led.
+	// TwoPrimaries counts the observations of two controllers with the lease at the same time.
 	TwoPrimaries int
-	// Restored tells whether the core came back to all its replicas and witnesses.
+	// Restored reports whether the core has all its replicas and witnesses again.
 	Restored bool
 }
 
-// Failed tells whether something happened that must not.
+// Failed reports whether changes were not acknowledged, an acknowledged change was lost, two
+// controllers held the lease at the same time, or the core was not restored.
 func (c CoreTrial) Failed() bool {
 	return c.Took < 0 || len(c.Lost) > 0 || c.TwoPrimaries > 0 || !c.Restored
 }
 
-// RunCoreTrial lets a core form, brings the fault about right after an acknowledged change,
-// and tells how it went.
+// RunCoreTrial lets a core form, injects the fault right after an acknowledged change, and
+// returns the outcome.
 func (w *World) RunCoreTrial(fault string) CoreTrial {
 	w.diskSync = time.Duration(2+3*w.random.IntN(2)) * time.Millisecond
 	w.settings.AcknowledgeWait, w.settings.FormOnce = time.Second, true
@@ -59,7 +61,7 @@
 	w.outside.Go(func() { w.watchPrimaries(time.Hour) })
 	trial := CoreTrial{Took: -1}
 	w.run(w.now + 500*time.Millisecond)
-	if w.changed(w.now, w.configuration()) < 0 || w.since(w.now, w.coreComplete) < 0 {
+	if w.editUntilAccepted(w.now, w.configuration()) < 0 || w.timeUntil(w.now, w.coreComplete) < 0 {
 		return trial
 	}
 	w.settings.JoinOnly = true
@@ -67,19 +69,19 @@
 	for range 3 + w.random.IntN(3) {
 		changes.next(w.now)
 		w.run(w.now + time.Duration(w.random.IntN(700))*time.Millisecond)
-		w.since(w.now, w.coreComplete)
+		w.timeUntil(w.now, w.coreComplete)
 	}
 	changes.next(w.now)
 	for _, known := range append(slices.Clone(coreFaults), backupFaults...) {
 		if known.name == fault {
-			w.tracef("trouble: %s", fault)
+			w.tracef("fault: %s", fault)
 			trial.Took = changes.longest(known.run(w))
 		}
 	}
 	w.tracef("acknowledged after %s", trial.Took)
-	// Everything comes back, and the core is to be complete again by itself.
+	// Every machine returns, and the core must become complete again without an operator.
 	w.repairAll()
-	trial.Restored = w.since(w.now, w.coreComplete) >= 0
+	trial.Restored = w.timeUntil(w.now, w.coreComplete) >= 0
 	for range 2 {
 		changes.next(w.now)
 	}
@@ -87,40 +89,40 @@
 	return trial
 }
 
-// trackedChanges are changes that each leave something in the configuration by which
-// it is known later that they are there.
+// trackedChanges makes changes. Each leaves a unique name in the configuration, so that a later
+// read shows whether the change is stored.
 type trackedChanges struct {
 	world        *World
 	acknowledged []string
 	requested    int
 }
 
-// gapWatch is for how long after a fault changes are asked for.
-const gapWatch = 6 * time.Second
+// changeTime is for how long after a fault changes are requested.
+const changeTime = 6 * time.Second
 
-// longest has changes made for some time after the moment and tells the longest time
-// without an acknowledged one.
-func (m *trackedChanges) longest(from time.Duration) time.Duration {
+// longest makes changes for changeTime after from and returns the longest time without an
+// acknowledged change, or -1 if none was acknowledged in time.
+func (t *trackedChanges) longest(from time.Duration) time.Duration {
 	longest, latest := time.Duration(0), from
-	for ends := from + gapWatch; latest < ends; {
-		if m.next(m.world.now) < 0 {
+	for ends := from + changeTime; latest < ends; {
+		if t.next(t.world.now) < 0 {
 			return -1
 		}
-		now := m.world.now
+		now := t.world.now
 		longest, latest = max(longest, now-latest), now
-		m.world.run(now + 150*time.Millisecond)
+		t.world.run(now + 150*time.Millisecond)
 	}
 	return longest
 }
 
-// next asks for changes, a new one every tenth of a second, until one is acknowledged,
-// and tells how long that took.
-func (m *trackedChanges) next(from time.Duration) time.Duration {
-	world, over := m.world, false
+// next requests a new change every tenth of a second until one is acknowledged, and returns the
+// time since began, or -1 if none is acknowledged within incidentTimeout.
+func (t *trackedChanges) next(began time.Duration) time.Duration {
+	world, done := t.world, false
 	world.outside.Go(func() {
-		for ends := world.now + incidentPatience; world.now < ends && !over; world.wait(100, 100) {
-			m.requested++
-			change := "mark-" + strconv.Itoa(m.requested)
+		for ends := world.now + incidentTimeout; world.now < ends && !done; world.wait(100, 100) {
+			t.requested++
+			change := "mark-" + strconv.Itoa(t.requested)
 			world.outside.Go(func() {
 				edit := controlplane.Edit{
 					Change: change,
@@ -128,23 +130,23 @@
 					Apply:  func(text []byte) ([]byte, error) { return config.Evacuate(text, change, "rehearsal") },
 				}
 				if world.editSomewhere(edit) {
-					over = true
-					m.acknowledged = append(m.acknowledged, change)
+					done = true
+					t.acknowledged = append(t.acknowledged, change)
 				}
 			})
 		}
 	})
-	return world.since(from, func() bool { return over })
+	return world.timeUntil(began, func() bool { return done })
 }
 
-// editSomewhere has every controller that leads carry a change out.
+// editSomewhere sends a change to each controller that holds the lease until one accepts it.
 func (w *World) editSomewhere(edit controlplane.Edit) bool {
 	for _, m := range w.nodes(membership.Controller) {
 		if !m.running() || m.control == nil || !m.control.Coordinator().HasLease() {
 			continue
 		}
 		control := m.control
-		_, err := w.outside.call(m.name, operatorPatience, func(*incarnation) (any, error) { return control.Edit(edit) })
+		_, err := w.outside.call(m.name, operatorTimeout, func(*incarnation) (any, error) { return control.Edit(edit) })
 		if err == nil {
 			return true
 		}
@@ -152,20 +154,20 @@
 	return false
 }
 
-// lost reads the configuration back and names the acknowledged changes that it lacks.
-func (m *trackedChanges) lost() []string {
+// lost reads the configuration and returns the acknowledged changes that are missing from it.
+func (t *trackedChanges) lost() []string {
 	var text []byte
 	read := false
-	m.world.outside.Go(func() {
-		for ends := m.world.now + incidentPatience; m.world.now < ends && !read; m.world.wait(100, 100) {
+	t.world.outside.Go(func() {
+		for ends := t.world.now + incidentTimeout; t.world.now < ends && !read; t.world.wait(100, 100) {
 			var found configurationRead
-			found, read = m.world.readConfiguration(false)
+			found, read = t.world.readConfiguration(false)
 			text = found.text
 		}
 	})
-	m.world.since(m.world.now, func() bool { return read })
+	t.world.timeUntil(t.world.now, func() bool { return read })
 	var lost []string
-	for _, change := range m.acknowledged {
+	for _, change := range t.acknowledged {
 		if !strings.Contains(string(text), `"`+change+`"`) {
 			lost = append(lost, change)
 		}
--- a/internal/testbed/simulation/coretrial_test.go
+++ b/internal/testbed/simulation/coretrial_test.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// slowestAcknowledgement is the longest that a core may take to acknowledge a change
-// after a fault, or after everything came back that it took.
+// slowestAcknowledgement is the longest time that a core may take to acknowledge a change after a
+// fault, or after the return of the machines that the fault stopped.
 const slowestAcknowledgement = 5 * time.Second
 
-// TestCoreBearsItsLosses brings about every fault of every core over some seeds, and
-// wants each acknowledged change read back, one primary at a time, a change
-// acknowledged soon, and the core whole again.
-func TestCoreBearsItsLosses(t *testing.T) {
+// TestCoreSurvivesItsLosses injects every fault into every core with several seeds. It checks
+// that each acknowledged change is read back, that there is one primary at a time, that a
+// change is acknowledged soon, and that the core is complete again at the end.
+func TestCoreSurvivesItsLosses(t *testing.T) {
 	first, count := seeds(t, 4)
 	for name, layout := range CoreLayouts() {
-		for _, fault := range CoreFaultNames(layout.BorneLosses) {
+		for _, fault := range CoreFaultNames(layout.ToleratedLosses) {
 			t.Run(name+"/"+fault, func(t *testing.T) {
 				var took []time.Duration
 				for seed, trial := range runCoreTrials(layout, fault, Settings{}, first, count) {
 					took = append(took, trial.Took)
 					if trial.Failed() || trial.Took > slowestAcknowledgement {
-						t.Errorf("seed %d: %+v", first+uint64(seed), trial)
+						t.Errorf("seed %d: got %+v, want a core restored without a loss, and %s at most",
+							first+uint64(seed), trial, slowestAcknowledgement)
 					}
 				}
 				slices.Sort(took)
@@ -37,31 +38,34 @@
 	}
 }
 
-// TestALostBackupStopsChangesBriefly loses a backup in several ways, with several bounds, and measures
-// how long no change is acknowledged: never longer than a machine counts as lost.
+// TestALostBackupStopsChangesBriefly takes a backup away in several ways and with several
+// catch-up times, and checks that the time without an acknowledged change is never longer
+// than the catch-up time.
 func TestALostBackupStopsChangesBriefly(t *testing.T) {
 	first, count := seeds(t, 2)
 	for name, layout := range CoreLayouts() {
-		for _, fault := range BackupFaultNames(layout.BorneLosses) {
+		for _, fault := range BackupFaultNames(layout.ToleratedLosses) {
 			for _, catchUp := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
 				t.Run(name+"/"+fault+"/"+catchUp.String(), func(t *testing.T) {
 					var took []time.Duration
 					for seed, trial := range runCoreTrials(layout, fault, Settings{CatchUp: catchUp}, first, count) {
 						took = append(took, trial.Took)
 						if trial.Failed() || trial.Took > catchUp {
-							t.Errorf("seed %d: %+v", first+uint64(seed), trial)
+							t.Errorf("seed %d: got %+v, want a core restored without a loss, and %s at most",
+								first+uint64(seed), trial, catchUp)
 						}
 					}
 					slices.Sort(took)
 					t.Logf("%s, %s, %s, %d seeds: median %s, p90 %s, worst %s", name, fault, catchUp, count,
-						took[len(took)/2].Round(time.Millisecond), took[len(took)*9/10].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
+						took[len(took)/2].Round(time.Millisecond), took[len(took)*9/10].Round(time.Millisecond),
+						took[len(took)-1].Round(time.Millisecond))
 				})
 			}
 		}
 	}
 }
 
-// runCoreTrials runs seeds side by side.
+// runCoreTrials runs one trial for each seed, several of them in parallel.
 func runCoreTrials(layout Layout, fault string, settings Settings, first, count uint64) []CoreTrial {
 	trials := make([]CoreTrial, count)
 	var working sync.WaitGroup
--- a/internal/testbed/simulation/day.go
+++ b/internal/testbed/simulation/day.go
@@ -10,58 +10,59 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// Day is how a world's day goes.
+// Day configures one simulated run of a fleet: for how long faults are drawn, which faults, and
+// how much traffic there is.
 type Day struct {
-	// Faulty is how long faults are drawn; a calm follows, then a closing fault.
+	// Faulty is for how long faults are drawn; a time to recover follows, then a closing fault.
 	Faulty time.Duration
-	// Forming disturbs the first core while it forms: late machines, and one whose
-	// power fails at its disk's act or whose disk is lost in the middle.
+	// Forming disturbs the first core while it forms: machines start late, and one machine loses
+	// its power at a disk operation or loses its disk.
 	Forming bool
-	// Swings lets traffic swing between many long prompts and many chats, instead
-	// of faults; FixedParts leaves servers the parts that they were given first.
+	// Swings replaces the faults by traffic that swings between many long prompts and many
+	// chats. FixedParts makes each server keep its first role.
 	Swings     bool
 	FixedParts bool
-	// Only names the one fault that is drawn; empty means all.
+	// Only is the name of the only fault to draw; empty means all faults.
 	Only string
-	// Long and Short are the requests of each kind a second.
+	// Long and Short are the requests of each kind per second.
 	Long, Short float64
 }
 
-// DefaultDay is a day of moderate length.
+// DefaultDay returns a day of moderate length.
 func DefaultDay() Day { return Day{Faulty: 28 * time.Second, Long: 4, Short: 6} }
 
-// The parts of a day beside the faulty one.
+// The lengths of a day's phases, except for the phase in which faults are drawn.
 const (
-	opening = 9 * time.Second
-	calm    = 16 * time.Second
-	closing = 13 * time.Second
-	evening = 8 * time.Second
+	warmUpTime       = 9 * time.Second
+	recoveryTime     = 16 * time.Second
+	closingFaultTime = 13 * time.Second
+	drainTime        = 8 * time.Second
 )
 
-// Result is what a day came to.
+// Result is the outcome of a day.
 type Result struct {
 	Verdict fleet.Verdict
-	// Runtime counts the parts that servers changed after they had one, Flaps those
-	// that were taken back within fifteen seconds.
-	Runtime, Flaps int
-	// TwoPrimaries counts the moments at which two controllers could answer as primary.
+	// RoleChanges counts the role changes of servers that already had a role, Flaps the role changes
+	// that were reverted within fifteen seconds.
+	RoleChanges, Flaps int
+	// TwoPrimaries counts the observations of two controllers with the lease at the same time.
 	TwoPrimaries int
-	// Restored tells whether the core was complete again at the end, without an
-	// operator.
+	// Restored reports whether the core was complete again at the end, without an operator.
 	Restored   bool
 	Encounters map[string]int
 	Steps      uint64
-	// Calls is what became of opaque calls.
+	// Calls counts the outcomes of opaque calls.
 	Calls CallCounter
 }
 
-// Failed tells whether something happened that must not.
+// Failed reports whether a rule was broken, two controllers held the lease at the same time, or the
+// core was not restored.
 func (r Result) Failed() bool {
 	return r.Verdict.Violations() > 0 || !r.Restored || r.TwoPrimaries > 0
 }
 
-// Broke tells whether a rule was broken whose name has the text in it; with no
-// text, whether the day failed at all.
+// Broke reports whether a rule whose name contains the text was broken. If the text is empty, it
+// reports whether the day failed.
 func (r Result) Broke(text string) bool {
 	if text == "" {
 		return r.Failed()
@@ -78,32 +79,32 @@
 	return replication.Identity(m.name + "/" + world.nonce())
 }
 
-// Run lets a day pass and judges it: an opening, faults, a calm, a closing fault and
-// an evening without requests.
+// Run simulates a day and checks it against the rules. A day has a warm-up, a time of
+// faults, a time to recover, a closing fault, and a time without new requests.
 func (w *World) Run(day Day) Result {
 	w.long, w.short = day.Long, day.Short
 	w.fixedParts = day.FixedParts
-	faultsEnd := opening + day.Faulty
-	closes := faultsEnd + calm
-	ends := closes + closing
+	faultsEnd := warmUpTime + day.Faulty
+	closingFaultAt := faultsEnd + recoveryTime
+	trafficEnd := closingFaultAt + closingFaultTime
 	w.startNodes(day)
-	w.startTraffic(ends)
+	w.startTraffic(trafficEnd)
 	if day.Swings {
-		w.outside.Go(func() { w.swing(opening, ends) })
+		w.outside.Go(func() { w.swing(warmUpTime, trafficEnd) })
 	} else {
-		w.outside.Go(func() { w.drawFaults(opening, faultsEnd, day.Only) })
+		w.outside.Go(func() { w.drawFaults(warmUpTime, faultsEnd, day.Only) })
 	}
 	w.run(faultsEnd)
 	w.faultsOver = true
 	w.outside.Go(w.upgradeAll)
-	w.run(closes)
+	w.run(closingFaultAt)
 	w.repairAll()
-	w.run(closes + time.Millisecond)
+	w.run(closingFaultAt + time.Millisecond)
 	if !day.Swings {
-		w.outside.Go(w.close)
+		w.outside.Go(w.runClosingFault)
 	}
-	w.run(ends)
-	w.run(ends + evening)
+	w.run(trafficEnd)
+	w.run(trafficEnd + drainTime)
 	for range 10 {
 		w.outside.Go(func() { w.readConfiguration(true) })
 		w.run(w.now + 2*time.Second)
@@ -113,26 +114,26 @@
 	}
 	entries := w.Events.Entries()
 	result := Result{
-		Verdict:      fleet.Judge(entries),
+		Verdict:      fleet.CheckEvents(entries),
 		Restored:     w.coreComplete(),
 		TwoPrimaries: w.twoPrimaries,
 		Encounters:   w.encounters,
-		Steps:        w.acted,
+		Steps:        w.steps,
 		Calls:        *w.calls,
 	}
-	result.Runtime, result.Flaps = countPartChanges(entries)
+	result.RoleChanges, result.Flaps = countRoleChanges(entries)
 	w.endAll()
 	return result
 }
 
-// startNodes starts all machines, some of them late or as the older release.
+// startNodes starts all machines, some of them late or with the older release.
 func (w *World) startNodes(day Day) {
-	// On every other day some nodes begin as the older release, and become the
-	// newest one after another.
+	// On half of the days some nodes start with the older release and are upgraded one
+	// after another.
 	if w.random.IntN(2) == 0 {
 		for _, m := range w.machines {
 			if w.random.IntN(3) == 0 {
-				m.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
+				m.withheld = features.List{features.BackupList, features.OrderGracePeriod, features.PairPrice}
 			}
 		}
 	}
@@ -149,9 +150,9 @@
 		w.outside.Go(w.loseOneWhileForming)
 	}
 	if w.random.IntN(4) == 0 {
-		// The platform comes later than the fleet.
+		// The platform starts later than the fleet.
 		w.platform.down = true
-		w.encounter("a start without the platform")
+		w.encounter("a fleet started while the platform was down")
 		w.outside.Go(func() {
 			w.wait(500, 5000)
 			w.platform.down = false
@@ -159,15 +160,15 @@
 	}
 }
 
-// startTraffic starts clients and operators until the moment, and the watch for two
-// primaries until the evening is over.
+// startTraffic starts the clients and operators, which act until the given time, and the
+// watch for two primaries, which also covers the time without requests after that.
 func (w *World) startTraffic(until time.Duration) {
 	w.outside.Go(func() { w.runClients(until) })
 	if w.settings.Calls {
-		w.outside.Go(func() { w.originsOfCalls(until) })
+		w.outside.Go(func() { w.runCallClients(until) })
 	}
 	w.outside.Go(func() { w.operate(until) })
-	w.outside.Go(func() { w.watchPrimaries(until + evening) })
+	w.outside.Go(func() { w.watchPrimaries(until + drainTime) })
 }
 
 // endAll ends every process, so that no thread outlives the world.
@@ -181,8 +182,8 @@
 	w.unwindDead()
 }
 
-// upgradeAll makes every node the newest release, one after another, as an
-// operator does at the end of a roll-out.
+// upgradeAll restarts every node of the older release with the newest, one after another,
+// as an operator does at the end of a roll-out.
 func (w *World) upgradeAll() {
 	for _, m := range w.nodes("") {
 		if len(m.withheld) > 0 {
@@ -194,7 +195,8 @@
 	}
 }
 
-// swing lets traffic swing, twelve seconds each way, until the moment.
+// swing alternates between mostly long prompts and mostly chats, twelve seconds each, until
+// the given time.
 func (w *World) swing(from, until time.Duration) {
 	long, short := w.long, w.short
 	w.outside.NewCond().Wait(from-w.now, never)
@@ -206,52 +208,54 @@
 	}
 }
 
-// flapTime is within how long a part that is taken back counts as a flap.
-const flapTime = 15 * time.Second
+// flapWindow is the time within which a reverted role change counts as a flap.
+const flapWindow = 15 * time.Second
 
-// countPartChanges counts the changes of parts in the event log, and those that were taken back
-// soon.
-func countPartChanges(entries []fleet.Entry) (changes, flaps int) {
-	type part struct {
+// countRoleChanges counts the servers' role changes in the event log, and the role changes that were
+// reverted within flapWindow.
+func countRoleChanges(entries []fleet.Entry) (changes, flaps int) {
+	// from is the role before this one.
+	type role struct {
 		name  string
 		since time.Time
 		from  string
 	}
-	parts := map[string]part{}
+	roles := map[string]role{}
 	for _, entry := range entries {
-		if entry.Kind != fleet.Commanded || entry.Part == parts[entry.Server].name {
+		if entry.Kind != fleet.Commanded || entry.Role == roles[entry.Server].name {
 			continue
 		}
-		before, known := parts[entry.Server]
+		before, known := roles[entry.Server]
 		if known && before.name != "" {
 			changes++
-			if before.from == entry.Part && entry.At.Sub(before.since) < flapTime {
+			if before.from == entry.Role && entry.At.Sub(before.since) < flapWindow {
 				flaps++
 			}
 		}
-		parts[entry.Server] = part{entry.Part, entry.At, before.name}
+		roles[entry.Server] = role{entry.Role, entry.At, before.name}
 	}
 	return changes, flaps
 }
 
-// watchPrimaries looks, over and over, whether two controllers have the lease at once.
+// watchPrimaries checks every 20 ms whether two controllers hold the lease at the same time.
 func (w *World) watchPrimaries(until time.Duration) {
 	for w.now < until {
 		leaders := 0
 		for _, m := range w.machines {
-			if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.frozen && m.control != nil && m.control.Coordinator().HasLease() {
+			if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.frozen &&
+				m.control != nil && m.control.Coordinator().HasLease() {
 				leaders++
 			}
 		}
 		if leaders > 1 {
 			w.twoPrimaries++
-			w.tracef("%d expediters hold at once", leaders)
+			w.tracef("%d controllers hold the lease at once", leaders)
 		}
 		w.outside.NewCond().Wait(20*time.Millisecond, never)
 	}
 }
 
-// drawFaults has faults begin one after another; they last as they last.
+// drawFaults starts faults one after another, without waiting for the earlier ones to end.
 func (w *World) drawFaults(from, until time.Duration, only string) {
 	all := faults
 	total := 0
@@ -276,7 +280,7 @@
 	}
 }
 
-// repairAll ends whatever is still wrong, as those who run the fleet would.
+// repairAll ends every fault that still lasts, as the operators of a fleet would.
 func (w *World) repairAll() {
 	w.heal()
 	w.platform.down, w.loseAnswers = false, 0
@@ -285,7 +289,7 @@
 			continue
 		}
 		if m.disk != nil {
-			m.disk.full, m.disk.damage, m.disk.powerFailsIn, m.disk.slow = false, 0, 0, 0
+			m.disk.full, m.disk.damage, m.disk.powerFailsIn, m.disk.slowFactor = false, 0, 0, 0
 		}
 		if m.incarnation != nil && m.incarnation.frozen && !m.incarnation.ended {
 			m.incarnation.wake()
@@ -294,19 +298,19 @@
 	}
 }
 
-// close is the fault with which the day ends; service must return after it.
-func (w *World) close() {
+// runClosingFault injects the last fault of the day; service must return after it.
+func (w *World) runClosingFault() {
 	kinds := []string{"herd of couriers", "herd of expediters", "cold start", "zone", "primary", "power"}
 	kind := kinds[w.random.IntN(len(kinds))]
 	w.tracef("closing fault: %s", kind)
 	w.Events.Append(fleet.Entry{Kind: fleet.ClosingFault, Cause: kind})
 	switch kind {
 	case "herd of couriers":
-		w.herd(membership.Router)
+		w.restartAll(membership.Router)
 	case "herd of expediters":
-		w.herd(membership.Controller)
+		w.restartAll(membership.Controller)
 	case "cold start":
-		w.herd("")
+		w.restartAll("")
 	case "zone":
 		loseZone(w)
 	case "primary":
--- a/internal/testbed/simulation/disk.go
+++ b/internal/testbed/simulation/disk.go
@@ -10,35 +10,38 @@
 	"time"
 )
 
-// disk is one machine's disk in memory. What was not synced is gone when the
-// power is: a rename or removal lasts from the sync of its folder on.
+// disk simulates one machine's disk in memory. A loss of power drops everything that was not
+// synced: a write, rename or removal is durable once its directory is synced.
 type disk struct {
 	world *World
-	// names are the files as the folder has them on the disk, seen as the
-	// process sees them.
-	names  map[string][]byte
-	seen   map[string][]byte
+	// durable holds the files that survive a loss of power, visible the files as the process
+	// sees them.
+	durable map[string][]byte
+	visible map[string][]byte
+	// full makes writes fail; damage is how many of the next reads return damaged content.
 	full   bool
 	damage int
-	// powerFailsIn counts the acts until the power fails in the middle of one;
-	// none when it is zero.
+	// powerFailsIn is the number of operations until the power fails before one of them;
+	// zero means that the power doesn't fail.
 	powerFailsIn int
-	owner        *incarnation
-	// sync is how long a sync takes, slow how many times as long it takes now, and
-	// hangs until when none ends.
-	sync  time.Duration
-	slow  int
-	hangs time.Duration
+	// owner is the process that uses the disk, or nil.
+	owner *incarnation
+	// sync is how long a sync takes. While the disk is slow, slowFactor multiplies that time;
+	// zero means that the disk is not slow. No sync ends before hangsUntil.
+	sync       time.Duration
+	slowFactor int
+	hangsUntil time.Duration
 }
 
+// newDisk returns an empty disk.
 func newDisk(world *World) *disk {
-	return &disk{world: world, names: map[string][]byte{}, seen: map[string][]byte{}, sync: world.diskSync}
+	return &disk{world: world, durable: map[string][]byte{}, visible: map[string][]byte{}, sync: world.diskSync}
 }
 
-// spend lets the thread wait as long as a sync takes.
-func (d *disk) spend() {
-	length := d.sync * time.Duration(max(d.slow, 1))
-	length = max(length, d.hangs-d.world.now)
+// waitForSync blocks the running thread for as long as a sync takes.
+func (d *disk) waitForSync() {
+	length := d.sync * time.Duration(max(d.slowFactor, 1))
+	length = max(length, d.hangsUntil-d.world.now)
 	t := d.world.running
 	if length <= 0 || t == nil || d.owner != t.incarnation {
 		return
@@ -46,19 +49,19 @@
 	d.owner.NewCond().Wait(length, never)
 }
 
-// lose forgets what was not synced.
-func (d *disk) lose() {
-	if len(d.seen) != len(d.names) {
+// dropUnsynced drops everything that was not synced, as a loss of power does.
+func (d *disk) dropUnsynced() {
+	if len(d.visible) != len(d.durable) {
 		d.world.encounter("a power loss with renames not synced")
 	}
-	d.seen = map[string][]byte{}
-	for name, content := range d.names {
-		d.seen[name] = content
+	d.visible = map[string][]byte{}
+	for name, content := range d.durable {
+		d.visible[name] = content
 	}
 }
 
-// act counts one act; the power may fail before it.
-func (d *disk) act(what string) {
+// countOperation counts one disk operation; the power may fail before the operation takes effect.
+func (d *disk) countOperation(operation string) {
 	if d.powerFailsIn == 0 {
 		return
 	}
@@ -66,63 +69,63 @@
 	if d.powerFailsIn > 0 || d.owner == nil || d.owner.ended {
 		return
 	}
-	d.world.encounter("the power fails before " + what)
-	d.world.tracef("%s: the power fails before %s", d.owner.name, what)
+	d.world.encounter("the power fails before " + operation)
+	d.world.tracef("%s: the power fails before %s", d.owner.name, operation)
 	d.world.powerOff(d.owner.name)
 	panic(killed{})
 }
 
-// MakeDirectory needs nothing.
+// MakeDirectory does nothing: a file can be written into any directory.
 func (d *disk) MakeDirectory(string) error { return nil }
 
-// WriteSynced writes a file; its name lasts from the folder's sync on.
+// WriteSynced writes a file, which is durable once its directory is synced.
 func (d *disk) WriteSynced(path string, content []byte) error {
-	d.spend()
-	d.act("a write")
+	d.waitForSync()
+	d.countOperation("a write")
 	if d.full {
 		return syscall.ENOSPC
 	}
-	d.seen[path] = slices.Clone(content)
+	d.visible[path] = slices.Clone(content)
 	return nil
 }
 
-// Rename gives a file its name, as the process sees it.
+// Rename renames a file; the new name is durable once its directory is synced.
 func (d *disk) Rename(from, to string) error {
-	d.act("a rename")
-	d.seen[to] = d.seen[from]
-	delete(d.seen, from)
+	d.countOperation("a rename")
+	d.visible[to] = d.visible[from]
+	delete(d.visible, from)
 	return nil
 }
 
-// SyncDirectory makes a folder's names last.
+// SyncDirectory makes the files and names of a directory durable.
 func (d *disk) SyncDirectory(path string) error {
-	d.spend()
-	d.act("a folder's sync")
+	d.waitForSync()
+	d.countOperation("a directory sync")
 	if d.full {
 		return syscall.ENOSPC
 	}
-	for name := range d.names {
-		if _, there := d.seen[name]; !there && filepath.Dir(name) == path {
-			delete(d.names, name)
+	for name := range d.durable {
+		if _, exists := d.visible[name]; !exists && filepath.Dir(name) == path {
+			delete(d.durable, name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(d.seen)) {
-		content := d.seen[name]
+	for _, name := range slices.Sorted(maps.Keys(d.visible)) {
+		content := d.visible[name]
 		if filepath.Dir(name) != path {
 			continue
 		}
-		if _, there := d.names[name]; !there {
+		if _, exists := d.durable[name]; !exists {
 			d.world.tapFile(name, content)
 		}
-		d.names[name] = content
+		d.durable[name] = content
 	}
 	return nil
 }
 
-// List names a folder's files.
+// List returns the names of a directory's files.
 func (d *disk) List(path string) ([]string, error) {
 	var names []string
-	for name := range d.seen {
+	for name := range d.visible {
 		if filepath.Dir(name) == path {
 			names = append(names, filepath.Base(name))
 		}
@@ -131,24 +134,24 @@
 	return names, nil
 }
 
-// Read gives a file; some come back damaged.
+// Read returns a file's content, damaged while the damage fault lasts.
 func (d *disk) Read(path string) ([]byte, error) {
-	content, found := d.seen[path]
+	content, found := d.visible[path]
 	if !found {
 		return nil, os.ErrNotExist
 	}
 	content = slices.Clone(content)
 	if d.damage > 0 && strings.Contains(path, "larder") && len(content) > 0 {
 		d.damage--
-		d.world.encounter("a file came back damaged")
+		d.world.encounter("a damaged file was read")
 		content[len(content)/2] ^= 0x40
 	}
 	return content, nil
 }
 
-// Remove takes a file away, as the process sees it.
+// Remove removes a file; the removal is durable once its directory is synced.
 func (d *disk) Remove(path string) error {
-	d.act("a removal")
-	delete(d.seen, path)
+	d.countOperation("a removal")
+	delete(d.visible, path)
 	return nil
 }
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -6,24 +6,24 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// fault is one thing that fails, with how often it is drawn.
+// fault is one kind of fault. The higher its weight, the more often it is drawn.
 type fault struct {
 	name   string
 	weight int
 	run    func(w *World)
 }
 
-// faults are those of the brief, as far as they are not a matter of real sockets and
-// threads. Each runs in a thread of the outside and may overlap with others. Their
-// order and weights decide what a seed draws.
+// faults are the faults that the requirements name, except those that need real sockets and
+// threads. Each fault runs in a thread of World.outside and may overlap with others. The order
+// and the weights of the faults decide which faults a seed draws.
 var faults = []fault{
 	{"kill a courier", 6, kill(anyRouter, 100, 4000)},
 	{"a courier stays away", 5, kill(anyRouter, 8000, 12000)},
-	{"the holder of the parts stays away", 3, kill((*World).partsHolder, 8000, 12000)},
+	{"the holder of the parts stays away", 3, kill((*World).roleLeaseHolder, 8000, 12000)},
 	{"kill an expediter", 6, kill(anyController, 100, 5000)},
 	{"kill the primary", 4, kill((*World).primary, 50, 5000)},
 	{"power off a machine", 4, func(w *World) { w.powerOffFor(w.anyNode(""), 500, 6000) }},
-	{"power fails at a disk's act", 8, powerFails},
+	{"power fails at a disk's act", 8, failPowerAtDiskOperation},
 	{"a disk is lost", 5, loseDisk},
 	{"a full disk", 2, fillDisk},
 	{"a damaged file", 3, damageFile},
@@ -32,7 +32,7 @@
 	{"freeze a courier", 6, freeze(anyRouter)},
 	{"freeze an expediter", 3, freeze(anyController)},
 	{"freeze the primary", 4, freeze((*World).primary)},
-	{"freeze the holder of the parts", 4, freeze((*World).partsHolder)},
+	{"freeze the holder of the parts", 4, freeze((*World).roleLeaseHolder)},
 	{"a wall clock jumps", 3, jumpWallClock},
 	{"isolate a machine", 5, func(w *World) { w.isolate(w.anyNode("").name, true, true) }},
 	{"isolate the primary", 3, func(w *World) { w.isolate(w.primary().name, true, true) }},
@@ -42,9 +42,9 @@
 	{"bad links", 5, badLinks},
 	{"bad links to servers", 5, badServerLinks},
 	{"slow dials", 3, slowDials},
-	{"a herd of couriers", 1, func(w *World) { w.herd(membership.Router) }},
-	{"a herd of expediters", 1, func(w *World) { w.herd(membership.Controller) }},
-	{"all at once", 1, func(w *World) { w.herd("") }},
+	{"a herd of couriers", 1, func(w *World) { w.restartAll(membership.Router) }},
+	{"a herd of expediters", 1, func(w *World) { w.restartAll(membership.Controller) }},
+	{"all at once", 1, func(w *World) { w.restartAll("") }},
 	{"a zone is lost", 2, loseZone},
 	{"a server crashes", 5, func(w *World) { w.crashFor(w.anyServer(), 0, 2500) }},
 	{"servers replaced at once", 2, replaceServers},
@@ -65,7 +65,7 @@
 	{"seeds are exchanged", 2, exchangeSeeds},
 }
 
-// FaultNames lists the faults that a day may draw.
+// FaultNames returns the names of the faults that a day may draw.
 func FaultNames() []string {
 	var names []string
 	for _, f := range faults {
@@ -74,21 +74,22 @@
 	return names
 }
 
-// wait lets an outside thread wait for a drawn length.
+// wait blocks a thread of World.outside for a random time between least and most milliseconds.
 func (w *World) wait(least, most int) {
 	w.outside.NewCond().Wait(time.Duration(least+w.random.IntN(most-least+1))*time.Millisecond, never)
 }
 
-// running tells whether a process runs at the machine, frozen or not.
+// running reports whether a process runs at the machine, frozen or not.
 func (m *machine) running() bool { return m.incarnation != nil && !m.incarnation.ended }
 
-// responsive tells whether a process runs at the machine and is not frozen.
+// responsive reports whether a process runs at the machine and is not frozen.
 func (m *machine) responsive() bool { return m.running() && !m.incarnation.frozen }
 
 func anyRouter(w *World) *machine { return w.anyNode(membership.Router) }
 
 func anyController(w *World) *machine { return w.anyNode(membership.Controller) }
 
+// nodes returns the machines of a kind that are not gone; an empty kind means all kinds.
 func (w *World) nodes(kind membership.NodeKind) []*machine {
 	var found []*machine
 	for _, m := range w.machines {
@@ -99,6 +100,7 @@
 	return found
 }
 
+// anyNode returns a random machine of a kind that is not gone; an empty kind means all kinds.
 func (w *World) anyNode(kind membership.NodeKind) *machine {
 	found := w.nodes(kind)
 	return found[w.random.IntN(len(found))]
@@ -112,6 +114,7 @@
 	return w.plans[w.random.IntN(len(w.plans))].Name
 }
 
+// serversOf returns the names of a zone's servers.
 func (w *World) serversOf(zone string) []string {
 	var names []string
 	for _, plan := range w.plans {
@@ -127,7 +130,7 @@
 	return m != nil && m.kind == membership.Controller
 }
 
-// primary is the controller that holds, or any.
+// primary returns the controller that holds the lease, or any controller if none does.
 func (w *World) primary() *machine {
 	for _, m := range w.nodes(membership.Controller) {
 		if m.running() && m.control != nil && m.control.Coordinator().HasLease() {
@@ -137,8 +140,9 @@
 	return w.anyNode(membership.Controller)
 }
 
-// partsHolder is the router that decides the parts, or any.
-func (w *World) partsHolder() *machine {
+// roleLeaseHolder returns the router that holds the lease for assigning roles to servers, or any
+// router if none holds that lease.
+func (w *World) roleLeaseHolder() *machine {
 	for _, m := range w.nodes(membership.Controller) {
 		if !m.running() || m.control == nil {
 			continue
--- a/internal/testbed/simulation/faults_core.go
+++ b/internal/testbed/simulation/faults_core.go
@@ -7,25 +7,26 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// coreFault is one fault of a core.
+// coreFault is one kind of fault of a core.
 type coreFault struct {
 	name string
-	// losses is from how many borne losses on the fault is to be borne.
+	// losses is the smallest number of tolerated losses with which a core must survive the fault.
 	losses int
-	// run brings the fault about; from is when the wait for the next change begins.
+	// run injects the fault and returns the time from which the wait for the next acknowledged
+	// change counts.
 	run func(w *World) (from time.Duration)
 }
 
-// coreFaults are the faults that a core is to bear by itself: each leaves at least
-// one replica of every acknowledged change.
+// coreFaults are the faults that a core must survive without an operator: each leaves at
+// least one replica of every acknowledged change.
 var coreFaults = []coreFault{
 	{"a disk is wiped, the others lose their power", 1, wipeAmidPowerLoss(1)},
 	{"the primary's disk is wiped", 1, wipePrimary},
 	{"a new machine first, then the old one in order", 1, joinThenLeave(anyController)},
 	{"a new machine for the primary, first", 1, joinThenLeave((*World).primary)},
-	{"a new machine in the place of one that is gone", 1, replaceGone(anyController)},
-	{"a new machine in the place of the first seed", 1, replaceGone(func(w *World) *machine { return w.machineNamed("expediter-1") })},
-	{"a new machine in the primary's place", 1, replaceGone((*World).primary)},
+	{"a new machine in the place of one that is gone", 1, removeAndReplace(anyController)},
+	{"a new machine in the place of the first seed", 1, removeAndReplace(func(w *World) *machine { return w.machineNamed("expediter-1") })},
+	{"a new machine in the primary's place", 1, removeAndReplace((*World).primary)},
 	{"the primary is heard by nobody", 1, cutPrimaryOneWay(false)},
 	{"the primary hears nobody", 1, cutPrimaryOneWay(true)},
 	{"a new machine while the primary is heard by nobody", 1, replaceAmidOneWay(false)},
@@ -46,9 +47,12 @@
 	{"a zone is cut off", 2, cutPrimarysZone},
 }
 
-// CoreFaultNames names the faults that a core of so many borne losses is to bear.
+// CoreFaultNames returns the names of the faults that a core must survive if it tolerates the
+// given number of losses.
 func CoreFaultNames(losses int) []string { return faultNames(coreFaults, losses) }
 
+// faultNames returns the names of the faults that a core must survive if it tolerates the given
+// number of losses.
 func faultNames(faults []coreFault, losses int) []string {
 	var names []string
 	for _, known := range faults {
@@ -59,50 +63,54 @@
 	return names
 }
 
+// wipePrimary wipes the primary's disk and starts the machine again within 1.5 s.
 func wipePrimary(w *World) time.Duration {
 	primary := w.primary()
-	w.wipe(primary)
-	return w.back(primary, 200, 1500)
+	w.wipeMachine(primary)
+	return w.startLater(primary, 200, 1500)
 }
 
-// joinThenLeave adds an empty machine beside a chosen one and, three seconds later,
-// stops the chosen one in order.
+// joinThenLeave adds an empty machine beside a chosen one and, three seconds later, shuts
+// the chosen one down gracefully.
 func joinThenLeave(chosen func(w *World) *machine) func(w *World) time.Duration {
 	return func(w *World) time.Duration {
 		old := chosen(w)
-		w.join(old)
+		w.addEmptyMachine(old)
 		w.run(w.now + 3*time.Second)
 		return w.leaveForGood(old)
 	}
 }
 
-func replaceGone(chosen func(w *World) *machine) func(w *World) time.Duration {
-	return func(w *World) time.Duration { return w.replaceGone(chosen(w)) }
+// removeAndReplace returns the fault that removes a chosen machine and later adds an empty one.
+func removeAndReplace(chosen func(w *World) *machine) func(w *World) time.Duration {
+	return func(w *World) time.Duration { return w.removeAndReplace(chosen(w)) }
 }
 
+// cutPrimaryOneWay returns the fault that cuts the primary off in one direction.
 func cutPrimaryOneWay(inwards bool) func(w *World) time.Duration {
 	return func(w *World) time.Duration {
-		w.oneWay(w.primary(), inwards)
+		w.cutOneWay(w.primary(), inwards)
 		return w.now
 	}
 }
 
-// hangDisk lets no sync of a disk end for 3.5 s.
+// hangDisk makes every sync of a disk hang for 3.5 s.
 func hangDisk(chosen func(w *World) *machine) func(w *World) time.Duration {
 	return func(w *World) time.Duration {
-		chosen(w).disk.hangs = w.now + 3500*time.Millisecond
+		chosen(w).disk.hangsUntil = w.now + 3500*time.Millisecond
 		return w.now
 	}
 }
 
-// slowDisk makes a disk 25 to 30 times as slow.
+// slowDisk makes a disk 25 to 30 times as slow as usual.
 func slowDisk(chosen func(w *World) *machine) func(w *World) time.Duration {
 	return func(w *World) time.Duration {
-		chosen(w).disk.slow = 25 + w.random.IntN(6)
+		chosen(w).disk.slowFactor = 25 + w.random.IntN(6)
 		return w.now
 	}
 }
 
+// killEntireCore kills all controllers at once and starts them again 0.1 to 1 s later.
 func killEntireCore(w *World) time.Duration {
 	controllers := w.nodes(membership.Controller)
 	for _, m := range controllers {
@@ -115,6 +123,7 @@
 	return w.now
 }
 
+// killPrimaryAndStopAnother kills the primary and shuts another controller down gracefully.
 func killPrimaryAndStopAnother(w *World) time.Duration {
 	primary := w.primary()
 	from := w.now
@@ -134,6 +143,7 @@
 	return from
 }
 
+// freezePrimary freezes the primary's process for 0.5 to 5 s.
 func freezePrimary(w *World) time.Duration {
 	primary := w.primary()
 	from := w.now
@@ -147,10 +157,11 @@
 	return from
 }
 
+// wipeTwo wipes the disks of two random controllers and starts each machine again within 6 s.
 func wipeTwo(w *World) time.Duration {
 	from := w.now
 	for _, m := range w.anyTwo() {
-		w.wipe(m)
+		w.wipeMachine(m)
 		w.outside.Go(func() {
 			w.wait(200, 6000)
 			w.start(m)
@@ -159,18 +170,18 @@
 	return from
 }
 
-// wipePrimaryThenAnother wipes the primary's disk, and within four seconds that of
-// its successor or of any controller.
+// wipePrimaryThenAnother wipes the primary's disk and, within four seconds, the disk of its
+// successor or of any controller.
 func wipePrimaryThenAnother(w *World) time.Duration {
 	primary := w.primary()
-	w.wipe(primary)
+	w.wipeMachine(primary)
 	w.run(w.now + time.Duration(w.random.IntN(4000))*time.Millisecond)
 	second := w.primary()
 	if w.random.IntN(2) == 0 {
 		second = anyController(w)
 	}
 	if second != primary {
-		w.wipe(second)
+		w.wipeMachine(second)
 	}
 	w.outside.Go(func() {
 		w.wait(500, 6000)
@@ -180,27 +191,28 @@
 	return w.now
 }
 
+// cutPrimarysZone cuts the links between the primary's zone and the other zones.
 func cutPrimarysZone(w *World) time.Duration {
 	zone := w.primary().zone
 	from := w.now
 	w.outside.Go(func() {
 		w.cutFor(func(from, to string) bool {
-			here, there := w.machineNamed(from), w.machineNamed(to)
-			return here != nil && there != nil && (here.zone == zone) != (there.zone == zone)
+			source, target := w.machineNamed(from), w.machineNamed(to)
+			return source != nil && target != nil && (source.zone == zone) != (target.zone == zone)
 		})
 	})
 	return from
 }
 
-// wipeAmidPowerLoss wipes some disks while all machines of the core lose their power;
-// those with their disks come back a second later, the wiped ones with them or later.
+// wipeAmidPowerLoss wipes some disks while all machines of the core lose their power. The
+// machines with intact disks return a second later, the wiped ones at the same time or later.
 func wipeAmidPowerLoss(wiped int) func(w *World) time.Duration {
 	return func(w *World) time.Duration {
 		machines := w.nodes(membership.Controller)
 		w.random.Shuffle(len(machines),
 			func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
 		if wiped > 0 && w.random.IntN(2) == 0 {
-			// The one that answered last is among them.
+			// The primary is among the wiped machines.
 			primary := w.primary()
 			for position := range machines {
 				if machines[position] == primary {
@@ -210,41 +222,42 @@
 		}
 		for position, m := range machines {
 			if position < wiped {
-				w.wipe(m)
+				w.wipeMachine(m)
 			} else {
 				w.powerOff(m.name)
 			}
 		}
 		w.run(w.now + time.Second)
 		late := w.random.IntN(2) * 5000
-		for position, changes := range machines {
+		for position, m := range machines {
 			if position < wiped && late > 0 {
-				w.back(changes, 0, late)
+				w.startLater(m, 0, late)
 			} else {
-				w.start(changes)
+				w.start(m)
 			}
 		}
 		return w.now
 	}
 }
 
-// replaceAmidOneWay replaces a machine while the primary is cut off one way. Those are
-// two losses: a core that bears one is waited for until the cut is over.
+// replaceAmidOneWay replaces a machine while the primary is cut off in one direction. The core
+// loses two machines at the same time, so if it tolerates only one loss, the wait for changes
+// begins after the cut has ended.
 func replaceAmidOneWay(inwards bool) func(w *World) time.Duration {
 	return func(w *World) time.Duration {
 		old := w.backup()
-		over := w.oneWay(w.primary(), inwards)
-		from := w.replaceGone(old)
-		if w.borneLosses() == 1 {
-			w.since(w.now, over)
+		ended := w.cutOneWay(w.primary(), inwards)
+		from := w.removeAndReplace(old)
+		if w.toleratedLosses() == 1 {
+			w.timeUntil(w.now, ended)
 			return w.now
 		}
 		return from
 	}
 }
 
-// loseCoreZone takes a zone's machines, and for good their disks with them.
-func loseCoreZone(disks bool) func(w *World) time.Duration {
+// loseCoreZone powers a zone's machines off, and wipes their disks if wipe is set.
+func loseCoreZone(wipe bool) func(w *World) time.Duration {
 	return func(w *World) time.Duration {
 		zone := w.layout.zones()[w.random.IntN(len(w.layout.zones()))]
 		if w.random.IntN(2) == 0 {
@@ -255,25 +268,27 @@
 			if m.zone != zone {
 				continue
 			}
-			if disks {
-				w.wipe(m)
+			if wipe {
+				w.wipeMachine(m)
 			} else {
 				w.powerOff(m.name)
 			}
-			w.back(m, 4000, 6000)
+			w.startLater(m, 4000, 6000)
 		}
 		return from
 	}
 }
 
-// wipe takes a machine's power and disk.
-func (w *World) wipe(m *machine) {
+// wipeMachine powers a machine off and replaces its disk by an empty one.
+func (w *World) wipeMachine(m *machine) {
 	w.tracef("%s loses its disk", m.name)
 	w.powerOff(m.name)
 	m.disk = newDisk(w)
 }
 
-func (w *World) back(m *machine, least, most int) time.Duration {
+// startLater starts a machine after a random time between least and most milliseconds. It returns
+// the present time.
+func (w *World) startLater(m *machine, least, most int) time.Duration {
 	from := w.now
 	w.outside.Go(func() {
 		w.wait(least, most)
@@ -282,8 +297,8 @@
 	return from
 }
 
-// join adds an empty machine beside another, at a new address.
-func (w *World) join(old *machine) *machine {
+// addEmptyMachine adds an empty machine in the zone of another, at a new address.
+func (w *World) addEmptyMachine(old *machine) *machine {
 	number := strconv.Itoa(len(w.machines) + 1)
 	var seeds []string
 	for _, other := range w.nodes(membership.Controller) {
@@ -297,14 +312,14 @@
 	return added
 }
 
-// leaveForGood stops a controller in order and takes it away.
+// leaveForGood shuts a controller down gracefully and removes its machine.
 func (w *World) leaveForGood(old *machine) time.Duration {
 	from := w.now
 	control, stopping := old.control, old.incarnation
 	w.outside.Go(func() {
 		left := false
 		stopping.Go(func() {
-			control.Leave(leavePatience)
+			control.Leave(leaveTimeout)
 			left = true
 		})
 		for range 20 {
@@ -319,21 +334,22 @@
 	return from
 }
 
-// replaceGone takes a machine away and puts an empty one at a new address in its place.
-func (w *World) replaceGone(old *machine) time.Duration {
+// removeAndReplace removes a machine and later adds an empty one in the same zone, at a new
+// address.
+func (w *World) removeAndReplace(old *machine) time.Duration {
 	from := w.now
 	w.powerOff(old.name)
 	old.gone = true
 	w.outside.Go(func() {
 		w.wait(0, 2000)
-		w.join(old)
+		w.addEmptyMachine(old)
 	})
 	return from
 }
 
-// oneWay cuts a machine off in one direction for some seconds, and tells by what it
-// gives whether that is over.
-func (w *World) oneWay(m *machine, inwards bool) (over func() bool) {
+// cutOneWay cuts a machine off in one direction for some seconds. The function that it returns
+// reports whether the cut has ended.
+func (w *World) cutOneWay(m *machine, inwards bool) (ended func() bool) {
 	done := false
 	w.outside.Go(func() {
 		w.isolate(m.name, inwards, !inwards)
@@ -342,6 +358,7 @@
 	return func() bool { return done }
 }
 
+// anyTwo returns two random controllers.
 func (w *World) anyTwo() []*machine {
 	machines := w.nodes(membership.Controller)
 	w.random.Shuffle(len(machines),
--- a/internal/testbed/simulation/faults_disks.go
+++ b/internal/testbed/simulation/faults_disks.go
@@ -2,8 +2,8 @@
 
 import "seamloom.example/seamloom/internal/membership"
 
-// powerFails has the power fail before one of the disk's next acts.
-func powerFails(world *World) {
+// failPowerAtDiskOperation makes the power fail before one of the next operations of a controller's disk.
+func failPowerAtDiskOperation(world *World) {
 	m := world.anyNode(membership.Controller)
 	m.disk.powerFailsIn = 1 + world.random.IntN(12)
 	world.wait(2000, 5000)
@@ -12,8 +12,8 @@
 	world.start(m)
 }
 
-// loseDisk takes a machine's whole disk while the core is whole: one disk may be
-// lost, and the next only when that is made good.
+// loseDisk replaces a controller's disk by an empty one while the core is complete: a core
+// tolerates the loss of one disk, and of the next one only after the repair.
 func loseDisk(world *World) {
 	if !world.coreComplete() {
 		return
@@ -34,27 +34,27 @@
 	world.start(m)
 }
 
-// coreComplete tells whether a primary with all its backups leads and every witness
-// of the membership is the disk that runs at its address, so that one more disk may
-// be lost.
+// coreComplete reports whether the core tolerates the loss of one more disk: a primary leads, the
+// membership has all backups and witnesses, and at the address of each backup and witness a
+// process with that member's own disk is running.
 func (w *World) coreComplete() bool {
 	for _, node := range w.nodes(membership.Controller) {
 		if !node.responsive() || node.control == nil || !node.control.Coordinator().HasLease() {
 			continue
 		}
 		members := node.control.Coordinator().Membership()
-		losses := max(w.borneLosses(), 1)
+		losses := max(w.toleratedLosses(), 1)
 		if len(members.Backups()) != losses || len(members.Incoming) > 0 || len(members.Witnesses) != 2*losses+1 {
 			return false
 		}
-		for _, seat := range append(members.Backups(), members.Witnesses...) {
-			there := w.machineNamed(w.nameAt(seat.Address))
-			if there == nil || !there.responsive() || there.control == nil {
+		for _, replica := range append(members.Backups(), members.Witnesses...) {
+			host := w.machineNamed(w.nameAt(replica.Address))
+			if host == nil || !host.responsive() || host.control == nil {
 				return false
 			}
-			witness := there.control.Witness()
-			if witness.Replica().Identity != seat.Identity ||
-				members.HasVoter(seat.Identity) && witness.Membership().Epoch != members.Epoch {
+			witness := host.control.Witness()
+			if witness.Replica().Identity != replica.Identity ||
+				members.HasVoter(replica.Identity) && witness.Membership().Epoch != members.Epoch {
 				return false
 			}
 		}
@@ -63,7 +63,7 @@
 	return false
 }
 
-// fillDisk lets a controller's disk take no more writes for a while.
+// fillDisk makes a controller's disk refuse writes for a while.
 func fillDisk(w *World) {
 	m := anyController(w)
 	m.disk.full = true
@@ -71,8 +71,9 @@
 	m.disk.full = false
 }
 
-// damageFile has one or two of a controller's files come back damaged after a restart, while the core is
-// whole: the damaged copies of two controllers at once are two lost disks.
+// damageFile restarts a controller with one or two damaged files. It does nothing unless the
+// core is complete, because damaged files at two controllers at the same time count as two lost
+// disks.
 func damageFile(w *World) {
 	if !w.coreComplete() {
 		return
--- a/internal/testbed/simulation/faults_network.go
+++ b/internal/testbed/simulation/faults_network.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// cutFor cuts links for a while.
+// cutFor cuts the chosen links for 0.3 to 8 s.
 func (w *World) cutFor(chosen func(from, to string) bool) {
 	var names []string
 	for _, m := range w.machines {
@@ -29,8 +29,9 @@
 	}
 }
 
+// isolate cuts a machine off for 0.3 to 8 s, in the given directions.
 func (w *World) isolate(name string, inwards, outwards bool) {
-	w.tracef("%s is cut off, inwards %v, outwards %v", name, inwards, outwards)
+	w.tracef("%s is cut off, inbound %v, outbound %v", name, inwards, outwards)
 	w.cutFor(func(from, to string) bool { return (inwards && to == name) || (outwards && from == name) })
 }
 
@@ -47,13 +48,14 @@
 	})
 }
 
-// slowDials lets one connection in five take up to 2.5 s to open.
+// slowDials makes one connection in five take up to 2.5 s to open.
 func slowDials(w *World) {
 	w.slowDials = 0.2
 	w.wait(2000, 5000)
 	w.slowDials = 0
 }
 
+// cutPair cuts two controllers off from each other, in one case of three in one direction only.
 func cutPair(world *World) {
 	found := world.nodes(membership.Controller)
 	first := world.random.IntN(len(found))
@@ -65,9 +67,10 @@
 	})
 }
 
-func (w *World) spoil(links []*link, length time.Duration, act func(l *link)) {
+// degradeLinks calls degrade with each of the links, and ends their delays, losses and duplicates after length.
+func (w *World) degradeLinks(links []*link, length time.Duration, degrade func(l *link)) {
 	for _, l := range links {
-		act(l)
+		degrade(l)
 	}
 	w.outside.NewCond().Wait(length, never)
 	for _, l := range links {
@@ -75,7 +78,7 @@
 	}
 }
 
-// badLinks delays, duplicates and loses what nodes say to each other.
+// badLinks delays, duplicates and drops messages between nodes.
 func badLinks(world *World) {
 	var links []*link
 	for _, from := range world.machines {
@@ -85,14 +88,14 @@
 			}
 		}
 	}
-	world.spoil(links, time.Duration(1000+world.random.IntN(5000))*time.Millisecond, func(l *link) {
+	world.degradeLinks(links, time.Duration(1000+world.random.IntN(5000))*time.Millisecond, func(l *link) {
 		l.delay = time.Duration(world.random.IntN(150)) * time.Millisecond
 		l.duplicate, l.loss = 0.15, 0.04
 	})
 }
 
-// badServerLinks does so between routers and servers, and loses answers after
-// the work.
+// badServerLinks delays, duplicates and drops messages between routers and servers, and drops
+// responses after the servers did the work.
 func badServerLinks(world *World) {
 	var links []*link
 	for _, m := range world.nodes(membership.Router) {
@@ -103,7 +106,7 @@
 		}
 	}
 	world.loseAnswers = 0.1
-	world.spoil(links, time.Duration(1000+world.random.IntN(5000))*time.Millisecond, func(l *link) {
+	world.degradeLinks(links, time.Duration(1000+world.random.IntN(5000))*time.Millisecond, func(l *link) {
 		l.delay = time.Duration(world.random.IntN(60)) * time.Millisecond
 		l.duplicate, l.loss = 0.1, 0.03
 	})
--- a/internal/testbed/simulation/faults_nodes.go
+++ b/internal/testbed/simulation/faults_nodes.go
@@ -9,18 +9,18 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// kill is the fault that ends a chosen node's process and starts another after a
-// drawn number of milliseconds.
+// kill returns the fault that ends a chosen node's process and starts another one after a
+// random time between least and most milliseconds.
 func kill(chosen func(w *World) *machine, least, most int) func(w *World) {
 	return func(w *World) { w.killFor(chosen(w), least, most) }
 }
 
-// freeze is the fault that stops a chosen node's process without ending it.
+// freeze returns the fault that pauses a chosen node's process.
 func freeze(chosen func(w *World) *machine) func(w *World) {
 	return func(w *World) { w.freezeFor(chosen(w)) }
 }
 
-// handOverWhileRouterIsCut stops the primary in order while a router can't hear of it.
+// handOverWhileRouterIsCut shuts the primary down gracefully while a router is cut off.
 func handOverWhileRouterIsCut(w *World) {
 	name := anyRouter(w).name
 	w.outside.Go(func() { w.isolate(name, true, true) })
@@ -28,36 +28,39 @@
 	w.stopFor(w.primary(), 200, 3000)
 }
 
-// jumpWallClock sets a node's wall clock up to two hours back or forth; its steady
-// clock goes on.
+// jumpWallClock sets a node's wall clock up to two hours back or forward; its monotonic
+// clock is unaffected.
 func jumpWallClock(w *World) {
 	if m := w.anyNode(""); m.incarnation != nil {
 		m.incarnation.jump = time.Duration(w.random.IntN(14400)-7200) * time.Second
 	}
 }
 
+// killFor kills a machine's process and starts another one after a random time between least and
+// most milliseconds.
 func (w *World) killFor(m *machine, least, most int) {
 	w.kill(m)
 	w.wait(least, most)
 	w.start(m)
 }
 
-// leavePatience is how long a controller that is stopped may hand over.
-const leavePatience = 3 * time.Second
+// leaveTimeout is how long a controller that shuts down may take to hand over.
+const leaveTimeout = 3 * time.Second
 
-// stopFor stops a controller as its operator does: it hands over first.
+// stopFor shuts a controller down gracefully, as an operator does: the controller hands over first.
+// Later stopFor starts the controller again.
 func (w *World) stopFor(m *machine, least, most int) {
 	if !m.running() || m.control == nil {
 		return
 	}
 	stopping, control := m.incarnation, m.control
 	if control.Coordinator().HasLease() {
-		w.encounter("a primary handed over")
+		w.encounter("a primary handed over its leadership")
 	}
 	w.tracef("%s is stopped", m.name)
 	left := false
 	stopping.Go(func() {
-		control.Leave(leavePatience)
+		control.Leave(leaveTimeout)
 		left = true
 	})
 	for range 30 {
@@ -78,8 +81,8 @@
 	w.start(m)
 }
 
-// loseOneWhileForming takes one machine away within the first moments of a core:
-// its power fails at one of its disk's first acts, or its whole disk is lost.
+// loseOneWhileForming takes one machine away while the first core forms: the machine's power fails
+// at one of the first operations of its disk, or the machine loses its disk.
 func (w *World) loseOneWhileForming() {
 	m := w.anyNode(membership.Controller)
 	if w.random.IntN(2) == 0 {
@@ -90,7 +93,7 @@
 		w.start(m)
 		return
 	}
-	for len(m.disk.names) == 0 {
+	for len(m.disk.durable) == 0 {
 		w.wait(0, 20)
 	}
 	w.wait(0, 1500)
@@ -102,6 +105,7 @@
 	w.start(m)
 }
 
+// freezeFor freezes a machine's process for some time and records when it is woken.
 func (w *World) freezeFor(m *machine) {
 	if !m.responsive() {
 		return
@@ -115,23 +119,25 @@
 	if w.random.IntN(2) == 0 {
 		w.wait(300, 5000)
 	} else {
-		// Long enough for a role to have been given to another.
+		// Long enough for the node's roles to be reassigned.
 		w.wait(7000, 13000)
 	}
 	if !frozen.ended {
 		if m.router != nil && m.router.Core().InFlight() > 0 && frozen.Now().After(m.router.Core().LeaseEnds()) {
-			w.encounter("a courier woken with inquiries under way, its hold over")
+			w.encounter("a frozen router resumed with requests in flight and an expired lease")
 		}
 		if m.control != nil && m.control.Store().Leading() {
-			w.encounter("a primary woken")
+			w.encounter("a frozen primary resumed")
 		}
 		w.tracef("%s wakes", m.name)
 		frozen.wake()
 	}
 }
 
-func (w *World) herd(kind membership.NodeKind) {
-	w.tracef("a herd is killed: %s", kind)
+// restartAll kills all running nodes of a kind and starts them again 0.1 to 1 s later. An empty
+// kind means all nodes.
+func (w *World) restartAll(kind membership.NodeKind) {
+	w.tracef("all running nodes are killed, kind %q", kind)
 	var processes []*machine
 	for _, m := range w.nodes(kind) {
 		if m.running() {
@@ -145,9 +151,10 @@
 	}
 }
 
+// loseZone powers off the machines and crashes the servers of a zone for four to seven seconds.
 func loseZone(world *World) {
 	zone := world.anyZone()
-	world.tracef("the zone %s is lost", zone)
+	world.tracef("zone %s is lost", zone)
 	for _, m := range world.nodes("") {
 		if m.zone == zone {
 			world.outside.Go(func() { world.powerOffFor(m, 4000, 7000) })
@@ -158,22 +165,22 @@
 	}
 }
 
-// otherRelease restarts a node as the release that it is not, until the last
-// part of the day, in which all become the newest.
+// otherRelease restarts a node of the newest release with the older one, and the other way
+// round. Once the time of faults is over, it restarts nodes with the newest only.
 func otherRelease(world *World) {
 	m := world.anyNode("")
 	if !m.running() {
 		return
 	}
 	if len(m.withheld) == 0 && !world.faultsOver {
-		m.withheld = features.List{features.BackupList, features.OrderPatience, features.PairPrice}
+		m.withheld = features.List{features.BackupList, features.OrderGracePeriod, features.PairPrice}
 		world.encounter("a node restarted as an older release")
 	} else {
 		m.withheld = nil
 		world.encounter("a node restarted as a newer release")
 	}
 	if world.anyWithheld() && !world.seenKeys["flag/"+string(features.PairPrice)] {
-		world.encounter("a member stopped while flags wait for an older one")
+		world.encounter("a member stopped while flags wait for an older member")
 	}
 	world.kill(m)
 	world.wait(200, 8000)
@@ -189,7 +196,7 @@
 	return false
 }
 
-// routerJoins adds a router, of the older release at times.
+// routerJoins adds a router, in one case of three with an older release.
 func routerJoins(world *World) {
 	if len(world.nodes(membership.Router)) > world.deployment.Routers+2 {
 		return
@@ -203,7 +210,7 @@
 	world.start(added)
 }
 
-// replaceCore puts an empty machine at a new address in the place of one.
+// replaceCore replaces a controller's machine by an empty one at a new address.
 func replaceCore(world *World) {
 	if !world.coreComplete() {
 		return
@@ -216,7 +223,7 @@
 		}
 	}
 	number := strconv.Itoa(len(world.machines) + 1)
-	world.tracef("%s gives way to expediter-%s", old.name, number)
+	world.tracef("%s is replaced by expediter-%s", old.name, number)
 	world.encounter("a core machine replaced")
 	world.powerOff(old.name)
 	old.gone = true
@@ -224,7 +231,7 @@
 	world.start(added)
 }
 
-// exchangeSeeds gives running nodes other seeds.
+// exchangeSeeds gives every node new seeds. A running node gets them without a restart.
 func exchangeSeeds(world *World) {
 	for _, m := range world.nodes("") {
 		var seeds []string
--- a/internal/testbed/simulation/faults_operators.go
+++ b/internal/testbed/simulation/faults_operators.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// evacuateZone has operators evacuate a zone for two to nine seconds.
+// evacuateZone evacuates a zone for two to nine seconds.
 func evacuateZone(w *World) {
 	w.evacuate(w.anyZone(), time.Duration(2000+w.random.IntN(7000))*time.Millisecond)
 }
 
-// raceOperators has operators change the configuration from the same version.
+// raceOperators makes concurrent operators change the configuration from the same version.
 func raceOperators(w *World) {
 	for range 3 {
 		w.nextRevision(2 + w.random.IntN(3))
 	}
 }
 
-// stormOfChanges has many operators change the configuration without pause.
+// stormOfChanges makes many operators change the configuration without a pause.
 func stormOfChanges(w *World) {
 	for range 12 {
 		w.outside.Go(func() { w.evacuate("nowhere-"+w.nonce(), 10*time.Millisecond) })
@@ -30,7 +30,7 @@
 	w.long, w.short = long, short
 }
 
-// swingTraffic has long prompts prevail for a while, then short chats.
+// swingTraffic sends mostly long prompts for a while, then mostly short chats.
 func swingTraffic(w *World) {
 	long, short := w.long, w.short
 	w.long, w.short = long*1.8, short*0.3
@@ -40,7 +40,7 @@
 	w.long, w.short = long, short
 }
 
-// stopPlatform lets nobody read the platform's directory for a while.
+// stopPlatform makes the platform's directory unreadable for a while.
 func stopPlatform(w *World) {
 	w.platform.down = true
 	w.wait(1000, 6000)
--- a/internal/testbed/simulation/faults_servers.go
+++ b/internal/testbed/simulation/faults_servers.go
@@ -6,13 +6,13 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// crashFor crashes a server and puts a cold one in its place.
+// crashFor crashes a server and later starts a cold one in its place.
 func (w *World) crashFor(name string, least, most int) {
 	if w.servers[name].incarnation.ended {
 		return
 	}
 	if w.servers[name].engine.Active() > 0 {
-		w.encounter("answers under way at a server's crash")
+		w.encounter("replies in progress at a server's crash")
 	}
 	w.tracef("%s crashes", name)
 	w.crashServer(name)
@@ -20,17 +20,18 @@
 	w.startServer(w.servers[name].plan)
 }
 
-// leaveServer shows a server leaving: in the list, by its absence, or in its
-// load report; then another comes in its place.
+// leaveServer makes a server leave and later replaces the server. Routers learn of that in one of
+// three ways: the platform's list marks the server as leaving, the list lacks the server, or the
+// server's load report says that it leaves.
 func leaveServer(world *World) {
 	name := world.anyServer()
 	s := world.servers[name]
 	if s.incarnation.ended {
 		return
 	}
-	way := world.random.IntN(3)
-	for way < 2 && world.platform.down {
-		// What the platform does not show can't be heeded.
+	signal := world.random.IntN(3)
+	for signal < 2 && world.platform.down {
+		// Routers can't react to a change in the list while the platform is down.
 		world.wait(100, 100)
 	}
 	if world.servers[name] != s || s.incarnation.ended {
@@ -39,9 +40,9 @@
 	listed := world.platform.servers[name]
 	world.Events.Append(fleet.Entry{Kind: fleet.ServerLeaving, Server: name})
 	if s.engine.Active() > 0 {
-		world.encounter("answers under way at a leaving server")
+		world.encounter("replies in progress at a leaving server")
 	}
-	switch way {
+	switch signal {
 	case 0:
 		listed.Leaving = true
 		world.platform.servers[name] = listed
@@ -57,7 +58,8 @@
 	}
 }
 
-// replaceServers crashes three servers at once, each with a cold one in its place.
+// replaceServers crashes up to three servers at the same time and starts a new, cold server in place
+// of each.
 func replaceServers(w *World) {
 	for range 3 {
 		name := w.anyServer()
@@ -65,7 +67,7 @@
 	}
 }
 
-// darkenServer has a server take requests and answer none.
+// darkenServer makes a server accept requests without answering them.
 func darkenServer(w *World) {
 	engine := w.servers[w.anyServer()].engine
 	engine.SetDark(true)
@@ -73,7 +75,7 @@
 	engine.SetDark(false)
 }
 
-// freezeServer stops a server's process without ending it.
+// freezeServer pauses a server's process.
 func freezeServer(w *World) {
 	i := w.servers[w.anyServer()].incarnation
 	i.freeze()
@@ -81,7 +83,7 @@
 	i.wake()
 }
 
-// lapseHandles has a server forget prompts before anybody can fetch them.
+// lapseHandles makes a server drop prompt memory before another server can fetch it.
 func lapseHandles(w *World) {
 	engine := w.servers[w.anyServer()].engine
 	engine.SetHandleLifetime(time.Microsecond)
@@ -89,7 +91,7 @@
 	engine.SetHandleLifetime(5 * time.Second)
 }
 
-// slowServerLink makes what a server fetches of others take forty times as long.
+// slowServerLink makes a server's fetches from other servers take forty times as long.
 func slowServerLink(w *World) {
 	engine := w.servers[w.anyServer()].engine
 	engine.SlowLink(40)
--- a/internal/testbed/simulation/forwarding.go
+++ b/internal/testbed/simulation/forwarding.go
@@ -10,27 +10,29 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-func endedHere(*auction.Request, auction.Decision) {}
+// ignoreEnded is the OnEnded callback of every router; it does nothing.
+func ignoreEnded(*auction.Request, auction.Decision) {}
 
 // forwarder carries requests from one router to another.
 type forwarder struct{ incarnation *incarnation }
 
-// Forward sends a request on and gives the records of its reply to take.
+// Forward sends a request to another router and passes the records of the reply to take. It uses onClientGone
+// to register callbacks for when the client disconnects.
 func (p *forwarder) Forward(
 	address string,
 	forwarding wire.Forwarding,
 	body []byte,
-	whenLeft func(act func()),
+	onClientGone func(callback func()),
 	take func(record codec.Record) bool,
 ) bool {
-	here, world := p.incarnation, p.incarnation.world
+	sender, world := p.incarnation, p.incarnation.world
 	to := world.nameAt(address)
-	replies := newPipe(world, to, here.name, here)
+	replies := newPipe(world, to, sender.name, sender)
 	left, refused := false, false
 	arrive := func(first bool) {
-		there := world.machineNamed(to)
-		if there == nil || there.incarnation == nil || there.incarnation.ended || there.router == nil {
-			if first && world.powered(to) {
+		receiver := world.machineNamed(to)
+		if receiver == nil || receiver.incarnation == nil || receiver.incarnation.ended || receiver.router == nil {
+			if first && world.isPowered(to) {
 				refused = true
 				replies.disconnect()
 			}
@@ -38,46 +40,46 @@
 		}
 		forget := func() {}
 		if first {
-			forget = there.incarnation.onEnd(replies.disconnect)
+			forget = receiver.incarnation.onEnd(replies.disconnect)
 		}
-		conduct, target := there.router, there.incarnation
-		reply := &dataplane.RecordReply{Writer: to, ClientGone: func(act func()) {
+		router, process := receiver.router, receiver.incarnation
+		reply := &dataplane.RecordReply{Writer: to, RegisterClientGone: func(callback func()) {
 			if first {
-				whenLeft(func() { world.carry(here.name, to, target, act) })
-				here.onEnd(func() { world.carry(here.name, to, target, act) })
+				onClientGone(func() { world.carry(sender.name, to, process, callback) })
+				sender.onEnd(func() { world.carry(sender.name, to, process, callback) })
 			}
 		}, Send: func(record codec.Record) error {
 			world.tapRecord(record, "on a wire")
 			if first && (left || !replies.put(record)) {
-				return failure.New(failure.Unreachable, "the courier is gone")
+				return failure.New(failure.Unreachable, "the router is gone")
 			}
 			return nil
 		}}
-		// The question lies there until the process runs.
-		world.after(0, target, func() {
-			target.Go(func() {
+		// The request waits at a frozen process until it runs again.
+		world.schedule(0, process, func() {
+			process.Go(func() {
 				defer forget()
-				request, err := dataplane.ReadRequest(target.Now(), body)
+				request, err := dataplane.ReadRequest(process.Now(), body)
 				if err != nil {
 					return
 				}
 				reply.Request = request.ID
-				conduct.Serve(dataplane.Arrival{Request: request, Body: body, Forwarding: &forwarding}, reply)
+				router.Serve(dataplane.Arrival{Request: request, Body: body, Forwarding: &forwarding}, reply)
 			})
 		})
 	}
-	if world.carry(here.name, to, nil, func() { arrive(true) }) {
-		if over := world.link(here.name, to); over.duplicate > 0 && world.random.IntN(2) == 0 {
-			world.encounter("a passed-on inquiry brought twice")
-			world.after(time.Duration(world.random.IntN(4000))*time.Millisecond, nil, func() { arrive(false) })
+	if world.carry(sender.name, to, nil, func() { arrive(true) }) {
+		if l := world.link(sender.name, to); l.duplicate > 0 && world.random.IntN(2) == 0 {
+			world.encounter("a forwarded request delivered twice")
+			world.schedule(time.Duration(world.random.IntN(4000))*time.Millisecond, nil, func() { arrive(false) })
 		}
 	}
-	whenLeft(func() {
+	onClientGone(func() {
 		left = true
 		replies.cond.Broadcast()
 	})
 	for {
-		message, found := replies.take(time.Minute, func() bool { return left })
+		message, found := replies.receive(time.Minute, func() bool { return left })
 		if !found {
 			return !refused
 		}
@@ -88,6 +90,7 @@
 	}
 }
 
+// machineNamed returns the machine with a name, or nil.
 func (w *World) machineNamed(name string) *machine {
 	for _, m := range w.machines {
 		if m.name == name {
