--- a/internal/testbed/simulation/incarnation.go
+++ b/internal/testbed/simulation/incarnation.go
@@ -12,27 +12,31 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// incarnation is one process from its start to its end. It is the process's threads
-// and clock, as the core packages see them.
+// incarnation is one process from its start to its end. It is the runtime that gives threads, locks
+// and clocks to the product's code.
 type incarnation struct {
 	world   *World
 	name    string
 	address string
-	// startedAt is when it started, wall what its clock said then, and drift how
-	// much faster than the world its clock runs.
+	// startedAt is the world's time at the start, wall the process's clock at the start, and
+	// drift the fraction by which that clock runs faster than the world's time.
 	startedAt time.Duration
 	wall      time.Time
-	jump      time.Duration
-	drift     float64
-	ended     bool
-	frozen    bool
-	backlog   []*alarm
-	threads   map[*thread]bool
-	onEndActs map[uint64]func()
-	handle    func(path string, body []byte) ([]byte, error)
+	// jump is how far a fault has moved the wall clock; it is negative if the clock was set back.
+	jump   time.Duration
+	drift  float64
+	ended  bool
+	frozen bool
+	// backlog holds the events that came due while the incarnation was frozen.
+	backlog        []*scheduledEvent
+	threads        map[*thread]bool
+	onEndCallbacks map[uint64]func()
+	// handle handles messages from other nodes; nil means that the process is not ready for them.
+	handle func(path string, body []byte) ([]byte, error)
 }
 
-// thread is one of an incarnation's threads, as a coroutine: it runs until it waits.
+// thread is one of an incarnation's threads, implemented as a coroutine that runs until it
+// waits.
 type thread struct {
 	incarnation *incarnation
 	next        func() (struct{}, bool)
@@ -42,24 +46,24 @@
 	ended       bool
 }
 
-// killed unwinds the threads of an incarnation that has ended.
+// killed is the value of the panic that unwinds the threads of an ended incarnation.
 type killed struct{}
 
-// Now is the incarnation's own steady clock.
+// Now returns the time on the incarnation's monotonic clock.
 func (i *incarnation) Now() time.Time { return i.wall.Add(i.elapsed()) }
 
 func (i *incarnation) elapsed() time.Duration {
 	return time.Duration(float64(i.world.now-i.startedAt) * (1 + i.drift))
 }
 
-// Wall is the incarnation's wall clock, which faults set.
+// Wall returns the time on the incarnation's wall clock, which faults can set.
 func (i *incarnation) Wall() time.Time { return i.wall.Add(i.elapsed() + i.jump) }
 
-// Alive tells whether the incarnation goes on.
+// Alive reports whether the incarnation has not ended.
 func (i *incarnation) Alive() bool { return !i.ended }
 
-// Go starts a thread.
-func (i *incarnation) Go(act func()) {
+// Go starts a thread that calls f, unless the incarnation has ended.
+func (i *incarnation) Go(f func()) {
 	if i.ended {
 		return
 	}
@@ -74,10 +78,10 @@
 			}
 		}()
 		started.yield = yield
-		act()
+		f()
 	})
 	i.threads[started] = true
-	i.world.after(0, i, func() { started.resume() })
+	i.world.schedule(0, i, func() { started.resume() })
 }
 
 // resume runs the thread until it waits or ends.
@@ -95,43 +99,45 @@
 	t.incarnation.world.unwindDead()
 }
 
-// suspend gives the turn back to the world until the thread is resumed.
+// suspend returns control to the world until the thread is resumed.
 func (t *thread) suspend() {
 	if !t.yield(struct{}{}) {
 		panic(killed{})
 	}
 }
 
-// end ends the incarnation at once: its threads never run again, and whoever waits for
-// an answer from it hears that the connection broke, if it can be heard.
+// end ends the incarnation immediately. The incarnation's threads never run again, and its peers see
+// their connections break, unless the links to them are cut.
 func (i *incarnation) end() {
 	if i.ended {
 		return
 	}
 	i.ended = true
 	i.world.dead = append(i.world.dead, i)
-	for _, number := range slices.Sorted(maps.Keys(i.onEndActs)) {
-		i.onEndActs[number]()
+	for _, number := range slices.Sorted(maps.Keys(i.onEndCallbacks)) {
+		i.onEndCallbacks[number]()
 	}
-	i.onEndActs = nil
+	i.onEndCallbacks = nil
 	if i.world.running == nil {
 		i.world.unwindDead()
 	}
 }
 
-// onEnd has something done when the incarnation ends; forget takes that back.
-func (i *incarnation) onEnd(act func()) (forget func()) {
+// onEnd registers a callback that is called when the incarnation ends, or calls it at once if the
+// incarnation has ended. The function that onEnd returns removes the registration.
+func (i *incarnation) onEnd(callback func()) (forget func()) {
 	if i.ended {
-		act()
+		callback()
 		return func() {}
 	}
 	i.world.sequence++
 	number := i.world.sequence
-	i.onEndActs[number] = act
-	return func() { delete(i.onEndActs, number) }
+	i.onEndCallbacks[number] = callback
+	return func() { delete(i.onEndCallbacks, number) }
 }
 
-// unwindDead unwinds the threads of incarnations that have ended, once none of them runs.
+// unwindDead unwinds the threads of incarnations that have ended. It does nothing while a thread
+// is running; resume calls it again once that thread waits.
 func (w *World) unwindDead() {
 	if w.running != nil {
 		return
@@ -149,34 +155,36 @@
 	}
 }
 
-// freeze stops the incarnation without ending it; everything that comes waits.
+// freeze pauses the incarnation; its events wait in the backlog.
 func (i *incarnation) freeze() { i.frozen = true }
 
-// wake lets a frozen incarnation go on, with all that came meanwhile.
+// wake resumes a frozen incarnation and makes the events of its backlog due at once.
 func (i *incarnation) wake() {
 	i.frozen = false
 	for _, late := range i.backlog {
 		late.at = i.world.now
-		heap.Push(&i.world.due, late)
+		heap.Push(&i.world.queue, late)
 	}
 	i.backlog = nil
 }
 
-// lock is held by one of an incarnation's threads while it waits for the disk. The world
-// looks past it: nothing runs while it looks.
+// lock is a mutual exclusion lock between an incarnation's threads. A thread may wait while it
+// holds the lock, for example for the disk. The world's own code bypasses the lock, because no
+// thread runs at the same time.
 type lock struct {
-	cond    *cond
-	locked  bool
-	visited bool
+	cond     *cond
+	locked   bool
+	bypassed bool
 }
 
-// NewLock makes a lock.
+// NewLock returns an unlocked lock.
 func (i *incarnation) NewLock() sync.Locker { return &lock{cond: &cond{incarnation: i}} }
 
-// Lock waits until nobody holds the lock.
+// Lock waits until the lock is free and takes it.
 func (l *lock) Lock() {
-	if t := l.cond.incarnation.world.running; t == nil || t.incarnation != l.cond.incarnation || l.cond.incarnation.ended {
-		l.visited = true
+	if t := l.cond.incarnation.world.running; t == nil || t.incarnation != l.cond.incarnation ||
+		l.cond.incarnation.ended {
+		l.bypassed = true
 		return
 	}
 	for !l.cond.Wait(time.Hour, func() bool { return !l.locked }) {
@@ -184,17 +192,17 @@
 	l.locked = true
 }
 
-// Unlock lets the next have it.
+// Unlock releases the lock.
 func (l *lock) Unlock() {
-	if l.visited {
-		l.visited = false
+	if l.bypassed {
+		l.bypassed = false
 		return
 	}
 	l.locked = false
 	l.cond.Broadcast()
 }
 
-// NewCond makes a condition variable.
+// NewCond returns a condition variable.
 func (i *incarnation) NewCond() runtime.Cond { return &cond{incarnation: i} }
 
 // cond is a runtime.Cond under the simulated clock.
@@ -203,24 +211,26 @@
 	waiters     []*waiter
 }
 
+// waiter is a thread that waits on a cond.
 type waiter struct {
 	thread   *thread
 	notified bool
 	timedOut bool
 }
 
-// Broadcast has all who wait ask again.
+// Broadcast makes all waiters check their condition again.
 func (c *cond) Broadcast() {
-	for _, waiting := range c.waiters {
-		if !waiting.notified {
-			waiting.notified = true
-			c.incarnation.world.after(0, c.incarnation, waiting.thread.resume)
+	for _, w := range c.waiters {
+		if !w.notified {
+			w.notified = true
+			c.incarnation.world.schedule(0, c.incarnation, w.thread.resume)
 		}
 	}
 }
 
-// Wait waits until over is true or the patience ends.
-func (c *cond) Wait(patience time.Duration, over func() bool) bool {
+// Wait waits until over returns true or the timeout has passed, and reports whether over returned
+// true.
+func (c *cond) Wait(timeout time.Duration, over func() bool) bool {
 	if c.incarnation.ended {
 		panic(killed{})
 	}
@@ -229,12 +239,12 @@
 	}
 	t := c.incarnation.world.running
 	if t == nil || t.incarnation != c.incarnation {
-		panic("world: a wait outside of the life's own threads")
+		panic("simulation: wait on a condition variable outside of its incarnation's threads")
 	}
 	waiting := &waiter{thread: t}
 	c.waiters = append(c.waiters, waiting)
-	length := time.Duration(float64(patience) / (1 + c.incarnation.drift))
-	timer := c.incarnation.world.after(length, c.incarnation, func() {
+	length := time.Duration(float64(timeout) / (1 + c.incarnation.drift))
+	timer := c.incarnation.world.schedule(length, c.incarnation, func() {
 		waiting.timedOut = true
 		t.resume()
 	})
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -12,80 +12,83 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Incident is what happened to a laid-out fleet, how long each answer to it took, and
-// what was said meanwhile. A time is negative when it did not come within the
-// patience, and zero when it was not looked for.
+// Incident is an incident of a fleet with a Layout: how long each reaction to it took, and the
+// traffic between nodes meanwhile. A time is negative if the reaction did not come within
+// incidentTimeout, and zero if it was not awaited.
 type Incident struct {
 	Name  string
 	Times int
-	// Led is until a controller leads again, Moved until the roles of lost nodes have
-	// other holders, InForce until a change that is made at once is in force, Held until
-	// every node that runs has a lease, Whole until the core has all replicas and witnesses.
-	// Of several times the longest.
-	Led, Moved, InForce, Held, Whole time.Duration
-	// InForceMean is the mean of several changes.
+	// NewLeader is the time until a controller leads again, RolesMoved until the roles of lost
+	// nodes have other holders, InForce until a change that is made at once is in force, LeasesHeld
+	// until every running node has a lease, and CoreComplete until the core has all replicas and
+	// witnesses. If the incident is repeated, each of these fields is the longest of the measured
+	// times.
+	NewLeader, RolesMoved, InForce, LeasesHeld, CoreComplete time.Duration
+	// InForceMean is the mean time until a change is in force, over all changes of the incident.
 	InForceMean time.Duration
-	// Span is how long it was looked at, Traffic what was said, Rest what would have
-	// been said in this time without it.
+	// Span is how long the incident was observed, Traffic the traffic in this time, and Rest
+	// the traffic of a fleet without incidents in a time of the same length.
 	Span    time.Duration
 	Traffic Traffic
 	Rest    Traffic
 }
 
-const incidentPatience = 60 * time.Second
+// incidentTimeout is how long the simulation waits for a reaction to an incident.
+const incidentTimeout = 60 * time.Second
 
-// Incidents lets a laid-out fleet start and meet, one after another, what a year
-// brings; lost is how long machines and links stay away, losses how many machines of
-// nodes are lost one after another.
+// Incidents starts a fleet with a Layout and runs, one after another, the incidents that such a fleet
+// may have in a year. The parameter lost is how long lost machines and cut links are unavailable. The
+// parameter losses is how many times a single router's machine is lost, always for 15 seconds; twice
+// as many routers are restarted.
 func (w *World) Incidents(lost time.Duration, losses int) []Incident {
 	log := &incidentLog{world: w}
 	log.record(Incident{Name: "the fleet starts"}, w.startFleet)
 	log.record(Incident{Name: "at rest"}, func(*Incident) { w.run(w.now + 10*time.Second) })
 	log.rest = log.incidents[1]
 	log.record(Incident{Name: "single changes", Times: 20}, w.changeOneByOne)
-	log.record(Incident{Name: "a storm of eight operators, 10 s"}, w.stormOfChanges)
+	log.record(Incident{Name: "a storm of eight operators, 10 s"}, w.changeConcurrently)
 	log.record(Incident{Name: "a node restarted", Times: 2 * losses}, w.restartNodes)
 	log.record(Incident{Name: "a node's machine lost", Times: losses}, func(incident *Incident) {
 		for range incident.Times {
-			w.lose(incident, []*machine{w.anyNode(membership.Router)}, 15*time.Second)
+			w.loseMachines(incident, []*machine{w.anyNode(membership.Router)}, 15*time.Second)
 		}
 	})
 	log.record(Incident{Name: "the primary's machine lost"},
-		func(incident *Incident) { w.lose(incident, []*machine{w.primary()}, lost) })
+		func(incident *Incident) { w.loseMachines(incident, []*machine{w.primary()}, lost) })
 	log.record(Incident{Name: "the backup's machine lost"},
-		func(incident *Incident) { w.lose(incident, []*machine{w.backup()}, lost) })
+		func(incident *Incident) { w.loseMachines(incident, []*machine{w.backup()}, lost) })
 	log.record(Incident{Name: "a rack of ten nodes and the backup lost"},
-		func(incident *Incident) { w.lose(incident, w.rackOfBackup(), lost) })
+		func(incident *Incident) { w.loseMachines(incident, w.rackOfBackup(), lost) })
 	log.record(Incident{Name: "the primary's zone lost"}, func(incident *Incident) {
-		w.lose(incident, w.inZones([]string{w.primary().zone}), lost)
+		w.loseMachines(incident, w.inZones([]string{w.primary().zone}), lost)
 	})
-	log.record(Incident{Name: "a region without the primary apart"}, func(incident *Incident) {
-		w.apart(incident, func(region int) bool {
+	log.record(Incident{Name: "a region without the primary cut off"}, func(incident *Incident) {
+		w.partition(incident, func(region int) bool {
 			return region == (w.layout.region(w.primary().zone)+1)%len(w.layout.Zones)
 		}, lost)
 	})
-	log.record(Incident{Name: "the primary's region apart"}, func(incident *Incident) {
+	log.record(Incident{Name: "the primary's region cut off"}, func(incident *Incident) {
 		own := w.layout.region(w.primary().zone)
-		w.apart(incident, func(region int) bool { return region == own }, lost)
+		w.partition(incident, func(region int) bool { return region == own }, lost)
 	})
-	log.record(Incident{Name: "all regions apart"}, func(incident *Incident) { w.apart(incident, nil, lost) })
+	log.record(Incident{Name: "all regions cut off from each other"}, func(incident *Incident) { w.partition(incident, nil, lost) })
 	w.endAll()
 	return log.incidents
 }
 
-// incidentLog records incidents and what was said meanwhile.
+// incidentLog records incidents and the traffic during each.
 type incidentLog struct {
 	world     *World
 	incidents []Incident
-	// rest is the incident "at rest", once it is recorded.
+	// rest is the recorded incident "at rest".
 	rest Incident
 }
 
-// record has an incident happen.
-func (l *incidentLog) record(incident Incident, act func(incident *Incident)) {
-	before, began := l.world.sum(), l.world.now
-	act(&incident)
-	after := l.world.sum()
+// record runs an incident and adds it to the log.
+func (l *incidentLog) record(incident Incident, run func(incident *Incident)) {
+	before, began := l.world.totalTraffic(), l.world.now
+	run(&incident)
+	after := l.world.totalTraffic()
 	incident.Span = l.world.now - began
 	incident.Traffic = Traffic{after.Messages - before.Messages, after.Bytes - before.Bytes}
 	if l.rest.Span > 0 && l.rest.Traffic != (Traffic{}) {
@@ -107,25 +110,26 @@
 		})
 	}
 	w.run(w.now + 2100*time.Millisecond)
-	incident.Led = w.since(began, w.hasLeader)
-	incident.Held = w.since(began, w.allHaveLeases)
-	incident.Whole = w.since(began, w.coreComplete)
-	incident.InForce = w.changed(w.now, w.configuration())
-	// Roles are given, and those who came late take theirs over.
-	w.since(w.now, func() bool { return w.rolesSettled(nil) })
+	incident.NewLeader = w.timeUntil(began, w.hasLeader)
+	incident.LeasesHeld = w.timeUntil(began, w.allHaveLeases)
+	incident.CoreComplete = w.timeUntil(began, w.coreComplete)
+	incident.InForce = w.editUntilAccepted(w.now, w.configuration())
+	// Wait until all roles are assigned, and then until nodes that started late have taken over
+	// their roles.
+	w.timeUntil(w.now, func() bool { return w.rolesAssigned(nil) })
 	w.run(w.now + 20*time.Second)
 }
 
 // changeOneByOne makes changes with a pause between them.
 func (w *World) changeOneByOne(incident *Incident) {
 	for range incident.Times {
-		w.change(incident)
+		w.timeEdit(incident)
 		w.run(w.now + 200*time.Millisecond)
 	}
 }
 
-// stormOfChanges has eight operators make changes for ten seconds.
-func (w *World) stormOfChanges(incident *Incident) {
+// changeConcurrently lets eight operators change the configuration at the same time, for ten seconds.
+func (w *World) changeConcurrently(incident *Incident) {
 	const operators = 8
 	ends := w.now + 10*time.Second
 	left := operators
@@ -134,7 +138,7 @@
 		w.outside.Go(func() {
 			for number := 0; w.now < ends; number++ {
 				began := w.now
-				if w.edit(w.nowhere("storm-"+strconv.Itoa(operator), number)) == "accepted" {
+				if w.requestEdit(w.harmlessEdit("storm-"+strconv.Itoa(operator), number)) == "accepted" {
 					incident.Times++
 					incident.InForceMean += w.now - began
 					incident.InForce = max(incident.InForce, w.now-began)
@@ -143,11 +147,11 @@
 			left--
 		})
 	}
-	w.since(w.now, func() bool { return left == 0 })
+	w.timeUntil(w.now, func() bool { return left == 0 })
 	incident.InForceMean /= time.Duration(max(incident.Times, 1))
 }
 
-// restartNodes kills routers and starts them again at once.
+// restartNodes kills routers, one after another, and starts each again 0.3 s later.
 func (w *World) restartNodes(incident *Incident) {
 	for range incident.Times {
 		m := w.anyNode(membership.Router)
@@ -155,12 +159,12 @@
 		w.run(w.now + 300*time.Millisecond)
 		began := w.now
 		w.start(m)
-		incident.Held = later(incident.Held, w.since(began, w.allHaveLeases))
+		incident.LeasesHeld = longer(incident.LeasesHeld, w.timeUntil(began, w.allHaveLeases))
 		w.run(w.now + 500*time.Millisecond)
 	}
 }
 
-// rackOfBackup is the backup's machine and ten routers of its zone.
+// rackOfBackup returns the backup's machine and ten routers of its zone.
 func (w *World) rackOfBackup() []*machine {
 	const routers = 10
 	rack := []*machine{w.backup()}
@@ -172,26 +176,27 @@
 	return rack
 }
 
-func later(left, right time.Duration) time.Duration {
+// longer returns the longer of two times, or -1 if either is negative.
+func longer(left, right time.Duration) time.Duration {
 	if left < 0 || right < 0 {
 		return -1
 	}
 	return max(left, right)
 }
 
-// since lets time pass until the condition holds and tells how long that was from the
-// moment, or -1 when the patience ended.
-func (w *World) since(from time.Duration, condition func() bool) time.Duration {
-	for ends := w.now + incidentPatience; !condition(); {
+// timeUntil runs the world until the condition holds and returns the time since began, or -1 if
+// the condition does not hold within incidentTimeout.
+func (w *World) timeUntil(began time.Duration, condition func() bool) time.Duration {
+	for ends := w.now + incidentTimeout; !condition(); {
 		if w.now >= ends {
 			return -1
 		}
 		w.run(w.now + 10*time.Millisecond)
 	}
-	return w.now - from
+	return w.now - began
 }
 
-// hasLeader tells whether a controller leads.
+// hasLeader reports whether a controller leads.
 func (w *World) hasLeader() bool {
 	for _, m := range w.nodes(membership.Controller) {
 		if m.incarnation != nil && !m.incarnation.ended && m.control != nil {
@@ -203,7 +208,7 @@
 	return false
 }
 
-// backup is the machine of the primary's backup.
+// backup returns the machine of the primary's backup, or any controller if there is no such machine.
 func (w *World) backup() *machine {
 	members := w.primary().control.Coordinator().Membership()
 	if m := w.machineNamed(w.nameAt(members.Backup.Address)); m != nil {
@@ -212,7 +217,7 @@
 	return w.anyNode(membership.Controller)
 }
 
-// allHaveLeases tells whether every router that runs has a lease.
+// allHaveLeases reports whether every running router has a lease.
 func (w *World) allHaveLeases() bool {
 	for _, m := range w.nodes(membership.Router) {
 		if m.incarnation != nil && !m.incarnation.ended && !m.incarnation.Now().Before(m.router.Core().LeaseEnds()) {
@@ -222,8 +227,8 @@
 	return true
 }
 
-// rolesSettled tells whether every key has a holder and none of them is gone.
-func (w *World) rolesSettled(gone []*machine) bool {
+// rolesAssigned reports whether every role has a holder and no holder is among the gone machines.
+func (w *World) rolesAssigned(gone []*machine) bool {
 	primary := w.primary()
 	if primary.control == nil {
 		return false
@@ -248,9 +253,9 @@
 	return true
 }
 
-// nowhere is a change that takes nothing away: it evacuates a zone that is not there,
-// or restores it.
-func (w *World) nowhere(name string, number int) controlplane.Edit {
+// harmlessEdit returns a change without an effect on traffic, because no zone has the given name: if
+// number is even, the change evacuates the zone; if number is odd, it ends the zone's evacuation.
+func (w *World) harmlessEdit(name string, number int) controlplane.Edit {
 	edit := controlplane.Edit{
 		Change:          name + "-" + w.nonce(),
 		Digest:          name,
@@ -258,16 +263,17 @@
 		Apply:           func(text []byte) ([]byte, error) { return config.Evacuate(text, name, "rehearsal") },
 	}
 	if number%2 == 1 {
-		edit.Apply = func(text []byte) ([]byte, error) { return config.Restore(text, name) }
+		edit.Apply = func(text []byte) ([]byte, error) { return config.EndEvacuation(text, name) }
 	}
 	return edit
 }
 
-// configuration is the fleet's first.
+// configuration returns the change that makes the fleet's first configuration.
 func (w *World) configuration() controlplane.Edit {
 	text := `{"services":{"chat":{}},"routes":{`
 	for number := range w.layout.Routes {
-		text += `"route-` + strconv.Itoa(number+1) + `":{"order":7,"match":{"service":"chat","prefix":"prefix-` + strconv.Itoa(number+1) + `"},"to":{"home_first":true}},`
+		text += `"route-` + strconv.Itoa(number+1) + `":{"order":7,"match":{"service":"chat","prefix":"prefix-` +
+			strconv.Itoa(number+1) + `"},"to":{"home_first":true}},`
 	}
 	text += `"all":{"order":9,"to":{"home_first":true}}}}`
 	return controlplane.Edit{
@@ -277,49 +283,56 @@
 	}
 }
 
-// changed makes a change over and over until one is accepted, and tells how long that
-// took from the moment.
-func (w *World) changed(from time.Duration, edit controlplane.Edit) time.Duration {
-	over := false
+// editUntilAccepted retries a change until it is accepted and returns the time since began, or -1
+// if the change is not accepted within incidentTimeout.
+func (w *World) editUntilAccepted(began time.Duration, edit controlplane.Edit) time.Duration {
+	done := false
 	w.outside.Go(func() {
-		for ends := w.now + incidentPatience; w.now < ends && !over; {
-			if over = w.edit(edit) == "accepted"; !over {
+		for ends := w.now + incidentTimeout; w.now < ends && !done; {
+			if done = w.requestEdit(edit) == "accepted"; !done {
 				w.wait(50, 50)
 			}
 		}
 	})
-	return w.since(from, func() bool { return over })
+	return w.timeUntil(began, func() bool { return done })
 }
 
-// change makes one change and adds how long it took.
-func (w *World) change(incident *Incident) {
-	took := w.changed(w.now, w.nowhere("nowhere", len(w.encounters)))
-	incident.InForce = later(incident.InForce, took)
+// timeEdit makes one change and measures the time until it is in force. It raises InForce to that time
+// if the time is longer, and adds the time divided by Times to InForceMean. If the change is not in
+// force within incidentTimeout, the time is -1: InForce becomes -1 and stays so, but InForceMean gets
+// -1 divided by Times, which is zero if Times is greater than one. The number passed to harmlessEdit
+// is how many different situations have been encountered, so consecutive calls may make the same
+// change.
+func (w *World) timeEdit(incident *Incident) {
+	took := w.editUntilAccepted(w.now, w.harmlessEdit("nowhere", len(w.encounters)))
+	incident.InForce = longer(incident.InForce, took)
 	incident.InForceMean += took / time.Duration(max(incident.Times, 1))
 }
 
-// lose takes machines away, makes a change at once, and gives them back.
-func (w *World) lose(incident *Incident, gone []*machine, length time.Duration) {
+// loseMachines powers machines off, makes a change as soon as a controller leads, and starts the
+// machines again when they have been off for the given length of time. A change that does not come
+// into force in time is recorded as by timeEdit.
+func (w *World) loseMachines(incident *Incident, gone []*machine, length time.Duration) {
 	began := w.now
 	for _, m := range gone {
 		w.powerOff(m.name)
 	}
-	incident.Led = later(incident.Led, w.since(began, w.hasLeader))
-	took := w.changed(began, w.nowhere("nowhere-"+w.nonce(), 0))
-	incident.InForce = later(incident.InForce, took)
+	incident.NewLeader = longer(incident.NewLeader, w.timeUntil(began, w.hasLeader))
+	took := w.editUntilAccepted(began, w.harmlessEdit("nowhere-"+w.nonce(), 0))
+	incident.InForce = longer(incident.InForce, took)
 	incident.InForceMean += took / time.Duration(max(incident.Times, 1))
-	incident.Moved = later(incident.Moved, w.since(began, func() bool { return w.rolesSettled(gone) }))
-	incident.Whole = later(incident.Whole, w.since(began, w.coreComplete))
+	incident.RolesMoved = longer(incident.RolesMoved, w.timeUntil(began, func() bool { return w.rolesAssigned(gone) }))
+	incident.CoreComplete = longer(incident.CoreComplete, w.timeUntil(began, w.coreComplete))
 	w.run(max(w.now, began+length))
 	for _, m := range gone {
 		w.start(m)
 	}
-	incident.Held = later(incident.Held, w.since(w.now, w.allHaveLeases))
-	w.since(w.now, w.coreComplete)
+	incident.LeasesHeld = longer(incident.LeasesHeld, w.timeUntil(w.now, w.allHaveLeases))
+	w.timeUntil(w.now, w.coreComplete)
 	w.run(w.now + 10*time.Second)
 }
 
-// inZones are all machines of some zones.
+// inZones returns all machines of the given zones.
 func (w *World) inZones(zones []string) []*machine {
 	var found []*machine
 	for _, m := range w.nodes("") {
@@ -330,15 +343,16 @@
 	return found
 }
 
-// apart cuts the regions that are told from all others, or all from each other, makes
-// a change at once, and heals the links after the length.
-func (w *World) apart(incident *Incident, cut func(region int) bool, length time.Duration) {
+// partition cuts the links between the regions for which cut returns true and all other regions,
+// or the links between all regions if cut is nil. It restores the links after the given length of
+// time. It makes a change while the links are cut, or after they are restored if cut is nil.
+func (w *World) partition(incident *Incident, cut func(region int) bool, length time.Duration) {
 	began := w.now
 	var links []*link
 	for _, from := range w.machines {
 		for _, to := range w.machines {
-			here, there := w.layout.region(from.zone), w.layout.region(to.zone)
-			if here != there && (cut == nil || cut(here) != cut(there)) {
+			source, target := w.layout.region(from.zone), w.layout.region(to.zone)
+			if source != target && (cut == nil || cut(source) != cut(target)) {
 				links = append(links, w.link(from.name, to.name))
 			}
 		}
@@ -348,10 +362,11 @@
 	}
 	if cut != nil {
 		w.run(w.now + 10*time.Millisecond)
-		incident.Led = w.since(began, func() bool {
+		// The new leader should be in a region that is not cut off. After 5 seconds any leader counts.
+		incident.NewLeader = w.timeUntil(began, func() bool {
 			return w.hasLeader() && !cut(w.layout.region(w.primary().zone)) || w.hasLeader() && w.now-began > 5*time.Second
 		})
-		incident.InForce = w.changed(began, w.nowhere("nowhere-"+w.nonce(), 0))
+		incident.InForce = w.editUntilAccepted(began, w.harmlessEdit("nowhere-"+w.nonce(), 0))
 		incident.InForceMean = incident.InForce
 	}
 	w.run(max(w.now, began+length))
@@ -359,10 +374,10 @@
 	for _, l := range links {
 		l.cut = false
 	}
-	incident.Held = w.since(healed, w.allHaveLeases)
-	incident.Whole = w.since(healed, w.coreComplete)
+	incident.LeasesHeld = w.timeUntil(healed, w.allHaveLeases)
+	incident.CoreComplete = w.timeUntil(healed, w.coreComplete)
 	if cut == nil {
-		incident.InForce = w.changed(healed, w.nowhere("nowhere-"+w.nonce(), 0))
+		incident.InForce = w.editUntilAccepted(healed, w.harmlessEdit("nowhere-"+w.nonce(), 0))
 		incident.InForceMean = incident.InForce
 	}
 	w.run(w.now + 10*time.Second)
@@ -371,7 +386,9 @@
 // WriteIncidents writes incidents as a table.
 func WriteIncidents(target io.Writer, incidents []Incident) error {
 	if _, err := fmt.Fprintln(target,
-		"| what | times | led again | duties moved | change in force, mean | longest | all held | core whole | looked at | messages | bytes | at rest in this time, messages | bytes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"); err != nil {
+		`| incident | times | new leader | roles moved | change, mean | longest | all leases | core complete |`+
+			` observed | messages | bytes | at rest in this time, messages | bytes |
+| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |`); err != nil {
 		return err
 	}
 	seconds := func(length time.Duration) string {
@@ -385,8 +402,9 @@
 	}
 	for _, incident := range incidents {
 		if _, err := fmt.Fprintf(target, "| %s | %d | %s | %s | %s | %s | %s | %s | %s | %d | %d kB | %d | %d kB |\n",
-			incident.Name, incident.Times, seconds(incident.Led), seconds(incident.Moved),
-			seconds(incident.InForceMean), seconds(incident.InForce), seconds(incident.Held), seconds(incident.Whole), seconds(incident.Span), incident.Traffic.Messages, incident.Traffic.Bytes/1000,
+			incident.Name, incident.Times, seconds(incident.NewLeader), seconds(incident.RolesMoved),
+			seconds(incident.InForceMean), seconds(incident.InForce), seconds(incident.LeasesHeld),
+			seconds(incident.CoreComplete), seconds(incident.Span), incident.Traffic.Messages, incident.Traffic.Bytes/1000,
 			incident.Rest.Messages, incident.Rest.Bytes/1000); err != nil {
 			return err
 		}
--- a/internal/testbed/simulation/layout.go
+++ b/internal/testbed/simulation/layout.go
@@ -8,38 +8,44 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// Layout is a fleet of several regions, whose control alone is rehearsed: servers are
-// listed and neither report nor work.
+// Layout describes a fleet of several regions of which only the control plane is simulated:
+// the servers are listed, but send no load reports and do no work.
 type Layout struct {
 	// Zones are the zones of each region.
 	Zones [][]string
-	// Between is how long a message takes from one region to another, beside what it
-	// takes within one.
+	// Between is the latency from one region to another, in addition to the latency within
+	// a region.
 	Between time.Duration
 	Routers int
 	Servers int
-	// Controllers are the machines set aside for control; the first three are seeds and
-	// lie in three regions, if there are so many.
+	// Controllers is the number of machines for controllers. The first three are seeds; if there
+	// are at least three regions, each seed is in a different region.
 	Controllers int
-	BorneLosses int
-	// Routes is how many routes the configuration has.
+	// ToleratedLosses is the number of lost machines that the core tolerates.
+	ToleratedLosses int
+	// Routes is the number of routes in the configuration.
 	Routes int
 }
 
-// FutureLayout is the fleet of two years from now.
+// FutureLayout returns the fleet that is expected in two years.
 func FutureLayout() Layout {
 	return Layout{
-		Zones:       [][]string{{"east-1", "east-2", "east-3"}, {"west-1", "west-2", "west-3"}, {"north-1", "north-2", "north-3"}, {"south-1", "south-2"}},
-		Between:     20 * time.Millisecond,
-		Routers:     324,
-		Servers:     1100,
-		Controllers: 6,
-		BorneLosses: 1,
-		Routes:      300,
+		Zones: [][]string{
+			{"east-1", "east-2", "east-3"},
+			{"west-1", "west-2", "west-3"},
+			{"north-1", "north-2", "north-3"},
+			{"south-1", "south-2"},
+		},
+		Between:         20 * time.Millisecond,
+		Routers:         324,
+		Servers:         1100,
+		Controllers:     6,
+		ToleratedLosses: 1,
+		Routes:          300,
 	}
 }
 
-// zones are all zones, one of each region in turn.
+// zones returns all zones: the first zone of each region, then the second zone of each, and so on.
 func (l Layout) zones() []string {
 	var zones []string
 	for position := 0; ; position++ {
@@ -55,7 +61,7 @@
 	}
 }
 
-// region is the number of a zone's region, or -1.
+// region returns the number of a zone's region, or -1 if no region has the zone.
 func (l Layout) region(zone string) int {
 	for number, region := range l.Zones {
 		for _, name := range region {
@@ -67,12 +73,13 @@
 	return -1
 }
 
-// NewLaidOut lays out a fleet of several regions.
+// NewLaidOut returns the world of a fleet of several regions.
 func NewLaidOut(layout Layout, seed uint64) *World {
 	zones := layout.zones()
 	world := New(fleet.Deployment{Name: "regions", Zones: zones, Long: fleet.Sahil().Long, Short: fleet.Sahil().Short}, seed)
 	world.layout = &layout
-	// The deployment without routers has three controllers; the layout's are others.
+	// New adds three controllers even for a deployment without routers; the controllers of the
+	// layout replace them.
 	world.machines, world.byAddress = nil, map[string]string{}
 	var seeds []string
 	for position := range min(3, layout.Controllers) {
@@ -97,27 +104,29 @@
 	return world
 }
 
-// far is how much longer a message takes between two machines than within a region.
-func (w *World) far(from, to string) time.Duration {
+// regionDelay returns the additional latency between two machines in different regions.
+func (w *World) regionDelay(from, to string) time.Duration {
 	if w.layout == nil {
 		return 0
 	}
-	here, there := w.machineNamed(from), w.machineNamed(to)
-	if here == nil || there == nil || w.layout.region(here.zone) == w.layout.region(there.zone) {
+	source, target := w.machineNamed(from), w.machineNamed(to)
+	if source == nil || target == nil || w.layout.region(source.zone) == w.layout.region(target.zone) {
 		return 0
 	}
 	return w.layout.Between
 }
 
-func (w *World) borneLosses() int {
+// toleratedLosses returns the number of lost machines that the core of a Layout tolerates, or 0 without
+// a Layout.
+func (w *World) toleratedLosses() int {
 	if w.layout == nil {
 		return 0
 	}
-	return w.layout.BorneLosses
+	return w.layout.ToleratedLosses
 }
 
-// listControllers are the nodes that the controllers of a laid-out fleet are told of;
-// routers are told of none.
+// listControllers returns the nodes that the platform lists to the controllers of a fleet
+// with a Layout; it lists no nodes to routers.
 func (w *World) listControllers() []membership.Node {
 	var nodes []membership.Node
 	for _, node := range w.listNodes() {
@@ -128,19 +137,20 @@
 	return nodes
 }
 
-// Traffic is what went over the RPC client.
+// Traffic counts the messages over the RPC client and their bytes.
 type Traffic struct {
 	Messages int
 	Bytes    int
 }
 
+// countTraffic counts a message and its response under the message's path.
 func (w *World) countTraffic(path string, bytes int) {
 	count := w.traffic[path]
 	w.traffic[path] = Traffic{count.Messages + 1, count.Bytes + bytes}
 }
 
-// sum is all traffic so far.
-func (w *World) sum() Traffic {
+// totalTraffic returns all traffic so far.
+func (w *World) totalTraffic() Traffic {
 	var all Traffic
 	for _, count := range w.traffic {
 		all.Messages += count.Messages
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -16,14 +16,15 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// changeInput is one order of an operator, or a read.
+// changeInput is a read, or an operator's order to change the configuration. The order has the
+// number order and replaces revision base by revision next.
 type changeInput struct {
-	read         bool
-	order        int
-	builds, next uint64
+	read       bool
+	order      int
+	base, next uint64
 }
 
-// changeOutput is how it ended: what a read showed, or one of the outcomes.
+// changeOutput is the revision that a read returned, or the outcome of an order.
 type changeOutput struct {
 	revision uint64
 	outcome  outcome
@@ -37,41 +38,41 @@
 	unknownOutcome  outcome = "unknown"
 )
 
-// register is the configuration as operators may see it: its revision, and the orders that
-// took effect, a bit each.
+// register is the state of the model: the configuration's revision, and one bit for each order
+// that took effect.
 type register struct {
 	revision uint64
-	taken    uint64
+	applied  uint64
 }
 
-// registerModel judges histories of orders and reads. An order with an unknown outcome may
-// take effect at any later time, or never; one that took effect is accepted again, changes
-// nothing again, and is never refused.
+// registerModel is the model by which histories of orders and reads are checked. An order with
+// an unknown outcome may take effect at any later time, or never. An order that took effect and
+// is sent again is accepted without changing anything, and is never refused.
 var registerModel = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, output any) (bool, any) {
-		current, asked, answered := state.(register), input.(changeInput), output.(changeOutput)
-		bit := uint64(1) << asked.order
-		taken, fits := current.taken&bit != 0, current.revision == asked.builds
-		after := register{revision: asked.next, taken: current.taken | bit}
+		current, in, out := state.(register), input.(changeInput), output.(changeOutput)
+		bit := uint64(1) << in.order
+		applied, baseMatches := current.applied&bit != 0, current.revision == in.base
+		after := register{revision: in.next, applied: current.applied | bit}
 		switch {
-		case asked.read:
-			return answered.revision == current.revision, current
-		case answered.outcome == conflictOutcome:
-			return !taken && !fits, current
-		case taken:
+		case in.read:
+			return out.revision == current.revision, current
+		case out.outcome == conflictOutcome:
+			return !applied && !baseMatches, current
+		case applied:
 			return true, current
-		case answered.outcome == acceptedOutcome:
-			return fits, after
-		case fits:
+		case out.outcome == acceptedOutcome:
+			return baseMatches, after
+		case baseMatches:
 			return true, after
 		}
 		return true, current
 	},
 }
 
-// operatorsHistory has operators send orders to any controller while the day goes on, and
-// keeps what they saw.
+// operatorsHistory runs operators that send orders to any controller, and records the history
+// of their operations.
 type operatorsHistory struct {
 	world      *World
 	operations []porcupine.Operation
@@ -79,31 +80,34 @@
 	running    int
 }
 
-// mostOrders is how many orders the model tells apart.
-const mostOrders = 60
+// maxOrders bounds the orders of a history; the model has one bit for each.
+const maxOrders = 60
 
-func (o *operatorsHistory) note(c int, asked changeInput, answered changeOutput, from time.Duration) {
-	e := o.world.now.Nanoseconds()
-	if answered.outcome == unknownOutcome {
-		e = math.MaxInt64 / 2
+// record adds an operation to the history. An operation with an unknown outcome has no end, as it
+// may take effect at any later time.
+func (o *operatorsHistory) record(client int, input changeInput, output changeOutput, began time.Duration) {
+	ended := o.world.now.Nanoseconds()
+	if output.outcome == unknownOutcome {
+		ended = math.MaxInt64 / 2
 	}
 	o.operations = append(o.operations, porcupine.Operation{
-		ClientId: c,
-		Input:    asked,
-		Output:   answered,
-		Call:     from.Nanoseconds(),
-		Return:   e,
+		ClientId: client,
+		Input:    input,
+		Output:   output,
+		Call:     began.Nanoseconds(),
+		Return:   ended,
 	})
 }
 
-// anyControl is a controller that runs, whether it leads or not.
-func (o *operatorsHistory) anyControl() *machine {
+// anyController returns a random controller's machine, whether it leads or not.
+func (o *operatorsHistory) anyController() *machine {
 	return o.world.anyNode(membership.Controller)
 }
 
-// read asks one controller for the configuration; who can't be sure gives no answer.
-func (o *operatorsHistory) read(c int) (uint64, bool) {
-	m, began := o.anyControl(), o.world.now
+// read reads the configuration at one controller and records the read. It returns false if the
+// controller returns no configuration, for example because it can't be sure that it still leads.
+func (o *operatorsHistory) read(client int) (uint64, bool) {
+	m, began := o.anyController(), o.world.now
 	content, err := o.world.outside.call(m.name, time.Second, func(*incarnation) (any, error) {
 		if m.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
@@ -121,139 +125,141 @@
 	if err != nil {
 		return 0, false
 	}
-	o.note(c, changeInput{read: true}, changeOutput{revision: configuration.Revision}, began)
+	o.record(client, changeInput{read: true}, changeOutput{revision: configuration.Revision}, began)
 	return configuration.Revision, true
 }
 
-// send brings an order to one controller.
-func (o *operatorsHistory) send(c int, asked changeInput) {
-	m, began := o.anyControl(), o.world.now
-	text := fmt.Sprintf(`{"revision":%d,"annotations":{"order":%d}}`, asked.next, asked.order)
+// send sends an order to one controller and records the outcome.
+func (o *operatorsHistory) send(client int, input changeInput) {
+	m, began := o.anyController(), o.world.now
+	text := fmt.Sprintf(`{"revision":%d,"annotations":{"order":%d}}`, input.next, input.order)
 	_, err := o.world.outside.call(m.name, 2*time.Second, func(*incarnation) (any, error) {
 		if m.control == nil {
 			return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 		}
 		return m.control.Edit(controlplane.Edit{
-			BaseRevision: &asked.builds,
+			BaseRevision: &input.base,
 			Digest:       text,
 			Apply:        func([]byte) ([]byte, error) { return []byte(text), nil },
 		})
 	})
 	if err == nil {
-		o.note(c, asked, changeOutput{outcome: acceptedOutcome}, began)
+		o.record(client, input, changeOutput{outcome: acceptedOutcome}, began)
 		return
 	}
 	switch failure.CodeOf(err) {
 	case failure.RevisionConflict:
-		o.note(c, asked, changeOutput{outcome: conflictOutcome}, began)
+		o.record(client, input, changeOutput{outcome: conflictOutcome}, began)
 	case failure.NoPrimary, failure.NotPrimary:
-		// It certainly was not taken.
+		// The order certainly did not take effect, so the history contains no operation for it.
 	default:
-		o.note(c, asked, changeOutput{outcome: unknownOutcome}, began)
+		o.record(client, input, changeOutput{outcome: unknownOutcome}, began)
 	}
 }
 
-// operate is one operator's day: orders on what it read last, some with the numbers of
-// others, and any earlier order again.
-func (o *operatorsHistory) operate(c int, until time.Duration) {
+// operate runs one operator until the given time. In each round the operator reads the configuration
+// and then either sends a new order based on the revision that it read last, or repeats an earlier
+// order of any operator.
+func (o *operatorsHistory) operate(client int, until time.Duration) {
 	known := uint64(0)
 	for o.world.now < until {
-		if revision, found := o.read(c); found {
+		if revision, found := o.read(client); found {
 			known = revision
 		}
 		switch random := o.world.random; {
 		case len(o.orders) > 0 && random.IntN(3) == 0:
-			o.send(c, o.orders[random.IntN(len(o.orders))])
-		case len(o.orders) < mostOrders:
-			asked := changeInput{order: len(o.orders), builds: known, next: known + 1}
-			o.orders = append(o.orders, asked)
-			o.send(c, asked)
+			o.send(client, o.orders[random.IntN(len(o.orders))])
+		case len(o.orders) < maxOrders:
+			input := changeInput{order: len(o.orders), base: known, next: known + 1}
+			o.orders = append(o.orders, input)
+			o.send(client, input)
 		}
 		o.world.wait(50, 900)
 	}
 	o.running--
 }
 
-// controlFaults are what happens to the core meanwhile, by their names.
-var controlFaults = map[string]func(fleet *World, until time.Duration){
-	"a primary cut off for 20 s": func(fleet *World, until time.Duration) {
-		primary := fleet.primary()
+// controlFaults are the faults of the core during a history, by name.
+var controlFaults = map[string]func(world *World, until time.Duration){
+	"a primary cut off for 20 s": func(world *World, until time.Duration) {
+		primary := world.primary()
 		if primary == nil {
 			return
 		}
-		fleet.cutOff(primary.name, true)
-		fleet.wait(20_000, 20_000)
-		fleet.cutOff(primary.name, false)
-		fleet.wait(200, 1500)
-		if other := fleet.primary(); other != nil && other != primary {
-			fleet.killFor(other, 500, 1500)
+		world.cutOff(primary.name, true)
+		world.wait(20_000, 20_000)
+		world.cutOff(primary.name, false)
+		world.wait(200, 1500)
+		if other := world.primary(); other != nil && other != primary {
+			world.killFor(other, 500, 1500)
 		}
 	},
-	"primaries killed": func(fleet *World, until time.Duration) {
-		for fleet.now < until {
-			fleet.wait(2000, 5000)
-			if primary := fleet.primary(); primary != nil {
-				fleet.killFor(primary, 300, 1500)
+	"primaries killed": func(world *World, until time.Duration) {
+		for world.now < until {
+			world.wait(2000, 5000)
+			if primary := world.primary(); primary != nil {
+				world.killFor(primary, 300, 1500)
 			}
 		}
 	},
-	"primaries stopped in order": func(fleet *World, until time.Duration) {
-		for fleet.now < until {
-			fleet.wait(3000, 6000)
-			if primary := fleet.primary(); primary != nil {
-				fleet.stopFor(primary, 300, 800)
+	"primaries stopped in order": func(world *World, until time.Duration) {
+		for world.now < until {
+			world.wait(3000, 6000)
+			if primary := world.primary(); primary != nil {
+				world.stopFor(primary, 300, 800)
 			}
 		}
 	},
-	"primaries frozen": func(fleet *World, until time.Duration) {
-		for fleet.now < until {
-			fleet.wait(2000, 5000)
-			if primary := fleet.primary(); primary != nil {
-				fleet.freezeFor(primary)
+	"primaries frozen": func(world *World, until time.Duration) {
+		for world.now < until {
+			world.wait(2000, 5000)
+			if primary := world.primary(); primary != nil {
+				world.freezeFor(primary)
 			}
 		}
 	},
-	"links cut one way": func(fleet *World, until time.Duration) {
-		for fleet.now < until {
-			fleet.wait(1000, 4000)
-			if primary := fleet.primary(); primary != nil {
-				inwards := fleet.random.IntN(2) == 0
-				fleet.isolate(primary.name, inwards, !inwards)
-				fleet.wait(1000, 6000)
-				fleet.heal()
+	"links cut one way": func(world *World, until time.Duration) {
+		for world.now < until {
+			world.wait(1000, 4000)
+			if primary := world.primary(); primary != nil {
+				inwards := world.random.IntN(2) == 0
+				world.isolate(primary.name, inwards, !inwards)
+				world.wait(1000, 6000)
+				world.heal()
 			}
 		}
 	},
-	"all power lost": func(fleet *World, until time.Duration) {
-		for fleet.now < until {
-			fleet.wait(3000, 7000)
-			fleet.herd(membership.Controller)
+	"all power lost": func(world *World, until time.Duration) {
+		for world.now < until {
+			world.wait(3000, 7000)
+			world.restartAll(membership.Controller)
 		}
 	},
 }
 
-// TestOrdersAndReadsAreLinearizable has four operators race, repeat and read at any controller
-// through each fault of the control side, under several seeds, in virtual time.
+// TestOrdersAndReadsAreLinearizable runs four operators that send concurrent orders, repeat orders
+// and read at any controller, under each fault of the core and with several seeds. It checks
+// that the history is linearizable.
 func TestOrdersAndReadsAreLinearizable(t *testing.T) {
 	const (
-		operators = 4
-		length    = 30 * time.Second
-		judging   = 20 * time.Second
+		operators    = 4
+		length       = 30 * time.Second
+		checkTimeout = 20 * time.Second
 	)
-	for name, problem := range controlFaults {
+	for name, injectFault := range controlFaults {
 		t.Run(name, func(t *testing.T) {
 			accepted, unknown := 0, 0
 			for seed := range uint64(12) {
-				fleet := begun(t, 400+seed, PlatformSettings())
-				history := &operatorsHistory{world: fleet, running: operators}
-				until := fleet.now + length
-				for c := range operators {
-					fleet.outside.Go(func() { history.operate(c, until) })
+				world := startedFleet(t, 400+seed, PlatformSettings())
+				history := &operatorsHistory{world: world, running: operators}
+				until := world.now + length
+				for client := range operators {
+					world.outside.Go(func() { history.operate(client, until) })
 				}
-				fleet.outside.Go(func() { problem(fleet, until-5*time.Second) })
-				fleet.run(until + 15*time.Second)
+				world.outside.Go(func() { injectFault(world, until-5*time.Second) })
+				world.run(until + 15*time.Second)
 				if history.running > 0 {
-					t.Fatalf("seed %d: %d operators never ended", seed, history.running)
+					t.Fatalf("seed %d: %d operators did not finish", seed, history.running)
 				}
 				for _, operation := range history.operations {
 					switch operation.Output.(changeOutput).outcome {
@@ -263,38 +269,52 @@
 						unknown++
 					}
 				}
-				if result := porcupine.CheckOperationsTimeout(registerModel, history.operations, judging); result != porcupine.Ok {
-					t.Errorf("seed %d: %v over %d operations", seed, result, len(history.operations))
+				if result := porcupine.CheckOperationsTimeout(registerModel, history.operations, checkTimeout); result != porcupine.Ok {
+					t.Errorf("seed %d: linearizability check of %d operations: got %v, want Ok", seed, len(history.operations), result)
 				}
 			}
 			t.Logf("%d accepted, %d unknown", accepted, unknown)
 			if accepted < 12 {
-				t.Error("hardly anything was accepted")
+				t.Errorf("got %d accepted orders, want at least 12", accepted)
 			}
 		})
 	}
 }
 
-// TestTheModelSeesWhatMayNotBe seeds one violation of each kind.
-func TestTheModelSeesWhatMayNotBe(t *testing.T) {
-	order := func(number int, builds uint64) changeInput {
-		return changeInput{order: number, builds: builds, next: builds + 1}
+// TestModelRejectsInvalidHistories checks that the model rejects one history of each kind of
+// violation.
+func TestModelRejectsInvalidHistories(t *testing.T) {
+	order := func(number int, base uint64) changeInput {
+		return changeInput{order: number, base: base, next: base + 1}
 	}
-	says := func(o outcome) changeOutput { return changeOutput{outcome: o} }
+	outcomeIs := func(o outcome) changeOutput { return changeOutput{outcome: o} }
 	read := func(revision uint64) changeOutput { return changeOutput{revision: revision} }
 	for name, steps := range map[string][]porcupine.Operation{
-		"two on one base":        {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: order(1, 0), Output: says(acceptedOutcome)}},
-		"sent again and refused": {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: order(0, 0), Output: says(conflictOutcome)}},
-		"an old read":            {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: changeInput{read: true}, Output: read(0)}},
-		"made twice": {{Input: order(0, 0), Output: says(acceptedOutcome)}, {Input: order(1, 1), Output: says(acceptedOutcome)}, {Input: order(0,
-			0), Output: says(acceptedOutcome)}, {Input: changeInput{read: true}, Output: read(1)}},
-		"refused by an old base": {{Input: order(0, 0), Output: says(conflictOutcome)}},
+		"two orders accepted on one base": {
+			{Input: order(0, 0), Output: outcomeIs(acceptedOutcome)},
+			{Input: order(1, 0), Output: outcomeIs(acceptedOutcome)},
+		},
+		"accepted order refused when repeated": {
+			{Input: order(0, 0), Output: outcomeIs(acceptedOutcome)},
+			{Input: order(0, 0), Output: outcomeIs(conflictOutcome)},
+		},
+		"stale read": {
+			{Input: order(0, 0), Output: outcomeIs(acceptedOutcome)},
+			{Input: changeInput{read: true}, Output: read(0)},
+		},
+		"order applied twice": {
+			{Input: order(0, 0), Output: outcomeIs(acceptedOutcome)},
+			{Input: order(1, 1), Output: outcomeIs(acceptedOutcome)},
+			{Input: order(0, 0), Output: outcomeIs(acceptedOutcome)},
+			{Input: changeInput{read: true}, Output: read(1)},
+		},
+		"order on the current base refused": {{Input: order(0, 0), Output: outcomeIs(conflictOutcome)}},
 	} {
 		for position := range steps {
 			steps[position].Call, steps[position].Return = int64(2*position), int64(2*position+1)
 		}
 		if porcupine.CheckOperations(registerModel, steps) {
-			t.Errorf("%s is not seen", name)
+			t.Errorf("%s: the model accepts the history", name)
 		}
 	}
 }
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -6,141 +6,148 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// link is one direction between two machines.
+// link is the connection between two machines in one direction.
 type link struct {
-	// far is the distance between two regions.
-	far       time.Duration
-	cut       bool
-	delay     time.Duration
+	// regionDelay is the additional latency between two regions.
+	regionDelay time.Duration
+	// cut is set while all messages over the link are lost.
+	cut bool
+	// delay is the additional latency of a fault.
+	delay time.Duration
+	// loss and duplicate are the probabilities that a message is lost or delivered twice.
 	loss      float64
 	duplicate float64
 }
 
+// link returns the link between two machines in one direction.
 func (w *World) link(from, to string) *link {
 	ends := [2]string{from, to}
 	found := w.links[ends]
 	if found == nil {
-		found = &link{far: w.far(from, to)}
+		found = &link{regionDelay: w.regionDelay(from, to)}
 		w.links[ends] = found
 	}
 	return found
 }
 
-// heal ends all faults of all links.
+// heal removes all faults from all links, and ends slow dials.
 func (w *World) heal() {
 	w.links = map[[2]string]*link{}
 	w.slowDials = 0
 }
 
-// latency is how long one message takes.
-func (w *World) latency(over *link) time.Duration {
-	return time.Duration(150+w.random.IntN(1200))*time.Microsecond + over.delay + over.far
+// latency returns how long one message takes over a link.
+func (w *World) latency(l *link) time.Duration {
+	return time.Duration(150+w.random.IntN(1200))*time.Microsecond + l.delay + l.regionDelay
 }
 
-// carry brings one message over a link, or loses it.
-func (w *World) carry(from, to string, owner *incarnation, act func()) bool {
-	over := w.link(from, to)
-	if over.cut || (over.loss > 0 && w.random.Float64() < over.loss) {
+// carry sends one message over a link: it schedules callback in owner's process (nil: the world itself) after the
+// link's latency. If the link drops the message, carry returns false.
+func (w *World) carry(from, to string, owner *incarnation, callback func()) bool {
+	l := w.link(from, to)
+	if l.cut || (l.loss > 0 && w.random.Float64() < l.loss) {
 		return false
 	}
-	w.after(w.latency(over), owner, act)
+	w.schedule(w.latency(l), owner, callback)
 	return true
 }
 
-// dialPatience is how long one tries to open a connection to a machine that is
-// off.
-const dialPatience = time.Second
+// dialTimeout is the timeout for opening a connection to a machine that is off.
+const dialTimeout = time.Second
 
-// call is one question under way.
+// call is one remote procedure call in progress between two nodes.
 type call struct {
 	client   *incarnation
 	from, to string
 	cond     *cond
-	over     bool
+	done     bool
 	content  any
 	err      error
 }
 
-// broken tells the client that the connection broke, if that can be heard.
-func (c *call) broken() { c.fail("the circuit broke") }
+// broken fails the call because the connection broke. If the link to the client is cut, the client gets
+// no error and waits until its timeout.
+func (c *call) broken() { c.fail("the connection broke") }
 
+// fail sends an error to the client over the link. The link may lose the error.
 func (c *call) fail(detail string) {
 	c.client.world.carry(c.to, c.from, c.client, func() {
 		c.finish(nil, failure.New(failure.Unreachable, detail))
 	})
 }
 
+// finish ends the call with a result, unless it has ended already.
 func (c *call) finish(content any, err error) {
-	if c.over {
+	if c.done {
 		return
 	}
-	c.over, c.content, c.err = true, content, err
+	c.done, c.content, c.err = true, content, err
 	c.cond.Broadcast()
 }
 
-// call has serve answered by the process that runs at the machine when the
-// question comes there; the client's thread waits until its patience ends. A
-// link may bring the question twice.
-func (i *incarnation) call(to string, patience time.Duration, serve func(there *incarnation) (any, error)) (any, error) {
+// call runs serve in the process that runs on the machine named to when the call arrives. The calling
+// thread waits for the response for at most timeout. A link may deliver the call twice; the second
+// delivery gets no response.
+func (i *incarnation) call(to string, timeout time.Duration, serve func(process *incarnation) (any, error)) (any, error) {
 	world := i.world
-	asked := &call{client: i, from: i.name, to: to, cond: &cond{incarnation: i}}
+	pending := &call{client: i, from: i.name, to: to, cond: &cond{incarnation: i}}
 	arrive := func(first bool) {
-		there := world.incarnations[to]
-		if there == nil || there.ended {
+		process := world.incarnations[to]
+		if process == nil || process.ended {
 			if !first {
 				return
 			}
-			if world.powered(to) {
-				asked.fail("nobody listens")
+			if world.isPowered(to) {
+				pending.fail("connection refused")
 				return
 			}
-			// No connection comes about.
-			world.after(dialPatience, i, func() { asked.finish(nil, failure.New(failure.Unreachable, "nobody listens")) })
+			// The machine is off, so the connection attempt times out.
+			world.schedule(dialTimeout, i, func() { pending.finish(nil, failure.New(failure.Unreachable, "connection refused")) })
 			return
 		}
-		forget := func() {}
+		unregister := func() {}
 		if first {
-			forget = there.onEnd(asked.broken)
+			unregister = process.onEnd(pending.broken)
 		}
-		// The question lies there until the process runs.
-		world.after(0, there, func() {
-			there.Go(func() {
-				content, err := serve(there)
+		// If the process is frozen, the call waits until the process runs again.
+		world.schedule(0, process, func() {
+			process.Go(func() {
+				content, err := serve(process)
 				if !first {
 					return
 				}
-				forget()
-				world.carry(to, i.name, i, func() { asked.finish(content, err) })
+				unregister()
+				world.carry(to, i.name, i, func() { pending.finish(content, err) })
 			})
 		})
 	}
 	world.carry(i.name, to, nil, func() { arrive(true) })
-	if over := world.link(i.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
-		world.encounter("a question brought twice")
-		world.after(time.Duration(world.random.IntN(2500))*time.Millisecond, nil, func() { arrive(false) })
+	if l := world.link(i.name, to); l.duplicate > 0 && world.random.Float64() < l.duplicate {
+		world.encounter("a call between nodes delivered twice")
+		world.schedule(time.Duration(world.random.IntN(2500))*time.Millisecond, nil, func() { arrive(false) })
 	}
-	if !asked.cond.Wait(patience, func() bool { return asked.over }) {
-		return nil, failure.New(failure.Unreachable, "no answer in time")
+	if !pending.cond.Wait(timeout, func() bool { return pending.done }) {
+		return nil, failure.New(failure.Unreachable, "no response in time")
 	}
-	return asked.content, asked.err
+	return pending.content, pending.err
 }
 
 // rpcClient is the RPC client of a simulated process.
 type rpcClient struct{ incarnation *incarnation }
 
 // CallRaw sends a message to the process at an address.
-func (w rpcClient) CallRaw(address, path string, body []byte, patience time.Duration) ([]byte, error) {
+func (w rpcClient) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
 	world := w.incarnation.world
 	world.tapMessage(path, body)
 	world.countSnapshot(path, body)
-	content, err := w.incarnation.call(world.nameAt(address), patience, func(there *incarnation) (any, error) {
-		if there.handle == nil {
-			return nil, failure.New(failure.Unreachable, "nobody listens yet")
+	content, err := w.incarnation.call(world.nameAt(address), timeout, func(process *incarnation) (any, error) {
+		if process.handle == nil {
+			return nil, failure.New(failure.Unreachable, "no handler is registered yet")
 		}
-		answer, err := there.handle(path, body)
+		answer, err := process.handle(path, body)
 		world.countTraffic(path, len(body)+len(answer))
 		if err != nil {
-			// An error crosses the wire as its kind and detail.
+			// Only an error's code and detail are sent over the network.
 			return nil, failure.New(failure.CodeOf(err), failure.DetailOf(err))
 		}
 		return answer, nil
--- a/internal/testbed/simulation/modelservers.go
+++ b/internal/testbed/simulation/modelservers.go
@@ -11,38 +11,42 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// serverClient is the connections of one router to the model servers.
+// serverClient is one router's client of the model servers.
 type serverClient struct {
 	incarnation *incarnation
 	running     map[string]*serverExchange
 }
 
-// serverExchange is one order under way at a server.
+// serverExchange is one request of a router in progress at a server.
 type serverExchange struct {
 	replies *pipe
-	quit    bool
+	// stopped means that the router has closed its side of the connection.
+	stopped bool
+	// refused means that the connection was refused, so that nothing was written.
 	refused bool
-	hangUp  func()
+	// closeServerSide closes the server's side of the connection.
+	closeServerSide func()
 }
 
-// stop closes the router's side.
+// stop closes the router's side of the connection.
 func (e *serverExchange) stop() {
-	e.quit = true
+	e.stopped = true
 	e.replies.cond.Broadcast()
-	if e.hangUp != nil {
-		e.hangUp()
+	if e.closeServerSide != nil {
+		e.closeServerSide()
 	}
 }
 
-// ended is the last message of an exchange: a status and what came with it.
-type ended struct {
+// serverReply is the last message of an exchange: the server's status and the content of its reply.
+type serverReply struct {
 	status  int
 	content any
 }
 
+// runKey returns the key of a run in serverClient.running.
 func runKey(id string, run int) string { return id + "#" + strconv.Itoa(run) }
 
-// dial waits for a connection, which may take its time.
+// dial waits until a connection is open, which takes up to 2.5 s while dials are slow.
 func (m *serverClient) dial() {
 	world := m.incarnation.world
 	length := time.Duration(world.random.IntN(400)) * time.Microsecond
@@ -52,89 +56,89 @@
 	m.incarnation.NewCond().Wait(length, func() bool { return false })
 }
 
-// serve is what a server does for an order: it may send messages before it returns a
-// status and what comes with it. send is false when nobody takes more.
-type serve func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (status int, content any)
+// requestHandler carries out a request at a server. It may send messages before it returns a status and the
+// content of its reply. The argument send returns false once the router accepts no more messages.
+type requestHandler func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (status int, content any)
 
-// order sends one order to a server and returns its exchange, or nil when it
-// certainly did not go.
-func (m *serverClient) order(decision auction.Decision, may func() bool, act serve) *serverExchange {
+// dispatch sends one request to a server and returns its exchange. It returns nil only if the request
+// was not sent. The argument maySend reports whether the router still has permission to send.
+func (m *serverClient) dispatch(decision auction.Decision, maySend func() bool, handle requestHandler) *serverExchange {
 	world := m.incarnation.world
 	m.dial()
-	if !may() {
-		world.encounter("an order held back after a wait")
+	if !maySend() {
+		world.encounter("an order withheld after its dial")
 		return nil
 	}
 	to := world.nameAt(decision.Address)
-	begun := &serverExchange{replies: newPipe(world, to, m.incarnation.name, m.incarnation)}
+	exchange := &serverExchange{replies: newPipe(world, to, m.incarnation.name, m.incarnation)}
 	if earlier, found := m.running[runKey(decision.ID, decision.Run)]; found {
 		earlier.stop()
 	}
-	m.running[runKey(decision.ID, decision.Run)] = begun
+	m.running[runKey(decision.ID, decision.Run)] = exchange
 	arrive := func(first bool) {
-		there := world.servers[to]
-		if there == nil || there.incarnation.ended || there.incarnation.address != decision.Address {
+		server := world.servers[to]
+		if server == nil || server.incarnation.ended || server.incarnation.address != decision.Address {
 			if first {
-				begun.refused = true
-				begun.replies.disconnect()
+				exchange.refused = true
+				exchange.replies.disconnect()
 			}
 			return
 		}
-		m.arrive(there, begun, first, act)
+		m.arrive(server, exchange, first, handle)
 	}
 	if !world.carry(m.incarnation.name, to, nil, func() { arrive(true) }) {
-		// It lies in the network until the router gives up.
-		return begun
+		// The request is lost in the network; the router waits until it gives up.
+		return exchange
 	}
-	if over := world.link(m.incarnation.name, to); over.duplicate > 0 && world.random.Float64() < over.duplicate {
-		world.encounter("an order brought twice to a server")
-		world.after(time.Duration(world.random.IntN(800))*time.Millisecond, nil, func() { arrive(false) })
+	if l := world.link(m.incarnation.name, to); l.duplicate > 0 && world.random.Float64() < l.duplicate {
+		world.encounter("an order delivered twice to a server")
+		world.schedule(time.Duration(world.random.IntN(800))*time.Millisecond, nil, func() { arrive(false) })
 	}
-	return begun
+	return exchange
 }
 
-// arrive has a server act on an order. What it sends and returns is for the first
-// arrival alone: a duplicate's work is done and nobody hears of it.
-func (m *serverClient) arrive(there *modelServer, begun *serverExchange, first bool, act serve) {
+// arrive calls handle at a server that a request has reached. The router receives messages and the reply
+// for the first arrival only: the server also handles a duplicate, but its messages and reply are dropped.
+func (m *serverClient) arrive(server *modelServer, exchange *serverExchange, first bool, handle requestHandler) {
 	world := m.incarnation.world
-	conn := fleet.NewConnection(there.incarnation)
+	conn := fleet.NewConnection(server.incarnation)
 	forgetServer := func() {}
 	if first {
-		forgetServer = there.incarnation.onEnd(begun.replies.disconnect)
+		forgetServer = server.incarnation.onEnd(exchange.replies.disconnect)
 	}
-	hangUp := func() { world.carry(m.incarnation.name, there.plan.Name, there.incarnation, conn.Close) }
+	closeServerSide := func() { world.carry(m.incarnation.name, server.plan.Name, server.incarnation, conn.Close) }
 	if first {
-		begun.hangUp = hangUp
+		exchange.closeServerSide = closeServerSide
 	}
-	forgetRouter := m.incarnation.onEnd(hangUp)
-	there.incarnation.Go(func() {
+	forgetRouter := m.incarnation.onEnd(closeServerSide)
+	server.incarnation.Go(func() {
 		defer forgetRouter()
-		if there.engine.Dark() {
+		if server.engine.Dark() {
 			conn.Wait(time.Minute)
 			return
 		}
-		status, content := act(there.engine, conn, func(message any) bool {
-			if begun.quit {
+		status, content := handle(server.engine, conn, func(message any) bool {
+			if exchange.stopped {
 				// The router has closed its side.
 				return false
 			}
-			return !first || begun.replies.put(message)
+			return !first || exchange.replies.put(message)
 		})
 		if !first {
 			return
 		}
 		forgetServer()
 		if world.loseAnswers > 0 && world.random.Float64() < world.loseAnswers {
-			world.encounter("a server's answer lost after the work")
-			begun.replies.disconnect()
+			world.encounter("a server's reply lost after the work was done")
+			exchange.replies.disconnect()
 			return
 		}
-		begun.replies.put(ended{status, content})
+		exchange.replies.put(serverReply{status, content})
 	})
 }
 
-// refusalOf is what a server's answer other than success means.
-func refusalOf(message ended) (auction.Outcome, string) {
+// refusalOf returns the outcome and the detail of a server's reply other than success.
+func refusalOf(message serverReply) (auction.Outcome, string) {
 	refusal, refused := message.content.(fleet.Refusal)
 	switch {
 	case !refused:
@@ -147,8 +151,8 @@
 	return auction.OutcomeFailed, refusal.Type
 }
 
-// lostOutcome is what a connection without an answer means: where nobody listened
-// nothing was written.
+// lostOutcome returns the outcome of an exchange without a reply. If the connection was refused,
+// nothing was written, so the run certainly did not start.
 func (e *serverExchange) lostOutcome() auction.Outcome {
 	if e.refused {
 		return auction.OutcomeNotStarted
@@ -156,143 +160,144 @@
 	return auction.OutcomeUnknown
 }
 
-const exchangePatience = 2 * time.Minute
+// exchangeTimeout is how long a router waits for a message of a server.
+const exchangeTimeout = 2 * time.Minute
 
-// Prefill has a server read a prompt.
-func (m *serverClient) Prefill(decision auction.Decision, may func() bool) (auction.Outcome, string, string) {
+// Prefill makes a server prefill a prompt and returns the handle of the prompt's memory.
+func (m *serverClient) Prefill(decision auction.Decision, maySend func() bool) (auction.Outcome, string, string) {
 	request := decision.Request
-	order := modelserver.PrefillRequest{
-		Request:      request.ID,
-		Order:        decision.Token,
-		Run:          decision.Run,
-		PromptTokens: request.PromptTokens,
-		Prefix:       request.Prefix,
-		PrefixTokens: request.PrefixTokens,
+	prefillRequest := modelserver.PrefillRequest{
+		Request:       request.ID,
+		DispatchToken: decision.Token,
+		Run:           decision.Run,
+		PromptTokens:  request.PromptTokens,
+		Prefix:        request.Prefix,
+		PrefixTokens:  request.PrefixTokens,
 	}
-	begun := m.order(decision, may, func(engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
-		return engine.Prefill(connection, order)
+	exchange := m.dispatch(decision, maySend, func(engine *fleet.Engine, connection *fleet.Connection, _ func(any) bool) (int, any) {
+		return engine.Prefill(connection, prefillRequest)
 	})
-	if begun == nil {
+	if exchange == nil {
 		return auction.OutcomeNotStarted, "", "nothing was sent"
 	}
-	message, found := begun.replies.take(exchangePatience, func() bool { return begun.quit })
+	message, found := exchange.replies.receive(exchangeTimeout, func() bool { return exchange.stopped })
 	if !found {
-		return begun.lostOutcome(), "", "the circuit broke"
+		return exchange.lostOutcome(), "", "the connection broke"
 	}
-	if answer, well := message.(ended).content.(modelserver.PrefillResponse); well {
+	if answer, succeeded := message.(serverReply).content.(modelserver.PrefillResponse); succeeded {
 		return auction.OutcomeDone, answer.Handle, ""
 	}
-	o, detail := refusalOf(message.(ended))
-	return o, "", detail
+	outcome, detail := refusalOf(message.(serverReply))
+	return outcome, "", detail
 }
 
-// Decode has a server answer.
+// Decode makes a server generate the response and passes each chunk to take.
 func (m *serverClient) Decode(
 	decision auction.Decision,
-	may func() bool,
+	maySend func() bool,
 	take func(chunk int, text string),
 ) (auction.Outcome, int, string) {
 	request := decision.Request
-	order := modelserver.DecodeRequest{
-		Request: request.ID,
-		Order:   decision.Token,
-		Run:     decision.Run,
-		Handle:  decision.Handle,
-		Source:  decision.SourceAddress,
-		Chunks:  request.Chunks,
+	decodeRequest := modelserver.DecodeRequest{
+		Request:       request.ID,
+		DispatchToken: decision.Token,
+		Run:           decision.Run,
+		Handle:        decision.Handle,
+		Source:        decision.SourceAddress,
+		Chunks:        request.Chunks,
 	}
-	begun := m.order(decision, may,
+	exchange := m.dispatch(decision, maySend,
 		func(engine *fleet.Engine, connection *fleet.Connection, send func(any) bool) (int, any) {
-			return engine.Decode(connection, order, func(line modelserver.DecodeChunk) error {
+			return engine.Decode(connection, decodeRequest, func(line modelserver.DecodeChunk) error {
 				if !send(line) {
-					return failure.New(failure.Unreachable, "the courier is gone")
+					return failure.New(failure.Unreachable, "the router is gone")
 				}
 				return nil
 			})
 		})
-	if begun == nil {
+	if exchange == nil {
 		return auction.OutcomeNotStarted, 0, "nothing was sent"
 	}
 	for {
-		message, found := begun.replies.take(exchangePatience, func() bool { return begun.quit })
+		message, found := exchange.replies.receive(exchangeTimeout, func() bool { return exchange.stopped })
 		if !found {
-			return begun.lostOutcome(), 0, "the stream broke off"
+			return exchange.lostOutcome(), 0, "the stream broke off"
 		}
-		switch refusal := message.(type) {
+		switch received := message.(type) {
 		case modelserver.DecodeChunk:
-			if refusal.Done {
-				return auction.OutcomeDone, refusal.Chunks, ""
+			if received.Done {
+				return auction.OutcomeDone, received.Chunks, ""
 			}
-			take(refusal.Chunk, refusal.Text)
-		case ended:
-			if refusal.status == http.StatusOK {
+			take(received.Chunk, received.Text)
+		case serverReply:
+			if received.status == http.StatusOK {
 				return auction.OutcomeUnknown, 0, "the stream broke off"
 			}
-			o, detail := refusalOf(refusal)
-			return o, 0, detail
+			outcome, detail := refusalOf(received)
+			return outcome, 0, detail
 		}
 	}
 }
 
-// Command has a server take a part.
-func (m *serverClient) Command(decision auction.Decision, may func() bool) error {
+// Command orders a server to change its role.
+func (m *serverClient) Command(decision auction.Decision, maySend func() bool) error {
 	m.dial()
-	if !may() {
-		return failure.New(failure.DeadlinePassed, "the command may not go any more")
+	if !maySend() {
+		return failure.New(failure.DeadlinePassed, "the permission to send the command has ended")
 	}
-	order := modelserver.PartRequest{
-		Part:         string(decision.ServerRole),
+	roleRequest := modelserver.RoleRequest{
+		Role:         string(decision.ServerRole),
 		FencingToken: decision.Role.FencingToken,
 		Holder:       decision.Role.Holder,
 	}
 	if decision.Order != nil {
-		order.Cause = decision.Order.Cause
+		roleRequest.Cause = decision.Order.Cause
 	}
 	_, err := m.incarnation.askServer(decision.Address, time.Second,
-		func(engine *fleet.Engine) (int, any) { return engine.TakePart(order) })
+		func(engine *fleet.Engine) (int, any) { return engine.TakeRole(roleRequest) })
 	return err
 }
 
-// Cancel breaks a run's connection and has the server stop it.
+// Cancel closes a run's connection and asks the server to stop the run.
 func (m *serverClient) Cancel(decision auction.Decision) {
 	m.EndRun(decision.ID, decision.Run)
-	order := modelserver.CancelRequest{Request: decision.ID, Order: decision.Token, Run: decision.Run}
+	cancelRequest := modelserver.CancelRequest{Request: decision.ID, DispatchToken: decision.Token, Run: decision.Run}
 	m.incarnation.Go(func() {
 		_, _ = m.incarnation.askServer(decision.Address, time.Second, func(engine *fleet.Engine) (int, any) {
-			engine.Cancel(order)
+			engine.Cancel(cancelRequest)
 			return http.StatusOK, nil
 		})
 	})
 }
 
-// EndRun ends whatever a run still has under way.
+// EndRun ends the exchange of a run, if it is still in progress.
 func (m *serverClient) EndRun(id string, run int) {
-	if begun, found := m.running[runKey(id, run)]; found {
+	if exchange, found := m.running[runKey(id, run)]; found {
 		delete(m.running, runKey(id, run))
-		begun.stop()
+		exchange.stop()
 	}
 }
 
-// askServer has a server answer one short question.
+// askServer makes one short call to a server.
 func (i *incarnation) askServer(
 	address string,
-	patience time.Duration,
+	timeout time.Duration,
 	serve func(engine *fleet.Engine) (int, any),
 ) (any, error) {
 	world := i.world
 	to := world.nameAt(address)
-	return i.call(to, patience, func(there *incarnation) (any, error) {
+	return i.call(to, timeout, func(process *incarnation) (any, error) {
 		s := world.servers[to]
-		if s == nil || s.incarnation != there || there.address != address {
-			return nil, failure.New(failure.Unreachable, "another server is there")
+		if s == nil || s.incarnation != process || process.address != address {
+			return nil, failure.New(failure.Unreachable, "another server is at this address")
 		}
 		if s.engine.Dark() {
-			fleet.NewConnection(there).Wait(time.Minute)
-			return nil, failure.New(failure.Unreachable, "dark")
+			fleet.NewConnection(process).Wait(time.Minute)
+			return nil, failure.New(failure.Unreachable, "the server does not answer")
 		}
 		status, content := serve(s.engine)
 		if status != http.StatusOK {
-			return content, failure.New(failure.NotHolder, "status "+strconv.Itoa(status))
+			return content, failure.New(failure.NotLeaseHolder, "status "+strconv.Itoa(status))
 		}
 		return content, nil
 	})
@@ -303,23 +308,23 @@
 	plan        fleet.ServerPlan
 	incarnation *incarnation
 	engine      *fleet.Engine
-	// calls is what it does for opaque calls.
+	// calls serves opaque calls.
 	calls *callServer
 }
 
-// fetchFrom takes a prompt's memory over from another server.
-func (w *World) fetchFrom(here *incarnation) fleet.Fetch {
-	return func(_ *fleet.Connection, address string, question fleet.MemoryQuestion) (fleet.MemoryAnswer, int) {
+// fetchFrom returns the function with which a server fetches a prompt's memory from another one.
+func (w *World) fetchFrom(process *incarnation) fleet.Fetch {
+	return func(_ *fleet.Connection, address string, request fleet.MemoryRequest) (fleet.MemoryResponse, int) {
 		status := http.StatusBadGateway
-		content, err := here.askServer(address, 2*time.Second, func(engine *fleet.Engine) (int, any) {
-			given, content := engine.GiveMemory(question)
-			status = given
+		content, err := process.askServer(address, 2*time.Second, func(engine *fleet.Engine) (int, any) {
+			engineStatus, content := engine.TransferMemory(request)
+			status = engineStatus
 			return http.StatusOK, content
 		})
 		if err != nil {
-			return fleet.MemoryAnswer{}, http.StatusBadGateway
+			return fleet.MemoryResponse{}, http.StatusBadGateway
 		}
-		given, _ := content.(fleet.MemoryAnswer)
-		return given, status
+		response, _ := content.(fleet.MemoryResponse)
+		return response, status
 	}
 }
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -13,18 +13,18 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// operatorPatience is how long an operator waits for an answer.
-const operatorPatience = 12 * time.Second
+// operatorTimeout is how long an operator waits for a response.
+const operatorTimeout = 12 * time.Second
 
-// atPrimary has an operator ask the controllers, one after another, until one
-// leads. Whoever asks is outside, with a whole link to each.
+// atPrimary calls the controllers on an operator's behalf, one after another, until one of them
+// leads. The operator is outside the fleet and its links to the controllers have no faults.
 func (w *World) atPrimary(serve func(control *controlplane.Controller) (any, error)) (any, error) {
-	var last error = failure.New(failure.NoPrimary, "no expediter runs")
+	var last error = failure.New(failure.NoPrimary, "no controller is running")
 	for _, m := range w.machines {
 		if m.kind != membership.Controller || m.gone {
 			continue
 		}
-		content, err := w.outside.call(m.name, operatorPatience, func(*incarnation) (any, error) {
+		content, err := w.outside.call(m.name, operatorTimeout, func(*incarnation) (any, error) {
 			if m.control == nil {
 				return nil, failure.New(failure.NoPrimary, "the disk is being opened")
 			}
@@ -38,7 +38,7 @@
 			last = err
 			continue
 		case failure.Unreachable:
-			if failure.DetailOf(err) == "nobody listens" {
+			if failure.DetailOf(err) == "connection refused" {
 				last = err
 				continue
 			}
@@ -48,12 +48,14 @@
 	return nil, last
 }
 
+// configurationRead is a configuration as an operator read it, with its version.
 type configurationRead struct {
 	version replication.Version
 	text    []byte
 }
 
-// readConfiguration reads the configuration as an operator does, and notes its revision.
+// readConfiguration reads the configuration as an operator does. With record set, it adds the
+// revision to the event log.
 func (w *World) readConfiguration(record bool) (configurationRead, bool) {
 	began := w.now
 	content, err := w.atPrimary(func(control *controlplane.Controller) (any, error) {
@@ -73,21 +75,23 @@
 	return read, true
 }
 
-// edit asks for a change, and tells "accepted", "refused" or "unknown".
-func (w *World) edit(edit controlplane.Edit) string {
+// requestEdit requests a change and returns "accepted", "refused" or "unknown".
+func (w *World) requestEdit(edit controlplane.Edit) string {
 	_, err := w.atPrimary(func(control *controlplane.Controller) (any, error) { return control.Edit(edit) })
 	switch {
 	case err == nil:
 		return "accepted"
-	case failure.CodeOf(err) == failure.Unknown, failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) != "nobody listens":
+	case failure.CodeOf(err) == failure.OutcomeUnknown,
+		failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) != "connection refused":
 		w.encounter("a change with an unknown outcome")
 		return "unknown"
 	}
 	return "refused"
 }
 
-// nextRevision reads the configuration and puts the next revision over it; racers
-// do so from the same version at once.
+// nextRevision reads the configuration once, and then several racers replace it at the same time,
+// each by a new revision that expects the version that was read. It reports whether a revision
+// was accepted.
 func (w *World) nextRevision(racers int) bool {
 	read, found := w.readConfiguration(true)
 	if !found {
@@ -109,6 +113,8 @@
 	return accepted
 }
 
+// putRevision requests a revision that expects the version that was read, records the outcome, and
+// reports whether the revision was accepted.
 func (w *World) putRevision(revision int, read configurationRead) bool {
 	w.Events.Append(fleet.Entry{Kind: fleet.RevisionAsked, Revision: revision})
 	patch := w.deployment.Configuration(revision)
@@ -118,49 +124,49 @@
 	if w.settings.Calls {
 		patch = strings.Replace(patch, `"routes":{`, `"routes":{`+w.callRoutes(), 1)
 	}
-	o := w.edit(controlplane.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
+	outcome := w.requestEdit(controlplane.Edit{Change: "edition-" + strconv.Itoa(revision), Digest: patch, Expected: &read.version,
 		Apply: func(text []byte) ([]byte, error) { return config.Merge(text, []byte(patch)) }})
 	kinds := map[string]fleet.EntryKind{
 		"accepted": fleet.RevisionAccepted,
 		"refused":  fleet.RevisionRefused,
 		"unknown":  fleet.RevisionUnknown,
 	}
-	w.Events.Append(fleet.Entry{Kind: kinds[o], Revision: revision})
-	return o == "accepted"
+	w.Events.Append(fleet.Entry{Kind: kinds[outcome], Revision: revision})
+	return outcome == "accepted"
 }
 
-// evacuate closes a zone for some time. One operator at a time does so: a
-// restoring that is under way would undo the next closing.
+// evacuate evacuates a zone for some time and then restores the zone. It does nothing while the
+// zone is evacuated already, because the first restore would undo the second evacuation.
 func (w *World) evacuate(zone string, length time.Duration) {
 	if w.evacuating[zone] {
 		return
 	}
 	w.evacuating[zone] = true
 	defer delete(w.evacuating, zone)
-	under := 0
+	active := 0
 	for _, name := range w.serversOf(zone) {
-		under += w.servers[name].engine.Active()
+		active += w.servers[name].engine.Active()
 	}
-	if under > 0 {
-		w.encounter("answers under way at an evacuation")
+	if active > 0 {
+		w.encounter("replies in progress at an evacuation")
 	}
 	w.Events.Append(fleet.Entry{Kind: fleet.EvacuationAsked, Zone: zone})
-	o := w.edit(controlplane.Edit{
+	outcome := w.requestEdit(controlplane.Edit{
 		Change: "evacuate-" + w.nonce(),
 		Digest: zone,
 		Apply:  func(text []byte) ([]byte, error) { return config.Evacuate(text, zone, "rehearsal") },
 	})
-	w.tracef("evacuate %s: %s", zone, o)
-	if o == "accepted" {
+	w.tracef("evacuate %s: %s", zone, outcome)
+	if outcome == "accepted" {
 		w.Events.Append(fleet.Entry{Kind: fleet.Evacuated, Zone: zone})
 	}
 	w.outside.NewCond().Wait(length, never)
 	for range 40 {
 		w.Events.Append(fleet.Entry{Kind: fleet.RestoreAsked, Zone: zone})
-		if w.edit(controlplane.Edit{
+		if w.requestEdit(controlplane.Edit{
 			Change: "restore-" + w.nonce(),
 			Digest: zone,
-			Apply:  func(text []byte) ([]byte, error) { return config.Restore(text, zone) },
+			Apply:  func(text []byte) ([]byte, error) { return config.EndEvacuation(text, zone) },
 		}) == "accepted" {
 			return
 		}
@@ -168,8 +174,8 @@
 	}
 }
 
-// operate is the operators' day: a revision every other second, a read of what
-// holds, and a look at every router.
+// operate runs the operators until the given time. One makes revisions with a pause of a second
+// after each; another reads the revision in force at every router every 200 ms.
 func (w *World) operate(until time.Duration) {
 	w.outside.Go(func() {
 		for w.now < until {
--- a/internal/testbed/simulation/platform.go
+++ b/internal/testbed/simulation/platform.go
@@ -14,7 +14,7 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// platform is what lists servers and nodes.
+// platform simulates the platform's directory, which lists servers and nodes.
 type platform struct {
 	servers map[string]membership.Server
 	down    bool
@@ -28,50 +28,52 @@
 	return servers
 }
 
-// directory is the platform's directory and the servers' reports, as one process reaches
-// them.
+// directory is one process's client of the platform's directory and of the servers' load
+// reports.
 type directory struct {
 	world       *World
 	incarnation *incarnation
 }
 
-func (l directory) reached() error {
-	if l.world.platform.down || l.world.link("platform", l.incarnation.name).cut {
-		return failure.New(failure.Unreachable, "the platform")
+// checkReachable returns an error if the process can't reach the platform.
+func (d directory) checkReachable() error {
+	if d.world.platform.down || d.world.link("platform", d.incarnation.name).cut {
+		return failure.New(failure.Unreachable, "the platform can't be reached")
 	}
 	return nil
 }
 
-// Servers reads the list of servers.
-func (l directory) Servers() ([]membership.Server, error) {
-	if !l.world.isController(l.incarnation.name) {
-		l.world.listReads = append(l.world.listReads, l.world.now)
+// Servers returns the list of servers.
+func (d directory) Servers() ([]membership.Server, error) {
+	if !d.world.isController(d.incarnation.name) {
+		d.world.listReads = append(d.world.listReads, d.world.now)
 	}
-	if err := l.reached(); err != nil {
+	if err := d.checkReachable(); err != nil {
 		return nil, err
 	}
-	return l.world.platform.listServers(), nil
+	return d.world.platform.listServers(), nil
 }
 
-// Nodes reads the list of nodes.
-func (l directory) Nodes() ([]membership.Node, error) {
-	if l.world.settings.NoNodes {
+// Nodes returns the list of nodes.
+func (d directory) Nodes() ([]membership.Node, error) {
+	if d.world.settings.NoNodes {
 		return nil, failure.New(failure.NoSuch, "a list of nodes")
 	}
-	if err := l.reached(); err != nil {
+	if err := d.checkReachable(); err != nil {
 		return nil, err
 	}
-	if l.world.layout != nil {
-		if !l.world.isController(l.incarnation.name) {
+	if d.world.layout != nil {
+		if !d.world.isController(d.incarnation.name) {
 			return nil, failure.New(failure.NoSuch, "a list of nodes")
 		}
-		return l.world.listControllers(), nil
+		return d.world.listControllers(), nil
 	}
-	return l.world.listNodes(), nil
+	return d.world.listNodes(), nil
 }
 
-func (l directory) ask(s membership.Server, patience time.Duration) (auction.Load, error) {
-	content, err := l.incarnation.askServer(s.Address, patience, func(engine *fleet.Engine) (int, any) {
+// askLoad reads a server's load report.
+func (d directory) askLoad(s membership.Server, timeout time.Duration) (auction.Load, error) {
+	content, err := d.incarnation.askServer(s.Address, timeout, func(engine *fleet.Engine) (int, any) {
 		return http.StatusOK, engine.Load()
 	})
 	if err != nil {
@@ -80,15 +82,15 @@
 	return content.(modelserver.LoadReport).Load(), nil
 }
 
-// ReadAuctionLoad reads a server's load for the market of requests.
-func (l directory) ReadAuctionLoad(s membership.Server, patience time.Duration) (auction.Load, error) {
-	return l.ask(s, patience)
+// ReadAuctionLoad reads a server's load for the auction of requests.
+func (d directory) ReadAuctionLoad(s membership.Server, timeout time.Duration) (auction.Load, error) {
+	return d.askLoad(s, timeout)
 }
 
-// ReadLoad reads a server's load for all routers.
-func (l directory) ReadLoad(s membership.Server, patience time.Duration) (scheduler.Load, error) {
-	l.world.reportReads++
-	load, err := l.ask(s, patience)
+// ReadLoad reads a server's load for the scheduler and counts the read.
+func (d directory) ReadLoad(s membership.Server, timeout time.Duration) (scheduler.Load, error) {
+	d.world.reportReads++
+	load, err := d.askLoad(s, timeout)
 	return scheduler.Load{
 		Server:      load.Server,
 		Role:        string(load.Role),
--- a/internal/testbed/simulation/recordtaps.go
+++ b/internal/testbed/simulation/recordtaps.go
@@ -13,9 +13,10 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// The taps read records as they are written, on wires and disks, and note each
-// key of their features that is new.
+// The taps read records as they are sent over the network and written to disks, and add each
+// feature key that appears for the first time to the event log.
 
+// tapRecord adds a record's feature keys to the event log; where says where the record was seen.
 func (w *World) tapRecord(record codec.Record, where string) {
 	for key := range record.Features {
 		name := string(record.Kind) + "/" + key + "/" + where
@@ -23,10 +24,11 @@
 			continue
 		}
 		w.seenKeys[name] = true
-		w.Events.Append(fleet.Entry{Kind: fleet.RecordSeen, Cause: key, Part: where, Holder: record.Writer})
+		w.Events.Append(fleet.Entry{Kind: fleet.RecordSeen, Cause: key, Role: where, Holder: record.Writer})
 	}
 }
 
+// tapMessage reads the records of a message between nodes.
 func (w *World) tapMessage(path string, body []byte) {
 	if path != wire.RecordsPath {
 		return
@@ -39,7 +41,7 @@
 	}
 }
 
-// tapFile reads what a version's file holds, framed as the storage adapter frames it.
+// tapFile reads a stored version from its file, which the storage adapter frames with eight bytes.
 func (w *World) tapFile(name string, framed []byte) {
 	var batch replication.Batch
 	if !strings.HasPrefix(name, "larder/") || len(framed) < 8 || msgpack.Unmarshal(framed[8:], &batch) != nil {
@@ -59,7 +61,7 @@
 	for section := range batch.Sections {
 		if strings.HasPrefix(section, replication.ChangesPrefix) && !w.seenKeys[fleet.ChangeSectionsKey] {
 			w.seenKeys[fleet.ChangeSectionsKey] = true
-			w.Events.Append(fleet.Entry{Kind: fleet.RecordSeen, Cause: fleet.ChangeSectionsKey, Part: "on a disk"})
+			w.Events.Append(fleet.Entry{Kind: fleet.RecordSeen, Cause: fleet.ChangeSectionsKey, Role: "on a disk"})
 		}
 	}
 	for _, record := range state.Orders.Records {
@@ -73,7 +75,7 @@
 	}
 }
 
-// recordMember writes down what a member's release reads.
+// recordMember adds the features that a member's release can read to the event log.
 func (w *World) recordMember(m *machine) {
 	var flags []string
 	for _, flag := range features.Supported(m.withheld) {
@@ -82,12 +84,12 @@
 	w.Events.Append(fleet.Entry{Kind: fleet.MemberKnown, Holder: m.name, Flags: flags})
 }
 
-// recordOldMember writes down what an older release lacks, once it is recorded:
-// the primary has answered it.
-func (w *World) recordOldMember(m *machine, begun *incarnation, heard func() time.Time) {
-	begun.Go(func() {
-		for heard().IsZero() {
-			begun.NewCond().Wait(5*time.Millisecond, never)
+// recordOldMember records the features of a member of an older release once the primary has
+// answered the member, because the primary records the member only then.
+func (w *World) recordOldMember(m *machine, process *incarnation, lastUpdate func() time.Time) {
+	process.Go(func() {
+		for lastUpdate().IsZero() {
+			process.NewCond().Wait(5*time.Millisecond, never)
 		}
 		w.recordMember(m)
 	})
--- a/internal/testbed/simulation/repair.go
+++ b/internal/testbed/simulation/repair.go
@@ -8,79 +8,81 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// Losses are what Repair brings about at the controller out of the pair, and at
-// the backup.
+// Losses are the faults that Repair can inject: the last one at the backup, the others at a
+// controller that is neither the primary nor the backup.
 var Losses = []string{"an old copy", "a damaged file", "a missing file", "a wiped disk", "the backup's wiped disk"}
 
-// Repair brings about one loss in a calm fleet, with an operator reading five
-// times a second or not at all, and tells how long it took until every copy was
-// whole and new, and how many bytes of snapshots went to it.
-func (w *World) Repair(loss string, reads bool) (took time.Duration, bytes int, mended bool) {
+// Repair injects one loss into a fleet without other faults. If reads is set, an operator reads
+// the configuration five times a second. Repair returns how long it took until the core was
+// complete and the damaged copy was up to date, how many bytes of snapshots were sent meanwhile,
+// and whether that was in time.
+func (w *World) Repair(loss string, reads bool) (took time.Duration, bytes int, repaired bool) {
 	w.long, w.short = 2, 3
-	for _, mc := range w.machines {
-		w.outside.Go(func() { w.start(mc) })
+	for _, m := range w.machines {
+		w.outside.Go(func() { w.start(m) })
 	}
-	const patience = 90 * time.Second
-	w.outside.Go(func() { w.runClients(patience) })
+	const repairDeadline = 90 * time.Second
+	w.outside.Go(func() { w.runClients(repairDeadline) })
 	w.outside.Go(func() {
 		for range 6 {
 			w.outside.NewCond().Wait(time.Second, never)
 			w.nextRevision(1)
 		}
 	})
-	w.run(opening)
-	var out *machine
+	w.run(warmUpTime)
+	var target *machine
 	primary := w.primary()
-	m := primary.control.Coordinator().Membership()
-	for _, ma := range w.nodes(membership.Controller) {
-		backup := ma.control.Witness().Replica().Identity == m.Backup.Identity
-		if ma != primary && backup == (loss == "the backup's wiped disk") {
-			out = ma
+	members := primary.control.Coordinator().Membership()
+	for _, m := range w.nodes(membership.Controller) {
+		backup := m.control.Witness().Replica().Identity == members.Backup.Identity
+		if m != primary && backup == (loss == "the backup's wiped disk") {
+			target = m
 		}
 	}
 	switch loss {
 	case "an old copy":
-		w.kill(out)
+		w.kill(target)
 		w.outside.Go(func() { w.nextRevision(1) })
 		w.run(w.now + 3*time.Second)
 	case "a damaged file":
-		w.kill(out)
-		out.disk.damage = 1
+		w.kill(target)
+		target.disk.damage = 1
 	case "a missing file":
-		for name := range out.disk.names {
+		for name := range target.disk.durable {
 			if strings.HasPrefix(name, "larder/") {
-				delete(out.disk.names, name)
-				delete(out.disk.seen, name)
+				delete(target.disk.durable, name)
+				delete(target.disk.visible, name)
 			}
 		}
 	default:
-		w.kill(out)
-		out.disk = newDisk(w)
+		w.kill(target)
+		target.disk = newDisk(w)
 	}
 	began, sent := w.now, w.snapshotBytes
-	w.start(out)
+	w.start(target)
 	if reads {
 		w.outside.Go(func() {
-			for w.now < patience {
+			for w.now < repairDeadline {
 				w.readConfiguration(false)
 				w.outside.NewCond().Wait(200*time.Millisecond, never)
 			}
 		})
 	}
-	for w.now < patience {
+	for w.now < repairDeadline {
 		w.run(w.now + 20*time.Millisecond)
-		if w.coreComplete() && out.control != nil && w.replicaComplete(out) {
+		if w.coreComplete() && target.control != nil && w.replicaComplete(target) {
 			return w.now - began, w.snapshotBytes - sent, true
 		}
 	}
 	return w.now - began, w.snapshotBytes - sent, false
 }
 
-// replicaComplete tells whether a machine's copy has all its files, undamaged, and is
-// as new as what was last written for good, save the last moments' claims.
+// replicaComplete reports whether a machine's replica has files, is undamaged, and is at most eight
+// versions behind the primary. Requests go on making claims, so an intact replica may lack the
+// versions with the newest claims.
 func (w *World) replicaComplete(m *machine) bool {
 	files := 0
-	for name := range m.disk.names {
+	for name := range m.disk.durable {
 		if strings.HasPrefix(name, "larder/") {
 			files++
 		}
@@ -90,7 +92,8 @@
 	return files > 0 && err == nil && copied.Damage() == "" && copied.Version().Number+8 >= view.Version.Number
 }
 
-// countSnapshot adds the bytes of a complete replica sent.
+// countSnapshot adds the bytes of a message to snapshotBytes if the message carries a complete
+// replica.
 func (w *World) countSnapshot(path string, body []byte) {
 	if path == wire.InstallPath || path == wire.RefreshPath {
 		w.snapshotBytes += len(body)
--- a/internal/testbed/simulation/settings.go
+++ b/internal/testbed/simulation/settings.go
@@ -7,39 +7,39 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Settings are the settings of a fleet on a platform that asks for others than the
-// product's own.
+// Settings are the settings of a fleet. The zero value means the product's defaults, which a
+// platform may override.
 type Settings struct {
 	AcknowledgeWait   time.Duration
 	ServeWithoutLease time.Duration
 	RetireAfter       time.Duration
-	// CatchUp is the bound that a core's waits are derived from; zero: the default.
+	// CatchUp is the bound from which a core's waits are derived; zero means the default.
 	CatchUp time.Duration
-	// JoinOnly lets no blank disk form a first core; FormOnce only those that start
-	// with the fleet.
+	// JoinOnly forbids controllers with blank disks to form a first core. FormOnce allows it
+	// only at their first start and while the fleet starts.
 	JoinOnly, FormOnce bool
-	// NoNodes: the platform lists servers only.
+	// NoNodes means that the platform lists servers only.
 	NoNodes bool
-	// Calls has routers follow the servers' reports, as those that serve calls do.
+	// Calls makes routers serve opaque calls and follow the servers' load reports.
 	Calls bool
 }
 
-// ignoringBoard is a board on which nothing is done: no calls come in these days.
-type ignoringBoard struct{}
+// unusedCallService is a call service that ignores all updates.
+type unusedCallService struct{}
 
-// SetServing is not minded.
-func (ignoringBoard) SetServing(time.Time) {}
+// SetServing does nothing.
+func (unusedCallService) SetServing(time.Time) {}
 
-// SetCountOwners is not needed.
-func (ignoringBoard) SetCountOwners(*dataplane.CountOwners) {}
+// SetBacklogCounts does nothing.
+func (unusedCallService) SetBacklogCounts(*dataplane.BacklogCounts) {}
 
-// SetQuotas is not needed: requests of this protocol have no tenants.
-func (ignoringBoard) SetQuotas(*dataplane.Quotas) {}
+// SetQuotas does nothing: requests of this protocol have no tenants.
+func (unusedCallService) SetQuotas(*dataplane.Quotas) {}
 
-// SetServers is not minded.
-func (ignoringBoard) SetServers(time.Time, []membership.Server) {}
+// SetServers does nothing.
+func (unusedCallService) SetServers(time.Time, []membership.Server) {}
 
-// PlatformSettings are those of the users' platform.
+// PlatformSettings returns the settings of the users' platform.
 func PlatformSettings() Settings {
 	return Settings{
 		AcknowledgeWait:   600 * time.Millisecond,
@@ -51,5 +51,5 @@
 	}
 }
 
-// SetSettings chooses them, before the fleet starts.
-func (w *World) SetSettings(ways Settings) { w.settings = ways }
+// SetSettings sets the fleet's settings; it must be called before the fleet starts.
+func (w *World) SetSettings(settings Settings) { w.settings = settings }
--- a/internal/testbed/simulation/settings_test.go
+++ b/internal/testbed/simulation/settings_test.go
@@ -12,27 +12,28 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// begun is a fleet whose nodes all run, with a core and holds.
-func begun(t *testing.T, seed uint64, variants Settings) *World {
+// startedFleet returns a fleet in which all nodes run, the core is complete and every router has a
+// lease.
+func startedFleet(t *testing.T, seed uint64, settings Settings) *World {
 	t.Helper()
 	w := New(fleet.Sahil(), seed)
-	w.SetSettings(variants)
+	w.SetSettings(settings)
 	for _, m := range w.machines {
 		w.outside.Go(func() { w.start(m) })
 	}
-	if w.since(0, func() bool {
+	if w.timeUntil(0, func() bool {
 		return w.hasLeader() && w.allHaveLeases() && w.primary().control != nil && w.coreComplete()
 	}) < 0 {
-		t.Fatal("the fleet did not begin")
+		t.Fatal("the fleet did not start in time")
 	}
 	w.run(w.now + 5*time.Second)
 	return w
 }
 
-// cutOff cuts a machine from everybody but those named, both ways.
-func (w *World) cutOff(name string, cut bool, but ...string) {
+// cutOff cuts or heals the links between a machine and all others except the named ones.
+func (w *World) cutOff(name string, cut bool, except ...string) {
 	exempt := map[string]bool{name: true, "outside": true}
-	for _, other := range but {
+	for _, other := range except {
 		exempt[other] = true
 	}
 	for _, other := range w.machines {
@@ -43,7 +44,8 @@
 	}
 }
 
-func (w *World) newest() replication.Version {
+// configurationVersion returns the primary's version of the configuration.
+func (w *World) configurationVersion() replication.Version {
 	_, view, err := w.primary().control.Leading()
 	if err != nil {
 		return replication.Version{}
@@ -51,63 +53,70 @@
 	return view.VersionOf(replication.ConfigurationSection)
 }
 
-// TestAcknowledgementOfAChange cuts a router off and makes a change. In the
-// product's way the change is answered when the router's lease is over and it lets
-// nothing in; in the platform's way at once, and the router goes on. Those in touch
-// have it in force in both, and the one that comes back has it soon.
+// TestAcknowledgementOfAChange cuts a router off and makes a change. With the product's own
+// settings the change is acknowledged when the router's lease has expired and the router
+// accepts no requests. With the platform's settings the change is acknowledged within
+// AcknowledgeWait and the router goes on serving. In both cases the change is in force at the
+// routers in touch, and soon after the links are healed also at the router that was cut off.
 func TestAcknowledgementOfAChange(t *testing.T) {
-	for name, variants := range map[string]Settings{"strict": {}, "platform": PlatformSettings()} {
-		w := begun(t, 3, variants)
-		alone := w.machineNamed("courier-2")
-		w.cutOff(alone.name, true)
+	for name, settings := range map[string]Settings{"strict": {}, "platform": PlatformSettings()} {
+		w := startedFleet(t, 3, settings)
+		isolated := w.machineNamed("courier-2")
+		w.cutOff(isolated.name, true)
 		w.run(w.now + 700*time.Millisecond)
-		took := w.changed(w.now, w.nowhere("nowhere", 0))
-		version := w.newest()
+		took := w.editUntilAccepted(w.now, w.harmlessEdit("nowhere", 0))
+		version := w.configurationVersion()
 		for _, m := range w.nodes(membership.Router) {
-			if m != alone && m.router.InForce() != version {
-				t.Errorf("%s: %s has %s, and %s was acknowledged", name, m.name, m.router.InForce(), version)
+			if m != isolated && m.router.InForce() != version {
+				t.Errorf("%s: %s has version %s, but %s was acknowledged", name, m.name, m.router.InForce(), version)
 			}
 		}
-		serves := alone.incarnation.Now().Before(alone.router.Core().ServesUntil())
+		serves := isolated.incarnation.Now().Before(isolated.router.Core().ServesUntil())
 		switch {
 		case name == "strict" && (serves || took < 2*time.Second || took > 5*time.Second):
-			t.Errorf("%s: acknowledged after %s while a courier without the change serves: %v", name, took, serves)
-		case name == "platform" && (!serves || took > variants.AcknowledgeWait+300*time.Millisecond):
-			t.Errorf("%s: acknowledged after %s, the courier alone serves: %v", name, took, serves)
+			t.Errorf("%s: acknowledged after %s, want 2 s to 5 s; the cut-off router serves: got %v, want false", name, took, serves)
+		case name == "platform" && (!serves || took > settings.AcknowledgeWait+300*time.Millisecond):
+			t.Errorf("%s: acknowledged after %s, want %s at most; the cut-off router serves: got %v, want true",
+				name, took, settings.AcknowledgeWait+300*time.Millisecond, serves)
 		}
 		t.Logf("%s: acknowledged after %s", name, took)
-		// A calm change takes milliseconds, and so does its way to one that is back.
-		w.cutOff(alone.name, false)
-		back := w.since(w.now, func() bool { return alone.router.InForce() == version })
-		calm := w.changed(w.now, w.nowhere("nowhere", 1))
-		if back < 0 || back > 2*time.Second || calm > 300*time.Millisecond {
-			t.Errorf("%s: back after %s, a calm change took %s", name, back, calm)
+		// Soon after the links are healed the router has the change, and a change takes milliseconds
+		// again.
+		w.cutOff(isolated.name, false)
+		reconnected := w.timeUntil(w.now, func() bool { return isolated.router.InForce() == version })
+		undisturbed := w.editUntilAccepted(w.now, w.harmlessEdit("nowhere", 1))
+		if reconnected < 0 || reconnected > 2*time.Second || undisturbed > 300*time.Millisecond {
+			t.Errorf("%s: the healed router had the change after %s, want 2 s at most; a change without faults took %s, want 300 ms at most",
+				name, reconnected, undisturbed)
 		}
 	}
 }
 
-// TestRolesNeedALease: a router that serves without a lease has no roles.
+// TestRolesNeedALease cuts off a router that has roles. It checks that the router goes on serving without a
+// lease, that its roles go to other routers, and that it then sends no commands.
 func TestRolesNeedALease(t *testing.T) {
-	w := begun(t, 4, PlatformSettings())
-	holder := w.partsHolder()
+	w := startedFleet(t, 4, PlatformSettings())
+	holder := w.roleLeaseHolder()
 	if !holder.router.Core().HasRoles() {
-		t.Fatal("the holder has no duties")
+		t.Fatal("the role holder has no roles")
 	}
 	w.cutOff(holder.name, true)
 	w.run(w.now + 9*time.Second)
-	if now := holder.incarnation.Now(); !now.Before(holder.router.Core().ServesUntil()) || now.Before(holder.router.Core().LeaseEnds()) {
-		t.Error("it should serve, without a hold")
+	if now := holder.incarnation.Now(); !now.Before(holder.router.Core().ServesUntil()) ||
+		now.Before(holder.router.Core().LeaseEnds()) {
+		t.Error("the router does not serve or has a lease, want service without a lease")
 	}
-	if took := w.since(w.now, func() bool { return w.rolesSettled([]*machine{holder}) }); took < 0 {
-		t.Error("its duties did not move")
+	if took := w.timeUntil(w.now, func() bool { return w.rolesAssigned([]*machine{holder}) }); took < 0 {
+		t.Error("the router's roles were not reassigned in time")
 	}
-	// The commands since then are judged: none by the one without a lease.
-	if verdict := fleet.Judge(w.Events.Entries()); verdict.Violations() > 0 {
+	// The checkers fail if the router without a lease has sent a command since then.
+	if verdict := fleet.CheckEvents(w.Events.Entries()); verdict.Violations() > 0 {
 		t.Error(verdict)
 	}
 }
 
-// TestBlankDisksThatOnlyJoinFormNothing starts a whole fleet of them.
+// TestBlankDisksThatOnlyJoinFormNothing starts a fleet of blank disks that may only join a core,
+// and checks that they form none.
 func TestBlankDisksThatOnlyJoinFormNothing(t *testing.T) {
 	w := New(fleet.Sahil(), 5)
 	w.SetSettings(Settings{JoinOnly: true})
@@ -115,20 +124,20 @@
 		w.outside.Go(func() { w.start(m) })
 	}
 	w.run(30 * time.Second)
-	for _, ma := range w.nodes(membership.Controller) {
-		if !ma.control.Witness().Membership().Blank() {
-			t.Errorf("%s has the charter %+v", ma.name, ma.control.Witness().Membership())
+	for _, m := range w.nodes(membership.Controller) {
+		if !m.control.Witness().Membership().Blank() {
+			t.Errorf("%s has the membership %+v, want none", m.name, m.control.Witness().Membership())
 		}
 	}
 }
 
-// TestReplacedControllerIsTakenIn replaces a controller by an empty one elsewhere, which
-// knows the old seeds; then another, so that two seeds are gone. There is no list of
-// nodes. Routers that start with the old seeds find the core, and the records of
-// those who are gone end by themselves.
+// TestReplacedControllerIsTakenIn replaces two controllers, one after another, by empty ones at new
+// addresses. The new controllers start with the old seeds, of which two are gone at the end. The
+// platform lists no nodes. The test checks that the new controllers join the core, that a router that
+// starts with the old seeds finds the core, and that the members that are gone are retired.
 func TestReplacedControllerIsTakenIn(t *testing.T) {
-	variants := PlatformSettings()
-	w := begun(t, 6, variants)
+	settings := PlatformSettings()
+	w := startedFleet(t, 6, settings)
 	seeds := w.machines[0].seeds
 	for number, gone := range []string{"expediter-1", "expediter-2"} {
 		leaving := w.machineNamed(gone)
@@ -137,7 +146,7 @@
 		address := "10.0.9." + string(rune('1'+number)) + ":1"
 		joined := w.addMachine(membership.Controller, "newcomer-"+string(rune('1'+number)), address, leaving.zone, seeds)
 		w.start(joined)
-		took := w.since(w.now, func() bool {
+		took := w.timeUntil(w.now, func() bool {
 			if joined.control == nil || !w.hasLeader() {
 				return false
 			}
@@ -145,44 +154,44 @@
 			return m.HasVoter(joined.control.Witness().Replica().Identity) && len(m.Incoming) == 0
 		})
 		if took < 0 || took > 15*time.Second {
-			t.Fatalf("%s is no keeper after %s", joined.name, took)
+			t.Fatalf("%s became a witness after %s, want 15 s at most", joined.name, took)
 		}
-		t.Logf("%s is a keeper after %s", joined.name, took)
-		// One loss is borne at a time: the machine counts as lost for the catch-up.
+		t.Logf("%s became a witness after %s", joined.name, took)
+		// The core tolerates one loss at a time, and the machine counts as lost for the catch-up time.
 		w.run(w.now + replication.DefaultCatchUp)
 	}
 	late := w.machineNamed("courier-3")
 	w.kill(late)
 	w.start(late)
-	found := w.since(w.now, func() bool { return late.incarnation.Now().Before(late.router.Core().LeaseEnds()) })
+	found := w.timeUntil(w.now, func() bool { return late.incarnation.Now().Before(late.router.Core().LeaseEnds()) })
 	if found < 0 || found > 4*time.Second {
-		t.Errorf("a courier whose two seeds are gone found the core after %s", found)
+		t.Errorf("a router with one seed left found the core after %s, want 4 s at most", found)
 	}
-	t.Logf("a courier with one seed left found the core after %s", found)
-	retired := w.since(w.now, func() bool {
+	t.Logf("a router with one seed left found the core after %s", found)
+	retired := w.timeUntil(w.now, func() bool {
 		_, _, state, err := w.primary().control.Read()
 		return err == nil && len(state.Members) == len(w.nodes(""))
 	})
-	if retired < 0 || retired > 2*variants.RetireAfter {
-		t.Errorf("the record still has those who are gone after %s", retired)
+	if retired < 0 || retired > 2*settings.RetireAfter {
+		t.Errorf("the members that are gone were retired after %s, want %s at most", retired, 2*settings.RetireAfter)
 	}
-	if took := w.changed(w.now, w.nowhere("nowhere", 0)); took > time.Second {
-		t.Errorf("a change took %s", took)
+	if took := w.editUntilAccepted(w.now, w.harmlessEdit("nowhere", 0)); took > time.Second {
+		t.Errorf("a change took %s, want 1 s at most", took)
 	}
 }
 
-// TestRoutersReadTheListThemselves keeps the list from the controllers, and has a
-// server leave meanwhile: each router hears of it, without reading often. When
-// nobody can read it, nothing is forgotten.
+// TestRoutersReadTheListThemselves cuts the controllers off from the platform and then makes a
+// server leave. It checks that each router learns of the leaving server without reading the list
+// often, and that the routers keep the list while neither they nor the controllers can read it.
 func TestRoutersReadTheListThemselves(t *testing.T) {
-	w := begun(t, 7, PlatformSettings())
+	w := startedFleet(t, 7, PlatformSettings())
 	if reads := len(w.listReads); reads > 2*len(w.nodes(membership.Router)) {
-		t.Errorf("couriers read the list %d times before the fleet was calm", reads)
+		t.Errorf("routers read the list %d times during the start, want two reads each at most", reads)
 	}
 	before := len(w.listReads)
 	w.run(w.now + 10*time.Second)
 	if reads := len(w.listReads) - before; reads > 0 {
-		t.Errorf("couriers read the list %d times though they have news of it", reads)
+		t.Errorf("routers read the list %d times, want none while the controllers send it", reads)
 	}
 	for _, m := range w.nodes(membership.Controller) {
 		w.link("platform", m.name).cut = true
@@ -191,8 +200,8 @@
 	leaving := w.platform.servers[name]
 	leaving.Leaving = true
 	w.platform.servers[name] = leaving
-	knows := func(ma *machine) bool {
-		for _, s := range ma.router.Servers() {
+	knows := func(m *machine) bool {
+		for _, s := range m.router.Servers() {
 			if s.Name == name {
 				return s.Leaving
 			}
@@ -200,65 +209,66 @@
 		return false
 	}
 	all := func() bool {
-		for _, mc := range w.nodes(membership.Router) {
-			if !knows(mc) {
+		for _, m := range w.nodes(membership.Router) {
+			if !knows(m) {
 				return false
 			}
 		}
 		return true
 	}
-	took := w.since(w.now, all)
+	took := w.timeUntil(w.now, all)
 	if took < 0 || took > 2500*time.Millisecond {
-		t.Errorf("the leaving server was known everywhere after %s", took)
+		t.Errorf("all routers knew of the leaving server after %s, want 2.5 s at most", took)
 	}
-	t.Logf("the leaving server was known everywhere after %s", took)
+	t.Logf("all routers knew of the leaving server after %s", took)
 	before = len(w.listReads)
 	w.run(w.now + 10*time.Second)
 	if reads, most := len(w.listReads)-before, 11*len(w.nodes(membership.Router)); reads > most {
-		t.Errorf("couriers read the list %d times in ten seconds", reads)
+		t.Errorf("routers read the list %d times in ten seconds, want %d at most", reads, most)
 	}
-	// The reads are spread: in no tenth of a second do all read.
+	// The reads are spread over time: there is no tenth of a second in which all routers read.
 	busiest, count := 0, map[time.Duration]int{}
 	for _, at := range w.listReads[before:] {
 		count[at/(100*time.Millisecond)]++
 		busiest = max(busiest, count[at/(100*time.Millisecond)])
 	}
 	if busiest >= len(w.nodes(membership.Router)) {
-		t.Errorf("%d couriers read within a tenth of a second", busiest)
+		t.Errorf("%d routers read within a tenth of a second, want fewer than all", busiest)
 	}
-	// The controllers come back with an older word, and then nobody reads at all.
+	// The controllers reach the platform again and read an older state of the server; then the
+	// platform fails, so that neither routers nor controllers can read the list.
 	leaving.Leaving = false
 	w.platform.servers[name] = leaving
-	for _, mch := range w.nodes(membership.Controller) {
-		w.link("platform", mch.name).cut = false
+	for _, m := range w.nodes(membership.Controller) {
+		w.link("platform", m.name).cut = false
 	}
 	w.run(w.now + 5*time.Second)
 	w.platform.down = true
 	w.run(w.now + 10*time.Second)
 	if !all() || len(w.machines[4].router.Servers()) != len(w.plans) {
-		t.Errorf("the list is %v", w.machines[4].router.Servers())
+		t.Errorf("got the list %v, want %d servers with the leaving one marked", w.machines[4].router.Servers(), len(w.plans))
 	}
 }
 
-// TestReportsAreReadOnceForTheFleet counts what servers are asked in a calm fleet: by
-// the primary alone, and only while a router follows reports.
+// TestReportsAreReadOnceForTheFleet counts the reads of the servers' load reports in a fleet
+// without faults: only the primary reads them, and only while a router follows reports.
 func TestReportsAreReadOnceForTheFleet(t *testing.T) {
-	for name, variants := range map[string]Settings{"calls": PlatformSettings(), "no calls": {}} {
-		w := begun(t, 8, variants)
+	for name, settings := range map[string]Settings{"calls": PlatformSettings(), "no calls": {}} {
+		w := startedFleet(t, 8, settings)
 		before := w.reportReads
 		w.run(w.now + 10*time.Second)
 		each := float64(w.reportReads-before) / 10 / float64(len(w.plans))
-		t.Logf("%s: %.2f reports a second from each server", name, each)
-		if variants.Calls && (each < 1.4 || each > 3.2) || !variants.Calls && each > 0 {
-			t.Errorf("%s: %.2f reports a second from each server", name, each)
+		t.Logf("%s: %.2f reads a second of each server's report", name, each)
+		if settings.Calls && (each < 1.4 || each > 3.2) || !settings.Calls && each > 0 {
+			t.Errorf("%s: %.2f reads a second of each server's report, want 1.4 to 3.2 with calls and none without", name, each)
 		}
 	}
 }
 
-// TestChangesAndUpdateAfterThePrimary is lost in each way: how long until a change is
-// acknowledged, and until every router in touch has news again.
-func TestChangesAndUpdateAfterThePrimary(t *testing.T) {
-	variants := map[string]func(w *World, primary *machine){
+// TestChangesAndUpdatesResumeAfterLossOfPrimary takes the primary away in several ways and checks
+// how long it takes until a change is acknowledged, and until every router has an update again.
+func TestChangesAndUpdatesResumeAfterLossOfPrimary(t *testing.T) {
+	losses := map[string]func(w *World, primary *machine){
 		"killed":     func(w *World, primary *machine) { w.kill(primary) },
 		"power lost": func(w *World, primary *machine) { w.powerOff(primary.name) },
 		"frozen":     func(_ *World, primary *machine) { primary.incarnation.freeze() },
@@ -267,67 +277,69 @@
 			w.cutOff(primary.name, true, "courier-1", "courier-2", "courier-3", "courier-4", "courier-5", "courier-6",
 				"courier-7")
 		},
-		"its answers lost": func(w *World, primary *machine) {
+		"outbound links cut": func(w *World, primary *machine) {
 			for _, other := range w.machines {
 				w.link(primary.name, other.name).cut = true
 			}
 		},
-		"nobody reaches it": func(w *World, primary *machine) {
+		"inbound links cut": func(w *World, primary *machine) {
 			for _, other := range w.machines {
 				w.link(other.name, primary.name).cut = true
 			}
 		},
 		"stopped": func(w *World, primary *machine) {
 			control, i := primary.control, primary.incarnation
-			i.Go(func() { control.Leave(leavePatience); i.world.outside.Go(func() { w.kill(primary) }) })
+			i.Go(func() { control.Leave(leaveTimeout); i.world.outside.Go(func() { w.kill(primary) }) })
 		},
 	}
-	for name, lose := range variants {
+	for name, lose := range losses {
 		var worstChange, worstUpdate time.Duration
 		for seed := range uint64(6) {
-			w := begun(t, 20+seed, PlatformSettings())
+			w := startedFleet(t, 20+seed, PlatformSettings())
 			began, primary := w.now, w.primary()
 			lose(w, primary)
-			heard := map[string]time.Time{}
+			lastUpdate := map[string]time.Time{}
 			for _, m := range w.nodes(membership.Router) {
-				heard[m.name] = m.router.Heard()
+				lastUpdate[m.name] = m.router.LastUpdateAt()
 			}
-			change := w.changedWhereLed(began, w.nowhere("nowhere", 0))
-			update := w.since(began, func() bool {
-				for _, ma := range w.nodes(membership.Router) {
-					if !ma.router.Heard().After(heard[ma.name].Add(700 * time.Millisecond)) {
+			change := w.editAtPrimary(began, w.harmlessEdit("nowhere", 0))
+			update := w.timeUntil(began, func() bool {
+				for _, m := range w.nodes(membership.Router) {
+					if !m.router.LastUpdateAt().After(lastUpdate[m.name].Add(700 * time.Millisecond)) {
 						return false
 					}
 				}
 				return true
 			})
 			if change < 0 || update < 0 {
-				t.Errorf("%s, seed %d: change %s, news %s", name, seed, change, update)
+				t.Errorf("%s, seed %d: change after %s, update after %s, want both in time", name, seed, change, update)
 			}
 			worstChange, worstUpdate = max(worstChange, change), max(worstUpdate, update)
 		}
-		t.Logf("%-18s change acknowledged within %s, news everywhere within %s", name, worstChange, worstUpdate)
+		t.Logf("%-18s change acknowledged within %s, update at every router within %s", name, worstChange, worstUpdate)
 		if worstChange > 4*time.Second || worstUpdate > 4500*time.Millisecond {
-			t.Errorf("%s: change after %s, news after %s", name, worstChange, worstUpdate)
+			t.Errorf("%s: change after %s, want 4 s at most; update after %s, want 4.5 s at most", name, worstChange, worstUpdate)
 		}
 	}
 }
 
-// changedWhereLed makes a change at whoever leads, as an operator does whose calls
-// others answer with a word on who that is.
-func (w *World) changedWhereLed(from time.Duration, edit controlplane.Edit) time.Duration {
-	over := false
+// editAtPrimary retries a change at the controllers that hold the lease until one accepts it, and
+// returns the time since began. It acts as an operator whom the other controllers redirect to the
+// primary.
+func (w *World) editAtPrimary(began time.Duration, edit controlplane.Edit) time.Duration {
+	done := false
 	w.outside.Go(func() {
-		for ends := w.now + incidentPatience; w.now < ends && !over; w.wait(20, 20) {
+		for ends := w.now + incidentTimeout; w.now < ends && !done; w.wait(20, 20) {
 			for _, m := range w.nodes(membership.Controller) {
-				if m.incarnation == nil || m.incarnation.ended || m.incarnation.frozen || m.control == nil || !m.control.Coordinator().HasLease() {
+				if m.incarnation == nil || m.incarnation.ended || m.incarnation.frozen ||
+					m.control == nil || !m.control.Coordinator().HasLease() {
 					continue
 				}
 				control := m.control
 				_, err := w.outside.call(m.name, time.Second, func(*incarnation) (any, error) { return control.Edit(edit) })
-				over = over || err == nil
+				done = done || err == nil
 			}
 		}
 	})
-	return w.since(from, func() bool { return over })
+	return w.timeUntil(began, func() bool { return done })
 }
--- a/internal/testbed/simulation/settingsdays_test.go
+++ b/internal/testbed/simulation/settingsdays_test.go
@@ -11,46 +11,48 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// touch is a day's record of changes that were answered, and of routers that did
-// without one of them for too long though they had news.
-type touch struct {
+// updateMonitor records the acknowledged changes of a day, and counts the observations of routers
+// that lacked one of them for too long although they received updates.
+type updateMonitor struct {
 	world *World
-	// answered are the configurations' versions and when they were answered.
-	answered map[replication.Version]time.Duration
-	late     int
+	// acknowledged holds the versions of acknowledged configurations and when each was acknowledged.
+	acknowledged map[replication.Version]time.Duration
+	late         int
 }
 
-// The bounds that bind those in touch. A router is in touch that has had news within
+// The bounds for routers in touch. A router is in touch if it has received an update within
 // the last second.
 const (
 	applyTime  = 2 * time.Second
 	updateTime = time.Second
 )
 
-// take notes the answers that the trace tells of.
-func (t *touch) take(line string) {
+// take reads one line of the trace. If the line shows that a change was acknowledged, take records the version.
+func (t *updateMonitor) take(line string) {
 	if !strings.Contains(line, " configuration_accepted ") {
 		return
 	}
 	for _, m := range t.world.machines {
-		if m.control != nil && m.incarnation != nil && !m.incarnation.ended && m.control.Coordinator().HasLease() {
-			t.answered[m.control.Store().View().VersionOf(replication.ConfigurationSection)] = t.world.now
+		if m.control != nil && m.incarnation != nil && !m.incarnation.ended &&
+			m.control.Coordinator().HasLease() {
+			t.acknowledged[m.control.Store().View().VersionOf(replication.ConfigurationSection)] = t.world.now
 		}
 	}
 }
 
-// watch looks at every router, over and over.
-func (t *touch) watch() {
+// watch checks all routers in touch every 50 ms.
+func (t *updateMonitor) watch() {
 	world := t.world
 	for {
 		var due replication.Version
-		for version, at := range t.answered {
+		for version, at := range t.acknowledged {
 			if world.now-at > applyTime && due.Before(version) {
 				due = version
 			}
 		}
 		for _, m := range world.machines {
-			if m.router == nil || m.gone || m.incarnation.ended || m.incarnation.frozen || m.incarnation.Now().Sub(m.router.Heard()) > updateTime {
+			if m.router == nil || m.gone || m.incarnation.ended || m.incarnation.frozen ||
+				m.incarnation.Now().Sub(m.router.LastUpdateAt()) > updateTime {
 				continue
 			}
 			if has := m.router.InForce(); has != (replication.Version{}) && has.Before(due) {
@@ -62,13 +64,15 @@
 	}
 }
 
-// TestDaysInThePlatformsWays runs days of all faults with routers that go on without a
-// hold and changes that wait for those in touch alone. What is given up is the bound for
-// routers out of touch; everything else holds, and the bound for those in touch.
-func TestDaysInThePlatformsWays(t *testing.T) {
-	ways := PlatformSettings()
-	// Who is retired counts no more for new formats, which is weighed elsewhere.
-	ways.RetireAfter = 0
+// TestDaysWithPlatformSettings runs days of all faults. Routers go on serving without a lease, and
+// changes wait only for routers in touch. The checker of accepted configurations doesn't count here,
+// because it also covers routers out of touch. All other checkers must find no violation, and each
+// change must be in force in time at the routers in touch.
+func TestDaysWithPlatformSettings(t *testing.T) {
+	settings := PlatformSettings()
+	// A retired member no longer delays new formats, which the checkers do not expect; other
+	// tests cover retirement.
+	settings.RetireAfter = 0
 	first, count := seeds(t, 24)
 	for seed := first; seed < first+count; seed++ {
 		t.Run("", func(t *testing.T) {
@@ -78,18 +82,19 @@
 				deployment = fleet.Kochloeffel()
 			}
 			w := New(deployment, seed)
-			w.SetSettings(ways)
-			touching := &touch{world: w, answered: map[replication.Version]time.Duration{}}
-			w.Log = touching.take
-			w.outside.Go(touching.watch)
+			w.SetSettings(settings)
+			monitor := &updateMonitor{world: w, acknowledged: map[replication.Version]time.Duration{}}
+			w.Log = monitor.take
+			w.outside.Go(monitor.watch)
 			result := w.Run(DefaultDay())
-			if touching.late > 0 || !result.Restored || result.TwoPrimaries > 0 || len(touching.answered) < 5 {
-				t.Errorf("seed %d: %d looks at a courier in touch without an answered change, whole %v, two primaries at once %d times, %d changes",
-					seed, touching.late, result.Restored, result.TwoPrimaries, len(touching.answered))
+			if monitor.late > 0 || !result.Restored || result.TwoPrimaries > 0 || len(monitor.acknowledged) < 5 {
+				t.Errorf("seed %d: %d observations of a router in touch without a due change, core restored: %v, "+
+					"%d observations of two primaries, %d changes, want at least 5",
+					seed, monitor.late, result.Restored, result.TwoPrimaries, len(monitor.acknowledged))
 			}
 			for _, finding := range result.Verdict.Findings {
 				if finding.Violations > 0 && finding.Checker != "an accepted configuration is in force" {
-					t.Errorf("seed %d: %s, %d times", seed, finding.Checker, finding.Violations)
+					t.Errorf("seed %d: rule %q: got %d violations, want none", seed, finding.Checker, finding.Violations)
 				}
 			}
 		})
--- a/internal/testbed/simulation/timeline.go
+++ b/internal/testbed/simulation/timeline.go
@@ -1,8 +1,8 @@
-// Package simulation runs a whole fleet in virtual time: the product's own
-// code of every router and controller, stand-in servers, clients, operators
-// and the platform, under faults drawn from a seed. One thread runs at a time,
-// so that the same seed gives the same trace. The stand-ins, the event log and the
-// checkers are those of package fleet, which runs the same days as processes.
+// Package simulation runs a whole fleet in virtual time: the product's own code of every
+// router and controller with simulated servers, clients, operators and a simulated platform,
+// under faults drawn from a seed. One thread runs at a time, so that the same seed gives the
+// same trace. The simulated servers, the event log and the checkers are those of package
+// fleet, which runs the same kind of days with real processes.
 package simulation
 
 import (
@@ -10,39 +10,40 @@
 	"time"
 )
 
-// alarm is something that is due at a moment.
-type alarm struct {
+// scheduledEvent is a function call that is due at a point of virtual time.
+type scheduledEvent struct {
 	at       time.Duration
 	sequence uint64
-	// incarnation is whose it is. Alarms of one that has ended are dropped, those of a
-	// frozen one wait until it wakes; nil means the world's own.
+	// incarnation is the process that the event belongs to, or nil for the world itself.
+	// Events of an ended process are dropped; events of a frozen process wait until it resumes.
 	incarnation *incarnation
-	act         func()
+	callback    func()
 	canceled    bool
 }
 
-// alarms is a heap, the earliest first; equal ones in the order of their making.
-type alarms []*alarm
+// eventQueue is a heap with the earliest event first; events at the same time are in the order
+// in which they were scheduled.
+type eventQueue []*scheduledEvent
 
-// Len counts the alarms.
-func (a alarms) Len() int { return len(a) }
+// Len returns the number of events.
+func (a eventQueue) Len() int { return len(a) }
 
-// Less orders two alarms.
-func (a alarms) Less(left, right int) bool {
+// Less reports whether the left event comes before the right one.
+func (a eventQueue) Less(left, right int) bool {
 	if a[left].at != a[right].at {
 		return a[left].at < a[right].at
 	}
 	return a[left].sequence < a[right].sequence
 }
 
-// Swap exchanges two alarms.
-func (a alarms) Swap(left, right int) { a[left], a[right] = a[right], a[left] }
+// Swap exchanges two events.
+func (a eventQueue) Swap(left, right int) { a[left], a[right] = a[right], a[left] }
 
-// Push adds an alarm.
-func (a *alarms) Push(value any) { *a = append(*a, value.(*alarm)) }
+// Push adds an event.
+func (a *eventQueue) Push(value any) { *a = append(*a, value.(*scheduledEvent)) }
 
-// Pop takes the last alarm.
-func (a *alarms) Pop() any {
+// Pop removes and returns the last event.
+func (a *eventQueue) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -50,26 +51,27 @@
 	return last
 }
 
-// timeline moves the world's time from alarm to alarm.
+// timeline is the virtual clock, which advances from event to event.
 type timeline struct {
 	now      time.Duration
 	sequence uint64
-	due      alarms
-	acted    uint64
+	queue    eventQueue
+	steps    uint64
 }
 
-// after sets an alarm; an earlier moment than the present counts as now.
-func (c *timeline) after(length time.Duration, owner *incarnation, act func()) *alarm {
+// schedule schedules a call of callback in owner's process after length; a negative length counts as
+// zero, and a nil owner means the world itself.
+func (c *timeline) schedule(length time.Duration, owner *incarnation, callback func()) *scheduledEvent {
 	c.sequence++
-	set := &alarm{at: c.now + max(0, length), sequence: c.sequence, incarnation: owner, act: act}
-	heap.Push(&c.due, set)
-	return set
+	event := &scheduledEvent{at: c.now + max(0, length), sequence: c.sequence, incarnation: owner, callback: callback}
+	heap.Push(&c.queue, event)
+	return event
 }
 
-// run acts on alarms until the moment comes.
+// run processes events until the given time.
 func (c *timeline) run(until time.Duration) {
-	for len(c.due) > 0 && c.due[0].at <= until {
-		next := heap.Pop(&c.due).(*alarm)
+	for len(c.queue) > 0 && c.queue[0].at <= until {
+		next := heap.Pop(&c.queue).(*scheduledEvent)
 		c.now = max(c.now, next.at)
 		if next.canceled || (next.incarnation != nil && next.incarnation.ended) {
 			continue
@@ -78,8 +80,8 @@
 			next.incarnation.backlog = append(next.incarnation.backlog, next)
 			continue
 		}
-		c.acted++
-		next.act()
+		c.steps++
+		next.callback()
 	}
 	c.now = max(c.now, until)
 }
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -24,13 +24,15 @@
 	"seamloom.example/seamloom"
 )
 
-// World is one fleet in virtual time.
+// World is one simulated fleet with its surroundings, in virtual time.
 type World struct {
 	timeline
-	Events       *fleet.EventLog
-	deployment   fleet.Deployment
-	random       *rand.Rand
-	running      *thread
+	Events     *fleet.EventLog
+	deployment fleet.Deployment
+	random     *rand.Rand
+	// running is the thread that is running, or nil.
+	running *thread
+	// dead holds ended incarnations whose threads are not yet unwound.
 	dead         []*incarnation
 	machines     []*machine
 	byAddress    map[string]string
@@ -39,65 +41,77 @@
 	plans        []fleet.ServerPlan
 	platform     platform
 	links        map[[2]string]*link
-	slowDials    float64
-	loseAnswers  float64
-	outside      *incarnation
-	encounters   map[string]int
-	nonces       uint64
-	seenKeys     map[string]bool
-	revision     int
+	// slowDials is the share of connections that take long to open, loseAnswers the share of replies
+	// that are lost after the server has done the work.
+	slowDials   float64
+	loseAnswers float64
+	// outside is the process in which clients, operators and faults run; it never ends during a
+	// day.
+	outside    *incarnation
+	encounters map[string]int
+	nonceCount uint64
+	// seenKeys holds the record keys and flags that are already in the event log.
+	seenKeys map[string]bool
+	revision int
+	// long and short are the present rates of the two kinds of requests, in requests per second.
 	long, short  float64
-	number       int
+	requestCount int
 	faultsOver   bool
 	twoPrimaries int
-	// snapshotBytes are those of complete replicas sent.
+	// snapshotBytes counts the bytes of complete replicas that were sent.
 	snapshotBytes int
 	fixedParts    bool
-	// ways are the settings that a platform asks for.
+	// settings are the fleet's settings.
 	settings Settings
-	// listReads are the moments at which routers read the list themselves.
+	// listReads holds the times at which routers read the platform's list of servers.
 	listReads []time.Duration
-	// reportReads counts the reports that controllers asked servers for.
+	// reportReads counts the reads of servers' load reports for the scheduler.
 	reportReads int
-	claiming    map[string]int
-	evacuating  map[string]bool
-	trace       hash.Hash
-	// calls is what becomes of opaque calls.
+	// claiming counts each router's requests in progress that need a claim.
+	claiming map[string]int
+	// evacuating holds the zones that operators evacuate at present.
+	evacuating map[string]bool
+	trace      hash.Hash
+	// calls counts the outcomes of opaque calls.
 	calls *CallCounter
-	// layout is set when the fleet has several regions.
+	// layout is set if the world was made by NewLaidOut.
 	layout *Layout
-	// traffic are the messages between nodes, by path, and those of each node.
+	// traffic counts the messages between nodes by path.
 	traffic map[string]Traffic
 	// diskSync is how long a sync of a new disk takes.
 	diskSync time.Duration
-	Log      func(line string)
+	// Log is called with each line of the trace.
+	Log func(line string)
 }
 
-// machine is where a node runs: it has an address, perhaps a disk, and settings
-// that its next process reads.
+// machine is the host of one node. It has an address, the settings of the node's next process, and a
+// disk if the node is a controller.
 type machine struct {
-	name        string
-	kind        membership.NodeKind
-	address     string
-	zone        string
-	seeds       []string
-	withheld    features.List
-	disk        *disk
-	drift       float64
-	off         bool
-	gone        bool
+	name    string
+	kind    membership.NodeKind
+	address string
+	zone    string
+	seeds   []string
+	// withheld holds the features that the machine's release lacks; it is empty for the newest
+	// release.
+	withheld features.List
+	disk     *disk
+	drift    float64
+	// off means that the machine has no power, gone that the machine was removed for good.
+	off, gone   bool
 	incarnation *incarnation
 	router      *dataplane.Router
 	control     *controlplane.Controller
-	// calls serves opaque calls, where the world has them.
+	// calls serves opaque calls, if the world has them.
 	calls *dataplane.Calls
-	// starts counts its processes.
+	// startCount counts the processes that were started on the machine.
 	startCount int
 }
 
 var epoch = time.Unix(1_800_000_000, 0).UTC()
 
-// New lays a world out: the deployment's machines and servers, all cold.
+// New returns the world of a deployment. Its servers are running and not warmed up; its nodes
+// are not started yet.
 func New(deployment fleet.Deployment, seed uint64) *World {
 	world := &World{
 		deployment:   deployment,
@@ -138,6 +152,7 @@
 	return world
 }
 
+// addMachine adds a machine, with an empty disk if it is for a controller, and starts no process.
 func (w *World) addMachine(kind membership.NodeKind, name, address, zone string, seeds []string) *machine {
 	added := &machine{
 		name:    name,
@@ -162,8 +177,7 @@
 	w.Log(line)
 }
 
-// Trace is a digest of everything that happened: the world's steps and the
-// event log.
+// Trace returns a digest of the trace's lines, of the event log and of the number of steps.
 func (w *World) Trace() string {
 	digest := sha256.New()
 	_, _ = digest.Write(w.trace.Sum(nil))
@@ -171,20 +185,22 @@
 	for _, entry := range w.Events.Entries() {
 		_ = encoder.Encode(entry)
 	}
-	_ = binary.Write(digest, binary.BigEndian, w.acted)
+	_ = binary.Write(digest, binary.BigEndian, w.steps)
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// encounter counts a moment in which something that must never happen could.
-func (w *World) encounter(what string) { w.encounters[what]++ }
+// encounter counts a situation in which a rule could be broken.
+func (w *World) encounter(situation string) { w.encounters[situation]++ }
 
-// Encounters tells how often each really occurred.
+// Encounters returns how often each situation occurred in which a rule could be broken.
 func (w *World) Encounters() map[string]int { return w.encounters }
 
 func (w *World) nameAt(address string) string { return w.byAddress[address] }
 
-// powered tells whether a machine answers that nobody listens, or not at all.
-func (w *World) powered(name string) bool {
+// isPowered reports whether a machine is on. A machine that is on refuses connections to a port
+// without a listener; a machine that is off doesn't answer at all. A name without a machine
+// counts as on.
+func (w *World) isPowered(name string) bool {
 	for _, m := range w.machines {
 		if m.name == name {
 			return !m.off && !m.gone
@@ -193,13 +209,13 @@
 	return true
 }
 
+// nonce returns a text that is unique in this world.
 func (w *World) nonce() string {
-	w.nonces++
-	return "n" + strconv.FormatUint(w.nonces, 36)
+	w.nonceCount++
+	return "n" + strconv.FormatUint(w.nonceCount, 36)
 }
 
-// requestID is a UUID of version 7, made at the moment that a client's clock
-// shows.
+// requestID returns a UUID of version 7 with the present time.
 func (w *World) requestID() string {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(epoch.Add(w.now).UnixMilli())<<16|uint64(w.random.IntN(1<<12)))
@@ -208,27 +224,30 @@
 	return id.String()
 }
 
+// newIncarnation registers a new process, which replaces the earlier one with the name.
 func (w *World) newIncarnation(name, address string, drift float64) *incarnation {
-	begun := &incarnation{world: w, name: name, address: address, startedAt: w.now, wall: epoch.Add(w.now), drift: drift,
-		threads: map[*thread]bool{}, onEndActs: map[uint64]func(){}}
-	w.incarnations[name] = begun
-	return begun
+	process := &incarnation{world: w, name: name, address: address, startedAt: w.now, wall: epoch.Add(w.now), drift: drift,
+		threads: map[*thread]bool{}, onEndCallbacks: map[uint64]func(){}}
+	w.incarnations[name] = process
+	return process
 }
 
+// startServer starts a cold model server at a new address and lists it with the platform.
 func (w *World) startServer(plan fleet.ServerPlan) {
-	w.nonces++
-	address := "10.1." + strconv.FormatUint(w.nonces>>8, 10) + "." + strconv.FormatUint(w.nonces&0xff, 10) + ":1"
-	begun := w.newIncarnation(plan.Name, address, 0)
+	w.nonceCount++
+	address := "10.1." + strconv.FormatUint(w.nonceCount>>8, 10) + "." + strconv.FormatUint(w.nonceCount&0xff, 10) + ":1"
+	process := w.newIncarnation(plan.Name, address, 0)
 	w.byAddress[address] = plan.Name
 	w.servers[plan.Name] = &modelServer{
 		plan:        plan,
-		incarnation: begun,
-		engine:      fleet.NewEngine(plan, w.Events, begun, w.nonce, w.fetchFrom(begun)),
+		incarnation: process,
+		engine:      fleet.NewEngine(plan, w.Events, process, w.nonce, w.fetchFrom(process)),
 		calls:       &callServer{world: w, name: plan.Name, handles: map[string]*callMemory{}},
 	}
 	w.platform.servers[plan.Name] = membership.Server{Name: plan.Name, Address: address, Zone: plan.Zone}
 }
 
+// crashServer crashes a model server, unless it has ended already.
 func (w *World) crashServer(name string) {
 	if s := w.servers[name]; !s.incarnation.ended {
 		s.engine.Die()
@@ -236,76 +255,88 @@
 	}
 }
 
-// start begins a machine's process, if none runs there.
+// start starts a machine's process, unless one is running there or the machine is gone.
 func (w *World) start(m *machine) {
 	if m.gone || (m.incarnation != nil && !m.incarnation.ended) {
 		return
 	}
 	m.off = false
 	m.startCount++
-	begun := w.newIncarnation(m.name, m.address, m.drift)
-	m.incarnation, m.router, m.control = begun, nil, nil
+	process := w.newIncarnation(m.name, m.address, m.drift)
+	m.incarnation, m.router, m.control = process, nil, nil
 	supported := features.Supported(m.withheld)
 	w.tracef("%s starts, %d flags", m.name, len(supported))
 	if len(m.withheld) == 0 {
-		// From here on it reads the new formats.
+		// A process of the newest release can read the new formats from its start on.
 		w.recordMember(m)
 	}
 	observe := func(event string, detail ...any) { w.tracef("%s %s %v", m.name, event, detail) }
 	if m.kind == membership.Controller {
-		begun.Go(func() { w.runController(m, begun, supported, observe) })
+		process.Go(func() { w.runController(m, process, supported, observe) })
 		return
 	}
-	servers := &serverClient{incarnation: begun, running: map[string]*serverExchange{}}
+	servers := &serverClient{incarnation: process, running: map[string]*serverExchange{}}
 	options := dataplane.Options{
 		Options:   seamloom.Options{Router: m.name, Zone: m.zone, Supported: supported, FixedRoles: w.fixedParts},
 		Address:   m.address,
 		Seeds:     m.seeds,
 		Nonce:     w.nonce,
-		OnEnded:   endedHere,
-		Directory: directory{w, begun},
+		OnEnded:   ignoreEnded,
+		Directory: directory{w, process},
 	}
 	options.ServeWithoutLease = w.settings.ServeWithoutLease
 	if w.settings.Calls {
-		options.CallService = func(*scheduler.Scheduler) dataplane.CallService { return ignoringBoard{} }
+		options.CallService = func(*scheduler.Scheduler) dataplane.CallService { return unusedCallService{} }
 	}
 	if w.layout == nil {
-		options.LoadReader = directory{w, begun}
+		options.LoadReader = directory{w, process}
 	}
-	w.prepareCalls(m, begun, &options)
-	router := dataplane.NewRouter(begun, rpcClient{begun}, servers, &forwarder{incarnation: begun}, options, observe)
+	w.prepareCalls(m, process, &options)
+	router := dataplane.NewRouter(process, rpcClient{process}, servers, &forwarder{incarnation: process}, options, observe)
 	m.router = router
-	begun.handle = router.Handlers().Handle
-	for _, round := range router.Loops() {
-		begun.Go(round)
+	process.handle = router.Handlers().Handle
+	for _, loop := range router.Loops() {
+		process.Go(loop)
 	}
 	if len(m.withheld) > 0 {
-		w.recordOldMember(m, begun, router.Heard)
+		w.recordOldMember(m, process, router.LastUpdateAt)
 	}
 }
 
-func (w *World) runController(m *machine, begun *incarnation, supported features.List, observe func(string, ...any)) {
-	m.disk.owner = begun
-	keeping, _ := storage.OpenDirectory(m.disk, "keeper")
-	copies, _ := storage.OpenDirectory(m.disk, "larder")
-	options := controlplane.Options{Name: m.name, Address: m.address, Zone: m.zone, Seeds: m.seeds, Supported: supported,
-		FlagStableTime: 2 * time.Second, ToleratedLosses: w.borneLosses(), Fresh: newIdentity(w, m), Directory: directory{w, begun}, LoadReader: directory{w, begun}}
-	options.AcknowledgeWait, options.RetireAfter, options.CatchUp = w.settings.AcknowledgeWait, w.settings.RetireAfter, w.settings.CatchUp
-	options.JoinsOnly = w.settings.JoinOnly || w.settings.FormOnce && m.startCount > 1 || w.settings.FormOnce && w.now > opening
-	control, blank, err := controlplane.Open(begun, rpcClient{begun}, keeping, copies, options, observe)
+// runController opens a machine's disk and starts the controller's threads.
+func (w *World) runController(m *machine, process *incarnation, supported features.List, observe func(string, ...any)) {
+	m.disk.owner = process
+	witnessDirectory, _ := storage.OpenDirectory(m.disk, "keeper")
+	replicaDirectory, _ := storage.OpenDirectory(m.disk, "larder")
+	options := controlplane.Options{
+		Name:            m.name,
+		Address:         m.address,
+		Zone:            m.zone,
+		Seeds:           m.seeds,
+		Supported:       supported,
+		FlagStableTime:  2 * time.Second,
+		ToleratedLosses: w.toleratedLosses(),
+		NewIdentity:     newIdentity(w, m),
+		Directory:       directory{w, process},
+		LoadReader:      directory{w, process},
+	}
+	options.AcknowledgeWait, options.RetireAfter, options.CatchUp =
+		w.settings.AcknowledgeWait, w.settings.RetireAfter, w.settings.CatchUp
+	options.JoinsOnly = w.settings.JoinOnly || w.settings.FormOnce && m.startCount > 1 || w.settings.FormOnce && w.now > warmUpTime
+	control, blank, err := controlplane.Open(process, rpcClient{process}, witnessDirectory, replicaDirectory, options, observe)
 	if err != nil {
 		w.tracef("%s can't open its disk: %v", m.name, err)
-		begun.end()
+		process.end()
 		return
 	}
 	w.tracef("%s opened its disk, blank %v", m.name, blank)
 	m.control = control
-	begun.handle = control.Handlers().Handle
-	for _, round := range control.Loops() {
-		begun.Go(round)
+	process.handle = control.Handlers().Handle
+	for _, loop := range control.Loops() {
+		process.Go(loop)
 	}
 	if len(m.withheld) > 0 {
-		w.recordOldMember(m, begun, control.Heard)
+		w.recordOldMember(m, process, control.LastUpdateAt)
 	}
 }
 
@@ -315,13 +346,13 @@
 		return
 	}
 	if m.router != nil && w.claiming[m.name] > 0 {
-		w.encounter("a claim in flight at a kill")
+		w.encounter("a router killed with a claim in flight")
 	}
 	if m.router != nil && m.router.Core().InFlight() > 0 {
-		w.encounter("inquiries under way at a kill")
+		w.encounter("a router killed with requests in flight")
 	}
 	if m.control != nil && m.control.Coordinator().HasLease() {
-		w.encounter("a primary killed under its hold")
+		w.encounter("a primary killed while it held the lease")
 	}
 	w.tracef("%s is killed", m.name)
 	m.incarnation.end()
@@ -330,21 +361,22 @@
 	}
 }
 
-// powerOff takes a machine away: what was not synced is gone, and nothing
-// answers there, not even that nobody listens.
+// powerOff powers a machine off. Its disk loses everything that was not synced, and connections
+// to the machine time out instead of being refused.
 func (w *World) powerOff(name string) {
 	for _, m := range w.machines {
 		if m.name == name {
 			m.off = true
 			w.kill(m)
 			if m.disk != nil {
-				m.disk.lose()
+				m.disk.dropUnsynced()
 				m.disk.powerFailsIn = 0
 			}
 		}
 	}
 }
 
+// listNodes returns the nodes that the platform lists: all machines that are not gone.
 func (w *World) listNodes() []membership.Node {
 	var nodes []membership.Node
 	for _, m := range w.machines {
@@ -355,4 +387,5 @@
 	return nodes
 }
 
+// never is the condition of a wait that only its timeout ends.
 func never() bool { return false }
--- a/internal/wire/changes_test.go
+++ b/internal/wire/changes_test.go
@@ -13,17 +13,19 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-var changesNoon = time.Unix(1000, 0)
+// changesStart is the time of the first step.
+var changesStart = time.Unix(1000, 0)
 
-// TestChangesOfTheServerListGiveTheWholeList replaces, removes, restores and warms servers at
-// random, and wants the changes since each remembered list to give the newest.
-func TestChangesOfTheServerListGiveTheWholeList(t *testing.T) {
+// TestServerChangesLeadToTheNewestList replaces, removes, restores and warms up servers at random. For each
+// earlier list, the changes since that list must result in the newest list when they are applied to it, unless
+// the list is so old that its changes are no longer known.
+func TestServerChangesLeadToTheNewestList(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
 		var list membership.ServerList
 		earlier := map[uint64][]membership.Server{}
 		for step := range 80 {
-			now := changesNoon.Add(time.Duration(step) * 700 * time.Millisecond)
+			now := changesStart.Add(time.Duration(step) * 700 * time.Millisecond)
 			var read []membership.Server
 			for number := range 12 {
 				if random.Intn(6) == 0 {
@@ -44,26 +46,27 @@
 				changed, removed, known := list.ChangesSince(now, change)
 				if !known {
 					if change+32 >= list.Changes() {
-						t.Fatalf("seed %d: change %d of %d is not remembered", seed, change, list.Changes())
+						t.Fatalf("seed %d: the changes since change %d of %d are not known", seed, change, list.Changes())
 					}
 					continue
 				}
 				got := wire.ServerChanges{Changed: changed, Removed: removed}.Apply(servers)
 				if !sameServers(got, want) {
-					t.Fatalf("seed %d, step %d: since change %d\n%+v\nwhole\n%+v", seed, step, change, got, want)
+					t.Fatalf("seed %d, step %d: the changes since change %d lead to another list: got\n%+v\nwant\n%+v", seed, step, change, got, want)
 				}
 			}
 			if list.Changes() > 0 {
 				earlier[list.Changes()] = want
 			}
 		}
-		if _, _, known := list.ChangesSince(changesNoon, list.Changes()+1); known {
-			t.Fatal("a change to come is known")
+		if _, _, known := list.ChangesSince(changesStart, list.Changes()+1); known {
+			t.Fatal("the changes since a future change are known")
 		}
 	}
 }
 
-// sameServers compares lists but for the time that warming servers have left, which runs out.
+// sameServers reports whether two lists are equal except for the remaining warm-up times, which
+// depend on when the list is read.
 func sameServers(got, want []membership.Server) bool {
 	if len(got) != len(want) {
 		return false
@@ -78,36 +81,37 @@
 	return true
 }
 
-// TestChangesOfLoadsGiveAllReports wants the changes between two rounds to lead from one to the
-// other, whatever differs, and those that were cut short to fit nothing.
-func TestChangesOfLoadsGiveAllReports(t *testing.T) {
+// TestLoadChangesLeadToTheNewReports computes the changes between two random sets of reports. The changes
+// applied to the first set must result in the second set. Truncated changes must not fit the first set.
+func TestLoadChangesLeadToTheNewReports(t *testing.T) {
 	for seed := range int64(500) {
 		random := rand.New(rand.NewSource(seed))
 		base, target := randomReports(random), randomReports(random)
 		changes := wire.NewLoadChanges(1, base, target)
 		got, fits := changes.Apply(base)
 		if !fits || len(got) != len(target) || len(got) > 0 && !reflect.DeepEqual(got, target) {
-			t.Fatalf("seed %d: %v\n%+v\nwant\n%+v", seed, fits, got, target)
+			t.Fatalf("seed %d: changes fit: %v; got\n%+v\nwant\n%+v", seed, fits, got, target)
 		}
 		if length := len(changes.Differences); length > 0 {
 			changes.Differences = changes.Differences[:length-1]
 			if _, fits := changes.Apply(base); fits {
-				t.Fatalf("seed %d: changes that were cut short fit", seed)
+				t.Fatalf("seed %d: truncated changes fit the base", seed)
 			}
 		}
 	}
 }
 
+// randomReports returns random load reports of some of 20 servers, sorted by server name.
 func randomReports(random *rand.Rand) []wire.LoadReport {
 	var reports []wire.LoadReport
 	for number := range 20 {
 		if random.Intn(4) == 0 {
 			continue
 		}
-		report := wire.LoadReport{Server: fmt.Sprintf("server-%02d", number), Part: "decode", Running: random.Intn(3),
+		report := wire.LoadReport{Server: fmt.Sprintf("server-%02d", number), Role: "decode", Running: random.Intn(3),
 			Waiting: random.Intn(2), MemoryUsed: random.Intn(2) * random.Intn(1<<30), MemoryTotal: 1 << 30, Age: random.Intn(900)}
 		if random.Intn(10) == 0 {
-			report.Part, report.Changing, report.Orders = "prefill", true, uint(random.Intn(9))
+			report.Role, report.Changing, report.Orders = "prefill", true, uint(random.Intn(9))
 		}
 		reports = append(reports, report)
 	}
@@ -115,7 +119,8 @@
 	return reports
 }
 
-// TestUpdatesWithoutChangesAreEncodedAsBefore wants no new key in what an older release is sent.
+// TestUpdatesWithoutChangesAreEncodedAsBefore expects that an update for a node of an older release contains
+// no new key.
 func TestUpdatesWithoutChangesAreEncodedAsBefore(t *testing.T) {
 	type earlierServers struct {
 		Revision uint64              `msgpack:"mark"`
@@ -127,7 +132,7 @@
 	now := encode(t, wire.ServersUpdate{Revision: 7, Age: time.Second, Sent: true, Servers: servers})
 	before := encode(t, earlierServers{Revision: 7, Age: time.Second, Sent: true, Servers: servers})
 	if string(now) != string(before) {
-		t.Errorf("%x\nbefore\n%x", now, before)
+		t.Errorf("the encoded update: got\n%x\nwant\n%x", now, before)
 	}
 }
 
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -1,7 +1,7 @@
-// Package wire has the messages between seamloom's own processes, their paths, and the client
-// and handlers that carry them as msgpack. It has no logic: the control plane and the data
-// plane know wire, and never one another. Field tags and paths are the protocol: other
-// releases of the fleet read them, so they keep their first names.
+// Package wire defines the messages between seamloom's own processes, their paths, and the client and the
+// handlers that transfer them as msgpack. It contains no logic of either plane: the control plane and the
+// data plane both import wire and never import each other. The field tags and paths are part of the
+// protocol. They keep the names of the first release, because processes of other releases use them.
 package wire
 
 import (
@@ -12,15 +12,16 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Client is the port to other processes. A call ends within its timeout. An error with the
-// code Unreachable or Garbage says that there was no response: whether the request was carried
-// out is not known. All other codes are the receiver's own.
+// Client is the port to other processes. A call ends within its timeout. An error with the code Unreachable
+// or Garbage means that there was no valid response, and it is not known whether the request was carried
+// out. All other codes come from the receiver.
 type Client interface {
 	CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error)
 }
 
-// Call sends a request and decodes the response, within the timeout. A nil response is not
-// decoded. Errors are the client's, and Garbage for what can't be encoded or decoded.
+// Call sends a request and decodes the response, within the timeout. If response is nil, the body of the
+// response is not decoded. Errors come from the client, or have the code Garbage if the request can't be
+// encoded or the response can't be decoded.
 func Call(client Client, address, path string, request, response any, timeout time.Duration) error {
 	body, err := msgpack.Marshal(request)
 	if err != nil {
@@ -36,15 +37,15 @@
 // Handler turns an encoded request into an encoded response.
 type Handler func(body []byte) ([]byte, error)
 
-// HandlerFor encodes and decodes for a function of typed messages. What can't be encoded or
-// decoded fails with Garbage.
+// HandlerFor returns a handler that decodes the request and encodes the response of a function of typed
+// messages. The handler fails with Garbage if the request can't be decoded or the response can't be encoded.
 func HandlerFor[Request, Response any](serve func(request Request) (Response, error)) Handler {
 	return func(body []byte) ([]byte, error) {
-		var req Request
-		if err := msgpack.Unmarshal(body, &req); err != nil {
+		var request Request
+		if err := msgpack.Unmarshal(body, &request); err != nil {
 			return nil, failure.Wrap(failure.Garbage, err)
 		}
-		response, err := serve(req)
+		response, err := serve(request)
 		if err != nil {
 			return nil, err
 		}
@@ -53,10 +54,10 @@
 	}
 }
 
-// Handlers are a process's handlers of these messages, by path.
+// Handlers holds a process's handlers of the messages in this package, by path.
 type Handlers map[string]Handler
 
-// Handle serves one message. It fails with NoSuch for an unknown path.
+// Handle passes a message to the handler for the path. It fails with NoSuch for an unknown path.
 func (h Handlers) Handle(path string, body []byte) ([]byte, error) {
 	handler, found := h[path]
 	if !found {
--- a/internal/wire/delta.go
+++ b/internal/wire/delta.go
@@ -7,8 +7,9 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// Delta is the change of a section's content from a base version that the node has: Prefix
-// and Suffix bytes of the base stay, Middle replaces what is between them.
+// Delta is the change of a section's content from a base version that the receiving node has. The first
+// Prefix bytes and the last Suffix bytes of the base content stay, and Middle replaces the bytes between
+// them.
 type Delta struct {
 	Base     replication.Version `msgpack:"base"`
 	Version  replication.Version `msgpack:"version"`
@@ -18,16 +19,16 @@
 	Checksum uint32              `msgpack:"checksum"`
 }
 
-// MinDeltaContent is the size in bytes from which a section is worth a delta.
+// MinDeltaContent is the minimum size, in bytes, of a section that is sent as a delta.
 const MinDeltaContent = 256
 
 var deltaTable = crc32.MakeTable(crc32.Castagnoli)
 
-// NewDelta is the delta that turns base into target: it compares them from both ends.
+// NewDelta returns the delta from base to target, which it finds by comparing them from both ends.
 func NewDelta(base, target replication.Section) Delta {
 	least := min(len(base.Content), len(target.Content))
 	prefix := 0
-	// Blocks first: a large content is mostly the same.
+	// Compare whole blocks first, which is faster since large contents are mostly equal.
 	for prefix+4096 <= least && bytes.Equal(base.Content[prefix:prefix+4096], target.Content[prefix:prefix+4096]) {
 		prefix += 4096
 	}
@@ -48,8 +49,8 @@
 	}
 }
 
-// Apply gives the new section; false means that the delta does not fit the base, by its
-// version, its lengths or the checksum of the result.
+// Apply returns the new section. It returns false if the delta does not fit the base: the version or the
+// lengths do not match, or the result has another checksum.
 func (d Delta) Apply(base replication.Section) (replication.Section, bool) {
 	length := len(base.Content)
 	if d.Base != base.Version || d.Prefix < 0 || d.Suffix < 0 || d.Prefix > length || d.Suffix > length-d.Prefix {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -17,11 +17,11 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// goldenFolder holds messages between processes as release facc4d7 encoded them, every field
-// set. A later release may add keys; it must not drop, rename or retype one.
+// goldenFolder holds messages between processes as release facc4d7 encoded them, with all fields set. A later
+// release may add keys, but must not drop or rename a key or change its type.
 const goldenFolder = "testdata/facc4d7"
 
-// goldenMessages are this release's types of the messages, by the names of their files.
+// goldenMessages maps the names of the files to the types that this release decodes them into.
 var goldenMessages = map[string]any{
 	"backlog_request":        backlog.Request{},
 	"backlog_response":       backlog.Response{},
@@ -48,13 +48,13 @@
 	"witness_request":        wire.WitnessRequest{},
 }
 
-// TestMessagesOfEarlierReleasesAreReadAndWritten decodes each message of the earlier release and
-// encodes it again: every key that was sent is there again with its value, so nothing of it was
-// lost, and the earlier release reads what this one sends.
+// TestMessagesOfEarlierReleasesAreReadAndWritten decodes each message of the earlier release and encodes it
+// again. Every key must be present again with its value. This shows that the current release reads the complete
+// message, and that the earlier release can read messages of the current release.
 func TestMessagesOfEarlierReleasesAreReadAndWritten(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(goldenFolder, "*.msgpack"))
 	if err != nil || len(files) != len(goldenMessages) {
-		t.Fatalf("%d files for %d messages: %v", len(files), len(goldenMessages), err)
+		t.Fatalf("got %d files for %d messages, error %v", len(files), len(goldenMessages), err)
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".msgpack")
@@ -76,7 +76,7 @@
 				t.Fatal(err)
 			}
 			if missing := missingFrom(decodeAny(t, sent), decodeAny(t, encoded), name); missing != "" {
-				t.Errorf("%s is not sent any more as it was", missing)
+				t.Errorf("%s is missing or differs after decoding and encoding", missing)
 			}
 		})
 	}
@@ -93,8 +93,8 @@
 	return value
 }
 
-// missingFrom returns the path of the first value of earlier that later does not have; empty when
-// it has them all. Keys that are new in later are allowed.
+// missingFrom returns the path of a value of earlier that is missing or different in later, or "" if there is
+// none. Additional keys in later are allowed.
 func missingFrom(earlier, later any, path string) string {
 	fields, isMap := earlier.(map[any]any)
 	if !isMap {
@@ -115,7 +115,8 @@
 	return ""
 }
 
-// missingElement compares two lists element by element.
+// missingElement compares the elements of two lists with missingFrom. It returns path if either value is not a
+// list or if later has fewer elements.
 func missingElement(earlier, later any, path string) string {
 	elements, isList := earlier.([]any)
 	others, alsoList := later.([]any)
--- a/internal/wire/loadchanges.go
+++ b/internal/wire/loadchanges.go
@@ -6,28 +6,30 @@
 	"strings"
 )
 
-// LoadChanges are what differs between two rounds of load reports. The reports of a round are in
-// the order of their servers' names, with their ages as of the end of the round.
+// LoadChanges are the changes between the load reports of two poll cycles. The reports of a cycle are sorted
+// by the names of their servers and have their ages as of the end of the cycle.
 type LoadChanges struct {
-	// Base is the revision of the round from which they lead to that of the update.
+	// Base is the revision of the poll cycle to which the changes apply.
 	Base uint64 `msgpack:"base"`
-	// Differences has, for each report of the base in its order, a byte whose bits name the
-	// counters that differ, and for each of these the difference as a signed varint.
+	// Differences contains an entry for each report of the base, in the order of the base: a byte whose
+	// bits identify the counters that differ, followed by the difference of each of these counters as a
+	// signed varint.
 	Differences []byte `msgpack:"differences,omitempty"`
-	// Added are the reports that the base lacks, or that differ in another field.
+	// Added are the reports of servers that the base lacks, and the reports that differ from those of the base
+	// in a field that is not a counter.
 	Added []LoadReport `msgpack:"added,omitempty"`
 }
 
-// reportRemoved is the flag of a report that is not in the round, or is among those added.
+// reportRemoved flags a report of the base that is missing from the new cycle or replaced by one in Added.
 const reportRemoved = 1 << 7
 
-// counters are the fields that are sent as differences, in the order of their bits.
+// counters returns the fields that are sent as differences, in the order of their bits.
 func (l *LoadReport) counters() [5]*int {
 	return [5]*int{&l.Waiting, &l.Running, &l.MemoryUsed, &l.Handles, &l.Age}
 }
 
-// sameButCounters tells whether two reports are alike but for their counters.
-func (l LoadReport) sameButCounters(other LoadReport) bool {
+// equalExceptCounters reports whether two reports are equal except for their counters.
+func (l LoadReport) equalExceptCounters(other LoadReport) bool {
 	for _, counter := range l.counters() {
 		*counter = 0
 	}
@@ -37,15 +39,15 @@
 	return l == other
 }
 
-// SortReports puts reports into the order of a round.
+// SortReports sorts reports by the names of their servers, which is the order of a poll cycle.
 func SortReports(reports []LoadReport) {
 	slices.SortFunc(reports, compareReports)
 }
 
 func compareReports(left, right LoadReport) int { return strings.Compare(left.Server, right.Server) }
 
-// NewLoadChanges are the changes that lead from the reports of a base to those of a later round,
-// both in the order of SortReports.
+// NewLoadChanges returns the changes from the reports of the base cycle with the given revision to those of a
+// later cycle. Both must be sorted by SortReports.
 func NewLoadChanges(revision uint64, base, target []LoadReport) LoadChanges {
 	changes := LoadChanges{Base: revision}
 	next := 0
@@ -54,7 +56,7 @@
 			changes.Added = append(changes.Added, target[next])
 			next++
 		}
-		if next == len(target) || target[next].Server != earlier.Server || !earlier.sameButCounters(target[next]) {
+		if next == len(target) || target[next].Server != earlier.Server || !earlier.equalExceptCounters(target[next]) {
 			changes.Differences = append(changes.Differences, reportRemoved)
 			continue
 		}
@@ -65,6 +67,7 @@
 	return changes
 }
 
+// appendDifferences encodes the differences between the counters of two reports of a server.
 func appendDifferences(encoded []byte, base, target LoadReport) []byte {
 	position := len(encoded)
 	encoded = append(encoded, 0)
@@ -78,7 +81,7 @@
 	return encoded
 }
 
-// Apply gives the reports of the round from those of the base; false means that the changes do
+// Apply returns the reports of the new cycle from those of the base cycle. It returns false if the changes do
 // not fit the base.
 func (c LoadChanges) Apply(base []LoadReport) ([]LoadReport, bool) {
 	reports := make([]LoadReport, 0, len(base)+len(c.Added))
--- a/internal/wire/operations.go
+++ b/internal/wire/operations.go
@@ -9,14 +9,14 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// ClaimRequest claims the id of a request that must not run twice, before its dispatch. Made
-// is the time in the id.
+// ClaimRequest claims the id of a request that must not run twice, before the request is dispatched. Made is
+// the time that the id contains.
 type ClaimRequest struct {
 	Made  time.Time   `msgpack:"made"`
 	Entry codec.Entry `msgpack:"entry"`
 }
 
-// OrdersRequest records orders to servers, under the fencing token of the role.
+// OrdersRequest records orders to servers under the fencing token of a role.
 type OrdersRequest struct {
 	Role   lease.Role    `msgpack:"duty"`
 	Orders []codec.Order `msgpack:"orders"`
@@ -24,7 +24,7 @@
 	Supported features.List `msgpack:"supported"`
 }
 
-// LeaderResponse says whether its sender leads, and the membership that it knows.
+// LeaderResponse states whether its sender is primary, and contains the membership that the sender knows.
 type LeaderResponse struct {
 	Leads      bool                   `msgpack:"leads"`
 	Membership replication.Membership `msgpack:"charter"`
@@ -36,17 +36,17 @@
 	Body []byte `msgpack:"body"`
 }
 
-// Forwarding identifies one forwarding of a request between routers: the network may deliver
-// it twice, or to another process than it was meant for.
+// Forwarding identifies one forwarding of a request between routers. The network may deliver a forwarded
+// request twice, or to a process other than the intended recipient.
 type Forwarding struct {
 	// Nonce is new for each forwarding.
 	Nonce string
-	// Incarnation is that of the process it is meant for; empty when that one does not tell,
-	// as the first release did not.
+	// Incarnation is the incarnation of the intended recipient. It is empty if the recipient does not
+	// send its incarnation, as in the first release.
 	Incarnation string
 }
 
-// IncarnationResponse is a router's present incarnation.
+// IncarnationResponse contains a router's current incarnation.
 type IncarnationResponse struct {
 	Incarnation string `msgpack:"incarnation"`
 }
--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -14,7 +14,7 @@
 	IncarnationPath = "/hotline/incarnation"
 	PreparePath     = "/hotline/keeper/prepare"
 	AcceptPath      = "/hotline/keeper/accept"
-	ConfirmPath     = "/hotline/keeper/confirm"
+	RenewLeasePath  = "/hotline/keeper/confirm"
 	ReplicatePath   = "/hotline/larder/replicate"
 	InstallPath     = "/hotline/larder/install"
 	RefreshPath     = "/hotline/larder/refresh"
--- a/internal/wire/quota.go
+++ b/internal/wire/quota.go
@@ -5,15 +5,16 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// QuotaRequest asks a witness for tokens of limits that hold over all routers. It names the disk that it is
-// for, and the epoch of the membership by which the router chose the witnesses.
+// QuotaRequest asks a witness for tokens of fleet-wide limits. To identifies the disk of the witness, and
+// Epoch is the epoch of the membership from which the router selected its witnesses.
 type QuotaRequest struct {
 	To      replication.Identity `msgpack:"to"`
 	Epoch   uint64               `msgpack:"epoch"`
 	Request quota.Request        `msgpack:"request"`
 }
 
-// QuotaResponse has what the witness grants, or the newer membership by which the router is to ask.
+// QuotaResponse contains the tokens that the witness grants, or a newer membership. The router must then
+// repeat its request under that membership.
 type QuotaResponse struct {
 	Response   quota.Response         `msgpack:"response"`
 	Membership replication.Membership `msgpack:"charter,omitempty"`
--- a/internal/wire/serverchanges.go
+++ b/internal/wire/serverchanges.go
@@ -7,23 +7,23 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// ServerChanges are what differs between two revisions of the list of servers.
+// ServerChanges are the changes between two revisions of the list of servers.
 type ServerChanges struct {
-	// Base is the revision from which they lead to that of the update.
+	// Base is the revision to which the changes apply.
 	Base uint64 `msgpack:"base"`
-	// Changed are the servers that are new or listed differently, with their warming as of
-	// the age of the update.
+	// Changed are the servers that are new or listed differently. Their remaining warm-up time is as of
+	// when the update was made.
 	Changed []membership.Server `msgpack:"changed,omitempty"`
 	Removed []string            `msgpack:"removed,omitempty"`
 }
 
-// Apply gives the list after the changes, in the order of names, from the list of revision Base.
+// Apply returns the list after the changes, sorted by name, from the list of revision Base.
 func (c ServerChanges) Apply(base []membership.Server) []membership.Server {
 	servers := map[string]membership.Server{}
 	for _, server := range base {
 		servers[server.Name] = server
 	}
-	// A server that was removed and listed again is in both.
+	// A server that was removed and listed again is in both Removed and Changed.
 	for _, name := range c.Removed {
 		delete(servers, name)
 	}
--- a/internal/wire/updates.go
+++ b/internal/wire/updates.go
@@ -10,45 +10,48 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// UpdateRequest is a node's long poll of the primary: who it is, which versions of the
-// replicated sections it has, and which configuration it has in force. The version in force
-// is an acknowledgement: the primary counts the node as not lagging behind that version.
+// UpdateRequest is a node's long poll of the primary. It identifies the node and contains the versions
+// of the replicated sections that the node has, and the version of the configuration that is in force at
+// the node. InForce is an acknowledgement: the primary no longer counts the node as lagging behind that
+// version.
 type UpdateRequest struct {
 	Member   membership.Member              `msgpack:"member"`
 	Have     map[string]replication.Version `msgpack:"have"`
 	InForce  replication.Version            `msgpack:"in_force"`
 	Released []lease.Role                   `msgpack:"released,omitempty"`
-	// MaxWait is how long the primary may hold the request back while it has no update.
+	// MaxWait is how long the primary may hold back the request while there is no update.
 	MaxWait time.Duration `msgpack:"patience"`
-	// AcceptDeltas: the node accepts a Delta instead of the complete section.
+	// AcceptDeltas is set if the node accepts a Delta instead of a complete section.
 	AcceptDeltas bool `msgpack:"deltas,omitempty"`
-	// Membership is the epoch of the newest membership that the node knows: the primary
-	// sends only a newer one. Zero: an older release, which always gets it.
-	Membership uint64 `msgpack:"charter,omitempty"`
-	// WantServers and WantLoads subscribe the node to the list of servers and to their load
-	// reports; ServersRevision and LoadsRevision are those that it has.
+	// MembershipEpoch is the epoch of the newest membership that the node knows. The primary sends only a
+	// newer one. A node of an older release sends zero and always gets the membership.
+	MembershipEpoch uint64 `msgpack:"charter,omitempty"`
+	// WantServers and WantLoads are set if the node wants the list of servers and their load reports.
+	// ServersRevision and LoadsRevision are the revisions that the node has.
 	WantServers     bool   `msgpack:"lists,omitempty"`
 	ServersRevision uint64 `msgpack:"list_mark,omitempty"`
 	WantLoads       bool   `msgpack:"loads,omitempty"`
 	LoadsRevision   uint64 `msgpack:"loads_mark,omitempty"`
-	// AcceptChanges: the node accepts ServerChanges and LoadChanges from the revisions that it
-	// has, instead of the complete list and reports.
+	// AcceptChanges is set if the node accepts ServerChanges and LoadChanges from the revisions that it
+	// has, instead of the complete list and all reports.
 	AcceptChanges bool `msgpack:"changes,omitempty"`
-	// Failing are the servers that failed requests of this node since its last request.
+	// Failing are the servers that failed requests of this node since its last poll.
 	Failing []string `msgpack:"failing,omitempty"`
-	// LeaderOnly asks only who leads: the response has no sections and no lease. An older
-	// release ignores it and responds in full.
+	// LeaderOnly is set if the node needs to know only the membership and whether the receiver is primary. A
+	// primary then responds at once, without sections and without a lease. A primary of an older release
+	// ignores LeaderOnly and responds in full.
 	LeaderOnly bool `msgpack:"brief,omitempty"`
-	// WantProvisional: the node has had no configuration since its start and would serve by
-	// a copy's while there is no primary; WantedVersion is the version to send, if any.
+	// WantProvisional is set if the node has had no configuration since its start and may use the
+	// configuration of a copy while there is no primary. WantedVersion is the version that the copy must
+	// send, or zero to get only the state of the copy.
 	WantProvisional bool                `msgpack:"provisional,omitempty"`
 	WantedVersion   replication.Version `msgpack:"wanted,omitempty"`
 }
 
-// UpdateResponse is the primary's response: the sections that are newer than the node's, and
-// a lease on the version Configuration, counted from when the node sent its request. A
-// controller that is not primary responds with the membership, and with the state of its
-// copy if that was wanted.
+// UpdateResponse is the response to an UpdateRequest. A primary sends the sections that are newer than the
+// node's. To a router it also sends a lease on the version Configuration; the duration of the lease counts
+// from when the router sent its request. A controller that is not primary responds with the membership
+// and, if the node wants it, with the state of its copy.
 type UpdateResponse struct {
 	Leads         bool                           `msgpack:"leads"`
 	Membership    replication.Membership         `msgpack:"charter"`
@@ -57,14 +60,15 @@
 	Configuration replication.Version            `msgpack:"menu"`
 	Lease         time.Duration                  `msgpack:"hold"`
 	Roles         []lease.Role                   `msgpack:"duties,omitempty"`
-	// Waited is how long the request was held back, so that the receiver can count the
-	// ages from the moment at which the response was made.
+	// Waited is how long the request was held back. The node takes the time at which it sent the request plus
+	// Waited, which is the earliest at which the response can have been made, and counts the ages in the
+	// response back from that time.
 	Waited time.Duration `msgpack:"held,omitempty"`
-	// Routers is how many routers share the servers.
+	// Routers is the number of routers that share the servers.
 	Routers int            `msgpack:"couriers,omitempty"`
 	Servers *ServersUpdate `msgpack:"servers,omitempty"`
 	Loads   *LoadsUpdate   `msgpack:"loads,omitempty"`
-	// Copy is the state of the copy of a controller that is not primary.
+	// Copy is the state of the copy, from a controller that is not primary.
 	Copy *CopyState `msgpack:"copy,omitempty"`
 }
 
@@ -75,12 +79,14 @@
 	Damaged  bool                 `msgpack:"damaged,omitempty"`
 	// Configuration is the version of the copy's configuration.
 	Configuration replication.Version `msgpack:"menu"`
-	// Sections are those that a router needs to serve, if it wanted this version.
+	// Sections are the sections that a router needs to serve requests. They are set if the copy has the
+	// version that the router wants.
 	Sections map[string]replication.Section `msgpack:"drawers,omitempty"`
 }
 
-// ServersUpdate is the platform's list of servers as the primary knows it: its age, and for a
-// node that has another revision the changes from that one, or the list itself (Sent).
+// ServersUpdate is an update of the platform's list of servers. A node that has the list of this Revision gets
+// only its Age. A node that has another revision also gets either the changes from that revision (Changes) or
+// the complete list (Servers, with Sent set).
 type ServersUpdate struct {
 	Revision uint64              `msgpack:"mark"`
 	Age      time.Duration       `msgpack:"age"`
@@ -89,27 +95,27 @@
 	Changes  *ServerChanges      `msgpack:"changes,omitempty"`
 }
 
-// LoadsUpdate has the servers' load reports as the primary read them last: all of them, or the
-// changes from a round that the node has. Each round of reading is a revision.
+// LoadsUpdate contains the load reports of the primary's last poll cycle: all reports, or the changes from a
+// cycle that the node has. Each poll cycle is a revision.
 type LoadsUpdate struct {
 	Revision uint64       `msgpack:"mark"`
 	Reports  []LoadReport `msgpack:"lines"`
 	Changes  *LoadChanges `msgpack:"changes,omitempty"`
-	// Age is the time in milliseconds from the end of the round to the response. The ages of
-	// Reports include it, those of Changes do not.
+	// Age is the time in milliseconds from the end of the poll cycle to the response. The ages in Reports
+	// include this time, the ages in Changes do not.
 	Age int `msgpack:"age,omitempty"`
-	// Outliers are the servers to avoid, by the failures that all nodes reported there.
+	// Outliers are the servers to avoid, determined from the failures reported by nodes of the whole fleet.
 	Outliers outlier.Advice `msgpack:"outliers,omitempty"`
 }
 
-// LoadReport is one server's load. It is encoded as an array, without names, since many of
-// them go to every router.
+// LoadReport is the load of one server. It is encoded as an array without field names, since many reports
+// are sent to every router.
 type LoadReport struct {
 	//lint:ignore U1000 The encoder reads the tag.
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Server      string
-	Part        string
+	Role        string
 	Changing    bool
 	Orders      uint
 	Waiting     int
@@ -117,15 +123,15 @@
 	MemoryUsed  int
 	MemoryTotal int
 	Handles     int
-	// Age is in milliseconds.
+	// Age is the age of the report in milliseconds.
 	Age int
 }
 
-// NewLoadReport encodes a load that was read some time ago.
+// NewLoadReport returns the report of a load that was read the given time ago.
 func NewLoadReport(load scheduler.Load, age time.Duration) LoadReport {
 	return LoadReport{
 		Server:      load.Server,
-		Part:        load.Role,
+		Role:        load.Role,
 		Changing:    load.ChangingRole,
 		Orders:      uint(load.Orders),
 		Waiting:     load.Waiting,
@@ -137,11 +143,11 @@
 	}
 }
 
-// Load is the scheduler's view of the report, which took some time to arrive.
+// Load returns the scheduler's form of the report, with the given time added to its age.
 func (l LoadReport) Load(age time.Duration) scheduler.Load {
 	return scheduler.Load{
 		Server:       l.Server,
-		Role:         l.Part,
+		Role:         l.Role,
 		ChangingRole: l.Changing,
 		Orders:       uint64(l.Orders),
 		Waiting:      l.Waiting,
--- a/options.go
+++ b/options.go
@@ -1,29 +1,30 @@
 package seamloom
 
-// Options say which router a core decides for.
+// Options configure a Core.
 type Options struct {
-	// Router is the router's name in the fleet. It seeds how the core spreads its choices,
-	// so that routers with the same view do not all choose the same server.
+	// Router is the router's name in the fleet. It seeds the core's choice among servers, so
+	// that routers with the same view of the fleet do not all choose the same server.
 	Router string
-	// Zone is the router's own zone, which routes may prefer.
+	// Zone is the router's own zone. A route may prefer servers of this zone.
 	Zone string
-	// MaxRequests bounds the requests in flight, without opaque calls; beyond it they are
-	// refused as busy. Zero means DefaultMaxRequests.
+	// MaxRequests is the maximum number of requests in flight, not counting opaque calls; further
+	// requests are refused as busy. Zero means DefaultMaxRequests.
 	MaxRequests int
 	// Supported are the feature flags that this build supports.
 	Supported FlagList
-	// LeastLoaded replaces the auction by a plain least-loaded choice, for comparison.
+	// LeastLoaded selects the least loaded server instead of running the auction, for comparison.
 	LeastLoaded bool
-	// FixedRoles leaves every server the role that it was given first, for comparison.
+	// FixedRoles keeps the first role of each server: the core never orders a change of roles. For
+	// comparison.
 	FixedRoles bool
-	// StoredConfiguration gives the configuration that a stored text stands for, where earlier
-	// releases of the program stored it otherwise; nil: the text itself. A text that it refuses
-	// is not put in force.
+	// StoredConfiguration converts the stored text of a configuration, which an earlier
+	// release may have written in another format, to the current format. If it fails, the
+	// configuration doesn't come into force. Nil means that no conversion is needed.
 	StoredConfiguration func(text []byte) ([]byte, error)
-	// Retries bounds what all routers send beyond the first dispatch of each opaque call;
-	// fields that are left out are those of scheduler.DefaultRetryAllowance.
+	// Retries limits the retries that all routers together send for opaque calls. Zero fields get
+	// the values of scheduler.DefaultRetryAllowance.
 	Retries RetryAllowance
 }
 
-// DefaultMaxRequests is how many requests a router has in flight at most by default.
+// DefaultMaxRequests is the default of Options.MaxRequests.
 const DefaultMaxRequests = 512
--- a/roles.go
+++ b/roles.go
@@ -9,21 +9,23 @@
 	"seamloom.example/seamloom/internal/lease"
 )
 
-// The intervals of a router's roles. The values are ours.
+// The intervals of a router's roles.
 const (
+	// roleInterval is the minimum time between two rounds of role decisions.
 	roleInterval = 100 * time.Millisecond
-	// commandInterval is the least time between two commands to a server that reports its
-	// own load.
+	// commandInterval is the minimum time between two commands to a server whose role is
+	// known only from its load reports.
 	commandInterval = time.Second
-	// commandVisibleWithin is how long it may take until an order that a server took shows
-	// in what the server list or a report says of it.
+	// commandVisibleWithin is the maximum time until the server list or a load report shows
+	// that a server has accepted a command.
 	commandVisibleWithin = 3 * time.Second
 )
 
-// roleDecisions does what the router's roles ask for: the holder of the parts key submits
-// orders, and the holder of a server's key commands that server to take its order. Each
-// decision carries the role's fencing token and expires with the lease, so that a router
-// that slept through its lease can't overrule its successor.
+// roleDecisions returns the decisions of the roles that this router holds. The holder of
+// lease.ServerRolesKey submits orders; the holder of a server's key sends that server the command to
+// take the role in its order. Each decision carries the role's fencing token and expires with
+// the lease, so that a router that was paused past the end of its lease can't overrule the next
+// holder.
 func (c *Core) roleDecisions(now time.Time) []Decision {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -31,10 +33,10 @@
 		return nil
 	}
 	c.nextRoleTick = now.Add(roleInterval)
-	servers := c.market.Listing()
+	servers := c.market.Servers()
 	var decisions []Decision
 	for _, role := range c.roles {
-		if role.Key == lease.PartsKey {
+		if role.Key == lease.ServerRolesKey {
 			if orders := c.roleOrders(now); len(orders) > 0 {
 				decisions = append(decisions, Decision{
 					Kind:     auction.SubmitOrders,
@@ -53,7 +55,7 @@
 	return decisions
 }
 
-// commandDue tells whether a server is to be commanded now to take the order in force.
+// commandDue reports whether a server must now be sent the command for its order in force.
 func (c *Core) commandDue(now time.Time, server string, role Role) bool {
 	order, ordered := c.orders[server]
 	if !ordered {
@@ -61,31 +63,32 @@
 	}
 	sinceCommand := now.Sub(c.commandedAt[server])
 	if serverRole, changing, listed := c.calls.Role(server); listed {
-		// A server whose role is listed is commanded only to take another one: a change
-		// costs it time. That it took the order shows in the reports a while later.
-		return !changing && serverRole != order.Part && sinceCommand >= commandVisibleWithin
+		// A server with a listed role gets a command only if its role must change, because
+		// a change interrupts its work. The list and the reports show an accepted command
+		// only after a delay.
+		return !changing && serverRole != order.Role && sinceCommand >= commandVisibleWithin
 	}
 	load, reported := c.market.Load(now, server)
 	if !reported || sinceCommand < commandInterval {
 		return false
 	}
-	// A new holder commands once in any case: the server learns the fencing token, and
-	// refuses what an older holder may still send after a long pause.
-	return string(load.Role) != order.Part || c.announcedToken[server] != role.FencingToken
+	// A new holder of the role sends at least one command. This command gives the server the
+	// new fencing token, so that the server rejects delayed commands of an earlier holder.
+	return string(load.Role) != order.Role || c.commandedToken[server] != role.FencingToken
 }
 
-// commandFor commands a listed server to take the order in force.
+// commandFor returns the command for a server's order in force, or nothing if the server isn't listed.
 func (c *Core) commandFor(now time.Time, name string, role Role, servers []Server) []Decision {
 	order := c.orders[name]
 	for _, server := range servers {
 		if server.Name == name {
-			c.commandedAt[name], c.announcedToken[name] = now, role.FencingToken
+			c.commandedAt[name], c.commandedToken[name] = now, role.FencingToken
 			return []Decision{{
 				Kind:       auction.CommandServer,
 				Server:     name,
 				Address:    server.Address,
 				Role:       role,
-				ServerRole: auction.ServerRole(order.Part),
+				ServerRole: auction.ServerRole(order.Role),
 				Order:      &order,
 				NotAfter:   c.roleEnds,
 			}}
@@ -94,9 +97,9 @@
 	return nil
 }
 
-// roleOrders are the orders that the holder of the parts key submits now: by the load of
-// opaque calls where the server list says what servers do, by the market's reports
-// otherwise.
+// roleOrders returns the orders that the holder of lease.ServerRolesKey submits now. They are based on
+// the load of opaque calls if the server list gives roles to servers, and otherwise on the load
+// reports of the market.
 func (c *Core) roleOrders(now time.Time) []Order {
 	if !c.calls.Disaggregated() {
 		if !c.roleBalancer.Due(now) {
--- a/seamloom.go
+++ b/seamloom.go
@@ -1,10 +1,10 @@
-// Package seamloom is the core of a router fleet for split prefill and decode, to be
-// embedded in a routing program: events go in, decisions come out. It does no input or
-// output, starts no threads, and reads no clock; the same events give the same decisions.
+// Package seamloom is the core of a router for split prefill and decode. A routing program
+// embeds it, feeds it events and receives decisions. The core does no input or output, starts
+// no goroutines and reads no clock: the same sequence of events gives the same decisions.
 //
-// The program tells the core what happened (Event), carries out what the core decides
-// (Decision), and feeds back what came of it. Package internal/dataplane is such a program,
-// and examples/embedded a small one.
+// The program passes each Event to the core, carries out each Decision that the core returns,
+// and reports the result as another event. Package internal/dataplane embeds the core in this
+// way; examples/embedded is a small example.
 package seamloom
 
 import (
@@ -19,39 +19,39 @@
 
 // The types of events and decisions.
 type (
-	// Event is one thing that happened.
+	// Event is an input of the core, such as the arrival of a request or a load report.
 	Event = auction.Event
-	// Decision is one thing to be done.
+	// Decision is an action that the program must carry out, such as a dispatch to a server.
 	Decision = auction.Decision
-	// Server is a model server as the platform lists it.
+	// Server is a model server in the platform's list.
 	Server = membership.Server
-	// Role is a key that this router holds, with its fencing token.
+	// Role is a singleton role that a router holds under its lease, with the fencing token.
 	Role = lease.Role
-	// Order says which role a model server is to take.
+	// Order orders a model server to take a role, such as prefill or decode.
 	Order = codec.Order
 )
 
-// The types of requests, whose prompt and stream pass through the core.
+// The types of requests. Their prompts and the chunks of their replies pass through the core.
 type (
-	// Request is one client's request.
+	// Request is a client's request for a streamed reply.
 	Request = auction.Request
-	// Load is a model server's report of its load.
+	// Load is a load report of a model server that serves requests.
 	Load = auction.Load
 )
 
 // The types of opaque calls, whose method, path and body are forwarded unchanged.
 type (
-	// Call is one opaque call.
+	// Call is an opaque call.
 	Call = scheduler.Call
 	// CallSegment is one segment of a call's prompt.
 	CallSegment = scheduler.Segment
-	// CallOutcome is how a dispatch of a call ended.
+	// CallOutcome is the result of a dispatch of a call.
 	CallOutcome = scheduler.Outcome
-	// CallDecision is what is next with a call.
+	// CallDecision is the next step of a call, such as a dispatch or its final status.
 	CallDecision = scheduler.Decision
-	// CallLoad is a report of the load of a server of calls.
+	// CallLoad is a load report of a model server that serves calls.
 	CallLoad = scheduler.Load
-	// RetryAllowance bounds the retries of calls.
+	// RetryAllowance limits the retries of calls.
 	RetryAllowance = scheduler.RetryAllowance
 )
 
@@ -63,11 +63,11 @@
 	FlagList = features.List
 )
 
-// Supported are the feature flags that this build supports, less the withheld.
+// Supported returns the feature flags that this build supports, except the withheld ones.
 func Supported(withheld FlagList) FlagList { return features.Supported(withheld) }
 
-// CheckConfiguration checks a configuration's text. It returns nil, or an error whose text
-// names the path and code of the first failure.
+// CheckConfiguration validates the text of a configuration. It returns nil or an error; the
+// error text names the code and the path of the first failure.
 func CheckConfiguration(text []byte) error {
 	_, err := config.Check(text)
 	return err
--- a/style_test.go
+++ b/style_test.go
@@ -11,14 +11,14 @@
 	"unicode"
 )
 
-// withdrawnWords are words of the earlier house style that no declared name may have. They stay on
-// wires, on disks and in settings, as struct tags and texts.
+// withdrawnWords are words that no declared name may contain. They remain only in struct tags and in
+// texts, because network protocols, stored files and settings still use them.
 var withdrawnWords = []string{
 	"charter", "circuit", "courier", "crumb", "district", "drawer", "expediter", "hatch", "inquiry", "keeper",
 	"larder", "menu", "rehearsal", "rota", "stove", "taster", "trouble",
 }
 
-// sourceFiles parses the module's Go files.
+// sourceFiles parses all Go files of the module and returns them by path.
 func sourceFiles(t *testing.T) (*token.FileSet, map[string]*ast.File) {
 	t.Helper()
 	set, files := token.NewFileSet(), map[string]*ast.File{}
@@ -36,7 +36,7 @@
 	return set, files
 }
 
-// words splits a name in camel case into lower-case words.
+// words splits a camel-case name into lower-case words.
 func words(name string) []string {
 	var words []string
 	start := 0
@@ -49,7 +49,8 @@
 	return append(words, strings.ToLower(name[start:]))
 }
 
-// withdrawnWord returns the first withdrawn word of a name, in the singular or the plural.
+// withdrawnWord returns the first withdrawn word that a name contains, in the singular or the plural, or "" if
+// the name contains none.
 func withdrawnWord(name string) string {
 	for _, word := range words(name) {
 		for _, withdrawn := range withdrawnWords {
@@ -62,14 +63,15 @@
 	return ""
 }
 
-// TestNoDeclaredNameHasAWithdrawnWord walks all declarations: types, functions, fields, variables.
+// TestNoDeclaredNameHasAWithdrawnWord checks the names of all types, functions, fields, parameters, constants and
+// variables, except the variables of range clauses.
 func TestNoDeclaredNameHasAWithdrawnWord(t *testing.T) {
 	set, files := sourceFiles(t)
 	for _, file := range files {
 		ast.Inspect(file, func(node ast.Node) bool {
 			for _, name := range declaredNames(node) {
 				if word := withdrawnWord(name.Name); word != "" {
-					t.Errorf("%s: %s has the withdrawn word %q", set.Position(name.Pos()), name.Name, word)
+					t.Errorf("%s: the name %s contains the withdrawn word %q", set.Position(name.Pos()), name.Name, word)
 				}
 			}
 			return true
@@ -77,7 +79,7 @@
 	}
 }
 
-// declaredNames are the names that a node declares.
+// declaredNames returns the names that a syntax node declares. It leaves out range clauses, imports and labels.
 func declaredNames(node ast.Node) []*ast.Ident {
 	switch declaration := node.(type) {
 	case *ast.FuncDecl:
@@ -103,8 +105,8 @@
 	return nil
 }
 
-// TestExportedNamesHaveDocComments wants a comment on each exported type, function and method outside of
-// tests.
+// TestExportedNamesHaveDocComments checks that each exported type, function and method outside of tests
+// has a doc comment.
 func TestExportedNamesHaveDocComments(t *testing.T) {
 	set, files := sourceFiles(t)
 	for path, file := range files {
@@ -112,15 +114,15 @@
 			continue
 		}
 		for _, declaration := range file.Decls {
-			switch known := declaration.(type) {
+			switch decl := declaration.(type) {
 			case *ast.FuncDecl:
-				if known.Name.IsExported() && known.Doc == nil {
-					t.Errorf("%s: %s has no doc comment", set.Position(known.Pos()), known.Name.Name)
+				if decl.Name.IsExported() && decl.Doc == nil {
+					t.Errorf("%s: %s has no doc comment", set.Position(decl.Pos()), decl.Name.Name)
 				}
 			case *ast.GenDecl:
-				for _, spec := range known.Specs {
+				for _, spec := range decl.Specs {
 					named, isType := spec.(*ast.TypeSpec)
-					if isType && named.Name.IsExported() && known.Doc == nil && named.Doc == nil {
+					if isType && named.Name.IsExported() && decl.Doc == nil && named.Doc == nil {
 						t.Errorf("%s: %s has no doc comment", set.Position(named.Pos()), named.Name.Name)
 					}
 				}
