--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -181,9 +181,10 @@
 	acknowledgedWrites   int
 	log                  []string
 	// tolerated is how many disks may be lost at once, lossesLeft how many more may be lost until
-	// the core is complete again.
+	// the core has recovered, and lostSpares the spares whose disks were lost since it last had.
 	tolerated  int
 	lossesLeft int
+	lostSpares []Identity
 	// catchUp is the CatchUpLimit of the core's timing.
 	catchUp time.Duration
 	// diskLosses holds the machines whose disks have to be wiped.
@@ -428,8 +429,7 @@
 		if c.lossesLeft == 0 {
 			continue
 		}
-		c.lossesLeft--
-		c.wiped++
+		c.recordLoss(m)
 		c.logf("%s loses its disk during an installation", m.address)
 		m.witnessDisk = newMemoryStorage()
 	}
