--- a/internal/config/evacuations.go
+++ b/internal/config/evacuations.go
@@ -30,7 +30,7 @@
 	arena := &fastjson.Arena{}
 	evacuation := arena.NewObject()
 	evacuation.Set("reason", arena.NewString(reason))
-	return mergeOne(text, arena, zone, evacuation)
+	return mergeEvacuation(text, arena, zone, evacuation)
 }
 
 // EndEvacuation returns the configuration's text without the zone's evacuation, or text itself
@@ -40,7 +40,7 @@
 		return text, err
 	}
 	arena := &fastjson.Arena{}
-	return mergeOne(text, arena, zone, arena.NewNull())
+	return mergeEvacuation(text, arena, zone, arena.NewNull())
 }
 
 // ZoneEvacuated reports whether the zone is evacuated in the configuration's text. It fails with
@@ -62,8 +62,9 @@
 	return string(found.GetStringBytes("reason")), found != nil, nil
 }
 
-// mergeOne merges one zone's entry into the evacuations; null removes it.
-func mergeOne(text []byte, arena *fastjson.Arena, zone string, value *fastjson.Value) ([]byte, error) {
+// mergeEvacuation sets a zone's evacuation in the configuration's text to the value, or removes the evacuation if
+// the value is null.
+func mergeEvacuation(text []byte, arena *fastjson.Arena, zone string, value *fastjson.Value) ([]byte, error) {
 	evacuations := arena.NewObject()
 	evacuations.Set(zone, value)
 	patch := arena.NewObject()
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Route sends the requests that it matches to zones, or rejects them.
+// Route sends the requests or opaque calls that it matches to zones, or rejects them.
 // Routes of requests are evaluated by Order, then by name; the first route that matches is used.
 // Routes of opaque calls are selected by host and path prefix (see Match).
 type Route struct {
@@ -86,13 +86,15 @@
 	PathPrefix string
 }
 
-// Target defines where a route sends the requests that it matches, or that it rejects them.
+// Target defines where a route sends the requests or opaque calls that it matches, or that it rejects
+// them.
 type Target struct {
 	// Zones are the zones whose servers may be used; empty means all zones.
 	Zones []string
-	// PreferOwnZone prefers servers in the router's own zone; default true.
+	// PreferOwnZone prefers servers in the router's own zone; default true. Routes of opaque calls
+	// ignore it.
 	PreferOwnZone bool
-	// Refuse rejects the requests. A route with Refuse must not list zones.
+	// Refuse rejects the requests or calls. A route with Refuse must not list zones.
 	Refuse bool
 }
 
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -38,7 +38,8 @@
 
 // Warming defines how long a server warms up after its start, and how many requests per
 // second it accepts from all routers together during that time. If both are zero, the server
-// does not warm up.
+// does not warm up after its start. If RequestsPerSecond is zero, each router sends at most one call
+// per second to a server that counts as warming, for example after the evacuation of its zone has ended.
 type Warming struct {
 	Duration          time.Duration
 	RequestsPerSecond float64
