--- a/cmd/controller/status.go
+++ b/cmd/controller/status.go
@@ -50,8 +50,8 @@
 	} `json:"orders"`
 }
 
-// showStatus prints the status as text. If asJSON is set, or if the response cannot be decoded as a
-// status, it prints the response as show does.
+// showStatus prints the controller's status as text. It prints the response as show does if asJSON is set,
+// if the HTTP status is not 200, or if the body cannot be decoded.
 func (o *operator) showStatus(asJSON bool) error {
 	received, err := o.send(http.MethodGet, "/v1/status", nil, nil)
 	if err != nil {
--- a/internal/adapters/controller/operators.go
+++ b/internal/adapters/controller/operators.go
@@ -130,8 +130,8 @@
 }
 
 // orderZone returns a handler that evacuates a zone or restores it. A request may name the version of the
-// configuration that must be in force. A request that names none applies to any version, but is refused if it
-// arrives late (see controlplane.ZoneOrder).
+// configuration that must be in force. A request that names no version applies to any version, but is refused if
+// it arrives late (see controlplane.ZoneOrder).
 func (p *Process) orderZone(evacuate bool) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
 		body, ok := readBody(writer, inbound)
@@ -163,7 +163,8 @@
 	}
 }
 
-// readBody returns the body of a change. If it is too large, readBody responds with the error and returns false.
+// readBody returns the body of a change. If the body is too large or cannot be read, readBody responds with the code
+// Oversize and returns false.
 func readBody(writer http.ResponseWriter, inbound *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MaxBytes+1))
 	if err != nil {
@@ -175,7 +176,8 @@
 	return body, true
 }
 
-// respondEdit makes an edit, and responds with "accepted" once the edit is in force everywhere.
+// respondEdit makes an edit, and responds with "accepted" once the edit is in force on all routers, or once the
+// time limit of the setting AcknowledgeWait has passed.
 func (p *Process) respondEdit(writer http.ResponseWriter, edit controlplane.Edit) {
 	version, err := p.controller.Edit(edit)
 	if err != nil {
--- a/internal/adapters/discovery/discovery.go
+++ b/internal/adapters/discovery/discovery.go
@@ -45,7 +45,8 @@
 }
 
 // read decodes the JSON document at the URL into target. It fails with Unreachable if the platform
-// does not respond with status 200, and with Garbage if the response is not the expected JSON.
+// does not respond with status 200. It fails with Garbage if the body is not the expected JSON, ends
+// early or exceeds 4 MiB.
 func (d *Directory) read(ctx context.Context, url string, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
--- a/internal/adapters/proxy/handler.go
+++ b/internal/adapters/proxy/handler.go
@@ -191,8 +191,8 @@
 	return count
 }
 
-// releaseHandle releases the KV cache of a prompt at its server. Failures are ignored, because
-// the server frees a KV cache that is not used in time.
+// releaseHandle releases the KV cache of a prefill at the server that holds it. Failures are
+// ignored, because the server frees a KV cache that is not used in time.
 func (h *Handler) releaseHandle(server membership.Server, handle string) {
 	ctx, cancel := context.WithTimeout(h.ctx, releaseTimeout)
 	defer cancel()
--- a/internal/adapters/rpc/compression.go
+++ b/internal/adapters/rpc/compression.go
@@ -55,15 +55,16 @@
 }
 
 // compressionPeers records the addresses whose last response advertised that they accept compressed
-// requests. A process that was restarted with an older release does not advertise it: its next response
-// removes the address.
+// requests. If a process is restarted with an older release, its responses no longer advertise this, and the
+// first of them removes the address.
 type compressionPeers struct {
 	mutex     sync.Mutex
 	addresses map[string]bool
 }
 
-// maxCompressionPeers limits the number of recorded addresses. When it is reached, all of them are dropped,
-// and the next request to each is sent uncompressed.
+// maxCompressionPeers limits the number of recorded addresses. If an address is to be added or removed when
+// the limit is reached, all recorded addresses are dropped first, and the next request to each of them is sent
+// uncompressed.
 const maxCompressionPeers = 4096
 
 // has reports whether the last response from the address advertised that it accepts compressed requests.
--- a/internal/adapters/settings/settings.go
+++ b/internal/adapters/settings/settings.go
@@ -112,9 +112,9 @@
 	minApplyWithin     = 500 * time.Millisecond
 )
 
-// minCatchUp is the smallest value that is accepted for Settings.CatchUp. A core cannot be complete
-// again within so short a time, because a lease and an election together take longer:
-// replication.Timing.Margin is then negative.
+// minCatchUp is the smallest value that is accepted for Settings.CatchUp. This value does not guarantee
+// that a core is complete again before a second loss: a lease and an election together already take
+// longer, so that replication.Timing.Margin is negative.
 const minCatchUp = 500 * time.Millisecond
 
 // Defaults returns the settings that apply where neither the file nor the flags set a value.
