--- a/internal/adapters/modelserver/client_test.go
+++ b/internal/adapters/modelserver/client_test.go
@@ -12,9 +12,9 @@
 	"seamloom.example/seamloom/internal/auction"
 )
 
-// TestRequestThatExpiresWhileDiallingIsNotSent establishes the connection only after the
-// request may no longer be sent: no body may reach the server, and the outcome must be
-// NotStarted.
+// TestRequestThatExpiresWhileDiallingIsNotSent lets each request expire while the transport
+// establishes the connection: no body may reach the server, and the outcome must be NotStarted. A
+// request that does not expire must reach the server.
 func TestRequestThatExpiresWhileDiallingIsNotSent(t *testing.T) {
 	var bodiesReceived atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
--- a/internal/adapters/proxy/fleet_test.go
+++ b/internal/adapters/proxy/fleet_test.go
@@ -25,11 +25,12 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// callLog records the runs of calls on all servers. The counts are the number of runs of each call, by its ID;
-// the violations describe calls that used the KV cache of another call.
+// callLog records the runs of calls on all servers.
 type callLog struct {
-	mutex      sync.Mutex
-	counts     map[string]int
+	mutex sync.Mutex
+	// counts maps the ID of each call to its number of runs.
+	counts map[string]int
+	// violations describe the calls that used the KV cache of another call.
 	violations []string
 }
 
@@ -145,7 +146,8 @@
 }
 
 // TestNoCallRunsTwiceAndNoResponseIsMixedUp sends calls through a router to faulty servers, and
-// compares what the clients got with what the servers ran.
+// compares the clients' responses with the servers' runs. A call of the route "once" may run at most
+// once, and no client may get the response of another call.
 func TestNoCallRunsTwiceAndNoResponseIsMixedUp(t *testing.T) {
 	seeds := 6
 	if text := os.Getenv("SEAMLOOM_SEEDS"); text != "" {
--- a/internal/adapters/proxy/frontend_test.go
+++ b/internal/adapters/proxy/frontend_test.go
@@ -27,7 +27,7 @@
 	return listener.Addr().String()
 }
 
-// openFrontend starts a frontend that reads the time from now, and returns its addresses.
+// openFrontend starts a frontend that uses the function now as its clock, and returns the frontend with its addresses.
 func openFrontend(t *testing.T, executor *scriptedExecutor, now func() time.Time) (frontend *Frontend, address, readyAddress string) {
 	t.Helper()
 	address, readyAddress = freeAddress(t), freeAddress(t)
--- a/internal/adapters/usage/export_test.go
+++ b/internal/adapters/usage/export_test.go
@@ -10,7 +10,7 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// TestExportsContainTheRecordedRows records requests, writes their rows in both formats and reads them back.
+// TestExportsContainTheRecordedRows records requests, writes their rows as CSV and as Parquet, and reads both back.
 func TestExportsContainTheRecordedRows(t *testing.T) {
 	meter := NewMeter()
 	noon := time.Date(2026, 1, 2, 12, 0, 10, 0, time.UTC)
--- a/internal/codec/record_test.go
+++ b/internal/codec/record_test.go
@@ -30,9 +30,9 @@
 		if err := msgpack.Unmarshal(encoded, &read); err != nil {
 			t.Fatal(err)
 		}
-		first := Order{Server: "stove-1", Role: "decode", GracePeriod: DefaultGracePeriod}
-		if got, err := DecodeOrder(read, older); err != nil || got != first {
-			t.Errorf("the older build decoded %+v, %v, want %+v", got, err, first)
+		wantFromOlder := Order{Server: "stove-1", Role: "decode", GracePeriod: DefaultGracePeriod}
+		if got, err := DecodeOrder(read, older); err != nil || got != wantFromOlder {
+			t.Errorf("the older build decoded %+v, %v, want %+v", got, err, wantFromOlder)
 		}
 		got, err := DecodeOrder(read, newer)
 		if err != nil || got.Server != "stove-1" || got.Role != "decode" {
