--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -70,7 +70,8 @@
 type Grant struct {
 	// Granted is the total number of tokens that the member allows the router to spend, counted from the router's start.
 	Granted uint64 `msgpack:"granted"`
-	// Wait is the minimum time until the member has another token; zero if all wanted tokens were granted.
+	// Wait is the time until the member's bucket contains another token, at most BatchTTL. It is zero if all wanted
+	// tokens were granted. It may be negative if the bucket still contains tokens, which are reserved for waiting calls.
 	Wait time.Duration `msgpack:"wait,omitempty"`
 }
 
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -49,13 +49,14 @@
 	request Request
 }
 
-// groupState is one state of the exploration.
+// groupState is one state of the exploration: the members, the routers and the delayed requests.
 type groupState struct {
 	now     time.Duration
 	members []exploredMember
 	routers []exploredRouter
 	delayed []delayedRequest
-	spent   []time.Duration
+	// spent holds the time of each spent token, in ascending order.
+	spent []time.Duration
 	// steps describes how the state was reached.
 	steps []string
 	// requests and the following fields are the remaining numbers of events of each kind.
@@ -237,8 +238,8 @@
 	return s
 }
 
-// serve lets a member serve a request. Like package controlplane, it rejects requests of older epochs and requests to
-// members that do not belong to the group.
+// serve lets a member serve a request. Like package controlplane, it rejects a request whose epoch is older than the
+// member's, and a request with the member's epoch if the member does not belong to the group of that epoch.
 func (e *groupExplorer) serve(s *groupState, member, epoch int, request Request) Response {
 	m := s.members[member]
 	old := epoch < m.epoch && e.variant != acceptsOldEpochs
@@ -265,7 +266,7 @@
 	allowance, group := r.allowances.subjects["a"], exploredGroups[r.epoch]
 	// prefetchTarget subtracts one token and rounds up: with half a token added, it returns prefetch.
 	allowance.waiting, allowance.demand, allowance.demandAt = need, (prefetch+0.5)/prefetchSpan.Seconds(), s.time()
-	before := maps.Clone(allowance.members)
+	grantsBefore := maps.Clone(allowance.members)
 	r.allowances.sequence++
 	want := allowance.newWant(s.time(), r.allowances.sequence, group.members)
 	want.Subject = "a"
@@ -273,7 +274,7 @@
 		want.Debt = 0
 	}
 	if e.variant == keepsSurplusTokens {
-		allowance.members = before
+		allowance.members = grantsBefore
 	}
 	s.steps = append(s.steps, fmt.Sprintf("r%d sends a request: spent %d, target %d, need %d, outcomes %v",
 		router, want.Spent, want.Target, want.Need, outcomes))
@@ -317,7 +318,7 @@
 	}
 }
 
-// visit explores all states that can follow a state.
+// visit explores a state and all states that can follow it, unless the state was visited before or a violation was found.
 func (e *groupExplorer) visit(s *groupState) {
 	key := s.key()
 	if _, seen := e.seen[key]; seen || e.violation != "" {
@@ -350,7 +351,7 @@
 	}
 }
 
-// advanceMembers resets the ledgers of members outside the group, as members do periodically.
+// advanceMembers resets the ledgers that members do not keep (see keepsLedger), as members do periodically.
 func (e *groupExplorer) advanceMembers(s *groupState) {
 	for i, m := range s.members {
 		if !e.keepsLedger(m.name, m.epoch) {
@@ -467,8 +468,8 @@
 // refillTime is how long an empty bucket of exploredLimit takes to fill.
 const refillTime = 4 * time.Second
 
-// majorityRestarts is the scope in which a majority of the members restarts and loses its ledgers. It is explored by
-// TestExploredLimitHoldsWhenAMajorityRestarts.
+// majorityRestarts is the name of the scope in which a majority of the members restarts and loses its ledgers.
+// TestExploredLimitHoldsWhenAMajorityRestarts explores this scope with the correct protocol.
 const majorityRestarts = "members restart"
 
 // explorationScopes are explored separately, because a scope with all kinds of events would have too many states.
@@ -508,8 +509,8 @@
 	return e
 }
 
-// TestExploredLimitHolds visits every state of three members and two routers within the scopes: messages are lost,
-// delayed and reordered, members and routers restart, and a member is replaced.
+// TestExploredLimitHolds visits every state of three members and two routers within all scopes except majorityRestarts:
+// messages are lost, delayed and reordered, grants expire, a router restarts, and a member is replaced.
 func TestExploredLimitHolds(t *testing.T) {
 	for name, scope := range explorationScopes {
 		if name == majorityRestarts {
