--- a/internal/follower/changes_test.go
+++ b/internal/follower/changes_test.go
@@ -13,12 +13,12 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// listSource simulates the list of servers and the load reports of a primary. sent and reports hold
+// listSource simulates the list of servers and the load reports of a primary. lists and reports hold
 // the list and the reports of each revision, including those of earlier primaries.
 type listSource struct {
 	epoch   uint64
 	list    membership.ServerList
-	sent    map[uint64][]membership.Server
+	lists   map[uint64][]membership.Server
 	reports map[uint64][]wire.LoadReport
 	cycle   uint64
 }
@@ -37,12 +37,13 @@
 		}
 	}
 	s.list.Update(now, servers)
-	s.sent[s.revision(s.list.Changes())] = s.list.Servers(now)
+	s.lists[s.revision(s.list.Changes())] = s.list.Servers(now)
 	s.reports[s.revision(s.cycle)] = reports
 }
 
-// respond returns the primary's response to a request. It contains the changes since the node's revisions, or the
-// complete lists if complete is set or the changes aren't known. It leaves out a list of servers that the node has.
+// respond returns the primary's response to a request. The response contains the changes since the node's revisions, or
+// the complete list and all reports if complete is set or the changes aren't known. If the node has the newest list of
+// servers, the response contains neither the list nor changes of it.
 func (s *listSource) respond(now time.Time, request wire.UpdateRequest, complete bool) wire.UpdateResponse {
 	current := s.revision(s.list.Changes())
 	servers := &wire.ServersUpdate{Revision: current}
@@ -67,7 +68,7 @@
 
 // TestOlderChangesDoNotRestoreRemovedServers loses, repeats and delays responses of primaries that take
 // over from each other. The node's list and reports must always equal those of the revision that its
-// requests contain. After the last requests were answered, they must equal those of the newest revision.
+// requests contain. After the last requests were answered, the list must equal the newest list.
 func TestOlderChangesDoNotRestoreRemovedServers(t *testing.T) {
 	for seed := range int64(100) {
 		random := rand.New(rand.NewSource(seed))
@@ -76,8 +77,8 @@
 		follower := New(rt, nil, membership.Member{}, nil,
 			func() replication.Version { return replication.Version{} }, func(update Update) { applied = update })
 		follower.Follow(true, true)
-		source := &listSource{epoch: 1, sent: map[uint64][]membership.Server{}, reports: map[uint64][]wire.LoadReport{}}
-		sent, reports := source.sent, source.reports
+		source := &listSource{epoch: 1, lists: map[uint64][]membership.Server{}, reports: map[uint64][]wire.LoadReport{}}
+		lists, reports := source.lists, source.reports
 		source.change(random, rt.Time)
 		var responses []wire.UpdateResponse
 		for range 200 {
@@ -87,7 +88,7 @@
 				source.change(random, rt.Time)
 			case 2:
 				if random.Intn(5) == 0 {
-					source = &listSource{epoch: source.epoch + 1, sent: sent, reports: reports}
+					source = &listSource{epoch: source.epoch + 1, lists: lists, reports: reports}
 					source.change(random, rt.Time)
 				}
 			}
@@ -105,9 +106,9 @@
 				response = responses[random.Intn(len(responses))]
 			}
 			follower.Apply(rt.Time, response)
-			if applied.Servers != nil && !reflect.DeepEqual(applied.Servers.Servers, sent[follower.serversRevision]) {
+			if applied.Servers != nil && !reflect.DeepEqual(applied.Servers.Servers, lists[follower.serversRevision]) {
 				t.Fatalf("seed %d: the list of revision %x: got\n%+v\nwant\n%+v", seed, follower.serversRevision,
-					applied.Servers.Servers, sent[follower.serversRevision])
+					applied.Servers.Servers, lists[follower.serversRevision])
 			}
 			if follower.loadsRevision != 0 && len(follower.reports)+len(reports[follower.loadsRevision]) > 0 &&
 				!reflect.DeepEqual(follower.reports, reports[follower.loadsRevision]) {
@@ -127,15 +128,15 @@
 
 // TestWarmingServersDoNotCountAsWarmTooEarly expects that a server counts as warming up for the remaining
 // time that the response contains, regardless of the age of the list. This must hold for a complete list,
-// for changes and for a confirmation.
+// for changes, and for a confirmation, which contains only the revision and the age of the list that the node has.
 func TestWarmingServersDoNotCountAsWarmTooEarly(t *testing.T) {
-	const age, left = 700 * time.Millisecond, 2 * time.Second
+	const age, remaining = 700 * time.Millisecond, 2 * time.Second
 	rt := &runtimetest.Moving{Time: runtimetest.AfterStart(0)}
 	var applied Update
 	follower := New(rt, nil, membership.Member{}, nil,
 		func() replication.Version { return replication.Version{} }, func(update Update) { applied = update })
 	follower.Follow(true, false)
-	warming := []membership.Server{{Name: "server-a", Warming: left}}
+	warming := []membership.Server{{Name: "server-a", Warming: remaining}}
 	for _, row := range []struct {
 		name    string
 		servers wire.ServersUpdate
@@ -146,8 +147,8 @@
 	} {
 		follower.Apply(rt.Time, wire.UpdateResponse{Leads: true, Servers: &row.servers})
 		warm := applied.Servers.ReadAt.Add(applied.Servers.Servers[0].Warming)
-		if !warm.Equal(rt.Time.Add(left)) {
-			t.Errorf("%s: remaining warm-up time: got %v, want %v", row.name, warm.Sub(rt.Time), left)
+		if !warm.Equal(rt.Time.Add(remaining)) {
+			t.Errorf("%s: remaining warm-up time: got %v, want %v", row.name, warm.Sub(rt.Time), remaining)
 		}
 	}
 }
--- a/internal/follower/copystates_test.go
+++ b/internal/follower/copystates_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestProvisionalConfigurationIsOnEveryCopyInSync expects choose to return the oldest configuration among
-// the copies that the newest membership names, except damaged copies. It must return none before each of these
-// copies has reported or is known to be lost, and a quorum of the witnesses has reported.
+// the copies that the newest membership names, except damaged copies. choose may return a configuration only
+// after a quorum of the witnesses has reported and each of these copies has reported or is known to be lost.
 func TestProvisionalConfigurationIsOnEveryCopyInSync(t *testing.T) {
 	now := time.Unix(1000, 0)
 	replica := func(name string) replication.Replica {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,9 +1,10 @@
 // Package lease tracks, in memory, the leases that the primary grants. RouterLeases holds the
-// leases of routers, which admit requests only while their lease is valid. RoleLeases holds the
-// leases on roles: one router at a time has a role, under a fencing token. The controlplane
-// package passes in the current time and the recorded state; this package stores nothing durably,
-// starts no goroutines and reads no clock. docs/design/leases.md describes both protocols. The
-// lease of the primary itself is granted by witnesses: see the replication package.
+// leases of routers, which admit requests while their lease is valid and, if operators allow it,
+// for a limited time without a valid lease. RoleLeases holds the leases on roles: one router at a
+// time has a role, under a fencing token. The controlplane package passes in the current time and
+// the recorded state; this package stores nothing durably, starts no goroutines and reads no clock.
+// docs/design/leases.md describes both protocols. The lease of the primary itself is granted by
+// witnesses: see the replication package.
 package lease
 
 import "time"
--- a/internal/wire/changes_test.go
+++ b/internal/wire/changes_test.go
@@ -13,12 +13,12 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// changesStart is the time of the first step.
+// changesStart is the time of the first step in TestServerChangesLeadToTheNewestList.
 var changesStart = time.Unix(1000, 0)
 
-// TestServerChangesLeadToTheNewestList replaces, removes, restores and warms up servers at random. For each
-// earlier list, the changes since that list must result in the newest list when they are applied to it, unless
-// the list is so old that its changes are no longer known.
+// TestServerChangesLeadToTheNewestList replaces, removes, restores and warms up servers at random. Applied to
+// any earlier list, the changes since that list must result in the newest list. Only the last 32 changes have
+// to be known; older lists are skipped once their changes are unknown.
 func TestServerChangesLeadToTheNewestList(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -12,9 +12,9 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Client is the port to other processes. A call ends within its timeout. An error with the code Unreachable
-// or Garbage means that there was no valid response, and it is not known whether the request was carried
-// out. All other codes come from the receiver.
+// Client sends encoded requests to other processes and returns their responses. A call ends within its timeout.
+// An error with the code Unreachable or Garbage means that there was no valid response, and that the receiver may
+// or may not have carried out the request. Errors with other codes come from the receiver.
 type Client interface {
 	CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error)
 }
@@ -37,8 +37,8 @@
 // Handler turns an encoded request into an encoded response.
 type Handler func(body []byte) ([]byte, error)
 
-// HandlerFor returns a handler that decodes the request and encodes the response of a function of typed
-// messages. The handler fails with Garbage if the request can't be decoded or the response can't be encoded.
+// HandlerFor returns a handler that decodes a request, passes it to serve and encodes the response. The
+// handler fails with Garbage if the request can't be decoded or the response can't be encoded.
 func HandlerFor[Request, Response any](serve func(request Request) (Response, error)) Handler {
 	return func(body []byte) ([]byte, error) {
 		var request Request
--- a/internal/wire/delta_test.go
+++ b/internal/wire/delta_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestDeltasReproduceTheContent edits large contents at random. Each delta must reproduce the edited content
-// byte for byte and must not fit a base with another content.
+// byte for byte, must contain at most 600 bytes, and must not fit a base of the same version with different content.
 func TestDeltasReproduceTheContent(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	base := replication.Section{Version: replication.Version{Epoch: 1, Number: 1}, Content: bytes.Repeat([]byte("0123456789abcdef"), 2000)}
@@ -28,9 +28,10 @@
 		if len(delta.Middle) > 600 {
 			t.Fatalf("edit %d: the delta has %d bytes, want at most 600", number, len(delta.Middle))
 		}
+		// A delta for an edit at the start may have no prefix and then also replaces the byte that is inserted here.
 		if other := (replication.Section{Version: base.Version, Content: append([]byte("x"), base.Content...)}); at > 0 {
 			if _, fits := delta.Apply(other); fits {
-				t.Fatalf("edit %d: the delta fits another content", number)
+				t.Fatalf("edit %d: the delta fits a base with different content", number)
 			}
 		}
 		base = target
--- a/internal/wire/updates.go
+++ b/internal/wire/updates.go
@@ -19,7 +19,7 @@
 	Have     map[string]replication.Version `msgpack:"have"`
 	InForce  replication.Version            `msgpack:"in_force"`
 	Released []lease.Role                   `msgpack:"released,omitempty"`
-	// MaxWait is how long the primary may hold back the request while there is no update.
+	// MaxWait is how long the primary may delay the response while there is no update.
 	MaxWait time.Duration `msgpack:"patience"`
 	// AcceptDeltas is set if the node accepts a Delta instead of a complete section.
 	AcceptDeltas bool `msgpack:"deltas,omitempty"`
@@ -60,9 +60,9 @@
 	Configuration replication.Version            `msgpack:"menu"`
 	Lease         time.Duration                  `msgpack:"hold"`
 	Roles         []lease.Role                   `msgpack:"duties,omitempty"`
-	// Waited is how long the request was held back. The node takes the time at which it sent the request plus
-	// Waited, which is the earliest at which the response can have been made, and counts the ages in the
-	// response back from that time.
+	// Waited is how long the primary delayed the response. The response was made no earlier than Waited after the
+	// node had sent the request. The node takes this earliest time as the time of the response, to which the
+	// ages in the response refer.
 	Waited time.Duration `msgpack:"held,omitempty"`
 	// Routers is the number of routers that share the servers.
 	Routers int            `msgpack:"couriers,omitempty"`
@@ -127,7 +127,8 @@
 	Age int
 }
 
-// NewLoadReport returns the report of a load that was read the given time ago.
+// NewLoadReport returns the report for a load that was read from its server the given time ago, and adds
+// that time to the load's age.
 func NewLoadReport(load scheduler.Load, age time.Duration) LoadReport {
 	return LoadReport{
 		Server:      load.Server,
