--- a/internal/controlplane/joining_test.go
+++ b/internal/controlplane/joining_test.go
@@ -57,8 +57,8 @@
 	formed.mutex.Unlock()
 	gone := []string{"gone-1", "gone-2", "gone-3"}
 	joined := formed.join(t, Options{Address: "m9", Seeds: gone, Neighbours: []string{"router"}}, 10*time.Second)
-	if wait, silent := joined.WaitingFor(); wait != replication.CoreKnown {
-		t.Errorf("the controller waits for %s with silent seeds %v, want a known core", wait, silent)
+	if reason, silent := joined.WaitingFor(); reason != replication.CoreKnown {
+		t.Errorf("the controller waits because of %s with silent seeds %v, want a known core", reason, silent)
 	}
 	if joined.Coordinator().Membership().Primary != primary.Coordinator().Membership().Primary {
 		t.Errorf("got membership %+v, want that of the core", joined.Coordinator().Membership())
@@ -66,8 +66,8 @@
 }
 
 // TestBlankControllerReportsWhyItWaits starts blank controllers that reach no process that knows the core.
-// They must not form a core, must report why they wait, and must find the core once their settings name
-// a seed that responds.
+// They must not form a core and must report why they wait. The first one must find the core once its settings
+// name the seeds of the core.
 func TestBlankControllerReportsWhyItWaits(t *testing.T) {
 	formed, primary := newCore(t, unwrapped)
 	const wait = 700 * time.Millisecond
@@ -95,6 +95,8 @@
 	}
 }
 
+// TestWaitForACoreIsLoggedAtAnInterval expects a log entry about the wait for a core after waitNoticeTime, when
+// the reason changes, and every waitNoticeInterval, but not while a core is known or right after it was known.
 func TestWaitForACoreIsLoggedAtAnInterval(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	notices := &joinNotices{}
--- a/internal/controlplane/phases.go
+++ b/internal/controlplane/phases.go
@@ -13,7 +13,7 @@
 // batches that are committed between the commit of an edit and the log entry about that edit.
 const maxBatchTimings = 32
 
-// slowBatch is the minimum duration of the writes of a batch to all replicas at which it is logged as slow.
+// slowBatch is the minimum duration, of the writes of a batch to all replicas, at which the batch is logged as slow.
 const slowBatch = 250 * time.Millisecond
 
 // backupTiming is the duration of the write of a batch to one backup.
@@ -95,7 +95,7 @@
 	last                 string
 }
 
-// update records the routers that have not confirmed yet.
+// update records how many routers have not confirmed yet, and the name of one of them if there are any.
 func (c *confirmation) update(unconfirmed []string) {
 	c.unconfirmed = len(unconfirmed)
 	if len(unconfirmed) > 0 {
@@ -148,9 +148,10 @@
 // ChangeCounts returns the totals over the edits that this controller has answered.
 func (c *Controller) ChangeCounts() ChangeCounts { return c.changeMeter.counts() }
 
-// observeEdit logs an edit with the duration of each phase and adds the durations to the totals. It
-// leaves out the timing of a batch that was committed before the edit was submitted: such an edit
-// repeats an earlier one, for which the batch has already been counted.
+// observeEdit logs an edit with the duration of each phase. For an accepted edit, it adds the
+// durations to the totals; an edit with an unknown outcome is only counted. The timing of a batch that
+// was committed before the edit was submitted is left out: such an edit repeats an earlier one, for
+// which the batch has already been counted.
 func (c *Controller) observeEdit(event string, edit Edit, version replication.Version, phases editPhases) {
 	attributes := []any{"version", version.String(), "change", edit.Change,
 		"prepared_after", phases.submitted.Sub(phases.received).String(),
--- a/internal/controlplane/phases_test.go
+++ b/internal/controlplane/phases_test.go
@@ -10,8 +10,9 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// TestThePhasesOfAnEditAreLogged expects that the log entry of an accepted edit names a router that did not
-// confirm and the times of all phases, and that the counts include them.
+// TestThePhasesOfAnEditAreLogged expects that the log entry of an accepted edit contains the name of a router
+// that did not confirm and the times of all phases, and that ChangeCounts counts the edit as unconfirmed and
+// includes the wait for its confirmation.
 func TestThePhasesOfAnEditAreLogged(t *testing.T) {
 	formed, primary := newCore(t, unwrapped)
 	logged := make(map[string]string)
--- a/internal/controlplane/provisional_test.go
+++ b/internal/controlplane/provisional_test.go
@@ -48,7 +48,7 @@
 	return after
 }
 
-// newRouterAt starts a router that follows a core and broadcasts to events when it logs an event.
+// newRouterAt starts a router that follows a core. Each log event of the router wakes the waiters of events.
 func newRouterAt(rt runtime.Runtime, client wire.Client, serveWithoutLease time.Duration, events runtime.Cond) *dataplane.Router {
 	router := dataplane.NewRouter(rt, client, nil, nil, dataplane.Options{
 		Options:           seamloom.Options{Router: "courier-1", Supported: seamloom.Supported(nil)},
@@ -74,8 +74,8 @@
 }
 
 // TestRouterServesFromCopiesWithoutAPrimary starts a router while the restarted core has no primary. The
-// router must serve under the configuration of the copies if it is allowed to serve without a lease and
-// the copies that respond prove which configuration was acknowledged.
+// router must serve under the configuration of the copies if it may serve without a lease and the responses
+// of the copies prove which configuration was acknowledged, and must serve nothing otherwise.
 func TestRouterServesFromCopiesWithoutAPrimary(t *testing.T) {
 	before, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime { return rt })
 	version := setConfiguration(t, primary, `{"routes":{"a":{"to":{"refuse":true}}}}`)
@@ -110,7 +110,7 @@
 			t.Errorf("%s: got version %s in force, serving until %v, want served %v", row.name, router.InForce(), until, row.served)
 		}
 		if row.served && len(router.Servers()) != 1 {
-			t.Errorf("%s: the router has the configuration but not the list of one server", row.name)
+			t.Errorf("%s: the router has the configuration and %d servers, want 1 server", row.name, len(router.Servers()))
 		}
 		if !router.Core().LeaseEnds().IsZero() || !router.LastUpdateAt().IsZero() {
 			t.Errorf("%s: a copy granted a lease", row.name)
--- a/internal/controlplane/zoneorders_test.go
+++ b/internal/controlplane/zoneorders_test.go
@@ -15,7 +15,7 @@
 	"seamloom.example/seamloom/internal/replication"
 )
 
-// sentOrder is an order in flight and the connection on which it arrives.
+// sentOrder is an order that was sent, with the connection on which it arrives.
 type sentOrder struct {
 	evacuate   bool
 	connection Connection
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -81,8 +81,8 @@
 // List is a sorted set of flags: those that a build supports, or those that are enabled.
 type List []Flag
 
-// Supported returns the flags that this build supports, without the withheld ones. A test setting
-// withholds flags to run an older release beside a newer one.
+// Supported returns the flags that this build supports, without the withheld ones. Tests withhold
+// flags by a setting, so that a node of this build acts as one of an older release.
 func Supported(withheld List) List {
 	supported := List{}
 	for _, description := range descriptions {
