--- a/internal/replication/candidates.go
+++ b/internal/replication/candidates.go
@@ -18,10 +18,15 @@
 
 // The ranks of backup candidates, the best first, and the penalties that are added to them.
 const (
-	rankPresent           = 0
-	rankWitness           = 1
-	rankOther             = 2
-	rankFailing           = 3
+	// rankPresent: the candidate is already a backup, and writes to it do not fail.
+	rankPresent = 0
+	// rankWitness: the candidate is a witness, and only one backup is wanted.
+	rankWitness = 1
+	rankOther   = 2
+	// rankFailing: the candidate is already a backup, but writes to it fail.
+	rankFailing = 3
+	// rankRestrictedPresent and rankRestricted: the candidate lacks an enabled flag. In the first case
+	// it is already a backup, and several backups are wanted.
 	rankRestrictedPresent = 4
 	rankRestricted        = 5
 
@@ -66,7 +71,7 @@
 }
 
 // rank returns the rank of a controller as a backup candidate, or false if it can't be a backup.
-// The caller has locked the mutex.
+// several is set if more than one backup is wanted. The caller has locked the mutex.
 func (c *Coordinator) rank(m Membership, status *peerStatus, several bool) (int, bool) {
 	now := c.runtime.Now()
 	identity, sinceResponse := status.hello.Replica.Identity, now.Sub(status.lastResponse)
@@ -106,15 +111,14 @@
 	return rank, true
 }
 
-// spreadZones changes the order of the candidates if the first ones, as many as wanted, are all in
-// the given zone of the primary: it moves the first candidate of another zone to the last of those
-// places.
-func spreadZones(candidates []Replica, zone string, wanted int) {
-	if zone == "" || len(candidates) <= wanted || countInZone(candidates[:wanted], zone) < wanted {
+// spreadZones ensures, if possible, that the first wanted candidates are not all in the primary's
+// zone: if they are, it moves the first candidate of another zone to the last of these places.
+func spreadZones(candidates []Replica, primaryZone string, wanted int) {
+	if primaryZone == "" || len(candidates) <= wanted || countInZone(candidates[:wanted], primaryZone) < wanted {
 		return
 	}
 	for position := wanted; position < len(candidates); position++ {
-		if candidate := candidates[position]; candidate.Zone != zone {
+		if candidate := candidates[position]; candidate.Zone != primaryZone {
 			copy(candidates[wanted:position+1], candidates[wanted-1:position])
 			candidates[wanted-1] = candidate
 			return
--- a/internal/replication/changes_test.go
+++ b/internal/replication/changes_test.go
@@ -31,8 +31,11 @@
 
 // changeModel is the replicated state together with the expected outcomes of the submitted changes.
 type changeModel struct {
-	state           *State
-	number          uint64
+	state *State
+	// number counts the submitted changes.
+	number uint64
+	// configurationAt is the version that the last accepted change wrote, and revision is the revision
+	// of its configuration.
 	configurationAt Version
 	revision        uint64
 	now             time.Time
@@ -84,9 +87,10 @@
 }
 
 // TestRepeatedChangeIsAcceptedOnce draws histories of changes, of which several expect the same
-// revision, with repetitions in any order, takeovers and passing time. Exactly one change on each
-// base revision must be accepted. During the retention its repetitions must be accepted, too,
-// regardless of other changes in between, but not applied again.
+// revision, with repetitions in any order, takeovers and passing time. At most one change on each
+// base revision may be accepted, and only while that revision is current. Repetitions of an accepted
+// change must be accepted during ChangeRetention, regardless of other changes in between, and must
+// never be applied again.
 func TestRepeatedChangeIsAcceptedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newChangeModel()
@@ -183,7 +187,7 @@
 		t.Errorf("a change after the retention: %v", err)
 	}
 	if count := model.state.Changes.Count(); count > changeSectionRecords {
-		t.Errorf("got %d records after the retention, want one section of them at most", count)
+		t.Errorf("got %d records after the retention, want at most the %d of one section", count, changeSectionRecords)
 	}
 }
 
--- a/internal/replication/claims.go
+++ b/internal/replication/claims.go
@@ -9,7 +9,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// ClaimRetention is the shortest time for which a claim is kept.
+// ClaimRetention is the shortest time for which a claim is kept, counted from the time that the claimed
+// id contains.
 const ClaimRetention = 10 * time.Minute
 
 // ClaimRequest claims a request id for one arrival at a router, so that a request that is not
@@ -18,8 +19,9 @@
 // has another nonce and is refused as Duplicate.
 //
 // An id is never claimed twice: claims are dropped only behind the horizon, and an id that was made
-// before the horizon is refused as TooOld. An id from the future is refused as TooNew, because its
-// claim would be kept too long. While there is no horizon yet the code is NoPrimary.
+// before the horizon is refused as TooOld. An id that was made more than ClaimRetention plus one
+// hour after the horizon, which is about one hour in the future, is refused as TooNew, because its
+// claim would be kept too long. While there is no horizon yet, every id is refused as NoPrimary.
 func ClaimRequest(madeAt time.Time, entry codec.Entry) Change {
 	return func(state *State, _, _ Version) error {
 		if state.Horizon.IsZero() {
--- a/internal/replication/localreplica.go
+++ b/internal/replication/localreplica.go
@@ -26,9 +26,9 @@
 // LocalReplica is the replica of the state on this node's disk: one file for each version, with the
 // sections that the version changed. A file is removed once newer files hold all of its sections.
 //
-// Invariants: memory is altered only after the file's Save has returned, so that readers never see a
-// change that a power loss could undo; and the newest file names the file of every section
-// (Batch.Locations), so that a missing or damaged file is noticed.
+// Invariants: a change appears in memory only after the Save of its file has returned, so that readers
+// never see a change that a power loss could undo; and the newest file lists, for every section, the
+// version whose file holds it (Batch.Locations), so that a missing or damaged file is noticed.
 type LocalReplica struct {
 	mutex    sync.Locker
 	storage  Storage
@@ -148,8 +148,8 @@
 	return sections
 }
 
-// Write syncs a batch to the disk and applies it. Writing the same batch again changes nothing, so
-// that a primary may repeat it. A batch that does not follow the replica's version is refused with
+// Write syncs a batch to the disk and applies it. Writing the newest batch again changes nothing, so
+// that a primary may repeat a write. A batch that does not follow the replica's version is refused with
 // the code Behind, so that the versions have no gaps; a damaged replica refuses every batch with
 // the code Damaged.
 func (r *LocalReplica) Write(batch Batch) error {
@@ -191,8 +191,9 @@
 	return nil
 }
 
-// CatchUp restores the replica from a snapshot that is newer, and otherwise leaves it unchanged and
-// fails with the code Behind. It keeps replicas that are not in sync close to the primary's state.
+// CatchUp restores the replica from a snapshot that is newer than the replica. If the snapshot is not
+// newer, CatchUp fails with the code Behind and leaves the replica unchanged. CatchUp is used to keep
+// replicas that are not in sync close to the primary's state.
 func (r *LocalReplica) CatchUp(snapshot Snapshot) error {
 	r.mutex.Lock()
 	older := r.version.Before(snapshot.Version)
@@ -203,9 +204,10 @@
 	return r.Restore(snapshot)
 }
 
-// Sweep reads the replica's files again. If any is damaged or missing, it writes the whole replica
-// anew from memory. It returns the number of such files. A replica that is empty, or for which Damage
-// reports a fault, is left unchanged.
+// Sweep reads the replica's files again. If any file is damaged or missing, Sweep writes the whole
+// replica from memory to one new file. It returns the number of damaged files plus the number of
+// sections whose file is missing. A replica that is empty, or for which Damage reports a fault, is left
+// unchanged.
 func (r *LocalReplica) Sweep() (int, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -268,8 +270,8 @@
 	return nil
 }
 
-// removeObsolete deletes the files that hold no current section, except the newest file. If that
-// fails, the files only take up space until the next save.
+// removeObsolete deletes the files that hold no current section, except the newest file. Files that
+// could not be deleted only take up space, and the next save tries again.
 func (r *LocalReplica) removeObsolete(newest string) {
 	needed := map[string]bool{newest: true}
 	for _, location := range r.locations {
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -18,8 +18,8 @@
 // Blank reports whether there is no membership yet.
 func (m Membership) Blank() bool { return m.Epoch == 0 }
 
-// InSync reports whether the identity is that of the primary or of a backup, and its replica so has
-// every acknowledged change.
+// InSync reports whether the identity belongs to the primary or a backup. The replicas of the
+// primary and of the backups contain every acknowledged change.
 func (m Membership) InSync(identity Identity) bool {
 	return identity != "" && hasReplica(m.InSyncReplicas(), identity)
 }
@@ -68,8 +68,8 @@
 	return hasReplica(m.Witnesses, identity) || hasReplica(m.Incoming, identity)
 }
 
-// HasQuorum reports whether the identities that granted are a majority of each set. Two quorums of
-// a membership always have a witness in common.
+// HasQuorum reports whether a majority of each set of witnesses has granted. Two quorums of a
+// membership always have a witness in common.
 func (m Membership) HasQuorum(granted map[Identity]bool) bool {
 	return majority(m.Witnesses, granted) && (len(m.Incoming) == 0 || majority(m.Incoming, granted))
 }
--- a/internal/replication/proposal.go
+++ b/internal/replication/proposal.go
@@ -14,7 +14,7 @@
 // majorities both of the base's witnesses and of its own witnesses. Majorities of the same set
 // intersect, so that some witness that promised had accepted the previous membership and
 // reported it. A promise refuses lower epochs (epoch fencing), so that no older proposal is
-// granted afterwards. docs/design/control-safety.md, point 3.
+// granted afterwards. See docs/design/control-safety.md, point 3.
 type proposal struct {
 	candidate Identity
 	epoch     uint64
@@ -25,7 +25,8 @@
 	accepted     map[Identity]bool
 	// highestSeen is the highest epoch that any witness reported as promised.
 	highestSeen uint64
-	next        Membership
+	// next is the membership to propose, which choose derives from base.
+	next Membership
 }
 
 func newProposal(candidate Identity, epoch uint64, base Membership) *proposal {
@@ -68,9 +69,9 @@
 // rebase makes the newest reported membership the base, and reports whether that changed the base.
 // The witnesses of a new base have to promise, too.
 func (p *proposal) rebase() bool {
-	moved := p.newest.Epoch != p.base.Epoch
+	changed := p.newest.Epoch != p.base.Epoch
 	p.base = p.newest
-	return moved
+	return changed
 }
 
 // choose derives the membership to propose from the base by calling alter, which may refuse. It
@@ -173,7 +174,7 @@
 	}, p.hasPromiseQuorum)
 }
 
-// acceptPhase sends the proposed membership until both majorities have accepted it.
+// acceptPhase sends the proposed membership to its acceptors until hasAcceptQuorum returns true.
 func (c *Coordinator) acceptPhase(p *proposal) {
 	gather(c.runtime, p.acceptors(), func(replica Replica) (Vote, error) {
 		if replica.Identity == p.candidate {
--- a/internal/replication/storeddata_test.go
+++ b/internal/replication/storeddata_test.go
@@ -6,8 +6,8 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// TestEarlierDataIsChosenOnlyForAnEmptyFolder checks for each state of the controller's own folder
-// and of the earlier folders which data is used.
+// TestEarlierDataIsChosenOnlyForAnEmptyFolder checks which data a controller uses, for each state of
+// its own folder and of the folders of earlier releases.
 func TestEarlierDataIsChosenOnlyForAnEmptyFolder(t *testing.T) {
 	empty, blank := StoredData{Folder: "own"}, StoredData{Folder: "own", Identity: "fresh"}
 	joined := StoredData{Folder: "own", Identity: "a", Epoch: 3, Files: true}
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			chosen, found, err := ChooseEarlierData(given.own, given.earlier)
 			if chosen.Folder != given.chosen || found != (given.chosen != "") {
-				t.Errorf("got folder %q, found %t", chosen.Folder, found)
+				t.Errorf("got folder %q, found %t, want folder %q", chosen.Folder, found, given.chosen)
 			}
 			if (err != nil) != (given.code != "") || err != nil && failure.CodeOf(err) != given.code {
 				t.Errorf("got error %v, want code %q", err, given.code)
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -3,9 +3,9 @@
 import "time"
 
 // Timing holds the time-outs and intervals of a core. All are derived from CatchUpLimit: how long a
-// machine still counts as lost after it has returned, or after its replacement has started. Within
-// that time the core must have all its replicas and witnesses again, because the next loss may
-// follow right after it.
+// machine still counts as lost after it has returned, or after its replacement has started. The core
+// must have all its replicas and witnesses again by the end of CatchUpLimit, because the next loss
+// may follow right then.
 type Timing struct {
 	// CatchUpLimit is the time limit from which the other values are derived.
 	CatchUpLimit time.Duration
@@ -22,8 +22,8 @@
 	// WitnessTimeout is how long a witness may not respond before another controller replaces it.
 	// WitnessTimeout also limits how long a new primary waits to hear from all controllers.
 	WitnessTimeout time.Duration
-	// ReplacementTimeout is how long a primary looks for a replacement of a lost backup before it
-	// continues with fewer backups, where several are wanted.
+	// ReplacementTimeout is how long a primary that wants several backups looks for a replacement of
+	// a lost backup before it continues with fewer backups.
 	ReplacementTimeout time.Duration
 }
 
@@ -34,8 +34,9 @@
 	// candidate's next tick, its hellos, two round trips to a majority, and the installation of the
 	// snapshot on the new backup.
 	ElectionTime = 400 * time.Millisecond
-	// WitnessReplacementTime is the time that the replacement of a witness needs: two grants, one
-	// tick apart.
+	// WitnessReplacementTime is the time that the replacement of a witness needs. The witnesses grant
+	// two memberships, one tick apart: first one with both sets of witnesses, then one with only the
+	// new set.
 	WitnessReplacementTime = 400 * time.Millisecond
 
 	minLease              = 600 * time.Millisecond
