--- a/internal/auction/finish.go
+++ b/internal/auction/finish.go
@@ -30,7 +30,8 @@
 	return append(decisions, d.finish(now, s, entry, final, cause)...)
 }
 
-// cancelCurrent cancels the request's current run at its current server.
+// cancelCurrent returns the decision to cancel the request's run at its current server, or none before
+// the first bid.
 func (d *Dispatcher) cancelCurrent(entry *requestState) []Decision {
 	current := entry.currentServer()
 	if current == nil {
@@ -45,7 +46,8 @@
 	}}
 }
 
-// finish removes a request from its shard and sends the final status to the client.
+// finish removes a request from its shard and returns the final decision, which the router sends to
+// the client.
 func (d *Dispatcher) finish(
 	now time.Time,
 	s *shard,
@@ -127,7 +129,7 @@
 			// not be sent to another server.
 			return nil
 		}
-		// It can no longer be known whether the request ran, so waiting would not help.
+		// The server is unreachable, so waiting would not show whether the request ran.
 		entry.mayBeRunning = true
 		return d.abort(now, s, entry, failure.ServerFailed)
 	}
--- a/internal/auction/offer.go
+++ b/internal/auction/offer.go
@@ -12,7 +12,7 @@
 // offer is one server's offer for the prefill or the decode of a request.
 type offer struct {
 	state *ServerState
-	// position is the index of the server in the sorted list; it breaks ties.
+	// position is the index of the server in the list sorted by name; it breaks ties.
 	position int
 	// ask is the estimated time of the server's part of the request.
 	ask      time.Duration
@@ -28,8 +28,8 @@
 	return result
 }
 
-// minTransferTime returns a lower bound of transferTime for all decode servers: the time of a
-// transfer within the zone that only this server's own link limits.
+// minTransferTime returns a lower bound of transferTime over all decode servers: the time of a
+// transfer within the zone to a server whose link is not slower than this server's.
 func (o offer) minTransferTime(request *Request) time.Duration {
 	return seconds(request.PromptTokens, o.linkRate)
 }
@@ -72,7 +72,8 @@
 	})
 }
 
-// priceFloor is added to each price, so that priceSpread has an effect on asks of zero too.
+// priceFloor is added to the sum of a pair's estimated times before priceSpread is applied, so that
+// the spread also separates pairs whose sum is zero.
 const priceFloor = 5 * time.Millisecond
 
 // rank orders pairs by price, then by the positions of the prefill and the decode server.
@@ -92,9 +93,10 @@
 }
 
 // cheapest returns the pair with the lowest price, and among equal prices the pair with the
-// lowest positions in the server list. The spread only increases the sum of the estimated
-// times, so the lowest remaining sum is a lower bound of all remaining prices, and the
-// search can stop there.
+// lowest positions in the server list. priceSpread only increases prices, so a pair's sum of
+// estimated times is a lower bound of its price. For each prefill server, the decode servers
+// are tried in ascending order of their asks, until no remaining pair can have a lower price
+// than the best one.
 func (o *offerSet) cheapest(request *Request) (Bid, bool) {
 	sortByAsk(o.prefill)
 	sortByAsk(o.decode)
@@ -133,10 +135,10 @@
 	return best, best.Prefill != nil
 }
 
-// leastLoaded returns the pair of the baseline that the auction is compared with: the first
-// prefill server with the fewest waiting prompts and the first decode server with the fewest
-// active decodes. It ignores cached prefixes, KV transfers, zones and the router's own work
-// in flight.
+// leastLoaded returns the pair that the baseline strategy selects, with which the auction is
+// compared: the first prefill server with the fewest waiting prompts and the first decode
+// server with the fewest active decodes. The selection ignores cached prefixes, KV transfers,
+// zones and the router's own work in flight.
 func (o *offerSet) leastLoaded(request *Request) (Bid, bool) {
 	if len(o.prefill) == 0 || len(o.decode) == 0 {
 		return Bid{}, false
--- a/internal/auction/rolebalancer_test.go
+++ b/internal/auction/rolebalancer_test.go
@@ -9,7 +9,8 @@
 
 // TestBalancerFollowsLoadWithoutFlapping applies a high prefill load, then a high decode load. The
 // balancer must adapt the roles to the load with few changes and keep at least one server in each
-// role. While no need lasts for balanceThreshold checks, it must change no role.
+// role. Then the prefill load is high only in every other check, which is fewer than balanceThreshold
+// consecutive checks, and the balancer must change no role.
 func TestBalancerFollowsLoadWithoutFlapping(t *testing.T) {
 	balancer := NewRoleBalancer(false)
 	var servers []membership.Server
@@ -71,6 +72,6 @@
 		observe(30_000*(number%2), 8)
 	}
 	if changes != 0 {
-		t.Errorf("got %d role changes without a lasting need, want 0", changes)
+		t.Errorf("got %d role changes while the prefill load was high in every other check, want 0", changes)
 	}
 }
