--- a/internal/dataplane/backlogcounts.go
+++ b/internal/dataplane/backlogcounts.go
@@ -27,7 +27,7 @@
 	name, incarnation string
 	// counts are the counts that this router owns.
 	counts backlog.Table
-	// changed signals that the scheduler has changes to send.
+	// changed signals that the scheduler has changes of backlog counts to send.
 	changed runtime.Cond
 
 	mutex sync.Mutex
@@ -46,7 +46,7 @@
 	countTimeout = 30 * time.Millisecond
 	// ownerRetryAfter is how long an owner that did not respond is skipped.
 	ownerRetryAfter = 2 * time.Second
-	// changesInterval is how long changes are batched before they are sent.
+	// changesInterval is how long changes of backlog counts are batched before they are sent.
 	changesInterval = 2 * time.Millisecond
 )
 
@@ -83,7 +83,7 @@
 	c.ranked = map[string][]membership.Member{}
 }
 
-// Answer handles another router's request to this owner.
+// Answer handles another router's request for counts that this router owns.
 func (c *BacklogCounts) Answer(request backlog.Request) (backlog.Response, error) {
 	return c.counts.Apply(c.runtime.Now(), request), nil
 }
@@ -128,7 +128,8 @@
 	return received
 }
 
-// send sends a request to the owner of its group.
+// send sends a request to the owner of its group. If the owner does not respond, send returns false,
+// and the owner is skipped for ownerRetryAfter.
 func (c *BacklogCounts) send(request backlog.Request) (response backlog.Response, answered bool) {
 	request.Router = c.incarnation
 	owner, found := c.owner(request.Group)
@@ -167,8 +168,8 @@
 }
 
 // rank returns the routers of a group's zone, or all routers if the zone has none, in the
-// order of rendezvous hashing for the group. The zone is the last but one of the parts of the
-// group's name, which are separated by slashes.
+// order of rendezvous hashing for the group. The zone is the second to last part of the group's
+// name, whose parts are separated by slashes.
 func (c *BacklogCounts) rank(group string) []membership.Member {
 	zone := ""
 	if parts := strings.Split(group, "/"); len(parts) >= 2 {
@@ -191,14 +192,14 @@
 	return ranked
 }
 
-// SendChanges wakes Run if the scheduler has changes to send.
+// SendChanges wakes Run if the scheduler has changes of backlog counts to send.
 func (c *BacklogCounts) SendChanges() {
 	if c.callScheduler.HasBacklogChanges() {
 		c.changed.Broadcast()
 	}
 }
 
-// Run sends the scheduler's changes to the owners until the process ends.
+// Run sends the scheduler's changes of backlog counts to the owners until the process ends.
 func (c *BacklogCounts) Run() {
 	for c.runtime.Alive() {
 		c.changed.Wait(idleTick, c.callScheduler.HasBacklogChanges)
--- a/internal/dataplane/calls.go
+++ b/internal/dataplane/calls.go
@@ -97,9 +97,9 @@
 }
 
 // noticeTime returns how long load balancers may still consider the router ready after it starts to
-// leave: drainNoticeTime, minus the time by which the last successful health check is older than
-// healthCheckInterval. It is zero if there was no successful health check, and at most a third of
-// the grace period.
+// leave. It is drainNoticeTime, minus the time for which the next successful health check has been
+// overdue: it was due healthCheckInterval after the last one. The result is zero if there was no
+// successful health check, and at most a third of the grace period.
 func (c *Calls) noticeTime(grace time.Duration) time.Duration {
 	last := c.lastReady.Load()
 	if last == nil {
@@ -126,8 +126,8 @@
 	// healthCheckInterval is the time between two health checks of a load balancer.
 	healthCheckInterval = time.Second
 	// The grace period divided by exitMarginDivisor, but at most maxExitMargin, is reserved for the
-	// exit of the process. Thus only calls that are still in flight in the last sixth of the grace
-	// period are cut off.
+	// exit of the process. An eighth is little enough that calls are cut off only in the last sixth
+	// of the grace period.
 	exitMarginDivisor = 8
 	maxExitMargin     = time.Second
 	// drainInterval is the time between two checks for calls in flight.
@@ -192,8 +192,8 @@
 		return
 	}
 	state, decision := c.callScheduler.Arrive(c.runtime.Now(), call)
-	// sent is set once the call was sent to a server. Otherwise the tenant's token is
-	// returned.
+	// sent is set once the call is sent to a server. If the call ends without that, the tenant's
+	// token is refunded.
 	sent := false
 	defer func() {
 		if tenant != "" && !sent {
@@ -250,16 +250,16 @@
 }
 
 // conclude sends the final response to the client. Its invariant: if a server may have run the
-// call, no response states that the call has not run. So after a possible run, a refusal by the
-// router has the status of an unknown outcome, and the error of the last server is not passed
-// through if only an earlier server may have run the call (ranBefore).
-func conclude(exchange Exchange, decision scheduler.Decision, mayHaveRun, ranBefore bool) {
+// call (mayHaveRun), no response states that the call has not run. So after a possible run, a
+// refusal by the router has the status of an unknown outcome. The error of the last server is not
+// passed through if only an earlier server may have run the call (onlyEarlierMayHaveRun).
+func conclude(exchange Exchange, decision scheduler.Decision, mayHaveRun, onlyEarlierMayHaveRun bool) {
 	switch decision.Kind {
 	case scheduler.Done:
 	case scheduler.BreakStream:
 		exchange.Abort()
 	case scheduler.PassThrough:
-		if ranBefore || !exchange.ForwardFailure() {
+		if onlyEarlierMayHaveRun || !exchange.ForwardFailure() {
 			exchange.Refuse(Refusal{Cause: scheduler.OutcomeUnknown, Status: http.StatusBadGateway})
 		}
 	default:
@@ -290,8 +290,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// askOwners queries the owners of backlog counts and returns the scheduler's next decision,
-// based on their responses.
+// askOwners sends a decision's backlog requests to the owners of the counts and returns the
+// scheduler's next decision, which is based on the owners' responses.
 func (c *Calls) askOwners(state *scheduler.CallState, decision scheduler.Decision) scheduler.Decision {
 	answers := c.backlogCounts.Ask(decision.BacklogRequests)
 	return c.callScheduler.BacklogReported(c.runtime.Now(), state, answers)
--- a/internal/dataplane/forwarding.go
+++ b/internal/dataplane/forwarding.go
@@ -16,8 +16,8 @@
 // Forwarder is the port that forwards a request to another router.
 type Forwarder interface {
 	// Forward sends the request's body and calls onRecord with each record of the reply, until
-	// onRecord returns false or the client has disconnected. It learns of a disconnect through a
-	// callback that it passes to onClientGone. The result is false only if certainly no byte was
+	// onRecord returns false or the client has disconnected. Forward registers a callback for the
+	// disconnect through onClientGone. It returns false only if it is certain that no byte was
 	// sent.
 	Forward(
 		address string,
@@ -51,8 +51,9 @@
 }
 
 // forward forwards a request to a capable router and streams the reply to the client. It tries
-// another router only if the previous one certainly has not received the request, so that a
-// request that is not idempotent runs at most once.
+// another router only if it is certain that the previous one has not received the request, so that
+// a request that is not idempotent runs at most once. A request that another router has already
+// forwarded is refused.
 func (r *Router) forward(arrival Arrival, reply Reply) {
 	notRun := false
 	refused := ReplyLine{
@@ -75,7 +76,7 @@
 				forwarding.Incarnation = response.Incarnation
 			}
 			relay := &replyRelay{reply: reply, request: arrival.Request.ID}
-			if !r.forwarder.Forward(member.Address, forwarding, arrival.Body, reply.OnClientGone, relay.take) {
+			if !r.forwarder.Forward(member.Address, forwarding, arrival.Body, reply.OnClientGone, relay.relayLine) {
 				continue
 			}
 			if !relay.ended {
@@ -87,23 +88,26 @@
 	writeLine(reply, refused)
 }
 
-// isOldRelease reports whether an error comes from an older release that lacks the path.
+// isOldRelease reports whether an error of a call to IncarnationPath comes from a router of an older
+// release, which lacks that path.
 func (r *Router) isOldRelease(err error) bool {
 	return err != nil && failure.CodeOf(err) == failure.Unreachable && failure.DetailOf(err) == "status 404"
 }
 
-// replyRelay forwards the lines of stream records to the client as they arrive. If the stream
-// breaks, it ends the reply with a final line that states the known outcome.
+// replyRelay forwards the lines of stream records to the client as they arrive. If the stream breaks,
+// finishIncomplete ends the reply with a final line that states what is known of the outcome.
 type replyRelay struct {
 	reply   Reply
 	request string
-	lines   int
-	ended   bool
+	// lines is the number of lines that were forwarded.
+	lines int
+	// ended is set once the final line was forwarded or the client has disconnected.
+	ended bool
 }
 
-// take forwards the line of one record. It returns false if the reply has ended, or the record
+// relayLine forwards the line of one record. It returns false if the reply has ended, or the record
 // is malformed, out of order or of another request.
-func (r *replyRelay) take(record codec.Record) bool {
+func (r *replyRelay) relayLine(record codec.Record) bool {
 	message, err := codec.DecodeStreamMessage(record)
 	var line ReplyLine
 	if err == nil {
@@ -123,8 +127,8 @@
 	return !r.ended
 }
 
-// finishIncomplete ends a reply whose stream broke: with status Unknown if the client has received
-// no line, otherwise with status Failed.
+// finishIncomplete ends a reply whose stream broke or had an invalid record: with status Unknown if
+// no line was forwarded, otherwise with status Failed.
 func (r *replyRelay) finishIncomplete() {
 	final := ReplyLine{Request: r.request, Type: failure.Unreachable, Detail: "the connection between two routers broke during the reply"}
 	if r.lines == 0 {
@@ -153,7 +157,7 @@
 // seenForwardings records the nonces of accepted forwardings, to refuse duplicates.
 type seenForwardings struct {
 	mutex sync.Mutex
-	// seen is when each nonce was recorded; order has the nonces from oldest to newest.
+	// seen holds the time at which each nonce was recorded; order holds the nonces, oldest first.
 	seen  map[string]time.Time
 	order []string
 }
--- a/internal/dataplane/provisional_test.go
+++ b/internal/dataplane/provisional_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestPrimaryConfirmsOrReplacesAProvisionalConfiguration puts a replica's configuration provisionally
-// in force, and then has a primary respond that has the same configuration, a newer one, or an older
-// one. The newer one must replace the provisional configuration, and the older one must not.
+// in force. Then a primary responds with the same, a newer or an older version of the configuration.
+// The newer version must replace the provisional one, and the older version must not. The router must
+// accept the lease in the response unless the version is older.
 func TestPrimaryConfirmsOrReplacesAProvisionalConfiguration(t *testing.T) {
 	rt := osruntime.New(t.Context(), osruntime.NewClock())
 	provisional := replication.Section{
@@ -53,15 +54,17 @@
 		}
 		router.follower.ApplyProvisional(rt.Now(), wire.UpdateResponse{Copy: copyState})
 		if router.InForce() != provisional.Version || router.Core().HasRoles() {
-			t.Fatalf("%s: got version %s in force, want the provisional version and no roles", test.name, router.InForce())
+			t.Fatalf("%s: got version %s in force, has roles %v, want the provisional version %s without roles",
+				test.name, router.InForce(), router.Core().HasRoles(), provisional.Version)
 		}
 		router.follower.Apply(rt.Now(), test.response)
 		if router.InForce() != test.inForce || router.Core().LeaseEnds().IsZero() == test.lease {
-			t.Errorf("%s: got version %s in force, lease until %v, want version %s, lease %v",
+			t.Errorf("%s: got version %s in force, lease until %v, want version %s, has lease %v",
 				test.name, router.InForce(), router.Core().LeaseEnds(), test.inForce, test.lease)
 		}
 		if router.LastUpdateAt().IsZero() || !router.Core().ServesUntil().After(rt.Now()) {
-			t.Errorf("%s: the response of the primary was not recorded, or the router does not serve", test.name)
+			t.Errorf("%s: got last update at %v, serving until %v, want a recorded update and serving until after now",
+				test.name, router.LastUpdateAt(), router.Core().ServesUntil())
 		}
 	}
 }
--- a/internal/dataplane/requests.go
+++ b/internal/dataplane/requests.go
@@ -9,7 +9,7 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// Serve serves one request and returns when its reply is complete.
+// Serve serves one request. It returns when the reply is complete or the client has disconnected.
 func (r *Router) Serve(arrival Arrival, reply Reply) {
 	request := arrival.Request
 	if !r.acceptsForwarding(arrival) {
@@ -48,7 +48,8 @@
 	r.answer(arrival, reply, s)
 }
 
-// answer sends the decisions on a request to its client until the final one.
+// answer sends the decisions on a request to its client, up to the final one or until the client
+// disconnects. If the decision is to forward the request, answer forwards it and relays the reply.
 func (r *Router) answer(arrival Arrival, reply Reply, s *stream) {
 	request := arrival.Request
 	for {
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -819,7 +819,7 @@
 		Edits: []Edit{
 			{
 				"internal/dataplane/calls.go",
-				"		if ranBefore || !exchange.ForwardFailure() {",
+				"		if onlyEarlierMayHaveRun || !exchange.ForwardFailure() {",
 				"		if !exchange.ForwardFailure() {",
 			},
 		},
