--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -28,7 +28,7 @@
 	return sum ^ sum>>33
 }
 
-// Weigher computes the weights of many names for one key, which it hashes only once. Its weights
+// Weigher computes the weights of many names for one key, and hashes the key only once. Its weights
 // are those of the function Weight.
 type Weigher struct{ keyed hash.Cloner }
 
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRankByWeightMatchesDefinition compares RankByWeight with an implementation that computes the weights in
-// each comparison, and HighestWeight with the first ranked name.
+// TestRankByWeightMatchesDefinition compares RankByWeight with a simple implementation, which computes the
+// weights anew in each comparison, and HighestWeight with the first name of that ranking.
 func TestRankByWeightMatchesDefinition(t *testing.T) {
 	for count := range 40 {
 		var names []string
--- a/internal/membership/servers.go
+++ b/internal/membership/servers.go
@@ -38,7 +38,7 @@
 // place less than listLag after its removal. The zero value is empty and ready to use. ServerList is
 // not safe for concurrent use.
 type ServerList struct {
-	// at is the time of the newest read.
+	// at is the time of the newest read of the list.
 	at      time.Time
 	servers []Server
 	// warmAt holds the end of each server's slow start, by the clock of the node that read the list.
@@ -54,20 +54,21 @@
 }
 
 const (
-	// listLag is how much older the list returned by one read may be than that returned by an earlier read.
+	// listLag bounds how outdated a read may be: a read may return an older state of the platform's list
+	// than an earlier read did, but only a state less than listLag older.
 	listLag = time.Second
 	// removedRetention is how long the removal of a server is remembered.
 	removedRetention = time.Minute
 	// minWarmingChange is the least change of the end of a server's slow start that counts as a
 	// change of the list.
 	minWarmingChange = 300 * time.Millisecond
-	// maxChanges is how many changes back ChangesSince reaches.
+	// maxChanges is the maximum number of changes since the earlier one that ChangesSince accepts.
 	maxChanges = 32
 )
 
 // Update replaces the list by one that was read at the given time, and reports whether the list has
-// changed. The first list always counts as a change; the end of a slow start has to differ by at least
-// minWarmingChange. A list that was read before the newest one is ignored.
+// changed. The first list always counts as a change. A different end of a slow start counts only if the
+// difference is at least minWarmingChange. A list that was read before the newest one is ignored.
 func (l *ServerList) Update(at time.Time, servers []Server) bool {
 	if !l.at.IsZero() && at.Before(l.at) {
 		return false
@@ -140,8 +141,8 @@
 func (l *ServerList) Changes() uint64 { return l.changes }
 
 // ChangesSince returns the servers that were added or changed after an earlier change, as counted
-// by Changes, and the names of the servers that were removed after it. known is false if the
-// earlier change is too old or never happened.
+// by Changes, and the names of the servers that were removed after it. known is false if more than
+// maxChanges changes have followed the earlier one, or if that one never happened.
 func (l *ServerList) ChangesSince(now time.Time, change uint64) (changed []Server, removed []string, known bool) {
 	if change == 0 || change > l.changes || change+maxChanges < l.changes {
 		return nil, nil, false
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -1,7 +1,7 @@
-// Package outlier ejects model servers that fail the requests of several routers, regardless of
-// their health checks, so that the other routers need not find the failures by themselves. A server
-// is ejected if enough routers in enough zones report it within a short window. After the ejection
-// the server is on trial: a few routers use it before all of them do.
+// Package outlier ejects model servers that fail the requests of several routers, whatever the
+// servers' health checks say, so that the other routers need not find the failures by themselves. A
+// server is ejected if enough routers in enough zones report it within a short window. After the
+// ejection the server is on trial: only a few routers use it until the trial ends.
 //
 // The leading controller runs the Detector (package controlplane); routers report failures to
 // it and fetch its Advice (package follower). Package scheduler applies the advice, unless the
@@ -31,8 +31,8 @@
 	// forgetAfter is how long after the end of a server's last ejection the number of its
 	// ejections is kept.
 	forgetAfter = 10 * time.Second
-	// serversPerEjection limits the ejected servers to one in three. If more servers fail, the
-	// fault is likely to be elsewhere.
+	// serversPerEjection limits the ejected servers to one in three of the listed ones, but at least
+	// one. If more servers fail, the fault is likely to be elsewhere.
 	serversPerEjection = 3
 )
 
@@ -83,8 +83,8 @@
 	}
 }
 
-// report records a report of one server, and ejects the server if enough routers have reported it. A
-// server on trial is ejected by a single report.
+// report records a report of one server, and ejects the server if enough routers have reported it and
+// the limit of ejected servers is not reached. A server on trial is ejected by a single report.
 func (d *Detector) report(now time.Time, reporter Reporter, name string, listed int) {
 	known, found := d.servers[name]
 	if !found {
@@ -95,16 +95,16 @@
 		d.servers[name] = known
 	}
 	if now.Before(known.until) {
-		// The failed requests were sent before the ejection, so that they give no new information.
+		// The failed requests were sent before the ejection, so the report gives no new information.
 		return
 	}
 	known.reports[reporter] = now
 	if !known.onTrial(now) && !d.corroborated(now, known) || d.ejected(now) >= max(1, listed/serversPerEjection) {
 		return
 	}
-	length := min(firstEjection<<min(known.ejections, 8), longestEjection)
+	duration := min(firstEjection<<min(known.ejections, 8), longestEjection)
 	known.ejections++
-	known.until = now.Add(length)
+	known.until = now.Add(duration)
 	clear(known.reports)
 }
 
@@ -113,8 +113,9 @@
 	return s.ejections > 0 && !now.Before(s.until) && now.Before(s.until.Add(trialDuration))
 }
 
-// corroborated reports whether enough routers in enough zones have reported the server. If all
-// routers are in one zone, reports of that zone are enough.
+// corroborated reports whether enough routers in enough zones have reported the server within
+// reportWindow, and deletes older reports. If all routers are in one zone, reports of that zone are
+// enough.
 func (d *Detector) corroborated(now time.Time, s *server) bool {
 	zones, reporters := map[string]bool{}, 0
 	for reporter, at := range s.reports {
@@ -139,8 +140,8 @@
 	return count
 }
 
-// Advice returns the servers that are ejected or on trial, and removes the state of servers that
-// have neither fresh reports nor a recent ejection.
+// Advice returns the servers that are ejected or on trial, and deletes the state of servers that have
+// neither a report within reportWindow nor an ejection that ended within forgetAfter.
 func (d *Detector) Advice(now time.Time) Advice {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
