--- a/internal/scheduler/example_test.go
+++ b/internal/scheduler/example_test.go
@@ -9,7 +9,8 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// A call is admitted, dispatched to the only server and ends well.
+// A call is admitted, dispatched to the only server and completed. A second call, whose host has no route,
+// is refused.
 func ExampleScheduler() {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	s := scheduler.New(scheduler.Options{Router: "router-1", Zone: "north"})
--- a/internal/scheduler/prefixcache.go
+++ b/internal/scheduler/prefixcache.go
@@ -10,14 +10,20 @@
 // prompts that the router sent to the server, as many as fit into the server's memory; the least
 // recently used segment is evicted first.
 type prefixCache struct {
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// segments holds the elements of order by segment ID.
 	segments map[uint64]*list.Element
-	order    *list.List
-	tokens   int
-	count    atomic.Int64
+	// order holds each cachedSegment, the most recently used first.
+	order *list.List
+	// tokens is the sum of the weights of all segments.
+	tokens int
+	// count is the number of segments, to be read without the mutex.
+	count atomic.Int64
 }
 
-// cachedSegment is a segment in a prefix cache. weight is the memory that it takes up, in tokens.
+// cachedSegment is a segment in a prefix cache. weight is the memory that is counted for the segment, in
+// tokens: its own, rounded up to blocks, and for the last segment of a prompt also that of the other
+// routers' last segments (see add).
 type cachedSegment struct {
 	id     uint64
 	tokens int
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -19,7 +19,7 @@
 		return c.pickCheapest(c.mayPrefill())
 	})
 	if found && !best.usesKV && kind == Generate && state.attempts > 0 && best.cost > c.maxRetryCost() {
-		// If the origin sends the call again, it may be prefilled at another server with capacity.
+		// If the origin sends the call again, another server with capacity may prefill the prompt.
 		return s.end(now, state, last, minRetryAfter, TooCostly)
 	}
 	if !found || state.source == nil && c.tooLate(best) {
@@ -44,8 +44,9 @@
 	return !state.noTransfer && (!again || state.attempts+1 < state.routeRule.calls.MaxAttempts)
 }
 
-// chargeRetries charges the call's attempts that have not been charged yet to the retry budget,
-// the reserved retry first. It returns false if the budget is used up.
+// chargeRetries charges the call's attempts that have not been charged yet to the retry budget. If a
+// retry is reserved for the call, the first of these attempts uses the reservation. chargeRetries
+// returns false if the budget is used up.
 func (c *cycle) chargeRetries() bool {
 	state, allowance := c.state, c.scheduler.options.Retries
 	uncharged := state.attempts - state.chargedAttempts
@@ -90,15 +91,16 @@
 }
 
 // end ends a call that is not retried.
-func (s *Scheduler) end(now time.Time, state *CallState, last fallback, after time.Duration, reason Reason) Decision {
-	decision := state.fallbackDecision(now, last, after)
+func (s *Scheduler) end(now time.Time, state *CallState, last fallback, retryAfter time.Duration, reason Reason) Decision {
+	decision := state.fallbackDecision(now, last, retryAfter)
 	decision.Reason = reason
 	return s.finish(now, state, decision)
 }
 
-// fallbackDecision returns the last decision for a call that is not retried. It differs by whether a
-// stream has begun, whether the call may have run, and whether the deadline has passed.
-func (state *CallState) fallbackDecision(now time.Time, last fallback, after time.Duration) Decision {
+// fallbackDecision returns the final decision for a call that is not retried. Without a fallback, the
+// decision depends on whether a stream has begun, whether the call may have run, and whether the
+// deadline has passed.
+func (state *CallState) fallbackDecision(now time.Time, last fallback, retryAfter time.Duration) Decision {
 	late := !now.Before(state.deadline)
 	switch {
 	case last != "":
@@ -112,11 +114,11 @@
 	case late:
 		return Decision{Kind: Refuse, Cause: DeadlinePassed}
 	}
-	return refusal(Saturated, after, state.deadline.Sub(now))
+	return refusal(Saturated, retryAfter, state.deadline.Sub(now))
 }
 
-// finish ends the call: it releases the call's reserved retry, its backlog entry and its KV caches
-// that no run has used.
+// finish ends the call. It releases the call's reserved retry, its backlog entry, and those of its KV
+// caches that no run has used.
 func (s *Scheduler) finish(now time.Time, state *CallState, decision Decision) Decision {
 	if state.reserved {
 		state.reserved = false
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -6,7 +6,7 @@
 )
 
 // playTraffic runs a simulation with the default traffic, multiplied by factor, for the given time, and then
-// until the calls have ended.
+// for 10 more seconds, in which the calls end.
 func playTraffic(sim *simulation, factor float64, length time.Duration) {
 	long, chat := longClass(), chatClass()
 	long.perSecond *= factor
@@ -20,21 +20,21 @@
 // TestUsualTraffic checks, with the default traffic and with less and more of it, that most calls meet
 // their latency targets and few shared tokens are read more than once.
 func TestUsualTraffic(t *testing.T) {
-	for _, want := range []struct {
+	for _, test := range []struct {
 		factor, long, chat float64
 		reread             int
 	}{{0.6, 0.9, 0.97, 250_000}, {1, 0.87, 0.96, 450_000}, {1.4, 0.78, 0.92, 900_000}} {
 		sim := newSimulation(1, 9, 9, nil)
-		playTraffic(sim, want.factor, 30*time.Second)
-		t.Logf("x%.1f\n%s", want.factor, sim)
-		for name, floor := range map[string]float64{"long": want.long, "chat": want.chat} {
+		playTraffic(sim, test.factor, 30*time.Second)
+		t.Logf("x%.1f\n%s", test.factor, sim)
+		for name, floor := range map[string]float64{"long": test.long, "chat": test.chat} {
 			counter := sim.counter[name]
-			if s := float64(counter.onTarget) / float64(counter.calls); s < floor {
-				t.Errorf("%s with traffic x%.1f: got %.3f of the calls on target, want at least %.3f", name, want.factor, s, floor)
+			if share := float64(counter.onTarget) / float64(counter.calls); share < floor {
+				t.Errorf("%s with traffic x%.1f: got %.3f of the calls on target, want at least %.3f", name, test.factor, share, floor)
 			}
 		}
-		if sim.sharedReread > want.reread {
-			t.Errorf("traffic x%.1f: got %d shared tokens read again, want at most %d", want.factor, sim.sharedReread, want.reread)
+		if sim.sharedReread > test.reread {
+			t.Errorf("traffic x%.1f: got %d shared tokens read again, want at most %d", test.factor, sim.sharedReread, test.reread)
 		}
 		for number, sched := range sim.schedulers {
 			if sched.InFlight() != 0 {
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestBacklogCountsImproveLatency compares ninety routers with slow engines with and without backlog
-// counts. Without them each router knows only its own calls at once, and sends calls to prefill servers
-// that the other routers have just filled.
+// TestBacklogCountsImproveLatency compares a site of 90 routers and slow servers with and without backlog
+// counts. Without the counts, a router immediately knows only of its own calls, and sends calls to prefill
+// servers that other routers have just filled.
 func TestBacklogCountsImproveLatency(t *testing.T) {
 	play := func(queries bool) *simulation {
 		s := ninety()
@@ -56,17 +56,18 @@
 		s.play(sim, 1, 6*time.Second)
 		return sim
 	}
-	alone, counted := play(false), play(true)
-	t.Logf("without\n%s\nwith\n%s", alone, counted)
+	without, with := play(false), play(true)
+	t.Logf("without counts\n%s\nwith counts\n%s", without, with)
 	onTarget := func(sim *simulation, className string) float64 {
 		return float64(sim.counter[className].onTarget) / float64(sim.counter[className].calls)
 	}
-	for className, better := range map[string]float64{"long": 0.03, "chat": 0.03} {
-		if before, after := onTarget(alone, className), onTarget(counted, className); after < before+better {
-			t.Errorf("%s: got %.3f on target without counts and %.3f with them, want an increase by %.2f", className, before, after, better)
+	for className, increase := range map[string]float64{"long": 0.03, "chat": 0.03} {
+		if before, after := onTarget(without, className), onTarget(with, className); after < before+increase {
+			t.Errorf("%s: got %.3f on target without counts and %.3f with them, want an increase by at least %.2f",
+				className, before, after, increase)
 		}
 	}
-	for number, sched := range counted.schedulers {
+	for number, sched := range with.schedulers {
 		if sched.InFlight() != 0 {
 			t.Errorf("router %d has %d calls in flight at the end, want none", number, sched.InFlight())
 		}
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -7,11 +7,15 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// snapshot is the set of all listed servers. It is immutable; a new list gets a new snapshot.
+// snapshot is the set of all listed servers. The set is immutable, and a new list gets a new snapshot;
+// the servers' states change, and successive snapshots share them.
 type snapshot struct {
-	all         []*backend
-	byName      map[string]*backend
-	byService   map[string][]*backend
+	all    []*backend
+	byName map[string]*backend
+	// byService holds the servers of each service, including those that serve all services. Under the
+	// empty name it holds those that serve all services.
+	byService map[string][]*backend
+	// zoneIndexes numbers the zones in the order of their first server by name.
 	zoneIndexes map[string]int
 	// router is the key of this router in rendezvous hashing.
 	router uint64
@@ -94,11 +98,12 @@
 	return busy, running
 }
 
-// nameKey returns the hash of a name that is used in rendezvous hashing.
+// nameKey returns the hash of a name, as a key for rendezvousWeight.
 func nameKey(name string) uint64 { return membership.Weight("window", name) }
 
-// rendezvousWeight returns the weight of a server for a chain in rendezvous (highest random weight)
-// hashing: the same at every router.
+// rendezvousWeight returns the weight of a server for a chain of prompt segments in rendezvous (highest
+// random weight) hashing. All routers compute the same weight. Other pairs of keys are hashed in the
+// same way, such as a router and a server.
 func rendezvousWeight(chain, server uint64) uint64 {
 	sum := chain*0x9e3779b97f4a7c15 ^ server
 	sum ^= sum >> 33
--- a/internal/scheduler/threads_test.go
+++ b/internal/scheduler/threads_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestConcurrentUse lets calls arrive and end in many goroutines while lists, reports, orders and
-// configurations change, and checks that no work stays counted as in flight. The race detector must find no
-// data race.
+// TestConcurrentUse lets calls arrive and end in many goroutines while server lists, load reports, role
+// orders and configurations change, and checks that no work is counted as in flight at the end. The race
+// detector must find no data race.
 func TestConcurrentUse(t *testing.T) {
 	sched, balancer := newTestScheduler(9), NewRoleBalancer()
 	var waiting sync.WaitGroup
@@ -24,9 +24,9 @@
 					call = chatCall(call.ID)
 				}
 				state, decision := sched.Arrive(now, call)
-				for s := 0; state != nil && (decision.Kind == Prefill || decision.Kind == Generate); s++ {
+				for step := 0; state != nil && (decision.Kind == Prefill || decision.Kind == Generate); step++ {
 					outcome := Outcome{Result: Complete, Handle: "h", FirstByte: now, Load: &ResponseLoad{Running: 3, Slots: 64}}
-					if (number+s)%5 == 0 {
+					if (number+step)%5 == 0 {
 						outcome.Result = []Result{Unreachable, NotStarted, TimedOut, Interrupted, ErrorResponse}[(number+thread)%5]
 						outcome.Status = 500
 					}
@@ -67,7 +67,9 @@
 	for _, b := range sched.snapshot.Load().all {
 		if b.prefilling.Load() != 0 || b.running.Load() != 0 ||
 			b.prefillProgress.pending.Load() != 0 || b.firstEventProgress.pending.Load() != 0 {
-			t.Errorf("%s still has work counted at the end", b.server.Name)
+			t.Errorf("%s: got %d prefills, %d runs, %d pending prefills and %d pending first events at the end, want none",
+				b.server.Name, b.prefilling.Load(), b.running.Load(),
+				b.prefillProgress.pending.Load(), b.firstEventProgress.pending.Load())
 		}
 	}
 }
--- a/internal/scheduler/weights.go
+++ b/internal/scheduler/weights.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// weights are the costs, in milliseconds, that a candidate has in addition to its latency.
+// weights are the costs, in milliseconds, that a candidate has in addition to its latency, and the
+// factors and likelihoods that determine them.
 type weights struct {
 	// crossZonePerKilobyte is the cost of a kilobyte of a request body that is sent to another zone.
 	crossZonePerKilobyte float64
@@ -12,20 +13,24 @@
 	rereadPerThousand float64
 	// extraRequest is the cost of the second request of a call that is split into prefill and run.
 	extraRequest float64
-	// lastAttempt is the cost of a prefill before the only run that the call has left.
+	// lastAttempt is the cost, while KV cache transfers are failing, of a prefill for a call with only one
+	// attempt left: if the transfer fails, too, the call is lost (see transferRisk).
 	lastAttempt float64
-	// wastedPerThousand is the cost of a thousand tokens that a prefill server read in vain.
+	// wastedPerThousand is the cost, for a thousand prompt tokens, of not using a completed prefill.
 	wastedPerThousand float64
-	// refusal is the cost of refusing a call that never ran. A retry whose cost is higher, since it
-	// would harm other calls more, is not sent.
+	// refusal is the cost of refusing a call that never ran. A retry that costs more (see maxRetryCost)
+	// would harm other calls more than it helps this one, and is not sent.
 	refusal float64
-	// stallPerMillisecond is the cost of each millisecond for which a server has been stalled.
+	// stallPerMillisecond is the cost of each millisecond for which a server has been stalled. The cost of
+	// a stall is at most unhealthy.
 	stallPerMillisecond float64
-	// unhealthy is the cost of a server that failed this router's calls, outlier the cost of a server
-	// that failed other routers' calls, and warming the cost of a server in slow start.
+	// unhealthy is the cost of a server that failed this router's calls or KV cache transfers, or whose
+	// load reports are stale.
 	unhealthy float64
-	outlier   float64
-	warming   float64
+	// outlier is the cost of a server that failed other routers' calls.
+	outlier float64
+	// warming is the cost of a server in slow start.
+	warming float64
 	// stalledCall is the cost of each other call whose tokens a prefill stalls for as long as
 	// gapBudget.
 	stalledCall float64
@@ -33,8 +38,9 @@
 	connection float64
 	// tieBreak is the maximum cost that distinguishes otherwise equal servers.
 	tieBreak float64
-	// homePrefill, nextPrefill and homeDecode are not costs but likelihoods, from 0 to 1, that the
-	// home servers of a chain have its prefix cached.
+	// homePrefill, nextPrefill and homeDecode are not costs but likelihoods, from 0 to 1, that a home
+	// server of a chain (see findHomes) has the chain's prefix cached: the first and the second prefill
+	// server and the decode server.
 	homePrefill float64
 	nextPrefill float64
 	homeDecode  float64
@@ -43,7 +49,7 @@
 	awayFromHomePerThousand float64
 }
 
-// defaultWeights returns the weights of every scheduler. Tests change single weights.
+// defaultWeights returns the weights that each scheduler starts with. Only tests change them.
 func defaultWeights() weights {
 	return weights{
 		crossZonePerKilobyte:    4,
