--- a/internal/scheduler/simulatedfleet_test.go
+++ b/internal/scheduler/simulatedfleet_test.go
@@ -27,9 +27,11 @@
 	engine      engineModel
 	schedulers  []*Scheduler
 	routerZones []string
-	servers     map[string]*simulatedServer
-	list        []membership.Server
-	counter     map[string]*classCounter
+	// servers holds all servers that were ever listed, by name; list holds those listed now.
+	servers map[string]*simulatedServer
+	list    []membership.Server
+	// counter holds the outcomes of the calls by the name of their class.
+	counter map[string]*classCounter
 	// seen holds the shared segments that any server has read.
 	seen map[uint64]bool
 
@@ -39,15 +41,18 @@
 	sameZoneTransfers, crossZoneTransfers float64
 	crossZoneBodies                       float64
 	orders, dispatches, connectionsOpened int
-	idle                                  map[connectionEnds]*idleConnections
-	backlogTable                          backlog.Table
-	backlogRequests, backlogUpdates       int
+	// idle holds the routers' idle connections to the servers.
+	idle map[connectionEnds]*idleConnections
+	// backlogTable holds the backlog counts of all owners.
+	backlogTable                    backlog.Table
+	backlogRequests, backlogUpdates int
 	// reportInterval is the interval at which each router receives load reports.
 	reportInterval   time.Duration
 	calls            int
 	dispatchCounters map[string]*dispatchCounter
 	// ordered holds the roles that servers were ordered to take, by server name.
-	ordered            map[string]string
+	ordered map[string]string
+	// reportsFirstEvents is set if routers report the first event of each answer to their schedulers.
 	reportsFirstEvents bool
 	// crossZonePrice is the price of a gigabyte of request bodies that are sent to another zone.
 	crossZonePrice float64
@@ -55,13 +60,15 @@
 	// For the calls that arrived in each second: the value if all had been answered in time, and the value
 	// that they earned.
 	possibleBySecond, earnedBySecond [60]float64
-	// onLost and onLate, if set, are called for calls that are refused and for calls that are late.
-	onLost func(*simulatedCall, Decision)
-	onLate func(*simulatedCall, time.Duration)
+	// onRefused and onLate, if set, are called for each call that is refused, whether or not it may have
+	// run, and for each call that is late.
+	onRefused func(*simulatedCall, Decision)
+	onLate    func(*simulatedCall, time.Duration)
 }
 
-// dispatchCounter counts the dispatches of one group (see job.dispatchGroup): their number, the shared
-// tokens that were read once more, and the tokens to read by the scheduler's estimate and in fact.
+// dispatchCounter counts the dispatches of one group (see job.dispatchGroup) that had to read their
+// prompts. reread is the number of shared tokens that a server had read before, estimatedUncached the
+// scheduler's estimate of the tokens to read, and unread the actual number of these.
 type dispatchCounter struct{ count, reread, estimatedUncached, unread int }
 
 // dispatchCounterOf returns the counter of a dispatch group, which is created at its first use.
@@ -92,12 +99,12 @@
 	// The rate of prefills, the time added for a million pairs of a prompt token and a token before
 	// it, the delay before a call without a transfer starts, and the fixed time of a transfer.
 	prefillTokensPerMillisecond, attentionCost, startDelay, transferSetup float64
-	// The largest number of tokens that a step reads, the tokens that fit into the KV cache memory, the
-	// output tokens in an event, and the largest number of calls that run at once.
+	// The maximum number of prompt tokens that a step reads, the tokens that fit into the KV cache memory,
+	// the output tokens in an event, and the maximum number of calls that run at once.
 	chunkTokens, memoryTokens, tokensPerEvent, slots int
 	// The size of the KV cache of a token, and the rate of the link for transfers.
 	bytesPerToken, linkBitsPerMillisecond float64
-	// The age of load reports.
+	// The age that load reports state.
 	reportLag time.Duration
 	// The one-way network delays.
 	sameZoneDelay, crossZoneDelay float64
@@ -125,12 +132,12 @@
 	chat           class
 	crossZonePrice float64
 	prices         prices
-	// configure changes the configuration, if it is given.
+	// configure, if not nil, changes the configuration.
 	configure func(*config.Configuration)
 }
 
-// ninety returns a deployment with 90 routers and 90 servers that read prompts slowly. Its long prompts
-// must not run more than once.
+// ninety returns a deployment with 90 routers and 90 servers that read prompts slowly. Its calls with long
+// prompts have a single attempt.
 func ninety() site {
 	s := site{
 		name:           "ninety",
@@ -241,7 +248,7 @@
 const startupTime = 8 * time.Second
 
 // play runs the simulation with the site's usual traffic, multiplied by factor, for the given time, and
-// then until the calls have ended.
+// then for 10 more seconds, in which the calls end.
 func (s site) play(sim *simulation, factor float64, length time.Duration) {
 	long, chat := s.long, s.chat
 	long.perSecond *= factor
@@ -259,7 +266,8 @@
 	act      func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events, the earliest first. Events of the same time are in the order in which they
+// were scheduled.
 type eventQueue []scheduledEvent
 
 func (queue eventQueue) Len() int { return len(queue) }
@@ -304,9 +312,10 @@
 	down       bool
 	// unresponsive is set once the server no longer sends anything.
 	unresponsive bool
-	changing     bool
-	// failsTransfers makes all KV cache transfers from the server fail. linkSlowdown and slowdown
-	// are the factors by which transfers and steps take longer, if they are above 1.
+	// changing is set while the server carries out an order to change its role.
+	changing bool
+	// failsTransfers makes all KV cache transfers from the server fail. linkSlowdown is the factor by which
+	// transfers take longer, and slowdown that by which steps take longer; values below 1 count as 1.
 	failsTransfers bool
 	linkSlowdown   float64
 	slowdown       float64
@@ -322,10 +331,11 @@
 	cachedTokenCount int
 	// reservedTokens is the memory, in tokens, of the admitted calls and of the handles.
 	reservedTokens int
-	// handles holds the tokens of the KV caches that wait for their run.
+	// handles holds the KV caches of completed prefills that wait for their run: their tokens by handle.
 	handles map[string]int
 	// linkFree is when the server's link is free for the next transfer.
-	linkFree    time.Time
+	linkFree time.Time
+	// pastReports holds the latest load reports, the newest last.
 	pastReports []Load
 	arrivals    []time.Time
 }
@@ -344,8 +354,8 @@
 	incarnation int
 	// transferred is set if the prompt's KV cache was transferred to the server.
 	transferred bool
-	// unread is the number of prompt tokens that are still to be read, outputTokens the length of the
-	// answer, generated the number of its tokens that were generated.
+	// unread is the number of prompt tokens that are still to be read, outputTokens the number of tokens in
+	// the answer, and generated how many of these were generated so far.
 	unread       int
 	outputTokens int
 	generated    int
@@ -354,7 +364,7 @@
 	started    bool
 	lastEvent  time.Time
 	longestGap time.Duration
-	// tokens is the memory that the job takes up.
+	// tokens is the memory that the job takes up, in tokens.
 	tokens       int
 	onFirstEvent func()
 	onEnd        func(Result)
@@ -366,7 +376,8 @@
 	estimatedUncached int
 }
 
-// cachedTokensOf returns how many leading tokens of a prompt are cached; if use is set, they count as used.
+// cachedTokensOf returns how many leading tokens of a prompt are cached. If use is set, their segments become
+// the most recently used ones.
 func (server *simulatedServer) cachedTokensOf(prompt []Segment, use bool) int {
 	tokens := 0
 	for _, segment := range prompt {
@@ -382,14 +393,14 @@
 	return tokens
 }
 
-// addToCache caches a prompt's segments, and evicts others if the memory is full.
+// addToCache caches a prompt's segments. While the memory is full, it evicts the least recently used segment.
 func (server *simulatedServer) addToCache(prompt []Segment) {
 	for position := len(prompt) - 1; position >= 0; position-- {
 		segment := prompt[position]
 		if entry, found := server.cache[segment.ID]; found {
-			k := entry.Value.(*simulatedSegment)
-			server.cachedTokenCount += max(0, segment.Tokens-k.tokens)
-			k.tokens = max(k.tokens, segment.Tokens)
+			cached := entry.Value.(*simulatedSegment)
+			server.cachedTokenCount += max(0, segment.Tokens-cached.tokens)
+			cached.tokens = max(cached.tokens, segment.Tokens)
 			server.order.MoveToFront(entry)
 			continue
 		}
@@ -403,8 +414,9 @@
 	}
 }
 
-// take queues a job; it returns false if the server rejects the job.
-func (server *simulatedServer) take(j *job) bool {
+// queueJob adds a job to the waiting ones. It returns false if the server rejects the job, because 192 jobs
+// wait already or the job needs more memory than the server has.
+func (server *simulatedServer) queueJob(j *job) bool {
 	engine := server.simulation.engine
 	if len(server.waiting) >= 192 || j.tokens > engine.memoryTokens {
 		return false
@@ -415,7 +427,9 @@
 	return true
 }
 
-// startStep begins the next step if none is in progress and there are calls to run.
+// startStep begins the next step if none is in progress and there are jobs to run. A step reads a chunk of
+// the prompt of one job, the first that has unread tokens, and generates a token for each job without unread
+// tokens. A decode server reads prompts at half the rate and in chunks of a quarter of the size.
 func (server *simulatedServer) startStep() {
 	if server.working || server.down || server.unresponsive {
 		return
@@ -462,7 +476,7 @@
 	})
 }
 
-// admit starts waiting jobs as long as slots and memory allow.
+// admit starts the waiting jobs in order of arrival, as long as slots and memory allow.
 func (server *simulatedServer) admit() {
 	for len(server.waiting) > 0 && len(server.running) < server.simulation.engine.slots {
 		j := server.waiting[0]
@@ -489,7 +503,7 @@
 	}
 }
 
-// countRead counts the tokens of a prompt that a server has to read beyond the cached ones.
+// countRead counts the tokens of a prompt that a server has to read because they are not cached.
 func (sim *simulation) countRead(call *Call, cachedTokens int) {
 	at := 0
 	for position, segment := range call.Segments {
@@ -507,10 +521,11 @@
 	}
 }
 
-// finishStep applies the results of a step: the chunk that was read, and one token for each run.
+// finishStep applies the results of a step: the chunk that was read for the job reading, and one token for
+// each job without unread tokens.
 func (server *simulatedServer) finishStep(reading *job, chunk int) {
 	now := server.simulation.now
-	var stay []*job
+	var remaining []*job
 	for _, j := range server.running {
 		switch {
 		case j.abandoned:
@@ -542,9 +557,9 @@
 				continue
 			}
 		}
-		stay = append(stay, j)
+		remaining = append(remaining, j)
 	}
-	server.running = stay
+	server.running = remaining
 }
 
 // clearCaches clears the prefix cache and the handles.
@@ -552,8 +567,9 @@
 	server.cache, server.order, server.cachedTokenCount, server.handles = map[uint64]*list.Element{}, list.New(), 0, map[string]int{}
 }
 
-// crash ends all work of the server and clears its cache. If the server becomes unresponsive, its calls
-// get no response; otherwise their connections are closed.
+// crash ends all work of the server and clears its caches. If the server becomes unresponsive, its calls get
+// no response. Otherwise their connections are closed: started ones are interrupted, and the others count as
+// timed out.
 func (server *simulatedServer) crash(unresponsive bool) {
 	jobs := append(append([]*job(nil), server.waiting...), server.running...)
 	server.incarnation++
@@ -582,8 +598,10 @@
 		MemoryUsed: server.reservedTokens, MemoryTotal: server.simulation.engine.memoryTokens}
 }
 
-// classCounter counts the outcomes of the calls of one class. A call is refused if it never ran, lost if
-// it may have run, and broken if it ended with an error response or an incomplete stream.
+// classCounter counts the outcomes of the calls of one class. Of the calls that the router refused, refused
+// counts those that never ran, and lost those that may have run. broken counts the calls that ended with an
+// error response or an incomplete stream. The complete calls are served; each of them is either onTarget or
+// late, and gapExceeded counts the late ones with a gap above maxGap.
 type classCounter struct {
 	possibleValue, earnedValue float64
 	calls, onTarget            int
@@ -616,21 +634,21 @@
 	maxOwnTokens               float64
 	outputEvents, outputSpread float64
 	maxOutputEvents            float64
-	// bytes is the size of a request body of average length.
+	// bytes is the size of the request body for a prompt of average length.
 	bytes int
 	// The value of a call that is on target, and that of a late call.
 	value, lateValue float64
-	// target is the latency target of the first event, maxGap the longest gap between events with which
-	// a call is on target.
+	// target is the latency target of the first event, deadline the time limit of a call, and maxGap the
+	// longest gap between events with which a call is on target.
 	target, deadline time.Duration
 	maxGap           time.Duration
 }
 
-// chainLink describes one of the shared segments of a class's prompts: the distribution of its length,
-// and the number of distinct segments.
+// chainLink describes one of the shared segments of a class's prompts: the log-normal distribution of its
+// tokens, and the number of distinct segments.
 type chainLink struct {
-	mean, spread, most float64
-	distinct           int
+	mean, spread, maxTokens float64
+	distinct                int
 	// skew is the exponent of the segments' popularity; zero makes all equally popular.
 	skew float64
 }
@@ -659,12 +677,13 @@
 		target: 500 * time.Millisecond, deadline: 8 * time.Second, maxGap: 250 * time.Millisecond}
 }
 
-// logNormal returns a random number of the log-normal distribution with the given mean, at most most.
-func logNormal(random *rand.Rand, mean, spread, most float64) float64 {
-	return min(mean*math.Exp(spread*random.NormFloat64()-spread*spread/2), most)
+// logNormal returns a random number of the log-normal distribution with the given mean, reduced to limit if
+// it is higher. spread is the standard deviation of the number's logarithm.
+func logNormal(random *rand.Rand, mean, spread, limit float64) float64 {
+	return min(mean*math.Exp(spread*random.NormFloat64()-spread*spread/2), limit)
 }
 
-// newSimulation returns a simulation with the default engine.
+// newSimulation returns a simulation with the default engine and the given numbers of routers and servers.
 func newSimulation(seed uint64, routers, count int, changeScheduler func(*Scheduler)) *simulation {
 	return newSimulationWithServers(seed, routers, servers(count), nil, changeScheduler)
 }
@@ -709,7 +728,7 @@
 		sim.after(sim.random.Float64()*milliseconds(sim.reportInterval), func() { sim.sendReports(number) })
 	}
 	sim.reportsFirstEvents = true
-	sim.after(0, sim.sample)
+	sim.after(0, sim.recordReports)
 	return sim
 }
 
@@ -723,7 +742,7 @@
 		server.down = true
 		added := server.listed
 		added.Name, added.Address, added.Warming, added.Role = added.Name+"+", added.Address+"1", 3*time.Second, server.role
-		sim.start(added)
+		sim.addServer(added)
 		sim.relist("", &added)
 		sim.after(3000, func() {
 			for position := range sim.list {
@@ -753,13 +772,13 @@
 	sim.after(milliseconds(interval), func() { sim.rollingUpdate(names[1:], interval) })
 }
 
-// start adds a server.
-func (sim *simulation) start(listed membership.Server) {
+// addServer adds a server.
+func (sim *simulation) addServer(listed membership.Server) {
 	sim.servers[listed.Name] = &simulatedServer{simulation: sim, listed: listed, role: listed.Role, handles: map[string]int{}}
 	sim.servers[listed.Name].clearCaches()
 }
 
-// relist removes a server from the list, or adds one to it.
+// relist removes a server from the list if removed is not empty, and adds one if added is not nil.
 func (sim *simulation) relist(removed string, added *membership.Server) {
 	var next []membership.Server
 	for _, server := range sim.list {
@@ -774,7 +793,7 @@
 	sim.distributeList()
 }
 
-// distributeList sends the list to the routers, with a delay.
+// distributeList sends the list of servers to the routers, which receive it 800 ms later.
 func (sim *simulation) distributeList() {
 	list := append([]membership.Server(nil), sim.list...)
 	sim.after(800, func() {
@@ -812,8 +831,8 @@
 	waitUntilIdle()
 }
 
-// balanceRoles carries out the orders that the role balancer derives from the state of the first
-// router's scheduler, every 100 ms.
+// balanceRoles lets the role balancer decide every 100 ms, from the state of the first router's scheduler,
+// and carries out its orders.
 func (sim *simulation) balanceRoles(balancer *RoleBalancer) {
 	for _, order := range balancer.Decide(sim.now, sim.schedulers[0]) {
 		sim.ordered[order.Server] = order.Role
@@ -825,8 +844,8 @@
 	sim.after(100, func() { sim.balanceRoles(balancer) })
 }
 
-// sample records the servers' load reports, so that routers can be sent older ones.
-func (sim *simulation) sample() {
+// recordReports records the listed servers' load reports every 20 ms, so that sendReports can send older ones.
+func (sim *simulation) recordReports() {
 	for _, listed := range sim.list {
 		server := sim.servers[listed.Name]
 		server.pastReports = append(server.pastReports, server.report())
@@ -834,10 +853,10 @@
 			server.pastReports = server.pastReports[1:]
 		}
 	}
-	sim.after(20, sim.sample)
+	sim.after(20, sim.recordReports)
 }
 
-// sendReports sends the latest load reports to a router, and repeats that at reportInterval.
+// sendReports sends recorded load reports to a router at intervals of reportInterval.
 func (sim *simulation) sendReports(number int) {
 	var loads []Load
 	for _, listed := range sim.list {
@@ -845,12 +864,13 @@
 		if server.down || server.unresponsive {
 			continue
 		}
-		// One node fetches the reports and forwards them, so that they are older than reportLag.
-		old := min(len(server.pastReports), 10)
-		if old == 0 {
+		// One node fetches the reports and forwards them, so the router receives reports that are 180 to
+		// 200 ms old, which can be more than the age that they state.
+		samplesAgo := min(len(server.pastReports), 10)
+		if samplesAgo == 0 {
 			continue
 		}
-		load := server.pastReports[len(server.pastReports)-old]
+		load := server.pastReports[len(server.pastReports)-samplesAgo]
 		load.Age = sim.engine.reportLag
 		loads = append(loads, load)
 	}
@@ -869,7 +889,7 @@
 	})
 }
 
-// arrive lets a random router receive a random call of the class.
+// arrive generates a random call of the class, which arrives at a random router.
 func (sim *simulation) arrive(c class) {
 	sim.calls++
 	id := fmt.Sprintf("%s-%d", c.name, sim.calls)
@@ -878,7 +898,7 @@
 	for depth, link := range c.chains {
 		index := link.draw(sim.random)
 		if depth > 0 {
-			// The second segment determines the first: each segment always follows the same one.
+			// The second segment determines the first, since a segment always follows the same segment.
 			parent = index % uint64(c.chains[depth-1].distinct)
 			call.Segments[0] = sim.sharedSegment(c, 0, parent)
 		}
@@ -906,8 +926,8 @@
 	return min(int(at.Sub(noon)/time.Second), len(sim.possibleBySecond)-1)
 }
 
-// worstSpans returns the mean of two shares of the possible value: those that were earned in the two worst
-// spans of three seconds.
+// worstSpans returns the mean share of the possible value that was earned in the two worst spans of three
+// seconds.
 func (sim *simulation) worstSpans() float64 {
 	const length = 3
 	var shares []float64
@@ -930,7 +950,7 @@
 	link := c.chains[depth]
 	id := rendezvousWeight(nameKey(c.name)+uint64(depth), index)
 	random := rand.New(rand.NewPCG(id, 3))
-	return Segment{ID: id, Tokens: max(16, int(logNormal(random, link.mean, link.spread, link.most)))}
+	return Segment{ID: id, Tokens: max(16, int(logNormal(random, link.mean, link.spread, link.maxTokens)))}
 }
 
 // counterOf returns the counter of a class, which is created at its first use.
@@ -981,15 +1001,15 @@
 		} else {
 			counter.lost++
 		}
-		if sim.onLost != nil {
-			sim.onLost(sc, decision)
+		if sim.onRefused != nil {
+			sim.onRefused(sc, decision)
 		}
 	case Done:
 		counter.served++
-		took := sc.firstEvent.Sub(sc.arrivedAt) + 2*time.Millisecond
-		counter.firstEventMilliseconds = append(counter.firstEventMilliseconds, milliseconds(took))
+		latency := sc.firstEvent.Sub(sc.arrivedAt) + 2*time.Millisecond
+		counter.firstEventMilliseconds = append(counter.firstEventMilliseconds, milliseconds(latency))
 		switch {
-		case took <= sc.class.target && sc.longestGap <= sc.class.maxGap:
+		case latency <= sc.class.target && sc.longestGap <= sc.class.maxGap:
 			counter.onTarget++
 			counter.earnedValue += sc.class.value
 			sim.earnedBySecond[sim.second(sc.arrivedAt)] += sc.class.value
@@ -999,7 +1019,7 @@
 			}
 			counter.late++
 			if sim.onLate != nil {
-				sim.onLate(sc, took)
+				sim.onLate(sc, latency)
 			}
 			counter.earnedValue += sc.class.lateValue
 			sim.earnedBySecond[sim.second(sc.arrivedAt)] += sc.class.lateValue
@@ -1045,8 +1065,9 @@
 	})
 }
 
-// rank returns the rank of a prefill server for the call's chain, as a suffix of a dispatch group.
-func (sim *simulation) rank(call *Call, server *simulatedServer) string {
+// rankSuffix returns a suffix for the name of a dispatch group: the rank of a prefill server in rendezvous
+// hashing for the call's chain, from 0.
+func (sim *simulation) rankSuffix(call *Call, server *simulatedServer) string {
 	weight := func(s *simulatedServer) uint64 { return rendezvousWeight(call.chainKey(), nameKey(s.listed.Name)) }
 	rank := 0
 	for _, other := range sim.servers {
@@ -1057,7 +1078,8 @@
 	return fmt.Sprintf(" %d", rank)
 }
 
-// free releases a KV cache.
+// free releases the memory of a KV cache at its server, unless a transfer or the end of the KV cache's
+// lifetime has removed the handle.
 func (sim *simulation) free(source Source) {
 	for _, server := range sim.servers {
 		if server.listed.Address == source.Address {
@@ -1067,7 +1089,8 @@
 	}
 }
 
-// dispatch sends a call to a server and simulates the outcome.
+// dispatch sends a call to a server and schedules the events of the dispatch, the last of which passes the
+// outcome to the router's scheduler.
 func (sim *simulation) dispatch(sc *simulatedCall, decision Decision) {
 	server := sim.servers[decision.Server.Name]
 	delay := sim.networkDelay(sc.router, server)
@@ -1148,7 +1171,7 @@
 		currentJob = j
 		j.dispatchGroup = sc.class.name + " " + string(decision.Kind)
 		if j.isPrefill {
-			j.dispatchGroup += sim.rank(sc.call, server)
+			j.dispatchGroup += sim.rankSuffix(sc.call, server)
 		}
 		j.estimatedUncached = sc.state.dispatch.uncached
 		if !j.isPrefill {
@@ -1186,7 +1209,7 @@
 			if server.down || server.unresponsive || done {
 				return
 			}
-			if !server.take(j) {
+			if !server.queueJob(j) {
 				reject(NotStarted)
 			}
 		}
@@ -1198,7 +1221,8 @@
 	})
 }
 
-// transfer transfers a KV cache to a server and then calls enqueue, or calls reject if that fails.
+// transfer transfers a KV cache to a server and then calls enqueue. It calls reject if the transfer fails, or
+// if it would have to wait more than two seconds for the server's link.
 func (sim *simulation) transfer(server *simulatedServer, call *Call, source Source, j *job, enqueue func(), reject func(Result)) {
 	var prefillServer *simulatedServer
 	for _, other := range sim.servers {
@@ -1261,7 +1285,7 @@
 	sort.Strings(names)
 	for _, name := range names {
 		counter := sim.dispatchCounters[name]
-		text += fmt.Sprintf("  %s: %d dispatches, %d tokens reread, %d tokens uncached, %d estimated\n",
+		text += fmt.Sprintf("  %s: %d dispatches that read prompts, %d tokens reread, %d tokens uncached, %d estimated\n",
 			name, counter.count, counter.reread, counter.unread, counter.estimatedUncached)
 	}
 	return text + fmt.Sprintf("read %d tokens, %d of them shared, %d reread; transferred %.1f GB within zones, %.1f GB between zones; "+
--- a/internal/scheduler/sweep_test.go
+++ b/internal/scheduler/sweep_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// score rates a run of a simulation. It is a weighted sum of three shares of the possible value that were
-// earned (by all calls, in the worst spans, and by the worst class), less the prices of KV cache transfers,
-// of request bodies sent to other zones, of shared tokens that were read once more and of new connections.
+// score rates a run of a simulation. It is the weighted sum of three shares of the possible value that was
+// earned (0.65 for all calls, 0.22 for the two worst spans, 0.13 for the worst class), less the prices, as a
+// share of the possible value, of KV cache transfers, of request bodies sent to other zones, of shared tokens
+// that were read once more and of new connections. A transfer between zones has twice the price.
 func (sim *simulation) score() float64 {
 	possibleValue, earnedValue := 0.0, 0.0
 	for _, counter := range sim.counter {
@@ -28,7 +29,10 @@
 }
 
 // TestSweep prints the scores of sites with several amounts of traffic, so that a developer can compare
-// weights. It runs only if SWEEP is set; "large" and "ninety" select other sites.
+// weights. It runs only if SWEEP is set; "large" and "ninety" select other sites. For each site and amount of
+// traffic it prints the means over the seeds: the score, the shares of long and of chat calls on target, the
+// thousands of shared tokens reread, the megabytes of request bodies sent to other zones, the share of KV cache
+// data transferred between zones, and the number of role changes.
 func TestSweep(t *testing.T) {
 	if os.Getenv("SWEEP") == "" {
 		t.Skip("runs only if SWEEP is set")
@@ -44,7 +48,7 @@
 		text, sum := fmt.Sprintf("%-28s", name), 0.0
 		for _, s := range sites {
 			for _, factor := range []float64{0.6, 1, 1.4} {
-				score, reread, target, chat, crossZoneBodies, crossZoneShare, orders := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
+				score, reread, long, chat, crossZoneBodies, crossZoneShare, orders := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
 				const seeds = 6
 				simulations := make([]*simulation, seeds)
 				var waiting sync.WaitGroup
@@ -63,13 +67,13 @@
 					score += sim.score() / seeds
 					orders += float64(sim.orders) / seeds
 					reread += float64(sim.sharedReread) / 1000 / seeds
-					target += float64(sim.counter["long"].onTarget) / float64(sim.counter["long"].calls) / seeds
+					long += float64(sim.counter["long"].onTarget) / float64(sim.counter["long"].calls) / seeds
 					chat += float64(sim.counter["chat"].onTarget) / float64(sim.counter["chat"].calls) / seeds
 					crossZoneBodies += sim.crossZoneBodies * 1000 / seeds
 					crossZoneShare += sim.crossZoneTransfers / (sim.sameZoneTransfers + sim.crossZoneTransfers) / seeds
 				}
 				sum += score / float64(3*len(sites))
-				text += fmt.Sprintf(" | %.4f %.3f %.3f %4.0fk %2.0fMB %.2f %.1f", score, target, chat, reread, crossZoneBodies, crossZoneShare, orders)
+				text += fmt.Sprintf(" | %.4f %.3f %.3f %4.0fk %2.0fMB %.2f %.1f", score, long, chat, reread, crossZoneBodies, crossZoneShare, orders)
 			}
 		}
 		fmt.Printf("%.4f %s\n", sum, text)
@@ -77,7 +81,8 @@
 	run("default weights", func(*weights) {})
 }
 
-// TestSweepFaults prints the scores of runs with faults over several seeds. It runs only if SWEEP is set.
+// TestSweepFaults prints, for each fault, the mean score and the outcomes of the calls over several seeds. It
+// runs only if SWEEP is set.
 func TestSweepFaults(t *testing.T) {
 	if os.Getenv("SWEEP") == "" {
 		t.Skip("runs only if SWEEP is set")
@@ -108,10 +113,10 @@
 		waiting.Wait()
 		score, reread := 0.0, 0
 		text := ""
-		for _, c := range []string{"long", "chat"} {
+		for _, className := range []string{"long", "chat"} {
 			all := classCounter{}
 			for _, sim := range simulations {
-				counter := sim.counter[c]
+				counter := sim.counter[className]
 				all.calls += counter.calls
 				all.onTarget += counter.onTarget
 				all.late += counter.late
@@ -121,7 +126,7 @@
 				all.broken += counter.broken
 			}
 			text += fmt.Sprintf(" | %s on target %.3f late %d gaps exceeded %d refused %d lost %d broken %d",
-				c, float64(all.onTarget)/float64(all.calls), all.late, all.gapExceeded, all.refused, all.lost, all.broken)
+				className, float64(all.onTarget)/float64(all.calls), all.late, all.gapExceeded, all.refused, all.lost, all.broken)
 		}
 		for _, sim := range simulations {
 			score += sim.score() / seeds
@@ -130,5 +135,5 @@
 		sum += score
 		fmt.Printf("%-14s %.4f reread %dk%s\n", name, score, reread, text)
 	}
-	fmt.Printf("sum %.4f\n", sum/float64(len(names)))
+	fmt.Printf("mean score %.4f\n", sum/float64(len(names)))
 }
