--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -6,7 +6,7 @@
 // response that can be forwarded; otherwise empty.
 type fallback DecisionKind
 
-// nextDispatch decides the call's next dispatch, or ends the call.
+// nextDispatch decides the call's next dispatch, or ends the call with the decision of fallbackDecision.
 func (s *Scheduler) nextDispatch(now time.Time, state *CallState, last fallback) Decision {
 	if reason := state.exhausted(now); reason != "" {
 		return s.end(now, state, last, retryAfterSoon, reason)
--- a/internal/scheduler/simulatedfleet_test.go
+++ b/internal/scheduler/simulatedfleet_test.go
@@ -864,8 +864,8 @@
 		if server.down || server.unresponsive {
 			continue
 		}
-		// One node fetches the reports and forwards them, so the router receives reports that are 180 to
-		// 200 ms old, which can be more than the age that they state.
+		// One node fetches the reports and forwards them. So the router receives the tenth to last report,
+		// which is 180 to 200 ms old and can be older than it states.
 		samplesAgo := min(len(server.pastReports), 10)
 		if samplesAgo == 0 {
 			continue
@@ -926,8 +926,8 @@
 	return min(int(at.Sub(noon)/time.Second), len(sim.possibleBySecond)-1)
 }
 
-// worstSpans returns the mean share of the possible value that was earned in the two worst spans of three
-// seconds.
+// worstSpans computes, for each span of three seconds, the share of the possible value that was earned, and
+// returns the mean of the two lowest shares.
 func (sim *simulation) worstSpans() float64 {
 	const length = 3
 	var shares []float64
@@ -1089,8 +1089,8 @@
 	}
 }
 
-// dispatch sends a call to a server and schedules the events of the dispatch, the last of which passes the
-// outcome to the router's scheduler.
+// dispatch sends a call to a server and schedules the events of the dispatch. The first event that ends the
+// dispatch passes the outcome to the router's scheduler; later ones have no effect.
 func (sim *simulation) dispatch(sc *simulatedCall, decision Decision) {
 	server := sim.servers[decision.Server.Name]
 	delay := sim.networkDelay(sc.router, server)
