--- a/internal/codec/pair.go
+++ b/internal/codec/pair.go
@@ -21,7 +21,7 @@
 // pairV1 is the pair's first format.
 type pairV1 struct {
 	Request string `msgpack:"inquiry"`
-	Run     int    `msgpack:"run"`
+	Attempt int    `msgpack:"run"`
 	Prefill string `msgpack:"prefill"`
 	Decode  string `msgpack:"decode"`
 }
@@ -30,7 +30,7 @@
 // first format, and also the second one if PairPrice is enabled.
 func EncodePair(pair Pair, writer string, enabled features.List) (Record, error) {
 	record := NewRecord(PairRecord, pair.Request, writer, uint64(pair.Attempt))
-	first := pairV1{Request: pair.Request, Run: pair.Attempt, Prefill: pair.Prefill, Decode: pair.Decode}
+	first := pairV1{Request: pair.Request, Attempt: pair.Attempt, Prefill: pair.Prefill, Decode: pair.Decode}
 	return record, record.putFormats(enabled,
 		format{"", "pair", first},
 		format{features.PairPrice, "pair_v2", pair},
@@ -47,7 +47,7 @@
 		format{"", "pair", &first},
 	)
 	if key == "pair" {
-		pair = Pair{Request: first.Request, Attempt: first.Run, Prefill: first.Prefill, Decode: first.Decode}
+		pair = Pair{Request: first.Request, Attempt: first.Attempt, Prefill: first.Prefill, Decode: first.Decode}
 	}
 	return pair, err
 }
--- a/internal/codec/record.go
+++ b/internal/codec/record.go
@@ -26,7 +26,9 @@
 )
 
 // Record is a record that one node writes for another. Kind, Key, Writer and Number are
-// the fixed fields; Features holds everything whose format may change.
+// the fixed fields; Features holds everything whose format may change. Key is the ID of the request or, for an
+// order, the name of the server; Writer is the name of the node. Number is the attempt of the request, the
+// number of the order, or the position of the message in its stream.
 type Record struct {
 	Kind     RecordKind                    `msgpack:"kind"`
 	Key      string                        `msgpack:"key"`
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -27,8 +27,9 @@
 	return appendMerged(nil, target, change), nil
 }
 
-// appendMerged appends the patched target to text in one pass over both objects. Setting the fields
-// individually with fastjson would search through all fields of the object each time.
+// appendMerged appends the result of applying the patch to the target; target is nil if the patch adds the
+// value. It passes over each object only once: setting the fields individually with fastjson would search
+// through all fields of the object each time.
 func appendMerged(text []byte, target, patch *fastjson.Value) []byte {
 	if patch.Type() != fastjson.TypeObject {
 		return patch.MarshalTo(text)
@@ -44,7 +45,7 @@
 	arena := &fastjson.Arena{}
 	text = append(text, '{')
 	first := true
-	field := func(name string) {
+	appendName := func(name string) {
 		if !first {
 			text = append(text, ',')
 		}
@@ -56,10 +57,10 @@
 			change, changed := changes[string(key)]
 			switch {
 			case !changed:
-				field(string(key))
+				appendName(string(key))
 				text = value.MarshalTo(text)
 			case change.Type() != fastjson.TypeNull:
-				field(string(key))
+				appendName(string(key))
 				text = appendMerged(text, value, change)
 			}
 			if changed {
@@ -68,8 +69,8 @@
 		})
 	}
 	for _, name := range names {
-		if change, left := changes[name]; left && change.Type() != fastjson.TypeNull {
-			field(name)
+		if change, pending := changes[name]; pending && change.Type() != fastjson.TypeNull {
+			appendName(name)
 			text = appendMerged(text, nil, change)
 		}
 	}
