--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -1,7 +1,7 @@
 // Package discovery defines the port to the platform's lists of servers and nodes. The control
-// plane reads the list of servers for the whole fleet; a router reads it directly only if it has
-// received no list from a controller for ListTimeout, or none shortly after its start. Controllers
-// and routers each read the list of nodes.
+// plane reads the list of servers for the whole fleet; a router reads it directly only if the list
+// that the router has is older than ListTimeout, or if the router has received none shortly after
+// its start. Controllers and routers each read the list of nodes.
 package discovery
 
 import (
@@ -12,10 +12,10 @@
 
 // When the lists are read.
 const (
-	// ListTimeout is the age of its list of servers after which a router reads the list directly
-	// from the platform. Each router adds a delay of its own, so that the routers do not all read
-	// at the same time. A controller that reads the list for routers that have found no primary
-	// does not send them one that has reached this age.
+	// ListTimeout is the age of a router's list of servers after which the router reads the list
+	// directly from the platform. Each router adds a delay of its own, so that the routers do not
+	// all read at the same time. A controller that is not primary reads the list for routers that
+	// have found no primary, and sends them only a list that is below this age.
 	ListTimeout = 1500 * time.Millisecond
 	// NodesInterval is the pause between two reads of the list of nodes.
 	NodesInterval = 500 * time.Millisecond
