--- a/internal/adapters/controller/forwarding.go
+++ b/internal/adapters/controller/forwarding.go
@@ -18,11 +18,12 @@
 )
 
 const (
+	// forwardTimeout limits how long forwarding a request to the primary may take, including the response.
 	forwardTimeout = 10 * time.Second
 	// forwardedHeader marks a request that another controller has forwarded.
 	forwardedHeader = "Seamloom-Forwarded"
-	// connectionAgeHeader contains the maximum time, in milliseconds, between the sending of an
-	// operator's request and its forwarding (see SentAfter of daemon.Connection).
+	// connectionAgeHeader contains the time in milliseconds from the SentAfter of the operator's connection
+	// (see daemon.Connection) to the forwarding of the request. The operator sent the request within this time.
 	connectionAgeHeader = "Seamloom-Connection-Age"
 )
 
@@ -58,8 +59,8 @@
 	}
 }
 
-// forward forwards a request to the primary and copies the primary's response. A change without an id or a base
-// revision gets an id, so that its outcome can be queried if the response is lost.
+// forward forwards a request to the primary and copies the primary's response. A change that has neither an id
+// nor a base revision gets an id, so that its outcome can be queried if the response is lost.
 func (p *Process) forward(writer http.ResponseWriter, inbound *http.Request, address string) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, inbound.Body, config.MaxBytes+1))
 	if err != nil {
@@ -113,7 +114,7 @@
 	_, _ = writer.Write(content)
 }
 
-// writeUnknown responds that the outcome of a change is unknown, and with which request it can be queried.
+// writeUnknown responds that the outcome of a change is unknown, and names the request that queries the outcome.
 func writeUnknown(writer http.ResponseWriter, change string) {
 	writeJSON(writer, http.StatusServiceUnavailable, changeResponse{Outcome: "unknown", Type: failure.OutcomeUnknown, Change: change,
 		Detail: "it is not known yet whether the change was accepted", StatusRequest: "GET /v1/changes/" + change})
--- a/internal/adapters/controller/status.go
+++ b/internal/adapters/controller/status.go
@@ -159,8 +159,8 @@
 	writeTenantMetrics(writer, p.controller.Quotas())
 }
 
-// writeTenantMetrics writes how many tokens this witness has granted and refused: one metric for each of the
-// first quota.MaxCounted tenants, and one for the sum of the others.
+// writeTenantMetrics writes how many tokens this witness has granted and refused: individually for the first
+// quota.MaxCounted tenants, and as a sum for the others.
 func writeTenantMetrics(target io.Writer, statuses []quota.Status) {
 	others := quota.Status{Subject: quota.OtherSubjects}
 	for i, status := range statuses {
--- a/internal/adapters/proxy/clientconnection.go
+++ b/internal/adapters/proxy/clientconnection.go
@@ -21,7 +21,8 @@
 	admitted bool
 	// closing is set when the connection is about to be closed: further requests are refused.
 	closing bool
-	// begun is set once the first bytes of the next request have arrived.
+	// begun is set when bytes arrive, and cleared when net/http reports the connection's next state. On
+	// an idle connection it means that the first bytes of the next request have arrived.
 	begun bool
 }
 
@@ -87,8 +88,9 @@
 }
 
 // markTimedOut marks the connection as closing if its timeout has passed without an admitted request,
-// and returns in isClosing whether it is marked. The result noRequest is true if no complete request head
-// has arrived: the connection is new, or only the first bytes of its next request have arrived.
+// and returns in isClosing whether it is marked. The result noRequest is true if the connection is new or only
+// the first bytes of its next request have arrived. It is false for an idle connection on which nothing has
+// arrived since the previous response.
 func (c *clientConnState) markTimedOut(now time.Time, limits config.Limits) (noRequest, isClosing bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/adapters/proxy/draining_test.go
+++ b/internal/adapters/proxy/draining_test.go
@@ -117,7 +117,8 @@
 			waitUntil(t, "the connection is idle",
 				connStateIs(func(connState *clientConnState) bool { return connState.httpState == http.StateIdle }))
 			if test.closingFirst {
-				// The connection is marked as closing before the bytes arrive, and its read is interrupted after they arrived.
+				// The connection is only marked as closing here: the bytes arrive after the mark and before
+				// CloseIdleConnections, which must then not interrupt the read.
 				connState.mutex.Lock()
 				connState.closing = true
 				connState.mutex.Unlock()
--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -19,7 +19,7 @@
 	"seamloom.example/seamloom/internal/scheduler"
 )
 
-// The bounds of responses.
+// Size and time limits of dispatches and their responses.
 const (
 	// maxBufferedResponse bounds a failed response that is buffered for forwarding, and a
 	// response that is forwarded only once complete.
@@ -71,7 +71,7 @@
 	body   []byte
 }
 
-// dispatch is one request for the call to one model server.
+// dispatch is one HTTP request that is sent to a model server for the call.
 type dispatch struct {
 	exchange *exchange
 	decision scheduler.Decision
@@ -86,8 +86,9 @@
 	outcome  scheduler.Outcome
 }
 
-// send sends the call to the decision's server and waits for the head of the response. If it
-// returns false, the dispatch is over and its outcome is set.
+// send sends the call to the decision's server and waits for the head of the response. The function
+// setHeaders adds the headers that only a prefill or only a generation has. If send returns false, the
+// dispatch is over and its outcome is set.
 func (e *exchange) send(decision scheduler.Decision, setHeaders func(header http.Header)) (*dispatch, bool) {
 	protocol := &e.handler.protocol
 	ctx, cancel := context.WithCancel(e.inbound.Context())
--- a/internal/adapters/rpc/resend_test.go
+++ b/internal/adapters/rpc/resend_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// failingResponse fails in response to the second request on a connection. The server then closes the
-// connection. address is the server's address, to which a redirect leads.
+// failingResponse writes a faulty response, or none, to the second request on a connection; the server then
+// closes the connection. The parameter address is the server's own address, for a redirect.
 type failingResponse func(connection net.Conn, address string)
 
 // startFailingServer starts a server that responds with status 200 to the first request on each connection,
