--- a/internal/adapters/proxy/exchange.go
+++ b/internal/adapters/proxy/exchange.go
@@ -151,8 +151,9 @@
 	}
 }
 
-// fail ends a dispatch whose response can't be used, and closes its connection. It always
-// returns false, so that send and readHead can return its result as their own.
+// fail ends a dispatch without a usable response, and closes its connection if it has one. If the client
+// has disconnected, fail records ClientGone in place of the given result. It always returns false, so that
+// send and readHead can return this value as their own.
 func (d *dispatch) fail(result scheduler.Result) bool {
 	if d.exchange.inbound.Context().Err() != nil {
 		result = scheduler.ClientGone
