--- a/internal/auction/dispatcher.go
+++ b/internal/auction/dispatcher.go
@@ -46,7 +46,7 @@
 // Timeouts of requests in flight.
 const (
 	// minServerTimeout is the time that a server gets in addition to four times the
-	// estimated time.
+	// estimated time. It is also how long a request waits for decode capacity after its prefill.
 	minServerTimeout = 2 * time.Second
 	// chunkTimeout is the longest gap between two chunks of a stream.
 	chunkTimeout = 3 * time.Second
--- a/internal/auction/request.go
+++ b/internal/auction/request.go
@@ -56,7 +56,8 @@
 // The final statuses of a reply.
 const (
 	Complete FinalStatus = "complete"
-	// Refused means that the request never ran and never will.
+	// Refused means that the request never ran and never will. If the cause is failure.Duplicate,
+	// an earlier request with the same ID may have run.
 	Refused FinalStatus = "refused"
 	Failed  FinalStatus = "failed"
 	// Unknown means that a server may or may not have run the request.
@@ -104,7 +105,8 @@
 	handle string
 	// chunks counts the chunks forwarded to the client.
 	chunks int
-	// serverDeadline is the time by which the current server must make progress.
+	// serverDeadline is the time by which the current server must make progress; in the phase
+	// readyToDecode, it is the time until which the request waits for decode capacity.
 	serverDeadline time.Time
 	// leaseMissingSince is when the request began to wait for a lease; zero if it does not.
 	leaseMissingSince time.Time
--- a/internal/auction/rolebalancer.go
+++ b/internal/auction/rolebalancer.go
@@ -8,22 +8,26 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// RoleBalancer assigns roles to servers. To avoid flapping, it changes the role of one
-// server at a time, only after balanceThreshold consecutive checks found the same need, and
-// waits for balanceCooldown after each change. It keeps at least one server in each role.
+// RoleBalancer assigns roles to servers that have none, and changes roles according to the load. To
+// avoid flapping, a change because of the load affects one server at a time. It is ordered only after
+// balanceThreshold consecutive checks found the same need, and not before balanceCooldown has passed
+// since the last orders. RoleBalancer keeps at least one server in each role.
 type RoleBalancer struct {
 	// consecutive counts the consecutive checks in which a role needed one more server.
-	consecutive  map[ServerRole]int
-	lastChange   time.Time
+	consecutive map[ServerRole]int
+	// orderedAt is when orders were last given, for any cause; lastDecision is when Decide last
+	// checked the servers.
+	orderedAt    time.Time
 	lastDecision time.Time
-	fixed        bool
+	// fixed disables role changes because of the load.
+	fixed bool
 }
 
 const (
 	// balanceInterval is the minimum time between two checks.
 	balanceInterval = 500 * time.Millisecond
-	// balanceCooldown is the minimum time from the last orders, for whatever cause, to a change of a
-	// role by load.
+	// balanceCooldown is the minimum time between orders, for any cause, and a later role change
+	// because of the load.
 	balanceCooldown = 6 * time.Second
 	// balanceThreshold is the number of consecutive checks that must find the same need before a
 	// role is changed.
@@ -67,14 +71,14 @@
 		orders = pools.restoreMinimum(loads)
 	}
 	if len(orders) > 0 {
-		b.lastChange = now
+		b.orderedAt = now
 		return orders
 	}
 	if len(pools.prefill) == 0 || len(pools.decode) == 0 || b.fixed {
 		return nil
 	}
 	b.countNeeds(pools, loads)
-	if now.Sub(b.lastChange) < balanceCooldown {
+	if now.Sub(b.orderedAt) < balanceCooldown {
 		return nil
 	}
 	switch {
@@ -87,14 +91,15 @@
 	default:
 		return nil
 	}
-	b.lastChange = now
+	b.orderedAt = now
 	b.consecutive = map[ServerRole]int{}
 	return orders
 }
 
 // countNeeds updates the counts of consecutive checks in which a role needed a server that the
-// other role can spare. If the need of a role is very high, it is enough that the value of the
-// other role is not high.
+// other role can spare. If the backlog is above twice highBacklog, it is enough that the share of
+// busy slots is below highSlotUse; if that share is above 0.9, it is enough that the backlog is below
+// highBacklog.
 func (b *RoleBalancer) countNeeds(pools *serverPools, loads map[string]Load) {
 	backlog, slotUse := backlogAndSlotUse(pools.prefill, pools.decode, loads)
 	needPrefill := backlog > highBacklog && slotUse < highSlotUse && len(pools.decode) > 1
@@ -111,7 +116,7 @@
 	}
 }
 
-// serverPools groups the servers that report their load by the role in their current order.
+// serverPools holds the servers that report their load, grouped by the role in their current order.
 type serverPools struct {
 	prefill []membership.Server
 	decode  []membership.Server
