--- a/internal/scheduler/ablation_test.go
+++ b/internal/scheduler/ablation_test.go
@@ -10,8 +10,11 @@
 	"time"
 )
 
-// ablations disable one mechanism of the scheduler each.
+// ablations returns functions that prepare a scheduler without one of its mechanisms, by the name of that
+// mechanism. The baseline has all mechanisms. For the role balancer, which is not a part of the scheduler,
+// TestSweepAblation runs the simulation without one.
 func ablations() map[string]func(*Scheduler) {
+	// with enables backlog queries, as the data plane does, and changes the weights.
 	with := func(change func(*weights)) func(*Scheduler) {
 		return func(sched *Scheduler) { sched.SetBacklogQueries(true); change(&sched.weights) }
 	}
--- a/internal/scheduler/backend.go
+++ b/internal/scheduler/backend.go
@@ -45,10 +45,10 @@
 }
 
 // roleChangePending reports whether the server was ordered to take another role and no load
-// report shows the change yet. Such a server may begin no work.
+// report shows the change yet. Such a server may have stopped beginning work already.
 func (b *backend) roleChangePending(now time.Time) bool {
-	due := b.orderedRole.Load()
-	return due != nil && now.UnixNano() < b.orderedRoleUntil.Load() && *due != b.role()
+	ordered := b.orderedRole.Load()
+	return ordered != nil && now.UnixNano() < b.orderedRoleUntil.Load() && *ordered != b.role()
 }
 
 // prefills reports whether the server only does prefills.
--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -173,8 +173,8 @@
 	return len(s.outbox.changes) > 0
 }
 
-// groupSize is the average number of servers in a group above which the number of groups is
-// doubled. It keeps an owner's load at a few hundred prefills per second at most.
+// groupSize is the maximum average number of servers in a group; the number of groups is doubled until
+// the average is at most groupSize. This keeps an owner's load at a few hundred prefills per second at most.
 const groupSize = 16
 
 // groupOf names the group of a server; servers is the number of servers of its service in its
--- a/internal/scheduler/call.go
+++ b/internal/scheduler/call.go
@@ -40,7 +40,7 @@
 }
 
 // chainKey returns the key by which a call's home servers are selected: the last segment that other
-// calls may share, or the only segment, or the call's ID if it has none.
+// calls may share, or the only segment, or, for a call without segments, the hash of its ID.
 func (c *Call) chainKey() uint64 {
 	switch length := len(c.Segments); length {
 	case 0:
@@ -88,8 +88,9 @@
 	// noTransfer is set once a KV cache transfer has failed or the call's KV cache was released
 	// unused; the call is not prefilled again then.
 	noTransfer bool
-	// prefillServer is the server that completed the prefill. source is its KV cache while no run
-	// uses it. releasable are KV caches that no run will use and that have to be released.
+	// prefillServer is the server that completed the prefill. source is the KV cache of that prefill
+	// while no run uses the cache. releasable are KV caches that no run will use and that have to be
+	// released.
 	prefillServer *backend
 	source        *Source
 	releasable    []Source
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -1,8 +1,8 @@
 package scheduler
 
 // eligible reports whether the call may be sent to a server at all, regardless of the server's
-// load. Servers that have failed the call, are leaving, change their role, lack the model or are in
-// a zone that is evacuated or not allowed by the route get nothing.
+// load. A server is not eligible if it has failed the call, is leaving, is changing its role or has
+// been ordered to, lacks the model, or is in a zone that is evacuated or not allowed by the route.
 func (c *cycle) eligible(b *backend) bool {
 	switch {
 	case c.state.avoids(b), b.server.Leaving, b.changingRole(), b.roleChangePending(c.now):
@@ -14,7 +14,8 @@
 }
 
 // hasCapacity reports whether a server can take one more call of the given number of tokens: its
-// KV cache memory must be large enough, and a warming server's rate limit must allow the call.
+// KV cache memory must be large enough, and a warming server's rate limit must allow the call. If the
+// cycle excludes the server because it is warming, warmingWait is updated.
 func (c *cycle) hasCapacity(b *backend, tokens int) bool {
 	if total := c.memoryTotal(b); total > 0 && tokens > total {
 		return false
--- a/internal/scheduler/outliers_test.go
+++ b/internal/scheduler/outliers_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestReasonsForNotRetrying checks the reason that a decision not to retry a call states.
+// TestReasonsForNotRetrying checks the field Reason of decisions not to retry a call.
 func TestReasonsForNotRetrying(t *testing.T) {
 	for want, given := range map[Reason]struct {
 		call     func(string) *Call
--- a/internal/scheduler/warmingcounts.go
+++ b/internal/scheduler/warmingcounts.go
@@ -61,7 +61,7 @@
 }
 
 // learnWarming records the remaining time of a server's slow start, and counts the slow start as
-// learned late if calls were sent to the server since it began.
+// learned late if a call was sent to the server after the slow start began.
 func (s *Scheduler) learnWarming(now time.Time, b *backend, left time.Duration) {
 	if left <= 0 {
 		return
