--- a/internal/dataplane/decisions.go
+++ b/internal/dataplane/decisions.go
@@ -168,12 +168,12 @@
 	for r.runtime.Alive() && r.mayAct(decision) && r.runtime.Now().Before(deadline) && r.runtime.Now().Before(r.core.ServesUntil()) {
 		var response wire.LeaderResponse
 		err := r.follower.AskPrimary(wire.ClaimPath, request, &response, time.Second, deadline)
-		switch kind := failure.CodeOf(err); {
+		switch code := failure.CodeOf(err); {
 		case err == nil && response.Leads:
 			event.Outcome = auction.OutcomeDone
-		case kind == failure.Duplicate:
+		case code == failure.Duplicate:
 			event.Outcome, event.Detail = auction.OutcomeDuplicate, err.Error()
-		case kind == failure.TooOld || kind == failure.TooNew:
+		case code == failure.TooOld || code == failure.TooNew:
 			event.Outcome, event.Detail = auction.OutcomeTooOld, err.Error()
 		default:
 			runtime.Sleep(r.runtime, claimRetryAfter)
--- a/internal/dataplane/journal.go
+++ b/internal/dataplane/journal.go
@@ -11,7 +11,7 @@
 )
 
 // Journal holds the newest records of this router and of the routers that replicate their
-// records to it. It returns the trace of a request.
+// records to this router. The method Trace selects the records of one request.
 type Journal struct {
 	mutex sync.Mutex
 	// records is a ring buffer; next is the index of its oldest record once it is full.
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -172,7 +172,8 @@
 	return q.allowances.Due(q.runtime.Now(), q.group())
 }
 
-// Run sends requests to the witnesses whenever they are due, until the process ends.
+// Run sends requests to the witnesses whenever they are due, and logs when the denials of a tenant's
+// calls begin and end. It returns when the process ends.
 func (q *Quotas) Run() {
 	for q.runtime.Alive() {
 		interval := quotaIdleInterval
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -36,8 +36,8 @@
 }
 
 // applyUpdate applies an update from the follower. It puts the configuration in force before
-// it renews the lease that confirms the configuration, so that no request is admitted under a
-// lease by an older version.
+// it renews the lease that confirms the configuration, so that no request is admitted under
+// that lease according to an older configuration.
 func (r *Router) applyUpdate(update follower.Update) {
 	if update.Provisional {
 		r.applyProvisional(update)
