--- a/internal/backlog/message.go
+++ b/internal/backlog/message.go
@@ -26,7 +26,7 @@
 	Group  string `msgpack:"group"`
 	// Changes are counted before the response is made.
 	Changes []Change `msgpack:"changes,omitempty"`
-	// WantsCounts queries the counts.
+	// WantsCounts is set if the response has to contain the group's counts.
 	WantsCounts bool `msgpack:"asks,omitempty"`
 	// Intent is the change that the requesting router is about to make. It is counted after the
 	// response was made, so that only later requests see it.
--- a/internal/backlog/table_test.go
+++ b/internal/backlog/table_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestSharesExpire checks that the share of a router that has stopped expires, and no other share.
+// TestSharesExpire checks that the share of a stopped router expires ShareTTL after its last change, while
+// the share of a router with a later change stays valid.
 func TestSharesExpire(t *testing.T) {
 	var table Table
 	ask(&table, noon, nil)
--- a/internal/membership/servers_test.go
+++ b/internal/membership/servers_test.go
@@ -8,7 +8,7 @@
 // firstRead is the time of the first read of a list.
 var firstRead = time.Unix(1000, 0)
 
-// after returns the time that is elapsed after the first read.
+// after returns the time at which the given duration has passed since the first read.
 func after(elapsed time.Duration) time.Time { return firstRead.Add(elapsed) }
 
 // names lists the names of servers in one string, with a "!" after those that are leaving.
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestRemovedServerIsAddedOnlyByALaterRead checks that a removed server is not added again while
-// lagging reads may still have it, but by a later read.
+// TestRemovedServerIsAddedOnlyByALaterRead checks that a removed server is not added again by a read within
+// listLag after the removal, which may return an older state of the list, but is added by a later read.
 func TestRemovedServerIsAddedOnlyByALaterRead(t *testing.T) {
 	var list ServerList
 	list.Update(after(0), []Server{{Name: "a"}, {Name: "b"}})
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestConfirmUpdatesTheTimeOnly checks that Confirm sets the time of a list that was read before to
-// a later one, and leaves the servers.
+// TestConfirmUpdatesTheTimeOnly checks that Confirm advances the time of a list, never sets it back, and
+// doesn't change the servers, and that it does nothing to a list that was never read.
 func TestConfirmUpdatesTheTimeOnly(t *testing.T) {
 	var list ServerList
 	list.Confirm(after(time.Second))
