--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -24,8 +24,8 @@
 	ForwardFailure() bool
 	// Abort ends the response in a way that shows the client that it is incomplete.
 	Abort()
-	// OnGiveUp is called with the reason why a call is not retried, before its final
-	// response.
+	// OnGiveUp is called before the final response of a call that is not retried, or that is not
+	// admitted because capacity is short, with the reason.
 	OnGiveUp(reason scheduler.Reason)
 	// ReleaseHandle frees the KV cache of a prefill that no decode will use.
 	ReleaseHandle(source scheduler.Source)
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// observeConfiguration logs whether a received configuration is in force, or was rejected
-// because this build could not read it.
+// observeConfiguration logs whether a received configuration is in force, or was rejected because this
+// build could not read it or because it is not newer than the configuration in force.
 func (r *Router) observeConfiguration(version replication.Version) {
 	if inForce := r.InForce(); inForce != version {
 		r.observe("configuration_rejected", "version", version.String(), "in_force", inForce.String())
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -67,7 +67,8 @@
 const (
 	// NoRoute: no route of the configuration in force matches the host and path.
 	NoRoute Cause = "no_route"
-	// NotReady: the router has no configuration or no servers yet.
+	// NotReady: the router has no configuration or no servers yet, may not serve calls because it has
+	// no lease, or could not learn in time whether the tenant's rate limit allows the call.
 	NotReady Cause = "not_ready"
 	// Unauthenticated: the call's key is unknown, or the call has no key and its route is not
 	// public.
