--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -36,8 +36,8 @@
 }
 
 // applyUpdate applies an update from the follower. It puts the configuration in force before
-// it renews the lease that confirms the configuration, so that no request is admitted under a
-// lease by an older version.
+// it renews the lease that confirms the configuration, so that no request is admitted under
+// that lease according to an older configuration.
 func (r *Router) applyUpdate(update follower.Update) {
 	if update.Provisional {
 		r.applyProvisional(update)
@@ -80,8 +80,8 @@
 	}
 }
 
-// observeConfiguration logs whether a received configuration is in force, or was rejected
-// because this build could not read it.
+// observeConfiguration logs whether a received configuration is in force, or was rejected because this
+// build could not read it or because it is not newer than the configuration in force.
 func (r *Router) observeConfiguration(version replication.Version) {
 	if inForce := r.InForce(); inForce != version {
 		r.observe("configuration_rejected", "version", version.String(), "in_force", inForce.String())
