--- a/internal/auction/dispatcher_test.go
+++ b/internal/auction/dispatcher_test.go
@@ -10,7 +10,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-var noon = time.Unix(2_000_000, 0)
+var startTime = time.Unix(2_000_000, 0)
 
 // newTestDispatcher returns a dispatcher with two prefill servers, two decode servers and a
 // lease.
@@ -24,9 +24,9 @@
 		{Name: "d2", Address: "d2", Zone: "south"},
 	})
 	dispatcher := NewDispatcher(market, "north", 100)
-	reportLoads(dispatcher, noon)
+	reportLoads(dispatcher, startTime)
 	configure(t, dispatcher, 1, `{"services":{"chat":{"tries":3}},"routes":{"all":{"to":{}}}}`)
-	dispatcher.ExtendLease(noon.Add(4*time.Second), 1, 1)
+	dispatcher.ExtendLease(startTime.Add(4*time.Second), 1, 1)
 	return dispatcher
 }
 
@@ -96,22 +96,22 @@
 	for outcome, want := range map[Outcome]FinalStatus{OutcomeUnknown: Unknown, OutcomeFailed: Failed} {
 		dispatcher := newTestDispatcher(t)
 		addRetryCredit(dispatcher)
-		if find(arrive(dispatcher, noon, "one", false), ClaimRequest) == nil {
+		if find(arrive(dispatcher, startTime, "one", false), ClaimRequest) == nil {
 			t.Fatal("a request that is not idempotent was not claimed before its dispatch")
 		}
-		if find(dispatcher.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill) == nil {
+		if find(dispatcher.Claimed(startTime, "one", OutcomeDone, ""), DispatchPrefill) == nil {
 			t.Fatal("the request was not dispatched after its claim")
 		}
-		decisions := dispatcher.Prefilled(noon, "one", 1, outcome, "")
+		decisions := dispatcher.Prefilled(startTime, "one", 1, outcome, "")
 		if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != want {
 			t.Errorf("after outcome %s: got %+v, want final status %s and no retry", outcome, decisions, want)
 		}
 	}
 	d := newTestDispatcher(t)
 	addRetryCredit(d)
-	arrive(d, noon, "one", false)
-	first := find(d.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill)
-	second := find(d.Prefilled(noon, "one", 1, OutcomeNotStarted, ""), DispatchPrefill)
+	arrive(d, startTime, "one", false)
+	first := find(d.Claimed(startTime, "one", OutcomeDone, ""), DispatchPrefill)
+	second := find(d.Prefilled(startTime, "one", 1, OutcomeNotStarted, ""), DispatchPrefill)
 	if second == nil || second.Server == first.Server {
 		t.Errorf("after outcome not_started: got %+v, want a retry at another server", second)
 	}
@@ -119,7 +119,7 @@
 
 func TestNoDispatchAfterDeadlineOrWithoutLease(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	late := find(arrive(dispatcher, noon.Add(4*time.Second), "late", true), Finish)
+	late := find(arrive(dispatcher, startTime.Add(4*time.Second), "late", true), Finish)
 	if late == nil || late.Cause != failure.NoLease {
 		t.Errorf("arrival without a lease: got %+v, want cause NoLease", late)
 	}
@@ -129,16 +129,16 @@
 		Idempotent:   false,
 		PromptTokens: 500,
 		Chunks:       3,
-		Deadline:     noon.Add(time.Second),
+		Deadline:     startTime.Add(time.Second),
 	}
-	dispatcher.Arrive(noon, request)
-	decisions := dispatcher.Claimed(noon.Add(time.Second), "one", OutcomeDone, "")
+	dispatcher.Arrive(startTime, request)
+	decisions := dispatcher.Claimed(startTime.Add(time.Second), "one", OutcomeDone, "")
 	if final := find(decisions, Finish); find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Refused {
 		t.Errorf("claim answered after the deadline: got %+v, want Refused and no dispatch", decisions)
 	}
 	// A request whose lease expires during its prefill waits for the next lease.
-	arrive(dispatcher, noon, "two", true)
-	after := noon.Add(4 * time.Second)
+	arrive(dispatcher, startTime, "two", true)
+	after := startTime.Add(4 * time.Second)
 	if decisions := dispatcher.Prefilled(after, "two", 1, OutcomeDone, "handle"); len(decisions) != 0 {
 		t.Errorf("prefill done without a lease: got %+v, want no decisions", decisions)
 	}
@@ -154,8 +154,8 @@
 // refused after leaseTimeout, long before its deadline, with a time to retry.
 func TestRequestIsRefusedWhenNoLeaseComesInTime(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	arrive(dispatcher, noon, "one", false)
-	after := noon.Add(4 * time.Second)
+	arrive(dispatcher, startTime, "one", false)
+	after := startTime.Add(4 * time.Second)
 	if decisions := dispatcher.Claimed(after, "one", OutcomeDone, ""); len(decisions) != 0 {
 		t.Errorf("claim answered without a lease: got %+v, want no decisions", decisions)
 	}
@@ -171,22 +171,22 @@
 func TestStreamIsNeverSplicedOrRetriedAfterItsFirstChunk(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	addRetryCredit(dispatcher)
-	arrive(dispatcher, noon, "one", true)
-	dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle")
-	if chunk := find(dispatcher.HandleChunk(noon, "one", 1, 1, "a"), SendChunk); chunk == nil {
+	arrive(dispatcher, startTime, "one", true)
+	dispatcher.Prefilled(startTime, "one", 1, OutcomeDone, "handle")
+	if chunk := find(dispatcher.HandleChunk(startTime, "one", 1, 1, "a"), SendChunk); chunk == nil {
 		t.Fatal("the first chunk was not sent")
 	}
-	if late := dispatcher.HandleChunk(noon, "one", 2, 2, "b"); len(late) != 0 {
+	if late := dispatcher.HandleChunk(startTime, "one", 2, 2, "b"); len(late) != 0 {
 		t.Errorf("chunk of another run: got %+v, want no decisions", late)
 	}
-	decisions := dispatcher.Decoded(noon, "one", 1, OutcomeUnknown, 0)
+	decisions := dispatcher.Decoded(startTime, "one", 1, OutcomeUnknown, 0)
 	final := find(decisions, Finish)
 	if find(decisions, DispatchPrefill) != nil || final == nil || final.Final != Failed || final.Chunks != 1 {
 		t.Errorf("decode lost after its first chunk: got %+v, want Failed with 1 chunk and no retry", decisions)
 	}
-	arrive(dispatcher, noon, "two", true)
-	dispatcher.Prefilled(noon, "two", 1, OutcomeDone, "handle")
-	if final := find(dispatcher.HandleChunk(noon, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
+	arrive(dispatcher, startTime, "two", true)
+	dispatcher.Prefilled(startTime, "two", 1, OutcomeDone, "handle")
+	if final := find(dispatcher.HandleChunk(startTime, "two", 1, 2, "b"), Finish); final == nil || final.Final != Failed {
 		t.Errorf("stream with a missing chunk: got %+v, want Failed", final)
 	}
 }
@@ -196,10 +196,10 @@
 	retries := 0
 	for number := range 100 {
 		id := fmt.Sprint(number)
-		arrive(dispatcher, noon, id, true)
+		arrive(dispatcher, startTime, id, true)
 		for run := 1; run < 10; run++ {
-			reportLoads(dispatcher, noon)
-			if find(dispatcher.Prefilled(noon, id, run, OutcomeNotStarted, ""), DispatchPrefill) == nil {
+			reportLoads(dispatcher, startTime)
+			if find(dispatcher.Prefilled(startTime, id, run, OutcomeNotStarted, ""), DispatchPrefill) == nil {
 				break
 			}
 			retries++
@@ -215,9 +215,9 @@
 func TestRunAfterExpiredHandleCostsTwoRetries(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	addRetryCredit(dispatcher)
-	arrive(dispatcher, noon, "one", true)
-	dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle")
-	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
+	arrive(dispatcher, startTime, "one", true)
+	dispatcher.Prefilled(startTime, "one", 1, OutcomeDone, "handle")
+	if find(dispatcher.Decoded(startTime, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
 		t.Fatal("no new run after the handle expired")
 	}
 	if _, retries := dispatcher.budget.Counts(); retries != 2 {
@@ -237,10 +237,10 @@
 			{Name: "p1", Address: "p1", Zone: "north"},
 			{Name: "d1", Address: "d1", Zone: "north"},
 		})
-		dispatcher.market.Report(noon, prefillLoad("p1", time.Second, 12))
-		dispatcher.market.Report(noon, decodeLoad("d1", 100, time.Millisecond))
+		dispatcher.market.Report(startTime, prefillLoad("p1", time.Second, 12))
+		dispatcher.market.Report(startTime, decodeLoad("d1", 100, time.Millisecond))
 		for number := range 10 {
-			if find(arrive(dispatcher, noon, fmt.Sprint(router, "/", number), true), DispatchPrefill) != nil {
+			if find(arrive(dispatcher, startTime, fmt.Sprint(router, "/", number), true), DispatchPrefill) != nil {
 				sent++
 			}
 		}
@@ -258,10 +258,10 @@
 	if configure(t, dispatcher, 4, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`) {
 		t.Error("an older configuration was put in force")
 	}
-	if dispatcher.ExtendLease(noon.Add(time.Hour), 1, 1) {
+	if dispatcher.ExtendLease(startTime.Add(time.Hour), 1, 1) {
 		t.Error("a lease for another configuration version was accepted")
 	}
-	if final := find(arrive(dispatcher, noon, "one", true), Finish); final == nil || final.Cause != failure.UnknownService {
+	if final := find(arrive(dispatcher, startTime, "one", true), Finish); final == nil || final.Cause != failure.UnknownService {
 		t.Errorf("request for a service that the newer configuration lacks: got %+v, want cause UnknownService", final)
 	}
 }
@@ -269,11 +269,11 @@
 func TestEvacuatedAndLeavingServersGetNoWork(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	configure(t, dispatcher, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{}}}`)
-	dispatcher.ExtendLease(noon.Add(4*time.Second), 1, 2)
-	if dispatched := find(arrive(dispatcher, noon, "one", true), DispatchPrefill); dispatched == nil || dispatched.Server != "p2" {
+	dispatcher.ExtendLease(startTime.Add(4*time.Second), 1, 2)
+	if dispatched := find(arrive(dispatcher, startTime, "one", true), DispatchPrefill); dispatched == nil || dispatched.Server != "p2" {
 		t.Errorf("with north evacuated: got %+v, want a prefill at p2", dispatched)
 	}
-	decode := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "handle"), DispatchDecode)
+	decode := find(dispatcher.Prefilled(startTime, "one", 1, OutcomeDone, "handle"), DispatchDecode)
 	if decode == nil || decode.Server != "d2" {
 		t.Errorf("with north evacuated: got %+v, want a decode at d2", decode)
 	}
@@ -283,12 +283,12 @@
 		{Name: "d1", Address: "d1", Zone: "north"},
 		{Name: "d2", Address: "d2", Zone: "south"},
 	})
-	if final := find(arrive(dispatcher, noon, "two", true), Finish); final == nil || final.Final != Refused {
+	if final := find(arrive(dispatcher, startTime, "two", true), Finish); final == nil || final.Final != Refused {
 		t.Errorf("with the last prefill server leaving: got %+v, want Refused", final)
 	}
 	configure(t, dispatcher, 3, `{"services":{"chat":{}},"routes":{"all":{"to":{}}},"evacuations":{"north":{},"south":{}}}`)
-	dispatcher.ExtendLease(noon.Add(4*time.Second), 1, 3)
-	final := find(arrive(dispatcher, noon, "three", true), Finish)
+	dispatcher.ExtendLease(startTime.Add(4*time.Second), 1, 3)
+	final := find(arrive(dispatcher, startTime, "three", true), Finish)
 	if final == nil || final.Cause != failure.Evacuated || final.RetryAfter == 0 {
 		t.Errorf("with every zone evacuated: got %+v, want cause Evacuated and a time to retry", final)
 	}
@@ -318,11 +318,11 @@
 		{Name: "p1", Address: "p1", Zone: "north"},
 		{Name: "d1", Address: "d1", Zone: "north"},
 	})
-	dispatcher.market.Report(noon, prefillLoad("p1", 0, 20))
-	dispatcher.market.Report(noon, decodeLoad("d1", 100, time.Millisecond))
+	dispatcher.market.Report(startTime, prefillLoad("p1", 0, 20))
+	dispatcher.market.Report(startTime, decodeLoad("d1", 100, time.Millisecond))
 	dispatched := 0
 	for number := range 20 {
-		if find(arrive(dispatcher, noon, fmt.Sprint(number), true), DispatchPrefill) != nil {
+		if find(arrive(dispatcher, startTime, fmt.Sprint(number), true), DispatchPrefill) != nil {
 			dispatched++
 		}
 	}
@@ -336,11 +336,11 @@
 func TestLateAnswerToAnOlderRunIsIgnored(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	addRetryCredit(dispatcher)
-	arrive(dispatcher, noon, "one", true)
-	if find(dispatcher.Prefilled(noon, "one", 1, OutcomeFailed, ""), DispatchPrefill) == nil {
+	arrive(dispatcher, startTime, "one", true)
+	if find(dispatcher.Prefilled(startTime, "one", 1, OutcomeFailed, ""), DispatchPrefill) == nil {
 		t.Fatal("no second run")
 	}
-	if late := dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "old handle"); len(late) != 0 {
+	if late := dispatcher.Prefilled(startTime, "one", 1, OutcomeDone, "old handle"); len(late) != 0 {
 		t.Errorf("late answer to the first run: got %+v, want no decisions", late)
 	}
 }
@@ -350,15 +350,15 @@
 func TestDecodeUsesTheHandleOfItsOwnRun(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	addRetryCredit(dispatcher)
-	arrive(dispatcher, noon, "one", true)
-	first := find(dispatcher.Prefilled(noon, "one", 1, OutcomeDone, "first"), DispatchDecode)
+	arrive(dispatcher, startTime, "one", true)
+	first := find(dispatcher.Prefilled(startTime, "one", 1, OutcomeDone, "first"), DispatchDecode)
 	if first == nil || first.Handle != "first" {
 		t.Fatalf("first decode: got %+v, want handle first", first)
 	}
-	if find(dispatcher.Decoded(noon, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
+	if find(dispatcher.Decoded(startTime, "one", 1, OutcomeHandleExpired, 0), DispatchPrefill) == nil {
 		t.Fatal("no second run after the handle expired")
 	}
-	second := find(dispatcher.Prefilled(noon, "one", 2, OutcomeDone, "second"), DispatchDecode)
+	second := find(dispatcher.Prefilled(startTime, "one", 2, OutcomeDone, "second"), DispatchDecode)
 	if second == nil || second.Handle != "second" {
 		t.Errorf("second decode: got %+v, want handle second", second)
 	}
@@ -367,7 +367,7 @@
 // TestServerWithoutAFreshReportGetsNoWork checks that no request is dispatched once all load reports have expired.
 func TestServerWithoutAFreshReportGetsNoWork(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
-	late := noon.Add(reportMaxAge + time.Millisecond)
+	late := startTime.Add(reportMaxAge + time.Millisecond)
 	if decisions := arrive(dispatcher, late, "one", true); find(decisions, DispatchPrefill) != nil {
 		t.Errorf("with expired load reports: got %+v, want no dispatch", decisions)
 	}
@@ -378,7 +378,7 @@
 func TestLeaseForAnotherVersionAdmitsNothing(t *testing.T) {
 	dispatcher := newTestDispatcher(t)
 	configure(t, dispatcher, 2, `{"services":{"chat":{}},"routes":{"all":{"to":{}}}}`)
-	later := noon.Add(5 * time.Second)
+	later := startTime.Add(5 * time.Second)
 	reportLoads(dispatcher, later)
 	dispatcher.ExtendLease(later.Add(4*time.Second), 1, 1)
 	if decisions := arrive(dispatcher, later, "one", true); find(decisions, DispatchPrefill) != nil {
@@ -393,9 +393,9 @@
 func TestUnreachableServerEndsANonIdempotentRequest(t *testing.T) {
 	for name, reports := range map[string]bool{"slow server": true, "unreachable server": false} {
 		dispatcher := newTestDispatcher(t)
-		arrive(dispatcher, noon, "one", false)
-		dispatch := find(dispatcher.Claimed(noon, "one", OutcomeDone, ""), DispatchPrefill)
-		late := noon.Add(3500 * time.Millisecond)
+		arrive(dispatcher, startTime, "one", false)
+		dispatch := find(dispatcher.Claimed(startTime, "one", OutcomeDone, ""), DispatchPrefill)
+		late := startTime.Add(3500 * time.Millisecond)
 		if reports {
 			reportLoads(dispatcher, late)
 		}
@@ -431,8 +431,8 @@
 func TestDispatcherServesWithoutALeaseForTheConfiguredPeriod(t *testing.T) {
 	// The id of each request contains the wall-clock time, because ids must not repeat.
 	arrivalCause := func(d *Dispatcher, at time.Duration) failure.Code {
-		reportLoads(d, noon.Add(at))
-		if final := find(arrive(d, noon.Add(at), fmt.Sprint("at ", at, time.Now().UnixNano()), true), Finish); final != nil {
+		reportLoads(d, startTime.Add(at))
+		if final := find(arrive(d, startTime.Add(at), fmt.Sprint("at ", at, time.Now().UnixNano()), true), Finish); final != nil {
 			return final.Cause
 		}
 		return ""
@@ -448,8 +448,8 @@
 	if cause := arrivalCause(dispatcher, 65*time.Second); cause != failure.NoLease {
 		t.Errorf("after the period without a lease: got cause %q, want NoLease", cause)
 	}
-	if !dispatcher.LeaseEnds().Equal(noon.Add(4 * time.Second)) {
-		t.Errorf("got lease end %s, want noon plus 4 seconds", dispatcher.LeaseEnds())
+	if !dispatcher.LeaseEnds().Equal(startTime.Add(4 * time.Second)) {
+		t.Errorf("got lease end %s, want startTime plus 4 seconds", dispatcher.LeaseEnds())
 	}
 	withoutLease := NewDispatcher(NewMarket("north", false), "north", 100)
 	withoutLease.SetServeWithoutLease(time.Hour)
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -22,7 +22,7 @@
 	}
 	market.SetServers(servers)
 	market.SetRouters(7)
-	reportAll(market, count, noon)
+	reportAll(market, count, startTime)
 	return market
 }
 
@@ -56,7 +56,7 @@
 			request := &Request{ID: "one", Service: "chat", PromptTokens: 500, Chunks: 20}
 			benchmark.ReportAllocs()
 			for range benchmark.N {
-				if _, found := market.Choose(noon, request, &RouteDecision{HomeFirst: true}, allowAll, nil); !found {
+				if _, found := market.Choose(startTime, request, &RouteDecision{HomeFirst: true}, allowAll, nil); !found {
 					benchmark.Fatal("no pair")
 				}
 			}
@@ -74,12 +74,12 @@
 		workers.Go(func() {
 			for number := range 400 {
 				request := &Request{ID: fmt.Sprintf("%d-%d", thread, number), PromptTokens: 100, Chunks: 5}
-				bid, found := market.Choose(noon, request, &RouteDecision{}, allowAll, nil)
+				bid, found := market.Choose(startTime, request, &RouteDecision{}, allowAll, nil)
 				if !found {
 					continue
 				}
 				market.Reserve(bid, request)
-				if decodeBid, found := market.ChooseDecode(noon, request, bid.Prefill.server.Name, allowAll, nil); found {
+				if decodeBid, found := market.ChooseDecode(startTime, request, bid.Prefill.server.Name, allowAll, nil); found {
 					market.StartDecode(decodeBid, request)
 				}
 				market.Release(bid)
@@ -88,12 +88,12 @@
 	}
 	workers.Go(func() {
 		for range 200 {
-			reportAll(market, 12, noon)
+			reportAll(market, 12, startTime)
 		}
 	})
 	workers.Go(func() {
 		for range 200 {
-			listed, _ := market.Loads(noon)
+			listed, _ := market.Loads(startTime)
 			market.SetServers(listed)
 		}
 	})
--- a/internal/auction/offer_test.go
+++ b/internal/auction/offer_test.go
@@ -75,7 +75,7 @@
 		}
 		for _, server := range servers {
 			role := []ServerRole{Prefill, Prefill, Decode, Decode, Decode, Drain}[random.IntN(6)]
-			market.Report(noon, Load{
+			market.Report(startTime, Load{
 				Server:             server.Name,
 				Role:               role,
 				Age:                time.Hour - time.Duration(randomBelow(2))*time.Hour,
@@ -92,7 +92,7 @@
 			})
 		}
 		for number := range 12 {
-			now := noon.Add(time.Duration(random.IntN(1600)) * time.Millisecond)
+			now := startTime.Add(time.Duration(random.IntN(1600)) * time.Millisecond)
 			request := &Request{
 				ID:           fmt.Sprintf("%d-%d", trial, number),
 				PromptTokens: 1 + random.IntN(6000),
--- a/internal/auction/rolebalancer_test.go
+++ b/internal/auction/rolebalancer_test.go
@@ -17,7 +17,7 @@
 		servers = append(servers, membership.Server{Name: name, Zone: "north"})
 	}
 	currentOrders := map[string]codec.Order{}
-	now := noon
+	now := startTime
 	changes := 0
 	observe := func(backlog int, active int) {
 		loads := map[string]Load{}
