--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -64,8 +64,8 @@
 	role         string
 	fencingToken uint64
 	leaving      bool
-	// dark means that the server does not respond; SetDark says to which calls.
-	dark         bool
+	// unresponsive is set by SetUnresponsive, which says to which calls the server does not respond.
+	unresponsive bool
 	linkSlowdown int
 	// queue holds the number of uncached tokens of each prompt that waits or is being prefilled.
 	queue      []int
@@ -155,12 +155,12 @@
 	e.prefillFree.Broadcast()
 }
 
-// SetDark sets whether the server is dark: it still accepts connections, but answers no new
+// SetUnresponsive sets whether the server is unresponsive: it still accepts connections, but answers no new
 // call and pauses the streams of its decodes. It still answers prefills that had arrived before.
-func (e *Engine) SetDark(dark bool) {
+func (e *Engine) SetUnresponsive(unresponsive bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.dark = dark
+	e.unresponsive = unresponsive
 }
 
 // SetLeaving sets whether the load reports say that the server is leaving.
@@ -198,11 +198,11 @@
 	return e.active
 }
 
-// Dark reports whether the server is dark, as SetDark explains.
-func (e *Engine) Dark() bool {
+// Unresponsive reports whether the server is unresponsive, as SetUnresponsive explains.
+func (e *Engine) Unresponsive() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.dark
+	return e.unresponsive
 }
 
 // Dead reports whether the server has crashed.
@@ -523,7 +523,7 @@
 		slowdown := max(1, float64(e.active)/float64(e.plan.DecodeSlots))
 		chunkTime := time.Duration(float64(e.plan.ChunkTime) * slowdown * (0.5 + e.warmupFactor()/2))
 		e.mutex.Unlock()
-		for e.Dark() && connection.Wait(time.Second) {
+		for e.Unresponsive() && connection.Wait(time.Second) {
 		}
 		if !connection.Wait(chunkTime) {
 			return
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -40,7 +40,7 @@
 	"cold-start":           {Run: restartTogether("")},
 	"lose-zone":            {Run: loseZone},
 	"crash-server":         {Run: crashServer},
-	"dark-server":          {Run: darkServer},
+	"dark-server":          {Run: makeServerUnresponsive},
 	"replace-servers":      {Run: replaceServers},
 	"leave-server":         {Run: leaveServer},
 	"lapse-handles":        {Run: lapseHandles},
--- a/internal/testbed/fleet/faults_servers.go
+++ b/internal/testbed/fleet/faults_servers.go
@@ -18,14 +18,14 @@
 	}
 }
 
-// darkServer makes a random server stop answering for four seconds.
-func darkServer(lifetime context.Context, d *Day) {
+// makeServerUnresponsive makes a random server stop answering for four seconds.
+func makeServerUnresponsive(lifetime context.Context, d *Day) {
 	name := d.anyServer()
 	d.Logf("%s stops answering", name)
 	server := d.Fleet.Server(name)
-	server.SetDark(true)
+	server.SetUnresponsive(true)
 	sleep(lifetime, 4*time.Second)
-	server.SetDark(false)
+	server.SetUnresponsive(false)
 }
 
 // replaceServers crashes and replaces three servers, one after another.
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -68,7 +68,7 @@
 			writeJSON(writer, status, content)
 		}))
 	standIn.server = &http.Server{
-		Handler:     standIn.blockCallsWhileDark(mux),
+		Handler:     standIn.blockCallsWhileUnresponsive(mux),
 		BaseContext: func(net.Listener) context.Context { return standIn.lifetime },
 	}
 	go func() { _ = standIn.server.Serve(listener) }()
@@ -106,11 +106,11 @@
 	s.client.CloseIdleConnections()
 }
 
-// blockCallsWhileDark returns a handler that passes calls to the next handler. While the server is
-// dark, it neither answers nor passes on a call that arrives.
-func (s *StandIn) blockCallsWhileDark(next http.Handler) http.Handler {
+// blockCallsWhileUnresponsive returns a handler that passes calls to the next handler. While the server is
+// unresponsive, it neither answers nor passes on a call that arrives.
+func (s *StandIn) blockCallsWhileUnresponsive(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, inbound *http.Request) {
-		if s.Dark() {
+		if s.Unresponsive() {
 			// The HTTP server detects a closed connection only once the body was read.
 			_, _ = io.Copy(io.Discard, inbound.Body)
 			<-inbound.Context().Done()
--- a/internal/testbed/simulation/callservers.go
+++ b/internal/testbed/simulation/callservers.go
@@ -127,7 +127,7 @@
 		return nil
 	}
 	for number := request.last + 1; number <= request.call.chunks; number++ {
-		for engine.Dark() && connection.Wait(time.Second) {
+		for engine.Unresponsive() && connection.Wait(time.Second) {
 		}
 		if !connection.Wait(callChunkInterval) || !send(callChunkSent{request.call.call.ID, number}) {
 			return nil
@@ -167,7 +167,7 @@
 		forgetRouter := router.onEnd(attempt.closeServerSide)
 		server.incarnation.Go(func() {
 			defer forgetRouter()
-			if server.engine.Dark() {
+			if server.engine.Unresponsive() {
 				conn.Wait(time.Minute)
 				return
 			}
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -48,7 +48,7 @@
 	{"a zone is lost", 2, loseZone},
 	{"a server crashes", 5, func(w *World) { w.crashFor(w.anyServer(), 0, 2500) }},
 	{"servers replaced at once", 2, replaceServers},
-	{"a server goes dark", 3, darkenServer},
+	{"a server goes dark", 3, makeServerUnresponsive},
 	{"a server freezes", 2, freezeServer},
 	{"a server leaves", 5, leaveServer},
 	{"handles lapse", 2, lapseHandles},
--- a/internal/testbed/simulation/faults_servers.go
+++ b/internal/testbed/simulation/faults_servers.go
@@ -67,12 +67,12 @@
 	}
 }
 
-// darkenServer makes a server accept requests without answering them.
-func darkenServer(w *World) {
+// makeServerUnresponsive makes a server accept requests without answering them.
+func makeServerUnresponsive(w *World) {
 	engine := w.servers[w.anyServer()].engine
-	engine.SetDark(true)
+	engine.SetUnresponsive(true)
 	w.wait(1000, 5000)
-	engine.SetDark(false)
+	engine.SetUnresponsive(false)
 }
 
 // freezeServer pauses a server's process.
--- a/internal/testbed/simulation/modelservers.go
+++ b/internal/testbed/simulation/modelservers.go
@@ -113,7 +113,7 @@
 	forgetRouter := m.incarnation.onEnd(closeServerSide)
 	server.incarnation.Go(func() {
 		defer forgetRouter()
-		if server.engine.Dark() {
+		if server.engine.Unresponsive() {
 			conn.Wait(time.Minute)
 			return
 		}
@@ -291,7 +291,7 @@
 		if s == nil || s.incarnation != process || process.address != address {
 			return nil, failure.New(failure.Unreachable, "another server is at this address")
 		}
-		if s.engine.Dark() {
+		if s.engine.Unresponsive() {
 			fleet.NewConnection(process).Wait(time.Minute)
 			return nil, failure.New(failure.Unreachable, "the server does not answer")
 		}
