--- a/core.go
+++ b/core.go
@@ -285,11 +285,12 @@
 	return enabled == nil || len(c.options.Supported.Missing(*enabled)) > 0
 }
 
-// InFlight returns the number of requests that have no final status yet. It does not count opaque calls;
-// InFlightRequests does.
+// InFlight returns the number of requests that the dispatcher has admitted and that have no final status yet.
+// It leaves out opaque calls, which the call scheduler counts; InFlightRequests includes them.
 func (c *Core) InFlight() int { return c.dispatcher.InFlight() }
 
-// InFlightRequests returns the sum of InFlight and the number of opaque calls that have not ended.
+// InFlightRequests returns the number of requests of both kinds in flight: those that InFlight counts, and the
+// opaque calls that have not ended. A draining router waits until it is zero, or until its grace period ends.
 func (c *Core) InFlightRequests() int { return c.dispatcher.InFlight() + c.calls.InFlight() }
 
 // HasRoles reports whether the last lease assigned any roles to the router.
