--- a/internal/controlplane/controller_test.go
+++ b/internal/controlplane/controller_test.go
@@ -57,10 +57,10 @@
 	t.Errorf("not accepted after %v: %v", time.Since(began), err)
 }
 
-// TestGrantSeesAConfigurationThatComesMeanwhile commits a configuration after serveUpdate has read the
+// TestLeaseGrantConfirmsAConcurrentlyCommittedConfiguration commits a configuration after serveUpdate has read the
 // newest configuration and before it records the router's lease. The response must confirm the new
 // configuration: a change that was committed before the lease was recorded does not wait for this router.
-func TestGrantSeesAConfigurationThatComesMeanwhile(t *testing.T) {
+func TestLeaseGrantConfirmsAConcurrentlyCommittedConfiguration(t *testing.T) {
 	hooks := map[runtime.Runtime]*hookedRuntime{}
 	_, primary := newCore(t, func(rt runtime.Runtime) runtime.Runtime {
 		hooked := &hookedRuntime{Runtime: rt}
@@ -80,7 +80,7 @@
 		// poll at the same time in other goroutines, whose reads of the time must not count. The
 		// stacks of those goroutines contain this hook, but not the test function itself.
 		stack := string(debug.Stack())
-		if !strings.Contains(stack, "TestGrantSeesAConfigurationThatComesMeanwhile(") ||
+		if !strings.Contains(stack, "TestLeaseGrantConfirmsAConcurrentlyCommittedConfiguration(") ||
 			!strings.Contains(stack, ").serveUpdate(") || strings.Contains(stack, ").HasLease(") {
 			return
 		}
--- a/internal/dataplane/calls_test.go
+++ b/internal/dataplane/calls_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestStatusNeverDeniesAPossibleRun checks the final response for each outcome of a call. Status
+// TestStatusIsNot503AfterAPossibleRun checks the final response for each outcome of a call. Status
 // 503 states that the call has not run, so no response may have it if the call may have run.
-func TestStatusNeverDeniesAPossibleRun(t *testing.T) {
+func TestStatusIsNot503AfterAPossibleRun(t *testing.T) {
 	for name, given := range map[string]struct {
 		path              string
 		outcomes          []scheduler.Outcome
@@ -239,10 +239,10 @@
 	}
 }
 
-// TestConcludeNeverDeniesAPossibleRun checks the invariant of conclude: if a call may have run, no
+// TestConcludeReturns502AfterAPossibleRun checks the invariant of conclude: if a call may have run, no
 // response states that it has not run. The cases are a refusal, and an error response after a
 // possible run at an earlier server.
-func TestConcludeNeverDeniesAPossibleRun(t *testing.T) {
+func TestConcludeReturns502AfterAPossibleRun(t *testing.T) {
 	exchange := &scriptedExchange{canForwardFailure: true}
 	conclude(exchange, scheduler.Decision{Kind: scheduler.Refuse, Cause: scheduler.Saturated, RetryAfter: time.Second}, true, false)
 	if exchange.refusal.Status != 502 || exchange.refusal.RetryAfter != 0 {
--- a/internal/membership/servers_test.go
+++ b/internal/membership/servers_test.go
@@ -24,9 +24,9 @@
 	return text
 }
 
-// TestLeavingIsNotForgotten checks that a server which a read has shown as leaving stays leaving,
+// TestLeavingServerStaysLeavingDespiteLaggingReads checks that a server which a read has shown as leaving stays leaving,
 // though an older read, and a newer one that lags, don't show it.
-func TestLeavingIsNotForgotten(t *testing.T) {
+func TestLeavingServerStaysLeavingDespiteLaggingReads(t *testing.T) {
 	var list ServerList
 	list.Update(after(0), []Server{{Name: "a"}, {Name: "b"}})
 	if !list.Update(after(time.Second), []Server{{Name: "a", Leaving: true}, {Name: "b"}}) {
--- a/internal/outlier/detector_test.go
+++ b/internal/outlier/detector_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestOneZoneIsNotEnough checks that reports of all routers of one zone, whose network may be
+// TestReportsOfOneZoneEjectNoServer checks that reports of all routers of one zone, whose network may be
 // partitioned, eject no server, unless there is only one zone.
-func TestOneZoneIsNotEnough(t *testing.T) {
+func TestReportsOfOneZoneEjectNoServer(t *testing.T) {
 	detector := newObservingDetector()
 	for _, number := range []int{0, 3, 6} {
 		if advice := report(detector, 0, number, "a", "b"); len(advice.Ejected) != 0 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestMostServersStay checks that at most a third of the servers is ejected if all are reported.
-func TestMostServersStay(t *testing.T) {
+// TestAtMostAThirdOfServersIsEjected checks that at most a third of the servers is ejected if all are reported.
+func TestAtMostAThirdOfServersIsEjected(t *testing.T) {
 	detector := newObservingDetector()
 	var all []string
 	for number := range 12 {
--- a/internal/replication/departure_test.go
+++ b/internal/replication/departure_test.go
@@ -276,10 +276,10 @@
 	return c.clock()
 }
 
-// TestSecondLossMayComeAfterTheCatchUp loses as many machines as the core tolerates, in each role and
+// TestSecondLossIsToleratedAfterTheCatchUp loses as many machines as the core tolerates, in each role and
 // in each way, and as many again once the catch-up time has passed. It tries several catch-up times. No
 // acknowledged write may be lost, and a primary must lead after each loss.
-func TestSecondLossMayComeAfterTheCatchUp(t *testing.T) {
+func TestSecondLossIsToleratedAfterTheCatchUp(t *testing.T) {
 	roles := []role{primaryRole, backupRole, witnessRole}
 	for _, shape := range coreShapes {
 		for _, catchUp := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -894,10 +894,10 @@
 	}
 }
 
-// TestRestrictedBackupIsBetterThanNone restricts the third controller and crashes the backup: the
+// TestRestrictedControllerBecomesBackupIfNoOtherCan restricts the third controller and crashes the backup: the
 // restricted controller must become the backup. When the unrestricted controller has started again,
 // it must become the backup again.
-func TestRestrictedBackupIsBetterThanNone(t *testing.T) {
+func TestRestrictedControllerBecomesBackupIfNoOtherCan(t *testing.T) {
 	c := newCluster(t, 3)
 	if !c.heal(10 * time.Second) {
 		c.fail("no core was formed")
--- a/internal/replication/storm_test.go
+++ b/internal/replication/storm_test.go
@@ -129,12 +129,12 @@
 	return blank
 }
 
-// TestStormOfChangesStaysBounded makes 10,000 changes in ten minutes, with restarts of the primary
+// TestCostOfFrequentChangesIsBounded makes 10,000 changes in ten minutes, with restarts of the primary
 // and blank disks of the backup in between. No change may be refused, each may send and store only a
 // few kB, and a blank disk must catch up within a second. For comparison the test makes a twentieth of
 // the changes with all records in one section: a change must then send at least five times as many
 // bytes.
-func TestStormOfChangesStaysBounded(t *testing.T) {
+func TestCostOfFrequentChangesIsBounded(t *testing.T) {
 	const changes, step = 10_000, 60 * time.Millisecond
 	oneSection := measureChanges(t, changes/20, step, nil)
 	manySections := measureChanges(t, changes, step, features.List{features.ChangeSections})
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestHomesAgree checks that routers select the same home servers for a chain without communicating,
+// TestRoutersSelectTheSameHomeServers checks that routers select the same home servers for a chain without communicating,
 // and that few chains get other home servers when a server leaves.
-func TestHomesAgree(t *testing.T) {
+func TestRoutersSelectTheSameHomeServers(t *testing.T) {
 	home := func(router, zone string, count int, without string, chain uint64) string {
 		sched := New(Options{Router: router, Zone: zone})
 		sched.SetRouteTable(Compile(testConfiguration(nil), 1, 1))
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestOrderedServersGetNothing checks that a server gets no calls after it was ordered to change its role,
+// TestServersWithAPendingRoleOrderGetNoCalls checks that a server gets no calls after it was ordered to change its role,
 // before any load report shows the change.
-func TestOrderedServersGetNothing(t *testing.T) {
+func TestServersWithAPendingRoleOrderGetNoCalls(t *testing.T) {
 	sched := newTestScheduler(9)
 	_, decision := sched.Arrive(noon, chatCall("a"))
 	ordered := decision.Server.Name
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestWarmingHomeGetsItsChains checks that a home server in slow start gets the calls of its own chains as
+// TestWarmingHomeServerGetsCallsOfItsChains checks that a home server in slow start gets the calls of its own chains as
 // far as its rate limit allows, and that they don't go to the next prefill server instead.
-func TestWarmingHomeGetsItsChains(t *testing.T) {
+func TestWarmingHomeServerGetsCallsOfItsChains(t *testing.T) {
 	home := ""
 	var chains []uint64
 	for chain := uint64(1000); len(chains) < 20; chain++ {
--- a/internal/testbed/fleet/faultydisk_test.go
+++ b/internal/testbed/fleet/faultydisk_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestDamageIsNamedAndAFullDiskRefuses checks that Load names a truncated and an altered file
+// TestLoadNamesDamagedFilesAndSaveFailsOnAFullDisk checks that Load names a truncated and an altered file
 // as damaged, and that a save on a full disk fails.
-func TestDamageIsNamedAndAFullDiskRefuses(t *testing.T) {
+func TestLoadNamesDamagedFilesAndSaveFailsOnAFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "larder")
 	folder, err := storage.OpenDirectory(storage.OSDisk{}, path)
 	if err != nil {
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -290,7 +290,7 @@
 		Name:      "a lease renewal checks the configuration again",
 		Violation: notInForce,
 		Package:   "./internal/controlplane",
-		Test:      "TestGrantSeesAConfigurationThatComesMeanwhile",
+		Test:      "TestLeaseGrantConfirmsAConcurrentlyCommittedConfiguration",
 		Edits: []Edit{
 			{
 				"internal/controlplane/updates.go",
@@ -665,7 +665,7 @@
 		Name:      "a restricted controller is a backup before none",
 		Violation: noRecovery,
 		Package:   "./internal/replication",
-		Test:      "TestRestrictedBackupIsBetterThanNone",
+		Test:      "TestRestrictedControllerBecomesBackupIfNoOtherCan",
 		Edits: []Edit{
 			{
 				"internal/replication/candidates.go",
@@ -815,7 +815,7 @@
 		Name:      "the last server's refusal does not hide an earlier run",
 		Violation: ranAfterRefusal,
 		Package:   "./internal/dataplane",
-		Test:      "TestConcludeNeverDeniesAPossibleRun",
+		Test:      "TestConcludeReturns502AfterAPossibleRun",
 		Edits: []Edit{
 			{
 				"internal/dataplane/calls.go",
@@ -828,7 +828,7 @@
 		Name:      "a router does not report a call as never run after a run",
 		Violation: ranAfterRefusal,
 		Package:   "./internal/dataplane",
-		Test:      "TestConcludeNeverDeniesAPossibleRun",
+		Test:      "TestConcludeReturns502AfterAPossibleRun",
 		Edits: []Edit{
 			{"internal/dataplane/calls.go", "		if mayHaveRun && refusal.Cause.NeverRan() {", "		if false {"},
 		},
@@ -1240,7 +1240,7 @@
 		Name:      "witnesses that are gone are replaced within the bound",
 		Violation: staleRead,
 		Package:   "./internal/replication",
-		Test:      "TestSecondLossMayComeAfterTheCatchUp",
+		Test:      "TestSecondLossIsToleratedAfterTheCatchUp",
 		Edits: []Edit{
 			{
 				"internal/replication/timing.go",
@@ -1288,7 +1288,7 @@
 		Name:      "the reports of one zone eject no server",
 		Violation: noRecovery,
 		Package:   "./internal/outlier",
-		Test:      "TestOneZoneIsNotEnough",
+		Test:      "TestReportsOfOneZoneEjectNoServer",
 		Edits: []Edit{
 			{"internal/outlier/detector.go", " && len(zones) >= min(minZones, len(d.zones))", ""},
 		},
--- a/internal/testbed/replay/balancer_test.go
+++ b/internal/testbed/replay/balancer_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestMachinesThatMissTwiceGetNoClients lets the probes of machines in two zones fail and succeed,
+// TestBalancerExcludesMachinesAfterTwoFailedProbes lets the probes of machines in two zones fail and succeed,
 // and checks which machines accept clients.
-func TestMachinesThatMissTwiceGetNoClients(t *testing.T) {
+func TestBalancerExcludesMachinesAfterTwoFailedProbes(t *testing.T) {
 	balancer := newBalancer(&EventLog{})
 	ready := map[string]*atomic.Bool{}
 	for _, machine := range []string{"east-1", "east-2", "east-3", "west-1"} {
--- a/internal/testbed/replay/checkers_test.go
+++ b/internal/testbed/replay/checkers_test.go
@@ -391,9 +391,9 @@
 	}
 }
 
-// TestOutOfTouchMachinesAreNotBoundByTime kills a machine shortly before an event that would break a
+// TestTimeLimitsApplyOnlyToMachinesInContact kills a machine shortly before an event that would break a
 // time limit if the machine were in contact, and checks that the event counts as no violation.
-func TestOutOfTouchMachinesAreNotBoundByTime(t *testing.T) {
+func TestTimeLimitsApplyOnlyToMachinesInContact(t *testing.T) {
 	day := seededDay{start: time.Unix(1_700_000_000, 0)}
 	events := append(day.cleanEvents(),
 		Event{
--- a/internal/testbed/replay/plan_test.go
+++ b/internal/testbed/replay/plan_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestDrawnDaysAreSound draws days and checks that each is valid, the same for the same seed, and the
+// TestDrawnPlansAreValidAndReproducible draws days and checks that each is valid, the same for the same seed, and the
 // same when parsed from its own text, and that the days together have every kind of fault.
-func TestDrawnDaysAreSound(t *testing.T) {
+func TestDrawnPlansAreValidAndReproducible(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(60) {
 		plan := DrawPlan(seed, 5)
--- a/internal/testbed/simulation/coretrial_test.go
+++ b/internal/testbed/simulation/coretrial_test.go
@@ -14,10 +14,10 @@
 // fault, or after the return of the machines that the fault stopped.
 const slowestAcknowledgement = 5 * time.Second
 
-// TestCoreSurvivesItsLosses injects every fault into every core with several seeds. It checks
+// TestCoreRecoversFromEveryFault injects every fault into every core with several seeds. It checks
 // that each acknowledged change is read back, that there is one primary at a time, that a
 // change is acknowledged soon, and that the core is complete again at the end.
-func TestCoreSurvivesItsLosses(t *testing.T) {
+func TestCoreRecoversFromEveryFault(t *testing.T) {
 	first, count := seeds(t, 4)
 	for name, layout := range CoreLayouts() {
 		for _, fault := range CoreFaultNames(layout.ToleratedLosses) {
@@ -38,10 +38,10 @@
 	}
 }
 
-// TestALostBackupStopsChangesBriefly takes a backup away in several ways and with several
+// TestChangesResumeWithinTheCatchUpTimeAfterBackupLoss takes a backup away in several ways and with several
 // catch-up times, and checks that the time without an acknowledged change is never longer
 // than the catch-up time.
-func TestALostBackupStopsChangesBriefly(t *testing.T) {
+func TestChangesResumeWithinTheCatchUpTimeAfterBackupLoss(t *testing.T) {
 	first, count := seeds(t, 2)
 	for name, layout := range CoreLayouts() {
 		for _, fault := range BackupFaultNames(layout.ToleratedLosses) {
--- a/internal/testbed/simulation/settings_test.go
+++ b/internal/testbed/simulation/settings_test.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestBlankDisksThatOnlyJoinFormNothing starts a fleet of blank disks that may only join a core,
+// TestJoinOnlyControllersFormNoCore starts a fleet of blank disks that may only join a core,
 // and checks that they form none.
-func TestBlankDisksThatOnlyJoinFormNothing(t *testing.T) {
+func TestJoinOnlyControllersFormNoCore(t *testing.T) {
 	w := New(fleet.Sahil(), 5)
 	w.SetSettings(Settings{JoinOnly: true})
 	for _, m := range w.machines {
@@ -131,11 +131,11 @@
 	}
 }
 
-// TestReplacedControllerIsTakenIn replaces two controllers, one after another, by empty ones at new
+// TestReplacementControllersJoinTheCore replaces two controllers, one after another, by empty ones at new
 // addresses. The new controllers start with the old seeds, of which two are gone at the end. The
 // platform lists no nodes. The test checks that the new controllers join the core, that a router that
 // starts with the old seeds finds the core, and that the members that are gone are retired.
-func TestReplacedControllerIsTakenIn(t *testing.T) {
+func TestReplacementControllersJoinTheCore(t *testing.T) {
 	settings := PlatformSettings()
 	w := startedFleet(t, 6, settings)
 	seeds := w.machines[0].seeds
@@ -180,10 +180,10 @@
 	}
 }
 
-// TestRoutersReadTheListThemselves cuts the controllers off from the platform and then makes a
+// TestRoutersReadTheServerListWhileControllersCannot cuts the controllers off from the platform and then makes a
 // server leave. It checks that each router learns of the leaving server without reading the list
 // often, and that the routers keep the list while neither they nor the controllers can read it.
-func TestRoutersReadTheListThemselves(t *testing.T) {
+func TestRoutersReadTheServerListWhileControllersCannot(t *testing.T) {
 	w := startedFleet(t, 7, PlatformSettings())
 	if reads := len(w.listReads); reads > 2*len(w.nodes(membership.Router)) {
 		t.Errorf("routers read the list %d times during the start, want two reads each at most", reads)
