--- a/internal/lease/role.go
+++ b/internal/lease/role.go
@@ -59,8 +59,9 @@
 
 // Renew renews the leases on the recorded roles of a node and returns these roles, sorted by
 // key. It skips roles that were released or reassigned, and roles for which another router that
-// has been live for MinUptime is preferred, so that the node gives them up. The candidates are
-// the routers that may have roles, each with the time for which it has been live.
+// has been live for MinUptime is preferred, so that the node gives them up. It skips all roles of
+// a node that is not a candidate. The candidates are the routers that may have roles, each with the
+// time for which it has been live.
 func (r *RoleLeases) Renew(now time.Time, node string, recorded map[string]Role, candidates map[string]time.Duration) []Role {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -138,8 +139,8 @@
 }
 
 // preferred returns the candidate with the highest rendezvous weight for the key, or "" without any
-// candidate. With longLivedOnly it considers only candidates that have been live for MinUptime:
-// a role that has a holder moves only to such a router.
+// candidate. With longLivedOnly it considers only candidates that have been live for MinUptime: a
+// holder with a valid lease gives up its role only for such a router (see Renew).
 func (r *RoleLeases) preferred(key string, candidates map[string]time.Duration, longLivedOnly bool) string {
 	return membership.HighestWeight(key, func(yield func(string) bool) {
 		for name, age := range candidates {
--- a/internal/lease/router.go
+++ b/internal/lease/router.go
@@ -12,10 +12,10 @@
 // Invariant: a change counts as in force only when no router may still admit requests under an
 // older configuration. Each router has then acknowledged the change, or its lease has ended. For
 // the primary a lease ends later than for the router: the primary adds Drift, and the router counts
-// its lease from the moment at which it sent the request. A new primary does not know the leases that the
-// old primary granted. It counts each of them as granted when its own term began (leadsSince):
-// the old primary's own lease had expired by then, so it granted none later. See
-// docs/design/leases.md, "Configurations in force".
+// its lease from the moment at which it sent the request. A new primary does not know the leases
+// that the old primary granted. The new primary counts each of them as granted when its own term
+// began (leadsSince): the old primary's own lease had expired by then, so the old primary granted
+// none later. See docs/design/leases.md, "Configurations in force".
 type RouterLeases struct {
 	mutex      sync.Mutex
 	timing     Timing
@@ -55,7 +55,7 @@
 }
 
 // Lagging returns the sorted names of the routers that may still admit requests under a
-// configuration older than the number. While leases of the old primary may be valid, the result
+// configuration with a lower number. While leases of the old primary may be valid, the result
 // includes each recorded router that has not sent a request to this primary.
 func (r *RouterLeases) Lagging(now time.Time, number uint64, recorded []string) []string {
 	r.mutex.Lock()
@@ -92,7 +92,8 @@
 }
 
 // Acknowledge records the number of the configuration that a router reports as applied, without
-// granting a lease. An unknown router may have a lease that the old primary granted.
+// granting a lease. A router without a recorded lease may have one that the old primary granted, so
+// its lease counts as granted at leadsSince.
 func (r *RouterLeases) Acknowledge(now time.Time, router string, applied uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -107,14 +108,14 @@
 	}
 }
 
-// SeenWithin returns the sorted names of the routers that sent a request within the given length
-// of time before now.
-func (r *RouterLeases) SeenWithin(now time.Time, length time.Duration) []string {
+// SeenWithin returns the sorted names of the routers that sent a request within the given time
+// before now.
+func (r *RouterLeases) SeenWithin(now time.Time, within time.Duration) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var seen []string
 	for router, lease := range r.leases {
-		if now.Sub(lease.lastSeen) <= length {
+		if now.Sub(lease.lastSeen) <= within {
 			seen = append(seen, router)
 		}
 	}
@@ -123,7 +124,7 @@
 }
 
 // LaggingSeenWithin returns the sorted names of the routers that sent a request within the given
-// length of time before now and have not acknowledged the configuration with the number.
+// time before now and have not acknowledged the configuration with the given or a higher number.
 func (r *RouterLeases) LaggingSeenWithin(now time.Time, number uint64, within time.Duration) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
