--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -152,7 +152,7 @@
 const DefaultApplyWithin = 2 * time.Second
 
 // SetApplyWithin sets how soon a change must be in force after it was acknowledged. The loss of a primary that
-// has already responded to a poll is detected within eleven twentieths of this time, and within 1.1 s at most.
+// has already responded to a poll is detected within 11/20 of this time, and within 1.1 s at most.
 // The remaining time is for finding the next primary. Zero means the default.
 func (f *Follower) SetApplyWithin(bound time.Duration) {
 	f.mutex.Lock()
@@ -244,7 +244,8 @@
 }
 
 // knownPrimary returns the address of the controller that last responded as primary. It returns false
-// after a call to this controller has failed or the controller has responded that it is not primary.
+// after a request to this controller got no response of a primary (noPrimaryReached), or after the
+// controller responded that it is not primary.
 func (f *Follower) knownPrimary() (string, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/follower/search.go
+++ b/internal/follower/search.go
@@ -58,8 +58,8 @@
 	// coreTimeout is the time without a response from any candidate after which peers are asked for
 	// the membership. A node that knows no membership asks peers from the second round on.
 	coreTimeout = 250 * time.Millisecond
-	// peersPerRound is the number of peers that are asked in each such round. Successive rounds go
-	// through all peers in turn.
+	// peersPerRound is the number of peers that are asked in each round that asks peers for the
+	// membership. Successive rounds go through all peers in turn.
 	peersPerRound = 3
 	// In every relayRounds-th round the first MaxPeersTried peers are asked to relay, unless the
 	// controller that the membership names as primary has responded within coreTimeout.
@@ -249,7 +249,7 @@
 	}
 }
 
-// askOne calls an address in a thread of its own, unless the address must not be called yet.
+// askOne calls an address in a new goroutine, unless the address must not be called yet.
 func (f *Follower) askOne(s *search, address string, request wire.UpdateRequest) {
 	f.mutex.Lock()
 	membership, routers := f.membership, len(f.peers)
@@ -285,7 +285,7 @@
 	}
 }
 
-// askRelay sends an encoded request through a router and records the response if a primary sent it.
+// askRelay sends an encoded request through a peer and records the response if a primary sent it.
 func (f *Follower) askRelay(s *search, address string, body []byte) {
 	requestedAt := f.runtime.Now()
 	var reply []byte
--- a/internal/wire/serverchanges.go
+++ b/internal/wire/serverchanges.go
@@ -17,7 +17,7 @@
 	Removed []string            `msgpack:"removed,omitempty"`
 }
 
-// Apply returns the list after the changes, sorted by name, from the list of revision Base.
+// Apply applies the changes to the list of revision Base and returns the new list, sorted by name.
 func (c ServerChanges) Apply(base []membership.Server) []membership.Server {
 	servers := map[string]membership.Server{}
 	for _, server := range base {
