--- a/internal/controlplane/edit.go
+++ b/internal/controlplane/edit.go
@@ -55,8 +55,8 @@
 		return version, err
 	}
 	phases.committed = c.runtime.Now()
-	// A repeated change does not alter the configuration, so its version can be newer than the
-	// version of the configuration. In that case the version of the configuration is returned.
+	// A repeated change can have a newer version than the configuration, because it does not alter
+	// the configuration. In that case Edit returns the version of the configuration.
 	if _, view, err := c.Leading(); err == nil && view.VersionOf(replication.ConfigurationSection).Before(version) {
 		version = view.VersionOf(replication.ConfigurationSection)
 	}
@@ -242,7 +242,8 @@
 	c.configurationCommit = configurationCommit{version: version, at: c.runtime.Now()}
 }
 
-// Retire removes a stopped member from the record.
+// Retire removes a stopped member from the recorded members. It fails with LeaseActive while a router
+// of that name has a valid lease.
 func (c *Controller) Retire(name string) (replication.Version, error) {
 	term, _, err := c.Leading()
 	if err != nil {
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -11,8 +11,8 @@
 
 // serveQuota grants tokens as a witness of the newest membership that this disk has accepted. It fails
 // with NotAdmitted if the request is for another disk, or if the request has the epoch of the accepted
-// membership and this controller is not a witness in it. For a request with a newer epoch it is not checked
-// whether this controller is a witness.
+// membership and this controller is not a witness in it. If the request has a newer epoch, this controller
+// does not know the membership and does not check whether it is a witness.
 //
 // Invariant: once this witness has accepted a newer membership, a request under an older membership
 // is granted nothing. A newer set of witnesses is accepted by a majority of the older set, so the older
--- a/internal/controlplane/updatebytes_test.go
+++ b/internal/controlplane/updatebytes_test.go
@@ -122,7 +122,8 @@
 }
 
 // TestLeavingServersAreNotQueuedBehindCompleteLists replaces half of the servers within ten seconds. The
-// updates to all followers must not queue on the primary's link, as complete lists would.
+// updates to all followers must queue on the primary's link for at most incidentQueueBound, and take at most
+// half of the link's rate. Complete lists would queue there.
 func TestLeavingServersAreNotQueuedBehindCompleteLists(t *testing.T) {
 	bytes, longestQueue := replaceServers(t, true)
 	perSecond := float64(bytes["all"]) / 10 * incidentFollowers
@@ -171,11 +172,11 @@
 		var response wire.UpdateResponse
 		list.fill(runtimetest.AfterStart(2500*time.Millisecond), row.request, &response)
 		if got := response.Servers.Changes != nil; got != row.changes || response.Servers.Sent == row.changes {
-			t.Errorf("%s: got list update %+v", row.name, response.Servers)
+			t.Errorf("%s: got list update %+v, want changes %t", row.name, response.Servers, row.changes)
 		}
 		if got := response.Loads.Changes != nil; got != row.changes || (len(response.Loads.Reports) == 0) != row.changes ||
 			response.Loads.Age != 500 {
-			t.Errorf("%s: got loads update %+v", row.name, response.Loads)
+			t.Errorf("%s: got loads update %+v, want changes %t and age 500", row.name, response.Loads, row.changes)
 		}
 		if row.changes && (len(response.Servers.Changes.Changed) != 1 || len(response.Servers.Changes.Removed) != 0) {
 			t.Errorf("%s: got changes %+v, want one changed server and none removed", row.name, response.Servers.Changes)
--- a/internal/controlplane/updates.go
+++ b/internal/controlplane/updates.go
@@ -201,7 +201,8 @@
 // included, since they need a primary.
 var provisionalSections = []string{replication.ConfigurationSection, replication.MembersSection, replication.FlagsSection}
 
-// copyState returns the state of the local copy, including its sections if it has the wanted version.
+// copyState returns the state of the local copy. If the copy is undamaged and has the wanted version of
+// the configuration, the state includes the provisionalSections.
 func (c *Controller) copyState(wanted replication.Version) *wire.CopyState {
 	copied := c.store.LocalReplica()
 	state := &wire.CopyState{Identity: c.witness.Replica().Identity, Damaged: copied.Damage() != ""}
