--- a/internal/replication/campaign.go
+++ b/internal/replication/campaign.go
@@ -87,10 +87,11 @@
 }
 
 // quorumPermits reports whether a quorum of witnesses could vote for this controller now. A witness
-// could if its controller does not lead and it has granted no lease that is still active, except to
-// the disk of this controller: an earlier process on that disk may have been the primary. A candidate
-// asks before it proposes, as with the pre-vote of Raft (Ongaro's thesis, section 9.6), because a
-// promise of an epoch that is never granted keeps witnesses from renewing the primary's lease.
+// could vote if its controller does not lead and the witness has granted no lease that is still
+// active. A lease granted to the disk of this controller does not count, because an earlier process
+// on that disk may have been the primary. A candidate asks the witnesses before it proposes, as with
+// the pre-vote of Raft (Ongaro's thesis, section 9.6), because a promise of an epoch that is never
+// granted keeps witnesses from renewing the primary's lease.
 func (c *Coordinator) quorumPermits(m Membership) bool {
 	own := c.witness.Replica()
 	permitting := map[Identity]bool{}
@@ -160,10 +161,11 @@
 	return false
 }
 
-// defersCandidacy reports whether replicas that come earlier in the membership still have time to
-// become candidates, candidateStagger for each: simultaneous candidates would only take promises
-// from each other. With two replicas in sync only the backup is a candidate, so that no candidacy
-// has to be deferred.
+// defersCandidacy reports whether this controller waits for replicas that come earlier in the
+// membership to become candidates first. It waits candidateStagger for each of them that could take
+// over, because simultaneous candidates would only take promises from each other. With two replicas
+// in sync no candidacy is deferred, because only the backup can be a candidate while the primary is
+// lost.
 func (c *Coordinator) defersCandidacy(membership Membership) bool {
 	if len(membership.InSyncReplicas()) < 3 {
 		return false
@@ -172,16 +174,16 @@
 	if c.quorumFreeSince.IsZero() {
 		c.quorumFreeSince = now
 	}
-	before := time.Duration(0)
+	earlier := time.Duration(0)
 	for _, replica := range membership.InSyncReplicas() {
 		if replica.Identity == c.witness.Replica().Identity {
 			break
 		}
 		if hello, alive := c.alive(replica.Identity, responseFreshness); alive && !hello.Restricted && hello.Damage == "" {
-			before++
+			earlier++
 		}
 	}
-	return now.Sub(c.quorumFreeSince) < before*candidateStagger
+	return now.Sub(c.quorumFreeSince) < earlier*candidateStagger
 }
 
 // backupsAfterTakeover returns the replicas that a new primary keeps as backups.
--- a/internal/replication/detector.go
+++ b/internal/replication/detector.go
@@ -15,8 +15,9 @@
 	lastResponse time.Time
 }
 
-// knownIdentities returns the sorted identities of all controllers that were ever heard. They are
-// sorted so that the same messages always lead to the same decisions. The caller has locked the mutex.
+// knownIdentities returns the sorted identities of all controllers from which a hello ever arrived.
+// They are sorted so that the same messages always lead to the same decisions. The caller holds the
+// mutex.
 func (c *Coordinator) knownIdentities() []Identity {
 	identities := make([]Identity, 0, len(c.peerStatuses))
 	for identity := range c.peerStatuses {
@@ -37,9 +38,9 @@
 	return status.hello, true
 }
 
-// peerAt returns the node that was heard last at an address, and whether it is a blank controller and
-// so may become part of the first membership. If that was longer than peerFreshness ago, the replica
-// is empty and the result false.
+// peerAt returns the sender of the last hello from an address, and whether it is a blank controller,
+// which may become part of the first membership. If no hello arrived from the address within
+// peerFreshness, peerAt returns an empty replica and false.
 func (c *Coordinator) peerAt(address string) (Replica, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -56,7 +57,8 @@
 	return found.hello.Replica, found.hello.Blank && found.hello.Kind == membership.Controller
 }
 
-// HeardRecently reports whether a controller at the address was heard within peerFreshness.
+// HeardRecently reports whether a hello from the address arrived within peerFreshness. It returns true
+// for the address of this controller.
 func (c *Coordinator) HeardRecently(address string) bool {
 	if address == c.witness.Replica().Address {
 		return true
@@ -71,8 +73,8 @@
 	return false
 }
 
-// Address returns the address at which the replica was heard last, or else the address in the
-// membership.
+// Address returns the address in the last hello of the replica's controller or, without a hello, the
+// address in the given replica.
 func (c *Coordinator) Address(replica Replica) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -82,18 +84,18 @@
 	return replica.Address
 }
 
-// diskReplaced reports whether another disk has responded at the witness's address since the
-// witness was heard last: the witness's disk is then lost, and its replacement need not wait for a
-// time-out.
-func (c *Coordinator) diskReplaced(replica Replica) bool {
+// diskReplaced reports whether another disk has responded at the witness's address since the last
+// hello of the witness. The witness's disk is then lost, and the witness can be replaced without
+// waiting for a time-out.
+func (c *Coordinator) diskReplaced(witness Replica) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	address, lastSeen := replica.Address, time.Time{}
-	if status, found := c.peerStatuses[replica.Identity]; found {
+	address, lastSeen := witness.Address, time.Time{}
+	if status, found := c.peerStatuses[witness.Identity]; found {
 		address, lastSeen = status.hello.Replica.Address, status.lastSeen
 	}
 	for identity, other := range c.peerStatuses {
-		if identity != replica.Identity && other.hello.Kind == membership.Controller &&
+		if identity != witness.Identity && other.hello.Kind == membership.Controller &&
 			other.hello.Replica.Address == address && other.lastResponse.After(lastSeen) &&
 			c.runtime.Now().Sub(other.lastResponse) <= peerFreshness {
 			return true
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -45,8 +45,8 @@
 	return witness, replica
 }
 
-// TestDisksOfEarlierReleasesAreRead opens the disks of the earlier release, which must hold
-// everything that this release had acknowledged.
+// TestDisksOfEarlierReleasesAreRead opens the disks of release facc4d7, which must hold everything
+// that the controllers of that release had acknowledged.
 func TestDisksOfEarlierReleasesAreRead(t *testing.T) {
 	for _, disk := range []struct {
 		name    string
@@ -64,7 +64,7 @@
 				t.Errorf("got membership %+v, promised epoch %d, want epoch 3 with three witnesses", membership, witness.Promised())
 			}
 			if membership.InSync(witness.Replica().Identity) != disk.inSync {
-				t.Errorf("the disk's replica by the membership on that disk: want in sync %t", disk.inSync)
+				t.Errorf("replica in sync by the membership on its own disk: got %t, want %t", !disk.inSync, disk.inSync)
 			}
 			if replica.Version() != disk.version {
 				t.Errorf("got version %s, want %s", replica.Version(), disk.version)
@@ -124,7 +124,7 @@
 	}
 	written, removed, err := state.encodeDirty(Version{Epoch: 1, Number: 1})
 	if err != nil || len(removed) > 0 {
-		t.Fatalf("removed %v: %v", removed, err)
+		t.Fatalf("encodeDirty: got removed sections %v, error %v, want neither", removed, err)
 	}
 	for section := range sections {
 		if want, got := decodeUntyped(t, sections[section].Content),
--- a/internal/replication/joining.go
+++ b/internal/replication/joining.go
@@ -35,18 +35,18 @@
 		}
 	}
 	var silent []string
-	others := 0
+	otherSeeds := 0
 	for _, address := range c.seeds {
 		if address == own {
 			continue
 		}
-		others++
+		otherSeeds++
 		if !responding[address] {
 			silent = append(silent, address)
 		}
 	}
 	switch {
-	case len(silent) == others:
+	case len(silent) == otherSeeds:
 		return SeedsSilent, silent
 	case c.joinOnly:
 		return SeedsBlank, silent
--- a/internal/replication/leaving.go
+++ b/internal/replication/leaving.go
@@ -9,12 +9,12 @@
 
 // Time-outs and limits of a controller that is leaving.
 const (
-	// handoverTimeout is how long a leaving controller that the remaining ones don't need still waits
-	// for one of them, or a new one, to take over its replica or its place as a witness. Then it stops
-	// without a handover.
+	// handoverTimeout is how long a leaving controller waits, once the remaining controllers no longer
+	// need it, for another controller to take over its replica or its place as a witness. After that it
+	// stops without a handover.
 	handoverTimeout = time.Second
-	// maxUnansweredAnnouncements is the number of announcements in a row without a response from any
-	// controller that stays, after which the controllers that don't respond count as gone.
+	// maxUnansweredAnnouncements is the number of consecutive announcements without a response from any
+	// controller that stays after which the controllers that don't respond count as gone.
 	maxUnansweredAnnouncements = 4
 	// peerMemory is how long this controller remembers a controller that does not respond, counted
 	// from the last hello received from it. In this time it still sends hellos to that controller and,
@@ -44,8 +44,8 @@
 // departure is the progress of a controller that is leaving; the coordinator's mutex guards it.
 type departure struct {
 	began bool
-	// announcements counts the rounds of AnnounceLeave, unanswered the last rounds in a row without
-	// a response from a controller that stays.
+	// announcements counts the rounds of AnnounceLeave. unanswered counts the rounds since the last
+	// one in which a controller that stays responded.
 	announcements, unanswered int
 	// unneededSince is the time since which the remaining controllers have not needed this one (see
 	// LeaveOutcome), or zero while they need it. aloneSince is when this controller, as primary with a
@@ -76,8 +76,8 @@
 }
 
 // AnnounceLeave notifies all known controllers that this one is leaving, and learns which of them
-// stay. Without these announcements a follower, which sends hellos only to the primary, would not
-// hear that the others are leaving, too. AnnounceLeave must be called repeatedly until LeaveOutcome
+// stay. Without these announcements a controller that follows the primary, and sends hellos only to
+// the primary, would not learn that the others are leaving, too. AnnounceLeave must be called repeatedly until LeaveOutcome
 // returns an outcome other than StillNeeded.
 func (c *Coordinator) AnnounceLeave() {
 	own := c.OwnHello()
@@ -157,8 +157,8 @@
 }
 
 // noOtherStays reports whether all other controllers are leaving or gone. Controllers that don't
-// respond count as gone once maxUnansweredAnnouncements in a row got no response from a controller
-// that stays.
+// respond count as gone after maxUnansweredAnnouncements consecutive announcements without a response
+// from a controller that stays.
 func (c *Coordinator) noOtherStays(m Membership) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -183,9 +183,9 @@
 	return true
 }
 
-// voteNeeded reports whether the witnesses that stay are no majority without this one, and another
-// witness neither responds nor announced that it is leaving. Until that witness returns, no primary
-// can be elected without the vote of this one.
+// voteNeeded reports whether the witnesses that stay are no majority without this controller, and
+// another witness neither responds nor has announced that it is leaving. Until that witness returns, no
+// primary can be elected without the vote of this controller.
 func (c *Coordinator) voteNeeded(m Membership) bool {
 	own := c.witness.Replica().Identity
 	if !m.HasVoter(own) {
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -180,8 +180,9 @@
 	submittedRevision    int
 	acknowledgedWrites   int
 	log                  []string
-	// tolerated is how many disks may be lost at once, lossesLeft how many more may be lost until
-	// the core has recovered, and lostSpares the spares whose disks were lost since it last had.
+	// tolerated is how many disks may be lost at once. lossesLeft is how many more disks may be lost
+	// before the core has recovered, and lostSpares are the spares whose disks were lost since the
+	// core last recovered.
 	tolerated  int
 	lossesLeft int
 	lostSpares []Identity
@@ -192,11 +193,12 @@
 	zones      int
 	// seeds holds the seed addresses of machines that start.
 	seeds []string
-	// joined is the number of machines that join and replace have added, wiped that of lost disks.
+	// joined is the number of machines that join and replace have added, and wiped is the number of
+	// lost disks.
 	joined int
 	wiped  int
-	// joinOnly makes machines that start join the core; without it a machine that starts for the first
-	// time may form one.
+	// joinOnly prevents machines that start for the first time from forming a core. It has an effect
+	// only with tolerated > 1, where machines that start again never form one.
 	joinOnly bool
 	// beforeInstall, if set, is called with the sender's address before each installation of a snapshot.
 	// mutex guards it.
@@ -532,7 +534,7 @@
 
 // completeLeader returns the primary of a complete core, else nil. The core is complete, and so can
 // tolerate its losses again, when all backups are up, each witness is up and has the newest
-// membership, and no zone has more witnesses than losses are tolerated.
+// membership, and no zone has more than c.tolerated witnesses.
 func (c *cluster) completeLeader() *machine {
 	for _, m := range c.machines {
 		if !m.up.Load() || m.frozen || !m.coordinator.HasLease() || m.coordinator.membershipUnknown {
@@ -875,7 +877,7 @@
 	delete(storage.files, names[0])
 	reopened, err := OpenLocalReplica(storage)
 	if err != nil || reopened.Damage() == "" {
-		t.Fatalf("a replica without a needed file opened undamaged: %v", err)
+		t.Fatalf("a replica without a needed file: got error %v or no damage, want damage and no error", err)
 	}
 	if err := reopened.Write(Batch{Version: Version{1, 4}, Base: reopened.Version()}); failure.CodeOf(err) != failure.Damaged {
 		t.Fatalf("a write to a damaged replica: got %v, want Damaged", err)
@@ -916,7 +918,7 @@
 	}
 	third.coordinator.SetRestricted(true)
 	c.crash(backup)
-	paired := func(with *machine) bool {
+	becomesBackup := func(wanted *machine) bool {
 		for range 60 {
 			c.advance(100 * time.Millisecond)
 			for _, m := range c.machines {
@@ -926,13 +928,13 @@
 			}
 			c.write(leader)
 			c.check()
-			if leader.coordinator.HasLease() && leader.coordinator.Membership().Backup.Identity == with.witness.Replica().Identity {
+			if leader.coordinator.HasLease() && leader.coordinator.Membership().Backup.Identity == wanted.witness.Replica().Identity {
 				return true
 			}
 		}
 		return false
 	}
-	if !paired(third) {
+	if !becomesBackup(third) {
 		c.fail("the restricted controller did not become the backup: %+v", leader.coordinator.Membership())
 	}
 	before := c.acknowledgedWrites
@@ -941,7 +943,7 @@
 		c.fail("no write was acknowledged with a restricted backup")
 	}
 	c.start(backup)
-	if !paired(backup) {
+	if !becomesBackup(backup) {
 		c.fail("the restricted backup was not replaced by an unrestricted one: %+v", leader.coordinator.Membership())
 	}
 }
--- a/internal/replication/timing_test.go
+++ b/internal/replication/timing_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestTimingFollowsCatchUp checks for several catch-up times, the shortest 2 s, that a core is
-// repaired within the catch-up time with the wanted margin, and that no time-out is longer than the
-// default one.
+// repaired within the catch-up time with the wanted margin, and that no time-out is longer than its
+// default.
 func TestTimingFollowsCatchUp(t *testing.T) {
 	defaults := TimingFor(0)
 	if defaults.CatchUpLimit != DefaultCatchUp || defaults.Lease != PrimaryLease {
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -101,7 +101,7 @@
 
 // successorFault returns the reason why the backup that sent the hello can't lead, or nil. A
 // restricted backup is refused only where the membership has other backups.
-func successorFault(hello Hello, backup Identity, others bool) error {
+func successorFault(hello Hello, backup Identity, hasOthers bool) error {
 	switch {
 	case hello.Replica.Identity != backup:
 		return failure.New(failure.NotAdmitted, "another disk responds at the backup's address")
@@ -109,7 +109,7 @@
 		return failure.New(failure.Damaged, hello.Damage)
 	case hello.Leaving:
 		return failure.New(failure.Draining, "the backup is also leaving")
-	case others && hello.Restricted:
+	case hasOthers && hello.Restricted:
 		return failure.New(failure.Restricted, "the backup lacks an enabled flag")
 	}
 	return nil
--- a/internal/replication/witness.go
+++ b/internal/replication/witness.go
@@ -106,8 +106,8 @@
 // before any other method.
 func (w *Witness) SetLock(lock sync.Locker) { w.mutex = lock }
 
-// SetLease sets the length of the leases that the witness grants, PrimaryLease at most: a witness
-// that starts waits no longer than PrimaryLease.
+// SetLease sets the length of the leases that the witness grants. It is limited to PrimaryLease,
+// because a witness that starts waits only PrimaryLease for leases that it may have granted earlier.
 func (w *Witness) SetLease(lease time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -141,16 +141,17 @@
 	return w.record.Promised
 }
 
-// LeaseEnds returns the end of the last granted lease, or of the wait after a start. It is zero once
-// the witness has accepted a membership with another primary and has granted that one no lease yet.
+// LeaseEnds returns the end of the last granted lease, or of the wait after a start. The time is zero
+// after the witness has accepted a membership with another primary, until it grants that primary a
+// lease.
 func (w *Witness) LeaseEnds() time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.leaseEnds
 }
 
-// LeaseHolder returns the primary to which the witness granted its last lease, or the primary of the
-// membership that it accepted when that is newer.
+// LeaseHolder returns the primary to which the witness granted its last lease. If the witness has
+// accepted a membership with another primary since then, LeaseHolder returns that primary.
 func (w *Witness) LeaseHolder() Identity {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -158,7 +159,7 @@
 }
 
 // Prepare promises an epoch to a candidate (phase 1 of Paxos). It refuses with OldEpoch when an
-// equal or higher one is promised, with LeaseActive while another primary's lease is active, and
+// equal or higher epoch is promised, with LeaseActive while another primary's lease is active, and
 // with NotAdmitted on a blank disk. An error comes from the write to the disk.
 func (w *Witness) Prepare(now time.Time, epoch uint64, candidate Identity) (Vote, error) {
 	w.mutex.Lock()
@@ -265,7 +266,7 @@
 }
 
 // ObserveEpoch promises the epoch under which a primary writes to this backup, so that the backup
-// never again accepts a write of a lower epoch. It fails with OldEpoch when a higher one is
+// never again accepts a write of a lower epoch. It fails with OldEpoch when a higher epoch is
 // promised.
 func (w *Witness) ObserveEpoch(epoch uint64) error {
 	w.mutex.Lock()
@@ -281,8 +282,8 @@
 	return w.save(record)
 }
 
-// Sweep reads the stored record again, and writes it anew when the file is damaged or missing; it
-// reports whether it did.
+// Sweep reads the stored record again, and writes it to a new file when the file is damaged or
+// missing. It returns true when a write was needed, also when that write failed.
 func (w *Witness) Sweep() (bool, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
