--- a/internal/quota/allowances.go
+++ b/internal/quota/allowances.go
@@ -248,8 +248,8 @@
 	return &Claim{allowances: a, subject: s}
 }
 
-// Poll takes a token if the router has one. Otherwise it returns Denied if the members have no token left or the subject
-// was denied recently, or Pending if the claim has to wait for responses of members.
+// Poll takes a token if the router has one. Otherwise it returns Denied if the members have no token left or the time
+// deniedUntil has not passed, or Pending if the claim has to wait for responses of members.
 func (c *Claim) Poll(now time.Time, group Group) Result {
 	c.allowances.mutex.Lock()
 	defer c.allowances.mutex.Unlock()
@@ -302,9 +302,9 @@
 	return Denied
 }
 
-// waitForAnswers counts the claim as waiting and makes it wait for the responses to the next request. If the subject
-// was denied recently, that request is sent to all members at once, because the preferred members would probably deny
-// it again.
+// waitForAnswers counts the claim as waiting and makes it wait for the responses to the next request. If less than
+// maxDenial has passed since deniedUntil, that request is sent to all members at once, because the preferred members
+// would probably deny the claim again.
 func (c *Claim) waitForAnswers(now time.Time) {
 	c.subject.waiting++
 	c.allowances.waiting++
--- a/internal/quota/counts.go
+++ b/internal/quota/counts.go
@@ -79,11 +79,12 @@
 	reported bool
 }
 
-// DenialChange reports that a series of denials of a subject has started, or that it is over after Count denials.
+// DenialChange reports that a series of denials of a subject has started or, if Over is set, has ended.
 type DenialChange struct {
 	Subject string
 	Over    bool
-	Count   uint64
+	// Count is the number of denials in the series so far.
+	Count uint64
 }
 
 // deny counts a denied claim.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -68,9 +68,10 @@
 	members []Member
 	ledgers map[Member]*Ledger
 	routers []*Allowances
+	// spent holds the time at which each token was spent, and denied counts the calls that got no token.
 	spent   []time.Time
-	pending []delivery
 	denied  int
+	pending []delivery
 	// lossRate is the fraction of messages that are lost, and extraDelay is added to the random delay of every message.
 	lossRate   float64
 	extraDelay time.Duration
@@ -272,8 +273,8 @@
 	// The members accrue tokens before the first call arrives.
 	s.run(2*time.Second, 0, limit, false)
 	s.run(15*time.Second, 0.6*limit.PerSecond, limit, false)
-	// Two exchanges take as long as a call waits at most, so a call that needs two exchanges may be
-	// denied.
+	// Two exchanges take about 0.2 s, the maximum time for which a call waits. A call that needs two
+	// exchanges may therefore be denied.
 	if s.denied*20 > len(s.spent) {
 		t.Errorf("%d calls denied and %d served, want at most 1 denied per 20 served", s.denied, len(s.spent))
 	}
