--- a/internal/testbed/simulation/campaign.go
+++ b/internal/testbed/simulation/campaign.go
@@ -15,7 +15,7 @@
 	First      uint64
 	Count      uint64
 	Day        Day
-	// Stop ends the campaign before its last day.
+	// Stop, once set, keeps further days from starting.
 	Stop atomic.Bool
 }
 
@@ -38,8 +38,8 @@
 	// Longest holds the worst value of each checker that has a limit in seconds.
 	Longest map[string]float64
 	Replies int
-	// Gap is the longest time without a complete reply in any day, Gaps the sum of the longest
-	// times of all days.
+	// Gap is the longest time without a complete reply in any day, Gaps the sum over all days of
+	// each day's longest such time.
 	Gap, Gaps time.Duration
 	Steps     uint64
 }
@@ -106,13 +106,13 @@
 	}
 	for _, finding := range result.Verdict.Findings {
 		c.Violations[finding.Checker] += finding.Violations
-		known := c.Longest[finding.Checker]
+		worst := c.Longest[finding.Checker]
 		if finding.Checker == commandsChecker {
 			// For this checker the shortest time is the worst.
-			if finding.Seconds > 0 && (known == 0 || finding.Seconds < known) {
+			if finding.Seconds > 0 && (worst == 0 || finding.Seconds < worst) {
 				c.Longest[finding.Checker] = finding.Seconds
 			}
-		} else if finding.Seconds > known {
+		} else if finding.Seconds > worst {
 			c.Longest[finding.Checker] = finding.Seconds
 		}
 	}
--- a/internal/testbed/simulation/coretrial.go
+++ b/internal/testbed/simulation/coretrial.go
@@ -27,19 +27,21 @@
 // CoreTrial is the outcome of one fault of a core.
 type CoreTrial struct {
 	// Took is the longest time without an acknowledged change. It counts from the fault, or from
-	// the return of the machines if the fault stopped all of them. It is -1 if the core was never
-	// complete before the fault, or if no change was acknowledged within incidentPatience.
+	// the return of the machines if the fault stopped all of them. It is -1 if the core accepted no
+	// configuration or was not complete before the fault, or if a change was not acknowledged within
+	// incidentTimeout.
 	Took time.Duration
 	// Lost holds the acknowledged changes that a later read did not return.
 	Lost []string
-	// TwoPrimaries counts the observations of two controllers with the lease at the same time.
+	// TwoPrimaries counts the observations of several controllers that hold the primary's lease at
+	// the same time.
 	TwoPrimaries int
 	// Restored reports whether the core has all its replicas and witnesses again.
 	Restored bool
 }
 
-// Failed reports whether changes were not acknowledged, an acknowledged change was lost, two
-// controllers held the lease at the same time, or the core was not restored.
+// Failed reports whether Took is -1, an acknowledged change was lost, several controllers held the
+// primary's lease at the same time, or the core was not restored.
 func (c CoreTrial) Failed() bool {
 	return c.Took < 0 || len(c.Lost) > 0 || c.TwoPrimaries > 0 || !c.Restored
 }
@@ -72,10 +74,10 @@
 		w.timeUntil(w.now, w.coreComplete)
 	}
 	changes.next(w.now)
-	for _, known := range append(slices.Clone(coreFaults), backupFaults...) {
-		if known.name == fault {
+	for _, candidate := range append(slices.Clone(coreFaults), backupFaults...) {
+		if candidate.name == fault {
 			w.tracef("fault: %s", fault)
-			trial.Took = changes.longest(known.run(w))
+			trial.Took = changes.longest(candidate.run(w))
 		}
 	}
 	w.tracef("acknowledged after %s", trial.Took)
@@ -89,19 +91,19 @@
 	return trial
 }
 
-// trackedChanges makes changes. Each leaves a unique name in the configuration, so that a later
-// read shows whether the change is stored.
+// trackedChanges makes changes. Each change evacuates a made-up zone with a unique name, so that a
+// later read of the configuration shows whether the change is stored.
 type trackedChanges struct {
 	world        *World
 	acknowledged []string
 	requested    int
 }
 
-// changeTime is for how long after a fault changes are requested.
+// changeTime is how long trackedChanges.longest requests changes after a fault.
 const changeTime = 6 * time.Second
 
-// longest makes changes for changeTime after from and returns the longest time without an
-// acknowledged change, or -1 if none was acknowledged in time.
+// longest makes one change after another until changeTime after from, and returns the longest time
+// without an acknowledged change, or -1 if a change was not acknowledged within incidentTimeout.
 func (t *trackedChanges) longest(from time.Duration) time.Duration {
 	longest, latest := time.Duration(0), from
 	for ends := from + changeTime; latest < ends; {
@@ -115,8 +117,8 @@
 	return longest
 }
 
-// next requests a new change every tenth of a second until one is acknowledged, and returns the
-// time since began, or -1 if none is acknowledged within incidentTimeout.
+// next requests a new change every tenth of a second until one of them is acknowledged. It returns
+// the time from began to that moment, or -1 if none is acknowledged within incidentTimeout.
 func (t *trackedChanges) next(began time.Duration) time.Duration {
 	world, done := t.world, false
 	world.outside.Go(func() {
--- a/internal/testbed/simulation/disk.go
+++ b/internal/testbed/simulation/disk.go
@@ -18,11 +18,13 @@
 	// sees them.
 	durable map[string][]byte
 	visible map[string][]byte
-	// full makes writes fail; damage is how many of the next reads return damaged content.
+	// full makes writes and directory syncs fail. damage is how many of the next reads of stored
+	// versions return damaged content.
 	full   bool
 	damage int
-	// powerFailsIn is the number of operations until the power fails before one of them;
-	// zero means that the power doesn't fail.
+	// powerFailsIn counts down the writes, renames, removals and directory syncs. The operation
+	// that takes the count from one to zero has no effect, because the power fails before it. The
+	// value zero means that the power doesn't fail.
 	powerFailsIn int
 	// owner is the process that uses the disk, or nil.
 	owner *incarnation
@@ -60,7 +62,8 @@
 	}
 }
 
-// countOperation counts one disk operation; the power may fail before the operation takes effect.
+// countOperation counts an operation that is about to take effect. If powerFailsIn reaches zero, the
+// power fails first.
 func (d *disk) countOperation(operation string) {
 	if d.powerFailsIn == 0 {
 		return
@@ -134,7 +137,7 @@
 	return names, nil
 }
 
-// Read returns a file's content, damaged while the damage fault lasts.
+// Read returns a file's content. It damages the content of stored versions while d.damage is positive.
 func (d *disk) Read(path string) ([]byte, error) {
 	content, found := d.visible[path]
 	if !found {
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -130,7 +130,8 @@
 	return m != nil && m.kind == membership.Controller
 }
 
-// primary returns the controller that holds the lease, or any controller if none does.
+// primary returns the controller that holds the primary's lease, or any controller if none holds
+// that lease.
 func (w *World) primary() *machine {
 	for _, m := range w.nodes(membership.Controller) {
 		if m.running() && m.control != nil && m.control.Coordinator().HasLease() {
--- a/internal/testbed/simulation/incarnation.go
+++ b/internal/testbed/simulation/incarnation.go
@@ -169,8 +169,9 @@
 }
 
 // lock is a mutual exclusion lock between an incarnation's threads. A thread may wait while it
-// holds the lock, for example for the disk. The world's own code bypasses the lock, because no
-// thread runs at the same time.
+// holds the lock, for example for the disk. The world's own code and the threads of other
+// incarnations bypass the lock, because only one thread runs at a time. So does every thread once the
+// incarnation has ended.
 type lock struct {
 	cond     *cond
 	locked   bool
@@ -228,13 +229,13 @@
 	}
 }
 
-// Wait waits until over returns true or the timeout has passed, and reports whether over returned
+// Wait waits until done returns true or the timeout has passed, and reports whether done returned
 // true.
-func (c *cond) Wait(timeout time.Duration, over func() bool) bool {
+func (c *cond) Wait(timeout time.Duration, done func() bool) bool {
 	if c.incarnation.ended {
 		panic(killed{})
 	}
-	if over() {
+	if done() {
 		return true
 	}
 	t := c.incarnation.world.running
@@ -260,7 +261,7 @@
 	for {
 		t.suspend()
 		waiting.notified = false
-		if over() {
+		if done() {
 			return true
 		}
 		if waiting.timedOut {
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -16,8 +16,8 @@
 // operatorTimeout is how long an operator waits for a response.
 const operatorTimeout = 12 * time.Second
 
-// atPrimary calls the controllers on an operator's behalf, one after another, until one of them
-// leads. The operator is outside the fleet and its links to the controllers have no faults.
+// atPrimary calls the controllers on an operator's behalf, one after another, until it finds the
+// primary. The operator is outside the fleet, and the links to the controllers have no faults.
 func (w *World) atPrimary(serve func(control *controlplane.Controller) (any, error)) (any, error) {
 	var last error = failure.New(failure.NoPrimary, "no controller is running")
 	for _, m := range w.machines {
--- a/internal/testbed/simulation/recordtaps.go
+++ b/internal/testbed/simulation/recordtaps.go
@@ -13,17 +13,19 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// The taps read records as they are sent over the network and written to disks, and add each
-// feature key that appears for the first time to the event log.
+// The taps read the records that are sent over the network and written to disks. They add each
+// feature key, each enabled flag and the first section of changes to the event log, when it first
+// appears.
 
-// tapRecord adds a record's feature keys to the event log; where says where the record was seen.
+// tapRecord adds a record's feature keys to the event log, each only once for the record's kind and
+// the place; where says where the record was seen.
 func (w *World) tapRecord(record codec.Record, where string) {
 	for key := range record.Features {
-		name := string(record.Kind) + "/" + key + "/" + where
-		if w.seenKeys[name] {
+		seenKey := string(record.Kind) + "/" + key + "/" + where
+		if w.seenKeys[seenKey] {
 			continue
 		}
-		w.seenKeys[name] = true
+		w.seenKeys[seenKey] = true
 		w.Events.Append(fleet.Entry{Kind: fleet.RecordSeen, Cause: key, Role: where, Holder: record.Writer})
 	}
 }
@@ -41,10 +43,11 @@
 	}
 }
 
-// tapFile reads a stored version from its file, which the storage adapter frames with eight bytes.
-func (w *World) tapFile(name string, framed []byte) {
+// tapFile reads a stored version from its file, in which the storage adapter puts eight bytes before
+// the content. It reads one record of each section of claims.
+func (w *World) tapFile(path string, framed []byte) {
 	var batch replication.Batch
-	if !strings.HasPrefix(name, "larder/") || len(framed) < 8 || msgpack.Unmarshal(framed[8:], &batch) != nil {
+	if !strings.HasPrefix(path, "larder/") || len(framed) < 8 || msgpack.Unmarshal(framed[8:], &batch) != nil {
 		return
 	}
 	state, err := replication.ReadState(batch.Sections)
@@ -52,8 +55,8 @@
 		return
 	}
 	for _, flag := range state.Flags.Enabled {
-		if name := "flag/" + string(flag); !w.seenKeys[name] {
-			w.seenKeys[name] = true
+		if seenKey := "flag/" + string(flag); !w.seenKeys[seenKey] {
+			w.seenKeys[seenKey] = true
 			w.Events.Append(fleet.Entry{Kind: fleet.FlagEnabled, Cause: string(flag)})
 			w.encounter("a flag enabled")
 		}
