--- a/internal/testbed/replay/attempt.go
+++ b/internal/testbed/replay/attempt.go
@@ -22,8 +22,8 @@
 	number      int
 	lastEventID int
 	event       Event
-	// notRead means that no connection could be opened, or that the end of the request could not be
-	// written, so that the machine can't have read the whole request.
+	// notRead means that the machine can't have read the whole request: no connection could be
+	// opened, or the last buffered bytes of the request could not be written.
 	notRead bool
 	// retryAfter is the value of the Retry-After header of the response.
 	retryAfter time.Duration
--- a/internal/testbed/replay/balancer.go
+++ b/internal/testbed/replay/balancer.go
@@ -84,7 +84,7 @@
 	return slices.Clone(b.targets)
 }
 
-// allReady probes all machines and reports whether there are any and all of them are ready.
+// allReady probes all machines and reports whether there is at least one and every probe succeeded.
 func (b *Balancer) allReady() bool {
 	b.probeAll()
 	b.mutex.Lock()
@@ -98,9 +98,9 @@
 }
 
 // accepting lists the machines that a zone's clients may connect to: the ready machines of the zone,
-// which are those that have not failed their last two probes. If fewer than half of the zone's
-// machines are ready, it lists all machines of the zone, and if none is ready, the ready machines of
-// other zones. For an empty zone it lists the ready machines of all zones.
+// which are those that have not failed both of their last two probes. If fewer than half of the zone's
+// machines are ready, it lists all machines of the zone; if none of them is ready but machines of other
+// zones are, it lists those. If zone is empty, it lists the ready machines of all zones.
 func (b *Balancer) accepting(zone string) []target {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/testbed/replay/checkers_configuration.go
+++ b/internal/testbed/replay/checkers_configuration.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// checkLaterRoutes checks that routes added during the day are served at least a quarter as often
-// as the routes of the first version.
+// checkLaterRoutes checks that the share of requests that are served is, for routes added during the
+// day, at least a quarter of that share for the routes of the first version. It needs at least 20
+// requests on routes added later.
 func checkLaterRoutes(r *record, finding *fleet.Finding) {
 	// The key says whether the route was added later. The values are the number of requests and the
 	// number of those that were served.
--- a/internal/testbed/replay/clients.go
+++ b/internal/testbed/replay/clients.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Clients send requests at random moments with a fixed average rate, drawn from a seed. The rate
-// doesn't depend on the responses.
+// Clients send requests at random times, which are drawn from a seed. The average rate is that of the
+// site, changed only by setLoad; it doesn't depend on the responses.
 type Clients struct {
 	events   *EventLog
 	site     Site
@@ -49,7 +49,8 @@
 	return clients
 }
 
-// setLoad multiplies the traffic of a class of requests, or of all classes if class is empty.
+// setLoad multiplies the usual traffic of a class of requests, or of all classes if class is empty. It
+// replaces the factor of an earlier call.
 func (c *Clients) setLoad(class string, factor float64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -138,7 +139,7 @@
 		if !retry || number >= req.class.Retries {
 			return
 		}
-		// Only clients that abuse retries have more than three of them.
+		// Only setRetryAbuse gives a class more than three retries.
 		if req.class.Retries > 3 {
 			wait = 5 * time.Millisecond
 		}
--- a/internal/testbed/replay/day.go
+++ b/internal/testbed/replay/day.go
@@ -148,10 +148,10 @@
 	return addresses
 }
 
-// machineAt returns the machine with a control plane address, or nil if there is none.
-func (day *Day) machineAt(control string) *Machine {
+// machineAt returns the machine with the given control plane address, or nil if there is none.
+func (day *Day) machineAt(controlAddress string) *Machine {
 	for _, machine := range day.all() {
-		if machine.controlAddress() == control {
+		if machine.controlAddress() == controlAddress {
 			return machine
 		}
 	}
@@ -231,8 +231,8 @@
 	return CheckEvents(day.Events.Events(), day.Site)
 }
 
-// probe sends requests directly to each machine that accepts clients. Each round uses the next one
-// of the watched routes and r-never, a route that no configuration has.
+// probe sends requests directly to each machine that accepts clients. Each round requests one route,
+// in turn the watched routes and r-never, which no configuration has.
 func (day *Day) probe(lifetime context.Context) {
 	round := 0
 	for sleep(lifetime, 700*time.Millisecond) {
--- a/internal/testbed/replay/day_test.go
+++ b/internal/testbed/replay/day_test.go
@@ -46,8 +46,9 @@
 	return day
 }
 
-// TestQuietDayWithPassThroughBreaksNoRule runs a day without faults around the pass-through, and
-// checks that the stand-ins agree with each other: no rule is broken.
+// TestQuietDayWithPassThroughBreaksNoRule runs a day without faults with the pass-through in place of
+// the product. It checks that the checkers find no violation, that at least 95 percent of the requests
+// are served, and that the checkers had events to check.
 func TestQuietDayWithPassThroughBreaksNoRule(t *testing.T) {
 	day := passThroughDay(t, t.TempDir())
 	defer day.Close()
@@ -72,6 +73,6 @@
 		t.Fatal(err)
 	}
 	if _, err := NewDay(SmallSite(), nil, 1, folder, nil); failure.CodeOf(err) != failure.Contradictory {
-		t.Errorf("got error %v, want a contradictory folder", err)
+		t.Errorf("got error %v, want one with the code %q", err, failure.Contradictory)
 	}
 }
--- a/internal/testbed/replay/faults_nodes.go
+++ b/internal/testbed/replay/faults_nodes.go
@@ -35,8 +35,8 @@
 	killing.Wait()
 }
 
-// targetMachines picks the machines for a fault. For a fault on the core with the option "leader",
-// this is the machine that acknowledges a change.
+// targetMachines picks the machines for a fault. For a fault on the core with the option "leader", it
+// makes a change and picks the machine that acknowledged the change.
 func (day *Day) targetMachines(fault Fault) []*Machine {
 	if fault.On == "core" && fault.hasOption("leader") {
 		if leader := day.machineAt(day.change(day.lifetime, "idle").node); leader != nil {
@@ -46,9 +46,9 @@
 	return day.chooseMachines(fault, 0.1)
 }
 
-// restartMachine kills a machine and starts it again after the time down, with an empty disk if
+// restartMachine kills a machine and starts it again after the downtime, with an empty disk if
 // emptyDisk is set.
-func (day *Day) restartMachine(machine *Machine, down time.Duration, emptyDisk bool) {
+func (day *Day) restartMachine(machine *Machine, downtime time.Duration, emptyDisk bool) {
 	machine.kill()
 	if emptyDisk {
 		_ = machine.wipe()
@@ -56,7 +56,7 @@
 	machine.mutex.Lock()
 	machine.bootstrap = false
 	machine.mutex.Unlock()
-	if sleep(day.lifetime, down) {
+	if sleep(day.lifetime, downtime) {
 		_ = machine.startProcesses()
 	}
 }
@@ -98,8 +98,8 @@
 	}
 }
 
-// reloadAll tells the processes of a share of the machines to reload their settings. Other faults
-// may be in progress at the same time.
+// reloadAll tells the processes of a share of the machines to reload their settings. It reserves no
+// core loss, so that the reload may coincide with other faults on the core.
 func (day *Day) reloadAll(lifetime context.Context, fault Fault) {
 	machines := day.all()
 	count := max(1, int(fault.shareOr(0.3)*float64(len(machines))+0.5))
@@ -111,8 +111,9 @@
 	}
 }
 
-// killMany kills the processes of many machines at the same time, including core machines, beyond
-// the fault budget. The processes start again within a second, with their disks intact.
+// killMany kills the processes of many machines at the same time: those of all core machines if the
+// fault is on the core, otherwise those of a share of all machines. The loss of several core machines
+// exceeds the fault budget. The processes start again within a second, with their disks intact.
 func (day *Day) killMany(_ context.Context, fault Fault) {
 	release := day.reserveCoreLoss(true)
 	defer release()
@@ -129,16 +130,17 @@
 	day.restartAll(machines, min(fault.duration(), time.Second))
 }
 
-// restartAll kills machines at the same time and starts them again after the time down.
-func (day *Day) restartAll(machines []*Machine, down time.Duration) {
+// restartAll kills machines at the same time and starts them again after the downtime.
+func (day *Day) restartAll(machines []*Machine, downtime time.Duration) {
 	var killing sync.WaitGroup
 	for _, machine := range machines {
-		killing.Go(func() { day.restartMachine(machine, down, false) })
+		killing.Go(func() { day.restartMachine(machine, downtime, false) })
 	}
 	killing.Wait()
 }
 
-// rotateSeeds writes other seeds into the settings of all machines.
+// rotateSeeds writes other seeds into the settings of all machines: the last addresses of the
+// operators' list, in reverse order, instead of the first.
 func (day *Day) rotateSeeds(_ context.Context, _ Fault) {
 	seeds := day.controlAddresses(day.Site.Terms.SeedLag)
 	slices.Reverse(seeds)
@@ -147,8 +149,9 @@
 	}
 }
 
-// replaceCore removes one machine of the core for good and adds an empty one at another address:
-// before the removal if the fault is planned, otherwise after it.
+// replaceCore removes one machine of the core permanently and adds an empty machine at another
+// address. It adds the empty machine before the removal if the fault has the option "planned",
+// otherwise after the removal.
 func (day *Day) replaceCore(_ context.Context, fault Fault) {
 	release := day.reserveCoreLoss(true)
 	defer release()
@@ -175,7 +178,8 @@
 }
 
 // restartAfterAck kills the machine that acknowledged a change right after the acknowledgement, and
-// starts it again, with an empty disk if the kind of the fault ends with "wipe".
+// starts it again, with an empty disk if the kind of the fault ends with "wipe". If no change is
+// acknowledged, it takes the first machine of the core.
 func (day *Day) restartAfterAck(_ context.Context, fault Fault) {
 	release := day.reserveCoreLoss(true)
 	defer release()
@@ -200,20 +204,21 @@
 }
 
 // killAll kills all processes at the same time and starts all machines again.
-func (day *Day) killAll(down time.Duration) { day.restartAll(day.all(), down) }
+func (day *Day) killAll(downtime time.Duration) { day.restartAll(day.all(), downtime) }
 
 // killAllWipeOne kills all processes at the same time, empties the disk of one random core machine,
 // and starts all machines again.
-func (day *Day) killAllWipeOne(down time.Duration) {
+func (day *Day) killAllWipeOne(downtime time.Duration) {
 	wiped := day.coreMachines()[day.random.IntN(len(day.coreMachines()))]
 	var killing sync.WaitGroup
 	for _, machine := range day.all() {
-		killing.Go(func() { day.restartMachine(machine, down, machine == wiped) })
+		killing.Go(func() { day.restartMachine(machine, downtime, machine == wiped) })
 	}
 	killing.Wait()
 }
 
-// loseZone kills a zone's machines and servers for a while.
+// loseZone kills a zone's machines and servers. After the duration of the fault it starts the machines
+// again, and starts new servers at other addresses.
 func (day *Day) loseZone(lifetime context.Context, fault Fault) {
 	release := day.reserveCoreLoss(true)
 	defer release()
--- a/internal/testbed/replay/faults_servers.go
+++ b/internal/testbed/replay/faults_servers.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// misbehaveFor makes a share of the servers misbehave for the duration of the fault.
-func (day *Day) misbehaveFor(lifetime context.Context, fault Fault, share float64, begin func(m *misbehaviour)) {
+// misbehaveFor makes a share of the servers misbehave, as set specifies, for the duration of the fault.
+func (day *Day) misbehaveFor(lifetime context.Context, fault Fault, share float64, set func(m *misbehaviour)) {
 	servers := day.drawServers(fault, share)
 	for _, server := range servers {
-		server.setMisbehaviour(begin)
+		server.setMisbehaviour(set)
 	}
 	sleep(lifetime, fault.duration())
 	for _, server := range servers {
@@ -19,9 +19,9 @@
 	}
 }
 
-// crashServers crashes servers and starts them again cold. With the option "gone", a server of
-// another service starts at the address instead. With the option "dark", the servers do not crash
-// and are silent for a while.
+// crashServers crashes servers and starts new ones cold in their place. With the option "gone", a
+// server of another service starts at the address of each crashed server instead. With the option
+// "dark", the servers do not crash but are silent for the duration of the fault.
 func (day *Day) crashServers(lifetime context.Context, fault Fault) {
 	if fault.hasOption("dark") {
 		day.misbehaveFor(lifetime, fault, 0.15, func(m *misbehaviour) { m.silent = true })
@@ -123,8 +123,8 @@
 	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) { m.lostShare = fault.factorOr(0.03) })
 }
 
-// corruptAnswers makes servers corrupt a share of their responses. With the option "extra", some of
-// them are duplicates.
+// corruptAnswers makes servers corrupt a share of their responses. With the option "extra", half of
+// these responses are complete, but are sent again in place of the next response.
 func (day *Day) corruptAnswers(lifetime context.Context, fault Fault) {
 	day.misbehaveFor(lifetime, fault, 0.5, func(m *misbehaviour) {
 		m.corruptShare, m.duplicates = fault.factorOr(0.02), fault.hasOption("extra")
--- a/internal/testbed/replay/passthrough_test.go
+++ b/internal/testbed/replay/passthrough_test.go
@@ -65,7 +65,7 @@
 	<-ended
 }
 
-// readList reads the list of servers again and again.
+// readList reads the list of servers, with a pause of 500 ms after each read.
 func (p *passThrough) readList() {
 	for {
 		var all []serverEntry
@@ -94,10 +94,11 @@
 	}
 }
 
-// replace replaces the configuration if the request is based on the current revision.
+// replace replaces the configuration if the request is based on the current revision. It also accepts
+// a request that repeats the current configuration.
 func (p *passThrough) replace(writer http.ResponseWriter, inbound *http.Request) {
 	body, _ := io.ReadAll(inbound.Body)
-	var page map[string]any
+	var proposed map[string]any
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	current := 0.0
@@ -105,13 +106,13 @@
 		current, _ = p.current["revision"].(float64)
 	}
 	switch {
-	case json.Unmarshal(body, &page) != nil:
+	case json.Unmarshal(body, &proposed) != nil:
 		writer.WriteHeader(http.StatusBadRequest)
-	case reflect.DeepEqual(page, p.current):
+	case reflect.DeepEqual(proposed, p.current):
 	case inbound.Header.Get(headerBaseRevision) != strconv.Itoa(int(current)):
 		writer.WriteHeader(http.StatusPreconditionFailed)
 	default:
-		p.current, p.text = page, body
+		p.current, p.text = proposed, body
 	}
 }
 
@@ -127,9 +128,9 @@
 			continue
 		}
 		var candidates []serverEntry
-		for _, page := range p.servers {
-			if page.Backend == fields["backend"] && page.Phase != phasePrefill && page.State == stateServing {
-				candidates = append(candidates, page)
+		for _, listed := range p.servers {
+			if listed.Backend == fields["backend"] && listed.Phase != phasePrefill && listed.State == stateServing {
+				candidates = append(candidates, listed)
 			}
 		}
 		if len(candidates) == 0 {
--- a/internal/testbed/replay/role.go
+++ b/internal/testbed/replay/role.go
@@ -13,9 +13,10 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// Role is a program of the deploy file and the machines that it runs on. On is the machines' class.
-// In each zone the program runs on Count machines, or on the share Share of the machines if it is
-// positive. Serves are the functions that it serves to callers outside.
+// Role is a program of the deploy file and the machines that it runs on. On is the class of these
+// machines. In each zone the program runs on Count machines, or on the fraction Share of the zone's
+// machines if Share is positive; runsOn describes which machines these are. Serves lists the functions
+// that the program serves to callers outside.
 type Role struct {
 	Name   string   `toml:"-"`
 	Run    string   `toml:"run"`
