--- a/internal/testbed/fleet/day.go
+++ b/internal/testbed/fleet/day.go
@@ -24,7 +24,7 @@
 	Short  float64
 	random *rand.Rand
 	log    io.Writer
-	// revision is the revision number that was taken last.
+	// revision is the number that takeRevision returned last.
 	revision int
 	mutex    sync.Mutex
 }
@@ -51,7 +51,7 @@
 }
 
 // NextRevision reads the configuration at a random controller and replaces its revision by
-// the next one. It reports whether that was accepted.
+// the next one. It reports whether the change was accepted.
 func (d *Day) NextRevision() bool {
 	node := d.anyController()
 	if node == nil {
--- a/internal/testbed/fleet/operators.go
+++ b/internal/testbed/fleet/operators.go
@@ -96,8 +96,8 @@
 		return answer, -1
 	}
 	revision := RevisionOf(answer.Configuration)
-	// The checkers subtract Took from At, because a read must show only the changes that were
-	// accepted before it was sent.
+	// The checkers subtract Took from At, because a read must show the changes that were accepted
+	// before the read was sent; it need not show later ones.
 	o.fleet.Events.Append(Entry{
 		Kind:     RevisionRead,
 		At:       time.Now(),
@@ -127,7 +127,7 @@
 	return oldest
 }
 
-// Evacuate evacuates a zone and reports whether that was accepted. It records the request
+// Evacuate evacuates a zone and reports whether the order was accepted. It records the order
 // and the acceptance.
 func (o *Operators) Evacuate(node *NodeProcess, zone string) bool {
 	o.fleet.Events.Append(Entry{Kind: EvacuationAsked, Zone: zone})
@@ -139,7 +139,7 @@
 	return false
 }
 
-// Restore lifts an evacuation and reports whether that was accepted. It records the request
+// Restore ends an evacuation and reports whether the order was accepted. It records the order
 // but not the acceptance, because the change may take effect before the controller answers.
 func (o *Operators) Restore(node *NodeProcess, zone string) bool {
 	o.fleet.Events.Append(Entry{Kind: RestoreAsked, Zone: zone})
--- a/internal/testbed/fleet/upgrade_test.go
+++ b/internal/testbed/fleet/upgrade_test.go
@@ -126,6 +126,7 @@
 	}) {
 		t.Fatal("the stopped member could not be retired")
 	}
+	// A retired member no longer counts. The checker treats it as a member that supports all flags.
 	fleet.recordMember(newcomer, newFlags...)
 	allFlags := len(features.Supported(nil))
 	if !Await(15*time.Second, func() bool { return enabledFlags(fleet) == allFlags }) {
@@ -147,7 +148,7 @@
 		if reply := clients.Send(lifetime, last.Node.Address, request, entry); reply.Final == "complete" {
 			complete++
 		} else {
-			t.Logf("restricted: %s %s", reply.Final, reply.Cause)
+			t.Logf("request to the restricted router: %s %s", reply.Final, reply.Cause)
 		}
 	}
 	if complete < 8 {
