--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -31,7 +31,7 @@
 // Unlimited reports whether there is no limit.
 func (l RateLimit) Unlimited() bool { return l.PerSecond <= 0 }
 
-// tenants checks the tenants. If the field is present, even as an empty object, calls need a key: removing
+// tenants reads and checks the tenants. If the field is present, even as an empty object, calls need a key: removing
 // the last tenant must not admit calls without a key.
 func (c *checker) tenants(value *fastjson.Value, at pointer) {
 	c.configuration.Tenants = map[string]Tenant{}
@@ -41,8 +41,8 @@
 	})
 }
 
-// tenant checks one tenant. The map owners contains the name of the tenant for each key of the tenants
-// checked so far.
+// tenant reads and checks one tenant. The map owners contains each key that was read so far, with the name of
+// its tenant.
 func (c *checker) tenant(name string, owners map[string]string, value *fastjson.Value, at pointer) {
 	tenant := Tenant{Name: name, HeaderValue: name}
 	c.fields(value, at, func(field string, value *fastjson.Value, at pointer) bool {
@@ -68,8 +68,8 @@
 	c.configuration.Tenants[name] = tenant
 }
 
-// tenantKeys checks a tenant's keys. If two tenants have the same key, the error names the tenants but
-// not the key.
+// tenantKeys reads and checks a tenant's keys. A key that the tenant lists twice is kept once. If two tenants
+// have the same key, the error names the tenants but not the key.
 func (c *checker) tenantKeys(tenant *Tenant, owners map[string]string, value *fastjson.Value, at pointer) {
 	entries, err := value.Array()
 	if err != nil {
@@ -92,8 +92,8 @@
 	}
 }
 
-// headerValue checks a string that is used as the value of an HTTP header: it may contain neither control
-// characters nor leading or trailing spaces.
+// headerValue reads and checks a string that is used as the value of an HTTP header: 1 to maxTextBytes bytes,
+// without control characters and without leading or trailing spaces.
 func (c *checker) headerValue(target *string, value *fastjson.Value, at pointer) {
 	text, err := value.StringBytes()
 	if err != nil {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -95,8 +95,9 @@
 
 // fleetValidator collects the warnings about a valid configuration.
 type fleetValidator struct {
-	proposed    *Configuration
-	fleet       FleetState
+	proposed *Configuration
+	fleet    FleetState
+	// zones is the number of servers in each zone, without servers that are leaving.
 	zones       map[string]int
 	diagnostics []Diagnostic
 }
@@ -114,9 +115,11 @@
 	}
 }
 
-// routes warns about routes that are hidden by an earlier route, that name unknown zones or that have
-// no servers left.
+// routes warns about routes of requests that are hidden by an earlier route, that name unknown zones or
+// that have no servers left. It skips routes of opaque calls.
 func (v *fleetValidator) routes() {
+	// hiddenBy maps a service to the first route that matches all its requests; the empty string stands for all
+	// services.
 	hiddenBy := map[string]string{}
 	for _, route := range v.proposed.Routes {
 		if route.Calls != nil {
@@ -149,7 +152,8 @@
 	}
 }
 
-// serversLeft counts the servers in the target's zones that are not evacuated.
+// serversLeft counts the servers in those of the target's zones that the proposed configuration does not
+// evacuate. A target without zones means all zones.
 func (v *fleetValidator) serversLeft(target Target) int {
 	zones := target.Zones
 	if len(zones) == 0 {
@@ -164,20 +168,21 @@
 	return left
 }
 
-// capacity warns if the evacuations leave no server of a role (prefill or decode), or if more than
-// 80 percent of the remaining slots are occupied.
+// capacity warns if the evacuations leave no server of a role (prefill or decode), or if the requests that
+// run now, including those in evacuated zones, exceed 80 percent of the remaining slots. It counts only servers
+// that have reported their load and are not leaving.
 func (v *fleetValidator) capacity() {
-	roles, leftRoles := map[string]int{}, map[string]int{}
+	byRole, remainingByRole := map[string]int{}, map[string]int{}
 	active, slots, reported := 0, 0, 0
 	for _, server := range v.fleet.Servers {
 		if !server.Reported || server.Leaving {
 			continue
 		}
 		reported++
-		roles[server.Role]++
+		byRole[server.Role]++
 		active += server.Active
 		if !v.proposed.Evacuated(server.Zone) {
-			leftRoles[server.Role]++
+			remainingByRole[server.Role]++
 			slots += server.Slots
 		}
 	}
@@ -185,7 +190,7 @@
 		return
 	}
 	for _, role := range []string{"prefill", "decode"} {
-		if roles[role] > 0 && leftRoles[role] == 0 {
+		if byRole[role] > 0 && remainingByRole[role] == 0 {
 			v.warn(NoServersOfRole, "/evacuations", "no server with the role "+role+" is left until a server changes its role")
 		}
 	}
