--- a/internal/codec/order.go
+++ b/internal/codec/order.go
@@ -20,7 +20,7 @@
 // orderV1 is the order's first format.
 type orderV1 struct {
 	Server string `msgpack:"server"`
-	Part   string `msgpack:"part"`
+	Role   string `msgpack:"part"`
 }
 
 // DefaultGracePeriod is how long running work may continue after an order in the first format.
@@ -30,7 +30,7 @@
 // first format, and also the second one if OrderGracePeriod is enabled.
 func EncodeOrder(order Order, writer string, number uint64, enabled features.List) (Record, error) {
 	record := NewRecord(OrderRecord, order.Server, writer, number)
-	first := orderV1{Server: order.Server, Part: order.Role}
+	first := orderV1{Server: order.Server, Role: order.Role}
 	return record, record.putFormats(enabled,
 		format{"", "order", first},
 		format{features.OrderGracePeriod, "order_v2", order},
@@ -47,7 +47,7 @@
 		format{"", "order", &first},
 	)
 	if key == "order" {
-		order = Order{Server: first.Server, Role: first.Part, GracePeriod: DefaultGracePeriod}
+		order = Order{Server: first.Server, Role: first.Role, GracePeriod: DefaultGracePeriod}
 	}
 	return order, err
 }
