--- a/internal/adapters/proxy/clientconnection_test.go
+++ b/internal/adapters/proxy/clientconnection_test.go
@@ -13,7 +13,7 @@
 // timed out.
 type connectionModel struct {
 	connection clientConnState
-	// servingStep and closingStep are the next step of each goroutine.
+	// servingStep and closingStep are the numbers of the next step of each goroutine.
 	servingStep, closingStep int
 	// timedOut is the result of the closing goroutine's first step: the connection is to be closed.
 	timedOut bool
--- a/internal/adapters/proxy/headers.go
+++ b/internal/adapters/proxy/headers.go
@@ -46,8 +46,8 @@
 	return false
 }
 
-// The limits on the values in a call's headers: a longer list of segments counts as malformed, and a higher
-// count is reduced to maxTokenCount.
+// The limits on the values in a call's headers: a list of more than maxSegments segments counts as malformed, and a
+// count above maxTokenCount is reduced to it.
 const (
 	maxSegments   = 64
 	maxTokenCount = 1 << 30
--- a/internal/adapters/proxy/pool_test.go
+++ b/internal/adapters/proxy/pool_test.go
@@ -46,7 +46,7 @@
 }
 
 // TestConnectionClosedByItsServerIsNotReused has a server that closes each connection after its response without a
-// Connection: close header: every call must still reach the server exactly once.
+// Connection: close header. Every call must reach the server exactly once, even if its result is TimedOut.
 func TestConnectionClosedByItsServerIsNotReused(t *testing.T) {
 	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
 		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x"))
@@ -94,8 +94,8 @@
 					connection.writeText(responseText(200, id, "mine"))
 					return true
 				}
-				// In the case "a late response", the server sends a second response to the first call when the second
-				// call arrives.
+				// In the case "a late second response", the server sends a second response to the first call when the
+				// second call arrives.
 				if extra != "late" {
 					connection.writeText(responseText(200, id, "mine") + extra)
 					return true
@@ -113,7 +113,8 @@
 			got := router.send(t, "second", "body")
 			if got.status == 200 && string(got.body) != "mine" ||
 				got.status != 200 && (extra != "late" || executor.last().Result != scheduler.Malformed) {
-				t.Fatalf("second call: got %+v and outcome %+v, want its own response, or malformed after a late first response", got, executor.last())
+				t.Fatalf("second call: got %+v and outcome %+v, want its own response (or, after a late second response, result %s)",
+					got, executor.last(), scheduler.Malformed)
 			}
 			if got := router.send(t, "third", "body"); string(got.body) != "mine" {
 				t.Fatalf("third call: got %+v, want its own response", got)
@@ -122,8 +123,9 @@
 	}
 }
 
-// TestConnectionsToAnEarlierIncarnationAreDropped lists another server at the same address: the pool must drop its
-// connections to the earlier one, and must not keep any that a call to the earlier one opens afterwards.
+// TestConnectionsToAnEarlierIncarnationAreDropped replaces a server in the list by another one at the same address. The
+// pool must close its idle connections to the earlier server, and must not keep a connection that a later call to the
+// earlier server opens.
 func TestConnectionsToAnEarlierIncarnationAreDropped(t *testing.T) {
 	server := newFakeServer(t, func(connection *serverConnection, inbound *http.Request) bool {
 		connection.writeText(responseText(200, inbound.Header.Get("Seamloom-Call"), "x", "Keep-Alive: timeout=9"))
@@ -145,8 +147,9 @@
 	}
 }
 
-// TestEndReportsWhetherBytesWereWritten guards against both errors of end: a call that may have been sent would be
-// retried, or a call that was certainly not sent would be reported as possibly run.
+// TestEndReportsWhetherBytesWereWritten guards against both wrong results of end. If end misses written bytes, a call
+// that may have been sent is retried. If end reports bytes that were not written, a call that was certainly not sent is
+// reported as possibly run.
 func TestEndReportsWhetherBytesWereWritten(t *testing.T) {
 	server := newFakeServer(t, func(*serverConnection, *http.Request) bool { return false })
 	pool := NewPool(nil)
--- a/internal/adapters/proxy/streaming.go
+++ b/internal/adapters/proxy/streaming.go
@@ -58,9 +58,10 @@
 // it has arrived. A resumed stream skips the events that the client already has.
 func (d *dispatch) forwardEvents(route *config.CallRoute, onFirstChunk func()) {
 	e, response := d.exchange, d.response
-	// If an earlier dispatch of the call has forwarded the head, this stream resumes the earlier one.
+	// If an earlier dispatch of the call has forwarded the head, this stream resumes the stream of that dispatch.
 	resumed := e.headSent.Load()
-	// The stream may be resumed at another server: the first server's Content-Length is then wrong.
+	// The stream may be resumed at another server, and the client would then get another number of bytes than the
+	// first server's Content-Length.
 	response.ContentLength = -1
 	delete(response.Header, "Content-Length")
 	flusher := http.NewResponseController(e.writer)
@@ -140,8 +141,9 @@
 	}
 }
 
-// failStream ends a dispatch whose successful response was interrupted. If nothing was forwarded to
-// the client yet, the result is TimedOut.
+// failStream ends a dispatch whose event stream was interrupted or contains an event larger than
+// maxEventBytes. The result is Interrupted if the head was already forwarded to the client, and TimedOut
+// otherwise.
 func (d *dispatch) failStream() {
 	if d.exchange.headSent.Load() {
 		d.fail(scheduler.Interrupted)
