--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -176,7 +176,8 @@
 	return exitFine, result
 }
 
-// read decodes the response of the first controller that returns status 200 with valid JSON into target.
+// read sends a GET request to the controllers in order until one responds with status 200 and valid JSON, and
+// decodes that response into target.
 func (c *checker) read(path string, target any) error {
 	var lastErr error = failure.New(failure.Unreachable, "no controller address was given")
 	for _, address := range c.addresses {
@@ -224,12 +225,12 @@
 	var polls sync.WaitGroup
 	for position, server := range fleet.Servers {
 		polls.Go(func() {
-			known := config.ServerState{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
+			state := config.ServerState{Name: server.Name, Zone: server.Zone, Leaving: server.Leaving}
 			if load, err := modelServers.Load(ctx, server.Address); err == nil {
-				known.Reported, known.Role, known.Active, known.Slots = true, string(load.Role), load.DecodeActive, load.DecodeSlots
-				known.Leaving = known.Leaving || load.Leaving
+				state.Reported, state.Role, state.Active, state.Slots = true, string(load.Role), load.DecodeActive, load.DecodeSlots
+				state.Leaving = state.Leaving || load.Leaving
 			}
-			fleetState.Servers[position] = known
+			fleetState.Servers[position] = state
 		})
 	}
 	polls.Wait()
--- a/internal/adapters/daemon/memory.go
+++ b/internal/adapters/daemon/memory.go
@@ -16,8 +16,9 @@
 const gcPercent = 300
 
 // ReduceGCFrequency makes the garbage collector run about a third as often as by default, because the live heap
-// of a primary is small compared with the many short-lived responses that it allocates. Megabytes is the limit
-// that was passed to LimitMemory: a process without a limit keeps the default, so that its heap does not grow.
+// of a primary is small compared with the many short-lived responses that it allocates. The parameter is the
+// limit that was passed to LimitMemory. A process without a limit (zero) keeps the default, because nothing would
+// stop its heap from growing to four times its live data.
 func ReduceGCFrequency(megabytes int) {
 	if megabytes > 0 {
 		debug.SetGCPercent(gcPercent)
--- a/internal/adapters/router/api.go
+++ b/internal/adapters/router/api.go
@@ -150,8 +150,10 @@
 	}
 }
 
-// writeQuotaMetrics writes the number of requests for tokens that were sent to witnesses, the total number of
-// tenants in these requests, and, for each tenant with a limit, the number of claims to a token by result.
+// writeQuotaMetrics writes how many requests for tokens were sent to witnesses, how many tenants these requests
+// contained in total, and, for each tenant with a limit, the fields of quota.Counts: how many of its calls took a
+// token that the router already had, took a token after a request, were denied a token, or were cancelled because no
+// quorum responded in time.
 func writeQuotaMetrics(target io.Writer, quotas *dataplane.Quotas) {
 	requests, tenants := quotas.Traffic()
 	_, _ = fmt.Fprintf(target, "seamloom_quota_requests_total %d\nseamloom_quota_wants_total %d\n", requests, tenants)
