--- a/internal/adapters/proxy/pool.go
+++ b/internal/adapters/proxy/pool.go
@@ -66,7 +66,7 @@
 	http        *http.ClientConn
 }
 
-// trackedConnKey is the context key of the trackedConn that the dialer fills.
+// trackedConnKey is the context key of the trackedConn whose embedded Conn the dialer sets.
 type trackedConnKey struct{}
 
 // NewPool returns an empty pool. AddressOverrides maps addresses of servers to the addresses that
