--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -71,9 +71,9 @@
 	return c.dispatch(kind, best)
 }
 
-// tooLate reports whether a call would not begin before its deadline because slots are short: less
-// than minFreeShare of the slots of all servers are free, or the best server has at least
-// minFreeShare times as many calls as slots.
+// tooLate reports whether the answer to a call is expected to begin after the call's deadline while
+// slots are scarce: less than minFreeShare of all slots are free, or the calls at the best server
+// take up at least minFreeShare of its slots.
 func (c *cycle) tooLate(best candidate) bool {
 	if fromMilliseconds(best.latency) <= c.state.deadline.Sub(c.now) {
 		return false
@@ -81,35 +81,40 @@
 	return c.freeShare < minFreeShare || c.callsAt(best.backend) >= minFreeShare*c.slots(best.backend)
 }
 
-// After how long the origin of a refused call may retry it, and when calls are refused.
+// Parameters of refusals: after how long the origin may send a refused call again, and when slots count
+// as scarce.
 const (
-	// retryAfterSoon is used where another router or another attempt may succeed at once.
+	// retryAfterSoon is the delay if another router or another attempt may succeed at once.
 	retryAfterSoon = 100 * time.Millisecond
-	// retryAfterUnready is used where this router has no configuration or no servers yet.
+	// retryAfterUnready is the delay if this router has no configuration or no servers yet.
 	retryAfterUnready = 1200 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the wait for a free slot.
+	// minRetryAfter and maxRetryAfter bound the estimated wait for a free slot.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// minFreeShare is the share of free slots below which a call may be refused for being late.
+	// minFreeShare is the share of free slots below which slots count as scarce (see tooLate). The
+	// same share applies to the slots in use at the best server.
 	minFreeShare = 0.5
 )
 
-// refusal returns a decision to refuse a call. An origin waits at most a third of the time that
-// is left for its call, so the origin is told to retry within that third.
-func refusal(cause Cause, after, left time.Duration) Decision {
+// refusal returns a decision to refuse a call, which the origin may send again after the delay. An
+// origin waits at most a third of the time that is left for its call, so the delay is reduced to that
+// third if it is longer.
+func refusal(cause Cause, delay, left time.Duration) Decision {
 	if left > 0 {
-		after = min(after, left/3)
+		delay = min(delay, left/3)
 	}
-	return Decision{Kind: Refuse, Cause: cause, RetryAfter: after}
+	return Decision{Kind: Refuse, Cause: cause, RetryAfter: delay}
 }
 
-// retryAfter estimates after how long a slot is free.
+// retryAfter estimates the time until a slot is free: half the latency of the best candidate or, if
+// there is none, half the mean duration of a run or the wait for a warming server, whichever is
+// shorter.
 func (c *cycle) retryAfter(best candidate, found bool) time.Duration {
-	after := milliseconds(c.serviceState.runDuration.mean()) / 2
+	wait := milliseconds(c.serviceState.runDuration.mean()) / 2
 	if found {
-		after = best.latency / 2
-	} else if c.warmingWait < after {
-		after = c.warmingWait
+		wait = best.latency / 2
+	} else if c.warmingWait < wait {
+		wait = c.warmingWait
 	}
-	return min(max(fromMilliseconds(after), minRetryAfter), maxRetryAfter)
+	return min(max(fromMilliseconds(wait), minRetryAfter), maxRetryAfter)
 }
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -30,27 +30,29 @@
 // it had used its share.
 type retryBudget struct {
 	mutex sync.Mutex
-	// since is when the budget was first used; slot is the number of the newest slot.
-	since time.Time
-	slot  int64
-	slots [budgetSlots]budgetSlot
+	// since is when the budget was first used; newestSlot is the number of the slot in use, counted
+	// from since.
+	since      time.Time
+	newestSlot int64
+	slots      [budgetSlots]budgetSlot
 	// reserved is the number of reserved retries, which calls in flight may need.
 	reserved int
 }
 
-// budgetSlot counts first and further dispatches in one part of the window.
-type budgetSlot struct{ first, further int }
+// budgetSlot counts the first dispatches and the retries in one part of the window.
+type budgetSlot struct{ first, retries int }
 
-// How the allowance is used.
+// Parameters of the budget.
 const (
-	// budgetSlots is the number of slots that are kept; a window is as long as all of them but one.
+	// budgetSlots is the number of slots that are kept. The window has the length of budgetSlots-1
+	// slots.
 	budgetSlots = 25
-	// ratioUsed and slackUsed are the shares of the ratio and of the slack that are used. The
+	// ratioUsed and slackUsed are the shares of the allowance's Ratio and Slack that are used. The
 	// margin covers slots that lie partly outside of the window, and routers that are not counted
 	// yet.
 	ratioUsed = 0.85
 	slackUsed = 0.6
-	// reservableShare is the share of the budget that may be reserved.
+	// reservableShare is the share of the budget up to which retries may be reserved (see reserve).
 	reservableShare = 0.5
 )
 
@@ -72,12 +74,13 @@
 	if r.used()+float64(count) > r.allowed(now, allowance, routers) {
 		return false
 	}
-	slot.further += count
+	slot.retries += count
 	return true
 }
 
-// reserve reserves a retry for a call that may need one. Only reservableShare of the budget can be
-// reserved; the rest is left for calls that do need a retry.
+// reserve reserves a retry for a call that may need one. It returns false if the retries that were
+// sent in the window or are reserved would exceed reservableShare of the budget; the rest is left
+// for calls that do need a retry.
 func (r *retryBudget) reserve(now time.Time, allowance RetryAllowance, routers int) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -93,7 +96,7 @@
 func (r *retryBudget) redeem(now time.Time, allowance RetryAllowance) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.advance(now, allowance).further++
+	r.advance(now, allowance).retries++
 	r.reserved--
 }
 
@@ -108,7 +111,7 @@
 func (r *retryBudget) used() float64 {
 	used := r.reserved
 	for _, slot := range r.slots {
-		used += slot.further
+		used += slot.retries
 	}
 	return float64(used)
 }
@@ -125,18 +128,19 @@
 	return allowance.Ratio*ratioUsed*float64(calls) + slack*grown
 }
 
-// advance moves on to the slot of the current time and clears the slots that have left the window.
+// advance returns the slot of the current time, and clears the slots that have left the window.
 func (r *retryBudget) advance(now time.Time, allowance RetryAllowance) *budgetSlot {
 	if r.since.IsZero() {
 		r.since = now
 	}
-	// A window is one slot shorter than all slots together, so that the slots always cover it.
+	// The window is one slot shorter than all slots together, so that the slots cover the whole
+	// window while the newest slot is only partly over.
 	length := allowance.Window / (budgetSlots - 1)
 	current := now.Sub(r.since).Nanoseconds() / length.Nanoseconds()
-	for steps := 0; r.slot < current && steps < budgetSlots; steps++ {
-		r.slot++
-		r.slots[r.slot%budgetSlots] = budgetSlot{}
+	for steps := 0; r.newestSlot < current && steps < budgetSlots; steps++ {
+		r.newestSlot++
+		r.slots[r.newestSlot%budgetSlots] = budgetSlot{}
 	}
-	r.slot = max(r.slot, current)
-	return &r.slots[r.slot%budgetSlots]
+	r.newestSlot = max(r.newestSlot, current)
+	return &r.slots[r.newestSlot%budgetSlots]
 }
