--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -28,23 +28,23 @@
 // scoreDirect scores a run at a server that reads the prompt itself; it returns false if the
 // server may not take the call. A decode server is assumed to read prompts at half the rate, and
 // meanwhile the tokens of its other calls stall. The cost of the stall is weights.stalledCall times
-// the square of the ratio of the stall to gapBudget, for each call there and for the new one.
+// the square of the ratio of the stall to gapBudget, for each call at the server and for the new call.
 func (c *cycle) scoreDirect(b *backend) (candidate, bool) {
 	if !c.hasCapacity(b, c.state.tokens()) {
 		return candidate{}, false
 	}
 	uncached, reread := c.uncachedTokens(b)
 	rate := c.prefillRate / b.latency.ratio(c.now)
-	busy := c.callsAt(b)
+	calls := c.callsAt(b)
 	cost := c.endpointPenalty(b) + c.tieBreak(b)
 	ahead := milliseconds(b.directPrefillLeft(c.now))
 	if b.decodesOnly() {
 		rate /= 2
 		relativeStall := (ahead + uncached/rate) * c.decodeSlowdown / c.gapBudget()
-		cost += relativeStall * relativeStall * c.weights.stalledCall * (1 + busy)
+		cost += relativeStall * relativeStall * c.weights.stalledCall * (1 + calls)
 	}
 	cost += c.weights.rereadPerThousand * reread / 1000
-	latency := c.firstEventLatency + ahead + uncached/rate + c.queueTime(b, busy) + c.memoryWait(b, c.state.tokens())
+	latency := c.firstEventLatency + ahead + uncached/rate + c.queueTime(b, calls) + c.memoryWait(b, c.state.tokens())
 	cost += latency
 	return candidate{backend: b, cost: cost, latency: latency, ownLatency: latency, uncached: int(uncached)}, true
 }
@@ -55,8 +55,8 @@
 	if !c.hasCapacity(b, c.state.tokens()) {
 		return candidate{}, false
 	}
-	busy := c.callsAt(b)
-	latency := c.firstEventLatency + c.queueTime(b, busy) + c.memoryWait(b, c.state.tokens())
+	calls := c.callsAt(b)
+	latency := c.firstEventLatency + c.queueTime(b, calls) + c.memoryWait(b, c.state.tokens())
 	cost := c.endpointPenalty(b) + c.tieBreak(b) + latency
 	if b.kvReceiveHealth.failures.Load() >= repeatedFailures && b.kvReceiveHealth.ejected(c.now, 0) {
 		cost += c.weights.unhealthy
@@ -88,7 +88,8 @@
 
 // transferCost returns the cost and the latency of a KV cache transfer between two servers. Between
 // zones the transfer takes twice as long, and transferPerThousand is multiplied by
-// crossZoneTransferFactor. An unknown prefill server counts as being in another zone.
+// crossZoneTransferFactor. An unknown prefill server counts as being in another zone. Both results
+// include expectedTransferDelay.
 func (c *cycle) transferCost(prefillServer, decodeServer *backend) (cost, latency float64) {
 	near := prefillServer != nil && prefillServer.server.Zone == decodeServer.server.Zone
 	thousands := float64(c.state.call.PromptTokens) / 1000
@@ -141,8 +142,9 @@
 	return cost
 }
 
-// stalledFor returns for how many milliseconds beyond maxHealthyStall and the expected time a server
-// has completed no prefill or, if first events are reported, begun no answer.
+// stalledFor returns for how many milliseconds longer than allowed a server has completed no prefill
+// or, if first events are reported, begun no answer. Allowed are maxHealthyStall and, for a prefill,
+// twice the expected duration of the prefills in flight or, for an answer, its expected time.
 func (c *cycle) stalledFor(b *backend) float64 {
 	over := b.prefillProgress.stalledFor(c.now) - 2*float64(b.prefillTokens.Load())/c.prefillRate - maxHealthyStall
 	if c.scheduler.reportsFirstEvents.Load() {
@@ -154,16 +156,16 @@
 
 // queueTime returns the expected wait for a slot, in milliseconds, at a server with the given number
 // of calls.
-func (c *cycle) queueTime(b *backend, busy float64) float64 {
+func (c *cycle) queueTime(b *backend, calls float64) float64 {
 	slots := c.slots(b)
-	if busy < slots {
+	if calls < slots {
 		return 0
 	}
-	return (busy - slots + 1) / slots * milliseconds(c.serviceState.runDuration.mean())
+	return (calls - slots + 1) / slots * milliseconds(c.serviceState.runDuration.mean())
 }
 
 // memoryWait returns the expected wait for KV cache memory, in milliseconds, of a call with the given
-// number of tokens.
+// number of tokens: the mean duration of a run if the memory doesn't suffice now, otherwise zero.
 func (c *cycle) memoryWait(b *backend, tokens int) float64 {
 	total := c.memoryTotal(b)
 	if total == 0 {
--- a/internal/scheduler/warming.go
+++ b/internal/scheduler/warming.go
@@ -8,8 +8,8 @@
 )
 
 // A server counts as warming for longer than the server list states: for warmMargin, since the list
-// may state an end that is too early, and for up to warmSpread more. The latter differs between
-// routers, so that not all of them begin to send calls to the server at once.
+// may state an end that is too early, and for up to warmSpread more. This second part differs between
+// routers, so that the routers do not all lift their rate limits for the server at the same time.
 const (
 	warmMargin = 600 * time.Millisecond
 	warmSpread = 900 * time.Millisecond
@@ -25,8 +25,8 @@
 const minWarmingAfterReturn = 1600 * time.Millisecond
 
 // warmingAfterReturn returns how long the servers of a service count as warming after the evacuation of
-// their zone has ended: their slow start may have begun shortly before, and the list may not show
-// it before it is over.
+// their zone has ended: a server's slow start may have begun shortly before that, and may be over
+// before the server list shows it.
 func (rt *RouteTable) warmingAfterReturn(service string) time.Duration {
 	duration := minWarmingAfterReturn
 	if found, known := rt.services[service]; known {
@@ -76,8 +76,8 @@
 
 // How the configured rate of calls to a warming server is shared among the routers.
 const (
-	// fewRouters is the maximum number of routers that share the rate equally. If there are more,
-	// only some of them send, by warmingShares.
+	// fewRouters is the maximum number of routers that share the rate equally. If there are more
+	// routers, only some of them send to a given server (see warmingShares).
 	fewRouters = 6
 	// warmingShare is the share of the configured rate that is used.
 	warmingShare = 0.8
@@ -118,9 +118,9 @@
 //	senders * burst < (p/burst + 1) * burst = p + burst
 //
 // Routers may have different lists of routers. Let d be the number of routers that are in some
-// lists but not in all. A router that is in all lists is a sender by one of them only if it is among
-// the first routers that are in all lists, since removing the d others can only improve its rank.
-// Hence there are at most d additional senders, and all senders together send
+// lists but not in all. A router that is in all lists is a sender by one of them only if its rank among
+// the routers that are in all lists is below senders, since removing the d others can only improve its
+// rank. Hence there are at most d additional senders, and all senders together send
 //
 //	(senders + d) * burst < p + burst * (1 + d)
 //
@@ -138,7 +138,7 @@
 	// names are sorted; keys are the hashes of the names for rendezvous hashing, in the same order.
 	names []string
 	keys  []uint64
-	// own is the position of this router; negative if it is not recorded.
+	// own is the position of this router in names; negative if this router is not recorded.
 	own int
 }
 
@@ -171,8 +171,8 @@
 	return list
 }
 
-// rank returns the number of routers that precede this one for a server, by rendezvous hashing. A router
-// that is not recorded comes last.
+// rank returns the number of routers that precede this router in the order of rendezvous hashing for a
+// server. A router that is not recorded comes last.
 func (l *routerList) rank(server uint64) int {
 	if l.own < 0 {
 		return math.MaxInt
@@ -193,7 +193,8 @@
 	rank    int
 }
 
-// warmingRank returns this router's rank for the server. It is computed once for each list of routers.
+// warmingRank returns this router's rank for the server. The rank is computed once for each list of
+// routers.
 func (b *backend) warmingRank(routers *routerList) int {
 	known := b.rank.Load()
 	if known == nil || known.routers != routers {
@@ -204,11 +205,12 @@
 }
 
 // rateLimit is a token bucket of size one that is empty at the start. It limits the rate of calls
-// to a warming server. level is the number of tokens at the time of the last update, which is at.
+// to a warming server.
 type rateLimit struct {
 	mutex sync.Mutex
-	level float64
-	at    time.Time
+	// tokens is the number of tokens at the last update; updatedAt is the time of that update.
+	tokens    float64
+	updatedAt time.Time
 }
 
 // ready reports whether a call may be sent now, at the given rate per second. It does not count the
@@ -217,7 +219,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.fill(now, rate)
-	return r.level >= 1
+	return r.tokens >= 1
 }
 
 // take counts a call if it may be sent now, and reports whether it may.
@@ -225,20 +227,20 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.fill(now, rate)
-	if r.level < 1 {
+	if r.tokens < 1 {
 		return false
 	}
-	r.level--
+	r.tokens--
 	return true
 }
 
 // fill adds the tokens for the time since the last update.
 func (r *rateLimit) fill(now time.Time, rate float64) {
 	switch {
-	case r.at.IsZero():
-		r.at = now
-	case now.After(r.at):
-		r.level = min(1, r.level+now.Sub(r.at).Seconds()*rate)
-		r.at = now
+	case r.updatedAt.IsZero():
+		r.updatedAt = now
+	case now.After(r.updatedAt):
+		r.tokens = min(1, r.tokens+now.Sub(r.updatedAt).Seconds()*rate)
+		r.updatedAt = now
 	}
 }
