--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -41,7 +41,7 @@
 	// warmingWait is the time in milliseconds after which a warming server can take a call;
 	// infinite if no server was excluded because of its rate limit.
 	warmingWait float64
-	// excludeWarming excludes warming servers, after another thread has used up the rate limit of
+	// excludeWarming excludes warming servers, after another goroutine has used up the rate limit of
 	// the picked server.
 	excludeWarming bool
 }
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// demand is the load of a service's servers: moving means with the time constant demandWindow.
+// demand holds the load of a service's servers: exponentially weighted moving means, and a decaying
+// sum, with the time constant demandWindow.
 type demand struct {
 	mutex sync.Mutex
 	// busy is the mean number of prefill servers that had a call when they reported; running is
@@ -22,10 +23,11 @@
 	transferFailedAt time.Time
 }
 
-// demandWindow is the time constant of the moving means.
+// demandWindow is the time constant of the values in demand. The means count as unknown if the last
+// report is older.
 const demandWindow = 3 * time.Second
 
-// decay returns the factor by which an earlier value still counts after the given time.
+// decay returns the weight, from 0 to 1, of a value of the given age.
 func decay(age time.Duration) float64 {
 	return math.Exp(-float64(max(0, age)) / float64(demandWindow))
 }
@@ -39,7 +41,7 @@
 }
 
 // directRate returns how many prompt tokens per second this router sends to decode servers without a
-// prefill, and whether a transfer failed within transferFailureSpan.
+// prefill, and whether a KV cache transfer failed within transferFailureSpan.
 func (d *demand) directRate(now time.Time) (tokens float64, failing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -55,7 +57,8 @@
 	d.transferFailedAt = now
 }
 
-// transferFailureSpan is how long after a failed transfer further ones are considered at risk.
+// transferFailureSpan is how long after a failed KV cache transfer further transfers are considered at
+// risk.
 const transferFailureSpan = 5 * time.Second
 
 // observe records the number of busy prefill servers and the number of calls at decode servers.
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -52,8 +52,8 @@
 }
 
 // startGenerate counts a run as in flight. If usesKV is set, the run uses the KV cache of the
-// call's prefill. Otherwise the server reads the prompt itself, and a KV cache that the call may
-// have is released.
+// call's prefill. Otherwise the server reads the prompt itself, and the KV cache of an earlier prefill
+// of the call, if there is one, is released.
 func (c *cycle) startGenerate(sent *dispatch, decision *Decision, usesKV bool) {
 	state, b := c.state, sent.backend
 	c.scheduler.uncountBacklog(state)
@@ -103,7 +103,8 @@
 	}
 }
 
-// finishProgress ends the wait for one piece of a server's work.
+// finishProgress ends the wait for one item of a server's work. If the server has responded, the item
+// counts as progress of the server.
 func finishProgress(p *progress, now time.Time, responded bool) {
 	if responded {
 		p.done(now)
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -12,7 +12,7 @@
 // The scheduler is a state machine. Its inputs are events, each with its time: Arrive,
 // BacklogReported, Began, Ended, and the Set methods for the configuration, servers, loads and
 // advice. Its output is a Decision. The scheduler does no I/O, reads no clock and draws no
-// random numbers, so that the same events from one thread give the same decisions.
+// random numbers, so that the same events from one goroutine give the same decisions.
 //
 // Each decision is one scheduling cycle: filter.go excludes servers, score.go gives the remaining
 // servers a cost in milliseconds, and pick.go selects the cheapest.
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -50,7 +50,8 @@
 }
 
 // prefillEnded handles the outcome of a prefill. A complete prefill leaves a KV cache for the
-// following run; a failed one counts as an attempt if the server was reached.
+// following run. A failed prefill counts as one attempt if the server was reached, and as none
+// otherwise, also if the attempt was already counted at its dispatch.
 func (s *Scheduler) prefillEnded(now time.Time, state *CallState, sent dispatch, outcome Outcome) Decision {
 	b := sent.backend
 	switch outcome.Result {
@@ -161,7 +162,8 @@
 	}
 	if sent.kind == Generate {
 		svc := s.serviceState(state.service.Name)
-		// The expected latency includes the estimate of the first-event latency, which is added back.
+		// The expected latency includes the present estimate of the first-event latency, which is
+		// added again to get a sample of the first-event latency.
 		svc.firstEvent.observe(milliseconds(took-sent.expected) + svc.firstEvent.median())
 	}
 	if sent.expected > 0 {
--- a/internal/scheduler/outliers.go
+++ b/internal/scheduler/outliers.go
@@ -16,8 +16,8 @@
 	adviceTTL = 3 * time.Second
 	// ownSuccessSpan is how long a success of this router overrides advice.
 	ownSuccessSpan = time.Second
-	// About one in routersPerTrial routers uses a given server on trial; routersPerTrial or fewer
-	// routers all use it.
+	// routersPerTrial is the number of routers up to which all routers use a server on trial. If
+	// there are more, about one in routersPerTrial uses a given server on trial.
 	routersPerTrial = 8
 )
 
@@ -49,8 +49,8 @@
 	return s.routerCount() <= routersPerTrial || rendezvousWeight(nameKey(s.options.Router), b.key)%routersPerTrial == 0
 }
 
-// outlier reports whether the server fails other routers' requests and has not served this
-// router successfully within ownSuccessSpan.
+// outlier reports whether valid advice says to avoid the server and no call of this router has
+// succeeded there within ownSuccessSpan.
 func (b *backend) outlier(now time.Time) bool {
 	return now.UnixNano() < b.outlierUntil.Load() && now.UnixNano()-b.health.succeeded.Load() > int64(ownSuccessSpan)
 }
--- a/internal/scheduler/pick.go
+++ b/internal/scheduler/pick.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// maxZones bounds the zones that are distinguished in the search for a decode server in the zone
-// of a prefill server; further zones share an index.
+// maxZones bounds the number of zones that have their own entry in the search for a decode server in
+// the zone of a prefill server. With more zones, some zones share an entry.
 const maxZones = 16
 
 // pickCheapest finds the dispatch with the lowest cost: a run at a server that reads the prompt
@@ -119,8 +119,9 @@
 	return Generate, best, best.backend != nil
 }
 
-// pickAdmitted repeats a pick until the rate limit of the picked server admits the call. The first
-// pick may fail for a warming server, since another thread may use up its rate limit meanwhile.
+// pickAdmitted calls pick and, if the picked server is warming, takes a token of the server's rate
+// limit. Another goroutine may have taken the token since the server was scored; pick is then
+// called again with all warming servers excluded.
 func (c *cycle) pickAdmitted(pick func() (DecisionKind, candidate, bool)) (DecisionKind, candidate, bool) {
 	for {
 		kind, best, found := pick()
--- a/internal/scheduler/routetable.go
+++ b/internal/scheduler/routetable.go
@@ -34,7 +34,7 @@
 type routeRule struct {
 	route *config.Route
 	calls *config.CallRoute
-	// shares are the services that share the route's calls; empty if the route refuses them.
+	// shares are the services that share the route's calls; empty if the route refuses calls.
 	shares []share
 	// total is the sum of the shares' weights.
 	total uint64
@@ -166,7 +166,7 @@
 	return strings.ToLower(host)
 }
 
-// later reports whether the route table has a later version than the other one, which may be nil.
+// later reports whether the route table has a later version than other. It is true if other is nil.
 func (rt *RouteTable) later(other *RouteTable) bool {
 	return other == nil || rt.epoch > other.epoch || rt.epoch == other.epoch && rt.number > other.number
 }
