--- a/internal/auction/dispatch.go
+++ b/internal/auction/dispatch.go
@@ -56,6 +56,7 @@
 		d.budget.RecordFirst()
 	} else {
 		cost := 1
+		// After a dispatched decode, the new run repeats both the prefill and the decode.
 		if entry.decodeDispatched {
 			cost = 2
 		}
--- a/internal/auction/market.go
+++ b/internal/auction/market.go
@@ -11,7 +11,7 @@
 
 // Market picks the pair of servers for a request. The price of a pair is the sum of three
 // estimated times: the prefill server's ask, the KV transfer between the two servers, and
-// the decode server's ask. Its methods may be called from several threads.
+// the decode server's ask. A Market is safe for concurrent use.
 type Market struct {
 	// mutex serializes replacements of the snapshot.
 	mutex       sync.Mutex
@@ -85,7 +85,7 @@
 }
 
 // hasRecentReport reports whether a server is still listed at the same address and has a recent
-// load report. A leaving server counts as well.
+// load report. The result does not depend on whether the server is leaving.
 func (m *Market) hasRecentReport(now time.Time, server membership.Server) bool {
 	state, found := m.snapshot.Load().byName[server.Name]
 	if !found || state.server.Address != server.Address {
@@ -94,7 +94,7 @@
 	return state.report.Load().recent(now)
 }
 
-// Avoid keeps new work away from a server for avoidPeriod. It is called after a fault of the server.
+// Avoid excludes a server from new work for avoidPeriod. It is called after a fault of the server.
 func (m *Market) Avoid(now time.Time, server string) {
 	if state, found := m.snapshot.Load().byName[server]; found {
 		state.avoidedUntil.Store(now.Add(avoidPeriod).UnixNano())
@@ -115,9 +115,9 @@
 // prefers this zone. Half of it is added to each KV transfer between zones.
 const zonePenalty = 30 * time.Millisecond
 
-// priceSpread is the largest relative increase of a price by a hash of the request and the
-// pair. It spreads requests over pairs of similar price, so that routers with the same
-// stale reports do not all send to one server.
+// priceSpread is the maximum share of a pair's price that is added to the price. The added share
+// depends on a hash of the request and the pair, so that requests are spread over pairs of
+// similar price, and routers with the same stale reports do not all send to one server.
 const priceSpread = 0.25
 
 // Choose finds the pair with the lowest price among the servers that allowed accepts and
--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestMarketIsSafeForConcurrentUse has several threads choose pairs, reserve and release
+// TestMarketIsSafeForConcurrentUse has several goroutines choose pairs, reserve and release
 // them while load reports and server lists are replaced. The race detector must find no
 // data race, and all reserved slots must be free at the end.
 func TestMarketIsSafeForConcurrentUse(t *testing.T) {
--- a/internal/backlog/table.go
+++ b/internal/backlog/table.go
@@ -30,7 +30,7 @@
 }
 
 // Apply adds a request's changes to the counts, makes the response, and then adds the request's
-// intent.
+// intent. The counts in the response therefore don't include the intent.
 func (t *Table) Apply(now time.Time, request Request) Response {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -13,8 +13,8 @@
 // Options are a router's settings and ports. If a field is optional, its comment states the
 // meaning of the zero value.
 type Options struct {
-	// ApplyWithin is how soon after its acknowledgement a change must be in force at this
-	// router; zero means the default.
+	// ApplyWithin is the maximum time from the acknowledgement of a change until the change is in
+	// force at this router; zero means the default.
 	ApplyWithin time.Duration
 	seamloom.Options
 	Address string
@@ -32,7 +32,8 @@
 	// core. If CallService is nil, the router serves no calls and does not follow load reports.
 	CallService func(callScheduler *scheduler.Scheduler) CallService
 	// ServeWithoutLease is how long the router continues to admit requests after its last
-	// lease has expired; with zero it does not, and accepts no provisional configuration.
+	// lease has expired. With zero, the router admits no requests without a lease and accepts no
+	// provisional configuration.
 	ServeWithoutLease time.Duration
 	// QuotaTolerance is how far the calls of a tenant may exceed its rate limit.
 	QuotaTolerance QuotaTolerance
