--- a/internal/dataplane/calls_test.go
+++ b/internal/dataplane/calls_test.go
@@ -195,7 +195,7 @@
 	}
 	calls.Shutdown(30*time.Millisecond, func() {})
 	if calls.Ready() || !calls.Draining() {
-		t.Fatal("the router is ready while it is leaving")
+		t.Fatal("after Shutdown, the router is still ready or is not draining")
 	}
 	exchange := &scriptedExchange{}
 	calls.Serve(newTestCall("/once/"), exchange)
--- a/internal/scheduler/history_test.go
+++ b/internal/scheduler/history_test.go
@@ -35,7 +35,7 @@
 	// completed prefills. runs is the number of runs that a server may have begun.
 	attempts, prefills, runs int
 	streamBegun              bool
-	// handles holds, by the handle of each KV cache, 1 until the cache is used or released, and 0 after that.
+	// handles maps the handle of each KV cache to 1 until the cache is used or released, and to 0 afterwards.
 	handles map[string]int
 	// decisionCount is the number of decisions on the call.
 	decisionCount int
@@ -69,7 +69,7 @@
 	h.configurationNumber++
 }
 
-// step lets some time pass and causes one random event.
+// step lets some time pass and causes at most one random event.
 func (h *history) step(number int) {
 	h.now = h.now.Add(time.Duration(h.random.IntN(30)) * time.Millisecond)
 	switch draw := h.random.IntN(100); {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -35,10 +35,11 @@
 	return configuration
 }
 
-// servers lists count servers in three zones, four in ten of them prefill servers.
+// servers returns count servers in three zones. Four of each ten servers are prefill servers.
 func servers(count int) []membership.Server { return serversWithPrefillShare(count, 4) }
 
-// serversWithPrefillShare lists count servers, the given tenths of them prefill servers.
+// serversWithPrefillShare returns count servers in three zones. The given tenths of the servers are prefill
+// servers.
 func serversWithPrefillShare(count, tenths int) []membership.Server {
 	zones := []string{"north", "south", "west"}
 	var list []membership.Server
@@ -56,8 +57,8 @@
 	return list
 }
 
-// serversWithPrefillPerZone lists count servers; the first ones of each zone, prefillServers of them, are
-// prefill servers.
+// serversWithPrefillPerZone returns count servers in three zones. The first prefillServers servers of each
+// zone are prefill servers.
 func serversWithPrefillPerZone(count, prefillServers int) []membership.Server {
 	list := serversWithPrefillShare(count, 0)
 	for position := range list {
