--- a/internal/auction/market_test.go
+++ b/internal/auction/market_test.go
@@ -70,10 +70,10 @@
 func TestMarketIsSafeForConcurrentUse(t *testing.T) {
 	market := newTestMarket(12)
 	var workers sync.WaitGroup
-	for thread := range 8 {
+	for worker := range 8 {
 		workers.Go(func() {
 			for number := range 400 {
-				request := &Request{ID: fmt.Sprintf("%d-%d", thread, number), PromptTokens: 100, Chunks: 5}
+				request := &Request{ID: fmt.Sprintf("%d-%d", worker, number), PromptTokens: 100, Chunks: 5}
 				bid, found := market.Choose(startTime, request, &RouteDecision{}, allowAll, nil)
 				if !found {
 					continue
--- a/internal/scheduler/rolebalancer_test.go
+++ b/internal/scheduler/rolebalancer_test.go
@@ -37,14 +37,8 @@
 }
 
 // advance lets time pass while each prefill server and each decode server reports the given number of running
-// calls.
+// calls. Servers that a test has removed from fixture.roles send no load reports.
 func (fixture *balancerFixture) advance(span time.Duration, callsPerPrefillServer, callsPerDecodeServer int) {
-	fixture.advanceReporting(span, callsPerPrefillServer, callsPerDecodeServer)
-}
-
-// advanceReporting does the same as advance. Servers that a test has removed from fixture.roles send no load
-// reports.
-func (fixture *balancerFixture) advanceReporting(span time.Duration, callsPerPrefillServer, callsPerDecodeServer int) {
 	for ends := fixture.now.Add(span); fixture.now.Before(ends); fixture.now = fixture.now.Add(100 * time.Millisecond) {
 		var loads []Load
 		for _, server := range servers(fixture.count) {
@@ -112,7 +106,7 @@
 		}
 	}
 	before := fixture.prefillServers()
-	fixture.advanceReporting(7*time.Second, 4, 20)
+	fixture.advance(7*time.Second, 4, 20)
 	if fixture.prefillServers() >= before {
 		t.Errorf("got %d prefill servers, and %d before, while one decode server is left, want fewer than before",
 			fixture.prefillServers(), before)
