--- a/internal/testbed/replay/drawn.go
+++ b/internal/testbed/replay/drawn.go
@@ -145,7 +145,7 @@
 )
 
 // DrawHardPlan draws a day with many simultaneous faults: rapid and conflicting configuration changes
-// from the start, several losses of core machines requested at the same time, a rolling restart
+// from the start, several losses of core machines requested lossGap apart, a rolling restart
 // during which all processes reload their settings, and three of the usual faults. The same seed
 // gives the same day.
 func DrawHardPlan(seed uint64) Plan {
--- a/internal/testbed/replay/faults.go
+++ b/internal/testbed/replay/faults.go
@@ -24,9 +24,9 @@
 	"hup": (*Day).reloadAll,
 }
 
-// closingFaults carry out the faults at the end of a day, by kind. They start the processes again
-// after the time down.
-var closingFaults = map[string]func(day *Day, down time.Duration){
+// closingFaults carry out the faults at the end of a day, by kind. They kill all processes and start
+// them again after the downtime.
+var closingFaults = map[string]func(day *Day, downtime time.Duration){
 	"kill_all": (*Day).killAll, "power_off_all": (*Day).killAll, "wipe_after_ack": (*Day).killAllWipeOne,
 }
 
--- a/internal/testbed/replay/faults_operators.go
+++ b/internal/testbed/replay/faults_operators.go
@@ -11,15 +11,16 @@
 )
 
 // change proposes a change of the given kind, based on the newest known revision, up to three times
-// until a proposal is acknowledged. It returns the result.
-func (day *Day) change(lifetime context.Context, how string) callResult {
+// until a proposal is acknowledged. It returns the acknowledgement, or an unclear outcome if there is
+// none.
+func (day *Day) change(lifetime context.Context, kind string) callResult {
 	operators := day.Operators
 	deadline, cancel := context.WithTimeout(lifetime, 4*day.Site.Terms.Acknowledge)
 	defer cancel()
 	for range 3 {
 		base := operators.newestKnown()
 		next := operators.draft(base)
-		day.alterDraft(&next, how)
+		day.alterDraft(&next, kind)
 		reply := operators.propose(deadline, base, next, next.Revision%2 == 0, false, nil)
 		if reply.outcome == acknowledged {
 			return reply
@@ -31,12 +32,12 @@
 
 // alterDraft applies a change of the given kind to a draft. By default it adds an idle route, and
 // removes an earlier one if there are many.
-func (day *Day) alterDraft(next *Version, how string) {
+func (day *Day) alterDraft(next *Version, kind string) {
 	class := day.Site.Classes[0]
 	busyRoute := "r-" + class.Name
 	busyRule := next.Routes[busyRoute]
 	number := strconv.Itoa(next.Revision)
-	switch how {
+	switch kind {
 	case "weights":
 		busyRule.Services = map[string]int{day.Site.Services[0].Name: 90, day.Site.Services[1].Name: 10}
 	case "route":
--- a/internal/testbed/replay/operators.go
+++ b/internal/testbed/replay/operators.go
@@ -21,12 +21,12 @@
 
 	mutex  sync.Mutex
 	random *rand.Rand
-	// sent and versions hold all valid versions that were sent, by revision; current is the newest
-	// version that is known to be in force.
-	sent       map[int]map[string]any
-	versions   map[int]Version
-	current    Version
-	lastNumber int
+	// versions holds all valid versions that were sent, sent the pages with their content, both by
+	// revision. current is the newest version that is known to be in force.
+	sent         map[int]map[string]any
+	versions     map[int]Version
+	current      Version
+	lastRevision int
 	// watched are the routes that probes use.
 	watched map[string]RouteRule
 }
@@ -68,9 +68,9 @@
 	node string
 }
 
-// call repeats the same call to random machines that serve the control plane until the outcome is
-// clear. Some statuses refuse the call at once; any other 4xx status except 408 and 429 counts as a
-// refusal when such a status comes for the third time.
+// call sends a call to random machines that serve the control plane, and repeats it until the outcome
+// is clear or the lifetime ends. A call counts as refused at once if the status is 400, 409, 412, 413
+// or 422, and after the third response with another 4xx status, except 408 and 429.
 func (o *Operators) call(lifetime context.Context, method, path string, header http.Header, body []byte) callResult {
 	delay, otherRefusals, ambiguous := 50*time.Millisecond, 0, false
 	for lifetime.Err() == nil {
@@ -124,15 +124,15 @@
 		return callResult{}, err
 	}
 	defer func() { _ = inbound.Body.Close() }()
-	read, err := io.ReadAll(inbound.Body)
+	content, err := io.ReadAll(inbound.Body)
 	if err != nil {
 		return callResult{}, err
 	}
-	return callResult{status: inbound.StatusCode, body: read, node: inbound.Request.URL.Host}, nil
+	return callResult{status: inbound.StatusCode, body: content, node: inbound.Request.URL.Host}, nil
 }
 
 // pickNode returns the address of a random machine that serves the control plane, from a list that
-// is a seed lag old. It returns an empty text if the list is empty.
+// is a seed lag old. It returns an empty string if the list is empty.
 func (o *Operators) pickNode() string {
 	nodes := o.day.controlAddresses(o.day.Site.Terms.SeedLag)
 	o.mutex.Lock()
@@ -154,8 +154,8 @@
 func (o *Operators) draft(base Version) Version {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.lastNumber = max(o.lastNumber, base.Revision) + 1 + o.random.IntN(3)
-	return base.Next(o.lastNumber)
+	o.lastRevision = max(o.lastRevision, base.Revision) + 1 + o.random.IntN(3)
+	return base.Next(o.lastRevision)
 }
 
 // watch adds a route to the routes that probes use.
@@ -176,10 +176,10 @@
 	return list
 }
 
-// propose sends the version next, based on the version base, and repeats that until the outcome is
-// clear. If asPatch is set, it sends only the difference. If invalidate is not nil, that function
-// returns the body to send. The argument invalid means that the version is invalid, so that it must
-// be refused.
+// propose sends the version next, which is based on the version base, and repeats the call until the
+// outcome is clear. If asPatch is set, propose sends only the difference. If invalidate is not nil,
+// propose sends the body that invalidate returns. The argument invalid means that the control plane
+// must refuse the change.
 func (o *Operators) propose(
 	lifetime context.Context,
 	base, next Version,
@@ -244,8 +244,8 @@
 	return page.Revision, reply.body, true
 }
 
-// resync reads which revision is in force. It is called after a change was refused or had an unclear
-// outcome.
+// resync reads which revision is in force and makes that version the current one, if the operators
+// sent it. It is called after a change was refused or had an unclear outcome.
 func (o *Operators) resync(lifetime context.Context) {
 	revision, _, received := o.read(lifetime)
 	o.mutex.Lock()
--- a/internal/testbed/replay/plan.go
+++ b/internal/testbed/replay/plan.go
@@ -27,9 +27,9 @@
 
 // Fault is one fault of a day, or one piece of planned work such as a rolling restart. At is when it
 // begins, For how long it lasts and Gap the pause between its steps, all in seconds. Share or Count
-// says how many machines or servers it affects, or Count how many changes it makes, and On whether
-// the machines are those of the core. The kind of the fault decides what Factor and the words in How
-// mean.
+// says how many machines or servers it affects. For faults that change the configuration, Count is the
+// number of changes, or of routes for big_config. On is "core" if the fault affects the machines of
+// the core. The kind of the fault decides what Factor and the words in How mean.
 type Fault struct {
 	Kind    string  `toml:"kind,omitempty"`
 	At      float64 `toml:"at,omitempty"`
@@ -82,45 +82,45 @@
 
 // Check returns an error that lists every mistake in a plan.
 func (p Plan) Check() (mistakes error) {
-	wrong := func(kind failure.Code, path, detail string) {
+	report := func(kind failure.Code, path, detail string) {
 		mistakes = multierr.Append(mistakes, failure.At(kind, path, detail))
 	}
 	if p.Length < 5 || p.Length > 600 {
-		wrong(failure.OutOfRange, "/length_s", "must be 5 to 600 seconds")
+		report(failure.OutOfRange, "/length_s", "must be 5 to 600 seconds")
 	}
 	if p.Rate < 0 || p.Rate > 500 {
-		wrong(failure.OutOfRange, "/per_s", "must be 0 to 500 requests per second")
+		report(failure.OutOfRange, "/per_s", "must be 0 to 500 requests per second")
 	}
 	for position, fault := range p.Faults {
 		path := fmt.Sprintf("/fault/%d/", position)
 		if _, found := faultActions[fault.Kind]; !found {
-			wrong(failure.NoSuch, path+"kind", "must be one of "+strings.Join(FaultKinds(), ", "))
+			report(failure.NoSuch, path+"kind", "must be one of "+strings.Join(FaultKinds(), ", "))
 		}
 		if fault.At < 0 || fault.At > p.Length {
-			wrong(failure.OutOfRange, path+"at", "must be within the length of the day")
+			report(failure.OutOfRange, path+"at", "must be within the length of the day")
 		}
 		if fault.For < 0 || fault.For > 600 {
-			wrong(failure.OutOfRange, path+"for_s", "must be 0 to 600 seconds")
+			report(failure.OutOfRange, path+"for_s", "must be 0 to 600 seconds")
 		}
 		if fault.Share < 0 || fault.Share > 1 {
-			wrong(failure.OutOfRange, path+"share", "must be 0 to 1")
+			report(failure.OutOfRange, path+"share", "must be 0 to 1")
 		}
 		if fault.Count < 0 || fault.Gap < 0 || fault.Factor < 0 {
-			wrong(failure.OutOfRange, path+"count", "count, gap_s and x must not be negative")
+			report(failure.OutOfRange, path+"count", "count, gap_s and x must not be negative")
 		}
 		if fault.On != "" && fault.On != "core" && fault.On != "front" {
-			wrong(failure.NoSuch, path+"on", "must be core or front")
+			report(failure.NoSuch, path+"on", "must be core or front")
 		}
 		if fault.Share > 0 && fault.Count > 0 {
-			wrong(failure.Contradictory, path+"count", "either share or count may be set, not both")
+			report(failure.Contradictory, path+"count", "either share or count may be set, not both")
 		}
 	}
 	if p.Closing != nil {
 		if _, found := closingFaults[p.Closing.Kind]; !found {
-			wrong(failure.NoSuch, "/closing/kind", "must be kill_all, power_off_all or wipe_after_ack")
+			report(failure.NoSuch, "/closing/kind", "must be kill_all, power_off_all or wipe_after_ack")
 		}
 		if p.Closing.Down < 0 || p.Closing.Down > 60 {
-			wrong(failure.OutOfRange, "/closing/down_s", "must be 0 to 60 seconds")
+			report(failure.OutOfRange, "/closing/down_s", "must be 0 to 60 seconds")
 		}
 	}
 	return mistakes
--- a/internal/testbed/replay/plan_test.go
+++ b/internal/testbed/replay/plan_test.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestDrawnPlansAreValidAndReproducible draws days and checks that each is valid, the same for the same seed, and the
-// same when parsed from its own text, and that the days together have every kind of fault.
+// TestDrawnPlansAreValidAndReproducible draws 60 days. It checks that each is valid, that drawing again
+// with the same seed and parsing the text of the day both give the same title, and that the days
+// together have every kind of fault.
 func TestDrawnPlansAreValidAndReproducible(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(60) {
--- a/internal/testbed/replay/terms.go
+++ b/internal/testbed/replay/terms.go
@@ -11,8 +11,8 @@
 	RetrySlack, ColdSlack                                                              int
 }
 
-// UsualTerms returns the limits of the users' small deployments. Times that would make a day long are
-// shorter.
+// UsualTerms returns the limits of the users' small deployments, with shorter times where the real
+// ones would make a day long.
 func UsualTerms() Terms {
 	return Terms{
 		SeedLag: 3 * time.Second, AddressReuse: 2 * time.Second, Contact: 3 * time.Second, Acknowledge: 4 * time.Second,
