--- a/internal/testbed/replay/directory.go
+++ b/internal/testbed/replay/directory.go
@@ -15,14 +15,14 @@
 	"seamloom.example/seamloom/internal/failure"
 )
 
-// snapshotInterval is the interval at which the directory records the servers, and listPageSize
-// the number of servers on one page of the list.
+// snapshotInterval is the interval at which the directory records the servers. listPageSize is the
+// largest number of servers on one page of the list.
 const (
 	snapshotInterval = 100 * time.Millisecond
 	listPageSize     = 4
 )
 
-// serverEntry is an entry of the list.
+// serverEntry is a server's entry in the platform's list.
 type serverEntry struct {
 	ID            string       `json:"id"`
 	Backend       string       `json:"backend"`
@@ -85,8 +85,8 @@
 // crashedListedFor is how long a crashed server stays on the list.
 const crashedListedFor = 2 * time.Second
 
-// snapshot records the current servers. A server that crashed, which is gone without having been
-// listed as draining, stays on the list for crashedListedFor.
+// snapshot records the current servers. A server that disappeared without having been listed as
+// draining counts as crashed, and stays on the list for crashedListedFor.
 func (d *Directory) snapshot(now time.Time) {
 	servers := d.pool.all()
 	entries := make([]serverEntry, 0, len(servers))
@@ -138,7 +138,7 @@
 	}
 	d.recentReads = append(d.recentReads, now)
 	overLimit := float64(len(d.recentReads)) > d.site.ListRate
-	seen := d.snapshots[0]
+	oldest := d.snapshots[0]
 	d.mutex.Unlock()
 	status := http.StatusOK
 	if overLimit {
@@ -152,7 +152,7 @@
 	zone, token := inbound.URL.Query().Get("zone"), inbound.URL.Query().Get("pageToken")
 	skipped, _ := strconv.Atoi(strings.TrimPrefix(token, "p-"))
 	entries := []serverEntry{}
-	for _, entry := range seen.servers {
+	for _, entry := range oldest.servers {
 		if zone == "" || entry.Zone == zone {
 			entries = append(entries, entry)
 		}
--- a/internal/testbed/replay/engine.go
+++ b/internal/testbed/replay/engine.go
@@ -11,23 +11,24 @@
 	// Slots, Queue and Connections are the largest numbers of running requests, of queued requests and
 	// of open connections.
 	Slots, Queue, Connections int
-	// Step is the fixed part of the length of a step, StepPerSlot what each decoding request adds.
+	// Step is the fixed part of the length of a step. Each decoding request adds StepPerSlot.
 	Step, StepPerSlot time.Duration
-	// TokensPerMillisecond is the speed of the prefill, Chunk the largest number of prompt tokens that
-	// one step prefills.
+	// TokensPerMillisecond is the speed of the prefill.
 	TokensPerMillisecond float64
-	// Capacity is the size of the memory, Block the unit in which it is allocated, both in tokens.
+	// Chunk is the largest number of prompt tokens that one step prefills. Capacity is the size of the
+	// memory, and Block the unit in which memory is allocated, both in tokens.
 	Chunk, Block, Capacity int
-	// A transfer of a KV cache takes TransferSetup and the time that the link needs for TokenBytes
-	// bytes per token, at LinkMegabits per second.
+	// A transfer of a KV cache takes TransferSetup plus the time that a link with LinkMegabits per
+	// second needs for TokenBytes bytes per token.
 	TokenBytes, LinkMegabits float64
 	TransferSetup            time.Duration
-	// PhaseSwitch is how long a change of the phase takes once no request is running.
+	// HandleLifetime is how long a handle to a KV cache is valid. PhaseSwitch is how long a change of
+	// the phase takes once no request is running.
 	HandleLifetime, PhaseSwitch time.Duration
-	// ReportLag is the usual age of a load report.
+	// ReportLag is the usual minimum age of a load report.
 	ReportLag time.Duration
-	// ColdStart is how long a new server is cold, ColdPerSecond the number of requests per second that
-	// its service allows meanwhile.
+	// ColdStart is how long a new server is cold. ColdPerSecond is the number of requests per second
+	// that its service allows while the server is cold.
 	ColdStart     time.Duration
 	ColdPerSecond float64
 	// ConnectionIdle is how long an idle connection stays open.
@@ -54,8 +55,9 @@
 	return &engine{config: config, cache: newPrefixCache(config.Capacity, config.Block)}
 }
 
-// submit reports whether it queued a request. It returns false if the queue is full or the memory is
-// too small for the request. If the queue is full, a more urgent request replaces the last one.
+// submit queues a request, and reports whether it did. It rejects a request that is larger than the
+// memory. If the queue is full, the request replaces the last queued request if that is less urgent
+// and has no token yet, and is rejected otherwise.
 func (e *engine) submit(req *engineRequest) bool {
 	needs := e.cache.roundUp(req.maxTokens)
 	for _, element := range req.chain {
@@ -100,8 +102,8 @@
 	req.state, req.endCause = workFinished, cause
 }
 
-// release frees a request's memory. Prompt parts that were not prefilled completely are removed
-// from the cache.
+// release frees a request's memory. If the prefill of the request was not complete, the prompt parts
+// that no other request uses are removed from the cache.
 func (e *engine) release(req *engineRequest) {
 	e.cache.unpin(req.pinned)
 	if req.state == workPrefilling {
@@ -114,7 +116,8 @@
 // busy reports whether the engine has requests.
 func (e *engine) busy() bool { return len(e.running)+len(e.queue) > 0 }
 
-// admit starts queued requests as long as there are free slots and memory.
+// admit starts queued requests as long as there are free slots and memory. It skips requests whose
+// KV cache transfer has not ended.
 func (e *engine) admit(now time.Time) {
 	for position := 0; position < len(e.queue) && len(e.running) < e.config.Slots; {
 		req := e.queue[position]
@@ -172,8 +175,8 @@
 	return length + time.Duration(decoding)*e.config.StepPerSlot, chunks
 }
 
-// finishStep completes a step: it generates tokens, and requests whose prompts are prefilled start
-// decoding. It returns the requests that progressed.
+// finishStep completes a step: it generates tokens, starts to decode requests whose prompts are
+// prefilled, and ends requests past their deadline. It returns the requests that progressed or ended.
 func (e *engine) finishStep(now time.Time, chunks map[*engineRequest]int) []*engineRequest {
 	var progressed []*engineRequest
 	for _, req := range slices.Clone(e.running) {
--- a/internal/testbed/replay/exchange.go
+++ b/internal/testbed/replay/exchange.go
@@ -81,7 +81,7 @@
 	case e.server.changingPhase:
 		return http.StatusServiceUnavailable
 	}
-	if _, fits := parseChain(e.header.Get(headerParts)); !fits {
+	if _, valid := parseChain(e.header.Get(headerParts)); !valid {
 		return http.StatusBadRequest
 	}
 	return 0
@@ -164,8 +164,9 @@
 	e.answerStream(writer)
 }
 
-// awaitTokens waits until more tokens than sent are generated, or the request ends. With more tokens
-// than a request can have, it waits for the end.
+// awaitTokens waits until more tokens than sent are generated, the request ends, the client
+// disconnects or the server stops. To wait only for the end, callers pass a number of tokens that no
+// request reaches.
 func (e *exchange) awaitTokens(sent int) (generated int, finished bool, cause string) {
 	server := e.server
 	server.mutex.Lock()
--- a/internal/testbed/replay/machine.go
+++ b/internal/testbed/replay/machine.go
@@ -34,7 +34,7 @@
 	// bootstrap is true from the first start of the whole system until the machine is restarted or
 	// gets other seeds.
 	bootstrap bool
-	// listedAt and unlistedAt are when the machine was added to the operators' list and removed.
+	// listedAt and unlistedAt are when the machine was added to the operators' list and removed from it.
 	listedAt, unlistedAt time.Time
 	removed              bool
 }
@@ -228,6 +228,7 @@
 type addressRange struct {
 	prefix   string
 	lastUsed atomic.Int32
+	// reserved is a listener in the range. It keeps other days from reserving the same range.
 	reserved net.Listener
 }
 
--- a/internal/testbed/replay/modelserver.go
+++ b/internal/testbed/replay/modelserver.go
@@ -55,7 +55,8 @@
 	earlierReport serverReport
 }
 
-// handle refers to the KV cache of a prefilled prompt until another server fetches the KV cache.
+// handle refers to the KV cache of a prefilled prompt until another server fetches the KV cache, or the
+// handle is freed or expires.
 type handle struct {
 	attemptID string
 	tokens    int
@@ -238,8 +239,8 @@
 }
 
 // delayedReport returns the report before the latest one, which is usually at least a report lag
-// old. The server makes a new report only when it is asked, at most once per lag. If it was not
-// asked for three lags, it returns a report of its present state.
+// old. The server makes a new report only when a caller asks for a report, at most once per lag. If it
+// made none for three lags, it returns a report of its present state.
 func (m *modelServer) delayedReport(now time.Time) serverReport {
 	if now.Sub(m.reportedAt) >= m.config.ReportLag {
 		m.earlierReport = m.latestReport
@@ -272,8 +273,8 @@
 	return []modelEntry{{Name: modelName, Revision: m.revision, AdapterIDs: []string{}}}
 }
 
-// serveHealth responds as the server would to a request: with 503 if the server drains or its queue
-// is full.
+// serveHealth responds with 503 if the server is draining or its queue is full, and with 200
+// otherwise. If healthInverted is set, it swaps the two.
 func (m *modelServer) serveHealth(writer http.ResponseWriter, _ *http.Request) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -307,8 +308,8 @@
 	m.warmUntil = time.Now().Add(m.config.ColdStart)
 }
 
-// countColdArrival counts an arrival and reports whether the server is cold, and whether it crashes
-// because more than four times its cold rate arrived within a second.
+// countColdArrival counts an arrival at a cold server. It reports whether the server is cold, and
+// whether it crashes because more than four times ColdPerSecond requests arrived within a second.
 func (m *modelServer) countColdArrival(now time.Time) (cold, crashes bool) {
 	if !now.Before(m.warmUntil) {
 		return false, false
@@ -362,7 +363,8 @@
 }
 
 // fetchPrefix transfers the KV cache of a prompt from the server that prefilled it. It returns the
-// number of tokens and the end of the transfer, or false if the KV cache is not available.
+// number of tokens and the end of the transfer, or false if the KV cache is not available or the
+// links stay busy for more than 2 s.
 func (m *modelServer) fetchPrefix(location, attempt string, now time.Time) (int, time.Time, bool) {
 	address, name, found := strings.Cut(location, "/")
 	from := m.pool.at(address)
@@ -407,11 +409,11 @@
 
 // expireHandles removes expired handles.
 func (m *modelServer) expireHandles(now time.Time) {
-	for name, expired := range m.handles {
-		if m.misbehaviour.handlesExpire || now.After(expired.expires) {
+	for name, entry := range m.handles {
+		if m.misbehaviour.handlesExpire || now.After(entry.expires) {
 			delete(m.handles, name)
-			m.engine.cache.unpin(expired.pinned)
-			m.pool.events.Append(Event{Kind: HandleExpired, Server: m.ID, Handle: name, AttemptID: expired.attemptID, Tokens: expired.tokens})
+			m.engine.cache.unpin(entry.pinned)
+			m.pool.events.Append(Event{Kind: HandleExpired, Server: m.ID, Handle: name, AttemptID: entry.attemptID, Tokens: entry.tokens})
 		}
 	}
 }
--- a/internal/testbed/replay/prefixcache.go
+++ b/internal/testbed/replay/prefixcache.go
@@ -13,7 +13,7 @@
 	clock int
 }
 
-// prefixPart is one cached part of a prompt. It is valid only after the parts before it.
+// prefixPart is one cached part of a prompt. It can be used only after the same preceding parts.
 type prefixPart struct {
 	name     string
 	tokens   int
@@ -32,8 +32,8 @@
 	return (tokens + c.block - 1) / c.block * c.block
 }
 
-// chainNames returns a name for each part of a chain. The name contains the model and all parts up
-// to this one.
+// chainNames returns a name for each part of a chain. The name consists of the model, the preceding
+// parts and the part itself.
 func chainNames(model string, chain []promptPart) []string {
 	names := make([]string, 0, len(chain))
 	name := model
@@ -113,7 +113,8 @@
 	}
 }
 
-// dropIncomplete removes parts that were not prefilled completely, unless they are in use.
+// dropIncomplete removes the parts of a request whose prefill was not complete, except those that
+// other requests use or that precede other cached parts.
 func (c *prefixCache) dropIncomplete(pinned []*prefixPart) {
 	for position := len(pinned) - 1; position >= 0; position-- {
 		if entry := pinned[position]; entry.pins == 0 && entry.children == 0 && c.parts[entry.name] == entry {
--- a/internal/testbed/replay/serverpool.go
+++ b/internal/testbed/replay/serverpool.go
@@ -91,8 +91,8 @@
 	server.crash()
 }
 
-// draw picks a random share of a service's servers, at least one if possible. It never picks the
-// last server of a service in a phase. An empty service means all services.
+// draw picks a random share of a service's servers, at least one if possible. It leaves at least one
+// server of each service and phase. An empty service means all services.
 func (s *ServerPool) draw(service string, share float64, random *rand.Rand) []*modelServer {
 	var candidates []*modelServer
 	for _, server := range s.all() {
@@ -132,7 +132,7 @@
 	change(&m.misbehaviour)
 }
 
-// drain lists a server as draining, waits for the list lag, the drain time and the time extra, and
+// drain lists a server as draining, waits for the sum of the list lag, the drain time and extra, and
 // then removes the server.
 func (s *ServerPool) drain(server *modelServer, extra time.Duration) {
 	server.mutex.Lock()
--- a/internal/testbed/replay/site.go
+++ b/internal/testbed/replay/site.go
@@ -33,8 +33,8 @@
 
 // Class is a class of requests. Its rate is Share times the rate of the site. Target is the time
 // limit for the first event, TokenGap the longest time between two events, and Deadline the time
-// limit of the whole request. MaxAttempts is the number of servers that may run a request, Retries
-// how often its client retries.
+// limit of the whole request. MaxAttempts is the largest number of servers that may run a request,
+// and Retries the number of times that its client retries.
 type Class struct {
 	Name      string
 	Service   string
--- a/internal/testbed/replay/version.go
+++ b/internal/testbed/replay/version.go
@@ -173,8 +173,8 @@
 	return page
 }
 
-// samePage reports whether a configuration that was read equals one that was sent. The order of
-// routes and of services does not matter.
+// samePage reports whether the configuration read equals the configuration sent. The order of routes
+// and of services does not matter.
 func samePage(sent map[string]any, read []byte) bool {
 	text, err := json.Marshal(sent)
 	if err != nil {
