--- a/internal/testbed/replay/checkers.go
+++ b/internal/testbed/replay/checkers.go
@@ -54,8 +54,8 @@
 			runs[start.Seal] = true
 		}
 		if ended.Status/100 == 2 {
-			// If the server broke off before the first event, the run has no start event, but
-			// the response header has the seal of that server.
+			// A run that resumes a stream after its last token generates none. It has no start event,
+			// but its end event has the seal.
 			if ended.Seal == "" || !runs[ended.Seal] && !r.endedWithSeal(ended.Seal, attempt) {
 				finding.Violate(fmt.Sprintf("%s got %d with the seal %q, which no server issued for it", name, ended.Status,
 					ended.Seal))
@@ -136,9 +136,10 @@
 	}
 }
 
-// checkWrongRejections checks that valid requests are hardly ever rejected for good, with a status
-// that does not invite a retry: at most 5 plus one in 500 attempts by machines in contact, and at
-// most 10 by other machines.
+// checkWrongRejections checks that valid requests are hardly ever rejected with a 3xx or 4xx status
+// that does not invite a retry. Machines in contact may reject 5 requests plus one per 500 attempts of
+// the day, all other machines together 10. A request is valid at a machine in contact if all versions
+// that may be in force have its route, and at other machines if every version of the day has it.
 func checkWrongRejections(r *record, finding *fleet.Finding) {
 	byMachinesInContact, byOthers := 0, 0
 	var example string
@@ -151,19 +152,19 @@
 		if status/100 != 3 && status/100 != 4 || guaranteesNotRun(status) || attempt.ended.Seal != "" {
 			continue
 		}
-		inAll, inAny := true, len(r.versions) > 0
+		inVersionsInForce, inEveryVersion := true, len(r.versions) > 0
 		for _, version := range r.versions {
 			_, found := version.Routes[attempt.sent.Route]
 			if version.mayBeInForce(attempt.ended.At) && !r.superseded(version, attempt.sent.At) {
-				inAll = inAll && found
+				inVersionsInForce = inVersionsInForce && found
 			}
-			inAny = inAny && found
+			inEveryVersion = inEveryVersion && found
 		}
 		switch {
-		case inAll && r.contact.inContact(attempt.sent.Machine, attempt.sent.At):
+		case inVersionsInForce && r.contact.inContact(attempt.sent.Machine, attempt.sent.At):
 			byMachinesInContact++
 			example = fmt.Sprintf("%s at %s got %d on %s", attempt.sent.AttemptID, attempt.sent.Machine, status, attempt.sent.Route)
-		case inAny:
+		case inEveryVersion:
 			byOthers++
 			example = fmt.Sprintf("%s at %s got %d on %s", attempt.sent.AttemptID, attempt.sent.Machine, status, attempt.sent.Route)
 		}
@@ -221,8 +222,9 @@
 	finding.Worst, finding.Seconds = worst.String(), worst.Seconds()
 }
 
-// checkReadiness checks that machines no longer report that they are ready from 4 s after a SIGTERM
-// on. One machine, or a quarter of the terminated machines, may still do so.
+// checkReadiness checks that machines do not report that they are ready between 4 s and 6 s after a
+// SIGTERM, or until the next event of the machine if that comes earlier. One machine, or a quarter of
+// the terminated machines, may still do so.
 func checkReadiness(r *record, finding *fleet.Finding) {
 	terminations, late := 0, 0
 	for _, events := range r.contact.machines {
@@ -277,7 +279,8 @@
 				// A fault disturbed the machine or the core as well.
 			case slices.ContainsFunc(attempt.runEnds, func(end Event) bool { return end.At.After(event.At.Add(grace / 2)) }) &&
 				!attempt.sent.At.After(event.At.Add(3*time.Second)):
-				// A run of the request ended only after half of the grace period.
+				// The request was sent at most 3 s after the SIGTERM, and a run of it ended only after
+				// half of the grace period.
 			default:
 				finding.Violate(fmt.Sprintf("%s at %s was cut off (%s) %s after the SIGTERM", attempt.sent.AttemptID,
 					attempt.sent.Machine, attempt.ended.Cause, attempt.ended.At.Sub(event.At).Round(time.Millisecond)))
--- a/internal/testbed/replay/checkers_test.go
+++ b/internal/testbed/replay/checkers_test.go
@@ -9,7 +9,7 @@
 // seededDay builds the events of a day without violations, and further events relative to its start.
 type seededDay struct{ start time.Time }
 
-// at returns the time that many milliseconds after the start of the day.
+// at returns the time that is the given number of milliseconds after the start of the day.
 func (day seededDay) at(milliseconds int) time.Time {
 	return day.start.Add(time.Duration(milliseconds) * time.Millisecond)
 }
@@ -187,13 +187,13 @@
 	if verdict := verdictOf(day.cleanEvents()); verdict.Violations() != 0 {
 		t.Fatalf("a day without violations got this verdict:\n%s", verdict)
 	}
-	// call returns the events of a call, of which the one at the position is changed.
+	// call returns the events of a call after it has changed the event at the position.
 	call := func(position int, change func(event *Event)) []Event {
 		events := day.callEvents("four", 30_000, "r-chat", "desk", false)
 		change(&events[position])
 		return events
 	}
-	// laterArrival returns the arrival of the attempt "one" at one more server.
+	// laterArrival returns the arrival of the attempt "one" at another server.
 	laterArrival := func(at int, server string) Event {
 		return Event{
 			At:        day.at(at),
@@ -370,7 +370,7 @@
 		}),
 		"ENDED": {{At: day.at(30_000), Kind: ProcessExited, Machine: "edge-2", Cause: "courier: exit status 2"}},
 	}
-	// A rejected request has no events of servers.
+	// A request that a machine rejects with 404 has no events of servers.
 	var denied []Event
 	for number := range 7 {
 		events := day.callEvents("four-"+strconv.Itoa(number), 30_000+number, "r-chat", "desk", true)
--- a/internal/testbed/replay/contact.go
+++ b/internal/testbed/replay/contact.go
@@ -15,7 +15,7 @@
 	closingFaultAt time.Time
 }
 
-// disturbingKinds are the events that disturb a machine.
+// disturbingKinds are the events that may disturb a machine. newContact skips ProcessExited.
 var disturbingKinds = map[EventKind]bool{
 	MachineUp:         true,
 	MachineKilled:     true,
@@ -26,7 +26,7 @@
 	ProcessExited:     true,
 }
 
-// newContact collects the events that disturb machines. The events must be in the order of time.
+// newContact collects the events that disturb machines. The events must be ordered by time.
 func newContact(events []Event, contactTime time.Duration) *contact {
 	c := &contact{contactTime: contactTime, machines: map[string][]Event{}}
 	members := map[string]bool{}
@@ -37,7 +37,7 @@
 		if !disturbingKinds[event.Kind] {
 			continue
 		}
-		// A process that exits by itself counts as running without a break.
+		// A process that exits by itself counts as running without interruption.
 		if event.Kind == ProcessExited {
 			continue
 		}
@@ -51,8 +51,8 @@
 	return c
 }
 
-// lastBefore returns the index of the last event that happened by a moment, or -1 if there is none.
-// The events must be in the order of time.
+// lastBefore returns the index of the last event that happened at or before a moment, or -1 if there
+// is none. The events must be ordered by time.
 func lastBefore(events []Event, at time.Time) int {
 	return sort.Search(len(events), func(position int) bool { return events[position].At.After(at) }) - 1
 }
--- a/internal/testbed/replay/record.go
+++ b/internal/testbed/replay/record.go
@@ -41,7 +41,7 @@
 	outcome outcome
 }
 
-// newRecord groups events, which must be in the order of time.
+// newRecord groups the events of a day, which must be ordered by time.
 func newRecord(events []Event, site Site) *record {
 	r := &record{
 		events:       events,
@@ -105,8 +105,8 @@
 }
 
 // mayBeInForce reports whether a version may be in force at a moment.
-func (v *versionRecord) mayBeInForce(by time.Time) bool {
-	return !v.invalid && v.outcome != refused && !v.sent.After(by)
+func (v *versionRecord) mayBeInForce(at time.Time) bool {
+	return !v.invalid && v.outcome != refused && !v.sent.After(at)
 }
 
 // guaranteesNotRun reports whether a status guarantees that the request never runs.
@@ -125,7 +125,7 @@
 	at      time.Time
 }
 
-// handlings lists the actions that show which configuration machines applied, in the order of time.
+// handlings lists the actions that show which configuration machines applied, ordered by time.
 func (r *record) handlings() []handling {
 	var handlings []handling
 	for _, attempt := range r.attemptOrder {
