--- a/internal/testbed/mutation/list_test.go
+++ b/internal/testbed/mutation/list_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// hasTest reports whether a package, given as a path from the module's root, has a test with a
-// name.
+// hasTest reports whether a package, given as a path from the module's root, has a test with the
+// given name.
 func hasTest(t *testing.T, folder, name string) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", "..", "..", folder, "*_test.go"))
