--- a/internal/testbed/simulation/coretrial_test.go
+++ b/internal/testbed/simulation/coretrial_test.go
@@ -23,11 +23,11 @@
 		for _, fault := range CoreFaultNames(layout.ToleratedLosses) {
 			t.Run(name+"/"+fault, func(t *testing.T) {
 				var took []time.Duration
-				for seed, trial := range runCoreTrials(layout, fault, Settings{}, first, count) {
+				for position, trial := range runCoreTrials(layout, fault, Settings{}, first, count) {
 					took = append(took, trial.Took)
 					if trial.Failed() || trial.Took > slowestAcknowledgement {
-						t.Errorf("seed %d: got %+v, want a core restored without a loss, and %s at most",
-							first+uint64(seed), trial, slowestAcknowledgement)
+						t.Errorf("seed %d: got %+v, want a restored core, no lost change, one primary, and Took at most %s",
+							first+uint64(position), trial, slowestAcknowledgement)
 					}
 				}
 				slices.Sort(took)
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestChangesResumeWithinTheCatchUpTimeAfterBackupLoss takes a backup away in several ways and with several
-// catch-up times, and checks that the time without an acknowledged change is never longer
-// than the catch-up time.
+// TestChangesResumeWithinTheCatchUpTimeAfterBackupLoss injects every fault that removes a backup, with
+// several catch-up times, and checks that the time without an acknowledged change is never longer than
+// the catch-up time.
 func TestChangesResumeWithinTheCatchUpTimeAfterBackupLoss(t *testing.T) {
 	first, count := seeds(t, 2)
 	for name, layout := range CoreLayouts() {
@@ -48,11 +48,11 @@
 			for _, catchUp := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
 				t.Run(name+"/"+fault+"/"+catchUp.String(), func(t *testing.T) {
 					var took []time.Duration
-					for seed, trial := range runCoreTrials(layout, fault, Settings{CatchUp: catchUp}, first, count) {
+					for position, trial := range runCoreTrials(layout, fault, Settings{CatchUp: catchUp}, first, count) {
 						took = append(took, trial.Took)
 						if trial.Failed() || trial.Took > catchUp {
-							t.Errorf("seed %d: got %+v, want a core restored without a loss, and %s at most",
-								first+uint64(seed), trial, catchUp)
+							t.Errorf("seed %d: got %+v, want a restored core, no lost change, one primary, and Took at most %s",
+								first+uint64(position), trial, catchUp)
 						}
 					}
 					slices.Sort(took)
@@ -65,7 +65,8 @@
 	}
 }
 
-// runCoreTrials runs one trial for each seed, several of them in parallel.
+// runCoreTrials runs one trial for each of count consecutive seeds, at most four in parallel, and returns
+// the trials in the order of the seeds.
 func runCoreTrials(layout Layout, fault string, settings Settings, first, count uint64) []CoreTrial {
 	trials := make([]CoreTrial, count)
 	var working sync.WaitGroup
@@ -75,13 +76,13 @@
 		working.Go(func() {
 			for {
 				mutex.Lock()
-				seed := next
+				position := next
 				next++
 				mutex.Unlock()
-				if seed >= count {
+				if position >= count {
 					return
 				}
-				trials[seed] = runCoreTrial(layout, fault, settings, first+seed)
+				trials[position] = runCoreTrial(layout, fault, settings, first+position)
 			}
 		})
 	}
--- a/internal/testbed/simulation/faults_disks.go
+++ b/internal/testbed/simulation/faults_disks.go
@@ -2,7 +2,8 @@
 
 import "seamloom.example/seamloom/internal/membership"
 
-// failPowerAtDiskOperation makes the power fail before one of the next operations of a controller's disk.
+// failPowerAtDiskOperation makes the power fail before one of the next twelve operations of a
+// controller's disk, if the disk gets that far within 2 to 5 s. Then it starts the controller again.
 func failPowerAtDiskOperation(world *World) {
 	m := world.anyNode(membership.Controller)
 	m.disk.powerFailsIn = 1 + world.random.IntN(12)
@@ -35,8 +36,8 @@
 }
 
 // coreComplete reports whether the core tolerates the loss of one more disk: a primary leads, the
-// membership has all backups and witnesses, and at the address of each backup and witness a
-// process with that member's own disk is running.
+// membership has all backups and witnesses, at the address of each backup and witness a process with
+// that member's own disk is running, and each voter among them has the membership's epoch.
 func (w *World) coreComplete() bool {
 	for _, node := range w.nodes(membership.Controller) {
 		if !node.responsive() || node.control == nil || !node.control.Coordinator().HasLease() {
@@ -63,7 +64,7 @@
 	return false
 }
 
-// fillDisk makes a controller's disk refuse writes for a while.
+// fillDisk makes a controller's disk full for 0.5 to 4 s.
 func fillDisk(w *World) {
 	m := anyController(w)
 	m.disk.full = true
--- a/internal/testbed/simulation/faults_network.go
+++ b/internal/testbed/simulation/faults_network.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// cutFor cuts the chosen links for 0.3 to 8 s.
+// cutFor cuts the links for which chosen returns true for 0.3 to 8 s.
 func (w *World) cutFor(chosen func(from, to string) bool) {
 	var names []string
 	for _, m := range w.machines {
@@ -48,14 +48,15 @@
 	})
 }
 
-// slowDials makes one connection in five take up to 2.5 s to open.
+// slowDials makes one connection in five to a server take up to 2.5 s to open, for 2 to 5 s.
 func slowDials(w *World) {
 	w.slowDials = 0.2
 	w.wait(2000, 5000)
 	w.slowDials = 0
 }
 
-// cutPair cuts two controllers off from each other, in one case of three in one direction only.
+// cutPair cuts the links between two controllers: in one of three cases only one direction, otherwise
+// both.
 func cutPair(world *World) {
 	found := world.nodes(membership.Controller)
 	first := world.random.IntN(len(found))
@@ -67,7 +68,8 @@
 	})
 }
 
-// degradeLinks calls degrade with each of the links, and ends their delays, losses and duplicates after length.
+// degradeLinks calls degrade with each of the links. After length it resets their delays, losses and
+// duplicates to zero.
 func (w *World) degradeLinks(links []*link, length time.Duration, degrade func(l *link)) {
 	for _, l := range links {
 		degrade(l)
@@ -78,7 +80,7 @@
 	}
 }
 
-// badLinks delays, duplicates and drops messages between nodes.
+// badLinks delays, duplicates and drops messages on about a third of the links between machines.
 func badLinks(world *World) {
 	var links []*link
 	for _, from := range world.machines {
@@ -94,8 +96,8 @@
 	})
 }
 
-// badServerLinks delays, duplicates and drops messages between routers and servers, and drops
-// responses after the servers did the work.
+// badServerLinks delays, duplicates and drops messages between about a third of the pairs of a router and
+// a server. It also drops a tenth of the responses of all servers after the servers have done the work.
 func badServerLinks(world *World) {
 	var links []*link
 	for _, m := range world.nodes(membership.Router) {
--- a/internal/testbed/simulation/faults_servers.go
+++ b/internal/testbed/simulation/faults_servers.go
@@ -6,7 +6,7 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// crashFor crashes a server and later starts a cold one in its place.
+// crashFor crashes a server and starts a cold server in its place after least to most milliseconds.
 func (w *World) crashFor(name string, least, most int) {
 	if w.servers[name].incarnation.ended {
 		return
@@ -20,9 +20,9 @@
 	w.startServer(w.servers[name].plan)
 }
 
-// leaveServer makes a server leave and later replaces the server. Routers learn of that in one of
-// three ways: the platform's list marks the server as leaving, the list lacks the server, or the
-// server's load report says that it leaves.
+// leaveServer makes a server leave and later replaces the server. Routers learn in one of three ways
+// that the server leaves: the platform's list marks the server as leaving, the list lacks the server,
+// or the server's load report says so.
 func leaveServer(world *World) {
 	name := world.anyServer()
 	s := world.servers[name]
--- a/internal/testbed/simulation/forwarding.go
+++ b/internal/testbed/simulation/forwarding.go
@@ -16,19 +16,21 @@
 // forwarder carries requests from one router to another.
 type forwarder struct{ incarnation *incarnation }
 
-// Forward sends a request to another router and passes the records of the reply to take. It uses onClientGone
-// to register callbacks for when the client disconnects.
-func (p *forwarder) Forward(
+// Forward sends a request to the router at an address and passes the records of the reply to onRecord. It
+// registers callbacks for the client's disconnect through onClientGone. It returns false only if the
+// router's machine is on but no router runs there, so that the machine refuses the connection.
+func (f *forwarder) Forward(
 	address string,
 	forwarding wire.Forwarding,
 	body []byte,
 	onClientGone func(callback func()),
-	take func(record codec.Record) bool,
+	onRecord func(record codec.Record) bool,
 ) bool {
-	sender, world := p.incarnation, p.incarnation.world
+	sender, world := f.incarnation, f.incarnation.world
 	to := world.nameAt(address)
 	replies := newPipe(world, to, sender.name, sender)
-	left, refused := false, false
+	stopped, refused := false, false
+	// arrive runs when the request arrives. first is false for a duplicate, which gets no reply.
 	arrive := func(first bool) {
 		receiver := world.machineNamed(to)
 		if receiver == nil || receiver.incarnation == nil || receiver.incarnation.ended || receiver.router == nil {
@@ -50,7 +52,7 @@
 			}
 		}, Send: func(record codec.Record) error {
 			world.tapRecord(record, "on a wire")
-			if first && (left || !replies.put(record)) {
+			if first && (stopped || !replies.put(record)) {
 				return failure.New(failure.Unreachable, "the router is gone")
 			}
 			return nil
@@ -75,16 +77,16 @@
 		}
 	}
 	onClientGone(func() {
-		left = true
+		stopped = true
 		replies.cond.Broadcast()
 	})
 	for {
-		message, found := replies.receive(time.Minute, func() bool { return left })
+		message, found := replies.receive(time.Minute, func() bool { return stopped })
 		if !found {
 			return !refused
 		}
-		if !take(message.(codec.Record)) {
-			left = true
+		if !onRecord(message.(codec.Record)) {
+			stopped = true
 			return true
 		}
 	}
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -227,7 +227,8 @@
 	return true
 }
 
-// rolesAssigned reports whether every role has a holder and no holder is among the gone machines.
+// rolesAssigned reports whether a primary lists at least one role more than the platform has servers,
+// and none of the gone machines holds a role.
 func (w *World) rolesAssigned(gone []*machine) bool {
 	primary := w.primary()
 	if primary.control == nil {
@@ -297,12 +298,12 @@
 	return w.timeUntil(began, func() bool { return done })
 }
 
-// timeEdit makes one change and measures the time until it is in force. It raises InForce to that time
-// if the time is longer, and adds the time divided by Times to InForceMean. If the change is not in
-// force within incidentTimeout, the time is -1: InForce becomes -1 and stays so, but InForceMean gets
-// -1 divided by Times, which is zero if Times is greater than one. The number passed to harmlessEdit
-// is how many different situations have been encountered, so consecutive calls may make the same
-// change.
+// timeEdit makes one change and measures the time until the change is in force; the time is -1 if the
+// change is not in force within incidentTimeout. InForce becomes the longest of the measured times, or
+// -1 once any of them is -1. InForceMean is the sum of the times divided by Times; a time of -1 adds
+// nothing to the sum if Times is greater than one, because integer division rounds -1/Times to zero.
+// Consecutive calls may make the same change, because the number passed to harmlessEdit is the number
+// of different situations encountered so far.
 func (w *World) timeEdit(incident *Incident) {
 	took := w.editUntilAccepted(w.now, w.harmlessEdit("nowhere", len(w.encounters)))
 	incident.InForce = longer(incident.InForce, took)
--- a/internal/testbed/simulation/layout.go
+++ b/internal/testbed/simulation/layout.go
@@ -126,7 +126,7 @@
 }
 
 // listControllers returns the nodes that the platform lists to the controllers of a fleet
-// with a Layout; it lists no nodes to routers.
+// with a Layout. To routers, the platform lists no nodes.
 func (w *World) listControllers() []membership.Node {
 	var nodes []membership.Node
 	for _, node := range w.listNodes() {
@@ -137,13 +137,14 @@
 	return nodes
 }
 
-// Traffic counts the messages over the RPC client and their bytes.
+// Traffic counts the calls between nodes that arrive: Messages is the number of calls, and Bytes is the
+// total size of the calls and their responses.
 type Traffic struct {
 	Messages int
 	Bytes    int
 }
 
-// countTraffic counts a message and its response under the message's path.
+// countTraffic counts a call and its response under the call's path.
 func (w *World) countTraffic(path string, bytes int) {
 	count := w.traffic[path]
 	w.traffic[path] = Traffic{count.Messages + 1, count.Bytes + bytes}
--- a/internal/testbed/simulation/linearizable_test.go
+++ b/internal/testbed/simulation/linearizable_test.go
@@ -16,8 +16,8 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// changeInput is a read, or an operator's order to change the configuration. The order has the
-// number order and replaces revision base by revision next.
+// changeInput is the input of an operation: a read, or an operator's order to replace the
+// configuration's revision base by revision next. The field order is the order's number.
 type changeInput struct {
 	read       bool
 	order      int
@@ -179,7 +179,8 @@
 	o.running--
 }
 
-// controlFaults are the faults of the core during a history, by name.
+// controlFaults maps the name of each fault of the core to the function that injects the fault until
+// a point of virtual time.
 var controlFaults = map[string]func(world *World, until time.Duration){
 	"a primary cut off for 20 s": func(world *World, until time.Duration) {
 		primary := world.primary()
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -86,7 +86,7 @@
 }
 
 // call runs serve in the process that runs on the machine named to when the call arrives. The calling
-// thread waits for the response for at most timeout. A link may deliver the call twice; the second
+// thread waits at most timeout for the response. A link may deliver the call twice; the second
 // delivery gets no response.
 func (i *incarnation) call(to string, timeout time.Duration, serve func(process *incarnation) (any, error)) (any, error) {
 	world := i.world
@@ -136,11 +136,11 @@
 type rpcClient struct{ incarnation *incarnation }
 
 // CallRaw sends a message to the process at an address.
-func (w rpcClient) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
-	world := w.incarnation.world
+func (c rpcClient) CallRaw(address, path string, body []byte, timeout time.Duration) ([]byte, error) {
+	world := c.incarnation.world
 	world.tapMessage(path, body)
 	world.countSnapshot(path, body)
-	content, err := w.incarnation.call(world.nameAt(address), timeout, func(process *incarnation) (any, error) {
+	content, err := c.incarnation.call(world.nameAt(address), timeout, func(process *incarnation) (any, error) {
 		if process.handle == nil {
 			return nil, failure.New(failure.Unreachable, "no handler is registered yet")
 		}
--- a/internal/testbed/simulation/pipe.go
+++ b/internal/testbed/simulation/pipe.go
@@ -21,7 +21,8 @@
 	return &pipe{world: world, from: from, to: to, receiver: receiver, cond: &cond{incarnation: receiver}}
 }
 
-// put sends one message; it returns false if the connection is broken.
+// put sends one message. It returns false if the connection is broken, but true if the link loses the
+// message, because the sender can't notice a loss.
 func (p *pipe) put(message any) bool {
 	if p.broken || p.receiver.ended {
 		return false
@@ -45,7 +46,8 @@
 	return true
 }
 
-// disconnect breaks the connection; the receiver is notified unless the link is cut.
+// disconnect breaks the connection after the messages in transit have arrived, and wakes the receiver. It
+// does nothing while the link is cut, because the receiver can't learn of the disconnect.
 func (p *pipe) disconnect() {
 	if p.world.link(p.from, p.to).cut {
 		return
@@ -57,8 +59,8 @@
 	})
 }
 
-// receive waits for the next message. It returns false if none comes in time, if the connection
-// is broken, or if quit returns true.
+// receive waits at most timeout for the next message. It returns false if no message arrives in that
+// time, if the connection is broken and all arrived messages have been received, or if quit returns true.
 func (p *pipe) receive(timeout time.Duration, quit func() bool) (any, bool) {
 	p.cond.Wait(timeout, func() bool { return len(p.waiting) > 0 || p.broken || quit() })
 	if len(p.waiting) == 0 || quit() {
--- a/internal/testbed/simulation/settings.go
+++ b/internal/testbed/simulation/settings.go
@@ -15,8 +15,8 @@
 	RetireAfter       time.Duration
 	// CatchUp is the bound from which a core's waits are derived; zero means the default.
 	CatchUp time.Duration
-	// JoinOnly forbids controllers with blank disks to form a first core. FormOnce allows it
-	// only at their first start and while the fleet starts.
+	// JoinOnly forbids controllers with blank disks to form a first core. FormOnce forbids the same,
+	// except at a controller's first start while the fleet starts.
 	JoinOnly, FormOnce bool
 	// NoNodes means that the platform lists servers only.
 	NoNodes bool
@@ -33,7 +33,7 @@
 // SetBacklogCounts does nothing.
 func (unusedCallService) SetBacklogCounts(*dataplane.BacklogCounts) {}
 
-// SetQuotas does nothing: requests of this protocol have no tenants.
+// SetQuotas does nothing: the simulated clients' requests have no tenants.
 func (unusedCallService) SetQuotas(*dataplane.Quotas) {}
 
 // SetServers does nothing.
