--- a/internal/testbed/fleet/checkers.go
+++ b/internal/testbed/fleet/checkers.go
@@ -15,7 +15,7 @@
 	commandGapLimit = 3 * time.Second
 	// returnLimit is how long service may take to return after a closing fault.
 	returnLimit = 12 * time.Second
-	// retryShare is the allowed ratio of extra dispatches (retries) to first ones.
+	// retryShare is the allowed ratio of extra dispatches (retries) to first dispatches.
 	retryShare = 0.2
 	// warmupSpan is the age until which a server may have at most warmupDepth requests at the same
 	// time.
--- a/internal/testbed/fleet/checkers_requests.go
+++ b/internal/testbed/fleet/checkers_requests.go
@@ -35,8 +35,8 @@
 
 // checkRefusedNeverRuns checks that no server starts a request if all its arrivals so far
 // were refused, even if a refusal came only after the start. A refusal promises the client
-// that this arrival never runs. If the client sends the same id again, that is another
-// arrival.
+// that this arrival never runs; the same id sent again is another arrival. A refusal as a
+// duplicate does not count as a refusal here.
 func checkRefusedNeverRuns(entries []Entry) Finding {
 	finding := Finding{Checker: "refused means it never runs"}
 	refused := map[string]bool{}
@@ -99,7 +99,7 @@
 func checkMemory(entries []Entry) Finding {
 	finding := Finding{Checker: "prompt memory is taken once and by its own request"}
 	taken := map[string]Entry{}
-	runs := map[string]int{}
+	unusedMemories := map[string]int{}
 	for _, entry := range entries {
 		run := entry.Request + "#" + strconv.Itoa(entry.Run)
 		switch entry.Kind {
@@ -110,25 +110,27 @@
 					entry.Request))
 			}
 			taken[entry.Handle] = entry
-			runs[run]++
+			unusedMemories[run]++
 		case DecodeStarted:
-			if runs[run] == 0 {
+			if unusedMemories[run] == 0 {
 				finding.Violate(fmt.Sprintf("%s run %d decodes without its own memory", entry.Request, entry.Run))
 			}
-			runs[run]--
+			unusedMemories[run]--
 		}
 	}
 	return finding
 }
 
-// The limits on extra dispatches (retries) within a sliding window. Besides a fifth of the
-// first dispatches, a window may hold retryReserve extra ones per router: a router that
-// made no retries for a while may still make two, and a retry after a lost handover of the
-// prompt's memory needs both, one to a prefill server and one to a decode server. The window
-// is as long as the fleet takes to recover from a loss, so that it shows a burst of retries
-// during the recovery and still has enough first dispatches for a meaningful share.
+// The limits on extra dispatches (retries) within a sliding window.
 const (
-	retryWindow  = 10 * time.Second
+	// retryWindow is as long as the fleet takes to recover from a loss, so that a window shows a
+	// burst of retries during the recovery and still has enough first dispatches for a meaningful
+	// share.
+	retryWindow = 10 * time.Second
+	// retryReserve is the number of extra dispatches per router that are allowed besides a fifth of
+	// the first dispatches. A router that made no retries for a while may still make two, and a
+	// retry after a lost handover of the prompt's memory needs two dispatches: one to a prefill
+	// server and one to a decode server.
 	retryReserve = 2
 )
 
@@ -191,12 +193,12 @@
 	return true
 }
 
-// reserve returns how many extra dispatches are allowed besides a fifth of the first ones.
+// reserve returns how many extra dispatches are allowed besides a fifth of the first dispatches.
 func (c *dispatchCounter) reserve() int { return retryReserve * len(c.routers) }
 
-// checkRetries checks that extra dispatches, counted where they arrive, stay under a fifth
-// of the first ones, both over the whole day and in each window. An id that the client
-// sends again gets another first dispatch.
+// checkRetries checks that the extra dispatches, counted where they arrive, are at most a fifth of
+// the first dispatches plus the reserve, both over the whole day and in each window. An id that
+// the client sends again gets another first dispatch.
 func checkRetries(entries []Entry) Finding {
 	finding := Finding{Checker: "retries stay under a fifth", Limit: strconv.FormatFloat(retryShare, 'f', 2, 64)}
 	counter := &dispatchCounter{asked: map[string]int{}, sent: map[string]int{}, routers: map[string]bool{}}
@@ -225,9 +227,10 @@
 	return finding
 }
 
-// The thresholds of checkReturn. It expects a complete reply for a class of requests only if
-// at least returnSent of them were sent later than returnFrom after the closing fault, because
-// requests are refused while the fault lasts.
+// The thresholds of checkReturn. A class of requests needs a complete reply only if at least
+// returnSent requests of the class were sent later than returnFrom after the closing fault and
+// earlier than one second before returnLimit. Earlier requests don't count, because requests are
+// refused while the fault lasts.
 const (
 	returnSent = 5
 	returnFrom = 3 * time.Second
@@ -317,7 +320,7 @@
 		}
 		finding.Checked++
 		took := entry.Took
-		// Time during which a node was frozen doesn't count, because it could not answer.
+		// Time during which any node was frozen doesn't count, because a frozen node can't answer.
 		for _, wakeup := range wakeups {
 			from, until := wakeup.At.Add(-wakeup.Took), wakeup.At
 			if began := entry.At.Add(-entry.Took); from.Before(began) {
--- a/internal/testbed/fleet/checkers_test.go
+++ b/internal/testbed/fleet/checkers_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// furtherDispatches returns further dispatches of the request "one" to stove-2.
+// furtherDispatches returns further dispatches of the request "one" to the prefill server stove-2.
 func furtherDispatches(from time.Time, count int) (entries []Entry) {
 	for number := range count {
 		entries = append(entries, Entry{
@@ -182,7 +182,9 @@
 	}
 	// Violations that depend on several entries: a burst of retries that is too large for its
 	// window but not for the whole day, a start after a refusal and before the next arrival, a
-	// format used before its flag, and a service that returns only in part.
+	// format used before its flag, a flag enabled although a known member lacks it, a service that
+	// returns only for other classes of requests, and a service that returns without accepting a
+	// change.
 	firstDispatches := func(count int) (entries []Entry) {
 		for number := range count {
 			name := "quiet-" + strconv.Itoa(number)
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -17,8 +17,8 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Clients stand in for the clients of a deployment. They send requests at a steady rate
-// that doesn't depend on the replies, and record each request and each reply.
+// Clients simulates the clients of a deployment. It sends requests at random times, at an average
+// rate that doesn't depend on the replies, and records each request and each reply.
 type Clients struct {
 	fleet  *Fleet
 	client *http.Client
@@ -91,19 +91,19 @@
 	// leavesAfter is the number of chunks after which the client closes the connection; -1
 	// means never.
 	leavesAfter int
-	// honoursRetryAfter means that the client sends the id again only after the time that the
-	// refusal names; otherwise it sends the id again almost immediately.
+	// honoursRetryAfter means that the client sends the id again after the time that a refusal
+	// names. Without it, a refusal counts as a final reply. A refusal as a duplicate always does.
 	honoursRetryAfter bool
-	// resendsAfterFinal means that the client sends the id once more even after a final
-	// reply.
+	// resendsAfterFinal means that the client sends the id again 0.1 s after a final reply to the
+	// id's first arrival.
 	resendsAfterFinal bool
 	// routerDraw is the random number from which the router of each repeat is picked.
 	routerDraw int
 }
 
-// runClient sends a request and, as real clients do, sends the same id again: after a
-// refusal, after a broken connection, and sometimes even after a final reply. Each repeat
-// goes to a newly picked router.
+// runClient sends a request and, as real clients do, sends the same id again, at most twice: 0.1 s
+// after a broken connection, and, depending on the client's behaviour, after a refusal or another
+// final reply. Each repeat goes to a newly picked router.
 func (c *Clients) runClient(lifetime context.Context, node *NodeProcess, request ClientRequest, entry Entry, reaction behaviour) {
 	for arrival := range 3 {
 		entry.Arrival, entry.Router = arrival, node.Node.Name
@@ -127,9 +127,9 @@
 	}
 }
 
-// pick returns the router to which the platform would send a client of the zone: a running
-// router of the zone, or, if the zone has none, any running router. Among several routers the random number draw
-// decides. It returns nil if no router is running.
+// pick returns the router to which the platform would send a client of the zone: a running router of
+// the zone, or any running router if no router of the zone is running. The random number draw
+// selects among several routers. pick returns nil if no router is running.
 func (c *Clients) pick(zone string, draw int) *NodeProcess {
 	running := c.fleet.Running(membership.Router)
 	var inZone []*NodeProcess
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -177,7 +177,7 @@
 }
 
 // TestConfigCheckAnswersEachCase runs the configcheck program against a fleet and checks its
-// exit code and its remarks, as scripts use them.
+// exit code and its remarks, because scripts depend on them.
 func TestConfigCheckAnswersEachCase(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 33)
--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -197,7 +197,7 @@
 }
 
 // TestOperatorsCommandLine runs the controller's operator subcommands and checks their exit
-// codes and output, as scripts use them.
+// codes and output, because scripts depend on them.
 func TestOperatorsCommandLine(t *testing.T) {
 	fleet := startFleet(t, Sahil(), nil)
 	day := openDay(t, fleet, 8)
--- a/internal/testbed/fleet/nodefaults.go
+++ b/internal/testbed/fleet/nodefaults.go
@@ -19,7 +19,8 @@
 	Jump time.Duration `json:"jump"`
 }
 
-// ReadNodeFaults reads a faults file. A missing file means no faults.
+// ReadNodeFaults reads a faults file. A missing or malformed file is not an error; fields that can't be
+// read keep their zero values, which mean no faults.
 func ReadNodeFaults(path string) NodeFaults {
 	var faults NodeFaults
 	if text, err := os.ReadFile(path); err == nil {
--- a/internal/testbed/fleet/platform.go
+++ b/internal/testbed/fleet/platform.go
@@ -14,7 +14,7 @@
 	"seamloom.example/seamloom/internal/membership"
 )
 
-// Platform stands in for the service that lists the servers and nodes of a fleet.
+// Platform simulates the service that lists the servers and nodes of a fleet.
 type Platform struct {
 	events  *EventLog
 	address string
@@ -78,7 +78,8 @@
 // Close stops the platform.
 func (p *Platform) Close() { _ = p.server.Close() }
 
-// ListServer adds a server to the list or replaces its entry.
+// ListServer adds a server to the list or replaces its entry. It records that the server leaves if the
+// entry says so.
 func (p *Platform) ListServer(server membership.Server) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -88,7 +89,7 @@
 	}
 }
 
-// UnlistServer removes a server from the list.
+// UnlistServer removes a server from the list and records that the server leaves.
 func (p *Platform) UnlistServer(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/testbed/fleet/standin.go
+++ b/internal/testbed/fleet/standin.go
@@ -75,11 +75,11 @@
 	return standIn, nil
 }
 
-// requestHandler returns an HTTP handler that reads and decodes a whole request before it calls act. When
-// the client disconnects, the handler closes the connection that it passed to act.
+// requestHandler returns an HTTP handler that reads and decodes a whole request before it calls handle. When
+// the client disconnects, the HTTP handler closes the connection that it passed to handle.
 func requestHandler[Request any](
 	standIn *StandIn,
-	act func(connection *Connection, request Request, writer http.ResponseWriter),
+	handle func(connection *Connection, request Request, writer http.ResponseWriter),
 ) http.HandlerFunc {
 	return func(writer http.ResponseWriter, inbound *http.Request) {
 		var request Request
@@ -91,7 +91,7 @@
 		conn := NewConnection(standIn.runtime)
 		stop := context.AfterFunc(inbound.Context(), conn.Close)
 		defer stop()
-		act(conn, request, writer)
+		handle(conn, request, writer)
 	}
 }
 
--- a/internal/testbed/fleet/verdict.go
+++ b/internal/testbed/fleet/verdict.go
@@ -19,7 +19,7 @@
 	// Median and Tail are the median and the 95th percentile of the durations of complete replies.
 	Median time.Duration `json:"median"`
 	Tail   time.Duration `json:"ninety_fifth"`
-	// Gap is the longest time between two complete replies.
+	// Gap is the longest time between two consecutive complete replies.
 	Gap time.Duration `json:"longest_gap"`
 }
 
@@ -36,8 +36,8 @@
 		if entry.Kind != Replied {
 			continue
 		}
-		// Outcomes that the clients caused themselves don't count against the fleet: they
-		// left, or they sent an id again that had been accepted.
+		// Outcomes that a client caused itself don't count against the fleet: the client left, or
+		// it sent an id again and the repeat was refused as a duplicate.
 		causedByClient := entry.Cause == ClientLeft || (entry.Arrival > 0 && entry.Cause == string(failure.Duplicate))
 		if !causedByClient {
 			total++
@@ -77,7 +77,7 @@
 	return count
 }
 
-// Finding returns the finding of a checker, which is empty if there is none.
+// Finding returns the finding of the checker with a name, or an empty finding if no checker has it.
 func (v Verdict) Finding(checker string) Finding {
 	for _, finding := range v.Findings {
 		if finding.Checker == checker {
