--- a/cmd/testbed/script.go
+++ b/cmd/testbed/script.go
@@ -15,8 +15,8 @@
 	"seamloom.example/seamloom/internal/testbed/fleet"
 )
 
-// scriptCommand returns the command that runs a node whose disk and wall clock follow a
-// faults file. A router has no disk, so only its clock follows the file.
+// scriptCommand returns the command that runs a node with the disk and wall-clock faults of a
+// faults file. A router has no disk, so only its clock has faults.
 func scriptCommand(kind membership.NodeKind) *cobra.Command {
 	command := &cobra.Command{
 		Use:     "script-" + fleet.ProgramName(kind),
