--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -23,7 +23,8 @@
 	fleet  *Fleet
 	client *http.Client
 	random *rand.Rand
-	number int
+	// requestCount is the number of requests drawn so far.
+	requestCount int
 
 	waiting sync.WaitGroup
 	// longRate and shortRate are in requests per 1000 seconds.
@@ -64,7 +65,7 @@
 		if c.random.Float64()*(long+short) < long {
 			kind = c.fleet.Deployment.Long
 		}
-		c.number++
+		c.requestCount++
 		zones := c.fleet.Deployment.Zones
 		zone := zones[c.random.IntN(len(zones))]
 		node := c.pick(zone, c.random.IntN(1<<20))
@@ -166,7 +167,7 @@
 	request := ClientRequest{
 		ID:           dataplane.NewRequestID(),
 		Service:      kind.Service,
-		Client:       "origin-" + strconv.Itoa(c.number%50),
+		Client:       "origin-" + strconv.Itoa(c.requestCount%50),
 		Idempotent:   idempotent,
 		Limit:        15_000,
 		PromptTokens: kind.LeastTokens + c.random.IntN(kind.MostTokens-kind.LeastTokens),
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -24,8 +24,8 @@
 	length     time.Duration
 	faults     []string
 	floor      float64
-	// shows names the checkers that must have had entries to check.
-	shows []string
+	// exercisedCheckers names the checkers that must have had entries to check.
+	exercisedCheckers []string
 }
 
 var dayPlans = []dayPlan{
@@ -69,7 +69,7 @@
 			day := openDay(t, fleet, plan.seed)
 			verdict := day.Run(context.Background(), plan.length, chosen)
 			wantClean(t, verdict, plan.floor)
-			for _, checker := range plan.shows {
+			for _, checker := range plan.exercisedCheckers {
 				if verdict.Finding(checker).Checked == 0 {
 					t.Errorf("checker %q had no entries to check", checker)
 				}
--- a/internal/testbed/fleet/input_test.go
+++ b/internal/testbed/fleet/input_test.go
@@ -215,10 +215,10 @@
 	patch := filepath.Join(t.TempDir(), "patch.json")
 	expected := ""
 	for _, step := range []struct {
-		arguments []string
-		text      string
-		code      int
-		shows     string
+		arguments  []string
+		text       string
+		code       int
+		wantOutput string
 	}{
 		{[]string{"get"}, "", 0, `"edition-1"`},
 		{[]string{"status"}, "", 0, "are decided by"},
@@ -263,8 +263,8 @@
 				step.arguments[position] = expected
 			}
 		}
-		if code, output := run(step.arguments...); code != step.code || !strings.Contains(output, step.shows) {
-			t.Errorf("%v: got exit code %d, want %d, with %q in the output:\n%.400s", step.arguments, code, step.code, step.shows,
+		if code, output := run(step.arguments...); code != step.code || !strings.Contains(output, step.wantOutput) {
+			t.Errorf("%v: got exit code %d, want %d, with %q in the output:\n%.400s", step.arguments, code, step.code, step.wantOutput,
 				output)
 		}
 	}
@@ -326,9 +326,9 @@
 			"--seeds", "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3", "--platform", "127.0.0.1:4"}
 	}
 	for name, want := range map[string]struct {
-		program   string
-		arguments []string
-		says      string
+		program    string
+		arguments  []string
+		wantOutput string
 	}{
 		"busy address": {"router", append([]string{"serve"}, common(busy.Addr().String())...), "address already in use"},
 		"a data folder that is a file": {"controller", append([]string{"serve", "--data-folder", file},
@@ -352,9 +352,9 @@
 			t.Errorf("%s: the program did not end within 20 seconds", name)
 		}
 		timeout.Stop()
-		if code := command.ProcessState.ExitCode(); code != 1 || !strings.Contains(output.String(), want.says) ||
+		if code := command.ProcessState.ExitCode(); code != 1 || !strings.Contains(output.String(), want.wantOutput) ||
 			strings.Contains(output.String(), "panic") {
-			t.Errorf("%s: got exit code %d, want 1 with %q in the output:\n%s", name, code, want.says, output.String())
+			t.Errorf("%s: got exit code %d, want 1 with %q in the output:\n%s", name, code, want.wantOutput, output.String())
 		}
 	}
 }
--- a/internal/testbed/simulation/incident.go
+++ b/internal/testbed/simulation/incident.go
@@ -37,41 +37,41 @@
 const incidentTimeout = 60 * time.Second
 
 // Incidents starts a fleet with a Layout and runs, one after another, the incidents that such a fleet
-// may have in a year. The parameter lost is how long lost machines and cut links are unavailable. The
-// parameter losses is how many times a single router's machine is lost, always for 15 seconds; twice
-// as many routers are restarted.
-func (w *World) Incidents(lost time.Duration, losses int) []Incident {
+// may have in a year. Lost machines and cut links are unavailable for outage, except that a single
+// router's machine is lost routerLosses times, for 15 seconds each time. Twice as many routers are
+// restarted.
+func (w *World) Incidents(outage time.Duration, routerLosses int) []Incident {
 	log := &incidentLog{world: w}
 	log.record(Incident{Name: "the fleet starts"}, w.startFleet)
 	log.record(Incident{Name: "at rest"}, func(*Incident) { w.run(w.now + 10*time.Second) })
 	log.rest = log.incidents[1]
 	log.record(Incident{Name: "single changes", Times: 20}, w.changeOneByOne)
 	log.record(Incident{Name: "a storm of eight operators, 10 s"}, w.changeConcurrently)
-	log.record(Incident{Name: "a node restarted", Times: 2 * losses}, w.restartNodes)
-	log.record(Incident{Name: "a node's machine lost", Times: losses}, func(incident *Incident) {
+	log.record(Incident{Name: "a node restarted", Times: 2 * routerLosses}, w.restartNodes)
+	log.record(Incident{Name: "a node's machine lost", Times: routerLosses}, func(incident *Incident) {
 		for range incident.Times {
 			w.loseMachines(incident, []*machine{w.anyNode(membership.Router)}, 15*time.Second)
 		}
 	})
 	log.record(Incident{Name: "the primary's machine lost"},
-		func(incident *Incident) { w.loseMachines(incident, []*machine{w.primary()}, lost) })
+		func(incident *Incident) { w.loseMachines(incident, []*machine{w.primary()}, outage) })
 	log.record(Incident{Name: "the backup's machine lost"},
-		func(incident *Incident) { w.loseMachines(incident, []*machine{w.backup()}, lost) })
+		func(incident *Incident) { w.loseMachines(incident, []*machine{w.backup()}, outage) })
 	log.record(Incident{Name: "a rack of ten nodes and the backup lost"},
-		func(incident *Incident) { w.loseMachines(incident, w.rackOfBackup(), lost) })
+		func(incident *Incident) { w.loseMachines(incident, w.rackOfBackup(), outage) })
 	log.record(Incident{Name: "the primary's zone lost"}, func(incident *Incident) {
-		w.loseMachines(incident, w.inZones([]string{w.primary().zone}), lost)
+		w.loseMachines(incident, w.inZones([]string{w.primary().zone}), outage)
 	})
 	log.record(Incident{Name: "a region without the primary cut off"}, func(incident *Incident) {
 		w.partition(incident, func(region int) bool {
 			return region == (w.layout.region(w.primary().zone)+1)%len(w.layout.Zones)
-		}, lost)
+		}, outage)
 	})
 	log.record(Incident{Name: "the primary's region cut off"}, func(incident *Incident) {
 		own := w.layout.region(w.primary().zone)
-		w.partition(incident, func(region int) bool { return region == own }, lost)
+		w.partition(incident, func(region int) bool { return region == own }, outage)
 	})
-	log.record(Incident{Name: "all regions cut off from each other"}, func(incident *Incident) { w.partition(incident, nil, lost) })
+	log.record(Incident{Name: "all regions cut off from each other"}, func(incident *Incident) { w.partition(incident, nil, outage) })
 	w.endAll()
 	return log.incidents
 }
@@ -228,8 +228,8 @@
 }
 
 // rolesAssigned reports whether a primary lists at least one role more than the platform has servers,
-// and none of the gone machines holds a role.
-func (w *World) rolesAssigned(gone []*machine) bool {
+// and none of the lost machines holds a role.
+func (w *World) rolesAssigned(lost []*machine) bool {
 	primary := w.primary()
 	if primary.control == nil {
 		return false
@@ -243,7 +243,7 @@
 		return false
 	}
 	names := map[string]bool{}
-	for _, m := range gone {
+	for _, m := range lost {
 		names[m.name] = true
 	}
 	for _, role := range state.Roles.Roles {
@@ -313,19 +313,19 @@
 // loseMachines powers machines off, makes a change as soon as a controller leads, and starts the
 // machines again when they have been off for the given length of time. A change that does not come
 // into force in time is recorded as by timeEdit.
-func (w *World) loseMachines(incident *Incident, gone []*machine, length time.Duration) {
+func (w *World) loseMachines(incident *Incident, lost []*machine, length time.Duration) {
 	began := w.now
-	for _, m := range gone {
+	for _, m := range lost {
 		w.powerOff(m.name)
 	}
 	incident.NewLeader = longer(incident.NewLeader, w.timeUntil(began, w.hasLeader))
 	took := w.editUntilAccepted(began, w.harmlessEdit("nowhere-"+w.nonce(), 0))
 	incident.InForce = longer(incident.InForce, took)
 	incident.InForceMean += took / time.Duration(max(incident.Times, 1))
-	incident.RolesMoved = longer(incident.RolesMoved, w.timeUntil(began, func() bool { return w.rolesAssigned(gone) }))
+	incident.RolesMoved = longer(incident.RolesMoved, w.timeUntil(began, func() bool { return w.rolesAssigned(lost) }))
 	incident.CoreComplete = longer(incident.CoreComplete, w.timeUntil(began, w.coreComplete))
 	w.run(max(w.now, began+length))
-	for _, m := range gone {
+	for _, m := range lost {
 		w.start(m)
 	}
 	incident.LeasesHeld = longer(incident.LeasesHeld, w.timeUntil(w.now, w.allHaveLeases))
