--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -26,8 +26,8 @@
 }
 
 // backupWrites describes the writes to a backup since the last one that succeeded: since is when the
-// first of them began, failed whether any of them has failed. A call to a machine without power
-// fails only long after the write was sent.
+// first of them began, failed whether any of them has failed. The time is recorded at the beginning,
+// because a call to a machine without power fails only long after the write was sent.
 type backupWrites struct {
 	since  time.Time
 	failed bool
@@ -58,14 +58,14 @@
 	c.unsynced[backup] = writes
 }
 
-// backupFailing reports whether the backup has to be replaced. Either a write has failed and none
-// has succeeded for longer than Timing.BackupTimeout; or a write has been pending for longer than
-// half of that, and the backup has not responded to anything for all of it although another
-// controller has.
+// backupFailing reports whether the backup has to be replaced, in one of two cases:
+//   - A write has failed, and none has succeeded for longer than Timing.BackupTimeout.
+//   - A write has been pending for longer than half of BackupTimeout, and the backup has not responded
+//     to any message for longer than BackupTimeout, although another controller has.
 //
-// A backup that responds while a write is pending has a slow disk, and is not replaced for that. A
-// primary that hears from no other controller proposes nothing: its proposals may still arrive, and
-// the promises made for them would be missing for another candidate.
+// A backup that responds while a write is pending has a slow disk, and is not replaced for that. If no
+// other controller responds, the primary proposes no replacement: its proposals may still arrive, and
+// the promises that witnesses make for them would be missing for another candidate.
 func (c *Coordinator) backupFailing(backup Identity) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -228,8 +228,9 @@
 	return now.Sub(c.shortSince) >= c.timing.ReplacementTimeout
 }
 
-// mayGrant reports whether the installed replicas may become the backups: they are no fewer than
-// the present backups, or no more could be installed for Timing.ReplacementTimeout.
+// mayGrant reports whether the installed replicas may become the backups: there are at least as many of
+// them as present backups or as wanted, whichever is less, or no more could be installed for
+// Timing.ReplacementTimeout.
 func (c *Coordinator) mayGrant(membership Membership, installed []Replica, wanted int) bool {
 	if len(installed) == 0 {
 		return false
@@ -238,7 +239,8 @@
 }
 
 // noBetterBackups reports whether there are no candidates, or the candidates that would be selected
-// are already backups and no backup is dead, damaged or failing.
+// are already backups and no backup is dead, damaged or failing. If only one backup is wanted, that
+// backup must not be restricted either.
 func (c *Coordinator) noBetterBackups(membership Membership, healthy, candidates []Replica, wanted int) bool {
 	if len(candidates) == 0 {
 		return true
@@ -283,8 +285,8 @@
 	return stale
 }
 
-// superseded reports whether another disk was heard later at the same address: the disk of the
-// given status is gone. The caller has locked the mutex.
+// superseded reports whether a controller with another disk sent a later hello from the same address,
+// which means that the disk of the given status is gone. The caller has locked the mutex.
 func (c *Coordinator) superseded(status *peerStatus) bool {
 	for _, other := range c.peerStatuses {
 		if other != status && other.hello.Replica.Address == status.hello.Replica.Address && other.lastSeen.After(status.lastSeen) {
--- a/internal/replication/changerecords.go
+++ b/internal/replication/changerecords.go
@@ -15,7 +15,7 @@
 	// Digest distinguishes a repetition of the same change from another change with the same id.
 	Digest string `msgpack:"digest" json:"digest"`
 	// At is the time of the change, derived from the horizon of claims, which follows the wall
-	// clock at no more than twice the speed of the monotonic clock. Until the horizon moves, At is
+	// clock at no more than twice the speed of the monotonic clock. Until the horizon next moves, At is
 	// zero for a change that was recorded before there was a horizon, or by an older release.
 	At time.Time `msgpack:"at,omitempty" json:"at,omitempty"`
 }
@@ -24,9 +24,9 @@
 	// ChangeRetention is the shortest time for which an accepted change is remembered. During that
 	// time it may be sent again, regardless of the changes accepted since.
 	ChangeRetention = ClaimRetention
-	// MaxChangeRecords limits the memory: it suffices for 50 changes per second during
-	// ChangeRetention. Further changes are refused as Busy until older records expire: no record is
-	// dropped before its time.
+	// MaxChangeRecords is the maximum number of records. It suffices for 50 changes per second during
+	// ChangeRetention. Further changes are refused with Busy until older records expire, because no
+	// record is dropped earlier.
 	MaxChangeRecords = 32768
 	// maxSingleSectionRecords is the limit while all records are in one section: each change writes
 	// and sends that whole section again.
--- a/internal/replication/hello.go
+++ b/internal/replication/hello.go
@@ -65,7 +65,7 @@
 	return c.OwnHello()
 }
 
-// recordHello records a hello. answered reports that it came as a response, which shows that its
+// recordHello records a hello. answered is set if the hello came as a response, which shows that its
 // sender can be reached. A sender without a replica may still know a newer membership.
 func (c *Coordinator) recordHello(hello Hello, answered bool) {
 	c.mutex.Lock()
@@ -120,8 +120,8 @@
 }
 
 // helloTargets returns the addresses that may have a controller, sorted and without duplicates: those
-// of the witnesses, the seeds, the controllers that the platform lists, the controllers heard within
-// peerMemory, and the given members. The controller's own address is left out.
+// of the witnesses, the seeds, the controllers that the platform lists, the controllers whose
+// last hello is more recent than peerMemory, and the given members. The controller's own address is left out.
 func (c *Coordinator) helloTargets(own string, members []string) []Replica {
 	addresses := map[string]bool{}
 	for _, replica := range c.Membership().Voters() {
@@ -186,9 +186,9 @@
 		c.runtime.Now().Sub(c.primaryHelloAt) < c.timing.HeartbeatInterval*5/3
 }
 
-// skipsRound reports whether this round of hellos is left out: the primary sends hellos once in
-// each HeartbeatInterval, a controller that follows the primary once in every two. All others, and a
-// controller with membershipUnknown, send hellos in every round.
+// skipsRound reports whether this controller sends no hellos in this round. The primary sends hellos
+// once per HeartbeatInterval, and a controller that follows the primary once per two HeartbeatIntervals.
+// All others, and a controller with membershipUnknown, send hellos in every round.
 func (c *Coordinator) skipsRound() bool {
 	if c.membershipUnknown {
 		return false
--- a/internal/replication/install.go
+++ b/internal/replication/install.go
@@ -6,9 +6,9 @@
 	"seamloom.example/seamloom/internal/runtime"
 )
 
-// installBeforePause installs a snapshot on new backups while commits continue, so that commits
-// have to pause only for what is written in the meantime. It reports whether any new backup has
-// installed it.
+// installBeforePause installs a snapshot on new backups while commits continue, so that the later
+// pause of commits has to cover only what is written in the meantime. It reports whether any new backup
+// has installed the snapshot.
 func (c *Coordinator) installBeforePause(membership Membership, candidates []Replica, wanted int) bool {
 	snapshot, leading := c.store.Snapshot()
 	if !leading {
@@ -109,9 +109,9 @@
 		if ended || now.Sub(lastStart) < installTimeout {
 			continue
 		}
-		// Once all candidates have been tried, slow installs get ReplacementTimeout. They get until
-		// the deadline if no install has succeeded and membershipUnknown is set, because commits are
-		// then paused and resume only with a backup.
+		// Once all candidates have been tried, the wait for slow installs ends ReplacementTimeout after the
+		// last start. It lasts until the deadline if no install has succeeded and membershipUnknown is set,
+		// because commits are then paused and resume only with a backup.
 		if i.started < len(candidates) {
 			c.startInstall(i, snapshot)
 			lastStart = now
--- a/internal/replication/renewal.go
+++ b/internal/replication/renewal.go
@@ -165,10 +165,11 @@
 	return membership.HasQuorum(responded)
 }
 
-// receivesNothing reports whether this primary has lost its lease, receives no hellos, and has sent
-// a renewal within the last Timing.Lease plus silentMargin. Its own messages may still arrive: if it
-// sent renewals at the usual rate, the witnesses would keep renewing a lease without the primary
-// learning of it, and the backup could never take over.
+// receivesNothing reports whether this primary lost its lease more than 2*leaseDrift ago, has received
+// no hello for Timing.MaxHeartbeatGap, and has sent a renewal within the last Timing.Lease plus
+// silentMargin. The messages of such a primary may still arrive: if it sent renewals at the usual rate,
+// the witnesses would keep renewing a lease without the primary learning of it, and the backup could
+// never take over.
 func (c *Coordinator) receivesNothing() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -4,10 +4,10 @@
 // lost disk never counts as one that has promised or stored something.
 type Identity string
 
-// Replica identifies a controller that has a disk: the identity of the disk, and the controller's
-// address and name. It stands for a primary or a backup, which have a copy of the state, and also
-// for a witness or a candidate for these parts, which need not have one. Zone is set only where more
-// than one loss is tolerated.
+// Replica identifies a controller that has a disk, by the identity of the disk and by the controller's
+// address and name. The controller may be the primary, a backup, a witness, or a candidate for one of
+// these roles. Only the primary and the backups must have a copy of the state on the disk. Zone is set
+// only where more than one loss is tolerated.
 type Replica struct {
 	Identity Identity `msgpack:"identity" json:"identity"`
 	Address  string   `msgpack:"address" json:"address"`
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -55,8 +55,8 @@
 	// view is the committed state.
 	view atomic.Pointer[View]
 
-	// batches counts the committed batches that were not empty, completed the changes that Commit
-	// answered, also those that failed. Both are for the metrics.
+	// batches counts the committed batches that were not empty. completed counts the changes whose
+	// outcome Commit has reported, including those that failed. Both are for the metrics.
 	batches   uint64
 	completed uint64
 }
@@ -77,15 +77,15 @@
 // Lead makes this store the store of the primary for an epoch: it takes the local replica as the
 // committed state, writes an empty batch with the first version of the epoch, and makes the state
 // readable. The replica must be in sync, so that it has every acknowledged change; it may also have
-// a batch that was never acknowledged, which Lead commits. A store that leads already only takes the
-// epoch. Codes: Damaged, Disk, Garbage.
+// a batch that was never acknowledged, which Lead commits. If the store leads already, Lead only sets
+// the epoch. Codes: Damaged, Disk, Garbage.
 func (s *Store) Lead(epoch uint64) error { return s.lead(epoch, false) }
 
-// LeadHidden is Lead for a membership with other replicas in sync: View returns nil and nothing is
-// committed until ResumeCommits is called; Unhide only makes the state readable. The caller waits with
-// both until each of the other replicas has the same version or is no longer in the membership:
-// before that, one of them could become primary without the unacknowledged batch that this replica
-// may have.
+// LeadHidden is like Lead, for a membership with other replicas in sync. Until ResumeCommits is called,
+// View returns nil and nothing is committed; Unhide makes the state readable without allowing commits.
+// The caller may call either only once each of the other replicas has the same version or is no longer
+// in the membership: before that, one of them could become primary without the unacknowledged batch that
+// this replica may have.
 func (s *Store) LeadHidden(epoch uint64) error { return s.lead(epoch, true) }
 
 func (s *Store) lead(epoch uint64, hidden bool) error {
@@ -216,8 +216,8 @@
 	s.batch = &Batch{Version: version, Base: view.Version, Sections: sections, Removed: removed}
 }
 
-// WriteLocal syncs the batch on the primary's own disk. Its base there is the newest version of the
-// local replica, which may be that of the same batch, written under an older epoch.
+// WriteLocal syncs the batch on the primary's own disk. It sets the batch's base to the version of the
+// local replica, because the same batch may already have been written there under an older epoch.
 func (s *Store) WriteLocal(batch Batch) error {
 	batch.Base = s.local.Version()
 	return s.local.Write(batch)
@@ -251,7 +251,7 @@
 }
 
 // AcceptedChange returns the record of the change that was accepted under an id. The change may be
-// part of the batch in flight. The second result is false if there is none or the store does not lead.
+// part of the batch in flight. The second result is false if there is no record or the store does not lead.
 func (s *Store) AcceptedChange(id string) (ChangeRecord, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -261,8 +261,8 @@
 	return s.working.Changes.Find(id)
 }
 
-// CommitCounts returns the number of batches committed, without empty ones, and the number of changes
-// that Commit answered, also those that failed.
+// CommitCounts returns the number of committed batches that were not empty, and the number of changes
+// whose outcome Commit has reported, including those that failed.
 func (s *Store) CommitCounts() (batches, changes uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/replication/version.go
+++ b/internal/replication/version.go
@@ -47,9 +47,10 @@
 	// Locations is set by the replica that stores the batch: for each section the version whose
 	// file holds it. Locations lets a replica notice that one of its files is missing.
 	Locations map[string]Version `msgpack:"places,omitempty"`
-	// DiscardedThrough is set when a snapshot replaced a replica that had a higher version, to that
-	// version. Files of versions above Version and up to DiscardedThrough are no longer part of the
-	// replica, although a power loss may restore them. Older releases ignore the field.
+	// DiscardedThrough is set in the batch of a snapshot whose version is lower than the replica's highest
+	// version, and is then that highest version. Files of versions above Version and up to
+	// DiscardedThrough are no longer part of the replica, although a power loss may restore them. Older
+	// releases ignore the field.
 	DiscardedThrough Version `msgpack:"voids,omitempty"`
 }
 
--- a/internal/replication/witnesses.go
+++ b/internal/replication/witnesses.go
@@ -65,10 +65,10 @@
 	return leaving, !leaving.Empty()
 }
 
-// planReplacement plans the witnesses where one loss is tolerated: a controller that is no witness
-// replaces a witness that is gone or leaving. A responding controller at the address of that witness
-// comes first, then the lowest identity among this primary and the controllers that respond. The result is false
-// when nothing has to change or no controller is available.
+// planReplacement plans the witnesses where one loss is tolerated: a controller that is not a witness
+// replaces a witness that is gone or leaving. A responding controller at the address of that witness is
+// preferred. Otherwise the controller with the lowest identity is chosen, among this primary and the
+// controllers that respond. The result is false when nothing has to change or no controller is available.
 func (c *Coordinator) planReplacement(m Membership) ([]Replica, bool) {
 	outgoing, found := c.witnessToReplace(m)
 	if !found {
@@ -79,7 +79,7 @@
 	defer c.mutex.Unlock()
 	var newcomer Replica
 	if !m.HasVoter(own) {
-		// A primary that is no witness is available without having to respond.
+		// A primary that is not a witness is available without having to respond.
 		newcomer = c.witness.Replica()
 	}
 	for _, identity := range c.knownIdentities() {
@@ -106,9 +106,9 @@
 	return incoming, true
 }
 
-// planAcrossZones plans the witnesses where several losses are tolerated: controllers that respond
-// replace those that are gone or leaving, there are as many witnesses as wanted if enough
-// controllers are available, and no zone has so many that its loss would leave no majority.
+// planAcrossZones plans the witnesses where several losses are tolerated. Controllers that respond
+// replace the witnesses that are gone or leaving. There are as many witnesses as wanted if enough
+// controllers are available. No zone gets so many witnesses that its loss would leave no majority.
 func (c *Coordinator) planAcrossZones(m Membership, wanted int) ([]Replica, bool) {
 	c.mutex.Lock()
 	heardFromAll := c.runtime.Now().Sub(c.leadsSince) >= c.timing.WitnessTimeout
--- a/internal/replication/witnessplan.go
+++ b/internal/replication/witnessplan.go
@@ -1,7 +1,7 @@
 package replication
 
 // witnessPlan selects the next witnesses from the present ones, some of which may be gone, and from
-// spares: controllers that respond and are no witnesses.
+// spares: controllers that respond and are not witnesses.
 type witnessPlan struct {
 	witnesses []plannedWitness
 	spares    []Replica
