--- a/internal/controlplane/contacts.go
+++ b/internal/controlplane/contacts.go
@@ -73,8 +73,8 @@
 
 // setContacts passes the known addresses to the coordinator and the follower: the other controllers
 // that the platform lists or that are recorded as members, the configured neighbours, and the
-// recorded routers in the order of rendezvous hashing. If all seeds and members that this
-// controller knew have been replaced, one of these processes still knows the membership.
+// recorded routers in the order of rendezvous hashing. Even if all seeds and members that this
+// controller knew have been replaced, one of these processes knows the present membership.
 func (c *Controller) setContacts() {
 	c.mutex.Lock()
 	contacts := slices.Clone(c.nodes)
--- a/internal/controlplane/controller.go
+++ b/internal/controlplane/controller.go
@@ -91,8 +91,8 @@
 	syncCheckInterval = 50 * time.Millisecond
 	// idleInterval is how long the commit loop waits when there is nothing to commit.
 	idleInterval = time.Second
-	// repairInterval is the minimum time between two repair runs, and repairBytesPerSecond the rate
-	// at which they send the state to a copy that is not in sync, under steady writes.
+	// repairInterval is the minimum time between two repair runs. repairBytesPerSecond limits the average
+	// rate at which repair runs send the state to a copy that is not in sync, under steady writes.
 	repairInterval       = time.Second
 	repairBytesPerSecond = 64 << 10
 	// leaveInterval is how often a leaving controller checks whether it may stop.
@@ -123,22 +123,22 @@
 			return nil, true, err
 		}
 	}
-	copied, err := replication.OpenLocalReplica(copyStorage)
+	localReplica, err := replication.OpenLocalReplica(copyStorage)
 	if err != nil {
 		return nil, blank, err
 	}
-	if damage := copied.Damage(); damage != "" {
+	if damage := localReplica.Damage(); damage != "" {
 		observe("replica_damaged", "damage", damage)
 	}
 	witness.SetLock(runtime.NewLock(rt))
-	copied.SetLock(runtime.NewLock(rt))
+	localReplica.SetLock(runtime.NewLock(rt))
 	controller := &Controller{
 		runtime:       rt,
 		client:        client,
 		options:       options,
 		observe:       observe,
 		witness:       witness,
-		store:         replication.NewStore(copied, witness),
+		store:         replication.NewStore(localReplica, witness),
 		updated:       rt.NewCond(),
 		termBegan:     rt.NewCond(),
 		pending:       rt.NewCond(),
@@ -161,7 +161,7 @@
 	controller.SetAcknowledgeWait(options.AcknowledgeWait)
 	// The neighbours, and the members that are recorded in the copy, may know the current membership.
 	controller.setContacts()
-	controller.applyMembers(follower.Update{Changed: copied.Sections()})
+	controller.applyMembers(follower.Update{Changed: localReplica.Sections()})
 	controller.handlerTable = controller.handlers()
 	return controller, blank, nil
 }
--- a/internal/controlplane/housekeeping.go
+++ b/internal/controlplane/housekeeping.go
@@ -165,7 +165,7 @@
 }
 
 // repairCopies sends the complete state to the copies that are not in sync and are older than the
-// view. It runs after each read and at each sweep. Only one run is in progress at a time, and
+// view. It runs after each Read and at each sweep. Only one run is in progress at a time, and
 // repairDelay passes between two runs, depending on the size of the state: under steady writes a
 // copy that is not in sync is always slightly out of date and would get a complete state each time.
 func (c *Controller) repairCopies(view *replication.View) {
--- a/internal/controlplane/joining.go
+++ b/internal/controlplane/joining.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// waitNoticeTime is how long a controller waits for a core before it logs the reason, since the
-	// formation of a core normally takes about this long.
+	// waitNoticeTime is how long a controller waits for a core before it logs the reason for the wait.
+	// The formation of a core normally takes about this long.
 	waitNoticeTime = 2 * time.Second
 	// waitNoticeInterval is the time between two such log entries while the reason stays the same.
 	waitNoticeInterval = 30 * time.Second
--- a/internal/controlplane/readers.go
+++ b/internal/controlplane/readers.go
@@ -11,7 +11,7 @@
 	"seamloom.example/seamloom/internal/wire"
 )
 
-// LoadReader is the port through which the primary reads the load of a model server on behalf of
+// LoadReader is the interface through which the primary reads the load of a model server on behalf of
 // all routers.
 type LoadReader interface {
 	ReadLoad(server membership.Server, timeout time.Duration) (scheduler.Load, error)
