--- a/internal/controlplane/serverlist_test.go
+++ b/internal/controlplane/serverlist_test.go
@@ -119,8 +119,8 @@
 }
 
 // TestServersAreIdleOnlyWithoutWork expects the list not to be idle, so that the servers are polled at
-// reportInterval, as soon as a single server has many running requests, a waiting request or a change of
-// role in progress.
+// reportInterval, as soon as a single server has running requests in more than a sixth of its slots, a
+// waiting request or a change of role in progress.
 func TestServersAreIdleOnlyWithoutWork(t *testing.T) {
 	for name, row := range map[string]struct {
 		load   scheduler.Load
--- a/internal/replication/explore_test.go
+++ b/internal/replication/explore_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// noStorage stores nothing: the exploration clones the state that a witness has in memory.
+// noStorage stores nothing, because the exploration clones the state that a witness has in memory.
 type noStorage struct{}
 
 func (noStorage) Save(string, []byte) error                  { return nil }
@@ -46,8 +46,9 @@
 	// snapshot that the machine installed.
 	snapshotCount int
 	installed     snapshotOrder
-	// membershipUnknown is set after the machine began a proposal that was not granted: the machine
-	// does not know on which membership the core has agreed, and writes nothing until it knows.
+	// membershipUnknown is set from when the machine, as primary, begins a proposal until a proposal of it
+	// is granted: meanwhile the machine does not know on which membership the core has agreed, and writes
+	// nothing.
 	membershipUnknown bool
 }
 
@@ -480,19 +481,19 @@
 	}
 }
 
-// hasLease reports whether the lease holder's own lease is active. Without a fault this lease ends
-// before the leases that the witnesses granted.
+// hasLease reports whether the lease holder's own lease is active. Unless leaseOutlivesWitnessLeases is
+// injected, this lease ends before the leases that the witnesses granted.
 func (c *coreState) hasLease(leaseHolder Identity) bool {
 	_, member := c.at(leaseHolder)
 	return member != nil && member.lease
 }
 
-// expire ends the lease that a witness granted. The lease holder no longer counts this witness's
-// renewal, because the holder's own lease started when it sent the request and so has ended before.
-func (c *coreState) expire(witness *coreMember) {
-	witness.witness.leaseEnds = time.Time{}
-	if _, leaseHolder := c.at(witness.witness.leaseHolder); leaseHolder != nil {
-		delete(leaseHolder.renewedBy, witness.identity())
+// expire ends the lease that a witness granted. The lease holder no longer counts this witness's renewal:
+// the holder's own lease, which started when the holder sent the request, has already ended.
+func (c *coreState) expire(member *coreMember) {
+	member.witness.leaseEnds = time.Time{}
+	if _, leaseHolder := c.at(member.witness.leaseHolder); leaseHolder != nil {
+		delete(leaseHolder.renewedBy, member.identity())
 	}
 }
 
--- a/internal/replication/restart_test.go
+++ b/internal/replication/restart_test.go
@@ -127,14 +127,14 @@
 	if vote := witness.RenewLease(now, 5, "b"); !vote.Granted {
 		t.Errorf("renewal under the accepted membership: got %+v, want granted", vote)
 	}
-	again, _, err := OpenWitness(now.Add(time.Second), storage, Replica{Address: "c"}, "other")
-	if err != nil || again.LeaseHolder() != "b" {
-		t.Fatalf("after the restart: got lease holder %q, error %v, want b", again.LeaseHolder(), err)
+	reopened, _, err := OpenWitness(now.Add(time.Second), storage, Replica{Address: "c"}, "other")
+	if err != nil || reopened.LeaseHolder() != "b" {
+		t.Fatalf("after the restart: got lease holder %q, error %v, want b", reopened.LeaseHolder(), err)
 	}
-	if response, err := again.Prepare(now.Add(time.Second), 6, "a"); err != nil || response.Refusal != failure.LeaseActive {
+	if response, err := reopened.Prepare(now.Add(time.Second), 6, "a"); err != nil || response.Refusal != failure.LeaseActive {
 		t.Errorf("another candidate: got %+v, %v, want LeaseActive", response, err)
 	}
-	if response, err := again.Prepare(now.Add(time.Second), 6, "b"); err != nil || !response.Granted {
+	if response, err := reopened.Prepare(now.Add(time.Second), 6, "b"); err != nil || !response.Granted {
 		t.Errorf("the lease holder as candidate: got %+v, %v, want granted", response, err)
 	}
 }
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -309,33 +309,34 @@
 	}
 }
 
-// TestALateSnapshotIsRefused installs two snapshots of one primary in the wrong order: the earlier
-// snapshot is refused, so that the replica keeps the changes that were acknowledged between the two.
-// A snapshot of an older release, which has no sequence number, is installed.
+// TestALateSnapshotIsRefused installs the later of two snapshots of one primary twice, and then the
+// earlier one, which must be refused, so that the replica keeps the changes that were acknowledged
+// between the two. A snapshot of an older release, which has no sequence number, must be installed on
+// another replica.
 func TestALateSnapshotIsRefused(t *testing.T) {
 	primary, replica := newLeader(t), newLeader(t)
 	replica.StepDown()
-	early, _ := primary.Snapshot()
+	earlier, _ := primary.Snapshot()
 	edit := func([]byte) ([]byte, error) { return []byte(`{"revision":1}`), nil }
 	if err := submitAndCommit(t, primary, ChangeConfiguration("", "", nil, PreparedConfiguration{}, edit)); err != nil {
 		t.Fatal(err)
 	}
-	late, _ := primary.PauseCommits()
-	for _, snapshot := range []Snapshot{late, late} {
+	later, _ := primary.PauseCommits()
+	for _, snapshot := range []Snapshot{later, later} {
 		if err := replica.Install(snapshot); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := replica.Install(early); failure.CodeOf(err) != failure.Behind {
+	if err := replica.Install(earlier); failure.CodeOf(err) != failure.Behind {
 		t.Errorf("an earlier snapshot: got %v, want Behind", err)
 	}
-	if version := replica.LocalReplica().Version(); version != late.Version {
+	if version := replica.LocalReplica().Version(); version != later.Version {
 		t.Errorf("got version %s, want that of the later snapshot", version)
 	}
 	fresh := newLeader(t)
 	fresh.StepDown()
-	early.Sequence = 0
-	if err := fresh.Install(early); err != nil {
+	earlier.Sequence = 0
+	if err := fresh.Install(earlier); err != nil {
 		t.Errorf("a snapshot without a sequence number: got %v, want no error", err)
 	}
 }
