--- a/internal/replication/localreplica_test.go
+++ b/internal/replication/localreplica_test.go
@@ -240,7 +240,8 @@
 			t.Fatalf("got error %v, damage %q, version %s, want neither and the same version", err, reopened.Damage(), reopened.Version())
 		}
 		if len(storage.files) > maxFiles || bytes > maxBytes || took > maxOpenTime {
-			t.Errorf("after %d changes: %d files, %d bytes, opened in %v", number, len(storage.files), bytes, took)
+			t.Errorf("after %d changes: got %d files, %d bytes, opened in %v, want %d files, %d bytes and %v at most",
+				number, len(storage.files), bytes, took, maxFiles, maxBytes, maxOpenTime)
 		}
 	}
 }
--- a/internal/replication/storm_test.go
+++ b/internal/replication/storm_test.go
@@ -147,7 +147,8 @@
 		t.Errorf("a change sends %d bytes and stores %d bytes, want 16 KiB and 32 KiB at most", manySections.wire, manySections.disk)
 	}
 	if manySections.snapshot > 4<<20 || manySections.stored > 4<<20 || manySections.files > 2*changes/changeSectionRecords {
-		t.Errorf("got a snapshot of %d bytes, a disk of %d bytes in %d files", manySections.snapshot, manySections.stored, manySections.files)
+		t.Errorf("got a snapshot of %d bytes and %d files of %d bytes in total, want 4 MiB, %d files and 4 MiB at most",
+			manySections.snapshot, manySections.files, manySections.stored, 2*changes/changeSectionRecords)
 	}
 	if manySections.catchUp > time.Second {
 		t.Errorf("a blank disk took %v to catch up, want 1s at most", manySections.catchUp)
