--- a/internal/replication/install.go
+++ b/internal/replication/install.go
@@ -88,6 +88,8 @@
 		cond:       c.runtime.NewCond(),
 		results:    map[Identity]error{},
 	}
+	// lastStart is when the first installs were started, or the last one that was added because others are
+	// slow. An install that replaces a failed one does not change it.
 	lastStart, lastRenewal := c.runtime.Now(), c.runtime.Now()
 	deadline := lastStart.Add(gatherTimeout)
 	for c.runtime.Now().Before(deadline) {
@@ -109,8 +111,8 @@
 		if ended || now.Sub(lastStart) < installTimeout {
 			continue
 		}
-		// Once all candidates have been tried, the wait for slow installs ends ReplacementTimeout after the
-		// last start. It lasts until the deadline if no install has succeeded and membershipUnknown is set,
+		// Once all candidates have been tried, the wait for slow installs ends ReplacementTimeout after
+		// lastStart. It lasts until the deadline if no install has succeeded and membershipUnknown is set,
 		// because commits are then paused and resume only with a backup.
 		if i.started < len(candidates) {
 			c.startInstall(i, snapshot)
